--- a/agree/node.go
+++ b/agree/node.go
@@ -105,8 +105,7 @@
 	saved     uint64        // index of the last entry on disk
 
 	hard    *raftpb.HardState
-	floor   uint64 // no vote up to this term
-	wait    int    // ticks until it stands
+	wait    int // ticks until it stands
 	ready   *raft.Ready
 	pending map[uint64]map[uint64][]any // by session and command
 	opens   map[lease.Member][]any
--- a/authz/authz_test.go
+++ b/authz/authz_test.go
@@ -271,10 +271,8 @@
 		}
 		said := map[Key]word{}
 		type asked struct {
-			q     Question
-			at    Time
-			state Verdict
-			gone  bool
+			q  Question
+			at Time
 		}
 		var all []*asked
 		open := map[uint64]*asked{}
--- a/internal/gateway/counter_test.go
+++ b/internal/gateway/counter_test.go
@@ -37,7 +37,9 @@
 		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, patience, decide.Failed, 0},
 		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, patience, decide.Failed, 0},
 		{"no end", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, patience, decide.Failed, 0},
-		{"redirect", func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/v1/count/ff", 307) }, patience, decide.Failed, 0},
+		{"redirect", func(w http.ResponseWriter, r *http.Request) {
+			http.Redirect(w, r, "/v1/count/ff", http.StatusTemporaryRedirect)
+		}, patience, decide.Failed, 0},
 		{"broken after the call", func(w http.ResponseWriter, _ *http.Request) { hijack(w) }, patience, decide.Reset, 0},
 		{"no answer", func(_ http.ResponseWriter, r *http.Request) { <-released }, 200 * time.Millisecond, decide.TimedOut, 0},
 	} {
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -77,7 +77,6 @@
 	passed   int             // clients' connections given to new processes, by their own figures
 	readyIn  []time.Duration // of new processes
 	heldOpen int             // connections 4 s after a drain began
-	killedAt []int           // gateways whose new process was killed after it had taken over
 }
 
 func (u *upgrades) fail(err error) {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -100,7 +100,6 @@
 	me    Member
 	pace  float64
 	shift time.Duration
-	acted map[uint64]bool
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
--- a/sim/owners/procs.go
+++ b/sim/owners/procs.go
@@ -125,8 +125,7 @@
 		if !p.up || p.life != life {
 			return
 		}
-		var done func()
-		done = func() {
+		done := func() {
 			p.busy, v.stuck = false, false
 			v.disk.write(work)
 			messages, err := v.node.Saved(p.clock())
@@ -188,7 +187,6 @@
 	seq     uint64
 	out     map[uint64]bool
 	words   int
-	acked   int // words of all members acknowledged when a read was asked
 }
 
 func (m *member) start() {
--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -174,7 +174,6 @@
 type hashed struct {
 	slots  []uint32 // 1 + where an entry begins
 	packed []byte
-	used   int
 }
 
 func newHashed(n int) *hashed {
