--- /dev/null
+++ b/distribution/candidates.go
@@ -0,0 +1,83 @@
+package distribution
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// candidates are the servers that a replica may watch, in its order of preference, and which of them it avoids for
+// now.
+type candidates struct {
+	settings *ReplicaSettings
+	random   *rand.Rand
+	ranked   []Server
+	backoffs map[string]backoff // by server
+}
+
+type backoff struct {
+	failures int
+	until    time.Duration
+}
+
+// maxFailures bounds the doubling; MaxBackoff is reached long before.
+const maxFailures = 30
+
+// set takes in which servers there are. What is known of those that stay is kept.
+func (c *candidates) set(servers []Server) {
+	c.ranked = Rank(c.settings.ID, c.settings.Place, servers)
+	kept := map[string]backoff{}
+	for _, s := range c.ranked {
+		if b, ok := c.backoffs[s.ID]; ok {
+			kept[s.ID] = b
+		}
+	}
+	c.backoffs = kept
+}
+
+// has tells whether a server is one of them, at the same address.
+func (c *candidates) has(server Server) bool {
+	for _, s := range c.ranked {
+		if s.ID == server.ID {
+			return s.Address == server.Address
+		}
+	}
+	return false
+}
+
+// best is the first that is not avoided; otherwise when the first of them may be tried.
+func (c *candidates) best(now time.Duration) (server Server, at time.Duration, ok bool) {
+	at = never
+	for _, s := range c.ranked {
+		until := c.backoffs[s.ID].until
+		if until <= now {
+			return s, now, true
+		}
+		at = min(at, until)
+	}
+	return Server{}, at, false
+}
+
+// otherThan tells whether another server could be tried now.
+func (c *candidates) otherThan(now time.Duration, server string) bool {
+	for _, s := range c.ranked {
+		if s.ID != server && c.backoffs[s.ID].until <= now {
+			return true
+		}
+	}
+	return false
+}
+
+// failed avoids a server for longer and longer.
+func (c *candidates) failed(now time.Duration, server string) {
+	b := c.backoffs[server]
+	span := c.settings.MaxBackoff
+	if b.failures < maxFailures {
+		span = min(span, c.settings.MinBackoff<<b.failures)
+		b.failures++
+	}
+	b.until = now + span/2 + time.Duration(c.random.Int64N(int64(span/2)+1))
+	c.backoffs[server] = b
+}
+
+// worked forgets a server's failures.
+func (c *candidates) worked(server string) { delete(c.backoffs, server) }
--- /dev/null
+++ b/distribution/digest.go
@@ -0,0 +1,78 @@
+package distribution
+
+import (
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"math/bits"
+
+	"github.com/zeebo/xxh3"
+)
+
+// DigestBytes is the length of an encoded Digest.
+const DigestBytes = 16
+
+// Digest is a 128-bit hash or a sum of such hashes, modulo 2 to the power of 128.
+type Digest struct{ High, Low uint64 }
+
+// String gives the digest in hexadecimal.
+func (d Digest) String() string { return hex.EncodeToString(d.Encode()) }
+
+// Encode gives the digest's 16 bytes, the highest first.
+func (d Digest) Encode() []byte { return d.appendTo(make([]byte, 0, DigestBytes)) }
+
+func (d Digest) appendTo(to []byte) []byte {
+	to = binary.BigEndian.AppendUint64(to, d.High)
+	return binary.BigEndian.AppendUint64(to, d.Low)
+}
+
+// DecodeDigest reads what Encode wrote; an InvalidMessageError where the length is another.
+func DecodeDigest(raw []byte) (Digest, error) {
+	if len(raw) != DigestBytes {
+		return Digest{}, &InvalidMessageError{"digest", fmt.Sprintf("%d bytes instead of %d", len(raw), DigestBytes)}
+	}
+	return Digest{binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])}, nil
+}
+
+// plus adds; the order in which hashes are added does not matter.
+func (d Digest) plus(other Digest) Digest {
+	low, carry := bits.Add64(d.Low, other.Low, 0)
+	high, _ := bits.Add64(d.High, other.High, carry)
+	return Digest{high, low}
+}
+
+// minus takes back what plus added.
+func (d Digest) minus(other Digest) Digest {
+	low, borrow := bits.Sub64(d.Low, other.Low, 0)
+	high, _ := bits.Sub64(d.High, other.High, borrow)
+	return Digest{high, low}
+}
+
+// appendKey writes a key so that no two keys are written alike.
+func appendKey(to []byte, kind Kind, id string) []byte {
+	to = binary.AppendUvarint(to, uint64(kind))
+	to = binary.AppendUvarint(to, uint64(len(id)))
+	return append(to, id...)
+}
+
+// bucketIndex is the bucket of a key.
+func bucketIndex(kind Kind, id string) uint32 {
+	var scratch [128]byte
+	return uint32(xxh3.Hash(appendKey(scratch[:0], kind, id)) % BucketCount)
+}
+
+// recordHash is the hash of a record as it is added to its bucket's sum.
+func recordHash(r *Record) Digest {
+	var scratch [512]byte
+	h := xxh3.Hash128(append(appendKey(scratch[:0], r.Kind, r.ID), r.Value...))
+	return Digest{h.Hi, h.Lo}
+}
+
+// stateDigest is the digest of a state whose records' hashes add up to a total.
+func stateDigest(epoch, revision uint64, total Digest) Digest {
+	var scratch [16 + DigestBytes]byte
+	raw := binary.BigEndian.AppendUint64(scratch[:0], epoch)
+	raw = binary.BigEndian.AppendUint64(raw, revision)
+	h := xxh3.Hash128(total.appendTo(raw))
+	return Digest{h.Hi, h.Lo}
+}
--- /dev/null
+++ b/distribution/record.go
@@ -0,0 +1,118 @@
+package distribution
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/internal/distributionpb"
+)
+
+// Kind says what a record is of.
+type Kind = distributionpb.Kind
+
+// The kinds of records. One that this version does not know is kept and passed on, not read.
+const (
+	KindServer = distributionpb.Kind_KIND_SERVER
+	KindPlan   = distributionpb.Kind_KIND_PLAN
+	KindTenant = distributionpb.Kind_KIND_TENANT
+)
+
+// Bounds of one record, so that no message and no log grows beyond what a stream carries in one piece.
+const (
+	MaxIDBytes    = 512
+	MaxValueBytes = 64 << 10
+)
+
+// Record is one keyed record. Its value is not changed once it is in a State.
+type Record struct {
+	Kind  Kind
+	ID    string
+	Value []byte // of a server: an encoded ServerRecord
+}
+
+// size is what the record counts for in bounds by bytes.
+func (r *Record) size() int { return len(r.ID) + len(r.Value) + recordOverheadBytes }
+
+// recordOverheadBytes is about what a record's fields need around its id and value in a message.
+const recordOverheadBytes = 8
+
+// Change sets a record, or deletes the record of its key.
+type Change struct {
+	Record
+	Deleted bool // Value is empty then
+}
+
+// Server reads the value of a record of KindServer.
+func (r *Record) Server() (*distributionpb.ServerRecord, error) {
+	var server distributionpb.ServerRecord
+	if err := proto.Unmarshal(r.Value, &server); err != nil {
+		return nil, &InvalidRecordError{r.Kind, r.ID, err.Error()}
+	}
+	return &server, nil
+}
+
+// Urgent tells whether a change has to go before others: something is deleted, or a server is draining.
+func (c *Change) Urgent() bool {
+	if c.Deleted {
+		return true
+	}
+	if c.Kind != KindServer {
+		return false
+	}
+	server, err := c.Server()
+	return err == nil && server.Phase == distributionpb.Phase_PHASE_DRAINING
+}
+
+// check refuses a change that can't be read or kept, with an InvalidRecordError. What it looks at is the same in every
+// version of the program, as the agreed machine decides by it.
+func (c *Change) check() error {
+	invalid := func(reason string) error { return &InvalidRecordError{c.Kind, c.ID, reason} }
+	switch {
+	case c.Kind <= distributionpb.Kind_KIND_UNSPECIFIED:
+		return invalid("it has no kind")
+	case c.ID == "":
+		return invalid("it has no id")
+	case len(c.ID) > MaxIDBytes:
+		return invalid(fmt.Sprintf("its id has %d bytes, more than %d", len(c.ID), MaxIDBytes))
+	case len(c.Value) > MaxValueBytes:
+		return invalid(fmt.Sprintf("its value has %d bytes, more than %d", len(c.Value), MaxValueBytes))
+	case c.Deleted && len(c.Value) > 0:
+		return invalid("it is deleted and has a value")
+	case c.Kind == KindServer && !c.Deleted:
+		_, err := c.Server()
+		return err
+	}
+	return nil
+}
+
+// compareKeys orders records by kind and id.
+func compareKeys(a, b *Record) int {
+	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID))
+}
+
+// sortChanges puts deletions first, then draining servers, then the rest: an address may have passed from
+// one id to another.
+func sortChanges(changes []Change) {
+	type ranked struct {
+		rank   int
+		change Change
+	}
+	order := make([]ranked, len(changes))
+	for i, c := range changes {
+		order[i] = ranked{2, c}
+		if c.Deleted {
+			order[i].rank = 0
+		} else if c.Urgent() {
+			order[i].rank = 1
+		}
+	}
+	slices.SortFunc(order, func(a, b ranked) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), compareKeys(&a.change.Record, &b.change.Record))
+	})
+	for i := range order {
+		changes[i] = order[i].change
+	}
+}
--- /dev/null
+++ b/distribution/state.go
@@ -0,0 +1,171 @@
+package distribution
+
+import (
+	"bytes"
+)
+
+// State is a keyed store of records at a position. Copies share what they have in common.
+type State struct {
+	epoch, revision uint64
+	buckets         []*bucket // BucketCount of them
+	total           Digest    // the sum of all buckets' sums
+	records, bytes  int
+}
+
+// NewState is a state without records, at the position without epoch.
+func NewState() *State {
+	s := &State{buckets: make([]*bucket, BucketCount)}
+	for i := range s.buckets {
+		s.buckets[i] = noRecords
+	}
+	return s
+}
+
+// Clone gives a copy that is independent of s. It copies one pointer a bucket.
+func (s *State) Clone() *State {
+	c := *s
+	c.buckets = append([]*bucket(nil), s.buckets...)
+	return &c
+}
+
+// Position is where the state is, with its digest.
+func (s *State) Position() Position { return Position{s.epoch, s.revision, s.Digest()} }
+
+// Digest is the digest of epoch, revision and all records.
+func (s *State) Digest() Digest { return stateDigest(s.epoch, s.revision, s.total) }
+
+// Empty tells that nothing was ever said: the state has no epoch.
+func (s *State) Empty() bool { return s.epoch == 0 }
+
+// Len is the number of records.
+func (s *State) Len() int { return s.records }
+
+// Bytes is about what the records take in messages.
+func (s *State) Bytes() int { return s.bytes }
+
+// Get gives the value of a key.
+func (s *State) Get(kind Kind, id string) (value []byte, ok bool) {
+	b := s.buckets[bucketIndex(kind, id)]
+	at, ok := b.find(&Record{Kind: kind, ID: id})
+	if !ok {
+		return nil, false
+	}
+	return b.records[at].Value, true
+}
+
+// Range calls a function for each record of a kind until it returns false, in an order that depends on the
+// content alone.
+func (s *State) Range(kind Kind, each func(Record) bool) {
+	for _, b := range s.buckets {
+		for _, r := range b.records {
+			if r.Kind == kind && !each(r) {
+				return
+			}
+		}
+	}
+}
+
+// Apply takes a delta in. It returns an error and leaves the state as it is where the epoch is another
+// (WrongEpochError), the delta begins elsewhere (WrongRevisionError), a change can't be read
+// (InvalidRecordError), or the result has another digest (DigestMismatchError).
+func (s *State) Apply(d *Delta) error {
+	if d.Epoch != s.epoch {
+		return &WrongEpochError{Have: s.epoch, Got: d.Epoch}
+	}
+	if d.From != s.revision || d.To <= d.From {
+		return &WrongRevisionError{Have: s.revision, From: d.From, To: d.To}
+	}
+	for i := range d.Changes {
+		if err := d.Changes[i].check(); err != nil {
+			return err
+		}
+	}
+	next := s.stage(d.Changes)
+	if got := stateDigest(d.Epoch, d.To, next.total); got != d.Digest {
+		return &DigestMismatchError{Position: d.Position(), Got: got}
+	}
+	s.commit(next, d.Epoch, d.To)
+	return nil
+}
+
+// staged is what changes make of a state.
+type staged struct {
+	buckets        map[uint32]*bucket
+	total          Digest
+	records, bytes int
+}
+
+// stage works changes out without touching the state.
+func (s *State) stage(changes []Change) *staged {
+	next := &staged{make(map[uint32]*bucket, min(len(changes), BucketCount)), s.total, s.records, s.bytes}
+	for i := range changes {
+		c := &changes[i]
+		index := bucketIndex(c.Kind, c.ID)
+		b := next.buckets[index]
+		if b == nil {
+			b = s.buckets[index].clone()
+			next.buckets[index] = b
+		}
+		before, sum, size := len(b.records), b.sum, b.bytes
+		b.put(c)
+		next.total = next.total.minus(sum).plus(b.sum)
+		next.records += len(b.records) - before
+		next.bytes += b.bytes - size
+	}
+	return next
+}
+
+// commit takes in what was staged.
+func (s *State) commit(next *staged, epoch, revision uint64) {
+	for index, b := range next.buckets {
+		s.buckets[index] = b
+	}
+	s.epoch, s.revision = epoch, revision
+	s.total, s.records, s.bytes = next.total, next.records, next.bytes
+}
+
+// advance makes the next revision of a state by changes, and gives the delta to it; nil where they change
+// nothing. epoch counts only for a state without one. The changes have been checked, one a key.
+func (s *State) advance(epoch uint64, changes []Change) *Delta {
+	effective := make([]Change, 0, len(changes))
+	for _, c := range changes {
+		value, there := s.Get(c.Kind, c.ID)
+		if c.Deleted && there || !c.Deleted && !(there && bytes.Equal(value, c.Value)) {
+			effective = append(effective, c)
+		}
+	}
+	if !s.Empty() {
+		if epoch = s.epoch; len(effective) == 0 {
+			return nil
+		}
+	}
+	sortChanges(effective)
+	d := &Delta{Epoch: epoch, From: s.revision, To: s.revision + 1, Changes: effective}
+	s.commit(s.stage(effective), d.Epoch, d.To)
+	d.Digest = s.Digest()
+	return d
+}
+
+// Difference gives the changes that lead from s to another state, one a key, deletions first.
+func (s *State) Difference(other *State) []Change {
+	var changes []Change
+	for i, mine := range s.buckets {
+		theirs := other.buckets[i]
+		if mine == theirs || mine.sum == theirs.sum && len(mine.records) == len(theirs.records) {
+			continue
+		}
+		for at := range mine.records {
+			if _, there := theirs.find(&mine.records[at]); !there {
+				r := mine.records[at]
+				changes = append(changes, Change{Record{Kind: r.Kind, ID: r.ID}, true})
+			}
+		}
+		for _, r := range theirs.records {
+			if at, there := mine.find(&r); !there || !bytes.Equal(mine.records[at].Value, r.Value) {
+				changes = append(changes, Change{r, false})
+			}
+		}
+	}
+	sortChanges(changes)
+	return changes
+}
--- /dev/null
+++ b/distribution/statefile.go
@@ -0,0 +1,72 @@
+package distribution
+
+import (
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/internal/distributionpb"
+)
+
+// stateFileFormat is raised when the file, a digest or the buckets come to mean something else.
+const stateFileFormat = 1
+
+// EncodeStateFile gives a state as it lies on disk. The digest of its position is the file's checksum.
+func EncodeStateFile(fleet string, s *State) []byte {
+	return encode(&distributionpb.StateFile{
+		Format: stateFileFormat, Fleet: fleet, Position: s.Position().Proto(), Records: recordsProto(s),
+	})
+}
+
+// DecodeStateFile reads what EncodeStateFile wrote. It returns a WrongFleetError for another fleet's file, and an
+// InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged one.
+func DecodeStateFile(fleet string, raw []byte) (*State, error) {
+	var file distributionpb.StateFile
+	if err := proto.Unmarshal(raw, &file); err != nil {
+		return nil, &InvalidMessageError{"state file", err.Error()}
+	}
+	if file.Format != stateFileFormat {
+		return nil, &InvalidMessageError{"state file", fmt.Sprintf("format %d instead of %d", file.Format, stateFileFormat)}
+	}
+	if file.Fleet != fleet {
+		return nil, &WrongFleetError{Want: fleet, Got: file.Fleet}
+	}
+	return stateFromProto(file.Position, file.Records)
+}
+
+func recordsProto(s *State) []*distributionpb.Record {
+	messages := make([]*distributionpb.Record, 0, s.records)
+	for _, b := range s.buckets {
+		messages = appendRecords(messages, b.records)
+	}
+	return messages
+}
+
+func appendRecords(to []*distributionpb.Record, records []Record) []*distributionpb.Record {
+	for i := range records {
+		r := &records[i]
+		to = append(to, &distributionpb.Record{Kind: r.Kind, Id: r.ID, Value: r.Value})
+	}
+	return to
+}
+
+// stateFromProto makes a state of its records, and verifies the position's digest.
+func stateFromProto(at *distributionpb.Position, records []*distributionpb.Record) (*State, error) {
+	position, err := PositionFromProto(at)
+	if err != nil {
+		return nil, err
+	}
+	changes := make([]Change, len(records))
+	for i, m := range records {
+		changes[i] = Change{Record: Record{m.GetKind(), m.GetId(), m.GetValue()}}
+		if err := changes[i].check(); err != nil {
+			return nil, err
+		}
+	}
+	s := NewState()
+	s.commit(s.stage(changes), position.Epoch, position.Revision)
+	if got := s.Digest(); got != position.Digest {
+		return nil, &DigestMismatchError{Position: position, Got: got}
+	}
+	return s, nil
+}
