--- /dev/null
+++ b/distribution/repair_test.go
@@ -0,0 +1,189 @@
+package distribution
+
+import (
+	"errors"
+	"maps"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"pgregory.net/rapid"
+
+	"mothcleat/internal/distributionpb"
+)
+
+// bucketMessage is a bucket as a server sends it.
+func bucketMessage(s *State, index uint32) *distributionpb.Bucket {
+	return &distributionpb.Bucket{Index: index, Records: appendRecords(nil, s.Bucket(index))}
+}
+
+// A repair leads any state to any other by the buckets that differ, and no others are missing.
+func TestRepairFetchesOnlyWhatDiffers(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		source := NewState()
+		source.advance(testEpoch, drawChanges(t))
+		behind := source.Clone()
+		changed := map[uint32]bool{}
+		for range rapid.IntRange(0, 4).Draw(t, "steps") {
+			if d := source.advance(0, drawChanges(t)); d != nil {
+				for _, c := range d.Changes {
+					changed[bucketIndex(c.Kind, c.ID)] = true
+				}
+			}
+		}
+		if rapid.Bool().Draw(t, "other lineage") {
+			behind.epoch, behind.revision = testEpoch-1, 1000
+		}
+		before := content(behind)
+		repair := NewRepair(behind, source.Position(), source.Sums())
+		for _, index := range repair.Missing() {
+			if !changed[index] {
+				t.Fatalf("bucket %d is missing and has not changed", index)
+			}
+			if err := repair.Put(bucketMessage(source, index)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		got, err := repair.Finish()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got.Position() != source.Position() || !maps.Equal(content(got), content(source)) || got.Bytes() != source.Bytes() {
+			t.Fatalf("%v instead of %v", got.Position(), source.Position())
+		}
+		if !maps.Equal(content(behind), before) {
+			t.Fatal("the repair changed what it began with")
+		}
+	})
+}
+
+// Buckets that don't fit are refused by name.
+func TestRepairRefuses(t *testing.T) {
+	source := NewState()
+	source.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
+	index, elsewhere := bucketIndex(KindServer, "a"), bucketIndex(KindServer, "b")
+	if index == elsewhere {
+		t.Fatal("the test needs two buckets")
+	}
+	repair := NewRepair(NewState(), source.Position(), source.Sums())
+	if _, err := repair.Finish(); err == nil {
+		t.Error("a repair without its buckets is finished")
+	}
+	var wrongSum *DigestMismatchError
+	var record *InvalidRecordError
+	var message *InvalidMessageError
+	a := bucketMessage(source, index)
+	for _, test := range []struct {
+		name   string
+		bucket *distributionpb.Bucket
+		want   any
+	}{
+		{"one that keeps a deleted record", &distributionpb.Bucket{Index: index}, &wrongSum},
+		{"one that was not asked for", &distributionpb.Bucket{Index: (index + 1) % BucketCount}, &message},
+		{"one of no index", &distributionpb.Bucket{Index: BucketCount}, &message},
+		{"another's record", &distributionpb.Bucket{Index: index, Records: bucketMessage(source, elsewhere).Records}, &message},
+		{"a record twice", &distributionpb.Bucket{Index: index, Records: append(a.Records, a.Records...)}, &message},
+		{"an unreadable record", &distributionpb.Bucket{Index: index, Records: []*distributionpb.Record{{Kind: KindServer, Id: "a", Value: []byte{0xff}}}}, &record},
+	} {
+		if err := repair.Put(test.bucket); !errors.As(err, test.want) {
+			t.Errorf("%s: %v", test.name, err)
+		}
+	}
+	for _, b := range []uint32{index, elsewhere} {
+		if err := repair.Put(bucketMessage(source, b)); err != nil {
+			t.Error(err)
+		}
+	}
+	if got, err := repair.Finish(); err != nil || got.Position() != source.Position() {
+		t.Error(err)
+	}
+	target := source.Position()
+	target.Revision++
+	if _, err := NewRepair(source, target, source.Sums()).Finish(); !errors.As(err, &wrongSum) {
+		t.Errorf("buckets that fit and a digest that doesn't: %v", err)
+	}
+}
+
+// Sums round trip, and other lengths are refused.
+func TestSumsRoundTrip(t *testing.T) {
+	s := NewState()
+	s.advance(testEpoch, []Change{ready("a", 1)})
+	sums, err := DecodeSums(s.Sums().Encode())
+	if err != nil || len(sums) != BucketCount {
+		t.Fatal(err)
+	}
+	for _, length := range []int{0, 1, DigestBytes + 1, (BucketCount + 1) * DigestBytes} {
+		if _, err := DecodeSums(make([]byte, length)); err == nil {
+			t.Errorf("%d bytes are taken", length)
+		}
+	}
+}
+
+// A state file gives the state back, refuses another fleet's, and tells any damage.
+func TestStateFile(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := NewState()
+		for range rapid.IntRange(0, 4).Draw(t, "steps") {
+			s.advance(testEpoch, drawChanges(t))
+		}
+		raw := EncodeStateFile("blue", s)
+		got, err := DecodeStateFile("blue", raw)
+		if err != nil || got.Position() != s.Position() || !maps.Equal(content(got), content(s)) {
+			t.Fatalf("%v: %v", got, err)
+		}
+		var fleet *WrongFleetError
+		if _, err := DecodeStateFile("green", raw); !errors.As(err, &fleet) {
+			t.Fatal(err)
+		}
+		at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
+		raw[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		if got, err = DecodeStateFile("blue", raw); err != nil {
+			requireTyped(t, err)
+		} else if got.Position() != s.Position() || !maps.Equal(content(got), content(s)) {
+			t.Fatal("a damaged file gives another state")
+		}
+	})
+}
+
+// A file of another format is refused.
+func TestStateFileOfAnotherFormat(t *testing.T) {
+	raw := encode(&distributionpb.StateFile{Format: stateFileFormat + 1, Fleet: "blue"})
+	if _, err := DecodeStateFile("blue", raw); err == nil {
+		t.Error("it is taken")
+	}
+}
+
+// FuzzDecode: whatever comes in from a disk or a stream is refused with a typed error, or is well formed.
+func FuzzDecode(f *testing.F) {
+	s := NewState()
+	first := s.advance(testEpoch, []Change{ready("a", 1), {Record: Record{KindPlan, "p", []byte("x")}}})
+	f.Add(first.Encode())
+	f.Add(s.advance(0, []Change{draining("a"), deleted("b")}).Encode())
+	f.Add(EncodeStateFile("blue", s))
+	f.Add(encode(bucketMessage(s, bucketIndex(KindServer, "a"))))
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		if d, err := DecodeDelta(raw); err != nil {
+			requireTyped(t, err)
+		} else if again, err := DecodeDelta(d.Encode()); err != nil || again.Position() != d.Position() {
+			t.Errorf("it does not round trip: %v", err)
+		}
+		if got, err := DecodeStateFile("blue", raw); err != nil {
+			requireTyped(t, err)
+		} else if again, err := DecodeStateFile("blue", EncodeStateFile("blue", got)); err != nil || again.Position() != got.Position() {
+			t.Errorf("it does not round trip: %v", err)
+		}
+		var b distributionpb.Bucket
+		if proto.Unmarshal(raw, &b) == nil {
+			if _, err := bucketFromProto(&b); err != nil {
+				requireTyped(t, err)
+			}
+		}
+		if _, err := DecodeSums(raw); err != nil {
+			requireTyped(t, err)
+		}
+		m, _, _ := newTestMachine()
+		m.Apply(0, 0, watcher, raw)
+		if err := m.Restore(raw); err != nil {
+			requireTyped(t, err)
+		}
+	})
+}
