--- a/internal/fleetlink/client.go
+++ b/internal/fleetlink/client.go
@@ -8,6 +8,8 @@
 	"sync"
 	"time"
 
+	"google.golang.org/grpc"
+
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
 )
@@ -77,6 +79,29 @@
 // Me is the process that it asks for.
 func (c *Client) Me() lease.Member { return c.me }
 
+// Fleet is the name of the fleet that it asks.
+func (c *Client) Fleet() string { return c.fleet }
+
+// Endpoint is a voter and where it is reached from here.
+type Endpoint struct{ Name, Address string }
+
+// Voters are the voters as they are known now, in the order in which they were told.
+func (c *Client) Voters() []Endpoint {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := make([]Endpoint, 0, len(c.voters))
+	for _, name := range c.voters {
+		all = append(all, Endpoint{name, c.at[name]})
+	}
+	return all
+}
+
+// Connection gives the connection to an address, which all calls of this client share. It is opened when it is first
+// used, and closed by Close.
+func (c *Client) Connection(address string) (grpc.ClientConnInterface, error) {
+	return c.conns.connection(address)
+}
+
 // target is the voter to ask now.
 func (c *Client) target() (name, address string) {
 	c.mu.Lock()
--- a/internal/fleetlink/peers.go
+++ b/internal/fleetlink/peers.go
@@ -50,6 +50,14 @@
 }
 
 func (c *conns) to(address string) (fleetpb.FleetClient, error) {
+	conn, err := c.connection(address)
+	if err != nil {
+		return nil, err
+	}
+	return fleetpb.NewFleetClient(conn), nil
+}
+
+func (c *conns) connection(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -66,7 +74,7 @@
 		}
 		c.open[address] = conn
 	}
-	return fleetpb.NewFleetClient(conn), nil
+	return conn, nil
 }
 
 func (c *conns) close() {
--- a/internal/fleetlink/server.go
+++ b/internal/fleetlink/server.go
@@ -107,6 +107,9 @@
 	return s.voter
 }
 
+// Register has this server answer further services beside its own. It is to be called before Serve.
+func (s *Server) Register(register func(grpc.ServiceRegistrar)) { register(s.grpc) }
+
 // Serve answers at a listener until Stop.
 func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
 
