--- /dev/null
+++ b/internal/distributor/client.go
@@ -0,0 +1,197 @@
+package distributor
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/fleetlink"
+)
+
+// Observer hears what a Client takes in, from one goroutine. While a method has not returned the Client takes in nothing
+// further.
+type Observer interface {
+	// Applied tells that changes are in force, and the state with them, which is never changed.
+	Applied(changes []distribution.Change, state *distribution.State)
+	// Heard tells how long ago the server that is watched heard of the source, and whether the replica has all that
+	// this server has.
+	Heard(sourceAge time.Duration, current bool)
+}
+
+// ClientOptions say how a replica is kept.
+type ClientOptions struct {
+	Link     *fleetlink.Client // knows the voters, and has the connections to them
+	Settings distribution.ReplicaSettings
+	Places   map[string]distribution.Place // of the voters, by name; one that is not there is near to nobody
+	File     string                        // where the last state lies; "": it is not kept
+	Log      *slog.Logger
+}
+
+const (
+	votersRefresh = time.Second          // how often it is looked who votes now
+	minTick       = 5 * time.Millisecond // between two looks at the replica's clock
+	maxTick       = 250 * time.Millisecond
+)
+
+// Client keeps a replica of the agreed control state, from the stream of one voter at a time.
+type Client struct {
+	options ClientOptions
+	file    stateFile
+	clock   clock
+	status  atomic.Pointer[ReplicaStatus]
+	bytes   atomic.Uint64 // received
+
+	// Of Run's goroutine alone.
+	replica  *distribution.Replica
+	observer Observer
+	events   chan attemptEvent
+	attempt  *attempt // nil: no stream is open or being opened
+	saver    saver
+}
+
+// NewClient makes a client. Run has it begin.
+func NewClient(o ClientOptions) *Client {
+	c := &Client{options: o, file: stateFile{o.File, o.Settings.Fleet}, clock: newClock(), events: make(chan attemptEvent)}
+	c.status.Store(&ReplicaStatus{})
+	return c
+}
+
+// Status is what the replica was when it last took something in. It may be called at any time, concurrently.
+func (c *Client) Status() ReplicaStatus {
+	status := *c.status.Load()
+	status.ReceivedBytes = c.bytes.Load()
+	return status
+}
+
+// Run keeps the replica until the context ends, and then writes down what is not written yet.
+func (c *Client) Run(ctx context.Context, observer Observer) {
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	c.observer = observer
+	state := c.load()
+	c.replica = distribution.NewReplica(c.options.Settings, state, random)
+	if !state.Empty() {
+		observer.Applied(nil, state)
+	}
+	c.saver.start(c.file, c.options.Log)
+	defer c.end()
+
+	voters := time.NewTicker(votersRefresh)
+	defer voters.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	c.setServers()
+	for {
+		c.carryOut(ctx)
+		timer.Reset(c.untilWake())
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-c.events:
+			event(c)
+		case <-voters.C:
+			c.setServers()
+		case <-timer.C:
+			c.replica.Tick(c.clock.now())
+		}
+	}
+}
+
+// load gives the state that the last process wrote down, or an empty one.
+func (c *Client) load() *distribution.State {
+	if c.file.path == "" {
+		return distribution.NewState()
+	}
+	state, err := c.file.load()
+	if err != nil {
+		c.options.Log.Warn("fleet: the control state on disk is refused, and taken anew", "error", err)
+	}
+	if state == nil {
+		return distribution.NewState()
+	}
+	return state
+}
+
+// end leaves the stream and has the last state written.
+func (c *Client) end() {
+	c.leave()
+	c.saver.stop(c.replica.State())
+}
+
+// untilWake is how long there is nothing to do for the replica, within bounds.
+func (c *Client) untilWake() time.Duration {
+	return min(max(c.replica.Wake()-c.clock.now(), minTick), maxTick)
+}
+
+// setServers tells the replica who votes now.
+func (c *Client) setServers() {
+	var servers []distribution.Server
+	for _, voter := range c.options.Link.Voters() {
+		if voter.Address != "" {
+			place := c.options.Places[voter.Name]
+			servers = append(servers, distribution.Server{ID: voter.Name, Address: voter.Address, Place: place})
+		}
+	}
+	c.replica.SetServers(c.clock.now(), servers)
+}
+
+// carryOut does what the replica wants done.
+func (c *Client) carryOut(ctx context.Context) {
+	for actions := c.replica.Take(); len(actions) > 0; actions = c.replica.Take() {
+		for _, action := range actions {
+			c.do(ctx, action)
+		}
+	}
+	c.publishStatus()
+}
+
+func (c *Client) do(ctx context.Context, action distribution.Action) {
+	switch a := action.(type) {
+	case distribution.Connect:
+		c.attempt = connect(ctx, c, a)
+	case distribution.SendRequest:
+		c.attempt.send(a.Request)
+	case distribution.Leave:
+		c.left(a.Reason)
+		c.leave()
+	case distribution.Deliver:
+		c.observer.Applied(a.Changes, c.replica.State())
+	case distribution.Persist:
+		c.saver.save(a.State)
+	case distribution.Report:
+		c.options.Log.Warn("fleet: distribution of the control state", "error", a.Err)
+	}
+}
+
+// left logs why a server is left. That a process ends, or another one is nearer, is nothing to look into.
+func (c *Client) left(reason error) {
+	level := slog.LevelInfo
+	var leave *distribution.LeaveError
+	if errors.As(reason, &leave) && leave.Why == distribution.LeftForNearer {
+		level = slog.LevelDebug
+	}
+	c.options.Log.Log(context.Background(), level, "fleet: another voter is watched", "error", reason)
+}
+
+func (c *Client) leave() {
+	if c.attempt != nil {
+		c.attempt.cancel()
+		c.attempt = nil
+	}
+}
+
+// received takes in what the server of an attempt said.
+func (c *Client) received(attempt uint64, response *distributionpb.WatchResponse) {
+	now := c.clock.now()
+	c.replica.Received(now, attempt, response)
+	if response.GetHeartbeat() == nil {
+		return
+	}
+	if age, ok := c.replica.SourceAge(now); ok {
+		c.observer.Heard(age, c.replica.Live())
+	}
+}
--- /dev/null
+++ b/internal/distributor/fault.go
@@ -0,0 +1,41 @@
+package distributor
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/faultpoint"
+)
+
+// Names of the faults that rigs ask for; see package faultpoint.
+const (
+	faultSendDelta   = "distribution-send-delta"   // a delta is about to be sent on a stream
+	faultDamageDelta = "distribution-damage-delta" // denied: deltas come out as they were made
+)
+
+// sentBytes gives the bytes that go out for a message: its own, but for the faults of a rig.
+func sentBytes(message *distribution.Message) []byte {
+	delta := message.Response.GetDelta()
+	if !faultpoint.Built || delta == nil {
+		return message.Bytes
+	}
+	faultpoint.At(faultSendDelta)
+	if !faultpoint.Denied(faultDamageDelta) {
+		return message.Bytes
+	}
+	return damaged(message.Response)
+}
+
+// damaged gives the bytes of a delta whose content is other than its digest says, and which can still be read.
+func damaged(response *distributionpb.WatchResponse) []byte {
+	copied := proto.CloneOf(response)
+	for _, change := range copied.GetDelta().Changes {
+		change.Id += "-damaged"
+	}
+	raw, err := proto.Marshal(copied)
+	if err != nil {
+		panic(err) // it was encoded before
+	}
+	return raw
+}
--- /dev/null
+++ b/internal/distributor/records.go
@@ -0,0 +1,43 @@
+package distributor
+
+import (
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/registry"
+)
+
+var phaseOf = map[string]distributionpb.Phase{
+	registry.Ready:       distributionpb.Phase_PHASE_READY,
+	registry.Terminating: distributionpb.Phase_PHASE_DRAINING,
+}
+
+var phaseName = map[distributionpb.Phase]string{
+	distributionpb.Phase_PHASE_READY:    registry.Ready,
+	distributionpb.Phase_PHASE_DRAINING: registry.Terminating,
+}
+
+// encodeServer makes the value of a server's record: the same bytes for the same member.
+func encodeServer(m registry.Member) ([]byte, error) {
+	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&distributionpb.ServerRecord{
+		Address: m.HostPort, Zone: m.Locality, Cell: int32(m.Cell), Phase: phaseOf[m.Phase], Size: m.Size, StartedMs: m.UpSince,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("distribution: record of server %q: %w", m.ID, err)
+	}
+	return value, nil
+}
+
+// decodeServer reads the value of a server's record. A phase that this program does not know is none to send to.
+func decodeServer(id string, value []byte) (registry.Member, error) {
+	var record distributionpb.ServerRecord
+	if err := proto.Unmarshal(value, &record); err != nil {
+		return registry.Member{}, fmt.Errorf("distribution: record of server %q: %w", id, err)
+	}
+	return registry.Member{
+		ID: id, HostPort: record.Address, Locality: record.Zone, Cell: int(record.Cell), Phase: phaseName[record.Phase],
+		Size: record.Size, UpSince: record.StartedMs,
+	}, nil
+}
--- /dev/null
+++ b/internal/distributor/server.go
@@ -0,0 +1,188 @@
+package distributor
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/fleetlink"
+)
+
+// Server answers the Distribution service from the state machine of this process's voter, whether that voter leads or
+// not. Its methods may be called concurrently.
+type Server struct {
+	distributionpb.UnimplementedDistributionServer
+	log     *slog.Logger
+	clock   clock
+	updates updateQueue
+
+	mu        sync.Mutex
+	publisher *distribution.Publisher
+	streams   map[distribution.StreamID]*serverStream
+	lastID    distribution.StreamID
+	attached  bool          // a voter's machine tells its updates
+	armed     time.Duration // when Run looks again by itself
+	rearm     chan struct{} // Run is to look earlier than it would
+}
+
+// serverStream is a stream that is open. Publisher has one message under way on each, so that out never fills.
+type serverStream struct {
+	out chan *distribution.Message
+}
+
+// NewServer makes a server without a state. It answers once a machine is attached and Run runs.
+func NewServer(settings distribution.PublisherSettings, log *slog.Logger) *Server {
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	return &Server{
+		log: log, clock: newClock(), updates: updateQueue{ready: make(chan struct{}, 1)},
+		publisher: distribution.NewPublisher(settings, distribution.NewState(), random),
+		streams:   map[distribution.StreamID]*serverStream{}, rearm: make(chan struct{}, 1),
+	}
+}
+
+// Register has a gRPC server answer the service.
+func (s *Server) Register(r grpc.ServiceRegistrar) { distributionpb.RegisterDistributionServer(r, s) }
+
+// Attach has the server tell of a machine's updates from now on. It is to be called before the machine is used.
+func (s *Server) Attach(machine *distribution.Machine) {
+	s.mu.Lock()
+	s.attached = true
+	s.mu.Unlock()
+	machine.Updated = s.updates.put
+}
+
+// Run drives the server until the context ends.
+func (s *Server) Run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		case <-s.rearm:
+		case <-s.updates.ready:
+		}
+		timer.Reset(s.step())
+	}
+}
+
+// step takes the waiting updates in and gives how long there is nothing to do.
+func (s *Server) step() time.Duration {
+	updates := s.updates.take()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.now()
+	for _, u := range updates {
+		s.publisher.Update(now, u)
+	}
+	s.publisher.Tick(now)
+	s.dispatch(now)
+	s.armed = s.publisher.Wake(now)
+	return s.armed - now
+}
+
+// dispatch hands what can be sent to the streams. It is called with the lock held, after each event.
+func (s *Server) dispatch(now time.Duration) {
+	for _, send := range s.publisher.Take(now) {
+		s.streams[send.Stream].out <- send.Message
+	}
+	if s.publisher.Wake(now) < s.armed {
+		select {
+		case s.rearm <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// Watch serves one replica.
+func (s *Server) Watch(stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse]) error {
+	id, out, err := s.open()
+	if err != nil {
+		return err
+	}
+	defer s.close(id)
+	refused := make(chan error, 1)
+	go func() { refused <- s.receive(id, stream) }()
+	for {
+		select {
+		case <-stream.Context().Done():
+			return stream.Context().Err()
+		case err := <-refused:
+			return err
+		case message := <-out:
+			if err := send(stream, message); err != nil {
+				return err
+			}
+			s.sent(id)
+		}
+	}
+}
+
+// open adds a stream.
+func (s *Server) open() (distribution.StreamID, <-chan *distribution.Message, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.attached {
+		return 0, nil, status.Error(codes.Unavailable, "this process is no voter")
+	}
+	s.lastID++
+	if err := s.publisher.Open(s.clock.now(), s.lastID); err != nil {
+		return 0, nil, status.Error(codes.ResourceExhausted, err.Error())
+	}
+	out := make(chan *distribution.Message, 1)
+	s.streams[s.lastID] = &serverStream{out}
+	return s.lastID, out, nil
+}
+
+func (s *Server) close(id distribution.StreamID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.streams, id)
+	s.publisher.Close(id)
+	s.dispatch(s.clock.now())
+}
+
+// receive takes in what the replica says until the stream ends.
+func (s *Server) receive(id distribution.StreamID, stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse]) error {
+	for {
+		request, err := stream.Recv()
+		if err != nil {
+			return err
+		}
+		if err := s.received(id, request); err != nil {
+			s.log.Warn("fleet: a replica's request is refused", "error", err)
+			return status.Error(codes.InvalidArgument, err.Error())
+		}
+	}
+}
+
+func (s *Server) received(id distribution.StreamID, request *distributionpb.WatchRequest) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.now()
+	err := s.publisher.Received(now, id, request)
+	s.dispatch(now)
+	return err
+}
+
+// sent tells that a stream's connection has taken its message.
+func (s *Server) sent(id distribution.StreamID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.publisher.Sent(id)
+	s.dispatch(s.clock.now())
+}
+
+// send passes a message on. The same bytes go to all streams that a message is for.
+func send(stream grpc.ServerStream, message *distribution.Message) error {
+	return stream.SendMsg(fleetlink.Encoded(sentBytes(message)))
+}
--- /dev/null
+++ b/internal/distributor/source.go
@@ -0,0 +1,228 @@
+package distributor
+
+import (
+	"cmp"
+	"context"
+	"log/slog"
+	"slices"
+	"time"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/duties"
+	"mothcleat/internal/registry"
+)
+
+// SourceOptions say how a process has the list of servers.
+type SourceOptions struct {
+	// Direct makes a source that asks the register itself. Several may run at once.
+	Direct func() (registry.Source, error)
+	Client ClientOptions
+	Silent time.Duration // the fleet's list was not heard of for so long: the process watches the register by itself
+}
+
+// Source is the list of servers as the fleet has it: a registry.Source for the gateway's loop, and the work of the role
+// that watches the register for all. A process that has not heard of the fleet's list for a while watches the register
+// itself until it hears again.
+type Source struct {
+	options SourceOptions
+	direct  *directSources
+	client  *Client
+}
+
+var _ registry.Source = (*Source)(nil)
+
+const (
+	firstWait      = 100 * time.Millisecond // a start does not wait for longer
+	minLook        = 20 * time.Millisecond
+	looksPerSilent = 10
+)
+
+// NewSource makes a source. Run has it begin.
+func NewSource(o SourceOptions) *Source {
+	return &Source{options: o, direct: &directSources{make: o.Direct}, client: NewClient(o.Client)}
+}
+
+// Client is the replica that the list is read from.
+func (s *Source) Client() *Client { return s.client }
+
+// Follow does nothing: the register answers whoever asks.
+func (s *Source) Follow() {}
+
+// Move has the register followed at another address, by whoever of this process asks it.
+func (s *Source) Move(address string) { s.direct.move(address) }
+
+// Work watches the register on behalf of the fleet.
+func (s *Source) Work(ctx context.Context, tenure *duties.Tenure) {
+	p := registerPublisher{
+		direct: s.direct, link: s.options.Client.Link, beat: beatInterval(s.options.Silent), log: s.log(),
+	}
+	p.Work(ctx, tenure)
+}
+
+func (s *Source) log() *slog.Logger { return s.options.Client.Log }
+
+// Run brings the list: the fleet's, or this process's own where the fleet's is not heard of. It returns after the
+// context ends and the replica is written down.
+func (s *Source) Run(ctx context.Context, tell func(registry.News)) {
+	l := listener{source: s, tell: tell, events: make(chan listEvent, maxQueuedEvents), ctx: ctx}
+	defer l.stopOwn()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.client.Run(ctx, &l)
+	}()
+	defer func() { <-ended }()
+	look := time.NewTicker(max(minLook, s.options.Silent/looksPerSilent))
+	defer look.Stop()
+	l.heard = time.Now().Add(firstWait - s.options.Silent)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-l.events:
+			event(&l)
+		case n := <-l.news:
+			tell(n)
+		case <-look.C:
+			if time.Since(l.heard) > s.options.Silent {
+				l.startOwn(ctx)
+			}
+		}
+	}
+}
+
+// maxQueuedEvents is how many events wait for a receiver that takes none; then the replica waits, too.
+const maxQueuedEvents = 16
+
+// listEvent is something that the client told, for Run's goroutine.
+type listEvent func(*listener)
+
+// listener turns what the replica takes in into news of the servers.
+type listener struct {
+	source *Source
+	tell   func(registry.News)
+	events chan listEvent
+	ctx    context.Context
+
+	// Of Run's goroutine alone.
+	state *distribution.State  // the newest; nil: nothing was taken in yet
+	told  bool                 // the receiver has the fleet's list
+	heard time.Time            // of the source
+	own   context.CancelFunc   // ends this process's own watch; nil: it has none
+	news  <-chan registry.News // of that watch: what comes late of an earlier one goes nowhere
+}
+
+func (l *listener) queue(event listEvent) {
+	select {
+	case l.events <- event:
+	case <-l.ctx.Done():
+	}
+}
+
+// Applied takes in what the replica has in force now.
+func (l *listener) Applied(changes []distribution.Change, state *distribution.State) {
+	l.queue(func(l *listener) { l.applied(changes, state) })
+}
+
+// Heard takes in how fresh that is.
+func (l *listener) Heard(sourceAge time.Duration, current bool) {
+	at := time.Now().Add(-sourceAge)
+	l.queue(func(l *listener) { l.fresh(at, current) })
+}
+
+func (l *listener) applied(changes []distribution.Change, state *distribution.State) {
+	l.state = state
+	if l.told {
+		l.tellChanges(changes)
+	}
+}
+
+// fresh takes in when the source was last heard of. Once that is recent, the fleet's list counts.
+func (l *listener) fresh(at time.Time, current bool) {
+	if !current || time.Since(at) > l.source.options.Silent {
+		return
+	}
+	if at.After(l.heard) {
+		l.heard = at
+	}
+	l.stopOwn()
+	if !l.told {
+		l.told = true
+		l.tellWhole()
+	}
+}
+
+// tellWhole tells the whole list.
+func (l *listener) tellWhole() {
+	n := registry.News{Kind: registry.Whole}
+	if l.state != nil {
+		l.state.Range(distribution.KindServer, func(r distribution.Record) bool {
+			n.Members = l.appendMember(n.Members, &distribution.Change{Record: r})
+			return true
+		})
+	}
+	slices.SortFunc(n.Members, func(a, b registry.Member) int { return cmp.Compare(a.ID, b.ID) })
+	l.tell(n)
+}
+
+// tellChanges tells what is other than before. Deletions come first: an address may have passed from one id to another.
+func (l *listener) tellChanges(changes []distribution.Change) {
+	n := registry.News{Kind: registry.Changed}
+	for i := range changes {
+		n.Members = l.appendMember(n.Members, &changes[i])
+	}
+	if len(n.Members) > 0 {
+		l.tell(n)
+	}
+}
+
+// appendMember adds the member that a change is of; other kinds of records are none.
+func (l *listener) appendMember(to []registry.Member, change *distribution.Change) []registry.Member {
+	switch {
+	case change.Kind != distribution.KindServer:
+		return to
+	case change.Deleted:
+		return append(to, registry.Member{ID: change.ID, Phase: registry.Gone})
+	}
+	member, err := decodeServer(change.ID, change.Value)
+	if err != nil {
+		l.source.log().Error("fleet: a server of the list is passed over", "error", err)
+		return to
+	}
+	return append(to, member)
+}
+
+// startOwn has this process watch the register by itself.
+func (l *listener) startOwn(ctx context.Context) {
+	if l.own != nil {
+		return
+	}
+	source, closed, err := l.source.direct.open()
+	if err != nil {
+		return
+	}
+	l.source.log().Warn("fleet: the list of servers is not heard: this gateway watches the register itself",
+		"silent_for", time.Since(l.heard).Round(time.Millisecond).String())
+	ctx, l.own = context.WithCancel(ctx)
+	l.told = false // what the receiver has is from elsewhere now: the fleet's list comes whole again
+	news := make(chan registry.News)
+	l.news = news
+	go func() {
+		defer closed()
+		source.Run(ctx, func(n registry.News) {
+			select {
+			case news <- n:
+			case <-ctx.Done():
+			}
+		})
+	}()
+}
+
+// stopOwn ends this process's own watch.
+func (l *listener) stopOwn() {
+	if l.own != nil {
+		l.own()
+		l.own, l.news = nil, nil
+		l.source.log().Info("fleet: the list of servers is heard again")
+	}
+}
--- a/internal/fleetlink/server.go
+++ b/internal/fleetlink/server.go
@@ -69,7 +69,7 @@
 // NewServer makes a server of a fleet. Serve has it answer.
 func NewServer(ctx context.Context, fleet string, addresses Addresses, parts Parts) *Server {
 	s := &Server{fleet: fleet, parts: parts, news: map[string]*fleetpb.News{}, woken: make(chan struct{})}
-	s.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(mostBytes), grpc.MaxSendMsgSize(mostBytes),
+	s.grpc = grpc.NewServer(serverCodec(), grpc.MaxRecvMsgSize(mostBytes), grpc.MaxSendMsgSize(mostBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
 	fleetpb.RegisterFleetServer(s.grpc, s)
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -19,13 +19,14 @@
 	"mothcleat/agree"
 	"mothcleat/budget"
 	"mothcleat/chronicle"
+	"mothcleat/distribution"
 	"mothcleat/exports"
 	"mothcleat/internal/budgets"
+	"mothcleat/internal/distributor"
 	"mothcleat/internal/duties"
 	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/fleetwatch"
 	"mothcleat/internal/recorder"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/rollout"
@@ -63,7 +64,11 @@
 	Versions *versions.Rules
 	Items    map[string]rollout.Item
 	Rights   io.Writer     // gets a line for each renewal of rights; nil: none
-	Silent   time.Duration // see fleetwatch.Watch
+	Silent   time.Duration // see distributor.SourceOptions; 0: distributor.DefaultSilent
+
+	Place     distribution.Place            // where this process runs
+	Places    map[string]distribution.Place // where the voters run, by name
+	ChangeLog int                           // changes that a voter keeps for replicas; 0: as many as by default
 }
 
 // Node is a process's part. Make it with Start.
@@ -74,9 +79,10 @@
 	cancel   context.CancelFunc
 	client   *fleetlink.Client
 	duties   *duties.Set
-	watch    *fleetwatch.Watch // nil: the register is not watched for all
-	rights   *budgets.User     // nil: quotas are not divided
-	agent    *rollout.Agent    // nil: there are no versions
+	list     *distributor.Source // nil: the register is not watched for all
+	streams  *distributor.Server
+	rights   *budgets.User  // nil: quotas are not divided
+	agent    *rollout.Agent // nil: there are no versions
 	divide   *budgets.Divider
 	contents *rollout.Contents
 	boots    atomic.Pointer[budgets.Boots]
@@ -111,7 +117,7 @@
 func Machines(r lease.Rules, v versions.Rules) map[string]agree.Machine {
 	d := lease.NewMachine(r)
 	return map[string]agree.Machine{lease.MachineName: d, exports.MachineName: exports.NewMachine(d),
-		standing.MachineName: standing.NewMachine(d), roster.MachineName: roster.NewMachine(d), budget.MachineName: budget.NewMachine(d),
+		standing.MachineName: standing.NewMachine(d), roster.MachineName: roster.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), budget.MachineName: budget.NewMachine(d),
 		versions.MachineName: versions.NewMachine(v, d)}
 }
 
@@ -157,6 +163,9 @@
 	if cfg.Address == "" {
 		cfg.Address = cfg.Listen
 	}
+	if cfg.Silent == 0 {
+		cfg.Silent = distributor.DefaultSilent
+	}
 	n := &Node{cfg: cfg, ctx: ctx, cancel: cancel, leave: leave, left: make(chan struct{}), ready: make(chan struct{}),
 		early: make(chan use, earlyMost)}
 	n.me = lease.Member{ID: cfg.ID, Boot: rand.Uint64()>>1 | 1}
@@ -168,10 +177,7 @@
 			n.duties.Add(exports.Duty(shard), e.Work)
 		}
 	}
-	if cfg.Direct != nil {
-		n.watch = &fleetwatch.Watch{Direct: cfg.Direct, Client: n.client, Silent: cfg.Silent, Log: cfg.Log}
-		n.duties.Add(roster.Duty, n.watch.Work)
-	}
+	n.distribute()
 	if cfg.Budgets != nil {
 		n.divide = &budgets.Divider{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
 		for shard := range cfg.BudgetShards {
@@ -195,6 +201,30 @@
 	return n
 }
 
+// distribute sets up the distribution of the control state: the voter's side, and the list of servers.
+func (n *Node) distribute() {
+	cfg := &n.cfg
+	n.streams = distributor.NewServer(distributor.NewPublisherSettings(cfg.Fleet, cfg.Silent, cfg.ChangeLog), cfg.Log)
+	if cfg.Direct == nil {
+		return
+	}
+	n.list = distributor.NewSource(distributor.SourceOptions{
+		Direct: cfg.Direct, Silent: cfg.Silent,
+		Client: distributor.ClientOptions{
+			Link: n.client, Places: cfg.Places, File: distributor.StatePath(cfg.Dir), Log: cfg.Log,
+			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Boot, cfg.Place, cfg.Silent),
+		},
+	})
+	n.duties.Add(distribution.Duty, n.list.Work)
+}
+
+// machines are new ones, of which the distribution's is served to replicas.
+func (n *Node) machines() map[string]agree.Machine {
+	machines := Machines(n.cfg.Rules, n.versionRules())
+	n.streams.Attach(machines[distribution.MachineName].(*distribution.Machine))
+	return machines
+}
+
 // Permit tells whether this process may act; nil: it always may.
 func (n *Node) Permit() *rollout.Agent { return n.agent }
 
@@ -203,10 +233,10 @@
 
 // Register is the source of news of the servers, where the register is watched for all; nil: it is not.
 func (n *Node) Register() registry.Source {
-	if n.watch == nil {
+	if n.list == nil {
 		return nil
 	}
-	return n.watch
+	return n.list
 }
 
 // Me is this process.
@@ -318,8 +348,9 @@
 	if n.agent != nil {
 		server.Contents = n.agent
 	}
+	server.Register(n.streams.Register)
 	err = server.Vote(n.ctx, voter.Options{Dir: LogDir(n.cfg.Dir), Address: n.cfg.Address, Tick: n.cfg.Tick, Keep: n.cfg.Keep, Log: n.cfg.Log,
-		Machines: func() map[string]agree.Machine { return Machines(n.cfg.Rules, n.versionRules()) }})
+		Machines: n.machines})
 	switch {
 	case errors.Is(err, voter.ErrCopied):
 		n.mustNotVote(err.Error())
@@ -337,6 +368,7 @@
 		return errors.Join(err, l.Close())
 	}
 	n.server.Store(server)
+	go n.streams.Run(n.ctx)
 	go func() { _ = server.Serve(l) }()
 	if record != nil {
 		n.record.Store(record)
