--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"mothcleat/budget"
+	"mothcleat/distribution"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetnode"
 	"mothcleat/internal/fleetpb"
@@ -42,6 +43,8 @@
 		Addresses: fleetlink.Addresses(f.Addresses),
 		Rules:     lease.Rules{Span: time.Duration(f.Span), Margin: f.Margin, Offer: time.Duration(f.Offer)},
 		Tick:      time.Duration(f.Tick), Keep: uint64(f.Keep), Exports: f.Exports, Period: time.Duration(f.Period), Log: log,
+		Silent: time.Duration(f.Silent), Place: distribution.Place{Zone: f.Zone, Region: f.Region}, Places: places(f),
+		ChangeLog: f.ChangeLog,
 	}
 	if f.Exports != "" {
 		c.Shards = f.Shards
@@ -53,7 +56,6 @@
 		// The configuration as it is now: the gateway's own changes later.
 		asked := *cfg
 		c.Direct = func() (registry.Source, error) { return direct(&asked, log) }
-		c.Silent = time.Duration(f.Silent)
 	}
 	if b := s.Budgets; b.On {
 		r := budget.Defaults()
@@ -98,6 +100,15 @@
 	return all
 }
 
+// places are where the voters run, by name.
+func places(f *operators.Fleet) map[string]distribution.Place {
+	all := map[string]distribution.Place{}
+	for _, v := range f.Voters {
+		all[v.Name] = distribution.Place{Zone: v.Zone, Region: v.Region}
+	}
+	return all
+}
+
 // checkFleet tells what the fleet's folder is.
 func checkFleet(f *operators.Fleet, out io.Writer) error {
 	if !f.On {
--- a/internal/distributor/disk.go
+++ b/internal/distributor/disk.go
@@ -37,7 +37,7 @@
 	if err := os.MkdirAll(filepath.Dir(f.path), 0o700); err != nil {
 		return err
 	}
-	next := f.path + ".new"
+	next := fmt.Sprintf("%s.%d.new", f.path, os.Getpid()) // beside a hand-over two processes write
 	if err := writeSynced(next, distribution.EncodeStateFile(f.fleet, state)); err != nil {
 		return err
 	}
--- a/internal/distributor/source.go
+++ b/internal/distributor/source.go
@@ -5,6 +5,7 @@
 	"context"
 	"log/slog"
 	"slices"
+	"sync"
 	"time"
 
 	"mothcleat/distribution"
@@ -27,6 +28,8 @@
 	options SourceOptions
 	direct  *directSources
 	client  *Client
+	closing chan struct{}  // Run is to end
+	running sync.WaitGroup // of Run
 }
 
 var _ registry.Source = (*Source)(nil)
@@ -39,7 +42,15 @@
 
 // NewSource makes a source. Run has it begin.
 func NewSource(o SourceOptions) *Source {
-	return &Source{options: o, direct: &directSources{make: o.Direct}, client: NewClient(o.Client)}
+	return &Source{
+		options: o, direct: &directSources{make: o.Direct}, client: NewClient(o.Client), closing: make(chan struct{}),
+	}
+}
+
+// Close ends Run, and returns when the replica is written down. It is called once.
+func (s *Source) Close() {
+	close(s.closing)
+	s.running.Wait()
 }
 
 // Client is the replica that the list is read from.
@@ -64,14 +75,17 @@
 // Run brings the list: the fleet's, or this process's own where the fleet's is not heard of. It returns after the
 // context ends and the replica is written down.
 func (s *Source) Run(ctx context.Context, tell func(registry.News)) {
+	s.running.Add(1)
+	defer s.running.Done()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	l := listener{source: s, tell: tell, events: make(chan listEvent, maxQueuedEvents), ctx: ctx}
-	defer l.stopOwn()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		s.client.Run(ctx, &l)
 	}()
-	defer func() { <-ended }()
+	defer func() { cancel(); <-ended }()
 	look := time.NewTicker(max(minLook, s.options.Silent/looksPerSilent))
 	defer look.Stop()
 	l.heard = time.Now().Add(firstWait - s.options.Silent)
@@ -79,6 +93,8 @@
 		select {
 		case <-ctx.Done():
 			return
+		case <-s.closing:
+			return
 		case event := <-l.events:
 			event(&l)
 		case n := <-l.news:
--- a/internal/fleetnode/call.go
+++ b/internal/fleetnode/call.go
@@ -87,6 +87,8 @@
 		what, err = n.books(ctx, words[1:])
 	case n.agent != nil && len(words) > 0 && words[0] == "versions":
 		what, err = n.versions(ctx, words[1:])
+	case len(words) == 1 && words[0] == "distribution":
+		what = n.Distribution()
 	case len(words) == 3 && words[0] == "transfer":
 		what, err = n.transfer(ctx, words[1], words[2])
 	case len(words) == 2 && words[0] == "remove":
@@ -101,7 +103,7 @@
 			what = s.Voter().Status().Applied
 		}
 	default:
-		err = fmt.Errorf("unknown call %.64q; here, status, owners, history DUTY, exports, rights, budgets [CUSTOMER], transfer DUTY ID, add, remove NAME or snapshot", argument)
+		err = fmt.Errorf("unknown call %.64q; here, status, owners, history DUTY, exports, rights, budgets [CUSTOMER], distribution, transfer DUTY ID, add, remove NAME or snapshot", argument)
 	}
 	var raw []byte
 	if err == nil {
--- /dev/null
+++ b/internal/fleetnode/distribution.go
@@ -0,0 +1,52 @@
+package fleetnode
+
+import (
+	"mothcleat/agree"
+	"mothcleat/distribution"
+	"mothcleat/internal/distributor"
+)
+
+// distribute sets up the distribution of the control state: the voter's side, and the list of servers.
+func (n *Node) distribute() {
+	cfg := &n.cfg
+	n.streams = distributor.NewServer(distributor.NewPublisherSettings(cfg.Fleet, cfg.Silent, cfg.ChangeLog), cfg.Log)
+	if cfg.Direct == nil {
+		return
+	}
+	n.list = distributor.NewSource(distributor.SourceOptions{
+		Direct: cfg.Direct, Silent: cfg.Silent,
+		Client: distributor.ClientOptions{
+			Link: n.client, Places: cfg.Places, File: distributor.StatePath(cfg.Dir), Log: cfg.Log,
+			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Boot, cfg.Place, cfg.Silent),
+		},
+	})
+	n.duties.Add(distribution.Duty, n.list.Work)
+}
+
+// machines are new ones, of which the distribution's is served to replicas.
+func (n *Node) machines() map[string]agree.Machine {
+	machines := Machines(n.cfg.Rules, n.versionRules())
+	n.streams.Attach(machines[distribution.MachineName].(*distribution.Machine))
+	return machines
+}
+
+// Distribution is what this process knows of the distribution of the control state.
+type Distribution struct {
+	Gateway string                     `json:"gateway"`
+	Server  *distributor.ServerStatus  `json:"server,omitempty"`  // of a voter
+	Replica *distributor.ReplicaStatus `json:"replica,omitempty"` // where the list of servers goes over it
+}
+
+// Distribution tells it.
+func (n *Node) Distribution() Distribution {
+	d := Distribution{Gateway: n.me.ID}
+	if s := n.server.Load(); s != nil && s.Voter() != nil {
+		status := n.streams.Status()
+		d.Server = &status
+	}
+	if n.list != nil {
+		status := n.list.Client().Status()
+		d.Replica = &status
+	}
+	return d
+}
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -201,30 +201,6 @@
 	return n
 }
 
-// distribute sets up the distribution of the control state: the voter's side, and the list of servers.
-func (n *Node) distribute() {
-	cfg := &n.cfg
-	n.streams = distributor.NewServer(distributor.NewPublisherSettings(cfg.Fleet, cfg.Silent, cfg.ChangeLog), cfg.Log)
-	if cfg.Direct == nil {
-		return
-	}
-	n.list = distributor.NewSource(distributor.SourceOptions{
-		Direct: cfg.Direct, Silent: cfg.Silent,
-		Client: distributor.ClientOptions{
-			Link: n.client, Places: cfg.Places, File: distributor.StatePath(cfg.Dir), Log: cfg.Log,
-			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Boot, cfg.Place, cfg.Silent),
-		},
-	})
-	n.duties.Add(distribution.Duty, n.list.Work)
-}
-
-// machines are new ones, of which the distribution's is served to replicas.
-func (n *Node) machines() map[string]agree.Machine {
-	machines := Machines(n.cfg.Rules, n.versionRules())
-	n.streams.Attach(machines[distribution.MachineName].(*distribution.Machine))
-	return machines
-}
-
 // Permit tells whether this process may act; nil: it always may.
 func (n *Node) Permit() *rollout.Agent { return n.agent }
 
@@ -449,6 +425,9 @@
 		n.agent.Leave(ctx)
 		cancel()
 	}
+	if n.list != nil {
+		n.list.Close()
+	}
 	n.cancel()
 	<-n.ready // what was being opened is open, or is not any more
 	if b := n.boots.Load(); b != nil {
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -71,12 +71,17 @@
 	Period    Duration          `toml:"period"`
 	Watch     bool              `toml:"watch"`  // one gateway watches Consul for all
 	Silent    Duration          `toml:"silent"` // not heard for so long, a gateway watches by itself
+	Zone      string            `toml:"zone"`   // where this gateway runs; "": near to no voter
+	Region    string            `toml:"region"`
+	ChangeLog int               `toml:"change_log"` // changes that a voter keeps for replicas
 }
 
 // Voter is a gateway that votes on what is agreed.
 type Voter struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
+	Zone    string `toml:"zone"` // "": near to no gateway
+	Region  string `toml:"region"`
 }
 
 // Record is what a gateway writes down for those who look for a cause.
@@ -174,7 +179,7 @@
 			Catalogue: true, Hold: Duration(5 * time.Minute), ResetAfter: 3, Skew: Duration(5 * time.Second)},
 		Fleet: Fleet{Folder: "fleet", Voters: []Voter{}, Addresses: map[string]string{}, Span: Duration(time.Second), Margin: 0.125,
 			Offer: Duration(500 * time.Millisecond), Tick: Duration(40 * time.Millisecond), Keep: 4096, Shards: 1, Period: Duration(5 * time.Second),
-			Silent: Duration(time.Second)},
+			Silent: Duration(time.Second), ChangeLog: 100_000},
 		Budgets:  Budgets{Shards: 1, Span: Duration(3 * time.Second), FloorSpan: Duration(time.Minute), Floor: 0.3, Reserve: 0.5, Every: Duration(200 * time.Millisecond)},
 		Versions: Versions{Span: Duration(10 * time.Second), Every: Duration(500 * time.Millisecond), Settle: Duration(time.Second), Patience: Duration(15 * time.Second)},
 	}
@@ -256,6 +261,7 @@
 		{"fleet.period", within(s.Fleet.Period, 100*time.Millisecond, 24*time.Hour)},
 		{"fleet.keep", count(s.Fleet.Keep, 16, 1000_000)},
 		{"fleet.silent", within(s.Fleet.Silent, 200*time.Millisecond, time.Minute)},
+		{"fleet.change_log", count(s.Fleet.ChangeLog, 1, 10_000_000)},
 		{"fleet.shards", count(s.Fleet.Shards, 1, 256)},
 		{"budgets.shards", count(s.Budgets.Shards, 1, 256)},
 		{"budgets.span", within(s.Budgets.Span, time.Second, 10*time.Minute)},
