--- /dev/null
+++ b/internal/rollout/apply.go
@@ -0,0 +1,146 @@
+package rollout
+
+import (
+	"slices"
+	"time"
+
+	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/steady"
+	"mothcleat/versions"
+)
+
+// appliedRefs names what was passed to Item.Use.
+type appliedRefs struct {
+	target versions.Ref
+	beside []versions.Ref
+}
+
+func (r appliedRefs) equal(other appliedRefs) bool {
+	return r.target == other.target && slices.Equal(r.beside, other.beside)
+}
+
+// application is one call of Item.Use that is due.
+type application struct {
+	item   Item
+	raw    []byte
+	beside [][]byte
+	order  uint64
+	done   func()
+}
+
+// apply passes what holds now and is here to its items, and logs whether this process is shut out.
+func (a *Agent) apply() {
+	a.applying.Lock()
+	defer a.applying.Unlock()
+	for _, due := range a.collectDue() {
+		faultpoint.At("version-before-force")
+		due.item.Use(due.raw, due.beside, due.order, due.done)
+	}
+}
+
+// collectDue returns the applications that are due, and counts them as applied.
+func (a *Agent) collectDue() (all []application) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := steady.Now()
+	for _, name := range a.holder.Items() {
+		if due, ok := a.nextApplication(now, name); ok {
+			all = append(all, due)
+		}
+	}
+	a.logFencing(now)
+	return all
+}
+
+// nextApplication returns the application of an item that is due, if one is. Called with mu held.
+func (a *Agent) nextApplication(now time.Duration, name string) (due application, ok bool) {
+	target, beside, complete, ok := a.holder.Next(now, name)
+	item := a.items[name]
+	if !ok || !complete || item == nil {
+		return application{}, false
+	}
+	refs := appliedRefs{target, beside}
+	if last, known := a.applied[name]; known && last.equal(refs) {
+		return application{}, false
+	}
+	raw, besideRaw, err := a.readContents(refs)
+	if err != nil {
+		a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error", err)
+		a.holder.Lost(target.Digest)
+		return application{}, false
+	}
+	a.applied[name] = refs
+	return application{
+		item:   item,
+		raw:    raw,
+		beside: besideRaw,
+		order:  applicationOrder(refs),
+		done:   func() { a.putInForce(name, target) },
+	}, true
+}
+
+// applicationOrder is the order that Item.Use gets: a version alone comes after the same version
+// beside earlier ones.
+func applicationOrder(refs appliedRefs) uint64 {
+	order := 2 * refs.target.Number
+	if len(refs.beside) == 0 {
+		order++
+	}
+	return order
+}
+
+// putInForce takes in that an item's version decides from now on.
+func (a *Agent) putInForce(name string, target versions.Ref) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	before := a.holder.InForce()[name]
+	a.holder.PutInForce(steady.Now(), name, target.Number)
+	if a.holder.InForce()[name] == before {
+		return
+	}
+	a.stamp++
+	a.log.Info("fleet: version in force", "item", name, "number", target.Number, "before", before,
+		"digest", target.Digest)
+	if a.onChange != nil {
+		a.onChange(a.holder.InForce())
+	}
+}
+
+// logFencing logs each change of whether this process is shut out. Called with mu held.
+func (a *Agent) logFencing(now time.Duration) {
+	why := a.holder.Why(now)
+	fenced := why != ""
+	if fenced == a.fenced {
+		return
+	}
+	a.fenced = fenced
+	if fenced {
+		a.log.Warn("fleet: shut out: this gateway acts on nothing", "why", why)
+	} else {
+		a.log.Info("fleet: let in: this gateway acts")
+	}
+}
+
+// readContents reads the contents of a target and of what stands beside it.
+func (a *Agent) readContents(refs appliedRefs) (raw []byte, beside [][]byte, err error) {
+	if raw, err = a.readContent(refs.target); err != nil {
+		return nil, nil, err
+	}
+	for _, ref := range refs.beside {
+		one, err := a.readContent(ref)
+		if err != nil {
+			return nil, nil, err
+		}
+		beside = append(beside, one)
+	}
+	return raw, beside, nil
+}
+
+// readContent reads a content that was checked. It returns nil for what this process has by its own
+// configuration.
+func (a *Agent) readContent(ref versions.Ref) ([]byte, error) {
+	if ref.Digest == "" {
+		return nil, nil
+	}
+	return a.contents.Read(ref.Digest)
+}
--- /dev/null
+++ b/internal/rollout/calls.go
@@ -0,0 +1,66 @@
+package rollout
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"mothcleat/agree"
+	"mothcleat/versions"
+)
+
+// View returns the agreed state of all versions.
+func (a *Agent) View(ctx context.Context) (view versions.View, err error) {
+	raw, err := a.client.Ask(ctx, versions.MachineName, nil)
+	if err == nil {
+		err = json.Unmarshal(raw, &view)
+	}
+	return view, err
+}
+
+// refreshMembers keeps the list of processes that contents are fetched from up to date, until the
+// context ends.
+func (a *Agent) refreshMembers(ctx context.Context) {
+	repeat(ctx, memberRefreshInterval, func() {
+		if list, err := a.memberList(ctx); err == nil {
+			a.members.Store(&list)
+		}
+	})
+}
+
+// memberList asks for the members and voters of the fleet.
+func (a *Agent) memberList(ctx context.Context) (list agree.List, err error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	raw, err := a.client.Ask(ctx, agree.FleetName, nil)
+	if err == nil {
+		err = json.Unmarshal(raw, &list)
+	}
+	return list, err
+}
+
+// command has a command agreed.
+func (a *Agent) command(ctx context.Context, op versions.Op) error {
+	_, err := a.agreedNumber(ctx, op)
+	return err
+}
+
+// agreedNumber has a command agreed and returns the number in its result.
+func (a *Agent) agreedNumber(ctx context.Context, op versions.Op) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+	defer cancel()
+	op.Wall = time.Now().UnixMicro()
+	raw, err := a.client.Do(ctx, versions.MachineName, op.Encode())
+	if err != nil {
+		return 0, err
+	}
+	var result versions.Result
+	if err := json.Unmarshal(raw, &result); err != nil {
+		return 0, err
+	}
+	if !result.OK {
+		return result.Number, errors.New(result.Why)
+	}
+	return result.Number, nil
+}
--- /dev/null
+++ b/internal/rollout/cleanup.go
@@ -0,0 +1,48 @@
+package rollout
+
+import (
+	"context"
+	"time"
+
+	"mothcleat/versions"
+)
+
+const (
+	// maxKeptVersions is how many of an item's newest versions keep their contents, since a
+	// withdrawal may bring an earlier one back.
+	maxKeptVersions = 16
+	// minContentAge is how long a file must be untouched before it is removed: a younger one may be
+	// a content that is being fetched or proposed.
+	minContentAge = time.Hour
+)
+
+// cleanUp removes contents that no version refers to any more, until the context ends.
+func (a *Agent) cleanUp(ctx context.Context) {
+	repeat(ctx, cleanupInterval, func() {
+		queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
+		defer cancel()
+		view, err := a.View(queryCtx)
+		if err != nil {
+			return
+		}
+		if err := a.contents.Tidy(referencedDigests(&view), minContentAge); err != nil {
+			a.log.Warn("fleet: versions: contents that are of no more use can't be removed", "error", err)
+		}
+	})
+}
+
+// referencedDigests returns the digests of the newest versions of each item, and of all versions
+// that a process may still act on.
+func referencedDigests(view *versions.View) map[string]bool {
+	digests := map[string]bool{}
+	seen := map[string]int{} // versions, by item
+	for i := len(view.Versions) - 1; i >= 0; i-- {
+		v := &view.Versions[i]
+		seen[v.Item]++
+		mayBeActedOn := v.Until == 0 || view.At < v.Until
+		if seen[v.Item] <= maxKeptVersions || mayBeActedOn {
+			digests[v.Digest] = true
+		}
+	}
+	return digests
+}
--- a/internal/rollout/contents.go
+++ b/internal/rollout/contents.go
@@ -1,6 +1,3 @@
-// Package rollout is a process's side of what its fleet acts on: it asks what it may act on, fetches contents by their digest, has
-// them put in force, and tells what is. One of the fleet's processes, as a duty, takes roll-outs from stage to stage. The decisions are
-// package versions'.
 package rollout
 
 import (
@@ -20,26 +17,33 @@
 	"mothcleat/versions"
 )
 
-// Contents is a folder of contents, each under its digest: one that is there under that name is whole and as it should be. What
-// is not whole yet lies beside it and is gone on with. Its methods may be called concurrently.
+// Contents is a content-addressed folder: each file is named by the SHA-256 digest of its content,
+// in hexadecimal. A file under that name is complete. An incomplete one has the suffix partSuffix, and
+// fetching it resumes at its end. The methods may be called concurrently.
 type Contents struct{ dir string }
 
-const part = ".part"
+const (
+	partSuffix    = ".part"
+	sendChunkSize = 32 << 10 // bytes
+)
 
 var digestName = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// ErrDigest: a content is not what its name says. What was there of it is removed.
+// ErrDigest is returned for a content that does not match its digest. Its file has been removed.
 var ErrDigest = errors.New("rollout: a content that is not what its digest says")
 
-// NewContents are those of a folder, which Make makes.
+// NewContents returns the contents of a folder, which Make creates.
 func NewContents(dir string) *Contents { return &Contents{dir} }
 
-// Make makes the folder if it is not there.
+// Make creates the folder if it does not exist.
 func (c *Contents) Make() error { return os.MkdirAll(c.dir, 0o700) }
 
 func (c *Contents) path(digest string) string { return filepath.Join(c.dir, digest) }
 
-// Read gives a content. Whoever has damaged the file, what is read is as its digest says, or ErrDigest.
+func (c *Contents) partPath(digest string) string { return c.path(digest) + partSuffix }
+
+// Read returns a content after checking its digest. The error is ErrDigest if the file was damaged,
+// and fs.ErrNotExist if there is none.
 func (c *Contents) Read(digest string) ([]byte, error) {
 	if !digestName.MatchString(digest) {
 		return nil, fmt.Errorf("rollout: digest %.80q", digest)
@@ -54,27 +58,29 @@
 	return raw, nil
 }
 
-// Add puts a content in, and gives what it is called.
+// Add stores a content and returns its digest.
 func (c *Contents) Add(raw []byte) (digest string, err error) {
 	sum := sha256.Sum256(raw)
 	digest = hex.EncodeToString(sum[:])
-	if err := os.WriteFile(c.path(digest)+part, raw, 0o600); err != nil {
+	if err := os.WriteFile(c.partPath(digest), raw, 0o600); err != nil {
 		return "", err
 	}
 	return digest, c.finish(digest)
 }
 
-// Begun is how much of a content is there already.
+// Begun returns how many bytes of an incomplete content are here.
 func (c *Contents) Begun(digest string) int64 {
-	if i, err := os.Stat(c.path(digest) + part); err == nil {
-		return i.Size()
+	info, err := os.Stat(c.partPath(digest))
+	if err != nil {
+		return 0
 	}
-	return 0
+	return info.Size()
 }
 
-// Take adds the bytes that follow those that are there, until the reader ends; at size the content is whole and is checked.
+// Take writes the chunks that next returns, from an offset in bytes on. At the content's full size it
+// checks the digest. Where next fails, what has come stays, so that a later call can resume.
 func (c *Contents) Take(r versions.Ref, from int64, next func() ([]byte, error)) error {
-	f, err := os.OpenFile(c.path(r.Digest)+part, os.O_CREATE|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(c.partPath(r.Digest), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -82,27 +88,27 @@
 	if err := f.Truncate(from); err != nil {
 		return err
 	}
-	at := from
-	for at < r.Size {
-		data, err := next()
+	offset := from
+	for offset < r.Size {
+		chunk, err := next()
 		if err != nil {
-			return err // what came is gone on with
+			return err
 		}
-		if at+int64(len(data)) > r.Size {
+		if offset+int64(len(chunk)) > r.Size {
 			return errors.Join(ErrDigest, os.Remove(f.Name()))
 		}
-		if _, err := f.WriteAt(data, at); err != nil {
+		if _, err := f.WriteAt(chunk, offset); err != nil {
 			return err
 		}
-		at += int64(len(data))
+		offset += int64(len(chunk))
 		faultpoint.At("content-amid-fetch")
 	}
 	return c.finish(r.Digest)
 }
 
-// finish checks what lies beside, and gives it its name.
+// finish checks the digest of a complete content, syncs it, and renames it to its final name.
 func (c *Contents) finish(digest string) error {
-	name := c.path(digest) + part
+	name := c.partPath(digest)
 	f, err := os.OpenFile(name, os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -122,6 +128,10 @@
 	if err := os.Rename(name, c.path(digest)); err != nil {
 		return err
 	}
+	return c.syncDir()
+}
+
+func (c *Contents) syncDir() error {
 	dir, err := os.Open(c.dir)
 	if err != nil {
 		return err
@@ -129,7 +139,8 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Give sends a content from a place on, in pieces.
+// Give sends a content in chunks, from an offset in bytes on. The error is fs.ErrNotExist if the
+// content is not here.
 func (c *Contents) Give(digest string, from int64, send func([]byte) error) error {
 	if !digestName.MatchString(digest) {
 		return fs.ErrNotExist
@@ -142,11 +153,11 @@
 	if _, err := f.Seek(from, io.SeekStart); err != nil {
 		return err
 	}
-	piece := make([]byte, pieceSize)
+	chunk := make([]byte, sendChunkSize)
 	for {
-		n, err := f.Read(piece)
+		n, err := f.Read(chunk)
 		if n > 0 {
-			if err := send(piece[:n]); err != nil {
+			if err := send(chunk[:n]); err != nil {
 				return err
 			}
 		}
@@ -159,18 +170,19 @@
 	}
 }
 
-// Tidy removes contents that nothing is to be had of any more: those that are not among some, and have not been touched for a while.
-func (c *Contents) Tidy(keep map[string]bool, untouched time.Duration) error {
+// Tidy removes the contents, complete or not, whose digests are not in keep and whose files were last
+// written longer ago than minAge.
+func (c *Contents) Tidy(keep map[string]bool, minAge time.Duration) error {
 	entries, err := os.ReadDir(c.dir)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		digest := strings.TrimSuffix(e.Name(), part)
+		digest := strings.TrimSuffix(e.Name(), partSuffix)
 		if keep[digest] || !digestName.MatchString(digest) {
 			continue
 		}
-		if i, err := e.Info(); err != nil || time.Since(i.ModTime()) < untouched {
+		if info, err := e.Info(); err != nil || time.Since(info.ModTime()) < minAge {
 			continue
 		}
 		if err := os.Remove(filepath.Join(c.dir, e.Name())); err != nil {
@@ -179,5 +191,3 @@
 	}
 	return nil
 }
-
-const pieceSize = 32 << 10
--- a/internal/rollout/contents_test.go
+++ b/internal/rollout/contents_test.go
@@ -98,7 +98,7 @@
 		}
 		v.Versions = append(v.Versions, one)
 	}
-	if err := c.Tidy(kept(&v), time.Hour); err != nil {
+	if err := c.Tidy(referencedDigests(&v), time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	for k, d := range digests {
@@ -106,11 +106,11 @@
 			t.Errorf("version %d, just made: %v", k, err)
 		}
 	}
-	if err := c.Tidy(kept(&v), 0); err != nil {
+	if err := c.Tidy(referencedDigests(&v), 0); err != nil {
 		t.Fatal(err)
 	}
 	for k, d := range digests {
-		if _, err := c.Read(d); (err == nil) != (k == 1 || k >= 20-keepOf) {
+		if _, err := c.Read(d); (err == nil) != (k == 1 || k >= 20-maxKeptVersions) {
 			t.Errorf("version %d: %v", k, err)
 		}
 	}
--- /dev/null
+++ b/internal/rollout/permits.go
@@ -0,0 +1,86 @@
+package rollout
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/steady"
+	"mothcleat/versions"
+)
+
+// Acts returns until when this process may act, by the monotonic clock of package steady, and a
+// stamp of what is in force. The time is 0 if the process is shut out.
+func (a *Agent) Acts() (until time.Duration, stamp uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.holder.Acts(steady.Now()), a.stamp
+}
+
+// Over reports whether what was decided under a permit may no longer be done. until and stamp are
+// what Acts returned at the decision.
+func (a *Agent) Over(until time.Duration, stamp uint64) bool {
+	faultpoint.At("permit-taken")
+	now := steady.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return now >= until || stamp != a.stamp || a.holder.Acts(now) == 0
+}
+
+// renewPermits asks for permits until the context ends. Where no answer comes, the permits that are
+// held expire by themselves.
+func (a *Agent) renewPermits(ctx context.Context) {
+	query, err := json.Marshal(a.client.Me())
+	if err != nil {
+		panic(err) // a plain struct
+	}
+	repeat(ctx, a.rules.Every, func() {
+		if err := a.enrol(ctx); err != nil {
+			return
+		}
+		a.renewPermit(ctx, query)
+	})
+}
+
+// enrol has the fleet count this process as one that holds permits, unless it does already.
+func (a *Agent) enrol(ctx context.Context) error {
+	a.mu.Lock()
+	mustEnrol, gone := a.mustEnrol, a.goneBoots
+	a.mu.Unlock()
+	if !mustEnrol {
+		return nil
+	}
+	if err := a.command(ctx, versions.Op{Do: "here", Gone: gone}); err != nil {
+		return err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.mustEnrol = false
+	return nil
+}
+
+func (a *Agent) renewPermit(ctx context.Context, query []byte) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	sent := steady.Now()
+	raw, err := a.client.Ask(ctx, versions.MachineName, query)
+	if err != nil {
+		return
+	}
+	var answer versions.Told
+	if err := json.Unmarshal(raw, &answer); err != nil {
+		return
+	}
+	faultpoint.At("permit-told")
+	a.takePermit(sent, &answer)
+}
+
+// takePermit takes in the answer to a query that was sent at the given time.
+func (a *Agent) takePermit(sent time.Duration, answer *versions.Told) {
+	a.mu.Lock()
+	a.holder.Hear(steady.Now(), sent, answer)
+	a.mustEnrol = a.mustEnrol || answer.Enrol
+	a.mu.Unlock()
+	a.apply()
+}
--- /dev/null
+++ b/internal/rollout/propose.go
@@ -0,0 +1,135 @@
+package rollout
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"mothcleat/agree"
+	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/versions"
+)
+
+// Propose starts the roll-out of the content of a file, beginning with the given stage. lead is how
+// long after the agreement the version holds. It returns the version's number. The version is agreed
+// only when a majority of the voters have the content, so that it is not lost with this process.
+func (a *Agent) Propose(ctx context.Context, item, path string, stage versions.Stage,
+	lead time.Duration) (uint64, error) {
+	raw, err := a.readProposal(item, path)
+	if err != nil {
+		return 0, err
+	}
+	digest, err := a.contents.Add(raw)
+	if err != nil {
+		return 0, err
+	}
+	list, err := a.memberList(ctx)
+	if err != nil {
+		return 0, err
+	}
+	size := int64(len(raw))
+	if err := a.replicate(ctx, &list, digest, size); err != nil {
+		return 0, err
+	}
+	faultpoint.At("propose-before-agree")
+	view, err := a.View(ctx)
+	if err != nil {
+		return 0, err
+	}
+	op := versions.Op{
+		Do:     "propose",
+		Item:   item,
+		Number: newestNumber(&view, item),
+		Digest: digest,
+		Size:   size,
+		Stage:  stage,
+		Lead:   lead,
+	}
+	if stage != versions.All {
+		op.Pilots = versions.Pilots(item, op.Number+1, stage, memberIDs(&list))
+	}
+	return a.agreedNumber(ctx, op)
+}
+
+// readProposal reads a file and checks that it can be applied as an item.
+func (a *Agent) readProposal(item, path string) ([]byte, error) {
+	known := a.items[item]
+	if known == nil {
+		return nil, fmt.Errorf("rollout: this program does not know what %.40q are", item)
+	}
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > versions.SizeMost {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), versions.SizeMost)
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	if err := known.Check(raw); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return raw, nil
+}
+
+// newestNumber returns the number of an item's newest version, 1 if it has none.
+func newestNumber(view *versions.View, item string) uint64 {
+	number := uint64(1)
+	for _, v := range view.Versions {
+		if v.Item == item {
+			number = v.Number
+		}
+	}
+	return number
+}
+
+// replicate has a majority of the voters keep a content of the given size in bytes.
+func (a *Agent) replicate(ctx context.Context, list *agree.List, digest string, size int64) error {
+	me := a.client.Me()
+	ask := &fleetpb.KeepAsk{Digest: digest, Size: size, From: &fleetpb.Member{Id: me.ID, Boot: me.Boot}}
+	results := make(chan bool, len(list.Voters))
+	for _, v := range list.Voters {
+		if v.Name == me.ID {
+			results <- true
+			continue
+		}
+		go func() {
+			results <- a.client.Keep(ctx, v.Name, v.Address, ask) == nil
+		}()
+	}
+	replicas := 0
+	for range list.Voters {
+		if <-results {
+			replicas++
+		}
+		if replicas > len(list.Voters)/2 {
+			return nil
+		}
+	}
+	return fmt.Errorf("rollout: %d of %d voters have the content, a majority is wanted",
+		replicas, len(list.Voters))
+}
+
+// Say has an operator's command about a version agreed. It returns the number of the version that
+// the command made, if it made one.
+func (a *Agent) Say(ctx context.Context, op versions.Op) (uint64, error) {
+	if op.Do == "go-on" && op.Stage != versions.All {
+		list, err := a.memberList(ctx)
+		if err != nil {
+			return 0, err
+		}
+		op.Pilots = versions.Pilots(op.Item, op.Number, op.Stage, memberIDs(&list))
+	}
+	return a.agreedNumber(ctx, op)
+}
+
+func memberIDs(list *agree.List) (ids []string) {
+	for _, m := range list.Members {
+		ids = append(ids, m.ID)
+	}
+	return ids
+}
--- /dev/null
+++ b/internal/rollout/report.go
@@ -0,0 +1,80 @@
+package rollout
+
+import (
+	"context"
+
+	"mothcleat/chronicle"
+	"mothcleat/internal/faultpoint"
+	"mothcleat/versions"
+)
+
+// report is a command that tells the fleet about a version, and the digest that it is about.
+type report struct {
+	op     versions.Op
+	digest string
+}
+
+// reportVersions tells the fleet what is in force here and what can't be, until the context ends.
+func (a *Agent) reportVersions(ctx context.Context) {
+	repeat(ctx, a.rules.Every/4, func() {
+		for _, r := range a.pendingReports() {
+			faultpoint.At("version-before-report")
+			err := a.command(ctx, r.op)
+			a.finishReport(r, err)
+		}
+	})
+}
+
+// pendingReports returns what the fleet was not told yet.
+func (a *Agent) pendingReports() (all []report) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for name, number := range a.holder.InForce() {
+		target := a.holder.Target(name)
+		if number >= target.Number && number > a.reported[name] {
+			all = append(all, report{
+				op:     versions.Op{Do: "report", Item: name, Number: number},
+				digest: target.Digest,
+			})
+		}
+		why := a.holder.Refused(name, target.Digest)
+		if why != "" && !a.reportedRefusal[target.Digest] {
+			all = append(all, report{
+				op:     versions.Op{Do: "report", Item: name, Number: target.Number, Refused: true, Why: why},
+				digest: target.Digest,
+			})
+		}
+	}
+	return all
+}
+
+// finishReport takes in whether a report was accepted; one that was not is sent again.
+func (a *Agent) finishReport(r report, err error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	switch {
+	case err != nil:
+		a.log.Debug("fleet: versions: a report was not taken", "item", r.op.Item, "error", err)
+	case r.op.Refused:
+		a.reportedRefusal[r.digest] = true
+	default:
+		a.reported[r.op.Item] = max(a.reported[r.op.Item], r.op.Number)
+	}
+}
+
+// reportHead tells the fleet the head of this process's audit record, until the context ends.
+func (a *Agent) reportHead(ctx context.Context) {
+	if a.recordHead == nil {
+		return
+	}
+	var last chronicle.Head
+	repeat(ctx, headReportInterval, func() {
+		head := a.recordHead()
+		if head == nil || *head == last {
+			return
+		}
+		if err := a.command(ctx, versions.Op{Do: "head", Head: head}); err == nil {
+			last = *head
+		}
+	})
+}
