--- a/internal/mapped/mapped.go
+++ b/internal/mmapfile/mmapfile.go
@@ -1,6 +1,6 @@
-// Package mapped gives files that lie in memory: what a process writes there is there after it was killed at any instruction, as the file
-// belongs to the system then. A power cut may take it.
-package mapped
+// Package mmapfile maps files into memory, shared with the operating system. What a process writes there
+// outlives its death at any instruction, since the pages belong to the system. A power cut may lose it.
+package mmapfile
 
 import (
 	"errors"
@@ -11,7 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Open maps a file of a size, made where there is none. fresh tells that it is empty: it was made, or had another size.
+// Open maps a file of the given size in bytes and creates it if it does not exist. A file of another
+// size is replaced by one of zeros; fresh reports that the file was created or replaced. Release the
+// memory with Close.
 func Open(path string, size int) (memory []byte, fresh bool, err error) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -26,7 +28,8 @@
 		return nil, false, err
 	}
 	if fresh = info.Size() != int64(size); fresh {
-		// All of it is written now: a full disk must not show when something is counted.
+		// Every byte is written now, so that a full disk fails here and not at a later write to the
+		// memory, where it would be a signal.
 		if err = f.Truncate(0); err == nil {
 			_, err = f.WriteAt(make([]byte, size), 0)
 		}
@@ -40,5 +43,5 @@
 	return memory, fresh, nil
 }
 
-// Close unmaps it.
+// Close unmaps what Open returned. The memory must not be used any more.
 func Close(memory []byte) error { return unix.Munmap(memory) }
--- a/internal/recorder/cells.go
+++ b/internal/recorder/cells.go
@@ -8,7 +8,7 @@
 	"unsafe"
 
 	"mothcleat/chronicle"
-	"mothcleat/internal/mapped"
+	"mothcleat/internal/mmapfile"
 )
 
 // cells are a file mapped into memory in which one goroutine counts: a cell for each set of versions, one after another. What was
@@ -39,7 +39,7 @@
 )
 
 func openCells(path string) (c *cells, before uint64, err error) {
-	memory, fresh, err := mapped.Open(path, cellsBytes)
+	memory, fresh, err := mmapfile.Open(path, cellsBytes)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -93,4 +93,4 @@
 	return all
 }
 
-func (c *cells) close() error { return mapped.Close(c.memory) }
+func (c *cells) close() error { return mmapfile.Close(c.memory) }
--- a/internal/usecount/ring.go
+++ b/internal/usecount/ring.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"unsafe"
 
-	"mothcleat/internal/mapped"
+	"mothcleat/internal/mmapfile"
 )
 
 // ring is a file mapped into memory to which one goroutine adds what is sent on, and from which another
@@ -31,7 +31,7 @@
 
 // openRing maps a ring's file, made where there is none. before is the boot that added to it last, and how many.
 func openRing(path string) (r *ring, before uint64, added uint64, err error) {
-	memory, fresh, err := mapped.Open(path, ringHead+ringRecords*recordBytes)
+	memory, fresh, err := mmapfile.Open(path, ringHead+ringRecords*recordBytes)
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -71,4 +71,4 @@
 	return binary.NativeEndian.Uint64(at), math.Float64frombits(binary.NativeEndian.Uint64(at[8:]))
 }
 
-func (r *ring) close() error { return mapped.Close(r.memory) }
+func (r *ring) close() error { return mmapfile.Close(r.memory) }
