--- a/internal/crashfs/crashfs.go
+++ b/internal/faultfs/faultfs.go
@@ -1,11 +1,11 @@
-// Package crashfs is a folder in memory for a store, which records all that is done to
+// Package faultfs is a folder in memory for a store, which records all that is done to
 // it and can be brought to every state that a crash might have left.
 //
 // The model: what was written to a file before its last sync is there after a crash. Each write
 // and truncation since is there, lost or (a write) there in part, each by itself, in any
 // combination. The same holds for names: created, renamed and removed ones are sure once the folder was
 // synced, and not before, whatever was synced in the files. A file system may promise more than that.
-package crashfs
+package faultfs
 
 import (
 	"fmt"
@@ -105,93 +105,6 @@
 	f.ops = append(f.ops, Op{Kind: Note, Note: n})
 }
 
-// Lost is the fate of an operation that leaves no trace; Kept of one that is there whole; any
-// other number of a write is how many of its bytes are there.
-const (
-	Lost = 0
-	Kept = -1
-)
-
-// Pending lists which of the first n operations a crash after them may undo.
-func (f *FS) Pending(n int) (pending []int) {
-	names, files := f.synced(n)
-	for i, op := range f.ops[:n] {
-		switch op.Kind {
-		case Write, Truncate:
-			if i > files[op.file] {
-				pending = append(pending, i)
-			}
-		case Create, Rename, Remove:
-			if i > names {
-				pending = append(pending, i)
-			}
-		}
-	}
-	return pending
-}
-
-// synced gives the last sync of the folder and of each file among the first n operations.
-func (f *FS) synced(n int) (names int, files map[int]int) {
-	names, files = -1, map[int]int{}
-	for id := range f.next {
-		files[id] = -1
-	}
-	for i, op := range f.ops[:n] {
-		switch op.Kind {
-		case SyncDir:
-			names = i
-		case SyncFile:
-			files[op.file] = i
-		}
-	}
-	return names, files
-}
-
-// After gives the folder that a crash after the first n operations leaves. fate says what
-// becomes of each pending one.
-func (f *FS) After(n int, fate func(i int) int) *FS {
-	c := f.base.copy()
-	for id, data := range f.base.files {
-		c.files[id] = slices.Clone(data)
-	}
-	c.next = f.next
-	pending := map[int]bool{}
-	for _, i := range f.Pending(n) {
-		pending[i] = true
-	}
-	for i, op := range f.ops[:n] {
-		part := Kept
-		if pending[i] {
-			part = fate(i)
-		}
-		if part == Lost {
-			continue
-		}
-		switch op.Kind {
-		case Write:
-			data := op.data
-			if part > 0 {
-				data = data[:min(part, len(data))]
-			}
-			c.write(op.file, op.at, data)
-		case Truncate:
-			c.truncate(op.file, op.at)
-		case Create:
-			c.names[op.Name] = op.file
-		case Rename:
-			if c.names[op.From] == op.file {
-				delete(c.names, op.From)
-			}
-			c.names[op.Name] = op.file
-		case Remove:
-			if c.names[op.Name] == op.file {
-				delete(c.names, op.Name)
-			}
-		}
-	}
-	return c
-}
-
 // Names lists the files.
 func (f *FS) Names() []string {
 	f.mu.Lock()
--- a/internal/storetrial/damage.go
+++ b/internal/storetrial/damage.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"mothcleat/internal/crashfs"
+	"mothcleat/internal/faultfs"
 	"mothcleat/store"
 )
 
@@ -70,7 +70,7 @@
 // Crashes plays a workload of so many batches and crashes it after each of its operations, with any
 // of what was not synced there, lost or in part: so many random ways each beside the regular ones.
 func Crashes(ctx context.Context, seed uint64, batches, random int) (*Tally, error) {
-	w, f, t := NewWorkload(seed), crashfs.New(), &Tally{}
+	w, f, t := NewWorkload(seed), faultfs.New(), &Tally{}
 	f.Record()
 	var err error
 	if w.Store, err = store.Open("", Small(f)); err != nil {
@@ -95,7 +95,7 @@
 	}
 	ops, promised := f.Ops(), 0
 	for n := 0; n <= len(ops) && ctx.Err() == nil; n++ {
-		if n > 0 && ops[n-1].Kind == crashfs.Note {
+		if n > 0 && ops[n-1].Kind == faultfs.Note {
 			promised = ops[n-1].Note
 		}
 		try := func(what string, fate func(i int) int) {
@@ -107,19 +107,19 @@
 				t.judge(w, o, promised, false, what)
 			}
 		}
-		try("all kept", func(int) int { return crashfs.Kept })
+		try("all kept", func(int) int { return faultfs.Kept })
 		pending := f.Pending(n)
 		if len(pending) == 0 {
 			continue
 		}
-		try("all lost", func(int) int { return crashfs.Lost })
+		try("all lost", func(int) int { return faultfs.Lost })
 		last := pending[len(pending)-1]
 		for cut := 1; cut < ops[last].Bytes(); cut += 1 + w.Rand.IntN(24) {
 			try(fmt.Sprintf("the last torn at %d", cut), func(i int) int {
 				if i == last {
 					return cut
 				}
-				return crashfs.Kept
+				return faultfs.Kept
 			})
 		}
 		for range random {
@@ -128,9 +128,9 @@
 				case k == 0 && ops[i].Bytes() > 1:
 					return 1 + w.Rand.IntN(ops[i].Bytes()-1)
 				case k == 1:
-					return crashfs.Lost
+					return faultfs.Lost
 				}
-				return crashfs.Kept
+				return faultfs.Kept
 			})
 		}
 	}
@@ -140,7 +140,7 @@
 // Damage cuts every file of a store at every byte and changes every byte, each once, and opens what is left, with
 // all bytes read at once and as they are needed.
 func Damage(ctx context.Context, seed uint64, batches int) (*Tally, error) {
-	w, f, t := NewWorkload(seed), crashfs.New(), &Tally{}
+	w, f, t := NewWorkload(seed), faultfs.New(), &Tally{}
 	var err error
 	if w.Store, err = store.Open("", Small(f)); err != nil {
 		return nil, err
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/internal/crashfs"
+	"mothcleat/internal/faultfs"
 	"mothcleat/internal/storetrial"
 	"mothcleat/store"
 )
@@ -47,7 +47,7 @@
 // Random batches, reopenings, crashes and compactions against a plain map.
 func TestAgainstAMap(t *testing.T) {
 	for seed := range uint64(16) {
-		w, f, promised := storetrial.NewWorkload(seed), crashfs.New(), 0
+		w, f, promised := storetrial.NewWorkload(seed), faultfs.New(), 0
 		if seed%2 == 0 {
 			w.Keys = 150 // so many that runs are merged without the oldest
 		}
@@ -112,7 +112,7 @@
 }
 
 func TestRangeIsOrderedAndEndsWhereAsked(t *testing.T) {
-	s := open(t, "", storetrial.Small(crashfs.New()))
+	s := open(t, "", storetrial.Small(faultfs.New()))
 	for i := range 40 { // through overlay and runs
 		if err := s.Commit(put(fmt.Sprintf("%02d", i*7%40), "v"), store.Buffered); err != nil {
 			t.Fatal(err)
@@ -144,13 +144,13 @@
 // Two batches that share a write are torn at every byte of it: the first may be there
 // without the second, never the other way round, and never a part of one.
 func TestGroupCommitTornAnywhere(t *testing.T) {
-	f := crashfs.New()
+	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
 	f.Record()
 	held, entered := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	f.Fail = func(op *crashfs.Op) (int, error) {
-		if op.Kind == crashfs.SyncFile {
+	f.Fail = func(op *faultfs.Op) (int, error) {
+		if op.Kind == faultfs.SyncFile {
 			once.Do(func() { close(entered); f.Fail = nil; <-held })
 		}
 		return 0, nil
@@ -176,7 +176,7 @@
 	ops := f.Ops()
 	group := -1
 	for i, op := range ops {
-		if op.Kind == crashfs.Write && op.Bytes() > 3*20 && strings.HasSuffix(op.Name, ".log") {
+		if op.Kind == faultfs.Write && op.Bytes() > 3*20 && strings.HasSuffix(op.Name, ".log") {
 			group = i
 		}
 	}
@@ -185,7 +185,7 @@
 			if i == group {
 				return cut
 			}
-			return crashfs.Kept
+			return faultfs.Kept
 		})
 		s := open(t, "", store.Options{FS: left, Verify: true})
 		got, err := storetrial.Read(s)
@@ -256,16 +256,16 @@
 }
 
 func TestForeignAndNewerFoldersStay(t *testing.T) {
-	f := crashfs.New()
+	f := faultfs.New()
 	if err := open(t, "", store.Options{FS: f}).Commit(put("k", "v"), store.Durable); err != nil {
 		t.Fatal(err)
 	}
 	whole := f.Copy()
-	for reason, change := range map[string]func(c *crashfs.FS){
-		"format 2":          func(c *crashfs.FS) { c.Replace("MANIFEST", store.AsVersion(c.Read("MANIFEST"), 2)) },
-		"kind":              func(c *crashfs.FS) { c.Replace("MANIFEST", []byte(strings.Repeat("another program's", 9))) },
-		"missing":           func(c *crashfs.FS) { c.Remove("MANIFEST") },
-		"manifest names it": func(c *crashfs.FS) { c.Remove("0000000000000001.log") },
+	for reason, change := range map[string]func(c *faultfs.FS){
+		"format 2":          func(c *faultfs.FS) { c.Replace("MANIFEST", store.AsVersion(c.Read("MANIFEST"), 2)) },
+		"kind":              func(c *faultfs.FS) { c.Replace("MANIFEST", []byte(strings.Repeat("another program's", 9))) },
+		"missing":           func(c *faultfs.FS) { c.Remove("MANIFEST") },
+		"manifest names it": func(c *faultfs.FS) { c.Remove("0000000000000001.log") },
 	} {
 		c := whole.Copy()
 		change(c)
@@ -281,14 +281,14 @@
 
 // What the disk refuses changes nothing; what it may have lost ends the promises, not the reading.
 func TestDiskFullShortWritesAndFailedSyncs(t *testing.T) {
-	f := crashfs.New()
+	f := faultfs.New()
 	s := open(t, "", storetrial.Small(f))
 	if err := s.Commit(put("k", "before"), store.Durable); err != nil {
 		t.Fatal(err)
 	}
 	for _, written := range []int{0, 1, 30, 1000} {
-		f.Fail = func(op *crashfs.Op) (int, error) {
-			if op.Kind == crashfs.Write {
+		f.Fail = func(op *faultfs.Op) (int, error) {
+			if op.Kind == faultfs.Write {
 				return written, syscall.ENOSPC
 			}
 			return 0, nil
@@ -304,8 +304,8 @@
 		}
 	}
 	// Room again: commits go on. Then work beside them fails: they go on too, and it is told.
-	f.Fail = func(op *crashfs.Op) (int, error) {
-		if op.Kind == crashfs.Create {
+	f.Fail = func(op *faultfs.Op) (int, error) {
+		if op.Kind == faultfs.Create {
 			return 0, syscall.EMFILE
 		}
 		return 0, nil
@@ -322,8 +322,8 @@
 	if err := s.Compact(t.Context()); err != nil {
 		t.Error(err)
 	}
-	f.Fail = func(op *crashfs.Op) (int, error) {
-		if op.Kind == crashfs.SyncFile {
+	f.Fail = func(op *faultfs.Op) (int, error) {
+		if op.Kind == faultfs.SyncFile {
 			return 0, syscall.EIO
 		}
 		return 0, nil
@@ -363,7 +363,7 @@
 
 // Space: overwriting the same keys for long leaves a log of the size that the package comment states.
 func TestSpaceAndRunsStayBounded(t *testing.T) {
-	f := crashfs.New()
+	f := faultfs.New()
 	o := store.Options{FS: f, SegmentBytes: 16 << 10, Overlay: 128, Step: 4 << 10}
 	s := open(t, "", o)
 	for i := range 20_000 {
@@ -477,7 +477,7 @@
 
 // A process dies and leaves what it committed to the system alone; the next one syncs, and the power goes.
 func TestWhatWasFoundIsSyncedToo(t *testing.T) {
-	f := crashfs.New()
+	f := faultfs.New()
 	first := open(t, "", store.Options{FS: f})
 	f.Record()
 	if err := first.Commit(put("k", "v"), store.Buffered); err != nil {
@@ -487,13 +487,13 @@
 	if err := open(t, "", store.Options{FS: f}).Sync(); err != nil {
 		t.Fatal(err)
 	}
-	left := f.After(len(f.Ops()), func(int) int { return crashfs.Lost })
+	left := f.After(len(f.Ops()), func(int) int { return faultfs.Lost })
 	want(t, open(t, "", store.Options{FS: left}), "k", "v")
 }
 
 // What Sync promised is told from a torn tail like any durable commit.
 func TestSyncIsPromisedToo(t *testing.T) {
-	f := crashfs.New()
+	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
 	if err := errors.Join(s.Commit(put("k", "v"), store.Buffered), s.Sync()); err != nil {
 		t.Fatal(err)
