--- /dev/null
+++ b/cmd/lab/scale.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"mothcleat/internal/scale"
+)
+
+const hollowCommand = "scale-hollow"
+
+// scale measures what a large fleet asks of its control plane.
+func (b *bench) scale() *cobra.Command {
+	var o scale.Options
+	var roles, path, into string
+	var ladders []string
+	var slopes, keep bool
+	c := &cobra.Command{Use: "scale", Short: "hollow gateways before real control processes: what a large fleet asks of them, by role", Args: none}
+	f := c.Flags()
+	f.Uint64Var(&o.Seed, "seed", 1, "which world is drawn, and what happens in it")
+	f.DurationVar(&o.For, "for", 20*time.Second, "how long changes are made and measured, 1s to 10m")
+	f.IntVar(&o.Gateways, "gateways", 120, "hollow gateways")
+	f.IntVar(&o.Servers, "servers", 1000, "servers in the register")
+	f.IntVar(&o.Tenants, "tenants", 6000, "tenants with a plan each")
+	f.IntVar(&o.Control, "control", scale.DesignControl, "control processes: 1, 3, 5 or 7")
+	f.IntVar(&o.RealGateways, "real-gateways", 2, "gateways that serve requests beside the hollow ones, 0 to 8")
+	f.Float64Var(&o.ReplacementsPerSecond, "replacements", 0.3, "servers drained, added anew and taken away, a second")
+	f.IntVar(&o.RackSize, "rack", 0, "servers that go at once in the middle of the run")
+	f.IntVar(&o.Versions, "versions", 1, "versions of the plans proposed in the run")
+	f.IntVar(&o.PerProcess, "per-process", 0, "hollow gateways in one process; 0: 62")
+	f.StringVar(&roles, "roles", "all", "what is switched on: all, none, or some of list,configuration,allocation,metering")
+	f.StringVar(&path, "path", string(scale.PathWholeList), "how the list of servers travels: wholelist, delta or both")
+	f.BoolVar(&slopes, "slopes", false, "play the ladders of sizes in place of one run, and fit the slopes")
+	f.StringSliceVar(&ladders, "ladder", nil, "with --slopes: these ladders only")
+	f.StringVar(&into, "into", "", "a file of JSON, as docs/capacity.json, that takes in the ladders, or with --keep the run")
+	f.BoolVar(&keep, "keep", false, "put the run's result into the file")
+	f.StringVar(&o.Bin, "bin", "", "the gateway's program; empty: it is built")
+	f.StringVar(&o.Logs, "logs", "", "a folder for the processes' logs")
+	c.RunE = func(c *cobra.Command, _ []string) (err error) {
+		if o.Parts, err = scale.ParseParts(roles); err != nil {
+			return err
+		}
+		if o.Self, err = scale.SelfCommand(hollowCommand); err != nil {
+			return err
+		}
+		if slopes {
+			return b.playLadders(c.Context(), &o, ladders, into)
+		}
+		paths := []scale.Path{scale.Path(path)}
+		if path == "both" {
+			paths = []scale.Path{scale.PathWholeList, scale.PathDelta}
+		}
+		if !keep {
+			into = ""
+		}
+		return b.playScale(c.Context(), o, paths, into)
+	}
+	return c
+}
+
+// playScale plays one run for each path, and prints the result of each as a line.
+func (b *bench) playScale(ctx context.Context, o scale.Options, paths []scale.Path, into string) error {
+	for _, path := range paths {
+		o.Path = path
+		if err := o.Check(); err != nil {
+			return err
+		}
+		result, err := scale.Run(ctx, o, b.progress)
+		if err != nil {
+			return err
+		}
+		if into != "" {
+			if err := scale.Keep(into, result); err != nil {
+				return err
+			}
+		}
+		fmt.Fprintln(b.out, result.Line())
+		if result.Diverged+result.LostChanges > 0 {
+			b.code = 1
+		}
+	}
+	return nil
+}
+
+// playLadders plays ladders of sizes, and prints the slopes.
+func (b *bench) playLadders(ctx context.Context, o *scale.Options, names []string, into string) error {
+	if len(names) == 0 {
+		for _, l := range scale.Ladders() {
+			names = append(names, l.Name)
+		}
+	}
+	capacity, err := scale.ReadCapacity(into)
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		steps, err := scale.RunLadder(ctx, name, o.Seed, o.Bin, o.Self, b.progress)
+		if err != nil {
+			return err
+		}
+		capacity.Take(name, steps)
+		if into == "" {
+			continue
+		}
+		if err := capacity.Write(into); err != nil {
+			return err
+		}
+	}
+	line, err := capacity.SlopesLine()
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(b.out, line)
+	return nil
+}
+
+// scaleHollow runs hollow gateways, for scale.
+func (b *bench) scaleHollow() *cobra.Command {
+	return &cobra.Command{Use: hollowCommand, Hidden: true, Args: none, RunE: func(c *cobra.Command, _ []string) error {
+		err := scale.RunHollow(c.Context(), os.Stdin, b.out)
+		if errors.Is(err, context.Canceled) {
+			return nil
+		}
+		return err
+	}}
+}
--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -45,6 +45,7 @@
 		Tick:      time.Duration(f.Tick), Keep: uint64(f.Keep), Exports: f.Exports, Period: time.Duration(f.Period), Log: log,
 		Silent: time.Duration(f.Silent), Place: distribution.Place{Zone: f.Zone, Region: f.Region}, Places: places(f),
 		ChangeLog: f.ChangeLog,
+		Owners:    f.Owners,
 	}
 	if f.Exports != "" {
 		c.Shards = f.Shards
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"log/slog"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -52,7 +53,14 @@
 type Options struct {
 	Rules  lease.Rules
 	Client *fleetlink.Client
-	Log    *slog.Logger
+	// Candidates are the ids of the members that may hold duties; empty: all may. It is to be the same at all.
+	Candidates []string
+	Log        *slog.Logger
+}
+
+// candidate tells whether a member may hold duties.
+func (o *Options) candidate(id string) bool {
+	return len(o.Candidates) == 0 || slices.Contains(o.Candidates, id)
 }
 
 // Set is the duties that a process may hold.
@@ -95,8 +103,11 @@
 	return h.Owner, s.at[h.Owner.ID], h.Owner.ID != ""
 }
 
-// Add names a duty and its work. It must not be called after Run.
+// Add names a duty and its work. It must not be called after Run. In a process that is no candidate it does nothing.
 func (s *Set) Add(name string, work Work) {
+	if !s.opt.candidate(s.opt.Client.Me().ID) {
+		return
+	}
 	s.runners[name] = &runner{set: s, name: name, work: work, wake: make(chan struct{}, 1),
 		holder: lease.NewHolder(s.opt.Rules, name, s.opt.Client.Me())}
 }
@@ -105,7 +116,9 @@
 // they are spread evenly, whoever was up first.
 func (s *Set) Spread(name string, work Work) {
 	s.Add(name, work)
-	s.runners[name].spread = true
+	if r := s.runners[name]; r != nil {
+		r.spread = true
+	}
 }
 
 // home is who a duty that is spread should go to now; "": it stays.
@@ -200,7 +213,7 @@
 		return nil, err
 	}
 	for _, m := range l.Members {
-		if m.Address != "" && l.At-m.Seen < agree.SessionSpan/2 {
+		if m.Address != "" && l.At-m.Seen < agree.SessionSpan/2 && s.opt.candidate(m.ID) {
 			all = append(all, m)
 		}
 	}
--- a/internal/fleetlink/client.go
+++ b/internal/fleetlink/client.go
@@ -62,6 +62,9 @@
 	return c
 }
 
+// Observe has an observer told of all calls; nil: none. It is to be called before the first call.
+func (c *Client) Observe(o *Observer) { c.conns.observer = o }
+
 // SetVoters takes in who votes now.
 func (c *Client) SetVoters(voters []*fleetpb.Voter) {
 	c.mu.Lock()
--- a/internal/fleetlink/peers.go
+++ b/internal/fleetlink/peers.go
@@ -21,14 +21,15 @@
 )
 
 // dial makes a connection that is opened when it is first used, and again soon after it was lost.
-func dial(address string) (*grpc.ClientConn, error) {
-	return grpc.NewClient("passthrough:///"+address,
+func dial(address string, observer *Observer) (*grpc.ClientConn, error) {
+	options := append(observer.dialOptions(),
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 500 * time.Millisecond},
 			MinConnectTimeout: 500 * time.Millisecond,
 		}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostBytes), grpc.MaxCallSendMsgSize(mostBytes)))
+	return grpc.NewClient("passthrough:///"+address, options...)
 }
 
 // Addresses says where processes are reached from here: names that are not in it are reached at the address
@@ -44,6 +45,8 @@
 
 // conns are the connections to others, by address.
 type conns struct {
+	observer *Observer // nil: none
+
 	mu     sync.Mutex
 	open   map[string]*grpc.ClientConn
 	closed bool
@@ -66,7 +69,7 @@
 	conn := c.open[address]
 	if conn == nil {
 		var err error
-		if conn, err = dial(address); err != nil {
+		if conn, err = dial(address, c.observer); err != nil {
 			return nil, err
 		}
 		if c.open == nil {
--- a/internal/fleetlink/server.go
+++ b/internal/fleetlink/server.go
@@ -66,12 +66,13 @@
 	woken chan struct{} // closed when there is news
 }
 
-// NewServer makes a server of a fleet. Serve has it answer.
-func NewServer(ctx context.Context, fleet string, addresses Addresses, parts Parts) *Server {
+// NewServer makes a server of a fleet, with further options of the library's; see Observer. Serve has it answer.
+func NewServer(ctx context.Context, fleet string, addresses Addresses, parts Parts, more ...grpc.ServerOption) *Server {
 	s := &Server{fleet: fleet, parts: parts, news: map[string]*fleetpb.News{}, woken: make(chan struct{})}
-	s.grpc = grpc.NewServer(serverCodec(), grpc.MaxRecvMsgSize(mostBytes), grpc.MaxSendMsgSize(mostBytes),
+	options := append([]grpc.ServerOption{serverCodec(), grpc.MaxRecvMsgSize(mostBytes), grpc.MaxSendMsgSize(mostBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true})}, more...)
+	s.grpc = grpc.NewServer(options...)
 	fleetpb.RegisterFleetServer(s.grpc, s)
 	s.peers = &peers{ctx: ctx, fleet: fleet, addresses: addresses, to: map[route]*peer{},
 		lost: func(n uint64) {
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -48,6 +48,7 @@
 	Voters    []*fleetpb.Voter    // as they are known at first
 	Addresses fleetlink.Addresses // where others are reached from here, if not where they say
 	Rules     lease.Rules
+	Owners    []string      // ids of those that may hold duties; empty: all may
 	Tick      time.Duration // of voters; 0: 40 ms
 	Keep      uint64        // entries behind a snapshot; 0: 4,096
 	Shards    int           // of the export; 0: no use is counted or exported
@@ -69,6 +70,7 @@
 	Place     distribution.Place            // where this process runs
 	Places    map[string]distribution.Place // where the voters run, by name
 	ChangeLog int                           // changes that a voter keeps for replicas; 0: as many as by default
+	Observer  *fleetlink.Observer           // counts calls, messages and bytes; nil: nobody does
 }
 
 // Node is a process's part. Make it with Start.
@@ -170,7 +172,8 @@
 		early: make(chan use, earlyMost)}
 	n.me = lease.Member{ID: cfg.ID, Boot: rand.Uint64()>>1 | 1}
 	n.client = fleetlink.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
-	n.duties = duties.New(duties.Options{Rules: cfg.Rules, Client: n.client, Log: cfg.Log})
+	n.client.Observe(cfg.Observer)
+	n.duties = duties.New(duties.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
 	if cfg.Shards > 0 {
 		for shard := range cfg.Shards {
 			e := &exporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
@@ -317,7 +320,7 @@
 	if err != nil {
 		return err
 	}
-	server := fleetlink.NewServer(n.ctx, n.cfg.Fleet, n.cfg.Addresses, parts)
+	server := fleetlink.NewServer(n.ctx, n.cfg.Fleet, n.cfg.Addresses, parts, n.cfg.Observer.ServerOptions()...)
 	if n.divide != nil {
 		server.Budgets = n.divide
 	}
@@ -345,7 +348,7 @@
 	}
 	n.server.Store(server)
 	go n.streams.Run(n.ctx)
-	go func() { _ = server.Serve(l) }()
+	go func() { _ = server.Serve(n.cfg.Observer.Listener(l)) }()
 	if record != nil {
 		n.record.Store(record)
 		go record.Run(n.ctx)
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -314,6 +314,7 @@
 	if late < fault.Reset {
 		return nil, false
 	}
+	sv.rec.Replied(n)
 	value := trial.ValueOf(id, sv.ID)
 	b := resp.AppendArray(nil, 3)
 	b = resp.AppendBulk(b, []byte(value))
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -34,6 +34,8 @@
 	Doors     bool                             // gateways have doors
 	Held      bool                             // the rig holds the clients' sockets, and gateways have doors
 	Consul    bool                             // the register is Consul, with an agent for each gateway
+	Names     string                           // what gateways' names begin with; "": n
+	MemoryMB  int                              // what each is told that it may hold; 0: 64
 	Operators string                           // text of the operators' file, %DIR% being the gateway's folder; "": none
 	Change    func(s *trial.Site)              // what is other than drawn; nil: nothing
 	Log       io.Writer
@@ -66,6 +68,12 @@
 	if o.Servers == 0 {
 		o.Servers = 10
 	}
+	if o.Names == "" {
+		o.Names = "n"
+	}
+	if o.MemoryMB == 0 {
+		o.MemoryMB = 64
+	}
 	w = &World{Site: trial.NewSite(o.Seed, o.Gateways, o.Servers, o.Load), Record: trial.NewRecord(), options: o}
 	if o.Change != nil {
 		o.Change(w.Site)
@@ -186,9 +194,9 @@
 	}
 	return map[string]any{
 		"management": g.doorAt,
-		"name":       fmt.Sprintf("n%d", g.Number), "listen": g.Address,
+		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number), "listen": g.Address,
 		"discovery": w.Register.agents[g.Number].address, "seed": trial.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
-		"limits":      map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 1024},
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": w.options.MemoryMB, "sockets": 1024},
 		"peer_listen": g.Peer, "peers": w.Notes.peers(g.Number), "peers_all": "127.0.0.1:9",
 		"counter": w.Counter.Address, "known": known, "settings": w.Site.Settings(g.Number),
 	}
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -74,6 +74,7 @@
 	Zone      string            `toml:"zone"`   // where this gateway runs; "": near to no voter
 	Region    string            `toml:"region"`
 	ChangeLog int               `toml:"change_log"` // changes that a voter keeps for replicas
+	Owners    []string          `toml:"owners"`     // gateways that may hold duties, by name; empty: all
 }
 
 // Voter is a gateway that votes on what is agreed.
@@ -177,7 +178,7 @@
 			Fails: 5, OpenFor: Duration(time.Second), OpenMost: Duration(30 * time.Second)},
 		Register: Register{Source: "platform", Agents: []string{"127.0.0.1:8500"}, Mode: "default", Wait: Duration(5 * time.Second),
 			Catalogue: true, Hold: Duration(5 * time.Minute), ResetAfter: 3, Skew: Duration(5 * time.Second)},
-		Fleet: Fleet{Folder: "fleet", Voters: []Voter{}, Addresses: map[string]string{}, Span: Duration(time.Second), Margin: 0.125,
+		Fleet: Fleet{Folder: "fleet", Voters: []Voter{}, Addresses: map[string]string{}, Owners: []string{}, Span: Duration(time.Second), Margin: 0.125,
 			Offer: Duration(500 * time.Millisecond), Tick: Duration(40 * time.Millisecond), Keep: 4096, Shards: 1, Period: Duration(5 * time.Second),
 			Silent: Duration(time.Second), ChangeLog: 100_000},
 		Budgets:  Budgets{Shards: 1, Span: Duration(3 * time.Second), FloorSpan: Duration(time.Minute), Floor: 0.3, Reserve: 0.5, Every: Duration(200 * time.Millisecond)},
--- /dev/null
+++ b/internal/scale/control.go
@@ -0,0 +1,213 @@
+package scale
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"mothcleat/internal/fleetnode"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/lab"
+	"mothcleat/internal/voter"
+	"mothcleat/versions"
+)
+
+const (
+	fleetName       = "scale"
+	controlNames    = "c"
+	realNames       = "r"
+	controlMemoryMB = 4096 // a soft limit: collection of garbage is not to be what is measured
+	callWithin      = 5 * time.Second
+)
+
+// control is the processes of the program that vote and hold all duties.
+type control struct {
+	world    *lab.World
+	options  *Options
+	register *Register
+	own      []string // where each listens for the fleet
+	exports  string
+}
+
+func controlName(i int) string { return fmt.Sprintf("%s%d", controlNames, i) }
+
+// startControl founds the fleet and starts its voters.
+func startControl(ctx context.Context, o *Options, register *Register, log io.Writer) (c *control, err error) {
+	c = &control{options: o, register: register}
+	c.world, err = lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.Control, Servers: 1, Load: 0.1, Bin: o.Bin, Log: log, Doors: true, Consul: true,
+		Names: controlNames, MemoryMB: controlMemoryMB, Operators: "#\n", Prepare: c.prepare})
+	return c, err
+}
+
+// prepare writes a voter's operators' file and founds its folder.
+func (c *control) prepare(w *lab.World, g *lab.Gateway) error {
+	if c.own == nil {
+		c.exports = filepath.Join(w.Dir, "exports")
+		if err := os.MkdirAll(c.exports, 0o700); err != nil {
+			return err
+		}
+		for i := range c.options.Control {
+			own, err := w.Address(100 + i)
+			if err != nil {
+				return err
+			}
+			c.own = append(c.own, own)
+		}
+	}
+	if err := os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(c.own[g.Number], true)), 0o600); err != nil {
+		return err
+	}
+	found := exec.Command(c.options.Bin, "fleet", "found", controlName(g.Number), "--operators", "operators.toml")
+	found.Dir = g.Dir()
+	if out, err := found.CombinedOutput(); err != nil {
+		return fmt.Errorf("founding %s: %w: %s", controlName(g.Number), err, out)
+	}
+	return nil
+}
+
+// operators is the operators' file of a process that listens at an address.
+func (c *control) operators(listen string, control bool) string {
+	var b strings.Builder
+	parts := c.options.Parts
+	if control {
+		fmt.Fprintf(&b, "[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n", serviceName, c.register.Address)
+	}
+	fmt.Fprintf(&b, "[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\n", fleetName, listen)
+	var voters, owners []string
+	for i, own := range c.own {
+		voters = append(voters, fmt.Sprintf("{ name = %q, address = %q }", controlName(i), own))
+		owners = append(owners, fmt.Sprintf("%q", controlName(i)))
+	}
+	fmt.Fprintf(&b, "voters = [%s]\nowners = [%s]\n", strings.Join(voters, ", "), strings.Join(owners, ", "))
+	if parts.Metering {
+		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
+	}
+	if parts.List && control {
+		fmt.Fprintf(&b, "watch = true\nsilent = %q\n", silentAfter)
+	}
+	if parts.Allocation {
+		fmt.Fprintf(&b, "[budgets]\non = true\nshards = %d\nbegin_full = true\n", c.options.Control)
+	}
+	if parts.Configuration {
+		b.WriteString("[versions]\non = true\n")
+	}
+	return b.String()
+}
+
+// voters are the founding voters.
+func (c *control) voters() (all []*fleetpb.Voter) {
+	for i, own := range c.own {
+		all = append(all, &fleetpb.Voter{Number: voter.NumberOf(fleetName, controlName(i)), Name: controlName(i), Address: own})
+	}
+	return all
+}
+
+// owners are the names of all who may hold duties.
+func (c *control) owners() (all []string) {
+	for i := range c.own {
+		all = append(all, controlName(i))
+	}
+	return all
+}
+
+// call has a control process's door answer a call about the fleet.
+func (c *control) call(i int, line string, into any) error {
+	conn, err := net.DialTimeout("tcp", c.world.Gateways[i].Door(), time.Second)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(callWithin))
+	if _, err := io.WriteString(conn, "fleet "+line+"\n"); err != nil {
+		return err
+	}
+	raw, err := io.ReadAll(conn)
+	if err != nil {
+		return err
+	}
+	if bytes.HasPrefix(raw, []byte("fail")) || len(raw) == 0 {
+		return errors.New(strings.TrimSpace(string(raw)))
+	}
+	if into == nil {
+		return nil
+	}
+	return json.Unmarshal(raw, into)
+}
+
+// leader is which control process leads the log; -1: none says so.
+func (c *control) leader() int {
+	for i := range c.own {
+		var here fleetnode.Here
+		if c.call(i, "here", &here) == nil && here.Leads {
+			return i
+		}
+	}
+	return -1
+}
+
+// duties tells how many duties each control process holds.
+func (c *control) duties(i int) (held int) {
+	var here fleetnode.Here
+	if c.call(i, "here", &here) == nil {
+		held = len(here.Duties)
+	}
+	return held
+}
+
+// propose has a version of the plans go to all gateways, and gives its number.
+func (c *control) propose(text string) (number uint64, err error) {
+	at := max(0, c.leader())
+	file := filepath.Join(c.world.Gateways[at].Dir(), fmt.Sprintf("plans-%d.toml", time.Now().UnixNano()))
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		return 0, err
+	}
+	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planItem, versions.All, file), &number)
+}
+
+// plansText is a version of all plans, with the plan of each tenant.
+func (c *control) plansText(tenants int, factor float64) string {
+	var b strings.Builder
+	site := c.world.Site
+	for _, p := range site.Plans {
+		fmt.Fprintf(&b, "[[plan]]\nname = %q\nrate = %g\nburst = %g\n", p.Name, p.Rate*factor, p.Burst*factor)
+		if p.CeilingRate > 0 {
+			fmt.Fprintf(&b, "ceiling_rate = %g\nceiling_burst = %g\n", p.CeilingRate, p.CeilingBurst)
+		}
+	}
+	for t := range tenants {
+		fmt.Fprintf(&b, "[[customer]]\nid = \"%016x\"\nplan = %q\n", uint64(t)+1<<40, site.Plans[t%len(site.Plans)].Name)
+	}
+	return b.String()
+}
+
+// usage is what each process has used so far.
+func (c *control) usage() (all []Usage, err error) {
+	for _, g := range c.world.Gateways {
+		u, bad := UsageOf(g.PID())
+		err = errors.Join(err, bad)
+		all = append(all, u)
+	}
+	return all, err
+}
+
+// close ends all processes, and keeps their logs where they are wanted.
+func (c *control) close() {
+	if c.world == nil {
+		return
+	}
+	if c.options.Logs != "" {
+		for i, g := range c.world.Gateways {
+			_ = os.WriteFile(filepath.Join(c.options.Logs, controlName(i)+".log"), []byte(g.Log()), 0o600)
+		}
+	}
+	c.world.Close()
+}
--- /dev/null
+++ b/internal/scale/hollow.go
@@ -0,0 +1,443 @@
+package scale
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"os"
+	"path/filepath"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mothcleat/budget"
+	"mothcleat/decide"
+	"mothcleat/internal/fleetnode"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/gateway"
+	"mothcleat/internal/registry"
+	"mothcleat/internal/rollout"
+	"mothcleat/lease"
+	"mothcleat/plans"
+	"mothcleat/versions"
+)
+
+// HollowConfig is what a process of hollow gateways is told, as one line of JSON.
+type HollowConfig struct {
+	Fleet              string           `json:"fleet"`
+	Voters             []*fleetpb.Voter `json:"voters"`
+	Owners             []string         `json:"owners"`
+	First              int              `json:"first"` // number of its first gateway
+	Count              int              `json:"count"`
+	Gateways           int              `json:"gateways"` // of the whole play
+	Dir                string           `json:"dir"`
+	Seed               uint64           `json:"seed"`
+	Tenants            int              `json:"tenants"`
+	RequestsPerGateway float64          `json:"requests_per_gateway"`
+	Shards             int              `json:"shards"`
+	Parts              Parts            `json:"parts"`
+	Path               Path             `json:"path"`
+}
+
+// Commands that a process of hollow gateways is given, each a line.
+const (
+	commandSample = "sample"
+	commandStop   = "stop"
+)
+
+// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans in force.
+type Arrival struct {
+	Gateway int    `json:"g"`
+	Server  string `json:"s,omitempty"`
+	Phase   string `json:"p,omitempty"`
+	Version uint64 `json:"v,omitempty"`
+	At      int64  `json:"at"` // Unix time in nanoseconds
+}
+
+// GatewayState is how a hollow gateway stands.
+type GatewayState struct {
+	Servers int    `json:"servers"`
+	Digest  uint64 `json:"digest"`
+	Current int64  `json:"current"` // when it first had a whole list, Unix time in nanoseconds; 0: not yet
+	Version uint64 `json:"version"` // of the plans that is in force
+	Acts    bool   `json:"acts"`    // it may act on them
+}
+
+// Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those since the sample before.
+type Sample struct {
+	At            int64            `json:"at"`
+	Usage         Usage            `json:"usage"`
+	HeapBytes     int64            `json:"heap_bytes"`
+	Roles         map[Role]Traffic `json:"roles"`
+	ConnectionIn  int64            `json:"connection_in"`
+	ConnectionOut int64            `json:"connection_out"`
+	Gateways      []GatewayState   `json:"gateways"`
+	Arrivals      []Arrival        `json:"arrivals"`
+	Requests      int64            `json:"requests"`
+	Granted       int64            `json:"granted"`
+	Fallbacks     int64            `json:"fallbacks"` // times that a gateway heard no list and would have watched the register itself
+}
+
+// hollowProcess is the gateways of one process.
+type hollowProcess struct {
+	config    HollowConfig
+	meter     *Meter
+	gateways  []*hollowGateway
+	requests  atomic.Int64
+	granted   atomic.Int64
+	fallbacks atomic.Int64
+
+	mu       sync.Mutex
+	arrivals []Arrival
+}
+
+// hollowGateway is one gateway without its request path.
+type hollowGateway struct {
+	process *hollowProcess
+	number  int
+	node    *fleetnode.Node
+	tenants []uint64
+
+	mu      sync.Mutex
+	servers map[string]uint64 // hashes, by id
+	digest  uint64
+	current int64
+	version uint64
+	book    *plans.Book
+}
+
+// RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The first line of its input is a
+// HollowConfig, each further one a command.
+func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
+	lines := bufio.NewReader(in)
+	first, err := lines.ReadBytes('\n')
+	if err != nil {
+		return fmt.Errorf("hollow gateways: no configuration: %w", err)
+	}
+	p := &hollowProcess{meter: NewMeter()}
+	if err := json.Unmarshal(first, &p.config); err != nil {
+		return fmt.Errorf("hollow gateways: %w", err)
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer p.close()
+	if err := p.start(ctx); err != nil {
+		return err
+	}
+	answers := json.NewEncoder(out)
+	for {
+		line, err := lines.ReadString('\n')
+		if err != nil || line == commandStop+"\n" {
+			return nil
+		}
+		sample, err := p.sample()
+		if err != nil {
+			return err
+		}
+		if err := answers.Encode(sample); err != nil {
+			return err
+		}
+	}
+}
+
+// start has all gateways take part.
+func (p *hollowProcess) start(ctx context.Context) error {
+	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(filepath.Join(p.config.Dir, fmt.Sprintf("hollow-%d.log", p.config.First)), os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	log := slog.New(slog.NewTextHandler(file, &slog.HandlerOptions{Level: slog.LevelWarn}))
+	for i := range p.config.Count {
+		g := &hollowGateway{process: p, number: p.config.First + i, servers: map[string]uint64{}}
+		if err := g.start(ctx, log); err != nil {
+			return err
+		}
+		p.gateways = append(p.gateways, g)
+	}
+	return nil
+}
+
+func (p *hollowProcess) close() {
+	var wg sync.WaitGroup
+	for _, g := range p.gateways {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			g.node.Stop()
+			g.node.Close()
+		}()
+	}
+	wg.Wait()
+}
+
+// arrived takes note of a change that has come to a gateway.
+func (p *hollowProcess) arrived(a Arrival) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.arrivals = append(p.arrivals, a)
+}
+
+func (p *hollowProcess) sample() (*Sample, error) {
+	usage, err := UsageOf(os.Getpid())
+	if err != nil {
+		return nil, err
+	}
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	s := &Sample{At: time.Now().UnixNano(), Usage: usage, HeapBytes: int64(memory.HeapAlloc), Roles: p.meter.Roles(),
+		Requests: p.requests.Load(), Granted: p.granted.Load(), Fallbacks: p.fallbacks.Load()}
+	s.ConnectionIn, s.ConnectionOut = p.meter.Connections()
+	for _, g := range p.gateways {
+		s.Gateways = append(s.Gateways, g.state())
+	}
+	p.mu.Lock()
+	s.Arrivals, p.arrivals = p.arrivals, nil
+	p.mu.Unlock()
+	return s, nil
+}
+
+// hollowName names a hollow gateway.
+func hollowName(number int) string { return fmt.Sprintf("h%d", number) }
+
+const (
+	leaseSpan   = time.Second
+	leaseOffer  = 500 * time.Millisecond
+	clockMargin = 0.125
+	usePeriod   = 5 * time.Second
+	silentAfter = time.Second
+)
+
+// start has the gateway take part in its fleet.
+func (g *hollowGateway) start(ctx context.Context, log *slog.Logger) error {
+	c := &g.process.config
+	address, err := freePort()
+	if err != nil {
+		return err
+	}
+	settings := fleetnode.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address, Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
+		Owners: c.Owners, Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin, Offer: leaseOffer}, Period: usePeriod, Silent: silentAfter,
+		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
+	if c.Parts.Metering {
+		settings.Shards = 1
+	}
+	if c.Parts.List {
+		settings.Direct = func() (registry.Source, error) {
+			g.process.fallbacks.Add(1)
+			return noRegister{}, nil
+		}
+	}
+	if c.Parts.Allocation {
+		r := budget.Defaults()
+		r.BeginFull, r.Margin = true, clockMargin
+		settings.Budgets, settings.BudgetShards = &r, c.Shards
+	}
+	if c.Parts.Configuration {
+		r := versions.Defaults()
+		r.Margin = clockMargin
+		r.Enrol = max(r.Enrol, 4*r.Span)
+		settings.Versions, settings.Items = &r, map[string]rollout.Item{planItem: g}
+	}
+	g.node = fleetnode.Start(settings)
+	if source := g.node.Register(); source != nil {
+		go source.Run(ctx, g.hear)
+	}
+	g.tenants = tenantsOf(g.number, c.Gateways, c.Tenants)
+	if c.Parts.Allocation || c.Parts.Metering {
+		if u := g.node.Rights(); u != nil {
+			u.Follow(g.lent)
+		}
+		go g.demand(ctx)
+	}
+	return nil
+}
+
+// freePort is an address of loopback that is free now. The node tries again if it is not free any more.
+func freePort() (string, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	return l.Addr().String(), l.Close()
+}
+
+// noRegister is a register that tells nothing. Hundreds of hollow gateways that ask the register themselves would measure the rig's
+// stand-in: that they would have asked is counted instead.
+type noRegister struct{}
+
+func (noRegister) Run(ctx context.Context, _ func(registry.News)) { <-ctx.Done() }
+func (noRegister) Follow()                                        {}
+func (noRegister) Move(string)                                    {}
+
+// hear takes in news of the servers.
+func (g *hollowGateway) hear(n registry.News) {
+	now := time.Now().UnixNano()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	was := g.current
+	if n.Kind == registry.Whole {
+		for _, hash := range g.servers {
+			g.digest -= hash
+		}
+		clear(g.servers)
+	}
+	for i := range n.Members {
+		m := &n.Members[i]
+		id := shortID(m.ID)
+		g.digest -= g.servers[id]
+		delete(g.servers, id)
+		if m.Phase != registry.Gone {
+			hash := serverHash(id, m.Phase, m.HostPort)
+			g.servers[id] = hash
+			g.digest += hash
+		}
+		if was != 0 && n.Kind == registry.Changed {
+			g.process.arrived(Arrival{Gateway: g.number, Server: id, Phase: m.Phase, At: now})
+		}
+	}
+	if g.current == 0 && n.Kind != registry.Unheard {
+		g.current = now
+	}
+}
+
+const planItem = "plans"
+
+// Check tells why a version of the plans can't be acted on; see rollout.Item.
+func (g *hollowGateway) Check(raw []byte) error {
+	_, err := plans.Parse(raw)
+	return err
+}
+
+// Use puts a version in force at once; see rollout.Item. Like a real gateway it reads the plans again, and keeps them.
+func (g *hollowGateway) Use(raw []byte, _ [][]byte, order uint64, done func()) {
+	var book *plans.Book
+	if raw != nil {
+		var err error
+		if book, err = plans.Parse(raw); err != nil {
+			return
+		}
+	}
+	done()
+	number := order / 2
+	g.mu.Lock()
+	new := number > g.version
+	g.book, g.version = book, number
+	g.mu.Unlock()
+	if new {
+		g.process.arrived(Arrival{Gateway: g.number, Version: number, At: time.Now().UnixNano()})
+	}
+}
+
+func (g *hollowGateway) state() GatewayState {
+	acts := true
+	if a := g.node.Permit(); a != nil {
+		until, _ := a.Acts()
+		acts = until > 0
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return GatewayState{Servers: len(g.servers), Digest: g.digest, Current: g.current, Version: g.version, Acts: acts}
+}
+
+// A tenant comes through two to four gateways.
+const (
+	tenantSpreadLeast = 2
+	tenantSpreadVary  = 3
+)
+
+// tenantsOf are the tenants that come through a gateway.
+func tenantsOf(number, gateways, tenants int) (own []uint64) {
+	for t := range tenants {
+		mixed := mix(uint64(t))
+		distance := (number - int(mixed%uint64(gateways)) + gateways) % gateways
+		if distance < tenantSpread(uint64(t)) {
+			own = append(own, uint64(t))
+		}
+	}
+	return own
+}
+
+func tenantSpread(tenant uint64) int {
+	return tenantSpreadLeast + int(mix(tenant)>>40%tenantSpreadVary)
+}
+
+// mix spreads numbers evenly.
+func mix(x uint64) uint64 {
+	x *= 0x9E3779B97F4A7C15
+	return x ^ x>>29
+}
+
+// tenantBudget is a tenant's quota: from 1 to 11 units a second, and 8 to 38 units that lie stored.
+func tenantBudget(tenant uint64) decide.Budget {
+	part := float64(mix(tenant)>>20%1000) / 1000
+	return decide.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part, Spread: tenantSpread(tenant)}
+}
+
+const demandEvery = 50 * time.Millisecond
+
+// demand asks for units as a gateway's requests do.
+func (g *hollowGateway) demand(ctx context.Context) {
+	if len(g.tenants) == 0 {
+		return
+	}
+	r := rand.New(rand.NewPCG(g.process.config.Seed, uint64(g.number)))
+	tick := time.NewTicker(demandEvery)
+	defer tick.Stop()
+	owed, request := r.Float64(), uint64(0)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		owed += g.process.config.RequestsPerGateway * demandEvery.Seconds()
+		for ; owed >= 1; owed-- {
+			request++
+			g.request(request, g.tenants[r.IntN(len(g.tenants))])
+		}
+	}
+}
+
+// request is one request of one unit.
+func (g *hollowGateway) request(id, tenant uint64) {
+	g.process.requests.Add(1)
+	rights := g.node.Rights()
+	if rights == nil {
+		g.node.Count(tenant, 1)
+		g.node.Sent(true, 1)
+		return
+	}
+	b := tenantBudget(tenant)
+	rights.Ask(0, &b, 1)
+	switch {
+	case rights.Level(0, &b) >= 1:
+		rights.Take(0, id, &b, 1)
+		g.serve(tenant)
+	case !rights.Borrow(id, &b, 1):
+		g.node.Refused(false)
+	}
+}
+
+// lent is the answer to an asking for units.
+func (g *hollowGateway) lent(l gateway.Loan) {
+	if l.Units < 1 {
+		g.node.Refused(false)
+		return
+	}
+	g.serve(l.Budget.ID - 1)
+}
+
+// serve counts a request that a real gateway would have sent on.
+func (g *hollowGateway) serve(tenant uint64) {
+	g.process.granted.Add(1)
+	g.node.Count(tenant, 1)
+	g.node.Sent(true, 1)
+}
--- /dev/null
+++ b/internal/scale/meter.go
@@ -0,0 +1,198 @@
+package scale
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+
+	"google.golang.org/grpc/stats"
+
+	"mothcleat/agree"
+	"mothcleat/budget"
+	"mothcleat/exports"
+	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/lease"
+	"mothcleat/roster"
+	"mothcleat/standing"
+	"mothcleat/versions"
+)
+
+// Traffic is what passed between a gateway and others: In to the gateway, Out from it.
+type Traffic struct {
+	MessagesIn  int64 `json:"messages_in"`
+	MessagesOut int64 `json:"messages_out"`
+	BytesIn     int64 `json:"bytes_in"`
+	BytesOut    int64 `json:"bytes_out"`
+}
+
+// Plus is the sum of two.
+func (t Traffic) Plus(o Traffic) Traffic {
+	return Traffic{t.MessagesIn + o.MessagesIn, t.MessagesOut + o.MessagesOut, t.BytesIn + o.BytesIn, t.BytesOut + o.BytesOut}
+}
+
+// Minus is the difference of two.
+func (t Traffic) Minus(o Traffic) Traffic {
+	return Traffic{t.MessagesIn - o.MessagesIn, t.MessagesOut - o.MessagesOut, t.BytesIn - o.BytesIn, t.BytesOut - o.BytesOut}
+}
+
+// Messages and Bytes are both directions together.
+func (t Traffic) Messages() int64 { return t.MessagesIn + t.MessagesOut }
+
+// Bytes are both directions together.
+func (t Traffic) Bytes() int64 { return t.BytesIn + t.BytesOut }
+
+// Meter counts messages and their bytes by role, and the bytes of whole connections. It may be used concurrently.
+type Meter struct {
+	mu    sync.Mutex
+	roles map[Role]Traffic
+
+	connectionIn, connectionOut atomic.Int64
+}
+
+// NewMeter makes a meter that has counted nothing.
+func NewMeter() *Meter { return &Meter{roles: map[Role]Traffic{}} }
+
+// Observer is what a process of the fleet is given to be counted.
+func (m *Meter) Observer() *fleetlink.Observer {
+	return &fleetlink.Observer{Stats: m, Wrap: m.wrap}
+}
+
+// Roles is what was counted so far: messages by their own bytes.
+func (m *Meter) Roles() map[Role]Traffic {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	all := map[Role]Traffic{}
+	for role, t := range m.roles {
+		all[role] = t
+	}
+	return all
+}
+
+// Connections is how many bytes all connections carried, with headers and everything else that is no message.
+func (m *Meter) Connections() (in, out int64) { return m.connectionIn.Load(), m.connectionOut.Load() }
+
+// call is one call under way.
+type call struct {
+	method string
+	role   atomic.Pointer[Role]
+}
+
+type callKey struct{}
+
+// TagRPC has a call carry its method.
+func (m *Meter) TagRPC(ctx context.Context, info *stats.RPCTagInfo) context.Context {
+	return context.WithValue(ctx, callKey{}, &call{method: info.FullMethodName})
+}
+
+// TagConn and HandleConn do nothing: connections are counted by their bytes.
+func (m *Meter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+
+// HandleConn does nothing.
+func (m *Meter) HandleConn(context.Context, stats.ConnStats) {}
+
+// HandleRPC counts a message.
+func (m *Meter) HandleRPC(ctx context.Context, event stats.RPCStats) {
+	c, ok := ctx.Value(callKey{}).(*call)
+	if !ok {
+		return
+	}
+	switch e := event.(type) {
+	case *stats.InPayload:
+		m.count(c.roleOf(e.Payload), Traffic{MessagesIn: 1, BytesIn: int64(e.WireLength)})
+	case *stats.OutPayload:
+		m.count(c.roleOf(e.Payload), Traffic{MessagesOut: 1, BytesOut: int64(e.WireLength)})
+	}
+}
+
+func (m *Meter) count(role Role, t Traffic) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.roles[role] = m.roles[role].Plus(t)
+}
+
+// roleOf is the role that a call belongs to, told by its method and what it asks for.
+func (c *call) roleOf(message any) Role {
+	if known := c.role.Load(); known != nil {
+		return *known
+	}
+	role := roleOfMethod(c.method)
+	switch m := message.(type) {
+	case *fleetpb.Query:
+		role = roleOfMachine(m.Machine, nil)
+	case *fleetpb.Command:
+		role = roleOfMachine(m.Machine, m.Body)
+	case *fleetpb.WatchAsk:
+		role = roleOfMachine(m.Machine, nil)
+	}
+	c.role.Store(&role)
+	return role
+}
+
+const (
+	serviceFleet        = "/mothcleat.fleet.Fleet/"
+	serviceDistribution = "/mothcleat.distribution.Distribution/"
+)
+
+// roleOfMethod is the role of a method that serves one only.
+func roleOfMethod(method string) Role {
+	switch method {
+	case serviceFleet + "Renew", serviceFleet + "Borrow":
+		return RoleAllocation
+	case serviceFleet + "Content", serviceFleet + "Keep":
+		return RoleConfiguration
+	case serviceFleet + "Collect":
+		return RoleMetering
+	case serviceFleet + "Pass", serviceFleet + "Prove":
+		return RoleElection
+	case serviceDistribution + "Watch":
+		return RoleList
+	}
+	return RoleOther
+}
+
+var auditOperation = []byte(`"do":"head"`)
+
+// roleOfMachine is the role of a part of the agreed state.
+func roleOfMachine(machine string, body []byte) Role {
+	switch machine {
+	case roster.MachineName:
+		return RoleList
+	case versions.MachineName:
+		if bytes.Contains(body, auditOperation) {
+			return RoleAudit
+		}
+		return RoleConfiguration
+	case budget.MachineName:
+		return RoleAllocation
+	case exports.MachineName, standing.MachineName:
+		return RoleMetering
+	case lease.MachineName:
+		return RoleElection
+	case agree.FleetName, "": // who belongs to the fleet, and a session that says that it lives
+		return RoleMembership
+	}
+	return RoleOther
+}
+
+// wrap counts a connection's bytes.
+func (m *Meter) wrap(conn net.Conn) net.Conn { return &countedConn{Conn: conn, meter: m} }
+
+type countedConn struct {
+	net.Conn
+	meter *Meter
+}
+
+func (c *countedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.meter.connectionIn.Add(int64(n))
+	return n, err
+}
+
+func (c *countedConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.meter.connectionOut.Add(int64(n))
+	return n, err
+}
--- /dev/null
+++ b/internal/scale/real.go
@@ -0,0 +1,81 @@
+package scale
+
+import (
+	"context"
+	"io"
+	"math"
+	"os"
+	"path/filepath"
+	"time"
+
+	"mothcleat/internal/lab"
+	"mothcleat/internal/trial"
+)
+
+// realGateways are a few gateways of the program that serve requests beside the hollow ones, between stand-ins of their own.
+type realGateways struct {
+	world *lab.World
+}
+
+const (
+	realLoad    = 0.5 // of what the stand-in servers can do
+	realServers = 15  // of the probe that tells how many are needed
+)
+
+// startReal starts them in the fleet that the control processes are.
+func startReal(ctx context.Context, o *Options, c *control, log io.Writer) (*realGateways, error) {
+	wanted := o.RequestsPerGateway * float64(o.RealGateways)
+	probe := trial.NewSite(o.Seed, o.RealGateways, realServers, realLoad)
+	servers := max(realServers, int(math.Ceil(realServers*wanted/probe.PerSecond)))
+	load := realLoad * wanted / trial.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
+	prepare := func(w *lab.World, g *lab.Gateway) error {
+		own, err := w.Address(100 + g.Number)
+		if err != nil {
+			return err
+		}
+		return os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(own, false)), 0o600)
+	}
+	w, err := lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.RealGateways, Servers: servers, Load: load, Bin: o.Bin, Log: log, Names: realNames,
+		Operators: "#\n", Prepare: prepare})
+	if err != nil {
+		return nil, err
+	}
+	return &realGateways{world: w}, nil
+}
+
+// Added is what real gateways added to the time of a request: from its last byte at the client's socket until its answer was read
+// there, less the time from its first byte at the stand-in server until the answer was written there. Requests that took more than
+// one attempt are left out.
+type Added struct {
+	Requests          int     `json:"requests"`
+	RequestsPerSecond float64 `json:"requests_per_second"` // of one gateway
+	P50Milliseconds   float64 `json:"p50_ms"`
+	P99Milliseconds   float64 `json:"p99_ms"`
+}
+
+// added works it out from the world's record, of what was sent within a stretch of time.
+func (r *realGateways) added(from, to time.Duration) Added {
+	attempts := map[string][]trial.Attempt{}
+	for _, a := range r.world.Record.Attempts {
+		attempts[a.ID] = append(attempts[a.ID], a)
+	}
+	var all []time.Duration
+	for _, t := range r.world.Record.Tries {
+		one := attempts[t.ID]
+		if t.Kind != trial.Served || len(one) != 1 || one[0].Replied == 0 || t.Sent < from || t.Sent >= to {
+			continue
+		}
+		all = append(all, (t.Answered-t.Sent)-(one[0].Replied-one[0].First))
+	}
+	return Added{Requests: len(all), RequestsPerSecond: float64(len(all)) / (to - from).Seconds() / float64(len(r.world.Gateways)),
+		P50Milliseconds: trial.Quantile(all, 0.5), P99Milliseconds: trial.Quantile(all, 0.99)}
+}
+
+func (r *realGateways) close(logs string) {
+	if logs != "" {
+		for _, g := range r.world.Gateways {
+			_ = os.WriteFile(filepath.Join(logs, filepath.Base(g.Dir())+".real.log"), []byte(g.Log()), 0o600)
+		}
+	}
+	r.world.Close()
+}
--- /dev/null
+++ b/internal/scale/result.go
@@ -0,0 +1,94 @@
+package scale
+
+import (
+	"encoding/json"
+	"runtime"
+	"time"
+)
+
+// Row is what one role carried to and from one gateway, per second.
+type Row struct {
+	MessagesPerSecond float64 `json:"messages_per_second"`
+	BytesInPerSecond  float64 `json:"bytes_in_per_second"`
+	BytesOutPerSecond float64 `json:"bytes_out_per_second"`
+}
+
+// Process is what one control process used.
+type Process struct {
+	Name                  string  `json:"name"`
+	Leads                 bool    `json:"leads"`
+	Duties                int     `json:"duties"`
+	Cores                 float64 `json:"cores"` // processor time a second
+	ResidentMB            float64 `json:"resident_mb"`
+	PeakMB                float64 `json:"peak_mb"`
+	ReadBytesPerSecond    float64 `json:"read_bytes_per_second"` // connections and files
+	WrittenBytesPerSecond float64 `json:"written_bytes_per_second"`
+}
+
+// Gateway is what one hollow gateway used at the mean: its process's, divided by how many are in it.
+type Gateway struct {
+	Cores              float64 `json:"cores"`
+	ResidentMB         float64 `json:"resident_mb"`
+	HeapMB             float64 `json:"heap_mb"`
+	BytesInPerSecond   float64 `json:"bytes_in_per_second"` // whole connections
+	BytesOutPerSecond  float64 `json:"bytes_out_per_second"`
+	MessagesPerSecond  float64 `json:"messages_per_second"`
+	RequestsPerSecond  float64 `json:"requests_per_second"`
+	GrantedOfRequests  float64 `json:"granted_of_requests"`
+	FallbacksPerMinute float64 `json:"fallbacks_per_minute"` // it heard no list, and would have asked the register itself
+}
+
+// Delays are times from a change until gateways had it.
+type Delays struct {
+	Count int     `json:"count"` // gateways times changes
+	P50   float64 `json:"p50_ms"`
+	P99   float64 `json:"p99_ms"`
+	Most  float64 `json:"most_ms"`
+}
+
+// Result is what a play came to.
+type Result struct {
+	Command            string       `json:"command"`
+	Date               string       `json:"date"`
+	MachineCores       int          `json:"machine_cores"`
+	Options            Options      `json:"options"`
+	Seconds            float64      `json:"seconds"` // that were measured
+	Processes          int          `json:"hollow_processes"`
+	HerdMilliseconds   float64      `json:"herd_ms"` // from the start of all gateways at once until all were current; -1: they were not within the time
+	ServerChanges      int          `json:"server_changes"`
+	PlanVersions       int          `json:"plan_versions"`
+	InForce            Delays       `json:"in_force"` // of servers' changes
+	Draining           Delays       `json:"draining"` // of those, drains
+	Rack               Delays       `json:"rack"`
+	PlansInForce       Delays       `json:"plans_in_force"`
+	Diverged           int          `json:"diverged"`              // gateways whose list was not the register's in the end
+	LostChanges        int          `json:"lost_changes"`          // gateways times changes that never came, nor anything newer
+	LostVersions       int          `json:"lost_versions"`         // gateways times versions that were not in force in the end
+	ListChanges        int          `json:"list_changes"`          // a rack's servers that go at once are one
+	BytesPerListChange float64      `json:"bytes_per_list_change"` // of the list's role, to and from one gateway
+	StaleOperations    int          `json:"stale_operations"`      // updates under a state whose digest is not the agreed one; -1: the path compares none
+	GatewaysNotActing  int          `json:"gateways_not_acting"`   // had no permit at the end
+	ProposalsRefused   int          `json:"proposals_refused"`     // of versions
+	Roles              map[Role]Row `json:"roles"`                 // of one gateway
+	ConnectionOverhead float64      `json:"connection_overhead"`   // bytes of whole connections by those of messages
+	Gateway            Gateway      `json:"gateway"`
+	ControlProcesses   []Process    `json:"control_processes"`
+	ControlCores       float64      `json:"control_cores"` // of all control processes
+	Added              *Added       `json:"added_latency,omitempty"`
+	Notes              []string     `json:"notes,omitempty"`
+}
+
+// Line is the result as one line of JSON.
+func (r *Result) Line() string {
+	raw, err := json.Marshal(r)
+	if err != nil {
+		panic(err) // plain data
+	}
+	return string(raw)
+}
+
+// newResult begins a result.
+func newResult(o Options) *Result {
+	return &Result{Command: "scale", Date: time.Now().UTC().Format(time.DateOnly), MachineCores: runtime.NumCPU(), Options: o, Roles: map[Role]Row{},
+		StaleOperations: -1}
+}
--- a/internal/trial/record.go
+++ b/internal/trial/record.go
@@ -67,6 +67,7 @@
 	Ran     bool          // its work was begun
 	Effect  bool          // and it was no repeat that the server dropped
 	Turned  bool          // it was turned away unseen
+	Replied time.Duration // its answer was about to be written; 0: there was none
 }
 
 // Told is the register's word about a server, as written to a gateway.
@@ -147,6 +148,11 @@
 	r.add(func() { r.Attempts[n].Ran, r.Attempts[n].Effect = true, effect })
 }
 
+// Replied takes note that an attempt's answer is written.
+func (r *Record) Replied(n int) {
+	r.add(func() { r.Attempts[n].Replied = r.Now() })
+}
+
 // Turned takes note that an attempt was turned away unseen.
 func (r *Record) Turned(n int) { r.add(func() { r.Attempts[n].Turned = true }) }
 
