--- /dev/null
+++ b/internal/distributiontest/content_test.go
@@ -0,0 +1,153 @@
+package distributiontest
+
+import (
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"mothcleat/internal/distributor"
+	"mothcleat/internal/links"
+	"mothcleat/internal/rig"
+	"mothcleat/internal/rig/rigtest"
+)
+
+// smallLog has voters keep a few changes for replicas, and few entries behind a snapshot.
+const (
+	smallLog        = "change_log = 16\nkeep = 64"
+	smallLogChanges = 16
+)
+
+// Replicas that were away for longer than the voters keep changes, deltas and files that are damaged, and a slow reader:
+// each gets what differs, and nothing wrong comes into force. The cases follow one another on one cluster under traffic.
+func TestReplicasThatHaveToBeRepaired(t *testing.T) {
+	c := start(t, 5, smallLog)
+	c.addExtra(0, 200, "sala-1")
+	c.settled()
+	stop := c.traffic()
+	for _, one := range []struct {
+		name string
+		play func(*cluster)
+	}{
+		{"log compacted past a stopped replica", compactedPastAReplica},
+		{"damaged deltas", damagedDeltas},
+		{"damaged file", damagedFile},
+		{"a reader at 1 KB/s", slowReader},
+	} {
+		began := time.Now()
+		one.play(c)
+		t.Logf("%s: %v", one.name, time.Since(began).Round(time.Millisecond))
+	}
+	stop()
+	c.judge()
+}
+
+// counts are what a gateway's replica has taken in since its process began.
+func (c *cluster) counts(i int) distributor.ReplicaStatus {
+	c.t.Helper()
+	r, err := c.replica(i)
+	rigtest.Check(c.t, err)
+	return r
+}
+
+// revision is the rig's own replica's.
+func (c *cluster) revision() uint64 { return c.observer.newest().Position().Revision }
+
+// compactedPastAReplica has more changes than the voters keep while a replica is down: it fetches the buckets that differ,
+// and no others.
+func compactedPastAReplica(c *cluster) {
+	gateway := voters
+	rigtest.Check(c.t, c.End(gateway, syscall.SIGTERM))
+	before := c.revision()
+	changed := 0
+	for ; c.revision() < before+2*smallLogChanges; changed++ {
+		c.addExtra(changed, changed+1, "sala-2")
+		c.settled(gateway) // each change is a revision of its own
+	}
+	server := c.drainOne()
+	c.settled(gateway)
+	c.inForce(server, gateway)
+	rigtest.Check(c.t, c.Begin(gateway))
+	c.settled()
+	r := c.counts(gateway)
+	if r.Counts.Repairs != 1 || r.Counts.Buckets == 0 || r.Counts.Buckets > uint64(changed)+1 {
+		c.t.Errorf("after %d changes: %+v", changed, r)
+	}
+}
+
+// damagedDeltas has the voters send deltas whose content is not what their digest says.
+func damagedDeltas(c *cluster) {
+	damaged := make([]int, voters)
+	refused := make([]int, len(c.Gateways))
+	for i := range voters {
+		damaged[i] = c.logged(i, faultDamaged)
+		c.ask(i, damageDeltas, true)
+	}
+	for i := range c.Gateways {
+		refused[i] = c.logged(i, "the content comes to digest")
+	}
+	server := c.drainOne()
+	c.settled() // by the buckets that differ
+	c.inForce(server)
+	sent := 0
+	for i := range voters {
+		sent += c.logged(i, faultDamaged) - damaged[i]
+		c.ask(i, damageDeltas, false)
+	}
+	got := 0
+	for i := range c.Gateways {
+		got += c.logged(i, "the content comes to digest") - refused[i]
+	}
+	if sent < len(c.Gateways) || got < len(c.Gateways) {
+		c.t.Errorf("%d damaged deltas were sent, %d were refused, of %d gateways", sent, got, len(c.Gateways))
+	}
+	server = c.drainOne()
+	c.settled()
+	c.inForce(server)
+}
+
+// faultDamaged is what a process logs for each delta that it damages.
+const faultDamaged = "fault: damaged delta"
+
+// damagedFile changes a byte in the file that a replica starts from.
+func damagedFile(c *cluster) {
+	gateway := voters
+	rigtest.Check(c.t, c.End(gateway, syscall.SIGTERM))
+	raw, err := os.ReadFile(c.stateFile(gateway))
+	rigtest.Check(c.t, err)
+	raw[len(raw)/2] ^= 1
+	rigtest.Check(c.t, os.WriteFile(c.stateFile(gateway), raw, 0o600))
+	server := c.drainOne()
+	rigtest.Check(c.t, c.Begin(gateway))
+	c.settled()
+	c.inForce(server)
+	c.logs(gateway, c.stateFileLine(), 0)
+	if r := c.counts(gateway); r.Counts.Repairs == 0 {
+		c.t.Errorf("the state was not taken anew: %+v", r)
+	}
+}
+
+// stateFileLine is what is logged of a file that is refused, up to its name.
+func (c *cluster) stateFileLine() string {
+	return "the control state on disk is refused, and taken anew\" gateway=" + rig.Name(voters) + " error=\"fleet/distribution/state: "
+}
+
+// slowReader has one gateway get 1 KB/s from each voter amid many changes. The others get all of them before it does.
+func slowReader(c *cluster) {
+	gateway := voters
+	for v := range voters {
+		c.Links[gateway][v].Set(links.Back, links.Weather{Bytes: 1 << 10})
+	}
+	c.addExtra(0, 200, "sala-3")
+	c.addExtra(0, 100, "sala-4")
+	server := c.drainOne()
+	c.settled(gateway)
+	c.inForce(server, gateway)
+	if r := c.counts(gateway); r.Position.Digest == c.observer.newest().Digest().String() {
+		c.t.Errorf("%s was not slower than the others", rig.Name(gateway))
+	}
+	for v := range voters {
+		c.Links[gateway][v].Set(links.Back, links.Weather{})
+	}
+	c.settled()
+}
--- a/internal/distributor/fault.go
+++ b/internal/distributor/fault.go
@@ -1,6 +1,9 @@
 package distributor
 
 import (
+	"fmt"
+	"os"
+
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/distribution"
@@ -24,6 +27,7 @@
 	if !faultpoint.Denied(faultDamageDelta) {
 		return message.Bytes
 	}
+	fmt.Fprintln(os.Stderr, "fault: damaged delta")
 	return damaged(message.Response)
 }
 
