--- /dev/null
+++ b/internal/distributor/distributor_test.go
@@ -0,0 +1,160 @@
+package distributor
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/lease"
+)
+
+const fleet = "test"
+
+var (
+	quiet  = slog.New(slog.NewTextHandler(io.Discard, nil))
+	source = lease.Member{ID: "source", Boot: 1}
+)
+
+// openFence lets everybody through.
+type openFence struct{}
+
+func (openFence) Fence(string, uint64, lease.Member) error { return nil }
+
+// testServer is a server with a machine that a test writes to.
+type testServer struct {
+	*Server
+	t       *testing.T
+	machine *distribution.Machine
+	address string
+	term    uint64
+}
+
+func newTestServer(t *testing.T, change func(*distribution.PublisherSettings)) *testServer {
+	t.Helper()
+	settings := NewPublisherSettings(fleet, DefaultSilent, 0)
+	if change != nil {
+		change(&settings)
+	}
+	s := &testServer{Server: NewServer(settings, quiet), t: t, machine: distribution.NewMachine(openFence{})}
+	s.Attach(s.machine)
+	ctx, cancel := context.WithCancel(context.Background())
+	link := fleetlink.NewServer(ctx, fleet, nil, nil)
+	link.Register(s.Server.Register)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.address = listener.Addr().String()
+	var running sync.WaitGroup
+	running.Go(func() { s.Run(ctx) })
+	running.Go(func() { _ = link.Serve(listener) })
+	t.Cleanup(func() {
+		cancel()
+		link.Stop()
+		running.Wait()
+	})
+	return s
+}
+
+// agree has the machine take a command.
+func (s *testServer) agree(changes ...*distributionpb.Change) {
+	s.t.Helper()
+	command := &distributionpb.Command{Term: 1, Epoch: 1, Whole: s.term == 0, Changes: changes}
+	s.term = 1
+	raw, err := proto.Marshal(command)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	if refusal := s.machine.Apply(0, 0, source, raw); len(refusal) > 0 {
+		s.t.Fatal(string(refusal))
+	}
+}
+
+func set(id, address string) *distributionpb.Change {
+	value, err := proto.Marshal(&distributionpb.ServerRecord{Address: address, Phase: distributionpb.Phase_PHASE_READY})
+	if err != nil {
+		panic(err)
+	}
+	return &distributionpb.Change{Kind: distribution.KindServer, Id: id, Value: value}
+}
+
+// testReplica is a client with what it was told.
+type testReplica struct {
+	*Client
+	t    *testing.T
+	stop func() // ends it, and returns when its state is written
+
+	mu      sync.Mutex
+	state   *distribution.State
+	changes int
+}
+
+func (r *testReplica) Applied(changes []distribution.Change, state *distribution.State) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.state = state
+	r.changes += len(changes)
+}
+
+func (r *testReplica) Heard(time.Duration, bool) {}
+
+func (r *testReplica) seen() (state *distribution.State, changes int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.state, r.changes
+}
+
+// newReplica starts a replica of servers, named by their place in the list.
+func newReplica(t *testing.T, id, file string, log *slog.Logger, servers ...*testServer) *testReplica {
+	t.Helper()
+	var voters []*fleetpb.Voter
+	for i, s := range servers {
+		voters = append(voters, &fleetpb.Voter{Name: string(rune('a' + i)), Address: s.address})
+	}
+	me := lease.Member{ID: id, Boot: 1}
+	link := fleetlink.NewClient(fleet, me, "", voters, nil, log)
+	settings := NewReplicaSettings(fleet, id, me.Boot, distribution.Place{}, DefaultSilent)
+	r := &testReplica{Client: NewClient(ClientOptions{Link: link, Settings: settings, File: file, Log: log}), t: t}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		r.Run(ctx, r)
+	}()
+	r.stop = sync.OnceFunc(func() {
+		cancel()
+		<-ended
+		link.Close()
+	})
+	t.Cleanup(r.stop)
+	return r
+}
+
+// reaches waits until the replica has what a server has.
+func (r *testReplica) reaches(s *testServer) {
+	r.t.Helper()
+	want := s.machine.State().Position()
+	eventually(r.t, func() bool {
+		state, _ := r.seen()
+		return state != nil && state.Position() == want
+	})
+}
+
+func eventually(t *testing.T, is func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(30 * time.Second); !is(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("not in time")
+		}
+	}
+}
