--- a/cmd/mothcleat/fleet_test.go
+++ b/cmd/mothcleat/fleet_test.go
@@ -58,5 +58,14 @@
 			t.Errorf("%v, no %q in %q", err, want, shown.String())
 		}
 	}
+	shown.Reset()
+	err = showDistribution([]byte(`{"gateway":"n1","server":{"position":{"epoch":3,"revision":41,"digest":"00ff00ff00ff00ff00ff"},"replicas":12,"lag":2},
+		"replica":{"position":{"epoch":3,"revision":40,"digest":"11ee"},"records":7,"server":"n2","live":true,"source_age":300000000,"received_bytes":5000}}`), &shown)
+	for _, want := range []string{"n1\treplica\t3\t40\t11ee", "current, from n2; the register was heard 0.3s ago", "n1\tvoter\t3\t41\t00ff00ff00ff00ff", "12 replicas, the last 2", "7 records, 5000 bytes"} {
+		if err != nil || !strings.Contains(shown.String(), want) {
+			t.Errorf("%v, no %q in %q", err, want, shown.String())
+		}
+	}
+	run(1, "connection refused", "fleet", "distribution", "--door", "127.0.0.1:1")
 	run(2, "unknown flag", "fleet", "status", "--dor", "x")
 }
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -81,6 +81,7 @@
 	c.AddCommand(versionCommands(asking("versions", "what the fleet acts on, stage by stage, and who is behind", 0, showVersions), &address, &plain, out)...)
 	c.AddCommand(budgets,
 		asking("rights", "what the gateway at the door may use of the quotas, and what it divides", 0, nil),
+		asking("distribution", "how far the gateway at the door has the list of servers, and those that it serves", 0, showDistribution),
 		asking("here", "what the gateway at the door knows of itself", 0, nil),
 		asking("status", "voters, and processes with a session", 0, showStatus),
 		asking("owners", "the duties and who holds them", 0, showOwners),
