--- a/internal/distributor/attempt.go
+++ b/internal/distributor/attempt.go
@@ -26,6 +26,8 @@
 	cancel   context.CancelFunc
 	requests chan *distributionpb.WatchRequest
 	events   chan<- attemptEvent
+
+	announced distribution.Position // by the last heartbeat; of the client's goroutine
 }
 
 // connect begins to open a stream.
--- a/internal/distributor/client.go
+++ b/internal/distributor/client.go
@@ -19,7 +19,7 @@
 	// Applied tells that changes are in force, and the state with them, which is never changed.
 	Applied(changes []distribution.Change, state *distribution.State)
 	// Heard tells how long ago the server that is watched heard of the source, and whether the replica has all that
-	// this server has.
+	// this server had by the heartbeat before.
 	Heard(sourceAge time.Duration, current bool)
 }
 
@@ -188,10 +188,26 @@
 func (c *Client) received(attempt uint64, response *distributionpb.WatchResponse) {
 	now := c.clock.now()
 	c.replica.Received(now, attempt, response)
-	if response.GetHeartbeat() == nil {
+	heartbeat := response.GetHeartbeat()
+	if heartbeat == nil || c.attempt == nil || c.attempt.number != attempt {
 		return
 	}
+	position, err := distribution.PositionFromProto(heartbeat.Position)
+	if err != nil {
+		return // the replica has reported it
+	}
 	if age, ok := c.replica.SourceAge(now); ok {
-		c.observer.Heard(age, c.replica.Live())
+		c.observer.Heard(age, c.current(position))
+	}
+	c.attempt.announced = position
+}
+
+// current tells whether the replica has all that its server has, but for what is newer than the heartbeat before: amid
+// changes a heartbeat may come ahead of the delta that leads to its position.
+func (c *Client) current(position distribution.Position) bool {
+	mine, announced := c.replica.Position(), c.attempt.announced
+	if !c.replica.Live() || mine.Epoch == 0 {
+		return false
 	}
+	return mine == position || announced.Epoch > 0 && mine.Compare(announced) >= 0
 }
--- a/internal/distributor/distributor_test.go
+++ b/internal/distributor/distributor_test.go
@@ -36,7 +36,10 @@
 	t       *testing.T
 	machine *distribution.Machine
 	address string
-	term    uint64
+
+	mu      sync.Mutex // of the machine
+	begun   bool
+	silence bool // the source says nothing by itself
 }
 
 func newTestServer(t *testing.T, change func(*distribution.PublisherSettings)) *testServer {
@@ -69,8 +72,10 @@
 // agree has the machine take a command.
 func (s *testServer) agree(changes ...*distributionpb.Change) {
 	s.t.Helper()
-	command := &distributionpb.Command{Term: 1, Epoch: 1, Whole: s.term == 0, Changes: changes}
-	s.term = 1
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	command := &distributionpb.Command{Term: 1, Epoch: 1, Whole: !s.begun, Changes: changes}
+	s.begun = true
 	raw, err := proto.Marshal(command)
 	if err != nil {
 		s.t.Fatal(err)
@@ -80,6 +85,43 @@
 	}
 }
 
+// position is where the machine is.
+func (s *testServer) position() distribution.Position {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.machine.State().Position()
+}
+
+// beat has the source say that it lives until the test ends, but for times of silence.
+func (s *testServer) beat() {
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() {
+		for ctx.Err() == nil {
+			s.mu.Lock()
+			silence := s.silence
+			s.mu.Unlock()
+			if !silence {
+				s.agree()
+			}
+			select {
+			case <-ctx.Done():
+			case <-time.After(20 * time.Millisecond):
+			}
+		}
+	})
+	s.t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+}
+
+func (s *testServer) beSilent(yes bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.silence = yes
+}
+
 func set(id, address string) *distributionpb.Change {
 	value, err := proto.Marshal(&distributionpb.ServerRecord{Address: address, Phase: distributionpb.Phase_PHASE_READY})
 	if err != nil {
@@ -114,17 +156,24 @@
 	return r.state, r.changes
 }
 
-// newReplica starts a replica of servers, named by their place in the list.
-func newReplica(t *testing.T, id, file string, log *slog.Logger, servers ...*testServer) *testReplica {
-	t.Helper()
+// clientOptions are of a replica of servers, named by their place in the list.
+func clientOptions(id, file string, silent time.Duration, log *slog.Logger, servers ...*testServer) ClientOptions {
 	var voters []*fleetpb.Voter
 	for i, s := range servers {
 		voters = append(voters, &fleetpb.Voter{Name: string(rune('a' + i)), Address: s.address})
 	}
 	me := lease.Member{ID: id, Boot: 1}
-	link := fleetlink.NewClient(fleet, me, "", voters, nil, log)
-	settings := NewReplicaSettings(fleet, id, me.Boot, distribution.Place{}, DefaultSilent)
-	r := &testReplica{Client: NewClient(ClientOptions{Link: link, Settings: settings, File: file, Log: log}), t: t}
+	return ClientOptions{
+		Link:     fleetlink.NewClient(fleet, me, "", voters, nil, log),
+		Settings: NewReplicaSettings(fleet, id, me.Boot, distribution.Place{}, silent), File: file, Log: log,
+	}
+}
+
+// newReplica starts a replica of servers.
+func newReplica(t *testing.T, id, file string, log *slog.Logger, servers ...*testServer) *testReplica {
+	t.Helper()
+	o := clientOptions(id, file, DefaultSilent, log, servers...)
+	r := &testReplica{Client: NewClient(o), t: t}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -134,7 +183,7 @@
 	r.stop = sync.OnceFunc(func() {
 		cancel()
 		<-ended
-		link.Close()
+		o.Link.Close()
 	})
 	t.Cleanup(r.stop)
 	return r
@@ -143,7 +192,7 @@
 // reaches waits until the replica has what a server has.
 func (r *testReplica) reaches(s *testServer) {
 	r.t.Helper()
-	want := s.machine.State().Position()
+	want := s.position()
 	eventually(r.t, func() bool {
 		state, _ := r.seen()
 		return state != nil && state.Position() == want
