--- a/internal/distributor/client.go
+++ b/internal/distributor/client.go
@@ -154,7 +154,9 @@
 	case distribution.Connect:
 		c.attempt = connect(ctx, c, a)
 	case distribution.SendRequest:
-		c.attempt.send(a.Request)
+		if c.attempt != nil {
+			c.attempt.send(a.Request)
+		}
 	case distribution.Leave:
 		c.left(a.Reason)
 		c.leave()
--- a/internal/distributor/source.go
+++ b/internal/distributor/source.go
@@ -35,6 +35,7 @@
 var _ registry.Source = (*Source)(nil)
 
 const (
+	closeTimeout   = time.Second
 	firstWait      = 100 * time.Millisecond // a start does not wait for longer
 	minLook        = 20 * time.Millisecond
 	looksPerSilent = 10
@@ -47,10 +48,19 @@
 	}
 }
 
-// Close ends Run, and returns when the replica is written down. It is called once.
+// Close ends Run, and returns when the replica is written down, or its disk has taken too long. It is called once.
 func (s *Source) Close() {
 	close(s.closing)
-	s.running.Wait()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.running.Wait()
+	}()
+	select {
+	case <-ended:
+	case <-time.After(closeTimeout):
+		s.log().Warn("fleet: the control state could not be written to disk in time")
+	}
 }
 
 // Client is the replica that the list is read from.
