--- /dev/null
+++ b/distribution/publisher_test.go
@@ -0,0 +1,424 @@
+package distribution
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"mothcleat/internal/distributionpb"
+)
+
+// serving is a publisher under test, over the state that it publishes.
+type serving struct {
+	*testing.T
+	state     *State
+	publisher *Publisher
+	now       time.Duration
+}
+
+func newServing(t *testing.T, edit func(*PublisherSettings), changes ...Change) *serving {
+	settings := DefaultPublisherSettings(testFleet)
+	if edit != nil {
+		edit(&settings)
+	}
+	state := stateOf(changes...)
+	return &serving{T: t, state: state, publisher: NewPublisher(settings, state.Clone(), testRandom())}
+}
+
+// change publishes a change.
+func (s *serving) change(changes ...Change) *Delta {
+	s.Helper()
+	d := s.state.advance(0, changes)
+	if d == nil {
+		s.Fatal("it changes nothing")
+	}
+	s.publisher.Update(s.now, Update{State: s.state.Clone(), Delta: d, Term: 1})
+	return d
+}
+
+// open opens a stream and resumes it.
+func (s *serving) open(id StreamID, at Position, repair bool) {
+	s.Helper()
+	if err := s.publisher.Open(s.now, id); err != nil {
+		s.Fatal(err)
+	}
+	s.resume(id, at, repair)
+}
+
+func (s *serving) resume(id StreamID, at Position, repair bool) {
+	s.Helper()
+	err := s.receive(id, resumeRequest(&distributionpb.Resume{Fleet: testFleet, Replica: fmt.Sprint(id), Position: at.Proto(), Repair: repair}))
+	if err != nil {
+		s.Fatal(err)
+	}
+}
+
+func (s *serving) receive(id StreamID, m *distributionpb.WatchRequest) error {
+	return s.publisher.Received(s.now, id, m)
+}
+
+// take gives what goes out, and has it sent at once.
+func (s *serving) take() []Send {
+	sends := s.publisher.Take(s.now)
+	for _, send := range sends {
+		s.publisher.Sent(send.Stream)
+	}
+	return sends
+}
+
+// drain takes until nothing more goes out now, and leaves heartbeats out.
+func (s *serving) drain() []Send {
+	var all []Send
+	for {
+		sends := s.take()
+		if len(sends) == 0 {
+			return all
+		}
+		for _, send := range sends {
+			if send.Message.Response.GetHeartbeat() == nil {
+				all = append(all, send)
+			}
+		}
+	}
+}
+
+func (s *serving) wait(span time.Duration) {
+	s.now += span
+	s.publisher.Tick(s.now)
+}
+
+// A delta is encoded once, and the same message goes to all streams.
+func TestPublisherEncodesOnce(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1))
+	for id := range StreamID(50) {
+		s.open(id, s.state.Position(), false)
+	}
+	s.drain()
+	s.change(draining("a"))
+	sends := s.drain()
+	if len(sends) != 50 || s.publisher.Counts().Encoded != 1 {
+		t.Fatalf("%d messages, %d encoded", len(sends), s.publisher.Counts().Encoded)
+	}
+	for _, send := range sends {
+		if send.Message != sends[0].Message {
+			t.Fatal("the streams don't share the message")
+		}
+	}
+}
+
+// Changes within the window are merged, the newest a key; an urgent one ends the window at once.
+func TestPublisherMerges(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1), ready("b", 1))
+	s.open(1, s.state.Position(), false)
+	s.drain()
+	s.change(ready("a", 2))
+	s.change(ready("a", 3))
+	if sends := s.drain(); len(sends) > 0 {
+		t.Fatalf("%v before the window ended", sends)
+	}
+	if wake := s.publisher.Wake(s.now); wake != s.publisher.settings.MergeWindow {
+		t.Errorf("it wants to be woken at %v", wake)
+	}
+	s.wait(s.publisher.settings.MergeWindow)
+	sends := s.drain()
+	if len(sends) != 1 || len(sends[0].Message.Response.GetDelta().Changes) != 1 {
+		t.Fatalf("%v", sends)
+	}
+	s.change(ready("a", 4))
+	s.change(draining("b"))
+	sends = s.drain()
+	if len(sends) != 1 {
+		t.Fatal("an urgent change waits")
+	}
+	if d := sends[0].Message.Response.GetDelta(); len(d.Changes) != 2 || d.Changes[0].Id != "b" || d.To != 5 {
+		t.Errorf("%v", d)
+	}
+}
+
+// A slow reader gets everything merged when it reads again, and nothing waits for it meanwhile; past the log it is told the
+// digests.
+func TestPublisherAndASlowReader(t *testing.T) {
+	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries = 10 }, ready("a", 1))
+	from := s.state.Position()
+	s.open(1, from, false)
+	s.drain()
+	s.change(draining("a"))
+	s.publisher.Take(s.now) // under way
+	for n := range 8 {
+		s.change(deleted("a"))
+		s.change(ready("a", int64(n)))
+	}
+	for n := range 8 {
+		s.change(draining(fmt.Sprint("b-", n)))
+	}
+	if sends := s.publisher.Take(s.now); len(sends) > 0 {
+		t.Fatal("a stream that takes nothing was sent something")
+	}
+	s.publisher.Sent(1)
+	if sends := s.drain(); len(sends) == 0 || sends[0].Message.Response.GetDigests() == nil {
+		t.Fatalf("%v", sends)
+	}
+	s.open(2, s.state.Position(), false)
+	s.drain()
+	s.change(draining("c"))
+	s.publisher.Take(s.now)
+	for n := range 5 {
+		s.change(draining(fmt.Sprint("d-", n)))
+	}
+	s.publisher.Sent(2)
+	sends := s.drain()
+	if d := sends[len(sends)-1].Message.Response.GetDelta(); d == nil || len(d.Changes) != 5 {
+		t.Errorf("%v", sends)
+	}
+}
+
+// A resume past the log, of another epoch, for a repair, or of another digest is answered by digests; one that fits by
+// the changes since.
+func TestPublisherAnswersResumes(t *testing.T) {
+	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries, p.MaxResyncs = 2, 100 }, ready("a", 1))
+	var positions []Position
+	for n := range 5 {
+		positions = append(positions, s.state.Position())
+		s.change(draining(fmt.Sprint("b-", n)))
+	}
+	diverged, elsewhere := positions[4], positions[4]
+	diverged.Digest.Low++
+	elsewhere.Epoch--
+	for i, test := range []struct {
+		name    string
+		at      Position
+		repair  bool
+		digests bool
+		deltas  int
+	}{
+		{"compacted", positions[2], false, true, 0},
+		{"within the log", positions[3], false, false, 1},
+		{"the newest", s.state.Position(), false, false, 0},
+		{"a repair", positions[4], true, true, 0},
+		{"another digest", diverged, false, true, 0},
+		{"an earlier epoch", elsewhere, false, true, 0},
+		{"nothing", NewState().Position(), false, true, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			id := StreamID(i)
+			s.open(id, test.at, test.repair)
+			digests, deltas := 0, 0
+			for _, send := range s.drain() {
+				if send.Message.Response.GetDigests() != nil {
+					digests++
+				}
+				if send.Message.Response.GetDelta() != nil {
+					deltas++
+				}
+			}
+			if digests > 0 != test.digests || deltas != test.deltas {
+				t.Errorf("%d digests, %d deltas", digests, deltas)
+			}
+		})
+	}
+}
+
+// A replica that is ahead is told so, and served as soon as the server has caught up.
+func TestPublisherIsBehind(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1))
+	ahead := s.state.Clone()
+	one := ahead.advance(0, []Change{draining("a")})
+	s.open(1, ahead.Position(), false)
+	if sends := s.drain(); len(sends) != 1 || sends[0].Message.Response.GetBehind() == nil {
+		t.Fatalf("%v", sends)
+	}
+	s.state.Apply(one)
+	s.publisher.Update(s.now, Update{State: s.state.Clone(), Delta: one, Term: 1})
+	if sends := s.drain(); len(sends) > 0 {
+		t.Fatalf("%v", sends)
+	}
+	s.change(deleted("a"))
+	if sends := s.drain(); len(sends) != 1 || sends[0].Message.Response.GetDelta().GetFrom() != ahead.revision {
+		t.Errorf("%v", sends)
+	}
+}
+
+// A few resyncs go on at a time; the others are told times that spread them, and one that comes early keeps its own.
+func TestPublisherAdmitsAFew(t *testing.T) {
+	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 3 }, ready("a", 1))
+	var last time.Duration
+	for id := range StreamID(40) {
+		s.open(id, NewState().Position(), false)
+	}
+	for _, send := range s.publisher.Take(s.now) {
+		s.publisher.Sent(send.Stream)
+	}
+	retries := 0
+	for _, send := range s.publisher.Take(s.now) {
+		if r := send.Message.Response.GetRetry(); r != nil {
+			retries++
+			after := time.Duration(r.AfterNs)
+			if after < s.publisher.settings.MinRetry || after > s.publisher.settings.MaxRetry {
+				t.Errorf("come back after %v", after)
+			}
+			last = max(last, after)
+		}
+	}
+	if retries != 37 || s.publisher.Counts().Resyncs != 3 {
+		t.Fatalf("%d retries, %+v", retries, s.publisher.Counts())
+	}
+	before := s.publisher.streams[39].retryAt
+	s.resume(39, NewState().Position(), false)
+	if s.publisher.streams[39].retryAt != before || s.publisher.Counts().Retries != 37 {
+		t.Error("one that came early was given another place")
+	}
+	s.publisher.Close(0)
+	s.wait(s.publisher.settings.MaxRetry)
+	s.resume(39, NewState().Position(), false)
+	if s.publisher.Counts().Resyncs != 4 {
+		t.Error("a place that was left is not given on")
+	}
+}
+
+// Slow readers do not hold the places for ever.
+func TestPublisherFreesThePlacesOfSlowReaders(t *testing.T) {
+	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 1 }, ready("a", 1))
+	s.open(1, NewState().Position(), false)
+	s.wait(s.publisher.settings.ResyncHold)
+	s.open(2, NewState().Position(), false)
+	if got := s.publisher.Counts().Resyncs; got != 2 {
+		t.Errorf("%d", got)
+	}
+}
+
+// Bulk is held to a rate, and changes go before it.
+func TestPublisherHoldsBulkToARate(t *testing.T) {
+	const rate, burst = 50_000, 10_000
+	s := newServing(t, func(p *PublisherSettings) {
+		p.BulkBytesPerSecond, p.BulkBurstBytes, p.MaxResyncs = rate, burst, 100
+	}, ready("a", 1))
+	s.open(99, s.state.Position(), false)
+	for id := range StreamID(10) {
+		s.open(id, NewState().Position(), false)
+	}
+	for s.now < 3*time.Second {
+		s.drain()
+		allowed := float64(burst) + s.now.Seconds()*rate + float64(s.publisher.settings.BulkMessageBytes+100)
+		if sent := s.publisher.Counts().BulkBytes; float64(sent) > allowed {
+			t.Fatalf("%d bytes in %v", sent, s.now)
+		}
+		d := s.change(draining(fmt.Sprint(s.now)))
+		sends := s.publisher.Take(s.now)
+		if len(sends) == 0 || sends[0].Stream != 99 && sends[0].Message.Response.GetDelta() == nil {
+			t.Fatalf("revision %d waits for bulk", d.To)
+		}
+		for _, send := range sends {
+			s.publisher.Sent(send.Stream)
+		}
+		wake := s.publisher.Wake(s.now)
+		if wake < s.now || wake > s.now+s.publisher.settings.HeartbeatEvery {
+			t.Fatalf("at %v it wants to be woken at %v", s.now, wake)
+		}
+		s.wait(50 * time.Millisecond)
+	}
+	if sent := s.publisher.Counts().BulkBytes; float64(sent) < 0.9*3*rate {
+		t.Errorf("only %d bytes", sent)
+	}
+}
+
+// Heartbeats come regularly, are shared, and tell how fresh the source is.
+func TestPublisherHeartbeats(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1))
+	s.open(1, s.state.Position(), false)
+	s.open(2, s.state.Position(), false)
+	s.drain()
+	s.publisher.Update(s.now, Update{State: s.state.Clone(), Term: 4})
+	s.wait(s.publisher.settings.HeartbeatEvery)
+	sends := s.take()
+	if len(sends) != 2 || sends[0].Message != sends[1].Message {
+		t.Fatalf("%v", sends)
+	}
+	h := sends[0].Message.Response.GetHeartbeat()
+	if h.Term != 4 || time.Duration(h.SourceAgeNs) != s.publisher.settings.HeartbeatEvery || h.Fleet != testFleet {
+		t.Errorf("%v", h)
+	}
+}
+
+// After a snapshot the log begins anew; streams that it reaches go on, others compare buckets.
+func TestPublisherAfterASnapshot(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1))
+	s.open(1, s.state.Position(), false)
+	s.drain()
+	s.state.advance(0, []Change{draining("a")})
+	s.publisher.Update(s.now, Update{State: s.state.Clone(), Restored: true})
+	if sends := s.drain(); len(sends) == 0 || sends[0].Message.Response.GetDigests() == nil {
+		t.Errorf("%v", sends)
+	}
+}
+
+// What a replica must not say ends its stream with an error that names it.
+func TestPublisherRefuses(t *testing.T) {
+	s := newServing(t, func(p *PublisherSettings) { p.MaxStreams = 1 }, ready("a", 1))
+	s.open(1, NewState().Position(), false)
+	s.drain()
+	at := s.state.Position()
+	var fleet *WrongFleetError
+	var message *InvalidMessageError
+	for _, test := range []struct {
+		name    string
+		request *distributionpb.WatchRequest
+		want    any
+	}{
+		{"another fleet", resumeRequest(&distributionpb.Resume{Fleet: "green"}), &fleet},
+		{"nothing", &distributionpb.WatchRequest{}, &message},
+		{"a short digest", resumeRequest(&distributionpb.Resume{Fleet: testFleet, Position: &distributionpb.Position{Epoch: 1}}), &message},
+		{"a revision without epoch", resumeRequest(&distributionpb.Resume{Fleet: testFleet, Position: &distributionpb.Position{Revision: 1}}), &message},
+		{"no such bucket", fetchRequest(at, []uint32{BucketCount}), &message},
+		{"a bucket twice", fetchRequest(at, []uint32{1, 1}), &message},
+	} {
+		if err := s.receive(1, test.request); !errors.As(err, test.want) {
+			t.Errorf("%s: %v", test.name, err)
+		}
+	}
+	if err := s.publisher.Open(s.now, 2); err == nil {
+		t.Error("more streams are taken than there is room for")
+	}
+	if err := s.receive(7, &distributionpb.WatchRequest{}); err != nil {
+		t.Errorf("a stream that is closed: %v", err)
+	}
+}
+
+// A fetch of an older resync means nothing.
+func TestPublisherPassesOverAnOldFetch(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1))
+	old := s.state.Position()
+	s.open(1, NewState().Position(), false)
+	s.drain()
+	s.change(draining("a"))
+	s.resume(1, NewState().Position(), true)
+	s.drain()
+	if err := s.receive(1, fetchRequest(old, nil)); err != nil {
+		t.Fatal(err)
+	}
+	if sends := s.drain(); len(sends) > 0 {
+		t.Errorf("%v", sends)
+	}
+}
+
+// The earliest acknowledged revision is known.
+func TestPublisherAcknowledged(t *testing.T) {
+	s := newServing(t, nil, ready("a", 1))
+	s.open(1, s.state.Position(), false)
+	s.open(2, s.state.Position(), false)
+	s.drain()
+	s.change(draining("a"))
+	s.drain()
+	if err := s.receive(1, acknowledgeRequest(s.state.Position())); err != nil {
+		t.Fatal(err)
+	}
+	if got := s.publisher.Acknowledged(); got != 1 {
+		t.Errorf("%d", got)
+	}
+	if err := s.receive(2, acknowledgeRequest(s.state.Position())); err != nil {
+		t.Fatal(err)
+	}
+	if got := s.publisher.Acknowledged(); got != 2 {
+		t.Errorf("%d", got)
+	}
+}
--- a/distribution/replica_receive.go
+++ b/distribution/replica_receive.go
@@ -240,6 +240,7 @@
 	if m.AfterNs < uint64(after) {
 		after = time.Duration(m.AfterNs)
 	}
+	after = max(after, r.settings.MinBackoff)
 	after += time.Duration(r.random.Float64() * r.settings.RetryJitter * float64(after))
 	r.phase, r.retryAt = replicaRetrying, now+after
 }
--- a/distribution/replica_settings.go
+++ b/distribution/replica_settings.go
@@ -22,7 +22,7 @@
 	MaxBackoff time.Duration
 
 	MaxResumes   int           // so many on one stream without any progress; then it is left
-	MaxRetry     time.Duration // a RetryLater is honoured up to this
+	MaxRetry     time.Duration // a RetryLater is honoured up to this, and for MinBackoff at least
 	RetryJitter  float64       // a RetryLater is made longer by up to this part
 	ReturnAfter  time.Duration // about so long on a server that is not its first: then it tries that again
 	PersistEvery time.Duration // between two writes of the state file, while there are changes
--- /dev/null
+++ b/distribution/replica_test.go
@@ -0,0 +1,584 @@
+package distribution
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"pgregory.net/rapid"
+
+	"mothcleat/internal/distributionpb"
+)
+
+const testFleet = "blue"
+
+// client is a replica under test: what it wants done is kept by kind.
+type client struct {
+	*testing.T
+	replica   *Replica
+	now       time.Duration
+	attempt   uint64
+	connects  []Server
+	resumes   []*distributionpb.Resume
+	fetches   []*distributionpb.FetchBuckets
+	acks      []*distributionpb.Acknowledge
+	delivered []Deliver
+	left      []*LeaveError
+	reports   []error
+	persisted []*State
+}
+
+func newClient(t *testing.T, state *State) *client {
+	settings := DefaultReplicaSettings(testFleet, "gateway-1")
+	c := &client{T: t, replica: NewReplica(settings, state, testRandom())}
+	c.replica.SetServers(c.now, []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}})
+	c.take()
+	return c
+}
+
+// liveClient is one that has a state, and is on a server's stream.
+func liveClient(t *testing.T, state *State) *client {
+	c := newClient(t, state)
+	c.connected()
+	c.heartbeat(state.Position())
+	if !c.replica.Live() {
+		t.Fatal("it is not live")
+	}
+	return c
+}
+
+func (c *client) take() {
+	for _, action := range c.replica.Take() {
+		switch a := action.(type) {
+		case Connect:
+			c.attempt = a.Attempt
+			c.connects = append(c.connects, a.Server)
+		case SendRequest:
+			c.sent(a.Request)
+		case Leave:
+			c.left = append(c.left, a.Reason.(*LeaveError))
+		case Deliver:
+			c.delivered = append(c.delivered, a)
+		case Report:
+			c.reports = append(c.reports, a.Err)
+		case Persist:
+			c.persisted = append(c.persisted, a.State)
+		}
+	}
+}
+
+func (c *client) sent(m *distributionpb.WatchRequest) {
+	switch r := m.Request.(type) {
+	case *distributionpb.WatchRequest_Resume:
+		c.resumes = append(c.resumes, r.Resume)
+	case *distributionpb.WatchRequest_Fetch:
+		c.fetches = append(c.fetches, r.Fetch)
+	case *distributionpb.WatchRequest_Acknowledge:
+		c.acks = append(c.acks, r.Acknowledge)
+	}
+}
+
+func (c *client) connected() {
+	c.replica.Connected(c.now, c.attempt)
+	c.take()
+}
+
+func (c *client) disconnected() {
+	c.replica.Disconnected(c.now, c.attempt, errors.New("gone"))
+	c.take()
+}
+
+func (c *client) receive(m *Message) {
+	c.replica.Received(c.now, c.attempt, m.Response)
+	c.take()
+}
+
+func (c *client) heartbeat(at Position) {
+	c.receive(heartbeatMessage(&distributionpb.Heartbeat{Fleet: testFleet, Position: at.Proto(), Term: 1}))
+}
+
+func (c *client) wait(span time.Duration) {
+	c.now += span
+	c.replica.Tick(c.now)
+	c.take()
+}
+
+// repairFrom answers a Resume by digests, and a fetch by buckets.
+func (c *client) digestsOf(s *State) {
+	c.receive(digestsMessage(s.Position(), 0, s.Sums()))
+}
+
+func (c *client) bucketsOf(s *State, indexes []uint32, last bool) {
+	var buckets []*distributionpb.Bucket
+	for _, index := range indexes {
+		buckets = append(buckets, bucketMessage(s, index))
+	}
+	c.receive(bucketsMessage(s.Position(), buckets, last))
+}
+
+func (c *client) lastFetch() *distributionpb.FetchBuckets {
+	c.Helper()
+	if len(c.fetches) == 0 {
+		c.Fatal("nothing was fetched")
+	}
+	return c.fetches[len(c.fetches)-1]
+}
+
+func (c *client) requireLeft(why LeaveReason) {
+	c.Helper()
+	if len(c.left) == 0 || c.left[len(c.left)-1].Why != why {
+		c.Fatalf("left %v, and not because %s", c.left, why)
+	}
+}
+
+func (c *client) requireAt(want Position) {
+	c.Helper()
+	if got := c.replica.Position(); got != want {
+		c.Fatalf("it is at %v instead of %v", got, want)
+	}
+}
+
+func stateOf(changes ...Change) *State {
+	s := NewState()
+	s.advance(testEpoch, changes)
+	return s
+}
+
+// A replica resumes from what it has, and takes deltas in.
+func TestReplicaFollows(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := liveClient(t, s)
+	if len(c.connects) != 1 || len(c.resumes) != 1 || c.resumes[0].Position.Revision != 1 || c.resumes[0].Repair {
+		t.Fatalf("%v %v", c.connects, c.resumes)
+	}
+	c.receive(deltaMessage(s.advance(0, []Change{draining("a")})))
+	c.requireAt(s.Position())
+	if len(c.delivered) != 1 || len(c.acks) != 1 || c.acks[0].Revision != 2 || c.delivered[0].Position != s.Position() {
+		t.Errorf("%v %v", c.delivered, c.acks)
+	}
+	if age, ok := c.replica.SourceAge(c.now + time.Second); !ok || age != time.Second {
+		t.Errorf("the source was heard %v ago (%t)", age, ok)
+	}
+}
+
+// A replica without anything is given everything by buckets.
+func TestReplicaBeginsFromNothing(t *testing.T) {
+	s := stateOf(ready("a", 1), ready("b", 1))
+	c := newClient(t, NewState())
+	c.connected()
+	c.heartbeat(s.Position())
+	sums := s.Sums()
+	c.receive(digestsMessage(s.Position(), 0, sums[:BucketCount/2]))
+	if len(c.fetches) > 0 {
+		t.Fatal("it fetches before it has all digests")
+	}
+	c.receive(digestsMessage(s.Position(), BucketCount/2, sums[BucketCount/2:]))
+	c.bucketsOf(s, c.lastFetch().Buckets, true)
+	c.requireAt(s.Position())
+	if len(c.delivered) != 1 || len(c.delivered[0].Changes) != 2 || !c.replica.Live() {
+		t.Errorf("%v", c.delivered)
+	}
+}
+
+// What does not fit is reported by its type and leaves the state as it is; the buckets are compared where the content is
+// wrong, and deltas asked for again where one is missing.
+func TestReplicaRefuses(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		edit   func(*Delta)
+		want   any
+		repair bool
+	}{
+		{"a gap", func(d *Delta) { d.From++; d.To++ }, new(*WrongRevisionError), false},
+		{"another epoch", func(d *Delta) { d.Epoch++ }, new(*WrongEpochError), false},
+		{"another digest", func(d *Delta) { d.Digest.Low++ }, new(*DigestMismatchError), true},
+		{"another record", func(d *Delta) { d.Changes = []Change{deleted("a")} }, new(*DigestMismatchError), true},
+		{"an unreadable record", func(d *Delta) { d.Changes = []Change{{Record: Record{KindServer, "a", []byte{0xff}}}} }, new(*InvalidRecordError), true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := stateOf(ready("a", 1))
+			before := s.Position()
+			c := liveClient(t, s)
+			d := *s.advance(0, []Change{draining("a")})
+			test.edit(&d)
+			c.receive(deltaMessage(&d))
+			if len(c.reports) != 1 || !errors.As(c.reports[0], test.want) {
+				t.Fatalf("reported %v", c.reports)
+			}
+			c.requireAt(before)
+			if len(c.resumes) != 2 || c.resumes[1].Repair != test.repair || len(c.delivered) > 0 {
+				t.Errorf("%v", c.resumes)
+			}
+		})
+	}
+}
+
+// Resuming that does not help ends, and the server is avoided.
+func TestReplicaGivesAServerUp(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := liveClient(t, s)
+	bad := *s.Clone().advance(0, []Change{draining("a")})
+	bad.Digest.Low++
+	for range c.replica.settings.MaxResumes + 1 {
+		c.heartbeatOf(s, 1) // the stream goes on
+		c.replica.phase = replicaLive
+		c.receive(deltaMessage(&bad))
+	}
+	c.requireLeft(LeftNoProgress)
+	if len(c.connects) != 2 || c.connects[0] == c.connects[1] {
+		t.Errorf("%v", c.connects)
+	}
+}
+
+// heartbeatOf tells of a position that is some revisions ahead of a state's.
+func (c *client) heartbeatOf(s *State, ahead uint64) {
+	at := s.Position()
+	at.Revision += ahead
+	c.heartbeat(at)
+}
+
+// A time to come back is honoured, and made a little longer.
+func TestReplicaHonoursRetryLater(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := newClient(t, NewState())
+	c.connected()
+	c.receive(retryMessage(uint64(time.Second)))
+	c.heartbeat(s.Position())
+	bad := heartbeatMessage(&distributionpb.Heartbeat{Fleet: testFleet, Position: &distributionpb.Position{Epoch: 1}})
+	c.receive(bad) // what can't be read is no reason to come back earlier
+	for range 99 {
+		c.wait(10 * time.Millisecond)
+		c.heartbeat(s.Position())
+	}
+	if len(c.resumes) != 1 {
+		t.Fatalf("it came back too early: %v", c.resumes)
+	}
+	c.wait(260 * time.Millisecond)
+	if len(c.resumes) != 2 {
+		t.Error("it did not come back")
+	}
+	c.receive(retryMessage(1 << 63))
+	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetry || wake > c.replica.settings.MaxRetry*5/4 {
+		t.Errorf("it waits %v", wake)
+	}
+}
+
+// A silent server is left, another is resumed from, and messages of the old stream mean nothing.
+func TestReplicaLeavesASilentServer(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := liveClient(t, s)
+	old := c.attempt
+	c.wait(c.replica.settings.SilentAfter)
+	c.requireLeft(LeftSilent)
+	if len(c.connects) != 2 || c.connects[1] == c.connects[0] {
+		t.Fatalf("%v", c.connects)
+	}
+	before := s.Position()
+	c.replica.Received(c.now, old, deltaMessage(s.advance(0, []Change{draining("a")})).Response)
+	c.take()
+	c.requireAt(before)
+	c.wait(c.replica.settings.ConnectWithin)
+	c.requireLeft(LeftUnreached)
+}
+
+// A server that is behind is given a while, then left; the replica does not go back.
+func TestReplicaIsNotTakenBack(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	older := s.Clone()
+	s.advance(0, []Change{draining("a")})
+	c := liveClient(t, s)
+	c.replica.resume(c.now, true)
+	c.take()
+	c.digestsOf(older)
+	if len(c.fetches) > 0 {
+		t.Fatal("it fetches what is older")
+	}
+	c.receive(behindMessage(older.Position()))
+	c.heartbeat(older.Position())
+	if len(c.left) > 0 {
+		t.Fatal("it was left at once")
+	}
+	c.wait(c.replica.settings.BehindGrace)
+	c.heartbeat(older.Position())
+	c.requireLeft(LeftBehind)
+	c.requireAt(s.Position())
+}
+
+// A server that catches up in time is stayed with.
+func TestReplicaWaitsForAServer(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	older := s.Clone()
+	s.advance(0, []Change{draining("a")})
+	c := liveClient(t, s)
+	c.heartbeat(older.Position())
+	c.wait(c.replica.settings.BehindGrace / 2)
+	c.heartbeat(s.Position())
+	c.wait(c.replica.settings.BehindGrace)
+	c.heartbeat(older.Position())
+	if len(c.left) > 0 {
+		t.Errorf("%v", c.left)
+	}
+}
+
+// A later epoch is taken, by the buckets that differ; an earlier one is not.
+func TestReplicaAndEpochs(t *testing.T) {
+	s := stateOf(ready("a", 1), ready("b", 1))
+	c := liveClient(t, s)
+	anew := NewState()
+	anew.advance(testEpoch+1, []Change{ready("a", 1), ready("c", 1)})
+	c.heartbeat(anew.Position())
+	c.heartbeat(anew.Position())
+	if len(c.resumes) != 2 {
+		t.Fatal("it does not ask")
+	}
+	c.digestsOf(anew)
+	if n := len(c.lastFetch().Buckets); n != 2 {
+		t.Errorf("%d buckets are fetched, 2 differ", n)
+	}
+	c.bucketsOf(anew, c.lastFetch().Buckets, true)
+	c.requireAt(anew.Position())
+	if changes := c.delivered[0].Changes; len(changes) != 2 || !changes[0].Deleted {
+		t.Errorf("%v", changes)
+	}
+	for range 9 {
+		s.advance(0, []Change{ready("a", int64(s.revision))})
+	}
+	c.heartbeat(s.Position())
+	c.digestsOf(s)
+	c.requireAt(anew.Position())
+}
+
+// Two digests at one revision are reported as what they are, and repaired by buckets.
+func TestReplicaRepairsADivergence(t *testing.T) {
+	s := stateOf(ready("a", 1), ready("b", 1))
+	diverged := stateOf(ready("a", 1), ready("b", 2))
+	c := liveClient(t, diverged)
+	c.heartbeat(s.Position())
+	var divergence *DivergenceError
+	if len(c.reports) != 1 || !errors.As(c.reports[0], &divergence) || divergence.Mine != diverged.Position() {
+		t.Fatalf("%v", c.reports)
+	}
+	if !c.resumes[1].Repair {
+		t.Error("it does not ask for digests")
+	}
+	c.digestsOf(s)
+	if n := len(c.lastFetch().Buckets); n != 1 {
+		t.Errorf("%d buckets are fetched", n)
+	}
+	c.bucketsOf(s, c.lastFetch().Buckets, true)
+	c.requireAt(s.Position())
+}
+
+// A delta that a heartbeat told of and that does not come is asked for.
+func TestReplicaMissesADelta(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := liveClient(t, s)
+	c.heartbeatOf(s, 1)
+	if len(c.resumes) != 1 {
+		t.Fatal("it asks before the delta had time")
+	}
+	c.heartbeatOf(s, 2)
+	if len(c.resumes) != 2 || c.resumes[1].Repair {
+		t.Errorf("%v", c.resumes)
+	}
+}
+
+// What was fetched before a stream ended is not fetched again.
+func TestReplicaKeepsWhatItFetched(t *testing.T) {
+	var all []Change
+	for n := range 40 {
+		all = append(all, ready(fmt.Sprintf("server-%d", n), 1))
+	}
+	s := stateOf(all...)
+	c := newClient(t, NewState())
+	c.connected()
+	c.digestsOf(s)
+	wanted := c.lastFetch().Buckets
+	c.bucketsOf(s, wanted[:30], false)
+	c.disconnected()
+	if c.replica.Position() != NewState().Position() || len(c.delivered) > 0 {
+		t.Fatal("half a repair is in force")
+	}
+	s.advance(0, []Change{deleted("server-1")})
+	c.connected()
+	c.digestsOf(s)
+	if again := len(c.lastFetch().Buckets); again > len(wanted)-30+1 {
+		t.Errorf("%d buckets are fetched again", again)
+	}
+	c.bucketsOf(s, c.lastFetch().Buckets, true)
+	c.requireAt(s.Position())
+}
+
+// A bucket that does not fit is refused, and fetched again.
+func TestReplicaRefusesABucket(t *testing.T) {
+	s := stateOf(ready("a", 1), ready("b", 1))
+	c := newClient(t, NewState())
+	c.connected()
+	c.digestsOf(s)
+	wanted := c.lastFetch().Buckets
+	c.receive(bucketsMessage(s.Position(), []*distributionpb.Bucket{{Index: wanted[0]}}, true))
+	var mismatch *DigestMismatchError
+	if len(c.reports) != 1 || !errors.As(c.reports[0], &mismatch) || !mismatch.OfBuckets {
+		t.Fatalf("%v", c.reports)
+	}
+	c.digestsOf(s)
+	c.bucketsOf(s, c.lastFetch().Buckets, true)
+	c.requireAt(s.Position())
+}
+
+// Another fleet's server is left, and named.
+func TestReplicaLeavesAnotherFleet(t *testing.T) {
+	c := newClient(t, NewState())
+	c.connected()
+	c.receive(heartbeatMessage(&distributionpb.Heartbeat{Fleet: "green", Position: NewState().Position().Proto()}))
+	var fleet *WrongFleetError
+	if len(c.left) != 1 || !errors.As(c.left[0], &fleet) || fleet.Got != "green" {
+		t.Fatalf("%v", c.left)
+	}
+}
+
+// Servers that all fail are tried less and less, within bounds.
+func TestReplicaBacksOff(t *testing.T) {
+	c := newClient(t, NewState())
+	tried := 0
+	for c.now < 10*time.Minute {
+		if _, busy := c.replica.Server(); busy {
+			tried++
+			c.disconnected()
+		}
+		wake := c.replica.Wake()
+		if wake < c.now || wake > c.now+c.replica.settings.MaxBackoff {
+			t.Fatalf("at %v it wants to be woken at %v", c.now, wake)
+		}
+		c.wait(wake - c.now)
+	}
+	// Three servers, each after 5 to 10 s at the longest, and a few times more often at first.
+	if most := 3 * (10*60/5 + 10); tried > most || tried < 3*10*60/10 {
+		t.Errorf("it tried %d times", tried)
+	}
+}
+
+// A server without news of the source is left only while there is another to try.
+func TestReplicaLeavesAServerWithoutSource(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := liveClient(t, s)
+	silent := heartbeatMessage(&distributionpb.Heartbeat{
+		Fleet: testFleet, Position: s.Position().Proto(), Term: 1, SourceAgeNs: uint64(time.Minute),
+	})
+	for range 2 {
+		c.receive(silent)
+		c.requireLeft(LeftSourceSilent)
+		c.connected()
+	}
+	c.receive(silent)
+	if len(c.left) != 2 {
+		t.Errorf("it left the last one too: %v", c.left)
+	}
+}
+
+// The state is written now and then, not at each change.
+func TestReplicaPersists(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := liveClient(t, s)
+	span := c.replica.settings.PersistEvery
+	for n := range 60 {
+		c.now += span / 20
+		c.receive(deltaMessage(s.advance(0, []Change{ready("a", int64(n+2))})))
+		c.wait(0)
+	}
+	if len(c.persisted) != 3 {
+		t.Errorf("%d times", len(c.persisted))
+	}
+	if last := c.persisted[len(c.persisted)-1].Position(); last != s.Position() {
+		t.Errorf("%v was written last", last)
+	}
+}
+
+// A replica that had to take another server goes back to its first after a while.
+func TestReplicaReturns(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := newClient(t, s)
+	c.disconnected()
+	c.connected()
+	for c.now < 2*c.replica.settings.ReturnAfter && len(c.left) == 1 {
+		c.heartbeat(s.Position())
+		c.wait(time.Second)
+	}
+	c.requireLeft(LeftForNearer)
+	if c.now < c.replica.settings.ReturnAfter/2 || c.connects[2] != c.connects[0] {
+		t.Errorf("after %v to %v", c.now, c.connects)
+	}
+}
+
+// A server that serves no more is left.
+func TestReplicaLeavesARemovedServer(t *testing.T) {
+	c := newClient(t, NewState())
+	c.connected()
+	c.replica.SetServers(c.now, []Server{{ID: "other"}})
+	c.take()
+	c.requireLeft(LeftRemoved)
+	if c.connects[1].ID != "other" {
+		t.Errorf("%v", c.connects)
+	}
+}
+
+// A server that never answers a Resume is left though it lives.
+func TestReplicaWantsAnAnswer(t *testing.T) {
+	s := stateOf(ready("a", 1))
+	c := newClient(t, NewState())
+	c.connected()
+	for c.now < c.replica.settings.AnswerWithin {
+		c.heartbeat(s.Position())
+		c.wait(time.Second)
+	}
+	c.requireLeft(LeftNoProgress)
+}
+
+// FuzzReceived: whatever a server says, the replica keeps a state that fits its position, and never goes back.
+func FuzzReceived(f *testing.F) {
+	s := stateOf(ready("a", 1), ready("b", 1))
+	next := s.Clone()
+	for _, m := range []*Message{
+		deltaMessage(next.advance(0, []Change{draining("a")})), retryMessage(1), behindMessage(s.Position()),
+		digestsMessage(next.Position(), 0, next.Sums()), bucketsMessage(next.Position(), nil, true),
+		heartbeatMessage(&distributionpb.Heartbeat{Fleet: testFleet, Position: next.Position().Proto()}),
+	} {
+		f.Add(m.Bytes)
+	}
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		var m distributionpb.WatchResponse
+		if proto.Unmarshal(raw, &m) != nil {
+			return
+		}
+		c := liveClient(t, s.Clone())
+		for range 3 {
+			before := c.replica.Position()
+			c.replica.Received(c.now, c.attempt, &m)
+			c.take()
+			at := c.replica.Position()
+			if at.Compare(before) < 0 || rebuilt(c.replica.State(), testRandom()).Position() != at {
+				t.Errorf("from %v to %v", before, at)
+			}
+			if c.replica.Wake() <= 0 {
+				t.Errorf("it wants to be woken at %v", c.replica.Wake())
+			}
+			c.wait(time.Second)
+		}
+	})
+}
+
+// Positions are ordered by epoch first.
+func TestPositionOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		draw := func(name string) Position {
+			return Position{Epoch: rapid.Uint64Range(1, 3).Draw(t, name), Revision: rapid.Uint64Range(0, 3).Draw(t, name)}
+		}
+		a, b := draw("a"), draw("b")
+		want := a.Epoch < b.Epoch || a.Epoch == b.Epoch && a.Revision < b.Revision
+		if got := a.Compare(b) < 0; got != want || a.Compare(b) != -b.Compare(a) {
+			t.Fatalf("%v and %v: %d", a, b, a.Compare(b))
+		}
+	})
+}
--- a/distribution/state_test.go
+++ b/distribution/state_test.go
@@ -198,7 +198,9 @@
 		{"no id", func(d *Delta) { d.Changes = []Change{{Record: Record{Kind: KindPlan}}} }, &InvalidRecordError{}, `it has no id`},
 		{"an unreadable server", func(d *Delta) { d.Changes = []Change{{Record: Record{KindServer, "x", []byte{0xff}}}} }, &InvalidRecordError{}, `"x"`},
 		{"a deleted value", func(d *Delta) { d.Changes = []Change{{Record{KindPlan, "x", []byte{1}}, true}} }, &InvalidRecordError{}, "deleted and has a value"},
-		{"a long id", func(d *Delta) { d.Changes = []Change{{Record: Record{KindPlan, string(make([]byte, MaxIDBytes+1)), nil}}} }, &InvalidRecordError{}, "513 bytes"},
+		{"a long id", func(d *Delta) {
+			d.Changes = []Change{{Record: Record{KindPlan, string(make([]byte, MaxIDBytes+1)), nil}}}
+		}, &InvalidRecordError{}, "513 bytes"},
 		{"a long value", func(d *Delta) { d.Changes = []Change{{Record: Record{KindPlan, "x", make([]byte, MaxValueBytes+1)}}} }, &InvalidRecordError{}, "65537 bytes"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/mutants/mutants_test.go
+++ b/internal/mutants/mutants_test.go
@@ -32,6 +32,23 @@
 	}
 }
 
+// The other lists fit the sources as well.
+func TestAllListsFitTheSources(t *testing.T) {
+	for name, list := range map[string]func() ([]Mutant, error){
+		"owners": Owners, "budgets": Budgets, "versions": Versions, "distribution": Distribution,
+	} {
+		all, err := list()
+		if err != nil || len(all) < 6 {
+			t.Errorf("%s: %d mutants, %v", name, len(all), err)
+		}
+		for _, m := range all {
+			if _, err := m.patched("../.."); err != nil || m.Old == m.New {
+				t.Errorf("%s: %s: %v", name, m.Name, err)
+			}
+		}
+	}
+}
+
 // The search finds a mutant, built as it would be by hand.
 func TestTheSearchFindsAMutant(t *testing.T) {
 	if _, err := exec.LookPath("go"); err != nil {
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -160,6 +160,9 @@
 
 // changeRegister changes the list, now and then in bursts, and has the watcher say so, a little later.
 func (w *World) changeRegister() {
+	if w.calm {
+		return // so that what a link has lost just before has to be missed without a further change
+	}
 	burst := 1
 	if w.random.IntN(10) == 0 {
 		burst = 2 + w.random.IntN(12)
@@ -173,9 +176,7 @@
 	if w.random.IntN(30) == 0 {
 		pause = w.between(2*time.Second, 6*time.Second)
 	}
-	if !w.calm {
-		w.after(pause, w.changeRegister)
-	}
+	w.after(pause, w.changeRegister)
 }
 
 // beat has the watcher say something regularly.
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -15,6 +15,7 @@
 const (
 	fastBytesPerSecond = 10 << 20
 	slowBytesPerSecond = 2 << 10
+	keepaliveAfter     = 10 * time.Second
 )
 
 // link is one stream between a replica and a server. It keeps the order of what it carries.
@@ -92,9 +93,14 @@
 	})
 }
 
-// closed tells the server that a stream has ended.
+// closed tells the server that a stream has ended: at once, or by the transport's own sign of life where nothing
+// passes.
 func (w *World) closed(l *link) {
-	w.after(w.between(0, 10*time.Millisecond), func() {
+	delay := w.between(0, 10*time.Millisecond)
+	if w.blocked(l) {
+		delay = keepaliveAfter
+	}
+	w.after(delay, func() {
 		w.on(l.server, l.serverBoot, func() {
 			l.server.publisher.Close(l.id)
 			delete(l.server.links, l.id)
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -139,7 +139,7 @@
 func publisherSettings() distribution.PublisherSettings {
 	s := distribution.DefaultPublisherSettings(fleetName)
 	s.Log = distribution.LogBounds{Entries: 24, Bytes: 64 << 10}
-	s.MaxResyncs, s.BulkBytesPerSecond, s.BulkBurstBytes = 2, 100<<10, 8<<10
+	s.MaxResyncs, s.BulkBytesPerSecond, s.BulkBurstBytes = 2, 40<<10, 8<<10
 	s.ResyncHold = 2 * time.Second
 	return s
 }
