--- a/internal/budgets/divider.go
+++ b/internal/budgets/divider.go
@@ -17,7 +17,7 @@
 	"mothcleat/internal/faultpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 )
 
 // Divider is the owner's side in this process. Its Work is the work of the duty of each shard.
@@ -65,7 +65,7 @@
 		return
 	}
 	// All that the owner before may have given was given before now.
-	owner, err := budget.NewOwner(steady.Now(), d.Rules, t.Duty, t.Term, books)
+	owner, err := budget.NewOwner(monotonic.Now(), d.Rules, t.Duty, t.Term, books)
 	if err != nil {
 		d.Log.Error("budgets: what is agreed can't be used", "duty", t.Duty, "error", err)
 		return
@@ -149,7 +149,7 @@
 // agree has what is planned agreed, if there is anything. It is asked for until it is known whether it was.
 func (d *Divider) agree(ctx context.Context, o *office, plan func(*budget.Owner, time.Duration) *fleetpb.Round) error {
 	o.mu.Lock()
-	round := plan(o.owner, steady.Now())
+	round := plan(o.owner, monotonic.Now())
 	o.mu.Unlock()
 	if round == nil {
 		return nil
@@ -171,10 +171,10 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !r.OK {
-		o.owner.Refused(steady.Now())
+		o.owner.Refused(monotonic.Now())
 		return errors.New(r.Why) // a later owner has it, or this one is wrong about what is agreed
 	}
-	o.owner.Committed(steady.Now())
+	o.owner.Committed(monotonic.Now())
 	close(o.agreed)
 	o.agreed = make(chan struct{})
 	return nil
@@ -198,7 +198,7 @@
 		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	faultpoint.At("budgets-renew")
-	a := o.owner.Renew(steady.Now(), ask)
+	a := o.owner.Renew(monotonic.Now(), ask)
 	select {
 	case o.kick <- struct{}{}:
 	default:
@@ -234,7 +234,7 @@
 	if !o.tenure.Holds() {
 		return &fleetpb.LoanAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}, nil
 	}
-	if a = o.owner.Lend(steady.Now(), ask); a.Soon {
+	if a = o.owner.Lend(monotonic.Now(), ask); a.Soon {
 		select {
 		case o.kick <- struct{}{}:
 		default:
--- a/internal/budgets/user.go
+++ b/internal/budgets/user.go
@@ -17,7 +17,7 @@
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/gateway"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
 )
 
@@ -32,7 +32,7 @@
 	lent   func(gateway.Loan)
 
 	loans    chan struct{}  // room for askings that are out
-	silent   []atomic.Int64 // by shard: until when nobody is asked for units, by the steady clock
+	silent   []atomic.Int64 // by shard: until when nobody is asked for units, by package monotonic's clock
 	mu       sync.Mutex
 	holder   *budget.Holder
 	gone     []uint64 // boots of this id that run no more
@@ -72,34 +72,34 @@
 
 func whole(b *decide.Budget) budget.Share { return budget.Share{Rate: b.Rate, Burst: b.Burst} }
 
-// The loop's calls. Times are the steady clock's: the module's own may have been read before the process was stopped.
+// The loop's calls. Times are by package monotonic's clock: the module's own may have been read before the process was stopped.
 
 // Ask takes note that units were asked for.
 func (u *User) Ask(_ decide.Time, b *decide.Budget, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.holder.Ask(steady.Now(), b.ID, whole(b), b.Spread, units)
+	u.holder.Ask(monotonic.Now(), b.ID, whole(b), b.Spread, units)
 }
 
 // Level is how many units may be taken now.
 func (u *User) Level(_ decide.Time, b *decide.Budget) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return min(u.holder.Level(steady.Now(), b.ID), b.Burst) // a part that is not lessened yet
+	return min(u.holder.Level(monotonic.Now(), b.ID), b.Burst) // a part that is not lessened yet
 }
 
 // Rate is at which rate they come.
 func (u *User) Rate(_ decide.Time, b *decide.Budget) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return min(u.holder.Rate(steady.Now(), b.ID), b.Rate)
+	return min(u.holder.Rate(monotonic.Now(), b.ID), b.Rate)
 }
 
 // Take uses units for a request.
 func (u *User) Take(_ decide.Time, id uint64, b *decide.Budget, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now := steady.Now()
+	now := monotonic.Now()
 	u.holder.Take(now, b.ID, units)
 	u.took, u.tookBy = id, 0
 	if units > 0 {
@@ -111,7 +111,7 @@
 func (u *User) Return(_ decide.Time, b *decide.Budget, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.holder.Return(steady.Now(), b.ID, units)
+	u.holder.Return(monotonic.Now(), b.ID, units)
 }
 
 // By is until when what was taken for a request may be used.
@@ -127,7 +127,7 @@
 // Over tells whether a time is over.
 func (u *User) Over(by time.Duration) bool {
 	faultpoint.At("right-taken")
-	over := steady.Now() >= by
+	over := monotonic.Now() >= by
 	faultpoint.At("right-checked")
 	return over
 }
@@ -135,7 +135,7 @@
 // Borrow asks the owner of a budget for units.
 func (u *User) Borrow(id uint64, b *decide.Budget, units float64) bool {
 	shard := budget.ShardOf(b.ID, u.shards)
-	now := steady.Now()
+	now := monotonic.Now()
 	owner, address, ok := u.owners.Owner(budget.Duty(shard))
 	if !ok || now < time.Duration(u.silent[shard].Load()) {
 		return false
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lendWithin)
 	defer cancel()
 	u.mu.Lock()
-	age, order := u.holder.Age(steady.Now()), u.order
+	age, order := u.holder.Age(monotonic.Now()), u.order
 	u.mu.Unlock()
 	ask := &fleetpb.LoanAsk{Version: order, Age: age, Duty: budget.Duty(shard), Budget: l.Budget.ID, Units: units,
 		Whole: &fleetpb.Share{Rate: l.Budget.Rate, Burst: l.Budget.Burst}, Spread: uint32(l.Budget.Spread)}
@@ -164,7 +164,7 @@
 	switch {
 	case err != nil || a.Code != fleetpb.Code_OK:
 		u.figures.Unheard++
-		u.silent[shard].Store(int64(steady.Now() + silentFor))
+		u.silent[shard].Store(int64(monotonic.Now() + silentFor))
 	case a.Lent:
 		u.figures.Lent++
 		l.Units = units
@@ -204,9 +204,9 @@
 
 func (u *User) renewAll(ctx context.Context, shard int) {
 	for ctx.Err() == nil {
-		sent := steady.Now()
+		sent := monotonic.Now()
 		again := u.renew(ctx, shard)
-		wait := max(0, u.rules.Every-(steady.Now()-sent))
+		wait := max(0, u.rules.Every-(monotonic.Now()-sent))
 		if again {
 			wait = 0
 		}
@@ -223,7 +223,7 @@
 	if !ok {
 		return false
 	}
-	sent := steady.Now()
+	sent := monotonic.Now()
 	u.mu.Lock()
 	ask := u.holder.Renewal(sent, shard)
 	ask.Gone, ask.Version = u.gone, u.order
@@ -242,8 +242,8 @@
 		u.figures.Failed++
 		return false
 	}
-	u.lastTold[shard].Store(int64(steady.Now()))
-	again := u.holder.Answer(steady.Now(), sent, shard, ask, a)
+	u.lastTold[shard].Store(int64(monotonic.Now()))
+	again := u.holder.Answer(monotonic.Now(), sent, shard, ask, a)
 	u.write(shard, a.Term != ask.Term || len(a.Rights) > 0)
 	if again {
 		faultpoint.At("right-lessened")
@@ -254,7 +254,7 @@
 // Leave gives everything back, and returns when the owners have heard it, or the context ends.
 func (u *User) Leave(ctx context.Context) {
 	u.mu.Lock()
-	all := u.holder.Leave(steady.Now())
+	all := u.holder.Leave(monotonic.Now())
 	for shard := range all {
 		u.write(shard, true)
 	}
@@ -287,7 +287,7 @@
 	wg.Wait()
 }
 
-// Line is one line of a record of rights. Times are the steady clock's, the same for all processes of a machine.
+// Line is one line of a record of rights. Times are by package monotonic's clock, the same for all processes of a machine.
 type Line struct {
 	At         time.Duration    `json:"at"`
 	Member     lease.Member     `json:"member"`
@@ -309,7 +309,7 @@
 	if u.record == nil {
 		return
 	}
-	l := Line{At: steady.Now(), Member: u.client.Me(), Shard: shard, Changed: changed}
+	l := Line{At: monotonic.Now(), Member: u.client.Me(), Shard: shard, Changed: changed}
 	l.Until, l.FloorUntil = u.holder.Ends(shard)
 	if changed {
 		l.Held = map[string]Parts{}
@@ -333,5 +333,5 @@
 func (u *User) Rights() ([]budget.Right, Figures) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.holder.Rights(steady.Now()), u.figures
+	return u.holder.Rights(monotonic.Now()), u.figures
 }
--- a/internal/distributor/clock.go
+++ b/internal/distributor/clock.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 )
 
 // clock counts time since it was made; it goes on while the process is stopped.
 type clock struct{ start time.Duration }
 
-func newClock() clock { return clock{steady.Now()} }
+func newClock() clock { return clock{monotonic.Now()} }
 
-func (c clock) now() time.Duration { return steady.Now() - c.start }
+func (c clock) now() time.Duration { return monotonic.Now() - c.start }
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -14,7 +14,7 @@
 
 	"mothcleat/agree"
 	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
 )
 
@@ -30,7 +30,7 @@
 func (t *Tenure) Holds() bool {
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
-	term, ok := t.r.holder.Holds(steady.Now())
+	term, ok := t.r.holder.Holds(monotonic.Now())
 	return ok && term == t.Term
 }
 
@@ -162,7 +162,7 @@
 	held := map[string]uint64{}
 	for name, r := range s.runners {
 		r.mu.Lock()
-		if term, ok := r.holder.Holds(steady.Now()); ok {
+		if term, ok := r.holder.Holds(monotonic.Now()); ok {
 			held[name] = term
 		}
 		r.mu.Unlock()
@@ -182,7 +182,7 @@
 			there := map[string]time.Duration{}
 			for _, m := range all {
 				s.at[m.ID] = m.Address
-				if there[m.ID] = steady.Now(); s.since[m.ID] > 0 {
+				if there[m.ID] = monotonic.Now(); s.since[m.ID] > 0 {
 					there[m.ID] = s.since[m.ID]
 				}
 			}
@@ -260,11 +260,11 @@
 			continue
 		}
 		r.mu.Lock()
-		term, held := r.holder.Holds(steady.Now())
+		term, held := r.holder.Holds(monotonic.Now())
 		switch {
 		case held && h.Term > term && h.Owner != me:
-			r.holder.End(steady.Now(), lookMost, "another holds it under term "+strconv.FormatUint(h.Term, 10))
-			r.lapse(steady.Now())
+			r.holder.End(monotonic.Now(), lookMost, "another holds it under term "+strconv.FormatUint(h.Term, 10))
+			r.lapse(monotonic.Now())
 		case held && h.Term == term && h.Wish != "":
 			r.wish = h.Wish
 		case !held && h.Owner == me && h.Offered:
@@ -335,7 +335,7 @@
 // step does what is due and tells when to look again.
 func (r *runner) step() time.Duration {
 	r.mu.Lock()
-	now := steady.Now()
+	now := monotonic.Now()
 	held := r.lapse(now)
 	wish, quit := r.wish, r.quit
 	r.wish, r.quit = "", false
@@ -387,7 +387,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := steady.Now()
+	now := monotonic.Now()
 	switch {
 	case errors.Is(err, fleetlink.ErrSuperseded):
 		r.holder.Refused(now, sent, time.Hour, err.Error())
@@ -421,7 +421,7 @@
 	r.ender = time.AfterFunc(left, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.lapse(steady.Now())
+		r.lapse(monotonic.Now())
 	})
 }
 
@@ -471,7 +471,7 @@
 		return
 	}
 	r.mu.Lock()
-	now := steady.Now()
+	now := monotonic.Now()
 	term, held := r.holder.Holds(now)
 	r.stop()
 	worked := r.worked
@@ -489,7 +489,7 @@
 	}
 	_, err := r.set.opt.Client.Do(ctx, lease.MachineName, op.Encode())
 	r.mu.Lock()
-	r.holder.End(steady.Now(), 2*r.set.opt.Rules.Offer, "handed on")
+	r.holder.End(monotonic.Now(), 2*r.set.opt.Rules.Offer, "handed on")
 	r.term = 0
 	r.mu.Unlock()
 	r.set.opt.Log.Info("fleet: duty given up", "duty", r.name, "term", term, "to", op.To.ID, "error", err)
--- a/internal/fleetnode/call.go
+++ b/internal/fleetnode/call.go
@@ -13,7 +13,7 @@
 	"mothcleat/exports"
 	"mothcleat/internal/budgets"
 	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
 )
 
@@ -82,7 +82,7 @@
 		what = v
 	case len(words) == 1 && words[0] == "rights" && n.rights != nil:
 		held, did := n.rights.Rights()
-		what = Rights{n.me, steady.Now(), held, did, n.divide.Figures()}
+		what = Rights{n.me, monotonic.Now(), held, did, n.divide.Figures()}
 	case len(words) <= 2 && len(words) > 0 && words[0] == "budgets":
 		what, err = n.books(ctx, words[1:])
 	case n.agent != nil && len(words) > 0 && words[0] == "versions":
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -14,7 +14,7 @@
 	"mothcleat/agree"
 	"mothcleat/chronicle"
 	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
 	"mothcleat/versions"
 )
@@ -132,7 +132,7 @@
 func (a *Agent) Here() Here {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := steady.Now()
+	now := monotonic.Now()
 	h := Here{
 		Member:  a.client.Me(),
 		InForce: a.holder.InForce(),
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"mothcleat/internal/faultpoint"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/versions"
 )
 
@@ -42,7 +42,7 @@
 func (a *Agent) collectDue() (all []application) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := steady.Now()
+	now := monotonic.Now()
 	for _, name := range a.holder.Items() {
 		if due, ok := a.nextApplication(now, name); ok {
 			all = append(all, due)
@@ -94,7 +94,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.holder.InForce()[name]
-	a.holder.PutInForce(steady.Now(), name, target.Number)
+	a.holder.PutInForce(monotonic.Now(), name, target.Number)
 	if a.holder.InForce()[name] == before {
 		return
 	}
--- a/internal/rollout/permits.go
+++ b/internal/rollout/permits.go
@@ -6,23 +6,23 @@
 	"time"
 
 	"mothcleat/internal/faultpoint"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/versions"
 )
 
-// Acts returns until when this process may act, by the monotonic clock of package steady, and a
+// Acts returns until when this process may act, by the clock of package monotonic, and a
 // stamp of what is in force. The time is 0 if the process is shut out.
 func (a *Agent) Acts() (until time.Duration, stamp uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Acts(steady.Now()), a.stamp
+	return a.holder.Acts(monotonic.Now()), a.stamp
 }
 
 // Over reports whether what was decided under a permit may no longer be done. until and stamp are
 // what Acts returned at the decision.
 func (a *Agent) Over(until time.Duration, stamp uint64) bool {
 	faultpoint.At("permit-taken")
-	now := steady.Now()
+	now := monotonic.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return now >= until || stamp != a.stamp || a.holder.Acts(now) == 0
@@ -63,7 +63,7 @@
 func (a *Agent) renewPermit(ctx context.Context, query []byte) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	sent := steady.Now()
+	sent := monotonic.Now()
 	raw, err := a.client.Ask(ctx, versions.MachineName, query)
 	if err != nil {
 		return
@@ -79,7 +79,7 @@
 // takePermit takes in the answer to a query that was sent at the given time.
 func (a *Agent) takePermit(sent time.Duration, answer *versions.Told) {
 	a.mu.Lock()
-	a.holder.Hear(steady.Now(), sent, answer)
+	a.holder.Hear(monotonic.Now(), sent, answer)
 	a.mustEnrol = a.mustEnrol || answer.Enrol
 	a.mu.Unlock()
 	a.apply()
--- a/internal/voter/bench_test.go
+++ b/internal/voter/bench_test.go
@@ -12,7 +12,7 @@
 
 	"mothcleat/agree"
 	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
 	"mothcleat/standing"
 	"mothcleat/store"
@@ -64,7 +64,7 @@
 					b.Fatal(err)
 				}
 				d := lease.NewMachine(lease.Defaults())
-				n, err := agree.Open(steady.Now(), agree.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
+				n, err := agree.Open(monotonic.Now(), agree.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
 					HeartbeatTicks: 2, Log: quiet{slog.New(slog.DiscardHandler)},
 					Machines: map[string]agree.Machine{lease.MachineName: d, standing.MachineName: standing.NewMachine(d)}}, saved)
 				if err != nil {
@@ -74,10 +74,10 @@
 					b.Fatal(err)
 				}
 				for n.Applied() < last {
-					if _, ok := n.Work(steady.Now()); !ok {
+					if _, ok := n.Work(monotonic.Now()); !ok {
 						b.Fatalf("stands at %d of %d", n.Applied(), last)
 					}
-					if _, err := n.Saved(steady.Now()); err != nil {
+					if _, err := n.Saved(monotonic.Now()); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/voter/voter.go
+++ b/internal/voter/voter.go
@@ -18,7 +18,7 @@
 	"mothcleat/agree"
 	"mothcleat/internal/faultpoint"
 	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/steady"
+	"mothcleat/internal/monotonic"
 	"mothcleat/store"
 )
 
@@ -129,7 +129,7 @@
 		return errors.Join(err, f.Close())
 	}
 	machines := v.opt.Machines()
-	node, err := agree.Open(steady.Now(), agree.Config{
+	node, err := agree.Open(monotonic.Now(), agree.Config{
 		Number: f.id.Number, Machines: machines, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		ElectionTicks: v.opt.Election, HeartbeatTicks: 2, KeepEntries: v.opt.Keep, Log: quiet{v.opt.Log},
 	}, saved)
@@ -179,14 +179,14 @@
 			return
 		case <-tick.C:
 			if v.node == nil {
-				if steady.Now() >= again {
+				if monotonic.Now() >= again {
 					if err := v.open(); err != nil {
-						again = steady.Now() + reopenAfter
+						again = monotonic.Now() + reopenAfter
 						v.trouble(err.Error())
 					}
 				}
 			} else if v.begun {
-				v.node.Tick(steady.Now())
+				v.node.Tick(monotonic.Now())
 			} else {
 				v.prove()
 			}
@@ -209,7 +209,7 @@
 			// What was not saved was not promised. It begins anew from what its folder holds.
 			v.opt.Log.Error("fleet: this voter can't go on, and begins anew from its folder", "voter", v.id.Name, "error", err)
 			v.end("its folder fails: " + err.Error())
-			again = steady.Now() + reopenAfter
+			again = monotonic.Now() + reopenAfter
 		}
 		v.publish()
 	}
@@ -255,7 +255,7 @@
 		}
 		return
 	}
-	now := steady.Now()
+	now := monotonic.Now()
 	if v.asked != 0 && now-v.asked < proveEvery {
 		return
 	}
@@ -276,7 +276,7 @@
 // work saves, sends and answers until nothing is left to do.
 func (v *Voter) work() error {
 	for {
-		w, ok := v.node.Work(steady.Now())
+		w, ok := v.node.Work(monotonic.Now())
 		if !ok {
 			break
 		}
@@ -292,7 +292,7 @@
 		if w.Snapshot != nil {
 			v.kept = w.Snapshot.Metadata.GetIndex()
 		}
-		messages, err := v.node.Saved(steady.Now())
+		messages, err := v.node.Saved(monotonic.Now())
 		if err != nil {
 			return err
 		}
@@ -426,7 +426,7 @@
 
 // Do proposes a command. An answer NOT_READY or NOT_LEADER does not mean that it will not be agreed.
 func (v *Voter) Do(ctx context.Context, c *fleetpb.Command) *fleetpb.Answer {
-	return v.call(ctx, func(end func(*fleetpb.Answer)) { v.node.Submit(steady.Now(), c, end) })
+	return v.call(ctx, func(end func(*fleetpb.Answer)) { v.node.Submit(monotonic.Now(), c, end) })
 }
 
 // Ask reads what a machine has, after all that was answered before.
