--- a/store/commit.go
+++ b/store/commit.go
@@ -199,7 +199,7 @@
 	s.stats.Written += int64(len(buf))
 	change.apply(seq)
 	if synced {
-		s.unmarked = s.mark() // it costs no data: the old mark holds
+		s.unmarked = s.writeMark() // it costs no data: the old mark holds
 	}
 	return nil
 }
@@ -212,7 +212,7 @@
 	if err := s.syncTo(s.end); err != nil {
 		return err
 	}
-	return s.mark()
+	return s.writeMark()
 }
 
 // syncTo has the active segment on disk up to an offset that was written.
--- a/store/compact.go
+++ b/store/compact.go
@@ -117,7 +117,7 @@
 		return errors.Join(fmt.Errorf("store: %w", err), s.discard(w))
 	}
 	old, oldEnd := s.active, s.end
-	if err := s.begin(); err != nil {
+	if err := s.startSegment(); err != nil {
 		return errors.Join(fmt.Errorf("store: %w", err), s.discard(w))
 	}
 	old.length = oldEnd
@@ -133,7 +133,7 @@
 	}
 	s.first, s.baseKeys, s.count = s.seq+1, s.keys, 0
 	s.swap(set, nil)
-	return s.mark()
+	return s.writeMark()
 }
 
 // drain writes all entries of a walker into a run.
--- /dev/null
+++ b/store/fileset.go
@@ -0,0 +1,75 @@
+package store
+
+import (
+	"bytes"
+	"slices"
+)
+
+// fileSet is the files that hold the store's content at one time. Only its reference count changes.
+type fileSet struct {
+	segments []*segment // by id, the active one last
+	runs     []*run     // newest first
+	refs     int        // guarded by Store.mu
+}
+
+// segment returns the segment with an id, or nil.
+func (set *fileSet) segment(id uint64) *segment {
+	byID := func(g *segment, id uint64) int { return int(g.id) - int(id) }
+	i, ok := slices.BinarySearchFunc(set.segments, id, byID)
+	if !ok {
+		return nil
+	}
+	return set.segments[i]
+}
+
+// load returns the value of the record at a location, which has to be the key's.
+func (set *fileSet) load(key []byte, at location) ([]byte, error) {
+	g := set.segment(at.segment)
+	if g == nil {
+		return nil, &DamageError{segmentName(at.segment), at.offset, "the index names a segment that is not there"}
+	}
+	b, r, err := g.read(at)
+	if err != nil {
+		return nil, err
+	}
+	if r.op != opPut || !bytes.Equal(b[recordHead:recordHead+int(r.key)], key) {
+		return nil, &DamageError{g.name, at.offset, "another key's record"}
+	}
+	return b[recordHead+int(r.key):], nil
+}
+
+// drop releases one reference to a set and closes the files that no set refers to any more. Called with
+// mu held.
+func (s *Store) drop(set *fileSet) {
+	if set.refs--; set.refs > 0 {
+		return
+	}
+	for _, g := range set.segments {
+		g.file.drop()
+	}
+	for _, r := range set.runs {
+		r.file.drop()
+	}
+}
+
+func (f *file) drop() {
+	if f.refs--; f.refs == 0 {
+		_ = f.f.Close() // only ever read since it was synced
+	}
+}
+
+// swap replaces the current set and overlay.
+func (s *Store) swap(set *fileSet, top *node) {
+	set.refs = 1
+	for _, g := range set.segments {
+		g.refs++
+	}
+	for _, r := range set.runs {
+		r.refs++
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.files
+	s.files, s.top = set, top
+	s.drop(old)
+}
--- /dev/null
+++ b/store/manifest.go
@@ -0,0 +1,58 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+)
+
+// writeManifest replaces the manifest by one that names a set of files. After an error it is not known
+// which of the two a crash would leave.
+func (s *Store) writeManifest(set *fileSet, active, seq, keys uint64) error {
+	m := &manifest{store: s.id, next: s.next, active: active, seq: seq, keys: keys}
+	for _, g := range set.segments {
+		if g.id != active {
+			m.segments = append(m.segments, sealedSegment{g.id, g.length, g.base})
+		}
+	}
+	for _, r := range set.runs {
+		m.runs = append(m.runs, sealedRun{r.id, r.length})
+	}
+	f, err := s.fs.Create(manifestNew)
+	if err != nil {
+		return err
+	}
+	if _, err = f.WriteAt(m.encode(), 0); err == nil {
+		err = f.Sync()
+	}
+	if err := errors.Join(err, f.Close()); err != nil {
+		return err
+	}
+	if err := s.fs.Rename(manifestNew, manifestName); err != nil {
+		return err
+	}
+	return s.fs.Sync()
+}
+
+// openMarks creates the mark's file anew, since an old one may be damaged.
+func (s *Store) openMarks() error {
+	f, err := s.fs.Create(markName)
+	if err != nil {
+		return fmt.Errorf("store: %w", err)
+	}
+	s.marks = f
+	if _, err := f.WriteAt(head(kindMark, s.id, 0), 0); err != nil {
+		return fmt.Errorf("store: %w", err)
+	}
+	return s.writeMark()
+}
+
+// writeMark writes down how far the log is on disk. The mark is not synced: after a power cut an older
+// one is valid too.
+func (s *Store) writeMark() error {
+	s.slot = 3 - max(s.slot, 1)
+	m := mark{s.active.id, s.synced, s.seq}
+	if _, err := s.marks.WriteAt(m.encode(s.id), s.slot*markSlot); err != nil {
+		return fmt.Errorf("store: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/store/snapshot.go
@@ -0,0 +1,139 @@
+package store
+
+import (
+	"bytes"
+	"iter"
+	"sync"
+)
+
+// Get returns the value of a key, or ErrNotFound. The caller owns the value.
+func (s *Store) Get(key []byte) ([]byte, error) {
+	view, err := s.Snapshot()
+	if err != nil {
+		return nil, err
+	}
+	defer view.Close()
+	return view.Get(key)
+}
+
+// Snapshot is the store as it was at one time. It may be read concurrently, also with commits. The files
+// that it reads stay on disk until it is closed.
+type Snapshot struct {
+	s     *Store
+	seq   uint64
+	top   *node
+	files *fileSet
+	once  sync.Once
+}
+
+// Snapshot returns the store as it is now, with all commits that have returned. Close it after use.
+func (s *Store) Snapshot() (*Snapshot, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return nil, ErrClosed
+	}
+	s.files.refs++
+	return &Snapshot{s: s, seq: s.seq, top: s.top, files: s.files}, nil
+}
+
+// Seq returns the number of the last batch in the snapshot. Batches count from 1.
+func (v *Snapshot) Seq() uint64 { return v.seq }
+
+// Close releases the snapshot's files. Further calls do nothing.
+func (v *Snapshot) Close() {
+	v.once.Do(func() {
+		v.s.mu.Lock()
+		defer v.s.mu.Unlock()
+		v.s.drop(v.files)
+	})
+}
+
+// Get returns the value of a key, or ErrNotFound.
+func (v *Snapshot) Get(key []byte) ([]byte, error) {
+	var buf []byte
+	at, ok, err := find(v.top, v.files, key, &buf)
+	if err != nil {
+		return nil, err
+	}
+	if !ok {
+		return nil, ErrNotFound
+	}
+	return v.files.load(key, at)
+}
+
+// Item is a key with its value. The receiver owns both.
+type Item struct{ Key, Value []byte }
+
+// Range iterates over the keys in [from, to) in byte order; a nil to means to the end. It stops after the
+// first error.
+func (v *Snapshot) Range(from, to []byte) iter.Seq2[Item, error] {
+	return func(yield func(Item, error) bool) {
+		for e, err := range v.entries(from, to) {
+			if err != nil {
+				yield(Item{}, err)
+				return
+			}
+			value, err := v.files.load(e.key, e.at)
+			if !yield(Item{bytes.Clone(e.key), value}, err) || err != nil {
+				return
+			}
+		}
+	}
+}
+
+// Keys iterates over keys as Range does, without reading values.
+func (v *Snapshot) Keys(from, to []byte) iter.Seq2[[]byte, error] {
+	return func(yield func([]byte, error) bool) {
+		for e, err := range v.entries(from, to) {
+			if !yield(bytes.Clone(e.key), err) || err != nil {
+				return
+			}
+		}
+	}
+}
+
+// entry is a key that exists, with the location of its record.
+type entry struct {
+	key []byte
+	at  location
+}
+
+func (v *Snapshot) entries(from, to []byte) iter.Seq2[entry, error] {
+	return func(yield func(entry, error) bool) {
+		walkers := []walker{v.top.from(string(from))}
+		for _, r := range v.files.runs {
+			walkers = append(walkers, r.from(from))
+		}
+		for m := merge(walkers...); ; {
+			key, at, ok, err := m.next()
+			if err != nil {
+				yield(entry{}, err)
+				return
+			}
+			if !ok || to != nil && bytes.Compare(key, to) >= 0 {
+				return
+			}
+			if !at.deleted() && !yield(entry{key, at}, nil) {
+				return
+			}
+		}
+	}
+}
+
+// find returns the newest location of a key and whether the key exists. buf is reused between calls.
+func find(top *node, set *fileSet, key []byte, buf *[]byte) (location, bool, error) {
+	if at, ok := top.get(string(key)); ok {
+		return at, !at.deleted(), nil
+	}
+	if len(set.runs) == 0 {
+		return location{}, false, nil
+	}
+	h := hash(key)
+	for _, r := range set.runs {
+		if at, ok, err := r.get(key, h, buf); ok || err != nil {
+			return at, ok && !at.deleted(), err
+		}
+	}
+	return location{}, false, nil
+}
