--- /dev/null
+++ b/agree/requests.go
@@ -0,0 +1,278 @@
+package agree
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/internal/fleetpb"
+	"mothcleat/lease"
+)
+
+// freshFor is how long ago a session's last entry may be for a command of it to be answered without one.
+const freshFor = SessionSpan / 6
+
+// Done is the end of a command, a read or a change of voters. Tag is what its caller gave.
+type Done struct {
+	Tag    any
+	Answer *fleetpb.Answer
+}
+
+// read is a linearizable read under way.
+type read struct {
+	tag     any
+	machine string
+	body    []byte
+	index   uint64 // 0: not confirmed yet
+}
+
+// answer ends a command or a read with its answer.
+func (n *Node) answer(tag any, body []byte) {
+	n.done = append(n.done, Done{tag, &fleetpb.Answer{Body: body}})
+}
+
+// refuseUnknown ends a request for a machine that there is none of.
+func (n *Node) refuseUnknown(tag any, machine string) {
+	n.refuse(tag, fleetpb.Code_REFUSED, fmt.Sprintf("no part of the agreed state is called %q", machine))
+}
+
+// refuse ends a command or a read with an error, and names the leader if one is known.
+func (n *Node) refuse(tag any, code fleetpb.Code, why string) {
+	a := &fleetpb.Answer{Code: code, Why: why}
+	if n.rn != nil {
+		if v := n.voters[n.rn.BasicStatus().Lead]; v != nil {
+			a.Leader = v.Name
+		}
+	}
+	n.done = append(n.done, Done{tag, a})
+}
+
+// able reports whether this node takes requests. If not, it ends the request with the reason.
+func (n *Node) able(tag any) bool {
+	switch {
+	case n.rn == nil:
+		n.refuse(tag, fleetpb.Code_NOT_READY, "this voter does not take part yet")
+	case n.rn.BasicStatus().RaftState != raft.StateLeader:
+		n.refuse(tag, fleetpb.Code_NOT_LEADER, "another voter leads, or none")
+	case !n.leads():
+		n.refuse(tag, fleetpb.Code_NOT_READY, "this voter leads only since now")
+	default:
+		return true
+	}
+	return false
+}
+
+// Submit proposes a command; session 0 opens a session for its member. It ends in a Done with the tag.
+func (n *Node) Submit(now time.Duration, c *fleetpb.Command, tag any) {
+	if !n.able(tag) {
+		return
+	}
+	who := lease.Member{ID: c.Member.GetId(), Boot: c.Member.GetBoot()}
+	at := n.clock.now(now)
+	e := &fleetpb.Entry{At: uint64(at), Session: c.Session, Seq: c.Seq, Floor: c.Floor, Machine: c.Machine, Body: c.Body}
+	if c.Session == 0 {
+		e.Member = c.Member
+	} else if n.endsAtOnce(at, who, c, tag) {
+		return
+	}
+	if tags := n.pending[c.Session][c.Seq]; len(tags) > 0 {
+		n.pending[c.Session][c.Seq] = append(tags, tag) // it is under way: asked again before it was agreed
+		return
+	}
+	raw, err := proto.Marshal(e)
+	if err == nil {
+		err = n.rn.Propose(raw)
+	}
+	if err != nil {
+		n.refuse(tag, fleetpb.Code_NOT_READY, err.Error())
+		return
+	}
+	n.await(who, c, tag)
+}
+
+// endsAtOnce ends a command of a session that needs no entry: one that was answered before, that its
+// machine refuses, or that can't be taken. It reports whether the command has ended.
+func (n *Node) endsAtOnce(at time.Duration, who lease.Member, c *fleetpb.Command, tag any) bool {
+	in, answer, had, code := n.sessions.known(c.Session, c.Seq)
+	switch {
+	case code == fleetpb.Code_NO_SESSION && slices.Contains(n.sessions.retired[who.ID], who.Boot):
+		n.refuse(tag, fleetpb.Code_SUPERSEDED, superseded(who))
+		return true
+	case code != fleetpb.Code_OK:
+		n.refuse(tag, code, "")
+		return true
+	case had:
+		n.answer(tag, answer)
+		return true
+	}
+	m := n.cfg.Machines[c.Machine]
+	if m == nil && c.Machine != "" {
+		n.refuseUnknown(tag, c.Machine)
+		return true
+	}
+	// A command without an entry leaves no trace in the session: one that is always refused would be taken for gone.
+	if r, ok := m.(Refuser); ok && at-in.seen < freshFor {
+		if answer, refused := r.Refuse(at, in.member, c.Body); refused {
+			n.answer(tag, answer)
+			return true
+		}
+	}
+	return false
+}
+
+// await keeps the tag of a proposed command until its entry is applied.
+func (n *Node) await(who lease.Member, c *fleetpb.Command, tag any) {
+	if c.Session == 0 {
+		n.opens[who] = append(n.opens[who], tag)
+		return
+	}
+	bySeq := n.pending[c.Session]
+	if bySeq == nil {
+		bySeq = map[uint64][]any{}
+		n.pending[c.Session] = bySeq
+	}
+	bySeq[c.Seq] = append(bySeq[c.Seq], tag)
+}
+
+// superseded is why a process whose id another has taken since is refused.
+func superseded(who lease.Member) string {
+	return fmt.Sprintf("another process has taken the id %s since; this one is %s", who.ID, who)
+}
+
+// Read asks a machine for what it has, after all that was answered before: it is a linearizable read. It
+// ends in a Done with the tag.
+func (n *Node) Read(machine string, body []byte, tag any) {
+	if !n.able(tag) {
+		return
+	}
+	if n.cfg.Machines[machine] == nil && machine != FleetName {
+		n.refuseUnknown(tag, machine)
+		return
+	}
+	n.nextID++
+	n.reads[n.nextID] = &read{tag: tag, machine: machine, body: body}
+	n.rn.ReadIndex(fmt.Appendf(nil, "%d", n.nextID))
+}
+
+// Alter proposes another list of voters, with one added or one removed, by joint consensus. It ends in a
+// Done with the tag.
+func (n *Node) Alter(add bool, v *fleetpb.Voter, tag any) {
+	if !n.able(tag) {
+		return
+	}
+	known, is := n.voters[v.Number]
+	switch {
+	case add && is && known.Name == v.Name:
+		n.answer(tag, nil)
+		return
+	case !add && !is:
+		n.refuse(tag, fleetpb.Code_REFUSED, fmt.Sprintf("%q is no voter", v.Name))
+		return
+	case !add && len(n.voters) == 1:
+		n.refuse(tag, fleetpb.Code_REFUSED, "the last voter stays")
+		return
+	case add && n.nameTaken(v.Name):
+		n.refuse(tag, fleetpb.Code_REFUSED, fmt.Sprintf("%s is a voter already, by another folder: remove it first", v.Name))
+		return
+	}
+	if err := n.proposeVoterChange(add, v); err != nil {
+		n.refuse(tag, fleetpb.Code_NOT_READY, err.Error())
+		return
+	}
+	n.changes = append(n.changes, tag)
+}
+
+// nameTaken reports whether a voter has the name.
+func (n *Node) nameTaken(name string) bool {
+	for _, v := range n.voters {
+		if v.Name == name {
+			return true
+		}
+	}
+	return false
+}
+
+func (n *Node) proposeVoterChange(add bool, v *fleetpb.Voter) error {
+	kind := raftpb.ConfChangeAddNode
+	if !add {
+		kind = raftpb.ConfChangeRemoveNode
+	}
+	context, err := proto.Marshal(v)
+	if err != nil {
+		return err
+	}
+	return n.rn.ProposeConfChange(&raftpb.ConfChangeV2{
+		Context:    context,
+		Transition: new(raftpb.ConfChangeTransitionJointImplicit),
+		Changes:    []*raftpb.ConfChangeSingle{{Type: new(kind), NodeId: new(v.Number)}},
+	})
+}
+
+// answerReads answers the confirmed reads whose index is applied.
+func (n *Node) answerReads(now time.Duration) {
+	if len(n.reads) == 0 {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(n.reads)) {
+		r := n.reads[id]
+		if r.index != 0 && r.index <= n.applied {
+			at := n.clock.now(now)
+			body := n.list(at)
+			if r.machine != FleetName {
+				body = n.cfg.Machines[r.machine].Query(at, r.body)
+			}
+			n.answer(r.tag, body)
+			delete(n.reads, id)
+		}
+	}
+}
+
+// stepDown ends all requests that wait for this leader. They may be agreed yet, and have to be repeated at
+// the next leader.
+func (n *Node) stepDown() {
+	end := func(tags ...any) {
+		for _, tag := range tags {
+			n.refuse(tag, fleetpb.Code_NOT_LEADER, "this voter leads no more")
+		}
+	}
+	// In a fixed order, so that one seed of the emulator has one history.
+	for _, s := range slices.Sorted(maps.Keys(n.pending)) {
+		for _, seq := range slices.Sorted(maps.Keys(n.pending[s])) {
+			end(n.pending[s][seq]...)
+		}
+	}
+	for _, who := range slices.SortedFunc(maps.Keys(n.opens), func(a, b lease.Member) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Boot, b.Boot))
+	}) {
+		end(n.opens[who]...)
+	}
+	for _, id := range slices.Sorted(maps.Keys(n.reads)) {
+		end(n.reads[id].tag)
+	}
+	end(n.changes...)
+	clear(n.pending)
+	clear(n.opens)
+	clear(n.reads)
+	n.changes = nil
+}
+
+// Ended returns the requests that have ended since the last call.
+func (n *Node) Ended() []Done {
+	d := n.done
+	n.done = nil
+	return d
+}
+
+// Drop ends all requests that wait, with a reason why this voter stops. They may be agreed yet.
+func (n *Node) Drop(why string) {
+	n.stepDown()
+	for _, d := range n.done {
+		d.Answer.Code, d.Answer.Why = fleetpb.Code_NOT_READY, why
+	}
+}
--- /dev/null
+++ b/agree/status.go
@@ -0,0 +1,115 @@
+package agree
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/tracker"
+
+	"mothcleat/internal/fleetpb"
+)
+
+// Role is what a voter is at a time.
+type Role struct {
+	Term   uint64
+	Leader uint64 // 0: none is known
+	Leads  bool   // this voter, and it takes commands
+}
+
+// Role returns what this voter is now.
+func (n *Node) Role() Role {
+	if n.rn == nil {
+		return Role{Term: n.hard.GetTerm()}
+	}
+	st := n.rn.BasicStatus()
+	return Role{st.GetTerm(), st.Lead, n.leads()}
+}
+
+// leads reports whether this voter leads and has applied an entry of its own term: only then does it know all that
+// was agreed, and what time it is.
+func (n *Node) leads() bool {
+	st := n.rn.BasicStatus()
+	return st.RaftState == raft.StateLeader && n.termSeen == st.GetTerm()
+}
+
+// Voters returns the agreed voters, by name.
+func (n *Node) Voters() []*fleetpb.Voter {
+	all := make([]*fleetpb.Voter, 0, len(n.voters))
+	for _, v := range n.voters {
+		all = append(all, v)
+	}
+	slices.SortFunc(all, func(a, b *fleetpb.Voter) int { return cmp.Compare(a.Name, b.Name) })
+	return all
+}
+
+// Members returns the processes that have a session, by id.
+func (n *Node) Members() []Present { return n.sessions.members() }
+
+// Fleet returns the name that the fleet was founded under.
+func (n *Node) Fleet() string { return n.fleet }
+
+// Applied returns the index of the last entry that the state holds.
+func (n *Node) Applied() uint64 { return n.applied }
+
+// First returns the index of the first entry that the log still holds.
+func (n *Node) First() uint64 {
+	first, _ := n.log.FirstIndex() // the log in memory has no errors
+	return first
+}
+
+// FleetName is the part of the agreed state that every node has itself: who votes, and who has a session. A Read of it
+// gives a List.
+const FleetName = "fleet"
+
+// List is who belongs to the fleet.
+type List struct {
+	Fleet   string        `json:"fleet"`
+	At      time.Duration `json:"at"` // the fleet's time
+	Term    uint64        `json:"term"`
+	Leader  string        `json:"leader"`
+	Applied uint64        `json:"applied"`
+	First   uint64        `json:"first"` // entry still in the log
+	Voters  []VoterAt     `json:"voters"`
+	Members []Present     `json:"members"`
+	// Retired are earlier boots of ids that had a session, as far as they are kept.
+	Retired map[string][]uint64 `json:"retired"`
+}
+
+// VoterAt is a voter of the agreed list.
+type VoterAt struct {
+	Name    string `json:"name"`
+	Number  string `json:"number"` // of its folder, in hexadecimal
+	Address string `json:"address"`
+}
+
+// list returns the List as JSON, at a time of the fleet.
+func (n *Node) list(at time.Duration) []byte {
+	r := n.Role()
+	l := List{Fleet: n.fleet, At: at, Term: r.Term, Applied: n.applied, First: n.First(), Members: n.Members(), Retired: n.sessions.retired}
+	for _, v := range n.Voters() {
+		l.Voters = append(l.Voters, VoterAt{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
+		if v.Number == r.Leader {
+			l.Leader = v.Name
+		}
+	}
+	raw, err := json.Marshal(l)
+	if err != nil {
+		panic(err) // plain data
+	}
+	return raw
+}
+
+// UpToDate reports whether another voter is known to hold all that this leader does and was active lately.
+func (n *Node) UpToDate(voter uint64) (yes bool) {
+	last, _ := n.log.LastIndex()
+	n.rn.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
+		if id == voter {
+			yes = pr.RecentActive && pr.Match >= last
+		}
+	})
+	return yes
+}
