--- /dev/null
+++ b/versions/state.go
@@ -0,0 +1,111 @@
+package versions
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"mothcleat/chronicle"
+	"mothcleat/lease"
+)
+
+// Standing is a process that may hold permits.
+type Standing struct {
+	Member lease.Member  `json:"member"`
+	Since  time.Duration `json:"since"`
+	Until  time.Duration `json:"until"` // its permits are over by then
+	// InForce is by item what it said it acts on; Refused what it said it can't act on, and why.
+	InForce map[string]uint64  `json:"in_force,omitempty"`
+	At      time.Duration      `json:"at"` // when it last said so
+	Refused map[string]Refusal `json:"refused,omitempty"`
+}
+
+// Refusal is a version that a gateway can't act on.
+type Refusal struct {
+	Number uint64 `json:"number"`
+	Why    string `json:"why"`
+}
+
+// Shut is a gateway that was shut out by hand, or because its record does not hold.
+type Shut struct {
+	ID  string        `json:"id"`
+	At  time.Duration `json:"at"`
+	Why string        `json:"why"`
+}
+
+// View is the whole state. Versions are sorted by item, then the oldest first.
+type View struct {
+	At       time.Duration `json:"at"`
+	Seq      uint64        `json:"seq"` // commands taken in
+	Versions []Version     `json:"versions"`
+	Members  []Standing    `json:"members"`
+	Shut     []Shut        `json:"shut"`
+	// Heads are where records stand, by their processes' own word, and Forks where a process told two stories.
+	Heads []chronicle.Head   `json:"heads"`
+	Forks []chronicle.Damage `json:"forks"`
+}
+
+// View returns all that is agreed, sorted, so that the same state gives the same View.
+func (m *Machine) View(at time.Duration) View {
+	v := View{At: at, Seq: m.seq, Versions: []Version{}, Members: []Standing{}, Shut: []Shut{}}
+	for _, all := range m.items {
+		for _, one := range all {
+			v.Versions = append(v.Versions, *one)
+		}
+	}
+	slices.SortFunc(v.Versions, func(a, b Version) int {
+		return cmp.Or(cmp.Compare(a.Item, b.Item), cmp.Compare(a.Number, b.Number))
+	})
+	for _, s := range m.members {
+		v.Members = append(v.Members, *s)
+	}
+	slices.SortFunc(v.Members, func(a, b Standing) int {
+		return cmp.Or(cmp.Compare(a.Member.ID, b.Member.ID), cmp.Compare(a.Member.Boot, b.Member.Boot))
+	})
+	for _, s := range m.shut {
+		v.Shut = append(v.Shut, s)
+	}
+	slices.SortFunc(v.Shut, func(a, b Shut) int { return cmp.Compare(a.ID, b.ID) })
+	v.Heads, v.Forks = []chronicle.Head{}, slices.Clone(m.forks)
+	for _, id := range slices.Sorted(maps.Keys(m.heads)) {
+		v.Heads = append(v.Heads, m.heads[id]...)
+	}
+	return v
+}
+
+// Snapshot returns the state as JSON, the same bytes for the same state.
+func (m *Machine) Snapshot() []byte { return encode(m.View(0)) }
+
+// Restore replaces the state by what Snapshot returned.
+func (m *Machine) Restore(raw []byte) error {
+	var v View
+	if err := json.Unmarshal(raw, &v); err != nil {
+		return fmt.Errorf("versions: %w", err)
+	}
+	n := NewMachine(m.rules, m.fence)
+	for _, one := range v.Versions {
+		n.items[one.Item] = append(n.items[one.Item], &one)
+	}
+	for _, s := range v.Members {
+		if s.InForce == nil {
+			s.InForce = map[string]uint64{}
+		}
+		if s.Refused == nil {
+			s.Refused = map[string]Refusal{}
+		}
+		n.members[s.Member] = &s
+	}
+	for _, s := range v.Shut {
+		n.shut[s.ID] = s
+	}
+	for _, h := range v.Heads {
+		n.heads[h.ID] = append(n.heads[h.ID], h)
+	}
+	n.forks = v.Forks
+	n.seq, n.changes = v.Seq, m.changes+1
+	*m = *n
+	return nil
+}
