--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -65,6 +66,7 @@
 
 // playScale plays one run for each path, and prints the result of each as a line.
 func (b *bench) playScale(ctx context.Context, o scale.Options, paths []scale.Path, into string) error {
+	byPath := map[scale.Path]*scale.Result{}
 	for _, path := range paths {
 		o.Path = path
 		if err := o.Check(); err != nil {
@@ -79,12 +81,20 @@
 				return err
 			}
 		}
-		fmt.Fprintln(b.out, result.Line())
+		byPath[path] = result
+		if len(paths) == 1 {
+			fmt.Fprintln(b.out, result.Line())
+		}
 		if result.Diverged+result.LostChanges > 0 {
 			b.code = 1
 		}
 	}
-	return nil
+	if len(paths) == 1 {
+		return nil
+	}
+	line, err := json.Marshal(byPath)
+	fmt.Fprintln(b.out, string(line))
+	return err
 }
 
 // playLadders plays ladders of sizes, and prints the slopes.
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -91,7 +91,7 @@
 	if parts.Metering {
 		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
 	}
-	if parts.List && control {
+	if parts.List && control && c.options.Path == PathDelta {
 		fmt.Fprintf(&b, "watch = true\nsilent = %q\n", silentAfter)
 	}
 	if parts.Allocation {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -67,6 +67,7 @@
 	Current int64  `json:"current"` // when it first had a whole list, Unix time in nanoseconds; 0: not yet
 	Version uint64 `json:"version"` // of the plans that is in force
 	Acts    bool   `json:"acts"`    // it may act on them
+	Stale   int    `json:"stale"`   // times that its state's digest was not the agreed one
 }
 
 // Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those since the sample before.
@@ -229,11 +230,8 @@
 	if c.Parts.Metering {
 		settings.Shards = 1
 	}
-	if c.Parts.List {
-		settings.Direct = func() (registry.Source, error) {
-			g.process.fallbacks.Add(1)
-			return noRegister{}, nil
-		}
+	if c.Parts.List && c.Path == PathDelta {
+		settings.Direct = g.noDirect
 	}
 	if c.Parts.Allocation {
 		r := budget.Defaults()
@@ -247,8 +245,11 @@
 		settings.Versions, settings.Items = &r, map[string]rollout.Item{planItem: g}
 	}
 	g.node = fleetnode.Start(settings)
-	if source := g.node.Register(); source != nil {
-		go source.Run(ctx, g.hear)
+	switch {
+	case c.Parts.List && c.Path == PathDelta:
+		go g.node.Register().Run(ctx, g.hear)
+	case c.Parts.List:
+		go g.wholeList(c.Voters, log).Run(ctx, g.hear)
 	}
 	g.tenants = tenantsOf(g.number, c.Gateways, c.Tenants)
 	if c.Parts.Allocation || c.Parts.Metering {
@@ -282,32 +283,45 @@
 	now := time.Now().UnixNano()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	was := g.current
+	gone := map[string]bool{}
 	if n.Kind == registry.Whole {
-		for _, hash := range g.servers {
-			g.digest -= hash
+		for id := range g.servers {
+			gone[id] = true
 		}
-		clear(g.servers)
 	}
 	for i := range n.Members {
 		m := &n.Members[i]
 		id := shortID(m.ID)
-		g.digest -= g.servers[id]
-		delete(g.servers, id)
-		if m.Phase != registry.Gone {
-			hash := serverHash(id, m.Phase, m.HostPort)
-			g.servers[id] = hash
-			g.digest += hash
-		}
-		if was != 0 && n.Kind == registry.Changed {
-			g.process.arrived(Arrival{Gateway: g.number, Server: id, Phase: m.Phase, At: now})
-		}
+		delete(gone, id)
+		g.put(id, m.Phase, m.HostPort, now)
+	}
+	for id := range gone { // what a whole list does not have
+		g.put(id, registry.Gone, "", now)
 	}
 	if g.current == 0 && n.Kind != registry.Unheard {
 		g.current = now
 	}
 }
 
+// put takes in a server's phase. The lock is held.
+func (g *hollowGateway) put(id, phase, address string, now int64) {
+	was, there := g.servers[id]
+	hash := uint64(0)
+	if phase != registry.Gone {
+		hash = serverHash(id, phase, address)
+	}
+	if hash == was {
+		return
+	}
+	g.digest += hash - was
+	if delete(g.servers, id); hash != 0 {
+		g.servers[id] = hash
+	}
+	if g.current != 0 && (there || hash != 0) {
+		g.process.arrived(Arrival{Gateway: g.number, Server: id, Phase: phase, At: now})
+	}
+}
+
 const planItem = "plans"
 
 // Check tells why a version of the plans can't be acted on; see rollout.Item.
@@ -344,7 +358,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return GatewayState{Servers: len(g.servers), Digest: g.digest, Current: g.current, Version: g.version, Acts: acts}
+	stale := 0
+	if replica := g.node.Distribution().Replica; replica != nil {
+		stale = int(replica.Counts.Divergences)
+	}
+	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current, Version: g.version, Acts: acts}
 }
 
 // A tenant comes through two to four gateways.
--- a/internal/scale/ladder.go
+++ b/internal/scale/ladder.go
@@ -21,13 +21,16 @@
 
 // The ladders.
 const (
-	LadderBase           = "base"          // sessions, leases and the log alone, by gateways
-	LadderListServers    = "list-servers"  // the list, by servers
-	LadderListGateways   = "list-gateways" // the list, by gateways
-	LadderPlansTenants   = "plans-tenants" // versions of the plans, by tenants
-	LadderPermitGateways = "permits"       // permits and records, by gateways, without a new version
-	LadderAllocation     = "allocation"    // quotas, by tenants and gateways together
-	LadderMetering       = "metering"      // counted use, by gateways
+	LadderBase           = "base"           // sessions, leases and the log alone, by gateways
+	LadderListServers    = "list-servers"   // the whole list, by servers
+	LadderListGateways   = "list-gateways"  // the whole list, by gateways
+	LadderDeltaServers   = "delta-servers"  // the list by what changed, by servers
+	LadderDeltaGateways  = "delta-gateways" // the same, by gateways
+	LadderDeltaChanges   = "delta-changes"  // the same, by changes a second
+	LadderPlansTenants   = "plans-tenants"  // versions of the plans, by tenants
+	LadderPermitGateways = "permits"        // permits and records, by gateways, without a new version
+	LadderAllocation     = "allocation"     // quotas, by tenants and gateways together
+	LadderMetering       = "metering"       // counted use, by gateways
 )
 
 const (
@@ -54,10 +57,17 @@
 		return l
 	}
 	list := func(o *Options) { o.Parts.List, o.ReplacementsPerSecond = true, stepReplacements }
+	delta := func(o *Options) { list(o); o.Path = PathDelta }
 	return []Ladder{
 		ladder(LadderBase, sizes, func(o *Options, n int) { o.Gateways = n }),
 		ladder(LadderListServers, []int{730, 2000, 7300}, func(o *Options, n int) { list(o); o.Servers = n }),
 		ladder(LadderListGateways, sizes, func(o *Options, n int) { list(o); o.Servers, o.Gateways = stepServers, n }),
+		ladder(LadderDeltaServers, []int{730, 2000, 7300}, func(o *Options, n int) { delta(o); o.Servers = n }),
+		ladder(LadderDeltaGateways, sizes, func(o *Options, n int) { delta(o); o.Servers, o.Gateways = stepServers, n }),
+		ladder(LadderDeltaChanges, []int{1, 2, 4}, func(o *Options, n int) {
+			delta(o)
+			o.Servers, o.ReplacementsPerSecond = stepServers, stepReplacements*float64(n)
+		}),
 		ladder(LadderPlansTenants, []int{6000, 20000, 60000}, func(o *Options, n int) { o.Parts.Configuration, o.Versions, o.Tenants = true, stepVersions, n }),
 		ladder(LadderPermitGateways, sizes, func(o *Options, n int) {
 			o.Parts.Configuration, o.Parts.Metering, o.Gateways, o.Tenants = true, true, n, n*tenantsPerGateway
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -45,6 +44,7 @@
 	register *Register
 	control  *control
 	real     *realGateways
+	watcher  *watcher // nil: a control process watches the register
 	children children
 	result   *Result
 
@@ -60,9 +60,6 @@
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	if o.Path == PathDelta {
-		return nil, errors.New("--path delta: the incremental distribution is not in this program yet; wholelist is")
-	}
 	if o.Bin == "" {
 		bin, remove, err := lab.BuildAside(ctx)
 		if err != nil {
@@ -87,6 +84,9 @@
 	if p.real != nil {
 		p.real.close(p.options.Logs)
 	}
+	if p.watcher != nil {
+		p.watcher.close()
+	}
 	if p.control != nil {
 		p.control.close()
 	}
@@ -104,6 +104,9 @@
 	if p.control, err = startControl(ctx, o, p.register, p.log); err != nil {
 		return err
 	}
+	if o.Parts.List && o.Path == PathWholeList {
+		p.watcher = startWatcher(p.control.voters(), p.register.Address)
+	}
 	if o.RealGateways > 0 {
 		if p.real, err = startReal(ctx, o, p.control, p.log); err != nil {
 			return err
@@ -155,6 +158,9 @@
 	}
 	for deadline := time.Now().Add(settleWithin); time.Now().Before(deadline); {
 		held := 0
+		if p.watcher != nil && p.watcher.holds() {
+			held++
+		}
 		for i := range p.options.Control {
 			held += p.control.duties(i)
 		}
@@ -539,6 +545,9 @@
 			if p.options.Parts.List && g.Digest != digest {
 				p.result.Diverged++
 			}
+			if p.options.Path == PathDelta && p.options.Parts.List {
+				p.result.StaleOperations = max(0, p.result.StaleOperations) + g.Stale
+			}
 			if p.options.Parts.Configuration && !g.Acts {
 				p.result.GatewaysNotActing++
 			}
