--- a/budget/size_test.go
+++ b/budget/size_test.go
@@ -13,10 +13,15 @@
 	"mothcleat/lease"
 )
 
-// 300 gateways and 20,000 customers in sets of two to four, under one owner, with traffic that shifts: what a second of the
-// fleet costs its owner, and what goes over the wire and into the log.
+// Gateways and customers in sets of two to four, under one owner, with traffic that shifts: what a second of the fleet costs its owner
+// and all holders, and what goes over the wire and into the log.
 func BenchmarkOwnerAtSize(b *testing.B) {
-	const members, customers = 300, 20_000
+	for _, size := range []struct{ members, customers int }{{150, 10_000}, {300, 20_000}, {620, 60_000}} {
+		b.Run(fmt.Sprintf("%dx%d", size.members, size.customers), func(b *testing.B) { benchmarkOwner(b, size.members, size.customers) })
+	}
+}
+
+func benchmarkOwner(b *testing.B, members, customers int) {
 	r := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
 	f := &terms{1, lease.Member{ID: "o", Boot: 1}}
@@ -87,7 +92,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	n := float64(b.N)
-	b.ReportMetric(float64(asked+answered)/n/members, "wireB/s/gateway")
+	b.ReportMetric(float64(asked+answered)/n/float64(members), "wireB/s/gateway")
 	b.ReportMetric(float64(entries)/n, "logB/s")
 	b.ReportMetric(float64(rounds)/n, "rounds/s")
 	b.ReportMetric(float64(changes)/n, "changes/s")
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -20,7 +20,8 @@
 	var o scale.Options
 	var roles, path, into string
 	var ladders []string
-	var slopes, keep bool
+	var slopes, keep, page bool
+	var benchmarks, pageAt string
 	c := &cobra.Command{Use: "scale", Short: "hollow gateways before real control processes: what a large fleet asks of them, by role", Args: none}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "which world is drawn, and what happens in it")
@@ -38,11 +39,20 @@
 	f.StringVar(&path, "path", string(scale.PathWholeList), "how the list of servers travels: wholelist, delta or both")
 	f.BoolVar(&slopes, "slopes", false, "play the ladders of sizes in place of one run, and fit the slopes")
 	f.StringSliceVar(&ladders, "ladder", nil, "with --slopes: these ladders only")
-	f.StringVar(&into, "into", "", "a file of JSON, as docs/capacity.json, that takes in the ladders, or with --keep the run")
+	f.StringVar(&into, "into", "docs/capacity.json", "the file of JSON that takes in the ladders, or with --keep the run")
 	f.BoolVar(&keep, "keep", false, "put the run's result into the file")
+	f.BoolVar(&page, "page", false, "play nothing: work out the tables of the page from the file of --into, and put them in")
+	f.StringVar(&pageAt, "page-at", "docs/CAPACITY.md", "the page")
+	f.StringVar(&benchmarks, "benchmarks", "", "play nothing: a file that go test -bench has printed goes into the file of --into")
 	f.StringVar(&o.Bin, "bin", "", "the gateway's program; empty: it is built")
 	f.StringVar(&o.Logs, "logs", "", "a folder for the processes' logs")
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
+		switch {
+		case page:
+			return scale.WritePage(into, pageAt)
+		case benchmarks != "":
+			return takeBenchmarks(benchmarks, into)
+		}
 		if o.Parts, err = scale.ParseParts(roles); err != nil {
 			return err
 		}
@@ -129,6 +139,25 @@
 	return nil
 }
 
+// takeBenchmarks puts what benchmarks have printed into the file.
+func takeBenchmarks(printed, into string) error {
+	f, err := os.Open(printed)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	all, err := scale.ReadBenchmarks(f)
+	if err != nil {
+		return err
+	}
+	c, err := scale.ReadCapacity(into)
+	if err != nil {
+		return err
+	}
+	c.TakeBenchmarks(all)
+	return c.Write(into)
+}
+
 // scaleHollow runs hollow gateways, for scale.
 func (b *bench) scaleHollow() *cobra.Command {
 	return &cobra.Command{Use: hollowCommand, Hidden: true, Args: none, RunE: func(c *cobra.Command, _ []string) error {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1079,7 +1079,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	for _, c := range []struct{ gateways, backends, spread int }{{2, 16, 2}, {360, 90, 150}} {
+	for _, c := range []struct{ gateways, backends, spread int }{{2, 16, 2}, {360, 90, 150}, {620, 15, 3}, {620, 730, 3}, {620, 7300, 3}} {
 		b.Run(fmt.Sprintf("%dx%d", c.gateways, c.backends), func(b *testing.B) {
 			set := settings()
 			set.Gateways = c.gateways
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -18,15 +18,6 @@
 	Benchmarks []Benchmark `json:"benchmarks"`
 }
 
-// Benchmark is what a benchmark of the packages told at one size.
-type Benchmark struct {
-	Name    string             `json:"name"`
-	Size    float64            `json:"size"`
-	Of      string             `json:"of"` // what the size counts
-	Metrics map[string]float64 `json:"metrics"`
-	Date    string             `json:"date"`
-}
-
 // ReadCapacity reads the file. One that is not there is empty.
 func ReadCapacity(path string) (*Capacity, error) {
 	c := &Capacity{}
--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -1,4 +1,331 @@
 package scale
 
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Names of the slopes. What a role takes is measured with the others off; what sessions, leases and the log take by themselves is
+// subtracted.
+const (
+	SlopeBaseCores          = "gateway: sessions alone, processor"
+	SlopeBaseMemory         = "gateway: sessions alone, memory"
+	SlopeBaseControl        = "control machines: sessions alone, processor"
+	SlopeControlMemory      = "control machine: sessions alone, memory"
+	SlopeMembershipBytes    = "probes and gossip: bytes"
+	SlopeMembershipMessages = "probes and gossip: messages"
+	SlopeElectionBytes      = "leader election and log: bytes"
+	SlopeElectionMessages   = "leader election and log: messages"
+
+	SlopeWholeBytes   = "whole list: bytes a change"
+	SlopeWholeCores   = "whole list: processor of a gateway a change"
+	SlopeWholeControl = "whole list: processor of control machines a change and gateway"
+	SlopeWholeMemory  = "whole list: memory of a gateway"
+
+	SlopeDeltaBytes        = "incremental list: bytes"
+	SlopeDeltaMessages     = "incremental list: messages"
+	SlopeDeltaCores        = "incremental list: processor of a gateway"
+	SlopeDeltaControl      = "incremental list: processor of control machines a change, by gateways"
+	SlopeDeltaRegister     = "incremental list: processor of control machines a change, by servers"
+	SlopeDeltaMemory       = "incremental list: memory of a gateway"
+	SlopeDeltaChangeBytes  = "incremental list: bytes a change, by servers"
+	SlopeVersionBytes      = "configuration: bytes a version"
+	SlopeVersionCores      = "configuration: processor of a gateway a version"
+	SlopeVersionControl    = "configuration: processor of control machines a version"
+	SlopeVersionMemory     = "configuration: memory of a gateway"
+	SlopePermitBytes       = "configuration: bytes of permits"
+	SlopePermitMessages    = "configuration: messages of permits"
+	SlopePermitControl     = "configuration: processor of control machines for permits and records"
+	SlopeAuditBytes        = "audit: bytes"
+	SlopeAuditMessages     = "audit: messages"
+	SlopeAllocationBytes   = "quota allocation: bytes"
+	SlopeAllocationMessage = "quota allocation: messages"
+	SlopeAllocationCores   = "quota allocation: processor of a gateway"
+	SlopeAllocationControl = "quota allocation: processor of control machines"
+	SlopeMeteringBytes     = "metering: bytes"
+	SlopeMeteringMessages  = "metering: messages"
+	SlopeMeteringCores     = "metering: processor of a gateway"
+	SlopeMeteringControl   = "metering: processor of control machines"
+)
+
+// quantity is something that is read from the steps of a ladder, and what it depends on.
+type quantity struct {
+	name, unit, dependsOn, ladder string
+	x, y                          func(r *Result) float64
+}
+
+// What quantities depend on.
+const (
+	byGateways  = "gateways"
+	byServers   = "servers"
+	byTenants   = "tenants"
+	byChanges   = "changes a second"
+	byQuotas    = "gateways, with 96 tenants each"
+	unitBytes   = "B/s"
+	unitCount   = "1/s"
+	unitCores   = "cores"
+	unitSeconds = "s"
+	unitMB      = "MB"
+	unitB       = "B"
+)
+
+func xGateways(r *Result) float64 { return float64(r.Options.Gateways) }
+func xServers(r *Result) float64  { return float64(r.Options.Servers) }
+func xTenants(r *Result) float64  { return float64(r.Options.Tenants) }
+func xChanges(r *Result) float64  { return float64(r.ListChanges) / r.Seconds }
+
+func bytesOf(role Role) func(r *Result) float64 {
+	return func(r *Result) float64 { return r.Roles[role].BytesInPerSecond + r.Roles[role].BytesOutPerSecond }
+}
+
+func messagesOf(role Role) func(r *Result) float64 {
+	return func(r *Result) float64 { return r.Roles[role].MessagesPerSecond }
+}
+
+// Slopes are those that were fitted, by name.
+type Slopes map[string]*Slope
+
+// at is a slope's value at a size; 0 where it was not measured.
+func (s Slopes) at(name string, x float64) float64 {
+	if one := s[name]; one != nil {
+		return one.At(x)
+	}
+	return 0
+}
+
+// baseQuantities are those that the others are counted beyond.
+func baseQuantities() []quantity {
+	return []quantity{
+		{SlopeBaseCores, unitCores, byGateways, LadderBase, xGateways, func(r *Result) float64 { return r.Gateway.Cores }},
+		{SlopeBaseMemory, unitMB, byGateways, LadderBase, xGateways, func(r *Result) float64 { return r.Gateway.ResidentMB }},
+		{SlopeBaseControl, unitCores, byGateways, LadderBase, xGateways, func(r *Result) float64 { return r.ControlCores }},
+		{SlopeControlMemory, unitMB, byGateways, LadderBase, xGateways, controlMemory},
+		{SlopeElectionBytes, unitBytes, byGateways, LadderBase, xGateways, bytesOf(RoleElection)},
+		{SlopeElectionMessages, unitCount, byGateways, LadderBase, xGateways, messagesOf(RoleElection)},
+	}
+}
+
+// controlMemory is the most that a control process held.
+func controlMemory(r *Result) (most float64) {
+	for _, p := range r.ControlProcesses {
+		most = max(most, p.ResidentMB)
+	}
+	return most
+}
+
+// beyond gives functions for what a play took beyond sessions alone.
+type beyond struct{ base Slopes }
+
+func (b beyond) cores(r *Result) float64 {
+	return max(0, r.Gateway.Cores-b.base.at(SlopeBaseCores, xGateways(r)))
+}
+
+func (b beyond) memory(r *Result) float64 {
+	return max(0, r.Gateway.ResidentMB-b.base.at(SlopeBaseMemory, xGateways(r)))
+}
+
+func (b beyond) control(r *Result) float64 {
+	return max(0, r.ControlCores-b.base.at(SlopeBaseControl, xGateways(r)))
+}
+
+// perChange is what a quantity a second comes to for one change of the list.
+func perChange(y func(r *Result) float64) func(r *Result) float64 {
+	return func(r *Result) float64 { return y(r) * r.Seconds / max(1, float64(r.ListChanges)) }
+}
+
+// perVersion is the same for a version of the plans.
+func perVersion(y func(r *Result) float64) func(r *Result) float64 {
+	return func(r *Result) float64 { return y(r) * r.Seconds / max(1, float64(r.PlanVersions)) }
+}
+
+func perGateway(y func(r *Result) float64) func(r *Result) float64 {
+	return func(r *Result) float64 { return y(r) / xGateways(r) }
+}
+
+// roleQuantities are what each role takes beyond sessions alone.
+func roleQuantities(base Slopes) []quantity {
+	b := beyond{base}
+	return []quantity{
+		{SlopeWholeBytes, unitB, byServers, LadderListServers, xServers, func(r *Result) float64 { return r.BytesPerListChange }},
+		{SlopeWholeCores, unitSeconds, byServers, LadderListServers, xServers, perChange(b.cores)},
+		{SlopeWholeControl, unitSeconds, byServers, LadderListServers, xServers, perGateway(perChange(b.control))},
+		{SlopeWholeMemory, unitMB, byServers, LadderListServers, xServers, b.memory},
+		{SlopeDeltaBytes, unitBytes, byChanges, LadderDeltaChanges, xChanges, bytesOf(RoleList)},
+		{SlopeDeltaMessages, unitCount, byChanges, LadderDeltaChanges, xChanges, messagesOf(RoleList)},
+		{SlopeDeltaCores, unitCores, byChanges, LadderDeltaChanges, xChanges, b.cores},
+		{SlopeDeltaChangeBytes, unitB, byServers, LadderDeltaServers, xServers, func(r *Result) float64 { return r.BytesPerListChange }},
+		{SlopeDeltaControl, unitSeconds, byGateways, LadderDeltaGateways, xGateways, perChange(b.control)},
+		{SlopeDeltaRegister, unitSeconds, byServers, LadderDeltaServers, xServers, perChange(b.control)},
+		{SlopeDeltaMemory, unitMB, byServers, LadderDeltaServers, xServers, b.memory},
+		{SlopeVersionBytes, unitB, byTenants, LadderPlansTenants, xTenants, perVersion(bytesOf(RoleConfiguration))},
+		{SlopeVersionCores, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.cores)},
+		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.control)},
+		{SlopeVersionMemory, unitMB, byTenants, LadderPlansTenants, xTenants, b.memory},
+		{SlopePermitBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleConfiguration)},
+		{SlopePermitMessages, unitCount, byGateways, LadderPermitGateways, xGateways, messagesOf(RoleConfiguration)},
+		{SlopePermitControl, unitCores, byGateways, LadderPermitGateways, xGateways, b.control},
+		{SlopeMembershipBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleMembership)},
+		{SlopeMembershipMessages, unitCount, byGateways, LadderPermitGateways, xGateways, messagesOf(RoleMembership)},
+		{SlopeAuditBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleAudit)},
+		{SlopeAuditMessages, unitCount, byGateways, LadderPermitGateways, xGateways, messagesOf(RoleAudit)},
+		{SlopeAllocationBytes, unitBytes, byQuotas, LadderAllocation, xGateways, bytesOf(RoleAllocation)},
+		{SlopeAllocationMessage, unitCount, byQuotas, LadderAllocation, xGateways, messagesOf(RoleAllocation)},
+		{SlopeAllocationCores, unitCores, byQuotas, LadderAllocation, xGateways, b.cores},
+		{SlopeAllocationControl, unitCores, byQuotas, LadderAllocation, xGateways, b.control},
+		{SlopeMeteringBytes, unitBytes, byGateways, LadderMetering, xGateways, bytesOf(RoleMetering)},
+		{SlopeMeteringMessages, unitCount, byGateways, LadderMetering, xGateways, messagesOf(RoleMetering)},
+		{SlopeMeteringCores, unitCores, byGateways, LadderMetering, xGateways, b.cores},
+		{SlopeMeteringControl, unitCores, byGateways, LadderMetering, xGateways, b.control},
+	}
+}
+
 // FitAll fits the slopes of all ladders that were played.
-func (c *Capacity) FitAll() (all []Slope, err error) { return nil, nil }
+func (c *Capacity) FitAll() (Slopes, error) {
+	slopes := Slopes{}
+	if err := c.fit(slopes, baseQuantities()); err != nil {
+		return nil, err
+	}
+	return slopes, c.fit(slopes, roleQuantities(maps.Clone(slopes)))
+}
+
+func (c *Capacity) fit(into Slopes, quantities []quantity) error {
+	for _, q := range quantities {
+		var points []Point
+		for _, s := range c.Steps {
+			if s.Ladder == q.ladder {
+				points = append(points, Point{q.x(s.Result), q.y(s.Result)})
+			}
+		}
+		if len(points) == 0 {
+			continue // this ladder was not played
+		}
+		slope, err := Fit(q.name, q.unit, q.dependsOn, points)
+		if err != nil {
+			return err
+		}
+		into[q.name] = &slope
+	}
+	return nil
+}
+
+// benchmark finds a benchmark's metric at a size; ok is false where it was not run.
+func (c *Capacity) benchmark(name, metric string) (value float64, ok bool) {
+	i := slices.IndexFunc(c.Benchmarks, func(b Benchmark) bool { return b.Name == name })
+	if i < 0 {
+		return 0, false
+	}
+	value, ok = c.Benchmarks[i].Metrics[metric]
+	return value, ok
+}
+
+// The limits of one gateway's part in control, and of what is set aside for it.
+const (
+	limitCores            = 0.049
+	limitMemoryMB         = 64
+	limitBytes            = 10_000 // a second
+	limitAddedMS          = 5.2
+	limitInForceMS        = 13_000
+	controlCoresEach      = 1 // a process of the program uses one core
+	secondsPerDay         = 86_400
+	secondsPerHour        = 3600
+	versionsPerDay        = 420
+	replacementsPerDay    = 1100
+	failuresPerDay        = 21
+	changesPerReplaced    = 3 // drained, the next one added, taken away
+	changesPerFailure     = 2 // gone, the next one added
+	rackServers           = 300
+	zones                 = 8
+	permitSpanSeconds     = 10
+	drainWithinMS         = 2000
+	kilobyte, millisecond = 1000.0, 1000.0
+)
+
+// Load is a stretch of time by what changes in it.
+type Load struct {
+	Name              string
+	ChangesPerSecond  float64 // of the list of servers
+	VersionsPerSecond float64 // of the plans
+}
+
+// loads are the mean day and a release.
+func loads() []Load {
+	day := Load{"a mean day", (replacementsPerDay*changesPerReplaced + failuresPerDay*changesPerFailure) / float64(secondsPerDay), versionsPerDay / float64(secondsPerDay)}
+	release := Load{"a release", replacementsPerDay * changesPerReplaced / float64(secondsPerHour), day.VersionsPerSecond}
+	return []Load{day, release}
+}
+
+// Use is what one role takes at the size that is designed for.
+type Use struct {
+	Role     string
+	Messages float64 // of one gateway, a second
+	Bytes    float64
+	Cores    float64 // of one gateway
+	MemoryMB float64
+	Control  float64 // cores of all control machines together
+}
+
+// uses are what the roles take under a load, by one path of the list.
+func (s Slopes) uses(l Load, path Path) []Use {
+	const g, n, t = DesignGateways, DesignServers, DesignTenants
+	list := Use{Role: string(RoleList)}
+	if path == PathWholeList {
+		list.Bytes = l.ChangesPerSecond * s.at(SlopeWholeBytes, n)
+		list.Cores = l.ChangesPerSecond * s.at(SlopeWholeCores, n)
+		list.Control = l.ChangesPerSecond * s.at(SlopeWholeControl, n) * g
+		list.MemoryMB = s.at(SlopeWholeMemory, n)
+		list.Messages = 3 * l.ChangesPerSecond // the news, the question, the list
+	} else {
+		list.Bytes, list.Messages = s.at(SlopeDeltaBytes, l.ChangesPerSecond), s.at(SlopeDeltaMessages, l.ChangesPerSecond)
+		list.Cores, list.MemoryMB = s.at(SlopeDeltaCores, l.ChangesPerSecond), s.at(SlopeDeltaMemory, n)
+		register := max(0, s.at(SlopeDeltaRegister, n)-s.at(SlopeDeltaRegister, stepServers))
+		list.Control = l.ChangesPerSecond * (s.at(SlopeDeltaControl, g) + register)
+	}
+	permitControl := max(0, s.at(SlopePermitControl, g)-s.at(SlopeMeteringControl, g))
+	return []Use{
+		list,
+		{string(RoleConfiguration), s.at(SlopePermitMessages, g), s.at(SlopePermitBytes, g) + l.VersionsPerSecond*s.at(SlopeVersionBytes, t),
+			l.VersionsPerSecond * s.at(SlopeVersionCores, t), s.at(SlopeVersionMemory, t), permitControl + l.VersionsPerSecond*s.at(SlopeVersionControl, t)},
+		{string(RoleAllocation), s.at(SlopeAllocationMessage, g), s.at(SlopeAllocationBytes, g), s.at(SlopeAllocationCores, g), 0, s.at(SlopeAllocationControl, g)},
+		{string(RoleElection), s.at(SlopeElectionMessages, g), s.at(SlopeElectionBytes, g), s.at(SlopeBaseCores, g), s.at(SlopeBaseMemory, g), s.at(SlopeBaseControl, g)},
+		{string(RoleAudit), s.at(SlopeAuditMessages, g), s.at(SlopeAuditBytes, g), 0, 0, 0},
+		{string(RoleMetering), s.at(SlopeMeteringMessages, g), s.at(SlopeMeteringBytes, g), s.at(SlopeMeteringCores, g), 0, s.at(SlopeMeteringControl, g)},
+		{string(RoleMembership), s.at(SlopeMembershipMessages, g), s.at(SlopeMembershipBytes, g), 0, 0, 0},
+	}
+}
+
+// total sums uses up.
+func total(uses []Use) (sum Use) {
+	for _, u := range uses {
+		sum.Messages += u.Messages
+		sum.Bytes += u.Bytes
+		sum.Cores += u.Cores
+		sum.MemoryMB += u.MemoryMB
+		sum.Control += u.Control
+	}
+	return sum
+}
+
+// fits tells whether a value keeps a limit, and by what factor it is over or under it.
+func fits(value, limit float64) string {
+	if value <= limit {
+		return fmt.Sprintf("fits (%.2f of it)", value/limit)
+	}
+	return fmt.Sprintf("**over, x%.1f**", value/limit)
+}
+
+// number writes a figure in three digits.
+func number(x float64) string {
+	switch {
+	case x == 0:
+		return "0"
+	case x >= 1000:
+		digits := fmt.Sprintf("%.0f", x)
+		for i := len(digits) - 3; i > 0; i -= 3 {
+			digits = digits[:i] + "," + digits[i:]
+		}
+		return digits
+	}
+	return strings.TrimSuffix(fmt.Sprintf("%.3g", x), "e+00")
+}
--- /dev/null
+++ b/internal/scale/page_test.go
@@ -0,0 +1,119 @@
+package scale
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// The tables of the capacity page are what its JSON gives.
+func TestThePageIsWhatItsFiguresGive(t *testing.T) {
+	docs := filepath.Join("..", "..", "docs")
+	if err := CheckPage(filepath.Join(docs, "capacity.json"), filepath.Join(docs, "CAPACITY.md")); err != nil {
+		t.Error(err)
+	}
+}
+
+// A figure that is changed in the page shows.
+func TestAChangedFigureShows(t *testing.T) {
+	dir := t.TempDir()
+	jsonAt, pageAt := filepath.Join(dir, "capacity.json"), filepath.Join(dir, "page.md")
+	if err := sample(t).Write(jsonAt); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(pageAt, []byte("before\n"+pageBegin+pageEnd+"\nafter\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := CheckPage(jsonAt, pageAt); err == nil {
+		t.Error("an empty page passes")
+	}
+	if err := WritePage(jsonAt, pageAt); err != nil {
+		t.Fatal(err)
+	}
+	if err := CheckPage(jsonAt, pageAt); err != nil {
+		t.Error(err)
+	}
+	raw, err := os.ReadFile(pageAt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := string(raw)
+	if !strings.HasPrefix(text, "before\n") || !strings.HasSuffix(text, "\nafter\n") {
+		t.Error("what stands round the tables was changed")
+	}
+	if !strings.Contains(text, "| 12,500 |") {
+		t.Fatalf("no figure to change in\n%s", text)
+	}
+	if err := os.WriteFile(pageAt, []byte(strings.Replace(text, "| 12,500 |", "| 12,501 |", 1)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := CheckPage(jsonAt, pageAt); err == nil {
+		t.Error("a changed figure passes")
+	}
+	if err := os.WriteFile(pageAt, []byte("no markers"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := CheckPage(jsonAt, pageAt); err == nil {
+		t.Error("a page without markers passes")
+	}
+}
+
+// sample is a capacity whose sessions take 100 B/s and 20 more for each gateway.
+func sample(t *testing.T) *Capacity {
+	t.Helper()
+	c := &Capacity{}
+	for _, n := range []int{40, 80, 160} {
+		r := newResult(Options{Gateways: n})
+		r.Roles[RoleMembership] = Row{BytesInPerSecond: 100 + 20*float64(n), MessagesPerSecond: 2}
+		r.Gateway.Cores = 0.01
+		c.Steps = append(c.Steps, Step{Ladder: LadderBase, Result: r}, Step{Ladder: LadderPermitGateways, Result: r})
+	}
+	return c
+}
+
+// What a role takes at the size is its line drawn to 620 gateways.
+func TestTheModelDrawsLinesToTheSize(t *testing.T) {
+	slopes, err := sample(t).FitAll()
+	if err != nil {
+		t.Fatal(err)
+	}
+	day := loads()[0]
+	for _, u := range slopes.uses(day, PathDelta) {
+		if u.Role == string(RoleMembership) && (u.Bytes < 12_499 || u.Bytes > 12_501) {
+			t.Errorf("%+v, 12,500 bytes a second wanted", u)
+		}
+	}
+	if sum := total(slopes.uses(day, PathDelta)); sum.Bytes < 12_499 || sum.Cores < 0.0099 || sum.Cores > 0.0101 {
+		t.Errorf("%+v", sum)
+	}
+	if day.ChangesPerSecond < 0.0386 || day.ChangesPerSecond > 0.0388 || loads()[1].ChangesPerSecond < 0.916 {
+		t.Errorf("%+v", loads())
+	}
+	if !strings.HasPrefix(fits(12_500, limitBytes), "**over, x1.2") || !strings.HasPrefix(fits(5000, limitBytes), "fits (0.50") {
+		t.Error(fits(12_500, limitBytes), fits(5000, limitBytes))
+	}
+}
+
+// What benchmarks print is read, with all their units.
+func TestReadBenchmarks(t *testing.T) {
+	all, err := ReadBenchmarks(strings.NewReader("goos: linux\nBenchmarkOwner/620x60000-8 \t 5\t 240000000 ns/op\t 21600 wireB/s/gateway\nPASS\n"))
+	if err != nil || len(all) != 1 || all[0].Name != "Owner/620x60000" || all[0].Metrics["wireB/s/gateway"] != 21600 || all[0].Metrics["ns/op"] != 24e7 {
+		t.Errorf("%+v, %v", all, err)
+	}
+	c := &Capacity{}
+	c.TakeBenchmarks(all)
+	c.TakeBenchmarks(all)
+	if len(c.Benchmarks) != 1 {
+		t.Errorf("%+v", c.Benchmarks)
+	}
+}
+
+// Words for numbers are short and the same each time.
+func TestNumber(t *testing.T) {
+	for x, want := range map[float64]string{0: "0", 0.0123456: "0.0123", 12.3456: "12.3", 1234.5: "1,234", 1234567: "1,234,567"} {
+		if got := number(x); got != want {
+			t.Errorf("%v: %s, %s wanted", x, got, want)
+		}
+	}
+}
--- a/sim/versions/versions_test.go
+++ b/sim/versions/versions_test.go
@@ -1,6 +1,7 @@
 package versions
 
 import (
+	"strconv"
 	"testing"
 	"time"
 
@@ -32,10 +33,16 @@
 	}
 }
 
-// BenchmarkAtSize tells what a roll-out costs 300 gateways.
+// BenchmarkAtSize tells what a roll-out costs fleets of several sizes.
 func BenchmarkAtSize(b *testing.B) {
+	for _, gateways := range []int{150, 300, 620} {
+		b.Run(strconv.Itoa(gateways), func(b *testing.B) { benchmarkAt(b, gateways) })
+	}
+}
+
+func benchmarkAt(b *testing.B, gateways int) {
 	for b.Loop() {
-		s := Measure(1, 300, 6)
+		s := Measure(1, gateways, 6)
 		b.ReportMetric(trial.Quantile(s.ToAll, 0.5), "ms-to-all-p50")
 		b.ReportMetric(trial.Quantile(s.ToAll, 0.99), "ms-to-all-p99")
 		b.ReportMetric(trial.Quantile(s.ToMost, 0.99), "ms-to-nine-in-ten-p99")
