--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"math"
 	"slices"
 	"strings"
 )
@@ -87,12 +88,12 @@
 // Slopes are those that were fitted, by name.
 type Slopes map[string]*Slope
 
-// at is a slope's value at a size; 0 where it was not measured.
+// at is a slope's value at a size; no number where it was not measured.
 func (s Slopes) at(name string, x float64) float64 {
 	if one := s[name]; one != nil {
 		return one.At(x)
 	}
-	return 0
+	return math.NaN()
 }
 
 // baseQuantities are those that the others are counted beyond.
@@ -307,8 +308,13 @@
 	return sum
 }
 
+const notMeasured = "not measured"
+
 // fits tells whether a value keeps a limit, and by what factor it is over or under it.
 func fits(value, limit float64) string {
+	if math.IsNaN(value) {
+		return notMeasured
+	}
 	if value <= limit {
 		return fmt.Sprintf("fits (%.2f of it)", value/limit)
 	}
@@ -318,6 +324,8 @@
 // number writes a figure in three digits.
 func number(x float64) string {
 	switch {
+	case math.IsNaN(x):
+		return notMeasured
 	case x == 0:
 		return "0"
 	case x >= 1000:
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"maps"
+	"math"
 	"os"
 	"slices"
 	"strings"
@@ -137,7 +138,7 @@
 func (c *Capacity) requestCores(servers int) string {
 	ns, ok := c.benchmark(fmt.Sprintf("Request/620x%d", servers), "ns/op")
 	if !ok {
-		return "not measured"
+		return notMeasured
 	}
 	return number(ns * requestsPerGateway / 1e9)
 }
@@ -158,7 +159,7 @@
 	event := func(name, what string, bytes, gateways float64, how string) {
 		row(b, name, what, number(bytes), number(bytes*gateways/1e6), how)
 	}
-	deltaBytes := 0.0
+	deltaBytes := math.NaN()
 	if one := s[SlopeDeltaBytes]; one != nil {
 		deltaBytes = one.PerOne
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	currentWithin  = 120 * time.Second // for all gateways to be current after they were started
+	currentWithin  = 60 * time.Second // for all gateways to be current after they were started
 	settleWithin   = 30 * time.Second  // for the last changes to come to all
 	settlePause    = 3 * time.Second   // sessions, permits and rights come to rest
 	lookEvery      = 100 * time.Millisecond
