--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1090,15 +1090,20 @@
 			}
 			g.Members(start, Cached, members(c.backends))
 			b.ReportAllocs()
-			now := start
+			now, waits := start, 0
 			for i := 0; b.Loop(); i++ {
 				now += 5000
 				id := uint64(i)
 				g.Request(now, Request{ID: id, Plan: 1, Customer: id % 200, Units: 1, Grace: second, Spread: c.spread})
-				if r := g.requests[id]; r != nil {
+				switch r := g.requests[id]; {
+				case r == nil:
+				case len(r.attempts) == 0:
+					waits++
+				default:
 					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].b.Backend, Took: 1000, Over: true})
 				}
 			}
+			b.ReportMetric(float64(waits)/float64(b.N), "waiting/op") // such a request was not dealt to a server at once
 		})
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -19,8 +19,8 @@
 
 const (
 	currentWithin  = 60 * time.Second // for all gateways to be current after they were started
-	settleWithin   = 30 * time.Second  // for the last changes to come to all
-	settlePause    = 3 * time.Second   // sessions, permits and rights come to rest
+	settleWithin   = 30 * time.Second // for the last changes to come to all
+	settlePause    = 3 * time.Second  // sessions, permits and rights come to rest
 	lookEvery      = 100 * time.Millisecond
 	replaceStep    = 500 * time.Millisecond // from a drain to the addition, and from there to the removal
 	rackAfter      = 0.7                    // of the run
