--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -85,6 +85,7 @@
 	c.wholeTable(&b, slopes)
 	c.eventTable(&b, slopes)
 	c.runTable(&b)
+	c.runRoleTable(&b)
 	c.controlTable(&b)
 	slopeTable(&b, slopes)
 	c.benchmarkTable(&b)
@@ -144,11 +145,14 @@
 }
 
 func (c *Capacity) wholeTable(b *strings.Builder, s Slopes) {
-	head(b, "The list of servers by both paths", "load", "changes/s", "path", "bytes/s to one gateway", "of the limit", "of a gateway's core", "control machines, cores together")
+	head(b, "The list of servers by both paths", "load", "changes/s", "path", "bytes/s to one gateway", "of the limit", "of a gateway's core", "control machines, cores together",
+		"all roles: bytes/s to one gateway", "all roles: of a gateway's core", "all roles: control machines, cores together")
 	for _, l := range loads() {
 		for _, path := range []Path{PathWholeList, PathDelta} {
-			u := s.uses(l, path)[0]
-			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes, limitBytes), number(u.Cores), number(u.Control))
+			uses := s.uses(l, path)
+			u, sum := uses[0], total(uses)
+			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes, limitBytes), number(u.Cores), number(u.Control),
+				number(sum.Bytes)+": "+fits(sum.Bytes, limitBytes), number(sum.Cores)+": "+fits(sum.Cores, limitCores), number(sum.Control))
 		}
 	}
 }
@@ -196,6 +200,16 @@
 	}
 }
 
+func (c *Capacity) runRoleTable(b *strings.Builder) {
+	head(b, "Bytes a second at one gateway in these runs, by role", "run", "role", "messages/s", "in", "out")
+	for i, r := range c.Runs {
+		for _, role := range slices.Sorted(maps.Keys(r.Roles)) {
+			one := r.Roles[role]
+			row(b, number(float64(i+1)), string(role), number(one.MessagesPerSecond), number(one.BytesInPerSecond), number(one.BytesOutPerSecond))
+		}
+	}
+}
+
 func (c *Capacity) controlTable(b *strings.Builder) {
 	head(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores", "memory, MB (most)", "read, kB/s", "written, kB/s")
 	for i, r := range c.Runs {
