--- /dev/null
+++ b/internal/registry/discovery_return_test.go
@@ -0,0 +1,238 @@
+package registry
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"mothcleat/membership"
+)
+
+// term is within which a change counts as told, once discovery has it and can be reached, whatever became of earlier calls.
+const term = 6 * time.Second
+
+// socket is one that a test lets listen when it wants.
+type socket struct {
+	fd      int
+	file    *os.File // owns the descriptor
+	address string
+}
+
+// boundSocket has an address that nothing listens at yet: connections are refused there.
+func boundSocket(t *testing.T) *socket {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &socket{fd: fd, file: os.NewFile(uintptr(fd), "discovery")}
+	t.Cleanup(func() { s.file.Close() })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.address = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	return s
+}
+
+// serve answers calls for the list where a socket listens.
+func (s *socket) serve(t *testing.T, list string) {
+	t.Helper()
+	l, err := net.FileListener(s.file) // it has a descriptor of its own
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.RawQuery != "" {
+			<-r.Context().Done() // a watch
+			return
+		}
+		fmt.Fprint(w, list)
+	})}
+	t.Cleanup(func() { server.Close() })
+	go func() { _ = server.Serve(l) }()
+}
+
+const oneMember = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
+
+// failing fails one call in a way of its own, or holds it until its caller gives it up.
+var failing = map[string]func(w http.ResponseWriter, r *http.Request){
+	"turned away": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+	"an error":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+	"a cut list":  func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, oneMember[:20]) },
+	"reset": func(w http.ResponseWriter, _ *http.Request) {
+		conn, _, err := w.(http.Hijacker).Hijack()
+		if err == nil {
+			_ = conn.(*net.TCPConn).SetLinger(0)
+			conn.Close()
+		}
+	},
+	"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+	"silent amid the list": func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprint(w, oneMember[:20])
+		w.(http.Flusher).Flush()
+		<-r.Context().Done()
+	},
+}
+
+// pacesOfTheWorst are paces of a large fleet whose calls have failed for long. Some of them have been turned away before.
+func pacesOfTheWorst(asks bool) []*membership.Pace {
+	var paces []*membership.Pace
+	for seed := range uint64(12) {
+		p := membership.NewPace(300, seed)
+		if !asks {
+			p.Binds(2_000_000)
+		}
+		for n := range 12 {
+			p.Failed(seed%2 == 0 && n < 6, 0)
+		}
+		paces = append(paces, p)
+	}
+	return paces
+}
+
+// A discovery that can be reached right after it has failed a call, or has let it hang, is asked again, and heard, within the
+// term: also in a large fleet, after a long row of calls that failed.
+func TestDiscoveryThatReturnsIsHeardWithinTheTerm(t *testing.T) {
+	t.Parallel() // the pauses are seconds
+	var all sync.WaitGroup
+	defer all.Wait()
+	for name, fail := range failing {
+		for _, asks := range []bool{false, true} {
+			what := fmt.Sprintf("%s, asks %t", name, asks)
+			for _, pace := range pacesOfTheWorst(asks) {
+				var reachable atomic.Pointer[time.Time]
+				s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+					if now := time.Now(); reachable.CompareAndSwap(nil, &now) {
+						fail(w, r)
+						return
+					}
+					fmt.Fprint(w, oneMember)
+				}))
+				t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+				told := follow(t, NewPlatform(strings.TrimPrefix(s.URL, "http://"), asks, pace, quiet()).following())
+				all.Go(func() { heardInTime(t, what, told, &reachable) })
+			}
+		}
+	}
+}
+
+// following has a source followed from the start.
+func (d *Platform) following() *Platform {
+	d.Follow()
+	return d
+}
+
+// heardInTime waits for the list, and compares how long it took with the term.
+func heardInTime(t *testing.T, what string, told <-chan News, reachable *atomic.Pointer[time.Time]) {
+	for late := time.After(patience); ; {
+		select {
+		case n := <-told:
+			if n.Kind == Unheard {
+				continue
+			}
+			if took := time.Since(*reachable.Load()); took > term {
+				t.Errorf("%s: heard %v after discovery could be reached, want at most %v", what, took, term)
+			}
+		case <-late:
+			t.Error(what, ": nothing was heard")
+		}
+		return
+	}
+}
+
+// failures is a log that tells of each call that failed.
+type failures struct {
+	slog.Handler
+	seen chan struct{}
+}
+
+func (f failures) Handle(_ context.Context, r slog.Record) error {
+	if r.Message == "discovery" {
+		select {
+		case f.seen <- struct{}{}:
+		default:
+		}
+	}
+	return nil
+}
+
+// The same where nothing listened, and the next moment something does.
+func TestDiscoveryThatRefusedIsHeardWithinTheTerm(t *testing.T) {
+	t.Parallel()
+	var all sync.WaitGroup
+	defer all.Wait()
+	for _, asks := range []bool{false, true} {
+		for _, pace := range pacesOfTheWorst(asks) {
+			socket := boundSocket(t)
+			seen := make(chan struct{}, 1)
+			log := slog.New(failures{quiet().Handler(), seen})
+			told := follow(t, NewPlatform(socket.address, asks, pace, log).following())
+			all.Go(func() {
+				select {
+				case <-seen:
+				case <-time.After(patience):
+					t.Error("no call was refused")
+					return
+				}
+				now := time.Now()
+				var reachable atomic.Pointer[time.Time]
+				reachable.Store(&now)
+				if err := syscall.Listen(socket.fd, 16); err != nil {
+					t.Error(err)
+					return
+				}
+				socket.serve(t, oneMember)
+				heardInTime(t, fmt.Sprintf("refused, asks %t", asks), told, &reachable)
+			})
+		}
+	}
+}
+
+// Dials that nobody answers go on for minutes if they are let, and each holds one of the few connections that there may be:
+// when discovery's machine is back, a new one must be free at once.
+func TestDialsThatHangMakeRoomForOthers(t *testing.T) {
+	t.Parallel()
+	socket := boundSocket(t)
+	if err := syscall.Listen(socket.fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	filler, err := net.Dial("tcp", socket.address) // the one that the queue holds: the system drops what else comes
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer filler.Close()
+	p := NewPlatform(socket.address, false, membership.NewPace(300, 7).Binds(200_000), quiet())
+	begun := make(chan struct{}, 1024)
+	p.dialer.Control = func(string, string, syscall.RawConn) error {
+		begun <- struct{}{}
+		return nil
+	}
+	told := follow(t, p)
+	for n := range 2*mostCalls + 1 {
+		select {
+		case <-begun:
+		case <-time.After(patience):
+			t.Fatalf("%d dials were begun, and then no other: those that hang hold all the places", n)
+		}
+	}
+	now := time.Now()
+	var reachable atomic.Pointer[time.Time]
+	reachable.Store(&now)
+	socket.serve(t, oneMember)
+	heardInTime(t, "dials that hang", told, &reachable)
+}
--- a/internal/registry/platform.go
+++ b/internal/registry/platform.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"net"
 	"net/http"
 	"net/http/httptrace"
 	"sync/atomic"
@@ -18,6 +19,7 @@
 const (
 	watchSlack = time.Second           // for an answer after the wait is over
 	listWait   = 2 * time.Second       // for the whole list, which comes at once
+	dialWithin = 2 * time.Second       // for a connection: a dial outlives the call that it was made for
 	tooSoon    = 50 * time.Millisecond // for a watch that tells nothing
 	mostList   = 8 << 20               // bytes
 	mostCalls  = 8                     // that are out at once
@@ -30,6 +32,7 @@
 	address string
 	moved   chan string // addresses of new configurations: the last one only
 	client  *http.Client
+	dialer  net.Dialer
 	asks    bool          // discovery tells only who asks
 	start   chan struct{} // closed when the list is to be followed
 	once    bool
@@ -42,14 +45,18 @@
 func NewPlatform(address string, asks bool, pace *membership.Pace, log *slog.Logger) *Platform {
 	d := &Platform{
 		address: address, moved: make(chan string, 1), log: log, pace: pace,
-		client: &http.Client{
-			// No redirect is followed: only the addresses of the configuration are called.
-			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-			Transport: &http.Transport{
-				MaxConnsPerHost: mostCalls, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
+		dialer: net.Dialer{Timeout: dialWithin},
+		asks:   asks, start: make(chan struct{}),
+	}
+	d.client = &http.Client{
+		// No redirect is followed: only the addresses of the configuration are called.
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+		Transport: &http.Transport{
+			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+				return d.dialer.DialContext(ctx, network, address)
 			},
+			MaxConnsPerHost: mostCalls, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
 		},
-		asks: asks, start: make(chan struct{}),
 	}
 	if !asks {
 		d.Follow()
@@ -124,7 +131,7 @@
 			if !errors.Is(err, errTurnedAway) {
 				version = ""
 			}
-			again := micros(d.pace.Failed(errors.Is(err, errTurnedAway)))
+			again := micros(d.pace.Failed(errors.Is(err, errTurnedAway), time.Since(called).Microseconds()))
 			d.log.Warn("discovery", "error", err, "again_ms", again.Milliseconds())
 			if d.asks {
 				tell(News{Kind: Unheard})
@@ -194,7 +201,7 @@
 	for asked := 0; ; {
 		select {
 		case a := <-answers:
-			if patience == 0 || !errors.Is(a.err, context.DeadlineExceeded) {
+			if patience == 0 || !errors.Is(a.err, context.DeadlineExceeded) && !errors.Is(a.err, errGivenUp) {
 				return a.list, a.err
 			}
 		case <-late:
--- a/membership/pace.go
+++ b/membership/pace.go
@@ -23,14 +23,18 @@
 	againMost    = 3_000_000  // doubled with each in a row; of that, half is chance
 	againAtLeast = 50_000
 
+	// From the beginning of a call that failed, was turned away or given up to that of the next. A change counts as
+	// told 6 s after the register had it and could be reached; the rest is for the next call itself.
+	againWithin = 4_000_000
+
 	// Of the time in which what is told must be acted on, silence may take this part, within bounds.
 	patiencePart  = 4
 	patienceLeast = 50_000
 	patienceMost  = 500_000
 
-	gapEach  = 60_000    // a gap's least, for each gateway, once a call was turned away,
-	gapMost  = 5_000_000 // doubled with each further one up to this,
-	gapHeals = 0.85      // and less by this with each that was answered
+	gapEach  = 60_000      // a gap's least, for each gateway, once a call was turned away,
+	gapMost  = againWithin // doubled with each further one up to this,
+	gapHeals = 0.85        // and less by this with each that was answered
 )
 
 // NewPace makes the pace of one of so many gateways; chance comes from a seed of its own.
@@ -50,11 +54,12 @@
 // 0: none is.
 func (p *Pace) Patience() Time { return p.patience }
 
-// Watch is how long a watch may wait.
+// Watch is how long a watch may wait: the least after a call that failed, as it is not known yet whether the register
+// answers again.
 func (p *Pace) Watch() Time {
 	wait := max(watchLeast, min(watchMost, Time(p.gateways)*watchEach))
-	if wait == watchLeast {
-		return wait
+	if wait == watchLeast || p.fails > 0 {
+		return watchLeast
 	}
 	// Watches that began together would end together.
 	return max(watchLeast, wait-Time(p.rand.Float64()*float64(wait/4)))
@@ -73,12 +78,12 @@
 	return p.about(p.gap)
 }
 
-// about is a time about another, by chance.
-func (p *Pace) about(t Time) Time { return t*3/4 + Time(p.rand.Float64()*float64(t/2)) }
+// about is a time somewhat shorter than another, by chance.
+func (p *Pace) about(t Time) Time { return t*3/4 + Time(p.rand.Float64()*float64(t/4)) }
 
-// Failed takes note of one that was not, and tells when to come again. Turned away, the
-// register has too little room for how often all come: each comes less often for a while.
-func (p *Pace) Failed(turnedAway bool) (after Time) {
+// Failed takes note of one that was not, and of the time that was spent on it, and tells when to come again. Turned
+// away, the register has too little room for how often all come: each comes less often for a while.
+func (p *Pace) Failed(turnedAway bool, spent Time) (after Time) {
 	if turnedAway {
 		p.gap = min(gapMost, max(2*p.gap, Time(p.gateways)*gapEach))
 	}
@@ -90,5 +95,7 @@
 	if p.patience > 0 && !turnedAway {
 		wait = min(wait, p.patience)
 	}
-	return max(againAtLeast, p.about(p.gap), wait/2+Time(p.rand.Float64()*float64(wait/2)))
+	most := max(againAtLeast, againWithin-spent)
+	wait = min(wait, most)
+	return max(againAtLeast, p.about(min(p.gap, most)), wait/2+Time(p.rand.Float64()*float64(wait/2)))
 }
--- a/membership/pace_test.go
+++ b/membership/pace_test.go
@@ -1,6 +1,9 @@
 package membership
 
-import "testing"
+import (
+	"math/rand/v2"
+	"testing"
+)
 
 // TestPaceRecovers plays a register that answers so many calls a second to a fleet that
 // all fail at once: all must be served soon, and the register must not be held down by
@@ -12,7 +15,7 @@
 			paces, due := make([]*Pace, gateways), make([]Time, gateways)
 			for i := range paces {
 				paces[i] = NewPace(gateways, seed<<8|uint64(i))
-				due[i] = paces[i].Failed(true)
+				due[i] = paces[i].Failed(true, 0)
 			}
 			served, tokens, calls := 0, 0.0, 0
 			now := Time(0)
@@ -34,7 +37,7 @@
 						paces[i].Worked()
 					} else {
 						tokens = max(tokens, -perSecond)
-						due[i] = now + paces[i].Failed(true)
+						due[i] = now + paces[i].Failed(true, 0)
 					}
 				}
 			}
@@ -54,8 +57,8 @@
 		}
 		last := Time(0)
 		for n := range 100 {
-			after := p.Failed(n%2 == 0)
-			if after < 50_000 || after > 6_250_000 {
+			after := p.Failed(n%2 == 0, 0)
+			if after < 50_000 || after > 4_000_000 {
 				t.Fatalf("failure %d: again after %d us", n+1, after)
 			}
 			last = after
@@ -69,7 +72,7 @@
 		if after := p.Worked(); after != 0 {
 			t.Fatalf("a register with room: the next watch after %d us", after)
 		}
-		if after := p.Failed(false); after > 100_000 {
+		if after := p.Failed(false, 0); after > 100_000 {
 			t.Fatalf("the first failure after successes: again after %d us", after)
 		}
 	}
@@ -84,11 +87,11 @@
 			t.Errorf("grace %d: patience %d", grace, soon)
 		}
 		for range 20 {
-			if again := p.Failed(false); again > soon {
+			if again := p.Failed(false, 0); again > soon {
 				t.Errorf("grace %d: %d after a failure, patience %d", grace, again, soon)
 			}
 		}
-		if again := p.Failed(true); again < 300*60_000*3/4 && again < 3_000_000 {
+		if again := p.Failed(true, 0); again < 300*60_000*3/4 && again < 3_000_000 {
 			t.Errorf("grace %d: turned away, and again after %d", grace, again)
 		}
 	}
@@ -96,3 +99,50 @@
 		t.Error("impatient without a reason")
 	}
 }
+
+// Whatever a register does with the calls of one gateway, the next call begins soon enough after one that failed, was turned
+// away or given up: a change counts as told 6 s after the register had it and could be reached, and the call itself takes time.
+func TestPaceComesAgainWithinTheTerm(t *testing.T) {
+	const (
+		whole  = 4_000_000 // from the beginning of a call to that of the next; 2 s are left for that one
+		slack  = 1_000_000 // that a watch is given beyond its wait
+		hung   = 2_000_000 // that a call for the whole list is given
+		rounds = 200
+	)
+	for _, grace := range []Time{-1, 0, 250_000, 2_000_000} { // -1: the register tells only who asks
+		for gateways := range 620 {
+			p := NewPace(gateways, uint64(gateways))
+			if grace >= 0 {
+				p.Binds(grace)
+			}
+			chance := rand.New(rand.NewPCG(uint64(gateways), uint64(grace)))
+			failed := false
+			for range rounds {
+				spent, turnedAway := Time(0), false
+				switch chance.IntN(5) {
+				case 0:
+					if gap := p.Worked(); gap > whole {
+						t.Fatalf("%d gateways, grace %d: the next call %d us after an answer", gateways, grace, gap)
+					}
+					failed = false
+					continue
+				case 1:
+					turnedAway = true
+				case 2:
+					spent = hung
+				case 3:
+					watch := p.Watch()
+					if !failed {
+						continue // such a watch has a wait of its own, in which it may hang
+					}
+					spent = watch + slack
+				}
+				if after := p.Failed(turnedAway, spent); spent+after > whole {
+					t.Fatalf("%d gateways, grace %d: a call failed after %d us, turned away %t, and the next is made %d us later",
+						gateways, grace, spent, turnedAway, after)
+				}
+				failed = true
+			}
+		}
+	}
+}
