--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -332,7 +332,7 @@
 	default:
 		b = []byte("*1\r\n$4\r\nPING\r\n")
 	}
-	if l.lapsed(a) || l.outlived(a) {
+	if l.lapsed(a) || l.outlived(a) || l.deserted(a) {
 		bs.free(l, c)
 		return true
 	}
@@ -372,6 +372,25 @@
 	return true
 }
 
+// deserted ends an attempt whose client has closed its connection, though that was not handled yet: the loop may be behind.
+// It tells whether it has.
+func (l *Loop) deserted(a *attempt) bool {
+	if a.r == nil {
+		return false
+	}
+	c, now := a.r.client, l.now()
+	if now-c.there < lookAgain {
+		return false
+	}
+	if !c.out.hungUp() {
+		c.there = now
+		return false
+	}
+	l.later(left{c})
+	l.finish(a, decide.Moot, nil)
+	return true
+}
+
 // sweep closes idle connections well before their backends do: a request that
 // crosses the close would end as a reset.
 func (bs *backends) sweep(l *Loop) {
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -34,6 +34,9 @@
 	idleLeast     = 2_000_000               // and any, where places are short
 	halted        = 800_000                 // without a byte amid a command, after which no more is waited for
 	settled       = 100_000                 // age of a connection that might have spoken by now
+
+	lookEvery             = 25 * time.Millisecond // whether a client is still there that is not read from,
+	lookAgain decide.Time = 20_000                // and before a request is sent on, unless it was there so recently
 )
 
 var (
@@ -71,6 +74,7 @@
 
 	credential *forwardauth.Credential // of the last AUTH
 	used       decide.Time             // when it last sent a command, or was opened
+	there      decide.Time             // when it was last known not to have closed the connection
 	heard      atomic.Int64            // when its last byte came
 	amid       atomic.Bool             // a command is on its way
 	share      share                   // what its passing on to a newer process needs
@@ -245,6 +249,9 @@
 		if !c.share.begin(c.conn, err) {
 			if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				l.post(partedFrom{c, in.Rest()})
+				if c.leaves() {
+					break
+				}
 				return
 			}
 			break
@@ -274,11 +281,9 @@
 			spoken = true
 		}
 		c.share.end(c.conn, spoken)
-		select {
-		case c.room <- struct{}{}:
-		case <-c.done:
+		if !c.hasRoom() {
 			l.coming.Add(-int64(e.size))
-			return
+			break
 		}
 		if behind && c.out.hungUp() {
 			// Its client sent much at once and has gone: it may have waited here for long, and nobody waits for it.
@@ -288,12 +293,54 @@
 		}
 		l.post(e)
 		if e.last || c.barred.Load() {
+			if c.leaves() {
+				break
+			}
 			return // it is closed after its last answer
 		}
 	}
 	l.post(left{c})
 }
 
+// hasRoom waits for room in the line. It tells whether the client is still there then: a reader that waits reads nothing.
+func (c *client) hasRoom() bool {
+	select {
+	case c.room <- struct{}{}:
+		return true
+	default:
+	}
+	look := time.NewTicker(lookEvery)
+	defer look.Stop()
+	for {
+		select {
+		case c.room <- struct{}{}:
+			return true
+		case <-c.done:
+			return false
+		case <-look.C:
+			if c.out.hungUp() {
+				return false
+			}
+		}
+	}
+}
+
+// leaves waits for the end of a connection that is read no more, and tells whether it is its client that has closed it.
+func (c *client) leaves() bool {
+	look := time.NewTicker(lookEvery)
+	defer look.Stop()
+	for {
+		select {
+		case <-c.done:
+			return false
+		case <-look.C:
+			if c.out.hungUp() {
+				return true
+			}
+		}
+	}
+}
+
 func refusal(err error) []byte {
 	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
@@ -430,6 +477,7 @@
 	l.held += size(r.args)
 	spare := min(margin, what.Grace/4)
 	r.deadline = at + what.Grace - spare
+	r.client.there = max(r.client.there, at)
 	r.backstop = l.at(r.deadline+spare/2, backstop{r})
 	what.ID, what.Grace = r.id, max(0, r.deadline-now)
 	if l.tooLate(r) {
--- /dev/null
+++ b/internal/gateway/departed_client_test.go
@@ -0,0 +1,207 @@
+package gateway
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"mothcleat/decide"
+)
+
+// departures are the ways in which a client leaves.
+var departures = map[string]func(c *testClient){
+	"closed": func(c *testClient) { c.conn.Close() },
+	"reset":  func(c *testClient) { _ = c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
+	"ended":  func(c *testClient) { _ = c.conn.(*net.TCPConn).CloseWrite() },
+}
+
+// lookups are so many requests, written at once, with ids from a number on.
+func lookups(first, n int) string {
+	var b strings.Builder
+	for id := first; id < first+n; id++ {
+		fmt.Fprintf(&b, "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$16\r\n%016x\r\n$50\r\nc=lookup,t=team,d=60000,units=1,spread=1,first=000\r\n", id)
+	}
+	return b.String()
+}
+
+// onlyTheOther has held dials come up, and sees to it that nothing but one other client's request reaches the backend.
+func onlyTheOther(t *testing.T, r *rig, b *fakeBackend, dials *heldDials, other *testClient, id int) {
+	t.Helper()
+	other.lookup(id, "60000")
+	until(t, r.loop, "the other's request", func(l *Loop) bool { return l.open == 1 })
+	close(dials.goOn)
+	call := b.next(t)
+	if got := string(call.args[2]); got != fmt.Sprintf("%016x", id) {
+		t.Fatalf("request %s was sent on, its client has left", got)
+	}
+	call.serve(t, "ok")
+	other.value("ok")
+	if n := ask(t, r.loop, func(l *Loop) int { return len(l.requests) }); n != 0 || len(b.got) > 0 {
+		t.Errorf("%d requests in the table, %d commands more at the backend", n, len(b.got))
+	}
+}
+
+// A client that has sent more commands than its line holds, and leaves, is seen to have left though its reader waits for room
+// and its close lies behind commands that nobody has read: none of its requests is sent on after that.
+func TestWhoLeavesBehindAFullLineIsNotSentOn(t *testing.T) {
+	for name, leave := range departures {
+		t.Run(name, func(t *testing.T) {
+			b := newBackend(t)
+			var dials *heldDials
+			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+			dials.begun = make(chan string, 1024)
+			gone, other := r.client(t), r.client(t)
+			gone.raw(lookups(1, pipelined+50))
+			until(t, r.loop, "a full line", func(l *Loop) bool {
+				for c := range l.clients.conns {
+					if len(c.line) == pipelined {
+						return l.open > 0 // those that are refused wait for their turn, too
+					}
+				}
+				return false
+			})
+			leave(gone)
+			until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
+			onlyTheOther(t, r, b, dials, other, pipelined+1000)
+		})
+	}
+}
+
+// A client whose framing is lost, or that errs again and again, is read no more; that it leaves is seen all the same, and its
+// requests before the bad commands are not sent on after that.
+func TestWhoLeavesAfterBadCommandsIsNotSentOn(t *testing.T) {
+	for what, bad := range map[string]string{
+		"lost framing": "*1\r\nnonsense\r\n", "errors in a row": strings.Repeat("*1\r\n$7\r\nNOTHING\r\n", 2*mostErrors),
+	} {
+		for name, leave := range departures {
+			t.Run(what+", "+name, func(t *testing.T) {
+				b := newBackend(t)
+				var dials *heldDials
+				r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+				gone, other := r.client(t), r.client(t)
+				gone.raw(lookups(1, 3) + bad)
+				until(t, r.loop, "the bad commands", func(l *Loop) bool {
+					for c := range l.clients.conns {
+						if c.barred.Load() {
+							return true
+						}
+					}
+					return false
+				})
+				leave(gone)
+				until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
+				onlyTheOther(t, r, b, dials, other, 1000)
+			})
+		}
+	}
+}
+
+// occupied has the loop do nothing until a test lets it go on.
+func occupied(t *testing.T, l *Loop, meanwhile func(l *Loop)) (goOn func()) {
+	t.Helper()
+	begun, over := make(chan struct{}), make(chan struct{})
+	l.post(inspect(func(l *Loop) {
+		close(begun)
+		<-over
+		meanwhile(l)
+	}))
+	wait(t, begun, "the loop")
+	return func() { close(over) }
+}
+
+// queuedEvents waits until so many events wait for a loop that is busy.
+func queuedEvents(t *testing.T, l *Loop, n int) {
+	t.Helper()
+	for late := time.After(patience); len(l.events) < n; {
+		select {
+		case <-late:
+			t.Fatalf("%d events wait, want %d", len(l.events), n)
+		default:
+			runtime.Gosched()
+		}
+	}
+}
+
+// A loop that is behind has a dial's end before a client's close in its queue: before it sends the request on it looks whether
+// the client is still there.
+func TestABusyLoopLooksBeforeItSends(t *testing.T) {
+	for name, leave := range departures {
+		t.Run(name, func(t *testing.T) {
+			b := newBackend(t)
+			var dials *heldDials
+			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+			gone := r.client(t)
+			gone.lookup(1, "60000")
+			wait(t, dials.begun, "the dial")
+			var k *client
+			ask(t, r.loop, func(l *Loop) bool {
+				for _, request := range l.requests {
+					k = request.client
+				}
+				return true
+			})
+			goOn := occupied(t, r.loop, func(*Loop) { k.there -= decide.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
+			dials.goOn <- true
+			queuedEvents(t, r.loop, 1) // the dial's end
+			leave(gone)
+			queuedEvents(t, r.loop, 2) // the close, behind it
+			goOn()
+			until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 && len(l.requests) == 0 })
+			other := r.client(t)
+			other.lookup(2, "60000")
+			call := b.next(t)
+			if got := string(call.args[2]); got != fmt.Sprintf("%016x", 2) {
+				t.Fatalf("request %s was sent on, its client has left", got)
+			}
+			call.serve(t, "ok")
+			other.value("ok")
+		})
+	}
+}
+
+// A further attempt, that an outcome asks for while the client's close waits behind it in the queue, is not sent either: a dial
+// to where it would go is never begun after the close was handled, and what was begun before writes nothing.
+func TestNoFurtherAttemptForWhoHasLeft(t *testing.T) {
+	first, second := newBackend(t), newBackend(t)
+	d := newFakeDiscovery(t, first.entry("s-00000001", "Ready"))
+	var dials *heldDials
+	r := beginWith(t, configure(t, d, func(f map[string]any) {
+		slowDials(f)
+		// Sent again at once: a twentieth of the aim is a moment.
+		f["settings"] = json.RawMessage(strings.Replace(string(f["settings"].(json.RawMessage)), `"promise-us":10000000`, `"promise-us":1000`, 1))
+	}), func(l *Loop) { dials = holdDials(l) })
+	gone := r.client(t)
+	gone.lookup(1, "900")
+	wait(t, dials.begun, "the first dial")
+	dials.goOn <- true
+	call := first.next(t)
+	d.tell(first.entry("s-00000001", "Terminating"), second.entry("s-00000002", "Ready"))
+	d.settled(t)
+	var k *client
+	ask(t, r.loop, func(l *Loop) bool {
+		for _, request := range l.requests {
+			k = request.client
+		}
+		return true
+	})
+	goOn := occupied(t, r.loop, func(*Loop) { k.there -= decide.Time(time.Second.Microseconds()) })
+	call.answer(t, "-ERR failed\r\n")
+	queuedEvents(t, r.loop, 1)
+	gone.conn.Close()
+	queuedEvents(t, r.loop, 2)
+	goOn()
+	until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 && len(l.requests) == 0 })
+	close(dials.goOn)
+	other := r.client(t)
+	other.lookup(2, "60000")
+	next := second.next(t)
+	if got := string(next.args[2]); got != fmt.Sprintf("%016x", 2) {
+		t.Fatalf("request %s was sent on once more, its client has left", got)
+	}
+	next.serve(t, "ok")
+	other.value("ok")
+}
--- a/internal/gateway/sender.go
+++ b/internal/gateway/sender.go
@@ -5,6 +5,8 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+
+	"golang.org/x/sys/unix"
 )
 
 // sender writes to a connection without ever making the loop wait: what the
@@ -54,10 +56,25 @@
 	return err == syscall.EAGAIN || err == syscall.EINTR
 }
 
-// hungUp tells whether the other side has closed the connection, as far as nothing is in the way that waits to be read.
+// hungUp tells whether the other side has closed the connection, also behind what waits to be read.
 func (s *sender) hungUp() bool {
 	n, err := s.peek()
-	return n == 0 && err != syscall.EAGAIN && err != syscall.EINTR
+	if n > 0 {
+		return s.closedBehind()
+	}
+	return err != syscall.EAGAIN && err != syscall.EINTR
+}
+
+// closedBehind tells whether the other side has closed the connection, as far as the system has taken in all that came
+// before the close.
+func (s *sender) closedBehind() bool {
+	closed := false
+	err := s.raw.Control(func(fd uintptr) {
+		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(look, 0)
+		closed = n == 1 && err == nil && look[0].Revents&unix.POLLRDHUP != 0
+	})
+	return err != nil || closed
 }
 
 // peek looks for what waits to be read, of which it takes nothing. 0 without an error is the end.
