--- a/membership/pace.go
+++ b/membership/pace.go
@@ -19,6 +19,7 @@
 	watchLeast   = 2_000_000  // a watch that hangs hides all news until it is given up
 	watchEach    = 300_000    // more for each gateway: so many watches of all begin in a time
 	watchMost    = 20_000_000 // a watch waits
+	boundMost    = 3_000_000  // and where what the register has binds at once, as its agent answers at no cost
 	againFirst   = 100_000    // after a call that failed,
 	againMost    = 3_000_000  // doubled with each in a row; of that, half is chance
 	againAtLeast = 50_000
@@ -57,7 +58,11 @@
 // Watch is how long a watch may wait: the least after a call that failed, as it is not known yet whether the register
 // answers again.
 func (p *Pace) Watch() Time {
-	wait := max(watchLeast, min(watchMost, Time(p.gateways)*watchEach))
+	most := Time(watchMost)
+	if p.patience > 0 {
+		most = boundMost
+	}
+	wait := max(watchLeast, min(most, Time(p.gateways)*watchEach))
 	if wait == watchLeast || p.fails > 0 {
 		return watchLeast
 	}
--- a/membership/pace_test.go
+++ b/membership/pace_test.go
@@ -91,6 +91,12 @@
 				t.Errorf("grace %d: %d after a failure, patience %d", grace, again, soon)
 			}
 		}
+		p.Worked()
+		for range 20 {
+			if wait := p.Watch(); wait < 2_000_000 || wait+soon > 4_000_000 {
+				t.Errorf("grace %d: a watch waits %d, and is then silent for %d until another call is made", grace, wait, soon)
+			}
+		}
 		if again := p.Failed(true, 0); again < 300*60_000*3/4 && again < 3_000_000 {
 			t.Errorf("grace %d: turned away, and again after %d", grace, again)
 		}
