--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,12 +74,9 @@
 	if err := l.setAuth(cfg.Auth); err != nil {
 		return nil, err
 	}
-	// Two in five descriptors are for clients, as many for backends, some spare.
-	share := (cfg.Sockets - otherFiles/2) * 2 / 5
+	share, accepted := places(cfg.Sockets)
 	l.backends = newBackends(&cfg, share)
-	l.clients = &clients{
-		most: share, room: make(chan struct{}, share+max(4, share/4)), conns: map[*client]bool{}, goOn: make(chan struct{}, 1),
-	}
+	l.clients = &clients{most: share, room: make(chan struct{}, accepted), conns: map[*client]bool{}, goOn: make(chan struct{}, 1)}
 	var err error
 	if l.module, err = decide.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -117,6 +114,13 @@
 	return l, nil
 }
 
+// places deals out descriptors: two in five are for clients, as many for backends, and some are spare, for all else. Of the
+// spare ones a few are for clients that are accepted beyond their share, until one of them has made room.
+func places(sockets int) (share, accepted int) {
+	share = (sockets - otherFiles/2) * 2 / 5
+	return share, share + max(4, share/4)
+}
+
 // NewPlatform makes the platform's discovery as a configuration has it.
 func NewPlatform(cfg *Config, log *slog.Logger) *registry.Platform {
 	pace := membership.NewPace(cfg.Settings.Gateways, cfg.Seed)
