--- a/internal/distributor/client.go
+++ b/internal/distributor/client.go
@@ -52,6 +52,7 @@
 	events   chan attemptEvent
 	attempt  *attempt // nil: no stream is open or being opened
 	saver    saver
+	onDisk   bool // a state of this process, or of one before, is on disk or about to be
 }
 
 // NewClient makes a client. Run has it begin.
@@ -74,7 +75,7 @@
 	c.observer = observer
 	state := c.load()
 	c.replica = distribution.NewReplica(c.options.Settings, state, random)
-	if !state.Empty() {
+	if c.onDisk = !state.Empty(); c.onDisk {
 		observer.Applied(nil, state)
 	}
 	c.saver.start(c.file, c.options.Log)
@@ -162,6 +163,7 @@
 		c.leave()
 	case distribution.Deliver:
 		c.observer.Applied(a.Changes, c.replica.State())
+		c.saveFirst()
 	case distribution.Persist:
 		c.saver.save(a.State)
 	case distribution.Report:
@@ -169,6 +171,15 @@
 	}
 }
 
+// saveFirst has the first state of a process that began with nothing written at once: one that is killed soon after
+// then leaves something to its next.
+func (c *Client) saveFirst() {
+	if !c.onDisk {
+		c.onDisk = true
+		c.saver.save(c.replica.State())
+	}
+}
+
 // left logs why a server is left. That a process ends, or another one is nearer, is nothing to look into.
 func (c *Client) left(reason error) {
 	level := slog.LevelInfo
--- a/internal/distributor/client_test.go
+++ b/internal/distributor/client_test.go
@@ -54,6 +54,19 @@
 	}
 }
 
+// The first state is written at once, for a process that may be killed soon.
+func TestFirstStateIsWritten(t *testing.T) {
+	s := newTestServer(t, nil)
+	s.agree(set("s0", "127.0.0.1:1"))
+	f := stateFile{filepath.Join(t.TempDir(), "state"), fleet}
+	r := newReplica(t, "r", f.path, quiet, s)
+	r.reaches(s)
+	eventually(t, func() bool {
+		state, err := f.load()
+		return err == nil && state != nil && state.Position() == s.position()
+	})
+}
+
 // A file that is damaged anywhere, of another fleet, or that can't be read is refused with one line that names it, and the
 // state is taken anew.
 func TestDamagedFilesAreRefused(t *testing.T) {
