--- /dev/null
+++ b/internal/gateway/readiness_test.go
@@ -0,0 +1,205 @@
+package gateway
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"mothcleat/decide"
+	"mothcleat/internal/state"
+	"mothcleat/store"
+)
+
+// readyWithin is the term: nine in ten restarted processes are ready by then. Here each has to be.
+const readyWithin = 10 * time.Second
+
+// readyInTime starts a gateway and waits for the answer to its first PING.
+func readyInTime(t *testing.T, cfg Config) *rig {
+	t.Helper()
+	began := time.Now()
+	r := begin(t, cfg)
+	if took := time.Since(began); took > readyWithin {
+		t.Errorf("ready after %v, want %v at most", took, readyWithin)
+	}
+	return r
+}
+
+// bound is a socket with an address, at which nothing listens.
+func bound(t *testing.T) (fd int, address string) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+}
+
+// badDiscoveries are those that tell no list, by how they don't.
+var badDiscoveries = map[string]func(t *testing.T) (address string){
+	"refuses": func(t *testing.T) string {
+		_, address := bound(t)
+		return address
+	},
+	"can't be reached": func(t *testing.T) string {
+		fd, address := bound(t)
+		if err := syscall.Listen(fd, 0); err != nil {
+			t.Fatal(err)
+		}
+		filler, err := net.Dial("tcp", address) // the one that the queue holds: the system drops what else comes
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { filler.Close() })
+		return address
+	},
+	"is silent":     answering(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }),
+	"turns away":    answering(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
+	"tells no list": answering(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "<html>") }),
+	"hangs amid the list": answering(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, `{"revision":4,"complete":true,"members":[{"id"`)
+		w.(http.Flusher).Flush()
+		<-r.Context().Done()
+	}),
+}
+
+func answering(f http.HandlerFunc) func(t *testing.T) string {
+	return func(t *testing.T) string {
+		s := httptest.NewServer(f)
+		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+		return strings.TrimPrefix(s.URL, "http://")
+	}
+}
+
+// A gateway that starts while discovery tells no list is ready all the same, and serves by the list it was given, whether lists
+// are pushed or have to be asked for.
+func TestReadyWithoutDiscovery(t *testing.T) {
+	for name, discovery := range badDiscoveries {
+		for _, mode := range []string{"pushed", "on_request"} {
+			t.Run(name+", "+mode, func(t *testing.T) {
+				t.Parallel() // each waits for discovery first
+				b := newBackend(t)
+				cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+					f["discovery"] = discovery(t)
+					f["known"] = json.RawMessage(`{"revision":41,"complete":true,"members":[` + b.entry("s-00000001", "Ready") + `]}`)
+					f["settings"] = json.RawMessage(strings.Replace(settingsText, `"membership-mode":"pushed"`, fmt.Sprintf(`"membership-mode":%q`, mode), 1))
+				})
+				r := readyInTime(t, cfg)
+				c := r.client(t)
+				c.lookup(1, "60000")
+				b.next(t).serve(t, "ok")
+				c.value("ok")
+			})
+		}
+	}
+}
+
+// keptState gives a folder with the state that a gateway has left.
+func keptState(t *testing.T) (path string, cfg Config) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "state")
+	b := newBackend(t)
+	cfg = configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil)
+	cfg.Survival = Survival{Keeper: keeper(t, path), Every: 50 * time.Millisecond, Oldest: time.Hour}
+	r := begin(t, cfg)
+	c := r.client(t)
+	c.lookup(1, "60000")
+	b.next(t).serve(t, "ok")
+	c.value("ok")
+	r.stop()
+	wait(t, r.ended, "the gateway's end")
+	return path, cfg
+}
+
+func keeper(t *testing.T, path string) *state.File {
+	t.Helper()
+	f, err := state.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return f
+}
+
+// eachFile has something done to each file of a folder.
+func eachFile(t *testing.T, dir string, change func(path string) error) {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil || len(entries) == 0 {
+		t.Fatalf("%d files, %v", len(entries), err)
+	}
+	for _, e := range entries {
+		if err := change(filepath.Join(dir, e.Name())); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// A gateway is ready whatever it finds of the process before: a good state, a damaged one, one that another process holds, or
+// one that its folder does not take.
+func TestReadyWithAnyState(t *testing.T) {
+	for name, spoil := range map[string]func(t *testing.T, path string){
+		"good": func(*testing.T, string) {},
+		"none": func(t *testing.T, path string) {
+			if err := os.RemoveAll(path); err != nil {
+				t.Fatal(err)
+			}
+		},
+		"cut": func(t *testing.T, path string) {
+			eachFile(t, path, func(path string) error {
+				info, err := os.Stat(path)
+				if err != nil {
+					return err
+				}
+				return os.Truncate(path, info.Size()/2)
+			})
+		},
+		"overwritten": func(t *testing.T, path string) {
+			eachFile(t, path, func(path string) error { return os.WriteFile(path, []byte(strings.Repeat("spoilt\x00", 500)), 0o600) })
+		},
+		"a foreign file": func(t *testing.T, path string) {
+			if err := errors.Join(os.RemoveAll(path), os.WriteFile(path, []byte("something else"), 0o600)); err != nil {
+				t.Fatal(err)
+			}
+		},
+		"held by another": func(t *testing.T, path string) {
+			other, err := store.Open(path, store.Options{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { other.Close() })
+		},
+		"no folder": func(t *testing.T, path string) {
+			if err := os.RemoveAll(filepath.Dir(path)); err != nil {
+				t.Fatal(err)
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel() // a stop takes half a second
+			path, cfg := keptState(t)
+			cfg.Survival.Keeper = keeper(t, path)
+			spoil(t, path)
+			r := readyInTime(t, cfg)
+			if n := ask(t, r.loop, func(l *Loop) int { return l.module.Save(l.now(), false).Version }); n != decide.SnapshotVersion {
+				t.Errorf("version %d", n)
+			}
+		})
+	}
+}
