--- /dev/null
+++ b/sim/versions/checks.go
@@ -0,0 +1,105 @@
+package versions
+
+import (
+	"time"
+
+	"mothcleat/versions"
+)
+
+// seen checks that each number keeps its digest, and now and then that a snapshot restores the same state.
+func (w *World) seen() {
+	v := w.log.View(w.fleet)
+	for i := range v.Versions {
+		one := &v.Versions[i]
+		if was, ok := w.digests[one.Item][one.Number]; ok && was != one.Digest {
+			w.breach("two_digests", "%s %d is %s and %s", one.Item, one.Number, was, one.Digest)
+		}
+		w.digests[one.Item][one.Number] = one.Digest
+	}
+	if w.index%50 == 0 {
+		fresh := versions.NewMachine(w.rules, w)
+		if err := fresh.Restore(w.log.Snapshot()); err != nil || string(fresh.Snapshot()) != string(w.log.Snapshot()) {
+			w.breach("unreadable", "a snapshot comes back as another: %v", err)
+		}
+		w.log = fresh
+	}
+}
+
+// act carries out what was decided, after the last look at whether that is still permitted.
+func (w *World) act(m *member, now time.Duration, a act) {
+	if now >= a.by || m.holder.Acts(now) == 0 {
+		return
+	}
+	for item, number := range m.holder.InForce() {
+		if was, ok := a.number[item]; ok && was != number {
+			return // decided by what is not in force any more
+		}
+	}
+	w.res.Acts++
+	w.checkNotEnded(m, a)
+	w.checkContent(m, a)
+	w.checkTerms(m, a)
+}
+
+// checkNotEnded checks that a member acts on no version that has ended.
+func (w *World) checkNotEnded(m *member, a act) {
+	v := w.log.View(w.fleet)
+	for i := range v.Versions {
+		one := &v.Versions[i]
+		if a.number[one.Item] == one.Number && one.Until != 0 && w.fleet >= one.Until {
+			w.breach("acts_on_withdrawn", "%s acts on %s %d at %v of the fleet's time, it ended at %v", m.me(), one.Item, one.Number, w.fleet, one.Until)
+		}
+	}
+}
+
+// checkContent checks that a member has, and can read, what it acts on.
+func (w *World) checkContent(m *member, a act) {
+	for item, number := range a.number {
+		if digest := w.digests[item][number]; !m.content[digest] || !m.reads(digest) {
+			w.breach("without_content", "%s acts on %s %d without having it", m.me(), item, number)
+		}
+	}
+}
+
+// checkTerms checks that a member that acts on a newer version keeps to the terms of the older ones that
+// others act on.
+func (w *World) checkTerms(m *member, a act) {
+	for _, o := range w.members {
+		if o == m || o.dead || o.stopped || o.holder.Acts(w.clock(o)) == 0 {
+			continue
+		}
+		for item, theirs := range o.holder.InForce() {
+			digest := w.digests[item][theirs]
+			if a.number[item] > theirs && a.rate[item] > w.rates[digest] && m.reads(digest) {
+				w.breach("mixed", "%s acts on %s %d at %v, %s on %d, which grants %v", m.me(), item, a.number[item], a.rate[item], o.me(), theirs, w.rates[digest])
+			}
+		}
+	}
+}
+
+// end checks that every member that runs has come to what is for all.
+func (w *World) end() {
+	v := w.log.View(w.fleet)
+	for _, one := range v.Versions {
+		if one.State == versions.Whole {
+			w.res.Whole++
+		}
+	}
+	for _, m := range w.members {
+		w.res.Outs += int(m.holder.Outs())
+		if w.res.Breach != nil || m.dead {
+			continue
+		}
+		for _, one := range v.Versions {
+			if one.State != versions.Whole || m.older && !m.reads(one.Digest) {
+				continue
+			}
+			if has := m.holder.InForce()[one.Item]; has < one.Number {
+				w.breach("never_caught_up", "%s has %s %d, %d is for all: %s", m.me(), one.Item, has, one.Number, m.holder.Why(w.clock(m)))
+			}
+		}
+		if m.holder.Acts(w.clock(m)) == 0 && !m.older {
+			w.breach("never_caught_up", "%s is still shut out: %s", m.me(), m.holder.Why(w.clock(m)))
+		}
+	}
+}
--- /dev/null
+++ b/sim/versions/faults.go
@@ -0,0 +1,33 @@
+package versions
+
+import (
+	"time"
+
+	"mothcleat/versions"
+)
+
+// befall ends a fault of a member, or begins one.
+func (w *World) befall(m *member) {
+	switch {
+	case m.dead:
+		if w.calm || w.r.IntN(100) == 0 {
+			w.start(m)
+		}
+	case m.stopped:
+		if w.now >= m.wakes || w.calm {
+			m.stopped = false
+		}
+	case w.chance("stopped", 600):
+		m.stopped, m.wakes = true, w.now+time.Duration(w.r.Int64N(int64(3*w.rules.Span)))
+	case w.chance("killed", 1500):
+		m.dead = true
+	case w.chance("left", 3000):
+		w.apply(m, versions.Op{Do: "left"}, nil)
+		m.dead = true
+	case m.cut <= w.now && w.chance("cut", 800):
+		m.cut = w.now + time.Duration(w.r.Int64N(int64(3*w.rules.Span)))
+	}
+	if w.calm {
+		m.cut = 0
+	}
+}
--- /dev/null
+++ b/sim/versions/member.go
@@ -0,0 +1,189 @@
+package versions
+
+import (
+	"encoding/json"
+	"maps"
+	"strings"
+	"time"
+
+	"mothcleat/lease"
+	"mothcleat/versions"
+)
+
+// fetchInterval is between two attempts to fetch one content.
+const fetchInterval = 300 * time.Millisecond
+
+// member is a gateway.
+type member struct {
+	id       string
+	boot     uint64
+	pace     float64
+	offset   time.Duration
+	holder   *versions.Holder
+	dead     bool
+	stopped  bool
+	wakes    time.Duration
+	cut      time.Duration // until then nothing passes
+	gone     []uint64
+	asked    time.Duration
+	content  map[string]bool // its folder
+	older    bool            // its program can't read every content
+	enrols   bool
+	told     map[string]uint64 // what it reported, by item
+	refused  map[string]bool
+	terms    map[string]float64 // by which it decides
+	fetching map[string]time.Duration
+	hands    []act // decided, and not done yet
+}
+
+// act is a request that was decided, and not sent to a server yet.
+type act struct {
+	number map[string]uint64
+	by     time.Duration
+	rate   map[string]float64
+}
+
+func (m *member) me() lease.Member { return lease.Member{ID: m.id, Boot: m.boot} }
+
+// clock returns the time by a member's own clock.
+func (w *World) clock(m *member) time.Duration {
+	return m.offset + time.Duration(float64(w.now)*m.pace)
+}
+
+// start starts a member's process anew.
+func (w *World) start(m *member) {
+	w.boots++
+	if m.boot != 0 {
+		m.gone = append(m.gone, m.boot)
+	}
+	m.boot, m.dead, m.stopped, m.hands = w.boots, false, false, nil
+	m.holder = versions.NewHolder(w.rules)
+	m.enrols, m.asked = true, -time.Hour
+	m.told, m.refused, m.terms, m.fetching = map[string]uint64{}, map[string]bool{}, map[string]float64{}, map[string]time.Duration{}
+}
+
+// reads reports whether a member's program can act on a content.
+func (m *member) reads(digest string) bool { return !m.older || !strings.HasPrefix(digest, "0") }
+
+// live plays one step of a member that runs.
+func (w *World) live(m *member) {
+	now := w.clock(m)
+	if now-m.asked >= w.rules.Every {
+		m.asked = now
+		w.ask(m, now)
+	}
+	for _, r := range m.holder.Wants() {
+		w.want(m, now, r)
+	}
+	for _, item := range m.holder.Items() {
+		w.putInForce(m, now, item)
+		m.report(w, item)
+	}
+	if !w.blind {
+		w.decide(m, now)
+	}
+}
+
+// want checks a content that is here, or fetches it from another member that has it.
+func (w *World) want(m *member, now time.Duration, r versions.Ref) {
+	if m.content[r.Digest] {
+		why := ""
+		if !m.reads(r.Digest) {
+			why = "this program can't read it"
+		}
+		m.holder.Checked(r.Digest, why)
+		return
+	}
+	if now < m.fetching[r.Digest] {
+		return
+	}
+	m.fetching[r.Digest] = now + fetchInterval
+	from := w.members[w.r.IntN(len(w.members))]
+	if !from.content[r.Digest] { // one of those that keep what is proposed
+		from = w.members[w.r.IntN(keepers)]
+	}
+	if from == m || from.dead || from.stopped || from.cut > w.now || !from.content[r.Digest] {
+		return
+	}
+	boot := m.boot
+	w.send(from, m, func() {
+		if m.boot == boot {
+			m.content[r.Digest] = true
+		}
+	})
+}
+
+// putInForce puts an item's target in force if it can be, by the tightest terms of those that bind.
+func (w *World) putInForce(m *member, now time.Duration, item string) {
+	to, beside, whole, ok := m.holder.Next(now, item)
+	if !ok || !whole {
+		return
+	}
+	rate := w.rates[to.Digest]
+	for _, b := range beside {
+		rate = min(rate, w.rates[b.Digest])
+	}
+	m.terms[item] = rate
+	m.holder.PutInForce(now, item, to.Number)
+}
+
+// decide now and then decides a request, and has one that was decided earlier reach a server.
+func (w *World) decide(m *member, now time.Duration) {
+	if by := m.holder.Acts(now); by != 0 && w.r.IntN(4) == 0 {
+		m.hands = append(m.hands, act{m.holder.InForce(), by, maps.Clone(m.terms)})
+	}
+	if len(m.hands) > 0 && w.r.IntN(3) == 0 {
+		a := m.hands[0]
+		m.hands = m.hands[1:]
+		w.act(m, now, a)
+	}
+}
+
+// report tells the fleet what is in force, until that was agreed.
+func (m *member) report(w *World, item string) {
+	number := m.holder.InForce()[item]
+	if to, _, _, _ := m.holder.Next(1<<60, item); to.Number != 0 && number < to.Number {
+		return
+	}
+	if number > m.told[item] && w.r.IntN(4) == 0 {
+		boot := m.boot
+		w.apply(m, versions.Op{Do: "report", Item: item, Number: number}, func(r versions.Result) {
+			if m.boot == boot && r.OK {
+				m.told[item] = max(m.told[item], number)
+			}
+		})
+	}
+}
+
+// ask asks what a member may act on, and enrols it if that is due.
+func (w *World) ask(m *member, sent time.Duration) {
+	boot := m.boot
+	if m.enrols {
+		w.apply(m, versions.Op{Do: "here", Gone: m.gone}, nil)
+		m.enrols = false
+	}
+	who := m.me()
+	w.send(m, nil, func() {
+		t := w.log.Tell(w.fleet, who)
+		raw, err := json.Marshal(t)
+		if err != nil {
+			w.breach("unreadable", "%v", err)
+		}
+		w.bytes += len(raw)
+		w.send(m, m, func() {
+			if m.boot != boot {
+				return
+			}
+			var t versions.Told
+			_ = json.Unmarshal(raw, &t)
+			m.enrols = m.enrols || t.Enrol
+			m.holder.Hear(w.clock(m), sent, &t)
+			for _, g := range t.Target {
+				if why := m.holder.Refused(g.Item, g.Digest); why != "" && !m.refused[g.Digest] {
+					m.refused[g.Digest] = true
+					w.apply(m, versions.Op{Do: "report", Item: g.Item, Number: g.Number, Refused: true, Why: why}, nil)
+				}
+			}
+		})
+	})
+}
--- /dev/null
+++ b/sim/versions/rollouts.go
@@ -0,0 +1,82 @@
+package versions
+
+import (
+	"fmt"
+	"time"
+
+	"mothcleat/versions"
+)
+
+// guide has the member that holds the duty look at the roll-outs. Its commands may arrive when another holds
+// it.
+func (w *World) guide() {
+	for _, m := range w.members {
+		if m.me() != w.owner || m.dead || m.stopped {
+			continue
+		}
+		v := w.log.View(w.fleet)
+		for _, op := range versions.Guide(w.rules, w.term, &v) {
+			w.apply(m, op, nil)
+		}
+		return
+	}
+}
+
+// propose has an operator propose or withdraw something at some gateway.
+func (w *World) propose() {
+	m := w.members[w.r.IntN(len(w.members))]
+	if m.dead || m.stopped {
+		return
+	}
+	item := names[w.r.IntN(items)]
+	last := w.newest(item)
+	if last != nil && last.State != versions.Withdrawn && last.Number > 1 && w.r.IntN(3) == 0 {
+		w.apply(m, versions.Op{Do: "withdraw", Item: item, Number: last.Number, Why: "drawn"}, func(r versions.Result) {
+			if r.OK {
+				w.res.Withdrawn++
+			}
+		})
+		return
+	}
+	op := versions.Op{Do: "propose", Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: versions.All}
+	if last != nil {
+		op.Number = last.Number
+	}
+	if w.r.IntN(2) == 0 {
+		op.Lead = time.Duration(w.r.Int64N(int64(3 * time.Second)))
+	}
+	if w.r.IntN(2) == 0 {
+		op.Stage = versions.One
+		op.Pilots = versions.Pilots(item, op.Number+1, versions.One, w.ids())
+	}
+	m.content[op.Digest] = true
+	for k := range keepers { // most of those that vote keep it before it is proposed
+		if k != w.r.IntN(keepers) {
+			w.members[k].content[op.Digest] = true
+		}
+	}
+	w.rates[op.Digest] = float64(1 + w.r.IntN(100))
+	w.apply(m, op, func(r versions.Result) {
+		if r.OK {
+			w.res.RollOuts++
+		}
+	})
+}
+
+// newest returns an item's newest version, nil if there is none.
+func (w *World) newest(item string) (last *versions.Version) {
+	v := w.log.View(w.fleet)
+	for i := range v.Versions {
+		if v.Versions[i].Item == item {
+			last = &v.Versions[i]
+		}
+	}
+	return last
+}
+
+func (w *World) ids() (all []string) {
+	for _, m := range w.members {
+		all = append(all, m.id)
+	}
+	return all
+}
