--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -122,3 +122,12 @@
 	}
 	wg.Wait()
 }
+
+// SelfCommand is the command line that has this program run hollow gateways.
+func SelfCommand(arguments ...string) ([]string, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	return append([]string{self}, arguments...), nil
+}
--- /dev/null
+++ b/internal/scale/demand.go
@@ -0,0 +1,97 @@
+package scale
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"mothcleat/decide"
+	"mothcleat/internal/gateway"
+)
+
+// tenantsOf are the tenants that come through a gateway.
+func tenantsOf(number, gateways, tenants int) (own []uint64) {
+	for t := range tenants {
+		mixed := mix(uint64(t))
+		distance := (number - int(mixed%uint64(gateways)) + gateways) % gateways
+		if distance < tenantSpread(uint64(t)) {
+			own = append(own, uint64(t))
+		}
+	}
+	return own
+}
+
+func tenantSpread(tenant uint64) int {
+	return tenantSpreadLeast + int(mix(tenant)>>40%tenantSpreadVary)
+}
+
+// mix spreads numbers evenly.
+func mix(x uint64) uint64 {
+	x *= 0x9E3779B97F4A7C15
+	return x ^ x>>29
+}
+
+// tenantBudget is a tenant's quota: from 1 to 11 units a second, and 8 to 38 units that lie stored.
+func tenantBudget(tenant uint64) decide.Budget {
+	part := float64(mix(tenant)>>20%1000) / 1000
+	return decide.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part, Spread: tenantSpread(tenant)}
+}
+
+// demand asks for units as a gateway's requests do.
+func (g *hollowGateway) demand(ctx context.Context) {
+	if len(g.tenants) == 0 {
+		return
+	}
+	r := rand.New(rand.NewPCG(g.process.config.Seed, uint64(g.number)))
+	tick := time.NewTicker(demandEvery)
+	defer tick.Stop()
+	owed, request := r.Float64(), uint64(0)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		owed += g.process.config.RequestsPerGateway * demandEvery.Seconds()
+		for ; owed >= 1; owed-- {
+			request++
+			g.request(request, g.tenants[r.IntN(len(g.tenants))])
+		}
+	}
+}
+
+// request is one request of one unit.
+func (g *hollowGateway) request(id, tenant uint64) {
+	g.process.requests.Add(1)
+	rights := g.node.Rights()
+	if rights == nil {
+		g.node.Count(tenant, 1)
+		g.node.Sent(true, 1)
+		return
+	}
+	b := tenantBudget(tenant)
+	rights.Ask(0, &b, 1)
+	switch {
+	case rights.Level(0, &b) >= 1:
+		rights.Take(0, id, &b, 1)
+		g.serve(tenant)
+	case !rights.Borrow(id, &b, 1):
+		g.node.Refused(false)
+	}
+}
+
+// lent is the answer to an asking for units.
+func (g *hollowGateway) lent(l gateway.Loan) {
+	if l.Units < 1 {
+		g.node.Refused(false)
+		return
+	}
+	g.serve(l.Budget.ID - 1)
+}
+
+// serve counts a request that a real gateway would have sent on.
+func (g *hollowGateway) serve(tenant uint64) {
+	g.process.granted.Add(1)
+	g.node.Count(tenant, 1)
+	g.node.Sent(true, 1)
+}
--- /dev/null
+++ b/internal/scale/sums.go
@@ -0,0 +1,155 @@
+package scale
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"mothcleat/internal/registry"
+)
+
+// sumTraffic sums up what the hollow gateways carried and used.
+func (p *play) sumTraffic(before, after []Sample, took time.Duration) {
+	r, n, seconds := p.result, float64(p.options.Gateways), took.Seconds()
+	r.Seconds = seconds
+	roles := map[Role]Traffic{}
+	var messages Traffic
+	var in, out, resident, heap, processor float64
+	for i := range after {
+		for role, t := range after[i].Roles {
+			t = t.Minus(before[i].Roles[role])
+			roles[role] = roles[role].Plus(t)
+			messages = messages.Plus(t)
+		}
+		in += float64(after[i].ConnectionIn - before[i].ConnectionIn)
+		out += float64(after[i].ConnectionOut - before[i].ConnectionOut)
+		resident += float64(after[i].Usage.ResidentBytes)
+		heap += float64(after[i].HeapBytes)
+		processor += after[i].Usage.Since(before[i].Usage).ProcessorSeconds
+		r.Gateway.RequestsPerSecond += float64(after[i].Requests-before[i].Requests) / seconds / n
+		r.Gateway.GrantedOfRequests += float64(after[i].Granted - before[i].Granted)
+		r.Gateway.FallbacksPerMinute += float64(after[i].Fallbacks-before[i].Fallbacks) / seconds * 60 / n
+	}
+	if r.Gateway.RequestsPerSecond > 0 {
+		r.Gateway.GrantedOfRequests /= r.Gateway.RequestsPerSecond * seconds * n
+	}
+	g := &r.Gateway
+	g.Cores, g.ResidentMB, g.HeapMB = processor/seconds/n, resident/n/(1<<20), heap/n/(1<<20)
+	g.BytesInPerSecond, g.BytesOutPerSecond = in/seconds/n, out/seconds/n
+	g.MessagesPerSecond = float64(messages.Messages()) / seconds / n
+	if messages.Bytes() > 0 {
+		r.ConnectionOverhead = (in + out) / float64(messages.Bytes())
+	}
+	// What is no message (headers, flow control, pings) is shared out by messages.
+	perMessage := math.Max(0, in+out-float64(messages.Bytes())) / math.Max(1, float64(messages.Messages()))
+	for role, t := range roles {
+		r.Roles[role] = Row{MessagesPerSecond: float64(t.Messages()) / seconds / n,
+			BytesInPerSecond:  (float64(t.BytesIn) + perMessage*float64(t.MessagesIn)) / seconds / n,
+			BytesOutPerSecond: (float64(t.BytesOut) + perMessage*float64(t.MessagesOut)) / seconds / n}
+	}
+}
+
+// sumControl sums up what the control processes used.
+func (p *play) sumControl(before, after []Usage, took time.Duration) {
+	leader := p.control.leader()
+	for i := range after {
+		u := after[i].Since(before[i])
+		one := Process{Name: controlName(i), Leads: i == leader, Duties: p.control.duties(i), Cores: u.ProcessorSeconds / took.Seconds(),
+			ResidentMB: float64(u.ResidentBytes) / (1 << 20), PeakMB: float64(u.PeakBytes) / (1 << 20),
+			ReadBytesPerSecond: float64(u.ReadBytes) / took.Seconds(), WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds()}
+		p.result.ControlProcesses = append(p.result.ControlProcesses, one)
+		p.result.ControlCores += one.Cores
+	}
+}
+
+// sumChanges sums up when changes came to gateways, and which never did.
+func (p *play) sumChanges(settled []Sample) {
+	r := p.result
+	first := map[Arrival]int64{} // without its time
+	for _, a := range p.arrivals {
+		key := a
+		key.At = 0
+		if was, ok := first[key]; !ok || a.At < was {
+			first[key] = a.At
+		}
+	}
+	newest := map[string]string{} // phase of each server in the end
+	var lastVersion uint64
+	for _, c := range p.changes {
+		if c.version > 0 {
+			r.PlanVersions++
+			lastVersion = max(lastVersion, c.version)
+			continue
+		}
+		r.ServerChanges++
+		newest[c.server] = c.phase
+	}
+	moments := map[time.Time]bool{}
+	for _, c := range p.changes {
+		if c.version == 0 {
+			moments[c.at] = true
+		}
+	}
+	r.ListChanges = len(moments)
+	var all, drains, rack, plans []time.Duration
+	for _, c := range p.changes {
+		for g := range p.options.Gateways {
+			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase, Version: c.version}]
+			delay := time.Unix(0, at).Sub(c.at)
+			switch {
+			case !ok && c.version == lastVersion && c.version > 0:
+				r.LostVersions++
+			case !ok && c.version == 0 && newest[c.server] == c.phase:
+				r.LostChanges++
+			case !ok: // something newer came in its place
+			case c.version > 0:
+				plans = append(plans, delay)
+			default:
+				all = append(all, delay)
+				if c.rack {
+					rack = append(rack, delay)
+				}
+				if c.phase == registry.Terminating {
+					drains = append(drains, delay)
+				}
+			}
+		}
+	}
+	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(all), delaysOf(drains), delaysOf(rack), delaysOf(plans)
+	r.ProposalsRefused = p.refused
+	p.sumStates(settled)
+	if n := r.ListChanges; n > 0 {
+		list := r.Roles[RoleList]
+		r.BytesPerListChange = (list.BytesInPerSecond + list.BytesOutPerSecond) * r.Seconds / float64(n)
+	}
+}
+
+// sumStates tells which gateways are not as they should be in the end.
+func (p *play) sumStates(settled []Sample) {
+	digest, _ := p.register.Digest()
+	for _, s := range settled {
+		for _, g := range s.Gateways {
+			if p.options.Parts.List && g.Digest != digest {
+				p.result.Diverged++
+			}
+			if p.options.Path == PathDelta && p.options.Parts.List {
+				p.result.StaleOperations = max(0, p.result.StaleOperations) + g.Stale
+			}
+			if p.options.Parts.Configuration && !g.Acts {
+				p.result.GatewaysNotActing++
+			}
+		}
+	}
+}
+
+// delaysOf sums up times.
+func delaysOf(all []time.Duration) Delays {
+	if len(all) == 0 {
+		return Delays{}
+	}
+	slices.Sort(all)
+	at := func(p float64) float64 { return milliseconds(all[min(len(all)-1, int(p*float64(len(all))))]) }
+	return Delays{Count: len(all), P50: at(0.5), P99: at(0.99), Most: milliseconds(all[len(all)-1])}
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
