--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -22,7 +22,8 @@
 	var ladders []string
 	var slopes, keep, page bool
 	var benchmarks, pageAt string
-	c := &cobra.Command{Use: "scale", Short: "hollow gateways before real control processes: what a large fleet asks of them, by role", Args: none}
+	c := &cobra.Command{Use: "scale",
+		Short: "hollow gateways before real control processes: what a large fleet asks of them, by role", Args: none}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "which world is drawn, and what happens in it")
 	f.DurationVar(&o.For, "for", 20*time.Second, "how long changes are made and measured, 1s to 10m")
@@ -30,20 +31,28 @@
 	f.IntVar(&o.Servers, "servers", 1000, "servers in the register")
 	f.IntVar(&o.Tenants, "tenants", 6000, "tenants with a plan each")
 	f.IntVar(&o.Control, "control", scale.DesignControl, "control processes: 1, 3, 5 or 7")
-	f.IntVar(&o.RealGateways, "real-gateways", 2, "gateways that serve requests beside the hollow ones, 0 to 8")
-	f.Float64Var(&o.ReplacementsPerSecond, "replacements", 0.3, "servers drained, added anew and taken away, a second")
+	f.IntVar(&o.RealGateways, "real-gateways", 2,
+		"gateways that serve requests beside the hollow ones, 0 to 8")
+	f.Float64Var(&o.ReplacementsPerSecond, "replacements", 0.3,
+		"servers drained, added anew and taken away, a second")
 	f.IntVar(&o.RackSize, "rack", 0, "servers that go at once in the middle of the run")
 	f.IntVar(&o.Versions, "versions", 1, "versions of the plans proposed in the run")
 	f.IntVar(&o.PerProcess, "per-process", 0, "hollow gateways in one process; 0: 62")
-	f.StringVar(&roles, "roles", "all", "what is switched on: all, none, or some of list,configuration,allocation,metering")
-	f.StringVar(&path, "path", string(scale.PathWholeList), "how the list of servers travels: wholelist, delta or both")
-	f.BoolVar(&slopes, "slopes", false, "play the ladders of sizes in place of one run, and fit the slopes")
+	f.StringVar(&roles, "roles", "all",
+		"what is switched on: all, none, or some of list,configuration,allocation,metering")
+	f.StringVar(&path, "path", string(scale.PathWholeList),
+		"how the list of servers travels: wholelist, delta or both")
+	f.BoolVar(&slopes, "slopes", false,
+		"play the ladders of sizes in place of one run, and fit the slopes")
 	f.StringSliceVar(&ladders, "ladder", nil, "with --slopes: these ladders only")
-	f.StringVar(&into, "into", "docs/capacity.json", "the file of JSON that takes in the ladders, or with --keep the run")
+	f.StringVar(&into, "into", "docs/capacity.json",
+		"the file of JSON that takes in the ladders, or with --keep the run")
 	f.BoolVar(&keep, "keep", false, "put the run's result into the file")
-	f.BoolVar(&page, "page", false, "play nothing: work out the tables of the page from the file of --into, and put them in")
+	f.BoolVar(&page, "page", false,
+		"play nothing: work out the tables of the page from the file of --into, and put them in")
 	f.StringVar(&pageAt, "page-at", "docs/CAPACITY.md", "the page")
-	f.StringVar(&benchmarks, "benchmarks", "", "play nothing: a file that go test -bench has printed goes into the file of --into")
+	f.StringVar(&benchmarks, "benchmarks", "",
+		"play nothing: a file that go test -bench has printed goes into the file of --into")
 	f.StringVar(&o.Bin, "bin", "", "the gateway's program; empty: it is built")
 	f.StringVar(&o.Logs, "logs", "", "a folder for the processes' logs")
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
@@ -160,7 +169,8 @@
 
 // scaleHollow runs hollow gateways, for scale.
 func (b *bench) scaleHollow() *cobra.Command {
-	return &cobra.Command{Use: hollowCommand, Hidden: true, Args: none, RunE: func(c *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: hollowCommand, Hidden: true, Args: none, RunE: func(c *cobra.Command,
+		_ []string) error {
 		err := scale.RunHollow(c.Context(), os.Stdin, b.out)
 		if errors.Is(err, context.Canceled) {
 			return nil
--- /dev/null
+++ b/internal/fleetlink/observer_test.go
@@ -0,0 +1,81 @@
+package fleetlink
+
+import (
+	"context"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc/stats"
+
+	"mothcleat/agree"
+)
+
+// countingHandler counts messages.
+type countingHandler struct{ in, out atomic.Int64 }
+
+func (h *countingHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context {
+	return ctx
+}
+func (h *countingHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
+}
+func (h *countingHandler) HandleConn(context.Context, stats.ConnStats) {}
+func (h *countingHandler) HandleRPC(_ context.Context, event stats.RPCStats) {
+	switch event.(type) {
+	case *stats.InPayload:
+		h.in.Add(1)
+	case *stats.OutPayload:
+		h.out.Add(1)
+	}
+}
+
+// An observer hears of each connection and message of a client, and a client without one works the same.
+func TestObserver(t *testing.T) {
+	all, _ := voters(t, 1)
+	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
+	defer cancel()
+	messages, connections := &countingHandler{}, atomic.Int64{}
+	observed, plain := client(t, "a", all), client(t, "b", all)
+	observed.Observe(&Observer{Stats: messages, Wrap: func(conn net.Conn) net.Conn {
+		connections.Add(1)
+		return conn
+	}})
+	for _, c := range []*Client{observed, plain} {
+		if _, err := c.Ask(ctx, agree.FleetName, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if connections.Load() == 0 || messages.in.Load() == 0 || messages.out.Load() < messages.in.Load() {
+		t.Errorf("%d connections, %d messages in, %d out", connections.Load(), messages.in.Load(), messages.out.Load())
+	}
+}
+
+// An observer hears of connections that are accepted, too, and no observer leaves a listener as it is.
+func TestObserverOfAListener(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	var none *Observer
+	if none.Listener(l) != l || none.ServerOptions() != nil || none.dialOptions() != nil {
+		t.Error("no observer changes something")
+	}
+	accepted := 0
+	o := &Observer{Wrap: func(conn net.Conn) net.Conn {
+		accepted++
+		return conn
+	}}
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	other, err := o.Listener(l).Accept()
+	if err != nil || accepted != 1 {
+		t.Fatalf("%d accepted, %v", accepted, err)
+	}
+	_ = other.Close()
+}
--- a/internal/scale/benchmark.go
+++ b/internal/scale/benchmark.go
@@ -26,7 +26,8 @@
 		if m == nil {
 			continue
 		}
-		one := Benchmark{Name: m[1], Metrics: map[string]float64{}, Date: time.Now().UTC().Format(time.DateOnly)}
+		one := Benchmark{Name: m[1], Metrics: map[string]float64{},
+			Date: time.Now().UTC().Format(time.DateOnly)}
 		words := strings.Fields(m[2])
 		for i := 0; i+1 < len(words); i += 2 {
 			value, err := strconv.ParseFloat(words[i], 64)
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -10,7 +10,8 @@
 	"slices"
 )
 
-// Capacity is what was measured: docs/capacity.json. The table of docs/CAPACITY.md is worked out from it.
+// Capacity is what was measured: docs/capacity.json. The table of docs/CAPACITY.md is worked out from
+// it.
 type Capacity struct {
 	About      []string    `json:"about"` // how it was measured, and what was scaled down and why
 	Steps      []Step      `json:"steps"`
--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -10,7 +10,8 @@
 	"mothcleat/internal/registry"
 )
 
-// drive has servers replaced, a rack go, versions proposed and real gateways asked, all at once, for the length of the run. What it
+// drive has servers replaced, a rack go, versions proposed and real gateways asked, all at once, for
+// the length of the run. What it
 // returns waits for the requests that are under way at its end.
 func (p *play) drive(ctx context.Context) (ended func()) {
 	running, cancel := context.WithTimeout(ctx, p.options.For)
@@ -74,7 +75,8 @@
 
 // replace replaces one server.
 func (p *play) replace(ctx context.Context, old, by int) {
-	p.changed(change{server: serverID(old), phase: registry.Terminating, at: p.register.Drain(serverID(old))})
+	p.changed(change{server: serverID(old), phase: registry.Terminating,
+		at: p.register.Drain(serverID(old))})
 	if !pass(ctx, replaceStep) {
 		return
 	}
--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -25,7 +25,8 @@
 
 const childEndsWithin = 10 * time.Second
 
-// startChild starts a process that waits for its configuration. Nothing may outlive the rig: the process is killed with the thread
+// startChild starts a process that waits for its configuration. Nothing may outlive the rig: the
+// process is killed with the thread
 // that started it, so that thread is kept.
 func startChild(line []string) (c *child, err error) {
 	c = &child{command: exec.Command(line[0], line[1:]...)}
@@ -72,7 +73,8 @@
 
 // failed tells why a process does not answer.
 func (c *child) failed(err error) error {
-	return fmt.Errorf("hollow gateways, process %d: %w: %.500s", c.command.Process.Pid, err, c.errs.String())
+	return fmt.Errorf("hollow gateways, process %d: %w: %.500s", c.command.Process.Pid, err,
+		c.errs.String())
 }
 
 // stop ends the process, by force if it takes too long.
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -41,9 +41,11 @@
 func controlName(i int) string { return fmt.Sprintf("%s%d", controlNames, i) }
 
 // startControl founds the fleet and starts its voters.
-func startControl(ctx context.Context, o *Options, register *Register, log io.Writer) (c *control, err error) {
+func startControl(ctx context.Context, o *Options, register *Register, log io.Writer) (c *control,
+	err error) {
 	c = &control{options: o, register: register}
-	c.world, err = lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.Control, Servers: 1, Load: 0.1, Bin: o.Bin, Log: log, Doors: true, Consul: true,
+	c.world, err = lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.Control, Servers: 1,
+		Load: 0.1, Bin: o.Bin, Log: log, Doors: true, Consul: true,
 		Names: controlNames, MemoryMB: controlMemoryMB, Operators: "#\n", Prepare: c.prepare})
 	return c, err
 }
@@ -63,10 +65,12 @@
 			c.own = append(c.own, own)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(c.own[g.Number], true)), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(c.own[g.Number],
+		true)), 0o600); err != nil {
 		return err
 	}
-	found := exec.Command(c.options.Bin, "fleet", "found", controlName(g.Number), "--operators", "operators.toml")
+	found := exec.Command(c.options.Bin, "fleet", "found", controlName(g.Number), "--operators",
+		"operators.toml")
 	found.Dir = g.Dir()
 	if out, err := found.CombinedOutput(); err != nil {
 		return fmt.Errorf("founding %s: %w: %s", controlName(g.Number), err, out)
@@ -79,15 +83,18 @@
 	var b strings.Builder
 	parts := c.options.Parts
 	if control {
-		fmt.Fprintf(&b, "[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n", serviceName, c.register.Address)
+		fmt.Fprintf(&b,
+			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n", serviceName, c.register.Address)
 	}
-	fmt.Fprintf(&b, "[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\n", fleetName, listen)
+	fmt.Fprintf(&b, "[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\n", fleetName,
+		listen)
 	var voters, owners []string
 	for i, own := range c.own {
 		voters = append(voters, fmt.Sprintf("{ name = %q, address = %q }", controlName(i), own))
 		owners = append(owners, fmt.Sprintf("%q", controlName(i)))
 	}
-	fmt.Fprintf(&b, "voters = [%s]\nowners = [%s]\n", strings.Join(voters, ", "), strings.Join(owners, ", "))
+	fmt.Fprintf(&b, "voters = [%s]\nowners = [%s]\n", strings.Join(voters, ", "), strings.Join(owners,
+		", "))
 	if parts.Metering {
 		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
 	}
@@ -106,7 +113,8 @@
 // voters are the founding voters.
 func (c *control) voters() (all []*fleetpb.Voter) {
 	for i, own := range c.own {
-		all = append(all, &fleetpb.Voter{Number: voter.NumberOf(fleetName, controlName(i)), Name: controlName(i), Address: own})
+		all = append(all, &fleetpb.Voter{Number: voter.NumberOf(fleetName, controlName(i)),
+			Name: controlName(i), Address: own})
 	}
 	return all
 }
@@ -166,11 +174,13 @@
 // propose has a version of the plans go to all gateways, and gives its number.
 func (c *control) propose(text string) (number uint64, err error) {
 	at := max(0, c.leader())
-	file := filepath.Join(c.world.Gateways[at].Dir(), fmt.Sprintf("plans-%d.toml", time.Now().UnixNano()))
+	file := filepath.Join(c.world.Gateways[at].Dir(), fmt.Sprintf("plans-%d.toml",
+		time.Now().UnixNano()))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return 0, err
 	}
-	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planItem, versions.All, file), &number)
+	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planItem, versions.All, file),
+		&number)
 }
 
 // plansText is a version of all plans, with the plan of each tenant.
@@ -178,13 +188,15 @@
 	var b strings.Builder
 	site := c.world.Site
 	for _, p := range site.Plans {
-		fmt.Fprintf(&b, "[[plan]]\nname = %q\nrate = %g\nburst = %g\n", p.Name, p.Rate*factor, p.Burst*factor)
+		fmt.Fprintf(&b, "[[plan]]\nname = %q\nrate = %g\nburst = %g\n", p.Name, p.Rate*factor,
+			p.Burst*factor)
 		if p.CeilingRate > 0 {
 			fmt.Fprintf(&b, "ceiling_rate = %g\nceiling_burst = %g\n", p.CeilingRate, p.CeilingBurst)
 		}
 	}
 	for t := range tenants {
-		fmt.Fprintf(&b, "[[customer]]\nid = \"%016x\"\nplan = %q\n", uint64(t)+1<<40, site.Plans[t%len(site.Plans)].Name)
+		fmt.Fprintf(&b, "[[customer]]\nid = \"%016x\"\nplan = %q\n", uint64(t)+1<<40,
+			site.Plans[t%len(site.Plans)].Name)
 	}
 	return b.String()
 }
@@ -206,7 +218,8 @@
 	}
 	if c.options.Logs != "" {
 		for i, g := range c.world.Gateways {
-			_ = os.WriteFile(filepath.Join(c.options.Logs, controlName(i)+".log"), []byte(g.Log()), 0o600)
+			_ = os.WriteFile(filepath.Join(c.options.Logs, controlName(i)+".log"), []byte(g.Log()),
+				0o600)
 		}
 	}
 	c.world.Close()
--- a/internal/scale/demand.go
+++ b/internal/scale/demand.go
@@ -34,7 +34,8 @@
 // tenantBudget is a tenant's quota: from 1 to 11 units a second, and 8 to 38 units that lie stored.
 func tenantBudget(tenant uint64) decide.Budget {
 	part := float64(mix(tenant)>>20%1000) / 1000
-	return decide.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part, Spread: tenantSpread(tenant)}
+	return decide.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part,
+		Spread: tenantSpread(tenant)}
 }
 
 // demand asks for units as a gateway's requests do.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -48,7 +48,8 @@
 	commandStop   = "stop"
 )
 
-// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans in force.
+// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans in
+// force.
 type Arrival struct {
 	Gateway int    `json:"g"`
 	Server  string `json:"s,omitempty"`
@@ -67,7 +68,8 @@
 	Stale   int    `json:"stale"`   // times that its state's digest was not the agreed one
 }
 
-// Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those since the sample before.
+// Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those
+// since the sample before.
 type Sample struct {
 	At            int64            `json:"at"`
 	Usage         Usage            `json:"usage"`
@@ -110,7 +112,8 @@
 	book    *plans.Book
 }
 
-// RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The first line of its input is a
+// RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The
+// first line of its input is a
 // HollowConfig, each further one a command.
 func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
@@ -149,7 +152,8 @@
 	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
 		return err
 	}
-	file, err := os.OpenFile(filepath.Join(p.config.Dir, fmt.Sprintf("hollow-%d.log", p.config.First)), os.O_CREATE|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(filepath.Join(p.config.Dir, fmt.Sprintf("hollow-%d.log", p.config.First)),
+		os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -191,7 +195,8 @@
 	}
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	s := &Sample{At: time.Now().UnixNano(), Usage: usage, HeapBytes: int64(memory.HeapAlloc), Roles: p.meter.Roles(),
+	s := &Sample{At: time.Now().UnixNano(), Usage: usage, HeapBytes: int64(memory.HeapAlloc),
+		Roles:    p.meter.Roles(),
 		Requests: p.requests.Load(), Granted: p.granted.Load(), Fallbacks: p.fallbacks.Load()}
 	s.ConnectionIn, s.ConnectionOut = p.meter.Connections()
 	for _, g := range p.gateways {
@@ -221,8 +226,10 @@
 	if err != nil {
 		return err
 	}
-	settings := fleetnode.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address, Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
-		Owners: c.Owners, Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin, Offer: leaseOffer}, Period: usePeriod, Silent: silentAfter,
+	settings := fleetnode.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
+		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
+		Owners: c.Owners, Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin,
+			Offer: leaseOffer}, Period: usePeriod, Silent: silentAfter,
 		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
 	if c.Parts.Metering {
 		settings.Shards = 1
@@ -267,7 +274,8 @@
 	return l.Addr().String(), l.Close()
 }
 
-// noRegister is a register that tells nothing. Hundreds of hollow gateways that ask the register themselves would measure the rig's
+// noRegister is a register that tells nothing. Hundreds of hollow gateways that ask the register
+// themselves would measure the rig's
 // stand-in: that they would have asked is counted instead.
 type noRegister struct{}
 
@@ -327,7 +335,8 @@
 	return err
 }
 
-// Use puts a version in force at once; see rollout.Item. Like a real gateway it reads the plans again, and keeps them.
+// Use puts a version in force at once; see rollout.Item. Like a real gateway it reads the plans again,
+// and keeps them.
 func (g *hollowGateway) Use(raw []byte, _ [][]byte, order uint64, done func()) {
 	var book *plans.Book
 	if raw != nil {
@@ -359,7 +368,8 @@
 	if replica := g.node.Distribution().Replica; replica != nil {
 		stale = int(replica.Counts.Divergences)
 	}
-	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current, Version: g.version, Acts: acts}
+	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current,
+		Version: g.version, Acts: acts}
 }
 
 // A tenant comes through two to four gateways.
--- a/internal/scale/meter.go
+++ b/internal/scale/meter.go
@@ -30,12 +30,14 @@
 
 // Plus is the sum of two.
 func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{t.MessagesIn + o.MessagesIn, t.MessagesOut + o.MessagesOut, t.BytesIn + o.BytesIn, t.BytesOut + o.BytesOut}
+	return Traffic{t.MessagesIn + o.MessagesIn, t.MessagesOut + o.MessagesOut, t.BytesIn + o.BytesIn,
+		t.BytesOut + o.BytesOut}
 }
 
 // Minus is the difference of two.
 func (t Traffic) Minus(o Traffic) Traffic {
-	return Traffic{t.MessagesIn - o.MessagesIn, t.MessagesOut - o.MessagesOut, t.BytesIn - o.BytesIn, t.BytesOut - o.BytesOut}
+	return Traffic{t.MessagesIn - o.MessagesIn, t.MessagesOut - o.MessagesOut, t.BytesIn - o.BytesIn,
+		t.BytesOut - o.BytesOut}
 }
 
 // Messages and Bytes are both directions together.
@@ -44,7 +46,8 @@
 // Bytes are both directions together.
 func (t Traffic) Bytes() int64 { return t.BytesIn + t.BytesOut }
 
-// Meter counts messages and their bytes by role, and the bytes of whole connections. It may be used concurrently.
+// Meter counts messages and their bytes by role, and the bytes of whole connections. It may be used
+// concurrently.
 type Meter struct {
 	mu    sync.Mutex
 	roles map[Role]Traffic
@@ -71,7 +74,8 @@
 	return all
 }
 
-// Connections is how many bytes all connections carried, with headers and everything else that is no message.
+// Connections is how many bytes all connections carried, with headers and everything else that is no
+// message.
 func (m *Meter) Connections() (in, out int64) { return m.connectionIn.Load(), m.connectionOut.Load() }
 
 // call is one call under way.
--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// Names of the slopes. What a role takes is measured with the others off; what sessions, leases and the log take by themselves is
+// Names of the slopes. What a role takes is measured with the others off; what sessions, leases and the
+// log take by themselves is
 // subtracted.
 const (
 	SlopeBaseCores          = "gateway: sessions alone, processor"
@@ -99,9 +100,12 @@
 // baseQuantities are those that the others are counted beyond.
 func baseQuantities() []quantity {
 	return []quantity{
-		{SlopeBaseCores, unitCores, byGateways, LadderBase, xGateways, func(r *Result) float64 { return r.Gateway.Cores }},
-		{SlopeBaseMemory, unitMB, byGateways, LadderBase, xGateways, func(r *Result) float64 { return r.Gateway.ResidentMB }},
-		{SlopeBaseControl, unitCores, byGateways, LadderBase, xGateways, func(r *Result) float64 { return r.ControlCores }},
+		{SlopeBaseCores, unitCores, byGateways, LadderBase, xGateways,
+			func(r *Result) float64 { return r.Gateway.Cores }},
+		{SlopeBaseMemory, unitMB, byGateways, LadderBase, xGateways,
+			func(r *Result) float64 { return r.Gateway.ResidentMB }},
+		{SlopeBaseControl, unitCores, byGateways, LadderBase, xGateways,
+			func(r *Result) float64 { return r.ControlCores }},
 		{SlopeControlMemory, unitMB, byGateways, LadderBase, xGateways, controlMemory},
 		{SlopeElectionBytes, unitBytes, byGateways, LadderBase, xGateways, bytesOf(RoleElection)},
 		{SlopeElectionMessages, unitCount, byGateways, LadderBase, xGateways, messagesOf(RoleElection)},
@@ -149,34 +153,49 @@
 func roleQuantities(base Slopes) []quantity {
 	b := beyond{base}
 	return []quantity{
-		{SlopeWholeBytes, unitB, byServers, LadderListServers, xServers, func(r *Result) float64 { return r.BytesPerListChange }},
+		{SlopeWholeBytes, unitB, byServers, LadderListServers, xServers,
+			func(r *Result) float64 { return r.BytesPerListChange }},
 		{SlopeWholeCores, unitSeconds, byServers, LadderListServers, xServers, perChange(b.cores)},
-		{SlopeWholeControl, unitSeconds, byServers, LadderListServers, xServers, perGateway(perChange(b.control))},
+		{SlopeWholeControl, unitSeconds, byServers, LadderListServers, xServers,
+			perGateway(perChange(b.control))},
 		{SlopeWholeMemory, unitMB, byServers, LadderListServers, xServers, b.memory},
 		{SlopeDeltaBytes, unitBytes, byChanges, LadderDeltaChanges, xChanges, bytesOf(RoleList)},
 		{SlopeDeltaMessages, unitCount, byChanges, LadderDeltaChanges, xChanges, messagesOf(RoleList)},
 		{SlopeDeltaCores, unitCores, byChanges, LadderDeltaChanges, xChanges, b.cores},
-		{SlopeDeltaChangeBytes, unitB, byServers, LadderDeltaServers, xServers, func(r *Result) float64 { return r.BytesPerListChange }},
-		{SlopeDeltaControl, unitSeconds, byGateways, LadderDeltaGateways, xGateways, perChange(b.control)},
-		{SlopeDeltaRegister, unitSeconds, byServers, LadderDeltaServers, xServers, perChange(b.control)},
+		{SlopeDeltaChangeBytes, unitB, byServers, LadderDeltaServers, xServers,
+			func(r *Result) float64 { return r.BytesPerListChange }},
+		{SlopeDeltaControl, unitSeconds, byGateways, LadderDeltaGateways, xGateways,
+			perChange(b.control)},
+		{SlopeDeltaRegister, unitSeconds, byServers, LadderDeltaServers, xServers,
+			perChange(b.control)},
 		{SlopeDeltaMemory, unitMB, byServers, LadderDeltaServers, xServers, b.memory},
-		{SlopeVersionBytes, unitB, byTenants, LadderPlansTenants, xTenants, perVersion(bytesOf(RoleConfiguration))},
+		{SlopeVersionBytes, unitB, byTenants, LadderPlansTenants, xTenants,
+			perVersion(bytesOf(RoleConfiguration))},
 		{SlopeVersionCores, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.cores)},
-		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.control)},
+		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansTenants, xTenants,
+			perVersion(b.control)},
 		{SlopeVersionMemory, unitMB, byTenants, LadderPlansTenants, xTenants, b.memory},
-		{SlopePermitBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleConfiguration)},
-		{SlopePermitMessages, unitCount, byGateways, LadderPermitGateways, xGateways, messagesOf(RoleConfiguration)},
+		{SlopePermitBytes, unitBytes, byGateways, LadderPermitGateways, xGateways,
+			bytesOf(RoleConfiguration)},
+		{SlopePermitMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
+			messagesOf(RoleConfiguration)},
 		{SlopePermitControl, unitCores, byGateways, LadderPermitGateways, xGateways, b.control},
-		{SlopeMembershipBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleMembership)},
-		{SlopeMembershipMessages, unitCount, byGateways, LadderPermitGateways, xGateways, messagesOf(RoleMembership)},
+		{SlopeMembershipBytes, unitBytes, byGateways, LadderPermitGateways, xGateways,
+			bytesOf(RoleMembership)},
+		{SlopeMembershipMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
+			messagesOf(RoleMembership)},
 		{SlopeAuditBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleAudit)},
-		{SlopeAuditMessages, unitCount, byGateways, LadderPermitGateways, xGateways, messagesOf(RoleAudit)},
-		{SlopeAllocationBytes, unitBytes, byQuotas, LadderAllocation, xGateways, bytesOf(RoleAllocation)},
-		{SlopeAllocationMessage, unitCount, byQuotas, LadderAllocation, xGateways, messagesOf(RoleAllocation)},
+		{SlopeAuditMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
+			messagesOf(RoleAudit)},
+		{SlopeAllocationBytes, unitBytes, byQuotas, LadderAllocation, xGateways,
+			bytesOf(RoleAllocation)},
+		{SlopeAllocationMessage, unitCount, byQuotas, LadderAllocation, xGateways,
+			messagesOf(RoleAllocation)},
 		{SlopeAllocationCores, unitCores, byQuotas, LadderAllocation, xGateways, b.cores},
 		{SlopeAllocationControl, unitCores, byQuotas, LadderAllocation, xGateways, b.control},
 		{SlopeMeteringBytes, unitBytes, byGateways, LadderMetering, xGateways, bytesOf(RoleMetering)},
-		{SlopeMeteringMessages, unitCount, byGateways, LadderMetering, xGateways, messagesOf(RoleMetering)},
+		{SlopeMeteringMessages, unitCount, byGateways, LadderMetering, xGateways,
+			messagesOf(RoleMetering)},
 		{SlopeMeteringCores, unitCores, byGateways, LadderMetering, xGateways, b.cores},
 		{SlopeMeteringControl, unitCores, byGateways, LadderMetering, xGateways, b.control},
 	}
@@ -252,8 +271,10 @@
 
 // loads are the mean day and a release.
 func loads() []Load {
-	day := Load{"a mean day", (replacementsPerDay*changesPerReplaced + failuresPerDay*changesPerFailure) / float64(secondsPerDay), versionsPerDay / float64(secondsPerDay)}
-	release := Load{"a release", replacementsPerDay * changesPerReplaced / float64(secondsPerHour), day.VersionsPerSecond}
+	day := Load{"a mean day",
+		(replacementsPerDay*changesPerReplaced + failuresPerDay*changesPerFailure) / float64(secondsPerDay), versionsPerDay / float64(secondsPerDay)}
+	release := Load{"a release", replacementsPerDay * changesPerReplaced / float64(secondsPerHour),
+		day.VersionsPerSecond}
 	return []Load{day, release}
 }
 
@@ -278,7 +299,8 @@
 		list.MemoryMB = s.at(SlopeWholeMemory, n)
 		list.Messages = 3 * l.ChangesPerSecond // the news, the question, the list
 	} else {
-		list.Bytes, list.Messages = s.at(SlopeDeltaBytes, l.ChangesPerSecond), s.at(SlopeDeltaMessages, l.ChangesPerSecond)
+		list.Bytes, list.Messages = s.at(SlopeDeltaBytes, l.ChangesPerSecond), s.at(SlopeDeltaMessages,
+			l.ChangesPerSecond)
 		list.Cores, list.MemoryMB = s.at(SlopeDeltaCores, l.ChangesPerSecond), s.at(SlopeDeltaMemory, n)
 		register := max(0, s.at(SlopeDeltaRegister, n)-s.at(SlopeDeltaRegister, stepServers))
 		list.Control = l.ChangesPerSecond * (s.at(SlopeDeltaControl, g) + register)
@@ -286,13 +308,19 @@
 	permitControl := max(0, s.at(SlopePermitControl, g)-s.at(SlopeMeteringControl, g))
 	return []Use{
 		list,
-		{string(RoleConfiguration), s.at(SlopePermitMessages, g), s.at(SlopePermitBytes, g) + l.VersionsPerSecond*s.at(SlopeVersionBytes, t),
-			l.VersionsPerSecond * s.at(SlopeVersionCores, t), s.at(SlopeVersionMemory, t), permitControl + l.VersionsPerSecond*s.at(SlopeVersionControl, t)},
-		{string(RoleAllocation), s.at(SlopeAllocationMessage, g), s.at(SlopeAllocationBytes, g), s.at(SlopeAllocationCores, g), 0, s.at(SlopeAllocationControl, g)},
-		{string(RoleElection), s.at(SlopeElectionMessages, g), s.at(SlopeElectionBytes, g), s.at(SlopeBaseCores, g), s.at(SlopeBaseMemory, g), s.at(SlopeBaseControl, g)},
+		{string(RoleConfiguration), s.at(SlopePermitMessages, g), s.at(SlopePermitBytes,
+			g) + l.VersionsPerSecond*s.at(SlopeVersionBytes, t),
+			l.VersionsPerSecond * s.at(SlopeVersionCores, t), s.at(SlopeVersionMemory,
+				t), permitControl + l.VersionsPerSecond*s.at(SlopeVersionControl, t)},
+		{string(RoleAllocation), s.at(SlopeAllocationMessage, g), s.at(SlopeAllocationBytes, g),
+			s.at(SlopeAllocationCores, g), 0, s.at(SlopeAllocationControl, g)},
+		{string(RoleElection), s.at(SlopeElectionMessages, g), s.at(SlopeElectionBytes, g),
+			s.at(SlopeBaseCores, g), s.at(SlopeBaseMemory, g), s.at(SlopeBaseControl, g)},
 		{string(RoleAudit), s.at(SlopeAuditMessages, g), s.at(SlopeAuditBytes, g), 0, 0, 0},
-		{string(RoleMetering), s.at(SlopeMeteringMessages, g), s.at(SlopeMeteringBytes, g), s.at(SlopeMeteringCores, g), 0, s.at(SlopeMeteringControl, g)},
-		{string(RoleMembership), s.at(SlopeMembershipMessages, g), s.at(SlopeMembershipBytes, g), 0, 0, 0},
+		{string(RoleMetering), s.at(SlopeMeteringMessages, g), s.at(SlopeMeteringBytes, g),
+			s.at(SlopeMeteringCores, g), 0, s.at(SlopeMeteringControl, g)},
+		{string(RoleMembership), s.at(SlopeMembershipMessages, g), s.at(SlopeMembershipBytes, g), 0, 0,
+			0},
 	}
 }
 
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -58,7 +58,8 @@
 	want, have := strings.Split(tables, "\n"), strings.Split(strings.TrimPrefix(stands, "\n"), "\n")
 	for i := range max(len(want), len(have)) {
 		if i >= len(want) || i >= len(have) || want[i] != have[i] {
-			return fmt.Errorf("%s: table line %d is not what %s gives: run lab scale --page", pagePath, i+1, jsonPath)
+			return fmt.Errorf("%s: table line %d is not what %s gives: run lab scale --page", pagePath,
+				i+1, jsonPath)
 		}
 	}
 	return nil
@@ -108,30 +109,44 @@
 type about struct{ state, mechanism string }
 
 var roleAbout = map[string]about{
-	string(RoleList):          {"7,300 records at each gateway", "`distribution`, `internal/distributor`: deltas by revision from every control machine"},
-	string(RoleConfiguration): {"plans of 60,000 tenants, whole, at each gateway", "`versions`, `internal/rollout`: permits by asking the leader twice a second; contents whole, by digest"},
-	string(RoleAllocation):    {"a gateway: its part of some 290 tenants; owners: 60,000", "`budget`, `internal/budgets`: renewal with five owners, five times a second"},
-	string(RoleElection):      {"five replicas of the log", "`lease`, `agree`, `internal/fleetlink`: the duties, watched as a whole"},
-	string(RoleAudit):         {"a gateway: its own record", "`chronicle`, `internal/recorder`: the record's head, agreed every 3 s while it changes"},
-	string(RoleMetering):      {"a gateway: use by tenant, until it is collected", "`internal/usecount`, `internal/exporter`: collected every 5 s by one owner"},
-	string(RoleMembership):    {"all 620 processes, at each", "`agree`: the list of processes, asked whole by three parts of a gateway every 3 s each"},
+	string(RoleList): {"7,300 records at each gateway",
+		"`distribution`, `internal/distributor`: deltas by revision from every control machine"},
+	string(RoleConfiguration): {"plans of 60,000 tenants, whole, at each gateway",
+		"`versions`, `internal/rollout`: permits by asking the leader twice a second; contents whole, by digest"},
+	string(RoleAllocation): {"a gateway: its part of some 290 tenants; owners: 60,000",
+		"`budget`, `internal/budgets`: renewal with five owners, five times a second"},
+	string(RoleElection): {"five replicas of the log",
+		"`lease`, `agree`, `internal/fleetlink`: the duties, watched as a whole"},
+	string(RoleAudit): {"a gateway: its own record",
+		"`chronicle`, `internal/recorder`: the record's head, agreed every 3 s while it changes"},
+	string(RoleMetering): {"a gateway: use by tenant, until it is collected",
+		"`internal/usecount`, `internal/exporter`: collected every 5 s by one owner"},
+	string(RoleMembership): {"all 620 processes, at each",
+		"`agree`: the list of processes, asked whole by three parts of a gateway every 3 s each"},
 }
 
 func (c *Capacity) roleTable(b *strings.Builder, s Slopes) {
 	day := loads()[0]
-	head(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day", "role", "state", "messages/s", "bytes/s", "of a core", "memory, MB",
+	head(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day", "role",
+		"state", "messages/s", "bytes/s", "of a core", "memory, MB",
 		"control machines, cores together", "mechanism", "bytes, of a gateway's 10,000/s")
-	row(b, "request path", "pools of 15 servers", "-", "-", c.requestCores(15), "-", "none", "`decide`, `internal/gateway`", "the core is not control's: one pool of 7,300 would be "+c.requestCores(DesignServers))
+	row(b, "request path", "pools of 15 servers", "-", "-", c.requestCores(15), "-", "none",
+		"`decide`, `internal/gateway`", "the core is not control's: one pool of 7,300 would be "+c.requestCores(DesignServers))
 	uses := s.uses(day, PathDelta)
 	for _, u := range uses {
 		a := roleAbout[u.Role]
-		row(b, u.Role, a.state, number(u.Messages), number(u.Bytes), number(u.Cores), number(u.MemoryMB), number(u.Control), a.mechanism, fits(u.Bytes, limitBytes))
+		row(b, u.Role, a.state, number(u.Messages), number(u.Bytes), number(u.Cores),
+			number(u.MemoryMB), number(u.Control), a.mechanism, fits(u.Bytes, limitBytes))
 	}
-	row(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)", "`internal/door`", "fits")
+	row(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)",
+		"`internal/door`", "fits")
 	sum := total(uses)
-	row(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes), number(sum.Cores)+": "+fits(sum.Cores, limitCores),
-		number(sum.MemoryMB)+": "+fits(sum.MemoryMB, limitMemoryMB), "", "", fits(sum.Bytes, limitBytes))
-	row(b, "**a control machine as a whole**", "", "", number(sum.Bytes*DesignGateways/DesignControl)+" if spread evenly", number(sum.Control/DesignControl)+" if spread evenly", "",
+	row(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes),
+		number(sum.Cores)+": "+fits(sum.Cores, limitCores),
+		number(sum.MemoryMB)+": "+fits(sum.MemoryMB, limitMemoryMB), "", "", fits(sum.Bytes,
+			limitBytes))
+	row(b, "**a control machine as a whole**", "", "",
+		number(sum.Bytes*DesignGateways/DesignControl)+" if spread evenly", number(sum.Control/DesignControl)+" if spread evenly", "",
 		number(sum.Control), "a process of the program uses one core; permits, sessions and lists of processes fall to the leader alone", "cores: "+fits(sum.Control, DesignControl*controlCoresEach))
 }
 
@@ -145,21 +160,25 @@
 }
 
 func (c *Capacity) wholeTable(b *strings.Builder, s Slopes) {
-	head(b, "The list of servers by both paths", "load", "changes/s", "path", "bytes/s to one gateway", "of the limit", "of a gateway's core", "control machines, cores together",
+	head(b, "The list of servers by both paths", "load", "changes/s", "path", "bytes/s to one gateway",
+		"of the limit", "of a gateway's core", "control machines, cores together",
 		"all roles: bytes/s to one gateway", "all roles: of a gateway's core", "all roles: control machines, cores together")
 	for _, l := range loads() {
 		for _, path := range []Path{PathWholeList, PathDelta} {
 			uses := s.uses(l, path)
 			u, sum := uses[0], total(uses)
-			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes, limitBytes), number(u.Cores), number(u.Control),
-				number(sum.Bytes)+": "+fits(sum.Bytes, limitBytes), number(sum.Cores)+": "+fits(sum.Cores, limitCores), number(sum.Control))
+			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes,
+				limitBytes), number(u.Cores), number(u.Control),
+				number(sum.Bytes)+": "+fits(sum.Bytes,
+					limitBytes), number(sum.Cores)+": "+fits(sum.Cores, limitCores), number(sum.Control))
 		}
 	}
 }
 
 func (c *Capacity) eventTable(b *strings.Builder, s Slopes) {
 	const g = DesignGateways
-	head(b, "Events", "event", "what happens", "bytes to one gateway", "over the fleet, MB", "assumed, or measured")
+	head(b, "Events", "event", "what happens", "bytes to one gateway", "over the fleet, MB",
+		"assumed, or measured")
 	event := func(name, what string, bytes, gateways float64, how string) {
 		row(b, name, what, number(bytes), number(bytes*gateways/1e6), how)
 	}
@@ -170,18 +189,26 @@
 	whole := s.at(SlopeWholeBytes, DesignServers)
 	version := s.at(SlopeVersionBytes, DesignTenants)
 	event("a server changes", "one delta", deltaBytes, g, "measured (slope by changes a second)")
-	event("the same, whole list", "the list is fetched by each", whole, g, "measured (slope by servers)")
-	event("a version of the plans", "the content by digest, from another gateway or a control machine", version, g, "measured (slope by tenants); in and out at a gateway")
-	event("a rack gone", fmt.Sprintf("%d servers in one change", rackServers), rackServers*deltaBytes, g, "assumed: a change's bytes each; they merge to less")
-	event("a zone gone", fmt.Sprintf("%d servers; %d gateways go with it", DesignServers/zones, g/zones), DesignServers/zones*deltaBytes, g-g/zones, "assumed, as above")
-	event("regions apart for an hour", fmt.Sprintf("the side without the majority turns everybody away after %d s: %d of 3,600 s; its servers' changes come to it by its own register",
-		permitSpanSeconds, secondsPerHour-permitSpanSeconds), 0, g/2, "by design (`docs/audit.md`); to be designed anew")
-	event("regions together again", "each of the other region gets an hour's changes, merged", loads()[0].ChangesPerSecond*secondsPerHour*deltaBytes, g/2, "assumed: a mean hour's changes")
-	event("all gateways started at once, from nothing", "the whole list and the content", whole+version, g, "worked out from slopes; see the runs for the time")
+	event("the same, whole list", "the list is fetched by each", whole, g,
+		"measured (slope by servers)")
+	event("a version of the plans", "the content by digest, from another gateway or a control machine",
+		version, g, "measured (slope by tenants); in and out at a gateway")
+	event("a rack gone", fmt.Sprintf("%d servers in one change", rackServers), rackServers*deltaBytes,
+		g, "assumed: a change's bytes each; they merge to less")
+	event("a zone gone", fmt.Sprintf("%d servers; %d gateways go with it", DesignServers/zones,
+		g/zones), DesignServers/zones*deltaBytes, g-g/zones, "assumed, as above")
+	event("regions apart for an hour",
+		fmt.Sprintf("the side without the majority turns everybody away after %d s: %d of 3,600 s; its servers' changes come to it by its own register",
+			permitSpanSeconds, secondsPerHour-permitSpanSeconds), 0, g/2, "by design (`docs/audit.md`); to be designed anew")
+	event("regions together again", "each of the other region gets an hour's changes, merged",
+		loads()[0].ChangesPerSecond*secondsPerHour*deltaBytes, g/2, "assumed: a mean hour's changes")
+	event("all gateways started at once, from nothing", "the whole list and the content", whole+version,
+		g, "worked out from slopes; see the runs for the time")
 }
 
 func (c *Capacity) runTable(b *strings.Builder) {
-	head(b, "Runs near the size", "run", "gateways, servers, tenants", "path", "all current after a start, s", "in force p50, p99, ms", "draining p99, ms", "a rack p99, ms", "plans in force p99, ms",
+	head(b, "Runs near the size", "run", "gateways, servers, tenants", "path",
+		"all current after a start, s", "in force p50, p99, ms", "draining p99, ms", "a rack p99, ms", "plans in force p99, ms",
 		"diverged, stale, lost", "bytes/s a gateway, all roles", "of a core", "memory, MB", "added p99, ms")
 	for i, r := range c.Runs {
 		o := &r.Options
@@ -193,42 +220,50 @@
 		if r.StaleOperations >= 0 {
 			stale = number(float64(r.StaleOperations))
 		}
-		row(b, fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date), fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)), number(float64(o.Tenants))),
+		row(b, fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date), fmt.Sprintf("%s, %s, %s",
+			number(float64(o.Gateways)), number(float64(o.Servers)), number(float64(o.Tenants))),
 			string(o.Path), number(r.HerdMilliseconds/millisecond), number(r.InForce.P50)+", "+number(r.InForce.P99), number(r.Draining.P99), number(r.Rack.P99), number(r.PlansInForce.P99),
-			fmt.Sprintf("%d, %s, %d", r.Diverged, stale, r.LostChanges+r.LostVersions), number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond),
+			fmt.Sprintf("%d, %s, %d", r.Diverged, stale,
+				r.LostChanges+r.LostVersions), number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond),
 			number(r.Gateway.Cores), number(r.Gateway.ResidentMB), added)
 	}
 }
 
 func (c *Capacity) runRoleTable(b *strings.Builder) {
-	head(b, "Bytes a second at one gateway in these runs, by role", "run", "role", "messages/s", "in", "out")
+	head(b, "Bytes a second at one gateway in these runs, by role", "run", "role", "messages/s", "in",
+		"out")
 	for i, r := range c.Runs {
 		for _, role := range slices.Sorted(maps.Keys(r.Roles)) {
 			one := r.Roles[role]
-			row(b, number(float64(i+1)), string(role), number(one.MessagesPerSecond), number(one.BytesInPerSecond), number(one.BytesOutPerSecond))
+			row(b, number(float64(i+1)), string(role), number(one.MessagesPerSecond),
+				number(one.BytesInPerSecond), number(one.BytesOutPerSecond))
 		}
 	}
 }
 
 func (c *Capacity) controlTable(b *strings.Builder) {
-	head(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores", "memory, MB (most)", "read, kB/s", "written, kB/s")
+	head(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores",
+		"memory, MB (most)", "read, kB/s", "written, kB/s")
 	for i, r := range c.Runs {
 		for _, p := range r.ControlProcesses {
-			row(b, number(float64(i+1)), p.Name, fmt.Sprint(p.Leads), number(float64(p.Duties)), number(p.Cores), fmt.Sprintf("%s (%s)", number(p.ResidentMB), number(p.PeakMB)),
+			row(b, number(float64(i+1)), p.Name, fmt.Sprint(p.Leads), number(float64(p.Duties)),
+				number(p.Cores), fmt.Sprintf("%s (%s)", number(p.ResidentMB), number(p.PeakMB)),
 				number(p.ReadBytesPerSecond/kilobyte), number(p.WrittenBytesPerSecond/kilobyte))
 		}
 	}
 }
 
 func slopeTable(b *strings.Builder, s Slopes) {
-	head(b, "Slopes", "quantity", "depends on", "measured at", "at 0", "for one more", "unit", "largest distance from the line, of the largest value")
+	head(b, "Slopes", "quantity", "depends on", "measured at", "at 0", "for one more", "unit",
+		"largest distance from the line, of the largest value")
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		one := s[name]
 		var sizes []string
 		for _, p := range one.Points {
 			sizes = append(sizes, number(p.X))
 		}
-		row(b, name, one.DependsOn, strings.Join(sizes, "; "), number(one.At0), number(one.PerOne), one.Unit, number(one.Residual))
+		row(b, name, one.DependsOn, strings.Join(sizes, "; "), number(one.At0), number(one.PerOne),
+			one.Unit, number(one.Residual))
 	}
 }
 
--- a/internal/scale/page_test.go
+++ b/internal/scale/page_test.go
@@ -10,7 +10,8 @@
 // The tables of the capacity page are what its JSON gives.
 func TestThePageIsWhatItsFiguresGive(t *testing.T) {
 	docs := filepath.Join("..", "..", "docs")
-	if err := CheckPage(filepath.Join(docs, "capacity.json"), filepath.Join(docs, "CAPACITY.md")); err != nil {
+	if err := CheckPage(filepath.Join(docs, "capacity.json"), filepath.Join(docs,
+		"CAPACITY.md")); err != nil {
 		t.Error(err)
 	}
 }
@@ -22,7 +23,8 @@
 	if err := sample(t).Write(jsonAt); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(pageAt, []byte("before\n"+pageBegin+pageEnd+"\nafter\n"), 0o600); err != nil {
+	if err := os.WriteFile(pageAt, []byte("before\n"+pageBegin+pageEnd+"\nafter\n"),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := CheckPage(jsonAt, pageAt); err == nil {
@@ -45,7 +47,8 @@
 	if !strings.Contains(text, "| 12,500 |") {
 		t.Fatalf("no figure to change in\n%s", text)
 	}
-	if err := os.WriteFile(pageAt, []byte(strings.Replace(text, "| 12,500 |", "| 12,501 |", 1)), 0o600); err != nil {
+	if err := os.WriteFile(pageAt, []byte(strings.Replace(text, "| 12,500 |", "| 12,501 |", 1)),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := CheckPage(jsonAt, pageAt); err == nil {
@@ -67,7 +70,8 @@
 		r := newResult(Options{Gateways: n})
 		r.Roles[RoleMembership] = Row{BytesInPerSecond: 100 + 20*float64(n), MessagesPerSecond: 2}
 		r.Gateway.Cores = 0.01
-		c.Steps = append(c.Steps, Step{Ladder: LadderBase, Result: r}, Step{Ladder: LadderPermitGateways, Result: r})
+		c.Steps = append(c.Steps, Step{Ladder: LadderBase, Result: r},
+			Step{Ladder: LadderPermitGateways, Result: r})
 	}
 	return c
 }
@@ -84,13 +88,15 @@
 			t.Errorf("%+v, 12,500 bytes a second wanted", u)
 		}
 	}
-	if sum := total(slopes.uses(day, PathDelta)); number(sum.Bytes) != notMeasured || fits(sum.Cores, limitCores) != notMeasured {
+	if sum := total(slopes.uses(day, PathDelta)); number(sum.Bytes) != notMeasured || fits(sum.Cores,
+		limitCores) != notMeasured {
 		t.Errorf("a sum of what was not all measured: %+v", sum)
 	}
 	if day.ChangesPerSecond < 0.0386 || day.ChangesPerSecond > 0.0388 || loads()[1].ChangesPerSecond < 0.916 {
 		t.Errorf("%+v", loads())
 	}
-	if !strings.HasPrefix(fits(12_500, limitBytes), "**over, x1.2") || !strings.HasPrefix(fits(5000, limitBytes), "fits (0.50") {
+	if !strings.HasPrefix(fits(12_500, limitBytes), "**over, x1.2") || !strings.HasPrefix(fits(5000,
+		limitBytes), "fits (0.50") {
 		t.Error(fits(12_500, limitBytes), fits(5000, limitBytes))
 	}
 }
@@ -111,7 +117,8 @@
 
 // Words for numbers are short and the same each time.
 func TestNumber(t *testing.T) {
-	for x, want := range map[float64]string{0: "0", 0.0123456: "0.0123", 12.3456: "12.3", 1234.5: "1,234", 1234567: "1,234,567"} {
+	for x, want := range map[float64]string{0: "0", 0.0123456: "0.0123", 12.3456: "12.3",
+		1234.5: "1,234", 1234567: "1,234,567"} {
 		if got := number(x); got != want {
 			t.Errorf("%v: %s, %s wanted", x, got, want)
 		}
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -12,7 +12,8 @@
 	"mothcleat/internal/trial"
 )
 
-// realGateways are a few gateways of the program that serve requests beside the hollow ones, between stand-ins of their own.
+// realGateways are a few gateways of the program that serve requests beside the hollow ones, between
+// stand-ins of their own.
 type realGateways struct {
 	world *lab.World
 }
@@ -33,9 +34,11 @@
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(own, false)), 0o600)
+		return os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(own, false)),
+			0o600)
 	}
-	w, err := lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.RealGateways, Servers: servers, Load: load, Bin: o.Bin, Log: log, Names: realNames,
+	w, err := lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.RealGateways, Servers: servers,
+		Load: load, Bin: o.Bin, Log: log, Names: realNames,
 		Operators: "#\n", Prepare: prepare})
 	if err != nil {
 		return nil, err
@@ -43,8 +46,10 @@
 	return &realGateways{world: w}, nil
 }
 
-// Added is what real gateways added to the time of a request: from its last byte at the client's socket until its answer was read
-// there, less the time from its first byte at the stand-in server until the answer was written there. Requests that took more than
+// Added is what real gateways added to the time of a request: from its last byte at the client's socket
+// until its answer was read
+// there, less the time from its first byte at the stand-in server until the answer was written there.
+// Requests that took more than
 // one attempt are left out.
 type Added struct {
 	Requests          int     `json:"requests"`
@@ -67,14 +72,16 @@
 		}
 		all = append(all, (t.Answered-t.Sent)-(one[0].Replied-one[0].First))
 	}
-	return Added{Requests: len(all), RequestsPerSecond: float64(len(all)) / (to - from).Seconds() / float64(len(r.world.Gateways)),
-		P50Milliseconds: trial.Quantile(all, 0.5), P99Milliseconds: trial.Quantile(all, 0.99)}
+	return Added{Requests: len(all),
+		RequestsPerSecond: float64(len(all)) / (to - from).Seconds() / float64(len(r.world.Gateways)),
+		P50Milliseconds:   trial.Quantile(all, 0.5), P99Milliseconds: trial.Quantile(all, 0.99)}
 }
 
 func (r *realGateways) close(logs string) {
 	if logs != "" {
 		for _, g := range r.world.Gateways {
-			_ = os.WriteFile(filepath.Join(logs, filepath.Base(g.Dir())+".real.log"), []byte(g.Log()), 0o600)
+			_ = os.WriteFile(filepath.Join(logs, filepath.Base(g.Dir())+".real.log"), []byte(g.Log()),
+				0o600)
 		}
 	}
 	r.world.Close()
--- a/internal/scale/register.go
+++ b/internal/scale/register.go
@@ -15,7 +15,8 @@
 	"mothcleat/internal/registry"
 )
 
-// Register is a stand-in for a Consul agent with one service of many servers, written from the public pages of its HTTP API:
+// Register is a stand-in for a Consul agent with one service of many servers, written from the public
+// pages of its HTTP API:
 // blocking queries on the health view. Its methods may be called concurrently.
 type Register struct {
 	Address string
@@ -48,7 +49,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
-	r := &Register{Address: l.Addr().String(), index: 10, entries: map[string]registered{}, changed: make(chan struct{})}
+	r := &Register{Address: l.Addr().String(), index: 10, entries: map[string]registered{},
+		changed: make(chan struct{})}
 	for i := range servers {
 		r.put(serverID(i), serverAddress(i), registry.Ready)
 	}
@@ -60,7 +62,8 @@
 // Close ends it.
 func (r *Register) Close() { _ = r.server.Close() }
 
-// serverID names a server; serverAddress is an address that nothing listens at: hollow gateways send nothing.
+// serverID names a server; serverAddress is an address that nothing listens at: hollow gateways send
+// nothing.
 func serverID(i int) string { return fmt.Sprintf("q-%08x", i) }
 
 func serverAddress(i int) string { return fmt.Sprintf("10.%d.%d.%d:8000", i>>16&255, i>>8&255, i&255) }
@@ -83,8 +86,10 @@
 	}
 	text, err := json.Marshal(map[string]any{
 		"Node": map[string]any{"Node": registerNode, "Address": "127.0.0.1", "Datacenter": "dc1"},
-		"Service": map[string]any{"ID": id, "Service": serviceName, "Tags": tags, "Address": host, "Port": number,
-			"Meta": map[string]string{"locality": zoneOf(address), "started": "1700000000"}, "Weights": map[string]int{"Passing": 1, "Warning": 1},
+		"Service": map[string]any{"ID": id, "Service": serviceName, "Tags": tags, "Address": host,
+			"Port": number,
+			"Meta": map[string]string{"locality": zoneOf(address),
+				"started": "1700000000"}, "Weights": map[string]int{"Passing": 1, "Warning": 1},
 			"CreateIndex": old.created, "ModifyIndex": r.index},
 		"Checks": []any{map[string]any{"CheckID": "service:" + id, "Status": "passing"}},
 	})
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -89,6 +89,7 @@
 
 // newResult begins a result.
 func newResult(o Options) *Result {
-	return &Result{Command: "scale", Date: time.Now().UTC().Format(time.DateOnly), MachineCores: runtime.NumCPU(), Options: o, Roles: map[Role]Row{},
+	return &Result{Command: "scale", Date: time.Now().UTC().Format(time.DateOnly),
+		MachineCores: runtime.NumCPU(), Options: o, Roles: map[Role]Row{},
 		StaleOperations: -1}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -118,8 +118,10 @@
 			return err
 		}
 		p.children = append(p.children, c)
-		config, err := json.Marshal(HollowConfig{Fleet: fleetName, Voters: p.control.voters(), Owners: p.control.owners(), First: first,
-			Count: min(o.PerProcess, o.Gateways-first), Gateways: o.Gateways, Dir: dir, Seed: o.Seed, Tenants: o.Tenants,
+		config, err := json.Marshal(HollowConfig{Fleet: fleetName, Voters: p.control.voters(),
+			Owners: p.control.owners(), First: first,
+			Count: min(o.PerProcess,
+				o.Gateways-first), Gateways: o.Gateways, Dir: dir, Seed: o.Seed, Tenants: o.Tenants,
 			RequestsPerGateway: o.RequestsPerGateway, Shards: o.Control, Parts: o.Parts, Path: o.Path})
 		if err != nil {
 			return err
@@ -193,7 +195,8 @@
 				last = time.Now()
 			}
 			p.result.HerdMilliseconds = milliseconds(last.Sub(began))
-			fmt.Fprintf(p.log, "%d hollow gateways in %d processes are current after %.0f ms\n", p.options.Gateways, len(p.children), p.result.HerdMilliseconds)
+			fmt.Fprintf(p.log, "%d hollow gateways in %d processes are current after %.0f ms\n",
+				p.options.Gateways, len(p.children), p.result.HerdMilliseconds)
 			pass(ctx, settlePause)
 			return ctx.Err()
 		}
@@ -205,7 +208,8 @@
 	return nil
 }
 
-// behind is how many gateways are not current: their list is not the register's, or an older version of the plans is in force. last
+// behind is how many gateways are not current: their list is not the register's, or an older version of
+// the plans is in force. last
 // is when the last of the others first had a list.
 func (p *play) behind(samples []Sample, version uint64) (behind int, last time.Time) {
 	digest, _ := p.register.Digest()
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -1,6 +1,9 @@
-// Package scale is the rig that measures what a large fleet asks of its control plane: hollow gateways (the program's own
-// control-plane client code over real gRPC on loopback, without the request path), many to a process, before five real processes
-// of the program that hold all duties, with a few real gateways beside them. From ladders of sizes it fits slopes, and from those
+// Package scale is the rig that measures what a large fleet asks of its control plane: hollow gateways
+// (the program's own
+// control-plane client code over real gRPC on loopback, without the request path), many to a process,
+// before five real processes
+// of the program that hold all duties, with a few real gateways beside them. From ladders of sizes it
+// fits slopes, and from those
 // it works out the table of docs/CAPACITY.md.
 package scale
 
@@ -62,7 +65,8 @@
 // AllParts are all of them.
 var AllParts = Parts{List: true, Configuration: true, Allocation: true, Metering: true}
 
-// ParseParts reads a list of roles with commas between them; "all" and "none" are words for every one and not any.
+// ParseParts reads a list of roles with commas between them; "all" and "none" are words for every one
+// and not any.
 func ParseParts(text string) (p Parts, err error) {
 	for word := range strings.SplitSeq(text, ",") {
 		switch word {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -24,11 +24,13 @@
 }
 
 func tiny() Options {
-	return Options{Seed: 46, Gateways: 4, Servers: 60, Tenants: 80, Control: 3, For: 3 * time.Second, ReplacementsPerSecond: 1, RackSize: 5, Versions: 1,
+	return Options{Seed: 46, Gateways: 4, Servers: 60, Tenants: 80, Control: 3, For: 3 * time.Second,
+		ReplacementsPerSecond: 1, RackSize: 5, Versions: 1,
 		Parts: AllParts, Path: PathWholeList, PerProcess: 2}
 }
 
-// A tiny fleet: every change comes to every gateway, every role is counted, and only control processes hold duties.
+// A tiny fleet: every change comes to every gateway, every role is counted, and only control processes
+// hold duties.
 func TestATinyFleet(t *testing.T) {
 	for _, path := range []Path{PathWholeList, PathDelta} {
 		t.Run(string(path), func(t *testing.T) { t.Parallel(); playTiny(t, path) })
@@ -59,9 +61,11 @@
 		t.Errorf("changes were not played: %s", r.Line())
 	}
 	if r.PlanVersions+r.ProposalsRefused != o.Versions {
-		t.Errorf("%d versions and %d refused, %d wanted", r.PlanVersions, r.ProposalsRefused, o.Versions)
+		t.Errorf("%d versions and %d refused, %d wanted", r.PlanVersions, r.ProposalsRefused,
+			o.Versions)
 	}
-	for _, role := range []Role{RoleList, RoleConfiguration, RoleAllocation, RoleMembership, RoleElection} {
+	for _, role := range []Role{RoleList, RoleConfiguration, RoleAllocation, RoleMembership,
+		RoleElection} {
 		if row := r.Roles[role]; row.MessagesPerSecond <= 0 || row.BytesInPerSecond <= 0 {
 			t.Errorf("nothing was counted for %s: %s", role, r.Line())
 		}
@@ -88,19 +92,24 @@
 		change func(*Options)
 		want   string
 	}{
-		"no gateway":         {func(o *Options) { o.Gateways = 0 }, "--gateways 0"},
-		"too much memory":    {func(o *Options) { o.Gateways, o.Servers, o.PerProcess = 2000, 50_000, 100 }, "--gateways 2000: some"},
-		"too many processes": {func(o *Options) { o.Gateways, o.PerProcess = 2000, 10 }, "--gateways 2000: 203 processes"},
-		"even voters":        {func(o *Options) { o.Control = 4 }, "--control 4"},
-		"no server":          {func(o *Options) { o.Servers = 0 }, "--servers 0"},
-		"no tenant":          {func(o *Options) { o.Tenants = 0 }, "--tenants 0"},
-		"long":               {func(o *Options) { o.For = time.Hour }, "--for 1h0m0s"},
-		"path":               {func(o *Options) { o.Path = "tree" }, "--path tree"},
-		"rack":               {func(o *Options) { o.RackSize = 31 }, "--rack 31"},
+		"no gateway": {func(o *Options) { o.Gateways = 0 }, "--gateways 0"},
+		"too much memory": {func(o *Options) {
+			o.Gateways, o.Servers, o.PerProcess = 2000, 50_000,
+				100
+		}, "--gateways 2000: some"},
+		"too many processes": {func(o *Options) { o.Gateways, o.PerProcess = 2000, 10 },
+			"--gateways 2000: 203 processes"},
+		"even voters": {func(o *Options) { o.Control = 4 }, "--control 4"},
+		"no server":   {func(o *Options) { o.Servers = 0 }, "--servers 0"},
+		"no tenant":   {func(o *Options) { o.Tenants = 0 }, "--tenants 0"},
+		"long":        {func(o *Options) { o.For = time.Hour }, "--for 1h0m0s"},
+		"path":        {func(o *Options) { o.Path = "tree" }, "--path tree"},
+		"rack":        {func(o *Options) { o.RackSize = 31 }, "--rack 31"},
 	} {
 		o := tiny()
 		c.change(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if err := o.Check(); err == nil || !strings.Contains(err.Error(),
+			c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, %q wanted", name, err, c.want)
 		}
 	}
@@ -124,7 +133,8 @@
 	}
 	for tenant := range uint64(tenants) {
 		if through[tenant] != tenantSpread(tenant) {
-			t.Fatalf("tenant %d comes through %d gateways, %d wanted", tenant, through[tenant], tenantSpread(tenant))
+			t.Fatalf("tenant %d comes through %d gateways, %d wanted", tenant, through[tenant],
+				tenantSpread(tenant))
 		}
 	}
 }
@@ -134,7 +144,8 @@
 	if err != nil || s.At0 < 9.9 || s.At0 > 10.1 || s.PerOne < 1.99 || s.PerOne > 2.01 || s.Residual > 0.001 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if s, err = Fit("b", "B", "gateways", []Point{{1, 0}, {2, 10}, {3, 0}}); err != nil || s.Residual < 0.5 {
+	if s, err = Fit("b", "B", "gateways", []Point{{1, 0}, {2, 10}, {3,
+		0}}); err != nil || s.Residual < 0.5 {
 		t.Errorf("what is no line has to show in the residual: %+v, %v", s, err)
 	}
 	if _, err = Fit("c", "B", "gateways", []Point{{1, 1}, {1, 2}, {2, 3}}); err == nil {
--- a/internal/scale/sums.go
+++ b/internal/scale/sums.go
@@ -41,7 +41,8 @@
 		r.ConnectionOverhead = (in + out) / float64(messages.Bytes())
 	}
 	// What is no message (headers, flow control, pings) is shared out by messages.
-	perMessage := math.Max(0, in+out-float64(messages.Bytes())) / math.Max(1, float64(messages.Messages()))
+	perMessage := math.Max(0, in+out-float64(messages.Bytes())) / math.Max(1,
+		float64(messages.Messages()))
 	for role, t := range roles {
 		r.Roles[role] = Row{MessagesPerSecond: float64(t.Messages()) / seconds / n,
 			BytesInPerSecond:  (float64(t.BytesIn) + perMessage*float64(t.MessagesIn)) / seconds / n,
@@ -54,7 +55,8 @@
 	leader := p.control.leader()
 	for i := range after {
 		u := after[i].Since(before[i])
-		one := Process{Name: controlName(i), Leads: i == leader, Duties: p.control.duties(i), Cores: u.ProcessorSeconds / took.Seconds(),
+		one := Process{Name: controlName(i), Leads: i == leader, Duties: p.control.duties(i),
+			Cores:      u.ProcessorSeconds / took.Seconds(),
 			ResidentMB: float64(u.ResidentBytes) / (1 << 20), PeakMB: float64(u.PeakBytes) / (1 << 20),
 			ReadBytesPerSecond: float64(u.ReadBytes) / took.Seconds(), WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds()}
 		p.result.ControlProcesses = append(p.result.ControlProcesses, one)
@@ -148,7 +150,10 @@
 		return Delays{}
 	}
 	slices.Sort(all)
-	at := func(p float64) float64 { return milliseconds(all[min(len(all)-1, int(p*float64(len(all))))]) }
+	at := func(p float64) float64 {
+		return milliseconds(all[min(len(all)-1,
+			int(p*float64(len(all))))])
+	}
 	return Delays{Count: len(all), P50: at(0.5), P99: at(0.99), Most: milliseconds(all[len(all)-1])}
 }
 
--- a/internal/scale/watcher.go
+++ b/internal/scale/watcher.go
@@ -19,8 +19,10 @@
 	"mothcleat/roster"
 )
 
-// watcher is the process that watches the register for all where the whole list travels: the program does that no more, so the rig
-// does, to have the older path beside the newer one. What it publishes is agreed and served by the real control processes.
+// watcher is the process that watches the register for all where the whole list travels: the program
+// does that no more, so the rig
+// does, to have the older path beside the newer one. What it publishes is agreed and served by the real
+// control processes.
 type watcher struct {
 	client *fleetlink.Client
 	set    *duties.Set
@@ -42,13 +44,18 @@
 func startWatcher(voters []*fleetpb.Voter, register string) *watcher {
 	me := lease.Member{ID: watcherName, Boot: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watcher{client: fleetlink.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog), cancel: cancel, ended: make(chan struct{})}
-	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin, Offer: leaseOffer}, Client: w.client,
+	w := &watcher{client: fleetlink.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
+		cancel: cancel, ended: make(chan struct{})}
+	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin,
+		Offer: leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: silentLog})
-	watch := &fleetwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog, Direct: func() (registry.Source, error) {
-		return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName, Wait: registerWait,
-			Rules: membership.Settings{Hold: registerHold.Microseconds(), ResetAfter: registerReset}}, silentLog)
-	}}
+	watch := &fleetwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
+		Direct: func() (registry.Source, error) {
+			return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName,
+				Wait: registerWait,
+				Rules: membership.Settings{Hold: registerHold.Microseconds(),
+					ResetAfter: registerReset}}, silentLog)
+		}}
 	w.set.Add(roster.Duty, watch.Work)
 	go w.client.Live(ctx)
 	go func() {
@@ -68,10 +75,12 @@
 	w.client.Close()
 }
 
-// wholeList is a hollow gateway's hearing of the whole list, as gateways had it before the list travelled by what changed.
+// wholeList is a hollow gateway's hearing of the whole list, as gateways had it before the list
+// travelled by what changed.
 func (g *hollowGateway) wholeList(voters []*fleetpb.Voter, log *slog.Logger) registry.Source {
 	me := lease.Member{ID: hollowName(g.number), Boot: rand.Uint64()>>1 | 1}
-	client := fleetlink.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil, log) // it only asks: it needs no session
+	client := fleetlink.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
+		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
 	return &fleetwatch.Watch{Client: client, Silent: silentAfter, Log: log, Direct: g.noDirect}
 }
