--- /dev/null
+++ b/internal/gateway/idle_time_test.go
@@ -0,0 +1,47 @@
+package gateway
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"mothcleat/decide"
+)
+
+// How long a connection had stood idle when it proved dead counts to the write, not to the sending of the request that was
+// written: one that waits while its connection rests is sent before that begins to stand idle, and the difference, below
+// nothing, would have no connection trusted any more that was idle for a moment.
+func TestIdleTimeOfAResetConnectionCountsToTheWrite(t *testing.T) {
+	const stood = 5 * time.Second
+	b := newBackend(t)
+	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(l *Loop) {
+		l.backends.rest = decide.Time(time.Hour.Microseconds()) // until the test ends it
+	})
+	c, other := r.client(t), r.client(t)
+	c.lookup(1, "60000")
+	b.next(t).serve(t, "one")
+	c.value("one")
+	other.lookup(2, "60000")
+	until(t, r.loop, "a request that waits for the connection to have rested", func(l *Loop) bool {
+		return len(l.backends.byNumber[1].waiting) == 1
+	})
+	ask(t, r.loop, func(l *Loop) bool {
+		server := l.backends.byNumber[1]
+		conn, waiting := server.idle[0], server.waiting[0]
+		conn.since -= stood.Microseconds()
+		waiting.sent = conn.since - stood.Microseconds()
+		conn.rests = l.now()
+		l.backends.keep.brokeAt = l.now() // one that breaks alone is chance
+		rested{conn}.due(l)
+		waiting.wrote += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
+		return true
+	})
+	call := b.next(t)
+	_ = call.conn.(*net.TCPConn).SetLinger(0)
+	call.conn.Close()
+	b.next(t).serve(t, "two") // by another
+	other.value("two")
+	if learnt := ask(t, r.loop, func(l *Loop) decide.Time { return l.backends.keep.learnt }); learnt < stood.Microseconds()/2 {
+		t.Errorf("a connection is trusted for %d us, this one had stood idle for %d", learnt, stood.Microseconds())
+	}
+}
