--- a/agree/apply.go
+++ b/agree/apply.go
@@ -36,6 +36,7 @@
 			return err
 		}
 	}
+	n.sessions.log.commit(n.applied)
 	if n.termSeen != e.GetTerm() {
 		n.termSeen = e.GetTerm()
 		// From here on a leader of this term stamps: it counts from the newest stamp that it has applied.
@@ -163,6 +164,7 @@
 		n.voters[v.Number] = v
 	}
 	n.sessions = readSessions(&s)
+	n.sessions.log.begin(from.Metadata.GetIndex())
 	for _, m := range s.Machines {
 		in := n.cfg.Machines[m.Name]
 		if in == nil {
--- a/agree/requests.go
+++ b/agree/requests.go
@@ -29,7 +29,8 @@
 	tag     any
 	machine string
 	body    []byte
-	index   uint64 // 0: not confirmed yet
+	members *MembershipQuery // of a read of FleetName; nil: the whole list
+	index   uint64           // 0: not confirmed yet
 }
 
 // answer ends a command or a read with its answer.
@@ -155,8 +156,16 @@
 		n.refuseUnknown(tag, machine)
 		return
 	}
+	r := &read{tag: tag, machine: machine, body: body}
+	if machine == FleetName {
+		var err error
+		if r.members, err = parseMembershipQuery(body); err != nil {
+			n.refuse(tag, fleetpb.Code_REFUSED, err.Error())
+			return
+		}
+	}
 	n.nextID++
-	n.reads[n.nextID] = &read{tag: tag, machine: machine, body: body}
+	n.reads[n.nextID] = r
 	n.rn.ReadIndex(fmt.Appendf(nil, "%d", n.nextID))
 }
 
@@ -222,17 +231,23 @@
 	for _, id := range slices.Sorted(maps.Keys(n.reads)) {
 		r := n.reads[id]
 		if r.index != 0 && r.index <= n.applied {
-			at := n.clock.now(now)
-			body := n.list(at)
-			if r.machine != FleetName {
-				body = n.cfg.Machines[r.machine].Query(at, r.body)
-			}
-			n.answer(r.tag, body)
+			n.answer(r.tag, n.queried(r, n.clock.now(now)))
 			delete(n.reads, id)
 		}
 	}
 }
 
+// queried is the answer to a read at a time of the fleet.
+func (n *Node) queried(r *read, at time.Duration) []byte {
+	switch {
+	case r.machine != FleetName:
+		return n.cfg.Machines[r.machine].Query(at, r.body)
+	case r.members != nil:
+		return n.membershipAnswer(r.members, at)
+	}
+	return n.list(at)
+}
+
 // stepDown ends all requests that wait for this leader. They may be agreed yet, and have to be repeated at
 // the next leader.
 func (n *Node) stepDown() {
--- a/agree/sessions.go
+++ b/agree/sessions.go
@@ -33,10 +33,11 @@
 	byNumber map[uint64]*session
 	byID     map[string]*session
 	retired  map[string][]uint64 // boots that another has followed
+	log      membershipLog
 }
 
 func newSessions() *sessions {
-	return &sessions{map[uint64]*session{}, map[string]*session{}, map[string][]uint64{}}
+	return &sessions{map[uint64]*session{}, map[string]*session{}, map[string][]uint64{}, membershipLog{digest: digestOfNone}}
 }
 
 // open begins a session under a number. The newest process of an id goes first: an older one's session ends,
@@ -53,10 +54,15 @@
 		s.retire(old)
 	}
 	n := &session{number: number, member: who, address: address, seen: at, answers: map[uint64][]byte{}}
-	s.byNumber[number], s.byID[who.ID] = n, n
+	s.add(n)
 	return number, fleetpb.Code_OK
 }
 
+func (s *sessions) add(n *session) {
+	s.byNumber[n.number], s.byID[n.member.ID] = n, n
+	s.log.change(n.member, n.address)
+}
+
 // retire ends a session that another process of its id has followed.
 func (s *sessions) retire(old *session) {
 	boots := append(s.retired[old.member.ID], old.member.Boot)
@@ -67,6 +73,7 @@
 func (s *sessions) drop(old *session) {
 	delete(s.byNumber, old.number)
 	delete(s.byID, old.member.ID)
+	s.log.change(old.member, old.address)
 }
 
 // expire ends the sessions that nothing was heard of.
@@ -151,7 +158,7 @@
 		for _, k := range w.Answers {
 			n.answers[k.Seq] = k.Answer
 		}
-		s.byNumber[n.number], s.byID[n.member.ID] = n, n
+		s.add(n)
 	}
 	for _, r := range from.Retired {
 		s.retired[r.Id] = r.Boots
--- a/agree/status.go
+++ b/agree/status.go
@@ -62,7 +62,7 @@
 }
 
 // FleetName is the part of the agreed state that every node has itself: who votes, and who has a session. A Read of it
-// gives a List.
+// without a body gives a List, one with a MembershipQuery only the part that it asks for.
 const FleetName = "fleet"
 
 // List is who belongs to the fleet.
@@ -86,12 +86,20 @@
 	Address string `json:"address"`
 }
 
+// votersAt returns the agreed voters as askers are given them, by name.
+func (n *Node) votersAt() (all []VoterAt) {
+	for _, v := range n.Voters() {
+		all = append(all, VoterAt{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
+	}
+	return all
+}
+
 // list returns the List as JSON, at a time of the fleet.
 func (n *Node) list(at time.Duration) []byte {
 	r := n.Role()
 	l := List{Fleet: n.fleet, At: at, Term: r.Term, Applied: n.applied, First: n.First(), Members: n.Members(), Retired: n.sessions.retired}
+	l.Voters = n.votersAt()
 	for _, v := range n.Voters() {
-		l.Voters = append(l.Voters, VoterAt{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
 		if v.Number == r.Leader {
 			l.Leader = v.Name
 		}
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -67,6 +67,7 @@
 type Set struct {
 	opt     Options
 	runners map[string]*runner
+	agreed  *fleetlink.Members // those that may hold duties, or all
 
 	mu      sync.Mutex
 	members []string                 // that have a session, this one among them
@@ -78,6 +79,7 @@
 
 const (
 	membersEach  = 3 * time.Second
+	mostNamed    = 32                    // candidates that are asked for by their ids: of more, all changes of members cost less
 	rankWait     = 60 * time.Millisecond // a member waits so long for each that comes before it
 	ranks        = 5                     // those behind look seldom: they are for when all of these are gone
 	lookMost     = 700 * time.Millisecond
@@ -91,7 +93,12 @@
 
 // New makes a set; Run has it begin.
 func New(opt Options) *Set {
-	return &Set{opt: opt, runners: map[string]*runner{}, at: map[string]string{}, since: map[string]time.Duration{}, owners: map[string]lease.Holding{}, unknown: make(chan struct{}, 1)}
+	query := agree.MembershipQuery{Scope: agree.ScopeMembers}
+	if len(opt.Candidates) <= mostNamed {
+		query.IDs = opt.Candidates
+	}
+	return &Set{opt: opt, runners: map[string]*runner{}, agreed: opt.Client.Members(query), at: map[string]string{}, since: map[string]time.Duration{},
+		owners: map[string]lease.Holding{}, unknown: make(chan struct{}, 1)}
 }
 
 // Owner is who owns a duty as far as this process has heard, and where it is reached. It may be over: whoever is asked
@@ -203,24 +210,20 @@
 }
 
 // able are the members that can hold duties: those that say where they are reached, and have said something lately.
-func (s *Set) able(ctx context.Context) (all []agree.Present, err error) {
-	raw, err := s.opt.Client.Ask(ctx, agree.FleetName, nil)
+func (s *Set) able(ctx context.Context) (all []agree.MemberAt, err error) {
+	members, err := s.agreed.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var l agree.List
-	if err := json.Unmarshal(raw, &l); err != nil {
-		return nil, err
-	}
-	for _, m := range l.Members {
-		if m.Address != "" && l.At-m.Seen < agree.SessionSpan/2 && s.opt.candidate(m.ID) {
+	for _, m := range members {
+		if m.Active() && s.opt.candidate(m.ID) {
 			all = append(all, m)
 		}
 	}
 	return all, nil
 }
 
-func idsOf(all []agree.Present) (ids []string) {
+func idsOf(all []agree.MemberAt) (ids []string) {
 	for _, m := range all {
 		ids = append(ids, m.ID)
 	}
--- a/internal/exporter/exporter.go
+++ b/internal/exporter/exporter.go
@@ -49,8 +49,9 @@
 	tick := time.NewTicker(e.Every)
 	defer tick.Stop()
 	tidied := false
+	members := e.Client.Members(agree.MembershipQuery{Scope: agree.ScopeMembers, Retired: true})
 	for {
-		err := e.round(ctx, t, &tidied)
+		err := e.round(ctx, t, members, &tidied)
 		if err != nil && (ctx.Err() == nil || errors.Is(err, errRefused)) {
 			e.Log.Warn("fleet: export", "duty", t.Duty, "term", t.Term, "error", err)
 		}
@@ -65,15 +66,15 @@
 var errRefused = errors.New("refused")
 
 // round collects and writes once.
-func (e *Exporter) round(ctx context.Context, t *duties.Tenure, tidied *bool) error {
+func (e *Exporter) round(ctx context.Context, t *duties.Tenure, members *fleetlink.Members, tidied *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, max(e.Every, askWithin))
 	defer cancel()
 	var done exports.View
 	if err := ask(ctx, e.Client, exports.MachineName, &done); err != nil {
 		return err
 	}
-	var fleet agree.List
-	if err := ask(ctx, e.Client, agree.FleetName, &fleet); err != nil {
+	all, err := listOf(ctx, members)
+	if err != nil {
 		return err
 	}
 	if !*tidied {
@@ -83,11 +84,11 @@
 		*tidied = true
 	}
 	b := newBook(&done)
-	for _, m := range fleet.Members {
+	for _, m := range all {
 		if m.Address == "" || exports.ShardOf(m.ID, e.Shards) != e.Shard || b.rows > mostRows {
 			continue
 		}
-		b.note(m.ID, append(fleet.Retired[m.ID], m.Boot))
+		b.note(m.ID, append(slices.Clone(m.Retired), m.Boot))
 		if err := e.collect(ctx, m, b); err != nil {
 			e.Log.Debug("fleet: export: not heard", "gateway", m.ID, "error", err)
 		}
@@ -132,6 +133,13 @@
 	return nil
 }
 
+// listOf gives the members as they are agreed now.
+func listOf(ctx context.Context, members *fleetlink.Members) ([]agree.MemberAt, error) {
+	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	defer cancel()
+	return members.List(ctx)
+}
+
 func ask(ctx context.Context, c *fleetlink.Client, machine string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
@@ -183,7 +191,7 @@
 }
 
 // collect asks one gateway for its closed periods.
-func (e *Exporter) collect(ctx context.Context, m agree.Present, b *book) error {
+func (e *Exporter) collect(ctx context.Context, m agree.MemberAt, b *book) error {
 	ctx, cancel := context.WithTimeout(ctx, collectWithin)
 	defer cancel()
 	had := map[uint64]uint64{}
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -111,6 +111,7 @@
 	againAfter = 100 * time.Millisecond
 	tellAfter  = 2 * time.Second
 	leaveMost  = 2 * time.Second
+	votersEach = 3 * time.Second // between two looks at who votes
 	// What is given back late runs out by itself.
 	giveBackMost = 500 * time.Millisecond
 )
@@ -368,10 +369,14 @@
 
 // follow keeps up who votes.
 func (n *Node) follow() {
+	agreed := n.client.Members(agree.MembershipQuery{Scope: agree.ScopeVoters})
 	for n.ctx.Err() == nil {
-		if l, err := n.List(n.ctx); err == nil {
+		ctx, cancel := context.WithTimeout(n.ctx, callWithin)
+		all, err := agreed.Voters(ctx)
+		cancel()
+		if err == nil {
 			var voters []*fleetpb.Voter
-			for _, v := range l.Voters {
+			for _, v := range all {
 				voters = append(voters, &fleetpb.Voter{Name: v.Name, Address: v.Address})
 			}
 			if len(voters) > 0 {
@@ -380,7 +385,7 @@
 		}
 		select {
 		case <-n.ctx.Done():
-		case <-time.After(3 * time.Second):
+		case <-time.After(votersEach):
 		}
 	}
 }
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -11,7 +11,6 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/agree"
 	"mothcleat/chronicle"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/monotonic"
@@ -25,7 +24,8 @@
 	commandTimeout        = 2 * time.Second
 	fetchTimeout          = 5 * time.Second // for one content from one process
 	fetchInterval         = 100 * time.Millisecond
-	memberRefreshInterval = 3 * time.Second
+	sourceQueryTimeout    = 500 * time.Millisecond // those asked for before will do
+	sourceRefreshInterval = 3 * time.Second
 	headReportInterval    = 3 * time.Second
 	cleanupInterval       = 10 * time.Minute
 )
@@ -61,7 +61,7 @@
 	stamp           uint64 // counts the changes of what is in force
 	fenced          bool   // as last logged
 
-	members    atomic.Pointer[agree.List]      // nil until first fetched
+	sourceSet  atomic.Pointer[sourceSet]       // nil until first asked for
 	onChange   func(inForce map[string]uint64) // set by Follow, may be nil
 	recordHead func() *chronicle.Head          // set by Heads, may be nil
 }
@@ -105,7 +105,8 @@
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){
-		a.renewPermits, a.fetchContents, a.reportVersions, a.refreshMembers, a.reportHead, a.cleanUp,
+		a.refreshSources, // once: they are known where a content is wanted while no voter leads
+		a.renewPermits, a.fetchContents, a.reportVersions, a.reportHead, a.cleanUp,
 	} {
 		wg.Go(func() { loop(ctx) })
 	}
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -19,17 +19,14 @@
 	return view, err
 }
 
-// refreshMembers keeps the list of processes that contents are fetched from up to date, until the
-// context ends.
-func (a *Agent) refreshMembers(ctx context.Context) {
-	repeat(ctx, memberRefreshInterval, func() {
-		if list, err := a.memberList(ctx); err == nil {
-			a.members.Store(&list)
-		}
-	})
+// membersOf asks for the members of some ids.
+func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]agree.MemberAt, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	return a.client.Members(agree.MembershipQuery{Scope: agree.ScopeMembers, IDs: ids}).List(ctx)
 }
 
-// memberList asks for the members and voters of the fleet.
+// memberList asks for all members and voters of the fleet, on behalf of an operator's command.
 func (a *Agent) memberList(ctx context.Context) (list agree.List, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
--- a/internal/rollout/fetch.go
+++ b/internal/rollout/fetch.go
@@ -5,8 +5,6 @@
 	"errors"
 	"fmt"
 	"io/fs"
-	"math/rand/v2"
-	"slices"
 
 	"mothcleat/agree"
 	"mothcleat/internal/faultpoint"
@@ -38,6 +36,7 @@
 	if !errors.Is(err, fs.ErrNotExist) {
 		return raw, err
 	}
+	a.refreshSources(ctx)
 	if err := a.fetch(ctx, ref, a.sources()); err != nil {
 		return nil, err
 	}
@@ -70,34 +69,9 @@
 	a.holder.Checked(digest, why)
 }
 
-// sources returns the other processes in the order in which they are asked for a content: one at
-// random, so that the load of a new content spreads; then the voters, most of which have what was
-// proposed; then the others.
-func (a *Agent) sources() (all []agree.Present) {
-	list := a.members.Load()
-	if list == nil {
-		return nil
-	}
-	for _, i := range rand.Perm(len(list.Members)) {
-		if m := list.Members[i]; m.Address != "" && m.ID != a.client.Me().ID {
-			all = append(all, m)
-		}
-	}
-	if len(all) > 1 {
-		rank := func(m agree.Present) int {
-			if slices.ContainsFunc(list.Voters, func(v agree.VoterAt) bool { return v.Name == m.ID }) {
-				return 0
-			}
-			return 1
-		}
-		slices.SortStableFunc(all[1:], func(a, b agree.Present) int { return rank(a) - rank(b) })
-	}
-	return all
-}
-
 // fetch fetches a content from one source after another until it is complete. It returns the error
 // of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, ref versions.Ref, sources []agree.Present) error {
+func (a *Agent) fetch(ctx context.Context, ref versions.Ref, sources []agree.MemberAt) error {
 	last := errors.New("rollout: nobody to fetch from is known")
 	for _, source := range sources {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -112,7 +86,7 @@
 }
 
 // fetchFrom fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchFrom(ctx context.Context, ref versions.Ref, source agree.Present) error {
+func (a *Agent) fetchFrom(ctx context.Context, ref versions.Ref, source agree.MemberAt) error {
 	offset := a.contents.Begun(ref.Digest)
 	if offset > ref.Size {
 		offset = 0
@@ -132,11 +106,11 @@
 	if _, err := a.contents.Read(ask.Digest); err == nil {
 		return nil
 	}
-	list, err := a.memberList(ctx)
+	members, err := a.membersOf(ctx, ask.From.GetId())
 	if err != nil {
 		return err
 	}
-	for _, m := range list.Members {
+	for _, m := range members {
 		if m.ID == ask.From.GetId() {
 			return a.fetchFrom(ctx, versions.Ref{Digest: ask.Digest, Size: ask.Size}, m)
 		}
--- /dev/null
+++ b/internal/rollout/sources.go
@@ -0,0 +1,69 @@
+package rollout
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"mothcleat/agree"
+	"mothcleat/internal/monotonic"
+)
+
+// sourceSample is how many processes are asked for to fetch contents from, beside the voters.
+const sourceSample = 8
+
+// sourceSet is processes that contents may be fetched from, and when they were asked for.
+type sourceSet struct {
+	members []agree.MemberAt
+	voters  []agree.VoterAt
+	at      time.Duration // by the clock of package monotonic
+}
+
+// refreshSources asks for processes to fetch contents from, unless that was done within
+// sourceRefreshInterval. Where no answer comes, those asked for before stay.
+func (a *Agent) refreshSources(ctx context.Context) {
+	known := a.sourceSet.Load()
+	if known != nil && len(known.members) > 0 && monotonic.Now()-known.at < sourceRefreshInterval {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, sourceQueryTimeout)
+	defer cancel()
+	query := agree.MembershipQuery{Scope: agree.ScopeSample, Sample: sourceSample, Seed: rand.Uint64()}
+	raw, err := a.client.Ask(ctx, agree.FleetName, query.Encode())
+	if err != nil {
+		a.log.Debug("fleet: versions: no processes to fetch from were told", "error", err)
+		return
+	}
+	answer, err := agree.ParseMembershipAnswer(raw)
+	if err != nil {
+		a.log.Warn("fleet: versions: no processes to fetch from were told", "error", err)
+		return
+	}
+	a.sourceSet.Store(&sourceSet{answer.Members, answer.Voters, monotonic.Now()})
+}
+
+// sources returns the other processes in the order in which they are asked for a content: one at
+// random, so that the load of a new content spreads; then the voters, most of which have what was
+// proposed; then the others.
+func (a *Agent) sources() (all []agree.MemberAt) {
+	known := a.sourceSet.Load()
+	if known == nil {
+		return nil
+	}
+	for _, i := range rand.Perm(len(known.members)) {
+		if m := known.members[i]; m.Address != "" && m.ID != a.client.Me().ID {
+			all = append(all, m)
+		}
+	}
+	if len(all) > 1 {
+		rank := func(m agree.MemberAt) int {
+			if slices.ContainsFunc(known.voters, func(v agree.VoterAt) bool { return v.Name == m.ID }) {
+				return 0
+			}
+			return 1
+		}
+		slices.SortStableFunc(all[1:], func(a, b agree.MemberAt) int { return rank(a) - rank(b) })
+	}
+	return all
+}
