--- a/distribution/digest.go
+++ b/distribution/digest.go
@@ -55,10 +55,14 @@
 	return append(to, id...)
 }
 
-// bucketIndex is the bucket of a key.
+// bucketIndex is the bucket of a key: one of the first for a server, one of the rest for anything else.
 func bucketIndex(kind Kind, id string) uint32 {
 	var scratch [128]byte
-	return uint32(xxh3.Hash(appendKey(scratch[:0], kind, id)) % BucketCount)
+	hash := xxh3.Hash(appendKey(scratch[:0], kind, id))
+	if kind == KindServer {
+		return uint32(hash % serverBuckets)
+	}
+	return serverBuckets + uint32(hash%(BucketCount-serverBuckets))
 }
 
 // recordHash is the hash of a record as it is added to its bucket's sum.
