--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -73,8 +73,14 @@
 	span := c.settings.MaxBackoff
 	if b.failures < maxFailures {
 		span = min(span, c.settings.MinBackoff<<b.failures)
-		b.failures++
 	}
+	c.avoid(now, server, span)
+}
+
+// avoid avoids a server for between half of a span and all of it.
+func (c *candidates) avoid(now time.Duration, server string, span time.Duration) {
+	b := c.backoffs[server]
+	b.failures = min(b.failures+1, maxFailures)
 	b.until = now + span/2 + time.Duration(c.random.Int64N(int64(span/2)+1))
 	c.backoffs[server] = b
 }
--- a/distribution/machine.go
+++ b/distribution/machine.go
@@ -69,7 +69,9 @@
 		return nil, err
 	}
 	if command.Term != m.term && !command.Whole {
-		return nil, &InvalidMessageError{"command", "the first of a term has to be the whole state"}
+		if err := m.checkBase(command.Base); err != nil {
+			return nil, err
+		}
 	}
 	if m.state.Empty() && command.Epoch == 0 {
 		return nil, &InvalidMessageError{"command", "the first of a lineage has to give its epoch"}
@@ -85,6 +87,22 @@
 	return m.state.advance(command.Epoch, changes), nil
 }
 
+// checkBase refuses the first command of a term where it is a difference to something else than the state: what an
+// earlier owner said last may have come in after the new one had looked.
+func (m *Machine) checkBase(base *distributionpb.Position) error {
+	if base.GetEpoch() == 0 {
+		return &InvalidMessageError{"command", "the first of a term has to be the whole state, or to say what it is a difference to"}
+	}
+	at, err := PositionFromProto(base)
+	if err != nil {
+		return err
+	}
+	if mine := m.state.Position(); at != mine {
+		return &WrongBaseError{Have: mine, Got: at}
+	}
+	return nil
+}
+
 // commandChanges reads and checks a command's changes: one a key, and no deletions in a whole state.
 func commandChanges(command *distributionpb.Command) ([]Change, error) {
 	changes, err := ChangesFromProto(command.Changes)
--- a/distribution/machine_test.go
+++ b/distribution/machine_test.go
@@ -78,6 +78,40 @@
 	}
 }
 
+// A new term may begin with the difference to the position that the machine is at, and to no other.
+func TestMachineTakesADifferenceToItsPosition(t *testing.T) {
+	m, fence, updates := newTestMachine()
+	begin := func(term uint64, base Position, changes ...Change) string {
+		fence.term = term
+		return string(m.Apply(0, 0, watcher, encode(&distributionpb.Command{
+			Term: term, Epoch: testEpoch, Base: base.Proto(), Changes: ChangesProto(changes),
+		})))
+	}
+	if answer := begin(1, m.State().Position(), ready("a", 1)); !strings.Contains(answer, "whole state") {
+		t.Errorf("a lineage begins with a difference: %q", answer)
+	}
+	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
+	old := m.State().Position()
+	requireTaken(t, m, command(1, 0, false, deleted("b")))
+	before := m.Snapshot()
+	other := m.State().Position()
+	other.Digest.Low++
+	for _, base := range []Position{old, other} {
+		if answer := begin(2, base, draining("a")); !strings.Contains(answer, "a term begins with a difference to") {
+			t.Errorf("%v is taken: %q", base, answer)
+		}
+	}
+	if !bytes.Equal(before, m.Snapshot()) {
+		t.Error("a refused command has changed the machine")
+	}
+	if answer := begin(2, m.State().Position(), draining("a")); answer != "" {
+		t.Errorf("refused: %s", answer)
+	}
+	if last := (*updates)[len(*updates)-1]; last.Term != 2 || len(last.Delta.Changes) != 1 || last.Delta.To != 3 {
+		t.Errorf("%+v", last)
+	}
+}
+
 // What is refused changes nothing and says why.
 func TestMachineRefuses(t *testing.T) {
 	m, fence, updates := newTestMachine()
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -53,15 +53,15 @@
 
 // PublisherCounts count what a Publisher did.
 type PublisherCounts struct {
-	Deltas       uint64 // sent, over all streams
-	DeltaBytes   uint64
-	Encoded      uint64 // deltas encoded
-	Resyncs      uint64 // admitted
-	Retries      uint64 // resyncs that were told to come back
-	Buckets      uint64 // sent
-	BulkBytes    uint64 // of digests and buckets
-	Divergences  uint64 // replicas that had another digest at a revision of the log
-	BehindEvents uint64 // replicas that were ahead of this server
+	Deltas       uint64 `json:"deltas"` // sent, over all streams
+	DeltaBytes   uint64 `json:"delta_bytes"`
+	Encoded      uint64 `json:"encoded"`       // deltas encoded
+	Resyncs      uint64 `json:"resyncs"`       // admitted
+	Retries      uint64 `json:"retries"`       // resyncs that were told to come back
+	Buckets      uint64 `json:"buckets"`       // sent
+	BulkBytes    uint64 `json:"bulk_bytes"`    // of digests and buckets
+	Divergences  uint64 `json:"divergences"`   // replicas that had another digest at a revision of the log
+	BehindEvents uint64 `json:"behind_events"` // replicas that were ahead of this server
 }
 
 // streamPhase is what a stream waits for.
--- a/distribution/replica.go
+++ b/distribution/replica.go
@@ -51,13 +51,13 @@
 
 // ReplicaCounts count what a Replica took in.
 type ReplicaCounts struct {
-	Deltas      uint64 // applied
-	Resumes     uint64 // asked for
-	Repairs     uint64 // finished
-	Buckets     uint64 // fetched
-	Refused     uint64 // messages that did not fit
-	Divergences uint64
-	Leaves      uint64
+	Deltas      uint64 `json:"deltas"`  // applied
+	Resumes     uint64 `json:"resumes"` // asked for
+	Repairs     uint64 `json:"repairs"` // finished
+	Buckets     uint64 `json:"buckets"` // fetched
+	Refused     uint64 `json:"refused"` // messages that did not fit
+	Divergences uint64 `json:"divergences"`
+	Leaves      uint64 `json:"leaves"`
 }
 
 type replicaPhase int
@@ -164,7 +164,13 @@
 // leave ends the stream and avoids its server for a while, except where it was not at fault.
 func (r *Replica) leave(now time.Duration, why LeaveReason, cause error) {
 	r.keepPartial()
-	if why != LeftForNearer && why != LeftRemoved {
+	switch why {
+	case LeftForNearer, LeftRemoved:
+	case LeftSourceSilent:
+		// Where the source is silent for all, each server is tried once in a long while, so that the fleet does not
+		// wander about while it is in trouble.
+		r.candidates.avoid(now, r.server.ID, r.settings.MaxBackoff)
+	default:
 		r.candidates.failed(now, r.server.ID)
 	}
 	r.counts.Leaves++
--- a/distribution/replica_test.go
+++ b/distribution/replica_test.go
@@ -476,6 +476,13 @@
 	if len(c.left) != 2 {
 		t.Errorf("it left the last one too: %v", c.left)
 	}
+	for c.now < c.replica.settings.MaxBackoff/2-time.Second {
+		c.wait(time.Second)
+		c.receive(silent)
+	}
+	if len(c.left) != 2 {
+		t.Errorf("it wanders about: %v", c.left)
+	}
 }
 
 // The state is written now and then, not at each change.
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -8,6 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"mothcleat/distribution"
 	"mothcleat/internal/distributionpb"
 	"mothcleat/lease"
 )
@@ -49,7 +50,25 @@
 
 // say appends a command, and has the model take it in if its term is the newest. A change without value is a deletion.
 func (l *lineage) say(who lease.Member, term uint64, whole bool, changes records) {
-	command := &distributionpb.Command{Term: term, Epoch: l.epoch, Whole: whole}
+	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Whole: whole}, changes)
+	if term == l.term && who == l.owner {
+		l.model(whole, changes)
+	}
+}
+
+// sayDifference appends the first command of a term as the difference to a revision. It counts where that is still
+// the newest.
+func (l *lineage) sayDifference(base distribution.Position, changes records) (taken bool) {
+	l.command(l.owner, &distributionpb.Command{Term: l.term, Epoch: l.epoch, Base: base.Proto()}, changes)
+	if base.Epoch != l.epoch || base.Revision != l.newest() {
+		return false
+	}
+	l.model(false, changes)
+	return true
+}
+
+// command appends a command to the log.
+func (l *lineage) command(who lease.Member, command *distributionpb.Command, changes records) {
 	for id, value := range changes {
 		command.Changes = append(command.Changes, &distributionpb.Change{
 			Kind: distributionpb.Kind_KIND_SERVER, Id: id, Value: []byte(value), Deleted: value == "",
@@ -59,10 +78,7 @@
 	if err != nil {
 		panic(err) // plain data
 	}
-	l.log = append(l.log, entry{who, term, raw})
-	if term == l.term && who == l.owner {
-		l.model(whole, changes)
-	}
+	l.log = append(l.log, entry{who, command.Term, raw})
 }
 
 func (l *lineage) model(whole bool, changes records) {
@@ -197,11 +213,13 @@
 	if w.one("late command", 60) {
 		w.lineage.say(lease.Member{ID: "watcher", Boot: 1}, r.term-1, true, records{"server-1": string(r.servers["server-1"])})
 	}
-	changes := maps.Clone(r.waits)
-	if r.whole {
-		changes = maps.Clone(r.servers)
+	switch {
+	case r.whole && w.random.IntN(2) == 0 && w.sayBase():
+	case r.whole:
+		w.lineage.say(r.watcher, r.term, true, maps.Clone(r.servers))
+	default:
+		w.lineage.say(r.watcher, r.term, false, maps.Clone(r.waits))
 	}
-	w.lineage.say(r.watcher, r.term, r.whole, changes)
 	r.whole = false
 	clear(r.waits)
 	w.result.Revisions = int(w.lineage.newest())
@@ -210,6 +228,31 @@
 	}
 }
 
+// sayBase has a new watcher say the difference to what some gateway has, which may be older than what is agreed.
+func (w *World) sayBase() (taken bool) {
+	state := w.replicas[w.random.IntN(len(w.replicas))].client.State()
+	if state.Empty() {
+		return false
+	}
+	changes := maps.Clone(w.register.servers)
+	state.Range(distribution.KindServer, func(r distribution.Record) bool {
+		value, there := w.register.servers[r.ID]
+		switch {
+		case !there:
+			changes[r.ID] = ""
+		case value == string(r.Value):
+			delete(changes, r.ID)
+		}
+		return true
+	})
+	if taken = w.lineage.sayDifference(state.Position(), changes); taken {
+		w.result.Faults["term from a difference"]++
+	} else {
+		w.result.Faults["old difference refused"]++
+	}
+	return taken
+}
+
 // foundAnew wipes all servers and founds another fleet of the same name. One old server may go on for a while.
 func (w *World) foundAnew() {
 	w.newLineage(w.lineage.epoch + 1 + uint64(w.random.IntN(5)))
--- a/sim/distribution/search.go
+++ b/sim/distribution/search.go
@@ -28,9 +28,9 @@
 // Kinds are the faults that are played.
 var Kinds = []string{
 	"all replicas at once", "another term", "damaged", "doubled", "founded anew", "late command", "lost",
-	"no connection", "old server", "replica killed", "replica stopped", "request lost", "server cut off",
+	"no connection", "old difference refused", "old server", "replica killed", "replica stopped", "request lost", "server cut off",
 	"server from an older state", "server killed", "server stopped", "slow log", "slow reader", "state file damaged",
-	"state file lost", "stream broken", "stream cut",
+	"state file lost", "stream broken", "stream cut", "term from a difference",
 }
 
 const length = 40 * time.Second // of a play, before it comes to rest
