--- a/internal/distributor/publish.go
+++ b/internal/distributor/publish.go
@@ -46,6 +46,7 @@
 	beat := time.NewTicker(p.beat)
 	defer beat.Stop()
 	pending := newPendingChanges(p.log)
+	support := voterSupport{link: p.link, log: p.log}
 	heard := false
 	for {
 		select {
@@ -57,7 +58,7 @@
 		case <-beat.C:
 		}
 		// Without news of the register there is no heartbeat either: the others look for themselves.
-		if heard && tenure.Holds() && p.publish(ctx, pending.command(tenure.Term)) == nil {
+		if heard && support.ready(ctx) && tenure.Holds() && p.publish(ctx, pending.command(tenure.Term)) == nil {
 			pending.agreed()
 		}
 	}
--- a/internal/distributor/server.go
+++ b/internal/distributor/server.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
@@ -155,6 +157,9 @@
 func (s *Server) receive(id distribution.StreamID, stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse]) error {
 	for {
 		request, err := stream.Recv()
+		if errors.Is(err, io.EOF) {
+			return nil // the replica has no more to say: the stream ends
+		}
 		if err != nil {
 			return err
 		}
--- /dev/null
+++ b/internal/distributor/support_test.go
@@ -0,0 +1,54 @@
+package distributor
+
+import (
+	"context"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/lease"
+)
+
+// Nothing is proposed while a voter answers that knows nothing of the distribution, or no majority is known to know it. One
+// that doesn't answer is not waited for.
+func TestOlderVotersAreSpared(t *testing.T) {
+	s, other := newTestServer(t, nil), newTestServer(t, nil)
+	older := fleetlink.NewServer(context.Background(), fleet, nil, nil)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var running sync.WaitGroup
+	running.Go(func() { _ = older.Serve(listener) })
+	voters := []*fleetpb.Voter{
+		{Name: "new", Address: s.address}, {Name: "older", Address: listener.Addr().String()}, {Name: "other", Address: other.address},
+	}
+	link := fleetlink.NewClient(fleet, lease.Member{ID: "owner", Boot: 1}, "", voters, nil, quiet)
+	defer link.Close()
+	var log logBuffer
+	support := voterSupport{link: link, log: logTo(&log)}
+	for range 2 {
+		if support.ready(t.Context()) {
+			t.Error("entries are proposed though a voter is older")
+		}
+		support.asked = support.asked.Add(-supportRetry)
+	}
+	if n := strings.Count(log.String(), "voter=older"); n != 1 {
+		t.Errorf("it is named %d times: %s", n, log.String())
+	}
+	older.Stop()
+	running.Wait()
+	if !support.ready(t.Context()) {
+		t.Error("entries are not proposed though the older voter is gone")
+	}
+	eventually(t, func() bool { return s.Status().Replicas == 0 })
+
+	voters[2].Address = "127.0.0.1:1"
+	link.SetVoters(voters)
+	if minority := (&voterSupport{link: link, log: quiet}); minority.ready(t.Context()) {
+		t.Error("entries are proposed though only one of three voters is known to take them")
+	}
+}
