--- a/internal/distributiontest/cluster_test.go
+++ b/internal/distributiontest/cluster_test.go
@@ -8,6 +8,7 @@
 	"maps"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -154,7 +155,7 @@
 			return false, fmt.Sprintf("observed %s: %s", state.Position(), difference(content(state), c.truth))
 		}
 		for i := range c.Gateways {
-			if r, err := c.replica(i); !contains(but, i) && (err != nil || r.Position.Digest != state.Digest().String()) {
+			if r, err := c.replica(i); !slices.Contains(but, i) && (err != nil || r.Position.Digest != state.Digest().String()) {
 				return false, fmt.Sprintf("%s: %+v %v, observed %s", rig.Name(i), r, err, state.Position())
 			}
 		}
@@ -178,15 +179,6 @@
 	return strings.Join(text[:min(len(text), 5)], "; ")
 }
 
-func contains(list []int, i int) bool {
-	for _, n := range list {
-		if n == i {
-			return true
-		}
-	}
-	return false
-}
-
 // replica is what a gateway tells of its replica.
 func (c *cluster) replica(i int) (distributor.ReplicaStatus, error) {
 	d, err := c.distribution(i)
@@ -295,7 +287,7 @@
 func (c *cluster) inForce(server string, but ...int) {
 	known := map[int]bool{}
 	for i := range c.Gateways {
-		known[i] = !contains(but, i)
+		known[i] = !slices.Contains(but, i)
 	}
 	c.drained = append(c.drained, drain{server, c.Record.Now(), known})
 }
--- a/internal/distributiontest/herd_test.go
+++ b/internal/distributiontest/herd_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
@@ -74,7 +75,7 @@
 func (c *cluster) split(apart []int, yes bool) {
 	for i := range c.Gateways {
 		for _, j := range apart {
-			if !contains(apart, i) {
+			if !slices.Contains(apart, i) {
 				c.Between(i, j, yes)
 			}
 		}
