--- a/internal/gateway/descriptor_limit_test.go
+++ b/internal/gateway/descriptor_limit_test.go
@@ -21,17 +21,19 @@
 	"time"
 )
 
+// discoveryCalls are out at once while discovery is silent.
+const discoveryCalls = 8
+
 // Of the descriptors that a gateway may hold, clients and backends leave enough for all else, at any limit.
 func TestPlacesLeaveDescriptorsForAllElse(t *testing.T) {
 	const (
-		discovery = 8 // calls that are out at once
-		counter   = countLines
-		sockets   = 2 // the listener's and the notes'
-		process   = 5 // three standard files, and two of the language's own for waiting
+		counter = countLines
+		sockets = 2 // the listener's and the notes'
+		process = 5 // three standard files, and two of the language's own for waiting
 	)
 	for limit := leastSockets; limit <= 8192; limit++ {
 		share, accepted := places(limit)
-		if sum := share + accepted + discovery + counter + sockets + process; share < 1 || sum > limit {
+		if sum := share + accepted + discoveryCalls + counter + sockets + process; share < 1 || sum > limit {
 			t.Fatalf("limit %d: %d descriptors at most", limit, sum)
 		}
 	}
@@ -156,7 +158,7 @@
 				if err != nil {
 					return // the process has ended
 				}
-				if i%2 == 0 {
+				if i%4 == 0 {
 					_, _ = io.WriteString(conn, "*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPING\r\n")
 				}
 				ended := make(chan struct{})
@@ -249,12 +251,12 @@
 	f.Server = httptest.NewServer(f) // the discovery that fails, in place of the one that does not
 	f.fall()
 	p := startLimited(t, strings.TrimPrefix(f.URL, "http://"), sockets)
-	crowd(t, p.address, 4*accepted)
+	crowd(t, p.address, 2*accepted)
 	for round := range 2 {
 		for range 3 {
 			wait(t, f.silence, "calls while discovery is down")
 		}
-		for late := time.After(patience); p.sockets() < accepted+2; { // those, the listener, and a call
+		for late := time.After(patience); p.sockets() < accepted+1+discoveryCalls; { // those, the listener, and the calls
 			select {
 			case <-late:
 				t.Fatalf("%d sockets, the clients have not taken all places", p.sockets())
