--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -38,6 +38,8 @@
 	f.IntVar(&o.RackSize, "rack", 0, "servers that go at once in the middle of the run")
 	f.IntVar(&o.Versions, "versions", 1, "versions of the plans proposed in the run")
 	f.IntVar(&o.PerProcess, "per-process", 0, "hollow gateways in one process; 0: 62")
+	f.DurationVar(&o.Tick, "tick", 0, "the pace of the control processes' log; 0: the program's, which a crowded machine can't keep")
+	f.DurationVar(&o.Span, "span", 0, "how long an owner's right lasts; 0: the program's")
 	f.StringVar(&roles, "roles", "all",
 		"what is switched on: all, none, or some of list,configuration,allocation,metering")
 	f.StringVar(&path, "path", string(scale.PathWholeList),
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -96,6 +96,12 @@
 	}
 	fmt.Fprintf(&b, "voters = [%s]\nowners = [%s]\n", strings.Join(voters, ", "), strings.Join(owners,
 		", "))
+	if c.options.Tick > 0 {
+		fmt.Fprintf(&b, "tick = %q\n", c.options.Tick)
+	}
+	if c.options.Span > 0 {
+		fmt.Fprintf(&b, "span = %q\n", c.options.Span)
+	}
 	if parts.Metering {
 		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	currentWithin  = 100 * time.Second // for all gateways to be current after they were started
-	settleWithin   = 30 * time.Second  // for the last changes to come to all
-	settlePause    = 3 * time.Second   // sessions, permits and rights come to rest
+	currentWithin  = 60 * time.Second // for all gateways to be current after they were started
+	settleWithin   = 30 * time.Second // for the last changes to come to all
+	settlePause    = 3 * time.Second  // sessions, permits and rights come to rest
 	lookEvery      = 100 * time.Millisecond
 	replaceStep    = 500 * time.Millisecond // from a drain to the addition, and from there to the removal
 	rackAfter      = 0.7                    // of the run
@@ -100,7 +100,7 @@
 		return err
 	}
 	if o.Parts.List && o.Path == PathWholeList {
-		p.watcher = startWatcher(p.control.voters(), p.register.Address)
+		p.watcher = startWatcher(p.control.voters(), p.register.Address, o.Span)
 	}
 	if o.RealGateways > 0 {
 		if p.real, err = startReal(ctx, o, p.control, p.log); err != nil {
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -104,6 +104,8 @@
 	Parts                 Parts         `json:"parts"`
 	Path                  Path          `json:"path"`
 	PerProcess            int           `json:"per_process"` // hollow gateways in one process
+	Tick                  time.Duration `json:"tick_ns"`     // pace of voters; 0: the program's
+	Span                  time.Duration `json:"span_ns"`     // of an owner's right; 0: the program's
 	Bin                   string        `json:"-"`           // of the gateway; "": it is built
 	Self                  []string      `json:"-"`           // the command line that runs RunHollow
 	Logs                  string        `json:"-"`           // a folder for the processes' logs; "": they go with the run
@@ -152,6 +154,8 @@
 		return fmt.Errorf("--replacements %v: from 0 to 100 a second wanted", o.ReplacementsPerSecond)
 	case o.RackSize < 0 || o.RackSize > o.Servers/2:
 		return fmt.Errorf("--rack %d: from 0 to half of the servers wanted", o.RackSize)
+	case o.Tick < 0 || o.Tick > time.Second || o.Span < 0 || o.Span > time.Minute:
+		return fmt.Errorf("--tick %v --span %v: up to 1s and 1m wanted", o.Tick, o.Span)
 	case o.Versions < 0 || o.Versions > 100:
 		return fmt.Errorf("--versions %d: from 0 to 100 wanted", o.Versions)
 	}
--- a/internal/scale/watcher.go
+++ b/internal/scale/watcher.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"cmp"
 	"context"
 	"io"
 	"log/slog"
@@ -41,12 +42,12 @@
 var silentLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // startWatcher has it ask for the duty.
-func startWatcher(voters []*fleetpb.Voter, register string) *watcher {
+func startWatcher(voters []*fleetpb.Voter, register string, span time.Duration) *watcher {
 	me := lease.Member{ID: watcherName, Boot: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{client: fleetlink.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
 		cancel: cancel, ended: make(chan struct{})}
-	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin,
+	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan), Margin: clockMargin,
 		Offer: leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: silentLog})
 	watch := &fleetwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
