--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -45,11 +45,26 @@
 	s.At0, s.PerOne = stat.LinearRegression(xs, ys, nil, false)
 	for _, p := range points {
 		if largest > 0 {
-			s.Residual = max(s.Residual, math.Abs(p.Y-s.At(p.X))/largest)
+			s.Residual = max(s.Residual, math.Abs(p.Y-s.line(p.X))/largest)
 		}
 	}
 	return s, nil
 }
 
-// At is the line's value at a size; it is never below 0.
-func (s *Slope) At(x float64) float64 { return max(0, s.At0+s.PerOne*x) }
+// line is the line's value at a size.
+func (s *Slope) line(x float64) float64 { return s.At0 + s.PerOne*x }
+
+// At is what is expected at a size. A line that falls is not drawn further than it was measured:
+// nothing here takes less for there
+// being more of it, so that the mean of what was measured stands for all that is larger.
+func (s *Slope) At(x float64) float64 {
+	largest, mean := 0.0, 0.0
+	for _, p := range s.Points {
+		largest = max(largest, p.X)
+		mean += p.Y / float64(len(s.Points))
+	}
+	if s.PerOne < 0 && x > largest {
+		return mean
+	}
+	return max(0, s.line(x))
+}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -148,6 +148,10 @@
 		0}}); err != nil || s.Residual < 0.5 {
 		t.Errorf("what is no line has to show in the residual: %+v, %v", s, err)
 	}
+	if s, err = Fit("d", "B", "gateways", []Point{{10, 30}, {20, 20}, {30,
+		10}}); err != nil || s.At(20) != 20 || s.At(600) != 20 {
+		t.Errorf("a line that falls is drawn further than it was measured: %v, %v", s.At(600), err)
+	}
 	if _, err = Fit("c", "B", "gateways", []Point{{1, 1}, {1, 2}, {2, 3}}); err == nil {
 		t.Error("a slope from two sizes")
 	}
--- a/internal/scale/watcher.go
+++ b/internal/scale/watcher.go
@@ -47,8 +47,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{client: fleetlink.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
 		cancel: cancel, ended: make(chan struct{})}
-	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan), Margin: clockMargin,
-		Offer: leaseOffer}, Client: w.client,
+	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan),
+		Margin: clockMargin,
+		Offer:  leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: silentLog})
 	watch := &fleetwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
 		Direct: func() (registry.Source, error) {
