--- a/internal/gateway/long.go
+++ b/internal/gateway/long.go
@@ -14,13 +14,10 @@
 // A value over resp.MaxValue is passed on as it comes: of all that are under way together
 // more than a few buffers would not fit into memory. Its request is answered, as far as
 // the decisions go, when the first byte is here. From then on nothing of the gateway's cuts
-// it off but a side that does nothing at all, for long or until the request's time is up.
+// it off but a side that does nothing at all for long.
 const (
 	copyPiece  = 32 << 10
 	onwardTime = 15 * time.Second // in which each side must take or give something
-
-	// The same once the request's time is up: an answer that ends over half a second after it is lost.
-	onwardLate = 400 * time.Millisecond
 )
 
 var (
@@ -34,8 +31,7 @@
 	r     *request
 	c     *backendConn
 	what  resp.Long
-	left  time.Duration // of the request's time, from its turn on: a wait for others does not count
-	begun bool          // its turn has come
+	begun bool // its turn has come
 	ended bool
 }
 
@@ -80,8 +76,7 @@
 		l.backends.close(c)
 		l.backends.connect(l, c.b)
 	} else {
-		left := time.Duration(r.deadline-l.now()) * time.Microsecond
-		r.long = &longValue{r: r, c: c, what: e.what, left: left}
+		r.long = &longValue{r: r, c: c, what: e.what}
 		c.long = r.long
 		r.answered = true
 		l.settled(r)
@@ -99,25 +94,12 @@
 	to.out.stream(func() { v.c.copied <- v.copy(to) })
 }
 
-// onwardUntil is by when each side must take or give something, where the request's time is over at a time.
-func onwardUntil(now, over time.Time) time.Time {
-	until, late := now.Add(onwardTime), now.Add(onwardLate)
-	switch {
-	case over.Before(late):
-		return late
-	case over.Before(until):
-		return over
-	}
-	return until
-}
-
 // copy writes the value to the client as it comes.
 func (v *longValue) copy(to *client) error {
 	buf := copyBuffers.Get().(*[copyPiece]byte)
 	defer copyBuffers.Put(buf)
-	over := time.Now().Add(v.left)
 	onward := func() {
-		until := onwardUntil(time.Now(), over)
+		until := time.Now().Add(onwardTime)
 		_ = v.c.conn.SetReadDeadline(until)
 		_ = to.conn.SetWriteDeadline(until)
 	}
