--- a/distribution/candidates.go
+++ b/distribution/candidates.go
@@ -69,19 +69,27 @@
 
 // failed avoids a server for longer and longer.
 func (c *candidates) failed(now time.Duration, server string) {
-	b := c.backoffs[server]
-	span := c.settings.MaxBackoff
-	if b.failures < maxFailures {
-		span = min(span, c.settings.MinBackoff<<b.failures)
+	c.avoid(now, server, backoffSpan(c.settings, c.backoffs[server].failures))
+}
+
+// backoffSpan is the span after so many failures.
+func backoffSpan(settings *ReplicaSettings, failures int) time.Duration {
+	if failures >= maxFailures {
+		return settings.MaxBackoff
 	}
-	c.avoid(now, server, span)
+	return min(settings.MaxBackoff, settings.MinBackoff<<failures)
+}
+
+// jittered is between half of a span and all of it.
+func jittered(span time.Duration, random *rand.Rand) time.Duration {
+	return span/2 + time.Duration(random.Int64N(int64(span/2)+1))
 }
 
 // avoid avoids a server for between half of a span and all of it.
 func (c *candidates) avoid(now time.Duration, server string, span time.Duration) {
 	b := c.backoffs[server]
 	b.failures = min(b.failures+1, maxFailures)
-	b.until = now + span/2 + time.Duration(c.random.Int64N(int64(span/2)+1))
+	b.until = now + jittered(span, c.random)
 	c.backoffs[server] = b
 }
 
--- a/distribution/replica.go
+++ b/distribution/replica.go
@@ -41,6 +41,8 @@
 
 	sourceAge   time.Duration // by the last heartbeat
 	sourceAgeAt time.Duration
+	sourceHops  int           // servers that were left in a row because they had no news of the source
+	sourceHopAt time.Duration // before it none is left for that
 	term        uint64
 
 	dirty     bool
@@ -167,8 +169,6 @@
 	switch why {
 	case LeftForNearer, LeftRemoved:
 	case LeftSourceSilent:
-		// Where the source is silent for all, each server is tried once in a long while, so that the fleet does not
-		// wander about while it is in trouble.
 		r.candidates.avoid(now, r.server.ID, r.settings.MaxBackoff)
 	default:
 		r.candidates.failed(now, r.server.ID)
--- a/distribution/replica_receive.go
+++ b/distribution/replica_receive.go
@@ -57,14 +57,25 @@
 		return
 	}
 	r.behindSince = never
-	if r.sourceAge >= r.settings.SourceSilent && r.candidates.otherThan(now, r.server.ID) {
-		r.leave(now, LeftSourceSilent, nil)
-		r.connect(now)
+	if r.sourceAge < r.settings.SourceSilent {
+		r.sourceHops, r.sourceHopAt = 0, now
+	} else if now >= r.sourceHopAt && r.candidates.otherThan(now, r.server.ID) {
+		r.leaveForSource(now)
 		return
 	}
 	r.followed(now, mine, theirs)
 }
 
+// leaveForSource leaves a server that has no news of the source, and waits longer and longer before the next is left for
+// that: where the source is silent for all, the fleet must not wander about.
+func (r *Replica) leaveForSource(now time.Duration) {
+	span := backoffSpan(&r.settings, r.sourceHops)
+	r.sourceHops = min(r.sourceHops+1, maxFailures)
+	r.sourceHopAt = now + jittered(span, r.random)
+	r.leave(now, LeftSourceSilent, nil)
+	r.connect(now)
+}
+
 // followed has the stream resumed where a heartbeat told of a revision and the next one comes without it having come.
 func (r *Replica) followed(now time.Duration, mine, theirs Position) {
 	if r.phase == replicaLive && mine.Compare(r.lagging) < 0 {
