--- a/internal/distributor/client.go
+++ b/internal/distributor/client.go
@@ -44,6 +44,7 @@
 	file    stateFile
 	clock   clock
 	status  atomic.Pointer[ReplicaStatus]
+	state   atomic.Pointer[distribution.State]
 	bytes   atomic.Uint64 // received
 
 	// Of Run's goroutine alone.
@@ -69,6 +70,10 @@
 	return status
 }
 
+// State is what the replica has in force; nil: nothing yet. It may be called at any time, concurrently; what it gives is
+// never changed.
+func (c *Client) State() *distribution.State { return c.state.Load() }
+
 // Run keeps the replica until the context ends, and then writes down what is not written yet.
 func (c *Client) Run(ctx context.Context, observer Observer) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -76,6 +81,7 @@
 	state := c.load()
 	c.replica = distribution.NewReplica(c.options.Settings, state, random)
 	if c.onDisk = !state.Empty(); c.onDisk {
+		c.state.Store(state)
 		observer.Applied(nil, state)
 	}
 	c.saver.start(c.file, c.options.Log)
@@ -162,8 +168,10 @@
 		c.left(a.Reason)
 		c.leave()
 	case distribution.Deliver:
-		c.observer.Applied(a.Changes, c.replica.State())
-		c.saveFirst()
+		state := c.replica.State()
+		c.state.Store(state)
+		c.observer.Applied(a.Changes, state)
+		c.saveFirst(state)
 	case distribution.Persist:
 		c.saver.save(a.State)
 	case distribution.Report:
@@ -173,10 +181,10 @@
 
 // saveFirst has the first state of a process that began with nothing written at once: one that is killed soon after
 // then leaves something to its next.
-func (c *Client) saveFirst() {
+func (c *Client) saveFirst(state *distribution.State) {
 	if !c.onDisk {
 		c.onDisk = true
-		c.saver.save(c.replica.State())
+		c.saver.save(state)
 	}
 }
 
--- a/internal/distributor/publish.go
+++ b/internal/distributor/publish.go
@@ -4,6 +4,8 @@
 	"bytes"
 	"context"
 	"errors"
+	"fmt"
+	"iter"
 	"log/slog"
 	"maps"
 	"slices"
@@ -18,14 +20,26 @@
 	"mothcleat/internal/registry"
 )
 
-const publishTimeout = 2 * time.Second
+const (
+	publishTimeout = 2 * time.Second
+	// timePerByte is what a command is given beside for its size: a whole list is half a megabyte at 7,300 servers.
+	timePerByte = 4 * time.Microsecond
+	// maxPublishDelay bounds what is waited after a command that was not agreed on, twice as long after each.
+	maxPublishDelay = 4 * time.Second
+	// maxBaseRefusals is how often a term may begin with a difference that is refused; then it begins with the whole list.
+	maxBaseRefusals = 3
+)
+
+// errRefused is returned for a command that was agreed on and changed nothing.
+var errRefused = errors.New("refused")
 
 // registerPublisher watches the register on behalf of the fleet and has what changed of it agreed on.
 type registerPublisher struct {
-	direct *directSources
-	link   *fleetlink.Client
-	beat   time.Duration // between two commands where nothing changes
-	log    *slog.Logger
+	direct  *directSources
+	link    *fleetlink.Client
+	replica func() *distribution.State // of this process
+	beat    time.Duration              // between two commands where nothing changes
+	log     *slog.Logger
 }
 
 // Work is the work of the role: it lasts for as long as the context does.
@@ -47,6 +61,7 @@
 	defer beat.Stop()
 	pending := newPendingChanges(p.log)
 	support := voterSupport{link: p.link, log: p.log}
+	delay := publishDelay{least: p.beat}
 	heard := false
 	for {
 		select {
@@ -58,23 +73,45 @@
 		case <-beat.C:
 		}
 		// Without news of the register there is no heartbeat either: the others look for themselves.
-		if heard && support.ready(ctx) && tenure.Holds() && p.publish(ctx, pending.command(tenure.Term)) == nil {
-			pending.agreed()
+		if heard && delay.over(time.Now()) && support.ready(ctx) && tenure.Holds() {
+			err := p.publish(ctx, pending.command(tenure.Term, p.replica()))
+			pending.ended(err)
+			delay.ended(time.Now(), err)
 		}
 	}
 }
 
+// publishDelay is how long nothing is proposed after a command that was not agreed on. That it may be under way yet, on
+// voters that are late, is no reason to give them more.
+type publishDelay struct {
+	least time.Duration
+	next  time.Duration // after the next failure; 0: least
+	until time.Time
+}
+
+func (d *publishDelay) over(now time.Time) bool { return !now.Before(d.until) }
+
+func (d *publishDelay) ended(now time.Time, err error) {
+	if err == nil || errors.Is(err, errRefused) {
+		d.next, d.until = 0, now
+		return
+	}
+	d.next = min(max(d.next, d.least), maxPublishDelay)
+	d.until = now.Add(d.next)
+	d.next *= 2
+}
+
 // publish has the fleet agree on a command.
 func (p *registerPublisher) publish(ctx context.Context, command *distributionpb.Command) error {
 	body, err := proto.Marshal(command)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout+timePerByte*time.Duration(len(body)))
 	defer cancel()
 	refusal, err := p.link.Do(ctx, distribution.MachineName, body)
 	if err == nil && len(refusal) > 0 {
-		err = errors.New(string(refusal))
+		err = fmt.Errorf("%w: %s", errRefused, refusal)
 	}
 	if err != nil && ctx.Err() == nil {
 		p.log.Warn("fleet: the list of servers was not taken", "term", command.Term, "error", err)
@@ -82,19 +119,25 @@
 	return err
 }
 
-// pendingChanges is the list of servers as the register has it, and what of it is not agreed yet. A command whose
-// outcome is not known stays pending: setting a record twice does no harm.
+// pendingChanges is the list of servers as the register has it, and what of it is not agreed yet.
 type pendingChanges struct {
 	log     *slog.Logger
 	epoch   uint64
 	values  map[string][]byte // by id
 	changed map[string]bool   // ids whose record is not agreed as it is
-	whole   bool              // nothing was agreed under this term yet
+
+	// Until the first command of a term is agreed on it is not known what the state is: a command without an answer may
+	// have been carried out. So each further one has all records that an earlier one had, as they are now.
+	first    bool
+	whole    bool            // such a command had the whole list
+	tried    map[string]bool // ids that such a command had
+	refusals int
 }
 
 func newPendingChanges(log *slog.Logger) *pendingChanges {
 	return &pendingChanges{
-		log: log, epoch: uint64(time.Now().UnixNano()), values: map[string][]byte{}, changed: map[string]bool{}, whole: true,
+		log: log, epoch: uint64(time.Now().UnixNano()), values: map[string][]byte{}, changed: map[string]bool{},
+		first: true, tried: map[string]bool{},
 	}
 }
 
@@ -147,24 +190,59 @@
 	}
 }
 
-// command is what is to be agreed on: what changed, or a heartbeat. The first one of a term has the whole list.
-func (p *pendingChanges) command(term uint64) *distributionpb.Command {
-	command := &distributionpb.Command{Term: term, Epoch: p.epoch, Whole: p.whole}
-	ids := maps.Keys(p.changed)
-	if p.whole {
-		ids = maps.Keys(p.values)
+// command is what is to be agreed on: what changed, or a heartbeat. The first one of a term has what is other than the
+// replica of this process, or the whole list where there is nothing to tell that from.
+func (p *pendingChanges) command(term uint64, replica *distribution.State) *distributionpb.Command {
+	command := &distributionpb.Command{Term: term, Epoch: p.epoch}
+	switch {
+	case !p.first:
+		command.Changes = p.records(maps.Keys(p.changed))
+	case p.whole || replica == nil || replica.Empty() || p.refusals >= maxBaseRefusals:
+		p.whole, command.Whole = true, true
+		command.Changes = p.records(maps.Keys(p.values))
+	default:
+		p.tryDifference(replica)
+		command.Base = replica.Position().Proto()
+		command.Changes = p.records(maps.Keys(p.tried))
 	}
+	return command
+}
+
+// tryDifference adds the ids of all servers that a state has otherwise than the register.
+func (p *pendingChanges) tryDifference(state *distribution.State) {
+	state.Range(distribution.KindServer, func(r distribution.Record) bool {
+		if value, there := p.values[r.ID]; !there || !bytes.Equal(value, r.Value) {
+			p.tried[r.ID] = true
+		}
+		return true
+	})
+	for id := range p.values {
+		if _, there := state.Get(distribution.KindServer, id); !there {
+			p.tried[id] = true
+		}
+	}
+}
+
+// records are the changes that make some ids what the register has.
+func (p *pendingChanges) records(ids iter.Seq[string]) []*distributionpb.Change {
+	var changes []*distributionpb.Change
 	for _, id := range slices.Sorted(ids) {
 		value, there := p.values[id]
-		command.Changes = append(command.Changes, &distributionpb.Change{
-			Kind: distributionpb.Kind_KIND_SERVER, Id: id, Value: value, Deleted: !there,
+		changes = append(changes, &distributionpb.Change{
+			Kind: distribution.KindServer, Id: id, Value: value, Deleted: !there,
 		})
 	}
-	return command
+	return changes
 }
 
-// agreed takes in that the last command is agreed.
-func (p *pendingChanges) agreed() {
-	clear(p.changed)
-	p.whole = false
+// ended takes in how the last command ended.
+func (p *pendingChanges) ended(err error) {
+	switch {
+	case err == nil:
+		clear(p.changed)
+		clear(p.tried)
+		p.first, p.refusals = false, 0
+	case errors.Is(err, errRefused):
+		p.refusals++
+	}
 }
--- a/internal/distributor/publish_test.go
+++ b/internal/distributor/publish_test.go
@@ -1,10 +1,13 @@
 package distributor
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
+	"mothcleat/distribution"
 	"mothcleat/internal/distributionpb"
 	"mothcleat/internal/registry"
 )
@@ -34,40 +37,145 @@
 	return strings.Join(text, " ")
 }
 
-// A command holds the whole list once a term, and then only what is other than what was agreed.
+// show gives what the fleet is to agree on, in short.
+func (p *pendingChanges) show(t *testing.T, replica *distribution.State) string {
+	t.Helper()
+	return show(t, p.command(5, replica))
+}
+
+var errUnknown = errors.New("no answer")
+
+// A first command holds the whole list where there is nothing to tell a difference from, and later ones only what is other
+// than what was agreed.
 func TestCommandsHoldWhatChanged(t *testing.T) {
 	p := newPendingChanges(quiet)
 	expect := func(want string) {
 		t.Helper()
-		if got := show(t, p.command(5)); got != want {
+		if got := p.show(t, nil); got != want {
 			t.Errorf("%q instead of %q", got, want)
 		}
 	}
 	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
 	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{b, a}})
 	expect("whole a=Ready b=Ready")
+	p.ended(errUnknown)
 	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{c}})
-	expect("whole a=Ready b=Ready c=Ready") // nothing is agreed yet
-	p.agreed()
+	expect("whole a=Ready b=Ready c=Ready")
+	p.ended(nil)
 	expect("")
 	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{a}})
 	expect("") // as it was
 	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{member("b", registry.Terminating)}})
 	expect("b=Terminating")
+	p.ended(errUnknown)
 	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)}})
 	expect("b=Terminating -c") // what is not known to be agreed is said again
-	p.agreed()
+	p.ended(nil)
 	p.take(registry.News{Kind: registry.Unheard})
 	expect("")
 	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{a, c}})
 	expect("-b c=Ready") // a whole list is told as what is other
-	p.agreed()
+	p.ended(nil)
 	expect("")
-	if command := p.command(5); command.Term != 5 || command.Epoch == 0 {
+	if command := p.command(5, nil); command.Term != 5 || command.Epoch == 0 {
 		t.Errorf("%v", command)
 	}
 }
 
+// replicaWith is a state with some servers.
+func replicaWith(t *testing.T, members ...registry.Member) *distribution.State {
+	t.Helper()
+	s := &testServer{t: t, machine: distribution.NewMachine(openFence{})}
+	var changes []*distributionpb.Change
+	for _, m := range members {
+		value, err := encodeServer(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		changes = append(changes, &distributionpb.Change{Kind: distribution.KindServer, Id: m.ID, Value: value})
+	}
+	s.agree(changes...)
+	return s.machine.State()
+}
+
+// The first command of a term holds what is other than the owner's replica. As long as it is not known whether it was
+// carried out, the next has all that it had; after some refusals it is the whole list.
+func TestTermBeginsWithADifference(t *testing.T) {
+	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
+	replica := replicaWith(t, a, b, c)
+	p := newPendingChanges(quiet)
+	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{a, member("b", registry.Terminating), member("d", registry.Ready)}})
+	const difference = "b=Terminating -c d=Ready"
+	if got := p.show(t, replica); got != difference {
+		t.Errorf("%q", got)
+	}
+	if base := p.command(5, replica).Base; base.GetRevision() != replica.Position().Revision {
+		t.Errorf("%v", base)
+	}
+	p.ended(errUnknown)
+	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{b}}) // as the replica has it: the command may not
+	if got := p.show(t, replica); got != "b=Ready -c d=Ready" {
+		t.Errorf("%q", got)
+	}
+	for range maxBaseRefusals {
+		p.ended(errRefused)
+	}
+	if got := p.show(t, replica); got != "whole a=Ready b=Ready d=Ready" {
+		t.Errorf("%q", got)
+	}
+	p.ended(nil)
+	if got := p.show(t, replica); got != "" {
+		t.Errorf("%q", got)
+	}
+}
+
+// A whole list whose outcome is not known is followed by a whole list, whatever the replica has by then.
+func TestWholeListStaysWhole(t *testing.T) {
+	a, b := member("a", registry.Ready), member("b", registry.Ready)
+	p := newPendingChanges(quiet)
+	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{a}})
+	p.show(t, nil)
+	p.ended(errUnknown)
+	if got := p.show(t, replicaWith(t, a, b)); got != "whole a=Ready" {
+		t.Errorf("%q", got)
+	}
+}
+
+// A server of which no record can be made holds up no other.
+func TestBadServersArePassedOver(t *testing.T) {
+	var log logBuffer
+	p := newPendingChanges(logTo(&log))
+	long := strings.Repeat("x", distribution.MaxIDBytes+1)
+	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{
+		member("a", registry.Ready), member("", registry.Ready), member(long, registry.Ready), member("\xff", registry.Ready),
+		{ID: "bad-address", HostPort: "\xff", Phase: registry.Ready},
+	}})
+	if got := p.show(t, nil); got != "whole a=Ready" {
+		t.Errorf("%q", got)
+	}
+	if n := strings.Count(log.String(), "is passed over"); n != 4 || !strings.Contains(log.String(), "bad-address") {
+		t.Errorf("%d lines: %s", n, log.String())
+	}
+}
+
+// What is not agreed on is proposed again after longer and longer.
+func TestPublishDelay(t *testing.T) {
+	d := publishDelay{least: time.Second}
+	now := time.Unix(0, 0)
+	for i, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
+		d.ended(now, errUnknown)
+		if d.until.Sub(now) != want || d.over(now) || !d.over(now.Add(want)) {
+			t.Errorf("failure %d: until %v", i, d.until.Sub(now))
+		}
+	}
+	for _, err := range []error{nil, errRefused} {
+		d.ended(now, errUnknown)
+		if d.ended(now, err); !d.over(now) {
+			t.Errorf("after %v it waits until %v", err, d.until)
+		}
+	}
+}
+
 // A record holds all that a member has; a phase that is not known stays none to send to.
 func TestRecordsHoldMembers(t *testing.T) {
 	for _, phase := range []string{registry.Ready, registry.Terminating, "Other"} {
--- a/internal/distributor/records.go
+++ b/internal/distributor/records.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
+	"unicode/utf8"
 
 	"google.golang.org/protobuf/proto"
 
+	"mothcleat/distribution"
 	"mothcleat/internal/distributionpb"
 	"mothcleat/internal/registry"
 )
@@ -19,7 +21,8 @@
 	distributionpb.Phase_PHASE_DRAINING: registry.Terminating,
 }
 
-// encodeServer makes the value of a server's record: the same bytes for the same member.
+// encodeServer makes the value of a server's record: the same bytes for the same member. It returns an error that names the
+// server for one of which no record can be agreed on.
 func encodeServer(m registry.Member) ([]byte, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&distributionpb.ServerRecord{
 		Address: m.HostPort, Zone: m.Locality, Cell: int32(m.Cell), Phase: phaseOf[m.Phase], Size: m.Size, StartedMs: m.UpSince,
@@ -27,6 +30,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("distribution: record of server %q: %w", m.ID, err)
 	}
+	change := &distributionpb.Change{Kind: distribution.KindServer, Id: m.ID, Value: value}
+	if _, err := distribution.ChangesFromProto([]*distributionpb.Change{change}); err != nil {
+		return nil, err
+	}
+	if !utf8.ValidString(m.ID) {
+		return nil, fmt.Errorf("distribution: record of server %q: its id is not UTF-8", m.ID)
+	}
 	return value, nil
 }
 
--- a/internal/distributor/source.go
+++ b/internal/distributor/source.go
@@ -75,7 +75,7 @@
 // Work watches the register on behalf of the fleet.
 func (s *Source) Work(ctx context.Context, tenure *duties.Tenure) {
 	p := registerPublisher{
-		direct: s.direct, link: s.options.Client.Link, beat: beatInterval(s.options.Silent), log: s.log(),
+		direct: s.direct, link: s.options.Client.Link, replica: s.client.State, beat: beatInterval(s.options.Silent), log: s.log(),
 	}
 	p.Work(ctx, tenure)
 }
--- a/internal/fleetlink/client.go
+++ b/internal/fleetlink/client.go
@@ -26,9 +26,12 @@
 
 const (
 	tryWithin = 250 * time.Millisecond // for one voter to answer; asked again, a command is still applied once
-	shunFor   = 750 * time.Millisecond // a voter that did not answer is not taken for the leader by others' word
-	pause     = 30 * time.Millisecond  // between two tries
-	touchEach = 10 * time.Second       // a session says that it lives
+	// tryPerByte is what a voter is given beside for the size of a command: a large one that is late would be sent again
+	// on top of itself.
+	tryPerByte = 2 * time.Microsecond
+	shunFor    = 750 * time.Millisecond // a voter that did not answer is not taken for the leader by others' word
+	pause      = 30 * time.Millisecond  // between two tries
+	touchEach  = 10 * time.Second       // a session says that it lives
 )
 
 // Client asks the fleet's voters, for one process. Its methods may be called concurrently.
@@ -144,6 +147,11 @@
 // each asks one voter after another until one gives a final answer, or the context ends. The call must be one that
 // may be made again.
 func (c *Client) each(ctx context.Context, call func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error)) (*fleetpb.Answer, error) {
+	return c.eachWithin(ctx, tryWithin, call)
+}
+
+// eachWithin is each with another time for one voter to answer.
+func (c *Client) eachWithin(ctx context.Context, within time.Duration, call func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error)) (*fleetpb.Answer, error) {
 	last := "no voter is known"
 	for {
 		name, address := c.target()
@@ -152,7 +160,7 @@
 			if err != nil {
 				return nil, err
 			}
-			one, cancel := context.WithTimeout(ctx, tryWithin)
+			one, cancel := context.WithTimeout(ctx, within)
 			a, err := call(one, to)
 			cancel()
 			switch {
@@ -234,7 +242,8 @@
 		delete(c.out, seq)
 		c.mu.Unlock()
 	}()
-	a, err := c.each(ctx, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
+	within := tryWithin + tryPerByte*time.Duration(len(body))
+	a, err := c.eachWithin(ctx, within, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
 		return to.Do(ctx, &fleetpb.Command{Fleet: c.fleet, Session: session, Seq: seq, Floor: c.floor(), Machine: machine, Body: body, Member: c.member()})
 	})
 	if err != nil {
