--- a/agree/membership_test.go
+++ b/agree/membership_test.go
@@ -177,7 +177,11 @@
 		lease.Member{ID: "gateway-03", Boot: 2}.String() + "@at-gateway-03", lease.Member{ID: "gateway-07", Boot: 1}.String() + "@at-gateway-07"}) {
 		t.Error(got)
 	}
+	before := a.node.sessions.log.current()
 	a.restart()
+	if after := a.node.sessions.log.current(); after != (Revision{a.node.snapshot, before.Digest}) {
+		t.Errorf("revision %v before, %v restored from a snapshot of entry %d", before, after, a.node.snapshot)
+	}
 	if a.refresh(some) != 0 || a.refresh(voters) != 0 {
 		t.Error("a restart changed parts of the list")
 	}
@@ -215,6 +219,10 @@
 		}
 		a.pass(silentAfter)
 		touch(heard)
+		told, err := ParseMembershipAnswer(a.read(c.Query()).Body)
+		if err != nil || told.Members != nil || told.Revision != c.revision {
+			t.Fatalf("%s: %+v, %v: more than who is silent", name, told, err)
+		}
 		if a.refresh(c); !slices.Equal(silent(), []string{"unheard"}) {
 			t.Fatal(name, silent())
 		}
@@ -460,7 +468,14 @@
 		}
 	}
 	w := &replicas{t: t}
-	for _, s := range []*sessions{first, second, first} {
+	restored := func(s *sessions) *sessions {
+		var snapshot fleetpb.Snapshot
+		s.write(&snapshot)
+		again := readSessions(&snapshot)
+		again.log.begin(10)
+		return again
+	}
+	for _, s := range []*sessions{first, second, restored(first), restored(second)} {
 		c := NewMemberCache(MembershipQuery{Scope: ScopeMembers})
 		w.compare(c, first)
 		w.compare(c, s)
