--- a/agree/agree_test.go
+++ b/agree/agree_test.go
@@ -26,21 +26,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Open(0, Config{Number: 7, Machines: machines, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
-		Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}, saved)
+	a := &alone{t: t}
+	a.begin(machines, saved)
+	return a
+}
+
+// begin opens the voter from what was saved, and has it lead.
+func (a *alone) begin(machines map[string]Machine, from Saved) {
+	a.t.Helper()
+	n, err := Open(a.now, Config{Number: 7, Machines: machines, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
+		Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}, from)
 	if err != nil {
-		t.Fatal(err)
+		a.t.Fatal(err)
 	}
 	if err := n.Begin(0); err != nil {
-		t.Fatal(err)
+		a.t.Fatal(err)
 	}
-	a := &alone{t: t, node: n}
-	for !n.Role().Leads {
-		if a.pass(40 * time.Millisecond); a.now > time.Minute {
-			t.Fatal("it does not lead")
+	a.node = n
+	for until := a.now + time.Minute; !n.Role().Leads; {
+		if a.pass(40 * time.Millisecond); a.now > until {
+			a.t.Fatal("it does not lead")
 		}
 	}
-	return a
 }
 
 // pass has time go by, and does what follows.
--- a/agree/membercache.go
+++ b/agree/membercache.go
@@ -9,12 +9,13 @@
 	"slices"
 )
 
-// ErrCache is the error of an answer that does not lead on from what a MemberCache holds. The cache has forgotten that: its
-// next query asks for the whole.
+// ErrCache is the error of an answer that does not lead on from what a MemberCache holds. The cache
+// has forgotten that: its next query asks for the whole.
 var ErrCache = errors.New("agree: the answer does not lead on from what is known of the members")
 
-// MemberCache is what a process outside the voters knows of who belongs to the fleet. It asks only for what has changed, and
-// checks what it has by the answers' digests. It must not be used concurrently, nor with two queries under way.
+// MemberCache is what a process outside the voters knows of who belongs to the fleet. It asks only
+// for what has changed, and checks what it has by the answers' digests. It must not be used
+// concurrently, nor with two queries under way.
 type MemberCache struct {
 	query    MembershipQuery
 	revision Revision // zero: nothing is held, or what an older voter gave
@@ -23,7 +24,8 @@
 	silent   Silent
 }
 
-// NewMemberCache makes an empty cache for the part that a query asks for. The query has to be of ScopeVoters or ScopeMembers.
+// NewMemberCache makes an empty cache for the part that a query asks for. The query has to be of
+// ScopeVoters or ScopeMembers.
 func NewMemberCache(query MembershipQuery) *MemberCache {
 	return &MemberCache{query: query, members: map[string]MemberAt{}}
 }
@@ -46,7 +48,8 @@
 	return raw
 }
 
-// Take takes in the answer to the last Query. An error, ErrCache among them, leaves the cache empty.
+// Take takes in the answer to the last Query. An error, ErrCache among them, leaves the cache
+// empty.
 func (c *MemberCache) Take(body []byte) error {
 	if len(body) == 0 && c.revision != (Revision{}) {
 		return nil // nothing has changed
@@ -81,7 +84,8 @@
 	}
 	c.revision = a.Revision
 	if a.Revision != (Revision{}) && c.digest() != a.Revision.Digest {
-		return fmt.Errorf("%w: digest %x, %x agreed at entry %d", ErrCache, c.digest(), a.Revision.Digest, a.Revision.Index)
+		return fmt.Errorf("%w: digest %x, not %x as at entry %d",
+			ErrCache, c.digest(), a.Revision.Digest, a.Revision.Index)
 	}
 	return nil
 }
@@ -111,8 +115,8 @@
 	return all
 }
 
-// ParseMembershipAnswer reads the answer to a MembershipQuery. A voter of an older version gives a List whatever is asked:
-// that becomes an answer without a revision, which names the whole.
+// ParseMembershipAnswer reads the answer to a MembershipQuery. A voter of an older version gives a
+// List whatever is asked: that becomes an answer without a revision, which names the whole.
 func ParseMembershipAnswer(body []byte) (*MembershipAnswer, error) {
 	var a MembershipAnswer
 	if err := json.Unmarshal(body, &a); err == nil && a.Revision != (Revision{}) {
@@ -129,7 +133,8 @@
 func (l *List) answer() *MembershipAnswer {
 	a := &MembershipAnswer{Voters: l.Voters, Silent: &Silent{}}
 	for _, m := range l.Members {
-		a.Members = append(a.Members, MemberAt{Member: m.Member, Address: m.Address, Retired: l.Retired[m.ID]})
+		a.Members = append(a.Members,
+			MemberAt{Member: m.Member, Address: m.Address, Retired: l.Retired[m.ID]})
 		if l.At-m.Seen >= silentAfter {
 			a.Silent.IDs = append(a.Silent.IDs, m.ID)
 		}
--- a/agree/membership.go
+++ b/agree/membership.go
@@ -1,6 +1,7 @@
 package agree
 
 import (
+	"cmp"
 	"encoding/binary"
 	"hash/fnv"
 	"slices"
@@ -8,16 +9,17 @@
 	"mothcleat/lease"
 )
 
-// Revision names one content of a list of members: the index of the log entry that brought it about, and a digest of the
-// content. Voters apply the same entries, so an index names the same content at each of them; the digest says so even where a
-// fleet was founded again, or put back from older folders, and its indexes have begun anew. The zero Revision names none.
+// Revision names one content of a list of members: the index of the log entry that brought it
+// about, and a digest of the content. Voters apply the same entries, so an index names the same
+// content at each of them; the digest says so even where a fleet was founded again, or put back
+// from older folders, and its indexes have begun anew. The zero Revision names none.
 type Revision struct {
 	Index  uint64 `json:"index,omitempty"` // 0: of a part of the list, which only its digest names
 	Digest uint64 `json:"digest"`
 }
 
-// maxMembershipChanges bounds how many changed ids a voter keeps for askers that have an earlier list. At 1,100 restarts an
-// hour they reach back for almost an hour.
+// maxMembershipChanges bounds how many changed ids a voter keeps for askers that have an earlier
+// list. At 1,100 restarts an hour they reach back for almost an hour.
 const maxMembershipChanges = 1024
 
 // digestOfNone is the digest of an empty list, so that no list has the digest of the zero Revision.
@@ -29,8 +31,8 @@
 	ids      []string
 }
 
-// membershipLog is the latest changes of the members, as one voter has applied them. It is no part of the agreed state: a voter
-// that restores a snapshot begins a new one.
+// membershipLog is the latest changes of the members, as one voter has applied them. It is no part
+// of the agreed state: a voter that restores a snapshot begins a new one.
 type membershipLog struct {
 	digest  uint64   // of the members now
 	pending []string // ids that changed since the last commit
@@ -74,20 +76,13 @@
 	return l.base
 }
 
-// since returns the ids that changed after a revision, each once and sorted. ok is false if the log does not reach back to it,
-// or has never had it.
+// since returns the ids that changed after a revision, each once and sorted. ok is false if the log
+// does not reach back to it, or has never had it.
 func (l *membershipLog) since(r Revision) (ids []string, ok bool) {
 	next := 0
 	if r != l.base {
-		at, found := slices.BinarySearchFunc(l.changes, r.Index, func(c membershipChange, index uint64) int {
-			switch {
-			case c.revision.Index < index:
-				return -1
-			case c.revision.Index > index:
-				return 1
-			}
-			return 0
-		})
+		byIndex := func(c membershipChange, index uint64) int { return cmp.Compare(c.revision.Index, index) }
+		at, found := slices.BinarySearchFunc(l.changes, r.Index, byIndex)
 		if !found || l.changes[at].revision != r {
 			return nil, false
 		}
@@ -100,7 +95,8 @@
 	return slices.Compact(ids), true
 }
 
-// digestOf is a member's part of a digest: that of a list is the exclusive or of all its members' and digestOfNone.
+// digestOf is a member's part of a digest: that of a list is the exclusive or of all its members'
+// and digestOfNone.
 func digestOf(who lease.Member, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(who.ID)) // a hash has no errors
--- a/agree/membership_test.go
+++ b/agree/membership_test.go
@@ -4,8 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"log"
 	"maps"
 	"math/rand/v2"
 	"slices"
@@ -13,8 +11,6 @@
 	"testing"
 	"time"
 
-	"go.etcd.io/raft/v3"
-
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
 )
@@ -75,20 +71,7 @@
 	if !ok {
 		a.t.Fatal("no snapshot")
 	}
-	n, err := Open(a.now, Config{Number: 7, Machines: map[string]Machine{}, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
-		Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}, Saved{Hard: w.Hard, Snapshot: w.Snapshot})
-	if err != nil {
-		a.t.Fatal(err)
-	}
-	if err := n.Begin(0); err != nil {
-		a.t.Fatal(err)
-	}
-	a.node = n
-	for until := a.now + time.Minute; !n.Role().Leads; {
-		if a.pass(40 * time.Millisecond); a.now > until {
-			a.t.Fatal("it does not lead")
-		}
-	}
+	a.begin(nil, Saved{Hard: w.Hard, Snapshot: w.Snapshot})
 }
 
 func names(all []MemberAt) (names []string) {
@@ -143,8 +126,8 @@
 	}
 }
 
-// Who has the newest list gets an empty answer, over restarts of the voter from a snapshot too; who has an earlier one gets
-// what changed.
+// Who has the newest list gets an empty answer, over restarts of the voter from a snapshot too; who
+// has an earlier one gets what changed.
 func TestAnswersHoldOnlyWhatChanged(t *testing.T) {
 	a := newAlone(t, nil)
 	for i := range 50 {
@@ -191,7 +174,8 @@
 	}
 }
 
-// A member that nothing is heard of is told as silent, without a change of the revision, and as heard of again.
+// A member that nothing is heard of is told as silent, without a change of the revision, and as
+// heard of again.
 func TestSilentMembersAreTold(t *testing.T) {
 	a := newAlone(t, nil)
 	heard, unheard := a.open("heard", 1), a.open("unheard", 1)
@@ -200,7 +184,10 @@
 		seq++
 		a.touch(session, seq)
 	}
-	for name, query := range map[string]MembershipQuery{"all": {Scope: ScopeMembers}, "some": {Scope: ScopeMembers, IDs: []string{"heard", "unheard"}}} {
+	for name, query := range map[string]MembershipQuery{
+		"all":  {Scope: ScopeMembers},
+		"some": {Scope: ScopeMembers, IDs: []string{"heard", "unheard"}},
+	} {
 		c := NewMemberCache(query)
 		a.refresh(c)
 		silent := func() (ids []string) {
@@ -278,12 +265,17 @@
 	}
 }
 
-// Queries that can't be answered are refused with what is wrong; one without a body gets the whole list, as ever.
+// Queries that can't be answered are refused with what is wrong; one without a body gets the whole
+// list, as ever.
 func TestQueriesOfOtherVersions(t *testing.T) {
 	a := newAlone(t, nil)
 	a.open("a", 1)
 	a.open("a", 2)
-	for body, why := range map[string]string{"{": "can't be read", `{"scope":"all"}`: `unknown "all"`, `{"scope":"sample","sample":65}`: "65 members"} {
+	for body, why := range map[string]string{
+		"{":                              "can't be read",
+		`{"scope":"all"}`:                `scope "all"`,
+		`{"scope":"sample","sample":65}`: "65 members",
+	} {
 		if answer := a.read([]byte(body)); answer.Code != fleetpb.Code_REFUSED || !strings.Contains(answer.Why, why) {
 			t.Errorf("%s: %v", body, answer)
 		}
@@ -297,7 +289,11 @@
 		t.Error(got)
 	}
 	// A voter of an older version answers so whatever is asked.
-	for _, query := range []MembershipQuery{{Scope: ScopeMembers, Retired: true}, {Scope: ScopeMembers, IDs: []string{"a"}}, {Scope: ScopeVoters}} {
+	for _, query := range []MembershipQuery{
+		{Scope: ScopeMembers, Retired: true},
+		{Scope: ScopeMembers, IDs: []string{"a"}},
+		{Scope: ScopeVoters},
+	} {
 		c := NewMemberCache(query)
 		for range 2 {
 			if err := c.Take(raw); err != nil {
@@ -377,8 +373,8 @@
 	}
 }
 
-// Whoever of the voters answers, restored from a snapshot or not, a cache that takes changes holds what the whole list is; and no
-// revision is told for two contents.
+// Whoever of the voters answers, restored from a snapshot or not, a cache that takes changes holds
+// what the whole list is; and no revision is told for two contents.
 func TestChangesMakeTheWholeList(t *testing.T) {
 	for seed := range uint64(8) {
 		w := &replicas{t: t, r: rand.New(rand.NewPCG(seed, 1)), all: []*sessions{newSessions(), newSessions(), newSessions()}}
@@ -413,8 +409,8 @@
 	}
 }
 
-// compare brings a cache up to date from a voter, and compares it with the voter's members. It returns 1 for an answer that
-// leads on from what was known.
+// compare brings a cache up to date from a voter, and compares it with the voter's members. It
+// returns 1 for an answer that leads on from what was known.
 func (w *replicas) compare(c *MemberCache, s *sessions) (delta int) {
 	w.t.Helper()
 	q, err := parseMembershipQuery(c.Query())
@@ -456,8 +452,8 @@
 	return 0
 }
 
-// A fleet that was founded again, or whose folders were put back, has the same indexes for other members: nobody's list
-// is led on from those that were.
+// A fleet that was founded again, or whose folders were put back, has the same indexes for other
+// members: nobody's list is led on from those that were.
 func TestSameIndexOfAnotherHistory(t *testing.T) {
 	first, second := newSessions(), newSessions()
 	for i, s := range []*sessions{first, second} {
--- a/agree/membershipquery.go
+++ b/agree/membershipquery.go
@@ -19,7 +19,8 @@
 	ScopeVoters Scope = "voters"
 	// ScopeMembers is the processes with a session, or some of them.
 	ScopeMembers Scope = "members"
-	// ScopeSample is some processes that are reached and were heard of lately, drawn by a seed, beside those that vote.
+	// ScopeSample is some processes that are reached and were heard of lately, drawn by a seed,
+	// beside those that vote.
 	ScopeSample Scope = "sample"
 )
 
@@ -29,9 +30,11 @@
 // maxSample is the largest sample that is answered.
 const maxSample = 64
 
-// MembershipQuery is a Read of FleetName for no more than an asker needs. A Read without a body is answered by a List.
+// MembershipQuery is a Read of FleetName for no more than an asker needs. A Read without a body is
+// answered by a List.
 //
-// An asker that says what it has gets an empty answer where nothing of it has changed, and for all members only what changed.
+// An asker that says what it has gets an empty answer where nothing of it has changed, and for all
+// members only what changed.
 type MembershipQuery struct {
 	Scope Scope `json:"scope"`
 	// IDs are the members that ScopeMembers asks for; empty: all.
@@ -50,7 +53,8 @@
 // MembershipAnswer is what a MembershipQuery gets, unless nothing has changed.
 type MembershipAnswer struct {
 	Revision Revision `json:"revision"` // never zero
-	// Delta says that Members are only those that were added or replaced, and Ended those that are no more.
+	// Delta says that Members are only those that were added or replaced, and Ended those that are
+	// no more.
 	Delta   bool       `json:"delta,omitempty"`
 	Voters  []VoterAt  `json:"voters,omitempty"`
 	Members []MemberAt `json:"members,omitempty"`
@@ -86,9 +90,9 @@
 	}
 	switch {
 	case q.Scope != ScopeVoters && q.Scope != ScopeMembers && q.Scope != ScopeSample:
-		return nil, fmt.Errorf("the query asks for unknown %.40q, not for voters, members or a sample", q.Scope)
+		return nil, fmt.Errorf("the query's scope %.40q is none of voters, members and sample", q.Scope)
 	case q.Sample < 0 || q.Sample > maxSample:
-		return nil, fmt.Errorf("the query asks for a sample of %d members, %d at most", q.Sample, maxSample)
+		return nil, fmt.Errorf("the query's sample is %d members, %d at most", q.Sample, maxSample)
 	}
 	return q, nil
 }
@@ -139,7 +143,9 @@
 		}
 	}
 	order := func(m *MemberAt) uint64 { return mixed(digestOf(m.Member, m.Address) ^ q.Seed) }
-	slices.SortFunc(others, func(x, y MemberAt) int { return cmp.Or(cmp.Compare(order(&x), order(&y)), cmp.Compare(x.ID, y.ID)) })
+	slices.SortFunc(others, func(x, y MemberAt) int {
+		return cmp.Or(cmp.Compare(order(&x), order(&y)), cmp.Compare(x.ID, y.ID))
+	})
 	a.Members = append(a.Members, others[:min(len(others), q.Sample)]...)
 	slices.SortFunc(a.Members, func(x, y MemberAt) int { return cmp.Compare(x.ID, y.ID) })
 	a.Revision.Digest = digestOfMembers(a.Members)
--- a/internal/fleetlink/members.go
+++ b/internal/fleetlink/members.go
@@ -7,8 +7,8 @@
 	"mothcleat/agree"
 )
 
-// Members keeps a part of who belongs to the fleet, and asks the leader only for what has changed of it. Its methods may be
-// called concurrently.
+// Members keeps a part of who belongs to the fleet, and asks the leader only for what has changed
+// of it. Its methods may be called concurrently.
 type Members struct {
 	client *Client
 	turn   chan struct{} // holds a token while nobody uses the cache
@@ -28,13 +28,15 @@
 	return all, err
 }
 
-// List returns the members as they are agreed now, by id. They share their retired boots with the cache.
+// List returns the members as they are agreed now, by id. They share their retired boots with the
+// cache.
 func (m *Members) List(ctx context.Context) (all []agree.MemberAt, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Members() })
 	return all, err
 }
 
-// refresh brings the cache up to date and has it read. Others wait meanwhile: an answer leads on from what was asked with.
+// refresh brings the cache up to date and has it read. Others wait meanwhile: an answer leads on
+// from what was asked with.
 func (m *Members) refresh(ctx context.Context, read func()) error {
 	select {
 	case <-m.turn:
