--- a/agree/agree_test.go
+++ b/agree/agree_test.go
@@ -13,6 +13,12 @@
 	"mothcleat/lease"
 )
 
+// testConfig is how a voter of a test is set up.
+func testConfig(number uint64, machines map[string]Machine) Config {
+	return Config{Number: number, Machines: machines, Random: rand.New(rand.NewPCG(number, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
+		Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
+}
+
 // alone is a fleet of one voter, in virtual time.
 type alone struct {
 	t    *testing.T
@@ -34,8 +40,7 @@
 // begin opens the voter from what was saved, and has it lead.
 func (a *alone) begin(machines map[string]Machine, from Saved) {
 	a.t.Helper()
-	n, err := Open(a.now, Config{Number: 7, Machines: machines, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
-		Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}, from)
+	n, err := Open(a.now, testConfig(7, machines), from)
 	if err != nil {
 		a.t.Fatal(err)
 	}
