--- a/internal/budgets/divider.go
+++ b/internal/budgets/divider.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/budget"
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/faultpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
@@ -33,7 +33,7 @@
 
 // office is one shard that this process owns now.
 type office struct {
-	tenure *duties.Tenure
+	tenure *election.Tenure
 	kick   chan struct{} // there may be something to agree on
 
 	mu     sync.Mutex
@@ -52,7 +52,7 @@
 var notOwner = "this process does not own the shard"
 
 // Work divides a shard for as long as the duty is held.
-func (d *Divider) Work(ctx context.Context, t *duties.Tenure) {
+func (d *Divider) Work(ctx context.Context, t *election.Tenure) {
 	if !d.first(t) {
 		// The duty lapsed, and was renewed under the same term, as nobody else asked. What was given since the term began is
 		// known to an Owner that has ended: another one begins with another term.
@@ -115,7 +115,7 @@
 }
 
 // first tells whether this process divides under a term for the first time.
-func (d *Divider) first(t *duties.Tenure) bool {
+func (d *Divider) first(t *election.Tenure) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.divided == nil {
--- a/internal/budgets/user.go
+++ b/internal/budgets/user.go
@@ -12,7 +12,7 @@
 
 	"mothcleat/budget"
 	"mothcleat/decide"
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/faultpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
@@ -27,7 +27,7 @@
 	rules  budget.Rules
 	shards int
 	client *fleetlink.Client
-	owners *duties.Set
+	owners *election.Set
 	log    *slog.Logger
 	lent   func(gateway.Loan)
 
@@ -62,7 +62,7 @@
 )
 
 // NewUser makes one that holds nothing.
-func NewUser(r budget.Rules, shards int, client *fleetlink.Client, owners *duties.Set, log *slog.Logger) *User {
+func NewUser(r budget.Rules, shards int, client *fleetlink.Client, owners *election.Set, log *slog.Logger) *User {
 	return &User{rules: r, shards: shards, client: client, owners: owners, log: log, loans: make(chan struct{}, loansOut),
 		silent: make([]atomic.Int64, shards), lastTold: make([]atomic.Int64, shards), holder: budget.NewHolder(r, client.Me(), shards)}
 }
--- a/internal/distributor/publish.go
+++ b/internal/distributor/publish.go
@@ -15,7 +15,7 @@
 
 	"mothcleat/distribution"
 	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/registry"
 )
@@ -43,7 +43,7 @@
 }
 
 // Work is the work of the role: it lasts for as long as the context does.
-func (p *registerPublisher) Work(ctx context.Context, tenure *duties.Tenure) {
+func (p *registerPublisher) Work(ctx context.Context, tenure *election.Tenure) {
 	source, closed, err := p.direct.open()
 	if err != nil {
 		p.log.Error("fleet: the register can't be watched", "error", err)
--- a/internal/distributor/source.go
+++ b/internal/distributor/source.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"mothcleat/distribution"
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/registry"
 )
 
@@ -73,7 +73,7 @@
 func (s *Source) Move(address string) { s.direct.move(address) }
 
 // Work watches the register on behalf of the fleet.
-func (s *Source) Work(ctx context.Context, tenure *duties.Tenure) {
+func (s *Source) Work(ctx context.Context, tenure *election.Tenure) {
 	p := registerPublisher{
 		direct: s.direct, link: s.options.Client.Link, replica: s.client.State, beat: beatInterval(s.options.Silent), log: s.log(),
 	}
--- a/internal/duties/duties.go
+++ b/internal/election/election.go
@@ -1,6 +1,6 @@
-// Package duties has one process of a fleet hold duties and do their work: it asks for them, renews
-// them, hands them on, and has the work end before the holding does.
-package duties
+// Package election is leader election for singleton work: a process asks for the lease of a role, which the
+// code calls a duty, renews it, transfers it to another process, and ends the work before the lease runs out.
+package election
 
 import (
 	"context"
--- a/internal/exporter/exporter.go
+++ b/internal/exporter/exporter.go
@@ -22,7 +22,7 @@
 
 	"mothcleat/agree"
 	"mothcleat/exports"
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/faultpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
@@ -45,7 +45,7 @@
 )
 
 // Work does the duty until its context ends.
-func (e *Exporter) Work(ctx context.Context, t *duties.Tenure) {
+func (e *Exporter) Work(ctx context.Context, t *election.Tenure) {
 	tick := time.NewTicker(e.Every)
 	defer tick.Stop()
 	tidied := false
@@ -66,7 +66,7 @@
 var errRefused = errors.New("refused")
 
 // round collects and writes once.
-func (e *Exporter) round(ctx context.Context, t *duties.Tenure, members *fleetlink.Members, tidied *bool) error {
+func (e *Exporter) round(ctx context.Context, t *election.Tenure, members *fleetlink.Members, tidied *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, max(e.Every, askWithin))
 	defer cancel()
 	var done exports.View
@@ -256,7 +256,7 @@
 
 // write puts a round's rows into a file that does not count yet. Its name holds term and digest: no two owners
 // write the same one.
-func (e *Exporter) write(t *duties.Tenure, b *book) (*exports.File, error) {
+func (e *Exporter) write(t *election.Tenure, b *book) (*exports.File, error) {
 	b.csv.Flush()
 	sum := sha256.Sum256(b.text.Bytes())
 	f := &exports.File{Duty: t.Duty, Term: t.Term, SHA256: hex.EncodeToString(sum[:]), Rows: b.rows, Units: b.units, Spans: b.spans}
@@ -284,7 +284,7 @@
 
 // tidy removes what earlier owners wrote that never came to count. Under this term nobody else can make it count any
 // more, and what counts is known from after the term began.
-func (e *Exporter) tidy(t *duties.Tenure, done *exports.View) error {
+func (e *Exporter) tidy(t *election.Tenure, done *exports.View) error {
 	counts := map[string]bool{}
 	for _, f := range done.Files {
 		counts[f.Name] = true
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -23,7 +23,7 @@
 	"mothcleat/exports"
 	"mothcleat/internal/budgets"
 	"mothcleat/internal/distributor"
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
@@ -80,7 +80,7 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	client   *fleetlink.Client
-	duties   *duties.Set
+	duties   *election.Set
 	list     *distributor.Source // nil: the register is not watched for all
 	streams  *distributor.Server
 	rights   *budgets.User  // nil: quotas are not divided
@@ -174,7 +174,7 @@
 	n.me = lease.Member{ID: cfg.ID, Boot: rand.Uint64()>>1 | 1}
 	n.client = fleetlink.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
 	n.client.Observe(cfg.Observer)
-	n.duties = duties.New(duties.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
+	n.duties = election.New(election.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
 	if cfg.Shards > 0 {
 		for shard := range cfg.Shards {
 			e := &exporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
--- a/internal/fleetwatch/fleetwatch.go
+++ b/internal/fleetwatch/fleetwatch.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/registry"
 	"mothcleat/lease"
@@ -71,7 +71,7 @@
 }
 
 // Work watches the register on behalf of the fleet.
-func (w *Watch) Work(ctx context.Context, t *duties.Tenure) {
+func (w *Watch) Work(ctx context.Context, t *election.Tenure) {
 	source, closed, err := w.open()
 	if err != nil {
 		w.Log.Error("fleet: the register can't be watched", "error", err)
--- a/internal/rollout/guide.go
+++ b/internal/rollout/guide.go
@@ -3,14 +3,14 @@
 import (
 	"context"
 
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/faultpoint"
 	"mothcleat/versions"
 )
 
 // Work moves roll-outs from stage to stage, until the context ends. It is run by the one process
 // that holds the duty versions.Duty.
-func (a *Agent) Work(ctx context.Context, t *duties.Tenure) {
+func (a *Agent) Work(ctx context.Context, t *election.Tenure) {
 	repeat(ctx, a.rules.Every, func() { a.guide(ctx, t.Term) })
 }
 
--- a/internal/scale/watcher.go
+++ b/internal/scale/watcher.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/duties"
+	"mothcleat/internal/election"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/fleetwatch"
@@ -26,7 +26,7 @@
 // control processes.
 type watcher struct {
 	client *fleetlink.Client
-	set    *duties.Set
+	set    *election.Set
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{client: fleetlink.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
 		cancel: cancel, ended: make(chan struct{})}
-	w.set = duties.New(duties.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan),
+	w.set = election.New(election.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan),
 		Margin: clockMargin,
 		Offer:  leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: silentLog})
