--- /dev/null
+++ b/internal/election/request.go
@@ -0,0 +1,58 @@
+package election
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/monotonic"
+	"mothcleat/lease"
+)
+
+// request asks for the lease of the role, or for its renewal, and takes in the answer. The arguments are the time
+// of sending, the newest term that this process knows it holds, and its rank.
+func (r *runner) request(sent time.Duration, knows uint64, rank int) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.Rules.Span)
+	defer cancel()
+	raw, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "ask", Duty: r.name, Term: knows}.Encode())
+	var res lease.Result
+	if err == nil {
+		err = json.Unmarshal(raw, &res)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := monotonic.Now()
+	switch {
+	case errors.Is(err, fleetlink.ErrSuperseded):
+		r.holder.Refused(now, sent, time.Hour, err.Error())
+		r.endIfExpired(now)
+	case err != nil:
+		r.holder.Failed(now, sent, retryDelay)
+	case !res.OK:
+		again := min(maxRequestDelay, max(10*time.Millisecond, res.Left+5*time.Millisecond)) + time.Duration(rank)*rankDelay
+		if rank >= activeRanks {
+			again = max(lowRankDelay, res.Left)
+		}
+		r.holder.Refused(now, sent, again, res.Why)
+		r.endIfExpired(now)
+	case r.holder.GaveUp(res.Holding.Term):
+		r.holder.Failed(now, sent, retryDelay)
+		go r.release(res.Holding.Term) // an earlier release got no answer
+	case r.holder.Granted(now, sent, res.Holding.Term, res.Span, res.Holding.Wish):
+		r.wish = res.Holding.Wish
+		r.scheduleEnd(r.holder.Left(now))
+		if r.cancel == nil || r.term != res.Holding.Term {
+			r.begin(res.Holding)
+		}
+	}
+}
+
+// release tells the agreed table that this process gave up a term.
+func (r *runner) release(term uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.Rules.Span)
+	defer cancel()
+	_, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "release", Duty: r.name, Term: term}.Encode())
+	r.set.opt.Log.Info("fleet: duty given up again", "duty", r.name, "term", term, "error", err)
+}
--- /dev/null
+++ b/internal/election/watch.go
@@ -0,0 +1,59 @@
+package election
+
+import (
+	"encoding/json"
+	"strconv"
+
+	"mothcleat/internal/monotonic"
+	"mothcleat/lease"
+)
+
+// received takes in an update of the agreed table of leases and wakes the runners that it concerns.
+func (s *Set) received(state []byte) {
+	var v lease.View
+	if json.Unmarshal(state, &v) != nil {
+		return
+	}
+	me := s.opt.Client.Me()
+	s.mu.Lock()
+	for _, h := range v.Duties {
+		if h.Term < s.owners[h.Duty].Term {
+			continue // an older state, from another replica
+		}
+		s.owners[h.Duty] = h
+		if _, known := s.at[h.Owner.ID]; h.Owner.ID != "" && !known {
+			select {
+			case s.unknown <- struct{}{}:
+			default:
+			}
+		}
+	}
+	s.mu.Unlock()
+	for _, h := range v.Duties {
+		r := s.runners[h.Duty]
+		if r == nil {
+			continue
+		}
+		r.mu.Lock()
+		term, held := r.holder.Holds(monotonic.Now())
+		switch {
+		case held && h.Term > term && h.Owner != me:
+			r.holder.End(monotonic.Now(), maxRequestDelay, "another holds it under term "+strconv.FormatUint(h.Term, 10))
+			r.endIfExpired(monotonic.Now())
+		case held && h.Term == term && h.Wish != "":
+			r.wish = h.Wish
+		case !held && h.Owner == me && h.Offered:
+			r.soon = true
+		case !held && h.Owner.ID == "":
+			r.freed = true
+		default:
+			r.mu.Unlock()
+			continue
+		}
+		r.mu.Unlock()
+		select {
+		case r.wake <- struct{}{}:
+		default:
+		}
+	}
+}
