--- a/internal/budgets/divider.go
+++ b/internal/budgets/divider.go
@@ -14,7 +14,7 @@
 
 	"mothcleat/budget"
 	"mothcleat/internal/election"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/monotonic"
@@ -59,7 +59,7 @@
 		t.GiveUp()
 		return
 	}
-	faultpoint.At("budgets-begin")
+	failpoint.At("budgets-begin")
 	books, err := d.read(ctx, t.Duty)
 	if err != nil {
 		return
@@ -154,7 +154,7 @@
 	if round == nil {
 		return nil
 	}
-	faultpoint.At("budgets-before-agree")
+	failpoint.At("budgets-before-agree")
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(round)
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	faultpoint.At("budgets-after-agree")
+	failpoint.At("budgets-after-agree")
 	var r budget.Result
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return err
@@ -197,7 +197,7 @@
 	if !o.tenure.Holds() {
 		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}
 	}
-	faultpoint.At("budgets-renew")
+	failpoint.At("budgets-renew")
 	a := o.owner.Renew(monotonic.Now(), ask)
 	select {
 	case o.kick <- struct{}{}:
--- a/internal/budgets/user.go
+++ b/internal/budgets/user.go
@@ -13,7 +13,7 @@
 	"mothcleat/budget"
 	"mothcleat/decide"
 	"mothcleat/internal/election"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/gateway"
@@ -126,9 +126,9 @@
 
 // Over tells whether a time is over.
 func (u *User) Over(by time.Duration) bool {
-	faultpoint.At("right-taken")
+	failpoint.At("right-taken")
 	over := monotonic.Now() >= by
-	faultpoint.At("right-checked")
+	failpoint.At("right-checked")
 	return over
 }
 
@@ -234,7 +234,7 @@
 	one, cancel := context.WithTimeout(ctx, renewWithin)
 	defer cancel()
 	a, err := u.client.Renew(one, owner.ID, address, ask)
-	faultpoint.At("right-told")
+	failpoint.At("right-told")
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.figures.Renewals++
@@ -246,7 +246,7 @@
 	again := u.holder.Answer(monotonic.Now(), sent, shard, ask, a)
 	u.write(shard, a.Term != ask.Term || len(a.Rights) > 0)
 	if again {
-		faultpoint.At("right-lessened")
+		failpoint.At("right-lessened")
 	}
 	return again
 }
--- a/internal/distributiontest/cluster_test.go
+++ b/internal/distributiontest/cluster_test.go
@@ -34,7 +34,7 @@
 const (
 	voters      = 3
 	serviceName = "quotes"
-	// Files by which a rig asks a process for a fault; see package faultpoint.
+	// Files by which a rig asks a process for a fault; see package failpoint.
 	killAtDelta  = "kill-at-delta"
 	damageDeltas = "damage-deltas"
 )
--- a/internal/distributiontest/content_test.go
+++ b/internal/distributiontest/content_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mothcleat/internal/distributor"
-	"mothcleat/internal/links"
+	"mothcleat/internal/faultproxy"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/rig/rigtest"
 )
@@ -136,7 +136,7 @@
 func slowReader(c *cluster) {
 	gateway := voters
 	for v := range voters {
-		c.Links[gateway][v].Set(links.Back, links.Weather{Bytes: 1 << 10})
+		c.Links[gateway][v].Set(faultproxy.Downstream, faultproxy.Conditions{BytesPerSecond: 1 << 10})
 	}
 	c.addExtra(0, 200, "sala-3")
 	c.addExtra(0, 100, "sala-4")
@@ -147,7 +147,7 @@
 		c.t.Errorf("%s was not slower than the others", rig.Name(gateway))
 	}
 	for v := range voters {
-		c.Links[gateway][v].Set(links.Back, links.Weather{})
+		c.Links[gateway][v].Set(faultproxy.Downstream, faultproxy.Conditions{})
 	}
 	c.settled()
 }
--- a/internal/distributor/fault.go
+++ b/internal/distributor/fault.go
@@ -8,10 +8,10 @@
 
 	"mothcleat/distribution"
 	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 )
 
-// Names of the faults that rigs ask for; see package faultpoint.
+// Names of the faults that rigs ask for; see package failpoint.
 const (
 	faultSendDelta   = "distribution-send-delta"   // a delta is about to be sent on a stream
 	faultDamageDelta = "distribution-damage-delta" // denied: deltas come out as they were made
@@ -20,11 +20,11 @@
 // sentBytes gives the bytes that go out for a message: its own, but for the faults of a rig.
 func sentBytes(message *distribution.Message) []byte {
 	delta := message.Response.GetDelta()
-	if !faultpoint.Built || delta == nil {
+	if !failpoint.Built || delta == nil {
 		return message.Bytes
 	}
-	faultpoint.At(faultSendDelta)
-	if !faultpoint.Denied(faultDamageDelta) {
+	failpoint.At(faultSendDelta)
+	if !failpoint.Denied(faultDamageDelta) {
 		return message.Bytes
 	}
 	fmt.Fprintln(os.Stderr, "fault: damaged delta")
--- a/internal/exporter/exporter.go
+++ b/internal/exporter/exporter.go
@@ -23,7 +23,7 @@
 	"mothcleat/agree"
 	"mothcleat/exports"
 	"mothcleat/internal/election"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 )
@@ -93,7 +93,7 @@
 			e.Log.Debug("fleet: export: not heard", "gateway", m.ID, "error", err)
 		}
 	}
-	faultpoint.At("export-collected")
+	failpoint.At("export-collected")
 	if b.rows == 0 && len(b.spans) == 0 && len(b.gaps) == 0 && len(b.seen) == 0 {
 		return nil
 	}
@@ -108,7 +108,7 @@
 		}
 		op.File = f
 	}
-	faultpoint.At("export-before-agree")
+	failpoint.At("export-before-agree")
 	raw, err := json.Marshal(op)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 	if raw, err = e.Client.Do(word, exports.MachineName, raw); err != nil {
 		return err // the file counts or does not: the next round's marks tell, and a later owner tidies
 	}
-	faultpoint.At("export-after-agree")
+	failpoint.At("export-after-agree")
 	var res exports.Result
 	if err := json.Unmarshal(raw, &res); err != nil {
 		return err
@@ -267,7 +267,7 @@
 		return nil, err
 	}
 	_, err = out.Write(b.text.Bytes())
-	faultpoint.At("export-amid-write")
+	failpoint.At("export-amid-write")
 	if err := errors.Join(err, out.Sync(), out.Close()); err != nil {
 		_ = os.Remove(path + ".new")
 		return nil, err
--- a/internal/faultpoint/doc.go
+++ b/internal/failpoint/doc.go
@@ -1,6 +1,6 @@
-// Package faultpoint lets a rig stop or end a process at a named point, and bend its clock.
-// Only a program built with the tag faults has any of it: in others all calls are empty, and the
-// environment variable MOTHCLEAT_FAULTS means nothing.
+// Package failpoint lets a test stop or end a process at a named point, and change the rate and offset of its clock.
+// Only a program built with the tag faults has failpoints: in others all calls are empty, and the
+// environment variable MOTHCLEAT_FAULTS is ignored.
 //
 // The variable holds settings with commas between them:
 //
@@ -12,4 +12,4 @@
 //	pace=F              the clock goes at F of its pace
 //	ahead=D             the clock is D ahead
 //	jump=D@E            the clock leaps by D once E have passed
-package faultpoint
+package failpoint
--- a/internal/faultpoint/on.go
+++ b/internal/failpoint/on.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package faultpoint
+package failpoint
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Built tells whether this program has faults.
+// Built tells whether this program was built with failpoints.
 const Built = true
 
 // fault is what happens at a point: while a file is there, or the first time.
@@ -83,7 +83,7 @@
 	return err
 }
 
-// At passes a named point.
+// At marks a named point in the code, and injects the faults that are set for it.
 func At(name string) {
 	for _, f := range faults {
 		if f.name == name && f.due() {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Denied tells whether something is to fail: for as long as the file is there by which that is asked for.
+// Denied tells whether the named operation has to fail: for as long as its file exists.
 func Denied(name string) bool {
 	flag, ok := denied[name]
 	if !ok {
@@ -134,7 +134,7 @@
 	return os.Remove(f.flag) == nil
 }
 
-// Clock bends the time.
+// Clock returns the time that a process with the set clock faults would read.
 func Clock(now time.Duration) time.Duration {
 	if !bending {
 		return now
--- a/internal/links/links.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,9 +1,9 @@
-// Package links is a loopback relay that a rig puts between processes, to have the link between them
-// fail: each direction by itself can be cut, delayed or slowed, and connections can be reset or left half open.
+// Package faultproxy is a TCP proxy on loopback that tests put between processes to inject faults into the link:
+// each direction can be cut, delayed or slowed by itself, and connections can be reset or left half open.
 //
-// A cut link is silent: what is sent waits, as it would with a network that drops every packet, and comes
-// through when the link is whole again. Nobody is told.
-package links
+// A cut link gives no error: bytes that are sent wait, as with a network that drops every packet, and arrive once
+// the link is no longer cut.
+package faultproxy
 
 import (
 	"errors"
@@ -16,40 +16,41 @@
 // Direction is one way of a link.
 type Direction int
 
-// The directions: from who connects to who is connected to, and back.
+// The directions of a link.
 const (
-	There Direction = iota
-	Back
+	Upstream   Direction = iota // from the process that connects to the target
+	Downstream                  // from the target to the process that connects
 )
 
-// Weather is how one direction of a link is.
-type Weather struct {
+// Conditions are the faults of one direction of a link; the zero value has none.
+type Conditions struct {
 	Cut    bool
 	Delay  time.Duration
-	Jitter time.Duration // up to so much more, drawn for each piece
-	Bytes  int           // a second at the most; 0: as many as come
+	Jitter time.Duration // upper bound of a random delay added to Delay, drawn for each read
+	// BytesPerSecond is the rate limit; 0 means none.
+	BytesPerSecond int
 }
 
-// Link is a relay that connects whoever comes to one address.
+// Link is a proxy in front of one target address. Its methods may be called from any goroutine.
 type Link struct {
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex
-	weather [2]Weather
-	changed chan struct{} // closed when the weather changes
-	random  *rand.Rand
-	conns   map[*pair]bool
-	closed  bool
-	passed  [2]int64 // bytes
-	held    [2]int   // pieces that had to wait for a cut to end
+	mu         sync.Mutex
+	conditions [2]Conditions
+	changed    chan struct{} // closed when the conditions change
+	random     *rand.Rand
+	conns      map[*pair]bool
+	closed     bool
+	passed     [2]int64 // bytes
+	held       [2]int   // pieces that had to wait for a cut to end
 }
 
 type pair struct{ near, far net.Conn }
 
 const pieceBytes = 16 << 10
 
-// New relays from an address to another; the seed is of the jitter.
+// New returns a proxy that listens at one address and connects to the target. The seed is that of the jitter.
 func New(listen, target string, seed uint64) (*Link, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -61,22 +62,22 @@
 	return k, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which the proxy listens.
 func (k *Link) Address() string { return k.listener.Addr().String() }
 
-// Set changes the weather of a direction; it holds for connections that are open, too.
-func (k *Link) Set(d Direction, w Weather) {
+// Set changes the conditions of a direction, for open connections too.
+func (k *Link) Set(d Direction, w Conditions) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.weather[d] = w
+	k.conditions[d] = w
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
 // Cut cuts both directions, or ends that.
 func (k *Link) Cut(yes bool) {
-	k.Set(There, Weather{Cut: yes})
-	k.Set(Back, Weather{Cut: yes})
+	k.Set(Upstream, Conditions{Cut: yes})
+	k.Set(Downstream, Conditions{Cut: yes})
 }
 
 // Reset resets all connections at both ends.
@@ -89,7 +90,8 @@
 	}
 }
 
-// HalfOpen resets all connections at the far end alone: who connected is not told, and what it sends is lost.
+// HalfOpen resets all connections on the side of the target alone: the process that connected is not notified, and
+// what it sends is lost.
 func (k *Link) HalfOpen() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -105,15 +107,15 @@
 	_ = c.Close()
 }
 
-// Passed is how many bytes went through, and how many pieces had to wait for a cut to end: a rig tells by
-// that whether its faults met anything.
+// Passed returns how many bytes were forwarded, and how many reads had to wait for a cut to end: a test sees by
+// them whether its faults had any effect.
 func (k *Link) Passed(d Direction) (bytes int64, held int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.passed[d], k.held[d]
 }
 
-// Close ends the relay and all connections.
+// Close ends the proxy and resets all connections.
 func (k *Link) Close() {
 	_ = k.listener.Close()
 	k.Reset()
@@ -139,10 +141,10 @@
 	}
 }
 
-// join connects one that came to the target. While a direction is cut no connection can be made: the first word
-// of each side would be lost.
+// join connects an accepted connection to the target. While a direction is cut no connection can be made, as no
+// handshake would be answered.
 func (k *Link) join(near net.Conn) {
-	if !k.whole(There) || !k.whole(Back) {
+	if !k.whole(Upstream) || !k.whole(Downstream) {
 		_ = near.Close()
 		return
 	}
@@ -163,8 +165,8 @@
 	k.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); k.relay(There, near, far) }()
-	go func() { defer wg.Done(); k.relay(Back, far, near) }()
+	go func() { defer wg.Done(); k.relay(Upstream, near, far) }()
+	go func() { defer wg.Done(); k.relay(Downstream, far, near) }()
 	wg.Wait()
 	_, _ = near.Close(), far.Close()
 	k.mu.Lock()
@@ -172,11 +174,11 @@
 	k.mu.Unlock()
 }
 
-// whole waits until a direction is not cut; false: the relay has ended.
+// whole waits until a direction is not cut. It returns false when the proxy was closed meanwhile.
 func (k *Link) whole(d Direction) bool {
 	for first := true; ; first = false {
 		k.mu.Lock()
-		cut, closed, changed := k.weather[d].Cut, k.closed, k.changed
+		cut, closed, changed := k.conditions[d].Cut, k.closed, k.changed
 		if cut && first {
 			k.held[d]++
 		}
@@ -191,13 +193,13 @@
 	}
 }
 
-// piece is what was read at once, and when it is to be passed on.
+// piece is the bytes of one read, and the time at which they are to be forwarded.
 type piece struct {
 	bytes []byte
 	at    time.Time
 }
 
-// relay passes one direction on.
+// relay forwards one direction until it ends or breaks.
 func (k *Link) relay(d Direction, from, to net.Conn) {
 	pieces := make(chan piece, 64)
 	go func() {
@@ -216,7 +218,7 @@
 	broken := false
 	for p := range pieces {
 		if broken {
-			continue // it is lost; the reader ends by itself
+			continue // the bytes are lost; the reader ends by itself
 		}
 		time.Sleep(time.Until(p.at))
 		if !k.whole(d) {
@@ -224,7 +226,7 @@
 			continue
 		}
 		k.mu.Lock()
-		rate := k.weather[d].Bytes
+		rate := k.conditions[d].BytesPerSecond
 		k.passed[d] += int64(len(p.bytes))
 		k.mu.Unlock()
 		for rest := p.bytes; len(rest) > 0 && !broken; {
@@ -245,7 +247,7 @@
 func (k *Link) delay(d Direction) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	w := k.weather[d]
+	w := k.conditions[d]
 	if w.Jitter > 0 {
 		return w.Delay + time.Duration(k.random.Int64N(int64(w.Jitter)))
 	}
--- a/internal/links/links_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -1,4 +1,4 @@
-package links
+package faultproxy
 
 import (
 	"io"
@@ -70,9 +70,9 @@
 }
 
 func TestACutIsSilentEachWay(t *testing.T) {
-	for _, d := range []Direction{There, Back} {
+	for _, d := range []Direction{Upstream, Downstream} {
 		k, c := link(t)
-		k.Set(d, Weather{Cut: true})
+		k.Set(d, Conditions{Cut: true})
 		say(t, c, "word")
 		silent(t, c)
 		if _, held := k.Passed(d); held == 0 {
@@ -81,7 +81,7 @@
 		if _, held := k.Passed(1 - d); held != 0 {
 			t.Error("the other direction was cut, too")
 		}
-		k.Set(d, Weather{})
+		k.Set(d, Conditions{})
 		hear(t, c, "word") // late, and whole
 	}
 }
@@ -108,7 +108,7 @@
 		t.Error("not reset")
 	}
 	k, c = link(t)
-	k.Set(Back, Weather{Cut: true}) // who connected is not told
+	k.Set(Downstream, Conditions{Cut: true}) // who connected is not told
 	k.HalfOpen()
 	say(t, c, "lost")
 	silent(t, c)
@@ -116,7 +116,7 @@
 
 func TestDelayAndTrickle(t *testing.T) {
 	k, c := link(t)
-	k.Set(There, Weather{Delay: 50 * time.Millisecond, Jitter: 10 * time.Millisecond, Bytes: 200})
+	k.Set(Upstream, Conditions{Delay: 50 * time.Millisecond, Jitter: 10 * time.Millisecond, BytesPerSecond: 200})
 	began := time.Now()
 	say(t, c, "0123456789012345678901234567890123456789")
 	hear(t, c, "0123456789012345678901234567890123456789")
--- a/internal/monotonic/monotonic.go
+++ b/internal/monotonic/monotonic.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 )
 
 // Now returns the time since a moment in the past that is the same for all processes of a machine. It
@@ -17,5 +17,5 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // every system that this program is built for has it
 	}
-	return faultpoint.Clock(time.Duration(t.Nano()))
+	return failpoint.Clock(time.Duration(t.Nano()))
 }
--- a/internal/ownertrial/run.go
+++ b/internal/ownertrial/run.go
@@ -26,8 +26,8 @@
 	"mothcleat/agree"
 	"mothcleat/exports"
 	"mothcleat/internal/exporter"
+	"mothcleat/internal/faultproxy"
 	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/links"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/trial"
 	"mothcleat/lease"
@@ -457,10 +457,10 @@
 		}
 		switch what {
 		case 0:
-			l.Set(links.There, links.Weather{Delay: 20 * time.Millisecond, Jitter: 80 * time.Millisecond})
-			t.f.Links[j][i].Set(links.There, links.Weather{Jitter: 50 * time.Millisecond})
+			l.Set(faultproxy.Upstream, faultproxy.Conditions{Delay: 20 * time.Millisecond, Jitter: 80 * time.Millisecond})
+			t.f.Links[j][i].Set(faultproxy.Upstream, faultproxy.Conditions{Jitter: 50 * time.Millisecond})
 		case 1:
-			l.Set(links.There, links.Weather{Bytes: 4000})
+			l.Set(faultproxy.Upstream, faultproxy.Conditions{BytesPerSecond: 4000})
 		case 2:
 			l.Reset()
 		case 3:
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"mothcleat/chronicle"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/store"
 )
 
@@ -254,7 +254,7 @@
 		return err
 	}
 	b.Put(keyState, raw)
-	faultpoint.At("record-before-write")
+	failpoint.At("record-before-write")
 	if err := r.store.Commit(&b, store.Durable); err != nil {
 		return err
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -20,10 +20,10 @@
 	"syscall"
 	"time"
 
+	"mothcleat/internal/faultproxy"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/lab"
-	"mothcleat/internal/links"
 	"mothcleat/internal/voter"
 )
 
@@ -48,8 +48,8 @@
 // Fleet is a fleet that runs.
 type Fleet struct {
 	*lab.World
-	Links   [][]*links.Link // from one gateway to another; nil at [i][i]
-	Own     []string        // where each gateway listens for the others
+	Links   [][]*faultproxy.Link // from one gateway to another; nil at [i][i]
+	Own     []string             // where each gateway listens for the others
 	Exports string
 	Bin     string
 	opt     Options
@@ -134,7 +134,7 @@
 			f.Own = append(f.Own, own)
 		}
 		for i := range n {
-			f.Links = append(f.Links, make([]*links.Link, n))
+			f.Links = append(f.Links, make([]*faultproxy.Link, n))
 			for j := range n {
 				if i == j {
 					continue
@@ -143,7 +143,7 @@
 				if err != nil {
 					return err
 				}
-				if f.Links[i][j], err = links.New(net.JoinHostPort(host, "0"), f.Own[j], f.opt.Seed+uint64(i*n+j)); err != nil {
+				if f.Links[i][j], err = faultproxy.New(net.JoinHostPort(host, "0"), f.Own[j], f.opt.Seed+uint64(i*n+j)); err != nil {
 					return err
 				}
 			}
@@ -256,12 +256,12 @@
 		}
 		// What i says goes There on its own connections, and Back on those of others.
 		if to {
-			f.Links[i][j].Set(links.There, links.Weather{Cut: yes})
-			f.Links[j][i].Set(links.Back, links.Weather{Cut: yes})
+			f.Links[i][j].Set(faultproxy.Upstream, faultproxy.Conditions{Cut: yes})
+			f.Links[j][i].Set(faultproxy.Downstream, faultproxy.Conditions{Cut: yes})
 		}
 		if from {
-			f.Links[i][j].Set(links.Back, links.Weather{Cut: yes})
-			f.Links[j][i].Set(links.There, links.Weather{Cut: yes})
+			f.Links[i][j].Set(faultproxy.Downstream, faultproxy.Conditions{Cut: yes})
+			f.Links[j][i].Set(faultproxy.Upstream, faultproxy.Conditions{Cut: yes})
 		}
 	}
 }
@@ -290,7 +290,7 @@
 			if l == nil {
 				continue
 			}
-			for _, d := range []links.Direction{links.There, links.Back} {
+			for _, d := range []faultproxy.Direction{faultproxy.Upstream, faultproxy.Downstream} {
 				b, h := l.Passed(d)
 				bytes, held = bytes+b, held+h
 			}
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/monotonic"
 	"mothcleat/versions"
 )
@@ -33,7 +33,7 @@
 	a.applying.Lock()
 	defer a.applying.Unlock()
 	for _, due := range a.collectDue() {
-		faultpoint.At("version-before-force")
+		failpoint.At("version-before-force")
 		due.item.Use(due.raw, due.beside, due.order, due.done)
 	}
 }
--- a/internal/rollout/contents.go
+++ b/internal/rollout/contents.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/versions"
 )
 
@@ -101,7 +101,7 @@
 			return err
 		}
 		offset += int64(len(chunk))
-		faultpoint.At("content-amid-fetch")
+		failpoint.At("content-amid-fetch")
 	}
 	return c.finish(r.Digest)
 }
@@ -124,7 +124,7 @@
 	if err := f.Sync(); err != nil {
 		return err
 	}
-	faultpoint.At("content-before-name")
+	failpoint.At("content-before-name")
 	if err := os.Rename(name, c.path(digest)); err != nil {
 		return err
 	}
--- a/internal/rollout/fetch.go
+++ b/internal/rollout/fetch.go
@@ -7,7 +7,7 @@
 	"io/fs"
 
 	"mothcleat/agree"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/versions"
 )
@@ -57,7 +57,7 @@
 			why = err.Error()
 		}
 	}
-	if faultpoint.Denied("content-read") {
+	if failpoint.Denied("content-read") {
 		why = "this program can't read it"
 	}
 	if why != "" {
--- a/internal/rollout/guide.go
+++ b/internal/rollout/guide.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"mothcleat/internal/election"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/versions"
 )
 
@@ -23,7 +23,7 @@
 		return
 	}
 	for _, op := range versions.Guide(a.rules, term, &view) {
-		faultpoint.At("guide-before-agree")
+		failpoint.At("guide-before-agree")
 		// Not bound to the duty's context: a process that has lost the duty has to see that its
 		// command is refused because of its term.
 		err := a.command(context.WithoutCancel(ctx), op)
--- a/internal/rollout/permits.go
+++ b/internal/rollout/permits.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/monotonic"
 	"mothcleat/versions"
 )
@@ -21,7 +21,7 @@
 // Over reports whether what was decided under a permit may no longer be done. until and stamp are
 // what Acts returned at the decision.
 func (a *Agent) Over(until time.Duration, stamp uint64) bool {
-	faultpoint.At("permit-taken")
+	failpoint.At("permit-taken")
 	now := monotonic.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,7 +72,7 @@
 	if err := json.Unmarshal(raw, &answer); err != nil {
 		return
 	}
-	faultpoint.At("permit-told")
+	failpoint.At("permit-told")
 	a.takePermit(sent, &answer)
 }
 
--- a/internal/rollout/propose.go
+++ b/internal/rollout/propose.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mothcleat/agree"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/versions"
 )
@@ -33,7 +33,7 @@
 	if err := a.replicate(ctx, &list, digest, size); err != nil {
 		return 0, err
 	}
-	faultpoint.At("propose-before-agree")
+	failpoint.At("propose-before-agree")
 	view, err := a.View(ctx)
 	if err != nil {
 		return 0, err
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"mothcleat/chronicle"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/versions"
 )
 
@@ -18,7 +18,7 @@
 func (a *Agent) reportVersions(ctx context.Context) {
 	repeat(ctx, a.rules.Every/4, func() {
 		for _, r := range a.pendingReports() {
-			faultpoint.At("version-before-report")
+			failpoint.At("version-before-report")
 			err := a.command(ctx, r.op)
 			a.finishReport(r, err)
 		}
--- a/internal/usecount/usecount.go
+++ b/internal/usecount/usecount.go
@@ -21,7 +21,7 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/store"
 )
@@ -161,11 +161,11 @@
 		}
 		b.Put(openKey(boot), raw)
 	}
-	faultpoint.At("use-before-close")
+	failpoint.At("use-before-close")
 	if err := c.store.Commit(&b, store.Durable); err != nil {
 		return err
 	}
-	faultpoint.At("use-after-close")
+	failpoint.At("use-after-close")
 	return nil
 }
 
--- a/internal/voter/voter.go
+++ b/internal/voter/voter.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"mothcleat/agree"
-	"mothcleat/internal/faultpoint"
+	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/monotonic"
 	"mothcleat/store"
@@ -244,13 +244,13 @@
 			break
 		}
 		if len(w.Entries) > 0 {
-			faultpoint.At("voter-before-sync")
+			failpoint.At("voter-before-sync")
 		}
 		if err := v.folder.Save(w); err != nil {
 			return err
 		}
 		if len(w.Entries) > 0 {
-			faultpoint.At("voter-after-sync")
+			failpoint.At("voter-after-sync")
 		}
 		if w.Snapshot != nil {
 			v.kept = w.Snapshot.Metadata.GetIndex()
