--- a/internal/distributor/server_test.go
+++ b/internal/distributor/server_test.go
@@ -147,7 +147,8 @@
 // A stream that is not read for a while holds up nobody else. What it gets then follows without a gap, up to where the
 // server no longer has what lies between, and sends digests.
 func TestAReaderThatPauses(t *testing.T) {
-	const changes, logged = 3000, 8
+	// More than a stream's window ever holds.
+	const changes, addressBytes, logged = 600, 32 << 10, 8
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.Log.Entries, settings.MergeWindow = logged, 0
 	})
@@ -158,7 +159,7 @@
 	r := newReplica(t, "reads", "", quiet, s)
 	r.reaches(s)
 	for i := range changes {
-		s.agree(set(fmt.Sprintf("s%d", i%7), fmt.Sprintf("127.0.0.1:%d", 2+i)))
+		s.agree(set(fmt.Sprintf("s%d", i%7), fmt.Sprintf("%0*d", addressBytes, i)))
 		if i%logged == 0 {
 			r.reaches(s)
 		}
