--- a/chronicle/audit.go
+++ b/auditlog/audit.go
@@ -1,4 +1,4 @@
-package chronicle
+package auditlog
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Stretch is one gateway's acting on one version of an item.
+// Stretch is an interval in which one gateway operated under one version of an item.
 type Stretch struct {
 	ID     string `json:"id"`
 	Boot   string `json:"boot"`
@@ -15,23 +15,24 @@
 	From   int64  `json:"from"` // microseconds since 1970, by the gateway's clock
 	To     int64  `json:"to"`
 	Counts
-	First uint64 `json:"first"` // the entries that it rests on
+	First uint64 `json:"first"` // number of the first entry that it is derived from
 	Last  uint64 `json:"last"`
-	// Folded: it is of sums that stand for entries which are not kept any more; the entries named are all of those.
+	// Folded tells that it is derived from summaries in place of entries that are no longer kept. First and Last
+	// then name all entries of the summary.
 	Folded bool `json:"folded,omitempty"`
 }
 
-// Gap is a time of which a boot's record says nothing.
+// Gap is an interval that the log of an incarnation does not cover.
 type Gap struct {
 	ID   string `json:"id"`
 	Boot string `json:"boot"`
 	From int64  `json:"from"`
-	To   int64  `json:"to"` // 0: nothing follows
+	To   int64  `json:"to"` // 0 where no entry follows
 	Why  string `json:"why"`
 }
 
-// Audit joins entries that hold: who acted on which version from when to when and how often. What no record tells is a gap: a
-// longer silence than most microseconds between two entries, or an end that is none.
+// Audit joins verified entries: which gateway operated under which version, from when to when and how often. Gaps are
+// more than most microseconds between two entries, and chains without a last entry.
 func Audit(good []Entry, most int64) (all []Stretch, gaps []Gap) {
 	type key struct{ id, boot, item string }
 	open := map[key]int{} // where the stretch under way stands
--- a/chronicle/chronicle.go
+++ b/auditlog/auditlog.go
@@ -1,12 +1,13 @@
-// Package chronicle is a gateway's record of what it did under which versions, and what can be told from many of them afterwards. It
-// does no I/O.
+// Package auditlog is the audit log of a gateway: which configuration versions it applied, and how many operations
+// it did under each. It also verifies the logs of many gateways and joins them to one audit. It does no I/O.
 //
-// A record is a chain for each boot: entries count from 1, and each holds the hash of the one before, so that no entry can be changed,
-// left out, put in or doubled without that showing in all that come after. The newest hash of each chain is told to the fleet every few
-// seconds and agreed (Head): so a chain that was cut, or written anew from some place on, does not fit what its own boot once said,
-// and a boot that told two stories is known to have. What a chain can't show is what its process never wrote down; that is held against
-// what others saw.
-package chronicle
+// A log is one hash chain for each incarnation of a gateway, which the code calls a boot. Entries are numbered from 1,
+// and each holds the hash of the entry before, so that an entry that was changed, removed, inserted or duplicated
+// shows in all later ones. The hash of the newest entry of each chain (Head) is committed to the replicated state every
+// few seconds: so a chain that was truncated, or written anew from some entry on, does not match the heads that its own
+// incarnation reported, and two versions of one chain are detected. A chain can't show what its process never wrote
+// down; that is compared with what others observed.
+package auditlog
 
 import (
 	"cmp"
@@ -18,7 +19,7 @@
 	"slices"
 )
 
-// Counts are what was done.
+// Counts are the operations that were done.
 type Counts struct {
 	Sent    uint64  `json:"sent"`    // requests first sent on
 	Again   uint64  `json:"again"`   // attempts beyond the first
@@ -27,17 +28,18 @@
 	Turned  uint64  `json:"turned"`  // requests turned away because the gateway was shut out
 }
 
-// Plus adds.
+// Plus returns the sum.
 func (c Counts) Plus(o Counts) Counts {
 	return Counts{c.Sent + o.Sent, c.Again + o.Again, c.Units + o.Units, c.Refused + o.Refused, c.Turned + o.Turned}
 }
 
-// Minus takes away; it must not be more than there is.
+// Minus returns the difference. No count of o may be larger than that of c.
 func (c Counts) Minus(o Counts) Counts {
 	return Counts{c.Sent - o.Sent, c.Again - o.Again, c.Units - o.Units, c.Refused - o.Refused, c.Turned - o.Turned}
 }
 
-// Entry is what one process did in one stretch of time under one set of versions. A change of versions begins a new one.
+// Entry is what one incarnation did in one interval under one set of versions. A change of versions begins a new
+// entry.
 type Entry struct {
 	ID      string            `json:"id"`
 	Boot    string            `json:"boot"` // hexadecimal
@@ -46,13 +48,14 @@
 	Ended   int64             `json:"ended"`
 	InForce map[string]uint64 `json:"in_force,omitempty"`
 	Counts
-	// Folds stand for entries that are not kept any more: of this boot, or of earlier ones of the gateway. They are in the chain as all else.
+	// Folds are summaries in place of entries that are no longer kept: of this incarnation, or of earlier ones of the
+	// gateway. They are part of what the chain hashes.
 	Folds []Fold `json:"folds,omitempty"`
-	Last  bool   `json:"last,omitempty"` // the boot did nothing more
-	Prev  string `json:"prev"`           // hash of the entry before; of the first: of its id and boot
+	Last  bool   `json:"last,omitempty"` // the incarnation did nothing more
+	Prev  string `json:"prev"`           // hash of the entry before, or Root for the first
 }
 
-// Hash is over all that an entry says.
+// Hash returns the SHA-256 of the whole entry, in hexadecimal.
 func (e *Entry) Hash() string {
 	raw, err := json.Marshal(e)
 	if err != nil {
@@ -62,13 +65,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Root is what the first entry of a boot follows.
+// Root returns the hash that the first entry of an incarnation has as its Prev.
 func Root(id, boot string) string {
 	sum := sha256.Sum256([]byte(id + "/" + boot))
 	return hex.EncodeToString(sum[:])
 }
 
-// Head is where a chain stands, as its process told.
+// Head is the number and hash of the newest entry of a chain, as its process reported it.
 type Head struct {
 	ID   string `json:"id"`
 	Boot string `json:"boot"`
@@ -76,7 +79,7 @@
 	Hash string `json:"hash"`
 }
 
-// Damage is something that does not hold.
+// Damage is a place at which a chain fails verification.
 type Damage struct {
 	ID   string `json:"id"`
 	Boot string `json:"boot"`
@@ -90,8 +93,8 @@
 
 type chain struct{ id, boot string }
 
-// Verify holds records against themselves and against the heads that were agreed. It gives the entries that hold, chain by chain
-// in their order: what comes behind a break is not among them.
+// Verify checks chains in themselves and against the committed heads. It returns the entries that are valid, chain by
+// chain and in order, without those behind a break, and the damage that it found.
 func Verify(entries []Entry, heads []Head) (good []Entry, bad []Damage) {
 	chains := map[chain][]Entry{}
 	folds := map[chain][]Fold{}
--- a/chronicle/chronicle_test.go
+++ b/auditlog/auditlog_test.go
@@ -1,4 +1,4 @@
-package chronicle
+package auditlog
 
 import (
 	"fmt"
--- a/chronicle/fold.go
+++ b/auditlog/fold.go
@@ -1,4 +1,4 @@
-package chronicle
+package auditlog
 
 import (
 	"cmp"
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Fold stands for the first entries of a boot: their sums, and the hash of the last of them, which the next one follows.
+// Fold is a summary in place of the first entries of an incarnation: their sums, and the hash of the last of them,
+// which the next entry has as its Prev.
 type Fold struct {
 	Boot    string `json:"boot"`
 	Through uint64 `json:"through"`
@@ -14,7 +15,7 @@
 	Sums    []Sum  `json:"sums"`
 }
 
-// Sum is what was done in them under one version of an item.
+// Sum is what was done in those entries under one version of an item.
 type Sum struct {
 	Item   string `json:"item"`
 	Number uint64 `json:"number"`
@@ -23,8 +24,9 @@
 	Counts
 }
 
-// Folded gives what stands for the first entries of one boot, which have to be all up to the last of them but for those that were folded
-// before. Folds that they hold themselves, of this boot and of others, are in what it gives.
+// Folded returns the summary of the first entries of one incarnation. These have to be complete up to the last of
+// them, but for entries that were folded before. The result contains the folds that the entries hold themselves, of
+// this incarnation and of others.
 func Folded(entries []Entry, before []Fold) (all []Fold) {
 	if len(entries) == 0 {
 		return before
--- a/cmd/mothcleat/fleetversions.go
+++ b/cmd/mothcleat/fleetversions.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
+	"mothcleat/internal/auditrecorder"
 	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/recorder"
 	"mothcleat/versions"
 )
 
@@ -75,7 +75,7 @@
 				return err
 			}
 			for _, dir := range folders {
-				some, err := recorder.Read(fleetnode.RecordDir(dir))
+				some, err := auditrecorder.Read(fleetnode.RecordDir(dir))
 				if err != nil {
 					return err
 				}
@@ -86,7 +86,7 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", door, err)
 				}
-				var some []chronicle.Entry
+				var some []auditlog.Entry
 				if err := json.Unmarshal(raw, &some); err != nil {
 					return fmt.Errorf("%s: %w", door, err)
 				}
@@ -125,7 +125,7 @@
 // audit is one audit.
 type audit struct {
 	agreed        versions.View
-	entries       []chronicle.Entry
+	entries       []auditlog.Entry
 	item, gateway string
 	from, to      int64
 }
@@ -150,16 +150,16 @@
 
 // audited is what an audit tells.
 type audited struct {
-	Stretches []chronicle.Stretch `json:"stretches"`
-	Late      []late              `json:"late"`
-	Gaps      []chronicle.Gap     `json:"gaps"`
-	Damage    []chronicle.Damage  `json:"damage"`
-	Entries   int                 `json:"entries"`
+	Stretches []auditlog.Stretch `json:"stretches"`
+	Late      []late             `json:"late"`
+	Gaps      []auditlog.Gap     `json:"gaps"`
+	Damage    []auditlog.Damage  `json:"damage"`
+	Entries   int                `json:"entries"`
 }
 
 // late is a stretch that reaches beyond the end of its version.
 type late struct {
-	chronicle.Stretch
+	auditlog.Stretch
 	Ended int64         `json:"ended"` // the version, by the clock of who said so
 	Bound time.Duration `json:"bound"` // how long after that it may still be acted on
 	After time.Duration `json:"after"` // how long it was, by the gateway's clock
@@ -172,9 +172,9 @@
 )
 
 func (a *audit) run() (r audited) {
-	good, bad := chronicle.Verify(a.entries, a.agreed.Heads)
-	r.Damage, r.Entries = append(append([]chronicle.Damage{}, bad...), a.agreed.Forks...), len(good)
-	rows, gaps := chronicle.Audit(good, silence.Microseconds())
+	good, bad := auditlog.Verify(a.entries, a.agreed.Heads)
+	r.Damage, r.Entries = append(append([]auditlog.Damage{}, bad...), a.agreed.Forks...), len(good)
+	rows, gaps := auditlog.Audit(good, silence.Microseconds())
 	wanted := func(id string, from, to int64) bool {
 		return (a.gateway == "" || a.gateway == id) && (to == 0 || to >= a.from) && from <= a.to
 	}
--- a/internal/recorder/cells.go
+++ b/internal/auditrecorder/cells.go
@@ -1,4 +1,4 @@
-package recorder
+package auditrecorder
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"unsafe"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/internal/mmapfile"
 )
 
@@ -81,8 +81,8 @@
 }
 
 // counts are what a cell holds.
-func (n *cell) counts() chronicle.Counts {
-	return chronicle.Counts{Sent: n.sent.Load(), Again: n.again.Load(), Units: math.Float64frombits(n.units.Load()), Refused: n.refused.Load(), Turned: n.turned.Load()}
+func (n *cell) counts() auditlog.Counts {
+	return auditlog.Counts{Sent: n.sent.Load(), Again: n.again.Load(), Units: math.Float64frombits(n.units.Load()), Refused: n.refused.Load(), Turned: n.turned.Load()}
 }
 
 // inForce is what was in force in it.
--- a/internal/recorder/recorder.go
+++ b/internal/auditrecorder/recorder.go
@@ -1,6 +1,7 @@
-// Package recorder keeps a gateway's record (package chronicle) in a store. The loop counts in mapped memory, which costs some
-// nanoseconds and never waits; another goroutine writes entries. The next process writes down what the last one left.
-package recorder
+// Package auditrecorder writes the audit log of a gateway (package auditlog) to a store. The gateway's loop counts
+// operations in a memory-mapped file, which takes some nanoseconds and never blocks; another goroutine writes the
+// entries. The next process writes what its predecessor had counted and not yet written.
+package auditrecorder
 
 import (
 	"cmp"
@@ -20,20 +21,22 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/internal/failpoint"
 	"mothcleat/store"
 )
 
 const (
-	writeEach = time.Second
-	restEach  = 5 * time.Second // an entry though nothing was done: the record goes on
+	writeInterval = time.Second
+	idleInterval  = 5 * time.Second // between entries while nothing is done: the log goes on
 
-	// KeepMost is how many entries are kept, of all processes together: a day of the busiest. Older ones are folded into sums.
+	// KeepMost is how many entries are kept, of all incarnations together: those of a busy day. Older entries are
+	// folded into sums.
 	KeepMost = 100_000
 )
 
-// Recorder records what one process does. Count and Change are for the loop's goroutine alone.
+// Recorder writes the audit log of one process. Sent, Refused and Change may be called from the loop's goroutine
+// alone; the other methods may be called from any.
 type Recorder struct {
 	id    string
 	boot  uint64
@@ -45,23 +48,23 @@
 	store  *store.Store
 	state  state
 	failed bool
-	most   int              // entries kept
-	folds  []chronicle.Fold // go into the next entry,
-	drop   store.Batch      // in one batch with the removal of what they stand for
+	most   int             // entries kept
+	folds  []auditlog.Fold // go into the next entry,
+	drop   store.Batch     // in one batch with the removal of what they stand for
 	fewer  int
-	head   atomic.Pointer[chronicle.Head]
+	head   atomic.Pointer[auditlog.Head]
 }
 
-// state is how far the record has come: kept in one batch with the entries.
+// state is the progress of the log. It is stored in one batch with the entries.
 type state struct {
-	Boot    uint64           `json:"boot"`
-	Seq     uint64           `json:"seq"`
-	Hash    string           `json:"hash"`
-	Cell    uint64           `json:"cell"`    // the one that is written from
-	Written chronicle.Counts `json:"written"` // of it
-	Ended   int64            `json:"ended"`   // of the last entry
-	Over    bool             `json:"over"`
-	Kept    int              `json:"kept"` // entries, of all processes
+	Boot    uint64          `json:"boot"`
+	Seq     uint64          `json:"seq"`
+	Hash    string          `json:"hash"`
+	Cell    uint64          `json:"cell"`    // the one that is written from
+	Written auditlog.Counts `json:"written"` // of it
+	Ended   int64           `json:"ended"`   // of the last entry
+	Over    bool            `json:"over"`
+	Kept    int             `json:"kept"` // entries, of all processes
 }
 
 var keyState = []byte("state")
@@ -72,8 +75,8 @@
 
 func bootText(boot uint64) string { return strconv.FormatUint(boot, 16) }
 
-// Open opens the record in a folder, makes it where there is none, and ends what the process before left open. Its errors
-// wrap store.ErrLocked where another process records there.
+// Open opens the audit log in a folder, creates it where there is none, and ends the chain that the process before
+// left open. Its errors wrap store.ErrLocked where another process writes there.
 func Open(dir, id string, boot uint64, log *slog.Logger) (_ *Recorder, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -103,7 +106,7 @@
 			return nil, errors.Join(err, r.cells.close())
 		}
 	}
-	r.state = state{Boot: boot, Hash: chronicle.Root(id, bootText(boot)), Cell: 1, Ended: time.Now().UnixMicro(), Kept: r.state.Kept}
+	r.state = state{Boot: boot, Hash: auditlog.Root(id, bootText(boot)), Cell: 1, Ended: time.Now().UnixMicro(), Kept: r.state.Kept}
 	r.now = r.cells.begin(boot, map[string]uint64{})
 	return r, r.put(nil)
 }
@@ -118,7 +121,7 @@
 	r.now.sent.Add(1)
 }
 
-// Refused counts a request that was refused; turned: because this gateway was shut out.
+// Refused counts a request that was refused. With turned it was refused because this gateway is fenced.
 func (r *Recorder) Refused(turned bool) {
 	if turned {
 		r.now.turned.Add(1)
@@ -127,12 +130,12 @@
 	}
 }
 
-// Change takes in what is in force from now on.
+// Change sets the versions that are in force from now on.
 func (r *Recorder) Change(inForce map[string]uint64) { r.now = r.cells.next(inForce) }
 
 // Run writes entries until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
-	tick := time.NewTicker(writeEach)
+	tick := time.NewTicker(writeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -151,24 +154,24 @@
 	}
 }
 
-// write adds what was counted since the last time, in an entry for each set of versions; last: the boot does nothing more. The lock is held,
-// or nobody else is there yet.
+// write adds what was counted since the last call, in an entry for each set of versions. With last the incarnation
+// does nothing more. The caller holds r.mu, or no other goroutine has the Recorder yet.
 func (r *Recorder) write(now int64, last bool) error {
 	was := r.state
-	var entries []chronicle.Entry
+	var entries []auditlog.Entry
 	newest := r.cells.begun.Load()
 	if newest-r.state.Cell >= cellCount {
 		r.log.Error("fleet: versions changed faster than they can be recorded: acts are missing from the record", "cells", newest-r.state.Cell)
-		r.state.Cell, r.state.Written = newest-cellCount+1, chronicle.Counts{}
+		r.state.Cell, r.state.Written = newest-cellCount+1, auditlog.Counts{}
 	}
 	for {
 		c := r.cells.at(r.state.Cell)
 		counts := c.counts()
 		did := counts.Minus(r.state.Written)
 		ends := r.state.Cell < newest
-		if did != (chronicle.Counts{}) || last && !ends || !ends && time.Duration(now-r.state.Ended)*time.Microsecond >= restEach {
+		if did != (auditlog.Counts{}) || last && !ends || !ends && time.Duration(now-r.state.Ended)*time.Microsecond >= idleInterval {
 			r.state.Seq++
-			e := chronicle.Entry{ID: r.id, Boot: bootText(r.state.Boot), Seq: r.state.Seq, Begun: r.state.Ended, Ended: now, InForce: c.inForce(),
+			e := auditlog.Entry{ID: r.id, Boot: bootText(r.state.Boot), Seq: r.state.Seq, Begun: r.state.Ended, Ended: now, InForce: c.inForce(),
 				Counts: did, Last: last && !ends, Prev: r.state.Hash}
 			if len(entries) == 0 {
 				e.Folds = r.folds
@@ -182,7 +185,7 @@
 			break
 		}
 		r.state.Cell++
-		r.state.Written = chronicle.Counts{}
+		r.state.Written = auditlog.Counts{}
 	}
 	if len(entries) == 0 {
 		return nil
@@ -200,14 +203,15 @@
 	return nil
 }
 
-// fold has the next entry stand for the older half of what is kept, too: for the entries of processes that ended first, and the first ones
-// of this. They are removed with it, in one batch. The lock is held.
+// fold prepares the next entry to hold a summary of the older half of the entries: those of the incarnations that
+// ended first, and the first ones of this incarnation. They are removed in the batch that writes that entry. The caller
+// holds r.mu.
 func (r *Recorder) fold() error {
 	all, err := entries(r.store, 0)
 	if err != nil {
 		return err
 	}
-	byBoot := map[string][]chronicle.Entry{}
+	byBoot := map[string][]auditlog.Entry{}
 	for _, e := range all { // by boot, in their order
 		byBoot[e.Boot] = append(byBoot[e.Boot], e)
 	}
@@ -225,7 +229,7 @@
 		if len(list) == 0 || gone >= want {
 			break
 		}
-		r.folds = chronicle.Folded(list, r.folds)
+		r.folds = auditlog.Folded(list, r.folds)
 		number, err := strconv.ParseUint(boot, 16, 64)
 		if err != nil {
 			return err
@@ -239,8 +243,8 @@
 	return nil
 }
 
-// put keeps entries and the state, in one batch.
-func (r *Recorder) put(entries []chronicle.Entry) error {
+// put stores entries and the state in one batch.
+func (r *Recorder) put(entries []auditlog.Entry) error {
 	b := r.drop
 	for i := range entries {
 		raw, err := json.Marshal(&entries[i])
@@ -259,31 +263,32 @@
 		return err
 	}
 	if r.state.Seq > 0 {
-		r.head.Store(&chronicle.Head{ID: r.id, Boot: bootText(r.state.Boot), Seq: r.state.Seq, Hash: r.state.Hash})
+		r.head.Store(&auditlog.Head{ID: r.id, Boot: bootText(r.state.Boot), Seq: r.state.Seq, Hash: r.state.Hash})
 	}
 	return nil
 }
 
-// Head is where the record of this process stands on disk; nil: it has no entry yet.
-func (r *Recorder) Head() *chronicle.Head {
+// Head returns the newest entry on disk of this process, or nil where it has none yet.
+func (r *Recorder) Head() *auditlog.Head {
 	if h := r.head.Load(); h != nil && h.Boot == bootText(r.boot) {
 		return h
 	}
 	return nil
 }
 
-// Entries are those of this gateway that ended at a time or later, in microseconds since 1970, of all its processes.
-func (r *Recorder) Entries(from int64) ([]chronicle.Entry, error) { return entries(r.store, from) }
+// Entries returns the entries of all incarnations of this gateway that ended at from or later, in microseconds since
+// 1970.
+func (r *Recorder) Entries(from int64) ([]auditlog.Entry, error) { return entries(r.store, from) }
 
-// Close writes the last entry. Nothing may be counted any more.
+// Close writes the last entry and closes the store. Nothing may be counted after it.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return errors.Join(r.write(time.Now().UnixMicro(), true), r.store.Close(), r.cells.close())
 }
 
-// Read gives all entries of the record in a folder in which no process records now.
-func Read(dir string) (all []chronicle.Entry, err error) {
+// Read returns all entries of the audit log in a folder to which no process writes now.
+func Read(dir string) (all []auditlog.Entry, err error) {
 	s, err := store.Open(filepath.Join(dir, "entries"), store.Options{ReadOnly: true})
 	if err != nil {
 		return nil, err
@@ -296,7 +301,7 @@
 	return all, err
 }
 
-func entries(s *store.Store, from int64) (all []chronicle.Entry, err error) {
+func entries(s *store.Store, from int64) (all []auditlog.Entry, err error) {
 	v, err := s.Snapshot()
 	if err != nil {
 		return nil, err
@@ -306,7 +311,7 @@
 		if err != nil {
 			return all, err
 		}
-		var e chronicle.Entry
+		var e auditlog.Entry
 		if err := json.Unmarshal(item.Value, &e); err != nil {
 			return all, fmt.Errorf("an entry that can't be read: %w", err)
 		}
--- a/internal/recorder/recorder_test.go
+++ b/internal/auditrecorder/recorder_test.go
@@ -1,10 +1,10 @@
-package recorder
+package auditrecorder
 
 import (
 	"log/slog"
 	"testing"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -13,8 +13,8 @@
 // versions that it was done by.
 func TestWhatAKilledProcessLeft(t *testing.T) {
 	dir := t.TempDir()
-	var heads []chronicle.Head
-	total := chronicle.Counts{}
+	var heads []auditlog.Head
+	total := auditlog.Counts{}
 	for boot := uint64(1); boot <= 6; boot++ {
 		r, err := Open(dir, "n0", boot, quiet)
 		if err != nil {
@@ -25,7 +25,7 @@
 			r.Sent(false, 2.5)
 			r.Refused(false)
 			r.Refused(true)
-			total = total.Plus(chronicle.Counts{Sent: 1, Again: 1, Units: 2.5, Refused: 1, Turned: 1})
+			total = total.Plus(auditlog.Counts{Sent: 1, Again: 1, Units: 2.5, Refused: 1, Turned: 1})
 			if k%2 == 0 {
 				r.Change(map[string]uint64{"plans": boot*10 + uint64(k)})
 			}
@@ -63,11 +63,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, bad := chronicle.Verify(all, heads)
+	good, bad := auditlog.Verify(all, heads)
 	if len(bad) > 0 || len(good) != len(all) || len(heads) == 0 {
 		t.Fatalf("%v, %d of %d entries, %d heads", bad, len(good), len(all), len(heads))
 	}
-	var sum chronicle.Counts
+	var sum auditlog.Counts
 	byVersion := map[uint64]uint64{}
 	for _, e := range all {
 		sum = sum.Plus(e.Counts)
@@ -82,7 +82,7 @@
 			t.Errorf("boot %d: %v", boot, byVersion)
 		}
 	}
-	if _, gaps := chronicle.Audit(good, 1<<62); len(gaps) != 0 {
+	if _, gaps := auditlog.Audit(good, 1<<62); len(gaps) != 0 {
 		t.Errorf("%+v", gaps)
 	}
 }
@@ -103,7 +103,7 @@
 // A record that is bounded holds all the same: what is not kept any more is in sums, which are in the chain.
 func TestABoundedRecordHolds(t *testing.T) {
 	dir := t.TempDir()
-	var heads []chronicle.Head
+	var heads []auditlog.Head
 	done, most := uint64(0), 0
 	for boot := uint64(1); boot <= 9; boot++ {
 		r, err := Open(dir, "n0", boot*7919%100, quiet)
@@ -137,12 +137,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		good, bad := chronicle.Verify(all, heads)
+		good, bad := auditlog.Verify(all, heads)
 		if len(bad) > 0 || len(good) != len(all) {
 			t.Fatalf("boot %d: %v", boot, bad)
 		}
 		sum := uint64(0)
-		rows, _ := chronicle.Audit(good, 1<<62)
+		rows, _ := auditlog.Audit(good, 1<<62)
 		for _, row := range rows {
 			sum += row.Sent
 		}
@@ -170,7 +170,7 @@
 		for j := range all[i].Folds {
 			for k := range all[i].Folds[j].Sums {
 				all[i].Folds[j].Sums[k].Sent++
-				if _, bad := chronicle.Verify(all, heads[len(heads)-1:]); len(bad) == 0 {
+				if _, bad := auditlog.Verify(all, heads[len(heads)-1:]); len(bad) == 0 {
 					t.Errorf("entry %d: a changed sum does not show", i)
 				}
 				all[i].Folds[j].Sums[k].Sent--
--- a/internal/audittrial/hard_test.go
+++ b/internal/audittrial/hard_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
+	"mothcleat/internal/auditrecorder"
 	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/recorder"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/rig/rigtest"
 	"mothcleat/internal/trial"
@@ -201,7 +201,7 @@
 // servers took. Then a record is cut, written anew, and copied to another gateway, and each shows.
 func TestRecordsAccountForAllThatServersTook(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4, Seed: 6})
-	var heads []chronicle.Head
+	var heads []auditlog.Head
 	rigtest.Check(t, f.Save(3))
 	play(t, f, func() {
 		number := proposed(t, f, 0, versions.One, plansText(f.Site, 0.8))
@@ -242,15 +242,15 @@
 	}
 	wrote, err := records(f)
 	rigtest.Check(t, err)
-	var all []chronicle.Entry
+	var all []auditlog.Entry
 	for i := range f.Gateways {
 		all = append(all, wrote[i]...)
 	}
-	good, bad := chronicle.Verify(all, heads)
+	good, bad := auditlog.Verify(all, heads)
 	if len(bad) > 0 {
 		t.Errorf("%v", bad)
 	}
-	rows, _ := chronicle.Audit(good, (10 * time.Second).Microseconds())
+	rows, _ := auditlog.Audit(good, (10 * time.Second).Microseconds())
 	if len(rows) == 0 {
 		t.Error("nobody acted on anything")
 	}
@@ -259,29 +259,29 @@
 			t.Errorf("%s: %d requests are in no record", rig.Name(i), unexplained)
 		}
 	}
-	damaged := func(what string, change func([]chronicle.Entry) []chronicle.Entry) {
-		var some []chronicle.Entry
+	damaged := func(what string, change func([]auditlog.Entry) []auditlog.Entry) {
+		var some []auditlog.Entry
 		for i := range f.Gateways {
-			entries := append([]chronicle.Entry(nil), wrote[i]...)
+			entries := append([]auditlog.Entry(nil), wrote[i]...)
 			if i == 3 {
 				entries = change(entries)
 			}
 			some = append(some, entries...)
 		}
-		if _, bad := chronicle.Verify(some, heads); len(bad) == 0 {
+		if _, bad := auditlog.Verify(some, heads); len(bad) == 0 {
 			t.Errorf("a record that was %s does not show", what)
 		}
 	}
-	damaged("cut", func(e []chronicle.Entry) []chronicle.Entry { return e[:len(e)/3] })
-	damaged("changed", func(e []chronicle.Entry) []chronicle.Entry { e[0].Units++; return e })
-	damaged("copied from another gateway", func([]chronicle.Entry) []chronicle.Entry { return wrote[2] })
+	damaged("cut", func(e []auditlog.Entry) []auditlog.Entry { return e[:len(e)/3] })
+	damaged("changed", func(e []auditlog.Entry) []auditlog.Entry { e[0].Units++; return e })
+	damaged("copied from another gateway", func([]auditlog.Entry) []auditlog.Entry { return wrote[2] })
 	rigtest.Check(t, f.Restore(3))
 	if err := f.Command(0, io.Discard, append(audit, "--verify")...); err == nil {
 		t.Error("mothcleat fleet audit finds a record good that was put back from a copy")
 	}
-	older, err := recorder.Read(fleetnode.RecordDir(f.FleetDir(3)))
+	older, err := auditrecorder.Read(fleetnode.RecordDir(f.FleetDir(3)))
 	rigtest.Check(t, err)
-	damaged("put back from a copy", func([]chronicle.Entry) []chronicle.Entry { return older })
+	damaged("put back from a copy", func([]auditlog.Entry) []auditlog.Entry { return older })
 }
 
 // One gateway's program can't read a version. Tried there first, it is held, and that gateway goes on with what is for all; by a person's
--- a/internal/audittrial/judge.go
+++ b/internal/audittrial/judge.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
+	"mothcleat/auditlog"
 	"mothcleat/budget"
-	"mothcleat/chronicle"
+	"mothcleat/internal/auditrecorder"
 	"mothcleat/internal/budgettrial"
 	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/recorder"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/trial"
 )
@@ -74,10 +74,10 @@
 }
 
 // records are what all gateways wrote down, after they have ended.
-func records(f *rig.Fleet) (all map[int][]chronicle.Entry, err error) {
-	all = map[int][]chronicle.Entry{}
+func records(f *rig.Fleet) (all map[int][]auditlog.Entry, err error) {
+	all = map[int][]auditlog.Entry{}
 	for i := range f.Gateways {
-		entries, bad := recorder.Read(fleetnode.RecordDir(f.FleetDir(i)))
+		entries, bad := auditrecorder.Read(fleetnode.RecordDir(f.FleetDir(i)))
 		all[i], err = entries, errors.Join(err, bad)
 	}
 	return all, err
@@ -85,8 +85,8 @@
 
 // account holds a gateway's record against what the servers took: how many requests no record accounts for, beyond one for each kill, and
 // how many the record has that no server took.
-func account(f *rig.Fleet, i int, entries []chronicle.Entry) (unexplained, untaken int) {
-	var told chronicle.Counts
+func account(f *rig.Fleet, i int, entries []auditlog.Entry) (unexplained, untaken int) {
+	var told auditlog.Counts
 	for _, e := range entries {
 		told = told.Plus(e.Counts)
 	}
@@ -101,7 +101,7 @@
 }
 
 // wrong are the rows of an audit that do not fit what the gateways logged when they changed: a version that was not in force there then.
-func wrong(rows []chronicle.Stretch, f *rig.Fleet, logs map[int][]span) (n int) {
+func wrong(rows []auditlog.Stretch, f *rig.Fleet, logs map[int][]span) (n int) {
 	for _, row := range rows {
 		if row.Item != "plans" || row.Sent+row.Again == 0 {
 			continue
--- a/internal/audittrial/run.go
+++ b/internal/audittrial/run.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/internal/fleetnode"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/trial"
@@ -85,7 +85,7 @@
 	calls   int
 	refused int // of proposals, while another roll-out is under way or nobody is to be asked
 	drawn   int // withdrawn
-	heads   []chronicle.Head
+	heads   []auditlog.Head
 	behind  map[string]bool // members that were seen behind
 	brought int
 }
@@ -324,7 +324,7 @@
 	if err != nil {
 		return fig, err
 	}
-	var all []chronicle.Entry
+	var all []auditlog.Entry
 	unexplained, untaken := 0, 0
 	for i := range c.f.Gateways {
 		u, n := account(c.f, i, wrote[i])
@@ -332,12 +332,12 @@
 		all = append(all, wrote[i]...)
 	}
 	broken("unexplained_acts", unexplained, "%d requests are in no record", unexplained)
-	good, bad := chronicle.Verify(all, c.heads)
+	good, bad := auditlog.Verify(all, c.heads)
 	for _, d := range bad {
 		broken("record_broken", 1, "%s", d)
 	}
 	fig.Broken["record_broken"] += 0
-	rows, gaps := chronicle.Audit(good, (10 * time.Second).Microseconds())
+	rows, gaps := auditlog.Audit(good, (10 * time.Second).Microseconds())
 	n := wrong(rows, c.f, logs)
 	broken("wrong_version", n, "%d stretches of the audit do not fit what was logged", n)
 	unseen := c.forge(wrote)
@@ -364,19 +364,19 @@
 }
 
 // forge damages each gateway's record in turn, in each way, and gives those that do not show.
-func (c *course) forge(wrote map[int][]chronicle.Entry) (unseen []string) {
+func (c *course) forge(wrote map[int][]auditlog.Entry) (unseen []string) {
 	for i := range c.f.Gateways {
-		for what, change := range map[string]func([]chronicle.Entry) []chronicle.Entry{
-			"cut":      func(e []chronicle.Entry) []chronicle.Entry { return e[:len(e)/4] },
-			"changed":  func(e []chronicle.Entry) []chronicle.Entry { e[0].Units++; return e },
-			"left out": func(e []chronicle.Entry) []chronicle.Entry { return slices.Delete(e, 1, 2) },
-			"removed":  func([]chronicle.Entry) []chronicle.Entry { return nil },
-			"copied":   func([]chronicle.Entry) []chronicle.Entry { return wrote[(i+1)%len(c.f.Gateways)] },
+		for what, change := range map[string]func([]auditlog.Entry) []auditlog.Entry{
+			"cut":      func(e []auditlog.Entry) []auditlog.Entry { return e[:len(e)/4] },
+			"changed":  func(e []auditlog.Entry) []auditlog.Entry { e[0].Units++; return e },
+			"left out": func(e []auditlog.Entry) []auditlog.Entry { return slices.Delete(e, 1, 2) },
+			"removed":  func([]auditlog.Entry) []auditlog.Entry { return nil },
+			"copied":   func([]auditlog.Entry) []auditlog.Entry { return wrote[(i+1)%len(c.f.Gateways)] },
 		} {
 			if len(wrote[i]) < 8 {
 				continue
 			}
-			var some []chronicle.Entry
+			var some []auditlog.Entry
 			for j := range c.f.Gateways {
 				e := slices.Clone(wrote[j])
 				if j == i {
@@ -384,7 +384,7 @@
 				}
 				some = append(some, e...)
 			}
-			if _, bad := chronicle.Verify(some, c.heads); len(bad) == 0 {
+			if _, bad := auditlog.Verify(some, c.heads); len(bad) == 0 {
 				unseen = append(unseen, rig.Name(i)+" "+what)
 			}
 		}
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -17,17 +17,17 @@
 	"time"
 
 	"mothcleat/agree"
+	"mothcleat/auditlog"
 	"mothcleat/budget"
-	"mothcleat/chronicle"
 	"mothcleat/distribution"
 	"mothcleat/exports"
+	"mothcleat/internal/auditrecorder"
 	"mothcleat/internal/budgets"
 	"mothcleat/internal/distributor"
 	"mothcleat/internal/election"
 	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/recorder"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/rollout"
 	"mothcleat/internal/usecount"
@@ -91,8 +91,8 @@
 	server   atomic.Pointer[fleetlink.Server]
 
 	counter atomic.Pointer[usecount.Counter]
-	record  atomic.Pointer[recorder.Recorder] // nil: none yet, or there are no versions
-	early   chan use                          // what was sent on before the counts were open
+	record  atomic.Pointer[auditrecorder.Recorder] // nil: none yet, or there are no versions
+	early   chan use                               // what was sent on before the counts were open
 	missed  atomic.Uint64
 
 	leave   context.CancelFunc // ends the holding of duties
@@ -198,7 +198,7 @@
 				r.Change(inForce)
 			}
 		})
-		n.agent.Heads(func() *chronicle.Head { return n.record.Load().Head() })
+		n.agent.Heads(func() *auditlog.Head { return n.record.Load().Head() })
 		n.duties.Add(versions.Duty, n.agent.Work)
 	}
 	go n.run(holding)
@@ -306,9 +306,9 @@
 			n.agent.Gone(boots.Gone)
 		}
 	}
-	var record *recorder.Recorder
+	var record *auditrecorder.Recorder
 	if n.agent != nil {
-		if record, err = recorder.Open(RecordDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Log); err != nil {
+		if record, err = auditrecorder.Open(RecordDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Log); err != nil {
 			return err
 		}
 		defer func() {
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
@@ -63,7 +63,7 @@
 
 	sourceSet  atomic.Pointer[sourceSet]       // nil until first asked for
 	onChange   func(inForce map[string]uint64) // set by Follow, may be nil
-	recordHead func() *chronicle.Head          // set by Heads, may be nil
+	recordHead func() *auditlog.Head           // set by Heads, may be nil
 }
 
 // New returns an agent that may not act on anything yet. items maps the names of items to what
@@ -99,7 +99,7 @@
 
 // Heads sets the function that returns the head of this process's audit record, which the agent
 // reports to the fleet. Call it before Run.
-func (a *Agent) Heads(head func() *chronicle.Head) { a.recordHead = head }
+func (a *Agent) Heads(head func() *auditlog.Head) { a.recordHead = head }
 
 // Run runs the agent's loops until the context ends. It returns when all of them have ended.
 func (a *Agent) Run(ctx context.Context) {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/internal/failpoint"
 	"mothcleat/versions"
 )
@@ -67,7 +67,7 @@
 	if a.recordHead == nil {
 		return
 	}
-	var last chronicle.Head
+	var last auditlog.Head
 	repeat(ctx, headReportInterval, func() {
 		head := a.recordHead()
 		if head == nil || *head == last {
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -118,7 +118,7 @@
 	string(RoleElection): {"five replicas of the log",
 		"`lease`, `agree`, `internal/fleetlink`: the duties, watched as a whole"},
 	string(RoleAudit): {"a gateway: its own record",
-		"`chronicle`, `internal/recorder`: the record's head, agreed every 3 s while it changes"},
+		"`auditlog`, `internal/auditrecorder`: the record's head, agreed every 3 s while it changes"},
 	string(RoleMetering): {"a gateway: use by tenant, until it is collected",
 		"`internal/usecount`, `internal/exporter`: collected every 5 s by one owner"},
 	string(RoleMembership): {"all 620 processes, at each",
--- a/versions/machine.go
+++ b/versions/machine.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/lease"
 )
 
@@ -29,8 +29,8 @@
 	items   map[string][]*Version // the oldest first
 	members map[lease.Member]*Standing
 	shut    map[string]Shut
-	heads   map[string][]chronicle.Head // by id, the newest boot last
-	forks   []chronicle.Damage
+	heads   map[string][]auditlog.Head // by id, the newest boot last
+	forks   []auditlog.Damage
 	seq     uint64 // commands taken in; a part of the state
 	changes uint64 // the same, and states restored
 }
@@ -38,7 +38,7 @@
 // NewMachine makes a machine that asks a table of duties, of the same agreed state, who guides.
 func NewMachine(r Rules, f Fence) *Machine {
 	return &Machine{rules: r, fence: f, items: map[string][]*Version{}, members: map[lease.Member]*Standing{}, shut: map[string]Shut{},
-		heads: map[string][]chronicle.Head{}}
+		heads: map[string][]auditlog.Head{}}
 }
 
 // Apply carries out the Op in a body and returns a Result, both as JSON.
@@ -178,19 +178,19 @@
 }
 
 // head takes in where a record stands. A process that names another hash for the same entry, or goes back, has told two stories.
-func (m *Machine) head(who lease.Member, h *chronicle.Head) error {
+func (m *Machine) head(who lease.Member, h *auditlog.Head) error {
 	if h == nil || h.ID != who.ID || h.Boot != strconv.FormatUint(who.Boot, 16) || !digest.MatchString(h.Hash) {
 		return ErrBad
 	}
 	all := m.heads[who.ID]
-	i := slices.IndexFunc(all, func(o chronicle.Head) bool { return o.Boot == h.Boot })
+	i := slices.IndexFunc(all, func(o auditlog.Head) bool { return o.Boot == h.Boot })
 	if i < 0 {
 		all = append(all, *h)
 		m.heads[who.ID] = all[max(0, len(all)-headsMost):]
 		return nil
 	}
 	if h.Seq < all[i].Seq || h.Seq == all[i].Seq && h.Hash != all[i].Hash {
-		m.forks = append(m.forks, chronicle.Damage{ID: h.ID, Boot: h.Boot, Seq: h.Seq, What: fmt.Sprintf("its process told of entry %d before", all[i].Seq)})
+		m.forks = append(m.forks, auditlog.Damage{ID: h.ID, Boot: h.Boot, Seq: h.Seq, What: fmt.Sprintf("its process told of entry %d before", all[i].Seq)})
 		m.forks = m.forks[max(0, len(m.forks)-forksMost):]
 		return nil // it is on record
 	}
--- a/versions/op.go
+++ b/versions/op.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 )
 
 // Op is one command, encoded as JSON in the log.
@@ -23,7 +23,7 @@
 	Stage  Stage    `json:"stage,omitempty"`
 	Pilots []string `json:"pilots,omitempty"`
 
-	Head *chronicle.Head `json:"head,omitempty"` // where its sender's record stands
+	Head *auditlog.Head `json:"head,omitempty"` // where its sender's record stands
 
 	Refused bool   `json:"refused,omitempty"` // of a report: it can't be acted on here; else it is in force
 	ID      string `json:"id,omitempty"`      // of a shut or let
--- a/versions/state.go
+++ b/versions/state.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/chronicle"
+	"mothcleat/auditlog"
 	"mothcleat/lease"
 )
 
@@ -44,8 +44,8 @@
 	Members  []Standing    `json:"members"`
 	Shut     []Shut        `json:"shut"`
 	// Heads are where records stand, by their processes' own word, and Forks where a process told two stories.
-	Heads []chronicle.Head   `json:"heads"`
-	Forks []chronicle.Damage `json:"forks"`
+	Heads []auditlog.Head   `json:"heads"`
+	Forks []auditlog.Damage `json:"forks"`
 }
 
 // View returns all that is agreed, sorted, so that the same state gives the same View.
@@ -69,7 +69,7 @@
 		v.Shut = append(v.Shut, s)
 	}
 	slices.SortFunc(v.Shut, func(a, b Shut) int { return cmp.Compare(a.ID, b.ID) })
-	v.Heads, v.Forks = []chronicle.Head{}, slices.Clone(m.forks)
+	v.Heads, v.Forks = []auditlog.Head{}, slices.Clone(m.forks)
 	for _, id := range slices.Sorted(maps.Keys(m.heads)) {
 		v.Heads = append(v.Heads, m.heads[id]...)
 	}
