--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -28,9 +28,9 @@
 	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/metering"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/rollout"
-	"mothcleat/internal/usecount"
 	"mothcleat/internal/voter"
 	"mothcleat/lease"
 	"mothcleat/roster"
@@ -90,7 +90,7 @@
 	boots    atomic.Pointer[budgets.Boots]
 	server   atomic.Pointer[fleetlink.Server]
 
-	counter atomic.Pointer[usecount.Counter]
+	counter atomic.Pointer[metering.Counter]
 	record  atomic.Pointer[auditrecorder.Recorder] // nil: none yet, or there are no versions
 	early   chan use                               // what was sent on before the counts were open
 	missed  atomic.Uint64
@@ -273,9 +273,9 @@
 		return err
 	}
 	var parts fleetlink.Parts
-	var counter *usecount.Counter
+	var counter *metering.Counter
 	if n.cfg.Shards > 0 {
-		if counter, err = usecount.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Period, n.cfg.Log); err != nil {
+		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Period, n.cfg.Log); err != nil {
 			return err
 		}
 		parts = counter.Parts
@@ -468,7 +468,7 @@
 }
 
 // countEarly counts what was sent on before the counts were open.
-func (n *Node) countEarly(c *usecount.Counter) {
+func (n *Node) countEarly(c *metering.Counter) {
 	for len(n.early) > 0 {
 		u := <-n.early
 		c.Count(u.customer, u.units)
--- a/internal/usecount/usecount.go
+++ b/internal/metering/metering.go
@@ -1,10 +1,10 @@
-// Package usecount counts what a gateway sends on, by customer and period, so that a kill at any
-// instruction takes nothing: at most the one request whose sending and counting it came between.
+// Package metering counts the units that a gateway forwards, by tenant and period. A kill at any instruction loses at
+// most the one request that was sent and not yet counted.
 //
-// The gateway's loop adds to a ring in mapped memory, which costs some ten nanoseconds and never waits. Another
-// goroutine takes from it and keeps sums in a store, together with how far it has taken, so that each record is in one
-// period once. The next process finishes what the last one left.
-package usecount
+// The gateway's loop appends to a ring buffer in a memory-mapped file, which takes some tens of nanoseconds and never
+// blocks. Another goroutine reads it and stores sums together with its read position, so that each record is counted in
+// exactly one period. The next process counts what its predecessor left in the ring buffer.
+package metering
 
 import (
 	"context"
@@ -26,9 +26,11 @@
 	"mothcleat/store"
 )
 
-const takeEvery = 50 * time.Millisecond
+// takeInterval is how often the ring is read.
+const takeInterval = 50 * time.Millisecond
 
-// Counter counts for one process.
+// Counter counts the use of one process. Count may be called from one goroutine alone; the other methods may be called
+// from any.
 type Counter struct {
 	id     string
 	boot   uint64
@@ -47,7 +49,7 @@
 	failed bool
 }
 
-// period is the one that is open: its sums, and where it began.
+// period is the open period: its sums and its begin.
 type period struct {
 	Number uint64             `json:"number"`
 	Begun  int64              `json:"begun"` // microseconds since 1970
@@ -55,7 +57,7 @@
 	Units  map[uint64]float64 `json:"units"`
 }
 
-// closed is a period as it is kept until it was collected.
+// closed is a closed period, as it is stored until it was collected.
 type closed struct {
 	Begun int64              `json:"begun"`
 	Ended int64              `json:"ended"`
@@ -63,7 +65,8 @@
 	Last  bool               `json:"last,omitempty"`
 }
 
-// Keys: the boot that ended last, an open period by boot, closed ones by boot and number.
+// Keys of the store: the incarnation that ended last, the open period by incarnation, and closed periods by incarnation
+// and number.
 var keyEnded = []byte("ended")
 
 func openKey(boot uint64) []byte { return binary.BigEndian.AppendUint64([]byte{'o'}, boot) }
@@ -72,8 +75,8 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte{'c'}, boot), number)
 }
 
-// Open opens the counts in a folder, makes it where there is none, and closes what the process before left
-// open. Its errors wrap store.ErrLocked where another process counts there.
+// Open opens the counts in a folder, creates it where there is none, and closes the period that the process before left
+// open. A period lasts for length. Its errors wrap store.ErrLocked where another process counts there.
 func Open(dir, id string, boot uint64, length time.Duration, log *slog.Logger) (_ *Counter, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -99,7 +102,7 @@
 	return c, nil
 }
 
-// finish closes the period that another boot left open, with what still lies in the ring.
+// finish closes the period that another incarnation left open, with what it left in the ring.
 func (c *Counter) finish(boot, added uint64) error {
 	left, err := c.load(boot)
 	if err != nil || left.Number == 0 {
@@ -118,7 +121,7 @@
 	return c.put(boot, &left, true, nil)
 }
 
-// load gives the period that a boot left open; number 0: it has ended, or there was none.
+// load returns the period that an incarnation left open. Its number is 0 where that has ended, or there was none.
 func (c *Counter) load(boot uint64) (p period, err error) {
 	ended, err := c.store.Get(keyEnded)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -143,7 +146,7 @@
 	return p, nil
 }
 
-// put closes a period and, unless it is the boot's last, opens the next in the same batch.
+// put closes a period and, unless it is the last of its incarnation, opens the next in the same batch.
 func (c *Counter) put(boot uint64, p *period, last bool, next *period) error {
 	var b store.Batch
 	raw, err := json.Marshal(closed{p.Begun, time.Now().UnixMicro(), p.Units, last})
@@ -169,16 +172,16 @@
 	return nil
 }
 
-// Count adds units that were sent on for a customer. It is for one goroutine, and never waits.
+// Count adds units that were forwarded for a tenant. It never blocks, and may be called from one goroutine alone.
 func (c *Counter) Count(customer uint64, units float64) {
 	if !c.ring.add(customer, units, c.taken.Load()) {
 		c.lost.Add(1)
 	}
 }
 
-// Run takes from the ring and closes periods until the context ends.
+// Run stores what the ring has and closes periods until the context ends.
 func (c *Counter) Run(ctx context.Context) {
-	tick := time.NewTicker(takeEvery)
+	tick := time.NewTicker(takeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -190,7 +193,7 @@
 	}
 }
 
-// step takes what is there, and closes the period when it is over.
+// step stores what the ring has, and closes the period when it is over.
 func (c *Counter) step(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +219,7 @@
 		}
 	}
 	if err != nil {
-		// The ring keeps what comes for as long as it has room.
+		// The ring holds new records for as long as it has room.
 		if !c.failed {
 			c.log.Error("fleet: use can't be kept", "error", err)
 		}
@@ -237,13 +240,13 @@
 	}
 }
 
-// reopen opens the store anew after a failure, and goes on from what it holds, as a new process would: a batch that failed may be
-// there or not.
+// reopen opens the store again after a failure and goes on from what it holds, as a new process would: a batch that
+// failed may be stored or not.
 func (c *Counter) reopen() {
-	_ = c.store.Close() // its error is the one that brought this here
+	_ = c.store.Close() // its error is that of the failed batch
 	s, err := store.Open(c.dir, store.Options{})
 	if err != nil {
-		return // the closed one goes on failing, and this is tried again
+		return // the closed store goes on failing, and the next step tries again
 	}
 	c.store = s
 	if p, err := c.load(c.boot); err == nil && p.Number != 0 {
@@ -251,7 +254,7 @@
 	}
 }
 
-// take adds the ring's records to the open period. What was added stays in the ring until it is kept.
+// take adds the records of the ring to the open period. They stay in the ring until the period is stored.
 func (c *Counter) take() (more bool) {
 	for added := c.ring.added.Load(); c.open.Taken < added; c.open.Taken++ {
 		customer, units := c.ring.record(c.open.Taken)
@@ -261,7 +264,7 @@
 	return more
 }
 
-// Close closes the last period. Nothing may be counted any more.
+// Close closes the last period and the store. Nothing may be counted after it.
 func (c *Counter) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,8 +281,8 @@
 	return err
 }
 
-// Parts gives the closed periods that were not collected, in their order by boot, and drops those that were. had has for
-// each boot the last period collected.
+// Parts passes the closed periods that were not collected yet to give, in order of incarnation and number, and deletes
+// those that were. The argument had is the last period collected, by incarnation.
 func (c *Counter) Parts(had map[uint64]uint64, give func(*fleetpb.Part) error) error {
 	c.mu.Lock()
 	s := c.store
--- a/internal/usecount/usecount_test.go
+++ b/internal/metering/metering_test.go
@@ -1,4 +1,4 @@
-package usecount
+package metering
 
 import (
 	"errors"
--- a/internal/usecount/ring.go
+++ b/internal/metering/ring.go
@@ -1,4 +1,4 @@
-package usecount
+package metering
 
 import (
 	"encoding/binary"
@@ -9,12 +9,12 @@
 	"mothcleat/internal/mmapfile"
 )
 
-// ring is a file mapped into memory to which one goroutine adds what is sent on, and from which another
-// takes it. What was added is there after the process was killed, at any instruction: the file belongs to the system
-// then. A power cut may take it.
+// ring is a ring buffer in a memory-mapped file, to which one goroutine adds records and from which another takes
+// them. What was added survives a kill of the process at any instruction, as the pages belong to the operating system.
+// A power failure may lose it.
 //
-// The file: 8 bytes of magic, the boot that adds, how many records were ever added, and then the records, each a
-// customer and the bits of a float64; all in the machine's order of bytes.
+// The file has 8 bytes of magic, the incarnation that adds, the number of records ever added, and then the records, each
+// a tenant and the bits of a float64; all in the byte order of the machine.
 type ring struct {
 	memory []byte
 	added  *atomic.Uint64
@@ -29,7 +29,8 @@
 	recordBytes = 16
 )
 
-// openRing maps a ring's file, made where there is none. before is the boot that added to it last, and how many.
+// openRing maps the file of a ring and creates it where there is none. The results before and added are the incarnation
+// that added to it last, and how many records that added.
 func openRing(path string) (r *ring, before uint64, added uint64, err error) {
 	memory, fresh, err := mmapfile.Open(path, ringHead+ringRecords*recordBytes)
 	if err != nil {
@@ -44,15 +45,15 @@
 	return r, before, added, nil
 }
 
-// begin empties the ring for a new boot.
+// begin empties the ring for a new incarnation.
 func (r *ring) begin(boot uint64) {
-	binary.NativeEndian.PutUint64(r.memory, 0) // whoever finds it half begun finds nothing
+	binary.NativeEndian.PutUint64(r.memory, 0) // a ring whose begin was interrupted counts as empty
 	r.added.Store(0)
 	*r.boot = boot
 	binary.NativeEndian.PutUint64(r.memory, ringMagic)
 }
 
-// add adds a record; taken is how many were taken. It returns false if there is no room.
+// add adds a record, where taken records were taken before. It returns false if there is no room.
 func (r *ring) add(customer uint64, units float64, taken uint64) bool {
 	n := r.added.Load()
 	if n-taken >= r.size {
@@ -65,7 +66,7 @@
 	return true
 }
 
-// record reads one that is there.
+// record returns the record with a number, which has to be in the ring.
 func (r *ring) record(n uint64) (customer uint64, units float64) {
 	at := r.memory[ringHead+n%r.size*recordBytes:]
 	return binary.NativeEndian.Uint64(at), math.Float64frombits(binary.NativeEndian.Uint64(at[8:]))
--- a/internal/ownertrial/owner_test.go
+++ b/internal/ownertrial/owner_test.go
@@ -19,9 +19,9 @@
 	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetnode"
+	"mothcleat/internal/metering"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/rig/rigtest"
-	"mothcleat/internal/usecount"
 	"mothcleat/lease"
 	"mothcleat/standing"
 	"mothcleat/store"
@@ -389,7 +389,7 @@
 	}
 	logged(t, f, 3, "another process has taken the id n3 since")
 
-	second, err := usecount.Open(fleetnode.UseDir(f.FleetDir(0)), "n0", 7, time.Second, slog.New(slog.DiscardHandler))
+	second, err := metering.Open(fleetnode.UseDir(f.FleetDir(0)), "n0", 7, time.Second, slog.New(slog.DiscardHandler))
 	if !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a second process on one folder: %v, %v", second, err)
 	}
