--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -18,12 +18,12 @@
 
 	"mothcleat/agree"
 	"mothcleat/budget"
-	"mothcleat/exports"
-	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetnode"
 	"mothcleat/internal/operators"
+	"mothcleat/internal/usageexporter"
 	"mothcleat/internal/voter"
 	"mothcleat/lease"
+	"mothcleat/usageexport"
 )
 
 // fleetCommands look after the fleet's agreed state: by the door of a gateway that runs, or, for found and
@@ -240,7 +240,7 @@
 }
 
 func showExports(raw []byte, w io.Writer) error {
-	var v exports.View
+	var v usageexport.View
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return err
 	}
@@ -262,11 +262,11 @@
 }
 
 func verifyExports(raw []byte, dir string, out io.Writer) error {
-	var v exports.View
+	var v usageexport.View
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return err
 	}
-	units, loose, err := exporter.Verify(dir, &v)
+	units, loose, err := usageexporter.Verify(dir, &v)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetnode/call.go
+++ b/internal/fleetnode/call.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"mothcleat/budget"
-	"mothcleat/exports"
 	"mothcleat/internal/budgets"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
+	"mothcleat/usageexport"
 )
 
 const callWithin = 800 * time.Millisecond // an operator's call
@@ -77,8 +77,8 @@
 			what = v.History
 		}
 	case len(words) == 1 && words[0] == "exports":
-		var v exports.View
-		err = n.ask(ctx, exports.MachineName, nil, &v)
+		var v usageexport.View
+		err = n.ask(ctx, usageexport.MachineName, nil, &v)
 		what = v
 	case len(words) == 1 && words[0] == "rights" && n.rights != nil:
 		held, did := n.rights.Rights()
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -20,21 +20,21 @@
 	"mothcleat/auditlog"
 	"mothcleat/budget"
 	"mothcleat/distribution"
-	"mothcleat/exports"
 	"mothcleat/internal/auditrecorder"
 	"mothcleat/internal/budgets"
 	"mothcleat/internal/distributor"
 	"mothcleat/internal/election"
-	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/metering"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/rollout"
+	"mothcleat/internal/usageexporter"
 	"mothcleat/internal/voter"
 	"mothcleat/lease"
 	"mothcleat/roster"
 	"mothcleat/standing"
+	"mothcleat/usageexport"
 	"mothcleat/versions"
 )
 
@@ -119,7 +119,7 @@
 // Machines are the parts of the agreed state.
 func Machines(r lease.Rules, v versions.Rules) map[string]agree.Machine {
 	d := lease.NewMachine(r)
-	return map[string]agree.Machine{lease.MachineName: d, exports.MachineName: exports.NewMachine(d),
+	return map[string]agree.Machine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
 		standing.MachineName: standing.NewMachine(d), roster.MachineName: roster.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), budget.MachineName: budget.NewMachine(d),
 		versions.MachineName: versions.NewMachine(v, d)}
 }
@@ -177,8 +177,8 @@
 	n.duties = election.New(election.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
 	if cfg.Shards > 0 {
 		for shard := range cfg.Shards {
-			e := &exporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
-			n.duties.Add(exports.Duty(shard), e.Work)
+			e := &usageexporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
+			n.duties.Add(usageexport.Duty(shard), e.Work)
 		}
 	}
 	n.distribute()
--- a/internal/ownertrial/owner_test.go
+++ b/internal/ownertrial/owner_test.go
@@ -15,16 +15,16 @@
 	"time"
 
 	"mothcleat/agree"
-	"mothcleat/exports"
-	"mothcleat/internal/exporter"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetnode"
 	"mothcleat/internal/metering"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/rig/rigtest"
+	"mothcleat/internal/usageexporter"
 	"mothcleat/lease"
 	"mothcleat/standing"
 	"mothcleat/store"
+	"mothcleat/usageexport"
 )
 
 var bin string
@@ -71,7 +71,7 @@
 	return i, h
 }
 
-func view(t *testing.T, f *rig.Fleet, at int) (v exports.View) {
+func view(t *testing.T, f *rig.Fleet, at int) (v usageexport.View) {
 	t.Helper()
 	rigtest.Eventually(t, "the exports", func() (bool, string) {
 		err := f.Call(at, "exports", &v)
@@ -97,7 +97,7 @@
 // An owner that is killed is followed by another under a higher term.
 func TestAnotherFollowsAKilledOwner(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 3})
-	duty := exports.Duty(0)
+	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	if err := f.End(i, 9); err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 }
 
 // exported waits until the files that count hold all that the servers took, but for some units.
-func exported(t *testing.T, f *rig.Fleet, at int, lacking float64) exports.View {
+func exported(t *testing.T, f *rig.Fleet, at int, lacking float64) usageexport.View {
 	t.Helper()
 	run := &trialRun{f: f}
 	want := 0.0
@@ -142,14 +142,14 @@
 	if want == 0 {
 		t.Fatal("nothing was sent on: nothing is shown")
 	}
-	var v exports.View
+	var v usageexport.View
 	rigtest.Eventually(t, fmt.Sprintf("%g units exported", want), func() (bool, string) {
 		if f.Call(at, "exports", &v) != nil {
 			return false, "nobody tells"
 		}
 		return v.Units >= want-lacking && v.Units <= want+lacking, fmt.Sprintf("%g units", v.Units)
 	})
-	units, _, err := exporter.Verify(f.Exports, &v)
+	units, _, err := usageexporter.Verify(f.Exports, &v)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 // another has gone on: its word is refused, nothing is exported twice, and it notices by itself.
 func TestAnOwnerThatWakesLateDoesNoHarm(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" }})
-	duty := exports.Duty(0)
+	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	flag(t, f, i, "stop")
 	asked := make(chan struct{})
@@ -215,7 +215,7 @@
 			err := f.Call(at, "status", &l)
 			return err == nil && l.Leader != rig.Name(i) && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 		})
-		hasOwner(t, f, at, exports.Duty(0), 0)
+		hasOwner(t, f, at, usageexport.Duty(0), 0)
 		if f.Held() == held {
 			t.Error("the cut met nothing: nothing was shown")
 		}
@@ -231,7 +231,7 @@
 // A voter that comes back with an older folder, or without one, must not vote, and says how to mend it.
 func TestAVoterWithAnOldOrEmptyFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4})
-	hasOwner(t, f, 3, exports.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.Duty(0), 0)
 	if err := f.Save(2); err != nil {
 		t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 	if err := f.End(1, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	_, h := hasOwner(t, f, 0, exports.Duty(0), 0)
+	_, h := hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	if err := f.Call(0, "transfer "+h.Duty+" n3", nil); err != nil && h.Owner.ID != "n3" {
 		rigtest.Eventually(t, "something is agreed", func() (bool, string) {
 			err := f.Call(0, "transfer "+h.Duty+" n3", nil)
@@ -279,7 +279,7 @@
 // A voter's folder copied to another gateway does not vote a second time.
 func TestACopiedFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4})
-	hasOwner(t, f, 3, exports.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.Duty(0), 0)
 	if err := errors.Join(f.End(3, syscall.SIGTERM), f.Copy(0, 3), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
@@ -288,14 +288,14 @@
 	if err := f.Call(3, "here", &h); err != nil || h.Voter {
 		t.Errorf("%+v, %v", h, err)
 	}
-	hasOwner(t, f, 3, exports.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.Duty(0), 0)
 }
 
 // All voters killed at once and back: what was agreed is there, and duties go on under higher terms. While a
 // majority is lost nothing new is agreed, and gateways serve on.
 func TestAllVotersKilledAtOnce(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4})
-	duty := exports.Duty(0)
+	duty := usageexport.Duty(0)
 	_, h := hasOwner(t, f, 3, duty, 0)
 	traffic(t, f, 2*time.Second)
 	before := exported(t, f, 3, 0)
@@ -331,7 +331,7 @@
 	f := fleet(t, rig.Options{Instances: 4, Env: func(i int) string {
 		return "MOTHCLEAT_FAULTS=" + []string{"ahead=30s", "pace=0.9", "jump=40s@3s", "pace=1.02"}[i]
 	}})
-	duty := exports.Duty(0)
+	duty := usageexport.Duty(0)
 	for range 3 {
 		i, h := hasOwner(t, f, 0, duty, 0)
 		traffic(t, f, time.Second)
@@ -349,7 +349,7 @@
 func TestALeaderWithASlowDisk(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 3, Env: func(int) string { return "MOTHCLEAT_FAULTS=slow=voter-before-sync:3s@slow" }})
 	run := &trialRun{f: f, o: Options{Instances: 3, Shards: 1}}
-	hasOwner(t, f, 0, exports.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	i := run.leader()
 	if i < 0 {
 		t.Fatal("no leader")
@@ -375,7 +375,7 @@
 // second takes no part.
 func TestTwoProcessesWithOneID(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4})
-	hasOwner(t, f, 0, exports.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	rigtest.Eventually(t, "n3 has its id", func() (bool, string) { // else it would be the newer one
 		var l agree.List
 		err := f.Call(0, "status", &l)
@@ -399,7 +399,7 @@
 // a gap that is told.
 func TestHandingOnAndALostFolder(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4})
-	duty := exports.Duty(0)
+	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	traffic(t, f, 2*time.Second)
 	if err := f.End(i, syscall.SIGTERM); err != nil {
--- a/internal/ownertrial/run.go
+++ b/internal/ownertrial/run.go
@@ -24,13 +24,13 @@
 	"time"
 
 	"mothcleat/agree"
-	"mothcleat/exports"
-	"mothcleat/internal/exporter"
 	"mothcleat/internal/faultproxy"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/rig"
 	"mothcleat/internal/trial"
+	"mothcleat/internal/usageexporter"
 	"mothcleat/lease"
+	"mothcleat/usageexport"
 )
 
 // Options say what is played.
@@ -160,7 +160,7 @@
 	for {
 		held := 0
 		for shard := range t.o.Shards {
-			if i, _ := t.owner(exports.Duty(shard)); i >= 0 {
+			if i, _ := t.owner(usageexport.Duty(shard)); i >= 0 {
 				held++
 			}
 		}
@@ -283,7 +283,7 @@
 	}
 }
 
-func (t *trialRun) duty(r *rand.Rand) string { return exports.Duty(r.IntN(t.o.Shards)) }
+func (t *trialRun) duty(r *rand.Rand) string { return usageexport.Duty(r.IntN(t.o.Shards)) }
 
 func span(r *rand.Rand, least, most float64) time.Duration {
 	return time.Duration(trial.Between(r, least, most) * float64(time.Second))
@@ -534,7 +534,7 @@
 // judge waits until all use is exported, and holds what was agreed against what happened.
 func (t *trialRun) judge(ctx context.Context, w *writers, ended time.Duration) (*trial.Figures, error) {
 	t.f.Heal()
-	var v exports.View
+	var v usageexport.View
 	sent := t.sent()
 	began := time.Now()
 	for {
@@ -640,7 +640,7 @@
 }
 
 // whole tells whether all that was sent is exported, or as much as ever will be.
-func (t *trialRun) whole(v *exports.View, sent map[int]float64) bool {
+func (t *trialRun) whole(v *usageexport.View, sent map[int]float64) bool {
 	got := t.counted(v)
 	for i, units := range sent {
 		if got[i]+t.slack(i) < units && !t.emptied[i] {
@@ -657,7 +657,7 @@
 func (t *trialRun) slack(i int) float64 { return float64(most * t.killed[i]) }
 
 // counted is what the files that count say, by gateway.
-func (t *trialRun) counted(v *exports.View) map[int]float64 {
+func (t *trialRun) counted(v *usageexport.View) map[int]float64 {
 	got := map[int]float64{}
 	for _, f := range v.Files {
 		raw, err := os.ReadFile(filepath.Join(t.f.Exports, f.Name))
@@ -679,8 +679,8 @@
 }
 
 // exported holds the files that count against what the servers took.
-func (t *trialRun) exported(f *trial.Figures, v *exports.View, sent map[int]float64) {
-	_, loose, err := exporter.Verify(t.f.Exports, v)
+func (t *trialRun) exported(f *trial.Figures, v *usageexport.View, sent map[int]float64) {
+	_, loose, err := usageexporter.Verify(t.f.Exports, v)
 	if err != nil {
 		f.Broken["files_not_as_agreed"] = 1
 		f.Miss(err.Error())
@@ -700,7 +700,7 @@
 			f.Miss(fmt.Sprintf("%s sent on %g units, and %g are exported", rig.Name(i), units, got[i]))
 		}
 	}
-	if gap > 0 && !slices.ContainsFunc(v.Marks, func(m exports.Mark) bool { return m.Gap != "" }) {
+	if gap > 0 && !slices.ContainsFunc(v.Marks, func(m usageexport.Mark) bool { return m.Gap != "" }) {
 		f.Miss(fmt.Sprintf("%g units were lost with a folder, and no gap is told", gap))
 	}
 	f.Extra["exported_units"], f.Extra["sent_on_units"], f.Extra["exported_difference"], f.Extra["gap_units"] = v.Units, total, difference, gap
@@ -708,7 +708,7 @@
 }
 
 // effects looks for two owners in the files that count: a term has one owner, and terms come in their order.
-func (t *trialRun) effects(v *exports.View) (two, late int) {
+func (t *trialRun) effects(v *usageexport.View) (two, late int) {
 	owner := map[string]string{}
 	newest := map[string]uint64{}
 	for _, f := range v.Files {
--- a/internal/scale/meter.go
+++ b/internal/scale/meter.go
@@ -11,12 +11,12 @@
 
 	"mothcleat/agree"
 	"mothcleat/budget"
-	"mothcleat/exports"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
 	"mothcleat/roster"
 	"mothcleat/standing"
+	"mothcleat/usageexport"
 	"mothcleat/versions"
 )
 
@@ -171,7 +171,7 @@
 		return RoleConfiguration
 	case budget.MachineName:
 		return RoleAllocation
-	case exports.MachineName, standing.MachineName:
+	case usageexport.MachineName, standing.MachineName:
 		return RoleMetering
 	case lease.MachineName:
 		return RoleElection
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -120,7 +120,7 @@
 	string(RoleAudit): {"a gateway: its own record",
 		"`auditlog`, `internal/auditrecorder`: the record's head, agreed every 3 s while it changes"},
 	string(RoleMetering): {"a gateway: use by tenant, until it is collected",
-		"`internal/metering`, `internal/exporter`: collected every 5 s by one owner"},
+		"`internal/metering`, `internal/usageexporter`: collected every 5 s by one owner"},
 	string(RoleMembership): {"all 620 processes, at each",
 		"`agree`: the list of processes, asked whole by three parts of a gateway every 3 s each"},
 }
--- a/internal/exporter/exporter.go
+++ b/internal/usageexporter/usageexporter.go
@@ -1,6 +1,6 @@
-// Package exporter is the work of the duty that exports the fleet's use: it collects the gateways' closed
-// periods, writes them to files, and has the fleet agree that they count.
-package exporter
+// Package usageexporter is the work of the leader that exports usage: it collects the closed periods of the gateways,
+// writes them to files, and commits to the replicated state (package usageexport) that they count.
+package usageexporter
 
 import (
 	"bytes"
@@ -21,16 +21,16 @@
 	"time"
 
 	"mothcleat/agree"
-	"mothcleat/exports"
 	"mothcleat/internal/election"
 	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
+	"mothcleat/usageexport"
 )
 
-// Exporter exports one shard.
+// Exporter exports one shard. Its fields must not be changed once Work was called.
 type Exporter struct {
-	Dir    string // of the files, the same for all who may hold the duty
+	Dir    string // folder of the files, the same for all who may lead
 	Shard  int
 	Shards int
 	Every  time.Duration
@@ -39,12 +39,12 @@
 }
 
 const (
-	askWithin     = 3 * time.Second
-	collectWithin = 2 * time.Second // from one gateway
-	mostRows      = 200_000         // of a file; what is left comes with the next
+	requestTimeout = 3 * time.Second
+	collectTimeout = 2 * time.Second // for one gateway
+	maxRows        = 200_000         // of a file; further rows go into the next
 )
 
-// Work does the duty until its context ends.
+// Work exports every e.Every until its context ends. It is an election.Work.
 func (e *Exporter) Work(ctx context.Context, t *election.Tenure) {
 	tick := time.NewTicker(e.Every)
 	defer tick.Stop()
@@ -65,12 +65,12 @@
 
 var errRefused = errors.New("refused")
 
-// round collects and writes once.
+// round collects, writes and commits once.
 func (e *Exporter) round(ctx context.Context, t *election.Tenure, members *fleetlink.Members, tidied *bool) error {
-	ctx, cancel := context.WithTimeout(ctx, max(e.Every, askWithin))
+	ctx, cancel := context.WithTimeout(ctx, max(e.Every, requestTimeout))
 	defer cancel()
-	var done exports.View
-	if err := ask(ctx, e.Client, exports.MachineName, &done); err != nil {
+	var done usageexport.View
+	if err := ask(ctx, e.Client, usageexport.MachineName, &done); err != nil {
 		return err
 	}
 	all, err := listOf(ctx, members)
@@ -85,7 +85,7 @@
 	}
 	b := newBook(&done)
 	for _, m := range all {
-		if m.Address == "" || exports.ShardOf(m.ID, e.Shards) != e.Shard || b.rows > mostRows {
+		if m.Address == "" || usageexport.ShardOf(m.ID, e.Shards) != e.Shard || b.rows > maxRows {
 			continue
 		}
 		b.note(m.ID, append(slices.Clone(m.Retired), m.Boot))
@@ -98,9 +98,9 @@
 		return nil
 	}
 	if !t.Holds() {
-		return nil // what was collected is collected by the next owner
+		return nil // the next leader collects it again
 	}
-	op := exports.Op{Shards: e.Shards, Gaps: b.gaps, Seen: b.seen, Duty: t.Duty, Term: t.Term}
+	op := usageexport.Op{Shards: e.Shards, Gaps: b.gaps, Seen: b.seen, Duty: t.Duty, Term: t.Term}
 	if len(b.spans) > 0 {
 		f, err := e.write(t, b)
 		if err != nil {
@@ -113,14 +113,14 @@
 	if err != nil {
 		return err
 	}
-	// Not bound to the duty: what becomes of the file is to be known also by an owner that is one no more.
-	word, stop := context.WithTimeout(context.WithoutCancel(ctx), askWithin)
+	// Not bound to the leadership: a former leader, too, has to learn whether its file counts.
+	word, stop := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer stop()
-	if raw, err = e.Client.Do(word, exports.MachineName, raw); err != nil {
-		return err // the file counts or does not: the next round's marks tell, and a later owner tidies
+	if raw, err = e.Client.Do(word, usageexport.MachineName, raw); err != nil {
+		return err // the file may count or not: the next round's marks tell, and a later leader tidies
 	}
 	failpoint.At("export-after-agree")
-	var res exports.Result
+	var res usageexport.Result
 	if err := json.Unmarshal(raw, &res); err != nil {
 		return err
 	}
@@ -133,15 +133,16 @@
 	return nil
 }
 
-// listOf gives the members as they are agreed now.
+// listOf returns the members as committed now.
 func listOf(ctx context.Context, members *fleetlink.Members) ([]agree.MemberAt, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return members.List(ctx)
 }
 
+// ask reads the state of a machine by a linearizable read.
 func ask(ctx context.Context, c *fleetlink.Client, machine string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	raw, err := c.Ask(ctx, machine, nil)
 	if err != nil {
@@ -150,23 +151,23 @@
 	return json.Unmarshal(raw, into)
 }
 
-// book is what one round has collected.
+// book is what one round collected.
 type book struct {
-	marks map[string]map[string]exports.Mark // by id and boot
+	marks map[string]map[string]usageexport.Mark // by id and boot
 	text  bytes.Buffer
 	csv   *csv.Writer
 	rows  int
 	units float64
-	spans []exports.Span
-	gaps  []exports.Gap
-	seen  []exports.Boot
+	spans []usageexport.Span
+	gaps  []usageexport.Gap
+	seen  []usageexport.Boot
 }
 
-func newBook(done *exports.View) *book {
-	b := &book{marks: map[string]map[string]exports.Mark{}}
+func newBook(done *usageexport.View) *book {
+	b := &book{marks: map[string]map[string]usageexport.Mark{}}
 	for _, m := range done.Marks {
 		if b.marks[m.ID] == nil {
-			b.marks[m.ID] = map[string]exports.Mark{}
+			b.marks[m.ID] = map[string]usageexport.Mark{}
 		}
 		b.marks[m.ID][m.Boot] = m
 	}
@@ -175,24 +176,24 @@
 	return b
 }
 
-// note puts boots of a gateway on record that are not yet.
+// note lists incarnations of a gateway that have no mark yet.
 func (b *book) note(id string, boots []uint64) {
 	for _, boot := range boots {
-		text := exports.BootText(boot)
+		text := usageexport.BootText(boot)
 		if _, ok := b.marks[id][text]; ok {
 			continue
 		}
 		if b.marks[id] == nil {
-			b.marks[id] = map[string]exports.Mark{}
+			b.marks[id] = map[string]usageexport.Mark{}
 		}
-		b.marks[id][text] = exports.Mark{ID: id, Boot: text}
-		b.seen = append(b.seen, exports.Boot{ID: id, Boot: text})
+		b.marks[id][text] = usageexport.Mark{ID: id, Boot: text}
+		b.seen = append(b.seen, usageexport.Boot{ID: id, Boot: text})
 	}
 }
 
 // collect asks one gateway for its closed periods.
 func (e *Exporter) collect(ctx context.Context, m agree.MemberAt, b *book) error {
-	ctx, cancel := context.WithTimeout(ctx, collectWithin)
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	had := map[uint64]uint64{}
 	for boot, mark := range b.marks[m.ID] {
@@ -205,27 +206,27 @@
 		if p.Id != m.ID {
 			return fmt.Errorf("%s answers for %s", p.Id, m.ID)
 		}
-		heard[exports.BootText(p.Boot)] = true
+		heard[usageexport.BootText(p.Boot)] = true
 		return b.add(p)
 	})
 	if !errors.Is(err, io.EOF) {
-		return err // what came is whole, period by period
+		return err // the periods received so far are complete
 	}
-	// A boot that is over, and that its own folder knows nothing more of: the folder was lost.
+	// An incarnation that ended, and of which the folder of its gateway has nothing: the folder was lost.
 	for boot, mark := range b.marks[m.ID] {
-		if !mark.Last && mark.Gap == "" && !heard[boot] && boot != exports.BootText(m.Boot) {
-			b.gaps = append(b.gaps, exports.Gap{ID: m.ID, Boot: boot, After: mark.Period,
+		if !mark.Last && mark.Gap == "" && !heard[boot] && boot != usageexport.BootText(m.Boot) {
+			b.gaps = append(b.gaps, usageexport.Gap{ID: m.ID, Boot: boot, After: mark.Period,
 				Why: "the gateway has come back without its counts of that boot"})
 		}
 	}
 	return nil
 }
 
-// add takes a part in, if it is the next one of its boot.
+// add adds a period, if it is the next one of its incarnation.
 func (b *book) add(p *fleetpb.Part) error {
-	boot := exports.BootText(p.Boot)
+	boot := usageexport.BootText(p.Boot)
 	last := b.marks[p.Id][boot].Period
-	i := slices.IndexFunc(b.spans, func(s exports.Span) bool { return s.ID == p.Id && s.Boot == boot })
+	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool { return s.ID == p.Id && s.Boot == boot })
 	if i >= 0 {
 		last = b.spans[i].To
 	}
@@ -236,7 +237,7 @@
 		return fmt.Errorf("%s/%s: period %d comes after %d", p.Id, boot, p.Period, last)
 	}
 	if i < 0 {
-		b.spans = append(b.spans, exports.Span{ID: p.Id, Boot: boot, From: p.Period})
+		b.spans = append(b.spans, usageexport.Span{ID: p.Id, Boot: boot, From: p.Period})
 		i = len(b.spans) - 1
 	}
 	b.spans[i].To, b.spans[i].Last = p.Period, p.Last
@@ -251,15 +252,15 @@
 	return nil
 }
 
-// prefix begins the names of a shard's files.
+// prefix returns the prefix of the names of the shard's files.
 func (e *Exporter) prefix() string { return fmt.Sprintf("use-%03d-", e.Shard) }
 
-// write puts a round's rows into a file that does not count yet. Its name holds term and digest: no two owners
-// write the same one.
-func (e *Exporter) write(t *election.Tenure, b *book) (*exports.File, error) {
+// write writes the rows of a round to a file that does not count yet. Its name has the term and the digest, so that no
+// two leaders write the same file.
+func (e *Exporter) write(t *election.Tenure, b *book) (*usageexport.File, error) {
 	b.csv.Flush()
 	sum := sha256.Sum256(b.text.Bytes())
-	f := &exports.File{Duty: t.Duty, Term: t.Term, SHA256: hex.EncodeToString(sum[:]), Rows: b.rows, Units: b.units, Spans: b.spans}
+	f := &usageexport.File{Duty: t.Duty, Term: t.Term, SHA256: hex.EncodeToString(sum[:]), Rows: b.rows, Units: b.units, Spans: b.spans}
 	f.Name = fmt.Sprintf("%s%010d-%s.csv", e.prefix(), t.Term, f.SHA256[:16])
 	path := filepath.Join(e.Dir, f.Name)
 	out, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
@@ -282,9 +283,9 @@
 	return f, errors.Join(dir.Sync(), dir.Close())
 }
 
-// tidy removes what earlier owners wrote that never came to count. Under this term nobody else can make it count any
-// more, and what counts is known from after the term began.
-func (e *Exporter) tidy(t *election.Tenure, done *exports.View) error {
+// tidy removes files of former leaders that never came to count. Under this term no other process can make them count
+// any more, and the view of those that count was read after the term began.
+func (e *Exporter) tidy(t *election.Tenure, done *usageexport.View) error {
 	counts := map[string]bool{}
 	for _, f := range done.Files {
 		counts[f.Name] = true
@@ -295,7 +296,7 @@
 	}
 	oldest := uint64(0)
 	if len(done.Files) > 0 && uint64(len(done.Files)) < done.Count {
-		oldest = done.Files[0].Term // older ones are not listed any more
+		oldest = done.Files[0].Term // older files are no longer listed
 	}
 	for _, entry := range entries {
 		rest, ok := strings.CutPrefix(entry.Name(), e.prefix())
@@ -311,9 +312,9 @@
 	return nil
 }
 
-// Verify holds the files of a folder against what was agreed: those that count have to be there as they were agreed. It
-// gives the sums of what counts by customer, and the files that are there and do not count.
-func Verify(dir string, agreed *exports.View) (units map[uint64]float64, loose []string, err error) {
+// Verify checks the files of a folder against the committed view: those that count have to be there with their
+// digests. It returns the units by tenant of the files that count, and the names of files that do not.
+func Verify(dir string, agreed *usageexport.View) (units map[uint64]float64, loose []string, err error) {
 	units = map[uint64]float64{}
 	counts := map[string]bool{}
 	for _, f := range agreed.Files {
--- a/exports/exports.go
+++ b/usageexport/usageexport.go
@@ -1,10 +1,10 @@
-// Package exports decides what of the fleet's use counts as exported. Each gateway counts units by period
-// and boot; an owner collects closed periods and writes them to files. A file counts only once an agreed entry
-// names its digest, and that entry is refused from an owner under an old term, and where it would take a period
-// in twice or pass over one.
+// Package usageexport is the replicated state of usage export: which files count, and up to which period the use of
+// each gateway is exported. Gateways meter units by period and incarnation, which the code calls a boot; the leader of
+// a shard collects closed periods and writes them to files. A file counts only once a committed entry names its digest.
+// That entry is refused under an old term, and where it would export a period twice or skip one.
 //
-// It is a part of the agreed state: nothing here does I/O or looks at a clock.
-package exports
+// It is a deterministic state machine: nothing here does I/O or reads a clock.
+package usageexport
 
 import (
 	"cmp"
@@ -20,31 +20,32 @@
 	"mothcleat/lease"
 )
 
-// MachineName is what the agreed state calls the exports.
+// MachineName is the name of this state machine in the replicated state.
 const MachineName = "exports"
 
-const filesMost = 512 // kept with all they say; the chain covers older ones
+// maxFiles is how many files are listed; the chain of digests covers older ones.
+const maxFiles = 512
 
-// Duty is the duty of exporting one of some shards.
+// Duty returns the name of the role that exports a shard.
 func Duty(shard int) string { return "use/" + strconv.Itoa(shard) }
 
-// ShardOf tells in which shard a gateway's use is exported.
+// ShardOf returns the shard in which the use of a gateway is exported.
 func ShardOf(id string, shards int) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % uint32(max(1, shards)))
 }
 
-// Span is some periods of one boot, in a file.
+// Span is a range of periods of one incarnation in a file, both ends included.
 type Span struct {
 	ID   string `json:"id"`
 	Boot string `json:"boot"` // in hexadecimal
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
-	Last bool   `json:"last,omitempty"` // the boot counted no more after that
+	Last bool   `json:"last,omitempty"` // the incarnation counted nothing after it
 }
 
-// Gap is use that can't be had any more, as far as that can be told: what a boot counted after a period.
+// Gap is use that was lost, as far as is known: what an incarnation counted after a period.
 type Gap struct {
 	ID    string `json:"id"`
 	Boot  string `json:"boot"`
@@ -52,7 +53,7 @@
 	Why   string `json:"why"`
 }
 
-// File is a file that counts.
+// File is an exported file that counts.
 type File struct {
 	Duty   string  `json:"duty"`
 	Term   uint64  `json:"term"`
@@ -62,43 +63,44 @@
 	Rows   int     `json:"rows"`
 	Units  float64 `json:"units"`
 	Spans  []Span  `json:"spans"`
-	Index  uint64  `json:"index"` // of the entry that made it count
+	Index  uint64  `json:"index"` // index of the log entry that made it count
 }
 
-// Boot is one process of a gateway.
+// Boot is one incarnation of a gateway.
 type Boot struct {
 	ID   string `json:"id"`
 	Boot string `json:"boot"`
 }
 
-// Op is the one command: a file is to count, and gaps are to be told.
+// Op is the command: it makes a file count, and reports gaps and incarnations.
 type Op struct {
 	Shards int   `json:"shards"`
 	File   *File `json:"file,omitempty"`
 	Gaps   []Gap `json:"gaps,omitempty"`
-	// Seen are boots that counted, or may have: they are on record from then on, whatever becomes of their folders.
+	// Seen are incarnations that counted use, or may have. They are listed from then on, even if their folders are
+	// lost.
 	Seen []Boot `json:"seen,omitempty"`
-	// Of an Op without a file: under which duty and term it comes.
+	// Duty and Term are the role and the fencing token under which the command is sent.
 	Duty string `json:"duty"`
 	Term uint64 `json:"term"`
 }
 
-// Result is what becomes of an Op.
+// Result is the answer to an Op.
 type Result struct {
 	OK  bool   `json:"ok"`
 	Why string `json:"why,omitempty"`
 }
 
-// Mark is how far a boot's use was collected.
+// Mark is the last exported period of an incarnation.
 type Mark struct {
 	ID     string `json:"id"`
 	Boot   string `json:"boot"`
 	Period uint64 `json:"period"`
 	Last   bool   `json:"last,omitempty"`
-	Gap    string `json:"gap,omitempty"` // why what came after can't be had
+	Gap    string `json:"gap,omitempty"` // why what came after is lost
 }
 
-// View is what Query gives, and what the state is written as.
+// View is the answer to a query, and the format of a snapshot.
 type View struct {
 	Marks []Mark  `json:"marks"`
 	Files []File  `json:"files"` // the newest last
@@ -107,12 +109,12 @@
 	Chain string  `json:"chain"` // over the digests of all files, in their order
 }
 
-// Fence refuses a word under an old term.
+// Fence refuses a command under an old term.
 type Fence interface {
 	Fence(duty string, term uint64, who lease.Member) error
 }
 
-// Machine is the exports as a part of the agreed state.
+// Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	fence   Fence
 	marks   map[[2]string]*Mark
@@ -120,14 +122,14 @@
 	changes uint64
 }
 
-// NewMachine makes a machine that asks a table of duties who may export. The table has to be a part of
-// the same agreed state.
+// NewMachine returns an empty state machine. The fence is the table of leases, which has to be part of the same
+// replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{fence: f, marks: map[[2]string]*Mark{}} }
 
-// BootText writes a boot.
+// BootText returns an incarnation in hexadecimal.
 func BootText(boot uint64) string { return strconv.FormatUint(boot, 16) }
 
-// Apply carries an Op out and gives a Result.
+// Apply applies an Op and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
 	var op Op
 	err := json.Unmarshal(body, &op)
@@ -145,6 +147,7 @@
 	return raw
 }
 
+// take checks a command whole and then applies it.
 func (m *Machine) take(index uint64, who lease.Member, op *Op) error {
 	if err := m.fence.Fence(op.Duty, op.Term, who); err != nil {
 		return err
@@ -159,7 +162,7 @@
 		if f.Duty != op.Duty || f.Term != op.Term || f.Name == "" || len(f.SHA256) != 2*sha256.Size {
 			return fmt.Errorf("exports: file %q: not whole", f.Name)
 		}
-		// All of it is looked at before any of it counts.
+		// All spans are checked before any of them is applied.
 		ends := map[[2]string]uint64{}
 		for _, s := range f.Spans {
 			if err := mine(s.ID); err != nil {
@@ -212,10 +215,11 @@
 	sum := sha256.Sum256([]byte(m.v.Chain + f.SHA256))
 	m.v.Chain = hex.EncodeToString(sum[:])
 	files := append(m.v.Files, f)
-	m.v.Files = files[max(0, len(files)-filesMost):]
+	m.v.Files = files[max(0, len(files)-maxFiles):]
 	return nil
 }
 
+// mark returns the mark of an incarnation, which is added where there is none.
 func (m *Machine) mark(id, boot string) *Mark {
 	key := [2]string{id, boot}
 	if m.marks[key] == nil {
@@ -224,13 +228,13 @@
 	return m.marks[key]
 }
 
-// Query gives a View.
+// Query returns a View as JSON.
 func (m *Machine) Query(time.Duration, []byte) []byte { return m.Snapshot() }
 
-// Changes counts the changes.
+// Changes returns the number of changes so far.
 func (m *Machine) Changes() uint64 { return m.changes }
 
-// Snapshot writes the state: the same text for the same state.
+// Snapshot returns the state as JSON; equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
 	v := m.v
 	v.Marks = make([]Mark, 0, len(m.marks))
@@ -245,7 +249,7 @@
 	return raw
 }
 
-// Restore reads what Snapshot wrote.
+// Restore replaces the state by that of a snapshot.
 func (m *Machine) Restore(raw []byte) error {
 	var v View
 	if err := json.Unmarshal(raw, &v); err != nil {
--- a/exports/exports_test.go
+++ b/usageexport/usageexport_test.go
@@ -1,4 +1,4 @@
-package exports
+package usageexport
 
 import (
 	"encoding/json"
