--- a/standing/standing.go
+++ b/checkpoint/checkpoint.go
@@ -1,9 +1,9 @@
-// Package standing keeps where work on behalf of the fleet stands: a few keys with versions, agreed like
-// the duties, so that the next owner goes on from there. A write can be tied to a duty's term, and is refused
-// from an owner under an old one; and to the version that its writer has read.
+// Package checkpoint is the replicated state of progress markers: a few keys with versions, by which the next leader of
+// singleton work resumes where the last one stopped. A write can name a role and a term as a fencing token, and is
+// refused under an old term; and it can name the version that its writer read (compare and set).
 //
-// It is a part of the agreed state: nothing here does I/O or looks at a clock.
-package standing
+// It is a deterministic state machine: nothing here does I/O or reads a clock.
+package checkpoint
 
 import (
 	"encoding/json"
@@ -14,53 +14,53 @@
 	"mothcleat/lease"
 )
 
-// MachineName is what the agreed state calls it.
+// MachineName is the name of this state machine in the replicated state.
 const MachineName = "standing"
 
-// The most that is kept.
+// Limits of the state.
 const (
-	KeysMost  = 4096
-	ValueMost = 16 << 10 // bytes
+	MaxKeys       = 4096
+	MaxValueBytes = 16 << 10 // bytes
 )
 
-// Op sets a key, or with an empty value takes it out.
+// Op is the command: it sets a key, or deletes it where the value is empty.
 type Op struct {
 	Key   string  `json:"key"`
 	Value string  `json:"value"`
-	If    *uint64 `json:"if,omitempty"` // only where that is the key's version; 0: there is none
+	If    *uint64 `json:"if,omitempty"` // the version that the key must have; 0 means that it is absent
 	Duty  string  `json:"duty,omitempty"`
 	Term  uint64  `json:"term,omitempty"`
 }
 
-// Entry is a key as it stands.
+// Entry is a key with its value and version.
 type Entry struct {
 	Key     string `json:"key"`
 	Value   string `json:"value"`
-	Version uint64 `json:"version"` // the entry of the log that wrote it; 0: there is none
+	Version uint64 `json:"version"` // index of the log entry that wrote it; 0 where the key is absent
 }
 
-// Result is what becomes of an Op: the key as it stands after it.
+// Result is the answer to an Op, with the entry as it is after it.
 type Result struct {
 	OK  bool   `json:"ok"`
 	Why string `json:"why,omitempty"`
 	Entry
 }
 
-// Fence refuses a word under an old term.
+// Fence refuses a command under an old term.
 type Fence interface {
 	Fence(duty string, term uint64, who lease.Member) error
 }
 
-// Machine is it as a part of the agreed state.
+// Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	fence   Fence
 	entries map[string]Entry
 }
 
-// NewMachine makes a machine that asks a table of duties, of the same agreed state, who owns.
+// NewMachine returns an empty state machine. The fence is the table of leases of the same replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{f, map[string]Entry{}} }
 
-// Apply carries an Op out and gives a Result.
+// Apply applies an Op and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
 	var op Op
 	err := json.Unmarshal(body, &op)
@@ -77,6 +77,7 @@
 
 var errVersion = errors.New("standing: it was written since")
 
+// set checks a command and applies it.
 func (m *Machine) set(index uint64, who lease.Member, op *Op) error {
 	if op.Duty != "" {
 		if err := m.fence.Fence(op.Duty, op.Term, who); err != nil {
@@ -87,29 +88,29 @@
 	switch {
 	case op.If != nil && *op.If != old.Version:
 		return errVersion
-	case len(op.Value) > ValueMost || len(op.Key) > 256 || op.Key == "":
-		return fmt.Errorf("standing: a key of up to 256 bytes and a value of up to %d wanted", ValueMost)
+	case len(op.Value) > MaxValueBytes || len(op.Key) > 256 || op.Key == "":
+		return fmt.Errorf("standing: a key of up to 256 bytes and a value of up to %d wanted", MaxValueBytes)
 	case op.Value == "":
 		delete(m.entries, op.Key)
 		return nil
-	case !is && len(m.entries) >= KeysMost:
-		return fmt.Errorf("standing: %d keys are the most", KeysMost)
+	case !is && len(m.entries) >= MaxKeys:
+		return fmt.Errorf("standing: %d keys are the most", MaxKeys)
 	}
 	m.entries[op.Key] = Entry{op.Key, op.Value, index}
 	return nil
 }
 
-// Query gives the Entry of the key that the body names.
+// Query returns the Entry of the key that the body names, as JSON.
 func (m *Machine) Query(_ time.Duration, body []byte) []byte {
 	e := m.entries[string(body)]
 	e.Key = string(body)
 	return encode(e)
 }
 
-// Snapshot writes the state: the same text for the same state, as maps are written in the order of their keys.
+// Snapshot returns the state as JSON. Equal states give equal bytes, as maps are encoded in the order of their keys.
 func (m *Machine) Snapshot() []byte { return encode(m.entries) }
 
-// Restore reads what Snapshot wrote.
+// Restore replaces the state by that of a snapshot.
 func (m *Machine) Restore(raw []byte) error {
 	entries := map[string]Entry{}
 	if err := json.Unmarshal(raw, &entries); err != nil {
--- a/standing/standing_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -1,4 +1,4 @@
-package standing
+package checkpoint
 
 import (
 	"encoding/json"
@@ -29,7 +29,7 @@
 		{a, Op{Key: "k", Value: "3", Duty: "d", Term: 2}, false, "2", 3}, // another term
 		{a, Op{Key: "k", Value: "3", Duty: "d", Term: 1}, true, "3", 6},
 		{a, Op{Key: "", Value: "3"}, false, "", 0},
-		{a, Op{Key: "k", Value: string(make([]byte, ValueMost+1))}, false, "3", 6},
+		{a, Op{Key: "k", Value: string(make([]byte, MaxValueBytes+1))}, false, "3", 6},
 		{a, Op{Key: "k"}, true, "", 0}, // taken out
 		{a, Op{Key: "k", Value: "4", If: at(0)}, true, "4", 10},
 	} {
--- a/internal/fleetlink/fleetlink_test.go
+++ b/internal/fleetlink/fleetlink_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"mothcleat/agree"
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/voter"
 	"mothcleat/lease"
-	"mothcleat/standing"
 	"mothcleat/store"
 )
 
@@ -45,7 +45,7 @@
 		s := NewServer(ctx, "test", nil, nil)
 		if err := s.Vote(ctx, voter.Options{Dir: dir, Address: all[i].Address, Log: quiet, Machines: func() map[string]agree.Machine {
 			d := lease.NewMachine(lease.Defaults())
-			return map[string]agree.Machine{lease.MachineName: d, standing.MachineName: standing.NewMachine(d)}
+			return map[string]agree.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}
 		}}); err != nil {
 			t.Fatal(err)
 		}
@@ -74,12 +74,12 @@
 	c := client(t, "a", all)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	if _, err := c.Do(ctx, standing.MachineName, []byte(`{"key":"k","value":"1"}`)); err != nil {
+	if _, err := c.Do(ctx, checkpoint.MachineName, []byte(`{"key":"k","value":"1"}`)); err != nil {
 		t.Fatal(err)
 	}
 	again := func() *fleetpb.Answer {
 		a, err := c.each(ctx, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
-			return to.Do(ctx, &fleetpb.Command{Fleet: "test", Session: c.session, Seq: 77, Machine: standing.MachineName, Member: c.member(),
+			return to.Do(ctx, &fleetpb.Command{Fleet: "test", Session: c.session, Seq: 77, Machine: checkpoint.MachineName, Member: c.member(),
 				Body: []byte(`{"key":"k","value":"2"}`)})
 		})
 		if err != nil {
@@ -98,7 +98,7 @@
 	defer other.Close()
 	short, stop := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop()
-	if _, err := other.Do(short, standing.MachineName, []byte(`{}`)); err == nil {
+	if _, err := other.Do(short, checkpoint.MachineName, []byte(`{}`)); err == nil {
 		t.Error("another fleet's command is taken")
 	}
 }
@@ -147,7 +147,7 @@
 						defer wg.Done()
 						for k := i; k < b.N; k += clients {
 							began := time.Now()
-							if _, err := c.Do(b.Context(), standing.MachineName, fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i, k)); err != nil {
+							if _, err := c.Do(b.Context(), checkpoint.MachineName, fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i, k)); err != nil {
 								b.Error(err)
 								return
 							}
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -19,6 +19,7 @@
 	"mothcleat/agree"
 	"mothcleat/auditlog"
 	"mothcleat/budget"
+	"mothcleat/checkpoint"
 	"mothcleat/distribution"
 	"mothcleat/internal/auditrecorder"
 	"mothcleat/internal/budgets"
@@ -33,7 +34,6 @@
 	"mothcleat/internal/voter"
 	"mothcleat/lease"
 	"mothcleat/roster"
-	"mothcleat/standing"
 	"mothcleat/usageexport"
 	"mothcleat/versions"
 )
@@ -120,7 +120,7 @@
 func Machines(r lease.Rules, v versions.Rules) map[string]agree.Machine {
 	d := lease.NewMachine(r)
 	return map[string]agree.Machine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
-		standing.MachineName: standing.NewMachine(d), roster.MachineName: roster.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), budget.MachineName: budget.NewMachine(d),
+		checkpoint.MachineName: checkpoint.NewMachine(d), roster.MachineName: roster.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), budget.MachineName: budget.NewMachine(d),
 		versions.MachineName: versions.NewMachine(v, d)}
 }
 
--- a/internal/ownertrial/history.go
+++ b/internal/ownertrial/history.go
@@ -14,10 +14,10 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/rig"
 	"mothcleat/lease"
-	"mothcleat/standing"
 )
 
 // writers are clients of the rig's own: they write and read a few keys of the agreed state all the while, past all
@@ -108,20 +108,20 @@
 	one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 6*time.Second)
 	defer cancel()
 	if in.what == 'r' {
-		raw, err := c.Ask(one, standing.MachineName, []byte(in.key))
-		var e standing.Entry
+		raw, err := c.Ask(one, checkpoint.MachineName, []byte(in.key))
+		var e checkpoint.Entry
 		if err != nil || json.Unmarshal(raw, &e) != nil {
 			return output{unknown: true}
 		}
 		return output{ok: true, value: e.Value, version: e.Version}
 	}
-	op := standing.Op{Key: in.key, Value: in.value}
+	op := checkpoint.Op{Key: in.key, Value: in.value}
 	if in.what == 'c' {
 		op.If = &in.if_
 	}
 	body, _ := json.Marshal(op)
-	raw, err := c.Do(one, standing.MachineName, body)
-	var res standing.Result
+	raw, err := c.Do(one, checkpoint.MachineName, body)
+	var res checkpoint.Result
 	if err != nil || json.Unmarshal(raw, &res) != nil {
 		return output{unknown: true}
 	}
--- a/internal/ownertrial/owner_test.go
+++ b/internal/ownertrial/owner_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"mothcleat/agree"
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetnode"
 	"mothcleat/internal/metering"
@@ -22,7 +23,6 @@
 	"mothcleat/internal/rig/rigtest"
 	"mothcleat/internal/usageexporter"
 	"mothcleat/lease"
-	"mothcleat/standing"
 	"mothcleat/store"
 	"mothcleat/usageexport"
 )
@@ -384,7 +384,7 @@
 	me := lease.Member{ID: "n3", Boot: 42}
 	c := fleetlink.NewClient(rig.FleetName, me, "", f.Voters(), f.Addresses(-1), slog.New(slog.DiscardHandler))
 	defer c.Close()
-	if _, err := c.Do(t.Context(), standing.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
+	if _, err := c.Do(t.Context(), checkpoint.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
 		t.Fatal(err)
 	}
 	logged(t, f, 3, "another process has taken the id n3 since")
--- a/internal/scale/meter.go
+++ b/internal/scale/meter.go
@@ -11,11 +11,11 @@
 
 	"mothcleat/agree"
 	"mothcleat/budget"
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
 	"mothcleat/roster"
-	"mothcleat/standing"
 	"mothcleat/usageexport"
 	"mothcleat/versions"
 )
@@ -171,7 +171,7 @@
 		return RoleConfiguration
 	case budget.MachineName:
 		return RoleAllocation
-	case usageexport.MachineName, standing.MachineName:
+	case usageexport.MachineName, checkpoint.MachineName:
 		return RoleMetering
 	case lease.MachineName:
 		return RoleElection
--- a/internal/voter/bench_test.go
+++ b/internal/voter/bench_test.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/agree"
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
-	"mothcleat/standing"
 	"mothcleat/store"
 )
 
@@ -43,7 +43,7 @@
 			}
 			add(&fleetpb.Entry{Member: &fleetpb.Member{Id: "m", Boot: 1}})
 			for i := range entries {
-				add(&fleetpb.Entry{Session: 2, Seq: uint64(i + 1), Floor: uint64(i), Machine: standing.MachineName,
+				add(&fleetpb.Entry{Session: 2, Seq: uint64(i + 1), Floor: uint64(i), Machine: checkpoint.MachineName,
 					Body: fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i%100, i)})
 			}
 			w.Hard, w.Sync = &raftpb.HardState{Term: new(uint64(1)), Vote: new(f.Identity().Number), Commit: new(last)}, true
@@ -66,7 +66,7 @@
 				d := lease.NewMachine(lease.Defaults())
 				n, err := agree.Open(monotonic.Now(), agree.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
 					HeartbeatTicks: 2, Log: raftLogger{slog.New(slog.DiscardHandler)},
-					Machines: map[string]agree.Machine{lease.MachineName: d, standing.MachineName: standing.NewMachine(d)}}, saved)
+					Machines: map[string]agree.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}}, saved)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/sim/owners/procs.go
+++ b/sim/owners/procs.go
@@ -10,9 +10,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"mothcleat/agree"
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
-	"mothcleat/standing"
 )
 
 // voter is one voter: the node and its driver, as internal/voter has them on a real disk.
@@ -43,7 +43,7 @@
 
 func (v *voter) start() {
 	d := lease.NewMachine(lease.Defaults())
-	v.machines = map[string]agree.Machine{lease.MachineName: d, standing.MachineName: witnessed{standing.NewMachine(d), v},
+	v.machines = map[string]agree.Machine{lease.MachineName: d, checkpoint.MachineName: witnessed{checkpoint.NewMachine(d), v},
 		"ledger": &ledger{v: v, has: map[string]bool{}}}
 	w := v.p.w
 	node, err := agree.Open(v.p.clock(), agree.Config{Number: v.number, Machines: v.machines, Random: rand.New(rand.NewPCG(w.r.Uint64(), 1)),
@@ -256,11 +256,11 @@
 	}
 	w.res.Effects++
 	// An effect that is agreed, and one at a receiver outside with a gate of its own.
-	body, err := json.Marshal(standing.Op{Key: "effect", Value: strconv.Itoa(w.res.Effects), Duty: duty, Term: term})
+	body, err := json.Marshal(checkpoint.Op{Key: "effect", Value: strconv.Itoa(w.res.Effects), Duty: duty, Term: term})
 	if err != nil {
 		panic(err)
 	}
-	m.do(standing.MachineName, body, func([]byte, bool) {})
+	m.do(checkpoint.MachineName, body, func([]byte, bool) {})
 	me := m.me
 	w.at(time.Duration(w.r.Int64N(int64(800*ms))), func() {
 		if _, err := w.gate.Admit(duty, term, me); err == nil {
--- a/sim/owners/world.go
+++ b/sim/owners/world.go
@@ -15,9 +15,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/agree"
+	"mothcleat/checkpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
-	"mothcleat/standing"
 )
 
 const (
@@ -328,14 +328,14 @@
 
 // witnessed is standing with the judge beside it.
 type witnessed struct {
-	*standing.Machine
+	*checkpoint.Machine
 	v *voter
 }
 
 func (m witnessed) Apply(at time.Duration, index uint64, who lease.Member, body []byte) []byte {
 	answer := m.Machine.Apply(at, index, who, body)
-	var op standing.Op
-	var res standing.Result
+	var op checkpoint.Op
+	var res checkpoint.Result
 	if json.Unmarshal(body, &op) == nil && json.Unmarshal(answer, &res) == nil && res.OK {
 		m.v.saw(index, fmt.Sprintf("%s %d %s", op.Key, op.Term, who))
 		m.v.p.w.effect(index, op.Term, who)
