--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -46,9 +46,9 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// Take puts a ladder's steps in the place of those that were there.
+// Take puts a ladder's steps in the place of those that were there; trials stay.
 func (c *Capacity) Take(name string, steps []Step) {
-	c.Steps = slices.DeleteFunc(c.Steps, func(s Step) bool { return s.Ladder == name })
+	c.Steps = slices.DeleteFunc(c.Steps, func(s Step) bool { return s.Ladder == name && s.Trial == "" })
 	c.Steps = append(c.Steps, steps...)
 }
 
--- a/internal/scale/ladder.go
+++ b/internal/scale/ladder.go
@@ -18,6 +18,24 @@
 type Step struct {
 	Ladder string  `json:"ladder"`
 	Result *Result `json:"result"`
+	Trial  string  `json:"trial,omitempty"` // why it is kept as a trial only, and in no slope; "": it is none
+}
+
+// failed tells why a step is no measure of what its size takes; "": it is one. What did not arrive costs nothing.
+func (s *Step) failed() string {
+	r := s.Result
+	switch {
+	case s.Trial != "":
+		return s.Trial
+	case r.HerdMilliseconds < 0:
+		return "not all gateways were current in time"
+	case r.Diverged+r.LostChanges+r.LostVersions > 0:
+		return fmt.Sprintf("%d lists were not the register's in the end, %d changes and %d versions did not arrive",
+			r.Diverged, r.LostChanges, r.LostVersions)
+	case r.DutyChanges > 0:
+		return fmt.Sprintf("%d duties changed hands", r.DutyChanges)
+	}
+	return ""
 }
 
 // The ladders.
@@ -36,6 +54,7 @@
 
 const (
 	stepFor            = 10 * time.Second
+	seldomReplacements = 0.2
 	stepReplacements   = 0.5
 	stepGateways       = 40
 	stepServers        = 730
@@ -50,6 +69,7 @@
 	gatewaySizes    = []int{40, 80, 160}
 	allocationSizes = []int{20, 40, 80} // of gateways: more than these lose their owners on eight cores
 	serverSizes     = []int{730, 2000, 7300}
+	wholeListSizes  = []int{365, 730, 1460} // of servers: with more the whole list does not come to all
 	tenantSizes     = []int{6000, 20000, 60000}
 	changeSizes     = []int{1, 2, 4} // times stepReplacements
 )
@@ -58,8 +78,8 @@
 func Ladders() []Ladder {
 	return []Ladder{
 		newLadder(LadderBase, gatewaySizes, gatewaysAre),
-		newLadder(LadderListServers, serverSizes, listOn, serversAre),
-		newLadder(LadderListGateways, gatewaySizes, listOn, gatewaysAre),
+		newLadder(LadderListServers, wholeListSizes, listOn, seldom, serversAre),
+		newLadder(LadderListGateways, gatewaySizes, listOn, seldom, gatewaysAre),
 		newLadder(LadderDeltaServers, serverSizes, listOn, deltaOn, serversAre),
 		newLadder(LadderDeltaGateways, gatewaySizes, listOn, deltaOn, gatewaysAre),
 		newLadder(LadderDeltaChanges, changeSizes, listOn, deltaOn, changesAre),
@@ -103,6 +123,9 @@
 	o.ReplacementsPerSecond = stepReplacements
 }
 
+// seldom has changes come one by one, so that each is fetched by itself.
+func seldom(o *Options, _ int) { o.ReplacementsPerSecond = seldomReplacements }
+
 func deltaOn(o *Options, _ int) { o.Path = PathDelta }
 
 func configurationOn(o *Options, _ int) {
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -89,6 +89,7 @@
 	c.runRoleTable(&b)
 	c.controlTable(&b)
 	slopeTable(&b, slopes)
+	c.failedTable(&b)
 	c.benchmarkTable(&b)
 	return b.String(), nil
 }
@@ -269,6 +270,19 @@
 	}
 }
 
+func (c *Capacity) failedTable(b *strings.Builder) {
+	head(b, "Steps that failed, and are in no slope", "ladder", "gateways, servers, tenants", "why",
+		"units granted, of those asked for")
+	for i := range c.Steps {
+		s := &c.Steps[i]
+		o := &s.Result.Options
+		if why := s.failed(); why != "" {
+			row(b, s.Ladder, fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
+				number(float64(o.Tenants))), why, number(s.Result.Gateway.GrantedOfRequests))
+		}
+	}
+}
+
 func (c *Capacity) benchmarkTable(b *strings.Builder) {
 	head(b, "Benchmarks", "benchmark", "figures")
 	for _, one := range c.Benchmarks {
--- a/internal/scale/page_test.go
+++ b/internal/scale/page_test.go
@@ -101,6 +101,20 @@
 	}
 }
 
+// A step whose changes did not all arrive is in no slope, and the page says so.
+func TestFailedStepsAreInNoSlope(t *testing.T) {
+	c := sample(t)
+	c.Steps[0].Result.LostChanges = 3
+	slopes, err := c.FitAll()
+	if err != nil || slopes[SlopeBaseCores] != nil {
+		t.Errorf("%+v, %v", slopes[SlopeBaseCores], err)
+	}
+	tables, err := c.Tables()
+	if err != nil || !strings.Contains(tables, "3 changes and 0 versions did not arrive") {
+		t.Errorf("%v\n%s", err, tables)
+	}
+}
+
 // What benchmarks print is read, with all their units.
 func TestReadBenchmarks(t *testing.T) {
 	all, err := ReadBenchmarks(strings.NewReader("goos: linux\nBenchmarkOwner/620x60000-8 \t 5\t 240000000 ns/op\t 21600 wireB/s/gateway\nPASS\n"))
