--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -147,7 +147,7 @@
 		number(sum.MemoryMB)+": "+fits(sum.MemoryMB, limitMemoryMB), "", "", fits(sum.Bytes,
 			limitBytes))
 	row(b, "**a control machine as a whole**", "", "",
-		number(sum.Bytes*DesignGateways/DesignControl)+" if spread evenly", number(sum.Control/DesignControl)+" if spread evenly", "",
+		number(sum.Bytes*DesignGateways/DesignControl)+" if all fell to them, evenly", number(sum.Control/DesignControl)+" if spread evenly", "",
 		number(sum.Control), "a process of the program uses one core; permits, sessions and lists of processes fall to the leader alone", "cores: "+fits(sum.Control, DesignControl*controlCoresEach))
 }
 
@@ -208,10 +208,10 @@
 }
 
 func (c *Capacity) runTable(b *strings.Builder) {
-	head(b, "Runs near the size", "run", "gateways, servers, tenants", "path",
+	head(b, "Runs near the size", "run", "gateways, servers, tenants", "path", "pace of the log",
 		"all current after a start, s", "in force p50, p99, ms", "draining p99, ms", "a rack p99, ms", "plans in force p99, ms",
 		"diverged, stale, lost", "bytes/s a gateway, all roles", "of a core", "memory, MB",
-		"added p99, ms", "duties that changed hands", "units granted, of those asked for")
+		"added p99, ms", "duties that changed hands")
 	for i, r := range c.Runs {
 		o := &r.Options
 		added := "-"
@@ -222,16 +222,41 @@
 		if r.StaleOperations >= 0 {
 			stale = number(float64(r.StaleOperations))
 		}
-		row(b, fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date), fmt.Sprintf("%s, %s, %s",
-			number(float64(o.Gateways)), number(float64(o.Servers)), number(float64(o.Tenants))),
-			string(o.Path), number(r.HerdMilliseconds/millisecond), number(r.InForce.P50)+", "+number(r.InForce.P99), number(r.Draining.P99), number(r.Rack.P99), number(r.PlansInForce.P99),
-			fmt.Sprintf("%d, %s, %d", r.Diverged, stale,
-				r.LostChanges+r.LostVersions), number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond),
-			number(r.Gateway.Cores), number(r.Gateway.ResidentMB), added,
-			number(float64(r.DutyChanges)), number(r.Gateway.GrantedOfRequests))
+		where := fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
+			number(float64(o.Tenants)))
+		row(b, fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date), where, string(o.Path), pace(o), herd(r),
+			r.InForce.text(r.InForce.P50)+", "+r.InForce.text(r.InForce.P99), r.Draining.text(r.Draining.P99),
+			r.Rack.text(r.Rack.P99), r.PlansInForce.text(r.PlansInForce.P99),
+			fmt.Sprintf("%d, %s, %d", r.Diverged, stale, r.LostChanges+r.LostVersions),
+			number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond), number(r.Gateway.Cores),
+			number(r.Gateway.ResidentMB), added, number(float64(r.DutyChanges)))
 	}
 }
 
+// herd is how long all gateways took to be current, in seconds.
+func herd(r *Result) string {
+	if r.HerdMilliseconds < 0 {
+		return "not in time"
+	}
+	return number(r.HerdMilliseconds / millisecond)
+}
+
+// text is a quantile in milliseconds; nothing may have arrived.
+func (d *Delays) text(quantile float64) string {
+	if d.Count == 0 {
+		return "none"
+	}
+	return number(quantile)
+}
+
+// pace is that of the log and its leases.
+func pace(o *Options) string {
+	if o.Tick == 0 && o.Span == 0 {
+		return "the program's"
+	}
+	return fmt.Sprintf("tick %v, span %v", o.Tick, o.Span)
+}
+
 func (c *Capacity) runRoleTable(b *strings.Builder) {
 	head(b, "Bytes a second at one gateway in these runs, by role", "run", "role", "messages/s", "in",
 		"out")
