--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -222,7 +223,7 @@
 // start has the gateway take part in its fleet.
 func (g *hollowGateway) start(ctx context.Context, log *slog.Logger) error {
 	c := &g.process.config
-	address, err := freePort()
+	address, err := listenAddress(g.number)
 	if err != nil {
 		return err
 	}
@@ -265,13 +266,28 @@
 	return nil
 }
 
-// freePort is an address of loopback that is free now. The node tries again if it is not free any more.
-func freePort() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
+// Hollow gateways listen at hosts of their own in 127.0.0.0/8, where no outgoing connection takes a
+// port while a gateway is not
+// there yet.
+const (
+	hollowPort       = 7400
+	hollowHostsFirst = 16 // second byte of their addresses, and how many values it takes
+	hollowHosts      = 32
+	hostsOfNetwork   = 250
+)
+
+// listenAddress is a free address for a gateway.
+func listenAddress(number int) (string, error) {
+	pid := os.Getpid()
+	host := fmt.Sprintf("127.%d.%d.%d", hollowHostsFirst+pid%hollowHosts,
+		pid/hollowHosts%hostsOfNetwork, 1+number%hostsOfNetwork)
+	for port := hollowPort; port < hollowPort+hostsOfNetwork; port++ {
+		l, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
+		if err == nil {
+			return l.Addr().String(), l.Close()
+		}
 	}
-	return l.Addr().String(), l.Close()
+	return "", fmt.Errorf("hollow gateway %d: no free port at %s", number, host)
 }
 
 // noRegister is a register that tells nothing. Hundreds of hollow gateways that ask the register
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -123,7 +123,7 @@
 	string(RoleMetering): {"a gateway: use by tenant, until it is collected",
 		"`internal/metering`, `internal/usageexporter`: collected every 5 s by one owner"},
 	string(RoleMembership): {"all 620 processes, at each",
-		"`agree`: the list of processes, asked whole by three parts of a gateway every 3 s each"},
+		"`agree`: the list of processes, asked for by three parts of a gateway every 3 s, by part and revision"},
 }
 
 func (c *Capacity) roleTable(b *strings.Builder, s Slopes) {
@@ -148,7 +148,7 @@
 			limitBytes))
 	row(b, "**a control machine as a whole**", "", "",
 		number(sum.Bytes*DesignGateways/DesignControl)+" if all fell to them, evenly", number(sum.Control/DesignControl)+" if spread evenly", "",
-		number(sum.Control), "a process of the program uses one core; permits, sessions and lists of processes fall to the leader alone", "cores: "+fits(sum.Control, DesignControl*controlCoresEach))
+		number(sum.Control), "a process of the program uses one core; permits and sessions fall to the leader alone", "cores: "+fits(sum.Control, DesignControl*controlCoresEach))
 }
 
 // requestCores is what choosing a server takes of a core at the peak.
@@ -296,7 +296,7 @@
 }
 
 func (c *Capacity) failedTable(b *strings.Builder) {
-	head(b, "Steps that failed, and are in no slope", "ladder", "gateways, servers, tenants", "why",
+	head(b, "Steps that are in no slope: they failed, or are trials", "ladder", "gateways, servers, tenants", "why",
 		"units granted, of those asked for")
 	for i := range c.Steps {
 		s := &c.Steps[i]
