--- a/auditlog/auditlog.go
+++ b/auditlog/auditlog.go
@@ -13,10 +13,11 @@
 	"cmp"
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
+
+	"mothcleat/internal/mustjson"
 )
 
 // Counts are the operations that were done.
@@ -57,11 +58,7 @@
 
 // Hash returns the SHA-256 of the whole entry, in hexadecimal.
 func (e *Entry) Hash() string {
-	raw, err := json.Marshal(e)
-	if err != nil {
-		panic(err) // plain data
-	}
-	sum := sha256.Sum256(raw)
+	sum := sha256.Sum256(mustjson.Marshal(e))
 	return hex.EncodeToString(sum[:])
 }
 
--- a/budget/machine.go
+++ b/budget/machine.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"math"
@@ -12,6 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -78,11 +78,7 @@
 	} else {
 		r.OK = true
 	}
-	raw, err := json.Marshal(r)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
+	return mustjson.Marshal(r)
 }
 
 func (m *Machine) round(who lease.Member, body []byte) error {
--- a/checkpoint/checkpoint.go
+++ b/checkpoint/checkpoint.go
@@ -11,6 +11,7 @@
 	"fmt"
 	"time"
 
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -72,7 +73,7 @@
 	if err != nil {
 		r.Why = err.Error()
 	}
-	return encode(r)
+	return mustjson.Marshal(r)
 }
 
 var errVersion = errors.New("standing: it was written since")
@@ -104,11 +105,11 @@
 func (m *Machine) Query(_ time.Duration, body []byte) []byte {
 	e := m.entries[string(body)]
 	e.Key = string(body)
-	return encode(e)
+	return mustjson.Marshal(e)
 }
 
 // Snapshot returns the state as JSON. Equal states give equal bytes, as maps are encoded in the order of their keys.
-func (m *Machine) Snapshot() []byte { return encode(m.entries) }
+func (m *Machine) Snapshot() []byte { return mustjson.Marshal(m.entries) }
 
 // Restore replaces the state by that of a snapshot.
 func (m *Machine) Restore(raw []byte) error {
@@ -119,11 +120,3 @@
 	m.entries = entries
 	return nil
 }
-
-func encode(v any) []byte {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
-}
--- a/internal/auditrecorder/cells.go
+++ b/internal/auditrecorder/cells.go
@@ -9,6 +9,7 @@
 
 	"mothcleat/auditlog"
 	"mothcleat/internal/mmapfile"
+	"mothcleat/internal/mustjson"
 )
 
 // cells are a file mapped into memory in which one goroutine counts: a cell for each set of versions, one after another. What was
@@ -71,11 +72,7 @@
 	number := c.begun.Load() + 1
 	n := c.at(number)
 	*n = cell{}
-	raw, err := json.Marshal(inForce)
-	if err != nil {
-		panic(err) // plain data
-	}
-	n.length = uint64(copy(n.text[:], raw))
+	n.length = uint64(copy(n.text[:], mustjson.Marshal(inForce)))
 	c.begun.Store(number)
 	return n
 }
--- a/lease/gate.go
+++ b/lease/gate.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
+
+	"mothcleat/internal/mustjson"
 )
 
 // Gate is how a receiver tells a late word: it keeps the highest term that it has seen of each
@@ -36,11 +38,7 @@
 
 // Snapshot writes the gate.
 func (g *Gate) Snapshot() []byte {
-	raw, err := json.Marshal(g.seen)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
+	return mustjson.Marshal(g.seen)
 }
 
 // Restore reads what Snapshot wrote.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -23,6 +23,8 @@
 	"hash/fnv"
 	"slices"
 	"time"
+
+	"mothcleat/internal/mustjson"
 )
 
 // Member is one process: an id and a boot, which is drawn anew with each process. What
@@ -241,11 +243,7 @@
 
 // Snapshot writes the table: the same text for the same content.
 func (t *Table) Snapshot() []byte {
-	raw, err := json.Marshal(tableState{t.Duties(), t.history})
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
+	return mustjson.Marshal(tableState{t.Duties(), t.history})
 }
 
 // Restore reads what Snapshot wrote, in place of all that is there.
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"errors"
 	"time"
+
+	"mothcleat/internal/mustjson"
 )
 
 // MachineName is what the agreed state calls the duties.
@@ -27,15 +29,7 @@
 }
 
 // Encode writes an Op.
-func (o Op) Encode() []byte { return encode(o) }
-
-func encode(v any) []byte {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
-}
+func (o Op) Encode() []byte { return mustjson.Marshal(o) }
 
 // Machine is a Table as a part of the agreed state.
 type Machine struct {
@@ -50,7 +44,7 @@
 func (m *Machine) Apply(at time.Duration, _ uint64, who Member, body []byte) []byte {
 	var op Op
 	if err := json.Unmarshal(body, &op); err != nil || op.Duty == "" {
-		return encode(Result{Why: "no such command to duties"})
+		return mustjson.Marshal(Result{Why: "no such command to duties"})
 	}
 	before := m.Term(op.Duty)
 	var h Holding
@@ -70,7 +64,7 @@
 			m.changes++
 		}
 	default:
-		return encode(Result{Why: "no such command to duties"})
+		return mustjson.Marshal(Result{Why: "no such command to duties"})
 	}
 	if m.Term(op.Duty) != before {
 		m.changes++
@@ -84,7 +78,7 @@
 	case op.Do == "ask":
 		r.Span = m.SpanOf(at, &h)
 	}
-	return encode(r)
+	return mustjson.Marshal(r)
 }
 
 // Refuse answers an asking for what another holds without an entry.
@@ -97,7 +91,7 @@
 	if !held {
 		return nil, false
 	}
-	return encode(Result{Why: ErrHeld.Error(), Holding: h, Left: h.Until - at}), true
+	return mustjson.Marshal(Result{Why: ErrHeld.Error(), Holding: h, Left: h.Until - at}), true
 }
 
 // View is what Query gives.
@@ -113,7 +107,7 @@
 	if len(body) > 0 {
 		v.History = m.History(string(body))
 	}
-	return encode(v)
+	return mustjson.Marshal(v)
 }
 
 // Changes counts the changes of owners, for those who watch.
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"time"
 
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -92,14 +93,14 @@
 	if string(body) == "list" {
 		return m.Snapshot()
 	}
-	return encode(m.list.Head)
+	return mustjson.Marshal(m.list.Head)
 }
 
 // Changes counts the words taken in.
 func (m *Machine) Changes() uint64 { return m.changes }
 
 // Snapshot writes the state: the same text for the same state.
-func (m *Machine) Snapshot() []byte { return encode(m.list) }
+func (m *Machine) Snapshot() []byte { return mustjson.Marshal(m.list) }
 
 // Restore reads what Snapshot wrote.
 func (m *Machine) Restore(raw []byte) error {
@@ -111,11 +112,3 @@
 	m.changes++
 	return nil
 }
-
-func encode(v any) []byte {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
-}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"testing"
 
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -17,7 +18,7 @@
 	raw := func(s string) json.RawMessage { return json.RawMessage(s) }
 	word := func(who lease.Member, op Op, ok bool, version, beat uint64, servers int) {
 		t.Helper()
-		why := m.Apply(0, 1, who, encode(op))
+		why := m.Apply(0, 1, who, mustjson.Marshal(op))
 		if (len(why) == 0) != ok || m.list.Version != version || m.list.Beat != beat || len(m.list.Servers) != servers {
 			t.Errorf("%+v: %s; %+v", op, why, m.list)
 		}
--- a/usageexport/usageexport.go
+++ b/usageexport/usageexport.go
@@ -17,6 +17,7 @@
 	"strconv"
 	"time"
 
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -140,11 +141,7 @@
 	if err != nil {
 		r.Why = err.Error()
 	}
-	raw, err := json.Marshal(r)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
+	return mustjson.Marshal(r)
 }
 
 // take checks a command whole and then applies it.
@@ -242,11 +239,7 @@
 		v.Marks = append(v.Marks, *mark)
 	}
 	slices.SortFunc(v.Marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Boot, b.Boot)) })
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
+	return mustjson.Marshal(v)
 }
 
 // Restore replaces the state by that of a snapshot.
--- a/versions/machine.go
+++ b/versions/machine.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"mothcleat/auditlog"
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -61,7 +62,7 @@
 	} else {
 		r.Why = err.Error()
 	}
-	return encode(r)
+	return mustjson.Marshal(r)
 }
 
 // take carries an Op out. The number is that of the version that it made, if it made one.
--- a/versions/op.go
+++ b/versions/op.go
@@ -1,10 +1,10 @@
 package versions
 
 import (
-	"encoding/json"
 	"time"
 
 	"mothcleat/auditlog"
+	"mothcleat/internal/mustjson"
 )
 
 // Op is one command, encoded as JSON in the log.
@@ -36,15 +36,7 @@
 }
 
 // Encode returns the Op as JSON.
-func (o Op) Encode() []byte { return encode(o) }
-
-func encode(v any) []byte {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
-}
+func (o Op) Encode() []byte { return mustjson.Marshal(o) }
 
 // Result is the answer to an Op. Why is the reason if it is not OK.
 type Result struct {
--- a/versions/permit.go
+++ b/versions/permit.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -33,13 +34,13 @@
 // are JSON.
 func (m *Machine) Query(at time.Duration, body []byte) []byte {
 	if len(body) == 0 {
-		return encode(m.View(at))
+		return mustjson.Marshal(m.View(at))
 	}
 	var who lease.Member
 	if json.Unmarshal(body, &who) != nil {
-		return encode(Told{At: at, Out: ErrBad.Error()})
+		return mustjson.Marshal(Told{At: at, Out: ErrBad.Error()})
 	}
-	return encode(m.Tell(at, who))
+	return mustjson.Marshal(m.Tell(at, who))
 }
 
 // Tell returns what a member may act on at a time of the fleet.
--- a/versions/state.go
+++ b/versions/state.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"mothcleat/auditlog"
+	"mothcleat/internal/mustjson"
 	"mothcleat/lease"
 )
 
@@ -77,7 +78,7 @@
 }
 
 // Snapshot returns the state as JSON, the same bytes for the same state.
-func (m *Machine) Snapshot() []byte { return encode(m.View(0)) }
+func (m *Machine) Snapshot() []byte { return mustjson.Marshal(m.View(0)) }
 
 // Restore replaces the state by what Snapshot returned.
 func (m *Machine) Restore(raw []byte) error {
