--- /dev/null
+++ b/decide/backoff_test.go
@@ -0,0 +1,135 @@
+package decide
+
+import "testing"
+
+// crowd is settings for a fleet of so many gateways in which none hears of another.
+func crowd(gateways int) Settings {
+	set := settings()
+	set.Gateways, set.Peers, set.SecondCopies = gateways, false, true
+	set.Plans = []Plan{{Price: 1}}
+	return set
+}
+
+// lastSend is the backend that a request was sent to last.
+func (r *rig) lastSend(id uint64) *backend {
+	attempts := r.requests[id].attempts
+	return attempts[len(attempts)-1].b
+}
+
+// An attempt that is turned away is no answer in time: a backend that turns many away
+// quickly would otherwise open the gate to ever more of them.
+func TestWhatIsTurnedAwayIsNoAnswerInTime(t *testing.T) {
+	r := newRig(t, crowd(2))
+	for range 200 {
+		r.at += second / 200
+		if id, ok := r.ask(0, 0, 1, 1); ok {
+			for r.requests[id] != nil {
+				r.end(id, Full, false)
+			}
+		}
+	}
+	if got := r.inTime.get(r.awake, second); got != 0 {
+		t.Errorf("%.1f answers in time a second, all were turned away", got)
+	}
+	if r.late.v != 0 {
+		t.Errorf("part of late answers %.2f, there were none", r.late.v)
+	}
+}
+
+// A backend that turns attempts away holds nothing and looks idle. Through all gateways of a
+// large fleet it is tried now and then only, though no gateway hears of another; the others
+// get what it would have had.
+func TestManyGatewaysTryABackendThatTurnsAwayNowAndThen(t *testing.T) {
+	const gateways, seconds, turns = 32, 10, 1
+	tried, served, asked := 0, 0, 0
+	for self := range gateways {
+		set := crowd(gateways)
+		set.Self = self
+		g, err := New(set, uint64(self+1), &fake{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &rig{Gateway: g, fake: g.do.(*fake), t: t, at: start}
+		g.Members(start, Cached, members(4))
+		for range 10 * seconds {
+			r.at += second / 10
+			asked++
+			for _, b := range g.backends {
+				if b.Backend != turns {
+					b.slow, b.slowAt = 20, r.at // overloaded: whoever can would go elsewhere
+				}
+			}
+			id, ok := r.ask(0, 0, 1, 1)
+			for ok && r.requests[id] != nil {
+				if r.lastSend(id).Backend == turns {
+					tried++
+					r.end(id, Full, false)
+				} else {
+					served++
+					r.end(id, OK, true)
+				}
+			}
+		}
+	}
+	// All at once before any knows, and then as often as the waits, which double up to
+	// healTime, leave room for: at the shortest 0.43, 0.87, 1.73, 2 and 2 s.
+	if most := 6 * gateways; tried > most {
+		t.Errorf("%d of %d requests were tried at the backend that turns all away, at most %d wanted", tried, asked, most)
+	}
+	if tried < 2*gateways {
+		t.Errorf("it was tried %d times by %d gateways: nobody would see that it is back", tried, gateways)
+	}
+	if served < asked*99/100 {
+		t.Errorf("%d of %d served, the other backends have room", served, asked)
+	}
+}
+
+// Where all backends turn attempts away a large fleet refuses at once; each is tried again
+// after the wait, and one answer ends the doubling.
+func TestTheWaitEndsAndAnAnswerShortensTheNext(t *testing.T) {
+	r := newRig(t, crowd(32))
+	wait := func() Time {
+		id, ok := r.ask(0, 0, 1, 1)
+		if !ok {
+			t.Fatal("not sent")
+		}
+		b := r.lastSend(id)
+		for r.requests[id] != nil {
+			b = r.lastSend(id)
+			r.end(id, Full, false)
+		}
+		for _, other := range r.backends { // the others stay out of this
+			other.backOff = max(other.backOff, b.backOff)
+		}
+		if _, ok := r.ask(0, 0, 1, 1); ok {
+			t.Error("sent to a backend that has just turned an attempt away")
+		}
+		return b.backOff - r.at
+	}
+	whole := Time(tryApart) * (32 - fewTry)
+	for range 3 {
+		for _, b := range r.backends {
+			b.turned = 0
+		}
+		if got := wait(); got < whole/2 || got > whole {
+			t.Errorf("first wait %d us, %d to %d wanted", got, whole/2, whole)
+		}
+		r.at += whole
+	}
+	for _, b := range r.backends {
+		b.turned = 10
+	}
+	if got := wait(); got < healTime/2 || got > healTime {
+		t.Errorf("longest wait %d us, %d to %d wanted", got, Time(healTime/2), Time(healTime))
+	}
+	r.at += healTime
+	id, ok := r.ask(0, 0, 1, 1)
+	if !ok {
+		t.Fatal("not sent after the longest wait")
+	}
+	b := r.lastSend(id)
+	r.end(id, OK, true)
+	if b.turned != 0 {
+		t.Errorf("%d times turned away in a row after an answer", b.turned)
+	}
+}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -77,8 +77,8 @@
 	paceTime   = 4 * second  // over which the pace of sends is taken
 	keptFor    = 10 * second // after which a backend may have closed its idle connections
 	freshPrice = 1.0         // a handshake as load, where no backend gets more than one request in that time
-	fewTry     = 6           // so many gateways may try a backend at once that only an old list names;
-	tryApart   = second / 30 // of more, each further one adds so much to the time over which they begin
+	fewTry     = 6           // so many gateways may try a backend at once that only an old list names, or that turned
+	tryApart   = second / 30 // one away; of more, each further one adds so much to the time over which they begin
 	surely     = 2.0         // an answer within so many mean times shows that it is warm
 )
 
@@ -642,6 +642,7 @@
 	b, bad := a.b, 0.0
 	if r == OK {
 		g.up(b)
+		b.turned = 0
 		usual := math.Max(g.base[class].v, aimShare*float64(g.set.Classes[class].Aim))
 		b.unsure = b.unsure && took > surely*usual
 	}
@@ -698,7 +699,7 @@
 		bestCost, ties := math.Inf(1), 0.0
 		for _, b := range g.backends {
 			if b.State != Ready || !b.listed || !g.warmEnough(b) ||
-				b.unsure && (b.out > 0 || g.now < b.opens) ||
+				b.unsure && (b.out > 0 || g.now < b.opens) || g.now < b.backOff ||
 				within != nil && !g.set.Classes[r.Class].sameGroup(within.b, b) ||
 				!anyway && (g.sick(b) || r.tried(b)) {
 				continue
@@ -1058,6 +1059,19 @@
 	return again
 }
 
+// turnedAway has nothing more sent to a backend for a while after it turned an attempt away. It
+// holds nothing then and would look idle, and each gateway would send all that it has to it. The
+// wait is drawn, and so long that many gateways together try it once in tryApart; it doubles while
+// the backend goes on turning attempts away. No gateway has to hear of another for that.
+func (g *Gateway) turnedAway(b *backend) {
+	if g.now < b.backOff {
+		return // sent before it was known
+	}
+	wait := float64(tryApart*Time(max(0, g.set.Gateways-fewTry))) * math.Exp2(float64(b.turned))
+	b.turned++
+	b.backOff = g.now + Time(math.Min(wait, float64(healTime))*(0.5+g.rand.Float64()/2))
+}
+
 // settle books an attempt's end on its backend and its customer.
 func (g *Gateway) settle(r *request, a *attempt, o *Outcome) {
 	b := a.b
@@ -1067,7 +1081,8 @@
 	}
 	r.c.open--
 	late := o.Took > g.set.Classes[r.Class].Aim
-	if !a.blind && (o.Result == OK || o.Result == Full || o.Result == TimedOut && late) {
+	// One turned away is no answer: counted as one in time it would open the gate to more of its kind.
+	if !a.blind && (o.Result == OK || o.Result == TimedOut && late) {
 		g.late.add(step(late), learnOne)
 		g.inTime.add(g.awake, second, step(!late))
 	}
@@ -1082,6 +1097,7 @@
 	// Trouble for one plan or class, met once in many seconds at any one backend: all are told, and
 	// prefer others till the word fades. It may hurt where one is avoided by all for too long.
 	if o.Result == Full {
+		g.turnedAway(b)
 		g.word(b, len(g.set.Classes)+r.Plan)
 	} else if o.Result == Failed || o.Result == TimedOut && !a.blind {
 		g.word(b, r.Class)
--- a/decide/state.go
+++ b/decide/state.go
@@ -127,6 +127,8 @@
 	queueAt Time
 	breaks  fading   // connections that broke of late
 	words   []fading // of trouble, by class and then by plan
+	turned  int      // how often in a row it has turned an attempt away,
+	backOff Time     // and until when it is sent nothing for that
 	cold    bank     // what it may still be sent while cold
 	unsure  bool     // only an old list names it: it may have started anew since
 	opens   Time     // when an unsure one may be tried
