--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -74,7 +74,7 @@
 	// All at once before any knows, and then as often as the waits, which double up to
 	// healTime, leave room for: at the shortest 0.43, 0.87, 1.73, 2 and 2 s.
 	if most := 6 * gateways; tried > most {
-		t.Errorf("%d of %d requests were tried at the backend that turns all away, at most %d wanted", tried, asked, most)
+		t.Errorf("%d of %d requests tried at the one that turns all away, at most %d wanted", tried, asked, most)
 	}
 	if tried < 2*gateways {
 		t.Errorf("it was tried %d times by %d gateways: nobody would see that it is back", tried, gateways)
@@ -133,3 +133,42 @@
 		t.Errorf("%d times turned away in a row after an answer", b.turned)
 	}
 }
+
+// Where a connection failed or broke the process may have ended, and be back cold before any
+// list tells of it. Also as the last resort it is sent one attempt at a time then, until an
+// answer comes as soon as from a warm one: of many gateways none has to hear of another.
+func TestOneAtATimeAfterAConnectionFailed(t *testing.T) {
+	for _, r := range []Result{ConnectFailed, Reset} {
+		g := newRig(t, crowd(32))
+		g.Members(g.at, Whole, members(1))
+		for range 200 { // the gate has room for many
+			g.at += second / 200
+			g.serve(0, 0, 1, 1)
+		}
+		id, ok := g.ask(0, 0, 1, 1)
+		if !ok {
+			t.Fatal("not sent")
+		}
+		b := g.lastSend(id)
+		g.end(id, r, false)
+		g.Gone(g.at, id)
+		sent := 0
+		if g.requests[id] != nil { // a further attempt was sent at once
+			sent++
+		}
+		for range 10 {
+			if _, ok := g.ask(0, 0, 1, 1); ok {
+				sent++
+			}
+		}
+		if sent > 1 || b.out > 1 {
+			t.Errorf("after result %d: %d attempts sent at once, %d out", r, sent, b.out)
+		}
+		for id := range g.requests {
+			g.end(id, OK, true)
+		}
+		if b.unsure {
+			t.Errorf("after result %d: one at a time still after a prompt answer", r)
+		}
+	}
+}
--- a/decide/state.go
+++ b/decide/state.go
@@ -130,7 +130,7 @@
 	turned  int      // how often in a row it has turned an attempt away,
 	backOff Time     // and until when it is sent nothing for that
 	cold    bank     // what it may still be sent while cold
-	unsure  bool     // only an old list names it: it may have started anew since
+	unsure  bool     // it may have started anew: only an old list names it, or a connection failed
 	opens   Time     // when an unsure one may be tried
 }
 
