--- a/decide/decide.go
+++ b/decide/decide.go
@@ -77,8 +77,8 @@
 	paceTime   = 4 * second  // over which the pace of sends is taken
 	keptFor    = 10 * second // after which a backend may have closed its idle connections
 	freshPrice = 1.0         // a handshake as load, where no backend gets more than one request in that time
-	fewTry     = 6           // so many gateways may try a backend at once that an old list names, or that turned
-	tryApart   = second / 30 // one away; of more, each further adds so much to the time over which they begin
+	fewTry     = 6           // so many may try a backend at once that an old list names, or that turned
+	tryApart   = second / 30 // one away; of more gateways each adds so much to the time over which they begin
 	surely     = 2.0         // an answer within so many mean times shows that it is warm
 )
 
