--- a/internal/trial/audit_test.go
+++ b/internal/trial/audit_test.go
@@ -68,6 +68,11 @@
 			x.Kind, x.Answers, x.Answered, x.Reset = Ended, 0, 0, true
 			r.Lives = append(r.Lives, Life{0, Killed, x.Sent + 100*ms})
 		},
+		"killed before, and ended after it was sent": func(r *Record) {
+			x := &r.Tries[3]
+			x.Kind, x.Answers, x.Answered, x.Reset = Ended, 0, 0, true
+			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 80*ms}, Life{0, Exited, x.Sent + ms})
+		},
 		"closed between requests": func(r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Answered, x.Closed = Ended, 0, 0, x.Sent+ms
@@ -104,6 +109,17 @@
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
 			r.Lives = append(r.Lives, Life{1, Killed, x.Sent + 100*ms})
 		}},
+		{"the gateway that was killed had ended long before", Lost, func(_ *Site, r *Record) {
+			x := &r.Tries[3]
+			x.Kind, x.Answers, x.Reset = Ended, 0, true
+			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 200*ms}, Life{0, Exited, x.Sent - 100*ms})
+		}},
+		{"it was killed after one that had ended had started anew", Lost, func(_ *Site, r *Record) {
+			x := &r.Tries[3]
+			x.Kind, x.Answers, x.Reset = Ended, 0, true
+			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 200*ms}, Life{0, Exited, x.Sent - 150*ms},
+				Life{0, Started, x.Sent - 100*ms}, Life{0, Killed, x.Sent + x.Wait + 100*ms})
+		}},
 		{"sent on though its client had left", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Answered, x.Left = Left, 0, 0, r.Attempts[3].Whole-301*ms
