--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -189,7 +189,7 @@
 	}
 	whole := s.at(SlopeWholeBytes, DesignServers)
 	version := s.at(SlopeVersionBytes, DesignTenants)
-	event("a server changes", "one delta", deltaBytes, g, "measured (slope by changes a second)")
+	event("a server changes", "one delta", deltaBytes, g, "measured (slope by changes a second, some of which shared a message)")
 	event("the same, whole list", "the list is fetched by each", whole, g,
 		"measured (slope by servers)")
 	event("a version of the plans", "the content by digest, from another gateway or a control machine",
