--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -179,14 +179,16 @@
 }
 
 // terms is the sum of all duties' terms: it grows by one with each change of an owner.
-func (c *control) terms() (sum uint64) {
+// ok is false where nobody tells.
+func (c *control) terms() (sum int, ok bool) {
 	var v lease.View
-	if c.call(max(0, c.leader()), "owners", &v) == nil {
-		for _, d := range v.Duties {
-			sum += d.Term
-		}
+	if c.call(max(0, c.leader()), "owners", &v) != nil {
+		return 0, false
+	}
+	for _, d := range v.Duties {
+		sum += int(d.Term)
 	}
-	return sum
+	return sum, true
 }
 
 // propose has a version of the plans go to all gateways, and gives its number.
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -229,10 +229,18 @@
 			r.Rack.text(r.Rack.P99), r.PlansInForce.text(r.PlansInForce.P99),
 			fmt.Sprintf("%d, %s, %d", r.Diverged, stale, r.LostChanges+r.LostVersions),
 			number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond), number(r.Gateway.Cores),
-			number(r.Gateway.ResidentMB), added, number(float64(r.DutyChanges)))
+			number(r.Gateway.ResidentMB), added, dutyChanges(r))
 	}
 }
 
+// dutyChanges is how many duties changed hands.
+func dutyChanges(r *Result) string {
+	if r.DutyChanges < 0 {
+		return "not told"
+	}
+	return number(float64(r.DutyChanges))
+}
+
 // herd is how long all gateways took to be current, in seconds.
 func herd(r *Result) string {
 	if r.HerdMilliseconds < 0 {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -256,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	terms := p.control.terms()
+	terms, told := p.control.terms()
 	began := time.Now()
 	ended := p.drive(ctx)
 	took := time.Since(began)
@@ -269,7 +269,10 @@
 		return err
 	}
 	ended()
-	p.result.DutyChanges = int(p.control.terms() - terms)
+	p.result.DutyChanges = dutyChangesUnknown
+	if now, still := p.control.terms(); told && still {
+		p.result.DutyChanges = now - terms
+	}
 	p.sumTraffic(before, after, took)
 	p.sumControl(control, controlAfter, took)
 	settled, err := p.settle(ctx)
