--- /dev/null
+++ b/internal/ownertrial/faults.go
@@ -0,0 +1,306 @@
+package ownertrial
+
+import (
+	"context"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"mothcleat/internal/faultproxy"
+	"mothcleat/internal/rig"
+	"mothcleat/internal/trial"
+	"mothcleat/lease"
+	"mothcleat/usageexport"
+)
+
+// faults does one thing to processes after another, and beside that one thing to links after another, each kind in
+// turn in an order that the seed draws.
+func (t *trialRun) faults(ctx context.Context) {
+	defer t.heal()
+	var wg sync.WaitGroup
+	track := func(seed uint64, least, most float64, kinds ...func(context.Context, *rand.Rand)) {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			r := rand.New(rand.NewPCG(t.o.Seed, seed))
+			for {
+				r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
+				for _, kind := range kinds {
+					if !rig.Pass(ctx, span(r, least, most)) {
+						return
+					}
+					kind(ctx, r)
+				}
+			}
+		}()
+	}
+	track(0x0117e5, 0.3, 1.2, t.stopAmidExport, t.stopAmidExport, t.stopLeader, t.killOwner, t.killAtPoint, t.handOn, t.stopOwner, t.transfer, t.slowDisk, t.emptyFolder)
+	track(0x11111e, 0.5, 2, t.cutOneWay, t.isolate, t.weather)
+	wg.Wait()
+}
+
+// heal ends all faults, and has every process run.
+func (t *trialRun) heal() {
+	t.f.Heal()
+	for i, g := range t.f.Gateways {
+		_ = os.Remove(filepath.Join(g.Dir(), "slow-sync"))
+		if t.f.Stopped(i) {
+			t.fail(t.f.Wake(i))
+		}
+		if !g.Running() {
+			t.fail(t.f.Begin(i))
+		}
+	}
+}
+
+func (t *trialRun) duty(r *rand.Rand) string { return usageexport.Duty(r.IntN(t.o.Shards)) }
+
+func span(r *rand.Rand, least, most float64) time.Duration {
+	return time.Duration(trial.Between(r, least, most) * float64(time.Second))
+}
+
+// stop has a process lie still for a while.
+func (t *trialRun) stop(ctx context.Context, i int, d time.Duration) {
+	if err := t.f.Stop(i); err != nil {
+		t.fail(err)
+		return
+	}
+	t.count("stops")
+	rig.Pass(ctx, d)
+	t.fail(t.f.Wake(i))
+}
+
+func (t *trialRun) ended(duty string, h lease.Holding, order bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.free = append(t.free, passing{duty, h.Term, time.Now(), order})
+}
+
+func (t *trialRun) stopOwner(ctx context.Context, r *rand.Rand) {
+	duty := t.duty(r)
+	if i, h := t.owner(duty); i >= 0 {
+		t.note("stop %s, owner of %s under term %d", rig.Name(i), duty, h.Term)
+		t.ended(duty, h, false)
+		t.stop(ctx, i, span(r, 2, 5))
+	}
+}
+
+// stopAmidExport has the owner stop itself between its check and its write, and wakes it when another has gone on.
+func (t *trialRun) stopAmidExport(ctx context.Context, r *rand.Rand) {
+	duty := t.duty(r)
+	point := []string{"export-before-agree", "export-before-agree", "export-amid-write", "export-collected"}[r.IntN(4)]
+	i, h := t.owner(duty)
+	if i < 0 {
+		return
+	}
+	flag := filepath.Join(t.f.Gateways[i].Dir(), "stop-"+point)
+	if err := os.WriteFile(flag, nil, 0o600); err != nil {
+		t.fail(err)
+		return
+	}
+	for wait := time.Now(); !t.f.Stopped(i); {
+		if time.Since(wait) > 4*time.Second || !rig.Pass(ctx, 5*time.Millisecond) {
+			_ = os.Remove(flag)
+			return
+		}
+	}
+	t.f.Record.AddLife(i, trial.Paused)
+	t.ended(duty, h, false)
+	t.note("%s stopped itself at %s, owner of %s under term %d", rig.Name(i), point, duty, h.Term)
+	t.count("stops")
+	rig.Pass(ctx, span(r, 3, 5))
+	if _, next := t.owner(duty); next.Term > h.Term {
+		t.count("late_wakes")
+	}
+	t.fail(t.f.Wake(i))
+}
+
+func (t *trialRun) stopLeader(ctx context.Context, r *rand.Rand) {
+	if i := t.leader(); i >= 0 {
+		t.note("stop %s, the leader", rig.Name(i))
+		t.stop(ctx, i, span(r, 1.5, 4))
+	}
+}
+
+// kill ends a process and starts it again.
+func (t *trialRun) kill(ctx context.Context, r *rand.Rand, i int, then func()) {
+	t.count("kills")
+	t.killed[i]++
+	t.fail(t.f.End(i, syscall.SIGKILL))
+	if then != nil {
+		then()
+	}
+	rig.Pass(ctx, span(r, 0.2, 2))
+	t.fail(t.f.Begin(i))
+}
+
+func (t *trialRun) killOwner(ctx context.Context, r *rand.Rand) {
+	duty := t.duty(r)
+	if i, h := t.owner(duty); i >= 0 {
+		t.note("kill %s, owner of %s under term %d", rig.Name(i), duty, h.Term)
+		t.ended(duty, h, false)
+		t.kill(ctx, r, i, nil)
+	}
+}
+
+// killAtPoint has a process kill itself at a named point.
+func (t *trialRun) killAtPoint(ctx context.Context, r *rand.Rand) {
+	point := points[r.IntN(len(points))]
+	i := r.IntN(t.o.Instances)
+	duty := t.duty(r)
+	var h lease.Holding
+	if strings.HasPrefix(point, "export") {
+		if i, h = t.owner(duty); i < 0 {
+			return
+		}
+	} else if strings.HasPrefix(point, "voter") {
+		if i = t.leader(); i < 0 {
+			return
+		}
+	}
+	flag := filepath.Join(t.f.Gateways[i].Dir(), "kill-"+point)
+	if err := os.WriteFile(flag, nil, 0o600); err != nil {
+		t.fail(err)
+		return
+	}
+	t.f.Gateways[i].Expect(syscall.SIGKILL)
+	for wait := time.Now(); t.f.Gateways[i].Running(); {
+		if time.Since(wait) > 4*time.Second || !rig.Pass(ctx, 5*time.Millisecond) {
+			_ = os.Remove(flag)
+			t.f.Gateways[i].Expect(0)
+			return
+		}
+	}
+	t.f.Record.AddLife(i, trial.Killed)
+	if h.Term > 0 {
+		t.ended(duty, h, false)
+	}
+	t.count("kills")
+	t.killed[i]++
+	t.note("%s killed itself at %s", rig.Name(i), point)
+	rig.Pass(ctx, span(r, 0.2, 1.5))
+	t.fail(t.f.Begin(i))
+}
+
+// cutOneWay has a gateway be heard by nobody, or hear nobody.
+func (t *trialRun) cutOneWay(ctx context.Context, r *rand.Rand) {
+	i := t.leader()
+	if i < 0 || r.IntN(3) == 0 {
+		i = r.IntN(t.o.Instances)
+	}
+	says := r.IntN(2) == 0
+	t.note("%s %s", rig.Name(i), map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
+	t.f.Isolate(i, says, !says, true)
+	rig.Pass(ctx, span(r, 2, 4))
+	t.f.Isolate(i, says, !says, false)
+	t.count("cuts")
+}
+
+// isolate cuts a gateway off, or a pair of them from one another.
+func (t *trialRun) isolate(ctx context.Context, r *rand.Rand) {
+	i, j := r.IntN(t.o.Instances), r.IntN(t.o.Instances)
+	if owner, _ := t.owner(t.duty(r)); owner >= 0 && r.IntN(2) == 0 {
+		i = owner
+	}
+	if i == j || r.IntN(2) == 0 {
+		t.note("%s is cut off", rig.Name(i))
+		t.f.Isolate(i, true, true, true)
+		rig.Pass(ctx, span(r, 2, 5))
+		t.f.Isolate(i, true, true, false)
+	} else {
+		t.note("%s and %s don't hear each other", rig.Name(i), rig.Name(j))
+		t.f.Between(i, j, true)
+		rig.Pass(ctx, span(r, 2, 5))
+		t.f.Between(i, j, false)
+	}
+	t.count("cuts")
+}
+
+// weather slows links, resets them, or leaves them half open.
+func (t *trialRun) weather(ctx context.Context, r *rand.Rand) {
+	i := r.IntN(t.o.Instances)
+	what := r.IntN(4)
+	t.note("links of %s: %s", rig.Name(i), []string{"late", "a trickle", "reset", "half open"}[what])
+	for j, l := range t.f.Links[i] {
+		if l == nil {
+			continue
+		}
+		switch what {
+		case 0:
+			l.Set(faultproxy.Upstream, faultproxy.Conditions{Delay: 20 * time.Millisecond, Jitter: 80 * time.Millisecond})
+			t.f.Links[j][i].Set(faultproxy.Upstream, faultproxy.Conditions{Jitter: 50 * time.Millisecond})
+		case 1:
+			l.Set(faultproxy.Upstream, faultproxy.Conditions{BytesPerSecond: 4000})
+		case 2:
+			l.Reset()
+		case 3:
+			l.HalfOpen()
+		}
+	}
+	t.count("weather")
+	rig.Pass(ctx, span(r, 1, 3))
+	t.f.Heal()
+}
+
+// handOn stops an owner in order.
+func (t *trialRun) handOn(ctx context.Context, r *rand.Rand) {
+	duty := t.duty(r)
+	i, h := t.owner(duty)
+	if i < 0 {
+		return
+	}
+	t.note("%s, owner of %s under term %d, is told to stop", rig.Name(i), duty, h.Term)
+	t.ended(duty, h, true)
+	t.fail(t.f.End(i, syscall.SIGTERM))
+	t.count("stopped in order")
+	rig.Pass(ctx, span(r, 0.1, 1))
+	t.fail(t.f.Begin(i))
+}
+
+// transfer has a duty handed on by an operator's word.
+func (t *trialRun) transfer(ctx context.Context, r *rand.Rand) {
+	duty := t.duty(r)
+	i, h := t.owner(duty)
+	to := r.IntN(t.o.Instances)
+	if i < 0 || i == to {
+		return
+	}
+	var told string
+	if t.view("transfer "+duty+" "+rig.Name(to), &told) == nil {
+		t.note("%s is to be handed on from %s to %s", duty, rig.Name(i), rig.Name(to))
+		t.ended(duty, h, true)
+		t.count("transfers")
+	}
+}
+
+// slowDisk has a voter's sync take three seconds.
+func (t *trialRun) slowDisk(ctx context.Context, r *rand.Rand) {
+	i := t.leader()
+	if i < 0 {
+		return
+	}
+	flag := filepath.Join(t.f.Gateways[i].Dir(), "slow-sync")
+	t.note("the disk of %s, the leader, is slow", rig.Name(i))
+	if err := os.WriteFile(flag, nil, 0o600); err != nil {
+		t.fail(err)
+		return
+	}
+	rig.Pass(ctx, span(r, 2, 4))
+	t.fail(os.Remove(flag))
+	t.count("slow disks")
+}
+
+// emptyFolder kills a gateway that is no voter, and takes its folder away, once a run.
+func (t *trialRun) emptyFolder(ctx context.Context, r *rand.Rand) {
+	i := t.o.Instances - 1
+	if len(t.emptied) > 0 || t.o.Instances < 4 {
+		return
+	}
+	t.note("kill %s and take its folder away", rig.Name(i))
+	t.emptied[i] = true
+	t.kill(ctx, r, i, func() { t.fail(t.f.Empty(i)) })
+}
