--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -39,7 +39,7 @@
 
 func playTiny(t *testing.T, path Path) {
 	if !lab.HasGo() {
-		t.Skip("no go command to build the gateway with")
+		t.Fatal("no go command to build the gateway with")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
