--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -212,7 +212,9 @@
 		old := wait(t, calls, "a question")
 		s, moved := newAuthenticator(t)
 		r.reloads(asking(t, d, s.URL), nil)
-		other.send("AUTH", "x") // read after the reload, or asked of the old one: both are answered
+		// An answer that came before the reload would be cached, and the new one would not be asked.
+		until(t, r.loop, "the reload", func(l *Loop) bool { return l.tally.Loaded.Load() == 2 })
+		other.send("AUTH", "x")
 		other.want("+OK")
 		old.answer <- http.StatusOK
 		b.next(t).serve(t, "ok")
