--- a/plans/file.go
+++ b/plans/file.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"strconv"
 
 	"github.com/pelletier/go-toml/v2"
 )
@@ -50,9 +49,9 @@
 	}
 	var assignments []Assignment
 	for i, c := range f.Customer {
-		id, err := strconv.ParseUint(c.ID, 16, 64)
-		if err != nil || len(c.ID) != 16 {
-			return nil, fmt.Errorf("plans: customer %d: id %.40q, 16 hexadecimal digits wanted", i+1, c.ID)
+		id, err := ParseCustomerID(c.ID)
+		if err != nil {
+			return nil, fmt.Errorf("plans: customer %d: %w", i+1, err)
 		}
 		assignments = append(assignments, Assignment{Customer: id, Plan: c.Plan})
 	}
--- /dev/null
+++ b/plans/render.go
@@ -0,0 +1,99 @@
+package plans
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+)
+
+// customerTextBytes is about how long the text of one customer is.
+const customerTextBytes = 64
+
+// Render writes a book as TOML that Parse reads: plans by name, then customers by id, without comments. The same book
+// gives the same bytes, and Render of what Parse read from them gives them again. Of a plan or a customer with several
+// entries, only the first is written, as a file has no times.
+func Render(b *Book) []byte {
+	text := make([]byte, 0, len(b.customers)*customerTextBytes+len(b.names)*2*customerTextBytes)
+	order := make([]int, len(b.names))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortFunc(order, func(i, j int) int { return compareNames(b.names[i], b.names[j]) })
+	for _, i := range order {
+		text = appendPlan(text, &b.versions[i][0])
+	}
+	for i, customer := range b.customers {
+		if plan := b.plan[b.spans[i]]; plan >= 0 {
+			text = appendCustomer(text, customer, b.names[plan])
+		}
+	}
+	return text
+}
+
+func appendPlan(text []byte, v *Version) []byte {
+	text = append(text, "[[plan]]\nname = "...)
+	text = appendString(text, v.Plan)
+	text = append(text, '\n')
+	text = appendNumber(text, "rate", v.Rate)
+	text = appendNumber(text, "burst", v.Burst)
+	if v.CeilingRate > 0 {
+		text = appendNumber(text, "ceiling_rate", v.CeilingRate)
+		text = appendNumber(text, "ceiling_burst", v.CeilingBurst)
+	}
+	return text
+}
+
+func appendCustomer(text []byte, customer uint64, plan string) []byte {
+	text = append(text, "[[customer]]\nid = \""...)
+	text = append(text, CustomerID(customer)...)
+	text = append(text, "\"\nplan = "...)
+	text = appendString(text, plan)
+	return append(text, '\n')
+}
+
+// CustomerID writes a customer's number as files have it: 16 hexadecimal digits.
+func CustomerID(customer uint64) string {
+	const digits = "0123456789abcdef"
+	var id [16]byte
+	for i := range id {
+		id[i] = digits[customer>>(60-4*i)&15]
+	}
+	return string(id[:])
+}
+
+// ParseCustomerID reads what CustomerID writes.
+func ParseCustomerID(id string) (uint64, error) {
+	customer, err := strconv.ParseUint(id, 16, 64)
+	if err != nil || len(id) != 16 {
+		return 0, fmt.Errorf("id %.40q, 16 hexadecimal digits wanted", id)
+	}
+	return customer, nil
+}
+
+func appendNumber(text []byte, key string, value float64) []byte {
+	text = append(text, key...)
+	text = append(text, " = "...)
+	if math.IsInf(value, 1) {
+		text = append(text, "inf"...)
+	} else {
+		text = strconv.AppendFloat(text, value+0, 'g', -1, 64) // + 0: a negative zero is written as zero
+	}
+	return append(text, '\n')
+}
+
+// appendString writes a TOML basic string.
+func appendString(text []byte, s string) []byte {
+	text = append(text, '"')
+	for _, r := range s {
+		switch {
+		case r == '"' || r == '\\':
+			text = append(text, '\\', byte(r))
+		case r < ' ' || r == 0x7f:
+			text = fmt.Appendf(text, "\\u%04X", r)
+		default:
+			text = append(text, string(r)...)
+		}
+	}
+	return append(text, '"')
+}
