--- a/distribution/state.go
+++ b/distribution/state.go
@@ -169,3 +169,16 @@
 	sortChanges(changes)
 	return changes
 }
+
+// With gives a copy of the state with changes, one a key, at the same epoch and revision. The state stays as it is. It
+// returns an InvalidRecordError for a change that can't be read or kept.
+func (s *State) With(changes []Change) (*State, error) {
+	for i := range changes {
+		if err := changes[i].check(); err != nil {
+			return nil, err
+		}
+	}
+	next := s.Clone()
+	next.commit(s.stage(changes), s.epoch, s.revision)
+	return next, nil
+}
--- /dev/null
+++ b/internal/configstate/serve.go
@@ -0,0 +1,66 @@
+package configstate
+
+import (
+	"mothcleat/distribution"
+	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/fleetpb"
+)
+
+const (
+	// maxDeltaShare is what part of a content's size a delta may have. A larger one saves too little.
+	maxDeltaShare = 0.5
+	// maxBucketBytes is about how many bytes of records one answer has.
+	maxBucketBytes = 512 << 10
+	// maxBases is how many contents a request may name: a server looks for each of them.
+	maxBases = 8
+)
+
+// AnswerDelta is what a server that has a content sends to a process that has some bases: a delta from the first of them
+// that find returns, or the sums of all buckets; neither where the content has to travel whole. find returns nil for a
+// content that is not here.
+func AnswerDelta(target *Version, bases []string, find func(digest string) *Version) *fleetpb.ContentDeltaResponse {
+	if !target.Canonical || len(bases) == 0 {
+		return &fleetpb.ContentDeltaResponse{}
+	}
+	for _, digest := range bases[:min(len(bases), maxBases)] {
+		if base := find(digest); base != nil {
+			return answerFrom(base, target)
+		}
+	}
+	return &fleetpb.ContentDeltaResponse{Sums: &fleetpb.ContentSums{
+		Digest: target.Digest, State: target.State.Digest().Encode(), Sums: target.State.Sums().Encode(),
+	}}
+}
+
+func answerFrom(base, target *Version) *fleetpb.ContentDeltaResponse {
+	changes := base.State.Difference(target.State)
+	size := 0
+	for i := range changes {
+		size += len(changes[i].ID) + len(changes[i].Value)
+	}
+	if float64(size) > maxDeltaShare*float64(target.Size) {
+		return &fleetpb.ContentDeltaResponse{}
+	}
+	return &fleetpb.ContentDeltaResponse{Delta: &fleetpb.ContentDelta{
+		Base: base.Digest, Digest: target.Digest, Changes: distribution.ChangesProto(changes),
+	}}
+}
+
+// AnswerBuckets gives some buckets of a content in the order in which they were asked for, as many as fit in one answer
+// and one at least.
+func AnswerBuckets(v *Version, indexes []uint32) *fleetpb.ContentBucketsResponse {
+	answer := &fleetpb.ContentBucketsResponse{}
+	size := 0
+	for _, index := range indexes {
+		if index >= distribution.BucketCount || size > maxBucketBytes {
+			break
+		}
+		bucket := &distributionpb.Bucket{Index: index}
+		for _, r := range v.State.Bucket(index) {
+			bucket.Records = append(bucket.Records, &distributionpb.Record{Kind: r.Kind, Id: r.ID, Value: r.Value})
+			size += len(r.ID) + len(r.Value)
+		}
+		answer.Buckets = append(answer.Buckets, bucket)
+	}
+	return answer
+}
--- /dev/null
+++ b/internal/planconfig/planconfig.go
@@ -0,0 +1,225 @@
+// Package planconfig is the terms of all plans, and which tenant has which, as one item of the fleet's configuration: a
+// TOML file of package plans on one side, keyed records of package distribution on the other.
+package planconfig
+
+import (
+	"errors"
+	"slices"
+	"sync"
+
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/configstate"
+	"mothcleat/internal/distributionpb"
+	"mothcleat/plans"
+)
+
+// ItemName is what the fleet calls the item.
+const ItemName = "plans"
+
+// Terms is what puts plans in force: in a gateway, gateway.Terms.
+type Terms interface {
+	// CheckBook returns why the plans can't be acted on here, nil if they can.
+	CheckBook(book *plans.Book) error
+	// UseBooks has plans decide from now on, beside others whose terms bind as well; see rollout.Item for the rest.
+	UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func())
+}
+
+// Item is the plans of one process: a rollout.Item. Its methods may be called concurrently.
+type Item struct {
+	terms Terms
+
+	mu    sync.Mutex
+	books []stateBook // the newest last
+}
+
+// stateBook is a state and what it says.
+type stateBook struct {
+	state *distribution.State
+	book  *plans.Book
+}
+
+// maxBooks is how many books are kept: those of versions that overlap, and the base of the next.
+const maxBooks = 3
+
+// errUnknownKind is the reason of an InvalidRecordError for a record of another kind.
+var errUnknownKind = errors.New("it is neither a plan nor a tenant")
+
+// New returns the item that puts plans in force by terms.
+func New(terms Terms) *Item { return &Item{terms: terms} }
+
+// Decode reads a file of plans as records.
+func (i *Item) Decode(raw []byte) (*distribution.State, error) {
+	book, err := plans.Parse(raw)
+	if err != nil {
+		return nil, err
+	}
+	state, err := stateOf(book)
+	if err != nil {
+		return nil, err
+	}
+	i.keep(state, book)
+	return state, nil
+}
+
+// Encode writes records as a file of plans.
+func (i *Item) Encode(state *distribution.State) ([]byte, error) {
+	book, err := i.bookOf(state)
+	if err != nil {
+		return nil, err
+	}
+	return plans.Render(book), nil
+}
+
+// Check returns why a version can't be acted on here, nil if it can.
+func (i *Item) Check(v *configstate.Version) error {
+	book, err := i.bookOf(v.State)
+	if err != nil {
+		return err
+	}
+	return i.terms.CheckBook(book)
+}
+
+// Use has a version decide from now on; see rollout.Item. Versions that were checked can be read.
+func (i *Item) Use(target *configstate.Version, beside []*configstate.Version, order uint64, done func()) {
+	book := &plans.Book{} // nothing: the process's own configuration holds
+	var err error
+	if target != nil {
+		if book, err = i.bookOf(target.State); err != nil {
+			return
+		}
+	}
+	var besideBooks []*plans.Book
+	for _, v := range beside {
+		one := &plans.Book{}
+		if v != nil {
+			if one, err = i.bookOf(v.State); err != nil {
+				return
+			}
+		}
+		besideBooks = append(besideBooks, one)
+	}
+	i.terms.UseBooks(book, besideBooks, order, done)
+}
+
+// bookOf returns what a state says: as it was worked out before, or from the newest state that was, by what differs.
+func (i *Item) bookOf(state *distribution.State) (*plans.Book, error) {
+	i.mu.Lock()
+	known := slices.Clone(i.books)
+	i.mu.Unlock()
+	base := stateBook{distribution.NewState(), &plans.Book{}}
+	for _, one := range known {
+		if one.state == state {
+			return one.book, nil
+		}
+		base = one
+	}
+	changes, err := changesOf(base.state.Difference(state))
+	if err != nil {
+		return nil, err
+	}
+	book, err := base.book.Change(changes)
+	if err != nil {
+		return nil, err
+	}
+	i.keep(state, book)
+	return book, nil
+}
+
+func (i *Item) keep(state *distribution.State, book *plans.Book) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.books = append(i.books, stateBook{state, book})
+	if len(i.books) > maxBooks {
+		i.books = slices.Delete(i.books, 0, 1)
+	}
+}
+
+// stateOf returns the records of a book. Tenants of one plan share their value.
+func stateOf(book *plans.Book) (*distribution.State, error) {
+	var changes []distribution.Change
+	values := map[string][]byte{}
+	for _, name := range book.Plans() {
+		v, _ := book.Plan(name, 0)
+		record := &distributionpb.PlanRecord{
+			Rate: v.Rate, Burst: v.Burst, CeilingRate: v.CeilingRate, CeilingBurst: v.CeilingBurst,
+		}
+		changes = append(changes, setRecord(distribution.KindPlan, name, encode(record)))
+		values[name] = encode(&distributionpb.TenantRecord{Plan: name})
+	}
+	book.Customers(func(customer uint64, plan string) bool {
+		changes = append(changes, setRecord(distribution.KindTenant, plans.CustomerID(customer), values[plan]))
+		return true
+	})
+	return distribution.NewState().With(changes)
+}
+
+func setRecord(kind distribution.Kind, id string, value []byte) distribution.Change {
+	return distribution.Change{Record: distribution.Record{Kind: kind, ID: id, Value: value}}
+}
+
+// changesOf reads changes of records as changes of plans. It returns an InvalidRecordError of package distribution for a
+// record that is neither a plan nor a tenant, or can't be read.
+func changesOf(records []distribution.Change) (*plans.Changes, error) {
+	changes := &plans.Changes{}
+	for i := range records {
+		if err := addChange(changes, &records[i]); err != nil {
+			return nil, &distribution.InvalidRecordError{
+				Kind: records[i].Kind, ID: records[i].ID, Reason: err.Error(),
+			}
+		}
+	}
+	return changes, nil
+}
+
+func addChange(to *plans.Changes, c *distribution.Change) error {
+	switch c.Kind {
+	case distribution.KindPlan:
+		return addPlan(to, c)
+	case distribution.KindTenant:
+		return addTenant(to, c)
+	}
+	return errUnknownKind
+}
+
+func addPlan(to *plans.Changes, c *distribution.Change) error {
+	if c.Deleted {
+		to.RemovedPlans = append(to.RemovedPlans, c.ID)
+		return nil
+	}
+	var record distributionpb.PlanRecord
+	if err := proto.Unmarshal(c.Value, &record); err != nil {
+		return err
+	}
+	to.Plans = append(to.Plans, plans.Version{Plan: c.ID, Terms: plans.Terms{
+		Rate: record.Rate, Burst: record.Burst, CeilingRate: record.CeilingRate, CeilingBurst: record.CeilingBurst,
+	}})
+	return nil
+}
+
+func addTenant(to *plans.Changes, c *distribution.Change) error {
+	customer, err := plans.ParseCustomerID(c.ID)
+	if err != nil {
+		return err
+	}
+	if c.Deleted {
+		to.RemovedCustomers = append(to.RemovedCustomers, customer)
+		return nil
+	}
+	var record distributionpb.TenantRecord
+	if err := proto.Unmarshal(c.Value, &record); err != nil {
+		return err
+	}
+	to.Assignments = append(to.Assignments, plans.Assignment{Customer: customer, Plan: record.Plan})
+	return nil
+}
+
+// encode writes a message: the same bytes for the same values.
+func encode(m proto.Message) []byte {
+	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		panic(err) // its strings come from a TOML file, which is UTF-8
+	}
+	return raw
+}
--- /dev/null
+++ b/internal/planconfig/planconfig_test.go
@@ -0,0 +1,302 @@
+package planconfig
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"mothcleat/distribution"
+	"mothcleat/internal/configstate"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/plans"
+)
+
+// unknownKind is a kind of records that no program knows.
+const unknownKind = 77
+
+// used is what a process was told to put in force.
+type used struct {
+	target *plans.Book
+	beside []*plans.Book
+	order  uint64
+}
+
+// fakeTerms takes note of what it is told.
+type fakeTerms struct {
+	refuse error
+	used   []used
+}
+
+func (f *fakeTerms) CheckBook(*plans.Book) error { return f.refuse }
+
+func (f *fakeTerms) UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func()) {
+	f.used = append(f.used, used{target, beside, order})
+	done()
+}
+
+// drawnFile draws a file of plans with up to a number of tenants.
+func drawnFile(r *rand.Rand, tenants int) []byte {
+	var text strings.Builder
+	count := 1 + r.IntN(4)
+	for i := range count {
+		fmt.Fprintf(&text, "[[plan]]\nname = \"plan-%d\"\nrate = %d\nburst = %d\n", i, 1+r.IntN(3), 1+r.IntN(3))
+	}
+	for i := range tenants {
+		if r.IntN(10) > 0 {
+			fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = \"plan-%d\"\n", i*7919, r.IntN(count))
+		}
+	}
+	return []byte(text.String())
+}
+
+func canonical(t *testing.T, item *Item, raw []byte) (*configstate.Version, []byte) {
+	t.Helper()
+	v, text, err := configstate.Canonical(item, raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return v, text
+}
+
+// Any two contents lead to one another by a delta and by buckets, each time to the very bytes that were agreed.
+func TestAnyContentLeadsToAnyOther(t *testing.T) {
+	r := rand.New(rand.NewPCG(3, 5))
+	for range 60 {
+		server, replica := New(&fakeTerms{}), New(&fakeTerms{})
+		oldRaw, newRaw := drawnFile(r, 200), drawnFile(r, 200)
+		target, want := canonical(t, server, newRaw)
+		base, err := configstate.Read(replica, oldRaw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		serverBase, err := configstate.Read(server, oldRaw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		delta := &fleetpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
+			Changes: distribution.ChangesProto(serverBase.State.Difference(target.State))}
+		got, raw, err := configstate.ApplyDelta(replica, base, target.Digest, delta)
+		if err != nil || got.Digest != target.Digest || !bytes.Equal(raw, want) {
+			t.Fatalf("by delta: %v", err)
+		}
+		got, raw = repaired(t, replica, base, target)
+		if got.Digest != target.Digest || !bytes.Equal(raw, want) {
+			t.Fatal("by buckets: another content")
+		}
+	}
+}
+
+// repaired fetches the buckets in which a base differs from a target.
+func repaired(t *testing.T, replica *Item, base, target *configstate.Version) (*configstate.Version, []byte) {
+	t.Helper()
+	none := func(string) *configstate.Version { return nil }
+	answer := configstate.AnswerDelta(target, []string{base.Digest}, none)
+	repair, err := configstate.NewRepair(base, target.Digest, answer.Sums)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		indexes, ok := repair.Next()
+		if !ok {
+			t.Fatal("too much differs")
+		}
+		if len(indexes) == 0 {
+			break
+		}
+		if err := repair.Put(configstate.AnswerBuckets(target, indexes)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	v, raw, err := repair.Finish(replica)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return v, raw
+}
+
+// One tenant that gets another plan is a message of a hundred bytes or two, however many tenants there are, and buckets
+// are a few kilobytes beside their sums.
+func TestOneTenantIsASmallDelta(t *testing.T) {
+	server := New(&fakeTerms{})
+	var text strings.Builder
+	text.WriteString("[[plan]]\nname = \"small\"\nrate = 1\nburst = 1\n[[plan]]\nname = \"large\"\nrate = 2\nburst = 2\n")
+	for i := range 20_000 {
+		fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = \"small\"\n", i)
+	}
+	oldVersion, old := canonical(t, server, []byte(text.String()))
+	changed := strings.Replace(string(old), "id = \"0000000000000007\"\nplan = \"small\"", "id = \"0000000000000007\"\nplan = \"large\"", 1)
+	newVersion, _ := canonical(t, server, []byte(changed))
+	find := func(digest string) *configstate.Version {
+		if digest == oldVersion.Digest {
+			return oldVersion
+		}
+		return nil
+	}
+	answer := configstate.AnswerDelta(newVersion, []string{"unknown", oldVersion.Digest}, find)
+	if answer.Delta == nil || len(answer.Delta.Changes) != 1 {
+		t.Fatalf("%v", answer)
+	}
+	t.Logf("%d bytes of delta for a content of %d", len(encode(answer)), newVersion.Size)
+	if size := len(encode(answer)); size > 256 {
+		t.Errorf("%d bytes", size)
+	}
+	repair, err := configstate.NewRepair(oldVersion, newVersion.Digest,
+		configstate.AnswerDelta(newVersion, []string{"unknown"}, find).Sums)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if indexes, ok := repair.Next(); !ok || len(indexes) != 1 {
+		t.Errorf("buckets %v", indexes)
+	}
+}
+
+// What does not lead to the agreed content is refused: each case is a fault of a server, a link or a program.
+func TestWhatIsNotTheAgreedContentIsRefused(t *testing.T) {
+	r := rand.New(rand.NewPCG(11, 2))
+	item := New(&fakeTerms{})
+	base, _ := canonical(t, item, drawnFile(r, 300))
+	other, _ := canonical(t, item, drawnFile(r, 300))
+	target, _ := canonical(t, item, drawnFile(r, 300))
+	good := func() *fleetpb.ContentDelta {
+		return &fleetpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
+			Changes: distribution.ChangesProto(base.State.Difference(target.State))}
+	}
+	var wrongBase *configstate.WrongBaseError
+	var mismatch *configstate.DigestMismatchError
+	var invalid *distribution.InvalidRecordError
+	for name, c := range map[string]struct {
+		base   *configstate.Version
+		spoil  func(*fleetpb.ContentDelta)
+		target any
+	}{
+		"to another base":              {other, func(*fleetpb.ContentDelta) {}, &wrongBase},
+		"of another base, renamed":     {other, func(d *fleetpb.ContentDelta) { d.Base = other.Digest }, &mismatch},
+		"to another content":           {base, func(d *fleetpb.ContentDelta) { d.Digest = other.Digest }, &wrongBase},
+		"a change lost":                {base, func(d *fleetpb.ContentDelta) { d.Changes = d.Changes[1:] }, &mismatch},
+		"a deletion undone":            {base, func(d *fleetpb.ContentDelta) { d.Changes[0].Deleted = !d.Changes[0].Deleted }, nil},
+		"no record":                    {base, func(d *fleetpb.ContentDelta) { d.Changes[0].Kind = 0 }, &invalid},
+		"a record of no plan":          {base, func(d *fleetpb.ContentDelta) { d.Changes[len(d.Changes)-1].Kind = unknownKind }, &invalid},
+		"a tenant without hexadecimal": {base, func(d *fleetpb.ContentDelta) { d.Changes[0].Id = "tenant" }, nil},
+		"a value of no plan":           {base, func(d *fleetpb.ContentDelta) { d.Changes[len(d.Changes)-1].Value = []byte{255} }, &invalid},
+	} {
+		d := good()
+		c.spoil(d)
+		v, _, err := configstate.ApplyDelta(item, c.base, target.Digest, d)
+		if err == nil || v != nil {
+			t.Errorf("%s: taken", name)
+		}
+		if c.target != nil && !errors.As(err, c.target) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	if v, _, err := configstate.ApplyDelta(item, base, target.Digest, good()); err != nil || v.Digest != target.Digest {
+		t.Errorf("the good one: %v", err)
+	}
+}
+
+// Buckets that are not those of the agreed content are refused, one at a time or as a whole.
+func TestWrongBucketsAreRefused(t *testing.T) {
+	r := rand.New(rand.NewPCG(4, 4))
+	item := New(&fakeTerms{})
+	base, _ := canonical(t, item, drawnFile(r, 300))
+	target, _ := canonical(t, item, drawnFile(r, 300))
+	other, _ := canonical(t, item, drawnFile(r, 300))
+	none := func(string) *configstate.Version { return nil }
+	sums := configstate.AnswerDelta(target, []string{base.Digest}, none).Sums
+	var wrong *configstate.WrongBaseError
+	if _, err := configstate.NewRepair(base, other.Digest, sums); !errors.As(err, &wrong) {
+		t.Errorf("sums of another content: %v", err)
+	}
+	short := &fleetpb.ContentSums{Digest: sums.Digest, State: sums.State, Sums: sums.Sums[:160]}
+	if _, err := configstate.NewRepair(base, target.Digest, short); err == nil {
+		t.Error("sums of ten buckets are taken")
+	}
+	repair, err := configstate.NewRepair(base, target.Digest, sums)
+	if err != nil {
+		t.Fatal(err)
+	}
+	indexes, _ := repair.Next()
+	if err := repair.Put(configstate.AnswerBuckets(other, indexes)); err == nil {
+		t.Error("buckets of another content are taken")
+	}
+	if err := repair.Put(&fleetpb.ContentBucketsResponse{}); err == nil {
+		t.Error("an answer without buckets is taken")
+	}
+	if _, _, err := repair.Finish(item); err == nil {
+		t.Error("it ended with buckets missing")
+	}
+	// Sums and buckets that fit one another, of another content under the wanted digest.
+	lie := configstate.AnswerDelta(other, []string{base.Digest}, none).Sums
+	lie.Digest = target.Digest
+	if repair, err = configstate.NewRepair(base, target.Digest, lie); err != nil {
+		t.Fatal(err)
+	}
+	for {
+		indexes, _ := repair.Next()
+		if len(indexes) == 0 {
+			break
+		}
+		if err := repair.Put(configstate.AnswerBuckets(other, indexes)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var mismatch *configstate.DigestMismatchError
+	if _, _, err := repair.Finish(item); !errors.As(err, &mismatch) {
+		t.Errorf("another content under the wanted digest: %v", err)
+	}
+}
+
+// A content as a person wrote it can be a base; it is never served as a difference, as its bytes can't be made of records.
+func TestAContentAsAPersonWroteIt(t *testing.T) {
+	item := New(&fakeTerms{})
+	written := []byte("# by hand\n[[plan]]\nrate = 1.0\nburst = 2\nname = 'one'\n")
+	v, err := configstate.Read(item, written)
+	if err != nil || v.Canonical {
+		t.Fatalf("%+v %v", v, err)
+	}
+	next, _ := canonical(t, item, []byte("[[plan]]\nname = 'one'\nrate = 2\nburst = 2\n"))
+	find := func(string) *configstate.Version { return next }
+	if a := configstate.AnswerDelta(v, []string{next.Digest}, find); a.Delta != nil || a.Sums != nil {
+		t.Errorf("%v", a)
+	}
+	d := &fleetpb.ContentDelta{Base: v.Digest, Digest: next.Digest, Changes: distribution.ChangesProto(v.State.Difference(next.State))}
+	if _, _, err := configstate.ApplyDelta(item, v, next.Digest, d); err != nil {
+		t.Error(err)
+	}
+	if _, err := configstate.Read(item, []byte("[[plan]]\nname = 1\n")); err == nil || !strings.Contains(err.Error(), "line 2") {
+		t.Errorf("no file of plans: %v", err)
+	}
+}
+
+// What is put in force is the book of the version, whichever book it was made of; nil is the process's own configuration.
+func TestWhatIsPutInForce(t *testing.T) {
+	r := rand.New(rand.NewPCG(8, 1))
+	terms := &fakeTerms{}
+	item := New(terms)
+	var all []*configstate.Version
+	for range 8 {
+		v, _ := canonical(t, item, drawnFile(r, 50))
+		all = append(all, v)
+	}
+	done := 0
+	item.Use(all[7], []*configstate.Version{all[0], nil}, 9, func() { done++ })
+	item.Use(nil, nil, 11, func() { done++ })
+	if done != 2 || len(terms.used) != 2 || terms.used[0].order != 9 || len(terms.used[0].beside) != 2 {
+		t.Fatalf("%+v", terms.used)
+	}
+	for got, want := range map[*plans.Book]*configstate.Version{terms.used[0].target: all[7], terms.used[0].beside[0]: all[0]} {
+		if configstate.Digest(plans.Render(got)) != want.Digest {
+			t.Error("another book than the version's")
+		}
+	}
+	if len(terms.used[0].beside[1].Plans()) != 0 || len(terms.used[1].target.Plans()) != 0 {
+		t.Error("the process's own configuration is not empty")
+	}
+	terms.refuse = errors.New("not here")
+	if err := item.Check(all[3]); !errors.Is(err, terms.refuse) {
+		t.Error(err)
+	}
+}
