--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -17,6 +17,7 @@
 	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/gateway"
 	"mothcleat/internal/operators"
+	"mothcleat/internal/planconfig"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/rollout"
 	"mothcleat/internal/voter"
@@ -79,7 +80,7 @@
 			return nil, err
 		}
 		cfg.Terms = gateway.NewTerms(cfg)
-		c.Versions, c.Items = &r, map[string]rollout.Item{"plans": cfg.Terms}
+		c.Versions, c.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(cfg.Terms)}
 	}
 	n := fleetnode.Start(c)
 	if a := n.Permit(); a != nil {
--- /dev/null
+++ b/internal/audittrial/difference_test.go
@@ -0,0 +1,76 @@
+package audittrial
+
+import (
+	"fmt"
+	"syscall"
+	"testing"
+	"time"
+
+	"mothcleat/internal/rig"
+	"mothcleat/internal/rig/rigtest"
+	"mothcleat/internal/rollout"
+	"mothcleat/versions"
+)
+
+// fetched is how contents came to a gateway's process since it started.
+func fetched(t *testing.T, f *rig.Fleet, i int) rollout.Fetched {
+	t.Helper()
+	h, err := here(f, i)
+	rigtest.Check(t, err)
+	return h.Fetched
+}
+
+// Versions after the first come to each gateway as what differs: while one of them is cut off through a change, and through
+// another that is withdrawn as soon as it is agreed; after that is healed; and at a process that was killed and starts from
+// what lies on its disk. Nobody acts on what was withdrawn after its end.
+func TestVersionsTravelAsDifferences(t *testing.T) {
+	f := fleet(t, rig.Options{Instances: 4, Seed: 8})
+	const cut, killed = 3, 2
+	play(t, f, func() {
+		first := proposed(t, f, 0, versions.All, plansText(f.Site, 0.9))
+		for i := range f.Gateways {
+			acts(t, f, i, first)
+		}
+		f.Isolate(cut, true, true, true)
+		second := proposed(t, f, 0, versions.All, plansText(f.Site, 0.8))
+		for i := range cut {
+			acts(t, f, i, second)
+		}
+		withdrawn := proposed(t, f, 1, versions.All, plansText(f.Site, 0.7))
+		var restored uint64
+		rigtest.Eventually(t, "it is withdrawn", func() (bool, string) {
+			err := f.Call(1, fmt.Sprintf("versions withdraw plans %d wrong terms", withdrawn), &restored)
+			return err == nil, fmt.Sprint(err)
+		})
+		for i := range cut {
+			acts(t, f, i, restored)
+		}
+		f.Heal()
+		acts(t, f, cut, restored)
+		ended(t, f, 0, withdrawn)
+		over := f.Record.Now()
+		for i := 1; i < len(f.Gateways); i++ {
+			if got := fetched(t, f, i); got.Whole > 1 || got.Deltas+got.Repairs == 0 {
+				t.Errorf("%s fetched %+v", rig.Name(i), got)
+			}
+		}
+		rigtest.Check(t, f.End(killed, syscall.SIGKILL), f.Begin(killed))
+		last := proposed(t, f, 0, versions.All, plansText(f.Site, 0.6))
+		for i := range f.Gateways {
+			acts(t, f, i, last)
+		}
+		rig.Pass(t.Context(), time.Second)
+		for i := range f.Gateways {
+			if n := actsOn(t, f, i, withdrawn, over); n > 0 {
+				t.Errorf("%s sent %d requests on by what was withdrawn", rig.Name(i), n)
+			}
+		}
+		if got := fetched(t, f, killed); got != (rollout.Fetched{Deltas: 1}) {
+			t.Errorf("%s fetched %+v after its start", rig.Name(killed), got)
+		}
+	})
+	if f.Held() == 0 {
+		t.Error("the cut held nothing up")
+	}
+	kept(t, f)
+}
--- a/internal/audittrial/hard_test.go
+++ b/internal/audittrial/hard_test.go
@@ -20,6 +20,7 @@
 	"mothcleat/internal/rig/rigtest"
 	"mothcleat/internal/trial"
 	"mothcleat/lease"
+	"mothcleat/plans"
 	"mothcleat/versions"
 )
 
@@ -131,7 +132,7 @@
 // A gateway is killed at each step between being told of a version and having told that it is in force, and started anew: it ends on the
 // version, and what lies half fetched is gone on with.
 func TestKilledAtEachStep(t *testing.T) {
-	points := []string{"content-amid-fetch", "content-before-name", "version-before-force", "version-before-report", "record-before-write"}
+	points := []string{"content-amid-fetch", "content-before-store", "content-before-name", "version-before-force", "version-before-report", "record-before-write"}
 	env := "MOTHCLEAT_FAULTS="
 	for _, p := range points {
 		env += ",kill=" + p + "@kill-" + p
@@ -181,7 +182,9 @@
 // A file that is not what its name says lies where a content is to be: it is not acted on, and fetched anew.
 func TestADamagedFileUnderTheRightName(t *testing.T) {
 	f := fleet(t, rig.Options{Instances: 4, Seed: 5})
-	text := plansText(f.Site, 0.6)
+	book, err := plans.Parse([]byte(plansText(f.Site, 0.6)))
+	rigtest.Check(t, err)
+	text := string(plans.Render(book)) // what is proposed travels as it is
 	sum := sha256.Sum256([]byte(text))
 	path := filepath.Join(fleetnode.ContentsDir(f.FleetDir(3)), hex.EncodeToString(sum[:]))
 	rigtest.Check(t, os.WriteFile(path, []byte(plansText(f.Site, 6)), 0o600))
--- a/internal/fleetlink/client.go
+++ b/internal/fleetlink/client.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
 
 	"mothcleat/internal/fleetpb"
 	"mothcleat/lease"
@@ -22,6 +24,8 @@
 	ErrSuperseded = errors.New("fleet: superseded")
 	// ErrRefused: by what the command asks for.
 	ErrRefused = errors.New("fleet: refused")
+	// ErrNoContent: the process that was asked for a content doesn't have it.
+	ErrNoContent = errors.New("fleet: the content is not there")
 )
 
 const (
@@ -424,13 +428,38 @@
 	}, nil
 }
 
+// ContentDelta asks a process for what leads to the content of a version from one of some that are here. ErrNoContent is
+// returned where the content is not there.
+func (c *Client) ContentDelta(ctx context.Context, id, address string, request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+	to, err := c.conns.to(c.addresses.of(id, address))
+	if err != nil {
+		return nil, err
+	}
+	request.Fleet = c.fleet
+	answer, err := to.ContentDelta(ctx, request)
+	if status.Code(err) == codes.NotFound {
+		err = ErrNoContent
+	}
+	return answer, err
+}
+
+// ContentBuckets asks a process for some buckets of a content's records.
+func (c *Client) ContentBuckets(ctx context.Context, id, address string, request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error) {
+	to, err := c.conns.to(c.addresses.of(id, address))
+	if err != nil {
+		return nil, err
+	}
+	request.Fleet = c.fleet
+	return to.ContentBuckets(ctx, request)
+}
+
 // Keep asks a process to keep a content that this one has.
 func (c *Client) Keep(ctx context.Context, id, address string, ask *fleetpb.KeepAsk) error {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return err
 	}
-	ask = &fleetpb.KeepAsk{Fleet: c.fleet, Digest: ask.Digest, Size: ask.Size, From: ask.From}
+	ask = &fleetpb.KeepAsk{Fleet: c.fleet, Item: ask.Item, Digest: ask.Digest, Size: ask.Size, From: ask.From}
 	a, err := to.Keep(ctx, ask)
 	if err == nil && a.Code != fleetpb.Code_OK {
 		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
--- a/internal/fleetlink/server.go
+++ b/internal/fleetlink/server.go
@@ -45,6 +45,10 @@
 	Give(digest string, from int64, send func([]byte) error) error
 	// Keep fetches a content from the process that asks for that.
 	Keep(ctx context.Context, ask *fleetpb.KeepAsk) error
+	// Delta gives what leads to a content from one that the asker has; fs.ErrNotExist if the content is not here.
+	Delta(request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error)
+	// Buckets gives some buckets of a content's records; fs.ErrNotExist if the content is not here.
+	Buckets(request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error)
 }
 
 // Server answers other processes of the fleet.
@@ -299,19 +303,51 @@
 
 // Content gives the content of a version, if it is here.
 func (s *Server) Content(ask *fleetpb.ContentAsk, out grpc.ServerStreamingServer[fleetpb.Piece]) error {
-	switch {
-	case ask.Fleet != s.fleet:
-		return errOtherFleet
-	case s.Contents == nil:
-		return status.Error(codes.Unimplemented, "this process keeps no contents")
+	if err := s.checkContents(ask.Fleet); err != nil {
+		return err
 	}
-	err := s.Contents.Give(ask.Digest, ask.From, func(data []byte) error { return out.Send(&fleetpb.Piece{Data: data}) })
+	return contentError(s.Contents.Give(ask.Digest, ask.From, func(data []byte) error {
+		return out.Send(&fleetpb.Piece{Data: data})
+	}))
+}
+
+// contentError has a missing content told as such.
+func contentError(err error) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		return status.Error(codes.NotFound, "it is not here")
 	}
 	return err
 }
 
+// ContentDelta gives what leads to the content of a version from one that the asker has.
+func (s *Server) ContentDelta(_ context.Context, request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+	if err := s.checkContents(request.Fleet); err != nil {
+		return nil, err
+	}
+	answer, err := s.Contents.Delta(request)
+	return answer, contentError(err)
+}
+
+// ContentBuckets gives some buckets of a content's records.
+func (s *Server) ContentBuckets(_ context.Context, request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error) {
+	if err := s.checkContents(request.Fleet); err != nil {
+		return nil, err
+	}
+	answer, err := s.Contents.Buckets(request)
+	return answer, contentError(err)
+}
+
+// checkContents refuses a request for contents of another fleet, or where none are kept.
+func (s *Server) checkContents(fleet string) error {
+	switch {
+	case fleet != s.fleet:
+		return errOtherFleet
+	case s.Contents == nil:
+		return status.Error(codes.Unimplemented, "this process keeps no contents")
+	}
+	return nil
+}
+
 // Keep fetches a content from the process that asks for that.
 func (s *Server) Keep(ctx context.Context, ask *fleetpb.KeepAsk) (*fleetpb.Answer, error) {
 	switch {
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -89,12 +89,8 @@
 	}
 }
 
-// Check tells why a version of the plans can't be acted on here.
-func (t *Terms) Check(raw []byte) error {
-	b, err := plans.Parse(raw)
-	if err != nil {
-		return err
-	}
+// CheckBook returns why a version of the plans can't be acted on here, nil if it can.
+func (t *Terms) CheckBook(b *plans.Book) error {
 	for _, name := range b.Plans() {
 		if !slices.Contains(t.names, name) {
 			return fmt.Errorf("plans: %q is none of this gateway's plans", name)
@@ -106,18 +102,13 @@
 	return nil
 }
 
-// Use has a version decide from now on; see rollout.Item. It was checked.
-func (t *Terms) Use(raw []byte, beside [][]byte, order uint64, done func()) {
+// UseBooks has a version that was checked decide from now on, beside others whose terms bind as well. A book without plans
+// stands for what the configuration has. order grows with each call, and done is called on the loop's goroutine once it has
+// changed over.
+func (t *Terms) UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func()) {
 	e := replanned{plans: slices.Clone(t.offered), order: order, done: done}
-	for i, one := range append([][]byte{raw}, beside...) {
-		b := &plans.Book{}
-		if one != nil {
-			var err error
-			if b, err = plans.Parse(one); err != nil {
-				return // it was damaged since: it is looked at again
-			}
-		}
-		e.books = append(e.books, b)
+	e.books = append([]*plans.Book{target}, beside...)
+	for i, b := range e.books {
 		for k, name := range t.names {
 			terms := termsOf(&t.offered[k])
 			if v, ok := b.Plan(name, 0); ok {
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -6,6 +6,7 @@
 
 	"mothcleat/decide"
 	"mothcleat/internal/wire"
+	"mothcleat/plans"
 )
 
 func testTerms() *Terms {
@@ -19,21 +20,34 @@
 		"[[plan]]\nname = \"basico\"\nrate = 1\nburst = 2\nx = 3\n": "line 5",
 		"[[plan]]\nname = \"basico\"\nrate = 1\n":                   "burst",
 	} {
-		if err := testTerms().Check([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		book, err := plans.Parse([]byte(text))
+		if err == nil {
+			err = testTerms().CheckBook(book)
+		}
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, %q wanted", text, err, want)
 		}
 	}
 }
 
+func parsed(t *testing.T, text string) *plans.Book {
+	t.Helper()
+	book, err := plans.Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return book
+}
+
 // While versions overlap the tighter terms bind, and of two plans the smaller; what a version does not name is as it was.
 func TestTighterTermsWhileVersionsOverlap(t *testing.T) {
 	terms, done := testTerms(), 0
 	var got []replanned
-	newer := []byte("[[plan]]\nname = \"basico\"\nrate = 1\nburst = 20\n[[plan]]\nname = \"corporativo\"\nrate = 12\nburst = 50\n[[customer]]\nid = \"0000000000000007\"\nplan = \"corporativo\"\n")
-	older := []byte("[[plan]]\nname = \"basico\"\nrate = 3\nburst = 6\n[[customer]]\nid = \"0000000000000007\"\nplan = \"basico\"\n")
-	terms.Use(newer, [][]byte{older, nil}, 6, func() { done++ }) // before there is a loop
+	newer := parsed(t, "[[plan]]\nname = \"basico\"\nrate = 1\nburst = 20\n[[plan]]\nname = \"corporativo\"\nrate = 12\nburst = 50\n[[customer]]\nid = \"0000000000000007\"\nplan = \"corporativo\"\n")
+	older := parsed(t, "[[plan]]\nname = \"basico\"\nrate = 3\nburst = 6\n[[customer]]\nid = \"0000000000000007\"\nplan = \"basico\"\n")
+	terms.UseBooks(newer, []*plans.Book{older, {}}, 6, func() { done++ }) // before there is a loop
 	terms.attach(func(e event) { got = append(got, e.(replanned)) })
-	terms.Use(newer, nil, 7, func() { done++ })
+	terms.UseBooks(newer, nil, 7, func() { done++ })
 	if len(got) != 2 || done != 0 {
 		t.Fatalf("%d changes, %d done before the loop had them", len(got), done)
 	}
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"mothcleat/auditlog"
+	"mothcleat/internal/configstate"
 	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/monotonic"
 	"mothcleat/lease"
@@ -32,12 +33,13 @@
 
 // Item is one kind of configuration, as the process that applies it knows it.
 type Item interface {
+	configstate.Codec
 	// Check returns an error that says why this process can't apply the content, or nil if it can.
-	Check(raw []byte) error
-	// Use applies a content, beside others whose terms bind as well; raw is nil for what this process
-	// has by its own configuration. order grows with each call that changes anything. It calls done
+	Check(content *configstate.Version) error
+	// Use applies a content that was checked, beside others whose terms bind as well; nil stands for what this
+	// process has by its own configuration. order grows with each call that changes anything. It calls done
 	// where the decisions are made, in the moment in which it has changed over.
-	Use(raw []byte, beside [][]byte, order uint64, done func())
+	Use(target *configstate.Version, beside []*configstate.Version, order uint64, done func())
 }
 
 // Agent is one process's side of the roll-out of versions. Start it with Run; its other methods may
@@ -46,6 +48,7 @@
 	rules    versions.Rules
 	client   *fleetlink.Client
 	contents *Contents
+	versions *versionCache
 	items    map[string]Item // constant after New
 	log      *slog.Logger
 
@@ -61,6 +64,7 @@
 	stamp           uint64 // counts the changes of what is in force
 	fenced          bool   // as last logged
 
+	fetched    fetchCounts
 	sourceSet  atomic.Pointer[sourceSet]       // nil until first asked for
 	onChange   func(inForce map[string]uint64) // set by Follow, may be nil
 	recordHead func() *auditlog.Head           // set by Heads, may be nil
@@ -74,6 +78,7 @@
 		rules:           r,
 		client:          client,
 		contents:        contents,
+		versions:        newVersionCache(contents),
 		items:           items,
 		log:             log,
 		holder:          versions.NewHolder(r),
@@ -120,6 +125,17 @@
 	}
 }
 
+// fetchCounts counts the contents that were fetched.
+type fetchCounts struct{ whole, deltas, repairs atomic.Int64 }
+
+// Fetched tells how contents came to a process: whole, by the records that changed, or by the buckets of records that
+// differ.
+type Fetched struct {
+	Whole   int64 `json:"whole"`
+	Deltas  int64 `json:"deltas"`
+	Repairs int64 `json:"repairs"`
+}
+
 // Here describes what this process acts on.
 type Here struct {
 	Member  lease.Member      `json:"member"`
@@ -127,6 +143,7 @@
 	Until   time.Duration     `json:"until"`         // remaining time of its permit; 0 if it is shut out
 	Why     string            `json:"why,omitempty"` // reason for being shut out
 	Outs    uint64            `json:"outs"`          // how often it was shut out
+	Fetched Fetched           `json:"fetched"`       // since the process started
 }
 
 // Here returns what this process acts on now.
@@ -139,6 +156,7 @@
 		InForce: a.holder.InForce(),
 		Why:     a.holder.Why(now),
 		Outs:    a.holder.Outs(),
+		Fetched: Fetched{a.fetched.whole.Load(), a.fetched.deltas.Load(), a.fetched.repairs.Load()},
 	}
 	if until := a.holder.Acts(now); until != 0 {
 		h.Until = until - now
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"mothcleat/internal/configstate"
 	"mothcleat/internal/failpoint"
 	"mothcleat/internal/monotonic"
 	"mothcleat/versions"
@@ -22,8 +23,8 @@
 // application is one call of Item.Use that is due.
 type application struct {
 	item   Item
-	raw    []byte
-	beside [][]byte
+	target *configstate.Version
+	beside []*configstate.Version
 	order  uint64
 	done   func()
 }
@@ -34,7 +35,7 @@
 	defer a.applying.Unlock()
 	for _, due := range a.collectDue() {
 		failpoint.At("version-before-force")
-		due.item.Use(due.raw, due.beside, due.order, due.done)
+		due.item.Use(due.target, due.beside, due.order, due.done)
 	}
 }
 
@@ -63,7 +64,7 @@
 	if last, known := a.applied[name]; known && last.equal(refs) {
 		return application{}, false
 	}
-	raw, besideRaw, err := a.readContents(refs)
+	content, besideContents, err := a.readContents(item, refs)
 	if err != nil {
 		a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error", err)
 		a.holder.Lost(target.Digest)
@@ -72,8 +73,8 @@
 	a.applied[name] = refs
 	return application{
 		item:   item,
-		raw:    raw,
-		beside: besideRaw,
+		target: content,
+		beside: besideContents,
 		order:  applicationOrder(refs),
 		done:   func() { a.putInForce(name, target) },
 	}, true
@@ -121,26 +122,25 @@
 	}
 }
 
-// readContents reads the contents of a target and of what stands beside it.
-func (a *Agent) readContents(refs appliedRefs) (raw []byte, beside [][]byte, err error) {
-	if raw, err = a.readContent(refs.target); err != nil {
+// readContents returns the contents of a target and of what stands beside it.
+func (a *Agent) readContents(item Item, refs appliedRefs) (target *configstate.Version, beside []*configstate.Version, err error) {
+	if target, err = a.readContent(item, refs.target); err != nil {
 		return nil, nil, err
 	}
 	for _, ref := range refs.beside {
-		one, err := a.readContent(ref)
+		one, err := a.readContent(item, ref)
 		if err != nil {
 			return nil, nil, err
 		}
 		beside = append(beside, one)
 	}
-	return raw, beside, nil
+	return target, beside, nil
 }
 
-// readContent reads a content that was checked. It returns nil for what this process has by its own
-// configuration.
-func (a *Agent) readContent(ref versions.Ref) ([]byte, error) {
+// readContent returns a content that was checked, and nil for what this process has by its own configuration.
+func (a *Agent) readContent(item Item, ref versions.Ref) (*configstate.Version, error) {
 	if ref.Digest == "" {
 		return nil, nil
 	}
-	return a.contents.Read(ref.Digest)
+	return a.versions.read(item, ref.Digest)
 }
--- a/internal/rollout/contents.go
+++ b/internal/rollout/contents.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"time"
 
@@ -170,6 +171,24 @@
 	}
 }
 
+// Newest returns the digests of some complete contents, those written last first.
+func (c *Contents) Newest(limit int) ([]string, error) {
+	entries, err := os.ReadDir(c.dir)
+	if err != nil {
+		return nil, err
+	}
+	written := map[string]time.Time{}
+	var digests []string
+	for _, e := range entries {
+		if info, err := e.Info(); err == nil && digestName.MatchString(e.Name()) {
+			written[e.Name()] = info.ModTime()
+			digests = append(digests, e.Name())
+		}
+	}
+	slices.SortFunc(digests, func(a, b string) int { return written[b].Compare(written[a]) })
+	return digests[:min(len(digests), limit)], nil
+}
+
 // Tidy removes the contents, complete or not, whose digests are not in keep and whose files were last
 // written longer ago than minAge.
 func (c *Contents) Tidy(keep map[string]bool, minAge time.Duration) error {
--- /dev/null
+++ b/internal/rollout/difference.go
@@ -0,0 +1,160 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+
+	"mothcleat/agree"
+	"mothcleat/internal/configstate"
+	"mothcleat/internal/failpoint"
+	"mothcleat/internal/fleetpb"
+)
+
+// maxBasesOffered is how many contents that are here a request names.
+const maxBasesOffered = 4
+
+// errWhole is returned where a content has to travel whole: nothing is here to begin with, or too much differs.
+var errWhole = errors.New("rollout: the content has to travel whole")
+
+// fetchDifference makes a content out of one that is here by what a source says of the difference, and stores it. The
+// error is fleetlink.ErrNoContent where the source does not have the content, and errWhole where it is to be fetched
+// whole. After any other error too, the whole content may be fetched: nothing was stored.
+func (a *Agent) fetchDifference(ctx context.Context, itemName, digest string, source agree.MemberAt) error {
+	item := a.items[itemName]
+	if item == nil {
+		return errWhole
+	}
+	bases := a.bases()
+	if len(bases) == 0 {
+		return errWhole
+	}
+	answer, err := a.client.ContentDelta(ctx, source.ID, source.Address, &fleetpb.ContentDeltaRequest{
+		Item: itemName, Digest: digest, Bases: bases,
+	})
+	switch {
+	case err != nil:
+		return err
+	case answer.Delta != nil:
+		return a.applyDelta(item, digest, answer.Delta)
+	case answer.Sums != nil:
+		return a.repair(ctx, itemName, digest, bases[0], answer.Sums, source)
+	}
+	return errWhole
+}
+
+// bases returns the digests of contents that are here: those in memory, or else the newest on disk.
+func (a *Agent) bases() []string {
+	if digests := a.versions.newest(); len(digests) > 0 {
+		return digests
+	}
+	digests, err := a.contents.Newest(maxBasesOffered)
+	if err != nil {
+		a.log.Warn("fleet: versions: the folder of contents can't be listed", "error", err)
+	}
+	return digests
+}
+
+// applyDelta stores the content that a delta leads to.
+func (a *Agent) applyDelta(item Item, digest string, delta *fleetpb.ContentDelta) error {
+	base, err := a.versions.read(item, delta.Base)
+	if err != nil {
+		return err
+	}
+	content, raw, err := configstate.ApplyDelta(item, base, digest, delta)
+	if err != nil {
+		return err
+	}
+	a.fetched.deltas.Add(1)
+	return a.store(content, raw)
+}
+
+// repair stores a content after fetching the buckets in which the one with the digest base differs.
+func (a *Agent) repair(ctx context.Context, itemName, digest, base string, sums *fleetpb.ContentSums, source agree.MemberAt) error {
+	item := a.items[itemName]
+	from, err := a.versions.read(item, base)
+	if err != nil {
+		return err
+	}
+	repair, err := configstate.NewRepair(from, digest, sums)
+	if err != nil {
+		return err
+	}
+	for {
+		indexes, ok := repair.Next()
+		if !ok {
+			return errWhole
+		}
+		if len(indexes) == 0 {
+			break
+		}
+		answer, err := a.client.ContentBuckets(ctx, source.ID, source.Address, &fleetpb.ContentBucketsRequest{
+			Item: itemName, Digest: digest, Buckets: indexes,
+		})
+		if err != nil {
+			return err
+		}
+		if err := repair.Put(answer); err != nil {
+			return err
+		}
+	}
+	content, raw, err := repair.Finish(item)
+	if err != nil {
+		return err
+	}
+	a.fetched.repairs.Add(1)
+	return a.store(content, raw)
+}
+
+// store has a content that was verified lie on disk and in memory.
+func (a *Agent) store(content *configstate.Version, raw []byte) error {
+	failpoint.At("content-before-store")
+	if _, err := a.contents.Add(raw); err != nil {
+		return err
+	}
+	a.versions.put(content)
+	return nil
+}
+
+// Delta answers a process that fetches a content and has others; see fleetlink.Contents.
+func (a *Agent) Delta(request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+	item, target, err := a.requested(request.Item, request.Digest)
+	if err != nil || target == nil {
+		return &fleetpb.ContentDeltaResponse{}, err
+	}
+	find := func(digest string) *configstate.Version {
+		base, err := a.versions.read(item, digest)
+		if err != nil {
+			return nil
+		}
+		return base
+	}
+	return configstate.AnswerDelta(target, request.Bases, find), nil
+}
+
+// Buckets answers a process that fetches some buckets of a content; see fleetlink.Contents.
+func (a *Agent) Buckets(request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error) {
+	_, target, err := a.requested(request.Item, request.Digest)
+	if err != nil {
+		return nil, err
+	}
+	if target == nil {
+		return nil, fs.ErrNotExist
+	}
+	return configstate.AnswerBuckets(target, request.Buckets), nil
+}
+
+// requested returns a content that another process asks for, and its item. The content is nil where this program can't
+// read it as records; the error is fs.ErrNotExist where it is not here.
+func (a *Agent) requested(itemName, digest string) (Item, *configstate.Version, error) {
+	item := a.items[itemName]
+	if item == nil {
+		return nil, nil, nil
+	}
+	target, err := a.versions.read(item, digest)
+	var invalid *configstate.InvalidContentError
+	if errors.As(err, &invalid) {
+		return item, nil, nil
+	}
+	return item, target, err
+}
--- /dev/null
+++ b/internal/rollout/difference_test.go
@@ -0,0 +1,249 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc/stats"
+
+	"mothcleat/agree"
+	"mothcleat/internal/configstate"
+	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/planconfig"
+	"mothcleat/lease"
+	"mothcleat/plans"
+	"mothcleat/versions"
+)
+
+const testFleet = "fleet"
+
+// payloadBytes counts the bytes of all messages that a server sends.
+type payloadBytes struct{ sent atomic.Int64 }
+
+func (p *payloadBytes) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
+func (p *payloadBytes) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (p *payloadBytes) HandleConn(context.Context, stats.ConnStats)                       {}
+func (p *payloadBytes) HandleRPC(_ context.Context, event stats.RPCStats) {
+	if out, ok := event.(*stats.OutPayload); ok {
+		p.sent.Add(int64(out.WireLength))
+	}
+}
+
+// anyTerms finds all plans good.
+type anyTerms struct{}
+
+func (anyTerms) CheckBook(*plans.Book) error { return nil }
+func (anyTerms) UseBooks(_ *plans.Book, _ []*plans.Book, _ uint64, done func()) {
+	done()
+}
+
+// testAgent is an agent without a control plane: what it fetches, tests ask of it.
+type testAgent struct {
+	*Agent
+	dir    string
+	source agree.MemberAt // where it serves
+	bytes  *payloadBytes
+}
+
+// newTestAgent starts an agent that keeps contents in a folder and serves them.
+func newTestAgent(t *testing.T, id, dir string) *testAgent {
+	t.Helper()
+	quiet := slog.New(slog.DiscardHandler)
+	client := fleetlink.NewClient(testFleet, lease.Member{ID: id, Boot: 1}, "", nil, nil, quiet)
+	contents := NewContents(dir)
+	if err := contents.Make(); err != nil {
+		t.Fatal(err)
+	}
+	items := map[string]Item{planconfig.ItemName: planconfig.New(anyTerms{})}
+	a := &testAgent{Agent: New(versions.Defaults(), client, contents, items, quiet), dir: dir, bytes: &payloadBytes{}}
+	observer := &fleetlink.Observer{Stats: a.bytes, Wrap: func(c net.Conn) net.Conn { return c }}
+	server := fleetlink.NewServer(context.Background(), testFleet, nil, nil, observer.ServerOptions()...)
+	server.Contents = a.Agent
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var running sync.WaitGroup
+	running.Go(func() { _ = server.Serve(listener) })
+	t.Cleanup(func() {
+		client.Close()
+		server.Stop()
+		running.Wait()
+	})
+	a.source = agree.MemberAt{Member: lease.Member{ID: id, Boot: 1}, Address: listener.Addr().String()}
+	return a
+}
+
+// add has an agent keep a content, as one that was proposed there.
+func (a *testAgent) add(t *testing.T, raw []byte) versions.Ref {
+	t.Helper()
+	digest, err := a.contents.Add(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return versions.Ref{Digest: digest, Size: int64(len(raw))}
+}
+
+// fetches has an agent fetch a content from another, and returns how many bytes that took.
+func (a *testAgent) fetches(t *testing.T, ref versions.Ref, from *testAgent) int64 {
+	t.Helper()
+	before := from.bytes.sent.Load()
+	if err := a.fetchFrom(t.Context(), planconfig.ItemName, ref, from.source); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := a.contents.Read(ref.Digest); err != nil {
+		t.Fatal(err)
+	}
+	return from.bytes.sent.Load() - before
+}
+
+func (a *testAgent) wantFetched(t *testing.T, want Fetched) {
+	t.Helper()
+	if got := a.Here().Fetched; got != want {
+		t.Errorf("fetched %+v, want %+v", got, want)
+	}
+}
+
+const testTenants = 5000
+
+// planText is a canonical content in which the first tenants have the large plan, the others the small one.
+func planText(t *testing.T, large int) []byte {
+	t.Helper()
+	return planTextFrom(t, 0, large)
+}
+
+// planTextFrom is planText with tenants that are numbered from a first one.
+func planTextFrom(t *testing.T, first, large int) []byte {
+	t.Helper()
+	var text strings.Builder
+	text.WriteString("[[plan]]\nname = \"large\"\nrate = 2\nburst = 2\n[[plan]]\nname = \"small\"\nrate = 1\nburst = 1\n")
+	for i := range testTenants {
+		plan := "small"
+		if i < large {
+			plan = "large"
+		}
+		fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = %q\n", first+i, plan)
+	}
+	_, raw, err := configstate.Canonical(planconfig.New(anyTerms{}), []byte(text.String()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// A content comes whole to who has nothing, as the tenants that changed to who has the one before, also after a restart,
+// and by buckets to who has one that the server lost.
+func TestAContentTravelsAsWhatDiffers(t *testing.T) {
+	server := newTestAgent(t, "server", t.TempDir())
+	dir := t.TempDir()
+	replica := newTestAgent(t, "replica", dir)
+	first := server.add(t, planText(t, 0))
+	if n := replica.fetches(t, first, server); n < first.Size {
+		t.Errorf("whole: %d bytes", n)
+	}
+	replica.wantFetched(t, Fetched{Whole: 1})
+	if n := replica.fetches(t, server.add(t, planText(t, 1)), server); n > 400 {
+		t.Errorf("one tenant: %d bytes", n)
+	}
+	replica.wantFetched(t, Fetched{Whole: 1, Deltas: 1})
+
+	restarted := newTestAgent(t, "restarted", dir)
+	if n := restarted.fetches(t, server.add(t, planText(t, 3)), server); n > 600 {
+		t.Errorf("two tenants after a restart: %d bytes", n)
+	}
+	restarted.wantFetched(t, Fetched{Deltas: 1})
+
+	other := newTestAgent(t, "other", t.TempDir()) // it never had what the replica has
+	if n := restarted.fetches(t, other.add(t, planText(t, 4)), other); n > 64<<10 {
+		t.Errorf("by buckets: %d bytes", n)
+	}
+	restarted.wantFetched(t, Fetched{Deltas: 1, Repairs: 1})
+}
+
+// A content that is not there is asked of another process; one of other tenants, or that a person wrote
+// otherwise than the program would, travels whole.
+func TestAContentTravelsWholeWhereItHasTo(t *testing.T) {
+	server, replica := newTestAgent(t, "server", t.TempDir()), newTestAgent(t, "replica", t.TempDir())
+	replica.add(t, planText(t, 0))
+	absent := versions.Ref{Digest: strings.Repeat("0", 64), Size: 3}
+	err := replica.fetchFrom(t.Context(), planconfig.ItemName, absent, server.source)
+	if !errors.Is(err, fleetlink.ErrNoContent) {
+		t.Errorf("a content that is not there: %v", err)
+	}
+	server.add(t, planText(t, 0))
+	replica.fetches(t, server.add(t, planTextFrom(t, testTenants, 0)), server)
+	replica.wantFetched(t, Fetched{Whole: 1})
+	replica.fetches(t, server.add(t, append([]byte("# by hand\n"), planText(t, 1)...)), server)
+	replica.wantFetched(t, Fetched{Whole: 2})
+	if err := replica.fetchFrom(t.Context(), "unknown", server.add(t, planText(t, 2)), server.source); err != nil {
+		t.Errorf("of an item that this program does not know: %v", err)
+	}
+	replica.wantFetched(t, Fetched{Whole: 3})
+}
+
+// A damaged base is never built on: it is removed, and the content comes whole.
+func TestADamagedBaseIsNotBuiltOn(t *testing.T) {
+	server := newTestAgent(t, "server", t.TempDir())
+	dir := t.TempDir()
+	first := server.add(t, planText(t, 0))
+	newTestAgent(t, "before", dir).fetches(t, first, server)
+	path := filepath.Join(dir, first.Digest)
+	if err := os.WriteFile(path, planText(t, 9), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	replica := newTestAgent(t, "replica", dir)
+	replica.fetches(t, server.add(t, planText(t, 1)), server)
+	replica.wantFetched(t, Fetched{Whole: 1})
+	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("the damaged file: %v", err)
+	}
+}
+
+// lyingContents sends what doesn't lead to the content that was asked for.
+type lyingContents struct {
+	*Agent
+	delta *fleetpb.ContentDelta
+}
+
+func (l lyingContents) Delta(*fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+	return &fleetpb.ContentDeltaResponse{Delta: l.delta}, nil
+}
+
+// A delta that does not come to the agreed digest is dropped, and the same source is asked for the whole content.
+func TestAWrongDeltaIsDropped(t *testing.T) {
+	liar := newTestAgent(t, "liar", t.TempDir())
+	replica := newTestAgent(t, "replica", t.TempDir())
+	base := replica.add(t, planText(t, 0))
+	target := liar.add(t, planText(t, 2))
+	server := fleetlink.NewServer(context.Background(), testFleet, nil, nil)
+	server.Contents = lyingContents{liar.Agent, &fleetpb.ContentDelta{Base: base.Digest, Digest: target.Digest}}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var running sync.WaitGroup
+	running.Go(func() { _ = server.Serve(listener) })
+	defer running.Wait()
+	defer server.Stop()
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancel()
+	source := agree.MemberAt{Member: lease.Member{ID: "liar", Boot: 2}, Address: listener.Addr().String()}
+	if err := replica.fetchFrom(ctx, planconfig.ItemName, target, source); err != nil {
+		t.Fatal(err)
+	}
+	replica.wantFetched(t, Fetched{Whole: 1})
+	if _, err := replica.contents.Read(target.Digest); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/rollout/fetch.go
+++ b/internal/rollout/fetch.go
@@ -7,7 +7,9 @@
 	"io/fs"
 
 	"mothcleat/agree"
+	"mothcleat/internal/configstate"
 	"mothcleat/internal/failpoint"
+	"mothcleat/internal/fleetlink"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/versions"
 )
@@ -19,42 +21,55 @@
 		wanted := a.holder.Wants()
 		a.mu.Unlock()
 		for _, ref := range wanted {
-			raw, err := a.readOrFetch(ctx, ref)
+			err := a.obtain(ctx, ref)
 			if err != nil {
 				a.log.Debug("fleet: versions: a content is not to be had yet", "digest", ref.Digest, "error", err)
 				continue
 			}
-			a.check(ref.Digest, raw)
+			a.check(ref.Digest)
 		}
 		a.apply()
 	})
 }
 
-// readOrFetch returns a content, fetched from another process where it is not here.
-func (a *Agent) readOrFetch(ctx context.Context, ref versions.Ref) ([]byte, error) {
-	raw, err := a.contents.Read(ref.Digest)
+// obtain has a content lie here, fetched from another process where it does not. A file that is not what its name says is
+// removed, and fetched by the next call.
+func (a *Agent) obtain(ctx context.Context, ref versions.Ref) error {
+	if a.versions.known(ref.Digest) {
+		return nil
+	}
+	_, err := a.contents.Read(ref.Digest)
 	if !errors.Is(err, fs.ErrNotExist) {
-		return raw, err
+		return err
 	}
 	a.refreshSources(ctx)
-	if err := a.fetch(ctx, ref, a.sources()); err != nil {
-		return nil, err
+	return a.fetch(ctx, a.itemOf(ref.Digest), ref, a.sources())
+}
+
+// itemOf returns the name of an item that wants a content, "" if none does.
+func (a *Agent) itemOf(digest string) string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if names := a.holder.ItemsOf(digest); len(names) > 0 {
+		return names[0]
 	}
-	return a.contents.Read(ref.Digest)
+	return ""
 }
 
 // check has each item that wants a content check it, and takes in the verdict.
-func (a *Agent) check(digest string, raw []byte) {
+func (a *Agent) check(digest string) {
 	a.mu.Lock()
 	names := a.holder.ItemsOf(digest)
 	a.mu.Unlock()
 	why := ""
 	for _, name := range names {
-		item := a.items[name]
-		if item == nil {
-			why = fmt.Sprintf("this program does not know what %s are", name)
-		} else if err := item.Check(raw); err != nil {
-			why = err.Error()
+		refusal, err := a.checkItem(name, digest)
+		if err != nil {
+			a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error", err)
+			return // it is wanted still
+		}
+		if refusal != nil {
+			why = refusal.Error()
 		}
 	}
 	if failpoint.Denied("content-read") {
@@ -69,13 +84,30 @@
 	a.holder.Checked(digest, why)
 }
 
+// checkItem returns why an item can't apply a content, or an error if the content can't be had from the disk.
+func (a *Agent) checkItem(name, digest string) (refusal, err error) {
+	item := a.items[name]
+	if item == nil {
+		return fmt.Errorf("this program does not know what %s are", name), nil
+	}
+	content, err := a.versions.read(item, digest)
+	var invalid *configstate.InvalidContentError
+	switch {
+	case errors.As(err, &invalid):
+		return invalid, nil
+	case err != nil:
+		return nil, err
+	}
+	return item.Check(content), nil
+}
+
 // fetch fetches a content from one source after another until it is complete. It returns the error
 // of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, ref versions.Ref, sources []agree.MemberAt) error {
+func (a *Agent) fetch(ctx context.Context, item string, ref versions.Ref, sources []agree.MemberAt) error {
 	last := errors.New("rollout: nobody to fetch from is known")
 	for _, source := range sources {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
-		err := a.fetchFrom(one, ref, source)
+		err := a.fetchFrom(one, item, ref, source)
 		cancel()
 		if err == nil {
 			return nil
@@ -85,8 +117,21 @@
 	return last
 }
 
-// fetchFrom fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchFrom(ctx context.Context, ref versions.Ref, source agree.MemberAt) error {
+// fetchFrom fetches a content from one source: as its difference to one that is here, or else the part of it that is not
+// here yet.
+func (a *Agent) fetchFrom(ctx context.Context, item string, ref versions.Ref, source agree.MemberAt) error {
+	err := a.fetchDifference(ctx, item, ref.Digest, source)
+	if err == nil || errors.Is(err, fleetlink.ErrNoContent) {
+		return err
+	}
+	if !errors.Is(err, errWhole) {
+		a.log.Debug("fleet: versions: a difference can't be used", "source", source.ID, "digest", ref.Digest, "error", err)
+	}
+	return a.fetchWhole(ctx, ref, source)
+}
+
+// fetchWhole fetches the part of a content that is not here yet from one source.
+func (a *Agent) fetchWhole(ctx context.Context, ref versions.Ref, source agree.MemberAt) error {
 	offset := a.contents.Begun(ref.Digest)
 	if offset > ref.Size {
 		offset = 0
@@ -95,7 +140,11 @@
 	if err != nil {
 		return err
 	}
-	return a.contents.Take(ref, offset, next)
+	if err := a.contents.Take(ref, offset, next); err != nil {
+		return err
+	}
+	a.fetched.whole.Add(1)
+	return nil
 }
 
 // Keep fetches a content that is about to be proposed from the process that asks for it.
@@ -112,7 +161,7 @@
 	}
 	for _, m := range members {
 		if m.ID == ask.From.GetId() {
-			return a.fetchFrom(ctx, versions.Ref{Digest: ask.Digest, Size: ask.Size}, m)
+			return a.fetchFrom(ctx, ask.Item, versions.Ref{Digest: ask.Digest, Size: ask.Size}, m)
 		}
 	}
 	return fmt.Errorf("rollout: no process %.40q", ask.From.GetId())
--- a/internal/rollout/propose.go
+++ b/internal/rollout/propose.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"mothcleat/agree"
+	"mothcleat/internal/configstate"
 	"mothcleat/internal/failpoint"
 	"mothcleat/internal/fleetpb"
 	"mothcleat/versions"
@@ -30,7 +31,7 @@
 		return 0, err
 	}
 	size := int64(len(raw))
-	if err := a.replicate(ctx, &list, digest, size); err != nil {
+	if err := a.replicate(ctx, &list, item, digest, size); err != nil {
 		return 0, err
 	}
 	failpoint.At("propose-before-agree")
@@ -53,7 +54,8 @@
 	return a.agreedNumber(ctx, op)
 }
 
-// readProposal reads a file and checks that it can be applied as an item.
+// readProposal reads a file, checks that it can be applied as an item, and returns the canonical bytes of what it says:
+// those are what travels as differences.
 func (a *Agent) readProposal(item, path string) ([]byte, error) {
 	known := a.items[item]
 	if known == nil {
@@ -70,10 +72,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := known.Check(raw); err != nil {
+	content, canonical, err := configstate.Canonical(known, raw)
+	if err == nil {
+		err = known.Check(content)
+	}
+	if err == nil && content.Size > versions.SizeMost {
+		err = fmt.Errorf("%d bytes as they would travel, %d at most", content.Size, versions.SizeMost)
+	}
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return raw, nil
+	a.versions.put(content)
+	return canonical, nil
 }
 
 // newestNumber returns the number of an item's newest version, 1 if it has none.
@@ -88,9 +98,9 @@
 }
 
 // replicate has a majority of the voters keep a content of the given size in bytes.
-func (a *Agent) replicate(ctx context.Context, list *agree.List, digest string, size int64) error {
+func (a *Agent) replicate(ctx context.Context, list *agree.List, item, digest string, size int64) error {
 	me := a.client.Me()
-	ask := &fleetpb.KeepAsk{Digest: digest, Size: size, From: &fleetpb.Member{Id: me.ID, Boot: me.Boot}}
+	ask := &fleetpb.KeepAsk{Item: item, Digest: digest, Size: size, From: &fleetpb.Member{Id: me.ID, Boot: me.Boot}}
 	results := make(chan bool, len(list.Voters))
 	for _, v := range list.Voters {
 		if v.Name == me.ID {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -19,6 +19,7 @@
 	"mothcleat/budget"
 	"mothcleat/internal/fleetnode"
 	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/planconfig"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/rollout"
 	"mothcleat/lease"
@@ -247,7 +248,7 @@
 		r := versions.Defaults()
 		r.Margin = clockMargin
 		r.Enrol = max(r.Enrol, 4*r.Span)
-		settings.Versions, settings.Items = &r, map[string]rollout.Item{planItem: g}
+		settings.Versions, settings.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(g)}
 	}
 	g.node = fleetnode.Start(settings)
 	switch {
@@ -343,24 +344,11 @@
 	}
 }
 
-const planItem = "plans"
+// CheckBook finds every version of the plans good; see planconfig.Terms.
+func (g *hollowGateway) CheckBook(*plans.Book) error { return nil }
 
-// Check tells why a version of the plans can't be acted on; see rollout.Item.
-func (g *hollowGateway) Check(raw []byte) error {
-	_, err := plans.Parse(raw)
-	return err
-}
-
-// Use puts a version in force at once; see rollout.Item. Like a real gateway it reads the plans again,
-// and keeps them.
-func (g *hollowGateway) Use(raw []byte, _ [][]byte, order uint64, done func()) {
-	var book *plans.Book
-	if raw != nil {
-		var err error
-		if book, err = plans.Parse(raw); err != nil {
-			return
-		}
-	}
+// UseBooks puts a version in force at once, and keeps it like a real gateway; see planconfig.Terms.
+func (g *hollowGateway) UseBooks(book *plans.Book, _ []*plans.Book, order uint64, done func()) {
 	done()
 	number := order / 2
 	g.mu.Lock()
--- a/internal/scale/meter.go
+++ b/internal/scale/meter.go
@@ -145,7 +145,7 @@
 	switch method {
 	case serviceFleet + "Renew", serviceFleet + "Borrow":
 		return RoleAllocation
-	case serviceFleet + "Content", serviceFleet + "Keep":
+	case serviceFleet + "Content", serviceFleet + "Keep", serviceFleet + "ContentDelta", serviceFleet + "ContentBuckets":
 		return RoleConfiguration
 	case serviceFleet + "Collect":
 		return RoleMetering
