--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -18,7 +18,7 @@
 // scale measures what a large fleet asks of its control plane.
 func (b *bench) scale() *cobra.Command {
 	var o scale.Options
-	var roles, path, into string
+	var roles, path, into, faults string
 	var ladders []string
 	var slopes, keep, page bool
 	var benchmarks, pageAt string
@@ -37,9 +37,11 @@
 		"servers drained, added anew and taken away, a second")
 	f.IntVar(&o.RackSize, "rack", 0, "servers that go at once in the middle of the run")
 	f.IntVar(&o.Versions, "versions", 1, "versions of the plans proposed in the run")
+	f.BoolVar(&o.BaseVersion, "base-version", false, "a version of the plans is in force everywhere before the run")
 	f.IntVar(&o.PerProcess, "per-process", 0, "hollow gateways in one process; 0: 62")
 	f.DurationVar(&o.Tick, "tick", 0, "the pace of the control processes' log; 0: the program's, which a crowded machine can't keep")
 	f.DurationVar(&o.Span, "span", 0, "how long an owner's right lasts; 0: the program's")
+	f.StringVar(&faults, "faults", "", "injected one after another, spread over the run: some of stop,kill,leader,gateways")
 	f.StringVar(&roles, "roles", "all",
 		"what is switched on: all, none, or some of list,configuration,allocation,metering")
 	f.StringVar(&path, "path", string(scale.PathWholeList),
@@ -67,6 +69,9 @@
 		if o.Parts, err = scale.ParseParts(roles); err != nil {
 			return err
 		}
+		if o.Faults, err = scale.ParseFaults(faults); err != nil {
+			return err
+		}
 		if o.Self, err = scale.SelfCommand(hollowCommand); err != nil {
 			return err
 		}
--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -30,6 +30,9 @@
 	if p.options.Parts.Configuration {
 		begin(p.proposeVersions)
 	}
+	if len(p.options.Faults) > 0 {
+		begin(p.injectFaults)
+	}
 	from, to := time.Duration(0), time.Duration(0)
 	if p.real != nil {
 		from = p.real.world.Record.Now()
@@ -113,7 +116,7 @@
 		} else if !pass(ctx, time.Duration((lastVersionAt-firstVersionAt)/float64(n)*float64(p.options.For))) {
 			return
 		}
-		text := p.control.plansText(p.options.Tenants, 1+0.2*r.Float64())
+		text := p.control.plansText(p.options.Tenants, 1+0.2*r.Float64(), r.IntN(p.options.Tenants))
 		at := time.Now()
 		number, err := p.control.propose(text)
 		if err != nil {
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -182,8 +182,8 @@
 		&number)
 }
 
-// plansText is a version of all plans, with the plan of each tenant.
-func (c *control) plansText(tenants int, factor float64) string {
+// plansText is a version of all plans, with the plan of each tenant. One tenant has another plan than usual; below 0: none.
+func (c *control) plansText(tenants int, factor float64, moved int) string {
 	var b strings.Builder
 	site := c.world.Site
 	for _, p := range site.Plans {
@@ -194,8 +194,12 @@
 		}
 	}
 	for t := range tenants {
+		plan := t
+		if t == moved {
+			plan++
+		}
 		fmt.Fprintf(&b, "[[customer]]\nid = \"%016x\"\nplan = %q\n", uint64(t)+1<<40,
-			site.Plans[t%len(site.Plans)].Name)
+			site.Plans[plan%len(site.Plans)].Name)
 	}
 	return b.String()
 }
--- /dev/null
+++ b/internal/scale/faults_test.go
@@ -0,0 +1,75 @@
+package scale
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"mothcleat/internal/lab"
+)
+
+// A run with faults injects each of them, has the process serve again, and tells what changes took in each stretch; what
+// was changed meanwhile is at all gateways in the end.
+func TestFaultsOfARun(t *testing.T) {
+	if !lab.HasGo() {
+		t.Fatal("no go command to build the gateway with")
+	}
+	t.Parallel()
+	o := tiny()
+	o.Path, o.For, o.RackSize, o.Versions, o.BaseVersion = PathDelta, 3*stretchLeast, 0, 3, true
+	o.Parts = Parts{List: true, Configuration: true}
+	o.ReplacementsPerSecond = 2
+	o.Faults = []Fault{FaultLeader, FaultGateways}
+	var err error
+	if o.Self, err = SelfCommand(); err != nil {
+		t.Fatal(err)
+	}
+	var log strings.Builder
+	r, err := Run(t.Context(), o, &log)
+	if err != nil {
+		t.Fatalf("%v\n%s", err, log.String())
+	}
+	if len(r.Stretches) != 3 || r.Stretches[0].Fault != Undisturbed {
+		t.Fatalf("%+v", r.Stretches)
+	}
+	for i, s := range r.Stretches {
+		if s.Failed != "" || i > 0 && (!s.Recovered || s.Target == "") || s.InForce.Count == 0 {
+			t.Errorf("%+v", s)
+		}
+	}
+	if r.Diverged+r.LostChanges+r.LostVersions > 0 || r.GatewaysNotActing > 0 {
+		t.Errorf("after faults: %s", r.Line())
+	}
+}
+
+// A change counts to the stretch in which it was made.
+func TestAChangeCountsToItsStretch(t *testing.T) {
+	began := time.Now()
+	p := &play{stretches: []Stretch{{Fault: Undisturbed, began: began}, {Fault: FaultKill, began: began.Add(time.Second)}}}
+	for after, want := range map[time.Duration]Fault{0: Undisturbed, time.Second - 1: Undisturbed, time.Second: FaultKill, time.Hour: FaultKill} {
+		if s := p.stretchOf(began.Add(after)); s == nil || s.Fault != want {
+			t.Errorf("after %v: %+v, %s wanted", after, s, want)
+		}
+	}
+	if s := (&play{}).stretchOf(began); s != nil {
+		t.Errorf("a run without faults: %+v", s)
+	}
+}
+
+// What can't be injected ends with one line that names it.
+func TestFaultsThatCantBePlayed(t *testing.T) {
+	if all, err := ParseFaults("stop,kill,leader,gateways"); err != nil || len(all) != 4 {
+		t.Errorf("%v, %v", all, err)
+	}
+	if all, err := ParseFaults(""); err != nil || all != nil {
+		t.Errorf("%v, %v", all, err)
+	}
+	if _, err := ParseFaults("stop,flood"); err == nil || !strings.Contains(err.Error(), "flood") {
+		t.Error(err)
+	}
+	o := tiny()
+	o.Faults, o.For = []Fault{FaultStop}, stretchLeast
+	if err := o.Check(); err == nil || !strings.Contains(err.Error(), "--faults") {
+		t.Error(err)
+	}
+}
--- a/internal/scale/ladder.go
+++ b/internal/scale/ladder.go
@@ -46,7 +46,8 @@
 	LadderDeltaServers   = "delta-servers"  // the list by what changed, by servers
 	LadderDeltaGateways  = "delta-gateways" // the same, by gateways
 	LadderDeltaChanges   = "delta-changes"  // the same, by changes a second
-	LadderPlansTenants   = "plans-tenants"  // versions of the plans, by tenants
+	LadderPlansTenants   = "plans-tenants"  // a version of the plans from nothing, by tenants
+	LadderPlansDelta     = "plans-delta"    // versions of the plans where each gateway has the one before, by tenants
 	LadderPermitGateways = "permits"        // permits and records, by gateways, without a new version
 	LadderAllocation     = "allocation"     // quotas, by tenants and gateways together
 	LadderMetering       = "metering"       // counted use, by gateways
@@ -58,7 +59,7 @@
 	stepReplacements   = 0.5
 	stepGateways       = 40
 	stepServers        = 730
-	stepVersions       = 2
+	stepVersions       = 2 // where each gateway has one before
 	tenantsPerGateway  = DesignTenants / DesignGateways
 	stepTenantsUsually = 600
 	stepServersUsually = 10
@@ -84,6 +85,7 @@
 		newLadder(LadderDeltaGateways, gatewaySizes, listOn, deltaOn, gatewaysAre),
 		newLadder(LadderDeltaChanges, changeSizes, listOn, deltaOn, changesAre),
 		newLadder(LadderPlansTenants, tenantSizes, configurationOn, tenantsAre),
+		newLadder(LadderPlansDelta, tenantSizes, configurationOn, baseVersionOn, tenantsAre),
 		newLadder(LadderPermitGateways, gatewaySizes, permitsOn, gatewaysAre, tenantsByGateways),
 		newLadder(LadderAllocation, allocationSizes, allocationOn, gatewaysAre, tenantsByGateways),
 		newLadder(LadderMetering, gatewaySizes, meteringOn, gatewaysAre, tenantsByGateways),
@@ -130,6 +132,12 @@
 
 func configurationOn(o *Options, _ int) {
 	o.Parts.Configuration = true
+	o.Versions = 1
+}
+
+// baseVersionOn has all gateways have a version before.
+func baseVersionOn(o *Options, _ int) {
+	o.BaseVersion = true
 	o.Versions = stepVersions
 }
 
--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -33,6 +33,9 @@
 	SlopeDeltaRegister     = "incremental list: processor of control machines a change, by servers"
 	SlopeDeltaMemory       = "incremental list: memory of a gateway"
 	SlopeDeltaChangeBytes  = "incremental list: bytes a change, by servers"
+	SlopeContentBytes      = "configuration: bytes of a whole version"
+	SlopeContentCores      = "configuration: processor of a gateway a whole version"
+	SlopeContentControl    = "configuration: processor of control machines a whole version"
 	SlopeVersionBytes      = "configuration: bytes a version"
 	SlopeVersionCores      = "configuration: processor of a gateway a version"
 	SlopeVersionControl    = "configuration: processor of control machines a version"
@@ -113,6 +116,10 @@
 			messagesOf(RoleMembership)},
 		{SlopeElectionBytes, unitBytes, byGateways, LadderBase, xGateways, bytesOf(RoleElection)},
 		{SlopeElectionMessages, unitCount, byGateways, LadderBase, xGateways, messagesOf(RoleElection)},
+		{SlopePermitBytes, unitBytes, byGateways, LadderPermitGateways, xGateways,
+			bytesOf(RoleConfiguration)},
+		{SlopePermitMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
+			messagesOf(RoleConfiguration)},
 	}
 }
 
@@ -139,6 +146,11 @@
 	return max(0, r.ControlCores-b.base.at(SlopeBaseControl, xGateways(r)))
 }
 
+// configuration is the bytes of contents, without those of permits.
+func (b beyond) configuration(r *Result) float64 {
+	return max(0, bytesOf(RoleConfiguration)(r)-b.base.at(SlopePermitBytes, xGateways(r)))
+}
+
 // perChange is what a quantity a second comes to for one change of the list.
 func perChange(y func(r *Result) float64) func(r *Result) float64 {
 	return func(r *Result) float64 { return y(r) * r.Seconds / max(1, float64(r.ListChanges)) }
@@ -173,16 +185,13 @@
 		{SlopeDeltaRegister, unitSeconds, byServers, LadderDeltaServers, xServers,
 			perChange(b.control)},
 		{SlopeDeltaMemory, unitMB, byServers, LadderDeltaServers, xServers, b.memory},
-		{SlopeVersionBytes, unitB, byTenants, LadderPlansTenants, xTenants,
-			perVersion(bytesOf(RoleConfiguration))},
-		{SlopeVersionCores, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.cores)},
-		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansTenants, xTenants,
-			perVersion(b.control)},
-		{SlopeVersionMemory, unitMB, byTenants, LadderPlansTenants, xTenants, b.memory},
-		{SlopePermitBytes, unitBytes, byGateways, LadderPermitGateways, xGateways,
-			bytesOf(RoleConfiguration)},
-		{SlopePermitMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
-			messagesOf(RoleConfiguration)},
+		{SlopeContentBytes, unitB, byTenants, LadderPlansTenants, xTenants, perVersion(b.configuration)},
+		{SlopeContentCores, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.cores)},
+		{SlopeContentControl, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.control)},
+		{SlopeVersionBytes, unitB, byTenants, LadderPlansDelta, xTenants, perVersion(b.configuration)},
+		{SlopeVersionCores, unitSeconds, byTenants, LadderPlansDelta, xTenants, perVersion(b.cores)},
+		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansDelta, xTenants, perVersion(b.control)},
+		{SlopeVersionMemory, unitMB, byTenants, LadderPlansDelta, xTenants, b.memory},
 		{SlopePermitControl, unitCores, byGateways, LadderPermitGateways, xGateways, b.control},
 		{SlopeAuditBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleAudit)},
 		{SlopeAuditMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
@@ -356,6 +365,8 @@
 		return notMeasured
 	case x == 0:
 		return "0"
+	case x <= -1000:
+		return "-" + number(-x)
 	case x >= 1000:
 		digits := fmt.Sprintf("%.0f", x)
 		for i := len(digits) - 3; i > 0; i -= 3 {
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -112,8 +112,8 @@
 var roleAbout = map[string]about{
 	string(RoleList): {"7,300 records at each gateway",
 		"`distribution`, `internal/distributor`: deltas by revision from every control machine"},
-	string(RoleConfiguration): {"plans of 60,000 tenants, whole, at each gateway",
-		"`versions`, `internal/rollout`: permits by asking the leader twice a second; contents whole, by digest"},
+	string(RoleConfiguration): {"plans of 60,000 tenants at each gateway",
+		"`versions`, `internal/rollout`, `internal/configstate`: permits by asking the leader twice a second; a version as the records that changed, verified by its digest"},
 	string(RoleAllocation): {"a gateway: its part of some 290 tenants; owners: 60,000",
 		"`budget`, `internal/budgets`: renewal with five owners, five times a second"},
 	string(RoleElection): {"five replicas of the log",
@@ -188,12 +188,14 @@
 		deltaBytes = one.PerOne
 	}
 	whole := s.at(SlopeWholeBytes, DesignServers)
-	version := s.at(SlopeVersionBytes, DesignTenants)
+	version, content := s.at(SlopeVersionBytes, DesignTenants), s.at(SlopeContentBytes, DesignTenants)
 	event("a server changes", "one delta", deltaBytes, g, "measured (slope by changes a second, some of which shared a message)")
 	event("the same, whole list", "the list is fetched by each", whole, g,
 		"measured (slope by servers)")
-	event("a version of the plans", "the content by digest, from another gateway or a control machine",
-		version, g, "measured (slope by tenants); in and out at a gateway")
+	event("a version of the plans", "what differs, from another gateway or a control machine",
+		version, g, "measured (slope by tenants), all plans' terms and one tenant; in and out at a gateway")
+	event("the same, whole", "the content by digest, to a gateway that has none", content, g,
+		"measured (slope by tenants); in and out at a gateway")
 	event("a rack gone", fmt.Sprintf("%d servers in one change", rackServers), rackServers*deltaBytes,
 		g, "assumed: a change's bytes each; they merge to less")
 	event("a zone gone", fmt.Sprintf("%d servers; %d gateways go with it", DesignServers/zones,
@@ -203,7 +205,7 @@
 			permitSpanSeconds, secondsPerHour-permitSpanSeconds), 0, g/2, "by design (`docs/audit.md`); to be designed anew")
 	event("regions together again", "each of the other region gets an hour's changes, merged",
 		loads()[0].ChangesPerSecond*secondsPerHour*deltaBytes, g/2, "assumed: a mean hour's changes")
-	event("all gateways started at once, from nothing", "the whole list and the content", whole+version,
+	event("all gateways started at once, from nothing", "the whole list and the content", whole+content,
 		g, "worked out from slopes; see the runs for the time")
 }
 
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -10,6 +10,7 @@
 
 // Usage is what a process has used so far, as the system tells it.
 type Usage struct {
+	PID              int     `json:"pid"`
 	ProcessorSeconds float64 `json:"processor_seconds"`
 	ResidentBytes    int64   `json:"resident_bytes"`
 	PeakBytes        int64   `json:"peak_bytes"`
@@ -21,6 +22,7 @@
 
 // UsageOf reads what a process has used.
 func UsageOf(pid int) (u Usage, err error) {
+	u.PID = pid
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
@@ -50,8 +52,12 @@
 	return u, nil
 }
 
-// Since is what was used since an earlier reading; memory is as it is now.
+// Since is what was used since an earlier reading; memory is as it is now. Of a process that was started since, it is all
+// that it has used.
 func (u Usage) Since(before Usage) Usage {
+	if u.PID != before.PID {
+		return u
+	}
 	u.ProcessorSeconds -= before.ProcessorSeconds
 	u.ReadBytes -= before.ReadBytes
 	u.WrittenBytes -= before.WrittenBytes
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -79,6 +79,7 @@
 	ControlCores       float64      `json:"control_cores"` // of all control processes
 	DutyChanges        int          `json:"duty_changes"`  // terms that began while it was measured: owners that were lost, or handed on
 	Added              *Added       `json:"added_latency,omitempty"`
+	Stretches          []Stretch    `json:"stretches,omitempty"` // of a run with faults
 	Notes              []string     `json:"notes,omitempty"`
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -48,6 +48,8 @@
 	arrivals []Arrival
 	next     int // number of the next new server
 	refused  int
+
+	stretches []Stretch // of a run with faults; read once its goroutine has ended
 }
 
 // Run plays a fleet and measures it.
@@ -135,7 +137,41 @@
 			return c.failed(err)
 		}
 	}
-	return p.herd(ctx, began)
+	if err := p.herd(ctx, began); err != nil {
+		return err
+	}
+	return p.baseVersion(ctx)
+}
+
+// baseVersion has a version of the plans be in force everywhere, where one is wanted before the run.
+func (p *play) baseVersion(ctx context.Context) error {
+	if !p.options.BaseVersion || !p.options.Parts.Configuration {
+		return nil
+	}
+	text := p.control.plansText(p.options.Tenants, 1, -1)
+	deadline := time.Now().Add(currentWithin)
+	number, err := p.control.propose(text)
+	for err != nil && time.Now().Before(deadline) && pass(ctx, lookEvery) {
+		number, err = p.control.propose(text)
+	}
+	if err != nil {
+		return fmt.Errorf("the version before the run: %w", err)
+	}
+	for time.Now().Before(deadline) {
+		samples, err := p.samples()
+		if err != nil {
+			return err
+		}
+		if behind, _ := p.behind(samples, number); behind == 0 {
+			pass(ctx, settlePause)
+			return ctx.Err()
+		}
+		if !pass(ctx, lookEvery) {
+			return ctx.Err()
+		}
+	}
+	p.note("not all gateways had the version before the run within %v", currentWithin)
+	return nil
 }
 
 // dutiesHeld waits until all duties have owners.
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -100,6 +100,8 @@
 	ReplacementsPerSecond float64       `json:"replacements_per_second"` // of servers: each is a drain, an addition and a removal
 	RackSize              int           `json:"rack_size"`               // servers that go at once in the middle of the run; 0: none
 	Versions              int           `json:"versions"`                // of the plans, proposed in the run
+	BaseVersion           bool          `json:"base_version,omitempty"`  // a version of the plans is in force everywhere before the run
+	Faults                []Fault       `json:"faults,omitempty"`        // injected one after another, spread over the run
 	RequestsPerGateway    float64       `json:"requests_per_gateway"`
 	Parts                 Parts         `json:"parts"`
 	Path                  Path          `json:"path"`
@@ -121,7 +123,8 @@
 	controlMemoryUsual  = 300 << 20
 	hollowMemoryUsual   = 3 << 20 // of a hollow gateway with an empty state
 	hollowBytesServer   = 1600    // of a server in a hollow gateway, while a list is being replaced by the next
-	hollowBytesTenant   = 60
+	hollowBytesRecord   = 500     // of a server in one that gets the list by what changed
+	hollowBytesTenant   = 350
 	memoryShareMost     = 0.5
 	machineMemoryLine   = "MemTotal:"
 	machineMemoryInfoAt = "/proc/meminfo"
@@ -156,6 +159,9 @@
 		return fmt.Errorf("--rack %d: from 0 to half of the servers wanted", o.RackSize)
 	case o.Tick < 0 || o.Tick > time.Second || o.Span < 0 || o.Span > time.Minute:
 		return fmt.Errorf("--tick %v --span %v: up to 1s and 1m wanted", o.Tick, o.Span)
+	case len(o.Faults) > 0 && o.For < stretchLeast*time.Duration(len(o.Faults)+1):
+		return fmt.Errorf("--faults: %d of them and the time before want a run of %v at least",
+			len(o.Faults), stretchLeast*time.Duration(len(o.Faults)+1))
 	case o.Versions < 0 || o.Versions > 100:
 		return fmt.Errorf("--versions %d: from 0 to 100 wanted", o.Versions)
 	}
@@ -180,7 +186,11 @@
 func (o *Options) memory() int64 {
 	each := int64(hollowMemoryUsual)
 	if o.Parts.List {
-		each += int64(o.Servers) * hollowBytesServer
+		bytes := int64(hollowBytesServer)
+		if o.Path == PathDelta {
+			bytes = hollowBytesRecord
+		}
+		each += int64(o.Servers) * bytes
 	}
 	if o.Parts.Configuration {
 		each += int64(o.Tenants) * hollowBytesTenant
--- a/internal/scale/sums.go
+++ b/internal/scale/sums.go
@@ -64,6 +64,9 @@
 	}
 }
 
+// stretchDelays is how long the changes of one stretch took.
+type stretchDelays struct{ all, drains, plans []time.Duration }
+
 // sumChanges sums up when changes came to gateways, and which never did.
 func (p *play) sumChanges(settled []Sample) {
 	r := p.result
@@ -94,7 +97,13 @@
 	}
 	r.ListChanges = len(moments)
 	var all, drains, rack, plans []time.Duration
+	stretches := map[*Stretch]*stretchDelays{}
 	for _, c := range p.changes {
+		stretch := stretches[p.stretchOf(c.at)]
+		if stretch == nil {
+			stretch = &stretchDelays{}
+			stretches[p.stretchOf(c.at)] = stretch
+		}
 		for g := range p.options.Gateways {
 			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase, Version: c.version}]
 			delay := time.Unix(0, at).Sub(c.at)
@@ -106,18 +115,27 @@
 			case !ok: // something newer came in its place
 			case c.version > 0:
 				plans = append(plans, delay)
+				stretch.plans = append(stretch.plans, delay)
 			default:
 				all = append(all, delay)
+				stretch.all = append(stretch.all, delay)
 				if c.rack {
 					rack = append(rack, delay)
 				}
 				if c.phase == registry.Terminating {
 					drains = append(drains, delay)
+					stretch.drains = append(stretch.drains, delay)
 				}
 			}
 		}
 	}
 	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(all), delaysOf(drains), delaysOf(rack), delaysOf(plans)
+	for stretch, delays := range stretches {
+		if stretch != nil {
+			stretch.InForce, stretch.Draining, stretch.PlansInForce = delaysOf(delays.all), delaysOf(delays.drains), delaysOf(delays.plans)
+		}
+	}
+	r.Stretches = p.stretches
 	r.ProposalsRefused = p.refused
 	p.sumStates(settled)
 	if n := r.ListChanges; n > 0 {
