--- a/agree/leaders_test.go
+++ b/agree/leaders_test.go
@@ -73,7 +73,9 @@
 				w.t.Fatal(err)
 			}
 			for _, m := range messages {
-				w.nodes[m.GetTo()].Step(m)
+				if to := w.nodes[m.GetTo()]; to != nil { // nil: nothing reaches it
+					to.Step(m)
+				}
 				if m.GetType() == raftpb.MsgSnap {
 					n.SnapshotSent(m.GetTo(), true)
 				}
--- a/agree/node.go
+++ b/agree/node.go
@@ -71,8 +71,7 @@
 	pending map[uint64]map[uint64][]any // by session and command
 	opens   map[lease.Member][]any
 	changes []any
-	reads   map[uint64]*read
-	nextID  uint64
+	reads   reads
 	witness map[uint64]Promise
 	newer   map[uint64]Promise // since the last work
 	done    []Done
@@ -112,7 +111,7 @@
 		return nil, fmt.Errorf("%w: no snapshot to begin from", errDamaged)
 	}
 	n := &Node{cfg: cfg, log: raft.NewMemoryStorage(), pending: map[uint64]map[uint64][]any{}, opens: map[lease.Member][]any{},
-		reads: map[uint64]*read{}, witness: map[uint64]Promise{}, newer: map[uint64]Promise{}}
+		witness: map[uint64]Promise{}, newer: map[uint64]Promise{}}
 	for of, p := range from.Witness {
 		n.witness[of] = p
 	}
--- a/agree/persist.go
+++ b/agree/persist.go
@@ -1,7 +1,6 @@
 package agree
 
 import (
-	"fmt"
 	"time"
 
 	"go.etcd.io/raft/v3"
@@ -67,6 +66,8 @@
 	n.rn.Advance(*rd)
 	if n.rn.BasicStatus().RaftState != raft.StateLeader {
 		n.stepDown()
+	} else {
+		n.startReadRound()
 	}
 	return rd.Messages, nil
 }
@@ -96,14 +97,3 @@
 	}
 	return nil
 }
-
-// confirmReads takes in from which index on the reads may be answered.
-func (n *Node) confirmReads(states []raft.ReadState) {
-	for _, s := range states {
-		var id uint64
-		_, _ = fmt.Sscanf(string(s.RequestCtx), "%d", &id)
-		if r := n.reads[id]; r != nil {
-			r.index = max(1, s.Index)
-		}
-	}
-}
--- a/agree/requests.go
+++ b/agree/requests.go
@@ -24,15 +24,6 @@
 	Answer *fleetpb.Answer
 }
 
-// read is a linearizable read under way.
-type read struct {
-	tag     any
-	machine string
-	body    []byte
-	members *MembershipQuery // of a read of FleetName; nil: the whole list
-	index   uint64           // 0: not confirmed yet
-}
-
 // answer ends a command or a read with its answer.
 func (n *Node) answer(tag any, body []byte) {
 	n.done = append(n.done, Done{tag, &fleetpb.Answer{Body: body}})
@@ -146,29 +137,6 @@
 	return fmt.Sprintf("another process has taken the id %s since; this one is %s", who.ID, who)
 }
 
-// Read asks a machine for what it has, after all that was answered before: it is a linearizable read. It
-// ends in a Done with the tag.
-func (n *Node) Read(machine string, body []byte, tag any) {
-	if !n.able(tag) {
-		return
-	}
-	if n.cfg.Machines[machine] == nil && machine != FleetName {
-		n.refuseUnknown(tag, machine)
-		return
-	}
-	r := &read{tag: tag, machine: machine, body: body}
-	if machine == FleetName {
-		var err error
-		if r.members, err = parseMembershipQuery(body); err != nil {
-			n.refuse(tag, fleetpb.Code_REFUSED, err.Error())
-			return
-		}
-	}
-	n.nextID++
-	n.reads[n.nextID] = r
-	n.rn.ReadIndex(fmt.Appendf(nil, "%d", n.nextID))
-}
-
 // Alter proposes another list of voters, with one added or one removed, by joint consensus. It ends in a
 // Done with the tag.
 func (n *Node) Alter(add bool, v *fleetpb.Voter, tag any) {
@@ -223,31 +191,6 @@
 	})
 }
 
-// answerReads answers the confirmed reads whose index is applied.
-func (n *Node) answerReads(now time.Duration) {
-	if len(n.reads) == 0 {
-		return
-	}
-	for _, id := range slices.Sorted(maps.Keys(n.reads)) {
-		r := n.reads[id]
-		if r.index != 0 && r.index <= n.applied {
-			n.answer(r.tag, n.queried(r, n.clock.now(now)))
-			delete(n.reads, id)
-		}
-	}
-}
-
-// queried is the answer to a read at a time of the fleet.
-func (n *Node) queried(r *read, at time.Duration) []byte {
-	switch {
-	case r.machine != FleetName:
-		return n.cfg.Machines[r.machine].Query(at, r.body)
-	case r.members != nil:
-		return n.membershipAnswer(r.members, at)
-	}
-	return n.list(at)
-}
-
 // stepDown ends all requests that wait for this leader. They may be agreed yet, and have to be repeated at
 // the next leader.
 func (n *Node) stepDown() {
@@ -267,13 +210,10 @@
 	}) {
 		end(n.opens[who]...)
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.reads)) {
-		end(n.reads[id].tag)
-	}
+	end(n.reads.drop()...)
 	end(n.changes...)
 	clear(n.pending)
 	clear(n.opens)
-	clear(n.reads)
 	n.changes = nil
 }
 
--- a/internal/distributor/source.go
+++ b/internal/distributor/source.go
@@ -108,6 +108,7 @@
 		case event := <-l.events:
 			event(&l)
 		case n := <-l.news:
+			l.told = false // what the receiver has is from elsewhere now: the fleet's list comes whole again
 			tell(n)
 		case <-look.C:
 			if time.Since(l.heard) > s.options.Silent {
@@ -230,7 +231,6 @@
 	l.source.log().Warn("fleet: the list of servers is not heard: this gateway watches the register itself",
 		"silent_for", time.Since(l.heard).Round(time.Millisecond).String())
 	ctx, l.own = context.WithCancel(ctx)
-	l.told = false // what the receiver has is from elsewhere now: the fleet's list comes whole again
 	news := make(chan registry.News)
 	l.news = news
 	go func() {
--- a/internal/distributor/source_test.go
+++ b/internal/distributor/source_test.go
@@ -20,6 +20,7 @@
 	runs  int
 	ended int
 	moves []string
+	mute  bool // it tells nothing
 }
 
 func (d *directRegister) Follow() {}
@@ -32,7 +33,9 @@
 
 func (d *directRegister) Run(ctx context.Context, tell func(registry.News)) {
 	d.count(&d.runs)
-	tell(registry.News{Kind: registry.Whole, Members: []registry.Member{member("own", registry.Ready)}})
+	if !d.mute {
+		tell(registry.News{Kind: registry.Whole, Members: []registry.Member{member("own", registry.Ready)}})
+	}
 	<-ctx.Done()
 	d.count(&d.ended)
 }
@@ -166,6 +169,24 @@
 	eventually(t, func() bool { return direct.running() == 0 })
 }
 
+// A watch of the register that told nothing changes nothing: when the fleet's list is heard again, only what has changed
+// meanwhile is told.
+func TestAWatchThatToldNothingChangesNothing(t *testing.T) {
+	const silent = 400 * time.Millisecond
+	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatEvery = 20 * time.Millisecond })
+	direct := &directRegister{mute: true}
+	_, list := newTestSource(t, direct, silent, "", s)
+	s.agree(set("a", "127.0.0.1:1"))
+	s.beat()
+	list.expect(t, "whole a=Ready")
+	s.beSilent(true)
+	eventually(t, func() bool { return direct.running() == 1 })
+	s.agree(set("b", "127.0.0.1:2"))
+	s.beSilent(false)
+	eventually(t, func() bool { return direct.running() == 0 })
+	list.expect(t, "whole a=Ready", "b=Ready")
+}
+
 // What lies on disk counts once a server has said that it is current.
 func TestSourceStartsFromDisk(t *testing.T) {
 	s := newTestServer(t, nil)
--- a/internal/voter/status.go
+++ b/internal/voter/status.go
@@ -13,7 +13,6 @@
 	Voters  []*fleetpb.Voter
 	Applied uint64
 	First   uint64
-	Members []agree.Present
 	Trouble string // why it takes no part; "": it does
 }
 
@@ -39,7 +38,6 @@
 		Voters:   voters,
 		Applied:  v.node.Applied(),
 		First:    v.node.First(),
-		Members:  v.node.Members(),
 		Trouble:  v.publishedTrouble(),
 	}
 }
--- a/internal/voter/voter.go
+++ b/internal/voter/voter.go
@@ -38,11 +38,13 @@
 	Election int                             // ticks; 0: 10
 	Keep     uint64                          // entries; see agree.Config
 	Log      *slog.Logger
-	// News is told of a machine that has changed, with its Query of nil; nil: nobody wants it. It must not block.
+	// News is told of a machine that has changed, with its Query of nil; nil: nobody wants it. It must not block. Only
+	// machines that count their changes are told: those that processes watch as a whole, and which are small.
 	News func(machine string, index uint64, state []byte)
 }
 
-// watched is a machine whose changes are told.
+// watched is a machine whose changes are told. A machine that holds something for each process must not be one: its whole
+// state would be written out at each change.
 type watched interface{ Changes() uint64 }
 
 // Voter is a voter that runs. Its methods may be called concurrently.
--- a/usageexport/usageexport.go
+++ b/usageexport/usageexport.go
@@ -117,10 +117,9 @@
 
 // Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
-	fence   Fence
-	marks   map[[2]string]*Mark
-	v       View
-	changes uint64
+	fence Fence
+	marks map[[2]string]*Mark
+	v     View
 }
 
 // NewMachine returns an empty state machine. The fence is the table of leases, which has to be part of the same
@@ -186,7 +185,6 @@
 			return err
 		}
 	}
-	m.changes++
 	for _, b := range op.Seen {
 		m.mark(b.ID, b.Boot)
 	}
@@ -228,9 +226,6 @@
 // Query returns a View as JSON.
 func (m *Machine) Query(time.Duration, []byte) []byte { return m.Snapshot() }
 
-// Changes returns the number of changes so far.
-func (m *Machine) Changes() uint64 { return m.changes }
-
 // Snapshot returns the state as JSON; equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
 	v := m.v
@@ -254,6 +249,5 @@
 	}
 	v.Marks = nil
 	m.v = v
-	m.changes++
 	return nil
 }
--- a/versions/machine.go
+++ b/versions/machine.go
@@ -33,7 +33,6 @@
 	heads   map[string][]auditlog.Head // by id, the newest boot last
 	forks   []auditlog.Damage
 	seq     uint64 // commands taken in; a part of the state
-	changes uint64 // the same, and states restored
 }
 
 // NewMachine makes a machine that asks a table of duties, of the same agreed state, who guides.
@@ -57,7 +56,6 @@
 	if err == nil {
 		m.settle(at)
 		m.seq++
-		m.changes++
 		r.OK = true
 	} else {
 		r.Why = err.Error()
@@ -207,6 +205,3 @@
 		}
 	}
 }
-
-// Changes returns how many commands were taken in and states restored.
-func (m *Machine) Changes() uint64 { return m.changes }
--- a/versions/state.go
+++ b/versions/state.go
@@ -106,7 +106,7 @@
 		n.heads[h.ID] = append(n.heads[h.ID], h)
 	}
 	n.forks = v.Forks
-	n.seq, n.changes = v.Seq, m.changes+1
+	n.seq = v.Seq
 	*m = *n
 	return nil
 }
