--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -1,17 +1,12 @@
 package gateway
 
 import (
-	"context"
-	"errors"
 	"hash/fnv"
-	"math"
 	"net"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"mothcleat/decide"
@@ -188,97 +183,6 @@
 	l.backends.connect(l, b) // where it has ended, or was taken
 }
 
-// connect dials as long as more attempts wait than dials are under way, and connections rest.
-func (bs *backends) connect(l *Loop, b *backend) {
-	if len(b.waiting) == 0 {
-		return
-	}
-	for resting := b.resting(l); b.dialing+resting < len(b.waiting); {
-		if bs.open >= bs.most && !bs.evict() {
-			// No descriptor to spare is no fault of the backend's: nothing was
-			// sent, and nothing is to be learnt of it.
-			a := b.waiting[len(b.waiting)-1]
-			b.waiting = b.waiting[:len(b.waiting)-1]
-			l.finish(a, decide.Moot, nil)
-			continue
-		}
-		b.dialing++
-		bs.open++
-		go func(address string, upSince int64) {
-			conn, err := bs.dial.DialContext(context.Background(), "tcp", address)
-			e := dialed{b: b, address: address, upSince: upSince, err: err}
-			if err == nil {
-				e.conn = conn.(*net.TCPConn)
-			}
-			l.post(e)
-		}(b.address, b.upSince)
-	}
-}
-
-// evict closes the connection that has been idle longest.
-func (bs *backends) evict() bool {
-	var oldest *backendConn
-	for _, b := range bs.byNumber {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].since < oldest.since) {
-			oldest = b.idle[0]
-		}
-	}
-	if oldest == nil {
-		return false
-	}
-	bs.close(oldest)
-	return true
-}
-
-// drop closes a backend's idle connections.
-func (bs *backends) drop(b *backend) {
-	for len(b.idle) > 0 {
-		bs.close(b.idle[0])
-	}
-}
-
-// dialed tells how a dial ended.
-type dialed struct {
-	b       *backend
-	address string
-	upSince int64 // both as they were when it began
-	conn    *net.TCPConn
-	err     error
-}
-
-func (e dialed) handle(l *Loop) {
-	bs, b := l.backends, e.b
-	b.dialing--
-	if e.err != nil {
-		bs.open--
-		if e.address != b.address || e.upSince != b.upSince {
-			bs.connect(l, b) // it was the process before that did not answer
-			return
-		}
-		if len(b.waiting) > 0 && len(b.waiting) > b.dialing+b.resting(l) {
-			a := b.waiting[0]
-			if errors.Is(e.err, syscall.ECONNRESET) && !a.redialed {
-				// Something listens there: nothing was sent, and another may do
-				// better. Nobody listening would refuse.
-				a.redialed = true
-				bs.connect(l, b)
-				return
-			}
-			b.waiting = b.waiting[1:]
-			l.finish(a, decide.ConnectFailed, nil)
-		}
-		return
-	}
-	c := &backendConn{b: b, conn: e.conn, out: newSender(e.conn), copied: make(chan error, 1)}
-	if e.address != b.address {
-		bs.close(c)
-		bs.connect(l, b)
-		return
-	}
-	go c.receive(l)
-	bs.free(l, c)
-}
-
 // free gives a connection that has rested to the attempt that has waited longest, or keeps it.
 func (bs *backends) free(l *Loop, c *backendConn) {
 	b := c.b
@@ -415,138 +319,6 @@
 	}
 }
 
-// wholeWithin is how soon an answer must have come whole after its first byte:
-// its length may be spoilt and promise more than ever comes.
-const wholeWithin = time.Second
-
-// receive posts what a backend answers until the connection ends or its answers
-// can't be told apart any more.
-func (c *backendConn) receive(l *Loop) {
-	in := resp.NewReader(c)
-	c.in = in
-	for {
-		e := replied{c: c}
-		var long resp.Long
-		if e.err = in.Await(); e.err == nil {
-			_ = c.conn.SetReadDeadline(time.Now().Add(wholeWithin))
-			e.reply, long, e.err = in.ReadReplyHead()
-			_ = c.conn.SetReadDeadline(time.Time{})
-			if e.err == nil && long.Size > 0 {
-				if !c.receiveLong(l, long) {
-					return
-				}
-				continue
-			}
-			e.spoilt = errors.Is(e.err, resp.ErrProtocol) || errors.Is(e.err, os.ErrDeadlineExceeded)
-		}
-		e.used, e.more = c.read.Load()-int64(in.Buffered()), in.Buffered() > 0
-		l.post(e)
-		if e.err != nil || e.more {
-			return
-		}
-	}
-}
-
-// replied is an answer on a backend's connection, or its end.
-type replied struct {
-	c      *backendConn
-	reply  resp.Reply
-	err    error
-	spoilt bool  // an answer has come that can't be read
-	used   int64 // bytes that have come with it and before
-	more   bool  // and others behind it
-}
-
-func (e replied) handle(l *Loop) {
-	c, a := e.c, e.c.a
-	if c.closed {
-		return
-	}
-	kept := c.used > 0 // it has carried an answer before this one
-	c.used, c.rests = e.used, l.now()+l.backends.rest
-	if a == nil || e.err != nil && !e.spoilt {
-		l.backends.close(c)
-		if c.a = nil; a != nil {
-			// Its last byte was written, or may have been: it may have run. Where a
-			// connection was kept and proved dead when used, those that have been
-			// kept for longer are most likely dead too, though nothing shows it.
-			if kept && l.now()-a.wrote < atOnce {
-				l.backends.keep.broke(l.now(), a.stood)
-			}
-			for kept && len(c.b.idle) > 0 && c.b.idle[0].since <= c.since {
-				l.backends.close(c.b.idle[0])
-			}
-			l.finish(a, decide.Reset, nil)
-		}
-		l.backends.connect(l, c.b) // somebody may have waited for it to have rested
-		return
-	}
-	result, value, load, fine := classify(e.reply, a.r == nil)
-	if e.spoilt && value == nil {
-		result = decide.Failed
-	}
-	c.a = nil
-	if !fine || e.spoilt || e.more {
-		// What comes next on this connection may belong to nothing. That tells
-		// only of it: the others to the backend go on.
-		l.backends.close(c)
-		l.backends.connect(l, c.b)
-	}
-	l.finishWith(a, result, value, l.report(load))
-	if !c.closed {
-		l.backends.free(l, c)
-	}
-}
-
-// classify tells what an answer means, and whether it is in the form agreed on:
-// an array with the value first, or an error. What follows the value, such as a
-// load report that can't be read, does not spoil it.
-func classify(re resp.Reply, probe bool) (result decide.Result, value []byte, load string, fine bool) {
-	switch {
-	case re.Kind == '-':
-		word, rest, _ := strings.Cut(string(re.Text), " ")
-		if word == "BUSY" {
-			return decide.Full, nil, rest, true
-		}
-		return decide.Failed, nil, rest[strings.LastIndexByte(rest, ' ')+1:], true
-	case probe:
-		return decide.OK, nil, string(re.Text), re.Kind == '+' || re.Kind == '$'
-	case re.Kind == '*' && len(re.Items) > 0 && re.Items[0].Kind == '$' && !re.Items[0].Null:
-		if len(re.Items) > 2 {
-			load = string(re.Items[2].Text)
-		}
-		return decide.OK, re.Items[0].Text, load, true
-	}
-	return decide.Failed, nil, "", false // no value: it may have run
-}
-
-// report reads a load report, in the order of the settings; nil if it is none.
-// One that is not whole, or holds what no load can be, must not reach the
-// decisions: it would draw all requests to its backend, or none.
-func (l *Loop) report(text string) []float32 {
-	names := l.cfg.Host.Report
-	if len(l.cfg.Settings.Report) == 0 || !strings.Contains(text, "=") {
-		return nil
-	}
-	load, told := make([]float32, len(names)), 0
-	for pair := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(pair, "=")
-		v, err := strconv.ParseFloat(value, 32)
-		i := slices.Index(names, name)
-		if i < 0 {
-			continue
-		}
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-			return nil
-		}
-		load[i], told = float32(v), told|1<<i
-	}
-	if told != 1<<len(names)-1 {
-		return nil
-	}
-	return load
-}
-
 // giveUp ends an attempt whose time has passed, and its connection with it.
 type giveUp struct{ a *attempt }
 
