--- a/internal/rollout/contents.go
+++ b/internal/rollout/contents.go
@@ -21,7 +21,12 @@
 // Contents is a content-addressed folder: each file is named by the SHA-256 digest of its content,
 // in hexadecimal. A file under that name is complete. An incomplete one has the suffix partSuffix, and
 // fetching it resumes at its end. The methods may be called concurrently.
-type Contents struct{ dir string }
+type Contents struct {
+	dir string
+	// unsynced contents are not written through to the disk: what a power cut leaves of them is found by its digest, and
+	// fetched again.
+	unsynced bool
+}
 
 const (
 	partSuffix    = ".part"
@@ -34,7 +39,10 @@
 var ErrDigest = errors.New("rollout: a content that is not what its digest says")
 
 // NewContents returns the contents of a folder, which Make creates.
-func NewContents(dir string) *Contents { return &Contents{dir} }
+func NewContents(dir string) *Contents { return &Contents{dir: dir} }
+
+// Unsynced returns the same folder for contents that nobody relies on this process to keep.
+func (c *Contents) Unsynced() *Contents { return &Contents{dir: c.dir, unsynced: true} }
 
 // Make creates the folder if it does not exist.
 func (c *Contents) Make() error { return os.MkdirAll(c.dir, 0o700) }
@@ -107,7 +115,7 @@
 	return c.finish(r.Digest)
 }
 
-// finish checks the digest of a complete content, syncs it, and renames it to its final name.
+// finish checks the digest of a complete content, syncs it unless the contents are unsynced, and renames it to its final name.
 func (c *Contents) finish(digest string) error {
 	name := c.partPath(digest)
 	f, err := os.OpenFile(name, os.O_RDWR, 0o600)
@@ -122,11 +130,25 @@
 	if hex.EncodeToString(sum.Sum(nil)) != digest {
 		return errors.Join(ErrDigest, os.Remove(name))
 	}
-	if err := f.Sync(); err != nil {
-		return err
+	if !c.unsynced {
+		if err := f.Sync(); err != nil {
+			return err
+		}
 	}
 	failpoint.At("content-before-name")
-	if err := os.Rename(name, c.path(digest)); err != nil {
+	if err := os.Rename(name, c.path(digest)); err != nil || c.unsynced {
+		return err
+	}
+	return c.syncDir()
+}
+
+// Sync has a complete content lie on the disk, one that was stored unsynced as well.
+func (c *Contents) Sync(digest string) error {
+	f, err := os.OpenFile(c.path(digest), os.O_RDWR, 0o600)
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(f.Sync(), f.Close()); err != nil {
 		return err
 	}
 	return c.syncDir()
--- a/internal/rollout/contents_test.go
+++ b/internal/rollout/contents_test.go
@@ -115,3 +115,27 @@
 		}
 	}
 }
+
+// What is stored unsynced is checked like anything else, and can be synced once somebody relies on it.
+func TestUnsyncedContents(t *testing.T) {
+	contents := NewContents(t.TempDir())
+	digest, err := contents.Unsynced().Add([]byte("terms"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := contents.Sync(digest); err != nil {
+		t.Error(err)
+	}
+	if raw, err := contents.Read(digest); err != nil || string(raw) != "terms" {
+		t.Errorf("%q %v", raw, err)
+	}
+	if err := os.WriteFile(contents.path(digest), []byte("ter"), 0o600); err != nil { // as a power cut may leave it
+		t.Fatal(err)
+	}
+	if _, err := contents.Read(digest); !errors.Is(err, ErrDigest) {
+		t.Errorf("a torn content: %v", err)
+	}
+	if err := contents.Sync(digest); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a content that is not there: %v", err)
+	}
+}
--- a/internal/rollout/difference.go
+++ b/internal/rollout/difference.go
@@ -20,8 +20,8 @@
 // fetchDifference makes a content out of one that is here by what a source says of the difference, and stores it. The
 // error is fleetlink.ErrNoContent where the source does not have the content, and errWhole where it is to be fetched
 // whole. After any other error too, the whole content may be fetched: nothing was stored.
-func (a *Agent) fetchDifference(ctx context.Context, itemName, digest string, source agree.MemberAt) error {
-	item := a.items[itemName]
+func (a *Agent) fetchDifference(ctx context.Context, wanted contentRequest, source agree.MemberAt) error {
+	item := a.items[wanted.item]
 	if item == nil {
 		return errWhole
 	}
@@ -30,15 +30,15 @@
 		return errWhole
 	}
 	answer, err := a.client.ContentDelta(ctx, source.ID, source.Address, &fleetpb.ContentDeltaRequest{
-		Item: itemName, Digest: digest, Bases: bases,
+		Item: wanted.item, Digest: wanted.ref.Digest, Bases: bases,
 	})
 	switch {
 	case err != nil:
 		return err
 	case answer.Delta != nil:
-		return a.applyDelta(item, digest, answer.Delta)
+		return a.applyDelta(wanted, answer.Delta)
 	case answer.Sums != nil:
-		return a.repair(ctx, itemName, digest, bases[0], answer.Sums, source)
+		return a.repair(ctx, wanted, bases[0], answer.Sums, source)
 	}
 	return errWhole
 }
@@ -56,22 +56,23 @@
 }
 
 // applyDelta stores the content that a delta leads to.
-func (a *Agent) applyDelta(item Item, digest string, delta *fleetpb.ContentDelta) error {
+func (a *Agent) applyDelta(wanted contentRequest, delta *fleetpb.ContentDelta) error {
+	item := a.items[wanted.item]
 	base, err := a.versions.read(item, delta.Base)
 	if err != nil {
 		return err
 	}
-	content, raw, err := configstate.ApplyDelta(item, base, digest, delta)
+	content, raw, err := configstate.ApplyDelta(item, base, wanted.ref.Digest, delta)
 	if err != nil {
 		return err
 	}
 	a.fetched.deltas.Add(1)
-	return a.store(content, raw)
+	return a.store(wanted.into, content, raw)
 }
 
 // repair stores a content after fetching the buckets in which the one with the digest base differs.
-func (a *Agent) repair(ctx context.Context, itemName, digest, base string, sums *fleetpb.ContentSums, source agree.MemberAt) error {
-	item := a.items[itemName]
+func (a *Agent) repair(ctx context.Context, wanted contentRequest, base string, sums *fleetpb.ContentSums, source agree.MemberAt) error {
+	item, digest := a.items[wanted.item], wanted.ref.Digest
 	from, err := a.versions.read(item, base)
 	if err != nil {
 		return err
@@ -89,7 +90,7 @@
 			break
 		}
 		answer, err := a.client.ContentBuckets(ctx, source.ID, source.Address, &fleetpb.ContentBucketsRequest{
-			Item: itemName, Digest: digest, Buckets: indexes,
+			Item: wanted.item, Digest: digest, Buckets: indexes,
 		})
 		if err != nil {
 			return err
@@ -103,13 +104,13 @@
 		return err
 	}
 	a.fetched.repairs.Add(1)
-	return a.store(content, raw)
+	return a.store(wanted.into, content, raw)
 }
 
 // store has a content that was verified lie on disk and in memory.
-func (a *Agent) store(content *configstate.Version, raw []byte) error {
+func (a *Agent) store(into *Contents, content *configstate.Version, raw []byte) error {
 	failpoint.At("content-before-store")
-	if _, err := a.contents.Add(raw); err != nil {
+	if _, err := into.Add(raw); err != nil {
 		return err
 	}
 	a.versions.put(content)
--- a/internal/rollout/difference_test.go
+++ b/internal/rollout/difference_test.go
@@ -99,7 +99,7 @@
 func (a *testAgent) fetches(t *testing.T, ref versions.Ref, from *testAgent) int64 {
 	t.Helper()
 	before := from.bytes.sent.Load()
-	if err := a.fetchFrom(t.Context(), planconfig.ItemName, ref, from.source); err != nil {
+	if err := a.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, ref, a.contents}, from.source); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := a.contents.Read(ref.Digest); err != nil {
@@ -177,7 +177,7 @@
 	server, replica := newTestAgent(t, "server", t.TempDir()), newTestAgent(t, "replica", t.TempDir())
 	replica.add(t, planText(t, 0))
 	absent := versions.Ref{Digest: strings.Repeat("0", 64), Size: 3}
-	err := replica.fetchFrom(t.Context(), planconfig.ItemName, absent, server.source)
+	err := replica.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, absent, replica.contents}, server.source)
 	if !errors.Is(err, fleetlink.ErrNoContent) {
 		t.Errorf("a content that is not there: %v", err)
 	}
@@ -186,7 +186,8 @@
 	replica.wantFetched(t, Fetched{Whole: 1})
 	replica.fetches(t, server.add(t, append([]byte("# by hand\n"), planText(t, 1)...)), server)
 	replica.wantFetched(t, Fetched{Whole: 2})
-	if err := replica.fetchFrom(t.Context(), "unknown", server.add(t, planText(t, 2)), server.source); err != nil {
+	unknown := contentRequest{"unknown", server.add(t, planText(t, 2)), replica.contents}
+	if err := replica.fetchFrom(t.Context(), unknown, server.source); err != nil {
 		t.Errorf("of an item that this program does not know: %v", err)
 	}
 	replica.wantFetched(t, Fetched{Whole: 3})
@@ -239,7 +240,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	source := agree.MemberAt{Member: lease.Member{ID: "liar", Boot: 2}, Address: listener.Addr().String()}
-	if err := replica.fetchFrom(ctx, planconfig.ItemName, target, source); err != nil {
+	if err := replica.fetchFrom(ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source); err != nil {
 		t.Fatal(err)
 	}
 	replica.wantFetched(t, Fetched{Whole: 1})
--- a/internal/rollout/fetch.go
+++ b/internal/rollout/fetch.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	a.refreshSources(ctx)
-	return a.fetch(ctx, a.itemOf(ref.Digest), ref, a.sources())
+	return a.fetch(ctx, contentRequest{a.itemOf(ref.Digest), ref, a.contents.Unsynced()}, a.sources())
 }
 
 // itemOf returns the name of an item that wants a content, "" if none does.
@@ -101,13 +101,20 @@
 	return item.Check(content), nil
 }
 
+// contentRequest is a content that is to be fetched.
+type contentRequest struct {
+	item string // what it is of; "": not known
+	ref  versions.Ref
+	into *Contents
+}
+
 // fetch fetches a content from one source after another until it is complete. It returns the error
 // of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, item string, ref versions.Ref, sources []agree.MemberAt) error {
+func (a *Agent) fetch(ctx context.Context, wanted contentRequest, sources []agree.MemberAt) error {
 	last := errors.New("rollout: nobody to fetch from is known")
 	for _, source := range sources {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
-		err := a.fetchFrom(one, item, ref, source)
+		err := a.fetchFrom(one, wanted, source)
 		cancel()
 		if err == nil {
 			return nil
@@ -119,20 +126,21 @@
 
 // fetchFrom fetches a content from one source: as its difference to one that is here, or else the part of it that is not
 // here yet.
-func (a *Agent) fetchFrom(ctx context.Context, item string, ref versions.Ref, source agree.MemberAt) error {
-	err := a.fetchDifference(ctx, item, ref.Digest, source)
+func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source agree.MemberAt) error {
+	err := a.fetchDifference(ctx, wanted, source)
 	if err == nil || errors.Is(err, fleetlink.ErrNoContent) {
 		return err
 	}
 	if !errors.Is(err, errWhole) {
-		a.log.Debug("fleet: versions: a difference can't be used", "source", source.ID, "digest", ref.Digest, "error", err)
+		a.log.Debug("fleet: versions: a difference can't be used", "source", source.ID, "digest", wanted.ref.Digest, "error", err)
 	}
-	return a.fetchWhole(ctx, ref, source)
+	return a.fetchWhole(ctx, wanted, source)
 }
 
 // fetchWhole fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchWhole(ctx context.Context, ref versions.Ref, source agree.MemberAt) error {
-	offset := a.contents.Begun(ref.Digest)
+func (a *Agent) fetchWhole(ctx context.Context, wanted contentRequest, source agree.MemberAt) error {
+	ref := wanted.ref
+	offset := wanted.into.Begun(ref.Digest)
 	if offset > ref.Size {
 		offset = 0
 	}
@@ -140,20 +148,21 @@
 	if err != nil {
 		return err
 	}
-	if err := a.contents.Take(ref, offset, next); err != nil {
+	if err := wanted.into.Take(ref, offset, next); err != nil {
 		return err
 	}
 	a.fetched.whole.Add(1)
 	return nil
 }
 
-// Keep fetches a content that is about to be proposed from the process that asks for it.
+// Keep fetches a content that is about to be proposed from the process that asks for it. Once it returns nil the content is
+// on the disk: the version is agreed on by its word.
 func (a *Agent) Keep(ctx context.Context, ask *fleetpb.KeepAsk) error {
 	if ask.Size < 0 || ask.Size > versions.SizeMost || !digestName.MatchString(ask.Digest) {
 		return fmt.Errorf("rollout: digest %.80q, %d bytes", ask.Digest, ask.Size)
 	}
 	if _, err := a.contents.Read(ask.Digest); err == nil {
-		return nil
+		return a.contents.Sync(ask.Digest)
 	}
 	members, err := a.membersOf(ctx, ask.From.GetId())
 	if err != nil {
@@ -161,7 +170,8 @@
 	}
 	for _, m := range members {
 		if m.ID == ask.From.GetId() {
-			return a.fetchFrom(ctx, ask.Item, versions.Ref{Digest: ask.Digest, Size: ask.Size}, m)
+			ref := versions.Ref{Digest: ask.Digest, Size: ask.Size}
+			return a.fetchFrom(ctx, contentRequest{ask.Item, ref, a.contents}, m)
 		}
 	}
 	return fmt.Errorf("rollout: no process %.40q", ask.From.GetId())
