--- a/agree/membershipquery.go
+++ b/agree/membershipquery.go
@@ -128,30 +128,6 @@
 	return a
 }
 
-// sampleAnswer is a sample of the active members, the members that vote, and the voters.
-func (n *Node) sampleAnswer(q *MembershipQuery, at time.Duration) *MembershipAnswer {
-	a := &MembershipAnswer{Voters: n.votersAt()}
-	var others []MemberAt
-	for _, in := range n.sessions.byID {
-		m := in.memberAt(nil)
-		switch {
-		case m.Address == "" || in.silent(at):
-		case n.nameTaken(m.ID):
-			a.Members = append(a.Members, m)
-		default:
-			others = append(others, m)
-		}
-	}
-	order := func(m *MemberAt) uint64 { return mixed(digestOf(m.Member, m.Address) ^ q.Seed) }
-	slices.SortFunc(others, func(x, y MemberAt) int {
-		return cmp.Or(cmp.Compare(order(&x), order(&y)), cmp.Compare(x.ID, y.ID))
-	})
-	a.Members = append(a.Members, others[:min(len(others), q.Sample)]...)
-	slices.SortFunc(a.Members, func(x, y MemberAt) int { return cmp.Compare(x.ID, y.ID) })
-	a.Revision.Digest = digestOfMembers(a.Members)
-	return a
-}
-
 // memberAnswer is the members that are asked for, as far as the asker does not have them.
 func (s *sessions) memberAnswer(q *MembershipQuery, at time.Duration) *MembershipAnswer {
 	a := &MembershipAnswer{}
@@ -222,7 +198,7 @@
 	look := func(in *session) {
 		if in != nil && in.silent(at) {
 			silent.IDs = append(silent.IDs, in.member.ID)
-			silent.Digest ^= digestOf(in.member, in.address)
+			silent.Digest ^= in.digest
 		}
 	}
 	if len(ids) == 0 {
--- /dev/null
+++ b/agree/sample_test.go
@@ -0,0 +1,61 @@
+package agree
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"mothcleat/lease"
+)
+
+// drawnSessions draws sessions of some processes.
+func drawnSessions(r *rand.Rand, n int) *sessions {
+	s := newSessions()
+	for i := range n {
+		who := lease.Member{ID: fmt.Sprintf("g%d", r.IntN(10*n)), Boot: r.Uint64()}
+		s.open(uint64(i+1), who, fmt.Sprintf("127.0.0.1:%d", i), 0)
+	}
+	return s
+}
+
+// A sample is the first sessions in the order that its seed gives, in whatever order they are offered.
+func TestASampleIsTheFirstInTheSeedsOrder(t *testing.T) {
+	r := rand.New(rand.NewPCG(9, 3))
+	for range 100 {
+		sessions := drawnSessions(r, r.IntN(40))
+		seed, size := r.Uint64(), r.IntN(12)
+		var all []*session
+		for _, in := range sessions.byID {
+			all = append(all, in)
+		}
+		drawn := sample{size: size, seed: seed}
+		for _, in := range all {
+			drawn.offer(in)
+		}
+		rank := func(in *session) uint64 { return mixed(digestOf(in.member, in.address) ^ seed) }
+		slices.SortFunc(all, func(a, b *session) int {
+			return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.member.ID, b.member.ID))
+		})
+		var got []*session
+		for _, one := range drawn.drawn {
+			got = append(got, one.session)
+		}
+		if want := all[:min(size, len(all))]; !slices.Equal(got, want) {
+			t.Fatalf("%d of %d sessions: other ones, or in another order", len(got), len(all))
+		}
+	}
+}
+
+// BenchmarkSample is one sample of 8 of 620 members.
+func BenchmarkSample(b *testing.B) {
+	sessions := drawnSessions(rand.New(rand.NewPCG(1, 1)), 620)
+	b.ReportAllocs()
+	for i := range b.N {
+		drawn := sample{size: 8, seed: uint64(i)}
+		for _, in := range sessions.byID {
+			drawn.offer(in)
+		}
+	}
+}
--- a/agree/sessions.go
+++ b/agree/sessions.go
@@ -23,6 +23,7 @@
 	number  uint64
 	member  lease.Member
 	address string // where it is reached; "": nowhere
+	digest  uint64 // digestOf both
 	seen    time.Duration
 	floor   uint64
 	answers map[uint64][]byte // of commands above the floor
@@ -59,6 +60,7 @@
 }
 
 func (s *sessions) add(n *session) {
+	n.digest = digestOf(n.member, n.address)
 	s.byNumber[n.number], s.byID[n.member.ID] = n, n
 	s.log.change(n.member, n.address)
 }
