--- a/cmd/lab/real.go
+++ b/cmd/lab/real.go
@@ -53,7 +53,7 @@
 }
 
 func (b *bench) upgrade() *cobra.Command {
-	return b.play("upgrade", "gateways replaced by processes started beside them, on sockets that the rig holds, and emptied by their doors", time.Minute,
+	return b.play("upgrade", "gateways replaced by processes started beside them, on sockets that the rig holds, and emptied by their admin interface", time.Minute,
 		func(c *cobra.Command) (func() error, player) {
 			o, f := lab.UpgradeOptions{}, c.Flags()
 			f.IntVar(&o.Instances, "instances", 4, "gateways, 1 to 200")
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -26,7 +26,7 @@
 	"mothcleat/usageexport"
 )
 
-// fleetCommands look after the fleet's agreed state: by the door of a gateway that runs, or, for found and
+// fleetCommands look after the fleet's agreed state: by the admin interface of a gateway that runs, or, for found and
 // join, on the folder of one that does not.
 func fleetCommands(operatorsFile *string, out io.Writer) *cobra.Command {
 	c := wanted(&cobra.Command{Use: "fleet", Short: "what the gateways agree on, and who does work on behalf of them all"})
@@ -38,7 +38,7 @@
 	asking := func(use, short string, n int, show func(raw []byte, w io.Writer) error) *cobra.Command {
 		word, _, _ := strings.Cut(use, " ")
 		return &cobra.Command{Use: use, Short: short, Args: exactly(n), RunE: func(_ *cobra.Command, args []string) error {
-			raw, err := callDoor(address, strings.Join(append([]string{"fleet", word}, args...), " "))
+			raw, err := callAdmin(address, strings.Join(append([]string{"fleet", word}, args...), " "))
 			if err != nil {
 				return err
 			}
@@ -65,7 +65,7 @@
 		if dir == "" {
 			return show(c, args)
 		}
-		raw, err := callDoor(address, "fleet exports")
+		raw, err := callAdmin(address, "fleet exports")
 		if err != nil {
 			return err
 		}
@@ -136,10 +136,10 @@
 	return nil
 }
 
-const doorWithin = 3 * time.Second
+const adminTimeout = 3 * time.Second
 
-// callDoor asks a gateway's door.
-func callDoor(address, line string) ([]byte, error) {
+// callAdmin asks a gateway's admin interface.
+func callAdmin(address, line string) ([]byte, error) {
 	if address == "" {
 		cfg, err := configuration()
 		if err != nil {
@@ -149,12 +149,12 @@
 			return nil, errors.New("no --door, and the configuration has no management")
 		}
 	}
-	conn, err := net.DialTimeout("tcp", address, doorWithin)
+	conn, err := net.DialTimeout("tcp", address, adminTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(doorWithin))
+	_ = conn.SetDeadline(time.Now().Add(adminTimeout))
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return nil, err
 	}
--- a/cmd/mothcleat/fleetversions.go
+++ b/cmd/mothcleat/fleetversions.go
@@ -25,7 +25,7 @@
 // versionCommands are about what the fleet acts on; show is the one that tells of it.
 func versionCommands(show *cobra.Command, address *string, plain *bool, out io.Writer) []*cobra.Command {
 	call := func(words ...string) error {
-		raw, err := callDoor(*address, "fleet versions "+strings.Join(words, " "))
+		raw, err := callAdmin(*address, "fleet versions "+strings.Join(words, " "))
 		if err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 				a.entries = append(a.entries, some...)
 			}
 			for _, door := range doors {
-				raw, err := callDoor(door, "fleet versions record 0")
+				raw, err := callAdmin(door, "fleet versions record 0")
 				if err != nil {
 					return fmt.Errorf("%s: %w", door, err)
 				}
@@ -114,7 +114,7 @@
 	if file != "" {
 		raw, err = os.ReadFile(file)
 	} else {
-		raw, err = callDoor(address, "fleet versions")
+		raw, err = callAdmin(address, "fleet versions")
 	}
 	if err == nil {
 		err = json.Unmarshal(raw, &v)
--- a/internal/door/door_test.go
+++ b/internal/admin/admin_test.go
@@ -1,4 +1,4 @@
-package door
+package admin
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 const patience = 30 * time.Second
 
-func open(t *testing.T, h Handler) *Door {
+func open(t *testing.T, h Handler) *Server {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", h, slog.New(slog.DiscardHandler))
+	d, err := Listen("127.0.0.1:0", h, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	return d
 }
 
-func dial(t *testing.T, d *Door) net.Conn {
+func dial(t *testing.T, d *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr().String())
 	if err != nil {
@@ -34,7 +34,7 @@
 	return c
 }
 
-func call(t *testing.T, d *Door, text string) string {
+func call(t *testing.T, d *Server, text string) string {
 	t.Helper()
 	c := dial(t, d)
 	if _, err := io.WriteString(c, text); err != nil {
@@ -66,10 +66,10 @@
 }
 
 // TestSilentCallersHoldNothingUp has far more callers say nothing or half a call than the
-// door keeps: each real call is answered all the same.
+// server keeps: each real call is answered all the same.
 func TestSilentCallersHoldNothingUp(t *testing.T) {
 	d := open(t, echo)
-	for i := range 4 * mostOpen {
+	for i := range 4 * maxOpenCalls {
 		c := dial(t, d)
 		if i%2 == 0 {
 			_, _ = io.WriteString(c, "che")
@@ -82,12 +82,12 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.silent) > mostOpen {
-		t.Errorf("%d silent callers are kept, %d at most wanted", len(d.silent), mostOpen)
+	if len(d.silent) > maxOpenCalls {
+		t.Errorf("%d silent callers are kept, %d at most wanted", len(d.silent), maxOpenCalls)
 	}
 }
 
-// TestCloseAnswersWhatIsUnderWay ends the door amid a call.
+// TestCloseAnswersWhatIsUnderWay ends the interface amid a call.
 func TestCloseAnswersWhatIsUnderWay(t *testing.T) {
 	begun, goOn := make(chan struct{}), make(chan struct{})
 	d := open(t, func(context.Context, string, string) string {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,8 +41,8 @@
 	l.lastState()
 	l.refusals.flush(l)
 	l.stopAsk()
-	if l.door != nil {
-		l.door.Close()
+	if l.admin != nil {
+		l.admin.Close()
 	}
 	l.clients.shut()
 	l.heirs.end()
@@ -103,7 +103,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	l.clients.listener = listener.(*net.TCPListener)
-	if err := l.openDoor(); err != nil {
+	if err := l.listenAdmin(); err != nil {
 		_ = listener.Close()
 		return nil, err
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"mothcleat/decide"
-	"mothcleat/internal/door"
+	"mothcleat/internal/admin"
 	"mothcleat/internal/figures"
 	"mothcleat/internal/forwardauth"
 	"mothcleat/lifecycle"
@@ -81,7 +81,7 @@
 	steps     steps
 	heirs     heirs
 	tally     *figures.Tally
-	door      *door.Door // nil: no address is given
+	admin     *admin.Server // nil: no address is given
 	accepting bool
 	done      bool
 	leaps     leaps
--- a/internal/gateway/operate.go
+++ b/internal/gateway/operate.go
@@ -4,16 +4,16 @@
 	"context"
 	"fmt"
 
-	"mothcleat/internal/door"
+	"mothcleat/internal/admin"
 	"mothcleat/internal/figures"
 )
 
-// openDoor has operators' calls answered, where the configuration gives them an address.
-func (l *Loop) openDoor() (err error) {
+// listenAdmin has operators' calls answered, where the configuration gives them an address.
+func (l *Loop) listenAdmin() (err error) {
 	if l.cfg.Management == "" {
 		return nil
 	}
-	if l.door, err = door.Open(l.cfg.Management, l.call, l.log); err != nil {
+	if l.admin, err = admin.Listen(l.cfg.Management, l.call, l.log); err != nil {
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
--- a/internal/gateway/operate_test.go
+++ b/internal/gateway/operate_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// operator calls a gateway's door.
+// operator calls a gateway's admin interface.
 func operator(t testing.TB, r *rig, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", r.loop.door.Addr().String())
+	c, err := net.Dial("tcp", r.loop.admin.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return figures
 }
 
-// managed is a gateway with a door.
+// managed is a gateway with an admin interface.
 func managed(t testing.TB, d *fakeDiscovery) *rig {
 	return begin(t, configure(t, d, func(f map[string]any) { f["management"] = "127.0.0.1:0" }))
 }
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -180,7 +180,7 @@
 }
 
 // Gateways replaced by processes beside them, some of which are killed amid it, and emptied by
-// their doors, in small.
+// their admin interface, in small.
 func TestUpgradeKeepsTheRules(t *testing.T) {
 	if !HasGo() {
 		t.Skip("no Go to build the gateway with")
--- a/internal/lab/fleetcall.go
+++ b/internal/lab/fleetcall.go
@@ -16,7 +16,7 @@
 // CallFleet asks the gateway's admin interface a question about its fleet and decodes the JSON answer into a value; nil
 // ignores it. It returns the gateway's own words as an error where it can't answer, and an error after the timeout.
 func (g *Gateway) CallFleet(line string, timeout time.Duration, into any) error {
-	conn, err := net.DialTimeout("tcp", g.Door(), adminDialTimeout)
+	conn, err := net.DialTimeout("tcp", g.AdminAddress(), adminDialTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -73,14 +73,14 @@
 	env     []string // beside the rig's own
 	held    *os.File // the clients' socket, where the rig holds it; nil: the process listens
 
-	mu      sync.Mutex
-	pid     int    // 0: none runs
-	doorAt  string // where operators call the process that serves; "": nowhere
-	older   []int
-	rss     int           // the most seen, in kB
-	began   time.Duration // when the process now running was started
-	wanted  bool          // to run: an end is a crash
-	readyIn []time.Duration
+	mu           sync.Mutex
+	pid          int    // 0: none runs
+	adminAddress string // where operators call the process that serves; "": nowhere
+	older        []int
+	rss          int           // the most seen, in kB
+	began        time.Duration // when the process now running was started
+	wanted       bool          // to run: an end is a crash
+	readyIn      []time.Duration
 }
 
 // freeAddress finds a host in 127.0.0.0/8, other than those that outgoing
@@ -205,8 +205,8 @@
 	return g.pid
 }
 
-// Door is where operators call the gateway.
-func (g *Gateway) Door() string { return g.doorAt }
+// AdminAddress is where operators call the gateway.
+func (g *Gateway) AdminAddress() string { return g.adminAddress }
 
 // Log is all that the gateway's processes have logged.
 func (g *Gateway) Log() string {
@@ -217,7 +217,7 @@
 	return string(raw)
 }
 
-// hold has the rig hold the clients' socket, as a platform does, and gives the gateway a door.
+// hold has the rig hold the clients' socket, as a platform does, and gives the gateway an admin address.
 func (g *Gateway) hold() error {
 	l, err := net.Listen("tcp", g.Address)
 	if err != nil {
@@ -227,7 +227,7 @@
 	if g.held, err = l.(*net.TCPListener).File(); err != nil {
 		return err
 	}
-	return g.newDoor()
+	return g.newAdminAddress()
 }
 
 // startLocked starts a command from a thread that lives as long as the rig: the
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -28,7 +28,7 @@
 }
 
 // RunUpgrade has the rig hold the clients' sockets, as a platform does, and replaces one
-// gateway after another by a process started beside it, empties some by their doors, and kills
+// gateway after another by a process started beside it, empties some by their admin interface, and kills
 // some of the new processes at a random moment of their start.
 func RunUpgrade(ctx context.Context, o UpgradeOptions, progress io.Writer) (*trial.Figures, error) {
 	remove, err := buildIfNone(ctx, &o.Bin)
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	for g.door(next.door, "check") != "ok" {
+	for g.admin(next.admin, "check") != "ok" {
 		if u.w.Record.Now()-began > readyWithin {
 			return fmt.Errorf("the new process is not ready\n%s", g.tail())
 		}
@@ -136,7 +136,7 @@
 			return errors.New("the old process does not end")
 		}
 	}
-	if n, err := strconv.Atoi(g.figure(next.door, "passed_in")); err == nil {
+	if n, err := strconv.Atoi(g.figure(next.admin, "passed_in")); err == nil {
 		u.mu.Lock()
 		u.passed += n
 		u.mu.Unlock()
@@ -160,7 +160,7 @@
 	serving := g.now()
 	answer := ""
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		answer = g.door(serving.door, "check")
+		answer = g.admin(serving.admin, "check")
 		if answer == "ok" || answer == "fail handed over" {
 			break
 		}
@@ -185,11 +185,11 @@
 	return fmt.Errorf("a new process was killed after %v, and the old one says %q", after, answer)
 }
 
-// drain empties a gateway by its door. Who deals out requests asks each 0.1 s, and sends
+// drain empties a gateway by its admin interface. Who deals out requests asks each 0.1 s, and sends
 // for 0.2 s more; kept connections stay in use as long as they are open.
 func (u *upgrades) drain(ctx context.Context, g *Gateway) error {
-	door := g.now().door
-	if got := g.door(door, "drain-on"); got != "ok" {
+	address := g.now().admin
+	if got := g.admin(address, "drain-on"); got != "ok" {
 		return fmt.Errorf("drain-on: %q", got)
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -199,7 +199,7 @@
 	u.mu.Lock()
 	u.heldOpen += held
 	u.mu.Unlock()
-	if got := g.door(door, "drain-off"); got != "ok" {
+	if got := g.admin(address, "drain-off"); got != "ok" {
 		return fmt.Errorf("drain-off: %q", got)
 	}
 	u.w.Clients.front.empty(g.Number, false)
@@ -240,34 +240,34 @@
 
 // process is one of a gateway's processes.
 type process struct {
-	pid  int
-	door string
+	pid   int
+	admin string
 }
 
 // now is the process that serves.
 func (g *Gateway) now() process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return process{g.pid, g.doorAt}
+	return process{g.pid, g.adminAddress}
 }
 
-// beside starts a process beside the one that serves: the same but for its door.
+// beside starts a process beside the one that serves: the same but for its admin address.
 func (g *Gateway) beside() (process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pid == 0 {
 		return process{}, errors.New("gateway: does not run")
 	}
-	was := g.doorAt
-	if err := g.newDoor(); err != nil {
+	was := g.adminAddress
+	if err := g.newAdminAddress(); err != nil {
 		return process{}, err
 	}
-	next := process{door: g.doorAt}
+	next := process{admin: g.adminAddress}
 	err := g.Configure()
 	if err == nil {
 		next.pid, err = g.launch()
 	}
-	g.doorAt = was
+	g.adminAddress = was
 	return next, err
 }
 
@@ -276,16 +276,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sample()
-	old = process{g.pid, g.doorAt}
-	g.pid, g.doorAt, g.began = next.pid, next.door, g.rec.Now()
+	old = process{g.pid, g.adminAddress}
+	g.pid, g.adminAddress, g.began = next.pid, next.admin, g.rec.Now()
 	g.older = append(g.older[:0], old.pid)
 	g.rec.AddLife(g.Number, trial.Handed)
 	g.rec.AddLife(g.Number, trial.Ready)
 	return old
 }
 
-// newDoor finds an address for the next process's door.
-func (g *Gateway) newDoor() error {
+// newAdminAddress finds an address for the next process's admin interface.
+func (g *Gateway) newAdminAddress() error {
 	host, _, err := net.SplitHostPort(g.Address)
 	if err != nil {
 		return err
@@ -294,13 +294,13 @@
 	if err != nil {
 		return err
 	}
-	g.doorAt = l.Addr().String()
+	g.adminAddress = l.Addr().String()
 	return l.Close()
 }
 
-// door calls a process's door: the first line of the answer, or why there is none.
-func (g *Gateway) door(address, call string) string {
-	all, err := callDoor(address, call)
+// admin calls a process's admin interface: the first line of the answer, or why there is none.
+func (g *Gateway) admin(address, call string) string {
+	all, err := callAdmin(address, call)
 	if err != nil {
 		return err.Error()
 	}
@@ -310,7 +310,7 @@
 
 // figure is one figure of a process.
 func (g *Gateway) figure(address, name string) string {
-	all, _ := callDoor(address, "vars")
+	all, _ := callAdmin(address, "vars")
 	for line := range strings.SplitSeq(all, "\n") {
 		if value, ok := strings.CutPrefix(line, "gateway."+name+"="); ok {
 			return value
@@ -319,7 +319,7 @@
 	return ""
 }
 
-func callDoor(address, call string) (string, error) {
+func callAdmin(address, call string) (string, error) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return "", err
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -31,8 +31,8 @@
 	Load      float64                          // part of what the servers can do that is asked inside the quotas
 	Bin       string                           // of the gateway; "": it is built
 	Prepare   func(w *World, g *Gateway) error // writes further files into a gateway's folder; nil: none
-	Doors     bool                             // gateways have doors
-	Held      bool                             // the rig holds the clients' sockets, and gateways have doors
+	Admin     bool                             // gateways have an admin interface
+	Held      bool                             // the rig holds the clients' sockets, and gateways have an admin interface
 	Consul    bool                             // the register is Consul, with an agent for each gateway
 	Names     string                           // what gateways' names begin with; "": n
 	MemoryMB  int                              // what each is told that it may hold; 0: 64
@@ -137,8 +137,8 @@
 				return w, err
 			}
 		}
-		if o.Doors {
-			if err := g.newDoor(); err != nil {
+		if o.Admin {
+			if err := g.newAdminAddress(); err != nil {
 				return w, err
 			}
 		}
@@ -193,7 +193,7 @@
 		known = memberList{Members: []member{}} // it names servers otherwise
 	}
 	return map[string]any{
-		"management": g.doorAt,
+		"management": g.adminAddress,
 		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number), "listen": g.Address,
 		"discovery": w.Register.agents[g.Number].address, "seed": trial.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
 		"limits":      map[string]any{"cores": 1.0, "memory_mb": w.options.MemoryMB, "sockets": 1024},
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -113,7 +113,7 @@
 	}
 	f.Bin = o.Bin
 	f.World, err = lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.Instances, Servers: o.Servers, Load: o.Load, Bin: o.Bin, Log: o.Log,
-		Doors: true, Consul: o.Consul, Operators: "#\n", Prepare: f.prepare})
+		Admin: true, Consul: o.Consul, Operators: "#\n", Prepare: f.prepare})
 	return f, err
 }
 
@@ -203,7 +203,7 @@
 	return filepath.Join(filepath.Dir(f.Exports), Name(i))
 }
 
-// Call has a gateway's door answer a call about the fleet.
+// Call has a gateway's admin interface answer a call about the fleet.
 func (f *Fleet) Call(i int, line string, into any) error {
 	return f.Gateways[i].CallFleet(line, callTimeout, into)
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -44,7 +44,7 @@
 	err error) {
 	c = &control{options: o, register: register}
 	c.world, err = lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.Control, Servers: 1,
-		Load: 0.1, Bin: o.Bin, Log: log, Doors: true, Consul: true,
+		Load: 0.1, Bin: o.Bin, Log: log, Admin: true, Consul: true,
 		Names: controlNames, MemoryMB: controlMemoryMB, Operators: "#\n", Prepare: c.prepare})
 	return c, err
 }
@@ -132,7 +132,7 @@
 	return all
 }
 
-// call has a control process's door answer a call about the fleet.
+// call has a control process's admin interface answer a call about the fleet.
 func (c *control) call(i int, line string, into any) error {
 	return c.world.Gateways[i].CallFleet(line, callWithin, into)
 }
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -140,7 +140,7 @@
 			number(u.MemoryMB), number(u.Control), a.mechanism, fits(u.Bytes, limitBytes))
 	}
 	row(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)",
-		"`internal/door`", "fits")
+		"`internal/admin`", "fits")
 	sum := total(uses)
 	row(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes),
 		number(sum.Cores)+": "+fits(sum.Cores, limitCores),
