--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -246,11 +246,11 @@
 	} else if n < len(b) {
 		c.out.whole = nil
 		if a.r != nil {
-			c.out.whole = &l.tally.Sends
+			c.out.whole = &l.metrics.Sends
 		}
 		c.out.send(b[n:], len(b))
 	} else if a.r != nil {
-		l.tally.Sends.Add(1)
+		l.metrics.Sends.Add(1)
 	}
 	if a.r != nil && l.cfg.Acts != nil {
 		l.cfg.Acts.Sent(!a.r.counted, a.r.units)
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -144,7 +144,7 @@
 	defer conn.Close()
 	until(t, r.loop, "the partly written request", func(l *Loop) bool {
 		b := l.backends.byNumber[1]
-		return len(l.requests) == 1 && b.dialing == 0 && len(b.waiting) == 0 && l.tally.Sends.Load() == 0
+		return len(l.requests) == 1 && b.dialing == 0 && len(b.waiting) == 0 && l.metrics.Sends.Load() == 0
 	})
 	c.conn.Close()
 	until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
@@ -330,7 +330,7 @@
 			close(dials.goOn)
 			other.next(t).serve(t, "ok")
 			c.value("ok")
-			if n := ask(t, r.loop, func(l *Loop) int { return l.figures().Unhealthy }); n != 0 {
+			if n := ask(t, r.loop, func(l *Loop) int { return l.gauges().Unhealthy }); n != 0 {
 				t.Error("the backend is held for dead")
 			}
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"mothcleat/decide"
-	"mothcleat/internal/figures"
+	"mothcleat/internal/metrics"
 	"mothcleat/internal/registry"
 	"mothcleat/internal/wire"
 	"mothcleat/lifecycle"
@@ -58,7 +58,7 @@
 		events: make(chan event, queued), urgents: make(chan event, 16),
 		requests: map[uint64]*request{}, names: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
 		counter: newCounter(&cfg), survival: newSurvival(cfg.Survival),
-		life: lifecycle.New(lifecycle.For(longest(&cfg.Host))), tally: figures.New(cfg.Host.Classes),
+		life: lifecycle.New(lifecycle.For(longest(&cfg.Host))), metrics: metrics.New(cfg.Host.Classes),
 	}
 	l.timer.Stop()
 	l.askBefore()
@@ -107,7 +107,7 @@
 		_ = listener.Close()
 		return nil, err
 	}
-	l.tally.Loaded.Add(1)
+	l.metrics.Loaded.Add(1)
 	if cfg.Survival.Keeper != nil && !l.survival.Successor {
 		l.restore()
 	}
--- a/internal/gateway/long.go
+++ b/internal/gateway/long.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mothcleat/decide"
-	"mothcleat/internal/figures"
+	"mothcleat/internal/metrics"
 	"mothcleat/internal/resp"
 )
 
@@ -145,7 +145,7 @@
 	}
 	e.v.end(l)
 	r.long = nil
-	l.tally.End(r.class, figures.Answered)
+	l.metrics.End(r.class, metrics.Answered)
 	l.forget(r)
 	r.client.flush(l)
 }
@@ -165,7 +165,7 @@
 	if v != nil && !v.ended {
 		// It could not be copied to its end: the client must be able to tell.
 		v.end(l)
-		l.tally.End(v.r.class, figures.Errored)
+		l.metrics.End(v.r.class, metrics.Errored)
 		v.r.client.drop(l)
 		l.forget(v.r)
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -10,8 +10,8 @@
 
 	"mothcleat/decide"
 	"mothcleat/internal/admin"
-	"mothcleat/internal/figures"
 	"mothcleat/internal/forwardauth"
+	"mothcleat/internal/metrics"
 	"mothcleat/lifecycle"
 )
 
@@ -80,7 +80,7 @@
 	life      *lifecycle.Process
 	steps     steps
 	heirs     heirs
-	tally     *figures.Tally
+	metrics   *metrics.Counters
 	admin     *admin.Server // nil: no address is given
 	accepting bool
 	done      bool
--- a/internal/gateway/operate.go
+++ b/internal/gateway/operate.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"mothcleat/internal/admin"
-	"mothcleat/internal/figures"
+	"mothcleat/internal/metrics"
 )
 
 // listenAdmin has operators' calls answered, where the configuration gives them an address.
@@ -54,7 +54,7 @@
 			answer = "fail shut out\n" // clients are to be sent elsewhere
 		}
 	case "vars":
-		answer = string(append(l.tally.Append(nil, l.figures()), "eof\n"...))
+		answer = string(append(l.metrics.Append(nil, l.gauges()), "eof\n"...))
 	case "drain-on":
 		l.log.Info("drain: on", "open", l.open, "connections", len(l.clients.conns))
 		l.life.Drain(l.now())
@@ -68,22 +68,22 @@
 	c.answer <- answer
 }
 
-// figures are those that are read off at the moment.
-func (l *Loop) figures() figures.Now {
-	now := figures.Now{Current: l.open}
+// gauges are read off at the moment.
+func (l *Loop) gauges() metrics.Gauges {
+	now := metrics.Gauges{Current: l.open}
 	now.Size, now.Unhealthy = l.module.Servers()
 	return now
 }
 
 // tell counts how a request ended, by what its answer begins with.
-func (r *request) tell(t *figures.Tally, reply []byte) {
+func (r *request) tell(t *metrics.Counters, reply []byte) {
 	switch {
 	case !r.known:
 	case len(reply) > 4 && string(reply[:5]) == "-BUSY":
-		t.End(r.class, figures.Deferred)
+		t.End(r.class, metrics.Deferred)
 	case len(reply) > 0 && reply[0] == '-':
-		t.End(r.class, figures.Errored)
+		t.End(r.class, metrics.Errored)
 	default:
-		t.End(r.class, figures.Answered)
+		t.End(r.class, metrics.Answered)
 	}
 }
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -213,7 +213,7 @@
 		s, moved := newAuthenticator(t)
 		r.reloads(asking(t, d, s.URL), nil)
 		// An answer that came before the reload would be cached, and the new one would not be asked.
-		until(t, r.loop, "the reload", func(l *Loop) bool { return l.tally.Loaded.Load() == 2 })
+		until(t, r.loop, "the reload", func(l *Loop) bool { return l.metrics.Loaded.Load() == 2 })
 		other.send("AUTH", "x")
 		other.want("+OK")
 		old.answer <- http.StatusOK
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -29,7 +29,7 @@
 		case <-c.Reload:
 			cfg, err := c.Read()
 			if err != nil {
-				l.tally.Invalid.Add(1)
+				l.metrics.Invalid.Add(1)
 				l.log.Error("reload: the old configuration stays", "error", err)
 				continue
 			}
@@ -67,7 +67,7 @@
 	if err := l.setAuth(e.cfg.Auth); err != nil {
 		l.log.Error("reload: asking an authenticator stays as it was", "error", err)
 	}
-	l.tally.Loaded.Add(1)
+	l.metrics.Loaded.Add(1)
 	l.survival.every = max(50_000, e.cfg.Survival.Every.Microseconds())
 }
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -56,7 +56,7 @@
 		return
 	}
 	r.reply = reply
-	r.tell(l.tally, reply)
+	r.tell(l.metrics, reply)
 	l.held += len(reply)
 	l.close(r)
 	r.client.flush(l)
--- a/internal/gateway/succeed.go
+++ b/internal/gateway/succeed.go
@@ -171,7 +171,7 @@
 	}
 	c.share.rest, c.share.old, c.share.age = e.from.Rest, head.Kept, head.AgeUS
 	c.share.ageAt = now
-	l.tally.PassedIn.Add(1)
+	l.metrics.PassedIn.Add(1)
 	l.begin(c)
 }
 
@@ -293,7 +293,7 @@
 	close(c.done)
 	delete(l.clients.conns, c)
 	<-l.clients.room
-	l.tally.PassedOn.Add(1)
+	l.metrics.PassedOn.Add(1)
 	l.heirs.passing <- p
 }
 
