--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"maps"
@@ -87,6 +88,7 @@
 	c.eventTable(&b, slopes)
 	c.runTable(&b)
 	c.runRoleTable(&b)
+	c.faultTable(&b)
 	c.controlTable(&b)
 	slopeTable(&b, slopes)
 	c.failedTable(&b)
@@ -212,8 +214,8 @@
 func (c *Capacity) runTable(b *strings.Builder) {
 	head(b, "Runs near the size", "run", "gateways, servers, tenants", "path", "pace of the log",
 		"all current after a start, s", "in force p50, p99, ms", "draining p99, ms", "a rack p99, ms", "plans in force p99, ms",
-		"diverged, stale, lost", "bytes/s a gateway, all roles", "of a core", "memory, MB",
-		"added p99, ms", "duties that changed hands")
+		"versions refused", "diverged, stale, lost", "bytes/s a gateway, all roles", "of a core", "memory, MB",
+		"added p99, ms", "duties that changed hands", "notes")
 	for i, r := range c.Runs {
 		o := &r.Options
 		added := "-"
@@ -229,9 +231,10 @@
 		row(b, fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date), where, string(o.Path), pace(o), herd(r),
 			r.InForce.text(r.InForce.P50)+", "+r.InForce.text(r.InForce.P99), r.Draining.text(r.Draining.P99),
 			r.Rack.text(r.Rack.P99), r.PlansInForce.text(r.PlansInForce.P99),
+			fmt.Sprintf("%d of %d", r.ProposalsRefused, r.ProposalsRefused+r.PlanVersions),
 			fmt.Sprintf("%d, %s, %d", r.Diverged, stale, r.LostChanges+r.LostVersions),
 			number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond), number(r.Gateway.Cores),
-			number(r.Gateway.ResidentMB), added, dutyChanges(r))
+			number(r.Gateway.ResidentMB), added, dutyChanges(r), cmp.Or(strings.Join(r.Notes, "; "), "-"))
 	}
 }
 
@@ -279,6 +282,24 @@
 	}
 }
 
+// faultTable tells what changes took in each stretch of the runs with faults.
+func (c *Capacity) faultTable(b *strings.Builder) {
+	head(b, "Changes through faults in these runs", "run", "fault", "process", "changes at gateways",
+		"in force p50, p99, ms", "draining p99, ms", "plans in force p99, ms")
+	for i, r := range c.Runs {
+		for j := range r.Stretches {
+			s := &r.Stretches[j]
+			fault := string(s.Fault)
+			if s.Failed != "" {
+				fault += ", which failed: " + s.Failed
+			}
+			row(b, number(float64(i+1)), fault, cmp.Or(s.Target, "-"), number(float64(s.InForce.Count)),
+				s.InForce.text(s.InForce.P50)+", "+s.InForce.text(s.InForce.P99),
+				s.Draining.text(s.Draining.P99), s.PlansInForce.text(s.PlansInForce.P99))
+		}
+	}
+}
+
 func (c *Capacity) controlTable(b *strings.Builder) {
 	head(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores",
 		"memory, MB (most)", "read, kB/s", "written, kB/s")
