--- a/cmd/mothcleat/run.go
+++ b/cmd/mothcleat/run.go
@@ -19,9 +19,9 @@
 	"github.com/cloudflare/tableflip"
 
 	"mothcleat/internal/gateway"
+	"mothcleat/internal/handover"
 	"mothcleat/internal/operators"
 	"mothcleat/internal/state"
-	"mothcleat/internal/succession"
 	"mothcleat/store"
 )
 
@@ -118,7 +118,7 @@
 		return err
 	} else if given != nil {
 		s.Listen = func(string) (net.Listener, error) { return given, nil }
-		s.Meet = succession.Path(os.TempDir(), cfg.Name)
+		s.Meet = handover.Path(os.TempDir(), cfg.Name)
 		if p.settings.HandOver.On {
 			p.log.Warn("hand-over: the platform holds the clients' socket, and replaces processes itself; handover.on is passed over")
 		}
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -97,7 +97,7 @@
 // the newer process, or ends.
 func (l *Loop) begin(c *client) bool {
 	l.clients.conns[c] = true
-	if l.heirs.passes() {
+	if l.handovers.passes() {
 		c.share.parted = true // it was not read from
 		l.pass(c)
 		return false
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,7 +45,7 @@
 		l.admin.Close()
 	}
 	l.clients.shut()
-	l.heirs.end()
+	l.handovers.end()
 	if l.peers.conn != nil {
 		_ = l.peers.conn.Close()
 	}
@@ -86,7 +86,7 @@
 		cfg.Terms.attach(l.urgentPost)
 	}
 	l.recordRefusals(cfg.Refusals)
-	if l.heirs.before == nil {
+	if l.handovers.predecessor == nil {
 		l.peers, err = newPeers(&cfg, log)
 	} else {
 		l.peers = peersWithout(&cfg, log)
@@ -164,7 +164,7 @@
 func (sweep) due(l *Loop) {
 	l.clients.sweep(l)
 	l.backends.sweep(l)
-	if l.life.Draining() || l.life.Stopping() || l.heirs.passes() {
+	if l.life.Draining() || l.life.Stopping() || l.handovers.passes() {
 		l.step() // connections end one by one
 	}
 	l.refusals.flush(l)
@@ -178,8 +178,8 @@
 	}
 	l.accepting = true
 	switch {
-	case l.heirs.before != nil:
-		go l.inherit()
+	case l.handovers.predecessor != nil:
+		go l.takeFromPredecessor()
 	case l.survival.Ready != nil:
 		go l.takeOver()
 	default:
@@ -193,7 +193,7 @@
 	l.life.Ready()
 	l.clients.accepts = true
 	go l.clients.accept(l)
-	l.meet()
+	l.listenForSuccessor()
 }
 
 // readyAnyway ends the wait for discovery, which may be down for long.
--- a/internal/gateway/succeed.go
+++ b/internal/gateway/handover.go
@@ -11,116 +11,116 @@
 
 	"mothcleat/decide"
 	"mothcleat/internal/forwardauth"
+	"mothcleat/internal/handover"
 	"mothcleat/internal/resp"
 	"mothcleat/internal/state"
-	"mothcleat/internal/succession"
 )
 
-// heirs are the processes before and after this one.
-type heirs struct {
-	before  *succession.Before // nil: there was none when this one started
-	line    *succession.Line   // where the next one asks; nil: nowhere
-	after   *succession.After  // the one that takes over, from its asking on; nil: none
-	passing chan succession.Client
-	passed  chan struct{} // closed when all that was put there is passed on
+// handovers are the processes before and after this one.
+type handovers struct {
+	predecessor *handover.Predecessor // nil: there was none when this one started
+	listener    *handover.Listener    // where the next one asks; nil: nowhere
+	successor   *handover.Successor   // the one that takes over, from its asking on; nil: none
+	passing     chan handover.Client
+	passed      chan struct{} // closed when all that was put there is passed on
 }
 
 const (
-	inheritOldest = 60_000_000             // a state from the process before is newer than that
-	skewMost      = 1_000_000              // two processes' clocks may differ by so much
-	bindAgain     = 200 * time.Millisecond // for the notes' socket, where the process before holds it
+	maxStateAge = 60_000_000             // a state from the process before is newer than that
+	skewMost    = 1_000_000              // two processes' clocks may differ by so much
+	bindAgain   = 200 * time.Millisecond // for the notes' socket, where the process before holds it
 )
 
 // passes tells whether connections are being passed on to a newer process.
-func (h *heirs) passes() bool { return h.passing != nil }
+func (h *handovers) passes() bool { return h.passing != nil }
 
 // askBefore looks for a process that serves already.
 func (l *Loop) askBefore() {
 	if l.survival.Meet == "" {
 		return
 	}
-	before, err := succession.Ask(l.survival.Meet)
+	before, err := handover.Ask(l.survival.Meet)
 	if err != nil {
 		return
 	}
-	l.log.Info("succession: another process serves; taking its place")
-	l.heirs.before, l.survival.Successor = before, true
+	l.log.Info("handover: another process serves; taking its place")
+	l.handovers.predecessor, l.survival.Successor = before, true
 }
 
-// meet has the next process find this one.
-func (l *Loop) meet() {
+// listenForSuccessor has the next process find this one.
+func (l *Loop) listenForSuccessor() {
 	if l.survival.Meet == "" {
 		return
 	}
-	line, err := succession.Listen(l.survival.Meet)
+	line, err := handover.Listen(l.survival.Meet)
 	if err != nil {
 		l.log.Warn("a newer process will start cold", "error", err)
 		return
 	}
-	l.heirs.line = line
-	go line.Serve(func(a *succession.After) { l.urgentPost(heirReady{a}) })
+	l.handovers.listener = line
+	go line.Serve(func(a *handover.Successor) { l.urgentPost(successorReady{a}) })
 }
 
 // end ends what is between the processes, once all is passed on.
-func (h *heirs) end() {
-	if h.line != nil {
-		h.line.Close()
+func (h *handovers) end() {
+	if h.listener != nil {
+		h.listener.Close()
 	}
 	if h.passes() {
 		close(h.passing)
 		<-h.passed
 	}
-	if h.after != nil {
-		h.after.Close()
+	if h.successor != nil {
+		h.successor.Close()
 	}
 }
 
-// inherit takes the place of the process before, and then its clients' connections.
-func (l *Loop) inherit() {
-	estate, err := l.heirs.before.Take()
-	e := inherited{estate: estate, err: err}
+// takeFromPredecessor takes the place of the process before, and then its clients' connections.
+func (l *Loop) takeFromPredecessor() {
+	left, err := l.handovers.predecessor.Take()
+	e := takenOver{left: left, err: err}
 	if err == nil {
-		e.state, e.err = state.Decode(estate.State)
+		e.state, e.err = state.Decode(left.Snapshot)
 	}
 	l.urgentPost(e)
 }
 
-// inherited is what the process before has left, or why there is nothing.
-type inherited struct {
-	estate succession.Estate
-	state  decide.Snapshot
-	err    error
+// takenOver is what the process before has left, or why there is nothing.
+type takenOver struct {
+	left  handover.State
+	state decide.Snapshot
+	err   error
 }
 
-func (e inherited) handle(l *Loop) {
-	before := l.heirs.before
+func (e takenOver) handle(l *Loop) {
+	before := l.handovers.predecessor
 	if e.err == nil {
 		if ahead := e.state.At - l.now(); ahead > 0 && ahead < skewMost {
 			e.state.At = l.now()
 		}
-		e.err = l.module.Restore(l.now(), inheritOldest, &e.state)
+		e.err = l.module.Restore(l.now(), maxStateAge, &e.state)
 	}
 	if e.err == nil {
 		e.err = before.Accepted()
 	}
 	if e.err != nil {
-		l.log.Error("succession: starting cold beside the process before", "error", e.err)
+		l.log.Error("handover: starting cold beside the process before", "error", e.err)
 		before.Close()
 	} else {
-		l.log.Info("succession: state taken in", "customers", len(e.state.Customers), "backends", len(e.state.Backends))
+		l.log.Info("handover: state taken in", "customers", len(e.state.Customers), "backends", len(e.state.Backends))
 		go func() {
 			if err := before.Clients(l.passedOn); err != nil {
-				l.log.Warn("succession: clients' connections", "error", err)
+				l.log.Warn("handover: clients' connections", "error", err)
 			}
 		}()
 	}
 	switch {
-	case e.estate.Notes != nil && e.err == nil:
-		l.peers.conn = e.estate.Notes
+	case e.left.Notes != nil && e.err == nil:
+		l.peers.conn = e.left.Notes
 		go l.peers.read(l)
 	case l.cfg.Settings.Peers:
-		if e.estate.Notes != nil {
-			_ = e.estate.Notes.Close()
+		if e.left.Notes != nil {
+			_ = e.left.Notes.Close()
 		}
 		go l.bindNotes()
 	}
@@ -155,12 +155,12 @@
 }
 
 // passedOn takes in a connection from the process before.
-func (l *Loop) passedOn(c succession.Client) {
+func (l *Loop) passedOn(c handover.Client) {
 	l.clients.room <- struct{}{}
 	l.post(passedIn{c})
 }
 
-type passedIn struct{ from succession.Client }
+type passedIn struct{ from handover.Client }
 
 func (e passedIn) handle(l *Loop) {
 	head, now := &e.from.Head, l.now()
@@ -175,30 +175,30 @@
 	l.begin(c)
 }
 
-// heirReady tells that a newer process could serve. It is given all that this one knows;
+// successorReady tells that a newer process could serve. It is given all that this one knows;
 // what comes meanwhile is kept, for one of the two.
-type heirReady struct{ after *succession.After }
+type successorReady struct{ successor *handover.Successor }
 
-func (e heirReady) handle(l *Loop) {
-	if l.heirs.after != nil || l.life.Parted() {
-		e.after.Close()
+func (e successorReady) handle(l *Loop) {
+	if l.handovers.successor != nil || l.life.Parted() {
+		e.successor.Close()
 		return
 	}
-	l.heirs.after = e.after
+	l.handovers.successor = e.successor
 	l.life.Pause()
 	past := time.Unix(1, 0)
 	_ = l.clients.listener.SetDeadline(past)
-	estate := succession.Estate{Notes: l.peers.conn}
-	if estate.Notes != nil {
-		_ = estate.Notes.SetReadDeadline(past)
+	left := handover.State{Notes: l.peers.conn}
+	if left.Notes != nil {
+		_ = left.Notes.SetReadDeadline(past)
 	}
 	var err error
-	if estate.State, err = state.Encode(l.module.Save(l.now(), true)); err != nil {
-		e.after.Close()
+	if left.Snapshot, err = state.Encode(l.module.Save(l.now(), true)); err != nil {
+		e.successor.Close()
 		given{err}.handle(l)
 		return
 	}
-	go func() { l.urgentPost(given{e.after.Give(estate)}) }()
+	go func() { l.urgentPost(given{e.successor.Give(left)}) }()
 }
 
 // given tells whether the newer process has taken over.
@@ -206,14 +206,14 @@
 
 func (e given) handle(l *Loop) {
 	if e.err != nil {
-		l.log.Error("succession: the newer process did not take over; this one serves on", "error", e.err)
+		l.log.Error("handover: the newer process did not take over; this one serves on", "error", e.err)
 		l.resume()
 		return
 	}
-	l.log.Info("succession: a newer process has taken over", "open", l.open, "connections", len(l.clients.conns))
+	l.log.Info("handover: a newer process has taken over", "open", l.open, "connections", len(l.clients.conns))
 	l.life.Part(true)
-	h := &l.heirs
-	h.passing, h.passed = make(chan succession.Client, cap(l.clients.room)+1), make(chan struct{})
+	h := &l.handovers
+	h.passing, h.passed = make(chan handover.Client, cap(l.clients.room)+1), make(chan struct{})
 	go h.passAll()
 	if l.peers.conn != nil {
 		_ = l.peers.conn.Close()
@@ -228,7 +228,7 @@
 
 // resume goes on as if no newer process had come.
 func (l *Loop) resume() {
-	l.heirs.after = nil
+	l.handovers.successor = nil
 	l.life.Unpause()
 	if !l.steps.closing {
 		_ = l.clients.listener.SetDeadline(time.Time{})
@@ -256,11 +256,11 @@
 // keeps tells whether a command is not taken in here, but kept until it is known who
 // takes it.
 func (l *Loop) keeps(e taken) bool {
-	if l.heirs.after == nil || l.life.Abandons(l.now()) {
+	if l.handovers.successor == nil || l.life.Abandons(l.now()) {
 		return false
 	}
 	c := e.client
-	if len(c.share.kept) == 0 && e.cmd.args == nil && !l.heirs.passes() {
+	if len(c.share.kept) == 0 && e.cmd.args == nil && !l.handovers.passes() {
 		return false // it needs no decision, and this process still answers
 	}
 	c.share.kept = append(c.share.kept, e)
@@ -272,10 +272,10 @@
 // pass passes a client's connection on as soon as it stands between two requests.
 func (l *Loop) pass(c *client) {
 	s := &c.share
-	if !l.heirs.passes() || !s.parted || c.gone || c.ended || c.surplus || c.barred.Load() || len(c.line) > 0 || !c.out.idle() {
+	if !l.handovers.passes() || !s.parted || c.gone || c.ended || c.surplus || c.barred.Load() || len(c.line) > 0 || !c.out.idle() {
 		return
 	}
-	p := succession.Client{Conn: c.conn, Head: succession.Head{Asked: c.asked, Kept: len(s.kept)}}
+	p := handover.Client{Conn: c.conn, Head: handover.Head{Asked: c.asked, Kept: len(s.kept)}}
 	if k := c.credential; k != nil {
 		p.Head.Known, p.Head.User, p.Head.Secret, p.Head.Named = true, k.User, k.Secret, k.Named
 	}
@@ -294,17 +294,17 @@
 	delete(l.clients.conns, c)
 	<-l.clients.room
 	l.metrics.PassedOn.Add(1)
-	l.heirs.passing <- p
+	l.handovers.passing <- p
 }
 
 // passAll passes connections on. What the newer process can't be given any more is closed:
 // it has died.
-func (h *heirs) passAll() {
+func (h *handovers) passAll() {
 	defer close(h.passed)
 	var err error
 	for p := range h.passing {
 		if err == nil {
-			err = h.after.Pass(p)
+			err = h.successor.Pass(p)
 		}
 		_ = p.Conn.Close()
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -79,7 +79,7 @@
 	stopAsk   context.CancelFunc
 	life      *lifecycle.Process
 	steps     steps
-	heirs     heirs
+	handovers handovers
 	metrics   *metrics.Counters
 	admin     *admin.Server // nil: no address is given
 	accepting bool
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -35,7 +35,7 @@
 	now := l.now()
 	if l.life.Closed(now) && !l.steps.closing {
 		l.steps.closing = true
-		if l.life.Parted() || l.heirs.after != nil || !l.clients.accepts {
+		if l.life.Parted() || l.handovers.successor != nil || !l.clients.accepts {
 			l.shut() // others accept here
 		} else {
 			l.clients.last.Store(true)
--- a/internal/succession/succession.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,9 @@
-// Package succession carries what a process leaves to the one that takes its place: what
+// Package handover carries what a process leaves to the one that takes its place: what
 // it knows, its socket for notes, and its clients' connections, over a Unix socket in a
 // folder that both see.
 //
 // A process that starts calls Ask. Where one serves already, it waits until it could
-// serve itself, and calls Take. The one before pauses, gives its estate, and waits for the
+// serve itself, and calls Take. The one before pauses, gives its state, and waits for the
 // word that it was taken in. From that word on it takes nothing more, and passes its clients'
 // connections on one by one, as they come to stand between two requests. If the word does
 // not come it serves on as if nothing had been.
@@ -12,7 +12,7 @@
 // state, 'E' its end with the socket for notes if there is one, 'K' taken in, 'C' a client's
 // connection with a head as JSON, 'M' more of what was read from it. Descriptors
 // travel with 'E' and 'C'.
-package succession
+package handover
 
 import (
 	"encoding/json"
@@ -37,22 +37,22 @@
 )
 
 // ErrNone tells that no process serves before this one.
-var ErrNone = errors.New("succession: no process before this one")
+var ErrNone = errors.New("handover: no process before this one")
 
-// Path is where the processes of a gateway meet in a folder.
+// Path is where the processes of a gateway find each other in a folder.
 func Path(folder, name string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // names may be longer than a file's may be
 	return filepath.Join(folder, fmt.Sprintf("mothcleat-%016x.sock", h.Sum64()))
 }
 
-// addressMost is how long a socket's address may be; the folder of temporary files may be deeper.
-const addressMost = 100
+// maxAddressBytes is how long a socket's address may be; the folder of temporary files may be deeper.
+const maxAddressBytes = 100
 
 // address gives a path as a socket's address that is short enough: by way of the folder's
 // descriptor where it is not. done lets go of that.
 func address(path string) (a *net.UnixAddr, done func(), err error) {
-	if len(path) <= addressMost {
+	if len(path) <= maxAddressBytes {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -63,10 +63,10 @@
 	return &net.UnixAddr{Name: short, Net: "unixpacket"}, func() { _ = dir.Close() }, nil
 }
 
-// Estate is what a process knows and holds once for all its clients.
-type Estate struct {
-	State []byte
-	Notes *net.UDPConn // nil: there is none
+// State is what a process knows and holds once for all its clients.
+type State struct {
+	Snapshot []byte       // of the decision state
+	Notes    *net.UDPConn // nil: there is none
 }
 
 // Client is a client's connection between two requests, or with some behind it that were
@@ -154,11 +154,11 @@
 	return l.buf[0], l.buf[1:n], carried, nil
 }
 
-// Before is the process that serves before this one. Its methods belong to one goroutine.
-type Before struct{ link }
+// Predecessor is the process that serves before this one. Its methods belong to one goroutine.
+type Predecessor struct{ link }
 
 // Ask looks for the process before. ErrNone: there is none, or none that answers.
-func Ask(path string) (*Before, error) {
+func Ask(path string) (*Predecessor, error) {
 	to, done, err := address(path)
 	if err != nil {
 		return nil, ErrNone
@@ -168,61 +168,61 @@
 	if err != nil {
 		return nil, ErrNone
 	}
-	return &Before{link{conn: conn}}, nil
+	return &Predecessor{link{conn: conn}}, nil
 }
 
 // Take tells the process before that this one could serve, and gets what it leaves.
 // Until Accepted it goes on if this process ends.
-func (b *Before) Take() (Estate, error) {
-	var e Estate
-	if err := b.write('T', nil, nil); err != nil {
-		return e, fmt.Errorf("succession: %w", err)
+func (p *Predecessor) Take() (State, error) {
+	var s State
+	if err := p.write('T', nil, nil); err != nil {
+		return s, fmt.Errorf("handover: %w", err)
 	}
-	_ = b.conn.SetReadDeadline(time.Now().Add(stepTime))
+	_ = p.conn.SetReadDeadline(time.Now().Add(stepTime))
 	for {
-		kind, body, carried, err := b.read()
+		kind, body, carried, err := p.read()
 		switch {
 		case err != nil:
-			return e, fmt.Errorf("succession: %w", err)
-		case kind == 'S' && len(e.State)+len(body) <= stateMost:
-			e.State = append(e.State, body...)
+			return s, fmt.Errorf("handover: %w", err)
+		case kind == 'S' && len(s.Snapshot)+len(body) <= stateMost:
+			s.Snapshot = append(s.Snapshot, body...)
 		case kind == 'E':
 			if carried == nil {
-				return e, nil
+				return s, nil
 			}
 			defer carried.Close()
 			conn, err := net.FilePacketConn(carried)
 			if err != nil {
-				return e, fmt.Errorf("succession: the socket for notes: %w", err)
+				return s, fmt.Errorf("handover: the socket for notes: %w", err)
 			}
 			notes, ok := conn.(*net.UDPConn)
 			if !ok {
 				_ = conn.Close()
-				return e, errors.New("succession: the socket for notes is of another kind")
+				return s, errors.New("handover: the socket for notes is of another kind")
 			}
-			e.Notes = notes
-			return e, nil
+			s.Notes = notes
+			return s, nil
 		default:
-			return e, fmt.Errorf("succession: a message %q amid the state", kind)
+			return s, fmt.Errorf("handover: a message %q amid the state", kind)
 		}
 	}
 }
 
-// Accepted gives the word that the estate was taken in.
-func (b *Before) Accepted() error { return b.write('K', nil, nil) }
+// Accepted gives the word that the state was taken in.
+func (p *Predecessor) Accepted() error { return p.write('K', nil, nil) }
 
 // Clients calls f for each connection that the process before passes on, until it has
 // passed all, or has ended. What can't be used is closed.
-func (b *Before) Clients(f func(Client)) error {
-	defer b.conn.Close()
-	_ = b.conn.SetReadDeadline(time.Time{})
+func (p *Predecessor) Clients(f func(Client)) error {
+	defer p.conn.Close()
+	_ = p.conn.SetReadDeadline(time.Time{})
 	for {
-		c, err := b.client()
+		c, err := p.client()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("succession: %w", err)
+			return fmt.Errorf("handover: %w", err)
 		}
 		if c.Conn != nil {
 			f(c)
@@ -230,8 +230,8 @@
 	}
 }
 
-func (b *Before) client() (c Client, err error) {
-	kind, body, carried, err := b.read()
+func (p *Predecessor) client() (c Client, err error) {
+	kind, body, carried, err := p.read()
 	if err != nil {
 		return c, err
 	}
@@ -246,7 +246,7 @@
 		return c, fmt.Errorf("%d bytes that were read", c.Head.Length)
 	}
 	for len(c.Rest) < c.Head.Length {
-		kind, more, _, err := b.read()
+		kind, more, _, err := p.read()
 		if err != nil {
 			return c, err
 		}
@@ -269,47 +269,47 @@
 }
 
 // Close gives up: the process before serves on if Accepted was not called.
-func (b *Before) Close() { _ = b.conn.Close() }
+func (p *Predecessor) Close() { _ = p.conn.Close() }
 
-// Line is where processes that come after this one ask.
-type Line struct{ listener *net.UnixListener }
+// Listener is where processes that come after this one ask.
+type Listener struct{ listener *net.UnixListener }
 
 // Listen has newer processes find this one at a path from now on, whoever was found
 // there before.
-func Listen(path string) (*Line, error) {
+func Listen(path string) (*Listener, error) {
 	next := fmt.Sprintf("%s.%d", path, os.Getpid())
 	_ = os.Remove(next)
 	at, done, err := address(next)
 	if err != nil {
-		return nil, fmt.Errorf("succession: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	defer done()
 	l, err := net.ListenUnix("unixpacket", at)
 	if err != nil {
-		return nil, fmt.Errorf("succession: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	l.SetUnlinkOnClose(false) // by then a newer process may be found there
 	if err := os.Rename(next, path); err != nil {
 		_ = l.Close()
 		_ = os.Remove(next)
-		return nil, fmt.Errorf("succession: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return &Line{l}, nil
+	return &Listener{l}, nil
 }
 
 // Close has nobody find this process any more.
-func (l *Line) Close() { _ = l.listener.Close() }
+func (l *Listener) Close() { _ = l.listener.Close() }
 
 // Serve calls take for each newer process that could serve, from a goroutine of its
 // own, until Close.
-func (l *Line) Serve(take func(*After)) {
+func (l *Listener) Serve(take func(*Successor)) {
 	for {
 		conn, err := l.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
 		go func() {
-			a := &After{link: link{conn: conn}}
+			a := &Successor{link: link{conn: conn}}
 			kind, _, carried, err := a.read()
 			if carried != nil {
 				_ = carried.Close()
@@ -323,37 +323,37 @@
 	}
 }
 
-// After is the process that takes this one's place.
-type After struct {
+// Successor is the process that takes this one's place.
+type Successor struct {
 	link
 	once sync.Once
 }
 
-// Give gives the estate, and waits for the word that it was taken in. After an error the
+// Give gives the state, and waits for the word that it was taken in. After an error the
 // newer process has not taken over, and has been cut off.
-func (a *After) Give(e Estate) (err error) {
+func (s *Successor) Give(left State) (err error) {
 	defer func() {
 		if err != nil {
-			a.Close()
-			err = fmt.Errorf("succession: %w", err)
+			s.Close()
+			err = fmt.Errorf("handover: %w", err)
 		}
 	}()
-	for state := e.State; len(state) > 0; {
+	for state := left.Snapshot; len(state) > 0; {
 		n := min(len(state), piece)
-		if err := a.write('S', state[:n], nil); err != nil {
+		if err := s.write('S', state[:n], nil); err != nil {
 			return err
 		}
 		state = state[n:]
 	}
 	var carry syscall.Conn
-	if e.Notes != nil {
-		carry = e.Notes
+	if left.Notes != nil {
+		carry = left.Notes
 	}
-	if err := a.write('E', nil, carry); err != nil {
+	if err := s.write('E', nil, carry); err != nil {
 		return err
 	}
-	_ = a.conn.SetReadDeadline(time.Now().Add(stepTime))
-	kind, _, _, err := a.read()
+	_ = s.conn.SetReadDeadline(time.Now().Add(stepTime))
+	kind, _, _, err := s.read()
 	if err == nil && kind != 'K' {
 		err = fmt.Errorf("a message %q where the word was due", kind)
 	}
@@ -361,24 +361,24 @@
 }
 
 // Pass passes a connection on. It stays open here, too, until the caller closes it.
-func (a *After) Pass(c Client) error {
+func (s *Successor) Pass(c Client) error {
 	c.Head.Length = len(c.Rest)
 	head, err := json.Marshal(c.Head)
 	if err != nil {
-		return fmt.Errorf("succession: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
-	if err := a.write('C', head, c.Conn); err != nil {
-		return fmt.Errorf("succession: %w", err)
+	if err := s.write('C', head, c.Conn); err != nil {
+		return fmt.Errorf("handover: %w", err)
 	}
 	for rest := c.Rest; len(rest) > 0; {
 		n := min(len(rest), piece)
-		if err := a.write('M', rest[:n], nil); err != nil {
-			return fmt.Errorf("succession: %w", err)
+		if err := s.write('M', rest[:n], nil); err != nil {
+			return fmt.Errorf("handover: %w", err)
 		}
 		rest = rest[n:]
 	}
 	return nil
 }
 
-// Close ends the succession: nothing more is passed on.
-func (a *After) Close() { a.once.Do(func() { _ = a.conn.Close() }) }
+// Close ends the handover: nothing more is passed on.
+func (s *Successor) Close() { s.once.Do(func() { _ = s.conn.Close() }) }
--- a/internal/succession/succession_test.go
+++ b/internal/handover/handover_test.go
@@ -1,4 +1,4 @@
-package succession
+package handover
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 const patience = 30 * time.Second
 
 // meet is a process before and one after, which has asked and called Take.
-func meet(t *testing.T, give func(*After)) *Before {
+func meet(t *testing.T, give func(*Successor)) *Predecessor {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	line, err := Listen(path)
@@ -75,8 +75,8 @@
 			here, there := connections(t)
 			mine, theirs = append(mine, here), append(theirs, there)
 		}
-		b := meet(t, func(a *After) {
-			if err := a.Give(Estate{State: state, Notes: notes}); err != nil {
+		b := meet(t, func(a *Successor) {
+			if err := a.Give(State{Snapshot: state, Notes: notes}); err != nil {
 				t.Error(err)
 				return
 			}
@@ -89,8 +89,8 @@
 			a.Close()
 		})
 		e, err := b.Take()
-		if err != nil || !bytes.Equal(e.State, state) || e.Notes.LocalAddr().String() != notes.LocalAddr().String() {
-			t.Fatalf("seed %d: state of %d bytes for %d, notes %v, %v", seed, len(e.State), len(state), e.Notes, err)
+		if err != nil || !bytes.Equal(e.Snapshot, state) || e.Notes.LocalAddr().String() != notes.LocalAddr().String() {
+			t.Fatalf("seed %d: state of %d bytes for %d, notes %v, %v", seed, len(e.Snapshot), len(state), e.Notes, err)
 		}
 		if err := b.Accepted(); err != nil {
 			t.Fatal(err)
@@ -124,7 +124,7 @@
 func TestLongestCredential(t *testing.T) {
 	here, _ := connections(t)
 	secret := strings.Repeat("<", 8<<10)
-	b := meet(t, func(a *After) {
+	b := meet(t, func(a *Successor) {
 		_ = a.write('E', nil, nil)
 		if err := a.Pass(Client{Conn: here, Head: Head{Known: true, Secret: secret}, Rest: []byte("rest")}); err != nil {
 			t.Error(err)
@@ -150,12 +150,12 @@
 // TestNoWordNoSuccession has the newer process end before, or say something else than, its
 // word: the one before must learn that it serves on.
 func TestNoWordNoSuccession(t *testing.T) {
-	for name, end := range map[string]func(*Before){
-		"dies":     func(b *Before) { b.Close() },
-		"nonsense": func(b *Before) { _ = b.write('Z', nil, nil) },
+	for name, end := range map[string]func(*Predecessor){
+		"dies":     func(p *Predecessor) { p.Close() },
+		"nonsense": func(p *Predecessor) { _ = p.write('Z', nil, nil) },
 	} {
 		given := make(chan error, 1)
-		b := meet(t, func(a *After) { given <- a.Give(Estate{State: []byte("x")}) })
+		b := meet(t, func(a *Successor) { given <- a.Give(State{Snapshot: []byte("x")}) })
 		if _, err := b.Take(); err != nil {
 			t.Fatal(name, err)
 		}
@@ -163,7 +163,7 @@
 		select {
 		case err := <-given:
 			if err == nil {
-				t.Errorf("%s: taken for a succession", name)
+				t.Errorf("%s: taken for a handover", name)
 			}
 		case <-time.After(patience):
 			t.Fatal(name, ": the process before waits on")
@@ -209,10 +209,10 @@
 // TestForeignMessages feeds a newer process what no process of this program says.
 func TestForeignMessages(t *testing.T) {
 	_, there := connections(t)
-	for name, talk := range map[string]func(*After){
-		"a kind amid the state": func(a *After) { _ = a.write('C', []byte("{}"), nil) },
-		"an end at once":        func(a *After) { a.Close() },
-		"another descriptor":    func(a *After) { _ = a.write('E', nil, there.(syscall.Conn)) },
+	for name, talk := range map[string]func(*Successor){
+		"a kind amid the state": func(a *Successor) { _ = a.write('C', []byte("{}"), nil) },
+		"an end at once":        func(a *Successor) { a.Close() },
+		"another descriptor":    func(a *Successor) { _ = a.write('E', nil, there.(syscall.Conn)) },
 	} {
 		b := meet(t, talk)
 		if e, err := b.Take(); err == nil {
@@ -221,7 +221,7 @@
 	}
 	for name, head := range map[string]string{"no JSON": "{", "too long": `{"length":99999999}`, "negative": `{"length":-1}`} {
 		here, _ := connections(t)
-		b := meet(t, func(a *After) {
+		b := meet(t, func(a *Successor) {
 			_ = a.write('E', nil, nil)
 			_ = a.write('C', []byte(head), here)
 			a.Close()
