--- a/cmd/mothcleat/run.go
+++ b/cmd/mothcleat/run.go
@@ -21,7 +21,7 @@
 	"mothcleat/internal/gateway"
 	"mothcleat/internal/handover"
 	"mothcleat/internal/operators"
-	"mothcleat/internal/state"
+	"mothcleat/internal/snapshot"
 	"mothcleat/store"
 )
 
@@ -108,7 +108,7 @@
 	s := &cfg.Survival
 	s.Every, s.Oldest = time.Duration(p.settings.State.Every), time.Duration(p.settings.State.Oldest)
 	if path := p.settings.State.File; path != "" {
-		keeper, err := state.Open(path)
+		keeper, err := snapshot.Open(path)
 		if err != nil {
 			return err
 		}
@@ -231,7 +231,7 @@
 	if s.State.File == "" {
 		return nil
 	}
-	keeper, err := state.Open(s.State.File)
+	keeper, err := snapshot.Open(s.State.File)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -13,7 +13,7 @@
 	"mothcleat/internal/forwardauth"
 	"mothcleat/internal/handover"
 	"mothcleat/internal/resp"
-	"mothcleat/internal/state"
+	"mothcleat/internal/snapshot"
 )
 
 // handovers are the processes before and after this one.
@@ -80,7 +80,7 @@
 	left, err := l.handovers.predecessor.Take()
 	e := takenOver{left: left, err: err}
 	if err == nil {
-		e.state, e.err = state.Decode(left.Snapshot)
+		e.state, e.err = snapshot.Decode(left.Snapshot)
 	}
 	l.urgentPost(e)
 }
@@ -193,7 +193,7 @@
 		_ = left.Notes.SetReadDeadline(past)
 	}
 	var err error
-	if left.Snapshot, err = state.Encode(l.module.Save(l.now(), true)); err != nil {
+	if left.Snapshot, err = snapshot.Encode(l.module.Save(l.now(), true)); err != nil {
 		e.successor.Close()
 		given{err}.handle(l)
 		return
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"mothcleat/decide"
-	"mothcleat/internal/state"
+	"mothcleat/internal/snapshot"
 	"mothcleat/store"
 )
 
@@ -128,9 +128,9 @@
 	return path, cfg
 }
 
-func keeper(t *testing.T, path string) *state.File {
+func keeper(t *testing.T, path string) *snapshot.File {
 	t.Helper()
-	f, err := state.Open(path)
+	f, err := snapshot.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/state.go
+++ b/internal/snapshot/snapshot.go
@@ -1,10 +1,10 @@
-// Package state keeps what a gateway knows in an embedded store, so that its next process
+// Package snapshot keeps what a gateway knows in an embedded store, so that its next process
 // can go on from there.
 //
 // The store holds, as JSON, the snapshot without its customers and backends under the key "head", and each of those
 // under its own key: "c" or "b" and its id in big-endian. A state is one batch with what has changed since the one before:
 // it replaces that one whole or not at all. A store that is cut, damaged or foreign is refused as a whole.
-package state
+package snapshot
 
 import (
 	"bytes"
@@ -23,9 +23,9 @@
 )
 
 const (
-	magic   = "mothcleat-state"
-	version = 1
-	most    = 64 << 20 // bytes of a state that is read
+	magic         = "mothcleat-state"
+	version       = 1
+	maxStateBytes = 64 << 20 // of a state that is read
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -292,7 +292,7 @@
 
 // Decode reads the bytes of a file, or tells why they can't be used.
 func Decode(raw []byte) (s decide.Snapshot, err error) {
-	line, text, ok := bytes.Cut(raw[:min(len(raw), most)], []byte("\n"))
+	line, text, ok := bytes.Cut(raw[:min(len(raw), maxStateBytes)], []byte("\n"))
 	if !ok || !bytes.HasPrefix(line, []byte(magic+" ")) {
 		return s, errors.New("no state of this program")
 	}
--- a/internal/state/state_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -1,4 +1,4 @@
-package state
+package snapshot
 
 import (
 	"errors"
