--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -115,11 +115,19 @@
 			}
 		})
 	}
+	old := g.pid
 	if ok, err := g.HandOver(ctx); !ok || err != nil {
 		t.Fatalf("handed over %t, %v\n%s", ok, err, g.tail())
 	}
-	if !g.ping() {
-		t.Error("the new process does not serve")
+	// Until it is gone the old process may answer, or say that it has handed over.
+	for alive(old) {
+		if ctx.Err() != nil {
+			t.Fatalf("the old process does not end\n%s", g.tail())
+		}
+		time.Sleep(time.Millisecond)
+	}
+	if err := g.Ready(ctx); err != nil {
+		t.Errorf("the new process does not serve: %v", err)
 	}
 }
 
