--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -32,6 +32,9 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // paused, or the last one is in
 			<-cs.room
+			if cs.last.Load() && !cs.closeDrained(l, raw) {
+				continue
+			}
 			l.post(accepted{})
 			if _, ok := <-cs.goOn; !ok {
 				return
@@ -52,6 +55,62 @@
 // is taken, and would be lost with it.
 const lastWithin = 20 * time.Millisecond
 
+// closeDrained accepts all connections that wait, and closes the listener at once. To close it resets those that wait
+// then, so nothing that may take long lies between the last look and the close. Where places for connections run out it
+// returns false and does not close.
+func (cs *clients) closeDrained(l *Loop, raw syscall.RawConn) bool {
+	for {
+		select {
+		case cs.room <- struct{}{}:
+		default:
+			return false
+		}
+		fd, waits := acceptNow(raw)
+		if !waits {
+			_ = cs.listener.Close()
+			<-cs.room
+			return true
+		}
+		conn, err := connectionOf(fd)
+		if err != nil {
+			<-cs.room
+			l.log.Warn("accept", "error", err)
+			continue
+		}
+		l.post(connected{conn})
+	}
+}
+
+// acceptNow accepts a connection that waits. It does not wait for one: waits is false if there is none, or none can be
+// accepted.
+func acceptNow(raw syscall.RawConn) (fd int, waits bool) {
+	_ = raw.Control(func(listener uintptr) {
+		var err error
+		for fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK); err == syscall.EINTR; {
+			fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK)
+		}
+		waits = err == nil
+	})
+	return fd, waits
+}
+
+// connectionOf makes a connection of a descriptor, which it takes over.
+func connectionOf(fd int) (*net.TCPConn, error) {
+	file := os.NewFile(uintptr(fd), "connection")
+	defer file.Close()
+	conn, err := net.FileConn(file)
+	if err != nil {
+		return nil, err
+	}
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return nil, errors.Join(errNoTCP, conn.Close())
+	}
+	return tcp, nil
+}
+
+var errNoTCP = errors.New("the connection is no TCP connection")
+
 // accepted tells that no connection waits to be accepted any more.
 type accepted struct{}
 
--- /dev/null
+++ b/internal/gateway/accept_test.go
@@ -0,0 +1,80 @@
+package gateway
+
+import (
+	"net"
+	"testing"
+)
+
+// Connections that the machine has accepted when the listener is to be closed are served; to close it over them would reset
+// them, and lose what they have brought. Later ones are refused.
+func TestWaitingConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
+	l := unstarted(t, newFakeDiscovery(t))
+	address := l.clients.listener.Addr().String()
+	const waiting = 3
+	var dialled []net.Conn
+	for range waiting {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		dialled = append(dialled, c)
+	}
+	raw, err := l.clients.listener.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !l.clients.closeDrained(l, raw) {
+		t.Fatal("it was not closed")
+	}
+	accepted := map[string]*net.TCPConn{}
+	for range waiting {
+		e := wait(t, l.events, "a connection").(connected)
+		defer e.conn.Close()
+		accepted[e.conn.RemoteAddr().String()] = e.conn
+	}
+	for _, c := range dialled {
+		conn := accepted[c.LocalAddr().String()]
+		if conn == nil {
+			t.Fatalf("%s was not accepted", c.LocalAddr())
+		}
+		if _, err := conn.Write([]byte("x")); err != nil {
+			t.Error(err)
+		}
+		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
+			t.Errorf("read %d, %v", n, err)
+		}
+	}
+	if len(l.clients.room) != waiting {
+		t.Errorf("%d places are taken, %d wanted", len(l.clients.room), waiting)
+	}
+	if c, err := net.Dial("tcp", address); err == nil {
+		c.Close()
+		t.Error("a connection after the close")
+	}
+}
+
+// Where there is no place for another connection the listener stays open until there is one: what waits would be reset.
+func TestTheListenerStaysOpenWithoutAPlace(t *testing.T) {
+	l := unstarted(t, newFakeDiscovery(t))
+	for len(l.clients.room) < cap(l.clients.room) {
+		l.clients.room <- struct{}{}
+	}
+	raw, err := l.clients.listener.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if l.clients.closeDrained(l, raw) {
+		t.Error("it was closed")
+	}
+	c, err := net.Dial("tcp", l.clients.listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Close()
+	<-l.clients.room // for the connection that waits
+	<-l.clients.room // to see that no other does
+	if !l.clients.closeDrained(l, raw) {
+		t.Error("it was not closed though there was a place")
+	}
+}
