--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -22,11 +22,9 @@
 
 // application is one call of Item.Use that is due.
 type application struct {
-	item   Item
-	target *configstate.Version
-	beside []*configstate.Version
-	order  uint64
-	done   func()
+	name string
+	item Item
+	refs appliedRefs
 }
 
 // apply passes what holds now and is here to its items, and logs whether this process is shut out.
@@ -34,12 +32,19 @@
 	a.applying.Lock()
 	defer a.applying.Unlock()
 	for _, due := range a.collectDue() {
+		target, beside, err := a.readContents(due.item, due.refs)
+		if err != nil {
+			a.log.Error("fleet: versions: a content can't be read any more", "item", due.name, "error", err)
+			a.lose(due.refs.target.Digest)
+			continue
+		}
+		a.markApplied(due)
 		failpoint.At("version-before-force")
-		due.item.Use(due.target, due.beside, due.order, due.done)
+		due.item.Use(target, beside, applicationOrder(due.refs), func() { a.putInForce(due.name, due.refs.target) })
 	}
 }
 
-// collectDue returns the applications that are due, and counts them as applied.
+// collectDue returns the applications that are due. It reads no contents: whoever asks for a permit waits for mu.
 func (a *Agent) collectDue() (all []application) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,20 +69,21 @@
 	if last, known := a.applied[name]; known && last.equal(refs) {
 		return application{}, false
 	}
-	content, besideContents, err := a.readContents(item, refs)
-	if err != nil {
-		a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error", err)
-		a.holder.Lost(target.Digest)
-		return application{}, false
-	}
-	a.applied[name] = refs
-	return application{
-		item:   item,
-		target: content,
-		beside: besideContents,
-		order:  applicationOrder(refs),
-		done:   func() { a.putInForce(name, target) },
-	}, true
+	return application{name, item, refs}, true
+}
+
+// markApplied takes in that an application is passed to its item.
+func (a *Agent) markApplied(due application) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.applied[due.name] = due.refs
+}
+
+// lose has a content be wanted again.
+func (a *Agent) lose(digest string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.holder.Lost(digest)
 }
 
 // applicationOrder is the order that Item.Use gets: a version alone comes after the same version
