--- a/distribution/publisher_send.go
+++ b/distribution/publisher_send.go
@@ -104,8 +104,7 @@
 		if size += b.bytes; len(buckets) > 0 && size > p.settings.BulkMessageBytes {
 			break
 		}
-		m := &distributionpb.Bucket{Index: s.buckets[0], Records: appendRecords(nil, b.records)}
-		buckets = append(buckets, m)
+		buckets = append(buckets, bucketToProto(s.buckets[0], b))
 	}
 	p.counts.Buckets += uint64(len(buckets))
 	m := bucketsMessage(s.pin.position, buckets, len(s.buckets) == 0)
--- a/distribution/repair.go
+++ b/distribution/repair.go
@@ -40,6 +40,16 @@
 	return sums, nil
 }
 
+// BucketMessage gives a bucket as a message, and about how many bytes it takes. It shares the values' bytes.
+func (s *State) BucketMessage(index uint32) (m *distributionpb.Bucket, bytes int) {
+	b := s.buckets[index]
+	return bucketToProto(index, b), b.bytes
+}
+
+func bucketToProto(index uint32, b *bucket) *distributionpb.Bucket {
+	return &distributionpb.Bucket{Index: index, Records: appendRecords(nil, b.records)}
+}
+
 // Bucket gives the records of a bucket; the caller doesn't change them.
 func (s *State) Bucket(index uint32) []Record { return s.buckets[index].records }
 
--- a/internal/configstate/serve.go
+++ b/internal/configstate/serve.go
@@ -2,7 +2,6 @@
 
 import (
 	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
 	"mothcleat/internal/fleetpb"
 )
 
@@ -55,12 +54,9 @@
 		if index >= distribution.BucketCount || size > maxBucketBytes {
 			break
 		}
-		bucket := &distributionpb.Bucket{Index: index}
-		for _, r := range v.State.Bucket(index) {
-			bucket.Records = append(bucket.Records, &distributionpb.Record{Kind: r.Kind, Id: r.ID, Value: r.Value})
-			size += len(r.ID) + len(r.Value)
-		}
+		bucket, bytes := v.State.BucketMessage(index)
 		answer.Buckets = append(answer.Buckets, bucket)
+		size += bytes
 	}
 	return answer
 }
