--- a/internal/scale/sums.go
+++ b/internal/scale/sums.go
@@ -64,8 +64,20 @@
 	}
 }
 
-// stretchDelays is how long the changes of one stretch took.
-type stretchDelays struct{ all, drains, plans []time.Duration }
+// changeDelays is how long changes took to come to gateways, of a run or of one stretch of it.
+type changeDelays struct{ all, drains, plans []time.Duration }
+
+// add counts a change that came to one gateway.
+func (d *changeDelays) add(c *change, delay time.Duration) {
+	if c.version > 0 {
+		d.plans = append(d.plans, delay)
+		return
+	}
+	d.all = append(d.all, delay)
+	if c.phase == registry.Terminating {
+		d.drains = append(d.drains, delay)
+	}
+}
 
 // sumChanges sums up when changes came to gateways, and which never did.
 func (p *play) sumChanges(settled []Sample) {
@@ -96,12 +108,14 @@
 		}
 	}
 	r.ListChanges = len(moments)
-	var all, drains, rack, plans []time.Duration
-	stretches := map[*Stretch]*stretchDelays{}
-	for _, c := range p.changes {
+	var run changeDelays
+	var rack []time.Duration
+	stretches := map[*Stretch]*changeDelays{}
+	for i := range p.changes {
+		c := &p.changes[i]
 		stretch := stretches[p.stretchOf(c.at)]
 		if stretch == nil {
-			stretch = &stretchDelays{}
+			stretch = &changeDelays{}
 			stretches[p.stretchOf(c.at)] = stretch
 		}
 		for g := range p.options.Gateways {
@@ -113,23 +127,16 @@
 			case !ok && c.version == 0 && newest[c.server] == c.phase:
 				r.LostChanges++
 			case !ok: // something newer came in its place
-			case c.version > 0:
-				plans = append(plans, delay)
-				stretch.plans = append(stretch.plans, delay)
 			default:
-				all = append(all, delay)
-				stretch.all = append(stretch.all, delay)
+				run.add(c, delay)
+				stretch.add(c, delay)
 				if c.rack {
 					rack = append(rack, delay)
 				}
-				if c.phase == registry.Terminating {
-					drains = append(drains, delay)
-					stretch.drains = append(stretch.drains, delay)
-				}
 			}
 		}
 	}
-	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(all), delaysOf(drains), delaysOf(rack), delaysOf(plans)
+	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(run.all), delaysOf(run.drains), delaysOf(rack), delaysOf(run.plans)
 	for stretch, delays := range stretches {
 		if stretch != nil {
 			stretch.InForce, stretch.Draining, stretch.PlansInForce = delaysOf(delays.all), delaysOf(delays.drains), delaysOf(delays.plans)
