--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -85,8 +85,8 @@
 // accepted.
 func acceptNow(raw syscall.RawConn) (fd int, waits bool) {
 	_ = raw.Control(func(listener uintptr) {
-		var err error
-		for fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK); err == syscall.EINTR; {
+		err := error(syscall.EINTR)
+		for err == syscall.EINTR {
 			fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK)
 		}
 		waits = err == nil
