--- /dev/null
+++ b/decide/stored_test.go
@@ -0,0 +1,43 @@
+package decide
+
+import (
+	"encoding/hex"
+	"fmt"
+	"reflect"
+	"testing"
+
+	"mothcleat/internal/testing/fixture"
+)
+
+// Peers of earlier builds send messages of this form, and read them.
+func TestPeerMessageFormat(t *testing.T) {
+	held := entry{id: 0x1122334455, plan: 2, first: 300, spread: 5, taken: 1000, asked: 1100, fresh: 77, want: 6, ask: 9, ceiling: true, left: unpackPart(130)}
+	granted := grant{id: 0x66778899aa, part: unpackPart(200), ask: 9, yes: true}
+	trouble := word{backend: 0xdeadbeef, about: 3}
+	raw := trouble.put(granted.put(held.put(noteHead(0x01020304, 12.5, 99.125))))
+	fixture.Equal(t, "testdata/peer-message.hex", []byte(hex.EncodeToString(raw)))
+
+	fromFile, err := hex.DecodeString(string(fixture.Read(t, "testdata/peer-message.hex")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, ok := readNote(fromFile)
+	want := note{boot: 0x01020304, held: 12.5, inTime: 99.125, entries: []entry{held}, grants: []grant{granted}, words: []word{trouble}}
+	if !ok || !reflect.DeepEqual(got, want) {
+		t.Errorf("%t %+v, %+v wanted", ok, got, want)
+	}
+}
+
+// A kept state names the settings that it is of by this sum: it must not change with the program.
+func TestSettingsSum(t *testing.T) {
+	settings := Settings{
+		Self: 1, Gateways: 3, Peers: true, Counter: true,
+		Classes: []Class{
+			{Aim: 1, Window: 2, Worth: 3.5, Effect: Safe, Group: GroupAll},
+			{Aim: 4, Window: 5, Worth: 6.5, Effect: Keyed, Group: GroupZone},
+			{Aim: 7, Window: 8, Worth: 9.5, Effect: Unsafe, Group: GroupCell},
+		},
+		Plans: []Plan{{Rate: 1.5, Burst: 2.5, OpenLimit: 3, CeilingRate: 4.5, CeilingBurst: 5.5, CeilingSlack: 6.5, Price: 9.5, BeyondEarns: 7.5, BeyondCosts: 8.5}},
+	}
+	fixture.Equal(t, "testdata/settings-sum.txt", fmt.Appendf(nil, "%016x", settings.print()))
+}
--- /dev/null
+++ b/internal/budgets/stored_test.go
@@ -0,0 +1,24 @@
+package budgets
+
+import (
+	"encoding/json"
+	"testing"
+
+	"mothcleat/internal/testing/fixture"
+)
+
+// The processes that ran before are read as an earlier build wrote them, and this one is added.
+func TestStoredIncarnationsAreRead(t *testing.T) {
+	dir := fixture.Copy(t, "testdata/stored")
+	file, err := OpenBoots(dir, 12345)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	gone, err := json.Marshal(file.Gone)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Equal(t, "testdata/gone.json", gone)
+	fixture.Equal(t, "testdata/boots-after.json", fixture.Read(t, dir+"/boots.json"))
+}
--- /dev/null
+++ b/internal/handover/stored_test.go
@@ -0,0 +1,93 @@
+package handover
+
+import (
+	"bytes"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"mothcleat/internal/testing/fixture"
+
+	"golang.org/x/sys/unix"
+)
+
+// A process of an earlier build passes its state and a client's connection on in these messages, and waits for these.
+func TestMessagesOfEarlierBuilds(t *testing.T) {
+	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	older, newer := unixConn(t, fds[0]), unixConn(t, fds[1])
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	client, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+	descriptor, err := client.(*net.TCPConn).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer descriptor.Close()
+
+	send := func(message string, descriptors ...int) {
+		t.Helper()
+		var rights []byte
+		if len(descriptors) > 0 {
+			rights = unix.UnixRights(descriptors...)
+		}
+		if _, _, err := older.WriteMsgUnix([]byte(message), rights, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	send("Sa state ")
+	send("Sin two pieces")
+	send("E")
+	send(`C{"asked":3,"kept":1,"age_us":250,"length":9,"user":"u","secret":"s","named":true,"known":true}`, int(descriptor.Fd()))
+	send("MPING\r")
+	send("M\nabc")
+	predecessor := &Predecessor{link{conn: newer}}
+	state, err := predecessor.Take()
+	if err != nil || string(state.Snapshot) != "a state in two pieces" || state.Notes != nil {
+		t.Fatalf("%q %v %v", state.Snapshot, state.Notes, err)
+	}
+	if err := predecessor.Accepted(); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"T", "K"} {
+		got := make([]byte, 16)
+		n, err := older.Read(got)
+		if err != nil || string(got[:n]) != want {
+			t.Fatalf("%q %v, %q wanted", got[:n], err, want)
+		}
+	}
+	older.Close()
+	var passed []Client
+	if err := predecessor.Clients(func(c Client) { passed = append(passed, c) }); err != nil || len(passed) != 1 {
+		t.Fatal(len(passed), err)
+	}
+	defer passed[0].Conn.Close()
+	head := Head{Asked: 3, Kept: 1, AgeUS: 250, Length: 9, User: "u", Secret: "s", Named: true, Known: true}
+	if passed[0].Head != head || !bytes.Equal(passed[0].Rest, []byte("PING\r\nabc")) {
+		t.Errorf("%+v %q", passed[0].Head, passed[0].Rest)
+	}
+	fixture.Equal(t, "testdata/head-keys.txt", fixture.JSONKeys(head))
+}
+
+func unixConn(t *testing.T, fd int) *net.UnixConn {
+	t.Helper()
+	file := os.NewFile(uintptr(fd), "socketpair")
+	defer file.Close()
+	conn, err := net.FileConn(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	return conn.(*net.UnixConn)
+}
--- /dev/null
+++ b/internal/rollout/stored_test.go
@@ -0,0 +1,30 @@
+package rollout
+
+import (
+	"testing"
+
+	"mothcleat/internal/configstate"
+	"mothcleat/internal/planconfig"
+	"mothcleat/internal/testing/fixture"
+)
+
+// A version's content that an earlier build fetched is read by its digest, and its canonical form is the same bytes.
+func TestStoredContentIsRead(t *testing.T) {
+	contents := NewContents("testdata/stored")
+	digests, err := contents.Newest(2)
+	if err != nil || len(digests) != 1 {
+		t.Fatal(digests, err)
+	}
+	raw, err := contents.Read(digests[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	version, canonical, err := configstate.Canonical(planconfig.New(nil), raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Equal(t, "testdata/stored/"+digests[0], canonical)
+	if version.Digest != digests[0] {
+		t.Errorf("digest %s, %s wanted", version.Digest, digests[0])
+	}
+}
--- /dev/null
+++ b/internal/voter/stored_test.go
@@ -0,0 +1,100 @@
+package voter_test
+
+import (
+	"encoding/json"
+	"io"
+	"log"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/agree"
+	"mothcleat/internal/fleetnode"
+	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/testing/fixture"
+	"mothcleat/internal/voter"
+	"mothcleat/lease"
+	"mothcleat/store"
+	"mothcleat/versions"
+)
+
+// A folder that an earlier build wrote, in a fleet with all state machines, holds the same commands: applied by this
+// build they lead to the same state of every machine, byte by byte, and a snapshot of it restores the same.
+func TestStoredFolderIsReplayed(t *testing.T) {
+	dir := fixture.Copy(t, "testdata/stored/log")
+	if err := voter.Adopt(dir); err != nil {
+		t.Fatal(err)
+	}
+	folder, err := voter.Open(dir, store.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer folder.Close()
+	identity, err := json.Marshal(folder.Identity())
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Equal(t, "testdata/stored/identity.json", identity)
+	saved, err := folder.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	snapshot := replay(t, folder.Identity().Number, saved)
+	fixture.Equal(t, "testdata/stored/snapshot.pb", snapshot.Snapshot.Data)
+
+	var content fleetpb.Snapshot
+	if err := proto.Unmarshal(snapshot.Snapshot.Data, &content); err != nil {
+		t.Fatal(err)
+	}
+	machines := newMachines()
+	for _, stored := range content.Machines {
+		path := "testdata/stored/" + stored.Name + ".state"
+		fixture.Equal(t, path, stored.State)
+		machine := machines[stored.Name]
+		if err := machine.Restore(stored.State); err != nil {
+			t.Fatal(err)
+		}
+		fixture.Equal(t, path, machine.Snapshot())
+	}
+}
+
+func newMachines() map[string]agree.Machine { return fleetnode.Machines(lease.Defaults(), versions.Defaults()) }
+
+// replay applies all committed entries and returns a snapshot of the state that they lead to.
+func replay(t *testing.T, number uint64, saved agree.Saved) agree.Work {
+	t.Helper()
+	config := agree.Config{
+		Number: number, Machines: newMachines(), Random: rand.New(rand.NewPCG(1, 1)),
+		ElectionTicks: 10, HeartbeatTicks: 2, Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+	}
+	const now = time.Second
+	node, err := agree.Open(now, config, saved)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := node.Begin(0); err != nil {
+		t.Fatal(err)
+	}
+	for {
+		if _, ok := node.Work(now); !ok {
+			break
+		}
+		if _, err := node.Saved(now); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if node.Applied() != saved.Hard.GetCommit() {
+		t.Fatalf("applied up to %d, %d are committed", node.Applied(), saved.Hard.GetCommit())
+	}
+	if err := node.Compact(); err != nil {
+		t.Fatal(err)
+	}
+	snapshot, ok := node.Compacted(0)
+	if !ok {
+		t.Fatal("no snapshot")
+	}
+	return snapshot
+}
