--- a/internal/voter/stored_test.go
+++ b/internal/voter/stored_test.go
@@ -61,7 +61,9 @@
 	}
 }
 
-func newMachines() map[string]agree.Machine { return fleetnode.Machines(lease.Defaults(), versions.Defaults()) }
+func newMachines() map[string]agree.Machine {
+	return fleetnode.Machines(lease.Defaults(), versions.Defaults())
+}
 
 // replay applies all committed entries and returns a snapshot of the state that they lead to.
 func replay(t *testing.T, number uint64, saved agree.Saved) agree.Work {
