--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/mutants"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/mutants"
 	"mothcleat/sim/distribution"
 )
 
@@ -23,7 +23,7 @@
 			check := func() error {
 				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := distribution.Search(limited, seed, *most)
@@ -47,14 +47,14 @@
 }
 
 // distributionFigures tells what a search came to.
-func distributionFigures(seed uint64, found *distribution.Found) *trial.Figures {
-	figures := trial.NewFigures("distributionsearch", seed)
+func distributionFigures(seed uint64, found *distribution.Found) *harness.Figures {
+	figures := harness.NewFigures("distributionsearch", seed)
 	figures.Seconds = found.Took.Seconds()
 	var findings []distributionFinding
 	for _, x := range found.Findings {
 		rule := string(x.Breach.What)
 		findings = append(findings, distributionFinding{rule, x.Breach.How + " at " + x.Breach.At, x.After, x})
-		figures.Broken[trial.Rule(rule)]++
+		figures.Broken[harness.Rule(rule)]++
 		figures.Miss(rule + ": " + x.Breach.How)
 	}
 	figures.Extra["schedules"], figures.Extra["findings"], figures.Extra["faults"] = found.Plays, findings, found.Faults
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 func main() {
@@ -76,7 +76,7 @@
 // play is a command that plays something and prints its figures. make adds the command's
 // own flags and returns what checks them and what plays.
 func (b *bench) play(name, short string, usual time.Duration,
-	make func(c *cobra.Command) (check func() error, play func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error))) *cobra.Command {
+	make func(c *cobra.Command) (check func() error, play func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error))) *cobra.Command {
 	c := &cobra.Command{Use: name, Short: short, Args: none}
 	seed := c.Flags().Uint64("seed", 1, "which world is drawn, and what happens in it")
 	length := c.Flags().Duration("for", usual, "how long clients ask, 1s to 24h")
@@ -90,7 +90,7 @@
 		}
 		f, err := play(c.Context(), *seed, *length)
 		if f == nil {
-			f = trial.Broke(name, *seed, err)
+			f = harness.Broke(name, *seed, err)
 		} else if err != nil {
 			f.Miss(err.Error())
 		}
--- a/cmd/lab/real.go
+++ b/cmd/lab/real.go
@@ -8,21 +8,21 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/audittrial"
-	"mothcleat/internal/budgettrial"
-	"mothcleat/internal/lab"
-	"mothcleat/internal/ownertrial"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/allocationtest"
+	"mothcleat/internal/testing/audittest"
+	"mothcleat/internal/testing/electiontest"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/lab"
 )
 
 // The commands that play real processes in real time.
 
-type player = func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error)
+type player = func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error)
 
 func (b *bench) try() *cobra.Command {
 	return b.play("try", "three gateways with stand-ins and a minute of traffic", time.Minute, func(c *cobra.Command) (func() error, player) {
 		serve := c.Flags().Bool("serve", false, "keep them running, and print their addresses and a sample command")
-		return anything, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			return lab.RunTry(ctx, seed, length, *serve, b.out, b.progress)
 		}
 	})
@@ -45,7 +45,7 @@
 			}
 			return errors.Join(within("instances", o.Instances, 1, 200), within("load", o.Load, 0.01, 2))
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
 			return lab.RunFleet(ctx, o, b.progress)
 		}
@@ -62,7 +62,7 @@
 			check := func() error {
 				return errors.Join(within("instances", o.Instances, 1, 200), within("load", o.Load, 0.01, 2))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				o.Seed, o.For = seed, length
 				return lab.RunUpgrade(ctx, o, b.progress)
 			}
@@ -83,7 +83,7 @@
 			}
 			return errors.Join(within("load", o.Load, 0.01, 2), within("spread", o.Spread, 0, 200))
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
 			return lab.RunQuota(ctx, o, b.progress, b.progress)
 		}
@@ -93,7 +93,7 @@
 func (b *bench) auth() *cobra.Command {
 	return b.play("auth", "gateways that ask a forward authenticator that stalls, flaps, errs and crashes, beside some that ask nobody", time.Minute,
 		func(c *cobra.Command) (func() error, player) {
-			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				return lab.RunAuth(ctx, seed, length, b.progress)
 			}
 		})
@@ -103,7 +103,7 @@
 	return b.play("consul", "gateways that follow Consul, whose agents lag, fall silent and contradict themselves, beside some at the platform's register", time.Minute,
 		func(c *cobra.Command) (func() error, player) {
 			silent := c.Flags().Bool("silent", false, "Consul says nothing any more, beside gateways whose Consul goes on")
-			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				return lab.RunConsul(ctx, lab.ConsulOptions{Seed: seed, For: length, Silent: *silent}, b.progress)
 			}
 		})
@@ -111,7 +111,7 @@
 
 func (b *bench) budgets() *cobra.Command {
 	return b.play("budgets", "quotas divided among gateways, while links and processes fail and traffic shifts", time.Minute, func(c *cobra.Command) (func() error, player) {
-		o, f := budgettrial.Options{}, c.Flags()
+		o, f := allocationtest.Options{}, c.Flags()
 		f.IntVar(&o.Instances, "instances", 12, "gateways, 3 to 40; the first three vote")
 		f.IntVar(&o.Shards, "shards", 4, "duties that the quotas are shared out in, 1 to 16")
 		f.Float64Var(&o.Load, "load", 0.35, "part of what the servers can do that is asked inside the quotas")
@@ -120,32 +120,32 @@
 		check := func() error {
 			return errors.Join(within("instances", o.Instances, 3, 40), within("shards", o.Shards, 1, 16), within("load", o.Load, 0.01, 2))
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
-			return budgettrial.Run(ctx, o, b.progress)
+			return allocationtest.Run(ctx, o, b.progress)
 		}
 	})
 }
 
 func (b *bench) audit() *cobra.Command {
 	return b.play("audit", "versions of the plans rolled out and taken back while links and processes fail, and what the records tell of it", time.Minute, func(c *cobra.Command) (func() error, player) {
-		o, f := audittrial.Options{}, c.Flags()
+		o, f := audittest.Options{}, c.Flags()
 		f.IntVar(&o.Instances, "instances", 12, "gateways, 3 to 40; the first three vote")
 		f.StringVar(&o.Logs, "logs", "", "a folder for the gateways' logs")
 		f.Float64Var(&o.Load, "load", 0.35, "part of what the servers can do that is asked inside the quotas")
 		check := func() error {
 			return errors.Join(within("instances", o.Instances, 3, 40), within("load", o.Load, 0.01, 2))
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
-			return audittrial.Run(ctx, o, b.progress)
+			return audittest.Run(ctx, o, b.progress)
 		}
 	})
 }
 
 func (b *bench) owner() *cobra.Command {
 	return b.play("owner", "one owner at a time for the fleet's work, while links and processes fail", time.Minute, func(c *cobra.Command) (func() error, player) {
-		o, f := ownertrial.Options{}, c.Flags()
+		o, f := electiontest.Options{}, c.Flags()
 		f.IntVar(&o.Instances, "instances", 7, "gateways, 3 to 40; the first three, or five of seven and more, vote")
 		f.IntVar(&o.Clients, "clients", 0, "further processes' sessions, 0 to 1000, that ask and watch")
 		f.StringVar(&o.Logs, "logs", "", "a folder for the gateways' logs")
@@ -155,9 +155,9 @@
 			return errors.Join(within("instances", o.Instances, 3, 40), within("shards", o.Shards, 1, 16), within("clients", o.Clients, 0, 1000),
 				within("load", o.Load, 0.01, 2))
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
-			return ownertrial.Run(ctx, o, b.progress)
+			return electiontest.Run(ctx, o, b.progress)
 		}
 	})
 }
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/scale"
+	"mothcleat/internal/testing/scale"
 )
 
 const hollowCommand = "scale-hollow"
--- a/cmd/lab/store.go
+++ b/cmd/lab/store.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/storetrial"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/storetest"
 )
 
 // The commands that try the embedded store.
@@ -19,21 +19,21 @@
 		func(c *cobra.Command) (func() error, player) {
 			batches := c.Flags().Int("batches", 40, "that are crashed and damaged, 24 to 400; the time grows with the square")
 			check := func() error { return within("batches", *batches, 24, 400) }
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				return b.runStore(ctx, seed, length, *batches)
 			}
 		})
 }
 
 // runStore plays whole rounds of crashes and damage for half of the time, and kills for the rest.
-func (b *bench) runStore(ctx context.Context, seed uint64, length time.Duration, batches int) (*trial.Figures, error) {
-	f, began := trial.NewFigures("store", seed), time.Now()
-	sum := storetrial.Tally{}
+func (b *bench) runStore(ctx context.Context, seed uint64, length time.Duration, batches int) (*harness.Figures, error) {
+	f, began := harness.NewFigures("store", seed), time.Now()
+	sum := storetest.Tally{}
 	rounds := 0
 	for ; rounds == 0 || time.Since(began) < length/2; rounds++ {
-		for _, play := range []func() (*storetrial.Tally, error){
-			func() (*storetrial.Tally, error) { return storetrial.Crashes(ctx, seed+uint64(rounds), batches, 4) },
-			func() (*storetrial.Tally, error) { return storetrial.Damage(ctx, seed+uint64(rounds), batches) },
+		for _, play := range []func() (*storetest.Tally, error){
+			func() (*storetest.Tally, error) { return storetest.Crashes(ctx, seed+uint64(rounds), batches, 4) },
+			func() (*storetest.Tally, error) { return storetest.Damage(ctx, seed+uint64(rounds), batches) },
 		} {
 			t, err := play()
 			if err != nil {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	kills, err := storetrial.Kills(ctx, seed, dir, max(time.Second, length-time.Since(began)), self, "store-writer")
+	kills, err := storetest.Kills(ctx, seed, dir, max(time.Second, length-time.Since(began)), self, "store-writer")
 	if err != nil {
 		return nil, err
 	}
@@ -69,5 +69,5 @@
 // storeWriter is the process that the store's trial kills.
 func (b *bench) storeWriter() *cobra.Command {
 	return &cobra.Command{Use: "store-writer DIR", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return storetrial.Write(args[0], b.out) }}
+		RunE: func(_ *cobra.Command, args []string) error { return storetest.Write(args[0], b.out) }}
 }
--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -12,14 +12,14 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/calibrate"
-	"mothcleat/internal/experiment"
-	"mothcleat/internal/mutants"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/calibrate"
+	"mothcleat/internal/testing/experiment"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/mutants"
 	"mothcleat/sim"
-	"mothcleat/sim/budgets"
-	"mothcleat/sim/owners"
-	"mothcleat/sim/versions"
+	"mothcleat/sim/allocation"
+	"mothcleat/sim/configversion"
+	"mothcleat/sim/election"
 )
 
 // The commands that play the real decisions in virtual time.
@@ -50,7 +50,7 @@
 			t.Seed, t.For = 1, time.Second
 			return t.Check()
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
 			if *world != "" {
 				s, err := readSchedule(*world)
@@ -88,7 +88,7 @@
 			check := func() error {
 				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *each, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				began := time.Now()
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
@@ -96,11 +96,11 @@
 				if err != nil {
 					return nil, err
 				}
-				fig := trial.NewFigures("search", seed)
+				fig := harness.NewFigures("search", seed)
 				fig.Seconds = time.Since(began).Seconds()
 				fig.Extra["schedules"], fig.Extra["states"], fig.Extra["found"], fig.Extra["findings"] = found.Schedules, found.States, len(found.Findings), found.Findings
 				for _, x := range found.Findings {
-					fig.Broken[trial.Rule(x.Rule)]++
+					fig.Broken[harness.Rule(x.Rule)]++
 					fig.Miss(x.Rule + ": " + x.What)
 					fmt.Fprintf(b.progress, "%s: %s\nplay it again with: lab sim --world - <<< '%s'\n", x.Rule, x.What, x.Schedule)
 				}
@@ -127,28 +127,28 @@
 				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000),
 					within("each", each.Seconds(), 1, 600))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
-				found := owners.Search(limited, seed, *most, *each)
-				fig := trial.NewFigures("ownersearch", seed)
+				found := election.Search(limited, seed, *most, *each)
+				fig := harness.NewFigures("ownersearch", seed)
 				fig.Seconds = found.Took.Seconds()
 				type finding struct {
-					Rule    string         `json:"rule"`
-					What    string         `json:"what"`
-					After   int            `json:"after"`
-					Options owners.Options `json:"options"`
+					Rule    string           `json:"rule"`
+					What    string           `json:"what"`
+					After   int              `json:"after"`
+					Options election.Options `json:"options"`
 				}
 				var all []finding
 				for _, x := range found.Findings {
 					all = append(all, finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x.Options})
-					fig.Broken[trial.Rule(x.Breach.What)]++
+					fig.Broken[harness.Rule(x.Breach.What)]++
 					fig.Miss(x.Breach.What + ": " + x.Breach.How)
 				}
 				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["acknowledged"] = found.Plays, all, found.Faults, found.Acked
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 				fig.Extra["events_per_second"] = float64(found.Events) / found.Took.Seconds()
-				for _, k := range owners.Kinds {
+				for _, k := range election.Kinds {
 					if found.Faults[k] == 0 {
 						fig.Miss("no " + k + ": nothing was shown")
 					}
@@ -174,27 +174,27 @@
 			check := func() error {
 				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
-				found := budgets.Search(limited, seed, *most)
-				fig := trial.NewFigures("budgetsearch", seed)
+				found := allocation.Search(limited, seed, *most)
+				fig := harness.NewFigures("budgetsearch", seed)
 				fig.Seconds = found.Took.Seconds()
 				type finding struct {
-					Rule string          `json:"rule"`
-					What string          `json:"what"`
-					Play budgets.Finding `json:"play"`
+					Rule string             `json:"rule"`
+					What string             `json:"what"`
+					Play allocation.Finding `json:"play"`
 				}
 				var all []finding
 				for _, x := range found.Findings {
 					all = append(all, finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x})
-					fig.Broken[trial.Rule(x.Breach.What)]++
+					fig.Broken[harness.Rule(x.Breach.What)]++
 					fig.Miss(x.Breach.What + ": " + x.Breach.How)
 				}
 				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["rounds"] = found.Plays, all, found.Faults, found.Rounds
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 				fig.Extra["events_per_second"] = float64(found.Events) / found.Took.Seconds()
-				for _, k := range budgets.Kinds {
+				for _, k := range allocation.Kinds {
 					if found.Faults[k] == 0 {
 						fig.Miss("no fault " + k + ": nothing was shown")
 					}
@@ -220,28 +220,28 @@
 			check := func() error {
 				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
-				found := versions.Search(limited, seed, *most)
-				fig := trial.NewFigures("auditsearch", seed)
+				found := configversion.Search(limited, seed, *most)
+				fig := harness.NewFigures("auditsearch", seed)
 				fig.Seconds = found.Took.Seconds()
 				type finding struct {
-					Rule  string           `json:"rule"`
-					What  string           `json:"what"`
-					After int              `json:"after"`
-					Play  versions.Finding `json:"play"`
+					Rule  string                `json:"rule"`
+					What  string                `json:"what"`
+					After int                   `json:"after"`
+					Play  configversion.Finding `json:"play"`
 				}
 				var all []finding
 				for _, x := range found.Findings {
 					all = append(all, finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x})
-					fig.Broken[trial.Rule(x.Breach.What)]++
+					fig.Broken[harness.Rule(x.Breach.What)]++
 					fig.Miss(x.Breach.What + ": " + x.Breach.How)
 				}
 				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"] = found.Plays, all, found.Faults
 				fig.Extra["acts"], fig.Extra["rollouts"], fig.Extra["withdrawn"], fig.Extra["shut_out"] = found.Acts, found.RollOuts, found.Withdrawn, found.Outs
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
-				for _, k := range versions.Kinds {
+				for _, k := range configversion.Kinds {
 					if found.Faults[k] == 0 {
 						fig.Miss("no fault " + k + ": nothing was shown")
 					}
@@ -257,7 +257,7 @@
 }
 
 // mutants adds to the figures what the search makes of wrong variants.
-func (b *bench) mutants(ctx context.Context, f *trial.Figures, list func() ([]mutants.Mutant, error), seed uint64, schedules int) error {
+func (b *bench) mutants(ctx context.Context, f *harness.Figures, list func() ([]mutants.Mutant, error), seed uint64, schedules int) error {
 	all, err := list()
 	if err != nil {
 		return err
@@ -354,7 +354,7 @@
 func (b *bench) calibrate() *cobra.Command {
 	return b.play("calibrate", "the same sites, seeds and faults in real processes and in the emulator, side by side", 20*time.Second,
 		func(c *cobra.Command) (func() error, player) {
-			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*trial.Figures, error) {
+			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				return calibrate.Run(ctx, seed, length, b.progress)
 			}
 		})
--- a/cmd/mothcleat/auth.go
+++ b/cmd/mothcleat/auth.go
@@ -5,19 +5,19 @@
 	"slices"
 	"time"
 
-	"mothcleat/authz"
-	"mothcleat/internal/forwardauth"
-	"mothcleat/internal/gateway"
-	"mothcleat/internal/operators"
+	"mothcleat/internal/config"
+	"mothcleat/internal/dataplane/authz"
+	"mothcleat/internal/dataplane/forwardauth"
+	"mothcleat/internal/dataplane/gateway"
 )
 
 // auth turns the operators' settings into whom to ask and by which rules: names
 // become numbers of the configuration's classes and plans.
-func auth(a *operators.Auth, cfg *gateway.Config) (gateway.Auth, error) {
+func auth(a *config.Auth, cfg *gateway.Config) (gateway.Auth, error) {
 	if a.URL == "" {
 		return gateway.Auth{}, nil
 	}
-	us := func(d operators.Duration) authz.Time { return time.Duration(d).Microseconds() }
+	us := func(d config.Duration) authz.Time { return time.Duration(d).Microseconds() }
 	out := gateway.Auth{
 		Settings: forwardauth.Settings{URL: a.URL, Headers: a.Headers, SecretName: a.SecretHeader, SecretFile: a.SecretFile,
 			TokensFile: a.TokensFile, CAFile: a.CAFile, Timeout: time.Duration(a.Timeout), MostOut: a.MostCalls},
--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -10,20 +10,20 @@
 	"os"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/distribution"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/gateway"
-	"mothcleat/internal/operators"
-	"mothcleat/internal/planconfig"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/rollout"
-	"mothcleat/internal/voter"
-	"mothcleat/lease"
-	"mothcleat/store"
-	"mothcleat/versions"
+	"mothcleat/internal/config"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/planconfig"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/controlplane/rollout"
+	"mothcleat/internal/dataplane/gateway"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/storage/store"
 )
 
 // fleetPart is this process's part in its fleet.
@@ -34,14 +34,14 @@
 }
 
 // newFleet begins to take part; nil: it is off.
-func newFleet(s *operators.Settings, cfg *gateway.Config, log *slog.Logger) (fleetPart, error) {
+func newFleet(s *config.Settings, cfg *gateway.Config, log *slog.Logger) (fleetPart, error) {
 	f := &s.Fleet
 	if !f.On {
 		return nil, nil
 	}
-	c := fleetnode.Config{
+	c := controlplane.Config{
 		Fleet: f.Name, ID: cfg.Name, Listen: f.Listen, Address: f.Address, Dir: f.Folder, Voters: voters(f),
-		Addresses: fleetlink.Addresses(f.Addresses),
+		Addresses: controlrpc.Addresses(f.Addresses),
 		Rules:     lease.Rules{Span: time.Duration(f.Span), Margin: f.Margin, Offer: time.Duration(f.Offer)},
 		Tick:      time.Duration(f.Tick), Keep: uint64(f.Keep), Exports: f.Exports, Period: time.Duration(f.Period), Log: log,
 		Silent: time.Duration(f.Silent), Place: distribution.Place{Zone: f.Zone, Region: f.Region}, Places: places(f),
@@ -60,7 +60,7 @@
 		c.Direct = func() (registry.Source, error) { return direct(&asked, log) }
 	}
 	if b := s.Budgets; b.On {
-		r := budget.Defaults()
+		r := allocation.Defaults()
 		r.Span, r.FloorSpan, r.Every = time.Duration(b.Span), time.Duration(b.FloorSpan), time.Duration(b.Every)
 		r.Floor, r.Reserve, r.Margin, r.BeginFull = b.Floor, b.Reserve, f.Margin, b.BeginFull
 		c.Budgets, c.BudgetShards = &r, b.Shards
@@ -73,7 +73,7 @@
 		}
 	}
 	if v := s.Versions; v.On {
-		r := versions.Defaults()
+		r := configversion.Defaults()
 		r.Span, r.Every, r.Settle, r.Patience, r.Margin = time.Duration(v.Span), time.Duration(v.Every), time.Duration(v.Settle), time.Duration(v.Patience), f.Margin
 		r.Enrol = max(r.Enrol, 4*r.Span)
 		if err := r.Check(); err != nil {
@@ -82,7 +82,7 @@
 		cfg.Terms = gateway.NewTerms(cfg)
 		c.Versions, c.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(cfg.Terms)}
 	}
-	n := fleetnode.Start(c)
+	n := controlplane.Start(c)
 	if a := n.Permit(); a != nil {
 		cfg.Permit, cfg.Acts = a, n
 	}
@@ -95,15 +95,15 @@
 	return n, nil
 }
 
-func voters(f *operators.Fleet) (all []*fleetpb.Voter) {
+func voters(f *config.Fleet) (all []*controlpb.Voter) {
 	for _, v := range f.Voters {
-		all = append(all, &fleetpb.Voter{Number: voter.NumberOf(f.Name, v.Name), Name: v.Name, Address: v.Address})
+		all = append(all, &controlpb.Voter{Number: replica.NumberOf(f.Name, v.Name), Name: v.Name, Address: v.Address})
 	}
 	return all
 }
 
 // places are where the voters run, by name.
-func places(f *operators.Fleet) map[string]distribution.Place {
+func places(f *config.Fleet) map[string]distribution.Place {
 	all := map[string]distribution.Place{}
 	for _, v := range f.Voters {
 		all[v.Name] = distribution.Place{Zone: v.Zone, Region: v.Region}
@@ -112,15 +112,15 @@
 }
 
 // checkFleet tells what the fleet's folder is.
-func checkFleet(f *operators.Fleet, out io.Writer) error {
+func checkFleet(f *config.Fleet, out io.Writer) error {
 	if !f.On {
 		return nil
 	}
-	folder, err := voter.Open(fleetnode.LogDir(f.Folder), store.Options{ReadOnly: true})
+	folder, err := replica.Open(controlplane.LogDir(f.Folder), store.Options{ReadOnly: true})
 	switch {
 	case errors.Is(err, store.ErrLocked):
 		fmt.Fprintf(out, "fleet: %s: in use by a gateway that runs\n", f.Folder)
-	case errors.Is(err, voter.ErrNone) || errors.Is(err, os.ErrNotExist):
+	case errors.Is(err, replica.ErrNone) || errors.Is(err, os.ErrNotExist):
 		fmt.Fprintf(out, "fleet: %s: no voter's folder\n", f.Folder)
 	case err != nil:
 		return fmt.Errorf("fleet: %w", err)
--- a/cmd/mothcleat/fleet_off.go
+++ b/cmd/mothcleat/fleet_off.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/internal/gateway"
-	"mothcleat/internal/operators"
+	"mothcleat/internal/config"
+	"mothcleat/internal/dataplane/gateway"
 )
 
 // fleetPart is empty in a program that was built without the fleet's agreed state.
@@ -22,14 +22,14 @@
 
 var errNoFleet = errors.New("fleet.on: this program was built without it (tag nofleet)")
 
-func newFleet(s *operators.Settings, _ *gateway.Config, _ *slog.Logger) (fleetPart, error) {
+func newFleet(s *config.Settings, _ *gateway.Config, _ *slog.Logger) (fleetPart, error) {
 	if s.Fleet.On {
 		return nil, errNoFleet
 	}
 	return nil, nil
 }
 
-func checkFleet(f *operators.Fleet, _ io.Writer) error {
+func checkFleet(f *config.Fleet, _ io.Writer) error {
 	if f.On {
 		return errNoFleet
 	}
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -16,14 +16,14 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/agree"
-	"mothcleat/budget"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/operators"
-	"mothcleat/internal/usageexporter"
-	"mothcleat/internal/voter"
-	"mothcleat/lease"
-	"mothcleat/usageexport"
+	"mothcleat/internal/config"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/controlplane/usageexporter"
 )
 
 // fleetCommands look after the fleet's agreed state: by the admin interface of a gateway that runs, or, for found and
@@ -103,7 +103,7 @@
 	if file == "" {
 		return misuse{errors.New("--operators FILE is wanted")}
 	}
-	s, err := operators.Load(file)
+	s, err := config.Load(file)
 	if err != nil {
 		return err
 	}
@@ -111,12 +111,12 @@
 	if !f.On {
 		return fmt.Errorf("%s: fleet.on is false", file)
 	}
-	dir := fleetnode.LogDir(f.Folder)
+	dir := controlplane.LogDir(f.Folder)
 	if err := os.MkdirAll(filepath.Dir(dir), 0o700); err != nil {
 		return err
 	}
 	if !found {
-		if err := voter.Join(dir, f.Name, name); err != nil {
+		if err := replica.Join(dir, f.Name, name); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "%s: made; start the gateway, and add it with mothcleat fleet voters add\n", f.Folder)
@@ -129,7 +129,7 @@
 	if !named {
 		return fmt.Errorf("%s: fleet.voters does not name %q", file, name)
 	}
-	if err := voter.Found(dir, f.Name, name, voters(f)); err != nil {
+	if err := replica.Found(dir, f.Name, name, voters(f)); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: made, of voter %s of %s\n", f.Folder, name, f.Name)
@@ -172,7 +172,7 @@
 func seconds(d time.Duration) string { return fmt.Sprintf("%.1fs", d.Seconds()) }
 
 func showStatus(raw []byte, w io.Writer) error {
-	var l agree.List
+	var l consensus.List
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 }
 
 func showBudgets(raw []byte, w io.Writer) error {
-	var all []budget.View
+	var all []allocation.View
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 }
 
 // share is a part as rate and burst.
-func share(s budget.Share) string { return fmt.Sprintf("%.2f/s, %.1f", s.Rate, s.Burst) }
+func share(s allocation.Share) string { return fmt.Sprintf("%.2f/s, %.1f", s.Rate, s.Burst) }
 
 func showHistory(raw []byte, w io.Writer) error {
 	var all []lease.Holding
--- a/cmd/mothcleat/fleetdistribution.go
+++ b/cmd/mothcleat/fleetdistribution.go
@@ -7,13 +7,13 @@
 	"fmt"
 	"io"
 
-	"mothcleat/internal/distributor"
-	"mothcleat/internal/fleetnode"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/distributor"
 )
 
 // showDistribution shows how far the gateway's replica of the control state is, and how far those are that it serves.
 func showDistribution(raw []byte, w io.Writer) error {
-	var d fleetnode.Distribution
+	var d controlplane.Distribution
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return err
 	}
--- a/cmd/mothcleat/fleetversions.go
+++ b/cmd/mothcleat/fleetversions.go
@@ -16,10 +16,10 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/auditlog"
-	"mothcleat/internal/auditrecorder"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/auditrecorder"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 // versionCommands are about what the fleet acts on; show is the one that tells of it.
@@ -42,7 +42,7 @@
 			}
 			return call("propose", args[0], stage, lead.String(), path)
 		}}
-	propose.Flags().StringVar(&stage, "stage", string(versions.One), "who is to act on it first: one, tenth or all")
+	propose.Flags().StringVar(&stage, "stage", string(configversion.One), "who is to act on it first: one, tenth or all")
 	propose.Flags().DurationVar(&lead, "in", 0, "it holds so long after it is agreed")
 	return []*cobra.Command{show, propose,
 		{Use: "go-on ITEM NUMBER STAGE", Short: "have a roll-out go on to a stage, also one that is held", Args: exactly(3),
@@ -75,7 +75,7 @@
 				return err
 			}
 			for _, dir := range folders {
-				some, err := auditrecorder.Read(fleetnode.RecordDir(dir))
+				some, err := auditrecorder.Read(controlplane.RecordDir(dir))
 				if err != nil {
 					return err
 				}
@@ -109,7 +109,7 @@
 	return c
 }
 
-func agreedFrom(address, file string) (v versions.View, err error) {
+func agreedFrom(address, file string) (v configversion.View, err error) {
 	var raw []byte
 	if file != "" {
 		raw, err = os.ReadFile(file)
@@ -124,7 +124,7 @@
 
 // audit is one audit.
 type audit struct {
-	agreed        versions.View
+	agreed        configversion.View
 	entries       []auditlog.Entry
 	item, gateway string
 	from, to      int64
@@ -188,7 +188,7 @@
 			continue
 		}
 		r.Stretches = append(r.Stretches, s)
-		i := slices.IndexFunc(a.agreed.Versions, func(v versions.Version) bool { return v.Item == s.Item && v.Number == s.Number })
+		i := slices.IndexFunc(a.agreed.Versions, func(v configversion.Version) bool { return v.Item == s.Item && v.Number == s.Number })
 		if i < 0 || a.agreed.Versions[i].Ended == 0 || s.To <= a.agreed.Versions[i].Ended || s.Sent+s.Again == 0 {
 			continue
 		}
@@ -251,7 +251,7 @@
 }
 
 func showVersions(raw []byte, w io.Writer) error {
-	var v fleetnode.Versions
+	var v controlplane.Versions
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return err
 	}
--- a/cmd/mothcleat/main_test.go
+++ b/cmd/mothcleat/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/lab"
+	"mothcleat/internal/testing/lab"
 )
 
 // SIGHUP once ended the program, and with it all that it had taken.
--- a/cmd/mothcleat/register.go
+++ b/cmd/mothcleat/register.go
@@ -5,15 +5,15 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/gateway"
-	"mothcleat/internal/operators"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/registry/consul"
-	"mothcleat/membership"
+	"mothcleat/internal/config"
+	"mothcleat/internal/dataplane/gateway"
+	"mothcleat/internal/dataplane/membership"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/dataplane/registry/consul"
 )
 
 // register has the configuration say where the list of servers comes from.
-func register(r *operators.Register, cfg *gateway.Config) {
+func register(r *config.Register, cfg *gateway.Config) {
 	if r.Source == "platform" {
 		return
 	}
@@ -42,12 +42,12 @@
 }
 
 // newConsul makes the source that the settings describe.
-func newConsul(r *operators.Register, log *slog.Logger) (*consul.Source, error) {
+func newConsul(r *config.Register, log *slog.Logger) (*consul.Source, error) {
 	mode := r.Mode
 	if mode == "default" {
 		mode = ""
 	}
-	us := func(d operators.Duration) membership.Time { return time.Duration(d).Microseconds() }
+	us := func(d config.Duration) membership.Time { return time.Duration(d).Microseconds() }
 	return consul.New(consul.Settings{
 		Agents: r.Agents, TLS: r.TLS, CAFile: r.CAFile, TokenFile: r.TokenFile, Service: r.Service, Datacenter: r.Datacenter,
 		Namespace: r.Namespace, Filter: r.Filter, Mode: mode, Wait: time.Duration(r.Wait), Catalogue: r.Catalogue,
--- a/cmd/mothcleat/run.go
+++ b/cmd/mothcleat/run.go
@@ -18,17 +18,17 @@
 
 	"github.com/cloudflare/tableflip"
 
-	"mothcleat/internal/gateway"
-	"mothcleat/internal/handover"
-	"mothcleat/internal/operators"
-	"mothcleat/internal/snapshot"
-	"mothcleat/store"
+	"mothcleat/internal/config"
+	"mothcleat/internal/dataplane/gateway"
+	"mothcleat/internal/dataplane/hotrestart"
+	"mothcleat/internal/dataplane/snapshot"
+	"mothcleat/internal/storage/store"
 )
 
 // program is one process of the gateway.
 type program struct {
 	path     string // of the operators' file
-	settings operators.Settings
+	settings config.Settings
 	log      *slog.Logger
 	upgrader *tableflip.Upgrader // nil: hand-over is off
 }
@@ -96,11 +96,11 @@
 }
 
 // settings reads the operators' file; without one all is off.
-func settings(path string) (operators.Settings, error) {
+func settings(path string) (config.Settings, error) {
 	if path == "" {
-		return operators.Defaults(), nil
+		return config.Defaults(), nil
 	}
-	return operators.Load(path)
+	return config.Load(path)
 }
 
 // survive has the gateway outlive its process as far as the settings say.
@@ -118,7 +118,7 @@
 		return err
 	} else if given != nil {
 		s.Listen = func(string) (net.Listener, error) { return given, nil }
-		s.Meet = handover.Path(os.TempDir(), cfg.Name)
+		s.Meet = hotrestart.Path(os.TempDir(), cfg.Name)
 		if p.settings.HandOver.On {
 			p.log.Warn("hand-over: the platform holds the clients' socket, and replaces processes itself; handover.on is passed over")
 		}
--- a/cmd/mothcleat/store.go
+++ b/cmd/mothcleat/store.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // storeCommands work on a store that no process has open.
--- a/cmd/mothcleat/store_test.go
+++ b/cmd/mothcleat/store_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 func TestStoreCommands(t *testing.T) {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
-	"mothcleat/decide"
-	"mothcleat/internal/wire"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/simprotocol"
 )
 
 func main() {
@@ -23,16 +23,16 @@
 
 // host keeps the instances of one process.
 type host struct {
-	gateways map[uint16]*decide.Gateway
-	reply    wire.Reply
+	gateways map[uint16]*policy.Gateway
+	reply    simprotocol.Reply
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{gateways: map[uint16]*decide.Gateway{}}
+	h := &host{gateways: map[uint16]*policy.Gateway{}}
 	var body []byte
 	for {
-		batch, err := wire.ReadBatch(r, body)
+		batch, err := simprotocol.ReadBatch(r, body)
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
@@ -41,7 +41,7 @@
 		}
 		body = batch.Body
 		h.reply.Start(batch.Index)
-		if err := batch.Decode(func(e *wire.Event) { h.take(batch.Now, e) }); err != nil {
+		if err := batch.Decode(func(e *simprotocol.Event) { h.take(batch.Now, e) }); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply.Bytes()); err != nil {
@@ -55,7 +55,7 @@
 
 // take carries one event to its instance. A panic there is told as broken, and
 // the instance is gone.
-func (h *host) take(now decide.Time, e *wire.Event) {
+func (h *host) take(now policy.Time, e *simprotocol.Event) {
 	h.reply.For(e.Instance)
 	defer func() {
 		if p := recover(); p != nil {
@@ -64,10 +64,10 @@
 		}
 	}()
 	switch e.Kind {
-	case wire.Provision:
+	case simprotocol.Provision:
 		h.provision(e)
 		return
-	case wire.CrashNow:
+	case simprotocol.CrashNow:
 		delete(h.gateways, e.Instance)
 		return
 	}
@@ -76,32 +76,32 @@
 		return
 	}
 	switch e.Kind {
-	case wire.Backends:
+	case simprotocol.Backends:
 		g.Members(now, e.News, e.Members)
-	case wire.Ingress:
+	case simprotocol.Ingress:
 		g.Request(now, e.Request)
-	case wire.First:
+	case simprotocol.First:
 		g.Started(now, e.Outcome.ID)
-	case wire.Done:
+	case simprotocol.Done:
 		g.Outcome(now, e.Outcome)
-	case wire.Dropped:
+	case simprotocol.Dropped:
 		g.Gone(now, e.Outcome.ID)
-	case wire.Wake:
+	case simprotocol.Wake:
 		g.Timer(now, e.Token)
-	case wire.Sampled:
+	case simprotocol.Sampled:
 		g.Probed(now, e.Backend, e.Result, e.Load)
-	case wire.Heard:
+	case simprotocol.Heard:
 		g.Peer(now, e.From, e.Note)
-	case wire.Ledger:
+	case simprotocol.Ledger:
 		g.Counted(now, e.Name, e.Result, e.Total)
 	}
 }
 
-func (h *host) provision(e *wire.Event) {
-	set, err := wire.ParseSettings(e.Profile)
+func (h *host) provision(e *simprotocol.Event) {
+	set, err := simprotocol.ParseSettings(e.Profile)
 	if err == nil {
-		var g *decide.Gateway
-		if g, err = decide.New(set, e.Seed, &h.reply); err == nil {
+		var g *policy.Gateway
+		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
 			h.gateways[e.Instance] = g
 			return
 		}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/wire"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/simprotocol"
 )
 
 func batch(index, count uint32, body string) string {
@@ -48,9 +48,9 @@
 }
 
 func TestPanicIsToldAsBroken(t *testing.T) {
-	h := &host{gateways: map[uint16]*decide.Gateway{4: {}}} // one that New did not make
+	h := &host{gateways: map[uint16]*policy.Gateway{4: {}}} // one that New did not make
 	h.reply.Start(1)
-	h.take(1, &wire.Event{Kind: wire.Wake, Instance: 4})
+	h.take(1, &simprotocol.Event{Kind: simprotocol.Wake, Instance: 4})
 	if got := string(h.reply.Bytes()); !strings.Contains(got, "panic") {
 		t.Errorf("%q", got)
 	}
--- a/internal/operators/operators.go
+++ b/internal/config/operators.go
@@ -1,7 +1,7 @@
-// Package operators reads the operators' file: the settings of everything that
+// Package config reads the operators' file: the settings of everything that
 // the platform does not offer. It is read strictly. What it leaves out keeps its
 // default, with which each part is off.
-package operators
+package config
 
 import (
 	"bytes"
--- a/internal/operators/operators_test.go
+++ b/internal/config/operators_test.go
@@ -1,4 +1,4 @@
-package operators
+package config
 
 import (
 	"os"
--- a/budget/account.go
+++ b/internal/controlplane/allocation/account.go
@@ -1,10 +1,10 @@
-package budget
+package allocation
 
 import (
 	"math"
 	"time"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // member is one process that uses budgets of the shard.
--- a/budget/budget.go
+++ b/internal/controlplane/allocation/budget.go
@@ -1,4 +1,4 @@
-// Package budget decides who may use how much of what all gateways of a fleet share: a customer's
+// Package allocation decides who may use how much of what all gateways of a fleet share: a customer's
 // quota, its ceiling, or whatever else has a rate and a burst for all of them together.
 //
 // # Invariant
@@ -27,15 +27,15 @@
 //   - What was taken or lent is used within Rules.LoanSpan, or never.
 //
 // Nothing here does I/O, starts a goroutine or looks at a clock. No type may be used concurrently.
-package budget
+package allocation
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // MachineName is what the agreed state calls the budgets.
@@ -65,11 +65,11 @@
 func (s Share) most(o Share) Share {
 	return Share{math.Max(s.Rate, o.Rate), math.Max(s.Burst, o.Burst)}
 }
-func (s Share) within(o Share) bool   { return s.Rate <= o.Rate+slack && s.Burst <= o.Burst+slack }
-func (s Share) none() bool            { return s.Rate <= 0 && s.Burst <= 0 }
-func (s Share) proto() *fleetpb.Share { return &fleetpb.Share{Rate: s.Rate, Burst: s.Burst} }
-func shareOf(s *fleetpb.Share) Share  { return Share{s.GetRate(), s.GetBurst()} }
-func memberOf(m *fleetpb.Member) lease.Member {
+func (s Share) within(o Share) bool     { return s.Rate <= o.Rate+slack && s.Burst <= o.Burst+slack }
+func (s Share) none() bool              { return s.Rate <= 0 && s.Burst <= 0 }
+func (s Share) proto() *controlpb.Share { return &controlpb.Share{Rate: s.Rate, Burst: s.Burst} }
+func shareOf(s *controlpb.Share) Share  { return Share{s.GetRate(), s.GetBurst()} }
+func memberOf(m *controlpb.Member) lease.Member {
 	return lease.Member{ID: m.GetId(), Boot: m.GetBoot()}
 }
 
--- a/budget/budget_test.go
+++ b/internal/controlplane/allocation/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 const ms = time.Millisecond
@@ -56,7 +56,7 @@
 func (r *rig) elect() {
 	r.t.Helper()
 	r.terms.term++
-	var books fleetpb.Books
+	var books controlpb.Books
 	if err := proto.Unmarshal(r.log.Query(0, []byte(Duty(0))), &books); err != nil {
 		r.t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 }
 
 func (r *rig) lend(units float64) bool {
-	a := r.owner.Lend(r.now, &fleetpb.LoanAsk{Duty: Duty(0), Budget: 1, Units: units, Spread: 2, Whole: r.whole.proto()})
+	a := r.owner.Lend(r.now, &controlpb.LoanAsk{Duty: Duty(0), Budget: 1, Units: units, Spread: 2, Whole: r.whole.proto()})
 	if a.Soon && r.round() {
 		return r.lend(units)
 	}
@@ -173,9 +173,9 @@
 	now := time.Hour
 	h.Ask(now, 1, Share{10, 100}, 2, 1)
 	ask := h.Renewal(now, 0)
-	word := func(number uint64, burst, given float64) *fleetpb.RightsAnswer {
-		return &fleetpb.RightsAnswer{Term: 1, Number: number, At: int64(now), Span: int64(3 * time.Second), FloorSpan: int64(time.Minute),
-			Rights: []*fleetpb.Right{{Budget: 1, Number: number, Part: Share{0, burst}.proto(), Floor: Share{0, 1}.proto(), Given: given}}}
+	word := func(number uint64, burst, given float64) *controlpb.RightsAnswer {
+		return &controlpb.RightsAnswer{Term: 1, Number: number, At: int64(now), Span: int64(3 * time.Second), FloorSpan: int64(time.Minute),
+			Rights: []*controlpb.Right{{Budget: 1, Number: number, Part: Share{0, burst}.proto(), Floor: Share{0, 1}.proto(), Given: given}}}
 	}
 	h.Answer(now, now, 0, ask, word(1, 8, 7))
 	h.Answer(now, now, 0, ask, word(1, 8, 7)) // it comes twice
@@ -251,7 +251,7 @@
 	r := newRig(t, Share{10, 100})
 	a := r.member("a", 1)
 	r.settle(20*time.Second, map[*Holder]float64{a: 2})
-	ask := &fleetpb.LoanAsk{Duty: Duty(0), Budget: 1, Units: 1, Spread: 2, Whole: r.whole.proto()}
+	ask := &controlpb.LoanAsk{Duty: Duty(0), Budget: 1, Units: 1, Spread: 2, Whole: r.whole.proto()}
 	agreed := func() float64 { return r.log.books[Duty(0)][1].spare }
 	if agreed() < 10 {
 		t.Fatalf("%v units are kept", agreed())
@@ -344,7 +344,7 @@
 		t.Errorf("2 s after its start the heir has %v", got)
 	}
 	late := b.Renewal(r.now, 0)
-	if a := r.owner.Renew(r.now, late); a.Code != fleetpb.Code_SUPERSEDED {
+	if a := r.owner.Renew(r.now, late); a.Code != controlpb.Code_SUPERSEDED {
 		t.Errorf("one that runs no more, by its heir's word, is told %v", a)
 	}
 }
@@ -395,33 +395,33 @@
 func TestMachineRefuses(t *testing.T) {
 	f := &terms{3, lease.Member{ID: "o", Boot: 1}}
 	m := NewMachine(f)
-	apply := func(r *fleetpb.Round) Result {
+	apply := func(r *controlpb.Round) Result {
 		var res Result
 		if err := json.Unmarshal(m.Apply(0, 0, f.who, marshal(r)), &res); err != nil {
 			t.Fatal(err)
 		}
 		return res
 	}
-	part := func(who uint32, part, floor Share) *fleetpb.HeldPart {
-		return &fleetpb.HeldPart{Who: who, Part: part.proto(), Floor: floor.proto()}
+	part := func(who uint32, part, floor Share) *controlpb.HeldPart {
+		return &controlpb.HeldPart{Who: who, Part: part.proto(), Floor: floor.proto()}
 	}
-	two := []*fleetpb.Member{{Id: "a", Boot: 1}, {Id: "b", Boot: 1}}
-	round := func(term uint64, held ...*fleetpb.HeldPart) *fleetpb.Round {
-		return &fleetpb.Round{Duty: Duty(0), Term: term, Who: two,
-			Changes: []*fleetpb.BudgetChange{{Budget: 1, Whole: Share{10, 10}.proto(), Spread: 2, Held: held}}}
+	two := []*controlpb.Member{{Id: "a", Boot: 1}, {Id: "b", Boot: 1}}
+	round := func(term uint64, held ...*controlpb.HeldPart) *controlpb.Round {
+		return &controlpb.Round{Duty: Duty(0), Term: term, Who: two,
+			Changes: []*controlpb.BudgetChange{{Budget: 1, Whole: Share{10, 10}.proto(), Spread: 2, Held: held}}}
 	}
 	if r := apply(round(3, part(0, Share{6, 6}, Share{1, 1}))); !r.OK {
 		t.Fatal(r.Why)
 	}
 	before := m.Snapshot()
-	for what, r := range map[string]*fleetpb.Round{
+	for what, r := range map[string]*controlpb.Round{
 		"more than the whole":   round(3, part(1, Share{5, 4}, Share{})),
 		"an old term":           round(2, part(1, Share{1, 1}, Share{})),
 		"a floor over its part": round(3, part(1, Share{1, 1}, Share{2, 2})),
 		"less than nothing":     round(3, part(1, Share{-1, 1}, Share{})),
 		"no number":             round(3, part(1, Share{math.NaN(), 1}, Share{})),
 		"a member of none":      round(3, part(7, Share{1, 1}, Share{})),
-		"a budget twice": {Duty: Duty(0), Term: 3, Who: two, Changes: []*fleetpb.BudgetChange{
+		"a budget twice": {Duty: Duty(0), Term: 3, Who: two, Changes: []*controlpb.BudgetChange{
 			{Budget: 2, Whole: Share{1, 1}.proto()}, {Budget: 2, Whole: Share{1, 1}.proto()}}},
 	} {
 		if res := apply(r); res.OK || res.Why == "" {
@@ -447,11 +447,11 @@
 		m := NewMachine(f)
 		whole := Share{10, 20}
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
-			r := &fleetpb.Round{Duty: Duty(0), Term: 1, Changes: []*fleetpb.BudgetChange{{Budget: 1, Whole: whole.proto(), Spread: 3}}}
+			r := &controlpb.Round{Duty: Duty(0), Term: 1, Changes: []*controlpb.BudgetChange{{Budget: 1, Whole: whole.proto(), Spread: 3}}}
 			for i := range rapid.IntRange(1, 4).Draw(t, "members") {
-				r.Who = append(r.Who, &fleetpb.Member{Id: "n", Boot: rapid.Uint64Range(1, 5).Draw(t, "boot")})
+				r.Who = append(r.Who, &controlpb.Member{Id: "n", Boot: rapid.Uint64Range(1, 5).Draw(t, "boot")})
 				p := Share{rapid.Float64Range(0, 8).Draw(t, "rate"), rapid.Float64Range(0, 16).Draw(t, "burst")}
-				r.Changes[0].Held = append(r.Changes[0].Held, &fleetpb.HeldPart{Who: uint32(i), Part: p.proto(), Floor: p.times(0.1).proto()})
+				r.Changes[0].Held = append(r.Changes[0].Held, &controlpb.HeldPart{Who: uint32(i), Part: p.proto(), Floor: p.times(0.1).proto()})
 			}
 			m.Apply(0, 0, f.who, marshal(r))
 			for _, b := range m.books[Duty(0)] {
@@ -502,7 +502,7 @@
 		t.Fatal(err, res)
 	}
 	r.owner.Committed(r.now)
-	if r.lend(0.1) || r.owner.Renew(r.now, a.Renewal(r.now, 0)).Code != fleetpb.Code_NOT_LEADER {
+	if r.lend(0.1) || r.owner.Renew(r.now, a.Renewal(r.now, 0)).Code != controlpb.Code_NOT_LEADER {
 		t.Error("it lends or renews after its last round")
 	}
 	r.elect()
--- a/budget/divide.go
+++ b/internal/controlplane/allocation/divide.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 // Claim is what one member wants of a budget.
 type Claim struct {
--- a/budget/holder.go
+++ b/internal/controlplane/allocation/holder.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Holder is one process's side: the rights that it was given, and the units in them. Times are of its own
@@ -160,9 +160,9 @@
 }
 
 // Renewal is the asking to be sent to the owner of a shard now, of which Answer takes the answer.
-func (h *Holder) Renewal(now time.Duration, shard int) *fleetpb.RightsAsk {
+func (h *Holder) Renewal(now time.Duration, shard int) *controlpb.RightsAsk {
 	s := &h.shards[shard]
-	a := &fleetpb.RightsAsk{Age: h.Age(now), Member: &fleetpb.Member{Id: h.me.ID, Boot: h.me.Boot}, Duty: s.duty, Term: s.term, Number: s.number, Heard: s.heard}
+	a := &controlpb.RightsAsk{Age: h.Age(now), Member: &controlpb.Member{Id: h.me.ID, Boot: h.me.Boot}, Duty: s.duty, Term: s.term, Number: s.number, Heard: s.heard}
 	for _, id := range slices.Sorted(maps.Keys(s.rights)) {
 		r := s.rights[id]
 		s.refill(r, now)
@@ -172,7 +172,7 @@
 			}
 			continue
 		}
-		a.Wants = append(a.Wants, &fleetpb.Want{Budget: id, Whole: r.whole.proto(), Spread: uint32(r.spread), Asked: r.asked,
+		a.Wants = append(a.Wants, &controlpb.Want{Budget: id, Whole: r.whole.proto(), Spread: uint32(r.spread), Asked: r.asked,
 			Refused: r.refused, Most: r.most, Returned: r.returned})
 		r.asked, r.refused, r.most = 0, 0, 0
 		delete(s.dirty, id)
@@ -181,7 +181,7 @@
 }
 
 // Leave gives everything back, and gives the askings that say so, one a shard.
-func (h *Holder) Leave(now time.Duration) (all []*fleetpb.RightsAsk) {
+func (h *Holder) Leave(now time.Duration) (all []*controlpb.RightsAsk) {
 	for i := range h.shards {
 		s := &h.shards[i]
 		for id, r := range s.rights {
@@ -201,9 +201,9 @@
 
 // Answer takes in the answer to the asking that was sent at a time. It tells whether there is something to say at
 // once: that what was lessened is acted on.
-func (h *Holder) Answer(now, sent time.Duration, shard int, ask *fleetpb.RightsAsk, a *fleetpb.RightsAnswer) (again bool) {
+func (h *Holder) Answer(now, sent time.Duration, shard int, ask *controlpb.RightsAsk, a *controlpb.RightsAnswer) (again bool) {
 	s := &h.shards[shard]
-	if a.Code != fleetpb.Code_OK || a.Term < s.term {
+	if a.Code != controlpb.Code_OK || a.Term < s.term {
 		return false // an old owner that wakes late
 	}
 	if now >= s.until || a.Term > s.term {
--- a/budget/machine.go
+++ b/internal/controlplane/allocation/machine.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // Fence refuses a word under an old term.
@@ -82,7 +82,7 @@
 }
 
 func (m *Machine) round(who lease.Member, body []byte) error {
-	var r fleetpb.Round
+	var r controlpb.Round
 	if err := proto.Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("budget: a round that can't be read: %w", err)
 	}
@@ -115,7 +115,7 @@
 }
 
 // changed is a book after a change, or why it can't be.
-func changed(before *book, c *fleetpb.BudgetChange, who []*fleetpb.Member) (*book, error) {
+func changed(before *book, c *controlpb.BudgetChange, who []*controlpb.Member) (*book, error) {
 	b := &book{whole: shareOf(c.Whole), version: c.Version, spread: int(c.Spread), held: map[lease.Member]Held{}, spare: c.Spare}
 	if before != nil {
 		maps.Copy(b.held, before.held)
@@ -149,7 +149,7 @@
 
 // Query gives the Books of the shard whose duty the body names, or of all.
 func (m *Machine) Query(at time.Duration, body []byte) []byte {
-	b := &fleetpb.Books{At: uint64(at)}
+	b := &controlpb.Books{At: uint64(at)}
 	index := map[lease.Member]uint32{}
 	for _, duty := range slices.Sorted(maps.Keys(m.books)) {
 		if len(body) > 0 && string(body) != duty {
@@ -160,25 +160,25 @@
 	return marshal(b)
 }
 
-func (m *Machine) write(b *fleetpb.Books, index map[lease.Member]uint32, books map[uint64]*book) {
+func (m *Machine) write(b *controlpb.Books, index map[lease.Member]uint32, books map[uint64]*book) {
 	for _, id := range slices.Sorted(maps.Keys(books)) {
 		k := books[id]
-		c := &fleetpb.BudgetChange{Budget: id, Whole: k.whole.proto(), Version: k.version, Spread: uint32(k.spread), Spare: k.spare}
+		c := &controlpb.BudgetChange{Budget: id, Whole: k.whole.proto(), Version: k.version, Spread: uint32(k.spread), Spare: k.spare}
 		for _, who := range sorted(k.held) {
 			h := k.held[who]
-			c.Held = append(c.Held, &fleetpb.HeldPart{Who: indexOf(&b.Who, index, who), Part: h.Part.proto(), Floor: h.Floor.proto()})
+			c.Held = append(c.Held, &controlpb.HeldPart{Who: indexOf(&b.Who, index, who), Part: h.Part.proto(), Floor: h.Floor.proto()})
 		}
 		b.Budgets = append(b.Budgets, c)
 	}
 }
 
 // indexOf finds or makes a member's place in a message's list.
-func indexOf(list *[]*fleetpb.Member, index map[lease.Member]uint32, who lease.Member) uint32 {
+func indexOf(list *[]*controlpb.Member, index map[lease.Member]uint32, who lease.Member) uint32 {
 	i, ok := index[who]
 	if !ok {
 		i = uint32(len(*list))
 		index[who] = i
-		*list = append(*list, &fleetpb.Member{Id: who.ID, Boot: who.Boot})
+		*list = append(*list, &controlpb.Member{Id: who.ID, Boot: who.Boot})
 	}
 	return i
 }
@@ -193,9 +193,9 @@
 
 // Snapshot writes the budgets: the same text for the same content.
 func (m *Machine) Snapshot() []byte {
-	s := &fleetpb.BudgetState{}
+	s := &controlpb.BudgetState{}
 	for _, duty := range slices.Sorted(maps.Keys(m.books)) {
-		b := &fleetpb.Books{}
+		b := &controlpb.Books{}
 		m.write(b, map[lease.Member]uint32{}, m.books[duty])
 		s.Duties, s.Books = append(s.Duties, duty), append(s.Books, b)
 	}
@@ -204,7 +204,7 @@
 
 // Restore reads what Snapshot wrote, in place of all that is there.
 func (m *Machine) Restore(raw []byte) error {
-	var s fleetpb.BudgetState
+	var s controlpb.BudgetState
 	if err := proto.Unmarshal(raw, &s); err != nil || len(s.Duties) != len(s.Books) {
 		return fmt.Errorf("budget: a state that can't be read: %w", err)
 	}
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func readBooks(b *fleetpb.Books) (map[uint64]*book, error) {
+func readBooks(b *controlpb.Books) (map[uint64]*book, error) {
 	books := make(map[uint64]*book, len(b.Budgets))
 	for _, c := range b.Budgets {
 		k := &book{whole: shareOf(c.Whole), version: c.Version, spread: int(c.Spread), held: map[lease.Member]Held{}, spare: c.Spare}
@@ -254,7 +254,7 @@
 
 // Views reads what Query gave.
 func Views(raw []byte) (all []View, err error) {
-	var b fleetpb.Books
+	var b controlpb.Books
 	if err := proto.Unmarshal(raw, &b); err != nil {
 		return nil, fmt.Errorf("budget: books that can't be read: %w", err)
 	}
--- a/budget/owner.go
+++ b/internal/controlplane/allocation/owner.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Owner divides one shard's budgets under one term. Times are of its process's own clock, which must go on while the
@@ -54,7 +54,7 @@
 
 // NewOwner begins a term with what is agreed. Members that the books name are taken to have been renewed just now:
 // the owner before may have done so until its holding was over.
-func NewOwner(now time.Duration, r Rules, duty string, term uint64, books *fleetpb.Books) (*Owner, error) {
+func NewOwner(now time.Duration, r Rules, duty string, term uint64, books *controlpb.Books) (*Owner, error) {
 	o := &Owner{rules: r, duty: duty, term: term, began: now, number: 1, members: map[lease.Member]*member{},
 		budgets: map[uint64]*account{}, stirred: map[uint64]bool{}}
 	agreed, err := readBooks(books)
@@ -108,13 +108,13 @@
 }
 
 // Lend gives units of the reserve for a request that waits.
-func (o *Owner) Lend(now time.Duration, ask *fleetpb.LoanAsk) *fleetpb.LoanAnswer {
+func (o *Owner) Lend(now time.Duration, ask *controlpb.LoanAsk) *controlpb.LoanAnswer {
 	whole := shareOf(ask.Whole)
 	if ask.Duty != o.duty || !whole.sound() || whole.none() || !(ask.Units > 0) {
-		return &fleetpb.LoanAnswer{Code: fleetpb.Code_REFUSED, Why: "not an asking for this owner"}
+		return &controlpb.LoanAnswer{Code: controlpb.Code_REFUSED, Why: "not an asking for this owner"}
 	}
 	if o.closes {
-		return &fleetpb.LoanAnswer{Code: fleetpb.Code_NOT_LEADER, Why: handsOn}
+		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: handsOn}
 	}
 	a := o.account(ask.Budget, whole, int(ask.Spread))
 	o.believe(ask.Budget, a, whole, ask.Version, o.age(now, o.member(now, memberOf(ask.Member)), ask.Age))
@@ -123,7 +123,7 @@
 	if a.bank.level >= ask.Units && a.bank.level-ask.Units < math.Max(a.spare, a.saving) {
 		o.stirred[ask.Budget] = true
 		a.short = math.Max(a.short, ask.Units)
-		return &fleetpb.LoanAnswer{Term: o.term, Soon: true, After: int64(loanRetryDelay)}
+		return &controlpb.LoanAnswer{Term: o.term, Soon: true, After: int64(loanRetryDelay)}
 	}
 	if a.bank.level < ask.Units {
 		o.figures.Dry++
@@ -131,27 +131,27 @@
 		if free.Rate > 0 {
 			after = time.Duration((ask.Units - a.bank.level) / free.Rate * float64(time.Second))
 		}
-		return &fleetpb.LoanAnswer{Term: o.term, After: int64(max(0, after))}
+		return &controlpb.LoanAnswer{Term: o.term, After: int64(max(0, after))}
 	}
 	o.figures.Lent++
 	a.bank.level -= ask.Units
 	if a.bank.level-a.spare < a.usual {
 		o.stirred[ask.Budget] = true
 	}
-	return &fleetpb.LoanAnswer{Lent: true, Term: o.term}
+	return &controlpb.LoanAnswer{Lent: true, Term: o.term}
 }
 
 // Renew takes in a member's asking, and tells it all words that it has not acted on.
-func (o *Owner) Renew(now time.Duration, ask *fleetpb.RightsAsk) *fleetpb.RightsAnswer {
+func (o *Owner) Renew(now time.Duration, ask *controlpb.RightsAsk) *controlpb.RightsAnswer {
 	who := memberOf(ask.Member)
 	if o.closes {
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: handsOn}
+		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: handsOn}
 	}
 	if ask.Duty != o.duty || who.ID == "" {
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_REFUSED, Why: "not an asking for this owner"}
+		return &controlpb.RightsAnswer{Code: controlpb.Code_REFUSED, Why: "not an asking for this owner"}
 	}
 	if ask.Term > o.term {
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: "a later owner is known"}
+		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: "a later owner is known"}
 	}
 	for _, boot := range ask.Gone {
 		if heir := (lease.Member{ID: who.ID, Boot: boot}); heir != who && o.members[heir] != nil {
@@ -160,7 +160,7 @@
 	}
 	m := o.member(now, who)
 	if m.gone {
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_SUPERSEDED, Why: fmt.Sprintf("%s has left, by its own word or its heir's", who)}
+		return &controlpb.RightsAnswer{Code: controlpb.Code_SUPERSEDED, Why: fmt.Sprintf("%s has left, by its own word or its heir's", who)}
 	}
 	o.age(now, m, ask.Age)
 	ours := ask.Term == o.term // else its words and sums are about another owner's
@@ -181,17 +181,17 @@
 	}
 	if ask.Leaving {
 		o.leave(who)
-		return &fleetpb.RightsAnswer{Term: o.term, Number: o.number}
+		return &controlpb.RightsAnswer{Term: o.term, Number: o.number}
 	}
 	m.heard = now
 	known := uint64(0)
 	if ours {
 		known = m.number
 	}
-	answer := &fleetpb.RightsAnswer{Term: o.term, Number: o.number, At: int64(now), Span: int64(o.rules.Span), FloorSpan: int64(o.rules.FloorSpan)}
+	answer := &controlpb.RightsAnswer{Term: o.term, Number: o.number, At: int64(now), Span: int64(o.rules.Span), FloorSpan: int64(o.rules.FloorSpan)}
 	for _, id := range slices.Sorted(maps.Keys(m.budgets)) {
 		if h := o.budgets[id].holds[who]; h.number > known {
-			answer.Rights = append(answer.Rights, &fleetpb.Right{Budget: id, Number: h.number, Part: h.word.Part.proto(), Floor: h.word.Floor.proto(), Given: h.given})
+			answer.Rights = append(answer.Rights, &controlpb.Right{Budget: id, Number: h.number, Part: h.word.Part.proto(), Floor: h.word.Floor.proto(), Given: h.given})
 		}
 	}
 	return answer
@@ -207,7 +207,7 @@
 }
 
 // want takes in what a member was asked for.
-func (o *Owner) want(now time.Duration, who lease.Member, m *member, w *fleetpb.Want, version uint64, ours bool, stamp time.Duration) {
+func (o *Owner) want(now time.Duration, who lease.Member, m *member, w *controlpb.Want, version uint64, ours bool, stamp time.Duration) {
 	whole := shareOf(w.Whole)
 	if !whole.sound() || whole.none() || !(w.Asked >= 0) || !(w.Returned >= 0) {
 		return
--- a/budget/plan.go
+++ b/internal/controlplane/allocation/plan.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // planned is one member's change in the round that is proposed.
@@ -22,7 +22,7 @@
 
 // Plan returns what is to be changed in one round, or nil if there is nothing to change or the last round
 // has not ended. End the round with Committed, Refused or a new Owner.
-func (o *Owner) Plan(now time.Duration) *fleetpb.Round {
+func (o *Owner) Plan(now time.Duration) *controlpb.Round {
 	if o.saving != nil {
 		return nil
 	}
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	round := &fleetpb.Round{Duty: o.duty, Term: o.term}
+	round := &controlpb.Round{Duty: o.duty, Term: o.term}
 	index := map[lease.Member]uint32{}
 	for _, id := range slices.Sorted(maps.Keys(o.stirred)) {
 		a := o.budgets[id]
@@ -50,9 +50,9 @@
 		}
 		a.saving, a.proposed = keep, a.version
 		o.saving = append(o.saving, id)
-		c := &fleetpb.BudgetChange{Budget: id, Whole: a.whole.proto(), Version: a.version, Spread: uint32(a.spread), Spare: keep}
+		c := &controlpb.BudgetChange{Budget: id, Whole: a.whole.proto(), Version: a.version, Spread: uint32(a.spread), Spare: keep}
 		for _, p := range changes {
-			c.Held = append(c.Held, &fleetpb.HeldPart{Who: indexOf(&round.Who, index, p.who), Part: p.to.Part.proto(), Floor: p.to.Floor.proto()})
+			c.Held = append(c.Held, &controlpb.HeldPart{Who: indexOf(&round.Who, index, p.who), Part: p.to.Part.proto(), Floor: p.to.Floor.proto()})
 		}
 		round.Changes = append(round.Changes, c)
 		o.out = append(o.out, changes...)
@@ -240,12 +240,12 @@
 // Close returns the last round of a term that is handed on: all units of the reserve are kept for the next
 // owner. Nothing is lent or renewed after it, and no other round may be proposed. It returns nil if there
 // is nothing to keep.
-func (o *Owner) Close(now time.Duration) *fleetpb.Round {
+func (o *Owner) Close(now time.Duration) *controlpb.Round {
 	o.closes = true
 	if o.saving != nil {
 		return nil
 	}
-	round := &fleetpb.Round{Duty: o.duty, Term: o.term}
+	round := &controlpb.Round{Duty: o.duty, Term: o.term}
 	for _, id := range slices.Sorted(maps.Keys(o.budgets)) {
 		a := o.budgets[id]
 		o.reserve(now, a)
@@ -255,7 +255,7 @@
 		}
 		a.saving, a.proposed = keep, a.version
 		o.saving = append(o.saving, id)
-		round.Changes = append(round.Changes, &fleetpb.BudgetChange{Budget: id, Whole: a.whole.proto(), Version: a.version, Spread: uint32(a.spread), Spare: keep})
+		round.Changes = append(round.Changes, &controlpb.BudgetChange{Budget: id, Whole: a.whole.proto(), Version: a.version, Spread: uint32(a.spread), Spare: keep})
 	}
 	if len(round.Changes) == 0 {
 		return nil
--- a/budget/rooms.go
+++ b/internal/controlplane/allocation/rooms.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"math"
--- a/budget/size_test.go
+++ b/internal/controlplane/allocation/size_test.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Gateways and customers in sets of two to four, under one owner, with traffic that shifts: what a second of the fleet costs its owner
@@ -26,7 +26,7 @@
 	now := time.Hour
 	f := &terms{1, lease.Member{ID: "o", Boot: 1}}
 	log := NewMachine(f)
-	owner, err := NewOwner(now, Defaults(), Duty(0), 1, &fleetpb.Books{})
+	owner, err := NewOwner(now, Defaults(), Duty(0), 1, &controlpb.Books{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/budget/version_test.go
+++ b/internal/controlplane/allocation/version_test.go
@@ -1,4 +1,4 @@
-package budget
+package allocation
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 type noFence struct{}
@@ -22,9 +22,9 @@
 	now := time.Second
 	renew := func(o *Owner, who string, boot, version uint64, whole Share) {
 		t.Helper()
-		a := o.Renew(now, &fleetpb.RightsAsk{Member: &fleetpb.Member{Id: who, Boot: boot}, Duty: Duty(0), Version: version,
-			Wants: []*fleetpb.Want{{Budget: id, Whole: whole.proto(), Spread: 2, Asked: 1, Most: 1}}})
-		if a.Code != fleetpb.Code_OK {
+		a := o.Renew(now, &controlpb.RightsAsk{Member: &controlpb.Member{Id: who, Boot: boot}, Duty: Duty(0), Version: version,
+			Wants: []*controlpb.Want{{Budget: id, Whole: whole.proto(), Spread: 2, Asked: 1, Most: 1}}})
+		if a.Code != controlpb.Code_OK {
 			t.Fatal(a.Why)
 		}
 		now += 300 * time.Millisecond
@@ -49,7 +49,7 @@
 		return views[0].Whole, views[0].Version
 	}
 	owner := func(term uint64) *Owner {
-		var books fleetpb.Books
+		var books controlpb.Books
 		if err := proto.Unmarshal(m.Query(0, []byte(Duty(0))), &books); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/budgets/divider.go
+++ b/internal/controlplane/allocator/divider.go
@@ -1,6 +1,6 @@
-// Package budgets has a process divide the budgets of its fleet, where it owns a shard of them, and use
+// Package allocator has a process divide the budgets of its fleet, where it owns a shard of them, and use
 // its own parts. The arithmetic is package budget's.
-package budgets
+package allocator
 
 import (
 	"context"
@@ -12,18 +12,18 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/budget"
-	"mothcleat/internal/election"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/election"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/monotonic"
 )
 
 // Divider is the owner's side in this process. Its Work is the work of the duty of each shard.
 type Divider struct {
-	Rules  budget.Rules
-	Client *fleetlink.Client
+	Rules  allocation.Rules
+	Client *controlrpc.Client
 	Log    *slog.Logger
 
 	mu      sync.Mutex
@@ -37,7 +37,7 @@
 	kick   chan struct{} // there may be something to agree on
 
 	mu     sync.Mutex
-	owner  *budget.Owner
+	owner  *allocation.Owner
 	agreed chan struct{} // closed with each round that is
 }
 
@@ -65,7 +65,7 @@
 		return
 	}
 	// All that the owner before may have given was given before now.
-	owner, err := budget.NewOwner(monotonic.Now(), d.Rules, t.Duty, t.Term, books)
+	owner, err := allocation.NewOwner(monotonic.Now(), d.Rules, t.Duty, t.Term, books)
 	if err != nil {
 		d.Log.Error("budgets: what is agreed can't be used", "duty", t.Duty, "error", err)
 		return
@@ -92,13 +92,13 @@
 	defer context.AfterFunc(ctx, func() { time.AfterFunc(closeWithin, cancel) })()
 	defer func() {
 		if ctx.Err() != nil && o.tenure.Holds() {
-			if err := d.agree(through, o, (*budget.Owner).Close); err != nil {
+			if err := d.agree(through, o, (*allocation.Owner).Close); err != nil {
 				d.Log.Info("budgets: what the reserve holds is not handed on", "duty", t.Duty, "error", err)
 			}
 		}
 	}()
 	for ctx.Err() == nil {
-		if err := d.agree(through, o, (*budget.Owner).Plan); err != nil {
+		if err := d.agree(through, o, (*allocation.Owner).Plan); err != nil {
 			if ctx.Err() == nil {
 				// Whether it is agreed can't be known any more. Another term begins with what is.
 				d.Log.Error("budgets: a round is lost; the shard is given up", "duty", t.Duty, "term", t.Term, "error", err)
@@ -129,10 +129,10 @@
 }
 
 // read has the books as they are agreed under the term.
-func (d *Divider) read(ctx context.Context, duty string) (*fleetpb.Books, error) {
+func (d *Divider) read(ctx context.Context, duty string) (*controlpb.Books, error) {
 	for {
-		raw, err := d.Client.Ask(ctx, budget.MachineName, []byte(duty))
-		books := &fleetpb.Books{}
+		raw, err := d.Client.Ask(ctx, allocation.MachineName, []byte(duty))
+		books := &controlpb.Books{}
 		if err == nil {
 			err = proto.Unmarshal(raw, books)
 		}
@@ -147,7 +147,7 @@
 }
 
 // agree has what is planned agreed, if there is anything. It is asked for until it is known whether it was.
-func (d *Divider) agree(ctx context.Context, o *office, plan func(*budget.Owner, time.Duration) *fleetpb.Round) error {
+func (d *Divider) agree(ctx context.Context, o *office, plan func(*allocation.Owner, time.Duration) *controlpb.Round) error {
 	o.mu.Lock()
 	round := plan(o.owner, monotonic.Now())
 	o.mu.Unlock()
@@ -159,12 +159,12 @@
 	if err != nil {
 		return err
 	}
-	raw, err := d.Client.Do(ctx, budget.MachineName, body)
+	raw, err := d.Client.Do(ctx, allocation.MachineName, body)
 	if err != nil {
 		return err
 	}
 	failpoint.At("budgets-after-agree")
-	var r budget.Result
+	var r allocation.Result
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return err
 	}
@@ -187,15 +187,15 @@
 }
 
 // Renew renews a member's rights, if this process owns the shard.
-func (d *Divider) Renew(ask *fleetpb.RightsAsk) *fleetpb.RightsAnswer {
+func (d *Divider) Renew(ask *controlpb.RightsAsk) *controlpb.RightsAnswer {
 	o := d.office(ask.Duty)
 	if o == nil {
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}
+		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.tenure.Holds() {
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}
+		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	failpoint.At("budgets-renew")
 	a := o.owner.Renew(monotonic.Now(), ask)
@@ -207,10 +207,10 @@
 }
 
 // Lend lends units, if this process owns the shard.
-func (d *Divider) Lend(ask *fleetpb.LoanAsk) *fleetpb.LoanAnswer {
+func (d *Divider) Lend(ask *controlpb.LoanAsk) *controlpb.LoanAnswer {
 	o := d.office(ask.Duty)
 	if o == nil {
-		return &fleetpb.LoanAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}
+		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	limit := time.NewTimer(soonMost)
 	defer limit.Stop()
@@ -228,11 +228,11 @@
 }
 
 // lend lends, or tells what to wait for.
-func (o *office) lend(ask *fleetpb.LoanAsk) (a *fleetpb.LoanAnswer, agreed chan struct{}) {
+func (o *office) lend(ask *controlpb.LoanAsk) (a *controlpb.LoanAnswer, agreed chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.tenure.Holds() {
-		return &fleetpb.LoanAnswer{Code: fleetpb.Code_NOT_LEADER, Why: notOwner}, nil
+		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}, nil
 	}
 	if a = o.owner.Lend(monotonic.Now(), ask); a.Soon {
 		select {
@@ -244,10 +244,10 @@
 }
 
 // Figures are what the owners in this process did, by duty.
-func (d *Divider) Figures() map[string]budget.Figures {
+func (d *Divider) Figures() map[string]allocation.Figures {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := map[string]budget.Figures{}
+	all := map[string]allocation.Figures{}
 	for duty, o := range d.offices {
 		o.mu.Lock()
 		all[duty] = o.owner.Figures()
--- a/internal/budgets/stored_test.go
+++ b/internal/controlplane/allocator/stored_test.go
@@ -1,4 +1,4 @@
-package budgets
+package allocator
 
 import (
 	"encoding/json"
--- a/internal/budgets/user.go
+++ b/internal/controlplane/allocator/user.go
@@ -1,4 +1,4 @@
-package budgets
+package allocator
 
 import (
 	"context"
@@ -10,23 +10,23 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/decide"
-	"mothcleat/internal/election"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/dataplane/gateway"
+	"mothcleat/internal/dataplane/policy"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/gateway"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // User is this process's side as one that uses budgets: its rights, as the gateway's loop sees them, and their
 // renewal. The loop's calls never wait for anybody but for another short call.
 type User struct {
-	rules  budget.Rules
+	rules  allocation.Rules
 	shards int
-	client *fleetlink.Client
+	client *controlrpc.Client
 	owners *election.Set
 	log    *slog.Logger
 	lent   func(gateway.Loan)
@@ -34,7 +34,7 @@
 	loans    chan struct{}  // room for askings that are out
 	silent   []atomic.Int64 // by shard: until when nobody is asked for units, by package monotonic's clock
 	mu       sync.Mutex
-	holder   *budget.Holder
+	holder   *allocation.Holder
 	gone     []uint64 // boots of this id that run no more
 	took     uint64   // the request that something was taken for last
 	tookBy   time.Duration
@@ -62,41 +62,41 @@
 )
 
 // NewUser makes one that holds nothing.
-func NewUser(r budget.Rules, shards int, client *fleetlink.Client, owners *election.Set, log *slog.Logger) *User {
+func NewUser(r allocation.Rules, shards int, client *controlrpc.Client, owners *election.Set, log *slog.Logger) *User {
 	return &User{rules: r, shards: shards, client: client, owners: owners, log: log, loans: make(chan struct{}, loansOut),
-		silent: make([]atomic.Int64, shards), lastTold: make([]atomic.Int64, shards), holder: budget.NewHolder(r, client.Me(), shards)}
+		silent: make([]atomic.Int64, shards), lastTold: make([]atomic.Int64, shards), holder: allocation.NewHolder(r, client.Me(), shards)}
 }
 
 // Follow has the answers to Borrow go to a function. It is to be called before the first Borrow.
 func (u *User) Follow(lent func(gateway.Loan)) { u.lent = lent }
 
-func whole(b *decide.Budget) budget.Share { return budget.Share{Rate: b.Rate, Burst: b.Burst} }
+func whole(b *policy.Budget) allocation.Share { return allocation.Share{Rate: b.Rate, Burst: b.Burst} }
 
 // The loop's calls. Times are by package monotonic's clock: the module's own may have been read before the process was stopped.
 
 // Ask takes note that units were asked for.
-func (u *User) Ask(_ decide.Time, b *decide.Budget, units float64) {
+func (u *User) Ask(_ policy.Time, b *policy.Budget, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.holder.Ask(monotonic.Now(), b.ID, whole(b), b.Spread, units)
 }
 
 // Level is how many units may be taken now.
-func (u *User) Level(_ decide.Time, b *decide.Budget) float64 {
+func (u *User) Level(_ policy.Time, b *policy.Budget) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return min(u.holder.Level(monotonic.Now(), b.ID), b.Burst) // a part that is not lessened yet
 }
 
 // Rate is at which rate they come.
-func (u *User) Rate(_ decide.Time, b *decide.Budget) float64 {
+func (u *User) Rate(_ policy.Time, b *policy.Budget) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return min(u.holder.Rate(monotonic.Now(), b.ID), b.Rate)
 }
 
 // Take uses units for a request.
-func (u *User) Take(_ decide.Time, id uint64, b *decide.Budget, units float64) {
+func (u *User) Take(_ policy.Time, id uint64, b *policy.Budget, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := monotonic.Now()
@@ -108,7 +108,7 @@
 }
 
 // Return gives back units that were lent.
-func (u *User) Return(_ decide.Time, b *decide.Budget, units float64) {
+func (u *User) Return(_ policy.Time, b *policy.Budget, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.holder.Return(monotonic.Now(), b.ID, units)
@@ -133,10 +133,10 @@
 }
 
 // Borrow asks the owner of a budget for units.
-func (u *User) Borrow(id uint64, b *decide.Budget, units float64) bool {
-	shard := budget.ShardOf(b.ID, u.shards)
+func (u *User) Borrow(id uint64, b *policy.Budget, units float64) bool {
+	shard := allocation.ShardOf(b.ID, u.shards)
 	now := monotonic.Now()
-	owner, address, ok := u.owners.Owner(budget.Duty(shard))
+	owner, address, ok := u.owners.Owner(allocation.Duty(shard))
 	if !ok || now < time.Duration(u.silent[shard].Load()) {
 		return false
 	}
@@ -156,13 +156,13 @@
 	u.mu.Lock()
 	age, order := u.holder.Age(monotonic.Now()), u.order
 	u.mu.Unlock()
-	ask := &fleetpb.LoanAsk{Version: order, Age: age, Duty: budget.Duty(shard), Budget: l.Budget.ID, Units: units,
-		Whole: &fleetpb.Share{Rate: l.Budget.Rate, Burst: l.Budget.Burst}, Spread: uint32(l.Budget.Spread)}
+	ask := &controlpb.LoanAsk{Version: order, Age: age, Duty: allocation.Duty(shard), Budget: l.Budget.ID, Units: units,
+		Whole: &controlpb.Share{Rate: l.Budget.Rate, Burst: l.Budget.Burst}, Spread: uint32(l.Budget.Spread)}
 	a, err := u.client.Borrow(ctx, owner.ID, address, ask)
 	u.mu.Lock()
 	u.figures.Loans++
 	switch {
-	case err != nil || a.Code != fleetpb.Code_OK:
+	case err != nil || a.Code != controlpb.Code_OK:
 		u.figures.Unheard++
 		u.silent[shard].Store(int64(monotonic.Now() + silentFor))
 	case a.Lent:
@@ -219,7 +219,7 @@
 
 // renew renews once. It tells whether there is something to say at once.
 func (u *User) renew(ctx context.Context, shard int) bool {
-	owner, address, ok := u.owners.Owner(budget.Duty(shard))
+	owner, address, ok := u.owners.Owner(allocation.Duty(shard))
 	if !ok {
 		return false
 	}
@@ -238,7 +238,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.figures.Renewals++
-	if err != nil || a.Code != fleetpb.Code_OK {
+	if err != nil || a.Code != controlpb.Code_OK {
 		u.figures.Failed++
 		return false
 	}
@@ -268,12 +268,12 @@
 		go func() {
 			defer wg.Done()
 			for ctx.Err() == nil {
-				owner, address, ok := u.owners.Owner(budget.Duty(shard))
+				owner, address, ok := u.owners.Owner(allocation.Duty(shard))
 				if ok {
 					one, cancel := context.WithTimeout(ctx, renewWithin)
 					a, err := u.client.Renew(one, owner.ID, address, ask)
 					cancel()
-					if err == nil && a.Code == fleetpb.Code_OK {
+					if err == nil && a.Code == controlpb.Code_OK {
 						return
 					}
 				}
@@ -299,7 +299,7 @@
 }
 
 // Parts is a right in a record.
-type Parts = budget.Held
+type Parts = allocation.Held
 
 // Record has each renewal written down. It is to be called before Run.
 func (u *User) Record(to io.Writer) { u.record = to }
@@ -314,7 +314,7 @@
 	if changed {
 		l.Held = map[string]Parts{}
 		for _, r := range u.holder.Rights(l.At) {
-			if budget.ShardOf(r.Budget, u.shards) == shard {
+			if allocation.ShardOf(r.Budget, u.shards) == shard {
 				l.Held[strconv.FormatUint(r.Budget, 16)] = r.Held
 			}
 		}
@@ -330,7 +330,7 @@
 }
 
 // Rights are what this process holds now, and what it did.
-func (u *User) Rights() ([]budget.Right, Figures) {
+func (u *User) Rights() ([]allocation.Right, Figures) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.holder.Rights(monotonic.Now()), u.figures
--- a/internal/auditrecorder/cells.go
+++ b/internal/controlplane/auditrecorder/cells.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"unsafe"
 
-	"mothcleat/auditlog"
-	"mothcleat/internal/mmapfile"
+	"mothcleat/internal/controlplane/auditlog"
 	"mothcleat/internal/mustjson"
+	"mothcleat/internal/storage/mmapfile"
 )
 
 // cells are a file mapped into memory in which one goroutine counts: a cell for each set of versions, one after another. What was
--- a/internal/auditrecorder/recorder.go
+++ b/internal/controlplane/auditrecorder/recorder.go
@@ -21,9 +21,9 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
 	"mothcleat/internal/failpoint"
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 const (
--- a/internal/auditrecorder/recorder_test.go
+++ b/internal/controlplane/auditrecorder/recorder_test.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"testing"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/auditrecorder/stored_test.go
+++ b/internal/controlplane/auditrecorder/stored_test.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"testing"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
 	"mothcleat/internal/testing/fixture"
 )
 
--- a/internal/fleetnode/call.go
+++ b/internal/controlplane/call.go
@@ -1,4 +1,4 @@
-package fleetnode
+package controlplane
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/budgets"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/allocator"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/usageexport"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
-	"mothcleat/usageexport"
 )
 
 const callWithin = 800 * time.Millisecond // an operator's call
@@ -117,15 +117,15 @@
 
 // Rights is what this process holds of the budgets, and what it divides.
 type Rights struct {
-	Member  lease.Member              `json:"member"`
-	At      time.Duration             `json:"at"` // by the clock that goes on while a process is stopped
-	Held    []budget.Right            `json:"held"`
-	Did     budgets.Figures           `json:"did"`
-	Divides map[string]budget.Figures `json:"divides"`
+	Member  lease.Member                  `json:"member"`
+	At      time.Duration                 `json:"at"` // by the clock that goes on while a process is stopped
+	Held    []allocation.Right            `json:"held"`
+	Did     allocator.Figures             `json:"did"`
+	Divides map[string]allocation.Figures `json:"divides"`
 }
 
 // books are all budgets as they are agreed.
-func (n *Node) books(ctx context.Context, customer []string) (some []budget.View, err error) {
+func (n *Node) books(ctx context.Context, customer []string) (some []allocation.View, err error) {
 	wanted := uint64(0)
 	if len(customer) > 0 {
 		if wanted, err = strconv.ParseUint(customer[0], 16, 64); err != nil {
@@ -134,11 +134,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	raw, err := n.client.Ask(ctx, budget.MachineName, nil)
+	raw, err := n.client.Ask(ctx, allocation.MachineName, nil)
 	if err != nil {
 		return nil, err
 	}
-	all, err := budget.Views(raw)
+	all, err := allocation.Views(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -150,7 +150,7 @@
 	for _, m := range l.Members {
 		here[m.Member] = true
 	}
-	some = []budget.View{}
+	some = []allocation.View{}
 	for _, v := range all {
 		if len(customer) > 0 && v.Budget != wanted {
 			continue
@@ -185,7 +185,7 @@
 func (n *Node) alter(ctx context.Context, add bool, name string) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	v := &fleetpb.Voter{Name: name}
+	v := &controlpb.Voter{Name: name}
 	if add {
 		s := n.server.Load()
 		if s == nil || s.Voter() == nil {
--- a/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -11,8 +11,8 @@
 	"fmt"
 	"time"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // MachineName is the name of this state machine in the replicated state.
--- a/checkpoint/checkpoint_test.go
+++ b/internal/controlplane/checkpoint/checkpoint_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 func TestOps(t *testing.T) {
--- a/internal/configstate/configstate.go
+++ b/internal/controlplane/configstate/configstate.go
@@ -15,7 +15,7 @@
 	"encoding/hex"
 	"fmt"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // Codec reads the contents of one item as records and writes them. Its methods may be called concurrently, and must not
--- a/internal/configstate/fetch.go
+++ b/internal/controlplane/configstate/fetch.go
@@ -1,8 +1,8 @@
 package configstate
 
 import (
-	"mothcleat/distribution"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 const (
@@ -15,7 +15,7 @@
 // ApplyDelta makes the content with a digest out of a base, and gives its bytes. It returns a WrongBaseError for a delta
 // between other contents, an InvalidRecordError of package distribution for a record that can't be kept, a
 // DigestMismatchError where the result is not the wanted content, and the codec's error for what is no content at all.
-func ApplyDelta(codec Codec, base *Version, digest string, d *fleetpb.ContentDelta) (*Version, []byte, error) {
+func ApplyDelta(codec Codec, base *Version, digest string, d *controlpb.ContentDelta) (*Version, []byte, error) {
 	if d.GetBase() != base.Digest {
 		return nil, nil, &WrongBaseError{base.Digest, d.GetBase()}
 	}
@@ -41,7 +41,7 @@
 
 // NewRepair compares a base with the sums of the content that has a digest. It returns a WrongBaseError for sums of
 // another content, and an InvalidMessageError of package distribution for sums that can't be read.
-func NewRepair(base *Version, digest string, sums *fleetpb.ContentSums) (*Repair, error) {
+func NewRepair(base *Version, digest string, sums *controlpb.ContentSums) (*Repair, error) {
 	if sums.GetDigest() != digest {
 		return nil, &WrongBaseError{digest, sums.GetDigest()}
 	}
@@ -68,7 +68,7 @@
 
 // Put takes an answer in. It returns an error for a bucket that was not asked for or does not come to its sum, and for
 // an answer without any.
-func (r *Repair) Put(answer *fleetpb.ContentBucketsResponse) error {
+func (r *Repair) Put(answer *controlpb.ContentBucketsResponse) error {
 	if len(answer.GetBuckets()) == 0 {
 		return &distribution.InvalidMessageError{Message: "buckets", Reason: "there are none"}
 	}
--- a/internal/configstate/serve.go
+++ b/internal/controlplane/configstate/serve.go
@@ -1,8 +1,8 @@
 package configstate
 
 import (
-	"mothcleat/distribution"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 const (
@@ -17,38 +17,38 @@
 // AnswerDelta is what a server that has a content sends to a process that has some bases: a delta from the first of them
 // that find returns, or the sums of all buckets; neither where the content has to travel whole. find returns nil for a
 // content that is not here.
-func AnswerDelta(target *Version, bases []string, find func(digest string) *Version) *fleetpb.ContentDeltaResponse {
+func AnswerDelta(target *Version, bases []string, find func(digest string) *Version) *controlpb.ContentDeltaResponse {
 	if !target.Canonical || len(bases) == 0 {
-		return &fleetpb.ContentDeltaResponse{}
+		return &controlpb.ContentDeltaResponse{}
 	}
 	for _, digest := range bases[:min(len(bases), maxBases)] {
 		if base := find(digest); base != nil {
 			return answerFrom(base, target)
 		}
 	}
-	return &fleetpb.ContentDeltaResponse{Sums: &fleetpb.ContentSums{
+	return &controlpb.ContentDeltaResponse{Sums: &controlpb.ContentSums{
 		Digest: target.Digest, State: target.State.Digest().Encode(), Sums: target.State.Sums().Encode(),
 	}}
 }
 
-func answerFrom(base, target *Version) *fleetpb.ContentDeltaResponse {
+func answerFrom(base, target *Version) *controlpb.ContentDeltaResponse {
 	changes := base.State.Difference(target.State)
 	size := 0
 	for i := range changes {
 		size += len(changes[i].ID) + len(changes[i].Value)
 	}
 	if float64(size) > maxDeltaShare*float64(target.Size) {
-		return &fleetpb.ContentDeltaResponse{}
+		return &controlpb.ContentDeltaResponse{}
 	}
-	return &fleetpb.ContentDeltaResponse{Delta: &fleetpb.ContentDelta{
+	return &controlpb.ContentDeltaResponse{Delta: &controlpb.ContentDelta{
 		Base: base.Digest, Digest: target.Digest, Changes: distribution.ChangesProto(changes),
 	}}
 }
 
 // AnswerBuckets gives some buckets of a content in the order in which they were asked for, as many as fit in one answer
 // and one at least.
-func AnswerBuckets(v *Version, indexes []uint32) *fleetpb.ContentBucketsResponse {
-	answer := &fleetpb.ContentBucketsResponse{}
+func AnswerBuckets(v *Version, indexes []uint32) *controlpb.ContentBucketsResponse {
+	answer := &controlpb.ContentBucketsResponse{}
 	size := 0
 	for _, index := range indexes {
 		if index >= distribution.BucketCount || size > maxBucketBytes {
--- a/versions/guide.go
+++ b/internal/controlplane/configversion/guide.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Pilots are the gateways that act on a version in a stage, by rendezvous: other ones each time.
--- a/versions/holder.go
+++ b/internal/controlplane/configversion/holder.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"maps"
--- a/versions/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"encoding/json"
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // Fence refuses a command under an old term of a duty.
--- a/versions/op.go
+++ b/internal/controlplane/configversion/op.go
@@ -1,9 +1,9 @@
-package versions
+package configversion
 
 import (
 	"time"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
 	"mothcleat/internal/mustjson"
 )
 
--- a/versions/permit.go
+++ b/internal/controlplane/configversion/permit.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // Target is what one gateway is to act on of an item.
--- a/versions/stages.go
+++ b/internal/controlplane/configversion/stages.go
@@ -1,11 +1,11 @@
-package versions
+package configversion
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // propose starts the roll-out of a new version and returns its number.
--- a/versions/state.go
+++ b/internal/controlplane/configversion/state.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // Standing is a process that may hold permits.
--- a/versions/versions.go
+++ b/internal/controlplane/configversion/versions.go
@@ -1,4 +1,4 @@
-// Package versions decides what the gateways of a fleet are to act on, when one may go on acting on it, and who is behind.
+// Package configversion decides what the gateways of a fleet are to act on, when one may go on acting on it, and who is behind.
 //
 // What is acted on is a set of named items. Each version of an item has a number that only grows, a digest, and a time from which it
 // holds; all of them are agreed (Machine, a part of the agreed state). A gateway (Holder) asks what it may act on, again and again, and
@@ -9,7 +9,7 @@
 // While versions overlap a gateway knows which others may still be acted on, so that it can keep to the tighter of their terms.
 //
 // A Guide decides when a version goes on from one gateway to a tenth to all. Nothing here does I/O or looks at a clock.
-package versions
+package configversion
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 	"regexp"
 	"time"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // MachineName is what the agreed state calls the versions; Duty is the duty of guiding roll-outs.
--- a/versions/versions_test.go
+++ b/internal/controlplane/configversion/versions_test.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 type anyTerm struct{}
--- a/agree/agree_test.go
+++ b/internal/controlplane/consensus/agree_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"io"
@@ -9,8 +9,8 @@
 
 	"go.etcd.io/raft/v3"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // testConfig is how a voter of a test is set up.
@@ -28,7 +28,7 @@
 
 func newAlone(t *testing.T, machines map[string]Machine) *alone {
 	t.Helper()
-	saved, err := Found("test", []*fleetpb.Voter{{Number: 7, Name: "v"}})
+	saved, err := Found("test", []*controlpb.Voter{{Number: 7, Name: "v"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 }
 
 // do has a command carried out and gives its answer.
-func (a *alone) do(c *fleetpb.Command) *fleetpb.Answer {
+func (a *alone) do(c *controlpb.Command) *controlpb.Answer {
 	a.t.Helper()
 	a.node.Submit(a.now, c, c)
 	a.pass(0)
@@ -89,18 +89,18 @@
 	a := newAlone(t, map[string]Machine{lease.MachineName: lease.NewMachine(lease.Defaults())})
 	var sessions, seqs [2]uint64
 	who := []lease.Member{{ID: "owner", Boot: 1}, {ID: "other", Boot: 2}}
-	ask := func(i int) *fleetpb.Answer {
+	ask := func(i int) *controlpb.Answer {
 		seqs[i]++
-		return a.do(&fleetpb.Command{Session: sessions[i], Seq: seqs[i], Floor: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Do: "ask", Duty: "d", Term: 1}.Encode(),
-			Member: &fleetpb.Member{Id: who[i].ID, Boot: who[i].Boot}})
+		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], Floor: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Do: "ask", Duty: "d", Term: 1}.Encode(),
+			Member: &controlpb.Member{Id: who[i].ID, Boot: who[i].Boot}})
 	}
 	for i := range who {
-		sessions[i] = a.do(&fleetpb.Command{Member: &fleetpb.Member{Id: who[i].ID, Boot: who[i].Boot}}).Session
+		sessions[i] = a.do(&controlpb.Command{Member: &controlpb.Member{Id: who[i].ID, Boot: who[i].Boot}}).Session
 	}
 	entries := a.node.applied
 	for a.now = 0; a.now < 10*SessionSpan; a.pass(500 * time.Millisecond) {
 		for i := range who {
-			if answer := ask(i); answer.Code != fleetpb.Code_OK {
+			if answer := ask(i); answer.Code != controlpb.Code_OK {
 				t.Fatalf("at %v: %v", a.now, answer)
 			}
 		}
--- a/agree/apply.go
+++ b/internal/controlplane/consensus/apply.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // apply carries out an agreed entry.
@@ -28,7 +28,7 @@
 	case e.GetType() == raftpb.EntryConfChange:
 		return fmt.Errorf("agree: entry %d: a change of voters in a form that this program does not write", n.applied)
 	case len(e.Data) > 0:
-		var in fleetpb.Entry
+		var in controlpb.Entry
 		if err := proto.Unmarshal(e.Data, &in); err != nil {
 			return fmt.Errorf("agree: entry %d: %w", n.applied, err)
 		}
@@ -49,7 +49,7 @@
 }
 
 // command applies a command, once.
-func (n *Node) command(now time.Duration, e *fleetpb.Entry) error {
+func (n *Node) command(now time.Duration, e *controlpb.Entry) error {
 	at := max(time.Duration(e.At), n.lastAt)
 	n.lastAt, n.lastLocal = at, now
 	n.clock.saw(at, now)
@@ -57,8 +57,8 @@
 		n.sessions.expire(at)
 		who := lease.Member{ID: e.Member.GetId(), Boot: e.Member.GetBoot()}
 		number, code := n.sessions.open(n.applied, who, e.Member.GetAddress(), at)
-		a := &fleetpb.Answer{Code: code, Session: number}
-		if code == fleetpb.Code_SUPERSEDED {
+		a := &controlpb.Answer{Code: code, Session: number}
+		if code == controlpb.Code_SUPERSEDED {
 			a.Why = superseded(who)
 		}
 		for _, tag := range n.opens[who] {
@@ -72,7 +72,7 @@
 		in.seen = at
 		in.settle(e.Floor)
 	}
-	if code == fleetpb.Code_OK && !had {
+	if code == controlpb.Code_OK && !had {
 		if e.Machine != "" { // else it only says that the process is there
 			m := n.cfg.Machines[e.Machine]
 			if m == nil {
@@ -83,7 +83,7 @@
 		in.answers[e.Seq] = answer
 	}
 	for _, tag := range n.pending[e.Session][e.Seq] {
-		n.done = append(n.done, Done{tag, &fleetpb.Answer{Code: code, Body: answer}})
+		n.done = append(n.done, Done{tag, &controlpb.Answer{Code: code, Body: answer}})
 	}
 	delete(n.pending[e.Session], e.Seq)
 	if len(n.pending[e.Session]) == 0 {
@@ -95,7 +95,7 @@
 // alter takes in an agreed change of voters.
 func (n *Node) alter(cc *raftpb.ConfChangeV2) error {
 	if len(cc.Changes) > 0 {
-		v := &fleetpb.Voter{}
+		v := &controlpb.Voter{}
 		if err := proto.Unmarshal(cc.Context, v); err != nil {
 			return fmt.Errorf("agree: entry %d: %w", n.applied, err)
 		}
@@ -105,7 +105,7 @@
 			n.voters[v.Number] = v
 		}
 		for _, tag := range n.changes {
-			n.done = append(n.done, Done{tag, &fleetpb.Answer{}})
+			n.done = append(n.done, Done{tag, &controlpb.Answer{}})
 		}
 		n.changes = nil
 	}
@@ -119,10 +119,10 @@
 
 // Compact makes a snapshot of the state and drops old entries. Compacted tells what to save of it.
 func (n *Node) Compact() error {
-	s := &fleetpb.Snapshot{At: uint64(n.lastAt), Fleet: n.fleet, Voters: n.Voters()}
+	s := &controlpb.Snapshot{At: uint64(n.lastAt), Fleet: n.fleet, Voters: n.Voters()}
 	n.sessions.write(s)
 	for _, name := range slices.Sorted(maps.Keys(n.cfg.Machines)) {
-		s.Machines = append(s.Machines, &fleetpb.MachineState{Name: name, State: n.cfg.Machines[name].Snapshot()})
+		s.Machines = append(s.Machines, &controlpb.MachineState{Name: name, State: n.cfg.Machines[name].Snapshot()})
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
@@ -155,11 +155,11 @@
 
 // restore takes the state from a snapshot.
 func (n *Node) restore(now time.Duration, from *raftpb.Snapshot) error {
-	var s fleetpb.Snapshot
+	var s controlpb.Snapshot
 	if err := proto.Unmarshal(from.Data, &s); err != nil {
 		return fmt.Errorf("agree: snapshot: %w", err)
 	}
-	n.fleet, n.voters = s.Fleet, map[uint64]*fleetpb.Voter{}
+	n.fleet, n.voters = s.Fleet, map[uint64]*controlpb.Voter{}
 	for _, v := range s.Voters {
 		n.voters[v.Number] = v
 	}
--- a/agree/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package agree is the fleet's agreed state: a log replicated over voters by the raft library,
+// Package consensus is the fleet's agreed state: a log replicated over voters by the raft library,
 // state machines that its entries go to, and sessions by which each command is applied once
 // however often it is sent.
 //
@@ -21,4 +21,4 @@
 //   - A Read sees all that was answered before it was asked.
 //   - A voter whose folder is older than what it promised takes no part, as long as one of those who know its
 //     promises answers when it starts (see Proof).
-package agree
+package consensus
--- a/agree/leaders_test.go
+++ b/internal/controlplane/consensus/leaders_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // trio is three voters in virtual time whose messages all arrive at once.
@@ -25,9 +25,9 @@
 func newTrio(t *testing.T, seed uint64) *trio {
 	t.Helper()
 	w := &trio{t: t, r: rand.New(rand.NewPCG(seed, 2)), nodes: map[uint64]*Node{}}
-	var voters []*fleetpb.Voter
+	var voters []*controlpb.Voter
 	for number := range uint64(3) {
-		voters = append(voters, &fleetpb.Voter{Number: number + 1, Name: fmt.Sprintf("v%d", number+1)})
+		voters = append(voters, &controlpb.Voter{Number: number + 1, Name: fmt.Sprintf("v%d", number+1)})
 	}
 	for _, v := range voters {
 		saved, err := Found("test", voters)
@@ -99,12 +99,12 @@
 }
 
 // ended is the answer to a request at a voter.
-func (w *trio) ended(n *Node, tag any) *fleetpb.Answer {
+func (w *trio) ended(n *Node, tag any) *controlpb.Answer {
 	w.t.Helper()
 	w.pass(40 * time.Millisecond)
 	w.pass(40 * time.Millisecond)
 	for _, d := range n.Ended() {
-		if d.Tag == tag && d.Answer.Code == fleetpb.Code_OK {
+		if d.Tag == tag && d.Answer.Code == controlpb.Code_OK {
 			return d.Answer
 		}
 	}
@@ -138,8 +138,8 @@
 			number, n := w.leader()
 			leaders[number] = true
 			if w.r.IntN(2) == 0 {
-				who := &fleetpb.Member{Id: fmt.Sprintf("g%d", w.r.IntN(10)), Boot: step + 1, Address: "at"}
-				n.Submit(w.now, &fleetpb.Command{Member: who}, who)
+				who := &controlpb.Member{Id: fmt.Sprintf("g%d", w.r.IntN(10)), Boot: step + 1, Address: "at"}
+				n.Submit(w.now, &controlpb.Command{Member: who}, who)
 				w.ended(n, who)
 			}
 			switch w.r.IntN(6) {
--- a/agree/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"hash/fnv"
 	"slices"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Revision names one content of a list of members: the index of the log entry that brought it
--- a/agree/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"encoding/json"
@@ -11,15 +11,15 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // open opens a session and gives its number.
 func (a *alone) open(id string, boot uint64) uint64 {
 	a.t.Helper()
-	answer := a.do(&fleetpb.Command{Member: &fleetpb.Member{Id: id, Boot: boot, Address: "at-" + id}})
-	if answer.Code != fleetpb.Code_OK {
+	answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: id, Boot: boot, Address: "at-" + id}})
+	if answer.Code != controlpb.Code_OK {
 		a.t.Fatalf("opening %s/%d: %v", id, boot, answer)
 	}
 	return answer.Session
@@ -28,13 +28,13 @@
 // touch has a session say that its process is there.
 func (a *alone) touch(session, seq uint64) {
 	a.t.Helper()
-	if answer := a.do(&fleetpb.Command{Session: session, Seq: seq, Floor: seq - 1, Member: &fleetpb.Member{}}); answer.Code != fleetpb.Code_OK {
+	if answer := a.do(&controlpb.Command{Session: session, Seq: seq, Floor: seq - 1, Member: &controlpb.Member{}}); answer.Code != controlpb.Code_OK {
 		a.t.Fatalf("session %d: %v", session, answer)
 	}
 }
 
 // read reads who belongs to the fleet.
-func (a *alone) read(body []byte) *fleetpb.Answer {
+func (a *alone) read(body []byte) *controlpb.Answer {
 	a.t.Helper()
 	tag := new(int)
 	a.node.Read(FleetName, body, tag)
@@ -52,7 +52,7 @@
 func (a *alone) refresh(c *MemberCache) int {
 	a.t.Helper()
 	answer := a.read(c.Query())
-	if answer.Code != fleetpb.Code_OK {
+	if answer.Code != controlpb.Code_OK {
 		a.t.Fatal(answer)
 	}
 	if err := c.Take(answer.Body); err != nil {
@@ -107,14 +107,14 @@
 	expect(false, "the same process asked for a session again")
 	two := a.open("a", 2)
 	expect(true, "another process took the id")
-	if answer := a.do(&fleetpb.Command{Member: &fleetpb.Member{Id: "a", Boot: 1}}); answer.Code != fleetpb.Code_SUPERSEDED {
+	if answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: "a", Boot: 1}}); answer.Code != controlpb.Code_SUPERSEDED {
 		t.Fatal(answer)
 	}
 	expect(false, "the earlier process was refused")
 	a.pass(SessionSpan / 2)
 	a.touch(two, 1)
 	expect(false, "time passed")
-	a.node.Alter(true, &fleetpb.Voter{Number: 7, Name: "v"}, new(int)) // it is one
+	a.node.Alter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // it is one
 	a.pass(0)
 	expect(false, "no voter more")
 	a.pass(2 * SessionSpan)
@@ -229,7 +229,7 @@
 	a := newAlone(t, nil)
 	c := NewMemberCache(MembershipQuery{Scope: ScopeVoters})
 	a.refresh(c)
-	a.node.voters[8] = &fleetpb.Voter{Number: 8, Name: "w", Address: "there"} // a second real voter would have to answer
+	a.node.voters[8] = &controlpb.Voter{Number: 8, Name: "w", Address: "there"} // a second real voter would have to answer
 	if a.refresh(c) == 0 {
 		t.Fatal("no change")
 	}
@@ -246,7 +246,7 @@
 	for _, id := range []string{"v", "a", "b", "c", "d", "e"} {
 		a.open(id, 1)
 	}
-	a.do(&fleetpb.Command{Member: &fleetpb.Member{Id: "nowhere", Boot: 1}})
+	a.do(&controlpb.Command{Member: &controlpb.Member{Id: "nowhere", Boot: 1}})
 	drawn := map[string]bool{}
 	for seed := range uint64(40) {
 		answer, err := ParseMembershipAnswer(a.read((&MembershipQuery{Scope: ScopeSample, Sample: 2, Seed: seed}).Encode()).Body)
@@ -276,7 +276,7 @@
 		`{"scope":"all"}`:                `scope "all"`,
 		`{"scope":"sample","sample":65}`: "65 members",
 	} {
-		if answer := a.read([]byte(body)); answer.Code != fleetpb.Code_REFUSED || !strings.Contains(answer.Why, why) {
+		if answer := a.read([]byte(body)); answer.Code != controlpb.Code_REFUSED || !strings.Contains(answer.Why, why) {
 			t.Errorf("%s: %v", body, answer)
 		}
 	}
@@ -365,7 +365,7 @@
 		}
 		s.log.commit(w.index)
 		if w.r.IntN(50) == 0 {
-			var snapshot fleetpb.Snapshot
+			var snapshot controlpb.Snapshot
 			s.write(&snapshot)
 			w.all[i] = readSessions(&snapshot)
 			w.all[i].log.begin(w.index)
@@ -465,7 +465,7 @@
 	}
 	w := &replicas{t: t}
 	restored := func(s *sessions) *sessions {
-		var snapshot fleetpb.Snapshot
+		var snapshot controlpb.Snapshot
 		s.write(&snapshot)
 		again := readSessions(&snapshot)
 		again.log.begin(10)
--- a/agree/membershipquery.go
+++ b/internal/controlplane/consensus/membershipquery.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Scope says which part of who belongs to the fleet a MembershipQuery asks for.
--- a/agree/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Machine is a part of the agreed state. Every voter applies the same commands in the same order, and
@@ -55,7 +55,7 @@
 
 	clock     fleetClock
 	fleet     string
-	voters    map[uint64]*fleetpb.Voter
+	voters    map[uint64]*controlpb.Voter
 	sessions  *sessions
 	conf      *raftpb.ConfState
 	applied   uint64
@@ -81,8 +81,8 @@
 
 // Found gives what the folder of a new fleet's voter holds at first. All voters of a fleet have to be given the
 // same, but for which of them they are.
-func Found(fleet string, voters []*fleetpb.Voter) (Saved, error) {
-	s := &fleetpb.Snapshot{Fleet: fleet, Voters: voters}
+func Found(fleet string, voters []*controlpb.Voter) (Saved, error) {
+	s := &controlpb.Snapshot{Fleet: fleet, Voters: voters}
 	cs := &raftpb.ConfState{}
 	for _, v := range voters {
 		cs.Voters = append(cs.Voters, v.Number)
--- a/agree/persist.go
+++ b/internal/controlplane/consensus/persist.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"time"
--- a/agree/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"strconv"
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/raft/v3"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 )
 
 // read is a linearizable read under way.
@@ -47,7 +47,7 @@
 	if machine == FleetName {
 		var err error
 		if r.members, err = parseMembershipQuery(body); err != nil {
-			n.refuse(tag, fleetpb.Code_REFUSED, err.Error())
+			n.refuse(tag, controlpb.Code_REFUSED, err.Error())
 			return
 		}
 	}
--- a/agree/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 )
 
 // turn has a voter save and answer what it has to, and gives the messages that it sends.
@@ -41,7 +41,7 @@
 // endedTags are the tags of the requests that a voter has answered.
 func endedTags(n *Node) (tags []any) {
 	for _, d := range n.Ended() {
-		if d.Answer.Code == fleetpb.Code_OK {
+		if d.Answer.Code == controlpb.Code_OK {
 			tags = append(tags, d.Tag)
 		}
 	}
@@ -128,7 +128,7 @@
 	w.turn(leader)
 	var refused []any
 	for _, d := range leader.Ended() {
-		if d.Answer.Code != fleetpb.Code_NOT_LEADER {
+		if d.Answer.Code != controlpb.Code_NOT_LEADER {
 			t.Errorf("%v", d.Answer)
 		}
 		refused = append(refused, d.Tag)
--- a/agree/requests.go
+++ b/internal/controlplane/consensus/requests.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // freshFor is how long ago a session's last entry may be for a command of it to be answered without one.
@@ -21,22 +21,22 @@
 // Done is the end of a command, a read or a change of voters. Tag is what its caller gave.
 type Done struct {
 	Tag    any
-	Answer *fleetpb.Answer
+	Answer *controlpb.Answer
 }
 
 // answer ends a command or a read with its answer.
 func (n *Node) answer(tag any, body []byte) {
-	n.done = append(n.done, Done{tag, &fleetpb.Answer{Body: body}})
+	n.done = append(n.done, Done{tag, &controlpb.Answer{Body: body}})
 }
 
 // refuseUnknown ends a request for a machine that there is none of.
 func (n *Node) refuseUnknown(tag any, machine string) {
-	n.refuse(tag, fleetpb.Code_REFUSED, fmt.Sprintf("no part of the agreed state is called %q", machine))
+	n.refuse(tag, controlpb.Code_REFUSED, fmt.Sprintf("no part of the agreed state is called %q", machine))
 }
 
 // refuse ends a command or a read with an error, and names the leader if one is known.
-func (n *Node) refuse(tag any, code fleetpb.Code, why string) {
-	a := &fleetpb.Answer{Code: code, Why: why}
+func (n *Node) refuse(tag any, code controlpb.Code, why string) {
+	a := &controlpb.Answer{Code: code, Why: why}
 	if n.rn != nil {
 		if v := n.voters[n.rn.BasicStatus().Lead]; v != nil {
 			a.Leader = v.Name
@@ -49,11 +49,11 @@
 func (n *Node) able(tag any) bool {
 	switch {
 	case n.rn == nil:
-		n.refuse(tag, fleetpb.Code_NOT_READY, "this voter does not take part yet")
+		n.refuse(tag, controlpb.Code_NOT_READY, "this voter does not take part yet")
 	case n.rn.BasicStatus().RaftState != raft.StateLeader:
-		n.refuse(tag, fleetpb.Code_NOT_LEADER, "another voter leads, or none")
+		n.refuse(tag, controlpb.Code_NOT_LEADER, "another voter leads, or none")
 	case !n.leads():
-		n.refuse(tag, fleetpb.Code_NOT_READY, "this voter leads only since now")
+		n.refuse(tag, controlpb.Code_NOT_READY, "this voter leads only since now")
 	default:
 		return true
 	}
@@ -61,13 +61,13 @@
 }
 
 // Submit proposes a command; session 0 opens a session for its member. It ends in a Done with the tag.
-func (n *Node) Submit(now time.Duration, c *fleetpb.Command, tag any) {
+func (n *Node) Submit(now time.Duration, c *controlpb.Command, tag any) {
 	if !n.able(tag) {
 		return
 	}
 	who := lease.Member{ID: c.Member.GetId(), Boot: c.Member.GetBoot()}
 	at := n.clock.now(now)
-	e := &fleetpb.Entry{At: uint64(at), Session: c.Session, Seq: c.Seq, Floor: c.Floor, Machine: c.Machine, Body: c.Body}
+	e := &controlpb.Entry{At: uint64(at), Session: c.Session, Seq: c.Seq, Floor: c.Floor, Machine: c.Machine, Body: c.Body}
 	if c.Session == 0 {
 		e.Member = c.Member
 	} else if n.endsAtOnce(at, who, c, tag) {
@@ -82,7 +82,7 @@
 		err = n.rn.Propose(raw)
 	}
 	if err != nil {
-		n.refuse(tag, fleetpb.Code_NOT_READY, err.Error())
+		n.refuse(tag, controlpb.Code_NOT_READY, err.Error())
 		return
 	}
 	n.await(who, c, tag)
@@ -90,13 +90,13 @@
 
 // endsAtOnce ends a command of a session that needs no entry: one that was answered before, that its
 // machine refuses, or that can't be taken. It reports whether the command has ended.
-func (n *Node) endsAtOnce(at time.Duration, who lease.Member, c *fleetpb.Command, tag any) bool {
+func (n *Node) endsAtOnce(at time.Duration, who lease.Member, c *controlpb.Command, tag any) bool {
 	in, answer, had, code := n.sessions.known(c.Session, c.Seq)
 	switch {
-	case code == fleetpb.Code_NO_SESSION && slices.Contains(n.sessions.retired[who.ID], who.Boot):
-		n.refuse(tag, fleetpb.Code_SUPERSEDED, superseded(who))
+	case code == controlpb.Code_NO_SESSION && slices.Contains(n.sessions.retired[who.ID], who.Boot):
+		n.refuse(tag, controlpb.Code_SUPERSEDED, superseded(who))
 		return true
-	case code != fleetpb.Code_OK:
+	case code != controlpb.Code_OK:
 		n.refuse(tag, code, "")
 		return true
 	case had:
@@ -119,7 +119,7 @@
 }
 
 // await keeps the tag of a proposed command until its entry is applied.
-func (n *Node) await(who lease.Member, c *fleetpb.Command, tag any) {
+func (n *Node) await(who lease.Member, c *controlpb.Command, tag any) {
 	if c.Session == 0 {
 		n.opens[who] = append(n.opens[who], tag)
 		return
@@ -139,7 +139,7 @@
 
 // Alter proposes another list of voters, with one added or one removed, by joint consensus. It ends in a
 // Done with the tag.
-func (n *Node) Alter(add bool, v *fleetpb.Voter, tag any) {
+func (n *Node) Alter(add bool, v *controlpb.Voter, tag any) {
 	if !n.able(tag) {
 		return
 	}
@@ -149,17 +149,17 @@
 		n.answer(tag, nil)
 		return
 	case !add && !is:
-		n.refuse(tag, fleetpb.Code_REFUSED, fmt.Sprintf("%q is no voter", v.Name))
+		n.refuse(tag, controlpb.Code_REFUSED, fmt.Sprintf("%q is no voter", v.Name))
 		return
 	case !add && len(n.voters) == 1:
-		n.refuse(tag, fleetpb.Code_REFUSED, "the last voter stays")
+		n.refuse(tag, controlpb.Code_REFUSED, "the last voter stays")
 		return
 	case add && n.nameTaken(v.Name):
-		n.refuse(tag, fleetpb.Code_REFUSED, fmt.Sprintf("%s is a voter already, by another folder: remove it first", v.Name))
+		n.refuse(tag, controlpb.Code_REFUSED, fmt.Sprintf("%s is a voter already, by another folder: remove it first", v.Name))
 		return
 	}
 	if err := n.proposeVoterChange(add, v); err != nil {
-		n.refuse(tag, fleetpb.Code_NOT_READY, err.Error())
+		n.refuse(tag, controlpb.Code_NOT_READY, err.Error())
 		return
 	}
 	n.changes = append(n.changes, tag)
@@ -175,7 +175,7 @@
 	return false
 }
 
-func (n *Node) proposeVoterChange(add bool, v *fleetpb.Voter) error {
+func (n *Node) proposeVoterChange(add bool, v *controlpb.Voter) error {
 	kind := raftpb.ConfChangeAddNode
 	if !add {
 		kind = raftpb.ConfChangeRemoveNode
@@ -196,7 +196,7 @@
 func (n *Node) stepDown() {
 	end := func(tags ...any) {
 		for _, tag := range tags {
-			n.refuse(tag, fleetpb.Code_NOT_LEADER, "this voter leads no more")
+			n.refuse(tag, controlpb.Code_NOT_LEADER, "this voter leads no more")
 		}
 	}
 	// In a fixed order, so that one seed of the emulator has one history.
@@ -228,6 +228,6 @@
 func (n *Node) Drop(why string) {
 	n.stepDown()
 	for _, d := range n.done {
-		d.Answer.Code, d.Answer.Why = fleetpb.Code_NOT_READY, why
+		d.Answer.Code, d.Answer.Why = controlpb.Code_NOT_READY, why
 	}
 }
--- a/agree/sample_test.go
+++ b/internal/controlplane/consensus/sample_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // drawnSessions draws sessions of some processes.
--- a/agree/sessions.go
+++ b/internal/controlplane/consensus/sessions.go
@@ -1,12 +1,12 @@
-package agree
+package consensus
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 const (
@@ -43,20 +43,20 @@
 
 // open begins a session under a number. The newest process of an id goes first: an older one's session ends,
 // and it can't open another. The same process asking twice gets the session that it has.
-func (s *sessions) open(number uint64, who lease.Member, address string, at time.Duration) (uint64, fleetpb.Code) {
+func (s *sessions) open(number uint64, who lease.Member, address string, at time.Duration) (uint64, controlpb.Code) {
 	if slices.Contains(s.retired[who.ID], who.Boot) {
-		return 0, fleetpb.Code_SUPERSEDED
+		return 0, controlpb.Code_SUPERSEDED
 	}
 	if old := s.byID[who.ID]; old != nil {
 		if old.member.Boot == who.Boot {
 			old.seen = at
-			return old.number, fleetpb.Code_OK
+			return old.number, controlpb.Code_OK
 		}
 		s.retire(old)
 	}
 	n := &session{number: number, member: who, address: address, seen: at, answers: map[uint64][]byte{}}
 	s.add(n)
-	return number, fleetpb.Code_OK
+	return number, controlpb.Code_OK
 }
 
 func (s *sessions) add(n *session) {
@@ -88,21 +88,21 @@
 }
 
 // known tells what becomes of a command; had tells that it was applied before, with what answer.
-func (s *sessions) known(number, seq uint64) (in *session, answer []byte, had bool, code fleetpb.Code) {
+func (s *sessions) known(number, seq uint64) (in *session, answer []byte, had bool, code controlpb.Code) {
 	in = s.byNumber[number]
 	if in == nil {
-		return nil, nil, false, fleetpb.Code_NO_SESSION
+		return nil, nil, false, controlpb.Code_NO_SESSION
 	}
 	if answer, had = in.answers[seq]; had {
-		return in, answer, true, fleetpb.Code_OK
+		return in, answer, true, controlpb.Code_OK
 	}
 	if seq <= in.floor {
-		return in, nil, false, fleetpb.Code_REFUSED // its answer has come, by its own session's word
+		return in, nil, false, controlpb.Code_REFUSED // its answer has come, by its own session's word
 	}
 	if len(in.answers) >= MostOpen {
-		return in, nil, false, fleetpb.Code_BUSY
+		return in, nil, false, controlpb.Code_BUSY
 	}
-	return in, nil, false, fleetpb.Code_OK
+	return in, nil, false, controlpb.Code_OK
 }
 
 // settle drops the answers that the session's process has had.
@@ -136,23 +136,23 @@
 }
 
 // write puts the sessions into a snapshot, in an order of their own.
-func (s *sessions) write(to *fleetpb.Snapshot) {
+func (s *sessions) write(to *controlpb.Snapshot) {
 	for _, n := range s.byNumber {
-		w := &fleetpb.Session{Number: n.number, Member: &fleetpb.Member{Id: n.member.ID, Boot: n.member.Boot, Address: n.address}, Seen: uint64(n.seen), Floor: n.floor}
+		w := &controlpb.Session{Number: n.number, Member: &controlpb.Member{Id: n.member.ID, Boot: n.member.Boot, Address: n.address}, Seen: uint64(n.seen), Floor: n.floor}
 		for seq, answer := range n.answers {
-			w.Answers = append(w.Answers, &fleetpb.Kept{Seq: seq, Answer: answer})
+			w.Answers = append(w.Answers, &controlpb.Kept{Seq: seq, Answer: answer})
 		}
-		slices.SortFunc(w.Answers, func(a, b *fleetpb.Kept) int { return cmp.Compare(a.Seq, b.Seq) })
+		slices.SortFunc(w.Answers, func(a, b *controlpb.Kept) int { return cmp.Compare(a.Seq, b.Seq) })
 		to.Sessions = append(to.Sessions, w)
 	}
-	slices.SortFunc(to.Sessions, func(a, b *fleetpb.Session) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(to.Sessions, func(a, b *controlpb.Session) int { return cmp.Compare(a.Number, b.Number) })
 	for id, boots := range s.retired {
-		to.Retired = append(to.Retired, &fleetpb.Retired{Id: id, Boots: boots})
+		to.Retired = append(to.Retired, &controlpb.Retired{Id: id, Boots: boots})
 	}
-	slices.SortFunc(to.Retired, func(a, b *fleetpb.Retired) int { return cmp.Compare(a.Id, b.Id) })
+	slices.SortFunc(to.Retired, func(a, b *controlpb.Retired) int { return cmp.Compare(a.Id, b.Id) })
 }
 
-func readSessions(from *fleetpb.Snapshot) *sessions {
+func readSessions(from *controlpb.Snapshot) *sessions {
 	s := newSessions()
 	for _, w := range from.Sessions {
 		n := &session{number: w.Number, member: lease.Member{ID: w.Member.GetId(), Boot: w.Member.GetBoot()}, address: w.Member.GetAddress(),
--- a/agree/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/tracker"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 )
 
 // Role is what a voter is at a time.
@@ -37,12 +37,12 @@
 }
 
 // Voters returns the agreed voters, by name.
-func (n *Node) Voters() []*fleetpb.Voter {
-	all := make([]*fleetpb.Voter, 0, len(n.voters))
+func (n *Node) Voters() []*controlpb.Voter {
+	all := make([]*controlpb.Voter, 0, len(n.voters))
 	for _, v := range n.voters {
 		all = append(all, v)
 	}
-	slices.SortFunc(all, func(a, b *fleetpb.Voter) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b *controlpb.Voter) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
--- a/internal/fleetpb/wire_test.go
+++ b/internal/controlplane/controlpb/wire_test.go
@@ -1,4 +1,4 @@
-package fleetpb
+package controlpb
 
 import (
 	"testing"
@@ -8,5 +8,5 @@
 
 // The numbers and kinds of all fields and the names of all calls are the wire format, which older builds speak too.
 func TestWireFormat(t *testing.T) {
-	fixture.Equal(t, "testdata/wire.txt", fixture.WireFormat(File_internal_fleetpb_fleet_proto))
+	fixture.Equal(t, "testdata/wire.txt", fixture.WireFormat(File_internal_controlplane_controlpb_fleet_proto))
 }
--- a/internal/fleetlink/client.go
+++ b/internal/controlplane/controlrpc/client.go
@@ -1,4 +1,4 @@
-package fleetlink
+package controlrpc
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Errors of a Client, to be told apart by errors.Is.
@@ -62,7 +62,7 @@
 
 // NewClient makes a client. at has the voters' addresses by name, as they are known at first; address is where this
 // process is reached itself.
-func NewClient(fleet string, me lease.Member, address string, voters []*fleetpb.Voter, addresses Addresses, log *slog.Logger) *Client {
+func NewClient(fleet string, me lease.Member, address string, voters []*controlpb.Voter, addresses Addresses, log *slog.Logger) *Client {
 	c := &Client{fleet: fleet, me: me, address: address, addresses: addresses, log: log, out: map[uint64]bool{},
 		shunned: map[string]time.Time{}}
 	c.SetVoters(voters)
@@ -73,7 +73,7 @@
 func (c *Client) Observe(o *Observer) { c.conns.observer = o }
 
 // SetVoters takes in who votes now.
-func (c *Client) SetVoters(voters []*fleetpb.Voter) {
+func (c *Client) SetVoters(voters []*controlpb.Voter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.voters, c.at = nil, map[string]string{}
@@ -150,12 +150,12 @@
 
 // each asks one voter after another until one gives a final answer, or the context ends. The call must be one that
 // may be made again.
-func (c *Client) each(ctx context.Context, call func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error)) (*fleetpb.Answer, error) {
+func (c *Client) each(ctx context.Context, call func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error)) (*controlpb.Answer, error) {
 	return c.eachWithin(ctx, tryWithin, call)
 }
 
 // eachWithin is each with another time for one voter to answer.
-func (c *Client) eachWithin(ctx context.Context, within time.Duration, call func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error)) (*fleetpb.Answer, error) {
+func (c *Client) eachWithin(ctx context.Context, within time.Duration, call func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error)) (*controlpb.Answer, error) {
 	last := "no voter is known"
 	for {
 		name, address := c.target()
@@ -171,12 +171,12 @@
 			case err != nil:
 				last = fmt.Sprintf("%s: %v", name, err)
 				c.missed(name, "", true)
-			case a.Code == fleetpb.Code_NOT_LEADER:
+			case a.Code == controlpb.Code_NOT_LEADER:
 				last = fmt.Sprintf("%s: %s", name, a.Why)
 				c.missed(name, a.Leader, false)
-			case a.Code == fleetpb.Code_NOT_READY || a.Code == fleetpb.Code_BUSY:
+			case a.Code == controlpb.Code_NOT_READY || a.Code == controlpb.Code_BUSY:
 				last = fmt.Sprintf("%s: %s", name, a.Why)
-				if a.Code == fleetpb.Code_NOT_READY {
+				if a.Code == controlpb.Code_NOT_READY {
 					c.missed(name, a.Leader, false)
 				}
 			default:
@@ -199,13 +199,13 @@
 	if open || over != nil {
 		return over
 	}
-	a, err := c.each(ctx, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
-		return to.Do(ctx, &fleetpb.Command{Fleet: c.fleet, Member: c.member()})
+	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
+		return to.Do(ctx, &controlpb.Command{Fleet: c.fleet, Member: c.member()})
 	})
 	if err != nil {
 		return err
 	}
-	if a.Code == fleetpb.Code_SUPERSEDED {
+	if a.Code == controlpb.Code_SUPERSEDED {
 		return c.superseded(a.Why)
 	}
 	c.mu.Lock()
@@ -216,8 +216,8 @@
 	return nil
 }
 
-func (c *Client) member() *fleetpb.Member {
-	return &fleetpb.Member{Id: c.me.ID, Boot: c.me.Boot, Address: c.address}
+func (c *Client) member() *controlpb.Member {
+	return &controlpb.Member{Id: c.me.ID, Boot: c.me.Boot, Address: c.address}
 }
 
 func (c *Client) superseded(why string) error {
@@ -247,21 +247,21 @@
 		c.mu.Unlock()
 	}()
 	within := tryWithin + tryPerByte*time.Duration(len(body))
-	a, err := c.eachWithin(ctx, within, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
-		return to.Do(ctx, &fleetpb.Command{Fleet: c.fleet, Session: session, Seq: seq, Floor: c.floor(), Machine: machine, Body: body, Member: c.member()})
+	a, err := c.eachWithin(ctx, within, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
+		return to.Do(ctx, &controlpb.Command{Fleet: c.fleet, Session: session, Seq: seq, Floor: c.floor(), Machine: machine, Body: body, Member: c.member()})
 	})
 	if err != nil {
 		return nil, err
 	}
 	switch a.Code {
-	case fleetpb.Code_OK:
+	case controlpb.Code_OK:
 		c.mu.Lock()
 		c.touched = time.Now()
 		c.mu.Unlock()
 		return a.Body, nil
-	case fleetpb.Code_SUPERSEDED:
+	case controlpb.Code_SUPERSEDED:
 		return nil, c.superseded(a.Why)
-	case fleetpb.Code_NO_SESSION:
+	case controlpb.Code_NO_SESSION:
 		c.mu.Lock()
 		if c.session == session {
 			c.session = 0
@@ -285,10 +285,10 @@
 
 // Ask reads what a machine has, after all that was answered before.
 func (c *Client) Ask(ctx context.Context, machine string, body []byte) ([]byte, error) {
-	a, err := c.each(ctx, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
-		return to.Ask(ctx, &fleetpb.Query{Fleet: c.fleet, Machine: machine, Body: body})
+	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
+		return to.Ask(ctx, &controlpb.Query{Fleet: c.fleet, Machine: machine, Body: body})
 	})
-	if err == nil && a.Code != fleetpb.Code_OK {
+	if err == nil && a.Code != controlpb.Code_OK {
 		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
 	if err != nil {
@@ -298,11 +298,11 @@
 }
 
 // Alter has one voter more or less.
-func (c *Client) Alter(ctx context.Context, add bool, v *fleetpb.Voter) error {
-	a, err := c.each(ctx, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
-		return to.Alter(ctx, &fleetpb.Change{Fleet: c.fleet, Add: add, Voter: v})
+func (c *Client) Alter(ctx context.Context, add bool, v *controlpb.Voter) error {
+	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
+		return to.Alter(ctx, &controlpb.Change{Fleet: c.fleet, Add: add, Voter: v})
 	})
-	if err == nil && a.Code != fleetpb.Code_OK {
+	if err == nil && a.Code != controlpb.Code_OK {
 		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
 	return err
@@ -347,12 +347,12 @@
 }
 
 // watch follows one voter for as long as it is heard.
-func (c *Client) watch(ctx context.Context, to fleetpb.FleetClient, machine string, do func(state []byte)) {
+func (c *Client) watch(ctx context.Context, to controlpb.FleetClient, machine string, do func(state []byte)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	silent := time.AfterFunc(newsEvery+tryWithin, cancel)
 	defer silent.Stop()
-	s, err := to.Watch(ctx, &fleetpb.WatchAsk{Fleet: c.fleet, Machine: machine})
+	s, err := to.Watch(ctx, &controlpb.WatchAsk{Fleet: c.fleet, Machine: machine})
 	if err != nil {
 		return
 	}
@@ -367,14 +367,14 @@
 }
 
 // Collect asks a process for its use that was not collected yet.
-func (c *Client) Collect(ctx context.Context, id, address string, had map[uint64]uint64, take func(*fleetpb.Part) error) error {
+func (c *Client) Collect(ctx context.Context, id, address string, had map[uint64]uint64, take func(*controlpb.Part) error) error {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return err
 	}
-	ask := &fleetpb.CollectAsk{Fleet: c.fleet}
+	ask := &controlpb.CollectAsk{Fleet: c.fleet}
 	for boot, period := range had {
-		ask.Had = append(ask.Had, &fleetpb.Collected{Boot: boot, Period: period})
+		ask.Had = append(ask.Had, &controlpb.Collected{Boot: boot, Period: period})
 	}
 	s, err := to.Collect(ctx, ask)
 	if err != nil {
@@ -392,7 +392,7 @@
 }
 
 // Renew asks the owner of a shard of the budgets, a process with an address.
-func (c *Client) Renew(ctx context.Context, id, address string, ask *fleetpb.RightsAsk) (*fleetpb.RightsAnswer, error) {
+func (c *Client) Renew(ctx context.Context, id, address string, ask *controlpb.RightsAsk) (*controlpb.RightsAnswer, error) {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return nil, err
@@ -402,7 +402,7 @@
 }
 
 // Borrow asks the owner of a shard for units.
-func (c *Client) Borrow(ctx context.Context, id, address string, ask *fleetpb.LoanAsk) (*fleetpb.LoanAnswer, error) {
+func (c *Client) Borrow(ctx context.Context, id, address string, ask *controlpb.LoanAsk) (*controlpb.LoanAnswer, error) {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return nil, err
@@ -418,7 +418,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := to.Content(ctx, &fleetpb.ContentAsk{Fleet: c.fleet, Digest: digest, From: from})
+	s, err := to.Content(ctx, &controlpb.ContentAsk{Fleet: c.fleet, Digest: digest, From: from})
 	if err != nil {
 		return nil, err
 	}
@@ -430,7 +430,7 @@
 
 // ContentDelta asks a process for what leads to the content of a version from one of some that are here. ErrNoContent is
 // returned where the content is not there.
-func (c *Client) ContentDelta(ctx context.Context, id, address string, request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+func (c *Client) ContentDelta(ctx context.Context, id, address string, request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return nil, err
@@ -444,7 +444,7 @@
 }
 
 // ContentBuckets asks a process for some buckets of a content's records.
-func (c *Client) ContentBuckets(ctx context.Context, id, address string, request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error) {
+func (c *Client) ContentBuckets(ctx context.Context, id, address string, request *controlpb.ContentBucketsRequest) (*controlpb.ContentBucketsResponse, error) {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return nil, err
@@ -454,14 +454,14 @@
 }
 
 // Keep asks a process to keep a content that this one has.
-func (c *Client) Keep(ctx context.Context, id, address string, ask *fleetpb.KeepAsk) error {
+func (c *Client) Keep(ctx context.Context, id, address string, ask *controlpb.KeepAsk) error {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return err
 	}
-	ask = &fleetpb.KeepAsk{Fleet: c.fleet, Item: ask.Item, Digest: ask.Digest, Size: ask.Size, From: ask.From}
+	ask = &controlpb.KeepAsk{Fleet: c.fleet, Item: ask.Item, Digest: ask.Digest, Size: ask.Size, From: ask.From}
 	a, err := to.Keep(ctx, ask)
-	if err == nil && a.Code != fleetpb.Code_OK {
+	if err == nil && a.Code != controlpb.Code_OK {
 		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
 	}
 	return err
--- a/internal/fleetlink/fleetlink_test.go
+++ b/internal/controlplane/controlrpc/fleetlink_test.go
@@ -1,4 +1,4 @@
-package fleetlink
+package controlrpc
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 	"testing"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/voter"
-	"mothcleat/lease"
-	"mothcleat/store"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/storage/store"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
 
 // voters runs some voters in this process, over real links and folders.
-func voters(t testing.TB, n int) (all []*fleetpb.Voter, servers []*Server) {
+func voters(t testing.TB, n int) (all []*controlpb.Voter, servers []*Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var listeners []net.Listener
@@ -35,17 +35,17 @@
 		}
 		listeners = append(listeners, l)
 		name := fmt.Sprintf("v%d", i)
-		all = append(all, &fleetpb.Voter{Number: voter.NumberOf("test", name), Name: name, Address: l.Addr().String()})
+		all = append(all, &controlpb.Voter{Number: replica.NumberOf("test", name), Name: name, Address: l.Addr().String()})
 	}
 	for i, l := range listeners {
 		dir := filepath.Join(t.TempDir(), "log")
-		if err := voter.Found(dir, "test", all[i].Name, all); err != nil {
+		if err := replica.Found(dir, "test", all[i].Name, all); err != nil {
 			t.Fatal(err)
 		}
 		s := NewServer(ctx, "test", nil, nil)
-		if err := s.Vote(ctx, voter.Options{Dir: dir, Address: all[i].Address, Log: quiet, Machines: func() map[string]agree.Machine {
+		if err := s.Vote(ctx, replica.Options{Dir: dir, Address: all[i].Address, Log: quiet, Machines: func() map[string]consensus.Machine {
 			d := lease.NewMachine(lease.Defaults())
-			return map[string]agree.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}
+			return map[string]consensus.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}
 		}}); err != nil {
 			t.Fatal(err)
 		}
@@ -62,7 +62,7 @@
 	return all, servers
 }
 
-func client(t testing.TB, id string, all []*fleetpb.Voter) *Client {
+func client(t testing.TB, id string, all []*controlpb.Voter) *Client {
 	c := NewClient("test", lease.Member{ID: id, Boot: rand.Uint64()}, "", all, nil, quiet)
 	t.Cleanup(c.Close)
 	return c
@@ -77,9 +77,9 @@
 	if _, err := c.Do(ctx, checkpoint.MachineName, []byte(`{"key":"k","value":"1"}`)); err != nil {
 		t.Fatal(err)
 	}
-	again := func() *fleetpb.Answer {
-		a, err := c.each(ctx, func(ctx context.Context, to fleetpb.FleetClient) (*fleetpb.Answer, error) {
-			return to.Do(ctx, &fleetpb.Command{Fleet: "test", Session: c.session, Seq: 77, Machine: checkpoint.MachineName, Member: c.member(),
+	again := func() *controlpb.Answer {
+		a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
+			return to.Do(ctx, &controlpb.Command{Fleet: "test", Session: c.session, Seq: 77, Machine: checkpoint.MachineName, Member: c.member(),
 				Body: []byte(`{"key":"k","value":"2"}`)})
 		})
 		if err != nil {
--- a/internal/fleetlink/members.go
+++ b/internal/controlplane/controlrpc/members.go
@@ -1,10 +1,10 @@
-package fleetlink
+package controlrpc
 
 import (
 	"context"
 	"errors"
 
-	"mothcleat/agree"
+	"mothcleat/internal/controlplane/consensus"
 )
 
 // Members keeps a part of who belongs to the fleet, and asks the leader only for what has changed
@@ -12,25 +12,25 @@
 type Members struct {
 	client *Client
 	turn   chan struct{} // holds a token while nobody uses the cache
-	cache  *agree.MemberCache
+	cache  *consensus.MemberCache
 }
 
 // Members makes a cache of the part that a query asks for; see agree.NewMemberCache.
-func (c *Client) Members(query agree.MembershipQuery) *Members {
-	m := &Members{client: c, turn: make(chan struct{}, 1), cache: agree.NewMemberCache(query)}
+func (c *Client) Members(query consensus.MembershipQuery) *Members {
+	m := &Members{client: c, turn: make(chan struct{}, 1), cache: consensus.NewMemberCache(query)}
 	m.turn <- struct{}{}
 	return m
 }
 
 // Voters returns the voters as they are agreed now, by name.
-func (m *Members) Voters(ctx context.Context) (all []agree.VoterAt, err error) {
+func (m *Members) Voters(ctx context.Context) (all []consensus.VoterAt, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Voters() })
 	return all, err
 }
 
 // List returns the members as they are agreed now, by id. They share their retired boots with the
 // cache.
-func (m *Members) List(ctx context.Context) (all []agree.MemberAt, err error) {
+func (m *Members) List(ctx context.Context) (all []consensus.MemberAt, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Members() })
 	return all, err
 }
@@ -45,7 +45,7 @@
 	}
 	defer func() { m.turn <- struct{}{} }()
 	err := m.ask(ctx)
-	if errors.Is(err, agree.ErrCache) {
+	if errors.Is(err, consensus.ErrCache) {
 		m.client.log.Warn("fleet: the list of members is asked for anew", "error", err)
 		err = m.ask(ctx)
 	}
@@ -56,7 +56,7 @@
 }
 
 func (m *Members) ask(ctx context.Context) error {
-	raw, err := m.client.Ask(ctx, agree.FleetName, m.cache.Query())
+	raw, err := m.client.Ask(ctx, consensus.FleetName, m.cache.Query())
 	if err != nil {
 		return err
 	}
--- a/internal/fleetlink/observer.go
+++ b/internal/controlplane/controlrpc/observer.go
@@ -1,4 +1,4 @@
-package fleetlink
+package controlrpc
 
 import (
 	"context"
--- a/internal/fleetlink/observer_test.go
+++ b/internal/controlplane/controlrpc/observer_test.go
@@ -1,4 +1,4 @@
-package fleetlink
+package controlrpc
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"google.golang.org/grpc/stats"
 
-	"mothcleat/agree"
+	"mothcleat/internal/controlplane/consensus"
 )
 
 // countingHandler counts messages.
@@ -43,7 +43,7 @@
 		return conn
 	}})
 	for _, c := range []*Client{observed, plain} {
-		if _, err := c.Ask(ctx, agree.FleetName, nil); err != nil {
+		if _, err := c.Ask(ctx, consensus.FleetName, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleetlink/peers.go
+++ b/internal/controlplane/controlrpc/peers.go
@@ -1,4 +1,4 @@
-package fleetlink
+package controlrpc
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 )
 
 const (
@@ -52,12 +52,12 @@
 	closed bool
 }
 
-func (c *conns) to(address string) (fleetpb.FleetClient, error) {
+func (c *conns) to(address string) (controlpb.FleetClient, error) {
 	conn, err := c.connection(address)
 	if err != nil {
 		return nil, err
 	}
-	return fleetpb.NewFleetClient(conn), nil
+	return controlpb.NewFleetClient(conn), nil
 }
 
 func (c *conns) connection(address string) (*grpc.ClientConn, error) {
@@ -110,13 +110,13 @@
 }
 
 type peer struct {
-	from   *fleetpb.Voter
+	from   *controlpb.Voter
 	number uint64
 	queue  chan *raftpb.Message
 }
 
 // Send passes messages on, or drops them.
-func (p *peers) Send(from, to *fleetpb.Voter, messages []*raftpb.Message) {
+func (p *peers) Send(from, to *controlpb.Voter, messages []*raftpb.Message) {
 	address := p.addresses.of(to.Name, to.Address)
 	p.mu.Lock()
 	q := p.to[route{address, to.Number}]
@@ -182,7 +182,7 @@
 		return err
 	}
 	for {
-		var packet fleetpb.Packet
+		var packet controlpb.Packet
 		packet.Fleet, packet.From = p.fleet, q.from
 		snap := false
 		select {
@@ -218,7 +218,7 @@
 }
 
 // Prove asks another voter what it was promised.
-func (p *peers) Prove(to *fleetpb.Voter, position *fleetpb.Position, answer func(*fleetpb.Witness)) {
+func (p *peers) Prove(to *controlpb.Voter, position *controlpb.Position, answer func(*controlpb.Witness)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, proveWithin)
 		defer cancel()
--- a/internal/fleetlink/server.go
+++ b/internal/controlplane/controlrpc/server.go
@@ -1,8 +1,8 @@
-// Package fleetlink carries what the gateways of a fleet say to one another about their agreed
+// Package controlrpc carries what the gateways of a fleet say to one another about their agreed
 // state: between voters, and between every gateway and the voters. It decides nothing.
 //
 // It is gRPC without encryption or sign-in, for loopback and for operators' private networks only.
-package fleetlink
+package controlrpc
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/voter"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/replica"
 )
 
 const (
@@ -31,12 +31,12 @@
 )
 
 // Parts gives the parts of this gateway's use that were not collected yet.
-type Parts func(had map[uint64]uint64, give func(*fleetpb.Part) error) error
+type Parts func(had map[uint64]uint64, give func(*controlpb.Part) error) error
 
 // Budgets divides what the fleet shares, in the process that owns a shard of it.
 type Budgets interface {
-	Renew(ask *fleetpb.RightsAsk) *fleetpb.RightsAnswer
-	Lend(ask *fleetpb.LoanAsk) *fleetpb.LoanAnswer
+	Renew(ask *controlpb.RightsAsk) *controlpb.RightsAnswer
+	Lend(ask *controlpb.LoanAsk) *controlpb.LoanAnswer
 }
 
 // Contents has the contents of versions.
@@ -44,16 +44,16 @@
 	// Give sends a content from a place on; fs.ErrNotExist if it is not here.
 	Give(digest string, from int64, send func([]byte) error) error
 	// Keep fetches a content from the process that asks for that.
-	Keep(ctx context.Context, ask *fleetpb.KeepAsk) error
+	Keep(ctx context.Context, ask *controlpb.KeepAsk) error
 	// Delta gives what leads to a content from one that the asker has; fs.ErrNotExist if the content is not here.
-	Delta(request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error)
+	Delta(request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error)
 	// Buckets gives some buckets of a content's records; fs.ErrNotExist if the content is not here.
-	Buckets(request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error)
+	Buckets(request *controlpb.ContentBucketsRequest) (*controlpb.ContentBucketsResponse, error)
 }
 
 // Server answers other processes of the fleet.
 type Server struct {
-	fleetpb.UnimplementedFleetServer
+	controlpb.UnimplementedFleetServer
 	fleet string
 	grpc  *grpc.Server
 	peers *peers
@@ -65,19 +65,19 @@
 	Contents Contents
 
 	mu    sync.Mutex
-	voter *voter.Voter // nil: this process has none
-	news  map[string]*fleetpb.News
+	voter *replica.Voter // nil: this process has none
+	news  map[string]*controlpb.News
 	woken chan struct{} // closed when there is news
 }
 
 // NewServer makes a server of a fleet, with further options of the library's; see Observer. Serve has it answer.
 func NewServer(ctx context.Context, fleet string, addresses Addresses, parts Parts, more ...grpc.ServerOption) *Server {
-	s := &Server{fleet: fleet, parts: parts, news: map[string]*fleetpb.News{}, woken: make(chan struct{})}
+	s := &Server{fleet: fleet, parts: parts, news: map[string]*controlpb.News{}, woken: make(chan struct{})}
 	options := append([]grpc.ServerOption{serverCodec(), grpc.MaxRecvMsgSize(mostBytes), grpc.MaxSendMsgSize(mostBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true})}, more...)
 	s.grpc = grpc.NewServer(options...)
-	fleetpb.RegisterFleetServer(s.grpc, s)
+	controlpb.RegisterFleetServer(s.grpc, s)
 	s.peers = &peers{ctx: ctx, fleet: fleet, addresses: addresses, to: map[route]*peer{},
 		lost: func(n uint64) {
 			if v := s.Voter(); v != nil {
@@ -93,9 +93,9 @@
 }
 
 // Vote has a voter answer here from now on.
-func (s *Server) Vote(ctx context.Context, opt voter.Options) error {
+func (s *Server) Vote(ctx context.Context, opt replica.Options) error {
 	opt.News = s.tell
-	v, err := voter.Run(ctx, opt, s.peers)
+	v, err := replica.Run(ctx, opt, s.peers)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 }
 
 // Voter is the voter that answers here; nil: none.
-func (s *Server) Voter() *voter.Voter {
+func (s *Server) Voter() *replica.Voter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.voter
@@ -128,7 +128,7 @@
 func (s *Server) tell(machine string, index uint64, state []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.news[machine] = &fleetpb.News{Index: index, Body: state}
+	s.news[machine] = &controlpb.News{Index: index, Body: state}
 	close(s.woken)
 	s.woken = make(chan struct{})
 }
@@ -136,7 +136,7 @@
 var errOtherFleet = status.Error(codes.PermissionDenied, "another fleet")
 
 // Pass takes in another voter's messages.
-func (s *Server) Pass(in grpc.ClientStreamingServer[fleetpb.Packet, fleetpb.Nothing]) error {
+func (s *Server) Pass(in grpc.ClientStreamingServer[controlpb.Packet, controlpb.Nothing]) error {
 	for {
 		p, err := in.Recv()
 		if err != nil {
@@ -168,18 +168,18 @@
 }
 
 // voting finds the voter, or why there is none.
-func (s *Server) voting(fleet string) (*voter.Voter, *fleetpb.Answer, error) {
+func (s *Server) voting(fleet string) (*replica.Voter, *controlpb.Answer, error) {
 	if fleet != s.fleet {
 		return nil, nil, errOtherFleet
 	}
 	if v := s.Voter(); v != nil {
 		return v, nil, nil
 	}
-	return nil, &fleetpb.Answer{Code: fleetpb.Code_NOT_LEADER, Why: "this process is no voter"}, nil
+	return nil, &controlpb.Answer{Code: controlpb.Code_NOT_LEADER, Why: "this process is no voter"}, nil
 }
 
 // Prove tells a voter that starts what it has promised.
-func (s *Server) Prove(ctx context.Context, p *fleetpb.Position) (*fleetpb.Witness, error) {
+func (s *Server) Prove(ctx context.Context, p *controlpb.Position) (*controlpb.Witness, error) {
 	v, _, err := s.voting(p.Fleet)
 	if err != nil {
 		return nil, err
@@ -196,7 +196,7 @@
 }
 
 // Do proposes a command.
-func (s *Server) Do(ctx context.Context, c *fleetpb.Command) (*fleetpb.Answer, error) {
+func (s *Server) Do(ctx context.Context, c *controlpb.Command) (*controlpb.Answer, error) {
 	v, no, err := s.voting(c.Fleet)
 	if v == nil {
 		return no, err
@@ -207,7 +207,7 @@
 }
 
 // Ask reads what is agreed.
-func (s *Server) Ask(ctx context.Context, q *fleetpb.Query) (*fleetpb.Answer, error) {
+func (s *Server) Ask(ctx context.Context, q *controlpb.Query) (*controlpb.Answer, error) {
 	v, no, err := s.voting(q.Fleet)
 	if v == nil {
 		return no, err
@@ -218,7 +218,7 @@
 }
 
 // Alter proposes a change of voters.
-func (s *Server) Alter(ctx context.Context, c *fleetpb.Change) (*fleetpb.Answer, error) {
+func (s *Server) Alter(ctx context.Context, c *controlpb.Change) (*controlpb.Answer, error) {
 	v, no, err := s.voting(c.Fleet)
 	if v == nil {
 		return no, err
@@ -230,14 +230,14 @@
 
 // Watch tells of a machine's changes: the state as it is, and again when it has changed. What a watcher has
 // not taken yet is passed over for what is newer.
-func (s *Server) Watch(ask *fleetpb.WatchAsk, out grpc.ServerStreamingServer[fleetpb.News]) error {
+func (s *Server) Watch(ask *controlpb.WatchAsk, out grpc.ServerStreamingServer[controlpb.News]) error {
 	if ask.Fleet != s.fleet {
 		return errOtherFleet
 	}
 	if s.Voter() == nil {
 		return status.Error(codes.Unavailable, "no voter")
 	}
-	var told *fleetpb.News
+	var told *controlpb.News
 	still := time.NewTicker(newsEvery)
 	defer still.Stop()
 	for {
@@ -265,7 +265,7 @@
 }
 
 // Collect gives this gateway's use.
-func (s *Server) Collect(ask *fleetpb.CollectAsk, out grpc.ServerStreamingServer[fleetpb.Part]) error {
+func (s *Server) Collect(ask *controlpb.CollectAsk, out grpc.ServerStreamingServer[controlpb.Part]) error {
 	if ask.Fleet != s.fleet {
 		return errOtherFleet
 	}
@@ -280,34 +280,34 @@
 }
 
 // Renew renews a process's rights, if the budgets are divided here.
-func (s *Server) Renew(_ context.Context, ask *fleetpb.RightsAsk) (*fleetpb.RightsAnswer, error) {
+func (s *Server) Renew(_ context.Context, ask *controlpb.RightsAsk) (*controlpb.RightsAnswer, error) {
 	switch {
 	case ask.Fleet != s.fleet:
 		return nil, errOtherFleet
 	case s.Budgets == nil:
-		return &fleetpb.RightsAnswer{Code: fleetpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
+		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
 	}
 	return s.Budgets.Renew(ask), nil
 }
 
 // Borrow lends units, if the budget is divided here.
-func (s *Server) Borrow(_ context.Context, ask *fleetpb.LoanAsk) (*fleetpb.LoanAnswer, error) {
+func (s *Server) Borrow(_ context.Context, ask *controlpb.LoanAsk) (*controlpb.LoanAnswer, error) {
 	switch {
 	case ask.Fleet != s.fleet:
 		return nil, errOtherFleet
 	case s.Budgets == nil:
-		return &fleetpb.LoanAnswer{Code: fleetpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
+		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
 	}
 	return s.Budgets.Lend(ask), nil
 }
 
 // Content gives the content of a version, if it is here.
-func (s *Server) Content(ask *fleetpb.ContentAsk, out grpc.ServerStreamingServer[fleetpb.Piece]) error {
+func (s *Server) Content(ask *controlpb.ContentAsk, out grpc.ServerStreamingServer[controlpb.Piece]) error {
 	if err := s.checkContents(ask.Fleet); err != nil {
 		return err
 	}
 	return contentError(s.Contents.Give(ask.Digest, ask.From, func(data []byte) error {
-		return out.Send(&fleetpb.Piece{Data: data})
+		return out.Send(&controlpb.Piece{Data: data})
 	}))
 }
 
@@ -320,7 +320,7 @@
 }
 
 // ContentDelta gives what leads to the content of a version from one that the asker has.
-func (s *Server) ContentDelta(_ context.Context, request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+func (s *Server) ContentDelta(_ context.Context, request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
 	if err := s.checkContents(request.Fleet); err != nil {
 		return nil, err
 	}
@@ -329,7 +329,7 @@
 }
 
 // ContentBuckets gives some buckets of a content's records.
-func (s *Server) ContentBuckets(_ context.Context, request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error) {
+func (s *Server) ContentBuckets(_ context.Context, request *controlpb.ContentBucketsRequest) (*controlpb.ContentBucketsResponse, error) {
 	if err := s.checkContents(request.Fleet); err != nil {
 		return nil, err
 	}
@@ -349,17 +349,17 @@
 }
 
 // Keep fetches a content from the process that asks for that.
-func (s *Server) Keep(ctx context.Context, ask *fleetpb.KeepAsk) (*fleetpb.Answer, error) {
+func (s *Server) Keep(ctx context.Context, ask *controlpb.KeepAsk) (*controlpb.Answer, error) {
 	switch {
 	case ask.Fleet != s.fleet:
 		return nil, errOtherFleet
 	case s.Contents == nil:
-		return &fleetpb.Answer{Code: fleetpb.Code_REFUSED, Why: "this process keeps no contents"}, nil
+		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Why: "this process keeps no contents"}, nil
 	}
 	ctx, cancel := within(ctx)
 	defer cancel()
 	if err := s.Contents.Keep(ctx, ask); err != nil {
-		return &fleetpb.Answer{Code: fleetpb.Code_REFUSED, Why: err.Error()}, nil
+		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Why: err.Error()}, nil
 	}
-	return &fleetpb.Answer{}, nil
+	return &controlpb.Answer{}, nil
 }
--- a/internal/fleetnode/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -1,9 +1,9 @@
-package fleetnode
+package controlplane
 
 import (
-	"mothcleat/agree"
-	"mothcleat/distribution"
-	"mothcleat/internal/distributor"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributor"
 )
 
 // distribute sets up the distribution of the control state: the voter's side, and the list of servers.
@@ -24,7 +24,7 @@
 }
 
 // machines are new ones, of which the distribution's is served to replicas.
-func (n *Node) machines() map[string]agree.Machine {
+func (n *Node) machines() map[string]consensus.Machine {
 	machines := Machines(n.cfg.Rules, n.versionRules())
 	n.streams.Attach(machines[distribution.MachineName].(*distribution.Machine))
 	return machines
--- a/distribution/action.go
+++ b/internal/controlplane/distribution/action.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Action is what a Replica wants done: one of the types below.
--- a/distribution/bench_test.go
+++ b/internal/controlplane/distribution/bench_test.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // The size of two years from now.
--- a/distribution/delta.go
+++ b/internal/controlplane/distribution/delta.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Delta leads from one revision to a later one of the same epoch.
--- a/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/distributionpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // MachineName is what the agreed state calls the machine, and Duty the duty of watching the register for the fleet.
--- a/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"mothcleat/internal/distributionpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // testFence admits one term of one member.
--- a/distribution/message.go
+++ b/internal/controlplane/distribution/message.go
@@ -1,6 +1,6 @@
 package distribution
 
-import "mothcleat/internal/distributionpb"
+import "mothcleat/internal/controlplane/distributionpb"
 
 // Message is one response as it goes out. It is encoded once, and shared by all streams that it goes to; nobody
 // changes it.
--- a/distribution/position.go
+++ b/internal/controlplane/distribution/position.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"fmt"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Position is a point of a lineage. Without an epoch nothing has been said yet.
--- a/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // StreamID names one stream of a Publisher; its caller gives it and never gives it twice.
--- a/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Take gives what can be sent now. Changes and small messages of all streams go before any digests and buckets.
--- a/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // serving is a publisher under test, over the state that it publishes.
--- a/distribution/record.go
+++ b/internal/controlplane/distribution/record.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Kind says what a record is of.
--- a/distribution/repair.go
+++ b/internal/controlplane/distribution/repair.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Sums are the sums of all buckets, in the order of their indexes.
--- a/distribution/repair_test.go
+++ b/internal/controlplane/distribution/repair_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // bucketMessage is a bucket as a server sends it.
--- a/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // never is a time that does not come.
--- a/distribution/replica_receive.go
+++ b/internal/controlplane/distribution/replica_receive.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Received takes in what the server of an attempt said.
--- a/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 const testFleet = "blue"
--- a/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // stateFileFormat is raised when the file, a digest or the buckets come to mean something else.
--- a/distribution/together_test.go
+++ b/internal/controlplane/distribution/together_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // together is a publisher and a replica with a stream between them that carries messages when it is told to.
--- a/internal/distributor/attempt.go
+++ b/internal/controlplane/distributor/attempt.go
@@ -7,8 +7,8 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // maxQueuedRequests is how many requests wait for a stream to take them; an attempt whose stream takes none is ended.
--- a/internal/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Observer hears what a Client takes in, from one goroutine. While a method has not returned the Client takes in nothing
@@ -25,7 +25,7 @@
 
 // ClientOptions say how a replica is kept.
 type ClientOptions struct {
-	Link     *fleetlink.Client // knows the voters, and has the connections to them
+	Link     *controlrpc.Client // knows the voters, and has the connections to them
 	Settings distribution.ReplicaSettings
 	Places   map[string]distribution.Place // of the voters, by name; one that is not there is near to nobody
 	File     string                        // where the last state lies; "": it is not kept
--- a/internal/distributor/client_test.go
+++ b/internal/controlplane/distributor/client_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // logBuffer is a log that several goroutines write to.
--- a/internal/distributor/direct.go
+++ b/internal/controlplane/distributor/direct.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync"
 
-	"mothcleat/internal/registry"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // directSources are the sources of this process that ask the register itself, which move together.
--- a/internal/distributor/disk.go
+++ b/internal/controlplane/distributor/disk.go
@@ -7,7 +7,7 @@
 	"os"
 	"path/filepath"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // stateFile is where a replica's last state lies.
--- a/internal/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -11,11 +11,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 const fleet = "test"
@@ -51,7 +51,7 @@
 	s := &testServer{Server: NewServer(settings, quiet), t: t, machine: distribution.NewMachine(openFence{})}
 	s.Attach(s.machine)
 	ctx, cancel := context.WithCancel(context.Background())
-	link := fleetlink.NewServer(ctx, fleet, nil, nil)
+	link := controlrpc.NewServer(ctx, fleet, nil, nil)
 	link.Register(s.Server.Register)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,13 +158,13 @@
 
 // clientOptions are of a replica of servers, named by their place in the list.
 func clientOptions(id, file string, silent time.Duration, log *slog.Logger, servers ...*testServer) ClientOptions {
-	var voters []*fleetpb.Voter
+	var voters []*controlpb.Voter
 	for i, s := range servers {
-		voters = append(voters, &fleetpb.Voter{Name: string(rune('a' + i)), Address: s.address})
+		voters = append(voters, &controlpb.Voter{Name: string(rune('a' + i)), Address: s.address})
 	}
 	me := lease.Member{ID: id, Boot: 1}
 	return ClientOptions{
-		Link:     fleetlink.NewClient(fleet, me, "", voters, nil, log),
+		Link:     controlrpc.NewClient(fleet, me, "", voters, nil, log),
 		Settings: NewReplicaSettings(fleet, id, me.Boot, distribution.Place{}, silent), File: file, Log: log,
 	}
 }
--- a/internal/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -13,11 +13,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/election"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/dataplane/registry"
 )
 
 const (
@@ -36,7 +36,7 @@
 // registerPublisher watches the register on behalf of the fleet and has what changed of it agreed on.
 type registerPublisher struct {
 	direct  *directSources
-	link    *fleetlink.Client
+	link    *controlrpc.Client
 	replica func() *distribution.State // of this process
 	beat    time.Duration              // between two commands where nothing changes
 	log     *slog.Logger
--- a/internal/distributor/publish_test.go
+++ b/internal/controlplane/distributor/publish_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/dataplane/registry"
 )
 
 func member(id, phase string) registry.Member {
--- a/internal/distributor/records.go
+++ b/internal/controlplane/distributor/records.go
@@ -6,9 +6,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/dataplane/registry"
 )
 
 var phaseOf = map[string]distributionpb.Phase{
--- a/internal/distributor/saver.go
+++ b/internal/controlplane/distributor/saver.go
@@ -3,7 +3,7 @@
 import (
 	"log/slog"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // saver writes states to disk on a goroutine of its own: the newest that it was given counts.
--- a/internal/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -13,9 +13,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Server answers the Distribution service from the state machine of this process's voter, whether that voter leads or
@@ -189,5 +189,5 @@
 
 // send passes a message on. The same bytes go to all streams that a message is for.
 func send(stream grpc.ServerStream, message *distribution.Message) error {
-	return stream.SendMsg(fleetlink.Encoded(sentBytes(message)))
+	return stream.SendMsg(controlrpc.Encoded(sentBytes(message)))
 }
--- a/internal/distributor/server_test.go
+++ b/internal/controlplane/distributor/server_test.go
@@ -12,9 +12,9 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 // Each delta is encoded once, however many replicas get it.
@@ -47,11 +47,11 @@
 // recordingStream takes note of the bytes that it is given.
 type recordingStream struct {
 	grpc.ServerStream
-	sent []fleetlink.Encoded
+	sent []controlrpc.Encoded
 }
 
 func (s *recordingStream) SendMsg(m any) error {
-	s.sent = append(s.sent, m.(fleetlink.Encoded))
+	s.sent = append(s.sent, m.(controlrpc.Encoded))
 	return nil
 }
 
--- a/internal/distributor/settings.go
+++ b/internal/controlplane/distributor/settings.go
@@ -4,7 +4,7 @@
 	"path/filepath"
 	"time"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/election"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // SourceOptions say how a process has the list of servers.
--- a/internal/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // directRegister is a register that is asked directly.
--- a/internal/distributor/status.go
+++ b/internal/controlplane/distributor/status.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // Position is a position as operators see it.
--- a/internal/distributor/stored_test.go
+++ b/internal/controlplane/distributor/stored_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 	"mothcleat/internal/testing/fixture"
 )
 
--- a/internal/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 const (
@@ -22,7 +22,7 @@
 // voterSupport tells whether the voters know of the distribution. A voter of an older program takes no part any more once
 // it meets an entry of it in the log: two of three would leave no majority.
 type voterSupport struct {
-	link   *fleetlink.Client
+	link   *controlrpc.Client
 	log    *slog.Logger
 	known  bool      // no voter that answered was older, once
 	asked  time.Time // last
@@ -69,7 +69,7 @@
 )
 
 // askVoter opens a stream of the distribution and ends it at once.
-func askVoter(ctx context.Context, link *fleetlink.Client, address string) voterAnswer {
+func askVoter(ctx context.Context, link *controlrpc.Client, address string) voterAnswer {
 	ctx, cancel := context.WithTimeout(ctx, supportTimeout)
 	defer cancel()
 	connection, err := link.Connection(address)
--- a/internal/distributor/support_test.go
+++ b/internal/controlplane/distributor/support_test.go
@@ -7,26 +7,26 @@
 	"sync"
 	"testing"
 
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Nothing is proposed while a voter answers that knows nothing of the distribution, or no majority is known to know it. One
 // that doesn't answer is not waited for.
 func TestOlderVotersAreSpared(t *testing.T) {
 	s, other := newTestServer(t, nil), newTestServer(t, nil)
-	older := fleetlink.NewServer(context.Background(), fleet, nil, nil)
+	older := controlrpc.NewServer(context.Background(), fleet, nil, nil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var running sync.WaitGroup
 	running.Go(func() { _ = older.Serve(listener) })
-	voters := []*fleetpb.Voter{
+	voters := []*controlpb.Voter{
 		{Name: "new", Address: s.address}, {Name: "older", Address: listener.Addr().String()}, {Name: "other", Address: other.address},
 	}
-	link := fleetlink.NewClient(fleet, lease.Member{ID: "owner", Boot: 1}, "", voters, nil, quiet)
+	link := controlrpc.NewClient(fleet, lease.Member{ID: "owner", Boot: 1}, "", voters, nil, quiet)
 	defer link.Close()
 	var log logBuffer
 	support := voterSupport{link: link, log: logTo(&log)}
--- a/internal/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // maxQueuedUpdates is how many updates of a machine wait for the server. Past it they are told as one: that the state
--- a/internal/election/election.go
+++ b/internal/controlplane/election/election.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // Tenure is one leadership: the time under one term in which this process holds a role. It is what the work of
@@ -50,7 +50,7 @@
 // Options are the settings of a Set.
 type Options struct {
 	Rules  lease.Rules
-	Client *fleetlink.Client
+	Client *controlrpc.Client
 	// Candidates are the ids of the members that may be leaders; empty means all. It has to be the same in all
 	// processes.
 	Candidates []string
@@ -67,7 +67,7 @@
 type Set struct {
 	opt     Options
 	runners map[string]*runner
-	agreed  *fleetlink.Members // those that may be leaders, or all
+	agreed  *controlrpc.Members // those that may be leaders, or all
 
 	mu      sync.Mutex
 	members []string                 // members with a session, this one among them
@@ -104,7 +104,7 @@
 
 // New returns a Set without roles. Nothing is asked for before Run.
 func New(opt Options) *Set {
-	query := agree.MembershipQuery{Scope: agree.ScopeMembers}
+	query := consensus.MembershipQuery{Scope: consensus.ScopeMembers}
 	if len(opt.Candidates) <= maxNamedCandidates {
 		query.IDs = opt.Candidates
 	}
--- a/internal/election/members.go
+++ b/internal/controlplane/election/members.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"mothcleat/agree"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // preferredLeader returns the member that a spread role should be transferred to now, or "" where it stays.
@@ -62,7 +62,7 @@
 
 // eligible returns the members that can be leaders: candidates that are active, so with an address and a recent sign
 // of life.
-func (s *Set) eligible(ctx context.Context) (all []agree.MemberAt, err error) {
+func (s *Set) eligible(ctx context.Context) (all []consensus.MemberAt, err error) {
 	members, err := s.agreed.List(ctx)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // idsOf returns the ids of members, in their order.
-func idsOf(all []agree.MemberAt) (ids []string) {
+func idsOf(all []consensus.MemberAt) (ids []string) {
 	for _, m := range all {
 		ids = append(ids, m.ID)
 	}
--- a/internal/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -6,9 +6,9 @@
 	"errors"
 	"time"
 
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // request asks for the lease of the role, or for its renewal, and takes in the answer. The arguments are the time
@@ -25,7 +25,7 @@
 	defer r.mu.Unlock()
 	now := monotonic.Now()
 	switch {
-	case errors.Is(err, fleetlink.ErrSuperseded):
+	case errors.Is(err, controlrpc.ErrSuperseded):
 		r.holder.Refused(now, sent, time.Hour, err.Error())
 		r.endIfExpired(now)
 	case err != nil:
--- a/internal/election/runner.go
+++ b/internal/controlplane/election/runner.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // runner takes part in the election of one role.
--- a/internal/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // transfer ends the work and transfers the role to the member named, or else to the first in rank.
--- a/internal/election/watch.go
+++ b/internal/controlplane/election/watch.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"strconv"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
 )
 
 // received takes in an update of the agreed table of leases and wakes the runners that it concerns.
--- a/roster/roster.go
+++ b/internal/controlplane/endpointlist/roster.go
@@ -1,16 +1,16 @@
-// Package roster is the list of servers as the one gateway has it that watches the register for the fleet: a
+// Package endpointlist is the list of servers as the one gateway has it that watches the register for the fleet: a
 // part of the agreed state, written only under the newest term of that duty. What a server is, is not its concern.
 //
 // Nothing here does I/O or looks at a clock.
-package roster
+package endpointlist
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // MachineName is what the agreed state calls it, and Duty the duty of watching.
--- a/roster/roster_test.go
+++ b/internal/controlplane/endpointlist/roster_test.go
@@ -1,11 +1,11 @@
-package roster
+package endpointlist
 
 import (
 	"encoding/json"
 	"testing"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 func TestWords(t *testing.T) {
--- a/internal/fleetwatch/fleetwatch.go
+++ b/internal/controlplane/endpointwatch/fleetwatch.go
@@ -1,6 +1,6 @@
-// Package fleetwatch has one gateway watch the register for the whole fleet. The others hear each version
+// Package endpointwatch has one gateway watch the register for the whole fleet. The others hear each version
 // through the agreed state; a gateway that has heard nothing for a while watches by itself until it hears again.
-package fleetwatch
+package endpointwatch
 
 import (
 	"bytes"
@@ -13,18 +13,18 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/election"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/registry"
-	"mothcleat/lease"
-	"mothcleat/roster"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/controlplane/endpointlist"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // Watch is a gateway's part in it: a registry.Source for its loop, and the work of the duty.
 type Watch struct {
 	// Direct makes a source that asks the register itself. Several may run at once.
 	Direct func() (registry.Source, error)
-	Client *fleetlink.Client
+	Client *controlrpc.Client
 	Silent time.Duration // heard nothing for so long: it watches by itself
 	Log    *slog.Logger
 
@@ -121,7 +121,7 @@
 		if !heard || !t.Holds() {
 			continue
 		}
-		op := roster.Op{Term: t.Term, Whole: whole, Changed: waits}
+		op := endpointlist.Op{Term: t.Term, Whole: whole, Changed: waits}
 		if whole {
 			op.Changed = list
 		}
@@ -133,14 +133,14 @@
 }
 
 // say has the fleet agree on a word.
-func (w *Watch) say(ctx context.Context, op roster.Op) error {
+func (w *Watch) say(ctx context.Context, op endpointlist.Op) error {
 	raw, err := json.Marshal(op)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	why, err := w.Client.Do(ctx, roster.MachineName, raw)
+	why, err := w.Client.Do(ctx, endpointlist.MachineName, raw)
 	if err == nil && len(why) > 0 {
 		err = errors.New(string(why))
 	}
@@ -152,9 +152,9 @@
 
 // Run brings the list: the fleet's, or this gateway's own where the fleet's is not heard.
 func (w *Watch) Run(ctx context.Context, tell func(registry.News)) {
-	heads := make(chan roster.Head, 1)
-	go w.Client.Watch(ctx, roster.MachineName, func(state []byte) {
-		var h roster.Head
+	heads := make(chan endpointlist.Head, 1)
+	go w.Client.Watch(ctx, endpointlist.MachineName, func(state []byte) {
+		var h endpointlist.Head
 		if json.Unmarshal(state, &h) != nil || h.Term == 0 {
 			return
 		}
@@ -190,7 +190,7 @@
 	w     *Watch
 	tell  func(registry.News)
 	gate  lease.Gate // the list's effects end with the process, and so may the gate
-	last  roster.Head
+	last  endpointlist.Head
 	have  map[string]json.RawMessage // as it was told
 	heard time.Time
 	news  chan registry.News // of its own watch
@@ -198,8 +198,8 @@
 }
 
 // head takes in that the fleet's watcher said something.
-func (r *receiver) head(ctx context.Context, h roster.Head) {
-	if _, err := r.gate.Admit(roster.Duty, h.Term, h.Owner); err != nil {
+func (r *receiver) head(ctx context.Context, h endpointlist.Head) {
+	if _, err := r.gate.Admit(endpointlist.Duty, h.Term, h.Owner); err != nil {
 		r.w.Log.Debug("fleet: list of servers", "error", err)
 		return
 	}
@@ -208,13 +208,13 @@
 	}
 	if h.Version != r.last.Version || r.have == nil || r.own != nil {
 		one, cancel := context.WithTimeout(ctx, askWithin)
-		raw, err := r.w.Client.Ask(one, roster.MachineName, []byte("list"))
+		raw, err := r.w.Client.Ask(one, endpointlist.MachineName, []byte("list"))
 		cancel()
-		var l roster.List
+		var l endpointlist.List
 		if err != nil || json.Unmarshal(raw, &l) != nil {
 			return // it is not heard, then
 		}
-		if _, err := r.gate.Admit(roster.Duty, l.Term, l.Owner); err != nil {
+		if _, err := r.gate.Admit(endpointlist.Duty, l.Term, l.Owner); err != nil {
 			return
 		}
 		r.stop()
@@ -225,7 +225,7 @@
 }
 
 // say tells the loop what is other than it was told.
-func (r *receiver) say(l *roster.List) {
+func (r *receiver) say(l *endpointlist.List) {
 	n := registry.News{Kind: registry.Changed}
 	if r.have == nil {
 		n.Kind = registry.Whole
--- /dev/null
+++ b/internal/controlplane/jsonkeys_test.go
@@ -0,0 +1,33 @@
+package controlplane_test
+
+import (
+	"testing"
+
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/allocator"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/distributor"
+	"mothcleat/internal/controlplane/endpointlist"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/rollout"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/testing/fixture"
+)
+
+// Operators' tools and the logs of older builds know these keys.
+func TestJSONKeys(t *testing.T) {
+	fixture.Equal(t, "testdata/operator-keys.txt", fixture.JSONKeys(
+		controlplane.Here{}, controlplane.Rights{}, controlplane.Versions{}, controlplane.Distribution{}, consensus.List{}, lease.View{}, usageexport.View{},
+		allocation.View{}, allocation.Right{}, allocation.Figures{}, allocator.Figures{}, allocator.Line{}, rollout.Here{}, rollout.Fetched{},
+		distributor.ReplicaStatus{}, distributor.ServerStatus{}, configversion.View{}, auditlog.Stretch{}, auditlog.Gap{}, auditlog.Sum{},
+	))
+	fixture.Equal(t, "testdata/command-keys.txt", fixture.JSONKeys(
+		lease.Op{}, lease.Result{}, usageexport.Op{}, usageexport.Result{}, checkpoint.Op{}, checkpoint.Entry{}, checkpoint.Result{}, allocation.Result{},
+		endpointlist.Op{}, endpointlist.Head{}, endpointlist.List{}, configversion.Op{}, configversion.Result{}, configversion.Told{}, configversion.Target{}, configversion.Standing{},
+		consensus.MembershipQuery{}, consensus.MembershipAnswer{}, auditlog.Entry{}, auditlog.Head{}, auditlog.Fold{},
+	))
+}
--- a/internal/metering/metering.go
+++ b/internal/controlplane/metering/metering.go
@@ -21,9 +21,9 @@
 	"sync/atomic"
 	"time"
 
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // takeInterval is how often the ring is read.
@@ -283,7 +283,7 @@
 
 // Parts passes the closed periods that were not collected yet to give, in order of incarnation and number, and deletes
 // those that were. The argument had is the last period collected, by incarnation.
-func (c *Counter) Parts(had map[uint64]uint64, give func(*fleetpb.Part) error) error {
+func (c *Counter) Parts(had map[uint64]uint64, give func(*controlpb.Part) error) error {
 	c.mu.Lock()
 	s := c.store
 	c.mu.Unlock()
@@ -309,9 +309,9 @@
 		if err := json.Unmarshal(item.Value, &p); err != nil {
 			return fmt.Errorf("usecount: period %d of boot %x: %w", number, boot, err)
 		}
-		part := &fleetpb.Part{Id: c.id, Boot: boot, Period: number, Begun: p.Begun, Ended: p.Ended, Last: p.Last}
+		part := &controlpb.Part{Id: c.id, Boot: boot, Period: number, Begun: p.Begun, Ended: p.Ended, Last: p.Last}
 		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
-			part.Units = append(part.Units, &fleetpb.Units{Customer: customer, Units: p.Units[customer]})
+			part.Units = append(part.Units, &controlpb.Units{Customer: customer, Units: p.Units[customer]})
 		}
 		if err := give(part); err != nil {
 			return err
--- a/internal/metering/metering_test.go
+++ b/internal/controlplane/metering/metering_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/fleetpb"
-	"mothcleat/store"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/storage/store"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -27,7 +27,7 @@
 func parts(t *testing.T, c *Counter, had map[uint64]uint64) (sums map[[2]uint64]float64, last map[uint64]bool) {
 	t.Helper()
 	sums, last = map[[2]uint64]float64{}, map[uint64]bool{}
-	if err := c.Parts(had, func(p *fleetpb.Part) error {
+	if err := c.Parts(had, func(p *controlpb.Part) error {
 		key := [2]uint64{p.Boot, p.Period}
 		if _, twice := sums[key]; twice {
 			t.Errorf("period %v twice", key)
--- a/internal/metering/ring.go
+++ b/internal/controlplane/metering/ring.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"unsafe"
 
-	"mothcleat/internal/mmapfile"
+	"mothcleat/internal/storage/mmapfile"
 )
 
 // ring is a ring buffer in a memory-mapped file, to which one goroutine adds records and from which another takes
--- a/internal/metering/stored_test.go
+++ b/internal/controlplane/metering/stored_test.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/testing/fixture"
 )
 
@@ -22,7 +22,7 @@
 	}
 	defer counter.Close()
 	var text strings.Builder
-	err = counter.Parts(nil, func(part *fleetpb.Part) error {
+	err = counter.Parts(nil, func(part *controlpb.Part) error {
 		if part.Last {
 			part.Ended = 0 // the killed process's last period is closed by this one, now
 		}
--- a/internal/fleetnode/node.go
+++ b/internal/controlplane/node.go
@@ -1,7 +1,7 @@
-// Package fleetnode is a gateway's part in its fleet's agreed state: the voter if this process has one,
+// Package controlplane is a gateway's part in its fleet's agreed state: the voter if this process has one,
 // its session, the duties it may hold, and its counted use. The gateway's loop only ever calls Count, which never
 // waits.
-package fleetnode
+package controlplane
 
 import (
 	"context"
@@ -16,26 +16,26 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/auditlog"
-	"mothcleat/budget"
-	"mothcleat/checkpoint"
-	"mothcleat/distribution"
-	"mothcleat/internal/auditrecorder"
-	"mothcleat/internal/budgets"
-	"mothcleat/internal/distributor"
-	"mothcleat/internal/election"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/metering"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/rollout"
-	"mothcleat/internal/usageexporter"
-	"mothcleat/internal/voter"
-	"mothcleat/lease"
-	"mothcleat/roster"
-	"mothcleat/usageexport"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/allocator"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/auditrecorder"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributor"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/controlplane/endpointlist"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/metering"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/controlplane/rollout"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/controlplane/usageexporter"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // Config is what a process is told of its fleet.
@@ -45,8 +45,8 @@
 	Listen    string
 	Address   string // where others reach it; "": Listen
 	Dir       string
-	Voters    []*fleetpb.Voter    // as they are known at first
-	Addresses fleetlink.Addresses // where others are reached from here, if not where they say
+	Voters    []*controlpb.Voter   // as they are known at first
+	Addresses controlrpc.Addresses // where others are reached from here, if not where they say
 	Rules     lease.Rules
 	Owners    []string      // ids of those that may hold duties; empty: all may
 	Tick      time.Duration // of voters; 0: 40 ms
@@ -59,10 +59,10 @@
 	// Direct makes a source that asks the register itself; nil: each gateway watches its register as it always did.
 	Direct func() (registry.Source, error)
 	// Budgets are the rules by which quotas are divided; nil: they are not.
-	Budgets      *budget.Rules
+	Budgets      *allocation.Rules
 	BudgetShards int
 	// Versions are the rules of what the fleet acts on, and Items what that is here; nil: each gateway acts on its configuration.
-	Versions *versions.Rules
+	Versions *configversion.Rules
 	Items    map[string]rollout.Item
 	Rights   io.Writer     // gets a line for each renewal of rights; nil: none
 	Silent   time.Duration // see distributor.SourceOptions; 0: distributor.DefaultSilent
@@ -70,7 +70,7 @@
 	Place     distribution.Place            // where this process runs
 	Places    map[string]distribution.Place // where the voters run, by name
 	ChangeLog int                           // changes that a voter keeps for replicas; 0: as many as by default
-	Observer  *fleetlink.Observer           // counts calls, messages and bytes; nil: nobody does
+	Observer  *controlrpc.Observer          // counts calls, messages and bytes; nil: nobody does
 }
 
 // Node is a process's part. Make it with Start.
@@ -79,16 +79,16 @@
 	me       lease.Member
 	ctx      context.Context
 	cancel   context.CancelFunc
-	client   *fleetlink.Client
+	client   *controlrpc.Client
 	duties   *election.Set
 	list     *distributor.Source // nil: the register is not watched for all
 	streams  *distributor.Server
-	rights   *budgets.User  // nil: quotas are not divided
-	agent    *rollout.Agent // nil: there are no versions
-	divide   *budgets.Divider
+	rights   *allocator.User // nil: quotas are not divided
+	agent    *rollout.Agent  // nil: there are no versions
+	divide   *allocator.Divider
 	contents *rollout.Contents
-	boots    atomic.Pointer[budgets.Boots]
-	server   atomic.Pointer[fleetlink.Server]
+	boots    atomic.Pointer[allocator.Boots]
+	server   atomic.Pointer[controlrpc.Server]
 
 	counter atomic.Pointer[metering.Counter]
 	record  atomic.Pointer[auditrecorder.Recorder] // nil: none yet, or there are no versions
@@ -117,19 +117,19 @@
 )
 
 // Machines are the parts of the agreed state.
-func Machines(r lease.Rules, v versions.Rules) map[string]agree.Machine {
+func Machines(r lease.Rules, v configversion.Rules) map[string]consensus.Machine {
 	d := lease.NewMachine(r)
-	return map[string]agree.Machine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
-		checkpoint.MachineName: checkpoint.NewMachine(d), roster.MachineName: roster.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), budget.MachineName: budget.NewMachine(d),
-		versions.MachineName: versions.NewMachine(v, d)}
+	return map[string]consensus.Machine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
+		checkpoint.MachineName: checkpoint.NewMachine(d), endpointlist.MachineName: endpointlist.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), allocation.MachineName: allocation.NewMachine(d),
+		configversion.MachineName: configversion.NewMachine(v, d)}
 }
 
 // versionRules are the rules of the versions' machine, which each voter has.
-func (n *Node) versionRules() versions.Rules {
+func (n *Node) versionRules() configversion.Rules {
 	if n.cfg.Versions != nil {
 		return *n.cfg.Versions
 	}
-	return versions.Defaults()
+	return configversion.Defaults()
 }
 
 // RecordDir is where a gateway's record lies.
@@ -172,7 +172,7 @@
 	n := &Node{cfg: cfg, ctx: ctx, cancel: cancel, leave: leave, left: make(chan struct{}), ready: make(chan struct{}),
 		early: make(chan use, earlyMost)}
 	n.me = lease.Member{ID: cfg.ID, Boot: rand.Uint64()>>1 | 1}
-	n.client = fleetlink.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
+	n.client = controlrpc.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
 	n.client.Observe(cfg.Observer)
 	n.duties = election.New(election.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
 	if cfg.Shards > 0 {
@@ -183,11 +183,11 @@
 	}
 	n.distribute()
 	if cfg.Budgets != nil {
-		n.divide = &budgets.Divider{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
+		n.divide = &allocator.Divider{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
 		for shard := range cfg.BudgetShards {
-			n.duties.Spread(budget.Duty(shard), n.divide.Work)
+			n.duties.Spread(allocation.Duty(shard), n.divide.Work)
 		}
-		n.rights = budgets.NewUser(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
+		n.rights = allocator.NewUser(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
 		n.rights.Record(cfg.Rights)
 	}
 	if cfg.Versions != nil {
@@ -199,7 +199,7 @@
 			}
 		})
 		n.agent.Heads(func() *auditlog.Head { return n.record.Load().Head() })
-		n.duties.Add(versions.Duty, n.agent.Work)
+		n.duties.Add(configversion.Duty, n.agent.Work)
 	}
 	go n.run(holding)
 	return n
@@ -209,7 +209,7 @@
 func (n *Node) Permit() *rollout.Agent { return n.agent }
 
 // Rights are this process's parts of the quotas; nil: they are not divided.
-func (n *Node) Rights() *budgets.User { return n.rights }
+func (n *Node) Rights() *allocator.User { return n.rights }
 
 // Register is the source of news of the servers, where the register is watched for all; nil: it is not.
 func (n *Node) Register() registry.Source {
@@ -272,7 +272,7 @@
 	if err := os.MkdirAll(n.cfg.Dir, 0o700); err != nil {
 		return err
 	}
-	var parts fleetlink.Parts
+	var parts controlrpc.Parts
 	var counter *metering.Counter
 	if n.cfg.Shards > 0 {
 		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Period, n.cfg.Log); err != nil {
@@ -286,7 +286,7 @@
 		}()
 	}
 	if n.rights != nil || n.agent != nil {
-		boots, bad := budgets.OpenBoots(n.cfg.Dir, n.me.Boot)
+		boots, bad := allocator.OpenBoots(n.cfg.Dir, n.me.Boot)
 		if bad != nil {
 			return bad
 		}
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	server := fleetlink.NewServer(n.ctx, n.cfg.Fleet, n.cfg.Addresses, parts, n.cfg.Observer.ServerOptions()...)
+	server := controlrpc.NewServer(n.ctx, n.cfg.Fleet, n.cfg.Addresses, parts, n.cfg.Observer.ServerOptions()...)
 	if n.divide != nil {
 		server.Budgets = n.divide
 	}
@@ -329,13 +329,13 @@
 		server.Contents = n.agent
 	}
 	server.Register(n.streams.Register)
-	err = server.Vote(n.ctx, voter.Options{Dir: LogDir(n.cfg.Dir), Address: n.cfg.Address, Tick: n.cfg.Tick, Keep: n.cfg.Keep, Log: n.cfg.Log,
+	err = server.Vote(n.ctx, replica.Options{Dir: LogDir(n.cfg.Dir), Address: n.cfg.Address, Tick: n.cfg.Tick, Keep: n.cfg.Keep, Log: n.cfg.Log,
 		Machines: n.machines})
 	switch {
-	case errors.Is(err, voter.ErrCopied):
+	case errors.Is(err, replica.ErrCopied):
 		n.mustNotVote(err.Error())
 		err = nil
-	case errors.Is(err, voter.ErrNone):
+	case errors.Is(err, replica.ErrNone):
 		n.cfg.Log.Info("fleet: this process is no voter", "folder", n.cfg.Dir)
 		for _, v := range n.cfg.Voters {
 			if v.Name == n.cfg.ID {
@@ -369,15 +369,15 @@
 
 // follow keeps up who votes.
 func (n *Node) follow() {
-	agreed := n.client.Members(agree.MembershipQuery{Scope: agree.ScopeVoters})
+	agreed := n.client.Members(consensus.MembershipQuery{Scope: consensus.ScopeVoters})
 	for n.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(n.ctx, callWithin)
 		all, err := agreed.Voters(ctx)
 		cancel()
 		if err == nil {
-			var voters []*fleetpb.Voter
+			var voters []*controlpb.Voter
 			for _, v := range all {
-				voters = append(voters, &fleetpb.Voter{Name: v.Name, Address: v.Address})
+				voters = append(voters, &controlpb.Voter{Name: v.Name, Address: v.Address})
 			}
 			if len(voters) > 0 {
 				n.client.SetVoters(voters)
@@ -476,6 +476,6 @@
 }
 
 // List is who belongs to the fleet, as the leader has it.
-func (n *Node) List(ctx context.Context) (l agree.List, err error) {
-	return l, n.ask(ctx, agree.FleetName, nil, &l)
+func (n *Node) List(ctx context.Context) (l consensus.List, err error) {
+	return l, n.ask(ctx, consensus.FleetName, nil, &l)
 }
