--- a/internal/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -9,10 +9,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/configstate"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/plans"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/plans"
 )
 
 // ItemName is what the fleet calls the item.
--- a/internal/planconfig/planconfig_test.go
+++ b/internal/controlplane/planconfig/planconfig_test.go
@@ -8,10 +8,10 @@
 	"strings"
 	"testing"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/configstate"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/plans"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/plans"
 )
 
 // unknownKind is a kind of records that no program knows.
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		delta := &fleetpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
+		delta := &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
 			Changes: distribution.ChangesProto(serverBase.State.Difference(target.State))}
 		got, raw, err := configstate.ApplyDelta(replica, base, target.Digest, delta)
 		if err != nil || got.Digest != target.Digest || !bytes.Equal(raw, want) {
@@ -160,8 +160,8 @@
 	base, _ := canonical(t, item, drawnFile(r, 300))
 	other, _ := canonical(t, item, drawnFile(r, 300))
 	target, _ := canonical(t, item, drawnFile(r, 300))
-	good := func() *fleetpb.ContentDelta {
-		return &fleetpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
+	good := func() *controlpb.ContentDelta {
+		return &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
 			Changes: distribution.ChangesProto(base.State.Difference(target.State))}
 	}
 	var wrongBase *configstate.WrongBaseError
@@ -169,18 +169,18 @@
 	var invalid *distribution.InvalidRecordError
 	for name, c := range map[string]struct {
 		base   *configstate.Version
-		spoil  func(*fleetpb.ContentDelta)
+		spoil  func(*controlpb.ContentDelta)
 		target any
 	}{
-		"to another base":              {other, func(*fleetpb.ContentDelta) {}, &wrongBase},
-		"of another base, renamed":     {other, func(d *fleetpb.ContentDelta) { d.Base = other.Digest }, &mismatch},
-		"to another content":           {base, func(d *fleetpb.ContentDelta) { d.Digest = other.Digest }, &wrongBase},
-		"a change lost":                {base, func(d *fleetpb.ContentDelta) { d.Changes = d.Changes[1:] }, &mismatch},
-		"a deletion undone":            {base, func(d *fleetpb.ContentDelta) { d.Changes[0].Deleted = !d.Changes[0].Deleted }, nil},
-		"no record":                    {base, func(d *fleetpb.ContentDelta) { d.Changes[0].Kind = 0 }, &invalid},
-		"a record of no plan":          {base, func(d *fleetpb.ContentDelta) { d.Changes[len(d.Changes)-1].Kind = unknownKind }, &invalid},
-		"a tenant without hexadecimal": {base, func(d *fleetpb.ContentDelta) { d.Changes[0].Id = "tenant" }, nil},
-		"a value of no plan":           {base, func(d *fleetpb.ContentDelta) { d.Changes[len(d.Changes)-1].Value = []byte{255} }, &invalid},
+		"to another base":              {other, func(*controlpb.ContentDelta) {}, &wrongBase},
+		"of another base, renamed":     {other, func(d *controlpb.ContentDelta) { d.Base = other.Digest }, &mismatch},
+		"to another content":           {base, func(d *controlpb.ContentDelta) { d.Digest = other.Digest }, &wrongBase},
+		"a change lost":                {base, func(d *controlpb.ContentDelta) { d.Changes = d.Changes[1:] }, &mismatch},
+		"a deletion undone":            {base, func(d *controlpb.ContentDelta) { d.Changes[0].Deleted = !d.Changes[0].Deleted }, nil},
+		"no record":                    {base, func(d *controlpb.ContentDelta) { d.Changes[0].Kind = 0 }, &invalid},
+		"a record of no plan":          {base, func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Kind = unknownKind }, &invalid},
+		"a tenant without hexadecimal": {base, func(d *controlpb.ContentDelta) { d.Changes[0].Id = "tenant" }, nil},
+		"a value of no plan":           {base, func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Value = []byte{255} }, &invalid},
 	} {
 		d := good()
 		c.spoil(d)
@@ -210,7 +210,7 @@
 	if _, err := configstate.NewRepair(base, other.Digest, sums); !errors.As(err, &wrong) {
 		t.Errorf("sums of another content: %v", err)
 	}
-	short := &fleetpb.ContentSums{Digest: sums.Digest, State: sums.State, Sums: sums.Sums[:160]}
+	short := &controlpb.ContentSums{Digest: sums.Digest, State: sums.State, Sums: sums.Sums[:160]}
 	if _, err := configstate.NewRepair(base, target.Digest, short); err == nil {
 		t.Error("sums of ten buckets are taken")
 	}
@@ -222,7 +222,7 @@
 	if err := repair.Put(configstate.AnswerBuckets(other, indexes)); err == nil {
 		t.Error("buckets of another content are taken")
 	}
-	if err := repair.Put(&fleetpb.ContentBucketsResponse{}); err == nil {
+	if err := repair.Put(&controlpb.ContentBucketsResponse{}); err == nil {
 		t.Error("an answer without buckets is taken")
 	}
 	if _, _, err := repair.Finish(item); err == nil {
@@ -262,7 +262,7 @@
 	if a := configstate.AnswerDelta(v, []string{next.Digest}, find); a.Delta != nil || a.Sums != nil {
 		t.Errorf("%v", a)
 	}
-	d := &fleetpb.ContentDelta{Base: v.Digest, Digest: next.Digest, Changes: distribution.ChangesProto(v.State.Difference(next.State))}
+	d := &controlpb.ContentDelta{Base: v.Digest, Digest: next.Digest, Changes: distribution.ChangesProto(v.State.Difference(next.State))}
 	if _, _, err := configstate.ApplyDelta(item, v, next.Digest, d); err != nil {
 		t.Error(err)
 	}
--- a/internal/voter/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"fmt"
@@ -10,12 +10,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/agree"
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // BenchmarkRecover is how long a lone voter takes from its folder to having applied all entries again, by
@@ -31,9 +31,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			var w agree.Work
+			var w consensus.Work
 			last := uint64(1)
-			add := func(e *fleetpb.Entry) {
+			add := func(e *controlpb.Entry) {
 				raw, err := proto.Marshal(e)
 				if err != nil {
 					b.Fatal(err)
@@ -41,9 +41,9 @@
 				last++
 				w.Entries = append(w.Entries, &raftpb.Entry{Index: new(last), Term: new(uint64(1)), Data: raw})
 			}
-			add(&fleetpb.Entry{Member: &fleetpb.Member{Id: "m", Boot: 1}})
+			add(&controlpb.Entry{Member: &controlpb.Member{Id: "m", Boot: 1}})
 			for i := range entries {
-				add(&fleetpb.Entry{Session: 2, Seq: uint64(i + 1), Floor: uint64(i), Machine: checkpoint.MachineName,
+				add(&controlpb.Entry{Session: 2, Seq: uint64(i + 1), Floor: uint64(i), Machine: checkpoint.MachineName,
 					Body: fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i%100, i)})
 			}
 			w.Hard, w.Sync = &raftpb.HardState{Term: new(uint64(1)), Vote: new(f.Identity().Number), Commit: new(last)}, true
@@ -64,9 +64,9 @@
 					b.Fatal(err)
 				}
 				d := lease.NewMachine(lease.Defaults())
-				n, err := agree.Open(monotonic.Now(), agree.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
+				n, err := consensus.Open(monotonic.Now(), consensus.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
 					HeartbeatTicks: 2, Log: raftLogger{slog.New(slog.DiscardHandler)},
-					Machines: map[string]agree.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}}, saved)
+					Machines: map[string]consensus.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}}, saved)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/voter/calls.go
+++ b/internal/controlplane/replica/calls.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/monotonic"
 )
 
@@ -21,9 +21,9 @@
 }
 
 // call has the voter's goroutine answer a request. Where the context ends first, the answer says so.
-func (v *Voter) call(ctx context.Context, do func(end func(*fleetpb.Answer))) *fleetpb.Answer {
-	answer := make(chan *fleetpb.Answer, 1)
-	end := func(a *fleetpb.Answer) {
+func (v *Voter) call(ctx context.Context, do func(end func(*controlpb.Answer))) *controlpb.Answer {
+	answer := make(chan *controlpb.Answer, 1)
+	end := func(a *controlpb.Answer) {
 		select {
 		case answer <- a:
 		default:
@@ -31,61 +31,61 @@
 	}
 	if !v.post(func() {
 		if v.node == nil || !v.begun {
-			end(&fleetpb.Answer{Code: fleetpb.Code_NOT_READY, Why: "this voter takes no part now"})
+			end(&controlpb.Answer{Code: controlpb.Code_NOT_READY, Why: "this voter takes no part now"})
 			return
 		}
 		do(end)
 	}) {
-		return &fleetpb.Answer{Code: fleetpb.Code_NOT_READY, Why: "this voter has too much to do"}
+		return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Why: "this voter has too much to do"}
 	}
 	select {
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
-		return &fleetpb.Answer{Code: fleetpb.Code_NOT_READY, Why: "no answer in time: it may be agreed yet"}
+		return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Why: "no answer in time: it may be agreed yet"}
 	case <-v.ended:
-		return &fleetpb.Answer{Code: fleetpb.Code_NOT_READY, Why: "this voter has ended: it may be agreed yet"}
+		return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Why: "this voter has ended: it may be agreed yet"}
 	}
 }
 
 // Do proposes a command. After an answer NOT_READY or NOT_LEADER the command may still be agreed.
-func (v *Voter) Do(ctx context.Context, c *fleetpb.Command) *fleetpb.Answer {
-	return v.call(ctx, func(end func(*fleetpb.Answer)) { v.node.Submit(monotonic.Now(), c, end) })
+func (v *Voter) Do(ctx context.Context, c *controlpb.Command) *controlpb.Answer {
+	return v.call(ctx, func(end func(*controlpb.Answer)) { v.node.Submit(monotonic.Now(), c, end) })
 }
 
 // Ask queries a machine; it is a linearizable read.
-func (v *Voter) Ask(ctx context.Context, q *fleetpb.Query) *fleetpb.Answer {
-	return v.call(ctx, func(end func(*fleetpb.Answer)) { v.node.Read(q.Machine, q.Body, end) })
+func (v *Voter) Ask(ctx context.Context, q *controlpb.Query) *controlpb.Answer {
+	return v.call(ctx, func(end func(*controlpb.Answer)) { v.node.Read(q.Machine, q.Body, end) })
 }
 
 // Alter proposes to add or remove a voter.
-func (v *Voter) Alter(ctx context.Context, c *fleetpb.Change) *fleetpb.Answer {
-	return v.call(ctx, func(end func(*fleetpb.Answer)) { v.node.Alter(c.Add, c.Voter, end) })
+func (v *Voter) Alter(ctx context.Context, c *controlpb.Change) *controlpb.Answer {
+	return v.call(ctx, func(end func(*controlpb.Answer)) { v.node.Alter(c.Add, c.Voter, end) })
 }
 
 // Snapshot has the voter write a snapshot and drop old entries.
 func (v *Voter) Snapshot(ctx context.Context) error {
-	a := v.call(ctx, func(end func(*fleetpb.Answer)) {
-		a := &fleetpb.Answer{}
+	a := v.call(ctx, func(end func(*controlpb.Answer)) {
+		a := &controlpb.Answer{}
 		if err := v.node.Compact(); err != nil {
-			a.Code, a.Why = fleetpb.Code_REFUSED, err.Error()
+			a.Code, a.Why = controlpb.Code_REFUSED, err.Error()
 		}
 		end(a)
 	})
-	if a.Code != fleetpb.Code_OK {
+	if a.Code != controlpb.Code_OK {
 		return errors.New(a.Why)
 	}
 	return nil
 }
 
 // Step takes in messages of another voter. If the queue is full they are dropped; raft sends them again.
-func (v *Voter) Step(from *fleetpb.Voter, messages []*raftpb.Message) {
+func (v *Voter) Step(from *controlpb.Voter, messages []*raftpb.Message) {
 	v.post(func() {
 		if v.node == nil || !v.begun {
 			return
 		}
 		if v.heard == nil || len(v.heard) > maxHeard {
-			v.heard = map[uint64]*fleetpb.Voter{}
+			v.heard = map[uint64]*controlpb.Voter{}
 		}
 		v.heard[from.Number] = from
 		for _, m := range messages {
@@ -114,14 +114,14 @@
 
 // Witness returns what this voter was promised by another, or nil if it can't tell before the context
 // ends. It answers also while it does not take part itself.
-func (v *Voter) Witness(ctx context.Context, p *fleetpb.Position) *fleetpb.Witness {
-	answer := make(chan *fleetpb.Witness, 1)
+func (v *Voter) Witness(ctx context.Context, p *controlpb.Position) *controlpb.Witness {
+	answer := make(chan *controlpb.Witness, 1)
 	v.post(func() {
 		if v.node == nil || v.asked == folderRefused {
 			return
 		}
 		w := v.node.Know(p.Voter)
-		answer <- &fleetpb.Witness{From: v.id.Number, Term: w.Term, Leader: w.Leader, Promised: w.Promised.Term, Index: w.Promised.Index, Stranger: w.Stranger}
+		answer <- &controlpb.Witness{From: v.id.Number, Term: w.Term, Leader: w.Leader, Promised: w.Promised.Term, Index: w.Promised.Index, Stranger: w.Stranger}
 	})
 	select {
 	case w := <-answer:
--- a/internal/voter/export_test.go
+++ b/internal/controlplane/replica/export_test.go
@@ -1,6 +1,6 @@
-package voter
+package replica
 
-import "mothcleat/store"
+import "mothcleat/internal/storage/store"
 
 // Adopt has a copied folder count as made where it lies.
 func Adopt(dir string) error {
--- a/internal/voter/folder.go
+++ b/internal/controlplane/replica/folder.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/agree"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/store"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/storage/store"
 )
 
 // Identity says whose folder it is. A voter is its folder: one that was lost comes back as another.
@@ -57,8 +57,8 @@
 var ErrFounded = errors.New("the folder is a voter's already")
 
 // Found makes the folder of a voter of a new fleet.
-func Found(dir, fleet, name string, voters []*fleetpb.Voter) error {
-	saved, err := agree.Found(fleet, voters)
+func Found(dir, fleet, name string, voters []*controlpb.Voter) error {
+	saved, err := consensus.Found(fleet, voters)
 	if err != nil {
 		return err
 	}
@@ -67,10 +67,10 @@
 
 // Join makes the folder of a voter that is to be added to a fleet.
 func Join(dir, fleet, name string) error {
-	return begin(dir, Identity{fleet, name, rand.Uint64() | 1}, agree.Join())
+	return begin(dir, Identity{fleet, name, rand.Uint64() | 1}, consensus.Join())
 }
 
-func begin(dir string, id Identity, saved agree.Saved) (err error) {
+func begin(dir string, id Identity, saved consensus.Saved) (err error) {
 	s, err := store.Open(dir, store.Options{})
 	if err != nil {
 		return err
@@ -92,14 +92,14 @@
 	var b store.Batch
 	b.Put(keyIdentity, raw)
 	b.Put(keyPlace, where)
-	if err := put(&b, agree.Work{Hard: saved.Hard, Snapshot: saved.Snapshot}); err != nil {
+	if err := put(&b, consensus.Work{Hard: saved.Hard, Snapshot: saved.Snapshot}); err != nil {
 		return err
 	}
 	return s.Commit(&b, store.Durable)
 }
 
 // put writes all of a work but its entries into a batch.
-func put(b *store.Batch, w agree.Work) error {
+func put(b *store.Batch, w consensus.Work) error {
 	if w.Hard != nil {
 		raw, err := proto.Marshal(w.Hard)
 		if err != nil {
@@ -181,8 +181,8 @@
 func (f *Folder) Close() error { return f.store.Close() }
 
 // Load reads what the folder holds.
-func (f *Folder) Load() (saved agree.Saved, err error) {
-	saved.Hard, saved.Snapshot, saved.Witness = &raftpb.HardState{}, &raftpb.Snapshot{}, map[uint64]agree.Promise{}
+func (f *Folder) Load() (saved consensus.Saved, err error) {
+	saved.Hard, saved.Snapshot, saved.Witness = &raftpb.HardState{}, &raftpb.Snapshot{}, map[uint64]consensus.Promise{}
 	for key, into := range map[string]proto.Message{string(keyHard): saved.Hard, string(keySnapshot): saved.Snapshot} {
 		raw, err := f.store.Get([]byte(key))
 		if err == nil {
@@ -220,7 +220,7 @@
 			return saved, err
 		}
 		if len(item.Key) == 9 && len(item.Value) == 16 {
-			saved.Witness[binary.BigEndian.Uint64(item.Key[1:])] = agree.Promise{
+			saved.Witness[binary.BigEndian.Uint64(item.Key[1:])] = consensus.Promise{
 				Term: binary.BigEndian.Uint64(item.Value), Index: binary.BigEndian.Uint64(item.Value[8:])}
 		}
 	}
@@ -229,7 +229,7 @@
 
 // Save writes a work, whole or not at all. With Sync it is on disk when Save returns nil. After an error the
 // folder takes nothing any more: it has to be opened anew.
-func (f *Folder) Save(w agree.Work) error {
+func (f *Folder) Save(w consensus.Work) error {
 	var b store.Batch
 	if err := put(&b, w); err != nil {
 		return err
--- a/internal/voter/folder_test.go
+++ b/internal/controlplane/replica/folder_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -8,12 +8,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"pgregory.net/rapid"
 
-	"mothcleat/agree"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/store"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/storage/store"
 )
 
-var three = []*fleetpb.Voter{{Number: NumberOf("f", "a"), Name: "a"}, {Number: NumberOf("f", "b"), Name: "b"}, {Number: NumberOf("f", "c"), Name: "c"}}
+var three = []*controlpb.Voter{{Number: NumberOf("f", "a"), Name: "a"}, {Number: NumberOf("f", "b"), Name: "b"}, {Number: NumberOf("f", "c"), Name: "c"}}
 
 func TestFounding(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "log")
@@ -60,7 +60,7 @@
 		entries := map[uint64]uint64{} // index to term
 		last, term, first := uint64(1), uint64(1), uint64(2)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			var w agree.Work
+			var w consensus.Work
 			w.Sync = rapid.Bool().Draw(t, "sync")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1, 2: // entries, that may replace others
--- a/internal/voter/proof.go
+++ b/internal/controlplane/replica/proof.go
@@ -1,8 +1,8 @@
-package voter
+package replica
 
 import (
-	"mothcleat/agree"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/monotonic"
 )
 
@@ -42,9 +42,9 @@
 // askForProof asks each other voter once.
 func (v *Voter) askForProof() {
 	node, p := v.node, v.node.Position()
-	position := &fleetpb.Position{Fleet: v.id.Fleet, Voter: v.id.Number, Term: p.Term, Last: p.Last}
+	position := &controlpb.Position{Fleet: v.id.Fleet, Voter: v.id.Number, Term: p.Term, Last: p.Last}
 	for _, o := range v.others() {
-		v.link.Prove(o, position, func(w *fleetpb.Witness) {
+		v.link.Prove(o, position, func(w *controlpb.Witness) {
 			v.post(func() {
 				if v.node == node && !v.begun {
 					v.proof.Hear(w.From, wordOf(w))
@@ -54,11 +54,11 @@
 	}
 }
 
-func wordOf(w *fleetpb.Witness) agree.Word {
-	return agree.Word{
+func wordOf(w *controlpb.Witness) consensus.Word {
+	return consensus.Word{
 		Term:     w.Term,
 		Leader:   w.Leader,
-		Promised: agree.Promise{Term: w.Promised, Index: w.Index},
+		Promised: consensus.Promise{Term: w.Promised, Index: w.Index},
 		Stranger: w.Stranger,
 	}
 }
--- a/internal/voter/raftlogger.go
+++ b/internal/controlplane/replica/raftlogger.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"fmt"
--- a/internal/voter/status.go
+++ b/internal/controlplane/replica/status.go
@@ -1,16 +1,16 @@
-package voter
+package replica
 
 import (
-	"mothcleat/agree"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
 )
 
 // Status describes a voter.
 type Status struct {
 	Identity
-	Role    agree.Role
+	Role    consensus.Role
 	Leader  string // its name
-	Voters  []*fleetpb.Voter
+	Voters  []*controlpb.Voter
 	Applied uint64
 	First   uint64
 	Trouble string // why it takes no part; "": it does
@@ -54,7 +54,7 @@
 }
 
 // logChanges logs a new leader and a new list of voters.
-func (v *Voter) logChanges(role agree.Role, leader string, voters []*fleetpb.Voter) {
+func (v *Voter) logChanges(role consensus.Role, leader string, voters []*controlpb.Voter) {
 	if role != v.role {
 		v.opt.Log.Info("fleet: leader", "voter", v.id.Name, "term", role.Term, "leader", leader, "leads", role.Leads)
 		v.role = role
@@ -80,5 +80,5 @@
 func (v *Voter) trouble(why string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.status.Trouble, v.status.Role, v.status.Leader = why, agree.Role{}, ""
+	v.status.Trouble, v.status.Role, v.status.Leader = why, consensus.Role{}, ""
 }
--- a/internal/voter/status_test.go
+++ b/internal/controlplane/replica/status_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothcleat/agree"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/monotonic"
 )
 
 // noLink is the link of a voter that is alone.
 type noLink struct{}
 
-func (noLink) Send(*fleetpb.Voter, *fleetpb.Voter, []*raftpb.Message)                 {}
-func (noLink) Prove(*fleetpb.Voter, *fleetpb.Position, func(answer *fleetpb.Witness)) {}
+func (noLink) Send(*controlpb.Voter, *controlpb.Voter, []*raftpb.Message)                   {}
+func (noLink) Prove(*controlpb.Voter, *controlpb.Position, func(answer *controlpb.Witness)) {}
 
 // newLeader is a voter that is alone and leads. Its goroutine does not run: a test does what it does.
 func newLeader(t *testing.T) *Voter {
@@ -28,7 +28,7 @@
 	}
 	v := &Voter{link: noLink{}, opt: Options{
 		Dir: dir, Election: defaultElectionTicks, Log: slog.New(slog.DiscardHandler),
-		Machines: func() map[string]agree.Machine { return map[string]agree.Machine{} },
+		Machines: func() map[string]consensus.Machine { return map[string]consensus.Machine{} },
 	}}
 	if err := v.open(); err != nil {
 		t.Fatal(err)
@@ -52,8 +52,8 @@
 	publishing := func(sessions int) float64 {
 		v := newLeader(t)
 		for i := range sessions {
-			open := &fleetpb.Command{Member: &fleetpb.Member{Id: fmt.Sprintf("g%d", i), Boot: 1}}
-			v.node.Submit(monotonic.Now(), open, func(*fleetpb.Answer) {})
+			open := &controlpb.Command{Member: &controlpb.Member{Id: fmt.Sprintf("g%d", i), Boot: 1}}
+			v.node.Submit(monotonic.Now(), open, func(*controlpb.Answer) {})
 		}
 		if err := v.work(); err != nil {
 			t.Fatal(err)
--- a/internal/voter/stored_test.go
+++ b/internal/controlplane/replica/stored_test.go
@@ -1,4 +1,4 @@
-package voter_test
+package replica_test
 
 import (
 	"encoding/json"
@@ -11,24 +11,24 @@
 	"go.etcd.io/raft/v3"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/agree"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/storage/store"
 	"mothcleat/internal/testing/fixture"
-	"mothcleat/internal/voter"
-	"mothcleat/lease"
-	"mothcleat/store"
-	"mothcleat/versions"
 )
 
 // A folder that an earlier build wrote, in a fleet with all state machines, holds the same commands: applied by this
 // build they lead to the same state of every machine, byte by byte, and a snapshot of it restores the same.
 func TestStoredFolderIsReplayed(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored/log")
-	if err := voter.Adopt(dir); err != nil {
+	if err := replica.Adopt(dir); err != nil {
 		t.Fatal(err)
 	}
-	folder, err := voter.Open(dir, store.Options{})
+	folder, err := replica.Open(dir, store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	snapshot := replay(t, folder.Identity().Number, saved)
 	fixture.Equal(t, "testdata/stored/snapshot.pb", snapshot.Snapshot.Data)
 
-	var content fleetpb.Snapshot
+	var content controlpb.Snapshot
 	if err := proto.Unmarshal(snapshot.Snapshot.Data, &content); err != nil {
 		t.Fatal(err)
 	}
@@ -61,19 +61,19 @@
 	}
 }
 
-func newMachines() map[string]agree.Machine {
-	return fleetnode.Machines(lease.Defaults(), versions.Defaults())
+func newMachines() map[string]consensus.Machine {
+	return controlplane.Machines(lease.Defaults(), configversion.Defaults())
 }
 
 // replay applies all committed entries and returns a snapshot of the state that they lead to.
-func replay(t *testing.T, number uint64, saved agree.Saved) agree.Work {
+func replay(t *testing.T, number uint64, saved consensus.Saved) consensus.Work {
 	t.Helper()
-	config := agree.Config{
+	config := consensus.Config{
 		Number: number, Machines: newMachines(), Random: rand.New(rand.NewPCG(1, 1)),
 		ElectionTicks: 10, HeartbeatTicks: 2, Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 	}
 	const now = time.Second
-	node, err := agree.Open(now, config, saved)
+	node, err := consensus.Open(now, config, saved)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/voter/voter.go
+++ b/internal/controlplane/replica/voter.go
@@ -1,7 +1,7 @@
-// Package voter runs one voting replica of the agreed state: package agree's decisions, the folder that
+// Package replica runs one voting replica of the agreed state: package agree's decisions, the folder that
 // they are saved in, and a link to the other voters. One goroutine does all of it and waits for the disk.
 // Its callers wait no longer than their contexts last.
-package voter
+package replica
 
 import (
 	"context"
@@ -13,30 +13,30 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothcleat/agree"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetpb"
 	"mothcleat/internal/monotonic"
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // Link carries messages to other voters. Its methods are called by the voter's goroutine, and must not block.
 type Link interface {
 	// Send passes messages of a voter on, or drops them and says so to Voter.Unreachable.
-	Send(from, to *fleetpb.Voter, messages []*raftpb.Message)
+	Send(from, to *controlpb.Voter, messages []*raftpb.Message)
 	// Prove asks another voter what it was promised, and calls back from any goroutine; not at all where
 	// there is no answer.
-	Prove(to *fleetpb.Voter, p *fleetpb.Position, answer func(*fleetpb.Witness))
+	Prove(to *controlpb.Voter, p *controlpb.Position, answer func(*controlpb.Witness))
 }
 
 // Options configure a voter.
 type Options struct {
 	Dir      string
-	Address  string                          // where other voters reach it
-	Machines func() map[string]agree.Machine // new ones, for each time that the folder is opened
-	Tick     time.Duration                   // 0: 40 ms
-	Election int                             // ticks; 0: 10
-	Keep     uint64                          // entries; see agree.Config
+	Address  string                              // where other voters reach it
+	Machines func() map[string]consensus.Machine // new ones, for each time that the folder is opened
+	Tick     time.Duration                       // 0: 40 ms
+	Election int                                 // ticks; 0: 10
+	Keep     uint64                              // entries; see agree.Config
 	Log      *slog.Logger
 	// News is told of a machine that has changed, with its Query of nil; nil: nobody wants it. It must not block. Only
 	// machines that count their changes are told: those that processes watch as a whole, and which are small.
@@ -58,17 +58,17 @@
 
 	// Of the goroutine alone.
 	folder   *Folder
-	node     *agree.Node
-	proof    *agree.Proof
-	machines map[string]agree.Machine
+	node     *consensus.Node
+	proof    *consensus.Proof
+	machines map[string]consensus.Machine
 	told     map[string]uint64
 	begun    bool
 	asked    time.Duration // when proof was last asked for; 0: never
 	reopenAt time.Duration // after the folder has failed
 	kept     uint64        // index of the snapshot that the folder holds
-	role     agree.Role
+	role     consensus.Role
 	voters   string
-	heard    map[uint64]*fleetpb.Voter // who sent messages, by its own word
+	heard    map[uint64]*controlpb.Voter // who sent messages, by its own word
 
 	mu     sync.Mutex
 	status Status
@@ -122,7 +122,7 @@
 		return errors.Join(err, f.Close())
 	}
 	machines := v.opt.Machines()
-	node, err := agree.Open(monotonic.Now(), agree.Config{
+	node, err := consensus.Open(monotonic.Now(), consensus.Config{
 		Number: f.id.Number, Machines: machines, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		ElectionTicks: v.opt.Election, HeartbeatTicks: 2, KeepEntries: v.opt.Keep, Log: raftLogger{v.opt.Log},
 	}, saved)
@@ -132,15 +132,15 @@
 	v.id, v.folder, v.node, v.machines, v.told = f.id, f, node, machines, map[string]uint64{}
 	v.kept = saved.Snapshot.Metadata.GetIndex()
 	v.begun, v.asked = false, 0
-	v.proof = agree.NewProof(node.Position(), len(v.others()))
-	if node.Position() == (agree.Position{}) {
+	v.proof = consensus.NewProof(node.Position(), len(v.others()))
+	if node.Position() == (consensus.Position{}) {
 		return v.begin(0) // it has never promised anything to anybody
 	}
 	return nil
 }
 
 // others returns the voters but this one.
-func (v *Voter) others() (all []*fleetpb.Voter) {
+func (v *Voter) others() (all []*controlpb.Voter) {
 	for _, o := range v.node.Voters() {
 		if o.Number != v.id.Number {
 			all = append(all, o)
@@ -229,7 +229,7 @@
 		return
 	}
 	for _, d := range v.node.Ended() {
-		d.Tag.(func(*fleetpb.Answer))(d.Answer)
+		d.Tag.(func(*controlpb.Answer))(d.Answer)
 	}
 	v.node.Drop(why)
 	v.answer()
@@ -282,7 +282,7 @@
 	for _, m := range messages {
 		by[m.GetTo()] = append(by[m.GetTo()], m)
 	}
-	from := &fleetpb.Voter{Number: v.id.Number, Name: v.id.Name, Address: v.opt.Address}
+	from := &controlpb.Voter{Number: v.id.Number, Name: v.id.Name, Address: v.opt.Address}
 	for _, o := range v.node.Voters() {
 		if out := by[o.Number]; out != nil {
 			v.link.Send(from, o, out)
@@ -300,7 +300,7 @@
 // answer ends the requests that the node has ended, and tells of machines that have changed.
 func (v *Voter) answer() {
 	for _, d := range v.node.Ended() {
-		d.Tag.(func(*fleetpb.Answer))(d.Answer)
+		d.Tag.(func(*controlpb.Answer))(d.Answer)
 	}
 	if v.opt.News == nil {
 		return
--- a/internal/rollout/agent.go
+++ b/internal/controlplane/rollout/agent.go
@@ -11,12 +11,12 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/auditlog"
-	"mothcleat/internal/configstate"
-	"mothcleat/internal/fleetlink"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/monotonic"
-	"mothcleat/lease"
-	"mothcleat/versions"
 )
 
 // Timeouts of calls, and the periods at which the agent's loops run.
@@ -45,8 +45,8 @@
 // Agent is one process's side of the roll-out of versions. Start it with Run; its other methods may
 // be called from any goroutine. Acts and Over wait for nothing but a mutex that is held briefly.
 type Agent struct {
-	rules    versions.Rules
-	client   *fleetlink.Client
+	rules    configversion.Rules
+	client   *controlrpc.Client
 	contents *Contents
 	versions *versionCache
 	items    map[string]Item // constant after New
@@ -55,7 +55,7 @@
 	applying sync.Mutex // serialises apply, so that contents reach an Item in their order; taken before mu
 
 	mu              sync.Mutex
-	holder          *versions.Holder
+	holder          *configversion.Holder
 	applied         map[string]appliedRefs // what was last passed to Item.Use, by item
 	reported        map[string]uint64      // newest number reported as in force, by item
 	reportedRefusal map[string]bool        // digests whose refusal was reported
@@ -72,7 +72,7 @@
 
 // New returns an agent that may not act on anything yet. items maps the names of items to what
 // applies them.
-func New(r versions.Rules, client *fleetlink.Client, contents *Contents, items map[string]Item,
+func New(r configversion.Rules, client *controlrpc.Client, contents *Contents, items map[string]Item,
 	log *slog.Logger) *Agent {
 	return &Agent{
 		rules:           r,
@@ -81,7 +81,7 @@
 		versions:        newVersionCache(contents),
 		items:           items,
 		log:             log,
-		holder:          versions.NewHolder(r),
+		holder:          configversion.NewHolder(r),
 		applied:         map[string]appliedRefs{},
 		reported:        map[string]uint64{},
 		reportedRefusal: map[string]bool{},
@@ -120,7 +120,7 @@
 
 // Leave tells the fleet that this process acts on nothing any more.
 func (a *Agent) Leave(ctx context.Context) {
-	if err := a.command(ctx, versions.Op{Do: "left"}); err != nil {
+	if err := a.command(ctx, configversion.Op{Do: "left"}); err != nil {
 		a.log.Debug("fleet: versions: not told that this process leaves", "error", err)
 	}
 }
--- a/internal/rollout/apply.go
+++ b/internal/controlplane/rollout/apply.go
@@ -4,16 +4,16 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/configstate"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/configversion"
 	"mothcleat/internal/failpoint"
 	"mothcleat/internal/monotonic"
-	"mothcleat/versions"
 )
 
 // appliedRefs names what was passed to Item.Use.
 type appliedRefs struct {
-	target versions.Ref
-	beside []versions.Ref
+	target configversion.Ref
+	beside []configversion.Ref
 }
 
 func (r appliedRefs) equal(other appliedRefs) bool {
@@ -97,7 +97,7 @@
 }
 
 // putInForce takes in that an item's version decides from now on.
-func (a *Agent) putInForce(name string, target versions.Ref) {
+func (a *Agent) putInForce(name string, target configversion.Ref) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.holder.InForce()[name]
@@ -144,7 +144,7 @@
 }
 
 // readContent returns a content that was checked, and nil for what this process has by its own configuration.
-func (a *Agent) readContent(item Item, ref versions.Ref) (*configstate.Version, error) {
+func (a *Agent) readContent(item Item, ref configversion.Ref) (*configstate.Version, error) {
 	if ref.Digest == "" {
 		return nil, nil
 	}
--- a/internal/rollout/calls.go
+++ b/internal/controlplane/rollout/calls.go
@@ -6,13 +6,13 @@
 	"errors"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
 )
 
 // View returns the agreed state of all versions.
-func (a *Agent) View(ctx context.Context) (view versions.View, err error) {
-	raw, err := a.client.Ask(ctx, versions.MachineName, nil)
+func (a *Agent) View(ctx context.Context) (view configversion.View, err error) {
+	raw, err := a.client.Ask(ctx, configversion.MachineName, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &view)
 	}
@@ -20,17 +20,17 @@
 }
 
 // membersOf asks for the members of some ids.
-func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]agree.MemberAt, error) {
+func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]consensus.MemberAt, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	return a.client.Members(agree.MembershipQuery{Scope: agree.ScopeMembers, IDs: ids}).List(ctx)
+	return a.client.Members(consensus.MembershipQuery{Scope: consensus.ScopeMembers, IDs: ids}).List(ctx)
 }
 
 // memberList asks for all members and voters of the fleet, on behalf of an operator's command.
-func (a *Agent) memberList(ctx context.Context) (list agree.List, err error) {
+func (a *Agent) memberList(ctx context.Context) (list consensus.List, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	raw, err := a.client.Ask(ctx, agree.FleetName, nil)
+	raw, err := a.client.Ask(ctx, consensus.FleetName, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &list)
 	}
@@ -38,21 +38,21 @@
 }
 
 // command has a command agreed.
-func (a *Agent) command(ctx context.Context, op versions.Op) error {
+func (a *Agent) command(ctx context.Context, op configversion.Op) error {
 	_, err := a.agreedNumber(ctx, op)
 	return err
 }
 
 // agreedNumber has a command agreed and returns the number in its result.
-func (a *Agent) agreedNumber(ctx context.Context, op versions.Op) (uint64, error) {
+func (a *Agent) agreedNumber(ctx context.Context, op configversion.Op) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	op.Wall = time.Now().UnixMicro()
-	raw, err := a.client.Do(ctx, versions.MachineName, op.Encode())
+	raw, err := a.client.Do(ctx, configversion.MachineName, op.Encode())
 	if err != nil {
 		return 0, err
 	}
-	var result versions.Result
+	var result configversion.Result
 	if err := json.Unmarshal(raw, &result); err != nil {
 		return 0, err
 	}
--- a/internal/rollout/cleanup.go
+++ b/internal/controlplane/rollout/cleanup.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // referencedDigests returns the digests of the newest versions of each item, and of all versions
 // that a process may still act on.
-func referencedDigests(view *versions.View) map[string]bool {
+func referencedDigests(view *configversion.View) map[string]bool {
 	digests := map[string]bool{}
 	seen := map[string]int{} // versions, by item
 	for i := len(view.Versions) - 1; i >= 0; i-- {
--- a/internal/rollout/contents.go
+++ b/internal/controlplane/rollout/contents.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
+	"mothcleat/internal/controlplane/configversion"
 	"mothcleat/internal/failpoint"
-	"mothcleat/versions"
 )
 
 // Contents is a content-addressed folder: each file is named by the SHA-256 digest of its content,
@@ -88,7 +88,7 @@
 
 // Take writes the chunks that next returns, from an offset in bytes on. At the content's full size it
 // checks the digest. Where next fails, what has come stays, so that a later call can resume.
-func (c *Contents) Take(r versions.Ref, from int64, next func() ([]byte, error)) error {
+func (c *Contents) Take(r configversion.Ref, from int64, next func() ([]byte, error)) error {
 	f, err := os.OpenFile(c.partPath(r.Digest), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
--- a/internal/rollout/contents_test.go
+++ b/internal/controlplane/rollout/contents_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 // A fetch that is cut at any byte is gone on with, and ends whole; one that is damaged on the way is never there under its name.
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ref := versions.Ref{Digest: digest, Size: int64(len(raw))}
+	ref := configversion.Ref{Digest: digest, Size: int64(len(raw))}
 	broke := errors.New("the link broke")
 	// fetch takes what comes, up to a byte of the content, with one byte of it changed if that is not below 0.
 	fetch := func(end, spoilt int) error {
@@ -76,7 +76,7 @@
 	if err := to.Take(ref, 0, func() ([]byte, error) { return make([]byte, len(raw)+1), nil }); !errors.Is(err, ErrDigest) {
 		t.Errorf("one that is longer than it is to be: %v", err)
 	}
-	if err := from.Give("../../etc/passwd", 0, func([]byte) error { return io.ErrUnexpectedEOF }); !errors.Is(err, os.ErrNotExist) {
+	if err := from.Give("../../../etc/passwd", 0, func([]byte) error { return io.ErrUnexpectedEOF }); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a digest that is none: %v", err)
 	}
 }
@@ -84,7 +84,7 @@
 // What is of no more use goes; what some version holds that may come back, or was touched of late, stays.
 func TestTidy(t *testing.T) {
 	c := NewContents(t.TempDir())
-	v := versions.View{At: time.Hour}
+	v := configversion.View{At: time.Hour}
 	var digests []string
 	for k := range 20 {
 		d, err := c.Add(fmt.Appendf(nil, "version %d", k))
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		digests = append(digests, d)
-		one := versions.Version{Item: "plans", Number: uint64(k + 1), Digest: d, Until: time.Minute}
+		one := configversion.Version{Item: "plans", Number: uint64(k + 1), Digest: d, Until: time.Minute}
 		if k == 1 {
 			one.Until = 0 // somebody acts on it
 		}
--- a/internal/rollout/difference.go
+++ b/internal/controlplane/rollout/difference.go
@@ -5,10 +5,10 @@
 	"errors"
 	"io/fs"
 
-	"mothcleat/agree"
-	"mothcleat/internal/configstate"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetpb"
 )
 
 // maxBasesOffered is how many contents that are here a request names.
@@ -20,7 +20,7 @@
 // fetchDifference makes a content out of one that is here by what a source says of the difference, and stores it. The
 // error is fleetlink.ErrNoContent where the source does not have the content, and errWhole where it is to be fetched
 // whole. After any other error too, the whole content may be fetched: nothing was stored.
-func (a *Agent) fetchDifference(ctx context.Context, wanted contentRequest, source agree.MemberAt) error {
+func (a *Agent) fetchDifference(ctx context.Context, wanted contentRequest, source consensus.MemberAt) error {
 	item := a.items[wanted.item]
 	if item == nil {
 		return errWhole
@@ -29,7 +29,7 @@
 	if len(bases) == 0 {
 		return errWhole
 	}
-	answer, err := a.client.ContentDelta(ctx, source.ID, source.Address, &fleetpb.ContentDeltaRequest{
+	answer, err := a.client.ContentDelta(ctx, source.ID, source.Address, &controlpb.ContentDeltaRequest{
 		Item: wanted.item, Digest: wanted.ref.Digest, Bases: bases,
 	})
 	switch {
@@ -56,7 +56,7 @@
 }
 
 // applyDelta stores the content that a delta leads to.
-func (a *Agent) applyDelta(wanted contentRequest, delta *fleetpb.ContentDelta) error {
+func (a *Agent) applyDelta(wanted contentRequest, delta *controlpb.ContentDelta) error {
 	item := a.items[wanted.item]
 	base, err := a.versions.read(item, delta.Base)
 	if err != nil {
@@ -71,7 +71,7 @@
 }
 
 // repair stores a content after fetching the buckets in which the one with the digest base differs.
-func (a *Agent) repair(ctx context.Context, wanted contentRequest, base string, sums *fleetpb.ContentSums, source agree.MemberAt) error {
+func (a *Agent) repair(ctx context.Context, wanted contentRequest, base string, sums *controlpb.ContentSums, source consensus.MemberAt) error {
 	item, digest := a.items[wanted.item], wanted.ref.Digest
 	from, err := a.versions.read(item, base)
 	if err != nil {
@@ -89,7 +89,7 @@
 		if len(indexes) == 0 {
 			break
 		}
-		answer, err := a.client.ContentBuckets(ctx, source.ID, source.Address, &fleetpb.ContentBucketsRequest{
+		answer, err := a.client.ContentBuckets(ctx, source.ID, source.Address, &controlpb.ContentBucketsRequest{
 			Item: wanted.item, Digest: digest, Buckets: indexes,
 		})
 		if err != nil {
@@ -118,10 +118,10 @@
 }
 
 // Delta answers a process that fetches a content and has others; see fleetlink.Contents.
-func (a *Agent) Delta(request *fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
+func (a *Agent) Delta(request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
 	item, target, err := a.requested(request.Item, request.Digest)
 	if err != nil || target == nil {
-		return &fleetpb.ContentDeltaResponse{}, err
+		return &controlpb.ContentDeltaResponse{}, err
 	}
 	find := func(digest string) *configstate.Version {
 		base, err := a.versions.read(item, digest)
@@ -134,7 +134,7 @@
 }
 
 // Buckets answers a process that fetches some buckets of a content; see fleetlink.Contents.
-func (a *Agent) Buckets(request *fleetpb.ContentBucketsRequest) (*fleetpb.ContentBucketsResponse, error) {
+func (a *Agent) Buckets(request *controlpb.ContentBucketsRequest) (*controlpb.ContentBucketsResponse, error) {
 	_, target, err := a.requested(request.Item, request.Digest)
 	if err != nil {
 		return nil, err
--- a/internal/rollout/difference_test.go
+++ b/internal/controlplane/rollout/difference_test.go
@@ -16,14 +16,14 @@
 
 	"google.golang.org/grpc/stats"
 
-	"mothcleat/agree"
-	"mothcleat/internal/configstate"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/planconfig"
-	"mothcleat/lease"
-	"mothcleat/plans"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/planconfig"
+	"mothcleat/internal/plans"
 )
 
 const testFleet = "fleet"
@@ -52,7 +52,7 @@
 type testAgent struct {
 	*Agent
 	dir    string
-	source agree.MemberAt // where it serves
+	source consensus.MemberAt // where it serves
 	bytes  *payloadBytes
 }
 
@@ -60,15 +60,15 @@
 func newTestAgent(t *testing.T, id, dir string) *testAgent {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
-	client := fleetlink.NewClient(testFleet, lease.Member{ID: id, Boot: 1}, "", nil, nil, quiet)
+	client := controlrpc.NewClient(testFleet, lease.Member{ID: id, Boot: 1}, "", nil, nil, quiet)
 	contents := NewContents(dir)
 	if err := contents.Make(); err != nil {
 		t.Fatal(err)
 	}
 	items := map[string]Item{planconfig.ItemName: planconfig.New(anyTerms{})}
-	a := &testAgent{Agent: New(versions.Defaults(), client, contents, items, quiet), dir: dir, bytes: &payloadBytes{}}
-	observer := &fleetlink.Observer{Stats: a.bytes, Wrap: func(c net.Conn) net.Conn { return c }}
-	server := fleetlink.NewServer(context.Background(), testFleet, nil, nil, observer.ServerOptions()...)
+	a := &testAgent{Agent: New(configversion.Defaults(), client, contents, items, quiet), dir: dir, bytes: &payloadBytes{}}
+	observer := &controlrpc.Observer{Stats: a.bytes, Wrap: func(c net.Conn) net.Conn { return c }}
+	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil, observer.ServerOptions()...)
 	server.Contents = a.Agent
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,22 +81,22 @@
 		server.Stop()
 		running.Wait()
 	})
-	a.source = agree.MemberAt{Member: lease.Member{ID: id, Boot: 1}, Address: listener.Addr().String()}
+	a.source = consensus.MemberAt{Member: lease.Member{ID: id, Boot: 1}, Address: listener.Addr().String()}
 	return a
 }
 
 // add has an agent keep a content, as one that was proposed there.
-func (a *testAgent) add(t *testing.T, raw []byte) versions.Ref {
+func (a *testAgent) add(t *testing.T, raw []byte) configversion.Ref {
 	t.Helper()
 	digest, err := a.contents.Add(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return versions.Ref{Digest: digest, Size: int64(len(raw))}
+	return configversion.Ref{Digest: digest, Size: int64(len(raw))}
 }
 
 // fetches has an agent fetch a content from another, and returns how many bytes that took.
-func (a *testAgent) fetches(t *testing.T, ref versions.Ref, from *testAgent) int64 {
+func (a *testAgent) fetches(t *testing.T, ref configversion.Ref, from *testAgent) int64 {
 	t.Helper()
 	before := from.bytes.sent.Load()
 	if err := a.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, ref, a.contents}, from.source); err != nil {
@@ -176,9 +176,9 @@
 func TestAContentTravelsWholeWhereItHasTo(t *testing.T) {
 	server, replica := newTestAgent(t, "server", t.TempDir()), newTestAgent(t, "replica", t.TempDir())
 	replica.add(t, planText(t, 0))
-	absent := versions.Ref{Digest: strings.Repeat("0", 64), Size: 3}
+	absent := configversion.Ref{Digest: strings.Repeat("0", 64), Size: 3}
 	err := replica.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, absent, replica.contents}, server.source)
-	if !errors.Is(err, fleetlink.ErrNoContent) {
+	if !errors.Is(err, controlrpc.ErrNoContent) {
 		t.Errorf("a content that is not there: %v", err)
 	}
 	server.add(t, planText(t, 0))
@@ -214,11 +214,11 @@
 // lyingContents sends what doesn't lead to the content that was asked for.
 type lyingContents struct {
 	*Agent
-	delta *fleetpb.ContentDelta
+	delta *controlpb.ContentDelta
 }
 
-func (l lyingContents) Delta(*fleetpb.ContentDeltaRequest) (*fleetpb.ContentDeltaResponse, error) {
-	return &fleetpb.ContentDeltaResponse{Delta: l.delta}, nil
+func (l lyingContents) Delta(*controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
+	return &controlpb.ContentDeltaResponse{Delta: l.delta}, nil
 }
 
 // A delta that does not come to the agreed digest is dropped, and the same source is asked for the whole content.
@@ -227,8 +227,8 @@
 	replica := newTestAgent(t, "replica", t.TempDir())
 	base := replica.add(t, planText(t, 0))
 	target := liar.add(t, planText(t, 2))
-	server := fleetlink.NewServer(context.Background(), testFleet, nil, nil)
-	server.Contents = lyingContents{liar.Agent, &fleetpb.ContentDelta{Base: base.Digest, Digest: target.Digest}}
+	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil)
+	server.Contents = lyingContents{liar.Agent, &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -239,7 +239,7 @@
 	defer server.Stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	source := agree.MemberAt{Member: lease.Member{ID: "liar", Boot: 2}, Address: listener.Addr().String()}
+	source := consensus.MemberAt{Member: lease.Member{ID: "liar", Boot: 2}, Address: listener.Addr().String()}
 	if err := replica.fetchFrom(ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/fetch.go
+++ b/internal/controlplane/rollout/fetch.go
@@ -6,12 +6,12 @@
 	"fmt"
 	"io/fs"
 
-	"mothcleat/agree"
-	"mothcleat/internal/configstate"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/versions"
 )
 
 // fetchContents fetches and checks the contents that are wanted here, until the context ends.
@@ -34,7 +34,7 @@
 
 // obtain has a content lie here, fetched from another process where it does not. A file that is not what its name says is
 // removed, and fetched by the next call.
-func (a *Agent) obtain(ctx context.Context, ref versions.Ref) error {
+func (a *Agent) obtain(ctx context.Context, ref configversion.Ref) error {
 	if a.versions.known(ref.Digest) {
 		return nil
 	}
@@ -104,13 +104,13 @@
 // contentRequest is a content that is to be fetched.
 type contentRequest struct {
 	item string // what it is of; "": not known
-	ref  versions.Ref
+	ref  configversion.Ref
 	into *Contents
 }
 
 // fetch fetches a content from one source after another until it is complete. It returns the error
 // of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, wanted contentRequest, sources []agree.MemberAt) error {
+func (a *Agent) fetch(ctx context.Context, wanted contentRequest, sources []consensus.MemberAt) error {
 	last := errors.New("rollout: nobody to fetch from is known")
 	for _, source := range sources {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -126,9 +126,9 @@
 
 // fetchFrom fetches a content from one source: as its difference to one that is here, or else the part of it that is not
 // here yet.
-func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source agree.MemberAt) error {
+func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source consensus.MemberAt) error {
 	err := a.fetchDifference(ctx, wanted, source)
-	if err == nil || errors.Is(err, fleetlink.ErrNoContent) {
+	if err == nil || errors.Is(err, controlrpc.ErrNoContent) {
 		return err
 	}
 	if !errors.Is(err, errWhole) {
@@ -138,7 +138,7 @@
 }
 
 // fetchWhole fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchWhole(ctx context.Context, wanted contentRequest, source agree.MemberAt) error {
+func (a *Agent) fetchWhole(ctx context.Context, wanted contentRequest, source consensus.MemberAt) error {
 	ref := wanted.ref
 	offset := wanted.into.Begun(ref.Digest)
 	if offset > ref.Size {
@@ -157,8 +157,8 @@
 
 // Keep fetches a content that is about to be proposed from the process that asks for it. Once it returns nil the content is
 // on the disk: the version is agreed on by its word.
-func (a *Agent) Keep(ctx context.Context, ask *fleetpb.KeepAsk) error {
-	if ask.Size < 0 || ask.Size > versions.SizeMost || !digestName.MatchString(ask.Digest) {
+func (a *Agent) Keep(ctx context.Context, ask *controlpb.KeepAsk) error {
+	if ask.Size < 0 || ask.Size > configversion.SizeMost || !digestName.MatchString(ask.Digest) {
 		return fmt.Errorf("rollout: digest %.80q, %d bytes", ask.Digest, ask.Size)
 	}
 	if _, err := a.contents.Read(ask.Digest); err == nil {
@@ -170,7 +170,7 @@
 	}
 	for _, m := range members {
 		if m.ID == ask.From.GetId() {
-			ref := versions.Ref{Digest: ask.Digest, Size: ask.Size}
+			ref := configversion.Ref{Digest: ask.Digest, Size: ask.Size}
 			return a.fetchFrom(ctx, contentRequest{ask.Item, ref, a.contents}, m)
 		}
 	}
--- a/internal/rollout/guide.go
+++ b/internal/controlplane/rollout/guide.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"mothcleat/internal/election"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/election"
 	"mothcleat/internal/failpoint"
-	"mothcleat/versions"
 )
 
 // Work moves roll-outs from stage to stage, until the context ends. It is run by the one process
@@ -22,7 +22,7 @@
 	if err != nil {
 		return
 	}
-	for _, op := range versions.Guide(a.rules, term, &view) {
+	for _, op := range configversion.Guide(a.rules, term, &view) {
 		failpoint.At("guide-before-agree")
 		// Not bound to the duty's context: a process that has lost the duty has to see that its
 		// command is refused because of its term.
--- a/internal/rollout/permits.go
+++ b/internal/controlplane/rollout/permits.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"time"
 
+	"mothcleat/internal/controlplane/configversion"
 	"mothcleat/internal/failpoint"
 	"mothcleat/internal/monotonic"
-	"mothcleat/versions"
 )
 
 // Acts returns until when this process may act, by the clock of package monotonic, and a
@@ -51,7 +51,7 @@
 	if !mustEnrol {
 		return nil
 	}
-	if err := a.command(ctx, versions.Op{Do: "here", Gone: gone}); err != nil {
+	if err := a.command(ctx, configversion.Op{Do: "here", Gone: gone}); err != nil {
 		return err
 	}
 	a.mu.Lock()
@@ -64,11 +64,11 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	sent := monotonic.Now()
-	raw, err := a.client.Ask(ctx, versions.MachineName, query)
+	raw, err := a.client.Ask(ctx, configversion.MachineName, query)
 	if err != nil {
 		return
 	}
-	var answer versions.Told
+	var answer configversion.Told
 	if err := json.Unmarshal(raw, &answer); err != nil {
 		return
 	}
@@ -77,7 +77,7 @@
 }
 
 // takePermit takes in the answer to a query that was sent at the given time.
-func (a *Agent) takePermit(sent time.Duration, answer *versions.Told) {
+func (a *Agent) takePermit(sent time.Duration, answer *configversion.Told) {
 	a.mu.Lock()
 	a.holder.Hear(monotonic.Now(), sent, answer)
 	a.mustEnrol = a.mustEnrol || answer.Enrol
--- a/internal/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -6,17 +6,17 @@
 	"os"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/internal/configstate"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/versions"
 )
 
 // Propose starts the roll-out of the content of a file, beginning with the given stage. lead is how
 // long after the agreement the version holds. It returns the version's number. The version is agreed
 // only when a majority of the voters have the content, so that it is not lost with this process.
-func (a *Agent) Propose(ctx context.Context, item, path string, stage versions.Stage,
+func (a *Agent) Propose(ctx context.Context, item, path string, stage configversion.Stage,
 	lead time.Duration) (uint64, error) {
 	raw, err := a.readProposal(item, path)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		return 0, err
 	}
-	op := versions.Op{
+	op := configversion.Op{
 		Do:     "propose",
 		Item:   item,
 		Number: newestNumber(&view, item),
@@ -48,8 +48,8 @@
 		Stage:  stage,
 		Lead:   lead,
 	}
-	if stage != versions.All {
-		op.Pilots = versions.Pilots(item, op.Number+1, stage, memberIDs(&list))
+	if stage != configversion.All {
+		op.Pilots = configversion.Pilots(item, op.Number+1, stage, memberIDs(&list))
 	}
 	return a.agreedNumber(ctx, op)
 }
@@ -65,8 +65,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > versions.SizeMost {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), versions.SizeMost)
+	if info.Size() > configversion.SizeMost {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), configversion.SizeMost)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -76,8 +76,8 @@
 	if err == nil {
 		err = known.Check(content)
 	}
-	if err == nil && content.Size > versions.SizeMost {
-		err = fmt.Errorf("%d bytes as they would travel, %d at most", content.Size, versions.SizeMost)
+	if err == nil && content.Size > configversion.SizeMost {
+		err = fmt.Errorf("%d bytes as they would travel, %d at most", content.Size, configversion.SizeMost)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -87,7 +87,7 @@
 }
 
 // newestNumber returns the number of an item's newest version, 1 if it has none.
-func newestNumber(view *versions.View, item string) uint64 {
+func newestNumber(view *configversion.View, item string) uint64 {
 	number := uint64(1)
 	for _, v := range view.Versions {
 		if v.Item == item {
@@ -98,9 +98,9 @@
 }
 
 // replicate has a majority of the voters keep a content of the given size in bytes.
-func (a *Agent) replicate(ctx context.Context, list *agree.List, item, digest string, size int64) error {
+func (a *Agent) replicate(ctx context.Context, list *consensus.List, item, digest string, size int64) error {
 	me := a.client.Me()
-	ask := &fleetpb.KeepAsk{Item: item, Digest: digest, Size: size, From: &fleetpb.Member{Id: me.ID, Boot: me.Boot}}
+	ask := &controlpb.KeepAsk{Item: item, Digest: digest, Size: size, From: &controlpb.Member{Id: me.ID, Boot: me.Boot}}
 	results := make(chan bool, len(list.Voters))
 	for _, v := range list.Voters {
 		if v.Name == me.ID {
@@ -126,18 +126,18 @@
 
 // Say has an operator's command about a version agreed. It returns the number of the version that
 // the command made, if it made one.
-func (a *Agent) Say(ctx context.Context, op versions.Op) (uint64, error) {
-	if op.Do == "go-on" && op.Stage != versions.All {
+func (a *Agent) Say(ctx context.Context, op configversion.Op) (uint64, error) {
+	if op.Do == "go-on" && op.Stage != configversion.All {
 		list, err := a.memberList(ctx)
 		if err != nil {
 			return 0, err
 		}
-		op.Pilots = versions.Pilots(op.Item, op.Number, op.Stage, memberIDs(&list))
+		op.Pilots = configversion.Pilots(op.Item, op.Number, op.Stage, memberIDs(&list))
 	}
 	return a.agreedNumber(ctx, op)
 }
 
-func memberIDs(list *agree.List) (ids []string) {
+func memberIDs(list *consensus.List) (ids []string) {
 	for _, m := range list.Members {
 		ids = append(ids, m.ID)
 	}
--- a/internal/rollout/report.go
+++ b/internal/controlplane/rollout/report.go
@@ -3,14 +3,14 @@
 import (
 	"context"
 
-	"mothcleat/auditlog"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/configversion"
 	"mothcleat/internal/failpoint"
-	"mothcleat/versions"
 )
 
 // report is a command that tells the fleet about a version, and the digest that it is about.
 type report struct {
-	op     versions.Op
+	op     configversion.Op
 	digest string
 }
 
@@ -33,14 +33,14 @@
 		target := a.holder.Target(name)
 		if number >= target.Number && number > a.reported[name] {
 			all = append(all, report{
-				op:     versions.Op{Do: "report", Item: name, Number: number},
+				op:     configversion.Op{Do: "report", Item: name, Number: number},
 				digest: target.Digest,
 			})
 		}
 		why := a.holder.Refused(name, target.Digest)
 		if why != "" && !a.reportedRefusal[target.Digest] {
 			all = append(all, report{
-				op:     versions.Op{Do: "report", Item: name, Number: target.Number, Refused: true, Why: why},
+				op:     configversion.Op{Do: "report", Item: name, Number: target.Number, Refused: true, Why: why},
 				digest: target.Digest,
 			})
 		}
@@ -73,7 +73,7 @@
 		if head == nil || *head == last {
 			return
 		}
-		if err := a.command(ctx, versions.Op{Do: "head", Head: head}); err == nil {
+		if err := a.command(ctx, configversion.Op{Do: "head", Head: head}); err == nil {
 			last = *head
 		}
 	})
--- a/internal/rollout/sources.go
+++ b/internal/controlplane/rollout/sources.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/agree"
+	"mothcleat/internal/controlplane/consensus"
 	"mothcleat/internal/monotonic"
 )
 
@@ -15,8 +15,8 @@
 
 // sourceSet is processes that contents may be fetched from, and when they were asked for.
 type sourceSet struct {
-	members []agree.MemberAt
-	voters  []agree.VoterAt
+	members []consensus.MemberAt
+	voters  []consensus.VoterAt
 	at      time.Duration // by the clock of package monotonic
 }
 
@@ -29,13 +29,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sourceQueryTimeout)
 	defer cancel()
-	query := agree.MembershipQuery{Scope: agree.ScopeSample, Sample: sourceSample, Seed: rand.Uint64()}
-	raw, err := a.client.Ask(ctx, agree.FleetName, query.Encode())
+	query := consensus.MembershipQuery{Scope: consensus.ScopeSample, Sample: sourceSample, Seed: rand.Uint64()}
+	raw, err := a.client.Ask(ctx, consensus.FleetName, query.Encode())
 	if err != nil {
 		a.log.Debug("fleet: versions: no processes to fetch from were told", "error", err)
 		return
 	}
-	answer, err := agree.ParseMembershipAnswer(raw)
+	answer, err := consensus.ParseMembershipAnswer(raw)
 	if err != nil {
 		a.log.Warn("fleet: versions: no processes to fetch from were told", "error", err)
 		return
@@ -46,7 +46,7 @@
 // sources returns the other processes in the order in which they are asked for a content: one at
 // random, so that the load of a new content spreads; then the voters, most of which have what was
 // proposed; then the others.
-func (a *Agent) sources() (all []agree.MemberAt) {
+func (a *Agent) sources() (all []consensus.MemberAt) {
 	known := a.sourceSet.Load()
 	if known == nil {
 		return nil
@@ -57,13 +57,13 @@
 		}
 	}
 	if len(all) > 1 {
-		rank := func(m agree.MemberAt) int {
-			if slices.ContainsFunc(known.voters, func(v agree.VoterAt) bool { return v.Name == m.ID }) {
+		rank := func(m consensus.MemberAt) int {
+			if slices.ContainsFunc(known.voters, func(v consensus.VoterAt) bool { return v.Name == m.ID }) {
 				return 0
 			}
 			return 1
 		}
-		slices.SortStableFunc(all[1:], func(a, b agree.MemberAt) int { return rank(a) - rank(b) })
+		slices.SortStableFunc(all[1:], func(a, b consensus.MemberAt) int { return rank(a) - rank(b) })
 	}
 	return all
 }
--- a/internal/rollout/stored_test.go
+++ b/internal/controlplane/rollout/stored_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"mothcleat/internal/configstate"
-	"mothcleat/internal/planconfig"
+	"mothcleat/internal/controlplane/configstate"
+	"mothcleat/internal/controlplane/planconfig"
 	"mothcleat/internal/testing/fixture"
 )
 
--- a/internal/rollout/versioncache.go
+++ b/internal/controlplane/rollout/versioncache.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync"
 
-	"mothcleat/internal/configstate"
+	"mothcleat/internal/controlplane/configstate"
 )
 
 // maxCachedVersions is how many contents a process keeps as records: those of versions that overlap, and the base of the
--- a/usageexport/usageexport.go
+++ b/internal/controlplane/usageexport/usageexport.go
@@ -17,8 +17,8 @@
 	"strconv"
 	"time"
 
+	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
-	"mothcleat/lease"
 )
 
 // MachineName is the name of this state machine in the replicated state.
--- a/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/lease"
 )
 
 var (
--- a/internal/usageexporter/stored_test.go
+++ b/internal/controlplane/usageexporter/stored_test.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"testing"
 
+	"mothcleat/internal/controlplane/usageexport"
 	"mothcleat/internal/testing/fixture"
-	"mothcleat/usageexport"
 )
 
 // Files that an earlier build exported are verified against the state that its fleet committed.
--- a/internal/usageexporter/usageexporter.go
+++ b/internal/controlplane/usageexporter/usageexporter.go
@@ -20,12 +20,12 @@
 	"strings"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/internal/election"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/controlplane/usageexport"
 	"mothcleat/internal/failpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/usageexport"
 )
 
 // Exporter exports one shard. Its fields must not be changed once Work was called.
@@ -34,7 +34,7 @@
 	Shard  int
 	Shards int
 	Every  time.Duration
-	Client *fleetlink.Client
+	Client *controlrpc.Client
 	Log    *slog.Logger
 }
 
@@ -49,7 +49,7 @@
 	tick := time.NewTicker(e.Every)
 	defer tick.Stop()
 	tidied := false
-	members := e.Client.Members(agree.MembershipQuery{Scope: agree.ScopeMembers, Retired: true})
+	members := e.Client.Members(consensus.MembershipQuery{Scope: consensus.ScopeMembers, Retired: true})
 	for {
 		err := e.round(ctx, t, members, &tidied)
 		if err != nil && (ctx.Err() == nil || errors.Is(err, errRefused)) {
@@ -66,7 +66,7 @@
 var errRefused = errors.New("refused")
 
 // round collects, writes and commits once.
-func (e *Exporter) round(ctx context.Context, t *election.Tenure, members *fleetlink.Members, tidied *bool) error {
+func (e *Exporter) round(ctx context.Context, t *election.Tenure, members *controlrpc.Members, tidied *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, max(e.Every, requestTimeout))
 	defer cancel()
 	var done usageexport.View
@@ -134,14 +134,14 @@
 }
 
 // listOf returns the members as committed now.
-func listOf(ctx context.Context, members *fleetlink.Members) ([]agree.MemberAt, error) {
+func listOf(ctx context.Context, members *controlrpc.Members) ([]consensus.MemberAt, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return members.List(ctx)
 }
 
 // ask reads the state of a machine by a linearizable read.
-func ask(ctx context.Context, c *fleetlink.Client, machine string, into any) error {
+func ask(ctx context.Context, c *controlrpc.Client, machine string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	raw, err := c.Ask(ctx, machine, nil)
@@ -192,7 +192,7 @@
 }
 
 // collect asks one gateway for its closed periods.
-func (e *Exporter) collect(ctx context.Context, m agree.MemberAt, b *book) error {
+func (e *Exporter) collect(ctx context.Context, m consensus.MemberAt, b *book) error {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	had := map[uint64]uint64{}
@@ -202,7 +202,7 @@
 		}
 	}
 	heard := map[string]bool{}
-	err := e.Client.Collect(ctx, m.ID, m.Address, had, func(p *fleetpb.Part) error {
+	err := e.Client.Collect(ctx, m.ID, m.Address, had, func(p *controlpb.Part) error {
 		if p.Id != m.ID {
 			return fmt.Errorf("%s answers for %s", p.Id, m.ID)
 		}
@@ -223,7 +223,7 @@
 }
 
 // add adds a period, if it is the next one of its incarnation.
-func (b *book) add(p *fleetpb.Part) error {
+func (b *book) add(p *controlpb.Part) error {
 	boot := usageexport.BootText(p.Boot)
 	last := b.marks[p.Id][boot].Period
 	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool { return s.ID == p.Id && s.Boot == boot })
--- a/internal/fleetnode/versions.go
+++ b/internal/controlplane/versions.go
@@ -1,4 +1,4 @@
-package fleetnode
+package controlplane
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 	"strings"
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 const proposeWithin = 2500 * time.Millisecond
 
 // Versions is what is agreed on what to act on, and who is behind.
 type Versions struct {
-	versions.View
-	Behind []versions.Behind `json:"behind"`
+	configversion.View
+	Behind []configversion.Behind `json:"behind"`
 }
 
 // versions answers a call about what the fleet acts on.
@@ -29,7 +29,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return Versions{v, versions.Stragglers(&v)}, nil
+		return Versions{v, configversion.Stragglers(&v)}, nil
 	}
 	switch do, words := words[0], words[1:]; {
 	case do == "here" && len(words) == 0:
@@ -47,19 +47,19 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, proposeWithin)
 		defer cancel()
-		return n.agent.Propose(ctx, words[0], strings.Join(words[3:], " "), versions.Stage(words[1]), lead)
+		return n.agent.Propose(ctx, words[0], strings.Join(words[3:], " "), configversion.Stage(words[1]), lead)
 	case do == "shut" && len(words) >= 1: // ID WHY
-		return n.agent.Say(ctx, versions.Op{Do: do, ID: words[0], Why: strings.Join(words[1:], " ")})
+		return n.agent.Say(ctx, configversion.Op{Do: do, ID: words[0], Why: strings.Join(words[1:], " ")})
 	case do == "let" && len(words) == 1:
-		return n.agent.Say(ctx, versions.Op{Do: do, ID: words[0]})
+		return n.agent.Say(ctx, configversion.Op{Do: do, ID: words[0]})
 	case slices.Contains([]string{"go-on", "hold", "withdraw"}, do) && len(words) >= 2: // ITEM NUMBER STAGE or WHY
 		number, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return nil, fmt.Errorf("number %.20q: a whole number wanted", words[1])
 		}
-		op := versions.Op{Do: do, Item: words[0], Number: number, Why: strings.Join(words[2:], " ")}
+		op := configversion.Op{Do: do, Item: words[0], Number: number, Why: strings.Join(words[2:], " ")}
 		if do == "go-on" {
-			op.Stage, op.Why = versions.Stage(op.Why), ""
+			op.Stage, op.Why = configversion.Stage(op.Why), ""
 		}
 		return n.agent.Say(ctx, op)
 	}
--- a/internal/forwardauth/client.go
+++ b/internal/dataplane/forwardauth/client.go
@@ -24,7 +24,7 @@
 	"strings"
 	"time"
 
-	"mothcleat/authz"
+	"mothcleat/internal/dataplane/authz"
 )
 
 const (
--- a/internal/forwardauth/client_test.go
+++ b/internal/dataplane/forwardauth/client_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/authz"
+	"mothcleat/internal/dataplane/authz"
 )
 
 const patience = 30 * time.Second
--- a/internal/forwardauth/step.go
+++ b/internal/dataplane/forwardauth/step.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"mothcleat/authz"
+	"mothcleat/internal/dataplane/authz"
 )
 
 // Host is the goroutine on which decisions are made.
--- a/internal/forwardauth/step_test.go
+++ b/internal/dataplane/forwardauth/step_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/authz"
+	"mothcleat/internal/dataplane/authz"
 )
 
 // fakeHost is a goroutine that decides: the test's own.
--- a/internal/gateway/accept.go
+++ b/internal/dataplane/gateway/accept.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // accept posts new connections. Over its share it waits: the rest stays in the
@@ -145,7 +145,7 @@
 	}
 }
 
-func newClient(conn *net.TCPConn, now decide.Time) *client {
+func newClient(conn *net.TCPConn, now policy.Time) *client {
 	return &client{
 		conn: conn, out: newSender(conn), room: make(chan struct{}, pipelined), done: make(chan struct{}),
 		resume: make(chan struct{}, 1), used: now,
@@ -171,9 +171,9 @@
 // spared; a newcomer that has said nothing yet is less reason.
 func (cs *clients) evict(l *Loop, asking *client) bool {
 	now := l.now()
-	spared := [...]decide.Time{settled, 2 * settled, idleLeast} // by worth: how long it must have been idle
+	spared := [...]policy.Time{settled, 2 * settled, idleLeast} // by worth: how long it must have been idle
 	if asking != nil {
-		spared = [...]decide.Time{settled / 5, 0, 0}
+		spared = [...]policy.Time{settled / 5, 0, 0}
 	}
 	var least *client
 	for c := range cs.conns {
@@ -197,7 +197,7 @@
 	}
 	now := l.now()
 	for c := range cs.conns {
-		if now-c.lately() > [...]decide.Time{idleMost, onceMost, idleMost}[c.worth()] && !c.busy() {
+		if now-c.lately() > [...]policy.Time{idleMost, onceMost, idleMost}[c.worth()] && !c.busy() {
 			c.end(l)
 		}
 	}
--- a/internal/gateway/backends.go
+++ b/internal/dataplane/gateway/backends.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // attempt is one send of a request or, with no request, a probe.
@@ -18,10 +18,10 @@
 	r        *request
 	number   int
 	backend  uint32
-	sent     decide.Time
-	wrote    decide.Time // when it was written to its connection,
-	stood    decide.Time // and for how long that had stood idle
-	until    decide.Time
+	sent     policy.Time
+	wrote    policy.Time // when it was written to its connection,
+	stood    policy.Time // and for how long that had stood idle
+	until    policy.Time
 	conn     *backendConn // nil: it waits for one
 	giveUp   *timer
 	redialed bool
@@ -33,7 +33,7 @@
 	number  uint32
 	address string
 	upSince int64 // as discovery tells it
-	state   decide.State
+	state   policy.State
 	idle    []*backendConn // the one used last at the end
 	waiting []*attempt     // for a connection, oldest first
 	dialing int
@@ -48,8 +48,8 @@
 	out    *sender
 	a      *attempt
 	closed bool
-	since  decide.Time  // idle since
-	rests  decide.Time  // until when it is not used: more may come behind its last answer
+	since  policy.Time  // idle since
+	rests  policy.Time  // until when it is not used: more may come behind its last answer
 	stirs  bool         // it is looked at again when it has rested
 	read   atomic.Int64 // bytes that have come
 	used   int64        // those of them that belong to the answers taken in
@@ -77,13 +77,13 @@
 	keep     keep
 	most     int // connections and dials
 	open     int
-	rest     decide.Time // how long a connection rests after an answer
+	rest     policy.Time // how long a connection rests after an answer
 	dial     net.Dialer
 }
 
 // restAfter is how long a connection rests after an answer. A second copy of it that comes only behind the next request
 // would be taken for that one's answer: nothing in a value tells what it answers. They come some milliseconds late.
-const restAfter decide.Time = 6_000
+const restAfter policy.Time = 6_000
 
 func newBackends(cfg *Config, most int) *backends {
 	return &backends{
@@ -111,7 +111,7 @@
 	for bs.byNumber[number] != nil {
 		number++ // two ids share a number: they are still two backends
 	}
-	b := &backend{number: number, state: decide.Left}
+	b := &backend{number: number, state: policy.Left}
 	bs.byID[id], bs.byNumber[number] = b, b
 	return b
 }
@@ -121,8 +121,8 @@
 	a.backend = number
 	b := bs.byNumber[number]
 	a.giveUp = l.at(a.until, giveUp{a})
-	if b == nil || b.state != decide.Ready {
-		l.finish(a, decide.Moot, nil)
+	if b == nil || b.state != policy.Ready {
+		l.finish(a, policy.Moot, nil)
 		return
 	}
 	bs.place(l, b, a)
@@ -186,7 +186,7 @@
 // free gives a connection that has rested to the attempt that has waited longest, or keeps it.
 func (bs *backends) free(l *Loop, c *backendConn) {
 	b := c.b
-	if b.state != decide.Ready && len(b.waiting) == 0 || !c.out.idle() {
+	if b.state != policy.Ready && len(b.waiting) == 0 || !c.out.idle() {
 		// It is not to be used again; or the answer came before all of the
 		// request was written, and the next would be written into its rest.
 		bs.close(c)
@@ -216,10 +216,10 @@
 // is done with: on its way, or ended. If the connection turned out broken the
 // attempt was not sent, and may go by another.
 func (bs *backends) write(l *Loop, c *backendConn, a *attempt) bool {
-	if c.b.state != decide.Ready {
+	if c.b.state != policy.Ready {
 		// The drain was told while the attempt waited for its connection:
 		// nothing new goes there, however slow the dial was.
-		l.finish(a, decide.Moot, nil)
+		l.finish(a, policy.Moot, nil)
 		bs.close(c)
 		return true
 	}
@@ -272,7 +272,7 @@
 	if a.r == nil || a.number == 0 || l.module.StillMay(l.now(), a.r.id, a.number) {
 		return false
 	}
-	l.finish(a, decide.Moot, nil)
+	l.finish(a, policy.Moot, nil)
 	return true
 }
 
@@ -291,7 +291,7 @@
 		return false
 	}
 	l.later(left{c})
-	l.finish(a, decide.Moot, nil)
+	l.finish(a, policy.Moot, nil)
 	return true
 }
 
@@ -331,7 +331,7 @@
 		l.backends.unwait(l, a)
 		return
 	}
-	l.backends.cut(l, a, decide.TimedOut)
+	l.backends.cut(l, a, policy.TimedOut)
 }
 
 // withdraw ends an attempt whose request needs no answer any more, if a backend has not got it whole:
@@ -343,7 +343,7 @@
 	case a.conn == nil:
 		bs.unwait(l, a)
 	case !a.conn.out.idle():
-		bs.cut(l, a, decide.Cancelled) // its last byte may have gone this very moment
+		bs.cut(l, a, policy.Cancelled) // its last byte may have gone this very moment
 	}
 }
 
@@ -351,22 +351,22 @@
 func (bs *backends) unwait(l *Loop, a *attempt) {
 	b := bs.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
-	l.finish(a, decide.Moot, nil)
+	l.finish(a, policy.Moot, nil)
 }
 
 // cut ends an attempt with its connection.
-func (bs *backends) cut(l *Loop, a *attempt, result decide.Result) {
+func (bs *backends) cut(l *Loop, a *attempt, result policy.Result) {
 	a.conn.a = nil
 	bs.close(a.conn)
 	l.finish(a, result, nil)
 }
 
 // finish ends an attempt: the first call counts, and brings its one outcome.
-func (l *Loop) finish(a *attempt, result decide.Result, value []byte) {
+func (l *Loop) finish(a *attempt, result policy.Result, value []byte) {
 	l.finishWith(a, result, value, nil)
 }
 
-func (l *Loop) finishWith(a *attempt, result decide.Result, value []byte, load []float32) {
+func (l *Loop) finishWith(a *attempt, result policy.Result, value []byte, load []float32) {
 	if a.ended {
 		return
 	}
@@ -377,11 +377,11 @@
 }
 
 // members takes in discovery's list or its changes.
-func (bs *backends) members(l *Loop, news decide.News, list []member) {
-	told := make([]decide.Member, 0, len(list))
-	if news != decide.Changed {
+func (bs *backends) members(l *Loop, news policy.News, list []member) {
+	told := make([]policy.Member, 0, len(list))
+	if news != policy.Changed {
 		for _, b := range bs.byNumber {
-			b.state = decide.Left // but for those that the list names
+			b.state = policy.Left // but for those that the list names
 		}
 	}
 	for _, m := range list {
@@ -392,20 +392,20 @@
 			b.address, b.upSince = m.HostPort, m.UpSince
 			bs.drop(b)
 		}
-		told = append(told, decide.Member{
+		told = append(told, policy.Member{
 			Backend: b.number, Zone: l.register.zone(m.Locality), Cell: m.Cell, State: b.state,
 			Hint: m.Size, Started: m.UpSince * 1000,
 		})
 	}
 	l.module.Members(l.now(), news, told)
 	for id, b := range bs.byID {
-		if b.state != decide.Ready {
+		if b.state != policy.Ready {
 			bs.drop(b)
 			for len(b.waiting) > 0 {
 				bs.unwait(l, b.waiting[0]) // nothing goes there, however its dial ends
 			}
 		}
-		if b.state == decide.Left && len(b.waiting) == 0 && b.dialing == 0 {
+		if b.state == policy.Left && len(b.waiting) == 0 && b.dialing == 0 {
 			delete(bs.byID, id)
 			delete(bs.byNumber, b.number)
 		}
--- a/internal/gateway/clients.go
+++ b/internal/dataplane/gateway/clients.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/forwardauth"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/forwardauth"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 const (
@@ -35,7 +35,7 @@
 	settled       = 100_000                 // age of a connection that might have spoken by now
 
 	lookEvery             = 25 * time.Millisecond // whether a client is still there that is not read from,
-	lookAgain decide.Time = 20_000                // and before a request is sent on, unless it was there so recently
+	lookAgain policy.Time = 20_000                // and before a request is sent on, unless it was there so recently
 )
 
 var (
@@ -72,8 +72,8 @@
 	errors  int           // bad ones, in a row
 
 	credential *forwardauth.Credential // of the last AUTH
-	used       decide.Time             // when it last sent a command, or was opened
-	there      decide.Time             // when it was last known not to have closed the connection
+	used       policy.Time             // when it last sent a command, or was opened
+	there      policy.Time             // when it was last known not to have closed the connection
 	heard      atomic.Int64            // when its last byte came
 	amid       atomic.Bool             // a command is on its way
 	share      share                   // what its passing on to a newer process needs
@@ -81,17 +81,17 @@
 
 // lately is when a connection last brought anything, or was opened: one that writes its
 // command slowly is not one that says nothing.
-func (c *client) lately() decide.Time { return max(c.used, c.heard.Load()) }
+func (c *client) lately() policy.Time { return max(c.used, c.heard.Load()) }
 
 // writes tells whether a client is writing a command, however slowly: to close it would
 // lose that request, where an idle one loses nothing. One that halted half way is not.
-func (c *client) writes(now decide.Time) bool { return c.amid.Load() && now-c.heard.Load() < halted }
+func (c *client) writes(now policy.Time) bool { return c.amid.Load() && now-c.heard.Load() < halted }
 
 // busy tells whether an answer is owed: also to a command that was read, and has not been handled yet.
 func (c *client) busy() bool { return len(c.line) > 0 || len(c.room) > 0 }
 
 // owes tells whether a process that ends has something to wait for here: not for one that halted half way.
-func (c *client) owes(now decide.Time) bool {
+func (c *client) owes(now policy.Time) bool {
 	return !c.ended && (!c.amid.Load() || c.writes(now)) || !c.out.idle()
 }
 
@@ -218,7 +218,7 @@
 // taken is a command that a client has sent.
 type taken struct {
 	client *client
-	at     decide.Time
+	at     policy.Time
 	cmd    command
 	raw    [][]byte // as it came
 	size   int      // bytes that it holds
@@ -334,7 +334,7 @@
 }
 
 // take has the module decide on a request.
-func (l *Loop) take(r *request, what decide.Request, at decide.Time) {
+func (l *Loop) take(r *request, what policy.Request, at policy.Time) {
 	now := l.now()
 	l.nextID++
 	r.id = l.nextID
@@ -370,7 +370,7 @@
 		return nil
 	}
 	c.ending = c.ending || c.surplus
-	after := decide.Time(0)
+	after := policy.Time(0)
 	if l.cfg.Settings.RetryAfter {
 		after = min(refuseAfter, l.cfg.Settings.MaxRetryAfter)
 	}
--- a/internal/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // A connection that says nothing, or only half a command, is ended; one whose
@@ -92,7 +92,7 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	now := l.now()
-	add := func(asked int, idle decide.Time) *client {
+	add := func(asked int, idle policy.Time) *client {
 		near, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
@@ -167,7 +167,7 @@
 func TestSlowWritersAreKeptInACrowd(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
 	now := l.now()
-	make := func(used, heard decide.Time, amid bool) *client {
+	make := func(used, heard policy.Time, amid bool) *client {
 		here, _ := pipe(t)
 		c := &client{conn: here, out: newSender(here), room: make(chan struct{}, 1), done: make(chan struct{}), used: used}
 		c.heard.Store(heard)
--- a/internal/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strconv"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // command is a client's request as it was read.
@@ -16,7 +16,7 @@
 	args [][]byte
 	name uint64 // the id that the client gave
 	wait [2]int // where the value of d stands in args[3]
-	what decide.Request
+	what policy.Request
 }
 
 const (
@@ -55,10 +55,10 @@
 		return c, errors.New("field d: longer than the class allows")
 	}
 	effect := cfg.Settings.Classes[c.what.Class].Effect
-	if effect == decide.Keyed && seen&(1<<keyField) == 0 {
+	if effect == policy.Keyed && seen&(1<<keyField) == 0 {
 		return c, errors.New("field k: missing")
 	}
-	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == decide.Safe) {
+	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Safe) {
 		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.what.Class])
 	}
 	return c, nil
@@ -154,7 +154,7 @@
 }
 
 // forward is the request as a backend gets it: as it came, but for d.
-func (r *request) forward(wait decide.Time) []byte {
+func (r *request) forward(wait policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
 	list = append(list, fields[:r.wait[0]]...)
--- a/internal/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -15,9 +15,9 @@
 	"net/netip"
 	"strconv"
 
-	"mothcleat/decide"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/wire"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/dataplane/simprotocol"
 )
 
 // Config is what a gateway is told at its start.
@@ -36,8 +36,8 @@
 	Counter    string
 	Known      registry.List
 
-	Settings decide.Settings
-	Host     wire.Host
+	Settings policy.Settings
+	Host     simprotocol.Host
 
 	Survival Survival  // from the operators' file
 	Auth     Auth      // the same
@@ -119,7 +119,7 @@
 	if len(f.Settings) == 0 {
 		return c, errors.New("configuration: settings: missing")
 	}
-	if c.Settings, c.Host, err = wire.ParseJSON(f.Settings); err != nil {
+	if c.Settings, c.Host, err = simprotocol.ParseJSON(f.Settings); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	return c, c.check()
--- a/internal/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 const (
@@ -34,7 +34,7 @@
 	url      string // of the counter, when the call was made
 	name     uint64
 	add      float64
-	life     decide.Time
+	life     policy.Time
 	deadline time.Time
 }
 
@@ -64,7 +64,7 @@
 }
 
 // count has a call made. Its one answer comes as an event.
-func (c *counter) count(l *Loop, name uint64, add float64, life decide.Time) {
+func (c *counter) count(l *Loop, name uint64, add float64, life policy.Time) {
 	call := countCall{c.url, name, add, life, time.Now().Add(c.wait)}
 	if c.on {
 		select {
@@ -73,7 +73,7 @@
 		default:
 		}
 	}
-	l.later(counted{name: name, result: decide.Full})
+	l.later(counted{name: name, result: policy.Full})
 }
 
 // run makes the calls of one line, one after another.
@@ -92,7 +92,7 @@
 // counted is how a call ended.
 type counted struct {
 	name   uint64
-	result decide.Result
+	result policy.Result
 	total  float64
 }
 
@@ -100,7 +100,7 @@
 
 // call makes one call. Full and ConnectFailed tell that nothing was added; with
 // TimedOut and Reset it may have been, or may yet be.
-func (c *counter) call(ctx context.Context, call countCall) (float64, decide.Result) {
+func (c *counter) call(ctx context.Context, call countCall) (float64, policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	var written atomic.Bool
@@ -111,7 +111,7 @@
 		fmt.Sprintf("?add=%s&ttl_ms=%d", strconv.FormatFloat(call.add, 'f', -1, 64), max(1, call.life/1000))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
-		return 0, decide.ConnectFailed
+		return 0, policy.ConnectFailed
 	}
 	var body []byte
 	res, err := c.client.Do(req)
@@ -121,21 +121,21 @@
 	}
 	switch {
 	case err != nil && !written.Load():
-		return 0, decide.ConnectFailed
+		return 0, policy.ConnectFailed
 	case err != nil && ctx.Err() != nil:
-		return 0, decide.TimedOut
+		return 0, policy.TimedOut
 	case err != nil:
-		return 0, decide.Reset
+		return 0, policy.Reset
 	case res.StatusCode == http.StatusServiceUnavailable:
-		return 0, decide.Full
+		return 0, policy.Full
 	case res.StatusCode != http.StatusOK:
-		return 0, decide.Failed
+		return 0, policy.Failed
 	}
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
 		// The amount was added, but nothing more on this connection can be believed.
 		c.client.CloseIdleConnections()
-		return 0, decide.Failed
+		return 0, policy.Failed
 	}
-	return total, decide.OK
+	return total, policy.OK
 }
--- a/internal/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // hijack ends a call's connection without an answer.
@@ -28,20 +28,20 @@
 		name   string
 		serve  func(w http.ResponseWriter, r *http.Request)
 		wait   time.Duration
-		result decide.Result
+		result policy.Result
 		total  float64
 	}{
-		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, patience, decide.OK, 41.5},
-		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, patience, decide.Full, 0},
-		{"no such call", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, patience, decide.Failed, 0},
-		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, patience, decide.Failed, 0},
-		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, patience, decide.Failed, 0},
-		{"no end", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, patience, decide.Failed, 0},
+		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, patience, policy.OK, 41.5},
+		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, patience, policy.Full, 0},
+		{"no such call", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, patience, policy.Failed, 0},
+		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, patience, policy.Failed, 0},
+		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, patience, policy.Failed, 0},
+		{"no end", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, patience, policy.Failed, 0},
 		{"redirect", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/v1/count/ff", http.StatusTemporaryRedirect)
-		}, patience, decide.Failed, 0},
-		{"broken after the call", func(w http.ResponseWriter, _ *http.Request) { hijack(w) }, patience, decide.Reset, 0},
-		{"no answer", func(_ http.ResponseWriter, r *http.Request) { <-released }, 200 * time.Millisecond, decide.TimedOut, 0},
+		}, patience, policy.Failed, 0},
+		{"broken after the call", func(w http.ResponseWriter, _ *http.Request) { hijack(w) }, patience, policy.Reset, 0},
+		{"no answer", func(_ http.ResponseWriter, r *http.Request) { <-released }, 200 * time.Millisecond, policy.TimedOut, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(chan string, 8)
@@ -68,7 +68,7 @@
 	gone.Close()
 	counter := newCounter(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
 	_, result := counter.call(context.Background(), countCall{url: counter.url, deadline: time.Now().Add(patience)})
-	if result != decide.ConnectFailed {
+	if result != policy.ConnectFailed {
 		t.Errorf("no listener: result %d", result)
 	}
 }
--- a/internal/gateway/departed_client_test.go
+++ b/internal/dataplane/gateway/departed_client_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // departures are the ways in which a client leaves.
@@ -144,7 +144,7 @@
 				}
 				return true
 			})
-			goOn := occupied(t, r.loop, func(*Loop) { k.there -= decide.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
+			goOn := occupied(t, r.loop, func(*Loop) { k.there -= policy.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
 			dials.goOn <- true
 			queuedEvents(t, r.loop, 1) // the dial's end
 			leave(gone)
@@ -188,7 +188,7 @@
 		}
 		return true
 	})
-	goOn := occupied(t, r.loop, func(*Loop) { k.there -= decide.Time(time.Second.Microseconds()) })
+	goOn := occupied(t, r.loop, func(*Loop) { k.there -= policy.Time(time.Second.Microseconds()) })
 	call.answer(t, "-ERR failed\r\n")
 	queuedEvents(t, r.loop, 1)
 	gone.conn.Close()
--- a/internal/gateway/departure.go
+++ b/internal/dataplane/gateway/departure.go
@@ -1,7 +1,7 @@
 package gateway
 
 import (
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // end lets a connection end: between requests now, else after its last answer.
@@ -50,7 +50,7 @@
 	}
 	c.ended = true
 	c.out.end()
-	wait := decide.Time(lingerFor)
+	wait := policy.Time(lingerFor)
 	if c.barred.Load() {
 		wait = lingerLost
 	}
--- a/internal/gateway/dial.go
+++ b/internal/dataplane/gateway/dial.go
@@ -6,7 +6,7 @@
 	"net"
 	"syscall"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // connect dials as long as more attempts wait than dials are under way, and connections rest.
@@ -20,7 +20,7 @@
 			// sent, and nothing is to be learnt of it.
 			a := b.waiting[len(b.waiting)-1]
 			b.waiting = b.waiting[:len(b.waiting)-1]
-			l.finish(a, decide.Moot, nil)
+			l.finish(a, policy.Moot, nil)
 			continue
 		}
 		b.dialing++
@@ -86,7 +86,7 @@
 				return
 			}
 			b.waiting = b.waiting[1:]
-			l.finish(a, decide.ConnectFailed, nil)
+			l.finish(a, policy.ConnectFailed, nil)
 		}
 		return
 	}
--- a/internal/gateway/endings_test.go
+++ b/internal/dataplane/gateway/endings_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // heldDials are dials of a gateway that come up when a test lets them.
@@ -218,7 +218,7 @@
 	late := r.client(t) // there is no place for it
 	late.lookup(2, "60000")
 	r.stop()
-	var closing decide.Time
+	var closing policy.Time
 	until(t, r.loop, "the closing, and a place long after it", func(l *Loop) bool {
 		if l.steps.closing && closing == 0 {
 			closing = l.now()
--- a/internal/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/metrics"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/wire"
-	"mothcleat/lifecycle"
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/lifecycle"
+	"mothcleat/internal/dataplane/membership"
+	"mothcleat/internal/dataplane/metrics"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/dataplane/simprotocol"
 )
 
 const (
@@ -78,7 +78,7 @@
 	l.backends = newBackends(&cfg, share)
 	l.clients = &clients{most: share, room: make(chan struct{}, accepted), conns: map[*client]bool{}, goOn: make(chan struct{}, 1)}
 	var err error
-	if l.module, err = decide.New(cfg.Settings, cfg.Seed, l); err != nil {
+	if l.module, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	l.useRights()
@@ -131,7 +131,7 @@
 }
 
 // longest is how long a client waits at the most; 0: the settings don't tell it of every class.
-func longest(h *wire.Host) decide.Time {
+func longest(h *simprotocol.Host) policy.Time {
 	if len(h.Limits) == 0 || slices.Min(h.Limits) <= 0 {
 		return 0
 	}
@@ -140,7 +140,7 @@
 
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
-	l.backends.members(l, decide.Cached, l.cfg.Known.Members)
+	l.backends.members(l, policy.Cached, l.cfg.Known.Members)
 	l.follow()
 	l.at(l.now()+untilReady, readyAnyway{})
 	l.at(l.now()+sweepEvery, sweep{})
@@ -202,7 +202,7 @@
 func (readyAnyway) due(l *Loop) {
 	if !l.register.heard {
 		l.log.Warn("discovery is silent: the list given is used with care", "backends", len(l.cfg.Known.Members))
-		l.backends.members(l, decide.Stale, l.cfg.Known.Members)
+		l.backends.members(l, policy.Stale, l.cfg.Known.Members)
 	}
 	l.ready()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // oneBackend is a gateway with one backend that is ready.
@@ -376,17 +376,17 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, decide.Whole, []member{m})
+	l.backends.members(l, policy.Whole, []member{m})
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	m.Phase = "Terminating"
-	l.backends.members(l, decide.Changed, []member{m})
+	l.backends.members(l, policy.Changed, []member{m})
 	up := wait(t, l.events, "the dial").(dialed)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.queue) != 1 || l.queue[0].(outcome).result != decide.Moot {
+	if len(l.queue) != 1 || l.queue[0].(outcome).result != policy.Moot {
 		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.queue)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
@@ -412,11 +412,11 @@
 // A member without a usable address gets nothing; one that is gone is gone.
 func TestUselessAddress(t *testing.T) {
 	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
-		if m := (member{HostPort: address, Phase: "Ready"}); stateOf(&m) != decide.Draining {
+		if m := (member{HostPort: address, Phase: "Ready"}); stateOf(&m) != policy.Draining {
 			t.Errorf("%q: state %d", address, stateOf(&m))
 		}
 	}
-	if m := (member{Phase: "Gone"}); stateOf(&m) != decide.Left {
+	if m := (member{Phase: "Gone"}); stateOf(&m) != policy.Left {
 		t.Error("a member that is gone is kept for its address")
 	}
 }
--- a/internal/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -9,19 +9,19 @@
 	"sync"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/forwardauth"
-	"mothcleat/internal/handover"
-	"mothcleat/internal/resp"
-	"mothcleat/internal/snapshot"
+	"mothcleat/internal/dataplane/forwardauth"
+	"mothcleat/internal/dataplane/hotrestart"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
+	"mothcleat/internal/dataplane/snapshot"
 )
 
 // handovers are the processes before and after this one.
 type handovers struct {
-	predecessor *handover.Predecessor // nil: there was none when this one started
-	listener    *handover.Listener    // where the next one asks; nil: nowhere
-	successor   *handover.Successor   // the one that takes over, from its asking on; nil: none
-	passing     chan handover.Client
+	predecessor *hotrestart.Predecessor // nil: there was none when this one started
+	listener    *hotrestart.Listener    // where the next one asks; nil: nowhere
+	successor   *hotrestart.Successor   // the one that takes over, from its asking on; nil: none
+	passing     chan hotrestart.Client
 	passed      chan struct{} // closed when all that was put there is passed on
 }
 
@@ -39,7 +39,7 @@
 	if l.survival.Meet == "" {
 		return
 	}
-	before, err := handover.Ask(l.survival.Meet)
+	before, err := hotrestart.Ask(l.survival.Meet)
 	if err != nil {
 		return
 	}
@@ -52,13 +52,13 @@
 	if l.survival.Meet == "" {
 		return
 	}
-	line, err := handover.Listen(l.survival.Meet)
+	line, err := hotrestart.Listen(l.survival.Meet)
 	if err != nil {
 		l.log.Warn("a newer process will start cold", "error", err)
 		return
 	}
 	l.handovers.listener = line
-	go line.Serve(func(a *handover.Successor) { l.urgentPost(successorReady{a}) })
+	go line.Serve(func(a *hotrestart.Successor) { l.urgentPost(successorReady{a}) })
 }
 
 // end ends what is between the processes, once all is passed on.
@@ -87,8 +87,8 @@
 
 // takenOver is what the process before has left, or why there is nothing.
 type takenOver struct {
-	left  handover.State
-	state decide.Snapshot
+	left  hotrestart.State
+	state policy.Snapshot
 	err   error
 }
 
@@ -155,12 +155,12 @@
 }
 
 // passedOn takes in a connection from the process before.
-func (l *Loop) passedOn(c handover.Client) {
+func (l *Loop) passedOn(c hotrestart.Client) {
 	l.clients.room <- struct{}{}
 	l.post(passedIn{c})
 }
 
-type passedIn struct{ from handover.Client }
+type passedIn struct{ from hotrestart.Client }
 
 func (e passedIn) handle(l *Loop) {
 	head, now := &e.from.Head, l.now()
@@ -177,7 +177,7 @@
 
 // successorReady tells that a newer process could serve. It is given all that this one knows;
 // what comes meanwhile is kept, for one of the two.
-type successorReady struct{ successor *handover.Successor }
+type successorReady struct{ successor *hotrestart.Successor }
 
 func (e successorReady) handle(l *Loop) {
 	if l.handovers.successor != nil || l.life.Parted() {
@@ -188,7 +188,7 @@
 	l.life.Pause()
 	past := time.Unix(1, 0)
 	_ = l.clients.listener.SetDeadline(past)
-	left := handover.State{Notes: l.peers.conn}
+	left := hotrestart.State{Notes: l.peers.conn}
 	if left.Notes != nil {
 		_ = left.Notes.SetReadDeadline(past)
 	}
@@ -213,7 +213,7 @@
 	l.log.Info("handover: a newer process has taken over", "open", l.open, "connections", len(l.clients.conns))
 	l.life.Part(true)
 	h := &l.handovers
-	h.passing, h.passed = make(chan handover.Client, cap(l.clients.room)+1), make(chan struct{})
+	h.passing, h.passed = make(chan hotrestart.Client, cap(l.clients.room)+1), make(chan struct{})
 	go h.passAll()
 	if l.peers.conn != nil {
 		_ = l.peers.conn.Close()
@@ -275,7 +275,7 @@
 	if !l.handovers.passes() || !s.parted || c.gone || c.ended || c.surplus || c.barred.Load() || len(c.line) > 0 || !c.out.idle() {
 		return
 	}
-	p := handover.Client{Conn: c.conn, Head: handover.Head{Asked: c.asked, Kept: len(s.kept)}}
+	p := hotrestart.Client{Conn: c.conn, Head: hotrestart.Head{Asked: c.asked, Kept: len(s.kept)}}
 	if k := c.credential; k != nil {
 		p.Head.Known, p.Head.User, p.Head.Secret, p.Head.Named = true, k.User, k.Secret, k.Named
 	}
@@ -356,8 +356,8 @@
 	kept   []taken // commands that nobody has taken yet
 
 	old   int         // commands of rest that came with the connection, whole,
-	age   decide.Time // how old the first was
-	ageAt decide.Time // at this time
+	age   policy.Time // how old the first was
+	ageAt policy.Time // at this time
 }
 
 // begin tells a reader whether it may read a command, given what its waiting for one ended with.
@@ -433,7 +433,7 @@
 }
 
 // came is when a command came that has just been read. It belongs to the reader.
-func (s *share) came(now decide.Time) decide.Time {
+func (s *share) came(now policy.Time) policy.Time {
 	if s.old == 0 {
 		return now
 	}
--- a/internal/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/handover"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/hotrestart"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // held is a clients' socket as a platform holds it for the processes of one gateway.
@@ -233,7 +233,7 @@
 	c.send("PING")
 	c.want("+PONG")
 	for round := range 3 {
-		before, err := handover.Ask(h.meet)
+		before, err := hotrestart.Ask(h.meet)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // How long a connection had stood idle when it proved dead counts to the write, not to the sending of the request that was
@@ -15,7 +15,7 @@
 	const stood = 5 * time.Second
 	b := newBackend(t)
 	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(l *Loop) {
-		l.backends.rest = decide.Time(time.Hour.Microseconds()) // until the test ends it
+		l.backends.rest = policy.Time(time.Hour.Microseconds()) // until the test ends it
 	})
 	c, other := r.client(t), r.client(t)
 	c.lookup(1, "60000")
@@ -41,7 +41,7 @@
 	call.conn.Close()
 	b.next(t).serve(t, "two") // by another
 	other.value("two")
-	if learnt := ask(t, r.loop, func(l *Loop) decide.Time { return l.backends.keep.learnt }); learnt < stood.Microseconds()/2 {
+	if learnt := ask(t, r.loop, func(l *Loop) policy.Time { return l.backends.keep.learnt }); learnt < stood.Microseconds()/2 {
 		t.Errorf("a connection is trusted for %d us, this one had stood idle for %d", learnt, stood.Microseconds())
 	}
 }
--- a/internal/gateway/keep.go
+++ b/internal/dataplane/gateway/keep.go
@@ -1,15 +1,15 @@
 package gateway
 
-import "mothcleat/decide"
+import "mothcleat/internal/dataplane/policy"
 
 // keep learns for how long an idle connection can still be trusted. Something on
 // the way may forget connections that stand idle, and tell nobody: the next
 // request then ends as a reset, and may have run.
 type keep struct {
-	longest  decide.Time // where nothing speaks against it
-	learnt   decide.Time // 0: nothing
-	learntAt decide.Time
-	brokeAt  decide.Time // when a kept connection last proved dead
+	longest  policy.Time // where nothing speaks against it
+	learnt   policy.Time // 0: nothing
+	learntAt policy.Time
+	brokeAt  policy.Time // when a kept connection last proved dead
 }
 
 const (
@@ -19,7 +19,7 @@
 )
 
 // most is how long a connection may have been idle.
-func (k *keep) most(now decide.Time) decide.Time {
+func (k *keep) most(now policy.Time) policy.Time {
 	if k.learnt == 0 {
 		return k.longest
 	}
@@ -32,7 +32,7 @@
 
 // broke takes in that a connection that was idle for so long was dead when used.
 // Once is chance.
-func (k *keep) broke(now, idle decide.Time) {
+func (k *keep) broke(now, idle policy.Time) {
 	if k.brokeAt != 0 && now-k.brokeAt < keepHeals {
 		k.learnt, k.learntAt = max(keepLeast, min(k.most(now), idle/2)), now
 	}
--- a/internal/gateway/keep_test.go
+++ b/internal/dataplane/gateway/keep_test.go
@@ -5,14 +5,14 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // Kept connections that break when used are trusted for less, until that heals.
 func TestKeepLearnsAndHeals(t *testing.T) {
 	k := keep{longest: 15_000_000}
-	now := decide.Time(1e9)
-	want := func(most decide.Time) {
+	now := policy.Time(1e9)
+	want := func(most policy.Time) {
 		t.Helper()
 		if got := k.most(now); got != most {
 			t.Errorf("trusted for %d, want %d", got, most)
@@ -37,7 +37,7 @@
 func TestResetDialIsMadeOnceMore(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, decide.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	l.backends.members(l, policy.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	for i, want := range []bool{false, true} {
@@ -52,7 +52,7 @@
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.queue[len(l.queue)-1].(outcome).result; got != decide.ConnectFailed {
+	if got := l.queue[len(l.queue)-1].(outcome).result; got != policy.ConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/gateway/leap.go
+++ b/internal/dataplane/gateway/leap.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // leaps are the times in which this process stood still: its loop turns many times a second, so a turn that comes late by seconds is one
@@ -14,13 +14,13 @@
 }
 
 const (
-	leapLeast decide.Time = 1_000_000
+	leapLeast policy.Time = 1_000_000
 	// What is read within so long after a leap was there before its end, as far as can be told.
-	leapAfter decide.Time = 50_000
+	leapAfter policy.Time = 50_000
 )
 
 // turn takes note that the loop turns.
-func (p *leaps) turn(now decide.Time) (leapt decide.Time) {
+func (p *leaps) turn(now policy.Time) (leapt policy.Time) {
 	last := p.turned.Swap(now)
 	if last == 0 || now-last < leapLeast {
 		return 0
@@ -32,7 +32,7 @@
 
 // since is when something that is read now has arrived at the earliest. Any goroutine may ask, also one that runs before the loop's after a
 // leap.
-func (p *leaps) since(now decide.Time) decide.Time {
+func (p *leaps) since(now policy.Time) policy.Time {
 	if last := p.turned.Load(); last != 0 && now-last >= leapLeast {
 		return last
 	}
--- a/internal/gateway/long.go
+++ b/internal/dataplane/gateway/long.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/metrics"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/metrics"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // A value over resp.MaxValue is passed on as it comes: of all that are under way together
@@ -64,7 +64,7 @@
 		c.copied <- errUnwanted
 		l.backends.close(c)
 		if c.a = nil; a != nil {
-			l.finish(a, decide.Failed, nil)
+			l.finish(a, policy.Failed, nil)
 		}
 		return
 	}
@@ -82,7 +82,7 @@
 		l.settled(r)
 		r.client.flush(l)
 	}
-	l.finish(a, decide.OK, nil)
+	l.finish(a, policy.OK, nil)
 }
 
 // begin has a value copied, once all before it is answered.
--- a/internal/gateway/long_test.go
+++ b/internal/dataplane/gateway/long_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"testing"
 
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // longText is a value over what is held at once, of its own for each seed.
--- a/internal/gateway/loop.go
+++ b/internal/dataplane/gateway/loop.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/admin"
-	"mothcleat/internal/forwardauth"
-	"mothcleat/internal/metrics"
-	"mothcleat/lifecycle"
+	"mothcleat/internal/dataplane/admin"
+	"mothcleat/internal/dataplane/forwardauth"
+	"mothcleat/internal/dataplane/lifecycle"
+	"mothcleat/internal/dataplane/metrics"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // margin is how long before the client stops waiting a request is ended: its
@@ -22,7 +22,7 @@
 // clock gives the time in microseconds since 1970 as of the start, monotonic
 // from then on.
 type clock struct {
-	wall  decide.Time
+	wall  policy.Time
 	start time.Time
 }
 
@@ -31,7 +31,7 @@
 	return clock{now.UnixMicro(), now}
 }
 
-func (c clock) now() decide.Time { return c.wall + time.Since(c.start).Microseconds() }
+func (c clock) now() policy.Time { return c.wall + time.Since(c.start).Microseconds() }
 
 // event is something that happened, posted by a socket's goroutine.
 type event interface {
@@ -49,15 +49,15 @@
 	cfg    Config
 	log    *slog.Logger
 	clock  clock
-	last   decide.Time
-	module *decide.Gateway
+	last   policy.Time
+	module *policy.Gateway
 
 	events  chan event
 	urgents chan event // discovery's news: ahead of all queued work
 	queue   []event    // what follows from the module's own actions
 	timers  timerHeap
 	timer   *time.Timer
-	armed   decide.Time
+	armed   policy.Time
 
 	requests map[uint64]*request
 	names    map[uint64]*request // those without a final answer, by the id that the client gave
@@ -99,7 +99,7 @@
 func (l *Loop) later(e event) { l.queue = append(l.queue, e) }
 
 // now is the time, never going back.
-func (l *Loop) now() decide.Time {
+func (l *Loop) now() policy.Time {
 	l.last = max(l.last, l.clock.now())
 	return l.last
 }
@@ -145,7 +145,7 @@
 }
 
 // at has something done at a time.
-func (l *Loop) at(when decide.Time, d due) *timer {
+func (l *Loop) at(when policy.Time, d due) *timer {
 	t := &timer{at: when, what: d}
 	heap.Push(&l.timers, t)
 	return t
@@ -177,7 +177,7 @@
 }
 
 type timer struct {
-	at    decide.Time
+	at    policy.Time
 	what  due
 	index int // in the heap; -1: in it no more
 }
@@ -214,7 +214,7 @@
 // The module's actions.
 
 // Send starts the next attempt of a request.
-func (l *Loop) Send(id uint64, backend uint32, until decide.Time) {
+func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
 	r := l.requests[id]
 	if r == nil {
 		panic(fmt.Sprintf("send for request %d, which is not open", id))
@@ -230,7 +230,7 @@
 }
 
 // Refuse gives the final answer that trying again is harmless.
-func (l *Loop) Refuse(id uint64, after decide.Time) {
+func (l *Loop) Refuse(id uint64, after policy.Time) {
 	if r := l.requests[id]; r != nil {
 		l.answer(r, busy(after))
 		if l.cfg.Acts != nil {
@@ -247,7 +247,7 @@
 }
 
 // SetTimer has the module called at the time.
-func (l *Loop) SetTimer(at decide.Time, token uint32) { l.at(at, alarm(token)) }
+func (l *Loop) SetTimer(at policy.Time, token uint32) { l.at(at, alarm(token)) }
 
 // Probe asks a backend whether it lives.
 func (l *Loop) Probe(backend uint32) {
@@ -260,7 +260,7 @@
 func (l *Loop) Tell(peer int, note []byte) { l.peers.tell(peer, note) }
 
 // Count adds to a number that all gateways share.
-func (l *Loop) Count(name uint64, add float64, life decide.Time) {
+func (l *Loop) Count(name uint64, add float64, life policy.Time) {
 	l.counter.count(l, name, add, life)
 }
 
--- a/internal/gateway/members.go
+++ b/internal/dataplane/gateway/members.go
@@ -6,8 +6,8 @@
 	"net/netip"
 	"slices"
 
-	"mothcleat/decide"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // stay follows no redirect: a call to the counter must not be made twice.
@@ -19,17 +19,17 @@
 type member = registry.Member
 
 // stateOf is what the module is told of a member's phase.
-func stateOf(m *member) decide.State {
+func stateOf(m *member) policy.State {
 	switch m.Phase {
 	case registry.Ready:
 		if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
-			return decide.Draining // there is no way to it
+			return policy.Draining // there is no way to it
 		}
-		return decide.Ready
+		return policy.Ready
 	case registry.Gone:
-		return decide.Left
+		return policy.Left
 	}
-	return decide.Draining // a phase not known is none to send to
+	return policy.Draining // a phase not known is none to send to
 }
 
 // register is the source of news of the servers, as the loop has it.
@@ -63,12 +63,12 @@
 
 func (n news) handle(l *Loop) {
 	if n.Kind == registry.Unheard {
-		l.module.Members(l.now(), decide.Unheard, nil)
+		l.module.Members(l.now(), policy.Unheard, nil)
 		return
 	}
-	kind := decide.Changed
+	kind := policy.Changed
 	if n.Kind == registry.Whole {
-		kind = decide.Whole
+		kind = policy.Whole
 	}
 	l.register.heard = true
 	l.backends.members(l, kind, n.Members)
--- a/internal/gateway/members_test.go
+++ b/internal/dataplane/gateway/members_test.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/registry"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // many is a loop that knows so many members.
@@ -34,7 +34,7 @@
 	if l.backends.byID[gone.ID] != nil || len(l.backends.byID) != 4999 {
 		t.Errorf("%d backends after one has gone", len(l.backends.byID))
 	}
-	if b := l.backends.byID[list[7].ID]; b == nil || b.state != decide.Ready {
+	if b := l.backends.byID[list[7].ID]; b == nil || b.state != policy.Ready {
 		t.Error("another one is not ready any more")
 	}
 }
--- a/internal/gateway/operate.go
+++ b/internal/dataplane/gateway/operate.go
@@ -4,8 +4,8 @@
 	"context"
 	"fmt"
 
-	"mothcleat/internal/admin"
-	"mothcleat/internal/metrics"
+	"mothcleat/internal/dataplane/admin"
+	"mothcleat/internal/dataplane/metrics"
 )
 
 // listenAdmin has operators' calls answered, where the configuration gives them an address.
--- a/internal/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 func udp(t *testing.T) *net.UDPConn {
@@ -24,7 +24,7 @@
 // peer is dropped.
 func TestNotes(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
-	cfg := &Config{PeerListen: "127.0.0.1:0", Settings: decide.Settings{Peers: true},
+	cfg := &Config{PeerListen: "127.0.0.1:0", Settings: policy.Settings{Peers: true},
 		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()}}
 	p, err := newPeers(cfg, quiet())
 	if err != nil {
--- a/internal/gateway/permit.go
+++ b/internal/dataplane/gateway/permit.go
@@ -6,10 +6,10 @@
 	"errors"
 	"strings"
 
-	"mothcleat/authz"
-	"mothcleat/decide"
-	"mothcleat/internal/forwardauth"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/authz"
+	"mothcleat/internal/dataplane/forwardauth"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // Auth is whom to ask before a request goes on, and by which rules. The zero value
@@ -43,7 +43,7 @@
 
 // permit has a request decided on once it may go on. Until then the module knows
 // nothing of it: what is denied takes no units.
-func (l *Loop) permit(r *request, what decide.Request) {
+func (l *Loop) permit(r *request, what policy.Request) {
 	r.asks = &what
 	q := &forwardauth.Question{
 		Credential: r.client.credential, Customer: string(r.args[1]), Plan: l.cfg.Host.Plans[what.Plan],
@@ -81,7 +81,7 @@
 }
 
 // comeBack is a refusal with advice, as far as the settings allow it.
-func (l *Loop) comeBack(after decide.Time) []byte {
+func (l *Loop) comeBack(after policy.Time) []byte {
 	if !l.cfg.Settings.RetryAfter {
 		after = 0
 	}
--- a/internal/gateway/permit_bench_test.go
+++ b/internal/dataplane/gateway/permit_bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/forwardauth"
+	"mothcleat/internal/dataplane/forwardauth"
 )
 
 // BenchmarkPermit times requests through a gateway whose backend and authenticator
--- a/internal/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/snapshot"
-	"mothcleat/store"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/snapshot"
+	"mothcleat/internal/storage/store"
 )
 
 // readyWithin is the term: nine in ten restarted processes are ready by then. Here each has to be.
@@ -197,7 +197,7 @@
 			cfg.Survival.Keeper = keeper(t, path)
 			spoil(t, path)
 			r := readyInTime(t, cfg)
-			if n := ask(t, r.loop, func(l *Loop) int { return l.module.Save(l.now(), false).Version }); n != decide.SnapshotVersion {
+			if n := ask(t, r.loop, func(l *Loop) int { return l.module.Save(l.now(), false).Version }); n != policy.SnapshotVersion {
 				t.Errorf("version %d", n)
 			}
 		})
--- a/internal/gateway/record.go
+++ b/internal/dataplane/gateway/record.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"io"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // refusals writes down why each request was refused, for people and rigs that look for
@@ -17,7 +17,7 @@
 		return
 	}
 	l.refusals = &refusals{bufio.NewWriter(w)}
-	l.module.Explain(func(id uint64, why decide.Why) {
+	l.module.Explain(func(id uint64, why policy.Why) {
 		r := l.requests[id]
 		if r == nil || r.answered {
 			return
--- a/internal/gateway/reload_test.go
+++ b/internal/dataplane/gateway/reload_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // A new configuration moves discovery at once, though a watch is under way at
@@ -72,7 +72,7 @@
 		})
 	}
 	cfg := with(first)
-	cfg.Host.CounterTimeout = decide.Time(patience.Microseconds())
+	cfg.Host.CounterTimeout = policy.Time(patience.Microseconds())
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	l.Count(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counted); e.result != decide.OK || e.total != total {
+		if e := wait(t, l.events, "an answer").(counted); e.result != policy.OK || e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
--- a/internal/gateway/reply.go
+++ b/internal/dataplane/gateway/reply.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // wholeWithin is how soon an answer must have come whole after its first byte:
@@ -74,14 +74,14 @@
 			for kept && len(c.b.idle) > 0 && c.b.idle[0].since <= c.since {
 				l.backends.close(c.b.idle[0])
 			}
-			l.finish(a, decide.Reset, nil)
+			l.finish(a, policy.Reset, nil)
 		}
 		l.backends.connect(l, c.b) // somebody may have waited for it to have rested
 		return
 	}
 	result, value, load, fine := classify(e.reply, a.r == nil)
 	if e.spoilt && value == nil {
-		result = decide.Failed
+		result = policy.Failed
 	}
 	c.a = nil
 	if !fine || e.spoilt || e.more {
@@ -99,23 +99,23 @@
 // classify tells what an answer means, and whether it is in the form agreed on:
 // an array with the value first, or an error. What follows the value, such as a
 // load report that can't be read, does not spoil it.
-func classify(re resp.Reply, probe bool) (result decide.Result, value []byte, load string, fine bool) {
+func classify(re resp.Reply, probe bool) (result policy.Result, value []byte, load string, fine bool) {
 	switch {
 	case re.Kind == '-':
 		word, rest, _ := strings.Cut(string(re.Text), " ")
 		if word == "BUSY" {
-			return decide.Full, nil, rest, true
+			return policy.Full, nil, rest, true
 		}
-		return decide.Failed, nil, rest[strings.LastIndexByte(rest, ' ')+1:], true
+		return policy.Failed, nil, rest[strings.LastIndexByte(rest, ' ')+1:], true
 	case probe:
-		return decide.OK, nil, string(re.Text), re.Kind == '+' || re.Kind == '$'
+		return policy.OK, nil, string(re.Text), re.Kind == '+' || re.Kind == '$'
 	case re.Kind == '*' && len(re.Items) > 0 && re.Items[0].Kind == '$' && !re.Items[0].Null:
 		if len(re.Items) > 2 {
 			load = string(re.Items[2].Text)
 		}
-		return decide.OK, re.Items[0].Text, load, true
+		return policy.OK, re.Items[0].Text, load, true
 	}
-	return decide.Failed, nil, "", false // no value: it may have run
+	return policy.Failed, nil, "", false // no value: it may have run
 }
 
 // report reads a load report, in the order of the settings; nil if it is none.
--- a/internal/gateway/requests.go
+++ b/internal/dataplane/gateway/requests.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // request is a client's request that this gateway has taken. It stays in the
@@ -16,7 +16,7 @@
 	client   *client
 	args     [][]byte
 	wait     [2]int // where the value of d stands in the list of fields
-	deadline decide.Time
+	deadline policy.Time
 	attempts int        // made so far
 	out      []*attempt // of those, without an outcome
 	answered bool
@@ -31,7 +31,7 @@
 	until    time.Duration // until when it may be acted on, and by what; see Permit
 	stamp    uint64
 	name     uint64          // the id that the client gave
-	asks     *decide.Request // it waits for a verdict on whether it may go on; nil: not so
+	asks     *policy.Request // it waits for a verdict on whether it may go on; nil: not so
 	backstop *timer
 }
 
@@ -42,7 +42,7 @@
 )
 
 // busy is a refusal with the time after which to come again.
-func busy(after decide.Time) []byte {
+func busy(after policy.Time) []byte {
 	if after <= 0 {
 		return []byte("-BUSY\r\n")
 	}
@@ -116,10 +116,10 @@
 // outcome ends an attempt: exactly one for each Send.
 type outcome struct {
 	a      *attempt
-	result decide.Result
+	result policy.Result
 	value  []byte
 	load   []float32
-	took   decide.Time
+	took   policy.Time
 }
 
 func (o outcome) handle(l *Loop) {
@@ -129,10 +129,10 @@
 		return
 	}
 	r.out = slices.DeleteFunc(r.out, func(a *attempt) bool { return a == o.a })
-	if o.result == decide.OK && !r.answered {
+	if o.result == policy.OK && !r.answered {
 		l.answer(r, resp.AppendBulk(make([]byte, 0, len(o.value)+16), o.value))
 	}
-	l.module.Outcome(l.now(), decide.Outcome{
+	l.module.Outcome(l.now(), policy.Outcome{
 		ID: r.id, Attempt: o.a.number, Backend: o.a.backend, Result: o.result,
 		Took: o.took, Over: r.answered, Load: o.load,
 	})
--- a/internal/gateway/rig_test.go
+++ b/internal/dataplane/gateway/rig_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/resp"
+	"mothcleat/internal/dataplane/resp"
 )
 
 // patience bounds every wait for an event; nothing is asserted of its speed.
--- a/internal/gateway/rights.go
+++ b/internal/dataplane/gateway/rights.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // Rights are this gateway's parts of the quotas that its fleet shares. All but Follow are called by the loop, and
 // must not wait.
 type Rights interface {
-	decide.Rights
+	policy.Rights
 	// By is until when what was taken for a request may be used; 0: nothing was.
 	By(id uint64) time.Duration
 	// Over tells whether that time is over, by the clock as it is now.
@@ -23,7 +23,7 @@
 // Loan is the answer to a Borrow.
 type Loan struct {
 	ID     uint64
-	Budget decide.Budget
+	Budget policy.Budget
 	Units  float64       // 0: none
 	After  time.Duration // in which there may be as many
 	By     time.Duration // until when they may be used
@@ -70,13 +70,13 @@
 		default:
 			l.turnAway(a.r)
 		}
-		l.finish(a, decide.Moot, nil)
+		l.finish(a, policy.Moot, nil)
 		return true
 	}
 	if a.r == nil || a.r.counted || a.r.use == 0 || !l.cfg.Rights.Over(a.r.use) {
 		return false
 	}
 	l.answer(a.r, busy(0))
-	l.finish(a, decide.Moot, nil)
+	l.finish(a, policy.Moot, nil)
 	return true
 }
--- a/internal/gateway/spoilt_test.go
+++ b/internal/dataplane/gateway/spoilt_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // Bytes behind a good answer lie there when the next request is written, and
@@ -23,7 +23,7 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-			l.backends.members(l, decide.Whole, []member{m})
+			l.backends.members(l, policy.Whole, []member{m})
 			first := &attempt{sent: l.now(), until: l.now() + 1e9}
 			l.backends.start(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
@@ -54,7 +54,7 @@
 }
 
 // restsFor has connections to backends rest after an answer for as long as a test wants.
-func restsFor(rest decide.Time) func(*Loop) {
+func restsFor(rest policy.Time) func(*Loop) {
 	return func(l *Loop) { l.backends.rest = rest }
 }
 
--- a/internal/gateway/steps.go
+++ b/internal/dataplane/gateway/steps.go
@@ -3,19 +3,19 @@
 import (
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // untilReady is how long a start waits for discovery before it serves with the
 // list it was given.
-const untilReady decide.Time = 500_000
+const untilReady policy.Time = 500_000
 
 // steps carries out what the lifecycle decides.
 type steps struct {
 	closing   bool // no connection is accepted any more but those that the machine has accepted
 	shut      bool // nor those
 	abandoned bool
-	at        decide.Time // when it is asked again; 0: nothing is due
+	at        policy.Time // when it is asked again; 0: nothing is due
 }
 
 // stop begins a planned shutdown.
@@ -72,7 +72,7 @@
 
 // owed is how much somebody still waits for: the answers to open requests, connections that are to be accepted or read
 // first, and answers that are not written to their end.
-func (l *Loop) owed(now decide.Time) int {
+func (l *Loop) owed(now policy.Time) int {
 	owed := l.open
 	if !l.steps.shut {
 		owed++
--- a/internal/gateway/survive.go
+++ b/internal/dataplane/gateway/survive.go
@@ -7,16 +7,16 @@
 	"net"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // Keeper keeps the module's state for the next process. It may be called from
 // several goroutines.
 type Keeper interface {
 	// Load gives the state stored last; fs.ErrNotExist if there is none.
-	Load() (decide.Snapshot, error)
+	Load() (policy.Snapshot, error)
 	// Store replaces it. Durable: it must survive a power cut, too.
-	Store(s decide.Snapshot, durable bool) error
+	Store(s policy.Snapshot, durable bool) error
 }
 
 // Survival is how a gateway outlives its process. The zero value is off.
@@ -49,14 +49,14 @@
 // survival is the loop's part of it.
 type survival struct {
 	Survival
-	every decide.Time
-	next  chan decide.Snapshot // the newest, for the writer
+	every policy.Time
+	next  chan policy.Snapshot // the newest, for the writer
 	bad   bool                 // the last state could not be kept
 	ended bool                 // nothing is kept any more
 }
 
 func newSurvival(s Survival) survival {
-	return survival{Survival: s, every: max(50_000, s.Every.Microseconds()), next: make(chan decide.Snapshot, 1)}
+	return survival{Survival: s, every: max(50_000, s.Every.Microseconds()), next: make(chan policy.Snapshot, 1)}
 }
 
 // restore takes in the state of the process before. What can't be used is told,
@@ -136,7 +136,7 @@
 // kept tells how the write of the state given out at a time ended.
 type kept struct {
 	err error
-	at  decide.Time
+	at  policy.Time
 }
 
 func (k kept) handle(l *Loop) {
--- a/internal/gateway/survive_test.go
+++ b/internal/dataplane/gateway/survive_test.go
@@ -13,29 +13,29 @@
 	"testing"
 	"time"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // memory keeps states for a test.
 type memory struct {
 	mu     sync.Mutex
-	states []decide.Snapshot
+	states []policy.Snapshot
 	err    error
-	stored chan decide.Snapshot
+	stored chan policy.Snapshot
 }
 
-func newMemory() *memory { return &memory{stored: make(chan decide.Snapshot, 1024)} }
+func newMemory() *memory { return &memory{stored: make(chan policy.Snapshot, 1024)} }
 
-func (m *memory) Load() (decide.Snapshot, error) {
+func (m *memory) Load() (policy.Snapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.states) == 0 {
-		return decide.Snapshot{}, fs.ErrNotExist
+		return policy.Snapshot{}, fs.ErrNotExist
 	}
 	return m.states[len(m.states)-1], nil
 }
 
-func (m *memory) Store(s decide.Snapshot, _ bool) error {
+func (m *memory) Store(s policy.Snapshot, _ bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.err == nil {
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	defer l.clients.listener.Close()
-	l.backends.members(l, decide.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	l.backends.members(l, policy.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
 	l.module.Kept(l.module.Save(l.now(), false).At)
 	l.handle(tooMuch{})
 	if len(m.states) != 1 {
@@ -110,7 +110,7 @@
 	for id := range uint64(3) {
 		l.requests[1000+id] = &request{id: 1000 + id, client: &client{}, deadline: l.now() + 1e6,
 			args: [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")}, wait: [2]int{2, 3}}
-		l.module.Request(l.now(), decide.Request{ID: 1000 + id, Customer: 7, Units: 120, Grace: 1e6, Spread: 1})
+		l.module.Request(l.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Grace: 1e6, Spread: 1})
 	}
 }
 
@@ -118,8 +118,8 @@
 func TestBadStateIsToldAndTheStartIsCold(t *testing.T) {
 	for want, m := range map[string]*memory{
 		"no state":       newMemory(),
-		"version 9":      {states: []decide.Snapshot{{Version: 9}}},
-		"other settings": {states: []decide.Snapshot{{Version: decide.SnapshotVersion, Settings: 1}}},
+		"version 9":      {states: []policy.Snapshot{{Version: 9}}},
+		"other settings": {states: []policy.Snapshot{{Version: policy.SnapshotVersion, Settings: 1}}},
 	} {
 		var lines bytes.Buffer
 		d := newFakeDiscovery(t)
--- a/internal/gateway/versions.go
+++ b/internal/dataplane/gateway/versions.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/plans"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/plans"
 )
 
 // Permit tells whether this gateway may act on what is in force in it. The loop calls it, and it must not wait.
@@ -28,7 +28,7 @@
 }
 
 // shutAfter is when those come back that a gateway turns away because it may not act.
-const shutAfter decide.Time = 500_000
+const shutAfter policy.Time = 500_000
 
 // acts takes a permit for a request, or turns it away: unsent, and at once.
 func (l *Loop) acts(r *request) bool {
@@ -68,7 +68,7 @@
 // configuration has it. Its methods may be called from any goroutine.
 type Terms struct {
 	names   []string
-	offered []decide.Plan
+	offered []policy.Plan
 
 	mu      sync.Mutex
 	post    func(event)
@@ -131,13 +131,13 @@
 	t.post(e)
 }
 
-func termsOf(p *decide.Plan) plans.Terms {
+func termsOf(p *policy.Plan) plans.Terms {
 	return plans.Terms{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst}
 }
 
 // replanned is a change of the plans' terms, or of who has which.
 type replanned struct {
-	plans []decide.Plan
+	plans []policy.Plan
 	names []string
 	books []*plans.Book // the one that is acted on, and those beside it
 	order uint64
@@ -161,7 +161,7 @@
 	return best
 }
 
-func less(a, b *decide.Plan) bool {
+func less(a, b *policy.Plan) bool {
 	return a.Rate < b.Rate || a.Rate == b.Rate && a.Burst < b.Burst
 }
 
@@ -178,7 +178,7 @@
 }
 
 // planned gives a request the plan that its customer has.
-func (l *Loop) planned(q *decide.Request) {
+func (l *Loop) planned(q *policy.Request) {
 	if l.assigned != nil {
 		if k := l.assigned(q.Customer); k >= 0 {
 			q.Plan = k
--- a/internal/gateway/versions_test.go
+++ b/internal/dataplane/gateway/versions_test.go
@@ -4,14 +4,14 @@
 	"strings"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/internal/wire"
-	"mothcleat/plans"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/simprotocol"
+	"mothcleat/internal/plans"
 )
 
 func testTerms() *Terms {
-	return NewTerms(&Config{Host: wire.Host{Plans: []string{"basico", "corporativo"}},
-		Settings: decide.Settings{Plans: []decide.Plan{{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5}}}})
+	return NewTerms(&Config{Host: simprotocol.Host{Plans: []string{"basico", "corporativo"}},
+		Settings: policy.Settings{Plans: []policy.Plan{{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5}}}})
 }
 
 func TestPlansThatCanNotBeActedOnHere(t *testing.T) {
--- a/internal/handover/handover.go
+++ b/internal/dataplane/hotrestart/handover.go
@@ -1,4 +1,4 @@
-// Package handover carries what a process leaves to the one that takes its place: what
+// Package hotrestart carries what a process leaves to the one that takes its place: what
 // it knows, its socket for notes, and its clients' connections, over a Unix socket in a
 // folder that both see.
 //
@@ -12,7 +12,7 @@
 // state, 'E' its end with the socket for notes if there is one, 'K' taken in, 'C' a client's
 // connection with a head as JSON, 'M' more of what was read from it. Descriptors
 // travel with 'E' and 'C'.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/handover/handover_test.go
+++ b/internal/dataplane/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/decide/api.go
+++ b/internal/dataplane/policy/api.go
@@ -1,4 +1,4 @@
-// Package decide makes the decisions of a gateway that keeps each customer of
+// Package policy makes the decisions of a gateway that keeps each customer of
 // a shared back end to its plan. This file is its whole interface; the
 // decisions are in decide.go.
 //
@@ -7,7 +7,7 @@
 // one Outcome for each Send and one Probed for each Probe, and let a request's
 // attempts end by its deadline. A second or unknown outcome is passed over; a
 // missing one leaves the backend looking busier than it is for good.
-package decide
+package policy
 
 // Time is a moment or a length of time in microseconds.
 type Time = int64
--- a/decide/decide.go
+++ b/internal/dataplane/policy/decide.go
@@ -4,7 +4,7 @@
 // soft plans may then draw on bank 0, fed by what full banks spill; else it is refused at once
 // (Berger and Whitt's multi-class throttle, docs/design.md). Top to bottom: banks and bank 0; slices
 // and notes; ceiling; backend choice and health; cold and drain guards; attempts and answers.
-package decide
+package policy
 
 import (
 	"cmp"
--- a/decide/example_test.go
+++ b/internal/dataplane/policy/example_test.go
@@ -1,33 +1,33 @@
-package decide_test
+package policy_test
 
 import (
 	"fmt"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // host is what a gateway of one's own brings: sends, answers and timers.
 type host struct {
-	now    decide.Time
-	timers []decide.Time // due times, all of token 0
+	now    policy.Time
+	timers []policy.Time // due times, all of token 0
 }
 
-func (h *host) Send(id uint64, backend uint32, until decide.Time) {
+func (h *host) Send(id uint64, backend uint32, until policy.Time) {
 	fmt.Printf("request %d goes to backend %d\n", id, backend)
 }
-func (h *host) Refuse(id uint64, after decide.Time) {
+func (h *host) Refuse(id uint64, after policy.Time) {
 	fmt.Printf("request %d refused, back after %d ms\n", id, after/1000)
 }
 func (h *host) Fail(id uint64)                                   { fmt.Printf("request %d failed\n", id) }
-func (h *host) SetTimer(at decide.Time, token uint32)            { h.timers = append(h.timers, at) }
+func (h *host) SetTimer(at policy.Time, token uint32)            { h.timers = append(h.timers, at) }
 func (h *host) Probe(backend uint32)                             {}
 func (h *host) Tell(peer int, note []byte)                       {}
-func (h *host) Count(name uint64, add float64, life decide.Time) {}
+func (h *host) Count(name uint64, add float64, life policy.Time) {}
 func (h *host) Follow()                                          {}
 func (h *host) Log(line string)                                  { fmt.Println(line) }
 
 // run moves the clock to a time, with the timers that fall due on the way.
-func (h *host) run(g *decide.Gateway, to decide.Time) {
+func (h *host) run(g *policy.Gateway, to policy.Time) {
 	for len(h.timers) > 0 && h.timers[0] <= to {
 		h.now, h.timers = h.timers[0], h.timers[1:]
 		g.Timer(h.now, 0)
@@ -39,22 +39,22 @@
 // what the instance asks. All calls come from one goroutine.
 func Example() {
 	h := &host{now: 1000}
-	g, err := decide.New(decide.Settings{
+	g, err := policy.New(policy.Settings{
 		Gateways: 1, MaxAttempts: 2, Tick: 1000, RetryAfter: true, MaxRetryAfter: 2_000_000,
-		Classes: []decide.Class{{Aim: 500_000, Effect: decide.Safe, Worth: 1}},
-		Plans:   []decide.Plan{{Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}},
+		Classes: []policy.Class{{Aim: 500_000, Effect: policy.Safe, Worth: 1}},
+		Plans:   []policy.Plan{{Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}},
 	}, 42, h)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	g.Members(h.now, decide.Whole, []decide.Member{{Backend: 7}})
+	g.Members(h.now, policy.Whole, []policy.Member{{Backend: 7}})
 	for id := uint64(1); id <= 3; id++ {
-		g.Request(h.now, decide.Request{ID: id, Customer: 99, Units: 1, Grace: 2_000_000, Spread: 1})
+		g.Request(h.now, policy.Request{ID: id, Customer: 99, Units: 1, Grace: 2_000_000, Spread: 1})
 	}
 	h.run(g, 101_000)
-	g.Outcome(h.now, decide.Outcome{ID: 1, Backend: 7, Result: decide.OK, Took: 100_000, Over: true})
-	g.Outcome(h.now, decide.Outcome{ID: 2, Backend: 7, Result: decide.Full, Took: 100_000})
+	g.Outcome(h.now, policy.Outcome{ID: 1, Backend: 7, Result: policy.OK, Took: 100_000, Over: true})
+	g.Outcome(h.now, policy.Outcome{ID: 2, Backend: 7, Result: policy.Full, Took: 100_000})
 	// Output:
 	// request 1 goes to backend 7
 	// request 2 goes to backend 7
--- a/decide/fleetramp_test.go
+++ b/internal/dataplane/policy/fleetramp_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 import (
 	"container/heap"
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // A fleet of gateways before a few servers in virtual time, of which some come back cold. No gateway hears of another.
@@ -25,7 +25,7 @@
 
 // happening is something that happens at a time; those at one time happen in the order in which they were planned.
 type happening struct {
-	at    decide.Time
+	at    policy.Time
 	order int
 	do    func()
 }
@@ -47,7 +47,7 @@
 // rampFleet is the fleet with its servers.
 type rampFleet struct {
 	t       *testing.T
-	now     decide.Time
+	now     policy.Time
 	plans   agenda
 	order   int
 	rand    *rand.Rand
@@ -60,14 +60,14 @@
 // rampServer is a server that answers one request after another.
 type rampServer struct {
 	refuses bool          // nothing listens there
-	started decide.Time   // 0: long ago
-	free    decide.Time   // when all that it holds is answered
+	started policy.Time   // 0: long ago
+	free    policy.Time   // when all that it holds is answered
 	held    int           // requests
-	sends   []decide.Time // when something came whole, since its start
+	sends   []policy.Time // when something came whole, since its start
 }
 
 // share is the part of its capacity that it has.
-func (s *rampServer) share(now decide.Time) float64 {
+func (s *rampServer) share(now policy.Time) float64 {
 	if s.started == 0 {
 		return 1
 	}
@@ -77,7 +77,7 @@
 // rampMember is one gateway's host.
 type rampMember struct {
 	fleet    *rampFleet
-	gateway  *decide.Gateway
+	gateway  *policy.Gateway
 	attempts map[uint64]int
 }
 
@@ -87,29 +87,29 @@
 	for i := range gateways {
 		m := &rampMember{fleet: f, attempts: map[uint64]int{}}
 		var err error
-		m.gateway, err = decide.New(decide.Settings{
+		m.gateway, err = policy.New(policy.Settings{
 			Self: i, Gateways: gateways, MaxAttempts: 3, Tick: 1000, RetryAfter: true, MaxRetryAfter: 2_000_000,
 			ColdFrom: fleetColdFrom, ColdTime: fleetColdTime, TipAfter: fleetTipAfter,
-			Classes: []decide.Class{{Aim: 500_000, Effect: decide.Safe, Worth: 1}},
-			Plans:   []decide.Plan{{Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1}},
+			Classes: []policy.Class{{Aim: 500_000, Effect: policy.Safe, Worth: 1}},
+			Plans:   []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1}},
 		}, seed<<8|uint64(i), m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.members = append(f.members, m)
 	}
-	f.tell(decide.Whole)
+	f.tell(policy.Whole)
 	f.ask()
 	return f
 }
 
-func (f *rampFleet) after(wait decide.Time, do func()) {
+func (f *rampFleet) after(wait policy.Time, do func()) {
 	f.order++
 	heap.Push(&f.plans, happening{f.now + wait, f.order, do})
 }
 
 // run has all happen that is due by a time.
-func (f *rampFleet) run(until decide.Time) {
+func (f *rampFleet) run(until policy.Time) {
 	for len(f.plans) > 0 && f.plans[0].at <= until {
 		next := heap.Pop(&f.plans).(happening)
 		f.now = next.at
@@ -119,10 +119,10 @@
 }
 
 // tell has all gateways hear of all servers as they are.
-func (f *rampFleet) tell(news decide.News) {
-	var list []decide.Member
+func (f *rampFleet) tell(news policy.News) {
+	var list []policy.Member
 	for n := range f.servers {
-		list = append(list, decide.Member{Backend: uint32(n + 1), Started: f.servers[n].started})
+		list = append(list, policy.Member{Backend: uint32(n + 1), Started: f.servers[n].started})
 	}
 	for _, m := range f.members {
 		m.gateway.Members(f.now, news, list)
@@ -131,10 +131,10 @@
 
 // ask has one request come to a gateway drawn, and the next after it.
 func (f *rampFleet) ask() {
-	f.after(decide.Time(f.rand.ExpFloat64()/(fleetServers*serverRate*f.load)*1e6), func() {
+	f.after(policy.Time(f.rand.ExpFloat64()/(fleetServers*serverRate*f.load)*1e6), func() {
 		m := f.members[f.rand.IntN(len(f.members))]
 		f.nextID++
-		m.gateway.Request(f.now, decide.Request{ID: f.nextID, Customer: f.nextID % 97, Units: 1, Grace: 2_000_000, Spread: 1, First: m.number()})
+		m.gateway.Request(f.now, policy.Request{ID: f.nextID, Customer: f.nextID % 97, Units: 1, Grace: 2_000_000, Spread: 1, First: m.number()})
 		f.ask()
 	})
 }
@@ -147,7 +147,7 @@
 }
 
 // crash has them listen no more, and run anew some time after.
-func (f *rampFleet) crash(servers int, down decide.Time) {
+func (f *rampFleet) crash(servers int, down policy.Time) {
 	for n := range servers {
 		f.servers[n].refuses = true
 	}
@@ -165,19 +165,19 @@
 }
 
 // Send has an attempt end as its server does.
-func (m *rampMember) Send(id uint64, backend uint32, _ decide.Time) {
+func (m *rampMember) Send(id uint64, backend uint32, _ policy.Time) {
 	f, server := m.fleet, &m.fleet.servers[backend-1]
-	o := decide.Outcome{ID: id, Attempt: m.attempts[id], Backend: backend, Result: decide.OK, Over: true}
+	o := policy.Outcome{ID: id, Attempt: m.attempts[id], Backend: backend, Result: policy.OK, Over: true}
 	m.attempts[id]++
 	switch life := server.started; {
 	case server.refuses:
-		o.Result, o.Took, o.Over = decide.ConnectFailed, refusedAfter, false
+		o.Result, o.Took, o.Over = policy.ConnectFailed, refusedAfter, false
 	case server.held >= queueMost:
 		server.sends = append(server.sends, f.now)
-		o.Result, o.Took, o.Over = decide.Full, refusedAfter, false
+		o.Result, o.Took, o.Over = policy.Full, refusedAfter, false
 	default:
 		server.sends = append(server.sends, f.now)
-		server.free = max(server.free, f.now) + decide.Time(1e6/serverRate/server.share(f.now))
+		server.free = max(server.free, f.now) + policy.Time(1e6/serverRate/server.share(f.now))
 		server.held++
 		o.Took = server.free - f.now + answerAfter
 		f.after(server.free-f.now, func() {
@@ -194,15 +194,15 @@
 	})
 }
 
-func (m *rampMember) Refuse(id uint64, _ decide.Time) { delete(m.attempts, id) }
+func (m *rampMember) Refuse(id uint64, _ policy.Time) { delete(m.attempts, id) }
 func (m *rampMember) Fail(id uint64)                  { delete(m.attempts, id) }
-func (m *rampMember) SetTimer(at decide.Time, token uint32) {
+func (m *rampMember) SetTimer(at policy.Time, token uint32) {
 	f := m.fleet
 	f.after(max(0, at-f.now), func() { m.gateway.Timer(f.now, token) })
 }
 func (m *rampMember) Probe(uint32)                       {}
 func (m *rampMember) Tell(int, []byte)                   {}
-func (m *rampMember) Count(uint64, float64, decide.Time) {}
+func (m *rampMember) Count(uint64, float64, policy.Time) {}
 func (m *rampMember) Follow()                            {}
 func (m *rampMember) Log(string)                         {}
 
@@ -232,16 +232,16 @@
 	for name, begin := range map[string]func(f *rampFleet, servers int){
 		"told of their start": func(f *rampFleet, servers int) {
 			f.restart(servers)
-			f.tell(decide.Changed)
+			f.tell(policy.Changed)
 		},
 		"back from a crash, told at once": func(f *rampFleet, servers int) {
 			f.crash(servers, 4_000_000)
-			f.tell(decide.Changed)
+			f.tell(policy.Changed)
 		},
 		"back from a crash, told 1.8 s after": func(f *rampFleet, servers int) {
 			f.crash(servers, 4_000_000)
 			f.run(f.now + 1_800_000)
-			f.tell(decide.Changed)
+			f.tell(policy.Changed)
 			for n := range servers { // a fall counts by what came from who had been told
 				f.servers[n].sends = nil
 			}
--- a/decide/snapshot.go
+++ b/internal/dataplane/policy/snapshot.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"errors"
--- a/decide/view.go
+++ b/internal/dataplane/policy/view.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // Servers tells how many backends discovery lists, and how many of those this gateway
 // sends nothing, or single trials only: they drain, or are left out. It is for those who
--- a/decide/why.go
+++ b/internal/dataplane/policy/why.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // Why is the reason for a refusal.
 type Why uint8
--- a/internal/registry/consul/answer.go
+++ b/internal/dataplane/registry/consul/answer.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/membership"
 )
 
 // mostAnswer bounds a list: 5,000 instances take about 5 MB.
--- a/internal/registry/consul/consul.go
+++ b/internal/dataplane/registry/consul/consul.go
@@ -18,8 +18,8 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/registry"
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/membership"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // Settings say where the service is and how it is read.
--- a/internal/registry/consul/consul_test.go
+++ b/internal/dataplane/registry/consul/consul_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/lab"
-	"mothcleat/internal/registry"
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/membership"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/testing/lab"
 )
 
 const patience = 30 * time.Second
--- a/internal/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/membership"
 )
 
 // term is within which a change counts as told, once discovery has it and can be reached, whatever became of earlier calls.
--- a/internal/registry/platform.go
+++ b/internal/dataplane/registry/platform.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/membership"
 )
 
 const (
--- a/internal/registry/platform_test.go
+++ b/internal/dataplane/registry/platform_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/membership"
+	"mothcleat/internal/dataplane/membership"
 )
 
 const patience = 30 * time.Second
--- a/internal/wire/frames.go
+++ b/internal/dataplane/simprotocol/frames.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 	"io"
 	"math"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 const (
@@ -18,7 +18,7 @@
 // Batch is one frame of events.
 type Batch struct {
 	Index, Count uint32
-	Now          decide.Time
+	Now          policy.Time
 	Body         []byte
 }
 
@@ -34,7 +34,7 @@
 	b := Batch{
 		Index: binary.LittleEndian.Uint32(head[0:]),
 		Count: binary.LittleEndian.Uint32(head[4:]),
-		Now:   decide.Time(binary.LittleEndian.Uint64(head[12:])),
+		Now:   policy.Time(binary.LittleEndian.Uint64(head[12:])),
 		Body:  into[:0],
 	}
 	for left := int(binary.LittleEndian.Uint32(head[8:])); left > 0; {
@@ -59,16 +59,16 @@
 	Seed    uint64 // Provision
 	Profile []byte
 
-	News    decide.News // Backends
-	Members []decide.Member
+	News    policy.News // Backends
+	Members []policy.Member
 
-	Request decide.Request // Ingress
-	Outcome decide.Outcome // Done; First and Dropped set its ID
+	Request policy.Request // Ingress
+	Outcome policy.Outcome // Done; First and Dropped set its ID
 
 	Token uint32 // Wake
 
 	Backend uint32 // Sampled
-	Result  decide.Result
+	Result  policy.Result
 	Load    []float32
 
 	From int // Heard
@@ -139,7 +139,7 @@
 	return load
 }
 
-func (r *reader) result() decide.Result { return lookup(r, results, "outcome code") }
+func (r *reader) result() policy.Result { return lookup(r, results, "outcome code") }
 
 // lookup reads a code and what it stands for.
 func lookup[V any](r *reader, table map[uint8]V, what string) V {
@@ -184,7 +184,7 @@
 		q.ID = r.u64()
 		r.u8() // a client's repeat, a write: no decision rests on them
 		q.Units = r.f32()
-		q.Grace = decide.Time(r.u32())
+		q.Grace = policy.Time(r.u32())
 		q.Plan = int(r.u16())
 		q.Spread = int(r.f32())
 		q.Class = int(r.u16())
@@ -194,14 +194,14 @@
 		e.Outcome.ID = r.u64()
 		e.Outcome.Backend = r.u32()
 		e.Outcome.Attempt = int(r.u16())
-		e.Outcome.Took = decide.Time(r.u32())
+		e.Outcome.Took = policy.Time(r.u32())
 	case Done:
 		o := &e.Outcome
 		o.ID = r.u64()
 		o.Attempt = int(r.u16())
 		o.Backend = r.u32()
 		o.Result = r.result()
-		o.Took = decide.Time(r.u32())
+		o.Took = policy.Time(r.u32())
 		o.Over = r.u8() != 0
 		o.Metered = int(r.u16())
 		o.TrueUnits = float64(r.u16())
@@ -236,12 +236,12 @@
 		r.err = fmt.Errorf("list of %d entries is longer than its batch", n)
 	}
 	for i := 0; i < n && r.err == nil; i++ {
-		m := decide.Member{Backend: r.u32(), Zone: int(r.u16())}
+		m := policy.Member{Backend: r.u32(), Zone: int(r.u16())}
 		r.u8() // kind of machine: no decision rests on it
 		m.Cell = int(r.u16())
 		m.State = lookup(r, states, "readiness")
 		m.Hint = r.f32()
-		m.Started = decide.Time(r.u64())
+		m.Started = policy.Time(r.u64())
 		e.Members = append(e.Members, m)
 	}
 }
@@ -283,7 +283,7 @@
 }
 
 // Send implements decide.Actions, as do the methods below.
-func (r *Reply) Send(id uint64, backend uint32, until decide.Time) {
+func (r *Reply) Send(id uint64, backend uint32, until policy.Time) {
 	r.head(actAssign)
 	r.u64(id)
 	r.u64(uint64(until))
@@ -291,7 +291,7 @@
 }
 
 // Refuse writes a refusal.
-func (r *Reply) Refuse(id uint64, after decide.Time) {
+func (r *Reply) Refuse(id uint64, after policy.Time) {
 	r.head(actPushBack)
 	r.u64(id)
 	r.u32(uint32(max(0, min(after, math.MaxUint32))))
@@ -304,7 +304,7 @@
 }
 
 // SetTimer writes a timer.
-func (r *Reply) SetTimer(at decide.Time, token uint32) {
+func (r *Reply) SetTimer(at policy.Time, token uint32) {
 	r.head(actSetAlarm)
 	r.u64(uint64(at))
 	r.u32(token)
@@ -324,7 +324,7 @@
 }
 
 // Count writes a counter call.
-func (r *Reply) Count(name uint64, add float64, life decide.Time) {
+func (r *Reply) Count(name uint64, add float64, life policy.Time) {
 	r.head(actCount)
 	r.u64(name)
 	r.u32(math.Float32bits(float32(add)))
--- a/internal/wire/settings.go
+++ b/internal/dataplane/simprotocol/settings.go
@@ -1,32 +1,32 @@
-package wire
+package simprotocol
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"mothcleat/decide"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // Host is what the settings tell the host of a gateway on real sockets; the
 // simulator does these things itself.
 type Host struct {
 	Classes, Plans []string      // their names, in the order of the settings
-	Limits         []decide.Time // of each class: how long a client waits at the most; 0: not told
+	Limits         []policy.Time // of each class: how long a client waits at the most; 0: not told
 	MaxUnits       float64       // that a request may take; 0: not told
 	Zones          []string      // names, by number
 	Report         []string      // the names of the values in a load report
 	ReportVia      string        // "piggyback", "pull" or "silent"
 	MaxOpen        int           // requests open at once
-	DialTimeout    decide.Time
-	IdleClose      decide.Time // backends close an idle connection by then
-	CounterTimeout decide.Time
-	DrainGrace     decide.Time // after a drain was told, in which sends there must stop
+	DialTimeout    policy.Time
+	IdleClose      policy.Time // backends close an idle connection by then
+	CounterTimeout policy.Time
+	DrainGrace     policy.Time // after a drain was told, in which sends there must stop
 }
 
 // draft is a settings text being read.
 type draft struct {
-	decide.Settings
+	policy.Settings
 	host Host
 }
 
@@ -85,17 +85,17 @@
 	"self-index":                     whole(func(d *draft) *int { return &d.Self }),
 	"balancers":                      whole(func(d *draft) *int { return &d.Gateways }),
 	"az":                             whole(func(d *draft) *int { return &d.Zone }),
-	"granularity-us":                 whole(func(d *draft) *decide.Time { return &d.Tick }),
+	"granularity-us":                 whole(func(d *draft) *policy.Time { return &d.Tick }),
 	"ceilings.peers":                 flag(func(d *draft) *bool { return &d.Peers }),
 	"ceilings.probes":                flag(func(d *draft) *bool { return &d.Probes }),
 	"ceilings.second-copies":         flag(func(d *draft) *bool { return &d.SecondCopies }),
 	"ceilings.retry-after":           flag(func(d *draft) *bool { return &d.RetryAfter }),
 	"ceilings.max-attempts":          whole(func(d *draft) *int { return &d.MaxAttempts }),
-	"ceilings.max-retry-after-us":    whole(func(d *draft) *decide.Time { return &d.MaxRetryAfter }),
+	"ceilings.max-retry-after-us":    whole(func(d *draft) *policy.Time { return &d.MaxRetryAfter }),
 	"ceilings.max-open":              whole(func(d *draft) *int { return &d.host.MaxOpen }),
-	"ceilings.dial-timeout-us":       whole(func(d *draft) *decide.Time { return &d.host.DialTimeout }),
-	"ceilings.idle-close-us":         whole(func(d *draft) *decide.Time { return &d.host.IdleClose }),
-	"family-info.counter-timeout-us": whole(func(d *draft) *decide.Time { return &d.host.CounterTimeout }),
+	"ceilings.dial-timeout-us":       whole(func(d *draft) *policy.Time { return &d.host.DialTimeout }),
+	"ceilings.idle-close-us":         whole(func(d *draft) *policy.Time { return &d.host.IdleClose }),
+	"family-info.counter-timeout-us": whole(func(d *draft) *policy.Time { return &d.host.CounterTimeout }),
 	"localities": func(d *draft, v string) error {
 		d.host.Zones = strings.Split(v, ",")
 		return nil
@@ -103,14 +103,14 @@
 	"report.via":                  text(func(d *draft) *string { return &d.host.ReportVia }),
 	"family-info.counter":         flag(func(d *draft) *bool { return &d.Counter }),
 	"family-info.settles":         flag(func(d *draft) *bool { return &d.Settles }),
-	"family-info.meter-period-us": whole(func(d *draft) *decide.Time { return &d.MeterPeriod }),
+	"family-info.meter-period-us": whole(func(d *draft) *policy.Time { return &d.MeterPeriod }),
 	"family-info.max-units":       number(func(d *draft) *float64 { return &d.host.MaxUnits }),
 	"family-info.mail-per-s":      number(func(d *draft) *float64 { return &d.MailPerSecond }),
-	"guarantees.ask-within-us":    whole(func(d *draft) *decide.Time { return &d.AskWithin }),
-	"guarantees.drain-grace-us":   whole(func(d *draft) *decide.Time { return &d.host.DrainGrace }),
+	"guarantees.ask-within-us":    whole(func(d *draft) *policy.Time { return &d.AskWithin }),
+	"guarantees.drain-grace-us":   whole(func(d *draft) *policy.Time { return &d.host.DrainGrace }),
 	"guarantees.cold-from":        number(func(d *draft) *float64 { return &d.ColdFrom }),
-	"guarantees.cold-us":          whole(func(d *draft) *decide.Time { return &d.ColdTime }),
-	"guarantees.tip-after-us":     whole(func(d *draft) *decide.Time { return &d.TipAfter }),
+	"guarantees.cold-us":          whole(func(d *draft) *policy.Time { return &d.ColdTime }),
+	"guarantees.tip-after-us":     whole(func(d *draft) *policy.Time { return &d.TipAfter }),
 	"prices.cross-zone":           number(func(d *draft) *float64 { return &d.CrossZonePrice }),
 	"membership-mode": word(map[string]bool{"pushed": false, "on_request": true},
 		func(d *draft) *bool { return &d.AskMembers }),
@@ -127,18 +127,18 @@
 
 func last[T any](items []T) *T { return &items[len(items)-1] }
 
-func lastClass(d *draft) *decide.Class { return last(d.Classes) }
-func lastPlan(d *draft) *decide.Plan   { return last(d.Plans) }
+func lastClass(d *draft) *policy.Class { return last(d.Classes) }
+func lastPlan(d *draft) *policy.Plan   { return last(d.Plans) }
 
 // classKeys and planKeys are the settings of an item of a list.
 var classKeys = map[string]setter{
 	"name":          text(func(d *draft) *string { return last(d.host.Classes) }),
-	"promise-us":    whole(func(d *draft) *decide.Time { return &lastClass(d).Aim }),
-	"hard-limit-us": whole(func(d *draft) *decide.Time { return last(d.host.Limits) }),
-	"window-us":     whole(func(d *draft) *decide.Time { return &lastClass(d).Window }),
+	"promise-us":    whole(func(d *draft) *policy.Time { return &lastClass(d).Aim }),
+	"hard-limit-us": whole(func(d *draft) *policy.Time { return last(d.host.Limits) }),
+	"window-us":     whole(func(d *draft) *policy.Time { return &lastClass(d).Window }),
 	"worth":         number(func(d *draft) *float64 { return &lastClass(d).Worth }),
-	"repeat":        word(effects, func(d *draft) *decide.Effect { return &lastClass(d).Effect }),
-	"group":         word(groups, func(d *draft) *decide.Group { return &lastClass(d).Group }),
+	"repeat":        word(effects, func(d *draft) *policy.Effect { return &lastClass(d).Effect }),
+	"group":         word(groups, func(d *draft) *policy.Group { return &lastClass(d).Group }),
 }
 
 var planKeys = map[string]setter{
@@ -161,7 +161,7 @@
 
 // ParseSettings reads a settings text. Unknown keys are skipped; a value that
 // can't be read is an error that names its key.
-func ParseSettings(text []byte) (decide.Settings, error) {
+func ParseSettings(text []byte) (policy.Settings, error) {
 	values := map[string]string{}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		key, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "=")
@@ -175,10 +175,10 @@
 
 // ParseJSON reads the settings in the form of a gateway's configuration: the
 // same names and units, as nested JSON.
-func ParseJSON(raw []byte) (decide.Settings, Host, error) {
+func ParseJSON(raw []byte) (policy.Settings, Host, error) {
 	values, err := flatten(raw)
 	if err != nil {
-		return decide.Settings{}, Host{}, err
+		return policy.Settings{}, Host{}, err
 	}
 	d, err := parse(values)
 	return d.Settings, d.host, err
@@ -190,14 +190,14 @@
 		return d, err
 	}
 	err := d.list(values, classList, classKeys, func() {
-		d.Classes, d.host.Classes = append(d.Classes, decide.Class{}), append(d.host.Classes, "")
+		d.Classes, d.host.Classes = append(d.Classes, policy.Class{}), append(d.host.Classes, "")
 		d.host.Limits = append(d.host.Limits, 0)
 	})
 	if err != nil {
 		return d, err
 	}
 	err = d.list(values, planList, planKeys, func() {
-		d.Plans, d.host.Plans = append(d.Plans, decide.Plan{Price: 1}), append(d.host.Plans, "")
+		d.Plans, d.host.Plans = append(d.Plans, policy.Plan{Price: 1}), append(d.host.Plans, "")
 	})
 	return d, err
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/dataplane/snapshot/snapshot.go
@@ -18,8 +18,8 @@
 	"path/filepath"
 	"sync"
 
-	"mothcleat/decide"
-	"mothcleat/store"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/storage/store"
 )
 
 const (
@@ -40,9 +40,9 @@
 
 	mu        sync.Mutex
 	store     *store.Store                    // nil: not held
-	customers map[uint64]decide.CustomerState // as the store has them
-	backends  map[uint32]decide.BackendState
-	last      decide.Time // of the state that the store holds
+	customers map[uint64]policy.CustomerState // as the store has them
+	backends  map[uint32]policy.BackendState
+	last      policy.Time // of the state that the store holds
 	done      bool        // the last state of an orderly end is written
 }
 
@@ -64,7 +64,7 @@
 // over, and so is all that comes after one marked as the last. Durable has it
 // survive a power cut, too; else it survives the end of the process. After an
 // error there is no state: an old one would grant again what was taken since.
-func (f *File) Store(s decide.Snapshot, durable bool) error {
+func (f *File) Store(s policy.Snapshot, durable bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.done || s.At < f.last {
@@ -106,7 +106,7 @@
 }
 
 // write puts what has changed into the store.
-func (f *File) write(s decide.Snapshot, durable bool) error {
+func (f *File) write(s policy.Snapshot, durable bool) error {
 	var b store.Batch
 	if f.store == nil {
 		if err := f.hold(&b); err != nil {
@@ -118,11 +118,11 @@
 	if err := putJSON(&b, headKey, s); err != nil {
 		return err
 	}
-	nextC := make(map[uint64]decide.CustomerState, len(customers))
+	nextC := make(map[uint64]policy.CustomerState, len(customers))
 	for _, c := range customers {
 		nextC[c.ID] = c
 	}
-	nextB := make(map[uint32]decide.BackendState, len(backends))
+	nextB := make(map[uint32]policy.BackendState, len(backends))
 	for _, v := range backends {
 		nextB[v.Backend] = v
 	}
@@ -199,7 +199,7 @@
 
 // Load reads the state. The error is fs.ErrNotExist if there is none, and store.ErrLocked
 // while another process keeps its own there.
-func (f *File) Load() (s decide.Snapshot, err error) {
+func (f *File) Load() (s policy.Snapshot, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isFile() {
@@ -215,12 +215,12 @@
 		defer from.Close()
 	}
 	if s, err = load(from); err != nil {
-		return decide.Snapshot{}, fmt.Errorf("state: %s: %w", f.path, err)
+		return policy.Snapshot{}, fmt.Errorf("state: %s: %w", f.path, err)
 	}
 	return s, nil
 }
 
-func load(from *store.Store) (s decide.Snapshot, err error) {
+func load(from *store.Store) (s policy.Snapshot, err error) {
 	view, err := from.Snapshot()
 	if err != nil {
 		return s, err
@@ -263,10 +263,10 @@
 }
 
 // loadFile reads what versions before the store wrote: the bytes that Encode gives.
-func (f *File) loadFile() (decide.Snapshot, error) {
+func (f *File) loadFile() (policy.Snapshot, error) {
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
-		return decide.Snapshot{}, fmt.Errorf("state: %w", err)
+		return policy.Snapshot{}, fmt.Errorf("state: %w", err)
 	}
 	s, err := Decode(raw)
 	if err != nil {
@@ -281,7 +281,7 @@
 //	mothcleat-state 1 LENGTH CHECKSUM
 //
 // and a decide.Snapshot as JSON.
-func Encode(s decide.Snapshot) ([]byte, error) {
+func Encode(s policy.Snapshot) ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -291,7 +291,7 @@
 }
 
 // Decode reads the bytes of a file, or tells why they can't be used.
-func Decode(raw []byte) (s decide.Snapshot, err error) {
+func Decode(raw []byte) (s policy.Snapshot, err error) {
 	line, text, ok := bytes.Cut(raw[:min(len(raw), maxStateBytes)], []byte("\n"))
 	if !ok || !bytes.HasPrefix(line, []byte(magic+" ")) {
 		return s, errors.New("no state of this program")
@@ -312,7 +312,7 @@
 		return s, errors.New("checksum differs: damaged")
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return decide.Snapshot{}, err
+		return policy.Snapshot{}, err
 	}
 	return s, nil
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -10,15 +10,15 @@
 	"sync"
 	"testing"
 
-	"mothcleat/decide"
-	"mothcleat/store"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/storage/store"
 )
 
-func sample(at decide.Time) decide.Snapshot {
-	return decide.Snapshot{Version: decide.SnapshotVersion, At: at, Settings: 1 << 63, Born: 5,
-		Base: []decide.Learnt{{Value: 0.1, Samples: 3}}, Grace: [][]decide.Learnt{{{Value: 1e6, Samples: 1}}},
-		Customers: []decide.CustomerState{{ID: 1<<33 - 1, Plan: 1, Spread: 2, Level: 1.25, Ceiling: -3}},
-		Backends:  []decide.BackendState{{Backend: 7, Started: 99, Down: true}}}
+func sample(at policy.Time) policy.Snapshot {
+	return policy.Snapshot{Version: policy.SnapshotVersion, At: at, Settings: 1 << 63, Born: 5,
+		Base: []policy.Learnt{{Value: 0.1, Samples: 3}}, Grace: [][]policy.Learnt{{{Value: 1e6, Samples: 1}}},
+		Customers: []policy.CustomerState{{ID: 1<<33 - 1, Plan: 1, Spread: 2, Level: 1.25, Ceiling: -3}},
+		Backends:  []policy.BackendState{{Backend: 7, Started: 99, Down: true}}}
 }
 
 func TestStoreAndLoad(t *testing.T) {
@@ -30,7 +30,7 @@
 		t.Errorf("no state: %v", err)
 	}
 	for i, durable := range []bool{false, true} {
-		want := sample(decide.Time(100 + i))
+		want := sample(policy.Time(100 + i))
 		if err := f.Store(want, durable); err != nil {
 			t.Fatal(err)
 		}
@@ -179,7 +179,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for at := decide.Time(1); at < 6; at++ {
+	for at := policy.Time(1); at < 6; at++ {
 		f, err := Open(path)
 		if err != nil {
 			t.Fatal(err)
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	var wg sync.WaitGroup
-	for at := range decide.Time(20) {
+	for at := range policy.Time(20) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -225,11 +225,11 @@
 // What a second costs: 10,000 customers of which one in a hundred changed, as one file written anew, and in the store.
 func BenchmarkSecond(b *testing.B) {
 	state := sample(1)
-	state.Customers = make([]decide.CustomerState, 10_000)
+	state.Customers = make([]policy.CustomerState, 10_000)
 	for i := range state.Customers {
-		state.Customers[i] = decide.CustomerState{ID: uint64(i), Spread: 2, Level: float64(i) / 3, Ceiling: 1e3, Use: 1.5}
+		state.Customers[i] = policy.CustomerState{ID: uint64(i), Spread: 2, Level: float64(i) / 3, Ceiling: 1e3, Use: 1.5}
 	}
-	next := func() decide.Snapshot {
+	next := func() policy.Snapshot {
 		state.At++
 		for i := range 100 {
 			state.Customers[(int(state.At)*100+i)%10_000].Level++
--- a/internal/fleetpb/doc.go
+++ /dev/null
@@ -1,4 +0,0 @@
-// Package fleetpb has the messages of fleet.proto as generated.
-package fleetpb
-
-//go:generate sh -c "mkdir -p ../../bin && GOBIN=$(cd ../../bin && pwd) go install tool && PATH=$(cd ../../bin && pwd):$PATH protoc --go_out=../.. --go_opt=module=mothcleat --go-grpc_out=../.. --go-grpc_opt=module=mothcleat -I ../.. internal/fleetpb/fleet.proto"
--- a/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"testing"
 
-	"mothcleat/internal/faultfs"
-	"mothcleat/internal/storetrial"
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
+	"mothcleat/internal/testing/faultfs"
+	"mothcleat/internal/testing/storetest"
 )
 
 func open(t testing.TB, dir string, o store.Options) *store.Store {
@@ -47,17 +47,17 @@
 // Random batches, reopenings, crashes and compactions against a plain map.
 func TestAgainstAMap(t *testing.T) {
 	for seed := range uint64(16) {
-		w, f, promised := storetrial.NewWorkload(seed), faultfs.New(), 0
+		w, f, promised := storetest.NewWorkload(seed), faultfs.New(), 0
 		if seed%2 == 0 {
 			w.Keys = 150 // so many that runs are merged without the oldest
 		}
 		f.Record()
 		again := func() {
-			o := storetrial.Small(f)
+			o := storetest.Small(f)
 			o.Verify = w.Rand.IntN(2) == 0
 			w.Store = open(t, "", o)
 		}
-		held := map[*store.Snapshot]storetrial.Content{}
+		held := map[*store.Snapshot]storetest.Content{}
 		for again(); w.Last() < 200; {
 			switch k := w.Rand.IntN(40); {
 			case k == 0:
@@ -70,12 +70,12 @@
 				f = f.After(len(f.Ops()), func(int) int { return w.Rand.IntN(2) - 1 })
 				f.Record()
 				again()
-				got, err := storetrial.Read(w.Store)
+				got, err := storetest.Read(w.Store)
 				n := w.After(got)
 				if err != nil || n < promised {
 					t.Fatalf("seed %d: after a crash %v, as after batch %d of %d, %v", seed, got, n, promised, err)
 				}
-				w.States, held = w.States[:n+1], map[*store.Snapshot]storetrial.Content{}
+				w.States, held = w.States[:n+1], map[*store.Snapshot]storetest.Content{}
 			case k == 2:
 				if err := w.Store.Compact(context.Background()); err != nil {
 					t.Fatal(err)
@@ -99,11 +99,11 @@
 				t.Fatalf("seed %d: %d keys, not %d; %v", seed, st.Keys, len(w.States[w.Last()]), st.Background)
 			}
 		}
-		if got, err := storetrial.Read(w.Store); err != nil || w.After(got) != w.Last() {
+		if got, err := storetest.Read(w.Store); err != nil || w.After(got) != w.Last() {
 			t.Errorf("seed %d: holds %v, %v", seed, got, err)
 		}
 		for view, then := range held {
-			if got, err := storetrial.ContentOf(view); err != nil || !maps.Equal(got, then) {
+			if got, err := storetest.ContentOf(view); err != nil || !maps.Equal(got, then) {
 				t.Errorf("seed %d: a snapshot changed: %v", seed, err)
 			}
 			view.Close()
@@ -112,7 +112,7 @@
 }
 
 func TestRangeIsOrderedAndEndsWhereAsked(t *testing.T) {
-	s := open(t, "", storetrial.Small(faultfs.New()))
+	s := open(t, "", storetest.Small(faultfs.New()))
 	for i := range 40 { // through overlay and runs
 		if err := s.Commit(put(fmt.Sprintf("%02d", i*7%40), "v"), store.Buffered); err != nil {
 			t.Fatal(err)
@@ -188,7 +188,7 @@
 			return faultfs.Kept
 		})
 		s := open(t, "", store.Options{FS: left, Verify: true})
-		got, err := storetrial.Read(s)
+		got, err := storetest.Read(s)
 		if err != nil || got["first"] == "" || int(s.Stats().Seq) != len(got) {
 			t.Fatalf("torn at %d: %v, %v", cut, got, err)
 		}
@@ -282,7 +282,7 @@
 // What the disk refuses changes nothing; what it may have lost ends the promises, not the reading.
 func TestDiskFullShortWritesAndFailedSyncs(t *testing.T) {
 	f := faultfs.New()
-	s := open(t, "", storetrial.Small(f))
+	s := open(t, "", storetest.Small(f))
 	if err := s.Commit(put("k", "before"), store.Durable); err != nil {
 		t.Fatal(err)
 	}
@@ -298,7 +298,7 @@
 		}
 		want(t, s, "k", "before")
 		f.Fail = nil
-		got, err := storetrial.Read(open(t, "", storetrial.Small(f.Copy())))
+		got, err := storetest.Read(open(t, "", storetest.Small(f.Copy())))
 		if err != nil || got["k"] != "before" {
 			t.Errorf("after %d bytes: %v, %v", written, got, err)
 		}
@@ -404,7 +404,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	truth := storetrial.Content{}
+	truth := storetest.Content{}
 	for i := range 600 {
 		key, value := fmt.Sprintf("key%03d", i*31%400), fmt.Sprint("value", i)
 		if err := s.Commit(put(key, value), store.Buffered); err != nil {
@@ -443,7 +443,7 @@
 			t.Errorf("the original is not kept: %v", err)
 		}
 		s := open(t, dir, store.Options{SegmentBytes: 8 << 10, Overlay: 64, Verify: true})
-		got, err := storetrial.Read(s)
+		got, err := storetest.Read(s)
 		if err != nil || len(got) != rep.Kept {
 			t.Errorf("%d keys of %d, %v", len(got), rep.Kept, err)
 		}
--- a/internal/budgettrial/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -1,4 +1,4 @@
-package budgettrial
+package allocationtest
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(rig.Main(&bin, m.Run)) }
+func TestMain(m *testing.M) { os.Exit(testcluster.Main(&bin, m.Run)) }
 
 // points are where processes stop or kill themselves, by a file in their folder.
 var points = []string{"budgets-before-agree", "budgets-after-agree", "right-taken", "right-told", "right-lessened"}
@@ -32,7 +32,7 @@
 }
 
 // fleet starts a fleet that divides, with all faults to be had, and waits until the shards are owned.
-func fleet(t *testing.T, o rig.Options, clock func(i int) string) *trialRun {
+func fleet(t *testing.T, o testcluster.Options, clock func(i int) string) *trialRun {
 	t.Helper()
 	o.Bin, o.Load, o.Seed = bin, 0.3, o.Seed+1
 	if o.Operators == "" {
@@ -44,10 +44,10 @@
 		}
 		return faults(clock(i))
 	}
-	f := rigtest.Fleet(t, o)
+	f := clustertest.Fleet(t, o)
 	f.Site.Shift = time.Second // demand moves, and parts with it
 	run := newRun(f, &Options{Shards: 1}, writer{t})
-	rigtest.Check(t, run.settled(t.Context()))
+	clustertest.Check(t, run.settled(t.Context()))
 	return run
 }
 
@@ -69,18 +69,18 @@
 		defer close(done)
 		run.f.Clients.Run(ctx)
 	}()
-	rig.Pass(ctx, time.Second)
+	testcluster.Pass(ctx, time.Second)
 	do()
-	rig.Pass(ctx, time.Second)
+	testcluster.Pass(ctx, time.Second)
 	cancel()
 	<-done
 }
 
 // kept fails the test if the whole of any budget was passed, by what servers took or by what processes held.
-func kept(t *testing.T, run *trialRun) *trial.Figures {
+func kept(t *testing.T, run *trialRun) *harness.Figures {
 	t.Helper()
 	fig := run.f.Figures("budgets")
-	rigtest.Check(t, run.judge(fig))
+	clustertest.Check(t, run.judge(fig))
 	if !fig.OK || len(Windows(run.f.Site, run.f.Record, Slack{})) == 0 {
 		t.Errorf("broken %v, why %v", fig.Broken, fig.Why)
 	}
@@ -93,15 +93,15 @@
 	if how == "kill" {
 		t.f.Gateways[i].Expect(syscall.SIGKILL)
 	}
-	rigtest.Check(tt, os.WriteFile(filepath.Join(t.f.Gateways[i].Dir(), how+"-"+point), nil, 0o600))
-	eventually(tt, rig.Name(i)+" at "+point, func() bool {
+	clustertest.Check(tt, os.WriteFile(filepath.Join(t.f.Gateways[i].Dir(), how+"-"+point), nil, 0o600))
+	eventually(tt, testcluster.Name(i)+" at "+point, func() bool {
 		return how == "stop" && t.f.Stopped(i) || how == "kill" && !t.f.Gateways[i].Running()
 	})
 	if how == "stop" {
-		t.f.Record.AddLife(i, trial.Paused)
+		t.f.Record.AddLife(i, harness.Paused)
 		t.harm.Count("stops")
 	} else {
-		t.f.Record.AddLife(i, trial.Killed)
+		t.f.Record.AddLife(i, harness.Killed)
 		t.harm.Count("kills")
 	}
 }
@@ -109,27 +109,27 @@
 // eventually waits for something that tells no more than whether it is so.
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	rigtest.Eventually(t, what, func() (bool, string) { return is(), "" })
+	clustertest.Eventually(t, what, func() (bool, string) { return is(), "" })
 }
 
 // ownerOf waits for the owner of the one shard.
 func ownerOf(t *testing.T, run *trialRun) (i int) {
 	t.Helper()
-	eventually(t, "an owner", func() bool { i = run.owner(budget.Duty(0)); return i >= 0 })
+	eventually(t, "an owner", func() bool { i = run.owner(allocation.Duty(0)); return i >= 0 })
 	return i
 }
 
 // rights are what a gateway holds.
-func rights(t *testing.T, f *rig.Fleet, i int) (r fleetnode.Rights) {
+func rights(t *testing.T, f *testcluster.Fleet, i int) (r controlplane.Rights) {
 	t.Helper()
-	rigtest.Check(t, f.Call(i, "rights", &r))
+	clustertest.Check(t, f.Call(i, "rights", &r))
 	return r
 }
 
 // A customer's busiest gateway is cut off amid a surge: it goes on by its parts, then by its floors; the others get the rest. Then
 // both are sure of themselves, and one hears the other.
 func TestCutOffGatewayStaysInsideItsRights(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4}, nil)
+	run := fleet(t, testcluster.Options{Instances: 4}, nil)
 	play(t, run, func() {
 		cut := 3
 		if ownerOf(t, run) == cut {
@@ -141,13 +141,13 @@
 			return len(held) > 0 && held[0].Until == 0 && held[0].Floor > 0
 		})
 		eventually(t, "its parts taken back", func() bool {
-			var books []budget.View
+			var books []allocation.View
 			if run.f.Call(0, "budgets", &books) != nil {
 				return false
 			}
 			for _, b := range books {
 				for _, h := range b.Held {
-					if h.Member.ID == rig.Name(cut) && h.Part.Burst > h.Floor.Burst+1e-6 {
+					if h.Member.ID == testcluster.Name(cut) && h.Part.Burst > h.Floor.Burst+1e-6 {
 						return false
 					}
 				}
@@ -168,28 +168,28 @@
 
 // Processes stop and kill themselves at each point where it matters, in one fleet, one after another.
 func TestEndsAmidWork(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4, Seed: 1}, nil)
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 1}, nil)
 	play(t, run, func() {
 		// A holder stops between taking units and its last look at the clock, for twice its span, and is woken with requests queued.
 		i := (ownerOf(t, run) + 1) % 4
 		run.stands(t, i, "stop", "right-taken")
-		rig.Pass(t.Context(), 2*budget.Defaults().Span)
-		rigtest.Check(t, run.f.Wake(i))
-		run.f.Record.AddLife(i, trial.Woken)
+		testcluster.Pass(t.Context(), 2*allocation.Defaults().Span)
+		clustertest.Check(t, run.f.Wake(i))
+		run.f.Record.AddLife(i, harness.Woken)
 		// The owner stops between having a round agreed and telling it, and before: its words come after those of the next.
 		for _, point := range []string{"budgets-after-agree", "budgets-before-agree"} {
 			i := ownerOf(t, run)
 			run.stands(t, i, "stop", point)
-			eventually(t, "another owner", func() bool { own := run.owner(budget.Duty(0)); return own >= 0 && own != i })
-			rig.Pass(t.Context(), time.Second)
-			rigtest.Check(t, run.f.Wake(i))
-			run.f.Record.AddLife(i, trial.Woken)
+			eventually(t, "another owner", func() bool { own := run.owner(allocation.Duty(0)); return own >= 0 && own != i })
+			testcluster.Pass(t.Context(), time.Second)
+			clustertest.Check(t, run.f.Wake(i))
+			run.f.Record.AddLife(i, harness.Woken)
 		}
 		// What a part is lessened to is heard by a process that is killed before it acts on it, and by one that is killed after.
 		for _, point := range []string{"right-told", "right-lessened"} {
 			i := (ownerOf(t, run) + 1) % 4
 			run.stands(t, i, "kill", point)
-			rigtest.Check(t, run.f.Begin(i))
+			clustertest.Check(t, run.f.Begin(i))
 			eventually(t, "rights of the one that was started anew", func() bool { return len(rights(t, run.f, i).Held) > 0 })
 		}
 	})
@@ -198,17 +198,17 @@
 
 // All voters are gone at once: whoever is left runs down to its floors and serves by them; then all is back.
 func TestNoVoters(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4, Voters: 3, Seed: 4}, nil)
+	run := fleet(t, testcluster.Options{Instances: 4, Voters: 3, Seed: 4}, nil)
 	play(t, run, func() {
 		for i := range 3 {
-			rigtest.Check(t, run.f.End(i, syscall.SIGKILL))
+			clustertest.Check(t, run.f.End(i, syscall.SIGKILL))
 		}
 		eventually(t, "floors alone", func() bool { return floorsAlone(t, run.f, 3) })
 		alone := run.f.Record.Now()
-		rig.Pass(t.Context(), without)
+		testcluster.Pass(t.Context(), without)
 		served(t, run, alone, 3)
 		for i := range 3 {
-			rigtest.Check(t, run.f.Begin(i))
+			clustertest.Check(t, run.f.Begin(i))
 		}
 		eventually(t, "renewed rights", func() bool { return renewed(t, run.f, 3) })
 	})
@@ -219,7 +219,7 @@
 const without = 30 * time.Second
 
 // floorsAlone tells whether a gateway has floors of quotas and no parts; renewed, whether it has parts again.
-func floorsAlone(t *testing.T, f *rig.Fleet, i int) (floors bool) {
+func floorsAlone(t *testing.T, f *testcluster.Fleet, i int) (floors bool) {
 	for _, r := range rights(t, f, i).Held {
 		if r.Until > 0 {
 			return false
@@ -229,8 +229,8 @@
 	return floors
 }
 
-func renewed(t *testing.T, f *rig.Fleet, i int) bool {
-	return slices.ContainsFunc(rights(t, f, i).Held, func(r budget.Right) bool { return r.Until > 0 })
+func renewed(t *testing.T, f *testcluster.Fleet, i int) bool {
+	return slices.ContainsFunc(rights(t, f, i).Held, func(r allocation.Right) bool { return r.Until > 0 })
 }
 
 // served fails the test if a gateway has sent nothing on since some time.
@@ -238,26 +238,26 @@
 	t.Helper()
 	some := false
 	run.f.Record.Look(func() {
-		some = slices.ContainsFunc(run.f.Record.Attempts, func(a trial.Attempt) bool { return a.Whole > since && a.Gateway == i })
+		some = slices.ContainsFunc(run.f.Record.Attempts, func(a harness.Attempt) bool { return a.Whole > since && a.Gateway == i })
 	})
 	if !some {
-		t.Errorf("%s sent nothing on by its floors", rig.Name(i))
+		t.Errorf("%s sent nothing on by its floors", testcluster.Name(i))
 	}
 }
 
 // The shard's owner holds its duty and divides nothing for 30 s: parts run out, floors serve, and then all is back. Whoever
 // takes the duty on has the same trouble.
 func TestNoOwnerFor30Seconds(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4, Seed: 9}, func(int) string { return "slow=budgets-begin:" + without.String() + "@slow" })
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 9}, func(int) string { return "slow=budgets-begin:" + without.String() + "@slow" })
 	play(t, run, func() {
 		for i := range run.f.Gateways {
-			rigtest.Check(t, os.WriteFile(filepath.Join(run.f.Gateways[i].Dir(), "slow"), nil, 0o600))
+			clustertest.Check(t, os.WriteFile(filepath.Join(run.f.Gateways[i].Dir(), "slow"), nil, 0o600))
 		}
 		from := ownerOf(t, run)
 		to := (from + 1) % 4
 		eventually(t, "the duty handed on", func() bool {
-			_ = run.f.Call(from, "transfer "+budget.Duty(0)+" "+rig.Name(to), nil)
-			own := run.owner(budget.Duty(0))
+			_ = run.f.Call(from, "transfer "+allocation.Duty(0)+" "+testcluster.Name(to), nil)
+			own := run.owner(allocation.Duty(0))
 			return own >= 0 && own != from
 		})
 		began := time.Now()
@@ -270,10 +270,10 @@
 			return true
 		})
 		alone := run.f.Record.Now()
-		rig.Pass(t.Context(), without/2)
+		testcluster.Pass(t.Context(), without/2)
 		for i := range run.f.Gateways {
 			served(t, run, alone, i)
-			rigtest.Check(t, os.Remove(filepath.Join(run.f.Gateways[i].Dir(), "slow")))
+			clustertest.Check(t, os.Remove(filepath.Join(run.f.Gateways[i].Dir(), "slow")))
 		}
 		eventually(t, "renewed rights", func() bool {
 			for i := range run.f.Gateways {
@@ -293,20 +293,20 @@
 // A voter's folder, and a gateway's that does not vote, are put back as they were long before, with the boots and terms of then:
 // the voter does not vote, the gateway takes what it held for nothing, and the sum holds.
 func TestFoldersOfLongBefore(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4, Seed: 10}, nil)
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 10}, nil)
 	voter := 1
-	rigtest.Check(t, run.f.Save(voter), run.f.Save(3))
+	clustertest.Check(t, run.f.Save(voter), run.f.Save(3))
 	play(t, run, func() {
 		for _, i := range []int{3, voter, 3} { // boots that the copies know nothing of
-			rigtest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Begin(i))
+			clustertest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Begin(i))
 			eventually(t, "rights", func() bool { return renewed(t, run.f, i) })
 		}
 		for _, i := range []int{voter, 3} {
-			rigtest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Restore(i), run.f.Begin(i))
+			clustertest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Restore(i), run.f.Begin(i))
 			eventually(t, "rights with the older folder", func() bool { return renewed(t, run.f, i) })
 		}
 		eventually(t, "the voter with the older folder says that it must not vote", func() bool {
-			var here fleetnode.Here
+			var here controlplane.Here
 			return run.f.Call(voter, "here", &here) == nil && here.Trouble != ""
 		})
 	})
@@ -315,34 +315,34 @@
 
 // The shard's owner leaves: it hands the shard on, and gives back its parts to the next owner, long before they run out.
 func TestAnOwnerThatLeavesGivesBack(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4, Seed: 12, Operators: Text(1, "span = \"50s\"")}, nil)
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 12, Operators: Text(1, "span = \"50s\"")}, nil)
 	play(t, run, func() {
 		i := ownerOf(t, run)
-		var here fleetnode.Here
-		rigtest.Check(t, run.f.Call(i, "here", &here))
+		var here controlplane.Here
+		clustertest.Check(t, run.f.Call(i, "here", &here))
 		holds := func() bool {
-			var books []budget.View
+			var books []allocation.View
 			if run.f.Call((i+1)%4, "budgets", &books) != nil {
 				return true
 			}
-			return slices.ContainsFunc(books, func(b budget.View) bool {
-				return slices.ContainsFunc(b.Held, func(h budget.HeldBy) bool { return h.Member == here.Member })
+			return slices.ContainsFunc(books, func(b allocation.View) bool {
+				return slices.ContainsFunc(b.Held, func(h allocation.HeldBy) bool { return h.Member == here.Member })
 			})
 		}
 		eventually(t, "parts of the owner's own", holds)
-		rigtest.Check(t, run.f.End(i, syscall.SIGTERM))
+		clustertest.Check(t, run.f.End(i, syscall.SIGTERM))
 		eventually(t, "nothing held by the one that left", func() bool { return !holds() })
-		rigtest.Check(t, run.f.Begin(i))
+		clustertest.Check(t, run.f.Begin(i))
 	})
 	kept(t, run)
 }
 
 // Many join within a second, and then all are replaced, some at a time and in any order. lab budgets --surge plays it with forty.
 func TestSurgeAndRollingReplacement(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 10, Voters: 3, Seed: 11}, nil)
-	play(t, run, func() { rigtest.Check(t, run.surge(t.Context(), 3, 2)) })
+	run := fleet(t, testcluster.Options{Instances: 10, Voters: 3, Seed: 11}, nil)
+	play(t, run, func() { clustertest.Check(t, run.surge(t.Context(), 3, 2)) })
 	fig := kept(t, run)
-	if fig.Broken[trial.Lost] > 0 {
+	if fig.Broken[harness.Lost] > 0 {
 		t.Error("requests were lost")
 	}
 	if run.harm.Did("joins") < 17 {
@@ -352,29 +352,29 @@
 
 // All are replaced one after another, in order or not, and the parts go to whoever is there.
 func TestRollingReplacement(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 3, Seed: 5}, nil)
+	run := fleet(t, testcluster.Options{Instances: 3, Seed: 5}, nil)
 	play(t, run, func() {
 		for i := range 3 {
 			how := syscall.SIGTERM
 			if i%2 == 1 {
 				how = syscall.SIGKILL
 			}
-			rigtest.Check(t, run.f.End(i, how), run.f.Begin(i))
+			clustertest.Check(t, run.f.End(i, how), run.f.Begin(i))
 			eventually(t, "rights of a newcomer", func() bool { return len(rights(t, run.f, i).Held) > 0 })
 		}
 	})
-	if fig := kept(t, run); fig.Broken[trial.Lost] > 0 {
+	if fig := kept(t, run); fig.Broken[harness.Lost] > 0 {
 		t.Error("requests were lost")
 	}
 }
 
 // Clocks at nine tenths of the pace, ahead, and one that leaps by a minute at a gateway that divides nothing.
 func TestClocksThatDiffer(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 4, Seed: 6}, func(i int) string {
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 6}, func(i int) string {
 		return []string{"pace=0.9", "ahead=30s", "", "jump=1m@12s"}[i]
 	})
-	play(t, run, func() { rig.Pass(t.Context(), 4*time.Second) })
-	all := Windows(run.f.Site, run.f.Record, Slack{Late: budget.Defaults().LoanSpan, Pace: budget.Defaults().Margin})
+	play(t, run, func() { testcluster.Pass(t.Context(), 4*time.Second) })
+	all := Windows(run.f.Site, run.f.Record, Slack{Late: allocation.Defaults().LoanSpan, Pace: allocation.Defaults().Margin})
 	if len(all) == 0 || all[0].Over > 0 {
 		t.Errorf("%v", all[0])
 	}
@@ -383,11 +383,11 @@
 // Whoever was up first, the shards go to several gateways.
 func TestShardsAreSpread(t *testing.T) {
 	const shards = 6
-	run := fleet(t, rig.Options{Instances: 4, Seed: 7, Operators: Text(shards)}, nil)
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 7, Operators: Text(shards)}, nil)
 	spread := func() bool {
 		owners := map[int]bool{}
 		for shard := range shards {
-			owners[run.owner(budget.Duty(shard))] = true
+			owners[run.owner(allocation.Duty(shard))] = true
 		}
 		return len(owners) >= 3 && !owners[-1]
 	}
@@ -399,7 +399,7 @@
 
 // Quotas are lessened to a quarter while all of them are out, by a configuration that comes with one new process after another.
 func TestQuotaLessenedByANewConfiguration(t *testing.T) {
-	run := fleet(t, rig.Options{Instances: 3, Seed: 8}, nil)
+	run := fleet(t, testcluster.Options{Instances: 3, Seed: 8}, nil)
 	var since time.Duration
 	play(t, run, func() {
 		for i := range run.f.Site.Plans {
@@ -407,14 +407,14 @@
 			p.Rate, p.Burst = p.Rate/4, p.Burst/4
 		}
 		for i := range 3 {
-			rigtest.Check(t, run.f.End(i, syscall.SIGTERM), run.f.Begin(i))
+			clustertest.Check(t, run.f.End(i, syscall.SIGTERM), run.f.Begin(i))
 		}
 		plans := map[float64]bool{}
 		for _, p := range run.f.Site.Plans {
 			plans[p.Burst] = true
 		}
 		eventually(t, "the new wholes", func() bool {
-			var books []budget.View
+			var books []allocation.View
 			if run.f.Call(0, "budgets", &books) != nil {
 				return false
 			}
@@ -434,9 +434,9 @@
 			return seen > 0
 		})
 		since = run.f.Record.Now() + 2*time.Second // customers that ask now and then are heard of
-		rig.Pass(t.Context(), 4*time.Second)
+		testcluster.Pass(t.Context(), 4*time.Second)
 	})
-	all := WindowsSince(run.f.Site, run.f.Record, Slack{Late: budget.Defaults().LoanSpan}, since)
+	all := WindowsSince(run.f.Site, run.f.Record, Slack{Late: allocation.Defaults().LoanSpan}, since)
 	for _, w := range all {
 		if w.Over > 0 {
 			t.Error(w)
--- a/internal/budgettrial/judge.go
+++ b/internal/testing/allocationtest/judge.go
@@ -1,6 +1,6 @@
-// Package budgettrial has a fleet of real gateways divide quotas while links and processes fail, and judges by
+// Package allocationtest has a fleet of real gateways divide quotas while links and processes fail, and judges by
 // what the stand-in servers took, and by what the gateways held, whether the whole was ever passed.
-package budgettrial
+package allocationtest
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Slack is what a window may pass the whole by: units are taken when a request is decided on, and count here when they
@@ -37,7 +37,7 @@
 
 // Uses are what servers took of each customer, and which plan that has. A try's units count once, when it first reached a
 // server.
-func Uses(rec *trial.Record, since time.Duration) (all map[string][]Use, plans map[string]int) {
+func Uses(rec *harness.Record, since time.Duration) (all map[string][]Use, plans map[string]int) {
 	first := map[string]time.Duration{}
 	for _, a := range rec.Attempts {
 		if at, ok := first[a.ID]; !ok || a.Whole < at {
@@ -59,12 +59,12 @@
 }
 
 // Windows holds against the whole what servers took of each customer, over every window, the worst first.
-func Windows(s *trial.Site, rec *trial.Record, slack Slack) []Window {
+func Windows(s *harness.Site, rec *harness.Record, slack Slack) []Window {
 	return WindowsSince(s, rec, slack, 0)
 }
 
 // WindowsSince is Windows of what reached servers from a time on.
-func WindowsSince(s *trial.Site, rec *trial.Record, slack Slack, since time.Duration) (all []Window) {
+func WindowsSince(s *harness.Site, rec *harness.Record, slack Slack, since time.Duration) (all []Window) {
 	used, plans := Uses(rec, since)
 	for customer, list := range used {
 		p := &s.Plans[plans[customer]]
@@ -95,17 +95,17 @@
 
 // RefusedWithRoom is which part of the first tries inside their quotas was refused although one who sees all that servers took would
 // have found the units in the customer's store.
-func RefusedWithRoom(s *trial.Site, rec *trial.Record) float64 {
+func RefusedWithRoom(s *harness.Site, rec *harness.Record) float64 {
 	used, _ := Uses(rec, 0)
 	levels := map[string]float64{}
 	at, next := map[string]time.Duration{}, map[string]int{}
 	refused, inside := 0, 0
-	for _, o := range trial.Outcomes(s, rec) { // in the order of their asking
+	for _, o := range harness.Outcomes(s, rec) { // in the order of their asking
 		if !o.Inside {
 			continue
 		}
 		inside++
-		if o.Kind != trial.Refused {
+		if o.Kind != harness.Refused {
 			continue
 		}
 		c, p := o.Try.Customer, &s.Plans[o.Try.Plan]
@@ -129,12 +129,12 @@
 }
 
 // refusedInside is which part of them was refused at all.
-func refusedInside(s *trial.Site, rec *trial.Record) float64 {
+func refusedInside(s *harness.Site, rec *harness.Record) float64 {
 	refused, inside := 0, 0
-	for _, o := range trial.Outcomes(s, rec) {
+	for _, o := range harness.Outcomes(s, rec) {
 		if o.Inside {
 			inside++
-			if o.Kind == trial.Refused {
+			if o.Kind == harness.Refused {
 				refused++
 			}
 		}
