--- a/internal/budgettrial/rights.go
+++ b/internal/testing/allocationtest/rights.go
@@ -1,4 +1,4 @@
-package budgettrial
+package allocationtest
 
 import (
 	"bufio"
@@ -14,11 +14,11 @@
 	"strconv"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/budgets"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/allocator"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 const recordName = "rights"
@@ -27,7 +27,7 @@
 type term struct {
 	from, to time.Duration
 	who      lease.Member
-	share    budget.Share
+	share    allocation.Share
 }
 
 // Rights are what all processes of a fleet wrote down, joined.
@@ -39,7 +39,7 @@
 }
 
 // ReadRights reads and joins the records of a fleet's gateways.
-func ReadRights(f *rig.Fleet) (*Rights, error) {
+func ReadRights(f *testcluster.Fleet) (*Rights, error) {
 	r := &Rights{Terms: map[uint64][]term{}, Began: map[lease.Member]time.Duration{}, First: map[lease.Member]time.Duration{}}
 	var errs []error
 	for _, g := range f.Gateways {
@@ -52,7 +52,7 @@
 	return r, errors.Join(errs...)
 }
 
-func readLines(path string) (all []budgets.Line, err error) {
+func readLines(path string) (all []allocator.Line, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	in := bufio.NewScanner(f)
 	in.Buffer(nil, 16<<20)
 	for in.Scan() {
-		var l budgets.Line
+		var l allocator.Line
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 			return all, fmt.Errorf("%s: %w", path, err)
 		}
@@ -71,13 +71,13 @@
 }
 
 // join adds the lines of one gateway, of one process after another.
-func (r *Rights) join(lines []budgets.Line) {
+func (r *Rights) join(lines []allocator.Line) {
 	type key struct {
 		who   lease.Member
 		shard int
 	}
-	last := map[key]budgets.Line{}
-	held := map[key]map[string]budgets.Parts{}
+	last := map[key]allocator.Line{}
+	held := map[key]map[string]allocator.Parts{}
 	close := func(k key, to time.Duration) {
 		l := last[k]
 		for id, h := range held[k] {
@@ -85,7 +85,7 @@
 			if err != nil {
 				continue
 			}
-			add := func(from, end time.Duration, s budget.Share) {
+			add := func(from, end time.Duration, s allocation.Share) {
 				if end = min(end, to); end > from && s.Burst > 0 {
 					r.Terms[n] = append(r.Terms[n], term{from, end, k.who, s})
 				}
@@ -130,22 +130,22 @@
 // Sum is the worst moment of a budget.
 type Sum struct {
 	Budget uint64
-	Over   budget.Share // beyond the whole; at most 0: never
+	Over   allocation.Share // beyond the whole; at most 0: never
 	At     time.Duration
 }
 
 // Sums holds against each whole what all together could use at a time, the worst first.
-func (r *Rights) Sums(s *trial.Site) (all []Sum) {
-	wholes := map[uint64]budget.Share{}
+func (r *Rights) Sums(s *harness.Site) (all []Sum) {
+	wholes := map[uint64]allocation.Share{}
 	for _, c := range s.Customers {
 		if id, err := strconv.ParseUint(c.ID, 16, 64); err == nil {
-			wholes[id] = budget.Share{Rate: s.Plans[c.Plan].Rate, Burst: s.Plans[c.Plan].Burst}
+			wholes[id] = allocation.Share{Rate: s.Plans[c.Plan].Rate, Burst: s.Plans[c.Plan].Burst}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.Terms)) {
 		type edge struct {
 			at    time.Duration
-			share budget.Share
+			share allocation.Share
 			sign  float64
 		}
 		var edges []edge
@@ -158,7 +158,7 @@
 			now.Over.Rate += e.sign * e.share.Rate
 			now.Over.Burst += e.sign * e.share.Burst
 			if now.Over.Burst > most.Over.Burst || now.Over.Rate > most.Over.Rate {
-				most.Over, most.At = budget.Share{Rate: max(now.Over.Rate, most.Over.Rate), Burst: max(now.Over.Burst, most.Over.Burst)}, e.at
+				most.Over, most.At = allocation.Share{Rate: max(now.Over.Rate, most.Over.Rate), Burst: max(now.Over.Burst, most.Over.Burst)}, e.at
 			}
 		}
 		whole := wholes[id]
--- a/internal/budgettrial/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -1,4 +1,4 @@
-package budgettrial
+package allocationtest
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // Options say what is played.
@@ -44,7 +44,7 @@
 )
 
 // Run plays a fleet amid faults, and beside it the same traffic with a fleet that has none and through one gateway.
-func Run(ctx context.Context, o Options, progress io.Writer) (*trial.Figures, error) {
+func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Figures, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
 	}
@@ -52,7 +52,7 @@
 		o.Shards = 4
 	}
 	if o.Bin == "" {
-		bin, remove, err := rig.Build(ctx)
+		bin, remove, err := testcluster.Build(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -101,13 +101,13 @@
 
 // played is one world's figures.
 type played struct {
-	fig      *trial.Figures
+	fig      *harness.Figures
 	withRoom float64 // refused, of the requests inside quotas
 }
 
 // play plays one world.
 func (o *Options) play(ctx context.Context, instances int, text string, disturb bool, progress io.Writer) (p played, err error) {
-	f, err := rig.New(ctx, rig.Options{Seed: o.Seed, Instances: instances, Voters: min(voters, instances), Load: o.Load, Bin: o.Bin, Log: progress, Operators: text})
+	f, err := testcluster.New(ctx, testcluster.Options{Seed: o.Seed, Instances: instances, Voters: min(voters, instances), Load: o.Load, Bin: o.Bin, Log: progress, Operators: text})
 	if err != nil {
 		return p, err
 	}
@@ -152,7 +152,7 @@
 	fig.Extra["memory_mb"] = f.Memory()
 	fig.Extra["refused_inside_share"] = refusedInside(f.Site, f.Record)
 	if len(t.back) > 0 {
-		fig.Extra["dead_part_back_ms_p99"] = trial.Quantile(t.back, 0.99)
+		fig.Extra["dead_part_back_ms_p99"] = harness.Quantile(t.back, 0.99)
 	}
 	if err := t.harm.Err(); err != nil {
 		fig.Miss(err.Error())
@@ -161,9 +161,9 @@
 }
 
 // judge holds against the wholes what servers took and what processes held.
-func (t *trialRun) judge(fig *trial.Figures) error {
+func (t *trialRun) judge(fig *harness.Figures) error {
 	// One request a stop may slip through between the last look at the clock and the write.
-	slack := Slack{Late: budget.Defaults().LoanSpan, Units: 4 * float64(t.harm.Did("stops"))}
+	slack := Slack{Late: allocation.Defaults().LoanSpan, Units: 4 * float64(t.harm.Did("stops"))}
 	fig.Broken["window_over_whole"], fig.Broken["sum_over_whole"] = 0, 0
 	all := Windows(t.f.Site, t.f.Record, slack)
 	for _, w := range all {
@@ -197,39 +197,39 @@
 			newcomers = append(newcomers, first-began)
 		}
 	}
-	fig.Extra["newcomer_ms_p99"] = trial.Quantile(newcomers, 0.99)
+	fig.Extra["newcomer_ms_p99"] = harness.Quantile(newcomers, 0.99)
 	return nil
 }
 
 // course tells how service went, second by second.
 func (t *trialRun) course() {
-	by := map[int][]trial.Outcome{}
+	by := map[int][]harness.Outcome{}
 	last := 0
-	for _, o := range trial.Outcomes(t.f.Site, t.f.Record) {
+	for _, o := range harness.Outcomes(t.f.Site, t.f.Record) {
 		k := int(o.Try.Asked / time.Second)
 		by[k] = append(by[k], o)
 		last = max(last, k)
 	}
 	for k := range last + 1 {
 		if len(by[k]) > 0 {
-			fmt.Fprintf(t.progress, "  second %d: service %.3f\n", k, trial.Service(t.f.Site, by[k]))
+			fmt.Fprintf(t.progress, "  second %d: service %.3f\n", k, harness.Service(t.f.Site, by[k]))
 		}
 	}
 }
 
 // trialRun is one world that runs.
 type trialRun struct {
-	f        *rig.Fleet
+	f        *testcluster.Fleet
 	o        *Options
 	progress io.Writer
-	harm     *rig.Harm
+	harm     *testcluster.Harm
 	mu       sync.Mutex
 	back     []time.Duration // from a kill until the parts of the dead were taken back
 }
 
-func newRun(f *rig.Fleet, o *Options, progress io.Writer) *trialRun {
-	return &trialRun{f: f, o: o, progress: progress, harm: &rig.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, len(f.Gateways)),
-		Stops: 22 * budget.Defaults().Span / 10, Progress: progress}}
+func newRun(f *testcluster.Fleet, o *Options, progress io.Writer) *trialRun {
+	return &trialRun{f: f, o: o, progress: progress, harm: &testcluster.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, len(f.Gateways)),
+		Stops: 22 * allocation.Defaults().Span / 10, Progress: progress}}
 }
 
 // view asks one gateway after another until one answers.
@@ -267,12 +267,12 @@
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; {
 		n := 0
 		for shard := range t.o.Shards {
-			if t.owner(budget.Duty(shard)) >= 0 {
+			if t.owner(allocation.Duty(shard)) >= 0 {
 				n++
 			}
 		}
 		if n == t.o.Shards {
-			rig.Pass(ctx, time.Second) // all have heard of it
+			testcluster.Pass(ctx, time.Second) // all have heard of it
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -284,36 +284,36 @@
 func (t *trialRun) faults(ctx context.Context) {
 	h := t.harm
 	h.Likely = func(r *rand.Rand) int {
-		own := t.owner(budget.Duty(r.IntN(t.o.Shards)))
+		own := t.owner(allocation.Duty(r.IntN(t.o.Shards)))
 		if own >= 0 {
-			h.Note("%s owns a shard", rig.Name(own))
+			h.Note("%s owns a shard", testcluster.Name(own))
 		}
 		return own
 	}
 	h.Killed = func(ctx context.Context, i int, again time.Time) {
-		var dead fleetnode.Here
+		var dead controlplane.Here
 		err := t.f.Call(i, "here", &dead)
 		h.Fail(t.f.End(i, syscall.SIGKILL))
 		if err == nil {
 			t.takenBack(ctx, dead.Member, again)
 		}
 	}
-	h.Run(ctx, []rig.Kind{h.Kill, h.Leave, h.Stop, h.Stop}, []rig.Kind{h.Isolate, h.OneWay, h.Isolate})
+	h.Run(ctx, []testcluster.Kind{h.Kill, h.Leave, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 }
 
 // takenBack waits until nobody has a dead process down for more than its floors, or until a time.
 func (t *trialRun) takenBack(ctx context.Context, dead lease.Member, limit time.Time) {
 	for began := time.Now(); time.Now().Before(limit); {
-		var books []budget.View
-		if t.view("budgets", &books) == nil && len(books) > 0 && !slices.ContainsFunc(books, func(b budget.View) bool {
-			return slices.ContainsFunc(b.Held, func(h budget.HeldBy) bool { return h.Member == dead && h.Part.Burst > h.Floor.Burst })
+		var books []allocation.View
+		if t.view("budgets", &books) == nil && len(books) > 0 && !slices.ContainsFunc(books, func(b allocation.View) bool {
+			return slices.ContainsFunc(b.Held, func(h allocation.HeldBy) bool { return h.Member == dead && h.Part.Burst > h.Floor.Burst })
 		}) {
 			t.mu.Lock()
 			t.back = append(t.back, time.Since(began))
 			t.mu.Unlock()
 			return
 		}
-		if !rig.Pass(ctx, 50*time.Millisecond) {
+		if !testcluster.Pass(ctx, 50*time.Millisecond) {
 			return
 		}
 	}
--- a/internal/budgettrial/surge.go
+++ b/internal/testing/allocationtest/surge.go
@@ -1,4 +1,4 @@
-package budgettrial
+package allocationtest
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/rig"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // surge has all but a few gateways leave, all of those join within a second, and then all replaced in any order, so many at a time, of
@@ -33,13 +33,13 @@
 		return err
 	}
 	t.harm.Note("%d are left", few)
-	rig.Pass(ctx, 2*time.Second) // the few have all of it
+	testcluster.Pass(ctx, 2*time.Second) // the few have all of it
 	began := time.Now()
 	if err := all(few, n, func(i int) error { t.harm.Count("joins"); return t.f.Begin(i) }); err != nil {
 		return err
 	}
 	t.harm.Note("%d joined within %v", n-few, time.Since(began).Round(time.Millisecond))
-	rig.Pass(ctx, 3*time.Second)
+	testcluster.Pass(ctx, 3*time.Second)
 
 	r := rand.New(rand.NewPCG(t.o.Seed, 0x5a))
 	order := r.Perm(n)
--- a/internal/audittrial/audit_test.go
+++ b/internal/testing/audittest/audit_test.go
@@ -1,4 +1,4 @@
-package audittrial
+package audittest
 
 import (
 	"context"
@@ -8,25 +8,25 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/budgettrial"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/internal/trial"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/testing/allocationtest"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(rig.Main(&bin, m.Run)) }
+func TestMain(m *testing.M) { os.Exit(testcluster.Main(&bin, m.Run)) }
 
 // fleet starts a fleet that acts on versions and waits until all may act.
-func fleet(t *testing.T, o rig.Options) *rig.Fleet {
+func fleet(t *testing.T, o testcluster.Options) *testcluster.Fleet {
 	t.Helper()
 	o.Bin, o.Load, o.Seed = bin, 0.3, o.Seed+1
 	if o.Operators == "" {
 		o.Operators = Text()
 	}
-	f := rigtest.Fleet(t, o)
+	f := clustertest.Fleet(t, o)
 	for i := range f.Gateways {
 		acts(t, f, i, 0)
 	}
@@ -34,18 +34,18 @@
 }
 
 // acts waits until a gateway acts on a version of the plans, or a later one.
-func acts(t *testing.T, f *rig.Fleet, i int, number uint64) {
+func acts(t *testing.T, f *testcluster.Fleet, i int, number uint64) {
 	t.Helper()
-	rigtest.Eventually(t, fmt.Sprintf("%s acts on %d", rig.Name(i), number), func() (bool, string) {
+	clustertest.Eventually(t, fmt.Sprintf("%s acts on %d", testcluster.Name(i), number), func() (bool, string) {
 		h, err := here(f, i)
 		return err == nil && h.Until > 0 && h.InForce["plans"] >= number, fmt.Sprintf("%+v %v", h, err)
 	})
 }
 
 // proposed has a text proposed, again while there is nobody to ask.
-func proposed(t *testing.T, f *rig.Fleet, at int, stage versions.Stage, text string) (number uint64) {
+func proposed(t *testing.T, f *testcluster.Fleet, at int, stage configversion.Stage, text string) (number uint64) {
 	t.Helper()
-	rigtest.Eventually(t, "a proposal", func() (bool, string) {
+	clustertest.Eventually(t, "a proposal", func() (bool, string) {
 		n, err := propose(f, at, stage, 0, text)
 		number = n
 		return err == nil, fmt.Sprint(err)
@@ -54,9 +54,9 @@
 }
 
 // ended waits until nobody may act on a version any more, by what is agreed.
-func ended(t *testing.T, f *rig.Fleet, at int, number uint64) {
+func ended(t *testing.T, f *testcluster.Fleet, at int, number uint64) {
 	t.Helper()
-	rigtest.Eventually(t, fmt.Sprintf("the end of %d", number), func() (bool, string) {
+	clustertest.Eventually(t, fmt.Sprintf("the end of %d", number), func() (bool, string) {
 		v, err := agreed(f, at)
 		one := version(&v, number)
 		return err == nil && one != nil && one.Until != 0 && v.At >= one.Until, fmt.Sprintf("%+v %v", one, err)
@@ -64,7 +64,7 @@
 }
 
 // play has clients ask for as long as something is done, and a little longer.
-func play(t *testing.T, f *rig.Fleet, do func()) {
+func play(t *testing.T, f *testcluster.Fleet, do func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -73,15 +73,15 @@
 		defer close(done)
 		f.Clients.Run(ctx)
 	}()
-	rig.Pass(ctx, time.Second)
+	testcluster.Pass(ctx, time.Second)
 	do()
-	rig.Pass(ctx, time.Second)
+	testcluster.Pass(ctx, time.Second)
 	cancel()
 	<-done
 }
 
 // kept fails the test if a rule was broken.
-func kept(t *testing.T, f *rig.Fleet) {
+func kept(t *testing.T, f *testcluster.Fleet) {
 	t.Helper()
 	if fig := f.Figures("audit"); !fig.OK {
 		t.Errorf("broken %v, why %v", fig.Broken, fig.Why)
@@ -91,33 +91,33 @@
 // A gateway stops itself with a request in hand, decided and about to be looked at once more, and lies through the whole of a roll-out that
 // lessens all quotas. It is woken when nobody may act on what came before any more: it sends on nothing until it has caught up.
 func TestStoppedThroughARollOut(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" }})
+	f := fleet(t, testcluster.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" }})
 	const stopped = 3
 	var number uint64
 	var since time.Duration
 	play(t, f, func() {
-		rigtest.Eventually(t, "it sends something on", func() (bool, string) { return sentOn(f, stopped, 0, 1<<62) > 0, "" })
-		rigtest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
-		rigtest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
-		f.Record.AddLife(stopped, trial.Paused)
-		number = proposed(t, f, 0, versions.All, plansText(f.Site, 0.25))
+		clustertest.Eventually(t, "it sends something on", func() (bool, string) { return sentOn(f, stopped, 0, 1<<62) > 0, "" })
+		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
+		clustertest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
+		f.Record.AddLife(stopped, harness.Paused)
+		number = proposed(t, f, 0, configversion.All, plansText(f.Site, 0.25))
 		for i := range 3 {
 			acts(t, f, i, number)
 		}
 		ended(t, f, 0, number-1)
-		rig.Pass(t.Context(), time.Second) // clients ask it meanwhile
+		testcluster.Pass(t.Context(), time.Second) // clients ask it meanwhile
 		since = f.Record.Now()
-		rigtest.Check(t, f.Wake(stopped))
+		clustertest.Check(t, f.Wake(stopped))
 		acts(t, f, stopped, number)
-		rig.Pass(t.Context(), time.Second)
+		testcluster.Pass(t.Context(), time.Second)
 	})
 	all, err := spans(f, stopped)
-	rigtest.Check(t, err)
+	clustertest.Check(t, err)
 	if len(all) == 0 || all[len(all)-1].number != number {
-		t.Fatalf("%s wrote down %+v", rig.Name(stopped), all)
+		t.Fatalf("%s wrote down %+v", testcluster.Name(stopped), all)
 	}
 	if n := sentOn(f, stopped, since, all[len(all)-1].from); n > 0 {
-		t.Errorf("%s sent %d requests on between waking and catching up", rig.Name(stopped), n)
+		t.Errorf("%s sent %d requests on between waking and catching up", testcluster.Name(stopped), n)
 	}
 	if sentOn(f, stopped, all[len(all)-1].from, 1<<62) == 0 {
 		t.Error("it sent nothing on afterwards")
@@ -126,7 +126,7 @@
 		p := &f.Site.Plans[i]
 		p.Rate, p.Burst = p.Rate/4, p.Burst/4
 	}
-	for _, w := range budgettrial.WindowsSince(f.Site, f.Record, budgettrial.Slack{Late: 250 * time.Millisecond}, since) {
+	for _, w := range allocationtest.WindowsSince(f.Site, f.Record, allocationtest.Slack{Late: 250 * time.Millisecond}, since) {
 		if w.Over > 0 {
 			t.Error(w)
 		}
@@ -135,20 +135,20 @@
 
 // The same where no quotas are divided, so that nothing but the permit is looked at before a write.
 func TestAPermitAlone(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4, Seed: 7, Operators: alone, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" }})
+	f := fleet(t, testcluster.Options{Instances: 4, Seed: 7, Operators: alone, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" }})
 	const stopped = 3
 	play(t, f, func() {
-		rigtest.Eventually(t, "it sends something on", func() (bool, string) { return sentOn(f, stopped, 0, 1<<62) > 0, "" })
-		rigtest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
-		rigtest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
-		f.Record.AddLife(stopped, trial.Paused)
-		number := proposed(t, f, 0, versions.All, plansText(f.Site, 0.5))
+		clustertest.Eventually(t, "it sends something on", func() (bool, string) { return sentOn(f, stopped, 0, 1<<62) > 0, "" })
+		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
+		clustertest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
+		f.Record.AddLife(stopped, harness.Paused)
+		number := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.5))
 		ended(t, f, 0, number-1)
 		since := f.Record.Now()
-		rigtest.Check(t, f.Wake(stopped))
+		clustertest.Check(t, f.Wake(stopped))
 		acts(t, f, stopped, number)
 		all, err := spans(f, stopped)
-		rigtest.Check(t, err)
+		clustertest.Check(t, err)
 		if len(all) == 0 {
 			t.Fatal("it wrote down nothing")
 		}
--- a/internal/audittrial/difference_test.go
+++ b/internal/testing/audittest/difference_test.go
@@ -1,4 +1,4 @@
-package audittrial
+package audittest
 
 import (
 	"fmt"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/internal/rollout"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/rollout"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 // fetched is how contents came to a gateway's process since it started.
-func fetched(t *testing.T, f *rig.Fleet, i int) rollout.Fetched {
+func fetched(t *testing.T, f *testcluster.Fleet, i int) rollout.Fetched {
 	t.Helper()
 	h, err := here(f, i)
-	rigtest.Check(t, err)
+	clustertest.Check(t, err)
 	return h.Fetched
 }
 
@@ -24,21 +24,21 @@
 // another that is withdrawn as soon as it is agreed; after that is healed; and at a process that was killed and starts from
 // what lies on its disk. Nobody acts on what was withdrawn after its end.
 func TestVersionsTravelAsDifferences(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4, Seed: 8})
+	f := fleet(t, testcluster.Options{Instances: 4, Seed: 8})
 	const cut, killed = 3, 2
 	play(t, f, func() {
-		first := proposed(t, f, 0, versions.All, plansText(f.Site, 0.9))
+		first := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.9))
 		for i := range f.Gateways {
 			acts(t, f, i, first)
 		}
 		f.Isolate(cut, true, true, true)
-		second := proposed(t, f, 0, versions.All, plansText(f.Site, 0.8))
+		second := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.8))
 		for i := range cut {
 			acts(t, f, i, second)
 		}
-		withdrawn := proposed(t, f, 1, versions.All, plansText(f.Site, 0.7))
+		withdrawn := proposed(t, f, 1, configversion.All, plansText(f.Site, 0.7))
 		var restored uint64
-		rigtest.Eventually(t, "it is withdrawn", func() (bool, string) {
+		clustertest.Eventually(t, "it is withdrawn", func() (bool, string) {
 			err := f.Call(1, fmt.Sprintf("versions withdraw plans %d wrong terms", withdrawn), &restored)
 			return err == nil, fmt.Sprint(err)
 		})
@@ -51,22 +51,22 @@
 		over := f.Record.Now()
 		for i := 1; i < len(f.Gateways); i++ {
 			if got := fetched(t, f, i); got.Whole > 1 || got.Deltas+got.Repairs == 0 {
-				t.Errorf("%s fetched %+v", rig.Name(i), got)
+				t.Errorf("%s fetched %+v", testcluster.Name(i), got)
 			}
 		}
-		rigtest.Check(t, f.End(killed, syscall.SIGKILL), f.Begin(killed))
-		last := proposed(t, f, 0, versions.All, plansText(f.Site, 0.6))
+		clustertest.Check(t, f.End(killed, syscall.SIGKILL), f.Begin(killed))
+		last := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.6))
 		for i := range f.Gateways {
 			acts(t, f, i, last)
 		}
-		rig.Pass(t.Context(), time.Second)
+		testcluster.Pass(t.Context(), time.Second)
 		for i := range f.Gateways {
 			if n := actsOn(t, f, i, withdrawn, over); n > 0 {
-				t.Errorf("%s sent %d requests on by what was withdrawn", rig.Name(i), n)
+				t.Errorf("%s sent %d requests on by what was withdrawn", testcluster.Name(i), n)
 			}
 		}
 		if got := fetched(t, f, killed); got != (rollout.Fetched{Deltas: 1}) {
-			t.Errorf("%s fetched %+v after its start", rig.Name(killed), got)
+			t.Errorf("%s fetched %+v after its start", testcluster.Name(killed), got)
 		}
 	})
 	if f.Held() == 0 {
--- a/internal/audittrial/fleet.go
+++ b/internal/testing/audittest/fleet.go
@@ -1,6 +1,6 @@
-// Package audittrial has a fleet of real gateways act on versions while links and processes fail, and judges by what the stand-in servers
+// Package audittest has a fleet of real gateways act on versions while links and processes fail, and judges by what the stand-in servers
 // took, and by what the gateways wrote down, whether anybody acted on what was withdrawn.
-package audittrial
+package audittest
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rollout"
-	"mothcleat/internal/trial"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/rollout"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // Span is that of the permits of a trial's fleets.
@@ -30,7 +30,7 @@
 func Text() string { return alone + "[budgets]\non = true\nbegin_full = true\n" }
 
 // plansText writes a version of a site's plans, with each quota times a factor.
-func plansText(s *trial.Site, factor float64) string {
+func plansText(s *harness.Site, factor float64) string {
 	var b strings.Builder
 	for _, p := range s.Plans {
 		if p.Rate > 0 {
@@ -44,7 +44,7 @@
 }
 
 // propose has a text proposed at a gateway.
-func propose(f *rig.Fleet, at int, stage versions.Stage, lead time.Duration, text string) (number uint64, err error) {
+func propose(f *testcluster.Fleet, at int, stage configversion.Stage, lead time.Duration, text string) (number uint64, err error) {
 	file := filepath.Join(f.Gateways[at].Dir(), fmt.Sprintf("plans-%d.toml", time.Now().UnixNano()))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return 0, err
@@ -53,17 +53,17 @@
 }
 
 // agreed is what is agreed, asked at a gateway.
-func agreed(f *rig.Fleet, at int) (v fleetnode.Versions, err error) {
+func agreed(f *testcluster.Fleet, at int) (v controlplane.Versions, err error) {
 	return v, f.Call(at, "versions", &v)
 }
 
 // here is what a gateway acts on.
-func here(f *rig.Fleet, at int) (h rollout.Here, err error) {
+func here(f *testcluster.Fleet, at int) (h rollout.Here, err error) {
 	return h, f.Call(at, "versions here", &h)
 }
 
 // version finds a version in what is agreed.
-func version(v *fleetnode.Versions, number uint64) *versions.Version {
+func version(v *controlplane.Versions, number uint64) *configversion.Version {
 	for i := range v.Versions {
 		if v.Versions[i].Item == "plans" && v.Versions[i].Number == number {
 			return &v.Versions[i]
--- a/internal/audittrial/judge.go
+++ b/internal/testing/audittest/judge.go
@@ -1,4 +1,4 @@
-package audittrial
+package audittest
 
 import (
 	"errors"
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"mothcleat/auditlog"
-	"mothcleat/budget"
-	"mothcleat/internal/auditrecorder"
-	"mothcleat/internal/budgettrial"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/auditrecorder"
+	"mothcleat/internal/testing/allocationtest"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // slack is how long after its last look a request reaches a server, on a machine with other work.
@@ -34,7 +34,7 @@
 )
 
 // spans are all times in which a gateway acted on a version, from its log.
-func spans(f *rig.Fleet, i int) (all []span, err error) {
+func spans(f *testcluster.Fleet, i int) (all []span, err error) {
 	for _, line := range begins.FindAllStringSubmatch(f.Gateways[i].Log(), -1) {
 		at, bad := time.Parse(time.RFC3339Nano, line[1])
 		s := span{gateway: i, number: 1, from: at.Sub(f.Record.Began()), to: 1 << 62}
@@ -52,7 +52,7 @@
 }
 
 // sentOn are the requests that a gateway sent on in a time, as the servers took them.
-func sentOn(f *rig.Fleet, i int, from, to time.Duration) (n int) {
+func sentOn(f *testcluster.Fleet, i int, from, to time.Duration) (n int) {
 	f.Record.Look(func() {
 		for _, a := range f.Record.Attempts {
 			if a.Gateway == i && a.Whole >= from && a.Whole < to {
@@ -64,7 +64,7 @@
 }
 
 // lateActs are the requests that a gateway sent on by versions after those had ended, as the servers took them.
-func lateActs(f *rig.Fleet, all []span, ended map[uint64]time.Duration) (n int) {
+func lateActs(f *testcluster.Fleet, all []span, ended map[uint64]time.Duration) (n int) {
 	for _, s := range all {
 		if over, ok := ended[s.number]; ok {
 			n += sentOn(f, s.gateway, max(s.from, over+slack), s.to)
@@ -74,10 +74,10 @@
 }
 
 // records are what all gateways wrote down, after they have ended.
-func records(f *rig.Fleet) (all map[int][]auditlog.Entry, err error) {
+func records(f *testcluster.Fleet) (all map[int][]auditlog.Entry, err error) {
 	all = map[int][]auditlog.Entry{}
 	for i := range f.Gateways {
-		entries, bad := auditrecorder.Read(fleetnode.RecordDir(f.FleetDir(i)))
+		entries, bad := auditrecorder.Read(controlplane.RecordDir(f.FleetDir(i)))
 		all[i], err = entries, errors.Join(err, bad)
 	}
 	return all, err
@@ -85,14 +85,14 @@
 
 // account holds a gateway's record against what the servers took: how many requests no record accounts for, beyond one for each kill, and
 // how many the record has that no server took.
-func account(f *rig.Fleet, i int, entries []auditlog.Entry) (unexplained, untaken int) {
+func account(f *testcluster.Fleet, i int, entries []auditlog.Entry) (unexplained, untaken int) {
 	var told auditlog.Counts
 	for _, e := range entries {
 		told = told.Plus(e.Counts)
 	}
 	took, killed := sentOn(f, i, 0, 1<<62), 0
 	for _, l := range f.Record.Lives {
-		if l.Gateway == i && l.Event == trial.Killed {
+		if l.Gateway == i && l.Event == harness.Killed {
 			killed++
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // wrong are the rows of an audit that do not fit what the gateways logged when they changed: a version that was not in force there then.
-func wrong(rows []auditlog.Stretch, f *rig.Fleet, logs map[int][]span) (n int) {
+func wrong(rows []auditlog.Stretch, f *testcluster.Fleet, logs map[int][]span) (n int) {
 	for _, row := range rows {
 		if row.Item != "plans" || row.Sent+row.Again == 0 {
 			continue
@@ -112,7 +112,7 @@
 		for i, all := range logs {
 			for _, s := range all {
 				// An entry is written once a second: it may begin and end so much earlier or later.
-				fits = fits || rig.Name(i) == row.ID && s.number == row.Number && s.from <= to+slack && s.to >= from-2*time.Second
+				fits = fits || testcluster.Name(i) == row.ID && s.number == row.Number && s.from <= to+slack && s.to >= from-2*time.Second
 			}
 		}
 		if !fits {
@@ -130,9 +130,9 @@
 
 // over is how many customers had more than the terms that were in force allow, over any window. At each time the highest terms count of
 // those versions that somebody may act on, and for as long after as a part lasts that its holder can't be told of.
-func over(f *rig.Fleet, all []change, stops int) (bad []string) {
-	uses, plans := budgettrial.Uses(f.Record, 0)
-	lasts := budget.Defaults().Span + budget.Defaults().Span/8 + slack
+func over(f *testcluster.Fleet, all []change, stops int) (bad []string) {
+	uses, plans := allocationtest.Uses(f.Record, 0)
+	lasts := allocation.Defaults().Span + allocation.Defaults().Span/8 + slack
 	factor := func(at time.Duration) (most float64) {
 		for _, c := range all {
 			if at >= c.from && at < c.to+lasts {
@@ -155,7 +155,7 @@
 				last = next
 			}
 			level -= u.Units
-			worst = max(worst, -level-p.Rate*budget.Defaults().LoanSpan.Seconds()-4*float64(stops))
+			worst = max(worst, -level-p.Rate*allocation.Defaults().LoanSpan.Seconds()-4*float64(stops))
 		}
 		if worst > 0 {
 			bad = append(bad, fmt.Sprintf("customer %s of plan %s: %.2f units beyond the terms in force", customer, p.Name, worst))
--- a/internal/audittrial/run.go
+++ b/internal/testing/audittest/run.go
@@ -1,4 +1,4 @@
-package audittrial
+package audittest
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"syscall"
 	"time"
 
-	"mothcleat/auditlog"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/auditlog"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // Options say what is played.
@@ -38,12 +38,12 @@
 )
 
 // Run plays a fleet that is given versions of its plans amid faults, and beside it the same traffic and versions without any.
-func Run(ctx context.Context, o Options, progress io.Writer) (*trial.Figures, error) {
+func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Figures, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
 	}
 	if o.Bin == "" {
-		bin, remove, err := rig.Build(ctx)
+		bin, remove, err := testcluster.Build(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -75,8 +75,8 @@
 // course is one world that runs.
 type course struct {
 	o    *Options
-	f    *rig.Fleet
-	harm *rig.Harm
+	f    *testcluster.Fleet
+	harm *testcluster.Harm
 
 	mu      sync.Mutex
 	all     map[uint64]change
@@ -90,14 +90,14 @@
 	brought int
 }
 
-func (o *Options) play(ctx context.Context, disturb bool, progress io.Writer) (*trial.Figures, error) {
-	f, err := rig.New(ctx, rig.Options{Seed: o.Seed, Instances: o.Instances, Voters: voters, Load: o.Load, Bin: o.Bin, Log: progress, Operators: Text()})
+func (o *Options) play(ctx context.Context, disturb bool, progress io.Writer) (*harness.Figures, error) {
+	f, err := testcluster.New(ctx, testcluster.Options{Seed: o.Seed, Instances: o.Instances, Voters: voters, Load: o.Load, Bin: o.Bin, Log: progress, Operators: Text()})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	c := &course{o: o, f: f, all: map[uint64]change{1: {to: 1 << 62, factor: 1}}, ended: map[uint64]time.Duration{}, whole: map[uint64]time.Duration{}, behind: map[string]bool{},
-		harm: &rig.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, o.Instances), Stops: 3 * Span, Progress: progress}}
+		harm: &testcluster.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, o.Instances), Stops: 3 * Span, Progress: progress}}
 	c.harm.Likely = func(*rand.Rand) int { return c.guide() }
 	if err := c.settled(ctx); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	if disturb {
 		begin(func() {
 			h := c.harm
-			h.Run(asking, []rig.Kind{h.Kill, h.Leave, h.Stop, h.Stop}, []rig.Kind{h.Isolate, h.OneWay, h.Isolate})
+			h.Run(asking, []testcluster.Kind{h.Kill, h.Leave, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 		})
 	}
 	f.Clients.Run(asking)
@@ -134,7 +134,7 @@
 // settled waits until all may act on the newest version that is for all.
 func (c *course) settled(ctx context.Context) error {
 	last := ""
-	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; rig.Pass(ctx, 50*time.Millisecond) {
+	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; testcluster.Pass(ctx, 50*time.Millisecond) {
 		n := 0
 		for i := range c.f.Gateways {
 			v, err := agreed(c.f, i)
@@ -145,11 +145,11 @@
 			}
 			newest := uint64(0)
 			for _, one := range v.Versions {
-				if one.State == versions.Whole {
+				if one.State == configversion.Whole {
 					newest = one.Number
 				}
 			}
-			if last = fmt.Sprintf("%s: %+v, %d is for all", rig.Name(i), h, newest); h.Until > 0 && (newest <= 1 || h.InForce["plans"] >= newest) {
+			if last = fmt.Sprintf("%s: %+v, %d is for all", testcluster.Name(i), h, newest); h.Until > 0 && (newest <= 1 || h.InForce["plans"] >= newest) {
 				n++
 			}
 		}
@@ -164,8 +164,8 @@
 // guide is who guides roll-outs; -1: nobody says so.
 func (c *course) guide() int {
 	for i, g := range c.f.Gateways {
-		var h fleetnode.Here
-		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil && h.Duties[versions.Duty] > 0 {
+		var h controlplane.Here
+		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil && h.Duties[configversion.Duty] > 0 {
 			return i
 		}
 	}
@@ -185,11 +185,11 @@
 // propose has versions proposed every few seconds, and every third one withdrawn soon after.
 func (c *course) propose(ctx context.Context) {
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xad))
-	for rig.Pass(ctx, time.Duration(trial.Between(r, 1.5, 3.5)*float64(time.Second))) {
+	for testcluster.Pass(ctx, time.Duration(harness.Between(r, 1.5, 3.5)*float64(time.Second))) {
 		at := c.someone(r)
-		stage, factor := versions.One, trial.Between(r, 0.5, 1)
+		stage, factor := configversion.One, harness.Between(r, 0.5, 1)
 		if r.IntN(3) == 0 {
-			stage = versions.All
+			stage = configversion.All
 		}
 		lead := time.Duration(0)
 		if r.IntN(4) == 0 {
@@ -205,8 +205,8 @@
 		}
 		c.all[number] = change{from: began, to: 1 << 62, factor: factor}
 		c.mu.Unlock()
-		c.harm.Note("%s proposes %d for %s, in %v: the plans times %.2f", rig.Name(at), number, stage, lead, factor)
-		if r.IntN(3) != 0 || !rig.Pass(ctx, time.Duration(trial.Between(r, 0.1, 1.5)*float64(time.Second))) {
+		c.harm.Note("%s proposes %d for %s, in %v: the plans times %.2f", testcluster.Name(at), number, stage, lead, factor)
+		if r.IntN(3) != 0 || !testcluster.Pass(ctx, time.Duration(harness.Between(r, 0.1, 1.5)*float64(time.Second))) {
 			continue
 		}
 		var next uint64
@@ -227,7 +227,7 @@
 // watch notes when versions end, and who is behind.
 func (c *course) watch(ctx context.Context) {
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xae))
-	for rig.Pass(ctx, seen) {
+	for testcluster.Pass(ctx, seen) {
 		c.look(c.someone(r))
 	}
 }
@@ -242,7 +242,7 @@
 	defer c.mu.Unlock()
 	c.heads = v.Heads
 	for _, one := range v.Versions {
-		if _, ok := c.whole[one.Number]; !ok && one.State == versions.Whole && now > seen {
+		if _, ok := c.whole[one.Number]; !ok && one.State == configversion.Whole && now > seen {
 			c.whole[one.Number] = now - seen // it was by then, or a little later
 		}
 		if _, ok := c.ended[one.Number]; !ok && one.Until != 0 && v.At >= one.Until {
@@ -271,9 +271,9 @@
 var outs = regexp.MustCompile(`(?m)^.*msg="fleet: (shut out: this gateway acts on nothing|let in: this gateway acts)".*$`)
 
 // judge ends the fleet and reads what all have left.
-func (c *course) judge() (*trial.Figures, error) {
+func (c *course) judge() (*harness.Figures, error) {
 	fig := c.f.Figures("audit")
-	rig.Pass(context.Background(), 4*time.Second) // heads of the last entries but few are told
+	testcluster.Pass(context.Background(), 4*time.Second) // heads of the last entries but few are told
 	c.look(0)
 	for i := range c.f.Gateways {
 		if err := c.f.End(i, syscall.SIGTERM); err != nil {
@@ -282,7 +282,7 @@
 	}
 	logs, shut, let, perGateway, hearing := map[int][]span{}, 0, 0, []time.Duration{}, []time.Duration{}
 	broken := func(rule string, n int, format string, args ...any) {
-		if fig.Broken[trial.Rule(rule)] += n; n > 0 {
+		if fig.Broken[harness.Rule(rule)] += n; n > 0 {
 			fig.Miss(rule + ": " + fmt.Sprintf(format, args...))
 		}
 	}
@@ -315,7 +315,7 @@
 			}
 		}
 		if c.o.Logs != "" {
-			_ = os.WriteFile(fmt.Sprintf("%s/%s.log", c.o.Logs, rig.Name(i)), []byte(g.Log()), 0o600)
+			_ = os.WriteFile(fmt.Sprintf("%s/%s.log", c.o.Logs, testcluster.Name(i)), []byte(g.Log()), 0o600)
 		}
 	}
 	// A stop may lie between the last look and the write.
@@ -350,8 +350,8 @@
 	broken("mixed_sum_over_whole", len(beyond), "%v", beyond[:min(3, len(beyond))])
 	fig.Extra["rollouts"], fig.Extra["withdrawn"], fig.Extra["proposals_refused"] = len(c.all)-1, c.drawn, c.refused
 	fig.Extra["brought_up"], fig.Extra["shut_out"], fig.Extra["let_back"] = c.brought, shut, let
-	fig.Extra["in_force_ms_p50"], fig.Extra["in_force_ms_p99"] = trial.Quantile(perGateway, 0.5), trial.Quantile(perGateway, 0.99)
-	fig.Extra["in_force_hearing_ms_p50"], fig.Extra["in_force_hearing_ms_p99"] = trial.Quantile(hearing, 0.5), trial.Quantile(hearing, 0.99)
+	fig.Extra["in_force_ms_p50"], fig.Extra["in_force_ms_p99"] = harness.Quantile(perGateway, 0.5), harness.Quantile(perGateway, 0.99)
+	fig.Extra["in_force_hearing_ms_p50"], fig.Extra["in_force_hearing_ms_p99"] = harness.Quantile(hearing, 0.5), harness.Quantile(hearing, 0.99)
 	fig.Extra["entries"], fig.Extra["stretches"], fig.Extra["gaps"], fig.Extra["untaken"], fig.Extra["late_writes"] = len(all), len(rows), len(gaps), untaken, late
 	for _, k := range []string{"stops", "cuts", "kills", "leaves", "joins"} {
 		fig.Extra[k] = c.harm.Did(k)
@@ -385,7 +385,7 @@
 				some = append(some, e...)
 			}
 			if _, bad := auditlog.Verify(some, c.heads); len(bad) == 0 {
-				unseen = append(unseen, rig.Name(i)+" "+what)
+				unseen = append(unseen, testcluster.Name(i)+" "+what)
 			}
 		}
 	}
--- a/internal/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/lab"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/lab"
 	"mothcleat/sim"
 )
 
@@ -22,12 +22,12 @@
 	Gateways int
 	Load     float64
 	NoteLoss float64 // below 0: the site's
-	Faults   func(length time.Duration) []trial.Fault
+	Faults   func(length time.Duration) []harness.Fault
 }
 
 // Pairings are what is compared.
 func Pairings() []Pairing {
-	calm := func(time.Duration) []trial.Fault { return nil }
+	calm := func(time.Duration) []harness.Fault { return nil }
 	at := func(length time.Duration, part float64) time.Duration { return time.Duration(part * float64(length)) }
 	return []Pairing{
 		{"calm, 3 gateways", 3, 0.55, -1, calm},
@@ -35,21 +35,21 @@
 		{"calm, 40 gateways", 40, 0.55, -1, calm},
 		{"loaded, 8 gateways", 8, 0.85, -1, calm},
 		{"three in ten notes lost, 8 gateways", 8, 0.55, 0.3, calm},
-		{"gateways killed, 8", 8, 0.55, -1, func(length time.Duration) (all []trial.Fault) {
+		{"gateways killed, 8", 8, 0.55, -1, func(length time.Duration) (all []harness.Fault) {
 			for i := range 6 {
-				all = append(all, trial.Fault{At: at(length, 0.1+0.13*float64(i)), For: 500 * time.Millisecond, Kind: trial.Kill, N: i})
+				all = append(all, harness.Fault{At: at(length, 0.1+0.13*float64(i)), For: 500 * time.Millisecond, Kind: harness.Kill, N: i})
 			}
 			return all
 		}},
-		{"cold servers, 8 gateways", 8, 0.55, -1, func(length time.Duration) (all []trial.Fault) {
+		{"cold servers, 8 gateways", 8, 0.55, -1, func(length time.Duration) (all []harness.Fault) {
 			for i := range 3 {
-				all = append(all, trial.Fault{At: at(length, 0.1+0.25*float64(i)), For: 1500 * time.Millisecond, Kind: trial.Down, N: 3 * i})
+				all = append(all, harness.Fault{At: at(length, 0.1+0.25*float64(i)), For: 1500 * time.Millisecond, Kind: harness.Down, N: 3 * i})
 			}
 			return all
 		}},
-		{"register silent and a server down, 8 gateways", 8, 0.55, -1, func(length time.Duration) []trial.Fault {
-			return []trial.Fault{{At: at(length, 0.1), For: at(length, 0.5), Kind: trial.SilentAt},
-				{At: at(length, 0.2), For: 1500 * time.Millisecond, Kind: trial.Down, N: 2}}
+		{"register silent and a server down, 8 gateways", 8, 0.55, -1, func(length time.Duration) []harness.Fault {
+			return []harness.Fault{{At: at(length, 0.1), For: at(length, 0.5), Kind: harness.SilentAt},
+				{At: at(length, 0.2), For: 1500 * time.Millisecond, Kind: harness.Down, N: 2}}
 		}},
 	}
 }
@@ -74,7 +74,7 @@
 )
 
 // Run plays all pairings. A rule that is broken in either rig is a miss; a difference is told.
-func Run(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*trial.Figures, error) {
+func Run(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*harness.Figures, error) {
 	bin, remove, err := lab.BuildAside(ctx)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	defer remove()
 	pairings := Pairings()
 	rows, errs := make([]Row, len(pairings)), make([]error, len(pairings))
-	f := trial.NewFigures("calibrate", seed)
+	f := harness.NewFigures("calibrate", seed)
 	began := time.Now()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -102,7 +102,7 @@
 			defer mu.Unlock()
 			fmt.Fprintf(progress, "%-46s service %.3f, emulated %.3f; refused %.3f, %.3f; p50 %.0f, %.0f ms; within %t\n", p.Name,
 				rows[i].Service[0], rows[i].Service[1], rows[i].Refused[0], rows[i].Refused[1], rows[i].P50[0], rows[i].P50[1], rows[i].Within)
-			for k, side := range []*trial.Figures{real, model} {
+			for k, side := range []*harness.Figures{real, model} {
 				for rule, n := range side.Broken {
 					f.Broken[rule] += n
 				}
@@ -130,7 +130,7 @@
 
 const servers = 12
 
-func play(ctx context.Context, p Pairing, seed uint64, length time.Duration, bin string) (real, model *trial.Figures, err error) {
+func play(ctx context.Context, p Pairing, seed uint64, length time.Duration, bin string) (real, model *harness.Figures, err error) {
 	faults := p.Faults(length)
 	real, err = lab.Play(ctx, lab.PlayOptions{Seed: seed, Gateways: p.Gateways, Servers: servers, Load: p.Load, For: length,
 		NoteLoss: p.NoteLoss, Faults: faults, Bin: bin})
@@ -142,9 +142,9 @@
 	return real, model, err
 }
 
-func compare(name string, real, model *trial.Figures) Row {
+func compare(name string, real, model *harness.Figures) Row {
 	r := Row{Name: name}
-	for i, f := range []*trial.Figures{real, model} {
+	for i, f := range []*harness.Figures{real, model} {
 		r.Service[i], r.P50[i] = f.Service, f.P50
 		r.Refused[i] = float64(f.Refused) / float64(max(1, f.Asked))
 		if sent, ok := f.Extra["sent_units"].(float64); ok && sent > 0 {
--- a/internal/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -15,21 +15,21 @@
 	"testing"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/internal/distributor"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/lab"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/distributor"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/testing/lab"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(rig.Main(&bin, m.Run)) }
+func TestMain(m *testing.M) { os.Exit(testcluster.Main(&bin, m.Run)) }
 
 const (
 	voters      = 3
@@ -41,7 +41,7 @@
 
 // cluster is a fleet, what its register has, and a replica of the rig's own.
 type cluster struct {
-	*rig.Fleet
+	*testcluster.Fleet
 	t        *testing.T
 	truth    map[string]string // by server: its phase
 	observer *observer
@@ -81,7 +81,7 @@
 // start starts a cluster for a test.
 func start(t *testing.T, gateways int, fleetSettings string) *cluster {
 	t.Helper()
-	f := rigtest.Fleet(t, rig.Options{
+	f := clustertest.Fleet(t, testcluster.Options{
 		Bin: bin, Seed: 1, Instances: gateways, Voters: voters, Consul: true, Load: 0.1, Servers: 14, Fleet: fleetSettings,
 		Env: func(int) string {
 			return fmt.Sprintf("MOTHCLEAT_FAULTS=kill=distribution-send-delta@%s,deny=distribution-damage-delta@%s", killAtDelta, damageDeltas)
@@ -100,10 +100,10 @@
 func (c *cluster) observe() {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	me := lease.Member{ID: "observer", Boot: 1}
-	link := fleetlink.NewClient(rig.FleetName, me, "", c.Voters(), c.Addresses(-1), quiet)
+	link := controlrpc.NewClient(testcluster.FleetName, me, "", c.Voters(), c.Addresses(-1), quiet)
 	client := distributor.NewClient(distributor.ClientOptions{
 		Link: link, Log: quiet,
-		Settings: distributor.NewReplicaSettings(rig.FleetName, me.ID, me.Boot, distribution.Place{}, distributor.DefaultSilent),
+		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Boot, distribution.Place{}, distributor.DefaultSilent),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -146,7 +146,7 @@
 // same in force.
 func (c *cluster) settled(but ...int) {
 	c.t.Helper()
-	rigtest.Eventually(c.t, "all gateways have the register's list", func() (bool, string) {
+	clustertest.Eventually(c.t, "all gateways have the register's list", func() (bool, string) {
 		state := c.observer.newest()
 		if state == nil {
 			return false, "nothing was observed"
@@ -156,7 +156,7 @@
 		}
 		for i := range c.Gateways {
 			if r, err := c.replica(i); !slices.Contains(but, i) && (err != nil || r.Position.Digest != state.Digest().String()) {
-				return false, fmt.Sprintf("%s: %+v %v, observed %s", rig.Name(i), r, err, state.Position())
+				return false, fmt.Sprintf("%s: %+v %v, observed %s", testcluster.Name(i), r, err, state.Position())
 			}
 		}
 		return true, ""
@@ -188,14 +188,14 @@
 	return *d.Replica, nil
 }
 
-func (c *cluster) distribution(i int) (d fleetnode.Distribution, err error) {
+func (c *cluster) distribution(i int) (d controlplane.Distribution, err error) {
 	return d, c.Call(i, "distribution", &d)
 }
 
 // server is the voter from which a gateway gets its changes; it waits until there is one.
 func (c *cluster) server(i int) (number int) {
 	c.t.Helper()
-	rigtest.Eventually(c.t, rig.Name(i)+" watches a voter", func() (bool, string) {
+	clustertest.Eventually(c.t, testcluster.Name(i)+" watches a voter", func() (bool, string) {
 		r, err := c.replica(i)
 		n, _ := fmt.Sscanf(r.Server, "n%d", &number)
 		return err == nil && r.Live && n == 1, fmt.Sprintf("%+v %v", r, err)
@@ -222,7 +222,7 @@
 	for _, v := range c.Voters() {
 		servers = append(servers, distribution.Server{ID: v.Name})
 	}
-	first := distribution.Rank(rig.Name(i), distribution.Place{}, servers)[0]
+	first := distribution.Rank(testcluster.Name(i), distribution.Place{}, servers)[0]
 	if _, err := fmt.Sscanf(first.ID, "n%d", &number); err != nil {
 		c.t.Fatal(err)
 	}
@@ -232,8 +232,8 @@
 // leader is the voter that leads, as a gateway has it.
 func (c *cluster) leader(at int) (number int) {
 	c.t.Helper()
-	rigtest.Eventually(c.t, "a leader", func() (bool, string) {
-		var l agree.List
+	clustertest.Eventually(c.t, "a leader", func() (bool, string) {
+		var l consensus.List
 		err := c.Call(at, "status", &l)
 		n, _ := fmt.Sscanf(l.Leader, "n%d", &number)
 		return err == nil && n == 1, fmt.Sprintf("%+v %v", l, err)
@@ -253,7 +253,7 @@
 func (c *cluster) register(change func(*lab.Consul) error) {
 	c.t.Helper()
 	for i := range c.Gateways {
-		rigtest.Check(c.t, change(c.Consul.Agent(i)))
+		clustertest.Check(c.t, change(c.Consul.Agent(i)))
 	}
 }
 
@@ -262,7 +262,7 @@
 	c.t.Helper()
 	server = c.Servers[c.spare].ID
 	c.spare++
-	rigtest.Eventually(c.t, server+" gets a request", func() (bool, string) { return c.requests(server) > 0, "" })
+	clustertest.Eventually(c.t, server+" gets a request", func() (bool, string) { return c.requests(server) > 0, "" })
 	c.register(func(agent *lab.Consul) error {
 		agent.SetMaintenance(server, true)
 		return nil
@@ -324,16 +324,16 @@
 	c.t.Helper()
 	path := filepath.Join(c.Gateways[i].Dir(), fault)
 	if !yes {
-		rigtest.Check(c.t, os.Remove(path))
+		clustertest.Check(c.t, os.Remove(path))
 		return
 	}
-	rigtest.Check(c.t, os.WriteFile(path, nil, 0o600))
+	clustertest.Check(c.t, os.WriteFile(path, nil, 0o600))
 }
 
 // logs waits until a process has logged something, more often than before.
 func (c *cluster) logs(i int, what string, before int) {
 	c.t.Helper()
-	rigtest.Eventually(c.t, rig.Name(i)+" logs "+what, func() (bool, string) { return c.logged(i, what) > before, "" })
+	clustertest.Eventually(c.t, testcluster.Name(i)+" logs "+what, func() (bool, string) { return c.logged(i, what) > before, "" })
 }
 
 func (c *cluster) logged(i int, what string) int { return strings.Count(c.Gateways[i].Log(), what) }
@@ -341,7 +341,7 @@
 // restart ends a process in order and starts it again.
 func (c *cluster) restart(i int) {
 	c.t.Helper()
-	rigtest.Check(c.t, c.End(i, syscall.SIGTERM), c.Begin(i))
+	clustertest.Check(c.t, c.End(i, syscall.SIGTERM), c.Begin(i))
 }
 
 // stateFile is where a gateway's replica lies.
@@ -368,31 +368,31 @@
 	c.t.Helper()
 	inForce := c.observer.newest().Position()
 	digests := map[uint64]distribution.Digest{inForce.Revision: inForce.Digest}
-	rigtest.Check(c.t, c.World.Stop(c.t.Context()))
+	clustertest.Check(c.t, c.World.Stop(c.t.Context()))
 	for i := range c.Gateways {
 		raw, err := os.ReadFile(c.stateFile(i))
-		rigtest.Check(c.t, err)
-		state, err := distribution.DecodeStateFile(rig.FleetName, raw)
+		clustertest.Check(c.t, err)
+		state, err := distribution.DecodeStateFile(testcluster.FleetName, raw)
 		if err != nil {
-			c.t.Errorf("state file of %s: %v", rig.Name(i), err)
+			c.t.Errorf("state file of %s: %v", testcluster.Name(i), err)
 			continue
 		}
 		at, log := state.Position(), c.Gateways[i].Log()
 		if strings.Contains(log, "two states at one revision") {
-			c.t.Errorf("%s has diverged", rig.Name(i))
+			c.t.Errorf("%s has diverged", testcluster.Name(i))
 		}
 		if strings.Contains(log, "could not be written to disk in time") {
 			continue // it is an earlier state, and fits its digest
 		}
 		if at.Epoch != inForce.Epoch || at.Revision < inForce.Revision {
-			c.t.Errorf("state file of %s: at %s, though %s was in force", rig.Name(i), at, inForce)
+			c.t.Errorf("state file of %s: at %s, though %s was in force", testcluster.Name(i), at, inForce)
 		}
 		if known, there := digests[at.Revision]; there && known != at.Digest {
-			c.t.Errorf("state file of %s: at %s, another has digest %s there", rig.Name(i), at, known)
+			c.t.Errorf("state file of %s: at %s, another has digest %s there", testcluster.Name(i), at, known)
 		}
 		digests[at.Revision] = at.Digest
 		if text := difference(content(state), c.truth); text != "" {
-			c.t.Errorf("state file of %s: %s", rig.Name(i), text)
+			c.t.Errorf("state file of %s: %s", testcluster.Name(i), text)
 		}
 	}
 	c.judgeDrains()
@@ -409,7 +409,7 @@
 		for _, d := range c.drained {
 			for _, a := range c.Record.Attempts {
 				if a.Server == d.server && d.known[a.Gateway] && a.First > d.inForce+afterInForce {
-					c.t.Errorf("%s got a request of %s %v after it had the drain in force", d.server, rig.Name(a.Gateway), a.First-d.inForce)
+					c.t.Errorf("%s got a request of %s %v after it had the drain in force", d.server, testcluster.Name(a.Gateway), a.First-d.inForce)
 				}
 			}
 		}
--- a/internal/distributiontest/content_test.go
+++ b/internal/testing/distributiontest/content_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributor"
-	"mothcleat/internal/faultproxy"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributor"
+	"mothcleat/internal/testing/faultproxy"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 // smallLog has voters keep a few changes for replicas, and few entries behind a snapshot.
@@ -47,7 +47,7 @@
 func (c *cluster) counts(i int) distributor.ReplicaStatus {
 	c.t.Helper()
 	r, err := c.replica(i)
-	rigtest.Check(c.t, err)
+	clustertest.Check(c.t, err)
 	return r
 }
 
@@ -58,7 +58,7 @@
 // which its file differs from what is in force.
 func compactedPastAReplica(c *cluster) {
 	gateway := voters
-	rigtest.Check(c.t, c.End(gateway, syscall.SIGTERM))
+	clustertest.Check(c.t, c.End(gateway, syscall.SIGTERM))
 	before := c.revision()
 	for changed := 0; c.revision() < before+2*smallLogChanges; changed++ {
 		c.addExtra(changed, changed+1, "sala-2")
@@ -68,7 +68,7 @@
 	c.settled(gateway)
 	c.inForce(server, gateway)
 	differ := differingBuckets(c.onDisk(gateway), c.observer.newest())
-	rigtest.Check(c.t, c.Begin(gateway))
+	clustertest.Check(c.t, c.Begin(gateway))
 	c.settled()
 	r := c.counts(gateway)
 	if r.Counts.Repairs != 1 || r.Counts.Buckets == 0 || r.Counts.Buckets != differ {
@@ -80,9 +80,9 @@
 func (c *cluster) onDisk(i int) *distribution.State {
 	c.t.Helper()
 	raw, err := os.ReadFile(c.stateFile(i))
-	rigtest.Check(c.t, err)
-	state, err := distribution.DecodeStateFile(rig.FleetName, raw)
-	rigtest.Check(c.t, err)
+	clustertest.Check(c.t, err)
+	state, err := distribution.DecodeStateFile(testcluster.FleetName, raw)
+	clustertest.Check(c.t, err)
 	return state
 }
 
@@ -134,13 +134,13 @@
 // damagedFile changes a byte in the file that a replica starts from.
 func damagedFile(c *cluster) {
 	gateway := voters
-	rigtest.Check(c.t, c.End(gateway, syscall.SIGTERM))
+	clustertest.Check(c.t, c.End(gateway, syscall.SIGTERM))
 	raw, err := os.ReadFile(c.stateFile(gateway))
-	rigtest.Check(c.t, err)
+	clustertest.Check(c.t, err)
 	raw[len(raw)/2] ^= 1
-	rigtest.Check(c.t, os.WriteFile(c.stateFile(gateway), raw, 0o600))
+	clustertest.Check(c.t, os.WriteFile(c.stateFile(gateway), raw, 0o600))
 	server := c.drainOne()
-	rigtest.Check(c.t, c.Begin(gateway))
+	clustertest.Check(c.t, c.Begin(gateway))
 	c.settled()
 	c.inForce(server)
 	c.logs(gateway, c.stateFileLine(), 0)
@@ -151,7 +151,7 @@
 
 // stateFileLine is what is logged of a file that is refused, up to its name.
 func (c *cluster) stateFileLine() string {
-	return "the control state on disk is refused, and taken anew\" gateway=" + rig.Name(voters) + " error=\"fleet/distribution/state: "
+	return "the control state on disk is refused, and taken anew\" gateway=" + testcluster.Name(voters) + " error=\"fleet/distribution/state: "
 }
 
 // slowReader has one gateway get 1 KB/s from each voter amid many changes. The others get all of them before it does.
@@ -166,7 +166,7 @@
 	c.settled(gateway)
 	c.inForce(server, gateway)
 	if r := c.counts(gateway); r.Position.Digest == c.observer.newest().Digest().String() {
-		c.t.Errorf("%s was not slower than the others", rig.Name(gateway))
+		c.t.Errorf("%s was not slower than the others", testcluster.Name(gateway))
 	}
 	for v := range voters {
 		c.Links[gateway][v].Set(faultproxy.Downstream, faultproxy.Conditions{})
--- a/internal/distributiontest/herd_test.go
+++ b/internal/testing/distributiontest/herd_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 // Much at once: a rack's servers gone, all gateways started, a part of the fleet that comes back. The cases follow one
@@ -89,7 +89,7 @@
 	server := c.startAll()
 	for i := range c.Gateways {
 		if r := c.counts(i); r.Counts.Repairs != 0 || r.Counts.Deltas == 0 {
-			c.t.Errorf("%s did not resume by deltas: %+v", rig.Name(i), r)
+			c.t.Errorf("%s did not resume by deltas: %+v", testcluster.Name(i), r)
 		}
 	}
 	c.inForce(server)
@@ -99,12 +99,12 @@
 func allFromNothing(c *cluster) {
 	c.endAll()
 	for i := range c.Gateways {
-		rigtest.Check(c.t, os.Remove(c.stateFile(i)))
+		clustertest.Check(c.t, os.Remove(c.stateFile(i)))
 	}
 	server := c.startAll()
 	for i := range c.Gateways {
 		if r := c.counts(i); r.Counts.Repairs == 0 {
-			c.t.Errorf("%s has not taken the state anew: %+v", rig.Name(i), r)
+			c.t.Errorf("%s has not taken the state anew: %+v", testcluster.Name(i), r)
 		}
 	}
 	c.inForce(server)
@@ -113,7 +113,7 @@
 func (c *cluster) endAll() {
 	c.t.Helper()
 	for i := range c.Gateways {
-		rigtest.Check(c.t, c.End(i, syscall.SIGTERM))
+		clustertest.Check(c.t, c.End(i, syscall.SIGTERM))
 	}
 }
 
@@ -125,7 +125,7 @@
 	for i := range c.Gateways {
 		go func() {
 			if err := c.Begin(i); err != nil {
-				errs <- fmt.Errorf("%s: %w", rig.Name(i), err)
+				errs <- fmt.Errorf("%s: %w", testcluster.Name(i), err)
 				return
 			}
 			errs <- nil
--- a/internal/distributiontest/process_test.go
+++ b/internal/testing/distributiontest/process_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 // Voters that are killed, stopped, cut off one way or replaced as the leader while something changes, and one whose folder
@@ -39,13 +39,13 @@
 	c.Gateways[voter].Expect(syscall.SIGKILL)
 	c.ask(voter, killAtDelta, true)
 	server := c.drainOne()
-	rigtest.Eventually(c.t, rig.Name(voter)+" is killed", func() (bool, string) { return !c.Gateways[voter].Running(), "" })
+	clustertest.Eventually(c.t, testcluster.Name(voter)+" is killed", func() (bool, string) { return !c.Gateways[voter].Running(), "" })
 	c.settled(voter)
 	c.inForce(server, voter)
-	rigtest.Check(c.t, c.Begin(voter))
+	clustertest.Check(c.t, c.Begin(voter))
 	c.settled()
 	if c.logged(voter, "fault: killed") != 1 {
-		c.t.Errorf("%s was not killed at the point", rig.Name(voter))
+		c.t.Errorf("%s was not killed at the point", testcluster.Name(voter))
 	}
 }
 
@@ -54,19 +54,19 @@
 // stoppedForFourSeconds stops a voter that serves others.
 func stoppedForFourSeconds(c *cluster) {
 	voter, gateway := c.serving()
-	rigtest.Check(c.t, c.Stop(voter))
+	clustertest.Check(c.t, c.Stop(voter))
 	began := time.Now()
 	server := c.drainOne()
 	c.settled(voter)
 	c.inForce(server, voter)
 	if now := c.server(gateway); now == voter {
-		c.t.Errorf("%s still watches %s, which is stopped", rig.Name(gateway), rig.Name(voter))
+		c.t.Errorf("%s still watches %s, which is stopped", testcluster.Name(gateway), testcluster.Name(voter))
 	}
-	rig.Pass(c.t.Context(), time.Until(began.Add(stopLength)))
+	testcluster.Pass(c.t.Context(), time.Until(began.Add(stopLength)))
 	if !c.Stopped(voter) {
-		c.t.Errorf("%s was not stopped", rig.Name(voter))
+		c.t.Errorf("%s was not stopped", testcluster.Name(voter))
 	}
-	rigtest.Check(c.t, c.Wake(voter))
+	clustertest.Check(c.t, c.Wake(voter))
 	c.settled()
 }
 
@@ -80,7 +80,7 @@
 		c.settled(voter)
 		c.inForce(server, voter)
 		if c.Held() == held {
-			c.t.Errorf("nothing was held at the links of %s", rig.Name(voter))
+			c.t.Errorf("nothing was held at the links of %s", testcluster.Name(voter))
 		}
 		c.Isolate(voter, to, !to, false)
 		c.settled()
@@ -93,16 +93,16 @@
 func leaderChangeAmidABurst(c *cluster) {
 	leader := c.leader(other(c.leader(0)))
 	c.addExtra(0, burst/2, "sala-1")
-	rigtest.Check(c.t, c.End(leader, syscall.SIGKILL))
+	clustertest.Check(c.t, c.End(leader, syscall.SIGKILL))
 	c.addExtra(burst/2, burst, "sala-1")
 	c.addExtra(0, burst/4, "sala-2")
 	server := c.drainOne()
 	c.settled(leader)
 	c.inForce(server, leader)
 	if now := c.leader(other(leader)); now == leader {
-		c.t.Errorf("%s leads though it is gone", rig.Name(leader))
+		c.t.Errorf("%s leads though it is gone", testcluster.Name(leader))
 	}
-	rigtest.Check(c.t, c.Begin(leader))
+	clustertest.Check(c.t, c.Begin(leader))
 	c.settled()
 }
 
@@ -110,12 +110,12 @@
 func restoredFromAnOlderFolder(c *cluster) {
 	gateway := voters // the first that is no voter
 	voter := c.preferred(gateway)
-	rigtest.Check(c.t, c.Save(voter))
+	clustertest.Check(c.t, c.Save(voter))
 	server := c.drainOne()
 	c.removeExtra(0, burst)
 	c.settled()
 	c.inForce(server)
-	rigtest.Check(c.t, c.End(voter, syscall.SIGKILL), c.Restore(voter), c.Begin(voter))
+	clustertest.Check(c.t, c.End(voter, syscall.SIGKILL), c.Restore(voter), c.Begin(voter))
 	c.logs(voter, "must not vote", 0)
 	c.restart(gateway)
 	c.logs(gateway, "it is behind", 0)
--- a/internal/ownertrial/faults.go
+++ b/internal/testing/electiontest/faults.go
@@ -1,4 +1,4 @@
-package ownertrial
+package electiontest
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/faultproxy"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
-	"mothcleat/lease"
-	"mothcleat/usageexport"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/testing/faultproxy"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // faults does one thing to processes after another, and beside that one thing to links after another, each kind in
@@ -30,7 +30,7 @@
 			for {
 				r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 				for _, kind := range kinds {
-					if !rig.Pass(ctx, span(r, least, most)) {
+					if !testcluster.Pass(ctx, span(r, least, most)) {
 						return
 					}
 					kind(ctx, r)
@@ -60,7 +60,7 @@
 func (t *trialRun) duty(r *rand.Rand) string { return usageexport.Duty(r.IntN(t.o.Shards)) }
 
 func span(r *rand.Rand, least, most float64) time.Duration {
-	return time.Duration(trial.Between(r, least, most) * float64(time.Second))
+	return time.Duration(harness.Between(r, least, most) * float64(time.Second))
 }
 
 // stop has a process lie still for a while.
@@ -70,7 +70,7 @@
 		return
 	}
 	t.count("stops")
-	rig.Pass(ctx, d)
+	testcluster.Pass(ctx, d)
 	t.fail(t.f.Wake(i))
 }
 
@@ -83,7 +83,7 @@
 func (t *trialRun) stopOwner(ctx context.Context, r *rand.Rand) {
 	duty := t.duty(r)
 	if i, h := t.owner(duty); i >= 0 {
-		t.note("stop %s, owner of %s under term %d", rig.Name(i), duty, h.Term)
+		t.note("stop %s, owner of %s under term %d", testcluster.Name(i), duty, h.Term)
 		t.ended(duty, h, false)
 		t.stop(ctx, i, span(r, 2, 5))
 	}
@@ -103,16 +103,16 @@
 		return
 	}
 	for wait := time.Now(); !t.f.Stopped(i); {
-		if time.Since(wait) > 4*time.Second || !rig.Pass(ctx, 5*time.Millisecond) {
+		if time.Since(wait) > 4*time.Second || !testcluster.Pass(ctx, 5*time.Millisecond) {
 			_ = os.Remove(flag)
 			return
 		}
 	}
-	t.f.Record.AddLife(i, trial.Paused)
+	t.f.Record.AddLife(i, harness.Paused)
 	t.ended(duty, h, false)
-	t.note("%s stopped itself at %s, owner of %s under term %d", rig.Name(i), point, duty, h.Term)
+	t.note("%s stopped itself at %s, owner of %s under term %d", testcluster.Name(i), point, duty, h.Term)
 	t.count("stops")
-	rig.Pass(ctx, span(r, 3, 5))
+	testcluster.Pass(ctx, span(r, 3, 5))
 	if _, next := t.owner(duty); next.Term > h.Term {
 		t.count("late_wakes")
 	}
@@ -121,7 +121,7 @@
 
 func (t *trialRun) stopLeader(ctx context.Context, r *rand.Rand) {
 	if i := t.leader(); i >= 0 {
-		t.note("stop %s, the leader", rig.Name(i))
+		t.note("stop %s, the leader", testcluster.Name(i))
 		t.stop(ctx, i, span(r, 1.5, 4))
 	}
 }
@@ -134,14 +134,14 @@
 	if then != nil {
 		then()
 	}
-	rig.Pass(ctx, span(r, 0.2, 2))
+	testcluster.Pass(ctx, span(r, 0.2, 2))
 	t.fail(t.f.Begin(i))
 }
 
 func (t *trialRun) killOwner(ctx context.Context, r *rand.Rand) {
 	duty := t.duty(r)
 	if i, h := t.owner(duty); i >= 0 {
-		t.note("kill %s, owner of %s under term %d", rig.Name(i), duty, h.Term)
+		t.note("kill %s, owner of %s under term %d", testcluster.Name(i), duty, h.Term)
 		t.ended(duty, h, false)
 		t.kill(ctx, r, i, nil)
 	}
@@ -169,20 +169,20 @@
 	}
 	t.f.Gateways[i].Expect(syscall.SIGKILL)
 	for wait := time.Now(); t.f.Gateways[i].Running(); {
-		if time.Since(wait) > 4*time.Second || !rig.Pass(ctx, 5*time.Millisecond) {
+		if time.Since(wait) > 4*time.Second || !testcluster.Pass(ctx, 5*time.Millisecond) {
 			_ = os.Remove(flag)
 			t.f.Gateways[i].Expect(0)
 			return
 		}
 	}
-	t.f.Record.AddLife(i, trial.Killed)
+	t.f.Record.AddLife(i, harness.Killed)
 	if h.Term > 0 {
 		t.ended(duty, h, false)
 	}
 	t.count("kills")
 	t.killed[i]++
-	t.note("%s killed itself at %s", rig.Name(i), point)
-	rig.Pass(ctx, span(r, 0.2, 1.5))
+	t.note("%s killed itself at %s", testcluster.Name(i), point)
+	testcluster.Pass(ctx, span(r, 0.2, 1.5))
 	t.fail(t.f.Begin(i))
 }
 
@@ -193,9 +193,9 @@
 		i = r.IntN(t.o.Instances)
 	}
 	says := r.IntN(2) == 0
-	t.note("%s %s", rig.Name(i), map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
+	t.note("%s %s", testcluster.Name(i), map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
 	t.f.Isolate(i, says, !says, true)
-	rig.Pass(ctx, span(r, 2, 4))
+	testcluster.Pass(ctx, span(r, 2, 4))
 	t.f.Isolate(i, says, !says, false)
 	t.count("cuts")
 }
@@ -207,14 +207,14 @@
 		i = owner
 	}
 	if i == j || r.IntN(2) == 0 {
-		t.note("%s is cut off", rig.Name(i))
+		t.note("%s is cut off", testcluster.Name(i))
 		t.f.Isolate(i, true, true, true)
-		rig.Pass(ctx, span(r, 2, 5))
+		testcluster.Pass(ctx, span(r, 2, 5))
 		t.f.Isolate(i, true, true, false)
 	} else {
-		t.note("%s and %s don't hear each other", rig.Name(i), rig.Name(j))
+		t.note("%s and %s don't hear each other", testcluster.Name(i), testcluster.Name(j))
 		t.f.Between(i, j, true)
-		rig.Pass(ctx, span(r, 2, 5))
+		testcluster.Pass(ctx, span(r, 2, 5))
 		t.f.Between(i, j, false)
 	}
 	t.count("cuts")
@@ -224,7 +224,7 @@
 func (t *trialRun) weather(ctx context.Context, r *rand.Rand) {
 	i := r.IntN(t.o.Instances)
 	what := r.IntN(4)
-	t.note("links of %s: %s", rig.Name(i), []string{"late", "a trickle", "reset", "half open"}[what])
+	t.note("links of %s: %s", testcluster.Name(i), []string{"late", "a trickle", "reset", "half open"}[what])
 	for j, l := range t.f.Links[i] {
 		if l == nil {
 			continue
@@ -242,7 +242,7 @@
 		}
 	}
 	t.count("weather")
-	rig.Pass(ctx, span(r, 1, 3))
+	testcluster.Pass(ctx, span(r, 1, 3))
 	t.f.Heal()
 }
 
@@ -253,11 +253,11 @@
 	if i < 0 {
 		return
 	}
-	t.note("%s, owner of %s under term %d, is told to stop", rig.Name(i), duty, h.Term)
+	t.note("%s, owner of %s under term %d, is told to stop", testcluster.Name(i), duty, h.Term)
 	t.ended(duty, h, true)
 	t.fail(t.f.End(i, syscall.SIGTERM))
 	t.count("stopped in order")
-	rig.Pass(ctx, span(r, 0.1, 1))
+	testcluster.Pass(ctx, span(r, 0.1, 1))
 	t.fail(t.f.Begin(i))
 }
 
@@ -270,8 +270,8 @@
 		return
 	}
 	var told string
-	if t.view("transfer "+duty+" "+rig.Name(to), &told) == nil {
-		t.note("%s is to be handed on from %s to %s", duty, rig.Name(i), rig.Name(to))
+	if t.view("transfer "+duty+" "+testcluster.Name(to), &told) == nil {
+		t.note("%s is to be handed on from %s to %s", duty, testcluster.Name(i), testcluster.Name(to))
 		t.ended(duty, h, true)
 		t.count("transfers")
 	}
@@ -284,12 +284,12 @@
 		return
 	}
 	flag := filepath.Join(t.f.Gateways[i].Dir(), "slow-sync")
-	t.note("the disk of %s, the leader, is slow", rig.Name(i))
+	t.note("the disk of %s, the leader, is slow", testcluster.Name(i))
 	if err := os.WriteFile(flag, nil, 0o600); err != nil {
 		t.fail(err)
 		return
 	}
-	rig.Pass(ctx, span(r, 2, 4))
+	testcluster.Pass(ctx, span(r, 2, 4))
 	t.fail(os.Remove(flag))
 	t.count("slow disks")
 }
@@ -300,7 +300,7 @@
 	if len(t.emptied) > 0 || t.o.Instances < 4 {
 		return
 	}
-	t.note("kill %s and take its folder away", rig.Name(i))
+	t.note("kill %s and take its folder away", testcluster.Name(i))
 	t.emptied[i] = true
 	t.kill(ctx, r, i, func() { t.fail(t.f.Empty(i)) })
 }
--- a/internal/ownertrial/hard_test.go
+++ b/internal/testing/electiontest/hard_test.go
@@ -1,4 +1,4 @@
-package ownertrial
+package electiontest
 
 import (
 	"encoding/json"
@@ -13,22 +13,22 @@
 
 	"golang.org/x/sys/unix"
 
-	"mothcleat/agree"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/lease"
-	"mothcleat/usageexport"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-func status(t *testing.T, f *rig.Fleet, at int) (l agree.List) {
+func status(t *testing.T, f *testcluster.Fleet, at int) (l consensus.List) {
 	t.Helper()
-	rigtest.Eventually(t, "the status", func() (bool, string) { err := f.Call(at, "status", &l); return err == nil, fmt.Sprint(err) })
+	clustertest.Eventually(t, "the status", func() (bool, string) { err := f.Call(at, "status", &l); return err == nil, fmt.Sprint(err) })
 	return l
 }
 
 // A voter whose disk takes nothing any more promises nothing, and others go on; with room again it comes back.
 func TestAVoterWithAFullDisk(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 3})
+	f := fleet(t, testcluster.Options{Instances: 3})
 	duty := usageexport.Duty(0)
 	hasOwner(t, f, 0, duty, 0)
 	i, ok := number(status(t, f, 0).Leader)
@@ -40,12 +40,12 @@
 		t.Fatal(err)
 	}
 	at := another(f, i)
-	rigtest.Eventually(t, "another leader", func() (bool, string) {
-		var l agree.List
+	clustertest.Eventually(t, "another leader", func() (bool, string) {
+		var l consensus.List
 		err := f.Call(at, "status", &l)
-		return err == nil && l.Leader != rig.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
+		return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
 	})
-	rigtest.Eventually(t, "the full one says so", func() (bool, string) {
+	clustertest.Eventually(t, "the full one says so", func() (bool, string) {
 		var h struct{ Trouble string }
 		err := f.Call(i, "here", &h)
 		return err == nil && h.Trouble != "", fmt.Sprint(h, err)
@@ -57,7 +57,7 @@
 	if err := unix.Prlimit(f.Gateways[i].PID(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}, nil); err != nil {
 		t.Fatal(err)
 	}
-	rigtest.Eventually(t, "it takes part again", func() (bool, string) {
+	clustertest.Eventually(t, "it takes part again", func() (bool, string) {
 		var h struct {
 			Trouble string
 			Leader  string
@@ -70,14 +70,14 @@
 
 // A duty is handed on to one that lies stopped: the offer runs out, and another takes it long before it wakes.
 func TestHandingOnToOneThatStalls(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	to := another(f, i, 0)
 	at := another(f, i, to)
-	rigtest.Eventually(t, "it takes part", func() (bool, string) {
+	clustertest.Eventually(t, "it takes part", func() (bool, string) {
 		for _, m := range status(t, f, at).Members {
-			if m.ID == rig.Name(to) {
+			if m.ID == testcluster.Name(to) {
 				return true, ""
 			}
 		}
@@ -86,11 +86,11 @@
 	if err := f.Stop(to); err != nil {
 		t.Fatal(err)
 	}
-	rigtest.Eventually(t, "the wish is heard", func() (bool, string) {
-		err := f.Call(at, fmt.Sprintf("transfer %s %s", duty, rig.Name(to)), nil)
+	clustertest.Eventually(t, "the wish is heard", func() (bool, string) {
+		err := f.Call(at, fmt.Sprintf("transfer %s %s", duty, testcluster.Name(to)), nil)
 		return err == nil, fmt.Sprint(err)
 	})
-	rigtest.Eventually(t, "one that is awake owns it", func() (bool, string) {
+	clustertest.Eventually(t, "one that is awake owns it", func() (bool, string) {
 		j, next := owner(f, at, duty)
 		return j >= 0 && j != to && next.Term >= h.Term+2 && !next.Offered, fmt.Sprintf("%d %+v", j, next)
 	})
@@ -100,7 +100,7 @@
 	}
 	offered := false
 	for _, k := range all {
-		offered = offered || k.Owner.ID == rig.Name(to) && k.Cause == lease.HandedOn
+		offered = offered || k.Owner.ID == testcluster.Name(to) && k.Cause == lease.HandedOn
 	}
 	if !offered {
 		t.Errorf("it was never offered: nothing was shown: %+v", all)
@@ -114,7 +114,7 @@
 
 // While a split lasts voters are changed by the side with the quorum alone, and the other side learns of it.
 func TestAChangeOfVotersDuringASplit(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	if err := f.End(3, syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -128,12 +128,12 @@
 	}
 	f.Isolate(cut, true, true, true)
 	at := another(f, cut)
-	if err := f.Call(cut, "remove "+rig.Name(at), nil); err == nil {
+	if err := f.Call(cut, "remove "+testcluster.Name(at), nil); err == nil {
 		t.Error("the side without a quorum removed a voter")
 	}
-	rigtest.Eventually(t, "the new voter is added", func() (bool, string) { err := f.Call(3, "add", nil); return err == nil, fmt.Sprint(err) })
-	rigtest.Eventually(t, "the cut one is removed", func() (bool, string) {
-		err := f.Call(at, "remove "+rig.Name(cut), nil)
+	clustertest.Eventually(t, "the new voter is added", func() (bool, string) { err := f.Call(3, "add", nil); return err == nil, fmt.Sprint(err) })
+	clustertest.Eventually(t, "the cut one is removed", func() (bool, string) {
+		err := f.Call(at, "remove "+testcluster.Name(cut), nil)
 		return err == nil || strings.Contains(err.Error(), "no voter"), fmt.Sprint(err)
 	})
 	f.Isolate(cut, true, true, false)
@@ -142,12 +142,12 @@
 	for _, v := range l.Voters {
 		names += v.Name + " "
 	}
-	if strings.Contains(names, rig.Name(cut)) || !strings.Contains(names, "n3") || len(l.Voters) != 3 {
+	if strings.Contains(names, testcluster.Name(cut)) || !strings.Contains(names, "n3") || len(l.Voters) != 3 {
 		t.Errorf("voters %s", names)
 	}
 	// It goes on as a gateway with a session, and asks those that vote.
-	rigtest.Eventually(t, "the removed one hears the fleet", func() (bool, string) {
-		var l agree.List
+	clustertest.Eventually(t, "the removed one hears the fleet", func() (bool, string) {
+		var l consensus.List
 		err := f.Call(cut, "status", &l)
 		return err == nil && len(l.Voters) == 3, fmt.Sprint(err)
 	})
@@ -157,7 +157,7 @@
 // A majority is lost for good: nothing new is agreed, gateways serve and count on, and the fleet that is founded
 // anew under another name exports what was counted meanwhile.
 func TestAMajorityLostForGood(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 3})
+	f := fleet(t, testcluster.Options{Instances: 3})
 	hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	for i := range 2 {
 		if err := errors.Join(f.End(i, syscall.SIGKILL), f.Empty(i)); err != nil {
@@ -184,7 +184,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(f.Command(i, nil, "fleet", "found", rig.Name(i), "--operators", "operators.toml"), f.Begin(i)); err != nil {
+		if err := errors.Join(f.Command(i, nil, "fleet", "found", testcluster.Name(i), "--operators", "operators.toml"), f.Begin(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -194,7 +194,7 @@
 	if want == 0 {
 		t.Fatal("nothing was sent on: nothing is shown")
 	}
-	rigtest.Eventually(t, fmt.Sprintf("the %g units of the one that was left", want), func() (bool, string) {
+	clustertest.Eventually(t, fmt.Sprintf("the %g units of the one that was left", want), func() (bool, string) {
 		v := view(t, f, 2)
 		return run.counted(&v)[2] == want, fmt.Sprint(run.counted(&v))
 	})
@@ -202,7 +202,7 @@
 
 // The log's leader lies stopped: another leads, and the old one follows when it wakes.
 func TestAStoppedLeader(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 3, usageexport.Duty(0), 0)
 	was := status(t, f, 3)
 	i, ok := number(was.Leader)
@@ -213,8 +213,8 @@
 		t.Fatal(err)
 	}
 	at := another(f, i)
-	rigtest.Eventually(t, "another leader", func() (bool, string) {
-		var l agree.List
+	clustertest.Eventually(t, "another leader", func() (bool, string) {
+		var l consensus.List
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != was.Leader && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 	})
@@ -222,7 +222,7 @@
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
-	rigtest.Eventually(t, "the woken one follows", func() (bool, string) {
+	clustertest.Eventually(t, "the woken one follows", func() (bool, string) {
 		var h struct {
 			Leader string
 			Leads  bool
@@ -235,7 +235,7 @@
 // A second gateway is started under the name of one that runs, once with a folder of its own and once on the same.
 // Of two with one name the newer takes part and the older says why it does not; on one folder the second waits.
 func TestASecondGatewayOfOneName(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	second := func(folder string) (log func() string) {
 		t.Helper()
@@ -270,7 +270,7 @@
 		return func() string { raw, _ := os.ReadFile(filepath.Join(dir, "log")); return string(raw) }
 	}
 	log := second(f.FleetDir(3))
-	rigtest.Eventually(t, "the second on one folder says so", func() (bool, string) {
+	clustertest.Eventually(t, "the second on one folder says so", func() (bool, string) {
 		return strings.Contains(log(), "this process does not take part"), log()
 	})
 	if strings.Contains(f.Gateways[3].Log(), "another process has taken the id") {
--- a/internal/ownertrial/history.go
+++ b/internal/testing/electiontest/history.go
@@ -1,4 +1,4 @@
-package ownertrial
+package electiontest
 
 import (
 	"context"
@@ -14,16 +14,16 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/rig"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // writers are clients of the rig's own: they write and read a few keys of the agreed state all the while, past all
 // links but to voters that stop and die, and keep a history of every operation.
 type writers struct {
-	f      *rig.Fleet
+	f      *testcluster.Fleet
 	seed   uint64
 	began  time.Time
 	mu     sync.Mutex
@@ -64,7 +64,7 @@
 func (w *writers) one(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(w.seed, uint64(0x3177e5+i)))
 	me := lease.Member{ID: fmt.Sprintf("rig-%d", i), Boot: w.seed<<8 | uint64(i) | 1}
-	c := fleetlink.NewClient(rig.FleetName, me, "", w.f.Voters(), w.f.Addresses(-1), slog.New(slog.DiscardHandler))
+	c := controlrpc.NewClient(testcluster.FleetName, me, "", w.f.Voters(), w.f.Addresses(-1), slog.New(slog.DiscardHandler))
 	defer c.Close()
 	last := map[string]uint64{} // versions as read
 	for n := 0; ctx.Err() == nil; n++ {
@@ -104,7 +104,7 @@
 
 // do carries an operation out, and asks again in the same session for as long as there is no answer: what a client
 // does whose answer got lost.
-func (w *writers) do(ctx context.Context, c *fleetlink.Client, in input) output {
+func (w *writers) do(ctx context.Context, c *controlrpc.Client, in input) output {
 	one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 6*time.Second)
 	defer cancel()
 	if in.what == 'r' {
--- a/internal/ownertrial/judge.go
+++ b/internal/testing/electiontest/judge.go
@@ -1,4 +1,4 @@
-package ownertrial
+package electiontest
 
 import (
 	"context"
@@ -13,15 +13,15 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
-	"mothcleat/internal/usageexporter"
-	"mothcleat/lease"
-	"mothcleat/usageexport"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/controlplane/usageexporter"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // judge waits until all use is exported, and holds what was agreed against what happened.
-func (t *trialRun) judge(ctx context.Context, w *writers, ended time.Duration) (*trial.Figures, error) {
+func (t *trialRun) judge(ctx context.Context, w *writers, ended time.Duration) (*harness.Figures, error) {
 	t.f.Heal()
 	var v usageexport.View
 	sent := t.sent()
@@ -56,7 +56,7 @@
 	if t.o.Logs != "" {
 		t.fail(os.MkdirAll(t.o.Logs, 0o755))
 		for i, g := range t.f.Gateways {
-			t.fail(os.WriteFile(filepath.Join(t.o.Logs, rig.Name(i)+".log"), []byte(g.Log()), 0o644))
+			t.fail(os.WriteFile(filepath.Join(t.o.Logs, testcluster.Name(i)+".log"), []byte(g.Log()), 0o644))
 		}
 	}
 	f := t.f.Figures("owner")
@@ -168,7 +168,7 @@
 }
 
 // exported holds the files that count against what the servers took.
-func (t *trialRun) exported(f *trial.Figures, v *usageexport.View, sent map[int]float64) {
+func (t *trialRun) exported(f *harness.Figures, v *usageexport.View, sent map[int]float64) {
 	_, loose, err := usageexporter.Verify(t.f.Exports, v)
 	if err != nil {
 		f.Broken["files_not_as_agreed"] = 1
@@ -186,7 +186,7 @@
 			difference += math.Abs(d)
 		}
 		if d > t.slack(i) || -d > t.slack(i) && !t.emptied[i] {
-			f.Miss(fmt.Sprintf("%s sent on %g units, and %g are exported", rig.Name(i), units, got[i]))
+			f.Miss(fmt.Sprintf("%s sent on %g units, and %g are exported", testcluster.Name(i), units, got[i]))
 		}
 	}
 	if gap > 0 && !slices.ContainsFunc(v.Marks, func(m usageexport.Mark) bool { return m.Gap != "" }) {
@@ -233,7 +233,7 @@
 )
 
 // passings tells how long duties were without an owner, by the gateways' own logs.
-func (t *trialRun) passings(f *trial.Figures) {
+func (t *trialRun) passings(f *harness.Figures) {
 	type taken struct {
 		term uint64
 		at   time.Time
@@ -266,8 +266,8 @@
 		}
 	}
 	f.Extra["failovers"], f.Extra["hand_ons"] = len(failed), len(ordered)
-	f.Extra["failover_ms_p50"], f.Extra["failover_ms_p99"] = trial.Quantile(failed, 0.5), trial.Quantile(failed, 0.99)
-	f.Extra["hand_on_ms_p50"], f.Extra["hand_on_ms_p99"] = trial.Quantile(ordered, 0.5), trial.Quantile(ordered, 0.99)
+	f.Extra["failover_ms_p50"], f.Extra["failover_ms_p99"] = harness.Quantile(failed, 0.5), harness.Quantile(failed, 0.99)
+	f.Extra["hand_on_ms_p50"], f.Extra["hand_on_ms_p99"] = harness.Quantile(ordered, 0.5), harness.Quantile(ordered, 0.99)
 }
 
 // leaders counts the terms that had a leader, but for the first.
--- a/internal/ownertrial/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -1,4 +1,4 @@
-package ownertrial
+package electiontest
 
 import (
 	"context"
@@ -14,35 +14,35 @@
 	"testing"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/metering"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/internal/usageexporter"
-	"mothcleat/lease"
-	"mothcleat/store"
-	"mothcleat/usageexport"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/metering"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/controlplane/usageexporter"
+	"mothcleat/internal/storage/store"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 var bin string
 
-func TestMain(m *testing.M) { os.Exit(rig.Main(&bin, m.Run)) }
+func TestMain(m *testing.M) { os.Exit(testcluster.Main(&bin, m.Run)) }
 
 // fleet starts a fleet for a test.
-func fleet(t *testing.T, o rig.Options) *rig.Fleet {
+func fleet(t *testing.T, o testcluster.Options) *testcluster.Fleet {
 	t.Helper()
 	o.Bin, o.Load = bin, 0.2
 	if o.Seed == 0 {
 		o.Seed = 1
 	}
-	return rigtest.Fleet(t, o)
+	return clustertest.Fleet(t, o)
 }
 
 // owner is who holds a duty by the agreed table, asked at a gateway; -1: nobody.
-func owner(f *rig.Fleet, at int, duty string) (int, lease.Holding) {
+func owner(f *testcluster.Fleet, at int, duty string) (int, lease.Holding) {
 	var v lease.View
 	if f.Call(at, "owners", &v) != nil {
 		return -1, lease.Holding{}
@@ -58,10 +58,10 @@
 
 // hasOwner waits for an owner that knows itself to be one: the table alone still names a process that has just ended while the fleet's
 // time stands still.
-func hasOwner(t *testing.T, f *rig.Fleet, at int, duty string, but uint64) (i int, h lease.Holding) {
+func hasOwner(t *testing.T, f *testcluster.Fleet, at int, duty string, but uint64) (i int, h lease.Holding) {
 	t.Helper()
-	rigtest.Eventually(t, "an owner of "+duty, func() (bool, string) {
-		var here fleetnode.Here
+	clustertest.Eventually(t, "an owner of "+duty, func() (bool, string) {
+		var here controlplane.Here
 		if i, h = owner(f, at, duty); i < 0 || h.Term <= but {
 			return false, fmt.Sprintf("%d %+v", i, h)
 		}
@@ -71,9 +71,9 @@
 	return i, h
 }
 
-func view(t *testing.T, f *rig.Fleet, at int) (v usageexport.View) {
+func view(t *testing.T, f *testcluster.Fleet, at int) (v usageexport.View) {
 	t.Helper()
-	rigtest.Eventually(t, "the exports", func() (bool, string) {
+	clustertest.Eventually(t, "the exports", func() (bool, string) {
 		err := f.Call(at, "exports", &v)
 		return err == nil, fmt.Sprint(err)
 	})
@@ -81,7 +81,7 @@
 }
 
 // another is a gateway other than some.
-func another(f *rig.Fleet, but ...int) int {
+func another(f *testcluster.Fleet, but ...int) int {
 next:
 	for i := range f.Gateways {
 		for _, b := range but {
@@ -96,7 +96,7 @@
 
 // An owner that is killed is followed by another under a higher term.
 func TestAnotherFollowsAKilledOwner(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 3})
+	f := fleet(t, testcluster.Options{Instances: 3})
 	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	if err := f.End(i, 9); err != nil {
@@ -109,22 +109,22 @@
 }
 
 // flag asks a gateway for a fault at a named point.
-func flag(t *testing.T, f *rig.Fleet, i int, name string) {
+func flag(t *testing.T, f *testcluster.Fleet, i int, name string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(f.Gateways[i].Dir(), name), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func logged(t *testing.T, f *rig.Fleet, i int, what string) {
+func logged(t *testing.T, f *testcluster.Fleet, i int, what string) {
 	t.Helper()
-	rigtest.Eventually(t, rig.Name(i)+" logs "+what, func() (bool, string) {
+	clustertest.Eventually(t, testcluster.Name(i)+" logs "+what, func() (bool, string) {
 		return strings.Contains(f.Gateways[i].Log(), what), ""
 	})
 }
 
 // traffic has clients ask for a while, and waits until all that was sent on is exported.
-func traffic(t *testing.T, f *rig.Fleet, d time.Duration) {
+func traffic(t *testing.T, f *testcluster.Fleet, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
@@ -132,7 +132,7 @@
 }
 
 // exported waits until the files that count hold all that the servers took, but for some units.
-func exported(t *testing.T, f *rig.Fleet, at int, lacking float64) usageexport.View {
+func exported(t *testing.T, f *testcluster.Fleet, at int, lacking float64) usageexport.View {
 	t.Helper()
 	run := &trialRun{f: f}
 	want := 0.0
@@ -143,7 +143,7 @@
 		t.Fatal("nothing was sent on: nothing is shown")
 	}
 	var v usageexport.View
-	rigtest.Eventually(t, fmt.Sprintf("%g units exported", want), func() (bool, string) {
+	clustertest.Eventually(t, fmt.Sprintf("%g units exported", want), func() (bool, string) {
 		if f.Call(at, "exports", &v) != nil {
 			return false, "nobody tells"
 		}
@@ -169,7 +169,7 @@
 // An owner that lies stopped (by SIGSTOP to itself, at a named point) between its check and its write, and wakes when
 // another has gone on: its word is refused, nothing is exported twice, and it notices by itself.
 func TestAnOwnerThatWakesLateDoesNoHarm(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" }})
+	f := fleet(t, testcluster.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" }})
 	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	flag(t, f, i, "stop")
@@ -178,11 +178,11 @@
 		defer close(asked)
 		traffic(t, f, 2*time.Second)
 	}()
-	rigtest.Eventually(t, "the owner stops itself", func() (bool, string) { return f.Stopped(i), "" })
+	clustertest.Eventually(t, "the owner stops itself", func() (bool, string) { return f.Stopped(i), "" })
 	at := another(f, i)
 	_, next := hasOwner(t, f, at, duty, h.Term)
 	before := view(t, f, at)
-	rigtest.Eventually(t, "the next owner exports", func() (bool, string) {
+	clustertest.Eventually(t, "the next owner exports", func() (bool, string) {
 		v := view(t, f, at)
 		return v.Count > before.Count && v.Files[len(v.Files)-1].Term == next.Term, ""
 	})
@@ -198,39 +198,39 @@
 // A link that is lost one way only, at the log's leader: heard by nobody, then hearing nobody. Another leads each
 // time, and what is agreed goes on.
 func TestALeaderHalfCutOff(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	run := &trialRun{f: f, o: Options{Instances: 4, Shards: 1}}
 	for _, says := range []bool{true, false} {
 		var i int
-		rigtest.Eventually(t, "a leader", func() (bool, string) { i = run.leader(); return i >= 0, "" })
-		var was agree.List
+		clustertest.Eventually(t, "a leader", func() (bool, string) { i = run.leader(); return i >= 0, "" })
+		var was consensus.List
 		if err := run.view("status", &was); err != nil {
 			t.Fatal(err)
 		}
 		held := f.Held()
 		f.Isolate(i, says, !says, true)
 		at := another(f, i)
-		rigtest.Eventually(t, "another leader", func() (bool, string) {
-			var l agree.List
+		clustertest.Eventually(t, "another leader", func() (bool, string) {
+			var l consensus.List
 			err := f.Call(at, "status", &l)
-			return err == nil && l.Leader != rig.Name(i) && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
+			return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 		})
 		hasOwner(t, f, at, usageexport.Duty(0), 0)
 		if f.Held() == held {
 			t.Error("the cut met nothing: nothing was shown")
 		}
 		f.Isolate(i, says, !says, false)
-		rigtest.Eventually(t, "the cut one follows", func() (bool, string) {
+		clustertest.Eventually(t, "the cut one follows", func() (bool, string) {
 			var h struct{ Leader string }
 			err := f.Call(i, "here", &h)
-			return err == nil && h.Leader != "" && h.Leader != rig.Name(i), fmt.Sprint(h, err)
+			return err == nil && h.Leader != "" && h.Leader != testcluster.Name(i), fmt.Sprint(h, err)
 		})
 	}
 }
 
 // A voter that comes back with an older folder, or without one, must not vote, and says how to mend it.
 func TestAVoterWithAnOldOrEmptyFolderDoesNotVote(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 3, usageexport.Duty(0), 0)
 	if err := f.Save(2); err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 	}
 	logged(t, f, 2, "must not vote: the operators' file names this gateway as a voter, but its folder is no voter's")
 	// The way out that the lines tell: removed, made anew, added.
-	rigtest.Eventually(t, "it is removed", func() (bool, string) {
+	clustertest.Eventually(t, "it is removed", func() (bool, string) {
 		err := f.Call(0, "remove n2", nil)
 		return err == nil || strings.Contains(err.Error(), "no voter"), fmt.Sprint(err)
 	})
@@ -256,9 +256,9 @@
 		f.Command(2, nil, "fleet", "join", "n2", "--operators", "operators.toml"), f.Begin(2)); err != nil {
 		t.Fatal(err)
 	}
-	rigtest.Eventually(t, "it is added", func() (bool, string) { err := f.Call(2, "add", nil); return err == nil, fmt.Sprint(err) })
-	rigtest.Eventually(t, "it votes and is up to date", func() (bool, string) {
-		var l agree.List
+	clustertest.Eventually(t, "it is added", func() (bool, string) { err := f.Call(2, "add", nil); return err == nil, fmt.Sprint(err) })
+	clustertest.Eventually(t, "it votes and is up to date", func() (bool, string) {
+		var l consensus.List
 		var h struct{ Applied uint64 }
 		err := errors.Join(f.Call(0, "status", &l), f.Call(2, "here", &h))
 		return err == nil && len(l.Voters) == 3 && h.Applied+20 > l.Applied, fmt.Sprintf("%+v %+v %v", l, h, err)
@@ -269,7 +269,7 @@
 	}
 	_, h := hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	if err := f.Call(0, "transfer "+h.Duty+" n3", nil); err != nil && h.Owner.ID != "n3" {
-		rigtest.Eventually(t, "something is agreed", func() (bool, string) {
+		clustertest.Eventually(t, "something is agreed", func() (bool, string) {
 			err := f.Call(0, "transfer "+h.Duty+" n3", nil)
 			return err == nil || strings.Contains(err.Error(), "already"), fmt.Sprint(err)
 		})
@@ -278,7 +278,7 @@
 
 // A voter's folder copied to another gateway does not vote a second time.
 func TestACopiedFolderDoesNotVote(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 3, usageexport.Duty(0), 0)
 	if err := errors.Join(f.End(3, syscall.SIGTERM), f.Copy(0, 3), f.Begin(3)); err != nil {
 		t.Fatal(err)
@@ -294,7 +294,7 @@
 // All voters killed at once and back: what was agreed is there, and duties go on under higher terms. While a
 // majority is lost nothing new is agreed, and gateways serve on.
 func TestAllVotersKilledAtOnce(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	duty := usageexport.Duty(0)
 	_, h := hasOwner(t, f, 3, duty, 0)
 	traffic(t, f, 2*time.Second)
@@ -328,7 +328,7 @@
 
 // Clocks that are far off, slow, or leap under way: the duty is handed on, and effects have one owner.
 func TestClocksThatAreOff(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4, Env: func(i int) string {
+	f := fleet(t, testcluster.Options{Instances: 4, Env: func(i int) string {
 		return "MOTHCLEAT_FAULTS=" + []string{"ahead=30s", "pace=0.9", "jump=40s@3s", "pace=1.02"}[i]
 	}})
 	duty := usageexport.Duty(0)
@@ -336,8 +336,8 @@
 		i, h := hasOwner(t, f, 0, duty, 0)
 		traffic(t, f, time.Second)
 		to := (i + 1) % 4
-		rigtest.Eventually(t, "the duty is handed on", func() (bool, string) {
-			_ = f.Call(0, fmt.Sprintf("transfer %s %s", duty, rig.Name(to)), nil)
+		clustertest.Eventually(t, "the duty is handed on", func() (bool, string) {
+			_ = f.Call(0, fmt.Sprintf("transfer %s %s", duty, testcluster.Name(to)), nil)
 			j, next := owner(f, 0, duty)
 			return j >= 0 && next.Term > h.Term, fmt.Sprintf("%d %+v", j, next)
 		})
@@ -347,7 +347,7 @@
 
 // A disk that stalls, at the leader: another leads, and the slow one comes back.
 func TestALeaderWithASlowDisk(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 3, Env: func(int) string { return "MOTHCLEAT_FAULTS=slow=voter-before-sync:3s@slow" }})
+	f := fleet(t, testcluster.Options{Instances: 3, Env: func(int) string { return "MOTHCLEAT_FAULTS=slow=voter-before-sync:3s@slow" }})
 	run := &trialRun{f: f, o: Options{Instances: 3, Shards: 1}}
 	hasOwner(t, f, 0, usageexport.Duty(0), 0)
 	i := run.leader()
@@ -356,15 +356,15 @@
 	}
 	flag(t, f, i, "slow")
 	at := another(f, i)
-	rigtest.Eventually(t, "another leader", func() (bool, string) {
-		var l agree.List
+	clustertest.Eventually(t, "another leader", func() (bool, string) {
+		var l consensus.List
 		err := f.Call(at, "status", &l)
-		return err == nil && l.Leader != rig.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
+		return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
 	})
 	if err := os.Remove(filepath.Join(f.Gateways[i].Dir(), "slow")); err != nil {
 		t.Fatal(err)
 	}
-	rigtest.Eventually(t, "the slow one follows", func() (bool, string) {
+	clustertest.Eventually(t, "the slow one follows", func() (bool, string) {
 		var h struct{ Leader, Trouble string }
 		err := f.Call(i, "here", &h)
 		return err == nil && h.Leader != "" && h.Trouble == "", fmt.Sprint(h, err)
@@ -374,22 +374,22 @@
 // Two processes with one id: the newer goes on, the older is refused with a line that says which. On one folder the
 // second takes no part.
 func TestTwoProcessesWithOneID(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 0, usageexport.Duty(0), 0)
-	rigtest.Eventually(t, "n3 has its id", func() (bool, string) { // else it would be the newer one
-		var l agree.List
+	clustertest.Eventually(t, "n3 has its id", func() (bool, string) { // else it would be the newer one
+		var l consensus.List
 		err := f.Call(0, "status", &l)
-		return err == nil && slices.ContainsFunc(l.Members, func(p agree.Present) bool { return p.ID == "n3" }), fmt.Sprintf("%+v %v", l.Members, err)
+		return err == nil && slices.ContainsFunc(l.Members, func(p consensus.Present) bool { return p.ID == "n3" }), fmt.Sprintf("%+v %v", l.Members, err)
 	})
 	me := lease.Member{ID: "n3", Boot: 42}
-	c := fleetlink.NewClient(rig.FleetName, me, "", f.Voters(), f.Addresses(-1), slog.New(slog.DiscardHandler))
+	c := controlrpc.NewClient(testcluster.FleetName, me, "", f.Voters(), f.Addresses(-1), slog.New(slog.DiscardHandler))
 	defer c.Close()
 	if _, err := c.Do(t.Context(), checkpoint.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
 		t.Fatal(err)
 	}
 	logged(t, f, 3, "another process has taken the id n3 since")
 
-	second, err := metering.Open(fleetnode.UseDir(f.FleetDir(0)), "n0", 7, time.Second, slog.New(slog.DiscardHandler))
+	second, err := metering.Open(controlplane.UseDir(f.FleetDir(0)), "n0", 7, time.Second, slog.New(slog.DiscardHandler))
 	if !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a second process on one folder: %v, %v", second, err)
 	}
@@ -398,7 +398,7 @@
 // A gateway told to stop hands its duty on: the next has it without a span of silence. One whose folder is lost leaves
 // a gap that is told.
 func TestHandingOnAndALostFolder(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4})
+	f := fleet(t, testcluster.Options{Instances: 4})
 	duty := usageexport.Duty(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	traffic(t, f, 2*time.Second)
@@ -423,7 +423,7 @@
 	if err := errors.Join(f.End(3, syscall.SIGKILL), f.Empty(3), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
-	rigtest.Eventually(t, "the gap of boot "+boot, func() (bool, string) {
+	clustertest.Eventually(t, "the gap of boot "+boot, func() (bool, string) {
 		for _, m := range view(t, f, at).Marks {
 			if m.Boot == boot && m.Gap != "" {
 				return true, ""
--- a/internal/ownertrial/run.go
+++ b/internal/testing/electiontest/run.go
@@ -1,7 +1,7 @@
-// Package ownertrial has a fleet of real gateways hold duties while links and processes fail, and judges by
+// Package electiontest has a fleet of real gateways hold duties while links and processes fail, and judges by
 // effects whether there was one owner at a time: by what was agreed, by the files that count, and by what the stand-in
 // servers took.
-package ownertrial
+package electiontest
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"syscall"
 	"time"
 
-	"mothcleat/agree"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/rig"
-	"mothcleat/internal/trial"
-	"mothcleat/lease"
-	"mothcleat/usageexport"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/usageexport"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // Options say what is played.
@@ -51,7 +51,7 @@
 
 // trialRun is one run.
 type trialRun struct {
-	f        *rig.Fleet
+	f        *testcluster.Fleet
 	o        Options
 	progress io.Writer
 	asked    atomic.Int32 // the gateway that answered last
@@ -73,14 +73,14 @@
 }
 
 // Run plays a fleet and judges it.
-func Run(ctx context.Context, o Options, progress io.Writer) (*trial.Figures, error) {
+func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Figures, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
 	}
 	if o.Shards == 0 {
 		o.Shards = 2
 	}
-	f, err := rig.New(ctx, rig.Options{Seed: o.Seed, Instances: o.Instances, Load: o.Load, Bin: o.Bin, Log: progress,
+	f, err := testcluster.New(ctx, testcluster.Options{Seed: o.Seed, Instances: o.Instances, Load: o.Load, Bin: o.Bin, Log: progress,
 		Fleet: fmt.Sprintf("shards = %d\nkeep = 64", o.Shards)})
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 func (t *trialRun) atRest(ctx context.Context) float64 {
 	const length = 3 * time.Second
 	before := t.f.Passed()
-	if !rig.Pass(ctx, length) {
+	if !testcluster.Pass(ctx, length) {
 		return 0
 	}
 	return float64(t.f.Passed()-before) / length.Seconds() / float64(t.o.Instances)
@@ -137,7 +137,7 @@
 // clients has further processes keep a session and watch.
 func (t *trialRun) clients(ctx context.Context) {
 	for i := range t.o.Clients {
-		c := fleetlink.NewClient(rig.FleetName, lease.Member{ID: fmt.Sprintf("client-%d", i), Boot: t.o.Seed<<16 | uint64(i) | 1}, "",
+		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{ID: fmt.Sprintf("client-%d", i), Boot: t.o.Seed<<16 | uint64(i) | 1}, "",
 			t.f.Voters(), t.f.Addresses(-1), slog.New(slog.DiscardHandler))
 		go c.Live(ctx)
 		go c.Watch(ctx, lease.MachineName, func([]byte) {})
@@ -202,7 +202,7 @@
 
 // leader is the voter that leads; -1: nobody tells.
 func (t *trialRun) leader() int {
-	var l agree.List
+	var l consensus.List
 	if t.view("status", &l) != nil {
 		return -1
 	}
--- a/internal/ownertrial/watch_test.go
+++ b/internal/testing/electiontest/watch_test.go
@@ -1,4 +1,4 @@
-package ownertrial
+package electiontest
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/rig"
-	"mothcleat/internal/rig/rigtest"
-	"mothcleat/roster"
+	"mothcleat/internal/controlplane/endpointlist"
+	"mothcleat/internal/testing/testcluster"
+	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
 // calls are how often each gateway's agent was asked from a moment on.
-func calls(f *rig.Fleet, since time.Time) (n []int) {
+func calls(f *testcluster.Fleet, since time.Time) (n []int) {
 	for i := range f.Gateways {
 		count := 0
 		for _, at := range f.Consul.Agent(i).Calls() {
@@ -30,16 +30,16 @@
 // One gateway watches the register for all: a drain told to it alone ends all work there, with its owner stopped or
 // killed amid it as well; one that hears of nobody watches by itself.
 func TestOneWatchOfTheRegister(t *testing.T) {
-	f := fleet(t, rig.Options{Instances: 4, Consul: true, Load: 0.2})
-	i, h := hasOwner(t, f, 0, roster.Duty, 0)
+	f := fleet(t, testcluster.Options{Instances: 4, Consul: true, Load: 0.2})
+	i, h := hasOwner(t, f, 0, endpointlist.Duty, 0)
 	only := func() {
 		t.Helper()
-		rigtest.Eventually(t, "the owner alone asks its agent", func() (bool, string) {
-			was, h := owner(f, 3, roster.Duty)
+		clustertest.Eventually(t, "the owner alone asks its agent", func() (bool, string) {
+			was, h := owner(f, 3, endpointlist.Duty)
 			since := time.Now()
 			time.Sleep(2500 * time.Millisecond) // longer than a query waits
 			n := calls(f, since)
-			is, now := owner(f, 3, roster.Duty)
+			is, now := owner(f, 3, endpointlist.Duty)
 			if is != was || now.Term != h.Term || is < 0 {
 				return false, "it changes hands"
 			}
@@ -90,7 +90,7 @@
 			t.Error(err)
 		}
 	})
-	_, after := hasOwner(t, f, another(f, i), roster.Duty, h.Term)
+	_, after := hasOwner(t, f, another(f, i), endpointlist.Duty, h.Term)
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
@@ -103,13 +103,13 @@
 	}
 	since := time.Now()
 	logged(t, f, 3, "this gateway watches the register itself")
-	rigtest.Eventually(t, "it asks its agent", func() (bool, string) { n := calls(f, since); return n[3] > 0, fmt.Sprint(n) })
+	clustertest.Eventually(t, "it asks its agent", func() (bool, string) { n := calls(f, since); return n[3] > 0, fmt.Sprint(n) })
 	for k := range 3 {
 		if err := f.Begin(k); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hasOwner(t, f, 3, roster.Duty, after.Term-1)
+	hasOwner(t, f, 3, endpointlist.Duty, after.Term-1)
 	only()
 	if err := errors.Join(f.World.Stop(t.Context())); err != nil {
 		t.Fatal(err)
--- a/internal/experiment/experiment_test.go
+++ b/internal/testing/experiment/experiment_test.go
@@ -140,7 +140,7 @@
 
 // The experiments that are kept can be read.
 func TestKeptExperimentsAreGood(t *testing.T) {
-	files, err := filepath.Glob("../../experiments/*.toml")
+	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) < 6 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
--- a/internal/faultfs/faultfs.go
+++ b/internal/testing/faultfs/faultfs.go
@@ -15,7 +15,7 @@
 	"slices"
 	"sync"
 
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // Kind is what an Op does.
--- a/internal/trial/record.go
+++ b/internal/testing/harness/record.go
@@ -1,11 +1,11 @@
-// Package trial is what every rig shares that plays gateways against a world: the
+// Package harness is what every rig shares that plays gateways against a world: the
 // site that a seed draws and its traffic, the record of all that clients and servers
 // saw, and the auditor that judges it by the five rules and sums it up. The lab plays
 // real processes in real time, the emulator real decisions in virtual time; a verdict
 // means the same in both.
 //
 // Nothing here knows how a gateway decides.
-package trial
+package harness
 
 import (
 	"sync"
--- a/internal/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // How the gateways ask in the lab: an allowance is kept for 2 s, as the stand-in says,
@@ -37,14 +37,14 @@
 
 // RunAuth runs three gateways that ask an authenticator which stalls, flaps, errs
 // and crashes, beside three that ask nobody.
-func RunAuth(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*trial.Figures, error) {
+func RunAuth(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*harness.Figures, error) {
 	bin, remove, err := BuildAside(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
 	type result struct {
-		f   *trial.Figures
+		f   *harness.Figures
 		err error
 	}
 	without := make(chan result, 1)
@@ -67,18 +67,18 @@
 	return f, nil
 }
 
-func runAuthWorld(ctx context.Context, seed uint64, length time.Duration, bin string, asks bool, progress io.Writer) (*trial.Figures, error) {
+func runAuthWorld(ctx context.Context, seed uint64, length time.Duration, bin string, asks bool, progress io.Writer) (*harness.Figures, error) {
 	const gateways, servers, load = 3, 36, 0.5
 	o := Options{Seed: seed, Gateways: gateways, Servers: servers, Load: load, Bin: bin, Log: progress}
 	var a *Authenticator
 	if asks {
 		denied := map[string]bool{}
-		for i, c := range trial.NewSite(seed, gateways, servers, load).Customers { // the same draw as the world's
+		for i, c := range harness.NewSite(seed, gateways, servers, load).Customers { // the same draw as the world's
 			denied[c.ID] = i%10 == 0
 		}
 		// The record is the world's; it is put in place below, before anything is asked.
 		var err error
-		if a, err = NewAuthenticator(trial.NewRecord(), denied, seed); err != nil {
+		if a, err = NewAuthenticator(harness.NewRecord(), denied, seed); err != nil {
 			return nil, err
 		}
 		defer a.Close()
@@ -121,7 +121,7 @@
 	}
 	f := w.figures("auth")
 	f.Extra["cpu_us_per_try"] = cpu * 1e6 / float64(max(1, f.Taken))
-	f.Extra["p999_ms"] = trial.Percentile(w.Site, w.Record, 0.999)
+	f.Extra["p999_ms"] = harness.Percentile(w.Site, w.Record, 0.999)
 	if asks {
 		f.Extra["calls_per_try"] = float64(a.calls) / float64(max(1, f.Taken))
 		judgeAsked(f, w, a)
@@ -142,7 +142,7 @@
 			if m != Answers {
 				fmt.Fprintln(progress, "the authenticator", names[m])
 			}
-			if !sleep(ctx, time.Duration(trial.Between(r, 1.5, 3)*float64(time.Second))) {
+			if !sleep(ctx, time.Duration(harness.Between(r, 1.5, 3)*float64(time.Second))) {
 				return a.SetMood(Answers)
 			}
 		}
@@ -151,7 +151,7 @@
 
 // judgeAsked judges what the authenticator saw against what went on. Units that went on for
 // a try whose customer had no allowance that could still hold are the difference.
-func judgeAsked(f *trial.Figures, w *World, a *Authenticator) {
+func judgeAsked(f *harness.Figures, w *World, a *Authenticator) {
 	seen := map[string]time.Duration{}
 	for _, at := range w.Record.Attempts {
 		if first, ok := seen[at.ID]; !ok || at.First < first {
@@ -163,10 +163,10 @@
 		at, went := seen[t.ID]
 		if went {
 			on++
-			if !a.allowed(t.Customer, t.Sent-authKept-authStale-trial.OnSockets, at) {
+			if !a.allowed(t.Customer, t.Sent-authKept-authStale-harness.OnSockets, at) {
 				difference += t.Units
 			}
-		} else if t.Kind == trial.Failed {
+		} else if t.Kind == harness.Failed {
 			denied++
 		}
 	}
--- a/internal/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -5,24 +5,24 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 const ms = time.Millisecond
 
 // What went on without an allowance that could hold is counted, in units.
 func TestWhatWentOnUnallowedIsCounted(t *testing.T) {
-	s := trial.NewSite(1, 2, 4, 0.5)
+	s := harness.NewSite(1, 2, 4, 0.5)
 	for _, c := range []struct {
 		allowed time.Duration // when the customer was allowed; the first try is sent at 1 s
 		want    float64
 	}{{900 * ms, 0}, {-3 * time.Second, 2}, {1500 * ms, 2}} {
-		rec := trial.NewRecord()
-		rec.AddTry(trial.Try{ID: "1", First: "1", Customer: "c", Units: 2, Asked: time.Second, Sent: time.Second,
-			Wait: 2 * time.Second, Answered: 1200 * ms, Kind: trial.Served, Answers: 1})
-		rec.AddAttempt(trial.Attempt{ID: "1", Server: "a", First: 1005 * ms, Whole: 1005 * ms, Ran: true, Effect: true})
+		rec := harness.NewRecord()
+		rec.AddTry(harness.Try{ID: "1", First: "1", Customer: "c", Units: 2, Asked: time.Second, Sent: time.Second,
+			Wait: 2 * time.Second, Answered: 1200 * ms, Kind: harness.Served, Answers: 1})
+		rec.AddAttempt(harness.Attempt{ID: "1", Server: "a", First: 1005 * ms, Whole: 1005 * ms, Ran: true, Effect: true})
 		a := &Authenticator{allows: map[string][]time.Duration{"c": {c.allowed}}}
-		f := trial.Figure("auth", 1, s, rec)
+		f := harness.Figure("auth", 1, s, rec)
 		judgeAsked(f, &World{Site: s, Record: rec}, a)
 		if f.Extra["quota_difference"] != c.want {
 			t.Errorf("allowed at %v: %v units", c.allowed, f.Extra["quota_difference"])
@@ -31,7 +31,7 @@
 }
 
 func TestAuthenticatorMoods(t *testing.T) {
-	a, err := NewAuthenticator(trial.NewRecord(), map[string]bool{"no": true}, 1)
+	a, err := NewAuthenticator(harness.NewRecord(), map[string]bool{"no": true}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/authenticator.go
+++ b/internal/testing/lab/authenticator.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Mood is what an authenticator does.
@@ -27,7 +27,7 @@
 // Authenticator is the stand-in for an HTTP forward authenticator.
 type Authenticator struct {
 	Address string
-	rec     *trial.Record
+	rec     *harness.Record
 
 	mu      sync.Mutex
 	rand    *rand.Rand
@@ -41,7 +41,7 @@
 }
 
 // NewAuthenticator starts one that denies the customers given.
-func NewAuthenticator(rec *trial.Record, denied map[string]bool, seed uint64) (*Authenticator, error) {
+func NewAuthenticator(rec *harness.Record, denied map[string]bool, seed uint64) (*Authenticator, error) {
 	a := &Authenticator{rec: rec, rand: rand.New(rand.NewPCG(seed, 0xa)), denied: denied,
 		allows: map[string][]time.Duration{}, changed: make(chan struct{}), Address: "127.0.0.1:0"}
 	return a, a.listen()
--- a/internal/lab/consulregister.go
+++ b/internal/testing/lab/consulregister.go
@@ -5,14 +5,14 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // ConsulRegister is Consul as a world's register: an agent for each gateway, which
 // hears of a change some time after it happened.
 type ConsulRegister struct {
 	agents []*Consul
-	rec    *trial.Record
+	rec    *harness.Record
 	lag    time.Duration
 
 	mu      sync.Mutex
@@ -27,7 +27,7 @@
 const consulName = "quotes"
 
 // NewConsulRegister starts the agents.
-func NewConsulRegister(rec *trial.Record, gateways int, lag time.Duration, seed uint64) (*ConsulRegister, error) {
+func NewConsulRegister(rec *harness.Record, gateways int, lag time.Duration, seed uint64) (*ConsulRegister, error) {
 	r := &ConsulRegister{rec: rec, lag: lag, rand: rand.New(rand.NewPCG(seed, 0xc0c)), changed: map[string][]time.Duration{}}
 	for g := range gateways {
 		a, err := NewConsul(seed + uint64(g))
@@ -128,7 +128,7 @@
 			continue
 		}
 		r.stopped[g][id] = stop
-		r.rec.AddTold(trial.Told{Gateway: g, Server: id, Stop: stop, At: now})
+		r.rec.AddTold(harness.Told{Gateway: g, Server: id, Stop: stop, At: now})
 		if at := r.changed[id]; stop && there && len(at) > 0 {
 			r.lags = append(r.lags, now-at[len(at)-1])
 		}
--- a/internal/lab/consulrun.go
+++ b/internal/testing/lab/consulrun.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 const consulText = `[register]
@@ -32,13 +32,13 @@
 // falls silent and contradicts itself, beside gateways that follow the platform's
 // register. Quote servers drain and restart in both. With Silent nothing changes but that
 // Consul says nothing any more, beside gateways whose Consul goes on.
-func RunConsul(ctx context.Context, o ConsulOptions, progress io.Writer) (*trial.Figures, error) {
+func RunConsul(ctx context.Context, o ConsulOptions, progress io.Writer) (*harness.Figures, error) {
 	remove, err := buildIfNone(ctx, &o.Bin)
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
-	var figures [2]*trial.Figures
+	var figures [2]*harness.Figures
 	var errs [2]error
 	var wg sync.WaitGroup
 	for i, log := range []io.Writer{progress, io.Discard} {
@@ -67,7 +67,7 @@
 }
 
 // runConsulWorld runs one of the two worlds: first is the one that things happen to.
-func runConsulWorld(ctx context.Context, o ConsulOptions, first bool, progress io.Writer) (*trial.Figures, error) {
+func runConsulWorld(ctx context.Context, o ConsulOptions, first bool, progress io.Writer) (*harness.Figures, error) {
 	seed, length, consul := o.Seed, o.For, first || o.Silent
 	wo := Options{Seed: seed, Gateways: 4, Servers: 12, Load: 0.5, Bin: o.Bin, Consul: consul, Log: progress}
 	if consul {
@@ -114,7 +114,7 @@
 	}
 	f.Extra["drain_to_last_send_ms_max"] = lastSend(w.Record).Milliseconds()
 	if consul {
-		f.Extra["told_lag_ms_p99"] = trial.Quantile(w.Consul.lags, 0.99)
+		f.Extra["told_lag_ms_p99"] = harness.Quantile(w.Consul.lags, 0.99)
 		most := 0
 		for _, a := range w.Consul.agents {
 			most = max(most, busiest(a.Calls()))
@@ -140,7 +140,7 @@
 		{"answers out of order", ConsulFault{Reorder: 0.4}}, {"answers 500", ConsulFault{Errs: true}}, {"drops answers", ConsulFault{Drop: 0.5}},
 		{"ends its answers in the middle", ConsulFault{Half: true}}, {"answers at once", ConsulFault{AtOnce: true}},
 	}
-	for i := 0; sleep(ctx, time.Duration(trial.Between(rnd, 0.5, 2)*float64(time.Second))); i++ {
+	for i := 0; sleep(ctx, time.Duration(harness.Between(rnd, 0.5, 2)*float64(time.Second))); i++ {
 		k := kinds[i%len(kinds)]
 		agents := r.agents
 		if rnd.IntN(2) == 0 {
@@ -151,7 +151,7 @@
 		for _, a := range agents {
 			a.SetFault(k.fault)
 		}
-		sleep(ctx, min(length/8, time.Duration(trial.Between(rnd, 2, 6)*float64(time.Second))))
+		sleep(ctx, min(length/8, time.Duration(harness.Between(rnd, 2, 6)*float64(time.Second))))
 		for _, a := range agents {
 			a.SetFault(ConsulFault{})
 		}
@@ -160,7 +160,7 @@
 
 // lastSend is the longest time from when a gateway was told to stop sending to a
 // server until it sent to it all the same.
-func lastSend(rec *trial.Record) (most time.Duration) {
+func lastSend(rec *harness.Record) (most time.Duration) {
 	for _, a := range rec.Attempts {
 		stop, since := false, time.Duration(0)
 		for _, t := range rec.Told {
--- a/internal/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // FleetOptions say how a fleet is treated.
@@ -38,7 +38,7 @@
 // RunFleet runs a fleet and restarts its instances in every way, at random. With
 // both, two worlds of the same seed run side by side; with Whole a third one, in
 // which nothing restarts.
-func RunFleet(ctx context.Context, o FleetOptions, progress io.Writer) (*trial.Figures, error) {
+func RunFleet(ctx context.Context, o FleetOptions, progress io.Writer) (*harness.Figures, error) {
 	if o.Load == 0 {
 		o.Load = 0.55
 	}
@@ -64,7 +64,7 @@
 		still.Quiet = true
 		worlds = append(worlds, world{"undisturbed", still, true})
 	}
-	figures, errs := make([]*trial.Figures, len(worlds)), make([]error, len(worlds))
+	figures, errs := make([]*harness.Figures, len(worlds)), make([]error, len(worlds))
 	var wg sync.WaitGroup
 	for i, w := range worlds {
 		wg.Add(1)
@@ -101,8 +101,8 @@
 // compare judges a whole-fleet restart against a fleet that had none: what is
 // handed out beyond the quotas, as a part of all that is handed out, is no more
 // but for one part in twenty.
-func compare(f, still *trial.Figures) {
-	sent := func(f *trial.Figures) float64 { return f.Extra["sent_units"].(float64) }
+func compare(f, still *harness.Figures) {
+	sent := func(f *harness.Figures) float64 { return f.Extra["sent_units"].(float64) }
 	mine, other := f.Over/sent(f), still.Over/sent(still)
 	f.Extra["over_quota_share"], f.Extra["over_quota_share_undisturbed"] = mine, other
 	if mine > other+0.05 {
@@ -110,7 +110,7 @@
 	}
 }
 
-func runWorld(ctx context.Context, o FleetOptions, state bool, progress io.Writer) (*trial.Figures, error) {
+func runWorld(ctx context.Context, o FleetOptions, state bool, progress io.Writer) (*harness.Figures, error) {
 	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Instances, Servers: 12, Load: o.Load, Bin: o.Bin,
 		Operators: operatorsText(state), Log: progress})
 	if err != nil {
@@ -269,7 +269,7 @@
 		c.mu.Unlock()
 	default:
 		c.did("in place")
-		c.w.Record.AddLife(g.Number, trial.Ready)
+		c.w.Record.AddLife(g.Number, harness.Ready)
 		g.mu.Lock()
 		g.readyIn = append(g.readyIn, c.w.Record.Now()-began)
 		g.mu.Unlock()
@@ -316,7 +316,7 @@
 // servers drains, kills and restarts one quote server after another: after each
 // start there is a cold one.
 func (c *chaos) servers(ctx context.Context, r *rand.Rand) {
-	for sleep(ctx, time.Duration(trial.Between(r, 1, 4)*float64(time.Second))) {
+	for sleep(ctx, time.Duration(harness.Between(r, 1, 4)*float64(time.Second))) {
 		sv := c.w.Servers[r.IntN(len(c.w.Servers))]
 		if up, _ := sv.Up(); !up {
 			continue
@@ -328,7 +328,7 @@
 			}
 		}
 		c.w.KillServer(sv)
-		if !sleep(ctx, time.Duration(trial.Between(r, 1, 3)*float64(time.Second))) {
+		if !sleep(ctx, time.Duration(harness.Between(r, 1, 3)*float64(time.Second))) {
 			return
 		}
 		if err := c.w.StartServer(sv); err != nil {
@@ -345,7 +345,7 @@
 }
 
 // figures adds what was done and how the gateways took it.
-func (c *chaos) figures(f *trial.Figures) {
+func (c *chaos) figures(f *harness.Figures) {
 	rec, s := c.w.Record, c.w.Site
 	var ready []time.Duration
 	rss := 0
@@ -367,7 +367,7 @@
 	refused, inPlace := refusals(rec)
 	f.Extra["refused_connections"], f.Extra["refused_connections_in_place"] = refused, inPlace
 	f.Extra["service_10s_after_restart"] = afterRestart(s, rec, 10*time.Second)
-	f.Extra["sent_units"] = trial.SentUnits(rec)
+	f.Extra["sent_units"] = harness.SentUnits(rec)
 	if inPlace > 0 {
 		f.Miss(fmt.Sprintf("%d connections refused by gateways that were never stopped", inPlace))
 	}
@@ -381,19 +381,19 @@
 
 // refusals counts the connections that found a closed port, and those of them at
 // gateways that nobody had stopped.
-func refusals(rec *trial.Record) (all, inPlace int) {
+func refusals(rec *harness.Record) (all, inPlace int) {
 	for _, t := range rec.Tries {
 		if t.NoPort == 0 {
 			continue
 		}
 		all++
-		last := trial.Started
+		last := harness.Started
 		for _, l := range rec.Lives {
-			if l.Gateway == t.Gateway && l.At <= t.NoPort && l.Event != trial.Reloaded {
+			if l.Gateway == t.Gateway && l.At <= t.NoPort && l.Event != harness.Reloaded {
 				last = l.Event
 			}
 		}
-		if last == trial.Ready || last == trial.Handed {
+		if last == harness.Ready || last == harness.Handed {
 			inPlace++
 		}
 	}
@@ -402,20 +402,20 @@
 
 // afterRestart is the service of requests that came first to a gateway within
 // some time of its start.
-func afterRestart(s *trial.Site, rec *trial.Record, span time.Duration) float64 {
-	var since []trial.Life
+func afterRestart(s *harness.Site, rec *harness.Record, span time.Duration) float64 {
+	var since []harness.Life
 	first := map[int]bool{}
 	for _, l := range rec.Lives {
-		if l.Event == trial.Started && !first[l.Gateway] {
+		if l.Event == harness.Started && !first[l.Gateway] {
 			first[l.Gateway] = true // the beginning of the run is none
-		} else if l.Event == trial.Started || l.Event == trial.Handed {
+		} else if l.Event == harness.Started || l.Event == harness.Handed {
 			since = append(since, l)
 		}
 	}
-	all := slices.DeleteFunc(trial.Outcomes(s, rec), func(o trial.Outcome) bool {
-		return !slices.ContainsFunc(since, func(l trial.Life) bool {
+	all := slices.DeleteFunc(harness.Outcomes(s, rec), func(o harness.Outcome) bool {
+		return !slices.ContainsFunc(since, func(l harness.Life) bool {
 			return l.Gateway == o.Try.Gateway && o.Try.Asked >= l.At && o.Try.Asked < l.At+span
 		})
 	})
-	return trial.Service(s, all)
+	return harness.Service(s, all)
 }
--- a/internal/lab/fleet_test.go
+++ b/internal/testing/lab/fleet_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // The whole rig in small: real processes are killed, stopped, replaced and reloaded
@@ -181,7 +181,7 @@
 		t.Fatalf("%s", f.Line())
 	}
 	for _, r := range rows {
-		if r.Losses[trial.LossUntold] > 0 {
+		if r.Losses[harness.LossUntold] > 0 {
 			t.Errorf("%d gateways: refusals without a reason: %v", r.Gateways, r.Losses)
 		}
 	}
--- a/internal/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/resp"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/dataplane/resp"
+	"mothcleat/internal/testing/harness"
 )
 
 // front deals requests out among the gateways. It keeps connections, opens more
@@ -24,7 +24,7 @@
 // after some seconds that one has died.
 type front struct {
 	gateways []*Gateway
-	rec      *trial.Record
+	rec      *harness.Record
 	entries  []*entryPoint
 	wg       sync.WaitGroup // polls for gateways that were down
 }
@@ -62,7 +62,7 @@
 	return err == nil && open
 }
 
-func newFront(rec *trial.Record, gateways []*Gateway) *front {
+func newFront(rec *harness.Record, gateways []*Gateway) *front {
 	f := &front{gateways: gateways, rec: rec}
 	for range gateways {
 		f.entries = append(f.entries, &entryPoint{})
@@ -107,7 +107,7 @@
 	defer e.mu.Unlock()
 	if e.failing.IsZero() {
 		e.failing = time.Now()
-		e.notice = time.Duration(trial.Between(rand.New(rand.NewPCG(uint64(g), uint64(e.failing.UnixNano()))), 1, 3.9) * float64(time.Second))
+		e.notice = time.Duration(harness.Between(rand.New(rand.NewPCG(uint64(g), uint64(e.failing.UnixNano()))), 1, 3.9) * float64(time.Second))
 		return
 	}
 	if e.down || time.Since(e.failing) < e.notice {
@@ -181,7 +181,7 @@
 // send sends a try to its gateway and waits for the answer. A kept connection
 // that the gateway closed, unread, has it sent once more on a new one.
 // A client that loses patience closes the connection so long after the request; 0: it waits.
-func (f *front) send(ctx context.Context, s *trial.Site, c *trial.Customer, t *trial.Try, leave time.Duration) {
+func (f *front) send(ctx context.Context, s *harness.Site, c *harness.Customer, t *harness.Try, leave time.Duration) {
 	deadline := time.Now().Add(t.Wait)
 	for again := false; ; again = true {
 		conn, err := f.take(t.Gateway, again)
@@ -197,7 +197,7 @@
 			t.Sent = now
 		}
 		cmd := command(s, c, t, max(time.Millisecond, time.Until(deadline)))
-		until := deadline.Add(trial.OnSockets)
+		until := deadline.Add(harness.OnSockets)
 		if leave > 0 {
 			until = time.Now().Add(leave)
 		}
@@ -216,12 +216,12 @@
 		used := conn.used
 		conn.Close()
 		if errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
-			if t.Kind = trial.Silent; leave > 0 {
-				t.Kind, t.Left = trial.Left, f.rec.Now()
+			if t.Kind = harness.Silent; leave > 0 {
+				t.Kind, t.Left = harness.Left, f.rec.Now()
 			}
 			return
 		}
-		t.Kind, t.Reset = trial.Ended, t.Reset || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+		t.Kind, t.Reset = harness.Ended, t.Reset || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 		if again || !used && !errors.Is(err, io.EOF) {
 			return
 		}
@@ -234,7 +234,7 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-func command(s *trial.Site, c *trial.Customer, t *trial.Try, wait time.Duration) []byte {
+func command(s *harness.Site, c *harness.Customer, t *harness.Try, wait time.Duration) []byte {
 	class := &s.Classes[t.Class]
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d", class.Name, s.Plans[t.Plan].Name, wait.Milliseconds())
 	if t.Key != "" {
@@ -253,7 +253,7 @@
 }
 
 // readAnswer reads the answer to a try.
-func readAnswer(t *trial.Try, in *bufio.Reader, rec *trial.Record) error {
+func readAnswer(t *harness.Try, in *bufio.Reader, rec *harness.Record) error {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		if line != "" && errors.Is(err, io.EOF) {
@@ -264,7 +264,7 @@
 	line = strings.TrimSuffix(line, "\r\n")
 	switch {
 	case strings.HasPrefix(line, "-BUSY"):
-		t.Kind = trial.Refused
+		t.Kind = harness.Refused
 		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
 		t.After = time.Duration(ms) * time.Millisecond
 	case strings.HasPrefix(line, "$") && line != "$-1":
@@ -276,9 +276,9 @@
 		if _, err := io.ReadFull(in, b); err != nil {
 			return err
 		}
-		t.Kind, t.Value = trial.Served, string(b[:n])
+		t.Kind, t.Value = harness.Served, string(b[:n])
 	default:
-		t.Kind = trial.Failed
+		t.Kind = harness.Failed
 	}
 	t.Answers++
 	t.Answered = rec.Now()
@@ -291,8 +291,8 @@
 // Clients send what a site's customers ask for, whatever comes back, and try
 // again through another gateway as clients do.
 type Clients struct {
-	site  *trial.Site
-	rec   *trial.Record
+	site  *harness.Site
+	rec   *harness.Record
 	front *front
 	wg    sync.WaitGroup
 	ids   atomic.Uint64
@@ -303,7 +303,7 @@
 }
 
 // NewClients makes the clients of a site.
-func NewClients(s *trial.Site, rec *trial.Record, gateways []*Gateway, seed uint64) *Clients {
+func NewClients(s *harness.Site, rec *harness.Record, gateways []*Gateway, seed uint64) *Clients {
 	c := &Clients{site: s, rec: rec, front: newFront(rec, gateways), seed: seed}
 	c.ids.Store(seed << 32)
 	return c
@@ -350,12 +350,12 @@
 }
 
 // request sends a request until it is served or the client gives up.
-func (c *Clients) request(ctx context.Context, who *trial.Customer, first trial.Try, r *rand.Rand) {
+func (c *Clients) request(ctx context.Context, who *harness.Customer, first harness.Try, r *rand.Rand) {
 	wait, leave := c.site.Patience(first.Class, r), c.site.Leaves(r)
 	last := -1
 	for n := 0; n <= c.site.Retries; n++ {
 		t := first
-		t.ID, t.Wait = trial.Hex16(c.ids.Add(1)), wait
+		t.ID, t.Wait = harness.Hex16(c.ids.Add(1)), wait
 		if n == 0 {
 			first.First, first.Gateway = t.ID, 0
 			t.First = t.ID
@@ -366,17 +366,17 @@
 		last = t.Gateway
 		c.front.send(ctx, c.site, who, &t, leave)
 		c.rec.AddTry(t)
-		if t.Kind == trial.Served {
+		if t.Kind == harness.Served {
 			c.served.Add(1)
 			return
 		}
-		if t.Kind == trial.Left {
+		if t.Kind == harness.Left {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(trial.Backoff(n, t.After, r)):
+		case <-time.After(harness.Backoff(n, t.After, r)):
 		}
 	}
 }
--- a/internal/lab/play.go
+++ b/internal/testing/lab/play.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // PlayOptions say what world is played and what goes wrong in it.
@@ -19,15 +19,15 @@
 	Load              float64
 	For               time.Duration
 	NoteLoss          float64 // below 0: the site's
-	Faults            []trial.Fault
+	Faults            []harness.Fault
 	Bin               string // of the gateway; "": it is built
 }
 
 // Play plays one world with a list of faults in real processes. Clocks that are off,
 // half-cut notes and restarts from a state are the emulator's alone.
-func Play(ctx context.Context, o PlayOptions) (*trial.Figures, error) {
+func Play(ctx context.Context, o PlayOptions) (*harness.Figures, error) {
 	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, Bin: o.Bin,
-		Operators: recordText, Log: io.Discard, Change: func(s *trial.Site) {
+		Operators: recordText, Log: io.Discard, Change: func(s *harness.Site) {
 			if o.NoteLoss >= 0 {
 				s.NoteLoss = o.NoteLoss
 			}
@@ -63,16 +63,16 @@
 		return nil, err
 	}
 	f := w.figures("play")
-	f.Extra["sent_units"] = trial.SentUnits(w.Record)
+	f.Extra["sent_units"] = harness.SentUnits(w.Record)
 	return f, nil
 }
 
 // befall has a fault happen and waits until it is over, also past the end of the asking.
-func (w *World) befall(f trial.Fault) error {
+func (w *World) befall(f harness.Fault) error {
 	g, sv := w.Gateways[f.N%len(w.Gateways)], w.Servers[f.N%len(w.Servers)]
 	over := func() { time.Sleep(f.For) }
 	switch f.Kind {
-	case trial.Kill:
+	case harness.Kill:
 		if err := g.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
@@ -83,21 +83,21 @@
 		}
 		over()
 		return w.start(ctx, g)
-	case trial.Down:
+	case harness.Down:
 		w.KillServer(sv)
 		over()
 		return w.StartServer(sv)
-	case trial.Drained:
+	case harness.Drained:
 		w.DrainServer(sv)
 		over()
 		w.tell(sv, phaseReady, w.upSince(sv), false)
-	case trial.SilentAt:
+	case harness.SilentAt:
 		w.Register.Silence(true)
 		over()
 		w.Register.Silence(false)
-	case trial.Slow, trial.Errors, trial.Hang, trial.Resets:
-		sv.SetFault(map[trial.FaultKind]Fault{trial.Slow: {Slow: f.X}, trial.Errors: {Errors: f.X},
-			trial.Hang: {Hang: true}, trial.Resets: {Reset: f.X}}[f.Kind])
+	case harness.Slow, harness.Errors, harness.Hang, harness.Resets:
+		sv.SetFault(map[harness.FaultKind]Fault{harness.Slow: {Slow: f.X}, harness.Errors: {Errors: f.X},
+			harness.Hang: {Hang: true}, harness.Resets: {Reset: f.X}}[f.Kind])
 		over()
 		sv.SetFault(Fault{})
 	default:
--- a/internal/lab/process.go
+++ b/internal/testing/lab/process.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Build compiles the gateway and returns the path of its binary.
@@ -68,7 +68,7 @@
 	dir     string
 	bin     string
 	args    []string
-	rec     *trial.Record
+	rec     *harness.Record
 	config  func(*Gateway) map[string]any
 	env     []string // beside the rig's own
 	held    *os.File // the clients' socket, where the rig holds it; nil: the process listens
@@ -116,7 +116,7 @@
 	return netip.AddrFrom4([4]byte{127, byte(64 + pid%128), byte((int(world)*16 + pid/128%16) % 250), byte(1 + i%250)})
 }
 
-func newGateway(dir, bin string, args []string, rec *trial.Record, world uint32, i int) (*Gateway, error) {
+func newGateway(dir, bin string, args []string, rec *harness.Record, world uint32, i int) (*Gateway, error) {
 	host := hostOf(world, i)
 	g := &Gateway{Number: i, dir: filepath.Join(dir, fmt.Sprintf("n%d", i)), bin: bin, args: args, rec: rec}
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
@@ -160,7 +160,7 @@
 		return err
 	}
 	g.pid, g.wanted, g.began = pid, true, g.rec.Now()
-	g.rec.AddLife(g.Number, trial.Started)
+	g.rec.AddLife(g.Number, harness.Started)
 	return nil
 }
 
@@ -262,10 +262,10 @@
 			go g.watch(next)
 			return
 		}
-		g.rec.AddLife(g.Number, trial.Crashed)
+		g.rec.AddLife(g.Number, harness.Crashed)
 		return
 	}
-	g.rec.AddLife(g.Number, trial.Exited)
+	g.rec.AddLife(g.Number, harness.Exited)
 }
 
 func (g *Gateway) pidFile() string { return filepath.Join(g.dir, "pid") }
@@ -319,21 +319,21 @@
 	switch s {
 	case syscall.SIGKILL:
 		g.wanted = false
-		g.rec.AddLife(g.Number, trial.Killed)
+		g.rec.AddLife(g.Number, harness.Killed)
 		for _, pid := range g.older {
 			_ = syscall.Kill(pid, s)
 		}
 	case syscall.SIGTERM:
 		g.wanted = false
-		g.rec.AddLife(g.Number, trial.Stopping)
+		g.rec.AddLife(g.Number, harness.Stopping)
 	case syscall.SIGHUP:
-		g.rec.AddLife(g.Number, trial.Reloaded)
+		g.rec.AddLife(g.Number, harness.Reloaded)
 	case syscall.SIGUSR2:
-		g.rec.AddLife(g.Number, trial.Handed)
+		g.rec.AddLife(g.Number, harness.Handed)
 	case syscall.SIGSTOP:
-		g.rec.AddLife(g.Number, trial.Paused)
+		g.rec.AddLife(g.Number, harness.Paused)
 	case syscall.SIGCONT:
-		g.rec.AddLife(g.Number, trial.Woken)
+		g.rec.AddLife(g.Number, harness.Woken)
 	}
 	g.sample()
 	return syscall.Kill(g.pid, s)
@@ -347,7 +347,7 @@
 		return
 	}
 	if g.wanted = s == 0; s == syscall.SIGKILL {
-		g.rec.AddLife(g.Number, trial.Killed)
+		g.rec.AddLife(g.Number, harness.Killed)
 	}
 }
 
@@ -414,7 +414,7 @@
 			g.mu.Lock()
 			g.readyIn = append(g.readyIn, g.rec.Now()-g.began)
 			g.mu.Unlock()
-			g.rec.AddLife(g.Number, trial.Ready)
+			g.rec.AddLife(g.Number, harness.Ready)
 			return nil
 		}
 		select {
--- a/internal/lab/quota.go
+++ b/internal/testing/lab/quota.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // QuotaOptions say which fleets are compared.
@@ -25,19 +25,19 @@
 
 // quotaRow is what one fleet came to.
 type quotaRow struct {
-	Gateways int                     `json:"gateways"`
-	Service  float64                 `json:"service"`
-	Given    map[string]*trial.Share `json:"given_of_bought"`
-	Over     float64                 `json:"over_quota_units"`
-	Sent     float64                 `json:"sent_units"`
-	Notes    float64                 `json:"notes_per_second"` // to each gateway
-	Losses   map[string]float64      `json:"losses"`
-	OK       bool                    `json:"ok"`
+	Gateways int                       `json:"gateways"`
+	Service  float64                   `json:"service"`
+	Given    map[string]*harness.Share `json:"given_of_bought"`
+	Over     float64                   `json:"over_quota_units"`
+	Sent     float64                   `json:"sent_units"`
+	Notes    float64                   `json:"notes_per_second"` // to each gateway
+	Losses   map[string]float64        `json:"losses"`
+	OK       bool                      `json:"ok"`
 }
 
 // RunQuota plays the same requests to fleets of several sizes side by side, with nothing
 // disturbed, and tells how much of their quotas customers got from each.
-func RunQuota(ctx context.Context, o QuotaOptions, out, progress io.Writer) (*trial.Figures, error) {
+func RunQuota(ctx context.Context, o QuotaOptions, out, progress io.Writer) (*harness.Figures, error) {
 	if len(o.Sizes) == 0 {
 		o.Sizes = QuotaSizes
 	}
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	defer remove()
-	rows, figures, errs := make([]quotaRow, len(o.Sizes)), make([]*trial.Figures, len(o.Sizes)), make([]error, len(o.Sizes))
+	rows, figures, errs := make([]quotaRow, len(o.Sizes)), make([]*harness.Figures, len(o.Sizes)), make([]error, len(o.Sizes))
 	var wg sync.WaitGroup
 	for i, n := range o.Sizes {
 		wg.Add(1)
@@ -68,7 +68,7 @@
 	last := len(rows) - 1
 	f, least, beyond := figures[last], 1.0, 0.0
 	for i, r := range rows {
-		least = min(least, r.Given[trial.Near].Of, r.Given[trial.Over].Of)
+		least = min(least, r.Given[harness.Near].Of, r.Given[harness.Over].Of)
 		beyond = max(beyond, r.Over)
 		if i < last {
 			for rule, n := range figures[i].Broken {
@@ -86,9 +86,9 @@
 	return f, nil
 }
 
-func runQuotaWorld(ctx context.Context, o QuotaOptions, gateways int, progress io.Writer) (quotaRow, *trial.Figures, error) {
+func runQuotaWorld(ctx context.Context, o QuotaOptions, gateways int, progress io.Writer) (quotaRow, *harness.Figures, error) {
 	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: gateways, Servers: 12, Load: o.Load, Bin: o.Bin,
-		Change: func(s *trial.Site) { s.SpreadAll(o.Spread) }, Operators: recordText, Log: progress})
+		Change: func(s *harness.Site) { s.SpreadAll(o.Spread) }, Operators: recordText, Log: progress})
 	if err != nil {
 		return quotaRow{}, nil, err
 	}
@@ -107,17 +107,17 @@
 	if n := w.Notes.Over.Load(); n > 0 {
 		f.Miss(fmt.Sprintf("%d notes over %d bytes", n, noteMost))
 	}
-	return quotaRow{Gateways: gateways, Service: f.Service, Given: trial.GivenOfBought(w.Site, w.Record), Over: f.Over,
-		Sent: trial.SentUnits(w.Record), Notes: notes, Losses: f.Losses, OK: f.OK}, f, nil
+	return quotaRow{Gateways: gateways, Service: f.Service, Given: harness.GivenOfBought(w.Site, w.Record), Over: f.Over,
+		Sent: harness.SentUnits(w.Record), Notes: notes, Losses: f.Losses, OK: f.OK}, f, nil
 }
 
 // quotaTable shows the fleets to a person.
 func quotaTable(out io.Writer, rows []quotaRow) {
 	fmt.Fprintf(out, "\n  %8s %8s %21s %12s %8s   worth lost inside the quotas, by cause\n", "gateways", "service", "given: under near over", "units beyond", "notes/s")
 	for _, r := range rows {
-		fmt.Fprintf(out, "  %8d %8.3f %8.3f %6.3f %6.3f %12.0f %8.1f  ", r.Gateways, r.Service, r.Given[trial.Under].Of,
-			r.Given[trial.Near].Of, r.Given[trial.Over].Of, r.Over, r.Notes)
-		for _, why := range trial.ByLoss(r.Losses) {
+		fmt.Fprintf(out, "  %8d %8.3f %8.3f %6.3f %6.3f %12.0f %8.1f  ", r.Gateways, r.Service, r.Given[harness.Under].Of,
+			r.Given[harness.Near].Of, r.Given[harness.Over].Of, r.Over, r.Notes)
+		for _, why := range harness.ByLoss(r.Losses) {
 			fmt.Fprintf(out, " %s %.3f", why, r.Losses[why])
 		}
 		fmt.Fprintln(out)
--- a/internal/lab/register.go
+++ b/internal/testing/lab/register.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // phases of a server, in the register's words.
@@ -54,7 +54,7 @@
 type agent struct {
 	reg     *Register
 	gateway int
-	rec     *trial.Record
+	rec     *harness.Record
 	server  *http.Server
 	address string
 
@@ -77,7 +77,7 @@
 
 // NewRegister makes a register with its agents; lag is the longest time until one
 // hears of a change.
-func NewRegister(rec *trial.Record, gateways int, lag time.Duration, seed uint64) (*Register, error) {
+func NewRegister(rec *harness.Record, gateways int, lag time.Duration, seed uint64) (*Register, error) {
 	r := &Register{lag: lag, rand: rand.New(rand.NewPCG(seed, 0x2e9))}
 	for g := range gateways {
 		a := &agent{reg: r, gateway: g, rec: rec, members: map[string]*entry{}, changed: make(chan struct{})}
@@ -168,7 +168,7 @@
 		return
 	}
 	e.told = true
-	a.rec.AddTold(trial.Told{Gateway: a.gateway, Server: e.ID, Stop: e.Phase != phaseReady, At: a.rec.Now()})
+	a.rec.AddTold(harness.Told{Gateway: a.gateway, Server: e.ID, Stop: e.Phase != phaseReady, At: a.rec.Now()})
 }
 
 // known is the list as the agent has it, for a gateway's configuration.
--- a/internal/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/resp"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/dataplane/resp"
+	"mothcleat/internal/testing/harness"
 )
 
 const (
@@ -35,8 +35,8 @@
 // so that it can tell who sends; its work is time on one of its cores.
 type Server struct {
 	ID    string
-	site  *trial.Site
-	rec   *trial.Record
+	site  *harness.Site
+	rec   *harness.Record
 	cores int
 	speed float64
 
@@ -44,20 +44,20 @@
 	rand    *rand.Rand
 	up      bool
 	boot    int // in the record
-	life    trial.Boot
+	life    harness.Boot
 	fault   Fault
 	drain   bool
 	conns   map[net.Conn]bool
 	lists   []net.Listener
-	addrs   []string        // by gateway; the same after a restart
-	recent  []trial.Attempt // within the span over which a fall is counted
+	addrs   []string          // by gateway; the same after a restart
+	recent  []harness.Attempt // within the span over which a fall is counted
 	waiting int
 	slots   chan struct{}
 	ended   chan struct{} // closed with this life
 }
 
 // NewServer makes a server that is up and warm.
-func NewServer(s *trial.Site, rec *trial.Record, world uint32, i int, seed uint64) (*Server, error) {
+func NewServer(s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64) (*Server, error) {
 	cores, speed := s.Machine(i)
 	sv := &Server{
 		ID: fmt.Sprintf("s-%08x", 0x1000+i*0x101), site: s, rec: rec, cores: int(cores), speed: speed,
@@ -101,7 +101,7 @@
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
-	sv.life = trial.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: cold, At: sv.rec.Now()}
+	sv.life = harness.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: cold, At: sv.rec.Now()}
 	sv.boot = sv.rec.AddBoot(sv.life)
 	for g, l := range sv.lists {
 		go sv.accept(l, g, sv.ended)
@@ -205,7 +205,7 @@
 		defer close(items)
 		in := resp.NewReader(c)
 		for {
-			_ = c.SetReadDeadline(time.Now().Add(trial.ServerIdle))
+			_ = c.SetReadDeadline(time.Now().Add(harness.ServerIdle))
 			if in.Await() != nil {
 				return
 			}
@@ -233,7 +233,7 @@
 			return
 		}
 		// The idle time begins with the answer.
-		_ = c.SetReadDeadline(time.Now().Add(trial.ServerIdle))
+		_ = c.SetReadDeadline(time.Now().Add(harness.ServerIdle))
 	}
 }
 
@@ -253,12 +253,12 @@
 		return []byte("-ERR unknown command\r\n"), true
 	}
 	fields := fieldsOf(string(args[3]))
-	class := slices.IndexFunc(sv.site.Classes, func(c trial.Class) bool { return c.Name == fields["c"] })
+	class := slices.IndexFunc(sv.site.Classes, func(c harness.Class) bool { return c.Name == fields["c"] })
 	if class < 0 {
 		return []byte("-SYNTAX\r\n"), true
 	}
 	id := string(args[2])
-	a := trial.Attempt{ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, First: first, Whole: whole}
+	a := harness.Attempt{ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, First: first, Whole: whole}
 
 	sv.mu.Lock()
 	a.Work = sv.draw(class)
@@ -315,7 +315,7 @@
 		return nil, false
 	}
 	sv.rec.Replied(n)
-	value := trial.ValueOf(id, sv.ID)
+	value := harness.ValueOf(id, sv.ID)
 	b := resp.AppendArray(nil, 3)
 	b = resp.AppendBulk(b, []byte(value))
 	return append(b, "$-1\r\n$-1\r\n"...), true
@@ -329,7 +329,7 @@
 
 // effect takes note of a key and tells whether its effect happens now: a repeat
 // within the window is dropped, by whichever server it comes to.
-func (sv *Server) effect(a trial.Attempt) bool {
+func (sv *Server) effect(a harness.Attempt) bool {
 	c := &sv.site.Classes[a.Class]
 	if !c.Keyed || a.Key == "" {
 		return true
@@ -338,9 +338,9 @@
 }
 
 // overrun tells whether a cold server has been sent more than it can bear.
-func (sv *Server) overrun(a trial.Attempt) bool {
+func (sv *Server) overrun(a harness.Attempt) bool {
 	sv.recent = append(sv.recent, a)
-	sv.recent = slices.DeleteFunc(sv.recent, func(b trial.Attempt) bool { return a.Whole-b.Whole > sv.site.FallSpan })
+	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool { return a.Whole-b.Whole > sv.site.FallSpan })
 	share := sv.site.Share(&sv.life, a.Whole)
 	if share == 1 {
 		return false
@@ -358,7 +358,7 @@
 }
 
 // work spends a request's time: slots share the cores.
-func (sv *Server) work(a trial.Attempt, life *trial.Boot, f Fault, busy int, ended chan struct{}) bool {
+func (sv *Server) work(a harness.Attempt, life *harness.Boot, f Fault, busy int, ended chan struct{}) bool {
 	need := a.Work.Seconds() / sv.speed * max(1, f.Slow) * max(1, float64(busy)/float64(sv.cores))
 	for need > 0 {
 		step := min(need, 0.1)
--- a/internal/lab/still_test.go
+++ b/internal/testing/lab/still_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // stale are the attempts that reached a server when their client waited no more, as the servers and clients saw it.
-func stale(rec *trial.Record) (n int) {
+func stale(rec *harness.Record) (n int) {
 	until := map[string]time.Duration{}
 	for _, t := range rec.Tries {
 		until[t.ID] = t.Sent + t.Wait
@@ -50,7 +50,7 @@
 	}
 	paused := 0
 	for _, l := range w.Record.Lives {
-		if l.Event == trial.Paused {
+		if l.Event == harness.Paused {
 			paused++
 		}
 	}
--- a/internal/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -8,12 +8,12 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // RunTry is what a newcomer runs: three gateways before ten quote servers, with
 // traffic for a while, one server restarted cold and one drained meanwhile.
-func RunTry(ctx context.Context, seed uint64, length time.Duration, serve bool, out, progress io.Writer) (*trial.Figures, error) {
+func RunTry(ctx context.Context, seed uint64, length time.Duration, serve bool, out, progress io.Writer) (*harness.Figures, error) {
 	w, err := NewWorld(ctx, Options{Seed: seed, Gateways: 3, Servers: 10, Load: 0.6, Log: progress})
 	if err != nil {
 		return nil, err
@@ -58,12 +58,12 @@
 }
 
 // table shows the figures to a person.
-func table(f *trial.Figures, out io.Writer) {
+func table(f *harness.Figures, out io.Writer) {
 	fmt.Fprintf(out, "\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
 		f.Asked, f.InTime, f.Late, f.Refused, f.Failed)
 	fmt.Fprintf(out, "  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth asked inside the quotas\n", f.P50, f.P99, f.Service)
 	fmt.Fprintf(out, "  beyond quotas    %8.1f units sent on\n", f.Over)
-	for _, r := range trial.Rules {
+	for _, r := range harness.Rules {
 		fmt.Fprintf(out, "  rule %-11s %8s\n", r, map[bool]string{true: "kept", false: fmt.Sprintf("BROKEN %d", f.Broken[r])}[f.Broken[r] == 0])
 	}
 	for _, why := range f.Why {
@@ -79,7 +79,7 @@
 		fmt.Fprintln(out, "  "+g.Address)
 	}
 	c := w.Site.Customers[0]
-	t := trial.Try{Class: 0, Plan: c.Plan, Units: 1}
+	t := harness.Try{Class: 0, Plan: c.Plan, Units: 1}
 	parts := strings.Split(string(command(w.Site, &c, &t, time.Second)), "\r\n")
 	fmt.Fprintf(out, "A sample command (its second word is the request's id, new with each request):\n  API.READ %s 00000000000000a1 %s\n", c.ID, parts[8])
 }
--- a/internal/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // UpgradeOptions say how gateways are replaced under load and emptied.
@@ -30,7 +30,7 @@
 // RunUpgrade has the rig hold the clients' sockets, as a platform does, and replaces one
 // gateway after another by a process started beside it, empties some by their admin interface, and kills
 // some of the new processes at a random moment of their start.
-func RunUpgrade(ctx context.Context, o UpgradeOptions, progress io.Writer) (*trial.Figures, error) {
+func RunUpgrade(ctx context.Context, o UpgradeOptions, progress io.Writer) (*harness.Figures, error) {
 	remove, err := buildIfNone(ctx, &o.Bin)
 	if err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 
 // treat does one thing after another to a gateway.
 func (u *upgrades) treat(ctx context.Context, g *Gateway, r *rand.Rand) {
-	for sleep(ctx, time.Duration(trial.Between(r, 0.5, 4)*float64(time.Second))) {
+	for sleep(ctx, time.Duration(harness.Between(r, 0.5, 4)*float64(time.Second))) {
 		var err error
 		switch n := r.IntN(10); {
 		case n < 2:
@@ -208,7 +208,7 @@
 }
 
 // figures adds what was done and how the gateways took it.
-func (u *upgrades) figures(f *trial.Figures) {
+func (u *upgrades) figures(f *harness.Figures) {
 	refused, _ := refusals(u.w.Record)
 	crossed, resets := 0, 0
 	for _, t := range u.w.Record.Tries {
@@ -222,8 +222,8 @@
 	f.Extra["done"], f.Extra["connections_passed"] = u.did, u.passed
 	f.Extra["refused_connections"], f.Extra["crossed_a_close"], f.Extra["resets"] = refused, crossed, resets
 	f.Extra["held_after_drain"] = u.heldOpen
-	f.Extra["ready_ms_p99"] = trial.Quantile(u.readyIn, 0.99)
-	f.Extra["sent_units"] = trial.SentUnits(u.w.Record)
+	f.Extra["ready_ms_p99"] = harness.Quantile(u.readyIn, 0.99)
+	f.Extra["sent_units"] = harness.SentUnits(u.w.Record)
 	if u.heldOpen > 0 {
 		f.Miss(fmt.Sprintf("%d connections were open 4 s after a drain began", u.heldOpen))
 	}
@@ -279,8 +279,8 @@
 	old = process{g.pid, g.adminAddress}
 	g.pid, g.adminAddress, g.began = next.pid, next.admin, g.rec.Now()
 	g.older = append(g.older[:0], old.pid)
-	g.rec.AddLife(g.Number, trial.Handed)
-	g.rec.AddLife(g.Number, trial.Ready)
+	g.rec.AddLife(g.Number, harness.Handed)
+	g.rec.AddLife(g.Number, harness.Ready)
 	return old
 }
 
--- a/internal/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -1,10 +1,10 @@
 // Package lab is the project's own rig in real time: stand-ins for everything round a
 // gateway (quote servers, the server register, the counter, the notes between
 // gateways, the front and its clients) and the real program as processes between
-// them. internal/trial judges what clients and servers saw.
+// them. internal/testing/harness judges what clients and servers saw.
 //
 // Everything binds to loopback addresses. Nothing here knows how a gateway
-// decides: the package imports neither decide nor internal/gateway.
+// decides: the package imports neither decide nor internal/dataplane/gateway.
 package lab
 
 import (
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Options say what a world is made of.
@@ -37,14 +37,14 @@
 	Names     string                           // what gateways' names begin with; "": n
 	MemoryMB  int                              // what each is told that it may hold; 0: 64
 	Operators string                           // text of the operators' file, %DIR% being the gateway's folder; "": none
-	Change    func(s *trial.Site)              // what is other than drawn; nil: nothing
+	Change    func(s *harness.Site)            // what is other than drawn; nil: nothing
 	Log       io.Writer
 }
 
 // World is a site with everything running: servers, register, notes, gateways.
 type World struct {
-	Site     *trial.Site
-	Record   *trial.Record
+	Site     *harness.Site
+	Record   *harness.Record
 	Servers  []*Server
 	Register *Register
 	Consul   *ConsulRegister // nil: the platform's register
@@ -74,7 +74,7 @@
 	if o.MemoryMB == 0 {
 		o.MemoryMB = 64
 	}
-	w = &World{Site: trial.NewSite(o.Seed, o.Gateways, o.Servers, o.Load), Record: trial.NewRecord(), options: o}
+	w = &World{Site: harness.NewSite(o.Seed, o.Gateways, o.Servers, o.Load), Record: harness.NewRecord(), options: o}
 	if o.Change != nil {
 		o.Change(w.Site)
 	}
@@ -171,7 +171,7 @@
 func (w *World) Start(ctx context.Context, g *Gateway) error { return w.start(ctx, g) }
 
 // Figures audits the run and sums it up.
-func (w *World) Figures(command string) *trial.Figures { return w.figures(command) }
+func (w *World) Figures(command string) *harness.Figures { return w.figures(command) }
 
 // Address is a free address of the world's own for something that restarts.
 func (w *World) Address(i int) (string, error) { return freeAddress("tcp", hostOf(w.number, i), 7400) }
@@ -195,7 +195,7 @@
 	return map[string]any{
 		"management": g.adminAddress,
 		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number), "listen": g.Address,
-		"discovery": w.Register.agents[g.Number].address, "seed": trial.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
+		"discovery": w.Register.agents[g.Number].address, "seed": harness.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
 		"limits":      map[string]any{"cores": 1.0, "memory_mb": w.options.MemoryMB, "sockets": 1024},
 		"peer_listen": g.Peer, "peers": w.Notes.peers(g.Number), "peers_all": "127.0.0.1:9",
 		"counter": w.Counter.Address, "known": known, "settings": w.Site.Settings(g.Number),
@@ -206,7 +206,7 @@
 const recordText = "[record]\nrefusals = \"refusals\"\n"
 
 // figures audits the run and sums it up, with the reasons that the gateways wrote down.
-func (w *World) figures(command string) *trial.Figures {
+func (w *World) figures(command string) *harness.Figures {
 	why := map[string]string{}
 	for _, g := range w.Gateways {
 		raw, err := os.ReadFile(filepath.Join(g.dir, "refusals"))
@@ -223,7 +223,7 @@
 		t := &w.Record.Tries[i]
 		t.Why = why[t.ID]
 	}
-	return trial.Figure(command, w.options.Seed, w.Site, w.Record)
+	return harness.Figure(command, w.options.Seed, w.Site, w.Record)
 }
 
 // Close ends everything that runs and removes the folder.
--- a/internal/lab/world_test.go
+++ b/internal/testing/lab/world_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // within bounds every wait; nothing is asserted of speeds.
@@ -45,9 +45,9 @@
 	alert = "API.WRITE 0000000000000007 %016x c=alerta,t=basico,d=9000,k=%s,units=2,spread=1,first=0 BODY"
 )
 
-func newTestServer(t *testing.T) (*Server, *trial.Record) {
+func newTestServer(t *testing.T) (*Server, *harness.Record) {
 	t.Helper()
-	s, rec := trial.NewSite(1, 2, 1, 0.5), trial.NewRecord()
+	s, rec := harness.NewSite(1, 2, 1, 0.5), harness.NewRecord()
 	for i := range s.Classes {
 		s.Classes[i].Work = ms
 	}
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	f := newFront(trial.NewRecord(), []*Gateway{{Address: l.Addr().String()}})
+	f := newFront(harness.NewRecord(), []*Gateway{{Address: l.Addr().String()}})
 	first, err := f.take(0, false)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mutants/mutants_test.go
+++ b/internal/testing/mutants/mutants_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("two mutants are called %q", m.Name)
 		}
 		names[m.Name] = true
-		if _, err := m.patched("../.."); err != nil {
+		if _, err := m.patched("../../.."); err != nil {
 			t.Error(err)
 		}
 		if m.Old == m.New {
@@ -42,7 +42,7 @@
 			t.Errorf("%s: %d mutants, %v", name, len(all), err)
 		}
 		for _, m := range all {
-			if _, err := m.patched("../.."); err != nil || m.Old == m.New {
+			if _, err := m.patched("../../.."); err != nil || m.Old == m.New {
 				t.Errorf("%s: %s: %v", name, m.Name, err)
 			}
 		}
--- a/internal/scale/changes.go
+++ b/internal/testing/scale/changes.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/registry"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // drive has servers replaced, a rack go, versions proposed and real gateways asked, all at once, for
--- a/internal/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -11,13 +11,13 @@
 	"strings"
 	"time"
 
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/lab"
-	"mothcleat/internal/planconfig"
-	"mothcleat/internal/voter"
-	"mothcleat/lease"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/planconfig"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/testing/lab"
 )
 
 const (
@@ -116,9 +116,9 @@
 }
 
 // voters are the founding voters.
-func (c *control) voters() (all []*fleetpb.Voter) {
+func (c *control) voters() (all []*controlpb.Voter) {
 	for i, own := range c.own {
-		all = append(all, &fleetpb.Voter{Number: voter.NumberOf(fleetName, controlName(i)),
+		all = append(all, &controlpb.Voter{Number: replica.NumberOf(fleetName, controlName(i)),
 			Name: controlName(i), Address: own})
 	}
 	return all
@@ -140,7 +140,7 @@
 // leader is which control process leads the log; -1: none says so.
 func (c *control) leader() int {
 	for i := range c.own {
-		var here fleetnode.Here
+		var here controlplane.Here
 		if c.call(i, "here", &here) == nil && here.Leads {
 			return i
 		}
@@ -150,7 +150,7 @@
 
 // duties tells how many duties each control process holds.
 func (c *control) duties(i int) (held int) {
-	var here fleetnode.Here
+	var here controlplane.Here
 	if c.call(i, "here", &here) == nil {
 		held = len(here.Duties)
 	}
@@ -178,7 +178,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return 0, err
 	}
-	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planconfig.ItemName, versions.All, file),
+	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planconfig.ItemName, configversion.All, file),
 		&number)
 }
 
--- a/internal/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/gateway"
+	"mothcleat/internal/dataplane/gateway"
+	"mothcleat/internal/dataplane/policy"
 )
 
 // tenantsOf are the tenants that come through a gateway.
@@ -32,9 +32,9 @@
 }
 
 // tenantBudget is a tenant's quota: from 1 to 11 units a second, and 8 to 38 units that lie stored.
-func tenantBudget(tenant uint64) decide.Budget {
+func tenantBudget(tenant uint64) policy.Budget {
 	part := float64(mix(tenant)>>20%1000) / 1000
-	return decide.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part,
+	return policy.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part,
 		Spread: tenantSpread(tenant)}
 }
 
--- a/internal/scale/faults_test.go
+++ b/internal/testing/scale/faults_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/lab"
+	"mothcleat/internal/testing/lab"
 )
 
 // A run with faults injects each of them, has the process serve again, and tells what changes took in each stretch; what
--- a/internal/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -16,32 +16,32 @@
 	"sync/atomic"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/fleetnode"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/planconfig"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/rollout"
-	"mothcleat/lease"
-	"mothcleat/plans"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/planconfig"
+	"mothcleat/internal/controlplane/rollout"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/plans"
 )
 
 // HollowConfig is what a process of hollow gateways is told, as one line of JSON.
 type HollowConfig struct {
-	Fleet              string           `json:"fleet"`
-	Voters             []*fleetpb.Voter `json:"voters"`
-	Owners             []string         `json:"owners"`
-	First              int              `json:"first"` // number of its first gateway
-	Count              int              `json:"count"`
-	Gateways           int              `json:"gateways"` // of the whole play
-	Dir                string           `json:"dir"`
-	Seed               uint64           `json:"seed"`
-	Tenants            int              `json:"tenants"`
-	RequestsPerGateway float64          `json:"requests_per_gateway"`
-	Shards             int              `json:"shards"`
-	Parts              Parts            `json:"parts"`
-	Path               Path             `json:"path"`
+	Fleet              string             `json:"fleet"`
+	Voters             []*controlpb.Voter `json:"voters"`
+	Owners             []string           `json:"owners"`
+	First              int                `json:"first"` // number of its first gateway
+	Count              int                `json:"count"`
+	Gateways           int                `json:"gateways"` // of the whole play
+	Dir                string             `json:"dir"`
+	Seed               uint64             `json:"seed"`
+	Tenants            int                `json:"tenants"`
+	RequestsPerGateway float64            `json:"requests_per_gateway"`
+	Shards             int                `json:"shards"`
+	Parts              Parts              `json:"parts"`
+	Path               Path               `json:"path"`
 }
 
 // Commands that a process of hollow gateways is given, each a line.
@@ -103,7 +103,7 @@
 type hollowGateway struct {
 	process *hollowProcess
 	number  int
-	node    *fleetnode.Node
+	node    *controlplane.Node
 	tenants []uint64
 
 	mu      sync.Mutex
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	settings := fleetnode.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
+	settings := controlplane.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
 		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
 		Owners: c.Owners, Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin,
 			Offer: leaseOffer}, Period: usePeriod, Silent: silentAfter,
@@ -240,17 +240,17 @@
 		settings.Direct = g.noDirect
 	}
 	if c.Parts.Allocation {
-		r := budget.Defaults()
+		r := allocation.Defaults()
 		r.BeginFull, r.Margin = true, clockMargin
 		settings.Budgets, settings.BudgetShards = &r, c.Shards
 	}
 	if c.Parts.Configuration {
-		r := versions.Defaults()
+		r := configversion.Defaults()
 		r.Margin = clockMargin
 		r.Enrol = max(r.Enrol, 4*r.Span)
 		settings.Versions, settings.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(g)}
 	}
-	g.node = fleetnode.Start(settings)
+	g.node = controlplane.Start(settings)
 	switch {
 	case c.Parts.List && c.Path == PathDelta:
 		go g.node.Register().Run(ctx, g.hear)
--- a/internal/scale/meter.go
+++ b/internal/testing/scale/meter.go
@@ -9,15 +9,15 @@
 
 	"google.golang.org/grpc/stats"
 
-	"mothcleat/agree"
-	"mothcleat/budget"
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
-	"mothcleat/roster"
-	"mothcleat/usageexport"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/endpointlist"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/controlplane/usageexport"
 )
 
 // Traffic is what passed between a gateway and others: In to the gateway, Out from it.
@@ -59,8 +59,8 @@
 func NewMeter() *Meter { return &Meter{roles: map[Role]Traffic{}} }
 
 // Observer is what a process of the fleet is given to be counted.
-func (m *Meter) Observer() *fleetlink.Observer {
-	return &fleetlink.Observer{Stats: m, Wrap: m.wrap}
+func (m *Meter) Observer() *controlrpc.Observer {
+	return &controlrpc.Observer{Stats: m, Wrap: m.wrap}
 }
 
 // Roles is what was counted so far: messages by their own bytes.
@@ -124,11 +124,11 @@
 	}
 	role := roleOfMethod(c.method)
 	switch m := message.(type) {
-	case *fleetpb.Query:
+	case *controlpb.Query:
 		role = roleOfMachine(m.Machine, nil)
-	case *fleetpb.Command:
+	case *controlpb.Command:
 		role = roleOfMachine(m.Machine, m.Body)
-	case *fleetpb.WatchAsk:
+	case *controlpb.WatchAsk:
 		role = roleOfMachine(m.Machine, nil)
 	}
 	c.role.Store(&role)
@@ -162,20 +162,20 @@
 // roleOfMachine is the role of a part of the agreed state.
 func roleOfMachine(machine string, body []byte) Role {
 	switch machine {
-	case roster.MachineName:
+	case endpointlist.MachineName:
 		return RoleList
-	case versions.MachineName:
+	case configversion.MachineName:
 		if bytes.Contains(body, auditOperation) {
 			return RoleAudit
 		}
 		return RoleConfiguration
-	case budget.MachineName:
+	case allocation.MachineName:
 		return RoleAllocation
 	case usageexport.MachineName, checkpoint.MachineName:
 		return RoleMetering
 	case lease.MachineName:
 		return RoleElection
-	case agree.FleetName, "": // who belongs to the fleet, and a session that says that it lives
+	case consensus.FleetName, "": // who belongs to the fleet, and a session that says that it lives
 		return RoleMembership
 	}
 	return RoleOther
--- a/internal/scale/page.go
+++ b/internal/testing/scale/page.go
@@ -113,19 +113,19 @@
 
 var roleAbout = map[string]about{
 	string(RoleList): {"7,300 records at each gateway",
-		"`distribution`, `internal/distributor`: deltas by revision from every control machine"},
+		"`internal/controlplane/distribution`, `internal/controlplane/distributor`: deltas by revision from every control machine"},
 	string(RoleConfiguration): {"plans of 60,000 tenants at each gateway",
-		"`versions`, `internal/rollout`, `internal/configstate`: permits by asking the leader twice a second; a version as the records that changed, verified by its digest"},
+		"`internal/controlplane/configversion`, `internal/controlplane/rollout`, `internal/controlplane/configstate`: permits by asking the leader twice a second; a version as the records that changed, verified by its digest"},
 	string(RoleAllocation): {"a gateway: its part of some 290 tenants; owners: 60,000",
-		"`budget`, `internal/budgets`: renewal with five owners, five times a second"},
+		"`internal/controlplane/allocation`, `internal/controlplane/allocator`: renewal with five owners, five times a second"},
 	string(RoleElection): {"five replicas of the log",
-		"`lease`, `agree`, `internal/fleetlink`: the duties, watched as a whole"},
+		"`internal/controlplane/lease`, `internal/controlplane/consensus`, `internal/controlplane/controlrpc`: the duties, watched as a whole"},
 	string(RoleAudit): {"a gateway: its own record",
-		"`auditlog`, `internal/auditrecorder`: the record's head, agreed every 3 s while it changes"},
+		"`internal/controlplane/auditlog`, `internal/controlplane/auditrecorder`: the record's head, agreed every 3 s while it changes"},
 	string(RoleMetering): {"a gateway: use by tenant, until it is collected",
-		"`internal/metering`, `internal/usageexporter`: collected every 5 s by one owner"},
+		"`internal/controlplane/metering`, `internal/controlplane/usageexporter`: collected every 5 s by one owner"},
 	string(RoleMembership): {"all 620 processes, at each",
-		"`agree`: the list of processes, asked for by three parts of a gateway every 3 s, by part and revision"},
+		"`internal/controlplane/consensus`: the list of processes, asked for by three parts of a gateway every 3 s, by part and revision"},
 }
 
 func (c *Capacity) roleTable(b *strings.Builder, s Slopes) {
@@ -134,7 +134,7 @@
 		"state", "messages/s", "bytes/s", "of a core", "memory, MB",
 		"control machines, cores together", "mechanism", "bytes, of a gateway's 10,000/s")
 	row(b, "request path", "pools of 15 servers", "-", "-", c.requestCores(15), "-", "none",
-		"`decide`, `internal/gateway`", "the core is not control's: one pool of 7,300 would be "+c.requestCores(DesignServers))
+		"`internal/dataplane/policy`, `internal/dataplane/gateway`", "the core is not control's: one pool of 7,300 would be "+c.requestCores(DesignServers))
 	uses := s.uses(day, PathDelta)
 	for _, u := range uses {
 		a := roleAbout[u.Role]
@@ -142,7 +142,7 @@
 			number(u.MemoryMB), number(u.Control), a.mechanism, fits(u.Bytes, limitBytes))
 	}
 	row(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)",
-		"`internal/admin`", "fits")
+		"`internal/dataplane/admin`", "fits")
 	sum := total(uses)
 	row(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes),
 		number(sum.Cores)+": "+fits(sum.Cores, limitCores),
--- a/internal/scale/page_test.go
+++ b/internal/testing/scale/page_test.go
@@ -9,7 +9,7 @@
 
 // The tables of the capacity page are what its JSON gives.
 func TestThePageIsWhatItsFiguresGive(t *testing.T) {
-	docs := filepath.Join("..", "..", "docs")
+	docs := filepath.Join("..", "..", "..", "docs")
 	if err := CheckPage(filepath.Join(docs, "capacity.json"), filepath.Join(docs,
 		"CAPACITY.md")); err != nil {
 		t.Error(err)
--- a/internal/scale/real.go
+++ b/internal/testing/scale/real.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"mothcleat/internal/lab"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
+	"mothcleat/internal/testing/lab"
 )
 
 // realGateways are a few gateways of the program that serve requests beside the hollow ones, between
@@ -26,9 +26,9 @@
 // startReal starts them in the fleet that the control processes are.
 func startReal(ctx context.Context, o *Options, c *control, log io.Writer) (*realGateways, error) {
 	wanted := o.RequestsPerGateway * float64(o.RealGateways)
-	probe := trial.NewSite(o.Seed, o.RealGateways, realServers, realLoad)
+	probe := harness.NewSite(o.Seed, o.RealGateways, realServers, realLoad)
 	servers := max(realServers, int(math.Ceil(realServers*wanted/probe.PerSecond)))
-	load := realLoad * wanted / trial.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
+	load := realLoad * wanted / harness.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
 	prepare := func(w *lab.World, g *lab.Gateway) error {
 		own, err := w.Address(100 + g.Number)
 		if err != nil {
@@ -60,21 +60,21 @@
 
 // added works it out from the world's record, of what was sent within a stretch of time.
 func (r *realGateways) added(from, to time.Duration) Added {
-	attempts := map[string][]trial.Attempt{}
+	attempts := map[string][]harness.Attempt{}
 	for _, a := range r.world.Record.Attempts {
 		attempts[a.ID] = append(attempts[a.ID], a)
 	}
 	var all []time.Duration
 	for _, t := range r.world.Record.Tries {
 		one := attempts[t.ID]
-		if t.Kind != trial.Served || len(one) != 1 || one[0].Replied == 0 || t.Sent < from || t.Sent >= to {
+		if t.Kind != harness.Served || len(one) != 1 || one[0].Replied == 0 || t.Sent < from || t.Sent >= to {
 			continue
 		}
 		all = append(all, (t.Answered-t.Sent)-(one[0].Replied-one[0].First))
 	}
 	return Added{Requests: len(all),
 		RequestsPerSecond: float64(len(all)) / (to - from).Seconds() / float64(len(r.world.Gateways)),
-		P50Milliseconds:   trial.Quantile(all, 0.5), P99Milliseconds: trial.Quantile(all, 0.99)}
+		P50Milliseconds:   harness.Quantile(all, 0.5), P99Milliseconds: harness.Quantile(all, 0.99)}
 }
 
 func (r *realGateways) close(logs string) {
--- a/internal/scale/register.go
+++ b/internal/testing/scale/register.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/registry"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // Register is a stand-in for a Consul agent with one service of many servers, written from the public
--- a/internal/scale/run.go
+++ b/internal/testing/scale/run.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/lab"
+	"mothcleat/internal/testing/lab"
 )
 
 const (
--- a/internal/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/lab"
+	"mothcleat/internal/testing/lab"
 )
 
 // The program of the tests runs hollow gateways too, as the command does.
--- a/internal/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/registry"
+	"mothcleat/internal/dataplane/registry"
 )
 
 // sumTraffic sums up what the hollow gateways carried and used.
--- a/internal/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -9,15 +9,15 @@
 	"slices"
 	"time"
 
-	"mothcleat/internal/election"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/fleetwatch"
-	"mothcleat/internal/registry"
-	"mothcleat/internal/registry/consul"
-	"mothcleat/lease"
-	"mothcleat/membership"
-	"mothcleat/roster"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/election"
+	"mothcleat/internal/controlplane/endpointlist"
+	"mothcleat/internal/controlplane/endpointwatch"
+	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/dataplane/membership"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/dataplane/registry/consul"
 )
 
 // watcher is the process that watches the register for all where the whole list travels: the program
@@ -25,7 +25,7 @@
 // does, to have the older path beside the newer one. What it publishes is agreed and served by the real
 // control processes.
 type watcher struct {
-	client *fleetlink.Client
+	client *controlrpc.Client
 	set    *election.Set
 	cancel context.CancelFunc
 	ended  chan struct{}
@@ -42,23 +42,23 @@
 var silentLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // startWatcher has it ask for the duty.
-func startWatcher(voters []*fleetpb.Voter, register string, span time.Duration) *watcher {
+func startWatcher(voters []*controlpb.Voter, register string, span time.Duration) *watcher {
 	me := lease.Member{ID: watcherName, Boot: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watcher{client: fleetlink.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
+	w := &watcher{client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
 		cancel: cancel, ended: make(chan struct{})}
 	w.set = election.New(election.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan),
 		Margin: clockMargin,
 		Offer:  leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: silentLog})
-	watch := &fleetwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
+	watch := &endpointwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
 		Direct: func() (registry.Source, error) {
 			return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName,
 				Wait: registerWait,
 				Rules: membership.Settings{Hold: registerHold.Microseconds(),
 					ResetAfter: registerReset}}, silentLog)
 		}}
-	w.set.Add(roster.Duty, watch.Work)
+	w.set.Add(endpointlist.Duty, watch.Work)
 	go w.client.Live(ctx)
 	go func() {
 		defer close(w.ended)
@@ -68,7 +68,7 @@
 }
 
 // holds tells whether it has the duty.
-func (w *watcher) holds() bool { return w.set.Held()[roster.Duty] > 0 }
+func (w *watcher) holds() bool { return w.set.Held()[endpointlist.Duty] > 0 }
 
 // close hands the duty on.
 func (w *watcher) close() {
@@ -79,12 +79,12 @@
 
 // wholeList is a hollow gateway's hearing of the whole list, as gateways had it before the list
 // travelled by what changed.
-func (g *hollowGateway) wholeList(voters []*fleetpb.Voter, log *slog.Logger) registry.Source {
+func (g *hollowGateway) wholeList(voters []*controlpb.Voter, log *slog.Logger) registry.Source {
 	me := lease.Member{ID: hollowName(g.number), Boot: rand.Uint64()>>1 | 1}
-	client := fleetlink.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
+	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
 		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
-	return &fleetwatch.Watch{Client: client, Silent: silentAfter, Log: log, Direct: g.noDirect}
+	return &endpointwatch.Watch{Client: client, Silent: silentAfter, Log: log, Direct: g.noDirect}
 }
 
 // noDirect stands in for the register itself, and counts that it would have been asked.
--- a/internal/storetrial/damage.go
+++ b/internal/testing/storetest/damage.go
@@ -1,4 +1,4 @@
-package storetrial
+package storetest
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"mothcleat/internal/faultfs"
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
+	"mothcleat/internal/testing/faultfs"
 )
 
 // Tally counts how recoveries ended.
--- a/internal/storetrial/kill.go
+++ b/internal/testing/storetest/kill.go
@@ -1,4 +1,4 @@
-package storetrial
+package storetest
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // killable is how the process that is killed opens its store: small enough that all work goes on all the time.
--- a/internal/storetrial/storetrial_test.go
+++ b/internal/testing/storetest/storetrial_test.go
@@ -1,4 +1,4 @@
-package storetrial
+package storetest
 
 import (
 	"context"
--- a/internal/storetrial/workload.go
+++ b/internal/testing/storetest/workload.go
@@ -1,6 +1,6 @@
-// Package storetrial tries the embedded store: random batches against a plain map, crashes
+// Package storetest tries the embedded store: random batches against a plain map, crashes
 // after every operation, files cut and changed at every byte, and a process that is killed while it writes.
-package storetrial
+package storetest
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"maps"
 	"math/rand/v2"
 
-	"mothcleat/store"
+	"mothcleat/internal/storage/store"
 )
 
 // Small has every kind of file and of work happen within a few dozen batches.
--- a/internal/rig/rigtest/rigtest.go
+++ b/internal/testing/testcluster/clustertest/rigtest.go
@@ -1,18 +1,18 @@
-// Package rigtest has what the tests of all trials need that start several processes.
-package rigtest
+// Package clustertest has what the tests of all trials need that start several processes.
+package clustertest
 
 import (
 	"testing"
 	"time"
 
-	"mothcleat/internal/rig"
+	"mothcleat/internal/testing/testcluster"
 )
 
 // Fleet starts a fleet for a test, beside others, and ends it with the test. What the gateways logged last is told if the test fails.
-func Fleet(t *testing.T, o rig.Options) *rig.Fleet {
+func Fleet(t *testing.T, o testcluster.Options) *testcluster.Fleet {
 	t.Helper()
 	t.Parallel() // the tests mostly wait
-	f, err := rig.New(t.Context(), o)
+	f, err := testcluster.New(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 		if t.Failed() {
 			for _, g := range f.Gateways {
 				log := g.Log()
-				t.Logf("%s:\n%s", rig.Name(g.Number), log[max(0, len(log)-4000):])
+				t.Logf("%s:\n%s", testcluster.Name(g.Number), log[max(0, len(log)-4000):])
 			}
 		}
 		f.Close()
--- a/internal/rig/harm.go
+++ b/internal/testing/testcluster/harm.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Harm does things to a fleet's processes and links, by a seed, and counts what was done. The voters keep their majority. Its methods may be
@@ -126,7 +126,7 @@
 }
 
 func span(r *rand.Rand, least, most float64) time.Duration {
-	return time.Duration(trial.Between(r, least, most) * float64(time.Second))
+	return time.Duration(harness.Between(r, least, most) * float64(time.Second))
 }
 
 // pick draws a gateway that nothing is done to.
--- a/internal/rig/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -1,6 +1,6 @@
-// Package rig is a fleet of real gateways between stand-ins, with a link of its own between every two
+// Package testcluster is a fleet of real gateways between stand-ins, with a link of its own between every two
 // of them, for scenarios that have links and processes fail. It knows nothing of what the gateways decide.
-package rig
+package testcluster
 
 import (
 	"bytes"
@@ -19,11 +19,11 @@
 	"syscall"
 	"time"
 
-	"mothcleat/internal/faultproxy"
-	"mothcleat/internal/fleetlink"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/internal/lab"
-	"mothcleat/internal/voter"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/controlrpc"
+	"mothcleat/internal/controlplane/replica"
+	"mothcleat/internal/testing/faultproxy"
+	"mothcleat/internal/testing/lab"
 )
 
 // FleetName is what a rig's fleet is called.
@@ -212,16 +212,16 @@
 const callTimeout = 3 * time.Second
 
 // Voters are the founding voters, at their own addresses: what a client of the rig's asks.
-func (f *Fleet) Voters() (all []*fleetpb.Voter) {
+func (f *Fleet) Voters() (all []*controlpb.Voter) {
 	for i := range f.opt.Voters {
-		all = append(all, &fleetpb.Voter{Number: voter.NumberOf(FleetName, Name(i)), Name: Name(i), Address: f.Own[i]})
+		all = append(all, &controlpb.Voter{Number: replica.NumberOf(FleetName, Name(i)), Name: Name(i), Address: f.Own[i]})
 	}
 	return all
 }
 
 // Addresses are where the gateways are reached from one of them; from -1: by the rig, past all links.
-func (f *Fleet) Addresses(from int) fleetlink.Addresses {
-	a := fleetlink.Addresses{}
+func (f *Fleet) Addresses(from int) controlrpc.Addresses {
+	a := controlrpc.Addresses{}
 	for j := range f.Own {
 		a[Name(j)] = f.Own[j]
 		if from >= 0 && from != j {
--- a/sim/budgets/budgets_test.go
+++ b/sim/allocation/budgets_test.go
@@ -1,4 +1,4 @@
-package budgets
+package allocation
 
 import (
 	"testing"
--- a/sim/budgets/checks.go
+++ b/sim/allocation/checks.go
@@ -1,10 +1,10 @@
-package budgets
+package allocation
 
 import (
 	"math"
 	"time"
 
-	"mothcleat/budget"
+	"mothcleat/internal/controlplane/allocation"
 )
 
 // meter is a token bucket that never refuses: where it is overdrawn, some window is over.
@@ -28,7 +28,7 @@
 func (w *World) check() {
 	for id := uint64(1); id <= uint64(len(w.wholes)); id++ {
 		whole := w.wholes[id]
-		var sum budget.Share
+		var sum allocation.Share
 		for _, p := range w.members {
 			if p.dead || p.left {
 				continue
--- a/sim/budgets/network.go
+++ b/sim/allocation/network.go
@@ -1,4 +1,4 @@
-package budgets
+package allocation
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/internal/fleetpb"
+	"mothcleat/internal/controlplane/controlpb"
 )
 
 // message is a message on its way between a process and an owner.
@@ -16,17 +16,17 @@
 	from  int
 	boot  uint64
 	sent  time.Duration // by the asker's clock
-	asks  *fleetpb.RightsAsk
+	asks  *controlpb.RightsAsk
 	ask   []byte
 	tells []byte
-	lends *fleetpb.LoanAsk
-	lent  *fleetpb.LoanAnswer
+	lends *controlpb.LoanAsk
+	lent  *controlpb.LoanAnswer
 	loan  int           // which asking for units it is about: a request takes one answer
 	at    time.Duration // when it arrives, true time
 }
 
 // send sends a renewal to the owner.
-func (w *World) send(i int, now time.Duration, ask *fleetpb.RightsAsk) {
+func (w *World) send(i int, now time.Duration, ask *controlpb.RightsAsk) {
 	p := w.members[i]
 	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Boot, sent: now, ask: encode(ask), asks: ask})
 }
@@ -103,7 +103,7 @@
 
 // deliverRights passes the answer to a renewal to its process.
 func (w *World) deliverRights(p *process, m message) {
-	var a fleetpb.RightsAnswer
+	var a controlpb.RightsAnswer
 	if err := proto.Unmarshal(m.tells, &a); err != nil {
 		panic(err)
 	}
@@ -139,7 +139,7 @@
 			w.use(m.lends.Budget, m.lends.Units) // its use may come Rules.LoanSpan later
 		}
 	} else {
-		var ask fleetpb.RightsAsk
+		var ask controlpb.RightsAsk
 		if err := proto.Unmarshal(m.ask, &ask); err != nil {
 			panic(err)
 		}
--- a/sim/budgets/owner.go
+++ b/sim/allocation/owner.go
@@ -1,4 +1,4 @@
-package budgets
+package allocation
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/budget"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // owner is a process's tenure.
@@ -16,10 +16,10 @@
 	clock
 	me      lease.Member
 	term    uint64
-	owner   *budget.Owner
+	owner   *allocation.Owner
 	until   time.Duration // it holds the duty till then, by its clock
 	stopped bool
-	round   *fleetpb.Round // proposed, without an answer
+	round   *controlpb.Round // proposed, without an answer
 	body    []byte
 	answer  []byte // of the log; nil: not agreed yet
 	cut     bool   // it can't renew its holding, nor have anything agreed
@@ -44,11 +44,11 @@
 	if len(w.owners) > 3 {
 		w.owners = w.owners[1:]
 	}
-	var books fleetpb.Books
-	if err := proto.Unmarshal(w.log.Query(0, []byte(budget.Duty(0))), &books); err != nil {
+	var books controlpb.Books
+	if err := proto.Unmarshal(w.log.Query(0, []byte(allocation.Duty(0))), &books); err != nil {
 		panic(err)
 	}
-	own, err := budget.NewOwner(o.at(w.now), w.rules, budget.Duty(0), o.term, &books)
+	own, err := allocation.NewOwner(o.at(w.now), w.rules, allocation.Duty(0), o.term, &books)
 	if err != nil {
 		panic(err)
 	}
@@ -75,7 +75,7 @@
 		return // one that is cut may have had its word on the way
 	}
 	o.answer = w.log.Apply(w.now, 0, o.me, o.body)
-	var r budget.Result
+	var r allocation.Result
 	if err := json.Unmarshal(o.answer, &r); err != nil {
 		panic(err)
 	}
@@ -89,7 +89,7 @@
 	if o.stopped || o.round == nil || o.answer == nil {
 		return
 	}
-	var r budget.Result
+	var r allocation.Result
 	if err := json.Unmarshal(o.answer, &r); err != nil {
 		panic(err)
 	}
--- a/sim/budgets/price.go
+++ b/sim/allocation/price.go
@@ -1,13 +1,13 @@
-package budgets
+package allocation
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // Scheme is a way to keep a quota over many gateways.
@@ -32,13 +32,13 @@
 	Seed  uint64
 	Trip  time.Duration // there and back
 	For   time.Duration
-	Rules budget.Rules
+	Rules allocation.Rules
 	Each  int // customers of each plan
 }
 
 // buyer is a customer.
 type buyer struct {
-	whole  budget.Share
+	whole  allocation.Share
 	spread int
 	use    float64 // of the rate
 }
@@ -50,7 +50,7 @@
 	for range p.Each {
 		for _, plan := range [][4]float64{{0.96, 1.7, 3.2, 5.8}, {2.9, 4.9, 3.5, 6}, {11, 20, 1.3, 2.8}} {
 			rate := between(plan[0], plan[1])
-			b := buyer{whole: budget.Share{Rate: rate, Burst: math.Max(8, rate*between(plan[2], plan[3]))}, spread: 2 + r.IntN(3), use: between(0.15, 0.7)}
+			b := buyer{whole: allocation.Share{Rate: rate, Burst: math.Max(8, rate*between(plan[2], plan[3]))}, spread: 2 + r.IntN(3), use: between(0.15, 0.7)}
 			if x := r.Float64(); x < 0.15 {
 				b.use = between(0.85, 1)
 			} else if x < 0.25 {
@@ -102,18 +102,18 @@
 		rules.Parting = math.Inf(1)
 	}
 	rights := s == Parts || s == Lending || s == Loans
-	owner, err := budget.NewOwner(0, rules, budget.Duty(0), 1, &fleetpb.Books{})
+	owner, err := allocation.NewOwner(0, rules, allocation.Duty(0), 1, &controlpb.Books{})
 	if err != nil {
 		panic(err)
 	}
-	var holders []*budget.Holder
+	var holders []*allocation.Holder
 	banks := make([]meter, b.spread)
-	part := budget.Share{Rate: b.whole.Rate / float64(b.spread), Burst: b.whole.Burst / float64(b.spread)}
+	part := allocation.Share{Rate: b.whole.Rate / float64(b.spread), Burst: b.whole.Burst / float64(b.spread)}
 	if s == OneBank {
 		banks, part = banks[:1], b.whole
 	}
 	for i := range b.spread {
-		holders = append(holders, budget.NewHolder(rules, lease.Member{ID: string(rune('a' + i)), Boot: 1}, 1))
+		holders = append(holders, allocation.NewHolder(rules, lease.Member{ID: string(rune('a' + i)), Boot: 1}, 1))
 	}
 	for i := range banks {
 		banks[i].level = part.Burst
@@ -130,7 +130,7 @@
 	type sent struct {
 		at, sent time.Duration
 		member   int
-		ask      *fleetpb.RightsAsk
+		ask      *controlpb.RightsAsk
 	}
 	var renewals []sent
 	var waits []pending
@@ -222,7 +222,7 @@
 }
 
 // back is when the answer to an asking for units, or the request moved, arrives. It gives the units served.
-func (p Price) back(s Scheme, owner *budget.Owner, holders []*budget.Holder, level func(time.Duration, int) *meter, w pending, b buyer, now time.Duration) float64 {
+func (p Price) back(s Scheme, owner *allocation.Owner, holders []*allocation.Holder, level func(time.Duration, int) *meter, w pending, b buyer, now time.Duration) float64 {
 	switch s {
 	case Direct, Moved:
 		best, most := -1, 0.0
@@ -245,8 +245,8 @@
 		return 0
 	}
 	h := holders[w.member]
-	a := owner.Lend(now, &fleetpb.LoanAsk{Duty: budget.Duty(0), Budget: 1, Units: w.lent, Spread: uint32(b.spread),
-		Whole: &fleetpb.Share{Rate: b.whole.Rate, Burst: b.whole.Burst}})
+	a := owner.Lend(now, &controlpb.LoanAsk{Duty: allocation.Duty(0), Budget: 1, Units: w.lent, Spread: uint32(b.spread),
+		Whole: &controlpb.Share{Rate: b.whole.Rate, Burst: b.whole.Burst}})
 	if a.Lent {
 		return w.units
 	}
--- a/sim/budgets/process.go
+++ b/sim/allocation/process.go
@@ -1,12 +1,12 @@
-package budgets
+package allocation
 
 import (
 	"fmt"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // clock is a process's own.
@@ -23,7 +23,7 @@
 type process struct {
 	clock
 	me       lease.Member
-	holder   *budget.Holder
+	holder   *allocation.Holder
 	stopped  bool
 	cut      bool // nothing that it says or is told arrives
 	cutTill  time.Duration
@@ -49,7 +49,7 @@
 	*p = process{clock: clock{0.9 + 0.1*float64(w.choose(5))/4, time.Duration(w.choose(100)) * time.Second},
 		me: lease.Member{ID: fmt.Sprintf("n%d", i), Boot: w.boots}}
 	p.answered = map[int]bool{}
-	p.holder = budget.NewHolder(w.rules, p.me, 1)
+	p.holder = allocation.NewHolder(w.rules, p.me, 1)
 }
 
 // ask has a client ask a process for units. The process takes them from its part, or asks the owner to lend
@@ -70,9 +70,9 @@
 		return
 	}
 	p.asked++
-	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Boot, sent: now, loan: p.asked, lends: &fleetpb.LoanAsk{Duty: budget.Duty(0),
-		Member: &fleetpb.Member{Id: p.me.ID, Boot: p.me.Boot}, Budget: id, Units: units, Spread: uint32(len(w.members)),
-		Whole: &fleetpb.Share{Rate: w.wholes[id].Rate, Burst: w.wholes[id].Burst}}})
+	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Boot, sent: now, loan: p.asked, lends: &controlpb.LoanAsk{Duty: allocation.Duty(0),
+		Member: &controlpb.Member{Id: p.me.ID, Boot: p.me.Boot}, Budget: id, Units: units, Spread: uint32(len(w.members)),
+		Whole: &controlpb.Share{Rate: w.wholes[id].Rate, Burst: w.wholes[id].Burst}}})
 }
 
 // act has a process use what it has taken first, after a last look at its clock.
--- a/sim/budgets/search.go
+++ b/sim/allocation/search.go
@@ -1,10 +1,10 @@
-package budgets
+package allocation
 
 import (
 	"context"
 	"time"
 
-	"mothcleat/sim/plays"
+	"mothcleat/sim/parallel"
 )
 
 // Finding is a play that breaks a promise; its seed plays it again.
@@ -39,7 +39,7 @@
 	draw := func(n int) Finding {
 		return Finding{Seed: seed*1_000_003 + uint64(n), Members: 2 + n%4, Budgets: 1 + n%2, After: n + 1}
 	}
-	plays.Until(ctx, most, func(n int) Result {
+	parallel.Until(ctx, most, func(n int) Result {
 		one := draw(n)
 		return Play(Random(one.Seed), one.Members, one.Budgets, steps)
 	}, func(n int, r Result) bool {
--- a/sim/budgets/world.go
+++ b/sim/allocation/world.go
@@ -1,16 +1,16 @@
-// Package budgets plays gateways that divide budgets in virtual time: the real budget package, with messages
+// Package allocation plays gateways that divide budgets in virtual time: the real budget package, with messages
 // that are lost, doubled, late and out of order, processes that stop between any two steps, die and come back,
 // owners that are replaced while they still believe that they own, and clocks of different pace. A model that knows
 // everything holds each promise against what was really used.
-package budgets
+package allocation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/budget"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/allocation"
+	"mothcleat/internal/controlplane/lease"
 )
 
 const ms = time.Millisecond
@@ -38,10 +38,10 @@
 type World struct {
 	choose  Choose
 	now     time.Duration // true time
-	rules   budget.Rules
+	rules   allocation.Rules
 	ticks   int
 	mild    int // so many times fewer faults
-	log     *budget.Machine
+	log     *allocation.Machine
 	term    uint64
 	leader  lease.Member // who owns by the log
 	members []*process
@@ -49,33 +49,33 @@
 	owners  []*owner // of all terms that may still act
 	net     []message
 	uses    map[uint64]*meter
-	wholes  map[uint64]budget.Share
+	wholes  map[uint64]allocation.Share
 	quiet   int // above 0: nothing befalls messages
 	res     Result
 }
 
 // Fence is the table of the one duty.
 func (w *World) Fence(duty string, term uint64, who lease.Member) error {
-	if duty != budget.Duty(0) || term != w.term || who != w.leader {
+	if duty != allocation.Duty(0) || term != w.term || who != w.leader {
 		return lease.ErrTerm
 	}
 	return nil
 }
 
 // rules are the defaults, with shorter spans: all of them end in a play.
-func rules() budget.Rules {
-	r := budget.Defaults()
+func rules() allocation.Rules {
+	r := allocation.Defaults()
 	r.Span, r.FloorSpan, r.Forget = 1500*ms, 5*time.Second, 4*time.Second
 	return r
 }
 
 // New begins a play of so many members and budgets.
 func New(choose Choose, members, budgets int) *World {
-	w := &World{choose: choose, rules: rules(), uses: map[uint64]*meter{}, wholes: map[uint64]budget.Share{}}
+	w := &World{choose: choose, rules: rules(), uses: map[uint64]*meter{}, wholes: map[uint64]allocation.Share{}}
 	w.res.Faults = map[string]int{}
-	w.log = budget.NewMachine(w)
+	w.log = allocation.NewMachine(w)
 	for i := range budgets {
-		whole := budget.Share{Rate: float64(1 + choose(20))}
+		whole := allocation.Share{Rate: float64(1 + choose(20))}
 		whole.Burst = whole.Rate + float64(4+choose(40))
 		w.wholes[uint64(i+1)] = whole
 		w.uses[uint64(i+1)] = &meter{} // a first owner's reserve is empty, and no store is ever fuller than one that began so
