--- a/sim/around.go
+++ b/sim/around.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/testing/harness"
 )
 
 // notes carries what gateways tell one another: late, some twice, some not at all.
@@ -59,29 +59,29 @@
 type register struct {
 	w      *World
 	rand   *rand.Rand
-	known  [][]decide.Member // by gateway
+	known  [][]policy.Member // by gateway
 	last   map[[2]int]int64  // when a gateway hears what was told last of a server: news keep their order
 	silent int64             // it tells nothing until then
 }
 
 func (r *register) begin(gateways int) {
 	for range gateways {
-		var list []decide.Member
+		var list []policy.Member
 		for _, sv := range r.w.servers {
-			list = append(list, decide.Member{Backend: sv.number, Cell: 1, State: decide.Ready, Hint: 1})
+			list = append(list, policy.Member{Backend: sv.number, Cell: 1, State: policy.Ready, Hint: 1})
 		}
 		r.known = append(r.known, list)
 	}
 }
 
-func (r *register) list(gateway int) []decide.Member {
-	return append([]decide.Member(nil), r.known[gateway]...)
+func (r *register) list(gateway int) []policy.Member {
+	return append([]policy.Member(nil), r.known[gateway]...)
 }
 
 // tell has all gateways hear of a server's state.
-func (r *register) tell(sv *server, state decide.State) {
+func (r *register) tell(sv *server, state policy.State) {
 	w := r.w
-	m := decide.Member{Backend: sv.number, Cell: 1, State: state, Hint: 1}
+	m := policy.Member{Backend: sv.number, Cell: 1, State: state, Hint: 1}
 	if boot := w.Record.Boots[sv.boot]; boot.Cold {
 		m.Started = epoch + boot.At.Microseconds()
 	}
@@ -97,7 +97,7 @@
 }
 
 // arrive has one gateway hear of a server, once the register is not silent.
-func (r *register) arrive(i int, sv *server, m decide.Member) {
+func (r *register) arrive(i int, sv *server, m policy.Member) {
 	w, g := r.w, r.w.gateways[i]
 	if w.now < r.silent {
 		w.after(r.silent-w.now, func() { r.arrive(i, sv, m) })
@@ -105,8 +105,8 @@
 	}
 	r.known[i][sv.number-1] = m
 	g.event(g.life, func() {
-		w.Record.Told = append(w.Record.Told, trial.Told{Gateway: i, Server: sv.id, Stop: m.State != decide.Ready, At: w.at()})
-		g.module.Members(g.now(), decide.Changed, []decide.Member{m})
+		w.Record.Told = append(w.Record.Told, harness.Told{Gateway: i, Server: sv.id, Stop: m.State != policy.Ready, At: w.at()})
+		g.module.Members(g.now(), policy.Changed, []policy.Member{m})
 	})
 }
 
@@ -146,7 +146,7 @@
 type client struct {
 	w       *World
 	number  int
-	traffic *trial.Traffic
+	traffic *harness.Traffic
 }
 
 func (c *client) ask() {
@@ -172,7 +172,7 @@
 // asked is one request of a client with its tries.
 type asked struct {
 	c     *client
-	first trial.Try
+	first harness.Try
 	rand  *rand.Rand
 	wait  time.Duration
 	n     int
@@ -185,7 +185,7 @@
 	who := &w.Site.Customers[q.c.number]
 	w.nextTry++
 	t := q.first
-	t.ID, t.Wait, t.Why = trial.Hex16(w.nextTry), q.wait, ""
+	t.ID, t.Wait, t.Why = harness.Hex16(w.nextTry), q.wait, ""
 	if q.n == 0 {
 		q.first.First, q.began = t.ID, w.now
 		t.First = t.ID
@@ -198,7 +198,7 @@
 	if !g.up {
 		t.NoPort = w.at()
 		w.noPort(t.Gateway)
-		q.end(&t, trial.Unsent, 0)
+		q.end(&t, harness.Unsent, 0)
 		return
 	}
 	g.front.failing = 0
@@ -208,17 +208,17 @@
 		w.waiting--
 		if !g.up {
 			t.Reset = true
-			q.end(&t, trial.Ended, 0)
+			q.end(&t, harness.Ended, 0)
 			return
 		}
 		t.Sent = w.at()
 		life := g.life
-		g.event(life, func() { g.take(&t, who, func(k trial.Kind, after int64) { q.end(&t, k, after) }) })
+		g.event(life, func() { g.take(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) }) })
 		if w.now < g.frozen { // a process that ends before it has read
 			w.after(g.frozen-w.now, func() {
 				if life != g.life {
 					t.Reset = true
-					q.end(&t, trial.Ended, 0)
+					q.end(&t, harness.Ended, 0)
 				}
 			})
 		}
@@ -226,19 +226,19 @@
 }
 
 // end takes in how a try ended, and sends the next one.
-func (q *asked) end(t *trial.Try, k trial.Kind, after int64) {
+func (q *asked) end(t *harness.Try, k harness.Kind, after int64) {
 	w := q.c.w
 	t.Kind, t.After = k, time.Duration(after)*time.Microsecond
 	w.Record.Tries = append(w.Record.Tries, *t)
 	fmt.Fprintf(w.digest, "%d %s %d %d %s\n", w.now, t.ID, t.Gateway, k, t.Why)
-	if q.n++; k == trial.Served || q.n > w.Site.Retries {
+	if q.n++; k == harness.Served || q.n > w.Site.Retries {
 		return
 	}
-	pause := trial.Backoff(q.n-1, t.After, q.rand)
+	pause := harness.Backoff(q.n-1, t.After, q.rand)
 	// What may have run is not asked for again; what carries a key only while servers
 	// would know it again, whatever the answer said.
 	c := &w.Site.Classes[t.Class]
-	if c.Unsafe && k != trial.Refused && k != trial.Unsent || c.Keyed && w.now+(pause+q.wait).Microseconds() > q.began+c.Window.Microseconds() {
+	if c.Unsafe && k != harness.Refused && k != harness.Unsent || c.Keyed && w.now+(pause+q.wait).Microseconds() > q.began+c.Window.Microseconds() {
 		return
 	}
 	w.waiting++
--- a/sim/versions/checks.go
+++ b/sim/configversion/checks.go
@@ -1,9 +1,9 @@
-package versions
+package configversion
 
 import (
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 // seen checks that each number keeps its digest, and now and then that a snapshot restores the same state.
@@ -17,7 +17,7 @@
 		w.digests[one.Item][one.Number] = one.Digest
 	}
 	if w.index%50 == 0 {
-		fresh := versions.NewMachine(w.rules, w)
+		fresh := configversion.NewMachine(w.rules, w)
 		if err := fresh.Restore(w.log.Snapshot()); err != nil || string(fresh.Snapshot()) != string(w.log.Snapshot()) {
 			w.breach("unreadable", "a snapshot comes back as another: %v", err)
 		}
@@ -81,7 +81,7 @@
 func (w *World) end() {
 	v := w.log.View(w.fleet)
 	for _, one := range v.Versions {
-		if one.State == versions.Whole {
+		if one.State == configversion.Whole {
 			w.res.Whole++
 		}
 	}
@@ -91,7 +91,7 @@
 			continue
 		}
 		for _, one := range v.Versions {
-			if one.State != versions.Whole || m.older && !m.reads(one.Digest) {
+			if one.State != configversion.Whole || m.older && !m.reads(one.Digest) {
 				continue
 			}
 			if has := m.holder.InForce()[one.Item]; has < one.Number {
--- a/sim/versions/faults.go
+++ b/sim/configversion/faults.go
@@ -1,9 +1,9 @@
-package versions
+package configversion
 
 import (
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 // befall ends a fault of a member, or begins one.
@@ -22,7 +22,7 @@
 	case w.chance("killed", 1500):
 		m.dead = true
 	case w.chance("left", 3000):
-		w.apply(m, versions.Op{Do: "left"}, nil)
+		w.apply(m, configversion.Op{Do: "left"}, nil)
 		m.dead = true
 	case m.cut <= w.now && w.chance("cut", 800):
 		m.cut = w.now + time.Duration(w.r.Int64N(int64(3*w.rules.Span)))
--- a/sim/versions/member.go
+++ b/sim/configversion/member.go
@@ -1,4 +1,4 @@
-package versions
+package configversion
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"mothcleat/lease"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // fetchInterval is between two attempts to fetch one content.
@@ -19,7 +19,7 @@
 	boot     uint64
 	pace     float64
 	offset   time.Duration
-	holder   *versions.Holder
+	holder   *configversion.Holder
 	dead     bool
 	stopped  bool
 	wakes    time.Duration
@@ -57,7 +57,7 @@
 		m.gone = append(m.gone, m.boot)
 	}
 	m.boot, m.dead, m.stopped, m.hands = w.boots, false, false, nil
-	m.holder = versions.NewHolder(w.rules)
+	m.holder = configversion.NewHolder(w.rules)
 	m.enrols, m.asked = true, -time.Hour
 	m.told, m.refused, m.terms, m.fetching = map[string]uint64{}, map[string]bool{}, map[string]float64{}, map[string]time.Duration{}
 }
@@ -85,7 +85,7 @@
 }
 
 // want checks a content that is here, or fetches it from another member that has it.
-func (w *World) want(m *member, now time.Duration, r versions.Ref) {
+func (w *World) want(m *member, now time.Duration, r configversion.Ref) {
 	if m.content[r.Digest] {
 		why := ""
 		if !m.reads(r.Digest) {
@@ -147,7 +147,7 @@
 	}
 	if number > m.told[item] && w.r.IntN(4) == 0 {
 		boot := m.boot
-		w.apply(m, versions.Op{Do: "report", Item: item, Number: number}, func(r versions.Result) {
+		w.apply(m, configversion.Op{Do: "report", Item: item, Number: number}, func(r configversion.Result) {
 			if m.boot == boot && r.OK {
 				m.told[item] = max(m.told[item], number)
 			}
@@ -159,7 +159,7 @@
 func (w *World) ask(m *member, sent time.Duration) {
 	boot := m.boot
 	if m.enrols {
-		w.apply(m, versions.Op{Do: "here", Gone: m.gone}, nil)
+		w.apply(m, configversion.Op{Do: "here", Gone: m.gone}, nil)
 		m.enrols = false
 	}
 	who := m.me()
@@ -174,14 +174,14 @@
 			if m.boot != boot {
 				return
 			}
-			var t versions.Told
+			var t configversion.Told
 			_ = json.Unmarshal(raw, &t)
 			m.enrols = m.enrols || t.Enrol
 			m.holder.Hear(w.clock(m), sent, &t)
 			for _, g := range t.Target {
 				if why := m.holder.Refused(g.Item, g.Digest); why != "" && !m.refused[g.Digest] {
 					m.refused[g.Digest] = true
-					w.apply(m, versions.Op{Do: "report", Item: g.Item, Number: g.Number, Refused: true, Why: why}, nil)
+					w.apply(m, configversion.Op{Do: "report", Item: g.Item, Number: g.Number, Refused: true, Why: why}, nil)
 				}
 			}
 		})
--- a/sim/versions/network.go
+++ b/sim/configversion/network.go
@@ -1,10 +1,10 @@
-package versions
+package configversion
 
 import (
 	"encoding/json"
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 // message is a message on its way, as what is done when it arrives.
@@ -34,7 +34,7 @@
 }
 
 // apply has a command agreed. A session applies it once, however often it comes.
-func (w *World) apply(m *member, op versions.Op, then func(versions.Result)) {
+func (w *World) apply(m *member, op configversion.Op, then func(configversion.Result)) {
 	who, done := m.me(), false
 	w.send(m, nil, func() {
 		if done {
@@ -42,7 +42,7 @@
 		}
 		done = true
 		w.index++
-		var r versions.Result
+		var r configversion.Result
 		if err := json.Unmarshal(w.log.Apply(w.fleet, w.index, who, op.Encode()), &r); err != nil {
 			w.breach("unreadable", "%v", err)
 		}
--- a/sim/versions/rollouts.go
+++ b/sim/configversion/rollouts.go
@@ -1,10 +1,10 @@
-package versions
+package configversion
 
 import (
 	"fmt"
 	"time"
 
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
 )
 
 // guide has the member that holds the duty look at the roll-outs. Its commands may arrive when another holds
@@ -15,7 +15,7 @@
 			continue
 		}
 		v := w.log.View(w.fleet)
-		for _, op := range versions.Guide(w.rules, w.term, &v) {
+		for _, op := range configversion.Guide(w.rules, w.term, &v) {
 			w.apply(m, op, nil)
 		}
 		return
@@ -30,15 +30,15 @@
 	}
 	item := names[w.r.IntN(items)]
 	last := w.newest(item)
-	if last != nil && last.State != versions.Withdrawn && last.Number > 1 && w.r.IntN(3) == 0 {
-		w.apply(m, versions.Op{Do: "withdraw", Item: item, Number: last.Number, Why: "drawn"}, func(r versions.Result) {
+	if last != nil && last.State != configversion.Withdrawn && last.Number > 1 && w.r.IntN(3) == 0 {
+		w.apply(m, configversion.Op{Do: "withdraw", Item: item, Number: last.Number, Why: "drawn"}, func(r configversion.Result) {
 			if r.OK {
 				w.res.Withdrawn++
 			}
 		})
 		return
 	}
-	op := versions.Op{Do: "propose", Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: versions.All}
+	op := configversion.Op{Do: "propose", Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: configversion.All}
 	if last != nil {
 		op.Number = last.Number
 	}
@@ -46,8 +46,8 @@
 		op.Lead = time.Duration(w.r.Int64N(int64(3 * time.Second)))
 	}
 	if w.r.IntN(2) == 0 {
-		op.Stage = versions.One
-		op.Pilots = versions.Pilots(item, op.Number+1, versions.One, w.ids())
+		op.Stage = configversion.One
+		op.Pilots = configversion.Pilots(item, op.Number+1, configversion.One, w.ids())
 	}
 	m.content[op.Digest] = true
 	for k := range keepers { // most of those that vote keep it before it is proposed
@@ -56,7 +56,7 @@
 		}
 	}
 	w.rates[op.Digest] = float64(1 + w.r.IntN(100))
-	w.apply(m, op, func(r versions.Result) {
+	w.apply(m, op, func(r configversion.Result) {
 		if r.OK {
 			w.res.RollOuts++
 		}
@@ -64,7 +64,7 @@
 }
 
 // newest returns an item's newest version, nil if there is none.
-func (w *World) newest(item string) (last *versions.Version) {
+func (w *World) newest(item string) (last *configversion.Version) {
 	v := w.log.View(w.fleet)
 	for i := range v.Versions {
 		if v.Versions[i].Item == item {
--- a/sim/versions/search.go
+++ b/sim/configversion/search.go
@@ -1,10 +1,10 @@
-package versions
+package configversion
 
 import (
 	"context"
 	"time"
 
-	"mothcleat/sim/plays"
+	"mothcleat/sim/parallel"
 )
 
 // Finding is a play that breaks a promise; its seed plays it again.
@@ -35,7 +35,7 @@
 	draw := func(n int) Finding {
 		return Finding{Seed: seed*1_000_003 + uint64(n), Gateways: 3 + n%5, After: n + 1}
 	}
-	plays.Until(ctx, most, func(n int) Result {
+	parallel.Until(ctx, most, func(n int) Result {
 		one := draw(n)
 		return Play(one.Seed, one.Gateways, length)
 	}, func(n int, r Result) bool {
--- a/sim/versions/versions_test.go
+++ b/sim/configversion/versions_test.go
@@ -1,11 +1,11 @@
-package versions
+package configversion
 
 import (
 	"strconv"
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Many schedules break no promise, and provoke what they are to.
@@ -43,9 +43,9 @@
 func benchmarkAt(b *testing.B, gateways int) {
 	for b.Loop() {
 		s := Measure(1, gateways, 6)
-		b.ReportMetric(trial.Quantile(s.ToAll, 0.5), "ms-to-all-p50")
-		b.ReportMetric(trial.Quantile(s.ToAll, 0.99), "ms-to-all-p99")
-		b.ReportMetric(trial.Quantile(s.ToMost, 0.99), "ms-to-nine-in-ten-p99")
+		b.ReportMetric(harness.Quantile(s.ToAll, 0.5), "ms-to-all-p50")
+		b.ReportMetric(harness.Quantile(s.ToAll, 0.99), "ms-to-all-p99")
+		b.ReportMetric(harness.Quantile(s.ToMost, 0.99), "ms-to-nine-in-ten-p99")
 		b.ReportMetric(s.Words, "words/s/gateway")
 		b.ReportMetric(s.Bytes, "bytes/s/gateway")
 		b.ReportMetric(s.Agreed, "entries/s")
--- a/sim/versions/world.go
+++ b/sim/configversion/world.go
@@ -1,15 +1,15 @@
-// Package versions plays roll-outs in virtual time: the real versions package, with gateways that stop between any two steps, die and
+// Package configversion plays roll-outs in virtual time: the real versions package, with gateways that stop between any two steps, die and
 // come back, are cut off for a while, or can't read a version; answers that are late, lost and doubled; guides that wake late; and clocks
 // of different pace. A model that knows everything holds each act against what was agreed.
-package versions
+package configversion
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/lease"
-	"mothcleat/versions"
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/controlplane/lease"
 )
 
 const (
@@ -43,11 +43,11 @@
 // World is one play.
 type World struct {
 	r       *rand.Rand
-	rules   versions.Rules
+	rules   configversion.Rules
 	now     time.Duration // true time
 	fleet   time.Duration // the fleet's
 	pace    float64       // at which that goes
-	log     *versions.Machine
+	log     *configversion.Machine
 	index   uint64
 	term    uint64
 	owner   lease.Member
@@ -89,7 +89,7 @@
 // Play plays one schedule.
 func Play(seed uint64, gateways int, length time.Duration) Result {
 	r := rand.New(rand.NewPCG(seed, 0xa0d1))
-	rules := versions.Defaults()
+	rules := configversion.Defaults()
 	rules.Every = 200 * time.Millisecond
 	rules.Span = time.Duration(800+r.IntN(4000)) * time.Millisecond
 	rules.Enrol = 4*rules.Span + time.Duration(r.Int64N(int64(4*rules.Span)))
@@ -104,10 +104,10 @@
 	return w.res
 }
 
-func newWorld(r *rand.Rand, rules versions.Rules, gateways int) *World {
+func newWorld(r *rand.Rand, rules configversion.Rules, gateways int) *World {
 	w := &World{r: r, rules: rules, pace: 0.9 + 0.1*r.Float64(), digests: map[string]map[uint64]string{}, rates: map[string]float64{"": 50},
 		res: Result{Faults: map[string]int{}}}
-	w.log = versions.NewMachine(rules, w)
+	w.log = configversion.NewMachine(rules, w)
 	for _, item := range names {
 		w.digests[item] = map[uint64]string{}
 	}
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -8,9 +8,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // lineage is what a fleet has agreed on since it was founded.
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
 )
 
 const (
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 // replica is one gateway: the client, its state file, and what the gateway was told.
--- a/sim/distribution/search.go
+++ b/sim/distribution/search.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"mothcleat/sim/plays"
+	"mothcleat/sim/parallel"
 )
 
 // Finding is a play that breaks a promise; its seed and size play it again.
@@ -42,7 +42,7 @@
 	draw := func(n int) Finding {
 		return Finding{Seed: seed*1_000_003 + uint64(n), Size: Size{Servers: 2 + n%4, Replicas: 4 + n%7}, After: n + 1}
 	}
-	plays.Until(ctx, most, func(n int) Result {
+	parallel.Until(ctx, most, func(n int) Result {
 		one := draw(n)
 		return Play(one.Seed, one.Size, length)
 	}, func(n int, r Result) bool {
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"mothcleat/distribution"
-	"mothcleat/internal/distributionpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 // server is one control machine: a voter's machine and the publisher behind it.
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -1,5 +1,5 @@
 // Package distribution plays the distribution of control state in virtual time: the real machines, publishers and
-// replicas of mothcleat/distribution over one agreed history. Links lose, double, damage and delay messages, are slow
+// replicas of mothcleat/internal/controlplane/distribution over one agreed history. Links lose, double, damage and delay messages, are slow
 // or cut; servers stop, are killed and come back, also from an older state; gateways restart with, without and with a
 // damaged state file; the source changes its term amid bursts; the fleet is founded anew. A model that is a plain
 // map holds everything that a gateway is given against what was agreed.
@@ -11,7 +11,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/distribution"
+	"mothcleat/internal/controlplane/distribution"
 )
 
 const (
--- a/sim/owners/faults.go
+++ b/sim/election/faults.go
@@ -1,4 +1,4 @@
-package owners
+package election
 
 import (
 	"time"
--- a/sim/owners/procs.go
+++ b/sim/election/procs.go
@@ -1,4 +1,4 @@
-package owners
+package election
 
 import (
 	"encoding/json"
@@ -9,21 +9,21 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothcleat/agree"
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
-// voter is one voter: the node and its driver, as internal/voter has them on a real disk.
+// voter is one voter: the node and its driver, as internal/controlplane/replica has them on a real disk.
 type voter struct {
 	p        *proc
 	number   uint64
 	disk     disk
-	older    *agree.Saved // a copy of the folder
-	node     *agree.Node
-	machines map[string]agree.Machine
-	proof    *agree.Proof
+	older    *consensus.Saved // a copy of the folder
+	node     *consensus.Node
+	machines map[string]consensus.Machine
+	proof    *consensus.Proof
 	begun    bool
 	refused  string // why it takes no part
 	kept     uint64
@@ -43,17 +43,17 @@
 
 func (v *voter) start() {
 	d := lease.NewMachine(lease.Defaults())
-	v.machines = map[string]agree.Machine{lease.MachineName: d, checkpoint.MachineName: witnessed{checkpoint.NewMachine(d), v},
+	v.machines = map[string]consensus.Machine{lease.MachineName: d, checkpoint.MachineName: witnessed{checkpoint.NewMachine(d), v},
 		"ledger": &ledger{v: v, has: map[string]bool{}}}
 	w := v.p.w
-	node, err := agree.Open(v.p.clock(), agree.Config{Number: v.number, Machines: v.machines, Random: rand.New(rand.NewPCG(w.r.Uint64(), 1)),
+	node, err := consensus.Open(v.p.clock(), consensus.Config{Number: v.number, Machines: v.machines, Random: rand.New(rand.NewPCG(w.r.Uint64(), 1)),
 		ElectionTicks: election, HeartbeatTicks: 2, KeepEntries: w.o.Keep, Log: silent{}}, copyOf(v.disk.saved))
 	if err != nil {
 		w.breach("lost_acked", "voter %d can't open its folder: %v", v.number, err)
 		return
 	}
 	v.node, v.begun, v.refused, v.stuck, v.kept = node, false, "", false, v.disk.saved.Snapshot.Metadata.GetIndex()
-	v.proof = agree.NewProof(node.Position(), w.o.Voters-1)
+	v.proof = consensus.NewProof(node.Position(), w.o.Voters-1)
 	v.p.on(tick, v.tick)
 	v.prove()
 }
@@ -170,7 +170,7 @@
 
 func (v *voter) answer() {
 	for _, d := range v.node.Ended() {
-		d.Tag.(func(*fleetpb.Answer))(d.Answer)
+		d.Tag.(func(*controlpb.Answer))(d.Answer)
 	}
 }
 
@@ -281,8 +281,8 @@
 		if to.voter.node == nil || !to.voter.begun {
 			return
 		}
-		to.voter.node.Read("ledger", nil, func(a *fleetpb.Answer) {
-			if n, err := strconv.Atoi(string(a.Body)); a.Code == fleetpb.Code_OK && err == nil && n < before {
+		to.voter.node.Read("ledger", nil, func(a *controlpb.Answer) {
+			if n, err := strconv.Atoi(string(a.Body)); a.Code == controlpb.Code_OK && err == nil && n < before {
 				w.breach("stale_read", "a read shows %d words, %d were acknowledged before it was asked", n, before)
 			}
 		})
@@ -316,16 +316,16 @@
 			finish(nil, false)
 			return
 		}
-		m.ask(&fleetpb.Command{Session: session, Seq: seq, Floor: m.floor(), Machine: machine, Body: body, Member: m.member()}, func(a *fleetpb.Answer) {
+		m.ask(&controlpb.Command{Session: session, Seq: seq, Floor: m.floor(), Machine: machine, Body: body, Member: m.member()}, func(a *controlpb.Answer) {
 			switch a.Code {
-			case fleetpb.Code_OK:
+			case controlpb.Code_OK:
 				finish(a.Body, true)
-			case fleetpb.Code_NO_SESSION:
+			case controlpb.Code_NO_SESSION:
 				if m.session == session {
 					m.session = 0
 				}
 				finish(nil, false)
-			case fleetpb.Code_NOT_LEADER, fleetpb.Code_NOT_READY:
+			case controlpb.Code_NOT_LEADER, controlpb.Code_NOT_READY:
 				m.target = m.p.w.r.IntN(m.p.w.o.Voters)
 			}
 		})
@@ -342,10 +342,10 @@
 	return floor
 }
 
-func (m *member) member() *fleetpb.Member { return &fleetpb.Member{Id: m.me.ID, Boot: m.me.Boot} }
+func (m *member) member() *controlpb.Member { return &controlpb.Member{Id: m.me.ID, Boot: m.me.Boot} }
 
 // ask sends a command to a voter; the answer may never come.
-func (m *member) ask(c *fleetpb.Command, answer func(*fleetpb.Answer)) {
+func (m *member) ask(c *controlpb.Command, answer func(*controlpb.Answer)) {
 	w := m.p.w
 	to := w.procs[m.target]
 	life := m.p.life
@@ -353,7 +353,7 @@
 		if to.voter.node == nil || !to.voter.begun {
 			return
 		}
-		to.voter.node.Submit(to.clock(), c, func(a *fleetpb.Answer) {
+		to.voter.node.Submit(to.clock(), c, func(a *controlpb.Answer) {
 			w.send(to, m.p, func() {
 				if m.p.life == life {
 					answer(a)
@@ -371,8 +371,8 @@
 		return
 	}
 	m.opening = true
-	m.ask(&fleetpb.Command{Member: m.member()}, func(a *fleetpb.Answer) {
-		if a.Code == fleetpb.Code_OK {
+	m.ask(&controlpb.Command{Member: m.member()}, func(a *controlpb.Answer) {
+		if a.Code == controlpb.Code_OK {
 			m.session = a.Session
 		}
 		m.target = m.p.w.r.IntN(m.p.w.o.Voters)
--- a/sim/owners/search.go
+++ b/sim/election/search.go
@@ -1,10 +1,10 @@
-package owners
+package election
 
 import (
 	"context"
 	"time"
 
-	"mothcleat/sim/plays"
+	"mothcleat/sim/parallel"
 )
 
 // Finding is a play that breaks a promise; its options play it again.
@@ -33,7 +33,7 @@
 func Search(ctx context.Context, seed uint64, most int, length time.Duration) Found {
 	f := Found{Faults: map[string]int{}}
 	began := time.Now()
-	plays.Until(ctx, most, func(n int) Result { return Play(draw(seed, n, length)) }, func(n int, r Result) bool {
+	parallel.Until(ctx, most, func(n int) Result { return Play(draw(seed, n, length)) }, func(n int, r Result) bool {
 		f.Plays++
 		f.Events += r.Events
 		f.Acked += r.Acked
--- a/sim/owners/world.go
+++ b/sim/election/world.go
@@ -1,7 +1,7 @@
-// Package owners plays voters and members of a fleet in virtual time: the real agree, lease and standing, with
+// Package election plays voters and members of a fleet in virtual time: the real agree, lease and standing, with
 // links that lose, delay, double and cut, processes that stop, die and come back, disks that forget what was not
 // synced, and clocks of different pace. One seed has one history.
-package owners
+package election
 
 import (
 	"container/heap"
@@ -14,10 +14,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothcleat/agree"
-	"mothcleat/checkpoint"
-	"mothcleat/internal/fleetpb"
-	"mothcleat/lease"
+	"mothcleat/internal/controlplane/checkpoint"
+	"mothcleat/internal/controlplane/consensus"
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
 )
 
 const (
@@ -190,16 +190,16 @@
 	w := &World{o: o, r: rand.New(rand.NewPCG(o.Seed, 0x0114e5)), cut: map[[2]int]bool{}, log: map[uint64]string{}, acked: map[string]bool{},
 		terms: map[uint64]lease.Member{}, firsts: map[uint64]uint64{}, leaders: map[uint64]bool{}}
 	w.res.Faults, w.res.States = map[string]int{}, map[string]bool{}
-	var voters []*fleetpb.Voter
+	var voters []*controlpb.Voter
 	for i := range o.Voters {
-		voters = append(voters, &fleetpb.Voter{Number: uint64(i + 1), Name: fmt.Sprintf("v%d", i)})
+		voters = append(voters, &controlpb.Voter{Number: uint64(i + 1), Name: fmt.Sprintf("v%d", i)})
 	}
 	for i := range o.Voters + o.Members {
 		// Any two clocks go at paces that the margin covers.
 		p := &proc{w: w, n: i, pace: 0.945 + 0.115*w.r.Float64(), shift: time.Duration(w.r.Int64N(int64(time.Hour)))}
 		w.procs = append(w.procs, p)
 		if i < o.Voters {
-			saved, err := agree.Found("sim", voters)
+			saved, err := consensus.Found("sim", voters)
 			if err != nil {
 				panic(err)
 			}
@@ -370,11 +370,11 @@
 
 // disk is what a voter's folder holds, and what of it a power cut would take.
 type disk struct {
-	saved   agree.Saved
-	waiting []agree.Work // written, not synced
+	saved   consensus.Saved
+	waiting []consensus.Work // written, not synced
 }
 
-func (d *disk) write(w agree.Work) {
+func (d *disk) write(w consensus.Work) {
 	d.waiting = append(d.waiting, w)
 	if w.Sync {
 		d.sync()
@@ -402,7 +402,7 @@
 		for len(d.saved.Entries) > 0 && d.saved.Entries[0].GetIndex() < w.First {
 			d.saved.Entries = d.saved.Entries[1:]
 		}
-		witness := map[uint64]agree.Promise{}
+		witness := map[uint64]consensus.Promise{}
 		for of, p := range d.saved.Witness {
 			witness[of] = p
 		}
@@ -414,7 +414,7 @@
 	d.waiting = nil
 }
 
-func copyOf(s agree.Saved) agree.Saved {
+func copyOf(s consensus.Saved) consensus.Saved {
 	c := s
 	c.Hard = proto.Clone(s.Hard).(*raftpb.HardState)
 	c.Entries = append([]*raftpb.Entry(nil), s.Entries...)
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -1,8 +1,8 @@
 package sim
 
 import (
-	"mothcleat/decide"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/testing/harness"
 )
 
 // margin is how long before its client stops waiting a request is ended, as by the
@@ -10,12 +10,12 @@
 const margin = 25_000
 
 const (
-	resultOK      = decide.OK
-	resultFailed  = decide.Failed
-	resultFull    = decide.Full
-	resultTimeout = decide.TimedOut
-	resultConnect = decide.ConnectFailed
-	resultReset   = decide.Reset
+	resultOK      = policy.OK
+	resultFailed  = policy.Failed
+	resultFull    = policy.Full
+	resultTimeout = policy.TimedOut
+	resultConnect = policy.ConnectFailed
+	resultReset   = policy.Reset
 )
 
 // gateway hosts one decision module and keeps a host's promises to it: one event
@@ -23,7 +23,7 @@
 type gateway struct {
 	w      *World
 	number int
-	module *decide.Gateway
+	module *policy.Gateway
 	life   int // counts its processes: what was planned for an earlier one is void
 	up     bool
 	open   map[uint64]*request
@@ -31,7 +31,7 @@
 	nextID uint64
 	skew   int64 // of its clock, in microseconds
 	frozen int64 // it stands still until then
-	kept   *decide.Snapshot
+	kept   *policy.Snapshot
 
 	front frontEntry
 }
@@ -41,11 +41,11 @@
 	gateway  *gateway
 	life     int
 	id       uint64
-	try      *trial.Try
+	try      *harness.Try
 	deadline int64 // of the client, less the margin
 	answered bool
 	attempts []*attempt
-	done     func(trial.Kind, int64) // the client hears; with the advice
+	done     func(harness.Kind, int64) // the client hears; with the advice
 }
 
 // attempt is one send of a request.
@@ -60,7 +60,7 @@
 	send   uint64 // counts all sends of the world
 }
 
-func (g *gateway) now() decide.Time { return epoch + g.w.now + g.skew }
+func (g *gateway) now() policy.Time { return epoch + g.w.now + g.skew }
 
 // event has something happen to a process, unless it has ended; while it stands still
 // it waits. What the module must have kept by then is kept before anything else happens.
@@ -93,15 +93,15 @@
 }
 
 // start begins a process that knows nothing, or what a former one has kept.
-func (g *gateway) start(s *decide.Snapshot) error {
+func (g *gateway) start(s *policy.Snapshot) error {
 	g.life++
 	g.open, g.order = map[uint64]*request{}, nil
 	var err error
 	seed := g.w.rand.Uint64()
-	if g.module, err = decide.New(g.w.settings[g.number], seed, &actions{g, g.life}); err != nil {
+	if g.module, err = policy.New(g.w.settings[g.number], seed, &actions{g, g.life}); err != nil {
 		return err
 	}
-	g.module.Explain(func(id uint64, why decide.Why) {
+	g.module.Explain(func(id uint64, why policy.Why) {
 		if q := g.open[id]; q != nil {
 			q.try.Why = why.String()
 		}
@@ -112,12 +112,12 @@
 			g.w.said(g.number, err.Error())
 		}
 	}
-	g.w.Record.Lives = append(g.w.Record.Lives, trial.Life{Gateway: g.number, Event: trial.Started, At: g.w.at()},
-		trial.Life{Gateway: g.number, Event: trial.Ready, At: g.w.at()})
+	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{Gateway: g.number, Event: harness.Started, At: g.w.at()},
+		harness.Life{Gateway: g.number, Event: harness.Ready, At: g.w.at()})
 	if g.w.now < g.w.register.silent {
-		g.module.Members(g.now(), decide.Stale, g.w.register.list(g.number))
+		g.module.Members(g.now(), policy.Stale, g.w.register.list(g.number))
 	} else {
-		g.module.Members(g.now(), decide.Whole, g.w.register.list(g.number))
+		g.module.Members(g.now(), policy.Whole, g.w.register.list(g.number))
 	}
 	if g.w.o.State {
 		g.keeps(g.life)
@@ -129,7 +129,7 @@
 func (g *gateway) kill() {
 	g.up = false
 	g.life++
-	g.w.Record.Lives = append(g.w.Record.Lives, trial.Life{Gateway: g.number, Event: trial.Killed, At: g.w.at()})
+	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{Gateway: g.number, Event: harness.Killed, At: g.w.at()})
 	for _, id := range g.order {
 		q := g.open[id]
 		if q == nil {
@@ -141,13 +141,13 @@
 		if !q.answered {
 			q.answered = true
 			q.try.Reset = true
-			q.done(trial.Ended, 0)
+			q.done(harness.Ended, 0)
 		}
 	}
 }
 
 // take takes a try in from the front.
-func (g *gateway) take(t *trial.Try, who *trial.Customer, done func(trial.Kind, int64)) {
+func (g *gateway) take(t *harness.Try, who *harness.Customer, done func(harness.Kind, int64)) {
 	g.nextID++
 	wait := t.Wait.Microseconds()
 	grace := wait - min(margin, wait/4)
@@ -168,11 +168,11 @@
 		g.event(q.life, func() {
 			if !q.answered {
 				g.w.breach("gateway %d: request %s has no answer at its deadline", g.number, q.try.ID)
-				q.answer(trial.Failed, 0)
+				q.answer(harness.Failed, 0)
 			}
 		})
 	})
-	g.module.Request(g.now(), decide.Request{ID: q.id, Class: t.Class, Plan: t.Plan, Customer: customerNumber(who.ID),
+	g.module.Request(g.now(), policy.Request{ID: q.id, Class: t.Class, Plan: t.Plan, Customer: customerNumber(who.ID),
 		Units: t.Units, Grace: grace, First: who.First, Spread: who.Spread})
 	g.forget(q)
 }
@@ -191,7 +191,7 @@
 }
 
 // answer gives a request its final answer; the first one counts.
-func (q *request) answer(k trial.Kind, after int64) {
+func (q *request) answer(k harness.Kind, after int64) {
 	if q.answered {
 		return
 	}
@@ -205,12 +205,12 @@
 }
 
 // end ends an attempt: exactly one Outcome for each Send.
-func (a *attempt) end(r decide.Result) {
+func (a *attempt) end(r policy.Result) {
 	g := a.q.gateway
 	g.event(a.q.life, func() { a.ended(r) })
 }
 
-func (a *attempt) ended(r decide.Result) {
+func (a *attempt) ended(r policy.Result) {
 	g := a.q.gateway
 	if a.over {
 		return
@@ -218,10 +218,10 @@
 	a.over = true
 	g.w.settle(a)
 	if r == resultOK && !a.q.answered {
-		a.q.try.Value = trial.ValueOf(a.q.try.ID, a.server.id)
-		a.q.answer(trial.Served, 0)
+		a.q.try.Value = harness.ValueOf(a.q.try.ID, a.server.id)
+		a.q.answer(harness.Served, 0)
 	}
-	g.module.Outcome(g.now(), decide.Outcome{ID: a.q.id, Attempt: a.number, Backend: a.server.number, Result: r,
+	g.module.Outcome(g.now(), policy.Outcome{ID: a.q.id, Attempt: a.number, Backend: a.server.number, Result: r,
 		Took: g.w.now - a.sent, Over: a.q.answered})
 	g.forget(a.q)
 }
@@ -232,7 +232,7 @@
 	life int
 }
 
-func (x *actions) Send(id uint64, backend uint32, until decide.Time) {
+func (x *actions) Send(id uint64, backend uint32, until policy.Time) {
 	g := x.g
 	q := g.open[id]
 	if q == nil || q.answered {
@@ -255,21 +255,21 @@
 	g.w.after(end-g.w.now, func() { a.end(resultTimeout) })
 }
 
-func (x *actions) Refuse(id uint64, after decide.Time) {
+func (x *actions) Refuse(id uint64, after policy.Time) {
 	if q := x.g.open[id]; q != nil {
-		q.answer(trial.Refused, after)
+		q.answer(harness.Refused, after)
 		x.g.forget(q)
 	}
 }
 
 func (x *actions) Fail(id uint64) {
 	if q := x.g.open[id]; q != nil {
-		q.answer(trial.Failed, 0)
+		q.answer(harness.Failed, 0)
 		x.g.forget(q)
 	}
 }
 
-func (x *actions) SetTimer(at decide.Time, token uint32) {
+func (x *actions) SetTimer(at policy.Time, token uint32) {
 	g := x.g
 	g.w.after(at-g.now(), func() {
 		g.event(x.life, func() { g.module.Timer(g.now(), token) })
@@ -278,6 +278,6 @@
 
 func (x *actions) Tell(peer int, note []byte)         { x.g.w.notes.carry(x.g.number, peer, note) }
 func (x *actions) Probe(uint32)                       {}
-func (x *actions) Count(uint64, float64, decide.Time) {}
+func (x *actions) Count(uint64, float64, policy.Time) {}
 func (x *actions) Follow()                            {}
 func (x *actions) Log(line string)                    { x.g.w.said(x.g.number, line) }
--- a/sim/plays/plays.go
+++ b/sim/parallel/plays.go
@@ -1,5 +1,5 @@
-// Package plays runs the plays of a search on all cores.
-package plays
+// Package parallel runs the plays of a search on all cores.
+package parallel
 
 import (
 	"context"
--- a/sim/run.go
+++ b/sim/run.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // RunFigures plays one world and gives its figures with those of the emulator itself.
-func RunFigures(o Options) (*trial.Figures, error) {
+func RunFigures(o Options) (*harness.Figures, error) {
 	began := time.Now()
 	w, err := New(o)
 	if err != nil {
@@ -20,7 +20,7 @@
 	f.Extra["gateways"], f.Extra["customers"], f.Extra["servers"] = len(w.gateways), len(w.Site.Customers), len(w.servers)
 	f.Extra["digest"], f.Extra["events"] = w.Digest(), w.Events()
 	f.Extra["events_per_second"], f.Extra["times_real"] = float64(w.Events())/took, o.For.Seconds()/took
-	f.Extra["given_of_bought"], f.Extra["sent_units"] = trial.GivenOfBought(w.Site, w.Record), trial.SentUnits(w.Record)
+	f.Extra["given_of_bought"], f.Extra["sent_units"] = harness.GivenOfBought(w.Site, w.Record), harness.SentUnits(w.Record)
 	f.Extra["notes_per_second"] = float64(w.Notes.Sent) / f.Seconds / gateways
 	f.Extra["note_bytes_per_try"] = float64(w.Notes.Bytes) / float64(max(1, f.Taken))
 	f.Extra["notes_in_a_second_most"] = w.Notes.MostIn
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -7,33 +7,33 @@
 	"slices"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/trial"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/testing/harness"
 )
 
 // plan has a fault happen at its time.
-func (w *World) plan(f trial.Fault) {
+func (w *World) plan(f harness.Fault) {
 	w.after(f.At.Microseconds(), func() { w.fault(f) })
 }
 
-func (w *World) fault(f trial.Fault) {
+func (w *World) fault(f harness.Fault) {
 	span := f.For.Microseconds()
 	switch {
-	case slices.Contains(trial.GatewayFaults, f.Kind):
+	case slices.Contains(harness.GatewayFaults, f.Kind):
 		w.gatewayFault(w.gateways[f.N%len(w.gateways)], f, span)
-	case slices.Contains(trial.ServerFaults, f.Kind):
+	case slices.Contains(harness.ServerFaults, f.Kind):
 		w.serverFault(w.servers[f.N%len(w.servers)], f, span)
-	case f.Kind == trial.SilentAt:
+	case f.Kind == harness.SilentAt:
 		w.register.silent = max(w.register.silent, w.now+span)
-	case f.Kind == trial.Cut:
+	case f.Kind == harness.Cut:
 		w.notes.cut, w.notes.cutAt = max(w.notes.cut, w.now+span), 1+f.N%max(1, len(w.gateways)-1)
-	case f.Kind == trial.LateBy:
+	case f.Kind == harness.LateBy:
 		w.notes.slow, w.notes.slowBy = max(w.notes.slow, w.now+span), int64(f.X*1e6)
 	}
 }
 
-func (w *World) gatewayFault(g *gateway, f trial.Fault, span int64) {
-	if f.Kind == trial.Freeze {
+func (w *World) gatewayFault(g *gateway, f harness.Fault, span int64) {
+	if f.Kind == harness.Freeze {
 		g.frozen = max(g.frozen, w.now+span)
 		return
 	}
@@ -41,12 +41,12 @@
 		return
 	}
 	g.kill()
-	var kept *decide.Snapshot
-	if f.Kind == trial.Restart {
+	var kept *policy.Snapshot
+	if f.Kind == harness.Restart {
 		kept = g.kept
 	}
 	w.after(span, func() {
-		if f.Kind == trial.ClockOff {
+		if f.Kind == harness.ClockOff {
 			g.skew = int64(f.X * 1e6)
 		}
 		if err := g.start(kept); err != nil {
@@ -55,7 +55,7 @@
 	})
 }
 
-func (w *World) serverFault(sv *server, f trial.Fault, span int64) {
+func (w *World) serverFault(sv *server, f harness.Fault, span int64) {
 	if !sv.up {
 		return
 	}
@@ -68,26 +68,26 @@
 		})
 	}
 	switch f.Kind {
-	case trial.Down:
+	case harness.Down:
 		sv.kill()
-		w.register.tell(sv, decide.Left)
+		w.register.tell(sv, policy.Left)
 		w.after(span, func() {
 			sv.start(true)
-			w.register.tell(sv, decide.Ready)
+			w.register.tell(sv, policy.Ready)
 		})
-	case trial.Drained:
-		w.register.tell(sv, decide.Draining)
-		until(func() { w.register.tell(sv, decide.Ready) })
-	case trial.Slow:
+	case harness.Drained:
+		w.register.tell(sv, policy.Draining)
+		until(func() { w.register.tell(sv, policy.Ready) })
+	case harness.Slow:
 		sv.slow = f.X
 		until(func() { sv.slow = 1 })
-	case trial.Errors:
+	case harness.Errors:
 		sv.errs = f.X
 		until(func() { sv.errs = 0 })
-	case trial.Hang:
+	case harness.Hang:
 		sv.hangs = true
 		until(func() { sv.hangs = false; sv.pull() })
-	case trial.Resets:
+	case harness.Resets:
 		sv.resets = f.X
 		until(func() { sv.resets = 0 })
 	}
@@ -119,7 +119,7 @@
 // RandomSchedule draws a small world with a few faults.
 func RandomSchedule(r *rand.Rand) Schedule {
 	s := Schedule{Options{Seed: r.Uint64() >> 16, Gateways: 2 + r.IntN(4), Servers: 3 + r.IntN(4),
-		Load: trial.Between(r, 0.3, 1.1), For: time.Duration(4+r.IntN(6)) * time.Second, NoteLoss: 0.06,
+		Load: harness.Between(r, 0.3, 1.1), For: time.Duration(4+r.IntN(6)) * time.Second, NoteLoss: 0.06,
 		Shift: time.Duration(1+r.IntN(8)) * time.Second, State: r.IntN(2) == 0, Unsafe: r.IntN(3) == 0}}
 	if r.IntN(4) == 0 { // a wide set, with a home
 		s.Gateways = 9 + r.IntN(4)
@@ -129,7 +129,7 @@
 		s.NoteLoss, s.NoteTwice = 0.5*r.Float64(), 0.5*r.Float64()
 	}
 	if r.IntN(3) == 0 {
-		s.Window = time.Duration(trial.Between(r, 1.5, 4) * float64(time.Second))
+		s.Window = time.Duration(harness.Between(r, 1.5, 4) * float64(time.Second))
 	}
 	s.Tight = r.IntN(2) == 0
 	if r.IntN(2) == 0 {
@@ -137,35 +137,37 @@
 	}
 	for range 1 + r.IntN(8) {
 		f := randomFault(r, s.For)
-		if s.State && f.Kind == trial.Kill {
-			f.Kind = trial.Restart
+		if s.State && f.Kind == harness.Kill {
+			f.Kind = harness.Restart
 		}
 		s.Faults = append(s.Faults, f)
 	}
 	return s
 }
 
-func randomFault(r *rand.Rand, within time.Duration) trial.Fault {
-	kinds := slices.Concat(trial.GatewayFaults, trial.ServerFaults, trial.ServerFaults, trial.OtherFaults)
-	f := trial.Fault{At: time.Duration(r.Float64() * float64(within)), Kind: kinds[r.IntN(len(kinds))], N: r.IntN(1000)}
-	span := func(least, most float64) { f.For = time.Duration(trial.Between(r, least, most) * float64(time.Second)) }
+func randomFault(r *rand.Rand, within time.Duration) harness.Fault {
+	kinds := slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.ServerFaults, harness.OtherFaults)
+	f := harness.Fault{At: time.Duration(r.Float64() * float64(within)), Kind: kinds[r.IntN(len(kinds))], N: r.IntN(1000)}
+	span := func(least, most float64) {
+		f.For = time.Duration(harness.Between(r, least, most) * float64(time.Second))
+	}
 	switch f.Kind {
-	case trial.Freeze:
+	case harness.Freeze:
 		span(0.005, 0.04)
-	case trial.Kill, trial.Restart, trial.ClockOff:
+	case harness.Kill, harness.Restart, harness.ClockOff:
 		span(0.05, 1.5)
-		f.X = trial.Between(r, -2, 2)
-	case trial.Down:
+		f.X = harness.Between(r, -2, 2)
+	case harness.Down:
 		span(1, 3) // long enough for who sends to it to notice
-	case trial.Slow:
+	case harness.Slow:
 		span(0.5, 4)
-		f.X = trial.Between(r, 2, 8)
-	case trial.Errors, trial.Resets:
+		f.X = harness.Between(r, 2, 8)
+	case harness.Errors, harness.Resets:
 		span(0.5, 4)
-		f.X = trial.Between(r, 0.2, 1)
-	case trial.LateBy:
+		f.X = harness.Between(r, 0.2, 1)
+	case harness.LateBy:
 		span(0.5, 4)
-		f.X = trial.Between(r, 0.02, 2)
+		f.X = harness.Between(r, 0.02, 2)
 	default:
 		span(0.5, 4)
 	}
--- a/sim/search.go
+++ b/sim/search.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // Finding is a schedule that breaks a rule.
@@ -37,9 +37,9 @@
 	}
 	w.Run()
 	if len(w.broken) > 0 {
-		return string(trial.Lost), w.broken[0], nil, nil
+		return string(harness.Lost), w.broken[0], nil, nil
 	}
-	v := trial.Audit(w.Site, w.Record)
+	v := harness.Audit(w.Site, w.Record)
 	if len(v.Breaches) > 0 {
 		return string(v.Breaches[0].Rule), v.Breaches[0].What, nil, nil
 	}
--- a/sim/server.go
+++ b/sim/server.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 const (
@@ -33,7 +33,7 @@
 	resets float64 // part of its answers that end with a reset
 	busy   int
 	queue  []*attempt
-	recent []trial.Attempt
+	recent []harness.Attempt
 }
 
 func newServer(w *World, i int) *server {
@@ -46,7 +46,7 @@
 	sv.up, sv.drains, sv.busy, sv.queue, sv.recent = true, false, 0, nil, nil
 	sv.errs, sv.slow, sv.hangs, sv.resets = 0, 1, false, 0
 	sv.life++
-	sv.boot = sv.w.Record.AddBoot(trial.Boot{Server: sv.id, Cores: float64(sv.cores), Speed: sv.speed, Cold: cold, At: sv.w.at()})
+	sv.boot = sv.w.Record.AddBoot(harness.Boot{Server: sv.id, Cores: float64(sv.cores), Speed: sv.speed, Cold: cold, At: sv.w.at()})
 }
 
 // kill ends the process: what it holds is reset, what comes finds no port.
@@ -76,7 +76,7 @@
 	}
 	w, class := sv.w, &sv.w.Site.Classes[a.q.try.Class]
 	x := math.Exp(0.4*sv.rand.NormFloat64() - 0.08) // mean 1
-	seen := trial.Attempt{ID: a.q.try.ID, Key: a.q.try.Key, Server: sv.id, Gateway: a.q.gateway.number, Class: a.q.try.Class,
+	seen := harness.Attempt{ID: a.q.try.ID, Key: a.q.try.Key, Server: sv.id, Gateway: a.q.gateway.number, Class: a.q.try.Class,
 		Work: time.Duration(x * float64(class.Work)), First: w.at(), Whole: w.at()}
 	a.place, a.work = w.Record.AddAttempt(seen), seen.Work.Seconds()
 	if over, told := sv.overrun(seen); over {
@@ -100,7 +100,7 @@
 
 // overrun tells whether it has been sent more than it can bear while cold, and whether
 // two thirds of that came from gateways that had been told of its start.
-func (sv *server) overrun(a trial.Attempt) (over, told bool) {
+func (sv *server) overrun(a harness.Attempt) (over, told bool) {
 	s := sv.w.Site
 	share := sv.share()
 	if share == 1 {
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // play plays a world and fails where a rule is broken.
-func play(t *testing.T, o Options) (*World, *trial.Figures) {
+func play(t *testing.T, o Options) (*World, *harness.Figures) {
 	t.Helper()
 	w, err := New(o)
 	if err != nil {
@@ -117,11 +117,11 @@
 	for seed := range uint64(6) {
 		for i, gateways := range []int{1, 24} {
 			w, f := play(t, Options{Seed: 100 + seed, Gateways: gateways, Load: 0.55, For: 30 * time.Second, NoteLoss: -1})
-			q := trial.GivenOfBought(w.Site, w.Record)
-			given[i][0] += q[trial.Near].Of / 6
-			given[i][1] += q[trial.Over].Of / 6
+			q := harness.GivenOfBought(w.Site, w.Record)
+			given[i][0] += q[harness.Near].Of / 6
+			given[i][1] += q[harness.Over].Of / 6
 			beyond[i] += f.Over
-			sent[i] += trial.SentUnits(w.Record)
+			sent[i] += harness.SentUnits(w.Record)
 		}
 	}
 	t.Logf("near and over: one gateway %.3f, 24 %.3f; beyond the quotas %.4f", given[0], given[1], beyond[1]/sent[1])
@@ -155,7 +155,7 @@
 		}
 	})
 	w.Run()
-	if f := w.Figures("test"); f.Broken[trial.Cold] == 0 {
+	if f := w.Figures("test"); f.Broken[harness.Cold] == 0 {
 		t.Errorf("nothing broke: %s", f.Line())
 	}
 }
--- a/sim/throng_test.go
+++ b/sim/throng_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"mothcleat/internal/trial"
+	"mothcleat/internal/testing/harness"
 )
 
 // throng is a fleet of 32 gateways before 12 servers that ask for more than those can do, with
@@ -14,8 +14,8 @@
 		For: 14 * time.Second, NoteLoss: noteLoss}
 	for n := range 4 {
 		o.Faults = append(o.Faults,
-			trial.Fault{At: time.Duration(3000+200*n) * time.Millisecond, For: time.Second, Kind: trial.Down, N: n},
-			trial.Fault{At: time.Duration(7000+300*n) * time.Millisecond, For: time.Second, Kind: trial.Down, N: n + 4})
+			harness.Fault{At: time.Duration(3000+200*n) * time.Millisecond, For: time.Second, Kind: harness.Down, N: n},
+			harness.Fault{At: time.Duration(7000+300*n) * time.Millisecond, For: time.Second, Kind: harness.Down, N: n + 4})
 	}
 	return o
 }
--- a/sim/world.go
+++ b/sim/world.go
@@ -16,9 +16,9 @@
 	"strconv"
 	"time"
 
-	"mothcleat/decide"
-	"mothcleat/internal/trial"
-	"mothcleat/internal/wire"
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/dataplane/simprotocol"
+	"mothcleat/internal/testing/harness"
 )
 
 // epoch is the gateways' time at the start of a run, in microseconds.
@@ -45,9 +45,9 @@
 	NoteLate  time.Duration `json:"note_late,omitempty" toml:"-"`           // how much later than usual they come
 	NoteTwice float64       `json:"note_twice,omitempty" toml:"note_twice"` // part of the notes that come twice, the second up to a second later
 
-	Kills    time.Duration `json:"kills,omitempty" toml:"-"`    // one gateway is killed in each such span, on average; 0: none
-	Restarts time.Duration `json:"restarts,omitempty" toml:"-"` // one server is killed, and comes back cold, in each such span; 0: none
-	Faults   []trial.Fault `json:"faults,omitempty" toml:"-"`   // what goes wrong besides
+	Kills    time.Duration   `json:"kills,omitempty" toml:"-"`    // one gateway is killed in each such span, on average; 0: none
+	Restarts time.Duration   `json:"restarts,omitempty" toml:"-"` // one server is killed, and comes back cold, in each such span; 0: none
+	Faults   []harness.Fault `json:"faults,omitempty" toml:"-"`   // what goes wrong besides
 }
 
 // Check tells which option can't be played.
@@ -73,7 +73,7 @@
 		return errors.New("a length of time below 0")
 	}
 	for i, f := range o.Faults {
-		if f.N < 0 || f.At < 0 || f.For < 0 || !slices.Contains(slices.Concat(trial.GatewayFaults, trial.ServerFaults, trial.OtherFaults), f.Kind) {
+		if f.N < 0 || f.At < 0 || f.For < 0 || !slices.Contains(slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.OtherFaults), f.Kind) {
 			return fmt.Errorf("faults[%d]: %v can't be played", i, f)
 		}
 	}
@@ -83,13 +83,13 @@
 // World is a fleet in virtual time.
 type World struct {
 	clock
-	Site   *trial.Site
-	Record *trial.Record
+	Site   *harness.Site
+	Record *harness.Record
 	Notes  NoteCounts
 
 	o        Options
 	rand     *rand.Rand
-	settings []decide.Settings
+	settings []policy.Settings
 	servers  []*server
 	gateways []*gateway
 	register *register
@@ -120,8 +120,8 @@
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	site := trial.Draw{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, PerSecond: o.PerSecond, Customers: o.Customers}
-	w := &World{o: o, Site: site.Site(), Record: &trial.Record{},
+	site := harness.Draw{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, PerSecond: o.PerSecond, Customers: o.Customers}
+	w := &World{o: o, Site: site.Site(), Record: &harness.Record{},
 		rand: rand.New(rand.NewPCG(o.Seed, 0x51a)), held: map[*server]map[uint64]*attempt{}, digest: fnv.New64a(), ends: o.For.Microseconds()}
 	if o.Shift > 0 {
 		w.Site.Shift = o.Shift
@@ -155,7 +155,7 @@
 		if err != nil {
 			return nil, err
 		}
-		set, _, err := wire.ParseJSON(raw)
+		set, _, err := simprotocol.ParseJSON(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -204,8 +204,8 @@
 }
 
 // Figures audits the run and sums it up.
-func (w *World) Figures(command string) *trial.Figures {
-	f := trial.Figure(command, w.o.Seed, w.Site, w.Record)
+func (w *World) Figures(command string) *harness.Figures {
+	f := harness.Figure(command, w.o.Seed, w.Site, w.Record)
 	for _, what := range w.broken[:min(len(w.broken), 3)] {
 		f.Miss(what)
 	}
@@ -282,13 +282,13 @@
 		if !g.up {
 			return
 		}
-		w.gatewayFault(g, trial.Fault{Kind: trial.Restart}, 300_000+r.Int64N(700_000))
+		w.gatewayFault(g, harness.Fault{Kind: harness.Restart}, 300_000+r.Int64N(700_000))
 	})
 	every(w.o.Restarts, func() {
 		sv := w.servers[r.IntN(len(w.servers))]
 		if !sv.up {
 			return
 		}
-		w.serverFault(sv, trial.Fault{Kind: trial.Down}, 1_000_000+r.Int64N(2_000_000))
+		w.serverFault(sv, harness.Fault{Kind: harness.Down}, 1_000_000+r.Int64N(2_000_000))
 	})
 }
