--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -23,13 +23,13 @@
 
 // host keeps the instances of one process.
 type host struct {
-	gateways map[uint16]*policy.Gateway
+	gateways map[uint16]*policy.Balancer
 	reply    simprotocol.Reply
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{gateways: map[uint16]*policy.Gateway{}}
+	h := &host{gateways: map[uint16]*policy.Balancer{}}
 	var body []byte
 	for {
 		batch, err := simprotocol.ReadBatch(r, body)
@@ -77,30 +77,30 @@
 	}
 	switch e.Kind {
 	case simprotocol.Backends:
-		g.Members(now, e.News, e.Members)
+		g.UpdateEndpoints(now, e.News, e.Members)
 	case simprotocol.Ingress:
 		g.Request(now, e.Request)
 	case simprotocol.First:
-		g.Started(now, e.Outcome.ID)
+		g.ResponseStarted(now, e.Outcome.ID)
 	case simprotocol.Done:
 		g.Outcome(now, e.Outcome)
 	case simprotocol.Dropped:
-		g.Gone(now, e.Outcome.ID)
+		g.ClientGone(now, e.Outcome.ID)
 	case simprotocol.Wake:
 		g.Timer(now, e.Token)
 	case simprotocol.Sampled:
-		g.Probed(now, e.Backend, e.Result, e.Load)
+		g.ReceiveProbeResult(now, e.Backend, e.Result, e.Load)
 	case simprotocol.Heard:
-		g.Peer(now, e.From, e.Note)
+		g.ReceivePeerMessage(now, e.From, e.Note)
 	case simprotocol.Ledger:
-		g.Counted(now, e.Name, e.Result, e.Total)
+		g.ReceiveCounterTotal(now, e.Name, e.Result, e.Total)
 	}
 }
 
 func (h *host) provision(e *simprotocol.Event) {
 	set, err := simprotocol.ParseSettings(e.Profile)
 	if err == nil {
-		var g *policy.Gateway
+		var g *policy.Balancer
 		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
 			h.gateways[e.Instance] = g
 			return
--- a/internal/controlplane/allocator/user.go
+++ b/internal/controlplane/allocator/user.go
@@ -70,33 +70,35 @@
 // Follow has the answers to Borrow go to a function. It is to be called before the first Borrow.
 func (u *User) Follow(lent func(gateway.Loan)) { u.lent = lent }
 
-func whole(b *policy.Budget) allocation.Share { return allocation.Share{Rate: b.Rate, Burst: b.Burst} }
+func whole(b *policy.SharedQuota) allocation.Share {
+	return allocation.Share{Rate: b.Rate, Burst: b.Burst}
+}
 
 // The loop's calls. Times are by package monotonic's clock: the module's own may have been read before the process was stopped.
 
-// Ask takes note that units were asked for.
-func (u *User) Ask(_ policy.Time, b *policy.Budget, units float64) {
+// RecordDemand takes note that units were asked for.
+func (u *User) RecordDemand(_ policy.Time, b *policy.SharedQuota, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.holder.Ask(monotonic.Now(), b.ID, whole(b), b.Spread, units)
 }
 
-// Level is how many units may be taken now.
-func (u *User) Level(_ policy.Time, b *policy.Budget) float64 {
+// Available is how many units may be taken now.
+func (u *User) Available(_ policy.Time, b *policy.SharedQuota) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return min(u.holder.Level(monotonic.Now(), b.ID), b.Burst) // a part that is not lessened yet
 }
 
-// Rate is at which rate they come.
-func (u *User) Rate(_ policy.Time, b *policy.Budget) float64 {
+// RefillRate is at which rate they come.
+func (u *User) RefillRate(_ policy.Time, b *policy.SharedQuota) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return min(u.holder.Rate(monotonic.Now(), b.ID), b.Rate)
 }
 
-// Take uses units for a request.
-func (u *User) Take(_ policy.Time, id uint64, b *policy.Budget, units float64) {
+// Consume uses units for a request.
+func (u *User) Consume(_ policy.Time, id uint64, b *policy.SharedQuota, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := monotonic.Now()
@@ -107,8 +109,8 @@
 	}
 }
 
-// Return gives back units that were lent.
-func (u *User) Return(_ policy.Time, b *policy.Budget, units float64) {
+// Release gives back units that were lent.
+func (u *User) Release(_ policy.Time, b *policy.SharedQuota, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.holder.Return(monotonic.Now(), b.ID, units)
@@ -132,8 +134,8 @@
 	return over
 }
 
-// Borrow asks the owner of a budget for units.
-func (u *User) Borrow(id uint64, b *policy.Budget, units float64) bool {
+// RequestOnDemand asks the owner of a budget for units.
+func (u *User) RequestOnDemand(id uint64, b *policy.SharedQuota, units float64) bool {
 	shard := allocation.ShardOf(b.ID, u.shards)
 	now := monotonic.Now()
 	owner, address, ok := u.owners.Owner(allocation.Duty(shard))
--- a/internal/dataplane/gateway/backends.go
+++ b/internal/dataplane/gateway/backends.go
@@ -33,7 +33,7 @@
 	number  uint32
 	address string
 	upSince int64 // as discovery tells it
-	state   policy.State
+	state   policy.EndpointState
 	idle    []*backendConn // the one used last at the end
 	waiting []*attempt     // for a connection, oldest first
 	dialing int
@@ -111,7 +111,7 @@
 	for bs.byNumber[number] != nil {
 		number++ // two ids share a number: they are still two backends
 	}
-	b := &backend{number: number, state: policy.Left}
+	b := &backend{number: number, state: policy.Removed}
 	bs.byID[id], bs.byNumber[number] = b, b
 	return b
 }
@@ -122,7 +122,7 @@
 	b := bs.byNumber[number]
 	a.giveUp = l.at(a.until, giveUp{a})
 	if b == nil || b.state != policy.Ready {
-		l.finish(a, policy.Moot, nil)
+		l.finish(a, policy.Superseded, nil)
 		return
 	}
 	bs.place(l, b, a)
@@ -219,7 +219,7 @@
 	if c.b.state != policy.Ready {
 		// The drain was told while the attempt waited for its connection:
 		// nothing new goes there, however slow the dial was.
-		l.finish(a, policy.Moot, nil)
+		l.finish(a, policy.Superseded, nil)
 		bs.close(c)
 		return true
 	}
@@ -269,10 +269,10 @@
 // outlived ends an attempt that was to repeat one that may have run, where the repeat may not be sent any more: it waited for
 // its connection for too long. It tells whether it has.
 func (l *Loop) outlived(a *attempt) bool {
-	if a.r == nil || a.number == 0 || l.module.StillMay(l.now(), a.r.id, a.number) {
+	if a.r == nil || a.number == 0 || l.module.MayStillSend(l.now(), a.r.id, a.number) {
 		return false
 	}
-	l.finish(a, policy.Moot, nil)
+	l.finish(a, policy.Superseded, nil)
 	return true
 }
 
@@ -291,7 +291,7 @@
 		return false
 	}
 	l.later(left{c})
-	l.finish(a, policy.Moot, nil)
+	l.finish(a, policy.Superseded, nil)
 	return true
 }
 
@@ -351,7 +351,7 @@
 func (bs *backends) unwait(l *Loop, a *attempt) {
 	b := bs.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
-	l.finish(a, policy.Moot, nil)
+	l.finish(a, policy.Superseded, nil)
 }
 
 // cut ends an attempt with its connection.
@@ -377,11 +377,11 @@
 }
 
 // members takes in discovery's list or its changes.
-func (bs *backends) members(l *Loop, news policy.News, list []member) {
-	told := make([]policy.Member, 0, len(list))
-	if news != policy.Changed {
+func (bs *backends) members(l *Loop, news policy.ListKind, list []member) {
+	told := make([]policy.Endpoint, 0, len(list))
+	if news != policy.Delta {
 		for _, b := range bs.byNumber {
-			b.state = policy.Left // but for those that the list names
+			b.state = policy.Removed // but for those that the list names
 		}
 	}
 	for _, m := range list {
@@ -392,12 +392,12 @@
 			b.address, b.upSince = m.HostPort, m.UpSince
 			bs.drop(b)
 		}
-		told = append(told, policy.Member{
+		told = append(told, policy.Endpoint{
 			Backend: b.number, Zone: l.register.zone(m.Locality), Cell: m.Cell, State: b.state,
-			Hint: m.Size, Started: m.UpSince * 1000,
+			Weight: m.Size, StartedAt: m.UpSince * 1000,
 		})
 	}
-	l.module.Members(l.now(), news, told)
+	l.module.UpdateEndpoints(l.now(), news, told)
 	for id, b := range bs.byID {
 		if b.state != policy.Ready {
 			bs.drop(b)
@@ -405,7 +405,7 @@
 				bs.unwait(l, b.waiting[0]) // nothing goes there, however its dial ends
 			}
 		}
-		if b.state == policy.Left && len(b.waiting) == 0 && b.dialing == 0 {
+		if b.state == policy.Removed && len(b.waiting) == 0 && b.dialing == 0 {
 			delete(bs.byID, id)
 			delete(bs.byNumber, b.number)
 		}
--- a/internal/dataplane/gateway/clients.go
+++ b/internal/dataplane/gateway/clients.go
@@ -340,11 +340,11 @@
 	r.id = l.nextID
 	l.requests[r.id], l.names[r.name] = r, r
 	l.held += size(r.args)
-	spare := min(margin, what.Grace/4)
-	r.deadline = at + what.Grace - spare
+	spare := min(margin, what.Timeout/4)
+	r.deadline = at + what.Timeout - spare
 	r.client.there = max(r.client.there, at)
 	r.backstop = l.at(r.deadline+spare/2, backstop{r})
-	what.ID, what.Grace = r.id, max(0, r.deadline-now)
+	what.ID, what.Timeout = r.id, max(0, r.deadline-now)
 	if l.tooLate(r) {
 		l.answer(r, l.comeBack(refuseAfter)) // it lay in a socket while this process stood still
 		return
--- a/internal/dataplane/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -50,15 +50,15 @@
 			return c, fmt.Errorf("field %s: missing", name)
 		}
 	}
-	if limit := cfg.Host.Limits[c.what.Class]; limit > 0 && c.what.Grace > limit+waitSlack {
+	if limit := cfg.Host.Limits[c.what.Class]; limit > 0 && c.what.Timeout > limit+waitSlack {
 		// Longer than any client waits: it would keep its timers and its request.
 		return c, errors.New("field d: longer than the class allows")
 	}
-	effect := cfg.Settings.Classes[c.what.Class].Effect
-	if effect == policy.Keyed && seen&(1<<keyField) == 0 {
+	effect := cfg.Settings.Classes[c.what.Class].Idempotency
+	if effect == policy.WithIdempotencyKey && seen&(1<<keyField) == 0 {
 		return c, errors.New("field k: missing")
 	}
-	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Safe) {
+	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Idempotent) {
 		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.what.Class])
 	}
 	return c, nil
@@ -119,7 +119,7 @@
 		ok = c.what.Plan >= 0
 	case waitField:
 		ms, err := strconv.ParseInt(value, 10, 64)
-		c.what.Grace = ms * 1000
+		c.what.Timeout = ms * 1000
 		ok = err == nil && ms > 0 && ms <= mostWait
 	case keyField:
 		ok = value != ""
--- a/internal/dataplane/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -73,7 +73,7 @@
 		default:
 		}
 	}
-	l.later(counted{name: name, result: policy.Full})
+	l.later(counted{name: name, result: policy.Rejected})
 }
 
 // run makes the calls of one line, one after another.
@@ -96,7 +96,7 @@
 	total  float64
 }
 
-func (e counted) handle(l *Loop) { l.module.Counted(l.now(), e.name, e.result, e.total) }
+func (e counted) handle(l *Loop) { l.module.ReceiveCounterTotal(l.now(), e.name, e.result, e.total) }
 
 // call makes one call. Full and ConnectFailed tell that nothing was added; with
 // TimedOut and Reset it may have been, or may yet be.
@@ -127,7 +127,7 @@
 	case err != nil:
 		return 0, policy.Reset
 	case res.StatusCode == http.StatusServiceUnavailable:
-		return 0, policy.Full
+		return 0, policy.Rejected
 	case res.StatusCode != http.StatusOK:
 		return 0, policy.Failed
 	}
--- a/internal/dataplane/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -32,7 +32,7 @@
 		total  float64
 	}{
 		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, patience, policy.OK, 41.5},
-		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, patience, policy.Full, 0},
+		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, patience, policy.Rejected, 0},
 		{"no such call", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, patience, policy.Failed, 0},
 		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, patience, policy.Failed, 0},
 		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, patience, policy.Failed, 0},
--- a/internal/dataplane/gateway/departure.go
+++ b/internal/dataplane/gateway/departure.go
@@ -98,7 +98,7 @@
 		}
 		if !r.answered {
 			l.close(r)
-			l.module.Gone(now, r.id)
+			l.module.ClientGone(now, r.id)
 			l.forget(r)
 		}
 	}
--- a/internal/dataplane/gateway/dial.go
+++ b/internal/dataplane/gateway/dial.go
@@ -20,7 +20,7 @@
 			// sent, and nothing is to be learnt of it.
 			a := b.waiting[len(b.waiting)-1]
 			b.waiting = b.waiting[:len(b.waiting)-1]
-			l.finish(a, policy.Moot, nil)
+			l.finish(a, policy.Superseded, nil)
 			continue
 		}
 		b.dialing++
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -124,10 +124,10 @@
 // NewPlatform makes the platform's discovery as a configuration has it.
 func NewPlatform(cfg *Config, log *slog.Logger) *registry.Platform {
 	pace := membership.NewPace(cfg.Settings.Gateways, cfg.Seed)
-	if !cfg.Settings.AskMembers {
+	if !cfg.Settings.PollEndpoints {
 		pace.Binds(cfg.Host.DrainGrace)
 	}
-	return registry.NewPlatform(cfg.Discovery, cfg.Settings.AskMembers, pace, log)
+	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pace, log)
 }
 
 // longest is how long a client waits at the most; 0: the settings don't tell it of every class.
@@ -140,7 +140,7 @@
 
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
-	l.backends.members(l, policy.Cached, l.cfg.Known.Members)
+	l.backends.members(l, policy.CompleteCached, l.cfg.Known.Members)
 	l.follow()
 	l.at(l.now()+untilReady, readyAnyway{})
 	l.at(l.now()+sweepEvery, sweep{})
@@ -202,7 +202,7 @@
 func (readyAnyway) due(l *Loop) {
 	if !l.register.heard {
 		l.log.Warn("discovery is silent: the list given is used with care", "backends", len(l.cfg.Known.Members))
-		l.backends.members(l, policy.Stale, l.cfg.Known.Members)
+		l.backends.members(l, policy.StaleBootstrap, l.cfg.Known.Members)
 	}
 	l.ready()
 }
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -376,17 +376,17 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, policy.Whole, []member{m})
+	l.backends.members(l, policy.Complete, []member{m})
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	m.Phase = "Terminating"
-	l.backends.members(l, policy.Changed, []member{m})
+	l.backends.members(l, policy.Delta, []member{m})
 	up := wait(t, l.events, "the dial").(dialed)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.queue) != 1 || l.queue[0].(outcome).result != policy.Moot {
+	if len(l.queue) != 1 || l.queue[0].(outcome).result != policy.Superseded {
 		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.queue)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
@@ -416,7 +416,7 @@
 			t.Errorf("%q: state %d", address, stateOf(&m))
 		}
 	}
-	if m := (member{Phase: "Gone"}); stateOf(&m) != policy.Left {
+	if m := (member{Phase: "Gone"}); stateOf(&m) != policy.Removed {
 		t.Error("a member that is gone is kept for its address")
 	}
 }
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -193,7 +193,7 @@
 		_ = left.Notes.SetReadDeadline(past)
 	}
 	var err error
-	if left.Snapshot, err = snapshot.Encode(l.module.Save(l.now(), true)); err != nil {
+	if left.Snapshot, err = snapshot.Encode(l.module.TakeSnapshot(l.now(), true)); err != nil {
 		e.successor.Close()
 		given{err}.handle(l)
 		return
--- a/internal/dataplane/gateway/keep_test.go
+++ b/internal/dataplane/gateway/keep_test.go
@@ -37,7 +37,7 @@
 func TestResetDialIsMadeOnceMore(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, policy.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	l.backends.members(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
 	a := &attempt{sent: l.now(), until: l.now() + 1e9}
 	l.backends.start(l, a, 1)
 	for i, want := range []bool{false, true} {
--- a/internal/dataplane/gateway/loop.go
+++ b/internal/dataplane/gateway/loop.go
@@ -50,7 +50,7 @@
 	log    *slog.Logger
 	clock  clock
 	last   policy.Time
-	module *policy.Gateway
+	module *policy.Balancer
 
 	events  chan event
 	urgents chan event // discovery's news: ahead of all queued work
@@ -229,8 +229,8 @@
 	l.backends.start(l, a, backend)
 }
 
-// Refuse gives the final answer that trying again is harmless.
-func (l *Loop) Refuse(id uint64, after policy.Time) {
+// Reject gives the final answer that trying again is harmless.
+func (l *Loop) Reject(id uint64, after policy.Time) {
 	if r := l.requests[id]; r != nil {
 		l.answer(r, busy(after))
 		if l.cfg.Acts != nil {
@@ -256,16 +256,16 @@
 	l.backends.start(l, a, backend)
 }
 
-// Tell sends a note to a peer.
-func (l *Loop) Tell(peer int, note []byte) { l.peers.tell(peer, note) }
+// SendToPeer sends a note to a peer.
+func (l *Loop) SendToPeer(peer int, note []byte) { l.peers.tell(peer, note) }
 
-// Count adds to a number that all gateways share.
-func (l *Loop) Count(name uint64, add float64, life policy.Time) {
+// AddToCounter adds to a number that all gateways share.
+func (l *Loop) AddToCounter(name uint64, add float64, life policy.Time) {
 	l.counter.count(l, name, add, life)
 }
 
-// Follow asks discovery for the list and its changes from now on.
-func (l *Loop) Follow() { l.register.Follow() }
+// WatchEndpoints asks discovery for the list and its changes from now on.
+func (l *Loop) WatchEndpoints() { l.register.Follow() }
 
 // Log writes a line for the people on call.
 func (l *Loop) Log(line string) { l.log.Info(line) }
--- a/internal/dataplane/gateway/members.go
+++ b/internal/dataplane/gateway/members.go
@@ -19,7 +19,7 @@
 type member = registry.Member
 
 // stateOf is what the module is told of a member's phase.
-func stateOf(m *member) policy.State {
+func stateOf(m *member) policy.EndpointState {
 	switch m.Phase {
 	case registry.Ready:
 		if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
@@ -27,7 +27,7 @@
 		}
 		return policy.Ready
 	case registry.Gone:
-		return policy.Left
+		return policy.Removed
 	}
 	return policy.Draining // a phase not known is none to send to
 }
@@ -63,12 +63,12 @@
 
 func (n news) handle(l *Loop) {
 	if n.Kind == registry.Unheard {
-		l.module.Members(l.now(), policy.Unheard, nil)
+		l.module.UpdateEndpoints(l.now(), policy.Unavailable, nil)
 		return
 	}
-	kind := policy.Changed
+	kind := policy.Delta
 	if n.Kind == registry.Whole {
-		kind = policy.Whole
+		kind = policy.Complete
 	}
 	l.register.heard = true
 	l.backends.members(l, kind, n.Members)
--- a/internal/dataplane/gateway/operate.go
+++ b/internal/dataplane/gateway/operate.go
@@ -71,7 +71,7 @@
 // gauges are read off at the moment.
 func (l *Loop) gauges() metrics.Gauges {
 	now := metrics.Gauges{Current: l.open}
-	now.Size, now.Unhealthy = l.module.Servers()
+	now.Size, now.Unhealthy = l.module.CountBackends()
 	return now
 }
 
--- a/internal/dataplane/gateway/peers.go
+++ b/internal/dataplane/gateway/peers.go
@@ -59,7 +59,7 @@
 	note []byte
 }
 
-func (h heard) handle(l *Loop) { l.module.Peer(l.now(), h.from, h.note) }
+func (h heard) handle(l *Loop) { l.module.ReceivePeerMessage(l.now(), h.from, h.note) }
 
 // read posts notes until the socket is closed. What comes from no peer, or is
 // longer than any note, is dropped.
--- a/internal/dataplane/gateway/permit.go
+++ b/internal/dataplane/gateway/permit.go
@@ -50,7 +50,7 @@
 		Class: l.cfg.Host.Classes[what.Class], Units: what.Units, Write: bytes.EqualFold(r.args[0], apiWrite),
 		From: r.client.conn.RemoteAddr().String(),
 	}
-	if v, after := l.auth.Request(r.id, q, what.Class, what.Plan, what.Grace); v != authz.Wait {
+	if v, after := l.auth.Request(r.id, q, what.Class, what.Plan, what.Timeout); v != authz.Wait {
 		l.permitted(r.id, v, after)
 	}
 }
@@ -68,7 +68,7 @@
 		l.answer(r, denied)
 	case v == authz.Pass && l.life.Takes(l.now()):
 		now := l.now()
-		what.Grace = max(0, r.deadline-now)
+		what.Timeout = max(0, r.deadline-now)
 		if l.acts(r) {
 			l.planned(&what)
 			l.module.Request(now, what)
--- a/internal/dataplane/gateway/permit_test.go
+++ b/internal/dataplane/gateway/permit_test.go
@@ -287,7 +287,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.stopAsk(); l.clients.listener.Close() })
-			l.backends.members(l, policy.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+			l.backends.members(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
 			here, there := pipe(t)
 			l.clients.room <- struct{}{}
 			c := &client{conn: here, out: newSender(here), room: make(chan struct{}, 4), done: make(chan struct{})}
--- a/internal/dataplane/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -197,7 +197,7 @@
 			cfg.Survival.Keeper = keeper(t, path)
 			spoil(t, path)
 			r := readyInTime(t, cfg)
-			if n := ask(t, r.loop, func(l *Loop) int { return l.module.Save(l.now(), false).Version }); n != policy.SnapshotVersion {
+			if n := ask(t, r.loop, func(l *Loop) int { return l.module.TakeSnapshot(l.now(), false).Version }); n != policy.SnapshotVersion {
 				t.Errorf("version %d", n)
 			}
 		})
--- a/internal/dataplane/gateway/record.go
+++ b/internal/dataplane/gateway/record.go
@@ -17,7 +17,7 @@
 		return
 	}
 	l.refusals = &refusals{bufio.NewWriter(w)}
-	l.module.Explain(func(id uint64, why policy.Why) {
+	l.module.OnReject(func(id uint64, why policy.RejectReason) {
 		r := l.requests[id]
 		if r == nil || r.answered {
 			return
@@ -34,7 +34,7 @@
 	}
 	if err := r.out.Flush(); err != nil {
 		l.log.Error("record of refusals: ended", "error", err)
-		l.module.Explain(nil)
+		l.module.OnReject(nil)
 		l.refusals = nil
 	}
 }
--- a/internal/dataplane/gateway/reload_test.go
+++ b/internal/dataplane/gateway/reload_test.go
@@ -83,10 +83,10 @@
 	for _, line := range l.counter.lines {
 		go l.counter.run(ctx, l, line)
 	}
-	l.Count(1, 1, 1e6)
+	l.AddToCounter(1, 1, 1e6)
 	wait(t, atFirst, "a call at the first counter")
 	reloaded{with(second)}.handle(l)
-	l.Count(1, 1, 1e6)
+	l.AddToCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
 		if e := wait(t, l.events, "an answer").(counted); e.result != policy.OK || e.total != total {
--- a/internal/dataplane/gateway/reply.go
+++ b/internal/dataplane/gateway/reply.go
@@ -104,7 +104,7 @@
 	case re.Kind == '-':
 		word, rest, _ := strings.Cut(string(re.Text), " ")
 		if word == "BUSY" {
-			return policy.Full, nil, rest, true
+			return policy.Rejected, nil, rest, true
 		}
 		return policy.Failed, nil, rest[strings.LastIndexByte(rest, ' ')+1:], true
 	case probe:
--- a/internal/dataplane/gateway/requests.go
+++ b/internal/dataplane/gateway/requests.go
@@ -110,7 +110,7 @@
 	}
 	l.log.Warn("request was open at its deadline", "id", string(b.r.args[2]))
 	l.answer(b.r, failed)
-	l.module.Gone(l.now(), b.r.id)
+	l.module.ClientGone(l.now(), b.r.id)
 }
 
 // outcome ends an attempt: exactly one for each Send.
@@ -125,7 +125,7 @@
 func (o outcome) handle(l *Loop) {
 	r := o.a.r
 	if r == nil {
-		l.module.Probed(l.now(), o.a.backend, o.result, o.load)
+		l.module.ReceiveProbeResult(l.now(), o.a.backend, o.result, o.load)
 		return
 	}
 	r.out = slices.DeleteFunc(r.out, func(a *attempt) bool { return a == o.a })
@@ -134,7 +134,7 @@
 	}
 	l.module.Outcome(l.now(), policy.Outcome{
 		ID: r.id, Attempt: o.a.number, Backend: o.a.backend, Result: o.result,
-		Took: o.took, Over: r.answered, Load: o.load,
+		Duration: o.took, RequestDone: r.answered, Load: o.load,
 	})
 	l.forget(r)
 }
--- a/internal/dataplane/gateway/rights.go
+++ b/internal/dataplane/gateway/rights.go
@@ -9,7 +9,7 @@
 // Rights are this gateway's parts of the quotas that its fleet shares. All but Follow are called by the loop, and
 // must not wait.
 type Rights interface {
-	policy.Rights
+	policy.Allocations
 	// By is until when what was taken for a request may be used; 0: nothing was.
 	By(id uint64) time.Duration
 	// Over tells whether that time is over, by the clock as it is now.
@@ -23,7 +23,7 @@
 // Loan is the answer to a Borrow.
 type Loan struct {
 	ID     uint64
-	Budget policy.Budget
+	Budget policy.SharedQuota
 	Units  float64       // 0: none
 	After  time.Duration // in which there may be as many
 	By     time.Duration // until when they may be used
@@ -36,7 +36,7 @@
 	if r := l.requests[e.ID]; r != nil && e.Units > 0 {
 		r.use = e.By
 	}
-	l.module.Lent(l.now(), e.ID, &e.Budget, e.Units, e.After.Microseconds())
+	l.module.ReceiveOnDemand(l.now(), e.ID, &e.Budget, e.Units, e.After.Microseconds())
 }
 
 // useRights has the module decide by rights.
@@ -44,7 +44,7 @@
 	if l.cfg.Rights == nil {
 		return
 	}
-	l.module.UseRights(l.cfg.Rights)
+	l.module.UseAllocations(l.cfg.Rights)
 	l.cfg.Rights.Follow(func(loan Loan) { l.post(lent(loan)) })
 }
 
@@ -70,13 +70,13 @@
 		default:
 			l.turnAway(a.r)
 		}
-		l.finish(a, policy.Moot, nil)
+		l.finish(a, policy.Superseded, nil)
 		return true
 	}
 	if a.r == nil || a.r.counted || a.r.use == 0 || !l.cfg.Rights.Over(a.r.use) {
 		return false
 	}
 	l.answer(a.r, busy(0))
-	l.finish(a, policy.Moot, nil)
+	l.finish(a, policy.Superseded, nil)
 	return true
 }
--- a/internal/dataplane/gateway/spoilt_test.go
+++ b/internal/dataplane/gateway/spoilt_test.go
@@ -23,7 +23,7 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-			l.backends.members(l, policy.Whole, []member{m})
+			l.backends.members(l, policy.Complete, []member{m})
 			first := &attempt{sent: l.now(), until: l.now() + 1e9}
 			l.backends.start(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
--- a/internal/dataplane/gateway/steps.go
+++ b/internal/dataplane/gateway/steps.go
@@ -108,7 +108,7 @@
 	for _, r := range l.requests {
 		if !r.answered {
 			l.answer(r, failed)
-			l.module.Gone(now, r.id)
+			l.module.ClientGone(now, r.id)
 		}
 	}
 }
--- a/internal/dataplane/gateway/survive.go
+++ b/internal/dataplane/gateway/survive.go
@@ -96,7 +96,7 @@
 }
 
 func (l *Loop) keepNow() {
-	s := l.module.Save(l.now(), false)
+	s := l.module.TakeSnapshot(l.now(), false)
 	kept{l.survival.Keeper.Store(s, false), s.At}.handle(l)
 }
 
@@ -112,7 +112,7 @@
 	case <-v.next: // the writer has not come to it: it is of no use any more
 	default:
 	}
-	v.next <- l.module.Save(l.now(), false)
+	v.next <- l.module.TakeSnapshot(l.now(), false)
 	l.at(l.now()+v.every, keeping{})
 }
 
@@ -141,7 +141,7 @@
 
 func (k kept) handle(l *Loop) {
 	if k.err == nil {
-		l.module.Kept(k.at)
+		l.module.SnapshotStored(k.at)
 	}
 	if bad := k.err != nil; bad != l.survival.bad {
 		l.survival.bad = bad
@@ -156,7 +156,7 @@
 // urgent keeps a state before anything else happens: a customer's lease is nearly
 // spent. The loop waits for it, for the time that a small file takes to be written.
 func (l *Loop) urgent() {
-	if l.survival.Keeper != nil && !l.survival.ended && l.module.Urgent() {
+	if l.survival.Keeper != nil && !l.survival.ended && l.module.SnapshotDue() {
 		l.keepNow()
 	}
 }
@@ -165,7 +165,7 @@
 func (l *Loop) lastState() {
 	if v := &l.survival; v.Keeper != nil && !v.ended {
 		v.ended = true
-		s := l.module.Save(l.now(), true)
+		s := l.module.TakeSnapshot(l.now(), true)
 		kept{v.Keeper.Store(s, true), s.At}.handle(l)
 	}
 }
--- a/internal/dataplane/gateway/survive_test.go
+++ b/internal/dataplane/gateway/survive_test.go
@@ -95,8 +95,8 @@
 		t.Fatal(err)
 	}
 	defer l.clients.listener.Close()
-	l.backends.members(l, policy.Whole, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
-	l.module.Kept(l.module.Save(l.now(), false).At)
+	l.backends.members(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	l.module.SnapshotStored(l.module.TakeSnapshot(l.now(), false).At)
 	l.handle(tooMuch{})
 	if len(m.states) != 1 {
 		t.Errorf("%d states kept", len(m.states))
@@ -110,7 +110,7 @@
 	for id := range uint64(3) {
 		l.requests[1000+id] = &request{id: 1000 + id, client: &client{}, deadline: l.now() + 1e6,
 			args: [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")}, wait: [2]int{2, 3}}
-		l.module.Request(l.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Grace: 1e6, Spread: 1})
+		l.module.Request(l.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1})
 	}
 }
 
--- a/internal/dataplane/gateway/versions.go
+++ b/internal/dataplane/gateway/versions.go
@@ -169,7 +169,7 @@
 	if l.cfg.Rights != nil {
 		l.cfg.Rights.Order(e.order)
 	}
-	if err := l.module.Replan(l.now(), e.plans, e.assigned); err != nil {
+	if err := l.module.UpdatePlans(l.now(), e.plans, e.assigned); err != nil {
 		l.log.Error("plans: not acted on", "error", err)
 		return
 	}
--- a/internal/dataplane/policy/api.go
+++ b/internal/dataplane/policy/api.go
@@ -12,35 +12,35 @@
 // Time is a moment or a length of time in microseconds.
 type Time = int64
 
-// Effect tells how far a request that may have run may be sent again.
-type Effect uint8
+// Idempotency tells how far a request that may have run may be sent again.
+type Idempotency uint8
 
 // The effects: repeatable at will, dropped when repeated within a group of
 // backends, or never to run twice.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Idempotent Idempotency = iota
+	WithIdempotencyKey
+	NotIdempotent
 )
 
-// Group names the backends that drop repeats of a keyed request.
-type Group uint8
+// DeduplicationScope names the backends that drop repeats of a keyed request.
+type DeduplicationScope uint8
 
 // The groups: every backend, those of one zone, those of one cell.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	ScopeAll DeduplicationScope = iota
+	ScopeZone
+	ScopeCell
 )
 
-// State is what discovery says of a backend.
-type State uint8
+// EndpointState is what discovery says of a backend.
+type EndpointState uint8
 
 // The states of a backend.
 const (
-	Ready State = iota
+	Ready EndpointState = iota
 	Draining
-	Left
+	Removed
 )
 
 // Result is how an attempt, a probe or a counter call ended.
@@ -50,21 +50,21 @@
 const (
 	OK Result = iota
 	Failed
-	Full
+	Rejected
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	Superseded
 )
 
 // Class is a class of requests.
 type Class struct {
-	Aim    Time // an answer by then earns the full worth
-	Effect Effect
-	Group  Group
-	Window Time // how long the group drops repeats
-	Worth  float64
+	LatencyObjective    Time // an answer by then earns the full worth
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow Time // how long the group drops repeats
+	PriorityWeight      float64
 }
 
 // Plan is what a customer has bought. A rate of 0 means no such quota, an
@@ -94,45 +94,45 @@
 	Plans          []Plan
 	Report         []Metric // the order of the values in a load report
 
-	AskMembers bool // discovery tells only who asks
-	AskWithin  Time
+	PollEndpoints bool // discovery tells only who asks
+	PollInterval  Time
 
-	Peers, Probes, SecondCopies, RetryAfter, Counter, Settles bool
+	Peers, Probes, Hedging, RetryAfter, Counter, SettlesUnits bool
 
-	MeterPeriod   Time // 0: no meter
-	MailPerSecond float64
-	MaxAttempts   int
-	MaxRetryAfter Time
-	Tick          Time // least time between two events
+	MeterPeriod              Time // 0: no meter
+	MaxPeerMessagesPerSecond float64
+	MaxAttempts              int
+	MaxRetryAfter            Time
+	Tick                     Time // least time between two events
 
-	ColdFrom float64 // least share of its capacity that a backend starts at
-	ColdTime Time    // it is warm by then
-	TipAfter Time    // span over which what a cold backend is sent is counted
+	SlowStartMinFraction    float64 // least share of its capacity that a backend starts at
+	SlowStartDuration       Time    // it is warm by then
+	SlowStartOverloadWindow Time    // span over which what a cold backend is sent is counted
 
-	CrossZonePrice float64
-	HintsTell      bool // members' hints are comparable sizes
+	CrossZonePrice    float64
+	ComparableWeights bool // members' hints are comparable sizes
 }
 
-// Member is an entry of discovery's list.
-type Member struct {
+// Endpoint is an entry of discovery's list.
+type Endpoint struct {
 	Backend    uint32
 	Zone, Cell int
-	State      State
-	Hint       float64
-	Started    Time // 0: long ago
+	State      EndpointState
+	Weight     float64
+	StartedAt  Time // 0: long ago
 }
 
-// News tells what a list of members is.
-type News uint8
+// ListKind tells what a list of members is.
+type ListKind uint8
 
 // A list is whole, whole but perhaps stale, only what changed, could not be had,
 // or is an old one that stands in at a start because discovery is not heard.
 const (
-	Whole News = iota
-	Cached
-	Changed
-	Unheard
-	Stale
+	Complete ListKind = iota
+	CompleteCached
+	Delta
+	Unavailable
+	StaleBootstrap
 )
 
 // Request is a client's try.
@@ -141,21 +141,21 @@
 	Class, Plan   int
 	Customer      uint64
 	Units         float64
-	Grace         Time // how long the client waits from now
+	Timeout       Time // how long the client waits from now
 	First, Spread int  // the customer's gateways: Spread in a row from First
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	ID        uint64
-	Attempt   int
-	Backend   uint32
-	Result    Result
-	Took      Time
-	Over      bool // the client has its final answer
-	Metered   int  // 1 + percent of the rate used through all gateways; 0: not told
-	TrueUnits float64
-	Load      []float32
+	ID          uint64
+	Attempt     int
+	Backend     uint32
+	Result      Result
+	Duration    Time
+	RequestDone bool // the client has its final answer
+	MeteredUse  int  // 1 + percent of the rate used through all gateways; 0: not told
+	TrueUnits   float64
+	Load        []float32
 }
 
 // Actions is what a Gateway does to the world. Calls take effect in order.
@@ -163,20 +163,20 @@
 	// Send starts the next attempt of a request; until is when it is given up,
 	// 0 for the client's deadline.
 	Send(id uint64, backend uint32, until Time)
-	// Refuse answers that trying again is harmless, and after how long.
-	Refuse(id uint64, after Time)
+	// Reject answers that trying again is harmless, and after how long.
+	Reject(id uint64, after Time)
 	// Fail answers without promising anything.
 	Fail(id uint64)
 	// SetTimer asks for a Timer call with the token at the time.
 	SetTimer(at Time, token uint32)
 	// Probe asks a backend whether it lives.
 	Probe(backend uint32)
-	// Tell sends at most 256 bytes to a peer; they may be late or lost.
-	Tell(peer int, note []byte)
-	// Count adds to a named number that all gateways share.
-	Count(name uint64, add float64, life Time)
-	// Follow asks discovery for the list and its changes from now on.
-	Follow()
+	// SendToPeer sends at most 256 bytes to a peer; they may be late or lost.
+	SendToPeer(peer int, note []byte)
+	// AddToCounter adds to a named number that all gateways share.
+	AddToCounter(name uint64, add float64, life Time)
+	// WatchEndpoints asks discovery for the list and its changes from now on.
+	WatchEndpoints()
 	// Log writes a line for the people on call.
 	Log(line string)
 }
--- a/internal/dataplane/policy/backoff_test.go
+++ b/internal/dataplane/policy/backoff_test.go
@@ -5,7 +5,7 @@
 // crowd is settings for a fleet of so many gateways in which none hears of another.
 func crowd(gateways int) Settings {
 	set := settings()
-	set.Gateways, set.Peers, set.SecondCopies = gateways, false, true
+	set.Gateways, set.Peers, set.Hedging = gateways, false, true
 	set.Plans = []Plan{{Price: 1}}
 	return set
 }
@@ -24,7 +24,7 @@
 		r.at += second / 200
 		if id, ok := r.ask(0, 0, 1, 1); ok {
 			for r.requests[id] != nil {
-				r.end(id, Full, false)
+				r.end(id, Rejected, false)
 			}
 		}
 	}
@@ -49,8 +49,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Gateway: g, fake: g.do.(*fake), t: t, at: start}
-		g.Members(start, Cached, members(4))
+		r := &rig{Balancer: g, fake: g.do.(*fake), t: t, at: start}
+		g.UpdateEndpoints(start, CompleteCached, members(4))
 		for range 10 * seconds {
 			r.at += second / 10
 			asked++
@@ -63,7 +63,7 @@
 			for ok && r.requests[id] != nil {
 				if r.lastSend(id).Backend == turns {
 					tried++
-					r.end(id, Full, false)
+					r.end(id, Rejected, false)
 				} else {
 					served++
 					r.end(id, OK, true)
@@ -96,7 +96,7 @@
 		b := r.lastSend(id)
 		for r.requests[id] != nil {
 			b = r.lastSend(id)
-			r.end(id, Full, false)
+			r.end(id, Rejected, false)
 		}
 		for _, other := range r.backends { // the others stay out of this
 			other.backOff = max(other.backOff, b.backOff)
@@ -140,7 +140,7 @@
 func TestOneAtATimeAfterAConnectionFailed(t *testing.T) {
 	for _, r := range []Result{ConnectFailed, Reset} {
 		g := newRig(t, crowd(32))
-		g.Members(g.at, Whole, members(1))
+		g.UpdateEndpoints(g.at, Complete, members(1))
 		for range 200 { // the gate has room for many
 			g.at += second / 200
 			g.serve(0, 0, 1, 1)
@@ -151,7 +151,7 @@
 		}
 		b := g.lastSend(id)
 		g.end(id, r, false)
-		g.Gone(g.at, id)
+		g.ClientGone(g.at, id)
 		sent := 0
 		if g.requests[id] != nil { // a further attempt was sent at once
 			sent++
--- a/internal/dataplane/policy/decide.go
+++ b/internal/dataplane/policy/decide.go
@@ -83,25 +83,25 @@
 )
 
 // New makes a gateway that knows nothing but its settings.
-func New(set Settings, seed uint64, do Actions) (*Gateway, error) {
+func New(set Settings, seed uint64, do Actions) (*Balancer, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
 	g := newGateway(set, seed, do)
 	g.again, g.period = againMost, notePeriod
-	if set.MailPerSecond > 0 {
+	if set.MaxPeerMessagesPerSecond > 0 {
 		g.period = max(g.period, g.mailTime(min(set.Gateways-1, fewPeers)))
 	}
 	return g, nil
 }
 
 // mailTime is the time in which a gateway can take in notes from so many others.
-func (g *Gateway) mailTime(senders int) Time {
-	return Time(float64(senders) / (mailShare * math.Max(g.set.MailPerSecond, 1)) * float64(second))
+func (g *Balancer) mailTime(senders int) Time {
+	return Time(float64(senders) / (mailShare * math.Max(g.set.MaxPeerMessagesPerSecond, 1)) * float64(second))
 }
 
 // begin brings the gateway to an event's time.
-func (g *Gateway) begin(now Time) {
+func (g *Balancer) begin(now Time) {
 	g.now = max(g.now, now)
 	if g.born != 0 {
 		if late := now - g.timerAt; late > stillTicks*g.set.Tick {
@@ -123,7 +123,7 @@
 		g.lived = g.born
 	}
 	g.rouse()
-	if g.set.AskMembers {
+	if g.set.PollEndpoints {
 		g.follow()
 	}
 	g.greet()
@@ -136,7 +136,7 @@
 // one is full: peers tell of those that are not (level has what holds until they can
 // have been heard, so that a restart hands out no second burst). Its part of the ceiling
 // counts from this gateway's start, with half the slack: a former life may have the rest.
-func (g *Gateway) customer(id uint64, plan, first, spread int) *customer {
+func (g *Balancer) customer(id uint64, plan, first, spread int) *customer {
 	c := g.customers[id]
 	if c == nil {
 		p := &g.set.Plans[plan]
@@ -167,7 +167,7 @@
 }
 
 // refill fills a customer's banks; what its full bank spills here feeds bank 0.
-func (g *Gateway) refill(c *customer) {
+func (g *Balancer) refill(c *customer) {
 	part := g.part(c)
 	if !g.pooled {
 		p := &g.set.Plans[c.plan]
@@ -181,7 +181,7 @@
 
 // sweep lets full banks spill and drops the idle ones, whose spill goes on
 // feeding bank 0 at its rate.
-func (g *Gateway) sweep() {
+func (g *Balancer) sweep() {
 	g.swept = g.now
 	g.showView(viewPeers) // it is heard though this gateway sends nothing
 	kept := g.order[:0]
@@ -203,7 +203,7 @@
 
 // part is this gateway's slice of a customer's quota: its part of recent use.
 // Gateways not heard count as idle.
-func (g *Gateway) part(c *customer) float64 {
+func (g *Balancer) part(c *customer) float64 {
 	own := c.use.get(g.now, c.window)
 	switch {
 	case c.spread == 1:
@@ -220,10 +220,10 @@
 // of the last note, less what it has taken since, or, if more, what the others will not
 // ask before they are heard again: a slice of a small burst may be less than a request.
 // A gateway that has just started holds no more than an even slice.
-func (g *Gateway) level(c *customer) float64 {
+func (g *Balancer) level(c *customer) float64 {
 	switch {
 	case g.limited(c):
-		return g.rights.Level(g.now, g.budget(c))
+		return g.rights.Available(g.now, g.budget(c))
 	case g.member(c) && c.grant < 1:
 		return c.slice
 	case !g.pooled || g.wide(c):
@@ -238,11 +238,11 @@
 }
 
 // settled tells whether peers have had the time to tell of all banks that are not full.
-func (g *Gateway) settled() bool { return g.now-g.born >= min(second/2, settleIn*g.period) }
+func (g *Balancer) settled() bool { return g.now-g.born >= min(second/2, settleIn*g.period) }
 
 // hears is how long it takes until what the others take of a customer is heard here: where
 // all tell at once, the way of a note and its wait for room, which is taken to be as here.
-func (g *Gateway) hears(c *customer) Time {
+func (g *Balancer) hears(c *customer) Time {
 	switch {
 	case !g.set.Peers:
 		return hearIn * g.period
@@ -254,7 +254,7 @@
 
 // learnLead has more left to the others where they prove to have taken what this gateway
 // had given away as well: notes are lost, or later than thought.
-func (g *Gateway) learnLead(c *customer, taken float64) {
+func (g *Balancer) learnLead(c *customer, taken float64) {
 	switch {
 	case taken == 0 || c.store.level >= taken+2*c.lastAsk || !g.set.Peers:
 	case c.store.level < taken:
@@ -266,14 +266,14 @@
 
 // tight tells whether so little of a customer's store is left that it may be empty before
 // all have heard: its set then tells at once what it takes. All judge by the same store.
-func (g *Gateway) tight(c *customer) bool {
+func (g *Balancer) tight(c *customer) bool {
 	all := c.use.get(g.now, c.window) + c.others.get(g.now, c.window)
 	return c.store.level < 2*c.lastAsk+all*float64(2*calm*g.period)/float64(c.window)
 }
 
 // tellNow tells a customer's set at once, if there is room for notes to all of it; else
 // the next notes will.
-func (g *Gateway) tellNow(c *customer) {
+func (g *Balancer) tellNow(c *customer) {
 	if !g.set.Peers || c.spread == 1 || g.wide(c) || !g.tight(c) {
 		return
 	}
@@ -296,26 +296,26 @@
 
 // room is how many notes a peer may be sent at once: its limit is shared by those that
 // this gateway hears of, who are taken to be as many as that peer hears of.
-func (g *Gateway) room(peer int) *bank {
+func (g *Balancer) room(peer int) *bank {
 	b := &g.rooms[peer]
 	senders := math.Min(float64(g.set.Gateways-1), math.Max(1, g.peers.get(g.awake, second)))
-	b.rate, b.cap = urgentMail*math.Max(g.set.MailPerSecond, 1)/senders, urgentMost
+	b.rate, b.cap = urgentMail*math.Max(g.set.MaxPeerMessagesPerSecond, 1)/senders, urgentMost
 	b.refill(g.now)
 	return b
 }
 
 // inside tells whether the customer's own bank and its part of the open limit have room.
-func (g *Gateway) inside(c *customer, units float64) bool {
+func (g *Balancer) inside(c *customer, units float64) bool {
 	return g.mayOpen(c) && (g.set.Plans[c.plan].Rate == 0 || g.level(c) >= units)
 }
 
 // mayOpen tells whether the open limit has room.
-func (g *Gateway) mayOpen(c *customer) bool {
+func (g *Balancer) mayOpen(c *customer) bool {
 	limit := g.set.Plans[c.plan].OpenLimit
 	return limit == 0 || float64(c.open) < math.Max(1, math.Round(g.part(c)*float64(limit)))
 }
 
-func (g *Gateway) take(c *customer, units float64) {
+func (g *Balancer) take(c *customer, units float64) {
 	c.store.level -= units
 	c.slice = math.Max(0, c.slice-units)
 	c.taken += units
@@ -325,7 +325,7 @@
 
 // consults tells whether a wide set asks its home before it decides: its quota is so small
 // that no slice holds a request, and the home can take in the asks.
-func (g *Gateway) consults(c *customer) bool {
+func (g *Balancer) consults(c *customer) bool {
 	return g.set.Plans[c.plan].Rate*float64(g.mailTime(1)) < askRate*float64(second)
 }
 
@@ -333,7 +333,7 @@
 // message has to arrive for the ceiling to hold. Of many even parts none holds a request:
 // half of a wide set's is its home's, which gives of it to whoever asks. What it has given
 // is used or lost in the time of an answer, in which its own part may fill again.
-func (g *Gateway) ceilingPart(c *customer) (rate, burst float64) {
+func (g *Balancer) ceilingPart(c *customer) (rate, burst float64) {
 	p, part := &g.set.Plans[c.plan], 1/float64(c.spread)
 	if !g.wide(c) {
 		return part * p.CeilingRate, part * p.CeilingBurst
@@ -347,24 +347,24 @@
 }
 
 // askTime is how long a home's answer is waited for.
-func (g *Gateway) askTime() Time { return Time(askWait * float64(g.shortAim)) }
+func (g *Balancer) askTime() Time { return Time(askWait * float64(g.shortAim)) }
 
 // under tells whether this gateway's part of the customer's ceiling holds the units.
-func (g *Gateway) under(c *customer, units float64) bool {
+func (g *Balancer) under(c *customer, units float64) bool {
 	return g.set.Plans[c.plan].CeilingRate == 0 || c.ceiling.level >= units
 }
 
 // consult asks the home for a request's units, and for those of the ceiling where this
 // gateway's part lacks them, and keeps the request till it answers.
-func (g *Gateway) consult(r *request) {
+func (g *Balancer) consult(r *request) {
 	c := r.c
 	c.asks++
 	r.paid = !g.under(c, r.Units)
-	r.ask, r.by = max(1, c.asks), g.now+min(g.askTime(), r.Grace/2)
+	r.ask, r.by = max(1, c.asks), g.now+min(g.askTime(), r.Timeout/2)
 	e := g.entry(c)
 	e.want, e.ask, e.ceiling = byte(math.Ceil(2*r.Units)), r.ask, r.paid
 	c.askedTold = c.asked
-	g.do.Tell(g.home(c), e.put(g.noteHead()))
+	g.do.SendToPeer(g.home(c), e.put(g.noteHead()))
 	g.do.SetTimer(r.by, askToken)
 	g.requests[r.ID] = r
 	g.waiting = append(g.waiting, r)
@@ -372,7 +372,7 @@
 
 // answered decides on what waits for a home's answer: this one, or all overdue ones,
 // which the slice under the home's last grant then decides.
-func (g *Gateway) answered(c *customer, a grant) {
+func (g *Balancer) answered(c *customer, a grant) {
 	kept := g.waiting[:0]
 	for _, r := range g.waiting {
 		switch due := r.c == c && r.ask == a.ask; {
@@ -398,7 +398,7 @@
 
 // ask counts what a customer asks for. Under a grant each ask brings its part of the units
 // to the slice: a demand-following rate for a gateway that sees a customer now and then.
-func (g *Gateway) ask(c *customer, units float64) {
+func (g *Balancer) ask(c *customer, units float64) {
 	c.use.add(g.now, c.window, units)
 	c.metered.add(g.now, max(1, g.set.MeterPeriod), units)
 	c.asked, c.lastAsk, c.most = c.asked+units, units, math.Max(c.most, units)
@@ -411,7 +411,7 @@
 // settleGrant has a home set the part of what is asked that it grants: the rate and what
 // the store holds beyond the reserve, spent over the demand window, against all that was
 // asked in it. When that has moved the whole set is told, where it does not ask anyway.
-func (g *Gateway) settleGrant(c *customer) {
+func (g *Balancer) settleGrant(c *customer) {
 	rate := g.set.Plans[c.plan].Rate
 	if !g.wide(c) || g.member(c) || rate == 0 {
 		return
@@ -432,7 +432,7 @@
 }
 
 // meter sets the slice by the use through all gateways in the last period told.
-func (g *Gateway) meter(c *customer, percent int) {
+func (g *Balancer) meter(c *customer, percent int) {
 	rate := g.set.Plans[c.plan].Rate
 	if g.set.MeterPeriod == 0 || percent == 0 || rate == 0 {
 		return
@@ -444,7 +444,7 @@
 
 // talk tells peers, or else the counter, of every customer whose use changed,
 // those that took most of their burst first.
-func (g *Gateway) talk() {
+func (g *Balancer) talk() {
 	slices.SortStableFunc(g.telling, func(a, b *customer) int {
 		return cmp.Compare((b.taken-b.told)*a.store.cap, (a.taken-a.told)*b.store.cap)
 	})
@@ -456,7 +456,7 @@
 		case g.now < c.tellAt && (g.member(c) && c.grant < 1 || g.set.Peers && !g.wide(c) && !g.tight(c)):
 		case !g.set.Peers:
 			if c.taken > c.told {
-				g.do.Count(c.id, c.taken-c.told, countLife)
+				g.do.AddToCounter(c.id, c.taken-c.told, countLife)
 				c.calls = append(c.calls, c.taken-c.told)
 			}
 			c.told, c.tell = c.taken, 0
@@ -478,8 +478,8 @@
 	g.flush()
 }
 
-// Peer takes in another gateway's note. One that is malformed is passed over.
-func (g *Gateway) Peer(now Time, from int, note []byte) {
+// ReceivePeerMessage takes in another gateway's note. One that is malformed is passed over.
+func (g *Balancer) ReceivePeerMessage(now Time, from int, note []byte) {
 	g.begin(now)
 	n, ok := readNote(note)
 	if !ok || from < 0 || from >= g.set.Gateways || from == g.set.Self {
@@ -518,7 +518,7 @@
 	}
 }
 
-func (g *Gateway) told(from int, boot uint32, e entry) {
+func (g *Balancer) told(from int, boot uint32, e entry) {
 	c := g.customer(e.id, e.plan, e.first, e.spread)
 	if !g.in(c, from) || g.member(c) {
 		return
@@ -562,15 +562,15 @@
 			}
 			h.taken += counted(want)
 		}
-		g.do.Tell(from, a.put(g.noteHead()))
+		g.do.SendToPeer(from, a.put(g.noteHead()))
 	} else if g.wide(c) && math.Abs(e.left-c.grant) > grantError*c.grant {
 		g.tellGrant(from, c)
 	}
 }
 
-// Counted takes in the total of a customer's use through all gateways, where there are no
+// ReceiveCounterTotal takes in the total of a customer's use through all gateways, where there are no
 // notes. What a failed call added all the same counts as another's: towards refusing.
-func (g *Gateway) Counted(now Time, name uint64, r Result, total float64) {
+func (g *Balancer) ReceiveCounterTotal(now Time, name uint64, r Result, total float64) {
 	g.begin(now)
 	c := g.customers[name]
 	if c == nil || len(c.calls) == 0 {
@@ -595,7 +595,7 @@
 
 // sick tells whether a backend is left out. Probes, if allowed, are the trial of one that is
 // down; else, and after errors, one request at a time is.
-func (g *Gateway) sick(b *backend) bool {
+func (g *Balancer) sick(b *backend) bool {
 	if b.down && g.set.Probes {
 		return true
 	}
@@ -603,7 +603,7 @@
 }
 
 // leaveOut leaves a backend out, each time in a row for longer.
-func (g *Gateway) leaveOut(b *backend, why string) {
+func (g *Balancer) leaveOut(b *backend, why string) {
 	if g.now-b.left > 2*healTime {
 		b.wait = 0
 	}
@@ -614,13 +614,13 @@
 
 // up takes a backend in again. Where none could be made its process may have started
 // anew: it is held for cold, told or not. One that was silent or only reset runs warm.
-func (g *Gateway) up(b *backend) {
+func (g *Balancer) up(b *backend) {
 	if !b.down {
 		return
 	}
 	b.down, b.slow, b.quiet = false, 0, g.awake
 	if !b.silent {
-		b.Started = max(b.Started, g.now)
+		b.StartedAt = max(b.StartedAt, g.now)
 		b.cold = g.coldBank()
 	}
 	g.do.Log(fmt.Sprintf("backend %d back", b.Backend))
@@ -629,7 +629,7 @@
 // listen leaves a backend out that answers nothing: hung, or cut off with no connection
 // broken. Only attempts past their own aim speak against it, one alone, perhaps lost on
 // the way, with half the weight. A very slow one comes back by its own late answers.
-func (g *Gateway) listen(b *backend) {
+func (g *Balancer) listen(b *backend) {
 	owed := float64(g.awake-b.quiet) * g.share(b) * math.Min(1, float64(b.overdue)/2)
 	if !b.down && owed > silentAims*float64(g.shortAim) {
 		b.down, b.silent = true, true
@@ -638,12 +638,12 @@
 }
 
 // judge learns from how an attempt ended.
-func (g *Gateway) judge(a *attempt, class int, r Result, took float64) {
+func (g *Balancer) judge(a *attempt, class int, r Result, took float64) {
 	b, bad := a.b, 0.0
 	if r == OK {
 		g.up(b)
 		b.turned = 0
-		usual := math.Max(g.base[class].v, aimShare*float64(g.set.Classes[class].Aim))
+		usual := math.Max(g.base[class].v, aimShare*float64(g.set.Classes[class].LatencyObjective))
 		b.unsure = b.unsure && took > surely*usual
 	}
 	switch r {
@@ -676,8 +676,8 @@
 	}
 }
 
-// Probed takes in how a probe ended.
-func (g *Gateway) Probed(now Time, id uint32, r Result, load []float32) {
+// ReceiveProbeResult takes in how a probe ended.
+func (g *Balancer) ReceiveProbeResult(now Time, id uint32, r Result, load []float32) {
 	g.begin(now)
 	b := g.byID[id]
 	switch {
@@ -694,7 +694,7 @@
 
 // choose picks the least loaded usable backend, sound ones not tried yet first.
 // A keyed request that may have run stays within its attempt's group.
-func (g *Gateway) choose(r *request, within *attempt) *backend {
+func (g *Balancer) choose(r *request, within *attempt) *backend {
 	for _, anyway := range []bool{false, true} {
 		var best *backend
 		bestCost, ties := math.Inf(1), 0.0
@@ -725,19 +725,19 @@
 }
 
 // size is what a backend can do, in means of all, as far as the list tells.
-func (g *Gateway) size(b *backend) float64 {
-	if g.set.HintsTell && b.Hint > 0 && g.meanSize > 0 {
-		return b.Hint / g.meanSize
+func (g *Balancer) size(b *backend) float64 {
+	if g.set.ComparableWeights && b.Weight > 0 && g.meanSize > 0 {
+		return b.Weight / g.meanSize
 	}
 	return 1
 }
 
 // weigh takes the mean of the sizes that the list tells.
-func (g *Gateway) weigh() {
+func (g *Balancer) weigh() {
 	sum, n := 0.0, 0.0
 	for _, b := range g.backends {
-		if b.State == Ready && b.listed && b.Hint > 0 {
-			sum, n = sum+b.Hint, n+1
+		if b.State == Ready && b.listed && b.Weight > 0 {
+			sum, n = sum+b.Weight, n+1
 		}
 	}
 	g.meanSize = sum / math.Max(n, 1)
@@ -746,7 +746,7 @@
 // cost is how long a request may have to wait at a backend, compared with others. An idle one is
 // no better for being larger: of many gateways each sees next to nothing out anywhere, and all would
 // send to the largest alone. Idle ones alike in all else are chosen in proportion to their size.
-func (g *Gateway) cost(b *backend) float64 {
+func (g *Balancer) cost(b *backend) float64 {
 	held := float64(b.out)
 	if g.now-b.queueAt < second {
 		held = math.Max(held, held/2+b.queue)
@@ -764,26 +764,26 @@
 	return cost
 }
 
-// Members takes in discovery's news of the backends. What it says is draining or
+// UpdateEndpoints takes in discovery's news of the backends. What it says is draining or
 // gone gets nothing more from now on.
-func (g *Gateway) Members(now Time, news News, list []Member) {
+func (g *Balancer) UpdateEndpoints(now Time, news ListKind, list []Endpoint) {
 	g.begin(now)
-	if news == Unheard {
+	if news == Unavailable {
 		g.follows = false
 		return
 	}
-	g.follows = g.follows || news != Cached && news != Stale
+	g.follows = g.follows || news != CompleteCached && news != StaleBootstrap
 	for _, b := range g.backends {
-		b.listed = b.listed && news == Changed
+		b.listed = b.listed && news == Delta
 	}
 	for _, m := range list {
 		b := g.backend(m)
-		if m.Started > b.Started {
+		if m.StartedAt > b.StartedAt {
 			b.slow, b.errs, b.cold = 0, 0, g.coldBank()
 		}
-		m.Started = max(m.Started, b.Started)
-		b.Member, b.listed = m, m.State != Left
-		if b.unsure = news == Stale; b.unsure {
+		m.StartedAt = max(m.StartedAt, b.StartedAt)
+		b.Endpoint, b.listed = m, m.State != Removed
+		if b.unsure = news == StaleBootstrap; b.unsure {
 			apart := float64(tryApart * Time(max(0, g.set.Gateways-fewTry)))
 			b.opens = g.now + Time(g.rand.Float64()*apart)
 		}
@@ -795,12 +795,12 @@
 // warmEnough tells whether a backend may be sent one more. A cold one is sent its share of
 // what this gateway sends a warm one, saved up for half the span over which the rule counts:
 // through all gateways no more of its capacity than the warm ones get of theirs.
-func (g *Gateway) warmEnough(b *backend) bool {
+func (g *Balancer) warmEnough(b *backend) bool {
 	share := g.share(b)
 	if share == 1 {
 		return true
 	}
-	span := float64(g.set.TipAfter) / float64(second)
+	span := float64(g.set.SlowStartOverloadWindow) / float64(second)
 	each := g.pace.get(g.now, paceTime) * float64(second) / float64(paceTime)
 	least := 1 / math.Max(span, 1) / float64(g.set.Gateways) // one send in a span through all
 	b.cold.rate = math.Max(each, least) * share
@@ -817,25 +817,25 @@
 		if a.pending && !copies {
 			again = false
 		}
-		if !a.mayRun || c.Effect == Safe {
+		if !a.mayRun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe {
+		if c.Idempotency == NotIdempotent {
 			return false, nil, false
 		}
 		if in == nil {
 			in = a
-			again = again && now < a.at+c.Window-early
-			refuse = c.Group == GroupAll
+			again = again && now < a.at+c.DeduplicationWindow-early
+			refuse = c.DeduplicationScope == ScopeAll
 		}
 	}
 	return again, in, refuse
 }
 
 // sweepOverdue takes note of attempts that are past their aim, and silent backends.
-func (g *Gateway) sweepOverdue() {
+func (g *Balancer) sweepOverdue() {
 	for class := range g.due {
-		g.lateAfter(class, g.set.Classes[class].Aim)
+		g.lateAfter(class, g.set.Classes[class].LatencyObjective)
 	}
 	g.alive, g.warm = 0, 0
 	for _, b := range g.backends {
@@ -852,7 +852,7 @@
 // held is how many attempts the back end holds for this gateway. Those past their aim count as
 // far as answers come late everywhere: lost or stuck at a few backends they would shut the gate
 // on what can be served. Those at one that is down don't count, at a slow one they count less.
-func (g *Gateway) held() float64 {
+func (g *Balancer) held() float64 {
 	held := 0.0
 	for _, b := range g.backends {
 		if !b.down && b.out > 0 {
@@ -864,24 +864,24 @@
 
 // view is what this gateway holds and what comes back in time a second, with that of n-1 others:
 // alone it may be a few a second. The more it sees itself, the less their older figures count.
-func (g *Gateway) view() (held, inTime, n float64) {
+func (g *Balancer) view() (held, inTime, n float64) {
 	return g.held() + g.thin()*g.peersHeld.get(g.awake, second),
 		g.inTime.get(g.awake, second) + g.thin()*g.peersInTime.get(g.awake, second),
 		1 + g.thin()*g.peers.get(g.awake, second)
 }
 
 // thin is how much others' word counts: the less, the more this gateway sees itself.
-func (g *Gateway) thin() float64 { return enough / (enough + g.inTime.get(g.awake, second)) }
+func (g *Balancer) thin() float64 { return enough / (enough + g.inTime.get(g.awake, second)) }
 
 // full tells whether so large a part of the room at the back end is filled: as many attempts
 // as come back within their aim in the time an answer may take.
-func (g *Gateway) full(part float64) bool {
+func (g *Balancer) full(part float64) bool {
 	g.sweepOverdue()
 	// A loaded back end stretches all classes alike: the tightest sets the time.
 	allowed := math.Inf(1)
 	for class, base := range g.base {
 		if base.v > 0 {
-			allowed = math.Min(allowed, g.mean.v/base.v*float64(g.set.Classes[class].Aim))
+			allowed = math.Min(allowed, g.mean.v/base.v*float64(g.set.Classes[class].LatencyObjective))
 		}
 	}
 	if math.IsInf(allowed, 1) {
@@ -894,7 +894,7 @@
 }
 
 // Request decides on a client's try.
-func (g *Gateway) Request(now Time, q Request) {
+func (g *Balancer) Request(now Time, q Request) {
 	g.begin(now)
 	if q.Class < 0 || q.Class >= len(g.set.Classes) || q.Plan < 0 || q.Plan >= len(g.set.Plans) {
 		g.do.Fail(q.ID)
@@ -902,17 +902,17 @@
 	}
 	grace := &g.grace[q.Plan][q.Class]
 	if g.now > g.woke {
-		grace.add(float64(q.Grace), learnOne)
-	} else if grace.v-float64(q.Grace)+g.base[q.Class].v > float64(g.set.Classes[q.Class].Aim) {
-		g.refuse(q.ID, 0, WhyLate) // it came while this gateway stood still: too late for any answer
+		grace.add(float64(q.Timeout), learnOne)
+	} else if grace.v-float64(q.Timeout)+g.base[q.Class].v > float64(g.set.Classes[q.Class].LatencyObjective) {
+		g.refuse(q.ID, 0, ReasonTooLate) // it came while this gateway stood still: too late for any answer
 		return
 	}
 	plan := &g.set.Plans[q.Plan]
 	c := g.customer(q.Customer, q.Plan, q.First, q.Spread)
 	g.ask(c, q.Units)
-	r := &request{Request: q, until: now + q.Grace, c: c}
+	r := &request{Request: q, until: now + q.Timeout, c: c}
 	if g.full(g.open(&q, plan)) {
-		g.refuse(q.ID, g.shortAim/2, WhyLoad)
+		g.refuse(q.ID, g.shortAim/2, ReasonOverload)
 	} else if g.limited(c) {
 		g.byRight(r)
 	} else if g.member(c) && (g.consults(c) || !g.under(c, q.Units)) && 2*q.Units <= wantMost {
@@ -923,7 +923,7 @@
 }
 
 // admit sends a request on if its own bank holds its units, else if bank 0 lends them.
-func (g *Gateway) admit(r *request, inside bool) {
+func (g *Balancer) admit(r *request, inside bool) {
 	q, c, plan := &r.Request, r.c, &g.set.Plans[r.Plan]
 	defer g.unused(r)
 	if !inside {
@@ -934,18 +934,18 @@
 		}
 	}
 	if !r.paid && !g.under(c, q.Units) {
-		g.refuse(q.ID, until(c.ceiling.level, c.ceiling.rate, q.Units), WhyCeiling)
+		g.refuse(q.ID, until(c.ceiling.level, c.ceiling.rate, q.Units), ReasonCeiling)
 		return
 	}
 	b := g.choose(r, nil)
 	if b == nil {
-		g.refuse(q.ID, g.shortAim/2, WhyNoBackend)
+		g.refuse(q.ID, g.shortAim/2, ReasonNoBackend)
 		return
 	}
 	if inside {
 		g.take(c, q.Units)
 		if g.limited(c) {
-			g.rights.Take(g.now, q.ID, g.budget(c), q.Units-r.lent-r.own)
+			g.rights.Consume(g.now, q.ID, g.budget(c), q.Units-r.lent-r.own)
 			r.lent, r.own = 0, 0
 		}
 	} else {
@@ -962,14 +962,14 @@
 
 // filledIn is how long it takes until a customer's own bank holds the units: where its
 // set shares one store, that fills for all of them at once.
-func (g *Gateway) filledIn(r *request) Time {
+func (g *Balancer) filledIn(r *request) Time {
 	c, units := r.c, r.Units
 	if r.after > 0 {
 		return r.after
 	}
 	rate := g.set.Plans[c.plan].Rate
 	if g.limited(c) {
-		rate = g.rights.Rate(g.now, g.budget(c))
+		rate = g.rights.RefillRate(g.now, g.budget(c))
 	} else if !g.pooled || g.wide(c) {
 		rate *= g.part(c)
 	}
@@ -977,17 +977,17 @@
 }
 
 // open is the part of the room open to a request: more for more worth for work.
-func (g *Gateway) open(q *Request, plan *Plan) float64 {
+func (g *Balancer) open(q *Request, plan *Plan) float64 {
 	base := g.base[q.Class].v
 	if base == 0 {
 		return 1
 	}
-	worth := g.set.Classes[q.Class].Worth * plan.Price * q.Units / base
+	worth := g.set.Classes[q.Class].PriorityWeight * plan.Price * q.Units / base
 	g.worth.add(worth, learn)
 	return cheapShare + (1-cheapShare)*math.Min(worthMost, worth/math.Max(g.worth.v, 1e-12))
 }
 
-func (g *Gateway) send(r *request, b *backend) {
+func (g *Balancer) send(r *request, b *backend) {
 	a := &attempt{b: b, at: g.now, pending: true, mayRun: true}
 	r.attempts = append(r.attempts, a)
 	g.due[r.Class] = append(g.due[r.Class], a)
@@ -1001,9 +1001,9 @@
 		b.cold.level--
 	}
 	class, base := &g.set.Classes[r.Class], Time(g.base[r.Class].v)
-	until := g.now + max(Time(patience)*base, Time(leastWait*float64(class.Aim)))
-	if class.Effect == Unsafe || g.again < 1 || len(r.attempts) == g.set.MaxAttempts || g.full(lendShare) ||
-		base == 0 || until+base > r.attempts[0].at+class.Aim {
+	until := g.now + max(Time(patience)*base, Time(leastWait*float64(class.LatencyObjective)))
+	if class.Idempotency == NotIdempotent || g.again < 1 || len(r.attempts) == g.set.MaxAttempts || g.full(lendShare) ||
+		base == 0 || until+base > r.attempts[0].at+class.LatencyObjective {
 		until = 0
 	}
 	g.do.Send(r.ID, b.Backend, until)
@@ -1011,7 +1011,7 @@
 
 // Outcome takes in how an attempt ended, and gives the final answer or starts a
 // further attempt where one is owed.
-func (g *Gateway) Outcome(now Time, o Outcome) {
+func (g *Balancer) Outcome(now Time, o Outcome) {
 	g.begin(now)
 	r := g.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending {
@@ -1019,9 +1019,9 @@
 	}
 	a, class := r.attempts[o.Attempt], &g.set.Classes[r.Class]
 	a.pending = false
-	a.mayRun = o.Result != Full && o.Result != ConnectFailed && o.Result != Moot
+	a.mayRun = o.Result != Rejected && o.Result != ConnectFailed && o.Result != Superseded
 	g.settle(r, a, &o)
-	r.over = r.over || o.Over
+	r.over = r.over || o.RequestDone
 	if r.pending() {
 		return
 	}
@@ -1033,8 +1033,8 @@
 	if a.mayRun {
 		price = 1
 	}
-	again, within, refuse := class.may(r.attempts, g.set.SecondCopies, now, 4*g.set.Tick)
-	if again && len(r.attempts) < g.set.MaxAttempts && g.again >= price && r.until-now > class.Aim/10 {
+	again, within, refuse := class.may(r.attempts, g.set.Hedging, now, 4*g.set.Tick)
+	if again && len(r.attempts) < g.set.MaxAttempts && g.again >= price && r.until-now > class.LatencyObjective/10 {
 		if next := g.choose(r, within); next != nil {
 			g.again -= price
 			g.send(r, next)
@@ -1043,20 +1043,20 @@
 	}
 	delete(g.requests, o.ID)
 	if refuse {
-		g.refuse(o.ID, g.shortAim/2, WhyAttempts)
+		g.refuse(o.ID, g.shortAim/2, ReasonAttemptLimit)
 	} else {
 		g.do.Fail(o.ID)
 	}
 }
 
-// StillMay tells whether an attempt that was to be sent may be sent now: its host may have waited for a
+// MayStillSend tells whether an attempt that was to be sent may be sent now: its host may have waited for a
 // connection, and what drops repeats of a keyed request forgets it. It only looks: it may be asked amid Send.
-func (g *Gateway) StillMay(now Time, id uint64, attempt int) bool {
+func (g *Balancer) MayStillSend(now Time, id uint64, attempt int) bool {
 	r := g.requests[id]
 	if r == nil || attempt >= len(r.attempts) {
 		return false
 	}
-	again, _, _ := g.set.Classes[r.Class].may(r.attempts[:attempt], g.set.SecondCopies, now, 4*g.set.Tick)
+	again, _, _ := g.set.Classes[r.Class].may(r.attempts[:attempt], g.set.Hedging, now, 4*g.set.Tick)
 	return again
 }
 
@@ -1064,7 +1064,7 @@
 // holds nothing then and would look idle, and each gateway would send all that it has to it. The
 // wait is drawn, and so long that many gateways together try it once in tryApart; it doubles while
 // the backend goes on turning attempts away. No gateway has to hear of another for that.
-func (g *Gateway) turnedAway(b *backend) {
+func (g *Balancer) turnedAway(b *backend) {
 	if g.now < b.backOff {
 		return // sent before it was known
 	}
@@ -1074,47 +1074,47 @@
 }
 
 // settle books an attempt's end on its backend and its customer.
-func (g *Gateway) settle(r *request, a *attempt, o *Outcome) {
+func (g *Balancer) settle(r *request, a *attempt, o *Outcome) {
 	b := a.b
 	b.out--
 	if a.late {
 		b.overdue--
 	}
 	r.c.open--
-	late := o.Took > g.set.Classes[r.Class].Aim
+	late := o.Duration > g.set.Classes[r.Class].LatencyObjective
 	// One turned away is no answer: counted as one in time it would open the gate to more of its kind.
 	if !a.blind && (o.Result == OK || o.Result == TimedOut && late) {
 		g.late.add(step(late), learnOne)
 		g.inTime.add(g.awake, second, step(!late))
 	}
-	if o.Result == OK || o.Result == Failed || o.Result == Full {
+	if o.Result == OK || o.Result == Failed || o.Result == Rejected {
 		b.quiet = g.awake
 	}
 	if o.Result == OK && g.share(b) == 1 {
 		g.pace.add(g.now, paceTime, 1/float64(max(1, g.warm)))
 	}
 	g.loaded(b, o.Load)
-	g.judge(a, r.Class, o.Result, float64(o.Took))
+	g.judge(a, r.Class, o.Result, float64(o.Duration))
 	// Trouble for one plan or class, met once in many seconds at any one backend: all are told, and
 	// prefer others till the word fades. It may hurt where one is avoided by all for too long.
-	if o.Result == Full {
+	if o.Result == Rejected {
 		g.turnedAway(b)
 		g.word(b, len(g.set.Classes)+r.Plan)
 	} else if o.Result == Failed || o.Result == TimedOut && !a.blind {
 		g.word(b, r.Class)
 	}
-	g.meter(r.c, o.Metered)
-	if g.set.Settles && o.Result == OK && o.TrueUnits > 0 {
+	g.meter(r.c, o.MeteredUse)
+	if g.set.SettlesUnits && o.Result == OK && o.TrueUnits > 0 {
 		g.refill(r.c)
 		g.take(r.c, o.TrueUnits-r.Units)
 		if g.limited(r.c) {
-			g.rights.Take(g.now, r.ID, g.budget(r.c), o.TrueUnits-r.Units)
+			g.rights.Consume(g.now, r.ID, g.budget(r.c), o.TrueUnits-r.Units)
 		}
 	}
 }
 
 // Timer takes in a timer that was set.
-func (g *Gateway) Timer(now Time, token uint32) {
+func (g *Balancer) Timer(now Time, token uint32) {
 	g.begin(now)
 	if token != noteToken {
 		g.answered(nil, grant{})
@@ -1131,7 +1131,7 @@
 			g.do.Probe(b.Backend)
 		}
 	}
-	if g.set.AskMembers && !g.follows && now-g.asked >= g.set.AskWithin/4 {
+	if g.set.PollEndpoints && !g.follows && now-g.asked >= g.set.PollInterval/4 {
 		g.follow()
 	}
 }
--- a/internal/dataplane/policy/decide_test.go
+++ b/internal/dataplane/policy/decide_test.go
@@ -23,14 +23,14 @@
 	f.note("send %d to %d", id, backend)
 	f.waits = append(f.waits, until)
 }
-func (f *fake) Refuse(id uint64, after Time)              { f.note("refuse %d after %d", id, after) }
-func (f *fake) Fail(id uint64)                            { f.note("fail %d", id) }
-func (f *fake) SetTimer(at Time, token uint32)            { f.note("timer %d", at) }
-func (f *fake) Probe(backend uint32)                      { f.note("probe %d", backend) }
-func (f *fake) Tell(peer int, note []byte)                { f.note("tell %d %x", peer, note) }
-func (f *fake) Count(name uint64, add float64, life Time) { f.note("count %d %g", name, add) }
-func (f *fake) Follow()                                   { f.note("follow") }
-func (f *fake) Log(line string)                           { f.note("log %s", line) }
+func (f *fake) Reject(id uint64, after Time)                     { f.note("refuse %d after %d", id, after) }
+func (f *fake) Fail(id uint64)                                   { f.note("fail %d", id) }
+func (f *fake) SetTimer(at Time, token uint32)                   { f.note("timer %d", at) }
+func (f *fake) Probe(backend uint32)                             { f.note("probe %d", backend) }
+func (f *fake) SendToPeer(peer int, note []byte)                 { f.note("tell %d %x", peer, note) }
+func (f *fake) AddToCounter(name uint64, add float64, life Time) { f.note("count %d %g", name, add) }
+func (f *fake) WatchEndpoints()                                  { f.note("follow") }
+func (f *fake) Log(line string)                                  { f.note("log %s", line) }
 
 func (f *fake) count(prefix string) int {
 	n := 0
@@ -55,13 +55,13 @@
 
 func settings() Settings {
 	return Settings{
-		Gateways: 2, Peers: true, Probes: true, RetryAfter: true, MailPerSecond: 60,
+		Gateways: 2, Peers: true, Probes: true, RetryAfter: true, MaxPeerMessagesPerSecond: 60,
 		MaxAttempts: 3, MaxRetryAfter: second, Tick: 4000,
-		ColdFrom: 0.2, ColdTime: 10 * second, TipAfter: second,
+		SlowStartMinFraction: 0.2, SlowStartDuration: 10 * second, SlowStartOverloadWindow: second,
 		Classes: []Class{
-			{Aim: second / 2, Effect: Safe, Worth: 1},
-			{Aim: second, Effect: Unsafe, Worth: 5},
-			{Aim: second, Effect: Keyed, Group: GroupCell, Window: second, Worth: 3},
+			{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1},
+			{LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 5},
+			{LatencyObjective: second, Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 3},
 		},
 		Plans: []Plan{
 			{Rate: 2, Burst: 8, Price: 1, BeyondCosts: 1},
@@ -73,7 +73,7 @@
 
 // rig is a gateway with four backends, of two cells, that has run for a while.
 type rig struct {
-	*Gateway
+	*Balancer
 	*fake
 	t    *testing.T
 	at   Time
@@ -89,16 +89,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Gateway: g, fake: f, t: t, at: start}
-	g.Members(start, Cached, members(4))
+	r := &rig{Balancer: g, fake: f, t: t, at: start}
+	g.UpdateEndpoints(start, CompleteCached, members(4))
 	r.at += second
 	return r
 }
 
-func members(n int) []Member {
-	var list []Member
+func members(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Member{Backend: uint32(i + 1), Cell: i % 2})
+		list = append(list, Endpoint{Backend: uint32(i + 1), Cell: i % 2})
 	}
 	return list
 }
@@ -109,7 +109,7 @@
 	r.next++
 	before := r.fake.count("send")
 	r.Request(r.at, Request{ID: r.next, Class: class, Plan: plan, Customer: customer, Units: units,
-		Grace: 2 * second, Spread: 2})
+		Timeout: 2 * second, Spread: 2})
 	return r.next, r.fake.count("send") > before
 }
 
@@ -121,7 +121,7 @@
 	}
 	n := len(q.attempts) - 1
 	r.Outcome(r.at, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].b.Backend, Result: result,
-		Took: second / 10, Over: over})
+		Duration: second / 10, RequestDone: over})
 }
 
 // serve asks and has it answered at once.
@@ -247,7 +247,7 @@
 		var peer int
 		var note []byte
 		if n, _ := fmt.Sscanf(line, "tell %d %x", &peer, &note); n == 2 && peer == to.set.Self {
-			to.Peer(to.at, from.set.Self, note)
+			to.ReceivePeerMessage(to.at, from.set.Self, note)
 		}
 	}
 }
@@ -281,12 +281,12 @@
 		c := a.customers[9]
 		notes = append(notes, (&entry{id: 9, plan: 1, spread: 2, taken: counted(c.taken), left: 0.5}).put(a.noteHead()))
 	}
-	b.Peer(b.at, 0, notes[0])
+	b.ReceivePeerMessage(b.at, 0, notes[0])
 	level := b.customers[9].store.level
-	b.Peer(b.at, 0, notes[2]) // the second is lost
+	b.ReceivePeerMessage(b.at, 0, notes[2]) // the second is lost
 	near(t, "level after 8 more units", b.customers[9].store.level, level-8)
-	b.Peer(b.at, 0, notes[2])
-	b.Peer(b.at, 0, notes[1])
+	b.ReceivePeerMessage(b.at, 0, notes[2])
+	b.ReceivePeerMessage(b.at, 0, notes[1])
 	near(t, "level after a repeat and a late note", b.customers[9].store.level, level-8)
 }
 
@@ -297,10 +297,10 @@
 	bad[0]++
 	plan := (&entry{id: 9, plan: 200, spread: 2}).put(noteHead(1, 0, 0))
 	for _, note := range [][]byte{nil, {1}, good[:len(good)-1], append(slices.Clone(good), 0), bad, plan} {
-		b.Peer(b.at, 0, note)
+		b.ReceivePeerMessage(b.at, 0, note)
 	}
 	for _, from := range []int{-1, 1, 2} {
-		b.Peer(b.at, from, good)
+		b.ReceivePeerMessage(b.at, from, good)
 	}
 	if len(b.customers) != 0 {
 		t.Error("a malformed note made a record")
@@ -337,9 +337,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Gateway: again, fake: again.do.(*fake), t: t, at: b.at}
-	r.Members(r.at, Cached, members(4))
-	b.Peer(b.at, 0, again.noteHead()) // its greeting
+	r := &rig{Balancer: again, fake: again.do.(*fake), t: t, at: b.at}
+	r.UpdateEndpoints(r.at, CompleteCached, members(4))
+	b.ReceivePeerMessage(b.at, 0, again.noteHead()) // its greeting
 	tellAll(b, r)
 	if r.serve(0, 0, 9, 2) {
 		t.Error("the restarted gateway gave the spent burst out again")
@@ -355,13 +355,13 @@
 	if r.fake.count("count 9 2") != 1 {
 		t.Fatal("use was not counted")
 	}
-	r.Counted(r.at, 9, OK, 2)
+	r.ReceiveCounterTotal(r.at, 9, OK, 2)
 	near(t, "level", r.customers[9].store.level, 6)
 	r.serve(0, 0, 9, 2)
 	r.Timer(r.at, 0)
-	r.Counted(r.at, 9, OK, 7)
+	r.ReceiveCounterTotal(r.at, 9, OK, 7)
 	near(t, "level after 3 units by others", r.customers[9].store.level, 1)
-	r.Counted(r.at, 9, OK, 100) // no call is out
+	r.ReceiveCounterTotal(r.at, 9, OK, 100) // no call is out
 	near(t, "level after a stray answer", r.customers[9].store.level, 1)
 }
 
@@ -372,17 +372,17 @@
 	id, _ := r.ask(0, 1, 9, 5)
 	near(t, "slice before a reading", r.part(r.customers[9]), 0.5)
 	b := r.requests[id].attempts[0].b.Backend
-	r.Outcome(r.at, Outcome{ID: id, Backend: b, Result: OK, Took: 1, Over: true, Metered: 201})
+	r.Outcome(r.at, Outcome{ID: id, Backend: b, Result: OK, Duration: 1, RequestDone: true, MeteredUse: 201})
 	near(t, "slice with a quarter of the use", r.part(r.customers[9]), 0.25)
 }
 
 func TestSettledUnitsAndOpenLimit(t *testing.T) {
 	set := settings()
-	set.Gateways, set.Settles = 1, true
+	set.Gateways, set.SettlesUnits = 1, true
 	set.Plans[0].OpenLimit = 2
 	r := newRig(t, set)
 	id, _ := r.ask(0, 0, 9, 2)
-	r.Outcome(r.at, Outcome{ID: id, Backend: r.requests[id].attempts[0].b.Backend, Result: OK, Took: 1, Over: true, TrueUnits: 5})
+	r.Outcome(r.at, Outcome{ID: id, Backend: r.requests[id].attempts[0].b.Backend, Result: OK, Duration: 1, RequestDone: true, TrueUnits: 5})
 	near(t, "store after 5 true units", r.customers[9].store.level, 8.0/1-5)
 	r.ask(0, 0, 8, 1)
 	r.ask(0, 0, 8, 1)
@@ -401,8 +401,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(at, Cached, members(4))
-		return &rig{Gateway: g, fake: g.do.(*fake), t: t}
+		g.UpdateEndpoints(at, CompleteCached, members(4))
+		return &rig{Balancer: g, fake: g.do.(*fake), t: t}
 	}
 	gateways := []*rig{born(0, start), born(1, start)}
 	sent, lowest := 0.0, 0.0
@@ -430,11 +430,11 @@
 }
 
 func TestMay(t *testing.T) {
-	x, y := &backend{Member: Member{Cell: 1}}, &backend{Member: Member{Cell: 2}}
+	x, y := &backend{Endpoint: Endpoint{Cell: 1}}, &backend{Endpoint: Endpoint{Cell: 2}}
 	ran, unran := &attempt{b: x, at: start, mayRun: true}, &attempt{b: y, at: start}
 	out := &attempt{b: x, at: start, mayRun: true, pending: true}
-	safe, unsafe := &Class{Effect: Safe}, &Class{Effect: Unsafe}
-	cell, all := &Class{Effect: Keyed, Group: GroupCell, Window: second}, &Class{Effect: Keyed, Window: second}
+	safe, unsafe := &Class{Idempotency: Idempotent}, &Class{Idempotency: NotIdempotent}
+	cell, all := &Class{Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second}, &Class{Idempotency: WithIdempotencyKey, DeduplicationWindow: second}
 	for _, c := range []struct {
 		name          string
 		class         *Class
@@ -471,7 +471,7 @@
 	}{
 		{"safe after an error goes on", 0, Failed, "send"},
 		{"unsafe after an error fails", 1, Failed, "fail"},
-		{"unsafe turned away goes on", 1, Full, "send"},
+		{"unsafe turned away goes on", 1, Rejected, "send"},
 		{"unsafe without connection goes on", 1, ConnectFailed, "send"},
 		{"keyed by cell after a reset goes on", 2, Reset, "send"},
 	} {
@@ -507,14 +507,14 @@
 	r.Outcome(r.at, Outcome{ID: 999})
 	r.Outcome(r.at, Outcome{ID: id, Attempt: 4})
 	r.Outcome(r.at, Outcome{ID: id, Attempt: -1})
-	r.Gone(r.at, 999)
+	r.ClientGone(r.at, 999)
 	r.Timer(r.at, 77)
-	r.Probed(r.at, 99, OK, nil)
-	r.Counted(r.at, 5, OK, 1)
+	r.ReceiveProbeResult(r.at, 99, OK, nil)
+	r.ReceiveCounterTotal(r.at, 5, OK, 1)
 	if len(r.done) != before {
 		t.Errorf("stale events acted: %v", r.done[before:])
 	}
-	r.Gone(r.at, id)
+	r.ClientGone(r.at, id)
 	r.end(id, Reset, true)
 	if r.requests[id] != nil || r.fake.count("fail")+r.fake.count("refuse") != 0 {
 		t.Error("a request whose client left was answered or kept")
@@ -523,14 +523,14 @@
 
 func TestNothingGoesToADrainingOrGoneBackend(t *testing.T) {
 	for _, news := range []struct {
-		news News
-		list []Member
+		news ListKind
+		list []Endpoint
 	}{
-		{Changed, []Member{{Backend: 1, State: Draining}, {Backend: 2, State: Left}}},
-		{Whole, []Member{{Backend: 3}, {Backend: 4, Cell: 1}}},
+		{Delta, []Endpoint{{Backend: 1, State: Draining}, {Backend: 2, State: Removed}}},
+		{Complete, []Endpoint{{Backend: 3}, {Backend: 4, Cell: 1}}},
 	} {
 		r := newRig(t, settings())
-		r.Members(r.at, news.news, news.list)
+		r.UpdateEndpoints(r.at, news.news, news.list)
 		for i := range uint64(30) {
 			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].b.Backend < 3 {
 				t.Fatal("sent to a backend that drains or is gone")
@@ -561,7 +561,7 @@
 		return got
 	}
 	load(8)
-	r.Members(r.at, Changed, []Member{{Backend: 4, Cell: 1, Started: r.at}})
+	r.UpdateEndpoints(r.at, Delta, []Endpoint{{Backend: 4, Cell: 1, StartedAt: r.at}})
 	got := load(1)
 	warm := float64(got[1]+got[2]+got[3]) / 3
 	if cold := float64(got[4]); cold > 0.6*warm || cold == 0 {
@@ -570,9 +570,9 @@
 	// All cold at once: the budget holds all the same.
 	list := members(4)
 	for i := range list {
-		list[i].Started = r.at
+		list[i].StartedAt = r.at
 	}
-	r.Members(r.at, Whole, list)
+	r.UpdateEndpoints(r.at, Complete, list)
 	got = load(1)
 	if n := got[1] + got[2] + got[3] + got[4]; n > 60 {
 		t.Errorf("%d of 100 sent on to backends that are all cold", n)
@@ -589,7 +589,7 @@
 	if r.fake.count(fmt.Sprintf("probe %d", b.Backend)) != 1 {
 		t.Fatal("the broken backend was not probed")
 	}
-	r.Probed(r.at, b.Backend, OK, nil)
+	r.ReceiveProbeResult(r.at, b.Backend, OK, nil)
 	if r.sick(b) || r.share(b) == 1 {
 		t.Error("a backend whose connections broke must come back, and for cold")
 	}
@@ -616,7 +616,7 @@
 	if !b.down {
 		t.Fatal("kept after many resets at once")
 	}
-	r.Probed(r.at, b.Backend, OK, nil)
+	r.ReceiveProbeResult(r.at, b.Backend, OK, nil)
 	if b.down || r.share(b) < 1 {
 		t.Error("one whose connections were only reset came back for cold")
 	}
@@ -638,7 +638,7 @@
 		t.Error("a backend that answers nothing for several aims is still used")
 	}
 	r.at += second
-	r.Probed(r.at, b.Backend, OK, nil)
+	r.ReceiveProbeResult(r.at, b.Backend, OK, nil)
 	if r.sick(b) || r.share(b) != 1 {
 		t.Error("a backend that was only silent must come back warm")
 	}
@@ -671,13 +671,13 @@
 func TestIdleServersAreChosenBySize(t *testing.T) {
 	for name, sizes := range map[string][]float64{"told": {1, 1, 3, 3}, "scaled": {2.5, 2.5, 7.5, 7.5}} {
 		set := settings()
-		set.HintsTell = true
+		set.ComparableWeights = true
 		r := newRig(t, set)
 		list := members(4)
 		for i := range list {
-			list[i].Hint = sizes[i]
+			list[i].Weight = sizes[i]
 		}
-		r.Members(r.at, Whole, list)
+		r.UpdateEndpoints(r.at, Complete, list)
 		got := map[uint32]int{}
 		const asked = 2000
 		for range asked {
@@ -724,9 +724,9 @@
 
 func TestAskedDiscoveryIsAskedAgain(t *testing.T) {
 	set := settings()
-	set.AskMembers, set.AskWithin = true, 10*second
+	set.PollEndpoints, set.PollInterval = true, 10*second
 	r := newRig(t, set)
-	r.Members(r.at, Unheard, nil)
+	r.UpdateEndpoints(r.at, Unavailable, nil)
 	if r.fake.count("follow") != 1 {
 		t.Fatal("discovery was not asked at the start")
 	}
@@ -763,7 +763,7 @@
 		"self":           func(s *Settings) { s.Self = 2 },
 		"classes":        func(s *Settings) { s.Classes = nil },
 		"plans":          func(s *Settings) { s.Plans = nil },
-		"classes[1].aim": func(s *Settings) { s.Classes[1].Aim = 0 },
+		"classes[1].aim": func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
 		"plans[0]":       func(s *Settings) { s.Plans[0].Burst = 0 },
 	} {
 		set := settings()
@@ -798,7 +798,7 @@
 	member.next++
 	member.done = nil
 	member.Request(member.at, Request{ID: member.next, Plan: plan, Customer: customer, Units: 1,
-		Grace: 2 * second, First: member.firsts[customer], Spread: 12})
+		Timeout: 2 * second, First: member.firsts[customer], Spread: 12})
 	sent := slices.Clone(member.done)
 	carry(member, home)
 	home.done = slices.DeleteFunc(home.done, func(l string) bool { return !strings.HasPrefix(l, "tell 5 ") })
@@ -846,7 +846,7 @@
 func TestASilentHomeKeepsNoRequestWaiting(t *testing.T) {
 	_, member := wideRigs(t)
 	member.done = nil
-	member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Grace: 2 * second, First: member.firsts[9], Spread: 12})
+	member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: member.firsts[9], Spread: 12})
 	if member.fake.count("send") != 0 || member.fake.count("tell 0 ") != 1 || member.fake.count("timer") != 1 {
 		t.Fatalf("%v, want an ask to the home and a timer", member.done)
 	}
@@ -855,7 +855,7 @@
 		t.Errorf("%v, want it sent", member.done)
 	}
 	before := len(member.done)
-	member.Peer(member.at+second/5, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
+	member.ReceivePeerMessage(member.at+second/5, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
 	if len(member.done) != before {
 		t.Errorf("a late answer acted: %v", member.done[before:])
 	}
@@ -864,10 +864,10 @@
 // Guards against answering a client that has left while the home was asked.
 func TestAClientThatLeftIsNotAnswered(t *testing.T) {
 	_, member := wideRigs(t)
-	member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Grace: 2 * second, First: member.firsts[9], Spread: 12})
-	member.Gone(member.at, 1)
+	member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: member.firsts[9], Spread: 12})
+	member.ClientGone(member.at, 1)
 	member.done = nil
-	member.Peer(member.at, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
+	member.ReceivePeerMessage(member.at, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
 	if len(member.done) != 0 || len(member.waiting) != 0 {
 		t.Errorf("acted for a client that left: %v, %d waiting", member.done, len(member.waiting))
 	}
@@ -883,7 +883,7 @@
 	if _, sent := r.ask(0, 1, 8, 1); !sent || b.down {
 		t.Error("what was out while the gateway stood still counts as unanswered")
 	}
-	r.Outcome(r.at, Outcome{ID: id, Backend: b.Backend, Result: OK, Took: 3 * second, Over: true})
+	r.Outcome(r.at, Outcome{ID: id, Backend: b.Backend, Result: OK, Duration: 3 * second, RequestDone: true})
 	if b.slow != 0 || r.mean.v != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's")
 	}
@@ -905,7 +905,7 @@
 	}{{2*second - second*9/10, false}, {2*second - second/10, true}} {
 		r.next++
 		before := r.fake.count("send")
-		r.Request(r.at, Request{ID: r.next, Plan: 1, Customer: 9, Units: 1, Grace: c.grace, Spread: 2})
+		r.Request(r.at, Request{ID: r.next, Plan: 1, Customer: 9, Units: 1, Timeout: c.grace, Spread: 2})
 		if sent := r.fake.count("send") > before; sent != c.sent {
 			t.Errorf("with %d left of 2000000: sent %t, want %t", c.grace, sent, c.sent)
 		}
@@ -959,7 +959,7 @@
 		same, other, plans int // classes and plans that avoid the backend, and that do not
 	}{
 		{TimedOut, 0, 1, 0, 1, 1},
-		{Full, 0, 1, 0, 0, 0},
+		{Rejected, 0, 1, 0, 0, 0},
 	} {
 		a, b := pair(t)
 		id, _ := a.ask(c.class, c.plan, 9, 1)
@@ -996,10 +996,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Gateway: g, fake: g.do.(*fake), t: t, at: start}
+		r := &rig{Balancer: g, fake: g.do.(*fake), t: t, at: start}
 		list := members(4)
-		list[3].Started = start
-		g.Members(start, Whole, list)
+		list[3].StartedAt = start
+		g.UpdateEndpoints(start, Complete, list)
 		for i := range 12 { // one request in half a second, to one cold backend of four
 			r.at += second / 2
 			r.Timer(r.at, 0)
@@ -1047,7 +1047,7 @@
 	for _, first := range []int{-9, -1, 8, 1 << 40} {
 		for _, spread := range []int{-1, 0, 3, 9, 12, 100} {
 			r := newRig(t, set)
-			r.Request(r.at, Request{ID: 1, Customer: 9, Units: 1, Grace: second, First: first, Spread: spread})
+			r.Request(r.at, Request{ID: 1, Customer: 9, Units: 1, Timeout: second, First: first, Spread: spread})
 			r.Timer(r.at+second, askToken)
 			r.Timer(r.at+second, noteToken)
 			if r.fake.count("send 1 ") != 1 {
@@ -1065,7 +1065,7 @@
 		r.Timer(r.at, 0)
 		r.at += second / 50
 	}
-	r.Peer(r.at, 1, noteHead(1, 6, 40))
+	r.ReceivePeerMessage(r.at, 1, noteHead(1, 6, 40))
 	held, inTime, n := r.view()
 	near(t, "held", held, 6)
 	near(t, "in time", inTime, 40)
@@ -1088,19 +1088,19 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Members(start, Cached, members(c.backends))
+			g.UpdateEndpoints(start, CompleteCached, members(c.backends))
 			b.ReportAllocs()
 			now, waits := start, 0
 			for i := 0; b.Loop(); i++ {
 				now += 5000
 				id := uint64(i)
-				g.Request(now, Request{ID: id, Plan: 1, Customer: id % 200, Units: 1, Grace: second, Spread: c.spread})
+				g.Request(now, Request{ID: id, Plan: 1, Customer: id % 200, Units: 1, Timeout: second, Spread: c.spread})
 				switch r := g.requests[id]; {
 				case r == nil:
 				case len(r.attempts) == 0:
 					waits++
 				default:
-					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].b.Backend, Took: 1000, Over: true})
+					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].b.Backend, Duration: 1000, RequestDone: true})
 				}
 			}
 			b.ReportMetric(float64(waits)/float64(b.N), "waiting/op") // such a request was not dealt to a server at once
@@ -1116,7 +1116,7 @@
 	list := members(32)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Members(start, Whole, list)
+		g.UpdateEndpoints(start, Complete, list)
 	}
 }
 
@@ -1124,9 +1124,9 @@
 type quiet struct{ Actions }
 
 func (quiet) Send(uint64, uint32, Time) {}
-func (quiet) Refuse(uint64, Time)       {}
+func (quiet) Reject(uint64, Time)       {}
 func (quiet) SetTimer(Time, uint32)     {}
-func (quiet) Tell(int, []byte)          {}
+func (quiet) SendToPeer(int, []byte)    {}
 func (quiet) Log(string)                {}
 
 // A back end that answers within a moment may pause for one: a request is not
@@ -1135,7 +1135,7 @@
 	r := newRig(t, settings())
 	r.base[0].add(100, learn)
 	r.ask(0, 1, 9, 1)
-	if got, want := r.waits[0]-r.at, Time(leastWait*float64(r.set.Classes[0].Aim)); got != want {
+	if got, want := r.waits[0]-r.at, Time(leastWait*float64(r.set.Classes[0].LatencyObjective)); got != want {
 		t.Errorf("given up after %d, want %d", got, want)
 	}
 }
@@ -1151,8 +1151,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Gateway: g, fake: g.do.(*fake), t: t, at: start}
-		g.Members(start, Whole, members(24))
+		r := &rig{Balancer: g, fake: g.do.(*fake), t: t, at: start}
+		g.UpdateEndpoints(start, Complete, members(24))
 		for i := range 60 {
 			r.at += second
 			r.Timer(r.at, 0)
--- a/internal/dataplane/policy/example_test.go
+++ b/internal/dataplane/policy/example_test.go
@@ -15,19 +15,19 @@
 func (h *host) Send(id uint64, backend uint32, until policy.Time) {
 	fmt.Printf("request %d goes to backend %d\n", id, backend)
 }
-func (h *host) Refuse(id uint64, after policy.Time) {
+func (h *host) Reject(id uint64, after policy.Time) {
 	fmt.Printf("request %d refused, back after %d ms\n", id, after/1000)
 }
-func (h *host) Fail(id uint64)                                   { fmt.Printf("request %d failed\n", id) }
-func (h *host) SetTimer(at policy.Time, token uint32)            { h.timers = append(h.timers, at) }
-func (h *host) Probe(backend uint32)                             {}
-func (h *host) Tell(peer int, note []byte)                       {}
-func (h *host) Count(name uint64, add float64, life policy.Time) {}
-func (h *host) Follow()                                          {}
-func (h *host) Log(line string)                                  { fmt.Println(line) }
+func (h *host) Fail(id uint64)                                          { fmt.Printf("request %d failed\n", id) }
+func (h *host) SetTimer(at policy.Time, token uint32)                   { h.timers = append(h.timers, at) }
+func (h *host) Probe(backend uint32)                                    {}
+func (h *host) SendToPeer(peer int, note []byte)                        {}
+func (h *host) AddToCounter(name uint64, add float64, life policy.Time) {}
+func (h *host) WatchEndpoints()                                         {}
+func (h *host) Log(line string)                                         { fmt.Println(line) }
 
 // run moves the clock to a time, with the timers that fall due on the way.
-func (h *host) run(g *policy.Gateway, to policy.Time) {
+func (h *host) run(g *policy.Balancer, to policy.Time) {
 	for len(h.timers) > 0 && h.timers[0] <= to {
 		h.now, h.timers = h.timers[0], h.timers[1:]
 		g.Timer(h.now, 0)
@@ -41,20 +41,20 @@
 	h := &host{now: 1000}
 	g, err := policy.New(policy.Settings{
 		Gateways: 1, MaxAttempts: 2, Tick: 1000, RetryAfter: true, MaxRetryAfter: 2_000_000,
-		Classes: []policy.Class{{Aim: 500_000, Effect: policy.Safe, Worth: 1}},
+		Classes: []policy.Class{{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1}},
 		Plans:   []policy.Plan{{Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}},
 	}, 42, h)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	g.Members(h.now, policy.Whole, []policy.Member{{Backend: 7}})
+	g.UpdateEndpoints(h.now, policy.Complete, []policy.Endpoint{{Backend: 7}})
 	for id := uint64(1); id <= 3; id++ {
-		g.Request(h.now, policy.Request{ID: id, Customer: 99, Units: 1, Grace: 2_000_000, Spread: 1})
+		g.Request(h.now, policy.Request{ID: id, Customer: 99, Units: 1, Timeout: 2_000_000, Spread: 1})
 	}
 	h.run(g, 101_000)
-	g.Outcome(h.now, policy.Outcome{ID: 1, Backend: 7, Result: policy.OK, Took: 100_000, Over: true})
-	g.Outcome(h.now, policy.Outcome{ID: 2, Backend: 7, Result: policy.Full, Took: 100_000})
+	g.Outcome(h.now, policy.Outcome{ID: 1, Backend: 7, Result: policy.OK, Duration: 100_000, RequestDone: true})
+	g.Outcome(h.now, policy.Outcome{ID: 2, Backend: 7, Result: policy.Rejected, Duration: 100_000})
 	// Output:
 	// request 1 goes to backend 7
 	// request 2 goes to backend 7
--- a/internal/dataplane/policy/fleetramp_test.go
+++ b/internal/dataplane/policy/fleetramp_test.go
@@ -77,7 +77,7 @@
 // rampMember is one gateway's host.
 type rampMember struct {
 	fleet    *rampFleet
-	gateway  *policy.Gateway
+	gateway  *policy.Balancer
 	attempts map[uint64]int
 }
 
@@ -89,8 +89,8 @@
 		var err error
 		m.gateway, err = policy.New(policy.Settings{
 			Self: i, Gateways: gateways, MaxAttempts: 3, Tick: 1000, RetryAfter: true, MaxRetryAfter: 2_000_000,
-			ColdFrom: fleetColdFrom, ColdTime: fleetColdTime, TipAfter: fleetTipAfter,
-			Classes: []policy.Class{{Aim: 500_000, Effect: policy.Safe, Worth: 1}},
+			SlowStartMinFraction: fleetColdFrom, SlowStartDuration: fleetColdTime, SlowStartOverloadWindow: fleetTipAfter,
+			Classes: []policy.Class{{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1}},
 			Plans:   []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1}},
 		}, seed<<8|uint64(i), m)
 		if err != nil {
@@ -98,7 +98,7 @@
 		}
 		f.members = append(f.members, m)
 	}
-	f.tell(policy.Whole)
+	f.tell(policy.Complete)
 	f.ask()
 	return f
 }
@@ -119,13 +119,13 @@
 }
 
 // tell has all gateways hear of all servers as they are.
-func (f *rampFleet) tell(news policy.News) {
-	var list []policy.Member
+func (f *rampFleet) tell(news policy.ListKind) {
+	var list []policy.Endpoint
 	for n := range f.servers {
-		list = append(list, policy.Member{Backend: uint32(n + 1), Started: f.servers[n].started})
+		list = append(list, policy.Endpoint{Backend: uint32(n + 1), StartedAt: f.servers[n].started})
 	}
 	for _, m := range f.members {
-		m.gateway.Members(f.now, news, list)
+		m.gateway.UpdateEndpoints(f.now, news, list)
 	}
 }
 
@@ -134,7 +134,7 @@
 	f.after(policy.Time(f.rand.ExpFloat64()/(fleetServers*serverRate*f.load)*1e6), func() {
 		m := f.members[f.rand.IntN(len(f.members))]
 		f.nextID++
-		m.gateway.Request(f.now, policy.Request{ID: f.nextID, Customer: f.nextID % 97, Units: 1, Grace: 2_000_000, Spread: 1, First: m.number()})
+		m.gateway.Request(f.now, policy.Request{ID: f.nextID, Customer: f.nextID % 97, Units: 1, Timeout: 2_000_000, Spread: 1, First: m.number()})
 		f.ask()
 	})
 }
@@ -167,44 +167,44 @@
 // Send has an attempt end as its server does.
 func (m *rampMember) Send(id uint64, backend uint32, _ policy.Time) {
 	f, server := m.fleet, &m.fleet.servers[backend-1]
-	o := policy.Outcome{ID: id, Attempt: m.attempts[id], Backend: backend, Result: policy.OK, Over: true}
+	o := policy.Outcome{ID: id, Attempt: m.attempts[id], Backend: backend, Result: policy.OK, RequestDone: true}
 	m.attempts[id]++
 	switch life := server.started; {
 	case server.refuses:
-		o.Result, o.Took, o.Over = policy.ConnectFailed, refusedAfter, false
+		o.Result, o.Duration, o.RequestDone = policy.ConnectFailed, refusedAfter, false
 	case server.held >= queueMost:
 		server.sends = append(server.sends, f.now)
-		o.Result, o.Took, o.Over = policy.Full, refusedAfter, false
+		o.Result, o.Duration, o.RequestDone = policy.Rejected, refusedAfter, false
 	default:
 		server.sends = append(server.sends, f.now)
 		server.free = max(server.free, f.now) + policy.Time(1e6/serverRate/server.share(f.now))
 		server.held++
-		o.Took = server.free - f.now + answerAfter
+		o.Duration = server.free - f.now + answerAfter
 		f.after(server.free-f.now, func() {
 			if server.started == life {
 				server.held--
 			}
 		})
 	}
-	f.after(o.Took, func() {
-		if o.Over {
+	f.after(o.Duration, func() {
+		if o.RequestDone {
 			delete(m.attempts, id)
 		}
 		m.gateway.Outcome(f.now, o)
 	})
 }
 
-func (m *rampMember) Refuse(id uint64, _ policy.Time) { delete(m.attempts, id) }
+func (m *rampMember) Reject(id uint64, _ policy.Time) { delete(m.attempts, id) }
 func (m *rampMember) Fail(id uint64)                  { delete(m.attempts, id) }
 func (m *rampMember) SetTimer(at policy.Time, token uint32) {
 	f := m.fleet
 	f.after(max(0, at-f.now), func() { m.gateway.Timer(f.now, token) })
 }
-func (m *rampMember) Probe(uint32)                       {}
-func (m *rampMember) Tell(int, []byte)                   {}
-func (m *rampMember) Count(uint64, float64, policy.Time) {}
-func (m *rampMember) Follow()                            {}
-func (m *rampMember) Log(string)                         {}
+func (m *rampMember) Probe(uint32)                              {}
+func (m *rampMember) SendToPeer(int, []byte)                    {}
+func (m *rampMember) AddToCounter(uint64, float64, policy.Time) {}
+func (m *rampMember) WatchEndpoints()                           {}
+func (m *rampMember) Log(string)                                {}
 
 // worst compares what the first servers were sent in each span with what they bear then, and gives the worst span's figures.
 func (f *rampFleet) worst(servers int) (sent int, bears float64) {
@@ -232,16 +232,16 @@
 	for name, begin := range map[string]func(f *rampFleet, servers int){
 		"told of their start": func(f *rampFleet, servers int) {
 			f.restart(servers)
-			f.tell(policy.Changed)
+			f.tell(policy.Delta)
 		},
 		"back from a crash, told at once": func(f *rampFleet, servers int) {
 			f.crash(servers, 4_000_000)
-			f.tell(policy.Changed)
+			f.tell(policy.Delta)
 		},
 		"back from a crash, told 1.8 s after": func(f *rampFleet, servers int) {
 			f.crash(servers, 4_000_000)
 			f.run(f.now + 1_800_000)
-			f.tell(policy.Changed)
+			f.tell(policy.Delta)
 			for n := range servers { // a fall counts by what came from who had been told
 				f.servers[n].sends = nil
 			}
--- a/internal/dataplane/policy/quota_test.go
+++ b/internal/dataplane/policy/quota_test.go
@@ -24,8 +24,8 @@
 		t.Fatal("nothing is told of a store that is nearly empty")
 	}
 	carry(a, b)
-	whole, _, known := b.Holds(9)
-	own, _, _ := a.Holds(9)
+	whole, _, known := b.RemainingQuota(9)
+	own, _, _ := a.RemainingQuota(9)
 	if !known || math.Abs(whole-own) > 0.5 {
 		t.Errorf("the other holds %g (known %t), the one that took holds %g", whole, known, own)
 	}
@@ -44,7 +44,7 @@
 			r.Timer(r.at, 0)
 		}
 	}
-	most := int(urgentMail*set.MailPerSecond*seconds+urgentMost) + 10*seconds
+	most := int(urgentMail*set.MaxPeerMessagesPerSecond*seconds+urgentMost) + 10*seconds
 	if n := r.fake.count("tell"); n == 0 || n > most {
 		t.Errorf("%d notes in %d s, at most %d wanted", n, seconds, most)
 	}
@@ -54,14 +54,14 @@
 // store: that stays what it is for the others.
 func TestAStartHalvesNobodysBurst(t *testing.T) {
 	a := newRig(t, settings())
-	a.Gateway.born, a.Gateway.lived = a.at, a.at // it starts now
+	a.Balancer.born, a.Balancer.lived = a.at, a.at // it starts now
 	if id, sent := a.ask(0, 0, 9, 4); !sent {
 		t.Fatalf("request %d within an even slice was not sent", id)
 	}
 	if a.serve(0, 0, 9, 1) {
 		t.Error("more than an even slice was sent before peers were heard")
 	}
-	whole, _, _ := a.Holds(9)
+	whole, _, _ := a.RemainingQuota(9)
 	near(t, "the whole store", whole, 4)
 	a.at += second
 	if !a.serve(0, 0, 9, 4) {
@@ -118,7 +118,7 @@
 	member.Timer(member.at, noteToken)
 	home.customer(customer, 2, 0, spread)
 	ask := func(id uint64) {
-		member.Request(member.at, Request{ID: id, Class: 2, Plan: 2, Customer: customer, Units: 4, Grace: 2 * second, Spread: spread})
+		member.Request(member.at, Request{ID: id, Class: 2, Plan: 2, Customer: customer, Units: 4, Timeout: 2 * second, Spread: spread})
 	}
 	member.customer(customer, 2, 0, spread).ceiling.level = 1 // its own part is spent
 	before := home.customers[customer].ceiling.level
@@ -174,8 +174,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rigs[i] = &rig{Gateway: g, fake: f, t: t, at: at}
-		g.Members(at, Cached, members(4))
+		rigs[i] = &rig{Balancer: g, fake: f, t: t, at: at}
+		g.UpdateEndpoints(at, CompleteCached, members(4))
 	}
 	for i := range rigs {
 		begin(i, start)
@@ -199,7 +199,7 @@
 			if m.at > now {
 				kept = append(kept, m)
 			} else {
-				rigs[m.to].Peer(now, m.from, m.note)
+				rigs[m.to].ReceivePeerMessage(now, m.from, m.note)
 			}
 		}
 		post = kept
@@ -211,7 +211,7 @@
 			if asks && i < spread && r.Float64() < 0.03 {
 				id++
 				g.at = now
-				g.Request(now, Request{ID: id, Class: 0, Plan: plan, Customer: customer, Units: float64(1 + r.IntN(4)), Grace: second, Spread: spread})
+				g.Request(now, Request{ID: id, Class: 0, Plan: plan, Customer: customer, Units: float64(1 + r.IntN(4)), Timeout: second, Spread: spread})
 			}
 			done := g.done
 			g.done = nil
@@ -231,7 +231,7 @@
 					if truth.level < -p.CeilingSlack-1e-6 {
 						t.Fatalf("seed %d, spread %d: the ceiling's store is at %g after %v s", seed, spread, truth.level, float64(now-start)/float64(second))
 					}
-					g.Outcome(now, Outcome{ID: request, Backend: uint32(backend), Took: second / 20, Over: true})
+					g.Outcome(now, Outcome{ID: request, Backend: uint32(backend), Duration: second / 20, RequestDone: true})
 				}
 			}
 		}
@@ -249,7 +249,7 @@
 		tick(false)
 	}
 	for i, g := range rigs[:spread] {
-		if whole, _, known := g.Holds(customer); known && whole < p.Burst-1e-6 && !g.member(g.customers[customer]) {
+		if whole, _, known := g.RemainingQuota(customer); known && whole < p.Burst-1e-6 && !g.member(g.customers[customer]) {
 			t.Errorf("seed %d, spread %d: gateway %d holds %g of %g though all has been quiet", seed, spread, i, whole, p.Burst)
 		}
 	}
@@ -263,31 +263,31 @@
 	tellAll(a, b)
 	b.serve(0, 0, 9, 1)
 	tellAll(b, a)
-	s := a.Save(a.at, false)
+	s := a.TakeSnapshot(a.at, false)
 	set := settings()
 	f := &fake{}
 	g, err := New(set, 99, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Gateway: g, fake: f, t: t, at: a.at + second/10}
+	r := &rig{Balancer: g, fake: f, t: t, at: a.at + second/10}
 	if err := g.Restore(r.at, 10*second, &s); err != nil {
 		t.Fatal(err)
 	}
-	g.Members(r.at, Cached, members(4))
-	whole, _, _ := b.Holds(9)
-	if low, _, _ := g.Holds(9); low > whole-1 {
+	g.UpdateEndpoints(r.at, CompleteCached, members(4))
+	whole, _, _ := b.RemainingQuota(9)
+	if low, _, _ := g.RemainingQuota(9); low > whole-1 {
 		t.Fatalf("the restored gateway holds %g, the one that lived %g: no lease is taken off", low, whole)
 	}
 	tellAll(r, b)
 	b.refill(b.customers[9])
-	if after, _, _ := b.Holds(9); after < whole-1e-6 {
+	if after, _, _ := b.RemainingQuota(9); after < whole-1e-6 {
 		t.Errorf("the one that lived holds %g, %g before the other started anew", after, whole)
 	}
 	b.serve(0, 0, 9, 1)
 	tellAll(b, r)
-	now, _, _ := b.Holds(9)
-	if got, _, _ := g.Holds(9); math.Abs(got-now) > 0.3 {
+	now, _, _ := b.RemainingQuota(9)
+	if got, _, _ := g.RemainingQuota(9); math.Abs(got-now) > 0.3 {
 		t.Errorf("the restored gateway holds %g once it has heard, the other %g", got, now)
 	}
 }
@@ -309,7 +309,7 @@
 			r.at += second / 2
 			r.next++
 			before := r.fake.count("send")
-			r.Request(r.at, Request{ID: r.next, Customer: 9, Units: units, Grace: 2 * second, Spread: 4})
+			r.Request(r.at, Request{ID: r.next, Customer: 9, Units: units, Timeout: 2 * second, Spread: 4})
 			if r.fake.count("send") > before {
 				passed += units
 				r.end(r.next, OK, true)
--- a/internal/dataplane/policy/replan.go
+++ b/internal/dataplane/policy/replan.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// Replan has other terms hold for the plans from now on, and customers have the plans that of names; below 0: as they are. The plans are
+// UpdatePlans has other terms hold for the plans from now on, and customers have the plans that of names; below 0: as they are. The plans are
 // as many as before, in their order. What a customer has spent stays spent: of its stores, those that lie here lack as many units as
 // before. Quotas that are rights are divided anew by whoever divides them, once their wholes are told.
-func (g *Gateway) Replan(now Time, plans []Plan, of func(customer uint64) int) error {
+func (g *Balancer) UpdatePlans(now Time, plans []Plan, of func(customer uint64) int) error {
 	if len(plans) != len(g.set.Plans) {
 		return fmt.Errorf("decide: %d plans in place of %d", len(plans), len(g.set.Plans))
 	}
@@ -55,7 +55,7 @@
 			c.window = max(Time(useWindow*p.Burst/p.Rate*float64(second)), g.mailTime(c.spread))
 		}
 		if g.limited(c) {
-			g.rights.Ask(g.now, g.budget(c), 0) // the whole is told without waiting for a request
+			g.rights.RecordDemand(g.now, g.budget(c), 0) // the whole is told without waiting for a request
 		}
 	}
 	return nil
--- a/internal/dataplane/policy/replan_test.go
+++ b/internal/dataplane/policy/replan_test.go
@@ -31,7 +31,7 @@
 	for _, burst := range []float64{2, 8, 20, 1, 8} {
 		plans = slices.Clone(plans)
 		plans[0].Burst = burst
-		if err := r.Replan(r.at, plans, asTheyAre); err != nil {
+		if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,7 +40,7 @@
 	}
 	plans = slices.Clone(plans)
 	plans[0].Burst = 12 // four more than it had
-	if err := r.Replan(r.at, plans, asTheyAre); err != nil {
+	if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
 		t.Fatal(err)
 	}
 	for served = 0; r.serve(0, 0, 7, 1); served++ {
@@ -54,7 +54,7 @@
 func TestReplanGivesACustomerAnotherPlan(t *testing.T) {
 	r := alone(t)
 	r.serve(0, 0, 7, 1)
-	if err := r.Replan(r.at, r.set.Plans, func(uint64) int { return 1 }); err != nil {
+	if err := r.UpdatePlans(r.at, r.set.Plans, func(uint64) int { return 1 }); err != nil {
 		t.Fatal(err)
 	}
 	served := 1
@@ -68,12 +68,12 @@
 
 func TestReplanRefusesWhatCannotBeServed(t *testing.T) {
 	r := alone(t)
-	if err := r.Replan(r.at, r.set.Plans[:1], asTheyAre); err == nil {
+	if err := r.UpdatePlans(r.at, r.set.Plans[:1], asTheyAre); err == nil {
 		t.Error("fewer plans")
 	}
 	bad := slices.Clone(r.set.Plans)
 	bad[0].Burst = 0
-	if err := r.Replan(r.at, bad, asTheyAre); err == nil || r.set.Plans[0].Burst == 0 {
+	if err := r.UpdatePlans(r.at, bad, asTheyAre); err == nil || r.set.Plans[0].Burst == 0 {
 		t.Errorf("a rate without a burst: %v", err)
 	}
 }
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		at := start
-		g.Members(at, Cached, members(4))
+		g.UpdateEndpoints(at, CompleteCached, members(4))
 		at += second
 		level, ceiling := set.Plans[0].Burst, 0.0
 		first := true
@@ -102,7 +102,7 @@
 				was := slices.Clone(next)
 				next[0].Rate, next[0].Burst = 4*k, 8*k
 				next[1].CeilingRate, next[1].CeilingBurst = 8*k, 16*k
-				if err := g.Replan(at, next, asTheyAre); err != nil {
+				if err := g.UpdatePlans(at, next, asTheyAre); err != nil {
 					t.Fatal(err)
 				}
 				level = math.Min(next[0].Burst, level+next[0].Burst-was[0].Burst)
@@ -115,7 +115,7 @@
 			plan := rapid.IntRange(0, 1).Draw(t, "plan")
 			units := float64(rapid.IntRange(1, 4).Draw(t, "units"))
 			before := f.count("send")
-			g.Request(at, Request{ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units, Grace: second, Spread: 1})
+			g.Request(at, Request{ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units, Timeout: second, Spread: 1})
 			if plan == 1 && first { // its ceiling counts from the gateway's start
 				ceiling, first = math.Min(g.set.Plans[1].CeilingBurst, math.Max(ceiling, g.set.Plans[1].CeilingBurst)), false
 			}
@@ -140,10 +140,10 @@
 	r.serve(0, 0, 7, 1)
 	plans := slices.Clone(r.set.Plans)
 	plans[0].Burst, plans[2].CeilingBurst = 100, 200
-	if err := r.Replan(r.at, plans, asTheyAre); err != nil {
+	if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
 		t.Fatal(err)
 	}
-	s := r.Save(r.at, true)
+	s := r.TakeSnapshot(r.at, true)
 	next := alone(t)
 	if err := next.Restore(next.at, second, &s); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/policy/settings.go
+++ b/internal/dataplane/policy/settings.go
@@ -15,8 +15,8 @@
 		return fmt.Errorf("settings: plans: %d, at least 1 and with the classes at most 255 wanted", len(set.Plans))
 	}
 	for i, c := range set.Classes {
-		if c.Aim <= 0 {
-			return fmt.Errorf("settings: classes[%d].aim: %d, above 0 wanted", i, c.Aim)
+		if c.LatencyObjective <= 0 {
+			return fmt.Errorf("settings: classes[%d].aim: %d, above 0 wanted", i, c.LatencyObjective)
 		}
 	}
 	for i, p := range set.Plans {
--- a/internal/dataplane/policy/snapshot.go
+++ b/internal/dataplane/policy/snapshot.go
@@ -26,16 +26,16 @@
 	Born     Time   // since when that module, or one that it was restored from, has counted
 	Last     bool   // nothing was taken after it
 
-	Mean, Worth, Late Learnt
-	Base              []Learnt
-	Grace             [][]Learnt
+	Mean, Worth, Late Estimate
+	Base              []Estimate
+	Grace             [][]Estimate
 	InTime, Pace      float64 // answers in time over the last second; sends to each warm backend
 	Customers         []CustomerState
 	Backends          []BackendState
 }
 
-// Learnt is a mean with the number of its samples.
-type Learnt struct{ Value, Samples float64 }
+// Estimate is a mean with the number of its samples.
+type Estimate struct{ Value, Samples float64 }
 
 // CustomerState is what is kept of one customer.
 type CustomerState struct {
@@ -62,30 +62,30 @@
 const leaseShare = 0.25
 
 // lease is what a customer may take until the next state.
-func (g *Gateway) lease(c *customer) float64 {
+func (g *Balancer) lease(c *customer) float64 {
 	return math.Max(leaseShare*g.set.Plans[c.plan].Burst, 2*c.use.get(g.now, c.window)*float64(second)/float64(c.window))
 }
 
 // spend takes note of units that have gone from a customer's banks, which a state
 // must not give back. It is urgent before the lease is spent: one more of the
 // kind has room in it, should the process end before the next state is kept.
-func (g *Gateway) spend(c *customer, units float64) {
+func (g *Balancer) spend(c *customer, units float64) {
 	c.spent += units
 	if g.keeps && c.spent+units > c.leased {
 		g.urgent = true
 	}
 }
 
-// Urgent tells whether nearly all was taken that the last Snapshot known to be kept
+// SnapshotDue tells whether nearly all was taken that the last Snapshot known to be kept
 // allows for. A host that keeps states asks after each event, and where it is so
 // has a new one kept before it carries out anything further: only then no crash can
 // grant quota.
-func (g *Gateway) Urgent() bool { return g.urgent }
+func (g *Balancer) SnapshotDue() bool { return g.urgent }
 
-// Kept takes in that the Snapshot given out at a time is kept: it is what would be
+// SnapshotStored takes in that the Snapshot given out at a time is kept: it is what would be
 // restored now. Until then the one before counts. One that is not the last that was
 // given out is passed over.
-func (g *Gateway) Kept(at Time) {
+func (g *Balancer) SnapshotStored(at Time) {
 	if at != g.saved {
 		return
 	}
@@ -95,9 +95,9 @@
 	}
 }
 
-// Save gives out the state. The last one of an orderly end reserves no lease:
+// TakeSnapshot gives out the state. The last one of an orderly end reserves no lease:
 // the caller promises that no request is put to the module after it.
-func (g *Gateway) Save(now Time, last bool) Snapshot {
+func (g *Balancer) TakeSnapshot(now Time, last bool) Snapshot {
 	g.begin(now)
 	s := Snapshot{Version: SnapshotVersion, At: g.now, Settings: g.print, Born: g.lived, Last: last,
 		Mean: g.mean.learnt(), Worth: g.worth.learnt(), Late: g.late.learnt(),
@@ -106,7 +106,7 @@
 		s.Base = append(s.Base, g.base[i].learnt())
 	}
 	for _, of := range g.grace {
-		row := make([]Learnt, len(of))
+		row := make([]Estimate, len(of))
 		for i := range of {
 			row[i] = of[i].learnt()
 		}
@@ -130,7 +130,7 @@
 			Part: c.part, Grant: c.grant, Slice: math.Max(0, c.slice-off)})
 	}
 	for _, b := range g.backends {
-		s.Backends = append(s.Backends, BackendState{Backend: b.Backend, Started: b.Started, Slow: b.slow, SlowAt: b.slowAt,
+		s.Backends = append(s.Backends, BackendState{Backend: b.Backend, Started: b.StartedAt, Slow: b.slow, SlowAt: b.slowAt,
 			Errs: b.errs, Down: b.down, Silent: b.silent, Left: b.left, Wait: b.wait, TryNow: b.trialAt})
 	}
 	g.saved = g.now
@@ -140,7 +140,7 @@
 // Restore takes in the state of a former life, at most so old. It must come
 // before the first request and note; members may have been told. An error tells why the state can't be used; the gateway
 // then knows nothing, as if there had been none.
-func (g *Gateway) Restore(now, oldest Time, s *Snapshot) error {
+func (g *Balancer) Restore(now, oldest Time, s *Snapshot) error {
 	switch age := now - s.At; {
 	case len(g.customers) > 0 || len(g.requests) > 0:
 		return errors.New("state: the gateway has begun")
@@ -186,7 +186,7 @@
 
 // restore makes a customer's record as it was. What others took meanwhile was
 // not heard, so a store that is shared did not fill; what is this gateway's alone did.
-func (g *Gateway) restore(k *CustomerState, age Time) {
+func (g *Balancer) restore(k *CustomerState, age Time) {
 	c := g.customer(k.ID, k.Plan, k.First, k.Spread)
 	p := &g.set.Plans[c.plan]
 	lease := 0.0
@@ -219,7 +219,7 @@
 
 // unsure is what a former life may have taken, after its last state, of a
 // customer that the state does not name: the later it comes, the less matters.
-func (g *Gateway) unsure(c *customer, rate float64) float64 {
+func (g *Balancer) unsure(c *customer, rate float64) float64 {
 	if !g.doubt {
 		return 0
 	}
@@ -231,22 +231,22 @@
 }
 
 // recall gives a backend what was known of it, if it is still the same process.
-func (g *Gateway) recall(b *backend) {
+func (g *Balancer) recall(b *backend) {
 	k, ok := g.kept[b.Backend]
 	delete(g.kept, b.Backend)
-	if !ok || b.Started > k.Started {
+	if !ok || b.StartedAt > k.Started {
 		return
 	}
-	b.Started = k.Started
+	b.StartedAt = k.Started
 	b.slow, b.slowAt, b.errs = k.Slow, k.SlowAt, k.Errs
 	b.down, b.silent, b.left, b.wait, b.trialAt = k.Down, k.Silent, k.Left, k.Wait, k.TryNow
 }
 
 func fade(age, window Time) float64 { return math.Exp(-float64(age) / float64(window)) }
 
-func (m *mean) learnt() Learnt { return Learnt{m.v, m.n} }
+func (m *mean) learnt() Estimate { return Estimate{m.v, m.n} }
 
-func (l Learnt) mean() mean { return mean{l.Value, l.Samples} }
+func (l Estimate) mean() mean { return mean{l.Value, l.Samples} }
 
 // print is the settings in short: a state is of use only where they are the same.
 func (set *Settings) print() uint64 {
@@ -261,7 +261,7 @@
 	if len(s.Base) != len(set.Classes) || len(s.Grace) != len(set.Plans) {
 		return fmt.Errorf("state: %d classes and %d plans", len(s.Base), len(s.Grace))
 	}
-	for _, row := range append([][]Learnt{s.Base}, s.Grace...) {
+	for _, row := range append([][]Estimate{s.Base}, s.Grace...) {
 		if len(row) != len(set.Classes) {
 			return fmt.Errorf("state: a row of %d classes", len(row))
 		}
--- a/internal/dataplane/policy/snapshot_test.go
+++ b/internal/dataplane/policy/snapshot_test.go
@@ -29,7 +29,7 @@
 	if err := g.Restore(at, oldest, &back); err != nil {
 		t.Fatal(err)
 	}
-	return &rig{Gateway: g, fake: f, t: t, at: at}
+	return &rig{Balancer: g, fake: f, t: t, at: at}
 }
 
 // Whatever happened before and whenever the process ended: what a restored module
@@ -40,15 +40,15 @@
 	for seed := range uint64(1000) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		set := settings()
-		set.Peers, set.MailPerSecond = seed%2 == 0, 60
+		set.Peers, set.MaxPeerMessagesPerSecond = seed%2 == 0, 60
 		if seed%3 == 0 {
 			set.Gateways = 1
 		}
 		a := newRig(t, set)
 		other := newRig(t, set)
 		other.set.Self = set.Gateways - 1
-		kept := a.Save(a.at, false)
-		a.Kept(kept.At)
+		kept := a.TakeSnapshot(a.at, false)
+		a.SnapshotStored(kept.At)
 		var writing []Snapshot
 		spread := min(2, set.Gateways)
 		for range 20 + r.IntN(400) {
@@ -62,25 +62,25 @@
 				other.serve(0, int(customer%3), customer, 1)
 				tellAll(other, a)
 			case x == 2 && len(writing) < 3:
-				writing = append(writing, a.Save(a.at, false))
+				writing = append(writing, a.TakeSnapshot(a.at, false))
 			case x == 3 && len(writing) > 0:
 				if writing[0].At >= kept.At {
 					kept = writing[0]
 				}
-				a.Kept(writing[0].At)
+				a.SnapshotStored(writing[0].At)
 				writing = writing[1:]
 			default:
 				customer := 1 + uint64(r.IntN(4))
 				a.next++
 				a.Request(a.at, Request{ID: a.next, Class: r.IntN(3), Plan: int(customer % 3), Customer: customer,
-					Units: 1 + float64(r.IntN(2)), Grace: 2 * second, Spread: spread})
+					Units: 1 + float64(r.IntN(2)), Timeout: 2 * second, Spread: spread})
 				if q := a.requests[a.next]; q != nil {
 					a.end(a.next, OK, true)
 				}
 			}
-			if a.Urgent() {
-				kept = a.Save(a.at, false)
-				a.Kept(kept.At)
+			if a.SnapshotDue() {
+				kept = a.TakeSnapshot(a.at, false)
+				a.SnapshotStored(kept.At)
 			}
 			if r.IntN(50) == 0 {
 				break
@@ -108,7 +108,7 @@
 	a.next = 1000
 	for range 3 {
 		a.next++
-		a.Request(a.at, Request{ID: a.next, Plan: 2, Customer: 9, Units: 2, Grace: 2 * second, Spread: 1})
+		a.Request(a.at, Request{ID: a.next, Plan: 2, Customer: 9, Units: 2, Timeout: 2 * second, Spread: 1})
 		a.end(a.next, OK, true)
 	}
 	slow := a.byID[2]
@@ -116,9 +116,9 @@
 	broken := a.byID[3]
 	broken.down = true
 	a.leaveOut(broken, "test")
-	s := a.Save(a.at, true)
+	s := a.TakeSnapshot(a.at, true)
 	b := restored(t, set, a.at+second/10, s)
-	b.Members(b.at, Whole, members(4))
+	b.UpdateEndpoints(b.at, Complete, members(4))
 	a.begin(b.at)
 	x, y := a.customer(9, 2, 0, 1), b.customer(9, 2, 0, 1)
 	near(t, "bank", y.store.level, x.store.level)
@@ -139,11 +139,11 @@
 	set := settings()
 	a := newRig(t, set)
 	a.byID[1].slowBy(a.at, 20)
-	a.byID[2].Started, a.byID[2].cold = a.at, bank{at: a.at} // found to have restarted by itself
-	b := restored(t, set, a.at+second/10, a.Save(a.at, true))
+	a.byID[2].StartedAt, a.byID[2].cold = a.at, bank{at: a.at} // found to have restarted by itself
+	b := restored(t, set, a.at+second/10, a.TakeSnapshot(a.at, true))
 	list := members(4)
-	list[0].Started = b.at - second/20
-	b.Members(b.at, Whole, list)
+	list[0].StartedAt = b.at - second/20
+	b.UpdateEndpoints(b.at, Complete, list)
 	if b.byID[1].slowness(b.at) != 1 || b.share(b.byID[1]) > 0.3 {
 		t.Errorf("backend 1: slowness %g, share %g", b.byID[1].slowness(b.at), b.share(b.byID[1]))
 	}
@@ -169,7 +169,7 @@
 		"figure":                        func(s *Snapshot, _ *Settings) { s.Customers[0].Use = -1 },
 		"waits":                         func(s *Snapshot, _ *Settings) { s.Backends[0].Wait = -1 },
 	} {
-		s, other := a.Save(a.at, true), settings()
+		s, other := a.TakeSnapshot(a.at, true), settings()
 		change(&s, &other)
 		g, err := New(other, 1, &fake{})
 		if err != nil {
@@ -182,7 +182,7 @@
 			t.Errorf("%s: a part was taken in", reason)
 		}
 	}
-	s := a.Save(a.at, true)
+	s := a.TakeSnapshot(a.at, true)
 	if err := a.Restore(a.at, oldest, &s); err == nil {
 		t.Error("taken in after the first event")
 	}
@@ -204,8 +204,8 @@
 				for self := range rigs {
 					set.Self = self
 					at := rigs[self].at
-					rigs[self] = restored(t, set, at, rigs[self].Save(at, false))
-					rigs[self].Members(at, Whole, members(4))
+					rigs[self] = restored(t, set, at, rigs[self].TakeSnapshot(at, false))
+					rigs[self].UpdateEndpoints(at, Complete, members(4))
 				}
 			}
 			for self, r := range rigs {
@@ -237,8 +237,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(start, Stale, members(1))
-		return &rig{Gateway: g, fake: f, t: t, at: start}
+		g.UpdateEndpoints(start, StaleBootstrap, members(1))
+		return &rig{Balancer: g, fake: f, t: t, at: start}
 	}
 	r := newborn(2, 1)
 	first, sent := r.ask(0, 1, 9, 1)
@@ -252,7 +252,7 @@
 		}
 	}
 	r = newborn(2, 1)
-	r.Members(r.at, Changed, members(1))
+	r.UpdateEndpoints(r.at, Delta, members(1))
 	for range 2 {
 		if _, sent := r.ask(0, 1, 9, 1); !sent {
 			t.Error("care goes on after news")
@@ -284,24 +284,24 @@
 	r := newRig(t, set)
 	take := func(units float64) {
 		r.next++
-		r.Request(r.at, Request{ID: r.next, Plan: 1, Customer: 5, Units: units, Grace: 2 * second, Spread: 1})
+		r.Request(r.at, Request{ID: r.next, Plan: 1, Customer: 5, Units: units, Timeout: 2 * second, Spread: 1})
 		r.end(r.next, OK, true)
 	}
 	take(1)
-	first := r.Save(r.at, false)
-	r.Kept(first.At)
+	first := r.TakeSnapshot(r.at, false)
+	r.SnapshotStored(first.At)
 	take(1)
 	r.at += second / 1000
-	older := r.Save(r.at, false)
+	older := r.TakeSnapshot(r.at, false)
 	take(2)
 	r.at += second / 1000
-	newer := r.Save(r.at, false)
+	newer := r.TakeSnapshot(r.at, false)
 	c := r.customers[5]
 	before := c.leased
-	if r.Kept(older.At); c.leased != before {
+	if r.SnapshotStored(older.At); c.leased != before {
 		t.Errorf("allows for %g after an older one, %g before", c.leased, before)
 	}
-	if r.Kept(newer.At); c.leased <= before {
+	if r.SnapshotStored(newer.At); c.leased <= before {
 		t.Errorf("allows for %g after the newest, %g before", c.leased, before)
 	}
 }
--- a/internal/dataplane/policy/state.go
+++ b/internal/dataplane/policy/state.go
@@ -48,13 +48,13 @@
 	asked uint16
 }
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
-type Gateway struct {
+// Balancer decides for one gateway. It is not safe for concurrent use.
+type Balancer struct {
 	set           Settings
 	bought        []Plan // the settings' own, before any Replan
 	print         uint64 // of the settings
 	do            Actions
-	explain       func(id uint64, why Why) // nil: nobody asks why
+	explain       func(id uint64, why RejectReason) // nil: nobody asks why
 	rand          *rand.Rand
 	now           Time
 	awake, still  Time // the time less that during which this gateway stood still, and that
@@ -72,8 +72,8 @@
 	order     []*customer // all of them, oldest first
 	swept     Time
 
-	rights  Rights // nil: quotas go by notes, or the counter
-	pooled  bool   // gateways hear of each other's use
+	rights  Allocations // nil: quotas go by notes, or the counter
+	pooled  bool        // gateways hear of each other's use
 	boot    uint32
 	period  Time // between notes
 	boots   []uint32
@@ -109,7 +109,7 @@
 
 // backend is one server as this gateway sees it.
 type backend struct {
-	Member
+	Endpoint
 	listed  bool
 	out     int     // attempts out
 	overdue int     // those of them past their aim
@@ -176,27 +176,27 @@
 }
 
 // in tells whether a gateway is of the customer's set.
-func (g *Gateway) in(c *customer, gateway int) bool {
+func (g *Balancer) in(c *customer, gateway int) bool {
 	n := g.set.Gateways
 	return (gateway-c.first+n)%n < c.spread
 }
 
 // sameGroup tells whether two backends drop each other's repeats.
 func (c *Class) sameGroup(a, b *backend) bool {
-	switch c.Group {
-	case GroupZone:
+	switch c.DeduplicationScope {
+	case ScopeZone:
 		return a.Zone == b.Zone
-	case GroupCell:
+	case ScopeCell:
 		return a.Cell == b.Cell
 	}
 	return true
 }
 
 // backend finds or makes the record of a member.
-func (g *Gateway) backend(m Member) *backend {
+func (g *Balancer) backend(m Endpoint) *backend {
 	b := g.byID[m.Backend]
 	if b == nil {
-		b = &backend{Member: m, cold: g.coldBank(), words: make([]fading, len(g.set.Classes)+len(g.set.Plans))}
+		b = &backend{Endpoint: m, cold: g.coldBank(), words: make([]fading, len(g.set.Classes)+len(g.set.Plans))}
 		g.recall(b)
 		g.byID[m.Backend] = b
 		g.backends = append(g.backends, b)
@@ -205,7 +205,7 @@
 }
 
 // prune forgets backends that are no longer listed and hold nothing.
-func (g *Gateway) prune() {
+func (g *Balancer) prune() {
 	g.backends = slices.DeleteFunc(g.backends, func(b *backend) bool {
 		gone := !b.listed && b.out == 0
 		if gone {
@@ -216,8 +216,8 @@
 }
 
 // newGateway makes a gateway's empty state.
-func newGateway(set Settings, seed uint64, do Actions) *Gateway {
-	g := &Gateway{
+func newGateway(set Settings, seed uint64, do Actions) *Balancer {
+	g := &Balancer{
 		set: set, bought: set.Plans, print: set.print(), do: do, rand: rand.New(rand.NewPCG(seed, seed>>32)), boot: uint32(seed>>32) ^ uint32(seed),
 		idleSpill: make([]float64, len(set.Plans)), customers: map[uint64]*customer{},
 		boots: make([]uint32, set.Gateways), heardAt: make([]Time, set.Gateways),
@@ -228,9 +228,9 @@
 	for range set.Plans {
 		g.grace = append(g.grace, make([]mean, len(set.Classes)))
 	}
-	g.shortAim = set.Classes[0].Aim
+	g.shortAim = set.Classes[0].LatencyObjective
 	for _, c := range set.Classes {
-		g.shortAim = min(g.shortAim, c.Aim)
+		g.shortAim = min(g.shortAim, c.LatencyObjective)
 	}
 	for _, p := range set.Plans {
 		if p.soft() {
@@ -241,22 +241,22 @@
 }
 
 // rouse sets the next timer.
-func (g *Gateway) rouse() {
+func (g *Balancer) rouse() {
 	g.timerAt = g.now + g.period
 	g.do.SetTimer(g.timerAt, noteToken)
 }
 
 // near tells whether a gateway greets another when it starts.
-func (g *Gateway) near(from, to int) bool {
+func (g *Balancer) near(from, to int) bool {
 	n := g.set.Gateways
 	return g.set.Peers && from != to && (to-from+n)%n <= fewPeers
 }
 
 // member tells whether this gateway knows of a customer's use only by its home.
-func (g *Gateway) member(c *customer) bool { return g.wide(c) && g.home(c) != g.set.Self }
+func (g *Balancer) member(c *customer) bool { return g.wide(c) && g.home(c) != g.set.Self }
 
 // begun is the note to a peer, begun if need be.
-func (g *Gateway) begun(peer int) []byte {
+func (g *Balancer) begun(peer int) []byte {
 	if len(g.notes[peer]) == 0 {
 		return g.noteHead()
 	}
@@ -264,7 +264,7 @@
 }
 
 // noteHead begins a note: which life of this gateway, and its view of the back end.
-func (g *Gateway) noteHead() []byte {
+func (g *Balancer) noteHead() []byte {
 	held, inTime, n := g.view()
 	note := noteHead(g.boot, held/n, inTime/n)
 	kept := g.news[:0]
@@ -279,7 +279,7 @@
 }
 
 // lateAfter has the attempts of a class that are out for longer fill no room.
-func (g *Gateway) lateAfter(class int, age Time) {
+func (g *Balancer) lateAfter(class int, age Time) {
 	due := g.due[class]
 	for ; len(due) > 0 && g.now-due[0].at > age; due = due[1:] {
 		if a := due[0]; a.pending {
@@ -291,7 +291,7 @@
 }
 
 // loaded takes in a load report.
-func (g *Gateway) loaded(b *backend, load []float32) {
+func (g *Balancer) loaded(b *backend, load []float32) {
 	for i, v := range load {
 		if i < len(g.set.Report) && g.set.Report[i] != Unused {
 			b.queue, b.queueAt = float64(v), g.now
@@ -300,38 +300,38 @@
 }
 
 // tellGrant adds a customer's grant to the next note to a peer, sent at once if full.
-func (g *Gateway) tellGrant(peer int, c *customer) {
+func (g *Balancer) tellGrant(peer int, c *customer) {
 	if len(g.notes[peer])+grantSize > noteMost {
-		g.do.Tell(peer, g.notes[peer])
+		g.do.SendToPeer(peer, g.notes[peer])
 		g.notes[peer] = nil
 	}
 	g.notes[peer] = grant{id: c.id, part: c.grant}.put(g.begun(peer))
 }
 
-// Started takes in that a streamed answer has begun: it is the client's now.
-func (g *Gateway) Started(now Time, id uint64) {
+// ResponseStarted takes in that a streamed answer has begun: it is the client's now.
+func (g *Balancer) ResponseStarted(now Time, id uint64) {
 	g.begin(now)
 	if r := g.requests[id]; r != nil {
 		r.over = true
 	}
 }
 
-// Gone takes in that a client left or its time ran out.
-func (g *Gateway) Gone(now Time, id uint64) {
-	g.Started(now, id)
+// ClientGone takes in that a client left or its time ran out.
+func (g *Balancer) ClientGone(now Time, id uint64) {
+	g.ResponseStarted(now, id)
 	if r := g.requests[id]; r != nil && !r.pending() {
 		delete(g.requests, id)
 	}
 }
 
 // follow asks discovery to tell of changes.
-func (g *Gateway) follow() {
+func (g *Balancer) follow() {
 	g.asked = g.now
-	g.do.Follow()
+	g.do.WatchEndpoints()
 }
 
 // entry is what this gateway has to tell of a customer.
-func (g *Gateway) entry(c *customer) entry {
+func (g *Balancer) entry(c *customer) entry {
 	left := c.store.level / math.Max(c.store.cap, 1e-9)
 	if g.wide(c) {
 		left = c.grant
@@ -341,7 +341,7 @@
 }
 
 // note adds a customer to the notes for those it is told to, if all have room.
-func (g *Gateway) note(c *customer) bool {
+func (g *Balancer) note(c *customer) bool {
 	first, n := g.audience(c)
 	for i := range n {
 		if len(g.notes[(first+i)%g.set.Gateways])+entrySize > noteMost {
@@ -358,17 +358,17 @@
 }
 
 // greet has the neighbours know that this gateway knows nothing.
-func (g *Gateway) greet() {
+func (g *Balancer) greet() {
 	for peer := range g.notes {
 		g.heardAt[peer] = g.now
 		if g.near(g.set.Self, peer) {
-			g.do.Tell(peer, g.noteHead())
+			g.do.SendToPeer(peer, g.noteHead())
 		}
 	}
 }
 
 // audience is to how many gateways, from which on, a customer's use is told.
-func (g *Gateway) audience(c *customer) (first, n int) {
+func (g *Balancer) audience(c *customer) (first, n int) {
 	if g.wide(c) {
 		return g.home(c), 1
 	}
@@ -376,18 +376,18 @@
 }
 
 // wide tells whether a customer's set is too large for each to tell all others.
-func (g *Gateway) wide(c *customer) bool {
+func (g *Balancer) wide(c *customer) bool {
 	return g.set.Peers && c.spread > fewPeers && g.rights == nil
 }
 
 // home is the gateway that a wide set tells its use.
-func (g *Gateway) home(c *customer) int {
+func (g *Balancer) home(c *customer) int {
 	const mix = 0x9E3779B97F4A7C15 // spreads ids evenly over the set
 	return (c.first + int((c.id*mix)>>33)%c.spread) % g.set.Gateways
 }
 
 // mark has a customer's use told with the next notes.
-func (g *Gateway) mark(c *customer) {
+func (g *Balancer) mark(c *customer) {
 	if c.spread == 1 || !g.pooled || g.member(c) && g.consults(c) {
 		c.told = c.taken
 		return
@@ -399,18 +399,18 @@
 }
 
 // refuse refuses with advice within what is allowed.
-func (g *Gateway) refuse(id uint64, after Time, why Why) {
+func (g *Balancer) refuse(id uint64, after Time, why RejectReason) {
 	if g.explain != nil {
 		g.explain(id, why)
 	}
 	if !g.set.RetryAfter {
 		after = 0
 	}
-	g.do.Refuse(id, max(0, min(after, g.set.MaxRetryAfter)))
+	g.do.Reject(id, max(0, min(after, g.set.MaxRetryAfter)))
 }
 
 // flush sends the notes begun.
-func (g *Gateway) flush() {
+func (g *Balancer) flush() {
 	for peer, note := range g.notes {
 		if len(note) > 0 {
 			g.sendNote(peer)
@@ -419,15 +419,15 @@
 }
 
 // sendNote sends the note begun to a peer. It takes from the room for those sent at once.
-func (g *Gateway) sendNote(peer int) {
+func (g *Balancer) sendNote(peer int) {
 	g.room(peer).level--
-	g.do.Tell(peer, g.notes[peer])
+	g.do.SendToPeer(peer, g.notes[peer])
 	g.notes[peer] = g.notes[peer][:0]
 }
 
 // pool adds a peer's view of the back end to what is known of all. However often a
 // peer tells of it, it counts as one.
-func (g *Gateway) pool(from int, n note) {
+func (g *Balancer) pool(from int, n note) {
 	weight := math.Min(1, float64(g.awake-g.heardAt[from])/float64(second))
 	g.peers.add(g.awake, second, weight)
 	g.peersHeld.add(g.awake, second, weight*n.held)
@@ -436,7 +436,7 @@
 }
 
 // showView has notes with this gateway's view go to some others, drawn each time.
-func (g *Gateway) showView(n int) {
+func (g *Balancer) showView(n int) {
 	for range n {
 		if peer := g.rand.IntN(g.set.Gateways); g.set.Peers && peer != g.set.Self {
 			g.notes[peer] = g.begun(peer)
@@ -453,7 +453,7 @@
 }
 
 // heardOf is what a gateway of the set told of a customer.
-func (g *Gateway) heardOf(c *customer, from int) *heard {
+func (g *Balancer) heardOf(c *customer, from int) *heard {
 	if c.heard == nil {
 		c.heard = make([]heard, c.spread)
 	}
@@ -463,7 +463,7 @@
 // broke takes in that a connection to a backend could not be made or broke, and tells
 // whether the backend is down. One reset tells of one connection; even of many the process
 // may go on, and warm: that it has ended, and will be cold, is told by what can't connect.
-func (g *Gateway) broke(b *backend, r Result) bool {
+func (g *Balancer) broke(b *backend, r Result) bool {
 	b.breaks.add(g.now, breakTime, 1)
 	if r == Reset && b.breaks.sum < breaksMost {
 		return false
@@ -477,12 +477,12 @@
 }
 
 // share is the part of its capacity that a backend has at least.
-func (g *Gateway) share(b *backend) float64 {
-	if b.Started == 0 || g.set.ColdTime == 0 {
+func (g *Balancer) share(b *backend) float64 {
+	if b.StartedAt == 0 || g.set.SlowStartDuration == 0 {
 		return 1
 	}
-	age := math.Max(0, float64(g.now-b.Started)/float64(g.set.ColdTime))
-	return math.Min(1, g.set.ColdFrom+(1-g.set.ColdFrom)*age)
+	age := math.Max(0, float64(g.now-b.StartedAt)/float64(g.set.SlowStartDuration))
+	return math.Min(1, g.set.SlowStartMinFraction+(1-g.set.SlowStartMinFraction)*age)
 }
 
 // slowness is how slow the backend is, faded towards the usual.
@@ -494,11 +494,11 @@
 }
 
 // word adds a word of trouble, to be told with the next notes.
-func (g *Gateway) word(b *backend, about int) {
+func (g *Balancer) word(b *backend, about int) {
 	b.words[about].add(g.now, wordTime, 1)
 	g.news = append(g.news[max(0, len(g.news)-wordsMost+1):], told{word{b.Backend, byte(about)}, wordNotes})
 }
 
 // coldBank is what a cold backend may be sent at first: less than one, drawn, so that
 // of many gateways neither all nor none send at once.
-func (g *Gateway) coldBank() bank { return bank{level: g.rand.Float64(), at: g.now} }
+func (g *Balancer) coldBank() bank { return bank{level: g.rand.Float64(), at: g.now} }
--- a/internal/dataplane/policy/stored_test.go
+++ b/internal/dataplane/policy/stored_test.go
@@ -33,9 +33,9 @@
 	settings := Settings{
 		Self: 1, Gateways: 3, Peers: true, Counter: true,
 		Classes: []Class{
-			{Aim: 1, Window: 2, Worth: 3.5, Effect: Safe, Group: GroupAll},
-			{Aim: 4, Window: 5, Worth: 6.5, Effect: Keyed, Group: GroupZone},
-			{Aim: 7, Window: 8, Worth: 9.5, Effect: Unsafe, Group: GroupCell},
+			{LatencyObjective: 1, DeduplicationWindow: 2, PriorityWeight: 3.5, Idempotency: Idempotent, DeduplicationScope: ScopeAll},
+			{LatencyObjective: 4, DeduplicationWindow: 5, PriorityWeight: 6.5, Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeZone},
+			{LatencyObjective: 7, DeduplicationWindow: 8, PriorityWeight: 9.5, Idempotency: NotIdempotent, DeduplicationScope: ScopeCell},
 		},
 		Plans: []Plan{{Rate: 1.5, Burst: 2.5, OpenLimit: 3, CeilingRate: 4.5, CeilingBurst: 5.5, CeilingSlack: 6.5, Price: 9.5, BeyondEarns: 7.5, BeyondCosts: 8.5}},
 	}
--- a/internal/dataplane/policy/view.go
+++ b/internal/dataplane/policy/view.go
@@ -1,11 +1,11 @@
 package policy
 
-// Servers tells how many backends discovery lists, and how many of those this gateway
+// CountBackends tells how many backends discovery lists, and how many of those this gateway
 // sends nothing, or single trials only: they drain, or are left out. It is for those who
 // look on, and changes nothing.
-func (g *Gateway) Servers() (listed, avoided int) {
+func (g *Balancer) CountBackends() (listed, avoided int) {
 	for _, b := range g.backends {
-		if !b.listed || b.State == Left {
+		if !b.listed || b.State == Removed {
 			continue
 		}
 		listed++
--- a/internal/dataplane/simprotocol/codes.go
+++ b/internal/dataplane/simprotocol/codes.go
@@ -42,22 +42,22 @@
 )
 
 var results = map[uint8]policy.Result{
-	1: policy.OK, 2: policy.Failed, 3: policy.Full, 4: policy.TimedOut,
-	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.Moot,
+	1: policy.OK, 2: policy.Failed, 3: policy.Rejected, 4: policy.TimedOut,
+	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.Superseded,
 }
 
-var news = map[uint8]policy.News{
-	0: policy.Whole, 1: policy.Cached, 2: policy.Changed, 3: policy.Unheard,
+var news = map[uint8]policy.ListKind{
+	0: policy.Complete, 1: policy.CompleteCached, 2: policy.Delta, 3: policy.Unavailable,
 }
 
-var states = map[uint8]policy.State{0: policy.Left, 1: policy.Ready, 2: policy.Draining}
+var states = map[uint8]policy.EndpointState{0: policy.Removed, 1: policy.Ready, 2: policy.Draining}
 
-var effects = map[string]policy.Effect{
-	"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent, "dedup": policy.WithIdempotencyKey, "fragile": policy.NotIdempotent,
 }
 
-var groups = map[string]policy.Group{
-	"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
+var groups = map[string]policy.DeduplicationScope{
+	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
 // metrics are the report values that decisions use; others are passed over.
--- a/internal/dataplane/simprotocol/frames.go
+++ b/internal/dataplane/simprotocol/frames.go
@@ -59,8 +59,8 @@
 	Seed    uint64 // Provision
 	Profile []byte
 
-	News    policy.News // Backends
-	Members []policy.Member
+	News    policy.ListKind // Backends
+	Members []policy.Endpoint
 
 	Request policy.Request // Ingress
 	Outcome policy.Outcome // Done; First and Dropped set its ID
@@ -184,7 +184,7 @@
 		q.ID = r.u64()
 		r.u8() // a client's repeat, a write: no decision rests on them
 		q.Units = r.f32()
-		q.Grace = policy.Time(r.u32())
+		q.Timeout = policy.Time(r.u32())
 		q.Plan = int(r.u16())
 		q.Spread = int(r.f32())
 		q.Class = int(r.u16())
@@ -194,16 +194,16 @@
 		e.Outcome.ID = r.u64()
 		e.Outcome.Backend = r.u32()
 		e.Outcome.Attempt = int(r.u16())
-		e.Outcome.Took = policy.Time(r.u32())
+		e.Outcome.Duration = policy.Time(r.u32())
 	case Done:
 		o := &e.Outcome
 		o.ID = r.u64()
 		o.Attempt = int(r.u16())
 		o.Backend = r.u32()
 		o.Result = r.result()
-		o.Took = policy.Time(r.u32())
-		o.Over = r.u8() != 0
-		o.Metered = int(r.u16())
+		o.Duration = policy.Time(r.u32())
+		o.RequestDone = r.u8() != 0
+		o.MeteredUse = int(r.u16())
 		o.TrueUnits = float64(r.u16())
 		o.Load = r.load()
 	case Dropped:
@@ -236,12 +236,12 @@
 		r.err = fmt.Errorf("list of %d entries is longer than its batch", n)
 	}
 	for i := 0; i < n && r.err == nil; i++ {
-		m := policy.Member{Backend: r.u32(), Zone: int(r.u16())}
+		m := policy.Endpoint{Backend: r.u32(), Zone: int(r.u16())}
 		r.u8() // kind of machine: no decision rests on it
 		m.Cell = int(r.u16())
 		m.State = lookup(r, states, "readiness")
-		m.Hint = r.f32()
-		m.Started = policy.Time(r.u64())
+		m.Weight = r.f32()
+		m.StartedAt = policy.Time(r.u64())
 		e.Members = append(e.Members, m)
 	}
 }
@@ -290,8 +290,8 @@
 	r.u32(backend)
 }
 
-// Refuse writes a refusal.
-func (r *Reply) Refuse(id uint64, after policy.Time) {
+// Reject writes a refusal.
+func (r *Reply) Reject(id uint64, after policy.Time) {
 	r.head(actPushBack)
 	r.u64(id)
 	r.u32(uint32(max(0, min(after, math.MaxUint32))))
@@ -316,23 +316,23 @@
 	r.u32(backend)
 }
 
-// Tell writes a message to a peer.
-func (r *Reply) Tell(peer int, note []byte) {
+// SendToPeer writes a message to a peer.
+func (r *Reply) SendToPeer(peer int, note []byte) {
 	r.head(actWrite)
 	r.u16(uint16(peer))
 	r.text(string(note[:min(len(note), noteLimit)]))
 }
 
-// Count writes a counter call.
-func (r *Reply) Count(name uint64, add float64, life policy.Time) {
+// AddToCounter writes a counter call.
+func (r *Reply) AddToCounter(name uint64, add float64, life policy.Time) {
 	r.head(actCount)
 	r.u64(name)
 	r.u32(math.Float32bits(float32(add)))
 	r.u32(uint32(max(0, min(life, math.MaxUint32))))
 }
 
-// Follow writes a subscription to discovery.
-func (r *Reply) Follow() {
+// WatchEndpoints writes a subscription to discovery.
+func (r *Reply) WatchEndpoints() {
 	r.head(actFollow)
 	r.buf = append(r.buf, 1)
 }
--- a/internal/dataplane/simprotocol/settings.go
+++ b/internal/dataplane/simprotocol/settings.go
@@ -88,7 +88,7 @@
 	"granularity-us":                 whole(func(d *draft) *policy.Time { return &d.Tick }),
 	"ceilings.peers":                 flag(func(d *draft) *bool { return &d.Peers }),
 	"ceilings.probes":                flag(func(d *draft) *bool { return &d.Probes }),
-	"ceilings.second-copies":         flag(func(d *draft) *bool { return &d.SecondCopies }),
+	"ceilings.second-copies":         flag(func(d *draft) *bool { return &d.Hedging }),
 	"ceilings.retry-after":           flag(func(d *draft) *bool { return &d.RetryAfter }),
 	"ceilings.max-attempts":          whole(func(d *draft) *int { return &d.MaxAttempts }),
 	"ceilings.max-retry-after-us":    whole(func(d *draft) *policy.Time { return &d.MaxRetryAfter }),
@@ -102,20 +102,20 @@
 	},
 	"report.via":                  text(func(d *draft) *string { return &d.host.ReportVia }),
 	"family-info.counter":         flag(func(d *draft) *bool { return &d.Counter }),
-	"family-info.settles":         flag(func(d *draft) *bool { return &d.Settles }),
+	"family-info.settles":         flag(func(d *draft) *bool { return &d.SettlesUnits }),
 	"family-info.meter-period-us": whole(func(d *draft) *policy.Time { return &d.MeterPeriod }),
 	"family-info.max-units":       number(func(d *draft) *float64 { return &d.host.MaxUnits }),
-	"family-info.mail-per-s":      number(func(d *draft) *float64 { return &d.MailPerSecond }),
-	"guarantees.ask-within-us":    whole(func(d *draft) *policy.Time { return &d.AskWithin }),
+	"family-info.mail-per-s":      number(func(d *draft) *float64 { return &d.MaxPeerMessagesPerSecond }),
+	"guarantees.ask-within-us":    whole(func(d *draft) *policy.Time { return &d.PollInterval }),
 	"guarantees.drain-grace-us":   whole(func(d *draft) *policy.Time { return &d.host.DrainGrace }),
-	"guarantees.cold-from":        number(func(d *draft) *float64 { return &d.ColdFrom }),
-	"guarantees.cold-us":          whole(func(d *draft) *policy.Time { return &d.ColdTime }),
-	"guarantees.tip-after-us":     whole(func(d *draft) *policy.Time { return &d.TipAfter }),
+	"guarantees.cold-from":        number(func(d *draft) *float64 { return &d.SlowStartMinFraction }),
+	"guarantees.cold-us":          whole(func(d *draft) *policy.Time { return &d.SlowStartDuration }),
+	"guarantees.tip-after-us":     whole(func(d *draft) *policy.Time { return &d.SlowStartOverloadWindow }),
 	"prices.cross-zone":           number(func(d *draft) *float64 { return &d.CrossZonePrice }),
 	"membership-mode": word(map[string]bool{"pushed": false, "on_request": true},
-		func(d *draft) *bool { return &d.AskMembers }),
+		func(d *draft) *bool { return &d.PollEndpoints }),
 	"weights": word(map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true},
-		func(d *draft) *bool { return &d.HintsTell }),
+		func(d *draft) *bool { return &d.ComparableWeights }),
 	"report.names": func(d *draft, v string) error {
 		d.Report, d.host.Report = nil, strings.Split(v, ",")
 		for _, name := range d.host.Report {
@@ -133,12 +133,12 @@
 // classKeys and planKeys are the settings of an item of a list.
 var classKeys = map[string]setter{
 	"name":          text(func(d *draft) *string { return last(d.host.Classes) }),
-	"promise-us":    whole(func(d *draft) *policy.Time { return &lastClass(d).Aim }),
+	"promise-us":    whole(func(d *draft) *policy.Time { return &lastClass(d).LatencyObjective }),
 	"hard-limit-us": whole(func(d *draft) *policy.Time { return last(d.host.Limits) }),
-	"window-us":     whole(func(d *draft) *policy.Time { return &lastClass(d).Window }),
-	"worth":         number(func(d *draft) *float64 { return &lastClass(d).Worth }),
-	"repeat":        word(effects, func(d *draft) *policy.Effect { return &lastClass(d).Effect }),
-	"group":         word(groups, func(d *draft) *policy.Group { return &lastClass(d).Group }),
+	"window-us":     whole(func(d *draft) *policy.Time { return &lastClass(d).DeduplicationWindow }),
+	"worth":         number(func(d *draft) *float64 { return &lastClass(d).PriorityWeight }),
+	"repeat":        word(effects, func(d *draft) *policy.Idempotency { return &lastClass(d).Idempotency }),
+	"group":         word(groups, func(d *draft) *policy.DeduplicationScope { return &lastClass(d).DeduplicationScope }),
 }
 
 var planKeys = map[string]setter{
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -16,7 +16,7 @@
 
 func sample(at policy.Time) policy.Snapshot {
 	return policy.Snapshot{Version: policy.SnapshotVersion, At: at, Settings: 1 << 63, Born: 5,
-		Base: []policy.Learnt{{Value: 0.1, Samples: 3}}, Grace: [][]policy.Learnt{{{Value: 1e6, Samples: 1}}},
+		Base: []policy.Estimate{{Value: 0.1, Samples: 3}}, Grace: [][]policy.Estimate{{{Value: 1e6, Samples: 1}}},
 		Customers: []policy.CustomerState{{ID: 1<<33 - 1, Plan: 1, Spread: 2, Level: 1.25, Ceiling: -3}},
 		Backends:  []policy.BackendState{{Backend: 7, Started: 99, Down: true}}}
 }
--- a/internal/testing/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -32,9 +32,9 @@
 }
 
 // tenantBudget is a tenant's quota: from 1 to 11 units a second, and 8 to 38 units that lie stored.
-func tenantBudget(tenant uint64) policy.Budget {
+func tenantBudget(tenant uint64) policy.SharedQuota {
 	part := float64(mix(tenant)>>20%1000) / 1000
-	return policy.Budget{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part,
+	return policy.SharedQuota{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part,
 		Spread: tenantSpread(tenant)}
 }
 
@@ -71,12 +71,12 @@
 		return
 	}
 	b := tenantBudget(tenant)
-	rights.Ask(0, &b, 1)
+	rights.RecordDemand(0, &b, 1)
 	switch {
-	case rights.Level(0, &b) >= 1:
-		rights.Take(0, id, &b, 1)
+	case rights.Available(0, &b) >= 1:
+		rights.Consume(0, id, &b, 1)
 		g.serve(tenant)
-	case !rights.Borrow(id, &b, 1):
+	case !rights.RequestOnDemand(id, &b, 1):
 		g.node.Refused(false)
 	}
 }
--- a/sim/around.go
+++ b/sim/around.go
@@ -43,7 +43,7 @@
 			return
 		}
 		w.Notes.MostIn = max(w.Notes.MostIn, n.in[to])
-		g.event(g.life, func() { g.module.Peer(g.now(), from, copied) })
+		g.event(g.life, func() { g.module.ReceivePeerMessage(g.now(), from, copied) })
 	}
 	late += w.o.NoteLate.Microseconds()
 	if w.now < n.slow {
@@ -59,31 +59,31 @@
 type register struct {
 	w      *World
 	rand   *rand.Rand
-	known  [][]policy.Member // by gateway
-	last   map[[2]int]int64  // when a gateway hears what was told last of a server: news keep their order
-	silent int64             // it tells nothing until then
+	known  [][]policy.Endpoint // by gateway
+	last   map[[2]int]int64    // when a gateway hears what was told last of a server: news keep their order
+	silent int64               // it tells nothing until then
 }
 
 func (r *register) begin(gateways int) {
 	for range gateways {
-		var list []policy.Member
+		var list []policy.Endpoint
 		for _, sv := range r.w.servers {
-			list = append(list, policy.Member{Backend: sv.number, Cell: 1, State: policy.Ready, Hint: 1})
+			list = append(list, policy.Endpoint{Backend: sv.number, Cell: 1, State: policy.Ready, Weight: 1})
 		}
 		r.known = append(r.known, list)
 	}
 }
 
-func (r *register) list(gateway int) []policy.Member {
-	return append([]policy.Member(nil), r.known[gateway]...)
+func (r *register) list(gateway int) []policy.Endpoint {
+	return append([]policy.Endpoint(nil), r.known[gateway]...)
 }
 
 // tell has all gateways hear of a server's state.
-func (r *register) tell(sv *server, state policy.State) {
+func (r *register) tell(sv *server, state policy.EndpointState) {
 	w := r.w
-	m := policy.Member{Backend: sv.number, Cell: 1, State: state, Hint: 1}
+	m := policy.Endpoint{Backend: sv.number, Cell: 1, State: state, Weight: 1}
 	if boot := w.Record.Boots[sv.boot]; boot.Cold {
-		m.Started = epoch + boot.At.Microseconds()
+		m.StartedAt = epoch + boot.At.Microseconds()
 	}
 	if r.last == nil {
 		r.last = map[[2]int]int64{}
@@ -97,7 +97,7 @@
 }
 
 // arrive has one gateway hear of a server, once the register is not silent.
-func (r *register) arrive(i int, sv *server, m policy.Member) {
+func (r *register) arrive(i int, sv *server, m policy.Endpoint) {
 	w, g := r.w, r.w.gateways[i]
 	if w.now < r.silent {
 		w.after(r.silent-w.now, func() { r.arrive(i, sv, m) })
@@ -106,14 +106,14 @@
 	r.known[i][sv.number-1] = m
 	g.event(g.life, func() {
 		w.Record.Told = append(w.Record.Told, harness.Told{Gateway: i, Server: sv.id, Stop: m.State != policy.Ready, At: w.at()})
-		g.module.Members(g.now(), policy.Changed, []policy.Member{m})
+		g.module.UpdateEndpoints(g.now(), policy.Delta, []policy.Endpoint{m})
 	})
 }
 
 // toldOf tells whether a gateway has been told of a server's present start.
 func (r *register) toldOf(gateway int, sv *server) bool {
 	boot := &r.w.Record.Boots[sv.boot]
-	return !boot.Cold || r.known[gateway][sv.number-1].Started >= epoch+boot.At.Microseconds()
+	return !boot.Cold || r.known[gateway][sv.number-1].StartedAt >= epoch+boot.At.Microseconds()
 }
 
 // frontEntry is one gateway as the front sees it: one that has died is noticed
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -12,7 +12,7 @@
 const (
 	resultOK      = policy.OK
 	resultFailed  = policy.Failed
-	resultFull    = policy.Full
+	resultFull    = policy.Rejected
 	resultTimeout = policy.TimedOut
 	resultConnect = policy.ConnectFailed
 	resultReset   = policy.Reset
@@ -23,7 +23,7 @@
 type gateway struct {
 	w      *World
 	number int
-	module *policy.Gateway
+	module *policy.Balancer
 	life   int // counts its processes: what was planned for an earlier one is void
 	up     bool
 	open   map[uint64]*request
@@ -71,7 +71,7 @@
 		g.w.after(g.frozen-g.w.now, func() { g.event(life, do) })
 	default:
 		do()
-		if g.w.o.State && g.module.Urgent() {
+		if g.w.o.State && g.module.SnapshotDue() {
 			g.keep()
 		}
 	}
@@ -79,9 +79,9 @@
 
 // keep keeps the state, and whatever happens later has it.
 func (g *gateway) keep() {
-	s := g.module.Save(g.now(), false)
+	s := g.module.TakeSnapshot(g.now(), false)
 	g.kept = &s
-	g.module.Kept(s.At)
+	g.module.SnapshotStored(s.At)
 }
 
 // keeps keeps the state each second.
@@ -101,7 +101,7 @@
 	if g.module, err = policy.New(g.w.settings[g.number], seed, &actions{g, g.life}); err != nil {
 		return err
 	}
-	g.module.Explain(func(id uint64, why policy.Why) {
+	g.module.OnReject(func(id uint64, why policy.RejectReason) {
 		if q := g.open[id]; q != nil {
 			q.try.Why = why.String()
 		}
@@ -115,9 +115,9 @@
 	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{Gateway: g.number, Event: harness.Started, At: g.w.at()},
 		harness.Life{Gateway: g.number, Event: harness.Ready, At: g.w.at()})
 	if g.w.now < g.w.register.silent {
-		g.module.Members(g.now(), policy.Stale, g.w.register.list(g.number))
+		g.module.UpdateEndpoints(g.now(), policy.StaleBootstrap, g.w.register.list(g.number))
 	} else {
-		g.module.Members(g.now(), policy.Whole, g.w.register.list(g.number))
+		g.module.UpdateEndpoints(g.now(), policy.Complete, g.w.register.list(g.number))
 	}
 	if g.w.o.State {
 		g.keeps(g.life)
@@ -173,7 +173,7 @@
 		})
 	})
 	g.module.Request(g.now(), policy.Request{ID: q.id, Class: t.Class, Plan: t.Plan, Customer: customerNumber(who.ID),
-		Units: t.Units, Grace: grace, First: who.First, Spread: who.Spread})
+		Units: t.Units, Timeout: grace, First: who.First, Spread: who.Spread})
 	g.forget(q)
 }
 
@@ -222,7 +222,7 @@
 		a.q.answer(harness.Served, 0)
 	}
 	g.module.Outcome(g.now(), policy.Outcome{ID: a.q.id, Attempt: a.number, Backend: a.server.number, Result: r,
-		Took: g.w.now - a.sent, Over: a.q.answered})
+		Duration: g.w.now - a.sent, RequestDone: a.q.answered})
 	g.forget(a.q)
 }
 
@@ -255,7 +255,7 @@
 	g.w.after(end-g.w.now, func() { a.end(resultTimeout) })
 }
 
-func (x *actions) Refuse(id uint64, after policy.Time) {
+func (x *actions) Reject(id uint64, after policy.Time) {
 	if q := x.g.open[id]; q != nil {
 		q.answer(harness.Refused, after)
 		x.g.forget(q)
@@ -276,8 +276,8 @@
 	})
 }
 
-func (x *actions) Tell(peer int, note []byte)         { x.g.w.notes.carry(x.g.number, peer, note) }
-func (x *actions) Probe(uint32)                       {}
-func (x *actions) Count(uint64, float64, policy.Time) {}
-func (x *actions) Follow()                            {}
-func (x *actions) Log(line string)                    { x.g.w.said(x.g.number, line) }
+func (x *actions) SendToPeer(peer int, note []byte)          { x.g.w.notes.carry(x.g.number, peer, note) }
+func (x *actions) Probe(uint32)                              {}
+func (x *actions) AddToCounter(uint64, float64, policy.Time) {}
+func (x *actions) WatchEndpoints()                           {}
+func (x *actions) Log(line string)                           { x.g.w.said(x.g.number, line) }
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -70,7 +70,7 @@
 	switch f.Kind {
 	case harness.Down:
 		sv.kill()
-		w.register.tell(sv, policy.Left)
+		w.register.tell(sv, policy.Removed)
 		w.after(span, func() {
 			sv.start(true)
 			w.register.tell(sv, policy.Ready)
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -151,7 +151,7 @@
 		w.servers[0].kill()
 		w.servers[0].start(true) // cold; the register holds all to be told, and no gateway hears of it
 		for g := range w.gateways {
-			w.register.known[g][0].Started = epoch + w.now
+			w.register.known[g][0].StartedAt = epoch + w.now
 		}
 	})
 	w.Run()
