--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -182,7 +182,7 @@
 	}
 	fmt.Fprint(w, "\nPROCESS\tBOOT\tADDRESS\tSAID SOMETHING\n")
 	for _, m := range l.Members {
-		fmt.Fprintf(w, "%s\t%x\t%s\t%s ago\n", m.ID, m.Boot, m.Address, seconds(l.At-m.Seen))
+		fmt.Fprintf(w, "%s\t%x\t%s\t%s ago\n", m.ID, m.Incarnation, m.Address, seconds(l.At-m.Seen))
 	}
 	return nil
 }
@@ -193,12 +193,12 @@
 		return err
 	}
 	fmt.Fprint(w, "DUTY\tTERM\tOWNER\tHELD FOR\tFREE IN\tCAUSE\n")
-	for _, h := range v.Duties {
+	for _, h := range v.Roles {
 		owner, free := h.Owner.ID, seconds(max(0, h.Until-v.At))
 		if owner == "" {
 			owner, free = "nobody", "-"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", h.Duty, h.Term, owner, seconds(v.At-h.Since), free, h.Cause)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", h.Role, h.Term, owner, seconds(v.At-h.Since), free, h.Cause)
 	}
 	return nil
 }
@@ -234,7 +234,7 @@
 	}
 	fmt.Fprint(w, "TERM\tOWNER\tBOOT\tFROM (FLEET'S TIME)\tCAUSE\n")
 	for _, h := range all {
-		fmt.Fprintf(w, "%d\t%s\t%x\t%s\t%s\n", h.Term, h.Owner.ID, h.Owner.Boot, seconds(h.Since), h.Cause)
+		fmt.Fprintf(w, "%d\t%s\t%x\t%s\t%s\n", h.Term, h.Owner.ID, h.Owner.Incarnation, seconds(h.Since), h.Cause)
 	}
 	return nil
 }
@@ -246,7 +246,7 @@
 	}
 	fmt.Fprintf(w, "%d files\t%g units\tchain %.16s\n\nFILE\tDUTY\tTERM\tOWNER\tROWS\tUNITS\n", v.Count, v.Units, v.Chain)
 	for _, f := range v.Files[max(0, len(v.Files)-20):] {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%g\n", f.Name, f.Duty, f.Term, f.Owner, f.Rows, f.Units)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%g\n", f.Name, f.Role, f.Term, f.Owner, f.Rows, f.Units)
 	}
 	fmt.Fprint(w, "\nGATEWAY\tBOOT\tCOLLECTED TO PERIOD\tSTATE\n")
 	for _, m := range v.Marks {
@@ -256,7 +256,7 @@
 		} else if m.Gap != "" {
 			state = "gap: " + m.Gap
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", m.ID, m.Boot, m.Period, state)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", m.ID, m.Incarnation, m.Period, state)
 	}
 	return nil
 }
--- a/cmd/mothcleat/fleetversions.go
+++ b/cmd/mothcleat/fleetversions.go
@@ -218,7 +218,7 @@
 	default:
 		fmt.Fprint(w, "GATEWAY\tBOOT\tITEM\tNUMBER\tFROM\tTO\tSENT ON\tAGAIN\tUNITS\tREFUSED\tTURNED AWAY\tENTRIES\n")
 		for _, s := range r.Stretches {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%g\t%d\t%d\t%d to %d\n", s.ID, s.Boot, s.Item, s.Number, stamp(s.From), stamp(s.To), s.Sent, s.Again, s.Units,
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%g\t%d\t%d\t%d to %d\n", s.ID, s.Incarnation, s.Item, s.Number, stamp(s.From), stamp(s.To), s.Sent, s.Again, s.Units,
 				s.Refused, s.Turned, s.First, s.Last)
 		}
 		for _, l := range r.Late {
@@ -234,7 +234,7 @@
 			if g.To != 0 {
 				until = stamp(g.To)
 			}
-			fmt.Fprintf(w, "\ngap: %s/%s from %s to %s: %s", g.ID, g.Boot, stamp(g.From), until, g.Why)
+			fmt.Fprintf(w, "\ngap: %s/%s from %s to %s: %s", g.ID, g.Incarnation, stamp(g.From), until, g.Why)
 		}
 		for _, d := range r.Damage {
 			fmt.Fprintf(w, "\ndoes not hold: %s", d)
@@ -272,7 +272,7 @@
 	}
 	fmt.Fprint(w, "\nGATEWAY\tBOOT\tIN FORCE\tSAID\n")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%x\t%v\t%s ago\n", m.Member.ID, m.Member.Boot, m.InForce, seconds(v.At-m.At))
+		fmt.Fprintf(w, "%s\t%x\t%v\t%s ago\n", m.Member.ID, m.Member.Incarnation, m.InForce, seconds(v.At-m.At))
 	}
 	for _, b := range v.Behind {
 		fmt.Fprintf(w, "\nbehind: %s has %s %d, %d is wanted for %s %s", b.Member, b.Item, b.Has, b.Wants, seconds(v.At-b.Since), b.Why)
--- a/internal/controlplane/allocation/budget.go
+++ b/internal/controlplane/allocation/budget.go
@@ -41,8 +41,8 @@
 // MachineName is what the agreed state calls the budgets.
 const MachineName = "budgets"
 
-// Duty is what the owner of a shard holds.
-func Duty(shard int) string { return fmt.Sprintf("budgets/%d", shard) }
+// RoleOfShard is what the owner of a shard holds.
+func RoleOfShard(shard int) string { return fmt.Sprintf("budgets/%d", shard) }
 
 // ShardOf is the shard of a budget.
 func ShardOf(budget uint64, shards int) int {
@@ -70,7 +70,7 @@
 func (s Share) proto() *controlpb.Share { return &controlpb.Share{Rate: s.Rate, Burst: s.Burst} }
 func shareOf(s *controlpb.Share) Share  { return Share{s.GetRate(), s.GetBurst()} }
 func memberOf(m *controlpb.Member) lease.Member {
-	return lease.Member{ID: m.GetId(), Boot: m.GetBoot()}
+	return lease.Member{ID: m.GetId(), Incarnation: m.GetIncarnation()}
 }
 
 // slack is what sums may be off by for being rounded.
--- a/internal/controlplane/allocation/budget_test.go
+++ b/internal/controlplane/allocation/budget_test.go
@@ -46,7 +46,7 @@
 }
 
 func newRig(t *testing.T, whole Share) *rig {
-	r := &rig{t: t, now: time.Hour, terms: &terms{0, lease.Member{ID: "o", Boot: 1}}, whole: whole}
+	r := &rig{t: t, now: time.Hour, terms: &terms{0, lease.Member{ID: "o", Incarnation: 1}}, whole: whole}
 	r.log = NewMachine(r.terms)
 	r.elect()
 	return r
@@ -57,17 +57,17 @@
 	r.t.Helper()
 	r.terms.term++
 	var books controlpb.Books
-	if err := proto.Unmarshal(r.log.Query(0, []byte(Duty(0))), &books); err != nil {
+	if err := proto.Unmarshal(r.log.Query(0, []byte(RoleOfShard(0))), &books); err != nil {
 		r.t.Fatal(err)
 	}
 	var err error
-	if r.owner, err = NewOwner(r.now, rules(), Duty(0), r.terms.term, &books); err != nil {
+	if r.owner, err = NewOwner(r.now, rules(), RoleOfShard(0), r.terms.term, &books); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
 func (r *rig) member(id string, boot uint64) *Holder {
-	return NewHolder(rules(), lease.Member{ID: id, Boot: boot}, 1)
+	return NewHolder(rules(), lease.Member{ID: id, Incarnation: boot}, 1)
 }
 
 // renew has a member renew, and act on what it is told.
@@ -110,7 +110,7 @@
 }
 
 func (r *rig) lend(units float64) bool {
-	a := r.owner.Lend(r.now, &controlpb.LoanAsk{Duty: Duty(0), Budget: 1, Units: units, Spread: 2, Whole: r.whole.proto()})
+	a := r.owner.Lend(r.now, &controlpb.LoanAsk{Role: RoleOfShard(0), Budget: 1, Units: units, Spread: 2, Whole: r.whole.proto()})
 	if a.Soon && r.round() {
 		return r.lend(units)
 	}
@@ -169,7 +169,7 @@
 
 // What lies stored goes back when a part is lessened, once.
 func TestStoredUnitsGoWithTheirPart(t *testing.T) {
-	h := NewHolder(rules(), lease.Member{ID: "a", Boot: 1}, 1)
+	h := NewHolder(rules(), lease.Member{ID: "a", Incarnation: 1}, 1)
 	now := time.Hour
 	h.Ask(now, 1, Share{10, 100}, 2, 1)
 	ask := h.Renewal(now, 0)
@@ -251,8 +251,8 @@
 	r := newRig(t, Share{10, 100})
 	a := r.member("a", 1)
 	r.settle(20*time.Second, map[*Holder]float64{a: 2})
-	ask := &controlpb.LoanAsk{Duty: Duty(0), Budget: 1, Units: 1, Spread: 2, Whole: r.whole.proto()}
-	agreed := func() float64 { return r.log.books[Duty(0)][1].spare }
+	ask := &controlpb.LoanAsk{Role: RoleOfShard(0), Budget: 1, Units: 1, Spread: 2, Whole: r.whole.proto()}
+	agreed := func() float64 { return r.log.books[RoleOfShard(0)][1].spare }
 	if agreed() < 10 {
 		t.Fatalf("%v units are kept", agreed())
 	}
@@ -393,7 +393,7 @@
 }
 
 func TestMachineRefuses(t *testing.T) {
-	f := &terms{3, lease.Member{ID: "o", Boot: 1}}
+	f := &terms{3, lease.Member{ID: "o", Incarnation: 1}}
 	m := NewMachine(f)
 	apply := func(r *controlpb.Round) Result {
 		var res Result
@@ -405,9 +405,9 @@
 	part := func(who uint32, part, floor Share) *controlpb.HeldPart {
 		return &controlpb.HeldPart{Who: who, Part: part.proto(), Floor: floor.proto()}
 	}
-	two := []*controlpb.Member{{Id: "a", Boot: 1}, {Id: "b", Boot: 1}}
+	two := []*controlpb.Member{{Id: "a", Incarnation: 1}, {Id: "b", Incarnation: 1}}
 	round := func(term uint64, held ...*controlpb.HeldPart) *controlpb.Round {
-		return &controlpb.Round{Duty: Duty(0), Term: term, Who: two,
+		return &controlpb.Round{Role: RoleOfShard(0), Term: term, Who: two,
 			Changes: []*controlpb.BudgetChange{{Budget: 1, Whole: Share{10, 10}.proto(), Spread: 2, Held: held}}}
 	}
 	if r := apply(round(3, part(0, Share{6, 6}, Share{1, 1}))); !r.OK {
@@ -421,7 +421,7 @@
 		"less than nothing":     round(3, part(1, Share{-1, 1}, Share{})),
 		"no number":             round(3, part(1, Share{math.NaN(), 1}, Share{})),
 		"a member of none":      round(3, part(7, Share{1, 1}, Share{})),
-		"a budget twice": {Duty: Duty(0), Term: 3, Who: two, Changes: []*controlpb.BudgetChange{
+		"a budget twice": {Role: RoleOfShard(0), Term: 3, Who: two, Changes: []*controlpb.BudgetChange{
 			{Budget: 2, Whole: Share{1, 1}.proto()}, {Budget: 2, Whole: Share{1, 1}.proto()}}},
 	} {
 		if res := apply(r); res.OK || res.Why == "" {
@@ -443,18 +443,18 @@
 // Whatever is proposed, the parts that are agreed sum to no more than the whole.
 func TestAgreedPartsNeverPassTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &terms{1, lease.Member{ID: "o", Boot: 1}}
+		f := &terms{1, lease.Member{ID: "o", Incarnation: 1}}
 		m := NewMachine(f)
 		whole := Share{10, 20}
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
-			r := &controlpb.Round{Duty: Duty(0), Term: 1, Changes: []*controlpb.BudgetChange{{Budget: 1, Whole: whole.proto(), Spread: 3}}}
+			r := &controlpb.Round{Role: RoleOfShard(0), Term: 1, Changes: []*controlpb.BudgetChange{{Budget: 1, Whole: whole.proto(), Spread: 3}}}
 			for i := range rapid.IntRange(1, 4).Draw(t, "members") {
-				r.Who = append(r.Who, &controlpb.Member{Id: "n", Boot: rapid.Uint64Range(1, 5).Draw(t, "boot")})
+				r.Who = append(r.Who, &controlpb.Member{Id: "n", Incarnation: rapid.Uint64Range(1, 5).Draw(t, "boot")})
 				p := Share{rapid.Float64Range(0, 8).Draw(t, "rate"), rapid.Float64Range(0, 16).Draw(t, "burst")}
 				r.Changes[0].Held = append(r.Changes[0].Held, &controlpb.HeldPart{Who: uint32(i), Part: p.proto(), Floor: p.times(0.1).proto()})
 			}
 			m.Apply(0, 0, f.who, marshal(r))
-			for _, b := range m.books[Duty(0)] {
+			for _, b := range m.books[RoleOfShard(0)] {
 				if sum := sumOf(b.held); !sum.within(whole) {
 					t.Fatalf("%v of %v", sum, whole)
 				}
--- a/internal/controlplane/allocation/holder.go
+++ b/internal/controlplane/allocation/holder.go
@@ -52,7 +52,7 @@
 func NewHolder(r Rules, me lease.Member, shards int) *Holder {
 	h := &Holder{rules: r, me: me}
 	for i := range max(1, shards) {
-		h.shards = append(h.shards, side{duty: Duty(i), rights: map[uint64]*right{}, dirty: map[uint64]bool{}})
+		h.shards = append(h.shards, side{duty: RoleOfShard(i), rights: map[uint64]*right{}, dirty: map[uint64]bool{}})
 	}
 	return h
 }
@@ -162,7 +162,7 @@
 // Renewal is the asking to be sent to the owner of a shard now, of which Answer takes the answer.
 func (h *Holder) Renewal(now time.Duration, shard int) *controlpb.RightsAsk {
 	s := &h.shards[shard]
-	a := &controlpb.RightsAsk{Age: h.Age(now), Member: &controlpb.Member{Id: h.me.ID, Boot: h.me.Boot}, Duty: s.duty, Term: s.term, Number: s.number, Heard: s.heard}
+	a := &controlpb.RightsAsk{Age: h.Age(now), Member: &controlpb.Member{Id: h.me.ID, Incarnation: h.me.Incarnation}, Role: s.duty, Term: s.term, Number: s.number, Heard: s.heard}
 	for _, id := range slices.Sorted(maps.Keys(s.rights)) {
 		r := s.rights[id]
 		s.refill(r, now)
--- a/internal/controlplane/allocation/machine.go
+++ b/internal/controlplane/allocation/machine.go
@@ -51,7 +51,7 @@
 }
 
 func compareMembers(a, b lease.Member) int {
-	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Boot, b.Boot))
+	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // Machine is the budgets as a part of the agreed state.
@@ -86,12 +86,12 @@
 	if err := proto.Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("budget: a round that can't be read: %w", err)
 	}
-	if err := m.fence.Fence(r.Duty, r.Term, who); err != nil {
+	if err := m.fence.Fence(r.Role, r.Term, who); err != nil {
 		return err
 	}
 	after := make(map[uint64]*book, len(r.Changes))
 	for _, c := range r.Changes {
-		before := m.books[r.Duty][c.Budget]
+		before := m.books[r.Role][c.Budget]
 		if after[c.Budget] != nil {
 			return fmt.Errorf("budget: %x is changed twice", c.Budget)
 		}
@@ -101,15 +101,15 @@
 		}
 		after[c.Budget] = b
 	}
-	if m.books[r.Duty] == nil {
-		m.books[r.Duty] = map[uint64]*book{}
+	if m.books[r.Role] == nil {
+		m.books[r.Role] = map[uint64]*book{}
 	}
 	for id, b := range after {
 		if len(b.held) == 0 && b.spare == 0 && b.version == 0 {
-			delete(m.books[r.Duty], id) // nobody holds anything: it is as one that was never heard of
+			delete(m.books[r.Role], id) // nobody holds anything: it is as one that was never heard of
 			continue
 		}
-		m.books[r.Duty][id] = b
+		m.books[r.Role][id] = b
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 	if !ok {
 		i = uint32(len(*list))
 		index[who] = i
-		*list = append(*list, &controlpb.Member{Id: who.ID, Boot: who.Boot})
+		*list = append(*list, &controlpb.Member{Id: who.ID, Incarnation: who.Incarnation})
 	}
 	return i
 }
--- a/internal/controlplane/allocation/owner.go
+++ b/internal/controlplane/allocation/owner.go
@@ -110,7 +110,7 @@
 // Lend gives units of the reserve for a request that waits.
 func (o *Owner) Lend(now time.Duration, ask *controlpb.LoanAsk) *controlpb.LoanAnswer {
 	whole := shareOf(ask.Whole)
-	if ask.Duty != o.duty || !whole.sound() || whole.none() || !(ask.Units > 0) {
+	if ask.Role != o.duty || !whole.sound() || whole.none() || !(ask.Units > 0) {
 		return &controlpb.LoanAnswer{Code: controlpb.Code_REFUSED, Why: "not an asking for this owner"}
 	}
 	if o.closes {
@@ -147,14 +147,14 @@
 	if o.closes {
 		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: handsOn}
 	}
-	if ask.Duty != o.duty || who.ID == "" {
+	if ask.Role != o.duty || who.ID == "" {
 		return &controlpb.RightsAnswer{Code: controlpb.Code_REFUSED, Why: "not an asking for this owner"}
 	}
 	if ask.Term > o.term {
 		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: "a later owner is known"}
 	}
 	for _, boot := range ask.Gone {
-		if heir := (lease.Member{ID: who.ID, Boot: boot}); heir != who && o.members[heir] != nil {
+		if heir := (lease.Member{ID: who.ID, Incarnation: boot}); heir != who && o.members[heir] != nil {
 			o.leave(heir)
 		}
 	}
--- a/internal/controlplane/allocation/plan.go
+++ b/internal/controlplane/allocation/plan.go
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	round := &controlpb.Round{Duty: o.duty, Term: o.term}
+	round := &controlpb.Round{Role: o.duty, Term: o.term}
 	index := map[lease.Member]uint32{}
 	for _, id := range slices.Sorted(maps.Keys(o.stirred)) {
 		a := o.budgets[id]
@@ -245,7 +245,7 @@
 	if o.saving != nil {
 		return nil
 	}
-	round := &controlpb.Round{Duty: o.duty, Term: o.term}
+	round := &controlpb.Round{Role: o.duty, Term: o.term}
 	for _, id := range slices.Sorted(maps.Keys(o.budgets)) {
 		a := o.budgets[id]
 		o.reserve(now, a)
--- a/internal/controlplane/allocation/size_test.go
+++ b/internal/controlplane/allocation/size_test.go
@@ -24,15 +24,15 @@
 func benchmarkOwner(b *testing.B, members, customers int) {
 	r := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
-	f := &terms{1, lease.Member{ID: "o", Boot: 1}}
+	f := &terms{1, lease.Member{ID: "o", Incarnation: 1}}
 	log := NewMachine(f)
-	owner, err := NewOwner(now, Defaults(), Duty(0), 1, &controlpb.Books{})
+	owner, err := NewOwner(now, Defaults(), RoleOfShard(0), 1, &controlpb.Books{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	var holders []*Holder
 	for i := range members {
-		holders = append(holders, NewHolder(Defaults(), lease.Member{ID: fmt.Sprintf("n%d", i), Boot: 1}, 1))
+		holders = append(holders, NewHolder(Defaults(), lease.Member{ID: fmt.Sprintf("n%d", i), Incarnation: 1}, 1))
 	}
 	type customer struct {
 		whole         Share
--- a/internal/controlplane/allocation/version_test.go
+++ b/internal/controlplane/allocation/version_test.go
@@ -22,7 +22,7 @@
 	now := time.Second
 	renew := func(o *Owner, who string, boot, version uint64, whole Share) {
 		t.Helper()
-		a := o.Renew(now, &controlpb.RightsAsk{Member: &controlpb.Member{Id: who, Boot: boot}, Duty: Duty(0), Version: version,
+		a := o.Renew(now, &controlpb.RightsAsk{Member: &controlpb.Member{Id: who, Incarnation: boot}, Role: RoleOfShard(0), Version: version,
 			Wants: []*controlpb.Want{{Budget: id, Whole: whole.proto(), Spread: 2, Asked: 1, Most: 1}}})
 		if a.Code != controlpb.Code_OK {
 			t.Fatal(a.Why)
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := m.round(lease.Member{ID: "o", Boot: 1}, raw); err != nil {
+		if err := m.round(lease.Member{ID: "o", Incarnation: 1}, raw); err != nil {
 			t.Fatal(err)
 		}
 		o.Committed(now)
@@ -50,10 +50,10 @@
 	}
 	owner := func(term uint64) *Owner {
 		var books controlpb.Books
-		if err := proto.Unmarshal(m.Query(0, []byte(Duty(0))), &books); err != nil {
+		if err := proto.Unmarshal(m.Query(0, []byte(RoleOfShard(0))), &books); err != nil {
 			t.Fatal(err)
 		}
-		o, err := NewOwner(now, Defaults(), Duty(0), term, &books)
+		o, err := NewOwner(now, Defaults(), RoleOfShard(0), term, &books)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/allocator/boots.go
+++ b/internal/controlplane/allocator/boots.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boots is a gateway's record of the processes that ran in its folder. Whoever has its lock knows that all before it run
+// IncarnationFile is a gateway's record of the processes that ran in its folder. Whoever has its lock knows that all before it run
 // no more, so that what they held is free at once.
-type Boots struct {
-	f    *os.File
-	Gone []uint64 // the newest last
+type IncarnationFile struct {
+	f     *os.File
+	Ended []uint64 // the newest last
 }
 
 const (
@@ -22,8 +22,8 @@
 	bootsMost = 16 // older ones were told of long ago, or their rights have run out
 )
 
-// OpenBoots takes the lock and adds this process. While another has it, the error is unix.EWOULDBLOCK.
-func OpenBoots(dir string, boot uint64) (b *Boots, err error) {
+// OpenIncarnationFile takes the lock and adds this process. While another has it, the error is unix.EWOULDBLOCK.
+func OpenIncarnationFile(dir string, boot uint64) (b *IncarnationFile, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, bootsName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -36,12 +36,12 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, err
 	}
-	b = &Boots{f: f}
-	if err := json.NewDecoder(f).Decode(&b.Gone); err != nil {
-		b.Gone = nil // it is new, or a crash cut it: what those processes held runs out by itself
+	b = &IncarnationFile{f: f}
+	if err := json.NewDecoder(f).Decode(&b.Ended); err != nil {
+		b.Ended = nil // it is new, or a crash cut it: what those processes held runs out by itself
 	}
-	b.Gone = b.Gone[max(0, len(b.Gone)-bootsMost):]
-	raw, err := json.Marshal(append(b.Gone[:len(b.Gone):len(b.Gone)], boot))
+	b.Ended = b.Ended[max(0, len(b.Ended)-bootsMost):]
+	raw, err := json.Marshal(append(b.Ended[:len(b.Ended):len(b.Ended)], boot))
 	if err != nil {
 		return nil, err
 	}
@@ -53,4 +53,4 @@
 }
 
 // Close gives the lock up.
-func (b *Boots) Close() error { return b.f.Close() }
+func (b *IncarnationFile) Close() error { return b.f.Close() }
--- a/internal/controlplane/allocator/divider.go
+++ b/internal/controlplane/allocator/divider.go
@@ -60,14 +60,14 @@
 		return
 	}
 	failpoint.At("budgets-begin")
-	books, err := d.read(ctx, t.Duty)
+	books, err := d.read(ctx, t.Role)
 	if err != nil {
 		return
 	}
 	// All that the owner before may have given was given before now.
-	owner, err := allocation.NewOwner(monotonic.Now(), d.Rules, t.Duty, t.Term, books)
+	owner, err := allocation.NewOwner(monotonic.Now(), d.Rules, t.Role, t.Term, books)
 	if err != nil {
-		d.Log.Error("budgets: what is agreed can't be used", "duty", t.Duty, "error", err)
+		d.Log.Error("budgets: what is agreed can't be used", "duty", t.Role, "error", err)
 		return
 	}
 	o := &office{tenure: t, owner: owner, kick: make(chan struct{}, 1), agreed: make(chan struct{})}
@@ -75,13 +75,13 @@
 	if d.offices == nil {
 		d.offices = map[string]*office{}
 	}
-	d.offices[t.Duty] = o
+	d.offices[t.Role] = o
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.offices[t.Duty] == o {
-			delete(d.offices, t.Duty)
+		if d.offices[t.Role] == o {
+			delete(d.offices, t.Role)
 		}
 	}()
 	tick := time.NewTicker(planEach)
@@ -93,7 +93,7 @@
 	defer func() {
 		if ctx.Err() != nil && o.tenure.Holds() {
 			if err := d.agree(through, o, (*allocation.Owner).Close); err != nil {
-				d.Log.Info("budgets: what the reserve holds is not handed on", "duty", t.Duty, "error", err)
+				d.Log.Info("budgets: what the reserve holds is not handed on", "duty", t.Role, "error", err)
 			}
 		}
 	}()
@@ -101,7 +101,7 @@
 		if err := d.agree(through, o, (*allocation.Owner).Plan); err != nil {
 			if ctx.Err() == nil {
 				// Whether it is agreed can't be known any more. Another term begins with what is.
-				d.Log.Error("budgets: a round is lost; the shard is given up", "duty", t.Duty, "term", t.Term, "error", err)
+				d.Log.Error("budgets: a round is lost; the shard is given up", "duty", t.Role, "term", t.Term, "error", err)
 				t.GiveUp()
 			}
 			return
@@ -121,10 +121,10 @@
 	if d.divided == nil {
 		d.divided = map[string]uint64{}
 	}
-	if t.Term <= d.divided[t.Duty] {
+	if t.Term <= d.divided[t.Role] {
 		return false
 	}
-	d.divided[t.Duty] = t.Term
+	d.divided[t.Role] = t.Term
 	return true
 }
 
@@ -188,7 +188,7 @@
 
 // Renew renews a member's rights, if this process owns the shard.
 func (d *Divider) Renew(ask *controlpb.RightsAsk) *controlpb.RightsAnswer {
-	o := d.office(ask.Duty)
+	o := d.office(ask.Role)
 	if o == nil {
 		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
@@ -208,7 +208,7 @@
 
 // Lend lends units, if this process owns the shard.
 func (d *Divider) Lend(ask *controlpb.LoanAsk) *controlpb.LoanAnswer {
-	o := d.office(ask.Duty)
+	o := d.office(ask.Role)
 	if o == nil {
 		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
--- a/internal/controlplane/allocator/stored_test.go
+++ b/internal/controlplane/allocator/stored_test.go
@@ -10,12 +10,12 @@
 // The processes that ran before are read as an earlier build wrote them, and this one is added.
 func TestStoredIncarnationsAreRead(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored")
-	file, err := OpenBoots(dir, 12345)
+	file, err := OpenIncarnationFile(dir, 12345)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	gone, err := json.Marshal(file.Gone)
+	gone, err := json.Marshal(file.Ended)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/allocator/user.go
+++ b/internal/controlplane/allocator/user.go
@@ -138,7 +138,7 @@
 func (u *User) RequestOnDemand(id uint64, b *policy.SharedQuota, units float64) bool {
 	shard := allocation.ShardOf(b.ID, u.shards)
 	now := monotonic.Now()
-	owner, address, ok := u.owners.Owner(allocation.Duty(shard))
+	owner, address, ok := u.owners.Owner(allocation.RoleOfShard(shard))
 	if !ok || now < time.Duration(u.silent[shard].Load()) {
 		return false
 	}
@@ -158,7 +158,7 @@
 	u.mu.Lock()
 	age, order := u.holder.Age(monotonic.Now()), u.order
 	u.mu.Unlock()
-	ask := &controlpb.LoanAsk{Version: order, Age: age, Duty: allocation.Duty(shard), Budget: l.Budget.ID, Units: units,
+	ask := &controlpb.LoanAsk{Version: order, Age: age, Role: allocation.RoleOfShard(shard), Budget: l.Budget.ID, Units: units,
 		Whole: &controlpb.Share{Rate: l.Budget.Rate, Burst: l.Budget.Burst}, Spread: uint32(l.Budget.Spread)}
 	a, err := u.client.Borrow(ctx, owner.ID, address, ask)
 	u.mu.Lock()
@@ -221,7 +221,7 @@
 
 // renew renews once. It tells whether there is something to say at once.
 func (u *User) renew(ctx context.Context, shard int) bool {
-	owner, address, ok := u.owners.Owner(allocation.Duty(shard))
+	owner, address, ok := u.owners.Owner(allocation.RoleOfShard(shard))
 	if !ok {
 		return false
 	}
@@ -270,7 +270,7 @@
 		go func() {
 			defer wg.Done()
 			for ctx.Err() == nil {
-				owner, address, ok := u.owners.Owner(allocation.Duty(shard))
+				owner, address, ok := u.owners.Owner(allocation.RoleOfShard(shard))
 				if ok {
 					one, cancel := context.WithTimeout(ctx, renewWithin)
 					a, err := u.client.Renew(one, owner.ID, address, ask)
--- a/internal/controlplane/auditlog/audit.go
+++ b/internal/controlplane/auditlog/audit.go
@@ -8,12 +8,12 @@
 
 // Stretch is an interval in which one gateway operated under one version of an item.
 type Stretch struct {
-	ID     string `json:"id"`
-	Boot   string `json:"boot"`
-	Item   string `json:"item"`
-	Number uint64 `json:"number"`
-	From   int64  `json:"from"` // microseconds since 1970, by the gateway's clock
-	To     int64  `json:"to"`
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
+	Item        string `json:"item"`
+	Number      uint64 `json:"number"`
+	From        int64  `json:"from"` // microseconds since 1970, by the gateway's clock
+	To          int64  `json:"to"`
 	Counts
 	First uint64 `json:"first"` // number of the first entry that it is derived from
 	Last  uint64 `json:"last"`
@@ -24,11 +24,11 @@
 
 // Gap is an interval that the log of an incarnation does not cover.
 type Gap struct {
-	ID   string `json:"id"`
-	Boot string `json:"boot"`
-	From int64  `json:"from"`
-	To   int64  `json:"to"` // 0 where no entry follows
-	Why  string `json:"why"`
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
+	From        int64  `json:"from"`
+	To          int64  `json:"to"` // 0 where no entry follows
+	Why         string `json:"why"`
 }
 
 // Audit joins verified entries: which gateway operated under which version, from when to when and how often. Gaps are
@@ -39,18 +39,18 @@
 	last := map[chain]*Entry{}
 	for i := range good {
 		e := &good[i]
-		c := chain{e.ID, e.Boot}
+		c := chain{e.ID, e.Incarnation}
 		if before := last[c]; before != nil && e.Begun-before.Ended > most {
-			gaps = append(gaps, Gap{e.ID, e.Boot, before.Ended, e.Begun, "nothing was written"})
+			gaps = append(gaps, Gap{e.ID, e.Incarnation, before.Ended, e.Begun, "nothing was written"})
 		}
 		last[c] = e
 		for _, item := range slices.Sorted(maps.Keys(e.InForce)) {
-			k := key{e.ID, e.Boot, item}
+			k := key{e.ID, e.Incarnation, item}
 			at, ok := open[k]
 			if !ok || all[at].Number != e.InForce[item] {
 				at = len(all)
 				open[k] = at
-				all = append(all, Stretch{ID: e.ID, Boot: e.Boot, Item: item, Number: e.InForce[item], From: e.Begun, First: e.Seq})
+				all = append(all, Stretch{ID: e.ID, Incarnation: e.Incarnation, Item: item, Number: e.InForce[item], From: e.Begun, First: e.Seq})
 			}
 			s := &all[at]
 			s.To, s.Last, s.Counts = e.Ended, e.Seq, s.Counts.Plus(e.Counts)
--- a/internal/controlplane/auditlog/auditlog.go
+++ b/internal/controlplane/auditlog/auditlog.go
@@ -42,12 +42,12 @@
 // Entry is what one incarnation did in one interval under one set of versions. A change of versions begins a new
 // entry.
 type Entry struct {
-	ID      string            `json:"id"`
-	Boot    string            `json:"boot"` // hexadecimal
-	Seq     uint64            `json:"seq"`
-	Begun   int64             `json:"begun"` // microseconds since 1970, by the gateway's clock
-	Ended   int64             `json:"ended"`
-	InForce map[string]uint64 `json:"in_force,omitempty"`
+	ID          string            `json:"id"`
+	Incarnation string            `json:"boot"` // hexadecimal
+	Seq         uint64            `json:"seq"`
+	Begun       int64             `json:"begun"` // microseconds since 1970, by the gateway's clock
+	Ended       int64             `json:"ended"`
+	InForce     map[string]uint64 `json:"in_force,omitempty"`
 	Counts
 	// Folds are summaries in place of entries that are no longer kept: of this incarnation, or of earlier ones of the
 	// gateway. They are part of what the chain hashes.
@@ -70,22 +70,22 @@
 
 // Head is the number and hash of the newest entry of a chain, as its process reported it.
 type Head struct {
-	ID   string `json:"id"`
-	Boot string `json:"boot"`
-	Seq  uint64 `json:"seq"`
-	Hash string `json:"hash"`
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
+	Seq         uint64 `json:"seq"`
+	Hash        string `json:"hash"`
 }
 
 // Damage is a place at which a chain fails verification.
 type Damage struct {
-	ID   string `json:"id"`
-	Boot string `json:"boot"`
-	Seq  uint64 `json:"seq"`
-	What string `json:"what"`
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
+	Seq         uint64 `json:"seq"`
+	What        string `json:"what"`
 }
 
 func (d Damage) String() string {
-	return fmt.Sprintf("%s/%s entry %d: %s", d.ID, d.Boot, d.Seq, d.What)
+	return fmt.Sprintf("%s/%s entry %d: %s", d.ID, d.Incarnation, d.Seq, d.What)
 }
 
 type chain struct{ id, boot string }
@@ -96,16 +96,16 @@
 	chains := map[chain][]Entry{}
 	folds := map[chain][]Fold{}
 	for _, e := range entries {
-		k := chain{e.ID, e.Boot}
+		k := chain{e.ID, e.Incarnation}
 		chains[k] = append(chains[k], e)
 		for _, f := range e.Folds {
-			of := chain{e.ID, f.Boot}
+			of := chain{e.ID, f.Incarnation}
 			folds[of] = append(folds[of], f)
 		}
 	}
 	told := map[chain][]Head{}
 	for _, h := range heads {
-		k := chain{h.ID, h.Boot}
+		k := chain{h.ID, h.Incarnation}
 		told[k] = append(told[k], h)
 		if _, ok := chains[k]; !ok {
 			chains[k] = nil
--- a/internal/controlplane/auditlog/auditlog_test.go
+++ b/internal/controlplane/auditlog/auditlog_test.go
@@ -13,7 +13,7 @@
 func record(id, boot string, n int) (all []Entry) {
 	prev := Root(id, boot)
 	for i := range n {
-		e := Entry{ID: id, Boot: boot, Seq: uint64(i + 1), Begun: int64(i) * 100, Ended: int64(i+1) * 100, InForce: map[string]uint64{"plans": 1},
+		e := Entry{ID: id, Incarnation: boot, Seq: uint64(i + 1), Begun: int64(i) * 100, Ended: int64(i+1) * 100, InForce: map[string]uint64{"plans": 1},
 			Counts: Counts{Sent: 3, Units: 4.5}, Prev: prev, Last: i == n-1}
 		if i >= n/2 {
 			e.InForce["plans"] = 2
@@ -24,7 +24,7 @@
 	return all
 }
 
-func head(e *Entry) Head { return Head{e.ID, e.Boot, e.Seq, e.Hash()} }
+func head(e *Entry) Head { return Head{e.ID, e.Incarnation, e.Seq, e.Hash()} }
 
 func TestARecordThatHolds(t *testing.T) {
 	all := append(record("n0", "a", 8), record("n1", "b", 6)...)
@@ -77,7 +77,7 @@
 			damaged = nil
 		case "renamed":
 			for i := range damaged {
-				damaged[i].Boot = "b"
+				damaged[i].Incarnation = "b"
 			}
 		}
 		good, bad := Verify(damaged, heads)
--- a/internal/controlplane/auditlog/fold.go
+++ b/internal/controlplane/auditlog/fold.go
@@ -9,10 +9,10 @@
 // Fold is a summary in place of the first entries of an incarnation: their sums, and the hash of the last of them,
 // which the next entry has as its Prev.
 type Fold struct {
-	Boot    string `json:"boot"`
-	Through uint64 `json:"through"`
-	Hash    string `json:"hash"`
-	Sums    []Sum  `json:"sums"`
+	Incarnation string `json:"boot"`
+	Through     uint64 `json:"through"`
+	Hash        string `json:"hash"`
+	Sums        []Sum  `json:"sums"`
 }
 
 // Sum is what was done in those entries under one version of an item.
@@ -36,7 +36,7 @@
 		number uint64
 	}
 	last := &entries[len(entries)-1]
-	f := Fold{Boot: last.Boot, Through: last.Seq, Hash: last.Hash()}
+	f := Fold{Incarnation: last.Incarnation, Through: last.Seq, Hash: last.Hash()}
 	sums := map[key]Sum{}
 	add := func(k key, from, to int64, c Counts) {
 		s, ok := sums[k]
@@ -49,8 +49,8 @@
 	others := map[string]Fold{}
 	take := func(list []Fold) {
 		for _, o := range list {
-			if was, ok := others[o.Boot]; !ok || was.Through < o.Through {
-				others[o.Boot] = o
+			if was, ok := others[o.Incarnation]; !ok || was.Through < o.Through {
+				others[o.Incarnation] = o
 			}
 		}
 	}
@@ -62,10 +62,10 @@
 			add(key{item, number}, e.Begun, e.Ended, e.Counts)
 		}
 	}
-	for _, s := range others[f.Boot].Sums {
+	for _, s := range others[f.Incarnation].Sums {
 		add(key{s.Item, s.Number}, s.From, s.To, s.Counts)
 	}
-	delete(others, f.Boot)
+	delete(others, f.Incarnation)
 	for _, s := range sums {
 		f.Sums = append(f.Sums, s)
 	}
@@ -83,7 +83,7 @@
 	newest := map[chain]Fold{}
 	for i := range good {
 		for _, f := range good[i].Folds {
-			k := chain{good[i].ID, f.Boot}
+			k := chain{good[i].ID, f.Incarnation}
 			if was, ok := newest[k]; !ok || was.Through < f.Through {
 				newest[k] = f
 			}
@@ -94,7 +94,7 @@
 	}) {
 		f := newest[k]
 		for _, s := range f.Sums {
-			all = append(all, Stretch{ID: k.id, Boot: k.boot, Item: s.Item, Number: s.Number, From: s.From, To: s.To, Counts: s.Counts, First: 1, Last: f.Through, Folded: true})
+			all = append(all, Stretch{ID: k.id, Incarnation: k.boot, Item: s.Item, Number: s.Number, From: s.From, To: s.To, Counts: s.Counts, First: 1, Last: f.Through, Folded: true})
 		}
 	}
 	return all
--- a/internal/controlplane/auditrecorder/recorder.go
+++ b/internal/controlplane/auditrecorder/recorder.go
@@ -57,14 +57,14 @@
 
 // state is the progress of the log. It is stored in one batch with the entries.
 type state struct {
-	Boot    uint64          `json:"boot"`
-	Seq     uint64          `json:"seq"`
-	Hash    string          `json:"hash"`
-	Cell    uint64          `json:"cell"`    // the one that is written from
-	Written auditlog.Counts `json:"written"` // of it
-	Ended   int64           `json:"ended"`   // of the last entry
-	Over    bool            `json:"over"`
-	Kept    int             `json:"kept"` // entries, of all processes
+	Incarnation uint64          `json:"boot"`
+	Seq         uint64          `json:"seq"`
+	Hash        string          `json:"hash"`
+	Cell        uint64          `json:"cell"`    // the one that is written from
+	Written     auditlog.Counts `json:"written"` // of it
+	Ended       int64           `json:"ended"`   // of the last entry
+	Over        bool            `json:"over"`
+	Kept        int             `json:"kept"` // entries, of all processes
 }
 
 var keyState = []byte("state")
@@ -73,7 +73,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte{'e'}, boot), seq)
 }
 
-func bootText(boot uint64) string { return strconv.FormatUint(boot, 16) }
+func incarnationText(boot uint64) string { return strconv.FormatUint(boot, 16) }
 
 // Open opens the audit log in a folder, creates it where there is none, and ends the chain that the process before
 // left open. Its errors wrap store.ErrLocked where another process writes there.
@@ -101,12 +101,12 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return nil, errors.Join(err, r.cells.close())
 	}
-	if before != 0 && before == r.state.Boot && !r.state.Over {
+	if before != 0 && before == r.state.Incarnation && !r.state.Over {
 		if err := r.write(r.state.Ended, true); err != nil {
 			return nil, errors.Join(err, r.cells.close())
 		}
 	}
-	r.state = state{Boot: boot, Hash: auditlog.Root(id, bootText(boot)), Cell: 1, Ended: time.Now().UnixMicro(), Kept: r.state.Kept}
+	r.state = state{Incarnation: boot, Hash: auditlog.Root(id, incarnationText(boot)), Cell: 1, Ended: time.Now().UnixMicro(), Kept: r.state.Kept}
 	r.now = r.cells.begin(boot, map[string]uint64{})
 	return r, r.put(nil)
 }
@@ -171,7 +171,7 @@
 		ends := r.state.Cell < newest
 		if did != (auditlog.Counts{}) || last && !ends || !ends && time.Duration(now-r.state.Ended)*time.Microsecond >= idleInterval {
 			r.state.Seq++
-			e := auditlog.Entry{ID: r.id, Boot: bootText(r.state.Boot), Seq: r.state.Seq, Begun: r.state.Ended, Ended: now, InForce: c.inForce(),
+			e := auditlog.Entry{ID: r.id, Incarnation: incarnationText(r.state.Incarnation), Seq: r.state.Seq, Begun: r.state.Ended, Ended: now, InForce: c.inForce(),
 				Counts: did, Last: last && !ends, Prev: r.state.Hash}
 			if len(entries) == 0 {
 				e.Folds = r.folds
@@ -213,9 +213,9 @@
 	}
 	byBoot := map[string][]auditlog.Entry{}
 	for _, e := range all { // by boot, in their order
-		byBoot[e.Boot] = append(byBoot[e.Boot], e)
+		byBoot[e.Incarnation] = append(byBoot[e.Incarnation], e)
 	}
-	own := bootText(r.state.Boot)
+	own := incarnationText(r.state.Incarnation)
 	boots := slices.SortedFunc(maps.Keys(byBoot), func(a, b string) int {
 		last := func(boot string) int64 { l := byBoot[boot]; return l[len(l)-1].Ended }
 		return cmp.Compare(last(a), last(b))
@@ -251,7 +251,7 @@
 		if err != nil {
 			return err
 		}
-		b.Put(entryKey(r.state.Boot, entries[i].Seq), raw)
+		b.Put(entryKey(r.state.Incarnation, entries[i].Seq), raw)
 	}
 	raw, err := json.Marshal(&r.state)
 	if err != nil {
@@ -263,14 +263,14 @@
 		return err
 	}
 	if r.state.Seq > 0 {
-		r.head.Store(&auditlog.Head{ID: r.id, Boot: bootText(r.state.Boot), Seq: r.state.Seq, Hash: r.state.Hash})
+		r.head.Store(&auditlog.Head{ID: r.id, Incarnation: incarnationText(r.state.Incarnation), Seq: r.state.Seq, Hash: r.state.Hash})
 	}
 	return nil
 }
 
 // Head returns the newest entry on disk of this process, or nil where it has none yet.
 func (r *Recorder) Head() *auditlog.Head {
-	if h := r.head.Load(); h != nil && h.Boot == bootText(r.boot) {
+	if h := r.head.Load(); h != nil && h.Incarnation == incarnationText(r.boot) {
 		return h
 	}
 	return nil
--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -40,12 +40,12 @@
 	Leads   bool              `json:"leads,omitempty"`
 	Applied uint64            `json:"applied,omitempty"`
 	Trouble string            `json:"trouble,omitempty"`
-	Duties  map[string]uint64 `json:"duties"`
+	Roles   map[string]uint64 `json:"duties"`
 }
 
 // Here tells it.
 func (n *Node) Here() Here {
-	h := Here{Member: n.me, Duties: n.duties.Held()}
+	h := Here{Member: n.me, Roles: n.duties.Held()}
 	if why := n.trouble.Load(); why != nil {
 		h.Trouble = *why
 	}
@@ -167,7 +167,7 @@
 func (n *Node) transfer(ctx context.Context, duty, to string) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	raw, err := n.client.Do(ctx, lease.MachineName, lease.Op{Do: "wish", Duty: duty, To: lease.Member{ID: to}}.Encode())
+	raw, err := n.client.Do(ctx, lease.MachineName, lease.Op{Do: "wish", Role: duty, To: lease.Member{ID: to}}.Encode())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -29,7 +29,7 @@
 	Key   string  `json:"key"`
 	Value string  `json:"value"`
 	If    *uint64 `json:"if,omitempty"` // the version that the key must have; 0 means that it is absent
-	Duty  string  `json:"duty,omitempty"`
+	Role  string  `json:"duty,omitempty"`
 	Term  uint64  `json:"term,omitempty"`
 }
 
@@ -80,8 +80,8 @@
 
 // set checks a command and applies it.
 func (m *Machine) set(index uint64, who lease.Member, op *Op) error {
-	if op.Duty != "" {
-		if err := m.fence.Fence(op.Duty, op.Term, who); err != nil {
+	if op.Role != "" {
+		if err := m.fence.Fence(op.Role, op.Term, who); err != nil {
 			return err
 		}
 	}
--- a/internal/controlplane/configversion/guide.go
+++ b/internal/controlplane/configversion/guide.go
@@ -107,7 +107,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b Behind) int {
-		return cmp.Or(cmp.Compare(a.Member.ID, b.Member.ID), cmp.Compare(a.Member.Boot, b.Member.Boot), cmp.Compare(a.Item, b.Item))
+		return cmp.Or(cmp.Compare(a.Member.ID, b.Member.ID), cmp.Compare(a.Member.Incarnation, b.Member.Incarnation), cmp.Compare(a.Item, b.Item))
 	})
 	return all
 }
--- a/internal/controlplane/configversion/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -66,7 +66,7 @@
 // take carries an Op out. The number is that of the version that it made, if it made one.
 func (m *Machine) take(at time.Duration, who lease.Member, op *Op) (number uint64, err error) {
 	if op.Term != 0 {
-		if err := m.fence.Fence(Duty, op.Term, who); err != nil {
+		if err := m.fence.Fence(Role, op.Term, who); err != nil {
 			return 0, err
 		}
 	}
@@ -121,8 +121,8 @@
 	}
 	s.Until = at + m.rules.Enrol
 	for _, boot := range op.Gone {
-		if boot != who.Boot {
-			delete(m.members, lease.Member{ID: who.ID, Boot: boot})
+		if boot != who.Incarnation {
+			delete(m.members, lease.Member{ID: who.ID, Incarnation: boot})
 		}
 	}
 }
@@ -178,18 +178,18 @@
 
 // head takes in where a record stands. A process that names another hash for the same entry, or goes back, has told two stories.
 func (m *Machine) head(who lease.Member, h *auditlog.Head) error {
-	if h == nil || h.ID != who.ID || h.Boot != strconv.FormatUint(who.Boot, 16) || !digest.MatchString(h.Hash) {
+	if h == nil || h.ID != who.ID || h.Incarnation != strconv.FormatUint(who.Incarnation, 16) || !digest.MatchString(h.Hash) {
 		return ErrBad
 	}
 	all := m.heads[who.ID]
-	i := slices.IndexFunc(all, func(o auditlog.Head) bool { return o.Boot == h.Boot })
+	i := slices.IndexFunc(all, func(o auditlog.Head) bool { return o.Incarnation == h.Incarnation })
 	if i < 0 {
 		all = append(all, *h)
 		m.heads[who.ID] = all[max(0, len(all)-headsMost):]
 		return nil
 	}
 	if h.Seq < all[i].Seq || h.Seq == all[i].Seq && h.Hash != all[i].Hash {
-		m.forks = append(m.forks, auditlog.Damage{ID: h.ID, Boot: h.Boot, Seq: h.Seq, What: fmt.Sprintf("its process told of entry %d before", all[i].Seq)})
+		m.forks = append(m.forks, auditlog.Damage{ID: h.ID, Incarnation: h.Incarnation, Seq: h.Seq, What: fmt.Sprintf("its process told of entry %d before", all[i].Seq)})
 		m.forks = m.forks[max(0, len(m.forks)-forksMost):]
 		return nil // it is on record
 	}
--- a/internal/controlplane/configversion/state.go
+++ b/internal/controlplane/configversion/state.go
@@ -64,7 +64,7 @@
 		v.Members = append(v.Members, *s)
 	}
 	slices.SortFunc(v.Members, func(a, b Standing) int {
-		return cmp.Or(cmp.Compare(a.Member.ID, b.Member.ID), cmp.Compare(a.Member.Boot, b.Member.Boot))
+		return cmp.Or(cmp.Compare(a.Member.ID, b.Member.ID), cmp.Compare(a.Member.Incarnation, b.Member.Incarnation))
 	})
 	for _, s := range m.shut {
 		v.Shut = append(v.Shut, s)
--- a/internal/controlplane/configversion/versions.go
+++ b/internal/controlplane/configversion/versions.go
@@ -23,7 +23,7 @@
 // MachineName is what the agreed state calls the versions; Duty is the duty of guiding roll-outs.
 const (
 	MachineName = "versions"
-	Duty        = "versions"
+	Role        = "versions"
 )
 
 // Rules are the same for all gateways of a fleet.
--- a/internal/controlplane/configversion/versions_test.go
+++ b/internal/controlplane/configversion/versions_test.go
@@ -14,7 +14,7 @@
 func (anyTerm) Fence(string, uint64, lease.Member) error { return nil }
 
 var (
-	a, b = lease.Member{ID: "a", Boot: 1}, lease.Member{ID: "b", Boot: 2}
+	a, b = lease.Member{ID: "a", Incarnation: 1}, lease.Member{ID: "b", Incarnation: 2}
 	one  = strings.Repeat("1", 64)
 	two  = strings.Repeat("2", 64)
 )
--- a/internal/controlplane/consensus/agree_test.go
+++ b/internal/controlplane/consensus/agree_test.go
@@ -88,14 +88,14 @@
 func TestOneThatIsAlwaysRefusedStaysAMember(t *testing.T) {
 	a := newAlone(t, map[string]Machine{lease.MachineName: lease.NewMachine(lease.Defaults())})
 	var sessions, seqs [2]uint64
-	who := []lease.Member{{ID: "owner", Boot: 1}, {ID: "other", Boot: 2}}
+	who := []lease.Member{{ID: "owner", Incarnation: 1}, {ID: "other", Incarnation: 2}}
 	ask := func(i int) *controlpb.Answer {
 		seqs[i]++
-		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], Floor: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Do: "ask", Duty: "d", Term: 1}.Encode(),
-			Member: &controlpb.Member{Id: who[i].ID, Boot: who[i].Boot}})
+		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], Floor: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Do: "ask", Role: "d", Term: 1}.Encode(),
+			Member: &controlpb.Member{Id: who[i].ID, Incarnation: who[i].Incarnation}})
 	}
 	for i := range who {
-		sessions[i] = a.do(&controlpb.Command{Member: &controlpb.Member{Id: who[i].ID, Boot: who[i].Boot}}).Session
+		sessions[i] = a.do(&controlpb.Command{Member: &controlpb.Member{Id: who[i].ID, Incarnation: who[i].Incarnation}}).Session
 	}
 	entries := a.node.applied
 	for a.now = 0; a.now < 10*SessionSpan; a.pass(500 * time.Millisecond) {
--- a/internal/controlplane/consensus/apply.go
+++ b/internal/controlplane/consensus/apply.go
@@ -55,7 +55,7 @@
 	n.clock.saw(at, now)
 	if e.Session == 0 {
 		n.sessions.expire(at)
-		who := lease.Member{ID: e.Member.GetId(), Boot: e.Member.GetBoot()}
+		who := lease.Member{ID: e.Member.GetId(), Incarnation: e.Member.GetIncarnation()}
 		number, code := n.sessions.open(n.applied, who, e.Member.GetAddress(), at)
 		a := &controlpb.Answer{Code: code, Session: number}
 		if code == controlpb.Code_SUPERSEDED {
--- a/internal/controlplane/consensus/leaders_test.go
+++ b/internal/controlplane/consensus/leaders_test.go
@@ -138,7 +138,7 @@
 			number, n := w.leader()
 			leaders[number] = true
 			if w.r.IntN(2) == 0 {
-				who := &controlpb.Member{Id: fmt.Sprintf("g%d", w.r.IntN(10)), Boot: step + 1, Address: "at"}
+				who := &controlpb.Member{Id: fmt.Sprintf("g%d", w.r.IntN(10)), Incarnation: step + 1, Address: "at"}
 				n.Submit(w.now, &controlpb.Command{Member: who}, who)
 				w.ended(n, who)
 			}
--- a/internal/controlplane/consensus/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -100,7 +100,7 @@
 func digestOf(who lease.Member, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(who.ID)) // a hash has no errors
-	_, _ = h.Write(binary.BigEndian.AppendUint64([]byte{0}, who.Boot))
+	_, _ = h.Write(binary.BigEndian.AppendUint64([]byte{0}, who.Incarnation))
 	_, _ = h.Write([]byte(address))
 	return mixed(h.Sum64())
 }
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -18,7 +18,7 @@
 // open opens a session and gives its number.
 func (a *alone) open(id string, boot uint64) uint64 {
 	a.t.Helper()
-	answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: id, Boot: boot, Address: "at-" + id}})
+	answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: id, Incarnation: boot, Address: "at-" + id}})
 	if answer.Code != controlpb.Code_OK {
 		a.t.Fatalf("opening %s/%d: %v", id, boot, answer)
 	}
@@ -107,7 +107,7 @@
 	expect(false, "the same process asked for a session again")
 	two := a.open("a", 2)
 	expect(true, "another process took the id")
-	if answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: "a", Boot: 1}}); answer.Code != controlpb.Code_SUPERSEDED {
+	if answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: "a", Incarnation: 1}}); answer.Code != controlpb.Code_SUPERSEDED {
 		t.Fatal(answer)
 	}
 	expect(false, "the earlier process was refused")
@@ -121,7 +121,7 @@
 	expect(false, "a session that ran out is still there")
 	a.open("b", 1)
 	expect(true, "one session ran out, another began")
-	if got := names(a.node.sessions.memberAnswer(&MembershipQuery{}, 0).Members); !slices.Equal(got, []string{lease.Member{ID: "b", Boot: 1}.String() + "@at-b"}) {
+	if got := names(a.node.sessions.memberAnswer(&MembershipQuery{}, 0).Members); !slices.Equal(got, []string{lease.Member{ID: "b", Incarnation: 1}.String() + "@at-b"}) {
 		t.Fatal(got)
 	}
 }
@@ -157,7 +157,7 @@
 		t.Error("a change of a member is one of some members, and none of the voters")
 	}
 	if got := names(some.Members()); !slices.Equal(got, []string{
-		lease.Member{ID: "gateway-03", Boot: 2}.String() + "@at-gateway-03", lease.Member{ID: "gateway-07", Boot: 1}.String() + "@at-gateway-07"}) {
+		lease.Member{ID: "gateway-03", Incarnation: 2}.String() + "@at-gateway-03", lease.Member{ID: "gateway-07", Incarnation: 1}.String() + "@at-gateway-07"}) {
 		t.Error(got)
 	}
 	before := a.node.sessions.log.current()
@@ -246,7 +246,7 @@
 	for _, id := range []string{"v", "a", "b", "c", "d", "e"} {
 		a.open(id, 1)
 	}
-	a.do(&controlpb.Command{Member: &controlpb.Member{Id: "nowhere", Boot: 1}})
+	a.do(&controlpb.Command{Member: &controlpb.Member{Id: "nowhere", Incarnation: 1}})
 	drawn := map[string]bool{}
 	for seed := range uint64(40) {
 		answer, err := ParseMembershipAnswer(a.read((&MembershipQuery{Scope: ScopeSample, Sample: 2, Seed: seed}).Encode()).Body)
@@ -300,7 +300,7 @@
 				t.Fatal(err)
 			}
 		}
-		if m := c.Members(); len(m) != 1 || m[0].Boot != 2 || !m[0].Active() || !slices.Equal(m[0].Retired, []uint64{1}) {
+		if m := c.Members(); len(m) != 1 || m[0].Incarnation != 2 || !m[0].Active() || !slices.Equal(m[0].Retired, []uint64{1}) {
 			t.Errorf("%+v: %+v", query, m)
 		}
 		if v := c.Voters(); len(v) != 1 || v[0].Name != "v" {
@@ -319,7 +319,7 @@
 	if err := c.Take(change); !errors.Is(err, ErrCache) {
 		t.Error(err)
 	}
-	whole := fmt.Appendf(nil, `{"revision":{"index":4,"digest":%d},"members":[{"id":"a","boot":1}]}`, digestOfNone^digestOf(lease.Member{ID: "a", Boot: 1}, ""))
+	whole := fmt.Appendf(nil, `{"revision":{"index":4,"digest":%d},"members":[{"id":"a","boot":1}]}`, digestOfNone^digestOf(lease.Member{ID: "a", Incarnation: 1}, ""))
 	if err := c.Take(whole); err != nil {
 		t.Fatal(err)
 	}
@@ -355,7 +355,7 @@
 		switch {
 		case kind < 3:
 			s.expire(w.at)
-			s.open(w.index, lease.Member{ID: id, Boot: w.boots}, "at", w.at)
+			s.open(w.index, lease.Member{ID: id, Incarnation: w.boots}, "at", w.at)
 		case kind < 4 && in != nil:
 			s.open(w.index, in.member, in.address, w.at)
 		default:
@@ -459,7 +459,7 @@
 	for i, s := range []*sessions{first, second} {
 		s.log.begin(0)
 		for index := range uint64(10) {
-			s.open(index+1, lease.Member{ID: fmt.Sprintf("g%d", index), Boot: uint64(i) + 1}, "", 0)
+			s.open(index+1, lease.Member{ID: fmt.Sprintf("g%d", index), Incarnation: uint64(i) + 1}, "", 0)
 			s.log.commit(index + 1)
 		}
 	}
@@ -489,7 +489,7 @@
 	w := &replicas{t: t}
 	w.compare(c, s)
 	for index := range uint64(4 * maxMembershipChanges) {
-		s.open(index+1, lease.Member{ID: fmt.Sprintf("g%d", index), Boot: 1}, "", 0)
+		s.open(index+1, lease.Member{ID: fmt.Sprintf("g%d", index), Incarnation: 1}, "", 0)
 		s.log.commit(index + 1)
 		if s.log.kept > maxMembershipChanges || len(s.log.changes) > maxMembershipChanges {
 			t.Fatalf("%d changes of %d ids are kept", len(s.log.changes), s.log.kept)
--- a/internal/controlplane/consensus/requests.go
+++ b/internal/controlplane/consensus/requests.go
@@ -65,7 +65,7 @@
 	if !n.able(tag) {
 		return
 	}
-	who := lease.Member{ID: c.Member.GetId(), Boot: c.Member.GetBoot()}
+	who := lease.Member{ID: c.Member.GetId(), Incarnation: c.Member.GetIncarnation()}
 	at := n.clock.now(now)
 	e := &controlpb.Entry{At: uint64(at), Session: c.Session, Seq: c.Seq, Floor: c.Floor, Machine: c.Machine, Body: c.Body}
 	if c.Session == 0 {
@@ -93,7 +93,7 @@
 func (n *Node) endsAtOnce(at time.Duration, who lease.Member, c *controlpb.Command, tag any) bool {
 	in, answer, had, code := n.sessions.known(c.Session, c.Seq)
 	switch {
-	case code == controlpb.Code_NO_SESSION && slices.Contains(n.sessions.retired[who.ID], who.Boot):
+	case code == controlpb.Code_NO_SESSION && slices.Contains(n.sessions.retired[who.ID], who.Incarnation):
 		n.refuse(tag, controlpb.Code_SUPERSEDED, superseded(who))
 		return true
 	case code != controlpb.Code_OK:
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, who := range slices.SortedFunc(maps.Keys(n.opens), func(a, b lease.Member) int {
-		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Boot, b.Boot))
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 	}) {
 		end(n.opens[who]...)
 	}
--- a/internal/controlplane/consensus/sample_test.go
+++ b/internal/controlplane/consensus/sample_test.go
@@ -14,7 +14,7 @@
 func drawnSessions(r *rand.Rand, n int) *sessions {
 	s := newSessions()
 	for i := range n {
-		who := lease.Member{ID: fmt.Sprintf("g%d", r.IntN(10*n)), Boot: r.Uint64()}
+		who := lease.Member{ID: fmt.Sprintf("g%d", r.IntN(10*n)), Incarnation: r.Uint64()}
 		s.open(uint64(i+1), who, fmt.Sprintf("127.0.0.1:%d", i), 0)
 	}
 	return s
--- a/internal/controlplane/consensus/sessions.go
+++ b/internal/controlplane/consensus/sessions.go
@@ -44,11 +44,11 @@
 // open begins a session under a number. The newest process of an id goes first: an older one's session ends,
 // and it can't open another. The same process asking twice gets the session that it has.
 func (s *sessions) open(number uint64, who lease.Member, address string, at time.Duration) (uint64, controlpb.Code) {
-	if slices.Contains(s.retired[who.ID], who.Boot) {
+	if slices.Contains(s.retired[who.ID], who.Incarnation) {
 		return 0, controlpb.Code_SUPERSEDED
 	}
 	if old := s.byID[who.ID]; old != nil {
-		if old.member.Boot == who.Boot {
+		if old.member.Incarnation == who.Incarnation {
 			old.seen = at
 			return old.number, controlpb.Code_OK
 		}
@@ -67,7 +67,7 @@
 
 // retire ends a session that another process of its id has followed.
 func (s *sessions) retire(old *session) {
-	boots := append(s.retired[old.member.ID], old.member.Boot)
+	boots := append(s.retired[old.member.ID], old.member.Incarnation)
 	s.retired[old.member.ID] = boots[max(0, len(boots)-retiredMost):]
 	s.drop(old)
 }
@@ -138,7 +138,7 @@
 // write puts the sessions into a snapshot, in an order of their own.
 func (s *sessions) write(to *controlpb.Snapshot) {
 	for _, n := range s.byNumber {
-		w := &controlpb.Session{Number: n.number, Member: &controlpb.Member{Id: n.member.ID, Boot: n.member.Boot, Address: n.address}, Seen: uint64(n.seen), Floor: n.floor}
+		w := &controlpb.Session{Number: n.number, Member: &controlpb.Member{Id: n.member.ID, Incarnation: n.member.Incarnation, Address: n.address}, Seen: uint64(n.seen), Floor: n.floor}
 		for seq, answer := range n.answers {
 			w.Answers = append(w.Answers, &controlpb.Kept{Seq: seq, Answer: answer})
 		}
@@ -147,7 +147,7 @@
 	}
 	slices.SortFunc(to.Sessions, func(a, b *controlpb.Session) int { return cmp.Compare(a.Number, b.Number) })
 	for id, boots := range s.retired {
-		to.Retired = append(to.Retired, &controlpb.Retired{Id: id, Boots: boots})
+		to.Retired = append(to.Retired, &controlpb.Retired{Id: id, Incarnations: boots})
 	}
 	slices.SortFunc(to.Retired, func(a, b *controlpb.Retired) int { return cmp.Compare(a.Id, b.Id) })
 }
@@ -155,7 +155,7 @@
 func readSessions(from *controlpb.Snapshot) *sessions {
 	s := newSessions()
 	for _, w := range from.Sessions {
-		n := &session{number: w.Number, member: lease.Member{ID: w.Member.GetId(), Boot: w.Member.GetBoot()}, address: w.Member.GetAddress(),
+		n := &session{number: w.Number, member: lease.Member{ID: w.Member.GetId(), Incarnation: w.Member.GetIncarnation()}, address: w.Member.GetAddress(),
 			seen: time.Duration(w.Seen), floor: w.Floor, answers: map[uint64][]byte{}}
 		for _, k := range w.Answers {
 			n.answers[k.Seq] = k.Answer
@@ -163,7 +163,7 @@
 		s.add(n)
 	}
 	for _, r := range from.Retired {
-		s.retired[r.Id] = r.Boots
+		s.retired[r.Id] = r.Incarnations
 	}
 	return s
 }
--- a/internal/controlplane/controlrpc/client.go
+++ b/internal/controlplane/controlrpc/client.go
@@ -217,7 +217,7 @@
 }
 
 func (c *Client) member() *controlpb.Member {
-	return &controlpb.Member{Id: c.me.ID, Boot: c.me.Boot, Address: c.address}
+	return &controlpb.Member{Id: c.me.ID, Incarnation: c.me.Incarnation, Address: c.address}
 }
 
 func (c *Client) superseded(why string) error {
@@ -330,7 +330,7 @@
 // voter may tell: the state may be older than what another answers.
 func (c *Client) Watch(ctx context.Context, machine string, do func(state []byte)) {
 	c.mu.Lock()
-	i := int(c.me.Boot % 1024) // the watchers are spread over the voters
+	i := int(c.me.Incarnation % 1024) // the watchers are spread over the voters
 	c.mu.Unlock()
 	for ; ctx.Err() == nil; i++ {
 		c.mu.Lock()
@@ -374,7 +374,7 @@
 	}
 	ask := &controlpb.CollectAsk{Fleet: c.fleet}
 	for boot, period := range had {
-		ask.Had = append(ask.Had, &controlpb.Collected{Boot: boot, Period: period})
+		ask.Had = append(ask.Had, &controlpb.Collected{Incarnation: boot, Period: period})
 	}
 	s, err := to.Collect(ctx, ask)
 	if err != nil {
--- a/internal/controlplane/controlrpc/fleetlink_test.go
+++ b/internal/controlplane/controlrpc/fleetlink_test.go
@@ -63,7 +63,7 @@
 }
 
 func client(t testing.TB, id string, all []*controlpb.Voter) *Client {
-	c := NewClient("test", lease.Member{ID: id, Boot: rand.Uint64()}, "", all, nil, quiet)
+	c := NewClient("test", lease.Member{ID: id, Incarnation: rand.Uint64()}, "", all, nil, quiet)
 	t.Cleanup(c.Close)
 	return c
 }
--- a/internal/controlplane/controlrpc/server.go
+++ b/internal/controlplane/controlrpc/server.go
@@ -274,7 +274,7 @@
 	}
 	had := map[uint64]uint64{}
 	for _, c := range ask.Had {
-		had[c.Boot] = c.Period
+		had[c.Incarnation] = c.Period
 	}
 	return s.parts(had, out.Send)
 }
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -17,10 +17,10 @@
 		Direct: cfg.Direct, Silent: cfg.Silent,
 		Client: distributor.ClientOptions{
 			Link: n.client, Places: cfg.Places, File: distributor.StatePath(cfg.Dir), Log: cfg.Log,
-			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Boot, cfg.Place, cfg.Silent),
+			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Incarnation, cfg.Place, cfg.Silent),
 		},
 	})
-	n.duties.Add(distribution.Duty, n.list.Work)
+	n.duties.Add(distribution.Role, n.list.Work)
 }
 
 // machines are new ones, of which the distribution's is served to replicas.
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -12,7 +12,7 @@
 // MachineName is what the agreed state calls the machine, and Duty the duty of watching the register for the fleet.
 const (
 	MachineName = "distribution"
-	Duty        = "register"
+	Role        = "register"
 )
 
 // Fence refuses a command under an old term.
@@ -65,7 +65,7 @@
 	if err := proto.Unmarshal(body, &command); err != nil {
 		return nil, &InvalidMessageError{"command", err.Error()}
 	}
-	if err := m.fence.Fence(Duty, command.Term, who); err != nil {
+	if err := m.fence.Fence(Role, command.Term, who); err != nil {
 		return nil, err
 	}
 	if command.Term != m.term && !command.Whole {
@@ -154,7 +154,7 @@
 // Snapshot writes the machine: the same bytes for the same state.
 func (m *Machine) Snapshot() []byte {
 	return encode(&distributionpb.Snapshot{
-		Position: m.state.Position().Proto(), Term: m.term, OwnerId: m.owner.ID, OwnerBoot: m.owner.Boot,
+		Position: m.state.Position().Proto(), Term: m.term, OwnerId: m.owner.ID, OwnerIncarnation: m.owner.Incarnation,
 		Records: recordsProto(m.state),
 	})
 }
@@ -171,7 +171,7 @@
 		return err
 	}
 	m.state, m.term = state, snapshot.Term
-	m.owner = lease.Member{ID: snapshot.OwnerId, Boot: snapshot.OwnerBoot}
+	m.owner = lease.Member{ID: snapshot.OwnerId, Incarnation: snapshot.OwnerIncarnation}
 	m.changes++
 	m.tell(Update{Restored: true})
 	return nil
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-var watcher = lease.Member{ID: "g-1", Boot: 1}
+var watcher = lease.Member{ID: "g-1", Incarnation: 1}
 
 func command(term, epoch uint64, whole bool, changes ...Change) []byte {
 	return encode(&distributionpb.Command{Term: term, Epoch: epoch, Whole: whole, Changes: ChangesProto(changes)})
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -22,7 +22,7 @@
 
 var (
 	quiet  = slog.New(slog.NewTextHandler(io.Discard, nil))
-	source = lease.Member{ID: "source", Boot: 1}
+	source = lease.Member{ID: "source", Incarnation: 1}
 )
 
 // openFence lets everybody through.
@@ -162,10 +162,10 @@
 	for i, s := range servers {
 		voters = append(voters, &controlpb.Voter{Name: string(rune('a' + i)), Address: s.address})
 	}
-	me := lease.Member{ID: id, Boot: 1}
+	me := lease.Member{ID: id, Incarnation: 1}
 	return ClientOptions{
 		Link:     controlrpc.NewClient(fleet, me, "", voters, nil, log),
-		Settings: NewReplicaSettings(fleet, id, me.Boot, distribution.Place{}, silent), File: file, Log: log,
+		Settings: NewReplicaSettings(fleet, id, me.Incarnation, distribution.Place{}, silent), File: file, Log: log,
 	}
 }
 
--- a/internal/controlplane/distributor/support_test.go
+++ b/internal/controlplane/distributor/support_test.go
@@ -26,7 +26,7 @@
 	voters := []*controlpb.Voter{
 		{Name: "new", Address: s.address}, {Name: "older", Address: listener.Addr().String()}, {Name: "other", Address: other.address},
 	}
-	link := controlrpc.NewClient(fleet, lease.Member{ID: "owner", Boot: 1}, "", voters, nil, quiet)
+	link := controlrpc.NewClient(fleet, lease.Member{ID: "owner", Incarnation: 1}, "", voters, nil, quiet)
 	defer link.Close()
 	var log logBuffer
 	support := voterSupport{link: link, log: logTo(&log)}
--- a/internal/controlplane/election/election.go
+++ b/internal/controlplane/election/election.go
@@ -18,7 +18,7 @@
 // Tenure is one leadership: the time under one term in which this process holds a role. It is what the work of
 // the role gets. Its methods may be called from any goroutine.
 type Tenure struct {
-	Duty string
+	Role string
 	Term uint64
 	r    *runner
 }
--- a/internal/controlplane/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -16,7 +16,7 @@
 func (r *runner) request(sent time.Duration, knows uint64, rank int) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.Rules.Span)
 	defer cancel()
-	raw, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "ask", Duty: r.name, Term: knows}.Encode())
+	raw, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "ask", Role: r.name, Term: knows}.Encode())
 	var res lease.Result
 	if err == nil {
 		err = json.Unmarshal(raw, &res)
@@ -53,6 +53,6 @@
 func (r *runner) release(term uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.Rules.Span)
 	defer cancel()
-	_, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "release", Duty: r.name, Term: term}.Encode())
+	_, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "release", Role: r.name, Term: term}.Encode())
 	r.set.opt.Log.Info("fleet: duty given up again", "duty", r.name, "term", term, "error", err)
 }
--- a/internal/controlplane/election/runner.go
+++ b/internal/controlplane/election/runner.go
@@ -137,6 +137,6 @@
 		if before != nil {
 			<-before // the work of one role never runs twice at once in this process
 		}
-		r.work(ctx, &Tenure{Duty: r.name, Term: h.Term, r: r})
+		r.work(ctx, &Tenure{Role: r.name, Term: h.Term, r: r})
 	}()
 }
--- a/internal/controlplane/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -15,7 +15,7 @@
 	next, known := r.successor(ctx, to)
 	if to != "" && !known {
 		// That member takes no part: the wish is withdrawn, and the role stays here.
-		_, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "wish", Duty: r.name}.Encode())
+		_, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "wish", Role: r.name}.Encode())
 		r.set.opt.Log.Warn("fleet: duty can't be handed on: no such gateway takes part", "duty", r.name, "to", to, "error", err)
 		return
 	}
@@ -32,7 +32,7 @@
 	case <-worked:
 	case <-time.After(stopTimeout):
 	}
-	op := lease.Op{Do: "release", Duty: r.name, Term: term}
+	op := lease.Op{Do: "release", Role: r.name, Term: term}
 	if known {
 		op.Do, op.To = "hand", next
 	}
--- a/internal/controlplane/election/watch.go
+++ b/internal/controlplane/election/watch.go
@@ -16,11 +16,11 @@
 	}
 	me := s.opt.Client.Me()
 	s.mu.Lock()
-	for _, h := range v.Duties {
-		if h.Term < s.owners[h.Duty].Term {
+	for _, h := range v.Roles {
+		if h.Term < s.owners[h.Role].Term {
 			continue // an older state, from another replica
 		}
-		s.owners[h.Duty] = h
+		s.owners[h.Role] = h
 		if _, known := s.at[h.Owner.ID]; h.Owner.ID != "" && !known {
 			select {
 			case s.unknown <- struct{}{}:
@@ -29,8 +29,8 @@
 		}
 	}
 	s.mu.Unlock()
-	for _, h := range v.Duties {
-		r := s.runners[h.Duty]
+	for _, h := range v.Roles {
+		r := s.runners[h.Role]
 		if r == nil {
 			continue
 		}
--- a/internal/controlplane/endpointlist/roster.go
+++ b/internal/controlplane/endpointlist/roster.go
@@ -16,7 +16,7 @@
 // MachineName is what the agreed state calls it, and Duty the duty of watching.
 const (
 	MachineName = "roster"
-	Duty        = "register"
+	Role        = "register"
 )
 
 // Op is the watcher's word: what has changed, or that nothing has.
@@ -63,7 +63,7 @@
 	if err := json.Unmarshal(body, &op); err != nil {
 		return []byte(err.Error())
 	}
-	if err := m.fence.Fence(Duty, op.Term, who); err != nil {
+	if err := m.fence.Fence(Role, op.Term, who); err != nil {
 		return []byte(err.Error())
 	}
 	if op.Term != m.list.Term && !op.Whole {
--- a/internal/controlplane/endpointwatch/fleetwatch.go
+++ b/internal/controlplane/endpointwatch/fleetwatch.go
@@ -199,7 +199,7 @@
 
 // head takes in that the fleet's watcher said something.
 func (r *receiver) head(ctx context.Context, h endpointlist.Head) {
-	if _, err := r.gate.Admit(endpointlist.Duty, h.Term, h.Owner); err != nil {
+	if _, err := r.gate.Admit(endpointlist.Role, h.Term, h.Owner); err != nil {
 		r.w.Log.Debug("fleet: list of servers", "error", err)
 		return
 	}
@@ -214,7 +214,7 @@
 		if err != nil || json.Unmarshal(raw, &l) != nil {
 			return // it is not heard, then
 		}
-		if _, err := r.gate.Admit(endpointlist.Duty, l.Term, l.Owner); err != nil {
+		if _, err := r.gate.Admit(endpointlist.Role, l.Term, l.Owner); err != nil {
 			return
 		}
 		r.stop()
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -30,11 +30,11 @@
 // Member is one process: an id and a boot, which is drawn anew with each process. What
 // was given to one boot is not another's.
 type Member struct {
-	ID   string `json:"id"`
-	Boot uint64 `json:"boot"`
+	ID          string `json:"id"`
+	Incarnation uint64 `json:"boot"`
 }
 
-func (m Member) String() string { return fmt.Sprintf("%s/%x", m.ID, m.Boot) }
+func (m Member) String() string { return fmt.Sprintf("%s/%x", m.ID, m.Incarnation) }
 
 // Rules are how long things hold.
 type Rules struct {
@@ -73,7 +73,7 @@
 
 // Holding is a duty as the Table has it. Times are the fleet's.
 type Holding struct {
-	Duty    string        `json:"duty"`
+	Role    string        `json:"duty"`
 	Term    uint64        `json:"term"`
 	Owner   Member        `json:"owner"` // without id: nobody
 	Since   time.Duration `json:"since"`
@@ -111,7 +111,7 @@
 func (t *Table) Ask(at time.Duration, duty string, who Member, knows uint64) (Holding, error) {
 	h := t.duties[duty]
 	if h == nil {
-		h = &Holding{Duty: duty}
+		h = &Holding{Role: duty}
 		t.duties[duty] = h
 	}
 	switch {
@@ -162,8 +162,8 @@
 	h.Wish = "" // it was for the owner of that term
 	h.Term++
 	h.Owner, h.Since, h.Until, h.Cause, h.Offered = who, at, at+t.rules.withMargin(span), cause, false
-	log := append(t.history[h.Duty], *h)
-	t.history[h.Duty] = log[max(0, len(log)-historyMost):]
+	log := append(t.history[h.Role], *h)
+	t.history[h.Role] = log[max(0, len(log)-historyMost):]
 }
 
 // Release gives a duty up before its time.
@@ -222,13 +222,13 @@
 	return 0
 }
 
-// Duties are all duties as they are, by name.
-func (t *Table) Duties() []Holding {
+// Roles are all duties as they are, by name.
+func (t *Table) Roles() []Holding {
 	all := make([]Holding, 0, len(t.duties))
 	for _, h := range t.duties {
 		all = append(all, *h)
 	}
-	slices.SortFunc(all, func(a, b Holding) int { return cmp.Compare(a.Duty, b.Duty) })
+	slices.SortFunc(all, func(a, b Holding) int { return cmp.Compare(a.Role, b.Role) })
 	return all
 }
 
@@ -237,13 +237,13 @@
 
 // tableState is a table as it is written.
 type tableState struct {
-	Duties  []Holding            `json:"duties"`
+	Roles   []Holding            `json:"duties"`
 	History map[string][]Holding `json:"history"`
 }
 
 // Snapshot writes the table: the same text for the same content.
 func (t *Table) Snapshot() []byte {
-	return mustjson.Marshal(tableState{t.Duties(), t.history})
+	return mustjson.Marshal(tableState{t.Roles(), t.history})
 }
 
 // Restore reads what Snapshot wrote, in place of all that is there.
@@ -256,8 +256,8 @@
 	if t.history == nil {
 		t.history = map[string][]Holding{}
 	}
-	for _, h := range s.Duties {
-		t.duties[h.Duty] = &h
+	for _, h := range s.Roles {
+		t.duties[h.Role] = &h
 	}
 	return nil
 }
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -68,8 +68,8 @@
 	if err := copied.Restore(tb.Snapshot()); err != nil || string(copied.Snapshot()) != string(tb.Snapshot()) {
 		t.Errorf("%v: %s, %s", err, copied.Snapshot(), tb.Snapshot())
 	}
-	if _, err := tb.Ask(400*ms, "d", b, 0); err != nil || tb.Duties()[0].Wish != "" {
-		t.Errorf("a wish outlived its term: %+v, %v", tb.Duties(), err)
+	if _, err := tb.Ask(400*ms, "d", b, 0); err != nil || tb.Roles()[0].Wish != "" {
+		t.Errorf("a wish outlived its term: %+v, %v", tb.Roles(), err)
 	}
 }
 
--- a/internal/controlplane/lease/machine.go
+++ b/internal/controlplane/lease/machine.go
@@ -14,7 +14,7 @@
 // Op is one command to the agreed table of duties.
 type Op struct {
 	Do   string `json:"do"` // ask, release, hand or wish
-	Duty string `json:"duty"`
+	Role string `json:"duty"`
 	Term uint64 `json:"term,omitempty"` // of an ask: the newest that the asker has heard that it holds
 	To   Member `json:"to,omitzero"`    // of a hand: who; of a wish: its id
 }
@@ -43,30 +43,30 @@
 // Apply carries an Op out and gives a Result.
 func (m *Machine) Apply(at time.Duration, _ uint64, who Member, body []byte) []byte {
 	var op Op
-	if err := json.Unmarshal(body, &op); err != nil || op.Duty == "" {
+	if err := json.Unmarshal(body, &op); err != nil || op.Role == "" {
 		return mustjson.Marshal(Result{Why: "no such command to duties"})
 	}
-	before := m.Term(op.Duty)
+	before := m.Term(op.Role)
 	var h Holding
 	var err error
 	switch op.Do {
 	case "ask":
-		offered := m.duties[op.Duty] != nil && m.duties[op.Duty].Offered
-		if h, err = m.Ask(at, op.Duty, who, op.Term); offered && err == nil && !h.Offered {
+		offered := m.duties[op.Role] != nil && m.duties[op.Role].Offered
+		if h, err = m.Ask(at, op.Role, who, op.Term); offered && err == nil && !h.Offered {
 			m.changes++ // it was heard of
 		}
 	case "release":
-		err = m.Release(at, op.Duty, op.Term, who)
+		err = m.Release(at, op.Role, op.Term, who)
 	case "hand":
-		err = m.HandOn(at, op.Duty, op.Term, who, op.To)
+		err = m.HandOn(at, op.Role, op.Term, who, op.To)
 	case "wish":
-		if err = m.Table.Wish(op.Duty, op.To.ID); err == nil {
+		if err = m.Table.Wish(op.Role, op.To.ID); err == nil {
 			m.changes++
 		}
 	default:
 		return mustjson.Marshal(Result{Why: "no such command to duties"})
 	}
-	if m.Term(op.Duty) != before {
+	if m.Term(op.Role) != before {
 		m.changes++
 	}
 	r := Result{OK: err == nil, Holding: h}
@@ -87,7 +87,7 @@
 	if json.Unmarshal(body, &op) != nil || op.Do != "ask" {
 		return nil, false
 	}
-	h, held := m.Held(at, op.Duty, who)
+	h, held := m.Held(at, op.Role, who)
 	if !held {
 		return nil, false
 	}
@@ -97,13 +97,13 @@
 // View is what Query gives.
 type View struct {
 	At      time.Duration `json:"at"`
-	Duties  []Holding     `json:"duties"`
+	Roles   []Holding     `json:"duties"`
 	History []Holding     `json:"history,omitempty"`
 }
 
 // Query gives a View, with the history of the duty that the body names.
 func (m *Machine) Query(at time.Duration, body []byte) []byte {
-	v := View{At: at, Duties: m.Duties()}
+	v := View{At: at, Roles: m.Roles()}
 	if len(body) > 0 {
 		v.History = m.History(string(body))
 	}
--- a/internal/controlplane/metering/metering.go
+++ b/internal/controlplane/metering/metering.go
@@ -309,7 +309,7 @@
 		if err := json.Unmarshal(item.Value, &p); err != nil {
 			return fmt.Errorf("usecount: period %d of boot %x: %w", number, boot, err)
 		}
-		part := &controlpb.Part{Id: c.id, Boot: boot, Period: number, Begun: p.Begun, Ended: p.Ended, Last: p.Last}
+		part := &controlpb.Part{Id: c.id, Incarnation: boot, Period: number, Begun: p.Begun, Ended: p.Ended, Last: p.Last}
 		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
 			part.Units = append(part.Units, &controlpb.Units{Customer: customer, Units: p.Units[customer]})
 		}
--- a/internal/controlplane/metering/metering_test.go
+++ b/internal/controlplane/metering/metering_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	sums, last = map[[2]uint64]float64{}, map[uint64]bool{}
 	if err := c.Parts(had, func(p *controlpb.Part) error {
-		key := [2]uint64{p.Boot, p.Period}
+		key := [2]uint64{p.Incarnation, p.Period}
 		if _, twice := sums[key]; twice {
 			t.Errorf("period %v twice", key)
 		}
@@ -36,7 +36,7 @@
 		for _, u := range p.Units {
 			sums[key] += u.Units
 		}
-		last[p.Boot] = last[p.Boot] || p.Last
+		last[p.Incarnation] = last[p.Incarnation] || p.Last
 		return nil
 	}); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -87,7 +87,7 @@
 	agent    *rollout.Agent  // nil: there are no versions
 	divide   *allocator.Divider
 	contents *rollout.Contents
-	boots    atomic.Pointer[allocator.Boots]
+	boots    atomic.Pointer[allocator.IncarnationFile]
 	server   atomic.Pointer[controlrpc.Server]
 
 	counter atomic.Pointer[metering.Counter]
@@ -171,21 +171,21 @@
 	}
 	n := &Node{cfg: cfg, ctx: ctx, cancel: cancel, leave: leave, left: make(chan struct{}), ready: make(chan struct{}),
 		early: make(chan use, earlyMost)}
-	n.me = lease.Member{ID: cfg.ID, Boot: rand.Uint64()>>1 | 1}
+	n.me = lease.Member{ID: cfg.ID, Incarnation: rand.Uint64()>>1 | 1}
 	n.client = controlrpc.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
 	n.client.Observe(cfg.Observer)
 	n.duties = election.New(election.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
 	if cfg.Shards > 0 {
 		for shard := range cfg.Shards {
 			e := &usageexporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
-			n.duties.Add(usageexport.Duty(shard), e.Work)
+			n.duties.Add(usageexport.RoleOfShard(shard), e.Work)
 		}
 	}
 	n.distribute()
 	if cfg.Budgets != nil {
 		n.divide = &allocator.Divider{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
 		for shard := range cfg.BudgetShards {
-			n.duties.Spread(allocation.Duty(shard), n.divide.Work)
+			n.duties.Spread(allocation.RoleOfShard(shard), n.divide.Work)
 		}
 		n.rights = allocator.NewUser(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
 		n.rights.Record(cfg.Rights)
@@ -199,7 +199,7 @@
 			}
 		})
 		n.agent.Heads(func() *auditlog.Head { return n.record.Load().Head() })
-		n.duties.Add(configversion.Duty, n.agent.Work)
+		n.duties.Add(configversion.Role, n.agent.Work)
 	}
 	go n.run(holding)
 	return n
@@ -258,7 +258,7 @@
 		if time.Since(began) > tellAfter && !told {
 			told = true
 			n.cfg.Log.Error("fleet: this process does not take part: another one with its id or folder runs, or the folder can't be used; it is tried again",
-				"id", n.cfg.ID, "boot", fmt.Sprintf("%x", n.me.Boot), "folder", n.cfg.Dir, "error", err)
+				"id", n.cfg.ID, "boot", fmt.Sprintf("%x", n.me.Incarnation), "folder", n.cfg.Dir, "error", err)
 		}
 		select {
 		case <-n.ctx.Done():
@@ -275,7 +275,7 @@
 	var parts controlrpc.Parts
 	var counter *metering.Counter
 	if n.cfg.Shards > 0 {
-		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Period, n.cfg.Log); err != nil {
+		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Period, n.cfg.Log); err != nil {
 			return err
 		}
 		parts = counter.Parts
@@ -286,7 +286,7 @@
 		}()
 	}
 	if n.rights != nil || n.agent != nil {
-		boots, bad := allocator.OpenBoots(n.cfg.Dir, n.me.Boot)
+		boots, bad := allocator.OpenIncarnationFile(n.cfg.Dir, n.me.Incarnation)
 		if bad != nil {
 			return bad
 		}
@@ -297,18 +297,18 @@
 		}()
 		n.boots.Store(boots)
 		if n.rights != nil {
-			n.rights.Gone(boots.Gone)
+			n.rights.Gone(boots.Ended)
 		}
 		if n.agent != nil {
 			if err := n.contents.Make(); err != nil {
 				return err
 			}
-			n.agent.Gone(boots.Gone)
+			n.agent.Gone(boots.Ended)
 		}
 	}
 	var record *auditrecorder.Recorder
 	if n.agent != nil {
-		if record, err = auditrecorder.Open(RecordDir(n.cfg.Dir), n.cfg.ID, n.me.Boot, n.cfg.Log); err != nil {
+		if record, err = auditrecorder.Open(RecordDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Log); err != nil {
 			return err
 		}
 		defer func() {
--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -41,7 +41,7 @@
 				last++
 				w.Entries = append(w.Entries, &raftpb.Entry{Index: new(last), Term: new(uint64(1)), Data: raw})
 			}
-			add(&controlpb.Entry{Member: &controlpb.Member{Id: "m", Boot: 1}})
+			add(&controlpb.Entry{Member: &controlpb.Member{Id: "m", Incarnation: 1}})
 			for i := range entries {
 				add(&controlpb.Entry{Session: 2, Seq: uint64(i + 1), Floor: uint64(i), Machine: checkpoint.MachineName,
 					Body: fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i%100, i)})
--- a/internal/controlplane/replica/status_test.go
+++ b/internal/controlplane/replica/status_test.go
@@ -52,7 +52,7 @@
 	publishing := func(sessions int) float64 {
 		v := newLeader(t)
 		for i := range sessions {
-			open := &controlpb.Command{Member: &controlpb.Member{Id: fmt.Sprintf("g%d", i), Boot: 1}}
+			open := &controlpb.Command{Member: &controlpb.Member{Id: fmt.Sprintf("g%d", i), Incarnation: 1}}
 			v.node.Submit(monotonic.Now(), open, func(*controlpb.Answer) {})
 		}
 		if err := v.work(); err != nil {
--- a/internal/controlplane/rollout/difference_test.go
+++ b/internal/controlplane/rollout/difference_test.go
@@ -60,7 +60,7 @@
 func newTestAgent(t *testing.T, id, dir string) *testAgent {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
-	client := controlrpc.NewClient(testFleet, lease.Member{ID: id, Boot: 1}, "", nil, nil, quiet)
+	client := controlrpc.NewClient(testFleet, lease.Member{ID: id, Incarnation: 1}, "", nil, nil, quiet)
 	contents := NewContents(dir)
 	if err := contents.Make(); err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 		server.Stop()
 		running.Wait()
 	})
-	a.source = consensus.MemberAt{Member: lease.Member{ID: id, Boot: 1}, Address: listener.Addr().String()}
+	a.source = consensus.MemberAt{Member: lease.Member{ID: id, Incarnation: 1}, Address: listener.Addr().String()}
 	return a
 }
 
@@ -239,7 +239,7 @@
 	defer server.Stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	source := consensus.MemberAt{Member: lease.Member{ID: "liar", Boot: 2}, Address: listener.Addr().String()}
+	source := consensus.MemberAt{Member: lease.Member{ID: "liar", Incarnation: 2}, Address: listener.Addr().String()}
 	if err := replica.fetchFrom(ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/usageexport/usageexport.go
+++ b/internal/controlplane/usageexport/usageexport.go
@@ -27,8 +27,8 @@
 // maxFiles is how many files are listed; the chain of digests covers older ones.
 const maxFiles = 512
 
-// Duty returns the name of the role that exports a shard.
-func Duty(shard int) string { return "use/" + strconv.Itoa(shard) }
+// RoleOfShard returns the name of the role that exports a shard.
+func RoleOfShard(shard int) string { return "use/" + strconv.Itoa(shard) }
 
 // ShardOf returns the shard in which the use of a gateway is exported.
 func ShardOf(id string, shards int) int {
@@ -39,24 +39,24 @@
 
 // Span is a range of periods of one incarnation in a file, both ends included.
 type Span struct {
-	ID   string `json:"id"`
-	Boot string `json:"boot"` // in hexadecimal
-	From uint64 `json:"from"`
-	To   uint64 `json:"to"`
-	Last bool   `json:"last,omitempty"` // the incarnation counted nothing after it
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"` // in hexadecimal
+	From        uint64 `json:"from"`
+	To          uint64 `json:"to"`
+	Last        bool   `json:"last,omitempty"` // the incarnation counted nothing after it
 }
 
 // Gap is use that was lost, as far as is known: what an incarnation counted after a period.
 type Gap struct {
-	ID    string `json:"id"`
-	Boot  string `json:"boot"`
-	After uint64 `json:"after"`
-	Why   string `json:"why"`
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
+	After       uint64 `json:"after"`
+	Why         string `json:"why"`
 }
 
 // File is an exported file that counts.
 type File struct {
-	Duty   string  `json:"duty"`
+	Role   string  `json:"duty"`
 	Term   uint64  `json:"term"`
 	Owner  string  `json:"owner"` // id
 	Name   string  `json:"name"`
@@ -67,10 +67,10 @@
 	Index  uint64  `json:"index"` // index of the log entry that made it count
 }
 
-// Boot is one incarnation of a gateway.
-type Boot struct {
-	ID   string `json:"id"`
-	Boot string `json:"boot"`
+// Incarnation is one incarnation of a gateway.
+type Incarnation struct {
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
 }
 
 // Op is the command: it makes a file count, and reports gaps and incarnations.
@@ -80,9 +80,9 @@
 	Gaps   []Gap `json:"gaps,omitempty"`
 	// Seen are incarnations that counted use, or may have. They are listed from then on, even if their folders are
 	// lost.
-	Seen []Boot `json:"seen,omitempty"`
-	// Duty and Term are the role and the fencing token under which the command is sent.
-	Duty string `json:"duty"`
+	Seen []Incarnation `json:"seen,omitempty"`
+	// Role and Term are the role and the fencing token under which the command is sent.
+	Role string `json:"duty"`
 	Term uint64 `json:"term"`
 }
 
@@ -94,11 +94,11 @@
 
 // Mark is the last exported period of an incarnation.
 type Mark struct {
-	ID     string `json:"id"`
-	Boot   string `json:"boot"`
-	Period uint64 `json:"period"`
-	Last   bool   `json:"last,omitempty"`
-	Gap    string `json:"gap,omitempty"` // why what came after is lost
+	ID          string `json:"id"`
+	Incarnation string `json:"boot"`
+	Period      uint64 `json:"period"`
+	Last        bool   `json:"last,omitempty"`
+	Gap         string `json:"gap,omitempty"` // why what came after is lost
 }
 
 // View is the answer to a query, and the format of a snapshot.
@@ -126,8 +126,8 @@
 // replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{fence: f, marks: map[[2]string]*Mark{}} }
 
-// BootText returns an incarnation in hexadecimal.
-func BootText(boot uint64) string { return strconv.FormatUint(boot, 16) }
+// IncarnationText returns an incarnation in hexadecimal.
+func IncarnationText(boot uint64) string { return strconv.FormatUint(boot, 16) }
 
 // Apply applies an Op and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
@@ -145,17 +145,17 @@
 
 // take checks a command whole and then applies it.
 func (m *Machine) take(index uint64, who lease.Member, op *Op) error {
-	if err := m.fence.Fence(op.Duty, op.Term, who); err != nil {
+	if err := m.fence.Fence(op.Role, op.Term, who); err != nil {
 		return err
 	}
 	mine := func(id string) error {
-		if d := Duty(ShardOf(id, op.Shards)); d != op.Duty {
-			return fmt.Errorf("exports: the use of %s goes under %s, not %s", id, d, op.Duty)
+		if d := RoleOfShard(ShardOf(id, op.Shards)); d != op.Role {
+			return fmt.Errorf("exports: the use of %s goes under %s, not %s", id, d, op.Role)
 		}
 		return nil
 	}
 	if f := op.File; f != nil {
-		if f.Duty != op.Duty || f.Term != op.Term || f.Name == "" || len(f.SHA256) != 2*sha256.Size {
+		if f.Role != op.Role || f.Term != op.Term || f.Name == "" || len(f.SHA256) != 2*sha256.Size {
 			return fmt.Errorf("exports: file %q: not whole", f.Name)
 		}
 		// All spans are checked before any of them is applied.
@@ -164,13 +164,13 @@
 			if err := mine(s.ID); err != nil {
 				return err
 			}
-			key := [2]string{s.ID, s.Boot}
+			key := [2]string{s.ID, s.Incarnation}
 			done, seen := ends[key]
 			if mark := m.marks[key]; !seen && mark != nil {
 				done = mark.Period
 			}
 			if s.From != done+1 || s.To < s.From {
-				return fmt.Errorf("exports: periods %d to %d of %s/%s: those up to %d are exported", s.From, s.To, s.ID, s.Boot, done)
+				return fmt.Errorf("exports: periods %d to %d of %s/%s: those up to %d are exported", s.From, s.To, s.ID, s.Incarnation, done)
 			}
 			ends[key] = s.To
 		}
@@ -186,10 +186,10 @@
 		}
 	}
 	for _, b := range op.Seen {
-		m.mark(b.ID, b.Boot)
+		m.mark(b.ID, b.Incarnation)
 	}
 	for _, g := range op.Gaps {
-		if mark := m.mark(g.ID, g.Boot); !mark.Last && mark.Gap == "" {
+		if mark := m.mark(g.ID, g.Incarnation); !mark.Last && mark.Gap == "" {
 			mark.Gap = g.Why
 		}
 	}
@@ -197,7 +197,7 @@
 		return nil
 	}
 	for _, s := range op.File.Spans {
-		mark := m.mark(s.ID, s.Boot)
+		mark := m.mark(s.ID, s.Incarnation)
 		mark.Period, mark.Last = s.To, s.Last
 		if s.Last {
 			mark.Gap = "" // its folder came back
@@ -218,7 +218,7 @@
 func (m *Machine) mark(id, boot string) *Mark {
 	key := [2]string{id, boot}
 	if m.marks[key] == nil {
-		m.marks[key] = &Mark{ID: id, Boot: boot}
+		m.marks[key] = &Mark{ID: id, Incarnation: boot}
 	}
 	return m.marks[key]
 }
@@ -233,7 +233,7 @@
 	for _, mark := range m.marks {
 		v.Marks = append(v.Marks, *mark)
 	}
-	slices.SortFunc(v.Marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Boot, b.Boot)) })
+	slices.SortFunc(v.Marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation)) })
 	return mustjson.Marshal(v)
 }
 
@@ -245,7 +245,7 @@
 	}
 	m.marks = map[[2]string]*Mark{}
 	for _, mark := range v.Marks {
-		m.marks[[2]string{mark.ID, mark.Boot}] = &mark
+		m.marks[[2]string{mark.ID, mark.Incarnation}] = &mark
 	}
 	v.Marks = nil
 	m.v = v
--- a/internal/controlplane/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -9,18 +9,18 @@
 )
 
 var (
-	owner = lease.Member{ID: "a", Boot: 1}
-	late  = lease.Member{ID: "b", Boot: 1}
+	owner = lease.Member{ID: "a", Incarnation: 1}
+	late  = lease.Member{ID: "b", Incarnation: 1}
 )
 
 // machine is one whose duty the owner holds under term 2.
 func machine(t *testing.T) *Machine {
 	t.Helper()
 	tb := lease.NewTable(lease.Defaults())
-	if _, err := tb.Ask(0, Duty(0), late, 0); err != nil {
+	if _, err := tb.Ask(0, RoleOfShard(0), late, 0); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := tb.Ask(1<<40, Duty(0), owner, 0); err != nil || h.Term != 2 {
+	if h, err := tb.Ask(1<<40, RoleOfShard(0), owner, 0); err != nil || h.Term != 2 {
 		t.Fatal(h, err)
 	}
 	return NewMachine(tb)
@@ -40,7 +40,7 @@
 }
 
 func file(term uint64, spans ...Span) Op {
-	return Op{Shards: 1, Duty: Duty(0), Term: term, File: &File{Duty: Duty(0), Term: term, Name: "f", SHA256: strings.Repeat("0", 64), Units: 2, Spans: spans}}
+	return Op{Shards: 1, Role: RoleOfShard(0), Term: term, File: &File{Role: RoleOfShard(0), Term: term, Name: "f", SHA256: strings.Repeat("0", 64), Units: 2, Spans: spans}}
 }
 
 func TestWhatCounts(t *testing.T) {
@@ -50,17 +50,17 @@
 		op   Op
 		want string // in the refusal; "": it counts
 	}{
-		{late, file(1, Span{ID: "g", Boot: "1", From: 1, To: 2}), "term 1"},
-		{late, file(2, Span{ID: "g", Boot: "1", From: 1, To: 2}), "owned by"},
-		{owner, file(2, Span{ID: "g", Boot: "1", From: 2, To: 3}), "periods 2 to 3"},
-		{owner, file(2, Span{ID: "g", Boot: "1", From: 1, To: 2}, Span{ID: "h", Boot: "9", From: 1, To: 1}), ""},
-		{owner, file(2, Span{ID: "g", Boot: "1", From: 1, To: 2}), "those up to 2"},
-		{owner, file(2, Span{ID: "g", Boot: "1", From: 2, To: 3}), "those up to 2"},
-		{owner, file(2, Span{ID: "g", Boot: "1", From: 4, To: 4}), "periods 4 to 4"},
-		{owner, file(2, Span{ID: "h", Boot: "9", From: 2, To: 2}, Span{ID: "g", Boot: "1", From: 4, To: 4}), "periods 4"},
-		{owner, file(2, Span{ID: "g", Boot: "1", From: 3, To: 3}, Span{ID: "g", Boot: "1", From: 4, To: 4, Last: true}), ""},
-		{owner, file(2, Span{ID: "g", Boot: "2", From: 1, To: 1}), ""}, // another boot counts anew
-		{owner, Op{Shards: 1, Duty: Duty(0), Term: 1, Gaps: []Gap{{ID: "h", Boot: "9"}}}, "term 1"},
+		{late, file(1, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "term 1"},
+		{late, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "owned by"},
+		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 2, To: 3}), "periods 2 to 3"},
+		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}, Span{ID: "h", Incarnation: "9", From: 1, To: 1}), ""},
+		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "those up to 2"},
+		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 2, To: 3}), "those up to 2"},
+		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4 to 4"},
+		{owner, file(2, Span{ID: "h", Incarnation: "9", From: 2, To: 2}, Span{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4"},
+		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 3, To: 3}, Span{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}), ""},
+		{owner, file(2, Span{ID: "g", Incarnation: "2", From: 1, To: 1}), ""}, // another boot counts anew
+		{owner, Op{Shards: 1, Role: RoleOfShard(0), Term: 1, Gaps: []Gap{{ID: "h", Incarnation: "9"}}}, "term 1"},
 	} {
 		if r := do(t, m, c.who, c.op); r.OK != (c.want == "") || !strings.Contains(r.Why, c.want) {
 			t.Errorf("%d: %+v, want %q", i, r, c.want)
@@ -82,8 +82,8 @@
 // A boot that was seen and vanished is a gap, and no gap any more when its folder is back.
 func TestGaps(t *testing.T) {
 	m := machine(t)
-	seen := Op{Shards: 1, Duty: Duty(0), Term: 2, Seen: []Boot{{"g", "1"}}}
-	gap := Op{Shards: 1, Duty: Duty(0), Term: 2, Gaps: []Gap{{ID: "g", Boot: "1", After: 0, Why: "lost"}}}
+	seen := Op{Shards: 1, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{"g", "1"}}}
+	gap := Op{Shards: 1, Role: RoleOfShard(0), Term: 2, Gaps: []Gap{{ID: "g", Incarnation: "1", After: 0, Why: "lost"}}}
 	for _, op := range []Op{seen, gap} {
 		if r := do(t, m, owner, op); !r.OK {
 			t.Fatal(r)
@@ -92,7 +92,7 @@
 	if mark := m.marks[[2]string{"g", "1"}]; mark == nil || mark.Gap != "lost" {
 		t.Errorf("%+v", mark)
 	}
-	if r := do(t, m, owner, file(2, Span{ID: "g", Boot: "1", From: 1, To: 1, Last: true})); !r.OK {
+	if r := do(t, m, owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
 		t.Fatal(r)
 	}
 	if mark := m.marks[[2]string{"g", "1"}]; mark.Gap != "" || !mark.Last {
@@ -103,7 +103,7 @@
 	for ShardOf(other, 4) == 0 {
 		other += "x"
 	}
-	if r := do(t, m, owner, Op{Shards: 4, Duty: Duty(0), Term: 2, Seen: []Boot{{other, "1"}}}); r.OK {
+	if r := do(t, m, owner, Op{Shards: 4, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{other, "1"}}}); r.OK {
 		t.Error("another shard's gateway is taken")
 	}
 }
--- a/internal/controlplane/usageexporter/usageexporter.go
+++ b/internal/controlplane/usageexporter/usageexporter.go
@@ -53,7 +53,7 @@
 	for {
 		err := e.round(ctx, t, members, &tidied)
 		if err != nil && (ctx.Err() == nil || errors.Is(err, errRefused)) {
-			e.Log.Warn("fleet: export", "duty", t.Duty, "term", t.Term, "error", err)
+			e.Log.Warn("fleet: export", "duty", t.Role, "term", t.Term, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -88,7 +88,7 @@
 		if m.Address == "" || usageexport.ShardOf(m.ID, e.Shards) != e.Shard || b.rows > maxRows {
 			continue
 		}
-		b.note(m.ID, append(slices.Clone(m.Retired), m.Boot))
+		b.note(m.ID, append(slices.Clone(m.Retired), m.Incarnation))
 		if err := e.collect(ctx, m, b); err != nil {
 			e.Log.Debug("fleet: export: not heard", "gateway", m.ID, "error", err)
 		}
@@ -100,7 +100,7 @@
 	if !t.Holds() {
 		return nil // the next leader collects it again
 	}
-	op := usageexport.Op{Shards: e.Shards, Gaps: b.gaps, Seen: b.seen, Duty: t.Duty, Term: t.Term}
+	op := usageexport.Op{Shards: e.Shards, Gaps: b.gaps, Seen: b.seen, Role: t.Role, Term: t.Term}
 	if len(b.spans) > 0 {
 		f, err := e.write(t, b)
 		if err != nil {
@@ -160,7 +160,7 @@
 	units float64
 	spans []usageexport.Span
 	gaps  []usageexport.Gap
-	seen  []usageexport.Boot
+	seen  []usageexport.Incarnation
 }
 
 func newBook(done *usageexport.View) *book {
@@ -169,7 +169,7 @@
 		if b.marks[m.ID] == nil {
 			b.marks[m.ID] = map[string]usageexport.Mark{}
 		}
-		b.marks[m.ID][m.Boot] = m
+		b.marks[m.ID][m.Incarnation] = m
 	}
 	b.csv = csv.NewWriter(&b.text)
 	_ = b.csv.Write([]string{"gateway", "boot", "period", "begun_us", "ended_us", "customer", "units"})
@@ -179,15 +179,15 @@
 // note lists incarnations of a gateway that have no mark yet.
 func (b *book) note(id string, boots []uint64) {
 	for _, boot := range boots {
-		text := usageexport.BootText(boot)
+		text := usageexport.IncarnationText(boot)
 		if _, ok := b.marks[id][text]; ok {
 			continue
 		}
 		if b.marks[id] == nil {
 			b.marks[id] = map[string]usageexport.Mark{}
 		}
-		b.marks[id][text] = usageexport.Mark{ID: id, Boot: text}
-		b.seen = append(b.seen, usageexport.Boot{ID: id, Boot: text})
+		b.marks[id][text] = usageexport.Mark{ID: id, Incarnation: text}
+		b.seen = append(b.seen, usageexport.Incarnation{ID: id, Incarnation: text})
 	}
 }
 
@@ -206,7 +206,7 @@
 		if p.Id != m.ID {
 			return fmt.Errorf("%s answers for %s", p.Id, m.ID)
 		}
-		heard[usageexport.BootText(p.Boot)] = true
+		heard[usageexport.IncarnationText(p.Incarnation)] = true
 		return b.add(p)
 	})
 	if !errors.Is(err, io.EOF) {
@@ -214,8 +214,8 @@
 	}
 	// An incarnation that ended, and of which the folder of its gateway has nothing: the folder was lost.
 	for boot, mark := range b.marks[m.ID] {
-		if !mark.Last && mark.Gap == "" && !heard[boot] && boot != usageexport.BootText(m.Boot) {
-			b.gaps = append(b.gaps, usageexport.Gap{ID: m.ID, Boot: boot, After: mark.Period,
+		if !mark.Last && mark.Gap == "" && !heard[boot] && boot != usageexport.IncarnationText(m.Incarnation) {
+			b.gaps = append(b.gaps, usageexport.Gap{ID: m.ID, Incarnation: boot, After: mark.Period,
 				Why: "the gateway has come back without its counts of that boot"})
 		}
 	}
@@ -224,9 +224,9 @@
 
 // add adds a period, if it is the next one of its incarnation.
 func (b *book) add(p *controlpb.Part) error {
-	boot := usageexport.BootText(p.Boot)
+	boot := usageexport.IncarnationText(p.Incarnation)
 	last := b.marks[p.Id][boot].Period
-	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool { return s.ID == p.Id && s.Boot == boot })
+	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool { return s.ID == p.Id && s.Incarnation == boot })
 	if i >= 0 {
 		last = b.spans[i].To
 	}
@@ -237,7 +237,7 @@
 		return fmt.Errorf("%s/%s: period %d comes after %d", p.Id, boot, p.Period, last)
 	}
 	if i < 0 {
-		b.spans = append(b.spans, usageexport.Span{ID: p.Id, Boot: boot, From: p.Period})
+		b.spans = append(b.spans, usageexport.Span{ID: p.Id, Incarnation: boot, From: p.Period})
 		i = len(b.spans) - 1
 	}
 	b.spans[i].To, b.spans[i].Last = p.Period, p.Last
@@ -260,7 +260,7 @@
 func (e *Exporter) write(t *election.Tenure, b *book) (*usageexport.File, error) {
 	b.csv.Flush()
 	sum := sha256.Sum256(b.text.Bytes())
-	f := &usageexport.File{Duty: t.Duty, Term: t.Term, SHA256: hex.EncodeToString(sum[:]), Rows: b.rows, Units: b.units, Spans: b.spans}
+	f := &usageexport.File{Role: t.Role, Term: t.Term, SHA256: hex.EncodeToString(sum[:]), Rows: b.rows, Units: b.units, Spans: b.spans}
 	f.Name = fmt.Sprintf("%s%010d-%s.csv", e.prefix(), t.Term, f.SHA256[:16])
 	path := filepath.Join(e.Dir, f.Name)
 	out, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -115,7 +115,7 @@
 // ownerOf waits for the owner of the one shard.
 func ownerOf(t *testing.T, run *trialRun) (i int) {
 	t.Helper()
-	eventually(t, "an owner", func() bool { i = run.owner(allocation.Duty(0)); return i >= 0 })
+	eventually(t, "an owner", func() bool { i = run.owner(allocation.RoleOfShard(0)); return i >= 0 })
 	return i
 }
 
@@ -180,7 +180,7 @@
 		for _, point := range []string{"budgets-after-agree", "budgets-before-agree"} {
 			i := ownerOf(t, run)
 			run.stands(t, i, "stop", point)
-			eventually(t, "another owner", func() bool { own := run.owner(allocation.Duty(0)); return own >= 0 && own != i })
+			eventually(t, "another owner", func() bool { own := run.owner(allocation.RoleOfShard(0)); return own >= 0 && own != i })
 			testcluster.Pass(t.Context(), time.Second)
 			clustertest.Check(t, run.f.Wake(i))
 			run.f.Record.AddLife(i, harness.Woken)
@@ -256,8 +256,8 @@
 		from := ownerOf(t, run)
 		to := (from + 1) % 4
 		eventually(t, "the duty handed on", func() bool {
-			_ = run.f.Call(from, "transfer "+allocation.Duty(0)+" "+testcluster.Name(to), nil)
-			own := run.owner(allocation.Duty(0))
+			_ = run.f.Call(from, "transfer "+allocation.RoleOfShard(0)+" "+testcluster.Name(to), nil)
+			own := run.owner(allocation.RoleOfShard(0))
 			return own >= 0 && own != from
 		})
 		began := time.Now()
@@ -387,7 +387,7 @@
 	spread := func() bool {
 		owners := map[int]bool{}
 		for shard := range shards {
-			owners[run.owner(allocation.Duty(shard))] = true
+			owners[run.owner(allocation.RoleOfShard(shard))] = true
 		}
 		return len(owners) >= 3 && !owners[-1]
 	}
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -251,8 +251,8 @@
 	if t.view("owners", &v) != nil {
 		return -1
 	}
-	for _, h := range v.Duties {
-		if i, err := strconv.Atoi(strings.TrimPrefix(h.Owner.ID, "n")); err == nil && h.Duty == duty && v.At <= h.Until {
+	for _, h := range v.Roles {
+		if i, err := strconv.Atoi(strings.TrimPrefix(h.Owner.ID, "n")); err == nil && h.Role == duty && v.At <= h.Until {
 			return i
 		}
 	}
@@ -267,7 +267,7 @@
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; {
 		n := 0
 		for shard := range t.o.Shards {
-			if t.owner(allocation.Duty(shard)) >= 0 {
+			if t.owner(allocation.RoleOfShard(shard)) >= 0 {
 				n++
 			}
 		}
@@ -284,7 +284,7 @@
 func (t *trialRun) faults(ctx context.Context) {
 	h := t.harm
 	h.Likely = func(r *rand.Rand) int {
-		own := t.owner(allocation.Duty(r.IntN(t.o.Shards)))
+		own := t.owner(allocation.RoleOfShard(r.IntN(t.o.Shards)))
 		if own >= 0 {
 			h.Note("%s owns a shard", testcluster.Name(own))
 		}
--- a/internal/testing/audittest/hard_test.go
+++ b/internal/testing/audittest/hard_test.go
@@ -46,7 +46,7 @@
 			if f.Stopped(i) || f.Call(i, "here", &here) != nil {
 				continue
 			}
-			if term = here.Duties[configversion.Duty]; term > but {
+			if term = here.Roles[configversion.Role]; term > but {
 				return true, ""
 			}
 		}
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -165,7 +165,7 @@
 func (c *course) guide() int {
 	for i, g := range c.f.Gateways {
 		var h controlplane.Here
-		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil && h.Duties[configversion.Duty] > 0 {
+		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil && h.Roles[configversion.Role] > 0 {
 			return i
 		}
 	}
--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -99,11 +99,11 @@
 // observe keeps the rig's own replica for as long as the test lasts.
 func (c *cluster) observe() {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	me := lease.Member{ID: "observer", Boot: 1}
+	me := lease.Member{ID: "observer", Incarnation: 1}
 	link := controlrpc.NewClient(testcluster.FleetName, me, "", c.Voters(), c.Addresses(-1), quiet)
 	client := distributor.NewClient(distributor.ClientOptions{
 		Link: link, Log: quiet,
-		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Boot, distribution.Place{}, distributor.DefaultSilent),
+		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Incarnation, distribution.Place{}, distributor.DefaultSilent),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/testing/electiontest/faults.go
+++ b/internal/testing/electiontest/faults.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (t *trialRun) duty(r *rand.Rand) string { return usageexport.Duty(r.IntN(t.o.Shards)) }
+func (t *trialRun) duty(r *rand.Rand) string { return usageexport.RoleOfShard(r.IntN(t.o.Shards)) }
 
 func span(r *rand.Rand, least, most float64) time.Duration {
 	return time.Duration(harness.Between(r, least, most) * float64(time.Second))
--- a/internal/testing/electiontest/hard_test.go
+++ b/internal/testing/electiontest/hard_test.go
@@ -29,7 +29,7 @@
 // A voter whose disk takes nothing any more promises nothing, and others go on; with room again it comes back.
 func TestAVoterWithAFullDisk(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	hasOwner(t, f, 0, duty, 0)
 	i, ok := number(status(t, f, 0).Leader)
 	if !ok {
@@ -71,7 +71,7 @@
 // A duty is handed on to one that lies stopped: the offer runs out, and another takes it long before it wakes.
 func TestHandingOnToOneThatStalls(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	to := another(f, i, 0)
 	at := another(f, i, to)
@@ -115,7 +115,7 @@
 // While a split lasts voters are changed by the side with the quorum alone, and the other side learns of it.
 func TestAChangeOfVotersDuringASplit(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 0, usageexport.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	if err := f.End(3, syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -151,21 +151,21 @@
 		err := f.Call(cut, "status", &l)
 		return err == nil && len(l.Voters) == 3, fmt.Sprint(err)
 	})
-	hasOwner(t, f, cut, usageexport.Duty(0), 0)
+	hasOwner(t, f, cut, usageexport.RoleOfShard(0), 0)
 }
 
 // A majority is lost for good: nothing new is agreed, gateways serve and count on, and the fleet that is founded
 // anew under another name exports what was counted meanwhile.
 func TestAMajorityLostForGood(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3})
-	hasOwner(t, f, 0, usageexport.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	for i := range 2 {
 		if err := errors.Join(f.End(i, syscall.SIGKILL), f.Empty(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	traffic(t, f, 1500e6) // the one that is left serves
-	if err := f.Call(2, "transfer "+usageexport.Duty(0)+" n2", nil); err == nil {
+	if err := f.Call(2, "transfer "+usageexport.RoleOfShard(0)+" n2", nil); err == nil {
 		t.Error("something was agreed without a majority")
 	}
 	if err := f.End(2, syscall.SIGTERM); err != nil {
@@ -188,7 +188,7 @@
 			t.Fatal(err)
 		}
 	}
-	hasOwner(t, f, 2, usageexport.Duty(0), 0)
+	hasOwner(t, f, 2, usageexport.RoleOfShard(0), 0)
 	run := &trialRun{f: f}
 	want := run.sent()[2]
 	if want == 0 {
@@ -203,7 +203,7 @@
 // The log's leader lies stopped: another leads, and the old one follows when it wakes.
 func TestAStoppedLeader(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 3, usageexport.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 	was := status(t, f, 3)
 	i, ok := number(was.Leader)
 	if !ok {
@@ -218,7 +218,7 @@
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != was.Leader && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 	})
-	hasOwner(t, f, at, usageexport.Duty(0), 0)
+	hasOwner(t, f, at, usageexport.RoleOfShard(0), 0)
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 // Of two with one name the newer takes part and the older says why it does not; on one folder the second waits.
 func TestASecondGatewayOfOneName(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 0, usageexport.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	second := func(folder string) (log func() string) {
 		t.Helper()
 		dir := t.TempDir()
--- a/internal/testing/electiontest/history.go
+++ b/internal/testing/electiontest/history.go
@@ -63,7 +63,7 @@
 
 func (w *writers) one(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(w.seed, uint64(0x3177e5+i)))
-	me := lease.Member{ID: fmt.Sprintf("rig-%d", i), Boot: w.seed<<8 | uint64(i) | 1}
+	me := lease.Member{ID: fmt.Sprintf("rig-%d", i), Incarnation: w.seed<<8 | uint64(i) | 1}
 	c := controlrpc.NewClient(testcluster.FleetName, me, "", w.f.Voters(), w.f.Addresses(-1), slog.New(slog.DiscardHandler))
 	defer c.Close()
 	last := map[string]uint64{} // versions as read
--- a/internal/testing/electiontest/judge.go
+++ b/internal/testing/electiontest/judge.go
@@ -43,10 +43,10 @@
 	t.fail(t.view("owners", &owners))
 	changes := 0
 	histories := map[string][]lease.Holding{}
-	for _, h := range owners.Duties {
+	for _, h := range owners.Roles {
 		var all []lease.Holding
-		t.fail(t.view("history "+h.Duty, &all))
-		histories[h.Duty] = all
+		t.fail(t.view("history "+h.Role, &all))
+		histories[h.Role] = all
 		changes += int(h.Term) - 1
 	}
 	stop, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -201,22 +201,22 @@
 	owner := map[string]string{}
 	newest := map[string]uint64{}
 	for _, f := range v.Files {
-		key := fmt.Sprintf("%s %d", f.Duty, f.Term)
+		key := fmt.Sprintf("%s %d", f.Role, f.Term)
 		if was, ok := owner[key]; ok && was != f.Owner {
 			two++
 		}
 		owner[key] = f.Owner
-		if f.Term < newest[f.Duty] {
+		if f.Term < newest[f.Role] {
 			late++
 		}
-		newest[f.Duty] = max(newest[f.Duty], f.Term)
+		newest[f.Role] = max(newest[f.Role], f.Term)
 	}
 	// A period of one boot stands in one file.
 	seen := map[string]bool{}
 	for _, f := range v.Files {
 		for _, s := range f.Spans {
 			for p := s.From; p <= s.To; p++ {
-				key := fmt.Sprintf("%s/%s/%d", s.ID, s.Boot, p)
+				key := fmt.Sprintf("%s/%s/%d", s.ID, s.Incarnation, p)
 				if seen[key] {
 					two++
 				}
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -47,9 +47,9 @@
 	if f.Call(at, "owners", &v) != nil {
 		return -1, lease.Holding{}
 	}
-	for _, h := range v.Duties {
+	for _, h := range v.Roles {
 		var i int
-		if n, _ := fmt.Sscanf(h.Owner.ID, "n%d", &i); h.Duty == duty && n == 1 && v.At <= h.Until {
+		if n, _ := fmt.Sscanf(h.Owner.ID, "n%d", &i); h.Role == duty && n == 1 && v.At <= h.Until {
 			return i, h
 		}
 	}
@@ -66,7 +66,7 @@
 			return false, fmt.Sprintf("%d %+v", i, h)
 		}
 		err := f.Call(i, "here", &here)
-		return err == nil && here.Duties[duty] == h.Term, fmt.Sprintf("%+v, here %+v %v", h, here, err)
+		return err == nil && here.Roles[duty] == h.Term, fmt.Sprintf("%+v, here %+v %v", h, here, err)
 	})
 	return i, h
 }
@@ -97,7 +97,7 @@
 // An owner that is killed is followed by another under a higher term.
 func TestAnotherFollowsAKilledOwner(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	if err := f.End(i, 9); err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 // another has gone on: its word is refused, nothing is exported twice, and it notices by itself.
 func TestAnOwnerThatWakesLateDoesNoHarm(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" }})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	flag(t, f, i, "stop")
 	asked := make(chan struct{})
@@ -215,7 +215,7 @@
 			err := f.Call(at, "status", &l)
 			return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 		})
-		hasOwner(t, f, at, usageexport.Duty(0), 0)
+		hasOwner(t, f, at, usageexport.RoleOfShard(0), 0)
 		if f.Held() == held {
 			t.Error("the cut met nothing: nothing was shown")
 		}
@@ -231,7 +231,7 @@
 // A voter that comes back with an older folder, or without one, must not vote, and says how to mend it.
 func TestAVoterWithAnOldOrEmptyFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 3, usageexport.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 	if err := f.Save(2); err != nil {
 		t.Fatal(err)
 	}
@@ -267,10 +267,10 @@
 	if err := f.End(1, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	_, h := hasOwner(t, f, 0, usageexport.Duty(0), 0)
-	if err := f.Call(0, "transfer "+h.Duty+" n3", nil); err != nil && h.Owner.ID != "n3" {
+	_, h := hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	if err := f.Call(0, "transfer "+h.Role+" n3", nil); err != nil && h.Owner.ID != "n3" {
 		clustertest.Eventually(t, "something is agreed", func() (bool, string) {
-			err := f.Call(0, "transfer "+h.Duty+" n3", nil)
+			err := f.Call(0, "transfer "+h.Role+" n3", nil)
 			return err == nil || strings.Contains(err.Error(), "already"), fmt.Sprint(err)
 		})
 	}
@@ -279,7 +279,7 @@
 // A voter's folder copied to another gateway does not vote a second time.
 func TestACopiedFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 3, usageexport.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 	if err := errors.Join(f.End(3, syscall.SIGTERM), f.Copy(0, 3), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
@@ -288,14 +288,14 @@
 	if err := f.Call(3, "here", &h); err != nil || h.Voter {
 		t.Errorf("%+v, %v", h, err)
 	}
-	hasOwner(t, f, 3, usageexport.Duty(0), 0)
+	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 }
 
 // All voters killed at once and back: what was agreed is there, and duties go on under higher terms. While a
 // majority is lost nothing new is agreed, and gateways serve on.
 func TestAllVotersKilledAtOnce(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	_, h := hasOwner(t, f, 3, duty, 0)
 	traffic(t, f, 2*time.Second)
 	before := exported(t, f, 3, 0)
@@ -331,7 +331,7 @@
 	f := fleet(t, testcluster.Options{Instances: 4, Env: func(i int) string {
 		return "MOTHCLEAT_FAULTS=" + []string{"ahead=30s", "pace=0.9", "jump=40s@3s", "pace=1.02"}[i]
 	}})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	for range 3 {
 		i, h := hasOwner(t, f, 0, duty, 0)
 		traffic(t, f, time.Second)
@@ -349,7 +349,7 @@
 func TestALeaderWithASlowDisk(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3, Env: func(int) string { return "MOTHCLEAT_FAULTS=slow=voter-before-sync:3s@slow" }})
 	run := &trialRun{f: f, o: Options{Instances: 3, Shards: 1}}
-	hasOwner(t, f, 0, usageexport.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	i := run.leader()
 	if i < 0 {
 		t.Fatal("no leader")
@@ -375,13 +375,13 @@
 // second takes no part.
 func TestTwoProcessesWithOneID(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 0, usageexport.Duty(0), 0)
+	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	clustertest.Eventually(t, "n3 has its id", func() (bool, string) { // else it would be the newer one
 		var l consensus.List
 		err := f.Call(0, "status", &l)
 		return err == nil && slices.ContainsFunc(l.Members, func(p consensus.Present) bool { return p.ID == "n3" }), fmt.Sprintf("%+v %v", l.Members, err)
 	})
-	me := lease.Member{ID: "n3", Boot: 42}
+	me := lease.Member{ID: "n3", Incarnation: 42}
 	c := controlrpc.NewClient(testcluster.FleetName, me, "", f.Voters(), f.Addresses(-1), slog.New(slog.DiscardHandler))
 	defer c.Close()
 	if _, err := c.Do(t.Context(), checkpoint.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
@@ -399,7 +399,7 @@
 // a gap that is told.
 func TestHandingOnAndALostFolder(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	duty := usageexport.Duty(0)
+	duty := usageexport.RoleOfShard(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	traffic(t, f, 2*time.Second)
 	if err := f.End(i, syscall.SIGTERM); err != nil {
@@ -417,7 +417,7 @@
 	boot := ""
 	for _, m := range view(t, f, at).Marks {
 		if m.ID == "n3" && !m.Last {
-			boot = m.Boot
+			boot = m.Incarnation
 		}
 	}
 	if err := errors.Join(f.End(3, syscall.SIGKILL), f.Empty(3), f.Begin(3)); err != nil {
@@ -425,7 +425,7 @@
 	}
 	clustertest.Eventually(t, "the gap of boot "+boot, func() (bool, string) {
 		for _, m := range view(t, f, at).Marks {
-			if m.Boot == boot && m.Gap != "" {
+			if m.Incarnation == boot && m.Gap != "" {
 				return true, ""
 			}
 		}
--- a/internal/testing/electiontest/run.go
+++ b/internal/testing/electiontest/run.go
@@ -137,7 +137,7 @@
 // clients has further processes keep a session and watch.
 func (t *trialRun) clients(ctx context.Context) {
 	for i := range t.o.Clients {
-		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{ID: fmt.Sprintf("client-%d", i), Boot: t.o.Seed<<16 | uint64(i) | 1}, "",
+		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{ID: fmt.Sprintf("client-%d", i), Incarnation: t.o.Seed<<16 | uint64(i) | 1}, "",
 			t.f.Voters(), t.f.Addresses(-1), slog.New(slog.DiscardHandler))
 		go c.Live(ctx)
 		go c.Watch(ctx, lease.MachineName, func([]byte) {})
@@ -151,7 +151,7 @@
 	for {
 		held := 0
 		for shard := range t.o.Shards {
-			if i, _ := t.owner(usageexport.Duty(shard)); i >= 0 {
+			if i, _ := t.owner(usageexport.RoleOfShard(shard)); i >= 0 {
 				held++
 			}
 		}
@@ -187,8 +187,8 @@
 	if t.view("owners", &v) != nil {
 		return -1, lease.Holding{}
 	}
-	for _, h := range v.Duties {
-		if i, ok := number(h.Owner.ID); h.Duty == duty && ok && v.At <= h.Until && !h.Offered {
+	for _, h := range v.Roles {
+		if i, ok := number(h.Owner.ID); h.Role == duty && ok && v.At <= h.Until && !h.Offered {
 			return i, h
 		}
 	}
--- a/internal/testing/electiontest/watch_test.go
+++ b/internal/testing/electiontest/watch_test.go
@@ -31,15 +31,15 @@
 // killed amid it as well; one that hears of nobody watches by itself.
 func TestOneWatchOfTheRegister(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Consul: true, Load: 0.2})
-	i, h := hasOwner(t, f, 0, endpointlist.Duty, 0)
+	i, h := hasOwner(t, f, 0, endpointlist.Role, 0)
 	only := func() {
 		t.Helper()
 		clustertest.Eventually(t, "the owner alone asks its agent", func() (bool, string) {
-			was, h := owner(f, 3, endpointlist.Duty)
+			was, h := owner(f, 3, endpointlist.Role)
 			since := time.Now()
 			time.Sleep(2500 * time.Millisecond) // longer than a query waits
 			n := calls(f, since)
-			is, now := owner(f, 3, endpointlist.Duty)
+			is, now := owner(f, 3, endpointlist.Role)
 			if is != was || now.Term != h.Term || is < 0 {
 				return false, "it changes hands"
 			}
@@ -90,7 +90,7 @@
 			t.Error(err)
 		}
 	})
-	_, after := hasOwner(t, f, another(f, i), endpointlist.Duty, h.Term)
+	_, after := hasOwner(t, f, another(f, i), endpointlist.Role, h.Term)
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 	}
-	hasOwner(t, f, 3, endpointlist.Duty, after.Term-1)
+	hasOwner(t, f, 3, endpointlist.Role, after.Term-1)
 	only()
 	if err := errors.Join(f.World.Stop(t.Context())); err != nil {
 		t.Fatal(err)
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -152,7 +152,7 @@
 func (c *control) duties(i int) (held int) {
 	var here controlplane.Here
 	if c.call(i, "here", &here) == nil {
-		held = len(here.Duties)
+		held = len(here.Roles)
 	}
 	return held
 }
@@ -164,7 +164,7 @@
 	if c.call(max(0, c.leader()), "owners", &v) != nil {
 		return 0, false
 	}
-	for _, d := range v.Duties {
+	for _, d := range v.Roles {
 		sum += int(d.Term)
 	}
 	return sum, true
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -43,7 +43,7 @@
 
 // startWatcher has it ask for the duty.
 func startWatcher(voters []*controlpb.Voter, register string, span time.Duration) *watcher {
-	me := lease.Member{ID: watcherName, Boot: rand.Uint64()>>1 | 1}
+	me := lease.Member{ID: watcherName, Incarnation: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
 		cancel: cancel, ended: make(chan struct{})}
@@ -58,7 +58,7 @@
 				Rules: membership.Settings{Hold: registerHold.Microseconds(),
 					ResetAfter: registerReset}}, silentLog)
 		}}
-	w.set.Add(endpointlist.Duty, watch.Work)
+	w.set.Add(endpointlist.Role, watch.Work)
 	go w.client.Live(ctx)
 	go func() {
 		defer close(w.ended)
@@ -68,7 +68,7 @@
 }
 
 // holds tells whether it has the duty.
-func (w *watcher) holds() bool { return w.set.Held()[endpointlist.Duty] > 0 }
+func (w *watcher) holds() bool { return w.set.Held()[endpointlist.Role] > 0 }
 
 // close hands the duty on.
 func (w *watcher) close() {
@@ -80,7 +80,7 @@
 // wholeList is a hollow gateway's hearing of the whole list, as gateways had it before the list
 // travelled by what changed.
 func (g *hollowGateway) wholeList(voters []*controlpb.Voter, log *slog.Logger) registry.Source {
-	me := lease.Member{ID: hollowName(g.number), Boot: rand.Uint64()>>1 | 1}
+	me := lease.Member{ID: hollowName(g.number), Incarnation: rand.Uint64()>>1 | 1}
 	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
 		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
--- a/sim/allocation/faults.go
+++ b/sim/allocation/faults.go
@@ -57,7 +57,7 @@
 func (w *World) end(i int, p *process) {
 	switch {
 	case p.dead || p.left && len(p.hands) == 0:
-		boot := p.me.Boot
+		boot := p.me.Incarnation
 		w.boot(i, p)
 		w.res.Faults["started"]++
 		if w.often(2) {
--- a/sim/allocation/network.go
+++ b/sim/allocation/network.go
@@ -28,7 +28,7 @@
 // send sends a renewal to the owner.
 func (w *World) send(i int, now time.Duration, ask *controlpb.RightsAsk) {
 	p := w.members[i]
-	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Boot, sent: now, ask: encode(ask), asks: ask})
+	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, ask: encode(ask), asks: ask})
 }
 
 // post sends a message: most arrive within a few ticks, some are lost, doubled or late.
@@ -83,7 +83,7 @@
 		return
 	}
 	p := w.members[m.to]
-	if p.me.Boot != m.boot || p.stopped || p.dead || p.left {
+	if p.me.Incarnation != m.boot || p.stopped || p.dead || p.left {
 		return
 	}
 	if m.tells != nil {
--- a/sim/allocation/owner.go
+++ b/sim/allocation/owner.go
@@ -37,7 +37,7 @@
 		}
 	}
 	w.term++
-	w.leader = lease.Member{ID: p.me.ID, Boot: p.me.Boot}
+	w.leader = lease.Member{ID: p.me.ID, Incarnation: p.me.Incarnation}
 	o := &owner{clock: p.clock, me: p.me, term: w.term}
 	o.until = o.at(w.now) + time.Second
 	w.owners = append(w.owners, o)
@@ -45,10 +45,10 @@
 		w.owners = w.owners[1:]
 	}
 	var books controlpb.Books
-	if err := proto.Unmarshal(w.log.Query(0, []byte(allocation.Duty(0))), &books); err != nil {
+	if err := proto.Unmarshal(w.log.Query(0, []byte(allocation.RoleOfShard(0))), &books); err != nil {
 		panic(err)
 	}
-	own, err := allocation.NewOwner(o.at(w.now), w.rules, allocation.Duty(0), o.term, &books)
+	own, err := allocation.NewOwner(o.at(w.now), w.rules, allocation.RoleOfShard(0), o.term, &books)
 	if err != nil {
 		panic(err)
 	}
--- a/sim/allocation/price.go
+++ b/sim/allocation/price.go
@@ -102,7 +102,7 @@
 		rules.Parting = math.Inf(1)
 	}
 	rights := s == Parts || s == Lending || s == Loans
-	owner, err := allocation.NewOwner(0, rules, allocation.Duty(0), 1, &controlpb.Books{})
+	owner, err := allocation.NewOwner(0, rules, allocation.RoleOfShard(0), 1, &controlpb.Books{})
 	if err != nil {
 		panic(err)
 	}
@@ -113,7 +113,7 @@
 		banks, part = banks[:1], b.whole
 	}
 	for i := range b.spread {
-		holders = append(holders, allocation.NewHolder(rules, lease.Member{ID: string(rune('a' + i)), Boot: 1}, 1))
+		holders = append(holders, allocation.NewHolder(rules, lease.Member{ID: string(rune('a' + i)), Incarnation: 1}, 1))
 	}
 	for i := range banks {
 		banks[i].level = part.Burst
@@ -245,7 +245,7 @@
 		return 0
 	}
 	h := holders[w.member]
-	a := owner.Lend(now, &controlpb.LoanAsk{Duty: allocation.Duty(0), Budget: 1, Units: w.lent, Spread: uint32(b.spread),
+	a := owner.Lend(now, &controlpb.LoanAsk{Role: allocation.RoleOfShard(0), Budget: 1, Units: w.lent, Spread: uint32(b.spread),
 		Whole: &controlpb.Share{Rate: b.whole.Rate, Burst: b.whole.Burst}})
 	if a.Lent {
 		return w.units
--- a/sim/allocation/process.go
+++ b/sim/allocation/process.go
@@ -47,7 +47,7 @@
 func (w *World) boot(i int, p *process) {
 	w.boots++
 	*p = process{clock: clock{0.9 + 0.1*float64(w.choose(5))/4, time.Duration(w.choose(100)) * time.Second},
-		me: lease.Member{ID: fmt.Sprintf("n%d", i), Boot: w.boots}}
+		me: lease.Member{ID: fmt.Sprintf("n%d", i), Incarnation: w.boots}}
 	p.answered = map[int]bool{}
 	p.holder = allocation.NewHolder(w.rules, p.me, 1)
 }
@@ -70,8 +70,8 @@
 		return
 	}
 	p.asked++
-	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Boot, sent: now, loan: p.asked, lends: &controlpb.LoanAsk{Duty: allocation.Duty(0),
-		Member: &controlpb.Member{Id: p.me.ID, Boot: p.me.Boot}, Budget: id, Units: units, Spread: uint32(len(w.members)),
+	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, loan: p.asked, lends: &controlpb.LoanAsk{Role: allocation.RoleOfShard(0),
+		Member: &controlpb.Member{Id: p.me.ID, Incarnation: p.me.Incarnation}, Budget: id, Units: units, Spread: uint32(len(w.members)),
 		Whole: &controlpb.Share{Rate: w.wholes[id].Rate, Burst: w.wholes[id].Burst}}})
 }
 
--- a/sim/configversion/member.go
+++ b/sim/configversion/member.go
@@ -43,7 +43,7 @@
 	rate   map[string]float64
 }
 
-func (m *member) me() lease.Member { return lease.Member{ID: m.id, Boot: m.boot} }
+func (m *member) me() lease.Member { return lease.Member{ID: m.id, Incarnation: m.boot} }
 
 // clock returns the time by a member's own clock.
 func (w *World) clock(m *member) time.Duration {
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -176,7 +176,7 @@
 
 // newWatcher has another gateway watch the register. What the last one had not said is in its whole list.
 func (w *World) newWatcher() {
-	w.lineage.begin(lease.Member{ID: "watcher", Boot: w.random.Uint64()})
+	w.lineage.begin(lease.Member{ID: "watcher", Incarnation: w.random.Uint64()})
 	w.register.watcher, w.register.term, w.register.whole = w.lineage.owner, w.lineage.term, true
 }
 
@@ -211,7 +211,7 @@
 func (w *World) say() {
 	r := &w.register
 	if w.one("late command", 60) {
-		w.lineage.say(lease.Member{ID: "watcher", Boot: 1}, r.term-1, true, records{"server-1": string(r.servers["server-1"])})
+		w.lineage.say(lease.Member{ID: "watcher", Incarnation: 1}, r.term-1, true, records{"server-1": string(r.servers["server-1"])})
 	}
 	switch {
 	case r.whole && w.random.IntN(2) == 0 && w.sayBase():
--- a/sim/election/procs.go
+++ b/sim/election/procs.go
@@ -191,7 +191,7 @@
 
 func (m *member) start() {
 	w := m.p.w
-	m.me = lease.Member{ID: m.id, Boot: w.r.Uint64()}
+	m.me = lease.Member{ID: m.id, Incarnation: w.r.Uint64()}
 	m.holder = lease.NewHolder(lease.Defaults(), duty, m.me)
 	m.session, m.opening, m.seq, m.out, m.target = 0, false, 0, map[uint64]bool{}, w.r.IntN(w.o.Voters)
 	m.p.on(time.Duration(w.r.IntN(100))*ms, m.loop)
@@ -207,7 +207,7 @@
 		return
 	}
 	m.holder.Sent(now)
-	body := lease.Op{Do: "ask", Duty: duty, Term: m.holder.Knows()}.Encode()
+	body := lease.Op{Do: "ask", Role: duty, Term: m.holder.Knows()}.Encode()
 	m.do(lease.MachineName, body, func(answer []byte, ok bool) {
 		var res lease.Result
 		switch {
@@ -217,7 +217,7 @@
 			m.holder.Refused(m.p.clock(), now, min(500*ms, max(10*ms, res.Left)), res.Why)
 		case m.holder.GaveUp(res.Holding.Term):
 			m.holder.Failed(m.p.clock(), now, 100*ms)
-			m.do(lease.MachineName, lease.Op{Do: "release", Duty: duty, Term: res.Holding.Term}.Encode(), func([]byte, bool) {})
+			m.do(lease.MachineName, lease.Op{Do: "release", Role: duty, Term: res.Holding.Term}.Encode(), func([]byte, bool) {})
 		default:
 			m.holder.Granted(m.p.clock(), now, res.Holding.Term, res.Span, res.Holding.Wish)
 		}
@@ -232,7 +232,7 @@
 	switch w.r.IntN(6) {
 	case 0, 1:
 		m.words++
-		word := fmt.Sprintf("%s.%x.%d", m.id, m.me.Boot, m.words)
+		word := fmt.Sprintf("%s.%x.%d", m.id, m.me.Incarnation, m.words)
 		m.do("ledger", []byte(word), func(answer []byte, ok bool) {
 			if ok {
 				w.acked[word] = true
@@ -246,7 +246,7 @@
 		return
 	}
 	if w.r.IntN(25) == 0 {
-		op := lease.Op{Do: "release", Duty: duty, Term: term}
+		op := lease.Op{Do: "release", Role: duty, Term: term}
 		if to := w.procs[w.o.Voters+w.r.IntN(w.o.Members)].member; to != m && w.r.IntN(2) == 0 {
 			op.Do, op.To = "hand", to.me
 		}
@@ -256,7 +256,7 @@
 	}
 	w.res.Effects++
 	// An effect that is agreed, and one at a receiver outside with a gate of its own.
-	body, err := json.Marshal(checkpoint.Op{Key: "effect", Value: strconv.Itoa(w.res.Effects), Duty: duty, Term: term})
+	body, err := json.Marshal(checkpoint.Op{Key: "effect", Value: strconv.Itoa(w.res.Effects), Role: duty, Term: term})
 	if err != nil {
 		panic(err)
 	}
@@ -342,7 +342,9 @@
 	return floor
 }
 
-func (m *member) member() *controlpb.Member { return &controlpb.Member{Id: m.me.ID, Boot: m.me.Boot} }
+func (m *member) member() *controlpb.Member {
+	return &controlpb.Member{Id: m.me.ID, Incarnation: m.me.Incarnation}
+}
 
 // ask sends a command to a voter; the answer may never come.
 func (m *member) ask(c *controlpb.Command, answer func(*controlpb.Answer)) {
