--- a/cmd/mothcleat/fleetdistribution.go
+++ b/cmd/mothcleat/fleetdistribution.go
@@ -27,7 +27,7 @@
 	if r := d.Replica; r != nil {
 		c := &r.Counts
 		fmt.Fprintf(w, "\nreplica: %d records, %d bytes received, %d deltas, %d repairs with %d buckets, %d messages refused, %d divergences, %d servers left\n",
-			r.Records, r.ReceivedBytes, c.Deltas, c.Repairs, c.Buckets, c.Refused, c.Divergences, c.Leaves)
+			r.Records, r.ReceivedBytes, c.Deltas, c.Repairs, c.Buckets, c.Refused, c.Divergences, c.Disconnects)
 	}
 	if s := d.Server; s != nil {
 		c := &s.Counts
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -14,7 +14,7 @@
 		return
 	}
 	n.list = distributor.NewSource(distributor.SourceOptions{
-		Direct: cfg.Direct, Silent: cfg.Silent,
+		Direct: cfg.Direct, SourceTimeout: cfg.Silent,
 		Client: distributor.ClientOptions{
 			Link: n.client, Places: cfg.Places, File: distributor.StatePath(cfg.Dir), Log: cfg.Log,
 			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Incarnation, cfg.Place, cfg.Silent),
--- a/internal/controlplane/distribution/action.go
+++ b/internal/controlplane/distribution/action.go
@@ -10,7 +10,8 @@
 // Action is what a Replica wants done: one of the types below.
 type Action interface{ action() }
 
-// Connect opens a stream to a server. What happens on it is told with the attempt's number; no other stream is open.
+// Connect opens a stream to a server. What happens on it is told with the attempt's number; no
+// other stream is open.
 type Connect struct {
 	Attempt uint64
 	Server  Server
@@ -19,13 +20,14 @@
 // SendRequest sends a request on the open stream.
 type SendRequest struct{ Request *distributionpb.WatchRequest }
 
-// Leave ends the stream of the last Connect, or the attempt to open it.
-type Leave struct {
+// Disconnect ends the stream of the last Connect, or the attempt to open it.
+type Disconnect struct {
 	Server Server
 	Reason error
 }
 
-// Deliver has the gateway act on changes: those that lead from the last state delivered to the one at Position.
+// Deliver has the gateway act on changes: those that lead from the last state delivered to the one
+// at Position.
 type Deliver struct {
 	Changes  []Change
 	Position Position
@@ -34,42 +36,43 @@
 // Persist has the state written to disk. State is never changed afterwards.
 type Persist struct{ State *State }
 
-// Report has an error logged that did not end the stream: something was refused, and the old state kept.
-type Report struct{ Err error }
+// ReportError has an error logged that did not end the stream: something was refused, and the old
+// state kept.
+type ReportError struct{ Err error }
 
 func (Connect) action()     {}
 func (SendRequest) action() {}
-func (Leave) action()       {}
+func (Disconnect) action()  {}
 func (Deliver) action()     {}
 func (Persist) action()     {}
-func (Report) action()      {}
+func (ReportError) action() {}
 
-// LeaveReason says why a server was left.
-type LeaveReason string
+// DisconnectReason says why a server was left.
+type DisconnectReason string
 
-// The reasons for which a server is left. A WrongFleetError, or an error of a message that could not be
-// repaired, is a reason as well.
+// The reasons for which a server is left. A WrongFleetError, or an error of a message that could
+// not be repaired, is a reason as well.
 const (
-	LeftUnreached    LeaveReason = "it could not be reached in time"
-	LeftDisconnected LeaveReason = "the stream has ended"
-	LeftSilent       LeaveReason = "it was silent"
-	LeftBehind       LeaveReason = "it is behind"
-	LeftSourceSilent LeaveReason = "it has not heard of the source"
-	LeftNoProgress   LeaveReason = "resuming did not help"
-	LeftForNearer    LeaveReason = "another one is to be preferred"
-	LeftRemoved      LeaveReason = "it serves no more"
+	ReasonUnreachable     DisconnectReason = "it could not be reached in time"
+	ReasonStreamEnded     DisconnectReason = "the stream has ended"
+	ReasonUnresponsive    DisconnectReason = "it was silent"
+	ReasonBehind          DisconnectReason = "it is behind"
+	ReasonSourceSilent    DisconnectReason = "it has not heard of the source"
+	ReasonNoProgress      DisconnectReason = "resuming did not help"
+	ReasonPreferredServer DisconnectReason = "another one is to be preferred"
+	ReasonServerRemoved   DisconnectReason = "it serves no more"
 )
 
-// LeaveError is the Reason of a Leave.
-type LeaveError struct {
-	Server string
-	Why    LeaveReason
-	After  time.Duration // since something was heard of it
-	Cause  error         // may be nil
+// DisconnectError is the Reason of a Leave.
+type DisconnectError struct {
+	Server    string
+	Reason    DisconnectReason
+	SilentFor time.Duration // since something was heard of it
+	Cause     error         // may be nil
 }
 
-func (e *LeaveError) Error() string {
-	text := fmt.Sprintf("distribution: server %s: %s", e.Server, e.Why)
+func (e *DisconnectError) Error() string {
+	text := fmt.Sprintf("distribution: server %s: %s", e.Server, e.Reason)
 	if e.Cause != nil {
 		text += ": " + e.Cause.Error()
 	}
@@ -77,4 +80,4 @@
 }
 
 // Unwrap gives the cause.
-func (e *LeaveError) Unwrap() error { return e.Cause }
+func (e *DisconnectError) Unwrap() error { return e.Cause }
--- a/internal/controlplane/distribution/admission.go
+++ b/internal/controlplane/distribution/admission.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// admission lets a few resyncs in at a time, gives the rest a time to come back, and holds their bytes to a rate.
+// admission lets a few resyncs in at a time, gives the rest a time to come back, and holds their
+// bytes to a rate.
 type admission struct {
-	settings *PublisherSettings
-	holders  map[StreamID]time.Duration // since when
-	nextSlot time.Duration              // the earliest that was not promised to anybody
+	settings   *PublisherSettings
+	admittedAt map[StreamID]time.Duration // since when
+	nextSlot   time.Duration              // the earliest that was not promised to anybody
 
-	level   float64 // bytes that may be sent at once; negative: owed
-	levelAt time.Duration
+	tokens     float64 // bytes that may be sent at once; negative: owed
+	refilledAt time.Duration
 }
 
-func (a *admission) begin(now time.Duration) {
-	a.level, a.levelAt = float64(a.settings.BulkBurstBytes), now
+func (a *admission) start(now time.Duration) {
+	a.tokens, a.refilledAt = float64(a.settings.BulkBurstBytes), now
 }
 
-// enter lets a stream in, or tells after which time it is to come back. Each one that is sent away is given a later
-// slot, as far apart as the rate takes for a resync of so many bytes, and jitter of one such distance.
-func (a *admission) enter(now time.Duration, id StreamID, bytes int, random *rand.Rand) (after time.Duration, ok bool) {
+// admit lets a stream in, or tells after which time it is to come back. Each one that is sent away
+// is given a later slot, as far apart as the rate takes for a resync of so many bytes, and jitter
+// of one such distance.
+func (a *admission) admit(now time.Duration, id StreamID, bytes int, random *rand.Rand) (after time.Duration, ok bool) {
 	active := 0
-	for _, since := range a.holders {
-		if now-since < a.settings.ResyncHold {
+	for _, since := range a.admittedAt {
+		if now-since < a.settings.ResyncSlotTimeout {
 			active++
 		}
 	}
 	if active < a.settings.MaxResyncs {
-		a.holders[id] = now
+		a.admittedAt[id] = now
 		return 0, true
 	}
 	spacing := max(a.duration(bytes), time.Millisecond)
 	a.nextSlot = max(a.nextSlot, now) + spacing
-	a.nextSlot = min(a.nextSlot, now+a.settings.MaxRetry)
-	after = a.nextSlot - now + time.Duration(random.Int64N(int64(max(spacing, a.settings.MinRetry))))
-	return min(max(after, a.settings.MinRetry), a.settings.MaxRetry), false
+	a.nextSlot = min(a.nextSlot, now+a.settings.MaxRetryDelay)
+	after = a.nextSlot - now + time.Duration(random.Int64N(int64(max(spacing, a.settings.MinRetryDelay))))
+	return min(max(after, a.settings.MinRetryDelay), a.settings.MaxRetryDelay), false
 }
 
-// leave tells that a stream's resync has ended. It may not have been let in.
-func (a *admission) leave(id StreamID) { delete(a.holders, id) }
+// release tells that a stream's resync has ended. It may not have been let in.
+func (a *admission) release(id StreamID) { delete(a.admittedAt, id) }
 
 // duration is how long bytes take at the rate.
 func (a *admission) duration(bytes int) time.Duration {
@@ -49,25 +51,25 @@
 
 // refill adds what the rate gave since.
 func (a *admission) refill(now time.Duration) {
-	a.level += (now - a.levelAt).Seconds() * float64(a.settings.BulkBytesPerSecond)
-	a.level = min(a.level, float64(a.settings.BulkBurstBytes))
-	a.levelAt = now
+	a.tokens += (now - a.refilledAt).Seconds() * float64(a.settings.BulkBytesPerSecond)
+	a.tokens = min(a.tokens, float64(a.settings.BulkBurstBytes))
+	a.refilledAt = now
 }
 
-// tokens tells whether bulk may be sent now.
-func (a *admission) tokens(now time.Duration) bool {
+// available tells whether bulk may be sent now.
+func (a *admission) available(now time.Duration) bool {
 	a.refill(now)
-	return a.level > 0
+	return a.tokens > 0
 }
 
-// tokensAt is when it may.
-func (a *admission) tokensAt(now time.Duration) time.Duration {
+// availableAt is when it may.
+func (a *admission) availableAt(now time.Duration) time.Duration {
 	a.refill(now)
-	if a.level > 0 {
+	if a.tokens > 0 {
 		return now
 	}
-	return now + a.duration(int(-a.level)+1) + time.Microsecond
+	return now + a.duration(int(-a.tokens)+1) + time.Microsecond
 }
 
 // spend takes bytes that are sent; the level may go below zero by one message.
-func (a *admission) spend(bytes int) { a.level -= float64(bytes) }
+func (a *admission) spend(bytes int) { a.tokens -= float64(bytes) }
--- a/internal/controlplane/distribution/bench_test.go
+++ b/internal/controlplane/distribution/bench_test.go
@@ -49,7 +49,8 @@
 	return []Change{sizeServer(n, distributionpb.Phase_PHASE_DRAINING, int64(n))}
 }
 
-// BenchmarkOneChange is what one server's change costs: the machine's revision, the message, and the replica's part.
+// BenchmarkOneChange is what one server's change costs: the machine's revision, the message, and
+// the replica's part.
 func BenchmarkOneChange(b *testing.B) {
 	for _, tenants := range []int{0, sizeTenants} {
 		name := fmt.Sprintf("servers=%d,tenants=%d", sizeServers, tenants)
@@ -121,7 +122,8 @@
 	}
 }
 
-// BenchmarkRepair is what a replica fetches that lacks so many changes and can't resume: digests and buckets.
+// BenchmarkRepair is what a replica fetches that lacks so many changes and can't resume: digests
+// and buckets.
 func BenchmarkRepair(b *testing.B) {
 	for _, lacks := range []int{1, 10, 100, 1_000} {
 		b.Run(fmt.Sprintf("lacks=%d", lacks), func(b *testing.B) {
@@ -151,7 +153,8 @@
 	}
 }
 
-// BenchmarkPublish is what a server does for one change with so many streams, each of which takes it at once.
+// BenchmarkPublish is what a server does for one change with so many streams, each of which takes
+// it at once.
 func BenchmarkPublish(b *testing.B) {
 	for _, streams := range []int{124, 620} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -2,17 +2,20 @@
 
 import "slices"
 
-// BucketCount is in how many buckets a state's records lie by the hash of their keys. A replica that lacks d records
-// fetches the sums of all buckets (16 bytes each) and about d buckets. With 7,300 servers and 60,000 tenants a bucket
-// holds 33 records in the mean (see serverBuckets): 2,048 is near the least sum of both for ten to a few hundred
-// records, the usual gap. It is a part of the protocol: all members of a fleet need the same.
+// BucketCount is in how many buckets a state's records lie by the hash of their keys. A replica
+// that lacks d records fetches the sums of all buckets (16 bytes each) and about d buckets. With
+// 7,300 servers and 60,000 tenants a bucket holds 33 records in the mean (see serverBuckets): 2,048
+// is near the least sum of both for ten to a few hundred records, the usual gap. It is a part of
+// the protocol: all members of a fleet need the same.
 const BucketCount = 2048
 
-// serverBuckets is how many of the buckets are the servers' own. Servers change far more often than tenants and plans,
-// of which there are more: in buckets of both, each server that a replica lacks would have it fetch tenants.
+// serverBuckets is how many of the buckets are the servers' own. Servers change far more often than
+// tenants and plans, of which there are more: in buckets of both, each server that a replica lacks
+// would have it fetch tenants.
 const serverBuckets = BucketCount / 2
 
-// bucket is the records of one bucket by key. One that is in a State is never changed, so that states share them.
+// bucket is the records of one bucket by key. One that is in a State is never changed, so that
+// states share them.
 type bucket struct {
 	records []Record
 	sum     Digest // of the records' hashes
--- a/internal/controlplane/distribution/candidates.go
+++ b/internal/controlplane/distribution/candidates.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// candidates are the servers that a replica may watch, in its order of preference, and which of them it avoids for
-// now.
+// candidates are the servers that a replica may watch, in its order of preference, and which of
+// them it avoids for now.
 type candidates struct {
 	settings *ReplicaSettings
 	random   *rand.Rand
@@ -34,8 +34,8 @@
 	c.backoffs = kept
 }
 
-// has tells whether a server is one of them, at the same address.
-func (c *candidates) has(server Server) bool {
+// contains tells whether a server is one of them, at the same address.
+func (c *candidates) contains(server Server) bool {
 	for _, s := range c.ranked {
 		if s.ID == server.ID {
 			return s.Address == server.Address
@@ -57,8 +57,8 @@
 	return Server{}, at, false
 }
 
-// otherThan tells whether another server could be tried now.
-func (c *candidates) otherThan(now time.Duration, server string) bool {
+// hasAlternative tells whether another server could be tried now.
+func (c *candidates) hasAlternative(now time.Duration, server string) bool {
 	for _, s := range c.ranked {
 		if s.ID != server && c.backoffs[s.ID].until <= now {
 			return true
@@ -67,13 +67,13 @@
 	return false
 }
 
-// failed avoids a server for longer and longer.
-func (c *candidates) failed(now time.Duration, server string) {
-	c.avoid(now, server, backoffSpan(c.settings, c.backoffs[server].failures))
+// recordFailure avoids a server for longer and longer.
+func (c *candidates) recordFailure(now time.Duration, server string) {
+	c.avoid(now, server, backoffDelay(c.settings, c.backoffs[server].failures))
 }
 
-// backoffSpan is the span after so many failures.
-func backoffSpan(settings *ReplicaSettings, failures int) time.Duration {
+// backoffDelay is the span after so many failures.
+func backoffDelay(settings *ReplicaSettings, failures int) time.Duration {
 	if failures >= maxFailures {
 		return settings.MaxBackoff
 	}
@@ -93,5 +93,5 @@
 	c.backoffs[server] = b
 }
 
-// worked forgets a server's failures.
-func (c *candidates) worked(server string) { delete(c.backoffs, server) }
+// recordSuccess forgets a server's failures.
+func (c *candidates) recordSuccess(server string) { delete(c.backoffs, server) }
--- a/internal/controlplane/distribution/changelog.go
+++ b/internal/controlplane/distribution/changelog.go
@@ -45,8 +45,8 @@
 // Bytes is about what their changes take.
 func (l *ChangeLog) Bytes() int { return l.bytes }
 
-// Append adds a delta, and drops the oldest where a bound is passed. A delta that does not begin at Last makes the log
-// begin anew behind it.
+// Append adds a delta, and drops the oldest where a bound is passed. A delta that does not begin at
+// Last makes the log begin anew behind it.
 func (l *ChangeLog) Append(d *Delta) {
 	if last := l.Last(); d.Epoch != last.Epoch || d.From != last.Revision {
 		*l = ChangeLog{bounds: l.bounds, base: d.Position()}
@@ -97,8 +97,8 @@
 	return int(revision - l.base.Revision), true
 }
 
-// Since gives one delta from a revision to Last, the newest change a key. It gives false where the log was compacted
-// past the revision, or doesn't reach it yet.
+// Since gives one delta from a revision to Last, the newest change a key. It gives false where the
+// log was compacted past the revision, or doesn't reach it yet.
 func (l *ChangeLog) Since(revision uint64) (*Delta, bool) {
 	index, ok := l.index(revision)
 	if !ok {
--- a/internal/controlplane/distribution/changelog_test.go
+++ b/internal/controlplane/distribution/changelog_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// From any revision that the log reaches one merged delta leads to the newest, whatever was compacted.
+// From any revision that the log reaches one merged delta leads to the newest, whatever was
+// compacted.
 func TestSinceLeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
--- a/internal/controlplane/distribution/digest.go
+++ b/internal/controlplane/distribution/digest.go
@@ -55,7 +55,8 @@
 	return append(to, id...)
 }
 
-// bucketIndex is the bucket of a key: one of the first for a server, one of the rest for anything else.
+// bucketIndex is the bucket of a key: one of the first for a server, one of the rest for anything
+// else.
 func bucketIndex(kind Kind, id string) uint32 {
 	var scratch [128]byte
 	hash := xxh3.Hash(appendKey(scratch[:0], kind, id))
--- a/internal/controlplane/distribution/doc.go
+++ b/internal/controlplane/distribution/doc.go
@@ -11,10 +11,10 @@
 //
 // # Positions
 //
-// A Position is (epoch, revision, digest). The epoch names a lineage of revisions: it is given by the
-// first command that a fleet's machine takes, and a fleet that is founded anew has a later, greater one.
-// Positions are ordered by epoch, then revision. Terms of the source can't order epochs: a fleet that is
-// founded anew counts its terms from one again.
+// A Position is (epoch, revision, digest). The epoch names a lineage of revisions: it is given by
+// the first command that a fleet's machine takes, and a fleet that is founded anew has a later,
+// greater one. Positions are ordered by epoch, then revision. Terms of the source can't order
+// epochs: a fleet that is founded anew counts its terms from one again.
 //
 // # Guarantees
 //
@@ -24,10 +24,10 @@
 //   - A replica never goes back to an earlier position.
 //   - Nothing here grows without a bound: logs, messages under way, retries.
 //
-// Digests are sums of xxh3 hashes. They find faults of programs, disks and links; they are no defence
-// against somebody who makes records up.
+// Digests are sums of xxh3 hashes. They find faults of programs, disks and links; they are no
+// defence against somebody who makes records up.
 //
-// Nothing here does I/O, starts a goroutine, looks at a clock or draws from a global source of randomness.
-// Times are counted from any fixed moment of the caller's. No type may be used concurrently, except that a
-// State that nobody changes any more may be read by many.
+// Nothing here does I/O, starts a goroutine, looks at a clock or draws from a global source of
+// randomness. Times are counted from any fixed moment of the caller's. No type may be used
+// concurrently, except that a State that nobody changes any more may be read by many.
 package distribution
--- a/internal/controlplane/distribution/errors.go
+++ b/internal/controlplane/distribution/errors.go
@@ -31,16 +31,17 @@
 	return fmt.Sprintf("distribution: the content comes to digest %s instead of %s", e.Got, e.Position)
 }
 
-// WrongBaseError is returned for the first command of a term that is a difference to another position than the
-// machine's. The whole state is taken, or the difference to the position that it has.
+// WrongBaseError is returned for the first command of a term that is a difference to another
+// position than the machine's. The whole state is taken, or the difference to the position that it
+// has.
 type WrongBaseError struct{ Have, Got Position }
 
 func (e *WrongBaseError) Error() string {
 	return fmt.Sprintf("distribution: a term begins with a difference to %s, the state is at %s", e.Got, e.Have)
 }
 
-// DivergenceError is reported where two states at one revision have different digests. It names a fault of
-// a program or of memory: it is repaired, but should be looked into.
+// DivergenceError is reported where two states at one revision have different digests. It names a
+// fault of a program or of memory: it is repaired, but should be looked into.
 type DivergenceError struct{ Mine, Theirs Position }
 
 func (e *DivergenceError) Error() string {
@@ -65,7 +66,8 @@
 	return fmt.Sprintf("distribution: record %s %q: %s", e.Kind, e.ID, e.Reason)
 }
 
-// InvalidMessageError is returned for a message that can't be read, or that does not belong where it came.
+// InvalidMessageError is returned for a message that can't be read, or that does not belong where
+// it came.
 type InvalidMessageError struct {
 	Message string // its name
 	Reason  string
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -9,7 +9,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// MachineName is what the agreed state calls the machine, and Duty the duty of watching the register for the fleet.
+// MachineName is what the agreed state calls the machine, and Duty the duty of watching the
+// register for the fleet.
 const (
 	MachineName = "distribution"
 	Role        = "register"
@@ -31,8 +32,8 @@
 
 // Machine is the control state as a part of the agreed state: an agree.Machine.
 type Machine struct {
-	// Updated is called after each command that was taken in and after Restore, from within Apply and Restore. It may be
-	// nil.
+	// Updated is called after each command that was taken in and after Restore, from within Apply
+	// and Restore. It may be nil.
 	Updated func(Update)
 
 	fence   Fence
@@ -42,21 +43,22 @@
 	changes uint64
 }
 
-// NewMachine makes a machine without records. The fence is the table of duties of the same agreed state.
+// NewMachine makes a machine without records. The fence is the table of duties of the same agreed
+// state.
 func NewMachine(f Fence) *Machine { return &Machine{fence: f, state: NewState()} }
 
 // State is the machine's state at the moment, as a copy.
 func (m *Machine) State() *State { return m.state.Clone() }
 
-// Apply takes an encoded Command in. Its answer is empty, or why the command was refused; one that is refused changes
-// nothing.
+// Apply takes an encoded Command in. Its answer is empty, or why the command was refused; one that
+// is refused changes nothing.
 func (m *Machine) Apply(_ time.Duration, _ uint64, who lease.Member, body []byte) []byte {
 	delta, err := m.apply(who, body)
 	if err != nil {
 		return []byte(err.Error())
 	}
 	m.changes++
-	m.tell(Update{Delta: delta})
+	m.notify(Update{Delta: delta})
 	return nil
 }
 
@@ -87,8 +89,8 @@
 	return m.state.advance(command.Epoch, changes), nil
 }
 
-// checkBase refuses the first command of a term where it is a difference to something else than the state: what an
-// earlier owner said last may have come in after the new one had looked.
+// checkBase refuses the first command of a term where it is a difference to something else than the
+// state: what an earlier owner said last may have come in after the new one had looked.
 func (m *Machine) checkBase(base *distributionpb.Position) error {
 	if base.GetEpoch() == 0 {
 		return &InvalidMessageError{"command", "the first of a term has to be the whole state, or to say what it is a difference to"}
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// commandChanges reads and checks a command's changes: one a key, and no deletions in a whole state.
+// commandChanges reads and checks a command's changes: one a key, and no deletions in a whole
+// state.
 func commandChanges(command *distributionpb.Command) ([]Change, error) {
 	changes, err := ChangesFromProto(command.Changes)
 	if err != nil {
@@ -130,19 +133,20 @@
 	return m.state.Difference(next)
 }
 
-func (m *Machine) tell(u Update) {
+func (m *Machine) notify(u Update) {
 	if m.Updated != nil {
 		u.State, u.Term = m.state.Clone(), m.term
 		m.Updated(u)
 	}
 }
 
-// QueryWhole has Query give the whole state.
-const QueryWhole = "whole"
+// QuerySnapshot has Query give the whole state.
+const QuerySnapshot = "whole"
 
-// Query gives an encoded Heartbeat with position and term; for the body QueryWhole an encoded Snapshot.
+// Query gives an encoded Heartbeat with position and term; for the body QueryWhole an encoded
+// Snapshot.
 func (m *Machine) Query(_ time.Duration, body []byte) []byte {
-	if string(body) == QueryWhole {
+	if string(body) == QuerySnapshot {
 		return m.Snapshot()
 	}
 	return encode(&distributionpb.Heartbeat{Position: m.state.Position().Proto(), Term: m.term})
@@ -159,8 +163,8 @@
 	})
 }
 
-// Restore reads what Snapshot wrote. It returns an error and leaves the machine as it is for a snapshot that can't be
-// read or doesn't fit its digest.
+// Restore reads what Snapshot wrote. It returns an error and leaves the machine as it is for a
+// snapshot that can't be read or doesn't fit its digest.
 func (m *Machine) Restore(raw []byte) error {
 	var snapshot distributionpb.Snapshot
 	if err := proto.Unmarshal(raw, &snapshot); err != nil {
@@ -173,6 +177,6 @@
 	m.state, m.term = state, snapshot.Term
 	m.owner = lease.Member{ID: snapshot.OwnerId, Incarnation: snapshot.OwnerIncarnation}
 	m.changes++
-	m.tell(Update{Restored: true})
+	m.notify(Update{Restored: true})
 	return nil
 }
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// A new term's whole list comes to the difference; revisions go on, and nothing changed is no revision.
+// A new term's whole list comes to the difference; revisions go on, and nothing changed is no
+// revision.
 func TestMachineTurnsAWholeIntoTheDifference(t *testing.T) {
 	m, fence, updates := newTestMachine()
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
@@ -139,7 +140,8 @@
 	refused(command(2, 0, false, deleted("a")), "whole state")
 }
 
-// Machines that take the same commands come to the same bytes, also where one was restored in between.
+// Machines that take the same commands come to the same bytes, also where one was restored in
+// between.
 func TestMachinesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, fence, _ := newTestMachine()
@@ -214,7 +216,7 @@
 	if at, err := PositionFromProto(head.Position); err != nil || at != m.State().Position() {
 		t.Errorf("%v %v", at, err)
 	}
-	if !bytes.Equal(m.Query(0, []byte(QueryWhole)), m.Snapshot()) {
+	if !bytes.Equal(m.Query(0, []byte(QuerySnapshot)), m.Snapshot()) {
 		t.Error("the whole is another than the snapshot")
 	}
 }
--- a/internal/controlplane/distribution/message.go
+++ b/internal/controlplane/distribution/message.go
@@ -2,8 +2,8 @@
 
 import "mothcleat/internal/controlplane/distributionpb"
 
-// Message is one response as it goes out. It is encoded once, and shared by all streams that it goes to; nobody
-// changes it.
+// Message is one response as it goes out. It is encoded once, and shared by all streams that it
+// goes to; nobody changes it.
 type Message struct {
 	Response *distributionpb.WatchResponse
 	Bytes    []byte // Response, encoded
--- a/internal/controlplane/distribution/position.go
+++ b/internal/controlplane/distribution/position.go
@@ -17,8 +17,8 @@
 // String gives epoch, revision and digest.
 func (p Position) String() string { return fmt.Sprintf("%d/%d (%s)", p.Epoch, p.Revision, p.Digest) }
 
-// Compare orders positions by epoch, then by revision: negative where p is the earlier one. It does not
-// look at digests.
+// Compare orders positions by epoch, then by revision: negative where p is the earlier one. It does
+// not look at digests.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Epoch, other.Epoch), cmp.Compare(p.Revision, other.Revision))
 }
@@ -28,7 +28,8 @@
 	return &distributionpb.Position{Epoch: p.Epoch, Revision: p.Revision, Digest: p.Digest.Encode()}
 }
 
-// PositionFromProto reads a message. A missing one, or one without epoch, is the position of an empty state.
+// PositionFromProto reads a message. A missing one, or one without epoch, is the position of an
+// empty state.
 func PositionFromProto(m *distributionpb.Position) (Position, error) {
 	if m.GetEpoch() == 0 {
 		if m.GetRevision() != 0 {
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -13,60 +13,63 @@
 // StreamID names one stream of a Publisher; its caller gives it and never gives it twice.
 type StreamID uint64
 
-// Send is a message that is to go out on a stream. The stream gets no further one before Sent was called for it.
+// Send is a message that is to go out on a stream. The stream gets no further one before Sent was
+// called for it.
 type Send struct {
 	Stream  StreamID
 	Message *Message
 }
 
-// Publisher is a server's side of all its streams. Whoever drives it calls a method for each thing that happens, then
-// Take and sends what that gives, and calls Tick when Wake says so.
+// Publisher is a server's side of all its streams. Whoever drives it calls a method for each thing
+// that happens, then Take and sends what that gives, and calls Tick when Wake says so.
 //
-// A stream has no queue: it has a position, up to which it was sent everything, and one message under way. When the
-// stream takes the next one it gets all changes since, merged. So a slow reader costs no memory, gets no more than it
-// can take, and is never left with a gap; past the bound of the log it is brought up to date by buckets.
+// A stream has no queue: it has a position, up to which it was sent everything, and one message
+// under way. When the stream takes the next one it gets all changes since, merged. So a slow reader
+// costs no memory, gets no more than it can take, and is never left with a gap; past the bound of
+// the log it is brought up to date by buckets.
 type Publisher struct {
 	settings PublisherSettings
 	random   *rand.Rand
 
-	state     *State // the newest; never changed
-	position  Position
-	log       *ChangeLog
-	published uint64 // revision up to which live streams are to be sent changes at once
-	mergeAt   time.Duration
-	merging   bool
-
-	term    uint64
-	heard   bool
-	heardAt time.Duration // of the source
-
-	streams   map[StreamID]*stream
-	order     []*stream // by id
-	deltas    map[uint64]*Message
-	beatAt    time.Duration
-	begun     bool
-	admission admission
-	pin       *pin
-	counts    PublisherCounts
+	state             *State // the newest; never changed
+	position          Position
+	log               *ChangeLog
+	publishedRevision uint64 // revision up to which live streams are to be sent changes at once
+	mergeAt           time.Duration
+	merging           bool
+
+	term          uint64
+	sourceHeard   bool
+	sourceHeardAt time.Duration // of the source
+
+	streams     map[StreamID]*stream
+	order       []*stream // by id
+	deltas      map[uint64]*Message
+	heartbeatAt time.Duration
+	started     bool
+	admission   admission
+	pinned      *pinnedState
+	counts      PublisherCounts
 }
 
 // PublisherCounts count what a Publisher did.
 type PublisherCounts struct {
-	Deltas       uint64 `json:"deltas"` // sent, over all streams
-	DeltaBytes   uint64 `json:"delta_bytes"`
-	Encoded      uint64 `json:"encoded"`       // deltas encoded
-	Resyncs      uint64 `json:"resyncs"`       // admitted
-	Retries      uint64 `json:"retries"`       // resyncs that were told to come back
-	Buckets      uint64 `json:"buckets"`       // sent
-	BulkBytes    uint64 `json:"bulk_bytes"`    // of digests and buckets
-	Divergences  uint64 `json:"divergences"`   // replicas that had another digest at a revision of the log
+	Deltas     uint64 `json:"deltas"` // sent, over all streams
+	DeltaBytes uint64 `json:"delta_bytes"`
+	Encoded    uint64 `json:"encoded"`    // deltas encoded
+	Resyncs    uint64 `json:"resyncs"`    // admitted
+	Retries    uint64 `json:"retries"`    // resyncs that were told to come back
+	Buckets    uint64 `json:"buckets"`    // sent
+	BulkBytes  uint64 `json:"bulk_bytes"` // of digests and buckets
+	// replicas that had another digest at a revision of the log
+	Divergences  uint64 `json:"divergences"`
 	BehindEvents uint64 `json:"behind_events"` // replicas that were ahead of this server
 }
 
 // NewPublisher makes a publisher of a state, without streams. The randomness is for jitter alone.
 func NewPublisher(settings PublisherSettings, state *State, random *rand.Rand) *Publisher {
 	p := &Publisher{settings: settings, random: random, streams: map[StreamID]*stream{}}
-	p.admission = admission{settings: &p.settings, holders: map[StreamID]time.Duration{}}
+	p.admission = admission{settings: &p.settings, admittedAt: map[StreamID]time.Duration{}}
 	p.replace(state)
 	return p
 }
@@ -75,7 +78,7 @@
 func (p *Publisher) replace(state *State) {
 	p.state, p.position = state, state.Position()
 	p.log = NewChangeLog(p.position, p.settings.Log)
-	p.published = p.position.Revision
+	p.publishedRevision = p.position.Revision
 	p.merging, p.deltas = false, map[uint64]*Message{}
 }
 
@@ -85,7 +88,8 @@
 // Counts is what was done so far.
 func (p *Publisher) Counts() PublisherCounts { return p.counts }
 
-// Acknowledged is the earliest revision that a live stream has acknowledged; the newest where there is no stream.
+// Acknowledged is the earliest revision that a live stream has acknowledged; the newest where there
+// is no stream.
 func (p *Publisher) Acknowledged() uint64 {
 	earliest := p.position.Revision
 	for _, s := range p.order {
@@ -98,24 +102,24 @@
 
 // Update takes in what the machine's Updated tells.
 func (p *Publisher) Update(now time.Duration, u Update) {
-	p.begin(now)
+	p.start(now)
 	if !u.Restored {
-		p.term, p.heard, p.heardAt = u.Term, true, now
+		p.term, p.sourceHeard, p.sourceHeardAt = u.Term, true, now
 	}
 	switch {
 	case u.Restored:
 		p.replace(u.State)
 	case u.Delta != nil:
-		p.append(now, u)
+		p.appendDelta(now, u)
 	default:
 		return
 	}
 	for _, s := range p.order {
-		p.reconsider(now, s)
+		p.reroute(now, s)
 	}
 }
 
-func (p *Publisher) append(now time.Duration, u Update) {
+func (p *Publisher) appendDelta(now time.Duration, u Update) {
 	p.state, p.position = u.State, u.Delta.Position()
 	p.log.Append(u.Delta)
 	clear(p.deltas)
@@ -128,25 +132,25 @@
 
 // publish ends the window in which changes are merged.
 func (p *Publisher) publish() {
-	p.merging, p.published = false, p.position.Revision
+	p.merging, p.publishedRevision = false, p.position.Revision
 }
 
-// reconsider looks at a stream after the state has changed.
-func (p *Publisher) reconsider(now time.Duration, s *stream) {
+// reroute looks at a stream after the state has changed.
+func (p *Publisher) reroute(now time.Duration, s *stream) {
 	switch s.phase {
 	case phaseAhead, phaseLive:
-		if s.phase == phaseAhead && s.at.Compare(p.position) > 0 {
+		if s.phase == phaseAhead && s.position.Compare(p.position) > 0 {
 			return
 		}
-		if s.phase == phaseAhead || s.at.Epoch != p.position.Epoch || s.at.Revision > p.position.Revision {
-			p.place(now, s, false)
+		if s.phase == phaseAhead || s.position.Epoch != p.position.Epoch || s.position.Revision > p.position.Revision {
+			p.route(now, s, false)
 		}
 	}
 }
 
 // Open adds a stream. It is writable from the start. It fails where there are too many.
 func (p *Publisher) Open(now time.Duration, id StreamID) error {
-	p.begin(now)
+	p.start(now)
 	if len(p.streams) >= p.settings.MaxStreams {
 		return fmt.Errorf("distribution: %d streams are open, no more are taken", len(p.streams))
 	}
@@ -166,7 +170,7 @@
 	delete(p.streams, id)
 	at, _ := slices.BinarySearchFunc(p.order, s, compareStreams)
 	p.order = slices.Delete(p.order, at, at+1)
-	p.admission.leave(id)
+	p.admission.release(id)
 }
 
 // Sent tells that a stream takes the next message.
@@ -176,20 +180,21 @@
 	}
 }
 
-// Received takes in what a replica said. After an error the stream is to be ended with it, and closed.
+// Received takes in what a replica said. After an error the stream is to be ended with it, and
+// closed.
 func (p *Publisher) Received(now time.Duration, id StreamID, m *distributionpb.WatchRequest) error {
-	p.begin(now)
+	p.start(now)
 	s := p.streams[id]
 	if s == nil {
 		return nil // it was closed
 	}
 	switch r := m.GetRequest().(type) {
 	case *distributionpb.WatchRequest_Resume:
-		return p.resume(now, s, r.Resume)
+		return p.handleResume(now, s, r.Resume)
 	case *distributionpb.WatchRequest_Fetch:
-		return p.fetch(s, r.Fetch)
+		return p.handleFetch(s, r.Fetch)
 	case *distributionpb.WatchRequest_Acknowledge:
-		if r.Acknowledge.Epoch == s.at.Epoch {
+		if r.Acknowledge.Epoch == s.position.Epoch {
 			s.acknowledged = r.Acknowledge.Revision
 		}
 		return nil
@@ -197,7 +202,7 @@
 	return &InvalidMessageError{"request", "it is empty"}
 }
 
-func (p *Publisher) resume(now time.Duration, s *stream, m *distributionpb.Resume) error {
+func (p *Publisher) handleResume(now time.Duration, s *stream, m *distributionpb.Resume) error {
 	if m.Fleet != p.settings.Fleet {
 		return &WrongFleetError{Want: p.settings.Fleet, Got: m.Fleet}
 	}
@@ -206,69 +211,71 @@
 		return err
 	}
 	if s.phase == phaseRetrying && now < s.retryAt {
-		s.control = []*Message{retryMessage(uint64(s.retryAt - now))} // it keeps its place, and comes no sooner
+		// it keeps its place, and comes no sooner
+		s.controlQueue = []*Message{retryMessage(uint64(s.retryAt - now))}
 		return nil
 	}
-	p.admission.leave(s.id)
-	s.replica, s.at, s.acknowledged = m.Replica, at, at.Revision
-	s.control, s.beat = nil, true
-	p.place(now, s, m.Repair)
+	p.admission.release(s.id)
+	s.replica, s.position, s.acknowledged = m.Replica, at, at.Revision
+	s.controlQueue, s.heartbeatDue = nil, true
+	p.route(now, s, m.Repair)
 	return nil
 }
 
-// place decides how a stream at a position goes on.
-func (p *Publisher) place(now time.Duration, s *stream, repair bool) {
-	s.pin, s.buckets, s.digests = nil, nil, 0
-	if s.at.Compare(p.position) > 0 {
+// route decides how a stream at a position goes on.
+func (p *Publisher) route(now time.Duration, s *stream, repair bool) {
+	s.pinned, s.pendingBuckets, s.digestsSent = nil, nil, 0
+	if s.position.Compare(p.position) > 0 {
 		s.phase = phaseAhead
-		s.control = []*Message{behindMessage(p.position)}
+		s.controlQueue = []*Message{behindMessage(p.position)}
 		p.counts.BehindEvents++
 		return
 	}
-	known, inLog := p.log.At(s.at.Revision)
+	known, inLog := p.log.At(s.position.Revision)
 	switch {
-	case repair || s.at.Epoch != p.position.Epoch || !inLog:
-		p.admit(now, s)
-	case known.Digest != s.at.Digest:
+	case repair || s.position.Epoch != p.position.Epoch || !inLog:
+		p.startResync(now, s)
+	case known.Digest != s.position.Digest:
 		p.counts.Divergences++
-		p.admit(now, s)
+		p.startResync(now, s)
 	default:
 		s.phase = phaseLive
 	}
 }
 
-// admit begins a resync, or has the replica come back.
-func (p *Publisher) admit(now time.Duration, s *stream) {
-	if after, ok := p.admission.enter(now, s.id, p.resyncBytes(s), p.random); !ok {
+// startResync begins a resync, or has the replica come back.
+func (p *Publisher) startResync(now time.Duration, s *stream) {
+	if after, ok := p.admission.admit(now, s.id, p.estimateResyncBytes(s), p.random); !ok {
 		s.phase, s.retryAt = phaseRetrying, now+after
-		s.control = []*Message{retryMessage(uint64(after))}
+		s.controlQueue = []*Message{retryMessage(uint64(after))}
 		p.counts.Retries++
 		return
 	}
 	p.counts.Resyncs++
-	if p.pin == nil || p.pin.position != p.position {
-		p.pin = &pin{state: p.state, position: p.position}
+	if p.pinned == nil || p.pinned.position != p.position {
+		p.pinned = &pinnedState{state: p.state, position: p.position}
 	}
-	s.phase, s.pin, s.digests = phaseDigests, p.pin, 0
+	s.phase, s.pinned, s.digestsSent = phaseDigests, p.pinned, 0
 }
 
-// resyncBytes is about what a resync sends: everything to a replica that has nothing.
-func (p *Publisher) resyncBytes(s *stream) int {
-	if s.at.Epoch == 0 {
+// estimateResyncBytes is about what a resync sends: everything to a replica that has nothing.
+func (p *Publisher) estimateResyncBytes(s *stream) int {
+	if s.position.Epoch == 0 {
 		return p.state.Bytes()
 	}
 	return BucketCount*DigestBytes + p.state.Bytes()/typicalGap
 }
 
-// typicalGap is the part of a state that a replica which has something is taken to lack: one in so many records.
+// typicalGap is the part of a state that a replica which has something is taken to lack: one in so
+// many records.
 const typicalGap = 16
 
-func (p *Publisher) fetch(s *stream, m *distributionpb.FetchBuckets) error {
+func (p *Publisher) handleFetch(s *stream, m *distributionpb.FetchBuckets) error {
 	at, err := PositionFromProto(m.Position)
 	if err != nil {
 		return err
 	}
-	if s.phase != phaseFetching || at != s.pin.position {
+	if s.phase != phaseFetching || at != s.pinned.position {
 		return nil // of a resync that was given up since
 	}
 	for i, index := range m.Buckets {
@@ -276,58 +283,58 @@
 			return &InvalidMessageError{"fetch", fmt.Sprintf("bucket %d is none, or out of order", index)}
 		}
 	}
-	s.buckets, s.phase = m.Buckets, phaseBuckets
-	if len(s.buckets) == 0 {
-		p.resynced(s)
+	s.pendingBuckets, s.phase = m.Buckets, phaseBuckets
+	if len(s.pendingBuckets) == 0 {
+		p.finishResync(s)
 	}
 	return nil
 }
 
-// resynced ends a resync: the stream has what was pinned.
-func (p *Publisher) resynced(s *stream) {
-	s.at, s.pin, s.buckets, s.phase = s.pin.position, nil, nil, phaseLive
-	p.admission.leave(s.id)
+// finishResync ends a resync: the stream has what was pinned.
+func (p *Publisher) finishResync(s *stream) {
+	s.position, s.pinned, s.pendingBuckets, s.phase = s.pinned.position, nil, nil, phaseLive
+	p.admission.release(s.id)
 }
 
-// begin sets the clocks by the first event.
-func (p *Publisher) begin(now time.Duration) {
-	if !p.begun {
-		p.begun, p.beatAt = true, now+p.settings.HeartbeatEvery
-		p.admission.begin(now)
+// start sets the clocks by the first event.
+func (p *Publisher) start(now time.Duration) {
+	if !p.started {
+		p.started, p.heartbeatAt = true, now+p.settings.HeartbeatInterval
+		p.admission.start(now)
 	}
 }
 
 // Tick takes in that time has passed.
 func (p *Publisher) Tick(now time.Duration) {
-	p.begin(now)
+	p.start(now)
 	if p.merging && now >= p.mergeAt {
 		p.publish()
 	}
-	if now < p.beatAt {
+	if now < p.heartbeatAt {
 		return
 	}
-	p.beatAt = now + p.settings.HeartbeatEvery
+	p.heartbeatAt = now + p.settings.HeartbeatInterval
 	for _, s := range p.order {
-		s.beat = s.phase != phaseOpened
+		s.heartbeatDue = s.phase != phaseOpened
 	}
 }
 
 // Wake is when Tick is to be called next, if nothing happens before.
 func (p *Publisher) Wake(now time.Duration) time.Duration {
-	p.begin(now)
-	wake := p.beatAt
+	p.start(now)
+	wake := p.heartbeatAt
 	if p.merging {
 		wake = min(wake, p.mergeAt)
 	}
-	if p.bulkWaits() {
-		wake = min(wake, p.admission.tokensAt(now))
+	if p.bulkPending() {
+		wake = min(wake, p.admission.availableAt(now))
 	}
 	return max(wake, now)
 }
 
-// bulkWaits tells whether a stream would take buckets or digests.
-func (p *Publisher) bulkWaits() bool {
-	return slices.ContainsFunc(p.order, func(s *stream) bool { return s.writable && s.bulk() })
+// bulkPending tells whether a stream would take buckets or digests.
+func (p *Publisher) bulkPending() bool {
+	return slices.ContainsFunc(p.order, func(s *stream) bool { return s.writable && s.needsBulk() })
 }
 
 // Streams gives the ids of all streams, ascending.
--- a/internal/controlplane/distribution/publisher_settings.go
+++ b/internal/controlplane/distribution/publisher_settings.go
@@ -7,22 +7,24 @@
 	Fleet string
 	Log   LogBounds
 
-	MaxStreams     int
-	MergeWindow    time.Duration // how long a change that is not urgent waits for others
-	HeartbeatEvery time.Duration
+	MaxStreams        int
+	MergeWindow       time.Duration // how long a change that is not urgent waits for others
+	HeartbeatInterval time.Duration
 
-	// MaxResyncs is how many streams fetch buckets at a time. One counts for ResyncHold at most, so that slow readers
-	// don't keep others out; the rest are told to come back, after MinRetry to MaxRetry.
-	MaxResyncs int
-	ResyncHold time.Duration
-	MinRetry   time.Duration
-	MaxRetry   time.Duration
+	// MaxResyncs is how many streams fetch buckets at a time. One counts for ResyncHold at most, so
+	// that slow readers don't keep others out; the rest are told to come back, after MinRetry to
+	// MaxRetry.
+	MaxResyncs        int
+	ResyncSlotTimeout time.Duration
+	MinRetryDelay     time.Duration
+	MaxRetryDelay     time.Duration
 
-	// BulkBytesPerSecond is what all resyncs together may send, BulkBurstBytes what they may send at once.
+	// BulkBytesPerSecond is what all resyncs together may send, BulkBurstBytes what they may send
+	// at once.
 	BulkBytesPerSecond int
 	BulkBurstBytes     int
-	// BulkMessageBytes is about what one message of digests or buckets has; a single larger bucket goes by itself. It is
-	// small, so that a slow reader is not silent for long.
+	// BulkMessageBytes is about what one message of digests or buckets has; a single larger bucket
+	// goes by itself. It is small, so that a slow reader is not silent for long.
 	BulkMessageBytes int
 }
 
@@ -30,8 +32,8 @@
 func DefaultPublisherSettings(fleet string) PublisherSettings {
 	return PublisherSettings{
 		Fleet: fleet, Log: DefaultLogBounds(),
-		MaxStreams: 4096, MergeWindow: 50 * time.Millisecond, HeartbeatEvery: 500 * time.Millisecond,
-		MaxResyncs: 8, ResyncHold: 5 * time.Second, MinRetry: 100 * time.Millisecond, MaxRetry: 20 * time.Second,
+		MaxStreams: 4096, MergeWindow: 50 * time.Millisecond, HeartbeatInterval: 500 * time.Millisecond,
+		MaxResyncs: 8, ResyncSlotTimeout: 5 * time.Second, MinRetryDelay: 100 * time.Millisecond, MaxRetryDelay: 20 * time.Second,
 		BulkBytesPerSecond: 32 << 20, BulkBurstBytes: 1 << 20, BulkMessageBytes: 4 << 10,
 	}
 }
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// A slow reader gets everything merged when it reads again, and nothing waits for it meanwhile; past the log it is told the
-// digests.
+// A slow reader gets everything merged when it reads again, and nothing waits for it meanwhile;
+// past the log it is told the digests.
 func TestPublisherAndASlowReader(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries = 10 }, ready("a", 1))
 	from := s.state.Position()
@@ -173,8 +173,8 @@
 	}
 }
 
-// A resume past the log, of another epoch, for a repair, or of another digest is answered by digests; one that fits by
-// the changes since.
+// A resume past the log, of another epoch, for a repair, or of another digest is answered by
+// digests; one that fits by the changes since.
 func TestPublisherAnswersResumes(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries, p.MaxResyncs = 2, 100 }, ready("a", 1))
 	var positions []Position
@@ -239,7 +239,8 @@
 	}
 }
 
-// A few resyncs go on at a time; the others are told times that spread them, and one that comes early keeps its own.
+// A few resyncs go on at a time; the others are told times that spread them, and one that comes
+// early keeps its own.
 func TestPublisherAdmitsAFew(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 3 }, ready("a", 1))
 	var last time.Duration
@@ -254,7 +255,7 @@
 		if r := send.Message.Response.GetRetry(); r != nil {
 			retries++
 			after := time.Duration(r.AfterNs)
-			if after < s.publisher.settings.MinRetry || after > s.publisher.settings.MaxRetry {
+			if after < s.publisher.settings.MinRetryDelay || after > s.publisher.settings.MaxRetryDelay {
 				t.Errorf("come back after %v", after)
 			}
 			last = max(last, after)
@@ -269,7 +270,7 @@
 		t.Error("one that came early was given another place")
 	}
 	s.publisher.Close(0)
-	s.wait(s.publisher.settings.MaxRetry)
+	s.wait(s.publisher.settings.MaxRetryDelay)
 	s.resume(39, NewState().Position(), false)
 	if s.publisher.Counts().Resyncs != 4 {
 		t.Error("a place that was left is not given on")
@@ -280,7 +281,7 @@
 func TestPublisherFreesThePlacesOfSlowReaders(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 1 }, ready("a", 1))
 	s.open(1, NewState().Position(), false)
-	s.wait(s.publisher.settings.ResyncHold)
+	s.wait(s.publisher.settings.ResyncSlotTimeout)
 	s.open(2, NewState().Position(), false)
 	if got := s.publisher.Counts().Resyncs; got != 2 {
 		t.Errorf("%d", got)
@@ -312,7 +313,7 @@
 			s.publisher.Sent(send.Stream)
 		}
 		wake := s.publisher.Wake(s.now)
-		if wake < s.now || wake > s.now+s.publisher.settings.HeartbeatEvery {
+		if wake < s.now || wake > s.now+s.publisher.settings.HeartbeatInterval {
 			t.Fatalf("at %v it wants to be woken at %v", s.now, wake)
 		}
 		s.wait(50 * time.Millisecond)
@@ -329,13 +330,13 @@
 	s.open(2, s.state.Position(), false)
 	s.drain()
 	s.publisher.Update(s.now, Update{State: s.state.Clone(), Term: 4})
-	s.wait(s.publisher.settings.HeartbeatEvery)
+	s.wait(s.publisher.settings.HeartbeatInterval)
 	sends := s.take()
 	if len(sends) != 2 || sends[0].Message != sends[1].Message {
 		t.Fatalf("%v", sends)
 	}
 	h := sends[0].Message.Response.GetHeartbeat()
-	if h.Term != 4 || time.Duration(h.SourceAgeNs) != s.publisher.settings.HeartbeatEvery || h.Fleet != testFleet {
+	if h.Term != 4 || time.Duration(h.SourceAgeNs) != s.publisher.settings.HeartbeatInterval || h.Fleet != testFleet {
 		t.Errorf("%v", h)
 	}
 }
--- a/internal/controlplane/distribution/rank.go
+++ b/internal/controlplane/distribution/rank.go
@@ -28,9 +28,10 @@
 	return 2
 }
 
-// Rank gives the servers in the order in which a replica tries them: its zone first, then its region, then the rest;
-// within each by rendezvous hashing. So every server of a zone gets the same share of the zone's replicas, and where
-// one is added or lost, only the replicas move that come to it or were on it.
+// Rank gives the servers in the order in which a replica tries them: its zone first, then its
+// region, then the rest; within each by rendezvous hashing. So every server of a zone gets the same
+// share of the zone's replicas, and where one is added or lost, only the replicas move that come to
+// it or were on it.
 func Rank(replica string, at Place, servers []Server) []Server {
 	ranked := slices.Clone(servers)
 	slices.SortFunc(ranked, func(a, b Server) int {
--- a/internal/controlplane/distribution/record.go
+++ b/internal/controlplane/distribution/record.go
@@ -20,7 +20,8 @@
 	KindTenant = distributionpb.Kind_KIND_TENANT
 )
 
-// Bounds of one record, so that no message and no log grows beyond what a stream carries in one piece.
+// Bounds of one record, so that no message and no log grows beyond what a stream carries in one
+// piece.
 const (
 	MaxIDBytes    = 512
 	MaxValueBytes = 64 << 10
@@ -54,7 +55,8 @@
 	return &server, nil
 }
 
-// Urgent tells whether a change has to go before others: something is deleted, or a server is draining.
+// Urgent tells whether a change has to go before others: something is deleted, or a server is
+// draining.
 func (c *Change) Urgent() bool {
 	if c.Deleted {
 		return true
@@ -66,8 +68,8 @@
 	return err == nil && server.Phase == distributionpb.Phase_PHASE_DRAINING
 }
 
-// check refuses a change that can't be read or kept, with an InvalidRecordError. What it looks at is the same in every
-// version of the program, as the agreed machine decides by it.
+// check refuses a change that can't be read or kept, with an InvalidRecordError. What it looks at
+// is the same in every version of the program, as the agreed machine decides by it.
 func (c *Change) check() error {
 	invalid := func(reason string) error { return &InvalidRecordError{c.Kind, c.ID, reason} }
 	switch {
@@ -93,8 +95,8 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID))
 }
 
-// sortChanges puts deletions first, then draining servers, then the rest: an address may have passed from
-// one id to another.
+// sortChanges puts deletions first, then draining servers, then the rest: an address may have
+// passed from one id to another.
 func sortChanges(changes []Change) {
 	type ranked struct {
 		rank   int
--- a/internal/controlplane/distribution/repair.go
+++ b/internal/controlplane/distribution/repair.go
@@ -27,7 +27,8 @@
 	return raw
 }
 
-// DecodeSums reads what Encode wrote; an InvalidMessageError where it is not one to BucketCount sums.
+// DecodeSums reads what Encode wrote; an InvalidMessageError where it is not one to BucketCount
+// sums.
 func DecodeSums(raw []byte) (Sums, error) {
 	count := len(raw) / DigestBytes
 	if count == 0 || count > BucketCount || len(raw)%DigestBytes != 0 {
@@ -40,7 +41,8 @@
 	return sums, nil
 }
 
-// BucketMessage gives a bucket as a message, and about how many bytes it takes. It shares the values' bytes.
+// BucketMessage gives a bucket as a message, and about how many bytes it takes. It shares the
+// values' bytes.
 func (s *State) BucketMessage(index uint32) (m *distributionpb.Bucket, bytes int) {
 	b := s.buckets[index]
 	return bucketToProto(index, b), b.bytes
@@ -53,8 +55,8 @@
 // Bucket gives the records of a bucket; the caller doesn't change them.
 func (s *State) Bucket(index uint32) []Record { return s.buckets[index].records }
 
-// Repair makes a state that is at a position out of one that is not, by those buckets alone that differ. The state
-// that it began with stays as it is.
+// Repair makes a state that is at a position out of one that is not, by those buckets alone that
+// differ. The state that it began with stays as it is.
 type Repair struct {
 	target  Position
 	sums    Sums
@@ -87,9 +89,10 @@
 	return missing
 }
 
-// Put takes a bucket in. Whatever the replica held there and the bucket doesn't is gone. It returns an error and
-// leaves the repair as it is for a bucket that was not missing or has no such index (InvalidMessageError), a record
-// that can't be read (InvalidRecordError), and records that don't come to the bucket's sum (DigestMismatchError).
+// Put takes a bucket in. Whatever the replica held there and the bucket doesn't is gone. It returns
+// an error and leaves the repair as it is for a bucket that was not missing or has no such index
+// (InvalidMessageError), a record that can't be read (InvalidRecordError), and records that don't
+// come to the bucket's sum (DigestMismatchError).
 func (r *Repair) Put(m *distributionpb.Bucket) error {
 	index := m.GetIndex()
 	if !r.missing[index] {
@@ -125,8 +128,9 @@
 	return newBucket(records), nil
 }
 
-// Finish gives the state at the target. It returns an InvalidMessageError where buckets are missing, and a
-// DigestMismatchError where all buckets fit their sums and the sums don't fit the position's digest.
+// Finish gives the state at the target. It returns an InvalidMessageError where buckets are
+// missing, and a DigestMismatchError where all buckets fit their sums and the sums don't fit the
+// position's digest.
 func (r *Repair) Finish() (*State, error) {
 	if len(r.missing) > 0 {
 		return nil, &InvalidMessageError{"buckets", fmt.Sprintf("%d of them are missing", len(r.missing))}
@@ -139,7 +143,8 @@
 	return s, nil
 }
 
-// partial is what is there so far, at no position: the base of the next repair where this one is cut short.
+// partial is what is there so far, at no position: the base of the next repair where this one is
+// cut short.
 func (r *Repair) partial() *State {
 	s := &State{buckets: r.buckets}
 	for _, b := range r.buckets {
--- a/internal/controlplane/distribution/repair_test.go
+++ b/internal/controlplane/distribution/repair_test.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// FuzzDecode: whatever comes in from a disk or a stream is refused with a typed error, or is well formed.
+// FuzzDecode: whatever comes in from a disk or a stream is refused with a typed error, or is well
+// formed.
 func FuzzDecode(f *testing.F) {
 	s := NewState()
 	first := s.advance(testEpoch, []Change{ready("a", 1), {Record: Record{KindPlan, "p", []byte("x")}}})
--- a/internal/controlplane/distribution/replica_receive.go
+++ b/internal/controlplane/distribution/replica_receive.go
@@ -12,31 +12,31 @@
 	if attempt != r.attempt || r.phase == replicaIdle || r.phase == replicaConnecting {
 		return // of a stream that was left
 	}
-	r.heard = now
+	r.lastMessageAt = now
 	switch response := m.GetResponse().(type) {
 	case *distributionpb.WatchResponse_Heartbeat:
-		r.heartbeat(now, response.Heartbeat)
+		r.handleHeartbeat(now, response.Heartbeat)
 	case *distributionpb.WatchResponse_Delta:
-		r.delta(now, response.Delta)
+		r.handleDelta(now, response.Delta)
 	case *distributionpb.WatchResponse_Digests:
-		r.digests(now, response.Digests)
+		r.handleDigests(now, response.Digests)
 	case *distributionpb.WatchResponse_Buckets:
-		r.buckets(now, response.Buckets)
+		r.handleBuckets(now, response.Buckets)
 	case *distributionpb.WatchResponse_Retry:
-		r.retry(now, response.Retry)
+		r.handleRetry(now, response.Retry)
 	case *distributionpb.WatchResponse_Behind:
-		r.behind(now, response.Behind.GetPosition())
+		r.handleBehind(now, response.Behind.GetPosition())
 	default:
 		r.refuse(now, &InvalidMessageError{"response", "it is empty"})
 	}
 	r.persist(now)
 }
 
-// heartbeat compares positions: the server's is not to be behind, not to stay ahead, and at the same revision it is
-// to have the same digest.
-func (r *Replica) heartbeat(now time.Duration, m *distributionpb.Heartbeat) {
+// handleHeartbeat compares positions: the server's is not to be behind, not to stay ahead, and at
+// the same revision it is to have the same digest.
+func (r *Replica) handleHeartbeat(now time.Duration, m *distributionpb.Heartbeat) {
 	if m.Fleet != r.settings.Fleet {
-		r.leave(now, LeftDisconnected, &WrongFleetError{Want: r.settings.Fleet, Got: m.Fleet})
+		r.disconnect(now, ReasonStreamEnded, &WrongFleetError{Want: r.settings.Fleet, Got: m.Fleet})
 		r.connect(now)
 		return
 	}
@@ -49,7 +49,7 @@
 	mine := r.state.Position()
 	switch order := theirs.Compare(mine); {
 	case order < 0:
-		r.serverIsBehind(now)
+		r.handleServerBehind(now)
 		return
 	case order == 0 && theirs.Digest != mine.Digest && r.phase == replicaLive:
 		r.counts.Divergences++
@@ -57,68 +57,72 @@
 		return
 	}
 	r.behindSince = never
-	if r.sourceAge < r.settings.SourceSilent {
-		r.sourceHops, r.sourceHopAt = 0, now
-	} else if now >= r.sourceHopAt && r.candidates.otherThan(now, r.server.ID) {
-		r.leaveForSource(now)
+	if r.sourceAge < r.settings.SourceTimeout {
+		r.sourceSwitches, r.nextSourceSwitchAt = 0, now
+	} else if now >= r.nextSourceSwitchAt && r.candidates.hasAlternative(now, r.server.ID) {
+		r.switchForSource(now)
 		return
 	}
-	r.followed(now, mine, theirs)
+	r.checkCaughtUp(now, mine, theirs)
 }
 
-// leaveForSource leaves a server that has no news of the source, and waits longer and longer before the next is left for
-// that: where the source is silent for all, the fleet must not wander about.
-func (r *Replica) leaveForSource(now time.Duration) {
-	span := backoffSpan(&r.settings, r.sourceHops)
-	r.sourceHops = min(r.sourceHops+1, maxFailures)
-	r.sourceHopAt = now + jittered(span, r.random)
-	r.leave(now, LeftSourceSilent, nil)
+// switchForSource leaves a server that has no news of the source, and waits longer and longer
+// before the next is left for that: where the source is silent for all, the fleet must not wander
+// about.
+func (r *Replica) switchForSource(now time.Duration) {
+	span := backoffDelay(&r.settings, r.sourceSwitches)
+	r.sourceSwitches = min(r.sourceSwitches+1, maxFailures)
+	r.nextSourceSwitchAt = now + jittered(span, r.random)
+	r.disconnect(now, ReasonSourceSilent, nil)
 	r.connect(now)
 }
 
-// followed has the stream resumed where a heartbeat told of a revision and the next one comes without it having come.
-func (r *Replica) followed(now time.Duration, mine, theirs Position) {
-	if r.phase == replicaLive && mine.Compare(r.lagging) < 0 {
+// checkCaughtUp has the stream resumed where a heartbeat told of a revision and the next one comes
+// without it having come.
+func (r *Replica) checkCaughtUp(now time.Duration, mine, theirs Position) {
+	if r.phase == replicaLive && mine.Compare(r.announced) < 0 {
 		r.resume(now, false)
 		return
 	}
-	r.lagging = theirs
+	r.announced = theirs
 	if theirs == mine && (r.phase == replicaLive || r.phase == replicaResuming && len(r.sums) == 0) {
 		r.phase = replicaLive
-		r.progress(now)
-		if r.sourceAge < r.settings.SourceSilent {
-			r.candidates.worked(r.server.ID)
+		r.recordProgress(now)
+		if r.sourceAge < r.settings.SourceTimeout {
+			r.candidates.recordSuccess(r.server.ID)
 		}
 	}
 }
 
-// progress forgets the resumes that went before.
-func (r *Replica) progress(now time.Duration) { r.resumes, r.moved = 0, now }
+// recordProgress forgets the resumes that went before.
+func (r *Replica) recordProgress(now time.Duration) {
+	r.resumesWithoutProgress, r.lastProgressAt = 0, now
+}
 
-func (r *Replica) serverIsBehind(now time.Duration) {
+func (r *Replica) handleServerBehind(now time.Duration) {
 	if r.behindSince == never {
 		r.behindSince = now
 	}
-	if now-r.behindSince >= r.settings.BehindGrace {
-		r.leave(now, LeftBehind, nil)
+	if now-r.behindSince >= r.settings.BehindTimeout {
+		r.disconnect(now, ReasonBehind, nil)
 		r.connect(now)
 	}
 }
 
-func (r *Replica) behind(now time.Duration, m *distributionpb.Position) {
+func (r *Replica) handleBehind(now time.Duration, m *distributionpb.Position) {
 	theirs, err := PositionFromProto(m)
 	if err != nil {
 		r.refuse(now, err)
 		return
 	}
 	if theirs.Compare(r.state.Position()) < 0 {
-		r.serverIsBehind(now)
+		r.handleServerBehind(now)
 	}
 }
 
-// delta applies a delta on its exact revision. One that comes while buckets are compared is not needed: the server
-// begins at the position of the digests that it answers a Resume with.
-func (r *Replica) delta(now time.Duration, m *distributionpb.Delta) {
+// handleDelta applies a delta on its exact revision. One that comes while buckets are compared is
+// not needed: the server begins at the position of the digests that it answers a Resume with.
+func (r *Replica) handleDelta(now time.Duration, m *distributionpb.Delta) {
 	if r.phase != replicaLive && r.phase != replicaResuming {
 		return
 	}
@@ -132,7 +136,7 @@
 	case err == nil:
 		r.counts.Deltas++
 		r.phase = replicaLive
-		r.took(now, d.Changes)
+		r.accepted(now, d.Changes)
 	case r.phase == replicaResuming:
 		// It was under way when the Resume was sent, or the digest tells that it can't be resumed.
 		if !errors.As(err, &wrongRevision) && !errors.As(err, &wrongEpoch) {
@@ -140,25 +144,25 @@
 		}
 	case errors.As(err, &wrongRevision), errors.As(err, &wrongEpoch):
 		r.counts.Refused++
-		r.do(Report{err})
+		r.emit(ReportError{err})
 		r.resume(now, false)
 	default:
 		r.refuse(now, err)
 	}
 }
 
-// took hands on what the state has taken in.
-func (r *Replica) took(now time.Duration, changes []Change) {
-	r.progress(now)
-	r.dirty, r.behindSince, r.base = true, never, nil
+// accepted hands on what the state has taken in.
+func (r *Replica) accepted(now time.Duration, changes []Change) {
+	r.recordProgress(now)
+	r.unpersisted, r.behindSince, r.partialRepair = true, never, nil
 	at := r.state.Position()
-	r.do(Deliver{changes, at})
-	r.do(SendRequest{acknowledgeRequest(at)})
+	r.emit(Deliver{changes, at})
+	r.emit(SendRequest{acknowledgeRequest(at)})
 }
 
-// digests gathers the sums of all buckets, and begins a repair. The position may be of a later epoch; it is not to be
-// earlier than the replica's.
-func (r *Replica) digests(now time.Duration, m *distributionpb.BucketDigests) {
+// handleDigests gathers the sums of all buckets, and begins a repair. The position may be of a
+// later epoch; it is not to be earlier than the replica's.
+func (r *Replica) handleDigests(now time.Duration, m *distributionpb.BucketDigests) {
 	if r.phase != replicaResuming && r.phase != replicaLive {
 		return
 	}
@@ -173,7 +177,7 @@
 	}
 	mine := r.state.Position()
 	if target.Compare(mine) < 0 {
-		r.serverIsBehind(now)
+		r.handleServerBehind(now)
 		return
 	}
 	if target != r.target || m.First == 0 {
@@ -183,33 +187,33 @@
 		r.refuse(now, &InvalidMessageError{"digests", "they are out of order"})
 		return
 	}
-	r.phase, r.moved, r.sums = replicaResuming, now, append(r.sums, sums...)
+	r.phase, r.lastProgressAt, r.sums = replicaResuming, now, append(r.sums, sums...)
 	if len(r.sums) == BucketCount {
 		if target.Compare(mine) == 0 && target != mine {
 			r.counts.Divergences++
-			r.do(Report{&DivergenceError{Mine: mine, Theirs: target}})
+			r.emit(ReportError{&DivergenceError{Mine: mine, Theirs: target}})
 		}
-		r.compare(now)
+		r.startRepair(now)
 	}
 }
 
-// compare asks for the buckets that differ.
-func (r *Replica) compare(now time.Duration) {
-	base := r.base
+// startRepair asks for the buckets that differ.
+func (r *Replica) startRepair(now time.Duration) {
+	base := r.partialRepair
 	if base == nil {
 		base = r.state
 	}
 	r.repair = NewRepair(base, r.target, r.sums)
 	r.phase, r.sums = replicaRepairing, nil
 	missing := r.repair.Missing()
-	r.do(SendRequest{fetchRequest(r.target, missing)})
+	r.emit(SendRequest{fetchRequest(r.target, missing)})
 	if len(missing) == 0 {
-		r.finish(now)
+		r.finishRepair(now)
 	}
 }
 
-// buckets takes in some of those that were asked for.
-func (r *Replica) buckets(now time.Duration, m *distributionpb.Buckets) {
+// handleBuckets takes in some of those that were asked for.
+func (r *Replica) handleBuckets(now time.Duration, m *distributionpb.Buckets) {
 	if r.phase != replicaRepairing {
 		return
 	}
@@ -221,16 +225,16 @@
 			r.refuse(now, err)
 			return
 		}
-		r.progress(now)
+		r.recordProgress(now)
 		r.counts.Buckets++
 	}
 	if m.Last {
-		r.finish(now)
+		r.finishRepair(now)
 	}
 }
 
-// finish takes a repaired state in.
-func (r *Replica) finish(now time.Duration) {
+// finishRepair takes a repaired state in.
+func (r *Replica) finishRepair(now time.Duration) {
 	next, err := r.repair.Finish()
 	if err != nil {
 		r.refuse(now, err)
@@ -239,15 +243,15 @@
 	changes := r.state.Difference(next)
 	r.state, r.repair, r.phase = next, nil, replicaLive
 	r.counts.Repairs++
-	r.took(now, changes)
+	r.accepted(now, changes)
 }
 
-// retry honours the time after which the server wants to be asked again, and a little more.
-func (r *Replica) retry(now time.Duration, m *distributionpb.RetryLater) {
+// handleRetry honours the time after which the server wants to be asked again, and a little more.
+func (r *Replica) handleRetry(now time.Duration, m *distributionpb.RetryLater) {
 	if r.phase != replicaResuming && r.phase != replicaLive {
 		return
 	}
-	after := r.settings.MaxRetry
+	after := r.settings.MaxRetryDelay
 	if m.AfterNs < uint64(after) {
 		after = time.Duration(m.AfterNs)
 	}
--- a/internal/controlplane/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -25,7 +25,7 @@
 	fetches   []*distributionpb.FetchBuckets
 	acks      []*distributionpb.Acknowledge
 	delivered []Deliver
-	left      []*LeaveError
+	left      []*DisconnectError
 	reports   []error
 	persisted []*State
 }
@@ -57,11 +57,11 @@
 			c.connects = append(c.connects, a.Server)
 		case SendRequest:
 			c.sent(a.Request)
-		case Leave:
-			c.left = append(c.left, a.Reason.(*LeaveError))
+		case Disconnect:
+			c.left = append(c.left, a.Reason.(*DisconnectError))
 		case Deliver:
 			c.delivered = append(c.delivered, a)
-		case Report:
+		case ReportError:
 			c.reports = append(c.reports, a.Err)
 		case Persist:
 			c.persisted = append(c.persisted, a.State)
@@ -126,9 +126,9 @@
 	return c.fetches[len(c.fetches)-1]
 }
 
-func (c *client) requireLeft(why LeaveReason) {
+func (c *client) requireLeft(why DisconnectReason) {
 	c.Helper()
-	if len(c.left) == 0 || c.left[len(c.left)-1].Why != why {
+	if len(c.left) == 0 || c.left[len(c.left)-1].Reason != why {
 		c.Fatalf("left %v, and not because %s", c.left, why)
 	}
 }
@@ -182,8 +182,8 @@
 	}
 }
 
-// What does not fit is reported by its type and leaves the state as it is; the buckets are compared where the content is
-// wrong, and deltas asked for again where one is missing.
+// What does not fit is reported by its type and leaves the state as it is; the buckets are compared
+// where the content is wrong, and deltas asked for again where one is missing.
 func TestReplicaRefuses(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -226,7 +226,7 @@
 		c.replica.phase = replicaLive
 		c.receive(deltaMessage(&bad))
 	}
-	c.requireLeft(LeftNoProgress)
+	c.requireLeft(ReasonNoProgress)
 	if len(c.connects) != 2 || c.connects[0] == c.connects[1] {
 		t.Errorf("%v", c.connects)
 	}
@@ -260,7 +260,7 @@
 		t.Error("it did not come back")
 	}
 	c.receive(retryMessage(1 << 63))
-	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetry || wake > c.replica.settings.MaxRetry*5/4 {
+	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetryDelay || wake > c.replica.settings.MaxRetryDelay*5/4 {
 		t.Errorf("it waits %v", wake)
 	}
 }
@@ -270,8 +270,8 @@
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
 	old := c.attempt
-	c.wait(c.replica.settings.SilentAfter)
-	c.requireLeft(LeftSilent)
+	c.wait(c.replica.settings.SilenceTimeout)
+	c.requireLeft(ReasonUnresponsive)
 	if len(c.connects) != 2 || c.connects[1] == c.connects[0] {
 		t.Fatalf("%v", c.connects)
 	}
@@ -279,8 +279,8 @@
 	c.replica.Received(c.now, old, deltaMessage(s.advance(0, []Change{draining("a")})).Response)
 	c.take()
 	c.requireAt(before)
-	c.wait(c.replica.settings.ConnectWithin)
-	c.requireLeft(LeftUnreached)
+	c.wait(c.replica.settings.ConnectTimeout)
+	c.requireLeft(ReasonUnreachable)
 }
 
 // A server that is behind is given a while, then left; the replica does not go back.
@@ -300,9 +300,9 @@
 	if len(c.left) > 0 {
 		t.Fatal("it was left at once")
 	}
-	c.wait(c.replica.settings.BehindGrace)
+	c.wait(c.replica.settings.BehindTimeout)
 	c.heartbeat(older.Position())
-	c.requireLeft(LeftBehind)
+	c.requireLeft(ReasonBehind)
 	c.requireAt(s.Position())
 }
 
@@ -313,9 +313,9 @@
 	s.advance(0, []Change{draining("a")})
 	c := liveClient(t, s)
 	c.heartbeat(older.Position())
-	c.wait(c.replica.settings.BehindGrace / 2)
+	c.wait(c.replica.settings.BehindTimeout / 2)
 	c.heartbeat(s.Position())
-	c.wait(c.replica.settings.BehindGrace)
+	c.wait(c.replica.settings.BehindTimeout)
 	c.heartbeat(older.Position())
 	if len(c.left) > 0 {
 		t.Errorf("%v", c.left)
@@ -469,7 +469,7 @@
 	})
 	for n := range 2 {
 		c.receive(silent)
-		if len(c.left) != n+1 || c.left[n].Why != LeftSourceSilent {
+		if len(c.left) != n+1 || c.left[n].Reason != ReasonSourceSilent {
 			t.Fatalf("%v", c.left)
 		}
 		c.connected()
@@ -493,7 +493,7 @@
 func TestReplicaPersists(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
-	span := c.replica.settings.PersistEvery
+	span := c.replica.settings.PersistInterval
 	for n := range 60 {
 		c.now += span / 20
 		c.receive(deltaMessage(s.advance(0, []Change{ready("a", int64(n+2))})))
@@ -513,12 +513,12 @@
 	c := newClient(t, s)
 	c.disconnected()
 	c.connected()
-	for c.now < 2*c.replica.settings.ReturnAfter && len(c.left) == 1 {
+	for c.now < 2*c.replica.settings.ReturnInterval && len(c.left) == 1 {
 		c.heartbeat(s.Position())
 		c.wait(time.Second)
 	}
-	c.requireLeft(LeftForNearer)
-	if c.now < c.replica.settings.ReturnAfter/2 || c.connects[2] != c.connects[0] {
+	c.requireLeft(ReasonPreferredServer)
+	if c.now < c.replica.settings.ReturnInterval/2 || c.connects[2] != c.connects[0] {
 		t.Errorf("after %v to %v", c.now, c.connects)
 	}
 }
@@ -529,7 +529,7 @@
 	c.connected()
 	c.replica.SetServers(c.now, []Server{{ID: "other"}})
 	c.take()
-	c.requireLeft(LeftRemoved)
+	c.requireLeft(ReasonServerRemoved)
 	if c.connects[1].ID != "other" {
 		t.Errorf("%v", c.connects)
 	}
@@ -540,14 +540,15 @@
 	s := stateOf(ready("a", 1))
 	c := newClient(t, NewState())
 	c.connected()
-	for c.now < c.replica.settings.AnswerWithin {
+	for c.now < c.replica.settings.ProgressTimeout {
 		c.heartbeat(s.Position())
 		c.wait(time.Second)
 	}
-	c.requireLeft(LeftNoProgress)
+	c.requireLeft(ReasonNoProgress)
 }
 
-// FuzzReceived: whatever a server says, the replica keeps a state that fits its position, and never goes back.
+// FuzzReceived: whatever a server says, the replica keeps a state that fits its position, and never
+// goes back.
 func FuzzReceived(f *testing.F) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	next := s.Clone()
--- a/internal/controlplane/distribution/size_test.go
+++ b/internal/controlplane/distribution/size_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// At the size of two years from now one server's change is a small message, and a repair costs the sums of all buckets
-// and those that differ.
+// At the size of two years from now one server's change is a small message, and a repair costs the
+// sums of all buckets and those that differ.
 func TestBytesAtSize(t *testing.T) {
 	full := sizeState(sizeServers, sizeTenants)
 	t.Logf("%d servers and %d tenants: a file of %d bytes", sizeServers, sizeTenants, len(EncodeStateFile(testFleet, full)))
--- a/internal/controlplane/distribution/state.go
+++ b/internal/controlplane/distribution/state.go
@@ -53,8 +53,8 @@
 	return b.records[at].Value, true
 }
 
-// Range calls a function for each record of a kind until it returns false, in an order that depends on the
-// content alone.
+// Range calls a function for each record of a kind until it returns false, in an order that depends
+// on the content alone.
 func (s *State) Range(kind Kind, each func(Record) bool) {
 	for _, b := range s.buckets {
 		for _, r := range b.records {
@@ -65,9 +65,9 @@
 	}
 }
 
-// Apply takes a delta in. It returns an error and leaves the state as it is where the epoch is another
-// (WrongEpochError), the delta begins elsewhere (WrongRevisionError), a change can't be read
-// (InvalidRecordError), or the result has another digest (DigestMismatchError).
+// Apply takes a delta in. It returns an error and leaves the state as it is where the epoch is
+// another (WrongEpochError), the delta begins elsewhere (WrongRevisionError), a change can't be
+// read (InvalidRecordError), or the result has another digest (DigestMismatchError).
 func (s *State) Apply(d *Delta) error {
 	if d.Epoch != s.epoch {
 		return &WrongEpochError{Have: s.epoch, Got: d.Epoch}
@@ -124,8 +124,9 @@
 	s.total, s.records, s.bytes = next.total, next.records, next.bytes
 }
 
-// advance makes the next revision of a state by changes, and gives the delta to it; nil where they change
-// nothing. epoch counts only for a state without one. The changes have been checked, one a key.
+// advance makes the next revision of a state by changes, and gives the delta to it; nil where they
+// change nothing. epoch counts only for a state without one. The changes have been checked, one a
+// key.
 func (s *State) advance(epoch uint64, changes []Change) *Delta {
 	effective := make([]Change, 0, len(changes))
 	for _, c := range changes {
@@ -170,8 +171,8 @@
 	return changes
 }
 
-// With gives a copy of the state with changes, one a key, at the same epoch and revision. The state stays as it is. It
-// returns an InvalidRecordError for a change that can't be read or kept.
+// With gives a copy of the state with changes, one a key, at the same epoch and revision. The state
+// stays as it is. It returns an InvalidRecordError for a change that can't be read or kept.
 func (s *State) With(changes []Change) (*State, error) {
 	for i := range changes {
 		if err := changes[i].check(); err != nil {
--- a/internal/controlplane/distribution/state_test.go
+++ b/internal/controlplane/distribution/state_test.go
@@ -87,7 +87,8 @@
 
 func testRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// A state keeps what a plain map would, and its digest and counts depend on its content and position alone.
+// A state keeps what a plain map would, and its digest and counts depend on its content and
+// position alone.
 func TestStateIsAMapWithADigest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, model := NewState(), map[string]string{}
@@ -115,7 +116,8 @@
 	})
 }
 
-// A delta leads another copy to the same position; damaged in any one place it is refused, and the copy stays.
+// A delta leads another copy to the same position; damaged in any one place it is refused, and the
+// copy stays.
 func TestDeltaIsAppliedWholeOrNotAtAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -11,15 +11,17 @@
 // stateFileFormat is raised when the file, a digest or the buckets come to mean something else.
 const stateFileFormat = 1
 
-// EncodeStateFile gives a state as it lies on disk. The digest of its position is the file's checksum.
+// EncodeStateFile gives a state as it lies on disk. The digest of its position is the file's
+// checksum.
 func EncodeStateFile(fleet string, s *State) []byte {
 	return encode(&distributionpb.StateFile{
 		Format: stateFileFormat, Fleet: fleet, Position: s.Position().Proto(), Records: recordsProto(s),
 	})
 }
 
-// DecodeStateFile reads what EncodeStateFile wrote. It returns a WrongFleetError for another fleet's file, and an
-// InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged one.
+// DecodeStateFile reads what EncodeStateFile wrote. It returns a WrongFleetError for another
+// fleet's file, and an InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged
+// one.
 func DecodeStateFile(fleet string, raw []byte) (*State, error) {
 	var file distributionpb.StateFile
 	if err := proto.Unmarshal(raw, &file); err != nil {
--- a/internal/controlplane/distribution/stream.go
+++ b/internal/controlplane/distribution/stream.go
@@ -20,22 +20,22 @@
 
 // stream is what a Publisher knows of one.
 type stream struct {
-	id           StreamID
-	replica      string
-	phase        streamPhase
-	writable     bool
-	at           Position // up to which it was sent everything
-	acknowledged uint64
-	control      []*Message // small ones that are due, at most one of a sort
-	beat         bool       // a heartbeat is due
-	retryAt      time.Duration
-	pin          *pin
-	digests      int      // messages of digests that were sent
-	buckets      []uint32 // still to be sent
+	id             StreamID
+	replica        string
+	phase          streamPhase
+	writable       bool
+	position       Position // up to which it was sent everything
+	acknowledged   uint64
+	controlQueue   []*Message // small ones that are due, at most one of a sort
+	heartbeatDue   bool       // a heartbeat is due
+	retryAt        time.Duration
+	pinned         *pinnedState
+	digestsSent    int      // messages of digests that were sent
+	pendingBuckets []uint32 // still to be sent
 }
 
-// pin is a state that resyncs are served from, while the newest goes on.
-type pin struct {
+// pinnedState is a state that resyncs are served from, while the newest goes on.
+type pinnedState struct {
 	state    *State
 	position Position
 	digests  []*Message
@@ -43,10 +43,11 @@
 
 func compareStreams(a, b *stream) int { return cmp.Compare(a.id, b.id) }
 
-// bulk tells whether digests or buckets are to be sent.
-func (s *stream) bulk() bool { return s.phase == phaseDigests || s.phase == phaseBuckets }
+// needsBulk tells whether digests or buckets are to be sent.
+func (s *stream) needsBulk() bool { return s.phase == phaseDigests || s.phase == phaseBuckets }
 
-// send adds a message to those that go out, if there is one; the stream takes no other before it was sent.
+// send adds a message to those that go out, if there is one; the stream takes no other before it
+// was sent.
 func (s *stream) send(sends []Send, m *Message) []Send {
 	if m == nil {
 		return sends
--- a/internal/controlplane/distribution/together_test.go
+++ b/internal/controlplane/distribution/together_test.go
@@ -11,7 +11,8 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// together is a publisher and a replica with a stream between them that carries messages when it is told to.
+// together is a publisher and a replica with a stream between them that carries messages when it is
+// told to.
 type together struct {
 	*rapid.T
 	state     *State
@@ -36,7 +37,7 @@
 			}
 			w.replica.Connected(w.now, a.Attempt)
 			w.act()
-		case Leave:
+		case Disconnect:
 			w.publisher.Close(w.stream)
 		case SendRequest:
 			w.up = append(w.up, a.Request)
@@ -109,8 +110,9 @@
 	w.act()
 }
 
-// Any interleaving of changes, messages, losses, damage, resumes, compactions, restarts of the server and of the
-// replica ends, after quiet, with the same digest and with what the gateway was told.
+// Any interleaving of changes, messages, losses, damage, resumes, compactions, restarts of the
+// server and of the replica ends, after quiet, with the same digest and with what the gateway was
+// told.
 func TestAnyInterleavingEndsAtTheSameDigest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultPublisherSettings(testFleet)
--- a/internal/controlplane/distributor/attempt.go
+++ b/internal/controlplane/distributor/attempt.go
@@ -11,15 +11,18 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// maxQueuedRequests is how many requests wait for a stream to take them; an attempt whose stream takes none is ended.
+// maxQueuedRequests is how many requests wait for a stream to take them; an attempt whose stream
+// takes none is ended.
 const maxQueuedRequests = 16
 
 var errRequestsQueued = errors.New("the stream takes no requests")
 
-// attemptEvent is something that happened on an attempt's goroutines, to be taken in by the client's own.
+// attemptEvent is something that happened on an attempt's goroutines, to be taken in by the
+// client's own.
 type attemptEvent func(*Client)
 
-// attempt is one stream to a voter, from the attempt to open it on. Its goroutines end with its context.
+// attempt is one stream to a voter, from the attempt to open it on. Its goroutines end with its
+// context.
 type attempt struct {
 	number   uint64
 	ctx      context.Context
@@ -41,8 +44,8 @@
 	return a
 }
 
-// tell hands an event to the client, unless the attempt is over.
-func (a *attempt) tell(event attemptEvent) {
+// emit hands an event to the client, unless the attempt is over.
+func (a *attempt) emit(event attemptEvent) {
 	select {
 	case a.events <- event:
 	case <-a.ctx.Done():
@@ -66,7 +69,7 @@
 		a.disconnected(err)
 		return
 	}
-	a.tell(func(c *Client) { c.replica.Connected(c.clock.now(), a.number) })
+	a.emit(func(c *Client) { c.replica.Connected(c.clock.now(), a.number) })
 	go a.sendQueued(stream)
 	for {
 		response, err := stream.Recv()
@@ -75,7 +78,7 @@
 			return
 		}
 		c.bytes.Add(uint64(proto.Size(response)))
-		a.tell(func(c *Client) { c.received(a.number, response) })
+		a.emit(func(c *Client) { c.received(a.number, response) })
 	}
 }
 
@@ -104,5 +107,5 @@
 }
 
 func (a *attempt) disconnected(cause error) {
-	a.tell(func(c *Client) { c.replica.Disconnected(c.clock.now(), a.number, cause) })
+	a.emit(func(c *Client) { c.replica.Disconnected(c.clock.now(), a.number, cause) })
 }
--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -13,29 +13,30 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Observer hears what a Client takes in, from one goroutine. While a method has not returned the Client takes in nothing
-// further.
+// Observer hears what a Client takes in, from one goroutine. While a method has not returned the
+// Client takes in nothing further.
 type Observer interface {
 	// Applied tells that changes are in force, and the state with them, which is never changed.
 	Applied(changes []distribution.Change, state *distribution.State)
-	// Heard tells how long ago the server that is watched heard of the source, and whether the replica has all that
-	// this server had by the heartbeat before.
-	Heard(sourceAge time.Duration, current bool)
+	// SourceHeard tells how long ago the server that is watched heard of the source, and whether
+	// the replica has all that this server had by the heartbeat before.
+	SourceHeard(sourceAge time.Duration, current bool)
 }
 
 // ClientOptions say how a replica is kept.
 type ClientOptions struct {
 	Link     *controlrpc.Client // knows the voters, and has the connections to them
 	Settings distribution.ReplicaSettings
-	Places   map[string]distribution.Place // of the voters, by name; one that is not there is near to nobody
-	File     string                        // where the last state lies; "": it is not kept
-	Log      *slog.Logger
+	// of the voters, by name; one that is not there is near to nobody
+	Places map[string]distribution.Place
+	File   string // where the last state lies; "": it is not kept
+	Log    *slog.Logger
 }
 
 const (
-	votersRefresh = time.Second          // how often it is looked who votes now
-	minTick       = 5 * time.Millisecond // between two looks at the replica's clock
-	maxTick       = 250 * time.Millisecond
+	voterRefreshInterval = time.Second          // how often it is looked who votes now
+	minTickDelay         = 5 * time.Millisecond // between two looks at the replica's clock
+	maxTickDelay         = 250 * time.Millisecond
 )
 
 // Client keeps a replica of the agreed control state, from the stream of one voter at a time.
@@ -48,12 +49,12 @@
 	bytes   atomic.Uint64 // received
 
 	// Of Run's goroutine alone.
-	replica  *distribution.Replica
-	observer Observer
-	events   chan attemptEvent
-	attempt  *attempt // nil: no stream is open or being opened
-	saver    saver
-	onDisk   bool // a state of this process, or of one before, is on disk or about to be
+	replica   *distribution.Replica
+	observer  Observer
+	events    chan attemptEvent
+	attempt   *attempt // nil: no stream is open or being opened
+	saver     saver
+	persisted bool // a state of this process, or of one before, is on disk or about to be
 }
 
 // NewClient makes a client. Run has it begin.
@@ -63,15 +64,16 @@
 	return c
 }
 
-// Status is what the replica was when it last took something in. It may be called at any time, concurrently.
+// Status is what the replica was when it last took something in. It may be called at any time,
+// concurrently.
 func (c *Client) Status() ReplicaStatus {
 	status := *c.status.Load()
 	status.ReceivedBytes = c.bytes.Load()
 	return status
 }
 
-// State is what the replica has in force; nil: nothing yet. It may be called at any time, concurrently; what it gives is
-// never changed.
+// State is what the replica has in force; nil: nothing yet. It may be called at any time,
+// concurrently; what it gives is never changed.
 func (c *Client) State() *distribution.State { return c.state.Load() }
 
 // Run keeps the replica until the context ends, and then writes down what is not written yet.
@@ -80,21 +82,21 @@
 	c.observer = observer
 	state := c.load()
 	c.replica = distribution.NewReplica(c.options.Settings, state, random)
-	if c.onDisk = !state.Empty(); c.onDisk {
+	if c.persisted = !state.Empty(); c.persisted {
 		c.state.Store(state)
 		observer.Applied(nil, state)
 	}
 	c.saver.start(c.file, c.options.Log)
-	defer c.end()
+	defer c.shutdown()
 
-	voters := time.NewTicker(votersRefresh)
+	voters := time.NewTicker(voterRefreshInterval)
 	defer voters.Stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	c.setServers()
 	for {
-		c.carryOut(ctx)
-		timer.Reset(c.untilWake())
+		c.executeActions(ctx)
+		timer.Reset(c.tickDelay())
 		select {
 		case <-ctx.Done():
 			return
@@ -123,15 +125,15 @@
 	return state
 }
 
-// end leaves the stream and has the last state written.
-func (c *Client) end() {
-	c.leave()
+// shutdown leaves the stream and has the last state written.
+func (c *Client) shutdown() {
+	c.cancelAttempt()
 	c.saver.stop(c.replica.State())
 }
 
-// untilWake is how long there is nothing to do for the replica, within bounds.
-func (c *Client) untilWake() time.Duration {
-	return min(max(c.replica.Wake()-c.clock.now(), minTick), maxTick)
+// tickDelay is how long there is nothing to do for the replica, within bounds.
+func (c *Client) tickDelay() time.Duration {
+	return min(max(c.replica.Wake()-c.clock.now(), minTickDelay), maxTickDelay)
 }
 
 // setServers tells the replica who votes now.
@@ -146,17 +148,17 @@
 	c.replica.SetServers(c.clock.now(), servers)
 }
 
-// carryOut does what the replica wants done.
-func (c *Client) carryOut(ctx context.Context) {
+// executeActions does what the replica wants done.
+func (c *Client) executeActions(ctx context.Context) {
 	for actions := c.replica.Take(); len(actions) > 0; actions = c.replica.Take() {
 		for _, action := range actions {
-			c.do(ctx, action)
+			c.execute(ctx, action)
 		}
 	}
 	c.publishStatus()
 }
 
-func (c *Client) do(ctx context.Context, action distribution.Action) {
+func (c *Client) execute(ctx context.Context, action distribution.Action) {
 	switch a := action.(type) {
 	case distribution.Connect:
 		c.attempt = connect(ctx, c, a)
@@ -164,41 +166,42 @@
 		if c.attempt != nil {
 			c.attempt.send(a.Request)
 		}
-	case distribution.Leave:
-		c.left(a.Reason)
-		c.leave()
+	case distribution.Disconnect:
+		c.logDisconnect(a.Reason)
+		c.cancelAttempt()
 	case distribution.Deliver:
 		state := c.replica.State()
 		c.state.Store(state)
 		c.observer.Applied(a.Changes, state)
-		c.saveFirst(state)
+		c.saveFirstState(state)
 	case distribution.Persist:
 		c.saver.save(a.State)
-	case distribution.Report:
+	case distribution.ReportError:
 		c.options.Log.Warn("fleet: distribution of the control state", "error", a.Err)
 	}
 }
 
-// saveFirst has the first state of a process that began with nothing written at once: one that is killed soon after
-// then leaves something to its next.
-func (c *Client) saveFirst(state *distribution.State) {
-	if !c.onDisk {
-		c.onDisk = true
+// saveFirstState has the first state of a process that began with nothing written at once: one that
+// is killed soon after then leaves something to its next.
+func (c *Client) saveFirstState(state *distribution.State) {
+	if !c.persisted {
+		c.persisted = true
 		c.saver.save(state)
 	}
 }
 
-// left logs why a server is left. That a process ends, or another one is nearer, is nothing to look into.
-func (c *Client) left(reason error) {
+// logDisconnect logs why a server is left. That a process ends, or another one is nearer, is
+// nothing to look into.
+func (c *Client) logDisconnect(reason error) {
 	level := slog.LevelInfo
-	var leave *distribution.LeaveError
-	if errors.As(reason, &leave) && leave.Why == distribution.LeftForNearer {
+	var leave *distribution.DisconnectError
+	if errors.As(reason, &leave) && leave.Reason == distribution.ReasonPreferredServer {
 		level = slog.LevelDebug
 	}
 	c.options.Log.Log(context.Background(), level, "fleet: another voter is watched", "error", reason)
 }
 
-func (c *Client) leave() {
+func (c *Client) cancelAttempt() {
 	if c.attempt != nil {
 		c.attempt.cancel()
 		c.attempt = nil
@@ -218,13 +221,14 @@
 		return // the replica has reported it
 	}
 	if age, ok := c.replica.SourceAge(now); ok {
-		c.observer.Heard(age, c.current(position))
+		c.observer.SourceHeard(age, c.current(position))
 	}
 	c.attempt.announced = position
 }
 
-// current tells whether the replica has all that its server has, but for what is newer than the heartbeat before: amid
-// changes a heartbeat may come ahead of the delta that leads to its position.
+// current tells whether the replica has all that its server has, but for what is newer than the
+// heartbeat before: amid changes a heartbeat may come ahead of the delta that leads to its
+// position.
 func (c *Client) current(position distribution.Position) bool {
 	mine, announced := c.replica.Position(), c.attempt.announced
 	if !c.replica.Live() || mine.Epoch == 0 {
--- a/internal/controlplane/distributor/client_test.go
+++ b/internal/controlplane/distributor/client_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// A file that is damaged anywhere, of another fleet, or that can't be read is refused with one line that names it, and the
-// state is taken anew.
+// A file that is damaged anywhere, of another fleet, or that can't be read is refused with one line
+// that names it, and the state is taken anew.
 func TestDamagedFilesAreRefused(t *testing.T) {
 	s := newTestServer(t, nil)
 	s.agree(set("s0", "127.0.0.1:1"), set("s1", "127.0.0.1:1"))
--- a/internal/controlplane/distributor/direct.go
+++ b/internal/controlplane/distributor/direct.go
@@ -13,7 +13,7 @@
 
 	mu      sync.Mutex
 	running []registry.Source
-	moved   string // the last address; "": none was told
+	movedTo string // the last address; "": none was told
 }
 
 // open makes a source that moves with the others until closed is called.
@@ -24,8 +24,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.moved != "" {
-		source.Move(d.moved)
+	if d.movedTo != "" {
+		source.Move(d.movedTo)
 	}
 	d.running = append(d.running, source)
 	return source, func() { d.close(source) }, nil
@@ -42,7 +42,7 @@
 func (d *directSources) move(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.moved = address
+	d.movedTo = address
 	for _, source := range d.running {
 		source.Move(address)
 	}
--- a/internal/controlplane/distributor/disk.go
+++ b/internal/controlplane/distributor/disk.go
@@ -16,7 +16,8 @@
 	fleet string
 }
 
-// load reads the state. Where there is no file it is nil. An error names the file; the state is to be taken anew then.
+// load reads the state. Where there is no file it is nil. An error names the file; the state is to
+// be taken anew then.
 func (f stateFile) load() (*distribution.State, error) {
 	raw, err := os.ReadFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -44,7 +44,7 @@
 
 func newTestServer(t *testing.T, change func(*distribution.PublisherSettings)) *testServer {
 	t.Helper()
-	settings := NewPublisherSettings(fleet, DefaultSilent, 0)
+	settings := NewPublisherSettings(fleet, DefaultSourceTimeout, 0)
 	if change != nil {
 		change(&settings)
 	}
@@ -148,7 +148,7 @@
 	r.changes += len(changes)
 }
 
-func (r *testReplica) Heard(time.Duration, bool) {}
+func (r *testReplica) SourceHeard(time.Duration, bool) {}
 
 func (r *testReplica) seen() (state *distribution.State, changes int) {
 	r.mu.Lock()
@@ -172,7 +172,7 @@
 // newReplica starts a replica of servers.
 func newReplica(t *testing.T, id, file string, log *slog.Logger, servers ...*testServer) *testReplica {
 	t.Helper()
-	o := clientOptions(id, file, DefaultSilent, log, servers...)
+	o := clientOptions(id, file, DefaultSourceTimeout, log, servers...)
 	r := &testReplica{Client: NewClient(o), t: t}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/controlplane/distributor/fault.go
+++ b/internal/controlplane/distributor/fault.go
@@ -28,11 +28,12 @@
 		return message.Bytes
 	}
 	fmt.Fprintln(os.Stderr, "fault: damaged delta")
-	return damaged(message.Response)
+	return damagedBytes(message.Response)
 }
 
-// damaged gives the bytes of a delta whose content is other than its digest says, and which can still be read.
-func damaged(response *distributionpb.WatchResponse) []byte {
+// damagedBytes gives the bytes of a delta whose content is other than its digest says, and which
+// can still be read.
+func damagedBytes(response *distributionpb.WatchResponse) []byte {
 	copied := proto.CloneOf(response)
 	for _, change := range copied.GetDelta().Changes {
 		change.Id += "-damaged"
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -22,24 +22,28 @@
 
 const (
 	publishTimeout = 2 * time.Second
-	// timePerByte is what a command is given beside for its size: a whole list is half a megabyte at 7,300 servers.
-	timePerByte = 4 * time.Microsecond
-	// maxPublishDelay bounds what is waited after a command that was not agreed on, twice as long after each.
+	// publishTimeoutPerByte is what a command is given beside for its size: a whole list is half a
+	// megabyte at 7,300 servers.
+	publishTimeoutPerByte = 4 * time.Microsecond
+	// maxPublishDelay bounds what is waited after a command that was not agreed on, twice as long
+	// after each.
 	maxPublishDelay = 4 * time.Second
-	// maxBaseRefusals is how often a term may begin with a difference that is refused; then it begins with the whole list.
+	// maxBaseRefusals is how often a term may begin with a difference that is refused; then it
+	// begins with the whole list.
 	maxBaseRefusals = 3
 )
 
 // errRefused is returned for a command that was agreed on and changed nothing.
 var errRefused = errors.New("refused")
 
-// registerPublisher watches the register on behalf of the fleet and has what changed of it agreed on.
+// registerPublisher watches the register on behalf of the fleet and has what changed of it agreed
+// on.
 type registerPublisher struct {
-	direct  *directSources
-	link    *controlrpc.Client
-	replica func() *distribution.State // of this process
-	beat    time.Duration              // between two commands where nothing changes
-	log     *slog.Logger
+	direct            *directSources
+	link              *controlrpc.Client
+	replica           func() *distribution.State // of this process
+	heartbeatInterval time.Duration              // between two commands where nothing changes
+	log               *slog.Logger
 }
 
 // Work is the work of the role: it lasts for as long as the context does.
@@ -57,11 +61,11 @@
 		case <-ctx.Done():
 		}
 	})
-	beat := time.NewTicker(p.beat)
+	beat := time.NewTicker(p.heartbeatInterval)
 	defer beat.Stop()
 	pending := newPendingChanges(p.log)
 	support := voterSupport{link: p.link, log: p.log}
-	delay := publishDelay{least: p.beat}
+	delay := publishDelay{minDelay: p.heartbeatInterval}
 	heard := false
 	for {
 		select {
@@ -69,36 +73,37 @@
 			return
 		case n := <-news:
 			heard = n.Kind != registry.Unheard
-			pending.take(n)
+			pending.update(n)
 		case <-beat.C:
 		}
-		// Without news of the register there is no heartbeat either: the others look for themselves.
-		if heard && delay.over(time.Now()) && support.ready(ctx) && tenure.Holds() {
+		// Without news of the register there is no heartbeat either: the others look for
+		// themselves.
+		if heard && delay.elapsed(time.Now()) && support.ready(ctx) && tenure.Holds() {
 			err := p.publish(ctx, pending.command(tenure.Term, p.replica()))
-			pending.ended(err)
-			delay.ended(time.Now(), err)
+			pending.record(err)
+			delay.record(time.Now(), err)
 		}
 	}
 }
 
-// publishDelay is how long nothing is proposed after a command that was not agreed on. That it may be under way yet, on
-// voters that are late, is no reason to give them more.
+// publishDelay is how long nothing is proposed after a command that was not agreed on. That it may
+// be under way yet, on voters that are late, is no reason to give them more.
 type publishDelay struct {
-	least time.Duration
-	next  time.Duration // after the next failure; 0: least
-	until time.Time
+	minDelay  time.Duration
+	nextDelay time.Duration // after the next failure; 0: least
+	until     time.Time
 }
 
-func (d *publishDelay) over(now time.Time) bool { return !now.Before(d.until) }
+func (d *publishDelay) elapsed(now time.Time) bool { return !now.Before(d.until) }
 
-func (d *publishDelay) ended(now time.Time, err error) {
+func (d *publishDelay) record(now time.Time, err error) {
 	if err == nil || errors.Is(err, errRefused) {
-		d.next, d.until = 0, now
+		d.nextDelay, d.until = 0, now
 		return
 	}
-	d.next = min(max(d.next, d.least), maxPublishDelay)
-	d.until = now.Add(d.next)
-	d.next *= 2
+	d.nextDelay = min(max(d.nextDelay, d.minDelay), maxPublishDelay)
+	d.until = now.Add(d.nextDelay)
+	d.nextDelay *= 2
 }
 
 // publish has the fleet agree on a command.
@@ -107,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, publishTimeout+timePerByte*time.Duration(len(body)))
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout+publishTimeoutPerByte*time.Duration(len(body)))
 	defer cancel()
 	refusal, err := p.link.Do(ctx, distribution.MachineName, body)
 	if err == nil && len(refusal) > 0 {
@@ -126,28 +131,29 @@
 	values  map[string][]byte // by id
 	changed map[string]bool   // ids whose record is not agreed as it is
 
-	// Until the first command of a term is agreed on it is not known what the state is: a command without an answer may
-	// have been carried out. So each further one has all records that an earlier one had, as they are now.
-	first    bool
-	whole    bool            // such a command had the whole list
-	tried    map[string]bool // ids that such a command had
-	refusals int
+	// Until the first command of a term is agreed on it is not known what the state is: a command
+	// without an answer may have been carried out. So each further one has all records that an
+	// earlier one had, as they are now.
+	firstOfTerm      bool
+	proposedComplete bool            // such a command had the whole list
+	proposed         map[string]bool // ids that such a command had
+	refusals         int
 }
 
 func newPendingChanges(log *slog.Logger) *pendingChanges {
 	return &pendingChanges{
 		log: log, epoch: uint64(time.Now().UnixNano()), values: map[string][]byte{}, changed: map[string]bool{},
-		first: true, tried: map[string]bool{},
+		firstOfTerm: true, proposed: map[string]bool{},
 	}
 }
 
-// take takes in what the register told.
-func (p *pendingChanges) take(n registry.News) {
+// update takes in what the register told.
+func (p *pendingChanges) update(n registry.News) {
 	switch n.Kind {
 	case registry.Unheard:
 		return
 	case registry.Whole:
-		p.deleteAllBut(n.Members)
+		p.deleteUnlisted(n.Members)
 	}
 	for _, m := range n.Members {
 		if m.Phase == registry.Gone {
@@ -163,7 +169,7 @@
 	}
 }
 
-func (p *pendingChanges) deleteAllBut(members []registry.Member) {
+func (p *pendingChanges) deleteUnlisted(members []registry.Member) {
 	listed := map[string]bool{}
 	for _, m := range members {
 		listed[m.ID] = true
@@ -190,41 +196,42 @@
 	}
 }
 
-// command is what is to be agreed on: what changed, or a heartbeat. The first one of a term has what is other than the
-// replica of this process, or the whole list where there is nothing to tell that from.
+// command is what is to be agreed on: what changed, or a heartbeat. The first one of a term has
+// what is other than the replica of this process, or the whole list where there is nothing to tell
+// that from.
 func (p *pendingChanges) command(term uint64, replica *distribution.State) *distributionpb.Command {
 	command := &distributionpb.Command{Term: term, Epoch: p.epoch}
 	switch {
-	case !p.first:
-		command.Changes = p.records(maps.Keys(p.changed))
-	case p.whole || replica == nil || replica.Empty() || p.refusals >= maxBaseRefusals:
-		p.whole, command.Whole = true, true
-		command.Changes = p.records(maps.Keys(p.values))
+	case !p.firstOfTerm:
+		command.Changes = p.changesFor(maps.Keys(p.changed))
+	case p.proposedComplete || replica == nil || replica.Empty() || p.refusals >= maxBaseRefusals:
+		p.proposedComplete, command.Whole = true, true
+		command.Changes = p.changesFor(maps.Keys(p.values))
 	default:
-		p.tryDifference(replica)
+		p.addDifference(replica)
 		command.Base = replica.Position().Proto()
-		command.Changes = p.records(maps.Keys(p.tried))
+		command.Changes = p.changesFor(maps.Keys(p.proposed))
 	}
 	return command
 }
 
-// tryDifference adds the ids of all servers that a state has otherwise than the register.
-func (p *pendingChanges) tryDifference(state *distribution.State) {
+// addDifference adds the ids of all servers that a state has otherwise than the register.
+func (p *pendingChanges) addDifference(state *distribution.State) {
 	state.Range(distribution.KindServer, func(r distribution.Record) bool {
 		if value, there := p.values[r.ID]; !there || !bytes.Equal(value, r.Value) {
-			p.tried[r.ID] = true
+			p.proposed[r.ID] = true
 		}
 		return true
 	})
 	for id := range p.values {
 		if _, there := state.Get(distribution.KindServer, id); !there {
-			p.tried[id] = true
+			p.proposed[id] = true
 		}
 	}
 }
 
-// records are the changes that make some ids what the register has.
-func (p *pendingChanges) records(ids iter.Seq[string]) []*distributionpb.Change {
+// changesFor are the changes that make some ids what the register has.
+func (p *pendingChanges) changesFor(ids iter.Seq[string]) []*distributionpb.Change {
 	var changes []*distributionpb.Change
 	for _, id := range slices.Sorted(ids) {
 		value, there := p.values[id]
@@ -235,13 +242,13 @@
 	return changes
 }
 
-// ended takes in how the last command ended.
-func (p *pendingChanges) ended(err error) {
+// record takes in how the last command ended.
+func (p *pendingChanges) record(err error) {
 	switch {
 	case err == nil:
 		clear(p.changed)
-		clear(p.tried)
-		p.first, p.refusals = false, 0
+		clear(p.proposed)
+		p.firstOfTerm, p.refusals = false, 0
 	case errors.Is(err, errRefused):
 		p.refusals++
 	}
--- a/internal/controlplane/distributor/publish_test.go
+++ b/internal/controlplane/distributor/publish_test.go
@@ -45,8 +45,8 @@
 
 var errUnknown = errors.New("no answer")
 
-// A first command holds the whole list where there is nothing to tell a difference from, and later ones only what is other
-// than what was agreed.
+// A first command holds the whole list where there is nothing to tell a difference from, and later
+// ones only what is other than what was agreed.
 func TestCommandsHoldWhatChanged(t *testing.T) {
 	p := newPendingChanges(quiet)
 	expect := func(want string) {
@@ -56,26 +56,26 @@
 		}
 	}
 	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
-	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{b, a}})
+	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{b, a}})
 	expect("whole a=Ready b=Ready")
-	p.ended(errUnknown)
-	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{c}})
+	p.record(errUnknown)
+	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{c}})
 	expect("whole a=Ready b=Ready c=Ready")
-	p.ended(nil)
+	p.record(nil)
 	expect("")
-	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{a}})
+	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{a}})
 	expect("") // as it was
-	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{member("b", registry.Terminating)}})
+	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{member("b", registry.Terminating)}})
 	expect("b=Terminating")
-	p.ended(errUnknown)
-	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)}})
+	p.record(errUnknown)
+	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)}})
 	expect("b=Terminating -c") // what is not known to be agreed is said again
-	p.ended(nil)
-	p.take(registry.News{Kind: registry.Unheard})
+	p.record(nil)
+	p.update(registry.News{Kind: registry.Unheard})
 	expect("")
-	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{a, c}})
+	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a, c}})
 	expect("-b c=Ready") // a whole list is told as what is other
-	p.ended(nil)
+	p.record(nil)
 	expect("")
 	if command := p.command(5, nil); command.Term != 5 || command.Epoch == 0 {
 		t.Errorf("%v", command)
@@ -98,13 +98,14 @@
 	return s.machine.State()
 }
 
-// The first command of a term holds what is other than the owner's replica. As long as it is not known whether it was
-// carried out, the next has all that it had; after some refusals it is the whole list.
+// The first command of a term holds what is other than the owner's replica. As long as it is not
+// known whether it was carried out, the next has all that it had; after some refusals it is the
+// whole list.
 func TestTermBeginsWithADifference(t *testing.T) {
 	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
 	replica := replicaWith(t, a, b, c)
 	p := newPendingChanges(quiet)
-	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{a, member("b", registry.Terminating), member("d", registry.Ready)}})
+	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a, member("b", registry.Terminating), member("d", registry.Ready)}})
 	const difference = "b=Terminating -c d=Ready"
 	if got := p.show(t, replica); got != difference {
 		t.Errorf("%q", got)
@@ -112,30 +113,32 @@
 	if base := p.command(5, replica).Base; base.GetRevision() != replica.Position().Revision {
 		t.Errorf("%v", base)
 	}
-	p.ended(errUnknown)
-	p.take(registry.News{Kind: registry.Changed, Members: []registry.Member{b}}) // as the replica has it: the command may not
+	p.record(errUnknown)
+	// as the replica has it: the command may not
+	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{b}})
 	if got := p.show(t, replica); got != "b=Ready -c d=Ready" {
 		t.Errorf("%q", got)
 	}
 	for range maxBaseRefusals {
-		p.ended(errRefused)
+		p.record(errRefused)
 	}
 	if got := p.show(t, replica); got != "whole a=Ready b=Ready d=Ready" {
 		t.Errorf("%q", got)
 	}
-	p.ended(nil)
+	p.record(nil)
 	if got := p.show(t, replica); got != "" {
 		t.Errorf("%q", got)
 	}
 }
 
-// A whole list whose outcome is not known is followed by a whole list, whatever the replica has by then.
+// A whole list whose outcome is not known is followed by a whole list, whatever the replica has by
+// then.
 func TestWholeListStaysWhole(t *testing.T) {
 	a, b := member("a", registry.Ready), member("b", registry.Ready)
 	p := newPendingChanges(quiet)
-	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{a}})
+	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a}})
 	p.show(t, nil)
-	p.ended(errUnknown)
+	p.record(errUnknown)
 	if got := p.show(t, replicaWith(t, a, b)); got != "whole a=Ready" {
 		t.Errorf("%q", got)
 	}
@@ -146,7 +149,7 @@
 	var log logBuffer
 	p := newPendingChanges(logTo(&log))
 	long := strings.Repeat("x", distribution.MaxIDBytes+1)
-	p.take(registry.News{Kind: registry.Whole, Members: []registry.Member{
+	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{
 		member("a", registry.Ready), member("", registry.Ready), member(long, registry.Ready), member("\xff", registry.Ready),
 		{ID: "bad-address", HostPort: "\xff", Phase: registry.Ready},
 	}})
@@ -160,17 +163,17 @@
 
 // What is not agreed on is proposed again after longer and longer.
 func TestPublishDelay(t *testing.T) {
-	d := publishDelay{least: time.Second}
+	d := publishDelay{minDelay: time.Second}
 	now := time.Unix(0, 0)
 	for i, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
-		d.ended(now, errUnknown)
-		if d.until.Sub(now) != want || d.over(now) || !d.over(now.Add(want)) {
+		d.record(now, errUnknown)
+		if d.until.Sub(now) != want || d.elapsed(now) || !d.elapsed(now.Add(want)) {
 			t.Errorf("failure %d: until %v", i, d.until.Sub(now))
 		}
 	}
 	for _, err := range []error{nil, errRefused} {
-		d.ended(now, errUnknown)
-		if d.ended(now, err); !d.over(now) {
+		d.record(now, errUnknown)
+		if d.record(now, err); !d.elapsed(now) {
 			t.Errorf("after %v it waits until %v", err, d.until)
 		}
 	}
--- a/internal/controlplane/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -18,8 +18,8 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Server answers the Distribution service from the state machine of this process's voter, whether that voter leads or
-// not. Its methods may be called concurrently.
+// Server answers the Distribution service from the state machine of this process's voter, whether
+// that voter leads or not. Its methods may be called concurrently.
 type Server struct {
 	distributionpb.UnimplementedDistributionServer
 	log     *slog.Logger
@@ -31,11 +31,12 @@
 	streams   map[distribution.StreamID]*serverStream
 	lastID    distribution.StreamID
 	attached  bool          // a voter's machine tells its updates
-	armed     time.Duration // when Run looks again by itself
+	wakeAt    time.Duration // when Run looks again by itself
 	rearm     chan struct{} // Run is to look earlier than it would
 }
 
-// serverStream is a stream that is open. Publisher has one message under way on each, so that out never fills.
+// serverStream is a stream that is open. Publisher has one message under way on each, so that out
+// never fills.
 type serverStream struct {
 	out chan *distribution.Message
 }
@@ -53,7 +54,8 @@
 // Register has a gRPC server answer the service.
 func (s *Server) Register(r grpc.ServiceRegistrar) { distributionpb.RegisterDistributionServer(r, s) }
 
-// Attach has the server tell of a machine's updates from now on. It is to be called before the machine is used.
+// Attach has the server tell of a machine's updates from now on. It is to be called before the
+// machine is used.
 func (s *Server) Attach(machine *distribution.Machine) {
 	s.mu.Lock()
 	s.attached = true
@@ -88,16 +90,17 @@
 	}
 	s.publisher.Tick(now)
 	s.dispatch(now)
-	s.armed = s.publisher.Wake(now)
-	return s.armed - now
+	s.wakeAt = s.publisher.Wake(now)
+	return s.wakeAt - now
 }
 
-// dispatch hands what can be sent to the streams. It is called with the lock held, after each event.
+// dispatch hands what can be sent to the streams. It is called with the lock held, after each
+// event.
 func (s *Server) dispatch(now time.Duration) {
 	for _, send := range s.publisher.Take(now) {
 		s.streams[send.Stream].out <- send.Message
 	}
-	if s.publisher.Wake(now) < s.armed {
+	if s.publisher.Wake(now) < s.wakeAt {
 		select {
 		case s.rearm <- struct{}{}:
 		default:
--- a/internal/controlplane/distributor/server_test.go
+++ b/internal/controlplane/distributor/server_test.go
@@ -114,13 +114,14 @@
 
 // A process without a voter says so.
 func TestWithoutAVoter(t *testing.T) {
-	s := NewServer(NewPublisherSettings(fleet, DefaultSilent, 0), quiet)
+	s := NewServer(NewPublisherSettings(fleet, DefaultSourceTimeout, 0), quiet)
 	if _, _, err := s.open(); status.Code(err) != codes.Unavailable {
 		t.Errorf("%v", err)
 	}
 }
 
-// live has a stream go on to deltas, by a resync that fetches nothing. It gives the position from which they come.
+// live has a stream go on to deltas, by a resync that fetches nothing. It gives the position from
+// which they come.
 func live(t *testing.T, stream watchStream) *distributionpb.Position {
 	t.Helper()
 	if err := stream.Send(resume(fleet)); err != nil {
@@ -144,8 +145,8 @@
 	}
 }
 
-// A stream that is not read for a while holds up nobody else. What it gets then follows without a gap, up to where the
-// server no longer has what lies between, and sends digests.
+// A stream that is not read for a while holds up nobody else. What it gets then follows without a
+// gap, up to where the server no longer has what lies between, and sends digests.
 func TestAReaderThatPauses(t *testing.T) {
 	// More than a stream's window ever holds.
 	const changes, addressBytes, logged = 600, 32 << 10, 8
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -18,12 +18,13 @@
 	// Direct makes a source that asks the register itself. Several may run at once.
 	Direct func() (registry.Source, error)
 	Client ClientOptions
-	Silent time.Duration // the fleet's list was not heard of for so long: the process watches the register by itself
+	// the fleet's list was not heard of for so long: the process watches the register by itself
+	SourceTimeout time.Duration
 }
 
-// Source is the list of servers as the fleet has it: a registry.Source for the gateway's loop, and the work of the role
-// that watches the register for all. A process that has not heard of the fleet's list for a while watches the register
-// itself until it hears again.
+// Source is the list of servers as the fleet has it: a registry.Source for the gateway's loop, and
+// the work of the role that watches the register for all. A process that has not heard of the
+// fleet's list for a while watches the register itself until it hears again.
 type Source struct {
 	options SourceOptions
 	direct  *directSources
@@ -35,10 +36,10 @@
 var _ registry.Source = (*Source)(nil)
 
 const (
-	closeTimeout   = time.Second
-	firstWait      = 100 * time.Millisecond // a start does not wait for longer
-	minLook        = 20 * time.Millisecond
-	looksPerSilent = 10
+	closeTimeout           = time.Second
+	startupTimeout         = 100 * time.Millisecond // a start does not wait for longer
+	minCheckInterval       = 20 * time.Millisecond
+	checksPerSourceTimeout = 10
 )
 
 // NewSource makes a source. Run has it begin.
@@ -48,7 +49,8 @@
 	}
 }
 
-// Close ends Run, and returns when the replica is written down, or its disk has taken too long. It is called once.
+// Close ends Run, and returns when the replica is written down, or its disk has taken too long. It
+// is called once.
 func (s *Source) Close() {
 	close(s.closing)
 	ended := make(chan struct{})
@@ -75,30 +77,30 @@
 // Work watches the register on behalf of the fleet.
 func (s *Source) Work(ctx context.Context, tenure *election.Tenure) {
 	p := registerPublisher{
-		direct: s.direct, link: s.options.Client.Link, replica: s.client.State, beat: beatInterval(s.options.Silent), log: s.log(),
+		direct: s.direct, link: s.options.Client.Link, replica: s.client.State, heartbeatInterval: heartbeatInterval(s.options.SourceTimeout), log: s.log(),
 	}
 	p.Work(ctx, tenure)
 }
 
 func (s *Source) log() *slog.Logger { return s.options.Client.Log }
 
-// Run brings the list: the fleet's, or this process's own where the fleet's is not heard of. It returns after the
-// context ends and the replica is written down.
+// Run brings the list: the fleet's, or this process's own where the fleet's is not heard of. It
+// returns after the context ends and the replica is written down.
 func (s *Source) Run(ctx context.Context, tell func(registry.News)) {
 	s.running.Add(1)
 	defer s.running.Done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := listener{source: s, tell: tell, events: make(chan listEvent, maxQueuedEvents), ctx: ctx}
+	l := listener{source: s, notify: tell, events: make(chan listEvent, maxQueuedEvents), ctx: ctx}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		s.client.Run(ctx, &l)
 	}()
 	defer func() { cancel(); <-ended }()
-	look := time.NewTicker(max(minLook, s.options.Silent/looksPerSilent))
+	look := time.NewTicker(max(minCheckInterval, s.options.SourceTimeout/checksPerSourceTimeout))
 	defer look.Stop()
-	l.heard = time.Now().Add(firstWait - s.options.Silent)
+	l.sourceHeardAt = time.Now().Add(startupTimeout - s.options.SourceTimeout)
 	for {
 		select {
 		case <-ctx.Done():
@@ -107,18 +109,20 @@
 			return
 		case event := <-l.events:
 			event(&l)
-		case n := <-l.news:
-			l.told = false // what the receiver has is from elsewhere now: the fleet's list comes whole again
+		case n := <-l.directUpdates:
+			// what the receiver has is from elsewhere now: the fleet's list comes whole again
+			l.fleetListDelivered = false
 			tell(n)
 		case <-look.C:
-			if time.Since(l.heard) > s.options.Silent {
-				l.startOwn(ctx)
+			if time.Since(l.sourceHeardAt) > s.options.SourceTimeout {
+				l.startDirectWatch(ctx)
 			}
 		}
 	}
 }
 
-// maxQueuedEvents is how many events wait for a receiver that takes none; then the replica waits, too.
+// maxQueuedEvents is how many events wait for a receiver that takes none; then the replica waits,
+// too.
 const maxQueuedEvents = 16
 
 // listEvent is something that the client told, for Run's goroutine.
@@ -127,16 +131,17 @@
 // listener turns what the replica takes in into news of the servers.
 type listener struct {
 	source *Source
-	tell   func(registry.News)
+	notify func(registry.News)
 	events chan listEvent
 	ctx    context.Context
 
 	// Of Run's goroutine alone.
-	state *distribution.State  // the newest; nil: nothing was taken in yet
-	told  bool                 // the receiver has the fleet's list
-	heard time.Time            // of the source
-	own   context.CancelFunc   // ends this process's own watch; nil: it has none
-	news  <-chan registry.News // of that watch: what comes late of an earlier one goes nowhere
+	state              *distribution.State // the newest; nil: nothing was taken in yet
+	fleetListDelivered bool                // the receiver has the fleet's list
+	sourceHeardAt      time.Time           // of the source
+	stopDirectWatch    context.CancelFunc  // ends this process's own watch; nil: it has none
+	// of that watch: what comes late of an earlier one goes nowhere
+	directUpdates <-chan registry.News
 }
 
 func (l *listener) queue(event listEvent) {
@@ -151,36 +156,37 @@
 	l.queue(func(l *listener) { l.applied(changes, state) })
 }
 
-// Heard takes in how fresh that is.
-func (l *listener) Heard(sourceAge time.Duration, current bool) {
+// SourceHeard takes in how fresh that is.
+func (l *listener) SourceHeard(sourceAge time.Duration, current bool) {
 	at := time.Now().Add(-sourceAge)
-	l.queue(func(l *listener) { l.fresh(at, current) })
+	l.queue(func(l *listener) { l.sourceHeard(at, current) })
 }
 
 func (l *listener) applied(changes []distribution.Change, state *distribution.State) {
 	l.state = state
-	if l.told {
-		l.tellChanges(changes)
+	if l.fleetListDelivered {
+		l.notifyChanges(changes)
 	}
 }
 
-// fresh takes in when the source was last heard of. Once that is recent, the fleet's list counts.
-func (l *listener) fresh(at time.Time, current bool) {
-	if !current || time.Since(at) > l.source.options.Silent {
+// sourceHeard takes in when the source was last heard of. Once that is recent, the fleet's list
+// counts.
+func (l *listener) sourceHeard(at time.Time, current bool) {
+	if !current || time.Since(at) > l.source.options.SourceTimeout {
 		return
 	}
-	if at.After(l.heard) {
-		l.heard = at
+	if at.After(l.sourceHeardAt) {
+		l.sourceHeardAt = at
 	}
-	l.stopOwn()
-	if !l.told {
-		l.told = true
-		l.tellWhole()
+	l.endDirectWatch()
+	if !l.fleetListDelivered {
+		l.fleetListDelivered = true
+		l.notifyComplete()
 	}
 }
 
-// tellWhole tells the whole list.
-func (l *listener) tellWhole() {
+// notifyComplete tells the whole list.
+func (l *listener) notifyComplete() {
 	n := registry.News{Kind: registry.Whole}
 	if l.state != nil {
 		l.state.Range(distribution.KindServer, func(r distribution.Record) bool {
@@ -189,17 +195,18 @@
 		})
 	}
 	slices.SortFunc(n.Members, func(a, b registry.Member) int { return cmp.Compare(a.ID, b.ID) })
-	l.tell(n)
+	l.notify(n)
 }
 
-// tellChanges tells what is other than before. Deletions come first: an address may have passed from one id to another.
-func (l *listener) tellChanges(changes []distribution.Change) {
+// notifyChanges tells what is other than before. Deletions come first: an address may have passed
+// from one id to another.
+func (l *listener) notifyChanges(changes []distribution.Change) {
 	n := registry.News{Kind: registry.Changed}
 	for i := range changes {
 		n.Members = l.appendMember(n.Members, &changes[i])
 	}
 	if len(n.Members) > 0 {
-		l.tell(n)
+		l.notify(n)
 	}
 }
 
@@ -219,9 +226,9 @@
 	return append(to, member)
 }
 
-// startOwn has this process watch the register by itself.
-func (l *listener) startOwn(ctx context.Context) {
-	if l.own != nil {
+// startDirectWatch has this process watch the register by itself.
+func (l *listener) startDirectWatch(ctx context.Context) {
+	if l.stopDirectWatch != nil {
 		return
 	}
 	source, closed, err := l.source.direct.open()
@@ -229,10 +236,10 @@
 		return
 	}
 	l.source.log().Warn("fleet: the list of servers is not heard: this gateway watches the register itself",
-		"silent_for", time.Since(l.heard).Round(time.Millisecond).String())
-	ctx, l.own = context.WithCancel(ctx)
+		"silent_for", time.Since(l.sourceHeardAt).Round(time.Millisecond).String())
+	ctx, l.stopDirectWatch = context.WithCancel(ctx)
 	news := make(chan registry.News)
-	l.news = news
+	l.directUpdates = news
 	go func() {
 		defer closed()
 		source.Run(ctx, func(n registry.News) {
@@ -244,11 +251,11 @@
 	}()
 }
 
-// stopOwn ends this process's own watch.
-func (l *listener) stopOwn() {
-	if l.own != nil {
-		l.own()
-		l.own, l.news = nil, nil
+// endDirectWatch ends this process's own watch.
+func (l *listener) endDirectWatch() {
+	if l.stopDirectWatch != nil {
+		l.stopDirectWatch()
+		l.stopDirectWatch, l.directUpdates = nil, nil
 		l.source.log().Info("fleet: the list of servers is heard again")
 	}
 }
--- a/internal/controlplane/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -86,7 +86,8 @@
 	}
 }
 
-// expectAfter waits until what was told behind some news begins with a whole list and comes to some members.
+// expectAfter waits until what was told behind some news begins with a whole list and comes to some
+// members.
 func (l *told) expectAfter(t *testing.T, skip int, want string) {
 	t.Helper()
 	eventually(t, func() bool {
@@ -107,12 +108,13 @@
 	return &distributionpb.Change{Kind: distributionpb.Kind_KIND_SERVER, Id: id, Deleted: true}
 }
 
-// newTestSource starts a source whose register is asked directly where the fleet's list is not heard.
+// newTestSource starts a source whose register is asked directly where the fleet's list is not
+// heard.
 func newTestSource(t *testing.T, direct *directRegister, silent time.Duration, file string, s *testServer) (*Source, *told) {
 	t.Helper()
 	o := clientOptions("gateway", file, silent, quiet, s)
 	source := NewSource(SourceOptions{
-		Direct: func() (registry.Source, error) { return direct, nil }, Client: o, Silent: silent,
+		Direct: func() (registry.Source, error) { return direct, nil }, Client: o, SourceTimeout: silent,
 	})
 	list := &told{}
 	var running sync.WaitGroup
@@ -125,7 +127,8 @@
 	return source, list
 }
 
-// silentLong is longer than any wait in a test: nobody watches by itself because the machine is busy.
+// silentLong is longer than any wait in a test: nobody watches by itself because the machine is
+// busy.
 const silentLong = time.Minute
 
 // The list is told whole once, and then only what changed, deletions first.
@@ -142,11 +145,11 @@
 	}
 }
 
-// A process that hears nothing of the source watches the register itself, and has the fleet's list whole again once it
-// hears; what moves, moves then and later.
+// A process that hears nothing of the source watches the register itself, and has the fleet's list
+// whole again once it hears; what moves, moves then and later.
 func TestSourceWatchesByItself(t *testing.T) {
 	const silent = 400 * time.Millisecond
-	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatEvery = 20 * time.Millisecond })
+	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatInterval = 20 * time.Millisecond })
 	direct := &directRegister{}
 	source, list := newTestSource(t, direct, silent, "", s)
 	list.expect(t, "whole own=Ready")
@@ -169,11 +172,11 @@
 	eventually(t, func() bool { return direct.running() == 0 })
 }
 
-// A watch of the register that told nothing changes nothing: when the fleet's list is heard again, only what has changed
-// meanwhile is told.
+// A watch of the register that told nothing changes nothing: when the fleet's list is heard again,
+// only what has changed meanwhile is told.
 func TestAWatchThatToldNothingChangesNothing(t *testing.T) {
 	const silent = 400 * time.Millisecond
-	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatEvery = 20 * time.Millisecond })
+	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatInterval = 20 * time.Millisecond })
 	direct := &directRegister{mute: true}
 	_, list := newTestSource(t, direct, silent, "", s)
 	s.agree(set("a", "127.0.0.1:1"))
--- a/internal/controlplane/distributor/status.go
+++ b/internal/controlplane/distributor/status.go
@@ -13,16 +13,17 @@
 	Digest   string `json:"digest"`
 }
 
-func showPosition(p distribution.Position) Position {
+func newPosition(p distribution.Position) Position {
 	return Position{p.Epoch, p.Revision, p.Digest.String()}
 }
 
 // ReplicaStatus is what a Client tells of its replica.
 type ReplicaStatus struct {
-	Position      Position                   `json:"position"`
-	Records       int                        `json:"records"`
-	Server        string                     `json:"server"` // that is watched, or tried; "": none can be now
-	Live          bool                       `json:"live"`   // it has all that this server told of
+	Position Position `json:"position"`
+	Records  int      `json:"records"`
+	// that is watched, or tried; "": none can be now
+	Server        string                     `json:"server"`
+	Live          bool                       `json:"live"` // it has all that this server told of
 	SourceAge     time.Duration              `json:"source_age"`
 	ReceivedBytes uint64                     `json:"received_bytes"`
 	Counts        distribution.ReplicaCounts `json:"counts"`
@@ -31,7 +32,7 @@
 func (c *Client) publishStatus() {
 	state := c.replica.State()
 	status := &ReplicaStatus{
-		Position: showPosition(state.Position()), Records: state.Len(), Live: c.replica.Live(), Counts: c.replica.Counts(),
+		Position: newPosition(state.Position()), Records: state.Len(), Live: c.replica.Live(), Counts: c.replica.Counts(),
 	}
 	if server, ok := c.replica.Server(); ok {
 		status.Server = server.ID
@@ -42,11 +43,13 @@
 
 // ServerStatus is what a Server tells of itself.
 type ServerStatus struct {
-	Position     Position                     `json:"position"`
-	Replicas     int                          `json:"replicas"`
-	Acknowledged uint64                       `json:"acknowledged"` // the earliest revision of a replica that is live
-	Lag          uint64                       `json:"lag"`          // revisions from there to the server's
-	Counts       distribution.PublisherCounts `json:"counts"`
+	Position Position `json:"position"`
+	Replicas int      `json:"replicas"`
+	// the earliest revision of a replica that is live
+	Acknowledged uint64 `json:"acknowledged"`
+	// revisions from there to the server's
+	Lag    uint64                       `json:"lag"`
+	Counts distribution.PublisherCounts `json:"counts"`
 }
 
 // Status is what the server is now.
@@ -55,7 +58,7 @@
 	defer s.mu.Unlock()
 	position, acknowledged := s.publisher.Position(), s.publisher.Acknowledged()
 	return ServerStatus{
-		Position: showPosition(position), Replicas: len(s.streams), Acknowledged: acknowledged,
+		Position: newPosition(position), Replicas: len(s.streams), Acknowledged: acknowledged,
 		Lag: position.Revision - min(acknowledged, position.Revision), Counts: s.publisher.Counts(),
 	}
 }
--- a/internal/controlplane/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -15,66 +15,67 @@
 )
 
 const (
-	supportTimeout = 250 * time.Millisecond // for one voter to answer
-	supportRetry   = time.Second
+	supportTimeout       = 250 * time.Millisecond // for one voter to answer
+	supportRetryInterval = time.Second
 )
 
-// voterSupport tells whether the voters know of the distribution. A voter of an older program takes no part any more once
-// it meets an entry of it in the log: two of three would leave no majority.
+// voterSupport tells whether the voters know of the distribution. A voter of an older program takes
+// no part any more once it meets an entry of it in the log: two of three would leave no majority.
 type voterSupport struct {
-	link   *controlrpc.Client
-	log    *slog.Logger
-	known  bool      // no voter that answered was older, once
-	asked  time.Time // last
-	warned string    // the voter that was named in the log
+	link        *controlrpc.Client
+	log         *slog.Logger
+	supported   bool      // no voter that answered was older, once
+	lastProbe   time.Time // last
+	warnedVoter string    // the voter that was named in the log
 }
 
-// ready tells whether entries may be proposed. It asks the voters now and then until a majority knows of the distribution,
-// and none that answers doesn't. One that doesn't answer is not waited for: it holds up nobody but itself.
+// ready tells whether entries may be proposed. It asks the voters now and then until a majority
+// knows of the distribution, and none that answers doesn't. One that doesn't answer is not waited
+// for: it holds up nobody but itself.
 func (s *voterSupport) ready(ctx context.Context) bool {
-	if s.known || time.Since(s.asked) < supportRetry {
-		return s.known
+	if s.supported || time.Since(s.lastProbe) < supportRetryInterval {
+		return s.supported
 	}
-	s.asked = time.Now()
+	s.lastProbe = time.Now()
 	voters := s.link.Voters()
 	supporting, older := 0, ""
 	for _, voter := range voters {
-		switch askVoter(ctx, s.link, voter.Address) {
-		case answerSupports:
+		switch probeVoter(ctx, s.link, voter.Address) {
+		case supportPresent:
 			supporting++
-		case answerOlder:
+		case supportMissing:
 			older = voter.Name
 		}
 	}
-	s.known = older == "" && supporting > len(voters)/2
+	s.supported = older == "" && supporting > len(voters)/2
 	s.warn(older)
-	return s.known
+	return s.supported
 }
 
 // warn names an older voter in the log, once.
 func (s *voterSupport) warn(older string) {
-	if older != "" && older != s.warned {
+	if older != "" && older != s.warnedVoter {
 		s.log.Warn("fleet: the list of servers is not distributed: a voter runs an older program", "voter", older)
 	}
-	s.warned = older
+	s.warnedVoter = older
 }
 
-// voterAnswer is what a voter answers when it is asked for the distribution.
-type voterAnswer int
+// voterSupportStatus is what a voter answers when it is asked for the distribution.
+type voterSupportStatus int
 
 const (
-	answerNone     voterAnswer = iota
-	answerSupports             // it serves it
-	answerOlder                // it answers, and has no such service
+	supportUnknown voterSupportStatus = iota
+	supportPresent                    // it serves it
+	supportMissing                    // it answers, and has no such service
 )
 
-// askVoter opens a stream of the distribution and ends it at once.
-func askVoter(ctx context.Context, link *controlrpc.Client, address string) voterAnswer {
+// probeVoter opens a stream of the distribution and ends it at once.
+func probeVoter(ctx context.Context, link *controlrpc.Client, address string) voterSupportStatus {
 	ctx, cancel := context.WithTimeout(ctx, supportTimeout)
 	defer cancel()
 	connection, err := link.Connection(address)
 	if err != nil {
-		return answerNone
+		return supportUnknown
 	}
 	stream, err := distributionpb.NewDistributionClient(connection).Watch(ctx)
 	if err == nil {
@@ -84,9 +85,9 @@
 	}
 	switch {
 	case err == nil, errors.Is(err, io.EOF):
-		return answerSupports
+		return supportPresent
 	case status.Code(err) == codes.Unimplemented:
-		return answerOlder
+		return supportMissing
 	}
-	return answerNone
+	return supportUnknown
 }
--- a/internal/controlplane/distributor/support_test.go
+++ b/internal/controlplane/distributor/support_test.go
@@ -12,8 +12,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Nothing is proposed while a voter answers that knows nothing of the distribution, or no majority is known to know it. One
-// that doesn't answer is not waited for.
+// Nothing is proposed while a voter answers that knows nothing of the distribution, or no majority
+// is known to know it. One that doesn't answer is not waited for.
 func TestOlderVotersAreSpared(t *testing.T) {
 	s, other := newTestServer(t, nil), newTestServer(t, nil)
 	older := controlrpc.NewServer(context.Background(), fleet, nil, nil)
@@ -34,7 +34,7 @@
 		if support.ready(t.Context()) {
 			t.Error("entries are proposed though a voter is older")
 		}
-		support.asked = support.asked.Add(-supportRetry)
+		support.lastProbe = support.lastProbe.Add(-supportRetryInterval)
 	}
 	if n := strings.Count(log.String(), "voter=older"); n != 1 {
 		t.Errorf("it is named %d times: %s", n, log.String())
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -6,8 +6,8 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// maxQueuedUpdates is how many updates of a machine wait for the server. Past it they are told as one: that the state
-// was replaced.
+// maxQueuedUpdates is how many updates of a machine wait for the server. Past it they are told as
+// one: that the state was replaced.
 const maxQueuedUpdates = 1024
 
 // updateQueue takes updates from the voter's goroutine, which must not wait, to the server's.
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -167,7 +167,7 @@
 		cfg.Address = cfg.Listen
 	}
 	if cfg.Silent == 0 {
-		cfg.Silent = distributor.DefaultSilent
+		cfg.Silent = distributor.DefaultSourceTimeout
 	}
 	n := &Node{cfg: cfg, ctx: ctx, cancel: cancel, leave: leave, left: make(chan struct{}), ready: make(chan struct{}),
 		early: make(chan use, earlyMost)}
--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -69,8 +69,8 @@
 	o.state = state
 }
 
-// Heard does nothing: the rig waits for content.
-func (o *observer) Heard(time.Duration, bool) {}
+// SourceHeard does nothing: the rig waits for content.
+func (o *observer) SourceHeard(time.Duration, bool) {}
 
 func (o *observer) newest() *distribution.State {
 	o.mu.Lock()
@@ -103,7 +103,7 @@
 	link := controlrpc.NewClient(testcluster.FleetName, me, "", c.Voters(), c.Addresses(-1), quiet)
 	client := distributor.NewClient(distributor.ClientOptions{
 		Link: link, Log: quiet,
-		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Incarnation, distribution.Place{}, distributor.DefaultSilent),
+		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Incarnation, distribution.Place{}, distributor.DefaultSourceTimeout),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -86,7 +86,7 @@
 			if r.link != nil {
 				w.sendUp(r.link, a.Request)
 			}
-		case distribution.Leave:
+		case distribution.Disconnect:
 			if r.link != nil && r.link.open {
 				r.link.open = false
 				w.closed(r.link)
@@ -96,7 +96,7 @@
 			w.deliver(r, a)
 		case distribution.Persist:
 			r.file = distribution.EncodeStateFile(fleetName, a.State)
-		case distribution.Report:
+		case distribution.ReportError:
 			w.refused(a.Err)
 		}
 	}
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -140,7 +140,7 @@
 	s := distribution.DefaultPublisherSettings(fleetName)
 	s.Log = distribution.LogBounds{Entries: 24, Bytes: 64 << 10}
 	s.MaxResyncs, s.BulkBytesPerSecond, s.BulkBurstBytes = 2, 40<<10, 8<<10
-	s.ResyncHold, s.BulkMessageBytes = 2*time.Second, 1<<10
+	s.ResyncSlotTimeout, s.BulkMessageBytes = 2*time.Second, 1<<10
 	return s
 }
 
@@ -148,7 +148,7 @@
 func replicaSettings(id string, boot uint64, zone string) distribution.ReplicaSettings {
 	s := distribution.DefaultReplicaSettings(fleetName, id)
 	s.Incarnation, s.Place = boot, distribution.Place{Zone: zone, Region: "south"}
-	s.PersistEvery, s.ReturnAfter = 2*time.Second, 20*time.Second
+	s.PersistInterval, s.ReturnInterval = 2*time.Second, 20*time.Second
 	return s
 }
 
