--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -54,7 +54,7 @@
 			return nil, fmt.Errorf("fleet.exports: %w", err)
 		}
 	}
-	if direct := cfg.Register; f.Watch && direct != nil {
+	if direct := cfg.NewEndpointSource; f.Watch && direct != nil {
 		// The configuration as it is now: the gateway's own changes later.
 		asked := *cfg
 		c.Direct = func() (registry.Source, error) { return direct(&asked, log) }
@@ -79,18 +79,18 @@
 		if err := r.Check(); err != nil {
 			return nil, err
 		}
-		cfg.Terms = gateway.NewTerms(cfg)
-		c.Versions, c.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(cfg.Terms)}
+		cfg.PlanTerms = gateway.NewPlanTerms(cfg)
+		c.Versions, c.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(cfg.PlanTerms)}
 	}
 	n := controlplane.Start(c)
 	if a := n.Permit(); a != nil {
-		cfg.Permit, cfg.Acts = a, n
+		cfg.VersionLease, cfg.Operations = a, n
 	}
 	if u := n.Rights(); u != nil {
-		cfg.Rights = u
+		cfg.Allocations = u
 	}
 	if r := n.Register(); r != nil {
-		cfg.Register = func(*gateway.Config, *slog.Logger) (registry.Source, error) { return r, nil }
+		cfg.NewEndpointSource = func(*gateway.Config, *slog.Logger) (registry.Source, error) { return r, nil }
 	}
 	return n, nil
 }
--- a/cmd/mothcleat/main_test.go
+++ b/cmd/mothcleat/main_test.go
@@ -66,8 +66,8 @@
 	path := write(t, "operators.toml", "[state]\nevery = \"2s\"\n")
 	p := &program{path: path, log: quietLog()}
 	cfg, err := p.read()
-	if err != nil || cfg.Survival.Every != 2*time.Second {
-		t.Errorf("every %v, %v", cfg.Survival.Every, err)
+	if err != nil || cfg.Restart.SnapshotInterval != 2*time.Second {
+		t.Errorf("every %v, %v", cfg.Restart.SnapshotInterval, err)
 	}
 	if err := os.WriteFile(path, []byte("[state]\nevry = \"2s\"\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/mothcleat/register.go
+++ b/cmd/mothcleat/register.go
@@ -18,14 +18,14 @@
 		return
 	}
 	agents := strings.Join(r.Agents, ",")
-	cfg.MoveTo = []string{agents}
+	cfg.EndpointAddresses = []string{agents}
 	switch r.Source {
 	case "consul+platform":
-		cfg.MoveTo = []string{agents, "other=" + cfg.Discovery}
+		cfg.EndpointAddresses = []string{agents, "other=" + cfg.Discovery}
 	case "platform+consul":
-		cfg.MoveTo = []string{cfg.Discovery, "other=" + agents}
+		cfg.EndpointAddresses = []string{cfg.Discovery, "other=" + agents}
 	}
-	cfg.Register = func(cfg *gateway.Config, log *slog.Logger) (registry.Source, error) {
+	cfg.NewEndpointSource = func(cfg *gateway.Config, log *slog.Logger) (registry.Source, error) {
 		c, err := newConsul(r, log)
 		if err != nil {
 			return nil, err
--- a/cmd/mothcleat/run.go
+++ b/cmd/mothcleat/run.go
@@ -68,7 +68,7 @@
 			return fmt.Errorf("record.refusals: %w", err)
 		}
 		defer f.Close()
-		cfg.Refusals = f
+		cfg.RejectionLog = f
 	}
 	part, err := newFleet(&p.settings, &cfg, p.log)
 	if err != nil {
@@ -91,7 +91,7 @@
 			p.upgrader.Stop() // a new process half made is ended with this one
 		}()
 	}
-	control.Handed, control.Read = handed, p.read
+	control.HandedOver, control.ReadConfig = handed, p.read
 	return gateway.Run(cfg, p.log, control)
 }
 
@@ -105,20 +105,20 @@
 
 // survive has the gateway outlive its process as far as the settings say.
 func (p *program) survive(cfg *gateway.Config) error {
-	s := &cfg.Survival
-	s.Every, s.Oldest = time.Duration(p.settings.State.Every), time.Duration(p.settings.State.Oldest)
+	s := &cfg.Restart
+	s.SnapshotInterval, s.MaxSnapshotAge = time.Duration(p.settings.State.Every), time.Duration(p.settings.State.Oldest)
 	if path := p.settings.State.File; path != "" {
 		keeper, err := snapshot.Open(path)
 		if err != nil {
 			return err
 		}
-		s.Keeper = keeper
+		s.Store = keeper
 	}
 	if given, err := inherited(os.Getenv); err != nil {
 		return err
 	} else if given != nil {
 		s.Listen = func(string) (net.Listener, error) { return given, nil }
-		s.Meet = hotrestart.Path(os.TempDir(), cfg.Name)
+		s.RendezvousPath = hotrestart.Path(os.TempDir(), cfg.Name)
 		if p.settings.HandOver.On {
 			p.log.Warn("hand-over: the platform holds the clients' socket, and replaces processes itself; handover.on is passed over")
 		}
@@ -136,7 +136,7 @@
 	}
 	s.Listen = func(address string) (net.Listener, error) { return p.upgrader.Listen("tcp", address) }
 	s.ListenPacket = func(address string) (net.PacketConn, error) { return p.upgrader.ListenPacket("udp", address) }
-	s.Successor, s.Ready = p.upgrader.HasParent(), p.upgrader.Ready
+	s.Successor, s.StopPredecessor = p.upgrader.HasParent(), p.upgrader.Ready
 	return nil
 }
 
@@ -175,7 +175,7 @@
 	if fixed := p.settings.Fixed(&now); len(fixed) > 0 {
 		p.log.Warn("reload: what needs a new process stays as it was", "settings", fixed)
 	}
-	cfg.Survival.Every = time.Duration(now.State.Every)
+	cfg.Restart.SnapshotInterval = time.Duration(now.State.Every)
 	if now.Register.Source != p.settings.Register.Source {
 		now.Register = p.settings.Register // only a new process follows another kind of register
 	}
@@ -197,7 +197,7 @@
 		if cfg, err = configuration(); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "configuration: %s: good for gateway %q, %d backends known\n", os.Getenv("RELAY_CONFIG"), cfg.Name, len(cfg.Known.Members))
+		fmt.Fprintf(out, "configuration: %s: good for gateway %q, %d backends known\n", os.Getenv("RELAY_CONFIG"), cfg.Name, len(cfg.KnownEndpoints.Members))
 	}
 	if path == "" {
 		return nil
@@ -264,7 +264,7 @@
 			reload <- struct{}{}
 		}
 	}()
-	return gateway.Control{Stop: stopped, Reload: reload, Read: configuration}
+	return gateway.Control{Stop: stopped, Reload: reload, ReadConfig: configuration}
 }
 
 // configuration reads the file that RELAY_CONFIG names.
--- a/internal/controlplane/allocator/user.go
+++ b/internal/controlplane/allocator/user.go
@@ -29,7 +29,7 @@
 	client *controlrpc.Client
 	owners *election.Set
 	log    *slog.Logger
-	lent   func(gateway.Loan)
+	lent   func(gateway.OnDemandReply)
 
 	loans    chan struct{}  // room for askings that are out
 	silent   []atomic.Int64 // by shard: until when nobody is asked for units, by package monotonic's clock
@@ -67,8 +67,8 @@
 		silent: make([]atomic.Int64, shards), lastTold: make([]atomic.Int64, shards), holder: allocation.NewHolder(r, client.Me(), shards)}
 }
 
-// Follow has the answers to Borrow go to a function. It is to be called before the first Borrow.
-func (u *User) Follow(lent func(gateway.Loan)) { u.lent = lent }
+// OnReply has the answers to Borrow go to a function. It is to be called before the first Borrow.
+func (u *User) OnReply(lent func(gateway.OnDemandReply)) { u.lent = lent }
 
 func whole(b *policy.SharedQuota) allocation.Share {
 	return allocation.Share{Rate: b.Rate, Burst: b.Burst}
@@ -116,8 +116,8 @@
 	u.holder.Return(monotonic.Now(), b.ID, units)
 }
 
-// By is until when what was taken for a request may be used.
-func (u *User) By(id uint64) time.Duration {
+// UsableUntil is until when what was taken for a request may be used.
+func (u *User) UsableUntil(id uint64) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.took != id {
@@ -126,8 +126,8 @@
 	return u.tookBy
 }
 
-// Over tells whether a time is over.
-func (u *User) Over(by time.Duration) bool {
+// Expired tells whether a time is over.
+func (u *User) Expired(by time.Duration) bool {
 	failpoint.At("right-taken")
 	over := monotonic.Now() >= by
 	failpoint.At("right-checked")
@@ -147,19 +147,19 @@
 	default:
 		return false
 	}
-	go u.borrow(shard, owner, address, gateway.Loan{ID: id, Budget: *b, By: now + u.rules.LoanSpan}, units)
+	go u.borrow(shard, owner, address, gateway.OnDemandReply{RequestID: id, Quota: *b, UsableUntil: now + u.rules.LoanSpan}, units)
 	return true
 }
 
-func (u *User) borrow(shard int, owner lease.Member, address string, l gateway.Loan, units float64) {
+func (u *User) borrow(shard int, owner lease.Member, address string, l gateway.OnDemandReply, units float64) {
 	defer func() { <-u.loans }()
 	ctx, cancel := context.WithTimeout(context.Background(), lendWithin)
 	defer cancel()
 	u.mu.Lock()
 	age, order := u.holder.Age(monotonic.Now()), u.order
 	u.mu.Unlock()
-	ask := &controlpb.LoanAsk{Version: order, Age: age, Role: allocation.RoleOfShard(shard), Budget: l.Budget.ID, Units: units,
-		Whole: &controlpb.Share{Rate: l.Budget.Rate, Burst: l.Budget.Burst}, Spread: uint32(l.Budget.Spread)}
+	ask := &controlpb.LoanAsk{Version: order, Age: age, Role: allocation.RoleOfShard(shard), Budget: l.Quota.ID, Units: units,
+		Whole: &controlpb.Share{Rate: l.Quota.Rate, Burst: l.Quota.Burst}, Spread: uint32(l.Quota.Spread)}
 	a, err := u.client.Borrow(ctx, owner.ID, address, ask)
 	u.mu.Lock()
 	u.figures.Loans++
@@ -171,14 +171,14 @@
 		u.figures.Lent++
 		l.Units = units
 	default:
-		l.After = time.Duration(a.After)
+		l.RetryAfter = time.Duration(a.After)
 	}
 	u.mu.Unlock()
 	u.lent(l)
 }
 
-// Order tells by which version of the plans wholes are from now on.
-func (u *User) Order(order uint64) {
+// SetPlanOrder tells by which version of the plans wholes are from now on.
+func (u *User) SetPlanOrder(order uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.order = order
--- a/internal/controlplane/auditrecorder/recorder.go
+++ b/internal/controlplane/auditrecorder/recorder.go
@@ -121,8 +121,8 @@
 	r.now.sent.Add(1)
 }
 
-// Refused counts a request that was refused. With turned it was refused because this gateway is fenced.
-func (r *Recorder) Refused(turned bool) {
+// Rejected counts a request that was refused. With turned it was refused because this gateway is fenced.
+func (r *Recorder) Rejected(turned bool) {
 	if turned {
 		r.now.turned.Add(1)
 	} else {
--- a/internal/controlplane/auditrecorder/recorder_test.go
+++ b/internal/controlplane/auditrecorder/recorder_test.go
@@ -23,8 +23,8 @@
 		for k := range 5 {
 			r.Sent(true, 2.5)
 			r.Sent(false, 2.5)
-			r.Refused(false)
-			r.Refused(true)
+			r.Rejected(false)
+			r.Rejected(true)
 			total = total.Plus(auditlog.Counts{Sent: 1, Again: 1, Units: 2.5, Refused: 1, Turned: 1})
 			if k%2 == 0 {
 				r.Change(map[string]uint64{"plans": boot*10 + uint64(k)})
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -135,17 +135,17 @@
 // RecordDir is where a gateway's record lies.
 func RecordDir(dir string) string { return filepath.Join(dir, "record") }
 
-// Sent counts an attempt that was sent on; see gateway.Acts.
+// Sent counts an attempt that was sent on; see gateway.OperationRecorder.
 func (n *Node) Sent(first bool, units float64) {
 	if r := n.record.Load(); r != nil {
 		r.Sent(first, units)
 	}
 }
 
-// Refused counts a request that was refused.
-func (n *Node) Refused(turned bool) {
+// Rejected counts a request that was refused.
+func (n *Node) Rejected(turned bool) {
 	if r := n.record.Load(); r != nil {
-		r.Refused(turned)
+		r.Rejected(turned)
 	}
 }
 
--- a/internal/controlplane/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -18,7 +18,7 @@
 // ItemName is what the fleet calls the item.
 const ItemName = "plans"
 
-// Terms is what puts plans in force: in a gateway, gateway.Terms.
+// Terms is what puts plans in force: in a gateway, gateway.PlanTerms.
 type Terms interface {
 	// CheckBook returns why the plans can't be acted on here, nil if they can.
 	CheckBook(book *plans.Book) error
--- a/internal/controlplane/rollout/permits.go
+++ b/internal/controlplane/rollout/permits.go
@@ -10,17 +10,17 @@
 	"mothcleat/internal/monotonic"
 )
 
-// Acts returns until when this process may act, by the clock of package monotonic, and a
+// Current returns until when this process may act, by the clock of package monotonic, and a
 // stamp of what is in force. The time is 0 if the process is shut out.
-func (a *Agent) Acts() (until time.Duration, stamp uint64) {
+func (a *Agent) Current() (until time.Duration, stamp uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Acts(monotonic.Now()), a.stamp
 }
 
-// Over reports whether what was decided under a permit may no longer be done. until and stamp are
+// Expired reports whether what was decided under a permit may no longer be done. until and stamp are
 // what Acts returned at the decision.
-func (a *Agent) Over(until time.Duration, stamp uint64) bool {
+func (a *Agent) Expired(until time.Duration, stamp uint64) bool {
 	failpoint.At("permit-taken")
 	now := monotonic.Now()
 	a.mu.Lock()
--- a/internal/dataplane/gateway/accept.go
+++ b/internal/dataplane/gateway/accept.go
@@ -19,71 +19,71 @@
 		return
 	}
 	for {
-		cs.room <- struct{}{}
+		cs.slots <- struct{}{}
 		// Whoever shares the socket may have had it block since, as each process does that hands it to another. An accept that
 		// blocks can't be ended.
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
-		if cs.last.Load() { // the wait for a place may have been long
-			_ = cs.listener.SetDeadline(time.Now().Add(lastWithin))
+		if cs.drainBacklog.Load() { // the wait for a place may have been long
+			_ = cs.listener.SetDeadline(time.Now().Add(backlogQuietTime))
 		}
 		conn, err := cs.listener.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // paused, or the last one is in
-			<-cs.room
-			if cs.last.Load() && !cs.closeDrained(l, raw) {
+			<-cs.slots
+			if cs.drainBacklog.Load() && !cs.closeOnceDrained(l, raw) {
 				continue
 			}
-			l.post(accepted{})
-			if _, ok := <-cs.goOn; !ok {
+			l.post(acceptPaused{})
+			if _, ok := <-cs.resumeAccept; !ok {
 				return
 			}
 			continue
 		}
 		if err != nil { // such as a shortage of descriptors: the next may do better
-			<-cs.room
+			<-cs.slots
 			l.log.Warn("accept", "error", err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		l.post(connected{conn})
+		l.post(clientConnected{conn})
 	}
 }
 
-// lastWithin is how long no connection may have come when the listener is closed: what the machine has accepted by then
+// backlogQuietTime is how long no connection may have come when the listener is closed: what the machine has accepted by then
 // is taken, and would be lost with it.
-const lastWithin = 20 * time.Millisecond
+const backlogQuietTime = 20 * time.Millisecond
 
-// closeDrained accepts all connections that wait, and closes the listener at once. To close it resets those that wait
+// closeOnceDrained accepts all connections that wait, and closes the listener at once. To close it resets those that wait
 // then, so nothing that may take long lies between the last look and the close. Where places for connections run out it
 // returns false and does not close.
-func (cs *clients) closeDrained(l *Loop, raw syscall.RawConn) bool {
+func (cs *clients) closeOnceDrained(l *Loop, raw syscall.RawConn) bool {
 	for {
 		select {
-		case cs.room <- struct{}{}:
+		case cs.slots <- struct{}{}:
 		default:
 			return false
 		}
-		fd, waits := acceptNow(raw)
+		fd, waits := acceptPending(raw)
 		if !waits {
 			_ = cs.listener.Close()
-			<-cs.room
+			<-cs.slots
 			return true
 		}
-		conn, err := connectionOf(fd)
+		conn, err := connFromFD(fd)
 		if err != nil {
-			<-cs.room
+			<-cs.slots
 			l.log.Warn("accept", "error", err)
 			continue
 		}
-		l.post(connected{conn})
+		l.post(clientConnected{conn})
 	}
 }
 
-// acceptNow accepts a connection that waits. It does not wait for one: waits is false if there is none, or none can be
+// acceptPending accepts a connection that waits. It does not wait for one: waits is false if there is none, or none can be
 // accepted.
-func acceptNow(raw syscall.RawConn) (fd int, waits bool) {
+func acceptPending(raw syscall.RawConn) (fd int, waits bool) {
 	_ = raw.Control(func(listener uintptr) {
 		err := error(syscall.EINTR)
 		for err == syscall.EINTR {
@@ -94,8 +94,8 @@
 	return fd, waits
 }
 
-// connectionOf makes a connection of a descriptor, which it takes over.
-func connectionOf(fd int) (*net.TCPConn, error) {
+// connFromFD makes a connection of a descriptor, which it takes over.
+func connFromFD(fd int) (*net.TCPConn, error) {
 	file := os.NewFile(uintptr(fd), "connection")
 	defer file.Close()
 	conn, err := net.FileConn(file)
@@ -104,27 +104,27 @@
 	}
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return nil, errors.Join(errNoTCP, conn.Close())
+		return nil, errors.Join(errNotTCP, conn.Close())
 	}
 	return tcp, nil
 }
 
-var errNoTCP = errors.New("the connection is no TCP connection")
+var errNotTCP = errors.New("the connection is no TCP connection")
 
-// accepted tells that no connection waits to be accepted any more.
-type accepted struct{}
+// acceptPaused tells that no connection waits to be accepted any more.
+type acceptPaused struct{}
 
-func (accepted) handle(l *Loop) {
-	if l.steps.closing {
-		l.shut()
+func (acceptPaused) handle(l *Loop) {
+	if l.shutdown.acceptingEnds {
+		l.closeListener()
 	}
 }
 
-// shutWithin is for how long the loop waits for an accept to end that blocks all the same.
-const shutWithin = 20 * time.Millisecond
+// listenerCloseTimeout is for how long the loop waits for an accept to end that blocks all the same.
+const listenerCloseTimeout = 20 * time.Millisecond
 
-// shut has no connection accepted any more.
-func (cs *clients) shut() {
+// closeListener has no connection accepted any more.
+func (cs *clients) closeListener() {
 	done := make(chan struct{})
 	go func() {
 		_ = cs.listener.Close()
@@ -132,36 +132,36 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(shutWithin):
+	case <-time.After(listenerCloseTimeout):
 	}
 }
 
-type connected struct{ conn *net.TCPConn }
+type clientConnected struct{ conn *net.TCPConn }
 
-func (e connected) handle(l *Loop) {
+func (e clientConnected) handle(l *Loop) {
 	cs := l.clients
-	if l.begin(newClient(e.conn, l.now())) && len(cs.conns) > cs.most {
+	if l.startClient(newClient(e.conn, l.now())) && len(cs.conns) > cs.maxServed {
 		cs.evict(l, nil)
 	}
 }
 
 func newClient(conn *net.TCPConn, now policy.Time) *client {
 	return &client{
-		conn: conn, out: newSender(conn), room: make(chan struct{}, pipelined), done: make(chan struct{}),
-		resume: make(chan struct{}, 1), used: now,
+		conn: conn, out: newSender(conn), pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
+		resumeReading: make(chan struct{}, 1), lastCommand: now,
 	}
 }
 
-// begin has a new connection read, where requests are still taken on one; else it goes to
+// startClient has a new connection read, where requests are still taken on one; else it goes to
 // the newer process, or ends.
-func (l *Loop) begin(c *client) bool {
+func (l *Loop) startClient(c *client) bool {
 	l.clients.conns[c] = true
-	if l.handovers.passes() {
-		c.share.parted = true // it was not read from
-		l.pass(c)
+	if l.handover.passingConns() {
+		c.reading.parted = true // it was not read from
+		l.passToSuccessor(c)
 		return false
 	}
-	go c.read(l)
+	go c.readCommands(l)
 	return true
 }
 
@@ -171,16 +171,16 @@
 // spared; a newcomer that has said nothing yet is less reason.
 func (cs *clients) evict(l *Loop, asking *client) bool {
 	now := l.now()
-	spared := [...]policy.Time{settled, 2 * settled, idleLeast} // by worth: how long it must have been idle
+	spared := [...]policy.Time{newConnectionAge, 2 * newConnectionAge, minIdleBeforeEviction} // by worth: how long it must have been idle
 	if asking != nil {
-		spared = [...]policy.Time{settled / 5, 0, 0}
+		spared = [...]policy.Time{newConnectionAge / 5, 0, 0}
 	}
 	var least *client
 	for c := range cs.conns {
-		if c == asking || c.ending || c.busy() || c.writes(now) || now-c.lately() < spared[c.worth()] {
+		if c == asking || c.closeWhenIdle || c.awaitingAnswer() || c.sendingCommand(now) || now-c.lastActivity() < spared[c.activityRank()] {
 			continue
 		}
-		if least == nil || c.worth() < least.worth() || c.worth() == least.worth() && c.lately() < least.lately() {
+		if least == nil || c.activityRank() < least.activityRank() || c.activityRank() == least.activityRank() && c.lastActivity() < least.lastActivity() {
 			least = c
 		}
 	}
@@ -191,14 +191,14 @@
 	return true
 }
 
-// sweep closes connections that only hold places.
-func (cs *clients) sweep(l *Loop) {
-	for len(cs.conns) > cs.most && cs.evict(l, nil) {
+// closeIdle closes connections that only hold places.
+func (cs *clients) closeIdle(l *Loop) {
+	for len(cs.conns) > cs.maxServed && cs.evict(l, nil) {
 	}
 	now := l.now()
 	for c := range cs.conns {
-		if now-c.lately() > [...]policy.Time{idleMost, onceMost, idleMost}[c.worth()] && !c.busy() {
-			c.end(l)
+		if now-c.lastActivity() > [...]policy.Time{clientIdleTimeout, singleCommandIdleTimeout, clientIdleTimeout}[c.activityRank()] && !c.awaitingAnswer() {
+			c.closeAfterAnswers(l)
 		}
 	}
 }
--- a/internal/dataplane/gateway/accept_test.go
+++ b/internal/dataplane/gateway/accept_test.go
@@ -24,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !l.clients.closeDrained(l, raw) {
+	if !l.clients.closeOnceDrained(l, raw) {
 		t.Fatal("it was not closed")
 	}
 	accepted := map[string]*net.TCPConn{}
 	for range waiting {
-		e := wait(t, l.events, "a connection").(connected)
+		e := wait(t, l.events, "a connection").(clientConnected)
 		defer e.conn.Close()
 		accepted[e.conn.RemoteAddr().String()] = e.conn
 	}
@@ -45,8 +45,8 @@
 			t.Errorf("read %d, %v", n, err)
 		}
 	}
-	if len(l.clients.room) != waiting {
-		t.Errorf("%d places are taken, %d wanted", len(l.clients.room), waiting)
+	if len(l.clients.slots) != waiting {
+		t.Errorf("%d places are taken, %d wanted", len(l.clients.slots), waiting)
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
@@ -57,14 +57,14 @@
 // Where there is no place for another connection the listener stays open until there is one: what waits would be reset.
 func TestTheListenerStaysOpenWithoutAPlace(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
-	for len(l.clients.room) < cap(l.clients.room) {
-		l.clients.room <- struct{}{}
+	for len(l.clients.slots) < cap(l.clients.slots) {
+		l.clients.slots <- struct{}{}
 	}
 	raw, err := l.clients.listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.clients.closeDrained(l, raw) {
+	if l.clients.closeOnceDrained(l, raw) {
 		t.Error("it was closed")
 	}
 	c, err := net.Dial("tcp", l.clients.listener.Addr().String())
@@ -72,9 +72,9 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	<-l.clients.room // for the connection that waits
-	<-l.clients.room // to see that no other does
-	if !l.clients.closeDrained(l, raw) {
+	<-l.clients.slots // for the connection that waits
+	<-l.clients.slots // to see that no other does
+	if !l.clients.closeOnceDrained(l, raw) {
 		t.Error("it was not closed though there was a place")
 	}
 }
--- a/internal/dataplane/gateway/operate.go
+++ b/internal/dataplane/gateway/admin.go
@@ -13,20 +13,20 @@
 	if l.cfg.Management == "" {
 		return nil
 	}
-	if l.admin, err = admin.Listen(l.cfg.Management, l.call, l.log); err != nil {
+	if l.admin, err = admin.Listen(l.cfg.Management, l.callLoop, l.log); err != nil {
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
 }
 
-// call has the loop answer an operator's call, ahead of all queued work.
-func (l *Loop) call(ctx context.Context, name, argument string) string {
+// callLoop has the loop answer an operator's call, ahead of all queued work.
+func (l *Loop) callLoop(ctx context.Context, name, argument string) string {
 	if name == "fleet" && l.cfg.Fleet != nil {
 		return l.cfg.Fleet.Call(ctx, argument) // the loop has no part in it
 	}
-	e := call{name, make(chan string, 1)}
+	e := adminCall{name, make(chan string, 1)}
 	select {
-	case l.urgents <- e:
+	case l.urgent <- e:
 	case <-ctx.Done():
 		return "fail busy\n"
 	}
@@ -38,30 +38,30 @@
 	}
 }
 
-// call is a line from an operator.
-type call struct {
+// adminCall is a line from an operator.
+type adminCall struct {
 	name   string
 	answer chan string
 }
 
-func (c call) handle(l *Loop) {
+func (c adminCall) handle(l *Loop) {
 	answer := "ok\n"
 	switch c.name {
 	case "check":
-		if yes, why := l.life.Serves(); !yes {
+		if yes, why := l.lifecycle.Serves(); !yes {
 			answer = "fail " + why + "\n"
-		} else if l.shutOut() {
+		} else if l.fenced() {
 			answer = "fail shut out\n" // clients are to be sent elsewhere
 		}
 	case "vars":
 		answer = string(append(l.metrics.Append(nil, l.gauges()), "eof\n"...))
 	case "drain-on":
 		l.log.Info("drain: on", "open", l.open, "connections", len(l.clients.conns))
-		l.life.Drain(l.now())
+		l.lifecycle.Drain(l.now())
 		l.step()
 	case "drain-off":
 		l.log.Info("drain: off")
-		l.life.Resume()
+		l.lifecycle.Resume()
 	default:
 		answer = fmt.Sprintf("fail unknown call %.32q; check, vars, drain-on or drain-off\n", c.name)
 	}
@@ -71,14 +71,14 @@
 // gauges are read off at the moment.
 func (l *Loop) gauges() metrics.Gauges {
 	now := metrics.Gauges{Current: l.open}
-	now.Size, now.Unhealthy = l.module.CountBackends()
+	now.Size, now.Unhealthy = l.balancer.CountBackends()
 	return now
 }
 
-// tell counts how a request ended, by what its answer begins with.
-func (r *request) tell(t *metrics.Counters, reply []byte) {
+// countOutcome counts how a request ended, by what its answer begins with.
+func (r *request) countOutcome(t *metrics.Counters, reply []byte) {
 	switch {
-	case !r.known:
+	case !r.classKnown:
 	case len(reply) > 4 && string(reply[:5]) == "-BUSY":
 		t.End(r.class, metrics.Deferred)
 	case len(reply) > 0 && reply[0] == '-':
--- a/internal/dataplane/gateway/permit.go
+++ b/internal/dataplane/gateway/authorization.go
@@ -22,8 +22,8 @@
 var (
 	authCommand  = []byte("AUTH")
 	helloCommand = []byte("HELLO")
-	denied       = []byte("-NOPERM denied\r\n")
-	fine         = []byte("+OK\r\n")
+	deniedReply  = []byte("-NOPERM denied\r\n")
+	okReply      = []byte("+OK\r\n")
 )
 
 // setAuth takes in whom to ask from now on.
@@ -32,66 +32,66 @@
 		return nil
 	}
 	if l.auth == nil {
-		l.auth = forwardauth.NewStep(l.asking, (*authHost)(l))
+		l.auth = forwardauth.NewStep(l.authContext, (*authHost)(l))
 	}
 	if err := l.auth.Set(a.Settings, a.Rules, l.cfg.Seed^0xa0); err != nil {
 		return err
 	}
-	l.authOn.Store(l.auth.On())
+	l.authEnabled.Store(l.auth.On())
 	return nil
 }
 
-// permit has a request decided on once it may go on. Until then the module knows
+// authorize has a request decided on once it may go on. Until then the module knows
 // nothing of it: what is denied takes no units.
-func (l *Loop) permit(r *request, what policy.Request) {
-	r.asks = &what
+func (l *Loop) authorize(r *request, what policy.Request) {
+	r.awaitingAuth = &what
 	q := &forwardauth.Question{
 		Credential: r.client.credential, Customer: string(r.args[1]), Plan: l.cfg.Host.Plans[what.Plan],
-		Class: l.cfg.Host.Classes[what.Class], Units: what.Units, Write: bytes.EqualFold(r.args[0], apiWrite),
+		Class: l.cfg.Host.Classes[what.Class], Units: what.Units, Write: bytes.EqualFold(r.args[0], writeCommand),
 		From: r.client.conn.RemoteAddr().String(),
 	}
 	if v, after := l.auth.Request(r.id, q, what.Class, what.Plan, what.Timeout); v != authz.Wait {
-		l.permitted(r.id, v, after)
+		l.authorized(r.id, v, after)
 	}
 }
 
-// permitted takes in a request's verdict: the first and only one.
-func (l *Loop) permitted(id uint64, v authz.Verdict, after authz.Time) {
+// authorized takes in a request's verdict: the first and only one.
+func (l *Loop) authorized(id uint64, v authz.Verdict, after authz.Time) {
 	r := l.requests[id]
-	if r == nil || r.asks == nil {
+	if r == nil || r.awaitingAuth == nil {
 		return
 	}
-	what := *r.asks
-	r.asks = nil
+	what := *r.awaitingAuth
+	r.awaitingAuth = nil
 	switch {
 	case v == authz.Deny:
-		l.answer(r, denied)
-	case v == authz.Pass && l.life.Takes(l.now()):
+		l.answer(r, deniedReply)
+	case v == authz.Pass && l.lifecycle.Takes(l.now()):
 		now := l.now()
 		what.Timeout = max(0, r.deadline-now)
-		if l.acts(r) {
-			l.planned(&what)
-			l.module.Request(now, what)
+		if l.acquireVersionLease(r) {
+			l.applyAssignedPlan(&what)
+			l.balancer.Request(now, what)
 		}
 	case v == authz.Later:
-		l.answer(r, l.comeBack(after))
+		l.answer(r, l.retryLaterReply(after))
 	default:
-		l.answer(r, l.comeBack(refuseAfter))
+		l.answer(r, l.retryLaterReply(overloadRetryAfter))
 	}
 }
 
-// comeBack is a refusal with advice, as far as the settings allow it.
-func (l *Loop) comeBack(after policy.Time) []byte {
+// retryLaterReply is a refusal with advice, as far as the settings allow it.
+func (l *Loop) retryLaterReply(after policy.Time) []byte {
 	if !l.cfg.Settings.RetryAfter {
 		after = 0
 	}
-	return busy(min(after, l.cfg.Settings.MaxRetryAfter))
+	return busyReply(min(after, l.cfg.Settings.MaxRetryAfter))
 }
 
-// unasked takes note that a request needs no verdict any more.
-func (l *Loop) unasked(r *request) {
-	if r.asks != nil {
-		r.asks = nil
+// cancelAuthorization takes note that a request needs no verdict any more.
+func (l *Loop) cancelAuthorization(r *request) {
+	if r.awaitingAuth != nil {
+		r.awaitingAuth = nil
 		l.auth.Gone(r.id)
 	}
 }
@@ -103,26 +103,26 @@
 
 func (h *authHost) Post(f func()) {
 	select {
-	case h.events <- run(f):
-	case <-h.asking.Done():
+	case h.events <- loopFunc(f):
+	case <-h.authContext.Done():
 	}
 }
 
-func (h *authHost) At(when authz.Time, f func()) { (*Loop)(h).at(when, run(f)) }
+func (h *authHost) At(when authz.Time, f func()) { (*Loop)(h).schedule(when, loopFunc(f)) }
 
 func (h *authHost) Decided(id uint64, v authz.Verdict, after authz.Time) {
-	(*Loop)(h).permitted(id, v, after)
+	(*Loop)(h).authorized(id, v, after)
 }
 
-// run is something to be done on the loop's goroutine.
-type run func()
+// loopFunc is something to be done on the loop's goroutine.
+type loopFunc func()
 
-func (f run) handle(*Loop) { f() }
-func (f run) due(*Loop)    { f() }
+func (f loopFunc) handle(*Loop) { f() }
+func (f loopFunc) due(*Loop)    { f() }
 
-// identify reads AUTH and HELLO, as RESP2 clients send them. What a client gives
+// readCredential reads AUTH and HELLO, as RESP2 clients send them. What a client gives
 // is not checked here: the authenticator does it with each request.
-func (e *taken) identify(args [][]byte) {
+func (e *commandRead) readCredential(args [][]byte) {
 	var c *forwardauth.Credential
 	var err error
 	hello := bytes.EqualFold(args[0], helloCommand)
@@ -135,13 +135,13 @@
 		default:
 			err = errors.New("wrong number of arguments")
 		}
-		e.reply = fine
+		e.reply = okReply
 	} else {
 		c, err = readHello(args[1:])
 		e.reply = helloReply
 	}
 	if err != nil {
-		e.reply, e.bad = refusal(err), true
+		e.reply, e.invalid = errorReply(err), true
 		if errors.Is(err, errProtocolVersion) {
 			e.reply = []byte("-NOPROTO unsupported protocol version\r\n")
 		}
@@ -195,7 +195,7 @@
 	return b
 }()
 
-// newAsking is the context of calls to an authenticator: they end with the gateway.
-func newAsking() (context.Context, context.CancelFunc) {
+// newAuthContext is the context of calls to an authenticator: they end with the gateway.
+func newAuthContext() (context.Context, context.CancelFunc) {
 	return context.WithCancel(context.Background())
 }
--- a/internal/dataplane/gateway/permit_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -272,11 +272,11 @@
 func TestVerdictAtTheSameInstant(t *testing.T) {
 	s, calls := newAuthenticator(t)
 	for name, end := range map[string]func(l *Loop, r *request){
-		"leave":    func(l *Loop, r *request) { left{r.client}.handle(l) },
-		"deadline": func(l *Loop, r *request) { backstop{r}.due(l) },
+		"leave":    func(l *Loop, r *request) { clientLeft{r.client}.handle(l) },
+		"deadline": func(l *Loop, r *request) { deadlineBackstop{r}.due(l) },
 		"drain":    func(l *Loop, _ *request) { l.failAll() },
 		"handed": func(l *Loop, _ *request) {
-			l.life.Part(false) // what comes now is told to come again
+			l.lifecycle.Part(false) // what comes now is told to come again
 		},
 	} {
 		for _, first := range []bool{true, false} {
@@ -286,37 +286,37 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { l.stopAsk(); l.clients.listener.Close() })
-			l.backends.members(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+			t.Cleanup(func() { l.cancelAuth(); l.clients.listener.Close() })
+			l.backends.updateEndpoints(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
 			here, there := pipe(t)
-			l.clients.room <- struct{}{}
-			c := &client{conn: here, out: newSender(here), room: make(chan struct{}, 4), done: make(chan struct{})}
+			l.clients.slots <- struct{}{}
+			c := &client{conn: here, out: newSender(here), pipelineSlots: make(chan struct{}, 4), done: make(chan struct{})}
 			l.clients.conns[c] = true
-			cmd, err := l.cfg.parse([][]byte{[]byte("API.READ"), []byte("0000000000000007"), []byte("0000000000000001"),
+			cmd, err := l.cfg.parseCommand([][]byte{[]byte("API.READ"), []byte("0000000000000007"), []byte("0000000000000001"),
 				[]byte("c=lookup,t=team,d=80000000,units=1,spread=1,first=0")})
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.room <- struct{}{}
-			taken{client: c, cmd: cmd, at: l.now()}.handle(l)
-			r := c.line[0]
+			c.pipelineSlots <- struct{}{}
+			commandRead{client: c, command: cmd, arrived: l.now()}.handle(l)
+			r := c.pipeline[0]
 			wait(t, calls, "a question").answer <- http.StatusOK
 			verdict := wait(t, l.events, "the verdict")
 			if first {
 				l.handle(verdict)
 			}
 			end(l, r)
-			l.follow()
+			l.runQueued()
 			if !first {
 				l.handle(verdict)
-				if r.attempts > 0 {
+				if r.attemptsMade > 0 {
 					t.Errorf("%s, then the verdict: sent on", name)
 				}
 			}
 			if !r.answered && !(first && name == "handed") {
 				t.Errorf("%s: not closed", name)
 			}
-			if r.asks != nil || l.open < 0 || l.open > 1 {
+			if r.awaitingAuth != nil || l.open < 0 || l.open > 1 {
 				t.Errorf("%s: %d open", name, l.open)
 			}
 			here.Close()
--- a/internal/dataplane/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -49,7 +49,7 @@
 func TestErrorsInARowEndTheConnection(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
-	for range 2 * mostErrors {
+	for range 2 * maxConsecutiveErrors {
 		c.send("NOTHING")
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("answer %q", got)
@@ -62,7 +62,7 @@
 		flood.WriteString("*1\r\n$7\r\nNOTHING\r\n")
 	}
 	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
-	for range mostErrors {
+	for range maxConsecutiveErrors {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("answer %q", got)
 		}
@@ -97,25 +97,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), asked: asked, used: now - idle}
+		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), commands: asked, lastCommand: now - idle}
 		l.clients.conns[c] = true
-		l.clients.room <- struct{}{}
+		l.clients.slots <- struct{}{}
 		return c
 	}
 	front, gone := add(9, 1e6), add(9, 60e6)
 	once, onceOld := add(1, 0), add(1, 1e6)
 	busy, newcomer := add(1, 90e6), add(0, -60e6)
-	busy.line = []*request{{answered: true}}
+	busy.pipeline = []*request{{answered: true}}
 	old, older := add(0, 10e6), add(0, 20e6)
 	for i, c := range []struct {
 		asking *client
 		gone   *client
 	}{{nil, older}, {nil, old}, {nil, onceOld}, {nil, gone}, {newcomer, once}, {newcomer, front}, {newcomer, nil}} {
-		if made := l.clients.evict(l, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.gone {
+		if made := l.clients.evict(l, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.closed {
 			t.Fatalf("step %d: room made %t", i, made)
 		}
 	}
-	if busy.gone || newcomer.gone || len(l.clients.room) != 2 {
+	if busy.closed || newcomer.closed || len(l.clients.slots) != 2 {
 		t.Error("one with an open request, or just come, made room")
 	}
 }
@@ -150,12 +150,12 @@
 	r.loop.post(inspect(func(l *Loop) {
 		timers := 0
 		for _, timer := range l.timers {
-			switch timer.what.(type) {
-			case backstop, giveUp:
+			switch timer.task.(type) {
+			case deadlineBackstop, attemptTimeout:
 				timers++
 			}
 		}
-		left <- fmt.Sprint(timers, len(l.requests), len(l.names), l.held, l.open)
+		left <- fmt.Sprint(timers, len(l.requests), len(l.byClientID), l.heldBytes, l.open)
 	}))
 	if got := wait(t, left, "the loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
@@ -169,10 +169,10 @@
 	now := l.now()
 	make := func(used, heard policy.Time, amid bool) *client {
 		here, _ := pipe(t)
-		c := &client{conn: here, out: newSender(here), room: make(chan struct{}, 1), done: make(chan struct{}), used: used}
-		c.heard.Store(heard)
-		c.amid.Store(amid)
-		l.clients.room <- struct{}{}
+		c := &client{conn: here, out: newSender(here), pipelineSlots: make(chan struct{}, 1), done: make(chan struct{}), lastCommand: used}
+		c.lastByte.Store(heard)
+		c.midCommand.Store(amid)
+		l.clients.slots <- struct{}{}
 		l.clients.conns[c] = true
 		return c
 	}
@@ -184,11 +184,11 @@
 		if !l.clients.evict(l, nil) {
 			t.Fatalf("nobody makes room, %d connections left", len(l.clients.conns))
 		}
-		if !want.gone {
-			t.Fatalf("eviction %d: slow %v, halted %v, silent %v, drips %v", i, slow.gone, halted.gone, silent.gone, drips.gone)
+		if !want.closed {
+			t.Fatalf("eviction %d: slow %v, halted %v, silent %v, drips %v", i, slow.closed, halted.closed, silent.closed, drips.closed)
 		}
 	}
-	if l.clients.evict(l, nil) || slow.gone {
+	if l.clients.evict(l, nil) || slow.closed {
 		t.Error("a request on its way was cut off for want of places")
 	}
 }
--- a/internal/dataplane/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -13,53 +13,53 @@
 
 // command is a client's request as it was read.
 type command struct {
-	args [][]byte
-	name uint64 // the id that the client gave
-	wait [2]int // where the value of d stands in args[3]
-	what policy.Request
+	args         [][]byte
+	clientID     uint64 // the id that the client gave
+	timeoutField [2]int // where the value of d stands in args[3]
+	request      policy.Request
 }
 
 const (
-	mostUnits    = 1e6              // where the settings tell none
-	mostWait     = 24 * 3600 * 1000 // ms
-	mostCustomer = 1 << 33
-	waitSlack    = 1_000_000 // that d may be over the class's limit
+	defaultMaxUnits  = 1e6              // where the settings tell none
+	maxTimeoutMillis = 24 * 3600 * 1000 // ms
+	customerLimit    = 1 << 33
+	timeoutSlack     = 1_000_000 // that d may be over the class's limit
 )
 
-// parse reads API.READ or API.WRITE. Every field must be known and right: what
+// parseCommand reads API.READ or API.WRITE. Every field must be known and right: what
 // is not understood reaches no backend.
-func (cfg *Config) parse(args [][]byte) (command, error) {
+func (cfg *Config) parseCommand(args [][]byte) (command, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return command{}, errors.New("wrong number of arguments")
 	}
 	c := command{args: args}
 	customer, ok := hex16(args[1])
-	if !ok || customer >= mostCustomer {
+	if !ok || customer >= customerLimit {
 		return c, errors.New("customer: 16 hex digits below 2^33 wanted")
 	}
-	if c.name, ok = hex16(args[2]); !ok {
+	if c.clientID, ok = hex16(args[2]); !ok {
 		return c, errors.New("id: 16 hex digits wanted")
 	}
-	c.what.Customer = customer
-	seen, err := cfg.fields(&c)
+	c.request.Customer = customer
+	seen, err := cfg.parseFields(&c)
 	if err != nil {
 		return c, err
 	}
 	for i, name := range fieldNames {
-		if i < needed && seen&(1<<i) == 0 {
+		if i < requiredFields && seen&(1<<i) == 0 {
 			return c, fmt.Errorf("field %s: missing", name)
 		}
 	}
-	if limit := cfg.Host.Limits[c.what.Class]; limit > 0 && c.what.Timeout > limit+waitSlack {
+	if limit := cfg.Host.Limits[c.request.Class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
 		// Longer than any client waits: it would keep its timers and its request.
 		return c, errors.New("field d: longer than the class allows")
 	}
-	effect := cfg.Settings.Classes[c.what.Class].Idempotency
+	effect := cfg.Settings.Classes[c.request.Class].Idempotency
 	if effect == policy.WithIdempotencyKey && seen&(1<<keyField) == 0 {
 		return c, errors.New("field k: missing")
 	}
-	if reads := bytes.EqualFold(args[0], apiRead); reads != (effect == policy.Idempotent) {
-		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.what.Class])
+	if reads := bytes.EqualFold(args[0], readCommand); reads != (effect == policy.Idempotent) {
+		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.request.Class])
 	}
 	return c, nil
 }
@@ -68,20 +68,20 @@
 const (
 	classField = iota
 	planField
-	waitField
+	timeoutFieldIndex
 	unitsField
 	spreadField
 	firstField
 	keyField
 	retryField
-	needed = keyField
+	requiredFields = keyField
 )
 
 var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
 
-// fields reads the list of names and values, and tells which it holds: a bit for
+// parseFields reads the list of names and values, and tells which it holds: a bit for
 // each.
-func (cfg *Config) fields(c *command) (seen uint, err error) {
+func (cfg *Config) parseFields(c *command) (seen uint, err error) {
 	list := c.args[3]
 	for start := 0; start <= len(list); {
 		end := len(list)
@@ -96,11 +96,11 @@
 		case !ok || seen&(1<<field) != 0:
 			return seen, errors.New("fields: name=value wanted, each once")
 		}
-		if err := cfg.field(c, field, string(value)); err != nil {
+		if err := cfg.parseField(c, field, string(value)); err != nil {
 			return seen, err
 		}
-		if field == waitField {
-			c.wait = [2]int{end - len(value), end}
+		if field == timeoutFieldIndex {
+			c.timeoutField = [2]int{end - len(value), end}
 		}
 		seen |= 1 << field
 		start = end + 1
@@ -108,38 +108,38 @@
 	return seen, nil
 }
 
-func (cfg *Config) field(c *command, field int, value string) error {
+func (cfg *Config) parseField(c *command, field int, value string) error {
 	ok := false
 	switch field {
 	case classField:
-		c.what.Class = slices.Index(cfg.Host.Classes, value)
-		ok = c.what.Class >= 0
+		c.request.Class = slices.Index(cfg.Host.Classes, value)
+		ok = c.request.Class >= 0
 	case planField:
-		c.what.Plan = slices.Index(cfg.Host.Plans, value)
-		ok = c.what.Plan >= 0
-	case waitField:
+		c.request.Plan = slices.Index(cfg.Host.Plans, value)
+		ok = c.request.Plan >= 0
+	case timeoutFieldIndex:
 		ms, err := strconv.ParseInt(value, 10, 64)
-		c.what.Timeout = ms * 1000
-		ok = err == nil && ms > 0 && ms <= mostWait
+		c.request.Timeout = ms * 1000
+		ok = err == nil && ms > 0 && ms <= maxTimeoutMillis
 	case keyField:
 		ok = value != ""
 	case retryField:
 		ok = value == "0" || value == "1"
 	case unitsField:
 		units, err := strconv.ParseFloat(value, 64)
-		c.what.Units = units
+		c.request.Units = units
 		most := cfg.Host.MaxUnits
 		if most <= 0 {
-			most = mostUnits
+			most = defaultMaxUnits
 		}
 		ok = err == nil && units > 0 && units <= most // which NaN is not
 	case spreadField:
 		n, err := strconv.Atoi(value)
-		c.what.Spread = n
+		c.request.Spread = n
 		ok = err == nil && n >= 1 && n <= cfg.Settings.Gateways
 	case firstField:
 		n, err := strconv.Atoi(value)
-		c.what.First = n
+		c.request.First = n
 		ok = err == nil && n >= 0 && n < cfg.Settings.Gateways
 	}
 	if !ok {
@@ -153,15 +153,15 @@
 	return n, err == nil && len(b) == 16
 }
 
-// forward is the request as a backend gets it: as it came, but for d.
-func (r *request) forward(wait policy.Time) []byte {
+// encodeForBackend is the request as a backend gets it: as it came, but for d.
+func (r *request) encodeForBackend(wait policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
-	list = append(list, fields[:r.wait[0]]...)
+	list = append(list, fields[:r.timeoutField[0]]...)
 	list = strconv.AppendInt(list, max(1, wait/1000), 10)
-	list = append(list, fields[r.wait[1]:]...)
+	list = append(list, fields[r.timeoutField[1]:]...)
 
-	b := resp.AppendArray(make([]byte, 0, size(r.args)+72), len(r.args))
+	b := resp.AppendArray(make([]byte, 0, argBytes(r.args)+72), len(r.args))
 	for i, arg := range r.args {
 		if i == 3 {
 			arg = list
--- a/internal/dataplane/gateway/command_test.go
+++ b/internal/dataplane/gateway/command_test.go
@@ -16,7 +16,7 @@
 		[]byte("c=order,t=team,d=480,k=5c0f6e1a2b3d4c59,units=2,spread=3,first=1"), []byte("BODY")}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := cfg.parse(args); err != nil {
+		if _, err := cfg.parseCommand(args); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/dataplane/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -31,27 +31,27 @@
 
 	Management string // where operators call; "": nowhere
 
-	PeerListen string
-	Peers      []netip.AddrPort // by number, this gateway's own among them
-	Counter    string
-	Known      registry.List
+	PeerListen     string
+	Peers          []netip.AddrPort // by number, this gateway's own among them
+	Counter        string
+	KnownEndpoints registry.List
 
 	Settings policy.Settings
 	Host     simprotocol.Host
 
-	Survival Survival  // from the operators' file
-	Auth     Auth      // the same
-	Fleet    Fleet     // nil: none
-	Rights   Rights    // nil: quotas go by notes, or the counter
-	Permit   Permit    // nil: it acts on its configuration, whatever its fleet agrees on
-	Acts     Acts      // counts what is done, by what is in force; nil: nobody does
-	Terms    *Terms    // plans that its fleet agrees on; nil: those of the configuration
-	Refusals io.Writer // gets a line for each request refused: its id and the reason; nil: none
+	Restart      Restart           // from the operators' file
+	Auth         Auth              // the same
+	Fleet        Fleet             // nil: none
+	Allocations  Allocations       // nil: quotas go by notes, or the counter
+	VersionLease VersionLease      // nil: it acts on its configuration, whatever its fleet agrees on
+	Operations   OperationRecorder // counts what is done, by what is in force; nil: nobody does
+	PlanTerms    *PlanTerms        // plans that its fleet agrees on; nil: those of the configuration
+	RejectionLog io.Writer         // gets a line for each request refused: its id and the reason; nil: none
 
-	// Register makes the source of news of the servers; nil: the platform's discovery.
+	// NewEndpointSource makes the source of news of the servers; nil: the platform's discovery.
 	// MoveTo is what its Move is told on a reload; "": the discovery's address.
-	Register func(cfg *Config, log *slog.Logger) (registry.Source, error)
-	MoveTo   []string
+	NewEndpointSource func(cfg *Config, log *slog.Logger) (registry.Source, error)
+	EndpointAddresses []string
 }
 
 // Fleet is the gateway's part in what its fleet does as one.
@@ -85,7 +85,7 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 32
+	minSockets      = 32
 )
 
 // ParseConfig reads a configuration.
@@ -97,7 +97,7 @@
 	c := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery,
 		Management: f.Management, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		PeerListen: f.PeerListen, Counter: f.Counter, Known: f.Known,
+		PeerListen: f.PeerListen, Counter: f.Counter, KnownEndpoints: f.Known,
 	}
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
@@ -132,8 +132,8 @@
 		return errors.New("configuration: listen: missing")
 	case c.Discovery == "":
 		return errors.New("configuration: discovery: missing")
-	case c.Sockets < leastSockets:
-		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, leastSockets)
+	case c.Sockets < minSockets:
+		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, minSockets)
 	case c.Settings.Peers && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
 		return fmt.Errorf("configuration: peers: %d addresses for %d gateways, peer_listen %q",
 			len(c.Peers), c.Settings.Gateways, c.PeerListen)
--- a/internal/dataplane/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -16,91 +16,93 @@
 )
 
 const (
-	countLines = 4  // connections, each with its own share of the names
-	countQueue = 64 // calls that wait on one
+	counterConns       = 4  // connections, each with its own share of the names
+	counterQueueLength = 64 // calls that wait on one
 )
 
-// counter calls the central counter. Calls for one name go out in order, as the
+// counterClient calls the central counter. Calls for one name go out in order, as the
 // module takes their totals in order.
-type counter struct {
-	url    string
-	client *http.Client
-	wait   time.Duration
-	lines  [countLines]chan countCall
-	on     bool
+type counterClient struct {
+	url     string
+	client  *http.Client
+	timeout time.Duration
+	queues  [counterConns]chan counterCall
+	enabled bool
 }
 
-type countCall struct {
+type counterCall struct {
 	url      string // of the counter, when the call was made
 	name     uint64
 	add      float64
-	life     policy.Time
+	ttl      policy.Time
 	deadline time.Time
 }
 
-func newCounter(cfg *Config) *counter {
-	c := &counter{
-		url:  counterURL(cfg.Counter),
-		wait: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
-		on:   cfg.Settings.Counter && cfg.Counter != "",
-		client: &http.Client{CheckRedirect: stay, Transport: &http.Transport{
-			MaxConnsPerHost: countLines, MaxIdleConnsPerHost: countLines,
-			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
+func newCounter(cfg *Config) *counterClient {
+	c := &counterClient{
+		url:     counterURL(cfg.Counter),
+		timeout: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
+		enabled: cfg.Settings.Counter && cfg.Counter != "",
+		client: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
+			MaxConnsPerHost: counterConns, MaxIdleConnsPerHost: counterConns,
+			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 		}},
 	}
-	for i := range c.lines {
-		c.lines[i] = make(chan countCall, countQueue)
+	for i := range c.queues {
+		c.queues[i] = make(chan counterCall, counterQueueLength)
 	}
 	return c
 }
 
 func counterURL(address string) string { return "http://" + address + "/v1/count/" }
 
-// move has calls made at another address from now on. Those under way end where
+// setAddress has calls made at another address from now on. Those under way end where
 // they were begun: each has its one answer.
-func (c *counter) move(address string) {
+func (c *counterClient) setAddress(address string) {
 	c.url = counterURL(address)
 	c.client.CloseIdleConnections()
 }
 
-// count has a call made. Its one answer comes as an event.
-func (c *counter) count(l *Loop, name uint64, add float64, life policy.Time) {
-	call := countCall{c.url, name, add, life, time.Now().Add(c.wait)}
-	if c.on {
+// add has a call made. Its one answer comes as an event.
+func (c *counterClient) add(l *Loop, name uint64, add float64, life policy.Time) {
+	call := counterCall{c.url, name, add, life, time.Now().Add(c.timeout)}
+	if c.enabled {
 		select {
-		case c.lines[name%countLines] <- call:
+		case c.queues[name%counterConns] <- call:
 			return
 		default:
 		}
 	}
-	l.later(counted{name: name, result: policy.Rejected})
+	l.enqueue(counterReplied{name: name, result: policy.Rejected})
 }
 
-// run makes the calls of one line, one after another.
-func (c *counter) run(ctx context.Context, l *Loop, line <-chan countCall) {
+// runQueue makes the calls of one line, one after another.
+func (c *counterClient) runQueue(ctx context.Context, l *Loop, line <-chan counterCall) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case call := <-line:
 			total, result := c.call(ctx, call)
-			l.post(counted{call.name, result, total})
+			l.post(counterReplied{call.name, result, total})
 		}
 	}
 }
 
-// counted is how a call ended.
-type counted struct {
+// counterReplied is how a call ended.
+type counterReplied struct {
 	name   uint64
 	result policy.Result
 	total  float64
 }
 
-func (e counted) handle(l *Loop) { l.module.ReceiveCounterTotal(l.now(), e.name, e.result, e.total) }
+func (e counterReplied) handle(l *Loop) {
+	l.balancer.ReceiveCounterTotal(l.now(), e.name, e.result, e.total)
+}
 
 // call makes one call. Full and ConnectFailed tell that nothing was added; with
 // TimedOut and Reset it may have been, or may yet be.
-func (c *counter) call(ctx context.Context, call countCall) (float64, policy.Result) {
+func (c *counterClient) call(ctx context.Context, call counterCall) (float64, policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	var written atomic.Bool
@@ -108,7 +110,7 @@
 		WroteRequest: func(info httptrace.WroteRequestInfo) { written.Store(info.Err == nil) },
 	})
 	url := call.url + strconv.FormatUint(call.name, 16) +
-		fmt.Sprintf("?add=%s&ttl_ms=%d", strconv.FormatFloat(call.add, 'f', -1, 64), max(1, call.life/1000))
+		fmt.Sprintf("?add=%s&ttl_ms=%d", strconv.FormatFloat(call.add, 'f', -1, 64), max(1, call.ttl/1000))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
 		return 0, policy.ConnectFailed
--- a/internal/dataplane/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -50,7 +50,7 @@
 				c.serve(w, r)
 			}))
 			counter := newCounter(&Config{Counter: strings.TrimPrefix(s.URL, "http://")})
-			call := countCall{url: counter.url, name: 0xab, add: -2.5, life: 4e6, deadline: time.Now().Add(c.wait)}
+			call := counterCall{url: counter.url, name: 0xab, add: -2.5, ttl: 4e6, deadline: time.Now().Add(c.wait)}
 			total, result := counter.call(context.Background(), call)
 			if total != c.total || result != c.result {
 				t.Errorf("total %g, result %d", total, result)
@@ -67,7 +67,7 @@
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
 	counter := newCounter(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
-	_, result := counter.call(context.Background(), countCall{url: counter.url, deadline: time.Now().Add(patience)})
+	_, result := counter.call(context.Background(), counterCall{url: counter.url, deadline: time.Now().Add(patience)})
 	if result != policy.ConnectFailed {
 		t.Errorf("no listener: result %d", result)
 	}
--- a/internal/dataplane/gateway/departed_client_test.go
+++ b/internal/dataplane/gateway/departed_client_test.go
@@ -55,10 +55,10 @@
 			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
 			dials.begun = make(chan string, 1024)
 			gone, other := r.client(t), r.client(t)
-			gone.raw(lookups(1, pipelined+50))
+			gone.raw(lookups(1, maxPipelined+50))
 			until(t, r.loop, "a full line", func(l *Loop) bool {
 				for c := range l.clients.conns {
-					if len(c.line) == pipelined {
+					if len(c.pipeline) == maxPipelined {
 						return l.open > 0 // those that are refused wait for their turn, too
 					}
 				}
@@ -66,7 +66,7 @@
 			})
 			leave(gone)
 			until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
-			onlyTheOther(t, r, b, dials, other, pipelined+1000)
+			onlyTheOther(t, r, b, dials, other, maxPipelined+1000)
 		})
 	}
 }
@@ -75,7 +75,7 @@
 // requests before the bad commands are not sent on after that.
 func TestWhoLeavesAfterBadCommandsIsNotSentOn(t *testing.T) {
 	for what, bad := range map[string]string{
-		"lost framing": "*1\r\nnonsense\r\n", "errors in a row": strings.Repeat("*1\r\n$7\r\nNOTHING\r\n", 2*mostErrors),
+		"lost framing": "*1\r\nnonsense\r\n", "errors in a row": strings.Repeat("*1\r\n$7\r\nNOTHING\r\n", 2*maxConsecutiveErrors),
 	} {
 		for name, leave := range departures {
 			t.Run(what+", "+name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 				gone.raw(lookups(1, 3) + bad)
 				until(t, r.loop, "the bad commands", func(l *Loop) bool {
 					for c := range l.clients.conns {
-						if c.barred.Load() {
+						if c.ignoreInput.Load() {
 							return true
 						}
 					}
@@ -144,7 +144,7 @@
 				}
 				return true
 			})
-			goOn := occupied(t, r.loop, func(*Loop) { k.there -= policy.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
+			goOn := occupied(t, r.loop, func(*Loop) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
 			dials.goOn <- true
 			queuedEvents(t, r.loop, 1) // the dial's end
 			leave(gone)
@@ -188,7 +188,7 @@
 		}
 		return true
 	})
-	goOn := occupied(t, r.loop, func(*Loop) { k.there -= policy.Time(time.Second.Microseconds()) })
+	goOn := occupied(t, r.loop, func(*Loop) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) })
 	call.answer(t, "-ERR failed\r\n")
 	queuedEvents(t, r.loop, 1)
 	gone.conn.Close()
--- a/internal/dataplane/gateway/descriptor_limit_test.go
+++ b/internal/dataplane/gateway/descriptor_limit_test.go
@@ -27,12 +27,12 @@
 // Of the descriptors that a gateway may hold, clients and backends leave enough for all else, at any limit.
 func TestPlacesLeaveDescriptorsForAllElse(t *testing.T) {
 	const (
-		counter = countLines
+		counter = counterConns
 		sockets = 2 // the listener's and the notes'
 		process = 5 // three standard files, and two of the language's own for waiting
 	)
-	for limit := leastSockets; limit <= 8192; limit++ {
-		share, accepted := places(limit)
+	for limit := minSockets; limit <= 8192; limit++ {
+		share, accepted := connectionLimits(limit)
 		if sum := share + accepted + discoveryCalls + counter + sockets + process; share < 1 || sum > limit {
 			t.Fatalf("limit %d: %d descriptors at most", limit, sum)
 		}
@@ -243,8 +243,8 @@
 // discovery is down. When it is back the gateway opens its watch, accepts and dials; at no time did it lack a descriptor.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
 	t.Parallel() // places are made in seconds
-	const sockets = leastSockets
-	_, accepted := places(sockets)
+	const sockets = minSockets
+	_, accepted := connectionLimits(sockets)
 	b := newBackend(t)
 	f := &fallible{fakeDiscovery: newFakeDiscovery(t, b.entry("s-00000001", "Ready")), silence: make(chan struct{}, 1024)}
 	f.Close()
--- a/internal/dataplane/gateway/members_test.go
+++ b/internal/dataplane/gateway/endpoints_test.go
@@ -18,7 +18,7 @@
 	for i := range list {
 		list[i] = member{ID: fmt.Sprintf("node/q-%08x", i), HostPort: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250+1), Phase: registry.Ready, Size: 1}
 	}
-	l.handle(news{Kind: registry.Whole, Members: list})
+	l.handle(endpointEvent{Kind: registry.Whole, Members: list})
 	return l, list
 }
 
@@ -30,7 +30,7 @@
 	}
 	gone := list[1234]
 	gone.Phase = registry.Gone
-	l.handle(news{Kind: registry.Changed, Members: []member{gone}})
+	l.handle(endpointEvent{Kind: registry.Changed, Members: []member{gone}})
 	if l.backends.byID[gone.ID] != nil || len(l.backends.byID) != 4999 {
 		t.Errorf("%d backends after one has gone", len(l.backends.byID))
 	}
@@ -47,7 +47,7 @@
 		if i/len(list)%2 == 0 {
 			m.Phase = registry.Terminating
 		}
-		l.handle(news{Kind: registry.Changed, Members: []member{m}})
+		l.handle(endpointEvent{Kind: registry.Changed, Members: []member{m}})
 	}
 }
 
@@ -64,19 +64,19 @@
 	d := newFakeDiscovery(t)
 	m := &moves{}
 	cfg := configure(t, d, nil)
-	cfg.Register = func(cfg *Config, _ *slog.Logger) (registry.Source, error) { return m, nil }
+	cfg.NewEndpointSource = func(cfg *Config, _ *slog.Logger) (registry.Source, error) { return m, nil }
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.clients.listener.Close()
 	next := configure(t, d, nil)
-	next.MoveTo = []string{"127.0.0.1:8501", "other=127.0.0.1:8502"}
-	reloaded{next}.handle(l)
+	next.EndpointAddresses = []string{"127.0.0.1:8501", "other=127.0.0.1:8502"}
+	configReloaded{next}.handle(l)
 	if len(m.to) != 2 || m.to[0] != "127.0.0.1:8501" || m.to[1] != "other=127.0.0.1:8502" {
 		t.Errorf("moved to %q", m.to)
 	}
-	cfg.Register = func(*Config, *slog.Logger) (registry.Source, error) { return nil, errors.New("no such agent") }
+	cfg.NewEndpointSource = func(*Config, *slog.Logger) (registry.Source, error) { return nil, errors.New("no such agent") }
 	if _, err := newLoop(cfg, quiet()); err == nil {
 		t.Error("a register that can't be made was passed over")
 	}
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	queued     = 1024 // events that wait for the loop
-	otherFiles = 48   // descriptors for all but clients and backends
+	eventQueueLength    = 1024 // events that wait for the loop
+	reservedDescriptors = 48   // descriptors for all but clients and backends
 )
 
 // Run serves until it is told to stop and all that was taken is answered.
@@ -36,16 +36,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.start(ctx)
-	go control.steer(ctx, l)
+	go control.forward(ctx, l)
 	l.run()
-	l.lastState()
-	l.refusals.flush(l)
-	l.stopAsk()
+	l.storeLastSnapshot()
+	l.rejections.flush(l)
+	l.cancelAuth()
 	if l.admin != nil {
 		l.admin.Close()
 	}
-	l.clients.shut()
-	l.handovers.end()
+	l.clients.closeListener()
+	l.handover.end()
 	if l.peers.conn != nil {
 		_ = l.peers.conn.Close()
 	}
@@ -55,46 +55,46 @@
 func newLoop(cfg Config, log *slog.Logger) (*Loop, error) {
 	l := &Loop{
 		cfg: cfg, log: log, clock: newClock(),
-		events: make(chan event, queued), urgents: make(chan event, 16),
-		requests: map[uint64]*request{}, names: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), survival: newSurvival(cfg.Survival),
-		life: lifecycle.New(lifecycle.For(longest(&cfg.Host))), metrics: metrics.New(cfg.Host.Classes),
+		events: make(chan event, eventQueueLength), urgent: make(chan event, 16),
+		requests: map[uint64]*request{}, byClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
+		counter: newCounter(&cfg), snapshots: newSnapshotter(cfg.Restart),
+		lifecycle: lifecycle.New(lifecycle.For(longestTimeout(&cfg.Host))), metrics: metrics.New(cfg.Host.Classes),
 	}
 	l.timer.Stop()
-	l.askBefore()
+	l.findPredecessor()
 	source := registry.Source(NewPlatform(&cfg, log))
-	if cfg.Register != nil {
+	if cfg.NewEndpointSource != nil {
 		var err error
-		if source, err = cfg.Register(&cfg, log); err != nil {
+		if source, err = cfg.NewEndpointSource(&cfg, log); err != nil {
 			return nil, err
 		}
 	}
-	l.register = register{Source: source, zones: cfg.Host.Zones}
-	l.asking, l.stopAsk = newAsking()
+	l.endpoints = endpointSource{Source: source, zones: cfg.Host.Zones}
+	l.authContext, l.cancelAuth = newAuthContext()
 	if err := l.setAuth(cfg.Auth); err != nil {
 		return nil, err
 	}
-	share, accepted := places(cfg.Sockets)
+	share, accepted := connectionLimits(cfg.Sockets)
 	l.backends = newBackends(&cfg, share)
-	l.clients = &clients{most: share, room: make(chan struct{}, accepted), conns: map[*client]bool{}, goOn: make(chan struct{}, 1)}
+	l.clients = &clients{maxServed: share, slots: make(chan struct{}, accepted), conns: map[*client]bool{}, resumeAccept: make(chan struct{}, 1)}
 	var err error
-	if l.module, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
+	if l.balancer, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	l.useRights()
-	if cfg.Terms != nil {
-		cfg.Terms.attach(l.urgentPost)
+	l.useAllocations()
+	if cfg.PlanTerms != nil {
+		cfg.PlanTerms.attach(l.postUrgent)
 	}
-	l.recordRefusals(cfg.Refusals)
-	if l.handovers.predecessor == nil {
+	l.openRejectionLog(cfg.RejectionLog)
+	if l.handover.predecessor == nil {
 		l.peers, err = newPeers(&cfg, log)
 	} else {
-		l.peers = peersWithout(&cfg, log)
+		l.peers = newUnboundPeers(&cfg, log)
 	}
 	if err != nil {
 		return nil, err
 	}
-	listen := cfg.Survival.Listen
+	listen := cfg.Restart.Listen
 	if listen == nil {
 		listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 	}
@@ -108,16 +108,16 @@
 		return nil, err
 	}
 	l.metrics.Loaded.Add(1)
-	if cfg.Survival.Keeper != nil && !l.survival.Successor {
+	if cfg.Restart.Store != nil && !l.snapshots.Successor {
 		l.restore()
 	}
 	return l, nil
 }
 
-// places deals out descriptors: two in five are for clients, as many for backends, and some are spare, for all else. Of the
+// connectionLimits deals out descriptors: two in five are for clients, as many for backends, and some are spare, for all else. Of the
 // spare ones a few are for clients that are accepted beyond their share, until one of them has made room.
-func places(sockets int) (share, accepted int) {
-	share = (sockets - otherFiles/2) * 2 / 5
+func connectionLimits(sockets int) (share, accepted int) {
+	share = (sockets - reservedDescriptors/2) * 2 / 5
 	return share, share + max(4, share/4)
 }
 
@@ -130,8 +130,8 @@
 	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pace, log)
 }
 
-// longest is how long a client waits at the most; 0: the settings don't tell it of every class.
-func longest(h *simprotocol.Host) policy.Time {
+// longestTimeout is how long a client waits at the most; 0: the settings don't tell it of every class.
+func longestTimeout(h *simprotocol.Host) policy.Time {
 	if len(h.Limits) == 0 || slices.Min(h.Limits) <= 0 {
 		return 0
 	}
@@ -140,48 +140,48 @@
 
 // start begins with the list as last known and has all sockets read.
 func (l *Loop) start(ctx context.Context) {
-	l.backends.members(l, policy.CompleteCached, l.cfg.Known.Members)
-	l.follow()
-	l.at(l.now()+untilReady, readyAnyway{})
-	l.at(l.now()+sweepEvery, sweep{})
-	go l.register.run(ctx, l)
-	l.keep(ctx)
-	if l.peers.conn != nil && !l.survival.Successor {
-		go l.peers.read(l)
-	}
-	if l.counter.on {
-		for _, line := range l.counter.lines {
-			go l.counter.run(ctx, l, line)
+	l.backends.updateEndpoints(l, policy.CompleteCached, l.cfg.KnownEndpoints.Members)
+	l.runQueued()
+	l.schedule(l.now()+discoveryWait, discoveryTimeout{})
+	l.schedule(l.now()+sweepInterval, idleSweep{})
+	go l.endpoints.run(ctx, l)
+	l.startSnapshots(ctx)
+	if l.peers.conn != nil && !l.snapshots.Successor {
+		go l.peers.readMessages(l)
+	}
+	if l.counter.enabled {
+		for _, line := range l.counter.queues {
+			go l.counter.runQueue(ctx, l, line)
 		}
 	}
 }
 
-// sweep closes, now and then, connections that are of no more use.
-type sweep struct{}
+// idleSweep closes, now and then, connections that are of no more use.
+type idleSweep struct{}
 
-const sweepEvery = 100_000
+const sweepInterval = 100_000
 
-func (sweep) due(l *Loop) {
-	l.clients.sweep(l)
-	l.backends.sweep(l)
-	if l.life.Draining() || l.life.Stopping() || l.handovers.passes() {
+func (idleSweep) due(l *Loop) {
+	l.clients.closeIdle(l)
+	l.backends.closeIdle(l)
+	if l.lifecycle.Draining() || l.lifecycle.Stopping() || l.handover.passingConns() {
 		l.step() // connections end one by one
 	}
-	l.refusals.flush(l)
-	l.at(l.now()+sweepEvery, sweep{})
+	l.rejections.flush(l)
+	l.schedule(l.now()+sweepInterval, idleSweep{})
 }
 
-// ready has clients accepted from now on: until then nothing answers PING.
-func (l *Loop) ready() {
-	if l.accepting {
+// beginService has clients accepted from now on: until then nothing answers PING.
+func (l *Loop) beginService() {
+	if l.serviceBegun {
 		return
 	}
-	l.accepting = true
+	l.serviceBegun = true
 	switch {
-	case l.handovers.predecessor != nil:
+	case l.handover.predecessor != nil:
 		go l.takeFromPredecessor()
-	case l.survival.Ready != nil:
-		go l.takeOver()
+	case l.snapshots.StopPredecessor != nil:
+		go l.replacePredecessor()
 	default:
 		l.serveClients()
 	}
@@ -190,19 +190,19 @@
 // serveClients has clients and notes taken in from now on.
 func (l *Loop) serveClients() {
 	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
-	l.life.Ready()
-	l.clients.accepts = true
+	l.lifecycle.Ready()
+	l.clients.accepting = true
 	go l.clients.accept(l)
 	l.listenForSuccessor()
 }
 
-// readyAnyway ends the wait for discovery, which may be down for long.
-type readyAnyway struct{}
+// discoveryTimeout ends the wait for discovery, which may be down for long.
+type discoveryTimeout struct{}
 
-func (readyAnyway) due(l *Loop) {
-	if !l.register.heard {
-		l.log.Warn("discovery is silent: the list given is used with care", "backends", len(l.cfg.Known.Members))
-		l.backends.members(l, policy.StaleBootstrap, l.cfg.Known.Members)
+func (discoveryTimeout) due(l *Loop) {
+	if !l.endpoints.received {
+		l.log.Warn("discovery is silent: the list given is used with care", "backends", len(l.cfg.KnownEndpoints.Members))
+		l.backends.updateEndpoints(l, policy.StaleBootstrap, l.cfg.KnownEndpoints.Members)
 	}
-	l.ready()
+	l.beginService()
 }
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -376,17 +376,17 @@
 	d := newFakeDiscovery(t)
 	l := unstarted(t, d)
 	m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.members(l, policy.Complete, []member{m})
-	a := &attempt{sent: l.now(), until: l.now() + 1e9}
-	l.backends.start(l, a, 1)
+	l.backends.updateEndpoints(l, policy.Complete, []member{m})
+	a := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
+	l.backends.startAttempt(l, a, 1)
 	m.Phase = "Terminating"
-	l.backends.members(l, policy.Delta, []member{m})
+	l.backends.updateEndpoints(l, policy.Delta, []member{m})
 	up := wait(t, l.events, "the dial").(dialed)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
 	up.handle(l)
-	if len(l.queue) != 1 || l.queue[0].(outcome).result != policy.Superseded {
+	if len(l.queue) != 1 || l.queue[0].(attemptOutcome).result != policy.Superseded {
 		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.queue)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
@@ -412,11 +412,11 @@
 // A member without a usable address gets nothing; one that is gone is gone.
 func TestUselessAddress(t *testing.T) {
 	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
-		if m := (member{HostPort: address, Phase: "Ready"}); stateOf(&m) != policy.Draining {
-			t.Errorf("%q: state %d", address, stateOf(&m))
+		if m := (member{HostPort: address, Phase: "Ready"}); endpointState(&m) != policy.Draining {
+			t.Errorf("%q: state %d", address, endpointState(&m))
 		}
 	}
-	if m := (member{Phase: "Gone"}); stateOf(&m) != policy.Removed {
+	if m := (member{Phase: "Gone"}); endpointState(&m) != policy.Removed {
 		t.Error("a member that is gone is kept for its address")
 	}
 }
@@ -498,7 +498,7 @@
 
 // Without a descriptor to spare an attempt ends at once, and no client waits.
 func TestOutOfDescriptors(t *testing.T) {
-	r, b := fourBackends(t, leastSockets) // 3 to backends
+	r, b := fourBackends(t, minSockets) // 3 to backends
 	c := r.client(t)
 	for id := range 3 {
 		c.lookup(id, "60000")
@@ -573,7 +573,7 @@
 	d := newFakeDiscovery(t)
 	cfg := configure(t, d, nil)
 	written := make(writes, 16)
-	cfg.Refusals = written
+	cfg.RejectionLog = written
 	c := begin(t, cfg).client(t)
 	c.lookup(0xabc, "500") // there is no backend, so no room
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -42,8 +42,8 @@
 		f["management"] = "127.0.0.1:0"
 		f["settings"] = json.RawMessage(strings.Replace(settingsText, `"second-copies":true`, `"second-copies":false`, 1))
 	})
-	cfg.Survival.Meet = h.meet
-	cfg.Survival.Listen = func(string) (net.Listener, error) { return net.FileListener(h.file) }
+	cfg.Restart.RendezvousPath = h.meet
+	cfg.Restart.Listen = func(string) (net.Listener, error) { return net.FileListener(h.file) }
 	r := begin(t, cfg)
 	h.ready(t, r)
 	return r
--- a/internal/dataplane/gateway/rig_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -266,11 +266,11 @@
 	prepare(l)
 	r := &rig{addr: l.clients.listener.Addr().String(), loop: l, stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (Config, error), 1)}
-	control := Control{Stop: r.stopped, Reload: r.reload, Read: func() (Config, error) { return (<-r.configs)() }}
+	control := Control{Stop: r.stopped, Reload: r.reload, ReadConfig: func() (Config, error) { return (<-r.configs)() }}
 	go func() { l.serve(control); close(r.ended) }()
 	t.Cleanup(func() {
 		select {
-		case l.urgents <- halt{}:
+		case l.urgent <- halt{}:
 		case <-r.ended:
 		case <-time.After(patience):
 		}
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -15,7 +15,7 @@
 	const stood = 5 * time.Second
 	b := newBackend(t)
 	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(l *Loop) {
-		l.backends.rest = policy.Time(time.Hour.Microseconds()) // until the test ends it
+		l.backends.restDuration = policy.Time(time.Hour.Microseconds()) // until the test ends it
 	})
 	c, other := r.client(t), r.client(t)
 	c.lookup(1, "60000")
@@ -28,12 +28,12 @@
 	ask(t, r.loop, func(l *Loop) bool {
 		server := l.backends.byNumber[1]
 		conn, waiting := server.idle[0], server.waiting[0]
-		conn.since -= stood.Microseconds()
-		waiting.sent = conn.since - stood.Microseconds()
-		conn.rests = l.now()
-		l.backends.keep.brokeAt = l.now() // one that breaks alone is chance
-		rested{conn}.due(l)
-		waiting.wrote += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
+		conn.idleSince -= stood.Microseconds()
+		waiting.startedAt = conn.idleSince - stood.Microseconds()
+		conn.restsUntil = l.now()
+		l.backends.idleTrust.lastBroken = l.now() // one that breaks alone is chance
+		connRested{conn}.due(l)
+		waiting.writtenAt += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
 		return true
 	})
 	call := b.next(t)
@@ -41,7 +41,7 @@
 	call.conn.Close()
 	b.next(t).serve(t, "two") // by another
 	other.value("two")
-	if learnt := ask(t, r.loop, func(l *Loop) policy.Time { return l.backends.keep.learnt }); learnt < stood.Microseconds()/2 {
+	if learnt := ask(t, r.loop, func(l *Loop) policy.Time { return l.backends.idleTrust.learnedLimit }); learnt < stood.Microseconds()/2 {
 		t.Errorf("a connection is trusted for %d us, this one had stood idle for %d", learnt, stood.Microseconds())
 	}
 }
--- a/internal/dataplane/gateway/keep_test.go
+++ b/internal/dataplane/gateway/idle_trust_test.go
@@ -10,24 +10,24 @@
 
 // Kept connections that break when used are trusted for less, until that heals.
 func TestKeepLearnsAndHeals(t *testing.T) {
-	k := keep{longest: 15_000_000}
+	k := idleTrust{maxIdle: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(most policy.Time) {
 		t.Helper()
-		if got := k.most(now); got != most {
+		if got := k.limit(now); got != most {
 			t.Errorf("trusted for %d, want %d", got, most)
 		}
 	}
-	k.broke(now, 400_000)
+	k.connBroken(now, 400_000)
 	want(15_000_000) // one is chance
 	now += 100_000
-	k.broke(now, 400_000)
+	k.connBroken(now, 400_000)
 	want(200_000)
 	now += 1
-	k.broke(now, 1000)
-	want(keepLeast)
-	now += 2 * keepHeals
-	want(4 * keepLeast)
+	k.connBroken(now, 1000)
+	want(minIdleTrust)
+	now += 2 * idleTrustRecovery
+	want(4 * minIdleTrust)
 	now += 60e6
 	want(15_000_000)
 }
@@ -37,9 +37,9 @@
 func TestResetDialIsMadeOnceMore(t *testing.T) {
 	b := newBackend(t)
 	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.members(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
-	a := &attempt{sent: l.now(), until: l.now() + 1e9}
-	l.backends.start(l, a, 1)
+	l.backends.updateEndpoints(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	a := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
+	l.backends.startAttempt(l, a, 1)
 	for i, want := range []bool{false, true} {
 		e := wait(t, l.events, "a dial").(dialed)
 		if e.err != nil {
@@ -52,7 +52,7 @@
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.queue[len(l.queue)-1].(outcome).result; got != policy.ConnectFailed {
+	if got := l.queue[len(l.queue)-1].(attemptOutcome).result; got != policy.ConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/dataplane/gateway/spoilt_test.go
+++ b/internal/dataplane/gateway/malformed_reply_test.go
@@ -23,9 +23,9 @@
 			b := newBackend(t)
 			l := unstarted(t, newFakeDiscovery(t))
 			m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-			l.backends.members(l, policy.Complete, []member{m})
-			first := &attempt{sent: l.now(), until: l.now() + 1e9}
-			l.backends.start(l, first, 1)
+			l.backends.updateEndpoints(l, policy.Complete, []member{m})
+			first := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
+			l.backends.startAttempt(l, first, 1)
 			wait(t, l.events, "the dial").handle(l)
 			used := first.conn
 			call := b.next(t) // a probe: its answer is read like any other
@@ -36,8 +36,8 @@
 				call.answer(t, answers[1])
 				late = wait(t, l.events, "what follows") // read, and not taken in yet
 			}
-			second := &attempt{sent: l.now(), until: l.now() + 1e9}
-			l.backends.start(l, second, 1)
+			second := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
+			l.backends.startAttempt(l, second, 1)
 			if late != nil {
 				late.handle(l)
 			}
@@ -55,7 +55,7 @@
 
 // restsFor has connections to backends rest after an answer for as long as a test wants.
 func restsFor(rest policy.Time) func(*Loop) {
-	return func(l *Loop) { l.backends.rest = rest }
+	return func(l *Loop) { l.backends.restDuration = rest }
 }
 
 // haveRested waits until the idle connections to a backend have rested.
@@ -63,7 +63,7 @@
 	t.Helper()
 	until(t, r.loop, "connections that have rested", func(l *Loop) bool {
 		b := l.backends.byNumber[1]
-		return len(b.idle) > 0 && !slices.ContainsFunc(b.idle, func(c *backendConn) bool { return l.now() < c.rests })
+		return len(b.idle) > 0 && !slices.ContainsFunc(b.idle, func(c *backendConn) bool { return l.now() < c.restsUntil })
 	})
 }
 
@@ -134,10 +134,10 @@
 				t.Errorf("%d wait, %d dials, %d idle connections", len(b.waiting), b.dialing, len(b.idle))
 			}
 			c := b.idle[0]
-			if c.rests = 0; ends {
-				l.backends.drop(b)
+			if c.restsUntil = 0; ends {
+				l.backends.closeIdleOf(b)
 			}
-			rested{c}.due(l)
+			connRested{c}.due(l)
 			return true
 		})
 		next := b.next(t)
@@ -211,14 +211,14 @@
 	settings := strings.Replace(settingsText, `"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`, 1)
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) { f["settings"] = json.RawMessage(settings) })
 	l := &Loop{cfg: cfg}
-	if got := l.report("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+	if got := l.parseLoadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
 		t.Errorf("a good report: %v", got)
 	}
 	for _, text := range []string{
 		"", "=,=", "busy_reqs=7", "busy_reqs=7,pending=", "busy_reqs=NaN,pending=1", "busy_reqs=-1,pending=1",
 		"busy_reqs=1,pending=+Inf", "busy_reqs=1,pending=1e99",
 	} {
-		if got := l.report(text); got != nil {
+		if got := l.parseLoadReport(text); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
--- a/internal/dataplane/gateway/peers.go
+++ b/internal/dataplane/gateway/peers.go
@@ -9,27 +9,27 @@
 	"os"
 )
 
-const noteMost = 256 // bytes in a datagram between gateways
+const maxPeerMessageBytes = 256 // bytes in a datagram between gateways
 
-// peers sends and receives notes through one socket.
-type peers struct {
+// peerLink sends and receives notes through one socket.
+type peerLink struct {
 	conn  *net.UDPConn
 	addrs []netip.AddrPort
 	self  int
 	log   *slog.Logger
 }
 
-// peersWithout is without a socket, so far.
-func peersWithout(cfg *Config, log *slog.Logger) *peers {
-	return &peers{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
+// newUnboundPeers is without a socket, so far.
+func newUnboundPeers(cfg *Config, log *slog.Logger) *peerLink {
+	return &peerLink{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
 }
 
-func newPeers(cfg *Config, log *slog.Logger) (*peers, error) {
-	p := peersWithout(cfg, log)
+func newPeers(cfg *Config, log *slog.Logger) (*peerLink, error) {
+	p := newUnboundPeers(cfg, log)
 	if !cfg.Settings.Peers {
 		return p, nil
 	}
-	listen := cfg.Survival.ListenPacket
+	listen := cfg.Restart.ListenPacket
 	if listen == nil {
 		listen = func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }
 	}
@@ -41,43 +41,43 @@
 	return p, nil
 }
 
-// tell sends a note, which may be lost. One over the limit is never sent.
-func (p *peers) tell(peer int, note []byte) {
+// send sends a note, which may be lost. One over the limit is never sent.
+func (p *peerLink) send(peer int, note []byte) {
 	if p.conn == nil || peer < 0 || peer >= len(p.addrs) || peer == p.self {
 		return
 	}
-	if len(note) > noteMost {
+	if len(note) > maxPeerMessageBytes {
 		p.log.Error("note over the limit", "bytes", len(note))
 		return
 	}
 	_, _ = p.conn.WriteToUDPAddrPort(note, p.addrs[peer])
 }
 
-// heard is a note from a peer.
-type heard struct {
+// peerMessage is a note from a peer.
+type peerMessage struct {
 	from int
-	note []byte
+	body []byte
 }
 
-func (h heard) handle(l *Loop) { l.module.ReceivePeerMessage(l.now(), h.from, h.note) }
+func (h peerMessage) handle(l *Loop) { l.balancer.ReceivePeerMessage(l.now(), h.from, h.body) }
 
-// read posts notes until the socket is closed. What comes from no peer, or is
+// readMessages posts notes until the socket is closed. What comes from no peer, or is
 // longer than any note, is dropped.
-func (p *peers) read(l *Loop) {
+func (p *peerLink) readMessages(l *Loop) {
 	number := make(map[netip.AddrPort]int, len(p.addrs))
 	for i, a := range p.addrs {
 		number[a] = i
 	}
-	buf, conn := make([]byte, noteMost+1), p.conn
+	buf, conn := make([]byte, maxPeerMessageBytes+1), p.conn
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) { // closed, or paused
 			return
 		}
 		peer, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if err != nil || !ok || peer == p.self || n > noteMost {
+		if err != nil || !ok || peer == p.self || n > maxPeerMessageBytes {
 			continue
 		}
-		l.post(heard{peer, append([]byte(nil), buf[:n]...)})
+		l.post(peerMessage{peer, append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/internal/dataplane/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -32,12 +32,12 @@
 	}
 	t.Cleanup(func() { p.conn.Close() })
 	l := &Loop{events: make(chan event, 8)}
-	go p.read(l)
+	go p.readMessages(l)
 
-	p.tell(1, make([]byte, noteMost+1))
-	p.tell(0, []byte("to itself"))
-	p.tell(2, []byte("to nobody"))
-	p.tell(1, []byte("to the peer"))
+	p.send(1, make([]byte, maxPeerMessageBytes+1))
+	p.send(0, []byte("to itself"))
+	p.send(2, []byte("to nobody"))
+	p.send(1, []byte("to the peer"))
 	buf := make([]byte, 1024)
 	n, from, err := peer.ReadFromUDPAddrPort(buf)
 	if err != nil || string(buf[:n]) != "to the peer" {
@@ -47,12 +47,12 @@
 	for _, send := range []struct {
 		conn *net.UDPConn
 		note []byte
-	}{{stranger, []byte("from nobody")}, {peer, make([]byte, noteMost+1)}, {peer, []byte("answer")}} {
+	}{{stranger, []byte("from nobody")}, {peer, make([]byte, maxPeerMessageBytes+1)}, {peer, []byte("answer")}} {
 		if _, err := send.conn.WriteToUDPAddrPort(send.note, from); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if h := wait(t, l.events, "a note").(heard); h.from != 1 || string(h.note) != "answer" {
-		t.Errorf("note %q from %d", h.note, h.from)
+	if h := wait(t, l.events, "a note").(peerMessage); h.from != 1 || string(h.body) != "answer" {
+		t.Errorf("note %q from %d", h.body, h.from)
 	}
 }
--- a/internal/dataplane/gateway/versions_test.go
+++ b/internal/dataplane/gateway/plan_terms_test.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/plans"
 )
 
-func testTerms() *Terms {
-	return NewTerms(&Config{Host: simprotocol.Host{Plans: []string{"basico", "corporativo"}},
+func testTerms() *PlanTerms {
+	return NewPlanTerms(&Config{Host: simprotocol.Host{Plans: []string{"basico", "corporativo"}},
 		Settings: policy.Settings{Plans: []policy.Plan{{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5}}}})
 }
 
@@ -42,11 +42,11 @@
 // While versions overlap the tighter terms bind, and of two plans the smaller; what a version does not name is as it was.
 func TestTighterTermsWhileVersionsOverlap(t *testing.T) {
 	terms, done := testTerms(), 0
-	var got []replanned
+	var got []plansChanged
 	newer := parsed(t, "[[plan]]\nname = \"basico\"\nrate = 1\nburst = 20\n[[plan]]\nname = \"corporativo\"\nrate = 12\nburst = 50\n[[customer]]\nid = \"0000000000000007\"\nplan = \"corporativo\"\n")
 	older := parsed(t, "[[plan]]\nname = \"basico\"\nrate = 3\nburst = 6\n[[customer]]\nid = \"0000000000000007\"\nplan = \"basico\"\n")
 	terms.UseBooks(newer, []*plans.Book{older, {}}, 6, func() { done++ }) // before there is a loop
-	terms.attach(func(e event) { got = append(got, e.(replanned)) })
+	terms.attach(func(e event) { got = append(got, e.(plansChanged)) })
 	terms.UseBooks(newer, nil, 7, func() { done++ })
 	if len(got) != 2 || done != 0 {
 		t.Fatalf("%d changes, %d done before the loop had them", len(got), done)
--- a/internal/dataplane/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -117,7 +117,7 @@
 	path = filepath.Join(t.TempDir(), "state")
 	b := newBackend(t)
 	cfg = configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil)
-	cfg.Survival = Survival{Keeper: keeper(t, path), Every: 50 * time.Millisecond, Oldest: time.Hour}
+	cfg.Restart = Restart{Store: keeper(t, path), SnapshotInterval: 50 * time.Millisecond, MaxSnapshotAge: time.Hour}
 	r := begin(t, cfg)
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -194,10 +194,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // a stop takes half a second
 			path, cfg := keptState(t)
-			cfg.Survival.Keeper = keeper(t, path)
+			cfg.Restart.Store = keeper(t, path)
 			spoil(t, path)
 			r := readyInTime(t, cfg)
-			if n := ask(t, r.loop, func(l *Loop) int { return l.module.TakeSnapshot(l.now(), false).Version }); n != policy.SnapshotVersion {
+			if n := ask(t, r.loop, func(l *Loop) int { return l.balancer.TakeSnapshot(l.now(), false).Version }); n != policy.SnapshotVersion {
 				t.Errorf("version %d", n)
 			}
 		})
--- a/internal/dataplane/gateway/reload_test.go
+++ b/internal/dataplane/gateway/reload_test.go
@@ -80,16 +80,16 @@
 	defer l.clients.listener.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for _, line := range l.counter.lines {
-		go l.counter.run(ctx, l, line)
+	for _, line := range l.counter.queues {
+		go l.counter.runQueue(ctx, l, line)
 	}
 	l.AddToCounter(1, 1, 1e6)
 	wait(t, atFirst, "a call at the first counter")
-	reloaded{with(second)}.handle(l)
+	configReloaded{with(second)}.handle(l)
 	l.AddToCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counted); e.result != policy.OK || e.total != total {
+		if e := wait(t, l.events, "an answer").(counterReplied); e.result != policy.OK || e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
--- a/internal/dataplane/gateway/sender.go
+++ b/internal/dataplane/gateway/sender.go
@@ -15,13 +15,13 @@
 	conn *net.TCPConn
 	raw  syscall.RawConn
 
-	mu   sync.Mutex
-	rest []byte
-	busy bool   // a goroutine is writing
-	then func() // writes what comes next by itself, after the rest
+	mu         sync.Mutex
+	pending    []byte
+	writing    bool   // a goroutine is writing
+	streamNext func() // writes what comes next by itself, after the rest
 
-	whole *atomic.Int64 // counts what was written whole with it, of what send could not; nil: nobody counts
-	fin   bool          // ends the sending after the rest
+	fullyWritten *atomic.Int64 // counts what was written whole with it, of what send could not; nil: nobody counts
+	closeAfter   bool          // ends the sending after the rest
 }
 
 func newSender(conn *net.TCPConn) *sender {
@@ -29,8 +29,8 @@
 	return &sender{conn: conn, raw: raw}
 }
 
-// try writes what the socket takes at once.
-func (s *sender) try(b []byte) (n int, err error) {
+// writeNow writes what the socket takes at once.
+func (s *sender) writeNow(b []byte) (n int, err error) {
 	if s.raw == nil {
 		return 0, net.ErrClosed
 	}
@@ -50,8 +50,8 @@
 	return n, err
 }
 
-// quiet tells whether the connection is open and nothing waits to be read from it.
-func (s *sender) quiet() bool {
+// nothingToRead tells whether the connection is open and nothing waits to be read from it.
+func (s *sender) nothingToRead() bool {
 	_, err := s.peek()
 	return err == syscall.EAGAIN || err == syscall.EINTR
 }
@@ -60,14 +60,14 @@
 func (s *sender) hungUp() bool {
 	n, err := s.peek()
 	if n > 0 {
-		return s.closedBehind()
+		return s.peerClosedWrite()
 	}
 	return err != syscall.EAGAIN && err != syscall.EINTR
 }
 
-// closedBehind tells whether the other side has closed the connection, as far as the system has taken in all that came
+// peerClosedWrite tells whether the other side has closed the connection, as far as the system has taken in all that came
 // before the close.
-func (s *sender) closedBehind() bool {
+func (s *sender) peerClosedWrite() bool {
 	closed := false
 	err := s.raw.Control(func(fd uintptr) {
 		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -96,42 +96,42 @@
 func (s *sender) send(b []byte, most int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy {
-		s.rest = append(s.rest, b...)
-		return len(s.rest) <= most
+	if s.writing {
+		s.pending = append(s.pending, b...)
+		return len(s.pending) <= most
 	}
-	n, err := s.try(b)
+	n, err := s.writeNow(b)
 	if err == nil && n < len(b) {
-		s.rest, s.busy = append(s.rest, b[n:]...), true
-		go s.write()
-	} else if err == nil && s.whole != nil {
-		s.whole.Add(1)
+		s.pending, s.writing = append(s.pending, b[n:]...), true
+		go s.writePending()
+	} else if err == nil && s.fullyWritten != nil {
+		s.fullyWritten.Add(1)
 	}
 	return true // a broken connection is the reader's to find
 }
 
-func (s *sender) write() {
+func (s *sender) writePending() {
 	for {
 		s.mu.Lock()
-		b := s.rest
-		s.rest = nil
-		if f := s.then; len(b) == 0 && f != nil {
-			s.then = nil
+		b := s.pending
+		s.pending = nil
+		if f := s.streamNext; len(b) == 0 && f != nil {
+			s.streamNext = nil
 			s.mu.Unlock()
 			f()
 			continue
 		}
 		if len(b) == 0 {
-			s.busy = false
-			if s.fin {
+			s.writing = false
+			if s.closeAfter {
 				_ = s.conn.CloseWrite()
 			}
 			s.mu.Unlock()
 			return
 		}
 		s.mu.Unlock()
-		if _, err := s.conn.Write(b); err == nil && s.whole != nil {
-			s.whole.Add(1)
+		if _, err := s.conn.Write(b); err == nil && s.fullyWritten != nil {
+			s.fullyWritten.Add(1)
 		}
 	}
 }
@@ -141,27 +141,27 @@
 func (s *sender) stream(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.then = f
-	if !s.busy {
-		s.busy = true
-		go s.write()
+	s.streamNext = f
+	if !s.writing {
+		s.writing = true
+		go s.writePending()
 	}
 }
 
-// end ends the sending after what was sent. The reading goes on until the other
+// closeWrite ends the sending after what was sent. The reading goes on until the other
 // side has closed, so that no answer is lost with a reset.
-func (s *sender) end() {
+func (s *sender) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fin = true
-	if !s.busy {
+	s.closeAfter = true
+	if !s.writing {
 		_ = s.conn.CloseWrite()
 	}
 }
 
-// idle tells whether all that was sent is written.
-func (s *sender) idle() bool {
+// drained tells whether all that was sent is written.
+func (s *sender) drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.busy
+	return !s.writing
 }
--- a/internal/dataplane/gateway/endings_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -159,28 +159,28 @@
 // its client sends again only what was not read.
 func TestWhatWasReadIsAnsweredBeforeTheEnd(t *testing.T) {
 	for name, end := range map[string]func(l *Loop, c *client){
-		"told to": func(l *Loop, c *client) { c.end(l) },
+		"told to": func(l *Loop, c *client) { c.closeAfterAnswers(l) },
 		"the process ends": func(l *Loop, c *client) {
-			l.life.Part(false)
-			stop{}.handle(l)
+			l.lifecycle.Part(false)
+			shutdownRequested{}.handle(l)
 		},
 		"idle for long": func(l *Loop, c *client) {
-			c.used -= 100_000_000
-			c.heard.Store(0)
-			l.clients.sweep(l)
+			c.lastCommand -= 100_000_000
+			c.lastByte.Store(0)
+			l.clients.closeIdle(l)
 		},
 		"others come": func(l *Loop, c *client) {
-			c.used -= 100_000_000
-			c.heard.Store(0)
-			l.clients.most = 0
-			l.clients.sweep(l)
+			c.lastCommand -= 100_000_000
+			c.lastByte.Store(0)
+			l.clients.maxServed = 0
+			l.clients.closeIdle(l)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := unstarted(t, newFakeDiscovery(t))
 			here, there := pipe(t)
-			l.clients.room <- struct{}{}
-			connected{here}.handle(l)
+			l.clients.slots <- struct{}{}
+			clientConnected{here}.handle(l)
 			c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 			c.raw("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPING\r\n") // both are read at once
 			first := wait(t, l.events, "the first command")
@@ -197,7 +197,7 @@
 			}
 			l.step()
 			for k := range l.clients.conns {
-				k.end(l)
+				k.closeAfterAnswers(l)
 			}
 			wait(t, l.events, "the end of the reading").handle(l)
 			c.closed()
@@ -210,7 +210,7 @@
 func TestStopTakesWhatLiesInTheBacklog(t *testing.T) {
 	b := newBackend(t)
 	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(l *Loop) {
-		l.clients.room = make(chan struct{}, 1)
+		l.clients.slots = make(chan struct{}, 1)
 	})
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -220,10 +220,10 @@
 	r.stop()
 	var closing policy.Time
 	until(t, r.loop, "the closing, and a place long after it", func(l *Loop) bool {
-		if l.steps.closing && closing == 0 {
+		if l.shutdown.acceptingEnds && closing == 0 {
 			closing = l.now()
 		}
-		return closing > 0 && l.now()-closing > 3*lastWithin.Microseconds()
+		return closing > 0 && l.now()-closing > 3*backlogQuietTime.Microseconds()
 	})
 	call.serve(t, "one")
 	c.value("one")
@@ -243,7 +243,7 @@
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096) })
 	}}
-	cfg.Survival.Listen = func(address string) (net.Listener, error) { return small.Listen(context.Background(), "tcp", address) }
+	cfg.Restart.Listen = func(address string) (net.Listener, error) { return small.Listen(context.Background(), "tcp", address) }
 	r := begin(t, cfg)
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -261,12 +261,12 @@
 	r.stop()
 	until(t, r.loop, "the end of the connection", func(l *Loop) bool {
 		for k := range l.clients.conns {
-			return l.steps.shut && k.ended
+			return l.shutdown.listenerClosed && k.writeEnded
 		}
 		t.Error("the connection has gone")
 		return true
 	})
-	if owed := ask(t, r.loop, func(l *Loop) int { return l.owed(l.now()) }); owed != 1 {
+	if owed := ask(t, r.loop, func(l *Loop) int { return l.pendingWork(l.now()) }); owed != 1 {
 		t.Errorf("%d are owed something, want the one that has not read its answer", owed)
 	}
 	c.value(value)
@@ -286,9 +286,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.clients.listener.Close() })
-	stop{}.handle(l)
+	shutdownRequested{}.handle(l)
 	at := l.now() + longest + 700_000
-	if !l.life.Abandons(at-300_000) || !l.life.Over(at, 1, 1) {
+	if !l.lifecycle.Abandons(at-300_000) || !l.lifecycle.Over(at, 1, 1) {
 		t.Error("requests are still open when SIGKILL may come")
 	}
 }
@@ -399,10 +399,10 @@
 func TestNothingIsTakenFromWhoHasSentMuchAndGone(t *testing.T) {
 	l := unstarted(t, newFakeDiscovery(t))
 	here, there := pipe(t)
-	l.clients.room <- struct{}{}
+	l.clients.slots <- struct{}{}
 	k := newClient(here, l.now())
-	k.room = make(chan struct{}, 1) // a line of one
-	l.begin(k)
+	k.pipelineSlots = make(chan struct{}, 1) // a line of one
+	l.startClient(k)
 	c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 	c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 3))
 	first := wait(t, l.events, "the first command")
@@ -416,7 +416,7 @@
 		}
 	}
 	first.handle(l) // there is room for another
-	if e, ok := wait(t, l.events, "what comes next").(left); !ok {
+	if e, ok := wait(t, l.events, "what comes next").(clientLeft); !ok {
 		t.Fatalf("%+v was taken, its client has gone", e)
 	}
 }
--- a/internal/dataplane/gateway/survive_test.go
+++ b/internal/dataplane/gateway/snapshot_test.go
@@ -48,7 +48,7 @@
 // surviving is a configuration with a keeper.
 func surviving(t testing.TB, d *fakeDiscovery, m *memory) Config {
 	cfg := configure(t, d, nil)
-	cfg.Survival = Survival{Keeper: m, Every: 50 * time.Millisecond, Oldest: time.Hour}
+	cfg.Restart = Restart{Store: m, SnapshotInterval: 50 * time.Millisecond, MaxSnapshotAge: time.Hour}
 	return cfg
 }
 
@@ -89,14 +89,14 @@
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	cfg := surviving(t, d, m)
-	cfg.Survival.Every = time.Hour
+	cfg.Restart.SnapshotInterval = time.Hour
 	l, err := newLoop(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.clients.listener.Close()
-	l.backends.members(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
-	l.module.SnapshotStored(l.module.TakeSnapshot(l.now(), false).At)
+	l.backends.updateEndpoints(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	l.balancer.SnapshotStored(l.balancer.TakeSnapshot(l.now(), false).At)
 	l.handle(tooMuch{})
 	if len(m.states) != 1 {
 		t.Errorf("%d states kept", len(m.states))
@@ -109,8 +109,8 @@
 func (tooMuch) handle(l *Loop) {
 	for id := range uint64(3) {
 		l.requests[1000+id] = &request{id: 1000 + id, client: &client{}, deadline: l.now() + 1e6,
-			args: [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")}, wait: [2]int{2, 3}}
-		l.module.Request(l.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1})
+			args: [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")}, timeoutField: [2]int{2, 3}}
+		l.balancer.Request(l.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1})
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	defer l.clients.listener.Close()
 	for _, err := range []error{nil, errors.New("disk full"), errors.New("disk full"), nil} {
-		kept{err, 0}.handle(l)
+		snapshotStored{err, 0}.handle(l)
 	}
 	if got := lines.String(); strings.Count(got, "can't be kept") != 1 || strings.Count(got, "kept again") != 1 {
 		t.Errorf("log %q", got)
@@ -163,7 +163,7 @@
 	call := b.next(t)
 	idle.send("PING")
 	idle.want("+PONG")
-	r.loop.urgents <- handedOver{}
+	r.loop.urgent <- handoverSignalled{}
 	idle.closed()
 	idle.conn.Close()
 	for s := wait(t, m.stored, "a state"); !s.Last; s = wait(t, m.stored, "the last state") {
@@ -193,9 +193,9 @@
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	cfg := surviving(t, d, m)
-	cfg.Survival.Successor = true
-	cfg.Survival.Ready = func() error {
-		before.loop.urgents <- handedOver{}
+	cfg.Restart.Successor = true
+	cfg.Restart.StopPredecessor = func() error {
+		before.loop.urgent <- handoverSignalled{}
 		return nil
 	}
 	next := begin(t, cfg).client(t)
@@ -210,11 +210,11 @@
 func TestConnectionAcceptedAtTheCloseIsEnded(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
 		l := unstarted(t, newFakeDiscovery(t))
-		l.life.Part(false)
-		stop{}.handle(l)
+		l.lifecycle.Part(false)
+		shutdownRequested{}.handle(l)
 		here, there := pipe(t)
-		l.clients.room <- struct{}{}
-		connected{here}.handle(l)
+		l.clients.slots <- struct{}{}
+		clientConnected{here}.handle(l)
 		l.step()
 		c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 		if speaks {
@@ -225,7 +225,7 @@
 			}
 		} else {
 			for k := range l.clients.conns {
-				k.used -= 100_000
+				k.lastCommand -= 100_000
 			}
 			l.step()
 		}
--- a/internal/testing/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -77,17 +77,17 @@
 		rights.Consume(0, id, &b, 1)
 		g.serve(tenant)
 	case !rights.RequestOnDemand(id, &b, 1):
-		g.node.Refused(false)
+		g.node.Rejected(false)
 	}
 }
 
 // lent is the answer to an asking for units.
-func (g *hollowGateway) lent(l gateway.Loan) {
+func (g *hollowGateway) lent(l gateway.OnDemandReply) {
 	if l.Units < 1 {
-		g.node.Refused(false)
+		g.node.Rejected(false)
 		return
 	}
-	g.serve(l.Budget.ID - 1)
+	g.serve(l.Quota.ID - 1)
 }
 
 // serve counts a request that a real gateway would have sent on.
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -260,7 +260,7 @@
 	g.tenants = tenantsOf(g.number, c.Gateways, c.Tenants)
 	if c.Parts.Allocation || c.Parts.Metering {
 		if u := g.node.Rights(); u != nil {
-			u.Follow(g.lent)
+			u.OnReply(g.lent)
 		}
 		go g.demand(ctx)
 	}
@@ -363,7 +363,7 @@
 func (g *hollowGateway) state() GatewayState {
 	acts := true
 	if a := g.node.Permit(); a != nil {
-		until, _ := a.Acts()
+		until, _ := a.Current()
 		acts = until > 0
 	}
 	g.mu.Lock()
