--- a/internal/dataplane/policy/backoff_test.go
+++ b/internal/dataplane/policy/backoff_test.go
@@ -13,7 +13,7 @@
 // lastSend is the backend that a request was sent to last.
 func (r *rig) lastSend(id uint64) *backend {
 	attempts := r.requests[id].attempts
-	return attempts[len(attempts)-1].b
+	return attempts[len(attempts)-1].backend
 }
 
 // An attempt that is turned away is no answer in time: a backend that turns many away
@@ -28,11 +28,11 @@
 			}
 		}
 	}
-	if got := r.inTime.get(r.awake, second); got != 0 {
+	if got := r.onTime.get(r.activeTime, second); got != 0 {
 		t.Errorf("%.1f answers in time a second, all were turned away", got)
 	}
-	if r.late.v != 0 {
-		t.Errorf("part of late answers %.2f, there were none", r.late.v)
+	if r.lateFraction.value != 0 {
+		t.Errorf("part of late answers %.2f, there were none", r.lateFraction.value)
 	}
 }
 
@@ -49,14 +49,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Balancer: g, fake: g.do.(*fake), t: t, at: start}
+		r := &rig{Balancer: g, fake: g.actions.(*fake), t: t, at: start}
 		g.UpdateEndpoints(start, CompleteCached, members(4))
 		for range 10 * seconds {
 			r.at += second / 10
 			asked++
 			for _, b := range g.backends {
 				if b.Backend != turns {
-					b.slow, b.slowAt = 20, r.at // overloaded: whoever can would go elsewhere
+					b.latencyRatio, b.latencyRatioAt = 20, r.at // overloaded: whoever can would go elsewhere
 				}
 			}
 			id, ok := r.ask(0, 0, 1, 1)
@@ -99,17 +99,17 @@
 			r.end(id, Rejected, false)
 		}
 		for _, other := range r.backends { // the others stay out of this
-			other.backOff = max(other.backOff, b.backOff)
+			other.backoffUntil = max(other.backoffUntil, b.backoffUntil)
 		}
 		if _, ok := r.ask(0, 0, 1, 1); ok {
 			t.Error("sent to a backend that has just turned an attempt away")
 		}
-		return b.backOff - r.at
+		return b.backoffUntil - r.at
 	}
-	whole := Time(tryApart) * (32 - fewTry)
+	whole := Time(trialSpacing) * (32 - maxConcurrentTrials)
 	for range 3 {
 		for _, b := range r.backends {
-			b.turned = 0
+			b.consecutiveRejections = 0
 		}
 		if got := wait(); got < whole/2 || got > whole {
 			t.Errorf("first wait %d us, %d to %d wanted", got, whole/2, whole)
@@ -117,20 +117,20 @@
 		r.at += whole
 	}
 	for _, b := range r.backends {
-		b.turned = 10
+		b.consecutiveRejections = 10
 	}
-	if got := wait(); got < healTime/2 || got > healTime {
-		t.Errorf("longest wait %d us, %d to %d wanted", got, Time(healTime/2), Time(healTime))
+	if got := wait(); got < maxProbeBackoff/2 || got > maxProbeBackoff {
+		t.Errorf("longest wait %d us, %d to %d wanted", got, Time(maxProbeBackoff/2), Time(maxProbeBackoff))
 	}
-	r.at += healTime
+	r.at += maxProbeBackoff
 	id, ok := r.ask(0, 0, 1, 1)
 	if !ok {
 		t.Fatal("not sent after the longest wait")
 	}
 	b := r.lastSend(id)
 	r.end(id, OK, true)
-	if b.turned != 0 {
-		t.Errorf("%d times turned away in a row after an answer", b.turned)
+	if b.consecutiveRejections != 0 {
+		t.Errorf("%d times turned away in a row after an answer", b.consecutiveRejections)
 	}
 }
 
@@ -161,13 +161,13 @@
 				sent++
 			}
 		}
-		if sent > 1 || b.out > 1 {
-			t.Errorf("after result %d: %d attempts sent at once, %d out", r, sent, b.out)
+		if sent > 1 || b.inFlight > 1 {
+			t.Errorf("after result %d: %d attempts sent at once, %d out", r, sent, b.inFlight)
 		}
 		for id := range g.requests {
 			g.end(id, OK, true)
 		}
-		if b.unsure {
+		if b.maybeRestarted {
 			t.Errorf("after result %d: one at a time still after a prompt answer", r)
 		}
 	}
--- a/internal/dataplane/policy/decide.go
+++ b/internal/dataplane/policy/decide.go
@@ -17,150 +17,150 @@
 
 // The timers: notes and all that goes with time; a home has not answered.
 const (
-	noteToken = iota
-	askToken
+	gossipTimer = iota
+	decisionTimer
 )
 
 // The tuned values; docs/design.md has the longer reasons and what happens at other values.
 const (
-	useWindow  = 0.5         // the demand window, as a part of the time in which a burst refills
-	mailShare  = 0.5         // the part of a receiver's message limit that notes may fill
-	fewPeers   = 8           // up to so many gateways tell one another all; a larger set tells its home
-	grantStep  = 1.25        // by what factor a grant must move to be told to the whole set
-	grantLeast = 0.01        // the least grant: no customer is shut out for good
-	grantError = 0.1         // by what part a member's grant may be off before its home answers
-	reserve    = 0.75        // the part of the burst that a home keeps for chance in what its set sends
-	askRate    = 0.7         // the part of the notes a receiver takes in that asks for one customer may be
-	homePart   = 0.5         // the part of a wide set's ceiling that its home holds
-	askWait    = 0.1         // how long a home's answer is waited for, in shortest aims
-	sliceMost  = 2.0         // how many requests' worth a slice under a grant saves up
-	hearIn     = 2           // counter periods until what another takes now is heard
-	flight     = second / 14 // and until a note sent at once is, with room for chance
-	leadUp     = second / 50 // what is added to that when notes prove later, or lost,
-	leadDown   = 500         // and goes again with each that is in time;
-	leadMost   = second / 2  // at most so much
-	calm       = 4           // note periods for which a store far from empty need not be told of
-	urgentMail = 0.8         // the part of a receiver's message limit for notes sent at once,
-	urgentMost = 8.0         // and how many of them may follow one another to one peer
-	settleIn   = 4           // note periods until a new gateway has been told of all banks
-	stillTicks = 8           // a timer late by so many ticks: this gateway stood still
-	notePeriod = second / 30 // the least time between notes
-	repeats    = 2           // how often a change is told: once more than needed, against loss
-	countLife  = 60 * second // how long a name on the counter lives, the longest allowed
-	sweepTime  = second      // how often idle banks are looked for
-	aimShare   = 0.35        // the mean time of answers, in aims, at which the back end is full: times spread
-	leastOut   = 3.0         // what a backend may always hold: a slow spell can't shut the gate for good
-	leastLate  = 1.0         // and what, of that, when every answer is late: what is overdriven must drain
-	enough     = 8.0         // answers a second that tell as much of the back end as all peers do
-	viewPeers  = 6           // to how many others, drawn each sweep, a gateway's view is told in any case
-	leastOwn   = 2.0         // what one gateway may hold of the room that it shares with those it hears of,
-	ownMost    = 2.0         // and beyond that in parts of it: many may wake, or be asked more, at one moment
-	lendShare  = 0.8         // the part of the room up to which bank 0 lends
-	cheapShare = 0.5         // the part of the room open to all; the rest opens by worth for work
-	worthMost  = 1.5         // the most that worth for work counts, in means of it
-	againShare = 0.2         // further attempts that a first send allows
-	againMost  = 10.0        // and the most saved up of them
-	unrunPrice = 0.1         // the price of one after an attempt that never ran: it has cost next to nothing
-	patience   = 10.0        // mean answer times after which a request goes elsewhere while there is time
-	leastWait  = 0.05        // and in any case that part of the aim: a moment's pause is no fault
-	wordTime   = 8 * second  // in which a word of trouble for one class or plan fades
-	wordNotes  = 8           // notes with which each is told
-	sickShare  = 0.25        // the part of answers that are errors from which a backend is left out
-	breakTime  = second      // in which a broken connection is forgotten
-	breaksMost = 2.5         // so many of late, and a backend is left out for it
-	silentAims = 1.0         // the time without an answer, in shortest aims, after which a backend is down
-	trialTime  = second / 2  // the first and the longest wait before a backend left out is tried again;
-	healTime   = 4 * second  // a sign of slowness fades by half in the latter
-	learn      = 0.02        // the weight of a sample in what is learnt of the whole fleet,
-	learnOne   = 0.1         // and of one backend
-	zoneWeight = 5.0         // turns the price of crossing zones into load
-	paceTime   = 4 * second  // over which the pace of sends is taken
-	keptFor    = 10 * second // after which a backend may have closed its idle connections
-	freshPrice = 1.0         // a handshake as load, where no backend gets more than one request in that time
-	fewTry     = 6           // so many may try a backend at once that an old list names, or that turned
-	tryApart   = second / 30 // one away; of more gateways each adds so much to the time over which they begin
-	surely     = 2.0         // an answer within so many mean times shows that it is warm
+	demandWindowFraction        = 0.5         // the demand window, as a part of the time in which a burst refills
+	gossipMessageFraction       = 0.5         // the part of a receiver's message limit that notes may fill
+	maxDirectPeers              = 8           // up to so many gateways tell one another all; a larger set tells its home
+	grantChangeFactor           = 1.25        // by what factor a grant must move to be told to the whole set
+	minGrant                    = 0.01        // the least grant: no customer is shut out for good
+	grantTolerance              = 0.1         // by what part a member's grant may be off before its home answers
+	homeReserveFraction         = 0.75        // the part of the burst that a home keeps for chance in what its set sends
+	maxQueryFraction            = 0.7         // the part of the notes a receiver takes in that asks for one customer may be
+	homeCeilingFraction         = 0.5         // the part of a wide set's ceiling that its home holds
+	homeTimeoutObjectives       = 0.1         // how long a home's answer is waited for, in shortest aims
+	maxSavedRequests            = 2.0         // how many requests' worth a slice under a grant saves up
+	counterDelayPeriods         = 2           // counter periods until what another takes now is heard
+	messageDelay                = second / 14 // and until a note sent at once is, with room for chance
+	delayIncrease               = second / 50 // what is added to that when notes prove later, or lost,
+	delayDecrease               = 500         // and goes again with each that is in time;
+	maxLearnedDelay             = second / 2  // at most so much
+	calmPeriods                 = 4           // note periods for which a store far from empty need not be told of
+	urgentMessageFraction       = 0.8         // the part of a receiver's message limit for notes sent at once,
+	urgentBurst                 = 8.0         // and how many of them may follow one another to one peer
+	startupPeriods              = 4           // note periods until a new gateway has been told of all banks
+	suspendedAfterTicks         = 8           // a timer late by so many ticks: this gateway stood still
+	minGossipInterval           = second / 30 // the least time between notes
+	announcementRepeats         = 2           // how often a change is told: once more than needed, against loss
+	counterNameTTL              = 60 * second // how long a name on the counter lives, the longest allowed
+	sweepInterval               = second      // how often idle banks are looked for
+	saturationLatencyFraction   = 0.35        // the mean time of answers, in aims, at which the back end is full: times spread
+	minInFlight                 = 3.0         // what a backend may always hold: a slow spell can't shut the gate for good
+	minInFlightWhenLate         = 1.0         // and what, of that, when every answer is late: what is overdriven must drain
+	sufficientAnswerRate        = 8.0         // answers a second that tell as much of the back end as all peers do
+	loadViewFanout              = 6           // to how many others, drawn each sweep, a gateway's view is told in any case
+	minOwnInFlight              = 2.0         // what one gateway may hold of the room that it shares with those it hears of,
+	ownCapacityFactor           = 2.0         // and beyond that in parts of it: many may wake, or be asked more, at one moment
+	sharedBucketCapacity        = 0.8         // the part of the room up to which bank 0 lends
+	commonCapacity              = 0.5         // the part of the room open to all; the rest opens by worth for work
+	maxRelativeValue            = 1.5         // the most that worth for work counts, in means of it
+	retryBudgetRatio            = 0.2         // further attempts that a first send allows
+	maxRetryBudget              = 10.0        // and the most saved up of them
+	notExecutedRetryCost        = 0.1         // the price of one after an attempt that never ran: it has cost next to nothing
+	hedgeAfterMeanLatencies     = 10.0        // mean answer times after which a request goes elsewhere while there is time
+	minHedgeObjectiveFraction   = 0.05        // and in any case that part of the aim: a moment's pause is no fault
+	faultReportDecay            = 8 * second  // in which a word of trouble for one class or plan fades
+	faultReportRepeats          = 8           // notes with which each is told
+	ejectionErrorRate           = 0.25        // the part of answers that are errors from which a backend is left out
+	connectionFaultDecay        = second      // in which a broken connection is forgotten
+	maxRecentResets             = 2.5         // so many of late, and a backend is left out for it
+	unresponsiveAfterObjectives = 1.0         // the time without an answer, in shortest aims, after which a backend is down
+	minProbeBackoff             = second / 2  // the first and the longest wait before a backend left out is tried again;
+	maxProbeBackoff             = 4 * second  // a sign of slowness fades by half in the latter
+	slowSampleWeight            = 0.02        // the weight of a sample in what is learnt of the whole fleet,
+	fastSampleWeight            = 0.1         // and of one backend
+	crossZoneLoadWeight         = 5.0         // turns the price of crossing zones into load
+	sendPaceWindow              = 4 * second  // over which the pace of sends is taken
+	idleConnectionLifetime      = 10 * second // after which a backend may have closed its idle connections
+	handshakeLoad               = 1.0         // a handshake as load, where no backend gets more than one request in that time
+	maxConcurrentTrials         = 6           // so many may try a backend at once that an old list names, or that turned
+	trialSpacing                = second / 30 // one away; of more gateways each adds so much to the time over which they begin
+	promptAnswerFactor          = 2.0         // an answer within so many mean times shows that it is warm
 )
 
 // New makes a gateway that knows nothing but its settings.
 func New(set Settings, seed uint64, do Actions) (*Balancer, error) {
-	if err := set.check(); err != nil {
+	if err := set.validate(); err != nil {
 		return nil, err
 	}
 	g := newGateway(set, seed, do)
-	g.again, g.period = againMost, notePeriod
+	g.retryBudget, g.gossipInterval = maxRetryBudget, minGossipInterval
 	if set.MaxPeerMessagesPerSecond > 0 {
-		g.period = max(g.period, g.mailTime(min(set.Gateways-1, fewPeers)))
+		g.gossipInterval = max(g.gossipInterval, g.messageIntakeTime(min(set.Gateways-1, maxDirectPeers)))
 	}
 	return g, nil
 }
 
-// mailTime is the time in which a gateway can take in notes from so many others.
-func (g *Balancer) mailTime(senders int) Time {
-	return Time(float64(senders) / (mailShare * math.Max(g.set.MaxPeerMessagesPerSecond, 1)) * float64(second))
+// messageIntakeTime is the time in which a gateway can take in notes from so many others.
+func (g *Balancer) messageIntakeTime(senders int) Time {
+	return Time(float64(senders) / (gossipMessageFraction * math.Max(g.settings.MaxPeerMessagesPerSecond, 1)) * float64(second))
 }
 
-// begin brings the gateway to an event's time.
-func (g *Balancer) begin(now Time) {
+// advanceClock brings the gateway to an event's time.
+func (g *Balancer) advanceClock(now Time) {
 	g.now = max(g.now, now)
-	if g.born != 0 {
-		if late := now - g.timerAt; late > stillTicks*g.set.Tick {
+	if g.startedAt != 0 {
+		if late := now - g.nextTimer; late > suspendedAfterTicks*g.settings.Tick {
 			// This gateway stood still: how long what was out took tells nothing.
-			g.still += late
-			g.timerAt, g.woke = now, now
-			for class := range g.due {
-				for _, a := range g.due[class] {
-					a.blind = true
+			g.suspendedFor += late
+			g.nextTimer, g.resumedAt = now, now
+			for class := range g.withinObjective {
+				for _, a := range g.withinObjective[class] {
+					a.spansSuspension = true
 				}
-				g.lateAfter(class, -1)
+				g.markOverdue(class, -1)
 			}
 		}
-		g.awake = g.now - g.still
+		g.activeTime = g.now - g.suspendedFor
 		return
 	}
-	g.born, g.swept, g.lend.at, g.awake = max(1, now), now, now, now
-	if g.lived == 0 {
-		g.lived = g.born
+	g.startedAt, g.lastSweep, g.sharedBucket.at, g.activeTime = max(1, now), now, now, now
+	if g.stateSince == 0 {
+		g.stateSince = g.startedAt
 	}
-	g.rouse()
-	if g.set.PollEndpoints {
-		g.follow()
+	g.scheduleTimer()
+	if g.settings.PollEndpoints {
+		g.watchEndpoints()
 	}
-	g.greet()
+	g.announce()
 }
 
-// soft tells whether use beyond the quota earns more than it costs.
-func (p *Plan) soft() bool { return p.BeyondEarns > p.BeyondCosts }
+// mayExceedQuota tells whether use beyond the quota earns more than it costs.
+func (p *Plan) mayExceedQuota() bool { return p.BeyondEarns > p.BeyondCosts }
 
-// customer finds or makes the record of a customer, refilled up to now. A new
+// findOrAddCustomer finds or makes the record of a customer, refilled up to now. A new
 // one is full: peers tell of those that are not (level has what holds until they can
 // have been heard, so that a restart hands out no second burst). Its part of the ceiling
 // counts from this gateway's start, with half the slack: a former life may have the rest.
-func (g *Balancer) customer(id uint64, plan, first, spread int) *customer {
+func (g *Balancer) findOrAddCustomer(id uint64, plan, first, spread int) *customer {
 	c := g.customers[id]
 	if c == nil {
-		p := &g.set.Plans[plan]
-		spread = min(max(spread, 1), g.set.Gateways)
+		p := &g.settings.Plans[plan]
+		spread = min(max(spread, 1), g.settings.Gateways)
 		even := float64(spread)
-		first = (first%g.set.Gateways + g.set.Gateways) % g.set.Gateways
-		c = &customer{id: id, plan: plan, first: first, spread: spread, window: second,
-			store: bank{p.Burst, p.Rate, p.Burst, g.now}, grant: 1, granted: 1,
-			ceiling: bank{level: p.CeilingSlack / even / 2, at: g.lived}}
-		c.ceiling.rate, c.ceiling.cap = g.ceilingPart(c)
+		first = (first%g.settings.Gateways + g.settings.Gateways) % g.settings.Gateways
+		c = &customer{id: id, plan: plan, first: first, spread: spread, demandWindow: second,
+			bucket: tokenBucket{p.Burst, p.Rate, p.Burst, g.now}, grantFraction: 1, announcedGrant: 1,
+			ceilingBucket: tokenBucket{level: p.CeilingSlack / even / 2, at: g.stateSince}}
+		c.ceilingBucket.rate, c.ceilingBucket.capacity = g.ceilingShare(c)
 		if p.Rate > 0 {
-			c.window = max(Time(useWindow*p.Burst/p.Rate*float64(second)), g.mailTime(spread))
+			c.demandWindow = max(Time(demandWindowFraction*p.Burst/p.Rate*float64(second)), g.messageIntakeTime(spread))
 		}
-		if !g.pooled {
-			c.store.level /= even
+		if !g.sharesUsage {
+			c.bucket.level /= even
 		}
-		c.ceiling.refill(g.now)
-		c.ceiling.level -= g.unsure(c, c.ceiling.rate)
-		c.store.level = math.Max(0, c.store.level-g.unsure(c, c.store.rate))
-		c.leased = leaseShare * p.Burst // what a state that does not name it allows for
-		c.leasing = c.leased
-		g.idleSpill[plan] = math.Max(0, g.idleSpill[plan]-p.Rate/even)
+		c.ceilingBucket.refill(g.now)
+		c.ceilingBucket.level -= g.possiblySpent(c, c.ceilingBucket.rate)
+		c.bucket.level = math.Max(0, c.bucket.level-g.possiblySpent(c, c.bucket.rate))
+		c.storedAllowance = snapshotAllowanceFraction * p.Burst // what a state that does not name it allows for
+		c.snapshotAllowance = c.storedAllowance
+		g.idleRefill[plan] = math.Max(0, g.idleRefill[plan]-p.Rate/even)
 		g.customers[id] = c
-		g.order = append(g.order, c)
+		g.customerOrder = append(g.customerOrder, c)
 	}
 	g.refill(c)
 	return c
@@ -168,551 +168,553 @@
 
 // refill fills a customer's banks; what its full bank spills here feeds bank 0.
 func (g *Balancer) refill(c *customer) {
-	part := g.part(c)
-	if !g.pooled {
-		p := &g.set.Plans[c.plan]
+	part := g.quotaFraction(c)
+	if !g.sharesUsage {
+		p := &g.settings.Plans[c.plan]
 		// A slice that holds no request would never let one pass: it saves up for one.
-		c.store.rate, c.store.cap = part*p.Rate, math.Max(part*p.Burst, math.Min(c.most, p.Burst))
+		c.bucket.rate, c.bucket.capacity = part*p.Rate, math.Max(part*p.Burst, math.Min(c.maxUnits, p.Burst))
 		part = 1
 	}
-	c.ceiling.refill(g.now)
-	g.lend.level = math.Min(g.lend.cap, g.lend.level+part*c.store.refill(g.now))
+	c.ceilingBucket.refill(g.now)
+	g.sharedBucket.level = math.Min(g.sharedBucket.capacity, g.sharedBucket.level+part*c.bucket.refill(g.now))
 }
 
-// sweep lets full banks spill and drops the idle ones, whose spill goes on
+// sweepIdleCustomers lets full banks spill and drops the idle ones, whose spill goes on
 // feeding bank 0 at its rate.
-func (g *Balancer) sweep() {
-	g.swept = g.now
-	g.showView(viewPeers) // it is heard though this gateway sends nothing
-	kept := g.order[:0]
-	for _, c := range g.order {
+func (g *Balancer) sweepIdleCustomers() {
+	g.lastSweep = g.now
+	g.shareLoadView(loadViewFanout) // it is heard though this gateway sends nothing
+	kept := g.customerOrder[:0]
+	for _, c := range g.customerOrder {
 		g.refill(c)
-		g.settleGrant(c)
+		g.updateGrant(c)
 		if c.idle(g.now) {
-			g.idleSpill[c.plan] += g.set.Plans[c.plan].Rate / float64(c.spread)
+			g.idleRefill[c.plan] += g.settings.Plans[c.plan].Rate / float64(c.spread)
 			delete(g.customers, c.id)
 		} else {
 			kept = append(kept, c)
 		}
 	}
-	clear(g.order[len(kept):])
-	g.order = kept
-	g.lend.refill(g.now)
-	g.lend.rate = total(g.idleSpill)
+	clear(g.customerOrder[len(kept):])
+	g.customerOrder = kept
+	g.sharedBucket.refill(g.now)
+	g.sharedBucket.rate = sumOf(g.idleRefill)
 }
 
-// part is this gateway's slice of a customer's quota: its part of recent use.
+// quotaFraction is this gateway's slice of a customer's quota: its part of recent use.
 // Gateways not heard count as idle.
-func (g *Balancer) part(c *customer) float64 {
-	own := c.use.get(g.now, c.window)
+func (g *Balancer) quotaFraction(c *customer) float64 {
+	own := c.localDemand.get(g.now, c.demandWindow)
 	switch {
 	case c.spread == 1:
 		return 1
-	case g.pooled && own > 0 && !g.member(c):
-		return own / (own + c.others.get(g.now, c.window))
-	case !g.pooled && c.part > 0:
-		return c.part
+	case g.sharesUsage && own > 0 && !g.isRemote(c):
+		return own / (own + c.peerUsage.get(g.now, c.demandWindow))
+	case !g.sharesUsage && c.shareFraction > 0:
+		return c.shareFraction
 	}
 	return 1 / float64(c.spread)
 }
 
-// level is what this gateway's bank holds: its slice of the customer's whole store as
+// available is what this gateway's bank holds: its slice of the customer's whole store as
 // of the last note, less what it has taken since, or, if more, what the others will not
 // ask before they are heard again: a slice of a small burst may be less than a request.
 // A gateway that has just started holds no more than an even slice.
-func (g *Balancer) level(c *customer) float64 {
+func (g *Balancer) available(c *customer) float64 {
 	switch {
-	case g.limited(c):
-		return g.rights.Available(g.now, g.budget(c))
-	case g.member(c) && c.grant < 1:
-		return c.slice
-	case !g.pooled || g.wide(c):
-		return c.store.level
-	}
-	if g.lived == g.born && !g.settled() {
-		return math.Min(c.store.level, c.store.cap/float64(c.spread)-c.taken)
-	}
-	untold := c.taken - c.told
-	soon := c.others.get(g.now, c.window) * float64(g.hears(c)) / float64(c.window)
-	return math.Max(g.part(c)*(c.store.level+untold)-untold, c.store.level-soon)
+	case g.usesAllocations(c):
+		return g.allocations.Available(g.now, g.sharedQuota(c))
+	case g.isRemote(c) && c.grantFraction < 1:
+		return c.localShare
+	case !g.sharesUsage || g.hasHome(c):
+		return c.bucket.level
+	}
+	if g.stateSince == g.startedAt && !g.peersHaveReported() {
+		return math.Min(c.bucket.level, c.bucket.capacity/float64(c.spread)-c.consumed)
+	}
+	untold := c.consumed - c.announcedConsumed
+	soon := c.peerUsage.get(g.now, c.demandWindow) * float64(g.notificationDelay(c)) / float64(c.demandWindow)
+	return math.Max(g.quotaFraction(c)*(c.bucket.level+untold)-untold, c.bucket.level-soon)
 }
 
-// settled tells whether peers have had the time to tell of all banks that are not full.
-func (g *Balancer) settled() bool { return g.now-g.born >= min(second/2, settleIn*g.period) }
+// peersHaveReported tells whether peers have had the time to tell of all banks that are not full.
+func (g *Balancer) peersHaveReported() bool {
+	return g.now-g.startedAt >= min(second/2, startupPeriods*g.gossipInterval)
+}
 
-// hears is how long it takes until what the others take of a customer is heard here: where
+// notificationDelay is how long it takes until what the others take of a customer is heard here: where
 // all tell at once, the way of a note and its wait for room, which is taken to be as here.
-func (g *Balancer) hears(c *customer) Time {
+func (g *Balancer) notificationDelay(c *customer) Time {
 	switch {
-	case !g.set.Peers:
-		return hearIn * g.period
-	case g.tight(c):
-		return flight + g.lead + Time(g.wait.v)
+	case !g.settings.Peers:
+		return counterDelayPeriods * g.gossipInterval
+	case g.nearlyEmpty(c):
+		return messageDelay + g.learnedDelay + Time(g.urgentDelay.value)
 	}
-	return calm * g.period
+	return calmPeriods * g.gossipInterval
 }
 
-// learnLead has more left to the others where they prove to have taken what this gateway
+// adjustLearnedDelay has more left to the others where they prove to have taken what this gateway
 // had given away as well: notes are lost, or later than thought.
-func (g *Balancer) learnLead(c *customer, taken float64) {
+func (g *Balancer) adjustLearnedDelay(c *customer, taken float64) {
 	switch {
-	case taken == 0 || c.store.level >= taken+2*c.lastAsk || !g.set.Peers:
-	case c.store.level < taken:
-		g.lead = min(g.lead+leadUp, leadMost)
+	case taken == 0 || c.bucket.level >= taken+2*c.lastUnits || !g.settings.Peers:
+	case c.bucket.level < taken:
+		g.learnedDelay = min(g.learnedDelay+delayIncrease, maxLearnedDelay)
 	default:
-		g.lead = max(0, g.lead-leadDown)
+		g.learnedDelay = max(0, g.learnedDelay-delayDecrease)
 	}
 }
 
-// tight tells whether so little of a customer's store is left that it may be empty before
+// nearlyEmpty tells whether so little of a customer's store is left that it may be empty before
 // all have heard: its set then tells at once what it takes. All judge by the same store.
-func (g *Balancer) tight(c *customer) bool {
-	all := c.use.get(g.now, c.window) + c.others.get(g.now, c.window)
-	return c.store.level < 2*c.lastAsk+all*float64(2*calm*g.period)/float64(c.window)
+func (g *Balancer) nearlyEmpty(c *customer) bool {
+	all := c.localDemand.get(g.now, c.demandWindow) + c.peerUsage.get(g.now, c.demandWindow)
+	return c.bucket.level < 2*c.lastUnits+all*float64(2*calmPeriods*g.gossipInterval)/float64(c.demandWindow)
 }
 
-// tellNow tells a customer's set at once, if there is room for notes to all of it; else
+// notifyPeersNow tells a customer's set at once, if there is room for notes to all of it; else
 // the next notes will.
-func (g *Balancer) tellNow(c *customer) {
-	if !g.set.Peers || c.spread == 1 || g.wide(c) || !g.tight(c) {
+func (g *Balancer) notifyPeersNow(c *customer) {
+	if !g.settings.Peers || c.spread == 1 || g.hasHome(c) || !g.nearlyEmpty(c) {
 		return
 	}
-	set := make([]int, 0, fewPeers)
+	set := make([]int, 0, maxDirectPeers)
 	for i := range c.spread {
-		if peer := (c.first + i) % g.set.Gateways; peer != g.set.Self {
+		if peer := (c.first + i) % g.settings.Gateways; peer != g.settings.Self {
 			set = append(set, peer)
 		}
 	}
-	if slices.ContainsFunc(set, func(peer int) bool { return g.room(peer).level < 1 }) || !g.note(c) {
-		c.waits = g.now
+	if slices.ContainsFunc(set, func(peer int) bool { return g.urgentBucket(peer).level < 1 }) || !g.queueUsage(c) {
+		c.urgentSince = g.now
 		return
 	}
-	g.wait.add(0, learnOne)
-	c.told, c.askedTold, c.tellAt, c.tell = c.taken, c.asked, g.now+g.period, repeats-1
+	g.urgentDelay.add(0, fastSampleWeight)
+	c.announcedConsumed, c.announcedRequested, c.nextAnnouncement, c.pendingAnnouncements = c.consumed, c.requested, g.now+g.gossipInterval, announcementRepeats-1
 	for _, peer := range set {
-		g.sendNote(peer)
+		g.sendMessage(peer)
 	}
 }
 
-// room is how many notes a peer may be sent at once: its limit is shared by those that
+// urgentBucket is how many notes a peer may be sent at once: its limit is shared by those that
 // this gateway hears of, who are taken to be as many as that peer hears of.
-func (g *Balancer) room(peer int) *bank {
-	b := &g.rooms[peer]
-	senders := math.Min(float64(g.set.Gateways-1), math.Max(1, g.peers.get(g.awake, second)))
-	b.rate, b.cap = urgentMail*math.Max(g.set.MaxPeerMessagesPerSecond, 1)/senders, urgentMost
+func (g *Balancer) urgentBucket(peer int) *tokenBucket {
+	b := &g.urgentBuckets[peer]
+	senders := math.Min(float64(g.settings.Gateways-1), math.Max(1, g.peersHeard.get(g.activeTime, second)))
+	b.rate, b.capacity = urgentMessageFraction*math.Max(g.settings.MaxPeerMessagesPerSecond, 1)/senders, urgentBurst
 	b.refill(g.now)
 	return b
 }
 
-// inside tells whether the customer's own bank and its part of the open limit have room.
-func (g *Balancer) inside(c *customer, units float64) bool {
-	return g.mayOpen(c) && (g.set.Plans[c.plan].Rate == 0 || g.level(c) >= units)
+// withinQuota tells whether the customer's own bank and its part of the open limit have room.
+func (g *Balancer) withinQuota(c *customer, units float64) bool {
+	return g.belowConcurrencyLimit(c) && (g.settings.Plans[c.plan].Rate == 0 || g.available(c) >= units)
 }
 
-// mayOpen tells whether the open limit has room.
-func (g *Balancer) mayOpen(c *customer) bool {
-	limit := g.set.Plans[c.plan].OpenLimit
-	return limit == 0 || float64(c.open) < math.Max(1, math.Round(g.part(c)*float64(limit)))
+// belowConcurrencyLimit tells whether the open limit has room.
+func (g *Balancer) belowConcurrencyLimit(c *customer) bool {
+	limit := g.settings.Plans[c.plan].OpenLimit
+	return limit == 0 || float64(c.inFlight) < math.Max(1, math.Round(g.quotaFraction(c)*float64(limit)))
 }
 
-func (g *Balancer) take(c *customer, units float64) {
-	c.store.level -= units
-	c.slice = math.Max(0, c.slice-units)
-	c.taken += units
-	g.mark(c)
-	g.tellNow(c)
+func (g *Balancer) consume(c *customer, units float64) {
+	c.bucket.level -= units
+	c.localShare = math.Max(0, c.localShare-units)
+	c.consumed += units
+	g.markChanged(c)
+	g.notifyPeersNow(c)
 }
 
-// consults tells whether a wide set asks its home before it decides: its quota is so small
+// consultsHome tells whether a wide set asks its home before it decides: its quota is so small
 // that no slice holds a request, and the home can take in the asks.
-func (g *Balancer) consults(c *customer) bool {
-	return g.set.Plans[c.plan].Rate*float64(g.mailTime(1)) < askRate*float64(second)
+func (g *Balancer) consultsHome(c *customer) bool {
+	return g.settings.Plans[c.plan].Rate*float64(g.messageIntakeTime(1)) < maxQueryFraction*float64(second)
 }
 
-// ceilingPart is this gateway's safe part of a customer's ceiling: an even one, so that no
+// ceilingShare is this gateway's safe part of a customer's ceiling: an even one, so that no
 // message has to arrive for the ceiling to hold. Of many even parts none holds a request:
 // half of a wide set's is its home's, which gives of it to whoever asks. What it has given
 // is used or lost in the time of an answer, in which its own part may fill again.
-func (g *Balancer) ceilingPart(c *customer) (rate, burst float64) {
-	p, part := &g.set.Plans[c.plan], 1/float64(c.spread)
-	if !g.wide(c) {
+func (g *Balancer) ceilingShare(c *customer) (rate, burst float64) {
+	p, part := &g.settings.Plans[c.plan], 1/float64(c.spread)
+	if !g.hasHome(c) {
 		return part * p.CeilingRate, part * p.CeilingBurst
 	}
-	if g.member(c) {
-		part = (1 - homePart) / float64(c.spread-1)
+	if g.isRemote(c) {
+		part = (1 - homeCeilingFraction) / float64(c.spread-1)
 		return part * p.CeilingRate, part * p.CeilingBurst
 	}
-	rate = homePart * p.CeilingRate
-	return rate, math.Max(0, homePart*p.CeilingBurst-rate*float64(g.askTime())/float64(second))
+	rate = homeCeilingFraction * p.CeilingRate
+	return rate, math.Max(0, homeCeilingFraction*p.CeilingBurst-rate*float64(g.homeTimeout())/float64(second))
 }
 
-// askTime is how long a home's answer is waited for.
-func (g *Balancer) askTime() Time { return Time(askWait * float64(g.shortAim)) }
+// homeTimeout is how long a home's answer is waited for.
+func (g *Balancer) homeTimeout() Time { return Time(homeTimeoutObjectives * float64(g.minObjective)) }
 
-// under tells whether this gateway's part of the customer's ceiling holds the units.
-func (g *Balancer) under(c *customer, units float64) bool {
-	return g.set.Plans[c.plan].CeilingRate == 0 || c.ceiling.level >= units
+// underCeiling tells whether this gateway's part of the customer's ceiling holds the units.
+func (g *Balancer) underCeiling(c *customer, units float64) bool {
+	return g.settings.Plans[c.plan].CeilingRate == 0 || c.ceilingBucket.level >= units
 }
 
-// consult asks the home for a request's units, and for those of the ceiling where this
+// queryHome asks the home for a request's units, and for those of the ceiling where this
 // gateway's part lacks them, and keeps the request till it answers.
-func (g *Balancer) consult(r *request) {
-	c := r.c
-	c.asks++
-	r.paid = !g.under(c, r.Units)
-	r.ask, r.by = max(1, c.asks), g.now+min(g.askTime(), r.Timeout/2)
-	e := g.entry(c)
-	e.want, e.ask, e.ceiling = byte(math.Ceil(2*r.Units)), r.ask, r.paid
-	c.askedTold = c.asked
-	g.do.SendToPeer(g.home(c), e.put(g.noteHead()))
-	g.do.SetTimer(r.by, askToken)
+func (g *Balancer) queryHome(r *request) {
+	c := r.customer
+	c.homeQueries++
+	r.homePaysCeiling = !g.underCeiling(c, r.Units)
+	r.queryNumber, r.decideBy = max(1, c.homeQueries), g.now+min(g.homeTimeout(), r.Timeout/2)
+	e := g.usageEntryOf(c)
+	e.wanted, e.queryNumber, e.wantsCeiling = byte(math.Ceil(2*r.Units)), r.queryNumber, r.homePaysCeiling
+	c.announcedRequested = c.requested
+	g.actions.SendToPeer(g.homeOf(c), e.appendTo(g.newPeerMessage()))
+	g.actions.SetTimer(r.decideBy, decisionTimer)
 	g.requests[r.ID] = r
-	g.waiting = append(g.waiting, r)
+	g.awaitingUnits = append(g.awaitingUnits, r)
 }
 
-// answered decides on what waits for a home's answer: this one, or all overdue ones,
+// decideAwaiting decides on what waits for a home's answer: this one, or all overdue ones,
 // which the slice under the home's last grant then decides.
-func (g *Balancer) answered(c *customer, a grant) {
-	kept := g.waiting[:0]
-	for _, r := range g.waiting {
-		switch due := r.c == c && r.ask == a.ask; {
+func (g *Balancer) decideAwaiting(c *customer, a grantEntry) {
+	kept := g.awaitingUnits[:0]
+	for _, r := range g.awaitingUnits {
+		switch due := r.customer == c && r.queryNumber == a.queryNumber; {
 		case g.requests[r.ID] != r: // the client has left
-			g.unhold(r)
-		case due || g.now >= r.by:
+			g.releaseReserved(r)
+		case due || g.now >= r.decideBy:
 			delete(g.requests, r.ID)
-			r.borrows = false
-			g.unhold(r)
-			r.paid = r.paid && due && a.yes
+			r.awaitsOnDemand = false
+			g.releaseReserved(r)
+			r.homePaysCeiling = r.homePaysCeiling && due && a.granted
 			if !due {
-				r.c.slice = math.Min(r.c.slice+r.c.grant*r.Units, sliceMost*r.Units)
-			} else if r.denied = !a.yes; a.yes {
-				r.c.slice += r.Units // to be taken at once
+				r.customer.localShare = math.Min(r.customer.localShare+r.customer.grantFraction*r.Units, maxSavedRequests*r.Units)
+			} else if r.deniedByHome = !a.granted; a.granted {
+				r.customer.localShare += r.Units // to be taken at once
 			}
-			g.admit(r, due && a.yes || !due && g.inside(r.c, r.Units))
+			g.admit(r, due && a.granted || !due && g.withinQuota(r.customer, r.Units))
 		default:
 			kept = append(kept, r)
 		}
 	}
-	g.waiting = kept
+	g.awaitingUnits = kept
 }
 
-// ask counts what a customer asks for. Under a grant each ask brings its part of the units
+// recordDemand counts what a customer asks for. Under a grant each ask brings its part of the units
 // to the slice: a demand-following rate for a gateway that sees a customer now and then.
-func (g *Balancer) ask(c *customer, units float64) {
-	c.use.add(g.now, c.window, units)
-	c.metered.add(g.now, max(1, g.set.MeterPeriod), units)
-	c.asked, c.lastAsk, c.most = c.asked+units, units, math.Max(c.most, units)
-	if !g.consults(c) {
-		c.slice = math.Min(c.slice+c.grant*units, sliceMost*units)
-	}
-	g.mark(c)
+func (g *Balancer) recordDemand(c *customer, units float64) {
+	c.localDemand.add(g.now, c.demandWindow, units)
+	c.meteredDemand.add(g.now, max(1, g.settings.MeterPeriod), units)
+	c.requested, c.lastUnits, c.maxUnits = c.requested+units, units, math.Max(c.maxUnits, units)
+	if !g.consultsHome(c) {
+		c.localShare = math.Min(c.localShare+c.grantFraction*units, maxSavedRequests*units)
+	}
+	g.markChanged(c)
 }
 
-// settleGrant has a home set the part of what is asked that it grants: the rate and what
+// updateGrant has a home set the part of what is asked that it grants: the rate and what
 // the store holds beyond the reserve, spent over the demand window, against all that was
 // asked in it. When that has moved the whole set is told, where it does not ask anyway.
-func (g *Balancer) settleGrant(c *customer) {
-	rate := g.set.Plans[c.plan].Rate
-	if !g.wide(c) || g.member(c) || rate == 0 {
+func (g *Balancer) updateGrant(c *customer) {
+	rate := g.settings.Plans[c.plan].Rate
+	if !g.hasHome(c) || g.isRemote(c) || rate == 0 {
 		return
 	}
-	all := c.use.get(g.now, c.window) + c.others.get(g.now, c.window)
-	may := rate*float64(c.window)/float64(second) + c.store.level - reserve*c.store.cap
-	f := math.Min(1, math.Max(grantLeast, may/math.Max(all, 1e-9)))
-	moved := f > c.granted*grantStep || f < c.granted/grantStep || f == 1 && c.granted < 1
-	if c.grant = f; !moved || g.now < c.grantAt || g.consults(c) {
+	all := c.localDemand.get(g.now, c.demandWindow) + c.peerUsage.get(g.now, c.demandWindow)
+	may := rate*float64(c.demandWindow)/float64(second) + c.bucket.level - homeReserveFraction*c.bucket.capacity
+	f := math.Min(1, math.Max(minGrant, may/math.Max(all, 1e-9)))
+	moved := f > c.announcedGrant*grantChangeFactor || f < c.announcedGrant/grantChangeFactor || f == 1 && c.announcedGrant < 1
+	if c.grantFraction = f; !moved || g.now < c.nextGrantAnnouncement || g.consultsHome(c) {
 		return
 	}
-	c.granted, c.grantAt = f, g.now+c.window/4
+	c.announcedGrant, c.nextGrantAnnouncement = f, g.now+c.demandWindow/4
 	for i := range c.spread {
-		if peer := (c.first + i) % g.set.Gateways; peer != g.set.Self {
-			g.tellGrant(peer, c)
+		if peer := (c.first + i) % g.settings.Gateways; peer != g.settings.Self {
+			g.queueGrant(peer, c)
 		}
 	}
 }
 
-// meter sets the slice by the use through all gateways in the last period told.
-func (g *Balancer) meter(c *customer, percent int) {
-	rate := g.set.Plans[c.plan].Rate
-	if g.set.MeterPeriod == 0 || percent == 0 || rate == 0 {
+// applyMeterReading sets the slice by the use through all gateways in the last period told.
+func (g *Balancer) applyMeterReading(c *customer, percent int) {
+	rate := g.settings.Plans[c.plan].Rate
+	if g.settings.MeterPeriod == 0 || percent == 0 || rate == 0 {
 		return
 	}
 	all := float64(percent-1) / 100 * rate
-	own := c.metered.get(g.now, g.set.MeterPeriod) * float64(second) / float64(g.set.MeterPeriod)
-	c.part = own / math.Max(all, math.Max(own, 1e-9))
+	own := c.meteredDemand.get(g.now, g.settings.MeterPeriod) * float64(second) / float64(g.settings.MeterPeriod)
+	c.shareFraction = own / math.Max(all, math.Max(own, 1e-9))
 }
 
-// talk tells peers, or else the counter, of every customer whose use changed,
+// gossip tells peers, or else the counter, of every customer whose use changed,
 // those that took most of their burst first.
-func (g *Balancer) talk() {
-	slices.SortStableFunc(g.telling, func(a, b *customer) int {
-		return cmp.Compare((b.taken-b.told)*a.store.cap, (a.taken-a.told)*b.store.cap)
+func (g *Balancer) gossip() {
+	slices.SortStableFunc(g.pendingGossip, func(a, b *customer) int {
+		return cmp.Compare((b.consumed-b.announcedConsumed)*a.bucket.capacity, (a.consumed-a.announcedConsumed)*b.bucket.capacity)
 	})
-	kept := g.telling[:0]
-	for _, c := range g.telling {
+	kept := g.pendingGossip[:0]
+	for _, c := range g.pendingGossip {
 		g.refill(c)
-		g.settleGrant(c)
+		g.updateGrant(c)
 		switch {
-		case g.now < c.tellAt && (g.member(c) && c.grant < 1 || g.set.Peers && !g.wide(c) && !g.tight(c)):
-		case !g.set.Peers:
-			if c.taken > c.told {
-				g.do.AddToCounter(c.id, c.taken-c.told, countLife)
-				c.calls = append(c.calls, c.taken-c.told)
+		case g.now < c.nextAnnouncement && (g.isRemote(c) && c.grantFraction < 1 || g.settings.Peers && !g.hasHome(c) && !g.nearlyEmpty(c)):
+		case !g.settings.Peers:
+			if c.consumed > c.announcedConsumed {
+				g.actions.AddToCounter(c.id, c.consumed-c.announcedConsumed, counterNameTTL)
+				c.counterCalls = append(c.counterCalls, c.consumed-c.announcedConsumed)
 			}
-			c.told, c.tell = c.taken, 0
-		case g.note(c):
-			c.told, c.askedTold, c.tellAt = c.taken, c.asked, g.now+calm*g.period
-			if c.tell--; g.wide(c) {
-				c.tell, c.tellAt = 0, g.now+g.mailTime(c.spread)
+			c.announcedConsumed, c.pendingAnnouncements = c.consumed, 0
+		case g.queueUsage(c):
+			c.announcedConsumed, c.announcedRequested, c.nextAnnouncement = c.consumed, c.requested, g.now+calmPeriods*g.gossipInterval
+			if c.pendingAnnouncements--; g.hasHome(c) {
+				c.pendingAnnouncements, c.nextAnnouncement = 0, g.now+g.messageIntakeTime(c.spread)
 			}
-			if c.waits != 0 {
-				g.wait.add(float64(g.now-c.waits), learnOne)
-				c.waits = 0
+			if c.urgentSince != 0 {
+				g.urgentDelay.add(float64(g.now-c.urgentSince), fastSampleWeight)
+				c.urgentSince = 0
 			}
 		}
-		if c.tell > 0 {
+		if c.pendingAnnouncements > 0 {
 			kept = append(kept, c)
 		}
 	}
-	g.telling = kept
-	g.flush()
+	g.pendingGossip = kept
+	g.flushMessages()
 }
 
 // ReceivePeerMessage takes in another gateway's note. One that is malformed is passed over.
 func (g *Balancer) ReceivePeerMessage(now Time, from int, note []byte) {
-	g.begin(now)
-	n, ok := readNote(note)
-	if !ok || from < 0 || from >= g.set.Gateways || from == g.set.Self {
+	g.advanceClock(now)
+	n, ok := parsePeerMessage(note)
+	if !ok || from < 0 || from >= g.settings.Gateways || from == g.settings.Self {
 		return
 	}
-	g.pool(from, n)
-	if g.boots[from] != n.boot {
+	g.mergePeerLoad(from, n)
+	if g.peerIncarnations[from] != n.incarnation {
 		// A gateway that has just started knows of no bank: tell it of those not full.
-		g.boots[from] = n.boot
-		for _, c := range g.order {
-			if g.refill(c); c.store.level < c.store.cap && !g.wide(c) && g.in(c, from) {
-				g.mark(c)
-				c.tellAt = 0
+		g.peerIncarnations[from] = n.incarnation
+		for _, c := range g.customerOrder {
+			if g.refill(c); c.bucket.level < c.bucket.capacity && !g.hasHome(c) && g.inSet(c, from) {
+				g.markChanged(c)
+				c.nextAnnouncement = 0
 			}
 		}
 	}
 	for _, e := range n.entries {
-		if e.plan < len(g.set.Plans) && e.spread > 0 && e.spread <= g.set.Gateways {
-			g.told(from, n.boot, e)
+		if e.plan < len(g.settings.Plans) && e.spread > 0 && e.spread <= g.settings.Gateways {
+			g.applyPeerEntry(from, n.incarnation, e)
 		}
 	}
-	for _, w := range n.words {
-		if b := g.byID[w.backend]; b != nil && int(w.about) < len(b.words) {
-			b.words[w.about].add(now, wordTime, 1)
+	for _, w := range n.faults {
+		if b := g.backendByID[w.backend]; b != nil && int(w.subject) < len(b.faultReports) {
+			b.faultReports[w.subject].add(now, faultReportDecay, 1)
 		}
 	}
 	for _, r := range n.grants {
-		if c := g.customers[r.id]; c != nil && g.member(c) {
-			if c.grant == 1 && r.part < 1 {
-				c.slice = g.rand.Float64() * c.lastAsk // so that not all are short or full at once
+		if c := g.customers[r.id]; c != nil && g.isRemote(c) {
+			if c.grantFraction == 1 && r.fraction < 1 {
+				c.localShare = g.rand.Float64() * c.lastUnits // so that not all are short or full at once
 			}
-			if c.grant = r.part; r.ask > 0 {
-				g.answered(c, r)
+			if c.grantFraction = r.fraction; r.queryNumber > 0 {
+				g.decideAwaiting(c, r)
 			}
 		}
 	}
 }
 
-func (g *Balancer) told(from int, boot uint32, e entry) {
-	c := g.customer(e.id, e.plan, e.first, e.spread)
-	if !g.in(c, from) || g.member(c) {
+func (g *Balancer) applyPeerEntry(from int, boot uint32, e usageEntry) {
+	c := g.findOrAddCustomer(e.id, e.plan, e.first, e.spread)
+	if !g.inSet(c, from) || g.isRemote(c) {
 		return
 	}
-	h, before := g.heardOf(c, from), c.store.level
-	defer func() { g.spend(c, math.Max(0, before-c.store.level)) }()
-	taken, asked := e.taken-h.taken, e.asked-h.asked
+	h, before := g.peerTotalsOf(c, from), c.bucket.level
+	defer func() { g.recordSpend(c, math.Max(0, before-c.bucket.level)) }()
+	taken, asked := e.consumed-h.consumed, e.requested-h.requested
 	switch {
-	case !h.known || h.boot != boot:
+	case !h.known || h.incarnation != boot:
 		// No earlier figure to take off: what the peer thinks is left bounds it, and what
 		// it took since it last told anybody is not yet known here.
-		left, fresh := e.left*c.store.cap-(c.taken-c.told), c.store.level-units(min(e.taken, e.fresh))
+		left, fresh := e.remaining*c.bucket.capacity-(c.consumed-c.announcedConsumed), c.bucket.level-fromWireUnits(min(e.consumed, e.newlyRequested))
 		switch {
-		case c.kept: // of a former life, less a lease: who has lived all along knows better
-			c.kept, c.store.level = false, math.Max(left, c.store.level)
+		case c.restored: // of a former life, less a lease: who has lived all along knows better
+			c.restored, c.bucket.level = false, math.Max(left, c.bucket.level)
 			left = math.Max(left, fresh)
-		case h.known || g.wide(c) && e.left == 1: // it has started anew: what it holds to be left tells less
+		case h.known || g.hasHome(c) && e.remaining == 1: // it has started anew: what it holds to be left tells less
 			left = fresh
 		default:
 			left = math.Min(left, fresh)
 		}
-		c.store.level = math.Max(0, math.Min(c.store.level, left))
-		c.others.add(g.now, c.window, units(e.fresh))
-	case asked > math.MaxUint16/2 || taken > math.MaxUint16/2 && e.want == 0:
+		c.bucket.level = math.Max(0, math.Min(c.bucket.level, left))
+		c.peerUsage.add(g.now, c.demandWindow, fromWireUnits(e.newlyRequested))
+	case asked > math.MaxUint16/2 || taken > math.MaxUint16/2 && e.wanted == 0:
 		return // an older note that came late
 	default:
 		if taken > math.MaxUint16/2 {
-			taken, e.taken = 0, h.taken // it did not take what it was granted
+			taken, e.consumed = 0, h.consumed // it did not take what it was granted
 		}
-		g.learnLead(c, units(taken))
-		c.store.level = math.Max(0, c.store.level-units(taken))
-		c.others.add(g.now, c.window, units(asked))
-	}
-	*h = heard{known: true, boot: boot, taken: e.taken, asked: e.asked}
-	g.settleGrant(c)
-	if a := (grant{id: c.id, part: c.grant, ask: e.ask}); e.ask > 0 {
-		want := float64(e.want) / 2
-		if a.yes = c.store.level >= want && (!e.ceiling || g.under(c, want)); a.yes {
-			if c.store.level -= want; e.ceiling {
-				c.ceiling.level -= want
+		g.adjustLearnedDelay(c, fromWireUnits(taken))
+		c.bucket.level = math.Max(0, c.bucket.level-fromWireUnits(taken))
+		c.peerUsage.add(g.now, c.demandWindow, fromWireUnits(asked))
+	}
+	*h = peerTotals{known: true, incarnation: boot, consumed: e.consumed, requested: e.requested}
+	g.updateGrant(c)
+	if a := (grantEntry{id: c.id, fraction: c.grantFraction, queryNumber: e.queryNumber}); e.queryNumber > 0 {
+		want := float64(e.wanted) / 2
+		if a.granted = c.bucket.level >= want && (!e.wantsCeiling || g.underCeiling(c, want)); a.granted {
+			if c.bucket.level -= want; e.wantsCeiling {
+				c.ceilingBucket.level -= want
 			}
-			h.taken += counted(want)
+			h.consumed += toWireUnits(want)
 		}
-		g.do.SendToPeer(from, a.put(g.noteHead()))
-	} else if g.wide(c) && math.Abs(e.left-c.grant) > grantError*c.grant {
-		g.tellGrant(from, c)
+		g.actions.SendToPeer(from, a.appendTo(g.newPeerMessage()))
+	} else if g.hasHome(c) && math.Abs(e.remaining-c.grantFraction) > grantTolerance*c.grantFraction {
+		g.queueGrant(from, c)
 	}
 }
 
 // ReceiveCounterTotal takes in the total of a customer's use through all gateways, where there are no
 // notes. What a failed call added all the same counts as another's: towards refusing.
 func (g *Balancer) ReceiveCounterTotal(now Time, name uint64, r Result, total float64) {
-	g.begin(now)
+	g.advanceClock(now)
 	c := g.customers[name]
-	if c == nil || len(c.calls) == 0 {
+	if c == nil || len(c.counterCalls) == 0 {
 		return
 	}
-	own := c.calls[0]
-	if c.calls = c.calls[1:]; r != OK {
+	own := c.counterCalls[0]
+	if c.counterCalls = c.counterCalls[1:]; r != OK {
 		return
 	}
 	g.refill(c)
-	more := math.Max(0, total-c.total-own)
-	c.total = total
-	c.store.level = math.Max(0, c.store.level-more)
-	c.others.add(now, c.window, more)
-	g.spend(c, more)
+	more := math.Max(0, total-c.counterTotal-own)
+	c.counterTotal = total
+	c.bucket.level = math.Max(0, c.bucket.level-more)
+	c.peerUsage.add(now, c.demandWindow, more)
+	g.recordSpend(c, more)
 }
 
-func (b *backend) slowBy(now Time, x float64) {
-	b.slow = b.slowness(now) + learnOne*(math.Min(x, 20)-b.slowness(now))
-	b.slowAt = now
+func (b *backend) recordLatency(now Time, x float64) {
+	b.latencyRatio = b.currentLatencyRatio(now) + fastSampleWeight*(math.Min(x, 20)-b.currentLatencyRatio(now))
+	b.latencyRatioAt = now
 }
 
-// sick tells whether a backend is left out. Probes, if allowed, are the trial of one that is
+// ejected tells whether a backend is left out. Probes, if allowed, are the trial of one that is
 // down; else, and after errors, one request at a time is.
-func (g *Balancer) sick(b *backend) bool {
-	if b.down && g.set.Probes {
+func (g *Balancer) ejected(b *backend) bool {
+	if b.unhealthy && g.settings.Probes {
 		return true
 	}
-	return (b.down || b.errs >= sickShare) && (g.now < b.trialAt || b.out > 0)
+	return (b.unhealthy || b.errorRate >= ejectionErrorRate) && (g.now < b.nextProbe || b.inFlight > 0)
 }
 
-// leaveOut leaves a backend out, each time in a row for longer.
-func (g *Balancer) leaveOut(b *backend, why string) {
-	if g.now-b.left > 2*healTime {
-		b.wait = 0
+// eject leaves a backend out, each time in a row for longer.
+func (g *Balancer) eject(b *backend, why string) {
+	if g.now-b.ejectedAt > 2*maxProbeBackoff {
+		b.probeBackoff = 0
 	}
-	b.wait = min(max(trialTime, 2*b.wait), healTime)
-	b.left, b.trialAt = g.now, g.now+b.wait
-	g.do.Log(fmt.Sprintf("backend %d out: %s", b.Backend, why))
+	b.probeBackoff = min(max(minProbeBackoff, 2*b.probeBackoff), maxProbeBackoff)
+	b.ejectedAt, b.nextProbe = g.now, g.now+b.probeBackoff
+	g.actions.Log(fmt.Sprintf("backend %d out: %s", b.Backend, why))
 }
 
-// up takes a backend in again. Where none could be made its process may have started
+// readmit takes a backend in again. Where none could be made its process may have started
 // anew: it is held for cold, told or not. One that was silent or only reset runs warm.
-func (g *Balancer) up(b *backend) {
-	if !b.down {
+func (g *Balancer) readmit(b *backend) {
+	if !b.unhealthy {
 		return
 	}
-	b.down, b.slow, b.quiet = false, 0, g.awake
-	if !b.silent {
+	b.unhealthy, b.latencyRatio, b.unansweredSince = false, 0, g.activeTime
+	if !b.unresponsive {
 		b.StartedAt = max(b.StartedAt, g.now)
-		b.cold = g.coldBank()
+		b.slowStart = g.newSlowStartBucket()
 	}
-	g.do.Log(fmt.Sprintf("backend %d back", b.Backend))
+	g.actions.Log(fmt.Sprintf("backend %d back", b.Backend))
 }
 
-// listen leaves a backend out that answers nothing: hung, or cut off with no connection
+// detectUnresponsive leaves a backend out that answers nothing: hung, or cut off with no connection
 // broken. Only attempts past their own aim speak against it, one alone, perhaps lost on
 // the way, with half the weight. A very slow one comes back by its own late answers.
-func (g *Balancer) listen(b *backend) {
-	owed := float64(g.awake-b.quiet) * g.share(b) * math.Min(1, float64(b.overdue)/2)
-	if !b.down && owed > silentAims*float64(g.shortAim) {
-		b.down, b.silent = true, true
-		g.leaveOut(b, "silent")
+func (g *Balancer) detectUnresponsive(b *backend) {
+	owed := float64(g.activeTime-b.unansweredSince) * g.warmFraction(b) * math.Min(1, float64(b.overdue)/2)
+	if !b.unhealthy && owed > unresponsiveAfterObjectives*float64(g.minObjective) {
+		b.unhealthy, b.unresponsive = true, true
+		g.eject(b, "silent")
 	}
 }
 
-// judge learns from how an attempt ended.
-func (g *Balancer) judge(a *attempt, class int, r Result, took float64) {
-	b, bad := a.b, 0.0
+// recordOutcome learns from how an attempt ended.
+func (g *Balancer) recordOutcome(a *attempt, class int, r Result, took float64) {
+	b, bad := a.backend, 0.0
 	if r == OK {
-		g.up(b)
-		b.turned = 0
-		usual := math.Max(g.base[class].v, aimShare*float64(g.set.Classes[class].LatencyObjective))
-		b.unsure = b.unsure && took > surely*usual
+		g.readmit(b)
+		b.consecutiveRejections = 0
+		usual := math.Max(g.classLatencies[class].value, saturationLatencyFraction*float64(g.settings.Classes[class].LatencyObjective))
+		b.maybeRestarted = b.maybeRestarted && took > promptAnswerFactor*usual
 	}
 	switch r {
 	case OK, TimedOut:
-		share := g.share(b)
-		if a.blind {
+		share := g.warmFraction(b)
+		if a.spansSuspension {
 			return
 		}
 		if r == OK && share == 1 {
-			g.mean.add(took, learn)
-			g.base[class].add(took, learn)
+			g.meanLatency.add(took, slowSampleWeight)
+			g.classLatencies[class].add(took, slowSampleWeight)
 		}
-		if g.base[class].v > 0 {
-			b.slowBy(g.now, took*share/g.base[class].v)
+		if g.classLatencies[class].value > 0 {
+			b.recordLatency(g.now, took*share/g.classLatencies[class].value)
 		}
 	case Failed:
 		bad = 1
 	case ConnectFailed, Reset:
-		b.unsure = true // its process may have ended, and start anew before anybody tells of that
-		if g.broke(b, r) {
+		b.maybeRestarted = true // its process may have ended, and start anew before anybody tells of that
+		if g.recordConnectionFault(b, r) {
 			return
 		}
 		bad = 1
 	default:
 		return
 	}
-	b.errs += learnOne * (bad - b.errs)
-	if bad > 0 && b.errs >= sickShare && g.now >= b.trialAt {
-		g.leaveOut(b, "errors")
+	b.errorRate += fastSampleWeight * (bad - b.errorRate)
+	if bad > 0 && b.errorRate >= ejectionErrorRate && g.now >= b.nextProbe {
+		g.eject(b, "errors")
 	}
 }
 
 // ReceiveProbeResult takes in how a probe ended.
 func (g *Balancer) ReceiveProbeResult(now Time, id uint32, r Result, load []float32) {
-	g.begin(now)
-	b := g.byID[id]
+	g.advanceClock(now)
+	b := g.backendByID[id]
 	switch {
 	case b == nil:
 	case r == OK:
-		g.loaded(b, load)
-		g.up(b)
-	case b.down:
-		b.silent = b.silent && r != ConnectFailed
-		b.wait = min(2*b.wait, healTime)
-		b.trialAt = now + b.wait
+		g.recordLoadReport(b, load)
+		g.readmit(b)
+	case b.unhealthy:
+		b.unresponsive = b.unresponsive && r != ConnectFailed
+		b.probeBackoff = min(2*b.probeBackoff, maxProbeBackoff)
+		b.nextProbe = now + b.probeBackoff
 	}
 }
 
-// choose picks the least loaded usable backend, sound ones not tried yet first.
+// pick picks the least loaded usable backend, sound ones not tried yet first.
 // A keyed request that may have run stays within its attempt's group.
-func (g *Balancer) choose(r *request, within *attempt) *backend {
+func (g *Balancer) pick(r *request, within *attempt) *backend {
 	for _, anyway := range []bool{false, true} {
 		var best *backend
 		bestCost, ties := math.Inf(1), 0.0
 		for _, b := range g.backends {
-			if b.State != Ready || !b.listed || !g.warmEnough(b) ||
-				b.unsure && (b.out > 0 || g.now < b.opens) || g.now < b.backOff ||
-				within != nil && !g.set.Classes[r.Class].sameGroup(within.b, b) ||
-				!anyway && (g.sick(b) || r.tried(b)) {
+			if b.State != Ready || !b.listed || !g.slowStartAllows(b) ||
+				b.maybeRestarted && (b.inFlight > 0 || g.now < b.notBefore) || g.now < b.backoffUntil ||
+				within != nil && !g.settings.Classes[r.Class].sameScope(within.backend, b) ||
+				!anyway && (g.ejected(b) || r.tried(b)) {
 				continue
 			}
-			cost := g.cost(b) * (1 + g.thin()*(b.words[r.Class].get(g.now, wordTime)+
-				b.words[len(g.set.Classes)+r.Plan].get(g.now, wordTime)))
+			cost := g.loadScore(b) * (1 + g.peerWeight()*(b.faultReports[r.Class].get(g.now, faultReportDecay)+
+				b.faultReports[len(g.settings.Classes)+r.Plan].get(g.now, faultReportDecay)))
 			if cost > bestCost {
 				continue
 			} else if cost < bestCost {
 				ties = 0
 			}
-			size := g.size(b)
+			size := g.relativeWeight(b)
 			if ties += size; g.rand.Float64()*ties < size {
 				best, bestCost = b, cost
 			}
@@ -724,42 +726,42 @@
 	return nil
 }
 
-// size is what a backend can do, in means of all, as far as the list tells.
-func (g *Balancer) size(b *backend) float64 {
-	if g.set.ComparableWeights && b.Weight > 0 && g.meanSize > 0 {
-		return b.Weight / g.meanSize
+// relativeWeight is what a backend can do, in means of all, as far as the list tells.
+func (g *Balancer) relativeWeight(b *backend) float64 {
+	if g.settings.ComparableWeights && b.Weight > 0 && g.meanWeight > 0 {
+		return b.Weight / g.meanWeight
 	}
 	return 1
 }
 
-// weigh takes the mean of the sizes that the list tells.
-func (g *Balancer) weigh() {
+// updateMeanWeight takes the mean of the sizes that the list tells.
+func (g *Balancer) updateMeanWeight() {
 	sum, n := 0.0, 0.0
 	for _, b := range g.backends {
 		if b.State == Ready && b.listed && b.Weight > 0 {
 			sum, n = sum+b.Weight, n+1
 		}
 	}
-	g.meanSize = sum / math.Max(n, 1)
+	g.meanWeight = sum / math.Max(n, 1)
 }
 
-// cost is how long a request may have to wait at a backend, compared with others. An idle one is
+// loadScore is how long a request may have to wait at a backend, compared with others. An idle one is
 // no better for being larger: of many gateways each sees next to nothing out anywhere, and all would
 // send to the largest alone. Idle ones alike in all else are chosen in proportion to their size.
-func (g *Balancer) cost(b *backend) float64 {
-	held := float64(b.out)
-	if g.now-b.queueAt < second {
-		held = math.Max(held, held/2+b.queue)
+func (g *Balancer) loadScore(b *backend) float64 {
+	held := float64(b.inFlight)
+	if g.now-b.queueReportedAt < second {
+		held = math.Max(held, held/2+b.reportedQueue)
 	}
-	cost := (held/g.size(b) + 1) * b.slowness(g.now)
-	if b.Zone != g.set.Zone {
-		cost *= 1 + g.set.CrossZonePrice*zoneWeight
+	cost := (held/g.relativeWeight(b) + 1) * b.currentLatencyRatio(g.now)
+	if b.Zone != g.settings.Zone {
+		cost *= 1 + g.settings.CrossZonePrice*crossZoneLoadWeight
 	}
-	if g.set.Gateways > fewTry && (b.sentAt == 0 || g.now-b.sentAt > keptFor) && g.share(b) == 1 {
+	if g.settings.Gateways > maxConcurrentTrials && (b.lastSend == 0 || g.now-b.lastSend > idleConnectionLifetime) && g.warmFraction(b) == 1 {
 		// It needs a handshake, which costs it work. In a large fleet each gateway sends a
 		// backend a request now and then only: nearly every one would pay for a handshake.
-		each := g.pace.get(g.now, paceTime) * float64(keptFor) / float64(paceTime)
-		cost *= 1 + freshPrice/(1+each)
+		each := g.sendPace.get(g.now, sendPaceWindow) * float64(idleConnectionLifetime) / float64(sendPaceWindow)
+		cost *= 1 + handshakeLoad/(1+each)
 	}
 	return cost
 }
@@ -767,57 +769,57 @@
 // UpdateEndpoints takes in discovery's news of the backends. What it says is draining or
 // gone gets nothing more from now on.
 func (g *Balancer) UpdateEndpoints(now Time, news ListKind, list []Endpoint) {
-	g.begin(now)
+	g.advanceClock(now)
 	if news == Unavailable {
-		g.follows = false
+		g.watching = false
 		return
 	}
-	g.follows = g.follows || news != CompleteCached && news != StaleBootstrap
+	g.watching = g.watching || news != CompleteCached && news != StaleBootstrap
 	for _, b := range g.backends {
 		b.listed = b.listed && news == Delta
 	}
 	for _, m := range list {
-		b := g.backend(m)
+		b := g.findOrAddBackend(m)
 		if m.StartedAt > b.StartedAt {
-			b.slow, b.errs, b.cold = 0, 0, g.coldBank()
+			b.latencyRatio, b.errorRate, b.slowStart = 0, 0, g.newSlowStartBucket()
 		}
 		m.StartedAt = max(m.StartedAt, b.StartedAt)
 		b.Endpoint, b.listed = m, m.State != Removed
-		if b.unsure = news == StaleBootstrap; b.unsure {
-			apart := float64(tryApart * Time(max(0, g.set.Gateways-fewTry)))
-			b.opens = g.now + Time(g.rand.Float64()*apart)
+		if b.maybeRestarted = news == StaleBootstrap; b.maybeRestarted {
+			apart := float64(trialSpacing * Time(max(0, g.settings.Gateways-maxConcurrentTrials)))
+			b.notBefore = g.now + Time(g.rand.Float64()*apart)
 		}
 	}
-	g.prune()
-	g.weigh()
+	g.pruneBackends()
+	g.updateMeanWeight()
 }
 
-// warmEnough tells whether a backend may be sent one more. A cold one is sent its share of
+// slowStartAllows tells whether a backend may be sent one more. A cold one is sent its share of
 // what this gateway sends a warm one, saved up for half the span over which the rule counts:
 // through all gateways no more of its capacity than the warm ones get of theirs.
-func (g *Balancer) warmEnough(b *backend) bool {
-	share := g.share(b)
+func (g *Balancer) slowStartAllows(b *backend) bool {
+	share := g.warmFraction(b)
 	if share == 1 {
 		return true
 	}
-	span := float64(g.set.SlowStartOverloadWindow) / float64(second)
-	each := g.pace.get(g.now, paceTime) * float64(second) / float64(paceTime)
-	least := 1 / math.Max(span, 1) / float64(g.set.Gateways) // one send in a span through all
-	b.cold.rate = math.Max(each, least) * share
-	b.cold.cap = math.Max(1, b.cold.rate*span/2)
-	b.cold.refill(g.now)
-	return b.cold.level >= 1
+	span := float64(g.settings.SlowStartOverloadWindow) / float64(second)
+	each := g.sendPace.get(g.now, sendPaceWindow) * float64(second) / float64(sendPaceWindow)
+	least := 1 / math.Max(span, 1) / float64(g.settings.Gateways) // one send in a span through all
+	b.slowStart.rate = math.Max(each, least) * share
+	b.slowStart.capacity = math.Max(1, b.slowStart.rate*span/2)
+	b.slowStart.refill(g.now)
+	return b.slowStart.level >= 1
 }
 
-// may tells whether a request may be sent again, within which attempt's group (nil: anywhere),
+// mayRetry tells whether a request may be sent again, within which attempt's group (nil: anywhere),
 // and whether it may be refused. A keyed window is closed a little early.
-func (c *Class) may(out []*attempt, copies bool, now, early Time) (again bool, in *attempt, refuse bool) {
+func (c *Class) mayRetry(out []*attempt, copies bool, now, early Time) (again bool, in *attempt, refuse bool) {
 	again, refuse = true, true
 	for _, a := range out {
 		if a.pending && !copies {
 			again = false
 		}
-		if !a.mayRun || c.Idempotency == Idempotent {
+		if !a.mayHaveRun || c.Idempotency == Idempotent {
 			continue
 		}
 		if c.Idempotency == NotIdempotent {
@@ -825,227 +827,229 @@
 		}
 		if in == nil {
 			in = a
-			again = again && now < a.at+c.DeduplicationWindow-early
+			again = again && now < a.sentAt+c.DeduplicationWindow-early
 			refuse = c.DeduplicationScope == ScopeAll
 		}
 	}
 	return again, in, refuse
 }
 
-// sweepOverdue takes note of attempts that are past their aim, and silent backends.
-func (g *Balancer) sweepOverdue() {
-	for class := range g.due {
-		g.lateAfter(class, g.set.Classes[class].LatencyObjective)
+// refreshHealth takes note of attempts that are past their aim, and silent backends.
+func (g *Balancer) refreshHealth() {
+	for class := range g.withinObjective {
+		g.markOverdue(class, g.settings.Classes[class].LatencyObjective)
 	}
-	g.alive, g.warm = 0, 0
+	g.healthyCount, g.warmCount = 0, 0
 	for _, b := range g.backends {
-		g.listen(b)
-		if b.State == Ready && b.listed && !g.sick(b) {
-			g.alive++
-			if g.share(b) == 1 {
-				g.warm++
+		g.detectUnresponsive(b)
+		if b.State == Ready && b.listed && !g.ejected(b) {
+			g.healthyCount++
+			if g.warmFraction(b) == 1 {
+				g.warmCount++
 			}
 		}
 	}
 }
 
-// held is how many attempts the back end holds for this gateway. Those past their aim count as
+// effectiveInFlight is how many attempts the back end holds for this gateway. Those past their aim count as
 // far as answers come late everywhere: lost or stuck at a few backends they would shut the gate
 // on what can be served. Those at one that is down don't count, at a slow one they count less.
-func (g *Balancer) held() float64 {
+func (g *Balancer) effectiveInFlight() float64 {
 	held := 0.0
 	for _, b := range g.backends {
-		if !b.down && b.out > 0 {
-			held += (float64(b.out) - float64(b.overdue)*(1-g.late.v)) / math.Max(1, b.slowness(g.now)/2)
+		if !b.unhealthy && b.inFlight > 0 {
+			held += (float64(b.inFlight) - float64(b.overdue)*(1-g.lateFraction.value)) / math.Max(1, b.currentLatencyRatio(g.now)/2)
 		}
 	}
 	return held
 }
 
-// view is what this gateway holds and what comes back in time a second, with that of n-1 others:
+// loadView is what this gateway holds and what comes back in time a second, with that of n-1 others:
 // alone it may be a few a second. The more it sees itself, the less their older figures count.
-func (g *Balancer) view() (held, inTime, n float64) {
-	return g.held() + g.thin()*g.peersHeld.get(g.awake, second),
-		g.inTime.get(g.awake, second) + g.thin()*g.peersInTime.get(g.awake, second),
-		1 + g.thin()*g.peers.get(g.awake, second)
+func (g *Balancer) loadView() (held, inTime, n float64) {
+	return g.effectiveInFlight() + g.peerWeight()*g.peersInFlight.get(g.activeTime, second),
+		g.onTime.get(g.activeTime, second) + g.peerWeight()*g.peersOnTime.get(g.activeTime, second),
+		1 + g.peerWeight()*g.peersHeard.get(g.activeTime, second)
 }
 
-// thin is how much others' word counts: the less, the more this gateway sees itself.
-func (g *Balancer) thin() float64 { return enough / (enough + g.inTime.get(g.awake, second)) }
+// peerWeight is how much others' word counts: the less, the more this gateway sees itself.
+func (g *Balancer) peerWeight() float64 {
+	return sufficientAnswerRate / (sufficientAnswerRate + g.onTime.get(g.activeTime, second))
+}
 
-// full tells whether so large a part of the room at the back end is filled: as many attempts
+// saturated tells whether so large a part of the room at the back end is filled: as many attempts
 // as come back within their aim in the time an answer may take.
-func (g *Balancer) full(part float64) bool {
-	g.sweepOverdue()
+func (g *Balancer) saturated(part float64) bool {
+	g.refreshHealth()
 	// A loaded back end stretches all classes alike: the tightest sets the time.
 	allowed := math.Inf(1)
-	for class, base := range g.base {
-		if base.v > 0 {
-			allowed = math.Min(allowed, g.mean.v/base.v*float64(g.set.Classes[class].LatencyObjective))
+	for class, base := range g.classLatencies {
+		if base.value > 0 {
+			allowed = math.Min(allowed, g.meanLatency.value/base.value*float64(g.settings.Classes[class].LatencyObjective))
 		}
 	}
 	if math.IsInf(allowed, 1) {
-		allowed = float64(g.shortAim)
+		allowed = float64(g.minObjective)
 	}
-	held, inTime, n := g.view()
-	least := (leastOut - (leastOut-leastLate)*g.late.v) * float64(g.alive) / float64(g.set.Gateways) * n
-	room := math.Max(least, inTime*allowed/float64(second)*aimShare)
-	return held >= room*part || g.held() >= leastOwn+ownMost*room/n*part
+	held, inTime, n := g.loadView()
+	least := (minInFlight - (minInFlight-minInFlightWhenLate)*g.lateFraction.value) * float64(g.healthyCount) / float64(g.settings.Gateways) * n
+	room := math.Max(least, inTime*allowed/float64(second)*saturationLatencyFraction)
+	return held >= room*part || g.effectiveInFlight() >= minOwnInFlight+ownCapacityFactor*room/n*part
 }
 
 // Request decides on a client's try.
 func (g *Balancer) Request(now Time, q Request) {
-	g.begin(now)
-	if q.Class < 0 || q.Class >= len(g.set.Classes) || q.Plan < 0 || q.Plan >= len(g.set.Plans) {
-		g.do.Fail(q.ID)
+	g.advanceClock(now)
+	if q.Class < 0 || q.Class >= len(g.settings.Classes) || q.Plan < 0 || q.Plan >= len(g.settings.Plans) {
+		g.actions.Fail(q.ID)
 		return
 	}
-	grace := &g.grace[q.Plan][q.Class]
-	if g.now > g.woke {
-		grace.add(float64(q.Timeout), learnOne)
-	} else if grace.v-float64(q.Timeout)+g.base[q.Class].v > float64(g.set.Classes[q.Class].LatencyObjective) {
-		g.refuse(q.ID, 0, ReasonTooLate) // it came while this gateway stood still: too late for any answer
+	grace := &g.clientTimeouts[q.Plan][q.Class]
+	if g.now > g.resumedAt {
+		grace.add(float64(q.Timeout), fastSampleWeight)
+	} else if grace.value-float64(q.Timeout)+g.classLatencies[q.Class].value > float64(g.settings.Classes[q.Class].LatencyObjective) {
+		g.reject(q.ID, 0, ReasonTooLate) // it came while this gateway stood still: too late for any answer
 		return
 	}
-	plan := &g.set.Plans[q.Plan]
-	c := g.customer(q.Customer, q.Plan, q.First, q.Spread)
-	g.ask(c, q.Units)
-	r := &request{Request: q, until: now + q.Timeout, c: c}
-	if g.full(g.open(&q, plan)) {
-		g.refuse(q.ID, g.shortAim/2, ReasonOverload)
-	} else if g.limited(c) {
-		g.byRight(r)
-	} else if g.member(c) && (g.consults(c) || !g.under(c, q.Units)) && 2*q.Units <= wantMost {
-		g.consult(r)
+	plan := &g.settings.Plans[q.Plan]
+	c := g.findOrAddCustomer(q.Customer, q.Plan, q.First, q.Spread)
+	g.recordDemand(c, q.Units)
+	r := &request{Request: q, deadline: now + q.Timeout, customer: c}
+	if g.saturated(g.capacityFraction(&q, plan)) {
+		g.reject(q.ID, g.minObjective/2, ReasonOverload)
+	} else if g.usesAllocations(c) {
+		g.decideByAllocation(r)
+	} else if g.isRemote(c) && (g.consultsHome(c) || !g.underCeiling(c, q.Units)) && 2*q.Units <= maxWantedHalves {
+		g.queryHome(r)
 	} else {
-		g.admit(r, g.inside(c, q.Units))
+		g.admit(r, g.withinQuota(c, q.Units))
 	}
 }
 
 // admit sends a request on if its own bank holds its units, else if bank 0 lends them.
 func (g *Balancer) admit(r *request, inside bool) {
-	q, c, plan := &r.Request, r.c, &g.set.Plans[r.Plan]
-	defer g.unused(r)
+	q, c, plan := &r.Request, r.customer, &g.settings.Plans[r.Plan]
+	defer g.releaseUnused(r)
 	if !inside {
-		g.lend.refill(g.now)
-		if !plan.soft() || g.lend.level < q.Units || g.full(lendShare) {
-			g.refuse(q.ID, g.filledIn(r), g.whyEmpty(r))
+		g.sharedBucket.refill(g.now)
+		if !plan.mayExceedQuota() || g.sharedBucket.level < q.Units || g.saturated(sharedBucketCapacity) {
+			g.reject(q.ID, g.refillDelay(r), g.emptyReason(r))
 			return
 		}
 	}
-	if !r.paid && !g.under(c, q.Units) {
-		g.refuse(q.ID, until(c.ceiling.level, c.ceiling.rate, q.Units), ReasonCeiling)
+	if !r.homePaysCeiling && !g.underCeiling(c, q.Units) {
+		g.reject(q.ID, timeUntil(c.ceilingBucket.level, c.ceilingBucket.rate, q.Units), ReasonCeiling)
 		return
 	}
-	b := g.choose(r, nil)
+	b := g.pick(r, nil)
 	if b == nil {
-		g.refuse(q.ID, g.shortAim/2, ReasonNoBackend)
+		g.reject(q.ID, g.minObjective/2, ReasonNoBackend)
 		return
 	}
 	if inside {
-		g.take(c, q.Units)
-		if g.limited(c) {
-			g.rights.Consume(g.now, q.ID, g.budget(c), q.Units-r.lent-r.own)
-			r.lent, r.own = 0, 0
+		g.consume(c, q.Units)
+		if g.usesAllocations(c) {
+			g.allocations.Consume(g.now, q.ID, g.sharedQuota(c), q.Units-r.onDemandUnits-r.reservedUnits)
+			r.onDemandUnits, r.reservedUnits = 0, 0
 		}
 	} else {
-		g.lend.level -= q.Units
+		g.sharedBucket.level -= q.Units
 	}
-	if plan.CeilingRate > 0 && !r.paid {
-		c.ceiling.level -= q.Units
+	if plan.CeilingRate > 0 && !r.homePaysCeiling {
+		c.ceilingBucket.level -= q.Units
 	}
-	g.spend(c, q.Units)
-	g.again = math.Min(againMost, g.again+againShare)
+	g.recordSpend(c, q.Units)
+	g.retryBudget = math.Min(maxRetryBudget, g.retryBudget+retryBudgetRatio)
 	g.requests[q.ID] = r
-	g.send(r, b)
+	g.sendAttempt(r, b)
 }
 
-// filledIn is how long it takes until a customer's own bank holds the units: where its
+// refillDelay is how long it takes until a customer's own bank holds the units: where its
 // set shares one store, that fills for all of them at once.
-func (g *Balancer) filledIn(r *request) Time {
-	c, units := r.c, r.Units
-	if r.after > 0 {
-		return r.after
-	}
-	rate := g.set.Plans[c.plan].Rate
-	if g.limited(c) {
-		rate = g.rights.RefillRate(g.now, g.budget(c))
-	} else if !g.pooled || g.wide(c) {
-		rate *= g.part(c)
-	}
-	return until(g.level(c), rate, units)
+func (g *Balancer) refillDelay(r *request) Time {
+	c, units := r.customer, r.Units
+	if r.retryAfter > 0 {
+		return r.retryAfter
+	}
+	rate := g.settings.Plans[c.plan].Rate
+	if g.usesAllocations(c) {
+		rate = g.allocations.RefillRate(g.now, g.sharedQuota(c))
+	} else if !g.sharesUsage || g.hasHome(c) {
+		rate *= g.quotaFraction(c)
+	}
+	return timeUntil(g.available(c), rate, units)
 }
 
-// open is the part of the room open to a request: more for more worth for work.
-func (g *Balancer) open(q *Request, plan *Plan) float64 {
-	base := g.base[q.Class].v
+// capacityFraction is the part of the room open to a request: more for more worth for work.
+func (g *Balancer) capacityFraction(q *Request, plan *Plan) float64 {
+	base := g.classLatencies[q.Class].value
 	if base == 0 {
 		return 1
 	}
-	worth := g.set.Classes[q.Class].PriorityWeight * plan.Price * q.Units / base
-	g.worth.add(worth, learn)
-	return cheapShare + (1-cheapShare)*math.Min(worthMost, worth/math.Max(g.worth.v, 1e-12))
+	worth := g.settings.Classes[q.Class].PriorityWeight * plan.Price * q.Units / base
+	g.meanValue.add(worth, slowSampleWeight)
+	return commonCapacity + (1-commonCapacity)*math.Min(maxRelativeValue, worth/math.Max(g.meanValue.value, 1e-12))
 }
 
-func (g *Balancer) send(r *request, b *backend) {
-	a := &attempt{b: b, at: g.now, pending: true, mayRun: true}
+func (g *Balancer) sendAttempt(r *request, b *backend) {
+	a := &attempt{backend: b, sentAt: g.now, pending: true, mayHaveRun: true}
 	r.attempts = append(r.attempts, a)
-	g.due[r.Class] = append(g.due[r.Class], a)
-	if b.out == 0 {
-		b.quiet = g.awake
-	}
-	b.out++
-	b.sentAt = g.now
-	r.c.open++
-	if g.share(b) < 1 {
-		b.cold.level--
-	}
-	class, base := &g.set.Classes[r.Class], Time(g.base[r.Class].v)
-	until := g.now + max(Time(patience)*base, Time(leastWait*float64(class.LatencyObjective)))
-	if class.Idempotency == NotIdempotent || g.again < 1 || len(r.attempts) == g.set.MaxAttempts || g.full(lendShare) ||
-		base == 0 || until+base > r.attempts[0].at+class.LatencyObjective {
+	g.withinObjective[r.Class] = append(g.withinObjective[r.Class], a)
+	if b.inFlight == 0 {
+		b.unansweredSince = g.activeTime
+	}
+	b.inFlight++
+	b.lastSend = g.now
+	r.customer.inFlight++
+	if g.warmFraction(b) < 1 {
+		b.slowStart.level--
+	}
+	class, base := &g.settings.Classes[r.Class], Time(g.classLatencies[r.Class].value)
+	until := g.now + max(Time(hedgeAfterMeanLatencies)*base, Time(minHedgeObjectiveFraction*float64(class.LatencyObjective)))
+	if class.Idempotency == NotIdempotent || g.retryBudget < 1 || len(r.attempts) == g.settings.MaxAttempts || g.saturated(sharedBucketCapacity) ||
+		base == 0 || until+base > r.attempts[0].sentAt+class.LatencyObjective {
 		until = 0
 	}
-	g.do.Send(r.ID, b.Backend, until)
+	g.actions.Send(r.ID, b.Backend, until)
 }
 
 // Outcome takes in how an attempt ended, and gives the final answer or starts a
 // further attempt where one is owed.
 func (g *Balancer) Outcome(now Time, o Outcome) {
-	g.begin(now)
+	g.advanceClock(now)
 	r := g.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending {
 		return
 	}
-	a, class := r.attempts[o.Attempt], &g.set.Classes[r.Class]
+	a, class := r.attempts[o.Attempt], &g.settings.Classes[r.Class]
 	a.pending = false
-	a.mayRun = o.Result != Rejected && o.Result != ConnectFailed && o.Result != Superseded
-	g.settle(r, a, &o)
-	r.over = r.over || o.RequestDone
+	a.mayHaveRun = o.Result != Rejected && o.Result != ConnectFailed && o.Result != Superseded
+	g.settleAttempt(r, a, &o)
+	r.done = r.done || o.RequestDone
 	if r.pending() {
 		return
 	}
-	if r.over {
+	if r.done {
 		delete(g.requests, o.ID)
 		return
 	}
-	price := unrunPrice
-	if a.mayRun {
+	price := notExecutedRetryCost
+	if a.mayHaveRun {
 		price = 1
 	}
-	again, within, refuse := class.may(r.attempts, g.set.Hedging, now, 4*g.set.Tick)
-	if again && len(r.attempts) < g.set.MaxAttempts && g.again >= price && r.until-now > class.LatencyObjective/10 {
-		if next := g.choose(r, within); next != nil {
-			g.again -= price
-			g.send(r, next)
+	again, within, refuse := class.mayRetry(r.attempts, g.settings.Hedging, now, 4*g.settings.Tick)
+	if again && len(r.attempts) < g.settings.MaxAttempts && g.retryBudget >= price && r.deadline-now > class.LatencyObjective/10 {
+		if next := g.pick(r, within); next != nil {
+			g.retryBudget -= price
+			g.sendAttempt(r, next)
 			return
 		}
 	}
 	delete(g.requests, o.ID)
 	if refuse {
-		g.refuse(o.ID, g.shortAim/2, ReasonAttemptLimit)
+		g.reject(o.ID, g.minObjective/2, ReasonAttemptLimit)
 	} else {
-		g.do.Fail(o.ID)
+		g.actions.Fail(o.ID)
 	}
 }
 
@@ -1056,82 +1060,82 @@
 	if r == nil || attempt >= len(r.attempts) {
 		return false
 	}
-	again, _, _ := g.set.Classes[r.Class].may(r.attempts[:attempt], g.set.Hedging, now, 4*g.set.Tick)
+	again, _, _ := g.settings.Classes[r.Class].mayRetry(r.attempts[:attempt], g.settings.Hedging, now, 4*g.settings.Tick)
 	return again
 }
 
-// turnedAway has nothing more sent to a backend for a while after it turned an attempt away. It
+// backOffRejecting has nothing more sent to a backend for a while after it turned an attempt away. It
 // holds nothing then and would look idle, and each gateway would send all that it has to it. The
 // wait is drawn, and so long that many gateways together try it once in tryApart; it doubles while
 // the backend goes on turning attempts away. No gateway has to hear of another for that.
-func (g *Balancer) turnedAway(b *backend) {
-	if g.now < b.backOff {
+func (g *Balancer) backOffRejecting(b *backend) {
+	if g.now < b.backoffUntil {
 		return // sent before it was known
 	}
-	wait := float64(tryApart*Time(max(0, g.set.Gateways-fewTry))) * math.Exp2(float64(b.turned))
-	b.turned++
-	b.backOff = g.now + Time(math.Min(wait, float64(healTime))*(0.5+g.rand.Float64()/2))
+	wait := float64(trialSpacing*Time(max(0, g.settings.Gateways-maxConcurrentTrials))) * math.Exp2(float64(b.consecutiveRejections))
+	b.consecutiveRejections++
+	b.backoffUntil = g.now + Time(math.Min(wait, float64(maxProbeBackoff))*(0.5+g.rand.Float64()/2))
 }
 
-// settle books an attempt's end on its backend and its customer.
-func (g *Balancer) settle(r *request, a *attempt, o *Outcome) {
-	b := a.b
-	b.out--
-	if a.late {
+// settleAttempt books an attempt's end on its backend and its customer.
+func (g *Balancer) settleAttempt(r *request, a *attempt, o *Outcome) {
+	b := a.backend
+	b.inFlight--
+	if a.overdue {
 		b.overdue--
 	}
-	r.c.open--
-	late := o.Duration > g.set.Classes[r.Class].LatencyObjective
+	r.customer.inFlight--
+	late := o.Duration > g.settings.Classes[r.Class].LatencyObjective
 	// One turned away is no answer: counted as one in time it would open the gate to more of its kind.
-	if !a.blind && (o.Result == OK || o.Result == TimedOut && late) {
-		g.late.add(step(late), learnOne)
-		g.inTime.add(g.awake, second, step(!late))
+	if !a.spansSuspension && (o.Result == OK || o.Result == TimedOut && late) {
+		g.lateFraction.add(indicator(late), fastSampleWeight)
+		g.onTime.add(g.activeTime, second, indicator(!late))
 	}
 	if o.Result == OK || o.Result == Failed || o.Result == Rejected {
-		b.quiet = g.awake
+		b.unansweredSince = g.activeTime
 	}
-	if o.Result == OK && g.share(b) == 1 {
-		g.pace.add(g.now, paceTime, 1/float64(max(1, g.warm)))
+	if o.Result == OK && g.warmFraction(b) == 1 {
+		g.sendPace.add(g.now, sendPaceWindow, 1/float64(max(1, g.warmCount)))
 	}
-	g.loaded(b, o.Load)
-	g.judge(a, r.Class, o.Result, float64(o.Duration))
+	g.recordLoadReport(b, o.Load)
+	g.recordOutcome(a, r.Class, o.Result, float64(o.Duration))
 	// Trouble for one plan or class, met once in many seconds at any one backend: all are told, and
 	// prefer others till the word fades. It may hurt where one is avoided by all for too long.
 	if o.Result == Rejected {
-		g.turnedAway(b)
-		g.word(b, len(g.set.Classes)+r.Plan)
-	} else if o.Result == Failed || o.Result == TimedOut && !a.blind {
-		g.word(b, r.Class)
-	}
-	g.meter(r.c, o.MeteredUse)
-	if g.set.SettlesUnits && o.Result == OK && o.TrueUnits > 0 {
-		g.refill(r.c)
-		g.take(r.c, o.TrueUnits-r.Units)
-		if g.limited(r.c) {
-			g.rights.Consume(g.now, r.ID, g.budget(r.c), o.TrueUnits-r.Units)
+		g.backOffRejecting(b)
+		g.reportFault(b, len(g.settings.Classes)+r.Plan)
+	} else if o.Result == Failed || o.Result == TimedOut && !a.spansSuspension {
+		g.reportFault(b, r.Class)
+	}
+	g.applyMeterReading(r.customer, o.MeteredUse)
+	if g.settings.SettlesUnits && o.Result == OK && o.TrueUnits > 0 {
+		g.refill(r.customer)
+		g.consume(r.customer, o.TrueUnits-r.Units)
+		if g.usesAllocations(r.customer) {
+			g.allocations.Consume(g.now, r.ID, g.sharedQuota(r.customer), o.TrueUnits-r.Units)
 		}
 	}
 }
 
 // Timer takes in a timer that was set.
 func (g *Balancer) Timer(now Time, token uint32) {
-	g.begin(now)
-	if token != noteToken {
-		g.answered(nil, grant{})
+	g.advanceClock(now)
+	if token != gossipTimer {
+		g.decideAwaiting(nil, grantEntry{})
 		return
 	}
-	g.rouse()
-	if now-g.swept >= sweepTime {
-		g.sweep()
+	g.scheduleTimer()
+	if now-g.lastSweep >= sweepInterval {
+		g.sweepIdleCustomers()
 	}
-	g.talk()
+	g.gossip()
 	for _, b := range g.backends {
-		if g.set.Probes && b.down && b.listed && b.State == Ready && now >= b.trialAt {
-			b.trialAt = now + healTime
-			g.do.Probe(b.Backend)
+		if g.settings.Probes && b.unhealthy && b.listed && b.State == Ready && now >= b.nextProbe {
+			b.nextProbe = now + maxProbeBackoff
+			g.actions.Probe(b.Backend)
 		}
 	}
-	if g.set.PollEndpoints && !g.follows && now-g.asked >= g.set.PollInterval/4 {
-		g.follow()
+	if g.settings.PollEndpoints && !g.watching && now-g.lastWatch >= g.settings.PollInterval/4 {
+		g.watchEndpoints()
 	}
 }
--- a/internal/dataplane/policy/decide_test.go
+++ b/internal/dataplane/policy/decide_test.go
@@ -120,7 +120,7 @@
 		r.t.Fatalf("request %d is not held", id)
 	}
 	n := len(q.attempts) - 1
-	r.Outcome(r.at, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].b.Backend, Result: result,
+	r.Outcome(r.at, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].backend.Backend, Result: result,
 		Duration: second / 10, RequestDone: over})
 }
 
@@ -153,7 +153,7 @@
 		{5, 10 * second, 5, 20},
 		{-3, second, -1, 0},
 	} {
-		b := bank{level: c.level, rate: 2, cap: 5, at: start}
+		b := tokenBucket{level: c.level, rate: 2, capacity: 5, at: start}
 		near(t, "spill", b.refill(start+c.after), c.spill)
 		near(t, "level", b.level, c.want)
 	}
@@ -183,8 +183,8 @@
 	r.serve(0, 1, 1, 1)
 	r.at += 10 * second // the bank of customer 1 is full and spills
 	r.serve(0, 1, 1, 1)
-	if r.lend.level < 10 {
-		t.Fatalf("bank 0 holds %g after ten seconds of spill", r.lend.level)
+	if r.sharedBucket.level < 10 {
+		t.Fatalf("bank 0 holds %g after ten seconds of spill", r.sharedBucket.level)
 	}
 	sent := 0
 	for range 40 {
@@ -195,7 +195,7 @@
 	if sent <= 20 {
 		t.Errorf("a soft customer got %d units, want more than its burst of 20", sent)
 	}
-	r.lend.level = 10
+	r.sharedBucket.level = 10
 	sent = 0
 	for range 40 {
 		if r.serve(0, 0, 3, 1) {
@@ -221,12 +221,12 @@
 	r.Timer(r.at, 0)
 	r.at += 60 * second
 	r.Timer(r.at, 0)
-	if n := len(r.customers) + len(r.order); n != 0 {
+	if n := len(r.customers) + len(r.customerOrder); n != 0 {
 		t.Errorf("%d records are kept of idle customers", n)
 	}
 	// A customer that comes counts as one of those dropped, known or not.
-	if r.lend.rate <= 100 || r.lend.rate > 3000 {
-		t.Errorf("bank 0 is fed at %g a second by 3000 idle slices of 1", r.lend.rate)
+	if r.sharedBucket.rate <= 100 || r.sharedBucket.rate > 3000 {
+		t.Errorf("bank 0 is fed at %g a second by 3000 idle slices of 1", r.sharedBucket.rate)
 	}
 }
 
@@ -246,8 +246,8 @@
 	for _, line := range told {
 		var peer int
 		var note []byte
-		if n, _ := fmt.Sscanf(line, "tell %d %x", &peer, &note); n == 2 && peer == to.set.Self {
-			to.ReceivePeerMessage(to.at, from.set.Self, note)
+		if n, _ := fmt.Sscanf(line, "tell %d %x", &peer, &note); n == 2 && peer == to.settings.Self {
+			to.ReceivePeerMessage(to.at, from.settings.Self, note)
 		}
 	}
 }
@@ -279,23 +279,23 @@
 	for range 3 {
 		a.serve(0, 1, 9, 4)
 		c := a.customers[9]
-		notes = append(notes, (&entry{id: 9, plan: 1, spread: 2, taken: counted(c.taken), left: 0.5}).put(a.noteHead()))
+		notes = append(notes, (&usageEntry{id: 9, plan: 1, spread: 2, consumed: toWireUnits(c.consumed), remaining: 0.5}).appendTo(a.newPeerMessage()))
 	}
 	b.ReceivePeerMessage(b.at, 0, notes[0])
-	level := b.customers[9].store.level
+	level := b.customers[9].bucket.level
 	b.ReceivePeerMessage(b.at, 0, notes[2]) // the second is lost
-	near(t, "level after 8 more units", b.customers[9].store.level, level-8)
+	near(t, "level after 8 more units", b.customers[9].bucket.level, level-8)
 	b.ReceivePeerMessage(b.at, 0, notes[2])
 	b.ReceivePeerMessage(b.at, 0, notes[1])
-	near(t, "level after a repeat and a late note", b.customers[9].store.level, level-8)
+	near(t, "level after a repeat and a late note", b.customers[9].bucket.level, level-8)
 }
 
 func TestMalformedNotesArePassedOver(t *testing.T) {
 	_, b := pair(t)
-	good := (&entry{id: 9, plan: 0, spread: 2}).put(noteHead(1, 0, 0))
+	good := (&usageEntry{id: 9, plan: 0, spread: 2}).appendTo(messageHeader(1, 0, 0))
 	bad := slices.Clone(good)
 	bad[0]++
-	plan := (&entry{id: 9, plan: 200, spread: 2}).put(noteHead(1, 0, 0))
+	plan := (&usageEntry{id: 9, plan: 200, spread: 2}).appendTo(messageHeader(1, 0, 0))
 	for _, note := range [][]byte{nil, {1}, good[:len(good)-1], append(slices.Clone(good), 0), bad, plan} {
 		b.ReceivePeerMessage(b.at, 0, note)
 	}
@@ -316,12 +316,12 @@
 		b.serve(0, 1, 9, 1)
 	}
 	tellAll(b, a)
-	if part := a.part(a.customers[9]); part < 0.7 || part > 0.8 {
+	if part := a.quotaFraction(a.customers[9]); part < 0.7 || part > 0.8 {
 		t.Errorf("part %g, want about three quarters", part)
 	}
 	a.at += 30 * second
 	a.serve(0, 1, 9, 1)
-	if part := a.part(a.customers[9]); part < 0.99 {
+	if part := a.quotaFraction(a.customers[9]); part < 0.99 {
 		t.Errorf("part %g with the peer long silent, want all", part)
 	}
 }
@@ -333,13 +333,13 @@
 	}
 	tellAll(a, b)
 	tellAll(a, b)
-	again, err := New(a.set, 8, &fake{})
+	again, err := New(a.settings, 8, &fake{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Balancer: again, fake: again.do.(*fake), t: t, at: b.at}
+	r := &rig{Balancer: again, fake: again.actions.(*fake), t: t, at: b.at}
 	r.UpdateEndpoints(r.at, CompleteCached, members(4))
-	b.ReceivePeerMessage(b.at, 0, again.noteHead()) // its greeting
+	b.ReceivePeerMessage(b.at, 0, again.newPeerMessage()) // its greeting
 	tellAll(b, r)
 	if r.serve(0, 0, 9, 2) {
 		t.Error("the restarted gateway gave the spent burst out again")
@@ -356,13 +356,13 @@
 		t.Fatal("use was not counted")
 	}
 	r.ReceiveCounterTotal(r.at, 9, OK, 2)
-	near(t, "level", r.customers[9].store.level, 6)
+	near(t, "level", r.customers[9].bucket.level, 6)
 	r.serve(0, 0, 9, 2)
 	r.Timer(r.at, 0)
 	r.ReceiveCounterTotal(r.at, 9, OK, 7)
-	near(t, "level after 3 units by others", r.customers[9].store.level, 1)
+	near(t, "level after 3 units by others", r.customers[9].bucket.level, 1)
 	r.ReceiveCounterTotal(r.at, 9, OK, 100) // no call is out
-	near(t, "level after a stray answer", r.customers[9].store.level, 1)
+	near(t, "level after a stray answer", r.customers[9].bucket.level, 1)
 }
 
 func TestMeterSetsTheSlice(t *testing.T) {
@@ -370,10 +370,10 @@
 	set.Peers, set.MeterPeriod = false, second
 	r := newRig(t, set)
 	id, _ := r.ask(0, 1, 9, 5)
-	near(t, "slice before a reading", r.part(r.customers[9]), 0.5)
-	b := r.requests[id].attempts[0].b.Backend
+	near(t, "slice before a reading", r.quotaFraction(r.customers[9]), 0.5)
+	b := r.requests[id].attempts[0].backend.Backend
 	r.Outcome(r.at, Outcome{ID: id, Backend: b, Result: OK, Duration: 1, RequestDone: true, MeteredUse: 201})
-	near(t, "slice with a quarter of the use", r.part(r.customers[9]), 0.25)
+	near(t, "slice with a quarter of the use", r.quotaFraction(r.customers[9]), 0.25)
 }
 
 func TestSettledUnitsAndOpenLimit(t *testing.T) {
@@ -382,8 +382,8 @@
 	set.Plans[0].OpenLimit = 2
 	r := newRig(t, set)
 	id, _ := r.ask(0, 0, 9, 2)
-	r.Outcome(r.at, Outcome{ID: id, Backend: r.requests[id].attempts[0].b.Backend, Result: OK, Duration: 1, RequestDone: true, TrueUnits: 5})
-	near(t, "store after 5 true units", r.customers[9].store.level, 8.0/1-5)
+	r.Outcome(r.at, Outcome{ID: id, Backend: r.requests[id].attempts[0].backend.Backend, Result: OK, Duration: 1, RequestDone: true, TrueUnits: 5})
+	near(t, "store after 5 true units", r.customers[9].bucket.level, 8.0/1-5)
 	r.ask(0, 0, 8, 1)
 	r.ask(0, 0, 8, 1)
 	if _, sent := r.ask(0, 0, 8, 1); sent {
@@ -394,7 +394,7 @@
 func TestCeilingHoldsThroughRestartsWithPeersSilent(t *testing.T) {
 	set := settings()
 	plan := set.Plans[2]
-	truth := bank{plan.CeilingBurst, plan.CeilingRate, plan.CeilingBurst, start}
+	truth := tokenBucket{plan.CeilingBurst, plan.CeilingRate, plan.CeilingBurst, start}
 	born := func(self int, at Time) *rig {
 		set.Self = self
 		g, err := New(set, uint64(at), &fake{})
@@ -402,7 +402,7 @@
 			t.Fatal(err)
 		}
 		g.UpdateEndpoints(at, CompleteCached, members(4))
-		return &rig{Balancer: g, fake: g.do.(*fake), t: t}
+		return &rig{Balancer: g, fake: g.actions.(*fake), t: t}
 	}
 	gateways := []*rig{born(0, start), born(1, start)}
 	sent, lowest := 0.0, 0.0
@@ -412,7 +412,7 @@
 			gateways[i/250%2] = born(i/250%2, at)
 		}
 		for _, r := range gateways {
-			r.at, r.lend.level = at, 100 // whatever bank 0 would give
+			r.at, r.sharedBucket.level = at, 100 // whatever bank 0 would give
 			if r.serve(0, 2, 9, 1) {
 				sent++
 				truth.refill(at)
@@ -431,8 +431,8 @@
 
 func TestMay(t *testing.T) {
 	x, y := &backend{Endpoint: Endpoint{Cell: 1}}, &backend{Endpoint: Endpoint{Cell: 2}}
-	ran, unran := &attempt{b: x, at: start, mayRun: true}, &attempt{b: y, at: start}
-	out := &attempt{b: x, at: start, mayRun: true, pending: true}
+	ran, unran := &attempt{backend: x, sentAt: start, mayHaveRun: true}, &attempt{backend: y, sentAt: start}
+	out := &attempt{backend: x, sentAt: start, mayHaveRun: true, pending: true}
 	safe, unsafe := &Class{Idempotency: Idempotent}, &Class{Idempotency: NotIdempotent}
 	cell, all := &Class{Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second}, &Class{Idempotency: WithIdempotencyKey, DeduplicationWindow: second}
 	for _, c := range []struct {
@@ -455,7 +455,7 @@
 		{"keyed everywhere", all, []*attempt{ran}, false, 0, true, true, ran},
 		{"keyed never ran", cell, []*attempt{unran}, false, 9 * second, true, true, nil},
 	} {
-		again, within, refuse := c.class.may(c.tries, c.copies, start+c.at, 1000)
+		again, within, refuse := c.class.mayRetry(c.tries, c.copies, start+c.at, 1000)
 		if again != c.again || within != c.within || refuse != c.refuse {
 			t.Errorf("%s: again %v within %v refuse %v", c.name, again, within, refuse)
 		}
@@ -477,7 +477,7 @@
 	} {
 		r := newRig(t, settings())
 		id, _ := r.ask(c.class, 1, 9, 1)
-		first := r.requests[id].attempts[0].b
+		first := r.requests[id].attempts[0].backend
 		r.end(id, c.result, false)
 		if got := r.last(); !strings.HasPrefix(got, fmt.Sprintf("%s %d", c.want, id)) {
 			t.Errorf("%s: %q", c.name, got)
@@ -486,7 +486,7 @@
 		if c.want != "send" {
 			continue
 		}
-		if second := r.requests[id].attempts[1].b; second == first || c.class == 2 && second.Cell != first.Cell {
+		if second := r.requests[id].attempts[1].backend; second == first || c.class == 2 && second.Cell != first.Cell {
 			t.Errorf("%s: to backend %d of cell %d", c.name, second.Backend, second.Cell)
 		}
 		for r.requests[id] != nil {
@@ -532,7 +532,7 @@
 		r := newRig(t, settings())
 		r.UpdateEndpoints(r.at, news.news, news.list)
 		for i := range uint64(30) {
-			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].b.Backend < 3 {
+			if id, sent := r.ask(0, 1, i, 1); sent && r.requests[id].attempts[0].backend.Backend < 3 {
 				t.Fatal("sent to a backend that drains or is gone")
 			}
 		}
@@ -550,10 +550,10 @@
 		for i := range seconds * 100 {
 			r.at += second / 100
 			if id, sent := r.ask(0, 1, uint64(i), 1); sent {
-				got[r.requests[id].attempts[0].b.Backend]++
+				got[r.requests[id].attempts[0].backend.Backend]++
 				out = append(out, id)
 			}
-			for len(out) > 0 && r.at-r.requests[out[0]].attempts[0].at >= second/10 {
+			for len(out) > 0 && r.at-r.requests[out[0]].attempts[0].sentAt >= second/10 {
 				r.end(out[0], OK, true)
 				out = out[1:]
 			}
@@ -582,7 +582,7 @@
 func TestABrokenBackendIsTriedByProbeAndComesBackCold(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[id].attempts[0].b
+	b := r.requests[id].attempts[0].backend
 	r.end(id, ConnectFailed, false)
 	r.at += second
 	r.Timer(r.at, 0)
@@ -590,7 +590,7 @@
 		t.Fatal("the broken backend was not probed")
 	}
 	r.ReceiveProbeResult(r.at, b.Backend, OK, nil)
-	if r.sick(b) || r.share(b) == 1 {
+	if r.ejected(b) || r.warmFraction(b) == 1 {
 		t.Error("a backend whose connections broke must come back, and for cold")
 	}
 }
@@ -600,24 +600,24 @@
 func TestOneResetLeavesTheBackendIn(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[id].attempts[0].b
+	b := r.requests[id].attempts[0].backend
 	r.end(id, Reset, true)
-	if b.down || r.sick(b) {
+	if b.unhealthy || r.ejected(b) {
 		t.Error("left out after a single reset")
 	}
 	r.at += 10 * second
 	r.Timer(r.at, 0)
-	if r.broke(b, Reset) || b.down {
+	if r.recordConnectionFault(b, Reset) || b.unhealthy {
 		t.Error("left out for two resets long apart")
 	}
 	for range 3 {
-		r.broke(b, Reset)
+		r.recordConnectionFault(b, Reset)
 	}
-	if !b.down {
+	if !b.unhealthy {
 		t.Fatal("kept after many resets at once")
 	}
 	r.ReceiveProbeResult(r.at, b.Backend, OK, nil)
-	if b.down || r.share(b) < 1 {
+	if b.unhealthy || r.warmFraction(b) < 1 {
 		t.Error("one whose connections were only reset came back for cold")
 	}
 }
@@ -626,20 +626,20 @@
 func TestASilentBackendIsLeftOut(t *testing.T) {
 	r := newRig(t, settings())
 	stuck, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[stuck].attempts[0].b
+	b := r.requests[stuck].attempts[0].backend
 	for i := range 150 {
 		r.at += second / 100
 		r.Timer(r.at, 0)
-		if id, sent := r.ask(0, 1, uint64(i), 1); sent && r.requests[id].attempts[0].b != b {
+		if id, sent := r.ask(0, 1, uint64(i), 1); sent && r.requests[id].attempts[0].backend != b {
 			r.end(id, OK, true)
 		}
 	}
-	if !b.down || !r.sick(b) {
+	if !b.unhealthy || !r.ejected(b) {
 		t.Error("a backend that answers nothing for several aims is still used")
 	}
 	r.at += second
 	r.ReceiveProbeResult(r.at, b.Backend, OK, nil)
-	if r.sick(b) || r.share(b) != 1 {
+	if r.ejected(b) || r.warmFraction(b) != 1 {
 		t.Error("a backend that was only silent must come back warm")
 	}
 }
@@ -659,7 +659,7 @@
 	}
 	r.at += 2 * second
 	for _, b := range r.backends {
-		b.quiet = r.at // each has answered others
+		b.unansweredSince = r.at // each has answered others
 	}
 	if _, sent := r.ask(1, 1, 200, 1); !sent {
 		t.Error("attempts past their aim still fill the room")
@@ -686,7 +686,7 @@
 			if !sent {
 				t.Fatalf("%s: request %d was not sent: %s", name, id, r.last())
 			}
-			got[r.requests[id].attempts[0].b.Backend]++
+			got[r.requests[id].attempts[0].backend.Backend]++
 			r.end(id, OK, true)
 		}
 		for i, m := range list {
@@ -703,7 +703,7 @@
 		r.at += second / 100
 		id, sent := r.ask(0, 1, uint64(i), 1)
 		for sent && r.requests[id] != nil {
-			if q := r.requests[id]; q.attempts[len(q.attempts)-1].b.Backend == 2 {
+			if q := r.requests[id]; q.attempts[len(q.attempts)-1].backend.Backend == 2 {
 				r.end(id, Failed, false)
 			} else {
 				r.end(id, OK, true)
@@ -713,12 +713,12 @@
 	if n := r.fake.count("send") - 200; n > 20 {
 		t.Errorf("%d of 200 requests met the backend that fails all", n)
 	}
-	b := r.byID[2]
+	b := r.backendByID[2]
 	for range 5 {
-		r.judge(&attempt{b: b}, 0, Failed, 1)
+		r.recordOutcome(&attempt{backend: b}, 0, Failed, 1)
 	}
-	if b.errs < sickShare || r.fake.count("log backend 2 out: errors") == 0 {
-		t.Errorf("errors %g", b.errs)
+	if b.errorRate < ejectionErrorRate || r.fake.count("log backend 2 out: errors") == 0 {
+		t.Errorf("errors %g", b.errorRate)
 	}
 }
 
@@ -782,7 +782,7 @@
 	set.Gateways = 12
 	set.Plans[1].Rate, set.Plans[1].Burst, set.Plans[1].BeyondEarns = 20, 40, 0
 	probe := newRig(t, set)
-	first := func(id uint64) int { return 12 - probe.home(&customer{id: id, spread: 12}) }
+	first := func(id uint64) int { return 12 - probe.homeOf(&customer{id: id, spread: 12}) }
 	home = newRig(t, set)
 	set.Self = 5
 	member = newRig(t, set)
@@ -850,12 +850,12 @@
 	if member.fake.count("send") != 0 || member.fake.count("tell 0 ") != 1 || member.fake.count("timer") != 1 {
 		t.Fatalf("%v, want an ask to the home and a timer", member.done)
 	}
-	member.Timer(member.at+second/10, askToken)
+	member.Timer(member.at+second/10, decisionTimer)
 	if member.fake.count("send 1 ") != 1 {
 		t.Errorf("%v, want it sent", member.done)
 	}
 	before := len(member.done)
-	member.ReceivePeerMessage(member.at+second/5, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
+	member.ReceivePeerMessage(member.at+second/5, 0, grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}.appendTo(messageHeader(1, 0, 0)))
 	if len(member.done) != before {
 		t.Errorf("a late answer acted: %v", member.done[before:])
 	}
@@ -867,9 +867,9 @@
 	member.Request(member.at, Request{ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: member.firsts[9], Spread: 12})
 	member.ClientGone(member.at, 1)
 	member.done = nil
-	member.ReceivePeerMessage(member.at, 0, grant{id: 9, part: 1, ask: 1, yes: true}.put(noteHead(1, 0, 0)))
-	if len(member.done) != 0 || len(member.waiting) != 0 {
-		t.Errorf("acted for a client that left: %v, %d waiting", member.done, len(member.waiting))
+	member.ReceivePeerMessage(member.at, 0, grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}.appendTo(messageHeader(1, 0, 0)))
+	if len(member.done) != 0 || len(member.awaitingUnits) != 0 {
+		t.Errorf("acted for a client that left: %v, %d waiting", member.done, len(member.awaitingUnits))
 	}
 }
 
@@ -877,14 +877,14 @@
 func TestStandingStillIsNoFaultOfTheBackends(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(0, 1, 9, 1)
-	b := r.requests[id].attempts[0].b
+	b := r.requests[id].attempts[0].backend
 	r.Timer(r.at, 0)
 	r.at += 3 * second
-	if _, sent := r.ask(0, 1, 8, 1); !sent || b.down {
+	if _, sent := r.ask(0, 1, 8, 1); !sent || b.unhealthy {
 		t.Error("what was out while the gateway stood still counts as unanswered")
 	}
 	r.Outcome(r.at, Outcome{ID: id, Backend: b.Backend, Result: OK, Duration: 3 * second, RequestDone: true})
-	if b.slow != 0 || r.mean.v != 0 {
+	if b.latencyRatio != 0 || r.meanLatency.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's")
 	}
 }
@@ -916,12 +916,12 @@
 func TestPatienceEndsWhileThereIsTimeForAnother(t *testing.T) {
 	r := newRig(t, settings())
 	for _, class := range []int{0, 1} {
-		r.base[class].add(float64(second/50), learn)
+		r.classLatencies[class].add(float64(second/50), slowSampleWeight)
 	}
 	for _, c := range []struct {
 		class int
 		until Time
-	}{{0, patience * second / 50}, {1, 0}} { // a safe class and an unsafe one
+	}{{0, hedgeAfterMeanLatencies * second / 50}, {1, 0}} { // a safe class and an unsafe one
 		r.waits = nil
 		if _, sent := r.ask(c.class, 1, 9, 1); !sent {
 			t.Fatal("not sent")
@@ -941,13 +941,13 @@
 		r.ask(0, 1, uint64(i), 1)
 	}
 	for _, b := range r.backends {
-		b.overdue = b.out
+		b.overdue = b.inFlight
 	}
-	near(t, "held with others in time", r.held(), 0)
+	near(t, "held with others in time", r.effectiveInFlight(), 0)
 	for range 200 {
-		r.late.add(1, learnOne)
+		r.lateFraction.add(1, fastSampleWeight)
 	}
-	near(t, "held with all others late", r.held(), 4)
+	near(t, "held with all others late", r.effectiveInFlight(), 4)
 }
 
 // Guards against trouble for one class or plan that each gateway meets too seldom to
@@ -963,13 +963,13 @@
 	} {
 		a, b := pair(t)
 		id, _ := a.ask(c.class, c.plan, 9, 1)
-		bad := a.requests[id].attempts[0].b.Backend
+		bad := a.requests[id].attempts[0].backend.Backend
 		a.end(id, c.how, true)
 		tellAll(a, b)
 		used := func(class, plan int) bool {
 			for i := range 40 {
 				id, sent := b.ask(class, plan, uint64(100+i), 1)
-				if sent && b.requests[id].attempts[0].b.Backend == bad {
+				if sent && b.requests[id].attempts[0].backend.Backend == bad {
 					return true
 				}
 				if sent {
@@ -996,7 +996,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Balancer: g, fake: g.do.(*fake), t: t, at: start}
+		r := &rig{Balancer: g, fake: g.actions.(*fake), t: t, at: start}
 		list := members(4)
 		list[3].StartedAt = start
 		g.UpdateEndpoints(start, Complete, list)
@@ -1004,7 +1004,7 @@
 			r.at += second / 2
 			r.Timer(r.at, 0)
 			id, ok := r.ask(0, 1, uint64(i), 1)
-			if ok && r.requests[id].attempts[0].b.Backend == 4 {
+			if ok && r.requests[id].attempts[0].backend.Backend == 4 {
 				sent++
 			}
 			if ok {
@@ -1024,7 +1024,7 @@
 		r := newRig(t, settings())
 		r.Timer(r.at, 0)
 		for range 200 {
-			r.late.add(late, learnOne)
+			r.lateFraction.add(late, fastSampleWeight)
 		}
 		n := 0
 		for n < 100 {
@@ -1048,8 +1048,8 @@
 		for _, spread := range []int{-1, 0, 3, 9, 12, 100} {
 			r := newRig(t, set)
 			r.Request(r.at, Request{ID: 1, Customer: 9, Units: 1, Timeout: second, First: first, Spread: spread})
-			r.Timer(r.at+second, askToken)
-			r.Timer(r.at+second, noteToken)
+			r.Timer(r.at+second, decisionTimer)
+			r.Timer(r.at+second, gossipTimer)
 			if r.fake.count("send 1 ") != 1 {
 				t.Errorf("first %d, spread %d: %v", first, spread, r.done)
 			}
@@ -1065,15 +1065,15 @@
 		r.Timer(r.at, 0)
 		r.at += second / 50
 	}
-	r.ReceivePeerMessage(r.at, 1, noteHead(1, 6, 40))
-	held, inTime, n := r.view()
+	r.ReceivePeerMessage(r.at, 1, messageHeader(1, 6, 40))
+	held, inTime, n := r.loadView()
 	near(t, "held", held, 6)
 	near(t, "in time", inTime, 40)
 	near(t, "gateways", n, 2)
 	for range 800 {
-		r.inTime.add(r.awake, second, 1)
+		r.onTime.add(r.activeTime, second, 1)
 	}
-	if held, _, n = r.view(); held > 0.1 || n > 1.02 {
+	if held, _, n = r.loadView(); held > 0.1 || n > 1.02 {
 		t.Errorf("with many answers of its own: held %g of others, %g gateways", held, n)
 	}
 }
@@ -1100,7 +1100,7 @@
 				case len(r.attempts) == 0:
 					waits++
 				default:
-					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].b.Backend, Duration: 1000, RequestDone: true})
+					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].backend.Backend, Duration: 1000, RequestDone: true})
 				}
 			}
 			b.ReportMetric(float64(waits)/float64(b.N), "waiting/op") // such a request was not dealt to a server at once
@@ -1133,9 +1133,9 @@
 // sent again before a part of its aim has passed.
 func TestPatienceHasALeast(t *testing.T) {
 	r := newRig(t, settings())
-	r.base[0].add(100, learn)
+	r.classLatencies[0].add(100, slowSampleWeight)
 	r.ask(0, 1, 9, 1)
-	if got, want := r.waits[0]-r.at, Time(leastWait*float64(r.set.Classes[0].LatencyObjective)); got != want {
+	if got, want := r.waits[0]-r.at, Time(minHedgeObjectiveFraction*float64(r.settings.Classes[0].LatencyObjective)); got != want {
 		t.Errorf("given up after %d, want %d", got, want)
 	}
 }
@@ -1151,7 +1151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{Balancer: g, fake: g.do.(*fake), t: t, at: start}
+		r := &rig{Balancer: g, fake: g.actions.(*fake), t: t, at: start}
 		g.UpdateEndpoints(start, Complete, members(24))
 		for i := range 60 {
 			r.at += second
@@ -1164,7 +1164,7 @@
 			}
 			for _, id := range []uint64{one, two} {
 				if (id == one && ok) || (id == two && both) {
-					used[r.requests[id].attempts[0].b.Backend] = true
+					used[r.requests[id].attempts[0].backend.Backend] = true
 					r.end(id, OK, true)
 				}
 			}
--- a/internal/dataplane/policy/quota_test.go
+++ b/internal/dataplane/policy/quota_test.go
@@ -44,7 +44,7 @@
 			r.Timer(r.at, 0)
 		}
 	}
-	most := int(urgentMail*set.MaxPeerMessagesPerSecond*seconds+urgentMost) + 10*seconds
+	most := int(urgentMessageFraction*set.MaxPeerMessagesPerSecond*seconds+urgentBurst) + 10*seconds
 	if n := r.fake.count("tell"); n == 0 || n > most {
 		t.Errorf("%d notes in %d s, at most %d wanted", n, seconds, most)
 	}
@@ -54,7 +54,7 @@
 // store: that stays what it is for the others.
 func TestAStartHalvesNobodysBurst(t *testing.T) {
 	a := newRig(t, settings())
-	a.Balancer.born, a.Balancer.lived = a.at, a.at // it starts now
+	a.Balancer.startedAt, a.Balancer.stateSince = a.at, a.at // it starts now
 	if id, sent := a.ask(0, 0, 9, 4); !sent {
 		t.Fatalf("request %d within an even slice was not sent", id)
 	}
@@ -85,18 +85,18 @@
 	a.done = nil
 	tellAll(a, b)
 	tellAll(a, b)
-	if b.lead == 0 {
+	if b.learnedDelay == 0 {
 		t.Fatal("nothing learnt though both took the same units")
 	}
-	before := b.lead
+	before := b.learnedDelay
 	for range 5 {
 		a.at += 2 * second
 		b.at = a.at
 		a.serve(0, 0, 9, 2)
 		tellAll(a, b)
 	}
-	if b.lead >= before {
-		t.Errorf("lead %d, %d before notes were in time", b.lead, before)
+	if b.learnedDelay >= before {
+		t.Errorf("lead %d, %d before notes were in time", b.learnedDelay, before)
 	}
 }
 
@@ -108,33 +108,33 @@
 	set.Plans[2] = Plan{Rate: 40, Burst: 80, CeilingRate: 80, CeilingBurst: 160, CeilingSlack: 4, Price: 1}
 	const customer, spread = 9, 12
 	home := newRig(t, set)
-	homeAt := home.home(home.customer(customer, 2, 0, spread))
+	homeAt := home.homeOf(home.findOrAddCustomer(customer, 2, 0, spread))
 	set.Self = homeAt
 	home = newRig(t, set)
 	set.Self = (homeAt + 1) % 12
 	member := newRig(t, set)
 	home.at, member.at = start+20*second, start+20*second
-	home.Timer(home.at, noteToken)
-	member.Timer(member.at, noteToken)
-	home.customer(customer, 2, 0, spread)
+	home.Timer(home.at, gossipTimer)
+	member.Timer(member.at, gossipTimer)
+	home.findOrAddCustomer(customer, 2, 0, spread)
 	ask := func(id uint64) {
 		member.Request(member.at, Request{ID: id, Class: 2, Plan: 2, Customer: customer, Units: 4, Timeout: 2 * second, Spread: spread})
 	}
-	member.customer(customer, 2, 0, spread).ceiling.level = 1 // its own part is spent
-	before := home.customers[customer].ceiling.level
+	member.findOrAddCustomer(customer, 2, 0, spread).ceilingBucket.level = 1 // its own part is spent
+	before := home.customers[customer].ceilingBucket.level
 	member.done = nil
 	ask(1)
 	if member.fake.count("send") > 0 || member.fake.count("refuse") > 0 {
 		t.Fatalf("decided without its home: %v", member.done)
 	}
 	carry(member, home)
-	near(t, "the home's part", home.customers[customer].ceiling.level, before-4)
+	near(t, "the home's part", home.customers[customer].ceilingBucket.level, before-4)
 	answers := append([]string(nil), home.done...)
 	carry(home, member)
 	if member.fake.count("send 1 ") != 1 {
 		t.Fatalf("not sent on the home's word: %v", member.done)
 	}
-	near(t, "the member's own part", member.customers[customer].ceiling.level, 1)
+	near(t, "the member's own part", member.customers[customer].ceilingBucket.level, 1)
 	home.done = answers // the same once more
 	carry(home, member)
 	if n := member.fake.count("send"); n != 1 {
@@ -143,7 +143,7 @@
 	// A home that does not answer: decided by the own part, which is spent.
 	ask(2)
 	member.at += second
-	member.Timer(member.at, askToken)
+	member.Timer(member.at, decisionTimer)
 	if member.fake.count("refuse 2") != 1 {
 		t.Errorf("not refused with its home silent: %v", member.done)
 	}
@@ -189,7 +189,7 @@
 	const plan, customer = 2, 77
 	p := &set.Plans[plan]
 	loss, twice, late := 0.4*r.Float64(), 0.3*r.Float64(), Time(r.Float64()*float64(second))
-	truth := bank{p.CeilingBurst, p.CeilingRate, p.CeilingBurst, start}
+	truth := tokenBucket{p.CeilingBurst, p.CeilingRate, p.CeilingBurst, start}
 	id := uint64(0)
 	now := start
 	tick := func(asks bool) {
@@ -204,10 +204,10 @@
 		}
 		post = kept
 		for i, g := range rigs {
-			if g.timerAt <= now {
-				g.Timer(now, noteToken)
+			if g.nextTimer <= now {
+				g.Timer(now, gossipTimer)
 			}
-			g.Timer(now, askToken)
+			g.Timer(now, decisionTimer)
 			if asks && i < spread && r.Float64() < 0.03 {
 				id++
 				g.at = now
@@ -220,7 +220,7 @@
 				var note []byte
 				var request, backend uint64
 				if n, _ := fmt.Sscanf(line, "tell %d %x", &to, &note); n == 2 {
-					for range 1 + int(step(r.Float64() < twice)) {
+					for range 1 + int(indicator(r.Float64() < twice)) {
 						if r.Float64() >= loss {
 							post = append(post, mail{now + 2000 + r.Int64N(late+1), i, to, note})
 						}
@@ -249,7 +249,7 @@
 		tick(false)
 	}
 	for i, g := range rigs[:spread] {
-		if whole, _, known := g.RemainingQuota(customer); known && whole < p.Burst-1e-6 && !g.member(g.customers[customer]) {
+		if whole, _, known := g.RemainingQuota(customer); known && whole < p.Burst-1e-6 && !g.isRemote(g.customers[customer]) {
 			t.Errorf("seed %d, spread %d: gateway %d holds %g of %g though all has been quiet", seed, spread, i, whole, p.Burst)
 		}
 	}
--- a/internal/dataplane/policy/replan_test.go
+++ b/internal/dataplane/policy/replan_test.go
@@ -27,7 +27,7 @@
 	if served != 8 {
 		t.Fatalf("%d units of a burst of 8", served)
 	}
-	plans := slices.Clone(r.set.Plans)
+	plans := slices.Clone(r.settings.Plans)
 	for _, burst := range []float64{2, 8, 20, 1, 8} {
 		plans = slices.Clone(plans)
 		plans[0].Burst = burst
@@ -54,7 +54,7 @@
 func TestReplanGivesACustomerAnotherPlan(t *testing.T) {
 	r := alone(t)
 	r.serve(0, 0, 7, 1)
-	if err := r.UpdatePlans(r.at, r.set.Plans, func(uint64) int { return 1 }); err != nil {
+	if err := r.UpdatePlans(r.at, r.settings.Plans, func(uint64) int { return 1 }); err != nil {
 		t.Fatal(err)
 	}
 	served := 1
@@ -68,12 +68,12 @@
 
 func TestReplanRefusesWhatCannotBeServed(t *testing.T) {
 	r := alone(t)
-	if err := r.UpdatePlans(r.at, r.set.Plans[:1], asTheyAre); err == nil {
+	if err := r.UpdatePlans(r.at, r.settings.Plans[:1], asTheyAre); err == nil {
 		t.Error("fewer plans")
 	}
-	bad := slices.Clone(r.set.Plans)
+	bad := slices.Clone(r.settings.Plans)
 	bad[0].Burst = 0
-	if err := r.UpdatePlans(r.at, bad, asTheyAre); err == nil || r.set.Plans[0].Burst == 0 {
+	if err := r.UpdatePlans(r.at, bad, asTheyAre); err == nil || r.settings.Plans[0].Burst == 0 {
 		t.Errorf("a rate without a burst: %v", err)
 	}
 }
@@ -97,7 +97,7 @@
 		first := true
 		for id := range uint64(60) {
 			if rapid.IntRange(0, 3).Draw(t, "replan") == 0 {
-				next := slices.Clone(g.set.Plans)
+				next := slices.Clone(g.settings.Plans)
 				k := rapid.Float64Range(0.1, 3).Draw(t, "factor")
 				was := slices.Clone(next)
 				next[0].Rate, next[0].Burst = 4*k, 8*k
@@ -110,14 +110,14 @@
 			}
 			dt := rapid.Int64Range(0, second).Draw(t, "pass")
 			at += dt
-			level = math.Min(g.set.Plans[0].Burst, level+g.set.Plans[0].Rate*float64(dt)/float64(second))
-			ceiling = math.Min(g.set.Plans[1].CeilingBurst, ceiling+g.set.Plans[1].CeilingRate*float64(dt)/float64(second))
+			level = math.Min(g.settings.Plans[0].Burst, level+g.settings.Plans[0].Rate*float64(dt)/float64(second))
+			ceiling = math.Min(g.settings.Plans[1].CeilingBurst, ceiling+g.settings.Plans[1].CeilingRate*float64(dt)/float64(second))
 			plan := rapid.IntRange(0, 1).Draw(t, "plan")
 			units := float64(rapid.IntRange(1, 4).Draw(t, "units"))
 			before := f.count("send")
 			g.Request(at, Request{ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units, Timeout: second, Spread: 1})
 			if plan == 1 && first { // its ceiling counts from the gateway's start
-				ceiling, first = math.Min(g.set.Plans[1].CeilingBurst, math.Max(ceiling, g.set.Plans[1].CeilingBurst)), false
+				ceiling, first = math.Min(g.settings.Plans[1].CeilingBurst, math.Max(ceiling, g.settings.Plans[1].CeilingBurst)), false
 			}
 			if f.count("send") == before {
 				continue
@@ -138,7 +138,7 @@
 func TestAStateSavedUnderOtherTerms(t *testing.T) {
 	r := alone(t)
 	r.serve(0, 0, 7, 1)
-	plans := slices.Clone(r.set.Plans)
+	plans := slices.Clone(r.settings.Plans)
 	plans[0].Burst, plans[2].CeilingBurst = 100, 200
 	if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/policy/rights.go
+++ b/internal/dataplane/policy/rights.go
@@ -31,69 +31,71 @@
 // UseAllocations has customers' quotas be what was given, in place of what notes tell. It is to be called
 // before the first event.
 func (g *Balancer) UseAllocations(r Allocations) {
-	g.rights, g.pooled = r, false
+	g.allocations, g.sharesUsage = r, false
 }
 
-// budget is a customer's quota.
-func (g *Balancer) budget(c *customer) *SharedQuota {
-	p := &g.set.Plans[c.plan]
+// sharedQuota is a customer's quota.
+func (g *Balancer) sharedQuota(c *customer) *SharedQuota {
+	p := &g.settings.Plans[c.plan]
 	return &SharedQuota{ID: c.id, Rate: p.Rate, Burst: p.Burst, Spread: c.spread}
 }
 
-// limited tells whether a customer's quota is a right.
-func (g *Balancer) limited(c *customer) bool { return g.rights != nil && g.set.Plans[c.plan].Rate > 0 }
+// usesAllocations tells whether a customer's quota is a right.
+func (g *Balancer) usesAllocations(c *customer) bool {
+	return g.allocations != nil && g.settings.Plans[c.plan].Rate > 0
+}
 
-// byRight decides on a request whose quota is a right. What its own part lacks it borrows, and the request waits for
+// decideByAllocation decides on a request whose quota is a right. What its own part lacks it borrows, and the request waits for
 // that as one waits for a home's word; without an answer it is decided by what is there.
-func (g *Balancer) byRight(r *request) {
-	b := g.budget(r.c)
-	g.rights.RecordDemand(g.now, b, r.Units)
-	own := max(0, g.rights.Available(g.now, b))
-	if own >= r.Units || !g.mayOpen(r.c) || !g.rights.RequestOnDemand(r.ID, b, r.Units-own) {
-		g.admit(r, g.inside(r.c, r.Units))
+func (g *Balancer) decideByAllocation(r *request) {
+	b := g.sharedQuota(r.customer)
+	g.allocations.RecordDemand(g.now, b, r.Units)
+	own := max(0, g.allocations.Available(g.now, b))
+	if own >= r.Units || !g.belowConcurrencyLimit(r.customer) || !g.allocations.RequestOnDemand(r.ID, b, r.Units-own) {
+		g.admit(r, g.withinQuota(r.customer, r.Units))
 		return
 	}
-	g.rights.Consume(g.now, r.ID, b, own) // no other request counts on them meanwhile
-	r.by, r.borrows, r.own = g.now+min(g.askTime(), r.Timeout/2), true, own
-	g.do.SetTimer(r.by, askToken)
+	g.allocations.Consume(g.now, r.ID, b, own) // no other request counts on them meanwhile
+	r.decideBy, r.awaitsOnDemand, r.reservedUnits = g.now+min(g.homeTimeout(), r.Timeout/2), true, own
+	g.actions.SetTimer(r.decideBy, decisionTimer)
 	g.requests[r.ID] = r
-	g.waiting = append(g.waiting, r)
+	g.awaitingUnits = append(g.awaitingUnits, r)
 }
 
 // ReceiveOnDemand takes in the answer to a Borrow: the units, 0 for none, and then in what time there may be as many.
 func (g *Balancer) ReceiveOnDemand(now Time, id uint64, b *SharedQuota, units float64, after Time) {
-	g.begin(now)
+	g.advanceClock(now)
 	r := g.requests[id]
-	if r == nil || !r.borrows {
+	if r == nil || !r.awaitsOnDemand {
 		if units > 0 {
-			g.rights.Release(g.now, b, units) // it was decided, or its client has left
+			g.allocations.Release(g.now, b, units) // it was decided, or its client has left
 		}
 		return
 	}
-	g.waiting = slices.DeleteFunc(g.waiting, func(w *request) bool { return w == r })
+	g.awaitingUnits = slices.DeleteFunc(g.awaitingUnits, func(w *request) bool { return w == r })
 	delete(g.requests, id)
-	r.borrows, r.lent, r.after = false, units, after
-	if units == 0 || !g.mayOpen(r.c) {
-		g.unhold(r)
-		g.admit(r, g.inside(r.c, r.Units))
+	r.awaitsOnDemand, r.onDemandUnits, r.retryAfter = false, units, after
+	if units == 0 || !g.belowConcurrencyLimit(r.customer) {
+		g.releaseReserved(r)
+		g.admit(r, g.withinQuota(r.customer, r.Units))
 		return
 	}
 	g.admit(r, true)
 }
 
-// unhold puts back what a request has taken of this gateway's own part while it waited.
-func (g *Balancer) unhold(r *request) {
-	if r.own > 0 {
-		g.rights.Consume(g.now, 0, g.budget(r.c), -r.own)
-		r.own = 0
+// releaseReserved puts back what a request has taken of this gateway's own part while it waited.
+func (g *Balancer) releaseReserved(r *request) {
+	if r.reservedUnits > 0 {
+		g.allocations.Consume(g.now, 0, g.sharedQuota(r.customer), -r.reservedUnits)
+		r.reservedUnits = 0
 	}
 }
 
-// unused gives back what a request was lent, or held, and did not take.
-func (g *Balancer) unused(r *request) {
-	g.unhold(r)
-	if r.lent > 0 {
-		g.rights.Release(g.now, g.budget(r.c), r.lent)
-		r.lent = 0
+// releaseUnused gives back what a request was lent, or held, and did not take.
+func (g *Balancer) releaseUnused(r *request) {
+	g.releaseReserved(r)
+	if r.onDemandUnits > 0 {
+		g.allocations.Release(g.now, g.sharedQuota(r.customer), r.onDemandUnits)
+		r.onDemandUnits = 0
 	}
 }
--- a/internal/dataplane/policy/settings.go
+++ b/internal/dataplane/policy/settings.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// check tells which field of the settings cannot be served.
-func (set *Settings) check() error {
+// validate tells which field of the settings cannot be served.
+func (set *Settings) validate() error {
 	switch {
 	case set.Gateways < 1:
 		return fmt.Errorf("settings: gateways: %d, at least 1 wanted", set.Gateways)
--- a/internal/dataplane/policy/snapshot.go
+++ b/internal/dataplane/policy/snapshot.go
@@ -10,69 +10,85 @@
 // SnapshotVersion is the version of Snapshot that this module gives out and takes in.
 const SnapshotVersion = 1
 
-// Snapshot is what a gateway knows that may outlive its process: what is left of
-// its customers' banks and ceilings, recent use, and which backends are slow, out
-// or cold. It holds no request. It is plain data, whole in itself, and the
-// receiver's own; a host may keep it in whatever form.
+// Snapshot is the part of a Balancer's state that may outlive its process: the levels of
+// customers' buckets and ceilings, recent demand, and which backends are slow, ejected or warming
+// up. It holds no request. It is plain data that shares nothing with the Balancer, so that a host
+// may store it in any form; the JSON keys are those of earlier builds' stored snapshots.
 //
-// Levels in it are what is surely left: a lease is taken off for what may be taken
-// until the next one is given out. A module restored from it therefore never
-// holds more than the one that gave it out would hold by then, if the host keeps
-// the promise at Urgent.
+// Its levels are lower bounds: an allowance is taken off for what may be consumed until the next
+// snapshot is stored. A Balancer restored from it therefore never holds more than the one that
+// took it would hold by then, provided that the host follows SnapshotDue.
 type Snapshot struct {
-	Version  int
-	At       Time   // when it was given out
-	Settings uint64 // of the module that gave it out, in short
-	Born     Time   // since when that module, or one that it was restored from, has counted
-	Last     bool   // nothing was taken after it
+	Version  int    `json:"Version"`
+	At       Time   `json:"At"`       // when it was taken
+	Settings uint64 `json:"Settings"` // checksum of the settings of the Balancer that took it
+	// StateSince is when the oldest Balancer in the chain of restored ones started.
+	StateSince Time `json:"Born"`
+	Last       bool `json:"Last"` // nothing was consumed after it
 
-	Mean, Worth, Late Estimate
-	Base              []Estimate
-	Grace             [][]Estimate
-	InTime, Pace      float64 // answers in time over the last second; sends to each warm backend
-	Customers         []CustomerState
-	Backends          []BackendState
+	MeanLatency    Estimate   `json:"Mean"` // microseconds
+	MeanValue      Estimate   `json:"Worth"`
+	LateFraction   Estimate   `json:"Late"`
+	ClassLatencies []Estimate `json:"Base"` // microseconds
+	// ClientTimeouts has a row for each plan with a figure for each class, in microseconds.
+	ClientTimeouts [][]Estimate    `json:"Grace"`
+	OnTimeAnswers  float64         `json:"InTime"` // over the last second
+	SendPace       float64         `json:"Pace"`   // sends to each backend that is not in slow start
+	Customers      []CustomerState `json:"Customers"`
+	Backends       []BackendState  `json:"Backends"`
 }
 
 // Estimate is a mean with the number of its samples.
-type Estimate struct{ Value, Samples float64 }
+type Estimate struct {
+	Value   float64 `json:"Value"`
+	Samples float64 `json:"Samples"`
+}
 
-// CustomerState is what is kept of one customer.
+// CustomerState is the stored state of one customer. Levels, demand and usage are in units.
 type CustomerState struct {
-	ID                 uint64
-	Plan               int
-	First, Spread      int
-	Level, Ceiling     float64 // what is surely left
-	Use, Others        float64 // asked here, and elsewhere, over the demand window
-	Part, Grant, Slice float64
+	ID            uint64  `json:"ID"`
+	Plan          int     `json:"Plan"`
+	First         int     `json:"First"`
+	Spread        int     `json:"Spread"`
+	BucketLevel   float64 `json:"Level"`   // lower bound
+	CeilingLevel  float64 `json:"Ceiling"` // lower bound
+	LocalDemand   float64 `json:"Use"`     // requested here over the demand window
+	PeerUsage     float64 `json:"Others"`  // requested elsewhere over the demand window
+	ShareFraction float64 `json:"Part"`
+	GrantFraction float64 `json:"Grant"`
+	LocalShare    float64 `json:"Slice"`
 }
 
-// BackendState is what is kept of one backend.
+// BackendState is the stored state of one backend.
 type BackendState struct {
-	Backend            uint32
-	Started            Time
-	Slow, Errs         float64
-	SlowAt             Time
-	Down, Silent       bool
-	Left, Wait, TryNow Time // TryNow: when it may be tried again
+	Backend        uint32  `json:"Backend"`
+	StartedAt      Time    `json:"Started"`
+	LatencyRatio   float64 `json:"Slow"`
+	ErrorRate      float64 `json:"Errs"`
+	LatencyRatioAt Time    `json:"SlowAt"`
+	Unhealthy      bool    `json:"Down"`
+	Unresponsive   bool    `json:"Silent"`
+	EjectedAt      Time    `json:"Left"`
+	ProbeBackoff   Time    `json:"Wait"`
+	NextProbe      Time    `json:"TryNow"` // when it may be tried again
 }
 
-// leaseShare is the part of a burst that may be taken between two states; more
+// snapshotAllowanceFraction is the part of a burst that may be taken between two states; more
 // makes the next one urgent.
-const leaseShare = 0.25
+const snapshotAllowanceFraction = 0.25
 
-// lease is what a customer may take until the next state.
-func (g *Balancer) lease(c *customer) float64 {
-	return math.Max(leaseShare*g.set.Plans[c.plan].Burst, 2*c.use.get(g.now, c.window)*float64(second)/float64(c.window))
+// allowanceUntilNextSnapshot is what a customer may take until the next state.
+func (g *Balancer) allowanceUntilNextSnapshot(c *customer) float64 {
+	return math.Max(snapshotAllowanceFraction*g.settings.Plans[c.plan].Burst, 2*c.localDemand.get(g.now, c.demandWindow)*float64(second)/float64(c.demandWindow))
 }
 
-// spend takes note of units that have gone from a customer's banks, which a state
+// recordSpend takes note of units that have gone from a customer's banks, which a state
 // must not give back. It is urgent before the lease is spent: one more of the
 // kind has room in it, should the process end before the next state is kept.
-func (g *Balancer) spend(c *customer, units float64) {
+func (g *Balancer) recordSpend(c *customer, units float64) {
 	c.spent += units
-	if g.keeps && c.spent+units > c.leased {
-		g.urgent = true
+	if g.snapshotsStored && c.spent+units > c.storedAllowance {
+		g.snapshotDue = true
 	}
 }
 
@@ -80,60 +96,60 @@
 // allows for. A host that keeps states asks after each event, and where it is so
 // has a new one kept before it carries out anything further: only then no crash can
 // grant quota.
-func (g *Balancer) SnapshotDue() bool { return g.urgent }
+func (g *Balancer) SnapshotDue() bool { return g.snapshotDue }
 
 // SnapshotStored takes in that the Snapshot given out at a time is kept: it is what would be
 // restored now. Until then the one before counts. One that is not the last that was
 // given out is passed over.
 func (g *Balancer) SnapshotStored(at Time) {
-	if at != g.saved {
+	if at != g.lastSnapshot {
 		return
 	}
-	g.keeps, g.urgent = true, false
-	for _, c := range g.order {
-		c.leased = c.leasing
+	g.snapshotsStored, g.snapshotDue = true, false
+	for _, c := range g.customerOrder {
+		c.storedAllowance = c.snapshotAllowance
 	}
 }
 
 // TakeSnapshot gives out the state. The last one of an orderly end reserves no lease:
 // the caller promises that no request is put to the module after it.
 func (g *Balancer) TakeSnapshot(now Time, last bool) Snapshot {
-	g.begin(now)
-	s := Snapshot{Version: SnapshotVersion, At: g.now, Settings: g.print, Born: g.lived, Last: last,
-		Mean: g.mean.learnt(), Worth: g.worth.learnt(), Late: g.late.learnt(),
-		InTime: g.inTime.get(g.awake, second), Pace: g.pace.get(g.now, paceTime)}
-	for i := range g.base {
-		s.Base = append(s.Base, g.base[i].learnt())
+	g.advanceClock(now)
+	s := Snapshot{Version: SnapshotVersion, At: g.now, Settings: g.settingsSum, StateSince: g.stateSince, Last: last,
+		MeanLatency: g.meanLatency.estimate(), MeanValue: g.meanValue.estimate(), LateFraction: g.lateFraction.estimate(),
+		OnTimeAnswers: g.onTime.get(g.activeTime, second), SendPace: g.sendPace.get(g.now, sendPaceWindow)}
+	for i := range g.classLatencies {
+		s.ClassLatencies = append(s.ClassLatencies, g.classLatencies[i].estimate())
 	}
-	for _, of := range g.grace {
+	for _, of := range g.clientTimeouts {
 		row := make([]Estimate, len(of))
 		for i := range of {
-			row[i] = of[i].learnt()
+			row[i] = of[i].estimate()
 		}
-		s.Grace = append(s.Grace, row)
+		s.ClientTimeouts = append(s.ClientTimeouts, row)
 	}
-	for _, c := range g.order {
+	for _, c := range g.customerOrder {
 		g.refill(c)
 		off := 0.0
 		if !last {
-			off = g.lease(c)
+			off = g.allowanceUntilNextSnapshot(c)
 		}
-		c.leasing = c.spent + off
-		bought := &g.bought[c.plan] // a state is begun from under the settings, whatever terms hold now
-		ceiling := c.ceiling.level - off
+		c.snapshotAllowance = c.spent + off
+		bought := &g.configuredPlans[c.plan] // a state is begun from under the settings, whatever terms hold now
+		ceiling := c.ceilingBucket.level - off
 		if bought.CeilingRate > 0 {
 			ceiling = math.Min(ceiling, bought.CeilingBurst)
 		}
 		s.Customers = append(s.Customers, CustomerState{ID: c.id, Plan: c.plan, First: c.first, Spread: c.spread,
-			Level: math.Min(c.store.level-off, bought.Burst), Ceiling: ceiling,
-			Use: c.use.get(g.now, c.window), Others: c.others.get(g.now, c.window),
-			Part: c.part, Grant: c.grant, Slice: math.Max(0, c.slice-off)})
+			BucketLevel: math.Min(c.bucket.level-off, bought.Burst), CeilingLevel: ceiling,
+			LocalDemand: c.localDemand.get(g.now, c.demandWindow), PeerUsage: c.peerUsage.get(g.now, c.demandWindow),
+			ShareFraction: c.shareFraction, GrantFraction: c.grantFraction, LocalShare: math.Max(0, c.localShare-off)})
 	}
 	for _, b := range g.backends {
-		s.Backends = append(s.Backends, BackendState{Backend: b.Backend, Started: b.StartedAt, Slow: b.slow, SlowAt: b.slowAt,
-			Errs: b.errs, Down: b.down, Silent: b.silent, Left: b.left, Wait: b.wait, TryNow: b.trialAt})
+		s.Backends = append(s.Backends, BackendState{Backend: b.Backend, StartedAt: b.StartedAt, LatencyRatio: b.latencyRatio, LatencyRatioAt: b.latencyRatioAt,
+			ErrorRate: b.errorRate, Unhealthy: b.unhealthy, Unresponsive: b.unresponsive, EjectedAt: b.ejectedAt, ProbeBackoff: b.probeBackoff, NextProbe: b.nextProbe})
 	}
-	g.saved = g.now
+	g.lastSnapshot = g.now
 	return s
 }
 
@@ -146,122 +162,122 @@
 		return errors.New("state: the gateway has begun")
 	case s.Version != SnapshotVersion:
 		return fmt.Errorf("state: version %d, %d wanted", s.Version, SnapshotVersion)
-	case s.Settings != g.print:
+	case s.Settings != g.settingsSum:
 		return errors.New("state: of other settings")
 	case age < 0:
 		return fmt.Errorf("state: from %.3f s ahead", -float64(age)/float64(second))
 	case age > oldest:
 		return fmt.Errorf("state: %.3f s old, at most %.3f s wanted", float64(age)/float64(second), float64(oldest)/float64(second))
 	}
-	if err := s.check(&g.set); err != nil {
+	if err := s.validate(&g.settings); err != nil {
 		return err
 	}
 	g.now = max(g.now, now)
-	g.awake = g.now - g.still
-	g.lived, g.doubt = s.Born, !s.Last
-	g.mean, g.worth, g.late = s.Mean.mean(), s.Worth.mean(), s.Late.mean()
-	for i := range g.base {
-		g.base[i] = s.Base[i].mean()
+	g.activeTime = g.now - g.suspendedFor
+	g.stateSince, g.uncleanRestore = s.StateSince, !s.Last
+	g.meanLatency, g.meanValue, g.lateFraction = s.MeanLatency.runningMean(), s.MeanValue.runningMean(), s.LateFraction.runningMean()
+	for i := range g.classLatencies {
+		g.classLatencies[i] = s.ClassLatencies[i].runningMean()
 	}
-	for i := range g.grace {
-		for j := range g.grace[i] {
-			g.grace[i][j] = s.Grace[i][j].mean()
+	for i := range g.clientTimeouts {
+		for j := range g.clientTimeouts[i] {
+			g.clientTimeouts[i][j] = s.ClientTimeouts[i][j].runningMean()
 		}
 	}
 	// What was in the last second before is the best guess for the next one.
-	g.inTime = fading{s.InTime * fade(now-s.At, 10*second), g.awake}
-	g.pace = fading{s.Pace * fade(now-s.At, 10*second), now}
+	g.onTime = decayingSum{s.OnTimeAnswers * decay(now-s.At, 10*second), g.activeTime}
+	g.sendPace = decayingSum{s.SendPace * decay(now-s.At, 10*second), now}
 	for _, k := range s.Customers {
-		g.restore(&k, now-s.At)
+		g.restoreCustomer(&k, now-s.At)
 	}
-	g.kept = make(map[uint32]BackendState, len(s.Backends))
+	g.restoredBackends = make(map[uint32]BackendState, len(s.Backends))
 	for _, b := range s.Backends {
-		g.kept[b.Backend] = b
+		g.restoredBackends[b.Backend] = b
 	}
 	for _, b := range g.backends {
-		g.recall(b)
+		g.restoreBackend(b)
 	}
 	return nil
 }
 
-// restore makes a customer's record as it was. What others took meanwhile was
+// restoreCustomer makes a customer's record as it was. What others took meanwhile was
 // not heard, so a store that is shared did not fill; what is this gateway's alone did.
-func (g *Balancer) restore(k *CustomerState, age Time) {
-	c := g.customer(k.ID, k.Plan, k.First, k.Spread)
-	p := &g.set.Plans[c.plan]
+func (g *Balancer) restoreCustomer(k *CustomerState, age Time) {
+	c := g.findOrAddCustomer(k.ID, k.Plan, k.First, k.Spread)
+	p := &g.settings.Plans[c.plan]
 	lease := 0.0
-	if g.doubt {
-		lease = math.Max(leaseShare*p.Burst, 2*k.Use*float64(second)/float64(c.window)) // as it was taken off
+	if g.uncleanRestore {
+		lease = math.Max(snapshotAllowanceFraction*p.Burst, 2*k.LocalDemand*float64(second)/float64(c.demandWindow)) // as it was taken off
 	}
-	c.use, c.others = fading{k.Use, g.now - age}, fading{k.Others, g.now - age}
-	c.part, c.grant, c.slice = k.Part, k.Grant, k.Slice
+	c.localDemand, c.peerUsage = decayingSum{k.LocalDemand, g.now - age}, decayingSum{k.PeerUsage, g.now - age}
+	c.shareFraction, c.grantFraction, c.localShare = k.ShareFraction, k.GrantFraction, k.LocalShare
 	rate := p.Rate
-	if !g.pooled {
-		rate *= g.part(c)
-		c.store.cap = g.part(c) * p.Burst
+	if !g.sharesUsage {
+		rate *= g.quotaFraction(c)
+		c.bucket.capacity = g.quotaFraction(c) * p.Burst
 	} else if c.spread > 1 {
 		rate = 0
 	}
-	c.store.level = filled(k.Level+lease, rate, c.store.cap, age) - lease
-	if k.Level+lease >= 0 {
-		c.store.level = math.Max(0, c.store.level) // no bank is overdrawn
+	c.bucket.level = levelAfter(k.BucketLevel+lease, rate, c.bucket.capacity, age) - lease
+	if k.BucketLevel+lease >= 0 {
+		c.bucket.level = math.Max(0, c.bucket.level) // no bank is overdrawn
 	}
-	c.ceiling.level = math.Max(0, filled(k.Ceiling+lease, c.ceiling.rate, c.ceiling.cap, age)-lease)
-	c.store.at, c.ceiling.at = g.now, g.now
-	c.kept = g.pooled && c.spread > 1
-	g.mark(c) // peers are to hear what is left, as of one that has just started
+	c.ceilingBucket.level = math.Max(0, levelAfter(k.CeilingLevel+lease, c.ceilingBucket.rate, c.ceilingBucket.capacity, age)-lease)
+	c.bucket.at, c.ceilingBucket.at = g.now, g.now
+	c.restored = g.sharesUsage && c.spread > 1
+	g.markChanged(c) // peers are to hear what is left, as of one that has just started
 }
 
-// filled is a level after some time in which nothing was taken.
-func filled(level, rate, limit float64, age Time) float64 {
+// levelAfter is a level after some time in which nothing was taken.
+func levelAfter(level, rate, limit float64, age Time) float64 {
 	return math.Min(limit, level+rate*float64(age)/float64(second))
 }
 
-// unsure is what a former life may have taken, after its last state, of a
+// possiblySpent is what a former life may have taken, after its last state, of a
 // customer that the state does not name: the later it comes, the less matters.
-func (g *Balancer) unsure(c *customer, rate float64) float64 {
-	if !g.doubt {
+func (g *Balancer) possiblySpent(c *customer, rate float64) float64 {
+	if !g.uncleanRestore {
 		return 0
 	}
-	since := g.now - max(1, g.born)
-	if g.born == 0 {
+	since := g.now - max(1, g.startedAt)
+	if g.startedAt == 0 {
 		since = 0
 	}
-	return math.Max(0, leaseShare*g.set.Plans[c.plan].Burst-rate*float64(since)/float64(second))
+	return math.Max(0, snapshotAllowanceFraction*g.settings.Plans[c.plan].Burst-rate*float64(since)/float64(second))
 }
 
-// recall gives a backend what was known of it, if it is still the same process.
-func (g *Balancer) recall(b *backend) {
-	k, ok := g.kept[b.Backend]
-	delete(g.kept, b.Backend)
-	if !ok || b.StartedAt > k.Started {
+// restoreBackend gives a backend what was known of it, if it is still the same process.
+func (g *Balancer) restoreBackend(b *backend) {
+	k, ok := g.restoredBackends[b.Backend]
+	delete(g.restoredBackends, b.Backend)
+	if !ok || b.StartedAt > k.StartedAt {
 		return
 	}
-	b.StartedAt = k.Started
-	b.slow, b.slowAt, b.errs = k.Slow, k.SlowAt, k.Errs
-	b.down, b.silent, b.left, b.wait, b.trialAt = k.Down, k.Silent, k.Left, k.Wait, k.TryNow
+	b.StartedAt = k.StartedAt
+	b.latencyRatio, b.latencyRatioAt, b.errorRate = k.LatencyRatio, k.LatencyRatioAt, k.ErrorRate
+	b.unhealthy, b.unresponsive, b.ejectedAt, b.probeBackoff, b.nextProbe = k.Unhealthy, k.Unresponsive, k.EjectedAt, k.ProbeBackoff, k.NextProbe
 }
 
-func fade(age, window Time) float64 { return math.Exp(-float64(age) / float64(window)) }
+func decay(age, window Time) float64 { return math.Exp(-float64(age) / float64(window)) }
 
-func (m *mean) learnt() Estimate { return Estimate{m.v, m.n} }
+func (m *runningMean) estimate() Estimate { return Estimate{m.value, m.samples} }
 
-func (l Estimate) mean() mean { return mean{l.Value, l.Samples} }
+func (l Estimate) runningMean() runningMean { return runningMean{l.Value, l.Samples} }
 
-// print is the settings in short: a state is of use only where they are the same.
-func (set *Settings) print() uint64 {
+// checksum is the settings in short: a state is of use only where they are the same.
+func (set *Settings) checksum() uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %v %v %t %t", set.Self, set.Gateways, set.Classes, set.Plans, set.Peers, set.Counter)
 	return h.Sum64()
 }
 
-// check tells what in a state can't be.
-func (s *Snapshot) check(set *Settings) error {
-	numbers := []float64{s.Mean.Value, s.Mean.Samples, s.Worth.Value, s.Worth.Samples, s.Late.Value, s.Late.Samples, s.InTime, s.Pace}
-	if len(s.Base) != len(set.Classes) || len(s.Grace) != len(set.Plans) {
-		return fmt.Errorf("state: %d classes and %d plans", len(s.Base), len(s.Grace))
+// validate tells what in a state can't be.
+func (s *Snapshot) validate(set *Settings) error {
+	numbers := []float64{s.MeanLatency.Value, s.MeanLatency.Samples, s.MeanValue.Value, s.MeanValue.Samples, s.LateFraction.Value, s.LateFraction.Samples, s.OnTimeAnswers, s.SendPace}
+	if len(s.ClassLatencies) != len(set.Classes) || len(s.ClientTimeouts) != len(set.Plans) {
+		return fmt.Errorf("state: %d classes and %d plans", len(s.ClassLatencies), len(s.ClientTimeouts))
 	}
-	for _, row := range append([][]Estimate{s.Base}, s.Grace...) {
+	for _, row := range append([][]Estimate{s.ClassLatencies}, s.ClientTimeouts...) {
 		if len(row) != len(set.Classes) {
 			return fmt.Errorf("state: a row of %d classes", len(row))
 		}
@@ -276,17 +292,17 @@
 			return fmt.Errorf("state: customers[%d]: plan %d, gateways %d from %d, or twice", i, c.Plan, c.Spread, c.First)
 		}
 		seen[c.ID] = true
-		if p := &set.Plans[c.Plan]; c.Level > p.Burst*(1+1e-9) || c.Ceiling > p.CeilingBurst*(1+1e-9) && p.CeilingRate > 0 {
+		if p := &set.Plans[c.Plan]; c.BucketLevel > p.Burst*(1+1e-9) || c.CeilingLevel > p.CeilingBurst*(1+1e-9) && p.CeilingRate > 0 {
 			return fmt.Errorf("state: customers[%d]: more left than the plan holds", i)
 		}
-		numbers = append(numbers, c.Use, c.Others, c.Part, c.Grant, c.Slice)
-		if math.IsNaN(c.Level) || math.IsInf(c.Level, 0) || math.IsNaN(c.Ceiling) || math.IsInf(c.Ceiling, 0) {
-			return fmt.Errorf("state: customers[%d]: levels %g and %g", i, c.Level, c.Ceiling)
+		numbers = append(numbers, c.LocalDemand, c.PeerUsage, c.ShareFraction, c.GrantFraction, c.LocalShare)
+		if math.IsNaN(c.BucketLevel) || math.IsInf(c.BucketLevel, 0) || math.IsNaN(c.CeilingLevel) || math.IsInf(c.CeilingLevel, 0) {
+			return fmt.Errorf("state: customers[%d]: levels %g and %g", i, c.BucketLevel, c.CeilingLevel)
 		}
 	}
 	for i, b := range s.Backends {
-		if numbers = append(numbers, b.Slow, b.Errs); b.Wait < 0 || b.Wait > healTime {
-			return fmt.Errorf("state: backends[%d]: waits for %d", i, b.Wait)
+		if numbers = append(numbers, b.LatencyRatio, b.ErrorRate); b.ProbeBackoff < 0 || b.ProbeBackoff > maxProbeBackoff {
+			return fmt.Errorf("state: backends[%d]: waits for %d", i, b.ProbeBackoff)
 		}
 	}
 	for _, x := range numbers {
--- a/internal/dataplane/policy/snapshot_test.go
+++ b/internal/dataplane/policy/snapshot_test.go
@@ -46,7 +46,7 @@
 		}
 		a := newRig(t, set)
 		other := newRig(t, set)
-		other.set.Self = set.Gateways - 1
+		other.settings.Self = set.Gateways - 1
 		kept := a.TakeSnapshot(a.at, false)
 		a.SnapshotStored(kept.At)
 		var writing []Snapshot
@@ -54,8 +54,8 @@
 		for range 20 + r.IntN(400) {
 			a.at += Time(r.Float64() * float64(second) / 10)
 			switch x := r.IntN(10); {
-			case x == 0 && a.at > a.timerAt:
-				a.Timer(a.at, noteToken)
+			case x == 0 && a.at > a.nextTimer:
+				a.Timer(a.at, gossipTimer)
 			case x == 1 && set.Peers && set.Gateways > 1:
 				other.at = a.at
 				customer := 1 + uint64(r.IntN(4))
@@ -88,13 +88,13 @@
 		}
 		down := Time(r.Float64() * 3 * float64(second))
 		b := restored(t, set, a.at+down, kept)
-		a.begin(a.at + down)
+		a.advanceClock(a.at + down)
 		for customer := uint64(1); customer <= 4; customer++ {
 			plan := int(customer % 3)
-			x, y := a.customer(customer, plan, 0, spread), b.customer(customer, plan, 0, spread)
-			if y.store.level > x.store.level+1e-6 || y.ceiling.level > x.ceiling.level+1e-6 {
+			x, y := a.findOrAddCustomer(customer, plan, 0, spread), b.findOrAddCustomer(customer, plan, 0, spread)
+			if y.bucket.level > x.bucket.level+1e-6 || y.ceilingBucket.level > x.ceilingBucket.level+1e-6 {
 				t.Fatalf("seed %d, customer %d: restored bank %g and ceiling %g, lived %g and %g", seed, customer,
-					y.store.level, y.ceiling.level, x.store.level, x.ceiling.level)
+					y.bucket.level, y.ceilingBucket.level, x.bucket.level, x.ceilingBucket.level)
 			}
 		}
 	}
@@ -111,24 +111,24 @@
 		a.Request(a.at, Request{ID: a.next, Plan: 2, Customer: 9, Units: 2, Timeout: 2 * second, Spread: 1})
 		a.end(a.next, OK, true)
 	}
-	slow := a.byID[2]
-	slow.slowBy(a.at, 20)
-	broken := a.byID[3]
-	broken.down = true
-	a.leaveOut(broken, "test")
+	slow := a.backendByID[2]
+	slow.recordLatency(a.at, 20)
+	broken := a.backendByID[3]
+	broken.unhealthy = true
+	a.eject(broken, "test")
 	s := a.TakeSnapshot(a.at, true)
 	b := restored(t, set, a.at+second/10, s)
 	b.UpdateEndpoints(b.at, Complete, members(4))
-	a.begin(b.at)
-	x, y := a.customer(9, 2, 0, 1), b.customer(9, 2, 0, 1)
-	near(t, "bank", y.store.level, x.store.level)
-	near(t, "ceiling", y.ceiling.level, x.ceiling.level)
-	near(t, "slowness", b.byID[2].slowness(b.at), slow.slowness(b.at))
-	if !b.byID[3].down || b.byID[3].trialAt != broken.trialAt {
+	a.advanceClock(b.at)
+	x, y := a.findOrAddCustomer(9, 2, 0, 1), b.findOrAddCustomer(9, 2, 0, 1)
+	near(t, "bank", y.bucket.level, x.bucket.level)
+	near(t, "ceiling", y.ceilingBucket.level, x.ceilingBucket.level)
+	near(t, "slowness", b.backendByID[2].currentLatencyRatio(b.at), slow.currentLatencyRatio(b.at))
+	if !b.backendByID[3].unhealthy || b.backendByID[3].nextProbe != broken.nextProbe {
 		t.Error("a backend that was left out is not")
 	}
-	near(t, "mean answer time", b.mean.v, a.mean.v)
-	if near(t, "another customer's ceiling", b.customer(10, 2, 0, 1).ceiling.level, a.customer(10, 2, 0, 1).ceiling.level); b.doubt {
+	near(t, "mean answer time", b.meanLatency.value, a.meanLatency.value)
+	if near(t, "another customer's ceiling", b.findOrAddCustomer(10, 2, 0, 1).ceilingBucket.level, a.findOrAddCustomer(10, 2, 0, 1).ceilingBucket.level); b.uncleanRestore {
 		t.Error("an orderly end leaves no doubt")
 	}
 }
@@ -138,16 +138,16 @@
 func TestRestartedBackendIsNotRecalled(t *testing.T) {
 	set := settings()
 	a := newRig(t, set)
-	a.byID[1].slowBy(a.at, 20)
-	a.byID[2].StartedAt, a.byID[2].cold = a.at, bank{at: a.at} // found to have restarted by itself
+	a.backendByID[1].recordLatency(a.at, 20)
+	a.backendByID[2].StartedAt, a.backendByID[2].slowStart = a.at, tokenBucket{at: a.at} // found to have restarted by itself
 	b := restored(t, set, a.at+second/10, a.TakeSnapshot(a.at, true))
 	list := members(4)
 	list[0].StartedAt = b.at - second/20
 	b.UpdateEndpoints(b.at, Complete, list)
-	if b.byID[1].slowness(b.at) != 1 || b.share(b.byID[1]) > 0.3 {
-		t.Errorf("backend 1: slowness %g, share %g", b.byID[1].slowness(b.at), b.share(b.byID[1]))
+	if b.backendByID[1].currentLatencyRatio(b.at) != 1 || b.warmFraction(b.backendByID[1]) > 0.3 {
+		t.Errorf("backend 1: slowness %g, share %g", b.backendByID[1].currentLatencyRatio(b.at), b.warmFraction(b.backendByID[1]))
 	}
-	if b.share(b.byID[2]) > 0.3 {
+	if b.warmFraction(b.backendByID[2]) > 0.3 {
 		t.Error("what was found to be cold counts as warm")
 	}
 }
@@ -162,12 +162,12 @@
 		"other settings":                func(_ *Snapshot, set *Settings) { set.Plans[0].Rate++ },
 		"ahead":                         func(s *Snapshot, _ *Settings) { s.At += 10 * second },
 		"old":                           func(s *Snapshot, _ *Settings) { s.At -= 2 * oldest },
-		"classes":                       func(s *Snapshot, _ *Settings) { s.Base = s.Base[:1] },
-		"row":                           func(s *Snapshot, _ *Settings) { s.Grace[1] = nil },
+		"classes":                       func(s *Snapshot, _ *Settings) { s.ClassLatencies = s.ClassLatencies[:1] },
+		"row":                           func(s *Snapshot, _ *Settings) { s.ClientTimeouts[1] = nil },
 		"twice":                         func(s *Snapshot, _ *Settings) { s.Customers = append(s.Customers, s.Customers[0]) },
-		"more left than the plan holds": func(s *Snapshot, _ *Settings) { s.Customers[0].Level = 1e9 },
-		"figure":                        func(s *Snapshot, _ *Settings) { s.Customers[0].Use = -1 },
-		"waits":                         func(s *Snapshot, _ *Settings) { s.Backends[0].Wait = -1 },
+		"more left than the plan holds": func(s *Snapshot, _ *Settings) { s.Customers[0].BucketLevel = 1e9 },
+		"figure":                        func(s *Snapshot, _ *Settings) { s.Customers[0].LocalDemand = -1 },
+		"waits":                         func(s *Snapshot, _ *Settings) { s.Backends[0].ProbeBackoff = -1 },
 	} {
 		s, other := a.TakeSnapshot(a.at, true), settings()
 		change(&s, &other)
@@ -178,7 +178,7 @@
 		if err := g.Restore(a.at+second, oldest, &s); err == nil || !strings.Contains(err.Error(), reason) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", reason, err)
 		}
-		if len(g.customers) > 0 || g.mean.n > 0 {
+		if len(g.customers) > 0 || g.meanLatency.samples > 0 {
 			t.Errorf("%s: a part was taken in", reason)
 		}
 	}
@@ -297,11 +297,11 @@
 	r.at += second / 1000
 	newer := r.TakeSnapshot(r.at, false)
 	c := r.customers[5]
-	before := c.leased
-	if r.SnapshotStored(older.At); c.leased != before {
-		t.Errorf("allows for %g after an older one, %g before", c.leased, before)
+	before := c.storedAllowance
+	if r.SnapshotStored(older.At); c.storedAllowance != before {
+		t.Errorf("allows for %g after an older one, %g before", c.storedAllowance, before)
 	}
-	if r.SnapshotStored(newer.At); c.leased <= before {
-		t.Errorf("allows for %g after the newest, %g before", c.leased, before)
+	if r.SnapshotStored(newer.At); c.storedAllowance <= before {
+		t.Errorf("allows for %g after the newest, %g before", c.storedAllowance, before)
 	}
 }
--- a/internal/dataplane/policy/stored_test.go
+++ b/internal/dataplane/policy/stored_test.go
@@ -11,18 +11,18 @@
 
 // Peers of earlier builds send messages of this form, and read them.
 func TestPeerMessageFormat(t *testing.T) {
-	held := entry{id: 0x1122334455, plan: 2, first: 300, spread: 5, taken: 1000, asked: 1100, fresh: 77, want: 6, ask: 9, ceiling: true, left: unpackPart(130)}
-	granted := grant{id: 0x66778899aa, part: unpackPart(200), ask: 9, yes: true}
-	trouble := word{backend: 0xdeadbeef, about: 3}
-	raw := trouble.put(granted.put(held.put(noteHead(0x01020304, 12.5, 99.125))))
+	held := usageEntry{id: 0x1122334455, plan: 2, first: 300, spread: 5, consumed: 1000, requested: 1100, newlyRequested: 77, wanted: 6, queryNumber: 9, wantsCeiling: true, remaining: unpackFraction(130)}
+	granted := grantEntry{id: 0x66778899aa, fraction: unpackFraction(200), queryNumber: 9, granted: true}
+	trouble := faultReport{backend: 0xdeadbeef, subject: 3}
+	raw := trouble.appendTo(granted.appendTo(held.appendTo(messageHeader(0x01020304, 12.5, 99.125))))
 	fixture.Equal(t, "testdata/peer-message.hex", []byte(hex.EncodeToString(raw)))
 
 	fromFile, err := hex.DecodeString(string(fixture.Read(t, "testdata/peer-message.hex")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, ok := readNote(fromFile)
-	want := note{boot: 0x01020304, held: 12.5, inTime: 99.125, entries: []entry{held}, grants: []grant{granted}, words: []word{trouble}}
+	got, ok := parsePeerMessage(fromFile)
+	want := peerMessage{incarnation: 0x01020304, inFlight: 12.5, onTime: 99.125, entries: []usageEntry{held}, grants: []grantEntry{granted}, faults: []faultReport{trouble}}
 	if !ok || !reflect.DeepEqual(got, want) {
 		t.Errorf("%t %+v, %+v wanted", ok, got, want)
 	}
@@ -39,5 +39,5 @@
 		},
 		Plans: []Plan{{Rate: 1.5, Burst: 2.5, OpenLimit: 3, CeilingRate: 4.5, CeilingBurst: 5.5, CeilingSlack: 6.5, Price: 9.5, BeyondEarns: 7.5, BeyondCosts: 8.5}},
 	}
-	fixture.Equal(t, "testdata/settings-sum.txt", fmt.Appendf(nil, "%016x", settings.print()))
+	fixture.Equal(t, "testdata/settings-sum.txt", fmt.Appendf(nil, "%016x", settings.checksum()))
 }
--- a/internal/dataplane/policy/view.go
+++ b/internal/dataplane/policy/view.go
@@ -9,7 +9,7 @@
 			continue
 		}
 		listed++
-		if b.State != Ready || b.down || b.errs >= sickShare {
+		if b.State != Ready || b.unhealthy || b.errorRate >= ejectionErrorRate {
 			avoided++
 		}
 	}
--- a/internal/dataplane/policy/why.go
+++ b/internal/dataplane/policy/why.go
@@ -17,14 +17,14 @@
 	ReasonTooLate                       // it had waited too long when it came
 )
 
-var whyNames = [...]string{"slice", "store", "bank0", "open", "load", "ceiling", "no backend", "attempts", "late"}
+var rejectReasonNames = [...]string{"slice", "store", "bank0", "open", "load", "ceiling", "no backend", "attempts", "late"}
 
 // String is the reason in a word.
-func (w RejectReason) String() string { return whyNames[w] }
+func (w RejectReason) String() string { return rejectReasonNames[w] }
 
 // OnReject has f called with the reason for each refusal, just before it is given.
 // It is for rigs and for people who look for a cause; nil, the default, costs nothing.
-func (g *Balancer) OnReject(f func(id uint64, why RejectReason)) { g.explain = f }
+func (g *Balancer) OnReject(f func(id uint64, why RejectReason)) { g.onReject = f }
 
 // RemainingQuota tells what is left of a customer's whole store, as far as heard, and what of it
 // may be taken here, in units at the last event; false: nothing is known of it, and it is
@@ -35,22 +35,22 @@
 		return 0, 0, false
 	}
 	g.refill(c)
-	return c.store.level, g.level(c), true
+	return c.bucket.level, g.available(c), true
 }
 
-// whyEmpty tells why the customer's own bank does not hold the units.
-func (g *Balancer) whyEmpty(r *request) RejectReason {
-	c, p := r.c, &g.set.Plans[r.Plan]
+// emptyReason tells why the customer's own bank does not hold the units.
+func (g *Balancer) emptyReason(r *request) RejectReason {
+	c, p := r.customer, &g.settings.Plans[r.Plan]
 	switch {
-	case r.denied && !p.soft():
+	case r.deniedByHome && !p.mayExceedQuota():
 		return ReasonQuota
-	case r.denied:
+	case r.deniedByHome:
 		return ReasonSharedBucket
-	case p.Rate == 0 || g.level(c) >= r.Units:
+	case p.Rate == 0 || g.available(c) >= r.Units:
 		return ReasonConcurrencyLimit
-	case c.store.level >= r.Units || g.member(c):
+	case c.bucket.level >= r.Units || g.isRemote(c):
 		return ReasonLocalShare
-	case p.soft():
+	case p.mayExceedQuota():
 		return ReasonSharedBucket
 	}
 	return ReasonQuota
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -15,10 +15,10 @@
 )
 
 func sample(at policy.Time) policy.Snapshot {
-	return policy.Snapshot{Version: policy.SnapshotVersion, At: at, Settings: 1 << 63, Born: 5,
-		Base: []policy.Estimate{{Value: 0.1, Samples: 3}}, Grace: [][]policy.Estimate{{{Value: 1e6, Samples: 1}}},
-		Customers: []policy.CustomerState{{ID: 1<<33 - 1, Plan: 1, Spread: 2, Level: 1.25, Ceiling: -3}},
-		Backends:  []policy.BackendState{{Backend: 7, Started: 99, Down: true}}}
+	return policy.Snapshot{Version: policy.SnapshotVersion, At: at, Settings: 1 << 63, StateSince: 5,
+		ClassLatencies: []policy.Estimate{{Value: 0.1, Samples: 3}}, ClientTimeouts: [][]policy.Estimate{{{Value: 1e6, Samples: 1}}},
+		Customers: []policy.CustomerState{{ID: 1<<33 - 1, Plan: 1, Spread: 2, BucketLevel: 1.25, CeilingLevel: -3}},
+		Backends:  []policy.BackendState{{Backend: 7, StartedAt: 99, Unhealthy: true}}}
 }
 
 func TestStoreAndLoad(t *testing.T) {
@@ -227,12 +227,12 @@
 	state := sample(1)
 	state.Customers = make([]policy.CustomerState, 10_000)
 	for i := range state.Customers {
-		state.Customers[i] = policy.CustomerState{ID: uint64(i), Spread: 2, Level: float64(i) / 3, Ceiling: 1e3, Use: 1.5}
+		state.Customers[i] = policy.CustomerState{ID: uint64(i), Spread: 2, BucketLevel: float64(i) / 3, CeilingLevel: 1e3, LocalDemand: 1.5}
 	}
 	next := func() policy.Snapshot {
 		state.At++
 		for i := range 100 {
-			state.Customers[(int(state.At)*100+i)%10_000].Level++
+			state.Customers[(int(state.At)*100+i)%10_000].BucketLevel++
 		}
 		return state
 	}
