--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -41,12 +41,12 @@
 	}
 	c := controlplane.Config{
 		Fleet: f.Name, ID: cfg.Name, Listen: f.Listen, Address: f.Address, Dir: f.Folder, Voters: voters(f),
-		Addresses: controlrpc.Addresses(f.Addresses),
-		Rules:     lease.Rules{Span: time.Duration(f.Span), Margin: f.Margin, Offer: time.Duration(f.Offer)},
-		Tick:      time.Duration(f.Tick), Keep: uint64(f.Keep), Exports: f.Exports, Period: time.Duration(f.Period), Log: log,
+		Addresses:    controlrpc.Addresses(f.Addresses),
+		LeaseConfig:  lease.Config{TTL: time.Duration(f.Span), ClockDriftBound: f.Margin, OfferTTL: time.Duration(f.Offer)},
+		TickInterval: time.Duration(f.Tick), KeepEntries: uint64(f.Keep), Exports: f.Exports, Period: time.Duration(f.Period), Log: log,
 		Silent: time.Duration(f.Silent), Place: distribution.Place{Zone: f.Zone, Region: f.Region}, Places: places(f),
-		ChangeLog: f.ChangeLog,
-		Owners:    f.Owners,
+		ChangeLog:  f.ChangeLog,
+		Candidates: f.Owners,
 	}
 	if f.Exports != "" {
 		c.Shards = f.Shards
@@ -97,7 +97,7 @@
 
 func voters(f *config.Fleet) (all []*controlpb.Voter) {
 	for _, v := range f.Voters {
-		all = append(all, &controlpb.Voter{Number: replica.NumberOf(f.Name, v.Name), Name: v.Name, Address: v.Address})
+		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber(f.Name, v.Name), Name: v.Name, Address: v.Address})
 	}
 	return all
 }
@@ -116,11 +116,11 @@
 	if !f.On {
 		return nil
 	}
-	folder, err := replica.Open(controlplane.LogDir(f.Folder), store.Options{ReadOnly: true})
+	folder, err := replica.OpenStorage(controlplane.LogDir(f.Folder), store.Options{ReadOnly: true})
 	switch {
 	case errors.Is(err, store.ErrLocked):
 		fmt.Fprintf(out, "fleet: %s: in use by a gateway that runs\n", f.Folder)
-	case errors.Is(err, replica.ErrNone) || errors.Is(err, os.ErrNotExist):
+	case errors.Is(err, replica.ErrNotInitialized) || errors.Is(err, os.ErrNotExist):
 		fmt.Fprintf(out, "fleet: %s: no voter's folder\n", f.Folder)
 	case err != nil:
 		return fmt.Errorf("fleet: %w", err)
--- a/cmd/mothcleat/fleet_test.go
+++ b/cmd/mothcleat/fleet_test.go
@@ -35,7 +35,7 @@
 	run(1, "a voter's already", "fleet", "found", "a", "--operators", good)
 	run(1, "a voter's already", "fleet", "join", "a", "--operators", good)
 	run(0, "voter a of f", "check", "--operators", good)
-	f, err := replica.Open(controlplane.LogDir(dir), store.Options{})
+	f, err := replica.OpenStorage(controlplane.LogDir(dir), store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -129,7 +129,7 @@
 	if !named {
 		return fmt.Errorf("%s: fleet.voters does not name %q", file, name)
 	}
-	if err := replica.Found(dir, f.Name, name, voters(f)); err != nil {
+	if err := replica.Bootstrap(dir, f.Name, name, voters(f)); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: made, of voter %s of %s\n", f.Folder, name, f.Name)
@@ -172,17 +172,17 @@
 func seconds(d time.Duration) string { return fmt.Sprintf("%.1fs", d.Seconds()) }
 
 func showStatus(raw []byte, w io.Writer) error {
-	var l consensus.List
+	var l consensus.Membership
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "fleet %s\tterm %d\tleader %s\tentry %d\tlog from %d\n\nVOTER\tADDRESS\tFOLDER\n", l.Fleet, l.Term, l.Leader, l.Applied, l.First)
+	fmt.Fprintf(w, "fleet %s\tterm %d\tleader %s\tentry %d\tlog from %d\n\nVOTER\tADDRESS\tFOLDER\n", l.Fleet, l.Term, l.Leader, l.AppliedIndex, l.FirstIndex)
 	for _, v := range l.Voters {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", v.Name, v.Address, v.Number)
 	}
 	fmt.Fprint(w, "\nPROCESS\tBOOT\tADDRESS\tSAID SOMETHING\n")
 	for _, m := range l.Members {
-		fmt.Fprintf(w, "%s\t%x\t%s\t%s ago\n", m.ID, m.Incarnation, m.Address, seconds(l.At-m.Seen))
+		fmt.Fprintf(w, "%s\t%x\t%s\t%s ago\n", m.ID, m.Incarnation, m.Address, seconds(l.At-m.LastSeen))
 	}
 	return nil
 }
@@ -193,12 +193,12 @@
 		return err
 	}
 	fmt.Fprint(w, "DUTY\tTERM\tOWNER\tHELD FOR\tFREE IN\tCAUSE\n")
-	for _, h := range v.Roles {
-		owner, free := h.Owner.ID, seconds(max(0, h.Until-v.At))
+	for _, h := range v.Leases {
+		owner, free := h.Holder.ID, seconds(max(0, h.ExpiresAt-v.At))
 		if owner == "" {
 			owner, free = "nobody", "-"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", h.Role, h.Term, owner, seconds(v.At-h.Since), free, h.Cause)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", h.Role, h.Term, owner, seconds(v.At-h.GrantedAt), free, h.Cause)
 	}
 	return nil
 }
@@ -228,13 +228,13 @@
 func share(s allocation.Share) string { return fmt.Sprintf("%.2f/s, %.1f", s.Rate, s.Burst) }
 
 func showHistory(raw []byte, w io.Writer) error {
-	var all []lease.Holding
+	var all []lease.Lease
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return err
 	}
 	fmt.Fprint(w, "TERM\tOWNER\tBOOT\tFROM (FLEET'S TIME)\tCAUSE\n")
 	for _, h := range all {
-		fmt.Fprintf(w, "%d\t%s\t%x\t%s\t%s\n", h.Term, h.Owner.ID, h.Owner.Incarnation, seconds(h.Since), h.Cause)
+		fmt.Fprintf(w, "%d\t%s\t%x\t%s\t%s\n", h.Term, h.Holder.ID, h.Holder.Incarnation, seconds(h.GrantedAt), h.Cause)
 	}
 	return nil
 }
--- a/internal/controlplane/allocation/budget_test.go
+++ b/internal/controlplane/allocation/budget_test.go
@@ -23,7 +23,7 @@
 
 func (t *terms) Fence(_ string, term uint64, who lease.Member) error {
 	if term != t.term || who != t.who {
-		return lease.ErrTerm
+		return lease.ErrStaleTerm
 	}
 	return nil
 }
--- a/internal/controlplane/allocator/divider.go
+++ b/internal/controlplane/allocator/divider.go
@@ -56,7 +56,7 @@
 	if !d.first(t) {
 		// The duty lapsed, and was renewed under the same term, as nobody else asked. What was given since the term began is
 		// known to an Owner that has ended: another one begins with another term.
-		t.GiveUp()
+		t.Resign()
 		return
 	}
 	failpoint.At("budgets-begin")
@@ -102,7 +102,7 @@
 			if ctx.Err() == nil {
 				// Whether it is agreed can't be known any more. Another term begins with what is.
 				d.Log.Error("budgets: a round is lost; the shard is given up", "duty", t.Role, "term", t.Term, "error", err)
-				t.GiveUp()
+				t.Resign()
 			}
 			return
 		}
@@ -131,7 +131,7 @@
 // read has the books as they are agreed under the term.
 func (d *Divider) read(ctx context.Context, duty string) (*controlpb.Books, error) {
 	for {
-		raw, err := d.Client.Ask(ctx, allocation.MachineName, []byte(duty))
+		raw, err := d.Client.Read(ctx, allocation.MachineName, []byte(duty))
 		books := &controlpb.Books{}
 		if err == nil {
 			err = proto.Unmarshal(raw, books)
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := d.Client.Do(ctx, allocation.MachineName, body)
+	raw, err := d.Client.Propose(ctx, allocation.MachineName, body)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/allocator/user.go
+++ b/internal/controlplane/allocator/user.go
@@ -138,7 +138,7 @@
 func (u *User) RequestOnDemand(id uint64, b *policy.SharedQuota, units float64) bool {
 	shard := allocation.ShardOf(b.ID, u.shards)
 	now := monotonic.Now()
-	owner, address, ok := u.owners.Owner(allocation.RoleOfShard(shard))
+	owner, address, ok := u.owners.Leader(allocation.RoleOfShard(shard))
 	if !ok || now < time.Duration(u.silent[shard].Load()) {
 		return false
 	}
@@ -221,7 +221,7 @@
 
 // renew renews once. It tells whether there is something to say at once.
 func (u *User) renew(ctx context.Context, shard int) bool {
-	owner, address, ok := u.owners.Owner(allocation.RoleOfShard(shard))
+	owner, address, ok := u.owners.Leader(allocation.RoleOfShard(shard))
 	if !ok {
 		return false
 	}
@@ -270,7 +270,7 @@
 		go func() {
 			defer wg.Done()
 			for ctx.Err() == nil {
-				owner, address, ok := u.owners.Owner(allocation.RoleOfShard(shard))
+				owner, address, ok := u.owners.Leader(allocation.RoleOfShard(shard))
 				if ok {
 					one, cancel := context.WithTimeout(ctx, renewWithin)
 					a, err := u.client.Renew(one, owner.ID, address, ask)
--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -23,7 +23,7 @@
 func (n *Node) ask(ctx context.Context, machine string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	raw, err := n.client.Ask(ctx, machine, body)
+	raw, err := n.client.Read(ctx, machine, body)
 	if err != nil {
 		return err
 	}
@@ -45,14 +45,14 @@
 
 // Here tells it.
 func (n *Node) Here() Here {
-	h := Here{Member: n.me, Roles: n.duties.Held()}
+	h := Here{Member: n.me, Roles: n.duties.HeldTerms()}
 	if why := n.trouble.Load(); why != nil {
 		h.Trouble = *why
 	}
-	if s := n.server.Load(); s != nil && s.Voter() != nil {
-		st := s.Voter().Status()
-		h.Voter, h.Number, h.Term, h.Leader, h.Leads, h.Applied = true, fmt.Sprintf("%016x", st.Number), st.Role.Term, st.Leader, st.Role.Leads, st.Applied
-		h.Trouble += st.Trouble
+	if s := n.server.Load(); s != nil && s.Replica() != nil {
+		st := s.Replica().Status()
+		h.Voter, h.Number, h.Term, h.Leader, h.Leads, h.Applied = true, fmt.Sprintf("%016x", st.Number), st.Leadership.Term, st.Leader, st.Leadership.IsLeader, st.AppliedIndex
+		h.Trouble += st.Fault
 	}
 	return h
 }
@@ -66,7 +66,7 @@
 	case len(words) == 1 && words[0] == "here":
 		what = n.Here()
 	case len(words) == 1 && words[0] == "status":
-		what, err = n.List(ctx)
+		what, err = n.Membership(ctx)
 	case len(words) == 1 && words[0] == "owners":
 		var v lease.View
 		err = n.ask(ctx, lease.MachineName, nil, &v)
@@ -97,10 +97,10 @@
 		what, err = n.alter(ctx, true, n.cfg.ID)
 	case len(words) == 1 && words[0] == "snapshot":
 		s := n.server.Load()
-		if s == nil || s.Voter() == nil {
+		if s == nil || s.Replica() == nil {
 			err = errors.New("this process is no voter")
-		} else if err = s.Voter().Snapshot(ctx); err == nil {
-			what = s.Voter().Status().Applied
+		} else if err = s.Replica().CreateSnapshot(ctx); err == nil {
+			what = s.Replica().Status().AppliedIndex
 		}
 	default:
 		err = fmt.Errorf("unknown call %.64q; here, status, owners, history DUTY, exports, rights, budgets [CUSTOMER], distribution, transfer DUTY ID, add, remove NAME or snapshot", argument)
@@ -134,7 +134,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	raw, err := n.client.Ask(ctx, allocation.MachineName, nil)
+	raw, err := n.client.Read(ctx, allocation.MachineName, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := n.List(ctx)
+	l, err := n.Membership(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 func (n *Node) transfer(ctx context.Context, duty, to string) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	raw, err := n.client.Do(ctx, lease.MachineName, lease.Op{Do: "wish", Role: duty, To: lease.Member{ID: to}}.Encode())
+	raw, err := n.client.Propose(ctx, lease.MachineName, lease.Op{Action: "wish", Role: duty, To: lease.Member{ID: to}}.Encode())
 	if err != nil {
 		return nil, err
 	}
@@ -176,7 +176,7 @@
 		return nil, err
 	}
 	if !r.OK {
-		return nil, errors.New(r.Why)
+		return nil, errors.New(r.Reason)
 	}
 	return "the owner is told", nil
 }
@@ -188,12 +188,12 @@
 	v := &controlpb.Voter{Name: name}
 	if add {
 		s := n.server.Load()
-		if s == nil || s.Voter() == nil {
+		if s == nil || s.Replica() == nil {
 			return nil, errors.New("this process has no voter's folder: make one with mothcleat fleet join, and start it again")
 		}
-		v.Number, v.Address = s.Voter().Identity().Number, n.cfg.Address
+		v.Number, v.Address = s.Replica().Identity().Number, n.cfg.Address
 	} else {
-		l, err := n.List(ctx)
+		l, err := n.Membership(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -203,7 +203,7 @@
 			}
 		}
 	}
-	if err := n.client.Alter(ctx, add, v); err != nil {
+	if err := n.client.ChangeVoter(ctx, add, v); err != nil {
 		return nil, err
 	}
 	return "agreed", nil
--- a/internal/controlplane/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -26,11 +26,11 @@
 
 // Op is the command: it sets a key, or deletes it where the value is empty.
 type Op struct {
-	Key   string  `json:"key"`
-	Value string  `json:"value"`
-	If    *uint64 `json:"if,omitempty"` // the version that the key must have; 0 means that it is absent
-	Role  string  `json:"duty,omitempty"`
-	Term  uint64  `json:"term,omitempty"`
+	Key             string  `json:"key"`
+	Value           string  `json:"value"`
+	ExpectedVersion *uint64 `json:"if,omitempty"` // the version that the key must have; 0 means that it is absent
+	Role            string  `json:"duty,omitempty"`
+	Term            uint64  `json:"term,omitempty"`
 }
 
 // Entry is a key with its value and version.
@@ -42,8 +42,8 @@
 
 // Result is the answer to an Op, with the entry as it is after it.
 type Result struct {
-	OK  bool   `json:"ok"`
-	Why string `json:"why,omitempty"`
+	OK     bool   `json:"ok"`
+	Reason string `json:"why,omitempty"`
 	Entry
 }
 
@@ -71,7 +71,7 @@
 	r := Result{OK: err == nil, Entry: m.entries[op.Key]}
 	r.Key = op.Key
 	if err != nil {
-		r.Why = err.Error()
+		r.Reason = err.Error()
 	}
 	return mustjson.Marshal(r)
 }
@@ -87,7 +87,7 @@
 	}
 	old, is := m.entries[op.Key]
 	switch {
-	case op.If != nil && *op.If != old.Version:
+	case op.ExpectedVersion != nil && *op.ExpectedVersion != old.Version:
 		return errVersion
 	case len(op.Value) > MaxValueBytes || len(op.Key) > 256 || op.Key == "":
 		return fmt.Errorf("standing: a key of up to 256 bytes and a value of up to %d wanted", MaxValueBytes)
--- a/internal/controlplane/checkpoint/checkpoint_test.go
+++ b/internal/controlplane/checkpoint/checkpoint_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestOps(t *testing.T) {
-	tb := lease.NewTable(lease.Defaults())
+	tb := lease.NewTable(lease.DefaultConfig())
 	a, b := lease.Member{ID: "a", Incarnation: 1}, lease.Member{ID: "b", Incarnation: 1}
-	if _, err := tb.Ask(0, "d", a, 0); err != nil {
+	if _, err := tb.Acquire(0, "d", a, 0); err != nil {
 		t.Fatal(err)
 	}
 	m := NewMachine(tb)
@@ -23,15 +23,15 @@
 		version uint64
 	}{
 		{a, Op{Key: "k", Value: "1"}, true, "1", 1},
-		{b, Op{Key: "k", Value: "2", If: at(9)}, false, "1", 1},
-		{b, Op{Key: "k", Value: "2", If: at(1)}, true, "2", 3},
+		{b, Op{Key: "k", Value: "2", ExpectedVersion: at(9)}, false, "1", 1},
+		{b, Op{Key: "k", Value: "2", ExpectedVersion: at(1)}, true, "2", 3},
 		{b, Op{Key: "k", Value: "3", Role: "d", Term: 1}, false, "2", 3}, // another's duty
 		{a, Op{Key: "k", Value: "3", Role: "d", Term: 2}, false, "2", 3}, // another term
 		{a, Op{Key: "k", Value: "3", Role: "d", Term: 1}, true, "3", 6},
 		{a, Op{Key: "", Value: "3"}, false, "", 0},
 		{a, Op{Key: "k", Value: string(make([]byte, MaxValueBytes+1))}, false, "3", 6},
 		{a, Op{Key: "k"}, true, "", 0}, // taken out
-		{a, Op{Key: "k", Value: "4", If: at(0)}, true, "4", 10},
+		{a, Op{Key: "k", Value: "4", ExpectedVersion: at(0)}, true, "4", 10},
 	} {
 		raw, err := json.Marshal(c.op)
 		if err != nil {
--- a/internal/controlplane/consensus/agree_test.go
+++ b/internal/controlplane/consensus/agree_test.go
@@ -14,9 +14,9 @@
 )
 
 // testConfig is how a voter of a test is set up.
-func testConfig(number uint64, machines map[string]Machine) Config {
-	return Config{Number: number, Machines: machines, Random: rand.New(rand.NewPCG(number, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
-		Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
+func testConfig(number uint64, machines map[string]StateMachine) Config {
+	return Config{Number: number, StateMachines: machines, Random: rand.New(rand.NewPCG(number, 1)), ElectionTicks: 10, HeartbeatTicks: 2,
+		Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
 }
 
 // alone is a fleet of one voter, in virtual time.
@@ -26,9 +26,9 @@
 	now  time.Duration
 }
 
-func newAlone(t *testing.T, machines map[string]Machine) *alone {
+func newAlone(t *testing.T, machines map[string]StateMachine) *alone {
 	t.Helper()
-	saved, err := Found("test", []*controlpb.Voter{{Number: 7, Name: "v"}})
+	saved, err := BootstrapState("test", []*controlpb.Voter{{Number: 7, Name: "v"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,17 +38,17 @@
 }
 
 // begin opens the voter from what was saved, and has it lead.
-func (a *alone) begin(machines map[string]Machine, from Saved) {
+func (a *alone) begin(machines map[string]StateMachine, from StoredState) {
 	a.t.Helper()
 	n, err := Open(a.now, testConfig(7, machines), from)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	if err := n.Begin(0); err != nil {
+	if err := n.Start(0); err != nil {
 		a.t.Fatal(err)
 	}
 	a.node = n
-	for until := a.now + time.Minute; !n.Role().Leads; {
+	for until := a.now + time.Minute; !n.Leadership().IsLeader; {
 		if a.pass(40 * time.Millisecond); a.now > until {
 			a.t.Fatal("it does not lead")
 		}
@@ -60,10 +60,10 @@
 	a.now += d
 	a.node.Tick(a.now)
 	for {
-		if _, ok := a.node.Work(a.now); !ok {
+		if _, ok := a.node.Ready(a.now); !ok {
 			return
 		}
-		if _, err := a.node.Saved(a.now); err != nil {
+		if _, err := a.node.Advance(a.now); err != nil {
 			a.t.Fatal(err)
 		}
 	}
@@ -72,9 +72,9 @@
 // do has a command carried out and gives its answer.
 func (a *alone) do(c *controlpb.Command) *controlpb.Answer {
 	a.t.Helper()
-	a.node.Submit(a.now, c, c)
+	a.node.Propose(a.now, c, c)
 	a.pass(0)
-	for _, d := range a.node.Ended() {
+	for _, d := range a.node.Completions() {
 		if d.Tag == c {
 			return d.Answer
 		}
@@ -86,34 +86,34 @@
 // A process that asks for what another holds is refused each time, mostly without an entry: its session lasts all the
 // same, and so it is one that a duty can be handed on to.
 func TestOneThatIsAlwaysRefusedStaysAMember(t *testing.T) {
-	a := newAlone(t, map[string]Machine{lease.MachineName: lease.NewMachine(lease.Defaults())})
+	a := newAlone(t, map[string]StateMachine{lease.MachineName: lease.NewMachine(lease.DefaultConfig())})
 	var sessions, seqs [2]uint64
 	who := []lease.Member{{ID: "owner", Incarnation: 1}, {ID: "other", Incarnation: 2}}
 	ask := func(i int) *controlpb.Answer {
 		seqs[i]++
-		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], Floor: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Do: "ask", Role: "d", Term: 1}.Encode(),
+		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], AckedSeq: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Action: "ask", Role: "d", Term: 1}.Encode(),
 			Member: &controlpb.Member{Id: who[i].ID, Incarnation: who[i].Incarnation}})
 	}
 	for i := range who {
 		sessions[i] = a.do(&controlpb.Command{Member: &controlpb.Member{Id: who[i].ID, Incarnation: who[i].Incarnation}}).Session
 	}
 	entries := a.node.applied
-	for a.now = 0; a.now < 10*SessionSpan; a.pass(500 * time.Millisecond) {
+	for a.now = 0; a.now < 10*SessionTTL; a.pass(500 * time.Millisecond) {
 		for i := range who {
 			if answer := ask(i); answer.Code != controlpb.Code_OK {
 				t.Fatalf("at %v: %v", a.now, answer)
 			}
 		}
 		for _, m := range a.node.sessions.members() {
-			if a.node.lastAt-m.Seen > SessionSpan/4 {
-				t.Fatalf("at %v %s was last seen at %v", a.node.lastAt, m.ID, m.Seen)
+			if a.node.lastAt-m.LastSeen > SessionTTL/4 {
+				t.Fatalf("at %v %s was last seen at %v", a.node.lastAt, m.ID, m.LastSeen)
 			}
 		}
 	}
 	if n := len(a.node.sessions.members()); n != 2 {
 		t.Fatalf("%d members", n)
 	}
-	if rounds := uint64(10 * SessionSpan / (500 * time.Millisecond)); a.node.applied-entries > rounds+rounds/4 {
+	if rounds := uint64(10 * SessionTTL / (500 * time.Millisecond)); a.node.applied-entries > rounds+rounds/4 {
 		t.Errorf("%d entries for %d renewals: refusals are entries", a.node.applied-entries, rounds)
 	}
 }
--- a/internal/controlplane/consensus/apply.go
+++ b/internal/controlplane/consensus/apply.go
@@ -43,7 +43,7 @@
 		n.clock.lead(n.lastAt, n.lastLocal)
 	}
 	if n.applied-n.snapshot >= 2*n.cfg.KeepEntries {
-		return n.Compact()
+		return n.CreateSnapshot()
 	}
 	return nil
 }
@@ -59,10 +59,10 @@
 		number, code := n.sessions.open(n.applied, who, e.Member.GetAddress(), at)
 		a := &controlpb.Answer{Code: code, Session: number}
 		if code == controlpb.Code_SUPERSEDED {
-			a.Why = superseded(who)
+			a.Reason = superseded(who)
 		}
 		for _, tag := range n.opens[who] {
-			n.done = append(n.done, Done{tag, a})
+			n.done = append(n.done, Completion{tag, a})
 		}
 		delete(n.opens, who)
 		return nil
@@ -70,11 +70,11 @@
 	in, answer, had, code := n.sessions.known(e.Session, e.Seq)
 	if in != nil {
 		in.seen = at
-		in.settle(e.Floor)
+		in.settle(e.AckedSeq)
 	}
 	if code == controlpb.Code_OK && !had {
 		if e.Machine != "" { // else it only says that the process is there
-			m := n.cfg.Machines[e.Machine]
+			m := n.cfg.StateMachines[e.Machine]
 			if m == nil {
 				return fmt.Errorf("agree: entry %d is for %q, which this program does not know: a newer version's", n.applied, e.Machine)
 			}
@@ -83,7 +83,7 @@
 		in.answers[e.Seq] = answer
 	}
 	for _, tag := range n.pending[e.Session][e.Seq] {
-		n.done = append(n.done, Done{tag, &controlpb.Answer{Code: code, Body: answer}})
+		n.done = append(n.done, Completion{tag, &controlpb.Answer{Code: code, Body: answer}})
 	}
 	delete(n.pending[e.Session], e.Seq)
 	if len(n.pending[e.Session]) == 0 {
@@ -105,24 +105,24 @@
 			n.voters[v.Number] = v
 		}
 		for _, tag := range n.changes {
-			n.done = append(n.done, Done{tag, &controlpb.Answer{}})
+			n.done = append(n.done, Completion{tag, &controlpb.Answer{}})
 		}
 		n.changes = nil
 	}
 	n.conf = n.rn.ApplyConfChange(cc)
 	if len(cc.Changes) > 0 && cc.Changes[0].GetType() != raftpb.ConfChangeRemoveNode {
 		// The new voter begins from a snapshot, and takes none by which it is no voter.
-		return n.Compact()
+		return n.CreateSnapshot()
 	}
 	return nil
 }
 
-// Compact makes a snapshot of the state and drops old entries. Compacted tells what to save of it.
-func (n *Node) Compact() error {
+// CreateSnapshot makes a snapshot of the state and drops old entries. Compacted tells what to save of it.
+func (n *Node) CreateSnapshot() error {
 	s := &controlpb.Snapshot{At: uint64(n.lastAt), Fleet: n.fleet, Voters: n.Voters()}
 	n.sessions.write(s)
-	for _, name := range slices.Sorted(maps.Keys(n.cfg.Machines)) {
-		s.Machines = append(s.Machines, &controlpb.MachineState{Name: name, State: n.cfg.Machines[name].Snapshot()})
+	for _, name := range slices.Sorted(maps.Keys(n.cfg.StateMachines)) {
+		s.Machines = append(s.Machines, &controlpb.MachineState{Name: name, State: n.cfg.StateMachines[name].Snapshot()})
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// Compacted is a snapshot made since the last call, and the first entry that is still of use; it may be
+// SnapshotSince is a snapshot made since the last call, and the first entry that is still of use; it may be
 // saved at any later time. ok is false if there is none.
-func (n *Node) Compacted(since uint64) (w Work, ok bool) {
+func (n *Node) SnapshotSince(since uint64) (w Ready, ok bool) {
 	if n.snapshot <= since {
 		return w, false
 	}
@@ -150,7 +150,7 @@
 	if err != nil {
 		return w, false
 	}
-	return Work{Snapshot: s, First: n.First(), Hard: n.hard}, true
+	return Ready{Snapshot: s, FirstIndex: n.FirstIndex(), HardState: n.hard}, true
 }
 
 // restore takes the state from a snapshot.
@@ -166,7 +166,7 @@
 	n.sessions = readSessions(&s)
 	n.sessions.log.begin(from.Metadata.GetIndex())
 	for _, m := range s.Machines {
-		in := n.cfg.Machines[m.Name]
+		in := n.cfg.StateMachines[m.Name]
 		if in == nil {
 			return fmt.Errorf("agree: the snapshot has a part %q, which this program does not know: a newer version's", m.Name)
 		}
--- a/internal/controlplane/consensus/leaders_test.go
+++ b/internal/controlplane/consensus/leaders_test.go
@@ -30,7 +30,7 @@
 		voters = append(voters, &controlpb.Voter{Number: number + 1, Name: fmt.Sprintf("v%d", number+1)})
 	}
 	for _, v := range voters {
-		saved, err := Found("test", voters)
+		saved, err := BootstrapState("test", voters)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,11 +40,11 @@
 }
 
 // open opens a voter from what its folder holds.
-func (w *trio) open(number uint64, from Saved) {
+func (w *trio) open(number uint64, from StoredState) {
 	w.t.Helper()
 	n, err := Open(w.now, testConfig(number, nil), from)
 	if err == nil {
-		err = n.Begin(0)
+		err = n.Start(0)
 	}
 	if err != nil {
 		w.t.Fatal(err)
@@ -64,11 +64,11 @@
 		busy = false
 		for _, number := range numbers {
 			n := w.nodes[number]
-			if _, ok := n.Work(w.now); !ok {
+			if _, ok := n.Ready(w.now); !ok {
 				continue
 			}
 			busy = true
-			messages, err := n.Saved(w.now)
+			messages, err := n.Advance(w.now)
 			if err != nil {
 				w.t.Fatal(err)
 			}
@@ -77,7 +77,7 @@
 					to.Step(m)
 				}
 				if m.GetType() == raftpb.MsgSnap {
-					n.SnapshotSent(m.GetTo(), true)
+					n.ReportSnapshot(m.GetTo(), true)
 				}
 			}
 		}
@@ -89,7 +89,7 @@
 	w.t.Helper()
 	for until := w.now + time.Minute; w.now < until; w.pass(40 * time.Millisecond) {
 		for _, number = range slices.Sorted(maps.Keys(w.nodes)) {
-			if n = w.nodes[number]; n.Role().Leads {
+			if n = w.nodes[number]; n.Leadership().IsLeader {
 				return number, n
 			}
 		}
@@ -103,7 +103,7 @@
 	w.t.Helper()
 	w.pass(40 * time.Millisecond)
 	w.pass(40 * time.Millisecond)
-	for _, d := range n.Ended() {
+	for _, d := range n.Completions() {
 		if d.Tag == tag && d.Answer.Code == controlpb.Code_OK {
 			return d.Answer
 		}
@@ -120,11 +120,11 @@
 	if last, _ := n.log.LastIndex(); last != n.applied || n.applied == n.snapshot {
 		return // its snapshot would not hold all that it has, or there is one already
 	}
-	if err := n.Compact(); err != nil {
+	if err := n.CreateSnapshot(); err != nil {
 		w.t.Fatal(err)
 	}
-	compacted, _ := n.Compacted(0)
-	w.open(number, Saved{Hard: compacted.Hard, Snapshot: compacted.Snapshot})
+	compacted, _ := n.SnapshotSince(0)
+	w.open(number, StoredState{HardState: compacted.HardState, Snapshot: compacted.Snapshot})
 }
 
 // A cache follows the members over changes of the leader and voters that restored snapshots, and a revision that one leader
@@ -139,7 +139,7 @@
 			leaders[number] = true
 			if w.r.IntN(2) == 0 {
 				who := &controlpb.Member{Id: fmt.Sprintf("g%d", w.r.IntN(10)), Incarnation: step + 1, Address: "at"}
-				n.Submit(w.now, &controlpb.Command{Member: who}, who)
+				n.Propose(w.now, &controlpb.Command{Member: who}, who)
 				w.ended(n, who)
 			}
 			switch w.r.IntN(6) {
@@ -151,8 +151,8 @@
 				w.restart(number)
 			}
 			tag := new(int)
-			n.Read(FleetName, cache.Query(), tag)
-			if err := cache.Take(w.ended(n, tag).Body); err != nil {
+			n.Read(MembershipName, cache.Query(), tag)
+			if err := cache.Update(w.ended(n, tag).Body); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
 			w.compare(cache, n, contents)
--- a/internal/controlplane/consensus/membercache.go
+++ b/internal/controlplane/consensus/membercache.go
@@ -9,9 +9,9 @@
 	"slices"
 )
 
-// ErrCache is the error of an answer that does not lead on from what a MemberCache holds. The cache
+// ErrCacheMismatch is the error of an answer that does not lead on from what a MemberCache holds. The cache
 // has forgotten that: its next query asks for the whole.
-var ErrCache = errors.New("agree: the answer does not lead on from what is known of the members")
+var ErrCacheMismatch = errors.New("agree: the answer does not lead on from what is known of the members")
 
 // MemberCache is what a process outside the voters knows of who belongs to the fleet. It asks only
 // for what has changed, and checks what it has by the answers' digests. It must not be used
@@ -19,22 +19,22 @@
 type MemberCache struct {
 	query    MembershipQuery
 	revision Revision // zero: nothing is held, or what an older voter gave
-	voters   []VoterAt
-	members  map[string]MemberAt
-	silent   Silent
+	voters   []VoterInfo
+	members  map[string]MemberInfo
+	silent   UnresponsiveMembers
 }
 
 // NewMemberCache makes an empty cache for the part that a query asks for. The query has to be of
 // ScopeVoters or ScopeMembers.
 func NewMemberCache(query MembershipQuery) *MemberCache {
-	return &MemberCache{query: query, members: map[string]MemberAt{}}
+	return &MemberCache{query: query, members: map[string]MemberInfo{}}
 }
 
 // Query is the body of the Read that asks for what the cache lacks.
 func (c *MemberCache) Query() []byte {
 	q := c.query
 	if c.revision != (Revision{}) {
-		q.Revision, q.Silent = &c.revision, c.silent.Digest
+		q.Revision, q.UnresponsiveDigest = &c.revision, c.silent.Digest
 	}
 	return q.Encode()
 }
@@ -48,9 +48,9 @@
 	return raw
 }
 
-// Take takes in the answer to the last Query. An error, ErrCache among them, leaves the cache
+// Update takes in the answer to the last Query. An error, ErrCache among them, leaves the cache
 // empty.
-func (c *MemberCache) Take(body []byte) error {
+func (c *MemberCache) Update(body []byte) error {
 	if len(body) == 0 && c.revision != (Revision{}) {
 		return nil // nothing has changed
 	}
@@ -67,25 +67,25 @@
 		return err
 	}
 	if !a.Delta {
-		c.voters, c.members, c.silent = a.Voters, map[string]MemberAt{}, Silent{}
+		c.voters, c.members, c.silent = a.Voters, map[string]MemberInfo{}, UnresponsiveMembers{}
 	} else if c.revision == (Revision{}) {
-		return fmt.Errorf("%w: changes came, but nothing is known", ErrCache)
+		return fmt.Errorf("%w: changes came, but nothing is known", ErrCacheMismatch)
 	}
 	for _, m := range a.Members {
 		if len(c.query.IDs) == 0 || slices.Contains(c.query.IDs, m.ID) { // an older voter gives all
 			c.members[m.ID] = m
 		}
 	}
-	for _, id := range a.Ended {
+	for _, id := range a.Removed {
 		delete(c.members, id)
 	}
-	if a.Silent != nil {
-		c.silent = *a.Silent
+	if a.Unresponsive != nil {
+		c.silent = *a.Unresponsive
 	}
 	c.revision = a.Revision
 	if a.Revision != (Revision{}) && c.digest() != a.Revision.Digest {
 		return fmt.Errorf("%w: digest %x, not %x as at entry %d",
-			ErrCache, c.digest(), a.Revision.Digest, a.Revision.Index)
+			ErrCacheMismatch, c.digest(), a.Revision.Digest, a.Revision.Index)
 	}
 	return nil
 }
@@ -103,14 +103,14 @@
 }
 
 // Voters returns the voters, by name, if they were asked for.
-func (c *MemberCache) Voters() []VoterAt { return slices.Clone(c.voters) }
+func (c *MemberCache) Voters() []VoterInfo { return slices.Clone(c.voters) }
 
 // Members returns the members, by id, if they were asked for.
-func (c *MemberCache) Members() []MemberAt {
+func (c *MemberCache) Members() []MemberInfo {
 	all := slices.Collect(maps.Values(c.members))
-	slices.SortFunc(all, func(a, b MemberAt) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b MemberInfo) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range all {
-		_, all[i].Silent = slices.BinarySearch(c.silent.IDs, all[i].ID)
+		_, all[i].Unresponsive = slices.BinarySearch(c.silent.IDs, all[i].ID)
 	}
 	return all
 }
@@ -122,7 +122,7 @@
 	if err := json.Unmarshal(body, &a); err == nil && a.Revision != (Revision{}) {
 		return &a, nil
 	}
-	var l List
+	var l Membership
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, fmt.Errorf("agree: the answer about members can't be read: %w", err)
 	}
@@ -130,15 +130,15 @@
 }
 
 // answer is the whole list as the answer to a query.
-func (l *List) answer() *MembershipAnswer {
-	a := &MembershipAnswer{Voters: l.Voters, Silent: &Silent{}}
+func (l *Membership) answer() *MembershipAnswer {
+	a := &MembershipAnswer{Voters: l.Voters, Unresponsive: &UnresponsiveMembers{}}
 	for _, m := range l.Members {
 		a.Members = append(a.Members,
-			MemberAt{Member: m.Member, Address: m.Address, Retired: l.Retired[m.ID]})
-		if l.At-m.Seen >= silentAfter {
-			a.Silent.IDs = append(a.Silent.IDs, m.ID)
+			MemberInfo{Member: m.Member, Address: m.Address, Retired: l.Retired[m.ID]})
+		if l.At-m.LastSeen >= silentAfter {
+			a.Unresponsive.IDs = append(a.Unresponsive.IDs, m.ID)
 		}
 	}
-	slices.Sort(a.Silent.IDs)
+	slices.Sort(a.Unresponsive.IDs)
 	return a
 }
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -28,7 +28,7 @@
 // touch has a session say that its process is there.
 func (a *alone) touch(session, seq uint64) {
 	a.t.Helper()
-	if answer := a.do(&controlpb.Command{Session: session, Seq: seq, Floor: seq - 1, Member: &controlpb.Member{}}); answer.Code != controlpb.Code_OK {
+	if answer := a.do(&controlpb.Command{Session: session, Seq: seq, AckedSeq: seq - 1, Member: &controlpb.Member{}}); answer.Code != controlpb.Code_OK {
 		a.t.Fatalf("session %d: %v", session, answer)
 	}
 }
@@ -37,9 +37,9 @@
 func (a *alone) read(body []byte) *controlpb.Answer {
 	a.t.Helper()
 	tag := new(int)
-	a.node.Read(FleetName, body, tag)
+	a.node.Read(MembershipName, body, tag)
 	a.pass(0)
-	for _, d := range a.node.Ended() {
+	for _, d := range a.node.Completions() {
 		if d.Tag == tag {
 			return d.Answer
 		}
@@ -55,7 +55,7 @@
 	if answer.Code != controlpb.Code_OK {
 		a.t.Fatal(answer)
 	}
-	if err := c.Take(answer.Body); err != nil {
+	if err := c.Update(answer.Body); err != nil {
 		a.t.Fatal(err)
 	}
 	return len(answer.Body)
@@ -64,20 +64,20 @@
 // restart opens the voter anew from a snapshot of its state.
 func (a *alone) restart() {
 	a.t.Helper()
-	if err := a.node.Compact(); err != nil {
+	if err := a.node.CreateSnapshot(); err != nil {
 		a.t.Fatal(err)
 	}
-	w, ok := a.node.Compacted(0)
+	w, ok := a.node.SnapshotSince(0)
 	if !ok {
 		a.t.Fatal("no snapshot")
 	}
-	a.begin(nil, Saved{Hard: w.Hard, Snapshot: w.Snapshot})
+	a.begin(nil, StoredState{HardState: w.HardState, Snapshot: w.Snapshot})
 }
 
-func names(all []MemberAt) (names []string) {
+func names(all []MemberInfo) (names []string) {
 	for _, m := range all {
 		name := m.Member.String() + "@" + m.Address
-		if m.Silent {
+		if m.Unresponsive {
 			name += "?"
 		}
 		names = append(names, name)
@@ -111,13 +111,13 @@
 		t.Fatal(answer)
 	}
 	expect(false, "the earlier process was refused")
-	a.pass(SessionSpan / 2)
+	a.pass(SessionTTL / 2)
 	a.touch(two, 1)
 	expect(false, "time passed")
-	a.node.Alter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // it is one
+	a.node.ChangeVoter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // it is one
 	a.pass(0)
 	expect(false, "no voter more")
-	a.pass(2 * SessionSpan)
+	a.pass(2 * SessionTTL)
 	expect(false, "a session that ran out is still there")
 	a.open("b", 1)
 	expect(true, "one session ran out, another began")
@@ -192,10 +192,10 @@
 		a.refresh(c)
 		silent := func() (ids []string) {
 			for _, m := range c.Members() {
-				if m.Silent == m.Active() {
+				if m.Unresponsive == m.Active() {
 					t.Fatalf("%s: %+v", name, m)
 				}
-				if m.Silent {
+				if m.Unresponsive {
 					ids = append(ids, m.ID)
 				}
 			}
@@ -233,7 +233,7 @@
 	if a.refresh(c) == 0 {
 		t.Fatal("no change")
 	}
-	if v := c.Voters(); len(v) != 2 || v[1] != (VoterAt{"w", "0000000000000008", "there"}) {
+	if v := c.Voters(); len(v) != 2 || v[1] != (VoterInfo{"w", "0000000000000008", "there"}) {
 		t.Fatal(v)
 	}
 }
@@ -253,7 +253,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(answer.Members) != 3 || len(answer.Voters) != 1 || !slices.ContainsFunc(answer.Members, func(m MemberAt) bool { return m.ID == "v" }) {
+		if len(answer.Members) != 3 || len(answer.Voters) != 1 || !slices.ContainsFunc(answer.Members, func(m MemberInfo) bool { return m.ID == "v" }) {
 			t.Fatalf("%+v", answer)
 		}
 		for _, m := range answer.Members {
@@ -276,7 +276,7 @@
 		`{"scope":"all"}`:                `scope "all"`,
 		`{"scope":"sample","sample":65}`: "65 members",
 	} {
-		if answer := a.read([]byte(body)); answer.Code != controlpb.Code_REFUSED || !strings.Contains(answer.Why, why) {
+		if answer := a.read([]byte(body)); answer.Code != controlpb.Code_REFUSED || !strings.Contains(answer.Reason, why) {
 			t.Errorf("%s: %v", body, answer)
 		}
 	}
@@ -296,7 +296,7 @@
 	} {
 		c := NewMemberCache(query)
 		for range 2 {
-			if err := c.Take(raw); err != nil {
+			if err := c.Update(raw); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -316,20 +316,20 @@
 func TestCacheRefusesWhatDoesNotLeadOn(t *testing.T) {
 	c := NewMemberCache(MembershipQuery{Scope: ScopeMembers})
 	change := []byte(`{"revision":{"index":5,"digest":1},"delta":true}`)
-	if err := c.Take(change); !errors.Is(err, ErrCache) {
+	if err := c.Update(change); !errors.Is(err, ErrCacheMismatch) {
 		t.Error(err)
 	}
 	whole := fmt.Appendf(nil, `{"revision":{"index":4,"digest":%d},"members":[{"id":"a","boot":1}]}`, digestOfNone^digestOf(lease.Member{ID: "a", Incarnation: 1}, ""))
-	if err := c.Take(whole); err != nil {
+	if err := c.Update(whole); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Take(change); !errors.Is(err, ErrCache) {
+	if err := c.Update(change); !errors.Is(err, ErrCacheMismatch) {
 		t.Error(err)
 	}
 	if string(c.Query()) != `{"scope":"members"}` || len(c.Members()) != 0 {
 		t.Errorf("%s: %v", c.Query(), c.Members())
 	}
-	if err := c.Take(nil); err == nil {
+	if err := c.Update(nil); err == nil {
 		t.Error("an empty answer, where nothing was known")
 	}
 }
@@ -424,7 +424,7 @@
 			w.t.Fatal(err)
 		}
 	}
-	if err := c.Take(raw); err != nil {
+	if err := c.Update(raw); err != nil {
 		w.t.Fatal(err)
 	}
 	var wanted []string
@@ -433,7 +433,7 @@
 			continue
 		}
 		name := m.Member.String() + "@" + m.Address
-		if w.at-m.Seen >= SessionSpan/2 {
+		if w.at-m.LastSeen >= SessionTTL/2 {
 			name += "?"
 		}
 		wanted = append(wanted, name)
--- a/internal/controlplane/consensus/membershipquery.go
+++ b/internal/controlplane/consensus/membershipquery.go
@@ -25,7 +25,7 @@
 )
 
 // silentAfter is after what time without a command a member counts as silent.
-const silentAfter = SessionSpan / 2
+const silentAfter = SessionTTL / 2
 
 // maxSample is the largest sample that is answered.
 const maxSample = 64
@@ -46,8 +46,8 @@
 	Seed   uint64 `json:"seed,omitempty"`
 	// Revision is what the asker has; nil: nothing.
 	Revision *Revision `json:"revision,omitempty"`
-	// Silent is the digest of the silent members that the asker knows of.
-	Silent uint64 `json:"silent,omitempty"`
+	// UnresponsiveDigest is the digest of the silent members that the asker knows of.
+	UnresponsiveDigest uint64 `json:"silent,omitempty"`
 }
 
 // MembershipAnswer is what a MembershipQuery gets, unless nothing has changed.
@@ -55,29 +55,29 @@
 	Revision Revision `json:"revision"` // never zero
 	// Delta says that Members are only those that were added or replaced, and Ended those that are
 	// no more.
-	Delta   bool       `json:"delta,omitempty"`
-	Voters  []VoterAt  `json:"voters,omitempty"`
-	Members []MemberAt `json:"members,omitempty"`
-	Ended   []string   `json:"ended,omitempty"`
-	Silent  *Silent    `json:"silent,omitempty"` // nil: as the asker knows them
+	Delta        bool                 `json:"delta,omitempty"`
+	Voters       []VoterInfo          `json:"voters,omitempty"`
+	Members      []MemberInfo         `json:"members,omitempty"`
+	Removed      []string             `json:"ended,omitempty"`
+	Unresponsive *UnresponsiveMembers `json:"silent,omitempty"` // nil: as the asker knows them
 }
 
-// Silent is the members that nothing was heard of for half of a session's span.
-type Silent struct {
+// UnresponsiveMembers is the members that nothing was heard of for half of a session's span.
+type UnresponsiveMembers struct {
 	Digest uint64   `json:"digest"` // 0: there are none
 	IDs    []string `json:"ids,omitempty"`
 }
 
-// MemberAt is one process with a session, and where it is reached.
-type MemberAt struct {
+// MemberInfo is one process with a session, and where it is reached.
+type MemberInfo struct {
 	lease.Member
-	Address string   `json:"address,omitempty"` // "": nowhere
-	Retired []uint64 `json:"retired,omitempty"` // earlier boots of its id, if they were asked for
-	Silent  bool     `json:"-"`                 // nothing was heard of it lately; a MemberCache sets it
+	Address      string   `json:"address,omitempty"` // "": nowhere
+	Retired      []uint64 `json:"retired,omitempty"` // earlier boots of its id, if they were asked for
+	Unresponsive bool     `json:"-"`                 // nothing was heard of it lately; a MemberCache sets it
 }
 
 // Active reports whether the member is reached somewhere and was heard of lately.
-func (m *MemberAt) Active() bool { return m.Address != "" && !m.Silent }
+func (m *MemberInfo) Active() bool { return m.Address != "" && !m.Unresponsive }
 
 // parseMembershipQuery reads the body of a Read of FleetName; nil: a List is asked for.
 func parseMembershipQuery(body []byte) (*MembershipQuery, error) {
@@ -137,10 +137,10 @@
 		s.someMembers(q, a)
 	}
 	silent := s.silentOf(q.IDs, at)
-	if silent.Digest != q.Silent || !a.Delta {
-		a.Silent = silent
+	if silent.Digest != q.UnresponsiveDigest || !a.Delta {
+		a.Unresponsive = silent
 	}
-	if q.Revision != nil && *q.Revision == a.Revision && a.Silent == nil {
+	if q.Revision != nil && *q.Revision == a.Revision && a.Unresponsive == nil {
 		return nil
 	}
 	return a
@@ -159,7 +159,7 @@
 	for _, in := range s.byID {
 		a.Members = append(a.Members, in.memberAt(s.retiredFor(q.Retired, in.member.ID)))
 	}
-	slices.SortFunc(a.Members, func(x, y MemberAt) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(a.Members, func(x, y MemberInfo) int { return cmp.Compare(x.ID, y.ID) })
 }
 
 // someMembers puts the members of some ids into an answer, unless the asker has them.
@@ -167,7 +167,7 @@
 	ids := slices.Clone(q.IDs)
 	slices.Sort(ids)
 	s.put(slices.Compact(ids), q.Retired, a)
-	a.Ended = nil
+	a.Removed = nil
 	a.Revision.Digest = digestOfMembers(a.Members)
 	if q.Revision != nil && *q.Revision == a.Revision {
 		a.Delta, a.Members = true, nil
@@ -180,7 +180,7 @@
 		if in := s.byID[id]; in != nil {
 			a.Members = append(a.Members, in.memberAt(s.retiredFor(retired, id)))
 		} else {
-			a.Ended = append(a.Ended, id)
+			a.Removed = append(a.Removed, id)
 		}
 	}
 }
@@ -193,8 +193,8 @@
 }
 
 // silentOf is which of the members, or of some of them, are silent.
-func (s *sessions) silentOf(ids []string, at time.Duration) *Silent {
-	silent := &Silent{}
+func (s *sessions) silentOf(ids []string, at time.Duration) *UnresponsiveMembers {
+	silent := &UnresponsiveMembers{}
 	look := func(in *session) {
 		if in != nil && in.silent(at) {
 			silent.IDs = append(silent.IDs, in.member.ID)
@@ -217,12 +217,12 @@
 func (n *session) silent(at time.Duration) bool { return at-n.seen >= silentAfter }
 
 // memberAt is the session's process as askers are given it.
-func (n *session) memberAt(retired []uint64) MemberAt {
-	return MemberAt{Member: n.member, Address: n.address, Retired: retired}
+func (n *session) memberAt(retired []uint64) MemberInfo {
+	return MemberInfo{Member: n.member, Address: n.address, Retired: retired}
 }
 
 // digestOfMembers is the digest of a list of members, in any order.
-func digestOfMembers(all []MemberAt) uint64 {
+func digestOfMembers(all []MemberInfo) uint64 {
 	digest := uint64(digestOfNone)
 	for i := range all {
 		digest ^= digestOf(all[i].Member, all[i].Address)
@@ -231,7 +231,7 @@
 }
 
 // digestOfVoters is the digest of a list of voters.
-func digestOfVoters(all []VoterAt) uint64 {
+func digestOfVoters(all []VoterInfo) uint64 {
 	digest := uint64(digestOfNone)
 	for _, v := range all {
 		h := fnv.New64a()
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -15,9 +15,9 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Machine is a part of the agreed state. Every voter applies the same commands in the same order, and
+// StateMachine is a part of the agreed state. Every voter applies the same commands in the same order, and
 // has to come to the same state: nothing but the arguments may decide.
-type Machine interface {
+type StateMachine interface {
 	// Apply carries a command out and gives its answer. at is the fleet's time.
 	Apply(at time.Duration, index uint64, who lease.Member, body []byte) []byte
 	// Query reads; at is the fleet's time as the leader has it.
@@ -26,17 +26,17 @@
 	Restore(state []byte) error
 }
 
-// Refuser is a machine that can tell beforehand that a command would change nothing: such a
+// EarlyRejecter is a machine that can tell beforehand that a command would change nothing: such a
 // command is answered without an entry.
-type Refuser interface {
-	Refuse(at time.Duration, who lease.Member, body []byte) (answer []byte, refused bool)
+type EarlyRejecter interface {
+	RejectEarly(at time.Duration, who lease.Member, body []byte) (answer []byte, refused bool)
 }
 
 // Config is how a voter is set up.
 type Config struct {
-	Number   uint64 // of the voter's folder, never 0
-	Machines map[string]Machine
-	Random   *rand.Rand
+	Number        uint64 // of the voter's folder, never 0
+	StateMachines map[string]StateMachine
+	Random        *rand.Rand
 
 	// ElectionTicks is how many ticks a voter hears of no leader before it stands itself: from once to twice
 	// as many. HeartbeatTicks is between two words of a leader.
@@ -44,7 +44,7 @@
 	// KeepEntries is how many applied entries stay in the log behind a snapshot. A snapshot is made when
 	// twice as many have been applied since the last; 0: 4,096.
 	KeepEntries uint64
-	Log         raft.Logger
+	Logger      raft.Logger
 }
 
 // Node is one voter. It must not be used concurrently.
@@ -74,14 +74,14 @@
 	reads   reads
 	witness map[uint64]Promise
 	newer   map[uint64]Promise // since the last work
-	done    []Done
+	done    []Completion
 }
 
 var errDamaged = errors.New("agree: the log does not fit together")
 
-// Found gives what the folder of a new fleet's voter holds at first. All voters of a fleet have to be given the
+// BootstrapState gives what the folder of a new fleet's voter holds at first. All voters of a fleet have to be given the
 // same, but for which of them they are.
-func Found(fleet string, voters []*controlpb.Voter) (Saved, error) {
+func BootstrapState(fleet string, voters []*controlpb.Voter) (StoredState, error) {
 	s := &controlpb.Snapshot{Fleet: fleet, Voters: voters}
 	cs := &raftpb.ConfState{}
 	for _, v := range voters {
@@ -89,30 +89,30 @@
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
-		return Saved{}, fmt.Errorf("agree: found: %w", err)
+		return StoredState{}, fmt.Errorf("agree: found: %w", err)
 	}
-	return Saved{
-		Hard:     &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
-		Snapshot: &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: cs, Index: new(uint64(1)), Term: new(uint64(1))}},
+	return StoredState{
+		HardState: &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
+		Snapshot:  &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: cs, Index: new(uint64(1)), Term: new(uint64(1))}},
 	}, nil
 }
 
-// Join gives what the folder of a voter holds at first that is to be added to a fleet: nothing.
-func Join() Saved {
-	return Saved{Hard: &raftpb.HardState{}, Snapshot: raftpb.EnsureSnapshot(nil)}
+// JoinState gives what the folder of a voter holds at first that is to be added to a fleet: nothing.
+func JoinState() StoredState {
+	return StoredState{HardState: &raftpb.HardState{}, Snapshot: raftpb.EnsureSnapshot(nil)}
 }
 
 // Open makes a voter of what its folder holds. now is the voter's clock. It takes no part before Begin.
-func Open(now time.Duration, cfg Config, from Saved) (*Node, error) {
+func Open(now time.Duration, cfg Config, from StoredState) (*Node, error) {
 	if cfg.KeepEntries == 0 {
 		cfg.KeepEntries = 4096
 	}
-	if from.Snapshot == nil || from.Hard == nil {
+	if from.Snapshot == nil || from.HardState == nil {
 		return nil, fmt.Errorf("%w: no snapshot to begin from", errDamaged)
 	}
 	n := &Node{cfg: cfg, log: raft.NewMemoryStorage(), pending: map[uint64]map[uint64][]any{}, opens: map[lease.Member][]any{},
 		witness: map[uint64]Promise{}, newer: map[uint64]Promise{}}
-	for of, p := range from.Witness {
+	for of, p := range from.Promises {
 		n.witness[of] = p
 	}
 	if err := n.log.ApplySnapshot(from.Snapshot); err != nil {
@@ -132,15 +132,15 @@
 	if err := n.log.Append(entries); err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
 	}
-	if from.Hard.GetCommit() >= next {
-		return nil, fmt.Errorf("%w: entry %d is agreed, the last one here is %d", errDamaged, from.Hard.GetCommit(), next-1)
+	if from.HardState.GetCommit() >= next {
+		return nil, fmt.Errorf("%w: entry %d is agreed, the last one here is %d", errDamaged, from.HardState.GetCommit(), next-1)
 	}
-	if index := from.Snapshot.Metadata.GetIndex(); from.Hard.GetCommit() < index {
-		from.Hard.Commit = new(index) // a snapshot holds nothing that is not agreed
+	if index := from.Snapshot.Metadata.GetIndex(); from.HardState.GetCommit() < index {
+		from.HardState.Commit = new(index) // a snapshot holds nothing that is not agreed
 	}
-	n.hard = from.Hard
+	n.hard = from.HardState
 	n.saved = next - 1
-	if err := n.log.SetHardState(from.Hard); err != nil {
+	if err := n.log.SetHardState(from.HardState); err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
 	}
 	return n, n.restore(now, from.Snapshot)
@@ -149,8 +149,8 @@
 // Position is how far the folder's record reaches.
 func (n *Node) Position() Position { return Position{n.hard.GetTerm(), n.saved} }
 
-// Begin has the voter take part, once its proof was good: it votes in no term up to the floor.
-func (n *Node) Begin(floor uint64) error {
+// Start has the voter take part, once its proof was good: it votes in no term up to the floor.
+func (n *Node) Start(floor uint64) error {
 	hard := proto.Clone(n.hard).(*raftpb.HardState)
 	if floor > hard.GetTerm() {
 		// It counts as having voted for itself there, which nobody counts.
@@ -165,7 +165,7 @@
 		ID: n.cfg.Number, ElectionTick: n.cfg.ElectionTicks, HeartbeatTick: n.cfg.HeartbeatTicks, Storage: n.log,
 		Applied: n.applied, MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxInflightBytes: 8 << 20,
 		MaxUncommittedEntriesSize: 16 << 20, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
-		Logger: n.cfg.Log, DisableProposalForwarding: true,
+		Logger: n.cfg.Logger, DisableProposalForwarding: true,
 	})
 	n.rearm()
 	return err
@@ -239,10 +239,10 @@
 	}
 }
 
-// Know is what this voter says to another that starts.
-func (n *Node) Know(voter uint64) Word {
+// AnswerVerification is what this voter says to another that starts.
+func (n *Node) AnswerVerification(voter uint64) VerificationReply {
 	_, known := n.voters[voter]
-	w := Word{Term: n.hard.GetTerm(), Promised: n.witness[voter], Stranger: !known}
+	w := VerificationReply{Term: n.hard.GetTerm(), Promised: n.witness[voter], UnknownVoter: !known}
 	if n.rn != nil {
 		st := n.rn.BasicStatus()
 		w.Term, w.Leader = max(w.Term, st.GetTerm()), st.Lead
@@ -250,11 +250,11 @@
 	return w
 }
 
-// Unreachable takes in that messages to another voter are lost.
-func (n *Node) Unreachable(voter uint64) { n.rn.ReportUnreachable(voter) }
+// ReportUnreachable takes in that messages to another voter are lost.
+func (n *Node) ReportUnreachable(voter uint64) { n.rn.ReportUnreachable(voter) }
 
-// SnapshotSent takes in whether a snapshot was passed to another voter.
-func (n *Node) SnapshotSent(voter uint64, ok bool) {
+// ReportSnapshot takes in whether a snapshot was passed to another voter.
+func (n *Node) ReportSnapshot(voter uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
--- a/internal/controlplane/consensus/persist.go
+++ b/internal/controlplane/consensus/persist.go
@@ -7,50 +7,50 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Saved is what a voter has on disk.
-type Saved struct {
-	Hard     *raftpb.HardState // nil: nothing was saved
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
-	Witness  map[uint64]Promise
+// StoredState is what a voter has on disk.
+type StoredState struct {
+	HardState *raftpb.HardState // nil: nothing was saved
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry
+	Promises  map[uint64]Promise
 }
 
-// Work is what has to be on disk before Node.Saved is called. It is written completely or not at all.
-type Work struct {
-	Hard     *raftpb.HardState // nil: as it was
-	Entries  []*raftpb.Entry   // replace those of the same index; all behind the last one go
-	Snapshot *raftpb.Snapshot  // nil: as it was
-	Reset    bool              // all entries saved before go, whatever their index
-	First    uint64            // entries below it are of no more use
-	Witness  map[uint64]Promise
-	Sync     bool // it has to be on disk; otherwise it may come with the next that has to
+// Ready is what has to be on disk before Node.Saved is called. It is written completely or not at all.
+type Ready struct {
+	HardState  *raftpb.HardState // nil: as it was
+	Entries    []*raftpb.Entry   // replace those of the same index; all behind the last one go
+	Snapshot   *raftpb.Snapshot  // nil: as it was
+	ReplaceLog bool              // all entries saved before go, whatever their index
+	FirstIndex uint64            // entries below it are of no more use
+	Promises   map[uint64]Promise
+	MustSync   bool // it has to be on disk; otherwise it may come with the next that has to
 }
 
-// Work returns what has to be saved next; ok is false if there is nothing to save or to send. Call Saved
+// Ready returns what has to be saved next; ok is false if there is nothing to save or to send. Call Saved
 // once it is on disk, before any other method.
-func (n *Node) Work(now time.Duration) (w Work, ok bool) {
+func (n *Node) Ready(now time.Duration) (w Ready, ok bool) {
 	if n.rn == nil || !n.rn.HasReady() {
 		return w, false
 	}
 	rd := n.rn.Ready()
 	n.ready = &rd
-	w.Hard, w.Entries, w.Sync = rd.HardState, rd.Entries, rd.MustSync
+	w.HardState, w.Entries, w.MustSync = rd.HardState, rd.Entries, rd.MustSync
 	if rd.HardState != nil && raft.IsEmptyHardState(rd.HardState) {
-		w.Hard = nil
+		w.HardState = nil
 	}
 	if rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot) {
-		w.Snapshot, w.Sync, w.Reset = rd.Snapshot, true, true
-		w.First = rd.Snapshot.Metadata.GetIndex() + 1
+		w.Snapshot, w.MustSync, w.ReplaceLog = rd.Snapshot, true, true
+		w.FirstIndex = rd.Snapshot.Metadata.GetIndex() + 1
 	}
 	if len(n.newer) > 0 {
-		w.Witness, n.newer = n.newer, map[uint64]Promise{}
+		w.Promises, n.newer = n.newer, map[uint64]Promise{}
 	}
 	return w, true
 }
 
-// Saved takes in that the work is on disk. It returns the messages that may be sent now. See Ended for the
+// Advance takes in that the work is on disk. It returns the messages that may be sent now. See Ended for the
 // requests that it has ended.
-func (n *Node) Saved(now time.Duration) ([]*raftpb.Message, error) {
+func (n *Node) Advance(now time.Duration) ([]*raftpb.Message, error) {
 	rd := n.ready
 	n.ready = nil
 	if err := n.takeSaved(now, rd); err != nil {
--- a/internal/controlplane/consensus/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -39,12 +39,12 @@
 	if !n.able(tag) {
 		return
 	}
-	if n.cfg.Machines[machine] == nil && machine != FleetName {
+	if n.cfg.StateMachines[machine] == nil && machine != MembershipName {
 		n.refuseUnknown(tag, machine)
 		return
 	}
 	r := &read{tag: tag, machine: machine, body: body}
-	if machine == FleetName {
+	if machine == MembershipName {
 		var err error
 		if r.members, err = parseMembershipQuery(body); err != nil {
 			n.refuse(tag, controlpb.Code_REFUSED, err.Error())
@@ -92,8 +92,8 @@
 // queried is the answer to a read at a time of the fleet.
 func (n *Node) queried(r *read, at time.Duration) []byte {
 	switch {
-	case r.machine != FleetName:
-		return n.cfg.Machines[r.machine].Query(at, r.body)
+	case r.machine != MembershipName:
+		return n.cfg.StateMachines[r.machine].Query(at, r.body)
 	case r.members != nil:
 		return n.membershipAnswer(r.members, at)
 	}
--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -15,10 +15,10 @@
 func (w *trio) turn(n *Node) (messages []*raftpb.Message) {
 	w.t.Helper()
 	for {
-		if _, ok := n.Work(w.now); !ok {
+		if _, ok := n.Ready(w.now); !ok {
 			return messages
 		}
-		sent, err := n.Saved(w.now)
+		sent, err := n.Advance(w.now)
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 
 // endedTags are the tags of the requests that a voter has answered.
 func endedTags(n *Node) (tags []any) {
-	for _, d := range n.Ended() {
+	for _, d := range n.Completions() {
 		if d.Answer.Code == controlpb.Code_OK {
 			tags = append(tags, d.Tag)
 		}
@@ -52,10 +52,10 @@
 func TestReadsShareTheirRounds(t *testing.T) {
 	w := newTrio(t, 5)
 	_, leader := w.leader()
-	leader.Ended()
+	leader.Completions()
 	const reads = 100
 	for i := range reads {
-		leader.Read(FleetName, nil, i)
+		leader.Read(MembershipName, nil, i)
 	}
 	sent := 0
 	var answered []any
@@ -86,15 +86,15 @@
 func TestAReadWaitsForARoundOfItsOwn(t *testing.T) {
 	w := newTrio(t, 6)
 	_, leader := w.leader()
-	leader.Ended()
-	leader.Read(FleetName, nil, "first")
+	leader.Completions()
+	leader.Read(MembershipName, nil, "first")
 	asked := w.turn(leader)
 	var confirmations []*raftpb.Message
 	for _, m := range asked {
 		w.nodes[m.GetTo()].Step(m)
 		confirmations = append(confirmations, w.turn(w.nodes[m.GetTo()])...)
 	}
-	leader.Read(FleetName, nil, "second") // after the others have confirmed the first
+	leader.Read(MembershipName, nil, "second") // after the others have confirmed the first
 	for _, m := range confirmations {
 		leader.Step(m)
 	}
@@ -114,20 +114,20 @@
 func TestReadsEndWithTheLeadership(t *testing.T) {
 	w := newTrio(t, 7)
 	number, leader := w.leader()
-	leader.Ended()
+	leader.Completions()
 	for i := range 3 {
-		leader.Read(FleetName, nil, i)
+		leader.Read(MembershipName, nil, i)
 	}
 	delete(w.nodes, number) // nothing reaches it any more
 	successor, next := w.leader()
 	if successor == number {
 		t.Fatal("it leads still")
 	}
-	heard := next.Role().Term
+	heard := next.Leadership().Term
 	leader.Step(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &successor, To: &number, Term: &heard, Commit: new(uint64(0))})
 	w.turn(leader)
 	var refused []any
-	for _, d := range leader.Ended() {
+	for _, d := range leader.Completions() {
 		if d.Answer.Code != controlpb.Code_NOT_LEADER {
 			t.Errorf("%v", d.Answer)
 		}
--- a/internal/controlplane/consensus/requests.go
+++ b/internal/controlplane/consensus/requests.go
@@ -16,17 +16,17 @@
 )
 
 // freshFor is how long ago a session's last entry may be for a command of it to be answered without one.
-const freshFor = SessionSpan / 6
+const freshFor = SessionTTL / 6
 
-// Done is the end of a command, a read or a change of voters. Tag is what its caller gave.
-type Done struct {
+// Completion is the end of a command, a read or a change of voters. Tag is what its caller gave.
+type Completion struct {
 	Tag    any
 	Answer *controlpb.Answer
 }
 
 // answer ends a command or a read with its answer.
 func (n *Node) answer(tag any, body []byte) {
-	n.done = append(n.done, Done{tag, &controlpb.Answer{Body: body}})
+	n.done = append(n.done, Completion{tag, &controlpb.Answer{Body: body}})
 }
 
 // refuseUnknown ends a request for a machine that there is none of.
@@ -36,13 +36,13 @@
 
 // refuse ends a command or a read with an error, and names the leader if one is known.
 func (n *Node) refuse(tag any, code controlpb.Code, why string) {
-	a := &controlpb.Answer{Code: code, Why: why}
+	a := &controlpb.Answer{Code: code, Reason: why}
 	if n.rn != nil {
 		if v := n.voters[n.rn.BasicStatus().Lead]; v != nil {
 			a.Leader = v.Name
 		}
 	}
-	n.done = append(n.done, Done{tag, a})
+	n.done = append(n.done, Completion{tag, a})
 }
 
 // able reports whether this node takes requests. If not, it ends the request with the reason.
@@ -60,14 +60,14 @@
 	return false
 }
 
-// Submit proposes a command; session 0 opens a session for its member. It ends in a Done with the tag.
-func (n *Node) Submit(now time.Duration, c *controlpb.Command, tag any) {
+// Propose proposes a command; session 0 opens a session for its member. It ends in a Done with the tag.
+func (n *Node) Propose(now time.Duration, c *controlpb.Command, tag any) {
 	if !n.able(tag) {
 		return
 	}
 	who := lease.Member{ID: c.Member.GetId(), Incarnation: c.Member.GetIncarnation()}
 	at := n.clock.now(now)
-	e := &controlpb.Entry{At: uint64(at), Session: c.Session, Seq: c.Seq, Floor: c.Floor, Machine: c.Machine, Body: c.Body}
+	e := &controlpb.Entry{At: uint64(at), Session: c.Session, Seq: c.Seq, AckedSeq: c.AckedSeq, Machine: c.Machine, Body: c.Body}
 	if c.Session == 0 {
 		e.Member = c.Member
 	} else if n.endsAtOnce(at, who, c, tag) {
@@ -103,14 +103,14 @@
 		n.answer(tag, answer)
 		return true
 	}
-	m := n.cfg.Machines[c.Machine]
+	m := n.cfg.StateMachines[c.Machine]
 	if m == nil && c.Machine != "" {
 		n.refuseUnknown(tag, c.Machine)
 		return true
 	}
 	// A command without an entry leaves no trace in the session: one that is always refused would be taken for gone.
-	if r, ok := m.(Refuser); ok && at-in.seen < freshFor {
-		if answer, refused := r.Refuse(at, in.member, c.Body); refused {
+	if r, ok := m.(EarlyRejecter); ok && at-in.seen < freshFor {
+		if answer, refused := r.RejectEarly(at, in.member, c.Body); refused {
 			n.answer(tag, answer)
 			return true
 		}
@@ -137,9 +137,9 @@
 	return fmt.Sprintf("another process has taken the id %s since; this one is %s", who.ID, who)
 }
 
-// Alter proposes another list of voters, with one added or one removed, by joint consensus. It ends in a
+// ChangeVoter proposes another list of voters, with one added or one removed, by joint consensus. It ends in a
 // Done with the tag.
-func (n *Node) Alter(add bool, v *controlpb.Voter, tag any) {
+func (n *Node) ChangeVoter(add bool, v *controlpb.Voter, tag any) {
 	if !n.able(tag) {
 		return
 	}
@@ -217,17 +217,17 @@
 	n.changes = nil
 }
 
-// Ended returns the requests that have ended since the last call.
-func (n *Node) Ended() []Done {
+// Completions returns the requests that have ended since the last call.
+func (n *Node) Completions() []Completion {
 	d := n.done
 	n.done = nil
 	return d
 }
 
-// Drop ends all requests that wait, with a reason why this voter stops. They may be agreed yet.
-func (n *Node) Drop(why string) {
+// FailPending ends all requests that wait, with a reason why this voter stops. They may be agreed yet.
+func (n *Node) FailPending(why string) {
 	n.stepDown()
 	for _, d := range n.done {
-		d.Answer.Code, d.Answer.Why = controlpb.Code_NOT_READY, why
+		d.Answer.Code, d.Answer.Reason = controlpb.Code_NOT_READY, why
 	}
 }
--- a/internal/controlplane/consensus/sample.go
+++ b/internal/controlplane/consensus/sample.go
@@ -23,7 +23,7 @@
 	for _, one := range drawn.drawn {
 		a.Members = append(a.Members, one.session.memberAt(nil))
 	}
-	slices.SortFunc(a.Members, func(x, y MemberAt) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(a.Members, func(x, y MemberInfo) int { return cmp.Compare(x.ID, y.ID) })
 	a.Revision.Digest = digestOfMembers(a.Members)
 	return a
 }
--- a/internal/controlplane/consensus/sessions.go
+++ b/internal/controlplane/consensus/sessions.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// SessionSpan is for how long a session lasts without a command, in the fleet's time.
-	SessionSpan = time.Minute
-	// MostOpen is how many commands of a session may be without their answer known to have come.
-	MostOpen = 256
+	// SessionTTL is for how long a session lasts without a command, in the fleet's time.
+	SessionTTL = time.Minute
+	// MaxOpenCommands is how many commands of a session may be without their answer known to have come.
+	MaxOpenCommands = 256
 
 	retiredMost = 32 // boots kept of an id
 )
@@ -81,7 +81,7 @@
 // expire ends the sessions that nothing was heard of.
 func (s *sessions) expire(at time.Duration) {
 	for _, old := range s.byNumber {
-		if at-old.seen > SessionSpan {
+		if at-old.seen > SessionTTL {
 			s.drop(old)
 		}
 	}
@@ -99,7 +99,7 @@
 	if seq <= in.floor {
 		return in, nil, false, controlpb.Code_REFUSED // its answer has come, by its own session's word
 	}
-	if len(in.answers) >= MostOpen {
+	if len(in.answers) >= MaxOpenCommands {
 		return in, nil, false, controlpb.Code_BUSY
 	}
 	return in, nil, false, controlpb.Code_OK
@@ -118,31 +118,31 @@
 	}
 }
 
-// Present is one process with a session.
-type Present struct {
+// SessionInfo is one process with a session.
+type SessionInfo struct {
 	lease.Member
-	Address string        `json:"address"`
-	Seen    time.Duration `json:"seen"` // the fleet's time of its last command
+	Address  string        `json:"address"`
+	LastSeen time.Duration `json:"seen"` // the fleet's time of its last command
 }
 
 // members are the processes with a session, by id.
-func (s *sessions) members() []Present {
-	all := make([]Present, 0, len(s.byID))
+func (s *sessions) members() []SessionInfo {
+	all := make([]SessionInfo, 0, len(s.byID))
 	for _, n := range s.byID {
-		all = append(all, Present{n.member, n.address, n.seen})
+		all = append(all, SessionInfo{n.member, n.address, n.seen})
 	}
-	slices.SortFunc(all, func(a, b Present) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b SessionInfo) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
 // write puts the sessions into a snapshot, in an order of their own.
 func (s *sessions) write(to *controlpb.Snapshot) {
 	for _, n := range s.byNumber {
-		w := &controlpb.Session{Number: n.number, Member: &controlpb.Member{Id: n.member.ID, Incarnation: n.member.Incarnation, Address: n.address}, Seen: uint64(n.seen), Floor: n.floor}
+		w := &controlpb.Session{Number: n.number, Member: &controlpb.Member{Id: n.member.ID, Incarnation: n.member.Incarnation, Address: n.address}, LastSeen: uint64(n.seen), AckedSeq: n.floor}
 		for seq, answer := range n.answers {
-			w.Answers = append(w.Answers, &controlpb.Kept{Seq: seq, Answer: answer})
+			w.Answers = append(w.Answers, &controlpb.CachedAnswer{Seq: seq, Answer: answer})
 		}
-		slices.SortFunc(w.Answers, func(a, b *controlpb.Kept) int { return cmp.Compare(a.Seq, b.Seq) })
+		slices.SortFunc(w.Answers, func(a, b *controlpb.CachedAnswer) int { return cmp.Compare(a.Seq, b.Seq) })
 		to.Sessions = append(to.Sessions, w)
 	}
 	slices.SortFunc(to.Sessions, func(a, b *controlpb.Session) int { return cmp.Compare(a.Number, b.Number) })
@@ -156,7 +156,7 @@
 	s := newSessions()
 	for _, w := range from.Sessions {
 		n := &session{number: w.Number, member: lease.Member{ID: w.Member.GetId(), Incarnation: w.Member.GetIncarnation()}, address: w.Member.GetAddress(),
-			seen: time.Duration(w.Seen), floor: w.Floor, answers: map[uint64][]byte{}}
+			seen: time.Duration(w.LastSeen), floor: w.AckedSeq, answers: map[uint64][]byte{}}
 		for _, k := range w.Answers {
 			n.answers[k.Seq] = k.Answer
 		}
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -13,20 +13,20 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// Role is what a voter is at a time.
-type Role struct {
-	Term   uint64
-	Leader uint64 // 0: none is known
-	Leads  bool   // this voter, and it takes commands
+// Leadership is what a voter is at a time.
+type Leadership struct {
+	Term     uint64
+	Leader   uint64 // 0: none is known
+	IsLeader bool   // this voter, and it takes commands
 }
 
-// Role returns what this voter is now.
-func (n *Node) Role() Role {
+// Leadership returns what this voter is now.
+func (n *Node) Leadership() Leadership {
 	if n.rn == nil {
-		return Role{Term: n.hard.GetTerm()}
+		return Leadership{Term: n.hard.GetTerm()}
 	}
 	st := n.rn.BasicStatus()
-	return Role{st.GetTerm(), st.Lead, n.leads()}
+	return Leadership{st.GetTerm(), st.Lead, n.leads()}
 }
 
 // leads reports whether this voter leads and has applied an entry of its own term: only then does it know all that
@@ -47,57 +47,57 @@
 }
 
 // Members returns the processes that have a session, by id.
-func (n *Node) Members() []Present { return n.sessions.members() }
+func (n *Node) Members() []SessionInfo { return n.sessions.members() }
 
 // Fleet returns the name that the fleet was founded under.
 func (n *Node) Fleet() string { return n.fleet }
 
-// Applied returns the index of the last entry that the state holds.
-func (n *Node) Applied() uint64 { return n.applied }
+// AppliedIndex returns the index of the last entry that the state holds.
+func (n *Node) AppliedIndex() uint64 { return n.applied }
 
-// First returns the index of the first entry that the log still holds.
-func (n *Node) First() uint64 {
+// FirstIndex returns the index of the first entry that the log still holds.
+func (n *Node) FirstIndex() uint64 {
 	first, _ := n.log.FirstIndex() // the log in memory has no errors
 	return first
 }
 
-// FleetName is the part of the agreed state that every node has itself: who votes, and who has a session. A Read of it
+// MembershipName is the part of the agreed state that every node has itself: who votes, and who has a session. A Read of it
 // without a body gives a List, one with a MembershipQuery only the part that it asks for.
-const FleetName = "fleet"
-
-// List is who belongs to the fleet.
-type List struct {
-	Fleet   string        `json:"fleet"`
-	At      time.Duration `json:"at"` // the fleet's time
-	Term    uint64        `json:"term"`
-	Leader  string        `json:"leader"`
-	Applied uint64        `json:"applied"`
-	First   uint64        `json:"first"` // entry still in the log
-	Voters  []VoterAt     `json:"voters"`
-	Members []Present     `json:"members"`
+const MembershipName = "fleet"
+
+// Membership is who belongs to the fleet.
+type Membership struct {
+	Fleet        string        `json:"fleet"`
+	At           time.Duration `json:"at"` // the fleet's time
+	Term         uint64        `json:"term"`
+	Leader       string        `json:"leader"`
+	AppliedIndex uint64        `json:"applied"`
+	FirstIndex   uint64        `json:"first"` // entry still in the log
+	Voters       []VoterInfo   `json:"voters"`
+	Members      []SessionInfo `json:"members"`
 	// Retired are earlier boots of ids that had a session, as far as they are kept.
 	Retired map[string][]uint64 `json:"retired"`
 }
 
-// VoterAt is a voter of the agreed list.
-type VoterAt struct {
+// VoterInfo is a voter of the agreed list.
+type VoterInfo struct {
 	Name    string `json:"name"`
 	Number  string `json:"number"` // of its folder, in hexadecimal
 	Address string `json:"address"`
 }
 
 // votersAt returns the agreed voters as askers are given them, by name.
-func (n *Node) votersAt() (all []VoterAt) {
+func (n *Node) votersAt() (all []VoterInfo) {
 	for _, v := range n.Voters() {
-		all = append(all, VoterAt{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
+		all = append(all, VoterInfo{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
 	}
 	return all
 }
 
 // list returns the List as JSON, at a time of the fleet.
 func (n *Node) list(at time.Duration) []byte {
-	r := n.Role()
-	l := List{Fleet: n.fleet, At: at, Term: r.Term, Applied: n.applied, First: n.First(), Members: n.Members(), Retired: n.sessions.retired}
+	r := n.Leadership()
+	l := Membership{Fleet: n.fleet, At: at, Term: r.Term, AppliedIndex: n.applied, FirstIndex: n.FirstIndex(), Members: n.Members(), Retired: n.sessions.retired}
 	l.Voters = n.votersAt()
 	for _, v := range n.Voters() {
 		if v.Number == r.Leader {
--- a/internal/controlplane/controlrpc/client.go
+++ b/internal/controlplane/controlrpc/client.go
@@ -18,12 +18,12 @@
 
 // Errors of a Client, to be told apart by errors.Is.
 var (
-	// ErrUnknown: the command may have been applied, or not, and can't be asked about any more.
-	ErrUnknown = errors.New("fleet: the session ran out before an answer came")
+	// ErrOutcomeUnknown: the command may have been applied, or not, and can't be asked about any more.
+	ErrOutcomeUnknown = errors.New("fleet: the session ran out before an answer came")
 	// ErrSuperseded: another process has taken this one's id. Nothing is done for this one any more.
 	ErrSuperseded = errors.New("fleet: superseded")
-	// ErrRefused: by what the command asks for.
-	ErrRefused = errors.New("fleet: refused")
+	// ErrRejected: by what the command asks for.
+	ErrRejected = errors.New("fleet: refused")
 	// ErrNoContent: the process that was asked for a content doesn't have it.
 	ErrNoContent = errors.New("fleet: the content is not there")
 )
@@ -172,10 +172,10 @@
 				last = fmt.Sprintf("%s: %v", name, err)
 				c.missed(name, "", true)
 			case a.Code == controlpb.Code_NOT_LEADER:
-				last = fmt.Sprintf("%s: %s", name, a.Why)
+				last = fmt.Sprintf("%s: %s", name, a.Reason)
 				c.missed(name, a.Leader, false)
 			case a.Code == controlpb.Code_NOT_READY || a.Code == controlpb.Code_BUSY:
-				last = fmt.Sprintf("%s: %s", name, a.Why)
+				last = fmt.Sprintf("%s: %s", name, a.Reason)
 				if a.Code == controlpb.Code_NOT_READY {
 					c.missed(name, a.Leader, false)
 				}
@@ -206,7 +206,7 @@
 		return err
 	}
 	if a.Code == controlpb.Code_SUPERSEDED {
-		return c.superseded(a.Why)
+		return c.superseded(a.Reason)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -230,9 +230,9 @@
 	return c.over
 }
 
-// Do has a command applied, once, and gives its answer. An error that is neither ErrSuperseded nor ErrRefused
+// Propose has a command applied, once, and gives its answer. An error that is neither ErrSuperseded nor ErrRefused
 // leaves open whether it was, or will be.
-func (c *Client) Do(ctx context.Context, machine string, body []byte) ([]byte, error) {
+func (c *Client) Propose(ctx context.Context, machine string, body []byte) ([]byte, error) {
 	if err := c.open(ctx); err != nil {
 		return nil, err
 	}
@@ -248,7 +248,7 @@
 	}()
 	within := tryWithin + tryPerByte*time.Duration(len(body))
 	a, err := c.eachWithin(ctx, within, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
-		return to.Do(ctx, &controlpb.Command{Fleet: c.fleet, Session: session, Seq: seq, Floor: c.floor(), Machine: machine, Body: body, Member: c.member()})
+		return to.Do(ctx, &controlpb.Command{Fleet: c.fleet, Session: session, Seq: seq, AckedSeq: c.floor(), Machine: machine, Body: body, Member: c.member()})
 	})
 	if err != nil {
 		return nil, err
@@ -260,16 +260,16 @@
 		c.mu.Unlock()
 		return a.Body, nil
 	case controlpb.Code_SUPERSEDED:
-		return nil, c.superseded(a.Why)
+		return nil, c.superseded(a.Reason)
 	case controlpb.Code_NO_SESSION:
 		c.mu.Lock()
 		if c.session == session {
 			c.session = 0
 		}
 		c.mu.Unlock()
-		return nil, ErrUnknown
+		return nil, ErrOutcomeUnknown
 	}
-	return nil, fmt.Errorf("%w: %s", ErrRefused, a.Why)
+	return nil, fmt.Errorf("%w: %s", ErrRejected, a.Reason)
 }
 
 // floor is up to which command all answers have come.
@@ -283,13 +283,13 @@
 	return floor
 }
 
-// Ask reads what a machine has, after all that was answered before.
-func (c *Client) Ask(ctx context.Context, machine string, body []byte) ([]byte, error) {
+// Read reads what a machine has, after all that was answered before.
+func (c *Client) Read(ctx context.Context, machine string, body []byte) ([]byte, error) {
 	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
 		return to.Ask(ctx, &controlpb.Query{Fleet: c.fleet, Machine: machine, Body: body})
 	})
 	if err == nil && a.Code != controlpb.Code_OK {
-		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
+		err = fmt.Errorf("%w: %s", ErrRejected, a.Reason)
 	}
 	if err != nil {
 		return nil, err
@@ -297,26 +297,26 @@
 	return a.Body, nil
 }
 
-// Alter has one voter more or less.
-func (c *Client) Alter(ctx context.Context, add bool, v *controlpb.Voter) error {
+// ChangeVoter has one voter more or less.
+func (c *Client) ChangeVoter(ctx context.Context, add bool, v *controlpb.Voter) error {
 	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
-		return to.Alter(ctx, &controlpb.Change{Fleet: c.fleet, Add: add, Voter: v})
+		return to.Alter(ctx, &controlpb.VoterChange{Fleet: c.fleet, Add: add, Voter: v})
 	})
 	if err == nil && a.Code != controlpb.Code_OK {
-		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
+		err = fmt.Errorf("%w: %s", ErrRejected, a.Reason)
 	}
 	return err
 }
 
-// Live keeps the session open until the context ends.
-func (c *Client) Live(ctx context.Context) {
+// KeepSessionAlive keeps the session open until the context ends.
+func (c *Client) KeepSessionAlive(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		due := time.Since(c.touched) >= touchEach
 		c.mu.Unlock()
 		if due {
 			one, cancel := context.WithTimeout(ctx, touchEach)
-			_, err := c.Do(one, "", nil)
+			_, err := c.Propose(one, "", nil)
 			cancel()
 			if errors.Is(err, ErrSuperseded) {
 				return
@@ -352,7 +352,7 @@
 	defer cancel()
 	silent := time.AfterFunc(newsEvery+tryWithin, cancel)
 	defer silent.Stop()
-	s, err := to.Watch(ctx, &controlpb.WatchAsk{Fleet: c.fleet, Machine: machine})
+	s, err := to.Watch(ctx, &controlpb.WatchRequest{Fleet: c.fleet, Machine: machine})
 	if err != nil {
 		return
 	}
@@ -372,9 +372,9 @@
 	if err != nil {
 		return err
 	}
-	ask := &controlpb.CollectAsk{Fleet: c.fleet}
+	ask := &controlpb.CollectRequest{Fleet: c.fleet}
 	for boot, period := range had {
-		ask.Had = append(ask.Had, &controlpb.Collected{Incarnation: boot, Period: period})
+		ask.Collected = append(ask.Collected, &controlpb.Collected{Incarnation: boot, Period: period})
 	}
 	s, err := to.Collect(ctx, ask)
 	if err != nil {
@@ -462,7 +462,7 @@
 	ask = &controlpb.KeepAsk{Fleet: c.fleet, Item: ask.Item, Digest: ask.Digest, Size: ask.Size, From: ask.From}
 	a, err := to.Keep(ctx, ask)
 	if err == nil && a.Code != controlpb.Code_OK {
-		err = fmt.Errorf("%w: %s", ErrRefused, a.Why)
+		err = fmt.Errorf("%w: %s", ErrRejected, a.Reason)
 	}
 	return err
 }
--- a/internal/controlplane/controlrpc/fleetlink_test.go
+++ b/internal/controlplane/controlrpc/fleetlink_test.go
@@ -35,17 +35,17 @@
 		}
 		listeners = append(listeners, l)
 		name := fmt.Sprintf("v%d", i)
-		all = append(all, &controlpb.Voter{Number: replica.NumberOf("test", name), Name: name, Address: l.Addr().String()})
+		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber("test", name), Name: name, Address: l.Addr().String()})
 	}
 	for i, l := range listeners {
 		dir := filepath.Join(t.TempDir(), "log")
-		if err := replica.Found(dir, "test", all[i].Name, all); err != nil {
+		if err := replica.Bootstrap(dir, "test", all[i].Name, all); err != nil {
 			t.Fatal(err)
 		}
 		s := NewServer(ctx, "test", nil, nil)
-		if err := s.Vote(ctx, replica.Options{Dir: dir, Address: all[i].Address, Log: quiet, Machines: func() map[string]consensus.Machine {
-			d := lease.NewMachine(lease.Defaults())
-			return map[string]consensus.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}
+		if err := s.StartReplica(ctx, replica.Options{Dir: dir, Address: all[i].Address, Log: quiet, NewStateMachines: func() map[string]consensus.StateMachine {
+			d := lease.NewMachine(lease.DefaultConfig())
+			return map[string]consensus.StateMachine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}
 		}}); err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 	t.Cleanup(func() {
 		cancel()
 		for _, s := range servers {
-			<-s.Voter().Done()
+			<-s.Replica().Done()
 			s.Stop()
 		}
 	})
@@ -74,7 +74,7 @@
 	c := client(t, "a", all)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	if _, err := c.Do(ctx, checkpoint.MachineName, []byte(`{"key":"k","value":"1"}`)); err != nil {
+	if _, err := c.Propose(ctx, checkpoint.MachineName, []byte(`{"key":"k","value":"1"}`)); err != nil {
 		t.Fatal(err)
 	}
 	again := func() *controlpb.Answer {
@@ -89,7 +89,7 @@
 	}
 	first := again()
 	for _, s := range servers { // whoever leads gives that up
-		s.Voter().Resign()
+		s.Replica().TransferLeadership()
 	}
 	if second := again(); string(second.Body) != string(first.Body) {
 		t.Errorf("%s, then %s", first.Body, second.Body)
@@ -98,7 +98,7 @@
 	defer other.Close()
 	short, stop := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop()
-	if _, err := other.Do(short, checkpoint.MachineName, []byte(`{}`)); err == nil {
+	if _, err := other.Propose(short, checkpoint.MachineName, []byte(`{}`)); err == nil {
 		t.Error("another fleet's command is taken")
 	}
 }
@@ -110,16 +110,16 @@
 	defer cancel()
 	older, newer := client(t, "a", all), client(t, "a", all)
 	for i, c := range []*Client{older, newer} {
-		if _, err := c.Do(ctx, "", nil); err != nil {
+		if _, err := c.Propose(ctx, "", nil); err != nil {
 			t.Fatal(i, err)
 		}
 	}
 	for range 2 {
-		if _, err := older.Do(ctx, "", nil); !errors.Is(err, ErrSuperseded) {
+		if _, err := older.Propose(ctx, "", nil); !errors.Is(err, ErrSuperseded) {
 			t.Errorf("%v", err)
 		}
 	}
-	if _, err := newer.Do(ctx, "", nil); err != nil {
+	if _, err := newer.Propose(ctx, "", nil); err != nil {
 		t.Error(err)
 	}
 }
@@ -133,7 +133,7 @@
 				var cs []*Client
 				for i := range clients {
 					c := client(b, fmt.Sprintf("c%d", i), all)
-					if _, err := c.Do(b.Context(), "", nil); err != nil {
+					if _, err := c.Propose(b.Context(), "", nil); err != nil {
 						b.Fatal(err)
 					}
 					cs = append(cs, c)
@@ -147,7 +147,7 @@
 						defer wg.Done()
 						for k := i; k < b.N; k += clients {
 							began := time.Now()
-							if _, err := c.Do(b.Context(), checkpoint.MachineName, fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i, k)); err != nil {
+							if _, err := c.Propose(b.Context(), checkpoint.MachineName, fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i, k)); err != nil {
 								b.Error(err)
 								return
 							}
--- a/internal/controlplane/controlrpc/members.go
+++ b/internal/controlplane/controlrpc/members.go
@@ -23,14 +23,14 @@
 }
 
 // Voters returns the voters as they are agreed now, by name.
-func (m *Members) Voters(ctx context.Context) (all []consensus.VoterAt, err error) {
+func (m *Members) Voters(ctx context.Context) (all []consensus.VoterInfo, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Voters() })
 	return all, err
 }
 
 // List returns the members as they are agreed now, by id. They share their retired boots with the
 // cache.
-func (m *Members) List(ctx context.Context) (all []consensus.MemberAt, err error) {
+func (m *Members) List(ctx context.Context) (all []consensus.MemberInfo, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Members() })
 	return all, err
 }
@@ -45,7 +45,7 @@
 	}
 	defer func() { m.turn <- struct{}{} }()
 	err := m.ask(ctx)
-	if errors.Is(err, consensus.ErrCache) {
+	if errors.Is(err, consensus.ErrCacheMismatch) {
 		m.client.log.Warn("fleet: the list of members is asked for anew", "error", err)
 		err = m.ask(ctx)
 	}
@@ -56,9 +56,9 @@
 }
 
 func (m *Members) ask(ctx context.Context) error {
-	raw, err := m.client.Ask(ctx, consensus.FleetName, m.cache.Query())
+	raw, err := m.client.Read(ctx, consensus.MembershipName, m.cache.Query())
 	if err != nil {
 		return err
 	}
-	return m.cache.Take(raw)
+	return m.cache.Update(raw)
 }
--- a/internal/controlplane/controlrpc/observer_test.go
+++ b/internal/controlplane/controlrpc/observer_test.go
@@ -43,7 +43,7 @@
 		return conn
 	}})
 	for _, c := range []*Client{observed, plain} {
-		if _, err := c.Ask(ctx, consensus.FleetName, nil); err != nil {
+		if _, err := c.Read(ctx, consensus.MembershipName, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/controlplane/controlrpc/peers.go
+++ b/internal/controlplane/controlrpc/peers.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// Prove asks another voter what it was promised.
-func (p *peers) Prove(to *controlpb.Voter, position *controlpb.Position, answer func(*controlpb.Witness)) {
+// Verify asks another voter what it was promised.
+func (p *peers) Verify(to *controlpb.Voter, position *controlpb.Position, answer func(*controlpb.VerificationReply)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, proveWithin)
 		defer cancel()
--- a/internal/controlplane/controlrpc/server.go
+++ b/internal/controlplane/controlrpc/server.go
@@ -30,8 +30,8 @@
 	newsEvery   = 5 * time.Second // a watcher hears at least so often, so that it knows that it hears
 )
 
-// Parts gives the parts of this gateway's use that were not collected yet.
-type Parts func(had map[uint64]uint64, give func(*controlpb.Part) error) error
+// UsageSource gives the parts of this gateway's use that were not collected yet.
+type UsageSource func(had map[uint64]uint64, give func(*controlpb.Part) error) error
 
 // Budgets divides what the fleet shares, in the process that owns a shard of it.
 type Budgets interface {
@@ -57,7 +57,7 @@
 	fleet string
 	grpc  *grpc.Server
 	peers *peers
-	parts Parts
+	parts UsageSource
 
 	// Budgets answers who uses budgets; nil: nobody does here. It is to be set before Serve.
 	Budgets Budgets
@@ -65,14 +65,14 @@
 	Contents Contents
 
 	mu    sync.Mutex
-	voter *replica.Voter // nil: this process has none
-	news  map[string]*controlpb.News
+	voter *replica.Replica // nil: this process has none
+	news  map[string]*controlpb.StateUpdate
 	woken chan struct{} // closed when there is news
 }
 
 // NewServer makes a server of a fleet, with further options of the library's; see Observer. Serve has it answer.
-func NewServer(ctx context.Context, fleet string, addresses Addresses, parts Parts, more ...grpc.ServerOption) *Server {
-	s := &Server{fleet: fleet, parts: parts, news: map[string]*controlpb.News{}, woken: make(chan struct{})}
+func NewServer(ctx context.Context, fleet string, addresses Addresses, parts UsageSource, more ...grpc.ServerOption) *Server {
+	s := &Server{fleet: fleet, parts: parts, news: map[string]*controlpb.StateUpdate{}, woken: make(chan struct{})}
 	options := append([]grpc.ServerOption{serverCodec(), grpc.MaxRecvMsgSize(mostBytes), grpc.MaxSendMsgSize(mostBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true})}, more...)
@@ -80,21 +80,21 @@
 	controlpb.RegisterFleetServer(s.grpc, s)
 	s.peers = &peers{ctx: ctx, fleet: fleet, addresses: addresses, to: map[route]*peer{},
 		lost: func(n uint64) {
-			if v := s.Voter(); v != nil {
-				v.Unreachable(n)
+			if v := s.Replica(); v != nil {
+				v.ReportUnreachable(n)
 			}
 		},
 		passed: func(n uint64, ok bool) {
-			if v := s.Voter(); v != nil {
-				v.SnapshotSent(n, ok)
+			if v := s.Replica(); v != nil {
+				v.ReportSnapshot(n, ok)
 			}
 		}}
 	return s
 }
 
-// Vote has a voter answer here from now on.
-func (s *Server) Vote(ctx context.Context, opt replica.Options) error {
-	opt.News = s.tell
+// StartReplica has a voter answer here from now on.
+func (s *Server) StartReplica(ctx context.Context, opt replica.Options) error {
+	opt.OnChange = s.tell
 	v, err := replica.Run(ctx, opt, s.peers)
 	if err != nil {
 		return err
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// Voter is the voter that answers here; nil: none.
-func (s *Server) Voter() *replica.Voter {
+// Replica is the voter that answers here; nil: none.
+func (s *Server) Replica() *replica.Replica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.voter
@@ -128,7 +128,7 @@
 func (s *Server) tell(machine string, index uint64, state []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.news[machine] = &controlpb.News{Index: index, Body: state}
+	s.news[machine] = &controlpb.StateUpdate{Index: index, Body: state}
 	close(s.woken)
 	s.woken = make(chan struct{})
 }
@@ -136,7 +136,7 @@
 var errOtherFleet = status.Error(codes.PermissionDenied, "another fleet")
 
 // Pass takes in another voter's messages.
-func (s *Server) Pass(in grpc.ClientStreamingServer[controlpb.Packet, controlpb.Nothing]) error {
+func (s *Server) Pass(in grpc.ClientStreamingServer[controlpb.Packet, controlpb.Empty]) error {
 	for {
 		p, err := in.Recv()
 		if err != nil {
@@ -153,7 +153,7 @@
 			}
 			messages = append(messages, m)
 		}
-		if v := s.Voter(); v != nil {
+		if v := s.Replica(); v != nil {
 			v.Step(p.From, messages)
 		}
 	}
@@ -168,18 +168,18 @@
 }
 
 // voting finds the voter, or why there is none.
-func (s *Server) voting(fleet string) (*replica.Voter, *controlpb.Answer, error) {
+func (s *Server) voting(fleet string) (*replica.Replica, *controlpb.Answer, error) {
 	if fleet != s.fleet {
 		return nil, nil, errOtherFleet
 	}
-	if v := s.Voter(); v != nil {
+	if v := s.Replica(); v != nil {
 		return v, nil, nil
 	}
-	return nil, &controlpb.Answer{Code: controlpb.Code_NOT_LEADER, Why: "this process is no voter"}, nil
+	return nil, &controlpb.Answer{Code: controlpb.Code_NOT_LEADER, Reason: "this process is no voter"}, nil
 }
 
 // Prove tells a voter that starts what it has promised.
-func (s *Server) Prove(ctx context.Context, p *controlpb.Position) (*controlpb.Witness, error) {
+func (s *Server) Prove(ctx context.Context, p *controlpb.Position) (*controlpb.VerificationReply, error) {
 	v, _, err := s.voting(p.Fleet)
 	if err != nil {
 		return nil, err
@@ -189,7 +189,7 @@
 	}
 	ctx, cancel := within(ctx)
 	defer cancel()
-	if w := v.Witness(ctx, p); w != nil {
+	if w := v.AnswerVerification(ctx, p); w != nil {
 		return w, nil
 	}
 	return nil, status.Error(codes.Unavailable, "this voter can't say now")
@@ -203,7 +203,7 @@
 	}
 	ctx, cancel := within(ctx)
 	defer cancel()
-	return v.Do(ctx, c), nil
+	return v.Propose(ctx, c), nil
 }
 
 // Ask reads what is agreed.
@@ -214,30 +214,30 @@
 	}
 	ctx, cancel := within(ctx)
 	defer cancel()
-	return v.Ask(ctx, q), nil
+	return v.Read(ctx, q), nil
 }
 
 // Alter proposes a change of voters.
-func (s *Server) Alter(ctx context.Context, c *controlpb.Change) (*controlpb.Answer, error) {
+func (s *Server) Alter(ctx context.Context, c *controlpb.VoterChange) (*controlpb.Answer, error) {
 	v, no, err := s.voting(c.Fleet)
 	if v == nil {
 		return no, err
 	}
 	ctx, cancel := within(ctx)
 	defer cancel()
-	return v.Alter(ctx, c), nil
+	return v.ChangeVoter(ctx, c), nil
 }
 
 // Watch tells of a machine's changes: the state as it is, and again when it has changed. What a watcher has
 // not taken yet is passed over for what is newer.
-func (s *Server) Watch(ask *controlpb.WatchAsk, out grpc.ServerStreamingServer[controlpb.News]) error {
+func (s *Server) Watch(ask *controlpb.WatchRequest, out grpc.ServerStreamingServer[controlpb.StateUpdate]) error {
 	if ask.Fleet != s.fleet {
 		return errOtherFleet
 	}
-	if s.Voter() == nil {
+	if s.Replica() == nil {
 		return status.Error(codes.Unavailable, "no voter")
 	}
-	var told *controlpb.News
+	var told *controlpb.StateUpdate
 	still := time.NewTicker(newsEvery)
 	defer still.Stop()
 	for {
@@ -265,7 +265,7 @@
 }
 
 // Collect gives this gateway's use.
-func (s *Server) Collect(ask *controlpb.CollectAsk, out grpc.ServerStreamingServer[controlpb.Part]) error {
+func (s *Server) Collect(ask *controlpb.CollectRequest, out grpc.ServerStreamingServer[controlpb.Part]) error {
 	if ask.Fleet != s.fleet {
 		return errOtherFleet
 	}
@@ -273,7 +273,7 @@
 		return status.Error(codes.Unimplemented, "this process counts no use")
 	}
 	had := map[uint64]uint64{}
-	for _, c := range ask.Had {
+	for _, c := range ask.Collected {
 		had[c.Incarnation] = c.Period
 	}
 	return s.parts(had, out.Send)
@@ -354,12 +354,12 @@
 	case ask.Fleet != s.fleet:
 		return nil, errOtherFleet
 	case s.Contents == nil:
-		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Why: "this process keeps no contents"}, nil
+		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Reason: "this process keeps no contents"}, nil
 	}
 	ctx, cancel := within(ctx)
 	defer cancel()
 	if err := s.Contents.Keep(ctx, ask); err != nil {
-		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Why: err.Error()}, nil
+		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Reason: err.Error()}, nil
 	}
 	return &controlpb.Answer{}, nil
 }
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -24,8 +24,8 @@
 }
 
 // machines are new ones, of which the distribution's is served to replicas.
-func (n *Node) machines() map[string]consensus.Machine {
-	machines := Machines(n.cfg.Rules, n.versionRules())
+func (n *Node) machines() map[string]consensus.StateMachine {
+	machines := Machines(n.cfg.LeaseConfig, n.versionRules())
 	n.streams.Attach(machines[distribution.MachineName].(*distribution.Machine))
 	return machines
 }
@@ -40,7 +40,7 @@
 // Distribution tells it.
 func (n *Node) Distribution() Distribution {
 	d := Distribution{Gateway: n.me.ID}
-	if s := n.server.Load(); s != nil && s.Voter() != nil {
+	if s := n.server.Load(); s != nil && s.Replica() != nil {
 		status := n.streams.Status()
 		d.Server = &status
 	}
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -20,7 +20,7 @@
 
 func (f *testFence) Fence(_ string, term uint64, who lease.Member) error {
 	if term != f.term || who != f.who {
-		return lease.ErrTerm
+		return lease.ErrStaleTerm
 	}
 	return nil
 }
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -114,7 +114,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout+publishTimeoutPerByte*time.Duration(len(body)))
 	defer cancel()
-	refusal, err := p.link.Do(ctx, distribution.MachineName, body)
+	refusal, err := p.link.Propose(ctx, distribution.MachineName, body)
 	if err == nil && len(refusal) > 0 {
 		err = fmt.Errorf("%w: %s", errRefused, refusal)
 	}
--- a/internal/controlplane/election/election.go
+++ b/internal/controlplane/election/election.go
@@ -32,8 +32,8 @@
 	return ok && term == t.Term
 }
 
-// GiveUp has the role transferred to another member, because its work can't go on under this term.
-func (t *Tenure) GiveUp() {
+// Resign has the role transferred to another member, because its work can't go on under this term.
+func (t *Tenure) Resign() {
 	t.r.mu.Lock()
 	t.r.quit = t.r.term == t.Term
 	t.r.mu.Unlock()
@@ -49,8 +49,8 @@
 
 // Options are the settings of a Set.
 type Options struct {
-	Rules  lease.Rules
-	Client *controlrpc.Client
+	LeaseConfig lease.Config
+	Client      *controlrpc.Client
 	// Candidates are the ids of the members that may be leaders; empty means all. It has to be the same in all
 	// processes.
 	Candidates []string
@@ -73,7 +73,7 @@
 	members []string                 // members with a session, this one among them
 	since   map[string]time.Duration // by id, when a refresh first listed the member
 	at      map[string]string        // address by id
-	owners  map[string]lease.Holding // newest known leader, by duty
+	owners  map[string]lease.Lease   // newest known leader, by duty
 	unknown chan struct{}            // signals a leader that is not among the known members
 }
 
@@ -114,18 +114,18 @@
 		agreed:  opt.Client.Members(query),
 		at:      map[string]string{},
 		since:   map[string]time.Duration{},
-		owners:  map[string]lease.Holding{},
+		owners:  map[string]lease.Lease{},
 		unknown: make(chan struct{}, 1),
 	}
 }
 
-// Owner returns the leader of a role and its address, as far as this process was notified. The leadership may have
+// Leader returns the leader of a role and its address, as far as this process was notified. The leadership may have
 // ended since: the process at that address knows. The result ok is false where no leader is known.
-func (s *Set) Owner(duty string) (who lease.Member, address string, ok bool) {
+func (s *Set) Leader(duty string) (who lease.Member, address string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.owners[duty]
-	return h.Owner, s.at[h.Owner.ID], h.Owner.ID != ""
+	return h.Holder, s.at[h.Holder.ID], h.Holder.ID != ""
 }
 
 // Add registers a role and its work. It must not be called after Run. In a process that is no candidate it does
@@ -135,12 +135,12 @@
 		return
 	}
 	s.runners[name] = &runner{set: s, name: name, work: work, wake: make(chan struct{}, 1),
-		holder: lease.NewHolder(s.opt.Rules, name, s.opt.Client.Me())}
+		holder: lease.NewClaimant(s.opt.LeaseConfig, name, s.opt.Client.Me())}
 }
 
-// Spread registers a role as Add does. Each role registered so moves to the first member in its rank once that has
+// AddBalanced registers a role as Add does. Each role registered so moves to the first member in its rank once that has
 // been known for settledAge: so several roles are spread evenly, whichever process started first.
-func (s *Set) Spread(name string, work Work) {
+func (s *Set) AddBalanced(name string, work Work) {
 	s.Add(name, work)
 	if r := s.runners[name]; r != nil {
 		r.spread = true
@@ -164,8 +164,8 @@
 	wg.Wait()
 }
 
-// Held returns the terms of the roles that this process holds, by duty.
-func (s *Set) Held() map[string]uint64 {
+// HeldTerms returns the terms of the roles that this process holds, by duty.
+func (s *Set) HeldTerms() map[string]uint64 {
 	held := map[string]uint64{}
 	for name, r := range s.runners {
 		r.mu.Lock()
--- a/internal/controlplane/election/members.go
+++ b/internal/controlplane/election/members.go
@@ -62,7 +62,7 @@
 
 // eligible returns the members that can be leaders: candidates that are active, so with an address and a recent sign
 // of life.
-func (s *Set) eligible(ctx context.Context) (all []consensus.MemberAt, err error) {
+func (s *Set) eligible(ctx context.Context) (all []consensus.MemberInfo, err error) {
 	members, err := s.agreed.List(ctx)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // idsOf returns the ids of members, in their order.
-func idsOf(all []consensus.MemberAt) (ids []string) {
+func idsOf(all []consensus.MemberInfo) (ids []string) {
 	for _, m := range all {
 		ids = append(ids, m.ID)
 	}
--- a/internal/controlplane/election/runner.go
+++ b/internal/controlplane/election/runner.go
@@ -17,7 +17,7 @@
 	wake chan struct{}
 
 	mu     sync.Mutex
-	holder *lease.Holder
+	holder *lease.Claimant
 	wish   string // id of the member to transfer the role to
 	quit   bool   // transfer the role to the first in rank
 	spread bool
@@ -92,12 +92,12 @@
 		r.mu.Unlock()
 		if held {
 			// Not later than the end of the lease, which is acted on at once.
-			return min(at-now, max(0, r.holder.Left(now)))
+			return min(at-now, max(0, r.holder.Remaining(now)))
 		}
 		return at - now
 	}
 	r.holder.Sent(now)
-	knows := r.holder.Knows()
+	knows := r.holder.KnownTerm()
 	r.mu.Unlock()
 	r.request(now, knows, rank)
 	return 0
@@ -118,14 +118,14 @@
 // endIfExpired ends the work if the lease has run out. The caller holds r.mu.
 func (r *runner) endIfExpired(now time.Duration) (held bool) {
 	if _, held = r.holder.Holds(now); !held && r.cancel != nil {
-		r.set.opt.Log.Warn("fleet: duty lost", "duty", r.name, "term", r.term, "why", r.holder.Lost())
+		r.set.opt.Log.Warn("fleet: duty lost", "duty", r.name, "term", r.term, "why", r.holder.LossReason())
 		r.stop()
 	}
 	return held
 }
 
 // begin starts the work under a new term, after the work of the term before has returned. The caller holds r.mu.
-func (r *runner) begin(h lease.Holding) {
+func (r *runner) begin(h lease.Lease) {
 	r.stop()
 	before := r.worked
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -10,12 +10,12 @@
 
 // transfer ends the work and transfers the role to the member named, or else to the first in rank.
 func (r *runner) transfer(to string) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.Rules.Span)
+	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.LeaseConfig.TTL)
 	defer cancel()
 	next, known := r.successor(ctx, to)
 	if to != "" && !known {
 		// That member takes no part: the wish is withdrawn, and the role stays here.
-		_, err := r.set.opt.Client.Do(ctx, lease.MachineName, lease.Op{Do: "wish", Role: r.name}.Encode())
+		_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: "wish", Role: r.name}.Encode())
 		r.set.opt.Log.Warn("fleet: duty can't be handed on: no such gateway takes part", "duty", r.name, "to", to, "error", err)
 		return
 	}
@@ -32,13 +32,13 @@
 	case <-worked:
 	case <-time.After(stopTimeout):
 	}
-	op := lease.Op{Do: "release", Role: r.name, Term: term}
+	op := lease.Op{Action: "release", Role: r.name, Term: term}
 	if known {
-		op.Do, op.To = "hand", next
+		op.Action, op.To = "hand", next
 	}
-	_, err := r.set.opt.Client.Do(ctx, lease.MachineName, op.Encode())
+	_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, op.Encode())
 	r.mu.Lock()
-	r.holder.End(monotonic.Now(), 2*r.set.opt.Rules.Offer, "handed on")
+	r.holder.GiveUp(monotonic.Now(), 2*r.set.opt.LeaseConfig.OfferTTL, "handed on")
 	r.term = 0
 	r.mu.Unlock()
 	r.set.opt.Log.Info("fleet: duty given up", "duty", r.name, "term", term, "to", op.To.ID, "error", err)
--- a/internal/controlplane/election/watch.go
+++ b/internal/controlplane/election/watch.go
@@ -16,12 +16,12 @@
 	}
 	me := s.opt.Client.Me()
 	s.mu.Lock()
-	for _, h := range v.Roles {
+	for _, h := range v.Leases {
 		if h.Term < s.owners[h.Role].Term {
 			continue // an older state, from another replica
 		}
 		s.owners[h.Role] = h
-		if _, known := s.at[h.Owner.ID]; h.Owner.ID != "" && !known {
+		if _, known := s.at[h.Holder.ID]; h.Holder.ID != "" && !known {
 			select {
 			case s.unknown <- struct{}{}:
 			default:
@@ -29,7 +29,7 @@
 		}
 	}
 	s.mu.Unlock()
-	for _, h := range v.Roles {
+	for _, h := range v.Leases {
 		r := s.runners[h.Role]
 		if r == nil {
 			continue
@@ -37,14 +37,14 @@
 		r.mu.Lock()
 		term, held := r.holder.Holds(monotonic.Now())
 		switch {
-		case held && h.Term > term && h.Owner != me:
-			r.holder.End(monotonic.Now(), maxRequestDelay, "another holds it under term "+strconv.FormatUint(h.Term, 10))
+		case held && h.Term > term && h.Holder != me:
+			r.holder.GiveUp(monotonic.Now(), maxRequestDelay, "another holds it under term "+strconv.FormatUint(h.Term, 10))
 			r.endIfExpired(monotonic.Now())
-		case held && h.Term == term && h.Wish != "":
-			r.wish = h.Wish
-		case !held && h.Owner == me && h.Offered:
+		case held && h.Term == term && h.TransferTo != "":
+			r.wish = h.TransferTo
+		case !held && h.Holder == me && h.Unconfirmed:
 			r.soon = true
-		case !held && h.Owner.ID == "":
+		case !held && h.Holder.ID == "":
 			r.freed = true
 		default:
 			r.mu.Unlock()
--- a/internal/controlplane/endpointlist/roster_test.go
+++ b/internal/controlplane/endpointlist/roster_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestWords(t *testing.T) {
-	tb := lease.NewTable(lease.Defaults())
+	tb := lease.NewTable(lease.DefaultConfig())
 	a, b := lease.Member{ID: "a", Incarnation: 1}, lease.Member{ID: "b", Incarnation: 1}
-	if _, err := tb.Ask(0, Role, a, 0); err != nil {
+	if _, err := tb.Acquire(0, Role, a, 0); err != nil {
 		t.Fatal(err)
 	}
 	m := NewMachine(tb)
@@ -28,7 +28,7 @@
 	word(a, Op{Term: 1, Whole: true, Changed: map[string]json.RawMessage{"x": raw(`1`), "y": raw(`2`)}}, true, 1, 1, 2)
 	word(a, Op{Term: 1}, true, 1, 2, 2)
 	word(a, Op{Term: 1, Changed: map[string]json.RawMessage{"x": raw(`null`), "z": raw(`3`)}}, true, 2, 3, 2)
-	if _, err := tb.Ask(1<<50, Role, b, 0); err != nil {
+	if _, err := tb.Acquire(1<<50, Role, b, 0); err != nil {
 		t.Fatal(err)
 	}
 	word(a, Op{Term: 1, Changed: map[string]json.RawMessage{"late": raw(`1`)}}, false, 2, 3, 2)
--- a/internal/controlplane/endpointwatch/fleetwatch.go
+++ b/internal/controlplane/endpointwatch/fleetwatch.go
@@ -140,7 +140,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	why, err := w.Client.Do(ctx, endpointlist.MachineName, raw)
+	why, err := w.Client.Propose(ctx, endpointlist.MachineName, raw)
 	if err == nil && len(why) > 0 {
 		err = errors.New(string(why))
 	}
@@ -208,7 +208,7 @@
 	}
 	if h.Version != r.last.Version || r.have == nil || r.own != nil {
 		one, cancel := context.WithTimeout(ctx, askWithin)
-		raw, err := r.w.Client.Ask(one, endpointlist.MachineName, []byte("list"))
+		raw, err := r.w.Client.Read(one, endpointlist.MachineName, []byte("list"))
 		cancel()
 		var l endpointlist.List
 		if err != nil || json.Unmarshal(raw, &l) != nil {
--- a/internal/controlplane/jsonkeys_test.go
+++ b/internal/controlplane/jsonkeys_test.go
@@ -21,7 +21,7 @@
 // Operators' tools and the logs of older builds know these keys.
 func TestJSONKeys(t *testing.T) {
 	fixture.Equal(t, "testdata/operator-keys.txt", fixture.JSONKeys(
-		controlplane.Here{}, controlplane.Rights{}, controlplane.Versions{}, controlplane.Distribution{}, consensus.List{}, lease.View{}, usageexport.View{},
+		controlplane.Here{}, controlplane.Rights{}, controlplane.Versions{}, controlplane.Distribution{}, consensus.Membership{}, lease.View{}, usageexport.View{},
 		allocation.View{}, allocation.Right{}, allocation.Figures{}, allocator.Figures{}, allocator.Line{}, rollout.Here{}, rollout.Fetched{},
 		distributor.ReplicaStatus{}, distributor.ServerStatus{}, configversion.View{}, auditlog.Stretch{}, auditlog.Gap{}, auditlog.Sum{},
 	))
--- a/internal/controlplane/lease/gate.go
+++ b/internal/controlplane/lease/gate.go
@@ -23,9 +23,9 @@
 	last := g.seen[duty]
 	switch {
 	case term < last.Term:
-		return false, fmt.Errorf("%w: %s says term %d of %s, term %d was seen", ErrTerm, who, term, duty, last.Term)
+		return false, fmt.Errorf("%w: %s says term %d of %s, term %d was seen", ErrStaleTerm, who, term, duty, last.Term)
 	case term == last.Term && who != last.Owner:
-		return false, fmt.Errorf("%w: term %d of %s is %s's, not %s's", ErrTerm, term, duty, last.Owner, who)
+		return false, fmt.Errorf("%w: term %d of %s is %s's, not %s's", ErrStaleTerm, term, duty, last.Owner, who)
 	case term == last.Term:
 		return false, nil
 	}
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -36,132 +36,132 @@
 
 func (m Member) String() string { return fmt.Sprintf("%s/%x", m.ID, m.Incarnation) }
 
-// Rules are how long things hold.
-type Rules struct {
-	Span time.Duration // without renewal
-	// Margin is by how much a clock may run faster than another, as a part: 0.05 is one in twenty.
-	Margin float64
-	// Offer is how long a duty that was handed on waits to be taken up.
-	Offer time.Duration
+// Config are how long things hold.
+type Config struct {
+	TTL time.Duration // without renewal
+	// ClockDriftBound is by how much a clock may run faster than another, as a part: 0.05 is one in twenty.
+	ClockDriftBound float64
+	// OfferTTL is how long a duty that was handed on waits to be taken up.
+	OfferTTL time.Duration
 }
 
-// Defaults are rules with which a duty is free again some 1.1 s after its owner's last renewal.
-func Defaults() Rules {
-	return Rules{Span: time.Second, Margin: 0.125, Offer: 500 * time.Millisecond}
+// DefaultConfig are rules with which a duty is free again some 1.1 s after its owner's last renewal.
+func DefaultConfig() Config {
+	return Config{TTL: time.Second, ClockDriftBound: 0.125, OfferTTL: 500 * time.Millisecond}
 }
 
-func (r Rules) withMargin(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*r.Margin)
+func (r Config) withClockDrift(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*r.ClockDriftBound)
 }
 
 // Errors of a Table and a Gate, to be told apart by errors.Is.
 var (
-	ErrHeld = errors.New("lease: another holds it")
-	ErrTerm = errors.New("lease: not the owner under this term")
-	ErrDeaf = errors.New("lease: it was given the duty lately, and did not hear of it")
+	ErrHeld      = errors.New("lease: another holds it")
+	ErrStaleTerm = errors.New("lease: not the owner under this term")
+	ErrExcluded  = errors.New("lease: it was given the duty lately, and did not hear of it")
 )
 
 // Cause is why a duty changed hands.
 type Cause string
 
 const (
-	Taken    Cause = "taken"  // it was free
-	Lapsed   Cause = "lapsed" // its owner did not renew
-	HandedOn Cause = "handed on"
-	Released Cause = "released"
+	Acquired    Cause = "taken"  // it was free
+	Expired     Cause = "lapsed" // its owner did not renew
+	Transferred Cause = "handed on"
+	Released    Cause = "released"
 )
 
-// Holding is a duty as the Table has it. Times are the fleet's.
-type Holding struct {
-	Role    string        `json:"duty"`
-	Term    uint64        `json:"term"`
-	Owner   Member        `json:"owner"` // without id: nobody
-	Since   time.Duration `json:"since"`
-	Until   time.Duration `json:"until"`
-	Offered bool          `json:"offered,omitempty"` // given, and not yet known to have been heard of
-	Wish    string        `json:"wish,omitempty"`    // the id to which the owner is to hand it on
-	Cause   Cause         `json:"cause"`
-	// Deaf was given the duty and never showed that it had heard so; it is not given it again before DeafUntil.
-	Deaf      Member        `json:"deaf,omitzero"`
-	DeafUntil time.Duration `json:"deaf_until,omitempty"`
+// Lease is a duty as the Table has it. Times are the fleet's.
+type Lease struct {
+	Role        string        `json:"duty"`
+	Term        uint64        `json:"term"`
+	Holder      Member        `json:"owner"` // without id: nobody
+	GrantedAt   time.Duration `json:"since"`
+	ExpiresAt   time.Duration `json:"until"`
+	Unconfirmed bool          `json:"offered,omitempty"` // given, and not yet known to have been heard of
+	TransferTo  string        `json:"wish,omitempty"`    // the id to which the owner is to hand it on
+	Cause       Cause         `json:"cause"`
+	// Excluded was given the duty and never showed that it had heard so; it is not given it again before DeafUntil.
+	Excluded      Member        `json:"deaf,omitzero"`
+	ExcludedUntil time.Duration `json:"deaf_until,omitempty"`
 }
 
 // free tells whether a duty may be given away at a time.
-func (h *Holding) free(at time.Duration) bool { return h.Owner.ID == "" || at > h.Until }
+func (h *Lease) free(at time.Duration) bool { return h.Holder.ID == "" || at > h.ExpiresAt }
 
 // Table is the granting side: all duties. Its methods take the fleet's time, which never runs
 // faster than any member's clock by more than the margin.
 type Table struct {
-	rules   Rules
-	duties  map[string]*Holding
-	history map[string][]Holding // the newest last
+	rules   Config
+	duties  map[string]*Lease
+	history map[string][]Lease // the newest last
 }
 
 const historyMost = 64 // changes kept of each duty
 
 // NewTable is a table without any duty.
-func NewTable(r Rules) *Table {
-	return &Table{rules: r, duties: map[string]*Holding{}, history: map[string][]Holding{}}
+func NewTable(r Config) *Table {
+	return &Table{rules: r, duties: map[string]*Lease{}, history: map[string][]Lease{}}
 }
 
-// Ask gives a duty to a member, or renews what that boot holds. What is held by another is refused
+// Acquire gives a duty to a member, or renews what that boot holds. What is held by another is refused
 // with ErrHeld and the holding as it is. knows is the newest term of the duty that the member has heard that it holds: only
 // by it is a holding renewed. One that is heard and hears nobody would else keep for ever what it does not know that
 // it has.
-func (t *Table) Ask(at time.Duration, duty string, who Member, knows uint64) (Holding, error) {
+func (t *Table) Acquire(at time.Duration, duty string, who Member, knows uint64) (Lease, error) {
 	h := t.duties[duty]
 	if h == nil {
-		h = &Holding{Role: duty}
+		h = &Lease{Role: duty}
 		t.duties[duty] = h
 	}
 	switch {
-	case h.Owner == who && !h.free(at):
+	case h.Holder == who && !h.free(at):
 		if knows == h.Term {
-			h.Offered = false
-			h.Until = max(h.Until, at+t.rules.withMargin(t.rules.Span))
+			h.Unconfirmed = false
+			h.ExpiresAt = max(h.ExpiresAt, at+t.rules.withClockDrift(t.rules.TTL))
 		}
 		return *h, nil
 	case !h.free(at):
 		return *h, ErrHeld
 	}
-	if h.Offered && h.Owner.ID != "" {
-		h.Deaf, h.DeafUntil = h.Owner, at+deafSpans*t.rules.Span
+	if h.Unconfirmed && h.Holder.ID != "" {
+		h.Excluded, h.ExcludedUntil = h.Holder, at+deafSpans*t.rules.TTL
 	}
-	if h.Deaf == who && at < h.DeafUntil {
-		return *h, ErrDeaf
+	if h.Excluded == who && at < h.ExcludedUntil {
+		return *h, ErrExcluded
 	}
-	cause := Taken
-	if h.Owner.ID != "" {
-		cause = Lapsed
+	cause := Acquired
+	if h.Holder.ID != "" {
+		cause = Expired
 	}
-	t.give(at, h, who, t.rules.Span, cause)
-	h.Offered = true
+	t.give(at, h, who, t.rules.TTL, cause)
+	h.Unconfirmed = true
 	return *h, nil
 }
 
 // deafSpans is for how many spans a member that did not hear of its holding is not given it again.
 const deafSpans = 4
 
-// SpanOf is for how long a holder may hold by its own clock, from when it sent its asking: what is left of the holding, less
+// RemainingTTL is for how long a holder may hold by its own clock, from when it sent its asking: what is left of the holding, less
 // the margin.
-func (t *Table) SpanOf(at time.Duration, h *Holding) time.Duration {
-	return max(0, min(t.rules.Span, time.Duration(float64(h.Until-at)/(1+t.rules.Margin))))
+func (t *Table) RemainingTTL(at time.Duration, h *Lease) time.Duration {
+	return max(0, min(t.rules.TTL, time.Duration(float64(h.ExpiresAt-at)/(1+t.rules.ClockDriftBound))))
 }
 
-// Held tells whether Ask would refuse, without changing anything.
-func (t *Table) Held(at time.Duration, duty string, who Member) (Holding, bool) {
+// HeldByOther tells whether Ask would refuse, without changing anything.
+func (t *Table) HeldByOther(at time.Duration, duty string, who Member) (Lease, bool) {
 	h := t.duties[duty]
-	if h == nil || h.free(at) || h.Owner == who {
-		return Holding{}, false
+	if h == nil || h.free(at) || h.Holder == who {
+		return Lease{}, false
 	}
 	return *h, true
 }
 
 // give begins a new term.
-func (t *Table) give(at time.Duration, h *Holding, who Member, span time.Duration, cause Cause) {
-	h.Wish = "" // it was for the owner of that term
+func (t *Table) give(at time.Duration, h *Lease, who Member, span time.Duration, cause Cause) {
+	h.TransferTo = "" // it was for the owner of that term
 	h.Term++
-	h.Owner, h.Since, h.Until, h.Cause, h.Offered = who, at, at+t.rules.withMargin(span), cause, false
+	h.Holder, h.GrantedAt, h.ExpiresAt, h.Cause, h.Unconfirmed = who, at, at+t.rules.withClockDrift(span), cause, false
 	log := append(t.history[h.Role], *h)
 	t.history[h.Role] = log[max(0, len(log)-historyMost):]
 }
@@ -175,28 +175,28 @@
 	return nil
 }
 
-// HandOn gives a duty to another member under the next term. It has to be taken up by an Ask of
+// Transfer gives a duty to another member under the next term. It has to be taken up by an Ask of
 // that member within Rules.Offer, and is free after that.
-func (t *Table) HandOn(at time.Duration, duty string, term uint64, who, to Member) error {
+func (t *Table) Transfer(at time.Duration, duty string, term uint64, who, to Member) error {
 	if err := t.Fence(duty, term, who); err != nil {
 		return err
 	}
 	h := t.duties[duty]
-	t.give(at, h, to, t.rules.Offer, HandedOn)
-	h.Offered = true
+	t.give(at, h, to, t.rules.OfferTTL, Transferred)
+	h.Unconfirmed = true
 	return nil
 }
 
-// Wish has the owner hand a duty on to a member, when it hears of that; "" takes that back. It ends with the owner's term.
-func (t *Table) Wish(duty, to string) error {
+// RequestTransfer has the owner hand a duty on to a member, when it hears of that; "" takes that back. It ends with the owner's term.
+func (t *Table) RequestTransfer(duty, to string) error {
 	h := t.duties[duty]
 	if h == nil {
 		return fmt.Errorf("lease: no duty %q", duty)
 	}
-	if h.Owner.ID == to {
+	if h.Holder.ID == to {
 		return fmt.Errorf("lease: %s holds %s already", to, duty)
 	}
-	h.Wish = to
+	h.TransferTo = to
 	return nil
 }
 
@@ -207,9 +207,9 @@
 	h := t.duties[duty]
 	switch {
 	case h == nil || h.Term != term:
-		return fmt.Errorf("%w: %s says term %d of %s, the newest is %d", ErrTerm, who, term, duty, t.Term(duty))
-	case h.Owner != who:
-		return fmt.Errorf("%w: %s is owned by %s under term %d, not by %s", ErrTerm, duty, h.Owner, term, who)
+		return fmt.Errorf("%w: %s says term %d of %s, the newest is %d", ErrStaleTerm, who, term, duty, t.Term(duty))
+	case h.Holder != who:
+		return fmt.Errorf("%w: %s is owned by %s under term %d, not by %s", ErrStaleTerm, duty, h.Holder, term, who)
 	}
 	return nil
 }
@@ -222,28 +222,28 @@
 	return 0
 }
 
-// Roles are all duties as they are, by name.
-func (t *Table) Roles() []Holding {
-	all := make([]Holding, 0, len(t.duties))
+// Leases are all duties as they are, by name.
+func (t *Table) Leases() []Lease {
+	all := make([]Lease, 0, len(t.duties))
 	for _, h := range t.duties {
 		all = append(all, *h)
 	}
-	slices.SortFunc(all, func(a, b Holding) int { return cmp.Compare(a.Role, b.Role) })
+	slices.SortFunc(all, func(a, b Lease) int { return cmp.Compare(a.Role, b.Role) })
 	return all
 }
 
 // History is a duty's changes of hands, the oldest first; long ones are cut at the old end.
-func (t *Table) History(duty string) []Holding { return slices.Clone(t.history[duty]) }
+func (t *Table) History(duty string) []Lease { return slices.Clone(t.history[duty]) }
 
 // tableState is a table as it is written.
 type tableState struct {
-	Roles   []Holding            `json:"duties"`
-	History map[string][]Holding `json:"history"`
+	Roles   []Lease            `json:"duties"`
+	History map[string][]Lease `json:"history"`
 }
 
 // Snapshot writes the table: the same text for the same content.
 func (t *Table) Snapshot() []byte {
-	return mustjson.Marshal(tableState{t.Roles(), t.history})
+	return mustjson.Marshal(tableState{t.Leases(), t.history})
 }
 
 // Restore reads what Snapshot wrote, in place of all that is there.
@@ -252,9 +252,9 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("lease: table: %w", err)
 	}
-	t.duties, t.history = map[string]*Holding{}, s.History
+	t.duties, t.history = map[string]*Lease{}, s.History
 	if t.history == nil {
-		t.history = map[string][]Holding{}
+		t.history = map[string][]Lease{}
 	}
 	for _, h := range s.Roles {
 		t.duties[h.Role] = &h
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -12,64 +12,64 @@
 const ms = time.Millisecond
 
 func TestTable(t *testing.T) {
-	tb := NewTable(Rules{Span: 100 * ms, Margin: 0.1, Offer: 20 * ms})
+	tb := NewTable(Config{TTL: 100 * ms, ClockDriftBound: 0.1, OfferTTL: 20 * ms})
 	a, b := Member{"a", 1}, Member{"b", 1}
 	again := Member{"a", 2}
-	if h, err := tb.Ask(0, "d", a, 0); err != nil || h.Term != 1 || h.Until != 110*ms {
+	if h, err := tb.Acquire(0, "d", a, 0); err != nil || h.Term != 1 || h.ExpiresAt != 110*ms {
 		t.Fatalf("%+v, %v", h, err)
 	}
 	// Another boot of the same id is another holder.
 	for _, who := range []Member{b, again} {
-		if _, err := tb.Ask(110*ms, "d", who, 0); !errors.Is(err, ErrHeld) {
+		if _, err := tb.Acquire(110*ms, "d", who, 0); !errors.Is(err, ErrHeld) {
 			t.Errorf("%v: %v", who, err)
 		}
 	}
-	if h, err := tb.Ask(50*ms, "d", a, 1); err != nil || h.Term != 1 || h.Until != 160*ms {
+	if h, err := tb.Acquire(50*ms, "d", a, 1); err != nil || h.Term != 1 || h.ExpiresAt != 160*ms {
 		t.Errorf("renewed: %+v, %v", h, err)
 	}
-	if h, err := tb.Ask(161*ms, "d", b, 0); err != nil || h.Term != 2 || h.Cause != Lapsed {
+	if h, err := tb.Acquire(161*ms, "d", b, 0); err != nil || h.Term != 2 || h.Cause != Expired {
 		t.Errorf("lapsed: %+v, %v", h, err)
 	}
-	if err := tb.Fence("d", 1, a); !errors.Is(err, ErrTerm) {
+	if err := tb.Fence("d", 1, a); !errors.Is(err, ErrStaleTerm) {
 		t.Errorf("an old term: %v", err)
 	}
-	if err := tb.Fence("d", 2, a); !errors.Is(err, ErrTerm) {
+	if err := tb.Fence("d", 2, a); !errors.Is(err, ErrStaleTerm) {
 		t.Errorf("another's term: %v", err)
 	}
-	if err := tb.HandOn(170*ms, "d", 2, b, again); err != nil {
+	if err := tb.Transfer(170*ms, "d", 2, b, again); err != nil {
 		t.Fatal(err)
 	}
-	if err := tb.Fence("d", 2, b); !errors.Is(err, ErrTerm) {
+	if err := tb.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
 		t.Errorf("after handing on: %v", err)
 	}
 	// An offer that is not taken up is free soon.
-	if _, err := tb.Ask(190*ms, "d", b, 0); !errors.Is(err, ErrHeld) {
+	if _, err := tb.Acquire(190*ms, "d", b, 0); !errors.Is(err, ErrHeld) {
 		t.Errorf("amid the offer: %v", err)
 	}
-	if h, err := tb.Ask(193*ms, "d", b, 0); err != nil || h.Term != 4 {
+	if h, err := tb.Acquire(193*ms, "d", b, 0); err != nil || h.Term != 4 {
 		t.Errorf("after the offer: %+v, %v", h, err)
 	}
-	if err := tb.Fence("d", 2, b); !errors.Is(err, ErrTerm) {
+	if err := tb.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
 		t.Errorf("an owner's own older term: %v", err)
 	}
 	if err := tb.Release(194*ms, "d", 4, b); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := tb.Ask(194*ms, "d", a, 0); err != nil || h.Term != 6 || h.Cause != Taken {
+	if h, err := tb.Acquire(194*ms, "d", a, 0); err != nil || h.Term != 6 || h.Cause != Acquired {
 		t.Errorf("after the release: %+v, %v", h, err)
 	}
 	if n := len(tb.History("d")); n != 6 {
 		t.Errorf("%d changes of hands", n)
 	}
-	if err := tb.Wish("d", "b"); err != nil {
+	if err := tb.RequestTransfer("d", "b"); err != nil {
 		t.Fatal(err)
 	}
 	copied := NewTable(tb.rules)
 	if err := copied.Restore(tb.Snapshot()); err != nil || string(copied.Snapshot()) != string(tb.Snapshot()) {
 		t.Errorf("%v: %s, %s", err, copied.Snapshot(), tb.Snapshot())
 	}
-	if _, err := tb.Ask(400*ms, "d", b, 0); err != nil || tb.Roles()[0].Wish != "" {
-		t.Errorf("a wish outlived its term: %+v, %v", tb.Roles(), err)
+	if _, err := tb.Acquire(400*ms, "d", b, 0); err != nil || tb.Leases()[0].TransferTo != "" {
+		t.Errorf("a wish outlived its term: %+v, %v", tb.Leases(), err)
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // process is a holder with a clock of its own.
 type process struct {
-	h     *Holder
+	h     *Claimant
 	me    Member
 	pace  float64
 	shift time.Duration
@@ -113,7 +113,7 @@
 	sent   time.Duration // by its clock
 	knows  uint64
 	span   time.Duration
-	h      Holding
+	h      Lease
 	err    error
 }
 
@@ -121,14 +121,14 @@
 // holders hold at one moment, and terms go up.
 func TestNoTwoHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := Rules{Span: 1000 * ms, Margin: 0.125, Offer: 200 * ms}
+		rules := Config{TTL: 1000 * ms, ClockDriftBound: 0.125, OfferTTL: 200 * ms}
 		tb := NewTable(rules)
 		var ps []*process
 		for i := range rapid.IntRange(2, 4).Draw(t, "processes") {
 			// The table's clock may be the fast one: it goes at 1, the slowest at 1/1.125.
 			p := &process{me: Member{fmt.Sprint(i), 1}, pace: rapid.Float64Range(1/1.125+0.001, 1.2).Draw(t, "pace"),
 				shift: time.Duration(rapid.IntRange(0, 30_000).Draw(t, "shift")) * ms}
-			p.h = NewHolder(rules, "d", p.me)
+			p.h = NewClaimant(rules, "d", p.me)
 			ps = append(ps, p)
 		}
 		var out []message
@@ -142,7 +142,7 @@
 			case 0, 1:
 				if ask, _ := p.h.Due(p.clock(now)); ask {
 					p.h.Sent(p.clock(now))
-					out = append(out, message{to: int(p.me.ID[0] - '0'), asking: true, sent: p.clock(now), knows: p.h.Knows()})
+					out = append(out, message{to: int(p.me.ID[0] - '0'), asking: true, sent: p.clock(now), knows: p.h.KnownTerm()})
 				}
 			case 2, 3:
 				if len(out) == 0 {
@@ -156,15 +156,15 @@
 				to := ps[m.to]
 				if m.asking {
 					m.asking = false
-					m.h, m.err = tb.Ask(now, "d", to.me, m.knows)
-					m.span = tb.SpanOf(now, &m.h)
+					m.h, m.err = tb.Acquire(now, "d", to.me, m.knows)
+					m.span = tb.RemainingTTL(now, &m.h)
 					if m.err == nil && m.h.Term < newest {
 						t.Fatalf("term %d after %d", m.h.Term, newest)
 					}
 					newest = max(newest, m.h.Term)
 					out = append(out, m)
 				} else if m.err != nil {
-					to.h.Refused(to.clock(now), m.sent, 10*ms, "held")
+					to.h.Rejected(to.clock(now), m.sent, 10*ms, "held")
 				} else {
 					to.h.Granted(to.clock(now), m.sent, m.h.Term, m.span, "")
 				}
@@ -177,12 +177,12 @@
 					to := ps[rapid.IntRange(0, len(ps)-1).Draw(t, "to")]
 					if rapid.Bool().Draw(t, "release") {
 						if tb.Release(now, "d", term, p.me) == nil {
-							p.h.End(p.clock(now), 50*ms, "given up")
+							p.h.GiveUp(p.clock(now), 50*ms, "given up")
 						}
 					} else if to != p {
 						// the work has ended before it is handed on
-						p.h.End(p.clock(now), 50*ms, "handed on")
-						_ = tb.HandOn(now, "d", term, p.me, to.me)
+						p.h.GiveUp(p.clock(now), 50*ms, "handed on")
+						_ = tb.Transfer(now, "d", term, p.me, to.me)
 					}
 				}
 			}
@@ -202,7 +202,7 @@
 
 // A holder that was stopped past its span knows so by its clock alone.
 func TestAHolderEndsByItself(t *testing.T) {
-	h := NewHolder(Rules{Span: 100 * ms}, "d", Member{"a", 1})
+	h := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
 	h.Sent(10 * ms)
 	if !h.Granted(60*ms, 10*ms, 1, 100*ms, "") {
 		t.Fatal("not held")
@@ -221,32 +221,32 @@
 
 // One that is heard and hears nobody does not keep a duty, and does not get it again at once.
 func TestADeafMemberDoesNotKeepADuty(t *testing.T) {
-	tb := NewTable(Rules{Span: 100 * ms, Margin: 0.1, Offer: 20 * ms})
+	tb := NewTable(Config{TTL: 100 * ms, ClockDriftBound: 0.1, OfferTTL: 20 * ms})
 	deaf, other := Member{"deaf", 1}, Member{"other", 1}
 	for at := time.Duration(0); at < 110*ms; at += 10 * ms {
-		h, err := tb.Ask(at, "d", deaf, 0)
-		if err != nil || h.Term != 1 || h.Until != 110*ms {
+		h, err := tb.Acquire(at, "d", deaf, 0)
+		if err != nil || h.Term != 1 || h.ExpiresAt != 110*ms {
 			t.Fatalf("%+v, %v", h, err)
 		}
 	}
-	if _, err := tb.Ask(111*ms, "d", deaf, 0); !errors.Is(err, ErrDeaf) {
+	if _, err := tb.Acquire(111*ms, "d", deaf, 0); !errors.Is(err, ErrExcluded) {
 		t.Errorf("given again: %v", err)
 	}
-	if h, err := tb.Ask(112*ms, "d", other, 0); err != nil || h.Term != 2 {
+	if h, err := tb.Acquire(112*ms, "d", other, 0); err != nil || h.Term != 2 {
 		t.Errorf("%+v, %v", h, err)
 	}
-	if h, err := tb.Ask(150*ms, "d", other, 2); err != nil || h.Offered || h.Until != 260*ms {
+	if h, err := tb.Acquire(150*ms, "d", other, 2); err != nil || h.Unconfirmed || h.ExpiresAt != 260*ms {
 		t.Errorf("renewed: %+v, %v", h, err)
 	}
 }
 
 // A term that was given up is never held again, whatever answers are still on their way.
 func TestAGivenUpTermStaysSo(t *testing.T) {
-	h := NewHolder(Rules{Span: 100 * ms}, "d", Member{"a", 1})
+	h := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
 	h.Sent(0)
 	h.Granted(10*ms, 0, 3, 100*ms, "")
 	h.Sent(30 * ms)
-	h.End(40*ms, 0, "handed on")
+	h.GiveUp(40*ms, 0, "handed on")
 	if h.Granted(50*ms, 30*ms, 3, 100*ms, "") {
 		t.Error("held again by a late renewal")
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -40,21 +40,21 @@
 
 // Config is what a process is told of its fleet.
 type Config struct {
-	Fleet     string // its name
-	ID        string // this gateway's
-	Listen    string
-	Address   string // where others reach it; "": Listen
-	Dir       string
-	Voters    []*controlpb.Voter   // as they are known at first
-	Addresses controlrpc.Addresses // where others are reached from here, if not where they say
-	Rules     lease.Rules
-	Owners    []string      // ids of those that may hold duties; empty: all may
-	Tick      time.Duration // of voters; 0: 40 ms
-	Keep      uint64        // entries behind a snapshot; 0: 4,096
-	Shards    int           // of the export; 0: no use is counted or exported
-	Exports   string        // folder of exported files
-	Period    time.Duration
-	Log       *slog.Logger
+	Fleet        string // its name
+	ID           string // this gateway's
+	Listen       string
+	Address      string // where others reach it; "": Listen
+	Dir          string
+	Voters       []*controlpb.Voter   // as they are known at first
+	Addresses    controlrpc.Addresses // where others are reached from here, if not where they say
+	LeaseConfig  lease.Config
+	Candidates   []string      // ids of those that may hold duties; empty: all may
+	TickInterval time.Duration // of voters; 0: 40 ms
+	KeepEntries  uint64        // entries behind a snapshot; 0: 4,096
+	Shards       int           // of the export; 0: no use is counted or exported
+	Exports      string        // folder of exported files
+	Period       time.Duration
+	Log          *slog.Logger
 
 	// Direct makes a source that asks the register itself; nil: each gateway watches its register as it always did.
 	Direct func() (registry.Source, error)
@@ -117,9 +117,9 @@
 )
 
 // Machines are the parts of the agreed state.
-func Machines(r lease.Rules, v configversion.Rules) map[string]consensus.Machine {
+func Machines(r lease.Config, v configversion.Rules) map[string]consensus.StateMachine {
 	d := lease.NewMachine(r)
-	return map[string]consensus.Machine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
+	return map[string]consensus.StateMachine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
 		checkpoint.MachineName: checkpoint.NewMachine(d), endpointlist.MachineName: endpointlist.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), allocation.MachineName: allocation.NewMachine(d),
 		configversion.MachineName: configversion.NewMachine(v, d)}
 }
@@ -174,7 +174,7 @@
 	n.me = lease.Member{ID: cfg.ID, Incarnation: rand.Uint64()>>1 | 1}
 	n.client = controlrpc.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
 	n.client.Observe(cfg.Observer)
-	n.duties = election.New(election.Options{Rules: cfg.Rules, Client: n.client, Candidates: cfg.Owners, Log: cfg.Log})
+	n.duties = election.New(election.Options{LeaseConfig: cfg.LeaseConfig, Client: n.client, Candidates: cfg.Candidates, Log: cfg.Log})
 	if cfg.Shards > 0 {
 		for shard := range cfg.Shards {
 			e := &usageexporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
@@ -185,7 +185,7 @@
 	if cfg.Budgets != nil {
 		n.divide = &allocator.Divider{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
 		for shard := range cfg.BudgetShards {
-			n.duties.Spread(allocation.RoleOfShard(shard), n.divide.Work)
+			n.duties.AddBalanced(allocation.RoleOfShard(shard), n.divide.Work)
 		}
 		n.rights = allocator.NewUser(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
 		n.rights.Record(cfg.Rights)
@@ -230,7 +230,7 @@
 		return
 	}
 	close(n.ready)
-	go n.client.Live(n.ctx)
+	go n.client.KeepSessionAlive(n.ctx)
 	go n.follow()
 	if n.rights != nil {
 		go n.rights.Run(holding)
@@ -272,7 +272,7 @@
 	if err := os.MkdirAll(n.cfg.Dir, 0o700); err != nil {
 		return err
 	}
-	var parts controlrpc.Parts
+	var parts controlrpc.UsageSource
 	var counter *metering.Counter
 	if n.cfg.Shards > 0 {
 		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Period, n.cfg.Log); err != nil {
@@ -329,13 +329,13 @@
 		server.Contents = n.agent
 	}
 	server.Register(n.streams.Register)
-	err = server.Vote(n.ctx, replica.Options{Dir: LogDir(n.cfg.Dir), Address: n.cfg.Address, Tick: n.cfg.Tick, Keep: n.cfg.Keep, Log: n.cfg.Log,
-		Machines: n.machines})
+	err = server.StartReplica(n.ctx, replica.Options{Dir: LogDir(n.cfg.Dir), Address: n.cfg.Address, TickInterval: n.cfg.TickInterval, KeepEntries: n.cfg.KeepEntries, Log: n.cfg.Log,
+		NewStateMachines: n.machines})
 	switch {
 	case errors.Is(err, replica.ErrCopied):
 		n.mustNotVote(err.Error())
 		err = nil
-	case errors.Is(err, replica.ErrNone):
+	case errors.Is(err, replica.ErrNotInitialized):
 		n.cfg.Log.Info("fleet: this process is no voter", "folder", n.cfg.Dir)
 		for _, v := range n.cfg.Voters {
 			if v.Name == n.cfg.ID {
@@ -415,8 +415,8 @@
 	case <-n.left:
 	case <-time.After(leaveMost):
 	}
-	if s := n.server.Load(); s != nil && s.Voter() != nil {
-		s.Voter().Resign()
+	if s := n.server.Load(); s != nil && s.Replica() != nil {
+		s.Replica().TransferLeadership()
 	}
 }
 
@@ -459,7 +459,7 @@
 		}
 	}
 	if s := n.server.Load(); s != nil {
-		if v := s.Voter(); v != nil {
+		if v := s.Replica(); v != nil {
 			<-v.Done()
 		}
 		s.Stop()
@@ -475,7 +475,7 @@
 	}
 }
 
-// List is who belongs to the fleet, as the leader has it.
-func (n *Node) List(ctx context.Context) (l consensus.List, err error) {
-	return l, n.ask(ctx, consensus.FleetName, nil, &l)
+// Membership is who belongs to the fleet, as the leader has it.
+func (n *Node) Membership(ctx context.Context) (l consensus.Membership, err error) {
+	return l, n.ask(ctx, consensus.MembershipName, nil, &l)
 }
--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -24,14 +24,14 @@
 	for _, entries := range []int{0, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
 			dir := filepath.Join(b.TempDir(), "log")
-			if err := Found(dir, "f", "a", three[:1]); err != nil {
+			if err := Bootstrap(dir, "f", "a", three[:1]); err != nil {
 				b.Fatal(err)
 			}
-			f, err := Open(dir, store.Options{})
+			f, err := OpenStorage(dir, store.Options{})
 			if err != nil {
 				b.Fatal(err)
 			}
-			var w consensus.Work
+			var w consensus.Ready
 			last := uint64(1)
 			add := func(e *controlpb.Entry) {
 				raw, err := proto.Marshal(e)
@@ -43,10 +43,10 @@
 			}
 			add(&controlpb.Entry{Member: &controlpb.Member{Id: "m", Incarnation: 1}})
 			for i := range entries {
-				add(&controlpb.Entry{Session: 2, Seq: uint64(i + 1), Floor: uint64(i), Machine: checkpoint.MachineName,
+				add(&controlpb.Entry{Session: 2, Seq: uint64(i + 1), AckedSeq: uint64(i), Machine: checkpoint.MachineName,
 					Body: fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i%100, i)})
 			}
-			w.Hard, w.Sync = &raftpb.HardState{Term: new(uint64(1)), Vote: new(f.Identity().Number), Commit: new(last)}, true
+			w.HardState, w.MustSync = &raftpb.HardState{Term: new(uint64(1)), Vote: new(f.Identity().Number), Commit: new(last)}, true
 			if err := f.Save(w); err != nil {
 				b.Fatal(err)
 			}
@@ -55,7 +55,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				f, err := Open(dir, store.Options{})
+				f, err := OpenStorage(dir, store.Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -63,21 +63,21 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				d := lease.NewMachine(lease.Defaults())
+				d := lease.NewMachine(lease.DefaultConfig())
 				n, err := consensus.Open(monotonic.Now(), consensus.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
-					HeartbeatTicks: 2, Log: raftLogger{slog.New(slog.DiscardHandler)},
-					Machines: map[string]consensus.Machine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}}, saved)
+					HeartbeatTicks: 2, Logger: raftLogger{slog.New(slog.DiscardHandler)},
+					StateMachines: map[string]consensus.StateMachine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}}, saved)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := n.Begin(1); err != nil {
+				if err := n.Start(1); err != nil {
 					b.Fatal(err)
 				}
-				for n.Applied() < last {
-					if _, ok := n.Work(monotonic.Now()); !ok {
-						b.Fatalf("stands at %d of %d", n.Applied(), last)
+				for n.AppliedIndex() < last {
+					if _, ok := n.Ready(monotonic.Now()); !ok {
+						b.Fatalf("stands at %d of %d", n.AppliedIndex(), last)
 					}
-					if _, err := n.Saved(monotonic.Now()); err != nil {
+					if _, err := n.Advance(monotonic.Now()); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/controlplane/replica/folder.go
+++ b/internal/controlplane/replica/folder.go
@@ -25,9 +25,9 @@
 	Number uint64 `json:"number"`
 }
 
-// Folder is what a voter has on disk: its part of the log, its votes, its snapshot, and what others
+// Storage is what a voter has on disk: its part of the log, its votes, its snapshot, and what others
 // have promised it.
-type Folder struct {
+type Storage struct {
 	store *store.Store
 	id    Identity
 	last  uint64 // entry in the store; 0: none
@@ -46,38 +46,38 @@
 	return binary.BigEndian.AppendUint64([]byte{letter}, n)
 }
 
-// NumberOf is the number of a founding voter.
-func NumberOf(fleet, name string) uint64 {
+// BootstrapNumber is the number of a founding voter.
+func BootstrapNumber(fleet, name string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\x00%s", fleet, name)
 	return h.Sum64() | 1 // never 0
 }
 
-// ErrFounded tells that a folder belongs to a fleet already.
-var ErrFounded = errors.New("the folder is a voter's already")
+// ErrInitialized tells that a folder belongs to a fleet already.
+var ErrInitialized = errors.New("the folder is a voter's already")
 
-// Found makes the folder of a voter of a new fleet.
-func Found(dir, fleet, name string, voters []*controlpb.Voter) error {
-	saved, err := consensus.Found(fleet, voters)
+// Bootstrap makes the folder of a voter of a new fleet.
+func Bootstrap(dir, fleet, name string, voters []*controlpb.Voter) error {
+	saved, err := consensus.BootstrapState(fleet, voters)
 	if err != nil {
 		return err
 	}
-	return begin(dir, Identity{fleet, name, NumberOf(fleet, name)}, saved)
+	return begin(dir, Identity{fleet, name, BootstrapNumber(fleet, name)}, saved)
 }
 
 // Join makes the folder of a voter that is to be added to a fleet.
 func Join(dir, fleet, name string) error {
-	return begin(dir, Identity{fleet, name, rand.Uint64() | 1}, consensus.Join())
+	return begin(dir, Identity{fleet, name, rand.Uint64() | 1}, consensus.JoinState())
 }
 
-func begin(dir string, id Identity, saved consensus.Saved) (err error) {
+func begin(dir string, id Identity, saved consensus.StoredState) (err error) {
 	s, err := store.Open(dir, store.Options{})
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
 	if raw, err := s.Get(keyIdentity); err == nil {
-		return fmt.Errorf("%s: %w: %s", dir, ErrFounded, raw)
+		return fmt.Errorf("%s: %w: %s", dir, ErrInitialized, raw)
 	} else if !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
@@ -92,16 +92,16 @@
 	var b store.Batch
 	b.Put(keyIdentity, raw)
 	b.Put(keyPlace, where)
-	if err := put(&b, consensus.Work{Hard: saved.Hard, Snapshot: saved.Snapshot}); err != nil {
+	if err := put(&b, consensus.Ready{HardState: saved.HardState, Snapshot: saved.Snapshot}); err != nil {
 		return err
 	}
 	return s.Commit(&b, store.Durable)
 }
 
 // put writes all of a work but its entries into a batch.
-func put(b *store.Batch, w consensus.Work) error {
-	if w.Hard != nil {
-		raw, err := proto.Marshal(w.Hard)
+func put(b *store.Batch, w consensus.Ready) error {
+	if w.HardState != nil {
+		raw, err := proto.Marshal(w.HardState)
 		if err != nil {
 			return err
 		}
@@ -114,23 +114,23 @@
 		}
 		b.Put(keySnapshot, raw)
 	}
-	for of, p := range w.Witness {
+	for of, p := range w.Promises {
 		b.Put(numbered('w', of), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, p.Term), p.Index))
 	}
 	return nil
 }
 
-// Open opens a voter's folder. Its errors wrap store.ErrLocked where another process has it open, and
+// OpenStorage opens a voter's folder. Its errors wrap store.ErrLocked where another process has it open, and
 // ErrNone where nobody founded it.
-func Open(dir string, opt store.Options) (*Folder, error) {
+func OpenStorage(dir string, opt store.Options) (*Storage, error) {
 	s, err := store.Open(dir, opt)
 	if err != nil {
 		return nil, err
 	}
-	f := &Folder{store: s}
+	f := &Storage{store: s}
 	raw, err := s.Get(keyIdentity)
 	if errors.Is(err, store.ErrNotFound) {
-		err = ErrNone
+		err = ErrNotInitialized
 	} else if err == nil {
 		err = json.Unmarshal(raw, &f.id)
 	}
@@ -156,7 +156,7 @@
 	return fmt.Appendf(nil, "%d %d.%09d", st.Ino, st.Btime.Sec, st.Btime.Nsec), nil
 }
 
-func (f *Folder) inPlace(dir string) error {
+func (f *Storage) inPlace(dir string) error {
 	made, err := f.store.Get(keyPlace)
 	if errors.Is(err, store.ErrNotFound) {
 		return ErrCopied
@@ -171,19 +171,19 @@
 	return err
 }
 
-// ErrNone tells that a folder is no voter's.
-var ErrNone = errors.New("the folder is no voter's yet")
+// ErrNotInitialized tells that a folder is no voter's.
+var ErrNotInitialized = errors.New("the folder is no voter's yet")
 
 // Identity says whose folder it is.
-func (f *Folder) Identity() Identity { return f.id }
+func (f *Storage) Identity() Identity { return f.id }
 
 // Close ends the use of the folder.
-func (f *Folder) Close() error { return f.store.Close() }
+func (f *Storage) Close() error { return f.store.Close() }
 
 // Load reads what the folder holds.
-func (f *Folder) Load() (saved consensus.Saved, err error) {
-	saved.Hard, saved.Snapshot, saved.Witness = &raftpb.HardState{}, &raftpb.Snapshot{}, map[uint64]consensus.Promise{}
-	for key, into := range map[string]proto.Message{string(keyHard): saved.Hard, string(keySnapshot): saved.Snapshot} {
+func (f *Storage) Load() (saved consensus.StoredState, err error) {
+	saved.HardState, saved.Snapshot, saved.Promises = &raftpb.HardState{}, &raftpb.Snapshot{}, map[uint64]consensus.Promise{}
+	for key, into := range map[string]proto.Message{string(keyHard): saved.HardState, string(keySnapshot): saved.Snapshot} {
 		raw, err := f.store.Get([]byte(key))
 		if err == nil {
 			err = proto.Unmarshal(raw, into)
@@ -220,7 +220,7 @@
 			return saved, err
 		}
 		if len(item.Key) == 9 && len(item.Value) == 16 {
-			saved.Witness[binary.BigEndian.Uint64(item.Key[1:])] = consensus.Promise{
+			saved.Promises[binary.BigEndian.Uint64(item.Key[1:])] = consensus.Promise{
 				Term: binary.BigEndian.Uint64(item.Value), Index: binary.BigEndian.Uint64(item.Value[8:])}
 		}
 	}
@@ -229,13 +229,13 @@
 
 // Save writes a work, whole or not at all. With Sync it is on disk when Save returns nil. After an error the
 // folder takes nothing any more: it has to be opened anew.
-func (f *Folder) Save(w consensus.Work) error {
+func (f *Storage) Save(w consensus.Ready) error {
 	var b store.Batch
 	if err := put(&b, w); err != nil {
 		return err
 	}
 	first, last := f.first, f.last
-	if w.Reset {
+	if w.ReplaceLog {
 		for ; first != 0 && first <= last; first++ {
 			b.Delete(numbered('e', first))
 		}
@@ -258,7 +258,7 @@
 			first = w.Entries[0].GetIndex()
 		}
 	}
-	for first != 0 && first < w.First && first <= last {
+	for first != 0 && first < w.FirstIndex && first <= last {
 		b.Delete(numbered('e', first))
 		first++
 	}
@@ -266,7 +266,7 @@
 		first = 0
 	}
 	how := store.Buffered
-	if w.Sync {
+	if w.MustSync {
 		how = store.Durable
 	}
 	if err := f.store.Commit(&b, how); err != nil {
--- a/internal/controlplane/replica/folder_test.go
+++ b/internal/controlplane/replica/folder_test.go
@@ -13,23 +13,23 @@
 	"mothcleat/internal/storage/store"
 )
 
-var three = []*controlpb.Voter{{Number: NumberOf("f", "a"), Name: "a"}, {Number: NumberOf("f", "b"), Name: "b"}, {Number: NumberOf("f", "c"), Name: "c"}}
+var three = []*controlpb.Voter{{Number: BootstrapNumber("f", "a"), Name: "a"}, {Number: BootstrapNumber("f", "b"), Name: "b"}, {Number: BootstrapNumber("f", "c"), Name: "c"}}
 
 func TestFounding(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "log")
-	if _, err := Open(dir, store.Options{}); !errors.Is(err, ErrNone) {
+	if _, err := OpenStorage(dir, store.Options{}); !errors.Is(err, ErrNotInitialized) {
 		t.Errorf("a folder that nobody founded: %v", err)
 	}
-	if err := Found(dir, "f", "a", three); err != nil {
+	if err := Bootstrap(dir, "f", "a", three); err != nil {
 		t.Fatal(err)
 	}
-	if err := Found(dir, "f", "a", three); !errors.Is(err, ErrFounded) {
+	if err := Bootstrap(dir, "f", "a", three); !errors.Is(err, ErrInitialized) {
 		t.Errorf("founded again: %v", err)
 	}
-	if err := Join(dir, "f", "a"); !errors.Is(err, ErrFounded) {
+	if err := Join(dir, "f", "a"); !errors.Is(err, ErrInitialized) {
 		t.Errorf("joined after founding: %v", err)
 	}
-	f, err := Open(dir, store.Options{})
+	f, err := OpenStorage(dir, store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	if f.Identity().Number != three[0].Number || f.Identity().Fleet != "f" {
 		t.Errorf("%+v", f.Identity())
 	}
-	if _, err := Open(dir, store.Options{}); !errors.Is(err, store.ErrLocked) {
+	if _, err := OpenStorage(dir, store.Options{}); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
 }
@@ -49,10 +49,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n++
 		dir := filepath.Join(base, "log"+string(rune('a'+n%26))+string(rune('a'+n/26%26))+string(rune('a'+n/676%26)))
-		if err := Found(dir, "f", "a", three); err != nil {
+		if err := Bootstrap(dir, "f", "a", three); err != nil {
 			t.Fatal(err)
 		}
-		f, err := Open(dir, store.Options{})
+		f, err := OpenStorage(dir, store.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,8 +60,8 @@
 		entries := map[uint64]uint64{} // index to term
 		last, term, first := uint64(1), uint64(1), uint64(2)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			var w consensus.Work
-			w.Sync = rapid.Bool().Draw(t, "sync")
+			var w consensus.Ready
+			w.MustSync = rapid.Bool().Draw(t, "sync")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1, 2: // entries, that may replace others
 				term++
@@ -79,7 +79,7 @@
 			case 3: // a snapshot of its own
 				if last > first {
 					first = uint64(rapid.IntRange(int(first), int(last)).Draw(t, "first"))
-					w.First = first
+					w.FirstIndex = first
 					for i := range entries {
 						if i < first {
 							delete(entries, i)
@@ -88,7 +88,7 @@
 				}
 			case 4: // another's, that replaces all
 				last += uint64(rapid.IntRange(0, 9).Draw(t, "ahead"))
-				w.Reset, w.First, w.Sync = true, last+1, true
+				w.ReplaceLog, w.FirstIndex, w.MustSync = true, last+1, true
 				first = last + 1
 				entries = map[uint64]uint64{}
 			}
@@ -99,7 +99,7 @@
 				if err := f.Close(); err != nil {
 					t.Fatal(err)
 				}
-				if f, err = Open(dir, store.Options{}); err != nil {
+				if f, err = OpenStorage(dir, store.Options{}); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/controlplane/replica/proof.go
+++ b/internal/controlplane/replica/proof.go
@@ -7,8 +7,8 @@
 )
 
 // prove asks the other voters what this one has promised them, until enough have answered.
-func (v *Voter) prove() {
-	good, floor, old := v.proof.Verdict()
+func (v *Replica) prove() {
+	good, floor, old := v.proof.Result()
 	switch {
 	case old != "":
 		v.refuseFolder(old)
@@ -29,8 +29,8 @@
 }
 
 // refuseFolder logs, once, why this voter's folder must not be used to vote.
-func (v *Voter) refuseFolder(why string) {
-	if v.status.Trouble != "" && v.asked < 0 {
+func (v *Replica) refuseFolder(why string) {
+	if v.status.Fault != "" && v.asked < 0 {
 		return
 	}
 	v.asked = folderRefused
@@ -40,25 +40,25 @@
 }
 
 // askForProof asks each other voter once.
-func (v *Voter) askForProof() {
+func (v *Replica) askForProof() {
 	node, p := v.node, v.node.Position()
-	position := &controlpb.Position{Fleet: v.id.Fleet, Voter: v.id.Number, Term: p.Term, Last: p.Last}
+	position := &controlpb.Position{Fleet: v.id.Fleet, Voter: v.id.Number, Term: p.Term, LastIndex: p.LastIndex}
 	for _, o := range v.others() {
-		v.link.Prove(o, position, func(w *controlpb.Witness) {
+		v.link.Verify(o, position, func(w *controlpb.VerificationReply) {
 			v.post(func() {
 				if v.node == node && !v.begun {
-					v.proof.Hear(w.From, wordOf(w))
+					v.proof.Receive(w.From, wordOf(w))
 				}
 			})
 		})
 	}
 }
 
-func wordOf(w *controlpb.Witness) consensus.Word {
-	return consensus.Word{
-		Term:     w.Term,
-		Leader:   w.Leader,
-		Promised: consensus.Promise{Term: w.Promised, Index: w.Index},
-		Stranger: w.Stranger,
+func wordOf(w *controlpb.VerificationReply) consensus.VerificationReply {
+	return consensus.VerificationReply{
+		Term:         w.Term,
+		Leader:       w.Leader,
+		Promised:     consensus.Promise{Term: w.PromisedTerm, Index: w.PromisedIndex},
+		UnknownVoter: w.UnknownVoter,
 	}
 }
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -8,20 +8,20 @@
 // Status describes a voter.
 type Status struct {
 	Identity
-	Role    consensus.Role
-	Leader  string // its name
-	Voters  []*controlpb.Voter
-	Applied uint64
-	First   uint64
-	Trouble string // why it takes no part; "": it does
+	Leadership   consensus.Leadership
+	Leader       string // its name
+	Voters       []*controlpb.Voter
+	AppliedIndex uint64
+	FirstIndex   uint64
+	Fault        string // why it takes no part; "": it does
 }
 
 // publish brings Status up to date and logs what has changed.
-func (v *Voter) publish() {
+func (v *Replica) publish() {
 	if v.node == nil {
 		return
 	}
-	role, voters := v.node.Role(), v.node.Voters()
+	role, voters := v.node.Leadership(), v.node.Voters()
 	leader := ""
 	for _, o := range voters {
 		if o.Number == role.Leader {
@@ -32,31 +32,31 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.status = Status{
-		Identity: v.id,
-		Role:     role,
-		Leader:   leader,
-		Voters:   voters,
-		Applied:  v.node.Applied(),
-		First:    v.node.First(),
-		Trouble:  v.publishedTrouble(),
+		Identity:     v.id,
+		Leadership:   role,
+		Leader:       leader,
+		Voters:       voters,
+		AppliedIndex: v.node.AppliedIndex(),
+		FirstIndex:   v.node.FirstIndex(),
+		Fault:        v.publishedTrouble(),
 	}
 }
 
 // publishedTrouble is why the voter takes no part. Called with mu held.
-func (v *Voter) publishedTrouble() string {
+func (v *Replica) publishedTrouble() string {
 	switch {
 	case v.begun:
 		return ""
-	case v.status.Trouble != "":
-		return v.status.Trouble
+	case v.status.Fault != "":
+		return v.status.Fault
 	}
 	return "it waits for other voters to say what it has promised them"
 }
 
 // logChanges logs a new leader and a new list of voters.
-func (v *Voter) logChanges(role consensus.Role, leader string, voters []*controlpb.Voter) {
+func (v *Replica) logChanges(role consensus.Leadership, leader string, voters []*controlpb.Voter) {
 	if role != v.role {
-		v.opt.Log.Info("fleet: leader", "voter", v.id.Name, "term", role.Term, "leader", leader, "leads", role.Leads)
+		v.opt.Log.Info("fleet: leader", "voter", v.id.Name, "term", role.Term, "leader", leader, "leads", role.IsLeader)
 		v.role = role
 	}
 	list := ""
@@ -64,21 +64,21 @@
 		list += " " + o.Name
 	}
 	if list != v.voters {
-		v.opt.Log.Info("fleet: voters", "voter", v.id.Name, "voters", list, "term", role.Term, "entry", v.node.Applied())
+		v.opt.Log.Info("fleet: voters", "voter", v.id.Name, "voters", list, "term", role.Term, "entry", v.node.AppliedIndex())
 		v.voters = list
 	}
 }
 
 // Status returns what the voter is now.
-func (v *Voter) Status() Status {
+func (v *Replica) Status() Status {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.status
 }
 
 // trouble sets why the voter takes no part.
-func (v *Voter) trouble(why string) {
+func (v *Replica) trouble(why string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.status.Trouble, v.status.Role, v.status.Leader = why, consensus.Role{}, ""
+	v.status.Fault, v.status.Leadership, v.status.Leader = why, consensus.Leadership{}, ""
 }
--- a/internal/controlplane/replica/status_test.go
+++ b/internal/controlplane/replica/status_test.go
@@ -13,28 +13,29 @@
 	"mothcleat/internal/monotonic"
 )
 
-// noLink is the link of a voter that is alone.
-type noLink struct{}
+// noTransport is the link of a voter that is alone.
+type noTransport struct{}
 
-func (noLink) Send(*controlpb.Voter, *controlpb.Voter, []*raftpb.Message)                   {}
-func (noLink) Prove(*controlpb.Voter, *controlpb.Position, func(answer *controlpb.Witness)) {}
+func (noTransport) Send(*controlpb.Voter, *controlpb.Voter, []*raftpb.Message) {}
+func (noTransport) Verify(*controlpb.Voter, *controlpb.Position, func(answer *controlpb.VerificationReply)) {
+}
 
 // newLeader is a voter that is alone and leads. Its goroutine does not run: a test does what it does.
-func newLeader(t *testing.T) *Voter {
+func newLeader(t *testing.T) *Replica {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "log")
-	if err := Found(dir, "f", "a", three[:1]); err != nil {
+	if err := Bootstrap(dir, "f", "a", three[:1]); err != nil {
 		t.Fatal(err)
 	}
-	v := &Voter{link: noLink{}, opt: Options{
-		Dir: dir, Election: defaultElectionTicks, Log: slog.New(slog.DiscardHandler),
-		Machines: func() map[string]consensus.Machine { return map[string]consensus.Machine{} },
+	v := &Replica{link: noTransport{}, opt: Options{
+		Dir: dir, ElectionTicks: defaultElectionTicks, Log: slog.New(slog.DiscardHandler),
+		NewStateMachines: func() map[string]consensus.StateMachine { return map[string]consensus.StateMachine{} },
 	}}
 	if err := v.open(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { v.end("the test has ended") })
-	for ticks := 0; !v.node.Role().Leads; ticks++ {
+	for ticks := 0; !v.node.Leadership().IsLeader; ticks++ {
 		if ticks > 100*defaultElectionTicks {
 			t.Fatal("it does not lead")
 		}
@@ -53,7 +54,7 @@
 		v := newLeader(t)
 		for i := range sessions {
 			open := &controlpb.Command{Member: &controlpb.Member{Id: fmt.Sprintf("g%d", i), Incarnation: 1}}
-			v.node.Submit(monotonic.Now(), open, func(*controlpb.Answer) {})
+			v.node.Propose(monotonic.Now(), open, func(*controlpb.Answer) {})
 		}
 		if err := v.work(); err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/replica/stored_test.go
+++ b/internal/controlplane/replica/stored_test.go
@@ -28,7 +28,7 @@
 	if err := replica.Adopt(dir); err != nil {
 		t.Fatal(err)
 	}
-	folder, err := replica.Open(dir, store.Options{})
+	folder, err := replica.OpenStorage(dir, store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,40 +61,40 @@
 	}
 }
 
-func newMachines() map[string]consensus.Machine {
-	return controlplane.Machines(lease.Defaults(), configversion.Defaults())
+func newMachines() map[string]consensus.StateMachine {
+	return controlplane.Machines(lease.DefaultConfig(), configversion.Defaults())
 }
 
 // replay applies all committed entries and returns a snapshot of the state that they lead to.
-func replay(t *testing.T, number uint64, saved consensus.Saved) consensus.Work {
+func replay(t *testing.T, number uint64, saved consensus.StoredState) consensus.Ready {
 	t.Helper()
 	config := consensus.Config{
-		Number: number, Machines: newMachines(), Random: rand.New(rand.NewPCG(1, 1)),
-		ElectionTicks: 10, HeartbeatTicks: 2, Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+		Number: number, StateMachines: newMachines(), Random: rand.New(rand.NewPCG(1, 1)),
+		ElectionTicks: 10, HeartbeatTicks: 2, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 	}
 	const now = time.Second
 	node, err := consensus.Open(now, config, saved)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := node.Begin(0); err != nil {
+	if err := node.Start(0); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		if _, ok := node.Work(now); !ok {
+		if _, ok := node.Ready(now); !ok {
 			break
 		}
-		if _, err := node.Saved(now); err != nil {
+		if _, err := node.Advance(now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if node.Applied() != saved.Hard.GetCommit() {
-		t.Fatalf("applied up to %d, %d are committed", node.Applied(), saved.Hard.GetCommit())
+	if node.AppliedIndex() != saved.HardState.GetCommit() {
+		t.Fatalf("applied up to %d, %d are committed", node.AppliedIndex(), saved.HardState.GetCommit())
 	}
-	if err := node.Compact(); err != nil {
+	if err := node.CreateSnapshot(); err != nil {
 		t.Fatal(err)
 	}
-	snapshot, ok := node.Compacted(0)
+	snapshot, ok := node.SnapshotSince(0)
 	if !ok {
 		t.Fatal("no snapshot")
 	}
--- a/internal/controlplane/replica/voter.go
+++ b/internal/controlplane/replica/voter.go
@@ -20,53 +20,53 @@
 	"mothcleat/internal/storage/store"
 )
 
-// Link carries messages to other voters. Its methods are called by the voter's goroutine, and must not block.
-type Link interface {
+// Transport carries messages to other voters. Its methods are called by the voter's goroutine, and must not block.
+type Transport interface {
 	// Send passes messages of a voter on, or drops them and says so to Voter.Unreachable.
 	Send(from, to *controlpb.Voter, messages []*raftpb.Message)
-	// Prove asks another voter what it was promised, and calls back from any goroutine; not at all where
+	// Verify asks another voter what it was promised, and calls back from any goroutine; not at all where
 	// there is no answer.
-	Prove(to *controlpb.Voter, p *controlpb.Position, answer func(*controlpb.Witness))
+	Verify(to *controlpb.Voter, p *controlpb.Position, answer func(*controlpb.VerificationReply))
 }
 
 // Options configure a voter.
 type Options struct {
-	Dir      string
-	Address  string                              // where other voters reach it
-	Machines func() map[string]consensus.Machine // new ones, for each time that the folder is opened
-	Tick     time.Duration                       // 0: 40 ms
-	Election int                                 // ticks; 0: 10
-	Keep     uint64                              // entries; see agree.Config
-	Log      *slog.Logger
-	// News is told of a machine that has changed, with its Query of nil; nil: nobody wants it. It must not block. Only
+	Dir              string
+	Address          string                                   // where other voters reach it
+	NewStateMachines func() map[string]consensus.StateMachine // new ones, for each time that the folder is opened
+	TickInterval     time.Duration                            // 0: 40 ms
+	ElectionTicks    int                                      // ticks; 0: 10
+	KeepEntries      uint64                                   // entries; see agree.Config
+	Log              *slog.Logger
+	// OnChange is told of a machine that has changed, with its Query of nil; nil: nobody wants it. It must not block. Only
 	// machines that count their changes are told: those that processes watch as a whole, and which are small.
-	News func(machine string, index uint64, state []byte)
+	OnChange func(machine string, index uint64, state []byte)
 }
 
 // watched is a machine whose changes are told. A machine that holds something for each process must not be one: its whole
 // state would be written out at each change.
 type watched interface{ Changes() uint64 }
 
-// Voter is a voter that runs. Its methods may be called concurrently.
-type Voter struct {
+// Replica is a voter that runs. Its methods may be called concurrently.
+type Replica struct {
 	opt  Options
-	link Link
+	link Transport
 	id   Identity
 
 	calls chan func()
 	ended chan struct{}
 
 	// Of the goroutine alone.
-	folder   *Folder
+	folder   *Storage
 	node     *consensus.Node
-	proof    *consensus.Proof
-	machines map[string]consensus.Machine
+	proof    *consensus.Verification
+	machines map[string]consensus.StateMachine
 	told     map[string]uint64
 	begun    bool
 	asked    time.Duration // when proof was last asked for; 0: never
 	reopenAt time.Duration // after the folder has failed
 	kept     uint64        // index of the snapshot that the folder holds
-	role     consensus.Role
+	role     consensus.Leadership
 	voters   string
 	heard    map[uint64]*controlpb.Voter // who sent messages, by its own word
 
@@ -89,14 +89,14 @@
 
 // Run opens a voter's folder and has it take part until the context ends; then Done is closed. A folder
 // that can't be opened at first is an error; later it is tried again.
-func Run(ctx context.Context, opt Options, link Link) (*Voter, error) {
-	if opt.Tick == 0 {
-		opt.Tick = defaultTick
+func Run(ctx context.Context, opt Options, link Transport) (*Replica, error) {
+	if opt.TickInterval == 0 {
+		opt.TickInterval = defaultTick
 	}
-	if opt.Election == 0 {
-		opt.Election = defaultElectionTicks
+	if opt.ElectionTicks == 0 {
+		opt.ElectionTicks = defaultElectionTicks
 	}
-	v := &Voter{opt: opt, link: link, calls: make(chan func(), maxQueuedCalls), ended: make(chan struct{})}
+	v := &Replica{opt: opt, link: link, calls: make(chan func(), maxQueuedCalls), ended: make(chan struct{})}
 	if err := v.open(); err != nil {
 		return nil, err
 	}
@@ -106,14 +106,14 @@
 }
 
 // Done is closed when the voter has ended and its folder is closed.
-func (v *Voter) Done() <-chan struct{} { return v.ended }
+func (v *Replica) Done() <-chan struct{} { return v.ended }
 
 // Identity returns which voter it is.
-func (v *Voter) Identity() Identity { return v.id }
+func (v *Replica) Identity() Identity { return v.id }
 
 // open opens the folder and begins the proof.
-func (v *Voter) open() error {
-	f, err := Open(v.opt.Dir, store.Options{})
+func (v *Replica) open() error {
+	f, err := OpenStorage(v.opt.Dir, store.Options{})
 	if err != nil {
 		return err
 	}
@@ -121,10 +121,10 @@
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
-	machines := v.opt.Machines()
+	machines := v.opt.NewStateMachines()
 	node, err := consensus.Open(monotonic.Now(), consensus.Config{
-		Number: f.id.Number, Machines: machines, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		ElectionTicks: v.opt.Election, HeartbeatTicks: 2, KeepEntries: v.opt.Keep, Log: raftLogger{v.opt.Log},
+		Number: f.id.Number, StateMachines: machines, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		ElectionTicks: v.opt.ElectionTicks, HeartbeatTicks: 2, KeepEntries: v.opt.KeepEntries, Logger: raftLogger{v.opt.Log},
 	}, saved)
 	if err != nil {
 		return errors.Join(err, f.Close())
@@ -132,7 +132,7 @@
 	v.id, v.folder, v.node, v.machines, v.told = f.id, f, node, machines, map[string]uint64{}
 	v.kept = saved.Snapshot.Metadata.GetIndex()
 	v.begun, v.asked = false, 0
-	v.proof = consensus.NewProof(node.Position(), len(v.others()))
+	v.proof = consensus.NewVerification(node.Position(), len(v.others()))
 	if node.Position() == (consensus.Position{}) {
 		return v.begin(0) // it has never promised anything to anybody
 	}
@@ -140,7 +140,7 @@
 }
 
 // others returns the voters but this one.
-func (v *Voter) others() (all []*controlpb.Voter) {
+func (v *Replica) others() (all []*controlpb.Voter) {
 	for _, o := range v.node.Voters() {
 		if o.Number != v.id.Number {
 			all = append(all, o)
@@ -150,19 +150,19 @@
 }
 
 // begin has the voter take part.
-func (v *Voter) begin(floor uint64) error {
-	if err := v.node.Begin(floor); err != nil {
+func (v *Replica) begin(floor uint64) error {
+	if err := v.node.Start(floor); err != nil {
 		return err
 	}
 	v.begun = true
-	v.opt.Log.Info("fleet: this voter takes part", "voter", v.id.Name, "term", v.node.Position().Term, "floor", floor, "entry", v.node.Position().Last)
+	v.opt.Log.Info("fleet: this voter takes part", "voter", v.id.Name, "term", v.node.Position().Term, "floor", floor, "entry", v.node.Position().LastIndex)
 	return nil
 }
 
 // run is the voter's goroutine.
-func (v *Voter) run(ctx context.Context) {
+func (v *Replica) run(ctx context.Context) {
 	defer close(v.ended)
-	tick := time.NewTicker(v.opt.Tick)
+	tick := time.NewTicker(v.opt.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -189,7 +189,7 @@
 }
 
 // tick does what is due at each tick of the clock.
-func (v *Voter) tick() {
+func (v *Replica) tick() {
 	switch {
 	case v.node == nil:
 		v.reopen()
@@ -201,7 +201,7 @@
 }
 
 // reopen opens the folder again after it has failed, when that is due.
-func (v *Voter) reopen() {
+func (v *Replica) reopen() {
 	if monotonic.Now() < v.reopenAt {
 		return
 	}
@@ -212,7 +212,7 @@
 }
 
 // runQueuedCalls runs the calls that wait, up to a limit, so that one sync serves many of them.
-func (v *Voter) runQueuedCalls() {
+func (v *Replica) runQueuedCalls() {
 	for range maxCallsPerRound {
 		select {
 		case f := <-v.calls:
@@ -224,14 +224,14 @@
 }
 
 // end drops the node and closes the folder.
-func (v *Voter) end(why string) {
+func (v *Replica) end(why string) {
 	if v.node == nil {
 		return
 	}
-	for _, d := range v.node.Ended() {
+	for _, d := range v.node.Completions() {
 		d.Tag.(func(*controlpb.Answer))(d.Answer)
 	}
-	v.node.Drop(why)
+	v.node.FailPending(why)
 	v.answer()
 	_ = v.folder.Close() // all that was promised is synced
 	v.node, v.folder, v.begun = nil, nil, false
@@ -239,9 +239,9 @@
 }
 
 // work saves, sends and answers until nothing is left to do.
-func (v *Voter) work() error {
+func (v *Replica) work() error {
 	for {
-		w, ok := v.node.Work(monotonic.Now())
+		w, ok := v.node.Ready(monotonic.Now())
 		if !ok {
 			break
 		}
@@ -257,13 +257,13 @@
 		if w.Snapshot != nil {
 			v.kept = w.Snapshot.Metadata.GetIndex()
 		}
-		messages, err := v.node.Saved(monotonic.Now())
+		messages, err := v.node.Advance(monotonic.Now())
 		if err != nil {
 			return err
 		}
 		v.send(messages)
 	}
-	if w, ok := v.node.Compacted(v.kept); ok {
+	if w, ok := v.node.SnapshotSince(v.kept); ok {
 		if err := v.folder.Save(w); err != nil {
 			return err
 		}
@@ -274,7 +274,7 @@
 }
 
 // send passes messages to the link, all for one voter at once.
-func (v *Voter) send(messages []*raftpb.Message) {
+func (v *Replica) send(messages []*raftpb.Message) {
 	if len(messages) == 0 {
 		return
 	}
@@ -298,17 +298,17 @@
 }
 
 // answer ends the requests that the node has ended, and tells of machines that have changed.
-func (v *Voter) answer() {
-	for _, d := range v.node.Ended() {
+func (v *Replica) answer() {
+	for _, d := range v.node.Completions() {
 		d.Tag.(func(*controlpb.Answer))(d.Answer)
 	}
-	if v.opt.News == nil {
+	if v.opt.OnChange == nil {
 		return
 	}
 	for name, m := range v.machines {
 		if w, ok := m.(watched); ok && w.Changes() != v.told[name] {
 			v.told[name] = w.Changes()
-			v.opt.News(name, v.node.Applied(), m.Query(0, nil))
+			v.opt.OnChange(name, v.node.AppliedIndex(), m.Query(0, nil))
 		}
 	}
 }
--- a/internal/controlplane/rollout/calls.go
+++ b/internal/controlplane/rollout/calls.go
@@ -12,7 +12,7 @@
 
 // View returns the agreed state of all versions.
 func (a *Agent) View(ctx context.Context) (view configversion.View, err error) {
-	raw, err := a.client.Ask(ctx, configversion.MachineName, nil)
+	raw, err := a.client.Read(ctx, configversion.MachineName, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &view)
 	}
@@ -20,17 +20,17 @@
 }
 
 // membersOf asks for the members of some ids.
-func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]consensus.MemberAt, error) {
+func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]consensus.MemberInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	return a.client.Members(consensus.MembershipQuery{Scope: consensus.ScopeMembers, IDs: ids}).List(ctx)
 }
 
 // memberList asks for all members and voters of the fleet, on behalf of an operator's command.
-func (a *Agent) memberList(ctx context.Context) (list consensus.List, err error) {
+func (a *Agent) memberList(ctx context.Context) (list consensus.Membership, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	raw, err := a.client.Ask(ctx, consensus.FleetName, nil)
+	raw, err := a.client.Read(ctx, consensus.MembershipName, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &list)
 	}
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	op.Wall = time.Now().UnixMicro()
-	raw, err := a.client.Do(ctx, configversion.MachineName, op.Encode())
+	raw, err := a.client.Propose(ctx, configversion.MachineName, op.Encode())
 	if err != nil {
 		return 0, err
 	}
--- a/internal/controlplane/rollout/difference.go
+++ b/internal/controlplane/rollout/difference.go
@@ -20,7 +20,7 @@
 // fetchDifference makes a content out of one that is here by what a source says of the difference, and stores it. The
 // error is fleetlink.ErrNoContent where the source does not have the content, and errWhole where it is to be fetched
 // whole. After any other error too, the whole content may be fetched: nothing was stored.
-func (a *Agent) fetchDifference(ctx context.Context, wanted contentRequest, source consensus.MemberAt) error {
+func (a *Agent) fetchDifference(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
 	item := a.items[wanted.item]
 	if item == nil {
 		return errWhole
@@ -71,7 +71,7 @@
 }
 
 // repair stores a content after fetching the buckets in which the one with the digest base differs.
-func (a *Agent) repair(ctx context.Context, wanted contentRequest, base string, sums *controlpb.ContentSums, source consensus.MemberAt) error {
+func (a *Agent) repair(ctx context.Context, wanted contentRequest, base string, sums *controlpb.ContentSums, source consensus.MemberInfo) error {
 	item, digest := a.items[wanted.item], wanted.ref.Digest
 	from, err := a.versions.read(item, base)
 	if err != nil {
--- a/internal/controlplane/rollout/difference_test.go
+++ b/internal/controlplane/rollout/difference_test.go
@@ -52,7 +52,7 @@
 type testAgent struct {
 	*Agent
 	dir    string
-	source consensus.MemberAt // where it serves
+	source consensus.MemberInfo // where it serves
 	bytes  *payloadBytes
 }
 
@@ -81,7 +81,7 @@
 		server.Stop()
 		running.Wait()
 	})
-	a.source = consensus.MemberAt{Member: lease.Member{ID: id, Incarnation: 1}, Address: listener.Addr().String()}
+	a.source = consensus.MemberInfo{Member: lease.Member{ID: id, Incarnation: 1}, Address: listener.Addr().String()}
 	return a
 }
 
@@ -239,7 +239,7 @@
 	defer server.Stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	source := consensus.MemberAt{Member: lease.Member{ID: "liar", Incarnation: 2}, Address: listener.Addr().String()}
+	source := consensus.MemberInfo{Member: lease.Member{ID: "liar", Incarnation: 2}, Address: listener.Addr().String()}
 	if err := replica.fetchFrom(ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/rollout/fetch.go
+++ b/internal/controlplane/rollout/fetch.go
@@ -110,7 +110,7 @@
 
 // fetch fetches a content from one source after another until it is complete. It returns the error
 // of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, wanted contentRequest, sources []consensus.MemberAt) error {
+func (a *Agent) fetch(ctx context.Context, wanted contentRequest, sources []consensus.MemberInfo) error {
 	last := errors.New("rollout: nobody to fetch from is known")
 	for _, source := range sources {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -126,7 +126,7 @@
 
 // fetchFrom fetches a content from one source: as its difference to one that is here, or else the part of it that is not
 // here yet.
-func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source consensus.MemberAt) error {
+func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
 	err := a.fetchDifference(ctx, wanted, source)
 	if err == nil || errors.Is(err, controlrpc.ErrNoContent) {
 		return err
@@ -138,7 +138,7 @@
 }
 
 // fetchWhole fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchWhole(ctx context.Context, wanted contentRequest, source consensus.MemberAt) error {
+func (a *Agent) fetchWhole(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
 	ref := wanted.ref
 	offset := wanted.into.Begun(ref.Digest)
 	if offset > ref.Size {
--- a/internal/controlplane/rollout/permits.go
+++ b/internal/controlplane/rollout/permits.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	sent := monotonic.Now()
-	raw, err := a.client.Ask(ctx, configversion.MachineName, query)
+	raw, err := a.client.Read(ctx, configversion.MachineName, query)
 	if err != nil {
 		return
 	}
--- a/internal/controlplane/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -98,7 +98,7 @@
 }
 
 // replicate has a majority of the voters keep a content of the given size in bytes.
-func (a *Agent) replicate(ctx context.Context, list *consensus.List, item, digest string, size int64) error {
+func (a *Agent) replicate(ctx context.Context, list *consensus.Membership, item, digest string, size int64) error {
 	me := a.client.Me()
 	ask := &controlpb.KeepAsk{Item: item, Digest: digest, Size: size, From: &controlpb.Member{Id: me.ID, Incarnation: me.Incarnation}}
 	results := make(chan bool, len(list.Voters))
@@ -137,7 +137,7 @@
 	return a.agreedNumber(ctx, op)
 }
 
-func memberIDs(list *consensus.List) (ids []string) {
+func memberIDs(list *consensus.Membership) (ids []string) {
 	for _, m := range list.Members {
 		ids = append(ids, m.ID)
 	}
--- a/internal/controlplane/rollout/sources.go
+++ b/internal/controlplane/rollout/sources.go
@@ -15,8 +15,8 @@
 
 // sourceSet is processes that contents may be fetched from, and when they were asked for.
 type sourceSet struct {
-	members []consensus.MemberAt
-	voters  []consensus.VoterAt
+	members []consensus.MemberInfo
+	voters  []consensus.VoterInfo
 	at      time.Duration // by the clock of package monotonic
 }
 
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sourceQueryTimeout)
 	defer cancel()
 	query := consensus.MembershipQuery{Scope: consensus.ScopeSample, Sample: sourceSample, Seed: rand.Uint64()}
-	raw, err := a.client.Ask(ctx, consensus.FleetName, query.Encode())
+	raw, err := a.client.Read(ctx, consensus.MembershipName, query.Encode())
 	if err != nil {
 		a.log.Debug("fleet: versions: no processes to fetch from were told", "error", err)
 		return
@@ -46,7 +46,7 @@
 // sources returns the other processes in the order in which they are asked for a content: one at
 // random, so that the load of a new content spreads; then the voters, most of which have what was
 // proposed; then the others.
-func (a *Agent) sources() (all []consensus.MemberAt) {
+func (a *Agent) sources() (all []consensus.MemberInfo) {
 	known := a.sourceSet.Load()
 	if known == nil {
 		return nil
@@ -57,13 +57,13 @@
 		}
 	}
 	if len(all) > 1 {
-		rank := func(m consensus.MemberAt) int {
-			if slices.ContainsFunc(known.voters, func(v consensus.VoterAt) bool { return v.Name == m.ID }) {
+		rank := func(m consensus.MemberInfo) int {
+			if slices.ContainsFunc(known.voters, func(v consensus.VoterInfo) bool { return v.Name == m.ID }) {
 				return 0
 			}
 			return 1
 		}
-		slices.SortStableFunc(all[1:], func(a, b consensus.MemberAt) int { return rank(a) - rank(b) })
+		slices.SortStableFunc(all[1:], func(a, b consensus.MemberInfo) int { return rank(a) - rank(b) })
 	}
 	return all
 }
--- a/internal/controlplane/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -16,11 +16,11 @@
 // machine is one whose duty the owner holds under term 2.
 func machine(t *testing.T) *Machine {
 	t.Helper()
-	tb := lease.NewTable(lease.Defaults())
-	if _, err := tb.Ask(0, RoleOfShard(0), late, 0); err != nil {
+	tb := lease.NewTable(lease.DefaultConfig())
+	if _, err := tb.Acquire(0, RoleOfShard(0), late, 0); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := tb.Ask(1<<40, RoleOfShard(0), owner, 0); err != nil || h.Term != 2 {
+	if h, err := tb.Acquire(1<<40, RoleOfShard(0), owner, 0); err != nil || h.Term != 2 {
 		t.Fatal(h, err)
 	}
 	return NewMachine(tb)
--- a/internal/controlplane/usageexporter/usageexporter.go
+++ b/internal/controlplane/usageexporter/usageexporter.go
@@ -116,7 +116,7 @@
 	// Not bound to the leadership: a former leader, too, has to learn whether its file counts.
 	word, stop := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer stop()
-	if raw, err = e.Client.Do(word, usageexport.MachineName, raw); err != nil {
+	if raw, err = e.Client.Propose(word, usageexport.MachineName, raw); err != nil {
 		return err // the file may count or not: the next round's marks tell, and a later leader tidies
 	}
 	failpoint.At("export-after-agree")
@@ -134,7 +134,7 @@
 }
 
 // listOf returns the members as committed now.
-func listOf(ctx context.Context, members *controlrpc.Members) ([]consensus.MemberAt, error) {
+func listOf(ctx context.Context, members *controlrpc.Members) ([]consensus.MemberInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return members.List(ctx)
@@ -144,7 +144,7 @@
 func ask(ctx context.Context, c *controlrpc.Client, machine string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	raw, err := c.Ask(ctx, machine, nil)
+	raw, err := c.Read(ctx, machine, nil)
 	if err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 }
 
 // collect asks one gateway for its closed periods.
-func (e *Exporter) collect(ctx context.Context, m consensus.MemberAt, b *book) error {
+func (e *Exporter) collect(ctx context.Context, m consensus.MemberInfo, b *book) error {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	had := map[uint64]uint64{}
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -251,8 +251,8 @@
 	if t.view("owners", &v) != nil {
 		return -1
 	}
-	for _, h := range v.Roles {
-		if i, err := strconv.Atoi(strings.TrimPrefix(h.Owner.ID, "n")); err == nil && h.Role == duty && v.At <= h.Until {
+	for _, h := range v.Leases {
+		if i, err := strconv.Atoi(strings.TrimPrefix(h.Holder.ID, "n")); err == nil && h.Role == duty && v.At <= h.ExpiresAt {
 			return i
 		}
 	}
--- a/internal/testing/audittest/hard_test.go
+++ b/internal/testing/audittest/hard_test.go
@@ -172,7 +172,7 @@
 		})
 		clustertest.Check(t, f.Wake(i))
 		clustertest.Eventually(t, "the late word is refused", func() (bool, string) {
-			return strings.Contains(f.Gateways[i].Log(), lease.ErrTerm.Error()), ""
+			return strings.Contains(f.Gateways[i].Log(), lease.ErrStaleTerm.Error()), ""
 		})
 		acts(t, f, i, number)
 	})
--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -233,7 +233,7 @@
 func (c *cluster) leader(at int) (number int) {
 	c.t.Helper()
 	clustertest.Eventually(c.t, "a leader", func() (bool, string) {
-		var l consensus.List
+		var l consensus.Membership
 		err := c.Call(at, "status", &l)
 		n, _ := fmt.Sscanf(l.Leader, "n%d", &number)
 		return err == nil && n == 1, fmt.Sprintf("%+v %v", l, err)
--- a/internal/testing/electiontest/faults.go
+++ b/internal/testing/electiontest/faults.go
@@ -74,7 +74,7 @@
 	t.fail(t.f.Wake(i))
 }
 
-func (t *trialRun) ended(duty string, h lease.Holding, order bool) {
+func (t *trialRun) ended(duty string, h lease.Lease, order bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.free = append(t.free, passing{duty, h.Term, time.Now(), order})
@@ -152,7 +152,7 @@
 	point := points[r.IntN(len(points))]
 	i := r.IntN(t.o.Instances)
 	duty := t.duty(r)
-	var h lease.Holding
+	var h lease.Lease
 	if strings.HasPrefix(point, "export") {
 		if i, h = t.owner(duty); i < 0 {
 			return
--- a/internal/testing/electiontest/hard_test.go
+++ b/internal/testing/electiontest/hard_test.go
@@ -20,7 +20,7 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-func status(t *testing.T, f *testcluster.Fleet, at int) (l consensus.List) {
+func status(t *testing.T, f *testcluster.Fleet, at int) (l consensus.Membership) {
 	t.Helper()
 	clustertest.Eventually(t, "the status", func() (bool, string) { err := f.Call(at, "status", &l); return err == nil, fmt.Sprint(err) })
 	return l
@@ -41,7 +41,7 @@
 	}
 	at := another(f, i)
 	clustertest.Eventually(t, "another leader", func() (bool, string) {
-		var l consensus.List
+		var l consensus.Membership
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
 	})
@@ -64,7 +64,7 @@
 			Applied uint64
 		}
 		err := f.Call(i, "here", &h)
-		return err == nil && h.Trouble == "" && h.Leader != "" && h.Applied+20 > status(t, f, at).Applied, fmt.Sprint(h, err)
+		return err == nil && h.Trouble == "" && h.Leader != "" && h.Applied+20 > status(t, f, at).AppliedIndex, fmt.Sprint(h, err)
 	})
 }
 
@@ -92,15 +92,15 @@
 	})
 	clustertest.Eventually(t, "one that is awake owns it", func() (bool, string) {
 		j, next := owner(f, at, duty)
-		return j >= 0 && j != to && next.Term >= h.Term+2 && !next.Offered, fmt.Sprintf("%d %+v", j, next)
+		return j >= 0 && j != to && next.Term >= h.Term+2 && !next.Unconfirmed, fmt.Sprintf("%d %+v", j, next)
 	})
-	var all []lease.Holding
+	var all []lease.Lease
 	if err := f.Call(at, "history "+duty, &all); err != nil {
 		t.Fatal(err)
 	}
 	offered := false
 	for _, k := range all {
-		offered = offered || k.Owner.ID == testcluster.Name(to) && k.Cause == lease.HandedOn
+		offered = offered || k.Holder.ID == testcluster.Name(to) && k.Cause == lease.Transferred
 	}
 	if !offered {
 		t.Errorf("it was never offered: nothing was shown: %+v", all)
@@ -147,7 +147,7 @@
 	}
 	// It goes on as a gateway with a session, and asks those that vote.
 	clustertest.Eventually(t, "the removed one hears the fleet", func() (bool, string) {
-		var l consensus.List
+		var l consensus.Membership
 		err := f.Call(cut, "status", &l)
 		return err == nil && len(l.Voters) == 3, fmt.Sprint(err)
 	})
@@ -214,7 +214,7 @@
 	}
 	at := another(f, i)
 	clustertest.Eventually(t, "another leader", func() (bool, string) {
-		var l consensus.List
+		var l consensus.Membership
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != was.Leader && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 	})
--- a/internal/testing/electiontest/history.go
+++ b/internal/testing/electiontest/history.go
@@ -108,7 +108,7 @@
 	one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 6*time.Second)
 	defer cancel()
 	if in.what == 'r' {
-		raw, err := c.Ask(one, checkpoint.MachineName, []byte(in.key))
+		raw, err := c.Read(one, checkpoint.MachineName, []byte(in.key))
 		var e checkpoint.Entry
 		if err != nil || json.Unmarshal(raw, &e) != nil {
 			return output{unknown: true}
@@ -117,10 +117,10 @@
 	}
 	op := checkpoint.Op{Key: in.key, Value: in.value}
 	if in.what == 'c' {
-		op.If = &in.if_
+		op.ExpectedVersion = &in.if_
 	}
 	body, _ := json.Marshal(op)
-	raw, err := c.Do(one, checkpoint.MachineName, body)
+	raw, err := c.Propose(one, checkpoint.MachineName, body)
 	var res checkpoint.Result
 	if err != nil || json.Unmarshal(raw, &res) != nil {
 		return output{unknown: true}
--- a/internal/testing/electiontest/judge.go
+++ b/internal/testing/electiontest/judge.go
@@ -42,9 +42,9 @@
 	var owners lease.View
 	t.fail(t.view("owners", &owners))
 	changes := 0
-	histories := map[string][]lease.Holding{}
-	for _, h := range owners.Roles {
-		var all []lease.Holding
+	histories := map[string][]lease.Lease{}
+	for _, h := range owners.Leases {
+		var all []lease.Lease
 		t.fail(t.view("history "+h.Role, &all))
 		histories[h.Role] = all
 		changes += int(h.Term) - 1
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -42,23 +42,23 @@
 }
 
 // owner is who holds a duty by the agreed table, asked at a gateway; -1: nobody.
-func owner(f *testcluster.Fleet, at int, duty string) (int, lease.Holding) {
+func owner(f *testcluster.Fleet, at int, duty string) (int, lease.Lease) {
 	var v lease.View
 	if f.Call(at, "owners", &v) != nil {
-		return -1, lease.Holding{}
+		return -1, lease.Lease{}
 	}
-	for _, h := range v.Roles {
+	for _, h := range v.Leases {
 		var i int
-		if n, _ := fmt.Sscanf(h.Owner.ID, "n%d", &i); h.Role == duty && n == 1 && v.At <= h.Until {
+		if n, _ := fmt.Sscanf(h.Holder.ID, "n%d", &i); h.Role == duty && n == 1 && v.At <= h.ExpiresAt {
 			return i, h
 		}
 	}
-	return -1, lease.Holding{}
+	return -1, lease.Lease{}
 }
 
 // hasOwner waits for an owner that knows itself to be one: the table alone still names a process that has just ended while the fleet's
 // time stands still.
-func hasOwner(t *testing.T, f *testcluster.Fleet, at int, duty string, but uint64) (i int, h lease.Holding) {
+func hasOwner(t *testing.T, f *testcluster.Fleet, at int, duty string, but uint64) (i int, h lease.Lease) {
 	t.Helper()
 	clustertest.Eventually(t, "an owner of "+duty, func() (bool, string) {
 		var here controlplane.Here
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	j, next := hasOwner(t, f, another(f, i), duty, h.Term)
-	if j == i || next.Cause != lease.Lapsed {
+	if j == i || next.Cause != lease.Expired {
 		t.Errorf("after %+v: %+v", h, next)
 	}
 }
@@ -203,7 +203,7 @@
 	for _, says := range []bool{true, false} {
 		var i int
 		clustertest.Eventually(t, "a leader", func() (bool, string) { i = run.leader(); return i >= 0, "" })
-		var was consensus.List
+		var was consensus.Membership
 		if err := run.view("status", &was); err != nil {
 			t.Fatal(err)
 		}
@@ -211,7 +211,7 @@
 		f.Isolate(i, says, !says, true)
 		at := another(f, i)
 		clustertest.Eventually(t, "another leader", func() (bool, string) {
-			var l consensus.List
+			var l consensus.Membership
 			err := f.Call(at, "status", &l)
 			return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 		})
@@ -258,17 +258,17 @@
 	}
 	clustertest.Eventually(t, "it is added", func() (bool, string) { err := f.Call(2, "add", nil); return err == nil, fmt.Sprint(err) })
 	clustertest.Eventually(t, "it votes and is up to date", func() (bool, string) {
-		var l consensus.List
+		var l consensus.Membership
 		var h struct{ Applied uint64 }
 		err := errors.Join(f.Call(0, "status", &l), f.Call(2, "here", &h))
-		return err == nil && len(l.Voters) == 3 && h.Applied+20 > l.Applied, fmt.Sprintf("%+v %+v %v", l, h, err)
+		return err == nil && len(l.Voters) == 3 && h.Applied+20 > l.AppliedIndex, fmt.Sprintf("%+v %+v %v", l, h, err)
 	})
 	// With one of the others gone, its vote counts.
 	if err := f.End(1, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
 	_, h := hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
-	if err := f.Call(0, "transfer "+h.Role+" n3", nil); err != nil && h.Owner.ID != "n3" {
+	if err := f.Call(0, "transfer "+h.Role+" n3", nil); err != nil && h.Holder.ID != "n3" {
 		clustertest.Eventually(t, "something is agreed", func() (bool, string) {
 			err := f.Call(0, "transfer "+h.Role+" n3", nil)
 			return err == nil || strings.Contains(err.Error(), "already"), fmt.Sprint(err)
@@ -357,7 +357,7 @@
 	flag(t, f, i, "slow")
 	at := another(f, i)
 	clustertest.Eventually(t, "another leader", func() (bool, string) {
-		var l consensus.List
+		var l consensus.Membership
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
 	})
@@ -377,14 +377,14 @@
 	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	clustertest.Eventually(t, "n3 has its id", func() (bool, string) { // else it would be the newer one
-		var l consensus.List
+		var l consensus.Membership
 		err := f.Call(0, "status", &l)
-		return err == nil && slices.ContainsFunc(l.Members, func(p consensus.Present) bool { return p.ID == "n3" }), fmt.Sprintf("%+v %v", l.Members, err)
+		return err == nil && slices.ContainsFunc(l.Members, func(p consensus.SessionInfo) bool { return p.ID == "n3" }), fmt.Sprintf("%+v %v", l.Members, err)
 	})
 	me := lease.Member{ID: "n3", Incarnation: 42}
 	c := controlrpc.NewClient(testcluster.FleetName, me, "", f.Voters(), f.Addresses(-1), slog.New(slog.DiscardHandler))
 	defer c.Close()
-	if _, err := c.Do(t.Context(), checkpoint.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
+	if _, err := c.Propose(t.Context(), checkpoint.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
 		t.Fatal(err)
 	}
 	logged(t, f, 3, "another process has taken the id n3 since")
@@ -407,7 +407,7 @@
 	}
 	at := another(f, i, 3)
 	_, next := hasOwner(t, f, at, duty, h.Term)
-	if next.Cause != lease.HandedOn || next.Term != h.Term+1 {
+	if next.Cause != lease.Transferred || next.Term != h.Term+1 {
 		t.Errorf("after %+v: %+v", h, next)
 	}
 	if err := f.Begin(i); err != nil {
--- a/internal/testing/electiontest/run.go
+++ b/internal/testing/electiontest/run.go
@@ -139,7 +139,7 @@
 	for i := range t.o.Clients {
 		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{ID: fmt.Sprintf("client-%d", i), Incarnation: t.o.Seed<<16 | uint64(i) | 1}, "",
 			t.f.Voters(), t.f.Addresses(-1), slog.New(slog.DiscardHandler))
-		go c.Live(ctx)
+		go c.KeepSessionAlive(ctx)
 		go c.Watch(ctx, lease.MachineName, func([]byte) {})
 		context.AfterFunc(ctx, c.Close)
 	}
@@ -182,17 +182,17 @@
 }
 
 // owner is who holds a duty; -1: nobody, or nobody tells.
-func (t *trialRun) owner(duty string) (int, lease.Holding) {
+func (t *trialRun) owner(duty string) (int, lease.Lease) {
 	var v lease.View
 	if t.view("owners", &v) != nil {
-		return -1, lease.Holding{}
+		return -1, lease.Lease{}
 	}
-	for _, h := range v.Roles {
-		if i, ok := number(h.Owner.ID); h.Role == duty && ok && v.At <= h.Until && !h.Offered {
+	for _, h := range v.Leases {
+		if i, ok := number(h.Holder.ID); h.Role == duty && ok && v.At <= h.ExpiresAt && !h.Unconfirmed {
 			return i, h
 		}
 	}
-	return -1, lease.Holding{}
+	return -1, lease.Lease{}
 }
 
 func number(name string) (int, bool) {
@@ -202,7 +202,7 @@
 
 // leader is the voter that leads; -1: nobody tells.
 func (t *trialRun) leader() int {
-	var l consensus.List
+	var l consensus.Membership
 	if t.view("status", &l) != nil {
 		return -1
 	}
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -118,7 +118,7 @@
 // voters are the founding voters.
 func (c *control) voters() (all []*controlpb.Voter) {
 	for i, own := range c.own {
-		all = append(all, &controlpb.Voter{Number: replica.NumberOf(fleetName, controlName(i)),
+		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber(fleetName, controlName(i)),
 			Name: controlName(i), Address: own})
 	}
 	return all
@@ -164,7 +164,7 @@
 	if c.call(max(0, c.leader()), "owners", &v) != nil {
 		return 0, false
 	}
-	for _, d := range v.Roles {
+	for _, d := range v.Leases {
 		sum += int(d.Term)
 	}
 	return sum, true
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -230,8 +230,8 @@
 	}
 	settings := controlplane.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
 		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
-		Owners: c.Owners, Rules: lease.Rules{Span: leaseSpan, Margin: clockMargin,
-			Offer: leaseOffer}, Period: usePeriod, Silent: silentAfter,
+		Candidates: c.Owners, LeaseConfig: lease.Config{TTL: leaseSpan, ClockDriftBound: clockMargin,
+			OfferTTL: leaseOffer}, Period: usePeriod, Silent: silentAfter,
 		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
 	if c.Parts.Metering {
 		settings.Shards = 1
--- a/internal/testing/scale/meter.go
+++ b/internal/testing/scale/meter.go
@@ -128,7 +128,7 @@
 		role = roleOfMachine(m.Machine, nil)
 	case *controlpb.Command:
 		role = roleOfMachine(m.Machine, m.Body)
-	case *controlpb.WatchAsk:
+	case *controlpb.WatchRequest:
 		role = roleOfMachine(m.Machine, nil)
 	}
 	c.role.Store(&role)
@@ -175,7 +175,7 @@
 		return RoleMetering
 	case lease.MachineName:
 		return RoleElection
-	case consensus.FleetName, "": // who belongs to the fleet, and a session that says that it lives
+	case consensus.MembershipName, "": // who belongs to the fleet, and a session that says that it lives
 		return RoleMembership
 	}
 	return RoleOther
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -47,9 +47,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
 		cancel: cancel, ended: make(chan struct{})}
-	w.set = election.New(election.Options{Rules: lease.Rules{Span: cmp.Or(span, leaseSpan),
-		Margin: clockMargin,
-		Offer:  leaseOffer}, Client: w.client,
+	w.set = election.New(election.Options{LeaseConfig: lease.Config{TTL: cmp.Or(span, leaseSpan),
+		ClockDriftBound: clockMargin,
+		OfferTTL:        leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: silentLog})
 	watch := &endpointwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
 		Direct: func() (registry.Source, error) {
@@ -59,7 +59,7 @@
 					ResetAfter: registerReset}}, silentLog)
 		}}
 	w.set.Add(endpointlist.Role, watch.Work)
-	go w.client.Live(ctx)
+	go w.client.KeepSessionAlive(ctx)
 	go func() {
 		defer close(w.ended)
 		w.set.Run(ctx, ctx)
@@ -68,7 +68,7 @@
 }
 
 // holds tells whether it has the duty.
-func (w *watcher) holds() bool { return w.set.Held()[endpointlist.Role] > 0 }
+func (w *watcher) holds() bool { return w.set.HeldTerms()[endpointlist.Role] > 0 }
 
 // close hands the duty on.
 func (w *watcher) close() {
--- a/internal/testing/testcluster/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -214,7 +214,7 @@
 // Voters are the founding voters, at their own addresses: what a client of the rig's asks.
 func (f *Fleet) Voters() (all []*controlpb.Voter) {
 	for i := range f.opt.Voters {
-		all = append(all, &controlpb.Voter{Number: replica.NumberOf(FleetName, Name(i)), Name: Name(i), Address: f.Own[i]})
+		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber(FleetName, Name(i)), Name: Name(i), Address: f.Own[i]})
 	}
 	return all
 }
--- a/sim/allocation/world.go
+++ b/sim/allocation/world.go
@@ -57,7 +57,7 @@
 // Fence is the table of the one duty.
 func (w *World) Fence(duty string, term uint64, who lease.Member) error {
 	if duty != allocation.RoleOfShard(0) || term != w.term || who != w.leader {
-		return lease.ErrTerm
+		return lease.ErrStaleTerm
 	}
 	return nil
 }
--- a/sim/configversion/world.go
+++ b/sim/configversion/world.go
@@ -66,7 +66,7 @@
 // Fence is the table of the one duty.
 func (w *World) Fence(_ string, term uint64, who lease.Member) error {
 	if term != w.term || who != w.owner {
-		return lease.ErrTerm
+		return lease.ErrStaleTerm
 	}
 	return nil
 }
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -34,7 +34,7 @@
 // Fence is the table of the one duty, as far as the server has applied the log.
 func (s *server) Fence(_ string, term uint64, who lease.Member) error {
 	if term != s.term || who != s.owner {
-		return lease.ErrTerm
+		return lease.ErrStaleTerm
 	}
 	return nil
 }
--- a/sim/election/faults.go
+++ b/sim/election/faults.go
@@ -42,7 +42,7 @@
 	}
 	leader := voter
 	for _, p := range w.procs[:w.o.Voters] {
-		if p.up && p.voter.begun && p.voter.node.Role().Leads {
+		if p.up && p.voter.begun && p.voter.node.Leadership().IsLeader {
 			leader = p
 		}
 	}
