--- a/sim/election/procs.go
+++ b/sim/election/procs.go
@@ -20,10 +20,10 @@
 	p        *proc
 	number   uint64
 	disk     disk
-	older    *consensus.Saved // a copy of the folder
+	older    *consensus.StoredState // a copy of the folder
 	node     *consensus.Node
-	machines map[string]consensus.Machine
-	proof    *consensus.Proof
+	machines map[string]consensus.StateMachine
+	proof    *consensus.Verification
 	begun    bool
 	refused  string // why it takes no part
 	kept     uint64
@@ -42,18 +42,18 @@
 }
 
 func (v *voter) start() {
-	d := lease.NewMachine(lease.Defaults())
-	v.machines = map[string]consensus.Machine{lease.MachineName: d, checkpoint.MachineName: witnessed{checkpoint.NewMachine(d), v},
+	d := lease.NewMachine(lease.DefaultConfig())
+	v.machines = map[string]consensus.StateMachine{lease.MachineName: d, checkpoint.MachineName: witnessed{checkpoint.NewMachine(d), v},
 		"ledger": &ledger{v: v, has: map[string]bool{}}}
 	w := v.p.w
-	node, err := consensus.Open(v.p.clock(), consensus.Config{Number: v.number, Machines: v.machines, Random: rand.New(rand.NewPCG(w.r.Uint64(), 1)),
-		ElectionTicks: election, HeartbeatTicks: 2, KeepEntries: w.o.Keep, Log: silent{}}, copyOf(v.disk.saved))
+	node, err := consensus.Open(v.p.clock(), consensus.Config{Number: v.number, StateMachines: v.machines, Random: rand.New(rand.NewPCG(w.r.Uint64(), 1)),
+		ElectionTicks: election, HeartbeatTicks: 2, KeepEntries: w.o.Keep, Logger: silent{}}, copyOf(v.disk.saved))
 	if err != nil {
 		w.breach("lost_acked", "voter %d can't open its folder: %v", v.number, err)
 		return
 	}
 	v.node, v.begun, v.refused, v.stuck, v.kept = node, false, "", false, v.disk.saved.Snapshot.Metadata.GetIndex()
-	v.proof = consensus.NewProof(node.Position(), w.o.Voters-1)
+	v.proof = consensus.NewVerification(node.Position(), w.o.Voters-1)
 	v.p.on(tick, v.tick)
 	v.prove()
 }
@@ -68,10 +68,10 @@
 			if o.voter.node == nil || o.voter.refused != "" {
 				return
 			}
-			word := o.voter.node.Know(v.number)
+			word := o.voter.node.AnswerVerification(v.number)
 			v.p.w.send(o, v.p, func() {
 				if !v.begun {
-					v.proof.Hear(o.voter.number, word)
+					v.proof.Receive(o.voter.number, word)
 				}
 			})
 		})
@@ -84,12 +84,12 @@
 		v.node.Tick(v.p.clock())
 		return
 	}
-	good, floor, old := v.proof.Verdict()
+	good, floor, old := v.proof.Result()
 	switch {
 	case old != "":
 		v.refused = old
 	case good:
-		if err := v.node.Begin(floor); err != nil {
+		if err := v.node.Start(floor); err != nil {
 			v.p.w.breach("lost_acked", "voter %d can't begin: %v", v.number, err)
 		}
 		v.begun = true
@@ -105,9 +105,9 @@
 		return
 	}
 	w := p.w
-	work, ok := v.node.Work(p.clock())
+	work, ok := v.node.Ready(p.clock())
 	if !ok {
-		if c, ok := v.node.Compacted(v.kept); ok {
+		if c, ok := v.node.SnapshotSince(v.kept); ok {
 			v.kept = c.Snapshot.Metadata.GetIndex()
 			v.disk.write(c)
 		}
@@ -115,7 +115,7 @@
 		return
 	}
 	wait := 50 * time.Microsecond
-	if work.Sync {
+	if work.MustSync {
 		wait = 300*time.Microsecond + v.slow
 		v.stuck = v.slow > 0
 	}
@@ -128,7 +128,7 @@
 		done := func() {
 			p.busy, v.stuck = false, false
 			v.disk.write(work)
-			messages, err := v.node.Saved(p.clock())
+			messages, err := v.node.Advance(p.clock())
 			if err != nil {
 				w.breach("lost_acked", "voter %d: %v", v.number, err)
 				return
@@ -136,7 +136,7 @@
 			for _, m := range messages {
 				v.send(m)
 			}
-			if role := v.node.Role(); role.Leads {
+			if role := v.node.Leadership(); role.IsLeader {
 				w.leaders[role.Term] = true
 			}
 			v.answer()
@@ -169,7 +169,7 @@
 }
 
 func (v *voter) answer() {
-	for _, d := range v.node.Ended() {
+	for _, d := range v.node.Completions() {
 		d.Tag.(func(*controlpb.Answer))(d.Answer)
 	}
 }
@@ -179,7 +179,7 @@
 	p      *proc
 	id     string
 	me     lease.Member
-	holder *lease.Holder
+	holder *lease.Claimant
 	target int
 
 	session uint64
@@ -192,7 +192,7 @@
 func (m *member) start() {
 	w := m.p.w
 	m.me = lease.Member{ID: m.id, Incarnation: w.r.Uint64()}
-	m.holder = lease.NewHolder(lease.Defaults(), duty, m.me)
+	m.holder = lease.NewClaimant(lease.DefaultConfig(), duty, m.me)
 	m.session, m.opening, m.seq, m.out, m.target = 0, false, 0, map[uint64]bool{}, w.r.IntN(w.o.Voters)
 	m.p.on(time.Duration(w.r.IntN(100))*ms, m.loop)
 	m.p.on(time.Duration(w.r.IntN(300))*ms, m.write)
@@ -207,19 +207,19 @@
 		return
 	}
 	m.holder.Sent(now)
-	body := lease.Op{Do: "ask", Role: duty, Term: m.holder.Knows()}.Encode()
+	body := lease.Op{Action: "ask", Role: duty, Term: m.holder.KnownTerm()}.Encode()
 	m.do(lease.MachineName, body, func(answer []byte, ok bool) {
 		var res lease.Result
 		switch {
 		case !ok:
 			m.holder.Failed(m.p.clock(), now, 100*ms)
 		case json.Unmarshal(answer, &res) != nil || !res.OK:
-			m.holder.Refused(m.p.clock(), now, min(500*ms, max(10*ms, res.Left)), res.Why)
-		case m.holder.GaveUp(res.Holding.Term):
+			m.holder.Rejected(m.p.clock(), now, min(500*ms, max(10*ms, res.Remaining)), res.Reason)
+		case m.holder.GaveUp(res.Lease.Term):
 			m.holder.Failed(m.p.clock(), now, 100*ms)
-			m.do(lease.MachineName, lease.Op{Do: "release", Role: duty, Term: res.Holding.Term}.Encode(), func([]byte, bool) {})
+			m.do(lease.MachineName, lease.Op{Action: "release", Role: duty, Term: res.Lease.Term}.Encode(), func([]byte, bool) {})
 		default:
-			m.holder.Granted(m.p.clock(), now, res.Holding.Term, res.Span, res.Holding.Wish)
+			m.holder.Granted(m.p.clock(), now, res.Lease.Term, res.TTL, res.Lease.TransferTo)
 		}
 	})
 	m.p.on(20*ms, m.loop)
@@ -246,11 +246,11 @@
 		return
 	}
 	if w.r.IntN(25) == 0 {
-		op := lease.Op{Do: "release", Role: duty, Term: term}
+		op := lease.Op{Action: "release", Role: duty, Term: term}
 		if to := w.procs[w.o.Voters+w.r.IntN(w.o.Members)].member; to != m && w.r.IntN(2) == 0 {
-			op.Do, op.To = "hand", to.me
+			op.Action, op.To = "hand", to.me
 		}
-		m.holder.End(m.p.clock(), 300*ms, "given up")
+		m.holder.GiveUp(m.p.clock(), 300*ms, "given up")
 		m.do(lease.MachineName, op.Encode(), func([]byte, bool) {})
 		return
 	}
@@ -316,7 +316,7 @@
 			finish(nil, false)
 			return
 		}
-		m.ask(&controlpb.Command{Session: session, Seq: seq, Floor: m.floor(), Machine: machine, Body: body, Member: m.member()}, func(a *controlpb.Answer) {
+		m.ask(&controlpb.Command{Session: session, Seq: seq, AckedSeq: m.floor(), Machine: machine, Body: body, Member: m.member()}, func(a *controlpb.Answer) {
 			switch a.Code {
 			case controlpb.Code_OK:
 				finish(a.Body, true)
@@ -355,7 +355,7 @@
 		if to.voter.node == nil || !to.voter.begun {
 			return
 		}
-		to.voter.node.Submit(to.clock(), c, func(a *controlpb.Answer) {
+		to.voter.node.Propose(to.clock(), c, func(a *controlpb.Answer) {
 			w.send(to, m.p, func() {
 				if m.p.life == life {
 					answer(a)
--- a/sim/election/world.go
+++ b/sim/election/world.go
@@ -199,7 +199,7 @@
 		p := &proc{w: w, n: i, pace: 0.945 + 0.115*w.r.Float64(), shift: time.Duration(w.r.Int64N(int64(time.Hour)))}
 		w.procs = append(w.procs, p)
 		if i < o.Voters {
-			saved, err := consensus.Found("sim", voters)
+			saved, err := consensus.BootstrapState("sim", voters)
 			if err != nil {
 				panic(err)
 			}
@@ -262,7 +262,7 @@
 func (w *World) end() {
 	var best *voter
 	for _, p := range w.procs[:w.o.Voters] {
-		if v := p.voter; v.node != nil && (best == nil || v.node.Applied() > best.node.Applied()) {
+		if v := p.voter; v.node != nil && (best == nil || v.node.AppliedIndex() > best.node.AppliedIndex()) {
 			best = v
 		}
 	}
@@ -270,7 +270,7 @@
 		return
 	}
 	l := best.machines["ledger"].(*ledger)
-	if uint64(len(w.acked)) > 0 && best.node.Applied() < w.newest() {
+	if uint64(len(w.acked)) > 0 && best.node.AppliedIndex() < w.newest() {
 		return // nobody that runs holds all: a majority is down at the end
 	}
 	for word := range w.acked {
@@ -370,13 +370,13 @@
 
 // disk is what a voter's folder holds, and what of it a power cut would take.
 type disk struct {
-	saved   consensus.Saved
-	waiting []consensus.Work // written, not synced
+	saved   consensus.StoredState
+	waiting []consensus.Ready // written, not synced
 }
 
-func (d *disk) write(w consensus.Work) {
+func (d *disk) write(w consensus.Ready) {
 	d.waiting = append(d.waiting, w)
-	if w.Sync {
+	if w.MustSync {
 		d.sync()
 	}
 }
@@ -384,13 +384,13 @@
 // sync has all that was written on disk.
 func (d *disk) sync() {
 	for _, w := range d.waiting {
-		if w.Hard != nil {
-			d.saved.Hard = w.Hard
+		if w.HardState != nil {
+			d.saved.HardState = w.HardState
 		}
 		if w.Snapshot != nil {
 			d.saved.Snapshot = w.Snapshot
 		}
-		if w.Reset {
+		if w.ReplaceLog {
 			d.saved.Entries = nil
 		}
 		for _, e := range w.Entries {
@@ -399,24 +399,24 @@
 			}
 			d.saved.Entries = append(d.saved.Entries[:len(d.saved.Entries):len(d.saved.Entries)], e)
 		}
-		for len(d.saved.Entries) > 0 && d.saved.Entries[0].GetIndex() < w.First {
+		for len(d.saved.Entries) > 0 && d.saved.Entries[0].GetIndex() < w.FirstIndex {
 			d.saved.Entries = d.saved.Entries[1:]
 		}
 		witness := map[uint64]consensus.Promise{}
-		for of, p := range d.saved.Witness {
+		for of, p := range d.saved.Promises {
 			witness[of] = p
 		}
-		for of, p := range w.Witness {
+		for of, p := range w.Promises {
 			witness[of] = p
 		}
-		d.saved.Witness = witness
+		d.saved.Promises = witness
 	}
 	d.waiting = nil
 }
 
-func copyOf(s consensus.Saved) consensus.Saved {
+func copyOf(s consensus.StoredState) consensus.StoredState {
 	c := s
-	c.Hard = proto.Clone(s.Hard).(*raftpb.HardState)
+	c.HardState = proto.Clone(s.HardState).(*raftpb.HardState)
 	c.Entries = append([]*raftpb.Entry(nil), s.Entries...)
 	return c
 }
