--- a/internal/failpoint/doc.go
+++ b/internal/failpoint/doc.go
@@ -4,12 +4,12 @@
 //
 // The variable holds settings with commas between them:
 //
-//	kill=NAME@FILE      SIGKILL to itself at the point NAME, when FILE is there; it is removed by that
-//	stop=NAME@FILE      SIGSTOP to itself there; the rig wakes it
-//	slow=NAME:D@FILE    it waits D there, each time while FILE is there
-//	deny=NAME@FILE      what is called NAME fails while FILE is there
-//	kill=NAME           and so on: the first time that the point is passed
-//	pace=F              the clock goes at F of its pace
-//	ahead=D             the clock is D ahead
-//	jump=D@E            the clock leaps by D once E have passed
+//	kill=NAME@FILE      sends SIGKILL to the process at the point NAME once FILE exists, and removes FILE
+//	stop=NAME@FILE      sends SIGSTOP instead; the test continues the process
+//	slow=NAME:D@FILE    waits for the duration D at the point each time while FILE exists
+//	deny=NAME@FILE      fails the operation NAME while FILE exists
+//	kill=NAME           without a file: the first time that the point is passed; likewise stop and slow
+//	pace=F              multiplies the rate of the clock by F
+//	ahead=D             sets the clock ahead by D
+//	jump=D@E            sets the clock ahead by D once the duration E has passed
 package failpoint
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -15,28 +15,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Built tells whether this program was built with failpoints.
+// Built reports whether this program was built with failpoints.
 const Built = true
 
-// fault is what happens at a point: while a file is there, or the first time.
+// fault is what happens at a failpoint.
 type fault struct {
-	name, flag string
-	signal     syscall.Signal
-	wait       time.Duration // in place of a signal
-	done       bool
+	name        string
+	triggerFile string // the file that asks for the fault; "": the first pass of the point does
+	signal      syscall.Signal
+	delay       time.Duration // in place of a signal, where signal is 0
+	done        bool
+}
+
+// clockFaults are the faults of the process's clock.
+type clockFaults struct {
+	enabled   bool
+	rate      float64
+	offset    time.Duration
+	jump      time.Duration
+	jumpAfter time.Duration // since the clock was first read; 0: no jump
+	startOnce sync.Once
+	startedAt time.Duration // when the clock was first read
 }
 
 var (
-	mu      sync.Mutex
-	faults  []*fault
-	pace    = 1.0
-	ahead   time.Duration
-	leap    time.Duration
-	leapAt  time.Duration
-	begun   time.Duration
-	once    sync.Once
-	bending bool
-	denied  = map[string]string{} // by name, the file by which it is asked for
+	mu          sync.Mutex // guards done of all faults
+	faults      []*fault
+	clock       = clockFaults{rate: 1}
+	deniedUntil = map[string]string{} // the file that denies an operation while it exists, by the operation's name
 )
 
 func init() {
@@ -44,39 +50,41 @@
 		if text == "" {
 			continue
 		}
-		if err := setting(text); err != nil {
+		if err := parseSetting(text); err != nil {
 			fmt.Fprintf(os.Stderr, "MOTHCLEAT_FAULTS: %s: %v\n", text, err)
 			os.Exit(1)
 		}
 	}
 }
 
-func setting(text string) (err error) {
+// parseSetting adds the fault that one setting of the variable describes.
+func parseSetting(text string) (err error) {
 	key, value, _ := strings.Cut(text, "=")
-	name, flag, _ := strings.Cut(value, "@")
+	name, file, _ := strings.Cut(value, "@")
 	switch key {
 	case "kill":
-		faults = append(faults, &fault{name: name, flag: flag, signal: syscall.SIGKILL})
+		faults = append(faults, &fault{name: name, triggerFile: file, signal: syscall.SIGKILL})
 	case "stop":
-		faults = append(faults, &fault{name: name, flag: flag, signal: syscall.SIGSTOP})
+		faults = append(faults, &fault{name: name, triggerFile: file, signal: syscall.SIGSTOP})
 	case "deny":
-		denied[name] = flag
+		deniedUntil[name] = file
 	case "slow":
-		name, long, _ := strings.Cut(name, ":")
-		f := &fault{name: name, flag: flag}
-		f.wait, err = time.ParseDuration(long)
+		name, delay, _ := strings.Cut(name, ":")
+		f := &fault{name: name, triggerFile: file}
+		f.delay, err = time.ParseDuration(delay)
 		faults = append(faults, f)
 	case "pace":
-		pace, err = strconv.ParseFloat(value, 64)
-		bending = true
+		clock.rate, err = strconv.ParseFloat(value, 64)
+		clock.enabled = true
 	case "ahead":
-		ahead, err = time.ParseDuration(value)
-		bending = true
+		clock.offset, err = time.ParseDuration(value)
+		clock.enabled = true
 	case "jump":
-		if leap, err = time.ParseDuration(name); err == nil {
-			leapAt, err = time.ParseDuration(flag)
+		clock.jump, err = time.ParseDuration(name)
+		if err == nil {
+			clock.jumpAfter, err = time.ParseDuration(file)
 		}
-		bending = true
+		clock.enabled = true
 	default:
 		err = fmt.Errorf("no such fault")
 	}
@@ -87,29 +95,30 @@
 func At(name string) {
 	for _, f := range faults {
 		if f.name == name && f.due() {
-			fmt.Fprintf(os.Stderr, "fault: %v %v at %s\n", f.signal, f.wait, name)
+			fmt.Fprintf(os.Stderr, "fault: %v %v at %s\n", f.signal, f.delay, name)
 			if f.signal == 0 {
-				time.Sleep(f.wait)
+				time.Sleep(f.delay)
 				continue
 			}
-			here(f.signal)
+			signalThisThread(f.signal)
 		}
 	}
 }
 
-// Denied tells whether the named operation has to fail: for as long as its file exists.
+// Denied reports whether the named operation has to fail, which is so while its file exists.
 func Denied(name string) bool {
-	flag, ok := denied[name]
+	file, ok := deniedUntil[name]
 	if !ok {
 		return false
 	}
-	_, err := os.Stat(flag)
+	_, err := os.Stat(file)
 	return err == nil
 }
 
-// here has a signal take hold before this goroutine does anything else. Sent to the process it may go to any of its threads, which
-// a busy machine has run later than this one goes on; sent to this thread it is taken on the way out of the call.
-func here(s syscall.Signal) {
+// signalThisThread delivers a signal before this goroutine does anything else. A signal to the process may go to any
+// of its threads, which a busy machine may schedule after this one has gone on; one to this thread is delivered when
+// the system call returns.
+func signalThisThread(s syscall.Signal) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	if err := unix.Tgkill(os.Getpid(), unix.Gettid(), s); err != nil {
@@ -117,33 +126,34 @@
 	}
 }
 
-// due tells whether the fault is to happen now. A file asks for it once, but for one that makes slow: that lasts
-// for as long as the file is there.
+// due reports whether the fault is to happen now. A file asks for a signal once, since it is removed; it asks for a
+// delay for as long as it exists.
 func (f *fault) due() bool {
 	mu.Lock()
 	defer mu.Unlock()
 	switch {
-	case f.flag == "":
-		was := f.done
+	case f.triggerFile == "":
+		first := !f.done
 		f.done = true
-		return !was
+		return first
 	case f.signal == 0:
-		_, err := os.Stat(f.flag)
+		_, err := os.Stat(f.triggerFile)
 		return err == nil
+	default:
+		return os.Remove(f.triggerFile) == nil
 	}
-	return os.Remove(f.flag) == nil
 }
 
 // Clock returns the time that a process with the set clock faults would read.
 func Clock(now time.Duration) time.Duration {
-	if !bending {
+	if !clock.enabled {
 		return now
 	}
-	once.Do(func() { begun = now })
-	since := now - begun
-	bent := begun + time.Duration(float64(since)*pace) + ahead
-	if leapAt != 0 && since >= leapAt {
-		bent += leap
+	clock.startOnce.Do(func() { clock.startedAt = now })
+	elapsed := now - clock.startedAt
+	faulty := clock.startedAt + time.Duration(float64(elapsed)*clock.rate) + clock.offset
+	if clock.jumpAfter != 0 && elapsed >= clock.jumpAfter {
+		faulty += clock.jump
 	}
-	return bent
+	return faulty
 }
--- a/internal/testing/faultfs/crash.go
+++ b/internal/testing/faultfs/crash.go
@@ -15,7 +15,7 @@
 	for i, op := range f.ops[:n] {
 		switch op.Kind {
 		case Write, Truncate:
-			if i > lastFileSync[op.file] {
+			if i > lastFileSync[op.fileID] {
 				pending = append(pending, i)
 			}
 		case Create, Rename, Remove:
@@ -31,7 +31,7 @@
 // operations, -1 where there is none.
 func (f *FS) lastSyncs(n int) (dir int, files map[int]int) {
 	dir, files = -1, map[int]int{}
-	for id := range f.next {
+	for id := range f.nextID {
 		files[id] = -1
 	}
 	for i, op := range f.ops[:n] {
@@ -39,7 +39,7 @@
 		case SyncDir:
 			dir = i
 		case SyncFile:
-			files[op.file] = i
+			files[op.fileID] = i
 		}
 	}
 	return dir, files
@@ -48,11 +48,11 @@
 // After returns the folder that a crash after the first n operations leaves. fate returns what becomes
 // of the pending operation with an index.
 func (f *FS) After(n int, fate func(i int) int) *FS {
-	crashed := f.base.copy()
-	for id, data := range f.base.files {
+	crashed := f.recordedFrom.copy()
+	for id, data := range f.recordedFrom.files {
 		crashed.files[id] = slices.Clone(data)
 	}
-	crashed.next = f.next
+	crashed.nextID = f.nextID
 	pending := map[int]bool{}
 	for _, i := range f.Pending(n) {
 		pending[i] = true
@@ -78,18 +78,18 @@
 		if kept > 0 {
 			data = data[:min(kept, len(data))]
 		}
-		f.write(op.file, op.at, data)
+		f.write(op.fileID, op.offset, data)
 	case Truncate:
-		f.truncate(op.file, op.at)
+		f.truncate(op.fileID, op.offset)
 	case Create:
-		f.names[op.Name] = op.file
+		f.names[op.Name] = op.fileID
 	case Rename:
-		if f.names[op.From] == op.file {
+		if f.names[op.From] == op.fileID {
 			delete(f.names, op.From)
 		}
-		f.names[op.Name] = op.file
+		f.names[op.Name] = op.fileID
 	case Remove:
-		if f.names[op.Name] == op.file {
+		if f.names[op.Name] == op.fileID {
 			delete(f.names, op.Name)
 		}
 	}
--- a/internal/testing/faultfs/faultfs.go
+++ b/internal/testing/faultfs/faultfs.go
@@ -1,10 +1,10 @@
-// Package faultfs is a folder in memory for a store, which records all that is done to
-// it and can be brought to every state that a crash might have left.
+// Package faultfs is an in-memory file system for a store. It records all operations and can produce every state that
+// a crash might have left.
 //
-// The model: what was written to a file before its last sync is there after a crash. Each write
-// and truncation since is there, lost or (a write) there in part, each by itself, in any
-// combination. The same holds for names: created, renamed and removed ones are sure once the folder was
-// synced, and not before, whatever was synced in the files. A file system may promise more than that.
+// The model: data written to a file before its last sync survives a crash. Each later write or truncation survives, is
+// lost or, for a write, survives in part, independently of the others. The same holds for names: creations, renames
+// and removals are durable once the directory was synced, whatever was synced in the files. A real file system may
+// promise more.
 package faultfs
 
 import (
@@ -18,7 +18,7 @@
 	"mothcleat/internal/storage/store"
 )
 
-// Kind is what an Op does.
+// Kind is the kind of an Op.
 type Kind int
 
 // The kinds of operations.
@@ -30,42 +30,42 @@
 	Rename
 	Remove
 	SyncDir
-	Note // of the caller's own; it changes nothing
+	Marker // set by the caller with Mark; it changes nothing
 )
 
 // Op is one recorded operation.
 type Op struct {
-	Kind Kind
-	Name string // of the file, as it was when opened; the new one for Rename
-	From string // Rename: the old name
-	file int
-	at   int64 // Write: where; Truncate: the size
-	data []byte
-	Note int
+	Kind   Kind
+	Name   string // of the file when it was opened; for Rename the new name
+	From   string // the old name, for Rename only
+	fileID int
+	offset int64 // for Write; for Truncate the new size in bytes
+	data   []byte
+	Marker int
 }
 
-// Bytes is the length of a write.
+// Bytes returns the length of a write.
 func (o *Op) Bytes() int { return len(o.data) }
 
-// FS is the folder. Its methods may be called concurrently.
+// FS is the file system. Its methods may be called concurrently.
 type FS struct {
-	// Fail, if set, is asked before each operation; an error is returned in its place. For a write it
-	// may say how many bytes are written all the same.
+	// Fail, if set, is called before each operation; an error that it returns is returned in place of the operation.
+	// For a write it also returns how many bytes are written nevertheless.
 	Fail func(op *Op) (written int, err error)
 
-	mu     sync.Mutex
-	names  map[string]int
-	files  map[int][]byte
-	ops    []Op
-	base   *FS // where the recording began
-	locked bool
-	next   int
+	mu           sync.Mutex
+	names        map[string]int
+	files        map[int][]byte
+	ops          []Op
+	recordedFrom *FS // where the recording began
+	locked       bool
+	nextID       int
 }
 
-// New is an empty folder.
+// New returns an empty file system.
 func New() *FS { return &FS{names: map[string]int{}, files: map[int][]byte{}} }
 
-// Copy gives the folder as it stands, with nothing recorded and nobody's lock.
+// Copy returns a copy of the current content, without a record and unlocked.
 func (f *FS) Copy() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,52 +74,52 @@
 
 func (f *FS) copy() *FS {
 	c := New()
-	c.next, c.names = f.next, maps.Clone(f.names)
+	c.nextID, c.names = f.nextID, maps.Clone(f.names)
 	for _, id := range c.names {
 		c.files[id] = slices.Clone(f.files[id])
 	}
 	return c
 }
 
-// Record begins a record here: what stands now is taken for synced.
+// Record starts a new record. The current content counts as synced.
 func (f *FS) Record() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ops, f.base = nil, f.copy()
-	for id, data := range f.files { // open files without a name
-		f.base.files[id] = slices.Clone(data)
+	f.ops, f.recordedFrom = nil, f.copy()
+	for id, data := range f.files { // includes open files whose name was removed
+		f.recordedFrom.files[id] = slices.Clone(data)
 	}
 }
 
-// Ops are what was done since Record.
+// Ops returns the operations since Record.
 func (f *FS) Ops() []Op {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.ops)
 }
 
-// Mark records a note of the caller's.
+// Mark adds a marker to the record.
 func (f *FS) Mark(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ops = append(f.ops, Op{Kind: Note, Note: n})
+	f.ops = append(f.ops, Op{Kind: Marker, Marker: n})
 }
 
-// Names lists the files.
+// Names returns the names of all files in order.
 func (f *FS) Names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.names))
 }
 
-// Read gives a file's content.
+// Read returns a copy of a file's content.
 func (f *FS) Read(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.files[f.names[name]])
 }
 
-// Replace changes a file's content behind the store's back.
+// Replace changes a file's content without the store's knowledge, and is not recorded.
 func (f *FS) Replace(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,8 +143,8 @@
 	f.files[id] = b[:size:size]
 }
 
-// do asks Fail, records, and gives how much of a write is carried out.
-func (f *FS) do(op Op) (int, error) {
+// record calls Fail, records the operation, and returns how many bytes of a write are to be written.
+func (f *FS) record(op Op) (int, error) {
 	n := len(op.data)
 	if f.Fail != nil {
 		written, err := f.Fail(&op)
@@ -157,28 +157,28 @@
 			return n, err
 		}
 	}
-	if f.base != nil {
+	if f.recordedFrom != nil {
 		f.ops = append(f.ops, op)
 	}
 	return n, nil
 }
 
-// Create makes a file or empties one: as the same file, whose old content goes as by a truncation.
+// Create creates a file, or truncates an existing one, which stays the same file.
 func (f *FS) Create(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id, ok := f.names[name]; ok {
-		if _, err := f.do(Op{Kind: Truncate, Name: name, file: id}); err != nil {
+		if _, err := f.record(Op{Kind: Truncate, Name: name, fileID: id}); err != nil {
 			return nil, err
 		}
 		f.truncate(id, 0)
 		return &file{f, id, name, true}, nil
 	}
-	id := f.next
-	if _, err := f.do(Op{Kind: Create, Name: name, file: id}); err != nil {
+	id := f.nextID
+	if _, err := f.record(Op{Kind: Create, Name: name, fileID: id}); err != nil {
 		return nil, err
 	}
-	f.next++
+	f.nextID++
 	f.names[name], f.files[id] = id, nil
 	return &file{f, id, name, true}, nil
 }
@@ -194,7 +194,7 @@
 	return &file{f, id, name, write}, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,7 +202,7 @@
 	if !ok {
 		return fmt.Errorf("%s: %w", from, fs.ErrNotExist)
 	}
-	if _, err := f.do(Op{Kind: Rename, Name: to, From: from, file: id}); err != nil {
+	if _, err := f.record(Op{Kind: Rename, Name: to, From: from, fileID: id}); err != nil {
 		return err
 	}
 	delete(f.names, from)
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// Remove takes a name away; open files stay.
+// Remove removes a name. Open files stay readable.
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,25 +218,25 @@
 	if !ok {
 		return fmt.Errorf("%s: %w", name, fs.ErrNotExist)
 	}
-	if _, err := f.do(Op{Kind: Remove, Name: name, file: id}); err != nil {
+	if _, err := f.record(Op{Kind: Remove, Name: name, fileID: id}); err != nil {
 		return err
 	}
 	delete(f.names, name)
 	return nil
 }
 
-// List gives all names.
+// List returns the names of all files in order.
 func (f *FS) List() ([]string, error) { return f.Names(), nil }
 
-// Sync has the names on disk.
+// Sync makes all names durable.
 func (f *FS) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, err := f.do(Op{Kind: SyncDir})
+	_, err := f.record(Op{Kind: SyncDir})
 	return err
 }
 
-// Lock is one for all.
+// Lock takes the lock of the directory, of which there is one. The error is store.ErrLocked if it is held.
 func (f *FS) Lock(bool) (func() error, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,10 +253,10 @@
 }
 
 type file struct {
-	fs    *FS
-	id    int
-	name  string
-	write bool
+	fs       *FS
+	id       int
+	name     string
+	writable bool
 }
 
 func (f *file) ReadAt(p []byte, at int64) (int, error) {
@@ -276,10 +276,10 @@
 func (f *file) WriteAt(p []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if !f.write {
+	if !f.writable {
 		return 0, fmt.Errorf("%s: %w", f.name, fs.ErrPermission)
 	}
-	n, err := f.fs.do(Op{Kind: Write, Name: f.name, file: f.id, at: at, data: slices.Clone(p)})
+	n, err := f.fs.record(Op{Kind: Write, Name: f.name, fileID: f.id, offset: at, data: slices.Clone(p)})
 	f.fs.write(f.id, at, p[:n])
 	return n, err
 }
@@ -287,7 +287,7 @@
 func (f *file) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.do(Op{Kind: Truncate, Name: f.name, file: f.id, at: size}); err != nil {
+	if _, err := f.fs.record(Op{Kind: Truncate, Name: f.name, fileID: f.id, offset: size}); err != nil {
 		return err
 	}
 	f.fs.truncate(f.id, size)
@@ -297,7 +297,7 @@
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	_, err := f.fs.do(Op{Kind: SyncFile, Name: f.name, file: f.id})
+	_, err := f.fs.record(Op{Kind: SyncFile, Name: f.name, fileID: f.id})
 	return err
 }
 
@@ -309,7 +309,7 @@
 
 func (f *file) Close() error { return nil }
 
-// Kill frees the lock, as the end of its holder does.
+// Kill releases the lock, as the death of the process that holds it would.
 func (f *FS) Kill() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testing/faultproxy/faultproxy.go
+++ b/internal/testing/faultproxy/faultproxy.go
@@ -36,19 +36,19 @@
 	listener net.Listener
 	target   string
 
-	mu         sync.Mutex
-	conditions [2]Conditions
-	changed    chan struct{} // closed when the conditions change
-	random     *rand.Rand
-	conns      map[*pair]bool
-	closed     bool
-	passed     [2]int64 // bytes
-	held       [2]int   // pieces that had to wait for a cut to end
+	mu             sync.Mutex
+	conditions     [2]Conditions
+	changed        chan struct{} // closed when the conditions change
+	random         *rand.Rand
+	connections    map[*connectionPair]bool
+	closed         bool
+	forwardedBytes [2]int64 // bytes
+	delayedReads   [2]int   // chunks that had to wait for a cut to end
 }
 
-type pair struct{ near, far net.Conn }
+type connectionPair struct{ client, target net.Conn }
 
-const pieceBytes = 16 << 10
+const chunkBytes = 16 << 10
 
 // New returns a proxy that listens at one address and connects to the target. The seed is that of the jitter.
 func New(listen, target string, seed uint64) (*Link, error) {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	k := &Link{listener: l, target: target, changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 0x11))}
-	k.conns = map[*pair]bool{}
+	k.connections = map[*connectionPair]bool{}
 	go k.accept()
 	return k, nil
 }
@@ -74,19 +74,19 @@
 	k.changed = make(chan struct{})
 }
 
-// Cut cuts both directions, or ends that.
-func (k *Link) Cut(yes bool) {
-	k.Set(Upstream, Conditions{Cut: yes})
-	k.Set(Downstream, Conditions{Cut: yes})
+// Cut cuts both directions, or restores them if cut is false.
+func (k *Link) Cut(cut bool) {
+	k.Set(Upstream, Conditions{Cut: cut})
+	k.Set(Downstream, Conditions{Cut: cut})
 }
 
 // Reset resets all connections at both ends.
 func (k *Link) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for p := range k.conns {
-		reset(p.near)
-		reset(p.far)
+	for p := range k.connections {
+		reset(p.client)
+		reset(p.target)
 	}
 }
 
@@ -95,8 +95,8 @@
 func (k *Link) HalfOpen() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for p := range k.conns {
-		reset(p.far)
+	for p := range k.connections {
+		reset(p.target)
 	}
 }
 
@@ -107,12 +107,12 @@
 	_ = c.Close()
 }
 
-// Passed returns how many bytes were forwarded, and how many reads had to wait for a cut to end: a test sees by
+// Forwarded returns how many bytes were forwarded, and how many reads had to wait for a cut to end: a test sees by
 // them whether its faults had any effect.
-func (k *Link) Passed(d Direction) (bytes int64, held int) {
+func (k *Link) Forwarded(d Direction) (bytes int64, held int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.passed[d], k.held[d]
+	return k.forwardedBytes[d], k.delayedReads[d]
 }
 
 // Close ends the proxy and resets all connections.
@@ -129,7 +129,7 @@
 
 func (k *Link) accept() {
 	for {
-		near, err := k.listener.Accept()
+		client, err := k.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -137,50 +137,50 @@
 			time.Sleep(10 * time.Millisecond) // a shortage of descriptors passes
 			continue
 		}
-		go k.join(near)
+		go k.join(client)
 	}
 }
 
 // join connects an accepted connection to the target. While a direction is cut no connection can be made, as no
 // handshake would be answered.
-func (k *Link) join(near net.Conn) {
-	if !k.whole(Upstream) || !k.whole(Downstream) {
-		_ = near.Close()
+func (k *Link) join(client net.Conn) {
+	if !k.waitWhileCut(Upstream) || !k.waitWhileCut(Downstream) {
+		_ = client.Close()
 		return
 	}
-	far, err := net.Dial("tcp", k.target)
+	target, err := net.Dial("tcp", k.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	p := &pair{near, far}
+	p := &connectionPair{client, target}
 	k.mu.Lock()
 	if k.closed {
 		k.mu.Unlock()
-		reset(near)
-		reset(far)
+		reset(client)
+		reset(target)
 		return
 	}
-	k.conns[p] = true
+	k.connections[p] = true
 	k.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); k.relay(Upstream, near, far) }()
-	go func() { defer wg.Done(); k.relay(Downstream, far, near) }()
+	go func() { defer wg.Done(); k.relay(Upstream, client, target) }()
+	go func() { defer wg.Done(); k.relay(Downstream, target, client) }()
 	wg.Wait()
-	_, _ = near.Close(), far.Close()
+	_, _ = client.Close(), target.Close()
 	k.mu.Lock()
-	delete(k.conns, p)
+	delete(k.connections, p)
 	k.mu.Unlock()
 }
 
-// whole waits until a direction is not cut. It returns false when the proxy was closed meanwhile.
-func (k *Link) whole(d Direction) bool {
+// waitWhileCut waits until a direction is not cut. It returns false if the proxy was closed meanwhile.
+func (k *Link) waitWhileCut(d Direction) bool {
 	for first := true; ; first = false {
 		k.mu.Lock()
 		cut, closed, changed := k.conditions[d].Cut, k.closed, k.changed
 		if cut && first {
-			k.held[d]++
+			k.delayedReads[d]++
 		}
 		k.mu.Unlock()
 		if closed {
@@ -193,22 +193,22 @@
 	}
 }
 
-// piece is the bytes of one read, and the time at which they are to be forwarded.
-type piece struct {
-	bytes []byte
-	at    time.Time
+// chunk is the bytes of one read, and the time at which they are to be forwarded.
+type chunk struct {
+	bytes     []byte
+	forwardAt time.Time
 }
 
 // relay forwards one direction until it ends or breaks.
 func (k *Link) relay(d Direction, from, to net.Conn) {
-	pieces := make(chan piece, 64)
+	chunks := make(chan chunk, 64)
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
-			buf := make([]byte, pieceBytes)
+			buf := make([]byte, chunkBytes)
 			n, err := from.Read(buf)
 			if n > 0 {
-				pieces <- piece{buf[:n], time.Now().Add(k.delay(d))}
+				chunks <- chunk{buf[:n], time.Now().Add(k.delay(d))}
 			}
 			if err != nil {
 				return
@@ -216,18 +216,18 @@
 		}
 	}()
 	broken := false
-	for p := range pieces {
+	for p := range chunks {
 		if broken {
 			continue // the bytes are lost; the reader ends by itself
 		}
-		time.Sleep(time.Until(p.at))
-		if !k.whole(d) {
+		time.Sleep(time.Until(p.forwardAt))
+		if !k.waitWhileCut(d) {
 			broken = true
 			continue
 		}
 		k.mu.Lock()
 		rate := k.conditions[d].BytesPerSecond
-		k.passed[d] += int64(len(p.bytes))
+		k.forwardedBytes[d] += int64(len(p.bytes))
 		k.mu.Unlock()
 		for rest := p.bytes; len(rest) > 0 && !broken; {
 			n := len(rest)
@@ -239,7 +239,7 @@
 			broken, rest = err != nil, rest[n:]
 		}
 	}
-	if t, ok := to.(*net.TCPConn); ok && !broken && k.whole(d) {
+	if t, ok := to.(*net.TCPConn); ok && !broken && k.waitWhileCut(d) {
 		_ = t.CloseWrite()
 	}
 }
--- a/internal/testing/faultproxy/faultproxy_test.go
+++ b/internal/testing/faultproxy/faultproxy_test.go
@@ -39,19 +39,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	say(t, c, "hello")
-	hear(t, c, "hello")
+	send(t, c, "hello")
+	receive(t, c, "hello")
 	return k, c
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func hear(t *testing.T, c net.Conn, text string) {
+func receive(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	got := make([]byte, len(text))
@@ -60,8 +60,8 @@
 	}
 }
 
-// silent tells that nothing comes for a while.
-func silent(t *testing.T, c net.Conn) {
+// expectNothing tells that nothing comes for a while.
+func expectNothing(t *testing.T, c net.Conn) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == io.EOF {
@@ -73,16 +73,16 @@
 	for _, d := range []Direction{Upstream, Downstream} {
 		k, c := link(t)
 		k.Set(d, Conditions{Cut: true})
-		say(t, c, "word")
-		silent(t, c)
-		if _, held := k.Passed(d); held == 0 {
+		send(t, c, "word")
+		expectNothing(t, c)
+		if _, held := k.Forwarded(d); held == 0 {
 			t.Error("nothing was held up")
 		}
-		if _, held := k.Passed(1 - d); held != 0 {
+		if _, held := k.Forwarded(1 - d); held != 0 {
 			t.Error("the other direction was cut, too")
 		}
 		k.Set(d, Conditions{})
-		hear(t, c, "word") // late, and whole
+		receive(t, c, "word") // late, and whole
 	}
 }
 
@@ -94,10 +94,10 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	say(t, c, "anybody")
-	silent(t, c)
+	send(t, c, "anybody")
+	expectNothing(t, c)
 	k.Cut(false)
-	hear(t, c, "anybody")
+	receive(t, c, "anybody")
 }
 
 func TestResetAndHalfOpen(t *testing.T) {
@@ -110,16 +110,16 @@
 	k, c = link(t)
 	k.Set(Downstream, Conditions{Cut: true}) // who connected is not told
 	k.HalfOpen()
-	say(t, c, "lost")
-	silent(t, c)
+	send(t, c, "lost")
+	expectNothing(t, c)
 }
 
 func TestDelayAndTrickle(t *testing.T) {
 	k, c := link(t)
 	k.Set(Upstream, Conditions{Delay: 50 * time.Millisecond, Jitter: 10 * time.Millisecond, BytesPerSecond: 200})
 	began := time.Now()
-	say(t, c, "0123456789012345678901234567890123456789")
-	hear(t, c, "0123456789012345678901234567890123456789")
+	send(t, c, "0123456789012345678901234567890123456789")
+	receive(t, c, "0123456789012345678901234567890123456789")
 	if d := time.Since(began); d < 200*time.Millisecond {
 		t.Errorf("40 bytes at 200 a second, 50 ms late, took %v", d)
 	}
--- a/internal/testing/storetest/damage.go
+++ b/internal/testing/storetest/damage.go
@@ -95,8 +95,8 @@
 	}
 	ops, promised := f.Ops(), 0
 	for n := 0; n <= len(ops) && ctx.Err() == nil; n++ {
-		if n > 0 && ops[n-1].Kind == faultfs.Note {
-			promised = ops[n-1].Note
+		if n > 0 && ops[n-1].Kind == faultfs.Marker {
+			promised = ops[n-1].Marker
 		}
 		try := func(what string, fate func(i int) int) {
 			what = fmt.Sprintf("seed %d, after operation %d, %s", seed, n, what)
--- a/internal/testing/testcluster/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -274,7 +274,7 @@
 				continue
 			}
 			for _, d := range []faultproxy.Direction{faultproxy.Upstream, faultproxy.Downstream} {
-				b, h := l.Passed(d)
+				b, h := l.Forwarded(d)
 				bytes, held = bytes+b, held+h
 			}
 		}
