--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -60,9 +60,9 @@
 		c.Direct = func() (registry.Source, error) { return direct(&asked, log) }
 	}
 	if b := s.Budgets; b.On {
-		r := allocation.Defaults()
-		r.Span, r.FloorSpan, r.Every = time.Duration(b.Span), time.Duration(b.FloorSpan), time.Duration(b.Every)
-		r.Floor, r.Reserve, r.Margin, r.BeginFull = b.Floor, b.Reserve, f.Margin, b.BeginFull
+		r := allocation.DefaultConfig()
+		r.TTL, r.ReservedTTL, r.RenewInterval = time.Duration(b.Span), time.Duration(b.FloorSpan), time.Duration(b.Every)
+		r.ReservedFraction, r.PoolFraction, r.ClockDrift, r.StartFull = b.Floor, b.Reserve, f.Margin, b.BeginFull
 		c.Budgets, c.BudgetShards = &r, b.Shards
 		if b.Record != "" {
 			f, err := os.OpenFile(b.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -210,16 +210,16 @@
 	}
 	fmt.Fprint(w, "CUSTOMER\tWHOLE\tBY\tPART\tFLOOR\tSTATE\n")
 	for _, v := range all {
-		rest := v.Whole
-		for _, h := range v.Held {
+		rest := v.Limit
+		for _, h := range v.Allocations {
 			state := ""
-			if h.Gone {
+			if h.Ended {
 				state = "gone: it runs out"
 			}
-			fmt.Fprintf(w, "%016x\t%s\t%s\t%s\t%s\t%s\n", v.Budget, share(v.Whole), h.Member.ID, share(h.Part), share(h.Floor), state)
-			rest.Rate, rest.Burst = rest.Rate-h.Part.Rate, rest.Burst-h.Part.Burst
+			fmt.Fprintf(w, "%016x\t%s\t%s\t%s\t%s\t%s\n", v.Budget, share(v.Limit), h.Member.ID, share(h.Total), share(h.ReservedMin), state)
+			rest.Rate, rest.Burst = rest.Rate-h.Total.Rate, rest.Burst-h.Total.Burst
 		}
-		fmt.Fprintf(w, "%016x\t%s\treserve\t%s\t\t%.1f kept for a next owner\n", v.Budget, share(v.Whole), share(rest), v.Spare)
+		fmt.Fprintf(w, "%016x\t%s\treserve\t%s\t\t%.1f kept for a next owner\n", v.Budget, share(v.Limit), share(rest), v.Carryover)
 	}
 	return nil
 }
--- a/internal/controlplane/allocation/budget.go
+++ b/internal/controlplane/allocation/budget.go
@@ -59,66 +59,68 @@
 func (s Share) plus(o Share) Share    { return Share{s.Rate + o.Rate, s.Burst + o.Burst} }
 func (s Share) minus(o Share) Share   { return Share{s.Rate - o.Rate, s.Burst - o.Burst} }
 func (s Share) times(f float64) Share { return Share{s.Rate * f, s.Burst * f} }
-func (s Share) least(o Share) Share {
+func (s Share) min(o Share) Share {
 	return Share{math.Min(s.Rate, o.Rate), math.Min(s.Burst, o.Burst)}
 }
-func (s Share) most(o Share) Share {
+func (s Share) max(o Share) Share {
 	return Share{math.Max(s.Rate, o.Rate), math.Max(s.Burst, o.Burst)}
 }
-func (s Share) within(o Share) bool     { return s.Rate <= o.Rate+slack && s.Burst <= o.Burst+slack }
-func (s Share) none() bool              { return s.Rate <= 0 && s.Burst <= 0 }
+func (s Share) within(o Share) bool {
+	return s.Rate <= o.Rate+roundingTolerance && s.Burst <= o.Burst+roundingTolerance
+}
+func (s Share) isZero() bool            { return s.Rate <= 0 && s.Burst <= 0 }
 func (s Share) proto() *controlpb.Share { return &controlpb.Share{Rate: s.Rate, Burst: s.Burst} }
 func shareOf(s *controlpb.Share) Share  { return Share{s.GetRate(), s.GetBurst()} }
 func memberOf(m *controlpb.Member) lease.Member {
 	return lease.Member{ID: m.GetId(), Incarnation: m.GetIncarnation()}
 }
 
-// slack is what sums may be off by for being rounded.
-const slack = 1e-6
+// roundingTolerance is what sums may be off by for being rounded.
+const roundingTolerance = 1e-6
 
-// sound tells whether a share can be anyone's.
-func (s Share) sound() bool {
+// valid tells whether a share can be anyone's.
+func (s Share) valid() bool {
 	return s.Rate >= 0 && s.Burst >= 0 && !math.IsInf(s.Rate, 0) && !math.IsInf(s.Burst, 0) // and neither is NaN
 }
 
-// Rules are how budgets are divided, and how long what was given holds.
-type Rules struct {
-	Span      time.Duration // a part holds without renewal
-	FloorSpan time.Duration // a floor does
-	LoanSpan  time.Duration // a loan has to be used within, from its asking, and what is taken of a part, from then
-	Margin    float64       // by how much a clock may run faster than another, as a part
-	Floor     float64       // the part of the whole that is set aside as floors, evenly over the members
-	Reserve   float64       // the part of the rest that stays with the owner, to be lent
-	Parting   float64       // a part is given only where it holds so much of the member's largest request
-	Step      float64       // by what part of the whole a part has to be off before it is changed
-	Every     time.Duration // between two renewals
-	BeginFull bool          // the first owner ever begins with full stores: nobody can have used anything before
-	Forget    time.Duration // a member that wants nothing for so long gives back its floor, too
+// Config are how budgets are divided, and how long what was given holds.
+type Config struct {
+	TTL              time.Duration // a part holds without renewal
+	ReservedTTL      time.Duration // a floor does
+	UseTimeout       time.Duration // a loan has to be used within, from its asking, and what is taken of a part, from then
+	ClockDrift       float64       // by how much a clock may run faster than another, as a part
+	ReservedFraction float64       // the part of the whole that is set aside as floors, evenly over the members
+	PoolFraction     float64       // the part of the rest that stays with the owner, to be lent
+	MinBurstRequests float64       // a part is given only where it holds so much of the member's largest request
+	ChangeThreshold  float64       // by what part of the whole a part has to be off before it is changed
+	RenewInterval    time.Duration // between two renewals
+	StartFull        bool          // the first owner ever begins with full stores: nobody can have used anything before
+	IdleTimeout      time.Duration // a member that wants nothing for so long gives back its floor, too
 }
 
-// Defaults are rules that docs/budgets.md gives the reasons for.
-func Defaults() Rules {
-	return Rules{Span: 3 * time.Second, FloorSpan: time.Minute, LoanSpan: 250 * time.Millisecond, Margin: 0.125,
-		Floor: 0.3, Reserve: 0.5, Parting: 0.7, Step: 0.15, Every: 200 * time.Millisecond, Forget: time.Minute}
+// DefaultConfig are rules that docs/budgets.md gives the reasons for.
+func DefaultConfig() Config {
+	return Config{TTL: 3 * time.Second, ReservedTTL: time.Minute, UseTimeout: 250 * time.Millisecond, ClockDrift: 0.125,
+		ReservedFraction: 0.3, PoolFraction: 0.5, MinBurstRequests: 0.7, ChangeThreshold: 0.15, RenewInterval: 200 * time.Millisecond, IdleTimeout: time.Minute}
 }
 
-func (r *Rules) withMargin(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*r.Margin)
+func (r *Config) withDrift(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*r.ClockDrift)
 }
 
-// FloorOf is the floor of each of so many members.
-func (r *Rules) FloorOf(whole Share, spread int) Share {
-	return whole.times(r.Floor / float64(max(1, spread)))
+// ReservedMin is the floor of each of so many members.
+func (r *Config) ReservedMin(whole Share, spread int) Share {
+	return whole.times(r.ReservedFraction / float64(max(1, spread)))
 }
 
-// bank is units that come at a rate and are stored up to a burst.
-type bank struct {
+// tokenBucket is units that come at a rate and are stored up to a burst.
+type tokenBucket struct {
 	level float64
 	at    time.Duration
 }
 
 // refill brings the bank to a time, and gives what did not find room.
-func (b *bank) refill(now time.Duration, s Share) (over float64) {
+func (b *tokenBucket) refill(now time.Duration, s Share) (over float64) {
 	if now > b.at {
 		b.level += s.Rate * (now - b.at).Seconds()
 		b.at = now
--- a/internal/controlplane/allocation/plan.go
+++ b/internal/controlplane/allocation/plan.go
@@ -10,116 +10,116 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// planned is one member's change in the round that is proposed.
-type planned struct {
-	budget uint64
-	who    lease.Member
-	from   Share // what it held, of what is raised
-	to     Held
-	give   float64
-	raise  bool
+// plannedChange is one member's change in the round that is proposed.
+type plannedChange struct {
+	budget   uint64
+	member   lease.Member
+	from     Share // what it held, of what is raised
+	to       Allocation
+	units    float64
+	increase bool
 }
 
 // Plan returns what is to be changed in one round, or nil if there is nothing to change or the last round
 // has not ended. End the round with Committed, Refused or a new Owner.
-func (o *Owner) Plan(now time.Duration) *controlpb.Round {
-	if o.saving != nil {
+func (o *Leader) Plan(now time.Duration) *controlpb.Round {
+	if o.pendingBudgets != nil {
 		return nil
 	}
 	for who, m := range o.members {
-		if now-m.heard < o.rules.withMargin(o.rules.Span) || m.gone {
+		if now-m.lastRenewal < o.config.withDrift(o.config.TTL) || m.ended {
 			continue
 		}
 		for id := range m.budgets {
-			if h := o.budgets[id].holds[who]; o.lapsed(now, m, h.agreed) != h.agreed {
-				o.stirred[id] = true // it lapses now; what lapsed before is done with
+			if h := o.budgets[id].members[who]; o.unexpired(now, m, h.committed) != h.committed {
+				o.dirty[id] = true // it lapses now; what lapsed before is done with
 			}
 		}
 	}
-	round := &controlpb.Round{Role: o.duty, Term: o.term}
+	round := &controlpb.Round{Role: o.role, Term: o.term}
 	index := map[lease.Member]uint32{}
-	for _, id := range slices.Sorted(maps.Keys(o.stirred)) {
+	for _, id := range slices.Sorted(maps.Keys(o.dirty)) {
 		a := o.budgets[id]
-		delete(o.stirred, id)
-		changes := o.plan(now, id, a)
+		delete(o.dirty, id)
+		changes := o.planBudget(now, id, a)
 		// What is kept for the next owner goes up and down with the bank: in steps, and at once where it stands in the way.
-		o.reserve(now, a) // it is smaller by what is to be raised
-		keep := math.Min(a.keep(), math.Max(0, a.whole.Burst-a.held.Burst-a.rising.Burst))
-		if len(changes) == 0 && a.short == 0 && a.version == a.known && math.Abs(keep-a.spare) < a.whole.Burst*o.rules.Step && (keep >= a.spare || a.bank.level-a.spare >= a.usual) {
+		o.pool(now, a) // it is smaller by what is to be raised
+		keep := math.Min(a.targetCarryover(), math.Max(0, a.limit.Burst-a.allocated.Burst-a.pendingIncrease.Burst))
+		if len(changes) == 0 && a.deferredGrant == 0 && a.limitVersion == a.committedVersion && math.Abs(keep-a.carryover) < a.limit.Burst*o.config.ChangeThreshold && (keep >= a.carryover || a.bucket.level-a.carryover >= a.meanGrant) {
 			continue
 		}
-		a.saving, a.proposed = keep, a.version
-		o.saving = append(o.saving, id)
-		c := &controlpb.BudgetChange{Budget: id, Whole: a.whole.proto(), Version: a.version, Spread: uint32(a.spread), Spare: keep}
+		a.proposedCarryover, a.proposedVersion = keep, a.limitVersion
+		o.pendingBudgets = append(o.pendingBudgets, id)
+		c := &controlpb.BudgetChange{Budget: id, Limit: a.limit.proto(), LimitVersion: a.limitVersion, MaxMembers: uint32(a.maxMembers), Carryover: keep}
 		for _, p := range changes {
-			c.Held = append(c.Held, &controlpb.HeldPart{Who: indexOf(&round.Who, index, p.who), Part: p.to.Part.proto(), Floor: p.to.Floor.proto()})
+			c.Allocations = append(c.Allocations, &controlpb.MemberAllocation{Member: memberIndex(&round.Members, index, p.member), Total: p.to.Total.proto(), ReservedMin: p.to.ReservedMin.proto()})
 		}
 		round.Changes = append(round.Changes, c)
-		o.out = append(o.out, changes...)
+		o.pendingChanges = append(o.pendingChanges, changes...)
 	}
 	if len(round.Changes) == 0 {
 		return nil
 	}
-	o.figures.Rounds++
+	o.stats.Rounds++
 	return round
 }
 
 // division is one look at a budget: what came free since the last one, and its division by demand.
 type division struct {
-	owner   *Owner
-	now     time.Duration
-	budget  uint64
-	account *account
-	members []lease.Member // that hold a part, sorted
-	free    Share          // what may still be given
-	floors  Share          // the sum of all floors
-	changes []planned
+	leader   *Leader
+	now      time.Duration
+	id       uint64
+	budget   *budgetState
+	members  []lease.Member // that hold a part, sorted
+	free     Share          // what may still be given
+	reserved Share          // the sum of all floors
+	changes  []plannedChange
 }
 
-// plan returns a budget's changes, and tells members what is to be lessened.
-func (o *Owner) plan(now time.Duration, id uint64, a *account) []planned {
+// planBudget returns a budget's changes, and tells members what is to be lessened.
+func (o *Leader) planBudget(now time.Duration, id uint64, a *budgetState) []plannedChange {
 	d := &division{
-		owner:   o,
+		leader:  o,
 		now:     now,
-		budget:  id,
-		account: a,
-		members: sorted(a.holds),
-		free:    o.reserve(now, a),
+		id:      id,
+		budget:  a,
+		members: sortedMembers(a.members),
+		free:    o.pool(now, a),
 	}
-	alive, claims := d.collect()
-	if now < a.next {
+	alive, claims := d.collectReleased()
+	if now < a.nextDivision {
 		if len(alive) > 0 {
-			o.stirred[id] = o.stirred[id] || a.wanting()
+			o.dirty[id] = o.dirty[id] || a.hasNewDemand()
 		}
 		return d.changes
 	}
 	d.divide(alive, claims)
-	a.next = now + max(minDivisionInterval, a.window()/4)
-	if a.wanting() {
-		o.stirred[id] = true
-		a.next = now + o.rules.Every
+	a.nextDivision = now + max(minDivisionInterval, a.demandWindow()/4)
+	if a.hasNewDemand() {
+		o.dirty[id] = true
+		a.nextDivision = now + o.config.RenewInterval
 	}
 	return d.changes
 }
 
-// collect plans that what expired or was lessened comes free. It returns the members that are alive, with
+// collectReleased plans that what expired or was lessened comes free. It returns the members that are alive, with
 // their claims.
-func (d *division) collect() (alive []lease.Member, claims []Claim) {
-	o, a, now := d.owner, d.account, d.now
-	var changes []planned
+func (d *division) collectReleased() (alive []lease.Member, claims []Claim) {
+	o, a, now := d.leader, d.budget, d.now
+	var changes []plannedChange
 	for _, w := range d.members {
-		h, m := a.holds[w], o.members[w]
-		if to := o.lapsed(now, m, h.agreed); to != h.agreed {
+		h, m := a.members[w], o.members[w]
+		if to := o.unexpired(now, m, h.committed); to != h.committed {
 			// Should it be heard again before that is agreed, it is told of it with its renewal.
-			o.number++
-			h.word, h.number = to, o.number
-			changes = append(changes, planned{budget: d.budget, who: w, to: to})
-			o.figures.Expired++
-		} else if h.word != h.agreed && h.number <= m.number {
-			changes = append(changes, planned{budget: d.budget, who: w, to: h.word})
-			o.figures.Lessen++
+			o.lastUpdate++
+			h.announced, h.update = to, o.lastUpdate
+			changes = append(changes, plannedChange{budget: d.id, member: w, to: to})
+			o.stats.Expired++
+		} else if h.announced != h.committed && h.update <= m.appliedUpdate {
+			changes = append(changes, plannedChange{budget: d.id, member: w, to: h.announced})
+			o.stats.Reduced++
 		}
-		if now-m.heard < o.rules.Span && !m.gone {
+		if now-m.lastRenewal < o.config.TTL && !m.ended {
 			alive = append(alive, w)
 			claims = append(claims, d.claim(h))
 		}
@@ -129,133 +129,133 @@
 }
 
 // claim is a member's claim, aged to now.
-func (d *division) claim(h *hold) Claim {
+func (d *division) claim(h *memberState) Claim {
 	c := h.claim
-	c.Demand *= math.Exp(-max(0, d.now-h.at).Seconds() / d.account.window().Seconds())
+	c.Demand *= math.Exp(-max(0, d.now-h.claimedAt).Seconds() / d.budget.demandWindow().Seconds())
 	if c.Demand < minDemand {
 		c.Demand = 0
 	}
-	c.Idle = d.now-h.wanted > d.owner.rules.Forget
+	c.Idle = d.now-h.lastDemand > d.leader.config.IdleTimeout
 	return c
 }
 
 // divide divides the budget among the members that are alive, by their claims.
 func (d *division) divide(alive []lease.Member, claims []Claim) {
-	o, a := d.owner, d.account
+	o, a := d.leader, d.budget
 	// A floor that nobody gave back is its member's, or a dead one's until its span is over: a newcomer beyond the
 	// spread waits for it.
 	for _, w := range d.members {
-		d.floors = d.floors.plus(a.holds[w].agreed.Floor)
+		d.reserved = d.reserved.plus(a.members[w].committed.ReservedMin)
 	}
-	floorWhole := o.rules.FloorOf(a.whole, max(a.spread, len(claims)))
-	for i, part := range Divide(a.whole, a.spread, &o.rules, claims) {
-		d.assign(alive[i], Held{part, floorWhole.least(part)})
+	floorWhole := o.config.ReservedMin(a.limit, max(a.maxMembers, len(claims)))
+	for i, part := range Divide(a.limit, a.maxMembers, &o.config, claims) {
+		d.assign(alive[i], Allocation{part, floorWhole.min(part)})
 	}
 }
 
 // assign lessens or raises what a member holds towards its part of the division.
-func (d *division) assign(who lease.Member, to Held) {
-	o, a := d.owner, d.account
-	h := a.holds[who]
-	h.wants = false
-	changing := slices.ContainsFunc(d.changes, func(p planned) bool { return p.who == who })
-	if changing || h.word != h.agreed {
-		h.wants = true // one change at a time with one member
+func (d *division) assign(who lease.Member, to Allocation) {
+	o, a := d.leader, d.budget
+	h := a.members[who]
+	h.newDemand = false
+	changing := slices.ContainsFunc(d.changes, func(p plannedChange) bool { return p.member == who })
+	if changing || h.announced != h.committed {
+		h.newDemand = true // one change at a time with one member
 		return
 	}
-	if !h.agreed.Floor.none() && near(h.agreed.Floor, to.Floor) {
-		to.Floor = h.agreed.Floor
+	if !h.committed.ReservedMin.isZero() && equalShares(h.committed.ReservedMin, to.ReservedMin) {
+		to.ReservedMin = h.committed.ReservedMin
 	}
-	step := a.whole.Burst * o.rules.Step
+	step := a.limit.Burst * o.config.ChangeThreshold
 	switch {
-	case to.Part.Burst < h.agreed.Part.Burst-step || to.Floor.Burst < h.agreed.Floor.Burst-slack || to.Part.none() && !h.agreed.Part.none():
-		h.word = Held{to.Part.least(h.agreed.Part), to.Floor.least(h.agreed.Floor)}
-		o.number++
-		h.number = o.number
-	case to.Part.Burst > h.agreed.Part.Burst+step || to.Floor.Burst > h.agreed.Floor.Burst+slack:
+	case to.Total.Burst < h.committed.Total.Burst-step || to.ReservedMin.Burst < h.committed.ReservedMin.Burst-roundingTolerance || to.Total.isZero() && !h.committed.Total.isZero():
+		h.announced = Allocation{to.Total.min(h.committed.Total), to.ReservedMin.min(h.committed.ReservedMin)}
+		o.lastUpdate++
+		h.update = o.lastUpdate
+	case to.Total.Burst > h.committed.Total.Burst+step || to.ReservedMin.Burst > h.committed.ReservedMin.Burst+roundingTolerance:
 		d.raise(who, to, step)
 	}
 }
 
 // raise plans that a member gets more, as far as there is something free. A change of at most step units
 // alone is left for later.
-func (d *division) raise(who lease.Member, to Held, step float64) {
-	o, a := d.owner, d.account
-	h := a.holds[who]
-	extra := to.Part.minus(h.agreed.Part).most(Share{}).least(d.free)
-	maxFloors := a.whole.times(o.rules.Floor)
-	more := to.Floor.minus(h.agreed.Floor).most(Share{}).least(maxFloors.minus(d.floors).most(Share{}))
-	to.Floor = h.agreed.Floor.plus(more)
-	if to.Part = h.agreed.Part.plus(extra); !to.Floor.within(to.Part) {
-		to.Floor = to.Floor.least(to.Part)
+func (d *division) raise(who lease.Member, to Allocation, step float64) {
+	o, a := d.leader, d.budget
+	h := a.members[who]
+	extra := to.Total.minus(h.committed.Total).max(Share{}).min(d.free)
+	maxFloors := a.limit.times(o.config.ReservedFraction)
+	more := to.ReservedMin.minus(h.committed.ReservedMin).max(Share{}).min(maxFloors.minus(d.reserved).max(Share{}))
+	to.ReservedMin = h.committed.ReservedMin.plus(more)
+	if to.Total = h.committed.Total.plus(extra); !to.ReservedMin.within(to.Total) {
+		to.ReservedMin = to.ReservedMin.min(to.Total)
 	}
-	if extra.Burst <= slack || extra.Burst <= step && to.Floor.Burst <= h.agreed.Floor.Burst+slack {
-		h.wants = true // there is nothing to speak of now
+	if extra.Burst <= roundingTolerance || extra.Burst <= step && to.ReservedMin.Burst <= h.committed.ReservedMin.Burst+roundingTolerance {
+		h.newDemand = true // there is nothing to speak of now
 		return
 	}
 	give := 0.0
 	if d.free.Burst > 0 {
-		give = math.Min(extra.Burst, a.bank.level*extra.Burst/d.free.Burst)
+		give = math.Min(extra.Burst, a.bucket.level*extra.Burst/d.free.Burst)
 	}
-	a.bank.level -= give
-	a.rising = a.rising.plus(extra)
-	d.free, d.floors = d.free.minus(extra), d.floors.plus(to.Floor.minus(h.agreed.Floor))
-	d.changes = append(d.changes, planned{budget: d.budget, who: who, from: h.agreed.Part, to: to, give: give, raise: true})
-	o.figures.Raised++
+	a.bucket.level -= give
+	a.pendingIncrease = a.pendingIncrease.plus(extra)
+	d.free, d.reserved = d.free.minus(extra), d.reserved.plus(to.ReservedMin.minus(h.committed.ReservedMin))
+	d.changes = append(d.changes, plannedChange{budget: d.id, member: who, from: h.committed.Total, to: to, units: give, increase: true})
+	o.stats.Raised++
 }
 
-// near reports whether two shares are equal but for rounding.
-func near(a, b Share) bool { return a.within(b) && b.within(a) }
+// equalShares reports whether two shares are equal but for rounding.
+func equalShares(a, b Share) bool { return a.within(b) && b.within(a) }
 
 // Committed takes in that the round was agreed.
-func (o *Owner) Committed(now time.Duration) {
-	for _, p := range o.out {
+func (o *Leader) Committed(now time.Duration) {
+	for _, p := range o.pendingChanges {
 		a := o.budgets[p.budget]
-		h := a.holds[p.who]
-		o.reserve(now, a) // what comes free counts from now on
-		h.agreed = p.to
-		if p.raise {
-			o.number++
-			h.word, h.number, h.given = p.to, o.number, h.given+p.give
-			a.rising = a.rising.minus(p.to.Part.minus(p.from)).most(Share{})
+		h := a.members[p.member]
+		o.pool(now, a) // what comes free counts from now on
+		h.committed = p.to
+		if p.increase {
+			o.lastUpdate++
+			h.announced, h.update, h.unitsGranted = p.to, o.lastUpdate, h.unitsGranted+p.units
+			a.pendingIncrease = a.pendingIncrease.minus(p.to.Total.minus(p.from)).max(Share{})
 		}
-		if p.to.Part.none() && o.members[p.who].gone { // else its sums of units given and returned go on
-			delete(a.holds, p.who)
-			delete(o.members[p.who].budgets, p.budget)
+		if p.to.Total.isZero() && o.members[p.member].ended { // else its sums of units given and returned go on
+			delete(a.members, p.member)
+			delete(o.members[p.member].budgets, p.budget)
 		}
-		a.sum()
-		if !p.raise {
-			a.bank.level += h.late
-			h.late = 0
+		a.updateAllocated()
+		if !p.increase {
+			a.bucket.level += h.lateUnits
+			h.lateUnits = 0
 		}
-		o.stirred[p.budget] = true
+		o.dirty[p.budget] = true
 	}
-	for _, id := range o.saving {
+	for _, id := range o.pendingBudgets {
 		a := o.budgets[id]
-		a.spare, a.saving, a.short, a.known = a.saving, -1, 0, a.proposed
+		a.carryover, a.proposedCarryover, a.deferredGrant, a.committedVersion = a.proposedCarryover, -1, 0, a.proposedVersion
 	}
-	o.out, o.saving = nil, nil
+	o.pendingChanges, o.pendingBudgets = nil, nil
 }
 
 // Close returns the last round of a term that is handed on: all units of the reserve are kept for the next
 // owner. Nothing is lent or renewed after it, and no other round may be proposed. It returns nil if there
 // is nothing to keep.
-func (o *Owner) Close(now time.Duration) *controlpb.Round {
-	o.closes = true
-	if o.saving != nil {
+func (o *Leader) Close(now time.Duration) *controlpb.Round {
+	o.closing = true
+	if o.pendingBudgets != nil {
 		return nil
 	}
-	round := &controlpb.Round{Role: o.duty, Term: o.term}
+	round := &controlpb.Round{Role: o.role, Term: o.term}
 	for _, id := range slices.Sorted(maps.Keys(o.budgets)) {
 		a := o.budgets[id]
-		o.reserve(now, a)
-		keep := math.Min(a.bank.level, math.Max(0, a.whole.Burst-a.held.Burst))
-		if keep <= a.spare {
+		o.pool(now, a)
+		keep := math.Min(a.bucket.level, math.Max(0, a.limit.Burst-a.allocated.Burst))
+		if keep <= a.carryover {
 			continue
 		}
-		a.saving, a.proposed = keep, a.version
-		o.saving = append(o.saving, id)
-		round.Changes = append(round.Changes, &controlpb.BudgetChange{Budget: id, Whole: a.whole.proto(), Version: a.version, Spread: uint32(a.spread), Spare: keep})
+		a.proposedCarryover, a.proposedVersion = keep, a.limitVersion
+		o.pendingBudgets = append(o.pendingBudgets, id)
+		round.Changes = append(round.Changes, &controlpb.BudgetChange{Budget: id, Limit: a.limit.proto(), LimitVersion: a.limitVersion, MaxMembers: uint32(a.maxMembers), Carryover: keep})
 	}
 	if len(round.Changes) == 0 {
 		return nil
@@ -263,21 +263,21 @@
 	return round
 }
 
-// Refused takes in that the round was not agreed and never will be.
-func (o *Owner) Refused(now time.Duration) {
-	out := o.out
-	for _, id := range o.saving {
-		o.budgets[id].saving = -1
-		o.stirred[id] = true
+// Rejected takes in that the round was not agreed and never will be.
+func (o *Leader) Rejected(now time.Duration) {
+	out := o.pendingChanges
+	for _, id := range o.pendingBudgets {
+		o.budgets[id].proposedCarryover = -1
+		o.dirty[id] = true
 	}
-	o.out, o.saving = nil, nil
+	o.pendingChanges, o.pendingBudgets = nil, nil
 	for _, p := range out {
 		a := o.budgets[p.budget]
-		o.stirred[p.budget] = true
-		if p.raise {
-			o.reserve(now, a)
-			a.rising = a.rising.minus(p.to.Part.minus(p.from)).most(Share{})
-			a.bank.level += p.give
+		o.dirty[p.budget] = true
+		if p.increase {
+			o.pool(now, a)
+			a.pendingIncrease = a.pendingIncrease.minus(p.to.Total.minus(p.from)).max(Share{})
+			a.bucket.level += p.units
 		}
 	}
 }
--- a/internal/controlplane/allocation/size_test.go
+++ b/internal/controlplane/allocation/size_test.go
@@ -26,13 +26,13 @@
 	now := time.Hour
 	f := &terms{1, lease.Member{ID: "o", Incarnation: 1}}
 	log := NewMachine(f)
-	owner, err := NewOwner(now, Defaults(), RoleOfShard(0), 1, &controlpb.Books{})
+	owner, err := NewLeader(now, DefaultConfig(), RoleOfShard(0), 1, &controlpb.Ledger{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	var holders []*Holder
 	for i := range members {
-		holders = append(holders, NewHolder(Defaults(), lease.Member{ID: fmt.Sprintf("n%d", i), Incarnation: 1}, 1))
+		holders = append(holders, NewHolder(DefaultConfig(), lease.Member{ID: fmt.Sprintf("n%d", i), Incarnation: 1}, 1))
 	}
 	type customer struct {
 		whole         Share
@@ -50,26 +50,26 @@
 				id := r.IntN(customers)
 				c := &all[id]
 				h := holders[(c.first+r.IntN(c.spread))%members]
-				h.Ask(now, uint64(id+1), c.whole, c.spread, 1)
-				if l := h.Level(now, uint64(id+1)); l >= 1 {
-					h.Take(now, uint64(id+1), 1)
+				h.RecordDemand(now, uint64(id+1), c.whole, c.spread, 1)
+				if l := h.Available(now, uint64(id+1)); l >= 1 {
+					h.Consume(now, uint64(id+1), 1)
 				}
 			}
 			for i, h := range holders {
 				if i%5 == step {
 					continue // it is another's turn
 				}
-				ask := h.Renewal(now, 0)
+				ask := h.RenewRequest(now, 0)
 				answer := owner.Renew(now, ask)
 				asked, answered, renewals = asked+proto.Size(ask), answered+proto.Size(answer), renewals+1
-				h.Answer(now, now, 0, ask, answer)
+				h.HandleRenewal(now, now, 0, ask, answer)
 			}
 			if p := owner.Plan(now); p != nil {
 				raw := marshal(p)
 				entries, rounds = entries+len(raw), rounds+1
 				for _, c := range p.Changes {
 					changes++
-					if len(c.Held) > 0 {
+					if len(c.Allocations) > 0 {
 						parts++
 					}
 				}
--- a/internal/controlplane/allocation/version_test.go
+++ b/internal/controlplane/allocation/version_test.go
@@ -20,10 +20,10 @@
 	const id = 7
 	m := NewMachine(noFence{})
 	now := time.Second
-	renew := func(o *Owner, who string, boot, version uint64, whole Share) {
+	renew := func(o *Leader, who string, boot, version uint64, whole Share) {
 		t.Helper()
-		a := o.Renew(now, &controlpb.RightsAsk{Member: &controlpb.Member{Id: who, Incarnation: boot}, Role: RoleOfShard(0), Version: version,
-			Wants: []*controlpb.Want{{Budget: id, Whole: whole.proto(), Spread: 2, Asked: 1, Most: 1}}})
+		a := o.Renew(now, &controlpb.RenewRequest{Member: &controlpb.Member{Id: who, Incarnation: boot}, Role: RoleOfShard(0), LimitVersion: version,
+			Demands: []*controlpb.Demand{{Budget: id, Limit: whole.proto(), MaxMembers: 2, UnitsRequested: 1, MaxRequest: 1}}})
 		if a.Code != controlpb.Code_OK {
 			t.Fatal(a.Why)
 		}
@@ -36,24 +36,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := m.round(lease.Member{ID: "o", Incarnation: 1}, raw); err != nil {
+		if err := m.applyRound(lease.Member{ID: "o", Incarnation: 1}, raw); err != nil {
 			t.Fatal(err)
 		}
 		o.Committed(now)
 	}
 	whole := func() (Share, uint64) {
-		views, err := Views(m.Query(0, nil))
+		views, err := ReadViews(m.Query(0, nil))
 		if err != nil || len(views) != 1 {
 			t.Fatalf("%+v %v", views, err)
 		}
-		return views[0].Whole, views[0].Version
+		return views[0].Limit, views[0].LimitVersion
 	}
-	owner := func(term uint64) *Owner {
-		var books controlpb.Books
+	owner := func(term uint64) *Leader {
+		var books controlpb.Ledger
 		if err := proto.Unmarshal(m.Query(0, []byte(RoleOfShard(0))), &books); err != nil {
 			t.Fatal(err)
 		}
-		o, err := NewOwner(now, Defaults(), RoleOfShard(0), term, &books)
+		o, err := NewLeader(now, DefaultConfig(), RoleOfShard(0), term, &books)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/allocator/divider.go
+++ b/internal/controlplane/allocator/divider.go
@@ -20,9 +20,9 @@
 	"mothcleat/internal/monotonic"
 )
 
-// Divider is the owner's side in this process. Its Work is the work of the duty of each shard.
-type Divider struct {
-	Rules  allocation.Rules
+// ShardLeaders is the owner's side in this process. Its Work is the work of the duty of each shard.
+type ShardLeaders struct {
+	Rules  allocation.Config
 	Client *controlrpc.Client
 	Log    *slog.Logger
 
@@ -37,7 +37,7 @@
 	kick   chan struct{} // there may be something to agree on
 
 	mu     sync.Mutex
-	owner  *allocation.Owner
+	owner  *allocation.Leader
 	agreed chan struct{} // closed with each round that is
 }
 
@@ -52,7 +52,7 @@
 var notOwner = "this process does not own the shard"
 
 // Work divides a shard for as long as the duty is held.
-func (d *Divider) Work(ctx context.Context, t *election.Tenure) {
+func (d *ShardLeaders) Work(ctx context.Context, t *election.Tenure) {
 	if !d.first(t) {
 		// The duty lapsed, and was renewed under the same term, as nobody else asked. What was given since the term began is
 		// known to an Owner that has ended: another one begins with another term.
@@ -65,7 +65,7 @@
 		return
 	}
 	// All that the owner before may have given was given before now.
-	owner, err := allocation.NewOwner(monotonic.Now(), d.Rules, t.Role, t.Term, books)
+	owner, err := allocation.NewLeader(monotonic.Now(), d.Rules, t.Role, t.Term, books)
 	if err != nil {
 		d.Log.Error("budgets: what is agreed can't be used", "duty", t.Role, "error", err)
 		return
@@ -92,13 +92,13 @@
 	defer context.AfterFunc(ctx, func() { time.AfterFunc(closeWithin, cancel) })()
 	defer func() {
 		if ctx.Err() != nil && o.tenure.Holds() {
-			if err := d.agree(through, o, (*allocation.Owner).Close); err != nil {
+			if err := d.agree(through, o, (*allocation.Leader).Close); err != nil {
 				d.Log.Info("budgets: what the reserve holds is not handed on", "duty", t.Role, "error", err)
 			}
 		}
 	}()
 	for ctx.Err() == nil {
-		if err := d.agree(through, o, (*allocation.Owner).Plan); err != nil {
+		if err := d.agree(through, o, (*allocation.Leader).Plan); err != nil {
 			if ctx.Err() == nil {
 				// Whether it is agreed can't be known any more. Another term begins with what is.
 				d.Log.Error("budgets: a round is lost; the shard is given up", "duty", t.Role, "term", t.Term, "error", err)
@@ -115,7 +115,7 @@
 }
 
 // first tells whether this process divides under a term for the first time.
-func (d *Divider) first(t *election.Tenure) bool {
+func (d *ShardLeaders) first(t *election.Tenure) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.divided == nil {
@@ -129,10 +129,10 @@
 }
 
 // read has the books as they are agreed under the term.
-func (d *Divider) read(ctx context.Context, duty string) (*controlpb.Books, error) {
+func (d *ShardLeaders) read(ctx context.Context, duty string) (*controlpb.Ledger, error) {
 	for {
 		raw, err := d.Client.Read(ctx, allocation.MachineName, []byte(duty))
-		books := &controlpb.Books{}
+		books := &controlpb.Ledger{}
 		if err == nil {
 			err = proto.Unmarshal(raw, books)
 		}
@@ -147,7 +147,7 @@
 }
 
 // agree has what is planned agreed, if there is anything. It is asked for until it is known whether it was.
-func (d *Divider) agree(ctx context.Context, o *office, plan func(*allocation.Owner, time.Duration) *controlpb.Round) error {
+func (d *ShardLeaders) agree(ctx context.Context, o *office, plan func(*allocation.Leader, time.Duration) *controlpb.Round) error {
 	o.mu.Lock()
 	round := plan(o.owner, monotonic.Now())
 	o.mu.Unlock()
@@ -171,7 +171,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !r.OK {
-		o.owner.Refused(monotonic.Now())
+		o.owner.Rejected(monotonic.Now())
 		return errors.New(r.Why) // a later owner has it, or this one is wrong about what is agreed
 	}
 	o.owner.Committed(monotonic.Now())
@@ -180,22 +180,22 @@
 	return nil
 }
 
-func (d *Divider) office(duty string) *office {
+func (d *ShardLeaders) office(duty string) *office {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.offices[duty]
 }
 
 // Renew renews a member's rights, if this process owns the shard.
-func (d *Divider) Renew(ask *controlpb.RightsAsk) *controlpb.RightsAnswer {
+func (d *ShardLeaders) Renew(ask *controlpb.RenewRequest) *controlpb.RenewResponse {
 	o := d.office(ask.Role)
 	if o == nil {
-		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
+		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.tenure.Holds() {
-		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
+		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	failpoint.At("budgets-renew")
 	a := o.owner.Renew(monotonic.Now(), ask)
@@ -206,17 +206,17 @@
 	return a
 }
 
-// Lend lends units, if this process owns the shard.
-func (d *Divider) Lend(ask *controlpb.LoanAsk) *controlpb.LoanAnswer {
+// GrantOnDemand lends units, if this process owns the shard.
+func (d *ShardLeaders) GrantOnDemand(ask *controlpb.OnDemandRequest) *controlpb.OnDemandResponse {
 	o := d.office(ask.Role)
 	if o == nil {
-		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
+		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Why: notOwner}
 	}
 	limit := time.NewTimer(soonMost)
 	defer limit.Stop()
 	for {
-		a, agreed := o.lend(ask)
-		if !a.Soon {
+		a, agreed := o.grantOnDemand(ask)
+		if !a.AwaitRound {
 			return a
 		}
 		select {
@@ -227,14 +227,14 @@
 	}
 }
 
-// lend lends, or tells what to wait for.
-func (o *office) lend(ask *controlpb.LoanAsk) (a *controlpb.LoanAnswer, agreed chan struct{}) {
+// grantOnDemand lends, or tells what to wait for.
+func (o *office) grantOnDemand(ask *controlpb.OnDemandRequest) (a *controlpb.OnDemandResponse, agreed chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.tenure.Holds() {
-		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: notOwner}, nil
+		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Why: notOwner}, nil
 	}
-	if a = o.owner.Lend(monotonic.Now(), ask); a.Soon {
+	if a = o.owner.GrantOnDemand(monotonic.Now(), ask); a.AwaitRound {
 		select {
 		case o.kick <- struct{}{}:
 		default:
@@ -243,14 +243,14 @@
 	return a, o.agreed
 }
 
-// Figures are what the owners in this process did, by duty.
-func (d *Divider) Figures() map[string]allocation.Figures {
+// Stats are what the owners in this process did, by duty.
+func (d *ShardLeaders) Stats() map[string]allocation.LeaderStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := map[string]allocation.Figures{}
+	all := map[string]allocation.LeaderStats{}
 	for duty, o := range d.offices {
 		o.mu.Lock()
-		all[duty] = o.owner.Figures()
+		all[duty] = o.owner.Stats()
 		o.mu.Unlock()
 	}
 	return all
--- a/internal/controlplane/allocator/user.go
+++ b/internal/controlplane/allocator/user.go
@@ -21,12 +21,12 @@
 	"mothcleat/internal/monotonic"
 )
 
-// User is this process's side as one that uses budgets: its rights, as the gateway's loop sees them, and their
+// Client is this process's side as one that uses budgets: its rights, as the gateway's loop sees them, and their
 // renewal. The loop's calls never wait for anybody but for another short call.
-type User struct {
-	rules  allocation.Rules
+type Client struct {
+	rules  allocation.Config
 	shards int
-	client *controlrpc.Client
+	rpc    *controlrpc.Client
 	owners *election.Set
 	log    *slog.Logger
 	lent   func(gateway.OnDemandReply)
@@ -38,19 +38,19 @@
 	gone     []uint64 // boots of this id that run no more
 	took     uint64   // the request that something was taken for last
 	tookBy   time.Duration
-	figures  Figures
+	figures  ClientStats
 	order    uint64         // of the plans' version
 	record   io.Writer      // nil: none
 	lastTold []atomic.Int64 // by shard: when an owner last answered
 }
 
-// Figures are counts of what a User did.
-type Figures struct {
-	Renewals uint64 `json:"renewals"`
-	Failed   uint64 `json:"failed"`
-	Loans    uint64 `json:"loans"`
-	Lent     uint64 `json:"lent"`
-	Unheard  uint64 `json:"unheard"` // loans without an answer
+// ClientStats are counts of what a User did.
+type ClientStats struct {
+	Renewals         uint64 `json:"renewals"`
+	Failed           uint64 `json:"failed"`
+	OnDemandRequests uint64 `json:"loans"`
+	OnDemandGrants   uint64 `json:"lent"`
+	OnDemandFailures uint64 `json:"unheard"` // loans without an answer
 }
 
 const (
@@ -61,14 +61,14 @@
 	silentFor   = 250 * time.Millisecond // after an asking for units without an answer, none goes to that owner
 )
 
-// NewUser makes one that holds nothing.
-func NewUser(r allocation.Rules, shards int, client *controlrpc.Client, owners *election.Set, log *slog.Logger) *User {
-	return &User{rules: r, shards: shards, client: client, owners: owners, log: log, loans: make(chan struct{}, loansOut),
+// NewClient makes one that holds nothing.
+func NewClient(r allocation.Config, shards int, client *controlrpc.Client, owners *election.Set, log *slog.Logger) *Client {
+	return &Client{rules: r, shards: shards, rpc: client, owners: owners, log: log, loans: make(chan struct{}, loansOut),
 		silent: make([]atomic.Int64, shards), lastTold: make([]atomic.Int64, shards), holder: allocation.NewHolder(r, client.Me(), shards)}
 }
 
 // OnReply has the answers to Borrow go to a function. It is to be called before the first Borrow.
-func (u *User) OnReply(lent func(gateway.OnDemandReply)) { u.lent = lent }
+func (u *Client) OnReply(lent func(gateway.OnDemandReply)) { u.lent = lent }
 
 func whole(b *policy.SharedQuota) allocation.Share {
 	return allocation.Share{Rate: b.Rate, Burst: b.Burst}
@@ -77,47 +77,47 @@
 // The loop's calls. Times are by package monotonic's clock: the module's own may have been read before the process was stopped.
 
 // RecordDemand takes note that units were asked for.
-func (u *User) RecordDemand(_ policy.Time, b *policy.SharedQuota, units float64) {
+func (u *Client) RecordDemand(_ policy.Time, b *policy.SharedQuota, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.holder.Ask(monotonic.Now(), b.ID, whole(b), b.Spread, units)
+	u.holder.RecordDemand(monotonic.Now(), b.ID, whole(b), b.Spread, units)
 }
 
 // Available is how many units may be taken now.
-func (u *User) Available(_ policy.Time, b *policy.SharedQuota) float64 {
+func (u *Client) Available(_ policy.Time, b *policy.SharedQuota) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return min(u.holder.Level(monotonic.Now(), b.ID), b.Burst) // a part that is not lessened yet
+	return min(u.holder.Available(monotonic.Now(), b.ID), b.Burst) // a part that is not lessened yet
 }
 
 // RefillRate is at which rate they come.
-func (u *User) RefillRate(_ policy.Time, b *policy.SharedQuota) float64 {
+func (u *Client) RefillRate(_ policy.Time, b *policy.SharedQuota) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return min(u.holder.Rate(monotonic.Now(), b.ID), b.Rate)
+	return min(u.holder.RefillRate(monotonic.Now(), b.ID), b.Rate)
 }
 
 // Consume uses units for a request.
-func (u *User) Consume(_ policy.Time, id uint64, b *policy.SharedQuota, units float64) {
+func (u *Client) Consume(_ policy.Time, id uint64, b *policy.SharedQuota, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := monotonic.Now()
-	u.holder.Take(now, b.ID, units)
+	u.holder.Consume(now, b.ID, units)
 	u.took, u.tookBy = id, 0
 	if units > 0 {
-		u.tookBy = u.holder.Until(now, b.ID)
+		u.tookBy = u.holder.UseBy(now, b.ID)
 	}
 }
 
 // Release gives back units that were lent.
-func (u *User) Release(_ policy.Time, b *policy.SharedQuota, units float64) {
+func (u *Client) Release(_ policy.Time, b *policy.SharedQuota, units float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.holder.Return(monotonic.Now(), b.ID, units)
+	u.holder.Release(monotonic.Now(), b.ID, units)
 }
 
 // UsableUntil is until when what was taken for a request may be used.
-func (u *User) UsableUntil(id uint64) time.Duration {
+func (u *Client) UsableUntil(id uint64) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.took != id {
@@ -127,7 +127,7 @@
 }
 
 // Expired tells whether a time is over.
-func (u *User) Expired(by time.Duration) bool {
+func (u *Client) Expired(by time.Duration) bool {
 	failpoint.At("right-taken")
 	over := monotonic.Now() >= by
 	failpoint.At("right-checked")
@@ -135,7 +135,7 @@
 }
 
 // RequestOnDemand asks the owner of a budget for units.
-func (u *User) RequestOnDemand(id uint64, b *policy.SharedQuota, units float64) bool {
+func (u *Client) RequestOnDemand(id uint64, b *policy.SharedQuota, units float64) bool {
 	shard := allocation.ShardOf(b.ID, u.shards)
 	now := monotonic.Now()
 	owner, address, ok := u.owners.Leader(allocation.RoleOfShard(shard))
@@ -147,52 +147,52 @@
 	default:
 		return false
 	}
-	go u.borrow(shard, owner, address, gateway.OnDemandReply{RequestID: id, Quota: *b, UsableUntil: now + u.rules.LoanSpan}, units)
+	go u.borrow(shard, owner, address, gateway.OnDemandReply{RequestID: id, Quota: *b, UsableUntil: now + u.rules.UseTimeout}, units)
 	return true
 }
 
-func (u *User) borrow(shard int, owner lease.Member, address string, l gateway.OnDemandReply, units float64) {
+func (u *Client) borrow(shard int, owner lease.Member, address string, l gateway.OnDemandReply, units float64) {
 	defer func() { <-u.loans }()
 	ctx, cancel := context.WithTimeout(context.Background(), lendWithin)
 	defer cancel()
 	u.mu.Lock()
 	age, order := u.holder.Age(monotonic.Now()), u.order
 	u.mu.Unlock()
-	ask := &controlpb.LoanAsk{Version: order, Age: age, Role: allocation.RoleOfShard(shard), Budget: l.Quota.ID, Units: units,
-		Whole: &controlpb.Share{Rate: l.Quota.Rate, Burst: l.Quota.Burst}, Spread: uint32(l.Quota.Spread)}
-	a, err := u.client.Borrow(ctx, owner.ID, address, ask)
+	ask := &controlpb.OnDemandRequest{LimitVersion: order, Age: age, Role: allocation.RoleOfShard(shard), Budget: l.Quota.ID, Units: units,
+		Limit: &controlpb.Share{Rate: l.Quota.Rate, Burst: l.Quota.Burst}, MaxMembers: uint32(l.Quota.Spread)}
+	a, err := u.rpc.Borrow(ctx, owner.ID, address, ask)
 	u.mu.Lock()
-	u.figures.Loans++
+	u.figures.OnDemandRequests++
 	switch {
 	case err != nil || a.Code != controlpb.Code_OK:
-		u.figures.Unheard++
+		u.figures.OnDemandFailures++
 		u.silent[shard].Store(int64(monotonic.Now() + silentFor))
-	case a.Lent:
-		u.figures.Lent++
+	case a.Granted:
+		u.figures.OnDemandGrants++
 		l.Units = units
 	default:
-		l.RetryAfter = time.Duration(a.After)
+		l.RetryAfter = time.Duration(a.RetryAfter)
 	}
 	u.mu.Unlock()
 	u.lent(l)
 }
 
 // SetPlanOrder tells by which version of the plans wholes are from now on.
-func (u *User) SetPlanOrder(order uint64) {
+func (u *Client) SetPlanOrder(order uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.order = order
 }
 
-// Gone tells of boots of this process's id that run no more: whatever they held is free.
-func (u *User) Gone(boots []uint64) {
+// SetEndedIncarnations tells of boots of this process's id that run no more: whatever they held is free.
+func (u *Client) SetEndedIncarnations(boots []uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.gone = boots
 }
 
 // Run renews the rights until the context ends.
-func (u *User) Run(ctx context.Context) {
+func (u *Client) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for shard := range u.shards {
 		wg.Add(1)
@@ -204,11 +204,11 @@
 	wg.Wait()
 }
 
-func (u *User) renewAll(ctx context.Context, shard int) {
+func (u *Client) renewAll(ctx context.Context, shard int) {
 	for ctx.Err() == nil {
 		sent := monotonic.Now()
 		again := u.renew(ctx, shard)
-		wait := max(0, u.rules.Every-(monotonic.Now()-sent))
+		wait := max(0, u.rules.RenewInterval-(monotonic.Now()-sent))
 		if again {
 			wait = 0
 		}
@@ -220,22 +220,22 @@
 }
 
 // renew renews once. It tells whether there is something to say at once.
-func (u *User) renew(ctx context.Context, shard int) bool {
+func (u *Client) renew(ctx context.Context, shard int) bool {
 	owner, address, ok := u.owners.Leader(allocation.RoleOfShard(shard))
 	if !ok {
 		return false
 	}
 	sent := monotonic.Now()
 	u.mu.Lock()
-	ask := u.holder.Renewal(sent, shard)
-	ask.Gone, ask.Version = u.gone, u.order
+	ask := u.holder.RenewRequest(sent, shard)
+	ask.EndedIncarnations, ask.LimitVersion = u.gone, u.order
 	u.mu.Unlock()
-	if ask.Number == 0 && len(ask.Wants) == 0 && sent-time.Duration(u.lastTold[shard].Load()) < idleEach {
+	if ask.AppliedUpdate == 0 && len(ask.Demands) == 0 && sent-time.Duration(u.lastTold[shard].Load()) < idleEach {
 		return false // it was never given anything, and wants nothing: the way to the owner is kept open
 	}
 	one, cancel := context.WithTimeout(ctx, renewWithin)
 	defer cancel()
-	a, err := u.client.Renew(one, owner.ID, address, ask)
+	a, err := u.rpc.Renew(one, owner.ID, address, ask)
 	failpoint.At("right-told")
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -245,25 +245,25 @@
 		return false
 	}
 	u.lastTold[shard].Store(int64(monotonic.Now()))
-	again := u.holder.Answer(monotonic.Now(), sent, shard, ask, a)
-	u.write(shard, a.Term != ask.Term || len(a.Rights) > 0)
+	again := u.holder.HandleRenewal(monotonic.Now(), sent, shard, ask, a)
+	u.write(shard, a.Term != ask.Term || len(a.Updates) > 0)
 	if again {
 		failpoint.At("right-lessened")
 	}
 	return again
 }
 
-// Leave gives everything back, and returns when the owners have heard it, or the context ends.
-func (u *User) Leave(ctx context.Context) {
+// ReleaseAll gives everything back, and returns when the owners have heard it, or the context ends.
+func (u *Client) ReleaseAll(ctx context.Context) {
 	u.mu.Lock()
-	all := u.holder.Leave(monotonic.Now())
+	all := u.holder.ReleaseAll(monotonic.Now())
 	for shard := range all {
 		u.write(shard, true)
 	}
 	u.mu.Unlock()
 	var wg sync.WaitGroup
 	for shard, ask := range all {
-		if ask.Number == 0 {
+		if ask.AppliedUpdate == 0 {
 			continue // nothing was ever given
 		}
 		wg.Add(1)
@@ -273,7 +273,7 @@
 				owner, address, ok := u.owners.Leader(allocation.RoleOfShard(shard))
 				if ok {
 					one, cancel := context.WithTimeout(ctx, renewWithin)
-					a, err := u.client.Renew(one, owner.ID, address, ask)
+					a, err := u.rpc.Renew(one, owner.ID, address, ask)
 					cancel()
 					if err == nil && a.Code == controlpb.Code_OK {
 						return
@@ -289,35 +289,35 @@
 	wg.Wait()
 }
 
-// Line is one line of a record of rights. Times are by package monotonic's clock, the same for all processes of a machine.
-type Line struct {
-	At         time.Duration    `json:"at"`
-	Member     lease.Member     `json:"member"`
-	Shard      int              `json:"shard"`
-	Until      time.Duration    `json:"until"` // the parts hold; and then the floors
-	FloorUntil time.Duration    `json:"floor_until"`
-	Changed    bool             `json:"changed,omitempty"` // Held is all that is held from now on; else that is as before
-	Held       map[string]Parts `json:"held,omitempty"`    // by the budget's number, hexadecimal
+// RecordLine is one line of a record of rights. Times are by package monotonic's clock, the same for all processes of a machine.
+type RecordLine struct {
+	At            time.Duration    `json:"at"`
+	Member        lease.Member     `json:"member"`
+	Shard         int              `json:"shard"`
+	Until         time.Duration    `json:"until"` // the parts hold; and then the floors
+	ReservedUntil time.Duration    `json:"floor_until"`
+	Changed       bool             `json:"changed,omitempty"` // Held is all that is held from now on; else that is as before
+	Held          map[string]Parts `json:"held,omitempty"`    // by the budget's number, hexadecimal
 }
 
 // Parts is a right in a record.
-type Parts = allocation.Held
+type Parts = allocation.Allocation
 
-// Record has each renewal written down. It is to be called before Run.
-func (u *User) Record(to io.Writer) { u.record = to }
+// RecordTo has each renewal written down. It is to be called before Run.
+func (u *Client) RecordTo(to io.Writer) { u.record = to }
 
 // write writes a line. The lock is held.
-func (u *User) write(shard int, changed bool) {
+func (u *Client) write(shard int, changed bool) {
 	if u.record == nil {
 		return
 	}
-	l := Line{At: monotonic.Now(), Member: u.client.Me(), Shard: shard, Changed: changed}
-	l.Until, l.FloorUntil = u.holder.Ends(shard)
+	l := RecordLine{At: monotonic.Now(), Member: u.rpc.Me(), Shard: shard, Changed: changed}
+	l.Until, l.ReservedUntil = u.holder.Expiry(shard)
 	if changed {
 		l.Held = map[string]Parts{}
-		for _, r := range u.holder.Rights(l.At) {
+		for _, r := range u.holder.Status(l.At) {
 			if allocation.ShardOf(r.Budget, u.shards) == shard {
-				l.Held[strconv.FormatUint(r.Budget, 16)] = r.Held
+				l.Held[strconv.FormatUint(r.Budget, 16)] = r.Allocation
 			}
 		}
 	}
@@ -331,9 +331,9 @@
 	}
 }
 
-// Rights are what this process holds now, and what it did.
-func (u *User) Rights() ([]allocation.Right, Figures) {
+// Status are what this process holds now, and what it did.
+func (u *Client) Status() ([]allocation.HolderStatus, ClientStats) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.holder.Rights(monotonic.Now()), u.figures
+	return u.holder.Status(monotonic.Now()), u.figures
 }
--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -81,8 +81,8 @@
 		err = n.ask(ctx, usageexport.MachineName, nil, &v)
 		what = v
 	case len(words) == 1 && words[0] == "rights" && n.rights != nil:
-		held, did := n.rights.Rights()
-		what = Rights{n.me, monotonic.Now(), held, did, n.divide.Figures()}
+		held, did := n.rights.Status()
+		what = Rights{n.me, monotonic.Now(), held, did, n.divide.Stats()}
 	case len(words) <= 2 && len(words) > 0 && words[0] == "budgets":
 		what, err = n.books(ctx, words[1:])
 	case n.agent != nil && len(words) > 0 && words[0] == "versions":
@@ -117,11 +117,11 @@
 
 // Rights is what this process holds of the budgets, and what it divides.
 type Rights struct {
-	Member  lease.Member                  `json:"member"`
-	At      time.Duration                 `json:"at"` // by the clock that goes on while a process is stopped
-	Held    []allocation.Right            `json:"held"`
-	Did     allocator.Figures             `json:"did"`
-	Divides map[string]allocation.Figures `json:"divides"`
+	Member  lease.Member                      `json:"member"`
+	At      time.Duration                     `json:"at"` // by the clock that goes on while a process is stopped
+	Held    []allocation.HolderStatus         `json:"held"`
+	Did     allocator.ClientStats             `json:"did"`
+	Divides map[string]allocation.LeaderStats `json:"divides"`
 }
 
 // books are all budgets as they are agreed.
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	all, err := allocation.Views(raw)
+	all, err := allocation.ReadViews(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -155,8 +155,8 @@
 		if len(customer) > 0 && v.Budget != wanted {
 			continue
 		}
-		for i := range v.Held {
-			v.Held[i].Gone = !here[v.Held[i].Member]
+		for i := range v.Allocations {
+			v.Allocations[i].Ended = !here[v.Allocations[i].Member]
 		}
 		some = append(some, v)
 	}
--- a/internal/controlplane/controlrpc/client.go
+++ b/internal/controlplane/controlrpc/client.go
@@ -392,7 +392,7 @@
 }
 
 // Renew asks the owner of a shard of the budgets, a process with an address.
-func (c *Client) Renew(ctx context.Context, id, address string, ask *controlpb.RightsAsk) (*controlpb.RightsAnswer, error) {
+func (c *Client) Renew(ctx context.Context, id, address string, ask *controlpb.RenewRequest) (*controlpb.RenewResponse, error) {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return nil, err
@@ -402,7 +402,7 @@
 }
 
 // Borrow asks the owner of a shard for units.
-func (c *Client) Borrow(ctx context.Context, id, address string, ask *controlpb.LoanAsk) (*controlpb.LoanAnswer, error) {
+func (c *Client) Borrow(ctx context.Context, id, address string, ask *controlpb.OnDemandRequest) (*controlpb.OnDemandResponse, error) {
 	to, err := c.conns.to(c.addresses.of(id, address))
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/controlrpc/server.go
+++ b/internal/controlplane/controlrpc/server.go
@@ -35,8 +35,8 @@
 
 // Budgets divides what the fleet shares, in the process that owns a shard of it.
 type Budgets interface {
-	Renew(ask *controlpb.RightsAsk) *controlpb.RightsAnswer
-	Lend(ask *controlpb.LoanAsk) *controlpb.LoanAnswer
+	Renew(ask *controlpb.RenewRequest) *controlpb.RenewResponse
+	GrantOnDemand(ask *controlpb.OnDemandRequest) *controlpb.OnDemandResponse
 }
 
 // Contents has the contents of versions.
@@ -280,25 +280,25 @@
 }
 
 // Renew renews a process's rights, if the budgets are divided here.
-func (s *Server) Renew(_ context.Context, ask *controlpb.RightsAsk) (*controlpb.RightsAnswer, error) {
+func (s *Server) Renew(_ context.Context, ask *controlpb.RenewRequest) (*controlpb.RenewResponse, error) {
 	switch {
 	case ask.Fleet != s.fleet:
 		return nil, errOtherFleet
 	case s.Budgets == nil:
-		return &controlpb.RightsAnswer{Code: controlpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
+		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
 	}
 	return s.Budgets.Renew(ask), nil
 }
 
 // Borrow lends units, if the budget is divided here.
-func (s *Server) Borrow(_ context.Context, ask *controlpb.LoanAsk) (*controlpb.LoanAnswer, error) {
+func (s *Server) Borrow(_ context.Context, ask *controlpb.OnDemandRequest) (*controlpb.OnDemandResponse, error) {
 	switch {
 	case ask.Fleet != s.fleet:
 		return nil, errOtherFleet
 	case s.Budgets == nil:
-		return &controlpb.LoanAnswer{Code: controlpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
+		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Why: "this process divides nothing"}, nil
 	}
-	return s.Budgets.Lend(ask), nil
+	return s.Budgets.GrantOnDemand(ask), nil
 }
 
 // Content gives the content of a version, if it is here.
--- a/internal/controlplane/jsonkeys_test.go
+++ b/internal/controlplane/jsonkeys_test.go
@@ -22,7 +22,7 @@
 func TestJSONKeys(t *testing.T) {
 	fixture.Equal(t, "testdata/operator-keys.txt", fixture.JSONKeys(
 		controlplane.Here{}, controlplane.Rights{}, controlplane.Versions{}, controlplane.Distribution{}, consensus.Membership{}, lease.View{}, usageexport.View{},
-		allocation.View{}, allocation.Right{}, allocation.Figures{}, allocator.Figures{}, allocator.Line{}, rollout.Here{}, rollout.Fetched{},
+		allocation.View{}, allocation.HolderStatus{}, allocation.LeaderStats{}, allocator.ClientStats{}, allocator.RecordLine{}, rollout.Here{}, rollout.Fetched{},
 		distributor.ReplicaStatus{}, distributor.ServerStatus{}, configversion.View{}, auditlog.Stretch{}, auditlog.Gap{}, auditlog.Sum{},
 	))
 	fixture.Equal(t, "testdata/command-keys.txt", fixture.JSONKeys(
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -59,7 +59,7 @@
 	// Direct makes a source that asks the register itself; nil: each gateway watches its register as it always did.
 	Direct func() (registry.Source, error)
 	// Budgets are the rules by which quotas are divided; nil: they are not.
-	Budgets      *allocation.Rules
+	Budgets      *allocation.Config
 	BudgetShards int
 	// Versions are the rules of what the fleet acts on, and Items what that is here; nil: each gateway acts on its configuration.
 	Versions *configversion.Rules
@@ -83,9 +83,9 @@
 	duties   *election.Set
 	list     *distributor.Source // nil: the register is not watched for all
 	streams  *distributor.Server
-	rights   *allocator.User // nil: quotas are not divided
-	agent    *rollout.Agent  // nil: there are no versions
-	divide   *allocator.Divider
+	rights   *allocator.Client // nil: quotas are not divided
+	agent    *rollout.Agent    // nil: there are no versions
+	divide   *allocator.ShardLeaders
 	contents *rollout.Contents
 	boots    atomic.Pointer[allocator.IncarnationFile]
 	server   atomic.Pointer[controlrpc.Server]
@@ -183,12 +183,12 @@
 	}
 	n.distribute()
 	if cfg.Budgets != nil {
-		n.divide = &allocator.Divider{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
+		n.divide = &allocator.ShardLeaders{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
 		for shard := range cfg.BudgetShards {
 			n.duties.AddBalanced(allocation.RoleOfShard(shard), n.divide.Work)
 		}
-		n.rights = allocator.NewUser(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
-		n.rights.Record(cfg.Rights)
+		n.rights = allocator.NewClient(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
+		n.rights.RecordTo(cfg.Rights)
 	}
 	if cfg.Versions != nil {
 		n.contents = rollout.NewContents(ContentsDir(cfg.Dir))
@@ -209,7 +209,7 @@
 func (n *Node) Permit() *rollout.Agent { return n.agent }
 
 // Rights are this process's parts of the quotas; nil: they are not divided.
-func (n *Node) Rights() *allocator.User { return n.rights }
+func (n *Node) Rights() *allocator.Client { return n.rights }
 
 // Register is the source of news of the servers, where the register is watched for all; nil: it is not.
 func (n *Node) Register() registry.Source {
@@ -297,7 +297,7 @@
 		}()
 		n.boots.Store(boots)
 		if n.rights != nil {
-			n.rights.Gone(boots.Ended)
+			n.rights.SetEndedIncarnations(boots.Ended)
 		}
 		if n.agent != nil {
 			if err := n.contents.Make(); err != nil {
@@ -425,7 +425,7 @@
 	n.leave()
 	if n.rights != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), giveBackMost)
-		n.rights.Leave(ctx)
+		n.rights.ReleaseAll(ctx)
 		cancel()
 	}
 	if n.agent != nil {
--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -138,7 +138,7 @@
 		run.f.Isolate(cut, true, true, true)
 		eventually(t, "floors alone at the one that is cut off", func() bool {
 			held := rights(t, run.f, cut).Held
-			return len(held) > 0 && held[0].Until == 0 && held[0].Floor > 0
+			return len(held) > 0 && held[0].Until == 0 && held[0].ReservedUntil > 0
 		})
 		eventually(t, "its parts taken back", func() bool {
 			var books []allocation.View
@@ -146,8 +146,8 @@
 				return false
 			}
 			for _, b := range books {
-				for _, h := range b.Held {
-					if h.Member.ID == testcluster.Name(cut) && h.Part.Burst > h.Floor.Burst+1e-6 {
+				for _, h := range b.Allocations {
+					if h.Member.ID == testcluster.Name(cut) && h.Total.Burst > h.ReservedMin.Burst+1e-6 {
 						return false
 					}
 				}
@@ -173,7 +173,7 @@
 		// A holder stops between taking units and its last look at the clock, for twice its span, and is woken with requests queued.
 		i := (ownerOf(t, run) + 1) % 4
 		run.stands(t, i, "stop", "right-taken")
-		testcluster.Pass(t.Context(), 2*allocation.Defaults().Span)
+		testcluster.Pass(t.Context(), 2*allocation.DefaultConfig().TTL)
 		clustertest.Check(t, run.f.Wake(i))
 		run.f.Record.AddLife(i, harness.Woken)
 		// The owner stops between having a round agreed and telling it, and before: its words come after those of the next.
@@ -224,13 +224,13 @@
 		if r.Until > 0 {
 			return false
 		}
-		floors = floors || r.Floor > 0 && r.Held.Floor.Burst > 0
+		floors = floors || r.ReservedUntil > 0 && r.Allocation.ReservedMin.Burst > 0
 	}
 	return floors
 }
 
 func renewed(t *testing.T, f *testcluster.Fleet, i int) bool {
-	return slices.ContainsFunc(rights(t, f, i).Held, func(r allocation.Right) bool { return r.Until > 0 })
+	return slices.ContainsFunc(rights(t, f, i).Held, func(r allocation.HolderStatus) bool { return r.Until > 0 })
 }
 
 // served fails the test if a gateway has sent nothing on since some time.
@@ -326,7 +326,7 @@
 				return true
 			}
 			return slices.ContainsFunc(books, func(b allocation.View) bool {
-				return slices.ContainsFunc(b.Held, func(h allocation.HeldBy) bool { return h.Member == here.Member })
+				return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool { return h.Member == here.Member })
 			})
 		}
 		eventually(t, "parts of the owner's own", holds)
@@ -374,7 +374,7 @@
 		return []string{"pace=0.9", "ahead=30s", "", "jump=1m@12s"}[i]
 	})
 	play(t, run, func() { testcluster.Pass(t.Context(), 4*time.Second) })
-	all := Windows(run.f.Site, run.f.Record, Slack{Late: allocation.Defaults().LoanSpan, Pace: allocation.Defaults().Margin})
+	all := Windows(run.f.Site, run.f.Record, Slack{Late: allocation.DefaultConfig().UseTimeout, Pace: allocation.DefaultConfig().ClockDrift})
 	if len(all) == 0 || all[0].Over > 0 {
 		t.Errorf("%v", all[0])
 	}
@@ -421,13 +421,13 @@
 			seen := 0
 			for _, b := range books {
 				sum := 0.0
-				for _, h := range b.Held {
-					sum += h.Part.Burst
+				for _, h := range b.Allocations {
+					sum += h.Total.Burst
 				}
-				if len(b.Held) == 0 {
+				if len(b.Allocations) == 0 {
 					continue // nobody was asked for it since
 				}
-				if seen++; !plans[b.Whole.Burst] || sum > b.Whole.Burst+1e-6 {
+				if seen++; !plans[b.Limit.Burst] || sum > b.Limit.Burst+1e-6 {
 					return false
 				}
 			}
@@ -436,7 +436,7 @@
 		since = run.f.Record.Now() + 2*time.Second // customers that ask now and then are heard of
 		testcluster.Pass(t.Context(), 4*time.Second)
 	})
-	all := WindowsSince(run.f.Site, run.f.Record, Slack{Late: allocation.Defaults().LoanSpan}, since)
+	all := WindowsSince(run.f.Site, run.f.Record, Slack{Late: allocation.DefaultConfig().UseTimeout}, since)
 	for _, w := range all {
 		if w.Over > 0 {
 			t.Error(w)
--- a/internal/testing/allocationtest/rights.go
+++ b/internal/testing/allocationtest/rights.go
@@ -52,7 +52,7 @@
 	return r, errors.Join(errs...)
 }
 
-func readLines(path string) (all []allocator.Line, err error) {
+func readLines(path string) (all []allocator.RecordLine, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	in := bufio.NewScanner(f)
 	in.Buffer(nil, 16<<20)
 	for in.Scan() {
-		var l allocator.Line
+		var l allocator.RecordLine
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 			return all, fmt.Errorf("%s: %w", path, err)
 		}
@@ -71,12 +71,12 @@
 }
 
 // join adds the lines of one gateway, of one process after another.
-func (r *Rights) join(lines []allocator.Line) {
+func (r *Rights) join(lines []allocator.RecordLine) {
 	type key struct {
 		who   lease.Member
 		shard int
 	}
-	last := map[key]allocator.Line{}
+	last := map[key]allocator.RecordLine{}
 	held := map[key]map[string]allocator.Parts{}
 	close := func(k key, to time.Duration) {
 		l := last[k]
@@ -90,8 +90,8 @@
 					r.Terms[n] = append(r.Terms[n], term{from, end, k.who, s})
 				}
 			}
-			add(l.At, l.Until, h.Part)
-			add(max(l.At, l.Until), l.FloorUntil, h.Floor)
+			add(l.At, l.Until, h.Total)
+			add(max(l.At, l.Until), l.ReservedUntil, h.ReservedMin)
 		}
 	}
 	for _, l := range lines {
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -163,7 +163,7 @@
 // judge holds against the wholes what servers took and what processes held.
 func (t *trialRun) judge(fig *harness.Figures) error {
 	// One request a stop may slip through between the last look at the clock and the write.
-	slack := Slack{Late: allocation.Defaults().LoanSpan, Units: 4 * float64(t.harm.Did("stops"))}
+	slack := Slack{Late: allocation.DefaultConfig().UseTimeout, Units: 4 * float64(t.harm.Did("stops"))}
 	fig.Broken["window_over_whole"], fig.Broken["sum_over_whole"] = 0, 0
 	all := Windows(t.f.Site, t.f.Record, slack)
 	for _, w := range all {
@@ -229,7 +229,7 @@
 
 func newRun(f *testcluster.Fleet, o *Options, progress io.Writer) *trialRun {
 	return &trialRun{f: f, o: o, progress: progress, harm: &testcluster.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, len(f.Gateways)),
-		Stops: 22 * allocation.Defaults().Span / 10, Progress: progress}}
+		Stops: 22 * allocation.DefaultConfig().TTL / 10, Progress: progress}}
 }
 
 // view asks one gateway after another until one answers.
@@ -306,7 +306,9 @@
 	for began := time.Now(); time.Now().Before(limit); {
 		var books []allocation.View
 		if t.view("budgets", &books) == nil && len(books) > 0 && !slices.ContainsFunc(books, func(b allocation.View) bool {
-			return slices.ContainsFunc(b.Held, func(h allocation.HeldBy) bool { return h.Member == dead && h.Part.Burst > h.Floor.Burst })
+			return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool {
+				return h.Member == dead && h.Total.Burst > h.ReservedMin.Burst
+			})
 		}) {
 			t.mu.Lock()
 			t.back = append(t.back, time.Since(began))
--- a/internal/testing/audittest/judge.go
+++ b/internal/testing/audittest/judge.go
@@ -132,7 +132,7 @@
 // those versions that somebody may act on, and for as long after as a part lasts that its holder can't be told of.
 func over(f *testcluster.Fleet, all []change, stops int) (bad []string) {
 	uses, plans := allocationtest.Uses(f.Record, 0)
-	lasts := allocation.Defaults().Span + allocation.Defaults().Span/8 + slack
+	lasts := allocation.DefaultConfig().TTL + allocation.DefaultConfig().TTL/8 + slack
 	factor := func(at time.Duration) (most float64) {
 		for _, c := range all {
 			if at >= c.from && at < c.to+lasts {
@@ -155,7 +155,7 @@
 				last = next
 			}
 			level -= u.Units
-			worst = max(worst, -level-p.Rate*allocation.Defaults().LoanSpan.Seconds()-4*float64(stops))
+			worst = max(worst, -level-p.Rate*allocation.DefaultConfig().UseTimeout.Seconds()-4*float64(stops))
 		}
 		if worst > 0 {
 			bad = append(bad, fmt.Sprintf("customer %s of plan %s: %.2f units beyond the terms in force", customer, p.Name, worst))
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -240,8 +240,8 @@
 		settings.Direct = g.noDirect
 	}
 	if c.Parts.Allocation {
-		r := allocation.Defaults()
-		r.BeginFull, r.Margin = true, clockMargin
+		r := allocation.DefaultConfig()
+		r.StartFull, r.ClockDrift = true, clockMargin
 		settings.Budgets, settings.BudgetShards = &r, c.Shards
 	}
 	if c.Parts.Configuration {
--- a/sim/allocation/checks.go
+++ b/sim/allocation/checks.go
@@ -33,12 +33,12 @@
 			if p.dead || p.left {
 				continue
 			}
-			held := p.holder.May(p.at(w.now), id)
+			held := p.holder.Usable(p.at(w.now), id)
 			sum.Rate += held.Rate
 			sum.Burst += held.Burst
 		}
 		o := w.owner()
-		free, _ := o.owner.Reserve(o.at(w.now), id)
+		free, _ := o.owner.Pool(o.at(w.now), id)
 		sum.Rate += free.Rate
 		sum.Burst += free.Burst
 		if sum.Rate > whole.Rate+1e-6 || sum.Burst > whole.Burst+1e-6 {
@@ -59,7 +59,7 @@
 	w.quiet = 1
 	w.takeOver(0)
 	w.net = nil
-	settle := time.Duration(float64(w.rules.FloorSpan)*(1+w.rules.Margin)/0.9) + 5*time.Second
+	settle := time.Duration(float64(w.rules.ReservedTTL)*(1+w.rules.ClockDrift)/0.9) + 5*time.Second
 	before, begun := 0.0, false
 	step := 400 * ms
 	for at := time.Duration(0); at < settle+calmLength && w.res.Breach == nil; at += step {
--- a/sim/allocation/faults.go
+++ b/sim/allocation/faults.go
@@ -63,15 +63,15 @@
 		if w.often(2) {
 			// By the lock on the folder it knows that the one before runs no more.
 			now := p.at(w.now)
-			ask := p.holder.Renewal(now, 0)
-			ask.Gone = []uint64{boot}
+			ask := p.holder.RenewRequest(now, 0)
+			ask.EndedIncarnations = []uint64{boot}
 			w.send(i, now, ask)
 		}
 	case p.left:
 	case w.often(2) && !p.stopped:
 		w.res.Faults["left"]++
 		now := p.at(w.now)
-		ask := p.holder.Leave(now)[0]
+		ask := p.holder.ReleaseAll(now)[0]
 		w.send(i, now, ask)
 		p.left = true
 	default:
--- a/sim/allocation/network.go
+++ b/sim/allocation/network.go
@@ -16,17 +16,17 @@
 	from  int
 	boot  uint64
 	sent  time.Duration // by the asker's clock
-	asks  *controlpb.RightsAsk
+	asks  *controlpb.RenewRequest
 	ask   []byte
 	tells []byte
-	lends *controlpb.LoanAsk
-	lent  *controlpb.LoanAnswer
+	lends *controlpb.OnDemandRequest
+	lent  *controlpb.OnDemandResponse
 	loan  int           // which asking for units it is about: a request takes one answer
 	at    time.Duration // when it arrives, true time
 }
 
 // send sends a renewal to the owner.
-func (w *World) send(i int, now time.Duration, ask *controlpb.RightsAsk) {
+func (w *World) send(i int, now time.Duration, ask *controlpb.RenewRequest) {
 	p := w.members[i]
 	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, ask: encode(ask), asks: ask})
 }
@@ -103,11 +103,11 @@
 
 // deliverRights passes the answer to a renewal to its process.
 func (w *World) deliverRights(p *process, m message) {
-	var a controlpb.RightsAnswer
+	var a controlpb.RenewResponse
 	if err := proto.Unmarshal(m.tells, &a); err != nil {
 		panic(err)
 	}
-	if p.holder.Answer(p.at(w.now), m.sent, 0, m.asks, &a) {
+	if p.holder.HandleRenewal(p.at(w.now), m.sent, 0, m.asks, &a) {
 		w.renew(m.to)
 	}
 }
@@ -119,12 +119,12 @@
 	}
 	p.answered[m.loan] = true
 	now := p.at(w.now)
-	by := m.sent + w.rules.LoanSpan
-	if !m.lent.Lent || now >= by {
+	by := m.sent + w.rules.UseTimeout
+	if !m.lent.Granted || now >= by {
 		return
 	}
 	if w.quiet == 0 && w.often(8) {
-		p.holder.Return(now, m.lends.Budget, m.lends.Units)
+		p.holder.Release(now, m.lends.Budget, m.lends.Units)
 		w.use(m.lends.Budget, -m.lends.Units)
 		return
 	}
@@ -135,11 +135,11 @@
 func (w *World) serve(o *owner, m message) {
 	back := message{to: m.from, boot: m.boot, sent: m.sent, asks: m.asks, lends: m.lends, loan: m.loan}
 	if m.lends != nil {
-		if back.lent = o.owner.Lend(o.at(w.now), m.lends); back.lent.Lent {
+		if back.lent = o.owner.GrantOnDemand(o.at(w.now), m.lends); back.lent.Granted {
 			w.use(m.lends.Budget, m.lends.Units) // its use may come Rules.LoanSpan later
 		}
 	} else {
-		var ask controlpb.RightsAsk
+		var ask controlpb.RenewRequest
 		if err := proto.Unmarshal(m.ask, &ask); err != nil {
 			panic(err)
 		}
--- a/sim/allocation/owner.go
+++ b/sim/allocation/owner.go
@@ -16,7 +16,7 @@
 	clock
 	me      lease.Member
 	term    uint64
-	owner   *allocation.Owner
+	owner   *allocation.Leader
 	until   time.Duration // it holds the duty till then, by its clock
 	stopped bool
 	round   *controlpb.Round // proposed, without an answer
@@ -44,11 +44,11 @@
 	if len(w.owners) > 3 {
 		w.owners = w.owners[1:]
 	}
-	var books controlpb.Books
+	var books controlpb.Ledger
 	if err := proto.Unmarshal(w.log.Query(0, []byte(allocation.RoleOfShard(0))), &books); err != nil {
 		panic(err)
 	}
-	own, err := allocation.NewOwner(o.at(w.now), w.rules, allocation.RoleOfShard(0), o.term, &books)
+	own, err := allocation.NewLeader(o.at(w.now), w.rules, allocation.RoleOfShard(0), o.term, &books)
 	if err != nil {
 		panic(err)
 	}
@@ -96,7 +96,7 @@
 	if r.OK {
 		o.owner.Committed(o.at(w.now))
 	} else {
-		o.owner.Refused(o.at(w.now))
+		o.owner.Rejected(o.at(w.now))
 	}
 	o.round = nil
 }
--- a/sim/allocation/price.go
+++ b/sim/allocation/price.go
@@ -32,7 +32,7 @@
 	Seed  uint64
 	Trip  time.Duration // there and back
 	For   time.Duration
-	Rules allocation.Rules
+	Rules allocation.Config
 	Each  int // customers of each plan
 }
 
@@ -96,13 +96,13 @@
 	const step = ms
 	rules := p.Rules
 	if s == Parts {
-		rules.Reserve = 0
+		rules.PoolFraction = 0
 	}
 	if s == Loans {
-		rules.Parting = math.Inf(1)
+		rules.MinBurstRequests = math.Inf(1)
 	}
 	rights := s == Parts || s == Lending || s == Loans
-	owner, err := allocation.NewOwner(0, rules, allocation.RoleOfShard(0), 1, &controlpb.Books{})
+	owner, err := allocation.NewLeader(0, rules, allocation.RoleOfShard(0), 1, &controlpb.Ledger{})
 	if err != nil {
 		panic(err)
 	}
@@ -130,7 +130,7 @@
 	type sent struct {
 		at, sent time.Duration
 		member   int
-		ask      *controlpb.RightsAsk
+		ask      *controlpb.RenewRequest
 	}
 	var renewals []sent
 	var waits []pending
@@ -140,11 +140,11 @@
 	for now := time.Duration(0); now < warm+p.For; now += step {
 		if rights {
 			for i, h := range holders {
-				if (now+time.Duration(i)*37*ms)%rules.Every == 0 {
+				if (now+time.Duration(i)*37*ms)%rules.RenewInterval == 0 {
 					if now < warm {
-						h.Ask(now, 1, b.whole, b.spread, 0.001)
+						h.RecordDemand(now, 1, b.whole, b.spread, 0.001)
 					}
-					renewals = append(renewals, sent{now + p.Trip/2, now, i, h.Renewal(now, 0)})
+					renewals = append(renewals, sent{now + p.Trip/2, now, i, h.RenewRequest(now, 0)})
 				}
 			}
 			kept := renewals[:0]
@@ -153,7 +153,7 @@
 					kept = append(kept, a)
 					continue
 				}
-				holders[a.member].Answer(now, a.sent, 0, a.ask, owner.Renew(now, a.ask)) // the way back is left out: it is hardly ever waited for
+				holders[a.member].HandleRenewal(now, a.sent, 0, a.ask, owner.Renew(now, a.ask)) // the way back is left out: it is hardly ever waited for
 			}
 			renewals = kept
 			if committed >= 0 && now >= committed {
@@ -191,14 +191,14 @@
 			switch {
 			case rights:
 				h := holders[m]
-				h.Ask(now, 1, b.whole, b.spread, units)
-				if lacks := units - h.Level(now, 1); lacks <= 0 {
-					h.Take(now, 1, units)
+				h.RecordDemand(now, 1, b.whole, b.spread, units)
+				if lacks := units - h.Available(now, 1); lacks <= 0 {
+					h.Consume(now, 1, units)
 					served += units
 				} else if s != Parts {
 					loans++
 					if lacks < units {
-						h.Take(now, 1, units-lacks) // no other request counts on them meanwhile
+						h.Consume(now, 1, units-lacks) // no other request counts on them meanwhile
 					}
 					waits = append(waits, pending{now + p.Trip, m, units, math.Min(lacks, units)})
 				}
@@ -222,7 +222,7 @@
 }
 
 // back is when the answer to an asking for units, or the request moved, arrives. It gives the units served.
-func (p Price) back(s Scheme, owner *allocation.Owner, holders []*allocation.Holder, level func(time.Duration, int) *meter, w pending, b buyer, now time.Duration) float64 {
+func (p Price) back(s Scheme, owner *allocation.Leader, holders []*allocation.Holder, level func(time.Duration, int) *meter, w pending, b buyer, now time.Duration) float64 {
 	switch s {
 	case Direct, Moved:
 		best, most := -1, 0.0
@@ -245,12 +245,12 @@
 		return 0
 	}
 	h := holders[w.member]
-	a := owner.Lend(now, &controlpb.LoanAsk{Role: allocation.RoleOfShard(0), Budget: 1, Units: w.lent, Spread: uint32(b.spread),
-		Whole: &controlpb.Share{Rate: b.whole.Rate, Burst: b.whole.Burst}})
-	if a.Lent {
+	a := owner.GrantOnDemand(now, &controlpb.OnDemandRequest{Role: allocation.RoleOfShard(0), Budget: 1, Units: w.lent, MaxMembers: uint32(b.spread),
+		Limit: &controlpb.Share{Rate: b.whole.Rate, Burst: b.whole.Burst}})
+	if a.Granted {
 		return w.units
 	}
-	h.Refused(now, 1, w.units)
-	h.Take(now, 1, w.lent-w.units)
+	h.RecordRejected(now, 1, w.units)
+	h.Consume(now, 1, w.lent-w.units)
 	return 0
 }
--- a/sim/allocation/process.go
+++ b/sim/allocation/process.go
@@ -61,18 +61,18 @@
 	}
 	id, units := uint64(1+w.choose(len(w.wholes))), float64(1+w.choose(4))
 	now := p.at(w.now)
-	p.holder.Ask(now, id, w.wholes[id], len(w.members), units)
-	level := p.holder.Level(now, id)
+	p.holder.RecordDemand(now, id, w.wholes[id], len(w.members), units)
+	level := p.holder.Available(now, id)
 	if level >= units {
-		p.holder.Take(now, id, units)
-		p.hands = append(p.hands, loan{id, units, p.holder.Until(now, id), now})
+		p.holder.Consume(now, id, units)
+		p.hands = append(p.hands, loan{id, units, p.holder.UseBy(now, id), now})
 		w.use(id, units) // its use may come Rules.LoanSpan later, which is the stated slack
 		return
 	}
 	p.asked++
-	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, loan: p.asked, lends: &controlpb.LoanAsk{Role: allocation.RoleOfShard(0),
-		Member: &controlpb.Member{Id: p.me.ID, Incarnation: p.me.Incarnation}, Budget: id, Units: units, Spread: uint32(len(w.members)),
-		Whole: &controlpb.Share{Rate: w.wholes[id].Rate, Burst: w.wholes[id].Burst}}})
+	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, loan: p.asked, lends: &controlpb.OnDemandRequest{Role: allocation.RoleOfShard(0),
+		Member: &controlpb.Member{Id: p.me.ID, Incarnation: p.me.Incarnation}, Budget: id, Units: units, MaxMembers: uint32(len(w.members)),
+		Limit: &controlpb.Share{Rate: w.wholes[id].Rate, Burst: w.wholes[id].Burst}}})
 }
 
 // act has a process use what it has taken first, after a last look at its clock.
@@ -83,7 +83,7 @@
 	}
 	h := p.hands[0]
 	p.hands = p.hands[1:]
-	if now := p.at(w.now); now < h.by && h.by > h.at+w.rules.LoanSpan {
+	if now := p.at(w.now); now < h.by && h.by > h.at+w.rules.UseTimeout {
 		w.breach("late_use", "taken at %v, and used at %v", h.at, now)
 	}
 }
@@ -95,6 +95,6 @@
 		return
 	}
 	now := p.at(w.now)
-	ask := p.holder.Renewal(now, 0)
+	ask := p.holder.RenewRequest(now, 0)
 	w.send(i, now, ask)
 }
--- a/sim/allocation/world.go
+++ b/sim/allocation/world.go
@@ -38,7 +38,7 @@
 type World struct {
 	choose  Choose
 	now     time.Duration // true time
-	rules   allocation.Rules
+	rules   allocation.Config
 	ticks   int
 	mild    int // so many times fewer faults
 	log     *allocation.Machine
@@ -63,9 +63,9 @@
 }
 
 // rules are the defaults, with shorter spans: all of them end in a play.
-func rules() allocation.Rules {
-	r := allocation.Defaults()
-	r.Span, r.FloorSpan, r.Forget = 1500*ms, 5*time.Second, 4*time.Second
+func rules() allocation.Config {
+	r := allocation.DefaultConfig()
+	r.TTL, r.ReservedTTL, r.IdleTimeout = 1500*ms, 5*time.Second, 4*time.Second
 	return r
 }
 
