--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -69,12 +69,14 @@
 	Exports   string            `toml:"exports"` // "": no use is counted
 	Shards    int               `toml:"shards"`
 	Period    Duration          `toml:"period"`
-	Watch     bool              `toml:"watch"`  // one gateway watches Consul for all
-	Silent    Duration          `toml:"silent"` // not heard for so long, a gateway watches by itself
-	Zone      string            `toml:"zone"`   // where this gateway runs; "": near to no voter
-	Region    string            `toml:"region"`
-	ChangeLog int               `toml:"change_log"` // changes that a voter keeps for replicas
-	Owners    []string          `toml:"owners"`     // gateways that may hold duties, by name; empty: all
+	Watch     bool              `toml:"watch"` // one gateway watches Consul for all
+	// not heard for so long, a gateway watches by itself
+	Silent    Duration `toml:"silent"`
+	Zone      string   `toml:"zone"` // where this gateway runs; "": near to no voter
+	Region    string   `toml:"region"`
+	ChangeLog int      `toml:"change_log"` // changes that a voter keeps for replicas
+	// gateways that may hold duties, by name; empty: all
+	Owners []string `toml:"owners"`
 }
 
 // Voter is a gateway that votes on what is agreed.
@@ -132,7 +134,8 @@
 
 // Register is where the list of servers comes from.
 type Register struct {
-	Source        string   `toml:"source"` // platform, consul, consul+platform or platform+consul: the first one wins
+	// platform, consul, consul+platform or platform+consul: the first one wins
+	Source        string   `toml:"source"`
 	Agents        []string `toml:"agents"`
 	TLS           bool     `toml:"tls"`
 	CAFile        string   `toml:"ca_file"`
@@ -171,18 +174,59 @@
 	return Settings{
 		State:    State{Every: Duration(time.Second), Oldest: Duration(time.Minute)},
 		HandOver: HandOver{ReadyWithin: Duration(10 * time.Second)},
-		Auth: Auth{Classes: []string{}, Plans: []string{}, PassUnknown: []string{}, Headers: map[string]string{},
-			Budget: Duration(200 * time.Millisecond), Timeout: Duration(2 * time.Second),
-			AllowFor: Duration(10 * time.Second), AllowMost: Duration(5 * time.Minute), DenyFor: Duration(2 * time.Second),
-			StaleFor: Duration(5 * time.Second), MostCalls: 32, MostWaiting: 2000, MostKept: 10000,
-			Fails: 5, OpenFor: Duration(time.Second), OpenMost: Duration(30 * time.Second)},
-		Register: Register{Source: "platform", Agents: []string{"127.0.0.1:8500"}, Mode: "default", Wait: Duration(5 * time.Second),
-			Catalogue: true, Hold: Duration(5 * time.Minute), ResetAfter: 3, Skew: Duration(5 * time.Second)},
-		Fleet: Fleet{Folder: "fleet", Voters: []Voter{}, Addresses: map[string]string{}, Owners: []string{}, Span: Duration(time.Second), Margin: 0.125,
-			Offer: Duration(500 * time.Millisecond), Tick: Duration(40 * time.Millisecond), Keep: 4096, Shards: 1, Period: Duration(5 * time.Second),
-			Silent: Duration(time.Second), ChangeLog: 100_000},
-		Budgets:  Budgets{Shards: 1, Span: Duration(3 * time.Second), FloorSpan: Duration(time.Minute), Floor: 0.3, Reserve: 0.5, Every: Duration(200 * time.Millisecond)},
-		Versions: Versions{Span: Duration(10 * time.Second), Every: Duration(500 * time.Millisecond), Settle: Duration(time.Second), Patience: Duration(15 * time.Second)},
+		Auth: Auth{Classes: []string{},
+			Plans:       []string{},
+			PassUnknown: []string{},
+			Headers:     map[string]string{},
+			Budget:      Duration(200 * time.Millisecond),
+			Timeout:     Duration(2 * time.Second),
+			AllowFor:    Duration(10 * time.Second),
+			AllowMost:   Duration(5 * time.Minute),
+			DenyFor:     Duration(2 * time.Second),
+			StaleFor:    Duration(5 * time.Second),
+			MostCalls:   32,
+			MostWaiting: 2000,
+			MostKept:    10000,
+			Fails:       5,
+			OpenFor:     Duration(time.Second),
+			OpenMost:    Duration(30 * time.Second)},
+		Register: Register{Source: "platform",
+			Agents: []string{
+				"127.0.0.1:8500",
+			},
+			Mode:       "default",
+			Wait:       Duration(5 * time.Second),
+			Catalogue:  true,
+			Hold:       Duration(5 * time.Minute),
+			ResetAfter: 3,
+			Skew:       Duration(5 * time.Second)},
+		Fleet: Fleet{Folder: "fleet",
+			Voters:    []Voter{},
+			Addresses: map[string]string{},
+			Owners:    []string{},
+			Span:      Duration(time.Second),
+			Margin:    0.125,
+			Offer:     Duration(500 * time.Millisecond),
+			Tick:      Duration(40 * time.Millisecond),
+			Keep:      4096,
+			Shards:    1,
+			Period:    Duration(5 * time.Second),
+			Silent:    Duration(time.Second),
+			ChangeLog: 100_000},
+		Budgets: Budgets{
+			Shards:    1,
+			Span:      Duration(3 * time.Second),
+			FloorSpan: Duration(time.Minute),
+			Floor:     0.3,
+			Reserve:   0.5,
+			Every:     Duration(200 * time.Millisecond),
+		},
+		Versions: Versions{
+			Span:     Duration(10 * time.Second),
+			Every:    Duration(500 * time.Millisecond),
+			Settle:   Duration(time.Second),
+			Patience: Duration(15 * time.Second),
+		},
 	}
 }
 
@@ -209,7 +253,8 @@
 	switch {
 	case errors.As(err, &strict) && len(strict.Errors) > 0:
 		row, _ := strict.Errors[0].Position()
-		return Settings{}, fmt.Errorf("%d: %s: no such setting", row, strings.Join(strict.Errors[0].Key(), "."))
+		return Settings{}, fmt.Errorf("%d: %s: no such setting",
+			row, strings.Join(strict.Errors[0].Key(), "."))
 	case errors.As(err, &decode):
 		row, _ := decode.Position()
 		why := strings.TrimPrefix(decode.Error(), "toml: ")
@@ -239,7 +284,10 @@
 	for _, c := range []struct{ key, why string }{
 		{"state.every", within(s.State.Every, 50*time.Millisecond, time.Minute)},
 		{"state.oldest", within(s.State.Oldest, time.Second, time.Hour)},
-		{"handover.ready_within", within(s.HandOver.ReadyWithin, 100*time.Millisecond, 10*time.Minute)},
+		{
+			"handover.ready_within",
+			within(s.HandOver.ReadyWithin, 100*time.Millisecond, 10*time.Minute),
+		},
 		{"auth.budget", within(s.Auth.Budget, time.Millisecond, 10*time.Second)},
 		{"auth.timeout", within(s.Auth.Timeout, 10*time.Millisecond, time.Minute)},
 		{"auth.allow_for", within(s.Auth.AllowFor, 0, 24*time.Hour)},
@@ -266,12 +314,21 @@
 		{"fleet.shards", count(s.Fleet.Shards, 1, 256)},
 		{"budgets.shards", count(s.Budgets.Shards, 1, 256)},
 		{"budgets.span", within(s.Budgets.Span, time.Second, 10*time.Minute)},
-		{"budgets.floor_span", within(s.Budgets.FloorSpan, time.Duration(s.Budgets.Span), 24*time.Hour)},
+		{
+			"budgets.floor_span",
+			within(s.Budgets.FloorSpan, time.Duration(s.Budgets.Span), 24*time.Hour),
+		},
 		{"versions.span", within(s.Versions.Span, time.Second, 10*time.Minute)},
-		{"versions.every", within(s.Versions.Every, 10*time.Millisecond, time.Duration(s.Versions.Span)/4)},
+		{
+			"versions.every",
+			within(s.Versions.Every, 10*time.Millisecond, time.Duration(s.Versions.Span)/4),
+		},
 		{"versions.settle", within(s.Versions.Settle, 0, 24*time.Hour)},
 		{"versions.patience", within(s.Versions.Patience, time.Second, 24*time.Hour)},
-		{"budgets.every", within(s.Budgets.Every, 10*time.Millisecond, time.Duration(s.Budgets.Span)/4)},
+		{
+			"budgets.every",
+			within(s.Budgets.Every, 10*time.Millisecond, time.Duration(s.Budgets.Span)/4),
+		},
 	} {
 		if c.why != "" {
 			return c.key, c.why
@@ -295,7 +352,8 @@
 	}
 	switch r := &s.Register; {
 	case !slices.Contains(Sources, r.Source):
-		return "register.source", fmt.Sprintf("%q: one of %s wanted", r.Source, strings.Join(Sources, ", "))
+		return "register.source", fmt.Sprintf("%q: one of %s wanted",
+			r.Source, strings.Join(Sources, ", "))
 	case !slices.Contains([]string{"default", "stale", "consistent"}, r.Mode):
 		return "register.mode", fmt.Sprintf("%q: default, stale or consistent wanted", r.Mode)
 	case r.Source != "platform" && r.Service == "":
@@ -306,9 +364,11 @@
 		return "auth.classes", "none, though auth.url is set: nothing would ever be asked"
 	case (s.Auth.SecretFile == "") != (s.Auth.SecretHeader == ""):
 		return "auth.secret_file", "goes with auth.secret_header: both or neither"
-	case s.State.File != "" && filepath.Base(s.State.File) != strings.TrimSpace(filepath.Base(s.State.File)):
+	case s.State.File != "" &&
+		filepath.Base(s.State.File) != strings.TrimSpace(filepath.Base(s.State.File)):
 		return "state.file", "a name that ends in a space"
-	case s.Record.Refusals != "" && (s.Record.Refusals == s.State.File || s.Record.Refusals == s.HandOver.PIDFile):
+	case s.Record.Refusals != "" &&
+		(s.Record.Refusals == s.State.File || s.Record.Refusals == s.HandOver.PIDFile):
 		return "record.refusals", "the same file as another setting's"
 	case s.State.Oldest < s.State.Every:
 		return "state.oldest", "less than state.every: no state would ever be used"
@@ -350,7 +410,8 @@
 		case seen[v.Name]:
 			return "fleet.voters", fmt.Sprintf("%s twice", v.Name)
 		case err != nil:
-			return "fleet.voters", fmt.Sprintf("%s: address %q: HOST:PORT wanted", v.Name, v.Address)
+			return "fleet.voters", fmt.Sprintf("%s: address %q: HOST:PORT wanted",
+				v.Name, v.Address)
 		}
 		seen[v.Name] = true
 	}
@@ -380,7 +441,8 @@
 			in = strings.Trim(line, "[] ")
 		}
 		left, _, ok := strings.Cut(line, "=")
-		if left = strings.TrimSpace(left); ok && (in == table && left == name || in == "" && left == key) {
+		if left = strings.TrimSpace(left); ok &&
+			(in == table && left == name || in == "" && left == key) {
 			return i + 1
 		}
 	}
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -24,9 +24,37 @@
 		t.Fatal(err)
 	}
 	for _, key := range []string{"file", "every", "oldest", "on", "pid_file", "ready_within", "url",
-		"classes", "plans", "pass_unknown", "budget", "timeout", "allow_for", "allow_most", "deny_for", "stale_for", "most_calls", "most_waiting",
-		"most_kept", "fails", "open_for", "open_most", "headers", "secret_header", "secret_file", "tokens_file", "ca_file",
-		"source", "agents", "tls", "token_file", "service", "datacenter", "namespace", "filter", "mode", "wait", "catalogue",
+		"classes",
+		"plans",
+		"pass_unknown",
+		"budget",
+		"timeout",
+		"allow_for",
+		"allow_most",
+		"deny_for",
+		"stale_for",
+		"most_calls",
+		"most_waiting",
+		"most_kept",
+		"fails",
+		"open_for",
+		"open_most",
+		"headers",
+		"secret_header",
+		"secret_file",
+		"tokens_file",
+		"ca_file",
+		"source",
+		"agents",
+		"tls",
+		"token_file",
+		"service",
+		"datacenter",
+		"namespace",
+		"filter",
+		"mode",
+		"wait",
+		"catalogue",
 		"warning_serves", "hold", "reset_after", "skew", "refusals"} {
 		if !strings.Contains(string(raw), "\n"+key+" = ") {
 			t.Errorf("%s is not in the shipped file", key)
@@ -35,7 +63,9 @@
 }
 
 func TestWhatIsSetIsTaken(t *testing.T) {
-	s, err := Parse([]byte("[state]\nfile = \"/x/state\"\nevery = \"250ms\"\n[handover]\non = true\npid_file = \"/x/pid\"\n"))
+	s, err := Parse([]byte(
+		"[state]\nfile = \"/x/state\"\nevery = \"250ms\"\n[handover]\non = true\npid_file = \"/x/pid\"\n",
+	))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,10 +103,23 @@
 		{"[register]\nwait = \"1ms\"\n", "2: register.wait: 1ms"},
 		{"[fleet]\non = true\n", "1: fleet.name: missing"},
 		{fleetHead + "voters = []\n", "5: fleet.voters: none"},
-		{fleetHead + "voters = [{ name = \"a\", address = \"h:1\" }, { name = \"b\", address = \"h:2\" }]\n", "5: fleet.voters: 2: 1, 3, 5 or 7"},
-		{fleetHead + "voters = [{ name = \"a\", address = \"h\" }]\n", "5: fleet.voters: a: address \"h\""},
-		{fleetHead + "voters = [{ name = \"a\", address = \"h:1\", weight = 3 }]\n", "5: fleet.weight: no such setting"},
-		{fleetHead + "voters = [{ name = \"a\", address = \"h:1\" }]\nwatch = true\n", "6: fleet.watch: set though"},
+		{
+			fleetHead +
+				"voters = [{ name = \"a\", address = \"h:1\" }, { name = \"b\", address = \"h:2\" }]\n",
+			"5: fleet.voters: 2: 1, 3, 5 or 7",
+		},
+		{
+			fleetHead + "voters = [{ name = \"a\", address = \"h\" }]\n",
+			"5: fleet.voters: a: address \"h\"",
+		},
+		{
+			fleetHead + "voters = [{ name = \"a\", address = \"h:1\", weight = 3 }]\n",
+			"5: fleet.weight: no such setting",
+		},
+		{
+			fleetHead + "voters = [{ name = \"a\", address = \"h:1\" }]\nwatch = true\n",
+			"6: fleet.watch: set though",
+		},
 		{"[fleet]\nspan = \"1ms\"\n", "2: fleet.span: 1ms: from"},
 		{"[fleet]\nmargin = -0.1\n", "2: fleet.margin: -0.1"},
 		{"[fleet]\nmargin = nan\n", "2: fleet.margin: NaN"},
@@ -85,7 +128,8 @@
 		{"\n\n= 1", "3:"},
 	} {
 		_, err := Parse([]byte(c.text))
-		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if err == nil || !strings.HasPrefix(err.Error(), c.want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want %q", c.text, err, c.want)
 		}
 	}
--- a/internal/controlplane/configstate/configstate.go
+++ b/internal/controlplane/configstate/configstate.go
@@ -1,10 +1,13 @@
-// Package configstate decides how the content of a configuration version travels as its difference to another version.
+// Package configstate decides how the content of a configuration version travels as its difference
+// to another version.
 //
-// A content is a file of an item, for example the plans of all tenants. Its identity is the SHA-256 digest of its bytes,
-// which the fleet agrees on (package versions). A Codec reads it as keyed records and writes the records back as the same
-// bytes. So a process that has one content gets another as the records that differ: by a delta where the server knows
-// both, and otherwise by the buckets of records whose sums differ. What results is written back and counts only if its
-// bytes come to the agreed digest. Without any content, or where too much differs, the bytes travel whole.
+// A content is a file of an item, for example the plans of all tenants. Its identity is the SHA-256
+// digest of its bytes, which the fleet agrees on (package versions). A Codec reads it as keyed
+// records and writes the records back as the same bytes. So a process that has one content gets
+// another as the records that differ: by a delta where the server knows both, and otherwise by the
+// buckets of records whose sums differ. What results is written back and counts only if its bytes
+// come to the agreed digest. Without any content, or where too much differs, the bytes travel
+// whole.
 //
 // Nothing here does I/O.
 package configstate
@@ -18,13 +21,13 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// Codec reads the contents of one item as records and writes them. Its methods may be called concurrently, and must not
-// change a state.
+// Codec reads the contents of one item as records and writes them. Its methods may be called
+// concurrently, and must not change a state.
 type Codec interface {
 	// Decode reads a content. Its error names the place that can't be read.
 	Decode(raw []byte) (*distribution.State, error)
-	// Encode writes records as a content: the same bytes for the same records, whatever was read before. It returns an
-	// error for records that are no content of the item.
+	// Encode writes records as a content: the same bytes for the same records, whatever was read
+	// before. It returns an error for records that are no content of the item.
 	Encode(state *distribution.State) ([]byte, error)
 }
 
@@ -34,8 +37,8 @@
 	Size   int64  // of its bytes
 	State  *distribution.State
 
-	// Canonical tells that Encode gives the content's bytes. Another content, which an older program has proposed as a
-	// person wrote it, can't be made of its records and travels whole.
+	// Canonical tells that Encode gives the content's bytes. Another content, which an older
+	// program has proposed as a person wrote it, can't be made of its records and travels whole.
 	Canonical bool
 }
 
@@ -77,7 +80,8 @@
 	return &Version{Digest(raw), int64(len(raw)), state, true}, raw, nil
 }
 
-// buildAs is build where the digest is known beforehand. It returns a DigestMismatchError for another result.
+// buildAs is build where the digest is known beforehand. It returns a DigestMismatchError for
+// another result.
 func buildAs(codec Codec, state *distribution.State, digest string) (*Version, []byte, error) {
 	v, raw, err := build(codec, state)
 	if err != nil {
@@ -103,10 +107,12 @@
 type DigestMismatchError struct{ Want, Got string }
 
 func (e *DigestMismatchError) Error() string {
-	return fmt.Sprintf("configuration: the records come to digest %.12s instead of %.12s", e.Got, e.Want)
+	return fmt.Sprintf("configuration: the records come to digest %.12s instead of %.12s",
+		e.Got, e.Want)
 }
 
-// WrongBaseError is returned for a delta to another content than the one at hand, or between others than asked for.
+// WrongBaseError is returned for a delta to another content than the one at hand, or between others
+// than asked for.
 type WrongBaseError struct{ Have, Got string }
 
 func (e *WrongBaseError) Error() string {
--- a/internal/controlplane/configstate/serve.go
+++ b/internal/controlplane/configstate/serve.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// maxDeltaShare is what part of a content's size a delta may have. A larger one saves too little.
+	// maxDeltaShare is what part of a content's size a delta may have. A larger one saves too
+	// little.
 	maxDeltaShare = 0.5
 	// maxBucketBytes is about how many bytes of records one answer has.
 	maxBucketBytes = 512 << 10
@@ -14,10 +15,12 @@
 	maxBases = 8
 )
 
-// AnswerDelta is what a server that has a content sends to a process that has some bases: a delta from the first of them
-// that find returns, or the sums of all buckets; neither where the content has to travel whole. find returns nil for a
-// content that is not here.
-func AnswerDelta(target *Version, bases []string, find func(digest string) *Version) *controlpb.ContentDeltaResponse {
+// AnswerDelta is what a server that has a content sends to a process that has some bases: a delta
+// from the first of them that find returns, or the sums of all buckets; neither where the content
+// has to travel whole. find returns nil for a content that is not here.
+func AnswerDelta(
+	target *Version, bases []string, find func(digest string) *Version,
+) *controlpb.ContentDeltaResponse {
 	if !target.Canonical || len(bases) == 0 {
 		return &controlpb.ContentDeltaResponse{}
 	}
@@ -27,7 +30,9 @@
 		}
 	}
 	return &controlpb.ContentDeltaResponse{Sums: &controlpb.ContentSums{
-		Digest: target.Digest, State: target.State.Digest().Encode(), Sums: target.State.Sums().Encode(),
+		Digest: target.Digest,
+		State:  target.State.Digest().Encode(),
+		Sums:   target.State.Sums().Encode(),
 	}}
 }
 
@@ -45,8 +50,8 @@
 	}}
 }
 
-// AnswerBuckets gives some buckets of a content in the order in which they were asked for, as many as fit in one answer
-// and one at least.
+// AnswerBuckets gives some buckets of a content in the order in which they were asked for, as many
+// as fit in one answer and one at least.
 func AnswerBuckets(v *Version, indexes []uint32) *controlpb.ContentBucketsResponse {
 	answer := &controlpb.ContentBucketsResponse{}
 	size := 0
--- a/internal/controlplane/distribution/admission.go
+++ b/internal/controlplane/distribution/admission.go
@@ -23,7 +23,9 @@
 // admit lets a stream in, or tells after which time it is to come back. Each one that is sent away
 // is given a later slot, as far apart as the rate takes for a resync of so many bytes, and jitter
 // of one such distance.
-func (a *admission) admit(now time.Duration, id StreamID, bytes int, random *rand.Rand) (after time.Duration, ok bool) {
+func (a *admission) admit(
+	now time.Duration, id StreamID, bytes int, random *rand.Rand,
+) (after time.Duration, ok bool) {
 	active := 0
 	for _, since := range a.admittedAt {
 		if now-since < a.settings.ResyncSlotTimeout {
@@ -37,7 +39,8 @@
 	spacing := max(a.duration(bytes), time.Millisecond)
 	a.nextSlot = max(a.nextSlot, now) + spacing
 	a.nextSlot = min(a.nextSlot, now+a.settings.MaxRetryDelay)
-	after = a.nextSlot - now + time.Duration(random.Int64N(int64(max(spacing, a.settings.MinRetryDelay))))
+	after = a.nextSlot - now +
+		time.Duration(random.Int64N(int64(max(spacing, a.settings.MinRetryDelay))))
 	return min(max(after, a.settings.MinRetryDelay), a.settings.MaxRetryDelay), false
 }
 
@@ -46,7 +49,9 @@
 
 // duration is how long bytes take at the rate.
 func (a *admission) duration(bytes int) time.Duration {
-	return time.Duration(float64(bytes) / float64(a.settings.BulkBytesPerSecond) * float64(time.Second))
+	return time.Duration(
+		float64(bytes) / float64(a.settings.BulkBytesPerSecond) * float64(time.Second),
+	)
 }
 
 // refill adds what the rate gave since.
--- a/internal/controlplane/distribution/bench_test.go
+++ b/internal/controlplane/distribution/bench_test.go
@@ -19,9 +19,14 @@
 // sizeServer is a server as a register of that size has it.
 func sizeServer(n int, phase distributionpb.Phase, started int64) Change {
 	raw, err := proto.Marshal(&distributionpb.ServerRecord{
-		Address: fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255), Zone: fmt.Sprintf("south-%d", n%4),
-		Cell: int32(n % 12), Phase: phase, Size: 1 + float64(n%4)/2, StartedMs: 1_800_000_000_000 + started,
-		Service: fmt.Sprintf("service-%03d", n%480), Region: "south",
+		Address:   fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255),
+		Zone:      fmt.Sprintf("south-%d", n%4),
+		Cell:      int32(n % 12),
+		Phase:     phase,
+		Size:      1 + float64(n%4)/2,
+		StartedMs: 1_800_000_000_000 + started,
+		Service:   fmt.Sprintf("service-%03d", n%480),
+		Region:    "south",
 	})
 	if err != nil {
 		panic(err)
@@ -37,7 +42,8 @@
 	}
 	for n := range tenants {
 		value := fmt.Appendf(nil, "plan-%03d rate=%d burst=%d", n%40, 100+n%900, 200+n%900)
-		changes = append(changes, Change{Record: Record{KindTenant, fmt.Sprintf("tenant-%06d", n), value}})
+		changes = append(changes,
+			Change{Record: Record{KindTenant, fmt.Sprintf("tenant-%06d", n), value}})
 	}
 	s := NewState()
 	s.advance(testEpoch, changes)
@@ -60,7 +66,13 @@
 			n := 0
 			for b.Loop() {
 				n++
-				s.advance(0, []Change{sizeServer(n%sizeServers, distributionpb.Phase_PHASE_READY, int64(n+1_000_000))})
+				s.advance(
+					0,
+					[]Change{
+						sizeServer(n%sizeServers, distributionpb.Phase_PHASE_READY,
+							int64(n+1_000_000)),
+					},
+				)
 			}
 		})
 		d := state.Clone().advance(0, drainOne(17))
@@ -164,7 +176,10 @@
 				if err := p.Open(0, id); err != nil {
 					b.Fatal(err)
 				}
-				resume := &distributionpb.Resume{Fleet: testFleet, Position: state.Position().Proto()}
+				resume := &distributionpb.Resume{
+					Fleet:    testFleet,
+					Position: state.Position().Proto(),
+				}
 				if err := p.Received(0, id, resumeRequest(resume)); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -40,7 +40,9 @@
 }
 
 func (b *bucket) find(key *Record) (int, bool) {
-	return slices.BinarySearchFunc(b.records, key, func(r Record, key *Record) int { return compareKeys(&r, key) })
+	return slices.BinarySearchFunc(b.records, key, func(r Record, key *Record) int {
+		return compareKeys(&r, key)
+	})
 }
 
 // put carries a change out on a bucket that is in no State yet.
--- a/internal/controlplane/distribution/changelog_test.go
+++ b/internal/controlplane/distribution/changelog_test.go
@@ -12,7 +12,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		s.advance(testEpoch, drawChanges(t))
-		bounds := LogBounds{Entries: rapid.IntRange(1, 12).Draw(t, "entries"), Bytes: rapid.IntRange(200, 4000).Draw(t, "bytes")}
+		bounds := LogBounds{
+			Entries: rapid.IntRange(1, 12).Draw(t, "entries"),
+			Bytes:   rapid.IntRange(200, 4000).Draw(t, "bytes"),
+		}
 		log := NewChangeLog(s.Position(), bounds)
 		history := []*State{s.Clone()}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
@@ -31,7 +34,8 @@
 			at := old.Position()
 			d, ok := log.Since(at.Revision)
 			if reached := at.Revision >= log.Base().Revision; ok != reached {
-				t.Fatalf("revision %d is answered for %t, the log begins at %d", at.Revision, ok, log.Base().Revision)
+				t.Fatalf("revision %d is answered for %t, the log begins at %d",
+					at.Revision, ok, log.Base().Revision)
 			}
 			if !ok {
 				continue
@@ -76,7 +80,9 @@
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
 	log := NewChangeLog(s.Position(), DefaultLogBounds())
-	for _, c := range []Change{ready("a", 2), draining("b"), deleted("a"), ready("c", 1), deleted("b"), ready("b", 9)} {
+	for _, c := range []Change{
+		ready("a", 2), draining("b"), deleted("a"), ready("c", 1), deleted("b"), ready("b", 9),
+	} {
 		log.Append(s.advance(0, []Change{c}))
 	}
 	d, ok := log.Since(1)
--- a/internal/controlplane/distribution/delta.go
+++ b/internal/controlplane/distribution/delta.go
@@ -30,7 +30,11 @@
 // Proto gives the delta as a message. It shares the values' bytes.
 func (d *Delta) Proto() *distributionpb.Delta {
 	return &distributionpb.Delta{
-		Epoch: d.Epoch, From: d.From, To: d.To, Changes: ChangesProto(d.Changes), Digest: d.Digest.Encode(),
+		Epoch:   d.Epoch,
+		From:    d.From,
+		To:      d.To,
+		Changes: ChangesProto(d.Changes),
+		Digest:  d.Digest.Encode(),
 	}
 }
 
@@ -67,7 +71,12 @@
 	messages := make([]*distributionpb.Change, len(changes))
 	for i := range changes {
 		c := &changes[i]
-		messages[i] = &distributionpb.Change{Kind: c.Kind, Id: c.ID, Value: c.Value, Deleted: c.Deleted}
+		messages[i] = &distributionpb.Change{
+			Kind:    c.Kind,
+			Id:      c.ID,
+			Value:   c.Value,
+			Deleted: c.Deleted,
+		}
 	}
 	return messages
 }
--- a/internal/controlplane/distribution/digest.go
+++ b/internal/controlplane/distribution/digest.go
@@ -29,7 +29,9 @@
 // DecodeDigest reads what Encode wrote; an InvalidMessageError where the length is another.
 func DecodeDigest(raw []byte) (Digest, error) {
 	if len(raw) != DigestBytes {
-		return Digest{}, &InvalidMessageError{"digest", fmt.Sprintf("%d bytes instead of %d", len(raw), DigestBytes)}
+		return Digest{}, &InvalidMessageError{
+			"digest", fmt.Sprintf("%d bytes instead of %d", len(raw), DigestBytes),
+		}
 	}
 	return Digest{binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])}, nil
 }
--- a/internal/controlplane/distribution/errors.go
+++ b/internal/controlplane/distribution/errors.go
@@ -13,7 +13,8 @@
 type WrongRevisionError struct{ Have, From, To uint64 }
 
 func (e *WrongRevisionError) Error() string {
-	return fmt.Sprintf("distribution: a delta from revision %d to %d does not fit a state at %d", e.From, e.To, e.Have)
+	return fmt.Sprintf("distribution: a delta from revision %d to %d does not fit a state at %d",
+		e.From, e.To, e.Have)
 }
 
 // DigestMismatchError is returned where the content does not come to the digest that was announced.
@@ -26,9 +27,11 @@
 
 func (e *DigestMismatchError) Error() string {
 	if e.OfBuckets {
-		return fmt.Sprintf("distribution: bucket %d comes to %s, which is not its sum at %s", e.Bucket, e.Got, e.Position)
+		return fmt.Sprintf("distribution: bucket %d comes to %s, which is not its sum at %s",
+			e.Bucket, e.Got, e.Position)
 	}
-	return fmt.Sprintf("distribution: the content comes to digest %s instead of %s", e.Got, e.Position)
+	return fmt.Sprintf("distribution: the content comes to digest %s instead of %s",
+		e.Got, e.Position)
 }
 
 // WrongBaseError is returned for the first command of a term that is a difference to another
@@ -37,7 +40,8 @@
 type WrongBaseError struct{ Have, Got Position }
 
 func (e *WrongBaseError) Error() string {
-	return fmt.Sprintf("distribution: a term begins with a difference to %s, the state is at %s", e.Got, e.Have)
+	return fmt.Sprintf("distribution: a term begins with a difference to %s, the state is at %s",
+		e.Got, e.Have)
 }
 
 // DivergenceError is reported where two states at one revision have different digests. It names a
@@ -45,7 +49,8 @@
 type DivergenceError struct{ Mine, Theirs Position }
 
 func (e *DivergenceError) Error() string {
-	return fmt.Sprintf("distribution: two states at one revision: %s here, %s there", e.Mine, e.Theirs)
+	return fmt.Sprintf("distribution: two states at one revision: %s here, %s there",
+		e.Mine, e.Theirs)
 }
 
 // WrongFleetError is returned for a message of another fleet.
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -93,7 +93,10 @@
 // state: what an earlier owner said last may have come in after the new one had looked.
 func (m *Machine) checkBase(base *distributionpb.Position) error {
 	if base.GetEpoch() == 0 {
-		return &InvalidMessageError{"command", "the first of a term has to be the whole state, or to say what it is a difference to"}
+		return &InvalidMessageError{
+			"command",
+			"the first of a term has to be the whole state, or to say what it is a difference to",
+		}
 	}
 	at, err := PositionFromProto(base)
 	if err != nil {
@@ -119,7 +122,9 @@
 	if command.Whole {
 		for i := range newest {
 			if newest[i].Deleted {
-				return nil, &InvalidRecordError{newest[i].Kind, newest[i].ID, "it is deleted in a whole state"}
+				return nil, &InvalidRecordError{
+					newest[i].Kind, newest[i].ID, "it is deleted in a whole state",
+				}
 			}
 		}
 	}
@@ -158,8 +163,11 @@
 // Snapshot writes the machine: the same bytes for the same state.
 func (m *Machine) Snapshot() []byte {
 	return encode(&distributionpb.Snapshot{
-		Position: m.state.Position().Proto(), Term: m.term, OwnerId: m.owner.ID, OwnerIncarnation: m.owner.Incarnation,
-		Records: recordsProto(m.state),
+		Position:         m.state.Position().Proto(),
+		Term:             m.term,
+		OwnerId:          m.owner.ID,
+		OwnerIncarnation: m.owner.Incarnation,
+		Records:          recordsProto(m.state),
 	})
 }
 
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -28,7 +28,12 @@
 var watcher = lease.Member{ID: "g-1", Incarnation: 1}
 
 func command(term, epoch uint64, whole bool, changes ...Change) []byte {
-	return encode(&distributionpb.Command{Term: term, Epoch: epoch, Whole: whole, Changes: ChangesProto(changes)})
+	return encode(&distributionpb.Command{
+		Term:    term,
+		Epoch:   epoch,
+		Whole:   whole,
+		Changes: ChangesProto(changes),
+	})
 }
 
 func newTestMachine() (*Machine, *testFence, *[]Update) {
@@ -88,7 +93,8 @@
 			Term: term, Epoch: testEpoch, Base: base.Proto(), Changes: ChangesProto(changes),
 		})))
 	}
-	if answer := begin(1, m.State().Position(), ready("a", 1)); !strings.Contains(answer, "whole state") {
+	if answer := begin(1, m.State().Position(),
+		ready("a", 1)); !strings.Contains(answer, "whole state") {
 		t.Errorf("a lineage begins with a difference: %q", answer)
 	}
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
@@ -98,7 +104,8 @@
 	other := m.State().Position()
 	other.Digest.Low++
 	for _, base := range []Position{old, other} {
-		if answer := begin(2, base, draining("a")); !strings.Contains(answer, "a term begins with a difference to") {
+		if answer := begin(2, base, draining("a")); !strings.Contains(answer,
+			"a term begins with a difference to") {
 			t.Errorf("%v is taken: %q", base, answer)
 		}
 	}
@@ -108,7 +115,8 @@
 	if answer := begin(2, m.State().Position(), draining("a")); answer != "" {
 		t.Errorf("refused: %s", answer)
 	}
-	if last := (*updates)[len(*updates)-1]; last.Term != 2 || len(last.Delta.Changes) != 1 || last.Delta.To != 3 {
+	if last := (*updates)[len(*updates)-1]; last.Term != 2 || len(last.Delta.Changes) != 1 ||
+		last.Delta.To != 3 {
 		t.Errorf("%+v", last)
 	}
 }
@@ -120,7 +128,8 @@
 		t.Helper()
 		before := m.Snapshot()
 		told := len(*updates)
-		if answer := string(m.Apply(0, 0, watcher, body)); !strings.Contains(answer, why) || answer == "" {
+		if answer := string(m.Apply(0, 0, watcher, body)); !strings.Contains(answer, why) ||
+			answer == "" {
 			t.Errorf("%q does not say %q", answer, why)
 		}
 		if !bytes.Equal(before, m.Snapshot()) || len(*updates) != told {
--- a/internal/controlplane/distribution/position.go
+++ b/internal/controlplane/distribution/position.go
@@ -15,7 +15,9 @@
 }
 
 // String gives epoch, revision and digest.
-func (p Position) String() string { return fmt.Sprintf("%d/%d (%s)", p.Epoch, p.Revision, p.Digest) }
+func (p Position) String() string {
+	return fmt.Sprintf("%d/%d (%s)", p.Epoch, p.Revision, p.Digest)
+}
 
 // Compare orders positions by epoch, then by revision: negative where p is the earlier one. It does
 // not look at digests.
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -142,7 +142,8 @@
 		if s.phase == phaseAhead && s.position.Compare(p.position) > 0 {
 			return
 		}
-		if s.phase == phaseAhead || s.position.Epoch != p.position.Epoch || s.position.Revision > p.position.Revision {
+		if s.phase == phaseAhead || s.position.Epoch != p.position.Epoch ||
+			s.position.Revision > p.position.Revision {
 			p.route(now, s, false)
 		}
 	}
@@ -280,7 +281,9 @@
 	}
 	for i, index := range m.Buckets {
 		if index >= BucketCount || i > 0 && index <= m.Buckets[i-1] {
-			return &InvalidMessageError{"fetch", fmt.Sprintf("bucket %d is none, or out of order", index)}
+			return &InvalidMessageError{
+				"fetch", fmt.Sprintf("bucket %d is none, or out of order", index),
+			}
 		}
 	}
 	s.pendingBuckets, s.phase = m.Buckets, phaseBuckets
--- a/internal/controlplane/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -25,7 +25,11 @@
 }
 
 func (p *Publisher) heartbeat(now time.Duration) *Message {
-	m := &distributionpb.Heartbeat{Fleet: p.settings.Fleet, Position: p.position.Proto(), Term: p.term}
+	m := &distributionpb.Heartbeat{
+		Fleet:    p.settings.Fleet,
+		Position: p.position.Proto(),
+		Term:     p.term,
+	}
 	if p.sourceHeard {
 		m.SourceAgeNs = uint64(now - p.sourceHeardAt)
 	} else {
--- a/internal/controlplane/distribution/publisher_settings.go
+++ b/internal/controlplane/distribution/publisher_settings.go
@@ -31,9 +31,17 @@
 // DefaultPublisherSettings serve 620 replicas from five servers, or from any one of them.
 func DefaultPublisherSettings(fleet string) PublisherSettings {
 	return PublisherSettings{
-		Fleet: fleet, Log: DefaultLogBounds(),
-		MaxStreams: 4096, MergeWindow: 50 * time.Millisecond, HeartbeatInterval: 500 * time.Millisecond,
-		MaxResyncs: 8, ResyncSlotTimeout: 5 * time.Second, MinRetryDelay: 100 * time.Millisecond, MaxRetryDelay: 20 * time.Second,
-		BulkBytesPerSecond: 32 << 20, BulkBurstBytes: 1 << 20, BulkMessageBytes: 4 << 10,
+		Fleet:              fleet,
+		Log:                DefaultLogBounds(),
+		MaxStreams:         4096,
+		MergeWindow:        50 * time.Millisecond,
+		HeartbeatInterval:  500 * time.Millisecond,
+		MaxResyncs:         8,
+		ResyncSlotTimeout:  5 * time.Second,
+		MinRetryDelay:      100 * time.Millisecond,
+		MaxRetryDelay:      20 * time.Second,
+		BulkBytesPerSecond: 32 << 20,
+		BulkBurstBytes:     1 << 20,
+		BulkMessageBytes:   4 << 10,
 	}
 }
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -23,7 +23,11 @@
 		edit(&settings)
 	}
 	state := stateOf(changes...)
-	return &serving{T: t, state: state, publisher: NewPublisher(settings, state.Clone(), testRandom())}
+	return &serving{
+		T:         t,
+		state:     state,
+		publisher: NewPublisher(settings, state.Clone(), testRandom()),
+	}
 }
 
 // change publishes a change.
@@ -48,7 +52,15 @@
 
 func (s *serving) resume(id StreamID, at Position, repair bool) {
 	s.Helper()
-	err := s.receive(id, resumeRequest(&distributionpb.Resume{Fleet: testFleet, Replica: fmt.Sprint(id), Position: at.Proto(), Repair: repair}))
+	err := s.receive(
+		id,
+		resumeRequest(&distributionpb.Resume{
+			Fleet:    testFleet,
+			Replica:  fmt.Sprint(id),
+			Position: at.Proto(),
+			Repair:   repair,
+		}),
+	)
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -131,7 +143,8 @@
 	if len(sends) != 1 {
 		t.Fatal("an urgent change waits")
 	}
-	if d := sends[0].Message.Response.GetDelta(); len(d.Changes) != 2 || d.Changes[0].Id != "b" || d.To != 5 {
+	if d := sends[0].Message.Response.GetDelta(); len(d.Changes) != 2 || d.Changes[0].Id != "b" ||
+		d.To != 5 {
 		t.Errorf("%v", d)
 	}
 }
@@ -176,7 +189,8 @@
 // A resume past the log, of another epoch, for a repair, or of another digest is answered by
 // digests; one that fits by the changes since.
 func TestPublisherAnswersResumes(t *testing.T) {
-	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries, p.MaxResyncs = 2, 100 }, ready("a", 1))
+	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries, p.MaxResyncs = 2, 100 },
+		ready("a", 1))
 	var positions []Position
 	for n := range 5 {
 		positions = append(positions, s.state.Position())
@@ -234,7 +248,8 @@
 		t.Fatalf("%v", sends)
 	}
 	s.change(deleted("a"))
-	if sends := s.drain(); len(sends) != 1 || sends[0].Message.Response.GetDelta().GetFrom() != ahead.revision {
+	if sends := s.drain(); len(sends) != 1 ||
+		sends[0].Message.Response.GetDelta().GetFrom() != ahead.revision {
 		t.Errorf("%v", sends)
 	}
 }
@@ -255,7 +270,8 @@
 		if r := send.Message.Response.GetRetry(); r != nil {
 			retries++
 			after := time.Duration(r.AfterNs)
-			if after < s.publisher.settings.MinRetryDelay || after > s.publisher.settings.MaxRetryDelay {
+			if after < s.publisher.settings.MinRetryDelay ||
+				after > s.publisher.settings.MaxRetryDelay {
 				t.Errorf("come back after %v", after)
 			}
 			last = max(last, after)
@@ -300,7 +316,8 @@
 	}
 	for s.now < 3*time.Second {
 		s.drain()
-		allowed := float64(burst) + s.now.Seconds()*rate + float64(s.publisher.settings.BulkMessageBytes+100)
+		allowed := float64(burst) + s.now.Seconds()*rate +
+			float64(s.publisher.settings.BulkMessageBytes+100)
 		if sent := s.publisher.Counts().BulkBytes; float64(sent) > allowed {
 			t.Fatalf("%d bytes in %v", sent, s.now)
 		}
@@ -336,7 +353,8 @@
 		t.Fatalf("%v", sends)
 	}
 	h := sends[0].Message.Response.GetHeartbeat()
-	if h.Term != 4 || time.Duration(h.SourceAgeNs) != s.publisher.settings.HeartbeatInterval || h.Fleet != testFleet {
+	if h.Term != 4 || time.Duration(h.SourceAgeNs) != s.publisher.settings.HeartbeatInterval ||
+		h.Fleet != testFleet {
 		t.Errorf("%v", h)
 	}
 }
@@ -368,8 +386,22 @@
 	}{
 		{"another fleet", resumeRequest(&distributionpb.Resume{Fleet: "green"}), &fleet},
 		{"nothing", &distributionpb.WatchRequest{}, &message},
-		{"a short digest", resumeRequest(&distributionpb.Resume{Fleet: testFleet, Position: &distributionpb.Position{Epoch: 1}}), &message},
-		{"a revision without epoch", resumeRequest(&distributionpb.Resume{Fleet: testFleet, Position: &distributionpb.Position{Revision: 1}}), &message},
+		{
+			"a short digest",
+			resumeRequest(&distributionpb.Resume{
+				Fleet:    testFleet,
+				Position: &distributionpb.Position{Epoch: 1},
+			}),
+			&message,
+		},
+		{
+			"a revision without epoch",
+			resumeRequest(&distributionpb.Resume{
+				Fleet:    testFleet,
+				Position: &distributionpb.Position{Revision: 1},
+			}),
+			&message,
+		},
 		{"no such bucket", fetchRequest(at, []uint32{BucketCount}), &message},
 		{"a bucket twice", fetchRequest(at, []uint32{1, 1}), &message},
 	} {
--- a/internal/controlplane/distribution/rank_test.go
+++ b/internal/controlplane/distribution/rank_test.go
@@ -10,7 +10,8 @@
 	var servers []Server
 	for i, zone := range []string{"s1", "s1", "s2", "n1", "n2"} {
 		region := map[byte]string{'s': "south", 'n': "north"}[zone[0]]
-		servers = append(servers, Server{ID: fmt.Sprintf("control-%d", i), Place: Place{Zone: zone, Region: region}})
+		servers = append(servers,
+			Server{ID: fmt.Sprintf("control-%d", i), Place: Place{Zone: zone, Region: region}})
 	}
 	return servers
 }
@@ -39,7 +40,9 @@
 		ranked := Rank(id, Place{}, servers)
 		first := ranked[0]
 		shares[first.ID]++
-		lost := slices.DeleteFunc(slices.Clone(servers), func(s Server) bool { return s.ID == "control-2" })
+		lost := slices.DeleteFunc(slices.Clone(servers), func(s Server) bool {
+			return s.ID == "control-2"
+		})
 		if now := Rank(id, Place{}, lost)[0]; first.ID != "control-2" && now != first {
 			t.Fatalf("%s moved from %s to %s", id, first.ID, now.ID)
 		} else if first.ID == "control-2" && now != ranked[1] {
--- a/internal/controlplane/distribution/record.go
+++ b/internal/controlplane/distribution/record.go
@@ -80,7 +80,8 @@
 	case len(c.ID) > MaxIDBytes:
 		return invalid(fmt.Sprintf("its id has %d bytes, more than %d", len(c.ID), MaxIDBytes))
 	case len(c.Value) > MaxValueBytes:
-		return invalid(fmt.Sprintf("its value has %d bytes, more than %d", len(c.Value), MaxValueBytes))
+		return invalid(fmt.Sprintf("its value has %d bytes, more than %d",
+			len(c.Value), MaxValueBytes))
 	case c.Deleted && len(c.Value) > 0:
 		return invalid("it is deleted and has a value")
 	case c.Kind == KindServer && !c.Deleted:
--- a/internal/controlplane/distribution/repair.go
+++ b/internal/controlplane/distribution/repair.go
@@ -32,7 +32,9 @@
 func DecodeSums(raw []byte) (Sums, error) {
 	count := len(raw) / DigestBytes
 	if count == 0 || count > BucketCount || len(raw)%DigestBytes != 0 {
-		return nil, &InvalidMessageError{"digests", fmt.Sprintf("%d bytes are not the sums of buckets", len(raw))}
+		return nil, &InvalidMessageError{
+			"digests", fmt.Sprintf("%d bytes are not the sums of buckets", len(raw)),
+		}
 	}
 	sums := make(Sums, count)
 	for i := range sums {
@@ -103,7 +105,12 @@
 		return err
 	}
 	if b.sum != r.sums[index] {
-		return &DigestMismatchError{Position: r.target, Got: b.sum, OfBuckets: true, Bucket: int32(index)}
+		return &DigestMismatchError{
+			Position:  r.target,
+			Got:       b.sum,
+			OfBuckets: true,
+			Bucket:    int32(index),
+		}
 	}
 	r.buckets[index] = b
 	delete(r.missing, index)
@@ -119,10 +126,14 @@
 			return nil, err
 		}
 		if bucketIndex(records[i].Kind, records[i].ID) != m.GetIndex() {
-			return nil, &InvalidMessageError{"bucket", fmt.Sprintf("%q is not of bucket %d", records[i].ID, m.GetIndex())}
+			return nil, &InvalidMessageError{
+				"bucket", fmt.Sprintf("%q is not of bucket %d", records[i].ID, m.GetIndex()),
+			}
 		}
 		if i > 0 && compareKeys(&records[i-1], &records[i]) >= 0 {
-			return nil, &InvalidMessageError{"bucket", fmt.Sprintf("%q is out of order", records[i].ID)}
+			return nil, &InvalidMessageError{
+				"bucket", fmt.Sprintf("%q is out of order", records[i].ID),
+			}
 		}
 	}
 	return newBucket(records), nil
@@ -133,7 +144,9 @@
 // position's digest.
 func (r *Repair) Finish() (*State, error) {
 	if len(r.missing) > 0 {
-		return nil, &InvalidMessageError{"buckets", fmt.Sprintf("%d of them are missing", len(r.missing))}
+		return nil, &InvalidMessageError{
+			"buckets", fmt.Sprintf("%d of them are missing", len(r.missing)),
+		}
 	}
 	s := r.partial()
 	s.epoch, s.revision = r.target.Epoch, r.target.Revision
--- a/internal/controlplane/distribution/repair_test.go
+++ b/internal/controlplane/distribution/repair_test.go
@@ -47,7 +47,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got.Position() != source.Position() || !maps.Equal(content(got), content(source)) || got.Bytes() != source.Bytes() {
+		if got.Position() != source.Position() || !maps.Equal(content(got), content(source)) ||
+			got.Bytes() != source.Bytes() {
 			t.Fatalf("%v instead of %v", got.Position(), source.Position())
 		}
 		if !maps.Equal(content(behind), before) {
@@ -78,11 +79,30 @@
 		want   any
 	}{
 		{"one that keeps a deleted record", &distributionpb.Bucket{Index: index}, &wrongSum},
-		{"one that was not asked for", &distributionpb.Bucket{Index: (index + 1) % BucketCount}, &message},
+		{
+			"one that was not asked for",
+			&distributionpb.Bucket{Index: (index + 1) % BucketCount},
+			&message,
+		},
 		{"one of no index", &distributionpb.Bucket{Index: BucketCount}, &message},
-		{"another's record", &distributionpb.Bucket{Index: index, Records: bucketMessage(source, elsewhere).Records}, &message},
-		{"a record twice", &distributionpb.Bucket{Index: index, Records: append(a.Records, a.Records...)}, &message},
-		{"an unreadable record", &distributionpb.Bucket{Index: index, Records: []*distributionpb.Record{{Kind: KindServer, Id: "a", Value: []byte{0xff}}}}, &record},
+		{
+			"another's record",
+			&distributionpb.Bucket{Index: index, Records: bucketMessage(source, elsewhere).Records},
+			&message,
+		},
+		{
+			"a record twice",
+			&distributionpb.Bucket{Index: index, Records: append(a.Records, a.Records...)},
+			&message,
+		},
+		{
+			"an unreadable record",
+			&distributionpb.Bucket{
+				Index:   index,
+				Records: []*distributionpb.Record{{Kind: KindServer, Id: "a", Value: []byte{0xff}}},
+			},
+			&record,
+		},
 	} {
 		if err := repair.Put(test.bucket); !errors.As(err, test.want) {
 			t.Errorf("%s: %v", test.name, err)
@@ -156,7 +176,8 @@
 // formed.
 func FuzzDecode(f *testing.F) {
 	s := NewState()
-	first := s.advance(testEpoch, []Change{ready("a", 1), {Record: Record{KindPlan, "p", []byte("x")}}})
+	first := s.advance(testEpoch,
+		[]Change{ready("a", 1), {Record: Record{KindPlan, "p", []byte("x")}}})
 	f.Add(first.Encode())
 	f.Add(s.advance(0, []Change{draining("a"), deleted("b")}).Encode())
 	f.Add(EncodeStateFile("blue", s))
@@ -164,12 +185,14 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if d, err := DecodeDelta(raw); err != nil {
 			requireTyped(t, err)
-		} else if again, err := DecodeDelta(d.Encode()); err != nil || again.Position() != d.Position() {
+		} else if again, err := DecodeDelta(d.Encode()); err != nil ||
+			again.Position() != d.Position() {
 			t.Errorf("it does not round trip: %v", err)
 		}
 		if got, err := DecodeStateFile("blue", raw); err != nil {
 			requireTyped(t, err)
-		} else if again, err := DecodeStateFile("blue", EncodeStateFile("blue", got)); err != nil || again.Position() != got.Position() {
+		} else if again, err := DecodeStateFile("blue",
+			EncodeStateFile("blue", got)); err != nil || again.Position() != got.Position() {
 			t.Errorf("it does not round trip: %v", err)
 		}
 		var b distributionpb.Bucket
--- a/internal/controlplane/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -164,7 +164,8 @@
 	r.attempt++
 	r.server, r.phase, r.connectStartedAt, r.lastMessageAt = server, replicaConnecting, now, now
 	r.resumesWithoutProgress, r.behindSince, r.announced = 0, never, Position{}
-	r.returnAt = now + r.settings.ReturnInterval/2 + time.Duration(r.random.Int64N(int64(r.settings.ReturnInterval)+1))
+	r.returnAt = now + r.settings.ReturnInterval/2 +
+		time.Duration(r.random.Int64N(int64(r.settings.ReturnInterval)+1))
 	r.emit(Connect{r.attempt, server})
 }
 
--- a/internal/controlplane/distribution/replica_receive.go
+++ b/internal/controlplane/distribution/replica_receive.go
@@ -85,7 +85,8 @@
 		return
 	}
 	r.announced = theirs
-	if theirs == mine && (r.phase == replicaLive || r.phase == replicaResuming && len(r.sums) == 0) {
+	if theirs == mine &&
+		(r.phase == replicaLive || r.phase == replicaResuming && len(r.sums) == 0) {
 		r.phase = replicaLive
 		r.recordProgress(now)
 		if r.sourceAge < r.settings.SourceTimeout {
--- a/internal/controlplane/distribution/replica_settings.go
+++ b/internal/controlplane/distribution/replica_settings.go
@@ -35,11 +35,20 @@
 // DefaultReplicaSettings suit DefaultPublisherSettings.
 func DefaultReplicaSettings(fleet, id string) ReplicaSettings {
 	return ReplicaSettings{
-		Fleet: fleet, ID: id,
-		ConnectTimeout: 2 * time.Second, SilenceTimeout: 2 * time.Second, RepairSilenceTimeout: 6 * time.Second,
-		ProgressTimeout: 15 * time.Second, BehindTimeout: time.Second,
-		SourceTimeout: 4 * time.Second, MinBackoff: 100 * time.Millisecond, MaxBackoff: 10 * time.Second,
-		MaxResumes: 4, MaxRetryDelay: time.Minute, RetryJitter: 0.25, ReturnInterval: 5 * time.Minute,
-		PersistInterval: 30 * time.Second,
+		Fleet:                fleet,
+		ID:                   id,
+		ConnectTimeout:       2 * time.Second,
+		SilenceTimeout:       2 * time.Second,
+		RepairSilenceTimeout: 6 * time.Second,
+		ProgressTimeout:      15 * time.Second,
+		BehindTimeout:        time.Second,
+		SourceTimeout:        4 * time.Second,
+		MinBackoff:           100 * time.Millisecond,
+		MaxBackoff:           10 * time.Second,
+		MaxResumes:           4,
+		MaxRetryDelay:        time.Minute,
+		RetryJitter:          0.25,
+		ReturnInterval:       5 * time.Minute,
+		PersistInterval:      30 * time.Second,
 	}
 }
--- a/internal/controlplane/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -96,7 +96,11 @@
 }
 
 func (c *client) heartbeat(at Position) {
-	c.receive(heartbeatMessage(&distributionpb.Heartbeat{Fleet: testFleet, Position: at.Proto(), Term: 1}))
+	c.receive(heartbeatMessage(&distributionpb.Heartbeat{
+		Fleet:    testFleet,
+		Position: at.Proto(),
+		Term:     1,
+	}))
 }
 
 func (c *client) wait(span time.Duration) {
@@ -150,12 +154,14 @@
 func TestReplicaFollows(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
-	if len(c.connects) != 1 || len(c.resumes) != 1 || c.resumes[0].Position.Revision != 1 || c.resumes[0].Repair {
+	if len(c.connects) != 1 || len(c.resumes) != 1 || c.resumes[0].Position.Revision != 1 ||
+		c.resumes[0].Repair {
 		t.Fatalf("%v %v", c.connects, c.resumes)
 	}
 	c.receive(deltaMessage(s.advance(0, []Change{draining("a")})))
 	c.requireAt(s.Position())
-	if len(c.delivered) != 1 || len(c.acks) != 1 || c.acks[0].Revision != 2 || c.delivered[0].Position != s.Position() {
+	if len(c.delivered) != 1 || len(c.acks) != 1 || c.acks[0].Revision != 2 ||
+		c.delivered[0].Position != s.Position() {
 		t.Errorf("%v %v", c.delivered, c.acks)
 	}
 	if age, ok := c.replica.SourceAge(c.now + time.Second); !ok || age != time.Second {
@@ -194,8 +200,20 @@
 		{"a gap", func(d *Delta) { d.From++; d.To++ }, new(*WrongRevisionError), false},
 		{"another epoch", func(d *Delta) { d.Epoch++ }, new(*WrongEpochError), false},
 		{"another digest", func(d *Delta) { d.Digest.Low++ }, new(*DigestMismatchError), true},
-		{"another record", func(d *Delta) { d.Changes = []Change{deleted("a")} }, new(*DigestMismatchError), true},
-		{"an unreadable record", func(d *Delta) { d.Changes = []Change{{Record: Record{KindServer, "a", []byte{0xff}}}} }, new(*InvalidRecordError), true},
+		{
+			"another record",
+			func(d *Delta) { d.Changes = []Change{deleted("a")} },
+			new(*DigestMismatchError),
+			true,
+		},
+		{
+			"an unreadable record",
+			func(d *Delta) {
+				d.Changes = []Change{{Record: Record{KindServer, "a", []byte{0xff}}}}
+			},
+			new(*InvalidRecordError),
+			true,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := stateOf(ready("a", 1))
@@ -246,7 +264,10 @@
 	c.connected()
 	c.receive(retryMessage(uint64(time.Second)))
 	c.heartbeat(s.Position())
-	bad := heartbeatMessage(&distributionpb.Heartbeat{Fleet: testFleet, Position: &distributionpb.Position{Epoch: 1}})
+	bad := heartbeatMessage(&distributionpb.Heartbeat{
+		Fleet:    testFleet,
+		Position: &distributionpb.Position{Epoch: 1},
+	})
 	c.receive(bad) // what can't be read is no reason to come back earlier
 	for range 99 {
 		c.wait(10 * time.Millisecond)
@@ -260,7 +281,8 @@
 		t.Error("it did not come back")
 	}
 	c.receive(retryMessage(1 << 63))
-	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetryDelay || wake > c.replica.settings.MaxRetryDelay*5/4 {
+	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetryDelay ||
+		wake > c.replica.settings.MaxRetryDelay*5/4 {
 		t.Errorf("it waits %v", wake)
 	}
 }
@@ -357,7 +379,8 @@
 	c := liveClient(t, diverged)
 	c.heartbeat(s.Position())
 	var divergence *DivergenceError
-	if len(c.reports) != 1 || !errors.As(c.reports[0], &divergence) || divergence.Mine != diverged.Position() {
+	if len(c.reports) != 1 || !errors.As(c.reports[0], &divergence) ||
+		divergence.Mine != diverged.Position() {
 		t.Fatalf("%v", c.reports)
 	}
 	if !c.resumes[1].Repair {
@@ -432,7 +455,10 @@
 func TestReplicaLeavesAnotherFleet(t *testing.T) {
 	c := newClient(t, NewState())
 	c.connected()
-	c.receive(heartbeatMessage(&distributionpb.Heartbeat{Fleet: "green", Position: NewState().Position().Proto()}))
+	c.receive(heartbeatMessage(&distributionpb.Heartbeat{
+		Fleet:    "green",
+		Position: NewState().Position().Proto(),
+	}))
 	var fleet *WrongFleetError
 	if len(c.left) != 1 || !errors.As(c.left[0], &fleet) || fleet.Got != "green" {
 		t.Fatalf("%v", c.left)
@@ -484,7 +510,8 @@
 		c.connected()
 		c.receive(silent)
 	}
-	if most := int(10*time.Minute/(c.replica.settings.MaxBackoff/2)) + 10; len(c.left) > most || len(c.left) < 10 {
+	if most := int(10*time.Minute/(c.replica.settings.MaxBackoff/2)) +
+		10; len(c.left) > most || len(c.left) < 10 {
 		t.Errorf("it left %d servers, at most %d wanted", len(c.left), most)
 	}
 }
@@ -553,9 +580,14 @@
 	s := stateOf(ready("a", 1), ready("b", 1))
 	next := s.Clone()
 	for _, m := range []*Message{
-		deltaMessage(next.advance(0, []Change{draining("a")})), retryMessage(1), behindMessage(s.Position()),
+		deltaMessage(next.advance(0, []Change{draining("a")})),
+		retryMessage(1),
+		behindMessage(s.Position()),
 		digestsMessage(next.Position(), 0, next.Sums()), bucketsMessage(next.Position(), nil, true),
-		heartbeatMessage(&distributionpb.Heartbeat{Fleet: testFleet, Position: next.Position().Proto()}),
+		heartbeatMessage(&distributionpb.Heartbeat{
+			Fleet:    testFleet,
+			Position: next.Position().Proto(),
+		}),
 	} {
 		f.Add(m.Bytes)
 	}
@@ -585,7 +617,10 @@
 func TestPositionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Position {
-			return Position{Epoch: rapid.Uint64Range(1, 3).Draw(t, name), Revision: rapid.Uint64Range(0, 3).Draw(t, name)}
+			return Position{
+				Epoch:    rapid.Uint64Range(1, 3).Draw(t, name),
+				Revision: rapid.Uint64Range(0, 3).Draw(t, name),
+			}
 		}
 		a, b := draw("a"), draw("b")
 		want := a.Epoch < b.Epoch || a.Epoch == b.Epoch && a.Revision < b.Revision
--- a/internal/controlplane/distribution/size_test.go
+++ b/internal/controlplane/distribution/size_test.go
@@ -12,8 +12,10 @@
 // sums of all buckets and those that differ.
 func TestBytesAtSize(t *testing.T) {
 	full := sizeState(sizeServers, sizeTenants)
-	t.Logf("%d servers and %d tenants: a file of %d bytes", sizeServers, sizeTenants, len(EncodeStateFile(testFleet, full)))
-	t.Logf("%d servers: a file of %d bytes", sizeServers, len(EncodeStateFile(testFleet, sizeState(sizeServers, 0))))
+	t.Logf("%d servers and %d tenants: a file of %d bytes",
+		sizeServers, sizeTenants, len(EncodeStateFile(testFleet, full)))
+	t.Logf("%d servers: a file of %d bytes",
+		sizeServers, len(EncodeStateFile(testFleet, sizeState(sizeServers, 0))))
 	changed := full.Clone()
 	if bytes := len(deltaMessage(changed.advance(0, drainOne(17))).Bytes); bytes >= 400 {
 		t.Errorf("one change is %d bytes", bytes)
--- a/internal/controlplane/distribution/state.go
+++ b/internal/controlplane/distribution/state.go
@@ -97,7 +97,9 @@
 
 // stage works changes out without touching the state.
 func (s *State) stage(changes []Change) *staged {
-	next := &staged{make(map[uint32]*bucket, min(len(changes), BucketCount)), s.total, s.records, s.bytes}
+	next := &staged{
+		make(map[uint32]*bucket, min(len(changes), BucketCount)), s.total, s.records, s.bytes,
+	}
 	for i := range changes {
 		c := &changes[i]
 		index := bucketIndex(c.Kind, c.ID)
--- a/internal/controlplane/distribution/state_test.go
+++ b/internal/controlplane/distribution/state_test.go
@@ -21,7 +21,13 @@
 // server is a server's record. A newer one has another start.
 func server(id string, phase distributionpb.Phase, started int64) Change {
 	raw, err := proto.Marshal(&distributionpb.ServerRecord{
-		Address: "10.0.0.1:6379", Zone: "south-1", Phase: phase, Size: 1, StartedMs: started, Service: "cart", Region: "south",
+		Address:   "10.0.0.1:6379",
+		Zone:      "south-1",
+		Phase:     phase,
+		Size:      1,
+		StartedMs: started,
+		Service:   "cart",
+		Region:    "south",
 	})
 	if err != nil {
 		panic(err)
@@ -107,8 +113,10 @@
 			t.Fatalf("the state has %d records, the model %d", len(got), len(model))
 		}
 		fresh := rebuilt(s, testRandom())
-		if s.Position() != fresh.Position() || s.Len() != fresh.Len() || s.Bytes() != fresh.Bytes() || s.Len() != len(model) {
-			t.Fatalf("%v with %d records, rebuilt %v with %d", s.Position(), s.Len(), fresh.Position(), fresh.Len())
+		if s.Position() != fresh.Position() || s.Len() != fresh.Len() ||
+			s.Bytes() != fresh.Bytes() || s.Len() != len(model) {
+			t.Fatalf("%v with %d records, rebuilt %v with %d",
+				s.Position(), s.Len(), fresh.Position(), fresh.Len())
 		}
 		if !slices.Equal(s.Sums(), fresh.Sums()) {
 			t.Fatal("the buckets' sums depend on the order of changes")
@@ -190,20 +198,71 @@
 		want error
 		text string
 	}{
-		{"another epoch", func(d *Delta) { d.Epoch = 8 }, &WrongEpochError{7, 8}, "epoch 8 instead of 7"},
-		{"an earlier revision", func(d *Delta) { d.From = 0 }, &WrongRevisionError{1, 0, 2}, "from revision 0 to 2 does not fit a state at 1"},
-		{"a later revision", func(d *Delta) { d.From, d.To = 2, 3 }, &WrongRevisionError{1, 2, 3}, "from revision 2 to 3"},
+		{
+			"another epoch",
+			func(d *Delta) { d.Epoch = 8 },
+			&WrongEpochError{7, 8},
+			"epoch 8 instead of 7",
+		},
+		{
+			"an earlier revision",
+			func(d *Delta) { d.From = 0 },
+			&WrongRevisionError{1, 0, 2},
+			"from revision 0 to 2 does not fit a state at 1",
+		},
+		{
+			"a later revision",
+			func(d *Delta) { d.From, d.To = 2, 3 },
+			&WrongRevisionError{1, 2, 3},
+			"from revision 2 to 3",
+		},
 		{"a further target", func(d *Delta) { d.To = 3 }, &DigestMismatchError{}, "instead of 7/3"},
-		{"another record", func(d *Delta) { d.Changes = []Change{draining("b")} }, &DigestMismatchError{}, "instead of 7/2"},
+		{
+			"another record",
+			func(d *Delta) { d.Changes = []Change{draining("b")} },
+			&DigestMismatchError{},
+			"instead of 7/2",
+		},
 		{"no change", func(d *Delta) { d.Changes = nil }, &DigestMismatchError{}, "instead of 7/2"},
-		{"no kind", func(d *Delta) { d.Changes = []Change{{Record: Record{ID: "x"}}} }, &InvalidRecordError{}, `"x": it has no kind`},
-		{"no id", func(d *Delta) { d.Changes = []Change{{Record: Record{Kind: KindPlan}}} }, &InvalidRecordError{}, `it has no id`},
-		{"an unreadable server", func(d *Delta) { d.Changes = []Change{{Record: Record{KindServer, "x", []byte{0xff}}}} }, &InvalidRecordError{}, `"x"`},
-		{"a deleted value", func(d *Delta) { d.Changes = []Change{{Record{KindPlan, "x", []byte{1}}, true}} }, &InvalidRecordError{}, "deleted and has a value"},
+		{
+			"no kind",
+			func(d *Delta) { d.Changes = []Change{{Record: Record{ID: "x"}}} },
+			&InvalidRecordError{},
+			`"x": it has no kind`,
+		},
+		{
+			"no id",
+			func(d *Delta) { d.Changes = []Change{{Record: Record{Kind: KindPlan}}} },
+			&InvalidRecordError{},
+			`it has no id`,
+		},
+		{
+			"an unreadable server",
+			func(d *Delta) {
+				d.Changes = []Change{{Record: Record{KindServer, "x", []byte{0xff}}}}
+			},
+			&InvalidRecordError{},
+			`"x"`,
+		},
+		{
+			"a deleted value",
+			func(d *Delta) { d.Changes = []Change{{Record{KindPlan, "x", []byte{1}}, true}} },
+			&InvalidRecordError{},
+			"deleted and has a value",
+		},
 		{"a long id", func(d *Delta) {
-			d.Changes = []Change{{Record: Record{KindPlan, string(make([]byte, MaxIDBytes+1)), nil}}}
+			d.Changes = []Change{
+				{Record: Record{KindPlan, string(make([]byte, MaxIDBytes+1)), nil}},
+			}
 		}, &InvalidRecordError{}, "513 bytes"},
-		{"a long value", func(d *Delta) { d.Changes = []Change{{Record: Record{KindPlan, "x", make([]byte, MaxValueBytes+1)}}} }, &InvalidRecordError{}, "65537 bytes"},
+		{
+			"a long value",
+			func(d *Delta) {
+				d.Changes = []Change{{Record: Record{KindPlan, "x", make([]byte, MaxValueBytes+1)}}}
+			},
+			&InvalidRecordError{},
+			"65537 bytes",
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := *good
@@ -229,7 +288,13 @@
 // The digest is a part of the protocol and of files on disk: it stays what it is.
 func TestDigestIsPinned(t *testing.T) {
 	s := NewState()
-	s.advance(testEpoch, []Change{{Record: Record{KindPlan, "gold", []byte("1000")}}, {Record: Record{KindTenant, "acme", nil}}})
+	s.advance(
+		testEpoch,
+		[]Change{
+			{Record: Record{KindPlan, "gold", []byte("1000")}},
+			{Record: Record{KindTenant, "acme", nil}},
+		},
+	)
 	const want = "c07eab816a2f835e64659d02e281f0d7"
 	if got := s.Digest().String(); got != want {
 		t.Errorf("the digest is %s, and was %s", got, want)
@@ -243,7 +308,10 @@
 func TestHashesTellKeysFromValues(t *testing.T) {
 	seen := map[Digest]Record{}
 	for _, r := range []Record{
-		{KindPlan, "ab", []byte("c")}, {KindPlan, "a", []byte("bc")}, {KindPlan, "abc", nil}, {KindTenant, "ab", []byte("c")},
+		{KindPlan, "ab", []byte("c")},
+		{KindPlan, "a", []byte("bc")},
+		{KindPlan, "abc", nil},
+		{KindTenant, "ab", []byte("c")},
 	} {
 		h := recordHash(&r)
 		if other, ok := seen[h]; ok {
@@ -274,7 +342,12 @@
 func TestUrgentChangesComeFirst(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("z-gone", 1)})
-	d := s.advance(0, []Change{ready("a", 1), draining("c"), {Record: Record{KindTenant, "b", nil}}, deleted("z-gone")})
+	d := s.advance(
+		0,
+		[]Change{
+			ready("a", 1), draining("c"), {Record: Record{KindTenant, "b", nil}}, deleted("z-gone"),
+		},
+	)
 	var order []string
 	for _, c := range d.Changes {
 		order = append(order, c.ID)
@@ -308,7 +381,8 @@
 // Range gives the records of one kind, and stops where it is told.
 func TestRange(t *testing.T) {
 	s := NewState()
-	s.advance(testEpoch, []Change{ready("a", 1), ready("b", 1), {Record: Record{KindPlan, "p", nil}}})
+	s.advance(testEpoch,
+		[]Change{ready("a", 1), ready("b", 1), {Record: Record{KindPlan, "p", nil}}})
 	count := 0
 	s.Range(KindServer, func(r Record) bool {
 		count++
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -15,7 +15,10 @@
 // checksum.
 func EncodeStateFile(fleet string, s *State) []byte {
 	return encode(&distributionpb.StateFile{
-		Format: stateFileFormat, Fleet: fleet, Position: s.Position().Proto(), Records: recordsProto(s),
+		Format:   stateFileFormat,
+		Fleet:    fleet,
+		Position: s.Position().Proto(),
+		Records:  recordsProto(s),
 	})
 }
 
@@ -28,7 +31,9 @@
 		return nil, &InvalidMessageError{"state file", err.Error()}
 	}
 	if file.Format != stateFileFormat {
-		return nil, &InvalidMessageError{"state file", fmt.Sprintf("format %d instead of %d", file.Format, stateFileFormat)}
+		return nil, &InvalidMessageError{
+			"state file", fmt.Sprintf("format %d instead of %d", file.Format, stateFileFormat),
+		}
 	}
 	if file.Fleet != fleet {
 		return nil, &WrongFleetError{Want: fleet, Got: file.Fleet}
--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -59,7 +59,12 @@
 
 // NewClient makes a client. Run has it begin.
 func NewClient(o ClientOptions) *Client {
-	c := &Client{options: o, file: stateFile{o.File, o.Settings.Fleet}, clock: newClock(), events: make(chan attemptEvent)}
+	c := &Client{
+		options: o,
+		file:    stateFile{o.File, o.Settings.Fleet},
+		clock:   newClock(),
+		events:  make(chan attemptEvent),
+	}
 	c.status.Store(&ReplicaStatus{})
 	return c
 }
@@ -117,7 +122,8 @@
 	}
 	state, err := c.file.load()
 	if err != nil {
-		c.options.Log.Warn("fleet: the control state on disk is refused, and taken anew", "error", err)
+		c.options.Log.Warn("fleet: the control state on disk is refused, and taken anew",
+			"error", err)
 	}
 	if state == nil {
 		return distribution.NewState()
@@ -142,7 +148,8 @@
 	for _, voter := range c.options.Link.Voters() {
 		if voter.Address != "" {
 			place := c.options.Places[voter.Name]
-			servers = append(servers, distribution.Server{ID: voter.Name, Address: voter.Address, Place: place})
+			servers = append(servers,
+				distribution.Server{ID: voter.Name, Address: voter.Address, Place: place})
 		}
 	}
 	c.replica.SetServers(c.clock.now(), servers)
@@ -198,7 +205,8 @@
 	if errors.As(reason, &leave) && leave.Reason == distribution.ReasonPreferredServer {
 		level = slog.LevelDebug
 	}
-	c.options.Log.Log(context.Background(), level, "fleet: another voter is watched", "error", reason)
+	c.options.Log.Log(context.Background(), level, "fleet: another voter is watched",
+		"error", reason)
 }
 
 func (c *Client) cancelAttempt() {
--- a/internal/controlplane/distributor/client_test.go
+++ b/internal/controlplane/distributor/client_test.go
@@ -105,7 +105,9 @@
 		t.Errorf("the file is named %d times:\n%s", n, log.String())
 	}
 	r.stop()
-	if state, err := (stateFile{path, fleet}).load(); err != nil || state.Position() != s.machine.State().Position() {
+	if state, err := (stateFile{
+		path, fleet,
+	}).load(); err != nil || state.Position() != s.machine.State().Position() {
 		t.Errorf("the file was not replaced: %v", err)
 	}
 }
@@ -133,7 +135,9 @@
 // Many replicas that come from nothing at once are let in a few at a time, and all get the state.
 func TestHerdFromNothing(t *testing.T) {
 	const replicas = 100
-	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.MaxResyncs = 2 })
+	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
+		settings.MaxResyncs = 2
+	})
 	for i := range 200 {
 		s.agree(set(fmt.Sprintf("s%d", i), "127.0.0.1:1"))
 	}
--- a/internal/controlplane/distributor/direct.go
+++ b/internal/controlplane/distributor/direct.go
@@ -35,7 +35,9 @@
 func (d *directSources) close(source registry.Source) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.running = slices.DeleteFunc(d.running, func(other registry.Source) bool { return other == source })
+	d.running = slices.DeleteFunc(d.running, func(other registry.Source) bool {
+		return other == source
+	})
 }
 
 // move has the register followed at another address, by all that run and all that are opened later.
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -48,7 +48,11 @@
 	if change != nil {
 		change(&settings)
 	}
-	s := &testServer{Server: NewServer(settings, quiet), t: t, machine: distribution.NewMachine(openFence{})}
+	s := &testServer{
+		Server:  NewServer(settings, quiet),
+		t:       t,
+		machine: distribution.NewMachine(openFence{}),
+	}
 	s.Attach(s.machine)
 	ctx, cancel := context.WithCancel(context.Background())
 	link := controlrpc.NewServer(ctx, fleet, nil, nil)
@@ -123,7 +127,10 @@
 }
 
 func set(id, address string) *distributionpb.Change {
-	value, err := proto.Marshal(&distributionpb.ServerRecord{Address: address, Phase: distributionpb.Phase_PHASE_READY})
+	value, err := proto.Marshal(&distributionpb.ServerRecord{
+		Address: address,
+		Phase:   distributionpb.Phase_PHASE_READY,
+	})
 	if err != nil {
 		panic(err)
 	}
@@ -157,7 +164,9 @@
 }
 
 // clientOptions are of a replica of servers, named by their place in the list.
-func clientOptions(id, file string, silent time.Duration, log *slog.Logger, servers ...*testServer) ClientOptions {
+func clientOptions(
+	id, file string, silent time.Duration, log *slog.Logger, servers ...*testServer,
+) ClientOptions {
 	var voters []*controlpb.Voter
 	for i, s := range servers {
 		voters = append(voters, &controlpb.Voter{Name: string(rune('a' + i)), Address: s.address})
@@ -165,12 +174,16 @@
 	me := lease.Member{ID: id, Incarnation: 1}
 	return ClientOptions{
 		Link:     controlrpc.NewClient(fleet, me, "", voters, nil, log),
-		Settings: NewReplicaSettings(fleet, id, me.Incarnation, distribution.Place{}, silent), File: file, Log: log,
+		Settings: NewReplicaSettings(fleet, id, me.Incarnation, distribution.Place{}, silent),
+		File:     file,
+		Log:      log,
 	}
 }
 
 // newReplica starts a replica of servers.
-func newReplica(t *testing.T, id, file string, log *slog.Logger, servers ...*testServer) *testReplica {
+func newReplica(
+	t *testing.T, id, file string, log *slog.Logger, servers ...*testServer,
+) *testReplica {
 	t.Helper()
 	o := clientOptions(id, file, DefaultSourceTimeout, log, servers...)
 	r := &testReplica{Client: NewClient(o), t: t}
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -112,7 +112,8 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, publishTimeout+publishTimeoutPerByte*time.Duration(len(body)))
+	ctx, cancel := context.WithTimeout(ctx,
+		publishTimeout+publishTimeoutPerByte*time.Duration(len(body)))
 	defer cancel()
 	refusal, err := p.link.Propose(ctx, distribution.MachineName, body)
 	if err == nil && len(refusal) > 0 {
@@ -142,8 +143,12 @@
 
 func newPendingChanges(log *slog.Logger) *pendingChanges {
 	return &pendingChanges{
-		log: log, epoch: uint64(time.Now().UnixNano()), values: map[string][]byte{}, changed: map[string]bool{},
-		firstOfTerm: true, proposed: map[string]bool{},
+		log:         log,
+		epoch:       uint64(time.Now().UnixNano()),
+		values:      map[string][]byte{},
+		changed:     map[string]bool{},
+		firstOfTerm: true,
+		proposed:    map[string]bool{},
 	}
 }
 
--- a/internal/controlplane/distributor/publish_test.go
+++ b/internal/controlplane/distributor/publish_test.go
@@ -13,7 +13,15 @@
 )
 
 func member(id, phase string) registry.Member {
-	return registry.Member{ID: id, HostPort: "127.0.0.1:1", Locality: "z1", Cell: 3, Phase: phase, Size: 1.5, UpSince: 7}
+	return registry.Member{
+		ID:       id,
+		HostPort: "127.0.0.1:1",
+		Locality: "z1",
+		Cell:     3,
+		Phase:    phase,
+		Size:     1.5,
+		UpSince:  7,
+	}
 }
 
 // show gives a command's changes in short.
@@ -65,10 +73,16 @@
 	expect("")
 	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{a}})
 	expect("") // as it was
-	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{member("b", registry.Terminating)}})
+	p.update(registry.News{
+		Kind:    registry.Changed,
+		Members: []registry.Member{member("b", registry.Terminating)},
+	})
 	expect("b=Terminating")
 	p.record(errUnknown)
-	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)}})
+	p.update(registry.News{
+		Kind:    registry.Changed,
+		Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)},
+	})
 	expect("b=Terminating -c") // what is not known to be agreed is said again
 	p.record(nil)
 	p.update(registry.News{Kind: registry.Unheard})
@@ -92,7 +106,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		changes = append(changes, &distributionpb.Change{Kind: distribution.KindServer, Id: m.ID, Value: value})
+		changes = append(changes,
+			&distributionpb.Change{Kind: distribution.KindServer, Id: m.ID, Value: value})
 	}
 	s.agree(changes...)
 	return s.machine.State()
@@ -105,7 +120,12 @@
 	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
 	replica := replicaWith(t, a, b, c)
 	p := newPendingChanges(quiet)
-	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a, member("b", registry.Terminating), member("d", registry.Ready)}})
+	p.update(registry.News{
+		Kind: registry.Whole,
+		Members: []registry.Member{
+			a, member("b", registry.Terminating), member("d", registry.Ready),
+		},
+	})
 	const difference = "b=Terminating -c d=Ready"
 	if got := p.show(t, replica); got != difference {
 		t.Errorf("%q", got)
@@ -150,13 +170,17 @@
 	p := newPendingChanges(logTo(&log))
 	long := strings.Repeat("x", distribution.MaxIDBytes+1)
 	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{
-		member("a", registry.Ready), member("", registry.Ready), member(long, registry.Ready), member("\xff", registry.Ready),
+		member("a", registry.Ready),
+		member("", registry.Ready),
+		member(long, registry.Ready),
+		member("\xff", registry.Ready),
 		{ID: "bad-address", HostPort: "\xff", Phase: registry.Ready},
 	}})
 	if got := p.show(t, nil); got != "whole a=Ready" {
 		t.Errorf("%q", got)
 	}
-	if n := strings.Count(log.String(), "is passed over"); n != 4 || !strings.Contains(log.String(), "bad-address") {
+	if n := strings.Count(log.String(),
+		"is passed over"); n != 4 || !strings.Contains(log.String(), "bad-address") {
 		t.Errorf("%d lines: %s", n, log.String())
 	}
 }
@@ -165,7 +189,9 @@
 func TestPublishDelay(t *testing.T) {
 	d := publishDelay{minDelay: time.Second}
 	now := time.Unix(0, 0)
-	for i, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
+	for i, want := range []time.Duration{
+		time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second,
+	} {
 		d.record(now, errUnknown)
 		if d.until.Sub(now) != want || d.elapsed(now) || !d.elapsed(now.Add(want)) {
 			t.Errorf("failure %d: until %v", i, d.until.Sub(now))
--- a/internal/controlplane/distributor/records.go
+++ b/internal/controlplane/distributor/records.go
@@ -25,7 +25,12 @@
 // an error that names the server for one of which no record can be agreed on.
 func encodeServer(m registry.Member) ([]byte, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&distributionpb.ServerRecord{
-		Address: m.HostPort, Zone: m.Locality, Cell: int32(m.Cell), Phase: phaseOf[m.Phase], Size: m.Size, StartedMs: m.UpSince,
+		Address:   m.HostPort,
+		Zone:      m.Locality,
+		Cell:      int32(m.Cell),
+		Phase:     phaseOf[m.Phase],
+		Size:      m.Size,
+		StartedMs: m.UpSince,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("distribution: record of server %q: %w", m.ID, err)
@@ -48,7 +53,12 @@
 		return registry.Member{}, fmt.Errorf("distribution: record of server %q: %w", id, err)
 	}
 	return registry.Member{
-		ID: id, HostPort: record.Address, Locality: record.Zone, Cell: int(record.Cell), Phase: phaseName[record.Phase],
-		Size: record.Size, UpSince: record.StartedMs,
+		ID:       id,
+		HostPort: record.Address,
+		Locality: record.Zone,
+		Cell:     int(record.Cell),
+		Phase:    phaseName[record.Phase],
+		Size:     record.Size,
+		UpSince:  record.StartedMs,
 	}, nil
 }
--- a/internal/controlplane/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -52,7 +52,9 @@
 }
 
 // Register has a gRPC server answer the service.
-func (s *Server) Register(r grpc.ServiceRegistrar) { distributionpb.RegisterDistributionServer(r, s) }
+func (s *Server) Register(r grpc.ServiceRegistrar) {
+	distributionpb.RegisterDistributionServer(r, s)
+}
 
 // Attach has the server tell of a machine's updates from now on. It is to be called before the
 // machine is used.
@@ -109,7 +111,9 @@
 }
 
 // Watch serves one replica.
-func (s *Server) Watch(stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse]) error {
+func (s *Server) Watch(
+	stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse],
+) error {
 	id, out, err := s.open()
 	if err != nil {
 		return err
@@ -157,7 +161,10 @@
 }
 
 // receive takes in what the replica says until the stream ends.
-func (s *Server) receive(id distribution.StreamID, stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse]) error {
+func (s *Server) receive(
+	id distribution.StreamID,
+	stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse],
+) error {
 	for {
 		request, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
--- a/internal/controlplane/distributor/server_test.go
+++ b/internal/controlplane/distributor/server_test.go
@@ -37,7 +37,8 @@
 	}
 	counts := s.Status().Counts
 	if sent, encoded := counts.Deltas-before.Deltas, counts.Encoded-before.Encoded; sent != replicas*deltas || encoded != deltas {
-		t.Errorf("%d deltas were sent and %d encoded, for %d changes to %d replicas", sent, encoded, deltas, replicas)
+		t.Errorf("%d deltas were sent and %d encoded, for %d changes to %d replicas",
+			sent, encoded, deltas, replicas)
 	}
 	if n := s.Status().Replicas; n != replicas {
 		t.Errorf("%d replicas are served, not %d", n, replicas)
@@ -61,7 +62,10 @@
 
 // A message's bytes go to all streams as they are, without a copy.
 func TestBytesAreShared(t *testing.T) {
-	message := &distribution.Message{Response: &distributionpb.WatchResponse{}, Bytes: []byte("encoded")}
+	message := &distribution.Message{
+		Response: &distributionpb.WatchResponse{},
+		Bytes:    []byte("encoded"),
+	}
 	stream := &recordingStream{}
 	for range 2 {
 		if err := send(stream, message); err != nil {
@@ -78,7 +82,8 @@
 // watch opens a stream by hand.
 func watch(t *testing.T, address string) watchStream {
 	t.Helper()
-	connection, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	connection, err := grpc.NewClient("passthrough:///"+address,
+		grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +142,9 @@
 			continue
 		}
 		fetch := &distributionpb.FetchBuckets{Position: digests.Position}
-		request := &distributionpb.WatchRequest{Request: &distributionpb.WatchRequest_Fetch{Fetch: fetch}}
+		request := &distributionpb.WatchRequest{
+			Request: &distributionpb.WatchRequest_Fetch{Fetch: fetch},
+		}
 		if err := stream.Send(request); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/distributor/settings.go
+++ b/internal/controlplane/distributor/settings.go
@@ -28,7 +28,9 @@
 // NewPublisherSettings are how a voter serves replicas. After a time without news of the source,
 // silent, processes look for themselves; logEntries are the changes that are kept for replicas
 // which resume, 0: as many as by default.
-func NewPublisherSettings(fleet string, silent time.Duration, logEntries int) distribution.PublisherSettings {
+func NewPublisherSettings(
+	fleet string, silent time.Duration, logEntries int,
+) distribution.PublisherSettings {
 	settings := distribution.DefaultPublisherSettings(fleet)
 	settings.HeartbeatInterval = heartbeatInterval(silent)
 	if logEntries > 0 {
@@ -40,7 +42,9 @@
 // NewReplicaSettings are how a process's replica behaves. A stream is left when three heartbeats in
 // a row did not come: so that another server can be heard within the time after which a process
 // looks for itself.
-func NewReplicaSettings(fleet, id string, incarnation uint64, place distribution.Place, silent time.Duration) distribution.ReplicaSettings {
+func NewReplicaSettings(
+	fleet, id string, incarnation uint64, place distribution.Place, silent time.Duration,
+) distribution.ReplicaSettings {
 	settings := distribution.DefaultReplicaSettings(fleet, id)
 	settings.Incarnation, settings.Place = incarnation, place
 	settings.SilenceTimeout = (heartbeatsPerSourceTimeout - 1) * heartbeatInterval(silent)
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -45,7 +45,10 @@
 // NewSource makes a source. Run has it begin.
 func NewSource(o SourceOptions) *Source {
 	return &Source{
-		options: o, direct: &directSources{make: o.Direct}, client: NewClient(o.Client), closing: make(chan struct{}),
+		options: o,
+		direct:  &directSources{make: o.Direct},
+		client:  NewClient(o.Client),
+		closing: make(chan struct{}),
 	}
 }
 
@@ -77,7 +80,11 @@
 // Work watches the register on behalf of the fleet.
 func (s *Source) Work(ctx context.Context, tenure *election.Tenure) {
 	p := registerPublisher{
-		direct: s.direct, link: s.options.Client.Link, replica: s.client.State, heartbeatInterval: heartbeatInterval(s.options.SourceTimeout), log: s.log(),
+		direct:            s.direct,
+		link:              s.options.Client.Link,
+		replica:           s.client.State,
+		heartbeatInterval: heartbeatInterval(s.options.SourceTimeout),
+		log:               s.log(),
 	}
 	p.Work(ctx, tenure)
 }
@@ -211,7 +218,9 @@
 }
 
 // appendMember adds the member that a change is of; other kinds of records are none.
-func (l *listener) appendMember(to []registry.Member, change *distribution.Change) []registry.Member {
+func (l *listener) appendMember(
+	to []registry.Member, change *distribution.Change,
+) []registry.Member {
 	switch {
 	case change.Kind != distribution.KindServer:
 		return to
--- a/internal/controlplane/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -34,7 +34,10 @@
 func (d *directRegister) Run(ctx context.Context, tell func(registry.News)) {
 	d.count(&d.runs)
 	if !d.mute {
-		tell(registry.News{Kind: registry.Whole, Members: []registry.Member{member("own", registry.Ready)}})
+		tell(registry.News{
+			Kind:    registry.Whole,
+			Members: []registry.Member{member("own", registry.Ready)},
+		})
 	}
 	<-ctx.Done()
 	d.count(&d.ended)
@@ -110,11 +113,15 @@
 
 // newTestSource starts a source whose register is asked directly where the fleet's list is not
 // heard.
-func newTestSource(t *testing.T, direct *directRegister, silent time.Duration, file string, s *testServer) (*Source, *told) {
+func newTestSource(
+	t *testing.T, direct *directRegister, silent time.Duration, file string, s *testServer,
+) (*Source, *told) {
 	t.Helper()
 	o := clientOptions("gateway", file, silent, quiet, s)
 	source := NewSource(SourceOptions{
-		Direct: func() (registry.Source, error) { return direct, nil }, Client: o, SourceTimeout: silent,
+		Direct:        func() (registry.Source, error) { return direct, nil },
+		Client:        o,
+		SourceTimeout: silent,
 	})
 	list := &told{}
 	var running sync.WaitGroup
@@ -149,7 +156,9 @@
 // whole again once it hears; what moves, moves then and later.
 func TestSourceWatchesByItself(t *testing.T) {
 	const silent = 400 * time.Millisecond
-	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatInterval = 20 * time.Millisecond })
+	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
+		settings.HeartbeatInterval = 20 * time.Millisecond
+	})
 	direct := &directRegister{}
 	source, list := newTestSource(t, direct, silent, "", s)
 	list.expect(t, "whole own=Ready")
@@ -176,7 +185,9 @@
 // only what has changed meanwhile is told.
 func TestAWatchThatToldNothingChangesNothing(t *testing.T) {
 	const silent = 400 * time.Millisecond
-	s := newTestServer(t, func(settings *distribution.PublisherSettings) { settings.HeartbeatInterval = 20 * time.Millisecond })
+	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
+		settings.HeartbeatInterval = 20 * time.Millisecond
+	})
 	direct := &directRegister{mute: true}
 	_, list := newTestSource(t, direct, silent, "", s)
 	s.agree(set("a", "127.0.0.1:1"))
--- a/internal/controlplane/distributor/status.go
+++ b/internal/controlplane/distributor/status.go
@@ -32,7 +32,10 @@
 func (c *Client) publishStatus() {
 	state := c.replica.State()
 	status := &ReplicaStatus{
-		Position: newPosition(state.Position()), Records: state.Len(), Live: c.replica.Live(), Counts: c.replica.Counts(),
+		Position: newPosition(state.Position()),
+		Records:  state.Len(),
+		Live:     c.replica.Live(),
+		Counts:   c.replica.Counts(),
 	}
 	if server, ok := c.replica.Server(); ok {
 		status.Server = server.ID
--- a/internal/controlplane/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -55,7 +55,8 @@
 // warn names an older voter in the log, once.
 func (s *voterSupport) warn(older string) {
 	if older != "" && older != s.warnedVoter {
-		s.log.Warn("fleet: the list of servers is not distributed: a voter runs an older program", "voter", older)
+		s.log.Warn("fleet: the list of servers is not distributed: a voter runs an older program",
+			"voter", older)
 	}
 	s.warnedVoter = older
 }
--- a/internal/controlplane/distributor/support_test.go
+++ b/internal/controlplane/distributor/support_test.go
@@ -24,9 +24,12 @@
 	var running sync.WaitGroup
 	running.Go(func() { _ = older.Serve(listener) })
 	voters := []*controlpb.Voter{
-		{Name: "new", Address: s.address}, {Name: "older", Address: listener.Addr().String()}, {Name: "other", Address: other.address},
+		{Name: "new", Address: s.address},
+		{Name: "older", Address: listener.Addr().String()},
+		{Name: "other", Address: other.address},
 	}
-	link := controlrpc.NewClient(fleet, lease.Member{ID: "owner", Incarnation: 1}, "", voters, nil, quiet)
+	link := controlrpc.NewClient(fleet, lease.Member{ID: "owner", Incarnation: 1}, "",
+		voters, nil, quiet)
 	defer link.Close()
 	var log logBuffer
 	support := voterSupport{link: link, log: logTo(&log)}
--- a/internal/controlplane/metering/metering.go
+++ b/internal/controlplane/metering/metering.go
@@ -1,9 +1,10 @@
-// Package metering counts the units that a gateway forwards, by tenant and period. A kill at any instruction loses at
-// most the one request that was sent and not yet counted.
+// Package metering counts the units that a gateway forwards, by tenant and period. A kill at any
+// instruction loses at most the one request that was sent and not yet counted.
 //
-// The gateway's loop appends to a ring buffer in a memory-mapped file, which takes some tens of nanoseconds and never
-// blocks. Another goroutine reads it and stores sums together with its read position, so that each record is counted in
-// exactly one period. The next process counts what its predecessor left in the ring buffer.
+// The gateway's loop appends to a ring buffer in a memory-mapped file, which takes some tens of
+// nanoseconds and never blocks. Another goroutine reads it and stores sums together with its read
+// position, so that each record is counted in exactly one period. The next process counts what its
+// predecessor left in the ring buffer.
 package metering
 
 import (
@@ -29,8 +30,8 @@
 // takeInterval is how often the ring is read.
 const takeInterval = 50 * time.Millisecond
 
-// Counter counts the use of one process. Count may be called from one goroutine alone; the other methods may be called
-// from any.
+// Counter counts the use of one process. Count may be called from one goroutine alone; the other
+// methods may be called from any.
 type Counter struct {
 	id     string
 	boot   uint64
@@ -65,8 +66,8 @@
 	Last  bool               `json:"last,omitempty"`
 }
 
-// Keys of the store: the incarnation that ended last, the open period by incarnation, and closed periods by incarnation
-// and number.
+// Keys of the store: the incarnation that ended last, the open period by incarnation, and closed
+// periods by incarnation and number.
 var keyEnded = []byte("ended")
 
 func openKey(boot uint64) []byte { return binary.BigEndian.AppendUint64([]byte{'o'}, boot) }
@@ -75,9 +76,12 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte{'c'}, boot), number)
 }
 
-// Open opens the counts in a folder, creates it where there is none, and closes the period that the process before left
-// open. A period lasts for length. Its errors wrap store.ErrLocked where another process counts there.
-func Open(dir, id string, boot uint64, length time.Duration, log *slog.Logger) (_ *Counter, err error) {
+// Open opens the counts in a folder, creates it where there is none, and closes the period that the
+// process before left open. A period lasts for length. Its errors wrap store.ErrLocked where
+// another process counts there.
+func Open(
+	dir, id string, boot uint64, length time.Duration, log *slog.Logger,
+) (_ *Counter, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -109,19 +113,26 @@
 		return err
 	}
 	if added > left.Taken+c.ring.size {
-		return fmt.Errorf("usecount: the ring of boot %x has %d records, %d of them counted: it does not belong to these counts", boot, added, left.Taken)
+		return fmt.Errorf(
+			"usecount: the ring of boot %x has %d records, %d of them counted: it does not belong to these counts",
+			boot,
+			added,
+			left.Taken,
+		)
 	}
 	for n := left.Taken; n < added; n++ {
 		customer, units := c.ring.record(n)
 		left.Units[customer] += units
 	}
 	if added > left.Taken {
-		c.log.Info("fleet: use of the process before", "boot", fmt.Sprintf("%x", boot), "records", added-left.Taken)
+		c.log.Info("fleet: use of the process before",
+			"boot", fmt.Sprintf("%x", boot), "records", added-left.Taken)
 	}
 	return c.put(boot, &left, true, nil)
 }
 
-// load returns the period that an incarnation left open. Its number is 0 where that has ended, or there was none.
+// load returns the period that an incarnation left open. Its number is 0 where that has ended, or
+// there was none.
 func (c *Counter) load(boot uint64) (p period, err error) {
 	ended, err := c.store.Get(keyEnded)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -146,7 +157,8 @@
 	return p, nil
 }
 
-// put closes a period and, unless it is the last of its incarnation, opens the next in the same batch.
+// put closes a period and, unless it is the last of its incarnation, opens the next in the same
+// batch.
 func (c *Counter) put(boot uint64, p *period, last bool, next *period) error {
 	var b store.Batch
 	raw, err := json.Marshal(closed{p.Begun, time.Now().UnixMicro(), p.Units, last})
@@ -172,7 +184,8 @@
 	return nil
 }
 
-// Count adds units that were forwarded for a tenant. It never blocks, and may be called from one goroutine alone.
+// Count adds units that were forwarded for a tenant. It never blocks, and may be called from one
+// goroutine alone.
 func (c *Counter) Count(customer uint64, units float64) {
 	if !c.ring.add(customer, units, c.taken.Load()) {
 		c.lost.Add(1)
@@ -205,7 +218,12 @@
 	var err error
 	switch {
 	case over:
-		next := period{Number: c.open.Number + 1, Begun: now.UnixMicro(), Taken: c.open.Taken, Units: map[uint64]float64{}}
+		next := period{
+			Number: c.open.Number + 1,
+			Begun:  now.UnixMicro(),
+			Taken:  c.open.Taken,
+			Units:  map[uint64]float64{},
+		}
 		if err = c.put(c.boot, &c.open, false, &next); err == nil {
 			c.open = next
 			more = true
@@ -240,8 +258,8 @@
 	}
 }
 
-// reopen opens the store again after a failure and goes on from what it holds, as a new process would: a batch that
-// failed may be stored or not.
+// reopen opens the store again after a failure and goes on from what it holds, as a new process
+// would: a batch that failed may be stored or not.
 func (c *Counter) reopen() {
 	_ = c.store.Close() // its error is that of the failed batch
 	s, err := store.Open(c.dir, store.Options{})
@@ -254,7 +272,8 @@
 	}
 }
 
-// take adds the records of the ring to the open period. They stay in the ring until the period is stored.
+// take adds the records of the ring to the open period. They stay in the ring until the period is
+// stored.
 func (c *Counter) take() (more bool) {
 	for added := c.ring.added.Load(); c.open.Taken < added; c.open.Taken++ {
 		customer, units := c.ring.record(c.open.Taken)
@@ -281,8 +300,9 @@
 	return err
 }
 
-// Parts passes the closed periods that were not collected yet to give, in order of incarnation and number, and deletes
-// those that were. The argument had is the last period collected, by incarnation.
+// Parts passes the closed periods that were not collected yet to give, in order of incarnation and
+// number, and deletes those that were. The argument had is the last period collected, by
+// incarnation.
 func (c *Counter) Parts(had map[uint64]uint64, give func(*controlpb.Part) error) error {
 	c.mu.Lock()
 	s := c.store
@@ -309,9 +329,17 @@
 		if err := json.Unmarshal(item.Value, &p); err != nil {
 			return fmt.Errorf("usecount: period %d of boot %x: %w", number, boot, err)
 		}
-		part := &controlpb.Part{Id: c.id, Incarnation: boot, Period: number, Begun: p.Begun, Ended: p.Ended, Last: p.Last}
+		part := &controlpb.Part{
+			Id:          c.id,
+			Incarnation: boot,
+			Period:      number,
+			Begun:       p.Begun,
+			Ended:       p.Ended,
+			Last:        p.Last,
+		}
 		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
-			part.Units = append(part.Units, &controlpb.Units{Customer: customer, Units: p.Units[customer]})
+			part.Units = append(part.Units,
+				&controlpb.Units{Customer: customer, Units: p.Units[customer]})
 		}
 		if err := give(part); err != nil {
 			return err
--- a/internal/controlplane/metering/metering_test.go
+++ b/internal/controlplane/metering/metering_test.go
@@ -24,7 +24,9 @@
 }
 
 // parts are what is to be collected: units by boot and period.
-func parts(t *testing.T, c *Counter, had map[uint64]uint64) (sums map[[2]uint64]float64, last map[uint64]bool) {
+func parts(
+	t *testing.T, c *Counter, had map[uint64]uint64,
+) (sums map[[2]uint64]float64, last map[uint64]bool) {
 	t.Helper()
 	sums, last = map[[2]uint64]float64{}, map[uint64]bool{}
 	if err := c.Parts(had, func(p *controlpb.Part) error {
@@ -104,7 +106,8 @@
 	if sums, _ := parts(t, c, nil); len(sums) != 3 {
 		t.Errorf("%v", sums)
 	}
-	if sums, _ := parts(t, c, map[uint64]uint64{1: 2}); len(sums) != 1 || sums[[2]uint64{1, 3}] != 1 {
+	if sums, _ := parts(t, c,
+		map[uint64]uint64{1: 2}); len(sums) != 1 || sums[[2]uint64{1, 3}] != 1 {
 		t.Errorf("%v", sums)
 	}
 	if sums, _ := parts(t, c, nil); len(sums) != 1 {
@@ -116,7 +119,8 @@
 	}
 	c = open(t, dir, 2)
 	defer c.Close()
-	if sums, last := parts(t, c, map[uint64]uint64{1: 3}); len(sums) != 1 || sums[[2]uint64{1, 4}] != 5 || !last[1] {
+	if sums, last := parts(t, c,
+		map[uint64]uint64{1: 3}); len(sums) != 1 || sums[[2]uint64{1, 4}] != 5 || !last[1] {
 		t.Errorf("after an end in order: %v %v", sums, last)
 	}
 }
--- a/internal/controlplane/metering/ring.go
+++ b/internal/controlplane/metering/ring.go
@@ -9,12 +9,12 @@
 	"mothcleat/internal/storage/mmapfile"
 )
 
-// ring is a ring buffer in a memory-mapped file, to which one goroutine adds records and from which another takes
-// them. What was added survives a kill of the process at any instruction, as the pages belong to the operating system.
-// A power failure may lose it.
+// ring is a ring buffer in a memory-mapped file, to which one goroutine adds records and from which
+// another takes them. What was added survives a kill of the process at any instruction, as the
+// pages belong to the operating system. A power failure may lose it.
 //
-// The file has 8 bytes of magic, the incarnation that adds, the number of records ever added, and then the records, each
-// a tenant and the bits of a float64; all in the byte order of the machine.
+// The file has 8 bytes of magic, the incarnation that adds, the number of records ever added, and
+// then the records, each a tenant and the bits of a float64; all in the byte order of the machine.
 type ring struct {
 	memory []byte
 	added  *atomic.Uint64
@@ -29,8 +29,8 @@
 	recordBytes = 16
 )
 
-// openRing maps the file of a ring and creates it where there is none. The results before and added are the incarnation
-// that added to it last, and how many records that added.
+// openRing maps the file of a ring and creates it where there is none. The results before and added
+// are the incarnation that added to it last, and how many records that added.
 func openRing(path string) (r *ring, before uint64, added uint64, err error) {
 	memory, fresh, err := mmapfile.Open(path, ringHead+ringRecords*recordBytes)
 	if err != nil {
--- a/internal/controlplane/metering/stored_test.go
+++ b/internal/controlplane/metering/stored_test.go
@@ -14,9 +14,11 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// Counts that an earlier build's killed process left are read as it wrote them, those in its ring included.
+// Counts that an earlier build's killed process left are read as it wrote them, those in its ring
+// included.
 func TestStoredCountsAreRead(t *testing.T) {
-	counter, err := Open(fixture.Copy(t, "testdata/stored"), "n2", 12345, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	counter, err := Open(fixture.Copy(t, "testdata/stored"), "n2", 12345, time.Second,
+		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -1,5 +1,6 @@
-// Package planconfig is the terms of all plans, and which tenant has which, as one item of the fleet's configuration: a
-// TOML file of package plans on one side, keyed records of package distribution on the other.
+// Package planconfig is the terms of all plans, and which tenant has which, as one item of the
+// fleet's configuration: a TOML file of package plans on one side, keyed records of package
+// distribution on the other.
 package planconfig
 
 import (
@@ -22,7 +23,8 @@
 type Terms interface {
 	// CheckBook returns why the plans can't be acted on here, nil if they can.
 	CheckBook(book *plans.Book) error
-	// UseBooks has plans decide from now on, beside others whose terms bind as well; see rollout.Item for the rest.
+	// UseBooks has plans decide from now on, beside others whose terms bind as well; see
+	// rollout.Item for the rest.
 	UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func())
 }
 
@@ -82,7 +84,9 @@
 }
 
 // Use has a version decide from now on; see rollout.Item. Versions that were checked can be read.
-func (i *Item) Use(target *configstate.Version, beside []*configstate.Version, order uint64, done func()) {
+func (i *Item) Use(
+	target *configstate.Version, beside []*configstate.Version, order uint64, done func(),
+) {
 	book := &plans.Book{} // nothing: the process's own configuration holds
 	var err error
 	if target != nil {
@@ -103,7 +107,8 @@
 	i.terms.UseBooks(book, besideBooks, order, done)
 }
 
-// bookOf returns what a state says: as it was worked out before, or from the newest state that was, by what differs.
+// bookOf returns what a state says: as it was worked out before, or from the newest state that was,
+// by what differs.
 func (i *Item) bookOf(state *distribution.State) (*plans.Book, error) {
 	i.mu.Lock()
 	known := slices.Clone(i.books)
@@ -149,7 +154,8 @@
 		values[name] = encode(&distributionpb.TenantRecord{Plan: name})
 	}
 	book.Customers(func(customer uint64, plan string) bool {
-		changes = append(changes, setRecord(distribution.KindTenant, plans.CustomerID(customer), values[plan]))
+		changes = append(changes,
+			setRecord(distribution.KindTenant, plans.CustomerID(customer), values[plan]))
 		return true
 	})
 	return distribution.NewState().With(changes)
@@ -159,8 +165,8 @@
 	return distribution.Change{Record: distribution.Record{Kind: kind, ID: id, Value: value}}
 }
 
-// changesOf reads changes of records as changes of plans. It returns an InvalidRecordError of package distribution for a
-// record that is neither a plan nor a tenant, or can't be read.
+// changesOf reads changes of records as changes of plans. It returns an InvalidRecordError of
+// package distribution for a record that is neither a plan nor a tenant, or can't be read.
 func changesOf(records []distribution.Change) (*plans.Changes, error) {
 	changes := &plans.Changes{}
 	for i := range records {
@@ -193,7 +199,10 @@
 		return err
 	}
 	to.Plans = append(to.Plans, plans.Version{Plan: c.ID, Terms: plans.Terms{
-		Rate: record.Rate, Burst: record.Burst, CeilingRate: record.CeilingRate, CeilingBurst: record.CeilingBurst,
+		Rate:         record.Rate,
+		Burst:        record.Burst,
+		CeilingRate:  record.CeilingRate,
+		CeilingBurst: record.CeilingBurst,
 	}})
 	return nil
 }
--- a/internal/controlplane/planconfig/planconfig_test.go
+++ b/internal/controlplane/planconfig/planconfig_test.go
@@ -42,11 +42,13 @@
 	var text strings.Builder
 	count := 1 + r.IntN(4)
 	for i := range count {
-		fmt.Fprintf(&text, "[[plan]]\nname = \"plan-%d\"\nrate = %d\nburst = %d\n", i, 1+r.IntN(3), 1+r.IntN(3))
+		fmt.Fprintf(&text, "[[plan]]\nname = \"plan-%d\"\nrate = %d\nburst = %d\n", i,
+			1+r.IntN(3), 1+r.IntN(3))
 	}
 	for i := range tenants {
 		if r.IntN(10) > 0 {
-			fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = \"plan-%d\"\n", i*7919, r.IntN(count))
+			fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = \"plan-%d\"\n", i*7919,
+				r.IntN(count))
 		}
 	}
 	return []byte(text.String())
@@ -61,7 +63,8 @@
 	return v, text
 }
 
-// Any two contents lead to one another by a delta and by buckets, each time to the very bytes that were agreed.
+// Any two contents lead to one another by a delta and by buckets, each time to the very bytes that
+// were agreed.
 func TestAnyContentLeadsToAnyOther(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 5))
 	for range 60 {
@@ -90,7 +93,9 @@
 }
 
 // repaired fetches the buckets in which a base differs from a target.
-func repaired(t *testing.T, replica *Item, base, target *configstate.Version) (*configstate.Version, []byte) {
+func repaired(
+	t *testing.T, replica *Item, base, target *configstate.Version,
+) (*configstate.Version, []byte) {
 	t.Helper()
 	none := func(string) *configstate.Version { return nil }
 	answer := configstate.AnswerDelta(target, []string{base.Digest}, none)
@@ -117,17 +122,20 @@
 	return v, raw
 }
 
-// One tenant that gets another plan is a message of a hundred bytes or two, however many tenants there are, and buckets
-// are a few kilobytes beside their sums.
+// One tenant that gets another plan is a message of a hundred bytes or two, however many tenants
+// there are, and buckets are a few kilobytes beside their sums.
 func TestOneTenantIsASmallDelta(t *testing.T) {
 	server := New(&fakeTerms{})
 	var text strings.Builder
-	text.WriteString("[[plan]]\nname = \"small\"\nrate = 1\nburst = 1\n[[plan]]\nname = \"large\"\nrate = 2\nburst = 2\n")
+	text.WriteString(
+		"[[plan]]\nname = \"small\"\nrate = 1\nburst = 1\n[[plan]]\nname = \"large\"\nrate = 2\nburst = 2\n",
+	)
 	for i := range 20_000 {
 		fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = \"small\"\n", i)
 	}
 	oldVersion, old := canonical(t, server, []byte(text.String()))
-	changed := strings.Replace(string(old), "id = \"0000000000000007\"\nplan = \"small\"", "id = \"0000000000000007\"\nplan = \"large\"", 1)
+	changed := strings.Replace(string(old), "id = \"0000000000000007\"\nplan = \"small\"",
+		"id = \"0000000000000007\"\nplan = \"large\"", 1)
 	newVersion, _ := canonical(t, server, []byte(changed))
 	find := func(digest string) *configstate.Version {
 		if digest == oldVersion.Digest {
@@ -153,7 +161,8 @@
 	}
 }
 
-// What does not lead to the agreed content is refused: each case is a fault of a server, a link or a program.
+// What does not lead to the agreed content is refused: each case is a fault of a server, a link or
+// a program.
 func TestWhatIsNotTheAgreedContentIsRefused(t *testing.T) {
 	r := rand.New(rand.NewPCG(11, 2))
 	item := New(&fakeTerms{})
@@ -172,15 +181,37 @@
 		spoil  func(*controlpb.ContentDelta)
 		target any
 	}{
-		"to another base":              {other, func(*controlpb.ContentDelta) {}, &wrongBase},
-		"of another base, renamed":     {other, func(d *controlpb.ContentDelta) { d.Base = other.Digest }, &mismatch},
-		"to another content":           {base, func(d *controlpb.ContentDelta) { d.Digest = other.Digest }, &wrongBase},
-		"a change lost":                {base, func(d *controlpb.ContentDelta) { d.Changes = d.Changes[1:] }, &mismatch},
-		"a deletion undone":            {base, func(d *controlpb.ContentDelta) { d.Changes[0].Deleted = !d.Changes[0].Deleted }, nil},
-		"no record":                    {base, func(d *controlpb.ContentDelta) { d.Changes[0].Kind = 0 }, &invalid},
-		"a record of no plan":          {base, func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Kind = unknownKind }, &invalid},
-		"a tenant without hexadecimal": {base, func(d *controlpb.ContentDelta) { d.Changes[0].Id = "tenant" }, nil},
-		"a value of no plan":           {base, func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Value = []byte{255} }, &invalid},
+		"to another base": {other, func(*controlpb.ContentDelta) {}, &wrongBase},
+		"of another base, renamed": {
+			other, func(d *controlpb.ContentDelta) { d.Base = other.Digest }, &mismatch,
+		},
+		"to another content": {
+			base, func(d *controlpb.ContentDelta) { d.Digest = other.Digest }, &wrongBase,
+		},
+		"a change lost": {
+			base, func(d *controlpb.ContentDelta) { d.Changes = d.Changes[1:] }, &mismatch,
+		},
+		"a deletion undone": {
+			base,
+			func(d *controlpb.ContentDelta) { d.Changes[0].Deleted = !d.Changes[0].Deleted },
+			nil,
+		},
+		"no record": {
+			base, func(d *controlpb.ContentDelta) { d.Changes[0].Kind = 0 }, &invalid,
+		},
+		"a record of no plan": {
+			base,
+			func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Kind = unknownKind },
+			&invalid,
+		},
+		"a tenant without hexadecimal": {
+			base, func(d *controlpb.ContentDelta) { d.Changes[0].Id = "tenant" }, nil,
+		},
+		"a value of no plan": {
+			base,
+			func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Value = []byte{255} },
+			&invalid,
+		},
 	} {
 		d := good()
 		c.spoil(d)
@@ -192,7 +223,8 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if v, _, err := configstate.ApplyDelta(item, base, target.Digest, good()); err != nil || v.Digest != target.Digest {
+	if v, _, err := configstate.ApplyDelta(item, base, target.Digest,
+		good()); err != nil || v.Digest != target.Digest {
 		t.Errorf("the good one: %v", err)
 	}
 }
@@ -249,7 +281,8 @@
 	}
 }
 
-// A content as a person wrote it can be a base; it is never served as a difference, as its bytes can't be made of records.
+// A content as a person wrote it can be a base; it is never served as a difference, as its bytes
+// can't be made of records.
 func TestAContentAsAPersonWroteIt(t *testing.T) {
 	item := New(&fakeTerms{})
 	written := []byte("# by hand\n[[plan]]\nrate = 1.0\nburst = 2\nname = 'one'\n")
@@ -259,19 +292,26 @@
 	}
 	next, _ := canonical(t, item, []byte("[[plan]]\nname = 'one'\nrate = 2\nburst = 2\n"))
 	find := func(string) *configstate.Version { return next }
-	if a := configstate.AnswerDelta(v, []string{next.Digest}, find); a.Delta != nil || a.Sums != nil {
+	if a := configstate.AnswerDelta(v, []string{next.Digest},
+		find); a.Delta != nil || a.Sums != nil {
 		t.Errorf("%v", a)
 	}
-	d := &controlpb.ContentDelta{Base: v.Digest, Digest: next.Digest, Changes: distribution.ChangesProto(v.State.Difference(next.State))}
+	d := &controlpb.ContentDelta{
+		Base:    v.Digest,
+		Digest:  next.Digest,
+		Changes: distribution.ChangesProto(v.State.Difference(next.State)),
+	}
 	if _, _, err := configstate.ApplyDelta(item, v, next.Digest, d); err != nil {
 		t.Error(err)
 	}
-	if _, err := configstate.Read(item, []byte("[[plan]]\nname = 1\n")); err == nil || !strings.Contains(err.Error(), "line 2") {
+	if _, err := configstate.Read(item,
+		[]byte("[[plan]]\nname = 1\n")); err == nil || !strings.Contains(err.Error(), "line 2") {
 		t.Errorf("no file of plans: %v", err)
 	}
 }
 
-// What is put in force is the book of the version, whichever book it was made of; nil is the process's own configuration.
+// What is put in force is the book of the version, whichever book it was made of; nil is the
+// process's own configuration.
 func TestWhatIsPutInForce(t *testing.T) {
 	r := rand.New(rand.NewPCG(8, 1))
 	terms := &fakeTerms{}
@@ -284,10 +324,14 @@
 	done := 0
 	item.Use(all[7], []*configstate.Version{all[0], nil}, 9, func() { done++ })
 	item.Use(nil, nil, 11, func() { done++ })
-	if done != 2 || len(terms.used) != 2 || terms.used[0].order != 9 || len(terms.used[0].beside) != 2 {
+	if done != 2 || len(terms.used) != 2 || terms.used[0].order != 9 ||
+		len(terms.used[0].beside) != 2 {
 		t.Fatalf("%+v", terms.used)
 	}
-	for got, want := range map[*plans.Book]*configstate.Version{terms.used[0].target: all[7], terms.used[0].beside[0]: all[0]} {
+	for got, want := range map[*plans.Book]*configstate.Version{
+		terms.used[0].target:    all[7],
+		terms.used[0].beside[0]: all[0],
+	} {
 		if configstate.Digest(plans.Render(got)) != want.Digest {
 			t.Error("another book than the version's")
 		}
--- a/internal/controlplane/usageexport/usageexport.go
+++ b/internal/controlplane/usageexport/usageexport.go
@@ -1,7 +1,8 @@
-// Package usageexport is the replicated state of usage export: which files count, and up to which period the use of
-// each gateway is exported. Gateways meter units by period and incarnation, which the code calls a boot; the leader of
-// a shard collects closed periods and writes them to files. A file counts only once a committed entry names its digest.
-// That entry is refused under an old term, and where it would export a period twice or skip one.
+// Package usageexport is the replicated state of usage export: which files count, and up to which
+// period the use of each gateway is exported. Gateways meter units by period and incarnation, which
+// the code calls a boot; the leader of a shard collects closed periods and writes them to files. A
+// file counts only once a committed entry names its digest. That entry is refused under an old
+// term, and where it would export a period twice or skip one.
 //
 // It is a deterministic state machine: nothing here does I/O or reads a clock.
 package usageexport
@@ -78,8 +79,8 @@
 	Shards int   `json:"shards"`
 	File   *File `json:"file,omitempty"`
 	Gaps   []Gap `json:"gaps,omitempty"`
-	// Seen are incarnations that counted use, or may have. They are listed from then on, even if their folders are
-	// lost.
+	// Seen are incarnations that counted use, or may have. They are listed from then on, even if
+	// their folders are lost.
 	Seen []Incarnation `json:"seen,omitempty"`
 	// Role and Term are the role and the fencing token under which the command is sent.
 	Role string `json:"duty"`
@@ -122,8 +123,8 @@
 	v     View
 }
 
-// NewMachine returns an empty state machine. The fence is the table of leases, which has to be part of the same
-// replicated state.
+// NewMachine returns an empty state machine. The fence is the table of leases, which has to be part
+// of the same replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{fence: f, marks: map[[2]string]*Mark{}} }
 
 // IncarnationText returns an incarnation in hexadecimal.
@@ -155,7 +156,8 @@
 		return nil
 	}
 	if f := op.File; f != nil {
-		if f.Role != op.Role || f.Term != op.Term || f.Name == "" || len(f.SHA256) != 2*sha256.Size {
+		if f.Role != op.Role || f.Term != op.Term || f.Name == "" ||
+			len(f.SHA256) != 2*sha256.Size {
 			return fmt.Errorf("exports: file %q: not whole", f.Name)
 		}
 		// All spans are checked before any of them is applied.
@@ -170,7 +172,8 @@
 				done = mark.Period
 			}
 			if s.From != done+1 || s.To < s.From {
-				return fmt.Errorf("exports: periods %d to %d of %s/%s: those up to %d are exported", s.From, s.To, s.ID, s.Incarnation, done)
+				return fmt.Errorf("exports: periods %d to %d of %s/%s: those up to %d are exported",
+					s.From, s.To, s.ID, s.Incarnation, done)
 			}
 			ends[key] = s.To
 		}
@@ -233,7 +236,9 @@
 	for _, mark := range m.marks {
 		v.Marks = append(v.Marks, *mark)
 	}
-	slices.SortFunc(v.Marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation)) })
+	slices.SortFunc(v.Marks, func(a, b Mark) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
 	return mustjson.Marshal(v)
 }
 
--- a/internal/controlplane/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -40,7 +40,19 @@
 }
 
 func file(term uint64, spans ...Span) Op {
-	return Op{Shards: 1, Role: RoleOfShard(0), Term: term, File: &File{Role: RoleOfShard(0), Term: term, Name: "f", SHA256: strings.Repeat("0", 64), Units: 2, Spans: spans}}
+	return Op{
+		Shards: 1,
+		Role:   RoleOfShard(0),
+		Term:   term,
+		File: &File{
+			Role:   RoleOfShard(0),
+			Term:   term,
+			Name:   "f",
+			SHA256: strings.Repeat("0", 64),
+			Units:  2,
+			Spans:  spans,
+		},
+	}
 }
 
 func TestWhatCounts(t *testing.T) {
@@ -53,14 +65,34 @@
 		{late, file(1, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "term 1"},
 		{late, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "owned by"},
 		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 2, To: 3}), "periods 2 to 3"},
-		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}, Span{ID: "h", Incarnation: "9", From: 1, To: 1}), ""},
+		{
+			owner,
+			file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2},
+				Span{ID: "h", Incarnation: "9", From: 1, To: 1}),
+			"",
+		},
 		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "those up to 2"},
 		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 2, To: 3}), "those up to 2"},
 		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4 to 4"},
-		{owner, file(2, Span{ID: "h", Incarnation: "9", From: 2, To: 2}, Span{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4"},
-		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 3, To: 3}, Span{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}), ""},
-		{owner, file(2, Span{ID: "g", Incarnation: "2", From: 1, To: 1}), ""}, // another boot counts anew
-		{owner, Op{Shards: 1, Role: RoleOfShard(0), Term: 1, Gaps: []Gap{{ID: "h", Incarnation: "9"}}}, "term 1"},
+		{
+			owner,
+			file(2, Span{ID: "h", Incarnation: "9", From: 2, To: 2},
+				Span{ID: "g", Incarnation: "1", From: 4, To: 4}),
+			"periods 4",
+		},
+		{
+			owner,
+			file(2, Span{ID: "g", Incarnation: "1", From: 3, To: 3},
+				Span{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}),
+			"",
+		},
+		// another boot counts anew
+		{owner, file(2, Span{ID: "g", Incarnation: "2", From: 1, To: 1}), ""},
+		{
+			owner,
+			Op{Shards: 1, Role: RoleOfShard(0), Term: 1, Gaps: []Gap{{ID: "h", Incarnation: "9"}}},
+			"term 1",
+		},
 	} {
 		if r := do(t, m, c.who, c.op); r.OK != (c.want == "") || !strings.Contains(r.Why, c.want) {
 			t.Errorf("%d: %+v, want %q", i, r, c.want)
@@ -70,11 +102,13 @@
 	if err := json.Unmarshal(m.Query(0, nil), &v); err != nil {
 		t.Fatal(err)
 	}
-	if v.Count != 3 || v.Units != 6 || len(v.Marks) != 3 || v.Marks[0].Period != 4 || !v.Marks[0].Last || v.Files[0].Owner != "a" || v.Chain == "" {
+	if v.Count != 3 || v.Units != 6 || len(v.Marks) != 3 || v.Marks[0].Period != 4 ||
+		!v.Marks[0].Last || v.Files[0].Owner != "a" || v.Chain == "" {
 		t.Errorf("%+v", v)
 	}
 	copied := NewMachine(nil)
-	if err := copied.Restore(m.Snapshot()); err != nil || string(copied.Snapshot()) != string(m.Snapshot()) {
+	if err := copied.Restore(m.Snapshot()); err != nil ||
+		string(copied.Snapshot()) != string(m.Snapshot()) {
 		t.Errorf("%v: %s", err, copied.Snapshot())
 	}
 }
@@ -83,7 +117,12 @@
 func TestGaps(t *testing.T) {
 	m := machine(t)
 	seen := Op{Shards: 1, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{"g", "1"}}}
-	gap := Op{Shards: 1, Role: RoleOfShard(0), Term: 2, Gaps: []Gap{{ID: "g", Incarnation: "1", After: 0, Why: "lost"}}}
+	gap := Op{
+		Shards: 1,
+		Role:   RoleOfShard(0),
+		Term:   2,
+		Gaps:   []Gap{{ID: "g", Incarnation: "1", After: 0, Why: "lost"}},
+	}
 	for _, op := range []Op{seen, gap} {
 		if r := do(t, m, owner, op); !r.OK {
 			t.Fatal(r)
@@ -92,7 +131,8 @@
 	if mark := m.marks[[2]string{"g", "1"}]; mark == nil || mark.Gap != "lost" {
 		t.Errorf("%+v", mark)
 	}
-	if r := do(t, m, owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
+	if r := do(t, m, owner,
+		file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
 		t.Fatal(r)
 	}
 	if mark := m.marks[[2]string{"g", "1"}]; mark.Gap != "" || !mark.Last {
@@ -103,7 +143,8 @@
 	for ShardOf(other, 4) == 0 {
 		other += "x"
 	}
-	if r := do(t, m, owner, Op{Shards: 4, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{other, "1"}}}); r.OK {
+	if r := do(t, m, owner,
+		Op{Shards: 4, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{other, "1"}}}); r.OK {
 		t.Error("another shard's gateway is taken")
 	}
 }
--- a/internal/controlplane/usageexporter/usageexporter.go
+++ b/internal/controlplane/usageexporter/usageexporter.go
@@ -1,5 +1,6 @@
-// Package usageexporter is the work of the leader that exports usage: it collects the closed periods of the gateways,
-// writes them to files, and commits to the replicated state (package usageexport) that they count.
+// Package usageexporter is the work of the leader that exports usage: it collects the closed
+// periods of the gateways, writes them to files, and commits to the replicated state (package
+// usageexport) that they count.
 package usageexporter
 
 import (
@@ -49,7 +50,10 @@
 	tick := time.NewTicker(e.Every)
 	defer tick.Stop()
 	tidied := false
-	members := e.Client.Members(consensus.MembershipQuery{Scope: consensus.ScopeMembers, Retired: true})
+	members := e.Client.Members(consensus.MembershipQuery{
+		Scope:   consensus.ScopeMembers,
+		Retired: true,
+	})
 	for {
 		err := e.round(ctx, t, members, &tidied)
 		if err != nil && (ctx.Err() == nil || errors.Is(err, errRefused)) {
@@ -66,7 +70,9 @@
 var errRefused = errors.New("refused")
 
 // round collects, writes and commits once.
-func (e *Exporter) round(ctx context.Context, t *election.Tenure, members *controlrpc.Members, tidied *bool) error {
+func (e *Exporter) round(
+	ctx context.Context, t *election.Tenure, members *controlrpc.Members, tidied *bool,
+) error {
 	ctx, cancel := context.WithTimeout(ctx, max(e.Every, requestTimeout))
 	defer cancel()
 	var done usageexport.View
@@ -117,7 +123,8 @@
 	word, stop := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer stop()
 	if raw, err = e.Client.Propose(word, usageexport.MachineName, raw); err != nil {
-		return err // the file may count or not: the next round's marks tell, and a later leader tidies
+		// the file may count or not: the next round's marks tell, and a later leader tidies
+		return err
 	}
 	failpoint.At("export-after-agree")
 	var res usageexport.Result
@@ -172,7 +179,9 @@
 		b.marks[m.ID][m.Incarnation] = m
 	}
 	b.csv = csv.NewWriter(&b.text)
-	_ = b.csv.Write([]string{"gateway", "boot", "period", "begun_us", "ended_us", "customer", "units"})
+	_ = b.csv.Write([]string{
+		"gateway", "boot", "period", "begun_us", "ended_us", "customer", "units",
+	})
 	return b
 }
 
@@ -212,9 +221,11 @@
 	if !errors.Is(err, io.EOF) {
 		return err // the periods received so far are complete
 	}
-	// An incarnation that ended, and of which the folder of its gateway has nothing: the folder was lost.
+	// An incarnation that ended, and of which the folder of its gateway has nothing: the folder was
+	// lost.
 	for boot, mark := range b.marks[m.ID] {
-		if !mark.Last && mark.Gap == "" && !heard[boot] && boot != usageexport.IncarnationText(m.Incarnation) {
+		if !mark.Last && mark.Gap == "" && !heard[boot] &&
+			boot != usageexport.IncarnationText(m.Incarnation) {
 			b.gaps = append(b.gaps, usageexport.Gap{ID: m.ID, Incarnation: boot, After: mark.Period,
 				Why: "the gateway has come back without its counts of that boot"})
 		}
@@ -226,7 +237,9 @@
 func (b *book) add(p *controlpb.Part) error {
 	boot := usageexport.IncarnationText(p.Incarnation)
 	last := b.marks[p.Id][boot].Period
-	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool { return s.ID == p.Id && s.Incarnation == boot })
+	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool {
+		return s.ID == p.Id && s.Incarnation == boot
+	})
 	if i >= 0 {
 		last = b.spans[i].To
 	}
@@ -245,7 +258,8 @@
 		b.rows++
 		b.units += u.Units
 		if err := b.csv.Write([]string{p.Id, boot, strconv.FormatUint(p.Period, 10), strconv.FormatInt(p.Begun, 10), strconv.FormatInt(p.Ended, 10),
-			fmt.Sprintf("%016x", u.Customer), strconv.FormatFloat(u.Units, 'g', -1, 64)}); err != nil {
+			fmt.Sprintf("%016x", u.Customer),
+			strconv.FormatFloat(u.Units, 'g', -1, 64)}); err != nil {
 			return err
 		}
 	}
@@ -255,12 +269,19 @@
 // prefix returns the prefix of the names of the shard's files.
 func (e *Exporter) prefix() string { return fmt.Sprintf("use-%03d-", e.Shard) }
 
-// write writes the rows of a round to a file that does not count yet. Its name has the term and the digest, so that no
-// two leaders write the same file.
+// write writes the rows of a round to a file that does not count yet. Its name has the term and the
+// digest, so that no two leaders write the same file.
 func (e *Exporter) write(t *election.Tenure, b *book) (*usageexport.File, error) {
 	b.csv.Flush()
 	sum := sha256.Sum256(b.text.Bytes())
-	f := &usageexport.File{Role: t.Role, Term: t.Term, SHA256: hex.EncodeToString(sum[:]), Rows: b.rows, Units: b.units, Spans: b.spans}
+	f := &usageexport.File{
+		Role:   t.Role,
+		Term:   t.Term,
+		SHA256: hex.EncodeToString(sum[:]),
+		Rows:   b.rows,
+		Units:  b.units,
+		Spans:  b.spans,
+	}
 	f.Name = fmt.Sprintf("%s%010d-%s.csv", e.prefix(), t.Term, f.SHA256[:16])
 	path := filepath.Join(e.Dir, f.Name)
 	out, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
@@ -283,8 +304,8 @@
 	return f, errors.Join(dir.Sync(), dir.Close())
 }
 
-// tidy removes files of former leaders that never came to count. Under this term no other process can make them count
-// any more, and the view of those that count was read after the term began.
+// tidy removes files of former leaders that never came to count. Under this term no other process
+// can make them count any more, and the view of those that count was read after the term began.
 func (e *Exporter) tidy(t *election.Tenure, done *usageexport.View) error {
 	counts := map[string]bool{}
 	for _, f := range done.Files {
@@ -312,9 +333,12 @@
 	return nil
 }
 
-// Verify checks the files of a folder against the committed view: those that count have to be there with their
-// digests. It returns the units by tenant of the files that count, and the names of files that do not.
-func Verify(dir string, agreed *usageexport.View) (units map[uint64]float64, loose []string, err error) {
+// Verify checks the files of a folder against the committed view: those that count have to be there
+// with their digests. It returns the units by tenant of the files that count, and the names of
+// files that do not.
+func Verify(
+	dir string, agreed *usageexport.View,
+) (units map[uint64]float64, loose []string, err error) {
 	units = map[uint64]float64{}
 	counts := map[string]bool{}
 	for _, f := range agreed.Files {
--- a/internal/plans/change.go
+++ b/internal/plans/change.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Changes lead from one book without times to another: what is set, and what is removed. Neither names a plan or a
-// customer twice.
+// Changes lead from one book without times to another: what is set, and what is removed. Neither
+// names a plan or a customer twice.
 type Changes struct {
 	Plans            []Version // their times are not read
 	RemovedPlans     []string
@@ -21,9 +21,10 @@
 	return len(c.Plans)+len(c.RemovedPlans)+len(c.Assignments)+len(c.RemovedCustomers) == 0
 }
 
-// Change returns a book with changes; b stays as it is. Both hold one entry without a time for each plan and customer, as
-// those that Parse reads. It copies the index of customers and reads only what changes. It returns an error that names
-// what can't hold: terms out of range, or a customer whose plan is not there.
+// Change returns a book with changes; b stays as it is. Both hold one entry without a time for each
+// plan and customer, as those that Parse reads. It copies the index of customers and reads only
+// what changes. It returns an error that names what can't hold: terms out of range, or a customer
+// whose plan is not there.
 func (b *Book) Change(c *Changes) (*Book, error) {
 	if len(b.from) != len(b.customers) {
 		return nil, errors.New("plans: a book with times can't be changed")
@@ -42,7 +43,8 @@
 // removedPlan is the new number of a plan that is there no more.
 const removedPlan = -2
 
-// changePlans makes the plans of a book, in the order of their names, and returns the new number of each old one.
+// changePlans makes the plans of a book, in the order of their names, and returns the new number of
+// each old one.
 func (b *Book) changePlans(before *Book, c *Changes) (renumbered []int32, err error) {
 	terms := make(map[string]Version, len(before.names)+len(c.Plans))
 	for i, name := range before.names {
@@ -72,7 +74,8 @@
 	return renumbered, nil
 }
 
-// planNumber is the number of a plan by its name, removedPlan if it is not there. The names are sorted.
+// planNumber is the number of a plan by its name, removedPlan if it is not there. The names are
+// sorted.
 func (b *Book) planNumber(name string) int32 {
 	if i, found := slices.BinarySearchFunc(b.names, name, compareNames); found {
 		return int32(i)
@@ -83,7 +86,9 @@
 // changeCustomers makes the customers of a book whose plans are made.
 func (b *Book) changeCustomers(before *Book, c *Changes, renumbered []int32) error {
 	assigned := slices.Clone(c.Assignments)
-	slices.SortFunc(assigned, func(a, b Assignment) int { return cmp.Compare(a.Customer, b.Customer) })
+	slices.SortFunc(assigned, func(a, b Assignment) int {
+		return cmp.Compare(a.Customer, b.Customer)
+	})
 	removed := slices.Sorted(slices.Values(c.RemovedCustomers))
 	size := len(before.customers) + len(assigned)
 	b.customers, b.plan = make([]uint64, 0, size), make([]int32, 0, size)
@@ -128,7 +133,8 @@
 	return nil
 }
 
-// index gives each customer its one entry. While their count stays, the index of the book before serves.
+// index gives each customer its one entry. While their count stays, the index of the book before
+// serves.
 func (b *Book) index() {
 	if len(b.spans) == len(b.customers)+1 {
 		return
@@ -141,7 +147,8 @@
 
 func compareNames(a, b string) int { return cmp.Compare(a, b) }
 
-// Customers calls a function for each customer and the plan of its first entry, by id, until it returns false.
+// Customers calls a function for each customer and the plan of its first entry, by id, until it
+// returns false.
 func (b *Book) Customers(each func(customer uint64, plan string) bool) {
 	for i, customer := range b.customers {
 		if plan := b.plan[b.spans[i]]; plan >= 0 && !each(customer, b.names[plan]) {
--- a/internal/plans/change_test.go
+++ b/internal/plans/change_test.go
@@ -14,12 +14,14 @@
 	t.Helper()
 	var versions []Version
 	for i := range 1 + r.IntN(5) {
-		versions = append(versions, Version{Plan: fmt.Sprintf("plan %d\"\\\x01", i), Terms: drawnTerms(r)})
+		versions = append(versions,
+			Version{Plan: fmt.Sprintf("plan %d\"\\\x01", i), Terms: drawnTerms(r)})
 	}
 	var assignments []Assignment
 	for i := range r.IntN(40) {
 		if r.IntN(2) == 0 {
-			assignments = append(assignments, Assignment{Customer: uint64(i) << 40, Plan: versions[r.IntN(len(versions))].Plan})
+			assignments = append(assignments,
+				Assignment{Customer: uint64(i) << 40, Plan: versions[r.IntN(len(versions))].Plan})
 		}
 	}
 	b, err := NewBook(versions, assignments)
@@ -67,7 +69,8 @@
 	return c
 }
 
-// Changes lead from any book to any other, and the first stays as it was; what is rendered is read as the same book.
+// Changes lead from any book to any other, and the first stays as it was; what is rendered is read
+// as the same book.
 func TestChangesLeadToTheOtherBook(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	for range 300 {
--- a/internal/plans/file.go
+++ b/internal/plans/file.go
@@ -23,7 +23,8 @@
 	} `toml:"customer"`
 }
 
-// Parse reads the terms of all plans, and which customers have which, from TOML. What it does not know it refuses, with the line.
+// Parse reads the terms of all plans, and which customers have which, from TOML. What it does not
+// know it refuses, with the line.
 func Parse(raw []byte) (*Book, error) {
 	var f file
 	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
@@ -45,7 +46,18 @@
 	}
 	var versions []Version
 	for _, p := range f.Plan {
-		versions = append(versions, Version{Plan: p.Name, Terms: Terms{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst}})
+		versions = append(
+			versions,
+			Version{
+				Plan: p.Name,
+				Terms: Terms{
+					Rate:         p.Rate,
+					Burst:        p.Burst,
+					CeilingRate:  p.CeilingRate,
+					CeilingBurst: p.CeilingBurst,
+				},
+			},
+		)
 	}
 	var assignments []Assignment
 	for i, c := range f.Customer {
--- a/internal/plans/file_test.go
+++ b/internal/plans/file_test.go
@@ -39,16 +39,20 @@
 
 func TestABadFileOfPlansNamesItsPlace(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"unknown key":     {good + "colour = \"red\"\n", "colour"},
-		"no TOML":         {"[[plan]\n", "line 1"},
-		"no plan":         {"", "no plan"},
-		"twice":           {"[[plan]]\nname=\"a\"\n[[plan]]\nname=\"a\"\n", "twice"},
-		"short id":        {strings.Replace(good, "00000000736c7170", "736c7170", 1), "customer 1"},
-		"no such plan":    {strings.Replace(good, `plan = "corporativo"`, `plan = "outro"`, 1), "outro"},
-		"below 0":         {strings.Replace(good, "rate = 1.5", "rate = -1.5", 1), "basico"},
-		"half a ceiling":  {strings.Replace(good, "ceiling_burst = 60", "", 1), "corporativo"},
-		"no number":       {strings.Replace(good, "rate = 1.5", "rate = nan", 1), "basico"},
-		"given two plans": {good + "[[customer]]\nid = \"00000000736c7170\"\nplan = \"basico\"\n", "two plans"},
+		"unknown key": {good + "colour = \"red\"\n", "colour"},
+		"no TOML":     {"[[plan]\n", "line 1"},
+		"no plan":     {"", "no plan"},
+		"twice":       {"[[plan]]\nname=\"a\"\n[[plan]]\nname=\"a\"\n", "twice"},
+		"short id":    {strings.Replace(good, "00000000736c7170", "736c7170", 1), "customer 1"},
+		"no such plan": {
+			strings.Replace(good, `plan = "corporativo"`, `plan = "outro"`, 1), "outro",
+		},
+		"below 0":        {strings.Replace(good, "rate = 1.5", "rate = -1.5", 1), "basico"},
+		"half a ceiling": {strings.Replace(good, "ceiling_burst = 60", "", 1), "corporativo"},
+		"no number":      {strings.Replace(good, "rate = 1.5", "rate = nan", 1), "basico"},
+		"given two plans": {
+			good + "[[customer]]\nid = \"00000000736c7170\"\nplan = \"basico\"\n", "two plans",
+		},
 	} {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, %q wanted", name, err, c.want)
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -1,8 +1,9 @@
 // Package plans decides which terms hold for a customer at a time, and what becomes of what
 // it has spent when they change. It does no I/O, and time comes from outside.
 //
-// A Book is all that was announced: versions of plans, and which customer has which plan, each from a time on. It is
-// built once and then only read, so any number of goroutines may ask it; news make a new Book.
+// A Book is all that was announced: versions of plans, and which customer has which plan, each from
+// a time on. It is built once and then only read, so any number of goroutines may ask it; news make
+// a new Book.
 package plans
 
 import (
@@ -16,7 +17,8 @@
 // Time is microseconds since 1970, as in the decision module.
 type Time = int64
 
-// Terms are what a plan grants each of its customers, over all gateways together. Units are those of requests.
+// Terms are what a plan grants each of its customers, over all gateways together. Units are those
+// of requests.
 type Terms struct {
 	Rate         float64 // units a second; 0: no rate is kept
 	Burst        float64 // units that the store holds
@@ -52,9 +54,9 @@
 
 // Book holds versions and assignments, indexed by customer and time.
 //
-// The index is two levels of packed slices: a customer's assignments stand together in the order of their times, found by
-// its id in a sorted slice; a plan's versions the same. A holding is where the two meet, so a new version of a plan
-// costs one entry however many customers have the plan.
+// The index is two levels of packed slices: a customer's assignments stand together in the order of
+// their times, found by its id in a sorted slice; a plan's versions the same. A holding is where
+// the two meet, so a new version of a plan costs one entry however many customers have the plan.
 type Book struct {
 	customers []uint64
 	spans     []uint32 // where each customer's assignments begin; one more at the end
@@ -99,7 +101,8 @@
 		}
 		switch {
 		case !ok:
-			return nil, fmt.Errorf("customer %x from %d: there is no plan %q", a.Customer, a.From, a.Plan)
+			return nil, fmt.Errorf("customer %x from %d: there is no plan %q",
+				a.Customer, a.From, a.Plan)
 		case a.From < 0 || a.From >= Forever:
 			return nil, fmt.Errorf("customer %x: no time: %d", a.Customer, a.From)
 		case i > 0 && all[i-1].Customer == a.Customer && all[i-1].From == a.From:
@@ -131,7 +134,8 @@
 	return nil
 }
 
-// At tells what holds for a customer at a time; ok is false where it has no plan then, or the plan has no version yet.
+// At tells what holds for a customer at a time; ok is false where it has no plan then, or the plan
+// has no version yet.
 func (b *Book) At(customer uint64, t Time) (h Holding, ok bool) {
 	i, found := slices.BinarySearch(b.customers, customer)
 	if !found {
@@ -147,7 +151,13 @@
 	if v < 0 {
 		return h, false
 	}
-	h = Holding{Plan: of[v].Plan, Version: v + 1, Since: max(b.from[a], of[v].From), Until: Forever, Terms: of[v].Terms}
+	h = Holding{
+		Plan:    of[v].Plan,
+		Version: v + 1,
+		Since:   max(b.from[a], of[v].From),
+		Until:   Forever,
+		Terms:   of[v].Terms,
+	}
 	if a+1 < last {
 		h.Until = b.from[a+1]
 	}
@@ -157,10 +167,10 @@
 	return h, true
 }
 
-// Carry gives the levels of a customer's two stores under new terms. What was spent stays spent: a store that lacks
-// so many units of its old burst lacks as many of its new one. A downgrade below what is used leaves it under nothing, to fill at
-// the new rate; and back again it holds what it held. No order of changes grants a unit more than the
-// terms in force did.
+// Carry gives the levels of a customer's two stores under new terms. What was spent stays spent: a
+// store that lacks so many units of its old burst lacks as many of its new one. A downgrade below
+// what is used leaves it under nothing, to fill at the new rate; and back again it holds what it
+// held. No order of changes grants a unit more than the terms in force did.
 func Carry(from, to Terms, level, ceiling float64) (float64, float64) {
 	return carry(from.Burst, to.Burst, level), carry(from.CeilingBurst, to.CeilingBurst, ceiling)
 }
@@ -172,11 +182,14 @@
 	return to - (from - level)
 }
 
-// Tighter gives terms that keep both: those in force while some gateways have not heard of the newer ones yet.
+// Tighter gives terms that keep both: those in force while some gateways have not heard of the
+// newer ones yet.
 func Tighter(a, b Terms) Terms {
 	return Terms{
-		Rate: tighter(a.Rate, b.Rate), Burst: tighter(a.Burst, b.Burst),
-		CeilingRate: tighter(a.CeilingRate, b.CeilingRate), CeilingBurst: tighter(a.CeilingBurst, b.CeilingBurst),
+		Rate:         tighter(a.Rate, b.Rate),
+		Burst:        tighter(a.Burst, b.Burst),
+		CeilingRate:  tighter(a.CeilingRate, b.CeilingRate),
+		CeilingBurst: tighter(a.CeilingBurst, b.CeilingBurst),
 	}
 }
 
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -9,7 +9,9 @@
 )
 
 // plain is what holds, by looking at everything that was announced.
-func plain(versions []Version, assignments []Assignment, customer uint64, t Time) (v Version, ok bool) {
+func plain(
+	versions []Version, assignments []Assignment, customer uint64, t Time,
+) (v Version, ok bool) {
 	var a Assignment
 	for _, x := range assignments {
 		if x.Customer == customer && x.From <= t && (!ok || x.From > a.From) {
@@ -32,7 +34,8 @@
 	plans := []string{"basico", "pro", "corporativo"}
 	for _, p := range plans {
 		for _, at := range r.Perm(span)[:min(each, span)] {
-			versions = append(versions, Version{p, Time(at), Terms{Rate: 1 + r.Float64(), Burst: 2}})
+			versions = append(versions,
+				Version{p, Time(at), Terms{Rate: 1 + r.Float64(), Burst: 2}})
 		}
 	}
 	for c := range customers {
@@ -60,16 +63,20 @@
 				want, ok := plain(versions, assignments, c*7, at)
 				got, found := b.At(c*7, at)
 				if ok != found || ok && (got.Plan != want.Plan || got.Terms != want.Terms) {
-					t.Fatalf("customer %d at %d: %+v %v, %+v %v wanted", c*7, at, got, found, want, ok)
+					t.Fatalf("customer %d at %d: %+v %v, %+v %v wanted",
+						c*7, at, got, found, want, ok)
 				}
 				if !found {
 					continue
 				}
 				if got.Since > at || got.Until <= at {
-					t.Fatalf("customer %d at %d: holds from %d to %d", c*7, at, got.Since, got.Until)
+					t.Fatalf("customer %d at %d: holds from %d to %d",
+						c*7, at, got.Since, got.Until)
 				}
-				if next, ok := b.At(c*7, got.Until-1); !ok || next.Version != got.Version || next.Plan != got.Plan || next.Since != got.Since {
-					t.Fatalf("customer %d: at %d until %d, but at %d %+v", c*7, at, got.Until, got.Until-1, next)
+				if next, ok := b.At(c*7, got.Until-1); !ok || next.Version != got.Version ||
+					next.Plan != got.Plan || next.Since != got.Since {
+					t.Fatalf("customer %d: at %d until %d, but at %d %+v",
+						c*7, at, got.Until, got.Until-1, next)
 				}
 			}
 		}
@@ -99,8 +106,8 @@
 }
 
 // Whatever the order of changes, spends and pauses, a customer is granted no more than the burst of
-// the terms it began with, what the rates in force filled, and what upgrades added to its burst, less what
-// downgrades took; and a change back at once leaves the store as it was.
+// the terms it began with, what the rates in force filled, and what upgrades added to its burst,
+// less what downgrades took; and a change back at once leaves the store as it was.
 func TestCarryGrantsNothing(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -132,7 +139,8 @@
 			}
 		}
 	}
-	if level, ceiling := Carry(Terms{}, Terms{Rate: 1, Burst: 4, CeilingRate: 2, CeilingBurst: 8}, 0, 0); level != 4 || ceiling != 8 {
+	if level, ceiling := Carry(Terms{}, Terms{Rate: 1, Burst: 4, CeilingRate: 2, CeilingBurst: 8},
+		0, 0); level != 4 || ceiling != 8 {
 		t.Errorf("a first plan begins with %v, %v", level, ceiling)
 	}
 }
--- a/internal/plans/render.go
+++ b/internal/plans/render.go
@@ -10,9 +10,10 @@
 // customerTextBytes is about how long the text of one customer is.
 const customerTextBytes = 64
 
-// Render writes a book as TOML that Parse reads: plans by name, then customers by id, without comments. The same book
-// gives the same bytes, and Render of what Parse read from them gives them again. Of a plan or a customer with several
-// entries, only the first is written, as a file has no times.
+// Render writes a book as TOML that Parse reads: plans by name, then customers by id, without
+// comments. The same book gives the same bytes, and Render of what Parse read from them gives them
+// again. Of a plan or a customer with several entries, only the first is written, as a file has no
+// times.
 func Render(b *Book) []byte {
 	text := make([]byte, 0, len(b.customers)*customerTextBytes+len(b.names)*2*customerTextBytes)
 	order := make([]int, len(b.names))
@@ -77,7 +78,8 @@
 	if math.IsInf(value, 1) {
 		text = append(text, "inf"...)
 	} else {
-		text = strconv.AppendFloat(text, value+0, 'g', -1, 64) // + 0: a negative zero is written as zero
+		// + 0: a negative zero is written as zero
+		text = strconv.AppendFloat(text, value+0, 'g', -1, 64)
 	}
 	return append(text, '\n')
 }
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -26,7 +26,9 @@
 // Commits of one record of 100 bytes: here, and to a file with a write and a sync a commit.
 func BenchmarkCommit(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
-		b.Run(fmt.Sprintf("durable/store/%d", writers), func(b *testing.B) { commits(b, writers, Durable) })
+		b.Run(fmt.Sprintf("durable/store/%d", writers), func(b *testing.B) {
+			commits(b, writers, Durable)
+		})
 		b.Run(fmt.Sprintf("durable/file/%d", writers), func(b *testing.B) {
 			f, err := os.Create(filepath.Join(b.TempDir(), "log"))
 			if err != nil {
@@ -114,8 +116,8 @@
 	return dir
 }
 
-// Opening a million keys: by the sealed index, by reading all entries into a hash as a store with hint
-// files does, and by reading the log.
+// Opening a million keys: by the sealed index, by reading all entries into a hash as a store with
+// hint files does, and by reading the log.
 func BenchmarkOpenMillion(b *testing.B) {
 	sealed := filled(b, Options{}, true)
 	opens := func(b *testing.B, dir string, o Options, then func(s *Store) any) {
@@ -136,8 +138,12 @@
 		runtime.KeepAlive(s)
 		runtime.KeepAlive(held)
 	}
-	b.Run("sealed", func(b *testing.B) { opens(b, sealed, Options{}, func(*Store) any { return nil }) })
-	b.Run("verified", func(b *testing.B) { opens(b, sealed, Options{Verify: true}, func(*Store) any { return nil }) })
+	b.Run("sealed", func(b *testing.B) {
+		opens(b, sealed, Options{}, func(*Store) any { return nil })
+	})
+	b.Run("verified", func(b *testing.B) {
+		opens(b, sealed, Options{Verify: true}, func(*Store) any { return nil })
+	})
 	b.Run("hints", func(b *testing.B) {
 		opens(b, sealed, Options{}, func(s *Store) any {
 			h := newHashed(million)
@@ -158,7 +164,9 @@
 	})
 	log := filled(b, Options{SegmentBytes: 1 << 40, Overlay: 1 << 30}, false)
 	b.Run("log", func(b *testing.B) {
-		opens(b, log, Options{SegmentBytes: 1 << 40, Overlay: 1 << 30}, func(*Store) any { return nil })
+		opens(b, log, Options{SegmentBytes: 1 << 40, Overlay: 1 << 30}, func(*Store) any {
+			return nil
+		})
 	})
 }
 
@@ -185,7 +193,9 @@
 }
 
 func (h *hashed) find(key []byte) (slot int, entry []byte) {
-	for slot = int(hash(key) % uint64(len(h.slots))); h.slots[slot] != 0; slot = (slot + 1) % len(h.slots) {
+	for slot = int(
+		hash(key) % uint64(len(h.slots)),
+	); h.slots[slot] != 0; slot = (slot + 1) % len(h.slots) {
 		e := h.packed[h.slots[slot]-1:]
 		n, k := binary.Uvarint(e)
 		if e = e[k:]; bytes.Equal(e[:n], key) {
@@ -199,7 +209,10 @@
 	slot, _ := h.find(key)
 	h.slots[slot] = uint32(len(h.packed)) + 1
 	h.packed = append(binary.AppendUvarint(h.packed, uint64(len(key))), key...)
-	h.packed = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(h.packed, at.segment), uint64(at.offset)), uint64(at.size))
+	h.packed = binary.AppendUvarint(
+		binary.AppendUvarint(binary.AppendUvarint(h.packed, at.segment), uint64(at.offset)),
+		uint64(at.size),
+	)
 }
 
 type item struct {
@@ -207,7 +220,8 @@
 	at  location
 }
 
-// The index: memory a key, look-ups of keys that are there and that are not, and ranges of a hundred.
+// The index: memory a key, look-ups of keys that are there and that are not, and ranges of a
+// hundred.
 func BenchmarkIndex(b *testing.B) {
 	at := func(i int) location { return location{uint64(i>>16) + 1, int64(i&0xffff) * 129, 129} }
 	look := func(b *testing.B, before int64, held any, get func(key []byte) bool, hundredFrom func(key []byte) int) {
@@ -292,7 +306,9 @@
 		for i := range million {
 			t.ReplaceOrInsert(item{string(keyOf(i)), at(i)})
 		}
-		look(b, before, t, func(key []byte) bool { return t.Has(item{key: string(key)}) }, func(key []byte) (n int) {
+		look(b, before, t, func(key []byte) bool {
+			return t.Has(item{key: string(key)})
+		}, func(key []byte) (n int) {
 			t.AscendGreaterOrEqual(item{key: string(key)}, func(item) bool { n++; return n < 100 })
 			return n
 		})
@@ -304,7 +320,10 @@
 			t.Insert(keyOf(i), at(i))
 		}
 		tree := t.Commit()
-		look(b, before, tree, func(key []byte) bool { _, ok := tree.Get(key); return ok }, func(key []byte) (n int) {
+		look(b, before, tree, func(key []byte) bool {
+			_, ok := tree.Get(key)
+			return ok
+		}, func(key []byte) (n int) {
 			it := tree.Root().Iterator()
 			it.SeekLowerBound(key)
 			for ; n < 100; n++ {
--- a/internal/storage/store/check.go
+++ b/internal/storage/store/check.go
@@ -50,7 +50,11 @@
 	}
 	for _, g := range s.files.segments {
 		if g.live != live[g.id] {
-			return &DamageError{manifestName, headSize, fmt.Sprintf("%s holds %d live bytes, not %d", g.name, live[g.id], g.live)}
+			return &DamageError{
+				manifestName,
+				headSize,
+				fmt.Sprintf("%s holds %d live bytes, not %d", g.name, live[g.id], g.live),
+			}
 		}
 	}
 	if keys != s.keys {
@@ -117,7 +121,8 @@
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	if err := os.Remove(dir); err != nil && !errors.Is(err, syscall.ENOTEMPTY) && !errors.Is(err, syscall.EEXIST) {
+	if err := os.Remove(dir); err != nil && !errors.Is(err, syscall.ENOTEMPTY) &&
+		!errors.Is(err, syscall.EEXIST) {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
@@ -130,10 +135,12 @@
 	GivenUp  []string // a line each
 }
 
-// Repair makes a store anew from what can be read of a damaged one, in its place; the damaged folder is kept beside it under
-// another name. A key is kept only where it is sure that its value is the last one: what a damaged part of the index
-// or of the log may have changed is given up, and said. Where the manifest itself can't be read that can't
-// be known, and Repair fails unless fromLogs is set: then all that any readable batch put is there, and keys that were deleted may be there again.
+// Repair makes a store anew from what can be read of a damaged one, in its place; the damaged
+// folder is kept beside it under another name. A key is kept only where it is sure that its value
+// is the last one: what a damaged part of the index or of the log may have changed is given up, and
+// said. Where the manifest itself can't be read that can't be known, and Repair fails unless
+// fromLogs is set: then all that any readable batch put is there, and keys that were deleted may be
+// there again.
 func Repair(dir string, fromLogs bool) (rep Report, err error) {
 	dir = filepath.Clean(dir)
 	folder, err := DirFS(dir, false)
@@ -228,7 +235,8 @@
 			continue
 		}
 		defer f.Close()
-		s.files.segments = append(s.files.segments, &segment{file: file{f: f, name: segmentName(of.id)}, id: of.id, length: of.length})
+		s.files.segments = append(s.files.segments,
+			&segment{file: file{f: f, name: segmentName(of.id)}, id: of.id, length: of.length})
 	}
 	for _, of := range m.runs {
 		w, missing := v.run(m.store, of)
--- a/internal/storage/store/commit.go
+++ b/internal/storage/store/commit.go
@@ -14,7 +14,8 @@
 	Durable  Durability = true  // the disk has it: it outlives the power
 )
 
-// commit is a batch on its way, or a goroutine that wants to lead for a work of its own (batch nil).
+// commit is a batch on its way, or a goroutine that wants to lead for a work of its own (batch
+// nil).
 type commit struct {
 	batch   *Batch
 	durable bool
@@ -22,8 +23,8 @@
 	done    chan bool // true: it is committed or failed; false: its goroutine leads now
 }
 
-// Commit makes a batch part of the store. Commits of several goroutines at a time share one write and one sync. After an
-// error the batch is not in the store as this process sees it.
+// Commit makes a batch part of the store. Commits of several goroutines at a time share one write
+// and one sync. After an error the batch is not in the store as this process sees it.
 func (s *Store) Commit(b *Batch, d Durability) error {
 	if b.err != nil {
 		return b.err
@@ -87,9 +88,9 @@
 	next.done <- false
 }
 
-// gather lets goroutines whose commits have just returned come with their next ones: without it they and those
-// that waited meanwhile take turns, with a sync for each half. It yields as long as more come, and
-// not at all where the last group was one.
+// gather lets goroutines whose commits have just returned come with their next ones: without it
+// they and those that waited meanwhile take turns, with a sync for each half. It yields as long as
+// more come, and not at all where the last group was one.
 func (s *Store) gather() {
 	for before := -1; s.writers > 1; {
 		s.mu.Lock()
@@ -106,8 +107,8 @@
 // mostGroup is how many bytes of batches share a write, beside the first.
 const mostGroup = 4 << 20
 
-// take gives the batches that are written together: the leader's and those that wait in line with no
-// other work between.
+// take gives the batches that are written together: the leader's and those that wait in line with
+// no other work between.
 func (s *Store) take(c *commit) []*commit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,8 @@
 		}
 		seq++
 		body := s.end + int64(len(buf)) + batchHead
-		buf = append(append(buf, batchHeader(s.active.id, seq, c.batch.count, c.batch.body)...), c.batch.body...)
+		buf = append(append(buf, batchHeader(s.active.id, seq, c.batch.count, c.batch.body)...),
+			c.batch.body...)
 		err := c.batch.each(func(op byte, key []byte, at, size int64) error {
 			return change.add(op, key, location{s.active.id, body + at, uint32(size)})
 		})
@@ -225,7 +227,8 @@
 	return nil
 }
 
-// change is what a group of batches does to what is held in memory. Nothing is changed before apply.
+// change is what a group of batches does to what is held in memory. Nothing is changed before
+// apply.
 type change struct {
 	s     *Store
 	top   *node
--- a/internal/storage/store/compact.go
+++ b/internal/storage/store/compact.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Compact does all the work that is due at once, where it would otherwise go along with
-// commits, and gives the space of everything that is not live back. Commits wait for its steps only.
+// Compact does all the work that is due at once, where it would otherwise go along with commits,
+// and gives the space of everything that is not live back. Commits wait for its steps only.
 func (s *Store) Compact(ctx context.Context) error {
 	for before := uint64(0); ; {
 		s.lead()
@@ -121,7 +121,10 @@
 		return errors.Join(fmt.Errorf("store: %w", err), s.discard(w))
 	}
 	old.length = oldEnd
-	set := &fileSet{segments: append(slices.Clone(s.files.segments), s.active), runs: append([]*run{r}, s.files.runs...)}
+	set := &fileSet{
+		segments: append(slices.Clone(s.files.segments), s.active),
+		runs:     append([]*run{r}, s.files.runs...),
+	}
 	for _, g := range set.segments {
 		g.base = g.live
 	}
@@ -259,8 +262,8 @@
 	return errors.Join(w.f.Close(), s.fs.Remove(w.name))
 }
 
-// planMove looks for a segment that should go: one without live records at once, else the one
-// with the smallest share of them once half of the log is dead, or any before one that has dead ones.
+// planMove looks for a segment that should go: one without live records at once, else the one with
+// the smallest share of them once half of the log is dead, or any before one that has dead ones.
 func (s *Store) planMove(before uint64) error {
 	var worst *segment
 	var live, length int64
@@ -275,7 +278,8 @@
 		if before != 0 && g.id >= before {
 			continue
 		}
-		if worst == nil || float64(g.live)/float64(g.length) < float64(worst.live)/float64(worst.length) {
+		if worst == nil ||
+			float64(g.live)/float64(g.length) < float64(worst.live)/float64(worst.length) {
 			worst = g
 		}
 	}
@@ -346,7 +350,9 @@
 	}
 	s.moving = nil
 	if j.g.live != 0 {
-		return &DamageError{j.g.name, 0, fmt.Sprintf("%d bytes are live that no record holds", j.g.live)}
+		return &DamageError{
+			j.g.name, 0, fmt.Sprintf("%d bytes are live that no record holds", j.g.live),
+		}
 	}
 	return s.removeSegment(j.g)
 }
@@ -356,7 +362,9 @@
 	if err := s.sync(); err != nil { // what hides or holds its records now
 		return err
 	}
-	rest := slices.DeleteFunc(slices.Clone(s.files.segments), func(other *segment) bool { return other == g })
+	rest := slices.DeleteFunc(slices.Clone(s.files.segments), func(other *segment) bool {
+		return other == g
+	})
 	if err := s.replaceFiles(&fileSet{segments: rest, runs: s.files.runs}); err != nil {
 		return err
 	}
--- a/internal/storage/store/doc.go
+++ b/internal/storage/store/doc.go
@@ -27,12 +27,12 @@
 //
 // # Bounds
 //
-// Disk: at most twice the live records and two segments, for the log, once compaction has caught up; it
-// goes along with commits in steps of Options.Step bytes and four times the commit's own.
-// For the index four entries a live key, and as much again while runs are merged.
-// Memory: Options.Overlay entries of some 130 bytes and their key, and less than 3 bytes a key
-// for the rest where keys have up to 32 bytes (a filter of 10 bits a key, and a first key for each 4 KiB of index).
-// A commit holds its batch twice. Descriptors: one a segment and one an index run.
+// Disk: at most twice the live records and two segments, for the log, once compaction has caught
+// up; it goes along with commits in steps of Options.Step bytes and four times the commit's own.
+// For the index four entries a live key, and as much again while runs are merged. Memory:
+// Options.Overlay entries of some 130 bytes and their key, and less than 3 bytes a key for the rest
+// where keys have up to 32 bytes (a filter of 10 bits a key, and a first key for each 4 KiB of
+// index). A commit holds its batch twice. Descriptors: one a segment and one an index run.
 //
 // The store starts no goroutine and looks at no clock. Its methods may be called
 // concurrently. docs/store-format.md has the format, docs/store.md why it is so.
--- a/internal/storage/store/fileset.go
+++ b/internal/storage/store/fileset.go
@@ -26,7 +26,9 @@
 func (set *fileSet) load(key []byte, at location) ([]byte, error) {
 	g := set.segment(at.segment)
 	if g == nil {
-		return nil, &DamageError{segmentName(at.segment), at.offset, "the index names a segment that is not there"}
+		return nil, &DamageError{
+			segmentName(at.segment), at.offset, "the index names a segment that is not there",
+		}
 	}
 	b, r, err := g.read(at)
 	if err != nil {
@@ -38,8 +40,8 @@
 	return b[recordHead+int(r.key):], nil
 }
 
-// drop releases one reference to a set and closes the files that no set refers to any more. Called with
-// mu held.
+// drop releases one reference to a set and closes the files that no set refers to any more. Called
+// with mu held.
 func (s *Store) drop(set *fileSet) {
 	if set.refs--; set.refs > 0 {
 		return
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -83,7 +83,8 @@
 	var id uint64
 	var ext string
 	n, _ := fmt.Sscanf(name, "%016x.%s", &id, &ext)
-	return n == 2 && len(name) == 20 && (ext == "log" || ext == "idx") || name == manifestName || name == manifestNew || name == markName
+	return n == 2 && len(name) == 20 && (ext == "log" || ext == "idx") || name == manifestName ||
+		name == manifestNew || name == markName
 }
 
 // head is the beginning of a file.
@@ -108,7 +109,9 @@
 	case le.Uint32(b[28:]) != sum(b[:28]):
 		return 0, &DamageError{name, 0, "head's checksum differs"}
 	case le.Uint32(b[8:]) != version:
-		return 0, &DamageError{name, 8, fmt.Sprintf("format %d, this program knows %d", le.Uint32(b[8:]), version)}
+		return 0, &DamageError{
+			name, 8, fmt.Sprintf("format %d, this program knows %d", le.Uint32(b[8:]), version),
+		}
 	case store != 0 && le.Uint64(b[12:]) != store:
 		return 0, &DamageError{name, 12, "a file of another store"}
 	case le.Uint64(b[20:]) != file:
@@ -190,7 +193,8 @@
 
 func parseRecord(b []byte) (r record, ok bool) {
 	r = record{le.Uint32(b), b[4], le.Uint32(b[5:]), le.Uint32(b[9:])}
-	return r, (r.op == opPut || r.op == opDelete && r.val == 0) && r.key <= MaxKey && r.val <= MaxValue
+	return r, (r.op == opPut || r.op == opDelete && r.val == 0) && r.key <= MaxKey &&
+		r.val <= MaxValue
 }
 
 func (r record) size() int64 { return recordHead + int64(r.key) + int64(r.val) }
@@ -233,11 +237,14 @@
 
 func (m *manifest) encode() []byte {
 	var b []byte
-	for _, n := range []uint64{m.next, m.active, m.seq, m.keys, uint64(len(m.segments)), uint64(len(m.runs))} {
+	for _, n := range []uint64{
+		m.next, m.active, m.seq, m.keys, uint64(len(m.segments)), uint64(len(m.runs)),
+	} {
 		b = le.AppendUint64(b, n)
 	}
 	for _, s := range m.segments {
-		b = le.AppendUint64(le.AppendUint64(le.AppendUint64(b, s.id), uint64(s.length)), uint64(s.live))
+		b = le.AppendUint64(le.AppendUint64(le.AppendUint64(b, s.id), uint64(s.length)),
+			uint64(s.live))
 	}
 	for _, r := range m.runs {
 		b = le.AppendUint64(le.AppendUint64(b, r.id), uint64(r.length))
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/fs.go
@@ -12,12 +12,14 @@
 // FS is the folder that a store lives in, as wide as the store needs. DirFS gives the
 // real one.
 type FS interface {
-	Create(name string) (File, error)                  // for reading and writing; an old file is emptied
-	Open(name string, write bool) (File, error)        // fs.ErrNotExist if there is none
-	Rename(from, to string) error                      // replaces what is there
-	Remove(name string) error                          // its open files stay readable
-	List() ([]string, error)                           // names of all files
-	Sync() error                                       // of the folder: what was created, renamed and removed
+	// for reading and writing; an old file is emptied
+	Create(name string) (File, error)
+	Open(name string, write bool) (File, error) // fs.ErrNotExist if there is none
+	Rename(from, to string) error               // replaces what is there
+	Remove(name string) error                   // its open files stay readable
+	List() ([]string, error)                    // names of all files
+	// of the folder: what was created, renamed and removed
+	Sync() error
 	Lock(shared bool) (unlock func() error, err error) // ErrLocked if another has it
 }
 
--- a/internal/storage/store/manifest.go
+++ b/internal/storage/store/manifest.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// writeManifest replaces the manifest by one that names a set of files. After an error it is not known
-// which of the two a crash would leave.
+// writeManifest replaces the manifest by one that names a set of files. After an error it is not
+// known which of the two a crash would leave.
 func (s *Store) writeManifest(set *fileSet, active, seq, keys uint64) error {
 	m := &manifest{store: s.id, next: s.next, active: active, seq: seq, keys: keys}
 	for _, g := range set.segments {
@@ -46,8 +46,8 @@
 	return s.writeMark()
 }
 
-// writeMark writes down how far the log is on disk. The mark is not synced: after a power cut an older
-// one is valid too.
+// writeMark writes down how far the log is on disk. The mark is not synced: after a power cut an
+// older one is valid too.
 func (s *Store) writeMark() error {
 	s.slot = 3 - max(s.slot, 1)
 	m := mark{s.active.id, s.synced, s.seq}
--- a/internal/storage/store/overlay.go
+++ b/internal/storage/store/overlay.go
@@ -37,8 +37,11 @@
 }
 
 // with gives a treap in which the key stands at a location, and where it stood before. Nodes of the
-// same epoch were made by the same change and are nobody else's yet: they are turned in place, all others copied.
-func (n *node) with(key string, at location, priority, epoch uint32) (root *node, old location, had bool) {
+// same epoch were made by the same change and are nobody else's yet: they are turned in place, all
+// others copied.
+func (n *node) with(
+	key string, at location, priority, epoch uint32,
+) (root *node, old location, had bool) {
 	if n == nil {
 		return &node{key: key, at: at, priority: priority, epoch: epoch}, old, false
 	}
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -7,8 +7,8 @@
 	"io/fs"
 )
 
-// create creates a store where there is none. A creation that a crash interrupted is begun anew, since
-// nobody was promised anything of it.
+// create creates a store where there is none. A creation that a crash interrupted is begun anew,
+// since nobody was promised anything of it.
 func (s *Store) create(names []string) error {
 	if s.opt.ReadOnly {
 		return fmt.Errorf("store: %w: no manifest", fs.ErrNotExist)
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// replayBatch applies the batch at the end of what was replayed. tail is not nil if the batch can't be
-// read: the log is torn or damaged from there on.
+// replayBatch applies the batch at the end of what was replayed. tail is not nil if the batch can't
+// be read: the log is torn or damaged from there on.
 func (s *Store) replayBatch(size int64) (tail *DamageError, err error) {
 	n, count, seq, err := s.active.readBatch(s.end, size)
 	if errors.As(err, &tail) {
@@ -177,8 +177,9 @@
 	return nil, nil
 }
 
-// checkMark holds the mark, which says how far the log was on disk, against what was replayed. tail is why
-// the replay ended, nil if it read the whole segment. A mark that can't be opened or read is passed over.
+// checkMark holds the mark, which says how far the log was on disk, against what was replayed. tail
+// is why the replay ended, nil if it read the whole segment. A mark that can't be opened or read is
+// passed over.
 func (s *Store) checkMark(tail *DamageError) error {
 	f, err := s.fs.Open(markName, false)
 	if err != nil {
--- a/internal/storage/store/run.go
+++ b/internal/storage/store/run.go
@@ -41,7 +41,12 @@
 
 func (s *Store) newRunWriter(most int) (*runWriter, error) {
 	id := s.nextID()
-	w := &runWriter{name: runName(id), id: id, filter: newFilter(most), buf: head(kindRun, s.id, id)}
+	w := &runWriter{
+		name:   runName(id),
+		id:     id,
+		filter: newFilter(most),
+		buf:    head(kindRun, s.id, id),
+	}
 	var err error
 	w.f, err = s.fs.Create(w.name)
 	return w, err
@@ -99,7 +104,9 @@
 	filterAt := w.at + int64(len(w.buf))
 	w.buf = sealed(w.buf, w.filter)
 	foot := make([]byte, 0, footerSize)
-	for _, n := range []uint64{uint64(end), uint64(filterAt), uint64(w.entries), uint64(w.tombstones), w.id} {
+	for _, n := range []uint64{
+		uint64(end), uint64(filterAt), uint64(w.entries), uint64(w.tombstones), w.id,
+	} {
 		foot = le.AppendUint64(foot, n)
 	}
 	foot = append(foot, "run\n"...)
@@ -110,7 +117,10 @@
 	if err := w.f.Sync(); err != nil {
 		return nil, err
 	}
-	r := &run{file: file{f: w.f, name: w.name}, id: w.id, length: w.at, entries: w.entries, tombstones: w.tombstones,
+	r := &run{file: file{
+		f:    w.f,
+		name: w.name,
+	}, id: w.id, length: w.at, entries: w.entries, tombstones: w.tombstones,
 		end: end, fences: w.fences, filter: w.filter}
 	return r, r.index()
 }
@@ -136,7 +146,8 @@
 	if _, err := f.ReadAt(foot, at); err != nil {
 		return nil, cutOr(err, name, at, "ends within its footer")
 	}
-	if string(foot[40:44]) != "run\n" || le.Uint32(foot[44:]) != sum(foot[:44]) || le.Uint64(foot[32:]) != m.id {
+	if string(foot[40:44]) != "run\n" || le.Uint32(foot[44:]) != sum(foot[:44]) ||
+		le.Uint64(foot[32:]) != m.id {
 		return nil, &DamageError{name, at, "footer's checksum differs"}
 	}
 	r := &run{file: file{f: f, name: name}, id: m.id, length: size, end: int64(le.Uint64(foot)),
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -23,13 +23,21 @@
 }
 
 func openSegment(f File, store uint64, m sealedSegment) (*segment, error) {
-	s := &segment{file: file{f: f, name: segmentName(m.id)}, id: m.id, length: m.length, live: m.live, base: m.live}
+	s := &segment{
+		file:   file{f: f, name: segmentName(m.id)},
+		id:     m.id,
+		length: m.length,
+		live:   m.live,
+		base:   m.live,
+	}
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
 	}
 	if size != m.length {
-		return nil, &DamageError{s.name, size, fmt.Sprintf("ends here; the manifest has %d bytes", m.length)}
+		return nil, &DamageError{
+			s.name, size, fmt.Sprintf("ends here; the manifest has %d bytes", m.length),
+		}
 	}
 	_, err = readHead(f, s.name, kindSegment, store, m.id)
 	return s, err
--- a/internal/storage/store/snapshot.go
+++ b/internal/storage/store/snapshot.go
@@ -16,8 +16,8 @@
 	return view.Get(key)
 }
 
-// Snapshot is the store as it was at one time. It may be read concurrently, also with commits. The files
-// that it reads stay on disk until it is closed.
+// Snapshot is the store as it was at one time. It may be read concurrently, also with commits. The
+// files that it reads stay on disk until it is closed.
 type Snapshot struct {
 	s     *Store
 	seq   uint64
@@ -65,8 +65,8 @@
 // Item is a key with its value. The receiver owns both.
 type Item struct{ Key, Value []byte }
 
-// Range iterates over the keys in [from, to) in byte order; a nil to means to the end. It stops after the
-// first error.
+// Range iterates over the keys in [from, to) in byte order; a nil to means to the end. It stops
+// after the first error.
 func (v *Snapshot) Range(from, to []byte) iter.Seq2[Item, error] {
 	return func(yield func(Item, error) bool) {
 		for e, err := range v.entries(from, to) {
@@ -121,7 +121,8 @@
 	}
 }
 
-// find returns the newest location of a key and whether the key exists. buf is reused between calls.
+// find returns the newest location of a key and whether the key exists. buf is reused between
+// calls.
 func find(top *node, set *fileSet, key []byte, buf *[]byte) (location, bool, error) {
 	if at, ok := top.get(string(key)); ok {
 		return at, !at.deleted(), nil
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -16,17 +16,18 @@
 
 // Options say how a store is opened. The zero value is valid.
 type Options struct {
-	// SegmentBytes is the size at which a segment of the log is sealed, 16 MiB if it is 0. One batch may
-	// pass it.
+	// SegmentBytes is the size at which a segment of the log is sealed, 16 MiB if it is 0. One
+	// batch may pass it.
 	SegmentBytes int64
-	// Overlay is how many keys written since the last sealing are held in memory, 16,384 if it is 0.
+	// Overlay is how many keys written since the last sealing are held in memory, 16,384 if it is
+	// 0.
 	Overlay int
 	// Step is how many bytes of compaction go along with each commit at least, 64 KiB if it is 0.
 	Step int
 	// Verify has Open read and check every byte.
 	Verify bool
-	// ReadOnly opens without changing anything; other readers may do so at the same time. A torn tail is
-	// reported in Stats and left.
+	// ReadOnly opens without changing anything; other readers may do so at the same time. A torn
+	// tail is reported in Stats and left.
 	ReadOnly bool
 	// FS is the folder. If it is nil, the folder at the path given to Open is used.
 	FS FS
@@ -101,11 +102,12 @@
 	Moved      int64 // bytes that compaction has copied
 	Merged     int64 // entries that it has written
 	Syncs      int64 // of the log
-	Background error // what the last step of compaction, or the last mark, failed with; commits went on
+	// what the last step of compaction, or the last mark, failed with; commits went on
+	Background error
 }
 
-// Open opens the store in a folder, or creates one there. The error wraps ErrLocked if another process
-// has it open, and is a *DamageError if something can't be read as it was written.
+// Open opens the store in a folder, or creates one there. The error wraps ErrLocked if another
+// process has it open, and is a *DamageError if something can't be read as it was written.
 func Open(dir string, opt Options) (_ *Store, err error) {
 	opt = opt.withDefaults()
 	if opt.FS == nil {
@@ -161,7 +163,9 @@
 	defer s.follow()
 	st := s.stats
 	st.Keys, st.Seq, st.Segments, st.Runs, st.Overlay = s.keys, s.seq, len(s.files.segments), len(s.files.runs), s.count
-	st.LogBytes, st.Memory, st.Background = s.end, int64(s.count)*nodeBytes, errors.Join(s.background, s.unmarked)
+	st.LogBytes, st.Memory, st.Background = s.end, int64(s.count)*nodeBytes, errors.Join(
+		s.background, s.unmarked,
+	)
 	for _, g := range s.files.segments {
 		st.Live += g.live
 		st.LogBytes += g.length
@@ -174,8 +178,8 @@
 	return st
 }
 
-// Close syncs what was committed and unlocks the folder. Commits under way are finished. Snapshots can
-// be read until they are closed themselves.
+// Close syncs what was committed and unlocks the folder. Commits under way are finished. Snapshots
+// can be read until they are closed themselves.
 func (s *Store) Close() error {
 	s.lead()
 	defer s.follow()
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -73,7 +73,8 @@
 				got, err := storetest.Read(w.Store)
 				n := w.After(got)
 				if err != nil || n < promised {
-					t.Fatalf("seed %d: after a crash %v, as after batch %d of %d, %v", seed, got, n, promised, err)
+					t.Fatalf("seed %d: after a crash %v, as after batch %d of %d, %v",
+						seed, got, n, promised, err)
 				}
 				w.States, held = w.States[:n+1], map[*store.Snapshot]storetest.Content{}
 			case k == 2:
@@ -95,8 +96,10 @@
 					promised = w.Last()
 				}
 			}
-			if st := w.Store.Stats(); st.Background != nil || st.Keys != uint64(len(w.States[w.Last()])) {
-				t.Fatalf("seed %d: %d keys, not %d; %v", seed, st.Keys, len(w.States[w.Last()]), st.Background)
+			if st := w.Store.Stats(); st.Background != nil ||
+				st.Keys != uint64(len(w.States[w.Last()])) {
+				t.Fatalf("seed %d: %d keys, not %d; %v",
+					seed, st.Keys, len(w.States[w.Last()]), st.Background)
 			}
 		}
 		if got, err := storetest.Read(w.Store); err != nil || w.After(got) != w.Last() {
@@ -262,15 +265,20 @@
 	}
 	whole := f.Copy()
 	for reason, change := range map[string]func(c *faultfs.FS){
-		"format 2":          func(c *faultfs.FS) { c.Replace("MANIFEST", store.AsVersion(c.Read("MANIFEST"), 2)) },
-		"kind":              func(c *faultfs.FS) { c.Replace("MANIFEST", []byte(strings.Repeat("another program's", 9))) },
+		"format 2": func(c *faultfs.FS) {
+			c.Replace("MANIFEST", store.AsVersion(c.Read("MANIFEST"), 2))
+		},
+		"kind": func(c *faultfs.FS) {
+			c.Replace("MANIFEST", []byte(strings.Repeat("another program's", 9)))
+		},
 		"missing":           func(c *faultfs.FS) { c.Remove("MANIFEST") },
 		"manifest names it": func(c *faultfs.FS) { c.Remove("0000000000000001.log") },
 	} {
 		c := whole.Copy()
 		change(c)
 		before := c.Names()
-		if _, err := store.Open("", store.Options{FS: c}); err == nil || !strings.Contains(err.Error(), reason) {
+		if _, err := store.Open("",
+			store.Options{FS: c}); err == nil || !strings.Contains(err.Error(), reason) {
 			t.Errorf("%s: %v", reason, err)
 		}
 		if !slices.Equal(before, c.Names()) {
@@ -311,7 +319,8 @@
 		return 0, nil
 	}
 	for i := range 20 {
-		if err := s.Commit(put(fmt.Sprint("n", i), strings.Repeat("x", 60)), store.Durable); err != nil {
+		if err := s.Commit(put(fmt.Sprint("n", i), strings.Repeat("x", 60)),
+			store.Durable); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -328,7 +337,8 @@
 		}
 		return 0, nil
 	}
-	if err := s.Commit(put("k", "unsure"), store.Durable); !errors.Is(err, store.ErrReadOnly) || !errors.Is(err, syscall.EIO) {
+	if err := s.Commit(put("k", "unsure"),
+		store.Durable); !errors.Is(err, store.ErrReadOnly) || !errors.Is(err, syscall.EIO) {
 		t.Errorf("failed sync: %v", err)
 	}
 	f.Fail = nil
@@ -353,15 +363,18 @@
 			t.Errorf("read-only folder: %v", err)
 		}
 	}
-	if _, err := store.Open(filepath.Join(t.TempDir(), "no", "where"), store.Options{}); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := store.Open(filepath.Join(t.TempDir(), "no", "where"),
+		store.Options{}); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no folder above: %v", err)
 	}
-	if _, err := store.Open(t.TempDir(), store.Options{ReadOnly: true}); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := store.Open(t.TempDir(),
+		store.Options{ReadOnly: true}); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("nothing to read: %v", err)
 	}
 }
 
-// Space: overwriting the same keys for long leaves a log of the size that the package comment states.
+// Space: overwriting the same keys for long leaves a log of the size that the package comment
+// states.
 func TestSpaceAndRunsStayBounded(t *testing.T) {
 	f := faultfs.New()
 	o := store.Options{FS: f, SegmentBytes: 16 << 10, Overlay: 128, Step: 4 << 10}
@@ -429,7 +442,8 @@
 			t.Fatal(err)
 		}
 		var damage *store.DamageError
-		if _, err := store.Check(dir, o); !errors.As(err, &damage) || damage.File != filepath.Base(names[0]) {
+		if _, err := store.Check(dir, o); !errors.As(err, &damage) ||
+			damage.File != filepath.Base(names[0]) {
 			t.Errorf("check: %v, %s is damaged", err, names[0])
 		}
 		rep, err := store.Repair(dir, false)
@@ -439,7 +453,8 @@
 		if len(rep.GivenUp) == 0 || rep.Kept == 0 {
 			t.Errorf("%+v", rep)
 		}
-		if kept, err := os.ReadFile(filepath.Join(rep.Original, filepath.Base(names[0]))); err != nil || !bytes.Equal(kept, raw) {
+		if kept, err := os.ReadFile(filepath.Join(rep.Original,
+			filepath.Base(names[0]))); err != nil || !bytes.Equal(kept, raw) {
 			t.Errorf("the original is not kept: %v", err)
 		}
 		s := open(t, dir, store.Options{SegmentBytes: 8 << 10, Overlay: 64, Verify: true})
@@ -475,7 +490,8 @@
 	}
 }
 
-// A process dies and leaves what it committed to the system alone; the next one syncs, and the power goes.
+// A process dies and leaves what it committed to the system alone; the next one syncs, and the
+// power goes.
 func TestWhatWasFoundIsSyncedToo(t *testing.T) {
 	f := faultfs.New()
 	first := open(t, "", store.Options{FS: f})
@@ -501,7 +517,8 @@
 	c, name := f.Copy(), "0000000000000001.log"
 	c.Replace(name, c.Read(name)[:len(c.Read(name))-1])
 	var damage *store.DamageError
-	if _, err := store.Open("", store.Options{FS: c}); !errors.As(err, &damage) || damage.File != name {
+	if _, err := store.Open("",
+		store.Options{FS: c}); !errors.As(err, &damage) || damage.File != name {
 		t.Errorf("a cut batch that Sync had promised: %v", err)
 	}
 }
--- a/internal/testing/harness/audit.go
+++ b/internal/testing/harness/audit.go
@@ -44,12 +44,13 @@
 	AnsweredOnce     int
 	KilledUnanswered int // of those taken: lost with a gateway that was killed outright
 	PausedUnanswered int // and with one that lay stopped while their clients waited
-	PausedLate       int // and what such a one sent on, or answered, when it was just awake again: no breach here
-	LeftWaiting      int // tries of which no attempt was whole when their client left,
-	LeftSentOn       int // and those of them that were sent on leftWithin later all the same
-	Crossed          int // sent on a connection that was just being closed, unread: sent again
-	OverQuota        float64
-	AttemptsOver     int // tries with more attempts than a request may have
+	// and what such a one sent on, or answered, when it was just awake again: no breach here
+	PausedLate   int
+	LeftWaiting  int // tries of which no attempt was whole when their client left,
+	LeftSentOn   int // and those of them that were sent on leftWithin later all the same
+	Crossed      int // sent on a connection that was just being closed, unread: sent again
+	OverQuota    float64
+	AttemptsOver int // tries with more attempts than a request may have
 }
 
 // OK tells whether no rule was broken.
@@ -88,8 +89,9 @@
 	return v
 }
 
-// killedDuring tells whether a gateway was being killed outright in a span. A kill lasts from the signal until the
-// process has ended: on a busy machine that takes a while, in which the system still takes connections for it.
+// killedDuring tells whether a gateway was being killed outright in a span. A kill lasts from the
+// signal until the process has ended: on a busy machine that takes a while, in which the system
+// still takes connections for it.
 func killedDuring(rec *Record, gateway int, from, to time.Duration) bool {
 	killed := time.Duration(-1)
 	for _, l := range rec.Lives {
@@ -137,7 +139,8 @@
 
 var kinds = [...]string{"unsent", "served", "refused", "failed", "ended", "silent", "left"}
 
-// leftWithin is how long after its client has left a request may still be sent on; over so large a part of those that waited is a breach.
+// leftWithin is how long after its client has left a request may still be sent on; over so large a
+// part of those that waited is a breach.
 const (
 	leftWithin = 300 * time.Millisecond
 	leftPart   = 0.25
@@ -163,7 +166,18 @@
 
 // lately tells what had happened to a gateway shortly before a moment.
 func lately(rec *Record, gateway int, before time.Duration) string {
-	names := [...]string{"started", "ready", "told to stop", "reloaded", "handed over", "killed", "ended", "crashed", "paused", "woken"}
+	names := [...]string{
+		"started",
+		"ready",
+		"told to stop",
+		"reloaded",
+		"handed over",
+		"killed",
+		"ended",
+		"crashed",
+		"paused",
+		"woken",
+	}
 	text := "gateway"
 	for _, l := range rec.Lives {
 		if l.Gateway == gateway && l.At <= before && l.At > before-10*time.Second {
@@ -194,7 +208,8 @@
 			// again. It must not have been read.
 			v.Crossed++
 			if len(seen) > 0 && seen[0].First < t.Closed && !killed && !paused {
-				v.breach(Lost, t.Closed, "try %s was sent on, and its connection ended without an answer", t.ID)
+				v.breach(Lost, t.Closed,
+					"try %s was sent on, and its connection ended without an answer", t.ID)
 				continue
 			}
 		}
@@ -222,22 +237,36 @@
 			continue
 		default:
 			v.breach(Lost, t.Sent, "try %s of class %s has no answer from gateway %d (%s, closed at %v, reset %t, no port at %v, attempts %v; %s)",
-				t.ID, s.Classes[t.Class].Name, t.Gateway, kinds[t.Kind], t.Closed, t.Reset, t.NoPort, times(seen), lately(rec, t.Gateway, end))
+				t.ID,
+				s.Classes[t.Class].Name,
+				t.Gateway,
+				kinds[t.Kind],
+				t.Closed,
+				t.Reset,
+				t.NoPort,
+				times(seen),
+				lately(rec, t.Gateway, end))
 			continue
 		}
 		if t.Answered > end+OnSockets && paused {
 			v.PausedLate++
 		} else if t.Answered > end+OnSockets {
-			v.breach(Lost, t.Answered, "try %s was answered %v after its client stopped waiting", t.ID, t.Answered-end)
+			v.breach(Lost, t.Answered, "try %s was answered %v after its client stopped waiting",
+				t.ID, t.Answered-end)
 		}
-		if t.Kind == Served && !slices.ContainsFunc(seen, func(a Attempt) bool { return a.Ran && ValueOf(a.ID, a.Server) == t.Value }) {
-			v.breach(Lost, t.Answered, "try %s was served %q, which no server made for it", t.ID, t.Value)
+		if t.Kind == Served &&
+			!slices.ContainsFunc(seen, func(a Attempt) bool {
+				return a.Ran && ValueOf(a.ID, a.Server) == t.Value
+			}) {
+			v.breach(Lost, t.Answered, "try %s was served %q, which no server made for it",
+				t.ID, t.Value)
 		}
 		for _, a := range seen {
 			if a.First > t.Answered+OnSockets && paused {
 				v.PausedLate++
 			} else if a.First > t.Answered+OnSockets {
-				v.breach(Lost, a.First, "try %s was sent on %v after its answer", t.ID, a.First-t.Answered)
+				v.breach(Lost, a.First, "try %s was sent on %v after its answer", t.ID,
+					a.First-t.Answered)
 			}
 		}
 		if len(seen) > s.MaxAttempts {
@@ -245,7 +274,14 @@
 		}
 	}
 	if float64(v.LeftSentOn) > leftPart*float64(v.LeftWaiting) {
-		v.breach(Lost, rec.Now(), "%d of %d requests whose clients had left while they waited were sent on %v and more later", v.LeftSentOn, v.LeftWaiting, leftWithin)
+		v.breach(
+			Lost,
+			rec.Now(),
+			"%d of %d requests whose clients had left while they waited were sent on %v and more later",
+			v.LeftSentOn,
+			v.LeftWaiting,
+			leftWithin,
+		)
 	}
 }
 
@@ -253,14 +289,18 @@
 func (v *Verdict) twice(s *Site, rec *Record, attempts map[string][]Attempt) {
 	for _, t := range rec.Tries {
 		c := &s.Classes[t.Class]
-		mayRun := slices.DeleteFunc(slices.Clone(attempts[t.ID]), func(a Attempt) bool { return a.Turned })
+		mayRun := slices.DeleteFunc(slices.Clone(attempts[t.ID]), func(a Attempt) bool {
+			return a.Turned
+		})
 		switch {
 		case c.Unsafe && len(mayRun) > 1:
 			v.breach(Twice, mayRun[1].Whole, "try %s, unsafe, was sent again", t.ID)
 		case c.Unsafe && len(mayRun) > 0 && t.Kind == Refused:
 			v.breach(Twice, t.Answered, "try %s, unsafe, was refused though it may have run", t.ID)
-		case c.Keyed && len(mayRun) > 1 && mayRun[len(mayRun)-1].Whole-mayRun[0].Whole > c.Window+OnSockets:
-			v.breach(Twice, mayRun[len(mayRun)-1].Whole, "try %s, keyed, was sent again after its window", t.ID)
+		case c.Keyed && len(mayRun) > 1 &&
+			mayRun[len(mayRun)-1].Whole-mayRun[0].Whole > c.Window+OnSockets:
+			v.breach(Twice, mayRun[len(mayRun)-1].Whole,
+				"try %s, keyed, was sent again after its window", t.ID)
 		}
 	}
 	// Whatever was allowed: an effect that the servers saw twice in one window is one.
@@ -274,7 +314,8 @@
 				v.PausedLate++
 				continue
 			}
-			v.breach(Twice, a.Whole, "the effect of key %s happened at %v and at %v", a.Key, at, a.Whole)
+			v.breach(Twice, a.Whole, "the effect of key %s happened at %v and at %v",
+				a.Key, at, a.Whole)
 		}
 		done[a.Key] = a.Whole
 	}
@@ -317,7 +358,8 @@
 				v.PausedLate++
 				continue
 			}
-			v.breach(Drain, a.First, "gateway %d sent to %s %v after it was told to stop", a.Gateway, a.Server, a.First-since)
+			v.breach(Drain, a.First, "gateway %d sent to %s %v after it was told to stop",
+				a.Gateway, a.Server, a.First-since)
 		}
 	}
 }
@@ -361,7 +403,8 @@
 			for ; window[to].Whole-window[from].Whole > s.FallSpan; from++ {
 				work -= window[from].Work
 			}
-			can := b.Cores * b.Speed * s.Share(b, window[to].Whole) * s.FallSpan.Seconds() * s.FallMultiple
+			can := b.Cores * b.Speed * s.Share(b, window[to].Whole) * s.FallSpan.Seconds() *
+				s.FallMultiple
 			if work.Seconds() > can+slack.Seconds() && b.Fell == 0 {
 				v.breach(Cold, window[to].Whole, "%s was sent %v of work in %v, %v after its start, and can do %.2f s", b.Server, work,
 					s.FallSpan, window[to].Whole-b.At, can/s.FallMultiple)
@@ -404,7 +447,8 @@
 		c.level -= e.try.Units
 		under := c.level < -p.CeilingSlack-p.CeilingRate*ceilingSpan.Seconds()
 		if under && !low[e.try.Customer] {
-			v.breach(Ceiling, e.at, "customer %s is %.1f units below its ceiling's store", e.try.Customer, -c.level)
+			v.breach(Ceiling, e.at, "customer %s is %.1f units below its ceiling's store",
+				e.try.Customer, -c.level)
 		}
 		low[e.try.Customer] = under
 	}
--- a/internal/testing/harness/audit_test.go
+++ b/internal/testing/harness/audit_test.go
@@ -23,7 +23,16 @@
 		id := fmt.Sprintf("%016x", i)
 		t := Try{ID: id, First: id, Customer: "c", Plan: 2, Class: i % 2, Units: 2, Asked: at, Sent: at, Wait: 2 * time.Second,
 			Answered: at + 200*ms, Kind: Served, Answers: 1, Value: ValueOf(id, "a")}
-		a := Attempt{ID: id, Server: "a", Class: t.Class, Work: 100 * ms, First: at + 5*ms, Whole: at + 5*ms, Ran: true, Effect: true}
+		a := Attempt{
+			ID:     id,
+			Server: "a",
+			Class:  t.Class,
+			Work:   100 * ms,
+			First:  at + 5*ms,
+			Whole:  at + 5*ms,
+			Ran:    true,
+			Effect: true,
+		}
 		if s.Classes[t.Class].Keyed {
 			t.Key, a.Key = "k"+id, "k"+id
 		}
@@ -95,15 +104,45 @@
 		rule   Rule
 		change func(*Site, *Record)
 	}{
-		{"no answer", Lost, func(_ *Site, r *Record) { x := &r.Tries[3]; x.Kind, x.Answers, x.Answered = Silent, 0, 0 }},
+		{
+			"no answer",
+			Lost,
+			func(_ *Site, r *Record) {
+				x := &r.Tries[3]
+				x.Kind, x.Answers, x.Answered = Silent, 0, 0
+			},
+		},
 		{"two answers", Lost, func(_ *Site, r *Record) { r.Tries[3].Answers = 2 }},
-		{"too late", Lost, func(_ *Site, r *Record) { x := &r.Tries[3]; x.Answered = x.Sent + x.Wait + 60*ms }},
-		{"connection ended", Lost, func(_ *Site, r *Record) { x := &r.Tries[3]; x.Kind, x.Answers, x.Reset = Ended, 0, true }},
-		{"closed though read", Lost, func(_ *Site, r *Record) { x := &r.Tries[3]; x.Closed = x.Sent + 100*ms }},
+		{
+			"too late",
+			Lost,
+			func(_ *Site, r *Record) { x := &r.Tries[3]; x.Answered = x.Sent + x.Wait + 60*ms },
+		},
+		{
+			"connection ended",
+			Lost,
+			func(_ *Site, r *Record) {
+				x := &r.Tries[3]
+				x.Kind, x.Answers, x.Reset = Ended, 0, true
+			},
+		},
+		{
+			"closed though read",
+			Lost,
+			func(_ *Site, r *Record) { x := &r.Tries[3]; x.Closed = x.Sent + 100*ms },
+		},
 		{"made by nobody", Lost, func(_ *Site, r *Record) { r.Tries[3].Value = "quote" }},
-		{"made for another", Lost, func(_ *Site, r *Record) { r.Tries[3].Value = r.Tries[4].Value }},
+		{
+			"made for another",
+			Lost,
+			func(_ *Site, r *Record) { r.Tries[3].Value = r.Tries[4].Value },
+		},
 		{"sent on after the answer", Lost, func(_ *Site, r *Record) { again(r, 2, "b", 400*ms) }},
-		{"ended by itself", Lost, func(_ *Site, r *Record) { r.Lives = append(r.Lives, Life{1, Crashed, time.Second}) }},
+		{
+			"ended by itself",
+			Lost,
+			func(_ *Site, r *Record) { r.Lives = append(r.Lives, Life{1, Crashed, time.Second}) },
+		},
 		{"another gateway was killed", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
@@ -112,12 +151,15 @@
 		{"the gateway that was killed had ended long before", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
-			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 200*ms}, Life{0, Exited, x.Sent - 100*ms})
+			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 200*ms},
+				Life{0, Exited, x.Sent - 100*ms})
 		}},
 		{"it was killed after one that had ended had started anew", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
-			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 200*ms}, Life{0, Exited, x.Sent - 150*ms},
+			r.Lives = append(r.Lives, Life{
+				0, Killed, x.Sent - 200*ms,
+			}, Life{0, Exited, x.Sent - 150*ms},
 				Life{0, Started, x.Sent - 100*ms}, Life{0, Killed, x.Sent + x.Wait + 100*ms})
 		}},
 		{"sent on though its client had left", Lost, func(_ *Site, r *Record) {
@@ -133,12 +175,19 @@
 			s.Classes[0].Unsafe = true
 			again(r, 0, "b", 50*ms)
 		}},
-		{"unsafe refused after it ran", Twice, func(s *Site, r *Record) { s.Classes[0].Unsafe, r.Tries[0].Kind = true, Refused }},
+		{
+			"unsafe refused after it ran",
+			Twice,
+			func(s *Site, r *Record) { s.Classes[0].Unsafe, r.Tries[0].Kind = true, Refused },
+		},
 		{"sent to a drained server", Drain, func(_ *Site, r *Record) {
 			r.Told = []Told{{0, "a", true, r.Attempts[9].First - 2100*ms}}
 		}},
 		{"told twice: the first counts", Drain, func(_ *Site, r *Record) {
-			r.Told = []Told{{0, "a", true, r.Attempts[9].First - 2100*ms}, {0, "a", true, r.Attempts[9].First - 500*ms}}
+			r.Told = []Told{
+				{0, "a", true, r.Attempts[9].First - 2100*ms},
+				{0, "a", true, r.Attempts[9].First - 500*ms},
+			}
 		}},
 		{"overrun", Cold, func(_ *Site, r *Record) {
 			r.Boots[0].Cold = true
@@ -178,7 +227,8 @@
 		rec.Attempts[i].Whole = time.Duration(i) * ms
 	}
 	if v := Audit(s, rec); v.OverQuota != 16 || !v.OK() {
-		t.Errorf("%g units beyond the quotas, want 16 of 20 at once; broken %v", v.OverQuota, v.Broken)
+		t.Errorf("%g units beyond the quotas, want 16 of 20 at once; broken %v",
+			v.OverQuota, v.Broken)
 	}
 }
 
@@ -205,12 +255,19 @@
 // What is given is held against the least of asked and bought, by groups of customers,
 // and what goes beyond a quota is not given.
 func TestGivenOfBought(t *testing.T) {
-	s := &Site{Gateways: 3, Classes: NewSite(1, 1, 2, 0.5).Classes, Plans: []Plan{{Rate: 1, Burst: 4}},
-		Customers: []Customer{{ID: "a", Use: 0.5, Spread: 2}, {ID: "b", Use: 0.9, Spread: 3}, {ID: "c", Use: 2, Spread: 3}}}
+	s := &Site{Gateways: 3, Classes: NewSite(1, 1, 2, 0.5).Classes, Plans: []Plan{
+		{Rate: 1, Burst: 4},
+	},
+		Customers: []Customer{
+			{ID: "a", Use: 0.5, Spread: 2},
+			{ID: "b", Use: 0.9, Spread: 3},
+			{ID: "c", Use: 2, Spread: 3},
+		}}
 	rec := &Record{}
 	ask := func(customer string, at time.Duration, units float64, on bool) {
 		id := fmt.Sprint(len(rec.Tries))
-		rec.Tries = append(rec.Tries, Try{ID: id, First: id, Customer: customer, Units: units, Asked: at, Sent: at})
+		rec.Tries = append(rec.Tries,
+			Try{ID: id, First: id, Customer: customer, Units: units, Asked: at, Sent: at})
 		if on {
 			rec.Attempts = append(rec.Attempts, Attempt{ID: id, Whole: at})
 		}
@@ -223,10 +280,16 @@
 	}
 	ask("a", 6*time.Second, 2, true) // ends the span: 10 units bought
 	got := GivenOfBought(s, rec)
-	for group, want := range map[string]Share{Under: {Customers: 1, Bought: 4, Given: 4, Of: 1}, Near: {Customers: 1, Bought: 4, Given: 2, Of: 0.5},
+	for group, want := range map[string]Share{Under: {
+		Customers: 1,
+		Bought:    4,
+		Given:     4,
+		Of:        1,
+	}, Near: {Customers: 1, Bought: 4, Given: 2, Of: 0.5},
 		Over: {Customers: 1, Bought: 8, Given: 4, Of: 0.5}} {
 		g := got[group]
-		if g.Customers != want.Customers || g.Bought != want.Bought || g.Given != want.Given || g.Of != want.Of {
+		if g.Customers != want.Customers || g.Bought != want.Bought || g.Given != want.Given ||
+			g.Of != want.Of {
 			t.Errorf("%s: %+v, want %+v", group, *g, want)
 		}
 	}
@@ -239,7 +302,12 @@
 // last refusal, unless the store truly lacked the units by then.
 func TestLossesHaveACause(t *testing.T) {
 	classes := NewSite(1, 1, 2, 0.5).Classes
-	s := &Site{Gateways: 2, Classes: classes, Plans: []Plan{{Rate: 0.001, Burst: 4, Price: 1}}, Customers: []Customer{{ID: "c"}}}
+	s := &Site{
+		Gateways:  2,
+		Classes:   classes,
+		Plans:     []Plan{{Rate: 0.001, Burst: 4, Price: 1}},
+		Customers: []Customer{{ID: "c"}},
+	}
 	for _, c := range []struct {
 		name string
 		want string
@@ -250,16 +318,33 @@
 		{"load", "load", func(rec *Record, t *Try) { t.Why = "load" }},
 		{"spent", LossSpent, func(rec *Record, t *Try) {
 			t.Why = "slice"
-			rec.Tries = append(rec.Tries, Try{ID: "x", First: "w", Customer: "c", Units: 3, Sent: 10 * ms, Kind: Served})
+			rec.Tries = append(rec.Tries,
+				Try{ID: "x", First: "w", Customer: "c", Units: 3, Sent: 10 * ms, Kind: Served})
 			rec.Attempts = append(rec.Attempts, Attempt{ID: "x", Whole: 10 * ms})
 		}},
 		{"failed", LossFailed, func(rec *Record, t *Try) { t.Kind = Failed }},
 		{"killed", LossKilled, func(rec *Record, t *Try) { t.Kind = Ended }},
 		{"no port", LossNoPort, func(rec *Record, t *Try) { t.Kind = Unsent }},
-		{"late", LossLate, func(rec *Record, t *Try) { t.Kind, t.Answered = Served, 3*time.Second }},
+		{
+			"late",
+			LossLate,
+			func(rec *Record, t *Try) { t.Kind, t.Answered = Served, 3*time.Second },
+		},
 		{"silent", LossSilent, func(rec *Record, t *Try) { t.Kind = Silent }},
 	} {
-		rec := &Record{Tries: []Try{{ID: "1", First: "1", Customer: "c", Units: 2, Sent: 20 * ms, Answered: 30 * ms, Kind: Refused}}}
+		rec := &Record{
+			Tries: []Try{
+				{
+					ID:       "1",
+					First:    "1",
+					Customer: "c",
+					Units:    2,
+					Sent:     20 * ms,
+					Answered: 30 * ms,
+					Kind:     Refused,
+				},
+			},
+		}
 		c.tell(rec, &rec.Tries[0])
 		got := Losses(s, rec)
 		if len(got) != 1 || got[c.want] != 1 {
--- a/internal/testing/harness/fault.go
+++ b/internal/testing/harness/fault.go
@@ -11,19 +11,21 @@
 // The kinds of faults. N is a gateway for kill, restart, freeze and clock, a server for
 // down, drain, slow, errors, hang and reset, and the first of the second half for cut.
 const (
-	Kill     FaultKind = "kill"    // ends outright, and comes back knowing nothing
-	Restart  FaultKind = "restart" // the same, and comes back from its kept state, if states are kept
-	Freeze   FaultKind = "freeze"  // stands still for a moment
-	ClockOff FaultKind = "clock"   // is killed, and its next process has a clock that is off by X seconds
-	Down     FaultKind = "down"    // a server ends, and comes back cold
-	Drained  FaultKind = "drain"   // a server is said to drain, and then to be ready again
-	Slow     FaultKind = "slow"    // its work takes X times as long
-	Errors   FaultKind = "errors"  // a part X of its requests fail at once
-	Hang     FaultKind = "hang"    // it takes requests and answers none
-	Resets   FaultKind = "reset"   // a part X of its answers end with a reset connection
-	SilentAt FaultKind = "silent"  // the register tells nothing
-	Cut      FaultKind = "cut"     // no note passes between two halves of the gateways
-	LateBy   FaultKind = "late"    // notes come X seconds later
+	Kill FaultKind = "kill" // ends outright, and comes back knowing nothing
+	// the same, and comes back from its kept state, if states are kept
+	Restart FaultKind = "restart"
+	Freeze  FaultKind = "freeze" // stands still for a moment
+	// is killed, and its next process has a clock that is off by X seconds
+	ClockOff FaultKind = "clock"
+	Down     FaultKind = "down"   // a server ends, and comes back cold
+	Drained  FaultKind = "drain"  // a server is said to drain, and then to be ready again
+	Slow     FaultKind = "slow"   // its work takes X times as long
+	Errors   FaultKind = "errors" // a part X of its requests fail at once
+	Hang     FaultKind = "hang"   // it takes requests and answers none
+	Resets   FaultKind = "reset"  // a part X of its answers end with a reset connection
+	SilentAt FaultKind = "silent" // the register tells nothing
+	Cut      FaultKind = "cut"    // no note passes between two halves of the gateways
+	LateBy   FaultKind = "late"   // notes come X seconds later
 )
 
 // The kinds by whom they befall.
@@ -45,5 +47,6 @@
 
 // String is a fault as a person reads it.
 func (f Fault) String() string {
-	return fmt.Sprintf("%v %s %d for %v, %.2f", f.At.Round(time.Millisecond), f.Kind, f.N, f.For.Round(time.Millisecond), f.X)
+	return fmt.Sprintf("%v %s %d for %v, %.2f",
+		f.At.Round(time.Millisecond), f.Kind, f.N, f.For.Round(time.Millisecond), f.X)
 }
--- a/internal/testing/harness/figures.go
+++ b/internal/testing/harness/figures.go
@@ -8,36 +8,48 @@
 
 // Figures is what a run comes to; its JSON is a lab command's last line.
 type Figures struct {
-	Command string             `json:"command"`
-	Seed    uint64             `json:"seed"`
-	Seconds float64            `json:"seconds"`
-	Broken  map[Rule]int       `json:"broken"`
-	Why     []string           `json:"why,omitempty"` // the first breaches, and promises not kept
-	OK      bool               `json:"ok"`
-	Asked   int                `json:"asked"` // first tries
-	InTime  int                `json:"served_in_time"`
-	Late    int                `json:"served_late"`
-	Refused int                `json:"refused"` // first tries that ended so, after all retries
-	Failed  int                `json:"failed"`
-	P50     float64            `json:"p50_ms"` // of those served, from when they were asked
-	P99     float64            `json:"p99_ms"`
-	Service float64            `json:"service"` // worth served in time / worth asked, inside the quotas
+	Command string       `json:"command"`
+	Seed    uint64       `json:"seed"`
+	Seconds float64      `json:"seconds"`
+	Broken  map[Rule]int `json:"broken"`
+	Why     []string     `json:"why,omitempty"` // the first breaches, and promises not kept
+	OK      bool         `json:"ok"`
+	Asked   int          `json:"asked"` // first tries
+	InTime  int          `json:"served_in_time"`
+	Late    int          `json:"served_late"`
+	Refused int          `json:"refused"` // first tries that ended so, after all retries
+	Failed  int          `json:"failed"`
+	P50     float64      `json:"p50_ms"` // of those served, from when they were asked
+	P99     float64      `json:"p99_ms"`
+	// worth served in time / worth asked, inside the quotas
+	Service float64            `json:"service"`
 	Taken   int                `json:"taken"`
 	Once    int                `json:"answered_once"`
 	Killed  int                `json:"killed_unanswered"`
 	Crossed int                `json:"crossed"`
 	Over    float64            `json:"over_quota_units"`
 	Losses  map[string]float64 `json:"losses"` // of the worth asked inside the quotas, by cause
-	Extra   map[string]any     `json:"-"`      // a command's own figures; they stand beside the others
+	// a command's own figures; they stand beside the others
+	Extra map[string]any `json:"-"`
 }
 
 // Figure audits a record and sums it up.
 func Figure(command string, seed uint64, s *Site, rec *Record) *Figures {
 	v := Audit(s, rec)
-	f := &Figures{Command: command, Seed: seed, Seconds: rec.Now().Seconds(), Broken: v.Broken, OK: v.OK(),
-		Taken: v.Taken, Once: v.AnsweredOnce, Killed: v.KilledUnanswered, Crossed: v.Crossed, Over: v.OverQuota, Extra: map[string]any{}}
+	f := &Figures{Command: command,
+		Seed:    seed,
+		Seconds: rec.Now().Seconds(),
+		Broken:  v.Broken,
+		OK:      v.OK(),
+		Taken:   v.Taken,
+		Once:    v.AnsweredOnce,
+		Killed:  v.KilledUnanswered,
+		Crossed: v.Crossed,
+		Over:    v.OverQuota,
+		Extra:   map[string]any{}}
 	for _, b := range v.Breaches[:min(len(v.Breaches), 8)] {
-		f.Why = append(f.Why, string(b.Rule)+" at "+b.At.Round(time.Millisecond).String()+": "+b.What)
+		f.Why = append(f.Why,
+			string(b.Rule)+" at "+b.At.Round(time.Millisecond).String()+": "+b.What)
 	}
 	if v.AttemptsOver > 0 {
 		f.Miss("tries with more attempts than a request may have")
@@ -114,7 +126,13 @@
 
 // NewFigures is the figures of a command that plays no single world: nothing is broken yet.
 func NewFigures(command string, seed uint64) *Figures {
-	f := &Figures{Command: command, Seed: seed, Broken: map[Rule]int{}, OK: true, Extra: map[string]any{}}
+	f := &Figures{
+		Command: command,
+		Seed:    seed,
+		Broken:  map[Rule]int{},
+		OK:      true,
+		Extra:   map[string]any{},
+	}
 	for _, r := range Rules {
 		f.Broken[r] = 0
 	}
@@ -163,7 +181,12 @@
 	var all []Outcome
 	for _, t := range firsts {
 		l := last[t.First]
-		o := Outcome{Try: t, Kind: l.Kind, Took: l.Answered - t.Asked, Inside: quotas.take(t, t.Asked)}
+		o := Outcome{
+			Try:    t,
+			Kind:   l.Kind,
+			Took:   l.Answered - t.Asked,
+			Inside: quotas.take(t, t.Asked),
+		}
 		all = append(all, o)
 	}
 	return all
--- a/internal/testing/harness/quota.go
+++ b/internal/testing/harness/quota.go
@@ -14,7 +14,8 @@
 	Given     float64 `json:"given_units"`  // sent on, and within what was bought
 	Of        float64 `json:"given_of_bought"`
 
-	BySpread map[int]*Share `json:"by_spread,omitempty"` // the same by the number of gateways they come through
+	// the same by the number of gateways they come through
+	BySpread map[int]*Share `json:"by_spread,omitempty"`
 }
 
 func (s *Share) add(bought, given float64) {
