--- a/internal/testing/harness/record.go
+++ b/internal/testing/harness/record.go
@@ -48,10 +48,12 @@
 	Value    string        // of a served one
 	After    time.Duration // the advice that came with a refusal
 	Why      string        // the gateway's reason for it, where it tells
-	Closed   time.Duration // its first connection ended without a byte of an answer, then; it was sent once more
-	Reset    bool          // a connection was reset, not closed
-	Left     time.Duration // its client closed the connection of its own accord, waiting for the answer; 0: it did not
-	NoPort   time.Duration // when nothing listened at the gateway's address; 0: something did
+	// its first connection ended without a byte of an answer, then; it was sent once more
+	Closed time.Duration
+	Reset  bool // a connection was reset, not closed
+	// its client closed the connection of its own accord, waiting for the answer; 0: it did not
+	Left   time.Duration
+	NoPort time.Duration // when nothing listened at the gateway's address; 0: something did
 }
 
 // Attempt is one request as a quote server saw it.
@@ -110,7 +112,8 @@
 	Cold   bool // it starts cold; else it has been up for long
 	At     time.Duration
 	Fell   time.Duration // when it was overrun; 0: it was not
-	Untold bool          // a third and more of that by gateways that had not been told of its start: no breach
+	// a third and more of that by gateways that had not been told of its start: no breach
+	Untold bool
 }
 
 // Record is all that was seen in one run. The Add methods may be called
--- a/internal/testing/harness/site.go
+++ b/internal/testing/harness/site.go
@@ -67,7 +67,8 @@
 	MaxAttempts  int
 	Counter      bool // no notes: the gateways count at the counter
 
-	Impatient float64 // the part of the tries whose client leaves before an answer; 0 unless a rig sets it
+	// the part of the tries whose client leaves before an answer; 0 unless a rig sets it
+	Impatient float64
 
 	keys keyMemory
 }
@@ -101,8 +102,9 @@
 	Seed              uint64
 	Gateways, Servers int
 	Load              float64 // the part of what the servers can do that is asked inside the quotas
-	PerSecond         float64 // requests inside the quotas: work is lighter or heavier for it; 0: as drawn
-	Customers         int     // plans are larger or smaller for it, about; 0: as drawn
+	// requests inside the quotas: work is lighter or heavier for it; 0: as drawn
+	PerSecond float64
+	Customers int // plans are larger or smaller for it, about; 0: as drawn
 }
 
 // NewSite draws a site of the operators' own size.
@@ -116,19 +118,45 @@
 	r := rand.New(rand.NewPCG(seed, 0x51))
 	s := &Site{
 		Classes: []Class{
-			{Name: "cotacao", Share: 0.76, Work: time.Duration(Between(r, 120, 210)) * time.Millisecond, Aim: time.Second,
+			{Name: "cotacao", Share: 0.76, Work: time.Duration(Between(r, 120, 210)) *
+				time.Millisecond, Aim: time.Second,
 				GiveUp: 3 * time.Second, Worth: 1, Least: 1, Most: 2, Command: "API.READ"},
-			{Name: "alerta", Share: 0.24, Work: time.Duration(Between(r, 260, 460)) * time.Millisecond, Aim: 4 * time.Second,
-				GiveUp: 15 * time.Second, Worth: 3, Keyed: true, Window: 30 * time.Second, Least: 2, Most: 4, Command: "API.WRITE"},
+			{Name: "alerta",
+				Share: 0.24,
+				Work: time.Duration(Between(r, 260, 460)) *
+					time.Millisecond,
+				Aim:     4 * time.Second,
+				GiveUp:  15 * time.Second,
+				Worth:   3,
+				Keyed:   true,
+				Window:  30 * time.Second,
+				Least:   2,
+				Most:    4,
+				Command: "API.WRITE"},
 		},
 		Plans: []Plan{
 			{Name: "basico", Share: 0.36, Rate: Between(r, 0.96, 1.7), Price: 0.72},
 			{Name: "profissional", Share: 0.41, Rate: Between(r, 2.9, 4.9), Price: 1.2},
-			{Name: "corporativo", Share: 0.23, Rate: Between(r, 11, 20), Price: 1.8, BeyondEarns: 0.3},
+			{
+				Name:        "corporativo",
+				Share:       0.23,
+				Rate:        Between(r, 11, 20),
+				Price:       1.8,
+				BeyondEarns: 0.3,
+			},
 		},
-		Gateways: gateways, Servers: servers,
-		ColdFrom: 0.15, ColdTime: 16 * time.Second, FallMultiple: 4, FallSpan: time.Second, DrainGrace: 2 * time.Second,
-		NoteLoss: 0.06, RegisterLag: 2 * time.Second, Retries: 3, Shift: 15 * time.Second, MaxAttempts: 3,
+		Gateways:     gateways,
+		Servers:      servers,
+		ColdFrom:     0.15,
+		ColdTime:     16 * time.Second,
+		FallMultiple: 4,
+		FallSpan:     time.Second,
+		DrainGrace:   2 * time.Second,
+		NoteLoss:     0.06,
+		RegisterLag:  2 * time.Second,
+		Retries:      3,
+		Shift:        15 * time.Second,
+		MaxAttempts:  3,
 	}
 	if d.Customers > 0 {
 		s.scalePlans(d)
@@ -148,7 +176,9 @@
 	s.PerSecond = load * capacity / work
 	if d.PerSecond > 0 {
 		for i := range s.Classes {
-			s.Classes[i].Work = time.Duration(float64(s.Classes[i].Work) * s.PerSecond / d.PerSecond)
+			s.Classes[i].Work = time.Duration(
+				float64(s.Classes[i].Work) * s.PerSecond / d.PerSecond,
+			)
 		}
 		s.PerSecond = d.PerSecond
 	}
@@ -229,8 +259,13 @@
 			repeat = "fragile"
 		}
 		classes = append(classes, map[string]any{
-			"name": c.Name, "promise-us": c.Aim.Microseconds(), "hard-limit-us": c.GiveUp.Microseconds(),
-			"repeat": repeat, "group": "all", "window-us": window.Microseconds(), "worth": c.Worth,
+			"name":          c.Name,
+			"promise-us":    c.Aim.Microseconds(),
+			"hard-limit-us": c.GiveUp.Microseconds(),
+			"repeat":        repeat,
+			"group":         "all",
+			"window-us":     window.Microseconds(),
+			"worth":         c.Worth,
 		})
 	}
 	for _, p := range s.Plans {
@@ -244,21 +279,40 @@
 		plans = append(plans, plan)
 	}
 	return map[string]any{
-		"self-index": self, "balancers": s.Gateways, "az": 0, "granularity-us": 4000, "localities": []string{"sala-1"},
+		"self-index":     self,
+		"balancers":      s.Gateways,
+		"az":             0,
+		"granularity-us": 4000,
+		"localities":     []string{"sala-1"},
 		"ceilings": map[string]any{
-			"peers": !s.Counter && s.Gateways > 1, "probes": false, "second-copies": true, "retry-after": true,
-			"max-attempts": s.MaxAttempts, "max-retry-after-us": 1000000, "max-open": 20000,
-			"dial-timeout-us": 250000, "idle-close-us": ServerIdle.Microseconds(),
+			"peers":              !s.Counter && s.Gateways > 1,
+			"probes":             false,
+			"second-copies":      true,
+			"retry-after":        true,
+			"max-attempts":       s.MaxAttempts,
+			"max-retry-after-us": 1000000,
+			"max-open":           20000,
+			"dial-timeout-us":    250000,
+			"idle-close-us":      ServerIdle.Microseconds(),
 		},
 		"family-info": map[string]any{
-			"counter": s.Counter, "settles": false, "counter-timeout-us": 50000, "max-units": 4, "mail-per-s": 60,
+			"counter":            s.Counter,
+			"settles":            false,
+			"counter-timeout-us": 50000,
+			"max-units":          4,
+			"mail-per-s":         60,
 		},
 		"guarantees": map[string]any{
-			"cold-from": s.ColdFrom, "cold-us": s.ColdTime.Microseconds(), "tip-after-us": s.FallSpan.Microseconds(),
+			"cold-from":      s.ColdFrom,
+			"cold-us":        s.ColdTime.Microseconds(),
+			"tip-after-us":   s.FallSpan.Microseconds(),
 			"drain-grace-us": s.DrainGrace.Microseconds(),
 		},
-		"membership-mode": "pushed", "weights": "silent", "report": map[string]any{"names": []string{}, "via": "silent"},
-		"request-classes": classes, "tariffs": plans,
+		"membership-mode": "pushed",
+		"weights":         "silent",
+		"report":          map[string]any{"names": []string{}, "via": "silent"},
+		"request-classes": classes,
+		"tariffs":         plans,
 	}
 }
 
--- a/internal/testing/harness/traffic.go
+++ b/internal/testing/harness/traffic.go
@@ -22,7 +22,12 @@
 	for _, k := range s.Classes {
 		units += k.Share * (k.Least + k.Most) / 2
 	}
-	return &Traffic{s, who, rand.New(rand.NewPCG(seed, uint64(number))), who.Use * s.Plans[who.Plan].Rate / units}
+	return &Traffic{
+		s,
+		who,
+		rand.New(rand.NewPCG(seed, uint64(number))),
+		who.Use * s.Plans[who.Plan].Rate / units,
+	}
 }
 
 // Pause is how long after the last request the next one comes.
@@ -50,7 +55,8 @@
 	return time.Duration(Between(r, 0.5, 1) * float64(s.Classes[class].GiveUp))
 }
 
-// Leaves is how long after a try its client loses patience and closes the connection; 0: it waits for the answer.
+// Leaves is how long after a try its client loses patience and closes the connection; 0: it waits
+// for the answer.
 func (s *Site) Leaves(r *rand.Rand) time.Duration {
 	if s.Impatient == 0 || r.Float64() >= s.Impatient {
 		return 0
@@ -66,7 +72,9 @@
 // Choose deals a try out to a gateway of the customer's set: unevenly, and the
 // busiest one changes now and then; a retry goes through another. Those not up
 // are passed over while others are.
-func (s *Site) Choose(who *Customer, last int, now time.Duration, up func(gateway int) bool, r *rand.Rand) int {
+func (s *Site) Choose(
+	who *Customer, last int, now time.Duration, up func(gateway int) bool, r *rand.Rand,
+) int {
 	set := make([]int, 0, who.Spread)
 	for i := range who.Spread {
 		if g := (who.First + i) % s.Gateways; g != last || who.Spread == 1 {
--- a/sim/around.go
+++ b/sim/around.go
@@ -57,18 +57,20 @@
 
 // register tells gateways of the servers, some time after it happened.
 type register struct {
-	w      *World
-	rand   *rand.Rand
-	known  [][]policy.Endpoint // by gateway
-	last   map[[2]int]int64    // when a gateway hears what was told last of a server: news keep their order
-	silent int64               // it tells nothing until then
+	w     *World
+	rand  *rand.Rand
+	known [][]policy.Endpoint // by gateway
+	// when a gateway hears what was told last of a server: news keep their order
+	last   map[[2]int]int64
+	silent int64 // it tells nothing until then
 }
 
 func (r *register) begin(gateways int) {
 	for range gateways {
 		var list []policy.Endpoint
 		for _, sv := range r.w.servers {
-			list = append(list, policy.Endpoint{Backend: sv.number, Cell: 1, State: policy.Ready, Weight: 1})
+			list = append(list,
+				policy.Endpoint{Backend: sv.number, Cell: 1, State: policy.Ready, Weight: 1})
 		}
 		r.known = append(r.known, list)
 	}
@@ -90,7 +92,8 @@
 	}
 	for i := range w.gateways {
 		key := [2]int{i, int(sv.number)}
-		at := max(w.now+int64(r.rand.Float64()*float64(w.Site.RegisterLag.Microseconds())), r.last[key])
+		at := max(w.now+int64(r.rand.Float64()*float64(w.Site.RegisterLag.Microseconds())),
+			r.last[key])
 		r.last[key] = at
 		w.after(at-w.now, func() { r.arrive(i, sv, m) })
 	}
@@ -105,7 +108,8 @@
 	}
 	r.known[i][sv.number-1] = m
 	g.event(g.life, func() {
-		w.Record.Told = append(w.Record.Told, harness.Told{Gateway: i, Server: sv.id, Stop: m.State != policy.Ready, At: w.at()})
+		w.Record.Told = append(w.Record.Told,
+			harness.Told{Gateway: i, Server: sv.id, Stop: m.State != policy.Ready, At: w.at()})
 		g.module.UpdateEndpoints(g.now(), policy.Delta, []policy.Endpoint{m})
 	})
 }
@@ -163,7 +167,8 @@
 // pause is the time until the customer's next request: less in a surge of its plan.
 func (c *client) pause() int64 {
 	pause, w := float64(c.traffic.Pause().Microseconds()), c.w
-	if w.o.Surge > 0 && w.now > w.ends/3 && w.now < w.ends*2/3 && w.Site.Customers[c.number].Plan == int(w.o.Seed%uint64(len(w.Site.Plans))) {
+	if w.o.Surge > 0 && w.now > w.ends/3 && w.now < w.ends*2/3 &&
+		w.Site.Customers[c.number].Plan == int(w.o.Seed%uint64(len(w.Site.Plans))) {
 		pause /= w.o.Surge
 	}
 	return int64(pause)
@@ -213,7 +218,9 @@
 		}
 		t.Sent = w.at()
 		life := g.life
-		g.event(life, func() { g.take(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) }) })
+		g.event(life, func() {
+			g.take(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) })
+		})
 		if w.now < g.frozen { // a process that ends before it has read
 			w.after(g.frozen-w.now, func() {
 				if life != g.life {
@@ -238,7 +245,8 @@
 	// What may have run is not asked for again; what carries a key only while servers
 	// would know it again, whatever the answer said.
 	c := &w.Site.Classes[t.Class]
-	if c.Unsafe && k != harness.Refused && k != harness.Unsent || c.Keyed && w.now+(pause+q.wait).Microseconds() > q.began+c.Window.Microseconds() {
+	if c.Unsafe && k != harness.Refused && k != harness.Unsent ||
+		c.Keyed && w.now+(pause+q.wait).Microseconds() > q.began+c.Window.Microseconds() {
 		return
 	}
 	w.waiting++
--- a/sim/distribution/distribution_test.go
+++ b/sim/distribution/distribution_test.go
@@ -20,5 +20,11 @@
 		t.Errorf("%+v: nothing was shown", found)
 	}
 	t.Logf("%d plays in %v: %d revisions, %d deliveries, %d resumes, %d repairs, refused %v",
-		found.Plays, found.Took.Round(time.Millisecond), found.Revisions, found.Delivered, found.Resumes, found.Repairs, found.Refused)
+		found.Plays,
+		found.Took.Round(time.Millisecond),
+		found.Revisions,
+		found.Delivered,
+		found.Resumes,
+		found.Repairs,
+		found.Refused)
 }
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -48,7 +48,8 @@
 	l.log = append(l.log, entry{who: who, term: l.term})
 }
 
-// say appends a command, and has the model take it in if its term is the newest. A change without value is a deletion.
+// say appends a command, and has the model take it in if its term is the newest. A change without
+// value is a deletion.
 func (l *lineage) say(who lease.Member, term uint64, whole bool, changes records) {
 	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Whole: whole}, changes)
 	if term == l.term && who == l.owner {
@@ -56,10 +57,11 @@
 	}
 }
 
-// sayDifference appends the first command of a term as the difference to a revision. It counts where that is still
-// the newest.
+// sayDifference appends the first command of a term as the difference to a revision. It counts
+// where that is still the newest.
 func (l *lineage) sayDifference(base distribution.Position, changes records) (taken bool) {
-	l.command(l.owner, &distributionpb.Command{Term: l.term, Epoch: l.epoch, Base: base.Proto()}, changes)
+	l.command(l.owner,
+		&distributionpb.Command{Term: l.term, Epoch: l.epoch, Base: base.Proto()}, changes)
 	if base.Epoch != l.epoch || base.Revision != l.newest() {
 		return false
 	}
@@ -71,7 +73,10 @@
 func (l *lineage) command(who lease.Member, command *distributionpb.Command, changes records) {
 	for id, value := range changes {
 		command.Changes = append(command.Changes, &distributionpb.Change{
-			Kind: distributionpb.Kind_KIND_SERVER, Id: id, Value: []byte(value), Deleted: value == "",
+			Kind:    distributionpb.Kind_KIND_SERVER,
+			Id:      id,
+			Value:   []byte(value),
+			Deleted: value == "",
 		})
 	}
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
@@ -110,7 +115,8 @@
 	waits   records // changes that the watcher has not said yet
 }
 
-// Between how many servers the list has, but at the beginning: enough for several messages of buckets.
+// Between how many servers the list has, but at the beginning: enough for several messages of
+// buckets.
 const (
 	leastServers = 30
 	mostServers  = 80
@@ -149,7 +155,11 @@
 }
 
 func (r *register) set(id string, phase distributionpb.Phase, now time.Duration) {
-	raw, err := proto.Marshal(&distributionpb.ServerRecord{Address: "10.0.0.1:" + id, Phase: phase, StartedMs: now.Milliseconds()})
+	raw, err := proto.Marshal(&distributionpb.ServerRecord{
+		Address:   "10.0.0.1:" + id,
+		Phase:     phase,
+		StartedMs: now.Milliseconds(),
+	})
 	if err != nil {
 		panic(err) // plain data
 	}
@@ -158,7 +168,11 @@
 
 // found begins the fleet.
 func (w *World) found(size Size) {
-	w.register = register{servers: records{}, phases: map[string]distributionpb.Phase{}, waits: records{}}
+	w.register = register{
+		servers: records{},
+		phases:  map[string]distributionpb.Phase{},
+		waits:   records{},
+	}
 	w.newLineage(1_000)
 	w.newWatcher()
 	for i := range size.Servers {
@@ -174,13 +188,15 @@
 	w.after(0, w.beat)
 }
 
-// newWatcher has another gateway watch the register. What the last one had not said is in its whole list.
+// newWatcher has another gateway watch the register. What the last one had not said is in its whole
+// list.
 func (w *World) newWatcher() {
 	w.lineage.begin(lease.Member{ID: "watcher", Incarnation: w.random.Uint64()})
 	w.register.watcher, w.register.term, w.register.whole = w.lineage.owner, w.lineage.term, true
 }
 
-// changeRegister changes the list, now and then in bursts, and has the watcher say so, a little later.
+// changeRegister changes the list, now and then in bursts, and has the watcher say so, a little
+// later.
 func (w *World) changeRegister() {
 	if w.calm {
 		return // so that what a link has lost just before has to be missed without a further change
@@ -207,11 +223,13 @@
 	w.after(time.Second, w.beat)
 }
 
-// say has the watcher say what has changed; or, late and under a term that has ended, what nobody is to take in.
+// say has the watcher say what has changed; or, late and under a term that has ended, what nobody
+// is to take in.
 func (w *World) say() {
 	r := &w.register
 	if w.one("late command", 60) {
-		w.lineage.say(lease.Member{ID: "watcher", Incarnation: 1}, r.term-1, true, records{"server-1": string(r.servers["server-1"])})
+		w.lineage.say(lease.Member{ID: "watcher", Incarnation: 1}, r.term-1, true,
+			records{"server-1": string(r.servers["server-1"])})
 	}
 	switch {
 	case r.whole && w.random.IntN(2) == 0 && w.sayBase():
@@ -228,7 +246,8 @@
 	}
 }
 
-// sayBase has a new watcher say the difference to what some gateway has, which may be older than what is agreed.
+// sayBase has a new watcher say the difference to what some gateway has, which may be older than
+// what is agreed.
 func (w *World) sayBase() (taken bool) {
 	state := w.replicas[w.random.IntN(len(w.replicas))].client.State()
 	if state.Empty() {
@@ -253,7 +272,8 @@
 	return taken
 }
 
-// foundAnew wipes all servers and founds another fleet of the same name. One old server may go on for a while.
+// foundAnew wipes all servers and founds another fleet of the same name. One old server may go on
+// for a while.
 func (w *World) foundAnew() {
 	w.newLineage(w.lineage.epoch + 1 + uint64(w.random.IntN(5)))
 	w.newWatcher()
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -55,7 +55,15 @@
 			return
 		}
 		w.streams++
-		l := &link{id: w.streams, server: s, serverBoot: s.boot, replica: r, replicaBoot: boot, attempt: c.Attempt, open: true}
+		l := &link{
+			id:          w.streams,
+			server:      s,
+			serverBoot:  s.boot,
+			replica:     r,
+			replicaBoot: boot,
+			attempt:     c.Attempt,
+			open:        true,
+		}
 		w.on(s, s.boot, func() {
 			if err := s.publisher.Open(w.now, l.id); err != nil {
 				panic(err) // the bound is far
@@ -89,12 +97,14 @@
 		return
 	}
 	w.after(w.between(0, 10*time.Millisecond), func() {
-		w.onReplica(l.replica, l.replicaBoot, func() { l.replica.client.Disconnected(w.now, l.attempt, errBroken) })
+		w.onReplica(l.replica, l.replicaBoot, func() {
+			l.replica.client.Disconnected(w.now, l.attempt, errBroken)
+		})
 	})
 }
 
-// closed tells the server that a stream has ended: at once, or by the transport's own sign of life where nothing
-// passes.
+// closed tells the server that a stream has ended: at once, or by the transport's own sign of life
+// where nothing passes.
 func (w *World) closed(l *link) {
 	delay := w.between(0, 10*time.Millisecond)
 	if w.blocked(l) {
@@ -114,7 +124,8 @@
 	if l.replica.slow {
 		rate = slowBytesPerSecond
 	}
-	l.freeDown = max(w.now, l.freeDown) + time.Duration(float64(len(m.Bytes))/float64(rate)*float64(time.Second))
+	l.freeDown = max(w.now, l.freeDown) +
+		time.Duration(float64(len(m.Bytes))/float64(rate)*float64(time.Second))
 	w.at(l.freeDown, func() {
 		w.on(l.server, l.serverBoot, func() { l.server.publisher.Sent(l.id) })
 	})
@@ -144,7 +155,8 @@
 	return 300
 }
 
-// arrived hands a message to the replica; one that can't be read ends the stream, as it does in a real one.
+// arrived hands a message to the replica; one that can't be read ends the stream, as it does in a
+// real one.
 func (w *World) arrived(l *link, raw []byte, sent *distribution.Message) {
 	if !l.open || w.blocked(l) {
 		return
@@ -166,7 +178,8 @@
 func (w *World) sendUp(l *link, m *distributionpb.WatchRequest) {
 	if m.GetResume() != nil {
 		if w.now < l.retryAt {
-			w.breach(EarlyResume, "%s came back to %s %v too early", l.replica.id, l.server.id, l.retryAt-w.now)
+			w.breach(EarlyResume, "%s came back to %s %v too early", l.replica.id, l.server.id,
+				l.retryAt-w.now)
 		}
 		l.retryAt = 0
 	}
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -49,7 +49,14 @@
 	r.client = distribution.NewReplica(replicaSettings(r.id, r.boot, r.zone), state, random)
 	var servers []distribution.Server
 	for _, s := range w.servers {
-		servers = append(servers, distribution.Server{ID: s.id, Address: s.id, Place: distribution.Place{Zone: s.zone, Region: "south"}})
+		servers = append(
+			servers,
+			distribution.Server{
+				ID:      s.id,
+				Address: s.id,
+				Place:   distribution.Place{Zone: s.zone, Region: "south"},
+			},
+		)
 	}
 	r.client.SetServers(w.now, servers)
 	w.driveReplica(r)
--- a/sim/distribution/search.go
+++ b/sim/distribution/search.go
@@ -27,20 +27,42 @@
 
 // Kinds are the faults that are played.
 var Kinds = []string{
-	"all replicas at once", "another term", "damaged", "doubled", "founded anew", "late command", "lost",
-	"no connection", "old difference refused", "old server", "replica killed", "replica stopped", "request lost", "server cut off",
-	"server from an older state", "server killed", "server stopped", "slow log", "slow reader", "state file damaged",
+	"all replicas at once",
+	"another term",
+	"damaged",
+	"doubled",
+	"founded anew",
+	"late command",
+	"lost",
+	"no connection",
+	"old difference refused",
+	"old server",
+	"replica killed",
+	"replica stopped",
+	"request lost",
+	"server cut off",
+	"server from an older state",
+	"server killed",
+	"server stopped",
+	"slow log",
+	"slow reader",
+	"state file damaged",
 	"state file lost", "stream broken", "stream cut", "term from a difference",
 }
 
 const length = 40 * time.Second // of a play, before it comes to rest
 
-// Search plays one schedule after another, on all cores, until so many were played or one was found.
+// Search plays one schedule after another, on all cores, until so many were played or one was
+// found.
 func Search(ctx context.Context, seed uint64, most int) Found {
 	f := Found{Faults: map[string]int{}, Refused: map[string]int{}}
 	began := time.Now()
 	draw := func(n int) Finding {
-		return Finding{Seed: seed*1_000_003 + uint64(n), Size: Size{Servers: 2 + n%4, Replicas: 4 + n%7}, After: n + 1}
+		return Finding{
+			Seed:  seed*1_000_003 + uint64(n),
+			Size:  Size{Servers: 2 + n%4, Replicas: 4 + n%7},
+			After: n + 1,
+		}
 	}
 	parallel.Until(ctx, most, func(n int) Result {
 		one := draw(n)
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// restart starts a server's process with the log applied up to an entry: the last, or an earlier one where its folder
-// is older.
+// restart starts a server's process with the log applied up to an entry: the last, or an earlier
+// one where its folder is older.
 func (w *World) restart(s *server, l *lineage, applied int) {
 	w.kill(s)
 	s.up, s.stopped, s.lineage, s.applied = true, 0, l, 0
@@ -54,7 +54,8 @@
 		panic(err) // what it wrote itself
 	}
 	s.machine = fresh
-	s.publisher = distribution.NewPublisher(w.publish, s.machine.State(), rand.New(rand.NewPCG(w.random.Uint64(), 1)))
+	s.publisher = distribution.NewPublisher(w.publish, s.machine.State(),
+		rand.New(rand.NewPCG(w.random.Uint64(), 1)))
 	s.machine.Updated = func(u distribution.Update) { w.updated(s, u) }
 	w.pull(s)
 	w.drive(s)
@@ -123,7 +124,8 @@
 	s.machine.Apply(w.now, uint64(s.applied), next.who, next.command)
 }
 
-// updated hands a change on to the publisher, and looks later whether an urgent one has come to where it had to.
+// updated hands a change on to the publisher, and looks later whether an urgent one has come to
+// where it had to.
 func (w *World) updated(s *server, u distribution.Update) {
 	s.publisher.Update(w.now, u)
 	if u.Delta == nil || !u.Delta.Urgent() {
@@ -138,17 +140,19 @@
 		w.after(urgentWithin, func() {
 			undisturbed := l.open && l.faults == 0 && w.now >= s.stopped && s.boot == l.serverBoot
 			if undisturbed && l.replica.client.Position().Compare(at) < 0 {
-				w.breach(LateUrgent, "%s had %v, and %s on its stream does not after %v", s.id, at, l.replica.id, urgentWithin)
+				w.breach(LateUrgent, "%s had %v, and %s on its stream does not after %v", s.id, at,
+					l.replica.id, urgentWithin)
 			}
 		})
 	}
 }
 
-// current tells whether a link's replica had everything before a delta, and nothing was ever wrong with the link: a
-// request that was lost shows later.
+// current tells whether a link's replica had everything before a delta, and nothing was ever wrong
+// with the link: a request that was lost shows later.
 func (w *World) current(l *link, d *distribution.Delta) bool {
 	r := l.replica
-	running := l.open && r.up && r.boot == l.replicaBoot && w.now >= r.stopped && w.now >= l.server.stopped
+	running := l.open && r.up && r.boot == l.replicaBoot && w.now >= r.stopped &&
+		w.now >= l.server.stopped
 	passing := l.faults == 0 && !r.slow && !w.blocked(l) && l.freeDown <= w.now
 	at := r.client.Position()
 	return running && passing && r.client.Live() && at.Revision == d.From && at.Epoch == d.Epoch
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -1,8 +1,9 @@
-// Package distribution plays the distribution of control state in virtual time: the real machines, publishers and
-// replicas of mothcleat/internal/controlplane/distribution over one agreed history. Links lose, double, damage and delay messages, are slow
-// or cut; servers stop, are killed and come back, also from an older state; gateways restart with, without and with a
-// damaged state file; the source changes its term amid bursts; the fleet is founded anew. A model that is a plain
-// map holds everything that a gateway is given against what was agreed.
+// Package distribution plays the distribution of control state in virtual time: the real machines,
+// publishers and replicas of mothcleat/internal/controlplane/distribution over one agreed history.
+// Links lose, double, damage and delay messages, are slow or cut; servers stop, are killed and come
+// back, also from an older state; gateways restart with, without and with a damaged state file; the
+// source changes its term amid bursts; the fleet is founded anew. A model that is a plain map holds
+// everything that a gateway is given against what was agreed.
 package distribution
 
 import (
@@ -17,7 +18,8 @@
 const (
 	fleetName = "emulated"
 	quiet     = 60 * time.Second // at the end nothing goes wrong any more
-	// urgentWithin is by when an urgent change has to be in force where nothing disturbs the stream.
+	// urgentWithin is by when an urgent change has to be in force where nothing disturbs the
+	// stream.
 	urgentWithin = 750 * time.Millisecond
 )
 
@@ -81,7 +83,8 @@
 	result   Result
 }
 
-// event is something that happens at a time; of two at one time the one that was planned first comes first.
+// event is something that happens at a time; of two at one time the one that was planned first
+// comes first.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -200,7 +203,8 @@
 	for _, r := range w.replicas {
 		at := r.client.Position()
 		if at.Epoch != w.lineage.epoch || at.Revision != newest {
-			w.breach(LostChanges, "%s is at %v after %v of quiet, and not at %d/%d", r.id, at, quiet, w.lineage.epoch, newest)
+			w.breach(LostChanges, "%s is at %v after %v of quiet, and not at %d/%d", r.id, at,
+				quiet, w.lineage.epoch, newest)
 		}
 	}
 }
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -112,7 +112,11 @@
 			g.w.said(g.number, err.Error())
 		}
 	}
-	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{Gateway: g.number, Event: harness.Started, At: g.w.at()},
+	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{
+		Gateway: g.number,
+		Event:   harness.Started,
+		At:      g.w.at(),
+	},
 		harness.Life{Gateway: g.number, Event: harness.Ready, At: g.w.at()})
 	if g.w.now < g.w.register.silent {
 		g.module.UpdateEndpoints(g.now(), policy.StaleBootstrap, g.w.register.list(g.number))
@@ -129,7 +133,8 @@
 func (g *gateway) kill() {
 	g.up = false
 	g.life++
-	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{Gateway: g.number, Event: harness.Killed, At: g.w.at()})
+	g.w.Record.Lives = append(g.w.Record.Lives,
+		harness.Life{Gateway: g.number, Event: harness.Killed, At: g.w.at()})
 	for _, id := range g.order {
 		q := g.open[id]
 		if q == nil {
@@ -151,7 +156,14 @@
 	g.nextID++
 	wait := t.Wait.Microseconds()
 	grace := wait - min(margin, wait/4)
-	q := &request{gateway: g, life: g.life, id: g.nextID, try: t, deadline: g.w.now + grace, done: done}
+	q := &request{
+		gateway:  g,
+		life:     g.life,
+		id:       g.nextID,
+		try:      t,
+		deadline: g.w.now + grace,
+		done:     done,
+	}
 	g.open[q.id] = q
 	g.order = append(g.order, q.id)
 	if len(g.order) > 2*len(g.open)+64 {
@@ -167,7 +179,8 @@
 	g.w.after(grace+1, func() {
 		g.event(q.life, func() {
 			if !q.answered {
-				g.w.breach("gateway %d: request %s has no answer at its deadline", g.number, q.try.ID)
+				g.w.breach("gateway %d: request %s has no answer at its deadline",
+					g.number, q.try.ID)
 				q.answer(harness.Failed, 0)
 			}
 		})
@@ -276,7 +289,9 @@
 	})
 }
 
-func (x *actions) SendToPeer(peer int, note []byte)          { x.g.w.notes.carry(x.g.number, peer, note) }
+func (x *actions) SendToPeer(peer int, note []byte) {
+	x.g.w.notes.carry(x.g.number, peer, note)
+}
 func (x *actions) Probe(uint32)                              {}
 func (x *actions) AddToCounter(uint64, float64, policy.Time) {}
 func (x *actions) WatchEndpoints()                           {}
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -118,9 +118,15 @@
 
 // RandomSchedule draws a small world with a few faults.
 func RandomSchedule(r *rand.Rand) Schedule {
-	s := Schedule{Options{Seed: r.Uint64() >> 16, Gateways: 2 + r.IntN(4), Servers: 3 + r.IntN(4),
-		Load: harness.Between(r, 0.3, 1.1), For: time.Duration(4+r.IntN(6)) * time.Second, NoteLoss: 0.06,
-		Shift: time.Duration(1+r.IntN(8)) * time.Second, State: r.IntN(2) == 0, Unsafe: r.IntN(3) == 0}}
+	s := Schedule{Options{Seed: r.Uint64() >> 16,
+		Gateways: 2 + r.IntN(4),
+		Servers:  3 + r.IntN(4),
+		Load:     harness.Between(r, 0.3, 1.1),
+		For:      time.Duration(4+r.IntN(6)) * time.Second,
+		NoteLoss: 0.06,
+		Shift:    time.Duration(1+r.IntN(8)) * time.Second,
+		State:    r.IntN(2) == 0,
+		Unsafe:   r.IntN(3) == 0}}
 	if r.IntN(4) == 0 { // a wide set, with a home
 		s.Gateways = 9 + r.IntN(4)
 		s.Spread = s.Gateways
@@ -146,8 +152,13 @@
 }
 
 func randomFault(r *rand.Rand, within time.Duration) harness.Fault {
-	kinds := slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.ServerFaults, harness.OtherFaults)
-	f := harness.Fault{At: time.Duration(r.Float64() * float64(within)), Kind: kinds[r.IntN(len(kinds))], N: r.IntN(1000)}
+	kinds := slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.ServerFaults,
+		harness.OtherFaults)
+	f := harness.Fault{
+		At:   time.Duration(r.Float64() * float64(within)),
+		Kind: kinds[r.IntN(len(kinds))],
+		N:    r.IntN(1000),
+	}
 	span := func(least, most float64) {
 		f.For = time.Duration(harness.Between(r, least, most) * float64(time.Second))
 	}
--- a/sim/search.go
+++ b/sim/search.go
@@ -23,9 +23,10 @@
 
 // Found is what a search came to.
 type Found struct {
-	Schedules int       `json:"schedules"`
-	States    int       `json:"states"` // ways in which requests ended, by what went wrong meanwhile
-	Findings  []Finding `json:"findings"`
+	Schedules int `json:"schedules"`
+	// ways in which requests ended, by what went wrong meanwhile
+	States   int       `json:"states"`
+	Findings []Finding `json:"findings"`
 }
 
 // Play plays a schedule and tells the first rule that it breaks, what was seen, and
@@ -84,7 +85,8 @@
 		states     []string
 		err        error
 	}
-	const round = 16 // schedules drawn before any of them is looked at, however many cores there are
+	// schedules drawn before any of them is looked at, however many cores there are
+	const round = 16
 	for found.Schedules < most && ctx.Err() == nil {
 		batch, results := make([]Schedule, round), make([]result, round)
 		for i := range batch {
@@ -117,7 +119,8 @@
 				if err != nil {
 					return found, err
 				}
-				found.Findings = append(found.Findings, Finding{short, x.rule, what, found.Schedules, len(short.Faults)})
+				found.Findings = append(found.Findings,
+					Finding{short, x.rule, what, found.Schedules, len(short.Faults)})
 				found.States = len(seen)
 				return found, nil
 			}
--- a/sim/search_test.go
+++ b/sim/search_test.go
@@ -70,7 +70,12 @@
 // that the breach does not need are left out, kills of gateways among them.
 func TestShrinkLeavesWhatIsNeeded(t *testing.T) {
 	s := broken()
-	s.Faults = []harness.Fault{{At: time.Second, For: 300 * time.Millisecond, Kind: harness.Kill, N: 1},
+	s.Faults = []harness.Fault{{
+		At:   time.Second,
+		For:  300 * time.Millisecond,
+		Kind: harness.Kill,
+		N:    1,
+	},
 		{At: 2 * time.Second, For: time.Second, Kind: harness.Slow, N: 1, X: 3},
 		{At: 3 * time.Second, For: 400 * time.Millisecond, Kind: harness.Kill, N: 2}}
 	// The breach looked for: some request is lost with a killed gateway.
@@ -113,7 +118,12 @@
 			t.Fatalf("%v: %s, then %s", err, s, again)
 		}
 	}
-	for _, text := range []string{"", "{", `{"gateways":0}`, `{"gateways":2,"load":1,"for":1,"faults":[{"kind":"earthquake"}]}`} {
+	for _, text := range []string{
+		"",
+		"{",
+		`{"gateways":0}`,
+		`{"gateways":2,"load":1,"for":1,"faults":[{"kind":"earthquake"}]}`,
+	} {
 		if _, err := ParseSchedule([]byte(text)); err == nil {
 			t.Errorf("%q is taken for a schedule", text)
 		}
@@ -124,16 +134,61 @@
 // cut between two halves for long and heal; a thousand gateways start at once before cold
 // servers. The rules hold.
 func TestHardCases(t *testing.T) {
-	hour := harness.Fault{At: 2 * time.Second, For: 100 * time.Millisecond, Kind: harness.ClockOff, N: 1, X: -3600}
-	ahead := harness.Fault{At: 3 * time.Second, For: 100 * time.Millisecond, Kind: harness.ClockOff, N: 0, X: 2}
+	hour := harness.Fault{
+		At:   2 * time.Second,
+		For:  100 * time.Millisecond,
+		Kind: harness.ClockOff,
+		N:    1,
+		X:    -3600,
+	}
+	ahead := harness.Fault{
+		At:   3 * time.Second,
+		For:  100 * time.Millisecond,
+		Kind: harness.ClockOff,
+		N:    0,
+		X:    2,
+	}
 	down := func(n int) harness.Fault {
-		return harness.Fault{At: 4 * time.Second, For: 1500 * time.Millisecond, Kind: harness.Down, N: n}
+		return harness.Fault{
+			At:   4 * time.Second,
+			For:  1500 * time.Millisecond,
+			Kind: harness.Down,
+			N:    n,
+		}
 	}
 	for name, o := range map[string]Options{
-		"clocks":                {Gateways: 3, Load: 0.6, For: 10 * time.Second, NoteLoss: -1, State: true, Faults: []harness.Fault{hour, ahead, down(1)}},
-		"cut for five minutes":  {Gateways: 6, Servers: 4, Load: 0.5, For: 320 * time.Second, NoteLoss: -1, Faults: []harness.Fault{{At: 5 * time.Second, For: 300 * time.Second, Kind: harness.Cut, N: 2}}},
-		"a thousand, all new":   {Gateways: 1000, Servers: 200, Load: 0.4, For: 3 * time.Second, NoteLoss: -1},
-		"servers down together": {Gateways: 12, Load: 0.4, For: 12 * time.Second, NoteLoss: -1, Faults: []harness.Fault{down(0), down(2), down(4), down(6)}},
+		"clocks": {
+			Gateways: 3,
+			Load:     0.6,
+			For:      10 * time.Second,
+			NoteLoss: -1,
+			State:    true,
+			Faults:   []harness.Fault{hour, ahead, down(1)},
+		},
+		"cut for five minutes": {
+			Gateways: 6,
+			Servers:  4,
+			Load:     0.5,
+			For:      320 * time.Second,
+			NoteLoss: -1,
+			Faults: []harness.Fault{
+				{At: 5 * time.Second, For: 300 * time.Second, Kind: harness.Cut, N: 2},
+			},
+		},
+		"a thousand, all new": {
+			Gateways: 1000,
+			Servers:  200,
+			Load:     0.4,
+			For:      3 * time.Second,
+			NoteLoss: -1,
+		},
+		"servers down together": {
+			Gateways: 12,
+			Load:     0.4,
+			For:      12 * time.Second,
+			NoteLoss: -1,
+			Faults:   []harness.Fault{down(0), down(2), down(4), down(6)},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/sim/server.go
+++ b/sim/server.go
@@ -46,7 +46,13 @@
 	sv.up, sv.drains, sv.busy, sv.queue, sv.recent = true, false, 0, nil, nil
 	sv.errs, sv.slow, sv.hangs, sv.resets = 0, 1, false, 0
 	sv.life++
-	sv.boot = sv.w.Record.AddBoot(harness.Boot{Server: sv.id, Cores: float64(sv.cores), Speed: sv.speed, Cold: cold, At: sv.w.at()})
+	sv.boot = sv.w.Record.AddBoot(harness.Boot{
+		Server: sv.id,
+		Cores:  float64(sv.cores),
+		Speed:  sv.speed,
+		Cold:   cold,
+		At:     sv.w.at(),
+	})
 }
 
 // kill ends the process: what it holds is reset, what comes finds no port.
@@ -121,7 +127,8 @@
 	for _, c := range s.Classes {
 		slack = max(slack, c.Work.Seconds())
 	}
-	return sum > s.FallMultiple*float64(sv.cores)*sv.speed*share*s.FallSpan.Seconds()+slack, by >= sum*2/3
+	return sum > s.FallMultiple*float64(sv.cores)*sv.speed*share*s.FallSpan.Seconds()+
+		slack, by >= sum*2/3
 }
 
 // pull begins what waits while there are slots.
@@ -134,7 +141,8 @@
 		}
 		sv.busy++
 		class := &sv.w.Site.Classes[a.q.try.Class]
-		effect := !class.Keyed || a.q.try.Key == "" || sv.w.Site.Remember(a.q.try.Key, sv.w.Record.Attempts[a.place].Whole, class.Window)
+		effect := !class.Keyed || a.q.try.Key == "" ||
+			sv.w.Site.Remember(a.q.try.Key, sv.w.Record.Attempts[a.place].Whole, class.Window)
 		sv.w.Record.Ran(a.place, effect)
 		sv.step(a, sv.life, a.work/sv.speed*sv.slow*max(1, float64(sv.busy)/float64(sv.cores)))
 	}
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -22,7 +22,8 @@
 		t.Errorf("%+v: %v", o, f.Why)
 	}
 	if f.Asked == 0 || f.Taken != f.Once+f.Killed {
-		t.Errorf("%+v: asked %d, taken %d, answered once %d, lost with a gateway %d", o, f.Asked, f.Taken, f.Once, f.Killed)
+		t.Errorf("%+v: asked %d, taken %d, answered once %d, lost with a gateway %d",
+			o, f.Asked, f.Taken, f.Once, f.Killed)
 	}
 	return w, f
 }
@@ -66,7 +67,8 @@
 	for i := range 100 {
 		c.after(5, func() {
 			did = append(did, i)
-			c.after(-3, func() { did = append(did, 1000+i) }) // the past is now, after all planned for now
+			// the past is now, after all planned for now
+			c.after(-3, func() { did = append(did, 1000+i) })
 		})
 	}
 	for c.next(5) {
@@ -95,7 +97,8 @@
 			{NoteLoss: 0.1, NoteTwice: 0.5, NoteLate: 800 * time.Millisecond},
 			{NoteLoss: 1},
 		} {
-			t.Run(fmt.Sprintf("spread %d, lost %g, twice %g, late %v", spread, notes.NoteLoss, notes.NoteTwice, notes.NoteLate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("spread %d, lost %g, twice %g, late %v",
+				spread, notes.NoteLoss, notes.NoteTwice, notes.NoteLate), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds {
 					o := notes
@@ -116,7 +119,16 @@
 	var beyond, sent [2]float64
 	for seed := range uint64(6) {
 		for i, gateways := range []int{1, 24} {
-			w, f := play(t, Options{Seed: 100 + seed, Gateways: gateways, Load: 0.55, For: 30 * time.Second, NoteLoss: -1})
+			w, f := play(
+				t,
+				Options{
+					Seed:     100 + seed,
+					Gateways: gateways,
+					Load:     0.55,
+					For:      30 * time.Second,
+					NoteLoss: -1,
+				},
+			)
 			q := harness.GivenOfBought(w.Site, w.Record)
 			given[i][0] += q[harness.Near].Of / 6
 			given[i][1] += q[harness.Over].Of / 6
@@ -124,10 +136,12 @@
 			sent[i] += harness.SentUnits(w.Record)
 		}
 	}
-	t.Logf("near and over: one gateway %.3f, 24 %.3f; beyond the quotas %.4f", given[0], given[1], beyond[1]/sent[1])
+	t.Logf("near and over: one gateway %.3f, 24 %.3f; beyond the quotas %.4f",
+		given[0], given[1], beyond[1]/sent[1])
 	for k, name := range []string{"near", "over"} {
 		if given[1][k] < given[0][k]-0.03 {
-			t.Errorf("customers %s their quota get %.3f through 24 gateways, %.3f through one", name, given[1][k], given[0][k])
+			t.Errorf("customers %s their quota get %.3f through 24 gateways, %.3f through one",
+				name, given[1][k], given[0][k])
 		}
 	}
 	if share := beyond[1] / sent[1]; share > 0.006 {
@@ -149,7 +163,8 @@
 	}
 	w.after(3_000_000, func() {
 		w.servers[0].kill()
-		w.servers[0].start(true) // cold; the register holds all to be told, and no gateway hears of it
+		// cold; the register holds all to be told, and no gateway hears of it
+		w.servers[0].start(true)
 		for g := range w.gateways {
 			w.register.known[g][0].StartedAt = epoch + w.now
 		}
--- a/sim/throng_test.go
+++ b/sim/throng_test.go
@@ -14,8 +14,18 @@
 		For: 14 * time.Second, NoteLoss: noteLoss}
 	for n := range 4 {
 		o.Faults = append(o.Faults,
-			harness.Fault{At: time.Duration(3000+200*n) * time.Millisecond, For: time.Second, Kind: harness.Down, N: n},
-			harness.Fault{At: time.Duration(7000+300*n) * time.Millisecond, For: time.Second, Kind: harness.Down, N: n + 4})
+			harness.Fault{
+				At:   time.Duration(3000+200*n) * time.Millisecond,
+				For:  time.Second,
+				Kind: harness.Down,
+				N:    n,
+			},
+			harness.Fault{
+				At:   time.Duration(7000+300*n) * time.Millisecond,
+				For:  time.Second,
+				Kind: harness.Down,
+				N:    n + 4,
+			})
 	}
 	return o
 }
@@ -42,12 +52,14 @@
 					fell++
 				}
 			}
-			t.Logf("service %.3f; %d of %d attempts turned away; %d servers fell", f.Service, turned, attempts, fell)
+			t.Logf("service %.3f; %d of %d attempts turned away; %d servers fell",
+				f.Service, turned, attempts, fell)
 			if f.Service < c.service {
 				t.Errorf("service %.3f, at least %.2f wanted", f.Service, c.service)
 			}
 			if turned*4 > attempts {
-				t.Errorf("%d of %d attempts were turned away, at most a quarter wanted", turned, attempts)
+				t.Errorf("%d of %d attempts were turned away, at most a quarter wanted",
+					turned, attempts)
 			}
 			if fell > 1 {
 				t.Errorf("%d servers fell, one at most wanted", fell)
--- a/sim/world.go
+++ b/sim/world.go
@@ -26,28 +26,42 @@
 
 // Options say what is played.
 type Options struct {
-	Seed      uint64        `json:"seed" toml:"-"`
-	Gateways  int           `json:"gateways" toml:"gateways"`
-	Servers   int           `json:"servers" toml:"servers"` // 0: ten
-	Load      float64       `json:"load" toml:"load"`
-	PerSecond float64       `json:"per_second,omitempty" toml:"per_second"` // requests inside the quotas: work is made lighter or heavier for it; 0: as drawn
-	Customers int           `json:"customers,omitempty" toml:"customers"`   // plans are made larger or smaller for it; 0: as drawn
-	For       time.Duration `json:"for" toml:"-"`                           // in which clients ask
-	Spread    int           `json:"spread,omitempty" toml:"spread"`         // of every customer; 0: as the site draws it
-	Shift     time.Duration `json:"shift,omitempty" toml:"-"`               // how often a customer's busiest gateway changes; 0: the site's
-	Surge     float64       `json:"surge,omitempty" toml:"surge"`           // in the middle third the customers of one plan ask for so many times more; 0: no surge
-	Unsafe    bool          `json:"unsafe,omitempty" toml:"unsafe"`         // the heavy class must never run twice, instead of carrying keys
-	Window    time.Duration `json:"window,omitempty" toml:"-"`              // in which servers drop a repeated key; 0: the site's
-	Tight     bool          `json:"tight,omitempty" toml:"tight"`           // quotas are three times the ceilings, so that these bind
-	State     bool          `json:"state,omitempty" toml:"state"`           // gateways keep their state
+	Seed     uint64  `json:"seed" toml:"-"`
+	Gateways int     `json:"gateways" toml:"gateways"`
+	Servers  int     `json:"servers" toml:"servers"` // 0: ten
+	Load     float64 `json:"load" toml:"load"`
+	// requests inside the quotas: work is made lighter or heavier for it; 0: as drawn
+	PerSecond float64 `json:"per_second,omitempty" toml:"per_second"`
+	// plans are made larger or smaller for it; 0: as drawn
+	Customers int           `json:"customers,omitempty" toml:"customers"`
+	For       time.Duration `json:"for" toml:"-"` // in which clients ask
+	// of every customer; 0: as the site draws it
+	Spread int `json:"spread,omitempty" toml:"spread"`
+	// how often a customer's busiest gateway changes; 0: the site's
+	Shift time.Duration `json:"shift,omitempty" toml:"-"`
+	// in the middle third the customers of one plan ask for so many times more; 0: no surge
+	Surge float64 `json:"surge,omitempty" toml:"surge"`
+	// the heavy class must never run twice, instead of carrying keys
+	Unsafe bool `json:"unsafe,omitempty" toml:"unsafe"`
+	// in which servers drop a repeated key; 0: the site's
+	Window time.Duration `json:"window,omitempty" toml:"-"`
+	// quotas are three times the ceilings, so that these bind
+	Tight bool `json:"tight,omitempty" toml:"tight"`
+	// gateways keep their state
+	State bool `json:"state,omitempty" toml:"state"`
 
-	NoteLoss  float64       `json:"note_loss" toml:"note_loss"`             // part of the notes lost; below 0: the site's
-	NoteLate  time.Duration `json:"note_late,omitempty" toml:"-"`           // how much later than usual they come
-	NoteTwice float64       `json:"note_twice,omitempty" toml:"note_twice"` // part of the notes that come twice, the second up to a second later
+	// part of the notes lost; below 0: the site's
+	NoteLoss float64 `json:"note_loss" toml:"note_loss"`
+	// how much later than usual they come
+	NoteLate time.Duration `json:"note_late,omitempty" toml:"-"`
+	// part of the notes that come twice, the second up to a second later
+	NoteTwice float64 `json:"note_twice,omitempty" toml:"note_twice"`
 
-	Kills    time.Duration   `json:"kills,omitempty" toml:"-"`    // one gateway is killed in each such span, on average; 0: none
-	Restarts time.Duration   `json:"restarts,omitempty" toml:"-"` // one server is killed, and comes back cold, in each such span; 0: none
-	Faults   []harness.Fault `json:"faults,omitempty" toml:"-"`   // what goes wrong besides
+	// one gateway is killed in each such span, on average; 0: none
+	Kills time.Duration `json:"kills,omitempty" toml:"-"`
+	// one server is killed, and comes back cold, in each such span; 0: none
+	Restarts time.Duration   `json:"restarts,omitempty" toml:"-"`
+	Faults   []harness.Fault `json:"faults,omitempty" toml:"-"` // what goes wrong besides
 }
 
 // Check tells which option can't be played.
@@ -60,7 +74,8 @@
 	case !(o.Load > 0 && o.Load <= 3):
 		return fmt.Errorf("load %g: above 0, 3 at most wanted", o.Load)
 	case o.PerSecond < 0 || o.PerSecond > 1e6 || o.Customers < 0 || o.Customers > 1e6:
-		return fmt.Errorf("%g requests a second of %d customers: a million at most of either", o.PerSecond, o.Customers)
+		return fmt.Errorf("%g requests a second of %d customers: a million at most of either",
+			o.PerSecond, o.Customers)
 	case o.For <= 0 || o.For > 24*time.Hour:
 		return fmt.Errorf("for %v: above 0, a day at most wanted", o.For)
 	case o.Spread < 0:
@@ -73,7 +88,11 @@
 		return errors.New("a length of time below 0")
 	}
 	for i, f := range o.Faults {
-		if f.N < 0 || f.At < 0 || f.For < 0 || !slices.Contains(slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.OtherFaults), f.Kind) {
+		if f.N < 0 || f.At < 0 || f.For < 0 ||
+			!slices.Contains(
+				slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.OtherFaults),
+				f.Kind,
+			) {
 			return fmt.Errorf("faults[%d]: %v can't be played", i, f)
 		}
 	}
@@ -120,9 +139,21 @@
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	site := harness.Draw{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, PerSecond: o.PerSecond, Customers: o.Customers}
-	w := &World{o: o, Site: site.Site(), Record: &harness.Record{},
-		rand: rand.New(rand.NewPCG(o.Seed, 0x51a)), held: map[*server]map[uint64]*attempt{}, digest: fnv.New64a(), ends: o.For.Microseconds()}
+	site := harness.Draw{
+		Seed:      o.Seed,
+		Gateways:  o.Gateways,
+		Servers:   o.Servers,
+		Load:      o.Load,
+		PerSecond: o.PerSecond,
+		Customers: o.Customers,
+	}
+	w := &World{o: o,
+		Site:   site.Site(),
+		Record: &harness.Record{},
+		rand:   rand.New(rand.NewPCG(o.Seed, 0x51a)),
+		held:   map[*server]map[uint64]*attempt{},
+		digest: fnv.New64a(),
+		ends:   o.For.Microseconds()}
 	if o.Shift > 0 {
 		w.Site.Shift = o.Shift
 	}
@@ -142,7 +173,12 @@
 	if o.NoteLoss >= 0 {
 		w.Site.NoteLoss = o.NoteLoss
 	}
-	w.notes = &notes{w: w, rand: rand.New(rand.NewPCG(o.Seed, 0x907e)), in: make([]int, o.Gateways), second: make([]int64, o.Gateways)}
+	w.notes = &notes{
+		w:      w,
+		rand:   rand.New(rand.NewPCG(o.Seed, 0x907e)),
+		in:     make([]int, o.Gateways),
+		second: make([]int64, o.Gateways),
+	}
 	w.register = &register{w: w, rand: rand.New(rand.NewPCG(o.Seed, 0x2e9))}
 	for i := range o.Servers {
 		sv := newServer(w, i)
