--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -21,7 +21,7 @@
 			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 400, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -112,10 +112,10 @@
 
 func anything() error { return nil }
 
-// within checks a number given by a flag.
-func within[T int | float64](flag string, x, least, most T) error {
-	if !(x >= least && x <= most) {
-		return fmt.Errorf("--%s %v: from %v to %v wanted", flag, x, least, most)
+// checkRange checks a number given by a flag.
+func checkRange[T int | float64](flag string, x, minimum, maximum T) error {
+	if !(x >= minimum && x <= maximum) {
+		return fmt.Errorf("--%s %v: from %v to %v wanted", flag, x, minimum, maximum)
 	}
 	return nil
 }
--- a/cmd/lab/real.go
+++ b/cmd/lab/real.go
@@ -43,7 +43,7 @@
 			case o.InPlace && o.Whole:
 				return errors.New("--in-place and --whole exclude each other")
 			}
-			return errors.Join(within("instances", o.Instances, 1, 200), within("load", o.Load, 0.01, 2))
+			return errors.Join(checkRange("instances", o.Instances, 1, 200), checkRange("load", o.Load, 0.01, 2))
 		}
 		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
@@ -60,7 +60,7 @@
 			f.BoolVar(&o.Kills, "kills", true, "some new processes are killed amid the taking over")
 			f.Float64Var(&o.Load, "load", 0.55, "part of what the servers can do that is asked inside the quotas")
 			check := func() error {
-				return errors.Join(within("instances", o.Instances, 1, 200), within("load", o.Load, 0.01, 2))
+				return errors.Join(checkRange("instances", o.Instances, 1, 200), checkRange("load", o.Load, 0.01, 2))
 			}
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				o.Seed, o.For = seed, length
@@ -77,11 +77,11 @@
 		f.IntSliceVar(&o.Sizes, "sizes", lab.QuotaSizes, "of the fleets; the others are held against the first")
 		check := func() error {
 			for _, n := range o.Sizes {
-				if err := within("sizes", n, 1, 200); err != nil {
+				if err := checkRange("sizes", n, 1, 200); err != nil {
 					return err
 				}
 			}
-			return errors.Join(within("load", o.Load, 0.01, 2), within("spread", o.Spread, 0, 200))
+			return errors.Join(checkRange("load", o.Load, 0.01, 2), checkRange("spread", o.Spread, 0, 200))
 		}
 		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
@@ -118,7 +118,7 @@
 		f.BoolVar(&o.Compare, "compare", true, "the same traffic through a fleet that divides by notes as well")
 		f.BoolVar(&o.Surge, "surge", false, "all but three leave, join within a second, and all are replaced: in place of faults at random")
 		check := func() error {
-			return errors.Join(within("instances", o.Instances, 3, 40), within("shards", o.Shards, 1, 16), within("load", o.Load, 0.01, 2))
+			return errors.Join(checkRange("instances", o.Instances, 3, 40), checkRange("shards", o.Shards, 1, 16), checkRange("load", o.Load, 0.01, 2))
 		}
 		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
@@ -134,7 +134,7 @@
 		f.StringVar(&o.Logs, "logs", "", "a folder for the gateways' logs")
 		f.Float64Var(&o.Load, "load", 0.35, "part of what the servers can do that is asked inside the quotas")
 		check := func() error {
-			return errors.Join(within("instances", o.Instances, 3, 40), within("load", o.Load, 0.01, 2))
+			return errors.Join(checkRange("instances", o.Instances, 3, 40), checkRange("load", o.Load, 0.01, 2))
 		}
 		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
@@ -152,8 +152,8 @@
 		f.IntVar(&o.Shards, "shards", 2, "duties that the export is shared out in, 1 to 16")
 		f.Float64Var(&o.Load, "load", 0.35, "part of what the servers can do that is asked inside the quotas")
 		check := func() error {
-			return errors.Join(within("instances", o.Instances, 3, 40), within("shards", o.Shards, 1, 16), within("clients", o.Clients, 0, 1000),
-				within("load", o.Load, 0.01, 2))
+			return errors.Join(checkRange("instances", o.Instances, 3, 40), checkRange("shards", o.Shards, 1, 16), checkRange("clients", o.Clients, 0, 1000),
+				checkRange("load", o.Load, 0.01, 2))
 		}
 		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 			o.Seed, o.For = seed, length
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -44,7 +44,7 @@
 	f.StringVar(&faults, "faults", "", "injected one after another, spread over the run: some of stop,kill,leader,gateways")
 	f.StringVar(&roles, "roles", "all",
 		"what is switched on: all, none, or some of list,configuration,allocation,metering")
-	f.StringVar(&path, "path", string(scale.PathWholeList),
+	f.StringVar(&path, "path", string(scale.PathCompleteList),
 		"how the list of servers travels: wholelist, delta or both")
 	f.BoolVar(&slopes, "slopes", false,
 		"play the ladders of sizes in place of one run, and fit the slopes")
@@ -80,7 +80,7 @@
 		}
 		paths := []scale.Path{scale.Path(path)}
 		if path == "both" {
-			paths = []scale.Path{scale.PathWholeList, scale.PathDelta}
+			paths = []scale.Path{scale.PathCompleteList, scale.PathDelta}
 		}
 		if !keep {
 			into = ""
--- a/cmd/lab/store.go
+++ b/cmd/lab/store.go
@@ -18,7 +18,7 @@
 	return b.play("store", "the embedded store: crashed after every operation, cut and changed at every byte, killed while it writes", time.Minute,
 		func(c *cobra.Command) (func() error, player) {
 			batches := c.Flags().Int("batches", 40, "that are crashed and damaged, 24 to 400; the time grows with the square")
-			check := func() error { return within("batches", *batches, 24, 400) }
+			check := func() error { return checkRange("batches", *batches, 24, 400) }
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				return b.runStore(ctx, seed, length, *batches)
 			}
--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -86,7 +86,7 @@
 			wrong := f.Bool("mutants", true, "search wrong variants of the decisions as well; needs Go and the sources")
 			each := f.Int("mutant-schedules", 1500, "so many at most for each of them")
 			check := func() error {
-				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *each, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *each, 1, 10_000_000))
 			}
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				began := time.Now()
@@ -124,8 +124,8 @@
 			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 3000, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000),
-					within("each", each.Seconds(), 1, 600))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000),
+					checkRange("each", each.Seconds(), 1, 600))
 			}
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
@@ -172,7 +172,7 @@
 			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 8000, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
@@ -218,7 +218,7 @@
 			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 2000, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(within("schedules", *most, 1, 100_000_000), within("mutant-schedules", *plays, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -286,7 +286,7 @@
 	h.Likely = func(r *rand.Rand) int {
 		own := t.owner(allocation.RoleOfShard(r.IntN(t.o.Shards)))
 		if own >= 0 {
-			h.Note("%s owns a shard", testcluster.Name(own))
+			h.Logf("%s owns a shard", testcluster.Name(own))
 		}
 		return own
 	}
@@ -298,7 +298,7 @@
 			t.takenBack(ctx, dead.Member, again)
 		}
 	}
-	h.Run(ctx, []testcluster.Kind{h.Kill, h.Leave, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
+	h.Run(ctx, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 }
 
 // takenBack waits until nobody has a dead process down for more than its floors, or until a time.
--- a/internal/testing/allocationtest/surge.go
+++ b/internal/testing/allocationtest/surge.go
@@ -32,13 +32,13 @@
 	if err := all(few, n, func(i int) error { t.harm.Count("leaves"); return t.f.End(i, syscall.SIGTERM) }); err != nil {
 		return err
 	}
-	t.harm.Note("%d are left", few)
+	t.harm.Logf("%d are left", few)
 	testcluster.Pass(ctx, 2*time.Second) // the few have all of it
 	began := time.Now()
 	if err := all(few, n, func(i int) error { t.harm.Count("joins"); return t.f.Begin(i) }); err != nil {
 		return err
 	}
-	t.harm.Note("%d joined within %v", n-few, time.Since(began).Round(time.Millisecond))
+	t.harm.Logf("%d joined within %v", n-few, time.Since(began).Round(time.Millisecond))
 	testcluster.Pass(ctx, 3*time.Second)
 
 	r := rand.New(rand.NewPCG(t.o.Seed, 0x5a))
@@ -79,6 +79,6 @@
 			return err
 		}
 	}
-	t.harm.Note("all are replaced")
+	t.harm.Logf("all are replaced")
 	return nil
 }
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -115,7 +115,7 @@
 	if disturb {
 		begin(func() {
 			h := c.harm
-			h.Run(asking, []testcluster.Kind{h.Kill, h.Leave, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
+			h.Run(asking, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 		})
 	}
 	f.Clients.Run(asking)
@@ -205,7 +205,7 @@
 		}
 		c.all[number] = change{from: began, to: 1 << 62, factor: factor}
 		c.mu.Unlock()
-		c.harm.Note("%s proposes %d for %s, in %v: the plans times %.2f", testcluster.Name(at), number, stage, lead, factor)
+		c.harm.Logf("%s proposes %d for %s, in %v: the plans times %.2f", testcluster.Name(at), number, stage, lead, factor)
 		if r.IntN(3) != 0 || !testcluster.Pass(ctx, time.Duration(harness.Between(r, 0.1, 1.5)*float64(time.Second))) {
 			continue
 		}
@@ -219,7 +219,7 @@
 				c.all[next] = change{from: began, to: 1 << 62, factor: c.all[one.Restores].factor}
 			}
 			c.mu.Unlock()
-			c.harm.Note("%d is withdrawn, %d takes its place", number, next)
+			c.harm.Logf("%d is withdrawn, %d takes its place", number, next)
 		}
 	}
 }
--- a/internal/testing/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -27,14 +27,14 @@
 
 // Pairings are what is compared.
 func Pairings() []Pairing {
-	calm := func(time.Duration) []harness.Fault { return nil }
+	noFaults := func(time.Duration) []harness.Fault { return nil }
 	at := func(length time.Duration, part float64) time.Duration { return time.Duration(part * float64(length)) }
 	return []Pairing{
-		{"calm, 3 gateways", 3, 0.55, -1, calm},
-		{"calm, 24 gateways", 24, 0.55, -1, calm},
-		{"calm, 40 gateways", 40, 0.55, -1, calm},
-		{"loaded, 8 gateways", 8, 0.85, -1, calm},
-		{"three in ten notes lost, 8 gateways", 8, 0.55, 0.3, calm},
+		{"calm, 3 gateways", 3, 0.55, -1, noFaults},
+		{"calm, 24 gateways", 24, 0.55, -1, noFaults},
+		{"calm, 40 gateways", 40, 0.55, -1, noFaults},
+		{"loaded, 8 gateways", 8, 0.85, -1, noFaults},
+		{"three in ten notes lost, 8 gateways", 8, 0.55, 0.3, noFaults},
 		{"gateways killed, 8", 8, 0.55, -1, func(length time.Duration) (all []harness.Fault) {
 			for i := range 6 {
 				all = append(all, harness.Fault{At: at(length, 0.1+0.13*float64(i)), For: 500 * time.Millisecond, Kind: harness.Kill, N: i})
@@ -67,15 +67,15 @@
 }
 
 const (
-	serviceWithin = 0.02
-	othersWithin  = 0.15
-	refusedLeast  = 0.01 // of the first tries: a difference so small is none
-	atOnce        = 3    // real worlds on one machine
+	maxServiceDifference  = 0.02
+	maxRelativeDifference = 0.15
+	minRefusedShare       = 0.01 // of the first tries: a difference so small is none
+	atOnce                = 3    // real worlds on one machine
 )
 
 // Run plays all pairings. A rule that is broken in either rig is a miss; a difference is told.
 func Run(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*harness.Figures, error) {
-	bin, remove, err := lab.BuildAside(ctx)
+	bin, remove, err := lab.BuildInTempDir(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -156,9 +156,9 @@
 	}
 	near := func(x [2]float64, least float64) bool {
 		d := math.Abs(x[0] - x[1])
-		return d <= least || d <= othersWithin*max(x[0], x[1])
+		return d <= least || d <= maxRelativeDifference*max(x[0], x[1])
 	}
 	r.Gap = r.Service[0] - r.Service[1]
-	r.Within = math.Abs(r.Gap) <= serviceWithin && near(r.Refused, refusedLeast) && near(r.P50, 0)
+	r.Within = math.Abs(r.Gap) <= maxServiceDifference && near(r.Refused, minRefusedShare) && near(r.P50, 0)
 	return r
 }
--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -38,7 +38,7 @@
 // RunAuth runs three gateways that ask an authenticator which stalls, flaps, errs
 // and crashes, beside three that ask nobody.
 func RunAuth(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*harness.Figures, error) {
-	bin, remove, err := BuildAside(ctx)
+	bin, remove, err := BuildInTempDir(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 			return nil, err
 		}
 	}
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 	f.Extra["p999_ms"] = harness.Percentile(w.Site, w.Record, 0.999)
 	if asks {
 		f.Extra["calls_per_try"] = float64(a.calls) / float64(max(1, f.Taken))
-		judgeAsked(f, w, a)
+		checkAuthenticator(f, w, a)
 	}
 	return f, nil
 }
@@ -149,9 +149,9 @@
 	}
 }
 
-// judgeAsked judges what the authenticator saw against what went on. Units that went on for
+// checkAuthenticator judges what the authenticator saw against what went on. Units that went on for
 // a try whose customer had no allowance that could still hold are the difference.
-func judgeAsked(f *harness.Figures, w *World, a *Authenticator) {
+func checkAuthenticator(f *harness.Figures, w *World, a *Authenticator) {
 	seen := map[string]time.Duration{}
 	for _, at := range w.Record.Attempts {
 		if first, ok := seen[at.ID]; !ok || at.First < first {
--- a/internal/testing/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -23,7 +23,7 @@
 		rec.AddAttempt(harness.Attempt{ID: "1", Server: "a", First: 1005 * ms, Whole: 1005 * ms, Ran: true, Effect: true})
 		a := &Authenticator{allows: map[string][]time.Duration{"c": {c.allowed}}}
 		f := harness.Figure("auth", 1, s, rec)
-		judgeAsked(f, &World{Site: s, Record: rec}, a)
+		checkAuthenticator(f, &World{Site: s, Record: rec}, a)
 		if f.Extra["quota_difference"] != c.want {
 			t.Errorf("allowed at %v: %v units", c.allowed, f.Extra["quota_difference"])
 		}
--- a/internal/testing/lab/consulregister.go
+++ b/internal/testing/lab/consulregister.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			return r, err
 		}
-		a.answers = func(services map[string]consulService) { r.told(g, services) }
+		a.answers = func(services map[string]consulService) { r.notify(g, services) }
 		r.agents = append(r.agents, a)
 		r.applied, r.stopped = append(r.applied, map[string]int{}), append(r.stopped, map[string]bool{})
 	}
@@ -111,8 +111,8 @@
 	return false
 }
 
-// told takes note of what an answer told a gateway.
-func (r *ConsulRegister) told(g int, services map[string]consulService) {
+// notify takes note of what an answer told a gateway.
+func (r *ConsulRegister) notify(g int, services map[string]consulService) {
 	now := r.rec.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/lab/consulrun.go
+++ b/internal/testing/lab/consulrun.go
@@ -103,7 +103,7 @@
 	}
 	w.Clients.Run(asking)
 	c.wg.Wait()
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		return nil, err
@@ -120,15 +120,15 @@
 			most = max(most, busiest(a.Calls()))
 		}
 		f.Extra["calls_per_second_max"] = most
-		if most > mostConsulCalls {
-			f.Miss(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted", most, mostConsulCalls))
+		if most > maxConsulCalls {
+			f.Miss(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted", most, maxConsulCalls))
 		}
 	}
 	return f, nil
 }
 
-// mostConsulCalls bounds what one gateway asks its agent in any second.
-const mostConsulCalls = 30
+// maxConsulCalls bounds what one gateway asks its agent in any second.
+const maxConsulCalls = 30
 
 // faults has the agents do something wrong, one thing after another, all of them or one.
 func (r *ConsulRegister) faults(ctx context.Context, rnd *rand.Rand, length time.Duration, progress io.Writer) {
--- a/internal/testing/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -127,13 +127,13 @@
 	}
 	w.Clients.Run(asking)
 	c.wg.Wait()
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		c.fail(err)
 	}
 	f := w.figures("fleet")
-	c.figures(f)
+	c.summarize(f)
 	return f, nil
 }
 
@@ -172,7 +172,7 @@
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xca05))
 	if c.o.Whole {
 		c.wg.Add(1)
-		go func() { defer c.wg.Done(); c.whole(ctx, c.o.For/2) }()
+		go func() { defer c.wg.Done(); c.restartAll(ctx, c.o.For/2) }()
 		return
 	}
 	c.wg.Add(1)
@@ -192,8 +192,8 @@
 	}
 }
 
-// whole kills every instance within a moment, and starts them all again.
-func (c *chaos) whole(ctx context.Context, after time.Duration) {
+// restartAll kills every instance within a moment, and starts them all again.
+func (c *chaos) restartAll(ctx context.Context, after time.Duration) {
 	if !sleep(ctx, after) {
 		return
 	}
@@ -221,7 +221,7 @@
 		if !together && time.Since(begun) > c.o.For/3 {
 			together = true
 			c.w.Register.Silence(true)
-			c.whole(ctx, 0)
+			c.restartAll(ctx, 0)
 			time.AfterFunc(2*time.Second, func() { c.w.Register.Silence(false) })
 		}
 		g := c.w.Gateways[r.IntN(len(c.w.Gateways))]
@@ -299,9 +299,9 @@
 			g.mu.Unlock()
 		}
 	}
-	wait, cancel := context.WithTimeout(context.Background(), readyWithin)
+	wait, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	if err := g.Gone(wait); err != nil {
+	if err := g.WaitForExit(wait); err != nil {
 		c.fail(err)
 		return
 	}
@@ -344,8 +344,8 @@
 	}
 }
 
-// figures adds what was done and how the gateways took it.
-func (c *chaos) figures(f *harness.Figures) {
+// summarize adds what was done and how the gateways took it.
+func (c *chaos) summarize(f *harness.Figures) {
 	rec, s := c.w.Record, c.w.Site
 	var ready []time.Duration
 	rss := 0
@@ -374,7 +374,7 @@
 	for _, err := range c.errs[:min(len(c.errs), 3)] {
 		f.Miss(err.Error())
 	}
-	if n := c.w.Notes.Over.Load(); n > 0 {
+	if n := c.w.PeerNetwork.Over.Load(); n > 0 {
 		f.Miss(fmt.Sprintf("%d notes over 256 bytes", n))
 	}
 }
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -136,9 +136,9 @@
 }
 
 // take gives an idle connection to a gateway, or makes one.
-func (f *front) take(g int, fresh bool) (*frontConn, error) {
+func (f *front) take(g int, newConnection bool) (*frontConn, error) {
 	e := f.entries[g]
-	if !fresh {
+	if !newConnection {
 		e.mu.Lock()
 		for n := len(e.idle); n > 0; n = len(e.idle) {
 			c := e.idle[n-1]
@@ -181,7 +181,7 @@
 // send sends a try to its gateway and waits for the answer. A kept connection
 // that the gateway closed, unread, has it sent once more on a new one.
 // A client that loses patience closes the connection so long after the request; 0: it waits.
-func (f *front) send(ctx context.Context, s *harness.Site, c *harness.Customer, t *harness.Try, leave time.Duration) {
+func (f *front) send(ctx context.Context, s *harness.Site, c *harness.Customer, t *harness.Try, leaveAfter time.Duration) {
 	deadline := time.Now().Add(t.Wait)
 	for again := false; ; again = true {
 		conn, err := f.take(t.Gateway, again)
@@ -198,8 +198,8 @@
 		}
 		cmd := command(s, c, t, max(time.Millisecond, time.Until(deadline)))
 		until := deadline.Add(harness.OnSockets)
-		if leave > 0 {
-			until = time.Now().Add(leave)
+		if leaveAfter > 0 {
+			until = time.Now().Add(leaveAfter)
 		}
 		_ = conn.SetDeadline(until)
 		if _, err = conn.Write(cmd); err == nil {
@@ -216,7 +216,7 @@
 		used := conn.used
 		conn.Close()
 		if errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
-			if t.Kind = harness.Silent; leave > 0 {
+			if t.Kind = harness.Silent; leaveAfter > 0 {
 				t.Kind, t.Left = harness.Left, f.rec.Now()
 			}
 			return
--- a/internal/testing/lab/held_test.go
+++ b/internal/testing/lab/held_test.go
@@ -49,7 +49,7 @@
 	}
 	stop, over := context.WithTimeout(ctx, 20*time.Second)
 	defer over()
-	if err := g.Gone(stop); err != nil {
+	if err := g.WaitForExit(stop); err != nil {
 		t.Errorf("%v\n%s", err, g.tail())
 	}
 }
--- a/internal/testing/lab/notes.go
+++ b/internal/testing/lab/notes.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Notes carries datagrams between gateways: late, and some not at all. Each
+// PeerNetwork carries datagrams between gateways: late, and some not at all. Each
 // gateway sees every other under an address of its own: what i sends to the
 // socket (i, j) comes to j from the socket (j, i).
-type Notes struct {
+type PeerNetwork struct {
 	links [][]*net.UDPConn
 	dest  []netip.AddrPort // where each gateway listens
 
@@ -25,11 +25,11 @@
 	Sent, Dropped, Over atomic.Int64
 }
 
-const noteMost = 256 // bytes; a longer datagram breaks the protocol
+const maxPeerMessageBytes = 256 // bytes; a longer datagram breaks the protocol
 
-// NewNotes makes the links between gateways that listen at the addresses given.
-func NewNotes(dest []netip.AddrPort, loss float64, seed uint64) (*Notes, error) {
-	n := &Notes{dest: dest, loss: loss, rand: rand.New(rand.NewPCG(seed, 0x907e))}
+// NewPeerNetwork makes the links between gateways that listen at the addresses given.
+func NewPeerNetwork(dest []netip.AddrPort, loss float64, seed uint64) (*PeerNetwork, error) {
+	n := &PeerNetwork{dest: dest, loss: loss, rand: rand.New(rand.NewPCG(seed, 0x907e))}
 	for i := range dest {
 		n.links = append(n.links, make([]*net.UDPConn, len(dest)))
 		for j := range dest {
@@ -52,7 +52,7 @@
 }
 
 // peers are the addresses under which gateway i finds all others.
-func (n *Notes) peers(i int) (addrs []string) {
+func (n *PeerNetwork) peers(i int) (addrs []string) {
 	for _, c := range n.links[i] {
 		addrs = append(addrs, c.LocalAddr().String())
 	}
@@ -60,7 +60,7 @@
 }
 
 // Close ends all links.
-func (n *Notes) Close() {
+func (n *PeerNetwork) Close() {
 	for _, row := range n.links {
 		for _, c := range row {
 			if c != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (n *Notes) carry(i, j int) {
+func (n *PeerNetwork) carry(i, j int) {
 	buf := make([]byte, 2048)
 	for {
 		size, _, err := n.links[i][j].ReadFromUDPAddrPort(buf)
@@ -80,7 +80,7 @@
 			continue
 		}
 		n.Sent.Add(1)
-		if size > noteMost {
+		if size > maxPeerMessageBytes {
 			n.Over.Add(1)
 		}
 		n.mu.Lock()
--- a/internal/testing/lab/play.go
+++ b/internal/testing/lab/play.go
@@ -57,7 +57,7 @@
 	}
 	w.Clients.Run(asking)
 	wg.Wait()
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := errors.Join(errs, w.Stop(stop)); err != nil {
 		return nil, err
@@ -76,9 +76,9 @@
 		if err := g.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 		defer cancel()
-		if err := g.Gone(ctx); err != nil {
+		if err := g.WaitForExit(ctx); err != nil {
 			return err
 		}
 		over()
@@ -90,7 +90,7 @@
 	case harness.Drained:
 		w.DrainServer(sv)
 		over()
-		w.tell(sv, phaseReady, w.upSince(sv), false)
+		w.notify(sv, phaseReady, w.upSince(sv), false)
 	case harness.SilentAt:
 		w.Register.Silence(true)
 		over()
--- a/internal/testing/lab/process.go
+++ b/internal/testing/lab/process.go
@@ -35,9 +35,9 @@
 	return bin, nil
 }
 
-// BuildAside is Build into a folder of its own, for several worlds of one run;
+// BuildInTempDir is Build into a folder of its own, for several worlds of one run;
 // remove takes it away.
-func BuildAside(ctx context.Context) (bin string, remove func(), err error) {
+func BuildInTempDir(ctx context.Context) (bin string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "mothcleat-bin-")
 	if err != nil {
 		return "", nil, err
@@ -55,7 +55,7 @@
 	if *bin != "" {
 		return func() {}, nil
 	}
-	*bin, remove, err = BuildAside(ctx)
+	*bin, remove, err = BuildInTempDir(ctx)
 	return remove, err
 }
 
@@ -386,8 +386,8 @@
 	return g.pid != 0
 }
 
-// Gone waits until no process of this gateway runs.
-func (g *Gateway) Gone(ctx context.Context) error {
+// WaitForExit waits until no process of this gateway runs.
+func (g *Gateway) WaitForExit(ctx context.Context) error {
 	for {
 		g.mu.Lock()
 		left := g.pid != 0
--- a/internal/testing/lab/quota.go
+++ b/internal/testing/lab/quota.go
@@ -97,15 +97,15 @@
 	defer cancel()
 	w.progress(asking, progress, o.For)
 	w.Clients.Run(asking)
-	notes := float64(w.Notes.Sent.Load()) / w.Record.Now().Seconds() / float64(gateways)
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	notes := float64(w.PeerNetwork.Sent.Load()) / w.Record.Now().Seconds() / float64(gateways)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		return quotaRow{}, nil, err
 	}
 	f := w.figures("quota")
-	if n := w.Notes.Over.Load(); n > 0 {
-		f.Miss(fmt.Sprintf("%d notes over %d bytes", n, noteMost))
+	if n := w.PeerNetwork.Over.Load(); n > 0 {
+		f.Miss(fmt.Sprintf("%d notes over %d bytes", n, maxPeerMessageBytes))
 	}
 	return quotaRow{Gateways: gateways, Service: f.Service, Given: harness.GivenOfBought(w.Site, w.Record), Over: f.Over,
 		Sent: harness.SentUnits(w.Record), Notes: notes, Losses: f.Losses, OK: f.OK}, f, nil
--- a/internal/testing/lab/register.go
+++ b/internal/testing/lab/register.go
@@ -69,11 +69,11 @@
 	member
 	revision int
 	stopAt   time.Duration // when the agent heard that it stops
-	told     bool          // and whether the gateway has been told
+	notified bool          // and whether the gateway has been told
 }
 
-// toldAnyway is how late a gateway counts as told of what its agent has.
-const toldAnyway = 6 * time.Second
+// maxNotificationDelay is how late a gateway counts as told of what its agent has.
+const maxNotificationDelay = 6 * time.Second
 
 // NewRegister makes a register with its agents; lag is the longest time until one
 // hears of a change.
@@ -152,22 +152,22 @@
 	a.changed = make(chan struct{})
 	if m.Phase != phaseReady {
 		e.stopAt = a.rec.Now()
-		time.AfterFunc(toldAnyway, func() {
+		time.AfterFunc(maxNotificationDelay, func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			if a.members[m.ID] == e {
-				a.tell(e)
+				a.notify(e)
 			}
 		})
 	}
 }
 
-// tell takes note that the gateway has been told of an entry.
-func (a *agent) tell(e *entry) {
-	if e.told {
+// notify takes note that the gateway has been told of an entry.
+func (a *agent) notify(e *entry) {
+	if e.notified {
 		return
 	}
-	e.told = true
+	e.notified = true
 	a.rec.AddTold(harness.Told{Gateway: a.gateway, Server: e.ID, Stop: e.Phase != phaseReady, At: a.rec.Now()})
 }
 
@@ -243,7 +243,7 @@
 			list, entries = a.list(0)
 		}
 		for _, e := range entries {
-			a.tell(e)
+			a.notify(e)
 		}
 		a.mu.Unlock()
 		_ = json.NewEncoder(w).Encode(list)
--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -40,20 +40,20 @@
 	cores int
 	speed float64
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	up      bool
-	boot    int // in the record
-	life    harness.Boot
-	fault   Fault
-	drain   bool
-	conns   map[net.Conn]bool
-	lists   []net.Listener
-	addrs   []string          // by gateway; the same after a restart
-	recent  []harness.Attempt // within the span over which a fall is counted
-	waiting int
-	slots   chan struct{}
-	ended   chan struct{} // closed with this life
+	mu          sync.Mutex
+	rand        *rand.Rand
+	up          bool
+	incarnation int // in the record
+	life        harness.Boot
+	fault       Fault
+	drain       bool
+	conns       map[net.Conn]bool
+	lists       []net.Listener
+	addrs       []string          // by gateway; the same after a restart
+	recent      []harness.Attempt // within the span over which a fall is counted
+	waiting     int
+	slots       chan struct{}
+	ended       chan struct{} // closed with this life
 }
 
 // NewServer makes a server that is up and warm.
@@ -82,7 +82,7 @@
 }
 
 // start brings the process up at the addresses that it had before.
-func (sv *Server) start(cold bool) error {
+func (sv *Server) start(slowStart bool) error {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.up {
@@ -101,8 +101,8 @@
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
-	sv.life = harness.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: cold, At: sv.rec.Now()}
-	sv.boot = sv.rec.AddBoot(sv.life)
+	sv.life = harness.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: slowStart, At: sv.rec.Now()}
+	sv.incarnation = sv.rec.AddBoot(sv.life)
 	for g, l := range sv.lists {
 		go sv.accept(l, g, sv.ended)
 	}
@@ -149,13 +149,13 @@
 }
 
 // Up tells whether the process runs, and when it started if it started cold.
-func (sv *Server) Up() (up bool, coldSince time.Duration) {
+func (sv *Server) Up() (up bool, slowStartSince time.Duration) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.life.Cold {
-		coldSince = sv.life.At
+		slowStartSince = sv.life.At
 	}
-	return sv.up, coldSince
+	return sv.up, slowStartSince
 }
 
 func reset(c net.Conn) {
@@ -265,7 +265,7 @@
 	n := sv.rec.AddAttempt(a)
 	fault, life := sv.fault, sv.life
 	if sv.overrun(a) {
-		sv.rec.Fell(sv.boot)
+		sv.rec.Fell(sv.incarnation)
 		sv.kill()
 		sv.mu.Unlock()
 		return nil, false
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -52,7 +52,7 @@
 		w.sample(out)
 		<-ctx.Done()
 	}
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	return f, w.Stop(stop)
 }
@@ -89,9 +89,9 @@
 	if g.Signal(syscall.SIGTERM) != nil {
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, readyWithin)
+	wait, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if g.Gone(wait) == nil {
+	if g.WaitForExit(wait) == nil {
 		_ = w.start(ctx, g)
 	}
 }
--- a/internal/testing/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -56,13 +56,13 @@
 	}
 	w.Clients.Run(asking)
 	wg.Wait()
-	stop, cancel := context.WithTimeout(context.Background(), readyWithin)
+	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		u.fail(err)
 	}
 	f := w.figures("upgrade")
-	u.figures(f)
+	u.summarize(f)
 	return f, nil
 }
 
@@ -118,7 +118,7 @@
 		return err
 	}
 	for g.admin(next.admin, "check") != "ok" {
-		if u.w.Record.Now()-began > readyWithin {
+		if u.w.Record.Now()-began > readyTimeout {
 			return fmt.Errorf("the new process is not ready\n%s", g.tail())
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -131,7 +131,7 @@
 	if err := syscall.Kill(old.pid, syscall.SIGTERM); err != nil {
 		return err
 	}
-	for end := time.Now().Add(readyWithin); alive(old.pid); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); alive(old.pid); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			return errors.New("the old process does not end")
 		}
@@ -159,7 +159,7 @@
 	}
 	serving := g.now()
 	answer := ""
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		answer = g.admin(serving.admin, "check")
 		if answer == "ok" || answer == "fail handed over" {
 			break
@@ -175,9 +175,9 @@
 		if err := g.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
-		wait, cancel := context.WithTimeout(context.Background(), readyWithin)
+		wait, cancel := context.WithTimeout(context.Background(), readyTimeout)
 		defer cancel()
-		if err := g.Gone(wait); err != nil {
+		if err := g.WaitForExit(wait); err != nil {
 			return err
 		}
 		return u.w.start(wait, g)
@@ -207,8 +207,8 @@
 	return nil
 }
 
-// figures adds what was done and how the gateways took it.
-func (u *upgrades) figures(f *harness.Figures) {
+// summarize adds what was done and how the gateways took it.
+func (u *upgrades) summarize(f *harness.Figures) {
 	refused, _ := refusals(u.w.Record)
 	crossed, resets := 0, 0
 	for _, t := range u.w.Record.Tries {
--- a/internal/testing/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -43,22 +43,22 @@
 
 // World is a site with everything running: servers, register, notes, gateways.
 type World struct {
-	Site     *harness.Site
-	Record   *harness.Record
-	Servers  []*Server
-	Register *Register
-	Consul   *ConsulRegister // nil: the platform's register
-	Counter  *Counter
-	Notes    *Notes
-	Gateways []*Gateway
-	Clients  *Clients
-	Dir      string
+	Site        *harness.Site
+	Record      *harness.Record
+	Servers     []*Server
+	Register    *Register
+	Consul      *ConsulRegister // nil: the platform's register
+	Counter     *Counter
+	PeerNetwork *PeerNetwork
+	Gateways    []*Gateway
+	Clients     *Clients
+	Dir         string
 
 	options Options
 	number  uint32
 }
 
-const readyWithin = 30 * time.Second
+const readyTimeout = 30 * time.Second
 
 // NewWorld builds and starts everything but the clients' requests.
 func NewWorld(ctx context.Context, o Options) (w *World, err error) {
@@ -111,7 +111,7 @@
 			return w, err
 		}
 		w.Servers = append(w.Servers, sv)
-		w.tell(sv, phaseReady, 0, true)
+		w.notify(sv, phaseReady, 0, true)
 	}
 	var peers []netip.AddrPort
 	for i := range o.Gateways {
@@ -151,7 +151,7 @@
 		w.Gateways = append(w.Gateways, g)
 		peers = append(peers, netip.MustParseAddrPort(g.Peer))
 	}
-	if w.Notes, err = NewNotes(peers, w.Site.NoteLoss, o.Seed); err != nil {
+	if w.PeerNetwork, err = NewPeerNetwork(peers, w.Site.NoteLoss, o.Seed); err != nil {
 		return w, err
 	}
 	fmt.Fprintf(o.Log, "starting %d gateways before %d quote servers, %d customers, %.0f requests/s inside the quotas\n",
@@ -181,7 +181,7 @@
 	if err := g.Start(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return g.Ready(ctx)
 }
@@ -197,7 +197,7 @@
 		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number), "listen": g.Address,
 		"discovery": w.Register.agents[g.Number].address, "seed": harness.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
 		"limits":      map[string]any{"cores": 1.0, "memory_mb": w.options.MemoryMB, "sockets": 1024},
-		"peer_listen": g.Peer, "peers": w.Notes.peers(g.Number), "peers_all": "127.0.0.1:9",
+		"peer_listen": g.Peer, "peers": w.PeerNetwork.peers(g.Number), "peers_all": "127.0.0.1:9",
 		"counter": w.Counter.Address, "known": known, "settings": w.Site.Settings(g.Number),
 	}
 }
@@ -236,7 +236,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for _, g := range w.Gateways {
-		_ = g.Gone(ctx)
+		_ = g.WaitForExit(ctx)
 	}
 	for _, sv := range w.Servers {
 		sv.Kill()
@@ -250,8 +250,8 @@
 	if w.Counter != nil {
 		w.Counter.Close()
 	}
-	if w.Notes != nil {
-		w.Notes.Close()
+	if w.PeerNetwork != nil {
+		w.PeerNetwork.Close()
 	}
 	if w.Dir != "" {
 		_ = os.RemoveAll(w.Dir)
@@ -267,19 +267,19 @@
 	}
 	var err error
 	for _, g := range w.Gateways {
-		err = errors.Join(err, g.Gone(ctx))
+		err = errors.Join(err, g.WaitForExit(ctx))
 	}
 	return err
 }
 
 // DrainServer tells the register that a server drains, and the server later.
-func (w *World) DrainServer(sv *Server) { w.tell(sv, phaseStop, w.upSince(sv), false) }
+func (w *World) DrainServer(sv *Server) { w.notify(sv, phaseStop, w.upSince(sv), false) }
 
 // KillServer ends a server's process; the register hears of it.
 func (w *World) KillServer(sv *Server) {
 	since := w.upSince(sv)
 	sv.Kill()
-	w.tell(sv, phaseGone, since, false)
+	w.notify(sv, phaseGone, since, false)
 }
 
 // StartServer brings a server back, cold; the register hears of it.
@@ -287,12 +287,12 @@
 	if err := sv.Start(); err != nil {
 		return err
 	}
-	w.tell(sv, phaseReady, w.upSince(sv), false)
+	w.notify(sv, phaseReady, w.upSince(sv), false)
 	return nil
 }
 
-// tell has the register hear of a server's state.
-func (w *World) tell(sv *Server, phase string, since time.Duration, now bool) {
+// notify has the register hear of a server's state.
+func (w *World) notify(sv *Server, phase string, since time.Duration, now bool) {
 	if w.Consul != nil {
 		w.Consul.Set(sv, phase, now)
 		return
--- a/internal/testing/lab/world_test.go
+++ b/internal/testing/lab/world_test.go
@@ -257,7 +257,7 @@
 		socks, dest = append(socks, c), append(dest, c.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
 	for _, loss := range []float64{0, 1} {
-		n, err := NewNotes(dest, loss, 1)
+		n, err := NewPeerNetwork(dest, loss, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/scale/children.go
+++ b/internal/testing/scale/children.go
@@ -23,7 +23,7 @@
 	errs    bytes.Buffer
 }
 
-const childEndsWithin = 10 * time.Second
+const childExitTimeout = 10 * time.Second
 
 // startChild starts a process that waits for its configuration. Nothing may outlive the rig: the
 // process is killed with the thread
@@ -53,15 +53,15 @@
 // hollowEnvironment tells the program of a test that it is to run hollow gateways.
 const hollowEnvironment = "MOTHCLEAT_HOLLOW=1"
 
-// tell writes a line.
-func (c *child) tell(line []byte) error {
+// send writes a line.
+func (c *child) send(line []byte) error {
 	_, err := c.in.Write(append(line, '\n'))
 	return err
 }
 
 // sample asks for a sample.
 func (c *child) sample() (s Sample, err error) {
-	if err := c.tell([]byte(commandSample)); err != nil {
+	if err := c.send([]byte(commandSample)); err != nil {
 		return s, c.failed(err)
 	}
 	line, err := c.out.ReadBytes('\n')
@@ -79,7 +79,7 @@
 
 // stop ends the process, by force if it takes too long.
 func (c *child) stop() {
-	_ = c.tell([]byte(commandStop))
+	_ = c.send([]byte(commandStop))
 	_ = c.in.Close()
 	ended := make(chan struct{})
 	go func() {
@@ -88,7 +88,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(childEndsWithin):
+	case <-time.After(childExitTimeout):
 		_ = c.command.Process.Kill()
 		<-ended
 	}
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -25,7 +25,7 @@
 	controlNames    = "c"
 	realNames       = "r"
 	controlMemoryMB = 4096 // a soft limit: collection of garbage is not to be what is measured
-	callWithin      = 5 * time.Second
+	callTimeout     = 5 * time.Second
 )
 
 // control is the processes of the program that vote and hold all duties.
@@ -104,7 +104,7 @@
 		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
 	}
 	if parts.List && control && c.options.Path == PathDelta {
-		fmt.Fprintf(&b, "watch = true\nsilent = %q\n", silentAfter)
+		fmt.Fprintf(&b, "watch = true\nsilent = %q\n", silenceTimeout)
 	}
 	if parts.Allocation {
 		fmt.Fprintf(&b, "[budgets]\non = true\nshards = %d\nbegin_full = true\n", c.options.Control)
@@ -134,7 +134,7 @@
 
 // call has a control process's admin interface answer a call about the fleet.
 func (c *control) call(i int, line string, into any) error {
-	return c.world.Gateways[i].CallFleet(line, callWithin, into)
+	return c.world.Gateways[i].CallFleet(line, callTimeout, into)
 }
 
 // leader is which control process leads the log; -1: none says so.
@@ -148,8 +148,8 @@
 	return -1
 }
 
-// duties tells how many duties each control process holds.
-func (c *control) duties(i int) (held int) {
+// rolesHeld tells how many duties each control process holds.
+func (c *control) rolesHeld(i int) (held int) {
 	var here controlplane.Here
 	if c.call(i, "here", &here) == nil {
 		held = len(here.Roles)
--- a/internal/testing/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -22,7 +22,7 @@
 }
 
 func tenantSpread(tenant uint64) int {
-	return tenantSpreadLeast + int(mix(tenant)>>40%tenantSpreadVary)
+	return minTenantSpread + int(mix(tenant)>>40%tenantSpreadVary)
 }
 
 // mix spreads numbers evenly.
@@ -46,15 +46,15 @@
 	r := rand.New(rand.NewPCG(g.process.config.Seed, uint64(g.number)))
 	tick := time.NewTicker(demandEvery)
 	defer tick.Stop()
-	owed, request := r.Float64(), uint64(0)
+	startDelay, request := r.Float64(), uint64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		owed += g.process.config.RequestsPerGateway * demandEvery.Seconds()
-		for ; owed >= 1; owed-- {
+		startDelay += g.process.config.RequestsPerGateway * demandEvery.Seconds()
+		for ; startDelay >= 1; startDelay-- {
 			request++
 			g.request(request, g.tenants[r.IntN(len(g.tenants))])
 		}
@@ -64,25 +64,25 @@
 // request is one request of one unit.
 func (g *hollowGateway) request(id, tenant uint64) {
 	g.process.requests.Add(1)
-	rights := g.node.Rights()
-	if rights == nil {
+	allocations := g.node.Rights()
+	if allocations == nil {
 		g.node.Count(tenant, 1)
 		g.node.Sent(true, 1)
 		return
 	}
 	b := tenantBudget(tenant)
-	rights.RecordDemand(0, &b, 1)
+	allocations.RecordDemand(0, &b, 1)
 	switch {
-	case rights.Available(0, &b) >= 1:
-		rights.Consume(0, id, &b, 1)
+	case allocations.Available(0, &b) >= 1:
+		allocations.Consume(0, id, &b, 1)
 		g.serve(tenant)
-	case !rights.RequestOnDemand(id, &b, 1):
+	case !allocations.RequestOnDemand(id, &b, 1):
 		g.node.Rejected(false)
 	}
 }
 
-// lent is the answer to an asking for units.
-func (g *hollowGateway) lent(l gateway.OnDemandReply) {
+// onDemandGranted is the answer to an asking for units.
+func (g *hollowGateway) onDemandGranted(l gateway.OnDemandReply) {
 	if l.Units < 1 {
 		g.node.Rejected(false)
 		return
--- a/internal/testing/scale/faults.go
+++ b/internal/testing/scale/faults.go
@@ -25,9 +25,9 @@
 const (
 	stopLength = 4 * time.Second
 	downLength = 2 * time.Second
-	// stretchLeast is how long each stretch of a run has to be: a fault, and what comes after it.
-	stretchLeast = 6 * time.Second
-	startWithin  = 20 * time.Second // for a process that was killed
+	// minStretch is how long each stretch of a run has to be: a fault, and what comes after it.
+	minStretch   = 6 * time.Second
+	startTimeout = 20 * time.Second // for a process that was killed
 )
 
 var knownFaults = []Fault{FaultStop, FaultKill, FaultLeader, FaultGateways}
@@ -116,9 +116,9 @@
 	if err := g.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	starting, cancel := context.WithTimeout(context.WithoutCancel(ctx), startWithin)
+	starting, cancel := context.WithTimeout(context.WithoutCancel(ctx), startTimeout)
 	defer cancel()
-	if err := g.Gone(starting); err != nil {
+	if err := g.WaitForExit(starting); err != nil {
 		return err
 	}
 	pass(ctx, downLength)
--- a/internal/testing/scale/faults_test.go
+++ b/internal/testing/scale/faults_test.go
@@ -16,7 +16,7 @@
 	}
 	t.Parallel()
 	o := tiny()
-	o.Path, o.For, o.RackSize, o.Versions, o.BaseVersion = PathDelta, 3*stretchLeast, 0, 3, true
+	o.Path, o.For, o.RackSize, o.Versions, o.BaseVersion = PathDelta, 3*minStretch, 0, 3, true
 	o.Parts = Parts{List: true, Configuration: true}
 	o.ReplacementsPerSecond = 2
 	o.Faults = []Fault{FaultLeader, FaultGateways}
@@ -68,7 +68,7 @@
 		t.Error(err)
 	}
 	o := tiny()
-	o.Faults, o.For = []Fault{FaultStop}, stretchLeast
+	o.Faults, o.For = []Fault{FaultStop}, minStretch
 	if err := o.Check(); err == nil || !strings.Contains(err.Error(), "--faults") {
 		t.Error(err)
 	}
--- a/internal/testing/scale/fit.go
+++ b/internal/testing/scale/fit.go
@@ -25,8 +25,8 @@
 	Points    []Point `json:"points"`
 }
 
-// pointsLeast is from how many sizes a slope may be fitted.
-const pointsLeast = 3
+// minPoints is from how many sizes a slope may be fitted.
+const minPoints = 3
 
 // Fit puts the line of least squares through the points.
 func Fit(name, unit, dependsOn string, points []Point) (Slope, error) {
@@ -39,8 +39,8 @@
 		xs, ys = append(xs, p.X), append(ys, p.Y)
 		largest = max(largest, math.Abs(p.Y))
 	}
-	if len(sizes) < pointsLeast {
-		return s, fmt.Errorf("slope %s: %d sizes, at least %d wanted", name, len(sizes), pointsLeast)
+	if len(sizes) < minPoints {
+		return s, fmt.Errorf("slope %s: %d sizes, at least %d wanted", name, len(sizes), minPoints)
 	}
 	s.At0, s.PerOne = stat.LinearRegression(xs, ys, nil, false)
 	for _, p := range points {
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -214,11 +214,11 @@
 func hollowName(number int) string { return fmt.Sprintf("h%d", number) }
 
 const (
-	leaseSpan   = time.Second
-	leaseOffer  = 500 * time.Millisecond
-	clockMargin = 0.125
-	usePeriod   = 5 * time.Second
-	silentAfter = time.Second
+	leaseTTL       = time.Second
+	leaseOffer     = 500 * time.Millisecond
+	clockMargin    = 0.125
+	usePeriod      = 5 * time.Second
+	silenceTimeout = time.Second
 )
 
 // start has the gateway take part in its fleet.
@@ -230,8 +230,8 @@
 	}
 	settings := controlplane.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
 		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
-		Candidates: c.Owners, LeaseConfig: lease.Config{TTL: leaseSpan, ClockDriftBound: clockMargin,
-			OfferTTL: leaseOffer}, Period: usePeriod, Silent: silentAfter,
+		Candidates: c.Owners, LeaseConfig: lease.Config{TTL: leaseTTL, ClockDriftBound: clockMargin,
+			OfferTTL: leaseOffer}, Period: usePeriod, Silent: silenceTimeout,
 		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
 	if c.Parts.Metering {
 		settings.Shards = 1
@@ -253,14 +253,14 @@
 	g.node = controlplane.Start(settings)
 	switch {
 	case c.Parts.List && c.Path == PathDelta:
-		go g.node.Register().Run(ctx, g.hear)
+		go g.node.Register().Run(ctx, g.receive)
 	case c.Parts.List:
-		go g.wholeList(c.Voters, log).Run(ctx, g.hear)
+		go g.completeListSource(c.Voters, log).Run(ctx, g.receive)
 	}
 	g.tenants = tenantsOf(g.number, c.Gateways, c.Tenants)
 	if c.Parts.Allocation || c.Parts.Metering {
 		if u := g.node.Rights(); u != nil {
-			u.OnReply(g.lent)
+			u.OnReply(g.onDemandGranted)
 		}
 		go g.demand(ctx)
 	}
@@ -300,24 +300,24 @@
 func (noRegister) Follow()                                        {}
 func (noRegister) Move(string)                                    {}
 
-// hear takes in news of the servers.
-func (g *hollowGateway) hear(n registry.News) {
+// receive takes in news of the servers.
+func (g *hollowGateway) receive(n registry.News) {
 	now := time.Now().UnixNano()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	gone := map[string]bool{}
+	removed := map[string]bool{}
 	if n.Kind == registry.Whole {
 		for id := range g.servers {
-			gone[id] = true
+			removed[id] = true
 		}
 	}
 	for i := range n.Members {
 		m := &n.Members[i]
 		id := shortID(m.ID)
-		delete(gone, id)
+		delete(removed, id)
 		g.put(id, m.Phase, m.HostPort, now)
 	}
-	for id := range gone { // what a whole list does not have
+	for id := range removed { // what a whole list does not have
 		g.put(id, registry.Gone, "", now)
 	}
 	if g.current == 0 && n.Kind != registry.Unheard {
@@ -361,10 +361,10 @@
 }
 
 func (g *hollowGateway) state() GatewayState {
-	acts := true
+	mayOperate := true
 	if a := g.node.Permit(); a != nil {
 		until, _ := a.Current()
-		acts = until > 0
+		mayOperate = until > 0
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -373,13 +373,13 @@
 		stale = int(replica.Counts.Divergences)
 	}
 	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current,
-		Version: g.version, Acts: acts}
+		Version: g.version, Acts: mayOperate}
 }
 
 // A tenant comes through two to four gateways.
 const (
-	tenantSpreadLeast = 2
-	tenantSpreadVary  = 3
+	minTenantSpread  = 2
+	tenantSpreadVary = 3
 )
 
 const demandEvery = 50 * time.Millisecond
--- a/internal/testing/scale/ladder.go
+++ b/internal/testing/scale/ladder.go
@@ -40,17 +40,17 @@
 
 // The ladders.
 const (
-	LadderBase           = "base"           // sessions, leases and the log alone, by gateways
-	LadderListServers    = "list-servers"   // the whole list, by servers
-	LadderListGateways   = "list-gateways"  // the whole list, by gateways
-	LadderDeltaServers   = "delta-servers"  // the list by what changed, by servers
-	LadderDeltaGateways  = "delta-gateways" // the same, by gateways
-	LadderDeltaChanges   = "delta-changes"  // the same, by changes a second
-	LadderPlansTenants   = "plans-tenants"  // a version of the plans from nothing, by tenants
-	LadderPlansDelta     = "plans-delta"    // versions of the plans where each gateway has the one before, by tenants
-	LadderPermitGateways = "permits"        // permits and records, by gateways, without a new version
-	LadderAllocation     = "allocation"     // quotas, by tenants and gateways together
-	LadderMetering       = "metering"       // counted use, by gateways
+	LadderBase          = "base"           // sessions, leases and the log alone, by gateways
+	LadderListServers   = "list-servers"   // the whole list, by servers
+	LadderListGateways  = "list-gateways"  // the whole list, by gateways
+	LadderDeltaServers  = "delta-servers"  // the list by what changed, by servers
+	LadderDeltaGateways = "delta-gateways" // the same, by gateways
+	LadderDeltaChanges  = "delta-changes"  // the same, by changes a second
+	LadderPlansTenants  = "plans-tenants"  // a version of the plans from nothing, by tenants
+	LadderPlansDelta    = "plans-delta"    // versions of the plans where each gateway has the one before, by tenants
+	LadderLeaseGateways = "permits"        // permits and records, by gateways, without a new version
+	LadderAllocation    = "allocation"     // quotas, by tenants and gateways together
+	LadderMetering      = "metering"       // counted use, by gateways
 )
 
 const (
@@ -86,7 +86,7 @@
 		newLadder(LadderDeltaChanges, changeSizes, listOn, deltaOn, changesAre),
 		newLadder(LadderPlansTenants, tenantSizes, configurationOn, tenantsAre),
 		newLadder(LadderPlansDelta, tenantSizes, configurationOn, baseVersionOn, tenantsAre),
-		newLadder(LadderPermitGateways, gatewaySizes, permitsOn, gatewaysAre, tenantsByGateways),
+		newLadder(LadderLeaseGateways, gatewaySizes, versionLeasesOn, gatewaysAre, tenantsByGateways),
 		newLadder(LadderAllocation, allocationSizes, allocationOn, gatewaysAre, tenantsByGateways),
 		newLadder(LadderMetering, gatewaySizes, meteringOn, gatewaysAre, tenantsByGateways),
 	}
@@ -100,7 +100,7 @@
 	l := Ladder{Name: name}
 	for _, size := range sizes {
 		o := Options{Gateways: stepGateways, Servers: stepServersUsually, Tenants: stepTenantsUsually,
-			Control: DesignControl, For: stepFor, Path: PathWholeList}
+			Control: DesignControl, For: stepFor, Path: PathCompleteList}
 		for _, set := range settings {
 			set(&o, size)
 		}
@@ -141,8 +141,8 @@
 	o.Versions = stepVersions
 }
 
-// permitsOn has requests recorded, and no new version.
-func permitsOn(o *Options, _ int) {
+// versionLeasesOn has requests recorded, and no new version.
+func versionLeasesOn(o *Options, _ int) {
 	o.Parts.Configuration = true
 	o.Parts.Metering = true
 }
--- a/internal/testing/scale/model.go
+++ b/internal/testing/scale/model.go
@@ -21,10 +21,10 @@
 	SlopeElectionBytes      = "leader election and log: bytes"
 	SlopeElectionMessages   = "leader election and log: messages"
 
-	SlopeWholeBytes   = "whole list: bytes a change"
-	SlopeWholeCores   = "whole list: processor of a gateway a change"
-	SlopeWholeControl = "whole list: processor of control machines a change and gateway"
-	SlopeWholeMemory  = "whole list: memory of a gateway"
+	SlopeCompleteListBytes   = "whole list: bytes a change"
+	SlopeCompleteListCores   = "whole list: processor of a gateway a change"
+	SlopeCompleteListControl = "whole list: processor of control machines a change and gateway"
+	SlopeCompleteListMemory  = "whole list: memory of a gateway"
 
 	SlopeDeltaBytes        = "incremental list: bytes"
 	SlopeDeltaMessages     = "incremental list: messages"
@@ -40,9 +40,9 @@
 	SlopeVersionCores      = "configuration: processor of a gateway a version"
 	SlopeVersionControl    = "configuration: processor of control machines a version"
 	SlopeVersionMemory     = "configuration: memory of a gateway"
-	SlopePermitBytes       = "configuration: bytes of permits"
-	SlopePermitMessages    = "configuration: messages of permits"
-	SlopePermitControl     = "configuration: processor of control machines for permits and records"
+	SlopeLeaseBytes        = "configuration: bytes of permits"
+	SlopeLeaseMessages     = "configuration: messages of permits"
+	SlopeLeaseControl      = "configuration: processor of control machines for permits and records"
 	SlopeAuditBytes        = "audit: bytes"
 	SlopeAuditMessages     = "audit: messages"
 	SlopeAllocationBytes   = "quota allocation: bytes"
@@ -116,19 +116,19 @@
 			messagesOf(RoleMembership)},
 		{SlopeElectionBytes, unitBytes, byGateways, LadderBase, xGateways, bytesOf(RoleElection)},
 		{SlopeElectionMessages, unitCount, byGateways, LadderBase, xGateways, messagesOf(RoleElection)},
-		{SlopePermitBytes, unitBytes, byGateways, LadderPermitGateways, xGateways,
+		{SlopeLeaseBytes, unitBytes, byGateways, LadderLeaseGateways, xGateways,
 			bytesOf(RoleConfiguration)},
-		{SlopePermitMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
+		{SlopeLeaseMessages, unitCount, byGateways, LadderLeaseGateways, xGateways,
 			messagesOf(RoleConfiguration)},
 	}
 }
 
 // controlMemory is the most that a control process held.
-func controlMemory(r *Result) (most float64) {
+func controlMemory(r *Result) (peak float64) {
 	for _, p := range r.ControlProcesses {
-		most = max(most, p.ResidentMB)
+		peak = max(peak, p.ResidentMB)
 	}
-	return most
+	return peak
 }
 
 // beyond gives functions for what a play took beyond sessions alone.
@@ -148,7 +148,7 @@
 
 // configuration is the bytes of contents, without those of permits.
 func (b beyond) configuration(r *Result) float64 {
-	return max(0, bytesOf(RoleConfiguration)(r)-b.base.at(SlopePermitBytes, xGateways(r)))
+	return max(0, bytesOf(RoleConfiguration)(r)-b.base.at(SlopeLeaseBytes, xGateways(r)))
 }
 
 // perChange is what a quantity a second comes to for one change of the list.
@@ -169,12 +169,12 @@
 func roleQuantities(base Slopes) []quantity {
 	b := beyond{base}
 	return []quantity{
-		{SlopeWholeBytes, unitB, byServers, LadderListServers, xServers,
+		{SlopeCompleteListBytes, unitB, byServers, LadderListServers, xServers,
 			func(r *Result) float64 { return r.BytesPerListChange }},
-		{SlopeWholeCores, unitSeconds, byServers, LadderListServers, xServers, perChange(b.cores)},
-		{SlopeWholeControl, unitSeconds, byServers, LadderListServers, xServers,
+		{SlopeCompleteListCores, unitSeconds, byServers, LadderListServers, xServers, perChange(b.cores)},
+		{SlopeCompleteListControl, unitSeconds, byServers, LadderListServers, xServers,
 			perGateway(perChange(b.control))},
-		{SlopeWholeMemory, unitMB, byServers, LadderListServers, xServers, b.memory},
+		{SlopeCompleteListMemory, unitMB, byServers, LadderListServers, xServers, b.memory},
 		{SlopeDeltaBytes, unitBytes, byChanges, LadderDeltaChanges, xChanges, bytesOf(RoleList)},
 		{SlopeDeltaMessages, unitCount, byChanges, LadderDeltaChanges, xChanges, messagesOf(RoleList)},
 		{SlopeDeltaCores, unitCores, byChanges, LadderDeltaChanges, xChanges, b.cores},
@@ -192,9 +192,9 @@
 		{SlopeVersionCores, unitSeconds, byTenants, LadderPlansDelta, xTenants, perVersion(b.cores)},
 		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansDelta, xTenants, perVersion(b.control)},
 		{SlopeVersionMemory, unitMB, byTenants, LadderPlansDelta, xTenants, b.memory},
-		{SlopePermitControl, unitCores, byGateways, LadderPermitGateways, xGateways, b.control},
-		{SlopeAuditBytes, unitBytes, byGateways, LadderPermitGateways, xGateways, bytesOf(RoleAudit)},
-		{SlopeAuditMessages, unitCount, byGateways, LadderPermitGateways, xGateways,
+		{SlopeLeaseControl, unitCores, byGateways, LadderLeaseGateways, xGateways, b.control},
+		{SlopeAuditBytes, unitBytes, byGateways, LadderLeaseGateways, xGateways, bytesOf(RoleAudit)},
+		{SlopeAuditMessages, unitCount, byGateways, LadderLeaseGateways, xGateways,
 			messagesOf(RoleAudit)},
 		{SlopeAllocationBytes, unitBytes, byQuotas, LadderAllocation, xGateways,
 			bytesOf(RoleAllocation)},
@@ -227,7 +227,7 @@
 				points = append(points, Point{q.x(s.Result), q.y(s.Result)})
 			}
 		}
-		if len(points) < pointsLeast {
+		if len(points) < minPoints {
 			continue // this ladder was not played, or too many of its steps failed
 		}
 		slope, err := Fit(q.name, q.unit, q.dependsOn, points)
@@ -266,8 +266,8 @@
 	changesPerFailure     = 2 // gone, the next one added
 	rackServers           = 300
 	zones                 = 8
-	permitSpanSeconds     = 10
-	drainWithinMS         = 2000
+	versionLeaseSeconds   = 10
+	drainBoundMS          = 2000
 	kilobyte, millisecond = 1000.0, 1000.0
 )
 
@@ -301,11 +301,11 @@
 func (s Slopes) uses(l Load, path Path) []Use {
 	const g, n, t = DesignGateways, DesignServers, DesignTenants
 	list := Use{Role: string(RoleList)}
-	if path == PathWholeList {
-		list.Bytes = l.ChangesPerSecond * s.at(SlopeWholeBytes, n)
-		list.Cores = l.ChangesPerSecond * s.at(SlopeWholeCores, n)
-		list.Control = l.ChangesPerSecond * s.at(SlopeWholeControl, n) * g
-		list.MemoryMB = s.at(SlopeWholeMemory, n)
+	if path == PathCompleteList {
+		list.Bytes = l.ChangesPerSecond * s.at(SlopeCompleteListBytes, n)
+		list.Cores = l.ChangesPerSecond * s.at(SlopeCompleteListCores, n)
+		list.Control = l.ChangesPerSecond * s.at(SlopeCompleteListControl, n) * g
+		list.MemoryMB = s.at(SlopeCompleteListMemory, n)
 		list.Messages = 3 * l.ChangesPerSecond // the news, the question, the list
 	} else {
 		list.Bytes, list.Messages = s.at(SlopeDeltaBytes, l.ChangesPerSecond), s.at(SlopeDeltaMessages,
@@ -314,13 +314,13 @@
 		register := max(0, s.at(SlopeDeltaRegister, n)-s.at(SlopeDeltaRegister, stepServers))
 		list.Control = l.ChangesPerSecond * (s.at(SlopeDeltaControl, g) + register)
 	}
-	permitControl := max(0, s.at(SlopePermitControl, g)-s.at(SlopeMeteringControl, g))
+	leaseControl := max(0, s.at(SlopeLeaseControl, g)-s.at(SlopeMeteringControl, g))
 	return []Use{
 		list,
-		{string(RoleConfiguration), s.at(SlopePermitMessages, g), s.at(SlopePermitBytes,
+		{string(RoleConfiguration), s.at(SlopeLeaseMessages, g), s.at(SlopeLeaseBytes,
 			g) + l.VersionsPerSecond*s.at(SlopeVersionBytes, t),
 			l.VersionsPerSecond * s.at(SlopeVersionCores, t), s.at(SlopeVersionMemory,
-				t), permitControl + l.VersionsPerSecond*s.at(SlopeVersionControl, t)},
+				t), leaseControl + l.VersionsPerSecond*s.at(SlopeVersionControl, t)},
 		{string(RoleAllocation), s.at(SlopeAllocationMessage, g), s.at(SlopeAllocationBytes, g),
 			s.at(SlopeAllocationCores, g), 0, s.at(SlopeAllocationControl, g)},
 		{string(RoleElection), s.at(SlopeElectionMessages, g), s.at(SlopeElectionBytes, g),
--- a/internal/testing/scale/page.go
+++ b/internal/testing/scale/page.go
@@ -84,7 +84,7 @@
 	}
 	var b strings.Builder
 	c.roleTable(&b, slopes)
-	c.wholeTable(&b, slopes)
+	c.completeListTable(&b, slopes)
 	c.eventTable(&b, slopes)
 	c.runTable(&b)
 	c.runRoleTable(&b)
@@ -162,12 +162,12 @@
 	return number(ns * requestsPerGateway / 1e9)
 }
 
-func (c *Capacity) wholeTable(b *strings.Builder, s Slopes) {
+func (c *Capacity) completeListTable(b *strings.Builder, s Slopes) {
 	head(b, "The list of servers by both paths", "load", "changes/s", "path", "bytes/s to one gateway",
 		"of the limit", "of a gateway's core", "control machines, cores together",
 		"all roles: bytes/s to one gateway", "all roles: of a gateway's core", "all roles: control machines, cores together")
 	for _, l := range loads() {
-		for _, path := range []Path{PathWholeList, PathDelta} {
+		for _, path := range []Path{PathCompleteList, PathDelta} {
 			uses := s.uses(l, path)
 			u, sum := uses[0], total(uses)
 			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes,
@@ -189,10 +189,10 @@
 	if one := s[SlopeDeltaBytes]; one != nil {
 		deltaBytes = one.PerOne
 	}
-	whole := s.at(SlopeWholeBytes, DesignServers)
+	completeList := s.at(SlopeCompleteListBytes, DesignServers)
 	version, content := s.at(SlopeVersionBytes, DesignTenants), s.at(SlopeContentBytes, DesignTenants)
 	event("a server changes", "one delta", deltaBytes, g, "measured (slope by changes a second, some of which shared a message)")
-	event("the same, whole list", "the list is fetched by each", whole, g,
+	event("the same, whole list", "the list is fetched by each", completeList, g,
 		"measured (slope by servers)")
 	event("a version of the plans", "what differs, from another gateway or a control machine",
 		version, g, "measured (slope by tenants), all plans' terms and one tenant; in and out at a gateway")
@@ -204,10 +204,10 @@
 		g/zones), DesignServers/zones*deltaBytes, g-g/zones, "assumed, as above")
 	event("regions apart for an hour",
 		fmt.Sprintf("the side without the majority turns everybody away after %d s: %d of 3,600 s; its servers' changes come to it by its own register",
-			permitSpanSeconds, secondsPerHour-permitSpanSeconds), 0, g/2, "by design (`docs/audit.md`); to be designed anew")
+			versionLeaseSeconds, secondsPerHour-versionLeaseSeconds), 0, g/2, "by design (`docs/audit.md`); to be designed anew")
 	event("regions together again", "each of the other region gets an hour's changes, merged",
 		loads()[0].ChangesPerSecond*secondsPerHour*deltaBytes, g/2, "assumed: a mean hour's changes")
-	event("all gateways started at once, from nothing", "the whole list and the content", whole+content,
+	event("all gateways started at once, from nothing", "the whole list and the content", completeList+content,
 		g, "worked out from slopes; see the runs for the time")
 }
 
@@ -234,12 +234,12 @@
 			fmt.Sprintf("%d of %d", r.ProposalsRefused, r.ProposalsRefused+r.PlanVersions),
 			fmt.Sprintf("%d, %s, %d", r.Diverged, stale, r.LostChanges+r.LostVersions),
 			number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond), number(r.Gateway.Cores),
-			number(r.Gateway.ResidentMB), added, dutyChanges(r), cmp.Or(strings.Join(r.Notes, "; "), "-"))
+			number(r.Gateway.ResidentMB), added, leaderChanges(r), cmp.Or(strings.Join(r.Notes, "; "), "-"))
 	}
 }
 
-// dutyChanges is how many duties changed hands.
-func dutyChanges(r *Result) string {
+// leaderChanges is how many duties changed hands.
+func leaderChanges(r *Result) string {
 	if r.DutyChanges < 0 {
 		return "not told"
 	}
--- a/internal/testing/scale/page_test.go
+++ b/internal/testing/scale/page_test.go
@@ -71,7 +71,7 @@
 		r.Roles[RoleMembership] = Row{BytesInPerSecond: 100 + 20*float64(n), MessagesPerSecond: 2}
 		r.Gateway.Cores = 0.01
 		c.Steps = append(c.Steps, Step{Ladder: LadderBase, Result: r},
-			Step{Ladder: LadderPermitGateways, Result: r})
+			Step{Ladder: LadderLeaseGateways, Result: r})
 	}
 	return c
 }
--- a/internal/testing/scale/register.go
+++ b/internal/testing/scale/register.go
@@ -40,7 +40,7 @@
 const (
 	serviceName  = "quotes"
 	registerNode = "scale"
-	waitMost     = 10 * time.Second
+	maxWait      = 10 * time.Second
 )
 
 // NewRegister starts one with so many servers, all ready.
@@ -123,14 +123,14 @@
 // Remove takes servers away at once.
 func (r *Register) Remove(ids ...string) time.Time {
 	return r.change(func() {
-		gone := map[string]bool{}
+		removed := map[string]bool{}
 		for _, id := range ids {
 			delete(r.entries, id)
-			gone[id] = true
+			removed[id] = true
 		}
 		kept := r.order[:0]
 		for _, id := range r.order {
-			if !gone[id] {
+			if !removed[id] {
 				kept = append(kept, id)
 			}
 		}
@@ -166,8 +166,8 @@
 	}
 	index, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(q.URL.Query().Get("wait"))
-	if err != nil || wait <= 0 || wait > waitMost {
-		wait = waitMost
+	if err != nil || wait <= 0 || wait > maxWait {
+		wait = maxWait
 	}
 	over := time.After(wait)
 	for ended := false; ; {
--- a/internal/testing/scale/result.go
+++ b/internal/testing/scale/result.go
@@ -46,8 +46,8 @@
 	Most  float64 `json:"most_ms"`
 }
 
-// dutyChangesUnknown: no control process told the duties' terms.
-const dutyChangesUnknown = -1
+// leaderChangesUnknown: no control process told the duties' terms.
+const leaderChangesUnknown = -1
 
 // Result is what a play came to.
 type Result struct {
--- a/internal/testing/scale/run.go
+++ b/internal/testing/scale/run.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	currentWithin  = 60 * time.Second // for all gateways to be current after they were started
-	settleWithin   = 30 * time.Second // for the last changes to come to all
+	currentTimeout = 60 * time.Second // for all gateways to be current after they were started
+	settleTimeout  = 30 * time.Second // for the last changes to come to all
 	settlePause    = 3 * time.Second  // sessions, permits and rights come to rest
 	lookEvery      = 100 * time.Millisecond
 	replaceStep    = 500 * time.Millisecond // from a drain to the addition, and from there to the removal
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	if o.Bin == "" {
-		bin, remove, err := lab.BuildAside(ctx)
+		bin, remove, err := lab.BuildInTempDir(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -101,7 +101,7 @@
 	if p.control, err = startControl(ctx, o, p.register, p.log); err != nil {
 		return err
 	}
-	if o.Parts.List && o.Path == PathWholeList {
+	if o.Parts.List && o.Path == PathCompleteList {
 		p.watcher = startWatcher(p.control.voters(), p.register.Address, o.Span)
 	}
 	if o.RealGateways > 0 {
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	if err := p.dutiesHeld(ctx); err != nil {
+	if err := p.waitForLeaders(ctx); err != nil {
 		return err
 	}
 	dir := filepath.Join(p.control.world.Dir, "hollow")
@@ -133,7 +133,7 @@
 	p.result.Processes = len(p.children)
 	began := time.Now()
 	for i, c := range p.children {
-		if err := c.tell(configs[i]); err != nil {
+		if err := c.send(configs[i]); err != nil {
 			return c.failed(err)
 		}
 	}
@@ -149,7 +149,7 @@
 		return nil
 	}
 	text := p.control.plansText(p.options.Tenants, 1, -1)
-	deadline := time.Now().Add(currentWithin)
+	deadline := time.Now().Add(currentTimeout)
 	number, err := p.control.propose(text)
 	for err != nil && time.Now().Before(deadline) && pass(ctx, lookEvery) {
 		number, err = p.control.propose(text)
@@ -170,12 +170,12 @@
 			return ctx.Err()
 		}
 	}
-	p.note("not all gateways had the version before the run within %v", currentWithin)
+	p.note("not all gateways had the version before the run within %v", currentTimeout)
 	return nil
 }
 
-// dutiesHeld waits until all duties have owners.
-func (p *play) dutiesHeld(ctx context.Context) error {
+// waitForLeaders waits until all duties have owners.
+func (p *play) waitForLeaders(ctx context.Context) error {
 	wanted := 0
 	if p.options.Parts.List {
 		wanted++
@@ -189,13 +189,13 @@
 	if p.options.Parts.Allocation {
 		wanted += p.options.Control
 	}
-	for deadline := time.Now().Add(settleWithin); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		held := 0
 		if p.watcher != nil && p.watcher.holds() {
 			held++
 		}
 		for i := range p.options.Control {
-			held += p.control.duties(i)
+			held += p.control.rolesHeld(i)
 		}
 		if held >= wanted && p.control.leader() >= 0 {
 			return nil
@@ -220,7 +220,7 @@
 // herd waits until all gateways are current.
 func (p *play) herd(ctx context.Context, began time.Time) error {
 	p.result.HerdMilliseconds = -1
-	for deadline := began.Add(currentWithin); time.Now().Before(deadline); {
+	for deadline := began.Add(currentTimeout); time.Now().Before(deadline); {
 		samples, err := p.samples()
 		if err != nil {
 			return err
@@ -240,7 +240,7 @@
 			return ctx.Err()
 		}
 	}
-	p.note("not all gateways were current within %v of their start", currentWithin)
+	p.note("not all gateways were current within %v of their start", currentTimeout)
 	return nil
 }
 
@@ -292,7 +292,7 @@
 	if err != nil {
 		return err
 	}
-	terms, told := p.control.terms()
+	terms, known := p.control.terms()
 	began := time.Now()
 	ended := p.drive(ctx)
 	took := time.Since(began)
@@ -305,8 +305,8 @@
 		return err
 	}
 	ended()
-	p.result.DutyChanges = dutyChangesUnknown
-	if now, still := p.control.terms(); told && still {
+	p.result.DutyChanges = leaderChangesUnknown
+	if now, still := p.control.terms(); known && still {
 		p.result.DutyChanges = now - terms
 	}
 	p.sumTraffic(before, after, took)
@@ -325,7 +325,7 @@
 	for _, c := range p.changes {
 		version = max(version, c.version)
 	}
-	for deadline := time.Now().Add(settleWithin); ; {
+	for deadline := time.Now().Add(settleTimeout); ; {
 		if last, err = p.samples(); err != nil {
 			return last, err
 		}
--- a/internal/testing/scale/scale.go
+++ b/internal/testing/scale/scale.go
@@ -50,8 +50,8 @@
 
 // The paths.
 const (
-	PathWholeList Path = "wholelist" // each gateway fetches the whole list at every change
-	PathDelta     Path = "delta"     // incremental distribution
+	PathCompleteList Path = "wholelist" // each gateway fetches the whole list at every change
+	PathDelta        Path = "delta"     // incremental distribution
 )
 
 // Parts are the roles that are switched on in a play. Sessions, leases and the log are always on.
@@ -114,20 +114,20 @@
 }
 
 const (
-	processesMost       = 100
-	gatewaysMost        = 2000
-	serversMost         = 50_000
-	tenantsMost         = 500_000
-	forLeast, forMost   = time.Second, 10 * time.Minute
-	perProcessUsual     = 62
-	controlMemoryUsual  = 300 << 20
-	hollowMemoryUsual   = 3 << 20 // of a hollow gateway with an empty state
-	hollowBytesServer   = 1600    // of a server in a hollow gateway, while a list is being replaced by the next
-	hollowBytesRecord   = 500     // of a server in one that gets the list by what changed
-	hollowBytesTenant   = 350
-	memoryShareMost     = 0.5
-	machineMemoryLine   = "MemTotal:"
-	machineMemoryInfoAt = "/proc/meminfo"
+	maxProcesses             = 100
+	maxGateways              = 2000
+	maxServers               = 50_000
+	maxTenants               = 500_000
+	minDuration, maxDuration = time.Second, 10 * time.Minute
+	perProcessUsual          = 62
+	controlMemoryUsual       = 300 << 20
+	hollowMemoryUsual        = 3 << 20 // of a hollow gateway with an empty state
+	hollowBytesServer        = 1600    // of a server in a hollow gateway, while a list is being replaced by the next
+	hollowBytesRecord        = 500     // of a server in one that gets the list by what changed
+	hollowBytesTenant        = 350
+	maxMemoryShare           = 0.5
+	machineMemoryLine        = "MemTotal:"
+	machineMemoryInfoAt      = "/proc/meminfo"
 )
 
 // Check fills in what is not given and tells what can't be played.
@@ -139,19 +139,19 @@
 		o.RequestsPerGateway = requestsPerGateway
 	}
 	switch {
-	case o.Gateways < 1 || o.Gateways > gatewaysMost:
-		return fmt.Errorf("--gateways %d: from 1 to %d wanted", o.Gateways, gatewaysMost)
-	case o.Servers < 1 || o.Servers > serversMost:
-		return fmt.Errorf("--servers %d: from 1 to %d wanted", o.Servers, serversMost)
-	case o.Tenants < 1 || o.Tenants > tenantsMost:
-		return fmt.Errorf("--tenants %d: from 1 to %d wanted", o.Tenants, tenantsMost)
+	case o.Gateways < 1 || o.Gateways > maxGateways:
+		return fmt.Errorf("--gateways %d: from 1 to %d wanted", o.Gateways, maxGateways)
+	case o.Servers < 1 || o.Servers > maxServers:
+		return fmt.Errorf("--servers %d: from 1 to %d wanted", o.Servers, maxServers)
+	case o.Tenants < 1 || o.Tenants > maxTenants:
+		return fmt.Errorf("--tenants %d: from 1 to %d wanted", o.Tenants, maxTenants)
 	case !slices.Contains([]int{1, 3, 5, 7}, o.Control):
 		return fmt.Errorf("--control %d: 1, 3, 5 or 7 wanted", o.Control)
 	case o.RealGateways < 0 || o.RealGateways > 8:
 		return fmt.Errorf("--real-gateways %d: from 0 to 8 wanted", o.RealGateways)
-	case o.For < forLeast || o.For > forMost:
-		return fmt.Errorf("--for %v: from %v to %v wanted", o.For, forLeast, forMost)
-	case o.Path != PathWholeList && o.Path != PathDelta:
+	case o.For < minDuration || o.For > maxDuration:
+		return fmt.Errorf("--for %v: from %v to %v wanted", o.For, minDuration, maxDuration)
+	case o.Path != PathCompleteList && o.Path != PathDelta:
 		return fmt.Errorf("--path %s: wholelist, delta or both wanted", o.Path)
 	case o.ReplacementsPerSecond < 0 || o.ReplacementsPerSecond > 100:
 		return fmt.Errorf("--replacements %v: from 0 to 100 a second wanted", o.ReplacementsPerSecond)
@@ -159,20 +159,20 @@
 		return fmt.Errorf("--rack %d: from 0 to half of the servers wanted", o.RackSize)
 	case o.Tick < 0 || o.Tick > time.Second || o.Span < 0 || o.Span > time.Minute:
 		return fmt.Errorf("--tick %v --span %v: up to 1s and 1m wanted", o.Tick, o.Span)
-	case len(o.Faults) > 0 && o.For < stretchLeast*time.Duration(len(o.Faults)+1):
+	case len(o.Faults) > 0 && o.For < minStretch*time.Duration(len(o.Faults)+1):
 		return fmt.Errorf("--faults: %d of them and the time before want a run of %v at least",
-			len(o.Faults), stretchLeast*time.Duration(len(o.Faults)+1))
+			len(o.Faults), minStretch*time.Duration(len(o.Faults)+1))
 	case o.Versions < 0 || o.Versions > 100:
 		return fmt.Errorf("--versions %d: from 0 to 100 wanted", o.Versions)
 	}
-	if n := o.processes() + o.Control + o.RealGateways; n > processesMost {
-		return fmt.Errorf("--gateways %d: %d processes, %d at most", o.Gateways, n, processesMost)
+	if n := o.processes() + o.Control + o.RealGateways; n > maxProcesses {
+		return fmt.Errorf("--gateways %d: %d processes, %d at most", o.Gateways, n, maxProcesses)
 	}
 	total, err := machineMemory()
 	if err != nil {
 		return err
 	}
-	if need := o.memory(); float64(need) > memoryShareMost*float64(total) {
+	if need := o.memory(); float64(need) > maxMemoryShare*float64(total) {
 		return fmt.Errorf("--gateways %d: some %d MB of memory for %d servers and %d tenants each; this machine has %d MB, and half of it may be used",
 			o.Gateways, need>>20, o.Servers, o.Tenants, total>>20)
 	}
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -26,13 +26,13 @@
 func tiny() Options {
 	return Options{Seed: 46, Gateways: 4, Servers: 60, Tenants: 80, Control: 3, For: 3 * time.Second,
 		ReplacementsPerSecond: 1, RackSize: 5, Versions: 1,
-		Parts: AllParts, Path: PathWholeList, PerProcess: 2}
+		Parts: AllParts, Path: PathCompleteList, PerProcess: 2}
 }
 
 // A tiny fleet: every change comes to every gateway, every role is counted, and only control processes
 // hold duties.
 func TestATinyFleet(t *testing.T) {
-	for _, path := range []Path{PathWholeList, PathDelta} {
+	for _, path := range []Path{PathCompleteList, PathDelta} {
 		t.Run(string(path), func(t *testing.T) { t.Parallel(); playTiny(t, path) })
 	}
 }
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -55,7 +55,7 @@
 	leader := p.control.leader()
 	for i := range after {
 		u := after[i].Since(before[i])
-		one := Process{Name: controlName(i), Leads: i == leader, Duties: p.control.duties(i),
+		one := Process{Name: controlName(i), Leads: i == leader, Duties: p.control.rolesHeld(i),
 			Cores:      u.ProcessorSeconds / took.Seconds(),
 			ResidentMB: float64(u.ResidentBytes) / (1 << 20), PeakMB: float64(u.PeakBytes) / (1 << 20),
 			ReadBytesPerSecond: float64(u.ReadBytes) / took.Seconds(), WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds()}
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -39,24 +39,24 @@
 	registerReset  = 3
 )
 
-var silentLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // startWatcher has it ask for the duty.
 func startWatcher(voters []*controlpb.Voter, register string, span time.Duration) *watcher {
 	me := lease.Member{ID: watcherName, Incarnation: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watcher{client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, silentLog),
+	w := &watcher{client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, discardLog),
 		cancel: cancel, ended: make(chan struct{})}
-	w.set = election.New(election.Options{LeaseConfig: lease.Config{TTL: cmp.Or(span, leaseSpan),
+	w.set = election.New(election.Options{LeaseConfig: lease.Config{TTL: cmp.Or(span, leaseTTL),
 		ClockDriftBound: clockMargin,
 		OfferTTL:        leaseOffer}, Client: w.client,
-		Candidates: []string{watcherName}, Log: silentLog})
-	watch := &endpointwatch.Watch{Client: w.client, Silent: silentAfter, Log: silentLog,
+		Candidates: []string{watcherName}, Log: discardLog})
+	watch := &endpointwatch.Watch{Client: w.client, Silent: silenceTimeout, Log: discardLog,
 		Direct: func() (registry.Source, error) {
 			return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName,
 				Wait: registerWait,
 				Rules: membership.Settings{Hold: registerHold.Microseconds(),
-					ResetAfter: registerReset}}, silentLog)
+					ResetAfter: registerReset}}, discardLog)
 		}}
 	w.set.Add(endpointlist.Role, watch.Work)
 	go w.client.KeepSessionAlive(ctx)
@@ -77,14 +77,14 @@
 	w.client.Close()
 }
 
-// wholeList is a hollow gateway's hearing of the whole list, as gateways had it before the list
+// completeListSource is a hollow gateway's hearing of the whole list, as gateways had it before the list
 // travelled by what changed.
-func (g *hollowGateway) wholeList(voters []*controlpb.Voter, log *slog.Logger) registry.Source {
+func (g *hollowGateway) completeListSource(voters []*controlpb.Voter, log *slog.Logger) registry.Source {
 	me := lease.Member{ID: hollowName(g.number), Incarnation: rand.Uint64()>>1 | 1}
 	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
 		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
-	return &endpointwatch.Watch{Client: client, Silent: silentAfter, Log: log, Direct: g.noDirect}
+	return &endpointwatch.Watch{Client: client, Silent: silenceTimeout, Log: log, Direct: g.noDirect}
 }
 
 // noDirect stands in for the register itself, and counts that it would have been asked.
--- a/internal/testing/storetest/kill.go
+++ b/internal/testing/storetest/kill.go
@@ -95,7 +95,7 @@
 	promised, barren := make([]int, writers), 0
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; t.Kills++ {
 		before := t.Acknowledged
-		if err := t.life(r, dir, promised, command); err != nil {
+		if err := t.runOnce(r, dir, promised, command); err != nil {
 			return t, err
 		}
 		if barren++; t.Acknowledged > before {
@@ -112,8 +112,8 @@
 	return t, ctx.Err()
 }
 
-// life lets the process write for a while and kills it.
-func (t *KillTally) life(r *rand.Rand, dir string, promised []int, command []string) error {
+// runOnce lets the process write for a while and kills it.
+func (t *KillTally) runOnce(r *rand.Rand, dir string, promised []int, command []string) error {
 	cmd := exec.Command(command[0], append(command[1:len(command):len(command)], dir)...)
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
--- a/internal/testing/testcluster/harm.go
+++ b/internal/testing/testcluster/harm.go
@@ -81,8 +81,8 @@
 	return errors.Join(h.errs...)
 }
 
-// Note tells of something, with the time.
-func (h *Harm) Note(format string, args ...any) {
+// Logf tells of something, with the time.
+func (h *Harm) Logf(format string, args ...any) {
 	fmt.Fprintf(h.Progress, "  %6.2fs "+format+"\n", append([]any{h.Fleet.Record.Now().Seconds()}, args...)...)
 }
 
@@ -110,7 +110,7 @@
 			for {
 				r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 				for _, kind := range kinds {
-					if !Pass(ctx, span(r, 1, 3)) {
+					if !Pass(ctx, randomDuration(r, 1, 3)) {
 						return
 					}
 					if i := h.pick(r); i >= 0 {
@@ -125,8 +125,8 @@
 	wg.Wait()
 }
 
-func span(r *rand.Rand, least, most float64) time.Duration {
-	return time.Duration(harness.Between(r, least, most) * float64(time.Second))
+func randomDuration(r *rand.Rand, minimum, maximum float64) time.Duration {
+	return time.Duration(harness.Between(r, minimum, maximum) * float64(time.Second))
 }
 
 // pick draws a gateway that nothing is done to.
@@ -157,33 +157,33 @@
 
 // Kill kills a gateway and starts it anew.
 func (h *Harm) Kill(ctx context.Context, r *rand.Rand, i int) {
-	h.Note("kill %s", Name(i))
+	h.Logf("kill %s", Name(i))
 	h.Count("kills")
-	again := time.Now().Add(span(r, 0.1, 5))
+	restartAt := time.Now().Add(randomDuration(r, 0.1, 5))
 	if h.Killed != nil {
-		h.Killed(ctx, i, again)
+		h.Killed(ctx, i, restartAt)
 	} else {
 		h.Fail(h.Fleet.End(i, syscall.SIGKILL))
 	}
-	Pass(ctx, time.Until(again))
+	Pass(ctx, time.Until(restartAt))
 	h.Fail(h.Fleet.Begin(i))
 	h.Count("joins")
 }
 
-// Leave has a gateway leave in order, and starts it anew.
-func (h *Harm) Leave(ctx context.Context, r *rand.Rand, i int) {
-	h.Note("%s leaves", Name(i))
+// Terminate has a gateway leave in order, and starts it anew.
+func (h *Harm) Terminate(ctx context.Context, r *rand.Rand, i int) {
+	h.Logf("%s leaves", Name(i))
 	h.Count("leaves")
 	h.Fail(h.Fleet.End(i, syscall.SIGTERM))
-	Pass(ctx, span(r, 0.1, 4))
+	Pass(ctx, randomDuration(r, 0.1, 4))
 	h.Fail(h.Fleet.Begin(i))
 	h.Count("joins")
 }
 
 // Stop stops a gateway's process for a while.
 func (h *Harm) Stop(ctx context.Context, r *rand.Rand, i int) {
-	d := span(r, 0.5, h.Stops.Seconds())
-	h.Note("stop %s for %v", Name(i), d.Round(time.Millisecond))
+	d := randomDuration(r, 0.5, h.Stops.Seconds())
+	h.Logf("stop %s for %v", Name(i), d.Round(time.Millisecond))
 	if err := h.Fleet.Stop(i); err != nil {
 		h.Fail(err)
 		return
@@ -195,8 +195,8 @@
 
 // Isolate cuts a gateway off from all others for a while.
 func (h *Harm) Isolate(ctx context.Context, r *rand.Rand, i int) {
-	d := span(r, 0.5, 8)
-	h.Note("cut %s off for %v", Name(i), d.Round(time.Millisecond))
+	d := randomDuration(r, 0.5, 8)
+	h.Logf("cut %s off for %v", Name(i), d.Round(time.Millisecond))
 	h.Count("cuts")
 	h.Fleet.Isolate(i, true, true, true)
 	Pass(ctx, d)
@@ -206,9 +206,9 @@
 // OneWay cuts what a gateway says, or what it hears, for a while.
 func (h *Harm) OneWay(ctx context.Context, r *rand.Rand, i int) {
 	to := r.IntN(2) == 0
-	h.Note("cut %s off one way", Name(i))
+	h.Logf("cut %s off one way", Name(i))
 	h.Count("cuts")
 	h.Fleet.Isolate(i, to, !to, true)
-	Pass(ctx, span(r, 0.5, 5))
+	Pass(ctx, randomDuration(r, 0.5, 5))
 	h.Fleet.Isolate(i, to, !to, false)
 }
--- a/internal/testing/testcluster/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -312,21 +312,21 @@
 	return at >= 0 && at+2 < len(raw) && raw[at+2] == 'T'
 }
 
-const goneWithin = 20 * time.Second
+const exitTimeout = 20 * time.Second
 
 // End ends a process with SIGKILL or SIGTERM and waits until it is gone.
 func (f *Fleet) End(i int, s syscall.Signal) error {
 	if err := f.Gateways[i].Signal(s); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), goneWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
-	return f.Gateways[i].Gone(ctx)
+	return f.Gateways[i].WaitForExit(ctx)
 }
 
 // Begin starts a gateway's process anew and waits until it serves.
 func (f *Fleet) Begin(i int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), goneWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	return f.World.Start(ctx, f.Gateways[i])
 }
@@ -339,7 +339,7 @@
 // It is a copy of one moment: a file that grew while others were copied would make it a damaged folder, not an older one.
 func (f *Fleet) Save(i int) error {
 	to := filepath.Join(f.dir(i), "older")
-	for range savesMost {
+	for range maxSaves {
 		err := errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(f.FleetDir(i))))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // a file went meanwhile
@@ -354,7 +354,7 @@
 	return fmt.Errorf("folder of %s: not still for the time of a copy", Name(i))
 }
 
-const savesMost = 1000
+const maxSaves = 1000
 
 // sameFiles tells whether two folders hold the same.
 func sameFiles(a, b string) (bool, error) {
