--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -73,10 +73,10 @@
 		}
 	}
 	if v := s.Versions; v.On {
-		r := configversion.Defaults()
-		r.Span, r.Every, r.Settle, r.Patience, r.Margin = time.Duration(v.Span), time.Duration(v.Every), time.Duration(v.Settle), time.Duration(v.Patience), f.Margin
-		r.Enrol = max(r.Enrol, 4*r.Span)
-		if err := r.Check(); err != nil {
+		r := configversion.DefaultConfig()
+		r.TTL, r.RenewInterval, r.SettleTime, r.StageTimeout, r.ClockDrift = time.Duration(v.Span), time.Duration(v.Every), time.Duration(v.Settle), time.Duration(v.Patience), f.Margin
+		r.EnrolmentTTL = max(r.EnrolmentTTL, 4*r.TTL)
+		if err := r.Validate(); err != nil {
 			return nil, err
 		}
 		cfg.PlanTerms = gateway.NewPlanTerms(cfg)
--- a/cmd/mothcleat/fleetversions.go
+++ b/cmd/mothcleat/fleetversions.go
@@ -42,7 +42,7 @@
 			}
 			return call("propose", args[0], stage, lead.String(), path)
 		}}
-	propose.Flags().StringVar(&stage, "stage", string(configversion.One), "who is to act on it first: one, tenth or all")
+	propose.Flags().StringVar(&stage, "stage", string(configversion.StageOne), "who is to act on it first: one, tenth or all")
 	propose.Flags().DurationVar(&lead, "in", 0, "it holds so long after it is agreed")
 	return []*cobra.Command{show, propose,
 		{Use: "go-on ITEM NUMBER STAGE", Short: "have a roll-out go on to a stage, also one that is held", Args: exactly(3),
@@ -150,16 +150,16 @@
 
 // audited is what an audit tells.
 type audited struct {
-	Stretches []auditlog.Stretch `json:"stretches"`
-	Late      []late             `json:"late"`
-	Gaps      []auditlog.Gap     `json:"gaps"`
-	Damage    []auditlog.Damage  `json:"damage"`
-	Entries   int                `json:"entries"`
+	Stretches []auditlog.Interval  `json:"stretches"`
+	Late      []late               `json:"late"`
+	Gaps      []auditlog.Gap       `json:"gaps"`
+	Damage    []auditlog.Violation `json:"damage"`
+	Entries   int                  `json:"entries"`
 }
 
 // late is a stretch that reaches beyond the end of its version.
 type late struct {
-	auditlog.Stretch
+	auditlog.Interval
 	Ended int64         `json:"ended"` // the version, by the clock of who said so
 	Bound time.Duration `json:"bound"` // how long after that it may still be acted on
 	After time.Duration `json:"after"` // how long it was, by the gateway's clock
@@ -173,8 +173,8 @@
 
 func (a *audit) run() (r audited) {
 	good, bad := auditlog.Verify(a.entries, a.agreed.Heads)
-	r.Damage, r.Entries = append(append([]auditlog.Damage{}, bad...), a.agreed.Forks...), len(good)
-	rows, gaps := auditlog.Audit(good, silence.Microseconds())
+	r.Damage, r.Entries = append(append([]auditlog.Violation{}, bad...), a.agreed.Forks...), len(good)
+	rows, gaps := auditlog.Summarize(good, silence.Microseconds())
 	wanted := func(id string, from, to int64) bool {
 		return (a.gateway == "" || a.gateway == id) && (to == 0 || to >= a.from) && from <= a.to
 	}
@@ -189,11 +189,11 @@
 		}
 		r.Stretches = append(r.Stretches, s)
 		i := slices.IndexFunc(a.agreed.Versions, func(v configversion.Version) bool { return v.Item == s.Item && v.Number == s.Number })
-		if i < 0 || a.agreed.Versions[i].Ended == 0 || s.To <= a.agreed.Versions[i].Ended || s.Sent+s.Again == 0 {
+		if i < 0 || a.agreed.Versions[i].EndedWallTime == 0 || s.To <= a.agreed.Versions[i].EndedWallTime || s.Forwarded+s.Retries == 0 {
 			continue
 		}
 		v := &a.agreed.Versions[i]
-		r.Late = append(r.Late, late{s, v.Ended, v.Until - v.Over, time.Duration(s.To-v.Ended) * time.Microsecond})
+		r.Late = append(r.Late, late{s, v.EndedWallTime, v.ExpiresAt - v.EndedAt, time.Duration(s.To-v.EndedWallTime) * time.Microsecond})
 	}
 	return r
 }
@@ -218,8 +218,8 @@
 	default:
 		fmt.Fprint(w, "GATEWAY\tBOOT\tITEM\tNUMBER\tFROM\tTO\tSENT ON\tAGAIN\tUNITS\tREFUSED\tTURNED AWAY\tENTRIES\n")
 		for _, s := range r.Stretches {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%g\t%d\t%d\t%d to %d\n", s.ID, s.Incarnation, s.Item, s.Number, stamp(s.From), stamp(s.To), s.Sent, s.Again, s.Units,
-				s.Refused, s.Turned, s.First, s.Last)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%g\t%d\t%d\t%d to %d\n", s.ID, s.Incarnation, s.Item, s.Number, stamp(s.From), stamp(s.To), s.Forwarded, s.Retries, s.Units,
+				s.Rejected, s.RejectedFenced, s.First, s.Last)
 		}
 		for _, l := range r.Late {
 			says := "within the bound"
@@ -259,25 +259,25 @@
 	for _, one := range v.Versions {
 		acted := "yes"
 		switch {
-		case one.Until != 0 && v.At >= one.Until:
+		case one.ExpiresAt != 0 && v.At >= one.ExpiresAt:
 			acted = "by nobody any more"
-		case one.Until != 0:
-			acted = "at most " + seconds(one.Until-v.At) + " more"
+		case one.ExpiresAt != 0:
+			acted = "at most " + seconds(one.ExpiresAt-v.At) + " more"
 		}
 		digest := one.Digest
 		if digest == "" {
 			digest = "each gateway's configuration"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s ago\t%.16s\t%s\t%s\n", one.Item, one.Number, one.State, one.Stage, seconds(v.At-one.Agreed), digest, acted, one.Why)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s ago\t%.16s\t%s\t%s\n", one.Item, one.Number, one.State, one.Stage, seconds(v.At-one.CommittedAt), digest, acted, one.Why)
 	}
 	fmt.Fprint(w, "\nGATEWAY\tBOOT\tIN FORCE\tSAID\n")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%x\t%v\t%s ago\n", m.Member.ID, m.Member.Incarnation, m.InForce, seconds(v.At-m.At))
+		fmt.Fprintf(w, "%s\t%x\t%v\t%s ago\n", m.Member.ID, m.Member.Incarnation, m.InForce, seconds(v.At-m.ReportedAt))
 	}
 	for _, b := range v.Behind {
-		fmt.Fprintf(w, "\nbehind: %s has %s %d, %d is wanted for %s %s", b.Member, b.Item, b.Has, b.Wants, seconds(v.At-b.Since), b.Why)
+		fmt.Fprintf(w, "\nbehind: %s has %s %d, %d is wanted for %s %s", b.Member, b.Item, b.InForce, b.Target, seconds(v.At-b.Since), b.Why)
 	}
-	for _, s := range v.Shut {
+	for _, s := range v.Fenced {
 		fmt.Fprintf(w, "\nshut out by hand: %s, %s ago: %s", s.ID, seconds(v.At-s.At), s.Why)
 	}
 	fmt.Fprintln(w)
--- a/internal/controlplane/auditlog/audit.go
+++ b/internal/controlplane/auditlog/audit.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Stretch is an interval in which one gateway operated under one version of an item.
-type Stretch struct {
+// Interval is an interval in which one gateway operated under one version of an item.
+type Interval struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
 	Item        string `json:"item"`
@@ -17,9 +17,9 @@
 	Counts
 	First uint64 `json:"first"` // number of the first entry that it is derived from
 	Last  uint64 `json:"last"`
-	// Folded tells that it is derived from summaries in place of entries that are no longer kept. First and Last
+	// Compacted tells that it is derived from summaries in place of entries that are no longer kept. First and Last
 	// then name all entries of the summary.
-	Folded bool `json:"folded,omitempty"`
+	Compacted bool `json:"folded,omitempty"`
 }
 
 // Gap is an interval that the log of an incarnation does not cover.
@@ -31,17 +31,17 @@
 	Why         string `json:"why"`
 }
 
-// Audit joins verified entries: which gateway operated under which version, from when to when and how often. Gaps are
+// Summarize joins verified entries: which gateway operated under which version, from when to when and how often. Gaps are
 // more than most microseconds between two entries, and chains without a last entry.
-func Audit(good []Entry, most int64) (all []Stretch, gaps []Gap) {
+func Summarize(good []Entry, most int64) (all []Interval, gaps []Gap) {
 	type key struct{ id, boot, item string }
 	open := map[key]int{} // where the stretch under way stands
-	last := map[chain]*Entry{}
+	last := map[chainID]*Entry{}
 	for i := range good {
 		e := &good[i]
-		c := chain{e.ID, e.Incarnation}
-		if before := last[c]; before != nil && e.Begun-before.Ended > most {
-			gaps = append(gaps, Gap{e.ID, e.Incarnation, before.Ended, e.Begun, "nothing was written"})
+		c := chainID{e.ID, e.Incarnation}
+		if before := last[c]; before != nil && e.StartedAt-before.EndedAt > most {
+			gaps = append(gaps, Gap{e.ID, e.Incarnation, before.EndedAt, e.StartedAt, "nothing was written"})
 		}
 		last[c] = e
 		for _, item := range slices.Sorted(maps.Keys(e.InForce)) {
@@ -50,18 +50,18 @@
 			if !ok || all[at].Number != e.InForce[item] {
 				at = len(all)
 				open[k] = at
-				all = append(all, Stretch{ID: e.ID, Incarnation: e.Incarnation, Item: item, Number: e.InForce[item], From: e.Begun, First: e.Seq})
+				all = append(all, Interval{ID: e.ID, Incarnation: e.Incarnation, Item: item, Number: e.InForce[item], From: e.StartedAt, First: e.Seq})
 			}
 			s := &all[at]
-			s.To, s.Last, s.Counts = e.Ended, e.Seq, s.Counts.Plus(e.Counts)
+			s.To, s.Last, s.Counts = e.EndedAt, e.Seq, s.Counts.Plus(e.Counts)
 		}
 	}
-	for _, c := range slices.SortedFunc(maps.Keys(last), func(a, b chain) int {
-		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.boot, b.boot))
+	for _, c := range slices.SortedFunc(maps.Keys(last), func(a, b chainID) int {
+		return cmp.Or(cmp.Compare(a.gateway, b.gateway), cmp.Compare(a.incarnation, b.incarnation))
 	}) {
 		if e := last[c]; !e.Last {
-			gaps = append(gaps, Gap{c.id, c.boot, e.Ended, 0, "the record has no end: the process runs, or its folder was lost"})
+			gaps = append(gaps, Gap{c.gateway, c.incarnation, e.EndedAt, 0, "the record has no end: the process runs, or its folder was lost"})
 		}
 	}
-	return append(foldedStretches(good), all...), gaps
+	return append(compactedIntervals(good), all...), gaps
 }
--- a/internal/controlplane/auditlog/auditlog.go
+++ b/internal/controlplane/auditlog/auditlog.go
@@ -22,21 +22,21 @@
 
 // Counts are the operations that were done.
 type Counts struct {
-	Sent    uint64  `json:"sent"`    // requests first sent on
-	Again   uint64  `json:"again"`   // attempts beyond the first
-	Units   float64 `json:"units"`   // of those first sent on
-	Refused uint64  `json:"refused"` // requests refused
-	Turned  uint64  `json:"turned"`  // requests turned away because the gateway was shut out
+	Forwarded      uint64  `json:"sent"`    // requests first sent on
+	Retries        uint64  `json:"again"`   // attempts beyond the first
+	Units          float64 `json:"units"`   // of those first sent on
+	Rejected       uint64  `json:"refused"` // requests refused
+	RejectedFenced uint64  `json:"turned"`  // requests turned away because the gateway was shut out
 }
 
 // Plus returns the sum.
 func (c Counts) Plus(o Counts) Counts {
-	return Counts{c.Sent + o.Sent, c.Again + o.Again, c.Units + o.Units, c.Refused + o.Refused, c.Turned + o.Turned}
+	return Counts{c.Forwarded + o.Forwarded, c.Retries + o.Retries, c.Units + o.Units, c.Rejected + o.Rejected, c.RejectedFenced + o.RejectedFenced}
 }
 
 // Minus returns the difference. No count of o may be larger than that of c.
 func (c Counts) Minus(o Counts) Counts {
-	return Counts{c.Sent - o.Sent, c.Again - o.Again, c.Units - o.Units, c.Refused - o.Refused, c.Turned - o.Turned}
+	return Counts{c.Forwarded - o.Forwarded, c.Retries - o.Retries, c.Units - o.Units, c.Rejected - o.Rejected, c.RejectedFenced - o.RejectedFenced}
 }
 
 // Entry is what one incarnation did in one interval under one set of versions. A change of versions begins a new
@@ -45,15 +45,15 @@
 	ID          string            `json:"id"`
 	Incarnation string            `json:"boot"` // hexadecimal
 	Seq         uint64            `json:"seq"`
-	Begun       int64             `json:"begun"` // microseconds since 1970, by the gateway's clock
-	Ended       int64             `json:"ended"`
+	StartedAt   int64             `json:"begun"` // microseconds since 1970, by the gateway's clock
+	EndedAt     int64             `json:"ended"`
 	InForce     map[string]uint64 `json:"in_force,omitempty"`
 	Counts
-	// Folds are summaries in place of entries that are no longer kept: of this incarnation, or of earlier ones of the
+	// Checkpoints are summaries in place of entries that are no longer kept: of this incarnation, or of earlier ones of the
 	// gateway. They are part of what the chain hashes.
-	Folds []Fold `json:"folds,omitempty"`
-	Last  bool   `json:"last,omitempty"` // the incarnation did nothing more
-	Prev  string `json:"prev"`           // hash of the entry before, or Root for the first
+	Checkpoints []Checkpoint `json:"folds,omitempty"`
+	Last        bool         `json:"last,omitempty"` // the incarnation did nothing more
+	Prev        string       `json:"prev"`           // hash of the entry before, or Root for the first
 }
 
 // Hash returns the SHA-256 of the whole entry, in hexadecimal.
@@ -76,57 +76,57 @@
 	Hash        string `json:"hash"`
 }
 
-// Damage is a place at which a chain fails verification.
-type Damage struct {
+// Violation is a place at which a chain fails verification.
+type Violation struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
 	Seq         uint64 `json:"seq"`
 	What        string `json:"what"`
 }
 
-func (d Damage) String() string {
+func (d Violation) String() string {
 	return fmt.Sprintf("%s/%s entry %d: %s", d.ID, d.Incarnation, d.Seq, d.What)
 }
 
-type chain struct{ id, boot string }
+type chainID struct{ gateway, incarnation string }
 
 // Verify checks chains in themselves and against the committed heads. It returns the entries that are valid, chain by
 // chain and in order, without those behind a break, and the damage that it found.
-func Verify(entries []Entry, heads []Head) (good []Entry, bad []Damage) {
-	chains := map[chain][]Entry{}
-	folds := map[chain][]Fold{}
+func Verify(entries []Entry, heads []Head) (good []Entry, bad []Violation) {
+	chains := map[chainID][]Entry{}
+	folds := map[chainID][]Checkpoint{}
 	for _, e := range entries {
-		k := chain{e.ID, e.Incarnation}
+		k := chainID{e.ID, e.Incarnation}
 		chains[k] = append(chains[k], e)
-		for _, f := range e.Folds {
-			of := chain{e.ID, f.Incarnation}
+		for _, f := range e.Checkpoints {
+			of := chainID{e.ID, f.Incarnation}
 			folds[of] = append(folds[of], f)
 		}
 	}
-	told := map[chain][]Head{}
+	told := map[chainID][]Head{}
 	for _, h := range heads {
-		k := chain{h.ID, h.Incarnation}
+		k := chainID{h.ID, h.Incarnation}
 		told[k] = append(told[k], h)
 		if _, ok := chains[k]; !ok {
 			chains[k] = nil
 		}
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(chains), func(a, b chain) int {
-		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.boot, b.boot))
+	for _, k := range slices.SortedFunc(maps.Keys(chains), func(a, b chainID) int {
+		return cmp.Or(cmp.Compare(a.gateway, b.gateway), cmp.Compare(a.incarnation, b.incarnation))
 	}) {
-		g, b := verify(k, chains[k], told[k], folds[k])
+		g, b := verifyChain(k, chains[k], told[k], folds[k])
 		good, bad = append(good, g...), append(bad, b...)
 	}
 	return good, bad
 }
 
-func verify(k chain, all []Entry, heads []Head, folds []Fold) (good []Entry, bad []Damage) {
+func verifyChain(k chainID, all []Entry, heads []Head, folds []Checkpoint) (good []Entry, bad []Violation) {
 	add := func(seq uint64, format string, args ...any) {
-		bad = append(bad, Damage{k.id, k.boot, seq, fmt.Sprintf(format, args...)})
+		bad = append(bad, Violation{k.gateway, k.incarnation, seq, fmt.Sprintf(format, args...)})
 	}
 	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.Seq, b.Seq) })
 	hashes := map[uint64]string{}
-	prev, seq, broken := Root(k.id, k.boot), uint64(0), false
+	prev, seq, broken := Root(k.gateway, k.incarnation), uint64(0), false
 	for _, f := range folds {
 		if f.Through <= seq {
 			continue
--- a/internal/controlplane/auditlog/auditlog_test.go
+++ b/internal/controlplane/auditlog/auditlog_test.go
@@ -13,8 +13,8 @@
 func record(id, boot string, n int) (all []Entry) {
 	prev := Root(id, boot)
 	for i := range n {
-		e := Entry{ID: id, Incarnation: boot, Seq: uint64(i + 1), Begun: int64(i) * 100, Ended: int64(i+1) * 100, InForce: map[string]uint64{"plans": 1},
-			Counts: Counts{Sent: 3, Units: 4.5}, Prev: prev, Last: i == n-1}
+		e := Entry{ID: id, Incarnation: boot, Seq: uint64(i + 1), StartedAt: int64(i) * 100, EndedAt: int64(i+1) * 100, InForce: map[string]uint64{"plans": 1},
+			Counts: Counts{Forwarded: 3, Units: 4.5}, Prev: prev, Last: i == n-1}
 		if i >= n/2 {
 			e.InForce["plans"] = 2
 		}
@@ -36,11 +36,11 @@
 	if good, bad = Verify(append(slices.Clone(all), all[2:5]...), nil); len(bad) != 0 || len(good) != len(all) {
 		t.Fatalf("%v, %d of %d entries", bad, len(good), len(all))
 	}
-	rows, gaps := Audit(good, 1000)
+	rows, gaps := Summarize(good, 1000)
 	if len(gaps) != 0 || len(rows) != 4 {
 		t.Fatalf("%+v %+v", rows, gaps)
 	}
-	if r := rows[0]; r.Number != 1 || r.Sent != 12 || r.Units != 18 || r.First != 1 || r.Last != 4 || r.From != 0 || r.To != 400 {
+	if r := rows[0]; r.Number != 1 || r.Forwarded != 12 || r.Units != 18 || r.First != 1 || r.Last != 4 || r.From != 0 || r.To != 400 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -62,7 +62,7 @@
 			damaged = slices.Delete(damaged, at, at+1)
 		case "doubled":
 			other := damaged[at]
-			other.Sent++
+			other.Forwarded++
 			damaged = slices.Insert(damaged, at+1, other)
 		case "cut":
 			damaged = damaged[:at]
@@ -96,11 +96,11 @@
 func TestGapsStayGaps(t *testing.T) {
 	all := record("n0", "a", 6)
 	for i := 3; i < 6; i++ { // it lay still
-		all[i].Begun += 10_000
-		all[i].Ended += 10_000
+		all[i].StartedAt += 10_000
+		all[i].EndedAt += 10_000
 	}
 	all[5].Last = false // and was killed
-	rows, gaps := Audit(all, 1000)
+	rows, gaps := Summarize(all, 1000)
 	if len(gaps) != 2 || gaps[0].From != 300 || gaps[0].To != 10_300 || gaps[1].To != 0 {
 		t.Errorf("%+v", gaps)
 	}
--- a/internal/controlplane/auditlog/fold.go
+++ b/internal/controlplane/auditlog/fold.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Fold is a summary in place of the first entries of an incarnation: their sums, and the hash of the last of them,
+// Checkpoint is a summary in place of the first entries of an incarnation: their sums, and the hash of the last of them,
 // which the next entry has as its Prev.
-type Fold struct {
-	Incarnation string `json:"boot"`
-	Through     uint64 `json:"through"`
-	Hash        string `json:"hash"`
-	Sums        []Sum  `json:"sums"`
+type Checkpoint struct {
+	Incarnation string          `json:"boot"`
+	Through     uint64          `json:"through"`
+	Hash        string          `json:"hash"`
+	Sums        []VersionCounts `json:"sums"`
 }
 
-// Sum is what was done in those entries under one version of an item.
-type Sum struct {
+// VersionCounts is what was done in those entries under one version of an item.
+type VersionCounts struct {
 	Item   string `json:"item"`
 	Number uint64 `json:"number"`
 	From   int64  `json:"from"`
@@ -24,10 +24,10 @@
 	Counts
 }
 
-// Folded returns the summary of the first entries of one incarnation. These have to be complete up to the last of
+// Compact returns the summary of the first entries of one incarnation. These have to be complete up to the last of
 // them, but for entries that were folded before. The result contains the folds that the entries hold themselves, of
 // this incarnation and of others.
-func Folded(entries []Entry, before []Fold) (all []Fold) {
+func Compact(entries []Entry, before []Checkpoint) (all []Checkpoint) {
 	if len(entries) == 0 {
 		return before
 	}
@@ -36,18 +36,18 @@
 		number uint64
 	}
 	last := &entries[len(entries)-1]
-	f := Fold{Incarnation: last.Incarnation, Through: last.Seq, Hash: last.Hash()}
-	sums := map[key]Sum{}
+	f := Checkpoint{Incarnation: last.Incarnation, Through: last.Seq, Hash: last.Hash()}
+	sums := map[key]VersionCounts{}
 	add := func(k key, from, to int64, c Counts) {
 		s, ok := sums[k]
 		if !ok {
-			s = Sum{Item: k.item, Number: k.number, From: from}
+			s = VersionCounts{Item: k.item, Number: k.number, From: from}
 		}
 		s.From, s.To, s.Counts = min(s.From, from), max(s.To, to), s.Counts.Plus(c)
 		sums[k] = s
 	}
-	others := map[string]Fold{}
-	take := func(list []Fold) {
+	others := map[string]Checkpoint{}
+	take := func(list []Checkpoint) {
 		for _, o := range list {
 			if was, ok := others[o.Incarnation]; !ok || was.Through < o.Through {
 				others[o.Incarnation] = o
@@ -57,9 +57,9 @@
 	take(before)
 	for i := range entries {
 		e := &entries[i]
-		take(e.Folds)
+		take(e.Checkpoints)
 		for item, number := range e.InForce {
-			add(key{item, number}, e.Begun, e.Ended, e.Counts)
+			add(key{item, number}, e.StartedAt, e.EndedAt, e.Counts)
 		}
 	}
 	for _, s := range others[f.Incarnation].Sums {
@@ -69,7 +69,7 @@
 	for _, s := range sums {
 		f.Sums = append(f.Sums, s)
 	}
-	slices.SortFunc(f.Sums, func(a, b Sum) int {
+	slices.SortFunc(f.Sums, func(a, b VersionCounts) int {
 		return cmp.Or(cmp.Compare(a.Item, b.Item), cmp.Compare(a.Number, b.Number))
 	})
 	for _, boot := range slices.Sorted(maps.Keys(others)) {
@@ -79,22 +79,22 @@
 }
 
 // Folds are the newest folds that entries which hold have, by gateway and boot, as stretches without entries of their own.
-func foldedStretches(good []Entry) (all []Stretch) {
-	newest := map[chain]Fold{}
+func compactedIntervals(good []Entry) (all []Interval) {
+	newest := map[chainID]Checkpoint{}
 	for i := range good {
-		for _, f := range good[i].Folds {
-			k := chain{good[i].ID, f.Incarnation}
+		for _, f := range good[i].Checkpoints {
+			k := chainID{good[i].ID, f.Incarnation}
 			if was, ok := newest[k]; !ok || was.Through < f.Through {
 				newest[k] = f
 			}
 		}
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(newest), func(a, b chain) int {
-		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.boot, b.boot))
+	for _, k := range slices.SortedFunc(maps.Keys(newest), func(a, b chainID) int {
+		return cmp.Or(cmp.Compare(a.gateway, b.gateway), cmp.Compare(a.incarnation, b.incarnation))
 	}) {
 		f := newest[k]
 		for _, s := range f.Sums {
-			all = append(all, Stretch{ID: k.id, Incarnation: k.boot, Item: s.Item, Number: s.Number, From: s.From, To: s.To, Counts: s.Counts, First: 1, Last: f.Through, Folded: true})
+			all = append(all, Interval{ID: k.gateway, Incarnation: k.incarnation, Item: s.Item, Number: s.Number, From: s.From, To: s.To, Counts: s.Counts, First: 1, Last: f.Through, Compacted: true})
 		}
 	}
 	return all
--- a/internal/controlplane/auditrecorder/recorder.go
+++ b/internal/controlplane/auditrecorder/recorder.go
@@ -30,29 +30,29 @@
 	writeInterval = time.Second
 	idleInterval  = 5 * time.Second // between entries while nothing is done: the log goes on
 
-	// KeepMost is how many entries are kept, of all incarnations together: those of a busy day. Older entries are
+	// MaxEntries is how many entries are kept, of all incarnations together: those of a busy day. Older entries are
 	// folded into sums.
-	KeepMost = 100_000
+	MaxEntries = 100_000
 )
 
 // Recorder writes the audit log of one process. Sent, Refused and Change may be called from the loop's goroutine
 // alone; the other methods may be called from any.
 type Recorder struct {
-	id    string
-	boot  uint64
-	log   *slog.Logger
-	cells *cells
-	now   *cell // the loop's
+	id          string
+	incarnation uint64
+	log         *slog.Logger
+	counters    *counterFile
+	current     *counterCell // the loop's
 
-	mu     sync.Mutex
-	store  *store.Store
-	state  state
-	failed bool
-	most   int             // entries kept
-	folds  []auditlog.Fold // go into the next entry,
-	drop   store.Batch     // in one batch with the removal of what they stand for
-	fewer  int
-	head   atomic.Pointer[auditlog.Head]
+	mu             sync.Mutex
+	store          *store.Store
+	state          state
+	writeFailed    bool
+	maxEntries     int                   // entries kept
+	checkpoints    []auditlog.Checkpoint // go into the next entry,
+	deletions      store.Batch           // in one batch with the removal of what they stand for
+	deletedEntries int
+	head           atomic.Pointer[auditlog.Head]
 }
 
 // state is the progress of the log. It is stored in one batch with the entries.
@@ -62,9 +62,9 @@
 	Hash        string          `json:"hash"`
 	Cell        uint64          `json:"cell"`    // the one that is written from
 	Written     auditlog.Counts `json:"written"` // of it
-	Ended       int64           `json:"ended"`   // of the last entry
-	Over        bool            `json:"over"`
-	Kept        int             `json:"kept"` // entries, of all processes
+	EndedAt     int64           `json:"ended"`   // of the last entry
+	Closed      bool            `json:"over"`
+	Entries     int             `json:"kept"` // entries, of all processes
 }
 
 var keyState = []byte("state")
@@ -81,7 +81,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	r := &Recorder{id: id, boot: boot, log: log, most: KeepMost}
+	r := &Recorder{id: id, incarnation: boot, log: log, maxEntries: MaxEntries}
 	if r.store, err = store.Open(filepath.Join(dir, "entries"), store.Options{}); err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		}
 	}()
 	var before uint64
-	if r.cells, before, err = openCells(filepath.Join(dir, "cells")); err != nil {
+	if r.counters, before, err = openCounterFile(filepath.Join(dir, "cells")); err != nil {
 		return nil, err
 	}
 	raw, err := r.store.Get(keyState)
@@ -99,39 +99,39 @@
 		err = json.Unmarshal(raw, &r.state)
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
-		return nil, errors.Join(err, r.cells.close())
+		return nil, errors.Join(err, r.counters.close())
 	}
-	if before != 0 && before == r.state.Incarnation && !r.state.Over {
-		if err := r.write(r.state.Ended, true); err != nil {
-			return nil, errors.Join(err, r.cells.close())
+	if before != 0 && before == r.state.Incarnation && !r.state.Closed {
+		if err := r.write(r.state.EndedAt, true); err != nil {
+			return nil, errors.Join(err, r.counters.close())
 		}
 	}
-	r.state = state{Incarnation: boot, Hash: auditlog.Root(id, incarnationText(boot)), Cell: 1, Ended: time.Now().UnixMicro(), Kept: r.state.Kept}
-	r.now = r.cells.begin(boot, map[string]uint64{})
+	r.state = state{Incarnation: boot, Hash: auditlog.Root(id, incarnationText(boot)), Cell: 1, EndedAt: time.Now().UnixMicro(), Entries: r.state.Entries}
+	r.current = r.counters.begin(boot, map[string]uint64{})
 	return r, r.put(nil)
 }
 
 // Sent counts an attempt that was sent on.
 func (r *Recorder) Sent(first bool, units float64) {
 	if !first {
-		r.now.again.Add(1)
+		r.current.retries.Add(1)
 		return
 	}
-	r.now.units.Store(math.Float64bits(math.Float64frombits(r.now.units.Load()) + units)) // one goroutine writes
-	r.now.sent.Add(1)
+	r.current.units.Store(math.Float64bits(math.Float64frombits(r.current.units.Load()) + units)) // one goroutine writes
+	r.current.forwarded.Add(1)
 }
 
 // Rejected counts a request that was refused. With turned it was refused because this gateway is fenced.
 func (r *Recorder) Rejected(turned bool) {
 	if turned {
-		r.now.turned.Add(1)
+		r.current.rejectedFenced.Add(1)
 	} else {
-		r.now.refused.Add(1)
+		r.current.rejected.Add(1)
 	}
 }
 
 // Change sets the versions that are in force from now on.
-func (r *Recorder) Change(inForce map[string]uint64) { r.now = r.cells.next(inForce) }
+func (r *Recorder) Change(inForce map[string]uint64) { r.current = r.counters.next(inForce) }
 
 // Run writes entries until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
@@ -144,11 +144,11 @@
 		case <-tick.C:
 		}
 		r.mu.Lock()
-		if err := r.write(time.Now().UnixMicro(), false); err != nil && !r.failed {
-			r.failed = true
+		if err := r.write(time.Now().UnixMicro(), false); err != nil && !r.writeFailed {
+			r.writeFailed = true
 			r.log.Error("fleet: the record can't be written; what is done is counted on", "error", err)
 		} else if err == nil {
-			r.failed = false
+			r.writeFailed = false
 		}
 		r.mu.Unlock()
 	}
@@ -159,26 +159,26 @@
 func (r *Recorder) write(now int64, last bool) error {
 	was := r.state
 	var entries []auditlog.Entry
-	newest := r.cells.begun.Load()
+	newest := r.counters.lastCell.Load()
 	if newest-r.state.Cell >= cellCount {
 		r.log.Error("fleet: versions changed faster than they can be recorded: acts are missing from the record", "cells", newest-r.state.Cell)
 		r.state.Cell, r.state.Written = newest-cellCount+1, auditlog.Counts{}
 	}
 	for {
-		c := r.cells.at(r.state.Cell)
+		c := r.counters.cell(r.state.Cell)
 		counts := c.counts()
 		did := counts.Minus(r.state.Written)
 		ends := r.state.Cell < newest
-		if did != (auditlog.Counts{}) || last && !ends || !ends && time.Duration(now-r.state.Ended)*time.Microsecond >= idleInterval {
+		if did != (auditlog.Counts{}) || last && !ends || !ends && time.Duration(now-r.state.EndedAt)*time.Microsecond >= idleInterval {
 			r.state.Seq++
-			e := auditlog.Entry{ID: r.id, Incarnation: incarnationText(r.state.Incarnation), Seq: r.state.Seq, Begun: r.state.Ended, Ended: now, InForce: c.inForce(),
+			e := auditlog.Entry{ID: r.id, Incarnation: incarnationText(r.state.Incarnation), Seq: r.state.Seq, StartedAt: r.state.EndedAt, EndedAt: now, InForce: c.inForce(),
 				Counts: did, Last: last && !ends, Prev: r.state.Hash}
 			if len(entries) == 0 {
-				e.Folds = r.folds
-				r.state.Kept -= r.fewer
+				e.Checkpoints = r.checkpoints
+				r.state.Entries -= r.deletedEntries
 			}
-			r.state.Kept++
-			r.state.Hash, r.state.Ended, r.state.Written = e.Hash(), now, counts
+			r.state.Entries++
+			r.state.Hash, r.state.EndedAt, r.state.Written = e.Hash(), now, counts
 			entries = append(entries, e)
 		}
 		if !ends {
@@ -190,23 +190,23 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	r.state.Over = last
+	r.state.Closed = last
 	if err := r.put(entries); err != nil {
 		r.state = was
 		return err
 	}
-	r.folds, r.fewer = nil, 0
-	r.drop.Reset()
-	if r.state.Kept > r.most {
-		return r.fold()
+	r.checkpoints, r.deletedEntries = nil, 0
+	r.deletions.Reset()
+	if r.state.Entries > r.maxEntries {
+		return r.compact()
 	}
 	return nil
 }
 
-// fold prepares the next entry to hold a summary of the older half of the entries: those of the incarnations that
+// compact prepares the next entry to hold a summary of the older half of the entries: those of the incarnations that
 // ended first, and the first ones of this incarnation. They are removed in the batch that writes that entry. The caller
 // holds r.mu.
-func (r *Recorder) fold() error {
+func (r *Recorder) compact() error {
 	all, err := entries(r.store, 0)
 	if err != nil {
 		return err
@@ -217,7 +217,7 @@
 	}
 	own := incarnationText(r.state.Incarnation)
 	boots := slices.SortedFunc(maps.Keys(byBoot), func(a, b string) int {
-		last := func(boot string) int64 { l := byBoot[boot]; return l[len(l)-1].Ended }
+		last := func(boot string) int64 { l := byBoot[boot]; return l[len(l)-1].EndedAt }
 		return cmp.Compare(last(a), last(b))
 	})
 	gone, want := 0, len(all)/2
@@ -229,23 +229,23 @@
 		if len(list) == 0 || gone >= want {
 			break
 		}
-		r.folds = auditlog.Folded(list, r.folds)
+		r.checkpoints = auditlog.Compact(list, r.checkpoints)
 		number, err := strconv.ParseUint(boot, 16, 64)
 		if err != nil {
 			return err
 		}
 		for _, e := range list {
-			r.drop.Delete(entryKey(number, e.Seq))
+			r.deletions.Delete(entryKey(number, e.Seq))
 		}
 		gone += len(list)
 	}
-	r.fewer = gone
+	r.deletedEntries = gone
 	return nil
 }
 
 // put stores entries and the state in one batch.
 func (r *Recorder) put(entries []auditlog.Entry) error {
-	b := r.drop
+	b := r.deletions
 	for i := range entries {
 		raw, err := json.Marshal(&entries[i])
 		if err != nil {
@@ -270,7 +270,7 @@
 
 // Head returns the newest entry on disk of this process, or nil where it has none yet.
 func (r *Recorder) Head() *auditlog.Head {
-	if h := r.head.Load(); h != nil && h.Incarnation == incarnationText(r.boot) {
+	if h := r.head.Load(); h != nil && h.Incarnation == incarnationText(r.incarnation) {
 		return h
 	}
 	return nil
@@ -284,7 +284,7 @@
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return errors.Join(r.write(time.Now().UnixMicro(), true), r.store.Close(), r.cells.close())
+	return errors.Join(r.write(time.Now().UnixMicro(), true), r.store.Close(), r.counters.close())
 }
 
 // Read returns all entries of the audit log in a folder to which no process writes now.
@@ -315,7 +315,7 @@
 		if err := json.Unmarshal(item.Value, &e); err != nil {
 			return all, fmt.Errorf("an entry that can't be read: %w", err)
 		}
-		if e.Ended >= from {
+		if e.EndedAt >= from {
 			all = append(all, e)
 		}
 	}
--- a/internal/controlplane/auditrecorder/recorder_test.go
+++ b/internal/controlplane/auditrecorder/recorder_test.go
@@ -25,7 +25,7 @@
 			r.Sent(false, 2.5)
 			r.Rejected(false)
 			r.Rejected(true)
-			total = total.Plus(auditlog.Counts{Sent: 1, Again: 1, Units: 2.5, Refused: 1, Turned: 1})
+			total = total.Plus(auditlog.Counts{Forwarded: 1, Retries: 1, Units: 2.5, Rejected: 1, RejectedFenced: 1})
 			if k%2 == 0 {
 				r.Change(map[string]uint64{"plans": boot*10 + uint64(k)})
 			}
@@ -71,7 +71,7 @@
 	byVersion := map[uint64]uint64{}
 	for _, e := range all {
 		sum = sum.Plus(e.Counts)
-		byVersion[e.InForce["plans"]] += e.Sent
+		byVersion[e.InForce["plans"]] += e.Forwarded
 	}
 	if sum != total {
 		t.Errorf("%+v were recorded, %+v were done", sum, total)
@@ -82,7 +82,7 @@
 			t.Errorf("boot %d: %v", boot, byVersion)
 		}
 	}
-	if _, gaps := auditlog.Audit(good, 1<<62); len(gaps) != 0 {
+	if _, gaps := auditlog.Summarize(good, 1<<62); len(gaps) != 0 {
 		t.Errorf("%+v", gaps)
 	}
 }
@@ -110,7 +110,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.most = 20
+		r.maxEntries = 20
 		for k := range 30 {
 			r.Sent(true, 1)
 			done++
@@ -142,13 +142,13 @@
 			t.Fatalf("boot %d: %v", boot, bad)
 		}
 		sum := uint64(0)
-		rows, _ := auditlog.Audit(good, 1<<62)
+		rows, _ := auditlog.Summarize(good, 1<<62)
 		for _, row := range rows {
-			sum += row.Sent
+			sum += row.Forwarded
 		}
 		for _, e := range all { // what was done before anything was in force is no stretch of an item
 			if len(e.InForce) == 0 {
-				sum += e.Sent
+				sum += e.Forwarded
 			}
 		}
 		if boot > 2 && !all[len(all)-1].Last {
@@ -167,13 +167,13 @@
 	}
 	// The sums can't be changed unseen either.
 	for i := range all {
-		for j := range all[i].Folds {
-			for k := range all[i].Folds[j].Sums {
-				all[i].Folds[j].Sums[k].Sent++
+		for j := range all[i].Checkpoints {
+			for k := range all[i].Checkpoints[j].Sums {
+				all[i].Checkpoints[j].Sums[k].Forwarded++
 				if _, bad := auditlog.Verify(all, heads[len(heads)-1:]); len(bad) == 0 {
 					t.Errorf("entry %d: a changed sum does not show", i)
 				}
-				all[i].Folds[j].Sums[k].Sent--
+				all[i].Checkpoints[j].Sums[k].Forwarded--
 			}
 		}
 	}
--- a/internal/controlplane/configversion/guide.go
+++ b/internal/controlplane/configversion/guide.go
@@ -12,7 +12,7 @@
 // Pilots are the gateways that act on a version in a stage, by rendezvous: other ones each time.
 func Pilots(item string, number uint64, stage Stage, ids []string) []string {
 	n := 1
-	if stage == Tenth {
+	if stage == StageTenth {
 		n = (len(ids) + 9) / 10
 	}
 	name := item + "/" + strconv.FormatUint(number, 10)
@@ -23,9 +23,9 @@
 	return all
 }
 
-// Guide gives what is to become of the roll-outs under way, by what is agreed: the next stage where one went well, a hold
+// NextCommands gives what is to become of the roll-outs under way, by what is agreed: the next stage where one went well, a hold
 // where a gateway refused it or nobody has it in force. term is that of whoever asks.
-func Guide(r Rules, term uint64, v *View) (ops []Op) {
+func NextCommands(r Config, term uint64, v *View) (ops []Command) {
 	var ids []string
 	for _, m := range v.Members {
 		if !slices.Contains(ids, m.Member.ID) {
@@ -33,8 +33,8 @@
 		}
 	}
 	for i := range v.Versions {
-		if one := &v.Versions[i]; one.State == Rolling {
-			if op, ok := guide(r, v, one, ids); ok {
+		if one := &v.Versions[i]; one.State == StateRollingOut {
+			if op, ok := nextCommand(r, v, one, ids); ok {
 				op.Item, op.Number, op.Term = one.Item, one.Number, term
 				ops = append(ops, op)
 			}
@@ -43,12 +43,12 @@
 	return ops
 }
 
-func guide(r Rules, v *View, one *Version, ids []string) (op Op, ok bool) {
-	began := max(one.Staged, one.From)
+func nextCommand(r Config, v *View, one *Version, ids []string) (op Command, ok bool) {
+	began := max(one.StageStartedAt, one.EffectiveFrom)
 	wanting, since, has := 0, began, 0
 	for _, m := range v.Members {
-		if f, refused := m.Refused[one.Item]; refused && f.Number == one.Number {
-			return Op{Do: "hold", Why: m.Member.ID + " refuses it: " + f.Why}, true
+		if f, refused := m.Rejected[one.Item]; refused && f.Number == one.Number {
+			return Command{Kind: "hold", Why: m.Member.ID + " refuses it: " + f.Why}, true
 		}
 		if !slices.Contains(one.Pilots, m.Member.ID) {
 			continue
@@ -58,40 +58,40 @@
 			continue
 		}
 		has++
-		since = max(since, m.At)
+		since = max(since, m.ReportedAt)
 	}
 	switch {
-	case has > 0 && wanting == 0 && v.At-since >= r.Settle:
-		if one.Stage == One && len(ids) > 10 {
-			return Op{Do: "go-on", Stage: Tenth, Pilots: Pilots(one.Item, one.Number, Tenth, ids)}, true
+	case has > 0 && wanting == 0 && v.At-since >= r.SettleTime:
+		if one.Stage == StageOne && len(ids) > 10 {
+			return Command{Kind: "go-on", Stage: StageTenth, Pilots: Pilots(one.Item, one.Number, StageTenth, ids)}, true
 		}
-		return Op{Do: "go-on", Stage: All}, true
-	case v.At-began >= r.Patience:
+		return Command{Kind: "go-on", Stage: StageAll}, true
+	case v.At-began >= r.StageTimeout:
 		if has > 0 {
-			return Op{Do: "hold", Why: "not all of its stage have it in force in time"}, true
+			return Command{Kind: "hold", Why: "not all of its stage have it in force in time"}, true
 		}
-		return Op{Do: "hold", Why: "nobody has it in force in time"}, true
+		return Command{Kind: "hold", Why: "nobody has it in force in time"}, true
 	}
 	return op, false
 }
 
-// Behind are the processes that are not on what they are to act on, and since when that was to be.
-type Behind struct {
-	Member lease.Member  `json:"member"`
-	Item   string        `json:"item"`
-	Has    uint64        `json:"has"` // 0: it said nothing
-	Wants  uint64        `json:"wants"`
-	Since  time.Duration `json:"since"`
-	Why    string        `json:"why,omitempty"`
+// LaggingReplica are the processes that are not on what they are to act on, and since when that was to be.
+type LaggingReplica struct {
+	Member  lease.Member  `json:"member"`
+	Item    string        `json:"item"`
+	InForce uint64        `json:"has"` // 0: it said nothing
+	Target  uint64        `json:"wants"`
+	Since   time.Duration `json:"since"`
+	Why     string        `json:"why,omitempty"`
 }
 
-// Stragglers tells who is behind.
-func Stragglers(v *View) (all []Behind) {
+// LaggingReplicas tells who is behind.
+func LaggingReplicas(v *View) (all []LaggingReplica) {
 	for _, m := range v.Members {
 		wants := map[string]*Version{}
 		for i := range v.Versions {
 			one := &v.Versions[i]
-			if one.State == Whole || (one.State == Rolling || one.State == Held) && slices.Contains(one.Pilots, m.Member.ID) {
+			if one.State == StateComplete || (one.State == StateRollingOut || one.State == StatePaused) && slices.Contains(one.Pilots, m.Member.ID) {
 				wants[one.Item] = one
 			}
 		}
@@ -99,14 +99,14 @@
 			if m.InForce[item] >= one.Number {
 				continue
 			}
-			b := Behind{Member: m.Member, Item: item, Has: m.InForce[item], Wants: one.Number, Since: max(one.Staged, one.From, m.Since)}
-			if f := m.Refused[item]; f.Number == one.Number {
+			b := LaggingReplica{Member: m.Member, Item: item, InForce: m.InForce[item], Target: one.Number, Since: max(one.StageStartedAt, one.EffectiveFrom, m.Since)}
+			if f := m.Rejected[item]; f.Number == one.Number {
 				b.Why = f.Why
 			}
 			all = append(all, b)
 		}
 	}
-	slices.SortFunc(all, func(a, b Behind) int {
+	slices.SortFunc(all, func(a, b LaggingReplica) int {
 		return cmp.Or(cmp.Compare(a.Member.ID, b.Member.ID), cmp.Compare(a.Member.Incarnation, b.Member.Incarnation), cmp.Compare(a.Item, b.Item))
 	})
 	return all
--- a/internal/controlplane/configversion/holder.go
+++ b/internal/controlplane/configversion/holder.go
@@ -9,71 +9,71 @@
 // Holder is one process's side: what it may act on. Times are of its own clock, which must go on while the process lies
 // stopped.
 type Holder struct {
-	rules Rules
-	items map[string]*holding
-	heard bool          // an answer has come
-	seq   uint64        // of the state that it was by
-	out   string        // why nothing may be acted on; "": it may
-	until time.Duration // of what was heard
-	fell  time.Duration // when it was last shut out; 0: not since it began
-	times int           // it was, in a row
-	back  time.Duration // it acts again from then on
-	shut  bool          // it is shut out now
-	acted bool          // it acted on something once
-	outs  uint64
+	config        Config
+	items         map[string]*itemState
+	received      bool          // an answer has come
+	seq           uint64        // of the state that it was by
+	fencedByFleet string        // why nothing may be acted on; "": it may
+	expiry        time.Duration // of what was heard
+	fencedAt      time.Duration // when it was last shut out; 0: not since it began
+	flaps         int           // it was, in a row
+	readmitAt     time.Duration // it acts again from then on
+	fenced        bool          // it is shut out now
+	everLeased    bool          // it acted on something once
+	fencedCount   uint64
 }
 
-// holding is one item.
-type holding struct {
-	target  Target
-	from    time.Duration            // the target holds from then on
-	may     map[uint64]time.Duration // until when it may be acted on
-	inForce uint64                   // at first 1: as this process's configuration has it
-	had     map[string]bool          // digests whose content is here and was checked
-	refused map[string]string        // digests that can't be acted on here
+// itemState is one item.
+type itemState struct {
+	target        Target
+	effectiveFrom time.Duration            // the target holds from then on
+	leases        map[uint64]time.Duration // until when it may be acted on
+	inForce       uint64                   // at first 1: as this process's configuration has it
+	available     map[string]bool          // digests whose content is here and was checked
+	rejected      map[string]string        // digests that can't be acted on here
 }
 
 // NewHolder is a process that may act on nothing yet.
-func NewHolder(r Rules) *Holder { return &Holder{rules: r, items: map[string]*holding{}} }
+func NewHolder(r Config) *Holder { return &Holder{config: r, items: map[string]*itemState{}} }
 
-// Hear takes in the answer to what was asked at a time.
-func (h *Holder) Hear(now, sent time.Duration, t *Told) {
-	h.look(now)
-	if h.heard && t.Seq < h.seq {
+// HandleLease takes in the answer to what was asked at a time.
+func (h *Holder) HandleLease(now, sent time.Duration, t *LeaseResponse) {
+	h.updateFencing(now)
+	if h.received && t.Seq < h.seq {
 		return // an older answer, overtaken
 	}
-	h.heard, h.out, h.seq = true, t.Out, t.Seq
-	if t.Out != "" {
-		h.look(now)
+	h.received, h.fencedByFleet, h.seq = true, t.FencedReason, t.Seq
+	if t.FencedReason != "" {
+		h.updateFencing(now)
 		return
 	}
-	h.until = max(h.until, sent+h.rules.Span)
-	for _, g := range t.Target {
+	h.expiry = max(h.expiry, sent+h.config.TTL)
+	for _, g := range t.Targets {
 		i := h.items[g.Item]
 		if i == nil {
-			i = &holding{inForce: 1, had: map[string]bool{"": true}, refused: map[string]string{}}
+			i = &itemState{inForce: 1, available: map[string]bool{"": true}, rejected: map[string]string{}}
 			h.items[g.Item] = i
 		}
 		if g.Number != i.target.Number {
-			i.from = now + g.In
+			i.effectiveFrom = now + g.EffectiveIn
 		}
 		i.target = g
 		may := map[uint64]time.Duration{}
-		for number, span := range g.May {
+		for number, span := range g.Leases {
 			// A permit that was given is not lessened by an older answer, nor by one of a leader that counts less time.
-			may[number] = max(sent+min(span, h.rules.Span), i.may[number])
+			may[number] = max(sent+min(span, h.config.TTL), i.leases[number])
 		}
-		i.may = may // a number that is not named any more was withdrawn, or has ended
+		i.leases = may // a number that is not named any more was withdrawn, or has ended
 	}
-	h.look(now)
+	h.updateFencing(now)
 }
 
-// Wants are the contents that are not here yet: of the target first, and of what others may act on beside it.
-func (h *Holder) Wants() (all []Ref) {
+// MissingContents are the contents that are not here yet: of the target first, and of what others may act on beside it.
+func (h *Holder) MissingContents() (all []Ref) {
 	for _, item := range slices.Sorted(maps.Keys(h.items)) {
 		i := h.items[item]
-		for _, r := range append([]Ref{i.target.Ref}, i.target.Beside...) {
-			if !i.had[r.Digest] && i.refused[r.Digest] == "" && !slices.Contains(all, r) {
+		for _, r := range append([]Ref{i.target.Ref}, i.target.Overlapping...) {
+			if !i.available[r.Digest] && i.rejected[r.Digest] == "" && !slices.Contains(all, r) {
 				all = append(all, r)
 			}
 		}
@@ -81,22 +81,22 @@
 	return all
 }
 
-// Checked takes in that a content is here and can be acted on, or why it can't be.
-func (h *Holder) Checked(digest string, why string) {
+// ContentChecked takes in that a content is here and can be acted on, or why it can't be.
+func (h *Holder) ContentChecked(digest string, why string) {
 	for _, i := range h.items {
 		if why == "" {
-			i.had[digest] = true
+			i.available[digest] = true
 		} else {
-			i.refused[digest] = why
+			i.rejected[digest] = why
 		}
 	}
 }
 
-// Lost takes in that a content that was here is not to be had any more: it is wanted again.
-func (h *Holder) Lost(digest string) {
+// ContentLost takes in that a content that was here is not to be had any more: it is wanted again.
+func (h *Holder) ContentLost(digest string) {
 	for _, i := range h.items {
 		if digest != "" {
-			delete(i.had, digest)
+			delete(i.available, digest)
 		}
 	}
 }
@@ -109,50 +109,50 @@
 	return Ref{}
 }
 
-// ItemsOf are the items for which a content is wanted.
-func (h *Holder) ItemsOf(digest string) (all []string) {
+// ItemsWithContent are the items for which a content is wanted.
+func (h *Holder) ItemsWithContent(digest string) (all []string) {
 	for _, item := range h.Items() {
 		t := &h.items[item].target
-		if t.Digest == digest || slices.ContainsFunc(t.Beside, func(r Ref) bool { return r.Digest == digest }) {
+		if t.Digest == digest || slices.ContainsFunc(t.Overlapping, func(r Ref) bool { return r.Digest == digest }) {
 			all = append(all, item)
 		}
 	}
 	return all
 }
 
-// Refused is why a content can't be acted on here; "": it can, as far as is known.
-func (h *Holder) Refused(item, digest string) string {
+// RejectionReason is why a content can't be acted on here; "": it can, as far as is known.
+func (h *Holder) RejectionReason(item, digest string) string {
 	if i := h.items[item]; i != nil {
-		return i.refused[digest]
+		return i.rejected[digest]
 	}
 	return ""
 }
 
-// Next is the target of an item if it is to be put in force now: its content is here, and it holds. Beside are the others whose terms
+// NextToApply is the target of an item if it is to be put in force now: its content is here, and it holds. Beside are the others whose terms
 // bind as well: those of them whose content can't be had are not among them, and whole is false.
-func (h *Holder) Next(now time.Duration, item string) (to Ref, beside []Ref, whole, ok bool) {
+func (h *Holder) NextToApply(now time.Duration, item string) (to Ref, beside []Ref, whole, ok bool) {
 	i := h.items[item]
-	if i == nil || i.target.Number == 0 || !i.had[i.target.Digest] || now < i.from {
+	if i == nil || i.target.Number == 0 || !i.available[i.target.Digest] || now < i.effectiveFrom {
 		return to, nil, false, false
 	}
 	whole = true
-	for _, r := range i.target.Beside {
+	for _, r := range i.target.Overlapping {
 		switch {
-		case i.had[r.Digest]:
+		case i.available[r.Digest]:
 			beside = append(beside, r)
-		case i.refused[r.Digest] == "":
+		case i.rejected[r.Digest] == "":
 			whole = false
 		}
 	}
 	return i.target.Ref, beside, whole, true
 }
 
-// PutInForce takes in that an item's version decides from now on. A lower number than before is passed over.
-func (h *Holder) PutInForce(now time.Duration, item string, number uint64) {
+// SetInForce takes in that an item's version decides from now on. A lower number than before is passed over.
+func (h *Holder) SetInForce(now time.Duration, item string, number uint64) {
 	if i := h.items[item]; i != nil && number > i.inForce {
 		i.inForce = number
 	}
-	h.look(now)
+	h.updateFencing(now)
 }
 
 // InForce is what this process acts on, by item.
@@ -167,57 +167,57 @@
 // Items are the items that are known.
 func (h *Holder) Items() []string { return slices.Sorted(maps.Keys(h.items)) }
 
-// Acts tells until when this process may act by what is in force; 0: it is shut out. It has to be asked at the last
+// LeasedUntil tells until when this process may act by what is in force; 0: it is shut out. It has to be asked at the last
 // moment before each act.
-func (h *Holder) Acts(now time.Duration) time.Duration {
-	return h.look(now)
+func (h *Holder) LeasedUntil(now time.Duration) time.Duration {
+	return h.updateFencing(now)
 }
 
-// look brings up whether this process is shut out.
-func (h *Holder) look(now time.Duration) time.Duration {
-	until := h.permitted(now)
+// updateFencing brings up whether this process is shut out.
+func (h *Holder) updateFencing(now time.Duration) time.Duration {
+	until := h.leaseExpiry(now)
 	switch {
-	case until == 0 && !h.shut:
-		if h.fell != 0 && now-h.fell < h.rules.DampFor {
-			h.times++
+	case until == 0 && !h.fenced:
+		if h.fencedAt != 0 && now-h.fencedAt < h.config.FlapWindow {
+			h.flaps++
 		} else {
-			h.times = 0
+			h.flaps = 0
 		}
-		if h.shut = true; h.acted { // one that never acted has not fallen
-			h.fell = now
-			h.outs++
+		if h.fenced = true; h.everLeased { // one that never acted has not fallen
+			h.fencedAt = now
+			h.fencedCount++
 		}
-	case until != 0 && h.shut:
-		if h.back == 0 {
-			h.back = now + h.wait()
+	case until != 0 && h.fenced:
+		if h.readmitAt == 0 {
+			h.readmitAt = now + h.readmissionDelay()
 		}
-		if now < h.back {
+		if now < h.readmitAt {
 			return 0
 		}
-		h.shut, h.back = false, 0
+		h.fenced, h.readmitAt = false, 0
 	case until == 0:
-		h.back = 0
+		h.readmitAt = 0
 	}
-	h.acted = h.acted || until != 0
+	h.everLeased = h.everLeased || until != 0
 	return until
 }
 
-// wait is how long one that flaps stays out after it may act again.
-func (h *Holder) wait() time.Duration {
-	if h.times == 0 {
+// readmissionDelay is how long one that flaps stays out after it may act again.
+func (h *Holder) readmissionDelay() time.Duration {
+	if h.flaps == 0 {
 		return 0
 	}
-	return min(h.rules.Damp<<min(h.times-1, 6), h.rules.DampFor/2)
+	return min(h.config.ReadmissionDelay<<min(h.flaps-1, 6), h.config.FlapWindow/2)
 }
 
-// permitted is until when all that is in force may be acted on; 0: not now.
-func (h *Holder) permitted(now time.Duration) time.Duration {
-	if !h.heard || h.out != "" || now >= h.until {
+// leaseExpiry is until when all that is in force may be acted on; 0: not now.
+func (h *Holder) leaseExpiry(now time.Duration) time.Duration {
+	if !h.received || h.fencedByFleet != "" || now >= h.expiry {
 		return 0
 	}
-	until := h.until
+	until := h.expiry
 	for _, i := range h.items {
-		end := i.may[i.inForce]
+		end := i.leases[i.inForce]
 		if now >= end {
 			return 0
 		}
@@ -226,23 +226,23 @@
 	return until
 }
 
-// Why is why this process is shut out.
-func (h *Holder) Why(now time.Duration) string {
+// FencedReason is why this process is shut out.
+func (h *Holder) FencedReason(now time.Duration) string {
 	switch {
-	case h.Acts(now) != 0:
+	case h.LeasedUntil(now) != 0:
 		return ""
-	case !h.heard:
+	case !h.received:
 		return "it has not heard the fleet yet"
-	case h.out != "":
-		return h.out
-	case now >= h.until:
+	case h.fencedByFleet != "":
+		return h.fencedByFleet
+	case now >= h.expiry:
 		return "it has not heard the fleet for too long"
-	case now < h.back:
+	case now < h.readmitAt:
 		return "it was shut out more than once"
 	}
 	for _, item := range h.Items() {
 		i := h.items[item]
-		if why := i.refused[i.target.Digest]; why != "" {
+		if why := i.rejected[i.target.Digest]; why != "" {
 			return item + ": " + why
 		}
 		if i.inForce != i.target.Number {
@@ -252,5 +252,5 @@
 	return "its permits are over"
 }
 
-// Outs is how often it was shut out since it first acted.
-func (h *Holder) Outs() uint64 { return h.outs }
+// FencedCount is how often it was shut out since it first acted.
+func (h *Holder) FencedCount() uint64 { return h.fencedCount }
--- a/internal/controlplane/configversion/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -18,43 +18,43 @@
 }
 
 const (
-	versionsMost = 256 // kept of an item
-	headsMost    = 64  // boots kept of an id
-	forksMost    = 256
+	maxVersionsPerItem = 256 // kept of an item
+	maxHeadsPerGateway = 64  // boots kept of an id
+	maxForks           = 256
 )
 
 // Machine is the versions as a part of the agreed state.
 type Machine struct {
-	rules   Rules
+	config  Config
 	fence   Fence
 	items   map[string][]*Version // the oldest first
-	members map[lease.Member]*Standing
-	shut    map[string]Shut
+	members map[lease.Member]*MemberStatus
+	fenced  map[string]FencedGateway
 	heads   map[string][]auditlog.Head // by id, the newest boot last
-	forks   []auditlog.Damage
+	forks   []auditlog.Violation
 	seq     uint64 // commands taken in; a part of the state
 }
 
 // NewMachine makes a machine that asks a table of duties, of the same agreed state, who guides.
-func NewMachine(r Rules, f Fence) *Machine {
-	return &Machine{rules: r, fence: f, items: map[string][]*Version{}, members: map[lease.Member]*Standing{}, shut: map[string]Shut{},
+func NewMachine(r Config, f Fence) *Machine {
+	return &Machine{config: r, fence: f, items: map[string][]*Version{}, members: map[lease.Member]*MemberStatus{}, fenced: map[string]FencedGateway{},
 		heads: map[string][]auditlog.Head{}}
 }
 
 // Apply carries out the Op in a body and returns a Result, both as JSON.
 func (m *Machine) Apply(at time.Duration, _ uint64, who lease.Member, body []byte) []byte {
-	var op Op
+	var op Command
 	err := json.Unmarshal(body, &op)
 	if err != nil {
-		err = ErrBad
+		err = ErrInvalidCommand
 	}
 	r := Result{}
 	if err == nil {
-		m.forget(at)
-		r.Number, err = m.take(at, who, &op)
+		m.dropExpiredMembers(at)
+		r.Number, err = m.execute(at, who, &op)
 	}
 	if err == nil {
-		m.settle(at)
+		m.expireSuperseded(at)
 		m.seq++
 		r.OK = true
 	} else {
@@ -63,14 +63,14 @@
 	return mustjson.Marshal(r)
 }
 
-// take carries an Op out. The number is that of the version that it made, if it made one.
-func (m *Machine) take(at time.Duration, who lease.Member, op *Op) (number uint64, err error) {
+// execute carries an Op out. The number is that of the version that it made, if it made one.
+func (m *Machine) execute(at time.Duration, who lease.Member, op *Command) (number uint64, err error) {
 	if op.Term != 0 {
 		if err := m.fence.Fence(Role, op.Term, who); err != nil {
 			return 0, err
 		}
 	}
-	switch op.Do {
+	switch op.Kind {
 	case "here":
 		m.enrol(at, who, op)
 		return 0, nil
@@ -80,47 +80,47 @@
 	case "report":
 		return 0, m.report(at, who, op)
 	case "head":
-		return 0, m.head(who, op.Head)
+		return 0, m.recordHead(who, op.Head)
 	case "propose":
 		return m.propose(at, who, op)
 	case "shut":
 		if op.ID == "" {
-			return 0, ErrBad
+			return 0, ErrInvalidCommand
 		}
-		m.shut[op.ID] = Shut{op.ID, at, cut(op.Why)}
+		m.fenced[op.ID] = FencedGateway{op.ID, at, truncateReason(op.Why)}
 		return 0, nil
 	case "let":
-		delete(m.shut, op.ID)
+		delete(m.fenced, op.ID)
 		return 0, nil
 	}
-	v := m.find(op.Item, op.Number)
+	v := m.version(op.Item, op.Number)
 	if v == nil {
-		return 0, unknown(op.Item, op.Number)
+		return 0, unknownVersionError(op.Item, op.Number)
 	}
-	switch op.Do {
+	switch op.Kind {
 	case "go-on":
-		return 0, m.goOn(at, v, op)
+		return 0, m.advanceStage(at, v, op)
 	case "hold":
-		if v.State != Rolling {
+		if v.State != StateRollingOut {
 			return 0, fmt.Errorf("versions: %s %d is %s", v.Item, v.Number, v.State)
 		}
-		v.State, v.Why = Held, cut(op.Why)
+		v.State, v.Why = StatePaused, truncateReason(op.Why)
 		return 0, nil
 	case "withdraw":
 		return m.withdraw(at, who, v, op)
 	}
-	return 0, ErrBad
+	return 0, ErrInvalidCommand
 }
 
 // enrol counts a process as one that may hold permits, and its earlier boots as gone.
-func (m *Machine) enrol(at time.Duration, who lease.Member, op *Op) {
+func (m *Machine) enrol(at time.Duration, who lease.Member, op *Command) {
 	s := m.members[who]
 	if s == nil {
-		s = &Standing{Member: who, Since: at, InForce: map[string]uint64{}, Refused: map[string]Refusal{}}
+		s = &MemberStatus{Member: who, Since: at, InForce: map[string]uint64{}, Rejected: map[string]Rejection{}}
 		m.members[who] = s
 	}
-	s.Until = at + m.rules.Enrol
-	for _, boot := range op.Gone {
+	s.EnrolledUntil = at + m.config.EnrolmentTTL
+	for _, boot := range op.EndedIncarnations {
 		if boot != who.Incarnation {
 			delete(m.members, lease.Member{ID: who.ID, Incarnation: boot})
 		}
@@ -128,27 +128,27 @@
 }
 
 // report takes in that a version is in force at a process, or that the process can't act on it.
-func (m *Machine) report(at time.Duration, who lease.Member, op *Op) error {
+func (m *Machine) report(at time.Duration, who lease.Member, op *Command) error {
 	s := m.members[who]
-	if s == nil || m.find(op.Item, op.Number) == nil {
-		return unknown(op.Item, op.Number)
+	if s == nil || m.version(op.Item, op.Number) == nil {
+		return unknownVersionError(op.Item, op.Number)
 	}
-	if op.Refused {
-		s.Refused[op.Item] = Refusal{op.Number, cut(op.Why)}
+	if op.Rejected {
+		s.Rejected[op.Item] = Rejection{op.Number, truncateReason(op.Why)}
 		return nil
 	}
 	if op.Number < s.InForce[op.Item] {
 		return nil
 	}
-	s.InForce[op.Item], s.At = op.Number, at
-	if s.Refused[op.Item].Number <= op.Number { // a report about an older version takes no refusal back
-		delete(s.Refused, op.Item)
+	s.InForce[op.Item], s.ReportedAt = op.Number, at
+	if s.Rejected[op.Item].Number <= op.Number { // a report about an older version takes no refusal back
+		delete(s.Rejected, op.Item)
 	}
 	return nil
 }
 
-// find returns a version, nil if it is not kept.
-func (m *Machine) find(item string, number uint64) *Version {
+// version returns a version, nil if it is not kept.
+func (m *Machine) version(item string, number uint64) *Version {
 	for _, v := range m.items[item] {
 		if v.Number == number {
 			return v
@@ -157,50 +157,50 @@
 	return nil
 }
 
-// newest returns the last version of an item, nil if there is none.
-func (m *Machine) newest(item string) *Version {
+// newestVersion returns the last version of an item, nil if there is none.
+func (m *Machine) newestVersion(item string) *Version {
 	if all := m.items[item]; len(all) > 0 {
 		return all[len(all)-1]
 	}
 	return nil
 }
 
-// whole returns the last version of an item whose roll-out has reached all, nil if there is none.
-func (m *Machine) whole(item string) *Version {
+// newestComplete returns the last version of an item whose roll-out has reached all, nil if there is none.
+func (m *Machine) newestComplete(item string) *Version {
 	all := m.items[item]
 	for i := len(all) - 1; i >= 0; i-- {
-		if all[i].State == Whole {
+		if all[i].State == StateComplete {
 			return all[i]
 		}
 	}
 	return nil
 }
 
-// head takes in where a record stands. A process that names another hash for the same entry, or goes back, has told two stories.
-func (m *Machine) head(who lease.Member, h *auditlog.Head) error {
-	if h == nil || h.ID != who.ID || h.Incarnation != strconv.FormatUint(who.Incarnation, 16) || !digest.MatchString(h.Hash) {
-		return ErrBad
+// recordHead takes in where a record stands. A process that names another hash for the same entry, or goes back, has told two stories.
+func (m *Machine) recordHead(who lease.Member, h *auditlog.Head) error {
+	if h == nil || h.ID != who.ID || h.Incarnation != strconv.FormatUint(who.Incarnation, 16) || !digestPattern.MatchString(h.Hash) {
+		return ErrInvalidCommand
 	}
 	all := m.heads[who.ID]
 	i := slices.IndexFunc(all, func(o auditlog.Head) bool { return o.Incarnation == h.Incarnation })
 	if i < 0 {
 		all = append(all, *h)
-		m.heads[who.ID] = all[max(0, len(all)-headsMost):]
+		m.heads[who.ID] = all[max(0, len(all)-maxHeadsPerGateway):]
 		return nil
 	}
 	if h.Seq < all[i].Seq || h.Seq == all[i].Seq && h.Hash != all[i].Hash {
-		m.forks = append(m.forks, auditlog.Damage{ID: h.ID, Incarnation: h.Incarnation, Seq: h.Seq, What: fmt.Sprintf("its process told of entry %d before", all[i].Seq)})
-		m.forks = m.forks[max(0, len(m.forks)-forksMost):]
+		m.forks = append(m.forks, auditlog.Violation{ID: h.ID, Incarnation: h.Incarnation, Seq: h.Seq, What: fmt.Sprintf("its process told of entry %d before", all[i].Seq)})
+		m.forks = m.forks[max(0, len(m.forks)-maxForks):]
 		return nil // it is on record
 	}
 	all[i] = *h
 	return nil
 }
 
-// forget drops processes whose permits are over.
-func (m *Machine) forget(at time.Duration) {
+// dropExpiredMembers drops processes whose permits are over.
+func (m *Machine) dropExpiredMembers(at time.Duration) {
 	for who, s := range m.members {
-		if at >= s.Until {
+		if at >= s.EnrolledUntil {
 			delete(m.members, who)
 		}
 	}
--- a/internal/controlplane/configversion/op.go
+++ b/internal/controlplane/configversion/op.go
@@ -7,14 +7,14 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Op is one command, encoded as JSON in the log.
-type Op struct {
-	// Do is here, left, report, head, propose, go-on, hold, withdraw, shut or let.
-	Do     string `json:"do"`
+// Command is one command, encoded as JSON in the log.
+type Command struct {
+	// Kind is here, left, report, head, propose, go-on, hold, withdraw, shut or let.
+	Kind   string `json:"do"`
 	Item   string `json:"item,omitempty"`
 	Number uint64 `json:"number,omitempty"` // of a propose: the newest that its sender knows
 
-	Gone []uint64 `json:"gone,omitempty"` // of a here: boots of the sender's id that run no more
+	EndedIncarnations []uint64 `json:"gone,omitempty"` // of a here: boots of the sender's id that run no more
 
 	Digest string        `json:"digest,omitempty"`
 	Size   int64         `json:"size,omitempty"`
@@ -25,18 +25,18 @@
 
 	Head *auditlog.Head `json:"head,omitempty"` // where its sender's record stands
 
-	Refused bool   `json:"refused,omitempty"` // of a report: it can't be acted on here; else it is in force
-	ID      string `json:"id,omitempty"`      // of a shut or let
-	Why     string `json:"why,omitempty"`
+	Rejected bool   `json:"refused,omitempty"` // of a report: it can't be acted on here; else it is in force
+	ID       string `json:"id,omitempty"`      // of a shut or let
+	Why      string `json:"why,omitempty"`
 
-	Wall int64 `json:"wall,omitempty"` // the sender's clock, in microseconds since 1970
+	WallTime int64 `json:"wall,omitempty"` // the sender's clock, in microseconds since 1970
 
 	// Term is the guide's, by whose word a roll-out goes on or is held; 0: a person's.
 	Term uint64 `json:"term,omitempty"`
 }
 
 // Encode returns the Op as JSON.
-func (o Op) Encode() []byte { return mustjson.Marshal(o) }
+func (o Command) Encode() []byte { return mustjson.Marshal(o) }
 
 // Result is the answer to an Op. Why is the reason if it is not OK.
 type Result struct {
--- a/internal/controlplane/jsonkeys_test.go
+++ b/internal/controlplane/jsonkeys_test.go
@@ -22,12 +22,12 @@
 func TestJSONKeys(t *testing.T) {
 	fixture.Equal(t, "testdata/operator-keys.txt", fixture.JSONKeys(
 		controlplane.Here{}, controlplane.Rights{}, controlplane.Versions{}, controlplane.Distribution{}, consensus.Membership{}, lease.View{}, usageexport.View{},
-		allocation.View{}, allocation.HolderStatus{}, allocation.LeaderStats{}, allocator.ClientStats{}, allocator.RecordLine{}, rollout.Here{}, rollout.Fetched{},
-		distributor.ReplicaStatus{}, distributor.ServerStatus{}, configversion.View{}, auditlog.Stretch{}, auditlog.Gap{}, auditlog.Sum{},
+		allocation.View{}, allocation.HolderStatus{}, allocation.LeaderStats{}, allocator.ClientStats{}, allocator.RecordLine{}, rollout.Status{}, rollout.FetchStats{},
+		distributor.ReplicaStatus{}, distributor.ServerStatus{}, configversion.View{}, auditlog.Interval{}, auditlog.Gap{}, auditlog.VersionCounts{},
 	))
 	fixture.Equal(t, "testdata/command-keys.txt", fixture.JSONKeys(
 		lease.Op{}, lease.Result{}, usageexport.Op{}, usageexport.Result{}, checkpoint.Op{}, checkpoint.Entry{}, checkpoint.Result{}, allocation.Result{},
-		endpointlist.Op{}, endpointlist.Head{}, endpointlist.List{}, configversion.Op{}, configversion.Result{}, configversion.Told{}, configversion.Target{}, configversion.Standing{},
-		consensus.MembershipQuery{}, consensus.MembershipAnswer{}, auditlog.Entry{}, auditlog.Head{}, auditlog.Fold{},
+		endpointlist.Op{}, endpointlist.Head{}, endpointlist.List{}, configversion.Command{}, configversion.Result{}, configversion.LeaseResponse{}, configversion.Target{}, configversion.MemberStatus{},
+		consensus.MembershipQuery{}, consensus.MembershipAnswer{}, auditlog.Entry{}, auditlog.Head{}, auditlog.Checkpoint{},
 	))
 }
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -62,7 +62,7 @@
 	Budgets      *allocation.Config
 	BudgetShards int
 	// Versions are the rules of what the fleet acts on, and Items what that is here; nil: each gateway acts on its configuration.
-	Versions *configversion.Rules
+	Versions *configversion.Config
 	Items    map[string]rollout.Item
 	Rights   io.Writer     // gets a line for each renewal of rights; nil: none
 	Silent   time.Duration // see distributor.SourceOptions; 0: distributor.DefaultSilent
@@ -117,7 +117,7 @@
 )
 
 // Machines are the parts of the agreed state.
-func Machines(r lease.Config, v configversion.Rules) map[string]consensus.StateMachine {
+func Machines(r lease.Config, v configversion.Config) map[string]consensus.StateMachine {
 	d := lease.NewMachine(r)
 	return map[string]consensus.StateMachine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
 		checkpoint.MachineName: checkpoint.NewMachine(d), endpointlist.MachineName: endpointlist.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), allocation.MachineName: allocation.NewMachine(d),
@@ -125,11 +125,11 @@
 }
 
 // versionRules are the rules of the versions' machine, which each voter has.
-func (n *Node) versionRules() configversion.Rules {
+func (n *Node) versionRules() configversion.Config {
 	if n.cfg.Versions != nil {
 		return *n.cfg.Versions
 	}
-	return configversion.Defaults()
+	return configversion.DefaultConfig()
 }
 
 // RecordDir is where a gateway's record lies.
@@ -193,13 +193,13 @@
 	if cfg.Versions != nil {
 		n.contents = rollout.NewContents(ContentsDir(cfg.Dir))
 		n.agent = rollout.New(*cfg.Versions, n.client, n.contents, cfg.Items, cfg.Log)
-		n.agent.Follow(func(inForce map[string]uint64) {
+		n.agent.OnChange(func(inForce map[string]uint64) {
 			if r := n.record.Load(); r != nil {
 				r.Change(inForce)
 			}
 		})
-		n.agent.Heads(func() *auditlog.Head { return n.record.Load().Head() })
-		n.duties.Add(configversion.Role, n.agent.Work)
+		n.agent.SetHeadSource(func() *auditlog.Head { return n.record.Load().Head() })
+		n.duties.Add(configversion.Role, n.agent.RunController)
 	}
 	go n.run(holding)
 	return n
@@ -300,10 +300,10 @@
 			n.rights.SetEndedIncarnations(boots.Ended)
 		}
 		if n.agent != nil {
-			if err := n.contents.Make(); err != nil {
+			if err := n.contents.Create(); err != nil {
 				return err
 			}
-			n.agent.Gone(boots.Ended)
+			n.agent.SetEndedIncarnations(boots.Ended)
 		}
 	}
 	var record *auditrecorder.Recorder
--- a/internal/controlplane/rollout/agent.go
+++ b/internal/controlplane/rollout/agent.go
@@ -45,7 +45,7 @@
 // Agent is one process's side of the roll-out of versions. Start it with Run; its other methods may
 // be called from any goroutine. Acts and Over wait for nothing but a mutex that is held briefly.
 type Agent struct {
-	rules    configversion.Rules
+	config   configversion.Config
 	client   *controlrpc.Client
 	contents *Contents
 	versions *versionCache
@@ -54,17 +54,17 @@
 
 	applying sync.Mutex // serialises apply, so that contents reach an Item in their order; taken before mu
 
-	mu              sync.Mutex
-	holder          *configversion.Holder
-	applied         map[string]appliedRefs // what was last passed to Item.Use, by item
-	reported        map[string]uint64      // newest number reported as in force, by item
-	reportedRefusal map[string]bool        // digests whose refusal was reported
-	goneBoots       []uint64               // earlier boots of this process's id
-	mustEnrol       bool
-	stamp           uint64 // counts the changes of what is in force
-	fenced          bool   // as last logged
-
-	fetched    fetchCounts
+	mu                 sync.Mutex
+	holder             *configversion.Holder
+	applied            map[string]appliedRefs // what was last passed to Item.Use, by item
+	reported           map[string]uint64      // newest number reported as in force, by item
+	reportedRejections map[string]bool        // digests whose refusal was reported
+	endedIncarnations  []uint64               // earlier boots of this process's id
+	mustEnrol          bool
+	generation         uint64 // counts the changes of what is in force
+	fenced             bool   // as last logged
+
+	fetched    fetchCounters
 	sourceSet  atomic.Pointer[sourceSet]       // nil until first asked for
 	onChange   func(inForce map[string]uint64) // set by Follow, may be nil
 	recordHead func() *auditlog.Head           // set by Heads, may be nil
@@ -72,46 +72,46 @@
 
 // New returns an agent that may not act on anything yet. items maps the names of items to what
 // applies them.
-func New(r configversion.Rules, client *controlrpc.Client, contents *Contents, items map[string]Item,
+func New(r configversion.Config, client *controlrpc.Client, contents *Contents, items map[string]Item,
 	log *slog.Logger) *Agent {
 	return &Agent{
-		rules:           r,
-		client:          client,
-		contents:        contents,
-		versions:        newVersionCache(contents),
-		items:           items,
-		log:             log,
-		holder:          configversion.NewHolder(r),
-		applied:         map[string]appliedRefs{},
-		reported:        map[string]uint64{},
-		reportedRefusal: map[string]bool{},
-		mustEnrol:       true,
-		fenced:          true,
+		config:             r,
+		client:             client,
+		contents:           contents,
+		versions:           newVersionCache(contents),
+		items:              items,
+		log:                log,
+		holder:             configversion.NewHolder(r),
+		applied:            map[string]appliedRefs{},
+		reported:           map[string]uint64{},
+		reportedRejections: map[string]bool{},
+		mustEnrol:          true,
+		fenced:             true,
 	}
 }
 
-// Gone sets the boots of this process's id that no longer run: nobody has to wait for their permits
+// SetEndedIncarnations sets the boots of this process's id that no longer run: nobody has to wait for their permits
 // to expire.
-func (a *Agent) Gone(boots []uint64) {
+func (a *Agent) SetEndedIncarnations(boots []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.goneBoots = boots
+	a.endedIncarnations = boots
 }
 
-// Follow sets a function that is called, with the agent's mutex held, after each change of what is
+// OnChange sets a function that is called, with the agent's mutex held, after each change of what is
 // in force. Call it before Run.
-func (a *Agent) Follow(changed func(inForce map[string]uint64)) { a.onChange = changed }
+func (a *Agent) OnChange(changed func(inForce map[string]uint64)) { a.onChange = changed }
 
-// Heads sets the function that returns the head of this process's audit record, which the agent
+// SetHeadSource sets the function that returns the head of this process's audit record, which the agent
 // reports to the fleet. Call it before Run.
-func (a *Agent) Heads(head func() *auditlog.Head) { a.recordHead = head }
+func (a *Agent) SetHeadSource(head func() *auditlog.Head) { a.recordHead = head }
 
 // Run runs the agent's loops until the context ends. It returns when all of them have ended.
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){
 		a.refreshSources, // once: they are known where a content is wanted while no voter leads
-		a.renewPermits, a.fetchContents, a.reportVersions, a.reportHead, a.cleanUp,
+		a.renewLeases, a.fetchContents, a.reportVersions, a.reportHead, a.cleanUp,
 	} {
 		wg.Go(func() { loop(ctx) })
 	}
@@ -120,45 +120,45 @@
 
 // Leave tells the fleet that this process acts on nothing any more.
 func (a *Agent) Leave(ctx context.Context) {
-	if err := a.command(ctx, configversion.Op{Do: "left"}); err != nil {
+	if err := a.execute(ctx, configversion.Command{Kind: "left"}); err != nil {
 		a.log.Debug("fleet: versions: not told that this process leaves", "error", err)
 	}
 }
 
-// fetchCounts counts the contents that were fetched.
-type fetchCounts struct{ whole, deltas, repairs atomic.Int64 }
+// fetchCounters counts the contents that were fetched.
+type fetchCounters struct{ full, deltas, repairs atomic.Int64 }
 
-// Fetched tells how contents came to a process: whole, by the records that changed, or by the buckets of records that
+// FetchStats tells how contents came to a process: whole, by the records that changed, or by the buckets of records that
 // differ.
-type Fetched struct {
-	Whole   int64 `json:"whole"`
+type FetchStats struct {
+	Full    int64 `json:"whole"`
 	Deltas  int64 `json:"deltas"`
 	Repairs int64 `json:"repairs"`
 }
 
-// Here describes what this process acts on.
-type Here struct {
-	Member  lease.Member      `json:"member"`
-	InForce map[string]uint64 `json:"in_force"`      // version numbers, by item
-	Until   time.Duration     `json:"until"`         // remaining time of its permit; 0 if it is shut out
-	Why     string            `json:"why,omitempty"` // reason for being shut out
-	Outs    uint64            `json:"outs"`          // how often it was shut out
-	Fetched Fetched           `json:"fetched"`       // since the process started
+// Status describes what this process acts on.
+type Status struct {
+	Member      lease.Member      `json:"member"`
+	InForce     map[string]uint64 `json:"in_force"`      // version numbers, by item
+	Until       time.Duration     `json:"until"`         // remaining time of its permit; 0 if it is shut out
+	Why         string            `json:"why,omitempty"` // reason for being shut out
+	FencedCount uint64            `json:"outs"`          // how often it was shut out
+	Fetched     FetchStats        `json:"fetched"`       // since the process started
 }
 
-// Here returns what this process acts on now.
-func (a *Agent) Here() Here {
+// Status returns what this process acts on now.
+func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := monotonic.Now()
-	h := Here{
-		Member:  a.client.Me(),
-		InForce: a.holder.InForce(),
-		Why:     a.holder.Why(now),
-		Outs:    a.holder.Outs(),
-		Fetched: Fetched{a.fetched.whole.Load(), a.fetched.deltas.Load(), a.fetched.repairs.Load()},
+	h := Status{
+		Member:      a.client.Me(),
+		InForce:     a.holder.InForce(),
+		Why:         a.holder.FencedReason(now),
+		FencedCount: a.holder.FencedCount(),
+		Fetched:     FetchStats{a.fetched.full.Load(), a.fetched.deltas.Load(), a.fetched.repairs.Load()},
 	}
-	if until := a.holder.Acts(now); until != 0 {
+	if until := a.holder.LeasedUntil(now); until != 0 {
 		h.Until = until - now
 	}
 	return h
--- a/internal/controlplane/rollout/apply.go
+++ b/internal/controlplane/rollout/apply.go
@@ -12,12 +12,12 @@
 
 // appliedRefs names what was passed to Item.Use.
 type appliedRefs struct {
-	target configversion.Ref
-	beside []configversion.Ref
+	target      configversion.Ref
+	overlapping []configversion.Ref
 }
 
 func (r appliedRefs) equal(other appliedRefs) bool {
-	return r.target == other.target && slices.Equal(r.beside, other.beside)
+	return r.target == other.target && slices.Equal(r.overlapping, other.overlapping)
 }
 
 // application is one call of Item.Use that is due.
@@ -35,7 +35,7 @@
 		target, beside, err := a.readContents(due.item, due.refs)
 		if err != nil {
 			a.log.Error("fleet: versions: a content can't be read any more", "item", due.name, "error", err)
-			a.lose(due.refs.target.Digest)
+			a.markLost(due.refs.target.Digest)
 			continue
 		}
 		a.markApplied(due)
@@ -60,7 +60,7 @@
 
 // nextApplication returns the application of an item that is due, if one is. Called with mu held.
 func (a *Agent) nextApplication(now time.Duration, name string) (due application, ok bool) {
-	target, beside, complete, ok := a.holder.Next(now, name)
+	target, beside, complete, ok := a.holder.NextToApply(now, name)
 	item := a.items[name]
 	if !ok || !complete || item == nil {
 		return application{}, false
@@ -79,18 +79,18 @@
 	a.applied[due.name] = due.refs
 }
 
-// lose has a content be wanted again.
-func (a *Agent) lose(digest string) {
+// markLost has a content be wanted again.
+func (a *Agent) markLost(digest string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.holder.Lost(digest)
+	a.holder.ContentLost(digest)
 }
 
 // applicationOrder is the order that Item.Use gets: a version alone comes after the same version
 // beside earlier ones.
 func applicationOrder(refs appliedRefs) uint64 {
 	order := 2 * refs.target.Number
-	if len(refs.beside) == 0 {
+	if len(refs.overlapping) == 0 {
 		order++
 	}
 	return order
@@ -101,11 +101,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.holder.InForce()[name]
-	a.holder.PutInForce(monotonic.Now(), name, target.Number)
+	a.holder.SetInForce(monotonic.Now(), name, target.Number)
 	if a.holder.InForce()[name] == before {
 		return
 	}
-	a.stamp++
+	a.generation++
 	a.log.Info("fleet: version in force", "item", name, "number", target.Number, "before", before,
 		"digest", target.Digest)
 	if a.onChange != nil {
@@ -115,7 +115,7 @@
 
 // logFencing logs each change of whether this process is shut out. Called with mu held.
 func (a *Agent) logFencing(now time.Duration) {
-	why := a.holder.Why(now)
+	why := a.holder.FencedReason(now)
 	fenced := why != ""
 	if fenced == a.fenced {
 		return
@@ -133,7 +133,7 @@
 	if target, err = a.readContent(item, refs.target); err != nil {
 		return nil, nil, err
 	}
-	for _, ref := range refs.beside {
+	for _, ref := range refs.overlapping {
 		one, err := a.readContent(item, ref)
 		if err != nil {
 			return nil, nil, err
--- a/internal/controlplane/rollout/calls.go
+++ b/internal/controlplane/rollout/calls.go
@@ -37,17 +37,17 @@
 	return list, err
 }
 
-// command has a command agreed.
-func (a *Agent) command(ctx context.Context, op configversion.Op) error {
-	_, err := a.agreedNumber(ctx, op)
+// execute has a command agreed.
+func (a *Agent) execute(ctx context.Context, op configversion.Command) error {
+	_, err := a.executeNumbered(ctx, op)
 	return err
 }
 
-// agreedNumber has a command agreed and returns the number in its result.
-func (a *Agent) agreedNumber(ctx context.Context, op configversion.Op) (uint64, error) {
+// executeNumbered has a command agreed and returns the number in its result.
+func (a *Agent) executeNumbered(ctx context.Context, op configversion.Command) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	op.Wall = time.Now().UnixMicro()
+	op.WallTime = time.Now().UnixMicro()
 	raw, err := a.client.Propose(ctx, configversion.MachineName, op.Encode())
 	if err != nil {
 		return 0, err
--- a/internal/controlplane/rollout/cleanup.go
+++ b/internal/controlplane/rollout/cleanup.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			return
 		}
-		if err := a.contents.Tidy(referencedDigests(&view), minContentAge); err != nil {
+		if err := a.contents.RemoveUnused(referencedDigests(&view), minContentAge); err != nil {
 			a.log.Warn("fleet: versions: contents that are of no more use can't be removed", "error", err)
 		}
 	})
@@ -39,7 +39,7 @@
 	for i := len(view.Versions) - 1; i >= 0; i-- {
 		v := &view.Versions[i]
 		seen[v.Item]++
-		mayBeActedOn := v.Until == 0 || view.At < v.Until
+		mayBeActedOn := v.ExpiresAt == 0 || view.At < v.ExpiresAt
 		if seen[v.Item] <= maxKeptVersions || mayBeActedOn {
 			digests[v.Digest] = true
 		}
--- a/internal/controlplane/rollout/contents.go
+++ b/internal/controlplane/rollout/contents.go
@@ -44,8 +44,8 @@
 // Unsynced returns the same folder for contents that nobody relies on this process to keep.
 func (c *Contents) Unsynced() *Contents { return &Contents{dir: c.dir, unsynced: true} }
 
-// Make creates the folder if it does not exist.
-func (c *Contents) Make() error { return os.MkdirAll(c.dir, 0o700) }
+// Create creates the folder if it does not exist.
+func (c *Contents) Create() error { return os.MkdirAll(c.dir, 0o700) }
 
 func (c *Contents) path(digest string) string { return filepath.Join(c.dir, digest) }
 
@@ -77,8 +77,8 @@
 	return digest, c.finish(digest)
 }
 
-// Begun returns how many bytes of an incomplete content are here.
-func (c *Contents) Begun(digest string) int64 {
+// PartialSize returns how many bytes of an incomplete content are here.
+func (c *Contents) PartialSize(digest string) int64 {
 	info, err := os.Stat(c.partPath(digest))
 	if err != nil {
 		return 0
@@ -86,9 +86,9 @@
 	return info.Size()
 }
 
-// Take writes the chunks that next returns, from an offset in bytes on. At the content's full size it
+// Receive writes the chunks that next returns, from an offset in bytes on. At the content's full size it
 // checks the digest. Where next fails, what has come stays, so that a later call can resume.
-func (c *Contents) Take(r configversion.Ref, from int64, next func() ([]byte, error)) error {
+func (c *Contents) Receive(r configversion.Ref, from int64, next func() ([]byte, error)) error {
 	f, err := os.OpenFile(c.partPath(r.Digest), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -162,9 +162,9 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Give sends a content in chunks, from an offset in bytes on. The error is fs.ErrNotExist if the
+// Send sends a content in chunks, from an offset in bytes on. The error is fs.ErrNotExist if the
 // content is not here.
-func (c *Contents) Give(digest string, from int64, send func([]byte) error) error {
+func (c *Contents) Send(digest string, from int64, send func([]byte) error) error {
 	if !digestName.MatchString(digest) {
 		return fs.ErrNotExist
 	}
@@ -211,9 +211,9 @@
 	return digests[:min(len(digests), limit)], nil
 }
 
-// Tidy removes the contents, complete or not, whose digests are not in keep and whose files were last
+// RemoveUnused removes the contents, complete or not, whose digests are not in keep and whose files were last
 // written longer ago than minAge.
-func (c *Contents) Tidy(keep map[string]bool, minAge time.Duration) error {
+func (c *Contents) RemoveUnused(keep map[string]bool, minAge time.Duration) error {
 	entries, err := os.ReadDir(c.dir)
 	if err != nil {
 		return err
--- a/internal/controlplane/rollout/contents_test.go
+++ b/internal/controlplane/rollout/contents_test.go
@@ -24,9 +24,9 @@
 	broke := errors.New("the link broke")
 	// fetch takes what comes, up to a byte of the content, with one byte of it changed if that is not below 0.
 	fetch := func(end, spoilt int) error {
-		begun := to.Begun(digest)
+		begun := to.PartialSize(digest)
 		var pieces [][]byte
-		if err := from.Give(digest, begun, func(b []byte) error {
+		if err := from.Send(digest, begun, func(b []byte) error {
 			pieces = append(pieces, bytes.Clone(b))
 			return nil
 		}); err != nil {
@@ -37,7 +37,7 @@
 		if spoilt >= int(begun) && spoilt < int(begun)+len(all) {
 			all[spoilt-int(begun)]++
 		}
-		return to.Take(ref, begun, func() ([]byte, error) {
+		return to.Receive(ref, begun, func() ([]byte, error) {
 			if len(all) == 0 {
 				return nil, broke
 			}
@@ -55,7 +55,7 @@
 			if _, err := to.Read(digest); !errors.Is(err, os.ErrNotExist) {
 				t.Fatalf("cut at %d: it is there already: %v", end, err)
 			}
-			if got := to.Begun(digest); got != int64(end) {
+			if got := to.PartialSize(digest); got != int64(end) {
 				t.Fatalf("cut at %d: %d bytes are kept", end, got)
 			}
 			err := fetch(len(raw), -1)
@@ -73,10 +73,10 @@
 			}
 		}
 	}
-	if err := to.Take(ref, 0, func() ([]byte, error) { return make([]byte, len(raw)+1), nil }); !errors.Is(err, ErrDigest) {
+	if err := to.Receive(ref, 0, func() ([]byte, error) { return make([]byte, len(raw)+1), nil }); !errors.Is(err, ErrDigest) {
 		t.Errorf("one that is longer than it is to be: %v", err)
 	}
-	if err := from.Give("../../../etc/passwd", 0, func([]byte) error { return io.ErrUnexpectedEOF }); !errors.Is(err, os.ErrNotExist) {
+	if err := from.Send("../../../etc/passwd", 0, func([]byte) error { return io.ErrUnexpectedEOF }); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a digest that is none: %v", err)
 	}
 }
@@ -92,13 +92,13 @@
 			t.Fatal(err)
 		}
 		digests = append(digests, d)
-		one := configversion.Version{Item: "plans", Number: uint64(k + 1), Digest: d, Until: time.Minute}
+		one := configversion.Version{Item: "plans", Number: uint64(k + 1), Digest: d, ExpiresAt: time.Minute}
 		if k == 1 {
-			one.Until = 0 // somebody acts on it
+			one.ExpiresAt = 0 // somebody acts on it
 		}
 		v.Versions = append(v.Versions, one)
 	}
-	if err := c.Tidy(referencedDigests(&v), time.Hour); err != nil {
+	if err := c.RemoveUnused(referencedDigests(&v), time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	for k, d := range digests {
@@ -106,7 +106,7 @@
 			t.Errorf("version %d, just made: %v", k, err)
 		}
 	}
-	if err := c.Tidy(referencedDigests(&v), 0); err != nil {
+	if err := c.RemoveUnused(referencedDigests(&v), 0); err != nil {
 		t.Fatal(err)
 	}
 	for k, d := range digests {
--- a/internal/controlplane/rollout/difference.go
+++ b/internal/controlplane/rollout/difference.go
@@ -14,20 +14,20 @@
 // maxBasesOffered is how many contents that are here a request names.
 const maxBasesOffered = 4
 
-// errWhole is returned where a content has to travel whole: nothing is here to begin with, or too much differs.
-var errWhole = errors.New("rollout: the content has to travel whole")
+// errFullContentNeeded is returned where a content has to travel whole: nothing is here to begin with, or too much differs.
+var errFullContentNeeded = errors.New("rollout: the content has to travel whole")
 
-// fetchDifference makes a content out of one that is here by what a source says of the difference, and stores it. The
+// fetchDelta makes a content out of one that is here by what a source says of the difference, and stores it. The
 // error is fleetlink.ErrNoContent where the source does not have the content, and errWhole where it is to be fetched
 // whole. After any other error too, the whole content may be fetched: nothing was stored.
-func (a *Agent) fetchDifference(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
+func (a *Agent) fetchDelta(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
 	item := a.items[wanted.item]
 	if item == nil {
-		return errWhole
+		return errFullContentNeeded
 	}
 	bases := a.bases()
 	if len(bases) == 0 {
-		return errWhole
+		return errFullContentNeeded
 	}
 	answer, err := a.client.ContentDelta(ctx, source.ID, source.Address, &controlpb.ContentDeltaRequest{
 		Item: wanted.item, Digest: wanted.ref.Digest, Bases: bases,
@@ -40,7 +40,7 @@
 	case answer.Sums != nil:
 		return a.repair(ctx, wanted, bases[0], answer.Sums, source)
 	}
-	return errWhole
+	return errFullContentNeeded
 }
 
 // bases returns the digests of contents that are here: those in memory, or else the newest on disk.
@@ -84,7 +84,7 @@
 	for {
 		indexes, ok := repair.Next()
 		if !ok {
-			return errWhole
+			return errFullContentNeeded
 		}
 		if len(indexes) == 0 {
 			break
--- a/internal/controlplane/rollout/difference_test.go
+++ b/internal/controlplane/rollout/difference_test.go
@@ -62,11 +62,11 @@
 	quiet := slog.New(slog.DiscardHandler)
 	client := controlrpc.NewClient(testFleet, lease.Member{ID: id, Incarnation: 1}, "", nil, nil, quiet)
 	contents := NewContents(dir)
-	if err := contents.Make(); err != nil {
+	if err := contents.Create(); err != nil {
 		t.Fatal(err)
 	}
 	items := map[string]Item{planconfig.ItemName: planconfig.New(anyTerms{})}
-	a := &testAgent{Agent: New(configversion.Defaults(), client, contents, items, quiet), dir: dir, bytes: &payloadBytes{}}
+	a := &testAgent{Agent: New(configversion.DefaultConfig(), client, contents, items, quiet), dir: dir, bytes: &payloadBytes{}}
 	observer := &controlrpc.Observer{Stats: a.bytes, Wrap: func(c net.Conn) net.Conn { return c }}
 	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil, observer.ServerOptions()...)
 	server.Contents = a.Agent
@@ -108,9 +108,9 @@
 	return from.bytes.sent.Load() - before
 }
 
-func (a *testAgent) wantFetched(t *testing.T, want Fetched) {
+func (a *testAgent) wantFetched(t *testing.T, want FetchStats) {
 	t.Helper()
-	if got := a.Here().Fetched; got != want {
+	if got := a.Status().Fetched; got != want {
 		t.Errorf("fetched %+v, want %+v", got, want)
 	}
 }
@@ -152,23 +152,23 @@
 	if n := replica.fetches(t, first, server); n < first.Size {
 		t.Errorf("whole: %d bytes", n)
 	}
-	replica.wantFetched(t, Fetched{Whole: 1})
+	replica.wantFetched(t, FetchStats{Full: 1})
 	if n := replica.fetches(t, server.add(t, planText(t, 1)), server); n > 400 {
 		t.Errorf("one tenant: %d bytes", n)
 	}
-	replica.wantFetched(t, Fetched{Whole: 1, Deltas: 1})
+	replica.wantFetched(t, FetchStats{Full: 1, Deltas: 1})
 
 	restarted := newTestAgent(t, "restarted", dir)
 	if n := restarted.fetches(t, server.add(t, planText(t, 3)), server); n > 600 {
 		t.Errorf("two tenants after a restart: %d bytes", n)
 	}
-	restarted.wantFetched(t, Fetched{Deltas: 1})
+	restarted.wantFetched(t, FetchStats{Deltas: 1})
 
 	other := newTestAgent(t, "other", t.TempDir()) // it never had what the replica has
 	if n := restarted.fetches(t, other.add(t, planText(t, 4)), other); n > 64<<10 {
 		t.Errorf("by buckets: %d bytes", n)
 	}
-	restarted.wantFetched(t, Fetched{Deltas: 1, Repairs: 1})
+	restarted.wantFetched(t, FetchStats{Deltas: 1, Repairs: 1})
 }
 
 // A content that is not there is asked of another process; one of other tenants, or that a person wrote
@@ -183,14 +183,14 @@
 	}
 	server.add(t, planText(t, 0))
 	replica.fetches(t, server.add(t, planTextFrom(t, testTenants, 0)), server)
-	replica.wantFetched(t, Fetched{Whole: 1})
+	replica.wantFetched(t, FetchStats{Full: 1})
 	replica.fetches(t, server.add(t, append([]byte("# by hand\n"), planText(t, 1)...)), server)
-	replica.wantFetched(t, Fetched{Whole: 2})
+	replica.wantFetched(t, FetchStats{Full: 2})
 	unknown := contentRequest{"unknown", server.add(t, planText(t, 2)), replica.contents}
 	if err := replica.fetchFrom(t.Context(), unknown, server.source); err != nil {
 		t.Errorf("of an item that this program does not know: %v", err)
 	}
-	replica.wantFetched(t, Fetched{Whole: 3})
+	replica.wantFetched(t, FetchStats{Full: 3})
 }
 
 // A damaged base is never built on: it is removed, and the content comes whole.
@@ -205,7 +205,7 @@
 	}
 	replica := newTestAgent(t, "replica", dir)
 	replica.fetches(t, server.add(t, planText(t, 1)), server)
-	replica.wantFetched(t, Fetched{Whole: 1})
+	replica.wantFetched(t, FetchStats{Full: 1})
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the damaged file: %v", err)
 	}
@@ -243,7 +243,7 @@
 	if err := replica.fetchFrom(ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source); err != nil {
 		t.Fatal(err)
 	}
-	replica.wantFetched(t, Fetched{Whole: 1})
+	replica.wantFetched(t, FetchStats{Full: 1})
 	if _, err := replica.contents.Read(target.Digest); err != nil {
 		t.Error(err)
 	}
--- a/internal/controlplane/rollout/fetch.go
+++ b/internal/controlplane/rollout/fetch.go
@@ -18,10 +18,10 @@
 func (a *Agent) fetchContents(ctx context.Context) {
 	repeat(ctx, fetchInterval, func() {
 		a.mu.Lock()
-		wanted := a.holder.Wants()
+		wanted := a.holder.MissingContents()
 		a.mu.Unlock()
 		for _, ref := range wanted {
-			err := a.obtain(ctx, ref)
+			err := a.ensureContent(ctx, ref)
 			if err != nil {
 				a.log.Debug("fleet: versions: a content is not to be had yet", "digest", ref.Digest, "error", err)
 				continue
@@ -32,9 +32,9 @@
 	})
 }
 
-// obtain has a content lie here, fetched from another process where it does not. A file that is not what its name says is
+// ensureContent has a content lie here, fetched from another process where it does not. A file that is not what its name says is
 // removed, and fetched by the next call.
-func (a *Agent) obtain(ctx context.Context, ref configversion.Ref) error {
+func (a *Agent) ensureContent(ctx context.Context, ref configversion.Ref) error {
 	if a.versions.known(ref.Digest) {
 		return nil
 	}
@@ -50,7 +50,7 @@
 func (a *Agent) itemOf(digest string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if names := a.holder.ItemsOf(digest); len(names) > 0 {
+	if names := a.holder.ItemsWithContent(digest); len(names) > 0 {
 		return names[0]
 	}
 	return ""
@@ -59,7 +59,7 @@
 // check has each item that wants a content check it, and takes in the verdict.
 func (a *Agent) check(digest string) {
 	a.mu.Lock()
-	names := a.holder.ItemsOf(digest)
+	names := a.holder.ItemsWithContent(digest)
 	a.mu.Unlock()
 	why := ""
 	for _, name := range names {
@@ -81,7 +81,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.holder.Checked(digest, why)
+	a.holder.ContentChecked(digest, why)
 }
 
 // checkItem returns why an item can't apply a content, or an error if the content can't be had from the disk.
@@ -127,20 +127,20 @@
 // fetchFrom fetches a content from one source: as its difference to one that is here, or else the part of it that is not
 // here yet.
 func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
-	err := a.fetchDifference(ctx, wanted, source)
+	err := a.fetchDelta(ctx, wanted, source)
 	if err == nil || errors.Is(err, controlrpc.ErrNoContent) {
 		return err
 	}
-	if !errors.Is(err, errWhole) {
+	if !errors.Is(err, errFullContentNeeded) {
 		a.log.Debug("fleet: versions: a difference can't be used", "source", source.ID, "digest", wanted.ref.Digest, "error", err)
 	}
-	return a.fetchWhole(ctx, wanted, source)
+	return a.fetchFull(ctx, wanted, source)
 }
 
-// fetchWhole fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchWhole(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
+// fetchFull fetches the part of a content that is not here yet from one source.
+func (a *Agent) fetchFull(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
 	ref := wanted.ref
-	offset := wanted.into.Begun(ref.Digest)
+	offset := wanted.into.PartialSize(ref.Digest)
 	if offset > ref.Size {
 		offset = 0
 	}
@@ -148,17 +148,17 @@
 	if err != nil {
 		return err
 	}
-	if err := wanted.into.Take(ref, offset, next); err != nil {
+	if err := wanted.into.Receive(ref, offset, next); err != nil {
 		return err
 	}
-	a.fetched.whole.Add(1)
+	a.fetched.full.Add(1)
 	return nil
 }
 
 // Keep fetches a content that is about to be proposed from the process that asks for it. Once it returns nil the content is
 // on the disk: the version is agreed on by its word.
 func (a *Agent) Keep(ctx context.Context, ask *controlpb.KeepAsk) error {
-	if ask.Size < 0 || ask.Size > configversion.SizeMost || !digestName.MatchString(ask.Digest) {
+	if ask.Size < 0 || ask.Size > configversion.MaxContentSize || !digestName.MatchString(ask.Digest) {
 		return fmt.Errorf("rollout: digest %.80q, %d bytes", ask.Digest, ask.Size)
 	}
 	if _, err := a.contents.Read(ask.Digest); err == nil {
@@ -179,5 +179,5 @@
 
 // Give sends a content that is here, from an offset in bytes on.
 func (a *Agent) Give(digest string, from int64, send func([]byte) error) error {
-	return a.contents.Give(digest, from, send)
+	return a.contents.Send(digest, from, send)
 }
--- a/internal/controlplane/rollout/permits.go
+++ b/internal/controlplane/rollout/permits.go
@@ -15,7 +15,7 @@
 func (a *Agent) Current() (until time.Duration, stamp uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Acts(monotonic.Now()), a.stamp
+	return a.holder.LeasedUntil(monotonic.Now()), a.generation
 }
 
 // Expired reports whether what was decided under a permit may no longer be done. until and stamp are
@@ -25,33 +25,33 @@
 	now := monotonic.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return now >= until || stamp != a.stamp || a.holder.Acts(now) == 0
+	return now >= until || stamp != a.generation || a.holder.LeasedUntil(now) == 0
 }
 
-// renewPermits asks for permits until the context ends. Where no answer comes, the permits that are
+// renewLeases asks for permits until the context ends. Where no answer comes, the permits that are
 // held expire by themselves.
-func (a *Agent) renewPermits(ctx context.Context) {
+func (a *Agent) renewLeases(ctx context.Context) {
 	query, err := json.Marshal(a.client.Me())
 	if err != nil {
 		panic(err) // a plain struct
 	}
-	repeat(ctx, a.rules.Every, func() {
+	repeat(ctx, a.config.RenewInterval, func() {
 		if err := a.enrol(ctx); err != nil {
 			return
 		}
-		a.renewPermit(ctx, query)
+		a.renewLease(ctx, query)
 	})
 }
 
 // enrol has the fleet count this process as one that holds permits, unless it does already.
 func (a *Agent) enrol(ctx context.Context) error {
 	a.mu.Lock()
-	mustEnrol, gone := a.mustEnrol, a.goneBoots
+	mustEnrol, gone := a.mustEnrol, a.endedIncarnations
 	a.mu.Unlock()
 	if !mustEnrol {
 		return nil
 	}
-	if err := a.command(ctx, configversion.Op{Do: "here", Gone: gone}); err != nil {
+	if err := a.execute(ctx, configversion.Command{Kind: "here", EndedIncarnations: gone}); err != nil {
 		return err
 	}
 	a.mu.Lock()
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (a *Agent) renewPermit(ctx context.Context, query []byte) {
+func (a *Agent) renewLease(ctx context.Context, query []byte) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	sent := monotonic.Now()
@@ -68,19 +68,19 @@
 	if err != nil {
 		return
 	}
-	var answer configversion.Told
+	var answer configversion.LeaseResponse
 	if err := json.Unmarshal(raw, &answer); err != nil {
 		return
 	}
 	failpoint.At("permit-told")
-	a.takePermit(sent, &answer)
+	a.handleLease(sent, &answer)
 }
 
-// takePermit takes in the answer to a query that was sent at the given time.
-func (a *Agent) takePermit(sent time.Duration, answer *configversion.Told) {
+// handleLease takes in the answer to a query that was sent at the given time.
+func (a *Agent) handleLease(sent time.Duration, answer *configversion.LeaseResponse) {
 	a.mu.Lock()
-	a.holder.Hear(monotonic.Now(), sent, answer)
-	a.mustEnrol = a.mustEnrol || answer.Enrol
+	a.holder.HandleLease(monotonic.Now(), sent, answer)
+	a.mustEnrol = a.mustEnrol || answer.MustEnrol
 	a.mu.Unlock()
 	a.apply()
 }
--- a/internal/controlplane/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		return 0, err
 	}
-	op := configversion.Op{
-		Do:     "propose",
+	op := configversion.Command{
+		Kind:   "propose",
 		Item:   item,
 		Number: newestNumber(&view, item),
 		Digest: digest,
@@ -48,10 +48,10 @@
 		Stage:  stage,
 		Lead:   lead,
 	}
-	if stage != configversion.All {
+	if stage != configversion.StageAll {
 		op.Pilots = configversion.Pilots(item, op.Number+1, stage, memberIDs(&list))
 	}
-	return a.agreedNumber(ctx, op)
+	return a.executeNumbered(ctx, op)
 }
 
 // readProposal reads a file, checks that it can be applied as an item, and returns the canonical bytes of what it says:
@@ -65,8 +65,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > configversion.SizeMost {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), configversion.SizeMost)
+	if info.Size() > configversion.MaxContentSize {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), configversion.MaxContentSize)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -76,8 +76,8 @@
 	if err == nil {
 		err = known.Check(content)
 	}
-	if err == nil && content.Size > configversion.SizeMost {
-		err = fmt.Errorf("%d bytes as they would travel, %d at most", content.Size, configversion.SizeMost)
+	if err == nil && content.Size > configversion.MaxContentSize {
+		err = fmt.Errorf("%d bytes as they would travel, %d at most", content.Size, configversion.MaxContentSize)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -124,17 +124,17 @@
 		replicas, len(list.Voters))
 }
 
-// Say has an operator's command about a version agreed. It returns the number of the version that
+// Execute has an operator's command about a version agreed. It returns the number of the version that
 // the command made, if it made one.
-func (a *Agent) Say(ctx context.Context, op configversion.Op) (uint64, error) {
-	if op.Do == "go-on" && op.Stage != configversion.All {
+func (a *Agent) Execute(ctx context.Context, op configversion.Command) (uint64, error) {
+	if op.Kind == "go-on" && op.Stage != configversion.StageAll {
 		list, err := a.memberList(ctx)
 		if err != nil {
 			return 0, err
 		}
 		op.Pilots = configversion.Pilots(op.Item, op.Number, op.Stage, memberIDs(&list))
 	}
-	return a.agreedNumber(ctx, op)
+	return a.executeNumbered(ctx, op)
 }
 
 func memberIDs(list *consensus.Membership) (ids []string) {
--- a/internal/controlplane/rollout/report.go
+++ b/internal/controlplane/rollout/report.go
@@ -10,16 +10,16 @@
 
 // report is a command that tells the fleet about a version, and the digest that it is about.
 type report struct {
-	op     configversion.Op
+	op     configversion.Command
 	digest string
 }
 
 // reportVersions tells the fleet what is in force here and what can't be, until the context ends.
 func (a *Agent) reportVersions(ctx context.Context) {
-	repeat(ctx, a.rules.Every/4, func() {
+	repeat(ctx, a.config.RenewInterval/4, func() {
 		for _, r := range a.pendingReports() {
 			failpoint.At("version-before-report")
-			err := a.command(ctx, r.op)
+			err := a.execute(ctx, r.op)
 			a.finishReport(r, err)
 		}
 	})
@@ -33,14 +33,14 @@
 		target := a.holder.Target(name)
 		if number >= target.Number && number > a.reported[name] {
 			all = append(all, report{
-				op:     configversion.Op{Do: "report", Item: name, Number: number},
+				op:     configversion.Command{Kind: "report", Item: name, Number: number},
 				digest: target.Digest,
 			})
 		}
-		why := a.holder.Refused(name, target.Digest)
-		if why != "" && !a.reportedRefusal[target.Digest] {
+		why := a.holder.RejectionReason(name, target.Digest)
+		if why != "" && !a.reportedRejections[target.Digest] {
 			all = append(all, report{
-				op:     configversion.Op{Do: "report", Item: name, Number: target.Number, Refused: true, Why: why},
+				op:     configversion.Command{Kind: "report", Item: name, Number: target.Number, Rejected: true, Why: why},
 				digest: target.Digest,
 			})
 		}
@@ -55,8 +55,8 @@
 	switch {
 	case err != nil:
 		a.log.Debug("fleet: versions: a report was not taken", "item", r.op.Item, "error", err)
-	case r.op.Refused:
-		a.reportedRefusal[r.digest] = true
+	case r.op.Rejected:
+		a.reportedRejections[r.digest] = true
 	default:
 		a.reported[r.op.Item] = max(a.reported[r.op.Item], r.op.Number)
 	}
@@ -73,7 +73,7 @@
 		if head == nil || *head == last {
 			return
 		}
-		if err := a.command(ctx, configversion.Op{Do: "head", Head: head}); err == nil {
+		if err := a.execute(ctx, configversion.Command{Kind: "head", Head: head}); err == nil {
 			last = *head
 		}
 	})
--- a/internal/controlplane/versions.go
+++ b/internal/controlplane/versions.go
@@ -17,7 +17,7 @@
 // Versions is what is agreed on what to act on, and who is behind.
 type Versions struct {
 	configversion.View
-	Behind []configversion.Behind `json:"behind"`
+	Behind []configversion.LaggingReplica `json:"behind"`
 }
 
 // versions answers a call about what the fleet acts on.
@@ -29,11 +29,11 @@
 		if err != nil {
 			return nil, err
 		}
-		return Versions{v, configversion.Stragglers(&v)}, nil
+		return Versions{v, configversion.LaggingReplicas(&v)}, nil
 	}
 	switch do, words := words[0], words[1:]; {
 	case do == "here" && len(words) == 0:
-		return n.agent.Here(), nil
+		return n.agent.Status(), nil
 	case do == "record" && len(words) == 1: // from a time, in microseconds since 1970
 		from, err := strconv.ParseInt(words[0], 10, 64)
 		if r := n.record.Load(); err == nil && r != nil {
@@ -49,19 +49,19 @@
 		defer cancel()
 		return n.agent.Propose(ctx, words[0], strings.Join(words[3:], " "), configversion.Stage(words[1]), lead)
 	case do == "shut" && len(words) >= 1: // ID WHY
-		return n.agent.Say(ctx, configversion.Op{Do: do, ID: words[0], Why: strings.Join(words[1:], " ")})
+		return n.agent.Execute(ctx, configversion.Command{Kind: do, ID: words[0], Why: strings.Join(words[1:], " ")})
 	case do == "let" && len(words) == 1:
-		return n.agent.Say(ctx, configversion.Op{Do: do, ID: words[0]})
+		return n.agent.Execute(ctx, configversion.Command{Kind: do, ID: words[0]})
 	case slices.Contains([]string{"go-on", "hold", "withdraw"}, do) && len(words) >= 2: // ITEM NUMBER STAGE or WHY
 		number, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return nil, fmt.Errorf("number %.20q: a whole number wanted", words[1])
 		}
-		op := configversion.Op{Do: do, Item: words[0], Number: number, Why: strings.Join(words[2:], " ")}
+		op := configversion.Command{Kind: do, Item: words[0], Number: number, Why: strings.Join(words[2:], " ")}
 		if do == "go-on" {
 			op.Stage, op.Why = configversion.Stage(op.Why), ""
 		}
-		return n.agent.Say(ctx, op)
+		return n.agent.Execute(ctx, op)
 	}
 	return nil, fmt.Errorf("unknown call versions %.64q; here, record FROM, propose ITEM STAGE LEAD FILE, go-on ITEM NUMBER STAGE, hold ITEM NUMBER WHY, withdraw ITEM NUMBER WHY, shut ID WHY or let ID", strings.Join(words, " "))
 }
--- a/internal/testing/audittest/audit_test.go
+++ b/internal/testing/audittest/audit_test.go
@@ -59,7 +59,7 @@
 	clustertest.Eventually(t, fmt.Sprintf("the end of %d", number), func() (bool, string) {
 		v, err := agreed(f, at)
 		one := version(&v, number)
-		return err == nil && one != nil && one.Until != 0 && v.At >= one.Until, fmt.Sprintf("%+v %v", one, err)
+		return err == nil && one != nil && one.ExpiresAt != 0 && v.At >= one.ExpiresAt, fmt.Sprintf("%+v %v", one, err)
 	})
 }
 
@@ -100,7 +100,7 @@
 		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
 		clustertest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
 		f.Record.AddLife(stopped, harness.Paused)
-		number = proposed(t, f, 0, configversion.All, plansText(f.Site, 0.25))
+		number = proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.25))
 		for i := range 3 {
 			acts(t, f, i, number)
 		}
@@ -142,7 +142,7 @@
 		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
 		clustertest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
 		f.Record.AddLife(stopped, harness.Paused)
-		number := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.5))
+		number := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.5))
 		ended(t, f, 0, number-1)
 		since := f.Record.Now()
 		clustertest.Check(t, f.Wake(stopped))
--- a/internal/testing/audittest/difference_test.go
+++ b/internal/testing/audittest/difference_test.go
@@ -13,7 +13,7 @@
 )
 
 // fetched is how contents came to a gateway's process since it started.
-func fetched(t *testing.T, f *testcluster.Fleet, i int) rollout.Fetched {
+func fetched(t *testing.T, f *testcluster.Fleet, i int) rollout.FetchStats {
 	t.Helper()
 	h, err := here(f, i)
 	clustertest.Check(t, err)
@@ -27,16 +27,16 @@
 	f := fleet(t, testcluster.Options{Instances: 4, Seed: 8})
 	const cut, killed = 3, 2
 	play(t, f, func() {
-		first := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.9))
+		first := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9))
 		for i := range f.Gateways {
 			acts(t, f, i, first)
 		}
 		f.Isolate(cut, true, true, true)
-		second := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.8))
+		second := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.8))
 		for i := range cut {
 			acts(t, f, i, second)
 		}
-		withdrawn := proposed(t, f, 1, configversion.All, plansText(f.Site, 0.7))
+		withdrawn := proposed(t, f, 1, configversion.StageAll, plansText(f.Site, 0.7))
 		var restored uint64
 		clustertest.Eventually(t, "it is withdrawn", func() (bool, string) {
 			err := f.Call(1, fmt.Sprintf("versions withdraw plans %d wrong terms", withdrawn), &restored)
@@ -50,12 +50,12 @@
 		ended(t, f, 0, withdrawn)
 		over := f.Record.Now()
 		for i := 1; i < len(f.Gateways); i++ {
-			if got := fetched(t, f, i); got.Whole > 1 || got.Deltas+got.Repairs == 0 {
+			if got := fetched(t, f, i); got.Full > 1 || got.Deltas+got.Repairs == 0 {
 				t.Errorf("%s fetched %+v", testcluster.Name(i), got)
 			}
 		}
 		clustertest.Check(t, f.End(killed, syscall.SIGKILL), f.Begin(killed))
-		last := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.6))
+		last := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.6))
 		for i := range f.Gateways {
 			acts(t, f, i, last)
 		}
@@ -65,7 +65,7 @@
 				t.Errorf("%s sent %d requests on by what was withdrawn", testcluster.Name(i), n)
 			}
 		}
-		if got := fetched(t, f, killed); got != (rollout.Fetched{Deltas: 1}) {
+		if got := fetched(t, f, killed); got != (rollout.FetchStats{Deltas: 1}) {
 			t.Errorf("%s fetched %+v after its start", testcluster.Name(killed), got)
 		}
 	})
--- a/internal/testing/audittest/fleet.go
+++ b/internal/testing/audittest/fleet.go
@@ -58,7 +58,7 @@
 }
 
 // here is what a gateway acts on.
-func here(f *testcluster.Fleet, at int) (h rollout.Here, err error) {
+func here(f *testcluster.Fleet, at int) (h rollout.Status, err error) {
 	return h, f.Call(at, "versions here", &h)
 }
 
--- a/internal/testing/audittest/hard_test.go
+++ b/internal/testing/audittest/hard_test.go
@@ -62,10 +62,10 @@
 	const cut = 3
 	play(t, f, func() {
 		for k, says := range []bool{true, false} {
-			before := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.9-0.1*float64(2*k)))
+			before := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9-0.1*float64(2*k)))
 			acts(t, f, cut, before)
 			f.Isolate(cut, says, true, true) // it hears nothing, and the second time it is heard
-			next := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.8-0.1*float64(2*k)))
+			next := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.8-0.1*float64(2*k)))
 			ended(t, f, 0, before)
 			over := f.Record.Now()
 			clustertest.Eventually(t, "it is shut out", func() (bool, string) {
@@ -92,7 +92,7 @@
 func TestWithdrawnWhileSomeHaveIt(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Seed: 2, Operators: strings.Replace(Text(), `settle = "300ms"`, `settle = "20s"`, 1)})
 	play(t, f, func() {
-		tried := proposed(t, f, 1, configversion.One, plansText(f.Site, 0.5))
+		tried := proposed(t, f, 1, configversion.StageOne, plansText(f.Site, 0.5))
 		pilot := -1
 		clustertest.Eventually(t, "the pilot has it", func() (bool, string) {
 			for i := range f.Gateways {
@@ -102,7 +102,7 @@
 			}
 			return pilot >= 0, ""
 		})
-		if _, err := propose(f, 2, configversion.All, 0, plansText(f.Site, 0.4)); err == nil || !strings.Contains(err.Error(), "under way") {
+		if _, err := propose(f, 2, configversion.StageAll, 0, plansText(f.Site, 0.4)); err == nil || !strings.Contains(err.Error(), "under way") {
 			t.Errorf("a second roll-out: %v", err)
 		}
 		clustertest.Eventually(t, "it acts on it", func() (bool, string) { return sentOn(f, pilot, 0, 1<<62) > 0, "" })
@@ -118,7 +118,7 @@
 		over := f.Record.Now()
 		v, err := agreed(f, 0)
 		clustertest.Check(t, err)
-		if one := version(&v, next); next != tried+1 || one.Restores != 1 || version(&v, tried).State != configversion.Withdrawn {
+		if one := version(&v, next); next != tried+1 || one.Restores != 1 || version(&v, tried).State != configversion.StateWithdrawn {
 			t.Errorf("%+v", v.Versions)
 		}
 		testcluster.Pass(t.Context(), time.Second)
@@ -143,7 +143,7 @@
 		for k, p := range points {
 			f.Gateways[victim].Expect(syscall.SIGKILL)
 			clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[victim].Dir(), "kill-"+p), nil, 0o600))
-			number := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.9-0.1*float64(k)))
+			number := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9-0.1*float64(k)))
 			clustertest.Eventually(t, "it dies at "+p, func() (bool, string) { return !f.Gateways[victim].Running(), "" })
 			f.Record.AddLife(victim, harness.Killed) // it died now, not when that was asked for
 			clustertest.Check(t, f.Begin(victim))
@@ -161,14 +161,14 @@
 		i, term := guide(t, f, 0)
 		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[i].Dir(), "stop"), nil, 0o600))
 		at := (i + 1) % 4
-		number := proposed(t, f, at, configversion.One, plansText(f.Site, 0.7))
+		number := proposed(t, f, at, configversion.StageOne, plansText(f.Site, 0.7))
 		clustertest.Eventually(t, "the guide stops itself", func() (bool, string) { return f.Stopped(i), "" })
 		f.Record.AddLife(i, harness.Paused)
 		guide(t, f, term)
 		clustertest.Eventually(t, "another has it go on", func() (bool, string) {
 			v, err := agreed(f, at)
 			one := version(&v, number)
-			return err == nil && one != nil && one.State == configversion.Whole, fmt.Sprintf("%+v %v", one, err)
+			return err == nil && one != nil && one.State == configversion.StateComplete, fmt.Sprintf("%+v %v", one, err)
 		})
 		clustertest.Check(t, f.Wake(i))
 		clustertest.Eventually(t, "the late word is refused", func() (bool, string) {
@@ -189,7 +189,7 @@
 	path := filepath.Join(controlplane.ContentsDir(f.FleetDir(3)), hex.EncodeToString(sum[:]))
 	clustertest.Check(t, os.WriteFile(path, []byte(plansText(f.Site, 6)), 0o600))
 	play(t, f, func() {
-		number := proposed(t, f, 0, configversion.All, text)
+		number := proposed(t, f, 0, configversion.StageAll, text)
 		acts(t, f, 3, number)
 		raw, err := os.ReadFile(path)
 		clustertest.Check(t, err)
@@ -207,7 +207,7 @@
 	var heads []auditlog.Head
 	clustertest.Check(t, f.Save(3))
 	play(t, f, func() {
-		number := proposed(t, f, 0, configversion.One, plansText(f.Site, 0.8))
+		number := proposed(t, f, 0, configversion.StageOne, plansText(f.Site, 0.8))
 		for i := range f.Gateways {
 			how := syscall.SIGTERM
 			if i%2 == 1 {
@@ -253,7 +253,7 @@
 	if len(bad) > 0 {
 		t.Errorf("%v", bad)
 	}
-	rows, _ := auditlog.Audit(good, (10 * time.Second).Microseconds())
+	rows, _ := auditlog.Summarize(good, (10 * time.Second).Microseconds())
 	if len(rows) == 0 {
 		t.Error("nobody acted on anything")
 	}
@@ -299,14 +299,14 @@
 			ids = append(ids, m.Member.ID)
 		}
 		var older int
-		_, err = fmt.Sscanf(configversion.Pilots("plans", 2, configversion.One, ids)[0], "n%d", &older)
+		_, err = fmt.Sscanf(configversion.Pilots("plans", 2, configversion.StageOne, ids)[0], "n%d", &older)
 		clustertest.Check(t, err, os.WriteFile(filepath.Join(f.Gateways[older].Dir(), "older"), nil, 0o600))
 		at := (older + 1) % 4
-		number := proposed(t, f, at, configversion.One, plansText(f.Site, 0.8))
+		number := proposed(t, f, at, configversion.StageOne, plansText(f.Site, 0.8))
 		clustertest.Eventually(t, "it is held", func() (bool, string) {
 			v, err := agreed(f, at)
 			one := version(&v, number)
-			return err == nil && one.State == configversion.Held && strings.Contains(one.Why, "can't read it"), fmt.Sprintf("%+v %v", one, err)
+			return err == nil && one.State == configversion.StatePaused && strings.Contains(one.Why, "can't read it"), fmt.Sprintf("%+v %v", one, err)
 		})
 		acts(t, f, older, 1)
 		clustertest.Check(t, f.Call(at, fmt.Sprintf("versions go-on plans %d all", number), nil))
@@ -341,7 +341,7 @@
 			acts(t, f, 3, 0)
 			clustertest.Check(t, f.Stop(3))
 			testcluster.Pass(t.Context(), Bound)
-			number := proposed(t, f, 0, configversion.All, plansText(f.Site, 0.9-0.1*float64(k)))
+			number := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9-0.1*float64(k)))
 			ended(t, f, 0, number-1)
 			over := f.Record.Now()
 			clustertest.Check(t, f.Wake(3))
@@ -352,8 +352,8 @@
 		}
 		h, err := here(f, 3)
 		clustertest.Check(t, err)
-		if h.Outs < flaps {
-			t.Errorf("it was out %d times", h.Outs)
+		if h.FencedCount < flaps {
+			t.Errorf("it was out %d times", h.FencedCount)
 		}
 	})
 	kept(t, f)
--- a/internal/testing/audittest/judge.go
+++ b/internal/testing/audittest/judge.go
@@ -96,14 +96,14 @@
 			killed++
 		}
 	}
-	n := int(told.Sent + told.Again)
+	n := int(told.Forwarded + told.Retries)
 	return max(0, took-n-killed), max(0, n-took)
 }
 
 // wrong are the rows of an audit that do not fit what the gateways logged when they changed: a version that was not in force there then.
-func wrong(rows []auditlog.Stretch, f *testcluster.Fleet, logs map[int][]span) (n int) {
+func wrong(rows []auditlog.Interval, f *testcluster.Fleet, logs map[int][]span) (n int) {
 	for _, row := range rows {
-		if row.Item != "plans" || row.Sent+row.Again == 0 {
+		if row.Item != "plans" || row.Forwarded+row.Retries == 0 {
 			continue
 		}
 		from := time.UnixMicro(row.From).Sub(f.Record.Began())
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -145,7 +145,7 @@
 			}
 			newest := uint64(0)
 			for _, one := range v.Versions {
-				if one.State == configversion.Whole {
+				if one.State == configversion.StateComplete {
 					newest = one.Number
 				}
 			}
@@ -187,9 +187,9 @@
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xad))
 	for testcluster.Pass(ctx, time.Duration(harness.Between(r, 1.5, 3.5)*float64(time.Second))) {
 		at := c.someone(r)
-		stage, factor := configversion.One, harness.Between(r, 0.5, 1)
+		stage, factor := configversion.StageOne, harness.Between(r, 0.5, 1)
 		if r.IntN(3) == 0 {
-			stage = configversion.All
+			stage = configversion.StageAll
 		}
 		lead := time.Duration(0)
 		if r.IntN(4) == 0 {
@@ -242,10 +242,10 @@
 	defer c.mu.Unlock()
 	c.heads = v.Heads
 	for _, one := range v.Versions {
-		if _, ok := c.whole[one.Number]; !ok && one.State == configversion.Whole && now > seen {
+		if _, ok := c.whole[one.Number]; !ok && one.State == configversion.StateComplete && now > seen {
 			c.whole[one.Number] = now - seen // it was by then, or a little later
 		}
-		if _, ok := c.ended[one.Number]; !ok && one.Until != 0 && v.At >= one.Until {
+		if _, ok := c.ended[one.Number]; !ok && one.ExpiresAt != 0 && v.At >= one.ExpiresAt {
 			c.ended[one.Number] = now
 			if k, ok := c.all[one.Number]; ok {
 				k.to = now
@@ -337,7 +337,7 @@
 		broken("record_broken", 1, "%s", d)
 	}
 	fig.Broken["record_broken"] += 0
-	rows, gaps := auditlog.Audit(good, (10 * time.Second).Microseconds())
+	rows, gaps := auditlog.Summarize(good, (10 * time.Second).Microseconds())
 	n := wrong(rows, c.f, logs)
 	broken("wrong_version", n, "%d stretches of the audit do not fit what was logged", n)
 	unseen := c.forge(wrote)
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -178,7 +178,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return 0, err
 	}
-	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planconfig.ItemName, configversion.All, file),
+	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planconfig.ItemName, configversion.StageAll, file),
 		&number)
 }
 
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -245,9 +245,9 @@
 		settings.Budgets, settings.BudgetShards = &r, c.Shards
 	}
 	if c.Parts.Configuration {
-		r := configversion.Defaults()
-		r.Margin = clockMargin
-		r.Enrol = max(r.Enrol, 4*r.Span)
+		r := configversion.DefaultConfig()
+		r.ClockDrift = clockMargin
+		r.EnrolmentTTL = max(r.EnrolmentTTL, 4*r.TTL)
 		settings.Versions, settings.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(g)}
 	}
 	g.node = controlplane.Start(settings)
--- a/sim/configversion/checks.go
+++ b/sim/configversion/checks.go
@@ -27,7 +27,7 @@
 
 // act carries out what was decided, after the last look at whether that is still permitted.
 func (w *World) act(m *member, now time.Duration, a act) {
-	if now >= a.by || m.holder.Acts(now) == 0 {
+	if now >= a.by || m.holder.LeasedUntil(now) == 0 {
 		return
 	}
 	for item, number := range m.holder.InForce() {
@@ -46,8 +46,8 @@
 	v := w.log.View(w.fleet)
 	for i := range v.Versions {
 		one := &v.Versions[i]
-		if a.number[one.Item] == one.Number && one.Until != 0 && w.fleet >= one.Until {
-			w.breach("acts_on_withdrawn", "%s acts on %s %d at %v of the fleet's time, it ended at %v", m.me(), one.Item, one.Number, w.fleet, one.Until)
+		if a.number[one.Item] == one.Number && one.ExpiresAt != 0 && w.fleet >= one.ExpiresAt {
+			w.breach("acts_on_withdrawn", "%s acts on %s %d at %v of the fleet's time, it ended at %v", m.me(), one.Item, one.Number, w.fleet, one.ExpiresAt)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // others act on.
 func (w *World) checkTerms(m *member, a act) {
 	for _, o := range w.members {
-		if o == m || o.dead || o.stopped || o.holder.Acts(w.clock(o)) == 0 {
+		if o == m || o.dead || o.stopped || o.holder.LeasedUntil(w.clock(o)) == 0 {
 			continue
 		}
 		for item, theirs := range o.holder.InForce() {
@@ -81,25 +81,25 @@
 func (w *World) end() {
 	v := w.log.View(w.fleet)
 	for _, one := range v.Versions {
-		if one.State == configversion.Whole {
+		if one.State == configversion.StateComplete {
 			w.res.Whole++
 		}
 	}
 	for _, m := range w.members {
-		w.res.Outs += int(m.holder.Outs())
+		w.res.Outs += int(m.holder.FencedCount())
 		if w.res.Breach != nil || m.dead {
 			continue
 		}
 		for _, one := range v.Versions {
-			if one.State != configversion.Whole || m.older && !m.reads(one.Digest) {
+			if one.State != configversion.StateComplete || m.older && !m.reads(one.Digest) {
 				continue
 			}
 			if has := m.holder.InForce()[one.Item]; has < one.Number {
-				w.breach("never_caught_up", "%s has %s %d, %d is for all: %s", m.me(), one.Item, has, one.Number, m.holder.Why(w.clock(m)))
+				w.breach("never_caught_up", "%s has %s %d, %d is for all: %s", m.me(), one.Item, has, one.Number, m.holder.FencedReason(w.clock(m)))
 			}
 		}
-		if m.holder.Acts(w.clock(m)) == 0 && !m.older {
-			w.breach("never_caught_up", "%s is still shut out: %s", m.me(), m.holder.Why(w.clock(m)))
+		if m.holder.LeasedUntil(w.clock(m)) == 0 && !m.older {
+			w.breach("never_caught_up", "%s is still shut out: %s", m.me(), m.holder.FencedReason(w.clock(m)))
 		}
 	}
 }
--- a/sim/configversion/faults.go
+++ b/sim/configversion/faults.go
@@ -18,14 +18,14 @@
 			m.stopped = false
 		}
 	case w.chance("stopped", 600):
-		m.stopped, m.wakes = true, w.now+time.Duration(w.r.Int64N(int64(3*w.rules.Span)))
+		m.stopped, m.wakes = true, w.now+time.Duration(w.r.Int64N(int64(3*w.rules.TTL)))
 	case w.chance("killed", 1500):
 		m.dead = true
 	case w.chance("left", 3000):
-		w.apply(m, configversion.Op{Do: "left"}, nil)
+		w.apply(m, configversion.Command{Kind: "left"}, nil)
 		m.dead = true
 	case m.cut <= w.now && w.chance("cut", 800):
-		m.cut = w.now + time.Duration(w.r.Int64N(int64(3*w.rules.Span)))
+		m.cut = w.now + time.Duration(w.r.Int64N(int64(3*w.rules.TTL)))
 	}
 	if w.calm {
 		m.cut = 0
--- a/sim/configversion/member.go
+++ b/sim/configversion/member.go
@@ -68,11 +68,11 @@
 // live plays one step of a member that runs.
 func (w *World) live(m *member) {
 	now := w.clock(m)
-	if now-m.asked >= w.rules.Every {
+	if now-m.asked >= w.rules.RenewInterval {
 		m.asked = now
 		w.ask(m, now)
 	}
-	for _, r := range m.holder.Wants() {
+	for _, r := range m.holder.MissingContents() {
 		w.want(m, now, r)
 	}
 	for _, item := range m.holder.Items() {
@@ -91,7 +91,7 @@
 		if !m.reads(r.Digest) {
 			why = "this program can't read it"
 		}
-		m.holder.Checked(r.Digest, why)
+		m.holder.ContentChecked(r.Digest, why)
 		return
 	}
 	if now < m.fetching[r.Digest] {
@@ -115,7 +115,7 @@
 
 // putInForce puts an item's target in force if it can be, by the tightest terms of those that bind.
 func (w *World) putInForce(m *member, now time.Duration, item string) {
-	to, beside, whole, ok := m.holder.Next(now, item)
+	to, beside, whole, ok := m.holder.NextToApply(now, item)
 	if !ok || !whole {
 		return
 	}
@@ -124,12 +124,12 @@
 		rate = min(rate, w.rates[b.Digest])
 	}
 	m.terms[item] = rate
-	m.holder.PutInForce(now, item, to.Number)
+	m.holder.SetInForce(now, item, to.Number)
 }
 
 // decide now and then decides a request, and has one that was decided earlier reach a server.
 func (w *World) decide(m *member, now time.Duration) {
-	if by := m.holder.Acts(now); by != 0 && w.r.IntN(4) == 0 {
+	if by := m.holder.LeasedUntil(now); by != 0 && w.r.IntN(4) == 0 {
 		m.hands = append(m.hands, act{m.holder.InForce(), by, maps.Clone(m.terms)})
 	}
 	if len(m.hands) > 0 && w.r.IntN(3) == 0 {
@@ -142,12 +142,12 @@
 // report tells the fleet what is in force, until that was agreed.
 func (m *member) report(w *World, item string) {
 	number := m.holder.InForce()[item]
-	if to, _, _, _ := m.holder.Next(1<<60, item); to.Number != 0 && number < to.Number {
+	if to, _, _, _ := m.holder.NextToApply(1<<60, item); to.Number != 0 && number < to.Number {
 		return
 	}
 	if number > m.told[item] && w.r.IntN(4) == 0 {
 		boot := m.boot
-		w.apply(m, configversion.Op{Do: "report", Item: item, Number: number}, func(r configversion.Result) {
+		w.apply(m, configversion.Command{Kind: "report", Item: item, Number: number}, func(r configversion.Result) {
 			if m.boot == boot && r.OK {
 				m.told[item] = max(m.told[item], number)
 			}
@@ -159,12 +159,12 @@
 func (w *World) ask(m *member, sent time.Duration) {
 	boot := m.boot
 	if m.enrols {
-		w.apply(m, configversion.Op{Do: "here", Gone: m.gone}, nil)
+		w.apply(m, configversion.Command{Kind: "here", EndedIncarnations: m.gone}, nil)
 		m.enrols = false
 	}
 	who := m.me()
 	w.send(m, nil, func() {
-		t := w.log.Tell(w.fleet, who)
+		t := w.log.LeaseFor(w.fleet, who)
 		raw, err := json.Marshal(t)
 		if err != nil {
 			w.breach("unreadable", "%v", err)
@@ -174,14 +174,14 @@
 			if m.boot != boot {
 				return
 			}
-			var t configversion.Told
+			var t configversion.LeaseResponse
 			_ = json.Unmarshal(raw, &t)
-			m.enrols = m.enrols || t.Enrol
-			m.holder.Hear(w.clock(m), sent, &t)
-			for _, g := range t.Target {
-				if why := m.holder.Refused(g.Item, g.Digest); why != "" && !m.refused[g.Digest] {
+			m.enrols = m.enrols || t.MustEnrol
+			m.holder.HandleLease(w.clock(m), sent, &t)
+			for _, g := range t.Targets {
+				if why := m.holder.RejectionReason(g.Item, g.Digest); why != "" && !m.refused[g.Digest] {
 					m.refused[g.Digest] = true
-					w.apply(m, configversion.Op{Do: "report", Item: g.Item, Number: g.Number, Refused: true, Why: why}, nil)
+					w.apply(m, configversion.Command{Kind: "report", Item: g.Item, Number: g.Number, Rejected: true, Why: why}, nil)
 				}
 			}
 		})
--- a/sim/configversion/network.go
+++ b/sim/configversion/network.go
@@ -27,14 +27,14 @@
 	for range n {
 		at := w.now + time.Duration(1+w.r.IntN(30))*time.Millisecond
 		if w.chance("late", 40) {
-			at = w.now + time.Duration(w.r.Int64N(int64(2*w.rules.Span)))
+			at = w.now + time.Duration(w.r.Int64N(int64(2*w.rules.TTL)))
 		}
 		w.net = append(w.net, message{at, to, do})
 	}
 }
 
 // apply has a command agreed. A session applies it once, however often it comes.
-func (w *World) apply(m *member, op configversion.Op, then func(configversion.Result)) {
+func (w *World) apply(m *member, op configversion.Command, then func(configversion.Result)) {
 	who, done := m.me(), false
 	w.send(m, nil, func() {
 		if done {
@@ -47,7 +47,7 @@
 			w.breach("unreadable", "%v", err)
 		}
 		if r.OK && op.Term != 0 && op.Term != w.term {
-			w.breach("two_guides", "%s %s %d under term %d, the newest is %d", op.Do, op.Item, op.Number, op.Term, w.term)
+			w.breach("two_guides", "%s %s %d under term %d, the newest is %d", op.Kind, op.Item, op.Number, op.Term, w.term)
 		}
 		w.seen()
 		if then != nil {
--- a/sim/configversion/rollouts.go
+++ b/sim/configversion/rollouts.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		v := w.log.View(w.fleet)
-		for _, op := range configversion.Guide(w.rules, w.term, &v) {
+		for _, op := range configversion.NextCommands(w.rules, w.term, &v) {
 			w.apply(m, op, nil)
 		}
 		return
@@ -30,15 +30,15 @@
 	}
 	item := names[w.r.IntN(items)]
 	last := w.newest(item)
-	if last != nil && last.State != configversion.Withdrawn && last.Number > 1 && w.r.IntN(3) == 0 {
-		w.apply(m, configversion.Op{Do: "withdraw", Item: item, Number: last.Number, Why: "drawn"}, func(r configversion.Result) {
+	if last != nil && last.State != configversion.StateWithdrawn && last.Number > 1 && w.r.IntN(3) == 0 {
+		w.apply(m, configversion.Command{Kind: "withdraw", Item: item, Number: last.Number, Why: "drawn"}, func(r configversion.Result) {
 			if r.OK {
 				w.res.Withdrawn++
 			}
 		})
 		return
 	}
-	op := configversion.Op{Do: "propose", Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: configversion.All}
+	op := configversion.Command{Kind: "propose", Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: configversion.StageAll}
 	if last != nil {
 		op.Number = last.Number
 	}
@@ -46,8 +46,8 @@
 		op.Lead = time.Duration(w.r.Int64N(int64(3 * time.Second)))
 	}
 	if w.r.IntN(2) == 0 {
-		op.Stage = configversion.One
-		op.Pilots = configversion.Pilots(item, op.Number+1, configversion.One, w.ids())
+		op.Stage = configversion.StageOne
+		op.Pilots = configversion.Pilots(item, op.Number+1, configversion.StageOne, w.ids())
 	}
 	m.content[op.Digest] = true
 	for k := range keepers { // most of those that vote keep it before it is proposed
--- a/sim/configversion/size.go
+++ b/sim/configversion/size.go
@@ -22,7 +22,7 @@
 func Measure(seed uint64, gateways, rollOuts int) (s Size) {
 	const each = 10 * time.Second
 	r := rand.New(rand.NewPCG(seed, 0x517e))
-	w := newWorld(r, configversion.Defaults(), gateways)
+	w := newWorld(r, configversion.DefaultConfig(), gateways)
 	w.calm, w.blind = true, true
 	for w.now < each { // all are enrolled
 		w.step(0)
@@ -30,7 +30,7 @@
 	words, bytes, entries, began := w.words, w.bytes, w.index, w.now
 	for k := range rollOuts {
 		m := w.members[r.IntN(gateways)]
-		op := configversion.Op{Do: "propose", Item: names[0], Number: uint64(k + 1), Digest: fmt.Sprintf("%016x%048x", r.Uint64(), 1), Size: 1, Stage: configversion.All}
+		op := configversion.Command{Kind: "propose", Item: names[0], Number: uint64(k + 1), Digest: fmt.Sprintf("%016x%048x", r.Uint64(), 1), Size: 1, Stage: configversion.StageAll}
 		for k := range keepers {
 			w.members[k].content[op.Digest] = true
 		}
--- a/sim/configversion/world.go
+++ b/sim/configversion/world.go
@@ -43,7 +43,7 @@
 // World is one play.
 type World struct {
 	r       *rand.Rand
-	rules   configversion.Rules
+	rules   configversion.Config
 	now     time.Duration // true time
 	fleet   time.Duration // the fleet's
 	pace    float64       // at which that goes
@@ -89,11 +89,11 @@
 // Play plays one schedule.
 func Play(seed uint64, gateways int, length time.Duration) Result {
 	r := rand.New(rand.NewPCG(seed, 0xa0d1))
-	rules := configversion.Defaults()
-	rules.Every = 200 * time.Millisecond
-	rules.Span = time.Duration(800+r.IntN(4000)) * time.Millisecond
-	rules.Enrol = 4*rules.Span + time.Duration(r.Int64N(int64(4*rules.Span)))
-	if err := rules.Check(); err != nil {
+	rules := configversion.DefaultConfig()
+	rules.RenewInterval = 200 * time.Millisecond
+	rules.TTL = time.Duration(800+r.IntN(4000)) * time.Millisecond
+	rules.EnrolmentTTL = 4*rules.TTL + time.Duration(r.Int64N(int64(4*rules.TTL)))
+	if err := rules.Validate(); err != nil {
 		panic(err)
 	}
 	w := newWorld(r, rules, gateways)
@@ -104,7 +104,7 @@
 	return w.res
 }
 
-func newWorld(r *rand.Rand, rules configversion.Rules, gateways int) *World {
+func newWorld(r *rand.Rand, rules configversion.Config, gateways int) *World {
 	w := &World{r: r, rules: rules, pace: 0.9 + 0.1*r.Float64(), digests: map[string]map[uint64]string{}, rates: map[string]float64{"": 50},
 		res: Result{Faults: map[string]int{}}}
 	w.log = configversion.NewMachine(rules, w)
