--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -167,7 +167,7 @@
 func (n *Node) transfer(ctx context.Context, duty, to string) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	raw, err := n.client.Propose(ctx, lease.MachineName, lease.Op{Action: "wish", Role: duty, To: lease.Member{ID: to}}.Encode())
+	raw, err := n.client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionRequestTransfer, Role: duty, To: lease.Member{ID: to}}.Encode())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/consensus/agree_test.go
+++ b/internal/controlplane/consensus/agree_test.go
@@ -91,7 +91,7 @@
 	who := []lease.Member{{ID: "owner", Incarnation: 1}, {ID: "other", Incarnation: 2}}
 	ask := func(i int) *controlpb.Answer {
 		seqs[i]++
-		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], AckedSeq: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Action: "ask", Role: "d", Term: 1}.Encode(),
+		return a.do(&controlpb.Command{Session: sessions[i], Seq: seqs[i], AckedSeq: seqs[i] - 1, Machine: lease.MachineName, Body: lease.Op{Action: lease.ActionAcquire, Role: "d", Term: 1}.Encode(),
 			Member: &controlpb.Member{Id: who[i].ID, Incarnation: who[i].Incarnation}})
 	}
 	for i := range who {
--- a/internal/controlplane/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -16,7 +16,7 @@
 func (r *runner) request(sent time.Duration, knows uint64, rank int) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.LeaseConfig.TTL)
 	defer cancel()
-	raw, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: "ask", Role: r.name, Term: knows}.Encode())
+	raw, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionAcquire, Role: r.name, Term: knows}.Encode())
 	var res lease.Result
 	if err == nil {
 		err = json.Unmarshal(raw, &res)
@@ -40,7 +40,7 @@
 	case r.holder.GaveUp(res.Lease.Term):
 		r.holder.Failed(now, sent, retryDelay)
 		go r.release(res.Lease.Term) // an earlier release got no answer
-	case r.holder.Granted(now, sent, res.Lease.Term, res.TTL, res.Lease.TransferTo):
+	case r.holder.Granted(now, sent, res.Lease.Term, res.TTL):
 		r.wish = res.Lease.TransferTo
 		r.scheduleEnd(r.holder.Remaining(now))
 		if r.cancel == nil || r.term != res.Lease.Term {
@@ -53,6 +53,6 @@
 func (r *runner) release(term uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.LeaseConfig.TTL)
 	defer cancel()
-	_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: "release", Role: r.name, Term: term}.Encode())
+	_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionRelease, Role: r.name, Term: term}.Encode())
 	r.set.opt.Log.Info("fleet: duty given up again", "duty", r.name, "term", term, "error", err)
 }
--- a/internal/controlplane/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -15,7 +15,7 @@
 	next, known := r.successor(ctx, to)
 	if to != "" && !known {
 		// That member takes no part: the wish is withdrawn, and the role stays here.
-		_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: "wish", Role: r.name}.Encode())
+		_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionRequestTransfer, Role: r.name}.Encode())
 		r.set.opt.Log.Warn("fleet: duty can't be handed on: no such gateway takes part", "duty", r.name, "to", to, "error", err)
 		return
 	}
@@ -32,9 +32,9 @@
 	case <-worked:
 	case <-time.After(stopTimeout):
 	}
-	op := lease.Op{Action: "release", Role: r.name, Term: term}
+	op := lease.Op{Action: lease.ActionRelease, Role: r.name, Term: term}
 	if known {
-		op.Action, op.To = "hand", next
+		op.Action, op.To = lease.ActionTransfer, next
 	}
 	_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, op.Encode())
 	r.mu.Lock()
--- a/internal/controlplane/lease/gate.go
+++ b/internal/controlplane/lease/gate.go
@@ -7,44 +7,48 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Gate is how a receiver tells a late word: it keeps the highest term that it has seen of each
-// duty, and whose that was. Where the receiver's effects last longer than its process, the gate has to be
-// kept with them (Snapshot, Restore), before the effect.
-type Gate struct{ seen map[string]word }
+// Gate is how a receiver rejects the effects of earlier leaders: it keeps the highest term that it
+// has seen of each role, and whose that was. Where the receiver's effects outlive its process, the
+// gate has to be stored with them (Snapshot, Restore), before the effect.
+type Gate struct {
+	seen map[string]seenTerm // by role
+}
 
-type word struct {
-	Term  uint64 `json:"term"`
-	Owner Member `json:"owner"`
+// seenTerm is the highest term seen of a role, and its holder.
+type seenTerm struct {
+	Term   uint64 `json:"term"`
+	Holder Member `json:"owner"`
 }
 
-// Admit takes in a word under a term, or refuses it with ErrTerm. changed tells that the gate has to be
-// kept anew before the word has its effect.
-func (g *Gate) Admit(duty string, term uint64, who Member) (changed bool, err error) {
-	last := g.seen[duty]
-	switch {
-	case term < last.Term:
-		return false, fmt.Errorf("%w: %s says term %d of %s, term %d was seen", ErrStaleTerm, who, term, duty, last.Term)
-	case term == last.Term && who != last.Owner:
-		return false, fmt.Errorf("%w: term %d of %s is %s's, not %s's", ErrStaleTerm, term, duty, last.Owner, who)
-	case term == last.Term:
+// Admit admits an effect that a member has under a term, or returns ErrStaleTerm. The result
+// changed reports that the gate has to be stored before the effect takes place.
+func (g *Gate) Admit(role string, term uint64, member Member) (changed bool, err error) {
+	last := g.seen[role]
+	if term < last.Term {
+		return false, fmt.Errorf("%w: %s says term %d of %s, term %d was seen",
+			ErrStaleTerm, member, term, role, last.Term)
+	}
+	if term == last.Term && member != last.Holder {
+		return false, fmt.Errorf("%w: term %d of %s is %s's, not %s's",
+			ErrStaleTerm, term, role, last.Holder, member)
+	}
+	if term == last.Term {
 		return false, nil
 	}
 	if g.seen == nil {
-		g.seen = map[string]word{}
+		g.seen = map[string]seenTerm{}
 	}
-	g.seen[duty] = word{term, who}
+	g.seen[role] = seenTerm{term, member}
 	return true, nil
 }
 
-// Snapshot writes the gate.
-func (g *Gate) Snapshot() []byte {
-	return mustjson.Marshal(g.seen)
-}
+// Snapshot returns the gate as JSON.
+func (g *Gate) Snapshot() []byte { return mustjson.Marshal(g.seen) }
 
-// Restore reads what Snapshot wrote.
-func (g *Gate) Restore(raw []byte) error {
-	var seen map[string]word
-	if err := json.Unmarshal(raw, &seen); err != nil {
+// Restore replaces the gate by that of a snapshot.
+func (g *Gate) Restore(snapshot []byte) error {
+	var seen map[string]seenTerm
+	if err := json.Unmarshal(snapshot, &seen); err != nil {
 		return fmt.Errorf("lease: gate: %w", err)
 	}
 	g.seen = seen
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -12,64 +12,68 @@
 const ms = time.Millisecond
 
 func TestTable(t *testing.T) {
-	tb := NewTable(Config{TTL: 100 * ms, ClockDriftBound: 0.1, OfferTTL: 20 * ms})
+	table := NewTable(Config{TTL: 100 * ms, ClockDriftBound: 0.1, OfferTTL: 20 * ms})
 	a, b := Member{"a", 1}, Member{"b", 1}
-	again := Member{"a", 2}
-	if h, err := tb.Acquire(0, "d", a, 0); err != nil || h.Term != 1 || h.ExpiresAt != 110*ms {
-		t.Fatalf("%+v, %v", h, err)
+	restarted := Member{"a", 2}
+	if l, err := table.Acquire(0, "d", a, 0); err != nil || l.Term != 1 || l.ExpiresAt != 110*ms {
+		t.Fatalf("%+v, %v", l, err)
 	}
-	// Another boot of the same id is another holder.
-	for _, who := range []Member{b, again} {
-		if _, err := tb.Acquire(110*ms, "d", who, 0); !errors.Is(err, ErrHeld) {
+	// Another incarnation of the same id is another member.
+	for _, who := range []Member{b, restarted} {
+		if _, err := table.Acquire(110*ms, "d", who, 0); !errors.Is(err, ErrHeld) {
 			t.Errorf("%v: %v", who, err)
 		}
 	}
-	if h, err := tb.Acquire(50*ms, "d", a, 1); err != nil || h.Term != 1 || h.ExpiresAt != 160*ms {
-		t.Errorf("renewed: %+v, %v", h, err)
+	if l, err := table.Acquire(50*ms, "d", a, 1); err != nil ||
+		l.Term != 1 || l.ExpiresAt != 160*ms {
+		t.Errorf("renewed: %+v, %v", l, err)
 	}
-	if h, err := tb.Acquire(161*ms, "d", b, 0); err != nil || h.Term != 2 || h.Cause != Expired {
-		t.Errorf("lapsed: %+v, %v", h, err)
+	if l, err := table.Acquire(161*ms, "d", b, 0); err != nil || l.Term != 2 || l.Cause != Expired {
+		t.Errorf("expired: %+v, %v", l, err)
 	}
-	if err := tb.Fence("d", 1, a); !errors.Is(err, ErrStaleTerm) {
+	if err := table.Fence("d", 1, a); !errors.Is(err, ErrStaleTerm) {
 		t.Errorf("an old term: %v", err)
 	}
-	if err := tb.Fence("d", 2, a); !errors.Is(err, ErrStaleTerm) {
+	if err := table.Fence("d", 2, a); !errors.Is(err, ErrStaleTerm) {
 		t.Errorf("another's term: %v", err)
 	}
-	if err := tb.Transfer(170*ms, "d", 2, b, again); err != nil {
+	if err := table.Transfer(170*ms, "d", 2, b, restarted); err != nil {
 		t.Fatal(err)
 	}
-	if err := tb.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
-		t.Errorf("after handing on: %v", err)
+	if err := table.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
+		t.Errorf("after the transfer: %v", err)
 	}
-	// An offer that is not taken up is free soon.
-	if _, err := tb.Acquire(190*ms, "d", b, 0); !errors.Is(err, ErrHeld) {
-		t.Errorf("amid the offer: %v", err)
+	// A lease that was transferred and is not confirmed is free soon.
+	if _, err := table.Acquire(190*ms, "d", b, 0); !errors.Is(err, ErrHeld) {
+		t.Errorf("before the offer has expired: %v", err)
 	}
-	if h, err := tb.Acquire(193*ms, "d", b, 0); err != nil || h.Term != 4 {
-		t.Errorf("after the offer: %+v, %v", h, err)
+	if l, err := table.Acquire(193*ms, "d", b, 0); err != nil || l.Term != 4 {
+		t.Errorf("after the offer has expired: %+v, %v", l, err)
 	}
-	if err := tb.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
-		t.Errorf("an owner's own older term: %v", err)
+	if err := table.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
+		t.Errorf("a holder's own older term: %v", err)
 	}
-	if err := tb.Release(194*ms, "d", 4, b); err != nil {
+	if err := table.Release(194*ms, "d", 4, b); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := tb.Acquire(194*ms, "d", a, 0); err != nil || h.Term != 6 || h.Cause != Acquired {
-		t.Errorf("after the release: %+v, %v", h, err)
+	if l, err := table.Acquire(194*ms, "d", a, 0); err != nil ||
+		l.Term != 6 || l.Cause != Acquired {
+		t.Errorf("after the release: %+v, %v", l, err)
 	}
-	if n := len(tb.History("d")); n != 6 {
-		t.Errorf("%d changes of hands", n)
+	if n := len(table.History("d")); n != 6 {
+		t.Errorf("%d changes of holder", n)
 	}
-	if err := tb.RequestTransfer("d", "b"); err != nil {
+	if err := table.RequestTransfer("d", "b"); err != nil {
 		t.Fatal(err)
 	}
-	copied := NewTable(tb.rules)
-	if err := copied.Restore(tb.Snapshot()); err != nil || string(copied.Snapshot()) != string(tb.Snapshot()) {
-		t.Errorf("%v: %s, %s", err, copied.Snapshot(), tb.Snapshot())
+	restored := NewTable(table.config)
+	err := restored.Restore(table.Snapshot())
+	if err != nil || string(restored.Snapshot()) != string(table.Snapshot()) {
+		t.Errorf("%v: %s, %s", err, restored.Snapshot(), table.Snapshot())
 	}
-	if _, err := tb.Acquire(400*ms, "d", b, 0); err != nil || tb.Leases()[0].TransferTo != "" {
-		t.Errorf("a wish outlived its term: %+v, %v", tb.Leases(), err)
+	if _, err := table.Acquire(400*ms, "d", b, 0); err != nil ||
+		table.Leases()[0].TransferTo != "" {
+		t.Errorf("a requested transfer outlived its term: %+v, %v", table.Leases(), err)
 	}
 }
 
@@ -81,118 +85,132 @@
 		who     Member
 		changed bool
 		ok      bool
-	}{{3, a, true, true}, {3, a, false, true}, {3, b, false, false}, {3, Member{"a", 2}, false, false}, {2, a, false, false}, {4, b, true, true}, {3, a, false, false}} {
+	}{
+		{3, a, true, true},
+		{3, a, false, true},
+		{3, b, false, false},
+		{3, Member{"a", 2}, false, false},
+		{2, a, false, false},
+		{4, b, true, true},
+		{3, a, false, false},
+	} {
 		changed, err := g.Admit("d", c.term, c.who)
 		if changed != c.changed || (err == nil) != c.ok {
 			t.Errorf("%d: %v, %v", i, changed, err)
 		}
-		var kept Gate
-		if err := kept.Restore(g.Snapshot()); err != nil {
+		var restored Gate
+		if err := restored.Restore(g.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
-		g = kept // a restart changes nothing
+		g = restored // a restart changes nothing
 	}
 }
 
-// process is a holder with a clock of its own.
+// process is a claimant with a clock of its own.
 type process struct {
-	h     *Claimant
-	me    Member
-	pace  float64
-	shift time.Duration
+	claimant *Claimant
+	self     Member
+	pace     float64
+	shift    time.Duration
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
 	return p.shift + time.Duration(float64(now)*p.pace)
 }
 
-// message is an asking or its answer under way.
+// message is a request or its answer in flight.
 type message struct {
-	to     int // process
-	asking bool
-	sent   time.Duration // by its clock
-	knows  uint64
-	span   time.Duration
-	h      Lease
-	err    error
+	process   int
+	isRequest bool
+	sentAt    time.Duration // by the process's clock
+	knownTerm uint64
+	ttl       time.Duration
+	lease     Lease
+	err       error
 }
 
-// Whatever messages take, are lost, doubled or overtaken, and at whatever pace within the margin the clocks go: no two
-// holders hold at one moment, and terms go up.
-func TestNoTwoHold(t *testing.T) {
+// However long messages take, whether they are lost, duplicated or reordered, and at whatever pace
+// within the clock-drift bound the clocks go: no two members hold the lease at one moment, and
+// terms only grow.
+func TestNoTwoMembersHoldTheLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := Config{TTL: 1000 * ms, ClockDriftBound: 0.125, OfferTTL: 200 * ms}
-		tb := NewTable(rules)
-		var ps []*process
+		config := Config{TTL: 1000 * ms, ClockDriftBound: 0.125, OfferTTL: 200 * ms}
+		table := NewTable(config)
+		var processes []*process
 		for i := range rapid.IntRange(2, 4).Draw(t, "processes") {
-			// The table's clock may be the fast one: it goes at 1, the slowest at 1/1.125.
-			p := &process{me: Member{fmt.Sprint(i), 1}, pace: rapid.Float64Range(1/1.125+0.001, 1.2).Draw(t, "pace"),
-				shift: time.Duration(rapid.IntRange(0, 30_000).Draw(t, "shift")) * ms}
-			p.h = NewClaimant(rules, "d", p.me)
-			ps = append(ps, p)
+			p := &process{
+				self: Member{fmt.Sprint(i), 1},
+				// The table's clock may be the fast one: it goes at 1, the slowest at 1/1.125.
+				pace:  rapid.Float64Range(1/1.125+0.001, 1.2).Draw(t, "pace"),
+				shift: time.Duration(rapid.IntRange(0, 30_000).Draw(t, "shift")) * ms,
+			}
+			p.claimant = NewClaimant(config, "d", p.self)
+			processes = append(processes, p)
 		}
-		var out []message
+		var inFlight []message
 		now := time.Duration(0)
-		var newest uint64
-		held := 0
+		var newestTerm uint64
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "passes")) * ms
-			p := ps[rapid.IntRange(0, len(ps)-1).Draw(t, "who")]
+			who := rapid.IntRange(0, len(processes)-1).Draw(t, "who")
+			p := processes[who]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				if ask, _ := p.h.Due(p.clock(now)); ask {
-					p.h.Sent(p.clock(now))
-					out = append(out, message{to: int(p.me.ID[0] - '0'), asking: true, sent: p.clock(now), knows: p.h.KnownTerm()})
+				if due, _ := p.claimant.Due(p.clock(now)); due {
+					p.claimant.Sent(p.clock(now))
+					inFlight = append(inFlight, message{
+						process: who, isRequest: true, sentAt: p.clock(now),
+						knownTerm: p.claimant.KnownTerm(),
+					})
 				}
 			case 2, 3:
-				if len(out) == 0 {
+				if len(inFlight) == 0 {
 					break
 				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "message")
-				m := out[i]
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")
+				m := inFlight[i]
 				if rapid.IntRange(0, 4).Draw(t, "doubled") > 0 {
-					out = append(out[:i], out[i+1:]...)
+					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				}
-				to := ps[m.to]
-				if m.asking {
-					m.asking = false
-					m.h, m.err = tb.Acquire(now, "d", to.me, m.knows)
-					m.span = tb.RemainingTTL(now, &m.h)
-					if m.err == nil && m.h.Term < newest {
-						t.Fatalf("term %d after %d", m.h.Term, newest)
+				to := processes[m.process]
+				if m.isRequest {
+					m.isRequest = false
+					m.lease, m.err = table.Acquire(now, "d", to.self, m.knownTerm)
+					m.ttl = table.RemainingTTL(now, &m.lease)
+					if m.err == nil && m.lease.Term < newestTerm {
+						t.Fatalf("term %d after %d", m.lease.Term, newestTerm)
 					}
-					newest = max(newest, m.h.Term)
-					out = append(out, m)
+					newestTerm = max(newestTerm, m.lease.Term)
+					inFlight = append(inFlight, m)
 				} else if m.err != nil {
-					to.h.Rejected(to.clock(now), m.sent, 10*ms, "held")
+					to.claimant.Rejected(to.clock(now), m.sentAt, 10*ms, "held")
 				} else {
-					to.h.Granted(to.clock(now), m.sent, m.h.Term, m.span, "")
+					to.claimant.Granted(to.clock(now), m.sentAt, m.lease.Term, m.ttl)
 				}
 			case 4:
-				if len(out) > 0 { // lost
-					out = out[1:]
+				if len(inFlight) > 0 { // lost
+					inFlight = inFlight[1:]
 				}
 			case 5:
-				if term, ok := p.h.Holds(p.clock(now)); ok {
-					to := ps[rapid.IntRange(0, len(ps)-1).Draw(t, "to")]
+				if term, ok := p.claimant.Holds(p.clock(now)); ok {
+					to := processes[rapid.IntRange(0, len(processes)-1).Draw(t, "to")]
 					if rapid.Bool().Draw(t, "release") {
-						if tb.Release(now, "d", term, p.me) == nil {
-							p.h.GiveUp(p.clock(now), 50*ms, "given up")
+						if table.Release(now, "d", term, p.self) == nil {
+							p.claimant.GiveUp(p.clock(now), 50*ms, "given up")
 						}
 					} else if to != p {
-						// the work has ended before it is handed on
-						p.h.GiveUp(p.clock(now), 50*ms, "handed on")
-						_ = tb.Transfer(now, "d", term, p.me, to.me)
+						// The work has ended before the lease is transferred.
+						p.claimant.GiveUp(p.clock(now), 50*ms, "transferred")
+						_ = table.Transfer(now, "d", term, p.self, to.self)
 					}
 				}
 			}
 			holders := 0
-			for _, p := range ps {
-				if _, ok := p.h.Holds(p.clock(now)); ok {
+			for _, p := range processes {
+				if _, ok := p.claimant.Holds(p.clock(now)); ok {
 					holders++
 				}
 			}
-			held = max(held, holders)
 			if holders > 1 {
 				t.Fatalf("%d hold at %v", holders, now)
 			}
@@ -200,86 +218,88 @@
 	})
 }
 
-// A holder that was stopped past its span knows so by its clock alone.
-func TestAHolderEndsByItself(t *testing.T) {
-	h := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
-	h.Sent(10 * ms)
-	if !h.Granted(60*ms, 10*ms, 1, 100*ms, "") {
+// A claimant that was suspended past its TTL knows so by its clock alone.
+func TestClaimantStopsByItself(t *testing.T) {
+	c := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
+	c.Sent(10 * ms)
+	if !c.Granted(60*ms, 10*ms, 1, 100*ms) {
 		t.Fatal("not held")
 	}
-	if _, ok := h.Holds(109 * ms); !ok {
+	if _, ok := c.Holds(109 * ms); !ok {
 		t.Error("ended early")
 	}
-	if _, ok := h.Holds(110 * ms); ok {
-		t.Error("holds past its span, counted from the sending")
+	if _, ok := c.Holds(110 * ms); ok {
+		t.Error("holds past its TTL, counted from the sending")
 	}
-	h.Sent(200 * ms)
-	if h.Granted(300*ms, 200*ms, 2, 100*ms, "") {
-		t.Error("an answer that came after its span is taken")
+	c.Sent(200 * ms)
+	if c.Granted(300*ms, 200*ms, 2, 100*ms) {
+		t.Error("an answer that came after its TTL is accepted")
 	}
 }
 
-// One that is heard and hears nobody does not keep a duty, and does not get it again at once.
-func TestADeafMemberDoesNotKeepADuty(t *testing.T) {
-	tb := NewTable(Config{TTL: 100 * ms, ClockDriftBound: 0.1, OfferTTL: 20 * ms})
-	deaf, other := Member{"deaf", 1}, Member{"other", 1}
+// A member whose requests arrive but that receives no answer does not keep a lease, and is not
+// granted it again at once.
+func TestMemberThatDoesNotConfirmIsExcluded(t *testing.T) {
+	table := NewTable(Config{TTL: 100 * ms, ClockDriftBound: 0.1, OfferTTL: 20 * ms})
+	unconfirming, other := Member{"unconfirming", 1}, Member{"other", 1}
 	for at := time.Duration(0); at < 110*ms; at += 10 * ms {
-		h, err := tb.Acquire(at, "d", deaf, 0)
-		if err != nil || h.Term != 1 || h.ExpiresAt != 110*ms {
-			t.Fatalf("%+v, %v", h, err)
+		l, err := table.Acquire(at, "d", unconfirming, 0)
+		if err != nil || l.Term != 1 || l.ExpiresAt != 110*ms {
+			t.Fatalf("%+v, %v", l, err)
 		}
 	}
-	if _, err := tb.Acquire(111*ms, "d", deaf, 0); !errors.Is(err, ErrExcluded) {
-		t.Errorf("given again: %v", err)
+	if _, err := table.Acquire(111*ms, "d", unconfirming, 0); !errors.Is(err, ErrExcluded) {
+		t.Errorf("granted again: %v", err)
 	}
-	if h, err := tb.Acquire(112*ms, "d", other, 0); err != nil || h.Term != 2 {
-		t.Errorf("%+v, %v", h, err)
+	if l, err := table.Acquire(112*ms, "d", other, 0); err != nil || l.Term != 2 {
+		t.Errorf("%+v, %v", l, err)
 	}
-	if h, err := tb.Acquire(150*ms, "d", other, 2); err != nil || h.Unconfirmed || h.ExpiresAt != 260*ms {
-		t.Errorf("renewed: %+v, %v", h, err)
+	if l, err := table.Acquire(150*ms, "d", other, 2); err != nil ||
+		l.Unconfirmed || l.ExpiresAt != 260*ms {
+		t.Errorf("renewed: %+v, %v", l, err)
 	}
 }
 
-// A term that was given up is never held again, whatever answers are still on their way.
-func TestAGivenUpTermStaysSo(t *testing.T) {
-	h := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
-	h.Sent(0)
-	h.Granted(10*ms, 0, 3, 100*ms, "")
-	h.Sent(30 * ms)
-	h.GiveUp(40*ms, 0, "handed on")
-	if h.Granted(50*ms, 30*ms, 3, 100*ms, "") {
+// A term that was given up is never held again, whatever answers are still in flight.
+func TestGivenUpTermIsNotHeldAgain(t *testing.T) {
+	c := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
+	c.Sent(0)
+	c.Granted(10*ms, 0, 3, 100*ms)
+	c.Sent(30 * ms)
+	c.GiveUp(40*ms, 0, "transferred")
+	if c.Granted(50*ms, 30*ms, 3, 100*ms) {
 		t.Error("held again by a late renewal")
 	}
-	if !h.GaveUp(3) || h.GaveUp(4) {
-		t.Error("what was given up")
+	if !c.GaveUp(3) || c.GaveUp(4) {
+		t.Error("GaveUp is wrong about what was given up")
 	}
-	if !h.Granted(60*ms, 55*ms, 4, 100*ms, "") {
+	if !c.Granted(60*ms, 55*ms, 4, 100*ms) {
 		t.Error("the next term is not held")
 	}
 }
 
-// Duties are spread evenly, and a member that goes moves its own alone.
+// Roles are spread evenly, and when a member leaves only its own roles move.
 func TestRank(t *testing.T) {
 	ids := make([]string, 20)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("n%d", i)
 	}
-	first := func(duty string, ids []string) string {
+	first := func(role string, ids []string) string {
 		for _, id := range ids {
-			if Rank(duty, id, ids) == 0 {
+			if Rank(role, id, ids) == 0 {
 				return id
 			}
 		}
-		t.Fatalf("nobody is first for %s", duty)
+		t.Fatalf("nobody is first for %s", role)
 		return ""
 	}
 	count := map[string]int{}
 	for i := range 2000 {
-		duty := fmt.Sprintf("use/%d", i)
-		was := first(duty, ids)
+		role := fmt.Sprintf("use/%d", i)
+		was := first(role, ids)
 		count[was]++
-		if now := first(duty, ids[1:]); was != ids[0] && now != was {
-			t.Fatalf("%s moved from %s to %s", duty, was, now)
+		if now := first(role, ids[1:]); was != ids[0] && now != was {
+			t.Fatalf("%s moved from %s to %s", role, was, now)
 		}
 	}
 	for id, n := range count {
--- a/internal/controlplane/lease/machine.go
+++ b/internal/controlplane/lease/machine.go
@@ -8,113 +8,150 @@
 	"mothcleat/internal/mustjson"
 )
 
-// MachineName is what the agreed state calls the duties.
+// MachineName is the name of this state machine in the replicated state.
 const MachineName = "duties"
 
-// Op is one command to the agreed table of duties.
+// Action is what an Op does. Its values are stored in the log.
+type Action string
+
+const (
+	// ActionAcquire calls Table.Acquire for the member that sends the command.
+	ActionAcquire Action = "ask"
+	// ActionRelease calls Table.Release.
+	ActionRelease Action = "release"
+	// ActionTransfer calls Table.Transfer.
+	ActionTransfer Action = "hand"
+	// ActionRequestTransfer calls Table.RequestTransfer.
+	ActionRequestTransfer Action = "wish"
+)
+
+// Op is one command to the replicated table of leases.
 type Op struct {
-	Action string `json:"do"` // ask, release, hand or wish
+	Action Action `json:"do"`
 	Role   string `json:"duty"`
-	Term   uint64 `json:"term,omitempty"` // of an ask: the newest that the asker has heard that it holds
-	To     Member `json:"to,omitzero"`    // of a hand: who; of a wish: its id
+	// Term is the term that the sender holds; for ActionAcquire the newest that it knows it holds.
+	Term uint64 `json:"term,omitempty"`
+	// To is whom ActionTransfer grants the lease; for ActionRequestTransfer only its id counts.
+	To Member `json:"to,omitzero"`
 }
 
-// Result is what becomes of an Op.
+// Result is the answer to an Op.
 type Result struct {
-	OK        bool          `json:"ok"`
-	Reason    string        `json:"why,omitempty"`
-	Lease     Lease         `json:"holding,omitzero"`
-	Remaining time.Duration `json:"left,omitempty"` // of another's holding, by the fleet's time
-	TTL       time.Duration `json:"span,omitempty"` // see Table.SpanOf
+	OK     bool   `json:"ok"`
+	Reason string `json:"why,omitempty"`    // why it is not OK
+	Lease  Lease  `json:"holding,omitzero"` // as it is after an ActionAcquire
+	// Remaining is how long another's lease or the sender's exclusion still lasts, by the fleet's
+	// time.
+	Remaining time.Duration `json:"left,omitempty"`
+	TTL       time.Duration `json:"span,omitempty"` // see Table.RemainingTTL
 }
 
-// Encode writes an Op.
+// unknownCommand is the reason of the Result of a command that can't be read.
+const unknownCommand = "no such command to duties"
+
+// Encode returns the command as JSON.
 func (o Op) Encode() []byte { return mustjson.Marshal(o) }
 
-// Machine is a Table as a part of the agreed state.
+// Machine is a Table as a state machine of the replicated state.
 type Machine struct {
 	*Table
 	changes uint64
 }
 
-// NewMachine is a machine around a new table.
-func NewMachine(r Config) *Machine { return &Machine{Table: NewTable(r)} }
+// NewMachine returns a state machine with an empty table.
+func NewMachine(config Config) *Machine { return &Machine{Table: NewTable(config)} }
 
-// Apply carries an Op out and gives a Result.
-func (m *Machine) Apply(at time.Duration, _ uint64, who Member, body []byte) []byte {
+// Apply applies an Op and returns a Result, both as JSON.
+func (m *Machine) Apply(now time.Duration, _ uint64, member Member, body []byte) []byte {
 	var op Op
 	if err := json.Unmarshal(body, &op); err != nil || op.Role == "" {
-		return mustjson.Marshal(Result{Reason: "no such command to duties"})
+		return mustjson.Marshal(Result{Reason: unknownCommand})
 	}
-	before := m.Term(op.Role)
-	var h Lease
+	termBefore := m.Term(op.Role)
+	var l Lease
 	var err error
 	switch op.Action {
-	case "ask":
-		offered := m.duties[op.Role] != nil && m.duties[op.Role].Unconfirmed
-		if h, err = m.Acquire(at, op.Role, who, op.Term); offered && err == nil && !h.Unconfirmed {
-			m.changes++ // it was heard of
-		}
-	case "release":
-		err = m.Release(at, op.Role, op.Term, who)
-	case "hand":
-		err = m.Transfer(at, op.Role, op.Term, who, op.To)
-	case "wish":
-		if err = m.Table.RequestTransfer(op.Role, op.To.ID); err == nil {
+	case ActionAcquire:
+		l, err = m.acquire(now, member, &op)
+	case ActionRelease:
+		err = m.Release(now, op.Role, op.Term, member)
+	case ActionTransfer:
+		err = m.Transfer(now, op.Role, op.Term, member, op.To)
+	case ActionRequestTransfer:
+		err = m.RequestTransfer(op.Role, op.To.ID)
+		if err == nil {
 			m.changes++
 		}
 	default:
-		return mustjson.Marshal(Result{Reason: "no such command to duties"})
+		return mustjson.Marshal(Result{Reason: unknownCommand})
+	}
+	if m.Term(op.Role) != termBefore {
+		m.changes++
 	}
-	if m.Term(op.Role) != before {
+	return mustjson.Marshal(m.result(now, &op, l, err))
+}
+
+// acquire applies an ActionAcquire. That a holder confirms its grant counts as a change.
+func (m *Machine) acquire(now time.Duration, member Member, op *Op) (Lease, error) {
+	before := m.leases[op.Role]
+	wasUnconfirmed := before != nil && before.Unconfirmed
+	l, err := m.Acquire(now, op.Role, member, op.Term)
+	if wasUnconfirmed && err == nil && !l.Unconfirmed {
 		m.changes++
 	}
-	r := Result{OK: err == nil, Lease: h}
-	switch {
-	case errors.Is(err, ErrExcluded):
-		r.Reason, r.Remaining = err.Error(), h.ExcludedUntil-at
-	case err != nil:
-		r.Reason, r.Remaining = err.Error(), h.ExpiresAt-at
-	case op.Action == "ask":
-		r.TTL = m.RemainingTTL(at, &h)
+	return l, err
+}
+
+// result returns the answer to a command that has led to a lease or an error.
+func (m *Machine) result(now time.Duration, op *Op, l Lease, err error) Result {
+	r := Result{OK: err == nil, Lease: l}
+	if err != nil {
+		r.Reason = err.Error()
+		r.Remaining = l.ExpiresAt - now
+		if errors.Is(err, ErrExcluded) {
+			r.Remaining = l.ExcludedUntil - now
+		}
+	} else if op.Action == ActionAcquire {
+		r.TTL = m.RemainingTTL(now, &l)
 	}
-	return mustjson.Marshal(r)
+	return r
 }
 
-// RejectEarly answers an asking for what another holds without an entry.
-func (m *Machine) RejectEarly(at time.Duration, who Member, body []byte) ([]byte, bool) {
+// RejectEarly returns the answer to a request for a lease that another member holds, so that it
+// needs no entry in the log.
+func (m *Machine) RejectEarly(now time.Duration, member Member, body []byte) ([]byte, bool) {
 	var op Op
-	if json.Unmarshal(body, &op) != nil || op.Action != "ask" {
+	if json.Unmarshal(body, &op) != nil || op.Action != ActionAcquire {
 		return nil, false
 	}
-	h, held := m.HeldByOther(at, op.Role, who)
+	l, held := m.HeldByOther(now, op.Role, member)
 	if !held {
 		return nil, false
 	}
-	return mustjson.Marshal(Result{Reason: ErrHeld.Error(), Lease: h, Remaining: h.ExpiresAt - at}), true
+	return mustjson.Marshal(m.result(now, &op, l, ErrHeld)), true
 }
 
-// View is what Query gives.
+// View is the answer to a Query.
 type View struct {
-	At      time.Duration `json:"at"`
+	At      time.Duration `json:"at"` // the fleet's time
 	Leases  []Lease       `json:"duties"`
 	History []Lease       `json:"history,omitempty"`
 }
 
-// Query gives a View, with the history of the duty that the body names.
-func (m *Machine) Query(at time.Duration, body []byte) []byte {
-	v := View{At: at, Leases: m.Leases()}
+// Query returns a View as JSON, with the history of the role that the body names.
+func (m *Machine) Query(now time.Duration, body []byte) []byte {
+	v := View{At: now, Leases: m.Leases()}
 	if len(body) > 0 {
 		v.History = m.History(string(body))
 	}
 	return mustjson.Marshal(v)
 }
 
-// Changes counts the changes of owners, for those who watch.
+// Changes counts the changes of leases, so that watchers are notified of them.
 func (m *Machine) Changes() uint64 { return m.changes }
 
-// Restore reads what Snapshot wrote; those who watch are to look anew.
-func (m *Machine) Restore(raw []byte) error {
+// Restore replaces the state by that of a snapshot, and counts as a change.
+func (m *Machine) Restore(snapshot []byte) error {
 	m.changes++
-	return m.Table.Restore(raw)
+	return m.Table.Restore(snapshot)
 }
--- a/sim/election/procs.go
+++ b/sim/election/procs.go
@@ -207,7 +207,7 @@
 		return
 	}
 	m.holder.Sent(now)
-	body := lease.Op{Action: "ask", Role: duty, Term: m.holder.KnownTerm()}.Encode()
+	body := lease.Op{Action: lease.ActionAcquire, Role: duty, Term: m.holder.KnownTerm()}.Encode()
 	m.do(lease.MachineName, body, func(answer []byte, ok bool) {
 		var res lease.Result
 		switch {
@@ -217,9 +217,9 @@
 			m.holder.Rejected(m.p.clock(), now, min(500*ms, max(10*ms, res.Remaining)), res.Reason)
 		case m.holder.GaveUp(res.Lease.Term):
 			m.holder.Failed(m.p.clock(), now, 100*ms)
-			m.do(lease.MachineName, lease.Op{Action: "release", Role: duty, Term: res.Lease.Term}.Encode(), func([]byte, bool) {})
+			m.do(lease.MachineName, lease.Op{Action: lease.ActionRelease, Role: duty, Term: res.Lease.Term}.Encode(), func([]byte, bool) {})
 		default:
-			m.holder.Granted(m.p.clock(), now, res.Lease.Term, res.TTL, res.Lease.TransferTo)
+			m.holder.Granted(m.p.clock(), now, res.Lease.Term, res.TTL)
 		}
 	})
 	m.p.on(20*ms, m.loop)
@@ -246,9 +246,9 @@
 		return
 	}
 	if w.r.IntN(25) == 0 {
-		op := lease.Op{Action: "release", Role: duty, Term: term}
+		op := lease.Op{Action: lease.ActionRelease, Role: duty, Term: term}
 		if to := w.procs[w.o.Voters+w.r.IntN(w.o.Members)].member; to != m && w.r.IntN(2) == 0 {
-			op.Action, op.To = "hand", to.me
+			op.Action, op.To = lease.ActionTransfer, to.me
 		}
 		m.holder.GiveUp(m.p.clock(), 300*ms, "given up")
 		m.do(lease.MachineName, op.Encode(), func([]byte, bool) {})
