--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -12,24 +12,28 @@
 	"mothcleat/sim/distribution"
 )
 
-// distributionsearch looks for faults by which a gateway is given a state that was not agreed, or misses one.
+// distributionsearch looks for faults by which a gateway is given a state that was not agreed, or
+// misses one.
 func (b *bench) distributionsearch() *cobra.Command {
 	return b.play("distributionsearch", "looks in virtual time for faults by which a gateway has a wrong or an old list of servers, and for wrong variants", 30*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
-			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
+			wrong := f.Bool("mutants", true,
+				"search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 400, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
+					checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := distribution.Search(limited, seed, *most)
 				figures := distributionFigures(seed, &found)
 				if *wrong {
-					if err := b.mutants(ctx, figures, mutants.Distribution, seed, *plays); err != nil {
+					if err := b.mutants(ctx, figures, mutants.Distribution, seed,
+						*plays); err != nil {
 						return figures, err
 					}
 				}
@@ -47,15 +51,16 @@
 }
 
 // distributionFigures tells what a search came to.
-func distributionFigures(seed uint64, found *distribution.Found) *harness.Figures {
-	figures := harness.NewFigures("distributionsearch", seed)
+func distributionFigures(seed uint64, found *distribution.Found) *harness.Summary {
+	figures := harness.NewSummary("distributionsearch", seed)
 	figures.Seconds = found.Took.Seconds()
 	var findings []distributionFinding
 	for _, x := range found.Findings {
 		rule := string(x.Breach.What)
-		findings = append(findings, distributionFinding{rule, x.Breach.How + " at " + x.Breach.At, x.After, x})
+		findings = append(findings,
+			distributionFinding{rule, x.Breach.How + " at " + x.Breach.At, x.After, x})
 		figures.Broken[harness.Rule(rule)]++
-		figures.Miss(rule + ": " + x.Breach.How)
+		figures.AddFailure(rule + ": " + x.Breach.How)
 	}
 	figures.Extra["schedules"], figures.Extra["findings"], figures.Extra["faults"] = found.Plays, findings, found.Faults
 	figures.Extra["revisions"], figures.Extra["deliveries"] = found.Revisions, found.Delivered
@@ -63,7 +68,7 @@
 	figures.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 	for _, kind := range distribution.Kinds {
 		if found.Faults[kind] == 0 {
-			figures.Miss("no fault " + kind + ": nothing was shown")
+			figures.AddFailure("no fault " + kind + ": nothing was shown")
 		}
 	}
 	return figures
--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -29,19 +29,32 @@
 		o, f := sim.Options{}, c.Flags()
 		f.IntVar(&o.Gateways, "gateways", 40, "of the fleet")
 		f.IntVar(&o.Servers, "servers", 12, "quote servers")
-		f.Float64Var(&o.Load, "load", 0.55, "part of what the servers can do that is asked inside the quotas")
-		f.Float64Var(&o.PerSecond, "per-second", 0, "requests a second inside the quotas: work is made lighter or heavier for it")
-		f.IntVar(&o.Customers, "customers", 0, "about so many: plans are made larger or smaller for it")
-		f.IntVar(&o.Spread, "spread", 0, "gateways that every customer comes through; 0: 2 to 4, as drawn")
-		f.Float64Var(&o.Surge, "surge", 0, "one plan's customers ask for so many times more in the middle third")
-		f.Float64Var(&o.NoteLoss, "loss", -1, "part of the notes between gateways that is lost; -1: as drawn")
+		f.Float64Var(&o.Load, "load", 0.55,
+			"part of what the servers can do that is asked inside the quotas")
+		f.Float64Var(&o.PerSecond, "per-second", 0,
+			"requests a second inside the quotas: work is made lighter or heavier for it")
+		f.IntVar(&o.Customers, "customers", 0,
+			"about so many: plans are made larger or smaller for it")
+		f.IntVar(&o.Spread, "spread", 0,
+			"gateways that every customer comes through; 0: 2 to 4, as drawn")
+		f.Float64Var(&o.Surge, "surge", 0,
+			"one plan's customers ask for so many times more in the middle third")
+		f.Float64Var(&o.NoteLoss, "loss", -1,
+			"part of the notes between gateways that is lost; -1: as drawn")
 		f.DurationVar(&o.NoteLate, "late", 0, "how much later than usual notes come")
 		f.Float64Var(&o.NoteTwice, "twice", 0, "part of the notes that come twice")
-		f.DurationVar(&o.Shift, "shift", 0, "how often a customer's busiest gateway changes; 0: 15s")
+		f.DurationVar(&o.Shift, "shift", 0,
+			"how often a customer's busiest gateway changes; 0: 15s")
 		f.DurationVar(&o.Kills, "kills", 0, "a gateway is killed each so often")
-		f.DurationVar(&o.Restarts, "restarts", 0, "a server ends, and comes back cold, each so often")
-		f.BoolVar(&o.State, "state", false, "gateways keep their state, and killed ones come back with it")
-		world := f.String("world", "", "a file with a schedule as the search prints it, - for standard input; all other flags are passed over")
+		f.DurationVar(&o.Restarts, "restarts", 0,
+			"a server ends, and comes back cold, each so often")
+		f.BoolVar(&o.State, "state", false,
+			"gateways keep their state, and killed ones come back with it")
+		world := f.String(
+			"world",
+			"",
+			"a file with a schedule as the search prints it, - for standard input; all other flags are passed over",
+		)
 		check := func() error {
 			if *world != "" {
 				return nil
@@ -50,7 +63,7 @@
 			t.Seed, t.For = 1, time.Second
 			return t.Check()
 		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 			o.Seed, o.For = seed, length
 			if *world != "" {
 				s, err := readSchedule(*world)
@@ -83,12 +96,14 @@
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many at most")
-			wrong := f.Bool("mutants", true, "search wrong variants of the decisions as well; needs Go and the sources")
+			wrong := f.Bool("mutants", true,
+				"search wrong variants of the decisions as well; needs Go and the sources")
 			each := f.Int("mutant-schedules", 1500, "so many at most for each of them")
 			check := func() error {
-				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *each, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
+					checkRange("mutant-schedules", *each, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				began := time.Now()
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
@@ -96,13 +111,19 @@
 				if err != nil {
 					return nil, err
 				}
-				fig := harness.NewFigures("search", seed)
+				fig := harness.NewSummary("search", seed)
 				fig.Seconds = time.Since(began).Seconds()
 				fig.Extra["schedules"], fig.Extra["states"], fig.Extra["found"], fig.Extra["findings"] = found.Schedules, found.States, len(found.Findings), found.Findings
 				for _, x := range found.Findings {
 					fig.Broken[harness.Rule(x.Rule)]++
-					fig.Miss(x.Rule + ": " + x.What)
-					fmt.Fprintf(b.progress, "%s: %s\nplay it again with: lab sim --world - <<< '%s'\n", x.Rule, x.What, x.Schedule)
+					fig.AddFailure(x.Rule + ": " + x.What)
+					fmt.Fprintf(
+						b.progress,
+						"%s: %s\nplay it again with: lab sim --world - <<< '%s'\n",
+						x.Rule,
+						x.What,
+						x.Schedule,
+					)
 				}
 				if *wrong {
 					if err := b.mutants(ctx, fig, mutants.List, seed, *each); err != nil {
@@ -121,17 +142,19 @@
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
 			each := f.Duration("each", 15*time.Second, "virtual time of a play, 1s to 10m")
-			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
+			wrong := f.Bool("mutants", true,
+				"search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 3000, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000),
+				return errors.Join(checkRange("schedules", *most, 1,
+					100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000),
 					checkRange("each", each.Seconds(), 1, 600))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := election.Search(limited, seed, *most, *each)
-				fig := harness.NewFigures("ownersearch", seed)
+				fig := harness.NewSummary("ownersearch", seed)
 				fig.Seconds = found.Took.Seconds()
 				type finding struct {
 					Rule    string           `json:"rule"`
@@ -141,16 +164,21 @@
 				}
 				var all []finding
 				for _, x := range found.Findings {
-					all = append(all, finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x.Options})
+					all = append(
+						all,
+						finding{
+							x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x.Options,
+						},
+					)
 					fig.Broken[harness.Rule(x.Breach.What)]++
-					fig.Miss(x.Breach.What + ": " + x.Breach.How)
+					fig.AddFailure(x.Breach.What + ": " + x.Breach.How)
 				}
 				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["acknowledged"] = found.Plays, all, found.Faults, found.Acked
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 				fig.Extra["events_per_second"] = float64(found.Events) / found.Took.Seconds()
 				for _, k := range election.Kinds {
 					if found.Faults[k] == 0 {
-						fig.Miss("no " + k + ": nothing was shown")
+						fig.AddFailure("no " + k + ": nothing was shown")
 					}
 				}
 				if *wrong {
@@ -169,16 +197,18 @@
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
-			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
+			wrong := f.Bool("mutants", true,
+				"search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 8000, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
+					checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := allocation.Search(limited, seed, *most)
-				fig := harness.NewFigures("budgetsearch", seed)
+				fig := harness.NewSummary("budgetsearch", seed)
 				fig.Seconds = found.Took.Seconds()
 				type finding struct {
 					Rule string             `json:"rule"`
@@ -187,16 +217,17 @@
 				}
 				var all []finding
 				for _, x := range found.Findings {
-					all = append(all, finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x})
+					all = append(all,
+						finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x})
 					fig.Broken[harness.Rule(x.Breach.What)]++
-					fig.Miss(x.Breach.What + ": " + x.Breach.How)
+					fig.AddFailure(x.Breach.What + ": " + x.Breach.How)
 				}
 				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["rounds"] = found.Plays, all, found.Faults, found.Rounds
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 				fig.Extra["events_per_second"] = float64(found.Events) / found.Took.Seconds()
 				for _, k := range allocation.Kinds {
 					if found.Faults[k] == 0 {
-						fig.Miss("no fault " + k + ": nothing was shown")
+						fig.AddFailure("no fault " + k + ": nothing was shown")
 					}
 				}
 				if *wrong {
@@ -215,16 +246,18 @@
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
-			wrong := f.Bool("mutants", true, "search wrong variants as well; needs Go and the sources")
+			wrong := f.Bool("mutants", true,
+				"search wrong variants as well; needs Go and the sources")
 			plays := f.Int("mutant-schedules", 2000, "so many plays at most for each of them")
 			check := func() error {
-				return errors.Join(checkRange("schedules", *most, 1, 100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000))
+				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
+					checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := configversion.Search(limited, seed, *most)
-				fig := harness.NewFigures("auditsearch", seed)
+				fig := harness.NewSummary("auditsearch", seed)
 				fig.Seconds = found.Took.Seconds()
 				type finding struct {
 					Rule  string                `json:"rule"`
@@ -234,16 +267,17 @@
 				}
 				var all []finding
 				for _, x := range found.Findings {
-					all = append(all, finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x})
+					all = append(all,
+						finding{x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x})
 					fig.Broken[harness.Rule(x.Breach.What)]++
-					fig.Miss(x.Breach.What + ": " + x.Breach.How)
+					fig.AddFailure(x.Breach.What + ": " + x.Breach.How)
 				}
 				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"] = found.Plays, all, found.Faults
 				fig.Extra["acts"], fig.Extra["rollouts"], fig.Extra["withdrawn"], fig.Extra["shut_out"] = found.Acts, found.RollOuts, found.Withdrawn, found.Outs
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 				for _, k := range configversion.Kinds {
 					if found.Faults[k] == 0 {
-						fig.Miss("no fault " + k + ": nothing was shown")
+						fig.AddFailure("no fault " + k + ": nothing was shown")
 					}
 				}
 				if *wrong {
@@ -257,7 +291,13 @@
 }
 
 // mutants adds to the figures what the search makes of wrong variants.
-func (b *bench) mutants(ctx context.Context, f *harness.Figures, list func() ([]mutants.Mutant, error), seed uint64, schedules int) error {
+func (b *bench) mutants(
+	ctx context.Context,
+	f *harness.Summary,
+	list func() ([]mutants.Mutant, error),
+	seed uint64,
+	schedules int,
+) error {
 	all, err := list()
 	if err != nil {
 		return err
@@ -271,7 +311,7 @@
 		if r.Found {
 			n++
 		} else {
-			f.Miss("mutant not found: " + r.Name)
+			f.AddFailure("mutant not found: " + r.Name)
 		}
 	}
 	f.Extra["mutants"], f.Extra["mutants_found"], f.Extra["mutants_schedules_median"] = len(results), n, mutants.Median(results)
@@ -303,7 +343,11 @@
 }
 
 func (b *bench) plot() *cobra.Command {
-	c := &cobra.Command{Use: "plot FILE.toml", Short: "draws an experiment's results as PNG and SVG", Args: one("a file")}
+	c := &cobra.Command{
+		Use:   "plot FILE.toml",
+		Short: "draws an experiment's results as PNG and SVG",
+		Args:  one("a file"),
+	}
 	from := c.Flags().String("results", "results", "folder with the results, NAME.jsonl")
 	to := c.Flags().String("out", "plots", "folder for the plots")
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -328,7 +372,9 @@
 }
 
 // summary prints what an experiment came to, its last line as JSON.
-func (b *bench) summary(f *experiment.File, rows []experiment.Row, why error, files []string) error {
+func (b *bench) summary(
+	f *experiment.File, rows []experiment.Row, why error, files []string,
+) error {
 	all := f.Summarise(rows)
 	f.Table(b.progress, all)
 	broken := 0.0
@@ -354,7 +400,7 @@
 func (b *bench) calibrate() *cobra.Command {
 	return b.play("calibrate", "the same sites, seeds and faults in real processes and in the emulator, side by side", 20*time.Second,
 		func(c *cobra.Command) (func() error, player) {
-			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Figures, error) {
+			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				return calibrate.Run(ctx, seed, length, b.progress)
 			}
 		})
--- a/cmd/mothcleat/auth.go
+++ b/cmd/mothcleat/auth.go
@@ -19,11 +19,25 @@
 	}
 	us := func(d config.Duration) authz.Time { return time.Duration(d).Microseconds() }
 	out := gateway.Auth{
-		Settings: forwardauth.Settings{URL: a.URL, Headers: a.Headers, SecretName: a.SecretHeader, SecretFile: a.SecretFile,
-			TokensFile: a.TokensFile, CAFile: a.CAFile, Timeout: time.Duration(a.Timeout), MostOut: a.MostCalls},
-		Rules: authz.Settings{Budget: us(a.Budget), AllowFor: us(a.AllowFor), AllowCap: us(a.AllowMost), DenyFor: us(a.DenyFor),
-			StaleFor: us(a.StaleFor), MostOut: a.MostCalls, MostWaiting: a.MostWaiting, MostKept: a.MostKept,
-			Fails: a.Fails, OpenFor: us(a.OpenFor), OpenMost: us(a.OpenMost)},
+		Settings: forwardauth.Settings{URL: a.URL,
+			Headers:    a.Headers,
+			SecretName: a.SecretHeader,
+			SecretFile: a.SecretFile,
+			TokensFile: a.TokensFile,
+			CAFile:     a.CAFile,
+			Timeout:    time.Duration(a.CallTimeout),
+			MostOut:    a.MaxConcurrentCalls},
+		Rules: authz.Settings{Budget: us(a.WaitTimeout),
+			AllowFor:    us(a.AllowTTL),
+			AllowCap:    us(a.MaxAllowTTL),
+			DenyFor:     us(a.DenyTTL),
+			StaleFor:    us(a.StaleTTL),
+			MostOut:     a.MaxConcurrentCalls,
+			MostWaiting: a.MaxWaiting,
+			MostKept:    a.MaxCacheEntries,
+			Fails:       a.FailureThreshold,
+			OpenFor:     us(a.OpenDuration),
+			OpenMost:    us(a.MaxOpenDuration)},
 	}
 	var err error
 	marked := func(key string, names, all []string, none bool) []bool {
@@ -39,7 +53,7 @@
 		return marks
 	}
 	out.Rules.Ask = marked("classes", a.Classes, cfg.Host.Classes, false)
-	out.Rules.PassUnknown = marked("pass_unknown", a.PassUnknown, cfg.Host.Classes, false)
+	out.Rules.PassUnknown = marked("pass_unknown", a.FailOpenClasses, cfg.Host.Classes, false)
 	out.Rules.Plans = marked("plans", a.Plans, cfg.Host.Plans, true)
 	if err != nil {
 		return gateway.Auth{}, err
--- a/cmd/mothcleat/fleet.go
+++ b/cmd/mothcleat/fleet.go
@@ -36,51 +36,68 @@
 // newFleet begins to take part; nil: it is off.
 func newFleet(s *config.Settings, cfg *gateway.Config, log *slog.Logger) (fleetPart, error) {
 	f := &s.Fleet
-	if !f.On {
+	if !f.Enabled {
 		return nil, nil
 	}
 	c := controlplane.Config{
-		Fleet: f.Name, ID: cfg.Name, Listen: f.Listen, Address: f.Address, Dir: f.Folder, Voters: voters(f),
-		Addresses:    controlrpc.Addresses(f.Addresses),
-		LeaseConfig:  lease.Config{TTL: time.Duration(f.Span), ClockDriftBound: f.Margin, OfferTTL: time.Duration(f.Offer)},
-		TickInterval: time.Duration(f.Tick), KeepEntries: uint64(f.Keep), Exports: f.Exports, Period: time.Duration(f.Period), Log: log,
-		Silent: time.Duration(f.Silent), Place: distribution.Place{Zone: f.Zone, Region: f.Region}, Places: places(f),
-		ChangeLog:  f.ChangeLog,
-		Candidates: f.Owners,
+		Fleet:     f.Name,
+		ID:        cfg.Name,
+		Listen:    f.Listen,
+		Address:   f.Address,
+		Dir:       f.Dir,
+		Voters:    voters(f),
+		Addresses: controlrpc.Addresses(f.Addresses),
+		LeaseConfig: lease.Config{
+			TTL:             time.Duration(f.LeaseTTL),
+			ClockDriftBound: f.ClockDriftBound,
+			OfferTTL:        time.Duration(f.TransferTimeout),
+		},
+		TickInterval: time.Duration(f.RaftTick),
+		KeepEntries:  uint64(f.RetainedLogEntries),
+		Exports:      f.ExportDir,
+		Period:       time.Duration(f.MeteringPeriod),
+		Log:          log,
+		Silent:       time.Duration(f.SourceTimeout),
+		Place:        distribution.Place{Zone: f.Zone, Region: f.Region},
+		Places:       places(f),
+		ChangeLog:    f.ChangeLogEntries,
+		Candidates:   f.LeaderCandidates,
 	}
-	if f.Exports != "" {
-		c.Shards = f.Shards
-		if err := os.MkdirAll(f.Exports, 0o755); err != nil {
+	if f.ExportDir != "" {
+		c.Shards = f.ExportShards
+		if err := os.MkdirAll(f.ExportDir, 0o755); err != nil {
 			return nil, fmt.Errorf("fleet.exports: %w", err)
 		}
 	}
-	if direct := cfg.NewEndpointSource; f.Watch && direct != nil {
+	if direct := cfg.NewEndpointSource; f.SharedWatch && direct != nil {
 		// The configuration as it is now: the gateway's own changes later.
 		asked := *cfg
 		c.Direct = func() (registry.Source, error) { return direct(&asked, log) }
 	}
-	if b := s.Budgets; b.On {
+	if b := s.Budgets; b.Enabled {
 		r := allocation.DefaultConfig()
-		r.TTL, r.ReservedTTL, r.RenewInterval = time.Duration(b.Span), time.Duration(b.FloorSpan), time.Duration(b.Every)
-		r.ReservedFraction, r.PoolFraction, r.ClockDrift, r.StartFull = b.Floor, b.Reserve, f.Margin, b.BeginFull
+		r.TTL, r.ReservedTTL, r.RenewInterval = time.Duration(b.TTL), time.Duration(b.ReservedMinimumTTL), time.Duration(b.RenewInterval)
+		r.ReservedFraction, r.PoolFraction, r.ClockDrift, r.StartFull = b.ReservedMinimumFraction, b.OnDemandFraction, f.ClockDriftBound, b.StartFull
 		c.Budgets, c.BudgetShards = &r, b.Shards
-		if b.Record != "" {
-			f, err := os.OpenFile(b.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		if b.RecordFile != "" {
+			f, err := os.OpenFile(b.RecordFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 			if err != nil {
 				return nil, fmt.Errorf("budgets.record: %w", err)
 			}
 			c.Rights = f // it ends with the process
 		}
 	}
-	if v := s.Versions; v.On {
+	if v := s.Versions; v.Enabled {
 		r := configversion.DefaultConfig()
-		r.TTL, r.RenewInterval, r.SettleTime, r.StageTimeout, r.ClockDrift = time.Duration(v.Span), time.Duration(v.Every), time.Duration(v.Settle), time.Duration(v.Patience), f.Margin
+		r.TTL, r.RenewInterval, r.SettleTime, r.StageTimeout, r.ClockDrift = time.Duration(v.LeaseTTL), time.Duration(v.PollInterval), time.Duration(v.StageDuration), time.Duration(v.StageTimeout), f.ClockDriftBound
 		r.EnrolmentTTL = max(r.EnrolmentTTL, 4*r.TTL)
 		if err := r.Validate(); err != nil {
 			return nil, err
 		}
 		cfg.PlanTerms = gateway.NewPlanTerms(cfg)
-		c.Versions, c.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(cfg.PlanTerms)}
+		c.Versions, c.Items = &r, map[string]rollout.Item{
+			planconfig.ItemName: planconfig.New(cfg.PlanTerms),
+		}
 	}
 	n := controlplane.Start(c)
 	if a := n.Permit(); a != nil {
@@ -90,14 +107,23 @@
 		cfg.Allocations = u
 	}
 	if r := n.Register(); r != nil {
-		cfg.NewEndpointSource = func(*gateway.Config, *slog.Logger) (registry.Source, error) { return r, nil }
+		cfg.NewEndpointSource = func(*gateway.Config, *slog.Logger) (registry.Source, error) {
+			return r, nil
+		}
 	}
 	return n, nil
 }
 
 func voters(f *config.Fleet) (all []*controlpb.Voter) {
 	for _, v := range f.Voters {
-		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber(f.Name, v.Name), Name: v.Name, Address: v.Address})
+		all = append(
+			all,
+			&controlpb.Voter{
+				Number:  replica.BootstrapNumber(f.Name, v.Name),
+				Name:    v.Name,
+				Address: v.Address,
+			},
+		)
 	}
 	return all
 }
@@ -113,20 +139,21 @@
 
 // checkFleet tells what the fleet's folder is.
 func checkFleet(f *config.Fleet, out io.Writer) error {
-	if !f.On {
+	if !f.Enabled {
 		return nil
 	}
-	folder, err := replica.OpenStorage(controlplane.LogDir(f.Folder), store.Options{ReadOnly: true})
+	folder, err := replica.OpenStorage(controlplane.LogDir(f.Dir), store.Options{ReadOnly: true})
 	switch {
 	case errors.Is(err, store.ErrLocked):
-		fmt.Fprintf(out, "fleet: %s: in use by a gateway that runs\n", f.Folder)
+		fmt.Fprintf(out, "fleet: %s: in use by a gateway that runs\n", f.Dir)
 	case errors.Is(err, replica.ErrNotInitialized) || errors.Is(err, os.ErrNotExist):
-		fmt.Fprintf(out, "fleet: %s: no voter's folder\n", f.Folder)
+		fmt.Fprintf(out, "fleet: %s: no voter's folder\n", f.Dir)
 	case err != nil:
 		return fmt.Errorf("fleet: %w", err)
 	default:
 		id := folder.Identity()
-		fmt.Fprintf(out, "fleet: %s: voter %s of %s, number %016x\n", f.Folder, id.Name, id.Fleet, id.Number)
+		fmt.Fprintf(out, "fleet: %s: voter %s of %s, number %016x\n", f.Dir, id.Name,
+			id.Fleet, id.Number)
 		return folder.Close()
 	}
 	return nil
--- a/cmd/mothcleat/fleet_off.go
+++ b/cmd/mothcleat/fleet_off.go
@@ -23,14 +23,14 @@
 var errNoFleet = errors.New("fleet.on: this program was built without it (tag nofleet)")
 
 func newFleet(s *config.Settings, _ *gateway.Config, _ *slog.Logger) (fleetPart, error) {
-	if s.Fleet.On {
+	if s.Fleet.Enabled {
 		return nil, errNoFleet
 	}
 	return nil, nil
 }
 
 func checkFleet(f *config.Fleet, _ io.Writer) error {
-	if f.On {
+	if f.Enabled {
 		return errNoFleet
 	}
 	return nil
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -26,19 +26,24 @@
 	"mothcleat/internal/controlplane/usageexporter"
 )
 
-// fleetCommands look after the fleet's agreed state: by the admin interface of a gateway that runs, or, for found and
-// join, on the folder of one that does not.
+// fleetCommands look after the fleet's agreed state: by the admin interface of a gateway that runs,
+// or, for found and join, on the folder of one that does not.
 func fleetCommands(operatorsFile *string, out io.Writer) *cobra.Command {
-	c := wanted(&cobra.Command{Use: "fleet", Short: "what the gateways agree on, and who does work on behalf of them all"})
+	c := wanted(&cobra.Command{
+		Use:   "fleet",
+		Short: "what the gateways agree on, and who does work on behalf of them all",
+	})
 	var address string
 	var plain bool
-	c.PersistentFlags().StringVar(&address, "door", "", "HOST:PORT of a gateway's door; where it is not given: management of RELAY_CONFIG")
+	c.PersistentFlags().StringVar(&address, "door", "",
+		"HOST:PORT of a gateway's door; where it is not given: management of RELAY_CONFIG")
 	c.PersistentFlags().BoolVar(&plain, "json", false, "print the answer as it is")
 	// asking is a command that asks a gateway and shows the answer.
 	asking := func(use, short string, n int, show func(raw []byte, w io.Writer) error) *cobra.Command {
 		word, _, _ := strings.Cut(use, " ")
 		return &cobra.Command{Use: use, Short: short, Args: exactly(n), RunE: func(_ *cobra.Command, args []string) error {
-			raw, err := callAdmin(address, strings.Join(append([]string{"fleet", word}, args...), " "))
+			raw, err := callAdmin(address,
+				strings.Join(append([]string{"fleet", word}, args...), " "))
 			if err != nil {
 				return err
 			}
@@ -55,11 +60,14 @@
 	}
 	votersCommand := wanted(&cobra.Command{Use: "voters", Short: "one voter more or less"})
 	votersCommand.AddCommand(
-		asking("add", "make the gateway at the door a voter; its folder was made with join", 0, nil),
+		asking("add",
+			"make the gateway at the door a voter; its folder was made with join", 0, nil),
 		asking("remove NAME", "have a voter vote no more", 1, nil))
-	verify := asking("exports", "the files of use that count, and how far each gateway's was collected", 0, showExports)
+	verify := asking("exports",
+		"the files of use that count, and how far each gateway's was collected", 0, showExports)
 	var dir string
-	verify.Flags().StringVar(&dir, "verify", "", "hold the files of this folder against what was agreed")
+	verify.Flags().StringVar(&dir, "verify", "",
+		"hold the files of this folder against what was agreed")
 	show := verify.RunE
 	verify.RunE = func(c *cobra.Command, args []string) error {
 		if dir == "" {
@@ -71,17 +79,30 @@
 		}
 		return verifyExports(raw, dir, out)
 	}
-	budgets := asking("budgets [CUSTOMER]", "quotas as they are divided: all that are, or one customer's", 0, showBudgets)
+	budgets := asking("budgets [CUSTOMER]",
+		"quotas as they are divided: all that are, or one customer's", 0, showBudgets)
 	budgets.Args = func(_ *cobra.Command, args []string) error {
 		if len(args) > 1 {
 			return misuse{errors.New("one customer at most is wanted")}
 		}
 		return nil
 	}
-	c.AddCommand(versionCommands(asking("versions", "what the fleet acts on, stage by stage, and who is behind", 0, showVersions), &address, &plain, out)...)
+	c.AddCommand(versionCommands(
+		asking("versions", "what the fleet acts on, stage by stage, and who is behind", 0,
+			showVersions),
+		&address,
+		&plain,
+		out,
+	)...)
 	c.AddCommand(budgets,
-		asking("rights", "what the gateway at the door may use of the quotas, and what it divides", 0, nil),
-		asking("distribution", "how far the gateway at the door has the list of servers, and those that it serves", 0, showDistribution),
+		asking("rights",
+			"what the gateway at the door may use of the quotas, and what it divides", 0, nil),
+		asking(
+			"distribution",
+			"how far the gateway at the door has the list of servers, and those that it serves",
+			0,
+			showDistribution,
+		),
 		asking("here", "what the gateway at the door knows of itself", 0, nil),
 		asking("status", "voters, and processes with a session", 0, showStatus),
 		asking("owners", "the duties and who holds them", 0, showOwners),
@@ -92,9 +113,13 @@
 		&cobra.Command{Use: "found NAME", Short: "make the folder of a new fleet's voter, once for each", Args: exactly(1),
 			Long: `found makes this gateway's folder that of a voter of a fleet that begins. All voters that the
 operators' file names have to be given the same list. A voter whose folder was lost must not be founded again: see join.`,
-			RunE: func(_ *cobra.Command, args []string) error { return begin(*operatorsFile, args[0], true, out) }},
+			RunE: func(_ *cobra.Command, args []string) error {
+				return begin(*operatorsFile, args[0], true, out)
+			}},
 		&cobra.Command{Use: "join NAME", Short: "make the folder of a voter that is to be added to a fleet", Args: exactly(1),
-			RunE: func(_ *cobra.Command, args []string) error { return begin(*operatorsFile, args[0], false, out) }})
+			RunE: func(_ *cobra.Command, args []string) error {
+				return begin(*operatorsFile, args[0], false, out)
+			}})
 	return c
 }
 
@@ -108,10 +133,10 @@
 		return err
 	}
 	f := &s.Fleet
-	if !f.On {
+	if !f.Enabled {
 		return fmt.Errorf("%s: fleet.on is false", file)
 	}
-	dir := controlplane.LogDir(f.Folder)
+	dir := controlplane.LogDir(f.Dir)
 	if err := os.MkdirAll(filepath.Dir(dir), 0o700); err != nil {
 		return err
 	}
@@ -119,7 +144,8 @@
 		if err := replica.Join(dir, f.Name, name); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s: made; start the gateway, and add it with mothcleat fleet voters add\n", f.Folder)
+		fmt.Fprintf(out,
+			"%s: made; start the gateway, and add it with mothcleat fleet voters add\n", f.Dir)
 		return nil
 	}
 	named := false
@@ -132,7 +158,7 @@
 	if err := replica.Bootstrap(dir, f.Name, name, voters(f)); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: made, of voter %s of %s\n", f.Folder, name, f.Name)
+	fmt.Fprintf(out, "%s: made, of voter %s of %s\n", f.Dir, name, f.Name)
 	return nil
 }
 
@@ -176,13 +202,22 @@
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "fleet %s\tterm %d\tleader %s\tentry %d\tlog from %d\n\nVOTER\tADDRESS\tFOLDER\n", l.Fleet, l.Term, l.Leader, l.AppliedIndex, l.FirstIndex)
+	fmt.Fprintf(
+		w,
+		"fleet %s\tterm %d\tleader %s\tentry %d\tlog from %d\n\nVOTER\tADDRESS\tFOLDER\n",
+		l.Fleet,
+		l.Term,
+		l.Leader,
+		l.AppliedIndex,
+		l.FirstIndex,
+	)
 	for _, v := range l.Voters {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", v.Name, v.Address, v.Number)
 	}
 	fmt.Fprint(w, "\nPROCESS\tBOOT\tADDRESS\tSAID SOMETHING\n")
 	for _, m := range l.Members {
-		fmt.Fprintf(w, "%s\t%x\t%s\t%s ago\n", m.ID, m.Incarnation, m.Address, seconds(l.At-m.LastSeen))
+		fmt.Fprintf(w, "%s\t%x\t%s\t%s ago\n", m.ID, m.Incarnation, m.Address,
+			seconds(l.At-m.LastSeen))
 	}
 	return nil
 }
@@ -198,7 +233,8 @@
 		if owner == "" {
 			owner, free = "nobody", "-"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", h.Role, h.Term, owner, seconds(v.At-h.GrantedAt), free, h.Cause)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", h.Role, h.Term, owner, seconds(v.At-h.GrantedAt),
+			free, h.Cause)
 	}
 	return nil
 }
@@ -216,10 +252,12 @@
 			if h.Ended {
 				state = "gone: it runs out"
 			}
-			fmt.Fprintf(w, "%016x\t%s\t%s\t%s\t%s\t%s\n", v.Budget, share(v.Limit), h.Member.ID, share(h.Total), share(h.ReservedMin), state)
+			fmt.Fprintf(w, "%016x\t%s\t%s\t%s\t%s\t%s\n", v.Budget, share(v.Limit), h.Member.ID,
+				share(h.Total), share(h.ReservedMin), state)
 			rest.Rate, rest.Burst = rest.Rate-h.Total.Rate, rest.Burst-h.Total.Burst
 		}
-		fmt.Fprintf(w, "%016x\t%s\treserve\t%s\t\t%.1f kept for a next owner\n", v.Budget, share(v.Limit), share(rest), v.Carryover)
+		fmt.Fprintf(w, "%016x\t%s\treserve\t%s\t\t%.1f kept for a next owner\n", v.Budget,
+			share(v.Limit), share(rest), v.Carryover)
 	}
 	return nil
 }
@@ -234,7 +272,8 @@
 	}
 	fmt.Fprint(w, "TERM\tOWNER\tBOOT\tFROM (FLEET'S TIME)\tCAUSE\n")
 	for _, h := range all {
-		fmt.Fprintf(w, "%d\t%s\t%x\t%s\t%s\n", h.Term, h.Holder.ID, h.Holder.Incarnation, seconds(h.GrantedAt), h.Cause)
+		fmt.Fprintf(w, "%d\t%s\t%x\t%s\t%s\n", h.Term, h.Holder.ID, h.Holder.Incarnation,
+			seconds(h.GrantedAt), h.Cause)
 	}
 	return nil
 }
@@ -244,12 +283,13 @@
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "%d files\t%g units\tchain %.16s\n\nFILE\tDUTY\tTERM\tOWNER\tROWS\tUNITS\n", v.Count, v.Units, v.Chain)
+	fmt.Fprintf(w, "%d files\t%g units\tchain %.16s\n\nFILE\tDUTY\tTERM\tOWNER\tROWS\tUNITS\n",
+		v.Count, v.Units, v.Chain)
 	for _, f := range v.Files[max(0, len(v.Files)-20):] {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%g\n", f.Name, f.Role, f.Term, f.Owner, f.Rows, f.Units)
 	}
 	fmt.Fprint(w, "\nGATEWAY\tBOOT\tCOLLECTED TO PERIOD\tSTATE\n")
-	for _, m := range v.Marks {
+	for _, m := range v.Progress {
 		state := "counts, or was not heard of since"
 		if m.Last {
 			state = "ended, all collected"
@@ -274,7 +314,8 @@
 	for _, n := range units {
 		sum += n
 	}
-	fmt.Fprintf(out, "good: %d files as agreed, %g units of %d customers\n", len(v.Files), sum, len(units))
+	fmt.Fprintf(out, "good: %d files as agreed, %g units of %d customers\n", len(v.Files),
+		sum, len(units))
 	for _, name := range loose {
 		fmt.Fprintf(out, "does not count: %s\n", name)
 	}
--- a/cmd/mothcleat/register.go
+++ b/cmd/mothcleat/register.go
@@ -13,7 +13,7 @@
 )
 
 // register has the configuration say where the list of servers comes from.
-func register(r *config.Register, cfg *gateway.Config) {
+func register(r *config.Registry, cfg *gateway.Config) {
 	if r.Source == "platform" {
 		return
 	}
@@ -42,15 +42,29 @@
 }
 
 // newConsul makes the source that the settings describe.
-func newConsul(r *config.Register, log *slog.Logger) (*consul.Source, error) {
-	mode := r.Mode
+func newConsul(r *config.Registry, log *slog.Logger) (*consul.Source, error) {
+	mode := r.Consistency
 	if mode == "default" {
 		mode = ""
 	}
 	us := func(d config.Duration) membership.Time { return time.Duration(d).Microseconds() }
 	return consul.New(consul.Settings{
-		Agents: r.Agents, TLS: r.TLS, CAFile: r.CAFile, TokenFile: r.TokenFile, Service: r.Service, Datacenter: r.Datacenter,
-		Namespace: r.Namespace, Filter: r.Filter, Mode: mode, Wait: time.Duration(r.Wait), Catalogue: r.Catalogue,
-		Rules: membership.Settings{WarningServes: r.WarningServes, Hold: us(r.Hold), ResetAfter: r.ResetAfter, Skew: us(r.Skew)},
+		Agents:     r.Agents,
+		TLS:        r.TLS,
+		CAFile:     r.CAFile,
+		TokenFile:  r.TokenFile,
+		Service:    r.Service,
+		Datacenter: r.Datacenter,
+		Namespace:  r.Namespace,
+		Filter:     r.Filter,
+		Mode:       mode,
+		Wait:       time.Duration(r.WaitTime),
+		Catalogue:  r.WatchCatalog,
+		Rules: membership.Settings{
+			WarningServes: r.WarningServes,
+			Hold:          us(r.EmptyListGrace),
+			ResetAfter:    r.IndexResetAnswers,
+			Skew:          us(r.MaxClockSkew),
+		},
 	}, log)
 }
--- a/cmd/mothcleat/run.go
+++ b/cmd/mothcleat/run.go
@@ -54,7 +54,7 @@
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 2 / 3)
 
-	register(&p.settings.Register, &cfg)
+	register(&p.settings.Registry, &cfg)
 	if cfg.Auth, err = auth(&p.settings.Auth, &cfg); err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	if err := p.survive(&cfg); err != nil {
 		return err
 	}
-	if path := p.settings.Record.Refusals; path != "" {
+	if path := p.settings.Record.RejectionsFile; path != "" {
 		f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return fmt.Errorf("record.refusals: %w", err)
@@ -106,7 +106,9 @@
 // survive has the gateway outlive its process as far as the settings say.
 func (p *program) survive(cfg *gateway.Config) error {
 	s := &cfg.Restart
-	s.SnapshotInterval, s.MaxSnapshotAge = time.Duration(p.settings.State.Every), time.Duration(p.settings.State.Oldest)
+	s.SnapshotInterval, s.MaxSnapshotAge = time.Duration(
+		p.settings.State.SaveInterval,
+	), time.Duration(p.settings.State.MaxAge)
 	if path := p.settings.State.File; path != "" {
 		keeper, err := snapshot.Open(path)
 		if err != nil {
@@ -119,23 +121,30 @@
 	} else if given != nil {
 		s.Listen = func(string) (net.Listener, error) { return given, nil }
 		s.RendezvousPath = hotrestart.Path(os.TempDir(), cfg.Name)
-		if p.settings.HandOver.On {
-			p.log.Warn("hand-over: the platform holds the clients' socket, and replaces processes itself; handover.on is passed over")
+		if p.settings.HotRestart.Enabled {
+			p.log.Warn(
+				"hand-over: the platform holds the clients' socket, and replaces processes itself; handover.on is passed over",
+			)
 		}
 		return nil
 	}
-	if !p.settings.HandOver.On {
+	if !p.settings.HotRestart.Enabled {
 		return nil
 	}
 	var err error
 	p.upgrader, err = tableflip.New(tableflip.Options{
-		PIDFile: p.settings.HandOver.PIDFile, UpgradeTimeout: time.Duration(p.settings.HandOver.ReadyWithin),
+		PIDFile:        p.settings.HotRestart.PIDFile,
+		UpgradeTimeout: time.Duration(p.settings.HotRestart.ReadyTimeout),
 	})
 	if err != nil {
 		return fmt.Errorf("hand-over: %w", err)
 	}
-	s.Listen = func(address string) (net.Listener, error) { return p.upgrader.Listen("tcp", address) }
-	s.ListenPacket = func(address string) (net.PacketConn, error) { return p.upgrader.ListenPacket("udp", address) }
+	s.Listen = func(address string) (net.Listener, error) {
+		return p.upgrader.Listen("tcp", address)
+	}
+	s.ListenPacket = func(address string) (net.PacketConn, error) {
+		return p.upgrader.ListenPacket("udp", address)
+	}
 	s.Successor, s.StopPredecessor = p.upgrader.HasParent(), p.upgrader.Ready
 	return nil
 }
@@ -149,7 +158,8 @@
 			continue
 		}
 		if _, err := p.read(); err != nil {
-			p.log.Error("hand-over: the new process could not start; this one serves on", "error", err)
+			p.log.Error("hand-over: the new process could not start; this one serves on",
+				"error", err)
 			continue
 		}
 		p.log.Info("hand-over: starting a new process")
@@ -172,14 +182,14 @@
 	if err != nil {
 		return cfg, err
 	}
-	if fixed := p.settings.Fixed(&now); len(fixed) > 0 {
+	if fixed := p.settings.RestartRequired(&now); len(fixed) > 0 {
 		p.log.Warn("reload: what needs a new process stays as it was", "settings", fixed)
 	}
-	cfg.Restart.SnapshotInterval = time.Duration(now.State.Every)
-	if now.Register.Source != p.settings.Register.Source {
-		now.Register = p.settings.Register // only a new process follows another kind of register
+	cfg.Restart.SnapshotInterval = time.Duration(now.State.SaveInterval)
+	if now.Registry.Source != p.settings.Registry.Source {
+		now.Registry = p.settings.Registry // only a new process follows another kind of register
 	}
-	register(&now.Register, &cfg)
+	register(&now.Registry, &cfg)
 	cfg.Auth, err = auth(&now.Auth, &cfg)
 	return cfg, err
 }
@@ -197,7 +207,8 @@
 		if cfg, err = configuration(); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "configuration: %s: good for gateway %q, %d backends known\n", os.Getenv("RELAY_CONFIG"), cfg.Name, len(cfg.KnownEndpoints.Members))
+		fmt.Fprintf(out, "configuration: %s: good for gateway %q, %d backends known\n",
+			os.Getenv("RELAY_CONFIG"), cfg.Name, len(cfg.KnownEndpoints.Members))
 	}
 	if path == "" {
 		return nil
@@ -215,8 +226,8 @@
 	if err := checkFleet(&s.Fleet, out); err != nil {
 		return err
 	}
-	if s.Register.Source != "platform" {
-		source, err := newConsul(&s.Register, slog.New(slog.DiscardHandler))
+	if s.Registry.Source != "platform" {
+		source, err := newConsul(&s.Registry, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return err
 		}
@@ -226,7 +237,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "register: %d instances of %s\n", n, s.Register.Service)
+		fmt.Fprintf(out, "register: %d instances of %s\n", n, s.Registry.Service)
 	}
 	if s.State.File == "" {
 		return nil
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	want := Defaults()
-	want.State.File, want.State.Every = "/x/state", Duration(250*time.Millisecond)
-	want.HandOver.On, want.HandOver.PIDFile = true, "/x/pid"
+	want.State.File, want.State.SaveInterval = "/x/state", Duration(250*time.Millisecond)
+	want.HotRestart.Enabled, want.HotRestart.PIDFile = true, "/x/pid"
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("%+v", s)
 	}
@@ -140,16 +140,16 @@
 
 func TestFixedNamesWhatNeedsANewProcess(t *testing.T) {
 	a, b := Defaults(), Defaults()
-	b.State.Every = Duration(2 * time.Second)
-	if got := a.Fixed(&b); len(got) > 0 {
+	b.State.SaveInterval = Duration(2 * time.Second)
+	if got := a.RestartRequired(&b); len(got) > 0 {
 		t.Errorf("%v", got)
 	}
-	b.Register.Agents = []string{"127.0.0.1:1"} // can be moved to
-	if got := a.Fixed(&b); len(got) > 0 {
+	b.Registry.Agents = []string{"127.0.0.1:1"} // can be moved to
+	if got := a.RestartRequired(&b); len(got) > 0 {
 		t.Errorf("%v", got)
 	}
-	b.State.File, b.HandOver.On, b.Register.Source = "x", true, "consul"
-	if got := a.Fixed(&b); len(got) != 3 {
+	b.State.File, b.HotRestart.Enabled, b.Registry.Source = "x", true, "consul"
+	if got := a.RestartRequired(&b); len(got) != 3 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/controlplane/configstate/configstate.go
+++ b/internal/controlplane/configstate/configstate.go
@@ -80,9 +80,11 @@
 	return &Version{Digest(raw), int64(len(raw)), state, true}, raw, nil
 }
 
-// buildAs is build where the digest is known beforehand. It returns a DigestMismatchError for
+// buildVerified is build where the digest is known beforehand. It returns a DigestMismatchError for
 // another result.
-func buildAs(codec Codec, state *distribution.State, digest string) (*Version, []byte, error) {
+func buildVerified(
+	codec Codec, state *distribution.State, digest string,
+) (*Version, []byte, error) {
 	v, raw, err := build(codec, state)
 	if err != nil {
 		return nil, nil, err
--- a/internal/controlplane/configstate/fetch.go
+++ b/internal/controlplane/configstate/fetch.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return buildAs(codec, state, digest)
+	return buildVerified(codec, state, digest)
 }
 
 // Repair makes a content out of another by the buckets that differ.
@@ -97,5 +97,5 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return buildAs(codec, state, r.digest)
+	return buildVerified(codec, state, r.digest)
 }
--- a/internal/controlplane/configstate/serve.go
+++ b/internal/controlplane/configstate/serve.go
@@ -15,10 +15,10 @@
 	maxBases = 8
 )
 
-// AnswerDelta is what a server that has a content sends to a process that has some bases: a delta
+// DeltaResponse is what a server that has a content sends to a process that has some bases: a delta
 // from the first of them that find returns, or the sums of all buckets; neither where the content
 // has to travel whole. find returns nil for a content that is not here.
-func AnswerDelta(
+func DeltaResponse(
 	target *Version, bases []string, find func(digest string) *Version,
 ) *controlpb.ContentDeltaResponse {
 	if !target.Canonical || len(bases) == 0 {
@@ -26,7 +26,7 @@
 	}
 	for _, digest := range bases[:min(len(bases), maxBases)] {
 		if base := find(digest); base != nil {
-			return answerFrom(base, target)
+			return deltaFrom(base, target)
 		}
 	}
 	return &controlpb.ContentDeltaResponse{Sums: &controlpb.ContentSums{
@@ -36,7 +36,7 @@
 	}}
 }
 
-func answerFrom(base, target *Version) *controlpb.ContentDeltaResponse {
+func deltaFrom(base, target *Version) *controlpb.ContentDeltaResponse {
 	changes := base.State.Difference(target.State)
 	size := 0
 	for i := range changes {
@@ -50,9 +50,9 @@
 	}}
 }
 
-// AnswerBuckets gives some buckets of a content in the order in which they were asked for, as many
-// as fit in one answer and one at least.
-func AnswerBuckets(v *Version, indexes []uint32) *controlpb.ContentBucketsResponse {
+// BucketsResponse gives some buckets of a content in the order in which they were asked for, as
+// many as fit in one answer and one at least.
+func BucketsResponse(v *Version, indexes []uint32) *controlpb.ContentBucketsResponse {
 	answer := &controlpb.ContentBucketsResponse{}
 	size := 0
 	for _, index := range indexes {
--- a/internal/controlplane/metering/metering.go
+++ b/internal/controlplane/metering/metering.go
@@ -27,43 +27,44 @@
 	"mothcleat/internal/storage/store"
 )
 
-// takeInterval is how often the ring is read.
-const takeInterval = 50 * time.Millisecond
+// drainInterval is how often the ring is read.
+const drainInterval = 50 * time.Millisecond
 
 // Counter counts the use of one process. Count may be called from one goroutine alone; the other
 // methods may be called from any.
 type Counter struct {
-	id     string
-	boot   uint64
-	period time.Duration
-	log    *slog.Logger
+	id           string
+	incarnation  uint64
+	periodLength time.Duration
+	log          *slog.Logger
 
-	dir   string // of the store
-	ring  *ring
-	taken atomic.Uint64 // records
-	lost  atomic.Uint64 // records for which there was no room
+	dir      string // of the store
+	ring     *ring
+	consumed atomic.Uint64 // records
+	lost     atomic.Uint64 // records for which there was no room
 
-	mu     sync.Mutex
-	store  *store.Store
-	open   period
-	told   uint64 // of lost
-	failed bool
+	mu           sync.Mutex
+	store        *store.Store
+	current      openPeriod
+	reportedLost uint64 // of lost
+	failed       bool
 }
 
-// period is the open period: its sums and its begin.
-type period struct {
-	Number uint64             `json:"number"`
-	Begun  int64              `json:"begun"` // microseconds since 1970
-	Taken  uint64             `json:"taken"` // records of the ring in this period and those before
-	Units  map[uint64]float64 `json:"units"`
+// openPeriod is the open period: its sums and its begin.
+type openPeriod struct {
+	Number    uint64 `json:"number"`
+	StartedAt int64  `json:"begun"` // microseconds since 1970
+	// records of the ring in this period and those before
+	Consumed uint64             `json:"taken"`
+	Units    map[uint64]float64 `json:"units"`
 }
 
-// closed is a closed period, as it is stored until it was collected.
-type closed struct {
-	Begun int64              `json:"begun"`
-	Ended int64              `json:"ended"`
-	Units map[uint64]float64 `json:"units"`
-	Last  bool               `json:"last,omitempty"`
+// closedPeriod is a closed period, as it is stored until it was collected.
+type closedPeriod struct {
+	StartedAt int64              `json:"begun"`
+	EndedAt   int64              `json:"ended"`
+	Units     map[uint64]float64 `json:"units"`
+	Last      bool               `json:"last,omitempty"`
 }
 
 // Keys of the store: the incarnation that ended last, the open period by incarnation, and closed
@@ -85,7 +86,13 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	c := &Counter{id: id, boot: boot, period: length, log: log, dir: filepath.Join(dir, "counts")}
+	c := &Counter{
+		id:           id,
+		incarnation:  boot,
+		periodLength: length,
+		log:          log,
+		dir:          filepath.Join(dir, "counts"),
+	}
 	if c.store, err = store.Open(c.dir, store.Options{}); err != nil {
 		return nil, err
 	}
@@ -98,42 +105,47 @@
 	if c.ring, before, added, err = openRing(filepath.Join(dir, "ring")); err != nil {
 		return nil, err
 	}
-	if err := c.finish(before, added); err != nil {
+	if err := c.closePredecessor(before, added); err != nil {
 		return nil, err
 	}
-	c.ring.begin(boot)
-	c.open = period{Number: 1, Begun: time.Now().UnixMicro(), Units: map[uint64]float64{}}
+	c.ring.reset(boot)
+	c.current = openPeriod{
+		Number:    1,
+		StartedAt: time.Now().UnixMicro(),
+		Units:     map[uint64]float64{},
+	}
 	return c, nil
 }
 
-// finish closes the period that another incarnation left open, with what it left in the ring.
-func (c *Counter) finish(boot, added uint64) error {
+// closePredecessor closes the period that another incarnation left open, with what it left in the
+// ring.
+func (c *Counter) closePredecessor(boot, added uint64) error {
 	left, err := c.load(boot)
 	if err != nil || left.Number == 0 {
 		return err
 	}
-	if added > left.Taken+c.ring.size {
+	if added > left.Consumed+c.ring.size {
 		return fmt.Errorf(
 			"usecount: the ring of boot %x has %d records, %d of them counted: it does not belong to these counts",
 			boot,
 			added,
-			left.Taken,
+			left.Consumed,
 		)
 	}
-	for n := left.Taken; n < added; n++ {
+	for n := left.Consumed; n < added; n++ {
 		customer, units := c.ring.record(n)
 		left.Units[customer] += units
 	}
-	if added > left.Taken {
+	if added > left.Consumed {
 		c.log.Info("fleet: use of the process before",
-			"boot", fmt.Sprintf("%x", boot), "records", added-left.Taken)
+			"boot", fmt.Sprintf("%x", boot), "records", added-left.Consumed)
 	}
-	return c.put(boot, &left, true, nil)
+	return c.closePeriod(boot, &left, true, nil)
 }
 
 // load returns the period that an incarnation left open. Its number is 0 where that has ended, or
 // there was none.
-func (c *Counter) load(boot uint64) (p period, err error) {
+func (c *Counter) load(boot uint64) (p openPeriod, err error) {
 	ended, err := c.store.Get(keyEnded)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return p, err
@@ -143,7 +155,7 @@
 	}
 	switch raw, err := c.store.Get(openKey(boot)); {
 	case errors.Is(err, store.ErrNotFound):
-		p = period{Number: 1, Begun: time.Now().UnixMicro()}
+		p = openPeriod{Number: 1, StartedAt: time.Now().UnixMicro()}
 	case err != nil:
 		return p, err
 	default:
@@ -157,11 +169,11 @@
 	return p, nil
 }
 
-// put closes a period and, unless it is the last of its incarnation, opens the next in the same
-// batch.
-func (c *Counter) put(boot uint64, p *period, last bool, next *period) error {
+// closePeriod closes a period and, unless it is the last of its incarnation, opens the next in the
+// same batch.
+func (c *Counter) closePeriod(boot uint64, p *openPeriod, last bool, next *openPeriod) error {
 	var b store.Batch
-	raw, err := json.Marshal(closed{p.Begun, time.Now().UnixMicro(), p.Units, last})
+	raw, err := json.Marshal(closedPeriod{p.StartedAt, time.Now().UnixMicro(), p.Units, last})
 	if err != nil {
 		return err
 	}
@@ -187,14 +199,14 @@
 // Count adds units that were forwarded for a tenant. It never blocks, and may be called from one
 // goroutine alone.
 func (c *Counter) Count(customer uint64, units float64) {
-	if !c.ring.add(customer, units, c.taken.Load()) {
+	if !c.ring.add(customer, units, c.consumed.Load()) {
 		c.lost.Add(1)
 	}
 }
 
 // Run stores what the ring has and closes periods until the context ends.
 func (c *Counter) Run(ctx context.Context) {
-	tick := time.NewTicker(takeInterval)
+	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -213,26 +225,27 @@
 	if c.store == nil {
 		return
 	}
-	more := c.take()
-	over := now.UnixMicro()-c.open.Begun >= c.period.Microseconds() && len(c.open.Units) > 0
+	more := c.drainRing()
+	over := now.UnixMicro()-c.current.StartedAt >= c.periodLength.Microseconds() &&
+		len(c.current.Units) > 0
 	var err error
 	switch {
 	case over:
-		next := period{
-			Number: c.open.Number + 1,
-			Begun:  now.UnixMicro(),
-			Taken:  c.open.Taken,
-			Units:  map[uint64]float64{},
+		next := openPeriod{
+			Number:    c.current.Number + 1,
+			StartedAt: now.UnixMicro(),
+			Consumed:  c.current.Consumed,
+			Units:     map[uint64]float64{},
 		}
-		if err = c.put(c.boot, &c.open, false, &next); err == nil {
-			c.open = next
+		if err = c.closePeriod(c.incarnation, &c.current, false, &next); err == nil {
+			c.current = next
 			more = true
 		}
 	case more:
 		var b store.Batch
 		var raw []byte
-		if raw, err = json.Marshal(&c.open); err == nil {
-			b.Put(openKey(c.boot), raw)
+		if raw, err = json.Marshal(&c.current); err == nil {
+			b.Put(openKey(c.incarnation), raw)
 			err = c.store.Commit(&b, store.Buffered)
 		}
 	}
@@ -250,11 +263,12 @@
 		c.failed = false
 	}
 	if more {
-		c.taken.Store(c.open.Taken)
+		c.consumed.Store(c.current.Consumed)
 	}
-	if lost := c.lost.Load(); lost != c.told {
-		c.log.Error("fleet: use was not counted: there was no room", "requests", lost-c.told)
-		c.told = lost
+	if lost := c.lost.Load(); lost != c.reportedLost {
+		c.log.Error("fleet: use was not counted: there was no room",
+			"requests", lost-c.reportedLost)
+		c.reportedLost = lost
 	}
 }
 
@@ -267,17 +281,17 @@
 		return // the closed store goes on failing, and the next step tries again
 	}
 	c.store = s
-	if p, err := c.load(c.boot); err == nil && p.Number != 0 {
-		c.open = p
+	if p, err := c.load(c.incarnation); err == nil && p.Number != 0 {
+		c.current = p
 	}
 }
 
-// take adds the records of the ring to the open period. They stay in the ring until the period is
-// stored.
-func (c *Counter) take() (more bool) {
-	for added := c.ring.added.Load(); c.open.Taken < added; c.open.Taken++ {
-		customer, units := c.ring.record(c.open.Taken)
-		c.open.Units[customer] += units
+// drainRing adds the records of the ring to the open period. They stay in the ring until the period
+// is stored.
+func (c *Counter) drainRing() (more bool) {
+	for added := c.ring.added.Load(); c.current.Consumed < added; c.current.Consumed++ {
+		customer, units := c.ring.record(c.current.Consumed)
+		c.current.Units[customer] += units
 		more = true
 	}
 	return more
@@ -290,20 +304,20 @@
 	if c.store == nil {
 		return nil
 	}
-	c.take()
-	err := c.put(c.boot, &c.open, true, nil)
+	c.drainRing()
+	err := c.closePeriod(c.incarnation, &c.current, true, nil)
 	if err == nil {
-		c.ring.begin(0)
+		c.ring.reset(0)
 	}
 	err = errors.Join(err, c.store.Close(), c.ring.close())
 	c.store = nil
 	return err
 }
 
-// Parts passes the closed periods that were not collected yet to give, in order of incarnation and
-// number, and deletes those that were. The argument had is the last period collected, by
-// incarnation.
-func (c *Counter) Parts(had map[uint64]uint64, give func(*controlpb.Part) error) error {
+// ClosedPeriods passes the closed periods that were not collected yet to give, in order of
+// incarnation and number, and deletes those that were. The argument had is the last period
+// collected, by incarnation.
+func (c *Counter) ClosedPeriods(had map[uint64]uint64, give func(*controlpb.Part) error) error {
 	c.mu.Lock()
 	s := c.store
 	c.mu.Unlock()
@@ -325,7 +339,7 @@
 			done.Delete(item.Key)
 			continue
 		}
-		var p closed
+		var p closedPeriod
 		if err := json.Unmarshal(item.Value, &p); err != nil {
 			return fmt.Errorf("usecount: period %d of boot %x: %w", number, boot, err)
 		}
@@ -333,8 +347,8 @@
 			Id:          c.id,
 			Incarnation: boot,
 			Period:      number,
-			Begun:       p.Begun,
-			Ended:       p.Ended,
+			Begun:       p.StartedAt,
+			Ended:       p.EndedAt,
 			Last:        p.Last,
 		}
 		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
--- a/internal/controlplane/metering/metering_test.go
+++ b/internal/controlplane/metering/metering_test.go
@@ -29,7 +29,7 @@
 ) (sums map[[2]uint64]float64, last map[uint64]bool) {
 	t.Helper()
 	sums, last = map[[2]uint64]float64{}, map[uint64]bool{}
-	if err := c.Parts(had, func(p *controlpb.Part) error {
+	if err := c.ClosedPeriods(had, func(p *controlpb.Part) error {
 		key := [2]uint64{p.Incarnation, p.Period}
 		if _, twice := sums[key]; twice {
 			t.Errorf("period %v twice", key)
@@ -206,7 +206,7 @@
 	for i := range b.N {
 		c.Count(uint64(i), 1)
 		if i%1000 == 0 {
-			c.taken.Store(c.ring.added.Load())
+			c.consumed.Store(c.ring.added.Load())
 		}
 	}
 }
--- a/internal/controlplane/metering/ring.go
+++ b/internal/controlplane/metering/ring.go
@@ -16,40 +16,40 @@
 // The file has 8 bytes of magic, the incarnation that adds, the number of records ever added, and
 // then the records, each a tenant and the bits of a float64; all in the byte order of the machine.
 type ring struct {
-	memory []byte
-	added  *atomic.Uint64
-	boot   *uint64
-	size   uint64 // records
+	memory      []byte
+	added       *atomic.Uint64
+	incarnation *uint64
+	size        uint64 // records
 }
 
 const (
-	ringMagic   = 0x6d6f746875736531
-	ringHead    = 32
-	ringRecords = 1 << 15 // half a MiB
-	recordBytes = 16
+	ringMagic       = 0x6d6f746875736531
+	ringHeaderBytes = 32
+	ringRecords     = 1 << 15 // half a MiB
+	recordBytes     = 16
 )
 
 // openRing maps the file of a ring and creates it where there is none. The results before and added
 // are the incarnation that added to it last, and how many records that added.
 func openRing(path string) (r *ring, before uint64, added uint64, err error) {
-	memory, fresh, err := mmapfile.Open(path, ringHead+ringRecords*recordBytes)
+	memory, fresh, err := mmapfile.Open(path, ringHeaderBytes+ringRecords*recordBytes)
 	if err != nil {
 		return nil, 0, 0, err
 	}
 	r = &ring{memory: memory, size: ringRecords}
-	r.boot = (*uint64)(unsafe.Pointer(&memory[8]))
+	r.incarnation = (*uint64)(unsafe.Pointer(&memory[8]))
 	r.added = (*atomic.Uint64)(unsafe.Pointer(&memory[16]))
 	if !fresh && binary.NativeEndian.Uint64(memory) == ringMagic {
-		before, added = *r.boot, r.added.Load()
+		before, added = *r.incarnation, r.added.Load()
 	}
 	return r, before, added, nil
 }
 
-// begin empties the ring for a new incarnation.
-func (r *ring) begin(boot uint64) {
+// reset empties the ring for a new incarnation.
+func (r *ring) reset(boot uint64) {
 	binary.NativeEndian.PutUint64(r.memory, 0) // a ring whose begin was interrupted counts as empty
 	r.added.Store(0)
-	*r.boot = boot
+	*r.incarnation = boot
 	binary.NativeEndian.PutUint64(r.memory, ringMagic)
 }
 
@@ -59,7 +59,7 @@
 	if n-taken >= r.size {
 		return false
 	}
-	at := r.memory[ringHead+n%r.size*recordBytes:]
+	at := r.memory[ringHeaderBytes+n%r.size*recordBytes:]
 	binary.NativeEndian.PutUint64(at, customer)
 	binary.NativeEndian.PutUint64(at[8:], math.Float64bits(units))
 	r.added.Store(n + 1)
@@ -68,7 +68,7 @@
 
 // record returns the record with a number, which has to be in the ring.
 func (r *ring) record(n uint64) (customer uint64, units float64) {
-	at := r.memory[ringHead+n%r.size*recordBytes:]
+	at := r.memory[ringHeaderBytes+n%r.size*recordBytes:]
 	return binary.NativeEndian.Uint64(at), math.Float64frombits(binary.NativeEndian.Uint64(at[8:]))
 }
 
--- a/internal/controlplane/metering/stored_test.go
+++ b/internal/controlplane/metering/stored_test.go
@@ -24,7 +24,7 @@
 	}
 	defer counter.Close()
 	var text strings.Builder
-	err = counter.Parts(nil, func(part *controlpb.Part) error {
+	err = counter.ClosedPeriods(nil, func(part *controlpb.Part) error {
 		if part.Last {
 			part.Ended = 0 // the killed process's last period is closed by this one, now
 		}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -1,6 +1,6 @@
-// Package controlplane is a gateway's part in its fleet's agreed state: the voter if this process has one,
-// its session, the duties it may hold, and its counted use. The gateway's loop only ever calls Count, which never
-// waits.
+// Package controlplane is a gateway's part in its fleet's agreed state: the voter if this process
+// has one, its session, the duties it may hold, and its counted use. The gateway's loop only ever
+// calls Count, which never waits.
 package controlplane
 
 import (
@@ -56,21 +56,24 @@
 	Period       time.Duration
 	Log          *slog.Logger
 
-	// Direct makes a source that asks the register itself; nil: each gateway watches its register as it always did.
+	// Direct makes a source that asks the register itself; nil: each gateway watches its register
+	// as it always did.
 	Direct func() (registry.Source, error)
 	// Budgets are the rules by which quotas are divided; nil: they are not.
 	Budgets      *allocation.Config
 	BudgetShards int
-	// Versions are the rules of what the fleet acts on, and Items what that is here; nil: each gateway acts on its configuration.
+	// Versions are the rules of what the fleet acts on, and Items what that is here; nil: each
+	// gateway acts on its configuration.
 	Versions *configversion.Config
 	Items    map[string]rollout.Item
 	Rights   io.Writer     // gets a line for each renewal of rights; nil: none
 	Silent   time.Duration // see distributor.SourceOptions; 0: distributor.DefaultSilent
 
-	Place     distribution.Place            // where this process runs
-	Places    map[string]distribution.Place // where the voters run, by name
-	ChangeLog int                           // changes that a voter keeps for replicas; 0: as many as by default
-	Observer  *controlrpc.Observer          // counts calls, messages and bytes; nil: nobody does
+	Place  distribution.Place            // where this process runs
+	Places map[string]distribution.Place // where the voters run, by name
+	// changes that a voter keeps for replicas; 0: as many as by default
+	ChangeLog int
+	Observer  *controlrpc.Observer // counts calls, messages and bytes; nil: nobody does
 }
 
 // Node is a process's part. Make it with Start.
@@ -119,8 +122,12 @@
 // Machines are the parts of the agreed state.
 func Machines(r lease.Config, v configversion.Config) map[string]consensus.StateMachine {
 	d := lease.NewMachine(r)
-	return map[string]consensus.StateMachine{lease.MachineName: d, usageexport.MachineName: usageexport.NewMachine(d),
-		checkpoint.MachineName: checkpoint.NewMachine(d), endpointlist.MachineName: endpointlist.NewMachine(d), distribution.MachineName: distribution.NewMachine(d), allocation.MachineName: allocation.NewMachine(d),
+	return map[string]consensus.StateMachine{lease.MachineName: d,
+		usageexport.MachineName:   usageexport.NewMachine(d),
+		checkpoint.MachineName:    checkpoint.NewMachine(d),
+		endpointlist.MachineName:  endpointlist.NewMachine(d),
+		distribution.MachineName:  distribution.NewMachine(d),
+		allocation.MachineName:    allocation.NewMachine(d),
 		configversion.MachineName: configversion.NewMachine(v, d)}
 }
 
@@ -158,8 +165,8 @@
 // UseDir is where a gateway's counts lie.
 func UseDir(dir string) string { return filepath.Join(dir, "use") }
 
-// Start begins to take part. It returns at once: while the process before still has the folder, this one waits for
-// it. Stop and Close end it.
+// Start begins to take part. It returns at once: while the process before still has the folder,
+// this one waits for it. Stop and Close end it.
 func Start(cfg Config) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	holding, leave := context.WithCancel(ctx)
@@ -172,12 +179,25 @@
 	n := &Node{cfg: cfg, ctx: ctx, cancel: cancel, leave: leave, left: make(chan struct{}), ready: make(chan struct{}),
 		early: make(chan use, earlyMost)}
 	n.me = lease.Member{ID: cfg.ID, Incarnation: rand.Uint64()>>1 | 1}
-	n.client = controlrpc.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters, cfg.Addresses, cfg.Log)
+	n.client = controlrpc.NewClient(cfg.Fleet, n.me, cfg.Address, cfg.Voters,
+		cfg.Addresses, cfg.Log)
 	n.client.Observe(cfg.Observer)
-	n.duties = election.New(election.Options{LeaseConfig: cfg.LeaseConfig, Client: n.client, Candidates: cfg.Candidates, Log: cfg.Log})
+	n.duties = election.New(election.Options{
+		LeaseConfig: cfg.LeaseConfig,
+		Client:      n.client,
+		Candidates:  cfg.Candidates,
+		Log:         cfg.Log,
+	})
 	if cfg.Shards > 0 {
 		for shard := range cfg.Shards {
-			e := &usageexporter.Exporter{Dir: cfg.Exports, Shard: shard, Shards: cfg.Shards, Every: cfg.Period, Client: n.client, Log: cfg.Log}
+			e := &usageexporter.Exporter{
+				Dir:      cfg.Exports,
+				Shard:    shard,
+				Shards:   cfg.Shards,
+				Interval: cfg.Period,
+				Client:   n.client,
+				Log:      cfg.Log,
+			}
 			n.duties.Add(usageexport.RoleOfShard(shard), e.Work)
 		}
 	}
@@ -211,7 +231,8 @@
 // Rights are this process's parts of the quotas; nil: they are not divided.
 func (n *Node) Rights() *allocator.Client { return n.rights }
 
-// Register is the source of news of the servers, where the register is watched for all; nil: it is not.
+// Register is the source of news of the servers, where the register is watched for all; nil: it is
+// not.
 func (n *Node) Register() registry.Source {
 	if n.list == nil {
 		return nil
@@ -258,7 +279,14 @@
 		if time.Since(began) > tellAfter && !told {
 			told = true
 			n.cfg.Log.Error("fleet: this process does not take part: another one with its id or folder runs, or the folder can't be used; it is tried again",
-				"id", n.cfg.ID, "boot", fmt.Sprintf("%x", n.me.Incarnation), "folder", n.cfg.Dir, "error", err)
+				"id",
+				n.cfg.ID,
+				"boot",
+				fmt.Sprintf("%x", n.me.Incarnation),
+				"folder",
+				n.cfg.Dir,
+				"error",
+				err)
 		}
 		select {
 		case <-n.ctx.Done():
@@ -275,10 +303,11 @@
 	var parts controlrpc.UsageSource
 	var counter *metering.Counter
 	if n.cfg.Shards > 0 {
-		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Period, n.cfg.Log); err != nil {
+		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Period,
+			n.cfg.Log); err != nil {
 			return err
 		}
-		parts = counter.Parts
+		parts = counter.ClosedPeriods
 		defer func() {
 			if err != nil {
 				err = errors.Join(err, counter.Close())
@@ -308,7 +337,8 @@
 	}
 	var record *auditrecorder.Recorder
 	if n.agent != nil {
-		if record, err = auditrecorder.Open(RecordDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Log); err != nil {
+		if record, err = auditrecorder.Open(RecordDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation,
+			n.cfg.Log); err != nil {
 			return err
 		}
 		defer func() {
@@ -321,7 +351,8 @@
 	if err != nil {
 		return err
 	}
-	server := controlrpc.NewServer(n.ctx, n.cfg.Fleet, n.cfg.Addresses, parts, n.cfg.Observer.ServerOptions()...)
+	server := controlrpc.NewServer(n.ctx, n.cfg.Fleet, n.cfg.Addresses, parts,
+		n.cfg.Observer.ServerOptions()...)
 	if n.divide != nil {
 		server.Budgets = n.divide
 	}
@@ -339,7 +370,9 @@
 		n.cfg.Log.Info("fleet: this process is no voter", "folder", n.cfg.Dir)
 		for _, v := range n.cfg.Voters {
 			if v.Name == n.cfg.ID {
-				n.mustNotVote("the operators' file names this gateway as a voter, but its folder is no voter's: it was never founded, or was lost")
+				n.mustNotVote(
+					"the operators' file names this gateway as a voter, but its folder is no voter's: it was never founded, or was lost",
+				)
 			}
 		}
 		err = nil
@@ -363,8 +396,10 @@
 
 // mustNotVote logs why a folder must not vote, and how to mend that. All else goes on.
 func (n *Node) mustNotVote(why string) {
-	n.cfg.Log.Error("fleet: this gateway must not vote: "+why+"; have another voter remove it (mothcleat fleet voters remove "+n.cfg.ID+
-		"), remove the folder's log, make it anew with mothcleat fleet join, and add it again", "folder", n.cfg.Dir)
+	n.cfg.Log.Error("fleet: this gateway must not vote: "+why+
+		"; have another voter remove it (mothcleat fleet voters remove "+n.cfg.ID+
+		"), remove the folder's log, make it anew with mothcleat fleet join, and add it again", "folder",
+		n.cfg.Dir)
 }
 
 // follow keeps up who votes.
@@ -407,8 +442,8 @@
 	}
 }
 
-// Stop hands on the duties, and what this voter leads, and returns when that is done or has taken too long. Counting
-// goes on until Close.
+// Stop hands on the duties, and what this voter leads, and returns when that is done or has taken
+// too long. Counting goes on until Close.
 func (n *Node) Stop() {
 	n.leave()
 	select {
--- a/internal/controlplane/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -21,29 +21,29 @@
 
 // Terms is what puts plans in force: in a gateway, gateway.PlanTerms.
 type Terms interface {
-	// CheckBook returns why the plans can't be acted on here, nil if they can.
-	CheckBook(book *plans.Book) error
-	// UseBooks has plans decide from now on, beside others whose terms bind as well; see
+	// CheckCatalog returns why the plans can't be acted on here, nil if they can.
+	CheckCatalog(book *plans.Catalog) error
+	// UseCatalogs has plans decide from now on, beside others whose terms bind as well; see
 	// rollout.Item for the rest.
-	UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func())
+	UseCatalogs(target *plans.Catalog, beside []*plans.Catalog, order uint64, done func())
 }
 
 // Item is the plans of one process: a rollout.Item. Its methods may be called concurrently.
 type Item struct {
 	terms Terms
 
-	mu    sync.Mutex
-	books []stateBook // the newest last
+	mu     sync.Mutex
+	recent []decodedState // the newest last
 }
 
-// stateBook is a state and what it says.
-type stateBook struct {
-	state *distribution.State
-	book  *plans.Book
+// decodedState is a state and what it says.
+type decodedState struct {
+	state   *distribution.State
+	catalog *plans.Catalog
 }
 
-// maxBooks is how many books are kept: those of versions that overlap, and the base of the next.
-const maxBooks = 3
+// maxRecent is how many books are kept: those of versions that overlap, and the base of the next.
+const maxRecent = 3
 
 // errUnknownKind is the reason of an InvalidRecordError for a record of another kind.
 var errUnknownKind = errors.New("it is neither a plan nor a tenant")
@@ -61,13 +61,13 @@
 	if err != nil {
 		return nil, err
 	}
-	i.keep(state, book)
+	i.remember(state, book)
 	return state, nil
 }
 
 // Encode writes records as a file of plans.
 func (i *Item) Encode(state *distribution.State) ([]byte, error) {
-	book, err := i.bookOf(state)
+	book, err := i.catalogOf(state)
 	if err != nil {
 		return nil, err
 	}
@@ -76,47 +76,47 @@
 
 // Check returns why a version can't be acted on here, nil if it can.
 func (i *Item) Check(v *configstate.Version) error {
-	book, err := i.bookOf(v.State)
+	book, err := i.catalogOf(v.State)
 	if err != nil {
 		return err
 	}
-	return i.terms.CheckBook(book)
+	return i.terms.CheckCatalog(book)
 }
 
 // Use has a version decide from now on; see rollout.Item. Versions that were checked can be read.
 func (i *Item) Use(
 	target *configstate.Version, beside []*configstate.Version, order uint64, done func(),
 ) {
-	book := &plans.Book{} // nothing: the process's own configuration holds
+	book := &plans.Catalog{} // nothing: the process's own configuration holds
 	var err error
 	if target != nil {
-		if book, err = i.bookOf(target.State); err != nil {
+		if book, err = i.catalogOf(target.State); err != nil {
 			return
 		}
 	}
-	var besideBooks []*plans.Book
+	var besideBooks []*plans.Catalog
 	for _, v := range beside {
-		one := &plans.Book{}
+		one := &plans.Catalog{}
 		if v != nil {
-			if one, err = i.bookOf(v.State); err != nil {
+			if one, err = i.catalogOf(v.State); err != nil {
 				return
 			}
 		}
 		besideBooks = append(besideBooks, one)
 	}
-	i.terms.UseBooks(book, besideBooks, order, done)
+	i.terms.UseCatalogs(book, besideBooks, order, done)
 }
 
-// bookOf returns what a state says: as it was worked out before, or from the newest state that was,
-// by what differs.
-func (i *Item) bookOf(state *distribution.State) (*plans.Book, error) {
+// catalogOf returns what a state says: as it was worked out before, or from the newest state that
+// was, by what differs.
+func (i *Item) catalogOf(state *distribution.State) (*plans.Catalog, error) {
 	i.mu.Lock()
-	known := slices.Clone(i.books)
+	known := slices.Clone(i.recent)
 	i.mu.Unlock()
-	base := stateBook{distribution.NewState(), &plans.Book{}}
+	base := decodedState{distribution.NewState(), &plans.Catalog{}}
 	for _, one := range known {
 		if one.state == state {
-			return one.book, nil
+			return one.catalog, nil
 		}
 		base = one
 	}
@@ -124,28 +124,28 @@
 	if err != nil {
 		return nil, err
 	}
-	book, err := base.book.Change(changes)
+	book, err := base.catalog.Change(changes)
 	if err != nil {
 		return nil, err
 	}
-	i.keep(state, book)
+	i.remember(state, book)
 	return book, nil
 }
 
-func (i *Item) keep(state *distribution.State, book *plans.Book) {
+func (i *Item) remember(state *distribution.State, book *plans.Catalog) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.books = append(i.books, stateBook{state, book})
-	if len(i.books) > maxBooks {
-		i.books = slices.Delete(i.books, 0, 1)
+	i.recent = append(i.recent, decodedState{state, book})
+	if len(i.recent) > maxRecent {
+		i.recent = slices.Delete(i.recent, 0, 1)
 	}
 }
 
 // stateOf returns the records of a book. Tenants of one plan share their value.
-func stateOf(book *plans.Book) (*distribution.State, error) {
+func stateOf(book *plans.Catalog) (*distribution.State, error) {
 	var changes []distribution.Change
 	values := map[string][]byte{}
-	for _, name := range book.Plans() {
+	for _, name := range book.PlanNames() {
 		v, _ := book.Plan(name, 0)
 		record := &distributionpb.PlanRecord{
 			Rate: v.Rate, Burst: v.Burst, CeilingRate: v.CeilingRate, CeilingBurst: v.CeilingBurst,
--- a/internal/controlplane/planconfig/planconfig_test.go
+++ b/internal/controlplane/planconfig/planconfig_test.go
@@ -19,8 +19,8 @@
 
 // used is what a process was told to put in force.
 type used struct {
-	target *plans.Book
-	beside []*plans.Book
+	target *plans.Catalog
+	beside []*plans.Catalog
 	order  uint64
 }
 
@@ -30,9 +30,11 @@
 	used   []used
 }
 
-func (f *fakeTerms) CheckBook(*plans.Book) error { return f.refuse }
+func (f *fakeTerms) CheckCatalog(*plans.Catalog) error { return f.refuse }
 
-func (f *fakeTerms) UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func()) {
+func (f *fakeTerms) UseCatalogs(
+	target *plans.Catalog, beside []*plans.Catalog, order uint64, done func(),
+) {
 	f.used = append(f.used, used{target, beside, order})
 	done()
 }
@@ -98,7 +100,7 @@
 ) (*configstate.Version, []byte) {
 	t.Helper()
 	none := func(string) *configstate.Version { return nil }
-	answer := configstate.AnswerDelta(target, []string{base.Digest}, none)
+	answer := configstate.DeltaResponse(target, []string{base.Digest}, none)
 	repair, err := configstate.NewRepair(base, target.Digest, answer.Sums)
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +113,7 @@
 		if len(indexes) == 0 {
 			break
 		}
-		if err := repair.Put(configstate.AnswerBuckets(target, indexes)); err != nil {
+		if err := repair.Put(configstate.BucketsResponse(target, indexes)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -143,7 +145,7 @@
 		}
 		return nil
 	}
-	answer := configstate.AnswerDelta(newVersion, []string{"unknown", oldVersion.Digest}, find)
+	answer := configstate.DeltaResponse(newVersion, []string{"unknown", oldVersion.Digest}, find)
 	if answer.Delta == nil || len(answer.Delta.Changes) != 1 {
 		t.Fatalf("%v", answer)
 	}
@@ -152,7 +154,7 @@
 		t.Errorf("%d bytes", size)
 	}
 	repair, err := configstate.NewRepair(oldVersion, newVersion.Digest,
-		configstate.AnswerDelta(newVersion, []string{"unknown"}, find).Sums)
+		configstate.DeltaResponse(newVersion, []string{"unknown"}, find).Sums)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +239,7 @@
 	target, _ := canonical(t, item, drawnFile(r, 300))
 	other, _ := canonical(t, item, drawnFile(r, 300))
 	none := func(string) *configstate.Version { return nil }
-	sums := configstate.AnswerDelta(target, []string{base.Digest}, none).Sums
+	sums := configstate.DeltaResponse(target, []string{base.Digest}, none).Sums
 	var wrong *configstate.WrongBaseError
 	if _, err := configstate.NewRepair(base, other.Digest, sums); !errors.As(err, &wrong) {
 		t.Errorf("sums of another content: %v", err)
@@ -251,7 +253,7 @@
 		t.Fatal(err)
 	}
 	indexes, _ := repair.Next()
-	if err := repair.Put(configstate.AnswerBuckets(other, indexes)); err == nil {
+	if err := repair.Put(configstate.BucketsResponse(other, indexes)); err == nil {
 		t.Error("buckets of another content are taken")
 	}
 	if err := repair.Put(&controlpb.ContentBucketsResponse{}); err == nil {
@@ -261,7 +263,7 @@
 		t.Error("it ended with buckets missing")
 	}
 	// Sums and buckets that fit one another, of another content under the wanted digest.
-	lie := configstate.AnswerDelta(other, []string{base.Digest}, none).Sums
+	lie := configstate.DeltaResponse(other, []string{base.Digest}, none).Sums
 	lie.Digest = target.Digest
 	if repair, err = configstate.NewRepair(base, target.Digest, lie); err != nil {
 		t.Fatal(err)
@@ -271,7 +273,7 @@
 		if len(indexes) == 0 {
 			break
 		}
-		if err := repair.Put(configstate.AnswerBuckets(other, indexes)); err != nil {
+		if err := repair.Put(configstate.BucketsResponse(other, indexes)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -292,7 +294,7 @@
 	}
 	next, _ := canonical(t, item, []byte("[[plan]]\nname = 'one'\nrate = 2\nburst = 2\n"))
 	find := func(string) *configstate.Version { return next }
-	if a := configstate.AnswerDelta(v, []string{next.Digest},
+	if a := configstate.DeltaResponse(v, []string{next.Digest},
 		find); a.Delta != nil || a.Sums != nil {
 		t.Errorf("%v", a)
 	}
@@ -328,7 +330,7 @@
 		len(terms.used[0].beside) != 2 {
 		t.Fatalf("%+v", terms.used)
 	}
-	for got, want := range map[*plans.Book]*configstate.Version{
+	for got, want := range map[*plans.Catalog]*configstate.Version{
 		terms.used[0].target:    all[7],
 		terms.used[0].beside[0]: all[0],
 	} {
@@ -336,7 +338,7 @@
 			t.Error("another book than the version's")
 		}
 	}
-	if len(terms.used[0].beside[1].Plans()) != 0 || len(terms.used[1].target.Plans()) != 0 {
+	if len(terms.used[0].beside[1].PlanNames()) != 0 || len(terms.used[1].target.PlanNames()) != 0 {
 		t.Error("the process's own configuration is not empty")
 	}
 	terms.refuse = errors.New("not here")
--- a/internal/controlplane/rollout/difference.go
+++ b/internal/controlplane/rollout/difference.go
@@ -14,13 +14,17 @@
 // maxBasesOffered is how many contents that are here a request names.
 const maxBasesOffered = 4
 
-// errFullContentNeeded is returned where a content has to travel whole: nothing is here to begin with, or too much differs.
+// errFullContentNeeded is returned where a content has to travel whole: nothing is here to begin
+// with, or too much differs.
 var errFullContentNeeded = errors.New("rollout: the content has to travel whole")
 
-// fetchDelta makes a content out of one that is here by what a source says of the difference, and stores it. The
-// error is fleetlink.ErrNoContent where the source does not have the content, and errWhole where it is to be fetched
-// whole. After any other error too, the whole content may be fetched: nothing was stored.
-func (a *Agent) fetchDelta(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
+// fetchDelta makes a content out of one that is here by what a source says of the difference, and
+// stores it. The error is fleetlink.ErrNoContent where the source does not have the content, and
+// errWhole where it is to be fetched whole. After any other error too, the whole content may be
+// fetched: nothing was stored.
+func (a *Agent) fetchDelta(
+	ctx context.Context, wanted contentRequest, source consensus.MemberInfo,
+) error {
 	item := a.items[wanted.item]
 	if item == nil {
 		return errFullContentNeeded
@@ -71,7 +75,13 @@
 }
 
 // repair stores a content after fetching the buckets in which the one with the digest base differs.
-func (a *Agent) repair(ctx context.Context, wanted contentRequest, base string, sums *controlpb.ContentSums, source consensus.MemberInfo) error {
+func (a *Agent) repair(
+	ctx context.Context,
+	wanted contentRequest,
+	base string,
+	sums *controlpb.ContentSums,
+	source consensus.MemberInfo,
+) error {
 	item, digest := a.items[wanted.item], wanted.ref.Digest
 	from, err := a.versions.read(item, base)
 	if err != nil {
@@ -118,7 +128,9 @@
 }
 
 // Delta answers a process that fetches a content and has others; see fleetlink.Contents.
-func (a *Agent) Delta(request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
+func (a *Agent) Delta(
+	request *controlpb.ContentDeltaRequest,
+) (*controlpb.ContentDeltaResponse, error) {
 	item, target, err := a.requested(request.Item, request.Digest)
 	if err != nil || target == nil {
 		return &controlpb.ContentDeltaResponse{}, err
@@ -130,11 +142,13 @@
 		}
 		return base
 	}
-	return configstate.AnswerDelta(target, request.Bases, find), nil
+	return configstate.DeltaResponse(target, request.Bases, find), nil
 }
 
 // Buckets answers a process that fetches some buckets of a content; see fleetlink.Contents.
-func (a *Agent) Buckets(request *controlpb.ContentBucketsRequest) (*controlpb.ContentBucketsResponse, error) {
+func (a *Agent) Buckets(
+	request *controlpb.ContentBucketsRequest,
+) (*controlpb.ContentBucketsResponse, error) {
 	_, target, err := a.requested(request.Item, request.Digest)
 	if err != nil {
 		return nil, err
@@ -142,11 +156,11 @@
 	if target == nil {
 		return nil, fs.ErrNotExist
 	}
-	return configstate.AnswerBuckets(target, request.Buckets), nil
+	return configstate.BucketsResponse(target, request.Buckets), nil
 }
 
-// requested returns a content that another process asks for, and its item. The content is nil where this program can't
-// read it as records; the error is fs.ErrNotExist where it is not here.
+// requested returns a content that another process asks for, and its item. The content is nil where
+// this program can't read it as records; the error is fs.ErrNotExist where it is not here.
 func (a *Agent) requested(itemName, digest string) (Item, *configstate.Version, error) {
 	item := a.items[itemName]
 	if item == nil {
--- a/internal/controlplane/rollout/difference_test.go
+++ b/internal/controlplane/rollout/difference_test.go
@@ -31,9 +31,13 @@
 // payloadBytes counts the bytes of all messages that a server sends.
 type payloadBytes struct{ sent atomic.Int64 }
 
-func (p *payloadBytes) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
-func (p *payloadBytes) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (p *payloadBytes) HandleConn(context.Context, stats.ConnStats)                       {}
+func (p *payloadBytes) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context {
+	return ctx
+}
+func (p *payloadBytes) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
+}
+func (p *payloadBytes) HandleConn(context.Context, stats.ConnStats) {}
 func (p *payloadBytes) HandleRPC(_ context.Context, event stats.RPCStats) {
 	if out, ok := event.(*stats.OutPayload); ok {
 		p.sent.Add(int64(out.WireLength))
@@ -43,8 +47,8 @@
 // anyTerms finds all plans good.
 type anyTerms struct{}
 
-func (anyTerms) CheckBook(*plans.Book) error { return nil }
-func (anyTerms) UseBooks(_ *plans.Book, _ []*plans.Book, _ uint64, done func()) {
+func (anyTerms) CheckCatalog(*plans.Catalog) error { return nil }
+func (anyTerms) UseCatalogs(_ *plans.Catalog, _ []*plans.Catalog, _ uint64, done func()) {
 	done()
 }
 
@@ -60,15 +64,21 @@
 func newTestAgent(t *testing.T, id, dir string) *testAgent {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
-	client := controlrpc.NewClient(testFleet, lease.Member{ID: id, Incarnation: 1}, "", nil, nil, quiet)
+	client := controlrpc.NewClient(testFleet, lease.Member{ID: id, Incarnation: 1}, "",
+		nil, nil, quiet)
 	contents := NewContents(dir)
 	if err := contents.Create(); err != nil {
 		t.Fatal(err)
 	}
 	items := map[string]Item{planconfig.ItemName: planconfig.New(anyTerms{})}
-	a := &testAgent{Agent: New(configversion.DefaultConfig(), client, contents, items, quiet), dir: dir, bytes: &payloadBytes{}}
+	a := &testAgent{
+		Agent: New(configversion.DefaultConfig(), client, contents, items, quiet),
+		dir:   dir,
+		bytes: &payloadBytes{},
+	}
 	observer := &controlrpc.Observer{Stats: a.bytes, Wrap: func(c net.Conn) net.Conn { return c }}
-	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil, observer.ServerOptions()...)
+	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil,
+		observer.ServerOptions()...)
 	server.Contents = a.Agent
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,7 +91,10 @@
 		server.Stop()
 		running.Wait()
 	})
-	a.source = consensus.MemberInfo{Member: lease.Member{ID: id, Incarnation: 1}, Address: listener.Addr().String()}
+	a.source = consensus.MemberInfo{
+		Member:  lease.Member{ID: id, Incarnation: 1},
+		Address: listener.Addr().String(),
+	}
 	return a
 }
 
@@ -99,7 +112,8 @@
 func (a *testAgent) fetches(t *testing.T, ref configversion.Ref, from *testAgent) int64 {
 	t.Helper()
 	before := from.bytes.sent.Load()
-	if err := a.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, ref, a.contents}, from.source); err != nil {
+	if err := a.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, ref, a.contents},
+		from.source); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := a.contents.Read(ref.Digest); err != nil {
@@ -117,7 +131,8 @@
 
 const testTenants = 5000
 
-// planText is a canonical content in which the first tenants have the large plan, the others the small one.
+// planText is a canonical content in which the first tenants have the large plan, the others the
+// small one.
 func planText(t *testing.T, large int) []byte {
 	t.Helper()
 	return planTextFrom(t, 0, large)
@@ -127,7 +142,9 @@
 func planTextFrom(t *testing.T, first, large int) []byte {
 	t.Helper()
 	var text strings.Builder
-	text.WriteString("[[plan]]\nname = \"large\"\nrate = 2\nburst = 2\n[[plan]]\nname = \"small\"\nrate = 1\nburst = 1\n")
+	text.WriteString(
+		"[[plan]]\nname = \"large\"\nrate = 2\nburst = 2\n[[plan]]\nname = \"small\"\nrate = 1\nburst = 1\n",
+	)
 	for i := range testTenants {
 		plan := "small"
 		if i < large {
@@ -142,8 +159,8 @@
 	return raw
 }
 
-// A content comes whole to who has nothing, as the tenants that changed to who has the one before, also after a restart,
-// and by buckets to who has one that the server lost.
+// A content comes whole to who has nothing, as the tenants that changed to who has the one before,
+// also after a restart, and by buckets to who has one that the server lost.
 func TestAContentTravelsAsWhatDiffers(t *testing.T) {
 	server := newTestAgent(t, "server", t.TempDir())
 	dir := t.TempDir()
@@ -171,13 +188,15 @@
 	restarted.wantFetched(t, FetchStats{Deltas: 1, Repairs: 1})
 }
 
-// A content that is not there is asked of another process; one of other tenants, or that a person wrote
-// otherwise than the program would, travels whole.
+// A content that is not there is asked of another process; one of other tenants, or that a person
+// wrote otherwise than the program would, travels whole.
 func TestAContentTravelsWholeWhereItHasTo(t *testing.T) {
-	server, replica := newTestAgent(t, "server", t.TempDir()), newTestAgent(t, "replica", t.TempDir())
+	server, replica := newTestAgent(t, "server",
+		t.TempDir()), newTestAgent(t, "replica", t.TempDir())
 	replica.add(t, planText(t, 0))
 	absent := configversion.Ref{Digest: strings.Repeat("0", 64), Size: 3}
-	err := replica.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, absent, replica.contents}, server.source)
+	err := replica.fetchFrom(t.Context(),
+		contentRequest{planconfig.ItemName, absent, replica.contents}, server.source)
 	if !errors.Is(err, controlrpc.ErrNoContent) {
 		t.Errorf("a content that is not there: %v", err)
 	}
@@ -217,18 +236,23 @@
 	delta *controlpb.ContentDelta
 }
 
-func (l lyingContents) Delta(*controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
+func (l lyingContents) Delta(
+	*controlpb.ContentDeltaRequest,
+) (*controlpb.ContentDeltaResponse, error) {
 	return &controlpb.ContentDeltaResponse{Delta: l.delta}, nil
 }
 
-// A delta that does not come to the agreed digest is dropped, and the same source is asked for the whole content.
+// A delta that does not come to the agreed digest is dropped, and the same source is asked for the
+// whole content.
 func TestAWrongDeltaIsDropped(t *testing.T) {
 	liar := newTestAgent(t, "liar", t.TempDir())
 	replica := newTestAgent(t, "replica", t.TempDir())
 	base := replica.add(t, planText(t, 0))
 	target := liar.add(t, planText(t, 2))
 	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil)
-	server.Contents = lyingContents{liar.Agent, &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest}}
+	server.Contents = lyingContents{
+		liar.Agent, &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest},
+	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -239,8 +263,13 @@
 	defer server.Stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	source := consensus.MemberInfo{Member: lease.Member{ID: "liar", Incarnation: 2}, Address: listener.Addr().String()}
-	if err := replica.fetchFrom(ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source); err != nil {
+	source := consensus.MemberInfo{
+		Member:  lease.Member{ID: "liar", Incarnation: 2},
+		Address: listener.Addr().String(),
+	}
+	if err := replica.fetchFrom(
+		ctx, contentRequest{planconfig.ItemName, target, replica.contents.Unsynced()}, source,
+	); err != nil {
 		t.Fatal(err)
 	}
 	replica.wantFetched(t, FetchStats{Full: 1})
--- a/internal/controlplane/usageexport/usageexport.go
+++ b/internal/controlplane/usageexport/usageexport.go
@@ -38,8 +38,8 @@
 	return int(h.Sum32() % uint32(max(1, shards)))
 }
 
-// Span is a range of periods of one incarnation in a file, both ends included.
-type Span struct {
+// PeriodRange is a range of periods of one incarnation in a file, both ends included.
+type PeriodRange struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"` // in hexadecimal
 	From        uint64 `json:"from"`
@@ -52,20 +52,20 @@
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
 	After       uint64 `json:"after"`
-	Why         string `json:"why"`
+	Reason      string `json:"why"`
 }
 
 // File is an exported file that counts.
 type File struct {
-	Role   string  `json:"duty"`
-	Term   uint64  `json:"term"`
-	Owner  string  `json:"owner"` // id
-	Name   string  `json:"name"`
-	SHA256 string  `json:"sha256"`
-	Rows   int     `json:"rows"`
-	Units  float64 `json:"units"`
-	Spans  []Span  `json:"spans"`
-	Index  uint64  `json:"index"` // index of the log entry that made it count
+	Role   string        `json:"duty"`
+	Term   uint64        `json:"term"`
+	Owner  string        `json:"owner"` // id
+	Name   string        `json:"name"`
+	SHA256 string        `json:"sha256"`
+	Rows   int           `json:"rows"`
+	Units  float64       `json:"units"`
+	Ranges []PeriodRange `json:"spans"`
+	Index  uint64        `json:"index"` // index of the log entry that made it count
 }
 
 // Incarnation is one incarnation of a gateway.
@@ -74,8 +74,8 @@
 	Incarnation string `json:"boot"`
 }
 
-// Op is the command: it makes a file count, and reports gaps and incarnations.
-type Op struct {
+// Command is the command: it makes a file count, and reports gaps and incarnations.
+type Command struct {
 	Shards int   `json:"shards"`
 	File   *File `json:"file,omitempty"`
 	Gaps   []Gap `json:"gaps,omitempty"`
@@ -89,12 +89,12 @@
 
 // Result is the answer to an Op.
 type Result struct {
-	OK  bool   `json:"ok"`
-	Why string `json:"why,omitempty"`
+	OK     bool   `json:"ok"`
+	Reason string `json:"why,omitempty"`
 }
 
-// Mark is the last exported period of an incarnation.
-type Mark struct {
+// Progress is the last exported period of an incarnation.
+type Progress struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
 	Period      uint64 `json:"period"`
@@ -104,11 +104,11 @@
 
 // View is the answer to a query, and the format of a snapshot.
 type View struct {
-	Marks []Mark  `json:"marks"`
-	Files []File  `json:"files"` // the newest last
-	Count uint64  `json:"count"` // files ever
-	Units float64 `json:"units"` // in them
-	Chain string  `json:"chain"` // over the digests of all files, in their order
+	Progress []Progress `json:"marks"`
+	Files    []File     `json:"files"` // the newest last
+	Count    uint64     `json:"count"` // files ever
+	Units    float64    `json:"units"` // in them
+	Chain    string     `json:"chain"` // over the digests of all files, in their order
 }
 
 // Fence refuses a command under an old term.
@@ -118,34 +118,34 @@
 
 // Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
-	fence Fence
-	marks map[[2]string]*Mark
-	v     View
+	fence    Fence
+	progress map[[2]string]*Progress
+	view     View
 }
 
 // NewMachine returns an empty state machine. The fence is the table of leases, which has to be part
 // of the same replicated state.
-func NewMachine(f Fence) *Machine { return &Machine{fence: f, marks: map[[2]string]*Mark{}} }
+func NewMachine(f Fence) *Machine { return &Machine{fence: f, progress: map[[2]string]*Progress{}} }
 
 // IncarnationText returns an incarnation in hexadecimal.
 func IncarnationText(boot uint64) string { return strconv.FormatUint(boot, 16) }
 
 // Apply applies an Op and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
-	var op Op
+	var op Command
 	err := json.Unmarshal(body, &op)
 	if err == nil {
-		err = m.take(index, who, &op)
+		err = m.apply(index, who, &op)
 	}
 	r := Result{OK: err == nil}
 	if err != nil {
-		r.Why = err.Error()
+		r.Reason = err.Error()
 	}
 	return mustjson.Marshal(r)
 }
 
-// take checks a command whole and then applies it.
-func (m *Machine) take(index uint64, who lease.Member, op *Op) error {
+// apply checks a command whole and then applies it.
+func (m *Machine) apply(index uint64, who lease.Member, op *Command) error {
 	if err := m.fence.Fence(op.Role, op.Term, who); err != nil {
 		return err
 	}
@@ -162,13 +162,13 @@
 		}
 		// All spans are checked before any of them is applied.
 		ends := map[[2]string]uint64{}
-		for _, s := range f.Spans {
+		for _, s := range f.Ranges {
 			if err := mine(s.ID); err != nil {
 				return err
 			}
 			key := [2]string{s.ID, s.Incarnation}
 			done, seen := ends[key]
-			if mark := m.marks[key]; !seen && mark != nil {
+			if mark := m.progress[key]; !seen && mark != nil {
 				done = mark.Period
 			}
 			if s.From != done+1 || s.To < s.From {
@@ -189,18 +189,18 @@
 		}
 	}
 	for _, b := range op.Seen {
-		m.mark(b.ID, b.Incarnation)
+		m.progressOf(b.ID, b.Incarnation)
 	}
 	for _, g := range op.Gaps {
-		if mark := m.mark(g.ID, g.Incarnation); !mark.Last && mark.Gap == "" {
-			mark.Gap = g.Why
+		if mark := m.progressOf(g.ID, g.Incarnation); !mark.Last && mark.Gap == "" {
+			mark.Gap = g.Reason
 		}
 	}
 	if op.File == nil {
 		return nil
 	}
-	for _, s := range op.File.Spans {
-		mark := m.mark(s.ID, s.Incarnation)
+	for _, s := range op.File.Ranges {
+		mark := m.progressOf(s.ID, s.Incarnation)
 		mark.Period, mark.Last = s.To, s.Last
 		if s.Last {
 			mark.Gap = "" // its folder came back
@@ -208,22 +208,22 @@
 	}
 	f := *op.File
 	f.Owner, f.Index = who.ID, index
-	m.v.Count++
-	m.v.Units += f.Units
-	sum := sha256.Sum256([]byte(m.v.Chain + f.SHA256))
-	m.v.Chain = hex.EncodeToString(sum[:])
-	files := append(m.v.Files, f)
-	m.v.Files = files[max(0, len(files)-maxFiles):]
+	m.view.Count++
+	m.view.Units += f.Units
+	sum := sha256.Sum256([]byte(m.view.Chain + f.SHA256))
+	m.view.Chain = hex.EncodeToString(sum[:])
+	files := append(m.view.Files, f)
+	m.view.Files = files[max(0, len(files)-maxFiles):]
 	return nil
 }
 
-// mark returns the mark of an incarnation, which is added where there is none.
-func (m *Machine) mark(id, boot string) *Mark {
+// progressOf returns the mark of an incarnation, which is added where there is none.
+func (m *Machine) progressOf(id, boot string) *Progress {
 	key := [2]string{id, boot}
-	if m.marks[key] == nil {
-		m.marks[key] = &Mark{ID: id, Incarnation: boot}
+	if m.progress[key] == nil {
+		m.progress[key] = &Progress{ID: id, Incarnation: boot}
 	}
-	return m.marks[key]
+	return m.progress[key]
 }
 
 // Query returns a View as JSON.
@@ -231,12 +231,12 @@
 
 // Snapshot returns the state as JSON; equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
-	v := m.v
-	v.Marks = make([]Mark, 0, len(m.marks))
-	for _, mark := range m.marks {
-		v.Marks = append(v.Marks, *mark)
+	v := m.view
+	v.Progress = make([]Progress, 0, len(m.progress))
+	for _, mark := range m.progress {
+		v.Progress = append(v.Progress, *mark)
 	}
-	slices.SortFunc(v.Marks, func(a, b Mark) int {
+	slices.SortFunc(v.Progress, func(a, b Progress) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return mustjson.Marshal(v)
@@ -248,11 +248,11 @@
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return fmt.Errorf("exports: %w", err)
 	}
-	m.marks = map[[2]string]*Mark{}
-	for _, mark := range v.Marks {
-		m.marks[[2]string{mark.ID, mark.Incarnation}] = &mark
+	m.progress = map[[2]string]*Progress{}
+	for _, mark := range v.Progress {
+		m.progress[[2]string{mark.ID, mark.Incarnation}] = &mark
 	}
-	v.Marks = nil
-	m.v = v
+	v.Progress = nil
+	m.view = v
 	return nil
 }
--- a/internal/controlplane/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -26,7 +26,7 @@
 	return NewMachine(tb)
 }
 
-func do(t *testing.T, m *Machine, who lease.Member, op Op) Result {
+func do(t *testing.T, m *Machine, who lease.Member, op Command) Result {
 	t.Helper()
 	raw, err := json.Marshal(op)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return r
 }
 
-func file(term uint64, spans ...Span) Op {
-	return Op{
+func file(term uint64, spans ...PeriodRange) Command {
+	return Command{
 		Shards: 1,
 		Role:   RoleOfShard(0),
 		Term:   term,
@@ -50,7 +50,7 @@
 			Name:   "f",
 			SHA256: strings.Repeat("0", 64),
 			Units:  2,
-			Spans:  spans,
+			Ranges: spans,
 		},
 	}
 }
@@ -59,42 +59,48 @@
 	m := machine(t)
 	for i, c := range []struct {
 		who  lease.Member
-		op   Op
+		op   Command
 		want string // in the refusal; "": it counts
 	}{
-		{late, file(1, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "term 1"},
-		{late, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "owned by"},
-		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 2, To: 3}), "periods 2 to 3"},
+		{late, file(1, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "term 1"},
+		{late, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "owned by"},
+		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 2, To: 3}), "periods 2 to 3"},
 		{
 			owner,
-			file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2},
-				Span{ID: "h", Incarnation: "9", From: 1, To: 1}),
+			file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2},
+				PeriodRange{ID: "h", Incarnation: "9", From: 1, To: 1}),
 			"",
 		},
-		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 2}), "those up to 2"},
-		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 2, To: 3}), "those up to 2"},
-		{owner, file(2, Span{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4 to 4"},
+		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "those up to 2"},
+		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 2, To: 3}), "those up to 2"},
+		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4 to 4"},
 		{
 			owner,
-			file(2, Span{ID: "h", Incarnation: "9", From: 2, To: 2},
-				Span{ID: "g", Incarnation: "1", From: 4, To: 4}),
+			file(2, PeriodRange{ID: "h", Incarnation: "9", From: 2, To: 2},
+				PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4}),
 			"periods 4",
 		},
 		{
 			owner,
-			file(2, Span{ID: "g", Incarnation: "1", From: 3, To: 3},
-				Span{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}),
+			file(2, PeriodRange{ID: "g", Incarnation: "1", From: 3, To: 3},
+				PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}),
 			"",
 		},
 		// another boot counts anew
-		{owner, file(2, Span{ID: "g", Incarnation: "2", From: 1, To: 1}), ""},
+		{owner, file(2, PeriodRange{ID: "g", Incarnation: "2", From: 1, To: 1}), ""},
 		{
 			owner,
-			Op{Shards: 1, Role: RoleOfShard(0), Term: 1, Gaps: []Gap{{ID: "h", Incarnation: "9"}}},
+			Command{
+				Shards: 1,
+				Role:   RoleOfShard(0),
+				Term:   1,
+				Gaps:   []Gap{{ID: "h", Incarnation: "9"}},
+			},
 			"term 1",
 		},
 	} {
-		if r := do(t, m, c.who, c.op); r.OK != (c.want == "") || !strings.Contains(r.Why, c.want) {
+		if r := do(t, m, c.who, c.op); r.OK != (c.want == "") ||
+			!strings.Contains(r.Reason, c.want) {
 			t.Errorf("%d: %+v, want %q", i, r, c.want)
 		}
 	}
@@ -102,8 +108,8 @@
 	if err := json.Unmarshal(m.Query(0, nil), &v); err != nil {
 		t.Fatal(err)
 	}
-	if v.Count != 3 || v.Units != 6 || len(v.Marks) != 3 || v.Marks[0].Period != 4 ||
-		!v.Marks[0].Last || v.Files[0].Owner != "a" || v.Chain == "" {
+	if v.Count != 3 || v.Units != 6 || len(v.Progress) != 3 || v.Progress[0].Period != 4 ||
+		!v.Progress[0].Last || v.Files[0].Owner != "a" || v.Chain == "" {
 		t.Errorf("%+v", v)
 	}
 	copied := NewMachine(nil)
@@ -116,26 +122,26 @@
 // A boot that was seen and vanished is a gap, and no gap any more when its folder is back.
 func TestGaps(t *testing.T) {
 	m := machine(t)
-	seen := Op{Shards: 1, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{"g", "1"}}}
-	gap := Op{
+	seen := Command{Shards: 1, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{"g", "1"}}}
+	gap := Command{
 		Shards: 1,
 		Role:   RoleOfShard(0),
 		Term:   2,
-		Gaps:   []Gap{{ID: "g", Incarnation: "1", After: 0, Why: "lost"}},
+		Gaps:   []Gap{{ID: "g", Incarnation: "1", After: 0, Reason: "lost"}},
 	}
-	for _, op := range []Op{seen, gap} {
+	for _, op := range []Command{seen, gap} {
 		if r := do(t, m, owner, op); !r.OK {
 			t.Fatal(r)
 		}
 	}
-	if mark := m.marks[[2]string{"g", "1"}]; mark == nil || mark.Gap != "lost" {
+	if mark := m.progress[[2]string{"g", "1"}]; mark == nil || mark.Gap != "lost" {
 		t.Errorf("%+v", mark)
 	}
 	if r := do(t, m, owner,
-		file(2, Span{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
+		file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
 		t.Fatal(r)
 	}
-	if mark := m.marks[[2]string{"g", "1"}]; mark.Gap != "" || !mark.Last {
+	if mark := m.progress[[2]string{"g", "1"}]; mark.Gap != "" || !mark.Last {
 		t.Errorf("%+v", mark)
 	}
 	// what belongs to another shard is another duty's
@@ -144,7 +150,12 @@
 		other += "x"
 	}
 	if r := do(t, m, owner,
-		Op{Shards: 4, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{other, "1"}}}); r.OK {
+		Command{
+			Shards: 4,
+			Role:   RoleOfShard(0),
+			Term:   2,
+			Seen:   []Incarnation{{other, "1"}},
+		}); r.OK {
 		t.Error("another shard's gateway is taken")
 	}
 }
--- a/internal/controlplane/usageexporter/usageexporter.go
+++ b/internal/controlplane/usageexporter/usageexporter.go
@@ -31,12 +31,12 @@
 
 // Exporter exports one shard. Its fields must not be changed once Work was called.
 type Exporter struct {
-	Dir    string // folder of the files, the same for all who may lead
-	Shard  int
-	Shards int
-	Every  time.Duration
-	Client *controlrpc.Client
-	Log    *slog.Logger
+	Dir      string // folder of the files, the same for all who may lead
+	Shard    int
+	Shards   int
+	Interval time.Duration
+	Client   *controlrpc.Client
+	Log      *slog.Logger
 }
 
 const (
@@ -47,7 +47,7 @@
 
 // Work exports every e.Every until its context ends. It is an election.Work.
 func (e *Exporter) Work(ctx context.Context, t *election.Tenure) {
-	tick := time.NewTicker(e.Every)
+	tick := time.NewTicker(e.Interval)
 	defer tick.Stop()
 	tidied := false
 	members := e.Client.Members(consensus.MembershipQuery{
@@ -55,7 +55,7 @@
 		Retired: true,
 	})
 	for {
-		err := e.round(ctx, t, members, &tidied)
+		err := e.exportOnce(ctx, t, members, &tidied)
 		if err != nil && (ctx.Err() == nil || errors.Is(err, errRefused)) {
 			e.Log.Warn("fleet: export", "duty", t.Role, "term", t.Term, "error", err)
 		}
@@ -69,46 +69,52 @@
 
 var errRefused = errors.New("refused")
 
-// round collects, writes and commits once.
-func (e *Exporter) round(
+// exportOnce collects, writes and commits once.
+func (e *Exporter) exportOnce(
 	ctx context.Context, t *election.Tenure, members *controlrpc.Members, tidied *bool,
 ) error {
-	ctx, cancel := context.WithTimeout(ctx, max(e.Every, requestTimeout))
+	ctx, cancel := context.WithTimeout(ctx, max(e.Interval, requestTimeout))
 	defer cancel()
 	var done usageexport.View
-	if err := ask(ctx, e.Client, usageexport.MachineName, &done); err != nil {
+	if err := queryState(ctx, e.Client, usageexport.MachineName, &done); err != nil {
 		return err
 	}
-	all, err := listOf(ctx, members)
+	all, err := listMembers(ctx, members)
 	if err != nil {
 		return err
 	}
 	if !*tidied {
-		if err := e.tidy(t, &done); err != nil {
+		if err := e.removeAbandoned(t, &done); err != nil {
 			return err
 		}
 		*tidied = true
 	}
-	b := newBook(&done)
+	b := newBatch(&done)
 	for _, m := range all {
 		if m.Address == "" || usageexport.ShardOf(m.ID, e.Shards) != e.Shard || b.rows > maxRows {
 			continue
 		}
-		b.note(m.ID, append(slices.Clone(m.Retired), m.Incarnation))
+		b.recordIncarnations(m.ID, append(slices.Clone(m.Retired), m.Incarnation))
 		if err := e.collect(ctx, m, b); err != nil {
 			e.Log.Debug("fleet: export: not heard", "gateway", m.ID, "error", err)
 		}
 	}
 	failpoint.At("export-collected")
-	if b.rows == 0 && len(b.spans) == 0 && len(b.gaps) == 0 && len(b.seen) == 0 {
+	if b.rows == 0 && len(b.ranges) == 0 && len(b.gaps) == 0 && len(b.seen) == 0 {
 		return nil
 	}
 	if !t.Holds() {
 		return nil // the next leader collects it again
 	}
-	op := usageexport.Op{Shards: e.Shards, Gaps: b.gaps, Seen: b.seen, Role: t.Role, Term: t.Term}
-	if len(b.spans) > 0 {
-		f, err := e.write(t, b)
+	op := usageexport.Command{
+		Shards: e.Shards,
+		Gaps:   b.gaps,
+		Seen:   b.seen,
+		Role:   t.Role,
+		Term:   t.Term,
+	}
+	if len(b.ranges) > 0 {
+		f, err := e.writeFile(t, b)
 		if err != nil {
 			return err
 		}
@@ -135,20 +141,20 @@
 		if op.File != nil {
 			_ = os.Remove(filepath.Join(e.Dir, op.File.Name)) // it never counts
 		}
-		return fmt.Errorf("%w: %s", errRefused, res.Why)
+		return fmt.Errorf("%w: %s", errRefused, res.Reason)
 	}
 	return nil
 }
 
-// listOf returns the members as committed now.
-func listOf(ctx context.Context, members *controlrpc.Members) ([]consensus.MemberInfo, error) {
+// listMembers returns the members as committed now.
+func listMembers(ctx context.Context, members *controlrpc.Members) ([]consensus.MemberInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return members.List(ctx)
 }
 
-// ask reads the state of a machine by a linearizable read.
-func ask(ctx context.Context, c *controlrpc.Client, machine string, into any) error {
+// queryState reads the state of a machine by a linearizable read.
+func queryState(ctx context.Context, c *controlrpc.Client, machine string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	raw, err := c.Read(ctx, machine, nil)
@@ -158,25 +164,25 @@
 	return json.Unmarshal(raw, into)
 }
 
-// book is what one round collected.
-type book struct {
-	marks map[string]map[string]usageexport.Mark // by id and boot
-	text  bytes.Buffer
-	csv   *csv.Writer
-	rows  int
-	units float64
-	spans []usageexport.Span
-	gaps  []usageexport.Gap
-	seen  []usageexport.Incarnation
+// batch is what one round collected.
+type batch struct {
+	progress map[string]map[string]usageexport.Progress // by id and boot
+	text     bytes.Buffer
+	csv      *csv.Writer
+	rows     int
+	units    float64
+	ranges   []usageexport.PeriodRange
+	gaps     []usageexport.Gap
+	seen     []usageexport.Incarnation
 }
 
-func newBook(done *usageexport.View) *book {
-	b := &book{marks: map[string]map[string]usageexport.Mark{}}
-	for _, m := range done.Marks {
-		if b.marks[m.ID] == nil {
-			b.marks[m.ID] = map[string]usageexport.Mark{}
+func newBatch(done *usageexport.View) *batch {
+	b := &batch{progress: map[string]map[string]usageexport.Progress{}}
+	for _, m := range done.Progress {
+		if b.progress[m.ID] == nil {
+			b.progress[m.ID] = map[string]usageexport.Progress{}
 		}
-		b.marks[m.ID][m.Incarnation] = m
+		b.progress[m.ID][m.Incarnation] = m
 	}
 	b.csv = csv.NewWriter(&b.text)
 	_ = b.csv.Write([]string{
@@ -185,27 +191,27 @@
 	return b
 }
 
-// note lists incarnations of a gateway that have no mark yet.
-func (b *book) note(id string, boots []uint64) {
+// recordIncarnations lists incarnations of a gateway that have no mark yet.
+func (b *batch) recordIncarnations(id string, boots []uint64) {
 	for _, boot := range boots {
 		text := usageexport.IncarnationText(boot)
-		if _, ok := b.marks[id][text]; ok {
+		if _, ok := b.progress[id][text]; ok {
 			continue
 		}
-		if b.marks[id] == nil {
-			b.marks[id] = map[string]usageexport.Mark{}
+		if b.progress[id] == nil {
+			b.progress[id] = map[string]usageexport.Progress{}
 		}
-		b.marks[id][text] = usageexport.Mark{ID: id, Incarnation: text}
+		b.progress[id][text] = usageexport.Progress{ID: id, Incarnation: text}
 		b.seen = append(b.seen, usageexport.Incarnation{ID: id, Incarnation: text})
 	}
 }
 
 // collect asks one gateway for its closed periods.
-func (e *Exporter) collect(ctx context.Context, m consensus.MemberInfo, b *book) error {
+func (e *Exporter) collect(ctx context.Context, m consensus.MemberInfo, b *batch) error {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	had := map[uint64]uint64{}
-	for boot, mark := range b.marks[m.ID] {
+	for boot, mark := range b.progress[m.ID] {
 		if n, err := strconv.ParseUint(boot, 16, 64); err == nil {
 			had[n] = mark.Period
 		}
@@ -223,25 +229,25 @@
 	}
 	// An incarnation that ended, and of which the folder of its gateway has nothing: the folder was
 	// lost.
-	for boot, mark := range b.marks[m.ID] {
+	for boot, mark := range b.progress[m.ID] {
 		if !mark.Last && mark.Gap == "" && !heard[boot] &&
 			boot != usageexport.IncarnationText(m.Incarnation) {
 			b.gaps = append(b.gaps, usageexport.Gap{ID: m.ID, Incarnation: boot, After: mark.Period,
-				Why: "the gateway has come back without its counts of that boot"})
+				Reason: "the gateway has come back without its counts of that boot"})
 		}
 	}
 	return nil
 }
 
 // add adds a period, if it is the next one of its incarnation.
-func (b *book) add(p *controlpb.Part) error {
+func (b *batch) add(p *controlpb.Part) error {
 	boot := usageexport.IncarnationText(p.Incarnation)
-	last := b.marks[p.Id][boot].Period
-	i := slices.IndexFunc(b.spans, func(s usageexport.Span) bool {
+	last := b.progress[p.Id][boot].Period
+	i := slices.IndexFunc(b.ranges, func(s usageexport.PeriodRange) bool {
 		return s.ID == p.Id && s.Incarnation == boot
 	})
 	if i >= 0 {
-		last = b.spans[i].To
+		last = b.ranges[i].To
 	}
 	if p.Period <= last {
 		return nil
@@ -250,10 +256,11 @@
 		return fmt.Errorf("%s/%s: period %d comes after %d", p.Id, boot, p.Period, last)
 	}
 	if i < 0 {
-		b.spans = append(b.spans, usageexport.Span{ID: p.Id, Incarnation: boot, From: p.Period})
-		i = len(b.spans) - 1
+		b.ranges = append(b.ranges,
+			usageexport.PeriodRange{ID: p.Id, Incarnation: boot, From: p.Period})
+		i = len(b.ranges) - 1
 	}
-	b.spans[i].To, b.spans[i].Last = p.Period, p.Last
+	b.ranges[i].To, b.ranges[i].Last = p.Period, p.Last
 	for _, u := range p.Units {
 		b.rows++
 		b.units += u.Units
@@ -269,9 +276,9 @@
 // prefix returns the prefix of the names of the shard's files.
 func (e *Exporter) prefix() string { return fmt.Sprintf("use-%03d-", e.Shard) }
 
-// write writes the rows of a round to a file that does not count yet. Its name has the term and the
-// digest, so that no two leaders write the same file.
-func (e *Exporter) write(t *election.Tenure, b *book) (*usageexport.File, error) {
+// writeFile writes the rows of a round to a file that does not count yet. Its name has the term and
+// the digest, so that no two leaders write the same file.
+func (e *Exporter) writeFile(t *election.Tenure, b *batch) (*usageexport.File, error) {
 	b.csv.Flush()
 	sum := sha256.Sum256(b.text.Bytes())
 	f := &usageexport.File{
@@ -280,7 +287,7 @@
 		SHA256: hex.EncodeToString(sum[:]),
 		Rows:   b.rows,
 		Units:  b.units,
-		Spans:  b.spans,
+		Ranges: b.ranges,
 	}
 	f.Name = fmt.Sprintf("%s%010d-%s.csv", e.prefix(), t.Term, f.SHA256[:16])
 	path := filepath.Join(e.Dir, f.Name)
@@ -304,9 +311,10 @@
 	return f, errors.Join(dir.Sync(), dir.Close())
 }
 
-// tidy removes files of former leaders that never came to count. Under this term no other process
-// can make them count any more, and the view of those that count was read after the term began.
-func (e *Exporter) tidy(t *election.Tenure, done *usageexport.View) error {
+// removeAbandoned removes files of former leaders that never came to count. Under this term no
+// other process can make them count any more, and the view of those that count was read after the
+// term began.
+func (e *Exporter) removeAbandoned(t *election.Tenure, done *usageexport.View) error {
 	counts := map[string]bool{}
 	for _, f := range done.Files {
 		counts[f.Name] = true
--- a/internal/dataplane/gateway/version_lease.go
+++ b/internal/dataplane/gateway/version_lease.go
@@ -10,16 +10,18 @@
 	"mothcleat/internal/plans"
 )
 
-// VersionLease tells whether this gateway may act on what is in force in it. The loop calls it, and it must not wait.
+// VersionLease tells whether this gateway may act on what is in force in it. The loop calls it, and
+// it must not wait.
 type VersionLease interface {
-	// Current gives until when it may, by a clock that goes on while the process is stopped, and a stamp of what is in force;
-	// 0: it may not.
+	// Current gives until when it may, by a clock that goes on while the process is stopped, and a
+	// stamp of what is in force; 0: it may not.
 	Current() (until time.Duration, stamp uint64)
 	// Expired tells whether what was decided under a permit may not be done any more.
 	Expired(until time.Duration, stamp uint64) bool
 }
 
-// OperationRecorder counts what a gateway does, under what is in force in it at the time. The loop calls it, and it must not wait.
+// OperationRecorder counts what a gateway does, under what is in force in it at the time. The loop
+// calls it, and it must not wait.
 type OperationRecorder interface {
 	// Sent counts an attempt that was sent on: a request's first one, with its units, or another.
 	Sent(first bool, units float64)
@@ -59,13 +61,14 @@
 	}
 }
 
-// versionLeaseExpired tells whether an attempt may not be written any more, as the permit is over under which its request was decided.
+// versionLeaseExpired tells whether an attempt may not be written any more, as the permit is over
+// under which its request was decided.
 func (l *Loop) versionLeaseExpired(r *request) bool {
 	return l.cfg.VersionLease != nil && l.cfg.VersionLease.Expired(r.leaseUntil, r.leaseStamp)
 }
 
-// PlanTerms are the plans of a gateway, as one of the things that its fleet acts on. What a version does not name stays as the
-// configuration has it. Its methods may be called from any goroutine.
+// PlanTerms are the plans of a gateway, as one of the things that its fleet acts on. What a version
+// does not name stays as the configuration has it. Its methods may be called from any goroutine.
 type PlanTerms struct {
 	names      []string
 	configured []policy.Plan
@@ -91,9 +94,9 @@
 	}
 }
 
-// CheckBook returns why a version of the plans can't be acted on here, nil if it can.
-func (t *PlanTerms) CheckBook(b *plans.Book) error {
-	for _, name := range b.Plans() {
+// CheckCatalog returns why a version of the plans can't be acted on here, nil if it can.
+func (t *PlanTerms) CheckCatalog(b *plans.Catalog) error {
+	for _, name := range b.PlanNames() {
 		if !slices.Contains(t.names, name) {
 			return fmt.Errorf("plans: %q is none of this gateway's plans", name)
 		}
@@ -104,12 +107,14 @@
 	return nil
 }
 
-// UseBooks has a version that was checked decide from now on, beside others whose terms bind as well. A book without plans
-// stands for what the configuration has. order grows with each call, and done is called on the loop's goroutine once it has
-// changed over.
-func (t *PlanTerms) UseBooks(target *plans.Book, beside []*plans.Book, order uint64, done func()) {
+// UseCatalogs has a version that was checked decide from now on, beside others whose terms bind as
+// well. A book without plans stands for what the configuration has. order grows with each call, and
+// done is called on the loop's goroutine once it has changed over.
+func (t *PlanTerms) UseCatalogs(
+	target *plans.Catalog, beside []*plans.Catalog, order uint64, done func(),
+) {
 	e := plansChanged{plans: slices.Clone(t.configured), order: order, done: done}
-	e.books = append([]*plans.Book{target}, beside...)
+	e.books = append([]*plans.Catalog{target}, beside...)
 	for i, b := range e.books {
 		for k, name := range t.names {
 			terms := termsOf(&t.configured[k])
@@ -134,20 +139,25 @@
 }
 
 func termsOf(p *policy.Plan) plans.Terms {
-	return plans.Terms{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst}
+	return plans.Terms{
+		Rate:         p.Rate,
+		Burst:        p.Burst,
+		CeilingRate:  p.CeilingRate,
+		CeilingBurst: p.CeilingBurst,
+	}
 }
 
 // plansChanged is a change of the plans' terms, or of who has which.
 type plansChanged struct {
 	plans []policy.Plan
 	names []string
-	books []*plans.Book // the one that is acted on, and those beside it
+	books []*plans.Catalog // the one that is acted on, and those beside it
 	order uint64
 	done  func()
 }
 
-// assigned is the plan that a customer has by the versions; below 0: the one that its requests name. Where versions differ it is the one
-// with the smaller quota.
+// assigned is the plan that a customer has by the versions; below 0: the one that its requests
+// name. Where versions differ it is the one with the smaller quota.
 func (e *plansChanged) assigned(customer uint64) int {
 	best := -1
 	for _, b := range e.books {
--- a/internal/plans/change.go
+++ b/internal/plans/change.go
@@ -25,11 +25,11 @@
 // plan and customer, as those that Parse reads. It copies the index of customers and reads only
 // what changes. It returns an error that names what can't hold: terms out of range, or a customer
 // whose plan is not there.
-func (b *Book) Change(c *Changes) (*Book, error) {
+func (b *Catalog) Change(c *Changes) (*Catalog, error) {
 	if len(b.from) != len(b.customers) {
 		return nil, errors.New("plans: a book with times can't be changed")
 	}
-	next := &Book{from: b.from, spans: b.spans}
+	next := &Catalog{from: b.from, spans: b.spans}
 	renumbered, err := next.changePlans(b, c)
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 
 // changePlans makes the plans of a book, in the order of their names, and returns the new number of
 // each old one.
-func (b *Book) changePlans(before *Book, c *Changes) (renumbered []int32, err error) {
+func (b *Catalog) changePlans(before *Catalog, c *Changes) (renumbered []int32, err error) {
 	terms := make(map[string]Version, len(before.names)+len(c.Plans))
 	for i, name := range before.names {
 		terms[name] = before.versions[i][0]
@@ -76,7 +76,7 @@
 
 // planNumber is the number of a plan by its name, removedPlan if it is not there. The names are
 // sorted.
-func (b *Book) planNumber(name string) int32 {
+func (b *Catalog) planNumber(name string) int32 {
 	if i, found := slices.BinarySearchFunc(b.names, name, compareNames); found {
 		return int32(i)
 	}
@@ -84,7 +84,7 @@
 }
 
 // changeCustomers makes the customers of a book whose plans are made.
-func (b *Book) changeCustomers(before *Book, c *Changes, renumbered []int32) error {
+func (b *Catalog) changeCustomers(before *Catalog, c *Changes, renumbered []int32) error {
 	assigned := slices.Clone(c.Assignments)
 	slices.SortFunc(assigned, func(a, b Assignment) int {
 		return cmp.Compare(a.Customer, b.Customer)
@@ -124,7 +124,7 @@
 }
 
 // assign appends a customer, whose number is greater than all before it.
-func (b *Book) assign(a *Assignment) error {
+func (b *Catalog) assign(a *Assignment) error {
 	plan := b.planNumber(a.Plan)
 	if plan == removedPlan {
 		return fmt.Errorf("customer %s: there is no plan %q", CustomerID(a.Customer), a.Plan)
@@ -135,7 +135,7 @@
 
 // index gives each customer its one entry. While their count stays, the index of the book before
 // serves.
-func (b *Book) index() {
+func (b *Catalog) index() {
 	if len(b.spans) == len(b.customers)+1 {
 		return
 	}
@@ -149,7 +149,7 @@
 
 // Customers calls a function for each customer and the plan of its first entry, by id, until it
 // returns false.
-func (b *Book) Customers(each func(customer uint64, plan string) bool) {
+func (b *Catalog) Customers(each func(customer uint64, plan string) bool) {
 	for i, customer := range b.customers {
 		if plan := b.plan[b.spans[i]]; plan >= 0 && !each(customer, b.names[plan]) {
 			return
--- a/internal/plans/change_test.go
+++ b/internal/plans/change_test.go
@@ -10,7 +10,7 @@
 )
 
 // drawnBook draws a book as a file has it.
-func drawnBook(t *testing.T, r *rand.Rand) *Book {
+func drawnBook(t *testing.T, r *rand.Rand) *Catalog {
 	t.Helper()
 	var versions []Version
 	for i := range 1 + r.IntN(5) {
@@ -24,7 +24,7 @@
 				Assignment{Customer: uint64(i) << 40, Plan: versions[r.IntN(len(versions))].Plan})
 		}
 	}
-	b, err := NewBook(versions, assignments)
+	b, err := NewCatalog(versions, assignments)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,15 +40,15 @@
 }
 
 // difference works out changes between two books from their maps alone.
-func difference(from, to *Book) *Changes {
+func difference(from, to *Catalog) *Changes {
 	c := &Changes{}
-	for _, name := range to.Plans() {
+	for _, name := range to.PlanNames() {
 		v, _ := to.Plan(name, 0)
 		if old, ok := from.Plan(name, 0); !ok || old != v {
 			c.Plans = append(c.Plans, v)
 		}
 	}
-	for _, name := range from.Plans() {
+	for _, name := range from.PlanNames() {
 		if _, ok := to.Plan(name, 0); !ok {
 			c.RemovedPlans = append(c.RemovedPlans, name)
 		}
--- a/internal/plans/file.go
+++ b/internal/plans/file.go
@@ -25,7 +25,7 @@
 
 // Parse reads the terms of all plans, and which customers have which, from TOML. What it does not
 // know it refuses, with the line.
-func Parse(raw []byte) (*Book, error) {
+func Parse(raw []byte) (*Catalog, error) {
 	var f file
 	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
@@ -67,18 +67,18 @@
 		}
 		assignments = append(assignments, Assignment{Customer: id, Plan: c.Plan})
 	}
-	b, err := NewBook(versions, assignments)
+	b, err := NewCatalog(versions, assignments)
 	if err != nil {
 		return nil, fmt.Errorf("plans: %w", err)
 	}
 	return b, nil
 }
 
-// Plans are the names of all plans.
-func (b *Book) Plans() []string { return b.names }
+// PlanNames are the names of all plans.
+func (b *Catalog) PlanNames() []string { return b.names }
 
 // Plan gives the terms of a plan at a time.
-func (b *Book) Plan(name string, t Time) (v Version, ok bool) {
+func (b *Catalog) Plan(name string, t Time) (v Version, ok bool) {
 	for i, n := range b.names {
 		if n != name {
 			continue
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -40,8 +40,8 @@
 	From     Time
 }
 
-// Holding is what holds for a customer: a plan's version since a time.
-type Holding struct {
+// ActivePlan is what holds for a customer: a plan's version since a time.
+type ActivePlan struct {
 	Plan    string
 	Version int  // counts a plan's versions from 1
 	Since   Time // when it began for this customer
@@ -52,12 +52,12 @@
 // Forever is later than any time that a book may name.
 const Forever Time = 1 << 62
 
-// Book holds versions and assignments, indexed by customer and time.
+// Catalog holds versions and assignments, indexed by customer and time.
 //
 // The index is two levels of packed slices: a customer's assignments stand together in the order of
 // their times, found by its id in a sorted slice; a plan's versions the same. A holding is where
 // the two meet, so a new version of a plan costs one entry however many customers have the plan.
-type Book struct {
+type Catalog struct {
 	customers []uint64
 	spans     []uint32 // where each customer's assignments begin; one more at the end
 	from      []Time
@@ -66,9 +66,9 @@
 	versions  [][]Version // by plan, in the order of their times
 }
 
-// NewBook checks and indexes what was announced. The order of the lists does not matter.
-func NewBook(versions []Version, assignments []Assignment) (*Book, error) {
-	b := &Book{}
+// NewCatalog checks and indexes what was announced. The order of the lists does not matter.
+func NewCatalog(versions []Version, assignments []Assignment) (*Catalog, error) {
+	b := &Catalog{}
 	byName := map[string]int32{}
 	for _, v := range versions {
 		if err := v.check(); err != nil {
@@ -136,7 +136,7 @@
 
 // At tells what holds for a customer at a time; ok is false where it has no plan then, or the plan
 // has no version yet.
-func (b *Book) At(customer uint64, t Time) (h Holding, ok bool) {
+func (b *Catalog) At(customer uint64, t Time) (h ActivePlan, ok bool) {
 	i, found := slices.BinarySearch(b.customers, customer)
 	if !found {
 		return h, false
@@ -151,7 +151,7 @@
 	if v < 0 {
 		return h, false
 	}
-	h = Holding{
+	h = ActivePlan{
 		Plan:    of[v].Plan,
 		Version: v + 1,
 		Since:   max(b.from[a], of[v].From),
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -54,7 +54,7 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
 		versions, assignments := drawn(r, 8, 5, 40)
-		b, err := NewBook(versions, assignments)
+		b, err := NewCatalog(versions, assignments)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,7 +99,7 @@
 		"two plans":       {[]Version{good}, []Assignment{{1, "pro", 0}, {1, "", 0}}},
 		"no time":         {[]Version{good}, []Assignment{{1, "pro", -1}}},
 	} {
-		if _, err := NewBook(c.v, c.a); err == nil || !strings.Contains(err.Error(), reason) {
+		if _, err := NewCatalog(c.v, c.a); err == nil || !strings.Contains(err.Error(), reason) {
 			t.Errorf("%s: %v", reason, err)
 		}
 	}
@@ -157,7 +157,7 @@
 func BenchmarkAt(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 3))
 	versions, assignments := drawn(r, 100_000, 20, 1000)
-	book, err := NewBook(versions, assignments)
+	book, err := NewCatalog(versions, assignments)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/plans/render.go
+++ b/internal/plans/render.go
@@ -14,7 +14,7 @@
 // comments. The same book gives the same bytes, and Render of what Parse read from them gives them
 // again. Of a plan or a customer with several entries, only the first is written, as a file has no
 // times.
-func Render(b *Book) []byte {
+func Render(b *Catalog) []byte {
 	text := make([]byte, 0, len(b.customers)*customerTextBytes+len(b.names)*2*customerTextBytes)
 	order := make([]int, len(b.names))
 	for i := range order {
--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -21,7 +21,9 @@
 func TestMain(m *testing.M) { os.Exit(testcluster.Main(&bin, m.Run)) }
 
 // points are where processes stop or kill themselves, by a file in their folder.
-var points = []string{"budgets-before-agree", "budgets-after-agree", "right-taken", "right-told", "right-lessened"}
+var points = []string{
+	"budgets-before-agree", "budgets-after-agree", "right-taken", "right-told", "right-lessened",
+}
 
 func faults(more string) string {
 	text := "MOTHCLEAT_FAULTS=" + more
@@ -31,7 +33,8 @@
 	return text
 }
 
-// fleet starts a fleet that divides, with all faults to be had, and waits until the shards are owned.
+// fleet starts a fleet that divides, with all faults to be had, and waits until the shards are
+// owned.
 func fleet(t *testing.T, o testcluster.Options, clock func(i int) string) *trialRun {
 	t.Helper()
 	o.Bin, o.Load, o.Seed = bin, 0.3, o.Seed+1
@@ -76,8 +79,9 @@
 	<-done
 }
 
-// kept fails the test if the whole of any budget was passed, by what servers took or by what processes held.
-func kept(t *testing.T, run *trialRun) *harness.Figures {
+// kept fails the test if the whole of any budget was passed, by what servers took or by what
+// processes held.
+func kept(t *testing.T, run *trialRun) *harness.Summary {
 	t.Helper()
 	fig := run.f.Figures("budgets")
 	clustertest.Check(t, run.judge(fig))
@@ -93,15 +97,16 @@
 	if how == "kill" {
 		t.f.Gateways[i].Expect(syscall.SIGKILL)
 	}
-	clustertest.Check(tt, os.WriteFile(filepath.Join(t.f.Gateways[i].Dir(), how+"-"+point), nil, 0o600))
+	clustertest.Check(tt,
+		os.WriteFile(filepath.Join(t.f.Gateways[i].Dir(), how+"-"+point), nil, 0o600))
 	eventually(tt, testcluster.Name(i)+" at "+point, func() bool {
 		return how == "stop" && t.f.Stopped(i) || how == "kill" && !t.f.Gateways[i].Running()
 	})
 	if how == "stop" {
-		t.f.Record.AddLife(i, harness.Paused)
+		t.f.Record.AddProcessEvent(i, harness.Paused)
 		t.harm.Count("stops")
 	} else {
-		t.f.Record.AddLife(i, harness.Killed)
+		t.f.Record.AddProcessEvent(i, harness.Killed)
 		t.harm.Count("kills")
 	}
 }
@@ -115,7 +120,10 @@
 // ownerOf waits for the owner of the one shard.
 func ownerOf(t *testing.T, run *trialRun) (i int) {
 	t.Helper()
-	eventually(t, "an owner", func() bool { i = run.owner(allocation.RoleOfShard(0)); return i >= 0 })
+	eventually(t, "an owner", func() bool {
+		i = run.owner(allocation.RoleOfShard(0))
+		return i >= 0
+	})
 	return i
 }
 
@@ -126,8 +134,8 @@
 	return r
 }
 
-// A customer's busiest gateway is cut off amid a surge: it goes on by its parts, then by its floors; the others get the rest. Then
-// both are sure of themselves, and one hears the other.
+// A customer's busiest gateway is cut off amid a surge: it goes on by its parts, then by its
+// floors; the others get the rest. Then both are sure of themselves, and one hears the other.
 func TestCutOffGatewayStaysInsideItsRights(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4}, nil)
 	play(t, run, func() {
@@ -147,7 +155,8 @@
 			}
 			for _, b := range books {
 				for _, h := range b.Allocations {
-					if h.Member.ID == testcluster.Name(cut) && h.Total.Burst > h.ReservedMin.Burst+1e-6 {
+					if h.Member.ID == testcluster.Name(cut) &&
+						h.Total.Burst > h.ReservedMin.Burst+1e-6 {
 						return false
 					}
 				}
@@ -166,37 +175,47 @@
 	}
 }
 
-// Processes stop and kill themselves at each point where it matters, in one fleet, one after another.
+// Processes stop and kill themselves at each point where it matters, in one fleet, one after
+// another.
 func TestEndsAmidWork(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 1}, nil)
 	play(t, run, func() {
-		// A holder stops between taking units and its last look at the clock, for twice its span, and is woken with requests queued.
+		// A holder stops between taking units and its last look at the clock, for twice its span,
+		// and is woken with requests queued.
 		i := (ownerOf(t, run) + 1) % 4
 		run.stands(t, i, "stop", "right-taken")
 		testcluster.Pass(t.Context(), 2*allocation.DefaultConfig().TTL)
 		clustertest.Check(t, run.f.Wake(i))
-		run.f.Record.AddLife(i, harness.Woken)
-		// The owner stops between having a round agreed and telling it, and before: its words come after those of the next.
+		run.f.Record.AddProcessEvent(i, harness.Resumed)
+		// The owner stops between having a round agreed and telling it, and before: its words come
+		// after those of the next.
 		for _, point := range []string{"budgets-after-agree", "budgets-before-agree"} {
 			i := ownerOf(t, run)
 			run.stands(t, i, "stop", point)
-			eventually(t, "another owner", func() bool { own := run.owner(allocation.RoleOfShard(0)); return own >= 0 && own != i })
+			eventually(t, "another owner", func() bool {
+				own := run.owner(allocation.RoleOfShard(0))
+				return own >= 0 && own != i
+			})
 			testcluster.Pass(t.Context(), time.Second)
 			clustertest.Check(t, run.f.Wake(i))
-			run.f.Record.AddLife(i, harness.Woken)
+			run.f.Record.AddProcessEvent(i, harness.Resumed)
 		}
-		// What a part is lessened to is heard by a process that is killed before it acts on it, and by one that is killed after.
+		// What a part is lessened to is heard by a process that is killed before it acts on it, and
+		// by one that is killed after.
 		for _, point := range []string{"right-told", "right-lessened"} {
 			i := (ownerOf(t, run) + 1) % 4
 			run.stands(t, i, "kill", point)
 			clustertest.Check(t, run.f.Begin(i))
-			eventually(t, "rights of the one that was started anew", func() bool { return len(rights(t, run.f, i).Held) > 0 })
+			eventually(t, "rights of the one that was started anew", func() bool {
+				return len(rights(t, run.f, i).Held) > 0
+			})
 		}
 	})
 	kept(t, run)
 }
 
-// All voters are gone at once: whoever is left runs down to its floors and serves by them; then all is back.
+// All voters are gone at once: whoever is left runs down to its floors and serves by them; then all
+// is back.
 func TestNoVoters(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Voters: 3, Seed: 4}, nil)
 	play(t, run, func() {
@@ -218,7 +237,8 @@
 // without is for how long nobody divides: less than floors last.
 const without = 30 * time.Second
 
-// floorsAlone tells whether a gateway has floors of quotas and no parts; renewed, whether it has parts again.
+// floorsAlone tells whether a gateway has floors of quotas and no parts; renewed, whether it has
+// parts again.
 func floorsAlone(t *testing.T, f *testcluster.Fleet, i int) (floors bool) {
 	for _, r := range rights(t, f, i).Held {
 		if r.Until > 0 {
@@ -230,33 +250,41 @@
 }
 
 func renewed(t *testing.T, f *testcluster.Fleet, i int) bool {
-	return slices.ContainsFunc(rights(t, f, i).Held, func(r allocation.HolderStatus) bool { return r.Until > 0 })
+	return slices.ContainsFunc(rights(t, f, i).Held, func(r allocation.HolderStatus) bool {
+		return r.Until > 0
+	})
 }
 
 // served fails the test if a gateway has sent nothing on since some time.
 func served(t *testing.T, run *trialRun, since time.Duration, i int) {
 	t.Helper()
 	some := false
-	run.f.Record.Look(func() {
-		some = slices.ContainsFunc(run.f.Record.Attempts, func(a harness.Attempt) bool { return a.Whole > since && a.Gateway == i })
+	run.f.Record.Read(func() {
+		some = slices.ContainsFunc(run.f.Record.Attempts, func(a harness.Attempt) bool {
+			return a.ReceivedAt > since && a.Gateway == i
+		})
 	})
 	if !some {
 		t.Errorf("%s sent nothing on by its floors", testcluster.Name(i))
 	}
 }
 
-// The shard's owner holds its duty and divides nothing for 30 s: parts run out, floors serve, and then all is back. Whoever
-// takes the duty on has the same trouble.
+// The shard's owner holds its duty and divides nothing for 30 s: parts run out, floors serve, and
+// then all is back. Whoever takes the duty on has the same trouble.
 func TestNoOwnerFor30Seconds(t *testing.T) {
-	run := fleet(t, testcluster.Options{Instances: 4, Seed: 9}, func(int) string { return "slow=budgets-begin:" + without.String() + "@slow" })
+	run := fleet(t, testcluster.Options{Instances: 4, Seed: 9}, func(int) string {
+		return "slow=budgets-begin:" + without.String() + "@slow"
+	})
 	play(t, run, func() {
 		for i := range run.f.Gateways {
-			clustertest.Check(t, os.WriteFile(filepath.Join(run.f.Gateways[i].Dir(), "slow"), nil, 0o600))
+			clustertest.Check(t,
+				os.WriteFile(filepath.Join(run.f.Gateways[i].Dir(), "slow"), nil, 0o600))
 		}
 		from := ownerOf(t, run)
 		to := (from + 1) % 4
 		eventually(t, "the duty handed on", func() bool {
-			_ = run.f.Call(from, "transfer "+allocation.RoleOfShard(0)+" "+testcluster.Name(to), nil)
+			_ = run.f.Call(from,
+				"transfer "+allocation.RoleOfShard(0)+" "+testcluster.Name(to), nil)
 			own := run.owner(allocation.RoleOfShard(0))
 			return own >= 0 && own != from
 		})
@@ -290,8 +318,9 @@
 	kept(t, run)
 }
 
-// A voter's folder, and a gateway's that does not vote, are put back as they were long before, with the boots and terms of then:
-// the voter does not vote, the gateway takes what it held for nothing, and the sum holds.
+// A voter's folder, and a gateway's that does not vote, are put back as they were long before, with
+// the boots and terms of then: the voter does not vote, the gateway takes what it held for nothing,
+// and the sum holds.
 func TestFoldersOfLongBefore(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 10}, nil)
 	voter := 1
@@ -303,7 +332,9 @@
 		}
 		for _, i := range []int{voter, 3} {
 			clustertest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Restore(i), run.f.Begin(i))
-			eventually(t, "rights with the older folder", func() bool { return renewed(t, run.f, i) })
+			eventually(t, "rights with the older folder", func() bool {
+				return renewed(t, run.f, i)
+			})
 		}
 		eventually(t, "the voter with the older folder says that it must not vote", func() bool {
 			var here controlplane.Here
@@ -313,9 +344,11 @@
 	kept(t, run)
 }
 
-// The shard's owner leaves: it hands the shard on, and gives back its parts to the next owner, long before they run out.
+// The shard's owner leaves: it hands the shard on, and gives back its parts to the next owner, long
+// before they run out.
 func TestAnOwnerThatLeavesGivesBack(t *testing.T) {
-	run := fleet(t, testcluster.Options{Instances: 4, Seed: 12, Operators: Text(1, "span = \"50s\"")}, nil)
+	run := fleet(t,
+		testcluster.Options{Instances: 4, Seed: 12, Operators: Text(1, "span = \"50s\"")}, nil)
 	play(t, run, func() {
 		i := ownerOf(t, run)
 		var here controlplane.Here
@@ -326,7 +359,9 @@
 				return true
 			}
 			return slices.ContainsFunc(books, func(b allocation.View) bool {
-				return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool { return h.Member == here.Member })
+				return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool {
+					return h.Member == here.Member
+				})
 			})
 		}
 		eventually(t, "parts of the owner's own", holds)
@@ -337,7 +372,8 @@
 	kept(t, run)
 }
 
-// Many join within a second, and then all are replaced, some at a time and in any order. lab budgets --surge plays it with forty.
+// Many join within a second, and then all are replaced, some at a time and in any order. lab
+// budgets --surge plays it with forty.
 func TestSurgeAndRollingReplacement(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 10, Voters: 3, Seed: 11}, nil)
 	play(t, run, func() { clustertest.Check(t, run.surge(t.Context(), 3, 2)) })
@@ -360,7 +396,9 @@
 				how = syscall.SIGKILL
 			}
 			clustertest.Check(t, run.f.End(i, how), run.f.Begin(i))
-			eventually(t, "rights of a newcomer", func() bool { return len(rights(t, run.f, i).Held) > 0 })
+			eventually(t, "rights of a newcomer", func() bool {
+				return len(rights(t, run.f, i).Held) > 0
+			})
 		}
 	})
 	if fig := kept(t, run); fig.Broken[harness.Lost] > 0 {
@@ -368,13 +406,21 @@
 	}
 }
 
-// Clocks at nine tenths of the pace, ahead, and one that leaps by a minute at a gateway that divides nothing.
+// Clocks at nine tenths of the pace, ahead, and one that leaps by a minute at a gateway that
+// divides nothing.
 func TestClocksThatDiffer(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 6}, func(i int) string {
 		return []string{"pace=0.9", "ahead=30s", "", "jump=1m@12s"}[i]
 	})
 	play(t, run, func() { testcluster.Pass(t.Context(), 4*time.Second) })
-	all := Windows(run.f.Site, run.f.Record, Slack{Late: allocation.DefaultConfig().UseTimeout, Pace: allocation.DefaultConfig().ClockDrift})
+	all := Windows(
+		run.f.Site,
+		run.f.Record,
+		Slack{
+			Late: allocation.DefaultConfig().UseTimeout,
+			Pace: allocation.DefaultConfig().ClockDrift,
+		},
+	)
 	if len(all) == 0 || all[0].Over > 0 {
 		t.Errorf("%v", all[0])
 	}
@@ -397,7 +443,8 @@
 	kept(t, run)
 }
 
-// Quotas are lessened to a quarter while all of them are out, by a configuration that comes with one new process after another.
+// Quotas are lessened to a quarter while all of them are out, by a configuration that comes with
+// one new process after another.
 func TestQuotaLessenedByANewConfiguration(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 3, Seed: 8}, nil)
 	var since time.Duration
@@ -436,7 +483,8 @@
 		since = run.f.Record.Now() + 2*time.Second // customers that ask now and then are heard of
 		testcluster.Pass(t.Context(), 4*time.Second)
 	})
-	all := WindowsSince(run.f.Site, run.f.Record, Slack{Late: allocation.DefaultConfig().UseTimeout}, since)
+	all := WindowsSince(run.f.Site, run.f.Record,
+		Slack{Late: allocation.DefaultConfig().UseTimeout}, since)
 	for _, w := range all {
 		if w.Over > 0 {
 			t.Error(w)
--- a/internal/testing/allocationtest/judge.go
+++ b/internal/testing/allocationtest/judge.go
@@ -1,5 +1,6 @@
-// Package allocationtest has a fleet of real gateways divide quotas while links and processes fail, and judges by
-// what the stand-in servers took, and by what the gateways held, whether the whole was ever passed.
+// Package allocationtest has a fleet of real gateways divide quotas while links and processes fail,
+// and judges by what the stand-in servers took, and by what the gateways held, whether the whole
+// was ever passed.
 package allocationtest
 
 import (
@@ -12,8 +13,9 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Slack is what a window may pass the whole by: units are taken when a request is decided on, and count here when they
-// reach a server. Between the two a connection may have to be made, and processes wait for a core.
+// Slack is what a window may pass the whole by: units are taken when a request is decided on, and
+// count here when they reach a server. Between the two a connection may have to be made, and
+// processes wait for a core.
 type Slack struct {
 	Late  time.Duration // so much of the rate
 	Units float64       // and so many units, such as one request for each stop
@@ -35,13 +37,13 @@
 	Units float64
 }
 
-// Uses are what servers took of each customer, and which plan that has. A try's units count once, when it first reached a
-// server.
+// Uses are what servers took of each customer, and which plan that has. A try's units count once,
+// when it first reached a server.
 func Uses(rec *harness.Record, since time.Duration) (all map[string][]Use, plans map[string]int) {
 	first := map[string]time.Duration{}
 	for _, a := range rec.Attempts {
-		if at, ok := first[a.ID]; !ok || a.Whole < at {
-			first[a.ID] = a.Whole
+		if at, ok := first[a.ID]; !ok || a.ReceivedAt < at {
+			first[a.ID] = a.ReceivedAt
 		}
 	}
 	all, plans = map[string][]Use{}, map[string]int{}
@@ -58,18 +60,21 @@
 	return all, plans
 }
 
-// Windows holds against the whole what servers took of each customer, over every window, the worst first.
+// Windows holds against the whole what servers took of each customer, over every window, the worst
+// first.
 func Windows(s *harness.Site, rec *harness.Record, slack Slack) []Window {
 	return WindowsSince(s, rec, slack, 0)
 }
 
 // WindowsSince is Windows of what reached servers from a time on.
-func WindowsSince(s *harness.Site, rec *harness.Record, slack Slack, since time.Duration) (all []Window) {
+func WindowsSince(
+	s *harness.Site, rec *harness.Record, slack Slack, since time.Duration,
+) (all []Window) {
 	used, plans := Uses(rec, since)
 	for customer, list := range used {
 		p := &s.Plans[plans[customer]]
-		// A bank that is full at first and never refuses shows all windows at once: how far it is overdrawn is how
-		// far the worst one that ends there is over.
+		// A bank that is full at first and never refuses shows all windows at once: how far it is
+		// overdrawn is how far the worst one that ends there is over.
 		rate := p.Rate * (1 + slack.Pace)
 		w := Window{Customer: customer, Plan: plans[customer], Over: math.Inf(-1)}
 		level, last := p.Burst, time.Duration(0)
@@ -90,11 +95,12 @@
 }
 
 func (w Window) String() string {
-	return fmt.Sprintf("customer %s of plan %d: %.2f units beyond at %v, %.0f taken in all", w.Customer, w.Plan, w.Over, w.At.Round(time.Millisecond), w.Units)
+	return fmt.Sprintf("customer %s of plan %d: %.2f units beyond at %v, %.0f taken in all",
+		w.Customer, w.Plan, w.Over, w.At.Round(time.Millisecond), w.Units)
 }
 
-// RefusedWithRoom is which part of the first tries inside their quotas was refused although one who sees all that servers took would
-// have found the units in the customer's store.
+// RefusedWithRoom is which part of the first tries inside their quotas was refused although one who
+// sees all that servers took would have found the units in the customer's store.
 func RefusedWithRoom(s *harness.Site, rec *harness.Record) float64 {
 	used, _ := Uses(rec, 0)
 	levels := map[string]float64{}
@@ -113,7 +119,7 @@
 		if !known {
 			level = p.Burst
 		}
-		now := max(at[c], o.Try.Sent)
+		now := max(at[c], o.Try.SentAt)
 		for ; next[c] < len(used[c]) && used[c][next[c]].At <= now; next[c]++ {
 			u := used[c][next[c]]
 			level = math.Min(p.Burst, level+p.Rate*max(0, u.At-at[c]).Seconds()) - u.Units
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -27,14 +27,16 @@
 	For       time.Duration
 	Load      float64
 	Shards    int
-	Compare   bool   // notes as well, and even parts, undisturbed
-	Surge     bool   // most leave, join within a second, and all are replaced, in place of faults at random
-	Bin       string // built with the tag faults; "": it is built
+	Compare   bool // notes as well, and even parts, undisturbed
+	// most leave, join within a second, and all are replaced, in place of faults at random
+	Surge bool
+	Bin   string // built with the tag faults; "": it is built
 }
 
 // Text is an operators' file's tables for a fleet that divides, is recorded, and was just founded.
 func Text(shards int, more ...string) string {
-	return fmt.Sprintf("[budgets]\non = true\nshards = %d\nbegin_full = true\nrecord = %q\n%s\n%s", shards, recordName, strings.Join(more, "\n"), refusals)
+	return fmt.Sprintf("[budgets]\non = true\nshards = %d\nbegin_full = true\nrecord = %q\n%s\n%s",
+		shards, recordName, strings.Join(more, "\n"), refusals)
 }
 
 const (
@@ -43,8 +45,9 @@
 	shift    = 5 * time.Second // the busiest gateway of a customer changes so often
 )
 
-// Run plays a fleet amid faults, and beside it the same traffic with a fleet that has none and through one gateway.
-func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Figures, error) {
+// Run plays a fleet amid faults, and beside it the same traffic with a fleet that has none and
+// through one gateway.
+func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
 	}
@@ -70,10 +73,14 @@
 		text      string
 		disturb   bool
 	}
-	worlds := []world{{"undisturbed", o.Instances, Text(o.Shards), false}, {"one_gateway", 1, Text(o.Shards), false}}
+	worlds := []world{
+		{"undisturbed", o.Instances, Text(o.Shards), false},
+		{"one_gateway", 1, Text(o.Shards), false},
+	}
 	if o.Compare {
 		// Their notes do not go by the links that are cut.
-		worlds = append(worlds, world{"notes", o.Instances, refusals, false}, world{"notes_disturbed", o.Instances, refusals, true})
+		worlds = append(worlds, world{"notes", o.Instances, refusals, false},
+			world{"notes_disturbed", o.Instances, refusals, true})
 	}
 	for _, w := range worlds {
 		p, err := o.play(ctx, w.instances, w.text, w.disturb, io.Discard)
@@ -83,7 +90,7 @@
 		fig.Extra["service_"+w.name], fig.Extra["over_"+w.name], fig.Extra["refused_with_room_"+w.name] = p.fig.Service, p.fig.Over, p.withRoom
 		for rule, n := range p.fig.Broken {
 			if n > 0 && !strings.HasPrefix(w.name, "notes") {
-				fig.Miss(fmt.Sprintf("%s: %s broken %d times", w.name, rule, n))
+				fig.AddFailure(fmt.Sprintf("%s: %s broken %d times", w.name, rule, n))
 			}
 		}
 	}
@@ -93,7 +100,7 @@
 	}
 	for _, k := range wanted {
 		if n, ok := fig.Extra[k].(int); !ok || n == 0 {
-			fig.Miss("no " + k + ": nothing was shown")
+			fig.AddFailure("no " + k + ": nothing was shown")
 		}
 	}
 	return fig, nil
@@ -101,13 +108,26 @@
 
 // played is one world's figures.
 type played struct {
-	fig      *harness.Figures
+	fig      *harness.Summary
 	withRoom float64 // refused, of the requests inside quotas
 }
 
 // play plays one world.
-func (o *Options) play(ctx context.Context, instances int, text string, disturb bool, progress io.Writer) (p played, err error) {
-	f, err := testcluster.New(ctx, testcluster.Options{Seed: o.Seed, Instances: instances, Voters: min(voters, instances), Load: o.Load, Bin: o.Bin, Log: progress, Operators: text})
+func (o *Options) play(
+	ctx context.Context, instances int, text string, disturb bool, progress io.Writer,
+) (p played, err error) {
+	f, err := testcluster.New(
+		ctx,
+		testcluster.Options{
+			Seed:      o.Seed,
+			Instances: instances,
+			Voters:    min(voters, instances),
+			Load:      o.Load,
+			Bin:       o.Bin,
+			Log:       progress,
+			Operators: text,
+		},
+	)
 	if err != nil {
 		return p, err
 	}
@@ -155,21 +175,24 @@
 		fig.Extra["dead_part_back_ms_p99"] = harness.Quantile(t.back, 0.99)
 	}
 	if err := t.harm.Err(); err != nil {
-		fig.Miss(err.Error())
+		fig.AddFailure(err.Error())
 	}
 	return p, nil
 }
 
 // judge holds against the wholes what servers took and what processes held.
-func (t *trialRun) judge(fig *harness.Figures) error {
+func (t *trialRun) judge(fig *harness.Summary) error {
 	// One request a stop may slip through between the last look at the clock and the write.
-	slack := Slack{Late: allocation.DefaultConfig().UseTimeout, Units: 4 * float64(t.harm.Did("stops"))}
+	slack := Slack{
+		Late:  allocation.DefaultConfig().UseTimeout,
+		Units: 4 * float64(t.harm.Did("stops")),
+	}
 	fig.Broken["window_over_whole"], fig.Broken["sum_over_whole"] = 0, 0
 	all := Windows(t.f.Site, t.f.Record, slack)
 	for _, w := range all {
 		if w.Over > 0 {
 			fig.Broken["window_over_whole"]++
-			fig.Miss(w.String())
+			fig.AddFailure(w.String())
 		}
 	}
 	strict := Windows(t.f.Site, t.f.Record, Slack{})
@@ -184,11 +207,12 @@
 	for _, s := range r.Sums(t.f.Site) {
 		if s.Over.Burst > rounding || s.Over.Rate > rounding {
 			fig.Broken["sum_over_whole"]++
-			fig.Miss(fmt.Sprintf("budget %x: %+v beyond the whole at %v", s.Budget, s.Over, s.At))
+			fig.AddFailure(fmt.Sprintf("budget %x: %+v beyond the whole at %v",
+				s.Budget, s.Over, s.At))
 		}
 	}
 	if len(r.Terms) == 0 {
-		fig.Miss("no gateway has written down any right")
+		fig.AddFailure("no gateway has written down any right")
 	}
 	fig.Extra["redivisions"] = r.Changes
 	var newcomers []time.Duration
@@ -206,13 +230,14 @@
 	by := map[int][]harness.Outcome{}
 	last := 0
 	for _, o := range harness.Outcomes(t.f.Site, t.f.Record) {
-		k := int(o.Try.Asked / time.Second)
+		k := int(o.Try.RequestedAt / time.Second)
 		by[k] = append(by[k], o)
 		last = max(last, k)
 	}
 	for k := range last + 1 {
 		if len(by[k]) > 0 {
-			fmt.Fprintf(t.progress, "  second %d: service %.3f\n", k, harness.Service(t.f.Site, by[k]))
+			fmt.Fprintf(t.progress, "  second %d: service %.3f\n", k,
+				harness.Service(t.f.Site, by[k]))
 		}
 	}
 }
@@ -228,7 +253,9 @@
 }
 
 func newRun(f *testcluster.Fleet, o *Options, progress io.Writer) *trialRun {
-	return &trialRun{f: f, o: o, progress: progress, harm: &testcluster.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, len(f.Gateways)),
+	return &trialRun{f: f, o: o, progress: progress, harm: &testcluster.Harm{Fleet: f, Seed: o.Seed, Voters: min(
+		voters, len(f.Gateways),
+	),
 		Stops: 22 * allocation.DefaultConfig().TTL / 10, Progress: progress}}
 }
 
@@ -252,7 +279,8 @@
 		return -1
 	}
 	for _, h := range v.Leases {
-		if i, err := strconv.Atoi(strings.TrimPrefix(h.Holder.ID, "n")); err == nil && h.Role == duty && v.At <= h.ExpiresAt {
+		if i, err := strconv.Atoi(strings.TrimPrefix(h.Holder.ID, "n")); err == nil &&
+			h.Role == duty && v.At <= h.ExpiresAt {
 			return i
 		}
 	}
@@ -264,7 +292,8 @@
 	if !strings.Contains(t.f.Operators(0), "[budgets]") {
 		return nil
 	}
-	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline) &&
+		ctx.Err() == nil; {
 		n := 0
 		for shard := range t.o.Shards {
 			if t.owner(allocation.RoleOfShard(shard)) >= 0 {
@@ -298,18 +327,20 @@
 			t.takenBack(ctx, dead.Member, again)
 		}
 	}
-	h.Run(ctx, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
+	h.Run(ctx, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop},
+		[]testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 }
 
 // takenBack waits until nobody has a dead process down for more than its floors, or until a time.
 func (t *trialRun) takenBack(ctx context.Context, dead lease.Member, limit time.Time) {
 	for began := time.Now(); time.Now().Before(limit); {
 		var books []allocation.View
-		if t.view("budgets", &books) == nil && len(books) > 0 && !slices.ContainsFunc(books, func(b allocation.View) bool {
-			return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool {
-				return h.Member == dead && h.Total.Burst > h.ReservedMin.Burst
-			})
-		}) {
+		if t.view("budgets", &books) == nil && len(books) > 0 &&
+			!slices.ContainsFunc(books, func(b allocation.View) bool {
+				return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool {
+					return h.Member == dead && h.Total.Burst > h.ReservedMin.Burst
+				})
+			}) {
 			t.mu.Lock()
 			t.back = append(t.back, time.Since(began))
 			t.mu.Unlock()
--- a/internal/testing/audittest/audit_test.go
+++ b/internal/testing/audittest/audit_test.go
@@ -36,14 +36,18 @@
 // acts waits until a gateway acts on a version of the plans, or a later one.
 func acts(t *testing.T, f *testcluster.Fleet, i int, number uint64) {
 	t.Helper()
-	clustertest.Eventually(t, fmt.Sprintf("%s acts on %d", testcluster.Name(i), number), func() (bool, string) {
+	clustertest.Eventually(t, fmt.Sprintf("%s acts on %d", testcluster.Name(i),
+		number), func() (bool, string) {
 		h, err := here(f, i)
-		return err == nil && h.Until > 0 && h.InForce["plans"] >= number, fmt.Sprintf("%+v %v", h, err)
+		return err == nil && h.Until > 0 &&
+			h.InForce["plans"] >= number, fmt.Sprintf("%+v %v", h, err)
 	})
 }
 
 // proposed has a text proposed, again while there is nobody to ask.
-func proposed(t *testing.T, f *testcluster.Fleet, at int, stage configversion.Stage, text string) (number uint64) {
+func proposed(
+	t *testing.T, f *testcluster.Fleet, at int, stage configversion.Stage, text string,
+) (number uint64) {
 	t.Helper()
 	clustertest.Eventually(t, "a proposal", func() (bool, string) {
 		n, err := propose(f, at, stage, 0, text)
@@ -59,7 +63,8 @@
 	clustertest.Eventually(t, fmt.Sprintf("the end of %d", number), func() (bool, string) {
 		v, err := agreed(f, at)
 		one := version(&v, number)
-		return err == nil && one != nil && one.ExpiresAt != 0 && v.At >= one.ExpiresAt, fmt.Sprintf("%+v %v", one, err)
+		return err == nil && one != nil && one.ExpiresAt != 0 &&
+			v.At >= one.ExpiresAt, fmt.Sprintf("%+v %v", one, err)
 	})
 }
 
@@ -88,18 +93,30 @@
 	}
 }
 
-// A gateway stops itself with a request in hand, decided and about to be looked at once more, and lies through the whole of a roll-out that
-// lessens all quotas. It is woken when nobody may act on what came before any more: it sends on nothing until it has caught up.
+// A gateway stops itself with a request in hand, decided and about to be looked at once more, and
+// lies through the whole of a roll-out that lessens all quotas. It is woken when nobody may act on
+// what came before any more: it sends on nothing until it has caught up.
 func TestStoppedThroughARollOut(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" }})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 4,
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" },
+		},
+	)
 	const stopped = 3
 	var number uint64
 	var since time.Duration
 	play(t, f, func() {
-		clustertest.Eventually(t, "it sends something on", func() (bool, string) { return sentOn(f, stopped, 0, 1<<62) > 0, "" })
-		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
-		clustertest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
-		f.Record.AddLife(stopped, harness.Paused)
+		clustertest.Eventually(t, "it sends something on", func() (bool, string) {
+			return sentOn(f, stopped, 0, 1<<62) > 0, ""
+		})
+		clustertest.Check(t,
+			os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
+		clustertest.Eventually(t, "it stops itself", func() (bool, string) {
+			return f.Stopped(stopped), ""
+		})
+		f.Record.AddProcessEvent(stopped, harness.Paused)
 		number = proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.25))
 		for i := range 3 {
 			acts(t, f, i, number)
@@ -117,7 +134,8 @@
 		t.Fatalf("%s wrote down %+v", testcluster.Name(stopped), all)
 	}
 	if n := sentOn(f, stopped, since, all[len(all)-1].from); n > 0 {
-		t.Errorf("%s sent %d requests on between waking and catching up", testcluster.Name(stopped), n)
+		t.Errorf("%s sent %d requests on between waking and catching up",
+			testcluster.Name(stopped), n)
 	}
 	if sentOn(f, stopped, all[len(all)-1].from, 1<<62) == 0 {
 		t.Error("it sent nothing on afterwards")
@@ -126,7 +144,8 @@
 		p := &f.Site.Plans[i]
 		p.Rate, p.Burst = p.Rate/4, p.Burst/4
 	}
-	for _, w := range allocationtest.WindowsSince(f.Site, f.Record, allocationtest.Slack{Late: 250 * time.Millisecond}, since) {
+	for _, w := range allocationtest.WindowsSince(f.Site, f.Record,
+		allocationtest.Slack{Late: 250 * time.Millisecond}, since) {
 		if w.Over > 0 {
 			t.Error(w)
 		}
@@ -135,13 +154,26 @@
 
 // The same where no quotas are divided, so that nothing but the permit is looked at before a write.
 func TestAPermitAlone(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 4, Seed: 7, Operators: alone, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" }})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 4,
+			Seed:      7,
+			Operators: alone,
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" },
+		},
+	)
 	const stopped = 3
 	play(t, f, func() {
-		clustertest.Eventually(t, "it sends something on", func() (bool, string) { return sentOn(f, stopped, 0, 1<<62) > 0, "" })
-		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
-		clustertest.Eventually(t, "it stops itself", func() (bool, string) { return f.Stopped(stopped), "" })
-		f.Record.AddLife(stopped, harness.Paused)
+		clustertest.Eventually(t, "it sends something on", func() (bool, string) {
+			return sentOn(f, stopped, 0, 1<<62) > 0, ""
+		})
+		clustertest.Check(t,
+			os.WriteFile(filepath.Join(f.Gateways[stopped].Dir(), "stop"), nil, 0o600))
+		clustertest.Eventually(t, "it stops itself", func() (bool, string) {
+			return f.Stopped(stopped), ""
+		})
+		f.Record.AddProcessEvent(stopped, harness.Paused)
 		number := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.5))
 		ended(t, f, 0, number-1)
 		since := f.Record.Now()
--- a/internal/testing/audittest/hard_test.go
+++ b/internal/testing/audittest/hard_test.go
@@ -24,7 +24,8 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-// actsOn are the requests that a gateway sent on by a version after a time, as the servers took them.
+// actsOn are the requests that a gateway sent on by a version after a time, as the servers took
+// them.
 func actsOn(t *testing.T, f *testcluster.Fleet, i int, number uint64, after time.Duration) (n int) {
 	t.Helper()
 	all, err := spans(f, i)
@@ -55,17 +56,20 @@
 	return i, term
 }
 
-// A gateway is cut off from the others and not from its clients, once whole and once only hearing: it stops by itself when its permit is
-// over, is harmless while a version is followed, and lets itself in when it hears again.
+// A gateway is cut off from the others and not from its clients, once whole and once only hearing:
+// it stops by itself when its permit is over, is harmless while a version is followed, and lets
+// itself in when it hears again.
 func TestCutOffFromTheFleetAndNotFromClients(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Seed: 1})
 	const cut = 3
 	play(t, f, func() {
 		for k, says := range []bool{true, false} {
-			before := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9-0.1*float64(2*k)))
+			before := proposed(t, f, 0, configversion.StageAll,
+				plansText(f.Site, 0.9-0.1*float64(2*k)))
 			acts(t, f, cut, before)
 			f.Isolate(cut, says, true, true) // it hears nothing, and the second time it is heard
-			next := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.8-0.1*float64(2*k)))
+			next := proposed(t, f, 0, configversion.StageAll,
+				plansText(f.Site, 0.8-0.1*float64(2*k)))
 			ended(t, f, 0, before)
 			over := f.Record.Now()
 			clustertest.Eventually(t, "it is shut out", func() (bool, string) {
@@ -78,7 +82,9 @@
 			}
 			f.Heal()
 			acts(t, f, cut, next)
-			clustertest.Eventually(t, "it serves again", func() (bool, string) { return sentOn(f, cut, f.Record.Now()-slack, 1<<62) > 0, "" })
+			clustertest.Eventually(t, "it serves again", func() (bool, string) {
+				return sentOn(f, cut, f.Record.Now()-slack, 1<<62) > 0, ""
+			})
 		}
 	})
 	if f.Held() == 0 {
@@ -87,10 +93,18 @@
 	kept(t, f)
 }
 
-// A version is withdrawn while one gateway tries it: what was there before comes back under a new number, and the one that tried it acts on it
-// no more. A second roll-out is refused while the first is under way, and one that goes well goes on by itself.
+// A version is withdrawn while one gateway tries it: what was there before comes back under a new
+// number, and the one that tried it acts on it no more. A second roll-out is refused while the
+// first is under way, and one that goes well goes on by itself.
 func TestWithdrawnWhileSomeHaveIt(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 4, Seed: 2, Operators: strings.Replace(Text(), `settle = "300ms"`, `settle = "20s"`, 1)})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 4,
+			Seed:      2,
+			Operators: strings.Replace(Text(), `settle = "300ms"`, `settle = "20s"`, 1),
+		},
+	)
 	play(t, f, func() {
 		tried := proposed(t, f, 1, configversion.StageOne, plansText(f.Site, 0.5))
 		pilot := -1
@@ -102,10 +116,13 @@
 			}
 			return pilot >= 0, ""
 		})
-		if _, err := propose(f, 2, configversion.StageAll, 0, plansText(f.Site, 0.4)); err == nil || !strings.Contains(err.Error(), "under way") {
+		if _, err := propose(f, 2, configversion.StageAll, 0,
+			plansText(f.Site, 0.4)); err == nil || !strings.Contains(err.Error(), "under way") {
 			t.Errorf("a second roll-out: %v", err)
 		}
-		clustertest.Eventually(t, "it acts on it", func() (bool, string) { return sentOn(f, pilot, 0, 1<<62) > 0, "" })
+		clustertest.Eventually(t, "it acts on it", func() (bool, string) {
+			return sentOn(f, pilot, 0, 1<<62) > 0, ""
+		})
 		var next uint64
 		clustertest.Eventually(t, "it is withdrawn", func() (bool, string) {
 			err := f.Call(2, fmt.Sprintf("versions withdraw plans %d wrong terms", tried), &next)
@@ -118,7 +135,8 @@
 		over := f.Record.Now()
 		v, err := agreed(f, 0)
 		clustertest.Check(t, err)
-		if one := version(&v, next); next != tried+1 || one.Restores != 1 || version(&v, tried).State != configversion.StateWithdrawn {
+		if one := version(&v, next); next != tried+1 || one.Restores != 1 ||
+			version(&v, tried).State != configversion.StateWithdrawn {
 			t.Errorf("%+v", v.Versions)
 		}
 		testcluster.Pass(t.Context(), time.Second)
@@ -129,10 +147,17 @@
 	kept(t, f)
 }
 
-// A gateway is killed at each step between being told of a version and having told that it is in force, and started anew: it ends on the
-// version, and what lies half fetched is gone on with.
+// A gateway is killed at each step between being told of a version and having told that it is in
+// force, and started anew: it ends on the version, and what lies half fetched is gone on with.
 func TestKilledAtEachStep(t *testing.T) {
-	points := []string{"content-amid-fetch", "content-before-store", "content-before-name", "version-before-force", "version-before-report", "record-before-write"}
+	points := []string{
+		"content-amid-fetch",
+		"content-before-store",
+		"content-before-name",
+		"version-before-force",
+		"version-before-report",
+		"record-before-write",
+	}
 	env := "MOTHCLEAT_FAULTS="
 	for _, p := range points {
 		env += ",kill=" + p + "@kill-" + p
@@ -142,10 +167,15 @@
 	play(t, f, func() {
 		for k, p := range points {
 			f.Gateways[victim].Expect(syscall.SIGKILL)
-			clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[victim].Dir(), "kill-"+p), nil, 0o600))
-			number := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9-0.1*float64(k)))
-			clustertest.Eventually(t, "it dies at "+p, func() (bool, string) { return !f.Gateways[victim].Running(), "" })
-			f.Record.AddLife(victim, harness.Killed) // it died now, not when that was asked for
+			clustertest.Check(t,
+				os.WriteFile(filepath.Join(f.Gateways[victim].Dir(), "kill-"+p), nil, 0o600))
+			number := proposed(t, f, 0, configversion.StageAll,
+				plansText(f.Site, 0.9-0.1*float64(k)))
+			clustertest.Eventually(t, "it dies at "+p, func() (bool, string) {
+				return !f.Gateways[victim].Running(), ""
+			})
+			// it died now, not when that was asked for
+			f.Record.AddProcessEvent(victim, harness.Killed)
 			clustertest.Check(t, f.Begin(victim))
 			acts(t, f, victim, number)
 		}
@@ -153,22 +183,32 @@
 	kept(t, f)
 }
 
-// The gateway that guides stops between deciding that a version goes on and saying so, and wakes when another has taken it on: its word is
-// refused by its term, and the roll-out goes on once.
+// The gateway that guides stops between deciding that a version goes on and saying so, and wakes
+// when another has taken it on: its word is refused by its term, and the roll-out goes on once.
 func TestAGuideThatWakesLate(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 4, Seed: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=guide-before-agree@stop" }})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 4,
+			Seed:      4,
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=guide-before-agree@stop" },
+		},
+	)
 	play(t, f, func() {
 		i, term := guide(t, f, 0)
 		clustertest.Check(t, os.WriteFile(filepath.Join(f.Gateways[i].Dir(), "stop"), nil, 0o600))
 		at := (i + 1) % 4
 		number := proposed(t, f, at, configversion.StageOne, plansText(f.Site, 0.7))
-		clustertest.Eventually(t, "the guide stops itself", func() (bool, string) { return f.Stopped(i), "" })
-		f.Record.AddLife(i, harness.Paused)
+		clustertest.Eventually(t, "the guide stops itself", func() (bool, string) {
+			return f.Stopped(i), ""
+		})
+		f.Record.AddProcessEvent(i, harness.Paused)
 		guide(t, f, term)
 		clustertest.Eventually(t, "another has it go on", func() (bool, string) {
 			v, err := agreed(f, at)
 			one := version(&v, number)
-			return err == nil && one != nil && one.State == configversion.StateComplete, fmt.Sprintf("%+v %v", one, err)
+			return err == nil && one != nil &&
+				one.State == configversion.StateComplete, fmt.Sprintf("%+v %v", one, err)
 		})
 		clustertest.Check(t, f.Wake(i))
 		clustertest.Eventually(t, "the late word is refused", func() (bool, string) {
@@ -179,7 +219,8 @@
 	kept(t, f)
 }
 
-// A file that is not what its name says lies where a content is to be: it is not acted on, and fetched anew.
+// A file that is not what its name says lies where a content is to be: it is not acted on, and
+// fetched anew.
 func TestADamagedFileUnderTheRightName(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Seed: 5})
 	book, err := plans.Parse([]byte(plansText(f.Site, 0.6)))
@@ -200,8 +241,9 @@
 	kept(t, f)
 }
 
-// All four are replaced while a version rolls out, in order and not; the records of all boots hold, and account for each request that the
-// servers took. Then a record is cut, written anew, and copied to another gateway, and each shows.
+// All four are replaced while a version rolls out, in order and not; the records of all boots hold,
+// and account for each request that the servers took. Then a record is cut, written anew, and
+// copied to another gateway, and each shows.
 func TestRecordsAccountForAllThatServersTook(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Seed: 6})
 	var heads []auditlog.Head
@@ -239,7 +281,8 @@
 		audit = append(audit, f.FleetDir(i))
 	}
 	var told strings.Builder
-	clustertest.Check(t, f.Command(0, &told, audit...), f.Command(0, io.Discard, append(audit, "--verify")...))
+	clustertest.Check(t, f.Command(0, &told, audit...),
+		f.Command(0, io.Discard, append(audit, "--verify")...))
 	if !strings.Contains(told.String(), "plans") || strings.Contains(told.String(), "BEYOND") {
 		t.Errorf("the audit tells\n%s", told.String())
 	}
@@ -258,7 +301,8 @@
 		t.Error("nobody acted on anything")
 	}
 	for i := range f.Gateways {
-		if unexplained, _ := account(f, i, wrote[i]); unexplained > 0 || sentOn(f, i, 0, 1<<62) == 0 {
+		if unexplained, _ := account(f, i, wrote[i]); unexplained > 0 ||
+			sentOn(f, i, 0, 1<<62) == 0 {
 			t.Errorf("%s: %d requests are in no record", testcluster.Name(i), unexplained)
 		}
 	}
@@ -277,7 +321,9 @@
 	}
 	damaged("cut", func(e []auditlog.Entry) []auditlog.Entry { return e[:len(e)/3] })
 	damaged("changed", func(e []auditlog.Entry) []auditlog.Entry { e[0].Units++; return e })
-	damaged("copied from another gateway", func([]auditlog.Entry) []auditlog.Entry { return wrote[2] })
+	damaged("copied from another gateway", func([]auditlog.Entry) []auditlog.Entry {
+		return wrote[2]
+	})
 	clustertest.Check(t, f.Restore(3))
 	if err := f.Command(0, io.Discard, append(audit, "--verify")...); err == nil {
 		t.Error("mothcleat fleet audit finds a record good that was put back from a copy")
@@ -287,10 +333,18 @@
 	damaged("put back from a copy", func([]auditlog.Entry) []auditlog.Entry { return older })
 }
 
-// One gateway's program can't read a version. Tried there first, it is held, and that gateway goes on with what is for all; by a person's
-// word it goes on, and the gateway is shut out when nobody may act on the version before, until it runs another program.
+// One gateway's program can't read a version. Tried there first, it is held, and that gateway goes
+// on with what is for all; by a person's word it goes on, and the gateway is shut out when nobody
+// may act on the version before, until it runs another program.
 func TestOneThatCanNotReadAVersion(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 4, Seed: 8, Env: func(int) string { return "MOTHCLEAT_FAULTS=deny=content-read@older" }})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 4,
+			Seed:      8,
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=deny=content-read@older" },
+		},
+	)
 	play(t, f, func() {
 		v, err := agreed(f, 0)
 		clustertest.Check(t, err)
@@ -299,14 +353,17 @@
 			ids = append(ids, m.Member.ID)
 		}
 		var older int
-		_, err = fmt.Sscanf(configversion.Pilots("plans", 2, configversion.StageOne, ids)[0], "n%d", &older)
-		clustertest.Check(t, err, os.WriteFile(filepath.Join(f.Gateways[older].Dir(), "older"), nil, 0o600))
+		_, err = fmt.Sscanf(configversion.Pilots("plans", 2, configversion.StageOne, ids)[0],
+			"n%d", &older)
+		clustertest.Check(t, err,
+			os.WriteFile(filepath.Join(f.Gateways[older].Dir(), "older"), nil, 0o600))
 		at := (older + 1) % 4
 		number := proposed(t, f, at, configversion.StageOne, plansText(f.Site, 0.8))
 		clustertest.Eventually(t, "it is held", func() (bool, string) {
 			v, err := agreed(f, at)
 			one := version(&v, number)
-			return err == nil && one.State == configversion.StatePaused && strings.Contains(one.Why, "can't read it"), fmt.Sprintf("%+v %v", one, err)
+			return err == nil && one.State == configversion.StatePaused &&
+				strings.Contains(one.Why, "can't read it"), fmt.Sprintf("%+v %v", one, err)
 		})
 		acts(t, f, older, 1)
 		clustertest.Check(t, f.Call(at, fmt.Sprintf("versions go-on plans %d all", number), nil))
@@ -319,20 +376,22 @@
 		over := f.Record.Now()
 		clustertest.Eventually(t, "the one that can't read it is shut out", func() (bool, string) {
 			h, err := here(f, older)
-			return err == nil && h.Until == 0 && strings.Contains(h.Why, "can't read it"), fmt.Sprintf("%+v %v", h, err)
+			return err == nil && h.Until == 0 &&
+				strings.Contains(h.Why, "can't read it"), fmt.Sprintf("%+v %v", h, err)
 		})
 		testcluster.Pass(t.Context(), time.Second)
 		if n := sentOn(f, older, over+slack, 1<<62); n > 0 {
 			t.Errorf("%d requests were sent on there", n)
 		}
-		clustertest.Check(t, f.End(older, syscall.SIGTERM), os.Remove(filepath.Join(f.Gateways[older].Dir(), "older")), f.Begin(older))
+		clustertest.Check(t, f.End(older, syscall.SIGTERM),
+			os.Remove(filepath.Join(f.Gateways[older].Dir(), "older")), f.Begin(older))
 		acts(t, f, older, number)
 	})
 	kept(t, f)
 }
 
-// A gateway lies stopped for longer than its permit, again and again: each time it stays out for longer, acts on nothing meanwhile, and comes
-// back by itself in the end.
+// A gateway lies stopped for longer than its permit, again and again: each time it stays out for
+// longer, acts on nothing meanwhile, and comes back by itself in the end.
 func TestOneThatFlaps(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Seed: 9})
 	const flaps = 3
@@ -341,7 +400,8 @@
 			acts(t, f, 3, 0)
 			clustertest.Check(t, f.Stop(3))
 			testcluster.Pass(t.Context(), Bound)
-			number := proposed(t, f, 0, configversion.StageAll, plansText(f.Site, 0.9-0.1*float64(k)))
+			number := proposed(t, f, 0, configversion.StageAll,
+				plansText(f.Site, 0.9-0.1*float64(k)))
 			ended(t, f, 0, number-1)
 			over := f.Record.Now()
 			clustertest.Check(t, f.Wake(3))
--- a/internal/testing/audittest/judge.go
+++ b/internal/testing/audittest/judge.go
@@ -20,8 +20,8 @@
 // slack is how long after its last look a request reaches a server, on a machine with other work.
 const slack = 250 * time.Millisecond
 
-// span is when a gateway's process acted on a version, by what it wrote down: after it had begun to serve, on its configuration, which is
-// number 1.
+// span is when a gateway's process acted on a version, by what it wrote down: after it had begun to
+// serve, on its configuration, which is number 1.
 type span struct {
 	gateway  int
 	number   uint64
@@ -53,9 +53,9 @@
 
 // sentOn are the requests that a gateway sent on in a time, as the servers took them.
 func sentOn(f *testcluster.Fleet, i int, from, to time.Duration) (n int) {
-	f.Record.Look(func() {
+	f.Record.Read(func() {
 		for _, a := range f.Record.Attempts {
-			if a.Gateway == i && a.Whole >= from && a.Whole < to {
+			if a.Gateway == i && a.ReceivedAt >= from && a.ReceivedAt < to {
 				n++
 			}
 		}
@@ -63,7 +63,8 @@
 	return n
 }
 
-// lateActs are the requests that a gateway sent on by versions after those had ended, as the servers took them.
+// lateActs are the requests that a gateway sent on by versions after those had ended, as the
+// servers took them.
 func lateActs(f *testcluster.Fleet, all []span, ended map[uint64]time.Duration) (n int) {
 	for _, s := range all {
 		if over, ok := ended[s.number]; ok {
@@ -83,15 +84,15 @@
 	return all, err
 }
 
-// account holds a gateway's record against what the servers took: how many requests no record accounts for, beyond one for each kill, and
-// how many the record has that no server took.
+// account holds a gateway's record against what the servers took: how many requests no record
+// accounts for, beyond one for each kill, and how many the record has that no server took.
 func account(f *testcluster.Fleet, i int, entries []auditlog.Entry) (unexplained, untaken int) {
 	var told auditlog.Counts
 	for _, e := range entries {
 		told = told.Plus(e.Counts)
 	}
 	took, killed := sentOn(f, i, 0, 1<<62), 0
-	for _, l := range f.Record.Lives {
+	for _, l := range f.Record.ProcessEvents {
 		if l.Gateway == i && l.Event == harness.Killed {
 			killed++
 		}
@@ -100,7 +101,8 @@
 	return max(0, took-n-killed), max(0, n-took)
 }
 
-// wrong are the rows of an audit that do not fit what the gateways logged when they changed: a version that was not in force there then.
+// wrong are the rows of an audit that do not fit what the gateways logged when they changed: a
+// version that was not in force there then.
 func wrong(rows []auditlog.Interval, f *testcluster.Fleet, logs map[int][]span) (n int) {
 	for _, row := range rows {
 		if row.Item != "plans" || row.Forwarded+row.Retries == 0 {
@@ -112,7 +114,9 @@
 		for i, all := range logs {
 			for _, s := range all {
 				// An entry is written once a second: it may begin and end so much earlier or later.
-				fits = fits || testcluster.Name(i) == row.ID && s.number == row.Number && s.from <= to+slack && s.to >= from-2*time.Second
+				fits = fits ||
+					testcluster.Name(i) == row.ID && s.number == row.Number &&
+						s.from <= to+slack && s.to >= from-2*time.Second
 			}
 		}
 		if !fits {
@@ -128,8 +132,9 @@
 	factor   float64 // of the site's plans
 }
 
-// over is how many customers had more than the terms that were in force allow, over any window. At each time the highest terms count of
-// those versions that somebody may act on, and for as long after as a part lasts that its holder can't be told of.
+// over is how many customers had more than the terms that were in force allow, over any window. At
+// each time the highest terms count of those versions that somebody may act on, and for as long
+// after as a part lasts that its holder can't be told of.
 func over(f *testcluster.Fleet, all []change, stops int) (bad []string) {
 	uses, plans := allocationtest.Uses(f.Record, 0)
 	lasts := allocation.DefaultConfig().TTL + allocation.DefaultConfig().TTL/8 + slack
@@ -155,10 +160,15 @@
 				last = next
 			}
 			level -= u.Units
-			worst = max(worst, -level-p.Rate*allocation.DefaultConfig().UseTimeout.Seconds()-4*float64(stops))
+			worst = max(worst,
+				-level-p.Rate*allocation.DefaultConfig().UseTimeout.Seconds()-4*float64(stops))
 		}
 		if worst > 0 {
-			bad = append(bad, fmt.Sprintf("customer %s of plan %s: %.2f units beyond the terms in force", customer, p.Name, worst))
+			bad = append(
+				bad,
+				fmt.Sprintf("customer %s of plan %s: %.2f units beyond the terms in force",
+					customer, p.Name, worst),
+			)
 		}
 	}
 	slices.Sort(bad)
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -37,8 +37,9 @@
 	seen   = 100 * time.Millisecond // how often what is agreed is looked at
 )
 
-// Run plays a fleet that is given versions of its plans amid faults, and beside it the same traffic and versions without any.
-func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Figures, error) {
+// Run plays a fleet that is given versions of its plans amid faults, and beside it the same traffic
+// and versions without any.
+func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
 	}
@@ -61,12 +62,22 @@
 	fig.Extra["service_undisturbed"] = quiet.Service
 	for rule, n := range quiet.Broken {
 		if n > 0 {
-			fig.Miss(fmt.Sprintf("undisturbed: %s broken %d times", rule, n))
+			fig.AddFailure(fmt.Sprintf("undisturbed: %s broken %d times", rule, n))
 		}
 	}
-	for _, k := range []string{"rollouts", "withdrawn", "brought_up", "shut_out", "let_back", "stops", "cuts", "kills", "leaves"} {
+	for _, k := range []string{
+		"rollouts",
+		"withdrawn",
+		"brought_up",
+		"shut_out",
+		"let_back",
+		"stops",
+		"cuts",
+		"kills",
+		"leaves",
+	} {
 		if n, ok := fig.Extra[k].(int); !ok || n == 0 {
-			fig.Miss("no " + k + ": nothing was shown")
+			fig.AddFailure("no " + k + ": nothing was shown")
 		}
 	}
 	return fig, nil
@@ -90,14 +101,40 @@
 	brought int
 }
 
-func (o *Options) play(ctx context.Context, disturb bool, progress io.Writer) (*harness.Figures, error) {
-	f, err := testcluster.New(ctx, testcluster.Options{Seed: o.Seed, Instances: o.Instances, Voters: voters, Load: o.Load, Bin: o.Bin, Log: progress, Operators: Text()})
+func (o *Options) play(
+	ctx context.Context, disturb bool, progress io.Writer,
+) (*harness.Summary, error) {
+	f, err := testcluster.New(
+		ctx,
+		testcluster.Options{
+			Seed:      o.Seed,
+			Instances: o.Instances,
+			Voters:    voters,
+			Load:      o.Load,
+			Bin:       o.Bin,
+			Log:       progress,
+			Operators: Text(),
+		},
+	)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	c := &course{o: o, f: f, all: map[uint64]change{1: {to: 1 << 62, factor: 1}}, ended: map[uint64]time.Duration{}, whole: map[uint64]time.Duration{}, behind: map[string]bool{},
-		harm: &testcluster.Harm{Fleet: f, Seed: o.Seed, Voters: min(voters, o.Instances), Stops: 3 * Span, Progress: progress}}
+	c := &course{o: o,
+		f: f,
+		all: map[uint64]change{
+			1: {to: 1 << 62, factor: 1},
+		},
+		ended:  map[uint64]time.Duration{},
+		whole:  map[uint64]time.Duration{},
+		behind: map[string]bool{},
+		harm: &testcluster.Harm{
+			Fleet:    f,
+			Seed:     o.Seed,
+			Voters:   min(voters, o.Instances),
+			Stops:    3 * Span,
+			Progress: progress,
+		}}
 	c.harm.Likely = func(*rand.Rand) int { return c.guide() }
 	if err := c.settled(ctx); err != nil {
 		return nil, err
@@ -115,7 +152,8 @@
 	if disturb {
 		begin(func() {
 			h := c.harm
-			h.Run(asking, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop}, []testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
+			h.Run(asking, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop},
+				[]testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 		})
 	}
 	f.Clients.Run(asking)
@@ -134,7 +172,8 @@
 // settled waits until all may act on the newest version that is for all.
 func (c *course) settled(ctx context.Context) error {
 	last := ""
-	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; testcluster.Pass(ctx, 50*time.Millisecond) {
+	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline) &&
+		ctx.Err() == nil; testcluster.Pass(ctx, 50*time.Millisecond) {
 		n := 0
 		for i := range c.f.Gateways {
 			v, err := agreed(c.f, i)
@@ -149,7 +188,8 @@
 					newest = one.Number
 				}
 			}
-			if last = fmt.Sprintf("%s: %+v, %d is for all", testcluster.Name(i), h, newest); h.Until > 0 && (newest <= 1 || h.InForce["plans"] >= newest) {
+			if last = fmt.Sprintf("%s: %+v, %d is for all", testcluster.Name(i), h,
+				newest); h.Until > 0 && (newest <= 1 || h.InForce["plans"] >= newest) {
 				n++
 			}
 		}
@@ -165,7 +205,8 @@
 func (c *course) guide() int {
 	for i, g := range c.f.Gateways {
 		var h controlplane.Here
-		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil && h.Roles[configversion.Role] > 0 {
+		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil &&
+			h.Roles[configversion.Role] > 0 {
 			return i
 		}
 	}
@@ -205,13 +246,17 @@
 		}
 		c.all[number] = change{from: began, to: 1 << 62, factor: factor}
 		c.mu.Unlock()
-		c.harm.Logf("%s proposes %d for %s, in %v: the plans times %.2f", testcluster.Name(at), number, stage, lead, factor)
-		if r.IntN(3) != 0 || !testcluster.Pass(ctx, time.Duration(harness.Between(r, 0.1, 1.5)*float64(time.Second))) {
+		c.harm.Logf("%s proposes %d for %s, in %v: the plans times %.2f",
+			testcluster.Name(at), number, stage, lead, factor)
+		if r.IntN(3) != 0 ||
+			!testcluster.Pass(ctx,
+				time.Duration(harness.Between(r, 0.1, 1.5)*float64(time.Second))) {
 			continue
 		}
 		var next uint64
 		began = c.f.Record.Now()
-		if c.f.Call(c.someone(r), fmt.Sprintf("versions withdraw plans %d drawn", number), &next) == nil {
+		if c.f.Call(c.someone(r), fmt.Sprintf("versions withdraw plans %d drawn", number),
+			&next) == nil {
 			c.mu.Lock()
 			c.drawn++
 			v, err := agreed(c.f, c.someone(r))
@@ -242,7 +287,8 @@
 	defer c.mu.Unlock()
 	c.heads = v.Heads
 	for _, one := range v.Versions {
-		if _, ok := c.whole[one.Number]; !ok && one.State == configversion.StateComplete && now > seen {
+		if _, ok := c.whole[one.Number]; !ok && one.State == configversion.StateComplete &&
+			now > seen {
 			c.whole[one.Number] = now - seen // it was by then, or a little later
 		}
 		if _, ok := c.ended[one.Number]; !ok && one.ExpiresAt != 0 && v.At >= one.ExpiresAt {
@@ -268,12 +314,15 @@
 	c.behind = behind
 }
 
-var outs = regexp.MustCompile(`(?m)^.*msg="fleet: (shut out: this gateway acts on nothing|let in: this gateway acts)".*$`)
+var outs = regexp.MustCompile(
+	`(?m)^.*msg="fleet: (shut out: this gateway acts on nothing|let in: this gateway acts)".*$`,
+)
 
 // judge ends the fleet and reads what all have left.
-func (c *course) judge() (*harness.Figures, error) {
+func (c *course) judge() (*harness.Summary, error) {
 	fig := c.f.Figures("audit")
-	testcluster.Pass(context.Background(), 4*time.Second) // heads of the last entries but few are told
+	// heads of the last entries but few are told
+	testcluster.Pass(context.Background(), 4*time.Second)
 	c.look(0)
 	for i := range c.f.Gateways {
 		if err := c.f.End(i, syscall.SIGTERM); err != nil {
@@ -283,7 +332,7 @@
 	logs, shut, let, perGateway, hearing := map[int][]span{}, 0, 0, []time.Duration{}, []time.Duration{}
 	broken := func(rule string, n int, format string, args ...any) {
 		if fig.Broken[harness.Rule(rule)] += n; n > 0 {
-			fig.Miss(rule + ": " + fmt.Sprintf(format, args...))
+			fig.AddFailure(rule + ": " + fmt.Sprintf(format, args...))
 		}
 	}
 	stops := c.harm.Did("stops")
@@ -297,7 +346,8 @@
 		late += lateActs(c.f, all, c.ended)
 		out := false
 		for _, m := range outs.FindAllStringSubmatch(g.Log(), -1) {
-			if is := strings.HasPrefix(m[1], "shut"); is && !strings.Contains(m[0], "not heard the fleet yet") {
+			if is := strings.HasPrefix(m[1], "shut"); is &&
+				!strings.Contains(m[0], "not heard the fleet yet") {
 				shut++
 				out = true
 			} else if !is && out {
@@ -309,13 +359,16 @@
 			if k, ok := c.all[s.number]; ok && s.number > 1 && s.from > k.from && k.from > 0 {
 				perGateway = append(perGateway, s.from-k.from)
 			}
-			// Of those that hear: nothing was done to them since, nor so shortly before that they may have been shut out.
-			if at, ok := c.whole[s.number]; ok && s.from > at && !c.harm.Befell(i, at-2*Span, s.from) {
+			// Of those that hear: nothing was done to them since, nor so shortly before that they
+			// may have been shut out.
+			if at, ok := c.whole[s.number]; ok && s.from > at &&
+				!c.harm.Befell(i, at-2*Span, s.from) {
 				hearing = append(hearing, s.from-at)
 			}
 		}
 		if c.o.Logs != "" {
-			_ = os.WriteFile(fmt.Sprintf("%s/%s.log", c.o.Logs, testcluster.Name(i)), []byte(g.Log()), 0o600)
+			_ = os.WriteFile(fmt.Sprintf("%s/%s.log", c.o.Logs, testcluster.Name(i)),
+				[]byte(g.Log()), 0o600)
 		}
 	}
 	// A stop may lie between the last look and the write.
@@ -358,7 +411,7 @@
 	}
 	fig.Extra["memory_mb"] = c.f.Memory()
 	if err := c.harm.Err(); err != nil {
-		fig.Miss(err.Error())
+		fig.AddFailure(err.Error())
 	}
 	return fig, nil
 }
@@ -371,7 +424,9 @@
 			"changed":  func(e []auditlog.Entry) []auditlog.Entry { e[0].Units++; return e },
 			"left out": func(e []auditlog.Entry) []auditlog.Entry { return slices.Delete(e, 1, 2) },
 			"removed":  func([]auditlog.Entry) []auditlog.Entry { return nil },
-			"copied":   func([]auditlog.Entry) []auditlog.Entry { return wrote[(i+1)%len(c.f.Gateways)] },
+			"copied": func([]auditlog.Entry) []auditlog.Entry {
+				return wrote[(i+1)%len(c.f.Gateways)]
+			},
 		} {
 			if len(wrote[i]) < 8 {
 				continue
--- a/internal/testing/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -28,7 +28,9 @@
 // Pairings are what is compared.
 func Pairings() []Pairing {
 	noFaults := func(time.Duration) []harness.Fault { return nil }
-	at := func(length time.Duration, part float64) time.Duration { return time.Duration(part * float64(length)) }
+	at := func(length time.Duration, part float64) time.Duration {
+		return time.Duration(part * float64(length))
+	}
 	return []Pairing{
 		{"calm, 3 gateways", 3, 0.55, -1, noFaults},
 		{"calm, 24 gateways", 24, 0.55, -1, noFaults},
@@ -37,18 +39,38 @@
 		{"three in ten notes lost, 8 gateways", 8, 0.55, 0.3, noFaults},
 		{"gateways killed, 8", 8, 0.55, -1, func(length time.Duration) (all []harness.Fault) {
 			for i := range 6 {
-				all = append(all, harness.Fault{At: at(length, 0.1+0.13*float64(i)), For: 500 * time.Millisecond, Kind: harness.Kill, N: i})
+				all = append(
+					all,
+					harness.Fault{
+						At:   at(length, 0.1+0.13*float64(i)),
+						For:  500 * time.Millisecond,
+						Kind: harness.Kill,
+						N:    i,
+					},
+				)
 			}
 			return all
 		}},
 		{"cold servers, 8 gateways", 8, 0.55, -1, func(length time.Duration) (all []harness.Fault) {
 			for i := range 3 {
-				all = append(all, harness.Fault{At: at(length, 0.1+0.25*float64(i)), For: 1500 * time.Millisecond, Kind: harness.Down, N: 3 * i})
+				all = append(
+					all,
+					harness.Fault{
+						At:   at(length, 0.1+0.25*float64(i)),
+						For:  1500 * time.Millisecond,
+						Kind: harness.Down,
+						N:    3 * i,
+					},
+				)
 			}
 			return all
 		}},
 		{"register silent and a server down, 8 gateways", 8, 0.55, -1, func(length time.Duration) []harness.Fault {
-			return []harness.Fault{{At: at(length, 0.1), For: at(length, 0.5), Kind: harness.SilentAt},
+			return []harness.Fault{{
+				At:   at(length, 0.1),
+				For:  at(length, 0.5),
+				Kind: harness.RegistrySilent,
+			},
 				{At: at(length, 0.2), For: 1500 * time.Millisecond, Kind: harness.Down, N: 2}}
 		}},
 	}
@@ -56,14 +78,15 @@
 
 // Row is what a pairing came to.
 type Row struct {
-	Name     string     `json:"name"`
-	Service  [2]float64 `json:"service"` // real, emulated
-	Refused  [2]float64 `json:"refused"` // part of the first tries
-	P50      [2]float64 `json:"p50_ms"`
-	Beyond   [2]float64 `json:"over_quota_share"`
-	Gap      float64    `json:"service_gap"`
-	Within   bool       `json:"within"` // service within 0.02, refusals (or 0.01 of all) and p50 within 15%
-	Breaches int        `json:"broken"`
+	Name    string     `json:"name"`
+	Service [2]float64 `json:"service"` // real, emulated
+	Refused [2]float64 `json:"refused"` // part of the first tries
+	P50     [2]float64 `json:"p50_ms"`
+	Beyond  [2]float64 `json:"over_quota_share"`
+	Gap     float64    `json:"service_gap"`
+	// service within 0.02, refusals (or 0.01 of all) and p50 within 15%
+	Within   bool `json:"within"`
+	Breaches int  `json:"broken"`
 }
 
 const (
@@ -74,7 +97,9 @@
 )
 
 // Run plays all pairings. A rule that is broken in either rig is a miss; a difference is told.
-func Run(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*harness.Figures, error) {
+func Run(
+	ctx context.Context, seed uint64, length time.Duration, progress io.Writer,
+) (*harness.Summary, error) {
 	bin, remove, err := lab.BuildInTempDir(ctx)
 	if err != nil {
 		return nil, err
@@ -82,7 +107,7 @@
 	defer remove()
 	pairings := Pairings()
 	rows, errs := make([]Row, len(pairings)), make([]error, len(pairings))
-	f := harness.NewFigures("calibrate", seed)
+	f := harness.NewSummary("calibrate", seed)
 	began := time.Now()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -101,13 +126,20 @@
 			mu.Lock()
 			defer mu.Unlock()
 			fmt.Fprintf(progress, "%-46s service %.3f, emulated %.3f; refused %.3f, %.3f; p50 %.0f, %.0f ms; within %t\n", p.Name,
-				rows[i].Service[0], rows[i].Service[1], rows[i].Refused[0], rows[i].Refused[1], rows[i].P50[0], rows[i].P50[1], rows[i].Within)
-			for k, side := range []*harness.Figures{real, model} {
+				rows[i].Service[0],
+				rows[i].Service[1],
+				rows[i].Refused[0],
+				rows[i].Refused[1],
+				rows[i].P50[0],
+				rows[i].P50[1],
+				rows[i].Within)
+			for k, side := range []*harness.Summary{real, model} {
 				for rule, n := range side.Broken {
 					f.Broken[rule] += n
 				}
 				if !side.OK {
-					f.Miss(fmt.Sprintf("%s, %s: %v", p.Name, [2]string{"real", "emulated"}[k], side.Why))
+					f.AddFailure(fmt.Sprintf("%s, %s: %v", p.Name,
+						[2]string{"real", "emulated"}[k], side.Why))
 				}
 			}
 		}()
@@ -130,7 +162,9 @@
 
 const servers = 12
 
-func play(ctx context.Context, p Pairing, seed uint64, length time.Duration, bin string) (real, model *harness.Figures, err error) {
+func play(
+	ctx context.Context, p Pairing, seed uint64, length time.Duration, bin string,
+) (real, model *harness.Summary, err error) {
 	faults := p.Faults(length)
 	real, err = lab.Play(ctx, lab.PlayOptions{Seed: seed, Gateways: p.Gateways, Servers: servers, Load: p.Load, For: length,
 		NoteLoss: p.NoteLoss, Faults: faults, Bin: bin})
@@ -142,11 +176,11 @@
 	return real, model, err
 }
 
-func compare(name string, real, model *harness.Figures) Row {
+func compare(name string, real, model *harness.Summary) Row {
 	r := Row{Name: name}
-	for i, f := range []*harness.Figures{real, model} {
+	for i, f := range []*harness.Summary{real, model} {
 		r.Service[i], r.P50[i] = f.Service, f.P50
-		r.Refused[i] = float64(f.Refused) / float64(max(1, f.Asked))
+		r.Refused[i] = float64(f.Refused) / float64(max(1, f.Requests))
 		if sent, ok := f.Extra["sent_units"].(float64); ok && sent > 0 {
 			r.Beyond[i] = f.Over / sent
 		}
@@ -159,6 +193,7 @@
 		return d <= least || d <= maxRelativeDifference*max(x[0], x[1])
 	}
 	r.Gap = r.Service[0] - r.Service[1]
-	r.Within = math.Abs(r.Gap) <= maxServiceDifference && near(r.Refused, minRefusedShare) && near(r.P50, 0)
+	r.Within = math.Abs(r.Gap) <= maxServiceDifference && near(r.Refused, minRefusedShare) &&
+		near(r.P50, 0)
 	return r
 }
