--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -49,7 +49,8 @@
 	spare    int // servers that were not drained yet
 }
 
-// drain is a server of which all gateways that were up had in force, from a time on, that it drains.
+// drain is a server of which all gateways that were up had in force, from a time on, that it
+// drains.
 type drain struct {
 	server  string
 	inForce time.Duration
@@ -82,9 +83,20 @@
 func start(t *testing.T, gateways int, fleetSettings string) *cluster {
 	t.Helper()
 	f := clustertest.Fleet(t, testcluster.Options{
-		Bin: bin, Seed: 1, Instances: gateways, Voters: voters, Consul: true, Load: 0.1, Servers: 14, Fleet: fleetSettings,
+		Bin:       bin,
+		Seed:      1,
+		Instances: gateways,
+		Voters:    voters,
+		Consul:    true,
+		Load:      0.1,
+		Servers:   14,
+		Fleet:     fleetSettings,
 		Env: func(int) string {
-			return fmt.Sprintf("MOTHCLEAT_FAULTS=kill=distribution-send-delta@%s,deny=distribution-damage-delta@%s", killAtDelta, damageDeltas)
+			return fmt.Sprintf(
+				"MOTHCLEAT_FAULTS=kill=distribution-send-delta@%s,deny=distribution-damage-delta@%s",
+				killAtDelta,
+				damageDeltas,
+			)
 		},
 	})
 	c := &cluster{Fleet: f, t: t, truth: map[string]string{}, observer: &observer{}}
@@ -103,7 +115,8 @@
 	link := controlrpc.NewClient(testcluster.FleetName, me, "", c.Voters(), c.Addresses(-1), quiet)
 	client := distributor.NewClient(distributor.ClientOptions{
 		Link: link, Log: quiet,
-		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Incarnation, distribution.Place{}, distributor.DefaultSourceTimeout),
+		Settings: distributor.NewReplicaSettings(testcluster.FleetName, me.ID, me.Incarnation,
+			distribution.Place{}, distributor.DefaultSourceTimeout),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -142,8 +155,8 @@
 	return servers
 }
 
-// settled waits until the rig's own replica has what the register has, and all gateways but some say that they have the
-// same in force.
+// settled waits until the rig's own replica has what the register has, and all gateways but some
+// say that they have the same in force.
 func (c *cluster) settled(but ...int) {
 	c.t.Helper()
 	clustertest.Eventually(c.t, "all gateways have the register's list", func() (bool, string) {
@@ -152,11 +165,14 @@
 			return false, "nothing was observed"
 		}
 		if !maps.Equal(content(state), c.truth) {
-			return false, fmt.Sprintf("observed %s: %s", state.Position(), difference(content(state), c.truth))
+			return false, fmt.Sprintf("observed %s: %s", state.Position(),
+				difference(content(state), c.truth))
 		}
 		for i := range c.Gateways {
-			if r, err := c.replica(i); !slices.Contains(but, i) && (err != nil || r.Position.Digest != state.Digest().String()) {
-				return false, fmt.Sprintf("%s: %+v %v, observed %s", testcluster.Name(i), r, err, state.Position())
+			if r, err := c.replica(i); !slices.Contains(but, i) &&
+				(err != nil || r.Position.Digest != state.Digest().String()) {
+				return false, fmt.Sprintf("%s: %+v %v, observed %s",
+					testcluster.Name(i), r, err, state.Position())
 			}
 		}
 		return true, ""
@@ -262,7 +278,9 @@
 	c.t.Helper()
 	server = c.Servers[c.spare].ID
 	c.spare++
-	clustertest.Eventually(c.t, server+" gets a request", func() (bool, string) { return c.requests(server) > 0, "" })
+	clustertest.Eventually(c.t, server+" gets a request", func() (bool, string) {
+		return c.requests(server) > 0, ""
+	})
 	c.register(func(agent *lab.Consul) error {
 		agent.SetMaintenance(server, true)
 		return nil
@@ -273,7 +291,7 @@
 
 // requests is how many requests a server has got.
 func (c *cluster) requests(server string) (n int) {
-	c.Record.Look(func() {
+	c.Record.Read(func() {
 		for _, a := range c.Record.Attempts {
 			if a.Server == server {
 				n++
@@ -301,7 +319,8 @@
 	for i := from; i < to; i++ {
 		address := fmt.Sprintf("127.1.%d.%d:9", 1+i/250, 1+i%250)
 		c.register(func(agent *lab.Consul) error {
-			return agent.Register(extra(i), serviceName, address, []string{"draining"}, map[string]string{"locality": locality})
+			return agent.Register(extra(i), serviceName, address, []string{"draining"},
+				map[string]string{"locality": locality})
 		})
 		c.truth[extra(i)] = draining
 	}
@@ -333,7 +352,9 @@
 // logs waits until a process has logged something, more often than before.
 func (c *cluster) logs(i int, what string, before int) {
 	c.t.Helper()
-	clustertest.Eventually(c.t, testcluster.Name(i)+" logs "+what, func() (bool, string) { return c.logged(i, what) > before, "" })
+	clustertest.Eventually(c.t, testcluster.Name(i)+" logs "+what, func() (bool, string) {
+		return c.logged(i, what) > before, ""
+	})
 }
 
 func (c *cluster) logged(i int, what string) int { return strings.Count(c.Gateways[i].Log(), what) }
@@ -361,9 +382,10 @@
 	}
 }
 
-// judge ends all processes and holds what they leave against what the register has. A process that ends hands the register
-// on, and the next may add revisions with its own agent's addresses while others have ended: so a file may be at a later
-// position than another, but never at an earlier one than all had in force, nor with another digest at the same.
+// judge ends all processes and holds what they leave against what the register has. A process that
+// ends hands the register on, and the next may add revisions with its own agent's addresses while
+// others have ended: so a file may be at a later position than another, but never at an earlier one
+// than all had in force, nor with another digest at the same.
 func (c *cluster) judge() {
 	c.t.Helper()
 	inForce := c.observer.newest().Position()
@@ -385,10 +407,12 @@
 			continue // it is an earlier state, and fits its digest
 		}
 		if at.Epoch != inForce.Epoch || at.Revision < inForce.Revision {
-			c.t.Errorf("state file of %s: at %s, though %s was in force", testcluster.Name(i), at, inForce)
+			c.t.Errorf("state file of %s: at %s, though %s was in force",
+				testcluster.Name(i), at, inForce)
 		}
 		if known, there := digests[at.Revision]; there && known != at.Digest {
-			c.t.Errorf("state file of %s: at %s, another has digest %s there", testcluster.Name(i), at, known)
+			c.t.Errorf("state file of %s: at %s, another has digest %s there",
+				testcluster.Name(i), at, known)
 		}
 		digests[at.Revision] = at.Digest
 		if text := difference(content(state), c.truth); text != "" {
@@ -401,15 +425,17 @@
 // afterInForce is for a request that was sent when the drain came into force.
 const afterInForce = time.Second
 
-// judgeDrains holds the servers' own record against what was in force: no gateway sends to a server long after it had in
-// force that this one drains, and each had got requests before.
+// judgeDrains holds the servers' own record against what was in force: no gateway sends to a server
+// long after it had in force that this one drains, and each had got requests before.
 func (c *cluster) judgeDrains() {
 	c.t.Helper()
-	c.Record.Look(func() {
+	c.Record.Read(func() {
 		for _, d := range c.drained {
 			for _, a := range c.Record.Attempts {
-				if a.Server == d.server && d.known[a.Gateway] && a.First > d.inForce+afterInForce {
-					c.t.Errorf("%s got a request of %s %v after it had the drain in force", d.server, testcluster.Name(a.Gateway), a.First-d.inForce)
+				if a.Server == d.server && d.known[a.Gateway] &&
+					a.FirstByteAt > d.inForce+afterInForce {
+					c.t.Errorf("%s got a request of %s %v after it had the drain in force",
+						d.server, testcluster.Name(a.Gateway), a.FirstByteAt-d.inForce)
 				}
 			}
 		}
--- a/internal/testing/electiontest/faults.go
+++ b/internal/testing/electiontest/faults.go
@@ -17,8 +17,8 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// faults does one thing to processes after another, and beside that one thing to links after another, each kind in
-// turn in an order that the seed draws.
+// faults does one thing to processes after another, and beside that one thing to links after
+// another, each kind in turn in an order that the seed draws.
 func (t *trialRun) faults(ctx context.Context) {
 	defer t.heal()
 	var wg sync.WaitGroup
@@ -38,7 +38,8 @@
 			}
 		}()
 	}
-	track(0x0117e5, 0.3, 1.2, t.stopAmidExport, t.stopAmidExport, t.stopLeader, t.killOwner, t.killAtPoint, t.handOn, t.stopOwner, t.transfer, t.slowDisk, t.emptyFolder)
+	track(0x0117e5, 0.3, 1.2, t.stopAmidExport, t.stopAmidExport, t.stopLeader, t.killOwner,
+		t.killAtPoint, t.handOn, t.stopOwner, t.transfer, t.slowDisk, t.emptyFolder)
 	track(0x11111e, 0.5, 2, t.cutOneWay, t.isolate, t.weather)
 	wg.Wait()
 }
@@ -89,10 +90,13 @@
 	}
 }
 
-// stopAmidExport has the owner stop itself between its check and its write, and wakes it when another has gone on.
+// stopAmidExport has the owner stop itself between its check and its write, and wakes it when
+// another has gone on.
 func (t *trialRun) stopAmidExport(ctx context.Context, r *rand.Rand) {
 	duty := t.duty(r)
-	point := []string{"export-before-agree", "export-before-agree", "export-amid-write", "export-collected"}[r.IntN(4)]
+	point := []string{
+		"export-before-agree", "export-before-agree", "export-amid-write", "export-collected",
+	}[r.IntN(4)]
 	i, h := t.owner(duty)
 	if i < 0 {
 		return
@@ -108,9 +112,10 @@
 			return
 		}
 	}
-	t.f.Record.AddLife(i, harness.Paused)
+	t.f.Record.AddProcessEvent(i, harness.Paused)
 	t.ended(duty, h, false)
-	t.note("%s stopped itself at %s, owner of %s under term %d", testcluster.Name(i), point, duty, h.Term)
+	t.note("%s stopped itself at %s, owner of %s under term %d",
+		testcluster.Name(i), point, duty, h.Term)
 	t.count("stops")
 	testcluster.Pass(ctx, span(r, 3, 5))
 	if _, next := t.owner(duty); next.Term > h.Term {
@@ -175,7 +180,7 @@
 			return
 		}
 	}
-	t.f.Record.AddLife(i, harness.Killed)
+	t.f.Record.AddProcessEvent(i, harness.Killed)
 	if h.Term > 0 {
 		t.ended(duty, h, false)
 	}
@@ -193,7 +198,8 @@
 		i = r.IntN(t.o.Instances)
 	}
 	says := r.IntN(2) == 0
-	t.note("%s %s", testcluster.Name(i), map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
+	t.note("%s %s", testcluster.Name(i),
+		map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
 	t.f.Isolate(i, says, !says, true)
 	testcluster.Pass(ctx, span(r, 2, 4))
 	t.f.Isolate(i, says, !says, false)
@@ -224,15 +230,18 @@
 func (t *trialRun) weather(ctx context.Context, r *rand.Rand) {
 	i := r.IntN(t.o.Instances)
 	what := r.IntN(4)
-	t.note("links of %s: %s", testcluster.Name(i), []string{"late", "a trickle", "reset", "half open"}[what])
+	t.note("links of %s: %s", testcluster.Name(i),
+		[]string{"late", "a trickle", "reset", "half open"}[what])
 	for j, l := range t.f.Links[i] {
 		if l == nil {
 			continue
 		}
 		switch what {
 		case 0:
-			l.Set(faultproxy.Upstream, faultproxy.Conditions{Delay: 20 * time.Millisecond, Jitter: 80 * time.Millisecond})
-			t.f.Links[j][i].Set(faultproxy.Upstream, faultproxy.Conditions{Jitter: 50 * time.Millisecond})
+			l.Set(faultproxy.Upstream,
+				faultproxy.Conditions{Delay: 20 * time.Millisecond, Jitter: 80 * time.Millisecond})
+			t.f.Links[j][i].Set(faultproxy.Upstream,
+				faultproxy.Conditions{Jitter: 50 * time.Millisecond})
 		case 1:
 			l.Set(faultproxy.Upstream, faultproxy.Conditions{BytesPerSecond: 4000})
 		case 2:
@@ -271,7 +280,8 @@
 	}
 	var told string
 	if t.view("transfer "+duty+" "+testcluster.Name(to), &told) == nil {
-		t.note("%s is to be handed on from %s to %s", duty, testcluster.Name(i), testcluster.Name(to))
+		t.note("%s is to be handed on from %s to %s",
+			duty, testcluster.Name(i), testcluster.Name(to))
 		t.ended(duty, h, true)
 		t.count("transfers")
 	}
--- a/internal/testing/electiontest/judge.go
+++ b/internal/testing/electiontest/judge.go
@@ -21,7 +21,9 @@
 )
 
 // judge waits until all use is exported, and holds what was agreed against what happened.
-func (t *trialRun) judge(ctx context.Context, w *writers, ended time.Duration) (*harness.Figures, error) {
+func (t *trialRun) judge(
+	ctx context.Context, w *writers, ended time.Duration,
+) (*harness.Summary, error) {
 	t.f.Heal()
 	var v usageexport.View
 	sent := t.sent()
@@ -56,7 +58,8 @@
 	if t.o.Logs != "" {
 		t.fail(os.MkdirAll(t.o.Logs, 0o755))
 		for i, g := range t.f.Gateways {
-			t.fail(os.WriteFile(filepath.Join(t.o.Logs, testcluster.Name(i)+".log"), []byte(g.Log()), 0o644))
+			t.fail(os.WriteFile(filepath.Join(t.o.Logs, testcluster.Name(i)+".log"),
+				[]byte(g.Log()), 0o644))
 		}
 	}
 	f := t.f.Figures("owner")
@@ -64,7 +67,7 @@
 	f.Broken["two_owners"], f.Broken["late_effects"] = two, late
 	j, err := w.judge(0, ended)
 	if err != nil {
-		f.Miss(err.Error())
+		f.AddFailure(err.Error())
 	}
 	f.Broken["lost_acked"], f.Broken["doubled"], f.Broken["unordered"] = j.lost, j.doubled, j.unordered
 	t.exported(f, &v, sent)
@@ -80,15 +83,15 @@
 	f.Extra["held_pieces"] = t.f.Held()
 	for _, name := range []string{"late_wakes", "stops", "cuts", "kills"} {
 		if t.did[name] == 0 {
-			f.Miss("no " + name + ": nothing was shown")
+			f.AddFailure("no " + name + ": nothing was shown")
 			f.Extra[name] = 0
 		}
 	}
 	if t.f.Held() == 0 {
-		f.Miss("no cut link held anything up: nothing was shown")
+		f.AddFailure("no cut link held anything up: nothing was shown")
 	}
 	if changes == 0 || t.leaders() == 0 {
-		f.Miss("no change of owner, or of leader: nothing was shown")
+		f.AddFailure("no change of owner, or of leader: nothing was shown")
 	}
 	for rule, n := range f.Broken {
 		if n > 0 {
@@ -97,10 +100,11 @@
 		}
 	}
 	for _, err := range t.errs[:min(len(t.errs), 4)] {
-		f.Miss(err.Error())
+		f.AddFailure(err.Error())
 	}
 	if !f.OK {
-		fmt.Fprintf(t.progress, "the schedule of seed %d:\n  %s\n", t.o.Seed, strings.Join(t.schedule, "\n  "))
+		fmt.Fprintf(t.progress, "the schedule of seed %d:\n  %s\n", t.o.Seed,
+			strings.Join(t.schedule, "\n  "))
 	}
 	return f, nil
 }
@@ -109,7 +113,7 @@
 func (t *trialRun) sent() map[int]float64 {
 	units := map[string]float64{}
 	sent := map[int]float64{}
-	t.f.Record.Look(func() {
+	t.f.Record.Read(func() {
 		for _, try := range t.f.Record.Tries {
 			units[try.ID] = try.Units
 		}
@@ -168,11 +172,11 @@
 }
 
 // exported holds the files that count against what the servers took.
-func (t *trialRun) exported(f *harness.Figures, v *usageexport.View, sent map[int]float64) {
+func (t *trialRun) exported(f *harness.Summary, v *usageexport.View, sent map[int]float64) {
 	_, loose, err := usageexporter.Verify(t.f.Exports, v)
 	if err != nil {
 		f.Broken["files_not_as_agreed"] = 1
-		f.Miss(err.Error())
+		f.AddFailure(err.Error())
 	}
 	got := t.counted(v)
 	difference, gap, total := 0.0, 0.0, 0.0
@@ -186,17 +190,20 @@
 			difference += math.Abs(d)
 		}
 		if d > t.slack(i) || -d > t.slack(i) && !t.emptied[i] {
-			f.Miss(fmt.Sprintf("%s sent on %g units, and %g are exported", testcluster.Name(i), units, got[i]))
+			f.AddFailure(fmt.Sprintf("%s sent on %g units, and %g are exported",
+				testcluster.Name(i), units, got[i]))
 		}
 	}
-	if gap > 0 && !slices.ContainsFunc(v.Marks, func(m usageexport.Mark) bool { return m.Gap != "" }) {
-		f.Miss(fmt.Sprintf("%g units were lost with a folder, and no gap is told", gap))
+	if gap > 0 &&
+		!slices.ContainsFunc(v.Progress, func(m usageexport.Progress) bool { return m.Gap != "" }) {
+		f.AddFailure(fmt.Sprintf("%g units were lost with a folder, and no gap is told", gap))
 	}
 	f.Extra["exported_units"], f.Extra["sent_on_units"], f.Extra["exported_difference"], f.Extra["gap_units"] = v.Units, total, difference, gap
 	f.Extra["files"], f.Extra["files_that_do_not_count"] = v.Count, len(loose)
 }
 
-// effects looks for two owners in the files that count: a term has one owner, and terms come in their order.
+// effects looks for two owners in the files that count: a term has one owner, and terms come in
+// their order.
 func (t *trialRun) effects(v *usageexport.View) (two, late int) {
 	owner := map[string]string{}
 	newest := map[string]uint64{}
@@ -214,7 +221,7 @@
 	// A period of one boot stands in one file.
 	seen := map[string]bool{}
 	for _, f := range v.Files {
-		for _, s := range f.Spans {
+		for _, s := range f.Ranges {
 			for p := s.From; p <= s.To; p++ {
 				key := fmt.Sprintf("%s/%s/%d", s.ID, s.Incarnation, p)
 				if seen[key] {
@@ -228,12 +235,14 @@
 }
 
 var (
-	takenLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="fleet: duty taken".* duty=(\S+) term=(\d+)`)
-	ledLine   = regexp.MustCompile(`(?m)msg="fleet: leader".* term=(\d+) leader=\S+ leads=true`)
+	takenLine = regexp.MustCompile(
+		`(?m)^time=(\S+) .*msg="fleet: duty taken".* duty=(\S+) term=(\d+)`,
+	)
+	ledLine = regexp.MustCompile(`(?m)msg="fleet: leader".* term=(\d+) leader=\S+ leads=true`)
 )
 
 // passings tells how long duties were without an owner, by the gateways' own logs.
-func (t *trialRun) passings(f *harness.Figures) {
+func (t *trialRun) passings(f *harness.Summary) {
 	type taken struct {
 		term uint64
 		at   time.Time
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -49,16 +49,19 @@
 	}
 	for _, h := range v.Leases {
 		var i int
-		if n, _ := fmt.Sscanf(h.Holder.ID, "n%d", &i); h.Role == duty && n == 1 && v.At <= h.ExpiresAt {
+		if n, _ := fmt.Sscanf(h.Holder.ID, "n%d", &i); h.Role == duty && n == 1 &&
+			v.At <= h.ExpiresAt {
 			return i, h
 		}
 	}
 	return -1, lease.Lease{}
 }
 
-// hasOwner waits for an owner that knows itself to be one: the table alone still names a process that has just ended while the fleet's
-// time stands still.
-func hasOwner(t *testing.T, f *testcluster.Fleet, at int, duty string, but uint64) (i int, h lease.Lease) {
+// hasOwner waits for an owner that knows itself to be one: the table alone still names a process
+// that has just ended while the fleet's time stands still.
+func hasOwner(
+	t *testing.T, f *testcluster.Fleet, at int, duty string, but uint64,
+) (i int, h lease.Lease) {
 	t.Helper()
 	clustertest.Eventually(t, "an owner of "+duty, func() (bool, string) {
 		var here controlplane.Here
@@ -66,7 +69,8 @@
 			return false, fmt.Sprintf("%d %+v", i, h)
 		}
 		err := f.Call(i, "here", &here)
-		return err == nil && here.Roles[duty] == h.Term, fmt.Sprintf("%+v, here %+v %v", h, here, err)
+		return err == nil && here.Roles[duty] == h.Term, fmt.Sprintf("%+v, here %+v %v",
+			h, here, err)
 	})
 	return i, h
 }
@@ -166,10 +170,17 @@
 	return v
 }
 
-// An owner that lies stopped (by SIGSTOP to itself, at a named point) between its check and its write, and wakes when
-// another has gone on: its word is refused, nothing is exported twice, and it notices by itself.
+// An owner that lies stopped (by SIGSTOP to itself, at a named point) between its check and its
+// write, and wakes when another has gone on: its word is refused, nothing is exported twice, and it
+// notices by itself.
 func TestAnOwnerThatWakesLateDoesNoHarm(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 4, Env: func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" }})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 4,
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" },
+		},
+	)
 	duty := usageexport.RoleOfShard(0)
 	i, h := hasOwner(t, f, 0, duty, 0)
 	flag(t, f, i, "stop")
@@ -178,7 +189,9 @@
 		defer close(asked)
 		traffic(t, f, 2*time.Second)
 	}()
-	clustertest.Eventually(t, "the owner stops itself", func() (bool, string) { return f.Stopped(i), "" })
+	clustertest.Eventually(t, "the owner stops itself", func() (bool, string) {
+		return f.Stopped(i), ""
+	})
 	at := another(f, i)
 	_, next := hasOwner(t, f, at, duty, h.Term)
 	before := view(t, f, at)
@@ -195,14 +208,17 @@
 	exported(t, f, at, 0)
 }
 
-// A link that is lost one way only, at the log's leader: heard by nobody, then hearing nobody. Another leads each
-// time, and what is agreed goes on.
+// A link that is lost one way only, at the log's leader: heard by nobody, then hearing nobody.
+// Another leads each time, and what is agreed goes on.
 func TestALeaderHalfCutOff(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
 	run := &trialRun{f: f, o: Options{Instances: 4, Shards: 1}}
 	for _, says := range []bool{true, false} {
 		var i int
-		clustertest.Eventually(t, "a leader", func() (bool, string) { i = run.leader(); return i >= 0, "" })
+		clustertest.Eventually(t, "a leader", func() (bool, string) {
+			i = run.leader()
+			return i >= 0, ""
+		})
 		var was consensus.Membership
 		if err := run.view("status", &was); err != nil {
 			t.Fatal(err)
@@ -213,7 +229,8 @@
 		clustertest.Eventually(t, "another leader", func() (bool, string) {
 			var l consensus.Membership
 			err := f.Call(at, "status", &l)
-			return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
+			return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "" &&
+				l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 		})
 		hasOwner(t, f, at, usageexport.RoleOfShard(0), 0)
 		if f.Held() == held {
@@ -223,12 +240,14 @@
 		clustertest.Eventually(t, "the cut one follows", func() (bool, string) {
 			var h struct{ Leader string }
 			err := f.Call(i, "here", &h)
-			return err == nil && h.Leader != "" && h.Leader != testcluster.Name(i), fmt.Sprint(h, err)
+			return err == nil && h.Leader != "" &&
+				h.Leader != testcluster.Name(i), fmt.Sprint(h, err)
 		})
 	}
 }
 
-// A voter that comes back with an older folder, or without one, must not vote, and says how to mend it.
+// A voter that comes back with an older folder, or without one, must not vote, and says how to mend
+// it.
 func TestAVoterWithAnOldOrEmptyFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
@@ -243,7 +262,12 @@
 	if err := errors.Join(f.End(2, syscall.SIGKILL), f.Empty(2), f.Begin(2)); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, f, 2, "must not vote: the operators' file names this gateway as a voter, but its folder is no voter's")
+	logged(
+		t,
+		f,
+		2,
+		"must not vote: the operators' file names this gateway as a voter, but its folder is no voter's",
+	)
 	// The way out that the lines tell: removed, made anew, added.
 	clustertest.Eventually(t, "it is removed", func() (bool, string) {
 		err := f.Call(0, "remove n2", nil)
@@ -253,15 +277,20 @@
 		t.Fatal(err)
 	}
 	if err := errors.Join(os.RemoveAll(filepath.Join(f.FleetDir(2), "log")),
-		f.Command(2, nil, "fleet", "join", "n2", "--operators", "operators.toml"), f.Begin(2)); err != nil {
+		f.Command(2, nil, "fleet", "join", "n2", "--operators", "operators.toml"),
+		f.Begin(2)); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "it is added", func() (bool, string) { err := f.Call(2, "add", nil); return err == nil, fmt.Sprint(err) })
+	clustertest.Eventually(t, "it is added", func() (bool, string) {
+		err := f.Call(2, "add", nil)
+		return err == nil, fmt.Sprint(err)
+	})
 	clustertest.Eventually(t, "it votes and is up to date", func() (bool, string) {
 		var l consensus.Membership
 		var h struct{ Applied uint64 }
 		err := errors.Join(f.Call(0, "status", &l), f.Call(2, "here", &h))
-		return err == nil && len(l.Voters) == 3 && h.Applied+20 > l.AppliedIndex, fmt.Sprintf("%+v %+v %v", l, h, err)
+		return err == nil && len(l.Voters) == 3 &&
+			h.Applied+20 > l.AppliedIndex, fmt.Sprintf("%+v %+v %v", l, h, err)
 	})
 	// With one of the others gone, its vote counts.
 	if err := f.End(1, syscall.SIGKILL); err != nil {
@@ -291,8 +320,8 @@
 	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 }
 
-// All voters killed at once and back: what was agreed is there, and duties go on under higher terms. While a
-// majority is lost nothing new is agreed, and gateways serve on.
+// All voters killed at once and back: what was agreed is there, and duties go on under higher
+// terms. While a majority is lost nothing new is agreed, and gateways serve on.
 func TestAllVotersKilledAtOnce(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
 	duty := usageexport.RoleOfShard(0)
@@ -326,10 +355,12 @@
 	}
 }
 
-// Clocks that are far off, slow, or leap under way: the duty is handed on, and effects have one owner.
+// Clocks that are far off, slow, or leap under way: the duty is handed on, and effects have one
+// owner.
 func TestClocksThatAreOff(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Env: func(i int) string {
-		return "MOTHCLEAT_FAULTS=" + []string{"ahead=30s", "pace=0.9", "jump=40s@3s", "pace=1.02"}[i]
+		return "MOTHCLEAT_FAULTS=" +
+			[]string{"ahead=30s", "pace=0.9", "jump=40s@3s", "pace=1.02"}[i]
 	}})
 	duty := usageexport.RoleOfShard(0)
 	for range 3 {
@@ -347,7 +378,15 @@
 
 // A disk that stalls, at the leader: another leads, and the slow one comes back.
 func TestALeaderWithASlowDisk(t *testing.T) {
-	f := fleet(t, testcluster.Options{Instances: 3, Env: func(int) string { return "MOTHCLEAT_FAULTS=slow=voter-before-sync:3s@slow" }})
+	f := fleet(
+		t,
+		testcluster.Options{
+			Instances: 3,
+			Env: func(int) string {
+				return "MOTHCLEAT_FAULTS=slow=voter-before-sync:3s@slow"
+			},
+		},
+	)
 	run := &trialRun{f: f, o: Options{Instances: 3, Shards: 1}}
 	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	i := run.leader()
@@ -359,7 +398,8 @@
 	clustertest.Eventually(t, "another leader", func() (bool, string) {
 		var l consensus.Membership
 		err := f.Call(at, "status", &l)
-		return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
+		return err == nil && l.Leader != testcluster.Name(i) &&
+			l.Leader != "", fmt.Sprintf("%+v %v", l, err)
 	})
 	if err := os.Remove(filepath.Join(f.Gateways[i].Dir(), "slow")); err != nil {
 		t.Fatal(err)
@@ -371,32 +411,39 @@
 	})
 }
 
-// Two processes with one id: the newer goes on, the older is refused with a line that says which. On one folder the
-// second takes no part.
+// Two processes with one id: the newer goes on, the older is refused with a line that says which.
+// On one folder the second takes no part.
 func TestTwoProcessesWithOneID(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
-	clustertest.Eventually(t, "n3 has its id", func() (bool, string) { // else it would be the newer one
+	// else it would be the newer one
+	clustertest.Eventually(t, "n3 has its id", func() (bool, string) {
 		var l consensus.Membership
 		err := f.Call(0, "status", &l)
-		return err == nil && slices.ContainsFunc(l.Members, func(p consensus.SessionInfo) bool { return p.ID == "n3" }), fmt.Sprintf("%+v %v", l.Members, err)
+		return err == nil &&
+			slices.ContainsFunc(l.Members, func(p consensus.SessionInfo) bool {
+				return p.ID == "n3"
+			}), fmt.Sprintf("%+v %v", l.Members, err)
 	})
 	me := lease.Member{ID: "n3", Incarnation: 42}
-	c := controlrpc.NewClient(testcluster.FleetName, me, "", f.Voters(), f.Addresses(-1), slog.New(slog.DiscardHandler))
+	c := controlrpc.NewClient(testcluster.FleetName, me, "", f.Voters(), f.Addresses(-1),
+		slog.New(slog.DiscardHandler))
 	defer c.Close()
-	if _, err := c.Propose(t.Context(), checkpoint.MachineName, []byte(`{"key":"k","value":"v"}`)); err != nil {
+	if _, err := c.Propose(t.Context(), checkpoint.MachineName,
+		[]byte(`{"key":"k","value":"v"}`)); err != nil {
 		t.Fatal(err)
 	}
 	logged(t, f, 3, "another process has taken the id n3 since")
 
-	second, err := metering.Open(controlplane.UseDir(f.FleetDir(0)), "n0", 7, time.Second, slog.New(slog.DiscardHandler))
+	second, err := metering.Open(controlplane.UseDir(f.FleetDir(0)), "n0", 7, time.Second,
+		slog.New(slog.DiscardHandler))
 	if !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a second process on one folder: %v, %v", second, err)
 	}
 }
 
-// A gateway told to stop hands its duty on: the next has it without a span of silence. One whose folder is lost leaves
-// a gap that is told.
+// A gateway told to stop hands its duty on: the next has it without a span of silence. One whose
+// folder is lost leaves a gap that is told.
 func TestHandingOnAndALostFolder(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
 	duty := usageexport.RoleOfShard(0)
@@ -415,7 +462,7 @@
 	}
 	exported(t, f, at, 0)
 	boot := ""
-	for _, m := range view(t, f, at).Marks {
+	for _, m := range view(t, f, at).Progress {
 		if m.ID == "n3" && !m.Last {
 			boot = m.Incarnation
 		}
@@ -424,12 +471,12 @@
 		t.Fatal(err)
 	}
 	clustertest.Eventually(t, "the gap of boot "+boot, func() (bool, string) {
-		for _, m := range view(t, f, at).Marks {
+		for _, m := range view(t, f, at).Progress {
 			if m.Incarnation == boot && m.Gap != "" {
 				return true, ""
 			}
 		}
-		return false, fmt.Sprintf("%+v", view(t, f, at).Marks)
+		return false, fmt.Sprintf("%+v", view(t, f, at).Progress)
 	})
 }
 
@@ -439,7 +486,8 @@
 	if testing.Short() {
 		t.Skip("30 seconds")
 	}
-	fig, err := Run(t.Context(), Options{Seed: 5, Instances: 5, For: 14 * time.Second, Bin: bin}, io.Discard)
+	fig, err := Run(t.Context(),
+		Options{Seed: 5, Instances: 5, For: 14 * time.Second, Bin: bin}, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/electiontest/run.go
+++ b/internal/testing/electiontest/run.go
@@ -1,6 +1,6 @@
-// Package electiontest has a fleet of real gateways hold duties while links and processes fail, and judges by
-// effects whether there was one owner at a time: by what was agreed, by the files that count, and by what the stand-in
-// servers took.
+// Package electiontest has a fleet of real gateways hold duties while links and processes fail, and
+// judges by effects whether there was one owner at a time: by what was agreed, by the files that
+// count, and by what the stand-in servers took.
 package electiontest
 
 import (
@@ -36,7 +36,8 @@
 	Bin       string // built with the tag faults; "": it is built
 }
 
-// points are where processes stop or end themselves when the rig asks them to, by a file in their folder.
+// points are where processes stop or end themselves when the rig asks them to, by a file in their
+// folder.
 var points = []string{"export-collected", "export-amid-write", "export-before-agree", "export-after-agree", "voter-before-sync", "voter-after-sync",
 	"use-before-close", "use-after-close"}
 
@@ -46,7 +47,8 @@
 	for _, p := range points {
 		all = append(all, "stop="+p+"@stop-"+p, "kill="+p+"@kill-"+p)
 	}
-	return "MOTHCLEAT_FAULTS=" + strings.Join(append(all, "slow=voter-before-sync:3s@slow-sync"), ",")
+	return "MOTHCLEAT_FAULTS=" +
+		strings.Join(append(all, "slow=voter-before-sync:3s@slow-sync"), ",")
 }
 
 // trialRun is one run.
@@ -73,7 +75,7 @@
 }
 
 // Run plays a fleet and judges it.
-func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Figures, error) {
+func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
 	}
@@ -137,7 +139,10 @@
 // clients has further processes keep a session and watch.
 func (t *trialRun) clients(ctx context.Context) {
 	for i := range t.o.Clients {
-		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{ID: fmt.Sprintf("client-%d", i), Incarnation: t.o.Seed<<16 | uint64(i) | 1}, "",
+		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{
+			ID:          fmt.Sprintf("client-%d", i),
+			Incarnation: t.o.Seed<<16 | uint64(i) | 1,
+		}, "",
 			t.f.Voters(), t.f.Addresses(-1), slog.New(slog.DiscardHandler))
 		go c.KeepSessionAlive(ctx)
 		go c.Watch(ctx, lease.MachineName, func([]byte) {})
@@ -188,7 +193,8 @@
 		return -1, lease.Lease{}
 	}
 	for _, h := range v.Leases {
-		if i, ok := number(h.Holder.ID); h.Role == duty && ok && v.At <= h.ExpiresAt && !h.Unconfirmed {
+		if i, ok := number(h.Holder.ID); h.Role == duty && ok && v.At <= h.ExpiresAt &&
+			!h.Unconfirmed {
 			return i, h
 		}
 	}
--- a/internal/testing/electiontest/watch_test.go
+++ b/internal/testing/electiontest/watch_test.go
@@ -27,8 +27,8 @@
 	return n
 }
 
-// One gateway watches the register for all: a drain told to it alone ends all work there, with its owner stopped or
-// killed amid it as well; one that hears of nobody watches by itself.
+// One gateway watches the register for all: a drain told to it alone ends all work there, with its
+// owner stopped or killed amid it as well; one that hears of nobody watches by itself.
 func TestOneWatchOfTheRegister(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Consul: true, Load: 0.2})
 	i, h := hasOwner(t, f, 0, endpointlist.Role, 0)
@@ -52,7 +52,8 @@
 		})
 	}
 	only()
-	// drained tells the register of a drain amid traffic, and counts what comes to the server long after.
+	// drained tells the register of a drain amid traffic, and counts what comes to the server long
+	// after.
 	next := 0
 	drained := func(after func()) {
 		t.Helper()
@@ -68,13 +69,13 @@
 		after()
 		<-done
 		before, late := 0, 0
-		f.Record.Look(func() {
+		f.Record.Read(func() {
 			for _, a := range f.Record.Attempts {
 				switch {
 				case a.Server != sv.ID:
-				case a.First < at:
+				case a.FirstByteAt < at:
 					before++
-				case a.First > at+f.Site.RegisterLag+f.Site.DrainGrace+2*time.Second:
+				case a.FirstByteAt > at+f.Site.RegisterLag+f.Site.DrainTimeout+2*time.Second:
 					late++
 				}
 			}
@@ -103,7 +104,10 @@
 	}
 	since := time.Now()
 	logged(t, f, 3, "this gateway watches the register itself")
-	clustertest.Eventually(t, "it asks its agent", func() (bool, string) { n := calls(f, since); return n[3] > 0, fmt.Sprint(n) })
+	clustertest.Eventually(t, "it asks its agent", func() (bool, string) {
+		n := calls(f, since)
+		return n[3] > 0, fmt.Sprint(n)
+	})
 	for k := range 3 {
 		if err := f.Begin(k); err != nil {
 			t.Fatal(err)
--- a/internal/testing/harness/audit_test.go
+++ b/internal/testing/harness/audit_test.go
@@ -14,24 +14,27 @@
 // customer under a ceiling is sent to a warm server and answered.
 func good(s *Site, n int) *Record {
 	rec := &Record{began: time.Now()}
-	rec.Boots = []Boot{{Server: "a", Cores: 2, Speed: 1}, {Server: "b", Cores: 2, Speed: 1}}
+	rec.ServerStarts = []ServerStart{
+		{Server: "a", Cores: 2, Speed: 1}, {Server: "b", Cores: 2, Speed: 1},
+	}
 	for g := range 2 {
-		rec.Lives = append(rec.Lives, Life{g, Started, 0}, Life{g, Ready, 10 * ms})
+		rec.ProcessEvents = append(rec.ProcessEvents, ProcessEvent{g, Started, 0},
+			ProcessEvent{g, Ready, 10 * ms})
 	}
 	for i := range n {
 		at := time.Duration(i+1) * time.Second
 		id := fmt.Sprintf("%016x", i)
-		t := Try{ID: id, First: id, Customer: "c", Plan: 2, Class: i % 2, Units: 2, Asked: at, Sent: at, Wait: 2 * time.Second,
-			Answered: at + 200*ms, Kind: Served, Answers: 1, Value: ValueOf(id, "a")}
+		t := Try{ID: id, First: id, Customer: "c", Plan: 2, Class: i % 2, Units: 2, RequestedAt: at, SentAt: at, Wait: 2 * time.Second,
+			AnsweredAt: at + 200*ms, Kind: Served, Answers: 1, Value: ValueOf(id, "a")}
 		a := Attempt{
-			ID:     id,
-			Server: "a",
-			Class:  t.Class,
-			Work:   100 * ms,
-			First:  at + 5*ms,
-			Whole:  at + 5*ms,
-			Ran:    true,
-			Effect: true,
+			ID:          id,
+			Server:      "a",
+			Class:       t.Class,
+			Work:        100 * ms,
+			FirstByteAt: at + 5*ms,
+			ReceivedAt:  at + 5*ms,
+			Ran:         true,
+			Effect:      true,
 		}
 		if s.Classes[t.Class].Keyed {
 			t.Key, a.Key = "k"+id, "k"+id
@@ -44,7 +47,7 @@
 // again adds a further attempt of a try.
 func again(rec *Record, try int, server string, after time.Duration) *Attempt {
 	a := rec.Attempts[try]
-	a.Server, a.First, a.Whole = server, a.First+after, a.Whole+after
+	a.Server, a.FirstByteAt, a.ReceivedAt = server, a.FirstByteAt+after, a.ReceivedAt+after
 	rec.Attempts = append(rec.Attempts, a)
 	return &rec.Attempts[len(rec.Attempts)-1]
 }
@@ -58,33 +61,40 @@
 			again(r, 1, "b", 50*ms).Effect = false
 		},
 		"drained, sent within the grace": func(r *Record) {
-			r.Told = []Told{{0, "a", true, r.Attempts[9].First - 1900*ms}}
+			r.EndpointUpdates = []EndpointUpdate{
+				{0, "a", true, r.Attempts[9].FirstByteAt - 1900*ms},
+			}
 		},
 		"left while it was worked on": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.Answered, x.Left = Left, 0, 0, r.Attempts[3].Whole+ms
+			x.Kind, x.Answers, x.AnsweredAt, x.ClientLeftAt = ClientLeft, 0, 0, r.Attempts[3].ReceivedAt+ms
 		},
 		"left at the moment it was sent on": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.Answered, x.Left = Left, 0, 0, r.Attempts[3].Whole-299*ms
+			x.Kind, x.Answers, x.AnsweredAt, x.ClientLeftAt = ClientLeft, 0, 0, r.Attempts[3].ReceivedAt-299*ms
 		},
 		"drained and back": func(r *Record) {
-			r.Told = []Told{{0, "a", true, 100 * ms}, {0, "a", false, 200 * ms}}
+			r.EndpointUpdates = []EndpointUpdate{
+				{0, "a", true, 100 * ms}, {0, "a", false, 200 * ms},
+			}
+		},
+		"another gateway was told": func(r *Record) {
+			r.EndpointUpdates = []EndpointUpdate{{1, "a", true, 0}}
 		},
-		"another gateway was told": func(r *Record) { r.Told = []Told{{1, "a", true, 0}} },
 		"killed with a request": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.Answered, x.Reset = Ended, 0, 0, true
-			r.Lives = append(r.Lives, Life{0, Killed, x.Sent + 100*ms})
+			x.Kind, x.Answers, x.AnsweredAt, x.Reset = Ended, 0, 0, true
+			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{0, Killed, x.SentAt + 100*ms})
 		},
 		"killed before, and ended after it was sent": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.Answered, x.Reset = Ended, 0, 0, true
-			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 80*ms}, Life{0, Exited, x.Sent + ms})
+			x.Kind, x.Answers, x.AnsweredAt, x.Reset = Ended, 0, 0, true
+			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{0, Killed, x.SentAt - 80*ms},
+				ProcessEvent{0, Exited, x.SentAt + ms})
 		},
 		"closed between requests": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.Answered, x.Closed = Ended, 0, 0, x.Sent+ms
+			x.Kind, x.Answers, x.AnsweredAt, x.ClosedAt = Ended, 0, 0, x.SentAt+ms
 			r.Attempts = slices.Delete(r.Attempts, 3, 4)
 		},
 		"refused": func(r *Record) { r.Tries[3].Kind = Refused },
@@ -109,14 +119,14 @@
 			Lost,
 			func(_ *Site, r *Record) {
 				x := &r.Tries[3]
-				x.Kind, x.Answers, x.Answered = Silent, 0, 0
+				x.Kind, x.Answers, x.AnsweredAt = NoAnswer, 0, 0
 			},
 		},
 		{"two answers", Lost, func(_ *Site, r *Record) { r.Tries[3].Answers = 2 }},
 		{
 			"too late",
 			Lost,
-			func(_ *Site, r *Record) { x := &r.Tries[3]; x.Answered = x.Sent + x.Wait + 60*ms },
+			func(_ *Site, r *Record) { x := &r.Tries[3]; x.AnsweredAt = x.SentAt + x.Wait + 60*ms },
 		},
 		{
 			"connection ended",
@@ -129,7 +139,7 @@
 		{
 			"closed though read",
 			Lost,
-			func(_ *Site, r *Record) { x := &r.Tries[3]; x.Closed = x.Sent + 100*ms },
+			func(_ *Site, r *Record) { x := &r.Tries[3]; x.ClosedAt = x.SentAt + 100*ms },
 		},
 		{"made by nobody", Lost, func(_ *Site, r *Record) { r.Tries[3].Value = "quote" }},
 		{
@@ -141,34 +151,37 @@
 		{
 			"ended by itself",
 			Lost,
-			func(_ *Site, r *Record) { r.Lives = append(r.Lives, Life{1, Crashed, time.Second}) },
+			func(_ *Site, r *Record) {
+				r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{1, Crashed, time.Second})
+			},
 		},
 		{"another gateway was killed", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
-			r.Lives = append(r.Lives, Life{1, Killed, x.Sent + 100*ms})
+			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{1, Killed, x.SentAt + 100*ms})
 		}},
 		{"the gateway that was killed had ended long before", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
-			r.Lives = append(r.Lives, Life{0, Killed, x.Sent - 200*ms},
-				Life{0, Exited, x.Sent - 100*ms})
+			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{0, Killed, x.SentAt - 200*ms},
+				ProcessEvent{0, Exited, x.SentAt - 100*ms})
 		}},
 		{"it was killed after one that had ended had started anew", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
-			r.Lives = append(r.Lives, Life{
-				0, Killed, x.Sent - 200*ms,
-			}, Life{0, Exited, x.Sent - 150*ms},
-				Life{0, Started, x.Sent - 100*ms}, Life{0, Killed, x.Sent + x.Wait + 100*ms})
+			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{
+				0, Killed, x.SentAt - 200*ms,
+			}, ProcessEvent{0, Exited, x.SentAt - 150*ms},
+				ProcessEvent{0, Started, x.SentAt - 100*ms},
+				ProcessEvent{0, Killed, x.SentAt + x.Wait + 100*ms})
 		}},
 		{"sent on though its client had left", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.Answered, x.Left = Left, 0, 0, r.Attempts[3].Whole-301*ms
+			x.Kind, x.Answers, x.AnsweredAt, x.ClientLeftAt = ClientLeft, 0, 0, r.Attempts[3].ReceivedAt-301*ms
 		}},
 		{"effect twice", Twice, func(_ *Site, r *Record) { again(r, 1, "b", 50*ms) }},
 		{"keyed after its window", Twice, func(s *Site, r *Record) {
-			s.Classes[1].Window = 100 * ms
+			s.Classes[1].DeduplicationWindow = 100 * ms
 			again(r, 1, "b", 170*ms).Effect = false
 		}},
 		{"unsafe sent again", Twice, func(s *Site, r *Record) {
@@ -181,16 +194,18 @@
 			func(s *Site, r *Record) { s.Classes[0].Unsafe, r.Tries[0].Kind = true, Refused },
 		},
 		{"sent to a drained server", Drain, func(_ *Site, r *Record) {
-			r.Told = []Told{{0, "a", true, r.Attempts[9].First - 2100*ms}}
+			r.EndpointUpdates = []EndpointUpdate{
+				{0, "a", true, r.Attempts[9].FirstByteAt - 2100*ms},
+			}
 		}},
 		{"told twice: the first counts", Drain, func(_ *Site, r *Record) {
-			r.Told = []Told{
-				{0, "a", true, r.Attempts[9].First - 2100*ms},
-				{0, "a", true, r.Attempts[9].First - 500*ms},
+			r.EndpointUpdates = []EndpointUpdate{
+				{0, "a", true, r.Attempts[9].FirstByteAt - 2100*ms},
+				{0, "a", true, r.Attempts[9].FirstByteAt - 500*ms},
 			}
 		}},
-		{"overrun", Cold, func(_ *Site, r *Record) {
-			r.Boots[0].Cold = true
+		{"overrun", SlowStartOverload, func(_ *Site, r *Record) {
+			r.ServerStarts[0].SlowStart = true
 			for i := range 30 {
 				again(r, 0, "a", time.Duration(i)*ms)
 			}
@@ -198,7 +213,11 @@
 				r.Attempts[i].Work = 300 * ms
 			}
 		}},
-		{"fell over", Cold, func(_ *Site, r *Record) { r.Boots[0].Fell = time.Second }},
+		{
+			"fell over",
+			SlowStartOverload,
+			func(_ *Site, r *Record) { r.ServerStarts[0].OverloadedAt = time.Second },
+		},
 		{"over the ceiling", Ceiling, func(_ *Site, r *Record) {
 			for i := range r.Tries {
 				r.Tries[i].Units = 1000
@@ -224,7 +243,7 @@
 	rec := good(s, 10)
 	s.Plans[2] = Plan{Rate: 1, Burst: 4}
 	for i := range rec.Attempts {
-		rec.Attempts[i].Whole = time.Duration(i) * ms
+		rec.Attempts[i].ReceivedAt = time.Duration(i) * ms
 	}
 	if v := Audit(s, rec); v.OverQuota != 16 || !v.OK() {
 		t.Errorf("%g units beyond the quotas, want 16 of 20 at once; broken %v",
@@ -238,13 +257,13 @@
 	rec := good(s, 2)
 	retry := rec.Tries[0]
 	rec.Tries[0].Kind, rec.Tries[0].Value = Refused, ""
-	retry.ID, retry.Sent, retry.Answered = "r", retry.Sent+500*ms, retry.Answered+500*ms
+	retry.ID, retry.SentAt, retry.AnsweredAt = "r", retry.SentAt+500*ms, retry.AnsweredAt+500*ms
 	a := rec.Attempts[0]
 	a.ID = "r"
 	retry.Value = ValueOf("r", "a")
 	rec.Tries, rec.Attempts = append(rec.Tries, retry), append(rec.Attempts, a)
-	f := Figure("x", 1, s, rec)
-	if !f.OK || f.Asked != 2 || f.InTime != 2 || f.Service != 1 || f.P99 != 700 {
+	f := Summarize("x", 1, s, rec)
+	if !f.OK || f.Requests != 2 || f.InTime != 2 || f.Service != 1 || f.P99 != 700 {
 		t.Errorf("figures %s", f.Line())
 	}
 	if !strings.Contains(f.Line(), `"broken":{"ceiling":0,"cold":0,"drain":0,"lost":0,"twice":0}`) {
@@ -267,9 +286,9 @@
 	ask := func(customer string, at time.Duration, units float64, on bool) {
 		id := fmt.Sprint(len(rec.Tries))
 		rec.Tries = append(rec.Tries,
-			Try{ID: id, First: id, Customer: customer, Units: units, Asked: at, Sent: at})
+			Try{ID: id, First: id, Customer: customer, Units: units, RequestedAt: at, SentAt: at})
 		if on {
-			rec.Attempts = append(rec.Attempts, Attempt{ID: id, Whole: at})
+			rec.Attempts = append(rec.Attempts, Attempt{ID: id, ReceivedAt: at})
 		}
 	}
 	ask("a", 0, 2, true)
@@ -280,20 +299,20 @@
 	}
 	ask("a", 6*time.Second, 2, true) // ends the span: 10 units bought
 	got := GivenOfBought(s, rec)
-	for group, want := range map[string]Share{Under: {
+	for group, want := range map[string]Share{UnderQuota: {
 		Customers: 1,
 		Bought:    4,
 		Given:     4,
 		Of:        1,
-	}, Near: {Customers: 1, Bought: 4, Given: 2, Of: 0.5},
-		Over: {Customers: 1, Bought: 8, Given: 4, Of: 0.5}} {
+	}, NearQuota: {Customers: 1, Bought: 4, Given: 2, Of: 0.5},
+		OverQuota: {Customers: 1, Bought: 8, Given: 4, Of: 0.5}} {
 		g := got[group]
 		if g.Customers != want.Customers || g.Bought != want.Bought || g.Given != want.Given ||
 			g.Of != want.Of {
 			t.Errorf("%s: %+v, want %+v", group, *g, want)
 		}
 	}
-	if of := got[Near].BySpread[3].Of; of != 0.5 {
+	if of := got[NearQuota].BySpread[3].Of; of != 0.5 {
 		t.Errorf("near, through three gateways: %g", of)
 	}
 }
@@ -313,14 +332,14 @@
 		want string
 		tell func(rec *Record, t *Try)
 	}{
-		{"slice", "slice", func(rec *Record, t *Try) { t.Why = "slice" }},
-		{"untold", LossUntold, func(rec *Record, t *Try) {}},
-		{"load", "load", func(rec *Record, t *Try) { t.Why = "load" }},
+		{"slice", "slice", func(rec *Record, t *Try) { t.RejectReason = "slice" }},
+		{"untold", LossUnexplained, func(rec *Record, t *Try) {}},
+		{"load", "load", func(rec *Record, t *Try) { t.RejectReason = "load" }},
 		{"spent", LossSpent, func(rec *Record, t *Try) {
-			t.Why = "slice"
+			t.RejectReason = "slice"
 			rec.Tries = append(rec.Tries,
-				Try{ID: "x", First: "w", Customer: "c", Units: 3, Sent: 10 * ms, Kind: Served})
-			rec.Attempts = append(rec.Attempts, Attempt{ID: "x", Whole: 10 * ms})
+				Try{ID: "x", First: "w", Customer: "c", Units: 3, SentAt: 10 * ms, Kind: Served})
+			rec.Attempts = append(rec.Attempts, Attempt{ID: "x", ReceivedAt: 10 * ms})
 		}},
 		{"failed", LossFailed, func(rec *Record, t *Try) { t.Kind = Failed }},
 		{"killed", LossKilled, func(rec *Record, t *Try) { t.Kind = Ended }},
@@ -328,20 +347,20 @@
 		{
 			"late",
 			LossLate,
-			func(rec *Record, t *Try) { t.Kind, t.Answered = Served, 3*time.Second },
+			func(rec *Record, t *Try) { t.Kind, t.AnsweredAt = Served, 3*time.Second },
 		},
-		{"silent", LossSilent, func(rec *Record, t *Try) { t.Kind = Silent }},
+		{"silent", LossNoAnswer, func(rec *Record, t *Try) { t.Kind = NoAnswer }},
 	} {
 		rec := &Record{
 			Tries: []Try{
 				{
-					ID:       "1",
-					First:    "1",
-					Customer: "c",
-					Units:    2,
-					Sent:     20 * ms,
-					Answered: 30 * ms,
-					Kind:     Refused,
+					ID:         "1",
+					First:      "1",
+					Customer:   "c",
+					Units:      2,
+					SentAt:     20 * ms,
+					AnsweredAt: 30 * ms,
+					Kind:       Refused,
 				},
 			},
 		}
--- a/internal/testing/harness/fault.go
+++ b/internal/testing/harness/fault.go
@@ -16,23 +16,23 @@
 	Restart FaultKind = "restart"
 	Freeze  FaultKind = "freeze" // stands still for a moment
 	// is killed, and its next process has a clock that is off by X seconds
-	ClockOff FaultKind = "clock"
-	Down     FaultKind = "down"   // a server ends, and comes back cold
-	Drained  FaultKind = "drain"  // a server is said to drain, and then to be ready again
-	Slow     FaultKind = "slow"   // its work takes X times as long
-	Errors   FaultKind = "errors" // a part X of its requests fail at once
-	Hang     FaultKind = "hang"   // it takes requests and answers none
-	Resets   FaultKind = "reset"  // a part X of its answers end with a reset connection
-	SilentAt FaultKind = "silent" // the register tells nothing
-	Cut      FaultKind = "cut"    // no note passes between two halves of the gateways
-	LateBy   FaultKind = "late"   // notes come X seconds later
+	ClockOff       FaultKind = "clock"
+	Down           FaultKind = "down"   // a server ends, and comes back cold
+	Drained        FaultKind = "drain"  // a server is said to drain, and then to be ready again
+	Slow           FaultKind = "slow"   // its work takes X times as long
+	Errors         FaultKind = "errors" // a part X of its requests fail at once
+	Hang           FaultKind = "hang"   // it takes requests and answers none
+	Resets         FaultKind = "reset"  // a part X of its answers end with a reset connection
+	RegistrySilent FaultKind = "silent" // the register tells nothing
+	Cut            FaultKind = "cut"    // no note passes between two halves of the gateways
+	LateBy         FaultKind = "late"   // notes come X seconds later
 )
 
 // The kinds by whom they befall.
 var (
 	GatewayFaults = []FaultKind{Kill, Restart, Freeze, ClockOff}
 	ServerFaults  = []FaultKind{Down, Drained, Slow, Errors, Hang, Resets}
-	OtherFaults   = []FaultKind{SilentAt, Cut, LateBy}
+	OtherFaults   = []FaultKind{RegistrySilent, Cut, LateBy}
 )
 
 // Fault is one thing that goes wrong, as data: it can be written down, changed, and
--- a/internal/testing/harness/figures.go
+++ b/internal/testing/harness/figures.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Figures is what a run comes to; its JSON is a lab command's last line.
-type Figures struct {
-	Command string       `json:"command"`
-	Seed    uint64       `json:"seed"`
-	Seconds float64      `json:"seconds"`
-	Broken  map[Rule]int `json:"broken"`
-	Why     []string     `json:"why,omitempty"` // the first breaches, and promises not kept
-	OK      bool         `json:"ok"`
-	Asked   int          `json:"asked"` // first tries
-	InTime  int          `json:"served_in_time"`
-	Late    int          `json:"served_late"`
-	Refused int          `json:"refused"` // first tries that ended so, after all retries
-	Failed  int          `json:"failed"`
-	P50     float64      `json:"p50_ms"` // of those served, from when they were asked
-	P99     float64      `json:"p99_ms"`
+// Summary is what a run comes to; its JSON is a lab command's last line.
+type Summary struct {
+	Command  string       `json:"command"`
+	Seed     uint64       `json:"seed"`
+	Seconds  float64      `json:"seconds"`
+	Broken   map[Rule]int `json:"broken"`
+	Why      []string     `json:"why,omitempty"` // the first breaches, and promises not kept
+	OK       bool         `json:"ok"`
+	Requests int          `json:"asked"` // first tries
+	InTime   int          `json:"served_in_time"`
+	Late     int          `json:"served_late"`
+	Refused  int          `json:"refused"` // first tries that ended so, after all retries
+	Failed   int          `json:"failed"`
+	P50      float64      `json:"p50_ms"` // of those served, from when they were asked
+	P99      float64      `json:"p99_ms"`
 	// worth served in time / worth asked, inside the quotas
 	Service float64            `json:"service"`
 	Taken   int                `json:"taken"`
@@ -33,10 +33,10 @@
 	Extra map[string]any `json:"-"`
 }
 
-// Figure audits a record and sums it up.
-func Figure(command string, seed uint64, s *Site, rec *Record) *Figures {
+// Summarize audits a record and sums it up.
+func Summarize(command string, seed uint64, s *Site, rec *Record) *Summary {
 	v := Audit(s, rec)
-	f := &Figures{Command: command,
+	f := &Summary{Command: command,
 		Seed:    seed,
 		Seconds: rec.Now().Seconds(),
 		Broken:  v.Broken,
@@ -52,14 +52,14 @@
 			string(b.Rule)+" at "+b.At.Round(time.Millisecond).String()+": "+b.What)
 	}
 	if v.AttemptsOver > 0 {
-		f.Miss("tries with more attempts than a request may have")
+		f.AddFailure("tries with more attempts than a request may have")
 	}
 	var times []time.Duration
 	all := Outcomes(s, rec)
 	for _, o := range all {
-		f.Asked++
+		f.Requests++
 		switch {
-		case o.Kind == Served && o.Took <= s.Classes[o.Try.Class].Aim:
+		case o.Kind == Served && o.Took <= s.Classes[o.Try.Class].LatencyTarget:
 			f.InTime++
 		case o.Kind == Served:
 			f.Late++
@@ -72,11 +72,11 @@
 			times = append(times, o.Took)
 		}
 	}
-	if v.LeftWaiting > 0 {
-		f.Extra["left_waiting"], f.Extra["left_sent_on"] = v.LeftWaiting, v.LeftSentOn
+	if v.AbandonedWaiting > 0 {
+		f.Extra["left_waiting"], f.Extra["left_sent_on"] = v.AbandonedWaiting, v.AbandonedForwarded
 	}
-	if v.PausedUnanswered+v.PausedLate > 0 {
-		f.Extra["paused_unanswered"], f.Extra["paused_late"] = v.PausedUnanswered, v.PausedLate
+	if v.PausedUnanswered+v.PausedLateOperations > 0 {
+		f.Extra["paused_unanswered"], f.Extra["paused_late"] = v.PausedUnanswered, v.PausedLateOperations
 	}
 	f.Service = Service(s, all)
 	f.Losses = Losses(s, rec)
@@ -104,15 +104,15 @@
 	return float64(times[min(len(times)-1, int(p*float64(len(times))))].Microseconds()) / 1000
 }
 
-// Miss takes note of a promise that was not kept.
-func (f *Figures) Miss(why string) {
+// AddFailure takes note of a promise that was not kept.
+func (f *Summary) AddFailure(why string) {
 	f.OK = false
 	f.Why = append(f.Why, why)
 }
 
 // MarshalJSON puts a command's own figures beside those that all have.
-func (f *Figures) MarshalJSON() ([]byte, error) {
-	type plain Figures
+func (f *Summary) MarshalJSON() ([]byte, error) {
+	type plain Summary
 	b, err := json.Marshal((*plain)(f))
 	if err != nil || len(f.Extra) == 0 {
 		return b, err
@@ -124,9 +124,9 @@
 	return append(append(b[:len(b)-1], ','), extra[1:]...), nil
 }
 
-// NewFigures is the figures of a command that plays no single world: nothing is broken yet.
-func NewFigures(command string, seed uint64) *Figures {
-	f := &Figures{
+// NewSummary is the figures of a command that plays no single world: nothing is broken yet.
+func NewSummary(command string, seed uint64) *Summary {
+	f := &Summary{
 		Command: command,
 		Seed:    seed,
 		Broken:  map[Rule]int{},
@@ -139,15 +139,15 @@
 	return f
 }
 
-// Broke is the figures of a run that could not be played.
-func Broke(command string, seed uint64, why error) *Figures {
-	f := NewFigures(command, seed)
-	f.Miss(why.Error())
+// FailedRun is the figures of a run that could not be played.
+func FailedRun(command string, seed uint64, why error) *Summary {
+	f := NewSummary(command, seed)
+	f.AddFailure(why.Error())
 	return f
 }
 
 // Line is the figures as one line of JSON.
-func (f *Figures) Line() string {
+func (f *Summary) Line() string {
 	b, err := json.Marshal(f)
 	if err != nil {
 		panic(err) // nothing in it can't be written
@@ -172,20 +172,21 @@
 		if t.ID == t.First {
 			firsts = append(firsts, t)
 		}
-		if l := last[t.First]; l == nil || t.Kind == Served || l.Kind != Served && t.Sent > l.Sent {
+		if l := last[t.First]; l == nil || t.Kind == Served ||
+			l.Kind != Served && t.SentAt > l.SentAt {
 			last[t.First] = t
 		}
 	}
-	slices.SortFunc(firsts, func(a, b *Try) int { return int(a.Asked - b.Asked) })
-	quotas := s.newStores()
+	slices.SortFunc(firsts, func(a, b *Try) int { return int(a.RequestedAt - b.RequestedAt) })
+	quotas := s.newTokenBuckets()
 	var all []Outcome
 	for _, t := range firsts {
 		l := last[t.First]
 		o := Outcome{
 			Try:    t,
 			Kind:   l.Kind,
-			Took:   l.Answered - t.Asked,
-			Inside: quotas.take(t, t.Asked),
+			Took:   l.AnsweredAt - t.RequestedAt,
+			Inside: quotas.take(t, t.RequestedAt),
 		}
 		all = append(all, o)
 	}
@@ -199,9 +200,9 @@
 		if !o.Inside {
 			continue
 		}
-		worth := s.Classes[o.Try.Class].Worth * s.Plans[o.Try.Plan].Price * o.Try.Units
+		worth := s.Classes[o.Try.Class].Value * s.Plans[o.Try.Plan].Price * o.Try.Units
 		asked += worth
-		if o.Kind == Served && o.Took <= s.Classes[o.Try.Class].Aim {
+		if o.Kind == Served && o.Took <= s.Classes[o.Try.Class].LatencyTarget {
 			got += worth
 		}
 	}
--- a/internal/testing/harness/quota.go
+++ b/internal/testing/harness/quota.go
@@ -29,20 +29,20 @@
 
 // Groups of customers by what they ask for, as a part of what they have bought.
 const (
-	Under = "under" // up to 0.85 of it
-	Near  = "near"  // up to all of it
-	Over  = "over"  // more
+	UnderQuota = "under" // up to 0.85 of it
+	NearQuota  = "near"  // up to all of it
+	OverQuota  = "over"  // more
 )
 
-// span is the time from a run's first request to its last.
-func (rec *Record) span() (from, to time.Duration) {
+// requestPeriod is the time from a run's first request to its last.
+func (rec *Record) requestPeriod() (from, to time.Duration) {
 	first := true
 	for i := range rec.Tries {
 		if t := &rec.Tries[i]; t.ID == t.First {
-			if first || t.Asked < from {
-				from, first = t.Asked, false
+			if first || t.RequestedAt < from {
+				from, first = t.RequestedAt, false
 			}
-			to = max(to, t.Asked)
+			to = max(to, t.RequestedAt)
 		}
 	}
 	return from, to
@@ -53,18 +53,18 @@
 // and the rate over the run. What goes on beyond a quota does not count as given.
 func GivenOfBought(s *Site, rec *Record) map[string]*Share {
 	groups := map[string]*Share{}
-	for _, name := range []string{Under, Near, Over} {
+	for _, name := range []string{UnderQuota, NearQuota, OverQuota} {
 		groups[name] = &Share{Of: 1, BySpread: map[int]*Share{}}
 	}
-	_, to := rec.span()
+	_, to := rec.requestPeriod()
 	asked, given := map[string]float64{}, map[string]float64{}
 	for i := range rec.Tries {
 		if t := &rec.Tries[i]; t.ID == t.First {
 			asked[t.Customer] += t.Units
 		}
 	}
-	quotas := s.newStores()
-	for _, e := range spending(rec) {
+	quotas := s.newTokenBuckets()
+	for _, e := range forwardedTries(rec) {
 		if quotas.take(e.try, e.at) {
 			given[e.try.Customer] += e.try.Units
 		}
@@ -72,11 +72,11 @@
 	for i := range s.Customers {
 		c := &s.Customers[i]
 		p := &s.Plans[c.Plan]
-		g := groups[Over]
+		g := groups[OverQuota]
 		if c.Use <= 0.85 {
-			g = groups[Under]
+			g = groups[UnderQuota]
 		} else if c.Use <= 1 {
-			g = groups[Near]
+			g = groups[NearQuota]
 		}
 		bought := min(asked[c.ID], p.Burst+p.Rate*to.Seconds())
 		if g.BySpread[c.Spread] == nil {
@@ -88,42 +88,44 @@
 	return groups
 }
 
-// spent is a try that was sent on, and when its first attempt was whole.
-type spent struct {
+// forwardedTry is a try that was sent on, and when its first attempt was whole.
+type forwardedTry struct {
 	try *Try
 	at  time.Duration
 }
 
-// spending are the tries that were sent on, in the order in which they took their units.
-func spending(rec *Record) (all []spent) {
+// forwardedTries are the tries that were sent on, in the order in which they took their units.
+func forwardedTries(rec *Record) (all []forwardedTry) {
 	first := map[string]time.Duration{}
 	for _, a := range rec.Attempts {
-		if at, ok := first[a.ID]; !ok || a.Whole < at {
-			first[a.ID] = a.Whole
+		if at, ok := first[a.ID]; !ok || a.ReceivedAt < at {
+			first[a.ID] = a.ReceivedAt
 		}
 	}
 	for i := range rec.Tries {
 		if at, ok := first[rec.Tries[i].ID]; ok {
-			all = append(all, spent{&rec.Tries[i], at})
+			all = append(all, forwardedTry{&rec.Tries[i], at})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b spent) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b forwardedTry) int { return int(a.at - b.at) })
 	return all
 }
 
-// stores are the whole quotas of a site's customers, as one who sees all keeps them.
-type stores struct {
+// tokenBuckets are the whole quotas of a site's customers, as one who sees all keeps them.
+type tokenBuckets struct {
 	site *Site
-	of   map[string]*store
+	of   map[string]*tokenBucket
 }
 
-func (s *Site) newStores() *stores { return &stores{s, map[string]*store{}} }
+func (s *Site) newTokenBuckets() *tokenBuckets {
+	return &tokenBuckets{s, map[string]*tokenBucket{}}
+}
 
-func (q *stores) at(t *Try, at time.Duration) *store {
+func (q *tokenBuckets) at(t *Try, at time.Duration) *tokenBucket {
 	p := &q.site.Plans[t.Plan]
 	st := q.of[t.Customer]
 	if st == nil {
-		st = &store{p.Burst, p.Rate, p.Burst, 0}
+		st = &tokenBucket{p.Burst, p.Rate, p.Burst, 0}
 		q.of[t.Customer] = st
 	}
 	st.fill(at)
@@ -131,7 +133,7 @@
 }
 
 // take takes a try's units if the store holds them; else it takes nothing.
-func (q *stores) take(t *Try, at time.Duration) bool {
+func (q *tokenBuckets) take(t *Try, at time.Duration) bool {
 	st := q.at(t, at)
 	if st.level < t.Units {
 		return false
@@ -145,13 +147,13 @@
 // other tries of it, and no unit was lost. A reason of an empty bank while the store
 // truly held the units keeps its name, and is what a customer loses by being spread.
 const (
-	LossSpent  = "spent"
-	LossLate   = "late"
-	LossKilled = "gateway killed"
-	LossNoPort = "no port"
-	LossFailed = "failed"
-	LossSilent = "silent"
-	LossUntold = "refused, untold"
+	LossSpent       = "spent"
+	LossLate        = "late"
+	LossKilled      = "gateway killed"
+	LossNoPort      = "no port"
+	LossFailed      = "failed"
+	LossNoAnswer    = "silent"
+	LossUnexplained = "refused, untold"
 )
 
 // Losses tells for every request inside its quota that was not served in time why,
@@ -159,22 +161,23 @@
 // several times the last refusal or failure counts.
 func Losses(s *Site, rec *Record) map[string]float64 {
 	// The tries that ended in vain, with the true store as it was when each was refused.
-	vain := map[string]look{}
+	vain := map[string]unservedTry{}
 	var refused []*Try
 	for i := range rec.Tries {
 		if t := &rec.Tries[i]; t.Kind == Refused {
 			refused = append(refused, t)
 		} else if t.Kind != Served {
-			vain[t.First] = later(vain[t.First], look{try: t})
+			vain[t.First] = later(vain[t.First], unservedTry{try: t})
 		}
 	}
-	slices.SortStableFunc(refused, func(a, b *Try) int { return int(a.Answered - b.Answered) })
-	quotas, all := s.newStores(), spending(rec)
+	slices.SortStableFunc(refused, func(a, b *Try) int { return int(a.AnsweredAt - b.AnsweredAt) })
+	quotas, all := s.newTokenBuckets(), forwardedTries(rec)
 	for _, t := range refused {
-		for ; len(all) > 0 && all[0].at <= t.Answered; all = all[1:] {
+		for ; len(all) > 0 && all[0].at <= t.AnsweredAt; all = all[1:] {
 			quotas.take(all[0].try, all[0].at)
 		}
-		vain[t.First] = later(vain[t.First], look{t, quotas.at(t, t.Answered).level < t.Units})
+		vain[t.First] = later(vain[t.First],
+			unservedTry{t, quotas.at(t, t.AnsweredAt).level < t.Units})
 	}
 	losses, asked := map[string]float64{}, 0.0
 	for _, o := range Outcomes(s, rec) {
@@ -182,9 +185,9 @@
 			continue
 		}
 		c := &s.Classes[o.Try.Class]
-		worth := c.Worth * s.Plans[o.Try.Plan].Price * o.Try.Units
+		worth := c.Value * s.Plans[o.Try.Plan].Price * o.Try.Units
 		asked += worth
-		if o.Kind == Served && o.Took <= c.Aim {
+		if o.Kind == Served && o.Took <= c.LatencyTarget {
 			continue
 		}
 		l := vain[o.Try.First]
@@ -196,14 +199,14 @@
 	return losses
 }
 
-// look is a try that ended in vain, and whether the store truly lacked its units.
-type look struct {
+// unservedTry is a try that ended in vain, and whether the store truly lacked its units.
+type unservedTry struct {
 	try   *Try
 	spent bool
 }
 
-func later(a, b look) look {
-	if a.try == nil || b.try.Sent >= a.try.Sent {
+func later(a, b unservedTry) unservedTry {
+	if a.try == nil || b.try.SentAt >= a.try.SentAt {
 		return b
 	}
 	return a
@@ -215,22 +218,23 @@
 	}
 	switch last.Kind {
 	case Refused:
-		bank := last.Why == "slice" || last.Why == "store" || last.Why == "bank0"
+		bank := last.RejectReason == "slice" || last.RejectReason == "store" ||
+			last.RejectReason == "bank0"
 		switch {
-		case spent && (bank || last.Why == ""):
+		case spent && (bank || last.RejectReason == ""):
 			return LossSpent
-		case last.Why == "":
-			return LossUntold
+		case last.RejectReason == "":
+			return LossUnexplained
 		case o.Kind == Served && !bank:
 			return LossLate
 		}
-		return last.Why
+		return last.RejectReason
 	case Unsent:
 		return LossNoPort
 	case Ended:
 		return LossKilled
-	case Silent:
-		return LossSilent
+	case NoAnswer:
+		return LossNoAnswer
 	}
 	return LossFailed
 }
--- a/internal/testing/harness/site.go
+++ b/internal/testing/harness/site.go
@@ -12,18 +12,18 @@
 
 // Class is a class of requests as the operators describe it.
 type Class struct {
-	Name    string
-	Share   float64
-	Work    time.Duration // mean, of one core at speed 1
-	Aim     time.Duration // an answer by then has its full worth
-	GiveUp  time.Duration
-	Worth   float64
-	Keyed   bool          // else safe to repeat
-	Window  time.Duration // in which every server drops a repeat
-	Unsafe  bool          // must never run twice; no class of the site is, tests are
-	Least   float64       // units that a request takes, from
-	Most    float64       // and to
-	Command string
+	Name                string
+	Share               float64
+	Work                time.Duration // mean, of one core at speed 1
+	LatencyTarget       time.Duration // an answer by then has its full worth
+	GiveUp              time.Duration
+	Value               float64
+	Keyed               bool          // else safe to repeat
+	DeduplicationWindow time.Duration // in which every server drops a repeat
+	Unsafe              bool          // must never run twice; no class of the site is, tests are
+	MinUnits            float64       // units that a request takes, from
+	MaxUnits            float64       // and to
+	Command             string
 }
 
 // Plan is what a customer buys. Rates are units a second.
@@ -55,26 +55,26 @@
 	Gateways  int
 	PerSecond float64 // requests inside the quotas
 
-	ColdFrom     float64
-	ColdTime     time.Duration
-	FallMultiple float64
-	FallSpan     time.Duration
-	DrainGrace   time.Duration
-	NoteLoss     float64
-	RegisterLag  time.Duration // the longest
-	Retries      int
-	Shift        time.Duration // how often the busiest gateway of a customer changes
-	MaxAttempts  int
-	Counter      bool // no notes: the gateways count at the counter
+	SlowStartMinFraction float64
+	SlowStartDuration    time.Duration
+	OverloadMultiple     float64
+	OverloadWindow       time.Duration
+	DrainTimeout         time.Duration
+	MessageLoss          float64
+	RegisterLag          time.Duration // the longest
+	Retries              int
+	Shift                time.Duration // how often the busiest gateway of a customer changes
+	MaxAttempts          int
+	Counter              bool // no notes: the gateways count at the counter
 
 	// the part of the tries whose client leaves before an answer; 0 unless a rig sets it
-	Impatient float64
+	AbandonFraction float64
 
-	keys keyMemory
+	keys keyRegistry
 }
 
-// keyMemory is what all quote servers remember together of keys.
-type keyMemory struct {
+// keyRegistry is what all quote servers remember together of keys.
+type keyRegistry struct {
 	mu   sync.Mutex
 	seen map[string]time.Duration
 }
@@ -119,20 +119,20 @@
 	s := &Site{
 		Classes: []Class{
 			{Name: "cotacao", Share: 0.76, Work: time.Duration(Between(r, 120, 210)) *
-				time.Millisecond, Aim: time.Second,
-				GiveUp: 3 * time.Second, Worth: 1, Least: 1, Most: 2, Command: "API.READ"},
+				time.Millisecond, LatencyTarget: time.Second,
+				GiveUp: 3 * time.Second, Value: 1, MinUnits: 1, MaxUnits: 2, Command: "API.READ"},
 			{Name: "alerta",
 				Share: 0.24,
 				Work: time.Duration(Between(r, 260, 460)) *
 					time.Millisecond,
-				Aim:     4 * time.Second,
-				GiveUp:  15 * time.Second,
-				Worth:   3,
-				Keyed:   true,
-				Window:  30 * time.Second,
-				Least:   2,
-				Most:    4,
-				Command: "API.WRITE"},
+				LatencyTarget:       4 * time.Second,
+				GiveUp:              15 * time.Second,
+				Value:               3,
+				Keyed:               true,
+				DeduplicationWindow: 30 * time.Second,
+				MinUnits:            2,
+				MaxUnits:            4,
+				Command:             "API.WRITE"},
 		},
 		Plans: []Plan{
 			{Name: "basico", Share: 0.36, Rate: Between(r, 0.96, 1.7), Price: 0.72},
@@ -145,18 +145,18 @@
 				BeyondEarns: 0.3,
 			},
 		},
-		Gateways:     gateways,
-		Servers:      servers,
-		ColdFrom:     0.15,
-		ColdTime:     16 * time.Second,
-		FallMultiple: 4,
-		FallSpan:     time.Second,
-		DrainGrace:   2 * time.Second,
-		NoteLoss:     0.06,
-		RegisterLag:  2 * time.Second,
-		Retries:      3,
-		Shift:        15 * time.Second,
-		MaxAttempts:  3,
+		Gateways:             gateways,
+		Servers:              servers,
+		SlowStartMinFraction: 0.15,
+		SlowStartDuration:    16 * time.Second,
+		OverloadMultiple:     4,
+		OverloadWindow:       time.Second,
+		DrainTimeout:         2 * time.Second,
+		MessageLoss:          0.06,
+		RegisterLag:          2 * time.Second,
+		Retries:              3,
+		Shift:                15 * time.Second,
+		MaxAttempts:          3,
 	}
 	if d.Customers > 0 {
 		s.scalePlans(d)
@@ -214,7 +214,7 @@
 func (s *Site) totals() (work, units, capacity float64) {
 	for _, c := range s.Classes {
 		work += c.Share * c.Work.Seconds()
-		units += c.Share * (c.Least + c.Most) / 2
+		units += c.Share * (c.MinUnits + c.MaxUnits) / 2
 	}
 	for i := range s.Servers {
 		cores, speed := s.Machine(i)
@@ -254,18 +254,18 @@
 	for _, c := range s.Classes {
 		repeat, window := "retryable", time.Duration(0)
 		if c.Keyed {
-			repeat, window = "dedup", c.Window
+			repeat, window = "dedup", c.DeduplicationWindow
 		} else if c.Unsafe {
 			repeat = "fragile"
 		}
 		classes = append(classes, map[string]any{
 			"name":          c.Name,
-			"promise-us":    c.Aim.Microseconds(),
+			"promise-us":    c.LatencyTarget.Microseconds(),
 			"hard-limit-us": c.GiveUp.Microseconds(),
 			"repeat":        repeat,
 			"group":         "all",
 			"window-us":     window.Microseconds(),
-			"worth":         c.Worth,
+			"worth":         c.Value,
 		})
 	}
 	for _, p := range s.Plans {
@@ -303,10 +303,10 @@
 			"mail-per-s":         60,
 		},
 		"guarantees": map[string]any{
-			"cold-from":      s.ColdFrom,
-			"cold-us":        s.ColdTime.Microseconds(),
-			"tip-after-us":   s.FallSpan.Microseconds(),
-			"drain-grace-us": s.DrainGrace.Microseconds(),
+			"cold-from":      s.SlowStartMinFraction,
+			"cold-us":        s.SlowStartDuration.Microseconds(),
+			"tip-after-us":   s.OverloadWindow.Microseconds(),
+			"drain-grace-us": s.DrainTimeout.Microseconds(),
 		},
 		"membership-mode": "pushed",
 		"weights":         "silent",
--- a/internal/testing/harness/traffic.go
+++ b/internal/testing/harness/traffic.go
@@ -20,7 +20,7 @@
 	who := &s.Customers[number]
 	units := 0.0
 	for _, k := range s.Classes {
-		units += k.Share * (k.Least + k.Most) / 2
+		units += k.Share * (k.MinUnits + k.MaxUnits) / 2
 	}
 	return &Traffic{
 		s,
@@ -43,22 +43,22 @@
 	}
 	k := &s.Classes[class]
 	first := Try{Customer: t.who.ID, Plan: t.who.Plan, Class: class,
-		Units: k.Least + float64(r.IntN(int(k.Most-k.Least)+1)), Asked: now}
+		Units: k.MinUnits + float64(r.IntN(int(k.MaxUnits-k.MinUnits)+1)), RequestedAt: now}
 	if k.Keyed {
 		first.Key = Hex16(r.Uint64())
 	}
 	return first, rand.New(rand.NewPCG(r.Uint64(), 1))
 }
 
-// Patience is how long a client waits for a try of a class.
-func (s *Site) Patience(class int, r *rand.Rand) time.Duration {
+// ClientTimeout is how long a client waits for a try of a class.
+func (s *Site) ClientTimeout(class int, r *rand.Rand) time.Duration {
 	return time.Duration(Between(r, 0.5, 1) * float64(s.Classes[class].GiveUp))
 }
 
-// Leaves is how long after a try its client loses patience and closes the connection; 0: it waits
-// for the answer.
-func (s *Site) Leaves(r *rand.Rand) time.Duration {
-	if s.Impatient == 0 || r.Float64() >= s.Impatient {
+// AbandonDelay is how long after a try its client loses patience and closes the connection; 0: it
+// waits for the answer.
+func (s *Site) AbandonDelay(r *rand.Rand) time.Duration {
+	if s.AbandonFraction == 0 || r.Float64() >= s.AbandonFraction {
 		return 0
 	}
 	return time.Duration(Between(r, 5, 250) * float64(time.Millisecond))
@@ -69,10 +69,10 @@
 	return max(time.Duration(Between(r, 50, 100)*float64(int(1)<<n))*time.Millisecond, advice)
 }
 
-// Choose deals a try out to a gateway of the customer's set: unevenly, and the
+// PickGateway deals a try out to a gateway of the customer's set: unevenly, and the
 // busiest one changes now and then; a retry goes through another. Those not up
 // are passed over while others are.
-func (s *Site) Choose(
+func (s *Site) PickGateway(
 	who *Customer, last int, now time.Duration, up func(gateway int) bool, r *rand.Rand,
 ) int {
 	set := make([]int, 0, who.Spread)
--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -37,14 +37,16 @@
 
 // RunAuth runs three gateways that ask an authenticator which stalls, flaps, errs
 // and crashes, beside three that ask nobody.
-func RunAuth(ctx context.Context, seed uint64, length time.Duration, progress io.Writer) (*harness.Figures, error) {
+func RunAuth(
+	ctx context.Context, seed uint64, length time.Duration, progress io.Writer,
+) (*harness.Summary, error) {
 	bin, remove, err := BuildInTempDir(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
 	type result struct {
-		f   *harness.Figures
+		f   *harness.Summary
 		err error
 	}
 	without := make(chan result, 1)
@@ -62,18 +64,33 @@
 	}
 	f.Extra["without"] = other.f
 	if !other.f.OK {
-		f.Miss("the fleet that asks nobody did not hold its promises")
+		f.AddFailure("the fleet that asks nobody did not hold its promises")
 	}
 	return f, nil
 }
 
-func runAuthWorld(ctx context.Context, seed uint64, length time.Duration, bin string, asks bool, progress io.Writer) (*harness.Figures, error) {
+func runAuthWorld(
+	ctx context.Context,
+	seed uint64,
+	length time.Duration,
+	bin string,
+	asks bool,
+	progress io.Writer,
+) (*harness.Summary, error) {
 	const gateways, servers, load = 3, 36, 0.5
-	o := Options{Seed: seed, Gateways: gateways, Servers: servers, Load: load, Bin: bin, Log: progress}
+	o := Options{
+		Seed:     seed,
+		Gateways: gateways,
+		Servers:  servers,
+		Load:     load,
+		Bin:      bin,
+		Log:      progress,
+	}
 	var a *Authenticator
 	if asks {
 		denied := map[string]bool{}
-		for i, c := range harness.NewSite(seed, gateways, servers, load).Customers { // the same draw as the world's
+		// the same draw as the world's
+		for i, c := range harness.NewSite(seed, gateways, servers, load).Customers {
 			denied[c.ID] = i%10 == 0
 		}
 		// The record is the world's; it is put in place below, before anything is asked.
@@ -151,11 +168,11 @@
 
 // checkAuthenticator judges what the authenticator saw against what went on. Units that went on for
 // a try whose customer had no allowance that could still hold are the difference.
-func checkAuthenticator(f *harness.Figures, w *World, a *Authenticator) {
+func checkAuthenticator(f *harness.Summary, w *World, a *Authenticator) {
 	seen := map[string]time.Duration{}
 	for _, at := range w.Record.Attempts {
-		if first, ok := seen[at.ID]; !ok || at.First < first {
-			seen[at.ID] = at.First
+		if first, ok := seen[at.ID]; !ok || at.FirstByteAt < first {
+			seen[at.ID] = at.FirstByteAt
 		}
 	}
 	difference, denied, on := 0.0, 0, 0
@@ -163,7 +180,7 @@
 		at, went := seen[t.ID]
 		if went {
 			on++
-			if !a.allowed(t.Customer, t.Sent-authKept-authStale-harness.OnSockets, at) {
+			if !a.allowed(t.Customer, t.SentAt-authKept-authStale-harness.OnSockets, at) {
 				difference += t.Units
 			}
 		} else if t.Kind == harness.Failed {
@@ -173,12 +190,12 @@
 	f.Extra["went_on"], f.Extra["denied"], f.Extra["quota_difference"] = on, denied, difference
 	f.Extra["calls"], f.Extra["calls_without_token"] = a.calls, a.strange
 	if difference > 0 {
-		f.Miss(fmt.Sprintf("%g units went on without an allowance", difference))
+		f.AddFailure(fmt.Sprintf("%g units went on without an allowance", difference))
 	}
 	if a.strange > 0 {
-		f.Miss(fmt.Sprintf("%d calls without the customer's token", a.strange))
+		f.AddFailure(fmt.Sprintf("%d calls without the customer's token", a.strange))
 	}
 	if on == 0 || denied == 0 {
-		f.Miss("nothing went on, or nothing was denied: the run shows nothing")
+		f.AddFailure("nothing went on, or nothing was denied: the run shows nothing")
 	}
 }
--- a/internal/testing/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -18,11 +18,18 @@
 		want    float64
 	}{{900 * ms, 0}, {-3 * time.Second, 2}, {1500 * ms, 2}} {
 		rec := harness.NewRecord()
-		rec.AddTry(harness.Try{ID: "1", First: "1", Customer: "c", Units: 2, Asked: time.Second, Sent: time.Second,
-			Wait: 2 * time.Second, Answered: 1200 * ms, Kind: harness.Served, Answers: 1})
-		rec.AddAttempt(harness.Attempt{ID: "1", Server: "a", First: 1005 * ms, Whole: 1005 * ms, Ran: true, Effect: true})
+		rec.AddTry(harness.Try{ID: "1", First: "1", Customer: "c", Units: 2, RequestedAt: time.Second, SentAt: time.Second,
+			Wait: 2 * time.Second, AnsweredAt: 1200 * ms, Kind: harness.Served, Answers: 1})
+		rec.AddAttempt(harness.Attempt{
+			ID:          "1",
+			Server:      "a",
+			FirstByteAt: 1005 * ms,
+			ReceivedAt:  1005 * ms,
+			Ran:         true,
+			Effect:      true,
+		})
 		a := &Authenticator{allows: map[string][]time.Duration{"c": {c.allowed}}}
-		f := harness.Figure("auth", 1, s, rec)
+		f := harness.Summarize("auth", 1, s, rec)
 		checkAuthenticator(f, &World{Site: s, Record: rec}, a)
 		if f.Extra["quota_difference"] != c.want {
 			t.Errorf("allowed at %v: %v units", c.allowed, f.Extra["quota_difference"])
--- a/internal/testing/lab/consulregister.go
+++ b/internal/testing/lab/consulregister.go
@@ -27,8 +27,15 @@
 const consulName = "quotes"
 
 // NewConsulRegister starts the agents.
-func NewConsulRegister(rec *harness.Record, gateways int, lag time.Duration, seed uint64) (*ConsulRegister, error) {
-	r := &ConsulRegister{rec: rec, lag: lag, rand: rand.New(rand.NewPCG(seed, 0xc0c)), changed: map[string][]time.Duration{}}
+func NewConsulRegister(
+	rec *harness.Record, gateways int, lag time.Duration, seed uint64,
+) (*ConsulRegister, error) {
+	r := &ConsulRegister{
+		rec:     rec,
+		lag:     lag,
+		rand:    rand.New(rand.NewPCG(seed, 0xc0c)),
+		changed: map[string][]time.Duration{},
+	}
 	for g := range gateways {
 		a, err := NewConsul(seed + uint64(g))
 		if err != nil {
@@ -36,7 +43,8 @@
 		}
 		a.answers = func(services map[string]consulService) { r.notify(g, services) }
 		r.agents = append(r.agents, a)
-		r.applied, r.stopped = append(r.applied, map[string]int{}), append(r.stopped, map[string]bool{})
+		r.applied, r.stopped = append(r.applied,
+			map[string]int{}), append(r.stopped, map[string]bool{})
 	}
 	return r, nil
 }
@@ -77,13 +85,15 @@
 			case phase == phaseGone:
 				a.Deregister(sv.ID)
 			case phase == phaseReady:
-				_ = a.Register(sv.ID, consulName, sv.addrs[g], nil, map[string]string{"locality": "sala-1"})
+				_ = a.Register(sv.ID, consulName, sv.addrs[g], nil,
+					map[string]string{"locality": "sala-1"})
 			case way == 0:
 				a.SetMaintenance(sv.ID, true)
 			case way == 1:
 				a.SetCheck(sv.ID, "service:"+sv.ID, "critical")
 			default:
-				_ = a.Register(sv.ID, consulName, sv.addrs[g], []string{"draining"}, map[string]string{"locality": "sala-1"})
+				_ = a.Register(sv.ID, consulName, sv.addrs[g], []string{"draining"},
+					map[string]string{"locality": "sala-1"})
 			}
 		}
 		if now {
@@ -128,7 +138,7 @@
 			continue
 		}
 		r.stopped[g][id] = stop
-		r.rec.AddTold(harness.Told{Gateway: g, Server: id, Stop: stop, At: now})
+		r.rec.AddEndpointUpdate(harness.EndpointUpdate{Gateway: g, Server: id, Stop: stop, At: now})
 		if at := r.changed[id]; stop && there && len(at) > 0 {
 			r.lags = append(r.lags, now-at[len(at)-1])
 		}
--- a/internal/testing/lab/consulrun.go
+++ b/internal/testing/lab/consulrun.go
@@ -32,13 +32,13 @@
 // falls silent and contradicts itself, beside gateways that follow the platform's
 // register. Quote servers drain and restart in both. With Silent nothing changes but that
 // Consul says nothing any more, beside gateways whose Consul goes on.
-func RunConsul(ctx context.Context, o ConsulOptions, progress io.Writer) (*harness.Figures, error) {
+func RunConsul(ctx context.Context, o ConsulOptions, progress io.Writer) (*harness.Summary, error) {
 	remove, err := buildIfNone(ctx, &o.Bin)
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
-	var figures [2]*harness.Figures
+	var figures [2]*harness.Summary
 	var errs [2]error
 	var wg sync.WaitGroup
 	for i, log := range []io.Writer{progress, io.Discard} {
@@ -58,18 +58,29 @@
 	beside := map[bool]string{true: "heard", false: "platform"}[o.Silent]
 	f.Extra[beside] = figures[1]
 	if !figures[1].OK {
-		f.Miss("the gateways beside did not hold their promises")
+		f.AddFailure("the gateways beside did not hold their promises")
 	}
 	if lost := figures[1].Service - f.Service; o.Silent && lost > 0.02 {
-		f.Miss(fmt.Sprintf("service %.3f with Consul silent, %.3f with it", f.Service, figures[1].Service))
+		f.AddFailure(fmt.Sprintf("service %.3f with Consul silent, %.3f with it",
+			f.Service, figures[1].Service))
 	}
 	return f, nil
 }
 
 // runConsulWorld runs one of the two worlds: first is the one that things happen to.
-func runConsulWorld(ctx context.Context, o ConsulOptions, first bool, progress io.Writer) (*harness.Figures, error) {
+func runConsulWorld(
+	ctx context.Context, o ConsulOptions, first bool, progress io.Writer,
+) (*harness.Summary, error) {
 	seed, length, consul := o.Seed, o.For, first || o.Silent
-	wo := Options{Seed: seed, Gateways: 4, Servers: 12, Load: 0.5, Bin: o.Bin, Consul: consul, Log: progress}
+	wo := Options{
+		Seed:     seed,
+		Gateways: 4,
+		Servers:  12,
+		Load:     0.5,
+		Bin:      o.Bin,
+		Consul:   consul,
+		Log:      progress,
+	}
 	if consul {
 		wo.Operators = consulText
 	}
@@ -110,7 +121,7 @@
 	}
 	f := w.figures("consul")
 	for _, err := range c.errs {
-		f.Miss(err.Error())
+		f.AddFailure(err.Error())
 	}
 	f.Extra["drain_to_last_send_ms_max"] = lastSend(w.Record).Milliseconds()
 	if consul {
@@ -121,7 +132,8 @@
 		}
 		f.Extra["calls_per_second_max"] = most
 		if most > maxConsulCalls {
-			f.Miss(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted", most, maxConsulCalls))
+			f.AddFailure(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted",
+				most, maxConsulCalls))
 		}
 	}
 	return f, nil
@@ -131,14 +143,20 @@
 const maxConsulCalls = 30
 
 // faults has the agents do something wrong, one thing after another, all of them or one.
-func (r *ConsulRegister) faults(ctx context.Context, rnd *rand.Rand, length time.Duration, progress io.Writer) {
+func (r *ConsulRegister) faults(
+	ctx context.Context, rnd *rand.Rand, length time.Duration, progress io.Writer,
+) {
 	kinds := []struct {
 		name  string
 		fault ConsulFault
 	}{
-		{"answers nothing", ConsulFault{Silent: true}}, {"answers as it was 2 s ago", ConsulFault{Lag: 2 * time.Second}},
-		{"answers out of order", ConsulFault{Reorder: 0.4}}, {"answers 500", ConsulFault{Errs: true}}, {"drops answers", ConsulFault{Drop: 0.5}},
-		{"ends its answers in the middle", ConsulFault{Half: true}}, {"answers at once", ConsulFault{AtOnce: true}},
+		{"answers nothing", ConsulFault{Silent: true}},
+		{"answers as it was 2 s ago", ConsulFault{Lag: 2 * time.Second}},
+		{"answers out of order", ConsulFault{Reorder: 0.4}},
+		{"answers 500", ConsulFault{Errs: true}},
+		{"drops answers", ConsulFault{Drop: 0.5}},
+		{"ends its answers in the middle", ConsulFault{Half: true}},
+		{"answers at once", ConsulFault{AtOnce: true}},
 	}
 	for i := 0; sleep(ctx, time.Duration(harness.Between(rnd, 0.5, 2)*float64(time.Second))); i++ {
 		k := kinds[i%len(kinds)]
@@ -163,8 +181,8 @@
 func lastSend(rec *harness.Record) (most time.Duration) {
 	for _, a := range rec.Attempts {
 		stop, since := false, time.Duration(0)
-		for _, t := range rec.Told {
-			if t.Gateway != a.Gateway || t.Server != a.Server || t.At > a.First {
+		for _, t := range rec.EndpointUpdates {
+			if t.Gateway != a.Gateway || t.Server != a.Server || t.At > a.FirstByteAt {
 				continue
 			}
 			if t.Stop && !stop {
@@ -173,7 +191,7 @@
 			stop = t.Stop
 		}
 		if stop {
-			most = max(most, a.First-since)
+			most = max(most, a.FirstByteAt-since)
 		}
 	}
 	return most
--- a/internal/testing/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -38,7 +38,7 @@
 // RunFleet runs a fleet and restarts its instances in every way, at random. With
 // both, two worlds of the same seed run side by side; with Whole a third one, in
 // which nothing restarts.
-func RunFleet(ctx context.Context, o FleetOptions, progress io.Writer) (*harness.Figures, error) {
+func RunFleet(ctx context.Context, o FleetOptions, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.55
 	}
@@ -64,7 +64,7 @@
 		still.Quiet = true
 		worlds = append(worlds, world{"undisturbed", still, true})
 	}
-	figures, errs := make([]*harness.Figures, len(worlds)), make([]error, len(worlds))
+	figures, errs := make([]*harness.Summary, len(worlds)), make([]error, len(worlds))
 	var wg sync.WaitGroup
 	for i, w := range worlds {
 		wg.Add(1)
@@ -89,7 +89,7 @@
 		name := worlds[i+1].name
 		f.Extra[name] = other
 		if !other.OK {
-			f.Miss("the fleet " + name + " did not hold its promises")
+			f.AddFailure("the fleet " + name + " did not hold its promises")
 		}
 		if name == "undisturbed" {
 			compare(f, other)
@@ -101,23 +101,29 @@
 // compare judges a whole-fleet restart against a fleet that had none: what is
 // handed out beyond the quotas, as a part of all that is handed out, is no more
 // but for one part in twenty.
-func compare(f, still *harness.Figures) {
-	sent := func(f *harness.Figures) float64 { return f.Extra["sent_units"].(float64) }
+func compare(f, still *harness.Summary) {
+	sent := func(f *harness.Summary) float64 { return f.Extra["sent_units"].(float64) }
 	mine, other := f.Over/sent(f), still.Over/sent(still)
 	f.Extra["over_quota_share"], f.Extra["over_quota_share_undisturbed"] = mine, other
 	if mine > other+0.05 {
-		f.Miss(fmt.Sprintf("%.3f of the units went beyond the quotas, %.3f in the fleet that did not restart", mine, other))
+		f.AddFailure(fmt.Sprintf(
+			"%.3f of the units went beyond the quotas, %.3f in the fleet that did not restart",
+			mine,
+			other,
+		))
 	}
 }
 
-func runWorld(ctx context.Context, o FleetOptions, state bool, progress io.Writer) (*harness.Figures, error) {
+func runWorld(
+	ctx context.Context, o FleetOptions, state bool, progress io.Writer,
+) (*harness.Summary, error) {
 	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Instances, Servers: 12, Load: o.Load, Bin: o.Bin,
 		Operators: operatorsText(state), Log: progress})
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	w.Site.Impatient = impatient
+	w.Site.AbandonFraction = impatient
 	c := &chaos{w: w, o: o, busy: make([]sync.Mutex, o.Instances)}
 	asking, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
@@ -137,7 +143,8 @@
 	return f, nil
 }
 
-// impatient is the part of a fleet's tries whose client leaves before an answer: what of them waits must not be sent on.
+// impatient is the part of a fleet's tries whose client leaves before an answer: what of them waits
+// must not be sent on.
 const impatient = 0.03
 
 // chaos restarts a world's gateways and servers.
@@ -269,7 +276,7 @@
 		c.mu.Unlock()
 	default:
 		c.did("in place")
-		c.w.Record.AddLife(g.Number, harness.Ready)
+		c.w.Record.AddProcessEvent(g.Number, harness.Ready)
 		g.mu.Lock()
 		g.readyIn = append(g.readyIn, c.w.Record.Now()-began)
 		g.mu.Unlock()
@@ -291,7 +298,9 @@
 	if s == syscall.SIGTERM && more > 0 {
 		time.Sleep(100 * time.Millisecond)
 		_ = g.Configure()
-		for _, again := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR2}[:more] {
+		for _, again := range []syscall.Signal{
+			syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR2,
+		}[:more] {
 			g.mu.Lock()
 			if g.pid != 0 {
 				_ = syscall.Kill(g.pid, again)
@@ -323,7 +332,7 @@
 		}
 		if r.IntN(2) == 0 {
 			c.w.DrainServer(sv)
-			if !sleep(ctx, c.w.Site.RegisterLag+c.w.Site.DrainGrace+time.Second) {
+			if !sleep(ctx, c.w.Site.RegisterLag+c.w.Site.DrainTimeout+time.Second) {
 				return
 			}
 		}
@@ -345,7 +354,7 @@
 }
 
 // summarize adds what was done and how the gateways took it.
-func (c *chaos) summarize(f *harness.Figures) {
+func (c *chaos) summarize(f *harness.Summary) {
 	rec, s := c.w.Record, c.w.Site
 	var ready []time.Duration
 	rss := 0
@@ -369,13 +378,14 @@
 	f.Extra["service_10s_after_restart"] = afterRestart(s, rec, 10*time.Second)
 	f.Extra["sent_units"] = harness.SentUnits(rec)
 	if inPlace > 0 {
-		f.Miss(fmt.Sprintf("%d connections refused by gateways that were never stopped", inPlace))
+		f.AddFailure(fmt.Sprintf("%d connections refused by gateways that were never stopped",
+			inPlace))
 	}
 	for _, err := range c.errs[:min(len(c.errs), 3)] {
-		f.Miss(err.Error())
+		f.AddFailure(err.Error())
 	}
 	if n := c.w.PeerNetwork.Over.Load(); n > 0 {
-		f.Miss(fmt.Sprintf("%d notes over 256 bytes", n))
+		f.AddFailure(fmt.Sprintf("%d notes over 256 bytes", n))
 	}
 }
 
@@ -383,13 +393,13 @@
 // gateways that nobody had stopped.
 func refusals(rec *harness.Record) (all, inPlace int) {
 	for _, t := range rec.Tries {
-		if t.NoPort == 0 {
+		if t.PortClosedAt == 0 {
 			continue
 		}
 		all++
 		last := harness.Started
-		for _, l := range rec.Lives {
-			if l.Gateway == t.Gateway && l.At <= t.NoPort && l.Event != harness.Reloaded {
+		for _, l := range rec.ProcessEvents {
+			if l.Gateway == t.Gateway && l.At <= t.PortClosedAt && l.Event != harness.Reloaded {
 				last = l.Event
 			}
 		}
@@ -403,9 +413,9 @@
 // afterRestart is the service of requests that came first to a gateway within
 // some time of its start.
 func afterRestart(s *harness.Site, rec *harness.Record, span time.Duration) float64 {
-	var since []harness.Life
+	var since []harness.ProcessEvent
 	first := map[int]bool{}
-	for _, l := range rec.Lives {
+	for _, l := range rec.ProcessEvents {
 		if l.Event == harness.Started && !first[l.Gateway] {
 			first[l.Gateway] = true // the beginning of the run is none
 		} else if l.Event == harness.Started || l.Event == harness.Handed {
@@ -413,8 +423,9 @@
 		}
 	}
 	all := slices.DeleteFunc(harness.Outcomes(s, rec), func(o harness.Outcome) bool {
-		return !slices.ContainsFunc(since, func(l harness.Life) bool {
-			return l.Gateway == o.Try.Gateway && o.Try.Asked >= l.At && o.Try.Asked < l.At+span
+		return !slices.ContainsFunc(since, func(l harness.ProcessEvent) bool {
+			return l.Gateway == o.Try.Gateway && o.Try.RequestedAt >= l.At &&
+				o.Try.RequestedAt < l.At+span
 		})
 	})
 	return harness.Service(s, all)
--- a/internal/testing/lab/fleet_test.go
+++ b/internal/testing/lab/fleet_test.go
@@ -59,7 +59,8 @@
 	}
 	// A time that no process needs on a slow machine, but short beside the test.
 	text := strings.Replace(operatorsText(true), `"10s"`, `"5s"`, 1)
-	w, err := NewWorld(ctx, Options{Seed: 5, Gateways: 1, Servers: 2, Load: 0.1, Bin: bin, Operators: text})
+	w, err := NewWorld(ctx,
+		Options{Seed: 5, Gateways: 1, Servers: 2, Load: 0.1, Bin: bin, Operators: text})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +173,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	f, err := RunQuota(ctx, QuotaOptions{Seed: 21, For: 6 * time.Second, Load: 0.5, Sizes: []int{1, 4}}, io.Discard, io.Discard)
+	f, err := RunQuota(
+		ctx,
+		QuotaOptions{Seed: 21, For: 6 * time.Second, Load: 0.5, Sizes: []int{1, 4}},
+		io.Discard,
+		io.Discard,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +187,7 @@
 		t.Fatalf("%s", f.Line())
 	}
 	for _, r := range rows {
-		if r.Losses[harness.LossUntold] > 0 {
+		if r.Losses[harness.LossUnexplained] > 0 {
 			t.Errorf("%d gateways: refusals without a reason: %v", r.Gateways, r.Losses)
 		}
 	}
@@ -196,7 +202,11 @@
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	f, err := RunUpgrade(ctx, UpgradeOptions{Seed: 3, Instances: 3, For: 12 * time.Second, Load: 0.4, Kills: true}, io.Discard)
+	f, err := RunUpgrade(
+		ctx,
+		UpgradeOptions{Seed: 3, Instances: 3, For: 12 * time.Second, Load: 0.4, Kills: true},
+		io.Discard,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -107,7 +107,10 @@
 	defer e.mu.Unlock()
 	if e.failing.IsZero() {
 		e.failing = time.Now()
-		e.notice = time.Duration(harness.Between(rand.New(rand.NewPCG(uint64(g), uint64(e.failing.UnixNano()))), 1, 3.9) * float64(time.Second))
+		e.notice = time.Duration(
+			harness.Between(rand.New(rand.NewPCG(uint64(g), uint64(e.failing.UnixNano()))), 1,
+				3.9) * float64(time.Second),
+		)
 		return
 	}
 	if e.down || time.Since(e.failing) < e.notice {
@@ -181,20 +184,26 @@
 // send sends a try to its gateway and waits for the answer. A kept connection
 // that the gateway closed, unread, has it sent once more on a new one.
 // A client that loses patience closes the connection so long after the request; 0: it waits.
-func (f *front) send(ctx context.Context, s *harness.Site, c *harness.Customer, t *harness.Try, leaveAfter time.Duration) {
+func (f *front) send(
+	ctx context.Context,
+	s *harness.Site,
+	c *harness.Customer,
+	t *harness.Try,
+	leaveAfter time.Duration,
+) {
 	deadline := time.Now().Add(t.Wait)
 	for again := false; ; again = true {
 		conn, err := f.take(t.Gateway, again)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				t.NoPort = f.rec.Now()
+				t.PortClosedAt = f.rec.Now()
 			}
 			f.refused(ctx, t.Gateway)
 			return // what a former connection ended with stands
 		}
 		now := f.rec.Now()
 		if !again {
-			t.Sent = now
+			t.SentAt = now
 		}
 		cmd := command(s, c, t, max(time.Millisecond, time.Until(deadline)))
 		until := deadline.Add(harness.OnSockets)
@@ -204,7 +213,7 @@
 		_ = conn.SetDeadline(until)
 		if _, err = conn.Write(cmd); err == nil {
 			if !again {
-				t.Sent = f.rec.Now()
+				t.SentAt = f.rec.Now()
 			}
 			err = readAnswer(t, conn.in, f.rec)
 		}
@@ -216,16 +225,17 @@
 		used := conn.used
 		conn.Close()
 		if errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
-			if t.Kind = harness.Silent; leaveAfter > 0 {
-				t.Kind, t.Left = harness.Left, f.rec.Now()
+			if t.Kind = harness.NoAnswer; leaveAfter > 0 {
+				t.Kind, t.ClientLeftAt = harness.ClientLeft, f.rec.Now()
 			}
 			return
 		}
-		t.Kind, t.Reset = harness.Ended, t.Reset || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+		t.Kind, t.Reset = harness.Ended, t.Reset || errors.Is(err, syscall.ECONNRESET) ||
+			errors.Is(err, syscall.EPIPE)
 		if again || !used && !errors.Is(err, io.EOF) {
 			return
 		}
-		t.Closed = f.rec.Now()
+		t.ClosedAt = f.rec.Now()
 	}
 }
 
@@ -240,7 +250,8 @@
 	if t.Key != "" {
 		fields += ",k=" + t.Key
 	}
-	fields += fmt.Sprintf(",units=%s,spread=%d,first=%d", strconv.FormatFloat(t.Units, 'g', -1, 64), c.Spread, c.First)
+	fields += fmt.Sprintf(",units=%s,spread=%d,first=%d",
+		strconv.FormatFloat(t.Units, 'g', -1, 64), c.Spread, c.First)
 	args := []string{class.Command, c.ID, t.ID, fields}
 	if class.Command == "API.WRITE" {
 		args = append(args, "BODY")
@@ -266,7 +277,7 @@
 	case strings.HasPrefix(line, "-BUSY"):
 		t.Kind = harness.Refused
 		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
-		t.After = time.Duration(ms) * time.Millisecond
+		t.RetryAfter = time.Duration(ms) * time.Millisecond
 	case strings.HasPrefix(line, "$") && line != "$-1":
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 0 || n > resp.MaxValue {
@@ -281,7 +292,7 @@
 		t.Kind = harness.Failed
 	}
 	t.Answers++
-	t.Answered = rec.Now()
+	t.AnsweredAt = rec.Now()
 	if in.Buffered() > 0 { // nothing else was asked for
 		t.Answers++
 	}
@@ -313,7 +324,8 @@
 func (c *Clients) Run(ctx context.Context) {
 	// What is out when the asking ends still has its time.
 	tries, cancel := context.WithCancel(context.Background())
-	// Clients that are run once more ask for other things: the same keys again, after their time, would be other effects.
+	// Clients that are run once more ask for other things: the same keys again, after their time,
+	// would be other effects.
 	seed := c.seed + c.runs
 	c.runs += 1 << 32
 	for i := range c.site.Customers {
@@ -350,8 +362,10 @@
 }
 
 // request sends a request until it is served or the client gives up.
-func (c *Clients) request(ctx context.Context, who *harness.Customer, first harness.Try, r *rand.Rand) {
-	wait, leave := c.site.Patience(first.Class, r), c.site.Leaves(r)
+func (c *Clients) request(
+	ctx context.Context, who *harness.Customer, first harness.Try, r *rand.Rand,
+) {
+	wait, leave := c.site.ClientTimeout(first.Class, r), c.site.AbandonDelay(r)
 	last := -1
 	for n := 0; n <= c.site.Retries; n++ {
 		t := first
@@ -360,9 +374,9 @@
 			first.First, first.Gateway = t.ID, 0
 			t.First = t.ID
 		} else {
-			t.Asked = 0
+			t.RequestedAt = 0
 		}
-		t.Gateway = c.site.Choose(who, last, c.rec.Now(), c.front.up, r)
+		t.Gateway = c.site.PickGateway(who, last, c.rec.Now(), c.front.up, r)
 		last = t.Gateway
 		c.front.send(ctx, c.site, who, &t, leave)
 		c.rec.AddTry(t)
@@ -370,13 +384,13 @@
 			c.served.Add(1)
 			return
 		}
-		if t.Kind == harness.Left {
+		if t.Kind == harness.ClientLeft {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(harness.Backoff(n, t.After, r)):
+		case <-time.After(harness.Backoff(n, t.RetryAfter, r)):
 		}
 	}
 }
--- a/internal/testing/lab/play.go
+++ b/internal/testing/lab/play.go
@@ -25,11 +25,11 @@
 
 // Play plays one world with a list of faults in real processes. Clocks that are off,
 // half-cut notes and restarts from a state are the emulator's alone.
-func Play(ctx context.Context, o PlayOptions) (*harness.Figures, error) {
+func Play(ctx context.Context, o PlayOptions) (*harness.Summary, error) {
 	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, Bin: o.Bin,
 		Operators: recordText, Log: io.Discard, Change: func(s *harness.Site) {
 			if o.NoteLoss >= 0 {
-				s.NoteLoss = o.NoteLoss
+				s.MessageLoss = o.NoteLoss
 			}
 		}})
 	if err != nil {
@@ -91,12 +91,14 @@
 		w.DrainServer(sv)
 		over()
 		w.notify(sv, phaseReady, w.upSince(sv), false)
-	case harness.SilentAt:
+	case harness.RegistrySilent:
 		w.Register.Silence(true)
 		over()
 		w.Register.Silence(false)
 	case harness.Slow, harness.Errors, harness.Hang, harness.Resets:
-		sv.SetFault(map[harness.FaultKind]Fault{harness.Slow: {Slow: f.X}, harness.Errors: {Errors: f.X},
+		sv.SetFault(map[harness.FaultKind]Fault{harness.Slow: {
+			Slow: f.X,
+		}, harness.Errors: {Errors: f.X},
 			harness.Hang: {Hang: true}, harness.Resets: {Reset: f.X}}[f.Kind])
 		over()
 		sv.SetFault(Fault{})
--- a/internal/testing/lab/process.go
+++ b/internal/testing/lab/process.go
@@ -28,7 +28,8 @@
 // BuildTagged is Build with a build tag.
 func BuildTagged(ctx context.Context, dir, tag string) (string, error) {
 	bin := filepath.Join(dir, "mothcleat")
-	cmd := exec.CommandContext(ctx, "go", "build", "-tags", tag, "-o", bin, "mothcleat/cmd/mothcleat")
+	cmd := exec.CommandContext(ctx, "go", "build", "-tags", tag, "-o", bin,
+		"mothcleat/cmd/mothcleat")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("build: %w\n%s", err, out)
 	}
@@ -113,12 +114,22 @@
 // that is dealt out to others: while it is down, another rig's server might get it.
 func hostOf(world uint32, i int) netip.Addr {
 	pid := os.Getpid()
-	return netip.AddrFrom4([4]byte{127, byte(64 + pid%128), byte((int(world)*16 + pid/128%16) % 250), byte(1 + i%250)})
+	return netip.AddrFrom4([4]byte{
+		127, byte(64 + pid%128), byte((int(world)*16 + pid/128%16) % 250), byte(1 + i%250),
+	})
 }
 
-func newGateway(dir, bin string, args []string, rec *harness.Record, world uint32, i int) (*Gateway, error) {
+func newGateway(
+	dir, bin string, args []string, rec *harness.Record, world uint32, i int,
+) (*Gateway, error) {
 	host := hostOf(world, i)
-	g := &Gateway{Number: i, dir: filepath.Join(dir, fmt.Sprintf("n%d", i)), bin: bin, args: args, rec: rec}
+	g := &Gateway{
+		Number: i,
+		dir:    filepath.Join(dir, fmt.Sprintf("n%d", i)),
+		bin:    bin,
+		args:   args,
+		rec:    rec,
+	}
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -160,7 +171,7 @@
 		return err
 	}
 	g.pid, g.wanted, g.began = pid, true, g.rec.Now()
-	g.rec.AddLife(g.Number, harness.Started)
+	g.rec.AddProcessEvent(g.Number, harness.Started)
 	return nil
 }
 
@@ -173,7 +184,8 @@
 	defer out.Close()
 	cmd := exec.Command(g.bin, g.args...)
 	cmd.Dir = g.dir
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(g.dir, "config.json"), "TMPDIR="+g.dir)
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(g.dir, "config.json"),
+		"TMPDIR="+g.dir)
 	cmd.Env = append(cmd.Env, g.env...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if g.held != nil {
@@ -217,7 +229,8 @@
 	return string(raw)
 }
 
-// hold has the rig hold the clients' socket, as a platform does, and gives the gateway an admin address.
+// hold has the rig hold the clients' socket, as a platform does, and gives the gateway an admin
+// address.
 func (g *Gateway) hold() error {
 	l, err := net.Listen("tcp", g.Address)
 	if err != nil {
@@ -240,7 +253,9 @@
 	jobs := make(chan job)
 	var once sync.Once
 	return func(cmd *exec.Cmd) error {
-		once.Do(func() { go starter(func() (*exec.Cmd, chan error) { j := <-jobs; return j.cmd, j.err }) })
+		once.Do(func() {
+			go starter(func() (*exec.Cmd, chan error) { j := <-jobs; return j.cmd, j.err })
+		})
 		j := job{cmd, make(chan error, 1)}
 		jobs <- j
 		return <-j.err
@@ -262,10 +277,10 @@
 			go g.watch(next)
 			return
 		}
-		g.rec.AddLife(g.Number, harness.Crashed)
+		g.rec.AddProcessEvent(g.Number, harness.Crashed)
 		return
 	}
-	g.rec.AddLife(g.Number, harness.Exited)
+	g.rec.AddProcessEvent(g.Number, harness.Exited)
 }
 
 func (g *Gateway) pidFile() string { return filepath.Join(g.dir, "pid") }
@@ -319,21 +334,21 @@
 	switch s {
 	case syscall.SIGKILL:
 		g.wanted = false
-		g.rec.AddLife(g.Number, harness.Killed)
+		g.rec.AddProcessEvent(g.Number, harness.Killed)
 		for _, pid := range g.older {
 			_ = syscall.Kill(pid, s)
 		}
 	case syscall.SIGTERM:
 		g.wanted = false
-		g.rec.AddLife(g.Number, harness.Stopping)
+		g.rec.AddProcessEvent(g.Number, harness.Stopping)
 	case syscall.SIGHUP:
-		g.rec.AddLife(g.Number, harness.Reloaded)
+		g.rec.AddProcessEvent(g.Number, harness.Reloaded)
 	case syscall.SIGUSR2:
-		g.rec.AddLife(g.Number, harness.Handed)
+		g.rec.AddProcessEvent(g.Number, harness.Handed)
 	case syscall.SIGSTOP:
-		g.rec.AddLife(g.Number, harness.Paused)
+		g.rec.AddProcessEvent(g.Number, harness.Paused)
 	case syscall.SIGCONT:
-		g.rec.AddLife(g.Number, harness.Woken)
+		g.rec.AddProcessEvent(g.Number, harness.Resumed)
 	}
 	g.sample()
 	return syscall.Kill(g.pid, s)
@@ -347,7 +362,7 @@
 		return
 	}
 	if g.wanted = s == 0; s == syscall.SIGKILL {
-		g.rec.AddLife(g.Number, harness.Killed)
+		g.rec.AddProcessEvent(g.Number, harness.Killed)
 	}
 }
 
@@ -414,7 +429,7 @@
 			g.mu.Lock()
 			g.readyIn = append(g.readyIn, g.rec.Now()-g.began)
 			g.mu.Unlock()
-			g.rec.AddLife(g.Number, harness.Ready)
+			g.rec.AddProcessEvent(g.Number, harness.Ready)
 			return nil
 		}
 		select {
--- a/internal/testing/lab/quota.go
+++ b/internal/testing/lab/quota.go
@@ -37,7 +37,9 @@
 
 // RunQuota plays the same requests to fleets of several sizes side by side, with nothing
 // disturbed, and tells how much of their quotas customers got from each.
-func RunQuota(ctx context.Context, o QuotaOptions, out, progress io.Writer) (*harness.Figures, error) {
+func RunQuota(
+	ctx context.Context, o QuotaOptions, out, progress io.Writer,
+) (*harness.Summary, error) {
 	if len(o.Sizes) == 0 {
 		o.Sizes = QuotaSizes
 	}
@@ -46,7 +48,8 @@
 		return nil, err
 	}
 	defer remove()
-	rows, figures, errs := make([]quotaRow, len(o.Sizes)), make([]*harness.Figures, len(o.Sizes)), make([]error, len(o.Sizes))
+	rows, figures, errs := make([]quotaRow,
+		len(o.Sizes)), make([]*harness.Summary, len(o.Sizes)), make([]error, len(o.Sizes))
 	var wg sync.WaitGroup
 	for i, n := range o.Sizes {
 		wg.Add(1)
@@ -68,14 +71,15 @@
 	last := len(rows) - 1
 	f, least, beyond := figures[last], 1.0, 0.0
 	for i, r := range rows {
-		least = min(least, r.Given[harness.Near].Of, r.Given[harness.Over].Of)
+		least = min(least, r.Given[harness.NearQuota].Of, r.Given[harness.OverQuota].Of)
 		beyond = max(beyond, r.Over)
 		if i < last {
 			for rule, n := range figures[i].Broken {
 				f.Broken[rule] += n
 			}
 			if !figures[i].OK {
-				f.Miss(fmt.Sprintf("%d gateways did not hold their promises: %v", r.Gateways, figures[i].Why))
+				f.AddFailure(fmt.Sprintf("%d gateways did not hold their promises: %v",
+					r.Gateways, figures[i].Why))
 			}
 		}
 	}
@@ -86,9 +90,17 @@
 	return f, nil
 }
 
-func runQuotaWorld(ctx context.Context, o QuotaOptions, gateways int, progress io.Writer) (quotaRow, *harness.Figures, error) {
-	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: gateways, Servers: 12, Load: o.Load, Bin: o.Bin,
-		Change: func(s *harness.Site) { s.SpreadAll(o.Spread) }, Operators: recordText, Log: progress})
+func runQuotaWorld(
+	ctx context.Context, o QuotaOptions, gateways int, progress io.Writer,
+) (quotaRow, *harness.Summary, error) {
+	w, err := NewWorld(ctx, Options{Seed: o.Seed,
+		Gateways:  gateways,
+		Servers:   12,
+		Load:      o.Load,
+		Bin:       o.Bin,
+		Change:    func(s *harness.Site) { s.SpreadAll(o.Spread) },
+		Operators: recordText,
+		Log:       progress})
 	if err != nil {
 		return quotaRow{}, nil, err
 	}
@@ -105,7 +117,7 @@
 	}
 	f := w.figures("quota")
 	if n := w.PeerNetwork.Over.Load(); n > 0 {
-		f.Miss(fmt.Sprintf("%d notes over %d bytes", n, maxPeerMessageBytes))
+		f.AddFailure(fmt.Sprintf("%d notes over %d bytes", n, maxPeerMessageBytes))
 	}
 	return quotaRow{Gateways: gateways, Service: f.Service, Given: harness.GivenOfBought(w.Site, w.Record), Over: f.Over,
 		Sent: harness.SentUnits(w.Record), Notes: notes, Losses: f.Losses, OK: f.OK}, f, nil
@@ -113,10 +125,11 @@
 
 // quotaTable shows the fleets to a person.
 func quotaTable(out io.Writer, rows []quotaRow) {
-	fmt.Fprintf(out, "\n  %8s %8s %21s %12s %8s   worth lost inside the quotas, by cause\n", "gateways", "service", "given: under near over", "units beyond", "notes/s")
+	fmt.Fprintf(out, "\n  %8s %8s %21s %12s %8s   worth lost inside the quotas, by cause\n",
+		"gateways", "service", "given: under near over", "units beyond", "notes/s")
 	for _, r := range rows {
-		fmt.Fprintf(out, "  %8d %8.3f %8.3f %6.3f %6.3f %12.0f %8.1f  ", r.Gateways, r.Service, r.Given[harness.Under].Of,
-			r.Given[harness.Near].Of, r.Given[harness.Over].Of, r.Over, r.Notes)
+		fmt.Fprintf(out, "  %8d %8.3f %8.3f %6.3f %6.3f %12.0f %8.1f  ", r.Gateways, r.Service, r.Given[harness.UnderQuota].Of,
+			r.Given[harness.NearQuota].Of, r.Given[harness.OverQuota].Of, r.Over, r.Notes)
 		for _, why := range harness.ByLoss(r.Losses) {
 			fmt.Fprintf(out, " %s %.3f", why, r.Losses[why])
 		}
--- a/internal/testing/lab/register.go
+++ b/internal/testing/lab/register.go
@@ -77,10 +77,18 @@
 
 // NewRegister makes a register with its agents; lag is the longest time until one
 // hears of a change.
-func NewRegister(rec *harness.Record, gateways int, lag time.Duration, seed uint64) (*Register, error) {
+func NewRegister(
+	rec *harness.Record, gateways int, lag time.Duration, seed uint64,
+) (*Register, error) {
 	r := &Register{lag: lag, rand: rand.New(rand.NewPCG(seed, 0x2e9))}
 	for g := range gateways {
-		a := &agent{reg: r, gateway: g, rec: rec, members: map[string]*entry{}, changed: make(chan struct{})}
+		a := &agent{
+			reg:     r,
+			gateway: g,
+			rec:     rec,
+			members: map[string]*entry{},
+			changed: make(chan struct{}),
+		}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("register: %w", err)
@@ -118,7 +126,15 @@
 		r.mu.Lock()
 		late := time.Duration(r.rand.Float64() * float64(r.lag))
 		r.mu.Unlock()
-		m := member{ID: sv.ID, HostPort: sv.addrs[a.gateway], Locality: "sala-1", Flavor: "maq", Cell: 1, Phase: phase, Size: 1}
+		m := member{
+			ID:       sv.ID,
+			HostPort: sv.addrs[a.gateway],
+			Locality: "sala-1",
+			Flavor:   "maq",
+			Cell:     1,
+			Phase:    phase,
+			Size:     1,
+		}
 		if since > 0 {
 			m.UpSince = a.rec.Began().Add(since).UnixMilli()
 		}
@@ -168,7 +184,12 @@
 		return
 	}
 	e.notified = true
-	a.rec.AddTold(harness.Told{Gateway: a.gateway, Server: e.ID, Stop: e.Phase != phaseReady, At: a.rec.Now()})
+	a.rec.AddEndpointUpdate(harness.EndpointUpdate{
+		Gateway: a.gateway,
+		Server:  e.ID,
+		Stop:    e.Phase != phaseReady,
+		At:      a.rec.Now(),
+	})
 }
 
 // known is the list as the agent has it, for a gateway's configuration.
@@ -234,7 +255,10 @@
 			silent := a.reg.silent
 			a.reg.mu.Unlock()
 			if !silent {
-				_ = json.NewEncoder(w).Encode(memberList{Revision: list.Revision, Members: []member{}})
+				_ = json.NewEncoder(w).Encode(memberList{
+					Revision: list.Revision,
+					Members:  []member{},
+				})
 				return
 			}
 			continue
--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -44,7 +44,7 @@
 	rand        *rand.Rand
 	up          bool
 	incarnation int // in the record
-	life        harness.Boot
+	life        harness.ServerStart
 	fault       Fault
 	drain       bool
 	conns       map[net.Conn]bool
@@ -57,11 +57,19 @@
 }
 
 // NewServer makes a server that is up and warm.
-func NewServer(s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64) (*Server, error) {
+func NewServer(
+	s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64,
+) (*Server, error) {
 	cores, speed := s.Machine(i)
 	sv := &Server{
-		ID: fmt.Sprintf("s-%08x", 0x1000+i*0x101), site: s, rec: rec, cores: int(cores), speed: speed,
-		rand: rand.New(rand.NewPCG(seed, uint64(i))), conns: map[net.Conn]bool{}, addrs: make([]string, s.Gateways),
+		ID:    fmt.Sprintf("s-%08x", 0x1000+i*0x101),
+		site:  s,
+		rec:   rec,
+		cores: int(cores),
+		speed: speed,
+		rand:  rand.New(rand.NewPCG(seed, uint64(i))),
+		conns: map[net.Conn]bool{},
+		addrs: make([]string, s.Gateways),
 	}
 	for g := range sv.addrs {
 		sv.addrs[g] = netip.AddrPortFrom(hostOf(world, i), uint16(serverPort+64*g)).String()
@@ -101,8 +109,14 @@
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
-	sv.life = harness.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: slowStart, At: sv.rec.Now()}
-	sv.incarnation = sv.rec.AddBoot(sv.life)
+	sv.life = harness.ServerStart{
+		Server:    sv.ID,
+		Cores:     float64(sv.cores),
+		Speed:     sv.speed,
+		SlowStart: slowStart,
+		At:        sv.rec.Now(),
+	}
+	sv.incarnation = sv.rec.AddServerStart(sv.life)
 	for g, l := range sv.lists {
 		go sv.accept(l, g, sv.ended)
 	}
@@ -152,7 +166,7 @@
 func (sv *Server) Up() (up bool, slowStartSince time.Duration) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.life.Cold {
+	if sv.life.SlowStart {
 		slowStartSince = sv.life.At
 	}
 	return sv.up, slowStartSince
@@ -243,7 +257,13 @@
 )
 
 // command carries out one command. Not ok: the connection breaks.
-func (sv *Server) command(gone context.Context, ended chan struct{}, args [][]byte, gateway int, first, whole time.Duration) ([]byte, bool) {
+func (sv *Server) command(
+	gone context.Context,
+	ended chan struct{},
+	args [][]byte,
+	gateway int,
+	first, whole time.Duration,
+) ([]byte, bool) {
 	switch name := strings.ToUpper(string(args[0])); {
 	case name == "PING":
 		return []byte("+PONG\r\n"), true
@@ -253,19 +273,29 @@
 		return []byte("-ERR unknown command\r\n"), true
 	}
 	fields := fieldsOf(string(args[3]))
-	class := slices.IndexFunc(sv.site.Classes, func(c harness.Class) bool { return c.Name == fields["c"] })
+	class := slices.IndexFunc(sv.site.Classes, func(c harness.Class) bool {
+		return c.Name == fields["c"]
+	})
 	if class < 0 {
 		return []byte("-SYNTAX\r\n"), true
 	}
 	id := string(args[2])
-	a := harness.Attempt{ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, First: first, Whole: whole}
+	a := harness.Attempt{
+		ID:          id,
+		Key:         fields["k"],
+		Server:      sv.ID,
+		Gateway:     gateway,
+		Class:       class,
+		FirstByteAt: first,
+		ReceivedAt:  whole,
+	}
 
 	sv.mu.Lock()
 	a.Work = sv.draw(class)
 	n := sv.rec.AddAttempt(a)
 	fault, life := sv.fault, sv.life
 	if sv.overrun(a) {
-		sv.rec.Fell(sv.incarnation)
+		sv.rec.MarkOverloaded(sv.incarnation)
 		sv.kill()
 		sv.mu.Unlock()
 		return nil, false
@@ -274,7 +304,7 @@
 	full := sv.drain || sv.waiting >= sv.cores*queuePerCore
 	if full {
 		sv.mu.Unlock()
-		sv.rec.Turned(n)
+		sv.rec.MarkRejected(n)
 		return serverBusy, true
 	}
 	if !fault.Hang && roll < fault.Errors {
@@ -307,14 +337,14 @@
 		return nil, false
 	}
 	defer func() { <-slots }()
-	sv.rec.Ran(n, sv.effect(a))
+	sv.rec.MarkRun(n, sv.effect(a))
 	if !sv.work(a, &life, fault, len(slots), ended) {
 		return nil, false
 	}
 	if late < fault.Reset {
 		return nil, false
 	}
-	sv.rec.Replied(n)
+	sv.rec.MarkReplied(n)
 	value := harness.ValueOf(id, sv.ID)
 	b := resp.AppendArray(nil, 3)
 	b = resp.AppendBulk(b, []byte(value))
@@ -334,14 +364,16 @@
 	if !c.Keyed || a.Key == "" {
 		return true
 	}
-	return sv.site.Remember(a.Key, a.Whole, c.Window)
+	return sv.site.Remember(a.Key, a.ReceivedAt, c.DeduplicationWindow)
 }
 
 // overrun tells whether a cold server has been sent more than it can bear.
 func (sv *Server) overrun(a harness.Attempt) bool {
 	sv.recent = append(sv.recent, a)
-	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool { return a.Whole-b.Whole > sv.site.FallSpan })
-	share := sv.site.Share(&sv.life, a.Whole)
+	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool {
+		return a.ReceivedAt-b.ReceivedAt > sv.site.OverloadWindow
+	})
+	share := sv.site.CapacityShare(&sv.life, a.ReceivedAt)
 	if share == 1 {
 		return false
 	}
@@ -349,20 +381,22 @@
 	for _, b := range sv.recent {
 		sum += b.Work.Seconds()
 	}
-	can := sv.life.Cores * sv.life.Speed * share * sv.site.FallSpan.Seconds()
+	can := sv.life.Cores * sv.life.Speed * share * sv.site.OverloadWindow.Seconds()
 	slack := 0.0
 	for _, c := range sv.site.Classes {
 		slack = max(slack, c.Work.Seconds())
 	}
-	return sum > sv.site.FallMultiple*can+slack
+	return sum > sv.site.OverloadMultiple*can+slack
 }
 
 // work spends a request's time: slots share the cores.
-func (sv *Server) work(a harness.Attempt, life *harness.Boot, f Fault, busy int, ended chan struct{}) bool {
+func (sv *Server) work(
+	a harness.Attempt, life *harness.ServerStart, f Fault, busy int, ended chan struct{},
+) bool {
 	need := a.Work.Seconds() / sv.speed * max(1, f.Slow) * max(1, float64(busy)/float64(sv.cores))
 	for need > 0 {
 		step := min(need, 0.1)
-		share := sv.site.Share(life, sv.rec.Now())
+		share := sv.site.CapacityShare(life, sv.rec.Now())
 		select {
 		case <-time.After(time.Duration(step / share * float64(time.Second))):
 		case <-ended:
--- a/internal/testing/lab/still_test.go
+++ b/internal/testing/lab/still_test.go
@@ -9,21 +9,23 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// stale are the attempts that reached a server when their client waited no more, as the servers and clients saw it.
+// stale are the attempts that reached a server when their client waited no more, as the servers and
+// clients saw it.
 func stale(rec *harness.Record) (n int) {
 	until := map[string]time.Duration{}
 	for _, t := range rec.Tries {
-		until[t.ID] = t.Sent + t.Wait
+		until[t.ID] = t.SentAt + t.Wait
 	}
 	for _, a := range rec.Attempts {
-		if end, ok := until[a.ID]; ok && a.Whole > end {
+		if end, ok := until[a.ID]; ok && a.ReceivedAt > end {
 			n++
 		}
 	}
 	return n
 }
 
-// Gateways that lie stopped and wake send nothing on whose client waits no more: neither what lay in their sockets, nor what they had taken.
+// Gateways that lie stopped and wake send nothing on whose client waits no more: neither what lay
+// in their sockets, nor what they had taken.
 func TestAWokenGatewaySendsOnNothingStale(t *testing.T) {
 	w, ctx := testWorld(t, Options{Seed: 4, Gateways: 3, Servers: 6, Load: 0.55})
 	asking, over := context.WithCancel(ctx)
@@ -49,7 +51,7 @@
 		t.Errorf("%d attempts reached a server after their client's time", n)
 	}
 	paused := 0
-	for _, l := range w.Record.Lives {
+	for _, l := range w.Record.ProcessEvents {
 		if l.Event == harness.Paused {
 			paused++
 		}
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -13,7 +13,9 @@
 
 // RunTry is what a newcomer runs: three gateways before ten quote servers, with
 // traffic for a while, one server restarted cold and one drained meanwhile.
-func RunTry(ctx context.Context, seed uint64, length time.Duration, serve bool, out, progress io.Writer) (*harness.Figures, error) {
+func RunTry(
+	ctx context.Context, seed uint64, length time.Duration, serve bool, out, progress io.Writer,
+) (*harness.Summary, error) {
 	w, err := NewWorld(ctx, Options{Seed: seed, Gateways: 3, Servers: 10, Load: 0.6, Log: progress})
 	if err != nil {
 		return nil, err
@@ -27,10 +29,22 @@
 			what  string
 			do    func()
 		}{
-			{length / 4, "quote server " + w.Servers[0].ID + " is killed, and comes back cold", func() { w.KillServer(w.Servers[0]) }},
+			{
+				length / 4,
+				"quote server " + w.Servers[0].ID + " is killed, and comes back cold",
+				func() { w.KillServer(w.Servers[0]) },
+			},
 			{length / 12, "", func() { _ = w.StartServer(w.Servers[0]) }},
-			{length / 6, "quote server " + w.Servers[1].ID + " drains", func() { w.DrainServer(w.Servers[1]) }},
-			{length / 12, "gateway 1 is told to stop, and starts again", func() { w.restart(asking, w.Gateways[1]) }},
+			{
+				length / 6,
+				"quote server " + w.Servers[1].ID + " drains",
+				func() { w.DrainServer(w.Servers[1]) },
+			},
+			{
+				length / 12,
+				"gateway 1 is told to stop, and starts again",
+				func() { w.restart(asking, w.Gateways[1]) },
+			},
 		}
 		for _, s := range steps {
 			select {
@@ -58,13 +72,27 @@
 }
 
 // table shows the figures to a person.
-func table(f *harness.Figures, out io.Writer) {
+func table(f *harness.Summary, out io.Writer) {
 	fmt.Fprintf(out, "\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
-		f.Asked, f.InTime, f.Late, f.Refused, f.Failed)
-	fmt.Fprintf(out, "  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth asked inside the quotas\n", f.P50, f.P99, f.Service)
+		f.Requests, f.InTime, f.Late, f.Refused, f.Failed)
+	fmt.Fprintf(
+		out,
+		"  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth asked inside the quotas\n",
+		f.P50,
+		f.P99,
+		f.Service,
+	)
 	fmt.Fprintf(out, "  beyond quotas    %8.1f units sent on\n", f.Over)
 	for _, r := range harness.Rules {
-		fmt.Fprintf(out, "  rule %-11s %8s\n", r, map[bool]string{true: "kept", false: fmt.Sprintf("BROKEN %d", f.Broken[r])}[f.Broken[r] == 0])
+		fmt.Fprintf(
+			out,
+			"  rule %-11s %8s\n",
+			r,
+			map[bool]string{
+				true:  "kept",
+				false: fmt.Sprintf("BROKEN %d", f.Broken[r]),
+			}[f.Broken[r] == 0],
+		)
 	}
 	for _, why := range f.Why {
 		fmt.Fprintln(out, "  "+why)
@@ -81,7 +109,12 @@
 	c := w.Site.Customers[0]
 	t := harness.Try{Class: 0, Plan: c.Plan, Units: 1}
 	parts := strings.Split(string(command(w.Site, &c, &t, time.Second)), "\r\n")
-	fmt.Fprintf(out, "A sample command (its second word is the request's id, new with each request):\n  API.READ %s 00000000000000a1 %s\n", c.ID, parts[8])
+	fmt.Fprintf(
+		out,
+		"A sample command (its second word is the request's id, new with each request):\n  API.READ %s 00000000000000a1 %s\n",
+		c.ID,
+		parts[8],
+	)
 }
 
 // restart stops a gateway in order and starts it again under its name.
@@ -116,7 +149,12 @@
 				}
 			}
 			fmt.Fprintf(out, "%4.0f s, %4.0f s to go: %d asked, %d served, %d open, %d gateways run\n",
-				past.Seconds(), max(0, length-past).Seconds(), w.Clients.asked.Load(), w.Clients.served.Load(), w.Clients.open.Load(), running)
+				past.Seconds(),
+				max(0, length-past).Seconds(),
+				w.Clients.asked.Load(),
+				w.Clients.served.Load(),
+				w.Clients.open.Load(),
+				running)
 		}
 	}()
 }
--- a/internal/testing/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -27,10 +27,12 @@
 	Bin       string // of the gateway; "": it is built
 }
 
-// RunUpgrade has the rig hold the clients' sockets, as a platform does, and replaces one
-// gateway after another by a process started beside it, empties some by their admin interface, and kills
+// RunUpgrade has the rig hold the clients' sockets, as a platform does, and replaces one gateway
+// after another by a process started beside it, empties some by their admin interface, and kills
 // some of the new processes at a random moment of their start.
-func RunUpgrade(ctx context.Context, o UpgradeOptions, progress io.Writer) (*harness.Figures, error) {
+func RunUpgrade(
+	ctx context.Context, o UpgradeOptions, progress io.Writer,
+) (*harness.Summary, error) {
 	remove, err := buildIfNone(ctx, &o.Bin)
 	if err != nil {
 		return nil, err
@@ -208,11 +210,11 @@
 }
 
 // summarize adds what was done and how the gateways took it.
-func (u *upgrades) summarize(f *harness.Figures) {
+func (u *upgrades) summarize(f *harness.Summary) {
 	refused, _ := refusals(u.w.Record)
 	crossed, resets := 0, 0
 	for _, t := range u.w.Record.Tries {
-		if t.Closed > 0 {
+		if t.ClosedAt > 0 {
 			crossed++
 		}
 		if t.Reset {
@@ -225,16 +227,17 @@
 	f.Extra["ready_ms_p99"] = harness.Quantile(u.readyIn, 0.99)
 	f.Extra["sent_units"] = harness.SentUnits(u.w.Record)
 	if u.heldOpen > 0 {
-		f.Miss(fmt.Sprintf("%d connections were open 4 s after a drain began", u.heldOpen))
+		f.AddFailure(fmt.Sprintf("%d connections were open 4 s after a drain began", u.heldOpen))
 	}
 	if refused > 0 {
-		f.Miss(fmt.Sprintf("%d connections found a closed port, which the rig holds open", refused))
+		f.AddFailure(fmt.Sprintf("%d connections found a closed port, which the rig holds open",
+			refused))
 	}
 	if u.did["replaced"]+u.did["drained"] == 0 {
-		f.Miss("nothing was done")
+		f.AddFailure("nothing was done")
 	}
 	for _, err := range u.errs[:min(len(u.errs), 3)] {
-		f.Miss(err.Error())
+		f.AddFailure(err.Error())
 	}
 }
 
@@ -279,8 +282,8 @@
 	old = process{g.pid, g.adminAddress}
 	g.pid, g.adminAddress, g.began = next.pid, next.admin, g.rec.Now()
 	g.older = append(g.older[:0], old.pid)
-	g.rec.AddLife(g.Number, harness.Handed)
-	g.rec.AddLife(g.Number, harness.Ready)
+	g.rec.AddProcessEvent(g.Number, harness.Handed)
+	g.rec.AddProcessEvent(g.Number, harness.Ready)
 	return old
 }
 
--- a/internal/testing/lab/world_test.go
+++ b/internal/testing/lab/world_test.go
@@ -65,14 +65,16 @@
 		t.Errorf("answer %q, %v", got, err)
 	}
 	for id := range 2 {
-		if got, err := ask(t, sv.addrs[0], fmt.Sprintf(alert, 10+id, "k1")); err != nil || got != "*3" {
+		if got, err := ask(t, sv.addrs[0],
+			fmt.Sprintf(alert, 10+id, "k1")); err != nil || got != "*3" {
 			t.Errorf("answer %q, %v", got, err)
 		}
 	}
 	if n := len(rec.Attempts); n != 3 {
 		t.Fatalf("%d attempts in the record", n)
 	}
-	if a := rec.Attempts; a[0].Gateway != 1 || !a[0].Effect || !a[1].Effect || a[2].Effect || !a[2].Ran || a[1].Gateway != 0 {
+	if a := rec.Attempts; a[0].Gateway != 1 || !a[0].Effect || !a[1].Effect || a[2].Effect ||
+		!a[2].Ran || a[1].Gateway != 0 {
 		t.Errorf("attempts %+v", a)
 	}
 	if got, err := ask(t, sv.addrs[0], "FLUSHALL"); err != nil || !strings.HasPrefix(got, "-ERR") {
@@ -144,8 +146,8 @@
 		}
 		time.Sleep(ms)
 	}
-	rec.Look(func() {
-		if rec.Boots[1].Fell == 0 {
+	rec.Read(func() {
+		if rec.ServerStarts[1].OverloadedAt == 0 {
 			t.Error("the fall is not in the record")
 		}
 	})
@@ -178,15 +180,17 @@
 		t.Errorf("list %+v", whole)
 	}
 	go r.Set(sv, phaseStop, 0, true)
-	if l := get("?index=1&wait=20000"); l.Complete || len(l.Members) != 1 || l.Members[0].Phase != phaseStop || l.Revision != 2 {
+	if l := get("?index=1&wait=20000"); l.Complete || len(l.Members) != 1 ||
+		l.Members[0].Phase != phaseStop || l.Revision != 2 {
 		t.Errorf("changes %+v", l)
 	}
 	if l := get("?index=2&wait=1"); l.Complete || len(l.Members) != 0 {
 		t.Errorf("no change: %+v", l)
 	}
-	rec.Look(func() {
-		if n := len(rec.Told); n < 2 || !rec.Told[n-1].Stop || rec.Told[n-1].Gateway != 1 {
-			t.Errorf("told %+v", rec.Told)
+	rec.Read(func() {
+		if n := len(rec.EndpointUpdates); n < 2 || !rec.EndpointUpdates[n-1].Stop ||
+			rec.EndpointUpdates[n-1].Gateway != 1 {
+			t.Errorf("told %+v", rec.EndpointUpdates)
 		}
 	})
 	r.Silence(true)
@@ -226,8 +230,11 @@
 		code int
 		body string
 	}{
-		{"/v1/count/a?add=2.5&ttl_ms=60000", 200, "2.5"}, {"/v1/count/a?add=-1&ttl_ms=60000", 200, "1.5"},
-		{"/v1/count/a?add=x&ttl_ms=60000", 400, ""}, {"/v1/count/a?add=1&ttl_ms=0", 400, ""}, {"/other", 404, ""},
+		{"/v1/count/a?add=2.5&ttl_ms=60000", 200, "2.5"},
+		{"/v1/count/a?add=-1&ttl_ms=60000", 200, "1.5"},
+		{"/v1/count/a?add=x&ttl_ms=60000", 400, ""},
+		{"/v1/count/a?add=1&ttl_ms=0", 400, ""},
+		{"/other", 404, ""},
 	} {
 		if code, body := post(s.path); code != s.code || s.body != "" && body != s.body {
 			t.Errorf("%s: %d %q", s.path, code, body)
@@ -248,7 +255,8 @@
 	var socks []*net.UDPConn
 	var dest []netip.AddrPort
 	for range 3 {
-		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+		c, err := net.ListenUDP("udp",
+			net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -261,7 +269,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := socks[0].WriteToUDPAddrPort([]byte("hello"), netip.MustParseAddrPort(n.peers(0)[2])); err != nil {
+		if _, err := socks[0].WriteToUDPAddrPort([]byte("hello"),
+			netip.MustParseAddrPort(n.peers(0)[2])); err != nil {
 			t.Fatal(err)
 		}
 		if loss == 1 {
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -50,8 +50,8 @@
 	commandStop   = "stop"
 )
 
-// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans in
-// force.
+// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans
+// in force.
 type Arrival struct {
 	Gateway int    `json:"g"`
 	Server  string `json:"s,omitempty"`
@@ -64,7 +64,8 @@
 type GatewayState struct {
 	Servers int    `json:"servers"`
 	Digest  uint64 `json:"digest"`
-	Current int64  `json:"current"` // when it first had a whole list, Unix time in nanoseconds; 0: not yet
+	// when it first had a whole list, Unix time in nanoseconds; 0: not yet
+	Current int64  `json:"current"`
 	Version uint64 `json:"version"` // of the plans that is in force
 	Acts    bool   `json:"acts"`    // it may act on them
 	Stale   int    `json:"stale"`   // times that its state's digest was not the agreed one
@@ -83,7 +84,8 @@
 	Arrivals      []Arrival        `json:"arrivals"`
 	Requests      int64            `json:"requests"`
 	Granted       int64            `json:"granted"`
-	Fallbacks     int64            `json:"fallbacks"` // times that a gateway heard no list and would have watched the register itself
+	// times that a gateway heard no list and would have watched the register itself
+	Fallbacks int64 `json:"fallbacks"`
 }
 
 // hollowProcess is the gateways of one process.
@@ -111,7 +113,7 @@
 	digest  uint64
 	current int64
 	version uint64
-	book    *plans.Book
+	book    *plans.Catalog
 }
 
 // RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The
@@ -154,7 +156,8 @@
 	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
 		return err
 	}
-	file, err := os.OpenFile(filepath.Join(p.config.Dir, fmt.Sprintf("hollow-%d.log", p.config.First)),
+	file, err := os.OpenFile(filepath.Join(p.config.Dir,
+		fmt.Sprintf("hollow-%d.log", p.config.First)),
 		os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -248,7 +251,9 @@
 		r := configversion.DefaultConfig()
 		r.ClockDrift = clockMargin
 		r.EnrolmentTTL = max(r.EnrolmentTTL, 4*r.TTL)
-		settings.Versions, settings.Items = &r, map[string]rollout.Item{planconfig.ItemName: planconfig.New(g)}
+		settings.Versions, settings.Items = &r, map[string]rollout.Item{
+			planconfig.ItemName: planconfig.New(g),
+		}
 	}
 	g.node = controlplane.Start(settings)
 	switch {
@@ -344,11 +349,14 @@
 	}
 }
 
-// CheckBook finds every version of the plans good; see planconfig.Terms.
-func (g *hollowGateway) CheckBook(*plans.Book) error { return nil }
+// CheckCatalog finds every version of the plans good; see planconfig.Terms.
+func (g *hollowGateway) CheckCatalog(*plans.Catalog) error { return nil }
 
-// UseBooks puts a version in force at once, and keeps it like a real gateway; see planconfig.Terms.
-func (g *hollowGateway) UseBooks(book *plans.Book, _ []*plans.Book, order uint64, done func()) {
+// UseCatalogs puts a version in force at once, and keeps it like a real gateway; see
+// planconfig.Terms.
+func (g *hollowGateway) UseCatalogs(
+	book *plans.Catalog, _ []*plans.Catalog, order uint64, done func(),
+) {
 	done()
 	number := order / 2
 	g.mu.Lock()
--- a/internal/testing/scale/real.go
+++ b/internal/testing/scale/real.go
@@ -12,8 +12,8 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// realGateways are a few gateways of the program that serve requests beside the hollow ones, between
-// stand-ins of their own.
+// realGateways are a few gateways of the program that serve requests beside the hollow ones,
+// between stand-ins of their own.
 type realGateways struct {
 	world *lab.World
 }
@@ -34,7 +34,8 @@
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(own, false)),
+		return os.WriteFile(filepath.Join(g.Dir(),
+			"operators.toml"), []byte(c.operators(own, false)),
 			0o600)
 	}
 	w, err := lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.RealGateways, Servers: servers,
@@ -46,11 +47,9 @@
 	return &realGateways{world: w}, nil
 }
 
-// Added is what real gateways added to the time of a request: from its last byte at the client's socket
-// until its answer was read
-// there, less the time from its first byte at the stand-in server until the answer was written there.
-// Requests that took more than
-// one attempt are left out.
+// Added is what real gateways added to the time of a request: from its last byte at the client's
+// socket until its answer was read there, less the time from its first byte at the stand-in server
+// until the answer was written there. Requests that took more than one attempt are left out.
 type Added struct {
 	Requests          int     `json:"requests"`
 	RequestsPerSecond float64 `json:"requests_per_second"` // of one gateway
@@ -67,10 +66,11 @@
 	var all []time.Duration
 	for _, t := range r.world.Record.Tries {
 		one := attempts[t.ID]
-		if t.Kind != harness.Served || len(one) != 1 || one[0].Replied == 0 || t.Sent < from || t.Sent >= to {
+		if t.Kind != harness.Served || len(one) != 1 || one[0].RepliedAt == 0 || t.SentAt < from ||
+			t.SentAt >= to {
 			continue
 		}
-		all = append(all, (t.Answered-t.Sent)-(one[0].Replied-one[0].First))
+		all = append(all, (t.AnsweredAt-t.SentAt)-(one[0].RepliedAt-one[0].FirstByteAt))
 	}
 	return Added{Requests: len(all),
 		RequestsPerSecond: float64(len(all)) / (to - from).Seconds() / float64(len(r.world.Gateways)),
@@ -80,7 +80,8 @@
 func (r *realGateways) close(logs string) {
 	if logs != "" {
 		for _, g := range r.world.Gateways {
-			_ = os.WriteFile(filepath.Join(logs, filepath.Base(g.Dir())+".real.log"), []byte(g.Log()),
+			_ = os.WriteFile(filepath.Join(logs,
+				filepath.Base(g.Dir())+".real.log"), []byte(g.Log()),
 				0o600)
 		}
 	}
--- a/sim/around.go
+++ b/sim/around.go
@@ -25,7 +25,7 @@
 	w := n.w
 	w.Notes.Sent++
 	w.Notes.Bytes += len(note)
-	lost, late := n.rand.Float64() < w.Site.NoteLoss, 1300+n.rand.Int64N(9700)
+	lost, late := n.rand.Float64() < w.Site.MessageLoss, 1300+n.rand.Int64N(9700)
 	twice := w.o.NoteTwice > 0 && n.rand.Float64() < w.o.NoteTwice
 	cut := w.now < n.cut && (from < n.cutAt) != (to < n.cutAt)
 	if lost || cut || to < 0 || to >= len(w.gateways) {
@@ -84,7 +84,7 @@
 func (r *register) tell(sv *server, state policy.EndpointState) {
 	w := r.w
 	m := policy.Endpoint{Backend: sv.number, Cell: 1, State: state, Weight: 1}
-	if boot := w.Record.Boots[sv.boot]; boot.Cold {
+	if boot := w.Record.ServerStarts[sv.boot]; boot.SlowStart {
 		m.StartedAt = epoch + boot.At.Microseconds()
 	}
 	if r.last == nil {
@@ -108,16 +108,22 @@
 	}
 	r.known[i][sv.number-1] = m
 	g.event(g.life, func() {
-		w.Record.Told = append(w.Record.Told,
-			harness.Told{Gateway: i, Server: sv.id, Stop: m.State != policy.Ready, At: w.at()})
+		w.Record.EndpointUpdates = append(w.Record.EndpointUpdates,
+			harness.EndpointUpdate{
+				Gateway: i,
+				Server:  sv.id,
+				Stop:    m.State != policy.Ready,
+				At:      w.at(),
+			})
 		g.module.UpdateEndpoints(g.now(), policy.Delta, []policy.Endpoint{m})
 	})
 }
 
 // toldOf tells whether a gateway has been told of a server's present start.
 func (r *register) toldOf(gateway int, sv *server) bool {
-	boot := &r.w.Record.Boots[sv.boot]
-	return !boot.Cold || r.known[gateway][sv.number-1].StartedAt >= epoch+boot.At.Microseconds()
+	boot := &r.w.Record.ServerStarts[sv.boot]
+	return !boot.SlowStart ||
+		r.known[gateway][sv.number-1].StartedAt >= epoch+boot.At.Microseconds()
 }
 
 // frontEntry is one gateway as the front sees it: one that has died is noticed
@@ -159,7 +165,7 @@
 		return
 	}
 	t, r := c.traffic.Request(w.at())
-	q := &asked{c: c, first: t, rand: r, wait: w.Site.Patience(t.Class, r), last: -1}
+	q := &asked{c: c, first: t, rand: r, wait: w.Site.ClientTimeout(t.Class, r), last: -1}
 	q.send()
 	w.after(c.pause(), c.ask)
 }
@@ -190,24 +196,24 @@
 	who := &w.Site.Customers[q.c.number]
 	w.nextTry++
 	t := q.first
-	t.ID, t.Wait, t.Why = harness.Hex16(w.nextTry), q.wait, ""
+	t.ID, t.Wait, t.RejectReason = harness.Hex16(w.nextTry), q.wait, ""
 	if q.n == 0 {
 		q.first.First, q.began = t.ID, w.now
 		t.First = t.ID
 	} else {
-		t.Asked = 0
+		t.RequestedAt = 0
 	}
-	t.Gateway = w.Site.Choose(who, q.last, w.at(), w.frontUp, q.rand)
+	t.Gateway = w.Site.PickGateway(who, q.last, w.at(), w.frontUp, q.rand)
 	q.last = t.Gateway
 	g := w.gateways[t.Gateway]
 	if !g.up {
-		t.NoPort = w.at()
+		t.PortClosedAt = w.at()
 		w.noPort(t.Gateway)
 		q.end(&t, harness.Unsent, 0)
 		return
 	}
 	g.front.failing = 0
-	t.Sent = w.at()
+	t.SentAt = w.at()
 	w.waiting++
 	w.after(w.clientNet(), func() {
 		w.waiting--
@@ -216,7 +222,7 @@
 			q.end(&t, harness.Ended, 0)
 			return
 		}
-		t.Sent = w.at()
+		t.SentAt = w.at()
 		life := g.life
 		g.event(life, func() {
 			g.take(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) })
@@ -235,18 +241,19 @@
 // end takes in how a try ended, and sends the next one.
 func (q *asked) end(t *harness.Try, k harness.Kind, after int64) {
 	w := q.c.w
-	t.Kind, t.After = k, time.Duration(after)*time.Microsecond
+	t.Kind, t.RetryAfter = k, time.Duration(after)*time.Microsecond
 	w.Record.Tries = append(w.Record.Tries, *t)
-	fmt.Fprintf(w.digest, "%d %s %d %d %s\n", w.now, t.ID, t.Gateway, k, t.Why)
+	fmt.Fprintf(w.digest, "%d %s %d %d %s\n", w.now, t.ID, t.Gateway, k, t.RejectReason)
 	if q.n++; k == harness.Served || q.n > w.Site.Retries {
 		return
 	}
-	pause := harness.Backoff(q.n-1, t.After, q.rand)
+	pause := harness.Backoff(q.n-1, t.RetryAfter, q.rand)
 	// What may have run is not asked for again; what carries a key only while servers
 	// would know it again, whatever the answer said.
 	c := &w.Site.Classes[t.Class]
 	if c.Unsafe && k != harness.Refused && k != harness.Unsent ||
-		c.Keyed && w.now+(pause+q.wait).Microseconds() > q.began+c.Window.Microseconds() {
+		c.Keyed &&
+			w.now+(pause+q.wait).Microseconds() > q.began+c.DeduplicationWindow.Microseconds() {
 		return
 	}
 	w.waiting++
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -103,7 +103,7 @@
 	}
 	g.module.OnReject(func(id uint64, why policy.RejectReason) {
 		if q := g.open[id]; q != nil {
-			q.try.Why = why.String()
+			q.try.RejectReason = why.String()
 		}
 	})
 	g.up = true
@@ -112,12 +112,12 @@
 			g.w.said(g.number, err.Error())
 		}
 	}
-	g.w.Record.Lives = append(g.w.Record.Lives, harness.Life{
+	g.w.Record.ProcessEvents = append(g.w.Record.ProcessEvents, harness.ProcessEvent{
 		Gateway: g.number,
 		Event:   harness.Started,
 		At:      g.w.at(),
 	},
-		harness.Life{Gateway: g.number, Event: harness.Ready, At: g.w.at()})
+		harness.ProcessEvent{Gateway: g.number, Event: harness.Ready, At: g.w.at()})
 	if g.w.now < g.w.register.silent {
 		g.module.UpdateEndpoints(g.now(), policy.StaleBootstrap, g.w.register.list(g.number))
 	} else {
@@ -133,8 +133,8 @@
 func (g *gateway) kill() {
 	g.up = false
 	g.life++
-	g.w.Record.Lives = append(g.w.Record.Lives,
-		harness.Life{Gateway: g.number, Event: harness.Killed, At: g.w.at()})
+	g.w.Record.ProcessEvents = append(g.w.Record.ProcessEvents,
+		harness.ProcessEvent{Gateway: g.number, Event: harness.Killed, At: g.w.at()})
 	for _, id := range g.order {
 		q := g.open[id]
 		if q == nil {
@@ -212,7 +212,7 @@
 	w := q.gateway.w
 	w.after(w.clientNet(), func() {
 		q.try.Answers++
-		q.try.Answered = w.at()
+		q.try.AnsweredAt = w.at()
 		q.done(k, after)
 	})
 }
--- a/sim/run.go
+++ b/sim/run.go
@@ -7,7 +7,7 @@
 )
 
 // RunFigures plays one world and gives its figures with those of the emulator itself.
-func RunFigures(o Options) (*harness.Figures, error) {
+func RunFigures(o Options) (*harness.Summary, error) {
 	began := time.Now()
 	w, err := New(o)
 	if err != nil {
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -23,7 +23,7 @@
 		w.gatewayFault(w.gateways[f.N%len(w.gateways)], f, span)
 	case slices.Contains(harness.ServerFaults, f.Kind):
 		w.serverFault(w.servers[f.N%len(w.servers)], f, span)
-	case f.Kind == harness.SilentAt:
+	case f.Kind == harness.RegistrySilent:
 		w.register.silent = max(w.register.silent, w.now+span)
 	case f.Kind == harness.Cut:
 		w.notes.cut, w.notes.cutAt = max(w.notes.cut, w.now+span), 1+f.N%max(1, len(w.gateways)-1)
--- a/sim/search.go
+++ b/sim/search.go
@@ -56,10 +56,10 @@
 	seen := map[string]bool{}
 	for i := range w.Record.Tries {
 		t := &w.Record.Tries[i]
-		end := fmt.Sprintf("%d %s %d %d", t.Kind, t.Why, t.Class, min(3, attempts[t.ID]))
+		end := fmt.Sprintf("%d %s %d %d", t.Kind, t.RejectReason, t.Class, min(3, attempts[t.ID]))
 		seen[end] = true
 		for _, f := range w.o.Faults {
-			if t.Sent >= f.At && t.Sent <= f.At+f.For+time.Second {
+			if t.SentAt >= f.At && t.SentAt <= f.At+f.For+time.Second {
 				seen[end+" "+string(f.Kind)] = true
 			}
 		}
--- a/sim/server.go
+++ b/sim/server.go
@@ -46,12 +46,12 @@
 	sv.up, sv.drains, sv.busy, sv.queue, sv.recent = true, false, 0, nil, nil
 	sv.errs, sv.slow, sv.hangs, sv.resets = 0, 1, false, 0
 	sv.life++
-	sv.boot = sv.w.Record.AddBoot(harness.Boot{
-		Server: sv.id,
-		Cores:  float64(sv.cores),
-		Speed:  sv.speed,
-		Cold:   cold,
-		At:     sv.w.at(),
+	sv.boot = sv.w.Record.AddServerStart(harness.ServerStart{
+		Server:    sv.id,
+		Cores:     float64(sv.cores),
+		Speed:     sv.speed,
+		SlowStart: cold,
+		At:        sv.w.at(),
 	})
 }
 
@@ -71,7 +71,7 @@
 
 // share is the part of its capacity that it has.
 func (sv *server) share() float64 {
-	return sv.w.Site.Share(&sv.w.Record.Boots[sv.boot], sv.w.at())
+	return sv.w.Site.CapacityShare(&sv.w.Record.ServerStarts[sv.boot], sv.w.at())
 }
 
 // arrive takes in an attempt that has come whole.
@@ -83,17 +83,17 @@
 	w, class := sv.w, &sv.w.Site.Classes[a.q.try.Class]
 	x := math.Exp(0.4*sv.rand.NormFloat64() - 0.08) // mean 1
 	seen := harness.Attempt{ID: a.q.try.ID, Key: a.q.try.Key, Server: sv.id, Gateway: a.q.gateway.number, Class: a.q.try.Class,
-		Work: time.Duration(x * float64(class.Work)), First: w.at(), Whole: w.at()}
+		Work: time.Duration(x * float64(class.Work)), FirstByteAt: w.at(), ReceivedAt: w.at()}
 	a.place, a.work = w.Record.AddAttempt(seen), seen.Work.Seconds()
 	if over, told := sv.overrun(seen); over {
-		w.Record.Boots[sv.boot].Fell, w.Record.Boots[sv.boot].Untold = w.at(), !told
+		w.Record.ServerStarts[sv.boot].OverloadedAt, w.Record.ServerStarts[sv.boot].BeforeNotified = w.at(), !told
 		sv.kill()
 		a.end(resultReset)
 		return
 	}
 	switch {
 	case sv.drains || len(sv.queue) >= sv.cores*queuePerCore:
-		w.Record.Turned(a.place)
+		w.Record.MarkRejected(a.place)
 		w.after(w.net(), func() { a.end(resultFull) })
 		return
 	case sv.rand.Float64() < sv.errs:
@@ -115,7 +115,7 @@
 	}
 	sv.recent = append(sv.recent, a)
 	from, sum, slack, by := 0, 0.0, 0.0, 0.0
-	for ; a.Whole-sv.recent[from].Whole > s.FallSpan; from++ {
+	for ; a.ReceivedAt-sv.recent[from].ReceivedAt > s.OverloadWindow; from++ {
 	}
 	sv.recent = sv.recent[from:]
 	for _, b := range sv.recent {
@@ -127,7 +127,7 @@
 	for _, c := range s.Classes {
 		slack = max(slack, c.Work.Seconds())
 	}
-	return sum > s.FallMultiple*float64(sv.cores)*sv.speed*share*s.FallSpan.Seconds()+
+	return sum > s.OverloadMultiple*float64(sv.cores)*sv.speed*share*s.OverloadWindow.Seconds()+
 		slack, by >= sum*2/3
 }
 
@@ -142,8 +142,9 @@
 		sv.busy++
 		class := &sv.w.Site.Classes[a.q.try.Class]
 		effect := !class.Keyed || a.q.try.Key == "" ||
-			sv.w.Site.Remember(a.q.try.Key, sv.w.Record.Attempts[a.place].Whole, class.Window)
-		sv.w.Record.Ran(a.place, effect)
+			sv.w.Site.Remember(a.q.try.Key, sv.w.Record.Attempts[a.place].ReceivedAt,
+				class.DeduplicationWindow)
+		sv.w.Record.MarkRun(a.place, effect)
 		sv.step(a, sv.life, a.work/sv.speed*sv.slow*max(1, float64(sv.busy)/float64(sv.cores)))
 	}
 }
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -10,7 +10,7 @@
 )
 
 // play plays a world and fails where a rule is broken.
-func play(t *testing.T, o Options) (*World, *harness.Figures) {
+func play(t *testing.T, o Options) (*World, *harness.Summary) {
 	t.Helper()
 	w, err := New(o)
 	if err != nil {
@@ -21,9 +21,9 @@
 	if !f.OK {
 		t.Errorf("%+v: %v", o, f.Why)
 	}
-	if f.Asked == 0 || f.Taken != f.Once+f.Killed {
+	if f.Requests == 0 || f.Taken != f.Once+f.Killed {
 		t.Errorf("%+v: asked %d, taken %d, answered once %d, lost with a gateway %d",
-			o, f.Asked, f.Taken, f.Once, f.Killed)
+			o, f.Requests, f.Taken, f.Once, f.Killed)
 	}
 	return w, f
 }
@@ -130,8 +130,8 @@
 				},
 			)
 			q := harness.GivenOfBought(w.Site, w.Record)
-			given[i][0] += q[harness.Near].Of / 6
-			given[i][1] += q[harness.Over].Of / 6
+			given[i][0] += q[harness.NearQuota].Of / 6
+			given[i][1] += q[harness.OverQuota].Of / 6
 			beyond[i] += f.Over
 			sent[i] += harness.SentUnits(w.Record)
 		}
@@ -170,7 +170,7 @@
 		}
 	})
 	w.Run()
-	if f := w.Figures("test"); f.Broken[harness.Cold] == 0 {
+	if f := w.Figures("test"); f.Broken[harness.SlowStartOverload] == 0 {
 		t.Errorf("nothing broke: %s", f.Line())
 	}
 }
--- a/sim/throng_test.go
+++ b/sim/throng_test.go
@@ -43,12 +43,12 @@
 			w, f := play(t, throng(c.noteLoss))
 			attempts, turned, fell := len(w.Record.Attempts), 0, 0
 			for _, a := range w.Record.Attempts {
-				if a.Turned {
+				if a.Rejected {
 					turned++
 				}
 			}
-			for _, b := range w.Record.Boots {
-				if b.Fell > 0 {
+			for _, b := range w.Record.ServerStarts {
+				if b.OverloadedAt > 0 {
 					fell++
 				}
 			}
--- a/sim/world.go
+++ b/sim/world.go
@@ -162,7 +162,7 @@
 		c := &w.Site.Classes[i]
 		c.Unsafe, c.Keyed = c.Keyed && o.Unsafe, c.Keyed && !o.Unsafe
 		if c.Keyed && o.Window > 0 {
-			c.Window = o.Window
+			c.DeduplicationWindow = o.Window
 		}
 	}
 	for i := range w.Site.Plans {
@@ -171,7 +171,7 @@
 		}
 	}
 	if o.NoteLoss >= 0 {
-		w.Site.NoteLoss = o.NoteLoss
+		w.Site.MessageLoss = o.NoteLoss
 	}
 	w.notes = &notes{
 		w:      w,
@@ -240,10 +240,10 @@
 }
 
 // Figures audits the run and sums it up.
-func (w *World) Figures(command string) *harness.Figures {
-	f := harness.Figure(command, w.o.Seed, w.Site, w.Record)
+func (w *World) Figures(command string) *harness.Summary {
+	f := harness.Summarize(command, w.o.Seed, w.Site, w.Record)
 	for _, what := range w.broken[:min(len(w.broken), 3)] {
-		f.Miss(what)
+		f.AddFailure(what)
 	}
 	f.Seconds = float64(w.now) / 1e6
 	return f
