--- a/internal/controlplane/allocation/budget.go
+++ b/internal/controlplane/allocation/budget.go
@@ -1,133 +1,129 @@
-// Package allocation decides who may use how much of what all gateways of a fleet share: a customer's
-// quota, its ceiling, or whatever else has a rate and a burst for all of them together.
-//
-// # Invariant
-//
-// At every instant the parts that anyone may still be using, heard or unheard, alive, stalled or dead, and
-// the reserve from which the owner lends, sum to no more than the whole: in rate, in burst, and in units that lie
-// stored or are on their way. So over any window of length w the units taken through all gateways are at most
-// burst + rate x w, but for what lies between a decision and its write (the rate over Rules.LoanSpan), what clocks
-// differ by (Rules.Margin of the rate), and one request a stop of a process between its last look at the clock and its
-// write.
-//
-// # How it is kept
-//
-// What members hold lies in the agreed state (Machine), which refuses whatever would pass the whole and whatever comes
-// under an old term. One owner for a shard (Owner) divides it:
-//
-//   - Raised: the entry is agreed first, the member is told then.
-//   - Lessened: the member is told first. Only when it has said that it acted on that, or its span is over by the owner's
-//     clock and the margin, is the entry proposed that gives it to another.
-//   - A part holds for Rules.Span from when its member sent its last renewal, the floor that is in it for Rules.FloorSpan. A
-//     member that hears nobody falls from its part to its floor, and then to nothing.
-//   - Units that lie stored go with what is moved: they are counted as given and as returned, each as a sum that
-//     only grows under a term, so that a message that comes twice, late or never makes none.
-//   - The rest, the reserve, is the owner's alone. It lends of it, without an entry, for a request that waits, but for what
-//     is agreed to be kept: with that the next owner begins, and with nothing else.
-//   - What was taken or lent is used within Rules.LoanSpan, or never.
-//
-// Nothing here does I/O, starts a goroutine or looks at a clock. No type may be used concurrently.
 package allocation
 
 import (
-	"fmt"
 	"math"
 	"time"
 
-	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
 )
 
-// MachineName is what the agreed state calls the budgets.
-const MachineName = "budgets"
+const (
+	minDemandWindow = 2 * time.Second // over which demand is averaged
+	maxDemandWindow = 20 * time.Second
 
-// RoleOfShard is what the owner of a shard holds.
-func RoleOfShard(shard int) string { return fmt.Sprintf("budgets/%d", shard) }
+	// roundTime is how long a round takes to be committed, unless the log's leader changes.
+	roundTime = 300 * time.Millisecond
+)
 
-// ShardOf is the shard of a budget.
-func ShardOf(budget uint64, shards int) int {
-	const mix = 0x9E3779B97F4A7C15 // spreads ids evenly
-	return int((budget * mix) >> 33 % uint64(max(1, shards)))
+// memberRecord is one process that uses budgets of the shard, as the shard's leader knows it.
+type memberRecord struct {
+	lastRenewal   time.Duration // by the leader's clock, like all times here
+	appliedUpdate uint64        // number of the last update that it acknowledged
+	startedAt     time.Duration // estimated from the age that it reports; 0: not known yet
+	ended         bool          // it has left, or its successor reported that it no longer runs
+	budgets       map[uint64]bool
 }
 
-// Share is a budget or a part of one.
-type Share struct {
-	Rate  float64 `json:"rate"`  // units a second
-	Burst float64 `json:"burst"` // units
-}
+// budgetState is a budget as the leader of its shard keeps it.
+type budgetState struct {
+	limit            Share
+	limitVersion     uint64        // version of the plans that the limit is from
+	committedVersion uint64        // the version in the replicated state
+	proposedVersion  uint64        // the version in the round under way
+	limitSetBy       time.Duration // start time of the process that reported the limit
+	maxMembers       int           // that share the limit
+	holdings         map[lease.Member]*holding
+	allocated        Share // the sum of all committed allocations
 
-func (s Share) plus(o Share) Share    { return Share{s.Rate + o.Rate, s.Burst + o.Burst} }
-func (s Share) minus(o Share) Share   { return Share{s.Rate - o.Rate, s.Burst - o.Burst} }
-func (s Share) times(f float64) Share { return Share{s.Rate * f, s.Burst * f} }
-func (s Share) min(o Share) Share {
-	return Share{math.Min(s.Rate, o.Rate), math.Min(s.Burst, o.Burst)}
-}
-func (s Share) max(o Share) Share {
-	return Share{math.Max(s.Rate, o.Rate), math.Max(s.Burst, o.Burst)}
-}
-func (s Share) within(o Share) bool {
-	return s.Rate <= o.Rate+roundingTolerance && s.Burst <= o.Burst+roundingTolerance
-}
-func (s Share) isZero() bool            { return s.Rate <= 0 && s.Burst <= 0 }
-func (s Share) proto() *controlpb.Share { return &controlpb.Share{Rate: s.Rate, Burst: s.Burst} }
-func shareOf(s *controlpb.Share) Share  { return Share{s.GetRate(), s.GetBurst()} }
-func memberOf(m *controlpb.Member) lease.Member {
-	return lease.Member{ID: m.GetId(), Incarnation: m.GetIncarnation()}
+	// pendingIncrease is what the round under way adds to allocated. It counts as given already, as an
+	// entry may be committed even when its response is lost.
+	pendingIncrease Share
+
+	bucket            tokenBucket // units of the pool
+	carryover         float64     // committed units of the pool that are not granted; the next leader starts with them
+	proposedCarryover float64     // carryover in the round under way; below 0: no round is
+	meanGrant         float64     // moving average of the units of on-demand requests
+	deferredGrant     float64     // units of the largest on-demand request that waits for a smaller carryover
+
+	headroom     *headroomHistory // nil: no units were returned yet
+	nextDivision time.Duration    // the budget is not divided again before
 }
 
-// roundingTolerance is what sums may be off by for being rounded.
-const roundingTolerance = 1e-6
+// holding is one member's allocation of one budget.
+type holding struct {
+	committed Allocation
+	announced Allocation // what the member was told last: never more than is committed
+	update    uint64     // number of the update that announced it
 
-// valid tells whether a share can be anyone's.
-func (s Share) valid() bool {
-	return s.Rate >= 0 && s.Burst >= 0 && !math.IsInf(s.Rate, 0) && !math.IsInf(s.Burst, 0) // and neither is NaN
+	unitsGranted  float64 // with updates, in all under this term
+	unitsReturned float64 // by the member, in all under this term
+	lateUnits     float64 // of those returned, units that come free with a reduction that is announced
+
+	// returnedBefore is a bound in time: units that the member has not reported yet came free after it.
+	// 0: not known.
+	returnedBefore time.Duration
+
+	claim      Claim
+	claimedAt  time.Duration
+	lastDemand time.Duration
+	newDemand  bool // there was demand since the budget was last divided
 }
 
-// Config are how budgets are divided, and how long what was given holds.
-type Config struct {
-	TTL              time.Duration // a part holds without renewal
-	ReservedTTL      time.Duration // a floor does
-	UseTimeout       time.Duration // a loan has to be used within, from its asking, and what is taken of a part, from then
-	ClockDrift       float64       // by how much a clock may run faster than another, as a part
-	ReservedFraction float64       // the part of the whole that is set aside as floors, evenly over the members
-	PoolFraction     float64       // the part of the rest that stays with the owner, to be lent
-	MinBurstRequests float64       // a part is given only where it holds so much of the member's largest request
-	ChangeThreshold  float64       // by what part of the whole a part has to be off before it is changed
-	RenewInterval    time.Duration // between two renewals
-	StartFull        bool          // the first owner ever begins with full stores: nobody can have used anything before
-	IdleTimeout      time.Duration // a member that wants nothing for so long gives back its floor, too
+// updateAllocated recomputes the sum of the committed allocations.
+func (b *budgetState) updateAllocated() {
+	b.allocated = Share{}
+	for _, member := range sortedMembers(b.holdings) {
+		b.allocated = b.allocated.plus(b.holdings[member].committed.Total)
+	}
 }
 
-// DefaultConfig are rules that docs/budgets.md gives the reasons for.
-func DefaultConfig() Config {
-	return Config{TTL: 3 * time.Second, ReservedTTL: time.Minute, UseTimeout: 250 * time.Millisecond, ClockDrift: 0.125,
-		ReservedFraction: 0.3, PoolFraction: 0.5, MinBurstRequests: 0.7, ChangeThreshold: 0.15, RenewInterval: 200 * time.Millisecond, IdleTimeout: time.Minute}
+// refill brings the pool's bucket to a time, at the pool's rate and burst.
+func (b *budgetState) refill(at time.Duration, pool Share) {
+	b.bucket.refill(at, pool)
+	if b.headroom != nil {
+		b.headroom.record(at, pool.Burst-b.bucket.level)
+	}
 }
 
-func (r *Config) withDrift(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*r.ClockDrift)
+// demandWindow returns the time over which a budget's demand is averaged. Requests for a small limit are
+// rare, and its division should not follow single requests.
+func (b *budgetState) demandWindow() time.Duration {
+	if b.limit.Rate <= 0 {
+		return maxDemandWindow
+	}
+	window := time.Duration(2 * b.limit.Burst / b.limit.Rate * float64(time.Second))
+	return min(maxDemandWindow, max(minDemandWindow, window))
 }
 
-// ReservedMin is the floor of each of so many members.
-func (r *Config) ReservedMin(whole Share, spread int) Share {
-	return whole.times(r.ReservedFraction / float64(max(1, spread)))
+// hasNewDemand reports whether a member had demand since the budget was last divided.
+func (b *budgetState) hasNewDemand() bool {
+	for _, h := range b.holdings {
+		if h.newDemand {
+			return true
+		}
+	}
+	return false
 }
 
-// tokenBucket is units that come at a rate and are stored up to a burst.
-type tokenBucket struct {
-	level float64
-	at    time.Duration
+// targetCarryover returns how many units of the pool to carry over to the next leader: those that will
+// probably not be granted before the next round.
+func (b *budgetState) targetCarryover() float64 {
+	demand := 0.0
+	for _, h := range b.holdings {
+		demand += h.claim.Demand
+	}
+	untilNextRound := math.Min(demand, b.limit.Rate) * roundTime.Seconds()
+	return math.Max(0, b.bucket.level-2*b.meanGrant-b.deferredGrant-untilNextRound)
 }
 
-// refill brings the bank to a time, and gives what did not find room.
-func (b *tokenBucket) refill(now time.Duration, s Share) (over float64) {
-	if now > b.at {
-		b.level += s.Rate * (now - b.at).Seconds()
-		b.at = now
+// carryoverNeedsRound reports whether the committed carryover has to be changed to target by a round.
+// Small changes wait, unless the carryover leaves too little for a grant.
+func (b *budgetState) carryoverNeedsRound(target, threshold float64) bool {
+	if b.deferredGrant != 0 {
+		return true
 	}
-	if over = b.level - s.Burst; over <= 0 {
-		return 0
+	if math.Abs(target-b.carryover) >= b.limit.Burst*threshold {
+		return true
 	}
-	b.level = s.Burst
-	return over
+	return target < b.carryover && b.bucket.level-b.carryover < b.meanGrant
 }
--- a/internal/controlplane/allocation/divide.go
+++ b/internal/controlplane/allocation/divide.go
@@ -1,36 +1,39 @@
 package allocation
 
-// Claim is what one member wants of a budget.
+// Claim is what one member needs of a budget.
 type Claim struct {
-	Demand     float64 // units a second that it was asked for of late
-	MaxRequest float64 // units of its largest request of late
-	Idle       bool    // it has wanted nothing for so long that it keeps no floor either
+	Demand     float64 // recent demand in units per second
+	MaxRequest float64 // units of its largest recent request
+	Idle       bool    // it had no demand for so long that it gives back its reserved minimum too
 }
 
-// Divide gives the part of each member, its floor in it. The sum of the parts and of the floors of members that are not
-// there is at most the whole less the reserve.
+// Divide returns the allocation of each member, which includes its reserved minimum. The sum of the
+// allocations, and of the reserved minimums of members that are absent, is at most the limit less the
+// pool.
 //
-// What is beyond floors and reserve goes by demand. A part that would hold hardly a few requests is not
-// given: units that lie at several members in pieces smaller than a request serve nobody, and the reserve, of which is
-// lent, has them for whoever comes first.
-func Divide(whole Share, spread int, r *Config, claims []Claim) []Share {
-	parts := make([]Share, len(claims))
-	floor := r.ReservedMin(whole, max(spread, len(claims)))
-	free := whole.times((1 - r.ReservedFraction) * (1 - r.PoolFraction))
-	all := 0.0
-	for _, c := range claims {
-		all += c.Demand
+// What is beyond reserved minimums and the pool is divided in proportion to demand. An allocation that
+// would hold less than a request is not made: pieces smaller than a request at several members serve
+// nobody, whereas the pool can grant their sum to whoever asks first.
+func Divide(limit Share, maxMembers int, c *Config, claims []Claim) []Share {
+	allocations := make([]Share, len(claims))
+	reserved := c.ReservedMin(limit, max(maxMembers, len(claims)))
+	divisible := limit.times((1 - c.ReservedFraction) * (1 - c.PoolFraction))
+	demand := 0.0
+	for _, claim := range claims {
+		demand += claim.Demand
 	}
-	for i, c := range claims {
-		if c.Idle {
+	for i, claim := range claims {
+		if claim.Idle {
 			continue
 		}
-		if parts[i] = floor; c.Demand <= 0 {
+		allocations[i] = reserved
+		if claim.Demand <= 0 {
 			continue
 		}
-		if extra := free.times(c.Demand / all); floor.Burst+extra.Burst >= r.MinBurstRequests*c.MaxRequest {
-			parts[i] = floor.plus(extra)
+		extra := divisible.times(claim.Demand / demand)
+		if reserved.Burst+extra.Burst >= c.MinBurstRequests*claim.MaxRequest {
+			allocations[i] = reserved.plus(extra)
 		}
 	}
-	return parts
+	return allocations
 }
--- /dev/null
+++ b/internal/controlplane/allocation/headroom.go
@@ -0,0 +1,52 @@
+package allocation
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	headroomInterval  = 100 * time.Millisecond
+	headroomIntervals = 32
+)
+
+// headroomHistory records the least headroom that the pool's bucket had in each of the last
+// headroomIntervals intervals of headroomInterval. Units that a member returns count from when they came
+// free: those that would have overflowed the pool since then are lost. Otherwise the units in buckets and
+// in flight could exceed the burst.
+type headroomHistory struct {
+	minimum      [headroomIntervals]float64 // units, by interval number modulo headroomIntervals
+	lastInterval int64                      // number of the interval recorded last; 0: none yet
+	startedAt    time.Duration
+}
+
+// record takes in the headroom, in units, at a time.
+func (h *headroomHistory) record(at time.Duration, headroom float64) {
+	interval := int64(at / headroomInterval)
+	if h.lastInterval == 0 {
+		h.startedAt = at
+	}
+	// Between two records the bucket only filled, so that it had more headroom than at the second.
+	for i := max(h.lastInterval+1, interval-headroomIntervals+1); i <= interval; i++ {
+		h.minimum[i%headroomIntervals] = headroom
+	}
+	if interval >= h.lastInterval-headroomIntervals+1 {
+		slot := interval % headroomIntervals
+		h.minimum[slot] = math.Min(h.minimum[slot], headroom)
+	}
+	h.lastInterval = max(h.lastInterval, interval)
+}
+
+// minimumSince returns the least headroom, in units, from a time on. It returns 0 for a time before the
+// history.
+func (h *headroomHistory) minimumSince(at time.Duration) float64 {
+	interval := int64(at / headroomInterval)
+	if interval <= h.lastInterval-headroomIntervals+1 || at < h.startedAt {
+		return 0
+	}
+	least := math.Inf(1)
+	for ; interval <= h.lastInterval; interval++ {
+		least = math.Min(least, h.minimum[interval%headroomIntervals])
+	}
+	return math.Max(0, least)
+}
--- a/internal/controlplane/allocation/machine.go
+++ b/internal/controlplane/allocation/machine.go
@@ -1,7 +1,7 @@
 package allocation
 
 import (
-	"cmp"
+	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -15,261 +15,178 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Fence refuses a word under an old term.
-type Fence interface {
-	Fence(duty string, term uint64, who lease.Member) error
-}
-
-// Allocation is what one member may be using, as agreed.
-type Allocation struct {
-	Total       Share `json:"part"` // the floor is in it
-	ReservedMin Share `json:"floor"`
-}
-
-// committedBudget is a budget as agreed.
-type committedBudget struct {
-	limit Share
-	// limitVersion is that of the terms that the whole is by: a lower one's is not believed any more.
-	limitVersion uint64
-	maxMembers   int
-	allocations  map[lease.Member]Allocation
-	// carryover is how many units of the reserve its owner keeps: the next one begins with them.
-	carryover float64
-}
+var (
+	// ErrInvalidRound is the error of a round that can't be decoded, or would exceed a limit.
+	ErrInvalidRound = errors.New("allocation: invalid round")
 
-// Sum is what all members may be using.
-func totalOf(held map[lease.Member]Allocation) (s Share) {
-	for _, m := range sortedMembers(held) {
-		s = s.plus(held[m].Total)
-	}
-	return s
-}
-
-// sortedMembers are the members in an order that is the same everywhere: sums of floating point depend on it.
-func sortedMembers[V any](of map[lease.Member]V) []lease.Member {
-	return slices.SortedFunc(maps.Keys(of), compareMembers)
-}
+	// ErrCorruptLedger is the error of a ledger or snapshot that can't be decoded.
+	ErrCorruptLedger = errors.New("allocation: corrupt ledger")
+)
 
-func compareMembers(a, b lease.Member) int {
-	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
+// Fence rejects a command that was sent under an old term of a role.
+type Fence interface {
+	Fence(role string, term uint64, who lease.Member) error
 }
 
-// Machine is the budgets as a part of the agreed state.
+// Machine is the budgets as a part of the replicated state.
 type Machine struct {
 	fence   Fence
-	ledgers map[string]map[uint64]*committedBudget // by duty
+	ledgers map[string]map[uint64]*committedBudget // by the role of their shard, then by id
 }
 
-// NewMachine makes a machine that asks a table of duties who may divide. The table has to be a part of the
-// same agreed state.
+// NewMachine returns a machine without budgets. The fence says who may divide them; it has to be a part
+// of the same replicated state.
 func NewMachine(f Fence) *Machine {
 	return &Machine{fence: f, ledgers: map[string]map[uint64]*committedBudget{}}
 }
 
-// Result is what becomes of a round.
+// Result is the response to a round, encoded as JSON.
 type Result struct {
 	OK  bool   `json:"ok"`
-	Why string `json:"why,omitempty"`
+	Why string `json:"why,omitempty"` // error text where it is not OK
 }
 
-// Apply carries out a round as a whole or not at all, and gives a Result.
+// Apply carries out a round completely or not at all, and returns a Result.
 func (m *Machine) Apply(_ time.Duration, _ uint64, who lease.Member, body []byte) []byte {
-	var r Result
+	result := Result{OK: true}
 	if err := m.applyRound(who, body); err != nil {
-		r.Why = err.Error()
-	} else {
-		r.OK = true
+		result = Result{Why: err.Error()}
 	}
-	return mustjson.Marshal(r)
+	return mustjson.Marshal(result)
 }
 
 func (m *Machine) applyRound(who lease.Member, body []byte) error {
-	var r controlpb.Round
-	if err := proto.Unmarshal(body, &r); err != nil {
-		return fmt.Errorf("budget: a round that can't be read: %w", err)
+	var round controlpb.Round
+	if err := proto.Unmarshal(body, &round); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidRound, err)
 	}
-	if err := m.fence.Fence(r.Role, r.Term, who); err != nil {
+	if err := m.fence.Fence(round.Role, round.Term, who); err != nil {
 		return err
 	}
-	after := make(map[uint64]*committedBudget, len(r.Changes))
-	for _, c := range r.Changes {
-		before := m.ledgers[r.Role][c.Budget]
-		if after[c.Budget] != nil {
-			return fmt.Errorf("budget: %x is changed twice", c.Budget)
+	after := make(map[uint64]*committedBudget, len(round.Changes))
+	for _, change := range round.Changes {
+		if after[change.Budget] != nil {
+			return fmt.Errorf("%w: budget %x is changed twice", ErrInvalidRound, change.Budget)
 		}
-		b, err := applyChange(before, c, r.Members)
+		before := m.ledgers[round.Role][change.Budget]
+		b, err := applyChange(before, change, round.Members)
 		if err != nil {
-			return fmt.Errorf("budget: %x: %w", c.Budget, err)
+			return fmt.Errorf("%w: budget %x: %w", ErrInvalidRound, change.Budget, err)
 		}
-		after[c.Budget] = b
+		after[change.Budget] = b
 	}
-	if m.ledgers[r.Role] == nil {
-		m.ledgers[r.Role] = map[uint64]*committedBudget{}
+	if m.ledgers[round.Role] == nil {
+		m.ledgers[round.Role] = map[uint64]*committedBudget{}
 	}
 	for id, b := range after {
-		if len(b.allocations) == 0 && b.carryover == 0 && b.limitVersion == 0 {
-			delete(m.ledgers[r.Role], id) // nobody holds anything: it is as one that was never heard of
+		if b.isEmpty() {
+			delete(m.ledgers[round.Role], id)
 			continue
 		}
-		m.ledgers[r.Role][id] = b
+		m.ledgers[round.Role][id] = b
 	}
 	return nil
 }
 
-// applyChange is a book after a change, or why it can't be.
-func applyChange(before *committedBudget, c *controlpb.BudgetChange, who []*controlpb.Member) (*committedBudget, error) {
-	b := &committedBudget{limit: shareOf(c.Limit), limitVersion: c.LimitVersion, maxMembers: int(c.MaxMembers), allocations: map[lease.Member]Allocation{}, carryover: c.Carryover}
+// applyChange returns a budget after a change, or an error if the change is invalid. before is nil for a
+// budget that is not in the ledger.
+func applyChange(before *committedBudget, change *controlpb.BudgetChange, members []*controlpb.Member) (*committedBudget, error) {
+	b := newCommittedBudget(change)
 	if before != nil {
 		maps.Copy(b.allocations, before.allocations)
 	}
-	had := totalOf(b.allocations)
+	totalBefore := totalOf(b.allocations)
 	if !b.limit.valid() {
-		return nil, fmt.Errorf("a whole of %v", b.limit)
+		return nil, fmt.Errorf("a limit of %v", b.limit)
 	}
-	for _, h := range c.Allocations {
-		if int(h.Member) >= len(who) {
-			return nil, fmt.Errorf("member %d of %d", h.Member, len(who))
+	for _, a := range change.Allocations {
+		if int(a.Member) >= len(members) {
+			return nil, fmt.Errorf("member %d of %d", a.Member, len(members))
 		}
-		held := Allocation{shareOf(h.Total), shareOf(h.ReservedMin)}
-		if !held.Total.valid() || !held.ReservedMin.valid() || !held.ReservedMin.within(held.Total) {
-			return nil, fmt.Errorf("a part of %v with a floor of %v", held.Total, held.ReservedMin)
+		member, allocation := memberOf(members[a.Member]), allocationOf(a)
+		if err := checkAllocation(allocation); err != nil {
+			return nil, err
 		}
-		if held.Total.isZero() {
-			delete(b.allocations, memberOf(who[h.Member]))
+		if allocation.Total.isZero() {
+			delete(b.allocations, member)
 			continue
 		}
-		b.allocations[memberOf(who[h.Member])] = held
-	}
-	// A whole that was lessened is kept to as fast as members can be told; until then nothing is raised.
-	if sum := totalOf(b.allocations); !sum.within(b.limit.max(had)) || !sum.within(b.limit) && !sum.within(had) {
-		return nil, fmt.Errorf("parts of %v, and the whole is %v", sum, b.limit)
-	} else if !(b.carryover >= 0) || b.carryover > math.Max(0, b.limit.Burst-sum.Burst)+roundingTolerance {
-		return nil, fmt.Errorf("%v spare units beside parts of %v, and the whole is %v", b.carryover, sum, b.limit)
+		b.allocations[member] = allocation
 	}
-	return b, nil
+	return b, checkTotals(b, totalBefore)
 }
 
-// Query gives the Books of the shard whose duty the body names, or of all.
-func (m *Machine) Query(at time.Duration, body []byte) []byte {
-	b := &controlpb.Ledger{At: uint64(at)}
-	index := map[lease.Member]uint32{}
-	for _, duty := range slices.Sorted(maps.Keys(m.ledgers)) {
-		if len(body) > 0 && string(body) != duty {
-			continue
-		}
-		m.writeLedger(b, index, m.ledgers[duty])
+func checkAllocation(a Allocation) error {
+	if a.Total.valid() && a.ReservedMin.valid() && a.ReservedMin.within(a.Total) {
+		return nil
 	}
-	return marshal(b)
+	return fmt.Errorf("an allocation of %v with a reserved minimum of %v", a.Total, a.ReservedMin)
 }
 
-func (m *Machine) writeLedger(b *controlpb.Ledger, index map[lease.Member]uint32, books map[uint64]*committedBudget) {
-	for _, id := range slices.Sorted(maps.Keys(books)) {
-		k := books[id]
-		c := &controlpb.BudgetChange{Budget: id, Limit: k.limit.proto(), LimitVersion: k.limitVersion, MaxMembers: uint32(k.maxMembers), Carryover: k.carryover}
-		for _, who := range sortedMembers(k.allocations) {
-			h := k.allocations[who]
-			c.Allocations = append(c.Allocations, &controlpb.MemberAllocation{Member: memberIndex(&b.Members, index, who), Total: h.Total.proto(), ReservedMin: h.ReservedMin.proto()})
-		}
-		b.Budgets = append(b.Budgets, c)
+// checkTotals checks that a budget's allocations and carryover fit into its limit. After a limit was
+// lowered, the allocations may exceed it until all members are told, as long as they don't grow.
+func checkTotals(b *committedBudget, totalBefore Share) error {
+	total := totalOf(b.allocations)
+	if !total.within(b.limit.max(totalBefore)) || !total.within(b.limit) && !total.within(totalBefore) {
+		return fmt.Errorf("allocations of %v exceed the limit of %v", total, b.limit)
 	}
-}
-
-// memberIndex finds or makes a member's place in a message's list.
-func memberIndex(list *[]*controlpb.Member, index map[lease.Member]uint32, who lease.Member) uint32 {
-	i, ok := index[who]
-	if !ok {
-		i = uint32(len(*list))
-		index[who] = i
-		*list = append(*list, &controlpb.Member{Id: who.ID, Incarnation: who.Incarnation})
+	maxCarryover := math.Max(0, b.limit.Burst-total.Burst) + roundingTolerance
+	if !(b.carryover >= 0) || b.carryover > maxCarryover { // the negation holds for NaN too
+		return fmt.Errorf("a carryover of %v units with allocations of %v and a limit of %v", b.carryover, total, b.limit)
 	}
-	return i
+	return nil
 }
 
-func marshal(m proto.Message) []byte {
-	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-	if err != nil {
-		panic(err) // plain data
+// Query returns the Ledger of the shard whose role the body names, or of all shards if the body is empty.
+// ReadViews decodes it.
+func (m *Machine) Query(at time.Duration, body []byte) []byte {
+	ledger := &controlpb.Ledger{At: uint64(at)}
+	indexes := map[lease.Member]uint32{}
+	for _, role := range slices.Sorted(maps.Keys(m.ledgers)) {
+		if len(body) > 0 && string(body) != role {
+			continue
+		}
+		writeLedger(ledger, indexes, m.ledgers[role])
 	}
-	return raw
+	return marshal(ledger)
 }
 
-// Snapshot writes the budgets: the same text for the same content.
+// Snapshot returns the encoded state: the same bytes for the same state.
 func (m *Machine) Snapshot() []byte {
-	s := &controlpb.BudgetState{}
-	for _, duty := range slices.Sorted(maps.Keys(m.ledgers)) {
-		b := &controlpb.Ledger{}
-		m.writeLedger(b, map[lease.Member]uint32{}, m.ledgers[duty])
-		s.Roles, s.Ledgers = append(s.Roles, duty), append(s.Ledgers, b)
+	state := &controlpb.BudgetState{}
+	for _, role := range slices.Sorted(maps.Keys(m.ledgers)) {
+		ledger := &controlpb.Ledger{}
+		writeLedger(ledger, map[lease.Member]uint32{}, m.ledgers[role])
+		state.Roles = append(state.Roles, role)
+		state.Ledgers = append(state.Ledgers, ledger)
 	}
-	return marshal(s)
+	return marshal(state)
 }
 
-// Restore reads what Snapshot wrote, in place of all that is there.
+// Restore replaces the state by what Snapshot returned. Its errors wrap ErrCorruptLedger.
 func (m *Machine) Restore(raw []byte) error {
-	var s controlpb.BudgetState
-	if err := proto.Unmarshal(raw, &s); err != nil || len(s.Roles) != len(s.Ledgers) {
-		return fmt.Errorf("budget: a state that can't be read: %w", err)
+	var state controlpb.BudgetState
+	if err := proto.Unmarshal(raw, &state); err != nil {
+		return fmt.Errorf("%w: %w", ErrCorruptLedger, err)
+	}
+	if len(state.Roles) != len(state.Ledgers) {
+		return fmt.Errorf("%w: %d roles with %d ledgers", ErrCorruptLedger, len(state.Roles), len(state.Ledgers))
 	}
 	m.ledgers = map[string]map[uint64]*committedBudget{}
-	for i, duty := range s.Roles {
-		books, err := readLedger(s.Ledgers[i])
+	for i, role := range state.Roles {
+		budgets, err := readLedger(state.Ledgers[i])
 		if err != nil {
 			return err
 		}
-		m.ledgers[duty] = books
+		m.ledgers[role] = budgets
 	}
 	return nil
 }
 
-func readLedger(b *controlpb.Ledger) (map[uint64]*committedBudget, error) {
-	books := make(map[uint64]*committedBudget, len(b.Budgets))
-	for _, c := range b.Budgets {
-		k := &committedBudget{limit: shareOf(c.Limit), limitVersion: c.LimitVersion, maxMembers: int(c.MaxMembers), allocations: map[lease.Member]Allocation{}, carryover: c.Carryover}
-		for _, h := range c.Allocations {
-			if int(h.Member) >= len(b.Members) {
-				return nil, fmt.Errorf("budget: member %d of %d", h.Member, len(b.Members))
-			}
-			k.allocations[memberOf(b.Members[h.Member])] = Allocation{shareOf(h.Total), shareOf(h.ReservedMin)}
-		}
-		books[c.Budget] = k
-	}
-	return books, nil
-}
-
-// View is a budget as it is agreed, for those who look.
-type View struct {
-	Budget uint64 `json:"budget"`
-	Limit  Share  `json:"whole"`
-	// LimitVersion is that of the terms, twice, and one more where no others are acted on any more; 0: by configurations.
-	LimitVersion uint64             `json:"version,omitempty"`
-	MaxMembers   int                `json:"spread"`
-	Carryover    float64            `json:"spare"` // units of the reserve that the next owner would begin with
-	Allocations  []MemberAllocation `json:"held"`
-}
-
-// MemberAllocation is what one member may be using.
-type MemberAllocation struct {
-	Member lease.Member `json:"member"`
-	Allocation
-	Ended bool `json:"gone,omitempty"` // another process has its id now, or none: what it holds runs out
-}
-
-// ReadViews reads what Query gave.
-func ReadViews(raw []byte) (all []View, err error) {
-	var b controlpb.Ledger
-	if err := proto.Unmarshal(raw, &b); err != nil {
-		return nil, fmt.Errorf("budget: books that can't be read: %w", err)
-	}
-	books, err := readLedger(&b)
+func marshal(m proto.Message) []byte {
+	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return nil, err
+		panic(err) // messages of valid strings and numbers can always be encoded
 	}
-	for _, id := range slices.Sorted(maps.Keys(books)) {
-		v := View{Budget: id, Limit: books[id].limit, LimitVersion: books[id].limitVersion, MaxMembers: books[id].maxMembers, Carryover: books[id].carryover}
-		for _, who := range sortedMembers(books[id].allocations) {
-			v.Allocations = append(v.Allocations, MemberAllocation{Member: who, Allocation: books[id].allocations[who]})
-		}
-		all = append(all, v)
-	}
-	return all, nil
+	return raw
 }
--- /dev/null
+++ b/internal/controlplane/allocation/tokenbucket.go
@@ -0,0 +1,24 @@
+package allocation
+
+import "time"
+
+// tokenBucket stores units that arrive at a rate, up to a burst. Both are passed to each refill, as they
+// change with the division.
+type tokenBucket struct {
+	level float64 // units
+	at    time.Duration
+}
+
+// refill brings the bucket to a time. It returns the units that overflowed.
+func (b *tokenBucket) refill(now time.Duration, s Share) (overflow float64) {
+	if now > b.at {
+		b.level += s.Rate * (now - b.at).Seconds()
+		b.at = now
+	}
+	overflow = b.level - s.Burst
+	if overflow <= 0 {
+		return 0
+	}
+	b.level = s.Burst
+	return overflow
+}
