--- /dev/null
+++ b/internal/dataplane/policy/admission.go
@@ -0,0 +1,100 @@
+package policy
+
+import "math"
+
+const (
+	commonCapacity   = 0.5 // the part of the capacity that is open to all requests
+	maxRelativeValue = 1.5 // the largest value of a request that counts, in mean values
+)
+
+// Request decides on a new request: it is sent, rejected, failed, or waits for units.
+func (lb *Balancer) Request(now Time, q Request) {
+	lb.advanceClock(now)
+	if q.Class < 0 || q.Class >= len(lb.settings.Classes) ||
+		q.Plan < 0 || q.Plan >= len(lb.settings.Plans) {
+		lb.actions.Fail(q.ID)
+		return
+	}
+	if lb.arrivedTooLate(&q) {
+		lb.reject(q.ID, 0, ReasonTooLate)
+		return
+	}
+	c := lb.findOrAddCustomer(q.Customer, q.Plan, q.First, q.Spread)
+	lb.recordDemand(c, q.Units)
+	r := &request{Request: q, deadline: now + q.Timeout, customer: c}
+	switch {
+	case lb.saturated(lb.capacityFraction(r)):
+		lb.reject(q.ID, lb.minObjective/2, ReasonOverload)
+	case lb.usesAllocations(c):
+		lb.decideByAllocation(r)
+	case lb.needsHome(r):
+		lb.queryHome(r)
+	default:
+		lb.admit(r, lb.withinQuota(c, q.Units))
+	}
+}
+
+// arrivedTooLate reports whether a request came while this gateway was suspended, and is too old
+// for an answer within the latency objective. Its age is what its timeout lacks of the usual one.
+func (lb *Balancer) arrivedTooLate(q *Request) bool {
+	timeout := &lb.clientTimeouts[q.Plan][q.Class]
+	if lb.now > lb.resumedAt {
+		timeout.add(float64(q.Timeout), fastSampleWeight)
+		return false
+	}
+	expected := timeout.value - float64(q.Timeout) + lb.classLatencies[q.Class].value
+	return expected > float64(lb.settings.Classes[q.Class].LatencyObjective)
+}
+
+// capacityFraction returns the part of the back end's capacity that is open to a request: the more,
+// the more valuable it is for the work that it takes.
+func (lb *Balancer) capacityFraction(r *request) float64 {
+	work := lb.classLatencies[r.Class].value
+	if work == 0 {
+		return 1
+	}
+	class := &lb.settings.Classes[r.Class]
+	value := class.PriorityWeight * lb.settings.Plans[r.Plan].Price * r.Units / work
+	lb.meanValue.add(value, slowSampleWeight)
+	relative := math.Min(maxRelativeValue, value/math.Max(lb.meanValue.value, 1e-12))
+	return commonCapacity + (1-commonCapacity)*relative
+}
+
+// admit sends a request if its quota, or else the shared bucket, covers it, and its ceiling does.
+func (lb *Balancer) admit(r *request, withinQuota bool) {
+	defer lb.releaseUnused(r)
+	if !withinQuota && !lb.sharedBucketLends(r) {
+		lb.reject(r.ID, lb.refillDelay(r), lb.emptyReason(r))
+		return
+	}
+	ceiling := &r.customer.ceilingBucket
+	if !r.homePaysCeiling && !lb.underCeiling(r.customer, r.Units) {
+		lb.reject(r.ID, timeUntil(ceiling.level, ceiling.rate, r.Units), ReasonCeiling)
+		return
+	}
+	b := lb.pick(r, nil)
+	if b == nil {
+		lb.reject(r.ID, lb.minObjective/2, ReasonNoBackend)
+		return
+	}
+	lb.charge(r, withinQuota)
+	lb.earnRetry()
+	lb.requests[r.ID] = r
+	lb.sendAttempt(r, b)
+}
+
+// charge takes a request's units from where they are granted.
+func (lb *Balancer) charge(r *request, withinQuota bool) {
+	c := r.customer
+	if withinQuota {
+		lb.consume(c, r.Units)
+		lb.consumeAllocation(r)
+	} else {
+		lb.sharedBucket.level -= r.Units
+	}
+	plan := &lb.settings.Plans[r.Plan]
+	if plan.CeilingRate > 0 && !r.homePaysCeiling {
+		c.ceilingBucket.level -= r.Units
+	}
+	lb.recordSpend(c, r.Units)
+}
--- /dev/null
+++ b/internal/dataplane/policy/balancer.go
@@ -0,0 +1,73 @@
+package policy
+
+import (
+	"math/rand/v2"
+)
+
+// The tokens of the timers that a Balancer sets.
+const (
+	gossipTimer   uint32 = iota // all that is due regularly
+	decisionTimer               // a request has waited long enough for its home's answer
+)
+
+// sweepInterval is how often idle customers are dropped.
+const sweepInterval = second
+
+// Balancer makes one gateway's decisions. It is not safe for concurrent use.
+type Balancer struct {
+	settings        Settings
+	configuredPlans []Plan // as passed to New, before any UpdatePlans
+	actions         Actions
+	onReject        func(id uint64, reason RejectReason) // may be nil
+	rand            *rand.Rand
+
+	clock
+	snapshotState
+	customerTable
+	spareCapacity
+	gossipState
+	endpointTable
+	saturationState
+	attemptTable
+
+	allocations Allocations // nil: quotas are shared by gossip or through the counter
+	sharesUsage bool        // gateways learn of each other's use
+}
+
+// New returns a Balancer that knows nothing but its settings. The error is a *SettingsError.
+func New(set Settings, seed uint64, do Actions) (*Balancer, error) {
+	if err := set.validate(); err != nil {
+		return nil, err
+	}
+	lb := &Balancer{
+		settings:        set,
+		configuredPlans: set.Plans,
+		actions:         do,
+		rand:            rand.New(rand.NewPCG(seed, seed>>32)),
+		sharesUsage:     set.Gateways > 1 && (set.Peers || set.Counter),
+		snapshotState:   snapshotState{settingsSum: set.checksum()},
+		customerTable:   customerTable{customers: map[uint64]*customer{}},
+		spareCapacity:   newSpareCapacity(set.Plans),
+		gossipState:     newGossipState(&set, uint32(seed>>32)^uint32(seed)),
+		endpointTable:   endpointTable{backendByID: map[uint32]*backend{}},
+		saturationState: newSaturationState(&set),
+		attemptTable:    newAttemptTable(&set),
+	}
+	return lb, nil
+}
+
+// Timer handles a timer that was set with SetTimer.
+func (lb *Balancer) Timer(now Time, token uint32) {
+	lb.advanceClock(now)
+	if token != gossipTimer {
+		lb.decideAwaiting(nil, grantEntry{})
+		return
+	}
+	lb.scheduleTimer()
+	if now-lb.lastSweep >= sweepInterval {
+		lb.sweepIdleCustomers()
+	}
+	lb.gossip()
+	lb.probeUnhealthy()
+	lb.pollEndpoints()
+}
--- /dev/null
+++ b/internal/dataplane/policy/counter.go
@@ -0,0 +1,60 @@
+package policy
+
+import "math"
+
+// counterNameTTL is how long a name on the shared counter lives, the longest that it allows.
+const counterNameTTL = 60 * second
+
+// counterState is what this gateway knows of a customer from the shared counter and the meter.
+type counterState struct {
+	counterCalls  []float64   // units of the calls without an answer, oldest first
+	counterTotal  float64     // units, the last total heard
+	meteredDemand decayingSum // units requested here over the meter's period
+	shareFraction float64     // this gateway's part of all use, by the meter; 0: no reading yet
+}
+
+// addToCounter adds what was consumed here, and not announced, to the shared counter.
+func (lb *Balancer) addToCounter(c *customer) {
+	units := c.consumed - c.announcedConsumed
+	if c.consumed > c.announcedConsumed {
+		lb.actions.AddToCounter(c.id, units, counterNameTTL)
+		c.counterCalls = append(c.counterCalls, units)
+	}
+	c.announcedConsumed = c.consumed
+	c.pendingAnnouncements = 0
+}
+
+// ReceiveCounterTotal handles the answer to an AddToCounter: the total of a customer's use through
+// all gateways, in units. What a failed call added all the same later counts as a peer's use, which
+// errs on the side of rejecting.
+func (lb *Balancer) ReceiveCounterTotal(now Time, name uint64, r Result, total float64) {
+	lb.advanceClock(now)
+	c := lb.customers[name]
+	if c == nil || len(c.counterCalls) == 0 {
+		return
+	}
+	own := c.counterCalls[0]
+	c.counterCalls = c.counterCalls[1:]
+	if r != OK {
+		return
+	}
+	lb.refill(c)
+	byPeers := math.Max(0, total-c.counterTotal-own)
+	c.counterTotal = total
+	c.bucket.level = math.Max(0, c.bucket.level-byPeers)
+	c.peerUsage.add(now, c.demandWindow, byPeers)
+	lb.recordSpend(c, byPeers)
+}
+
+// applyMeterReading sets this gateway's part of a customer's quota by the use through all gateways
+// in the last metered period. The reading is 1 plus the percentage of the rate; 0 stands for none.
+func (lb *Balancer) applyMeterReading(c *customer, reading int) {
+	rate := lb.settings.Plans[c.plan].Rate
+	period := lb.settings.MeterPeriod
+	if period == 0 || reading == 0 || rate == 0 {
+		return
+	}
+	all := float64(reading-1) / 100 * rate
+	own := c.meteredDemand.get(lb.now, period) * float64(second) / float64(period)
+	c.shareFraction = own / math.Max(all, math.Max(own, 1e-9))
+}
--- /dev/null
+++ b/internal/dataplane/policy/customer.go
@@ -0,0 +1,169 @@
+package policy
+
+import "math"
+
+const (
+	// demandWindowFraction is the demand window, in the times in which an empty bucket fills.
+	demandWindowFraction = 0.5
+
+	// negligibleUnits stands for nothing: a decaying sum never quite reaches 0.
+	negligibleUnits = 0.01
+)
+
+// customer is what this gateway knows of one customer. A customer is served by its gateway set:
+// spread gateways in a row, from the one numbered first.
+type customer struct {
+	id     uint64
+	plan   int
+	first  int
+	spread int
+
+	bucket        tokenBucket // of the whole quota; of this gateway's share if usage is not shared
+	ceilingBucket tokenBucket // this gateway's part of the ceiling
+	inFlight      int         // attempts
+
+	demand
+	announcements
+	homeGrant
+	counterState
+	snapshotReserve
+}
+
+// demand is what a customer requests and consumes.
+type demand struct {
+	demandWindow Time
+	localDemand  decayingSum // units requested here
+	peerUsage    decayingSum // units requested at other gateways
+	requested    float64     // units requested here, in all
+	consumed     float64     // units consumed here, in all
+	lastUnits    float64     // of the last request
+	maxUnits     float64     // of the largest request
+}
+
+// customerTable holds the customers that this gateway has seen lately.
+type customerTable struct {
+	customers     map[uint64]*customer
+	customerOrder []*customer // oldest first
+	lastSweep     Time
+}
+
+// findOrAddCustomer returns a customer's record, refilled up to now.
+func (lb *Balancer) findOrAddCustomer(id uint64, plan, first, spread int) *customer {
+	c := lb.customers[id]
+	if c == nil {
+		c = lb.newCustomer(id, plan, first, spread)
+		p := &lb.settings.Plans[plan]
+		lb.idleRefill[plan] = math.Max(0, lb.idleRefill[plan]-p.Rate/float64(c.spread))
+		lb.customers[id] = c
+		lb.customerOrder = append(lb.customerOrder, c)
+	}
+	lb.refill(c)
+	return c
+}
+
+// newCustomer returns the record of a customer that this gateway does not know. Its bucket is full:
+// peers tell of those that are not, and available bounds what may be consumed until they can have
+// done so, so that a restart grants no second burst. Its part of the ceiling fills from this
+// gateway's start, with half of the slack: an earlier incarnation may have used the rest.
+func (lb *Balancer) newCustomer(id uint64, plan, first, spread int) *customer {
+	p := &lb.settings.Plans[plan]
+	spread = min(max(spread, 1), lb.settings.Gateways)
+	even := float64(spread)
+	c := &customer{
+		id:            id,
+		plan:          plan,
+		first:         (first%lb.settings.Gateways + lb.settings.Gateways) % lb.settings.Gateways,
+		spread:        spread,
+		bucket:        tokenBucket{level: p.Burst, rate: p.Rate, capacity: p.Burst, at: lb.now},
+		ceilingBucket: tokenBucket{level: p.CeilingSlack / even / 2, at: lb.stateSince},
+		homeGrant:     homeGrant{grantFraction: 1, announcedGrant: 1},
+	}
+	c.demandWindow = lb.demandWindowOf(p, spread)
+	c.ceilingBucket.rate, c.ceilingBucket.capacity = lb.ceilingShare(c)
+	if !lb.sharesUsage {
+		c.bucket.level /= even
+	}
+	c.ceilingBucket.refill(lb.now)
+	c.ceilingBucket.level -= lb.possiblySpent(c, c.ceilingBucket.rate)
+	c.bucket.level = math.Max(0, c.bucket.level-lb.possiblySpent(c, c.bucket.rate))
+	c.storedAllowance = snapshotAllowanceFraction * p.Burst // of a snapshot that does not name it
+	c.snapshotAllowance = c.storedAllowance
+	return c
+}
+
+// demandWindowOf returns the time over which a customer's demand is measured.
+func (lb *Balancer) demandWindowOf(p *Plan, spread int) Time {
+	if p.Rate == 0 {
+		return second
+	}
+	window := Time(demandWindowFraction * p.Burst / p.Rate * float64(second))
+	return max(window, lb.messageIntakeTime(spread))
+}
+
+// recordDemand counts what a customer requests, granted or not.
+func (lb *Balancer) recordDemand(c *customer, units float64) {
+	c.localDemand.add(lb.now, c.demandWindow, units)
+	c.meteredDemand.add(lb.now, max(1, lb.settings.MeterPeriod), units)
+	c.requested += units
+	c.lastUnits = units
+	c.maxUnits = math.Max(c.maxUnits, units)
+	lb.addGrantedDemand(c, units)
+	lb.markChanged(c)
+}
+
+// totalDemand returns the units requested lately through all gateways of the set.
+func (c *customer) totalDemand(now Time) float64 {
+	return c.localDemand.get(now, c.demandWindow) + c.peerUsage.get(now, c.demandWindow)
+}
+
+// inSet reports whether a gateway is of the customer's set.
+func (lb *Balancer) inSet(c *customer, gateway int) bool {
+	n := lb.settings.Gateways
+	return (gateway-c.first+n)%n < c.spread
+}
+
+// otherGateways returns the numbers of the other gateways of a customer's set.
+func (lb *Balancer) otherGateways(c *customer) []int {
+	peers := make([]int, 0, c.spread)
+	for i := range c.spread {
+		if peer := (c.first + i) % lb.settings.Gateways; peer != lb.settings.Self {
+			peers = append(peers, peer)
+		}
+	}
+	return peers
+}
+
+// sweepIdleCustomers drops idle customers. What their full buckets would spill goes on filling the
+// shared bucket.
+func (lb *Balancer) sweepIdleCustomers() {
+	lb.lastSweep = lb.now
+	lb.shareLoadView(loadViewFanout)
+	kept := lb.customerOrder[:0]
+	for _, c := range lb.customerOrder {
+		lb.refill(c)
+		lb.updateGrant(c)
+		if !c.idle(lb.now) {
+			kept = append(kept, c)
+			continue
+		}
+		lb.idleRefill[c.plan] += lb.settings.Plans[c.plan].Rate / float64(c.spread)
+		delete(lb.customers, c.id)
+	}
+	clear(lb.customerOrder[len(kept):])
+	lb.customerOrder = kept
+	lb.refillShared()
+	lb.sharedBucket.rate = sumOf(lb.idleRefill)
+}
+
+// idle reports whether nothing is lost when a customer's record is dropped.
+func (c *customer) idle(now Time) bool {
+	return c.localDemand.get(now, c.demandWindow) < negligibleUnits &&
+		c.peerUsage.get(now, c.demandWindow) < negligibleUnits &&
+		c.inFlight == 0 &&
+		c.pendingAnnouncements == 0 &&
+		len(c.counterCalls) == 0 &&
+		c.grantFraction == 1 &&
+		c.announcedGrant == 1 &&
+		c.bucket.level >= c.bucket.capacity &&
+		c.ceilingBucket.level >= c.ceilingBucket.capacity
+}
--- a/internal/dataplane/policy/decide_test.go
+++ b/internal/dataplane/policy/decide_test.go
@@ -429,35 +429,43 @@
 	}
 }
 
-func TestMay(t *testing.T) {
-	x, y := &backend{Endpoint: Endpoint{Cell: 1}}, &backend{Endpoint: Endpoint{Cell: 2}}
-	ran, unran := &attempt{backend: x, sentAt: start, mayHaveRun: true}, &attempt{backend: y, sentAt: start}
-	out := &attempt{backend: x, sentAt: start, mayHaveRun: true, pending: true}
-	safe, unsafe := &Class{Idempotency: Idempotent}, &Class{Idempotency: NotIdempotent}
-	cell, all := &Class{Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second}, &Class{Idempotency: WithIdempotencyKey, DeduplicationWindow: second}
+func TestMayRetry(t *testing.T) {
+	x := &backend{Endpoint: Endpoint{Cell: 1}}
+	y := &backend{Endpoint: Endpoint{Cell: 2}}
+	executed := &attempt{backend: x, sentAt: start, mayHaveRun: true}
+	notExecuted := &attempt{backend: y, sentAt: start}
+	pending := &attempt{backend: x, sentAt: start, mayHaveRun: true, pending: true}
+	idempotent := &Class{Idempotency: Idempotent}
+	notIdempotent := &Class{Idempotency: NotIdempotent}
+	keyed := &Class{Idempotency: WithIdempotencyKey, DeduplicationWindow: second}
+	keyedInCell := &Class{Idempotency: WithIdempotencyKey, DeduplicationWindow: second}
+	keyedInCell.DeduplicationScope = ScopeCell
 	for _, c := range []struct {
-		name          string
-		class         *Class
-		tries         []*attempt
-		copies        bool
-		at            Time
-		again, refuse bool
-		within        *attempt
+		name    string
+		class   *Class
+		made    []*attempt
+		hedging bool
+		after   Time
+		want    retryDecision
 	}{
-		{"nothing sent", unsafe, nil, false, 0, true, true, nil},
-		{"safe that ran", safe, []*attempt{ran}, false, 0, true, true, nil},
-		{"safe still out", safe, []*attempt{out}, false, 0, false, true, nil},
-		{"safe still out, copies", safe, []*attempt{out}, true, 0, true, true, nil},
-		{"unsafe never ran", unsafe, []*attempt{unran, unran}, false, 0, true, true, nil},
-		{"unsafe may have run", unsafe, []*attempt{unran, ran}, false, 0, false, false, nil},
-		{"keyed in its cell", cell, []*attempt{unran, ran}, false, second / 2, true, false, ran},
-		{"keyed behind its window", cell, []*attempt{ran}, false, second, false, false, ran},
-		{"keyed everywhere", all, []*attempt{ran}, false, 0, true, true, ran},
-		{"keyed never ran", cell, []*attempt{unran}, false, 9 * second, true, true, nil},
+		{"nothing sent", notIdempotent, nil, false, 0, retryDecision{true, nil, true}},
+		{"idempotent, executed", idempotent, []*attempt{executed}, false, 0, retryDecision{true, nil, true}},
+		{"idempotent, pending", idempotent, []*attempt{pending}, false, 0, retryDecision{false, nil, true}},
+		{"idempotent, pending, hedging", idempotent, []*attempt{pending}, true, 0, retryDecision{true, nil, true}},
+		{"not idempotent, not executed", notIdempotent, []*attempt{notExecuted, notExecuted}, false, 0,
+			retryDecision{true, nil, true}},
+		{"not idempotent, executed", notIdempotent, []*attempt{notExecuted, executed}, false, 0,
+			retryDecision{false, nil, false}},
+		{"keyed, in its cell", keyedInCell, []*attempt{notExecuted, executed}, false, second / 2,
+			retryDecision{true, executed, false}},
+		{"keyed, after its window", keyedInCell, []*attempt{executed}, false, second,
+			retryDecision{false, executed, false}},
+		{"keyed everywhere", keyed, []*attempt{executed}, false, 0, retryDecision{true, executed, true}},
+		{"keyed, not executed", keyedInCell, []*attempt{notExecuted}, false, 9 * second,
+			retryDecision{true, nil, true}},
 	} {
-		again, within, refuse := c.class.mayRetry(c.tries, c.copies, start+c.at, 1000)
-		if again != c.again || within != c.within || refuse != c.refuse {
-			t.Errorf("%s: again %v within %v refuse %v", c.name, again, within, refuse)
+		if got := c.class.mayRetry(c.made, c.hedging, start+c.after, 1000); got != c.want {
+			t.Errorf("%s: %+v, %+v wanted", c.name, got, c.want)
 		}
 	}
 }
@@ -717,7 +725,7 @@
 	for range 5 {
 		r.recordOutcome(&attempt{backend: b}, 0, Failed, 1)
 	}
-	if b.errorRate < ejectionErrorRate || r.fake.count("log backend 2 out: errors") == 0 {
+	if b.errorRate < ejectionErrorRate || r.fake.count("log backend 2 ejected: errors") == 0 {
 		t.Errorf("errors %g", b.errorRate)
 	}
 }
--- /dev/null
+++ b/internal/dataplane/policy/endpoints.go
@@ -0,0 +1,111 @@
+package policy
+
+import "slices"
+
+// backend is one server as this gateway sees it.
+type backend struct {
+	Endpoint
+	listed          bool
+	inFlight        int  // attempts
+	overdue         int  // of those, the ones past their latency objective
+	unansweredSince Time // in active time: when it answered last, or became busy
+	lastSend        Time // 0: never
+	reportedQueue   float64
+	queueReportedAt Time
+	slowStart       tokenBucket   // sends
+	faultReports    []decayingSum // by class, then by plan
+	outlierState
+	latencyState
+	trialState
+}
+
+// endpointTable holds the backends that discovery lists, or listed while they have attempts in
+// flight.
+type endpointTable struct {
+	backends    []*backend
+	backendByID map[uint32]*backend
+	meanWeight  float64 // of the backends that are ready and have one; 0: none has
+	lastWatch   Time
+	watching    bool // discovery tells of changes
+}
+
+// UpdateEndpoints handles a watch event. Backends that it tells to be draining or removed get no
+// further attempts.
+func (lb *Balancer) UpdateEndpoints(now Time, kind ListKind, list []Endpoint) {
+	lb.advanceClock(now)
+	if kind == Unavailable {
+		lb.watching = false
+		return
+	}
+	if kind != CompleteCached && kind != StaleBootstrap {
+		lb.watching = true
+	}
+	for _, b := range lb.backends {
+		b.listed = b.listed && kind == Delta
+	}
+	for _, endpoint := range list {
+		lb.updateEndpoint(kind, endpoint)
+	}
+	lb.pruneBackends()
+	lb.updateMeanWeight()
+}
+
+// updateEndpoint takes over one entry of a list. A new process at a backend is in slow start.
+func (lb *Balancer) updateEndpoint(kind ListKind, m Endpoint) {
+	b := lb.findOrAddBackend(m)
+	if m.StartedAt > b.StartedAt {
+		b.latencyRatio = 0
+		b.errorRate = 0
+		b.slowStart = lb.newSlowStartBucket()
+	}
+	m.StartedAt = max(m.StartedAt, b.StartedAt)
+	b.Endpoint = m
+	b.listed = m.State != Removed
+	b.maybeRestarted = kind == StaleBootstrap
+	if b.maybeRestarted {
+		lb.scheduleTrial(b)
+	}
+}
+
+// findOrAddBackend returns a backend's record.
+func (lb *Balancer) findOrAddBackend(m Endpoint) *backend {
+	b := lb.backendByID[m.Backend]
+	if b == nil {
+		b = &backend{
+			Endpoint:     m,
+			slowStart:    lb.newSlowStartBucket(),
+			faultReports: make([]decayingSum, len(lb.settings.Classes)+len(lb.settings.Plans)),
+		}
+		lb.restoreBackend(b)
+		lb.backendByID[m.Backend] = b
+		lb.backends = append(lb.backends, b)
+	}
+	return b
+}
+
+// pruneBackends drops the backends that are not listed and have no attempts in flight.
+func (lb *Balancer) pruneBackends() {
+	lb.backends = slices.DeleteFunc(lb.backends, func(b *backend) bool {
+		gone := !b.listed && b.inFlight == 0
+		if gone {
+			delete(lb.backendByID, b.Backend)
+		}
+		return gone
+	})
+}
+
+// watchEndpoints asks discovery for the list and its changes.
+func (lb *Balancer) watchEndpoints() {
+	lb.lastWatch = lb.now
+	lb.actions.WatchEndpoints()
+}
+
+// pollEndpoints asks discovery again if it is to be polled and does not tell of changes.
+func (lb *Balancer) pollEndpoints() {
+	if !lb.settings.PollEndpoints || lb.watching {
+		return
+	}
+	if lb.now-lb.lastWatch >= lb.settings.PollInterval/4 {
+		lb.watchEndpoints()
+	}
+}
--- /dev/null
+++ b/internal/dataplane/policy/gossipsend.go
@@ -0,0 +1,247 @@
+package policy
+
+import (
+	"cmp"
+	"slices"
+)
+
+const (
+	minGossipInterval     = second / 30
+	gossipMessageFraction = 0.5 // of the messages a peer takes in, for regular gossip
+	maxDirectPeers        = 8   // gateways that tell one another all; a larger set has a home
+	announcementRepeats   = 2   // a change is told once more than needed, against loss
+	calmPeriods           = 4   // gossip intervals between messages of a bucket far from empty
+	startupPeriods        = 4   // gossip intervals until a new gateway was told of all buckets
+	loadViewFanout        = 6   // peers, drawn each sweep, that are sent the load view
+)
+
+// gossipState is what this gateway sends to its peers, and when it heard from each.
+type gossipState struct {
+	incarnation      uint32 // of this process
+	gossipInterval   Time
+	pendingGossip    []*customer // whose use has changed since it was last announced
+	outgoing         [][]byte    // for each peer, the message under construction
+	pendingFaults    []pendingFault
+	peerIncarnations []uint32
+	peerHeardAt      []Time
+	urgentState
+}
+
+// announcements is what a customer's gateway set was told of it.
+type announcements struct {
+	announcedConsumed    float64 // units, of those consumed here
+	announcedRequested   float64 // units, of those requested here
+	pendingAnnouncements int     // how often its use is still to be announced
+	nextAnnouncement     Time    // not before, if the peers can wait
+	urgentSince          Time    // since when an urgent message waits for a token; 0: none does
+	peerTotals           []peerTotals
+	restored             bool // the bucket is a restored one, of which no peer has told since
+}
+
+func newGossipState(set *Settings, incarnation uint32) gossipState {
+	s := gossipState{
+		incarnation:      incarnation,
+		gossipInterval:   minGossipInterval,
+		outgoing:         make([][]byte, set.Gateways),
+		peerIncarnations: make([]uint32, set.Gateways),
+		peerHeardAt:      make([]Time, set.Gateways),
+		urgentState:      urgentState{urgentBuckets: make([]tokenBucket, set.Gateways)},
+	}
+	if set.MaxPeerMessagesPerSecond > 0 {
+		senders := min(set.Gateways-1, maxDirectPeers)
+		s.gossipInterval = max(s.gossipInterval, set.messageIntakeTime(senders))
+	}
+	return s
+}
+
+// messageIntakeTime returns the time in which a gateway can take in one message from each of so
+// many senders.
+func (set *Settings) messageIntakeTime(senders int) Time {
+	rate := gossipMessageFraction * max(set.MaxPeerMessagesPerSecond, 1)
+	return Time(float64(senders) / rate * float64(second))
+}
+
+func (lb *Balancer) messageIntakeTime(senders int) Time {
+	return lb.settings.messageIntakeTime(senders)
+}
+
+// announce tells the neighbours that this gateway has just started and knows nothing.
+func (lb *Balancer) announce() {
+	for peer := range lb.outgoing {
+		lb.peerHeardAt[peer] = lb.now
+		if lb.announcesTo(lb.settings.Self, peer) {
+			lb.actions.SendToPeer(peer, lb.newPeerMessage())
+		}
+	}
+}
+
+// announcesTo reports whether a gateway tells another of its start.
+func (lb *Balancer) announcesTo(from, to int) bool {
+	n := lb.settings.Gateways
+	return lb.settings.Peers && from != to && (to-from+n)%n <= maxDirectPeers
+}
+
+// markChanged has a customer's use announced with the next regular messages.
+func (lb *Balancer) markChanged(c *customer) {
+	if c.spread == 1 || !lb.sharesUsage || lb.isRemote(c) && lb.consultsHome(c) {
+		c.announcedConsumed = c.consumed
+		return
+	}
+	if c.pendingAnnouncements == 0 {
+		lb.pendingGossip = append(lb.pendingGossip, c)
+	}
+	c.pendingAnnouncements = announcementRepeats
+}
+
+// gossip tells peers, or the counter, of every customer whose use has changed, those first that
+// consumed the largest part of their burst.
+func (lb *Balancer) gossip() {
+	slices.SortStableFunc(lb.pendingGossip, compareUnannounced)
+	kept := lb.pendingGossip[:0]
+	for _, c := range lb.pendingGossip {
+		lb.refill(c)
+		lb.updateGrant(c)
+		lb.announceUse(c)
+		if c.pendingAnnouncements > 0 {
+			kept = append(kept, c)
+		}
+	}
+	lb.pendingGossip = kept
+	lb.flushMessages()
+}
+
+// compareUnannounced orders customers by what was consumed and not announced, as a part of the
+// burst, largest first. The quotients are compared as products.
+func compareUnannounced(a, b *customer) int {
+	return cmp.Compare(
+		(b.consumed-b.announcedConsumed)*a.bucket.capacity,
+		(a.consumed-a.announcedConsumed)*b.bucket.capacity,
+	)
+}
+
+// announceUse announces a customer's use where it is due and the messages have room for it.
+func (lb *Balancer) announceUse(c *customer) {
+	if lb.now < c.nextAnnouncement && lb.announcementCanWait(c) {
+		return
+	}
+	if !lb.settings.Peers {
+		lb.addToCounter(c)
+		return
+	}
+	if lb.queueUsage(c) {
+		lb.useAnnounced(c)
+	}
+}
+
+// announcementCanWait reports whether the peers decide as well without the next announcement.
+func (lb *Balancer) announcementCanWait(c *customer) bool {
+	if lb.isRemote(c) && c.grantFraction < 1 {
+		return true
+	}
+	return lb.settings.Peers && !lb.hasHome(c) && !lb.nearlyEmpty(c)
+}
+
+// useAnnounced takes note that a customer's use is in the messages under construction.
+func (lb *Balancer) useAnnounced(c *customer) {
+	c.announcedConsumed = c.consumed
+	c.announcedRequested = c.requested
+	c.pendingAnnouncements--
+	c.nextAnnouncement = lb.now + calmPeriods*lb.gossipInterval
+	if lb.hasHome(c) {
+		c.pendingAnnouncements = 0
+		c.nextAnnouncement = lb.now + lb.messageIntakeTime(c.spread)
+	}
+	if c.urgentSince != 0 {
+		lb.urgentDelay.add(float64(lb.now-c.urgentSince), fastSampleWeight)
+		c.urgentSince = 0
+	}
+}
+
+// queueUsage adds a customer to the messages for all gateways that are told of its use. It reports
+// whether all of them had room; else it adds it to none.
+func (lb *Balancer) queueUsage(c *customer) bool {
+	first, n := lb.gossipTargets(c)
+	for i := range n {
+		peer := (first + i) % lb.settings.Gateways
+		if len(lb.outgoing[peer])+entrySize > maxMessageSize {
+			return false
+		}
+	}
+	e := lb.usageEntryOf(c)
+	for i := range n {
+		peer := (first + i) % lb.settings.Gateways
+		if peer != lb.settings.Self {
+			lb.outgoing[peer] = e.appendTo(lb.messageTo(peer))
+		}
+	}
+	return true
+}
+
+// gossipTargets returns to how many gateways, from which number on, a customer's use is told.
+func (lb *Balancer) gossipTargets(c *customer) (first, n int) {
+	if lb.hasHome(c) {
+		return lb.homeOf(c), 1
+	}
+	return c.first, c.spread
+}
+
+// usageEntryOf returns what this gateway has to tell of a customer.
+func (lb *Balancer) usageEntryOf(c *customer) usageEntry {
+	remaining := c.bucket.level / max(c.bucket.capacity, 1e-9)
+	if lb.hasHome(c) {
+		remaining = c.grantFraction
+	}
+	return usageEntry{
+		id:             c.id,
+		plan:           c.plan,
+		first:          c.first,
+		spread:         c.spread,
+		consumed:       toWireUnits(c.consumed),
+		requested:      toWireUnits(c.requested),
+		newlyRequested: toWireUnits(c.requested - c.announcedRequested),
+		remaining:      remaining,
+	}
+}
+
+// shareLoadView has messages with this gateway's load view go to n peers, drawn each time, so that
+// a gateway that serves no customer of theirs is heard of.
+func (lb *Balancer) shareLoadView(n int) {
+	for range n {
+		peer := lb.rand.IntN(lb.settings.Gateways)
+		if lb.settings.Peers && peer != lb.settings.Self {
+			lb.outgoing[peer] = lb.messageTo(peer)
+		}
+	}
+}
+
+// messageTo returns the message under construction for a peer, or a new one.
+func (lb *Balancer) messageTo(peer int) []byte {
+	if len(lb.outgoing[peer]) == 0 {
+		return lb.newPeerMessage()
+	}
+	return lb.outgoing[peer]
+}
+
+// newPeerMessage returns a message with the header and the fault reports that are still to be sent.
+func (lb *Balancer) newPeerMessage() []byte {
+	held, onTime, gateways := lb.loadView()
+	message := messageHeader(lb.incarnation, held/gateways, onTime/gateways)
+	return lb.appendFaultReports(message)
+}
+
+// flushMessages sends the messages under construction.
+func (lb *Balancer) flushMessages() {
+	for peer, message := range lb.outgoing {
+		if len(message) > 0 {
+			lb.sendMessage(peer)
+		}
+	}
+}
+
+// sendMessage sends the message under construction for a peer. It counts as an urgent one, so that
+// urgent ones only use what the regular ones leave.
+func (lb *Balancer) sendMessage(peer int) {
+	lb.urgentBucket(peer).level--
+	lb.actions.SendToPeer(peer, lb.outgoing[peer])
+	lb.outgoing[peer] = lb.outgoing[peer][:0]
+}
--- /dev/null
+++ b/internal/dataplane/policy/gossipurgent.go
@@ -0,0 +1,90 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	messageDelay          = second / 14 // until an urgent message is heard, with room for chance
+	delayIncrease         = second / 50 // added to that when messages prove late or lost
+	delayDecrease         = second / 2000
+	maxLearnedDelay       = second / 2
+	counterDelayPeriods   = 2   // gossip intervals until the counter tells what others consume
+	urgentMessageFraction = 0.8 // of the messages a peer takes in, those that urgent ones may use
+	urgentBurst           = 8.0 // urgent messages to one peer that may follow one another
+)
+
+// urgentState limits the messages that are sent at once, and measures how late peers hear them.
+type urgentState struct {
+	urgentBuckets []tokenBucket // messages, for each peer
+	urgentDelay   runningMean   // microseconds for which an urgent message waits for a token
+	learnedDelay  Time          // how much later than messageDelay they are heard
+}
+
+// nearlyEmpty reports whether a customer's bucket may be empty before all gateways of its set have
+// heard so: they then tell at once what they consume. All of them judge by the same bucket.
+func (lb *Balancer) nearlyEmpty(c *customer) bool {
+	all := c.totalDemand(lb.now)
+	soon := all * float64(2*calmPeriods*lb.gossipInterval) / float64(c.demandWindow)
+	return c.bucket.level < 2*c.lastUnits+soon
+}
+
+// notifyPeersNow tells a customer's gateway set at once of its use if the bucket is nearly empty
+// and every peer can take in a message; else the next regular messages will.
+func (lb *Balancer) notifyPeersNow(c *customer) {
+	if !lb.settings.Peers || c.spread == 1 || lb.hasHome(c) || !lb.nearlyEmpty(c) {
+		return
+	}
+	peers := lb.otherGateways(c)
+	busy := func(peer int) bool { return lb.urgentBucket(peer).level < 1 }
+	if slices.ContainsFunc(peers, busy) || !lb.queueUsage(c) {
+		c.urgentSince = lb.now
+		return
+	}
+	lb.urgentDelay.add(0, fastSampleWeight)
+	c.announcedConsumed = c.consumed
+	c.announcedRequested = c.requested
+	c.nextAnnouncement = lb.now + lb.gossipInterval
+	c.pendingAnnouncements = announcementRepeats - 1
+	for _, peer := range peers {
+		lb.sendMessage(peer)
+	}
+}
+
+// urgentBucket returns how many messages a peer may be sent at once. The peer's limit is shared by
+// the gateways that this one hears of, who are taken to be as many as the peer hears of.
+func (lb *Balancer) urgentBucket(peer int) *tokenBucket {
+	b := &lb.urgentBuckets[peer]
+	heard := math.Max(1, lb.peersHeard.get(lb.activeTime, second))
+	senders := math.Min(float64(lb.settings.Gateways-1), heard)
+	b.rate = urgentMessageFraction * math.Max(lb.settings.MaxPeerMessagesPerSecond, 1) / senders
+	b.capacity = urgentBurst
+	b.refill(lb.now)
+	return b
+}
+
+// notificationDelay returns how long it takes until this gateway hears what the others of a set
+// consume. Urgent messages of theirs are taken to wait for a token as long as those sent here.
+func (lb *Balancer) notificationDelay(c *customer) Time {
+	switch {
+	case !lb.settings.Peers:
+		return counterDelayPeriods * lb.gossipInterval
+	case lb.nearlyEmpty(c):
+		return messageDelay + lb.learnedDelay + Time(lb.urgentDelay.value)
+	}
+	return calmPeriods * lb.gossipInterval
+}
+
+// adjustLearnedDelay leaves more of a bucket to the peers where they prove to have consumed units
+// that this gateway had granted as well: messages are lost, or later than assumed.
+func (lb *Balancer) adjustLearnedDelay(c *customer, consumed float64) {
+	switch {
+	case consumed == 0 || c.bucket.level >= consumed+2*c.lastUnits || !lb.settings.Peers:
+		// The bucket is full enough to say nothing about delays.
+	case c.bucket.level < consumed:
+		lb.learnedDelay = min(lb.learnedDelay+delayIncrease, maxLearnedDelay)
+	default:
+		lb.learnedDelay = max(0, lb.learnedDelay-delayDecrease)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/policy/hedge.go
@@ -0,0 +1,24 @@
+package policy
+
+const (
+	hedgeAfterMeanLatencies   Time    = 10   // of the class
+	minHedgeObjectiveFraction float64 = 0.05 // a moment's pause is no fault
+)
+
+// hedgeAt returns when the attempt just made is given up for another one, or 0 if it keeps the
+// client's deadline. It is given up only where another attempt may be made, the back end has
+// capacity for it, and it can still be answered within the latency objective.
+func (lb *Balancer) hedgeAt(r *request) Time {
+	class := &lb.settings.Classes[r.Class]
+	if class.Idempotency == NotIdempotent || lb.retryBudget < 1 ||
+		len(r.attempts) == lb.settings.MaxAttempts || lb.saturated(sharedBucketCapacity) {
+		return 0
+	}
+	latency := Time(lb.classLatencies[r.Class].value)
+	least := Time(minHedgeObjectiveFraction * float64(class.LatencyObjective))
+	at := lb.now + max(hedgeAfterMeanLatencies*latency, least)
+	if latency == 0 || at+latency > r.attempts[0].sentAt+class.LatencyObjective {
+		return 0
+	}
+	return at
+}
--- /dev/null
+++ b/internal/dataplane/policy/outlier.go
@@ -0,0 +1,169 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+)
+
+const (
+	ejectionErrorRate    = 0.25 // of recent answers, those that are errors
+	connectionFaultDecay = second
+	maxRecentResets      = 2.5
+	minProbeBackoff      = second / 2
+	maxProbeBackoff      = 4 * second
+	latencyRatioHalfLife = 4 * second
+	maxLatencyRatio      = 20.0 // of a single answer
+	promptAnswerFactor   = 2.0  // usual latencies within which an answer shows a warm backend
+)
+
+// outlierState is a backend's health as this gateway sees it. An unhealthy backend, or one with too
+// many errors, is ejected: it is sent nothing but trials.
+type outlierState struct {
+	unhealthy        bool // until a trial succeeds
+	unresponsive     bool // unhealthy without a sign that its process has ended
+	errorRate        float64
+	connectionFaults decayingSum
+	ejectedAt        Time // when it was last ejected
+	probeBackoff     Time // between trials
+	nextProbe        Time
+}
+
+// latencyState is how slow a backend is.
+type latencyState struct {
+	latencyRatio   float64 // to the usual latency of each class; 0: not known
+	latencyRatioAt Time
+}
+
+// ejected reports whether a backend is left out. If probes are allowed, they are the trials of an
+// unhealthy one; else, and after errors, single requests are.
+func (lb *Balancer) ejected(b *backend) bool {
+	if b.unhealthy && lb.settings.Probes {
+		return true
+	}
+	if !b.unhealthy && b.errorRate < ejectionErrorRate {
+		return false
+	}
+	return lb.now < b.nextProbe || b.inFlight > 0
+}
+
+// eject leaves a backend out, each time in a row for longer.
+func (lb *Balancer) eject(b *backend, reason string) {
+	if lb.now-b.ejectedAt > 2*maxProbeBackoff {
+		b.probeBackoff = 0
+	}
+	b.probeBackoff = min(max(minProbeBackoff, 2*b.probeBackoff), maxProbeBackoff)
+	b.ejectedAt = lb.now
+	b.nextProbe = lb.now + b.probeBackoff
+	lb.actions.Log(fmt.Sprintf("backend %d ejected: %s", b.Backend, reason))
+}
+
+// readmit ends an ejection for bad health. Where no connection could be made, the process may have
+// restarted, whether discovery tells so or not, and the backend enters slow start. One that was
+// unresponsive or only reset connections is still warm.
+func (lb *Balancer) readmit(b *backend) {
+	if !b.unhealthy {
+		return
+	}
+	b.unhealthy = false
+	b.latencyRatio = 0
+	b.unansweredSince = lb.activeTime
+	if !b.unresponsive {
+		b.StartedAt = max(b.StartedAt, lb.now)
+		b.slowStart = lb.newSlowStartBucket()
+	}
+	lb.actions.Log(fmt.Sprintf("backend %d readmitted", b.Backend))
+}
+
+// recordOutcome learns from how an attempt ended. The duration is in microseconds.
+func (lb *Balancer) recordOutcome(a *attempt, class int, r Result, duration float64) {
+	b := a.backend
+	switch r {
+	case OK:
+		lb.readmit(b)
+		b.consecutiveRejections = 0
+		lb.recordPromptness(b, class, duration)
+		if !a.spansSuspension {
+			lb.recordLatency(b, class, r, duration)
+			b.recordError(0)
+		}
+	case TimedOut:
+		if !a.spansSuspension {
+			lb.recordLatency(b, class, r, duration)
+			b.recordError(0)
+		}
+	case Failed:
+		b.recordError(1)
+		lb.ejectForErrors(b)
+	case ConnectFailed, Reset:
+		b.maybeRestarted = true // before anybody tells of that
+		if !lb.recordConnectionFault(b, r) {
+			b.recordError(1)
+			lb.ejectForErrors(b)
+		}
+	}
+}
+
+// recordError adds an answer to the error rate: 1 for an error, 0 for none.
+func (s *outlierState) recordError(failed float64) {
+	s.errorRate += fastSampleWeight * (failed - s.errorRate)
+}
+
+// ejectForErrors ejects a backend with too many errors, unless it is out already.
+func (lb *Balancer) ejectForErrors(b *backend) {
+	if b.errorRate >= ejectionErrorRate && lb.now >= b.nextProbe {
+		lb.eject(b, "errors")
+	}
+}
+
+// recordPromptness ends the suspicion that a backend has restarted once an answer is prompt.
+func (lb *Balancer) recordPromptness(b *backend, class int, duration float64) {
+	objective := float64(lb.settings.Classes[class].LatencyObjective)
+	usual := math.Max(lb.classLatencies[class].value, saturationLatencyFraction*objective)
+	b.maybeRestarted = b.maybeRestarted && duration > promptAnswerFactor*usual
+}
+
+// recordLatency adds an answer's latency to the means and to the backend's ratio. In slow start a
+// backend is taken to be slower in proportion.
+func (lb *Balancer) recordLatency(b *backend, class int, r Result, duration float64) {
+	warm := lb.warmFraction(b)
+	if r == OK && warm == 1 {
+		lb.meanLatency.add(duration, slowSampleWeight)
+		lb.classLatencies[class].add(duration, slowSampleWeight)
+	}
+	usual := lb.classLatencies[class].value
+	if usual > 0 {
+		b.addLatencyRatio(lb.now, duration*warm/usual)
+	}
+}
+
+// addLatencyRatio adds an answer's latency, in usual ones.
+func (s *latencyState) addLatencyRatio(now Time, ratio float64) {
+	current := s.currentLatencyRatio(now)
+	s.latencyRatio = current + fastSampleWeight*(math.Min(ratio, maxLatencyRatio)-current)
+	s.latencyRatioAt = now
+}
+
+// currentLatencyRatio returns the ratio as of now: without answers it returns to 1.
+func (s *latencyState) currentLatencyRatio(now Time) float64 {
+	if s.latencyRatio == 0 {
+		return 1
+	}
+	age := float64(now - s.latencyRatioAt)
+	return 1 + (s.latencyRatio-1)*math.Exp2(-age/float64(latencyRatioHalfLife))
+}
+
+// recordConnectionFault takes note that a connection to a backend failed or was reset, and reports
+// whether the backend is unhealthy. A single reset concerns a single connection. Even after many
+// the process may still run, and be warm: only a failure to connect shows that it has ended.
+func (lb *Balancer) recordConnectionFault(b *backend, r Result) bool {
+	b.connectionFaults.add(lb.now, connectionFaultDecay, 1)
+	if r == Reset && b.connectionFaults.sum < maxRecentResets {
+		return false
+	}
+	b.unresponsive = r == Reset && (b.unresponsive || !b.unhealthy)
+	if !b.unhealthy || lb.now >= b.nextProbe {
+		b.unhealthy = true
+		lb.eject(b, "connections break")
+	}
+	return true
+}
--- a/internal/dataplane/policy/snapshot_test.go
+++ b/internal/dataplane/policy/snapshot_test.go
@@ -112,7 +112,7 @@
 		a.end(a.next, OK, true)
 	}
 	slow := a.backendByID[2]
-	slow.recordLatency(a.at, 20)
+	slow.addLatencyRatio(a.at, 20)
 	broken := a.backendByID[3]
 	broken.unhealthy = true
 	a.eject(broken, "test")
@@ -138,7 +138,7 @@
 func TestRestartedBackendIsNotRecalled(t *testing.T) {
 	set := settings()
 	a := newRig(t, set)
-	a.backendByID[1].recordLatency(a.at, 20)
+	a.backendByID[1].addLatencyRatio(a.at, 20)
 	a.backendByID[2].StartedAt, a.backendByID[2].slowStart = a.at, tokenBucket{at: a.at} // found to have restarted by itself
 	b := restored(t, set, a.at+second/10, a.TakeSnapshot(a.at, true))
 	list := members(4)
--- /dev/null
+++ b/internal/dataplane/policy/trial.go
@@ -0,0 +1,48 @@
+package policy
+
+import "math"
+
+// Many gateways must not try a backend at the same time that may hold nothing but has little to
+// offer. Up to maxConcurrentTrials of them may; each further one adds trialSpacing to the time over
+// which they begin. No gateway has to hear of another for that.
+const (
+	maxConcurrentTrials = 6
+	trialSpacing        = second / 30
+)
+
+// trialState keeps a gateway from a backend that may be cold or full.
+type trialState struct {
+	maybeRestarted        bool // only a stale list names it, or a connection failed
+	notBefore             Time // when it may be tried if it may have restarted
+	consecutiveRejections int
+	backoffUntil          Time // nothing is sent before, after a rejection
+}
+
+// trialSpread returns the time over which all gateways begin to try a backend.
+func (lb *Balancer) trialSpread() float64 {
+	return float64(trialSpacing * Time(max(0, lb.settings.Gateways-maxConcurrentTrials)))
+}
+
+// awaitsTrial reports whether a backend that may have restarted is to be sent nothing now. It gets
+// one attempt at a time.
+func (lb *Balancer) awaitsTrial(b *backend) bool {
+	return b.maybeRestarted && (b.inFlight > 0 || lb.now < b.notBefore)
+}
+
+// scheduleTrial draws when a backend that only a stale list names may be tried.
+func (lb *Balancer) scheduleTrial(b *backend) {
+	b.notBefore = lb.now + Time(lb.rand.Float64()*lb.trialSpread())
+}
+
+// backOffRejecting has nothing sent to a backend for a while after it rejected an attempt: it holds
+// nothing then and would look idle to every gateway. The wait is drawn; it doubles with each
+// rejection in a row.
+func (lb *Balancer) backOffRejecting(b *backend) {
+	if lb.now < b.backoffUntil {
+		return // sent before the first rejection was known
+	}
+	wait := lb.trialSpread() * math.Exp2(float64(b.consecutiveRejections))
+	b.consecutiveRejections++
+	drawn := math.Min(wait, float64(maxProbeBackoff)) * (0.5 + lb.rand.Float64()/2)
+	b.backoffUntil = lb.now + Time(drawn)
+}
