--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -51,22 +51,22 @@
 }
 
 // distributionFigures tells what a search came to.
-func distributionFigures(seed uint64, found *distribution.Found) *harness.Summary {
+func distributionFigures(seed uint64, found *distribution.SearchResult) *harness.Summary {
 	figures := harness.NewSummary("distributionsearch", seed)
 	figures.Seconds = found.Took.Seconds()
 	var findings []distributionFinding
 	for _, x := range found.Findings {
-		rule := string(x.Breach.What)
+		rule := string(x.Breach.Rule)
 		findings = append(findings,
-			distributionFinding{rule, x.Breach.How + " at " + x.Breach.At, x.After, x})
+			distributionFinding{rule, x.Breach.Detail + " at " + x.Breach.At, x.After, x})
 		figures.Broken[harness.Rule(rule)]++
-		figures.AddFailure(rule + ": " + x.Breach.How)
+		figures.AddFailure(rule + ": " + x.Breach.Detail)
 	}
 	figures.Extra["schedules"], figures.Extra["findings"], figures.Extra["faults"] = found.Plays, findings, found.Faults
 	figures.Extra["revisions"], figures.Extra["deliveries"] = found.Revisions, found.Delivered
 	figures.Extra["resumes"], figures.Extra["repairs"], figures.Extra["refused"] = found.Resumes, found.Repairs, found.Refused
 	figures.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
-	for _, kind := range distribution.Kinds {
+	for _, kind := range distribution.FaultKinds {
 		if found.Faults[kind] == 0 {
 			figures.AddFailure("no fault " + kind + ": nothing was shown")
 		}
--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -39,16 +39,16 @@
 			"gateways that every customer comes through; 0: 2 to 4, as drawn")
 		f.Float64Var(&o.Surge, "surge", 0,
 			"one plan's customers ask for so many times more in the middle third")
-		f.Float64Var(&o.NoteLoss, "loss", -1,
+		f.Float64Var(&o.MessageLoss, "loss", -1,
 			"part of the notes between gateways that is lost; -1: as drawn")
-		f.DurationVar(&o.NoteLate, "late", 0, "how much later than usual notes come")
-		f.Float64Var(&o.NoteTwice, "twice", 0, "part of the notes that come twice")
+		f.DurationVar(&o.MessageDelay, "late", 0, "how much later than usual notes come")
+		f.Float64Var(&o.MessageDuplication, "twice", 0, "part of the notes that come twice")
 		f.DurationVar(&o.Shift, "shift", 0,
 			"how often a customer's busiest gateway changes; 0: 15s")
 		f.DurationVar(&o.Kills, "kills", 0, "a gateway is killed each so often")
 		f.DurationVar(&o.Restarts, "restarts", 0,
 			"a server ends, and comes back cold, each so often")
-		f.BoolVar(&o.State, "state", false,
+		f.BoolVar(&o.Snapshots, "state", false,
 			"gateways keep their state, and killed ones come back with it")
 		world := f.String(
 			"world",
@@ -60,11 +60,11 @@
 				return nil
 			}
 			t := o
-			t.Seed, t.For = 1, time.Second
+			t.Seed, t.Duration = 1, time.Second
 			return t.Check()
 		}
 		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
-			o.Seed, o.For = seed, length
+			o.Seed, o.Duration = seed, length
 			if *world != "" {
 				s, err := readSchedule(*world)
 				if err != nil {
@@ -72,7 +72,7 @@
 				}
 				o = s.Options
 			}
-			return sim.RunFigures(o)
+			return sim.RunSummary(o)
 		}
 	})
 }
@@ -116,12 +116,12 @@
 				fig.Extra["schedules"], fig.Extra["states"], fig.Extra["found"], fig.Extra["findings"] = found.Schedules, found.States, len(found.Findings), found.Findings
 				for _, x := range found.Findings {
 					fig.Broken[harness.Rule(x.Rule)]++
-					fig.AddFailure(x.Rule + ": " + x.What)
+					fig.AddFailure(x.Rule + ": " + x.Detail)
 					fmt.Fprintf(
 						b.progress,
 						"%s: %s\nplay it again with: lab sim --world - <<< '%s'\n",
 						x.Rule,
-						x.What,
+						x.Detail,
 						x.Schedule,
 					)
 				}
--- a/cmd/mothcleat/store.go
+++ b/cmd/mothcleat/store.go
@@ -37,9 +37,9 @@
 		return err
 	}
 	fmt.Fprintf(out, "good: %d keys after %d batches; log %d bytes in %d segments, %d of them live; index %d bytes in %d runs\n",
-		st.Keys, st.Seq, st.LogBytes, st.Segments, st.Live, st.IndexBytes, st.Runs)
-	if st.Cut > 0 {
-		fmt.Fprintf(out, "a torn tail of %d bytes, which nobody was promised, will be cut when it is opened\n", st.Cut)
+		st.Keys, st.Seq, st.LogBytes, st.Segments, st.LiveBytes, st.IndexBytes, st.Runs)
+	if st.TruncatedBytes > 0 {
+		fmt.Fprintf(out, "a torn tail of %d bytes, which nobody was promised, will be cut when it is opened\n", st.TruncatedBytes)
 	}
 	return nil
 }
@@ -73,11 +73,11 @@
 	if err != nil {
 		return err
 	}
-	for _, what := range rep.GivenUp {
+	for _, what := range rep.Lost {
 		fmt.Fprintln(out, "given up:", what)
 	}
-	fmt.Fprintf(out, "%d keys kept; the damaged folder is %s\n", rep.Kept, rep.Original)
-	if len(rep.GivenUp) > 0 {
+	fmt.Fprintf(out, "%d keys kept; the damaged folder is %s\n", rep.RecoveredKeys, rep.DamagedDir)
+	if len(rep.Lost) > 0 {
 		return errGivenUp
 	}
 	return nil
--- a/internal/dataplane/snapshot/snapshot.go
+++ b/internal/dataplane/snapshot/snapshot.go
@@ -31,7 +31,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // options are those of a store that is small, read whole, and shares a gateway's memory.
-var options = store.Options{SegmentBytes: 1 << 20, Overlay: 4 << 10, Verify: true}
+var options = store.Options{SegmentBytes: 1 << 20, MaxOverlayKeys: 4 << 10, Verify: true}
 
 // File keeps the newest state given to it. Its methods may be called concurrently. The store is held from the first state
 // stored to the last one, so a process that takes over reads it when the one before has stored its last.
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -258,13 +258,13 @@
 		if err := f.Store(next(), false); err != nil {
 			b.Fatal(err)
 		}
-		before := f.store.Stats().Written
+		before := f.store.Stats().WrittenBytes
 		for b.Loop() {
 			if err := f.Store(next(), false); err != nil {
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(f.store.Stats().Written-before)/float64(b.N), "written/op")
+		b.ReportMetric(float64(f.store.Stats().WrittenBytes-before)/float64(b.N), "written/op")
 	})
 }
 
--- a/internal/storage/store/batch.go
+++ b/internal/storage/store/batch.go
@@ -23,7 +23,7 @@
 		b.err = fmt.Errorf("store: a key of %d bytes, %d at most", len(key), MaxKey)
 	case len(value) > MaxValue:
 		b.err = fmt.Errorf("store: a value of %d bytes, %d at most", len(value), MaxValue)
-	case len(b.body)+recordHead+len(key)+len(value) > MaxBatch:
+	case len(b.body)+recordHeaderBytes+len(key)+len(value) > MaxBatch:
 		b.err = fmt.Errorf("store: a batch of more than %d bytes", MaxBatch)
 	default:
 		b.body = appendRecord(b.body, op, key, value)
@@ -44,7 +44,7 @@
 func (b *Batch) each(do func(op byte, key []byte, at, size int64) error) error {
 	for at := int64(0); at < int64(len(b.body)); {
 		r, _ := parseRecord(b.body[at:])
-		key := b.body[at+recordHead : at+recordHead+int64(r.key)]
+		key := b.body[at+recordHeaderBytes : at+recordHeaderBytes+int64(r.keyBytes)]
 		if err := do(r.op, key, at, r.size()); err != nil {
 			return err
 		}
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -21,7 +21,9 @@
 var hundred = bytes.Repeat([]byte("v"), 100)
 
 // keyOf gives 16 bytes that come in no order.
-func keyOf(i int) []byte { return fmt.Appendf(nil, "%016x", hash(le.AppendUint64(nil, uint64(i)))) }
+func keyOf(i int) []byte {
+	return fmt.Appendf(nil, "%016x", hash(littleEndian.AppendUint64(nil, uint64(i))))
+}
 
 // Commits of one record of 100 bytes: here, and to a file with a write and a sync a commit.
 func BenchmarkCommit(b *testing.B) {
@@ -62,7 +64,8 @@
 	})
 	st := s.Stats()
 	b.ReportMetric(float64(st.Syncs)/float64(b.N), "syncs/op")
-	b.ReportMetric(float64(st.Written+st.Merged*mergeEntry)/float64(b.N)/116, "written/byte")
+	b.ReportMetric(float64(st.WrittenBytes+st.MergedEntries*entryCost)/float64(b.N)/116,
+		"written/byte")
 }
 
 func together(b *testing.B, writers int, do func(i int) error) {
@@ -162,9 +165,9 @@
 			return h
 		})
 	})
-	log := filled(b, Options{SegmentBytes: 1 << 40, Overlay: 1 << 30}, false)
+	log := filled(b, Options{SegmentBytes: 1 << 40, MaxOverlayKeys: 1 << 30}, false)
 	b.Run("log", func(b *testing.B) {
-		opens(b, log, Options{SegmentBytes: 1 << 40, Overlay: 1 << 30}, func(*Store) any {
+		opens(b, log, Options{SegmentBytes: 1 << 40, MaxOverlayKeys: 1 << 30}, func(*Store) any {
 			return nil
 		})
 	})
--- a/internal/storage/store/check.go
+++ b/internal/storage/store/check.go
@@ -20,7 +20,7 @@
 		if g == s.active {
 			end = s.end
 		}
-		for at := int64(headSize); at < end; {
+		for at := int64(fileHeaderBytes); at < end; {
 			n, _, next, err := g.readBatch(at, end)
 			if err != nil {
 				return err
@@ -37,7 +37,7 @@
 		}
 	}
 	live, keys := map[uint64]int64{}, uint64(0)
-	v := Snapshot{s: s, top: s.top, files: s.files}
+	v := Snapshot{store: s, overlay: s.overlay, files: s.files}
 	for e, err := range v.entries(nil, nil) {
 		if err == nil {
 			_, err = s.files.load(e.key, e.at)
@@ -52,13 +52,15 @@
 		if g.live != live[g.id] {
 			return &DamageError{
 				manifestName,
-				headSize,
+				fileHeaderBytes,
 				fmt.Sprintf("%s holds %d live bytes, not %d", g.name, live[g.id], g.live),
 			}
 		}
 	}
 	if keys != s.keys {
-		return &DamageError{manifestName, headSize, fmt.Sprintf("%d keys, not %d", keys, s.keys)}
+		return &DamageError{
+			manifestName, fileHeaderBytes, fmt.Sprintf("%d keys, not %d", keys, s.keys),
+		}
 	}
 	return nil
 }
@@ -75,15 +77,15 @@
 			break
 		}
 		if n > 0 && bytes.Compare(key, last) <= 0 {
-			return &DamageError{r.name, headSize, "keys out of order"}
+			return &DamageError{r.name, fileHeaderBytes, "keys out of order"}
 		}
 		if !r.filter.has(hash(key)) {
-			return &DamageError{r.name, r.end, "the filter lacks a key"}
+			return &DamageError{r.name, r.blocksEnd, "the filter lacks a key"}
 		}
 		last = append(last[:0], key...)
 	}
 	if n != r.entries {
-		return &DamageError{r.name, r.end, fmt.Sprintf("%d entries, not %d", n, r.entries)}
+		return &DamageError{r.name, r.blocksEnd, fmt.Sprintf("%d entries, not %d", n, r.entries)}
 	}
 	return nil
 }
@@ -114,7 +116,7 @@
 		return fmt.Errorf("store: %w", err)
 	}
 	for _, name := range names {
-		if ours(name) {
+		if isStoreFile(name) {
 			err = errors.Join(err, folder.Remove(name))
 		}
 	}
@@ -130,9 +132,9 @@
 
 // Report tells what Repair found and what it gave up.
 type Report struct {
-	Kept     int      // keys in the store made anew
-	Original string   // where the damaged folder is now
-	GivenUp  []string // a line each
+	RecoveredKeys int      // keys in the store made anew
+	DamagedDir    string   // where the damaged folder is now
+	Lost          []string // a line each
 }
 
 // Repair makes a store anew from what can be read of a damaged one, in its place; the damaged
@@ -160,24 +162,24 @@
 	if err != nil {
 		return rep, err
 	}
-	old := &salvage{fs: folder, to: to, rep: &rep}
+	old := &salvage{fs: folder, to: to, report: &rep}
 	if fromLogs {
-		err = old.logs()
+		err = old.recoverByLogs()
 	} else {
-		err = old.store()
+		err = old.recoverByManifest()
 	}
-	rep.Kept = int(to.Stats().Keys)
+	rep.RecoveredKeys = int(to.Stats().Keys)
 	if err := errors.Join(err, to.Close()); err != nil {
 		return rep, errors.Join(err, os.RemoveAll(fresh))
 	}
-	rep.Original = dir + ".damaged"
+	rep.DamagedDir = dir + ".damaged"
 	for n := 2; ; n++ {
-		if _, err := os.Lstat(rep.Original); errors.Is(err, fs.ErrNotExist) {
+		if _, err := os.Lstat(rep.DamagedDir); errors.Is(err, fs.ErrNotExist) {
 			break
 		}
-		rep.Original = fmt.Sprintf("%s.damaged.%d", dir, n)
+		rep.DamagedDir = fmt.Sprintf("%s.damaged.%d", dir, n)
 	}
-	if err := os.Rename(dir, rep.Original); err != nil {
+	if err := os.Rename(dir, rep.DamagedDir); err != nil {
 		return rep, fmt.Errorf("store: %w", err)
 	}
 	if err := os.Rename(fresh, dir); err != nil {
@@ -188,35 +190,35 @@
 
 // salvage reads what it can of a damaged store.
 type salvage struct {
-	fs   FS
-	to   *Store
-	rep  *Report
-	next Batch
+	fs      FS
+	to      *Store
+	report  *Report
+	pending Batch
 }
 
-func (v *salvage) lost(format string, args ...any) {
-	v.rep.GivenUp = append(v.rep.GivenUp, fmt.Sprintf(format, args...))
+func (v *salvage) recordLoss(format string, args ...any) {
+	v.report.Lost = append(v.report.Lost, fmt.Sprintf(format, args...))
 }
 
 func (v *salvage) put(key, value []byte) error {
-	v.next.Put(key, value)
-	if v.next.Bytes() < 1<<20 {
+	v.pending.Put(key, value)
+	if v.pending.Bytes() < 1<<20 {
 		return nil
 	}
 	return v.flush()
 }
 
 func (v *salvage) flush() error {
-	err := v.to.Commit(&v.next, Durable)
-	v.next.Reset()
+	err := v.to.Commit(&v.pending, Durable)
+	v.pending.Reset()
 	return err
 }
 
 // gap is a part of a run that can't be read: keys from one on and before another (nil: all).
 type gap struct{ from, to []byte }
 
-// store goes by the manifest.
-func (v *salvage) store() error {
+// recoverByManifest goes by the manifest.
+func (v *salvage) recoverByManifest() error {
 	in, err := v.fs.Open(manifestName, false)
 	if err != nil {
 		return fmt.Errorf("store: %s: %w; only the logs are left to go by", manifestName, err)
@@ -225,13 +227,13 @@
 	if err := errors.Join(err, in.Close()); err != nil {
 		return fmt.Errorf("%w; only the logs are left to go by", err)
 	}
-	s := &Store{fs: v.fs, id: m.store, files: &fileSet{}, first: m.seq}
+	s := &Store{fs: v.fs, id: m.store, files: &fileSet{}, firstSeq: m.seq}
 	var walkers []walker
 	gaps := [][]gap{nil} // by walker
 	for _, of := range append(slices.Clone(m.segments), sealedSegment{id: m.active}) {
 		f, err := v.fs.Open(segmentName(of.id), false)
 		if err != nil {
-			v.lost("%s: %v", segmentName(of.id), err)
+			v.recordLoss("%s: %v", segmentName(of.id), err)
 			continue
 		}
 		defer f.Close()
@@ -239,7 +241,7 @@
 			&segment{file: file{f: f, name: segmentName(of.id)}, id: of.id, length: of.length})
 	}
 	for _, of := range m.runs {
-		w, missing := v.run(m.store, of)
+		w, missing := v.recoverRun(m.store, of)
 		walkers, gaps = append(walkers, w), append(gaps, missing)
 	}
 	if s.active = s.files.segment(m.active); s.active != nil {
@@ -247,23 +249,23 @@
 		if err != nil {
 			return err
 		}
-		change, at := (&Store{files: &fileSet{}}).change(), int64(headSize)
+		change, at := (&Store{files: &fileSet{}}).newChange(), int64(fileHeaderBytes)
 		for at < size {
 			n, _, _, err := s.active.readBatch(at, size)
 			if err == nil {
-				err = s.active.records(at+batchHead, at+n, func(r record, key []byte, at int64) error {
+				err = s.active.records(at+batchHeaderBytes, at+n, func(r record, key []byte, at int64) error {
 					return change.add(r.op, key, location{m.active, at, uint32(r.size())})
 				})
 			}
 			if err != nil {
-				v.lost("%v: it and the %d bytes from there on", err, size-at)
+				v.recordLoss("%v: it and the %d bytes from there on", err, size-at)
 				break
 			}
 			at += n
 		}
-		s.top = change.top
+		s.overlay = change.overlay
 	}
-	for all := merge(append([]walker{s.top.from("")}, walkers...)...); ; {
+	for all := merge(append([]walker{s.overlay.from("")}, walkers...)...); ; {
 		key, at, ok, err := all.next()
 		if err != nil {
 			return err
@@ -276,7 +278,7 @@
 		}
 		value, err := s.files.load(key, at)
 		if err != nil {
-			v.lost("key %q: %v", key, err)
+			v.recordLoss("key %q: %v", key, err)
 			continue
 		}
 		if err := v.put(key, value); err != nil {
@@ -297,10 +299,10 @@
 	return false
 }
 
-// list is a walker over entries that were read before.
-type list struct{ rest []entry }
+// entryList is a walker over entries that were read before.
+type entryList struct{ rest []entry }
 
-func (l *list) next() (key []byte, at location, ok bool, err error) {
+func (l *entryList) next() (key []byte, at location, ok bool, err error) {
 	if len(l.rest) == 0 {
 		return nil, at, false, nil
 	}
@@ -309,22 +311,22 @@
 	return e.key, e.at, true, nil
 }
 
-// run reads the blocks of a run that can be read.
-func (v *salvage) run(store uint64, of sealedRun) (walker, []gap) {
-	all, out := []gap{{}}, &list{}
+// recoverRun reads the blocks of a run that can be read.
+func (v *salvage) recoverRun(store uint64, of sealedRun) (walker, []gap) {
+	all, out := []gap{{}}, &entryList{}
 	f, err := v.fs.Open(runName(of.id), false)
 	if err != nil {
-		v.lost("%s: %v: all keys that it may have changed", runName(of.id), err)
+		v.recordLoss("%s: %v: all keys that it may have changed", runName(of.id), err)
 		return out, all
 	}
 	defer f.Close()
 	r, err := openRun(f, store, of)
 	if err != nil {
-		v.lost("%v: all keys that %s may have changed", err, runName(of.id))
+		v.recordLoss("%v: all keys that %s may have changed", err, runName(of.id))
 		return out, all
 	}
 	var gaps []gap
-	for i := range r.fence {
+	for i := range r.fenceOffsets {
 		block, err := r.block(i, new([]byte))
 		for err == nil && len(block) > 0 {
 			var e entry
@@ -333,38 +335,38 @@
 			}
 		}
 		if err != nil {
-			_, from, _ := r.fenceAt(int(r.fence[i]))
+			_, from, _ := r.fenceAt(int(r.fenceOffsets[i]))
 			g := gap{from: from}
-			if i+1 < len(r.fence) {
-				_, g.to, _ = r.fenceAt(int(r.fence[i+1]))
+			if i+1 < len(r.fenceOffsets) {
+				_, g.to, _ = r.fenceAt(int(r.fenceOffsets[i+1]))
 			}
 			gaps = append(gaps, g)
-			v.lost("%v: keys from %q to before %q", err, g.from, g.to)
+			v.recordLoss("%v: keys from %q to before %q", err, g.from, g.to)
 		}
 	}
 	return out, gaps
 }
 
-// logs goes by the logs alone, in the order of their batches.
-func (v *salvage) logs() error {
+// recoverByLogs goes by the logs alone, in the order of their batches.
+func (v *salvage) recoverByLogs() error {
 	names, err := v.fs.List()
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
-	v.lost("what was deleted may be there again")
+	v.recordLoss("what was deleted may be there again")
 	for _, name := range names {
-		if !ours(name) || !strings.HasSuffix(name, ".log") {
+		if !isStoreFile(name) || !strings.HasSuffix(name, ".log") {
 			continue
 		}
-		if err := v.log(name); err != nil {
+		if err := v.recoverLog(name); err != nil {
 			return err
 		}
 	}
 	return v.flush()
 }
 
-func (v *salvage) log(name string) error {
+func (v *salvage) recoverLog(name string) error {
 	f, err := v.fs.Open(name, false)
 	if err != nil {
 		return err
@@ -372,30 +374,30 @@
 	defer f.Close()
 	g := &segment{file: file{f: f, name: name}}
 	fmt.Sscanf(name, "%016x", &g.id)
-	if _, err := readHead(f, name, kindSegment, 0, g.id); err != nil {
-		v.lost("%v: the whole file", err)
+	if _, err := readHeader(f, name, kindSegment, 0, g.id); err != nil {
+		v.recordLoss("%v: the whole file", err)
 		return nil
 	}
 	size, err := f.Size()
 	if err != nil {
 		return err
 	}
-	for at := int64(headSize); at < size; {
+	for at := int64(fileHeaderBytes); at < size; {
 		n, _, _, err := g.readBatch(at, size)
 		if err != nil {
-			v.lost("%v: it and the %d bytes from there on", err, size-at)
+			v.recordLoss("%v: it and the %d bytes from there on", err, size-at)
 			return nil
 		}
-		err = g.records(at+batchHead, at+n, func(r record, key []byte, at int64) error {
+		err = g.records(at+batchHeaderBytes, at+n, func(r record, key []byte, at int64) error {
 			if r.op == opDelete {
-				v.next.Delete(key)
+				v.pending.Delete(key)
 				return nil
 			}
 			b, _, err := g.read(location{g.id, at, uint32(r.size())})
 			if err != nil {
 				return err
 			}
-			return v.put(key, b[recordHead+int(r.key):])
+			return v.put(key, b[recordHeaderBytes+int(r.keyBytes):])
 		})
 		if err != nil {
 			return err
--- a/internal/storage/store/commit.go
+++ b/internal/storage/store/commit.go
@@ -33,13 +33,13 @@
 		return nil
 	}
 	c := &commit{batch: b, durable: bool(d), done: make(chan bool, 1)}
-	if s.enter(c) {
+	if s.enqueue(c) {
 		return c.err
 	}
-	s.gather()
-	group := s.take(c)
-	s.writers = len(group)
-	s.write(group)
+	s.waitForFollowers()
+	group := s.takeGroup(c)
+	s.lastGroupSize = len(group)
+	s.commitGroup(group)
 	for _, other := range group[1:] {
 		other.done <- true
 	}
@@ -48,20 +48,20 @@
 		for _, one := range group {
 			bytes += one.batch.Bytes()
 		}
-		s.step(s.opt.Step + 4*bytes)
+		s.compactInBackground(s.options.CompactionStepBytes + 4*bytes)
 	}
-	s.follow()
+	s.handOverWriter()
 	return c.err
 }
 
 // Sync has all that was committed on disk.
 func (s *Store) Sync() error { return s.Commit(&Batch{}, Durable) }
 
-// enter waits until a commit is done (true) or its goroutine leads (false).
-func (s *Store) enter(c *commit) bool {
+// enqueue waits until a commit is done (true) or its goroutine leads (false).
+func (s *Store) enqueue(c *commit) bool {
 	s.mu.Lock()
-	if !s.leading {
-		s.leading = true
+	if !s.writing {
+		s.writing = true
 		s.mu.Unlock()
 		return false
 	}
@@ -70,17 +70,17 @@
 	return <-c.done
 }
 
-// lead waits for the place of the one that writes.
-func (s *Store) lead() {
-	s.enter(&commit{done: make(chan bool, 1)})
+// becomeWriter waits for the place of the one that writes.
+func (s *Store) becomeWriter() {
+	s.enqueue(&commit{done: make(chan bool, 1)})
 }
 
-// follow gives that place to the next in the queue.
-func (s *Store) follow() {
+// handOverWriter gives that place to the next in the queue.
+func (s *Store) handOverWriter() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) == 0 {
-		s.leading = false
+		s.writing = false
 		return
 	}
 	next := s.queue[0]
@@ -88,11 +88,11 @@
 	next.done <- false
 }
 
-// gather lets goroutines whose commits have just returned come with their next ones: without it
-// they and those that waited meanwhile take turns, with a sync for each half. It yields as long as
-// more come, and not at all where the last group was one.
-func (s *Store) gather() {
-	for before := -1; s.writers > 1; {
+// waitForFollowers lets goroutines whose commits have just returned come with their next ones:
+// without it they and those that waited meanwhile take turns, with a sync for each half. It yields
+// as long as more come, and not at all where the last group was one.
+func (s *Store) waitForFollowers() {
+	for before := -1; s.lastGroupSize > 1; {
 		s.mu.Lock()
 		n := len(s.queue)
 		s.mu.Unlock()
@@ -104,18 +104,18 @@
 	}
 }
 
-// mostGroup is how many bytes of batches share a write, beside the first.
-const mostGroup = 4 << 20
+// maxGroupBytes is how many bytes of batches share a write, beside the first.
+const maxGroupBytes = 4 << 20
 
-// take gives the batches that are written together: the leader's and those that wait in line with
-// no other work between.
-func (s *Store) take(c *commit) []*commit {
+// takeGroup gives the batches that are written together: the leader's and those that wait in line
+// with no other work between.
+func (s *Store) takeGroup(c *commit) []*commit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	group, bytes := []*commit{c}, c.batch.Bytes()
 	n := 0
 	for _, w := range s.queue {
-		if w.batch == nil || bytes+w.batch.Bytes() > mostGroup {
+		if w.batch == nil || bytes+w.batch.Bytes() > maxGroupBytes {
 			break
 		}
 		group = append(group, w)
@@ -126,11 +126,11 @@
 	return group
 }
 
-// write commits a group. Each of it gets its error.
-func (s *Store) write(group []*commit) {
+// commitGroup commits a group. Each of it gets its error.
+func (s *Store) commitGroup(group []*commit) {
 	err := s.writable()
 	if err == nil {
-		err = s.append(group)
+		err = s.appendGroup(group)
 	}
 	for _, c := range group {
 		c.err = err
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// fail has the store take no commits any more.
-func (s *Store) fail(err error) error {
+// failPermanently has the store take no commits any more.
+func (s *Store) failPermanently(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed == nil {
@@ -159,16 +159,16 @@
 	return fmt.Errorf("%w: %w", ErrReadOnly, err)
 }
 
-// append writes a group to the log and takes it in.
-func (s *Store) append(group []*commit) error {
-	change, buf, seq, durable := s.change(), s.buf[:0], s.seq, false
+// appendGroup writes a group to the log and takes it in.
+func (s *Store) appendGroup(group []*commit) error {
+	change, buf, seq, durable := s.newChange(), s.buf[:0], s.seq, false
 	for _, c := range group {
 		durable = durable || c.durable
 		if c.batch.count == 0 {
 			continue
 		}
 		seq++
-		body := s.end + int64(len(buf)) + batchHead
+		body := s.end + int64(len(buf)) + batchHeaderBytes
 		buf = append(append(buf, batchHeader(s.active.id, seq, c.batch.count, c.batch.body)...),
 			c.batch.body...)
 		err := c.batch.each(func(op byte, key []byte, at, size int64) error {
@@ -178,14 +178,14 @@
 			return err
 		}
 	}
-	if cap(buf) <= mostGroup {
+	if cap(buf) <= maxGroupBytes {
 		s.buf = buf
 	}
 	if len(buf) > 0 {
 		if _, err := s.active.f.WriteAt(buf, s.end); err != nil {
 			// Part of it may stand in the file: it must not be found there.
 			if undo := s.active.f.Truncate(s.end); undo != nil {
-				return s.fail(errors.Join(err, undo))
+				return s.failPermanently(errors.Join(err, undo))
 			}
 			return fmt.Errorf("store: %w", err)
 		}
@@ -198,10 +198,10 @@
 		}
 	}
 	s.end = end
-	s.stats.Written += int64(len(buf))
+	s.stats.WrittenBytes += int64(len(buf))
 	change.apply(seq)
 	if synced {
-		s.unmarked = s.writeMark() // it costs no data: the old mark holds
+		s.markErr = s.writeMark() // it costs no data: the old mark holds
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 // syncTo has the active segment on disk up to an offset that was written.
 func (s *Store) syncTo(end int64) error {
 	if err := s.active.f.Sync(); err != nil {
-		return s.fail(err)
+		return s.failPermanently(err)
 	}
 	s.synced = end
 	s.stats.Syncs++
@@ -230,17 +230,23 @@
 // change is what a group of batches does to what is held in memory. Nothing is changed before
 // apply.
 type change struct {
-	s     *Store
-	top   *node
-	epoch uint32
-	count int
-	keys  int64
-	live  map[uint64]int64 // bytes by segment
+	store       *Store
+	overlay     *node
+	epoch       uint32
+	overlayKeys int
+	keys        int64
+	live        map[uint64]int64 // bytes by segment
 }
 
-func (s *Store) change() *change {
+func (s *Store) newChange() *change {
 	s.epoch++
-	return &change{s: s, top: s.top, epoch: s.epoch, count: s.count, live: map[uint64]int64{}}
+	return &change{
+		store:       s,
+		overlay:     s.overlay,
+		epoch:       s.epoch,
+		overlayKeys: s.overlayKeys,
+		live:        map[uint64]int64{},
+	}
 }
 
 // add takes in one operation whose record stands at a location.
@@ -250,15 +256,15 @@
 		to = location{}
 	}
 	k := string(key)
-	top, old, had := c.top.with(k, to, priority(k), c.epoch)
+	top, old, had := c.overlay.with(k, to, priority(k), c.epoch)
 	if !had {
 		var err error
-		if old, _, err = find(nil, c.s.files, key, &c.s.block); err != nil {
+		if old, _, err = find(nil, c.store.files, key, &c.store.block); err != nil {
 			return err
 		}
-		c.count++
+		c.overlayKeys++
 	}
-	c.top = top
+	c.overlay = top
 	if !old.deleted() {
 		c.live[old.segment] -= int64(old.size)
 		c.keys--
@@ -273,13 +279,13 @@
 // apply shows the change to readers, as the store after a batch.
 func (c *change) apply(seq uint64) {
 	for id, n := range c.live {
-		if g := c.s.files.segment(id); g != nil {
+		if g := c.store.files.segment(id); g != nil {
 			g.live += n
 		}
 	}
-	c.s.count = c.count
-	c.s.keys += uint64(c.keys)
-	c.s.mu.Lock()
-	c.s.seq, c.s.top = seq, c.top
-	c.s.mu.Unlock()
+	c.store.overlayKeys = c.overlayKeys
+	c.store.keys += uint64(c.keys)
+	c.store.mu.Lock()
+	c.store.seq, c.store.overlay = seq, c.overlay
+	c.store.mu.Unlock()
 }
--- a/internal/storage/store/compact.go
+++ b/internal/storage/store/compact.go
@@ -10,33 +10,34 @@
 // mergeJob makes one run of several that follow each other in age.
 type mergeJob struct {
 	runs   []*run
-	from   *merged
+	from   *mergeWalker
 	to     *runWriter
 	bottom bool // there is none older: deletions need no entry any more
 }
 
-// moveJob copies the live records of a segment to the end of the log, so that it can go.
-type moveJob struct {
-	g  *segment
-	at int64 // of the next batch
-	in int64 // within it, of the next record; 0: at its head
-	to int64 // where that batch ends
+// copyJob copies the live records of a segment to the end of the log, so that it can go.
+type copyJob struct {
+	source   *segment
+	batchAt  int64 // of the next batch
+	recordAt int64 // within it, of the next record; 0: at its head
+	batchEnd int64 // where that batch ends
 }
 
-// mergeEntry is what an entry of a merge costs in a step's bytes.
-const mergeEntry = 32
+// entryCost is what an entry of a merge costs in a step's bytes.
+const entryCost = 32
 
-// step does some of the work that keeps the store small. Its errors leave what was committed
-// as it is; they are kept for Stats and Compact.
-func (s *Store) step(budget int) { s.background = s.work(budget) }
+// compactInBackground does some of the work that keeps the store small. Its errors leave what was
+// committed as it is; they are kept for Stats and Compact.
+func (s *Store) compactInBackground(budget int) { s.backgroundErr = s.compactWithin(budget) }
 
-func (s *Store) work(budget int) error {
+func (s *Store) compactWithin(budget int) error {
 	if err := s.writable(); err != nil {
 		return err
 	}
-	if (s.end >= s.opt.SegmentBytes || s.count >= s.opt.Overlay) && s.end >= s.sealAt {
+	if (s.end >= s.options.SegmentBytes || s.overlayKeys >= s.options.MaxOverlayKeys) &&
+		s.end >= s.retrySealAt {
 		if err := s.seal(); err != nil {
-			s.sealAt = s.end + s.opt.SegmentBytes/8
+			s.retrySealAt = s.end + s.options.SegmentBytes/8
 			return err
 		}
 	}
@@ -44,19 +45,19 @@
 		s.planMerge()
 	}
 	if s.merging != nil {
-		if err := s.mergeOn(budget); err != nil {
-			s.abandon()
+		if err := s.continueMerge(budget); err != nil {
+			s.abandonMerge()
 			return err
 		}
 	}
-	if s.moving == nil {
-		if err := s.planMove(0); err != nil {
+	if s.copying == nil {
+		if err := s.planSegmentCopy(0); err != nil {
 			return err
 		}
 	}
-	if s.moving != nil {
-		if err := s.moveOn(budget); err != nil {
-			s.moving = nil
+	if s.copying != nil {
+		if err := s.continueSegmentCopy(budget); err != nil {
+			s.copying = nil
 			return err
 		}
 	}
@@ -67,9 +68,9 @@
 // and gives the space of everything that is not live back. Commits wait for its steps only.
 func (s *Store) Compact(ctx context.Context) error {
 	for before := uint64(0); ; {
-		s.lead()
+		s.becomeWriter()
 		more, err := s.compactStep(&before)
-		s.follow()
+		s.handOverWriter()
 		if err != nil || !more {
 			return err
 		}
@@ -85,22 +86,22 @@
 		return false, err
 	}
 	if *before == 0 {
-		if s.count > 0 {
+		if s.overlayKeys > 0 {
 			if err := s.seal(); err != nil {
 				return false, err
 			}
 		}
 		*before = s.active.id
 	}
-	if err := s.work(s.opt.Step); err != nil {
+	if err := s.compactWithin(s.options.CompactionStepBytes); err != nil {
 		return false, err
 	}
-	if s.merging == nil && s.moving == nil {
-		if err := s.planMove(*before); err != nil {
+	if s.merging == nil && s.copying == nil {
+		if err := s.planSegmentCopy(*before); err != nil {
 			return false, err
 		}
 	}
-	return s.merging != nil || s.moving != nil, nil
+	return s.merging != nil || s.copying != nil, nil
 }
 
 // seal ends the active segment: its keys go into a run, and a new segment begins.
@@ -108,11 +109,11 @@
 	if err := s.sync(); err != nil {
 		return err
 	}
-	w, err := s.newRunWriter(s.count)
+	w, err := s.newRunWriter(s.overlayKeys)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	r, err := s.drain(w, s.top.from(""), len(s.files.runs) == 0)
+	r, err := s.writeRun(w, s.overlay.from(""), len(s.files.runs) == 0)
 	if err != nil {
 		return errors.Join(fmt.Errorf("store: %w", err), s.discard(w))
 	}
@@ -126,21 +127,21 @@
 		runs:     append([]*run{r}, s.files.runs...),
 	}
 	for _, g := range set.segments {
-		g.base = g.live
+		g.liveAtSeal = g.live
 	}
 	if err := s.fs.Sync(); err != nil {
-		return s.fail(err)
+		return s.failPermanently(err)
 	}
 	if err := s.writeManifest(set, s.active.id, s.seq+1, s.keys); err != nil {
-		return s.fail(err)
+		return s.failPermanently(err)
 	}
-	s.first, s.baseKeys, s.count = s.seq+1, s.keys, 0
-	s.swap(set, nil)
+	s.firstSeq, s.baseKeys, s.overlayKeys = s.seq+1, s.keys, 0
+	s.installFiles(set, nil)
 	return s.writeMark()
 }
 
-// drain writes all entries of a walker into a run.
-func (s *Store) drain(w *runWriter, from walker, bottom bool) (*run, error) {
+// writeRun writes all entries of a walker into a run.
+func (s *Store) writeRun(w *runWriter, from walker, bottom bool) (*run, error) {
 	for {
 		key, at, ok, err := from.next()
 		if err != nil {
@@ -180,28 +181,28 @@
 	}
 	w, err := s.newRunWriter(most)
 	if err != nil {
-		s.background = fmt.Errorf("store: %w", err)
+		s.backgroundErr = fmt.Errorf("store: %w", err)
 		return
 	}
 	j.from, j.to = merge(from...), w
 	s.merging = j
 }
 
-// mergeOn goes on with a merge.
-func (s *Store) mergeOn(budget int) error {
+// continueMerge goes on with a merge.
+func (s *Store) continueMerge(budget int) error {
 	j := s.merging
-	for ; budget > 0; budget -= mergeEntry {
+	for ; budget > 0; budget -= entryCost {
 		key, at, ok, err := j.from.next()
 		if err != nil {
 			return err
 		}
 		if !ok {
-			return s.endMerge(j)
+			return s.finishMerge(j)
 		}
 		if at.deleted() && j.bottom {
 			continue
 		}
-		s.stats.Merged++
+		s.stats.MergedEntries++
 		if err := j.to.add(key, at); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
@@ -209,13 +210,13 @@
 	return nil
 }
 
-func (s *Store) endMerge(j *mergeJob) error {
+func (s *Store) finishMerge(j *mergeJob) error {
 	r, err := j.to.finish()
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	if err := s.fs.Sync(); err != nil {
-		return s.fail(err)
+		return s.failPermanently(err)
 	}
 	at := slices.Index(s.files.runs, j.runs[0]) // sealing may have put newer ones before them
 	runs := slices.Clone(s.files.runs[:at])
@@ -242,15 +243,15 @@
 
 // replaceFiles has the manifest name another set, with the active segment as it began.
 func (s *Store) replaceFiles(set *fileSet) error {
-	if err := s.writeManifest(set, s.active.id, s.first, s.baseKeys); err != nil {
-		return s.fail(err)
+	if err := s.writeManifest(set, s.active.id, s.firstSeq, s.baseKeys); err != nil {
+		return s.failPermanently(err)
 	}
-	s.swap(set, s.top)
+	s.installFiles(set, s.overlay)
 	return nil
 }
 
-// abandon gives up a merge that is not finished.
-func (s *Store) abandon() {
+// abandonMerge gives up a merge that is not finished.
+func (s *Store) abandonMerge() {
 	if j := s.merging; j != nil {
 		s.merging = nil
 		_ = s.discard(j.to) // else the next Open does
@@ -262,9 +263,10 @@
 	return errors.Join(w.f.Close(), s.fs.Remove(w.name))
 }
 
-// planMove looks for a segment that should go: one without live records at once, else the one with
-// the smallest share of them once half of the log is dead, or any before one that has dead ones.
-func (s *Store) planMove(before uint64) error {
+// planSegmentCopy looks for a segment that should go: one without live records at once, else the
+// one with the smallest share of them once half of the log is dead, or any before one that has dead
+// ones.
+func (s *Store) planSegmentCopy(before uint64) error {
 	var worst *segment
 	var live, length int64
 	for _, g := range s.files.segments {
@@ -288,45 +290,45 @@
 		return nil
 	case before == 0 && 2*live >= length:
 		return nil
-	case before != 0 && worst.live*10 >= (worst.length-headSize)*9:
+	case before != 0 && worst.live*10 >= (worst.length-fileHeaderBytes)*9:
 		return nil // what would be won is heads of batches, mostly
 	}
-	s.moving = &moveJob{g: worst, at: headSize}
+	s.copying = &copyJob{source: worst, batchAt: fileHeaderBytes}
 	return nil
 }
 
-// moveOn goes on with emptying a segment.
-func (s *Store) moveOn(budget int) error {
-	j := s.moving
+// continueSegmentCopy goes on with emptying a segment.
+func (s *Store) continueSegmentCopy(budget int) error {
+	j := s.copying
 	var b Batch
-	for budget > 0 && j.at < j.g.length {
-		if j.in == 0 {
-			n, _, _, err := j.g.readBatch(j.at, j.g.length)
+	for budget > 0 && j.batchAt < j.source.length {
+		if j.recordAt == 0 {
+			n, _, _, err := j.source.readBatch(j.batchAt, j.source.length)
 			if err != nil {
 				return err
 			}
-			j.in, j.to = j.at+batchHead, j.at+n
+			j.recordAt, j.batchEnd = j.batchAt+batchHeaderBytes, j.batchAt+n
 		}
 		var full = errors.New("full")
-		err := j.g.records(j.in, j.to, func(r record, key []byte, at int64) error {
+		err := j.source.records(j.recordAt, j.batchEnd, func(r record, key []byte, at int64) error {
 			if budget <= 0 {
 				return full
 			}
-			budget -= mergeEntry + int(r.key)
-			j.in = at + r.size()
+			budget -= entryCost + int(r.keyBytes)
+			j.recordAt = at + r.size()
 			if r.op == opDelete {
 				return nil
 			}
-			now, ok, err := find(s.top, s.files, key, &s.block)
-			if err != nil || !ok || now.segment != j.g.id || now.offset != at {
+			now, ok, err := find(s.overlay, s.files, key, &s.block)
+			if err != nil || !ok || now.segment != j.source.id || now.offset != at {
 				return err
 			}
-			rec, _, err := j.g.read(now)
+			rec, _, err := j.source.read(now)
 			if err != nil {
 				return err
 			}
-			budget -= int(r.val)
-			s.stats.Moved += r.size()
+			budget -= int(r.valueBytes)
+			s.stats.CopiedBytes += r.size()
 			b.body = append(b.body, rec...)
 			b.count++
 			return nil
@@ -337,24 +339,24 @@
 		if err != nil {
 			return err
 		}
-		j.at, j.in = j.to, 0
+		j.batchAt, j.recordAt = j.batchEnd, 0
 	}
 	if b.count > 0 {
 		c := &commit{batch: &b}
-		if err := s.append([]*commit{c}); err != nil {
+		if err := s.appendGroup([]*commit{c}); err != nil {
 			return err
 		}
 	}
-	if j.at < j.g.length {
+	if j.batchAt < j.source.length {
 		return nil
 	}
-	s.moving = nil
-	if j.g.live != 0 {
+	s.copying = nil
+	if j.source.live != 0 {
 		return &DamageError{
-			j.g.name, 0, fmt.Sprintf("%d bytes are live that no record holds", j.g.live),
+			j.source.name, 0, fmt.Sprintf("%d bytes are live that no record holds", j.source.live),
 		}
 	}
-	return s.removeSegment(j.g)
+	return s.removeSegment(j.source)
 }
 
 // removeSegment takes a segment without live records out of the store.
--- a/internal/storage/store/export_test.go
+++ b/internal/storage/store/export_test.go
@@ -12,8 +12,8 @@
 // AsVersion gives a file of another version, whole in itself.
 func AsVersion(file []byte, v uint32) []byte {
 	b := slices.Clone(file)
-	le.PutUint32(b[8:], v)
-	le.PutUint32(b[28:], sum(b[:28]))
+	littleEndian.PutUint32(b[8:], v)
+	littleEndian.PutUint32(b[28:], checksum(b[:28]))
 	return b
 }
 
@@ -21,10 +21,10 @@
 func FalseRate(keys int) float64 {
 	f, wrong := newFilter(keys), 0
 	for i := range keys {
-		f.add(hash(le.AppendUint64(nil, uint64(i))))
+		f.add(hash(littleEndian.AppendUint64(nil, uint64(i))))
 	}
 	for i := range keys {
-		if f.has(hash(le.AppendUint64([]byte("absent"), uint64(i)))) {
+		if f.has(hash(littleEndian.AppendUint64([]byte("absent"), uint64(i)))) {
 			wrong++
 		}
 	}
--- a/internal/storage/store/fileset.go
+++ b/internal/storage/store/fileset.go
@@ -34,34 +34,34 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.op != opPut || !bytes.Equal(b[recordHead:recordHead+int(r.key)], key) {
+	if r.op != opPut || !bytes.Equal(b[recordHeaderBytes:recordHeaderBytes+int(r.keyBytes)], key) {
 		return nil, &DamageError{g.name, at.offset, "another key's record"}
 	}
-	return b[recordHead+int(r.key):], nil
+	return b[recordHeaderBytes+int(r.keyBytes):], nil
 }
 
-// drop releases one reference to a set and closes the files that no set refers to any more. Called
-// with mu held.
-func (s *Store) drop(set *fileSet) {
+// releaseFiles releases one reference to a set and closes the files that no set refers to any more.
+// Called with mu held.
+func (s *Store) releaseFiles(set *fileSet) {
 	if set.refs--; set.refs > 0 {
 		return
 	}
 	for _, g := range set.segments {
-		g.file.drop()
+		g.file.release()
 	}
 	for _, r := range set.runs {
-		r.file.drop()
+		r.file.release()
 	}
 }
 
-func (f *file) drop() {
+func (f *file) release() {
 	if f.refs--; f.refs == 0 {
 		_ = f.f.Close() // only ever read since it was synced
 	}
 }
 
-// swap replaces the current set and overlay.
-func (s *Store) swap(set *fileSet, top *node) {
+// installFiles replaces the current set and overlay.
+func (s *Store) installFiles(set *fileSet, top *node) {
 	set.refs = 1
 	for _, g := range set.segments {
 		g.refs++
@@ -72,6 +72,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.files
-	s.files, s.top = set, top
-	s.drop(old)
+	s.files, s.overlay = set, top
+	s.releaseFiles(old)
 }
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -12,12 +12,12 @@
 // The format, byte by byte, is docs/store-format.md's. All numbers are little-endian.
 
 const (
-	version = 1
+	formatVersion = 1
 
-	headSize   = 32 // of every file
-	batchHead  = 24
-	recordHead = 13
-	sealSize   = 8 // length and checksum before a block
+	fileHeaderBytes   = 32 // of every file
+	batchHeaderBytes  = 24
+	recordHeaderBytes = 13
+	blockHeaderBytes  = 8 // length and checksum before a block
 
 	kindSegment  = 'L'
 	kindRun      = 'I'
@@ -63,23 +63,23 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// sumOn goes on with a checksum.
-func sumOn(crc uint32, part []byte) uint32 { return crc32.Update(crc, castagnoli, part) }
+// updateChecksum goes on with a checksum.
+func updateChecksum(crc uint32, part []byte) uint32 { return crc32.Update(crc, castagnoli, part) }
 
-func sum(parts ...[]byte) (crc uint32) {
+func checksum(parts ...[]byte) (crc uint32) {
 	for _, p := range parts {
-		crc = sumOn(crc, p)
+		crc = updateChecksum(crc, p)
 	}
 	return crc
 }
 
-var le = binary.LittleEndian
+var littleEndian = binary.LittleEndian
 
 func segmentName(id uint64) string { return fmt.Sprintf("%016x.log", id) }
 func runName(id uint64) string     { return fmt.Sprintf("%016x.idx", id) }
 
-// ours tells whether a store could have made a file of that name.
-func ours(name string) bool {
+// isStoreFile tells whether a store could have made a file of that name.
+func isStoreFile(name string) bool {
 	var id uint64
 	var ext string
 	n, _ := fmt.Sscanf(name, "%016x.%s", &id, &ext)
@@ -87,78 +87,82 @@
 		name == manifestNew || name == markName
 }
 
-// head is the beginning of a file.
-func head(kind byte, store, file uint64) []byte {
-	b := append(make([]byte, 0, headSize), "mcstore"...)
+// encodeHeader is the beginning of a file.
+func encodeHeader(kind byte, store, file uint64) []byte {
+	b := append(make([]byte, 0, fileHeaderBytes), "mcstore"...)
 	b = append(b, kind)
-	b = le.AppendUint32(b, version)
-	b = le.AppendUint64(b, store)
-	b = le.AppendUint64(b, file)
-	return le.AppendUint32(b, sum(b))
+	b = littleEndian.AppendUint32(b, formatVersion)
+	b = littleEndian.AppendUint64(b, store)
+	b = littleEndian.AppendUint64(b, file)
+	return littleEndian.AppendUint32(b, checksum(b))
 }
 
-// readHead reads the beginning of a file; store 0 takes any store's.
-func readHead(f File, name string, kind byte, store, file uint64) (uint64, error) {
-	b := make([]byte, headSize)
+// readHeader reads the beginning of a file; store 0 takes any store's.
+func readHeader(f File, name string, kind byte, store, file uint64) (uint64, error) {
+	b := make([]byte, fileHeaderBytes)
 	if _, err := f.ReadAt(b, 0); err != nil {
-		return 0, cutOr(err, name, 0, "ends within its head")
+		return 0, readError(err, name, 0, "ends within its head")
 	}
 	switch {
 	case string(b[:7]) != "mcstore" || b[7] != kind:
 		return 0, &DamageError{name, 0, "no file of this kind"}
-	case le.Uint32(b[28:]) != sum(b[:28]):
+	case littleEndian.Uint32(b[28:]) != checksum(b[:28]):
 		return 0, &DamageError{name, 0, "head's checksum differs"}
-	case le.Uint32(b[8:]) != version:
+	case littleEndian.Uint32(b[8:]) != formatVersion:
 		return 0, &DamageError{
-			name, 8, fmt.Sprintf("format %d, this program knows %d", le.Uint32(b[8:]), version),
+			name,
+			8,
+			fmt.Sprintf("format %d, this program knows %d",
+				littleEndian.Uint32(b[8:]), formatVersion),
 		}
-	case store != 0 && le.Uint64(b[12:]) != store:
+	case store != 0 && littleEndian.Uint64(b[12:]) != store:
 		return 0, &DamageError{name, 12, "a file of another store"}
-	case le.Uint64(b[20:]) != file:
-		return 0, &DamageError{name, 20, fmt.Sprintf("holds file %x", le.Uint64(b[20:]))}
+	case littleEndian.Uint64(b[20:]) != file:
+		return 0, &DamageError{name, 20, fmt.Sprintf("holds file %x", littleEndian.Uint64(b[20:]))}
 	}
-	return le.Uint64(b[12:]), nil
+	return littleEndian.Uint64(b[12:]), nil
 }
 
-// cutOr takes the end of a file for damage; any other error stays one of reading.
-func cutOr(err error, name string, at int64, reason string) error {
+// readError takes the end of a file for damage; any other error stays one of reading.
+func readError(err error, name string, at int64, reason string) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return &DamageError{name, at, reason}
 	}
 	return fmt.Errorf("store: %s: offset %d: %w", name, at, err)
 }
 
-// sealed puts length and checksum before a block.
-func sealed(dst, block []byte) []byte {
-	dst = le.AppendUint32(dst, uint32(len(block)))
-	dst = le.AppendUint32(dst, sum(dst[len(dst)-4:], block))
+// appendBlock puts length and checksum before a block.
+func appendBlock(dst, block []byte) []byte {
+	dst = littleEndian.AppendUint32(dst, uint32(len(block)))
+	dst = littleEndian.AppendUint32(dst, checksum(dst[len(dst)-4:], block))
 	return append(dst, block...)
 }
 
-// readSealed reads a block that ends by limit.
-func readSealed(f io.ReaderAt, name string, at, limit int64) ([]byte, error) {
-	var pre [sealSize]byte
-	if at+sealSize > limit {
+// readBlock reads a block that ends by limit.
+func readBlock(f io.ReaderAt, name string, at, limit int64) ([]byte, error) {
+	var pre [blockHeaderBytes]byte
+	if at+blockHeaderBytes > limit {
 		return nil, &DamageError{name, at, "no room for a block"}
 	}
 	if _, err := f.ReadAt(pre[:], at); err != nil {
-		return nil, cutOr(err, name, at, "ends before a block")
+		return nil, readError(err, name, at, "ends before a block")
 	}
-	n := int64(le.Uint32(pre[:]))
-	if at+sealSize+n > limit {
+	n := int64(littleEndian.Uint32(pre[:]))
+	if at+blockHeaderBytes+n > limit {
 		return nil, &DamageError{name, at, "block's length is beyond its place"}
 	}
-	b := make([]byte, sealSize+n)
+	b := make([]byte, blockHeaderBytes+n)
 	if _, err := f.ReadAt(b, at); err != nil {
-		return nil, cutOr(err, name, at, "ends within a block")
+		return nil, readError(err, name, at, "ends within a block")
 	}
-	return unseal(name, at, b)
+	return verifyBlock(name, at, b)
 }
 
-// unseal checks a block that was read whole and gives its content.
-func unseal(name string, at int64, b []byte) ([]byte, error) {
-	content := b[sealSize:]
-	if le.Uint32(b) != uint32(len(content)) || sum(b[:4], content) != le.Uint32(b[4:]) {
+// verifyBlock checks a block that was read whole and gives its content.
+func verifyBlock(name string, at int64, b []byte) ([]byte, error) {
+	content := b[blockHeaderBytes:]
+	if littleEndian.Uint32(b) != uint32(len(content)) ||
+		checksum(b[:4], content) != littleEndian.Uint32(b[4:]) {
 		return nil, &DamageError{name, at, "block's checksum differs"}
 	}
 	return content, nil
@@ -177,41 +181,41 @@
 func appendRecord(dst []byte, op byte, key, value []byte) []byte {
 	at := len(dst)
 	dst = append(dst, 0, 0, 0, 0, op)
-	dst = le.AppendUint32(dst, uint32(len(key)))
-	dst = le.AppendUint32(dst, uint32(len(value)))
+	dst = littleEndian.AppendUint32(dst, uint32(len(key)))
+	dst = littleEndian.AppendUint32(dst, uint32(len(value)))
 	dst = append(append(dst, key...), value...)
-	le.PutUint32(dst[at:], sum(dst[at+4:]))
+	littleEndian.PutUint32(dst[at:], checksum(dst[at+4:]))
 	return dst
 }
 
 // record is the head of one operation.
 type record struct {
-	sum      uint32
-	op       byte
-	key, val uint32 // lengths
+	checksum             uint32
+	op                   byte
+	keyBytes, valueBytes uint32 // lengths
 }
 
 func parseRecord(b []byte) (r record, ok bool) {
-	r = record{le.Uint32(b), b[4], le.Uint32(b[5:]), le.Uint32(b[9:])}
-	return r, (r.op == opPut || r.op == opDelete && r.val == 0) && r.key <= MaxKey &&
-		r.val <= MaxValue
+	r = record{littleEndian.Uint32(b), b[4], littleEndian.Uint32(b[5:]), littleEndian.Uint32(b[9:])}
+	return r, (r.op == opPut || r.op == opDelete && r.valueBytes == 0) && r.keyBytes <= MaxKey &&
+		r.valueBytes <= MaxValue
 }
 
-func (r record) size() int64 { return recordHead + int64(r.key) + int64(r.val) }
+func (r record) size() int64 { return recordHeaderBytes + int64(r.keyBytes) + int64(r.valueBytes) }
 
 // batchHeader gives the head of a batch; the segment is in its checksum, so that a
 // batch of another segment is not taken for one of this.
 func batchHeader(segment, seq uint64, count uint32, body []byte) []byte {
-	b := make([]byte, 0, batchHead)
-	b = le.AppendUint32(b, uint32(len(body)))
-	b = le.AppendUint32(b, count)
-	b = le.AppendUint64(b, seq)
-	b = le.AppendUint32(b, sum(body))
-	return le.AppendUint32(b, batchSum(segment, b))
+	b := make([]byte, 0, batchHeaderBytes)
+	b = littleEndian.AppendUint32(b, uint32(len(body)))
+	b = littleEndian.AppendUint32(b, count)
+	b = littleEndian.AppendUint64(b, seq)
+	b = littleEndian.AppendUint32(b, checksum(body))
+	return littleEndian.AppendUint32(b, batchSum(segment, b))
 }
 
 func batchSum(segment uint64, b []byte) uint32 {
-	return sum(le.AppendUint64(nil, segment), b[:20])
+	return checksum(littleEndian.AppendUint64(nil, segment), b[:20])
 }
 
 // manifest names what is live.
@@ -240,16 +244,17 @@
 	for _, n := range []uint64{
 		m.next, m.active, m.seq, m.keys, uint64(len(m.segments)), uint64(len(m.runs)),
 	} {
-		b = le.AppendUint64(b, n)
+		b = littleEndian.AppendUint64(b, n)
 	}
 	for _, s := range m.segments {
-		b = le.AppendUint64(le.AppendUint64(le.AppendUint64(b, s.id), uint64(s.length)),
+		b = littleEndian.AppendUint64(littleEndian.AppendUint64(littleEndian.AppendUint64(b, s.id),
+			uint64(s.length)),
 			uint64(s.live))
 	}
 	for _, r := range m.runs {
-		b = le.AppendUint64(le.AppendUint64(b, r.id), uint64(r.length))
+		b = littleEndian.AppendUint64(littleEndian.AppendUint64(b, r.id), uint64(r.length))
 	}
-	return sealed(head(kindManifest, m.store, 0), b)
+	return appendBlock(encodeHeader(kindManifest, m.store, 0), b)
 }
 
 func readManifest(f File) (*manifest, error) {
@@ -257,20 +262,20 @@
 	if err != nil {
 		return nil, err
 	}
-	store, err := readHead(f, manifestName, kindManifest, 0, 0)
+	store, err := readHeader(f, manifestName, kindManifest, 0, 0)
 	if err != nil {
 		return nil, err
 	}
-	b, err := readSealed(f, manifestName, headSize, size)
+	b, err := readBlock(f, manifestName, fileHeaderBytes, size)
 	if err != nil {
 		return nil, err
 	}
-	bad := &DamageError{manifestName, headSize, "lists do not fill it"}
-	if size != headSize+sealSize+int64(len(b)) || len(b) < 48 {
+	bad := &DamageError{manifestName, fileHeaderBytes, "lists do not fill it"}
+	if size != fileHeaderBytes+blockHeaderBytes+int64(len(b)) || len(b) < 48 {
 		return nil, bad
 	}
 	n := func() uint64 {
-		v := le.Uint64(b)
+		v := littleEndian.Uint64(b)
 		b = b[8:]
 		return v
 	}
@@ -288,8 +293,8 @@
 	return m, nil
 }
 
-// mark is how far the log was synced when it was written.
-type mark struct {
+// syncMark is how far the log was synced when it was written.
+type syncMark struct {
 	segment uint64
 	end     int64
 	seq     uint64 // of the last batch before the end
@@ -297,26 +302,30 @@
 
 // The mark's file holds two slots that are written in turn, each in a sector of its own.
 const (
-	markSlot = 512
-	markSize = 28
+	markSlotBytes = 512
+	markBytes     = 28
 )
 
-func (m mark) encode(store uint64) []byte {
-	b := le.AppendUint64(le.AppendUint64(le.AppendUint64(nil, m.segment), uint64(m.end)), m.seq)
-	return le.AppendUint32(b, sum(le.AppendUint64(nil, store), b))
+func (m syncMark) encode(store uint64) []byte {
+	b := littleEndian.AppendUint64(
+		littleEndian.AppendUint64(littleEndian.AppendUint64(nil, m.segment), uint64(m.end)), m.seq,
+	)
+	return littleEndian.AppendUint32(b, checksum(littleEndian.AppendUint64(nil, store), b))
 }
 
 // readMark gives the later slot that can be read; without one ok is false.
-func readMark(f File, store uint64) (m mark, ok bool) {
-	if _, err := readHead(f, markName, kindMark, store, 0); err != nil {
+func readMark(f File, store uint64) (m syncMark, ok bool) {
+	if _, err := readHeader(f, markName, kindMark, store, 0); err != nil {
 		return m, false
 	}
 	for slot := int64(1); slot <= 2; slot++ {
-		b := make([]byte, markSize)
-		if _, err := f.ReadAt(b, slot*markSlot); err != nil {
+		b := make([]byte, markBytes)
+		if _, err := f.ReadAt(b, slot*markSlotBytes); err != nil {
 			continue
 		}
-		s := mark{le.Uint64(b), int64(le.Uint64(b[8:])), le.Uint64(b[16:])}
+		s := syncMark{
+			littleEndian.Uint64(b), int64(littleEndian.Uint64(b[8:])), littleEndian.Uint64(b[16:]),
+		}
 		if bytes.Equal(b, s.encode(store)) && (!ok || s.seq >= m.seq && s.segment >= m.segment) {
 			m, ok = s, true
 		}
--- a/internal/storage/store/manifest.go
+++ b/internal/storage/store/manifest.go
@@ -8,10 +8,10 @@
 // writeManifest replaces the manifest by one that names a set of files. After an error it is not
 // known which of the two a crash would leave.
 func (s *Store) writeManifest(set *fileSet, active, seq, keys uint64) error {
-	m := &manifest{store: s.id, next: s.next, active: active, seq: seq, keys: keys}
+	m := &manifest{store: s.id, next: s.nextFileID, active: active, seq: seq, keys: keys}
 	for _, g := range set.segments {
 		if g.id != active {
-			m.segments = append(m.segments, sealedSegment{g.id, g.length, g.base})
+			m.segments = append(m.segments, sealedSegment{g.id, g.length, g.liveAtSeal})
 		}
 	}
 	for _, r := range set.runs {
@@ -33,14 +33,14 @@
 	return s.fs.Sync()
 }
 
-// openMarks creates the mark's file anew, since an old one may be damaged.
-func (s *Store) openMarks() error {
+// createMarkFile creates the mark's file anew, since an old one may be damaged.
+func (s *Store) createMarkFile() error {
 	f, err := s.fs.Create(markName)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	s.marks = f
-	if _, err := f.WriteAt(head(kindMark, s.id, 0), 0); err != nil {
+	s.markFile = f
+	if _, err := f.WriteAt(encodeHeader(kindMark, s.id, 0), 0); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return s.writeMark()
@@ -49,9 +49,9 @@
 // writeMark writes down how far the log is on disk. The mark is not synced: after a power cut an
 // older one is valid too.
 func (s *Store) writeMark() error {
-	s.slot = 3 - max(s.slot, 1)
-	m := mark{s.active.id, s.synced, s.seq}
-	if _, err := s.marks.WriteAt(m.encode(s.id), s.slot*markSlot); err != nil {
+	s.markSlot = 3 - max(s.markSlot, 1)
+	m := syncMark{s.active.id, s.synced, s.seq}
+	if _, err := s.markFile.WriteAt(m.encode(s.id), s.markSlot*markSlotBytes); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
--- a/internal/storage/store/overlay.go
+++ b/internal/storage/store/overlay.go
@@ -69,12 +69,12 @@
 	return n, old, had
 }
 
-// walk goes through a treap in order.
-type walk struct{ path []*node }
+// treapWalker goes through a treap in order.
+type treapWalker struct{ path []*node }
 
 // from begins at the first key that is not before one.
-func (n *node) from(key string) *walk {
-	w := &walk{}
+func (n *node) from(key string) *treapWalker {
+	w := &treapWalker{}
 	for n != nil {
 		if n.key >= key {
 			w.path = append(w.path, n)
@@ -86,7 +86,7 @@
 	return w
 }
 
-func (w *walk) next() (key []byte, at location, ok bool, err error) {
+func (w *treapWalker) next() (key []byte, at location, ok bool, err error) {
 	if len(w.path) == 0 {
 		return nil, location{}, false, nil
 	}
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -10,11 +10,11 @@
 // create creates a store where there is none. A creation that a crash interrupted is begun anew,
 // since nobody was promised anything of it.
 func (s *Store) create(names []string) error {
-	if s.opt.ReadOnly {
+	if s.options.ReadOnly {
 		return fmt.Errorf("store: %w: no manifest", fs.ErrNotExist)
 	}
 	for _, name := range names {
-		if !ours(name) {
+		if !isStoreFile(name) {
 			continue
 		}
 		if name != segmentName(1) && name != manifestNew {
@@ -29,14 +29,14 @@
 			if err := errors.Join(err, f.Close()); err != nil {
 				return fmt.Errorf("store: %w", err)
 			}
-			if size > headSize {
+			if size > fileHeaderBytes {
 				return &DamageError{manifestName, 0, "missing beside a log that holds something"}
 			}
 		}
 	}
 	var id [8]byte
 	rand.Read(id[:])
-	s.id, s.next, s.first = le.Uint64(id[:])|1, 1, 1
+	s.id, s.nextFileID, s.firstSeq = littleEndian.Uint64(id[:])|1, 1, 1
 	if err := s.startSegment(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -48,36 +48,36 @@
 	if err := s.writeManifest(s.files, s.active.id, 1, 0); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	return s.openMarks()
+	return s.createMarkFile()
 }
 
 // startSegment creates the segment that batches are appended to from now on.
 func (s *Store) startSegment() error {
-	id := s.nextID()
+	id := s.allocateFileID()
 	f, err := s.fs.Create(segmentName(id))
 	if err != nil {
 		return err
 	}
-	if _, err = f.WriteAt(head(kindSegment, s.id, id), 0); err == nil {
+	if _, err = f.WriteAt(encodeHeader(kindSegment, s.id, id), 0); err == nil {
 		err = f.Sync()
 	}
 	if err != nil {
 		return errors.Join(err, f.Close(), s.fs.Remove(segmentName(id)))
 	}
 	s.active = &segment{file: file{f: f, name: segmentName(id)}, id: id}
-	s.end, s.synced = headSize, headSize
+	s.end, s.synced = fileHeaderBytes, fileHeaderBytes
 	return nil
 }
 
-// nextID returns the id of a new file.
-func (s *Store) nextID() uint64 {
-	s.next++
-	return s.next - 1
+// allocateFileID returns the id of a new file.
+func (s *Store) allocateFileID() uint64 {
+	s.nextFileID++
+	return s.nextFileID - 1
 }
 
 // recover opens the files that the manifest names and replays the active segment.
 func (s *Store) recover(m *manifest) error {
-	s.id, s.next, s.first, s.keys, s.baseKeys = m.store, m.next, m.seq, m.keys, m.keys
+	s.id, s.nextFileID, s.firstSeq, s.keys, s.baseKeys = m.store, m.next, m.seq, m.keys, m.keys
 	for _, of := range m.segments {
 		f, err := s.openNamed(segmentName(of.id), false)
 		if err != nil {
@@ -103,13 +103,13 @@
 		s.files.runs = append(s.files.runs, r)
 	}
 	name := segmentName(m.active)
-	f, err := s.openNamed(name, !s.opt.ReadOnly)
+	f, err := s.openNamed(name, !s.options.ReadOnly)
 	if err != nil {
 		return err
 	}
 	s.active = &segment{file: file{f: f, name: name, refs: 1}, id: m.active}
 	s.files.segments = append(s.files.segments, s.active)
-	if _, err := readHead(f, name, kindSegment, s.id, m.active); err != nil {
+	if _, err := readHeader(f, name, kindSegment, s.id, m.active); err != nil {
 		return err
 	}
 	return s.replay()
@@ -133,7 +133,7 @@
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	s.seq, s.end = s.first-1, headSize
+	s.seq, s.end = s.firstSeq-1, fileHeaderBytes
 	var tail *DamageError
 	for s.end < size && tail == nil {
 		if tail, err = s.replayBatch(size); err != nil {
@@ -143,7 +143,7 @@
 	if err := s.checkMark(tail); err != nil {
 		return err
 	}
-	s.stats.Cut = size - s.end
+	s.stats.TruncatedBytes = size - s.end
 	return nil
 }
 
@@ -161,8 +161,8 @@
 		what := fmt.Sprintf("batch %d where %d belongs", seq, s.seq+1)
 		return &DamageError{s.active.name, s.end, what}, nil
 	}
-	change := s.change()
-	err = s.active.records(s.end+batchHead, s.end+n, func(r record, key []byte, at int64) error {
+	change := s.newChange()
+	err = s.active.records(s.end+batchHeaderBytes, s.end+n, func(r record, key []byte, at int64) error {
 		count--
 		return change.add(r.op, key, location{s.active.id, at, uint32(r.size())})
 	})
@@ -194,7 +194,7 @@
 	}
 	if m.segment > s.active.id {
 		what := fmt.Sprintf("is older than segment %x, of which something was promised", m.segment)
-		return &DamageError{manifestName, headSize, what}
+		return &DamageError{manifestName, fileHeaderBytes, what}
 	}
 	if m.end <= s.end {
 		return nil
@@ -208,7 +208,7 @@
 // prepareWriting makes a recovered store ready for commits: it cuts off the torn tail and removes
 // unfinished files. names are all files of the folder.
 func (s *Store) prepareWriting(names []string) error {
-	if s.stats.Cut > 0 {
+	if s.stats.TruncatedBytes > 0 {
 		if err := s.active.f.Truncate(s.end); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
@@ -226,12 +226,12 @@
 		named[r.name] = true
 	}
 	for _, name := range names {
-		if ours(name) && !named[name] {
+		if isStoreFile(name) && !named[name] {
 			if err := s.fs.Remove(name); err != nil {
 				return fmt.Errorf("store: %w", err)
 			}
-			s.stats.Dropped++
+			s.stats.RemovedFiles++
 		}
 	}
-	return s.openMarks()
+	return s.createMarkFile()
 }
--- a/internal/storage/store/run.go
+++ b/internal/storage/store/run.go
@@ -10,19 +10,19 @@
 // holds the first key of each block and the filter alone.
 type run struct {
 	file
-	id         uint64
-	length     int64
-	entries    int
-	tombstones int
-	end        int64    // of the blocks
-	fences     []byte   // as they stand in the file
-	fence      []uint32 // where each begins there
-	filter     filter
+	id           uint64
+	length       int64
+	entries      int
+	tombstones   int
+	blocksEnd    int64    // of the blocks
+	directory    []byte   // as they stand in the file
+	fenceOffsets []uint32 // where each begins there
+	filter       filter
 }
 
 const (
-	blockSize  = 4 << 10
-	footerSize = 48
+	targetBlockBytes = 4 << 10
+	footerBytes      = 48
 )
 
 // runWriter writes a run. Its keys must come in order.
@@ -33,19 +33,19 @@
 	at         int64 // where buf goes
 	buf        []byte
 	block      []byte
-	fences     []byte
+	directory  []byte
 	filter     filter
 	entries    int
 	tombstones int
 }
 
 func (s *Store) newRunWriter(most int) (*runWriter, error) {
-	id := s.nextID()
+	id := s.allocateFileID()
 	w := &runWriter{
 		name:   runName(id),
 		id:     id,
 		filter: newFilter(most),
-		buf:    head(kindRun, s.id, id),
+		buf:    encodeHeader(kindRun, s.id, id),
 	}
 	var err error
 	w.f, err = s.fs.Create(w.name)
@@ -54,9 +54,9 @@
 
 func (w *runWriter) add(key []byte, at location) error {
 	if len(w.block) == 0 {
-		w.fences = binary.AppendUvarint(w.fences, uint64(w.at)+uint64(len(w.buf)))
-		w.fences = binary.AppendUvarint(w.fences, uint64(len(key)))
-		w.fences = append(w.fences, key...)
+		w.directory = binary.AppendUvarint(w.directory, uint64(w.at)+uint64(len(w.buf)))
+		w.directory = binary.AppendUvarint(w.directory, uint64(len(key)))
+		w.directory = append(w.directory, key...)
 	}
 	w.block = binary.AppendUvarint(w.block, uint64(len(key)))
 	w.block = append(w.block, key...)
@@ -69,7 +69,7 @@
 	}
 	w.filter.add(hash(key))
 	w.entries++
-	if len(w.block) >= blockSize {
+	if len(w.block) >= targetBlockBytes {
 		return w.endBlock()
 	}
 	return nil
@@ -79,7 +79,7 @@
 	if len(w.block) == 0 {
 		return nil
 	}
-	w.buf = sealed(w.buf, w.block)
+	w.buf = appendBlock(w.buf, w.block)
 	w.block = w.block[:0]
 	if len(w.buf) >= 64<<10 {
 		return w.flush()
@@ -100,17 +100,17 @@
 		return nil, err
 	}
 	end := w.at + int64(len(w.buf))
-	w.buf = sealed(w.buf, w.fences)
+	w.buf = appendBlock(w.buf, w.directory)
 	filterAt := w.at + int64(len(w.buf))
-	w.buf = sealed(w.buf, w.filter)
-	foot := make([]byte, 0, footerSize)
+	w.buf = appendBlock(w.buf, w.filter)
+	foot := make([]byte, 0, footerBytes)
 	for _, n := range []uint64{
 		uint64(end), uint64(filterAt), uint64(w.entries), uint64(w.tombstones), w.id,
 	} {
-		foot = le.AppendUint64(foot, n)
+		foot = littleEndian.AppendUint64(foot, n)
 	}
 	foot = append(foot, "run\n"...)
-	w.buf = le.AppendUint32(append(w.buf, foot...), sum(foot))
+	w.buf = littleEndian.AppendUint32(append(w.buf, foot...), checksum(foot))
 	if err := w.flush(); err != nil {
 		return nil, err
 	}
@@ -121,8 +121,8 @@
 		f:    w.f,
 		name: w.name,
 	}, id: w.id, length: w.at, entries: w.entries, tombstones: w.tombstones,
-		end: end, fences: w.fences, filter: w.filter}
-	return r, r.index()
+		blocksEnd: end, directory: w.directory, filter: w.filter}
+	return r, r.indexFences()
 }
 
 // openRun reads a run's directory.
@@ -135,42 +135,49 @@
 	if size != m.length {
 		return nil, &DamageError{name, size, "ends here; the manifest has another length"}
 	}
-	if _, err := readHead(f, name, kindRun, store, m.id); err != nil {
+	if _, err := readHeader(f, name, kindRun, store, m.id); err != nil {
 		return nil, err
 	}
-	foot := make([]byte, footerSize)
-	at := size - footerSize
-	if at < headSize {
+	foot := make([]byte, footerBytes)
+	at := size - footerBytes
+	if at < fileHeaderBytes {
 		return nil, &DamageError{name, size, "too short for a footer"}
 	}
 	if _, err := f.ReadAt(foot, at); err != nil {
-		return nil, cutOr(err, name, at, "ends within its footer")
+		return nil, readError(err, name, at, "ends within its footer")
 	}
-	if string(foot[40:44]) != "run\n" || le.Uint32(foot[44:]) != sum(foot[:44]) ||
-		le.Uint64(foot[32:]) != m.id {
+	if string(foot[40:44]) != "run\n" || littleEndian.Uint32(foot[44:]) != checksum(foot[:44]) ||
+		littleEndian.Uint64(foot[32:]) != m.id {
 		return nil, &DamageError{name, at, "footer's checksum differs"}
 	}
-	r := &run{file: file{f: f, name: name}, id: m.id, length: size, end: int64(le.Uint64(foot)),
-		entries: int(le.Uint64(foot[16:])), tombstones: int(le.Uint64(foot[24:]))}
-	filterAt := int64(le.Uint64(foot[8:]))
-	if r.fences, err = readSealed(f, name, r.end, filterAt); err != nil {
+	r := &run{file: file{
+		f:    f,
+		name: name,
+	},
+		id:         m.id,
+		length:     size,
+		blocksEnd:  int64(littleEndian.Uint64(foot)),
+		entries:    int(littleEndian.Uint64(foot[16:])),
+		tombstones: int(littleEndian.Uint64(foot[24:]))}
+	filterAt := int64(littleEndian.Uint64(foot[8:]))
+	if r.directory, err = readBlock(f, name, r.blocksEnd, filterAt); err != nil {
 		return nil, err
 	}
-	bits, err := readSealed(f, name, filterAt, at)
+	bits, err := readBlock(f, name, filterAt, at)
 	if err != nil {
 		return nil, err
 	}
 	r.filter = bits
-	return r, r.index()
+	return r, r.indexFences()
 }
 
-// index finds where each fence begins.
-func (r *run) index() error {
-	for at := 0; at < len(r.fences); {
-		r.fence = append(r.fence, uint32(at))
+// indexFences finds where each fence begins.
+func (r *run) indexFences() error {
+	for at := 0; at < len(r.directory); {
+		r.fenceOffsets = append(r.fenceOffsets, uint32(at))
 		_, key, n := r.fenceAt(at)
-		if n <= 0 || at+n > len(r.fences) || key == nil {
-			return &DamageError{r.name, r.end, "directory can't be read"}
+		if n <= 0 || at+n > len(r.directory) || key == nil {
+			return &DamageError{r.name, r.blocksEnd, "directory can't be read"}
 		}
 		at += n
 	}
@@ -179,7 +186,7 @@
 
 // fenceAt reads the fence at a place: its block's offset, its key, its length.
 func (r *run) fenceAt(at int) (offset int64, key []byte, n int) {
-	b := r.fences[at:]
+	b := r.directory[at:]
 	o, k := binary.Uvarint(b)
 	if k <= 0 {
 		return 0, nil, 0
@@ -193,31 +200,31 @@
 
 // blockFor is the number of the block that would hold a key, -1 if it is before all.
 func (r *run) blockFor(key []byte) int {
-	return sort.Search(len(r.fence), func(i int) bool {
-		_, first, _ := r.fenceAt(int(r.fence[i]))
+	return sort.Search(len(r.fenceOffsets), func(i int) bool {
+		_, first, _ := r.fenceAt(int(r.fenceOffsets[i]))
 		return bytes.Compare(first, key) > 0
 	}) - 1
 }
 
 // block reads a block into buf, in one read: it ends where the next begins.
 func (r *run) block(i int, buf *[]byte) ([]byte, error) {
-	offset, _, _ := r.fenceAt(int(r.fence[i]))
-	end := r.end
-	if i+1 < len(r.fence) {
-		end, _, _ = r.fenceAt(int(r.fence[i+1]))
+	offset, _, _ := r.fenceAt(int(r.fenceOffsets[i]))
+	end := r.blocksEnd
+	if i+1 < len(r.fenceOffsets) {
+		end, _, _ = r.fenceAt(int(r.fenceOffsets[i+1]))
 	}
 	n := end - offset
-	if offset < headSize || end > r.end || n < sealSize {
-		return nil, &DamageError{r.name, r.end, "directory can't be read"}
+	if offset < fileHeaderBytes || end > r.blocksEnd || n < blockHeaderBytes {
+		return nil, &DamageError{r.name, r.blocksEnd, "directory can't be read"}
 	}
 	if int64(cap(*buf)) < n {
 		*buf = make([]byte, n)
 	}
 	b := (*buf)[:n]
 	if _, err := r.f.ReadAt(b, offset); err != nil {
-		return nil, cutOr(err, r.name, offset, "ends within a block")
+		return nil, readError(err, r.name, offset, "ends within a block")
 	}
-	return unseal(r.name, offset, b)
+	return verifyBlock(r.name, offset, b)
 }
 
 // entry reads the first entry of what is left of a block.
@@ -271,8 +278,8 @@
 	return location{}, false, nil
 }
 
-// runWalk goes through a run in order. Keys are of use until the next call.
-type runWalk struct {
+// runWalker goes through a run in order. Keys are of use until the next call.
+type runWalker struct {
 	r     *run
 	block int
 	buf   []byte
@@ -280,14 +287,14 @@
 	first []byte // what is before it is passed over
 }
 
-func (r *run) from(key []byte) *runWalk {
-	return &runWalk{r: r, block: max(r.blockFor(key), 0), first: key}
+func (r *run) from(key []byte) *runWalker {
+	return &runWalker{r: r, block: max(r.blockFor(key), 0), first: key}
 }
 
-func (w *runWalk) next() (key []byte, at location, ok bool, err error) {
+func (w *runWalker) next() (key []byte, at location, ok bool, err error) {
 	for {
 		if len(w.rest) == 0 {
-			if w.block >= len(w.r.fence) {
+			if w.block >= len(w.r.fenceOffsets) {
 				return nil, at, false, nil
 			}
 			if w.rest, err = w.r.block(w.block, &w.buf); err != nil {
@@ -310,8 +317,9 @@
 	next() (key []byte, at location, ok bool, err error)
 }
 
-// merged goes through several walkers at once; where some have the same key the first one counts.
-type merged struct {
+// mergeWalker goes through several walkers at once; where some have the same key the first one
+// counts.
+type mergeWalker struct {
 	from  []walker
 	heads []mergeHead
 	key   []byte // the last one given out
@@ -326,15 +334,15 @@
 	read bool // the next entry is wanted
 }
 
-func merge(from ...walker) *merged {
-	m := &merged{from: from, heads: make([]mergeHead, len(from))}
+func merge(from ...walker) *mergeWalker {
+	m := &mergeWalker{from: from, heads: make([]mergeHead, len(from))}
 	for i := range m.heads {
 		m.heads[i].read = true
 	}
 	return m
 }
 
-func (m *merged) next() (key []byte, at location, ok bool, err error) {
+func (m *mergeWalker) next() (key []byte, at location, ok bool, err error) {
 	least := -1
 	for i := range m.heads {
 		h := &m.heads[i]
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -16,19 +16,19 @@
 // segment is a file of the log.
 type segment struct {
 	file
-	id     uint64
-	length int64 // of a sealed one; the active one grows
-	live   int64 // bytes of records that are the newest of their keys
-	base   int64 // live when the active segment began: what the manifest says
+	id         uint64
+	length     int64 // of a sealed one; the active one grows
+	live       int64 // bytes of records that are the newest of their keys
+	liveAtSeal int64 // live when the active segment began: what the manifest says
 }
 
 func openSegment(f File, store uint64, m sealedSegment) (*segment, error) {
 	s := &segment{
-		file:   file{f: f, name: segmentName(m.id)},
-		id:     m.id,
-		length: m.length,
-		live:   m.live,
-		base:   m.live,
+		file:       file{f: f, name: segmentName(m.id)},
+		id:         m.id,
+		length:     m.length,
+		live:       m.live,
+		liveAtSeal: m.live,
 	}
 	size, err := f.Size()
 	if err != nil {
@@ -39,63 +39,63 @@
 			s.name, size, fmt.Sprintf("ends here; the manifest has %d bytes", m.length),
 		}
 	}
-	_, err = readHead(f, s.name, kindSegment, store, m.id)
+	_, err = readHeader(f, s.name, kindSegment, store, m.id)
 	return s, err
 }
 
 // readBatch checks the batch at an offset and gives its head; the records are not looked at.
 func (s *segment) readBatch(at, end int64) (size int64, count uint32, seq uint64, err error) {
-	b := make([]byte, batchHead)
-	if at+batchHead > end {
+	b := make([]byte, batchHeaderBytes)
+	if at+batchHeaderBytes > end {
 		return 0, 0, 0, &DamageError{s.name, at, "ends within a batch's head"}
 	}
 	if _, err := s.f.ReadAt(b, at); err != nil {
-		return 0, 0, 0, cutOr(err, s.name, at, "ends within a batch's head")
+		return 0, 0, 0, readError(err, s.name, at, "ends within a batch's head")
 	}
-	if le.Uint32(b[20:]) != batchSum(s.id, b) {
+	if littleEndian.Uint32(b[20:]) != batchSum(s.id, b) {
 		return 0, 0, 0, &DamageError{s.name, at, "batch's head: checksum differs"}
 	}
-	body := int64(le.Uint32(b))
-	if at+batchHead+body > end {
+	body := int64(littleEndian.Uint32(b))
+	if at+batchHeaderBytes+body > end {
 		return 0, 0, 0, &DamageError{s.name, at, "ends within a batch"}
 	}
 	crc, chunk := uint32(0), make([]byte, min(body, 256<<10))
-	for from := at + batchHead; from < at+batchHead+body; {
-		part := chunk[:min(int64(len(chunk)), at+batchHead+body-from)]
+	for from := at + batchHeaderBytes; from < at+batchHeaderBytes+body; {
+		part := chunk[:min(int64(len(chunk)), at+batchHeaderBytes+body-from)]
 		if _, err := s.f.ReadAt(part, from); err != nil {
-			return 0, 0, 0, cutOr(err, s.name, from, "ends within a batch")
+			return 0, 0, 0, readError(err, s.name, from, "ends within a batch")
 		}
-		crc = sumOn(crc, part)
+		crc = updateChecksum(crc, part)
 		from += int64(len(part))
 	}
-	if crc != le.Uint32(b[16:]) {
+	if crc != littleEndian.Uint32(b[16:]) {
 		return 0, 0, 0, &DamageError{s.name, at, "batch's checksum differs"}
 	}
-	return batchHead + body, le.Uint32(b[4:]), le.Uint64(b[8:]), nil
+	return batchHeaderBytes + body, littleEndian.Uint32(b[4:]), littleEndian.Uint64(b[8:]), nil
 }
 
 // records goes through the records between two offsets that hold whole ones; the key is of use
 // until do returns.
 func (s *segment) records(from, to int64, do func(r record, key []byte, at int64) error) error {
 	in := bufio.NewReaderSize(io.NewSectionReader(s.f, from, to-from), 64<<10)
-	pre, key := make([]byte, recordHead), []byte(nil)
+	pre, key := make([]byte, recordHeaderBytes), []byte(nil)
 	for at := from; at < to; {
 		if _, err := io.ReadFull(in, pre); err != nil {
-			return cutOr(err, s.name, at, "ends within a record")
+			return readError(err, s.name, at, "ends within a record")
 		}
 		r, ok := parseRecord(pre)
 		if !ok || at+r.size() > to {
 			return &DamageError{s.name, at, "a record can't be read"}
 		}
-		if cap(key) < int(r.key) {
-			key = make([]byte, r.key)
+		if cap(key) < int(r.keyBytes) {
+			key = make([]byte, r.keyBytes)
 		}
-		key = key[:r.key]
+		key = key[:r.keyBytes]
 		if _, err := io.ReadFull(in, key); err != nil {
-			return cutOr(err, s.name, at, "ends within a key")
+			return readError(err, s.name, at, "ends within a key")
 		}
-		if _, err := in.Discard(int(r.val)); err != nil {
-			return cutOr(err, s.name, at, "ends within a value")
+		if _, err := in.Discard(int(r.valueBytes)); err != nil {
+			return readError(err, s.name, at, "ends within a value")
 		}
 		if err := do(r, key, at); err != nil {
 			return err
@@ -109,10 +109,10 @@
 func (s *segment) read(at location) (b []byte, r record, err error) {
 	b = make([]byte, at.size)
 	if _, err := s.f.ReadAt(b, at.offset); err != nil {
-		return nil, r, cutOr(err, s.name, at.offset, "ends within a record")
+		return nil, r, readError(err, s.name, at.offset, "ends within a record")
 	}
 	r, ok := parseRecord(b)
-	if !ok || r.size() != int64(len(b)) || sum(b[4:]) != r.sum {
+	if !ok || r.size() != int64(len(b)) || checksum(b[4:]) != r.checksum {
 		return nil, r, &DamageError{s.name, at.offset, "record's checksum differs"}
 	}
 	return b, r, nil
--- a/internal/storage/store/snapshot.go
+++ b/internal/storage/store/snapshot.go
@@ -19,11 +19,11 @@
 // Snapshot is the store as it was at one time. It may be read concurrently, also with commits. The
 // files that it reads stay on disk until it is closed.
 type Snapshot struct {
-	s     *Store
-	seq   uint64
-	top   *node
-	files *fileSet
-	once  sync.Once
+	store   *Store
+	seq     uint64
+	overlay *node
+	files   *fileSet
+	once    sync.Once
 }
 
 // Snapshot returns the store as it is now, with all commits that have returned. Close it after use.
@@ -34,7 +34,7 @@
 		return nil, ErrClosed
 	}
 	s.files.refs++
-	return &Snapshot{s: s, seq: s.seq, top: s.top, files: s.files}, nil
+	return &Snapshot{store: s, seq: s.seq, overlay: s.overlay, files: s.files}, nil
 }
 
 // Seq returns the number of the last batch in the snapshot. Batches count from 1.
@@ -43,16 +43,16 @@
 // Close releases the snapshot's files. Further calls do nothing.
 func (v *Snapshot) Close() {
 	v.once.Do(func() {
-		v.s.mu.Lock()
-		defer v.s.mu.Unlock()
-		v.s.drop(v.files)
+		v.store.mu.Lock()
+		defer v.store.mu.Unlock()
+		v.store.releaseFiles(v.files)
 	})
 }
 
 // Get returns the value of a key, or ErrNotFound.
 func (v *Snapshot) Get(key []byte) ([]byte, error) {
 	var buf []byte
-	at, ok, err := find(v.top, v.files, key, &buf)
+	at, ok, err := find(v.overlay, v.files, key, &buf)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 
 func (v *Snapshot) entries(from, to []byte) iter.Seq2[entry, error] {
 	return func(yield func(entry, error) bool) {
-		walkers := []walker{v.top.from(string(from))}
+		walkers := []walker{v.overlay.from(string(from))}
 		for _, r := range v.files.runs {
 			walkers = append(walkers, r.from(from))
 		}
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -19,11 +19,12 @@
 	// SegmentBytes is the size at which a segment of the log is sealed, 16 MiB if it is 0. One
 	// batch may pass it.
 	SegmentBytes int64
-	// Overlay is how many keys written since the last sealing are held in memory, 16,384 if it is
-	// 0.
-	Overlay int
-	// Step is how many bytes of compaction go along with each commit at least, 64 KiB if it is 0.
-	Step int
+	// MaxOverlayKeys is how many keys written since the last sealing are held in memory, 16,384 if
+	// it is 0.
+	MaxOverlayKeys int
+	// CompactionStepBytes is how many bytes of compaction go along with each commit at least, 64
+	// KiB if it is 0.
+	CompactionStepBytes int
 	// Verify has Open read and check every byte.
 	Verify bool
 	// ReadOnly opens without changing anything; other readers may do so at the same time. A torn
@@ -37,73 +38,73 @@
 	if o.SegmentBytes == 0 {
 		o.SegmentBytes = defaultSegmentBytes
 	}
-	if o.Overlay == 0 {
-		o.Overlay = defaultOverlayKeys
+	if o.MaxOverlayKeys == 0 {
+		o.MaxOverlayKeys = defaultOverlayKeys
 	}
-	if o.Step == 0 {
-		o.Step = defaultStepBytes
+	if o.CompactionStepBytes == 0 {
+		o.CompactionStepBytes = defaultStepBytes
 	}
 	return o
 }
 
 // Store is an open store. Its methods may be called concurrently.
 type Store struct {
-	fs     FS
-	opt    Options
-	id     uint64
-	unlock func() error
+	fs      FS
+	options Options
+	id      uint64
+	unlock  func() error
 
-	mu     sync.Mutex // guards what follows, and every file's refs
-	seq    uint64     // of the last batch
-	top    *node      // what was written since the active segment began
-	files  *fileSet
-	closed bool
-	failed error // why nothing is committed any more
+	mu      sync.Mutex // guards what follows, and every file's refs
+	seq     uint64     // of the last batch
+	overlay *node      // what was written since the active segment began
+	files   *fileSet
+	closed  bool
+	failed  error // why nothing is committed any more
 
 	queue   []*commit
-	leading bool // one goroutine writes; what follows is its own
+	writing bool // one goroutine writes; what follows is its own
 
-	next       uint64 // id of the next file
-	active     *segment
-	end        int64 // of the active segment
-	synced     int64 // how far it is known to be on disk
-	first      uint64
-	count      int // entries of top
-	keys       uint64
-	baseKeys   uint64
-	marks      File
-	slot       int64
-	buf, block []byte
-	merging    *mergeJob
-	moving     *moveJob
-	writers    int // of the last group
-	epoch      uint32
-	sealAt     int64 // no sealing before this end: the last one failed
-	background error // of the last step
-	unmarked   error // of the last mark
-	stats      Stats
+	nextFileID    uint64 // id of the next file
+	active        *segment
+	end           int64 // of the active segment
+	synced        int64 // how far it is known to be on disk
+	firstSeq      uint64
+	overlayKeys   int // entries of top
+	keys          uint64
+	baseKeys      uint64
+	markFile      File
+	markSlot      int64
+	buf, block    []byte
+	merging       *mergeJob
+	copying       *copyJob
+	lastGroupSize int // of the last group
+	epoch         uint32
+	retrySealAt   int64 // no sealing before this end: the last one failed
+	backgroundErr error // of the last step
+	markErr       error // of the last mark
+	stats         Stats
 }
 
 // Stats describe a store. Sizes of files are in bytes, as the files are now.
 type Stats struct {
-	Keys       uint64 // there now
-	Seq        uint64 // batches committed ever
-	Live       int64  // bytes of the newest records of all keys
-	LogBytes   int64
-	IndexBytes int64
-	Segments   int
-	Runs       int
-	Entries    int   // of the runs, deletions among them
-	Overlay    int   // keys in memory
-	Memory     int64 // bytes of overlay, filters and directories, by reckoning
-	Cut        int64 // bytes of a torn tail that Open cut off
-	Dropped    int   // files of unfinished work that Open removed
-	Written    int64 // bytes of commits and moves since Open
-	Moved      int64 // bytes that compaction has copied
-	Merged     int64 // entries that it has written
-	Syncs      int64 // of the log
+	Keys           uint64 // there now
+	Seq            uint64 // batches committed ever
+	LiveBytes      int64  // bytes of the newest records of all keys
+	LogBytes       int64
+	IndexBytes     int64
+	Segments       int
+	Runs           int
+	Entries        int   // of the runs, deletions among them
+	OverlayKeys    int   // keys in memory
+	MemoryBytes    int64 // bytes of overlay, filters and directories, by reckoning
+	TruncatedBytes int64 // bytes of a torn tail that Open cut off
+	RemovedFiles   int   // files of unfinished work that Open removed
+	WrittenBytes   int64 // bytes of commits and moves since Open
+	CopiedBytes    int64 // bytes that compaction has copied
+	MergedEntries  int64 // entries that it has written
+	Syncs          int64 // of the log
 	// what the last step of compaction, or the last mark, failed with; commits went on
-	Background error
+	BackgroundError error
 }
 
 // Open opens the store in a folder, or creates one there. The error wraps ErrLocked if another
@@ -115,7 +116,7 @@
 			return nil, fmt.Errorf("store: %w", err)
 		}
 	}
-	s := &Store{fs: opt.FS, opt: opt, files: &fileSet{refs: 1}}
+	s := &Store{fs: opt.FS, options: opt, files: &fileSet{refs: 1}}
 	if s.unlock, err = s.fs.Lock(opt.ReadOnly); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -159,21 +160,21 @@
 
 // Stats returns the store's present figures. It waits for a commit that is under way.
 func (s *Store) Stats() Stats {
-	s.lead()
-	defer s.follow()
+	s.becomeWriter()
+	defer s.handOverWriter()
 	st := s.stats
-	st.Keys, st.Seq, st.Segments, st.Runs, st.Overlay = s.keys, s.seq, len(s.files.segments), len(s.files.runs), s.count
-	st.LogBytes, st.Memory, st.Background = s.end, int64(s.count)*nodeBytes, errors.Join(
-		s.background, s.unmarked,
+	st.Keys, st.Seq, st.Segments, st.Runs, st.OverlayKeys = s.keys, s.seq, len(s.files.segments), len(s.files.runs), s.overlayKeys
+	st.LogBytes, st.MemoryBytes, st.BackgroundError = s.end, int64(s.overlayKeys)*nodeBytes, errors.Join(
+		s.backgroundErr, s.markErr,
 	)
 	for _, g := range s.files.segments {
-		st.Live += g.live
+		st.LiveBytes += g.live
 		st.LogBytes += g.length
 	}
 	for _, r := range s.files.runs {
 		st.IndexBytes += r.length
 		st.Entries += r.entries
-		st.Memory += int64(len(r.fences) + 4*len(r.fence) + len(r.filter))
+		st.MemoryBytes += int64(len(r.directory) + 4*len(r.fenceOffsets) + len(r.filter))
 	}
 	return st
 }
@@ -181,8 +182,8 @@
 // Close syncs what was committed and unlocks the folder. Commits under way are finished. Snapshots
 // can be read until they are closed themselves.
 func (s *Store) Close() error {
-	s.lead()
-	defer s.follow()
+	s.becomeWriter()
+	defer s.handOverWriter()
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
@@ -194,18 +195,18 @@
 	if s.failed == nil {
 		err = s.sync()
 	}
-	s.abandon()
+	s.abandonMerge()
 	return errors.Join(err, s.release())
 }
 
 // release closes all files and unlocks the folder.
 func (s *Store) release() error {
 	var err error
-	if s.marks != nil {
-		err = s.marks.Close()
+	if s.markFile != nil {
+		err = s.markFile.Close()
 	}
 	s.mu.Lock()
-	s.drop(s.files)
+	s.releaseFiles(s.files)
 	s.mu.Unlock()
 	return errors.Join(err, s.unlock())
 }
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -96,10 +96,10 @@
 					promised = w.Last()
 				}
 			}
-			if st := w.Store.Stats(); st.Background != nil ||
+			if st := w.Store.Stats(); st.BackgroundError != nil ||
 				st.Keys != uint64(len(w.States[w.Last()])) {
 				t.Fatalf("seed %d: %d keys, not %d; %v",
-					seed, st.Keys, len(w.States[w.Last()]), st.Background)
+					seed, st.Keys, len(w.States[w.Last()]), st.BackgroundError)
 			}
 		}
 		if got, err := storetest.Read(w.Store); err != nil || w.After(got) != w.Last() {
@@ -324,8 +324,8 @@
 			t.Fatal(err)
 		}
 	}
-	if st := s.Stats(); !errors.Is(st.Background, syscall.EMFILE) {
-		t.Errorf("not told: %v", st.Background)
+	if st := s.Stats(); !errors.Is(st.BackgroundError, syscall.EMFILE) {
+		t.Errorf("not told: %v", st.BackgroundError)
 	}
 	f.Fail = nil
 	if err := s.Compact(t.Context()); err != nil {
@@ -377,7 +377,12 @@
 // states.
 func TestSpaceAndRunsStayBounded(t *testing.T) {
 	f := faultfs.New()
-	o := store.Options{FS: f, SegmentBytes: 16 << 10, Overlay: 128, Step: 4 << 10}
+	o := store.Options{
+		FS:                  f,
+		SegmentBytes:        16 << 10,
+		MaxOverlayKeys:      128,
+		CompactionStepBytes: 4 << 10,
+	}
 	s := open(t, "", o)
 	for i := range 20_000 {
 		var b store.Batch
@@ -392,27 +397,27 @@
 			continue
 		}
 		st := s.Stats()
-		if st.Background != nil {
-			t.Fatal(st.Background)
+		if st.BackgroundError != nil {
+			t.Fatal(st.BackgroundError)
 		}
-		if most := 2*(st.Live+24*int64(st.Keys)) + 3*o.SegmentBytes; st.LogBytes > most {
-			t.Fatalf("after %d: log of %d bytes for %d live ones", i, st.LogBytes, st.Live)
+		if most := 2*(st.LiveBytes+24*int64(st.Keys)) + 3*o.SegmentBytes; st.LogBytes > most {
+			t.Fatalf("after %d: log of %d bytes for %d live ones", i, st.LogBytes, st.LiveBytes)
 		}
-		if most := 4*int(st.Keys) + 2*o.Overlay; st.Entries > most || st.Runs > 8 {
+		if most := 4*int(st.Keys) + 2*o.MaxOverlayKeys; st.Entries > most || st.Runs > 8 {
 			t.Fatalf("after %d: %d entries in %d runs for %d keys", i, st.Entries, st.Runs, st.Keys)
 		}
 	}
 	if err := s.Compact(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if st := s.Stats(); st.LogBytes > st.Live*5/4+o.SegmentBytes {
-		t.Errorf("after Compact %d bytes for %d live ones", st.LogBytes, st.Live)
+	if st := s.Stats(); st.LogBytes > st.LiveBytes*5/4+o.SegmentBytes {
+		t.Errorf("after Compact %d bytes for %d live ones", st.LogBytes, st.LiveBytes)
 	}
 }
 
 func TestRepair(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	o := store.Options{SegmentBytes: 8 << 10, Overlay: 64}
+	o := store.Options{SegmentBytes: 8 << 10, MaxOverlayKeys: 64}
 	s, err := store.Open(dir, o)
 	if err != nil {
 		t.Fatal(err)
@@ -450,17 +455,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(rep.GivenUp) == 0 || rep.Kept == 0 {
+		if len(rep.Lost) == 0 || rep.RecoveredKeys == 0 {
 			t.Errorf("%+v", rep)
 		}
-		if kept, err := os.ReadFile(filepath.Join(rep.Original,
+		if kept, err := os.ReadFile(filepath.Join(rep.DamagedDir,
 			filepath.Base(names[0]))); err != nil || !bytes.Equal(kept, raw) {
 			t.Errorf("the original is not kept: %v", err)
 		}
-		s := open(t, dir, store.Options{SegmentBytes: 8 << 10, Overlay: 64, Verify: true})
+		s := open(t, dir, store.Options{SegmentBytes: 8 << 10, MaxOverlayKeys: 64, Verify: true})
 		got, err := storetest.Read(s)
-		if err != nil || len(got) != rep.Kept {
-			t.Errorf("%d keys of %d, %v", len(got), rep.Kept, err)
+		if err != nil || len(got) != rep.RecoveredKeys {
+			t.Errorf("%d keys of %d, %v", len(got), rep.RecoveredKeys, err)
 		}
 		for key, value := range got {
 			if truth[key] != value {
@@ -479,7 +484,7 @@
 	if _, err := store.Repair(dir, false); err == nil {
 		t.Error("repaired without a manifest, unasked")
 	}
-	if rep, err := store.Repair(dir, true); err != nil || rep.Kept != len(truth) {
+	if rep, err := store.Repair(dir, true); err != nil || rep.RecoveredKeys != len(truth) {
 		t.Errorf("from the logs: %+v, %v; %d keys expected", rep, err, len(truth))
 	}
 }
--- a/internal/testing/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -171,8 +171,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	model, err = sim.RunFigures(sim.Options{Seed: seed, Gateways: p.Gateways, Servers: servers, Load: p.Load, For: length,
-		NoteLoss: p.NoteLoss, Faults: faults})
+	model, err = sim.RunSummary(sim.Options{Seed: seed, Gateways: p.Gateways, Servers: servers, Load: p.Load, Duration: length,
+		MessageLoss: p.NoteLoss, Faults: faults})
 	return real, model, err
 }
 
--- a/internal/testing/experiment/experiment.go
+++ b/internal/testing/experiment/experiment.go
@@ -78,11 +78,11 @@
 	"per_second": func(o *sim.Options, x float64) { o.PerSecond = x },
 	"customers":  func(o *sim.Options, x float64) { o.Customers = int(x) },
 	"spread":     func(o *sim.Options, x float64) { o.Spread = int(x) },
-	"note_loss":  func(o *sim.Options, x float64) { o.NoteLoss = x },
-	"note_twice": func(o *sim.Options, x float64) { o.NoteTwice = x },
+	"note_loss":  func(o *sim.Options, x float64) { o.MessageLoss = x },
+	"note_twice": func(o *sim.Options, x float64) { o.MessageDuplication = x },
 	"surge":      func(o *sim.Options, x float64) { o.Surge = x },
-	"state":      func(o *sim.Options, x float64) { o.State = x > 0 },
-	"note_late":  func(o *sim.Options, x float64) { o.NoteLate = seconds(x) },
+	"state":      func(o *sim.Options, x float64) { o.Snapshots = x > 0 },
+	"note_late":  func(o *sim.Options, x float64) { o.MessageDelay = seconds(x) },
 	"shift":      func(o *sim.Options, x float64) { o.Shift = seconds(x) },
 	"kills_per_minute": func(o *sim.Options, x float64) {
 		o.Kills = 0
@@ -116,7 +116,7 @@
 // Parse reads the text of an experiment.
 func Parse(raw []byte) (*File, error) {
 	f := &File{Seeds: 10, First: 1, For: "30s", Figures: []string{"service", "over_quota_share"}}
-	f.World = sim.Options{Gateways: 8, Servers: 12, Load: 0.55, NoteLoss: -1}
+	f.World = sim.Options{Gateways: 8, Servers: 12, Load: 0.55, MessageLoss: -1}
 	err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(f)
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -129,7 +129,7 @@
 	for _, l := range []struct {
 		key, text string
 		to        *time.Duration
-	}{{"for", f.For, &f.World.For}, {"lengths.shift", f.Lengths.Shift, &f.World.Shift}, {"lengths.note_late", f.Lengths.NoteLate, &f.World.NoteLate},
+	}{{"for", f.For, &f.World.Duration}, {"lengths.shift", f.Lengths.Shift, &f.World.Shift}, {"lengths.note_late", f.Lengths.NoteLate, &f.World.MessageDelay},
 		{"lengths.kills", f.Lengths.Kills, &f.World.Kills}, {"lengths.restarts", f.Lengths.Restarts, &f.World.Restarts}} {
 		if l.text == "" {
 			continue
@@ -309,7 +309,7 @@
 	o, v := f.options(p)
 	var line []byte
 	if v.Lab == "" {
-		figures, err := sim.RunFigures(o)
+		figures, err := sim.RunSummary(o)
 		if err != nil {
 			return nil, fmt.Errorf("%s, %s %g, seed %d: %w", p.Variant, f.Sweep, p.X, p.Seed, err)
 		}
--- a/internal/testing/storetest/damage.go
+++ b/internal/testing/storetest/damage.go
@@ -90,7 +90,7 @@
 			}
 		}
 	}
-	if st := w.Store.Stats(); st.Moved == 0 || st.Merged == 0 || st.Segments < 2 {
+	if st := w.Store.Stats(); st.CopiedBytes == 0 || st.MergedEntries == 0 || st.Segments < 2 {
 		return nil, fmt.Errorf("%d batches are too few: the work that should be crashed did not happen: %+v", batches, st)
 	}
 	ops, promised := f.Ops(), 0
@@ -146,7 +146,7 @@
 		return nil, err
 	}
 	// The newest segment has to hold something that was promised.
-	for w.Last() < batches || w.Store.Stats().Overlay < 5 {
+	for w.Last() < batches || w.Store.Stats().OverlayKeys < 5 {
 		if err := w.Commit(store.Durable); err != nil {
 			return nil, err
 		}
--- a/internal/testing/storetest/kill.go
+++ b/internal/testing/storetest/kill.go
@@ -17,7 +17,7 @@
 )
 
 // killable is how the process that is killed opens its store: small enough that all work goes on all the time.
-var killable = store.Options{SegmentBytes: 64 << 10, Overlay: 256, Verify: true}
+var killable = store.Options{SegmentBytes: 64 << 10, MaxOverlayKeys: 256, Verify: true}
 
 const writers = 4
 
--- a/internal/testing/storetest/workload.go
+++ b/internal/testing/storetest/workload.go
@@ -13,7 +13,7 @@
 
 // Small has every kind of file and of work happen within a few dozen batches.
 func Small(f store.FS) store.Options {
-	return store.Options{SegmentBytes: 700, Overlay: 8, Step: 64, FS: f}
+	return store.Options{SegmentBytes: 700, MaxOverlayKeys: 8, CompactionStepBytes: 64, FS: f}
 }
 
 // Content is all that a store holds.
--- a/sim/around.go
+++ b/sim/around.go
@@ -9,45 +9,47 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// notes carries what gateways tell one another: late, some twice, some not at all.
-type notes struct {
-	w      *World
-	rand   *rand.Rand
-	in     []int // taken in by each gateway in the present second
-	second []int64
-	cut    int64 // until when no note passes between the gateways below cutAt and the others
-	cutAt  int
-	slow   int64 // until when notes come later, by slowBy
-	slowBy int64
+// peerNetwork carries what gateways tell one another: late, some twice, some not at all.
+type peerNetwork struct {
+	w                  *World
+	rand               *rand.Rand
+	receivedThisSecond []int // taken in by each gateway in the present second
+	second             []int64
+	// until when no note passes between the gateways below cutAt and the others
+	partitionedUntil int64
+	partitionAt      int
+	delayedUntil     int64 // until when notes come later, by slowBy
+	extraDelay       int64
 }
 
-func (n *notes) carry(from, to int, note []byte) {
+func (n *peerNetwork) deliver(from, to int, note []byte) {
 	w := n.w
-	w.Notes.Sent++
-	w.Notes.Bytes += len(note)
+	w.PeerMessages.Sent++
+	w.PeerMessages.Bytes += len(note)
 	lost, late := n.rand.Float64() < w.Site.MessageLoss, 1300+n.rand.Int64N(9700)
-	twice := w.o.NoteTwice > 0 && n.rand.Float64() < w.o.NoteTwice
-	cut := w.now < n.cut && (from < n.cutAt) != (to < n.cutAt)
+	twice := w.options.MessageDuplication > 0 && n.rand.Float64() < w.options.MessageDuplication
+	cut := w.now < n.partitionedUntil && (from < n.partitionAt) != (to < n.partitionAt)
 	if lost || cut || to < 0 || to >= len(w.gateways) {
-		w.Notes.Lost++
+		w.PeerMessages.Lost++
 		return
 	}
 	copied := append([]byte(nil), note...)
 	arrive := func() {
 		g := w.gateways[to]
 		if s := w.now / 1e6; s != n.second[to] {
-			n.second[to], n.in[to] = s, 0
+			n.second[to], n.receivedThisSecond[to] = s, 0
 		}
-		if n.in[to]++; n.in[to] > 60 {
-			w.Notes.Lost++ // more than a gateway takes in
+		if n.receivedThisSecond[to]++; n.receivedThisSecond[to] > 60 {
+			w.PeerMessages.Lost++ // more than a gateway takes in
 			return
 		}
-		w.Notes.MostIn = max(w.Notes.MostIn, n.in[to])
-		g.event(g.life, func() { g.module.ReceivePeerMessage(g.now(), from, copied) })
+		w.PeerMessages.MaxReceivedPerSecond = max(w.PeerMessages.MaxReceivedPerSecond,
+			n.receivedThisSecond[to])
+		g.deliver(g.incarnation, func() { g.module.ReceivePeerMessage(g.now(), from, copied) })
 	}
-	late += w.o.NoteLate.Microseconds()
-	if w.now < n.slow {
-		late += n.slowBy
+	late += w.options.MessageDelay.Microseconds()
+	if w.now < n.delayedUntil {
+		late += n.extraDelay
 	}
 	w.after(late, arrive)
 	if twice {
@@ -55,17 +57,17 @@
 	}
 }
 
-// register tells gateways of the servers, some time after it happened.
-type register struct {
+// registry tells gateways of the servers, some time after it happened.
+type registry struct {
 	w     *World
 	rand  *rand.Rand
 	known [][]policy.Endpoint // by gateway
 	// when a gateway hears what was told last of a server: news keep their order
-	last   map[[2]int]int64
-	silent int64 // it tells nothing until then
+	lastDelivery map[[2]int]int64
+	silentUntil  int64 // it tells nothing until then
 }
 
-func (r *register) begin(gateways int) {
+func (r *registry) start(gateways int) {
 	for range gateways {
 		var list []policy.Endpoint
 		for _, sv := range r.w.servers {
@@ -76,38 +78,38 @@
 	}
 }
 
-func (r *register) list(gateway int) []policy.Endpoint {
+func (r *registry) list(gateway int) []policy.Endpoint {
 	return append([]policy.Endpoint(nil), r.known[gateway]...)
 }
 
-// tell has all gateways hear of a server's state.
-func (r *register) tell(sv *server, state policy.EndpointState) {
+// announce has all gateways hear of a server's state.
+func (r *registry) announce(sv *server, state policy.EndpointState) {
 	w := r.w
 	m := policy.Endpoint{Backend: sv.number, Cell: 1, State: state, Weight: 1}
-	if boot := w.Record.ServerStarts[sv.boot]; boot.SlowStart {
+	if boot := w.Record.ServerStarts[sv.startIndex]; boot.SlowStart {
 		m.StartedAt = epoch + boot.At.Microseconds()
 	}
-	if r.last == nil {
-		r.last = map[[2]int]int64{}
+	if r.lastDelivery == nil {
+		r.lastDelivery = map[[2]int]int64{}
 	}
 	for i := range w.gateways {
 		key := [2]int{i, int(sv.number)}
 		at := max(w.now+int64(r.rand.Float64()*float64(w.Site.RegisterLag.Microseconds())),
-			r.last[key])
-		r.last[key] = at
+			r.lastDelivery[key])
+		r.lastDelivery[key] = at
 		w.after(at-w.now, func() { r.arrive(i, sv, m) })
 	}
 }
 
 // arrive has one gateway hear of a server, once the register is not silent.
-func (r *register) arrive(i int, sv *server, m policy.Endpoint) {
+func (r *registry) arrive(i int, sv *server, m policy.Endpoint) {
 	w, g := r.w, r.w.gateways[i]
-	if w.now < r.silent {
-		w.after(r.silent-w.now, func() { r.arrive(i, sv, m) })
+	if w.now < r.silentUntil {
+		w.after(r.silentUntil-w.now, func() { r.arrive(i, sv, m) })
 		return
 	}
 	r.known[i][sv.number-1] = m
-	g.event(g.life, func() {
+	g.deliver(g.incarnation, func() {
 		w.Record.EndpointUpdates = append(w.Record.EndpointUpdates,
 			harness.EndpointUpdate{
 				Gateway: i,
@@ -119,9 +121,9 @@
 	})
 }
 
-// toldOf tells whether a gateway has been told of a server's present start.
-func (r *register) toldOf(gateway int, sv *server) bool {
-	boot := &r.w.Record.ServerStarts[sv.boot]
+// knowsStart tells whether a gateway has been told of a server's present start.
+func (r *registry) knowsStart(gateway int, sv *server) bool {
+	boot := &r.w.Record.ServerStarts[sv.startIndex]
 	return !boot.SlowStart ||
 		r.known[gateway][sv.number-1].StartedAt >= epoch+boot.At.Microseconds()
 }
@@ -129,25 +131,25 @@
 // frontEntry is one gateway as the front sees it: one that has died is noticed
 // only after some time.
 type frontEntry struct {
-	down    bool
-	failing int64 // since when nothing listens there; 0: something does
-	notice  int64
+	down           bool
+	failingSince   int64 // since when nothing listens there; 0: something does
+	detectionDelay int64
 }
 
 func (w *World) frontUp(g int) bool {
 	e := &w.gateways[g].front
 	if e.down && w.gateways[g].up {
-		e.down, e.failing = false, 0
+		e.down, e.failingSince = false, 0
 	}
 	return !e.down
 }
 
-func (w *World) noPort(g int) {
+func (w *World) connectionRefused(g int) {
 	e := &w.gateways[g].front
-	if e.failing == 0 {
-		e.failing = w.now
-		e.notice = 1_000_000 + w.rand.Int64N(2_900_000)
-	} else if w.now-e.failing >= e.notice {
+	if e.failingSince == 0 {
+		e.failingSince = w.now
+		e.detectionDelay = 1_000_000 + w.rand.Int64N(2_900_000)
+	} else if w.now-e.failingSince >= e.detectionDelay {
 		e.down = true
 	}
 }
@@ -159,60 +161,66 @@
 	traffic *harness.Traffic
 }
 
-func (c *client) ask() {
+func (c *client) sendNext() {
 	w := c.w
-	if w.now >= w.ends {
+	if w.now >= w.endAt {
 		return
 	}
 	t, r := c.traffic.Request(w.at())
-	q := &asked{c: c, first: t, rand: r, wait: w.Site.ClientTimeout(t.Class, r), last: -1}
+	q := &clientRequest{
+		c:           c,
+		first:       t,
+		rand:        r,
+		wait:        w.Site.ClientTimeout(t.Class, r),
+		lastGateway: -1,
+	}
 	q.send()
-	w.after(c.pause(), c.ask)
+	w.after(c.pause(), c.sendNext)
 }
 
 // pause is the time until the customer's next request: less in a surge of its plan.
 func (c *client) pause() int64 {
 	pause, w := float64(c.traffic.Pause().Microseconds()), c.w
-	if w.o.Surge > 0 && w.now > w.ends/3 && w.now < w.ends*2/3 &&
-		w.Site.Customers[c.number].Plan == int(w.o.Seed%uint64(len(w.Site.Plans))) {
-		pause /= w.o.Surge
+	if w.options.Surge > 0 && w.now > w.endAt/3 && w.now < w.endAt*2/3 &&
+		w.Site.Customers[c.number].Plan == int(w.options.Seed%uint64(len(w.Site.Plans))) {
+		pause /= w.options.Surge
 	}
 	return int64(pause)
 }
 
-// asked is one request of a client with its tries.
-type asked struct {
-	c     *client
-	first harness.Try
-	rand  *rand.Rand
-	wait  time.Duration
-	n     int
-	last  int
-	began int64 // when the first try was sent
+// clientRequest is one request of a client with its tries.
+type clientRequest struct {
+	c           *client
+	first       harness.Try
+	rand        *rand.Rand
+	wait        time.Duration
+	tries       int
+	lastGateway int
+	startedAt   int64 // when the first try was sent
 }
 
-func (q *asked) send() {
+func (q *clientRequest) send() {
 	w := q.c.w
 	who := &w.Site.Customers[q.c.number]
 	w.nextTry++
 	t := q.first
 	t.ID, t.Wait, t.RejectReason = harness.Hex16(w.nextTry), q.wait, ""
-	if q.n == 0 {
-		q.first.First, q.began = t.ID, w.now
+	if q.tries == 0 {
+		q.first.First, q.startedAt = t.ID, w.now
 		t.First = t.ID
 	} else {
 		t.RequestedAt = 0
 	}
-	t.Gateway = w.Site.PickGateway(who, q.last, w.at(), w.frontUp, q.rand)
-	q.last = t.Gateway
+	t.Gateway = w.Site.PickGateway(who, q.lastGateway, w.at(), w.frontUp, q.rand)
+	q.lastGateway = t.Gateway
 	g := w.gateways[t.Gateway]
 	if !g.up {
 		t.PortClosedAt = w.at()
-		w.noPort(t.Gateway)
+		w.connectionRefused(t.Gateway)
 		q.end(&t, harness.Unsent, 0)
 		return
 	}
-	g.front.failing = 0
+	g.front.failingSince = 0
 	t.SentAt = w.at()
 	w.waiting++
 	w.after(w.clientNet(), func() {
@@ -223,13 +231,13 @@
 			return
 		}
 		t.SentAt = w.at()
-		life := g.life
-		g.event(life, func() {
-			g.take(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) })
+		life := g.incarnation
+		g.deliver(life, func() {
+			g.accept(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) })
 		})
-		if w.now < g.frozen { // a process that ends before it has read
-			w.after(g.frozen-w.now, func() {
-				if life != g.life {
+		if w.now < g.frozenUntil { // a process that ends before it has read
+			w.after(g.frozenUntil-w.now, func() {
+				if life != g.incarnation {
 					t.Reset = true
 					q.end(&t, harness.Ended, 0)
 				}
@@ -239,21 +247,21 @@
 }
 
 // end takes in how a try ended, and sends the next one.
-func (q *asked) end(t *harness.Try, k harness.Kind, after int64) {
+func (q *clientRequest) end(t *harness.Try, k harness.Kind, after int64) {
 	w := q.c.w
 	t.Kind, t.RetryAfter = k, time.Duration(after)*time.Microsecond
 	w.Record.Tries = append(w.Record.Tries, *t)
 	fmt.Fprintf(w.digest, "%d %s %d %d %s\n", w.now, t.ID, t.Gateway, k, t.RejectReason)
-	if q.n++; k == harness.Served || q.n > w.Site.Retries {
+	if q.tries++; k == harness.Served || q.tries > w.Site.Retries {
 		return
 	}
-	pause := harness.Backoff(q.n-1, t.RetryAfter, q.rand)
+	pause := harness.Backoff(q.tries-1, t.RetryAfter, q.rand)
 	// What may have run is not asked for again; what carries a key only while servers
 	// would know it again, whatever the answer said.
 	c := &w.Site.Classes[t.Class]
 	if c.Unsafe && k != harness.Refused && k != harness.Unsent ||
 		c.Keyed &&
-			w.now+(pause+q.wait).Microseconds() > q.began+c.DeduplicationWindow.Microseconds() {
+			w.now+(pause+q.wait).Microseconds() > q.startedAt+c.DeduplicationWindow.Microseconds() {
 		return
 	}
 	w.waiting++
--- a/sim/clock.go
+++ b/sim/clock.go
@@ -6,13 +6,13 @@
 // microsecond happens in the order in which it was planned, so that one seed
 // gives one history.
 type clock struct {
-	now    int64 // microseconds
-	plans  planHeap
-	number uint64
-	done   int // events so far
+	now        int64 // microseconds
+	events     eventHeap
+	nextNumber uint64
+	processed  int // events so far
 }
 
-type plan struct {
+type scheduledEvent struct {
 	at     int64
 	number uint64
 	do     func()
@@ -20,34 +20,34 @@
 
 // after plans something; a time that is past means now, after all planned for now.
 func (c *clock) after(d int64, do func()) {
-	c.number++
-	heap.Push(&c.plans, plan{c.now + max(0, d), c.number, do})
+	c.nextNumber++
+	heap.Push(&c.events, scheduledEvent{c.now + max(0, d), c.nextNumber, do})
 }
 
 // next has the next planned thing happen; false: nothing is left before the end.
 func (c *clock) next(end int64) bool {
-	if len(c.plans) == 0 || c.plans[0].at > end {
+	if len(c.events) == 0 || c.events[0].at > end {
 		return false
 	}
-	p := heap.Pop(&c.plans).(plan)
+	p := heap.Pop(&c.events).(scheduledEvent)
 	c.now = p.at
-	c.done++
+	c.processed++
 	p.do()
 	return true
 }
 
-type planHeap []plan
+type eventHeap []scheduledEvent
 
-func (h planHeap) Len() int { return len(h) }
-func (h planHeap) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
 }
-func (h planHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *planHeap) Push(x any)   { *h = append(*h, x.(plan)) }
-func (h *planHeap) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	p := old[len(old)-1]
-	old[len(old)-1] = plan{}
+	old[len(old)-1] = scheduledEvent{}
 	*h = old[:len(old)-1]
 	return p
 }
--- a/sim/distribution/distribution_test.go
+++ b/sim/distribution/distribution_test.go
@@ -11,7 +11,7 @@
 	for _, f := range found.Findings {
 		t.Errorf("seed %d, %+v: %+v", f.Seed, f.Size, f.Breach)
 	}
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		if found.Faults[k] == 0 {
 			t.Errorf("no fault %s", k)
 		}
--- a/sim/distribution/faults.go
+++ b/sim/distribution/faults.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// fault does one thing to the fleet, and plans the next.
-func (w *World) fault() {
-	if w.calm {
+// injectFault does one thing to the fleet, and plans the next.
+func (w *World) injectFault() {
+	if w.quiet {
 		return
 	}
-	w.after(w.between(100*time.Millisecond, 3*time.Second), w.fault)
+	w.after(w.between(100*time.Millisecond, 3*time.Second), w.injectFault)
 	s := w.servers[w.random.IntN(len(w.servers))]
 	r := w.replicas[w.random.IntN(len(w.replicas))]
 	span := w.between(500*time.Millisecond, 6*time.Second)
@@ -22,16 +22,16 @@
 	case 4:
 		if s.up {
 			w.result.Faults["server stopped"]++
-			s.stopped = w.now + span
-			w.disturb(s)
+			s.stoppedUntil = w.now + span
+			w.markDisturbed(s)
 		}
 	case 5:
 		w.result.Faults["server cut off"]++
-		s.cut = w.now + span
-		w.disturb(s)
-		w.at(s.cut, func() {
-			if w.now >= s.cut {
-				s.cut = 0
+		s.cutUntil = w.now + span
+		w.markDisturbed(s)
+		w.at(s.cutUntil, func() {
+			if w.now >= s.cutUntil {
+				s.cutUntil = 0
 			}
 		})
 	case 6:
@@ -45,7 +45,7 @@
 		w.crashReplica(r, span, "state file damaged", func() { w.damageFile(r) })
 	case 11:
 		w.result.Faults["replica stopped"]++
-		r.stopped = w.now + span
+		r.stoppedUntil = w.now + span
 		if r.link != nil {
 			r.link.faults++
 		}
@@ -56,17 +56,17 @@
 			r.link.faults++
 		}
 	case 14:
-		w.herd()
+		w.restartAll()
 	case 15:
 		if w.random.IntN(3) == 0 {
 			w.result.Faults["founded anew"]++
-			w.foundAnew()
+			w.recreateFleet()
 		}
 	}
 }
 
-// disturb marks all streams of a server.
-func (w *World) disturb(s *server) {
+// markDisturbed marks all streams of a server.
+func (w *World) markDisturbed(s *server) {
 	for _, l := range s.links {
 		l.faults++
 	}
@@ -81,9 +81,9 @@
 	l := s.lineage
 	w.kill(s)
 	s.applied = applied
-	boot := s.boot
+	boot := s.incarnation
 	w.after(span, func() {
-		if s.boot == boot && !s.up {
+		if s.incarnation == boot && !s.up {
 			w.restart(s, l, applied)
 		}
 	})
@@ -97,16 +97,16 @@
 	w.result.Faults[name]++
 	w.killReplica(r)
 	do()
-	boot := r.boot
+	boot := r.incarnation
 	w.after(span, func() {
-		if !r.up && r.boot == boot {
+		if !r.up && r.incarnation == boot {
 			w.startReplica(r)
 		}
 	})
 }
 
-// herd has all gateways start at once, half of them from nothing.
-func (w *World) herd() {
+// restartAll has all gateways start at once, half of them from nothing.
+func (w *World) restartAll() {
 	w.result.Faults["all replicas at once"]++
 	for i, r := range w.replicas {
 		w.killReplica(r)
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -41,25 +41,25 @@
 // newest is the last revision.
 func (l *lineage) newest() uint64 { return uint64(len(l.states) - 1) }
 
-// begin has another owner.
-func (l *lineage) begin(who lease.Member) {
+// startTerm has another owner.
+func (l *lineage) startTerm(who lease.Member) {
 	l.term++
 	l.owner = who
 	l.log = append(l.log, entry{who: who, term: l.term})
 }
 
-// say appends a command, and has the model take it in if its term is the newest. A change without
-// value is a deletion.
-func (l *lineage) say(who lease.Member, term uint64, whole bool, changes records) {
+// publish appends a command, and has the model take it in if its term is the newest. A change
+// without value is a deletion.
+func (l *lineage) publish(who lease.Member, term uint64, whole bool, changes records) {
 	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Whole: whole}, changes)
 	if term == l.term && who == l.owner {
 		l.model(whole, changes)
 	}
 }
 
-// sayDifference appends the first command of a term as the difference to a revision. It counts
+// publishDifference appends the first command of a term as the difference to a revision. It counts
 // where that is still the newest.
-func (l *lineage) sayDifference(base distribution.Position, changes records) (taken bool) {
+func (l *lineage) publishDifference(base distribution.Position, changes records) (taken bool) {
 	l.command(l.owner,
 		&distributionpb.Command{Term: l.term, Epoch: l.epoch, Base: base.Proto()}, changes)
 	if base.Epoch != l.epoch || base.Revision != l.newest() {
@@ -104,34 +104,34 @@
 	}
 }
 
-// register is the list of servers as it really is, and who watches it.
-type register struct {
-	servers records
-	phases  map[string]distributionpb.Phase
-	watcher lease.Member
-	term    uint64
-	whole   bool // the watcher has not said it yet
-	next    int
-	waits   records // changes that the watcher has not said yet
+// registry is the list of servers as it really is, and who watches it.
+type registry struct {
+	servers     records
+	phases      map[string]distributionpb.Phase
+	watcher     lease.Member
+	term        uint64
+	completeDue bool // the watcher has not said it yet
+	next        int
+	pending     records // changes that the watcher has not said yet
 }
 
 // Between how many servers the list has, but at the beginning: enough for several messages of
 // buckets.
 const (
-	leastServers = 30
-	mostServers  = 80
+	minServers = 30
+	maxServers = 80
 )
 
 // change draws one change of the list, and gives its id.
-func (r *register) change(random *rand.Rand, now time.Duration) string {
+func (r *registry) change(random *rand.Rand, now time.Duration) string {
 	what := random.IntN(10)
-	if len(r.servers) < leastServers || what < 2 && len(r.servers) < mostServers {
+	if len(r.servers) < minServers || what < 2 && len(r.servers) < maxServers {
 		r.next++
 		id := fmt.Sprintf("server-%d", r.next)
 		r.set(id, distributionpb.Phase_PHASE_READY, now)
 		return id
 	}
-	id := r.some(random)
+	id := r.pick(random)
 	switch {
 	case what < 4:
 		delete(r.servers, id)
@@ -144,8 +144,8 @@
 	return id
 }
 
-// some is one of the servers, the same for the same randomness.
-func (r *register) some(random *rand.Rand) string {
+// pick is one of the servers, the same for the same randomness.
+func (r *registry) pick(random *rand.Rand) string {
 	for {
 		id := fmt.Sprintf("server-%d", 1+random.IntN(r.next))
 		if _, there := r.servers[id]; there {
@@ -154,7 +154,7 @@
 	}
 }
 
-func (r *register) set(id string, phase distributionpb.Phase, now time.Duration) {
+func (r *registry) set(id string, phase distributionpb.Phase, now time.Duration) {
 	raw, err := proto.Marshal(&distributionpb.ServerRecord{
 		Address:   "10.0.0.1:" + id,
 		Phase:     phase,
@@ -166,12 +166,12 @@
 	r.servers[id], r.phases[id] = string(raw), phase
 }
 
-// found begins the fleet.
-func (w *World) found(size Size) {
-	w.register = register{
+// createFleet begins the fleet.
+func (w *World) createFleet(size Size) {
+	w.registry = registry{
 		servers: records{},
 		phases:  map[string]distributionpb.Phase{},
-		waits:   records{},
+		pending: records{},
 	}
 	w.newLineage(1_000)
 	w.newWatcher()
@@ -185,20 +185,20 @@
 		w.replicas = append(w.replicas, r)
 		w.startReplica(r)
 	}
-	w.after(0, w.beat)
+	w.after(0, w.heartbeat)
 }
 
 // newWatcher has another gateway watch the register. What the last one had not said is in its whole
 // list.
 func (w *World) newWatcher() {
-	w.lineage.begin(lease.Member{ID: "watcher", Incarnation: w.random.Uint64()})
-	w.register.watcher, w.register.term, w.register.whole = w.lineage.owner, w.lineage.term, true
+	w.lineage.startTerm(lease.Member{ID: "watcher", Incarnation: w.random.Uint64()})
+	w.registry.watcher, w.registry.term, w.registry.completeDue = w.lineage.owner, w.lineage.term, true
 }
 
 // changeRegister changes the list, now and then in bursts, and has the watcher say so, a little
 // later.
 func (w *World) changeRegister() {
-	if w.calm {
+	if w.quiet {
 		return // so that what a link has lost just before has to be missed without a further change
 	}
 	burst := 1
@@ -206,10 +206,10 @@
 		burst = 2 + w.random.IntN(12)
 	}
 	for range burst {
-		id := w.register.change(w.random, w.now)
-		w.register.waits[id] = w.register.servers[id]
+		id := w.registry.change(w.random, w.now)
+		w.registry.pending[id] = w.registry.servers[id]
 	}
-	w.after(w.between(0, 20*time.Millisecond), w.say)
+	w.after(w.between(0, 20*time.Millisecond), w.publishChanges)
 	pause := w.between(20*time.Millisecond, 800*time.Millisecond)
 	if w.random.IntN(30) == 0 {
 		pause = w.between(2*time.Second, 6*time.Second)
@@ -217,45 +217,45 @@
 	w.after(pause, w.changeRegister)
 }
 
-// beat has the watcher say something regularly.
-func (w *World) beat() {
-	w.say()
-	w.after(time.Second, w.beat)
+// heartbeat has the watcher say something regularly.
+func (w *World) heartbeat() {
+	w.publishChanges()
+	w.after(time.Second, w.heartbeat)
 }
 
-// say has the watcher say what has changed; or, late and under a term that has ended, what nobody
-// is to take in.
-func (w *World) say() {
-	r := &w.register
-	if w.one("late command", 60) {
-		w.lineage.say(lease.Member{ID: "watcher", Incarnation: 1}, r.term-1, true,
+// publishChanges has the watcher say what has changed; or, late and under a term that has ended,
+// what nobody is to take in.
+func (w *World) publishChanges() {
+	r := &w.registry
+	if w.chance("late command", 60) {
+		w.lineage.publish(lease.Member{ID: "watcher", Incarnation: 1}, r.term-1, true,
 			records{"server-1": string(r.servers["server-1"])})
 	}
 	switch {
-	case r.whole && w.random.IntN(2) == 0 && w.sayBase():
-	case r.whole:
-		w.lineage.say(r.watcher, r.term, true, maps.Clone(r.servers))
+	case r.completeDue && w.random.IntN(2) == 0 && w.publishDifference():
+	case r.completeDue:
+		w.lineage.publish(r.watcher, r.term, true, maps.Clone(r.servers))
 	default:
-		w.lineage.say(r.watcher, r.term, false, maps.Clone(r.waits))
+		w.lineage.publish(r.watcher, r.term, false, maps.Clone(r.pending))
 	}
-	r.whole = false
-	clear(r.waits)
+	r.completeDue = false
+	clear(r.pending)
 	w.result.Revisions = int(w.lineage.newest())
 	for _, s := range w.servers {
 		w.pull(s)
 	}
 }
 
-// sayBase has a new watcher say the difference to what some gateway has, which may be older than
-// what is agreed.
-func (w *World) sayBase() (taken bool) {
+// publishDifference has a new watcher say the difference to what some gateway has, which may be
+// older than what is agreed.
+func (w *World) publishDifference() (taken bool) {
 	state := w.replicas[w.random.IntN(len(w.replicas))].client.State()
 	if state.Empty() {
 		return false
 	}
-	changes := maps.Clone(w.register.servers)
+	changes := maps.Clone(w.registry.servers)
 	state.Range(distribution.KindServer, func(r distribution.Record) bool {
-		value, there := w.register.servers[r.ID]
+		value, there := w.registry.servers[r.ID]
 		switch {
 		case !there:
 			changes[r.ID] = ""
@@ -264,7 +264,7 @@
 		}
 		return true
 	})
-	if taken = w.lineage.sayDifference(state.Position(), changes); taken {
+	if taken = w.lineage.publishDifference(state.Position(), changes); taken {
 		w.result.Faults["term from a difference"]++
 	} else {
 		w.result.Faults["old difference refused"]++
@@ -272,12 +272,12 @@
 	return taken
 }
 
-// foundAnew wipes all servers and founds another fleet of the same name. One old server may go on
-// for a while.
-func (w *World) foundAnew() {
+// recreateFleet wipes all servers and founds another fleet of the same name. One old server may go
+// on for a while.
+func (w *World) recreateFleet() {
 	w.newLineage(w.lineage.epoch + 1 + uint64(w.random.IntN(5)))
 	w.newWatcher()
-	w.say()
+	w.publishChanges()
 	for i, s := range w.servers {
 		if i == 0 && w.random.IntN(2) == 0 {
 			w.result.Faults["old server"]++
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -20,26 +20,26 @@
 
 // link is one stream between a replica and a server. It keeps the order of what it carries.
 type link struct {
-	id          distribution.StreamID
-	server      *server
-	serverBoot  uint64
-	replica     *replica
-	replicaBoot uint64
-	attempt     uint64
-	open        bool
-	cut         bool // nothing passes any more, and nobody is told
-	faults      int
-	freeDown    time.Duration // when the next message may begin
-	lastDown    time.Duration // arrival of the last
-	lastUp      time.Duration
-	retryAt     time.Duration // before it the replica is not to come back
+	id                 distribution.StreamID
+	server             *server
+	serverIncarnation  uint64
+	replica            *replica
+	replicaIncarnation uint64
+	attempt            uint64
+	open               bool
+	cut                bool // nothing passes any more, and nobody is told
+	faults             int
+	freeDown           time.Duration // when the next message may begin
+	lastDown           time.Duration // arrival of the last
+	lastUp             time.Duration
+	retryAt            time.Duration // before it the replica is not to come back
 }
 
 var errBroken = errors.New("the stream is broken")
 
 // connect opens a stream for an attempt of a replica.
 func (w *World) connect(r *replica, c distribution.Connect) {
-	boot := r.boot
+	boot := r.incarnation
 	var s *server
 	for _, candidate := range w.servers {
 		if candidate.id == c.Server.ID {
@@ -48,7 +48,7 @@
 	}
 	w.after(w.between(time.Millisecond, 10*time.Millisecond), func() {
 		switch {
-		case w.now < s.cut || w.now < s.stopped || w.one("no connection", 40):
+		case w.now < s.cutUntil || w.now < s.stoppedUntil || w.chance("no connection", 40):
 			return // nobody answers
 		case !s.up:
 			w.onReplica(r, boot, func() { r.client.Disconnected(w.now, c.Attempt, errBroken) })
@@ -56,15 +56,15 @@
 		}
 		w.streams++
 		l := &link{
-			id:          w.streams,
-			server:      s,
-			serverBoot:  s.boot,
-			replica:     r,
-			replicaBoot: boot,
-			attempt:     c.Attempt,
-			open:        true,
+			id:                 w.streams,
+			server:             s,
+			serverIncarnation:  s.incarnation,
+			replica:            r,
+			replicaIncarnation: boot,
+			attempt:            c.Attempt,
+			open:               true,
 		}
-		w.on(s, s.boot, func() {
+		w.onServer(s, s.incarnation, func() {
 			if err := s.publisher.Open(w.now, l.id); err != nil {
 				panic(err) // the bound is far
 			}
@@ -74,16 +74,16 @@
 			r.link = l
 			r.client.Connected(w.now, c.Attempt)
 		})
-		if w.one("stream cut", 30) {
+		if w.chance("stream cut", 30) {
 			w.after(w.between(0, 3*time.Second), func() { l.cut = true; l.faults++ })
-		} else if w.one("stream broken", 30) {
+		} else if w.chance("stream broken", 30) {
 			w.after(w.between(0, 3*time.Second), func() { w.breakLink(l) })
 		}
 	})
 }
 
 // blocked tells whether nothing passes.
-func (w *World) blocked(l *link) bool { return l.cut || w.now < l.server.cut }
+func (w *World) blocked(l *link) bool { return l.cut || w.now < l.server.cutUntil }
 
 // breakLink ends a stream; both sides hear of it unless nothing passes.
 func (w *World) breakLink(l *link) {
@@ -97,7 +97,7 @@
 		return
 	}
 	w.after(w.between(0, 10*time.Millisecond), func() {
-		w.onReplica(l.replica, l.replicaBoot, func() {
+		w.onReplica(l.replica, l.replicaIncarnation, func() {
 			l.replica.client.Disconnected(w.now, l.attempt, errBroken)
 		})
 	})
@@ -111,7 +111,7 @@
 		delay = keepaliveAfter
 	}
 	w.after(delay, func() {
-		w.on(l.server, l.serverBoot, func() {
+		w.onServer(l.server, l.serverIncarnation, func() {
 			l.server.publisher.Close(l.id)
 			delete(l.server.links, l.id)
 		})
@@ -127,20 +127,20 @@
 	l.freeDown = max(w.now, l.freeDown) +
 		time.Duration(float64(len(m.Bytes))/float64(rate)*float64(time.Second))
 	w.at(l.freeDown, func() {
-		w.on(l.server, l.serverBoot, func() { l.server.publisher.Sent(l.id) })
+		w.onServer(l.server, l.serverIncarnation, func() { l.server.publisher.Sent(l.id) })
 	})
 	l.lastDown = max(l.lastDown, l.freeDown+w.between(time.Millisecond, 5*time.Millisecond))
 	raw := m.Bytes
 	arrives := func() { w.arrived(l, raw, m) }
 	switch {
-	case w.one("lost", lostOneIn(m)):
+	case w.chance("lost", lostOneIn(m)):
 		l.faults++
 		return
-	case w.one("damaged", 200):
+	case w.chance("damaged", 200):
 		l.faults++
 		raw = bytes.Clone(raw)
 		raw[w.random.IntN(len(raw))] ^= byte(1 + w.random.IntN(255))
-	case w.one("doubled", 300):
+	case w.chance("doubled", 300):
 		l.faults++
 		w.at(l.lastDown, arrives)
 	}
@@ -166,7 +166,7 @@
 		w.breakLink(l)
 		return
 	}
-	w.onReplica(l.replica, l.replicaBoot, func() {
+	w.onReplica(l.replica, l.replicaIncarnation, func() {
 		if retry := m.GetRetry(); retry != nil && proto.Equal(&m, sent.Response) {
 			l.retryAt = w.now + time.Duration(retry.AfterNs)
 		}
@@ -183,14 +183,14 @@
 		}
 		l.retryAt = 0
 	}
-	if w.one("request lost", 300) {
+	if w.chance("request lost", 300) {
 		l.faults++
 		return
 	}
 	l.lastUp = max(l.lastUp, w.now+w.between(time.Millisecond, 5*time.Millisecond))
 	w.at(l.lastUp, func() {
 		if l.open && !w.blocked(l) {
-			w.on(l.server, l.serverBoot, func() { w.asked(l.server, l, m) })
+			w.onServer(l.server, l.serverIncarnation, func() { w.handleRequest(l.server, l, m) })
 		}
 	})
 }
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -10,24 +10,24 @@
 
 // replica is one gateway: the client, its state file, and what the gateway was told.
 type replica struct {
-	id, zone string
-	client   *distribution.Replica
-	boot     uint64
-	up       bool
-	slow     bool // it reads slowly
-	stopped  time.Duration
-	file     []byte
-	link     *link
-	woken    uint64
+	id, zone     string
+	client       *distribution.Replica
+	incarnation  uint64
+	up           bool
+	slow         bool // it reads slowly
+	stoppedUntil time.Duration
+	file         []byte
+	link         *link
+	woken        uint64
 
-	told     records // what the gateway has in force
-	position distribution.Position
+	delivered records // what the gateway has in force
+	position  distribution.Position
 }
 
 // startReplica starts a gateway's process, with the state file that it has.
 func (w *World) startReplica(r *replica) {
-	r.boot++
-	r.up, r.stopped, r.link = true, 0, nil
+	r.incarnation++
+	r.up, r.stoppedUntil, r.link = true, 0, nil
 	state := distribution.NewState()
 	if r.file != nil {
 		read, err := distribution.DecodeStateFile(fleetName, r.file)
@@ -37,16 +37,16 @@
 			w.refused(err)
 		}
 	}
-	r.told, r.position = records{}, state.Position()
+	r.delivered, r.position = records{}, state.Position()
 	state.Range(distribution.KindServer, func(one distribution.Record) bool {
-		r.told[one.ID] = string(one.Value)
+		r.delivered[one.ID] = string(one.Value)
 		return true
 	})
 	if !state.Empty() {
-		w.judge(r, state.Position())
+		w.checkState(r, state.Position())
 	}
 	random := rand.New(rand.NewPCG(w.random.Uint64(), 2))
-	r.client = distribution.NewReplica(replicaSettings(r.id, r.boot, r.zone), state, random)
+	r.client = distribution.NewReplica(replicaSettings(r.id, r.incarnation, r.zone), state, random)
 	var servers []distribution.Server
 	for _, s := range w.servers {
 		servers = append(
@@ -65,7 +65,7 @@
 // killReplica ends a gateway's process.
 func (w *World) killReplica(r *replica) {
 	r.up = false
-	r.boot++
+	r.incarnation++
 	if r.link != nil {
 		w.breakLink(r.link)
 	}
@@ -74,9 +74,9 @@
 // onReplica has a gateway's process do something now, or when it goes on.
 func (w *World) onReplica(r *replica, boot uint64, do func()) {
 	switch {
-	case !r.up || r.boot != boot:
-	case w.now < r.stopped:
-		w.at(r.stopped, func() { w.onReplica(r, boot, do) })
+	case !r.up || r.incarnation != boot:
+	case w.now < r.stoppedUntil:
+		w.at(r.stoppedUntil, func() { w.onReplica(r, boot, do) })
 	default:
 		do()
 		w.driveReplica(r)
@@ -108,7 +108,7 @@
 		}
 	}
 	r.woken++
-	woken, boot := r.woken, r.boot
+	woken, boot := r.woken, r.incarnation
 	if wake := r.client.Wake(); wake < time.Hour {
 		w.at(max(wake, w.now+time.Millisecond), func() {
 			if r.woken == woken {
@@ -126,17 +126,17 @@
 	}
 	for _, c := range d.Changes {
 		if c.Deleted {
-			delete(r.told, c.ID)
+			delete(r.delivered, c.ID)
 		} else {
-			r.told[c.ID] = string(c.Value)
+			r.delivered[c.ID] = string(c.Value)
 		}
 	}
 	r.position = d.Position
-	w.judge(r, d.Position)
+	w.checkState(r, d.Position)
 }
 
-// judge holds what a gateway has against what was agreed at a position.
-func (w *World) judge(r *replica, at distribution.Position) {
+// checkState holds what a gateway has against what was agreed at a position.
+func (w *World) checkState(r *replica, at distribution.Position) {
 	l := w.lineages[at.Epoch]
 	if l == nil || at.Revision > l.newest() {
 		w.breach(Diverged, "%s is at %v, which was never agreed", r.id, at)
@@ -144,11 +144,11 @@
 	}
 	want := l.states[at.Revision]
 	for id, value := range want {
-		if r.told[id] != value {
+		if r.delivered[id] != value {
 			w.breach(Diverged, "%s at %v has another %s", r.id, at, id)
 		}
 	}
-	for id := range r.told {
+	for id := range r.delivered {
 		if _, there := want[id]; !there {
 			w.breach(Diverged, "%s at %v has %s, which is gone", r.id, at, id)
 		}
--- a/sim/distribution/search.go
+++ b/sim/distribution/search.go
@@ -15,8 +15,8 @@
 	After  int    `json:"after"` // plays until it was found
 }
 
-// Found is what a search came to.
-type Found struct {
+// SearchResult is what a search came to.
+type SearchResult struct {
 	Plays, Revisions, Delivered int
 	Repairs, Resumes            uint64
 	Faults                      map[string]int
@@ -25,8 +25,8 @@
 	Took                        time.Duration
 }
 
-// Kinds are the faults that are played.
-var Kinds = []string{
+// FaultKinds are the faults that are played.
+var FaultKinds = []string{
 	"all replicas at once",
 	"another term",
 	"damaged",
@@ -50,12 +50,12 @@
 	"state file lost", "stream broken", "stream cut", "term from a difference",
 }
 
-const length = 40 * time.Second // of a play, before it comes to rest
+const playLength = 40 * time.Second // of a play, before it comes to rest
 
 // Search plays one schedule after another, on all cores, until so many were played or one was
 // found.
-func Search(ctx context.Context, seed uint64, most int) Found {
-	f := Found{Faults: map[string]int{}, Refused: map[string]int{}}
+func Search(ctx context.Context, seed uint64, most int) SearchResult {
+	f := SearchResult{Faults: map[string]int{}, Refused: map[string]int{}}
 	began := time.Now()
 	draw := func(n int) Finding {
 		return Finding{
@@ -66,7 +66,7 @@
 	}
 	parallel.Until(ctx, most, func(n int) Result {
 		one := draw(n)
-		return Play(one.Seed, one.Size, length)
+		return Play(one.Seed, one.Size, playLength)
 	}, func(n int, r Result) bool {
 		f.add(r)
 		if r.Breach != nil {
@@ -80,7 +80,7 @@
 	return f
 }
 
-func (f *Found) add(r Result) {
+func (f *SearchResult) add(r Result) {
 	f.Plays++
 	f.Revisions += r.Revisions
 	f.Delivered += r.Delivered
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -13,19 +13,19 @@
 
 // server is one control machine: a voter's machine and the publisher behind it.
 type server struct {
-	id, zone  string
-	lineage   *lineage
-	applied   int // entries of the lineage's log
-	machine   *distribution.Machine
-	publisher *distribution.Publisher
-	boot      uint64
-	up        bool
-	stopped   time.Duration // until then it does nothing
-	cut       time.Duration // until then nothing passes, and nobody is told
-	pulling   bool
-	woken     uint64
-	links     map[distribution.StreamID]*link
-	slowLog   time.Duration // by how much longer entries take to it
+	id, zone     string
+	lineage      *lineage
+	applied      int // entries of the lineage's log
+	machine      *distribution.Machine
+	publisher    *distribution.Publisher
+	incarnation  uint64
+	up           bool
+	stoppedUntil time.Duration // until then it does nothing
+	cutUntil     time.Duration // until then nothing passes, and nobody is told
+	pulling      bool
+	wakeNumber   uint64
+	links        map[distribution.StreamID]*link
+	slowLog      time.Duration // by how much longer entries take to it
 
 	owner lease.Member // of the source, as far as it has applied
 	term  uint64
@@ -43,7 +43,7 @@
 // one where its folder is older.
 func (w *World) restart(s *server, l *lineage, applied int) {
 	w.kill(s)
-	s.up, s.stopped, s.lineage, s.applied = true, 0, l, 0
+	s.up, s.stoppedUntil, s.lineage, s.applied = true, 0, l, 0
 	s.owner, s.term = lease.Member{}, 0
 	s.machine = distribution.NewMachine(s)
 	for s.applied < applied {
@@ -54,7 +54,7 @@
 		panic(err) // what it wrote itself
 	}
 	s.machine = fresh
-	s.publisher = distribution.NewPublisher(w.publish, s.machine.State(),
+	s.publisher = distribution.NewPublisher(w.publisherSettings, s.machine.State(),
 		rand.New(rand.NewPCG(w.random.Uint64(), 1)))
 	s.machine.Updated = func(u distribution.Update) { w.updated(s, u) }
 	w.pull(s)
@@ -63,7 +63,7 @@
 
 // kill ends a server's process. Its replicas hear of it, unless it is cut.
 func (w *World) kill(s *server) {
-	s.boot++
+	s.incarnation++
 	s.up, s.pulling = false, false
 	for _, id := range slices.Sorted(maps.Keys(s.links)) {
 		w.breakLink(s.links[id])
@@ -71,12 +71,12 @@
 	s.links = map[distribution.StreamID]*link{}
 }
 
-// on has a server's process do something now, or when it goes on.
-func (w *World) on(s *server, boot uint64, do func()) {
+// onServer has a server's process do something now, or when it goes on.
+func (w *World) onServer(s *server, boot uint64, do func()) {
 	switch {
-	case !s.up || s.boot != boot:
-	case w.now < s.stopped:
-		w.at(s.stopped, func() { w.on(s, boot, do) })
+	case !s.up || s.incarnation != boot:
+	case w.now < s.stoppedUntil:
+		w.at(s.stoppedUntil, func() { w.onServer(s, boot, do) })
 	default:
 		do()
 		w.drive(s)
@@ -89,12 +89,12 @@
 		return
 	}
 	s.pulling = true
-	boot := s.boot
+	boot := s.incarnation
 	delay := w.between(time.Millisecond, 10*time.Millisecond) + s.slowLog
 	w.after(delay, func() {
-		w.on(s, boot, func() {
+		w.onServer(s, boot, func() {
 			s.pulling = false
-			if w.now >= s.cut {
+			if w.now >= s.cutUntil {
 				w.apply(s)
 			}
 		})
@@ -106,8 +106,8 @@
 
 // pullSoon goes on pulling; a server that is cut off tries again later.
 func (w *World) pullSoon(s *server) {
-	if w.now < s.cut {
-		w.at(s.cut, func() { w.pull(s) })
+	if w.now < s.cutUntil {
+		w.at(s.cutUntil, func() { w.pull(s) })
 		return
 	}
 	w.pull(s)
@@ -137,11 +137,12 @@
 			continue
 		}
 		at := u.Delta.Position()
-		w.after(urgentWithin, func() {
-			undisturbed := l.open && l.faults == 0 && w.now >= s.stopped && s.boot == l.serverBoot
+		w.after(urgentTimeout, func() {
+			undisturbed := l.open && l.faults == 0 && w.now >= s.stoppedUntil &&
+				s.incarnation == l.serverIncarnation
 			if undisturbed && l.replica.client.Position().Compare(at) < 0 {
 				w.breach(LateUrgent, "%s had %v, and %s on its stream does not after %v", s.id, at,
-					l.replica.id, urgentWithin)
+					l.replica.id, urgentTimeout)
 			}
 		})
 	}
@@ -151,8 +152,8 @@
 // with the link: a request that was lost shows later.
 func (w *World) current(l *link, d *distribution.Delta) bool {
 	r := l.replica
-	running := l.open && r.up && r.boot == l.replicaBoot && w.now >= r.stopped &&
-		w.now >= l.server.stopped
+	running := l.open && r.up && r.incarnation == l.replicaIncarnation && w.now >= r.stoppedUntil &&
+		w.now >= l.server.stoppedUntil
 	passing := l.faults == 0 && !r.slow && !w.blocked(l) && l.freeDown <= w.now
 	at := r.client.Position()
 	return running && passing && r.client.Live() && at.Revision == d.From && at.Epoch == d.Epoch
@@ -165,17 +166,17 @@
 			w.sendDown(l, send.Message)
 		}
 	}
-	s.woken++
-	woken, boot := s.woken, s.boot
+	s.wakeNumber++
+	woken, boot := s.wakeNumber, s.incarnation
 	w.at(s.publisher.Wake(w.now), func() {
-		if s.woken == woken {
-			w.on(s, boot, func() { s.publisher.Tick(w.now) })
+		if s.wakeNumber == woken {
+			w.onServer(s, boot, func() { s.publisher.Tick(w.now) })
 		}
 	})
 }
 
-// asked takes in a replica's request, and ends the stream where the publisher wants that.
-func (w *World) asked(s *server, l *link, m *distributionpb.WatchRequest) {
+// handleRequest takes in a replica's request, and ends the stream where the publisher wants that.
+func (w *World) handleRequest(s *server, l *link, m *distributionpb.WatchRequest) {
 	if err := s.publisher.Received(w.now, l.id, m); err != nil {
 		w.refused(err)
 		w.breakLink(l)
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	fleetName = "emulated"
-	quiet     = 60 * time.Second // at the end nothing goes wrong any more
-	// urgentWithin is by when an urgent change has to be in force where nothing disturbs the
+	fleetName   = "emulated"
+	quietPeriod = 60 * time.Second // at the end nothing goes wrong any more
+	// urgentTimeout is by when an urgent change has to be in force where nothing disturbs the
 	// stream.
-	urgentWithin = 750 * time.Millisecond
+	urgentTimeout = 750 * time.Millisecond
 )
 
 // Rule is a promise that a play looks at.
@@ -42,9 +42,9 @@
 
 // Breach is a promise that was not kept.
 type Breach struct {
-	What Rule   `json:"what"`
-	How  string `json:"how"`
-	At   string `json:"at"`
+	Rule   Rule   `json:"what"`
+	Detail string `json:"how"`
+	At     string `json:"at"`
 }
 
 // Size is how large a play is.
@@ -71,16 +71,16 @@
 	now      time.Duration
 	events   events
 	sequence uint64
-	calm     bool
+	quiet    bool
 
-	lineage  *lineage            // the fleet's
-	lineages map[uint64]*lineage // all that there were, by epoch
-	register register
-	servers  []*server
-	replicas []*replica
-	streams  distribution.StreamID
-	publish  distribution.PublisherSettings
-	result   Result
+	lineage           *lineage            // the fleet's
+	lineages          map[uint64]*lineage // all that there were, by epoch
+	registry          registry
+	servers           []*server
+	replicas          []*replica
+	streams           distribution.StreamID
+	publisherSettings distribution.PublisherSettings
+	result            Result
 }
 
 // event is something that happens at a time; of two at one time the one that was planned first
@@ -123,9 +123,9 @@
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// one is true once in n; never in calm.
-func (w *World) one(fault string, n int) bool {
-	if w.calm || w.random.IntN(n) != 0 {
+// chance is true once in n; never in calm.
+func (w *World) chance(fault string, n int) bool {
+	if w.quiet || w.random.IntN(n) != 0 {
 		return false
 	}
 	w.result.Faults[fault]++
@@ -157,15 +157,15 @@
 
 // Play plays one schedule of faults of a length, and then a time of quiet.
 func Play(seed uint64, size Size, length time.Duration) Result {
-	w := &World{random: rand.New(rand.NewPCG(seed, 46)), publish: publisherSettings()}
+	w := &World{random: rand.New(rand.NewPCG(seed, 46)), publisherSettings: publisherSettings()}
 	w.lineages = map[uint64]*lineage{}
 	w.result = Result{Faults: map[string]int{}, Refused: map[string]int{}}
-	w.found(size)
+	w.createFleet(size)
 	w.after(0, w.changeRegister)
-	w.after(w.between(time.Second, 3*time.Second), w.fault)
-	w.at(length, w.rest)
-	w.at(length+quiet, w.settled)
-	for len(w.events) > 0 && w.result.Breach == nil && w.now < length+quiet {
+	w.after(w.between(time.Second, 3*time.Second), w.injectFault)
+	w.at(length, w.endFaults)
+	w.at(length+quietPeriod, w.checkConverged)
+	for len(w.events) > 0 && w.result.Breach == nil && w.now < length+quietPeriod {
 		next := heap.Pop(&w.events).(event)
 		w.now = next.at
 		next.do()
@@ -178,16 +178,16 @@
 	return w.result
 }
 
-// rest ends all faults.
-func (w *World) rest() {
-	w.calm = true
+// endFaults ends all faults.
+func (w *World) endFaults() {
+	w.quiet = true
 	for _, s := range w.servers {
 		if s.lineage != w.lineage {
 			w.restart(s, w.lineage, 0)
 		} else if !s.up {
 			w.restart(s, w.lineage, s.applied)
 		}
-		s.cut = 0
+		s.cutUntil = 0
 	}
 	for _, r := range w.replicas {
 		if !r.up {
@@ -197,14 +197,14 @@
 	}
 }
 
-// settled looks whether everybody has everything.
-func (w *World) settled() {
+// checkConverged looks whether everybody has everything.
+func (w *World) checkConverged() {
 	newest := w.lineage.newest()
 	for _, r := range w.replicas {
 		at := r.client.Position()
 		if at.Epoch != w.lineage.epoch || at.Revision != newest {
 			w.breach(LostChanges, "%s is at %v after %v of quiet, and not at %d/%d", r.id, at,
-				quiet, w.lineage.epoch, newest)
+				quietPeriod, w.lineage.epoch, newest)
 		}
 	}
 }
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -5,100 +5,101 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// margin is how long before its client stops waiting a request is ended, as by the
+// deadlineMargin is how long before its client stops waiting a request is ended, as by the
 // gateway on sockets.
-const margin = 25_000
+const deadlineMargin = 25_000
 
 const (
-	resultOK      = policy.OK
-	resultFailed  = policy.Failed
-	resultFull    = policy.Rejected
-	resultTimeout = policy.TimedOut
-	resultConnect = policy.ConnectFailed
-	resultReset   = policy.Reset
+	resultOK       = policy.OK
+	resultFailed   = policy.Failed
+	resultRejected = policy.Rejected
+	resultTimeout  = policy.TimedOut
+	resultConnect  = policy.ConnectFailed
+	resultReset    = policy.Reset
 )
 
 // gateway hosts one decision module and keeps a host's promises to it: one event
 // at a time, times that never go back, one Outcome for each Send.
 type gateway struct {
-	w      *World
-	number int
-	module *policy.Balancer
-	life   int // counts its processes: what was planned for an earlier one is void
-	up     bool
-	open   map[uint64]*request
-	order  []uint64 // ids in the order they came, for a kill to end them in
-	nextID uint64
-	skew   int64 // of its clock, in microseconds
-	frozen int64 // it stands still until then
-	kept   *policy.Snapshot
+	w           *World
+	number      int
+	module      *policy.Balancer
+	incarnation int // counts its processes: what was planned for an earlier one is void
+	up          bool
+	open        map[uint64]*request
+	order       []uint64 // ids in the order they came, for a kill to end them in
+	nextID      uint64
+	skew        int64 // of its clock, in microseconds
+	frozenUntil int64 // it stands still until then
+	snapshot    *policy.Snapshot
 
 	front frontEntry
 }
 
 // request is a client's try that a gateway holds.
 type request struct {
-	gateway  *gateway
-	life     int
-	id       uint64
-	try      *harness.Try
-	deadline int64 // of the client, less the margin
-	answered bool
-	attempts []*attempt
-	done     func(harness.Kind, int64) // the client hears; with the advice
+	gateway     *gateway
+	incarnation int
+	id          uint64
+	try         *harness.Try
+	deadline    int64 // of the client, less the margin
+	answered    bool
+	attempts    []*attempt
+	done        func(harness.Kind, int64) // the client hears; with the advice
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	q      *request
-	number int
-	server *server
-	sent   int64
-	over   bool
-	place  int
-	work   float64
-	send   uint64 // counts all sends of the world
+	q           *request
+	number      int
+	server      *server
+	sent        int64
+	ended       bool
+	recordIndex int
+	work        float64
+	send        uint64 // counts all sends of the world
 }
 
 func (g *gateway) now() policy.Time { return epoch + g.w.now + g.skew }
 
-// event has something happen to a process, unless it has ended; while it stands still
+// deliver has something happen to a process, unless it has ended; while it stands still
 // it waits. What the module must have kept by then is kept before anything else happens.
-func (g *gateway) event(life int, do func()) {
+func (g *gateway) deliver(life int, do func()) {
 	switch {
-	case life != g.life || !g.up:
-	case g.w.now < g.frozen:
-		g.w.after(g.frozen-g.w.now, func() { g.event(life, do) })
+	case life != g.incarnation || !g.up:
+	case g.w.now < g.frozenUntil:
+		g.w.after(g.frozenUntil-g.w.now, func() { g.deliver(life, do) })
 	default:
 		do()
-		if g.w.o.State && g.module.SnapshotDue() {
-			g.keep()
+		if g.w.options.Snapshots && g.module.SnapshotDue() {
+			g.saveSnapshot()
 		}
 	}
 }
 
-// keep keeps the state, and whatever happens later has it.
-func (g *gateway) keep() {
+// saveSnapshot keeps the state, and whatever happens later has it.
+func (g *gateway) saveSnapshot() {
 	s := g.module.TakeSnapshot(g.now(), false)
-	g.kept = &s
+	g.snapshot = &s
 	g.module.SnapshotStored(s.At)
 }
 
-// keeps keeps the state each second.
-func (g *gateway) keeps(life int) {
-	g.event(life, g.keep)
-	if life == g.life {
-		g.w.after(1_000_000, func() { g.keeps(life) })
+// saveEverySecond keeps the state each second.
+func (g *gateway) saveEverySecond(life int) {
+	g.deliver(life, g.saveSnapshot)
+	if life == g.incarnation {
+		g.w.after(1_000_000, func() { g.saveEverySecond(life) })
 	}
 }
 
 // start begins a process that knows nothing, or what a former one has kept.
 func (g *gateway) start(s *policy.Snapshot) error {
-	g.life++
+	g.incarnation++
 	g.open, g.order = map[uint64]*request{}, nil
 	var err error
 	seed := g.w.rand.Uint64()
-	if g.module, err = policy.New(g.w.settings[g.number], seed, &actions{g, g.life}); err != nil {
+	if g.module, err = policy.New(g.w.settings[g.number], seed,
+		&actions{g, g.incarnation}); err != nil {
 		return err
 	}
 	g.module.OnReject(func(id uint64, why policy.RejectReason) {
@@ -109,7 +110,7 @@
 	g.up = true
 	if s != nil {
 		if err := g.module.Restore(g.now(), 60e6, s); err != nil {
-			g.w.said(g.number, err.Error())
+			g.w.digestLine(g.number, err.Error())
 		}
 	}
 	g.w.Record.ProcessEvents = append(g.w.Record.ProcessEvents, harness.ProcessEvent{
@@ -118,13 +119,13 @@
 		At:      g.w.at(),
 	},
 		harness.ProcessEvent{Gateway: g.number, Event: harness.Ready, At: g.w.at()})
-	if g.w.now < g.w.register.silent {
-		g.module.UpdateEndpoints(g.now(), policy.StaleBootstrap, g.w.register.list(g.number))
+	if g.w.now < g.w.registry.silentUntil {
+		g.module.UpdateEndpoints(g.now(), policy.StaleBootstrap, g.w.registry.list(g.number))
 	} else {
-		g.module.UpdateEndpoints(g.now(), policy.Complete, g.w.register.list(g.number))
+		g.module.UpdateEndpoints(g.now(), policy.Complete, g.w.registry.list(g.number))
 	}
-	if g.w.o.State {
-		g.keeps(g.life)
+	if g.w.options.Snapshots {
+		g.saveEverySecond(g.incarnation)
 	}
 	return nil
 }
@@ -132,7 +133,7 @@
 // kill ends the process outright: its clients see their connections end.
 func (g *gateway) kill() {
 	g.up = false
-	g.life++
+	g.incarnation++
 	g.w.Record.ProcessEvents = append(g.w.Record.ProcessEvents,
 		harness.ProcessEvent{Gateway: g.number, Event: harness.Killed, At: g.w.at()})
 	for _, id := range g.order {
@@ -141,7 +142,7 @@
 			continue
 		}
 		for _, a := range q.attempts {
-			a.over = true
+			a.ended = true
 		}
 		if !q.answered {
 			q.answered = true
@@ -151,18 +152,18 @@
 	}
 }
 
-// take takes a try in from the front.
-func (g *gateway) take(t *harness.Try, who *harness.Customer, done func(harness.Kind, int64)) {
+// accept takes a try in from the front.
+func (g *gateway) accept(t *harness.Try, who *harness.Customer, done func(harness.Kind, int64)) {
 	g.nextID++
 	wait := t.Wait.Microseconds()
-	grace := wait - min(margin, wait/4)
+	grace := wait - min(deadlineMargin, wait/4)
 	q := &request{
-		gateway:  g,
-		life:     g.life,
-		id:       g.nextID,
-		try:      t,
-		deadline: g.w.now + grace,
-		done:     done,
+		gateway:     g,
+		incarnation: g.incarnation,
+		id:          g.nextID,
+		try:         t,
+		deadline:    g.w.now + grace,
+		done:        done,
 	}
 	g.open[q.id] = q
 	g.order = append(g.order, q.id)
@@ -177,9 +178,9 @@
 	}
 	// All attempts end by the deadline: right after it the module has answered.
 	g.w.after(grace+1, func() {
-		g.event(q.life, func() {
+		g.deliver(q.incarnation, func() {
 			if !q.answered {
-				g.w.breach("gateway %d: request %s has no answer at its deadline",
+				g.w.recordBreach("gateway %d: request %s has no answer at its deadline",
 					g.number, q.try.ID)
 				q.answer(harness.Failed, 0)
 			}
@@ -196,7 +197,7 @@
 		return
 	}
 	for _, a := range q.attempts {
-		if !a.over {
+		if !a.ended {
 			return
 		}
 	}
@@ -220,16 +221,16 @@
 // end ends an attempt: exactly one Outcome for each Send.
 func (a *attempt) end(r policy.Result) {
 	g := a.q.gateway
-	g.event(a.q.life, func() { a.ended(r) })
+	g.deliver(a.q.incarnation, func() { a.finish(r) })
 }
 
-func (a *attempt) ended(r policy.Result) {
+func (a *attempt) finish(r policy.Result) {
 	g := a.q.gateway
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
-	g.w.settle(a)
+	a.ended = true
+	g.w.untrackInFlight(a)
 	if r == resultOK && !a.q.answered {
 		a.q.try.Value = harness.ValueOf(a.q.try.ID, a.server.id)
 		a.q.answer(harness.Served, 0)
@@ -241,27 +242,27 @@
 
 // actions carries out what a module decides. Nothing calls back into it.
 type actions struct {
-	g    *gateway
-	life int
+	g           *gateway
+	incarnation int
 }
 
 func (x *actions) Send(id uint64, backend uint32, until policy.Time) {
 	g := x.g
 	q := g.open[id]
 	if q == nil || q.answered {
-		g.w.breach("gateway %d: request %d is sent on, but is not open", g.number, id)
+		g.w.recordBreach("gateway %d: request %d is sent on, but is not open", g.number, id)
 		return
 	}
 	sv := g.w.servers[backend-1]
 	a := &attempt{q: q, number: len(q.attempts), server: sv, sent: g.w.now}
 	q.attempts = append(q.attempts, a)
-	g.w.hold(a)
+	g.w.trackInFlight(a)
 	end := q.deadline
 	if until != 0 {
 		end = min(end, until-epoch-g.skew)
 	}
 	g.w.after(g.w.net(), func() {
-		if !a.over && q.life == g.life {
+		if !a.ended && q.incarnation == g.incarnation {
 			sv.arrive(a)
 		}
 	})
@@ -285,14 +286,14 @@
 func (x *actions) SetTimer(at policy.Time, token uint32) {
 	g := x.g
 	g.w.after(at-g.now(), func() {
-		g.event(x.life, func() { g.module.Timer(g.now(), token) })
+		g.deliver(x.incarnation, func() { g.module.Timer(g.now(), token) })
 	})
 }
 
 func (x *actions) SendToPeer(peer int, note []byte) {
-	x.g.w.notes.carry(x.g.number, peer, note)
+	x.g.w.peers.deliver(x.g.number, peer, note)
 }
 func (x *actions) Probe(uint32)                              {}
 func (x *actions) AddToCounter(uint64, float64, policy.Time) {}
 func (x *actions) WatchEndpoints()                           {}
-func (x *actions) Log(line string)                           { x.g.w.said(x.g.number, line) }
+func (x *actions) Log(line string)                           { x.g.w.digestLine(x.g.number, line) }
--- a/sim/run.go
+++ b/sim/run.go
@@ -6,8 +6,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// RunFigures plays one world and gives its figures with those of the emulator itself.
-func RunFigures(o Options) (*harness.Summary, error) {
+// RunSummary plays one world and gives its figures with those of the emulator itself.
+func RunSummary(o Options) (*harness.Summary, error) {
 	began := time.Now()
 	w, err := New(o)
 	if err != nil {
@@ -15,14 +15,14 @@
 	}
 	w.Run()
 	took := time.Since(began).Seconds()
-	f := w.Figures("sim")
+	f := w.Summary("sim")
 	gateways := float64(len(w.gateways))
 	f.Extra["gateways"], f.Extra["customers"], f.Extra["servers"] = len(w.gateways), len(w.Site.Customers), len(w.servers)
 	f.Extra["digest"], f.Extra["events"] = w.Digest(), w.Events()
-	f.Extra["events_per_second"], f.Extra["times_real"] = float64(w.Events())/took, o.For.Seconds()/took
+	f.Extra["events_per_second"], f.Extra["times_real"] = float64(w.Events())/took, o.Duration.Seconds()/took
 	f.Extra["given_of_bought"], f.Extra["sent_units"] = harness.GivenOfBought(w.Site, w.Record), harness.SentUnits(w.Record)
-	f.Extra["notes_per_second"] = float64(w.Notes.Sent) / f.Seconds / gateways
-	f.Extra["note_bytes_per_try"] = float64(w.Notes.Bytes) / float64(max(1, f.Taken))
-	f.Extra["notes_in_a_second_most"] = w.Notes.MostIn
+	f.Extra["notes_per_second"] = float64(w.PeerMessages.Sent) / f.Seconds / gateways
+	f.Extra["note_bytes_per_try"] = float64(w.PeerMessages.Bytes) / float64(max(1, f.Taken))
+	f.Extra["notes_in_a_second_most"] = w.PeerMessages.MaxReceivedPerSecond
 	return f, nil
 }
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -11,12 +11,12 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// plan has a fault happen at its time.
-func (w *World) plan(f harness.Fault) {
-	w.after(f.At.Microseconds(), func() { w.fault(f) })
+// scheduleFault has a fault happen at its time.
+func (w *World) scheduleFault(f harness.Fault) {
+	w.after(f.At.Microseconds(), func() { w.injectFault(f) })
 }
 
-func (w *World) fault(f harness.Fault) {
+func (w *World) injectFault(f harness.Fault) {
 	span := f.For.Microseconds()
 	switch {
 	case slices.Contains(harness.GatewayFaults, f.Kind):
@@ -24,17 +24,19 @@
 	case slices.Contains(harness.ServerFaults, f.Kind):
 		w.serverFault(w.servers[f.N%len(w.servers)], f, span)
 	case f.Kind == harness.RegistrySilent:
-		w.register.silent = max(w.register.silent, w.now+span)
+		w.registry.silentUntil = max(w.registry.silentUntil, w.now+span)
 	case f.Kind == harness.Cut:
-		w.notes.cut, w.notes.cutAt = max(w.notes.cut, w.now+span), 1+f.N%max(1, len(w.gateways)-1)
+		w.peers.partitionedUntil, w.peers.partitionAt = max(w.peers.partitionedUntil,
+			w.now+span), 1+f.N%max(1, len(w.gateways)-1)
 	case f.Kind == harness.LateBy:
-		w.notes.slow, w.notes.slowBy = max(w.notes.slow, w.now+span), int64(f.X*1e6)
+		w.peers.delayedUntil, w.peers.extraDelay = max(w.peers.delayedUntil,
+			w.now+span), int64(f.X*1e6)
 	}
 }
 
 func (w *World) gatewayFault(g *gateway, f harness.Fault, span int64) {
 	if f.Kind == harness.Freeze {
-		g.frozen = max(g.frozen, w.now+span)
+		g.frozenUntil = max(g.frozenUntil, w.now+span)
 		return
 	}
 	if !g.up {
@@ -43,7 +45,7 @@
 	g.kill()
 	var kept *policy.Snapshot
 	if f.Kind == harness.Restart {
-		kept = g.kept
+		kept = g.snapshot
 	}
 	w.after(span, func() {
 		if f.Kind == harness.ClockOff {
@@ -59,10 +61,10 @@
 	if !sv.up {
 		return
 	}
-	life := sv.life
+	life := sv.incarnation
 	until := func(undo func()) {
 		w.after(span, func() {
-			if life == sv.life {
+			if life == sv.incarnation {
 				undo()
 			}
 		})
@@ -70,26 +72,26 @@
 	switch f.Kind {
 	case harness.Down:
 		sv.kill()
-		w.register.tell(sv, policy.Removed)
+		w.registry.announce(sv, policy.Removed)
 		w.after(span, func() {
 			sv.start(true)
-			w.register.tell(sv, policy.Ready)
+			w.registry.announce(sv, policy.Ready)
 		})
 	case harness.Drained:
-		w.register.tell(sv, policy.Draining)
-		until(func() { w.register.tell(sv, policy.Ready) })
+		w.registry.announce(sv, policy.Draining)
+		until(func() { w.registry.announce(sv, policy.Ready) })
 	case harness.Slow:
-		sv.slow = f.X
-		until(func() { sv.slow = 1 })
+		sv.slowdown = f.X
+		until(func() { sv.slowdown = 1 })
 	case harness.Errors:
-		sv.errs = f.X
-		until(func() { sv.errs = 0 })
+		sv.errorFraction = f.X
+		until(func() { sv.errorFraction = 0 })
 	case harness.Hang:
-		sv.hangs = true
-		until(func() { sv.hangs = false; sv.pull() })
+		sv.hanging = true
+		until(func() { sv.hanging = false; sv.startQueued() })
 	case harness.Resets:
-		sv.resets = f.X
-		until(func() { sv.resets = 0 })
+		sv.resetFraction = f.X
+		until(func() { sv.resetFraction = 0 })
 	}
 }
 
@@ -119,31 +121,31 @@
 // RandomSchedule draws a small world with a few faults.
 func RandomSchedule(r *rand.Rand) Schedule {
 	s := Schedule{Options{Seed: r.Uint64() >> 16,
-		Gateways: 2 + r.IntN(4),
-		Servers:  3 + r.IntN(4),
-		Load:     harness.Between(r, 0.3, 1.1),
-		For:      time.Duration(4+r.IntN(6)) * time.Second,
-		NoteLoss: 0.06,
-		Shift:    time.Duration(1+r.IntN(8)) * time.Second,
-		State:    r.IntN(2) == 0,
-		Unsafe:   r.IntN(3) == 0}}
+		Gateways:    2 + r.IntN(4),
+		Servers:     3 + r.IntN(4),
+		Load:        harness.Between(r, 0.3, 1.1),
+		Duration:    time.Duration(4+r.IntN(6)) * time.Second,
+		MessageLoss: 0.06,
+		Shift:       time.Duration(1+r.IntN(8)) * time.Second,
+		Snapshots:   r.IntN(2) == 0,
+		Unsafe:      r.IntN(3) == 0}}
 	if r.IntN(4) == 0 { // a wide set, with a home
 		s.Gateways = 9 + r.IntN(4)
 		s.Spread = s.Gateways
 	}
 	if r.IntN(3) == 0 {
-		s.NoteLoss, s.NoteTwice = 0.5*r.Float64(), 0.5*r.Float64()
+		s.MessageLoss, s.MessageDuplication = 0.5*r.Float64(), 0.5*r.Float64()
 	}
 	if r.IntN(3) == 0 {
 		s.Window = time.Duration(harness.Between(r, 1.5, 4) * float64(time.Second))
 	}
-	s.Tight = r.IntN(2) == 0
+	s.TightCeilings = r.IntN(2) == 0
 	if r.IntN(2) == 0 {
 		s.Surge = 2 + 6*r.Float64()
 	}
 	for range 1 + r.IntN(8) {
-		f := randomFault(r, s.For)
-		if s.State && f.Kind == harness.Kill {
+		f := randomFault(r, s.Duration)
+		if s.Snapshots && f.Kind == harness.Kill {
 			f.Kind = harness.Restart
 		}
 		s.Faults = append(s.Faults, f)
@@ -191,7 +193,7 @@
 	for range 1 + r.IntN(3) {
 		switch n := len(s.Faults); {
 		case n == 0 || r.IntN(4) == 0:
-			s.Faults = append(s.Faults, randomFault(r, s.For))
+			s.Faults = append(s.Faults, randomFault(r, s.Duration))
 		case r.IntN(3) == 0:
 			i := r.IntN(n)
 			s.Faults = slices.Delete(s.Faults, i, i+1)
@@ -199,7 +201,7 @@
 			s.Seed = r.Uint64() >> 16
 		default:
 			f := &s.Faults[r.IntN(n)]
-			f.At = time.Duration(r.Float64() * float64(s.For))
+			f.At = time.Duration(r.Float64() * float64(s.Duration))
 		}
 	}
 	return s
--- a/sim/search.go
+++ b/sim/search.go
@@ -14,15 +14,15 @@
 
 // Finding is a schedule that breaks a rule.
 type Finding struct {
-	Schedule Schedule `json:"schedule"`
-	Rule     string   `json:"rule"`
-	What     string   `json:"what"`
-	After    int      `json:"after"` // schedules played until it was found
-	Faults   int      `json:"faults"`
+	Schedule        Schedule `json:"schedule"`
+	Rule            string   `json:"rule"`
+	Detail          string   `json:"what"`
+	SchedulesPlayed int      `json:"after"` // schedules played until it was found
+	Faults          int      `json:"faults"`
 }
 
-// Found is what a search came to.
-type Found struct {
+// SearchResult is what a search came to.
+type SearchResult struct {
 	Schedules int `json:"schedules"`
 	// ways in which requests ended, by what went wrong meanwhile
 	States   int       `json:"states"`
@@ -37,8 +37,8 @@
 		return "", "", nil, err
 	}
 	w.Run()
-	if len(w.broken) > 0 {
-		return string(harness.Lost), w.broken[0], nil, nil
+	if len(w.breaches) > 0 {
+		return string(harness.Lost), w.breaches[0], nil, nil
 	}
 	v := harness.Audit(w.Site, w.Record)
 	if len(v.Breaches) > 0 {
@@ -58,7 +58,7 @@
 		t := &w.Record.Tries[i]
 		end := fmt.Sprintf("%d %s %d %d", t.Kind, t.RejectReason, t.Class, min(3, attempts[t.ID]))
 		seen[end] = true
-		for _, f := range w.o.Faults {
+		for _, f := range w.options.Faults {
 			if t.SentAt >= f.At && t.SentAt <= f.At+f.For+time.Second {
 				seen[end+" "+string(f.Kind)] = true
 			}
@@ -76,9 +76,9 @@
 // until the context ends, so many were played or one breaks a rule. That one is made as
 // short as it can be. The same seed and number of schedules give the same findings on
 // any number of cores.
-func Search(ctx context.Context, seed uint64, most int) (*Found, error) {
+func Search(ctx context.Context, seed uint64, most int) (*SearchResult, error) {
 	r := rand.New(rand.NewPCG(seed, 0x5ea))
-	found, seen := &Found{}, map[string]bool{}
+	found, seen := &SearchResult{}, map[string]bool{}
 	var corpus []Schedule
 	type result struct {
 		rule, what string
@@ -162,12 +162,15 @@
 				try(func(t *Schedule) { t.Faults = slices.Delete(t.Faults, i, i+1) })
 			}
 		}
-		try(func(t *Schedule) { t.For -= time.Second; t.For = max(t.For, time.Second) })
-		try(func(t *Schedule) { t.NoteTwice = 0 })
-		try(func(t *Schedule) { t.NoteLoss = 0 })
+		try(func(t *Schedule) {
+			t.Duration -= time.Second
+			t.Duration = max(t.Duration, time.Second)
+		})
+		try(func(t *Schedule) { t.MessageDuplication = 0 })
+		try(func(t *Schedule) { t.MessageLoss = 0 })
 		try(func(t *Schedule) { t.Surge = 0 })
-		try(func(t *Schedule) { t.State = false })
-		try(func(t *Schedule) { t.Tight = false })
+		try(func(t *Schedule) { t.Snapshots = false })
+		try(func(t *Schedule) { t.TightCeilings = false })
 		try(func(t *Schedule) { t.Window = 0 })
 		for i := range s.Faults {
 			try(func(t *Schedule) { t.Faults[i].For = t.Faults[i].For / 2 })
--- a/sim/search_test.go
+++ b/sim/search_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range first.Findings {
-		t.Errorf("%s: %s\n%s", f.Rule, f.What, f.Schedule)
+		t.Errorf("%s: %s\n%s", f.Rule, f.Detail, f.Schedule)
 	}
 	if first.Schedules != schedules || first.States < 20 {
 		t.Errorf("%d schedules, %d states", first.Schedules, first.States)
@@ -62,7 +62,7 @@
 // back cold under their load, and the register is said to have told of it.
 func broken() Schedule {
 	s := RandomSchedule(rand.New(rand.NewPCG(1, 1)))
-	s.Gateways, s.Servers, s.Load, s.For, s.Spread = 3, 3, 0.9, 8*time.Second, 0
+	s.Gateways, s.Servers, s.Load, s.Duration, s.Spread = 3, 3, 0.9, 8*time.Second, 0
 	return s
 }
 
@@ -100,7 +100,7 @@
 			kills++
 		}
 	}
-	if len(short.Faults) != 1 || kills != 1 || short.For > s.For {
+	if len(short.Faults) != 1 || kills != 1 || short.Duration > s.Duration {
 		t.Errorf("shrunk to %s", short)
 	}
 	if again := s.shrink(lost); again.String() != short.String() {
@@ -158,36 +158,36 @@
 	}
 	for name, o := range map[string]Options{
 		"clocks": {
-			Gateways: 3,
-			Load:     0.6,
-			For:      10 * time.Second,
-			NoteLoss: -1,
-			State:    true,
-			Faults:   []harness.Fault{hour, ahead, down(1)},
+			Gateways:    3,
+			Load:        0.6,
+			Duration:    10 * time.Second,
+			MessageLoss: -1,
+			Snapshots:   true,
+			Faults:      []harness.Fault{hour, ahead, down(1)},
 		},
 		"cut for five minutes": {
-			Gateways: 6,
-			Servers:  4,
-			Load:     0.5,
-			For:      320 * time.Second,
-			NoteLoss: -1,
+			Gateways:    6,
+			Servers:     4,
+			Load:        0.5,
+			Duration:    320 * time.Second,
+			MessageLoss: -1,
 			Faults: []harness.Fault{
 				{At: 5 * time.Second, For: 300 * time.Second, Kind: harness.Cut, N: 2},
 			},
 		},
 		"a thousand, all new": {
-			Gateways: 1000,
-			Servers:  200,
-			Load:     0.4,
-			For:      3 * time.Second,
-			NoteLoss: -1,
+			Gateways:    1000,
+			Servers:     200,
+			Load:        0.4,
+			Duration:    3 * time.Second,
+			MessageLoss: -1,
 		},
 		"servers down together": {
-			Gateways: 12,
-			Load:     0.4,
-			For:      12 * time.Second,
-			NoteLoss: -1,
-			Faults:   []harness.Fault{down(0), down(2), down(4), down(6)},
+			Gateways:    12,
+			Load:        0.4,
+			Duration:    12 * time.Second,
+			MessageLoss: -1,
+			Faults:      []harness.Fault{down(0), down(2), down(4), down(6)},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/sim/server.go
+++ b/sim/server.go
@@ -23,30 +23,30 @@
 	speed  float64
 	rand   *rand.Rand
 
-	up     bool
-	drains bool
-	life   int // counts its processes: what an earlier one had begun is gone
-	boot   int // its place in the record
-	errs   float64
-	slow   float64
-	hangs  bool
-	resets float64 // part of its answers that end with a reset
-	busy   int
-	queue  []*attempt
-	recent []harness.Attempt
+	up            bool
+	draining      bool
+	incarnation   int // counts its processes: what an earlier one had begun is gone
+	startIndex    int // its place in the record
+	errorFraction float64
+	slowdown      float64
+	hanging       bool
+	resetFraction float64 // part of its answers that end with a reset
+	busy          int
+	queue         []*attempt
+	recent        []harness.Attempt
 }
 
 func newServer(w *World, i int) *server {
 	cores, speed := w.Site.Machine(i)
 	return &server{w: w, number: uint32(i + 1), id: serverName(i), cores: int(cores), speed: speed,
-		rand: rand.New(rand.NewPCG(w.o.Seed, 0x5e0000+uint64(i)))}
+		rand: rand.New(rand.NewPCG(w.options.Seed, 0x5e0000+uint64(i)))}
 }
 
 func (sv *server) start(cold bool) {
-	sv.up, sv.drains, sv.busy, sv.queue, sv.recent = true, false, 0, nil, nil
-	sv.errs, sv.slow, sv.hangs, sv.resets = 0, 1, false, 0
-	sv.life++
-	sv.boot = sv.w.Record.AddServerStart(harness.ServerStart{
+	sv.up, sv.draining, sv.busy, sv.queue, sv.recent = true, false, 0, nil, nil
+	sv.errorFraction, sv.slowdown, sv.hanging, sv.resetFraction = 0, 1, false, 0
+	sv.incarnation++
+	sv.startIndex = sv.w.Record.AddServerStart(harness.ServerStart{
 		Server:    sv.id,
 		Cores:     float64(sv.cores),
 		Speed:     sv.speed,
@@ -58,20 +58,20 @@
 // kill ends the process: what it holds is reset, what comes finds no port.
 func (sv *server) kill() {
 	sv.up = false
-	sv.life++
+	sv.incarnation++
 	held := sv.queue
 	sv.queue = nil
 	for _, a := range held {
 		a.end(resultReset)
 	}
-	for _, a := range sv.w.out(sv) {
+	for _, a := range sv.w.takeInFlight(sv) {
 		a.end(resultReset)
 	}
 }
 
-// share is the part of its capacity that it has.
-func (sv *server) share() float64 {
-	return sv.w.Site.CapacityShare(&sv.w.Record.ServerStarts[sv.boot], sv.w.at())
+// capacityShare is the part of its capacity that it has.
+func (sv *server) capacityShare() float64 {
+	return sv.w.Site.CapacityShare(&sv.w.Record.ServerStarts[sv.startIndex], sv.w.at())
 }
 
 // arrive takes in an attempt that has come whole.
@@ -84,31 +84,31 @@
 	x := math.Exp(0.4*sv.rand.NormFloat64() - 0.08) // mean 1
 	seen := harness.Attempt{ID: a.q.try.ID, Key: a.q.try.Key, Server: sv.id, Gateway: a.q.gateway.number, Class: a.q.try.Class,
 		Work: time.Duration(x * float64(class.Work)), FirstByteAt: w.at(), ReceivedAt: w.at()}
-	a.place, a.work = w.Record.AddAttempt(seen), seen.Work.Seconds()
-	if over, told := sv.overrun(seen); over {
-		w.Record.ServerStarts[sv.boot].OverloadedAt, w.Record.ServerStarts[sv.boot].BeforeNotified = w.at(), !told
+	a.recordIndex, a.work = w.Record.AddAttempt(seen), seen.Work.Seconds()
+	if over, told := sv.overloaded(seen); over {
+		w.Record.ServerStarts[sv.startIndex].OverloadedAt, w.Record.ServerStarts[sv.startIndex].BeforeNotified = w.at(), !told
 		sv.kill()
 		a.end(resultReset)
 		return
 	}
 	switch {
-	case sv.drains || len(sv.queue) >= sv.cores*queuePerCore:
-		w.Record.MarkRejected(a.place)
-		w.after(w.net(), func() { a.end(resultFull) })
+	case sv.draining || len(sv.queue) >= sv.cores*queuePerCore:
+		w.Record.MarkRejected(a.recordIndex)
+		w.after(w.net(), func() { a.end(resultRejected) })
 		return
-	case sv.rand.Float64() < sv.errs:
+	case sv.rand.Float64() < sv.errorFraction:
 		w.after(w.net(), func() { a.end(resultFailed) })
 		return
 	}
 	sv.queue = append(sv.queue, a)
-	sv.pull()
+	sv.startQueued()
 }
 
-// overrun tells whether it has been sent more than it can bear while cold, and whether
+// overloaded tells whether it has been sent more than it can bear while cold, and whether
 // two thirds of that came from gateways that had been told of its start.
-func (sv *server) overrun(a harness.Attempt) (over, told bool) {
+func (sv *server) overloaded(a harness.Attempt) (over, told bool) {
 	s := sv.w.Site
-	share := sv.share()
+	share := sv.capacityShare()
 	if share == 1 {
 		sv.recent = nil
 		return false, false
@@ -120,7 +120,7 @@
 	sv.recent = sv.recent[from:]
 	for _, b := range sv.recent {
 		sum += b.Work.Seconds()
-		if sv.w.register.toldOf(b.Gateway, sv) {
+		if sv.w.registry.knowsStart(b.Gateway, sv) {
 			by += b.Work.Seconds()
 		}
 	}
@@ -131,40 +131,41 @@
 		slack, by >= sum*2/3
 }
 
-// pull begins what waits while there are slots.
-func (sv *server) pull() {
-	for sv.up && !sv.hangs && sv.busy < sv.cores*slotsPerCore && len(sv.queue) > 0 {
+// startQueued begins what waits while there are slots.
+func (sv *server) startQueued() {
+	for sv.up && !sv.hanging && sv.busy < sv.cores*slotsPerCore && len(sv.queue) > 0 {
 		a := sv.queue[0]
 		sv.queue = sv.queue[1:]
-		if a.over {
+		if a.ended {
 			continue // its gateway has left: waiting work is dropped
 		}
 		sv.busy++
 		class := &sv.w.Site.Classes[a.q.try.Class]
 		effect := !class.Keyed || a.q.try.Key == "" ||
-			sv.w.Site.Remember(a.q.try.Key, sv.w.Record.Attempts[a.place].ReceivedAt,
+			sv.w.Site.Remember(a.q.try.Key, sv.w.Record.Attempts[a.recordIndex].ReceivedAt,
 				class.DeduplicationWindow)
-		sv.w.Record.MarkRun(a.place, effect)
-		sv.step(a, sv.life, a.work/sv.speed*sv.slow*max(1, float64(sv.busy)/float64(sv.cores)))
+		sv.w.Record.MarkRun(a.recordIndex, effect)
+		sv.spend(a, sv.incarnation,
+			a.work/sv.speed*sv.slowdown*max(1, float64(sv.busy)/float64(sv.cores)))
 	}
 }
 
-// step spends a request's time, as much at once as a cold start stays as it is.
-func (sv *server) step(a *attempt, life int, need float64) {
+// spend spends a request's time, as much at once as a cold start stays as it is.
+func (sv *server) spend(a *attempt, life int, need float64) {
 	now := min(need, 0.1)
-	sv.w.after(int64(now/sv.share()*1e6), func() {
+	sv.w.after(int64(now/sv.capacityShare()*1e6), func() {
 		switch {
-		case life != sv.life:
+		case life != sv.incarnation:
 		case need > now+1e-9:
-			sv.step(a, life, need-now)
+			sv.spend(a, life, need-now)
 		default:
 			sv.busy--
 			result := resultOK
-			if sv.resets > 0 && sv.rand.Float64() < sv.resets {
+			if sv.resetFraction > 0 && sv.rand.Float64() < sv.resetFraction {
 				result = resultReset
 			}
 			sv.w.after(sv.w.net(), func() { a.end(result) })
-			sv.pull()
+			sv.startQueued()
 		}
 	})
 }
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	w.Run()
-	f := w.Figures("test")
+	f := w.Summary("test")
 	if !f.OK {
 		t.Errorf("%+v: %v", o, f.Why)
 	}
@@ -30,7 +30,7 @@
 
 // One seed gives one history, whatever else runs beside it; another gives another.
 func TestOneSeedOneHistory(t *testing.T) {
-	o := Options{Seed: 3, Gateways: 8, Load: 0.6, For: 10 * time.Second, NoteLoss: -1, NoteTwice: 0.2,
+	o := Options{Seed: 3, Gateways: 8, Load: 0.6, Duration: 10 * time.Second, MessageLoss: -1, MessageDuplication: 0.2,
 		Kills: time.Second, Restarts: 2 * time.Second}
 	digests := make([]string, 6)
 	var wg sync.WaitGroup
@@ -92,18 +92,21 @@
 	}
 	for _, spread := range []int{0, 8, 40} {
 		for _, notes := range []Options{
-			{NoteLoss: -1},
-			{NoteLoss: 0.3, NoteTwice: 0.3, NoteLate: 50 * time.Millisecond},
-			{NoteLoss: 0.1, NoteTwice: 0.5, NoteLate: 800 * time.Millisecond},
-			{NoteLoss: 1},
+			{MessageLoss: -1},
+			{MessageLoss: 0.3, MessageDuplication: 0.3, MessageDelay: 50 * time.Millisecond},
+			{MessageLoss: 0.1, MessageDuplication: 0.5, MessageDelay: 800 * time.Millisecond},
+			{MessageLoss: 1},
 		} {
 			t.Run(fmt.Sprintf("spread %d, lost %g, twice %g, late %v",
-				spread, notes.NoteLoss, notes.NoteTwice, notes.NoteLate), func(t *testing.T) {
+				spread,
+				notes.MessageLoss,
+				notes.MessageDuplication,
+				notes.MessageDelay), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds {
 					o := notes
 					o.Seed, o.Gateways, o.Spread = uint64(seed+1), 40, spread
-					o.Load, o.For, o.Shift = 0.7, 15*time.Second, 2*time.Second
+					o.Load, o.Duration, o.Shift = 0.7, 15*time.Second, 2*time.Second
 					o.Kills, o.Restarts = 700*time.Millisecond, 3*time.Second
 					play(t, o)
 				}
@@ -122,11 +125,11 @@
 			w, f := play(
 				t,
 				Options{
-					Seed:     100 + seed,
-					Gateways: gateways,
-					Load:     0.55,
-					For:      30 * time.Second,
-					NoteLoss: -1,
+					Seed:        100 + seed,
+					Gateways:    gateways,
+					Load:        0.55,
+					Duration:    30 * time.Second,
+					MessageLoss: -1,
 				},
 			)
 			q := harness.GivenOfBought(w.Site, w.Record)
@@ -152,7 +155,13 @@
 // A server that nobody overruns stays up; one that all send to at its start falls, and
 // the auditor says so: the model can break the rule that it is to test.
 func TestTheModelCanBreakARule(t *testing.T) {
-	w, err := New(Options{Seed: 1, Gateways: 3, Load: 0.9, For: 10 * time.Second, NoteLoss: -1})
+	w, err := New(Options{
+		Seed:        1,
+		Gateways:    3,
+		Load:        0.9,
+		Duration:    10 * time.Second,
+		MessageLoss: -1,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,11 +175,11 @@
 		// cold; the register holds all to be told, and no gateway hears of it
 		w.servers[0].start(true)
 		for g := range w.gateways {
-			w.register.known[g][0].StartedAt = epoch + w.now
+			w.registry.known[g][0].StartedAt = epoch + w.now
 		}
 	})
 	w.Run()
-	if f := w.Figures("test"); f.Broken[harness.SlowStartOverload] == 0 {
+	if f := w.Summary("test"); f.Broken[harness.SlowStartOverload] == 0 {
 		t.Errorf("nothing broke: %s", f.Line())
 	}
 }
--- a/sim/throng_test.go
+++ b/sim/throng_test.go
@@ -11,7 +11,7 @@
 // a burst in the middle third; four servers come back cold at 4 s, four others at 8 s.
 func throng(noteLoss float64) Options {
 	o := Options{Seed: 2, Gateways: 32, Servers: 12, Load: 1.1, Surge: 4, PerSecond: 500,
-		For: 14 * time.Second, NoteLoss: noteLoss}
+		Duration: 14 * time.Second, MessageLoss: noteLoss}
 	for n := range 4 {
 		o.Faults = append(o.Faults,
 			harness.Fault{
--- a/sim/world.go
+++ b/sim/world.go
@@ -34,7 +34,7 @@
 	PerSecond float64 `json:"per_second,omitempty" toml:"per_second"`
 	// plans are made larger or smaller for it; 0: as drawn
 	Customers int           `json:"customers,omitempty" toml:"customers"`
-	For       time.Duration `json:"for" toml:"-"` // in which clients ask
+	Duration  time.Duration `json:"for" toml:"-"` // in which clients ask
 	// of every customer; 0: as the site draws it
 	Spread int `json:"spread,omitempty" toml:"spread"`
 	// how often a customer's busiest gateway changes; 0: the site's
@@ -46,16 +46,16 @@
 	// in which servers drop a repeated key; 0: the site's
 	Window time.Duration `json:"window,omitempty" toml:"-"`
 	// quotas are three times the ceilings, so that these bind
-	Tight bool `json:"tight,omitempty" toml:"tight"`
+	TightCeilings bool `json:"tight,omitempty" toml:"tight"`
 	// gateways keep their state
-	State bool `json:"state,omitempty" toml:"state"`
+	Snapshots bool `json:"state,omitempty" toml:"state"`
 
 	// part of the notes lost; below 0: the site's
-	NoteLoss float64 `json:"note_loss" toml:"note_loss"`
+	MessageLoss float64 `json:"note_loss" toml:"note_loss"`
 	// how much later than usual they come
-	NoteLate time.Duration `json:"note_late,omitempty" toml:"-"`
+	MessageDelay time.Duration `json:"note_late,omitempty" toml:"-"`
 	// part of the notes that come twice, the second up to a second later
-	NoteTwice float64 `json:"note_twice,omitempty" toml:"note_twice"`
+	MessageDuplication float64 `json:"note_twice,omitempty" toml:"note_twice"`
 
 	// one gateway is killed in each such span, on average; 0: none
 	Kills time.Duration `json:"kills,omitempty" toml:"-"`
@@ -76,15 +76,16 @@
 	case o.PerSecond < 0 || o.PerSecond > 1e6 || o.Customers < 0 || o.Customers > 1e6:
 		return fmt.Errorf("%g requests a second of %d customers: a million at most of either",
 			o.PerSecond, o.Customers)
-	case o.For <= 0 || o.For > 24*time.Hour:
-		return fmt.Errorf("for %v: above 0, a day at most wanted", o.For)
+	case o.Duration <= 0 || o.Duration > 24*time.Hour:
+		return fmt.Errorf("for %v: above 0, a day at most wanted", o.Duration)
 	case o.Spread < 0:
 		return fmt.Errorf("spread %d: 0 or more wanted", o.Spread)
-	case o.NoteLoss > 1 || !(o.NoteTwice >= 0 && o.NoteTwice <= 1):
-		return fmt.Errorf("notes lost %g, twice %g: parts of one wanted", o.NoteLoss, o.NoteTwice)
+	case o.MessageLoss > 1 || !(o.MessageDuplication >= 0 && o.MessageDuplication <= 1):
+		return fmt.Errorf("notes lost %g, twice %g: parts of one wanted",
+			o.MessageLoss, o.MessageDuplication)
 	case !(o.Surge == 0 || o.Surge >= 1 && o.Surge <= 100):
 		return fmt.Errorf("surge %g: from 1 to 100 wanted", o.Surge)
-	case min(o.NoteLate, o.Shift, o.Window, o.Kills, o.Restarts) < 0:
+	case min(o.MessageDelay, o.Shift, o.Window, o.Kills, o.Restarts) < 0:
 		return errors.New("a length of time below 0")
 	}
 	for i, f := range o.Faults {
@@ -102,33 +103,33 @@
 // World is a fleet in virtual time.
 type World struct {
 	clock
-	Site   *harness.Site
-	Record *harness.Record
-	Notes  NoteCounts
+	Site         *harness.Site
+	Record       *harness.Record
+	PeerMessages PeerMessageCounts
 
-	o        Options
+	options  Options
 	rand     *rand.Rand
 	settings []policy.Settings
 	servers  []*server
 	gateways []*gateway
-	register *register
-	notes    *notes
-	held     map[*server]map[uint64]*attempt
+	registry *registry
+	peers    *peerNetwork
+	inFlight map[*server]map[uint64]*attempt
 	sends    uint64
 	waiting  int      // tries on their way, and clients that pause before the next
-	broken   []string // promises that modules broke towards their hosts
+	breaches []string // promises that modules broke towards their hosts
 	nextTry  uint64
-	ends     int64
+	endAt    int64
 	digest   interface {
 		Write([]byte) (int, error)
 		Sum64() uint64
 	}
 }
 
-// NoteCounts are what the gateways told one another.
-type NoteCounts struct {
-	Sent, Lost, Bytes int
-	MostIn            int // the most that one gateway took in within a second
+// PeerMessageCounts are what the gateways told one another.
+type PeerMessageCounts struct {
+	Sent, Lost, Bytes    int
+	MaxReceivedPerSecond int // the most that one gateway took in within a second
 }
 
 // New makes a world; Run plays it.
@@ -147,13 +148,13 @@
 		PerSecond: o.PerSecond,
 		Customers: o.Customers,
 	}
-	w := &World{o: o,
-		Site:   site.Site(),
-		Record: &harness.Record{},
-		rand:   rand.New(rand.NewPCG(o.Seed, 0x51a)),
-		held:   map[*server]map[uint64]*attempt{},
-		digest: fnv.New64a(),
-		ends:   o.For.Microseconds()}
+	w := &World{options: o,
+		Site:     site.Site(),
+		Record:   &harness.Record{},
+		rand:     rand.New(rand.NewPCG(o.Seed, 0x51a)),
+		inFlight: map[*server]map[uint64]*attempt{},
+		digest:   fnv.New64a(),
+		endAt:    o.Duration.Microseconds()}
 	if o.Shift > 0 {
 		w.Site.Shift = o.Shift
 	}
@@ -166,26 +167,26 @@
 		}
 	}
 	for i := range w.Site.Plans {
-		if p := &w.Site.Plans[i]; o.Tight && p.CeilingRate > 0 {
+		if p := &w.Site.Plans[i]; o.TightCeilings && p.CeilingRate > 0 {
 			p.Rate, p.Burst = 3*p.CeilingRate, 3*p.CeilingBurst
 		}
 	}
-	if o.NoteLoss >= 0 {
-		w.Site.MessageLoss = o.NoteLoss
+	if o.MessageLoss >= 0 {
+		w.Site.MessageLoss = o.MessageLoss
 	}
-	w.notes = &notes{
-		w:      w,
-		rand:   rand.New(rand.NewPCG(o.Seed, 0x907e)),
-		in:     make([]int, o.Gateways),
-		second: make([]int64, o.Gateways),
+	w.peers = &peerNetwork{
+		w:                  w,
+		rand:               rand.New(rand.NewPCG(o.Seed, 0x907e)),
+		receivedThisSecond: make([]int, o.Gateways),
+		second:             make([]int64, o.Gateways),
 	}
-	w.register = &register{w: w, rand: rand.New(rand.NewPCG(o.Seed, 0x2e9))}
+	w.registry = &registry{w: w, rand: rand.New(rand.NewPCG(o.Seed, 0x2e9))}
 	for i := range o.Servers {
 		sv := newServer(w, i)
 		w.servers = append(w.servers, sv)
 		sv.start(false)
 	}
-	w.register.begin(o.Gateways)
+	w.registry.start(o.Gateways)
 	for i := range o.Gateways {
 		raw, err := json.Marshal(w.Site.Settings(i))
 		if err != nil {
@@ -209,21 +210,21 @@
 // Run plays the world until all that was asked has ended.
 func (w *World) Run() {
 	for i := range w.Site.Customers {
-		c := &client{w: w, number: i, traffic: w.Site.Traffic(w.o.Seed, i)}
-		w.after(c.traffic.Pause().Microseconds(), c.ask)
+		c := &client{w: w, number: i, traffic: w.Site.Traffic(w.options.Seed, i)}
+		w.after(c.traffic.Pause().Microseconds(), c.sendNext)
 	}
-	w.faults()
-	for _, f := range w.o.Faults {
-		w.plan(f)
+	w.scheduleRandomFaults()
+	for _, f := range w.options.Faults {
+		w.scheduleFault(f)
 	}
 	longest := time.Duration(0)
 	for _, c := range w.Site.Classes {
 		longest = max(longest, c.GiveUp)
 	}
 	// What is out when the asking ends still has its time, with all its retries.
-	end := w.ends + int64(w.Site.Retries+1)*(longest+2*time.Second).Microseconds()
+	end := w.endAt + int64(w.Site.Retries+1)*(longest+2*time.Second).Microseconds()
 	for w.next(end) {
-		if w.now > w.ends && w.openTries() == 0 {
+		if w.now > w.endAt && w.openTries() == 0 {
 			break
 		}
 	}
@@ -231,18 +232,18 @@
 
 // Events is how many events there were; Digest sums the history up: the same seed
 // gives the same one.
-func (w *World) Events() int    { return w.done }
+func (w *World) Events() int    { return w.processed }
 func (w *World) Digest() string { return fmt.Sprintf("%016x", w.digest.Sum64()) }
 
-// breach takes note of a promise that a module broke towards its host.
-func (w *World) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("at %v: ", w.at())+fmt.Sprintf(format, args...))
+// recordBreach takes note of a promise that a module broke towards its host.
+func (w *World) recordBreach(format string, args ...any) {
+	w.breaches = append(w.breaches, fmt.Sprintf("at %v: ", w.at())+fmt.Sprintf(format, args...))
 }
 
-// Figures audits the run and sums it up.
-func (w *World) Figures(command string) *harness.Summary {
-	f := harness.Summarize(command, w.o.Seed, w.Site, w.Record)
-	for _, what := range w.broken[:min(len(w.broken), 3)] {
+// Summary audits the run and sums it up.
+func (w *World) Summary(command string) *harness.Summary {
+	f := harness.Summarize(command, w.options.Seed, w.Site, w.Record)
+	for _, what := range w.breaches[:min(len(w.breaches), 3)] {
 		f.AddFailure(what)
 	}
 	f.Seconds = float64(w.now) / 1e6
@@ -255,7 +256,7 @@
 func (w *World) net() int64       { return 100 + w.rand.Int64N(200) }
 func (w *World) clientNet() int64 { return 200 + w.rand.Int64N(800) }
 
-func (w *World) said(gateway int, line string) {
+func (w *World) digestLine(gateway int, line string) {
 	fmt.Fprintf(w.digest, "%d %d %s\n", w.now, gateway, line)
 }
 
@@ -266,24 +267,24 @@
 	return n + w.waiting
 }
 
-// hold and settle keep what is out at a server, for its end to reset.
-func (w *World) hold(a *attempt) {
-	if w.held[a.server] == nil {
-		w.held[a.server] = map[uint64]*attempt{}
+// trackInFlight and settle keep what is out at a server, for its end to reset.
+func (w *World) trackInFlight(a *attempt) {
+	if w.inFlight[a.server] == nil {
+		w.inFlight[a.server] = map[uint64]*attempt{}
 	}
 	w.sends++
 	a.send = w.sends
-	w.held[a.server][a.send] = a
+	w.inFlight[a.server][a.send] = a
 }
 
-func (w *World) settle(a *attempt) { delete(w.held[a.server], a.send) }
+func (w *World) untrackInFlight(a *attempt) { delete(w.inFlight[a.server], a.send) }
 
-// out takes what is out at a server, in the order of its sending.
-func (w *World) out(sv *server) (all []*attempt) {
-	for _, n := range slices.Sorted(maps.Keys(w.held[sv])) {
-		all = append(all, w.held[sv][n])
+// takeInFlight takes what is out at a server, in the order of its sending.
+func (w *World) takeInFlight(sv *server) (all []*attempt) {
+	for _, n := range slices.Sorted(maps.Keys(w.inFlight[sv])) {
+		all = append(all, w.inFlight[sv][n])
 	}
-	w.held[sv] = nil
+	w.inFlight[sv] = nil
 	return all
 }
 
@@ -297,30 +298,30 @@
 	return n
 }
 
-// faults plans what goes wrong at random.
-func (w *World) faults() {
-	r := rand.New(rand.NewPCG(w.o.Seed, 0xca05))
+// scheduleRandomFaults plans what goes wrong at random.
+func (w *World) scheduleRandomFaults() {
+	r := rand.New(rand.NewPCG(w.options.Seed, 0xca05))
 	every := func(mean time.Duration, do func()) {
 		if mean == 0 {
 			return
 		}
 		var again func()
 		again = func() {
-			if w.now < w.ends {
+			if w.now < w.endAt {
 				do()
 				w.after(int64(r.ExpFloat64()*float64(mean.Microseconds())), again)
 			}
 		}
 		w.after(int64(r.ExpFloat64()*float64(mean.Microseconds())), again)
 	}
-	every(w.o.Kills, func() {
+	every(w.options.Kills, func() {
 		g := w.gateways[r.IntN(len(w.gateways))]
 		if !g.up {
 			return
 		}
 		w.gatewayFault(g, harness.Fault{Kind: harness.Restart}, 300_000+r.Int64N(700_000))
 	})
-	every(w.o.Restarts, func() {
+	every(w.options.Restarts, func() {
 		sv := w.servers[r.IntN(len(w.servers))]
 		if !sv.up {
 			return
