--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -44,7 +44,7 @@
 	rand        *rand.Rand
 	up          bool
 	incarnation int // in the record
-	life        harness.ServerStart
+	life        harness.Boot
 	fault       Fault
 	drain       bool
 	conns       map[net.Conn]bool
@@ -57,19 +57,11 @@
 }
 
 // NewServer makes a server that is up and warm.
-func NewServer(
-	s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64,
-) (*Server, error) {
+func NewServer(s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64) (*Server, error) {
 	cores, speed := s.Machine(i)
 	sv := &Server{
-		ID:    fmt.Sprintf("s-%08x", 0x1000+i*0x101),
-		site:  s,
-		rec:   rec,
-		cores: int(cores),
-		speed: speed,
-		rand:  rand.New(rand.NewPCG(seed, uint64(i))),
-		conns: map[net.Conn]bool{},
-		addrs: make([]string, s.Gateways),
+		ID: fmt.Sprintf("s-%08x", 0x1000+i*0x101), site: s, rec: rec, cores: int(cores), speed: speed,
+		rand: rand.New(rand.NewPCG(seed, uint64(i))), conns: map[net.Conn]bool{}, addrs: make([]string, s.Gateways),
 	}
 	for g := range sv.addrs {
 		sv.addrs[g] = netip.AddrPortFrom(hostOf(world, i), uint16(serverPort+64*g)).String()
@@ -109,14 +101,8 @@
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
-	sv.life = harness.ServerStart{
-		Server:    sv.ID,
-		Cores:     float64(sv.cores),
-		Speed:     sv.speed,
-		SlowStart: slowStart,
-		At:        sv.rec.Now(),
-	}
-	sv.incarnation = sv.rec.AddServerStart(sv.life)
+	sv.life = harness.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: slowStart, At: sv.rec.Now()}
+	sv.incarnation = sv.rec.AddBoot(sv.life)
 	for g, l := range sv.lists {
 		go sv.accept(l, g, sv.ended)
 	}
@@ -166,7 +152,7 @@
 func (sv *Server) Up() (up bool, slowStartSince time.Duration) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.life.SlowStart {
+	if sv.life.Cold {
 		slowStartSince = sv.life.At
 	}
 	return sv.up, slowStartSince
@@ -206,39 +192,34 @@
 		sv.mu.Unlock()
 		c.Close()
 	}()
-	type item struct {
-		args  [][]byte
-		first time.Duration
-		whole time.Duration
-	}
-	items := make(chan item, 16)
-	gone, cancel := context.WithCancel(context.Background())
+	commands := make(chan received, 16)
+	clientGone, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		defer cancel()
-		defer close(items)
+		defer close(commands)
 		in := resp.NewReader(c)
 		for {
 			_ = c.SetReadDeadline(time.Now().Add(harness.ServerIdle))
 			if in.Await() != nil {
 				return
 			}
-			it := item{first: sv.rec.Now()}
+			command := received{first: sv.rec.Now()}
 			var err error
-			if it.args, err = in.ReadCommand(); err != nil {
+			if command.args, err = in.ReadCommand(); err != nil {
 				return
 			}
-			it.whole = sv.rec.Now()
+			command.complete = sv.rec.Now()
 			_ = c.SetReadDeadline(time.Time{})
 			select {
-			case items <- it:
+			case commands <- command:
 			case <-ended:
 				return
 			}
 		}
 	}()
-	for it := range items {
-		reply, ok := sv.command(gone, ended, it.args, gateway, it.first, it.whole)
+	for command := range commands {
+		reply, ok := sv.command(clientGone, ended, command, gateway)
 		if !ok {
 			reset(c)
 			return
@@ -256,14 +237,17 @@
 	serverFailed = []byte("-ERR failed\r\n")
 )
 
-// command carries out one command. Not ok: the connection breaks.
-func (sv *Server) command(
-	gone context.Context,
-	ended chan struct{},
-	args [][]byte,
-	gateway int,
-	first, whole time.Duration,
-) ([]byte, bool) {
+// received is a command that was read from a gateway's connection.
+type received struct {
+	args     [][]byte
+	first    time.Duration // when its first byte came
+	complete time.Duration // when its last byte came
+}
+
+// command executes one command and returns the reply. ok is false if the connection is to be broken instead. clientGone
+// is done once the gateway has closed the connection; ended is closed when the server's process ends.
+func (sv *Server) command(clientGone context.Context, ended chan struct{}, in received, gateway int) (reply []byte, ok bool) {
+	args := in.args
 	switch name := strings.ToUpper(string(args[0])); {
 	case name == "PING":
 		return []byte("+PONG\r\n"), true
@@ -273,82 +257,102 @@
 		return []byte("-ERR unknown command\r\n"), true
 	}
 	fields := fieldsOf(string(args[3]))
-	class := slices.IndexFunc(sv.site.Classes, func(c harness.Class) bool {
-		return c.Name == fields["c"]
-	})
+	class := slices.IndexFunc(sv.site.Classes, func(c harness.Class) bool { return c.Name == fields["c"] })
 	if class < 0 {
 		return []byte("-SYNTAX\r\n"), true
 	}
 	id := string(args[2])
 	a := harness.Attempt{
-		ID:          id,
-		Key:         fields["k"],
-		Server:      sv.ID,
-		Gateway:     gateway,
-		Class:       class,
-		FirstByteAt: first,
-		ReceivedAt:  whole,
+		ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, First: in.first, Whole: in.complete,
+	}
+	admitted := sv.admit(&a)
+	if admitted.done {
+		return admitted.reply, admitted.reply != nil
+	}
+	if !sv.waitForSlot(clientGone, ended, admitted) {
+		return nil, false
+	}
+	defer func() { <-admitted.slots }()
+	sv.rec.Ran(admitted.number, sv.effect(a))
+	if !sv.work(a, &admitted.life, admitted.fault, len(admitted.slots), ended) {
+		return nil, false
+	}
+	if admitted.late < admitted.fault.Reset {
+		return nil, false
 	}
+	sv.rec.Replied(admitted.number)
+	value := harness.ValueOf(id, sv.ID)
+	b := resp.AppendArray(nil, 3)
+	b = resp.AppendBulk(b, []byte(value))
+	return append(b, "$-1\r\n$-1\r\n"...), true
+}
 
+// admission is what became of an attempt on arrival: a place in the queue, or its end.
+type admission struct {
+	number int // of the attempt in the record
+	fault  Fault
+	life   harness.Boot
+	slots  chan struct{}
+	late   float64 // the draw that decides whether the connection is reset after the work
+
+	done  bool
+	reply []byte // if done; nil: the connection is broken
+}
+
+// admit records an attempt and takes it into the queue, unless the server is overloaded, full or failing.
+func (sv *Server) admit(a *harness.Attempt) admission {
 	sv.mu.Lock()
-	a.Work = sv.draw(class)
-	n := sv.rec.AddAttempt(a)
-	fault, life := sv.fault, sv.life
-	if sv.overrun(a) {
-		sv.rec.MarkOverloaded(sv.incarnation)
+	defer sv.mu.Unlock()
+	a.Work = sv.draw(a.Class)
+	result := admission{number: sv.rec.AddAttempt(*a), fault: sv.fault, life: sv.life, slots: sv.slots}
+	if sv.overrun(*a) {
+		sv.rec.Fell(sv.incarnation)
 		sv.kill()
-		sv.mu.Unlock()
-		return nil, false
+		result.done = true
+		return result
 	}
-	roll, late := sv.rand.Float64(), sv.rand.Float64()
-	full := sv.drain || sv.waiting >= sv.cores*queuePerCore
-	if full {
-		sv.mu.Unlock()
-		sv.rec.MarkRejected(n)
-		return serverBusy, true
+	roll := sv.rand.Float64()
+	result.late = sv.rand.Float64()
+	if sv.drain || sv.waiting >= sv.cores*queuePerCore {
+		sv.rec.Turned(result.number)
+		result.done, result.reply = true, serverBusy
+		return result
 	}
-	if !fault.Hang && roll < fault.Errors {
-		sv.mu.Unlock()
-		return serverFailed, true // before any work: it has no effect, and nobody can know
+	if !result.fault.Hang && roll < result.fault.Errors {
+		// Before any work: it has no effect, and nobody can know.
+		result.done, result.reply = true, serverFailed
+		return result
 	}
 	sv.waiting++
-	slots := sv.slots
-	sv.mu.Unlock()
-	left := func() {
+	return result
+}
+
+// waitForSlot waits in the queue for a slot, and returns false if the gateway or the server ends first. Work that
+// waits is dropped then.
+func (sv *Server) waitForSlot(clientGone context.Context, ended chan struct{}, admitted admission) bool {
+	leaveQueue := func() {
 		sv.mu.Lock()
 		sv.waiting--
 		sv.mu.Unlock()
 	}
-	if fault.Hang {
+	if admitted.fault.Hang {
 		select {
-		case <-gone.Done():
+		case <-clientGone.Done():
 		case <-ended:
 		}
-		left()
-		return nil, false
+		leaveQueue()
+		return false
 	}
 	select {
-	case slots <- struct{}{}:
-		left()
-	case <-gone.Done():
-		left()
-		return nil, false // the client left: waiting work is dropped
+	case admitted.slots <- struct{}{}:
+		leaveQueue()
+		return true
+	case <-clientGone.Done():
+		leaveQueue()
+		return false
 	case <-ended:
-		return nil, false
-	}
-	defer func() { <-slots }()
-	sv.rec.MarkRun(n, sv.effect(a))
-	if !sv.work(a, &life, fault, len(slots), ended) {
-		return nil, false
-	}
-	if late < fault.Reset {
-		return nil, false
+		return false
 	}
-	sv.rec.MarkReplied(n)
-	value := harness.ValueOf(id, sv.ID)
-	b := resp.AppendArray(nil, 3)
-	b = resp.AppendBulk(b, []byte(value))
-	return append(b, "$-1\r\n$-1\r\n"...), true
 }
 
 // draw is the work of one request, about its class's mean.
@@ -364,16 +368,14 @@
 	if !c.Keyed || a.Key == "" {
 		return true
 	}
-	return sv.site.Remember(a.Key, a.ReceivedAt, c.DeduplicationWindow)
+	return sv.site.Remember(a.Key, a.Whole, c.Window)
 }
 
 // overrun tells whether a cold server has been sent more than it can bear.
 func (sv *Server) overrun(a harness.Attempt) bool {
 	sv.recent = append(sv.recent, a)
-	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool {
-		return a.ReceivedAt-b.ReceivedAt > sv.site.OverloadWindow
-	})
-	share := sv.site.CapacityShare(&sv.life, a.ReceivedAt)
+	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool { return a.Whole-b.Whole > sv.site.FallSpan })
+	share := sv.site.Share(&sv.life, a.Whole)
 	if share == 1 {
 		return false
 	}
@@ -381,22 +383,20 @@
 	for _, b := range sv.recent {
 		sum += b.Work.Seconds()
 	}
-	can := sv.life.Cores * sv.life.Speed * share * sv.site.OverloadWindow.Seconds()
+	can := sv.life.Cores * sv.life.Speed * share * sv.site.FallSpan.Seconds()
 	slack := 0.0
 	for _, c := range sv.site.Classes {
 		slack = max(slack, c.Work.Seconds())
 	}
-	return sum > sv.site.OverloadMultiple*can+slack
+	return sum > sv.site.FallMultiple*can+slack
 }
 
 // work spends a request's time: slots share the cores.
-func (sv *Server) work(
-	a harness.Attempt, life *harness.ServerStart, f Fault, busy int, ended chan struct{},
-) bool {
+func (sv *Server) work(a harness.Attempt, life *harness.Boot, f Fault, busy int, ended chan struct{}) bool {
 	need := a.Work.Seconds() / sv.speed * max(1, f.Slow) * max(1, float64(busy)/float64(sv.cores))
 	for need > 0 {
 		step := min(need, 0.1)
-		share := sv.site.CapacityShare(life, sv.rec.Now())
+		share := sv.site.Share(life, sv.rec.Now())
 		select {
 		case <-time.After(time.Duration(step / share * float64(time.Second))):
 		case <-ended:
--- a/internal/testing/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -25,24 +25,19 @@
 
 // Options say what a world is made of.
 type Options struct {
-	Seed     uint64
-	Gateways int
-	Servers  int // 0: as many as the load wants
-	// part of what the servers can do that is asked inside the quotas
-	Load float64
-	Bin  string // of the gateway; "": it is built
-	// writes further files into a gateway's folder; nil: none
-	Prepare func(w *World, g *Gateway) error
-	Admin   bool // gateways have an admin interface
-	// the rig holds the clients' sockets, and gateways have an admin interface
-	Held bool
-	// the register is Consul, with an agent for each gateway
-	Consul   bool
-	Names    string // what gateways' names begin with; "": n
-	MemoryMB int    // what each is told that it may hold; 0: 64
-	// text of the operators' file, %DIR% being the gateway's folder; "": none
-	Operators string
-	Change    func(s *harness.Site) // what is other than drawn; nil: nothing
+	Seed      uint64
+	Gateways  int
+	Servers   int                              // 0: as many as the load wants
+	Load      float64                          // part of what the servers can do that is asked inside the quotas
+	Bin       string                           // of the gateway; "": it is built
+	Prepare   func(w *World, g *Gateway) error // writes further files into a gateway's folder; nil: none
+	Admin     bool                             // gateways have an admin interface
+	Held      bool                             // the rig holds the clients' sockets, and gateways have an admin interface
+	Consul    bool                             // the register is Consul, with an agent for each gateway
+	Names     string                           // what gateways' names begin with; "": n
+	MemoryMB  int                              // what each is told that it may hold; 0: 64
+	Operators string                           // text of the operators' file, %DIR% being the gateway's folder; "": none
+	Change    func(s *harness.Site)            // what is other than drawn; nil: nothing
 	Log       io.Writer
 }
 
@@ -67,18 +62,7 @@
 
 // NewWorld builds and starts everything but the clients' requests.
 func NewWorld(ctx context.Context, o Options) (w *World, err error) {
-	if o.Log == nil {
-		o.Log = io.Discard
-	}
-	if o.Servers == 0 {
-		o.Servers = 10
-	}
-	if o.Names == "" {
-		o.Names = "n"
-	}
-	if o.MemoryMB == 0 {
-		o.MemoryMB = 64
-	}
+	o.setDefaults()
 	w = &World{
 		Site:    harness.NewSite(o.Seed, o.Gateways, o.Servers, o.Load),
 		Record:  harness.NewRecord(),
@@ -101,72 +85,121 @@
 			return w, err
 		}
 	}
-	if w.Register, err = NewRegister(w.Record, o.Gateways, w.Site.RegisterLag, o.Seed); err != nil {
+	if err := w.newStandIns(&o); err != nil {
 		return w, err
 	}
-	if w.Counter, err = NewCounter(o.Seed); err != nil {
+	if err := w.newServers(&o); err != nil {
+		return w, err
+	}
+	peers, err := w.newGateways(&o)
+	if err != nil {
 		return w, err
 	}
-	world := worlds.Add(1)
-	w.number = world
+	if w.PeerNetwork, err = NewPeerNetwork(peers, w.Site.NoteLoss, o.Seed); err != nil {
+		return w, err
+	}
+	fmt.Fprintf(o.Log, "starting %d gateways before %d quote servers, %d customers, %.0f requests/s inside the quotas\n",
+		o.Gateways, o.Servers, len(w.Site.Customers), w.Site.PerSecond)
+	err = w.startAll(ctx)
+	w.Clients = NewClients(w.Site, w.Record, w.Gateways, o.Seed)
+	return w, err
+}
+
+func (o *Options) setDefaults() {
+	if o.Log == nil {
+		o.Log = io.Discard
+	}
+	if o.Servers == 0 {
+		o.Servers = 10
+	}
+	if o.Names == "" {
+		o.Names = "n"
+	}
+	if o.MemoryMB == 0 {
+		o.MemoryMB = 64
+	}
+}
+
+// newStandIns starts the stand-ins of the platform: register, counter and, if asked for, Consul.
+func (w *World) newStandIns(o *Options) (err error) {
+	if w.Register, err = NewRegister(w.Record, o.Gateways, w.Site.RegisterLag, o.Seed); err != nil {
+		return err
+	}
+	if w.Counter, err = NewCounter(o.Seed); err != nil {
+		return err
+	}
+	w.number = worlds.Add(1)
 	if o.Consul {
-		if w.Consul, err = NewConsulRegister(w.Record, o.Gateways, w.Site.RegisterLag,
-			o.Seed); err != nil {
-			return w, err
-		}
+		w.Consul, err = NewConsulRegister(w.Record, o.Gateways, w.Site.RegisterLag, o.Seed)
 	}
+	return err
+}
+
+// newServers starts the stand-in quote servers and has the registers list them.
+func (w *World) newServers(o *Options) error {
 	for i := range o.Servers {
-		sv, err := NewServer(w.Site, w.Record, world, i, o.Seed)
+		sv, err := NewServer(w.Site, w.Record, w.number, i, o.Seed)
 		if err != nil {
-			return w, err
+			return err
 		}
 		w.Servers = append(w.Servers, sv)
 		w.notify(sv, phaseReady, 0, true)
 	}
-	var peers []netip.AddrPort
+	return nil
+}
+
+// newGateways prepares the gateways' folders and files, without starting them, and returns their peer addresses.
+func (w *World) newGateways(o *Options) (peers []netip.AddrPort, err error) {
 	for i := range o.Gateways {
-		var args []string
-		if o.Operators != "" {
-			args = []string{"--operators", "operators.toml"}
-		}
-		g, err := newGateway(w.Dir, o.Bin, args, w.Record, world, i)
+		g, err := w.newGateway(o, i)
 		if err != nil {
-			return w, err
+			return nil, err
 		}
-		if o.Operators != "" {
-			text := o.Operators
-			if w.Consul != nil {
-				text = strings.ReplaceAll(text, "%AGENT%", w.Consul.agents[i].Address)
-			}
-			if err := os.WriteFile(filepath.Join(g.dir, "operators.toml"), []byte(text),
-				0o600); err != nil {
-				return w, err
-			}
+		w.Gateways = append(w.Gateways, g)
+		peers = append(peers, netip.MustParseAddrPort(g.Peer))
+	}
+	return peers, nil
+}
+
+func (w *World) newGateway(o *Options, i int) (*Gateway, error) {
+	var args []string
+	if o.Operators != "" {
+		args = []string{"--operators", "operators.toml"}
+	}
+	g, err := newGateway(w.Dir, o.Bin, args, w.Record, w.number, i)
+	if err != nil {
+		return nil, err
+	}
+	if o.Operators != "" {
+		text := o.Operators
+		if w.Consul != nil {
+			text = strings.ReplaceAll(text, "%AGENT%", w.Consul.agents[i].Address)
 		}
-		if o.Prepare != nil {
-			if err := o.Prepare(w, g); err != nil {
-				return w, err
-			}
+		if err := os.WriteFile(filepath.Join(g.dir, "operators.toml"), []byte(text), 0o600); err != nil {
+			return nil, err
 		}
-		if o.Admin {
-			if err := g.newAdminAddress(); err != nil {
-				return w, err
-			}
+	}
+	if o.Prepare != nil {
+		if err := o.Prepare(w, g); err != nil {
+			return nil, err
 		}
-		if o.Held {
-			if err := g.hold(); err != nil {
-				return w, err
-			}
+	}
+	if o.Admin {
+		if err := g.newAdminAddress(); err != nil {
+			return nil, err
 		}
-		g.config = w.configuration
-		w.Gateways = append(w.Gateways, g)
-		peers = append(peers, netip.MustParseAddrPort(g.Peer))
 	}
-	if w.PeerNetwork, err = NewPeerNetwork(peers, w.Site.MessageLoss, o.Seed); err != nil {
-		return w, err
+	if o.Held {
+		if err := g.hold(); err != nil {
+			return nil, err
+		}
 	}
-	fmt.Fprintf(o.Log, "starting %d gateways before %d quote servers, %d customers, %.0f requests/s inside the quotas\n",
-		o.Gateways, o.Servers, len(w.Site.Customers), w.Site.PerSecond)
+	g.config = w.configuration
+	return g, nil
+}
+
+// startAll starts all gateways at once and waits until they are ready.
+func (w *World) startAll(ctx context.Context) (err error) {
 	errs := make(chan error, len(w.Gateways))
 	for _, g := range w.Gateways {
 		go func() { errs <- w.start(ctx, g) }()
@@ -174,20 +207,17 @@
 	for range w.Gateways {
 		err = errors.Join(err, <-errs)
 	}
-	w.Clients = NewClients(w.Site, w.Record, w.Gateways, o.Seed)
-	return w, err
+	return err
 }
 
 // Start starts a gateway and waits until it is ready.
 func (w *World) Start(ctx context.Context, g *Gateway) error { return w.start(ctx, g) }
 
 // Figures audits the run and sums it up.
-func (w *World) Figures(command string) *harness.Summary { return w.figures(command) }
+func (w *World) Figures(command string) *harness.Figures { return w.figures(command) }
 
 // Address is a free address of the world's own for something that restarts.
-func (w *World) Address(i int) (string, error) {
-	return freeAddress("tcp", hostOf(w.number, i), 7400)
-}
+func (w *World) Address(i int) (string, error) { return freeAddress("tcp", hostOf(w.number, i), 7400) }
 
 // start starts a gateway and waits until it is ready.
 func (w *World) start(ctx context.Context, g *Gateway) error {
@@ -207,21 +237,11 @@
 	}
 	return map[string]any{
 		"management": g.adminAddress,
-		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number),
-		"listen":     g.Address,
-		"discovery":  w.Register.agents[g.Number].address,
-		"seed":       harness.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
-		"limits": map[string]any{
-			"cores":     1.0,
-			"memory_mb": w.options.MemoryMB,
-			"sockets":   1024,
-		},
-		"peer_listen": g.Peer,
-		"peers":       w.PeerNetwork.peers(g.Number),
-		"peers_all":   "127.0.0.1:9",
-		"counter":     w.Counter.Address,
-		"known":       known,
-		"settings":    w.Site.Settings(g.Number),
+		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number), "listen": g.Address,
+		"discovery": w.Register.agents[g.Number].address, "seed": harness.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": w.options.MemoryMB, "sockets": 1024},
+		"peer_listen": g.Peer, "peers": w.PeerNetwork.peers(g.Number), "peers_all": "127.0.0.1:9",
+		"counter": w.Counter.Address, "known": known, "settings": w.Site.Settings(g.Number),
 	}
 }
 
@@ -229,7 +249,7 @@
 const recordText = "[record]\nrefusals = \"refusals\"\n"
 
 // figures audits the run and sums it up, with the reasons that the gateways wrote down.
-func (w *World) figures(command string) *harness.Summary {
+func (w *World) figures(command string) *harness.Figures {
 	why := map[string]string{}
 	for _, g := range w.Gateways {
 		raw, err := os.ReadFile(filepath.Join(g.dir, "refusals"))
@@ -244,9 +264,9 @@
 	}
 	for i := range w.Record.Tries {
 		t := &w.Record.Tries[i]
-		t.RejectReason = why[t.ID]
+		t.Why = why[t.ID]
 	}
-	return harness.Summarize(command, w.options.Seed, w.Site, w.Record)
+	return harness.Figure(command, w.options.Seed, w.Site, w.Record)
 }
 
 // Close ends everything that runs and removes the folder.
