--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -44,7 +44,7 @@
 	rand        *rand.Rand
 	up          bool
 	incarnation int // in the record
-	life        harness.Boot
+	life        harness.ServerStart
 	fault       Fault
 	drain       bool
 	conns       map[net.Conn]bool
@@ -57,11 +57,19 @@
 }
 
 // NewServer makes a server that is up and warm.
-func NewServer(s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64) (*Server, error) {
+func NewServer(
+	s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64,
+) (*Server, error) {
 	cores, speed := s.Machine(i)
 	sv := &Server{
-		ID: fmt.Sprintf("s-%08x", 0x1000+i*0x101), site: s, rec: rec, cores: int(cores), speed: speed,
-		rand: rand.New(rand.NewPCG(seed, uint64(i))), conns: map[net.Conn]bool{}, addrs: make([]string, s.Gateways),
+		ID:    fmt.Sprintf("s-%08x", 0x1000+i*0x101),
+		site:  s,
+		rec:   rec,
+		cores: int(cores),
+		speed: speed,
+		rand:  rand.New(rand.NewPCG(seed, uint64(i))),
+		conns: map[net.Conn]bool{},
+		addrs: make([]string, s.Gateways),
 	}
 	for g := range sv.addrs {
 		sv.addrs[g] = netip.AddrPortFrom(hostOf(world, i), uint16(serverPort+64*g)).String()
@@ -101,8 +109,14 @@
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
-	sv.life = harness.Boot{Server: sv.ID, Cores: float64(sv.cores), Speed: sv.speed, Cold: slowStart, At: sv.rec.Now()}
-	sv.incarnation = sv.rec.AddBoot(sv.life)
+	sv.life = harness.ServerStart{
+		Server:    sv.ID,
+		Cores:     float64(sv.cores),
+		Speed:     sv.speed,
+		SlowStart: slowStart,
+		At:        sv.rec.Now(),
+	}
+	sv.incarnation = sv.rec.AddServerStart(sv.life)
 	for g, l := range sv.lists {
 		go sv.accept(l, g, sv.ended)
 	}
@@ -152,7 +166,7 @@
 func (sv *Server) Up() (up bool, slowStartSince time.Duration) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.life.Cold {
+	if sv.life.SlowStart {
 		slowStartSince = sv.life.At
 	}
 	return sv.up, slowStartSince
@@ -263,7 +277,7 @@
 	}
 	id := string(args[2])
 	a := harness.Attempt{
-		ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, First: in.first, Whole: in.complete,
+		ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, FirstByteAt: in.first, ReceivedAt: in.complete,
 	}
 	admitted := sv.admit(&a)
 	if admitted.done {
@@ -273,14 +287,14 @@
 		return nil, false
 	}
 	defer func() { <-admitted.slots }()
-	sv.rec.Ran(admitted.number, sv.effect(a))
+	sv.rec.MarkRun(admitted.number, sv.effect(a))
 	if !sv.work(a, &admitted.life, admitted.fault, len(admitted.slots), ended) {
 		return nil, false
 	}
 	if admitted.late < admitted.fault.Reset {
 		return nil, false
 	}
-	sv.rec.Replied(admitted.number)
+	sv.rec.MarkReplied(admitted.number)
 	value := harness.ValueOf(id, sv.ID)
 	b := resp.AppendArray(nil, 3)
 	b = resp.AppendBulk(b, []byte(value))
@@ -291,7 +305,7 @@
 type admission struct {
 	number int // of the attempt in the record
 	fault  Fault
-	life   harness.Boot
+	life   harness.ServerStart
 	slots  chan struct{}
 	late   float64 // the draw that decides whether the connection is reset after the work
 
@@ -306,7 +320,7 @@
 	a.Work = sv.draw(a.Class)
 	result := admission{number: sv.rec.AddAttempt(*a), fault: sv.fault, life: sv.life, slots: sv.slots}
 	if sv.overrun(*a) {
-		sv.rec.Fell(sv.incarnation)
+		sv.rec.MarkOverloaded(sv.incarnation)
 		sv.kill()
 		result.done = true
 		return result
@@ -314,7 +328,7 @@
 	roll := sv.rand.Float64()
 	result.late = sv.rand.Float64()
 	if sv.drain || sv.waiting >= sv.cores*queuePerCore {
-		sv.rec.Turned(result.number)
+		sv.rec.MarkRejected(result.number)
 		result.done, result.reply = true, serverBusy
 		return result
 	}
@@ -368,14 +382,16 @@
 	if !c.Keyed || a.Key == "" {
 		return true
 	}
-	return sv.site.Remember(a.Key, a.Whole, c.Window)
+	return sv.site.Remember(a.Key, a.ReceivedAt, c.DeduplicationWindow)
 }
 
 // overrun tells whether a cold server has been sent more than it can bear.
 func (sv *Server) overrun(a harness.Attempt) bool {
 	sv.recent = append(sv.recent, a)
-	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool { return a.Whole-b.Whole > sv.site.FallSpan })
-	share := sv.site.Share(&sv.life, a.Whole)
+	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool {
+		return a.ReceivedAt-b.ReceivedAt > sv.site.OverloadWindow
+	})
+	share := sv.site.CapacityShare(&sv.life, a.ReceivedAt)
 	if share == 1 {
 		return false
 	}
@@ -383,20 +399,22 @@
 	for _, b := range sv.recent {
 		sum += b.Work.Seconds()
 	}
-	can := sv.life.Cores * sv.life.Speed * share * sv.site.FallSpan.Seconds()
+	can := sv.life.Cores * sv.life.Speed * share * sv.site.OverloadWindow.Seconds()
 	slack := 0.0
 	for _, c := range sv.site.Classes {
 		slack = max(slack, c.Work.Seconds())
 	}
-	return sum > sv.site.FallMultiple*can+slack
+	return sum > sv.site.OverloadMultiple*can+slack
 }
 
 // work spends a request's time: slots share the cores.
-func (sv *Server) work(a harness.Attempt, life *harness.Boot, f Fault, busy int, ended chan struct{}) bool {
+func (sv *Server) work(
+	a harness.Attempt, life *harness.ServerStart, f Fault, busy int, ended chan struct{},
+) bool {
 	need := a.Work.Seconds() / sv.speed * max(1, f.Slow) * max(1, float64(busy)/float64(sv.cores))
 	for need > 0 {
 		step := min(need, 0.1)
-		share := sv.site.Share(life, sv.rec.Now())
+		share := sv.site.CapacityShare(life, sv.rec.Now())
 		select {
 		case <-time.After(time.Duration(step / share * float64(time.Second))):
 		case <-ended:
--- a/internal/testing/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -25,19 +25,24 @@
 
 // Options say what a world is made of.
 type Options struct {
-	Seed      uint64
-	Gateways  int
-	Servers   int                              // 0: as many as the load wants
-	Load      float64                          // part of what the servers can do that is asked inside the quotas
-	Bin       string                           // of the gateway; "": it is built
-	Prepare   func(w *World, g *Gateway) error // writes further files into a gateway's folder; nil: none
-	Admin     bool                             // gateways have an admin interface
-	Held      bool                             // the rig holds the clients' sockets, and gateways have an admin interface
-	Consul    bool                             // the register is Consul, with an agent for each gateway
-	Names     string                           // what gateways' names begin with; "": n
-	MemoryMB  int                              // what each is told that it may hold; 0: 64
-	Operators string                           // text of the operators' file, %DIR% being the gateway's folder; "": none
-	Change    func(s *harness.Site)            // what is other than drawn; nil: nothing
+	Seed     uint64
+	Gateways int
+	Servers  int // 0: as many as the load wants
+	// part of what the servers can do that is asked inside the quotas
+	Load float64
+	Bin  string // of the gateway; "": it is built
+	// writes further files into a gateway's folder; nil: none
+	Prepare func(w *World, g *Gateway) error
+	Admin   bool // gateways have an admin interface
+	// the rig holds the clients' sockets, and gateways have an admin interface
+	Held bool
+	// the register is Consul, with an agent for each gateway
+	Consul   bool
+	Names    string // what gateways' names begin with; "": n
+	MemoryMB int    // what each is told that it may hold; 0: 64
+	// text of the operators' file, %DIR% being the gateway's folder; "": none
+	Operators string
+	Change    func(s *harness.Site) // what is other than drawn; nil: nothing
 	Log       io.Writer
 }
 
@@ -95,7 +100,7 @@
 	if err != nil {
 		return w, err
 	}
-	if w.PeerNetwork, err = NewPeerNetwork(peers, w.Site.NoteLoss, o.Seed); err != nil {
+	if w.PeerNetwork, err = NewPeerNetwork(peers, w.Site.MessageLoss, o.Seed); err != nil {
 		return w, err
 	}
 	fmt.Fprintf(o.Log, "starting %d gateways before %d quote servers, %d customers, %.0f requests/s inside the quotas\n",
@@ -214,10 +219,12 @@
 func (w *World) Start(ctx context.Context, g *Gateway) error { return w.start(ctx, g) }
 
 // Figures audits the run and sums it up.
-func (w *World) Figures(command string) *harness.Figures { return w.figures(command) }
+func (w *World) Figures(command string) *harness.Summary { return w.figures(command) }
 
 // Address is a free address of the world's own for something that restarts.
-func (w *World) Address(i int) (string, error) { return freeAddress("tcp", hostOf(w.number, i), 7400) }
+func (w *World) Address(i int) (string, error) {
+	return freeAddress("tcp", hostOf(w.number, i), 7400)
+}
 
 // start starts a gateway and waits until it is ready.
 func (w *World) start(ctx context.Context, g *Gateway) error {
@@ -237,11 +244,21 @@
 	}
 	return map[string]any{
 		"management": g.adminAddress,
-		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number), "listen": g.Address,
-		"discovery": w.Register.agents[g.Number].address, "seed": harness.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
-		"limits":      map[string]any{"cores": 1.0, "memory_mb": w.options.MemoryMB, "sockets": 1024},
-		"peer_listen": g.Peer, "peers": w.PeerNetwork.peers(g.Number), "peers_all": "127.0.0.1:9",
-		"counter": w.Counter.Address, "known": known, "settings": w.Site.Settings(g.Number),
+		"name":       fmt.Sprintf("%s%d", w.options.Names, g.Number),
+		"listen":     g.Address,
+		"discovery":  w.Register.agents[g.Number].address,
+		"seed":       harness.Hex16(w.options.Seed*1e6 + uint64(time.Now().UnixNano())),
+		"limits": map[string]any{
+			"cores":     1.0,
+			"memory_mb": w.options.MemoryMB,
+			"sockets":   1024,
+		},
+		"peer_listen": g.Peer,
+		"peers":       w.PeerNetwork.peers(g.Number),
+		"peers_all":   "127.0.0.1:9",
+		"counter":     w.Counter.Address,
+		"known":       known,
+		"settings":    w.Site.Settings(g.Number),
 	}
 }
 
@@ -249,7 +266,7 @@
 const recordText = "[record]\nrefusals = \"refusals\"\n"
 
 // figures audits the run and sums it up, with the reasons that the gateways wrote down.
-func (w *World) figures(command string) *harness.Figures {
+func (w *World) figures(command string) *harness.Summary {
 	why := map[string]string{}
 	for _, g := range w.Gateways {
 		raw, err := os.ReadFile(filepath.Join(g.dir, "refusals"))
@@ -264,9 +281,9 @@
 	}
 	for i := range w.Record.Tries {
 		t := &w.Record.Tries[i]
-		t.Why = why[t.ID]
+		t.RejectReason = why[t.ID]
 	}
-	return harness.Figure(command, w.options.Seed, w.Site, w.Record)
+	return harness.Summarize(command, w.options.Seed, w.Site, w.Record)
 }
 
 // Close ends everything that runs and removes the folder.
