--- a/internal/dataplane/gateway/accept.go
+++ b/internal/dataplane/gateway/accept.go
@@ -4,69 +4,114 @@
 	"errors"
 	"net"
 	"os"
+	"sync/atomic"
 	"syscall"
 	"time"
 
 	"mothcleat/internal/dataplane/policy"
 )
 
-// accept posts new connections. Over its share it waits: the rest stays in the
-// listener's backlog.
-func (cs *clients) accept(l *Loop) {
+const (
+	acceptRetryDelay = 20 * time.Millisecond // after an error, such as a lack of descriptors
+
+	// Before the listener is closed, no connection must have come for so long: those that the
+	// kernel has accepted by then are taken in, and would be reset otherwise.
+	backlogQuietTime = 20 * time.Millisecond
+
+	// The loop waits so long for an accept that blocks although the listener is closed.
+	listenerCloseTimeout = 20 * time.Millisecond
+)
+
+const (
+	clientIdleTimeout        policy.Time = 8_000_000 // without a command
+	singleCommandIdleTimeout policy.Time = 3_000_000 // the same after a single command
+	// At the limit of connections, one that is used may be closed when idle for so long.
+	minIdleBeforeEviction policy.Time = 2_000_000
+	// By then a new connection has usually sent something.
+	newConnectionAge policy.Time = 100_000
+)
+
+// clients accepts connections and keeps them within their share of the file descriptors. It
+// belongs to the event loop but for accept, which runs on a goroutine of its own.
+type clients struct {
+	listener  *net.TCPListener
+	slots     chan struct{} // a place for each connection that may be open
+	maxServed int           // connections beyond are accepted only to be rejected
+	conns     map[*client]bool
+
+	accepting     bool          // accept runs
+	resumeAccept  chan struct{} // has accept go on after a pause; closed: it ends
+	drainBacklog  atomic.Bool   // accept ends when no connection has come for backlogQuietTime
+	incomingBytes atomic.Int64  // of commands that were read and wait for the event loop
+}
+
+func newClients(served, accepted int) *clients {
+	return &clients{
+		maxServed:    served,
+		slots:        make(chan struct{}, accepted),
+		conns:        map[*client]bool{},
+		resumeAccept: make(chan struct{}, 1),
+	}
+}
+
+// accept posts new connections until the listener is closed. While all places are taken it does not
+// accept, and connections wait in the listener's backlog.
+func (cs *clients) accept(g *Gateway) {
 	raw, err := cs.listener.SyscallConn()
 	if err != nil {
-		l.log.Error("accept", "error", err)
+		g.log.Error("accept", "error", err)
 		return
 	}
 	for {
 		cs.slots <- struct{}{}
-		// Whoever shares the socket may have had it block since, as each process does that hands it to another. An accept that
-		// blocks can't be ended.
+		// A process that hands the socket to another makes it blocking for all that share it,
+		// and an accept that blocks can't be ended.
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
 		if cs.drainBacklog.Load() { // the wait for a place may have been long
 			_ = cs.listener.SetDeadline(time.Now().Add(backlogQuietTime))
 		}
 		conn, err := cs.listener.AcceptTCP()
-		if errors.Is(err, net.ErrClosed) {
+		switch {
+		case err == nil:
+			g.post(clientConnected{conn})
+		case errors.Is(err, net.ErrClosed):
 			return
-		}
-		if errors.Is(err, os.ErrDeadlineExceeded) { // paused, or the last one is in
+		case errors.Is(err, os.ErrDeadlineExceeded):
 			<-cs.slots
-			if cs.drainBacklog.Load() && !cs.closeOnceDrained(l, raw) {
-				continue
-			}
-			l.post(acceptPaused{})
-			if _, ok := <-cs.resumeAccept; !ok {
+			if !cs.pauseOrEnd(g, raw) {
 				return
 			}
-			continue
-		}
-		if err != nil { // such as a shortage of descriptors: the next may do better
+		default:
 			<-cs.slots
-			l.log.Warn("accept", "error", err)
+			g.log.Warn("accept", "error", err)
 			time.Sleep(acceptRetryDelay)
-			continue
 		}
-		l.post(clientConnected{conn})
 	}
 }
 
-// backlogQuietTime is how long no connection may have come when the listener is closed: what the machine has accepted by then
-// is taken, and would be lost with it.
-const backlogQuietTime = 20 * time.Millisecond
+// pauseOrEnd is called when the listener's deadline has passed: accepting is paused, or the backlog
+// is drained. It reports whether accepting goes on.
+func (cs *clients) pauseOrEnd(g *Gateway, raw syscall.RawConn) bool {
+	if cs.drainBacklog.Load() && !cs.closeOnceDrained(g, raw) {
+		return true
+	}
+	g.post(acceptPaused{})
+	_, resumed := <-cs.resumeAccept
+	return resumed
+}
 
-// closeOnceDrained accepts all connections that wait, and closes the listener at once. To close it resets those that wait
-// then, so nothing that may take long lies between the last look and the close. Where places for connections run out it
-// returns false and does not close.
-func (cs *clients) closeOnceDrained(l *Loop, raw syscall.RawConn) bool {
+// closeOnceDrained accepts all waiting connections and closes the listener at once. Closing resets
+// connections that wait then, so nothing slow lies between the last look and the close. Where
+// places for connections run out it returns false and does not close.
+func (cs *clients) closeOnceDrained(g *Gateway, raw syscall.RawConn) bool {
 	for {
 		select {
 		case cs.slots <- struct{}{}:
 		default:
 			return false
 		}
-		fd, waits := acceptPending(raw)
-		if !waits {
+		fd, ok := acceptPending(raw)
+		if !ok {
 			_ = cs.listener.Close()
 			<-cs.slots
 			return true
@@ -74,24 +119,24 @@
 		conn, err := connFromFD(fd)
 		if err != nil {
 			<-cs.slots
-			l.log.Warn("accept", "error", err)
+			g.log.Warn("accept", "error", err)
 			continue
 		}
-		l.post(clientConnected{conn})
+		g.post(clientConnected{conn})
 	}
 }
 
-// acceptPending accepts a connection that waits. It does not wait for one: waits is false if there is none, or none can be
-// accepted.
-func acceptPending(raw syscall.RawConn) (fd int, waits bool) {
+// acceptPending accepts a waiting connection without blocking. ok is false if there is none, or it
+// can't be accepted.
+func acceptPending(raw syscall.RawConn) (fd int, ok bool) {
 	_ = raw.Control(func(listener uintptr) {
 		err := error(syscall.EINTR)
 		for err == syscall.EINTR {
 			fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK)
 		}
-		waits = err == nil
+		ok = err == nil
 	})
-	return fd, waits
+	return fd, ok
 }
 
 // connFromFD makes a connection of a descriptor, which it takes over.
@@ -111,19 +156,16 @@
 
 var errNotTCP = errors.New("the connection is no TCP connection")
 
-// acceptPaused tells that no connection waits to be accepted any more.
+// acceptPaused tells that accept waits to be resumed, or that the backlog is drained.
 type acceptPaused struct{}
 
-func (acceptPaused) handle(l *Loop) {
-	if l.shutdown.acceptingEnds {
-		l.closeListener()
+func (acceptPaused) handle(g *Gateway) {
+	if g.shutdown.acceptingEnds {
+		g.shutdown.closeListener(g)
 	}
 }
 
-// listenerCloseTimeout is for how long the loop waits for an accept to end that blocks all the same.
-const listenerCloseTimeout = 20 * time.Millisecond
-
-// closeListener has no connection accepted any more.
+// closeListener closes the listener; no connection is accepted any more.
 func (cs *clients) closeListener() {
 	done := make(chan struct{})
 	go func() {
@@ -136,69 +178,80 @@
 	}
 }
 
+// clientConnected is a new connection.
 type clientConnected struct{ conn *net.TCPConn }
 
-func (e clientConnected) handle(l *Loop) {
-	cs := l.clients
-	if l.startClient(newClient(e.conn, l.now())) && len(cs.conns) > cs.maxServed {
-		cs.evict(l, nil)
+func (e clientConnected) handle(g *Gateway) {
+	cs := g.clients
+	if g.startClient(newClient(e.conn, g.now())) && len(cs.conns) > cs.maxServed {
+		cs.evict(g, nil)
 	}
 }
 
-func newClient(conn *net.TCPConn, now policy.Time) *client {
-	return &client{
-		conn: conn, out: newSender(conn), pipelineSlots: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-		resumeReading: make(chan struct{}, 1), lastCommand: now,
-	}
-}
-
-// startClient has a new connection read, where requests are still taken on one; else it goes to
-// the newer process, or ends.
-func (l *Loop) startClient(c *client) bool {
-	l.clients.conns[c] = true
-	if l.handover.passingConns() {
-		c.reading.parted = true // it was not read from
-		l.passToSuccessor(c)
+// startClient starts to read from a new connection and returns true. While connections are passed
+// to a successor it passes this one instead and returns false.
+func (g *Gateway) startClient(c *client) bool {
+	g.clients.conns[c] = true
+	if g.handover.passingConns() {
+		c.reading.parted = true // nothing was read from it
+		g.passToSuccessor(c)
 		return false
 	}
-	go c.readCommands(l)
+	go c.readCommands(g)
 	return true
 }
 
-// evict closes the connection that matters least, if one may be closed: first
-// those that never asked anything, then idle ones, those that asked once before
-// the front's. For the sake of one that has asked (nil: none) no idle one is
-// spared; a newcomer that has said nothing yet is less reason.
-func (cs *clients) evict(l *Loop, asking *client) bool {
-	now := l.now()
-	spared := [...]policy.Time{newConnectionAge, 2 * newConnectionAge, minIdleBeforeEviction} // by worth: how long it must have been idle
-	if asking != nil {
-		spared = [...]policy.Time{newConnectionAge / 5, 0, 0}
-	}
-	var least *client
+// remove forgets a connection and frees its place.
+func (cs *clients) remove(c *client) {
+	delete(cs.conns, c)
+	<-cs.slots
+}
+
+// evict closes the connection that matters least, and reports whether one could be closed: first
+// those without a command, then those with one, then idle ones. For a client that has sent a
+// command (requesting; nil: a connection that has sent nothing yet) idle ones are closed at once.
+func (cs *clients) evict(g *Gateway, requesting *client) bool {
+	now := g.now()
+	// How long a connection must have been idle, by its rank.
+	minIdle := [...]policy.Time{newConnectionAge, 2 * newConnectionAge, minIdleBeforeEviction}
+	if requesting != nil {
+		minIdle = [...]policy.Time{newConnectionAge / 5, 0, 0}
+	}
+	var candidate *client
 	for c := range cs.conns {
-		if c == asking || c.closeWhenIdle || c.awaitingAnswer() || c.sendingCommand(now) || now-c.lastActivity() < spared[c.activityRank()] {
+		inUse := c == requesting || c.closeWhenIdle || c.awaitingAnswer() || c.sendingCommand(now)
+		if inUse || now-c.lastActivity() < minIdle[c.activityRank()] {
 			continue
 		}
-		if least == nil || c.activityRank() < least.activityRank() || c.activityRank() == least.activityRank() && c.lastActivity() < least.lastActivity() {
-			least = c
+		if candidate == nil || c.mattersLessThan(candidate) {
+			candidate = c
 		}
 	}
-	if least == nil {
+	if candidate == nil {
 		return false
 	}
-	least.drop(l)
+	candidate.drop(g)
 	return true
 }
 
-// closeIdle closes connections that only hold places.
-func (cs *clients) closeIdle(l *Loop) {
-	for len(cs.conns) > cs.maxServed && cs.evict(l, nil) {
+// mattersLessThan orders connections for eviction.
+func (c *client) mattersLessThan(other *client) bool {
+	if c.activityRank() != other.activityRank() {
+		return c.activityRank() < other.activityRank()
+	}
+	return c.lastActivity() < other.lastActivity()
+}
+
+// closeIdle closes connections that only take up places.
+func (cs *clients) closeIdle(g *Gateway) {
+	for len(cs.conns) > cs.maxServed && cs.evict(g, nil) {
 	}
-	now := l.now()
+	now := g.now()
+	// By rank: one that only ever sent a single command is not a connection of a pool.
+	timeouts := [...]policy.Time{clientIdleTimeout, singleCommandIdleTimeout, clientIdleTimeout}
 	for c := range cs.conns {
-		if now-c.lastActivity() > [...]policy.Time{clientIdleTimeout, singleCommandIdleTimeout, clientIdleTimeout}[c.activityRank()] && !c.awaitingAnswer() {
-			c.closeAfterAnswers(l)
+		if now-c.lastActivity() > timeouts[c.activityRank()] && !c.awaitingAnswer() {
+			c.closeAfterAnswers(g)
 		}
 	}
 }
--- a/internal/dataplane/gateway/accept_test.go
+++ b/internal/dataplane/gateway/accept_test.go
@@ -8,8 +8,8 @@
 // Connections that the machine has accepted when the listener is to be closed are served; to close it over them would reset
 // them, and lose what they have brought. Later ones are refused.
 func TestWaitingConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
-	address := l.clients.listener.Addr().String()
+	g := unstarted(t, newFakeDiscovery(t))
+	address := g.clients.listener.Addr().String()
 	const waiting = 3
 	var dialled []net.Conn
 	for range waiting {
@@ -20,16 +20,16 @@
 		defer c.Close()
 		dialled = append(dialled, c)
 	}
-	raw, err := l.clients.listener.SyscallConn()
+	raw, err := g.clients.listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !l.clients.closeOnceDrained(l, raw) {
+	if !g.clients.closeOnceDrained(g, raw) {
 		t.Fatal("it was not closed")
 	}
 	accepted := map[string]*net.TCPConn{}
 	for range waiting {
-		e := wait(t, l.events, "a connection").(clientConnected)
+		e := wait(t, g.events, "a connection").(clientConnected)
 		defer e.conn.Close()
 		accepted[e.conn.RemoteAddr().String()] = e.conn
 	}
@@ -45,8 +45,8 @@
 			t.Errorf("read %d, %v", n, err)
 		}
 	}
-	if len(l.clients.slots) != waiting {
-		t.Errorf("%d places are taken, %d wanted", len(l.clients.slots), waiting)
+	if len(g.clients.slots) != waiting {
+		t.Errorf("%d places are taken, %d wanted", len(g.clients.slots), waiting)
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
@@ -56,25 +56,25 @@
 
 // Where there is no place for another connection the listener stays open until there is one: what waits would be reset.
 func TestTheListenerStaysOpenWithoutAPlace(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
-	for len(l.clients.slots) < cap(l.clients.slots) {
-		l.clients.slots <- struct{}{}
+	g := unstarted(t, newFakeDiscovery(t))
+	for len(g.clients.slots) < cap(g.clients.slots) {
+		g.clients.slots <- struct{}{}
 	}
-	raw, err := l.clients.listener.SyscallConn()
+	raw, err := g.clients.listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.clients.closeOnceDrained(l, raw) {
+	if g.clients.closeOnceDrained(g, raw) {
 		t.Error("it was closed")
 	}
-	c, err := net.Dial("tcp", l.clients.listener.Addr().String())
+	c, err := net.Dial("tcp", g.clients.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	<-l.clients.slots // for the connection that waits
-	<-l.clients.slots // to see that no other does
-	if !l.clients.closeOnceDrained(l, raw) {
+	<-g.clients.slots // for the connection that waits
+	<-g.clients.slots // to see that no other does
+	if !g.clients.closeOnceDrained(g, raw) {
 		t.Error("it was not closed though there was a place")
 	}
 }
--- a/internal/dataplane/gateway/admin.go
+++ b/internal/dataplane/gateway/admin.go
@@ -8,82 +8,80 @@
 	"mothcleat/internal/dataplane/metrics"
 )
 
-// listenAdmin has operators' calls answered, where the configuration gives them an address.
-func (l *Loop) listenAdmin() (err error) {
-	if l.cfg.Management == "" {
+const adminBusyAnswer = "fail busy\n"
+
+// listenAdmin has operators' calls answered, where the configuration has an address for them.
+func (g *Gateway) listenAdmin() (err error) {
+	if g.cfg.Management == "" {
 		return nil
 	}
-	if l.admin, err = admin.Listen(l.cfg.Management, l.callLoop, l.log); err != nil {
+	if g.admin, err = admin.Listen(g.cfg.Management, g.callLoop, g.log); err != nil {
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
 }
 
-// callLoop has the loop answer an operator's call, ahead of all queued work.
-func (l *Loop) callLoop(ctx context.Context, name, argument string) string {
-	if name == "fleet" && l.cfg.Fleet != nil {
-		return l.cfg.Fleet.Call(ctx, argument) // the loop has no part in it
+// callLoop has the event loop answer an operator's call, ahead of all queued events. It may be
+// called from any goroutine.
+func (g *Gateway) callLoop(ctx context.Context, name, argument string) string {
+	if name == "fleet" && g.cfg.Fleet != nil {
+		return g.cfg.Fleet.Call(ctx, argument) // the event loop has no part in it
 	}
 	e := adminCall{name, make(chan string, 1)}
 	select {
-	case l.urgent <- e:
+	case g.urgent <- e:
 	case <-ctx.Done():
-		return "fail busy\n"
+		return adminBusyAnswer
 	}
 	select {
 	case answer := <-e.answer:
 		return answer
 	case <-ctx.Done():
-		return "fail busy\n"
+		return adminBusyAnswer
 	}
 }
 
-// adminCall is a line from an operator.
+// adminCall is a call by an operator.
 type adminCall struct {
 	name   string
-	answer chan string
+	answer chan string // has room for the one answer
 }
 
-func (c adminCall) handle(l *Loop) {
+func (c adminCall) handle(g *Gateway) {
 	answer := "ok\n"
 	switch c.name {
 	case "check":
-		if yes, why := l.lifecycle.Serves(); !yes {
-			answer = "fail " + why + "\n"
-		} else if l.fenced() {
-			answer = "fail shut out\n" // clients are to be sent elsewhere
-		}
+		answer = g.checkAnswer()
 	case "vars":
-		answer = string(append(l.metrics.Append(nil, l.gauges()), "eof\n"...))
+		answer = string(append(g.metrics.Append(nil, g.gauges()), "eof\n"...))
 	case "drain-on":
-		l.log.Info("drain: on", "open", l.open, "connections", len(l.clients.conns))
-		l.lifecycle.Drain(l.now())
-		l.step()
+		g.log.Info("drain: on", "open", g.requests.open, "connections", len(g.clients.conns))
+		g.lifecycle.Drain(g.now())
+		g.shutdown.step(g)
 	case "drain-off":
-		l.log.Info("drain: off")
-		l.lifecycle.Resume()
+		g.log.Info("drain: off")
+		g.lifecycle.Resume()
 	default:
-		answer = fmt.Sprintf("fail unknown call %.32q; check, vars, drain-on or drain-off\n", c.name)
+		const format = "fail unknown call %.32q; check, vars, drain-on or drain-off\n"
+		answer = fmt.Sprintf(format, c.name)
 	}
 	c.answer <- answer
 }
 
-// gauges are read off at the moment.
-func (l *Loop) gauges() metrics.Gauges {
-	now := metrics.Gauges{Current: l.open}
-	now.Size, now.Unhealthy = l.balancer.CountBackends()
-	return now
+// checkAnswer tells operators whether clients should be sent here.
+func (g *Gateway) checkAnswer() string {
+	if serves, reason := g.lifecycle.Serves(); !serves {
+		return "fail " + reason + "\n"
+	}
+	if g.fenced() {
+		return "fail shut out\n"
+	}
+	return "ok\n"
 }
 
-// countOutcome counts how a request ended, by what its answer begins with.
-func (r *request) countOutcome(t *metrics.Counters, reply []byte) {
-	switch {
-	case !r.classKnown:
-	case len(reply) > 4 && string(reply[:5]) == "-BUSY":
-		t.End(r.class, metrics.Deferred)
-	case len(reply) > 0 && reply[0] == '-':
-		t.End(r.class, metrics.Errored)
-	default:
-		t.End(r.class, metrics.Answered)
-	}
+// gauges returns the current values that vars shows beside the counters.
+func (g *Gateway) gauges() metrics.Gauges {
+	now := metrics.Gauges{Current: g.requests.open}
+	now.Size, now.Unhealthy = g.balancer.CountBackends()
+	return now
 }
--- a/internal/dataplane/gateway/admin_test.go
+++ b/internal/dataplane/gateway/admin_test.go
@@ -12,7 +12,7 @@
 // operator calls a gateway's admin interface.
 func operator(t testing.TB, r *rig, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", r.loop.admin.Addr().String())
+	c, err := net.Dial("tcp", r.gateway.admin.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/gateway/allocations.go
+++ b/internal/dataplane/gateway/allocations.go
@@ -6,77 +6,100 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// Allocations are this gateway's parts of the quotas that its fleet shares. All but Follow are called by the loop, and
-// must not wait.
+// Allocations are this gateway's shares of the quotas that the fleet shares. Expiries are by a
+// clock of the implementation's. All methods but OnReply are called on the event loop's goroutine,
+// and must not block.
 type Allocations interface {
 	policy.Allocations
-	// UsableUntil is until when what was taken for a request may be used; 0: nothing was.
+	// UsableUntil returns when the units taken for a request expire; 0: none were taken.
 	UsableUntil(id uint64) time.Duration
-	// Expired tells whether that time is over, by the clock as it is now.
-	Expired(by time.Duration) bool
-	// SetPlanOrder tells by which version of the plans customers' wholes are from now on.
+	// Expired reports whether that time is over now.
+	Expired(until time.Duration) bool
+	// SetPlanOrder tells by which version of the plans customers' limits are from now on.
 	SetPlanOrder(order uint64)
-	// OnReply has the answers to Borrow go to a function, which may be called from any goroutine.
-	OnReply(lent func(OnDemandReply))
+	// OnReply sets the receiver of the answers to on-demand requests. It is called once, and
+	// the receiver may be called from any goroutine.
+	OnReply(receive func(OnDemandReply))
 }
 
-// OnDemandReply is the answer to a Borrow.
+// OnDemandReply is the answer to a request for an on-demand allocation.
 type OnDemandReply struct {
 	RequestID   uint64
 	Quota       policy.SharedQuota
-	Units       float64       // 0: none
-	RetryAfter  time.Duration // in which there may be as many
-	UsableUntil time.Duration // until when they may be used
+	Units       float64       // 0: none were granted
+	RetryAfter  time.Duration // after which there may be as many
+	UsableUntil time.Duration // when the units expire
 }
 
-// onDemandReplied is such an answer on its way to the module.
+// onDemandReplied is such an answer on its way to the balancer.
 type onDemandReplied OnDemandReply
 
-func (e onDemandReplied) handle(l *Loop) {
-	if r := l.requests[e.RequestID]; r != nil && e.Units > 0 {
+func (e onDemandReplied) handle(g *Gateway) {
+	if r := g.requests.byID[e.RequestID]; r != nil && e.Units > 0 {
 		r.allocationUntil = e.UsableUntil
 	}
-	l.balancer.ReceiveOnDemand(l.now(), e.RequestID, &e.Quota, e.Units, e.RetryAfter.Microseconds())
+	retryAfter := e.RetryAfter.Microseconds()
+	g.balancer.ReceiveOnDemand(g.now(), e.RequestID, &e.Quota, e.Units, retryAfter)
 }
 
-// useAllocations has the module decide by rights.
-func (l *Loop) useAllocations() {
-	if l.cfg.Allocations == nil {
+// useAllocations has the balancer decide by allocations, where the fleet grants them.
+func (g *Gateway) useAllocations() {
+	if g.cfg.Allocations == nil {
 		return
 	}
-	l.balancer.UseAllocations(l.cfg.Allocations)
-	l.cfg.Allocations.OnReply(func(loan OnDemandReply) { l.post(onDemandReplied(loan)) })
+	g.balancer.UseAllocations(g.cfg.Allocations)
+	g.cfg.Allocations.OnReply(func(reply OnDemandReply) { g.post(onDemandReplied(reply)) })
 }
 
-// recordAllocation takes note of until when a request's first attempt may be written.
-func (l *Loop) recordAllocation(r *request) {
-	if l.cfg.Allocations == nil || r.attemptsMade > 0 {
+// recordAllocation records until when a request's first attempt may be written.
+func (g *Gateway) recordAllocation(r *request) {
+	if g.cfg.Allocations == nil || r.attemptsMade > 0 {
 		return
 	}
-	if by := l.cfg.Allocations.UsableUntil(r.id); by != 0 && (r.allocationUntil == 0 || by < r.allocationUntil) {
-		r.allocationUntil = by
+	until := g.cfg.Allocations.UsableUntil(r.id)
+	if until != 0 && (r.allocationUntil == 0 || until < r.allocationUntil) {
+		r.allocationUntil = until
 	}
 }
 
-// decisionExpired ends an attempt whose request was decided by a right that is over: this process lay stopped, or the request
-// waited long for a connection. Nothing of it was sent, and it is refused. It is asked at the last moment before a write.
-func (l *Loop) decisionExpired(a *attempt) bool {
-	if a.request != nil && (l.pastDeadline(a.request) || l.versionLeaseExpired(a.request)) {
-		switch {
-		case a.request.sentOn:
-			l.answer(a.request, failedReply) // it was sent on before, and may have run
-		case l.pastDeadline(a.request):
-			l.answer(a.request, l.retryLaterReply(overloadRetryAfter))
-		default:
-			l.rejectFenced(a.request)
-		}
-		l.finishAttempt(a, policy.Superseded, nil)
-		return true
+// decisionExpired ends an attempt whose request was admitted by something that has expired since:
+// its deadline, its version lease or its allocation. The process may have been suspended, or the
+// request may have waited for a connection, so this is checked last before a write. It reports
+// whether the attempt has ended.
+func (g *Gateway) decisionExpired(a *attempt) bool {
+	r := a.request
+	if r == nil {
+		return false
 	}
-	if a.request == nil || a.request.sentOn || a.request.allocationUntil == 0 || !l.cfg.Allocations.Expired(a.request.allocationUntil) {
+	switch {
+	case g.pastDeadline(r) || g.versionLeaseExpired(r):
+		g.answerExpired(r)
+	case g.allocationExpired(r):
+		g.answer(r, busyReply(0))
+	default:
 		return false
 	}
-	l.answer(a.request, busyReply(0))
-	l.finishAttempt(a, policy.Superseded, nil)
+	g.finishAttempt(a, policy.Superseded, nil)
 	return true
 }
+
+// answerExpired answers a request whose deadline or version lease is over.
+func (g *Gateway) answerExpired(r *request) {
+	switch {
+	case r.sentOn:
+		g.answer(r, failedReply) // it may have been executed
+	case g.pastDeadline(r):
+		g.answer(r, g.retryLaterReply(overloadRetryAfter))
+	default:
+		g.rejectFenced(r)
+	}
+}
+
+// allocationExpired reports whether the allocation expired that admitted a request, before its
+// first attempt was written.
+func (g *Gateway) allocationExpired(r *request) bool {
+	if r.sentOn || r.allocationUntil == 0 {
+		return false
+	}
+	return g.cfg.Allocations.Expired(r.allocationUntil)
+}
--- a/internal/dataplane/gateway/authorization.go
+++ b/internal/dataplane/gateway/authorization.go
@@ -3,103 +3,102 @@
 import (
 	"bytes"
 	"context"
-	"errors"
-	"strings"
 
 	"mothcleat/internal/dataplane/authz"
 	"mothcleat/internal/dataplane/forwardauth"
 	"mothcleat/internal/dataplane/policy"
-	"mothcleat/internal/dataplane/resp"
 )
 
-// Auth is whom to ask before a request goes on, and by which rules. The zero value
-// asks nobody.
+// Auth is the authenticator to ask before a request goes on, and by which rules. The zero value
+// asks none.
 type Auth struct {
 	Settings forwardauth.Settings
 	Rules    authz.Settings
 }
 
-var (
-	authCommand  = []byte("AUTH")
-	helloCommand = []byte("HELLO")
-	deniedReply  = []byte("-NOPERM denied\r\n")
-	okReply      = []byte("+OK\r\n")
-)
+var deniedReply = []byte("-NOPERM denied\r\n")
+
+// authSeedMask keeps the authenticator's random numbers apart from the balancer's.
+const authSeedMask = 0xa0
+
+// newAuthContext returns the context of calls to an authenticator; they end with the gateway.
+func newAuthContext() (context.Context, context.CancelFunc) {
+	return context.WithCancel(context.Background())
+}
 
-// setAuth takes in whom to ask from now on.
-func (l *Loop) setAuth(a Auth) error {
-	if a.Settings.URL == "" && l.auth == nil {
+// setAuth applies the settings of the authenticator. It returns an error, and changes nothing, if
+// they can't be used.
+func (g *Gateway) setAuth(a Auth) error {
+	if a.Settings.URL == "" && g.auth == nil {
 		return nil
 	}
-	if l.auth == nil {
-		l.auth = forwardauth.NewStep(l.authContext, (*authHost)(l))
+	if g.auth == nil {
+		g.auth = forwardauth.NewStep(g.authContext, (*authHost)(g))
 	}
-	if err := l.auth.Set(a.Settings, a.Rules, l.cfg.Seed^0xa0); err != nil {
+	if err := g.auth.Set(a.Settings, a.Rules, g.cfg.Seed^authSeedMask); err != nil {
 		return err
 	}
-	l.authEnabled.Store(l.auth.On())
+	g.authEnabled.Store(g.auth.On())
 	return nil
 }
 
-// authorize has a request decided on once it may go on. Until then the module knows
-// nothing of it: what is denied takes no units.
-func (l *Loop) authorize(r *request, what policy.Request) {
+// authorize has the authenticator decide whether a request may go on. Until then the balancer does
+// not know of it, so a denied request takes no units.
+func (g *Gateway) authorize(r *request, what policy.Request) {
 	r.awaitingAuth = &what
-	q := &forwardauth.Question{
-		Credential: r.client.credential, Customer: string(r.args[1]), Plan: l.cfg.Host.Plans[what.Plan],
-		Class: l.cfg.Host.Classes[what.Class], Units: what.Units, Write: bytes.EqualFold(r.args[0], writeCommand),
-		From: r.client.conn.RemoteAddr().String(),
+	question := &forwardauth.Question{
+		Credential: r.client.credential,
+		Customer:   string(r.args[1]),
+		Plan:       g.cfg.Host.Plans[what.Plan],
+		Class:      g.cfg.Host.Classes[what.Class],
+		Units:      what.Units,
+		Write:      bytes.EqualFold(r.args[0], writeCommand),
+		From:       r.client.conn.RemoteAddr().String(),
 	}
-	if v, after := l.auth.Request(r.id, q, what.Class, what.Plan, what.Timeout); v != authz.Wait {
-		l.authorized(r.id, v, after)
+	verdict, retryAfter := g.auth.Request(r.id, question, what.Class, what.Plan, what.Timeout)
+	if verdict != authz.Wait {
+		g.authorized(r.id, verdict, retryAfter)
 	}
 }
 
-// authorized takes in a request's verdict: the first and only one.
-func (l *Loop) authorized(id uint64, v authz.Verdict, after authz.Time) {
-	r := l.requests[id]
+// authorized applies a verdict. Only the first one for a request counts.
+func (g *Gateway) authorized(id uint64, verdict authz.Verdict, retryAfter authz.Time) {
+	r := g.requests.byID[id]
 	if r == nil || r.awaitingAuth == nil {
 		return
 	}
 	what := *r.awaitingAuth
 	r.awaitingAuth = nil
 	switch {
-	case v == authz.Deny:
-		l.answer(r, deniedReply)
-	case v == authz.Pass && l.lifecycle.Takes(l.now()):
-		now := l.now()
+	case verdict == authz.Deny:
+		g.answer(r, deniedReply)
+	case verdict == authz.Pass && g.lifecycle.Takes(g.now()):
+		now := g.now()
 		what.Timeout = max(0, r.deadline-now)
-		if l.acquireVersionLease(r) {
-			l.applyAssignedPlan(&what)
-			l.balancer.Request(now, what)
+		if g.acquireVersionLease(r) {
+			g.applyAssignedPlan(&what)
+			g.balancer.Request(now, what)
 		}
-	case v == authz.Later:
-		l.answer(r, l.retryLaterReply(after))
+	case verdict == authz.Later:
+		g.answer(r, g.retryLaterReply(retryAfter))
 	default:
-		l.answer(r, l.retryLaterReply(overloadRetryAfter))
+		g.answer(r, g.retryLaterReply(overloadRetryAfter))
 	}
 }
 
-// retryLaterReply is a refusal with advice, as far as the settings allow it.
-func (l *Loop) retryLaterReply(after policy.Time) []byte {
-	if !l.cfg.Settings.RetryAfter {
-		after = 0
-	}
-	return busyReply(min(after, l.cfg.Settings.MaxRetryAfter))
-}
-
-// cancelAuthorization takes note that a request needs no verdict any more.
-func (l *Loop) cancelAuthorization(r *request) {
+// cancelAuthorization records that a request needs no verdict any more.
+func (g *Gateway) cancelAuthorization(r *request) {
 	if r.awaitingAuth != nil {
 		r.awaitingAuth = nil
-		l.auth.Gone(r.id)
+		g.auth.Gone(r.id)
 	}
 }
 
-// authHost is the loop as the step sees it.
-type authHost Loop
+// authHost is the gateway as the authorization step sees it. Post may be called from any
+// goroutine, the other methods on the event loop's.
+type authHost Gateway
 
-func (h *authHost) Now() authz.Time { return (*Loop)(h).now() }
+func (h *authHost) Now() authz.Time { return (*Gateway)(h).now() }
 
 func (h *authHost) Post(f func()) {
 	select {
@@ -108,94 +107,14 @@
 	}
 }
 
-func (h *authHost) At(when authz.Time, f func()) { (*Loop)(h).schedule(when, loopFunc(f)) }
+func (h *authHost) At(when authz.Time, f func()) { (*Gateway)(h).schedule(when, loopFunc(f)) }
 
-func (h *authHost) Decided(id uint64, v authz.Verdict, after authz.Time) {
-	(*Loop)(h).authorized(id, v, after)
+func (h *authHost) Decided(id uint64, verdict authz.Verdict, retryAfter authz.Time) {
+	(*Gateway)(h).authorized(id, verdict, retryAfter)
 }
 
-// loopFunc is something to be done on the loop's goroutine.
+// loopFunc is a function that runs on the event loop's goroutine.
 type loopFunc func()
 
-func (f loopFunc) handle(*Loop) { f() }
-func (f loopFunc) due(*Loop)    { f() }
-
-// readCredential reads AUTH and HELLO, as RESP2 clients send them. What a client gives
-// is not checked here: the authenticator does it with each request.
-func (e *commandRead) readCredential(args [][]byte) {
-	var c *forwardauth.Credential
-	var err error
-	hello := bytes.EqualFold(args[0], helloCommand)
-	if !hello {
-		switch len(args) {
-		case 2:
-			c, err = forwardauth.NewCredential("", string(args[1]), false)
-		case 3:
-			c, err = forwardauth.NewCredential(string(args[1]), string(args[2]), true)
-		default:
-			err = errors.New("wrong number of arguments")
-		}
-		e.reply = okReply
-	} else {
-		c, err = readHello(args[1:])
-		e.reply = helloReply
-	}
-	if err != nil {
-		e.reply, e.invalid = errorReply(err), true
-		if errors.Is(err, errProtocolVersion) {
-			e.reply = []byte("-NOPROTO unsupported protocol version\r\n")
-		}
-		return
-	}
-	e.credential = c
-}
-
-var errProtocolVersion = errors.New("protocol version")
-
-// readHello reads what follows HELLO: a version, AUTH with a user and a password, and a
-// name for the connection, which is of no use here.
-func readHello(args [][]byte) (c *forwardauth.Credential, err error) {
-	if len(args) > 0 {
-		if string(args[0]) != "2" {
-			return nil, errProtocolVersion
-		}
-		args = args[1:]
-	}
-	for len(args) > 0 {
-		switch word := strings.ToUpper(string(args[0])); {
-		case word == "AUTH" && len(args) >= 3:
-			if c, err = forwardauth.NewCredential(string(args[1]), string(args[2]), true); err != nil {
-				return nil, err
-			}
-			args = args[3:]
-		case word == "SETNAME" && len(args) >= 2:
-			args = args[2:]
-		default:
-			return nil, errors.New("syntax") // what stands there may be a secret
-		}
-	}
-	return c, nil
-}
-
-// helloReply is what HELLO answers: pairs of names and values.
-var helloReply = func() []byte {
-	b := resp.AppendArray(nil, 14)
-	for i, word := range []string{"server", "mothcleat", "version", "1", "proto", "", "id", "", "mode", "standalone", "role", "master", "modules", ""} {
-		switch i {
-		case 5:
-			b = append(b, ":2\r\n"...)
-		case 7:
-			b = append(b, ":0\r\n"...)
-		case 13:
-			b = resp.AppendArray(b, 0)
-		default:
-			b = resp.AppendBulk(b, []byte(word))
-		}
-	}
-	return b
-}()
-
-// newAuthContext is the context of calls to an authenticator: they end with the gateway.
-func newAuthContext() (context.Context, context.CancelFunc) {
-	return context.WithCancel(context.Background())
-}
+func (f loopFunc) handle(*Gateway) { f() }
+func (f loopFunc) due(*Gateway)    { f() }
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -213,7 +213,7 @@
 		s, moved := newAuthenticator(t)
 		r.reloads(asking(t, d, s.URL), nil)
 		// An answer that came before the reload would be cached, and the new one would not be asked.
-		until(t, r.loop, "the reload", func(l *Loop) bool { return l.metrics.Loaded.Load() == 2 })
+		until(t, r.gateway, "the reload", func(g *Gateway) bool { return g.metrics.Loaded.Load() == 2 })
 		other.send("AUTH", "x")
 		other.want("+OK")
 		old.answer <- http.StatusOK
@@ -271,44 +271,44 @@
 // end, before or after it: one answer, and nothing sent on after it.
 func TestVerdictAtTheSameInstant(t *testing.T) {
 	s, calls := newAuthenticator(t)
-	for name, end := range map[string]func(l *Loop, r *request){
-		"leave":    func(l *Loop, r *request) { clientLeft{r.client}.handle(l) },
-		"deadline": func(l *Loop, r *request) { deadlineBackstop{r}.due(l) },
-		"drain":    func(l *Loop, _ *request) { l.failAll() },
-		"handed": func(l *Loop, _ *request) {
-			l.lifecycle.Part(false) // what comes now is told to come again
+	for name, end := range map[string]func(g *Gateway, r *request){
+		"leave":    func(g *Gateway, r *request) { clientLeft{r.client}.handle(g) },
+		"deadline": func(g *Gateway, r *request) { deadlineBackstop{r}.due(g) },
+		"drain":    func(g *Gateway, _ *request) { g.failAll() },
+		"handed": func(g *Gateway, _ *request) {
+			g.lifecycle.Part(false) // what comes now is told to come again
 		},
 	} {
 		for _, first := range []bool{true, false} {
 			b := newBackend(t)
 			d := newFakeDiscovery(t)
-			l, err := newLoop(asking(t, d, s.URL), quiet())
+			g, err := newGateway(asking(t, d, s.URL), quiet())
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { l.cancelAuth(); l.clients.listener.Close() })
-			l.backends.updateEndpoints(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+			t.Cleanup(func() { g.cancelAuth(); g.clients.listener.Close() })
+			g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
 			here, there := pipe(t)
-			l.clients.slots <- struct{}{}
+			g.clients.slots <- struct{}{}
 			c := &client{conn: here, out: newSender(here), pipelineSlots: make(chan struct{}, 4), done: make(chan struct{})}
-			l.clients.conns[c] = true
-			cmd, err := l.cfg.parseCommand([][]byte{[]byte("API.READ"), []byte("0000000000000007"), []byte("0000000000000001"),
+			g.clients.conns[c] = true
+			cmd, err := g.cfg.parseCommand([][]byte{[]byte("API.READ"), []byte("0000000000000007"), []byte("0000000000000001"),
 				[]byte("c=lookup,t=team,d=80000000,units=1,spread=1,first=0")})
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.pipelineSlots <- struct{}{}
-			commandRead{client: c, command: cmd, arrived: l.now()}.handle(l)
+			commandRead{client: c, command: cmd, arrived: g.now()}.handle(g)
 			r := c.pipeline[0]
 			wait(t, calls, "a question").answer <- http.StatusOK
-			verdict := wait(t, l.events, "the verdict")
+			verdict := wait(t, g.events, "the verdict")
 			if first {
-				l.handle(verdict)
+				g.handle(verdict)
 			}
-			end(l, r)
-			l.runQueued()
+			end(g, r)
+			g.runQueued()
 			if !first {
-				l.handle(verdict)
+				g.handle(verdict)
 				if r.attemptsMade > 0 {
 					t.Errorf("%s, then the verdict: sent on", name)
 				}
@@ -316,8 +316,8 @@
 			if !r.answered && !(first && name == "handed") {
 				t.Errorf("%s: not closed", name)
 			}
-			if r.awaitingAuth != nil || l.open < 0 || l.open > 1 {
-				t.Errorf("%s: %d open", name, l.open)
+			if r.awaitingAuth != nil || g.requests.open < 0 || g.requests.open > 1 {
+				t.Errorf("%s: %d open", name, g.requests.open)
 			}
 			here.Close()
 			text, _ := io.ReadAll(there)
--- a/internal/dataplane/gateway/backend_dial.go
+++ b/internal/dataplane/gateway/backend_dial.go
@@ -9,37 +9,43 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// dialForWaiting dials as long as more attempts wait than dials are under way, and connections rest.
-func (bs *backendPool) dialForWaiting(l *Loop, b *backend) {
+// dialForWaiting dials as long as more attempts wait than dials and resting connections are there
+// for them.
+func (p *backendPool) dialForWaiting(g *Gateway, b *backend) {
 	if len(b.waiting) == 0 {
 		return
 	}
-	for resting := b.resting(l); b.dialing+resting < len(b.waiting); {
-		if bs.open >= bs.maxConns && !bs.evict() {
-			// No descriptor to spare is no fault of the backend's: nothing was
-			// sent, and nothing is to be learnt of it.
-			a := b.waiting[len(b.waiting)-1]
-			b.waiting = b.waiting[:len(b.waiting)-1]
-			l.finishAttempt(a, policy.Superseded, nil)
+	resting := b.resting(g)
+	for b.dialing+resting < len(b.waiting) {
+		if p.open >= p.maxConns && !p.evict() {
+			// A lack of descriptors is no fault of the backend: nothing was sent, and
+			// nothing is learnt of it.
+			last := len(b.waiting) - 1
+			a := b.waiting[last]
+			b.waiting = b.waiting[:last]
+			g.finishAttempt(a, policy.Superseded, nil)
 			continue
 		}
 		b.dialing++
-		bs.open++
-		go func(address string, upSince int64) {
-			conn, err := bs.dial.DialContext(context.Background(), "tcp", address)
-			e := dialed{backend: b, address: address, upSince: upSince, err: err}
-			if err == nil {
-				e.conn = conn.(*net.TCPConn)
-			}
-			l.post(e)
-		}(b.address, b.upSince)
+		p.open++
+		go p.dialOnce(g, b, b.address, b.upSince)
 	}
 }
 
-// evict closes the connection that has been idle longest.
-func (bs *backendPool) evict() bool {
+// dialOnce dials a backend and posts the result. It runs on a goroutine of its own.
+func (p *backendPool) dialOnce(g *Gateway, b *backend, address string, upSince int64) {
+	conn, err := p.dial.DialContext(context.Background(), "tcp", address)
+	e := dialed{backend: b, address: address, upSince: upSince, err: err}
+	if err == nil {
+		e.conn = conn.(*net.TCPConn)
+	}
+	g.post(e)
+}
+
+// evict closes the connection that has been idle longest, and reports whether there was one.
+func (p *backendPool) evict() bool {
 	var oldest *backendConn
-	for _, b := range bs.byNumber {
+	for _, b := range p.byNumber {
 		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince < oldest.idleSince) {
 			oldest = b.idle[0]
 		}
@@ -47,55 +53,68 @@
 	if oldest == nil {
 		return false
 	}
-	bs.close(oldest)
+	p.close(oldest)
 	return true
 }
 
 // closeIdleOf closes a backend's idle connections.
-func (bs *backendPool) closeIdleOf(b *backend) {
+func (p *backendPool) closeIdleOf(b *backend) {
 	for len(b.idle) > 0 {
-		bs.close(b.idle[0])
+		p.close(b.idle[0])
 	}
 }
 
-// dialed tells how a dial ended.
+// dialed tells how a dial ended. address and upSince are the backend's when it began.
 type dialed struct {
 	backend *backend
 	address string
-	upSince int64 // both as they were when it began
+	upSince int64
 	conn    *net.TCPConn
 	err     error
 }
 
-func (e dialed) handle(l *Loop) {
-	bs, b := l.backends, e.backend
+func (e dialed) handle(g *Gateway) {
+	p := g.backends
+	b := e.backend
 	b.dialing--
 	if e.err != nil {
-		bs.open--
-		if e.address != b.address || e.upSince != b.upSince {
-			bs.dialForWaiting(l, b) // it was the process before that did not answer
-			return
-		}
-		if len(b.waiting) > 0 && len(b.waiting) > b.dialing+b.resting(l) {
-			a := b.waiting[0]
-			if errors.Is(e.err, syscall.ECONNRESET) && !a.redialed {
-				// Something listens there: nothing was sent, and another may do
-				// better. Nobody listening would refuse.
-				a.redialed = true
-				bs.dialForWaiting(l, b)
-				return
-			}
-			b.waiting = b.waiting[1:]
-			l.finishAttempt(a, policy.ConnectFailed, nil)
-		}
+		p.open--
+		p.dialFailed(g, e)
 		return
 	}
-	c := &backendConn{backend: b, conn: e.conn, out: newSender(e.conn), copyResult: make(chan error, 1)}
+	c := &backendConn{
+		backend:    b,
+		conn:       e.conn,
+		out:        newSender(e.conn),
+		copyResult: make(chan error, 1),
+	}
 	if e.address != b.address {
-		bs.close(c)
-		bs.dialForWaiting(l, b)
+		p.close(c)
+		p.dialForWaiting(g, b)
+		return
+	}
+	go c.readReplies(g)
+	p.release(g, c)
+}
+
+// dialFailed ends the attempt that has waited longest, if no other connection is on its way to it.
+func (p *backendPool) dialFailed(g *Gateway, e dialed) {
+	b := e.backend
+	if e.address != b.address || e.upSince != b.upSince {
+		p.dialForWaiting(g, b) // the backend has moved or restarted since
+		return
+	}
+	if len(b.waiting) == 0 || len(b.waiting) <= b.dialing+b.resting(g) {
+		return
+	}
+	a := b.waiting[0]
+	if errors.Is(e.err, syscall.ECONNRESET) && !a.redialed {
+		// Something listens there (else the connection would be refused), and nothing was
+		// sent: another dial may succeed.
+		a.redialed = true
+		p.dialForWaiting(g, b)
 		return
 	}
-	go c.readReplies(l)
-	bs.release(l, c)
+	b.waiting = b.waiting[1:]
+	g.finishAttempt(a, policy.ConnectFailed, nil)
 }
--- a/internal/dataplane/gateway/backend_pool.go
+++ b/internal/dataplane/gateway/backend_pool.go
@@ -13,93 +13,103 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// attempt is one send of a request or, with no request, a probe.
+// attempt is one send of a request to a backend or, without a request, a health check.
 type attempt struct {
-	request   *request
-	number    int
+	request   *request // nil: a health check
+	number    int      // among the request's attempts, from 0
 	backend   uint32
 	startedAt policy.Time
-	writtenAt policy.Time // when it was written to its connection,
-	connIdle  policy.Time // and for how long that had stood idle
 	deadline  policy.Time
-	conn      *backendConn // nil: it waits for one
 	timeout   *timer
-	redialed  bool
-	ended     bool
+
+	conn      *backendConn // nil: it waits for one, or has ended
+	writtenAt policy.Time  // when it was written to conn
+	connIdle  policy.Time  // for how long conn had been idle then
+	redialed  bool         // a dial for it was reset and repeated
+	ended     bool         // its outcome is enqueued
 }
 
-// backend is a member that discovery has named, by its id.
+// backend is a backend that discovery has named.
 type backend struct {
-	number  uint32
+	number  uint32 // names it in the balancer and in peers' messages
 	address string
-	upSince int64 // as discovery tells it
+	upSince int64 // Unix time in milliseconds, as discovery has it
 	state   policy.EndpointState
 	idle    []*backendConn // the one used last at the end
 	waiting []*attempt     // for a connection, oldest first
 	dialing int
 }
 
-// backendConn is a connection to a backend. It carries one attempt at a time:
-// answers come in order, so a slow one would hold up all behind it, and giving
-// one up closes the connection under the others.
+// backendConn is a connection to a backend. It carries one attempt at a time: answers come in
+// order, so a slow one would hold up those behind it, and giving it up would close the connection
+// under them. The event loop owns it; its reader goroutine uses bytesRead, reader and copyResult.
 type backendConn struct {
-	backend       *backend
-	conn          *net.TCPConn
-	out           *sender
-	attempt       *attempt
-	closed        bool
-	idleSince     policy.Time    // idle since
-	restsUntil    policy.Time    // until when it is not used: more may come behind its last answer
-	wakeScheduled bool           // it is looked at again when it has rested
-	bytesRead     atomic.Int64   // bytes that have come
-	bytesConsumed int64          // those of them that belong to the answers taken in
-	reader        *resp.Reader   // the receiver's, or of who copies a long value
-	streamed      *streamedValue // that is under way on it; nil: none
-	copyResult    chan error     // how the copying of a long value ended
+	backend *backend
+	conn    *net.TCPConn
+	out     *sender
+	attempt *attempt // nil: none is in flight
+	closed  bool
+
+	idleSince     policy.Time
+	restsUntil    policy.Time // not used before: more may follow its last answer
+	wakeScheduled bool        // connRested is scheduled
+
+	bytesRead     atomic.Int64
+	bytesConsumed int64 // of bytesRead, those that belong to answers already handled
+
+	reader     *resp.Reader
+	streamed   *streamedValue // in flight on it; nil: none
+	copyResult chan error     // how the copying of a streamed value ended
 }
 
-// Read counts what comes, for the connection's reader.
+// Read reads from the connection and counts the bytes, for the connection's reader.
 func (c *backendConn) Read(b []byte) (int, error) {
 	n, err := c.conn.Read(b)
 	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// clean tells whether nothing has come that no request asked for. What lies
-// there when a request is written would be taken for its answer: a second copy
-// of the last one, or noise.
+// clean reports whether nothing unexpected has come. What is unread when a request is written,
+// such as a repetition of the last answer, would be taken for the request's answer.
 func (c *backendConn) clean() bool {
 	return c.bytesRead.Load() == c.bytesConsumed && c.out.nothingToRead()
 }
 
-// backendPool is the table of members and their connections.
+// backendPool holds the backends and the connections to them. It belongs to the event loop.
 type backendPool struct {
 	byNumber     map[uint32]*backend
 	byID         map[string]*backend
 	idleTrust    idleTrust
-	maxConns     int // connections and dials
-	open         int
-	restDuration policy.Time // how long a connection rests after an answer
+	maxConns     int // connections and dials together
+	open         int // of those
+	restDuration policy.Time
 	dial         net.Dialer
 }
 
-// restAfterAnswer is how long a connection rests after an answer. A second copy of it that comes only behind the next request
-// would be taken for that one's answer: nothing in a value tells what it answers. They come some milliseconds late.
+// restAfterAnswer is how long a connection is left alone after an answer. Some backends repeat an
+// answer some milliseconds late; if a request were written meanwhile, the repetition would be taken
+// for its answer, as nothing in a value says what it answers.
 const restAfterAnswer policy.Time = 6_000
 
-func newBackends(cfg *Config, most int) *backendPool {
+func newBackends(cfg *Config, maxConns int) *backendPool {
 	return &backendPool{
-		byNumber: map[uint32]*backend{}, byID: map[string]*backend{}, maxConns: most,
-		idleTrust: idleTrust{maxIdle: cfg.Host.IdleClose / 2}, restDuration: restAfterAnswer,
-		dial: net.Dialer{Timeout: time.Duration(cfg.Host.DialTimeout) * time.Microsecond, KeepAlive: -1},
+		byNumber:     map[uint32]*backend{},
+		byID:         map[string]*backend{},
+		maxConns:     maxConns,
+		idleTrust:    idleTrust{maxIdle: cfg.Host.IdleClose / 2},
+		restDuration: restAfterAnswer,
+		dial: net.Dialer{
+			Timeout:   time.Duration(cfg.Host.DialTimeout) * time.Microsecond,
+			KeepAlive: -1,
+		},
 	}
 }
 
-// find finds or makes the record of a member. Its number is the hexadecimal
-// end of its id, else a hash of it: the same at every gateway, as notes name
-// backends by it.
-func (bs *backendPool) find(id string) *backend {
-	if b := bs.byID[id]; b != nil {
+// find returns the backend with an id, and adds it if there is none. Its number is the hexadecimal
+// end of the id, else a hash of it: the same at every gateway, as peers' messages name backends by
+// it.
+func (p *backendPool) find(id string) *backend {
+	if b := p.byID[id]; b != nil {
 		return b
 	}
 	tail := id[strings.LastIndexByte(id, '-')+1:]
@@ -110,181 +120,222 @@
 		n = uint64(h.Sum32())
 	}
 	number := uint32(n)
-	for bs.byNumber[number] != nil {
-		number++ // two ids share a number: they are still two backends
+	for p.byNumber[number] != nil {
+		number++ // two ids with one number are still two backends
 	}
 	b := &backend{number: number, state: policy.Removed}
-	bs.byID[id], bs.byNumber[number] = b, b
+	p.byID[id] = b
+	p.byNumber[number] = b
 	return b
 }
 
 // startAttempt carries out a Send or a Probe.
-func (bs *backendPool) startAttempt(l *Loop, a *attempt, number uint32) {
+func (p *backendPool) startAttempt(g *Gateway, a *attempt, number uint32) {
 	a.backend = number
-	b := bs.byNumber[number]
-	a.timeout = l.schedule(a.deadline, attemptTimeout{a})
+	a.timeout = g.schedule(a.deadline, attemptTimeout{a})
+	b := p.byNumber[number]
 	if b == nil || b.state != policy.Ready {
-		l.finishAttempt(a, policy.Superseded, nil)
+		g.finishAttempt(a, policy.Superseded, nil)
 		return
 	}
-	bs.place(l, b, a)
+	p.place(g, b, a)
 }
 
-// place gives an attempt the idle connection used last of those that have rested, or has one dialed.
-func (bs *backendPool) place(l *Loop, b *backend, a *attempt) {
-	now := l.now()
-	trusted := now - bs.idleTrust.limit(now)
+// place writes an attempt to the idle connection that was used last, of those that have rested, or
+// has a connection dialed for it.
+func (p *backendPool) place(g *Gateway, b *backend, a *attempt) {
+	now := g.now()
+	oldestTrusted := now - p.idleTrust.limit(now)
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if c.idleSince < trusted {
-			bs.close(c)
+		if c.idleSince < oldestTrusted {
+			p.close(c)
 			continue
 		}
 		if now < c.restsUntil {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
-		if bs.write(l, c, a) {
+		if p.write(g, c, a) {
 			return
 		}
 	}
 	b.waiting = append(b.waiting, a)
-	bs.dialForWaiting(l, b)
+	p.dialForWaiting(g, b)
 }
 
-// resting counts the connections that somebody who waits may have soon, and sees to that.
-func (b *backend) resting(l *Loop) int {
+// resting counts the connections that are about to become usable, and has each given to a waiting
+// attempt then.
+func (b *backend) resting(g *Gateway) int {
 	n := 0
 	for _, c := range b.idle {
-		if l.now() < c.restsUntil {
-			c.scheduleWake(l)
+		if g.now() < c.restsUntil {
+			c.scheduleWake(g)
 			n++
 		}
 	}
 	return n
 }
 
-// scheduleWake has a connection that rests looked at again once it has rested, whatever has become of it.
-func (c *backendConn) scheduleWake(l *Loop) {
+// scheduleWake has a resting connection looked at when it has rested, whatever has become of it.
+func (c *backendConn) scheduleWake(g *Gateway) {
 	if !c.wakeScheduled {
 		c.wakeScheduled = true
-		l.schedule(c.restsUntil, connRested{c})
+		g.schedule(c.restsUntil, connRested{c})
 	}
 }
 
 // connRested tells that a connection has rested.
 type connRested struct{ conn *backendConn }
 
-func (e connRested) due(l *Loop) {
-	c, b := e.conn, e.conn.backend
+func (e connRested) due(g *Gateway) {
+	c := e.conn
+	b := c.backend
 	c.wakeScheduled = false
 	if i := slices.Index(b.idle, c); i >= 0 && len(b.waiting) > 0 {
 		b.idle = slices.Delete(b.idle, i, i+1)
-		l.backends.release(l, c)
+		g.backends.release(g, c)
 	}
-	l.backends.dialForWaiting(l, b) // where it has ended, or was taken
+	g.backends.dialForWaiting(g, b) // the connection may have been closed or used meanwhile
 }
 
-// release gives a connection that has rested to the attempt that has waited longest, or keeps it.
-func (bs *backendPool) release(l *Loop, c *backendConn) {
+// release gives a connection to the attempt that has waited longest, or adds it to the idle ones.
+func (p *backendPool) release(g *Gateway, c *backendConn) {
 	b := c.backend
-	if b.state != policy.Ready && len(b.waiting) == 0 || !c.out.drained() {
-		// It is not to be used again; or the answer came before all of the
-		// request was written, and the next would be written into its rest.
-		bs.close(c)
-		bs.dialForWaiting(l, b)
+	unwanted := b.state != policy.Ready && len(b.waiting) == 0
+	// An answer may come before the request is written completely; the next request would be
+	// written into the rest of it.
+	if unwanted || !c.out.drained() {
+		p.close(c)
+		p.dialForWaiting(g, b)
 		return
 	}
-	if l.now() < c.restsUntil && len(b.waiting) > 0 {
-		c.scheduleWake(l)
+	if g.now() < c.restsUntil && len(b.waiting) > 0 {
+		c.scheduleWake(g)
 	}
-	for len(b.waiting) > 0 && l.now() >= c.restsUntil {
+	for len(b.waiting) > 0 && g.now() >= c.restsUntil {
 		a := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		if bs.write(l, c, a) {
+		if p.write(g, c, a) {
 			return
 		}
 		if c.closed {
 			b.waiting = slices.Insert(b.waiting, 0, a)
-			bs.dialForWaiting(l, b)
+			p.dialForWaiting(g, b)
 			return
 		}
 	}
-	c.idleSince = l.now()
+	c.idleSince = g.now()
 	b.idle = append(b.idle, c)
 }
 
-// write writes an attempt to an idle connection. It tells whether the attempt
-// is done with: on its way, or ended. If the connection turned out broken the
-// attempt was not sent, and may go by another.
-func (bs *backendPool) write(l *Loop, c *backendConn, a *attempt) bool {
+// write writes an attempt to an idle connection. It reports whether the attempt is dealt with: in
+// flight, or ended. It returns false, with nothing sent, if the connection is broken.
+func (p *backendPool) write(g *Gateway, c *backendConn, a *attempt) bool {
 	if c.backend.state != policy.Ready {
-		// The drain was told while the attempt waited for its connection:
-		// nothing new goes there, however slow the dial was.
-		l.finishAttempt(a, policy.Superseded, nil)
-		bs.close(c)
+		// The backend began to drain while the attempt waited for its connection.
+		g.finishAttempt(a, policy.Superseded, nil)
+		p.close(c)
 		return true
 	}
 	if !c.clean() {
-		bs.close(c)
+		p.close(c)
 		return false
 	}
-	var b []byte
+	command := g.encodeAttempt(a)
+	// These are checked last: the process may have been suspended at any point before.
+	if g.decisionExpired(a) || g.retryExpired(a) || g.clientHungUp(a) {
+		p.release(g, c)
+		return true
+	}
+	if !c.send(command, a, g) {
+		p.close(c)
+		return false
+	}
+	if a.request != nil {
+		g.countSend(a.request)
+	}
+	c.attempt = a
+	a.conn = c
+	a.writtenAt = g.now()
+	a.connIdle = g.now() - c.idleSince
+	return true
+}
+
+// The health checks, as RESP2 commands.
+var (
+	infoLoadCommand   = []byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
+	healthPingCommand = []byte("*1\r\n$4\r\nPING\r\n")
+)
+
+// encodeAttempt returns what a backend is sent.
+func (g *Gateway) encodeAttempt(a *attempt) []byte {
 	switch {
 	case a.request != nil:
-		b = a.request.encodeForBackend(a.deadline - l.now())
-	case l.cfg.Host.ReportVia == "pull":
-		b = []byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
+		return a.request.encodeForBackend(a.deadline - g.now())
+	case g.cfg.Host.ReportVia == "pull":
+		return infoLoadCommand
 	default:
-		b = []byte("*1\r\n$4\r\nPING\r\n")
-	}
-	if l.decisionExpired(a) || l.retryExpired(a) || l.clientHungUp(a) {
-		bs.release(l, c)
-		return true
+		return healthPingCommand
 	}
-	if n, err := c.out.writeNow(b); err != nil {
-		bs.close(c)
+}
+
+// send writes an attempt's command: what the socket takes now, and the rest as it takes more. It
+// returns false if the connection is broken.
+func (c *backendConn) send(command []byte, a *attempt, g *Gateway) bool {
+	n, err := c.out.writeNow(command)
+	if err != nil {
 		return false
-	} else if n < len(b) {
-		c.out.fullyWritten = nil
+	}
+	if n == len(command) {
 		if a.request != nil {
-			c.out.fullyWritten = &l.metrics.Sends
+			g.metrics.Sends.Add(1)
 		}
-		c.out.send(b[n:], len(b))
-	} else if a.request != nil {
-		l.metrics.Sends.Add(1)
-	}
-	if a.request != nil && l.cfg.Operations != nil {
-		l.cfg.Operations.Sent(!a.request.sentOn, a.request.units)
+		return true
 	}
-	if a.request != nil && !a.request.sentOn {
-		a.request.sentOn = true
-		if l.cfg.Fleet != nil {
-			l.cfg.Fleet.Count(a.request.customer, a.request.units)
-		}
+	c.out.fullyWritten = nil
+	if a.request != nil {
+		c.out.fullyWritten = &g.metrics.Sends
 	}
-	c.attempt, a.conn = a, c
-	a.writtenAt, a.connIdle = l.now(), l.now()-c.idleSince
+	c.out.send(command[n:], len(command))
 	return true
 }
 
-// retryExpired ends an attempt that was to repeat one that may have run, where the repeat may not be sent any more: it waited for
-// its connection for too long. It tells whether it has.
-func (l *Loop) retryExpired(a *attempt) bool {
-	if a.request == nil || a.number == 0 || l.balancer.MayStillSend(l.now(), a.request.id, a.number) {
+// countSend counts an attempt that was written, and the request's units with its first one.
+func (g *Gateway) countSend(r *request) {
+	if g.cfg.Operations != nil {
+		g.cfg.Operations.Sent(!r.sentOn, r.units)
+	}
+	if r.sentOn {
+		return
+	}
+	r.sentOn = true
+	if g.cfg.Fleet != nil {
+		g.cfg.Fleet.Count(r.customer, r.units)
+	}
+}
+
+// retryExpired ends a retry of an attempt that may have been executed, where it waited too long for
+// its connection to be sent any more. It reports whether it has.
+func (g *Gateway) retryExpired(a *attempt) bool {
+	if a.request == nil || a.number == 0 {
+		return false
+	}
+	if g.balancer.MayStillSend(g.now(), a.request.id, a.number) {
 		return false
 	}
-	l.finishAttempt(a, policy.Superseded, nil)
+	g.finishAttempt(a, policy.Superseded, nil)
 	return true
 }
 
-// clientHungUp ends an attempt whose client has closed its connection, though that was not handled yet: the loop may be behind.
-// It tells whether it has.
-func (l *Loop) clientHungUp(a *attempt) bool {
+// clientHungUp ends an attempt whose client has closed its connection, though the event of that is
+// still queued. It reports whether it has.
+func (g *Gateway) clientHungUp(a *attempt) bool {
 	if a.request == nil {
 		return false
 	}
-	c, now := a.request.client, l.now()
+	c := a.request.client
+	now := g.now()
 	if now-c.lastSeenOpen < hangUpCheckMaxAge {
 		return false
 	}
@@ -292,124 +343,96 @@
 		c.lastSeenOpen = now
 		return false
 	}
-	l.enqueue(clientLeft{c})
-	l.finishAttempt(a, policy.Superseded, nil)
+	g.enqueue(clientLeft{c})
+	g.finishAttempt(a, policy.Superseded, nil)
 	return true
 }
 
-// closeIdle closes idle connections well before their backends do: a request that
-// crosses the close would end as a reset.
-func (bs *backendPool) closeIdle(l *Loop) {
-	since := l.now() - l.cfg.Host.IdleClose/2
-	for _, b := range bs.byNumber {
-		for len(b.idle) > 0 && b.idle[0].idleSince <= since {
-			bs.close(b.idle[0])
+// closeIdle closes idle connections well before their backends do: a request that crosses the
+// close would end as a reset.
+func (p *backendPool) closeIdle(g *Gateway) {
+	oldest := g.now() - g.cfg.Host.IdleClose/2
+	for _, b := range p.byNumber {
+		for len(b.idle) > 0 && b.idle[0].idleSince <= oldest {
+			p.close(b.idle[0])
 		}
 	}
 }
 
-// close closes a connection that carries nothing any more.
-func (bs *backendPool) close(c *backendConn) {
+// close closes a connection that carries no attempt any more.
+func (p *backendPool) close(c *backendConn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	bs.open--
+	p.open--
 	_ = c.conn.Close()
-	if i := slices.Index(c.backend.idle, c); i >= 0 {
-		c.backend.idle = slices.Delete(c.backend.idle, i, i+1)
+	b := c.backend
+	if i := slices.Index(b.idle, c); i >= 0 {
+		b.idle = slices.Delete(b.idle, i, i+1)
 	}
 }
 
-// attemptTimeout ends an attempt whose time has passed, and its connection with it.
+// attemptTimeout ends an attempt at its deadline, and its connection with it.
 type attemptTimeout struct{ attempt *attempt }
 
-func (g attemptTimeout) due(l *Loop) {
-	a := g.attempt
+func (t attemptTimeout) due(g *Gateway) {
+	a := t.attempt
 	if a.ended {
 		return
 	}
 	if a.conn == nil {
-		l.backends.cancelWaiting(l, a)
+		g.backends.cancelWaiting(g, a)
 		return
 	}
-	l.backends.abort(l, a, policy.TimedOut)
+	g.backends.abort(g, a, policy.TimedOut)
 }
 
-// withdraw ends an attempt whose request needs no answer any more, if a backend has not got it whole:
-// one that waits for a connection is not sent, and the last byte of one that is partly written does
-// not come. What has got there goes on till it is answered, or its time is up.
-func (bs *backendPool) withdraw(l *Loop, a *attempt) {
-	switch {
-	case a.ended:
-	case a.conn == nil:
-		bs.cancelWaiting(l, a)
-	case !a.conn.out.drained():
-		bs.abort(l, a, policy.Cancelled) // its last byte may have gone this very moment
+// withdraw ends an attempt whose request needs no answer any more, unless a backend has received it
+// completely: one that waits for a connection is not sent, and the last byte of one that is partly
+// written is not sent. A complete one goes on until it is answered or times out.
+func (p *backendPool) withdraw(g *Gateway, a *attempt) {
+	if a.ended {
+		return
+	}
+	if a.conn == nil {
+		p.cancelWaiting(g, a)
+		return
+	}
+	if !a.conn.out.drained() {
+		p.abort(g, a, policy.Cancelled) // its last byte may have gone this very moment
 	}
 }
 
 // cancelWaiting ends an attempt that waits for a connection.
-func (bs *backendPool) cancelWaiting(l *Loop, a *attempt) {
-	b := bs.byNumber[a.backend]
+func (p *backendPool) cancelWaiting(g *Gateway, a *attempt) {
+	b := p.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
-	l.finishAttempt(a, policy.Superseded, nil)
+	g.finishAttempt(a, policy.Superseded, nil)
 }
 
-// abort ends an attempt with its connection.
-func (bs *backendPool) abort(l *Loop, a *attempt, result policy.Result) {
+// abort ends an attempt in flight, and its connection.
+func (p *backendPool) abort(g *Gateway, a *attempt, result policy.Result) {
 	a.conn.attempt = nil
-	bs.close(a.conn)
-	l.finishAttempt(a, result, nil)
+	p.close(a.conn)
+	g.finishAttempt(a, result, nil)
 }
 
-// finishAttempt ends an attempt: the first call counts, and brings its one outcome.
-func (l *Loop) finishAttempt(a *attempt, result policy.Result, value []byte) {
-	l.finishAttemptWithReply(a, result, value, nil)
+// finishAttempt ends an attempt. The first call enqueues its one outcome; later ones do nothing.
+func (g *Gateway) finishAttempt(a *attempt, result policy.Result, value []byte) {
+	g.finishAttemptWithReport(a, result, value, nil)
 }
 
-func (l *Loop) finishAttemptWithReply(a *attempt, result policy.Result, value []byte, load []float32) {
+// finishAttemptWithReport is finishAttempt with the backend's load report; nil: none.
+func (g *Gateway) finishAttemptWithReport(
+	a *attempt, result policy.Result, value []byte, load []float32,
+) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	l.cancel(a.timeout)
-	a.timeout, a.conn = nil, nil
-	l.enqueue(attemptOutcome{a, result, value, load, l.now() - a.startedAt})
-}
-
-// updateEndpoints takes in discovery's list or its changes.
-func (bs *backendPool) updateEndpoints(l *Loop, news policy.ListKind, list []member) {
-	told := make([]policy.Endpoint, 0, len(list))
-	if news != policy.Delta {
-		for _, b := range bs.byNumber {
-			b.state = policy.Removed // but for those that the list names
-		}
-	}
-	for _, m := range list {
-		b := bs.find(m.ID)
-		b.state = endpointState(&m)
-		if b.address != m.HostPort || b.upSince != m.UpSince {
-			// It has moved or started anew: what stands idle leads nowhere.
-			b.address, b.upSince = m.HostPort, m.UpSince
-			bs.closeIdleOf(b)
-		}
-		told = append(told, policy.Endpoint{
-			Backend: b.number, Zone: l.endpoints.zoneNumber(m.Locality), Cell: m.Cell, State: b.state,
-			Weight: m.Size, StartedAt: m.UpSince * 1000,
-		})
-	}
-	l.balancer.UpdateEndpoints(l.now(), news, told)
-	for id, b := range bs.byID {
-		if b.state != policy.Ready {
-			bs.closeIdleOf(b)
-			for len(b.waiting) > 0 {
-				bs.cancelWaiting(l, b.waiting[0]) // nothing goes there, however its dial ends
-			}
-		}
-		if b.state == policy.Removed && len(b.waiting) == 0 && b.dialing == 0 {
-			delete(bs.byID, id)
-			delete(bs.byNumber, b.number)
-		}
-	}
+	g.cancel(a.timeout)
+	a.timeout = nil
+	a.conn = nil
+	g.enqueue(attemptOutcome{a, result, value, load, g.now() - a.startedAt})
 }
--- a/internal/dataplane/gateway/backend_reply.go
+++ b/internal/dataplane/gateway/backend_reply.go
@@ -13,133 +13,162 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// replyTimeout is how soon an answer must have come whole after its first byte:
-// its length may be spoilt and promise more than ever comes.
+// replyTimeout is how soon after its first byte an answer must be complete: a corrupt length may
+// promise more than ever comes.
 const replyTimeout = time.Second
 
-// readReplies posts what a backend answers until the connection ends or its answers
-// can't be told apart any more.
-func (c *backendConn) readReplies(l *Loop) {
+// readReplies posts a backend's answers until the connection ends or its framing is lost. It runs
+// on the connection's reader goroutine.
+func (c *backendConn) readReplies(g *Gateway) {
 	in := resp.NewReader(c)
 	c.reader = in
 	for {
 		e := replyRead{conn: c}
 		var long resp.Long
-		if e.err = in.Await(); e.err == nil {
+		e.err = in.Await()
+		if e.err == nil {
 			_ = c.conn.SetReadDeadline(time.Now().Add(replyTimeout))
 			e.reply, long, e.err = in.ReadReplyHead()
 			_ = c.conn.SetReadDeadline(time.Time{})
 			if e.err == nil && long.Size > 0 {
-				if !c.receiveStreamed(l, long) {
+				if !c.receiveStreamed(g, long) {
 					return
 				}
 				continue
 			}
-			e.malformed = errors.Is(e.err, resp.ErrProtocol) || errors.Is(e.err, os.ErrDeadlineExceeded)
+			timedOut := errors.Is(e.err, os.ErrDeadlineExceeded)
+			e.malformed = errors.Is(e.err, resp.ErrProtocol) || timedOut
 		}
-		e.bytesConsumed, e.extraBytes = c.bytesRead.Load()-int64(in.Buffered()), in.Buffered() > 0
-		l.post(e)
+		e.bytesConsumed = c.bytesRead.Load() - int64(in.Buffered())
+		e.extraBytes = in.Buffered() > 0
+		g.post(e)
 		if e.err != nil || e.extraBytes {
 			return
 		}
 	}
 }
 
-// replyRead is an answer on a backend's connection, or its end.
+// replyRead is an answer on a backend's connection, or the end of the connection.
 type replyRead struct {
 	conn          *backendConn
 	reply         resp.Reply
 	err           error
 	malformed     bool  // an answer has come that can't be read
-	bytesConsumed int64 // bytes that have come with it and before
-	extraBytes    bool  // and others behind it
+	bytesConsumed int64 // bytes of this answer and those before
+	extraBytes    bool  // something follows the answer
 }
 
-func (e replyRead) handle(l *Loop) {
-	c, a := e.conn, e.conn.attempt
+func (e replyRead) handle(g *Gateway) {
+	c := e.conn
+	a := c.attempt
 	if c.closed {
 		return
 	}
-	kept := c.bytesConsumed > 0 // it has carried an answer before this one
-	c.bytesConsumed, c.restsUntil = e.bytesConsumed, l.now()+l.backends.restDuration
+	reused := c.bytesConsumed > 0 // it carried an answer before this one
+	c.bytesConsumed = e.bytesConsumed
+	c.restsUntil = g.now() + g.backends.restDuration
 	if a == nil || e.err != nil && !e.malformed {
-		l.backends.close(c)
-		if c.attempt = nil; a != nil {
-			// Its last byte was written, or may have been: it may have run. Where a
-			// connection was kept and proved dead when used, those that have been
-			// kept for longer are most likely dead too, though nothing shows it.
-			if kept && l.now()-a.writtenAt < deadConnDetectionTime {
-				l.backends.idleTrust.connBroken(l.now(), a.connIdle)
-			}
-			for kept && len(c.backend.idle) > 0 && c.backend.idle[0].idleSince <= c.idleSince {
-				l.backends.close(c.backend.idle[0])
-			}
-			l.finishAttempt(a, policy.Reset, nil)
-		}
-		l.backends.dialForWaiting(l, c.backend) // somebody may have waited for it to have rested
+		g.backends.connEnded(g, c, reused)
 		return
 	}
-	result, value, load, fine := classifyReply(e.reply, a.request == nil)
+	result, value, load, wellFormed := classifyReply(e.reply, a.request == nil)
 	if e.malformed && value == nil {
 		result = policy.Failed
 	}
 	c.attempt = nil
-	if !fine || e.malformed || e.extraBytes {
-		// What comes next on this connection may belong to nothing. That tells
-		// only of it: the others to the backend go on.
-		l.backends.close(c)
-		l.backends.dialForWaiting(l, c.backend)
+	if !wellFormed || e.malformed || e.extraBytes {
+		// What comes next on this connection may belong to no request. That says nothing of
+		// the backend's other connections.
+		g.backends.close(c)
+		g.backends.dialForWaiting(g, c.backend)
 	}
-	l.finishAttemptWithReply(a, result, value, l.parseLoadReport(load))
+	g.finishAttemptWithReport(a, result, value, g.parseLoadReport(load))
 	if !c.closed {
-		l.backends.release(l, c)
+		g.backends.release(g, c)
+	}
+}
+
+// connEnded closes a connection that the backend has ended, or that brought an answer nobody asked
+// for. reused: it carried answers before.
+func (p *backendPool) connEnded(g *Gateway, c *backendConn, reused bool) {
+	p.close(c)
+	a := c.attempt
+	c.attempt = nil
+	if a != nil {
+		// The attempt's last byte was written, or may have been: it may have been executed.
+		// Where a reused connection proved dead, those of the same backend that have been
+		// idle for longer are most likely dead as well.
+		if reused && g.now()-a.writtenAt < deadConnDetectionTime {
+			p.idleTrust.connBroken(g.now(), a.connIdle)
+		}
+		b := c.backend
+		for reused && len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince {
+			p.close(b.idle[0])
+		}
+		g.finishAttempt(a, policy.Reset, nil)
 	}
+	p.dialForWaiting(g, c.backend) // an attempt may have waited for the connection to rest
 }
 
-// classifyReply tells what an answer means, and whether it is in the form agreed on:
-// an array with the value first, or an error. What follows the value, such as a
-// load report that can't be read, does not spoil it.
-func classifyReply(re resp.Reply, probe bool) (result policy.Result, value []byte, load string, fine bool) {
+// classifyReply tells what an answer means, and whether it has an expected form: an array with the
+// value first, or an error. What follows the value, such as a load report that can't be read, does
+// not make it malformed.
+func classifyReply(
+	reply resp.Reply, probe bool,
+) (result policy.Result, value []byte, load string, wellFormed bool) {
 	switch {
-	case re.Kind == '-':
-		word, rest, _ := strings.Cut(string(re.Text), " ")
+	case reply.Kind == '-':
+		word, rest, _ := strings.Cut(string(reply.Text), " ")
 		if word == "BUSY" {
 			return policy.Rejected, nil, rest, true
 		}
-		return policy.Failed, nil, rest[strings.LastIndexByte(rest, ' ')+1:], true
+		lastWord := rest[strings.LastIndexByte(rest, ' ')+1:]
+		return policy.Failed, nil, lastWord, true
 	case probe:
-		return policy.OK, nil, string(re.Text), re.Kind == '+' || re.Kind == '$'
-	case re.Kind == '*' && len(re.Items) > 0 && re.Items[0].Kind == '$' && !re.Items[0].Null:
-		if len(re.Items) > 2 {
-			load = string(re.Items[2].Text)
+		wellFormed = reply.Kind == '+' || reply.Kind == '$'
+		return policy.OK, nil, string(reply.Text), wellFormed
+	case holdsValue(reply):
+		if len(reply.Items) > 2 {
+			load = string(reply.Items[2].Text)
 		}
-		return policy.OK, re.Items[0].Text, load, true
+		return policy.OK, reply.Items[0].Text, load, true
 	}
-	return policy.Failed, nil, "", false // no value: it may have run
+	return policy.Failed, nil, "", false // without a value, though it may have been executed
 }
 
-// parseLoadReport reads a load report, in the order of the settings; nil if it is none.
-// One that is not whole, or holds what no load can be, must not reach the
-// decisions: it would draw all requests to its backend, or none.
-func (l *Loop) parseLoadReport(text string) []float32 {
-	names := l.cfg.Host.Report
-	if len(l.cfg.Settings.Report) == 0 || !strings.Contains(text, "=") {
+// holdsValue reports whether an answer is an array that begins with a value.
+func holdsValue(reply resp.Reply) bool {
+	if reply.Kind != '*' || len(reply.Items) == 0 {
+		return false
+	}
+	first := reply.Items[0]
+	return first.Kind == '$' && !first.Null
+}
+
+// parseLoadReport reads a load report into the order of the settings; nil if it is none. One that
+// is incomplete or holds an impossible load is ignored: it would draw all requests to its backend,
+// or none.
+func (g *Gateway) parseLoadReport(text string) []float32 {
+	names := g.cfg.Host.Report
+	if len(g.cfg.Settings.Report) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
-	load, told := make([]float32, len(names)), 0
+	load := make([]float32, len(names))
+	seen := 0 // a bit for each name
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		v, err := strconv.ParseFloat(value, 32)
 		i := slices.Index(names, name)
 		if i < 0 {
 			continue
 		}
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
+		v, err := strconv.ParseFloat(value, 32)
+		if err != nil || !(v >= 0) || math.IsInf(v, 0) { // NaN is not >= 0
 			return nil
 		}
-		load[i], told = float32(v), told|1<<i
+		load[i] = float32(v)
+		seen |= 1 << i
 	}
-	if told != 1<<len(names)-1 {
+	if seen != 1<<len(names)-1 {
 		return nil
 	}
 	return load
--- a/internal/dataplane/gateway/client_close.go
+++ b/internal/dataplane/gateway/client_close.go
@@ -4,106 +4,120 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// closeAfterAnswers lets a connection end: between requests now, else after its last answer.
-func (c *client) closeAfterAnswers(l *Loop) {
+const (
+	lingerTimeout    policy.Time = 500_000 // for the client to close first, after its last answer
+	lingerAfterError policy.Time = 200_000 // the same after an error that ends the connection
+	maxLingers                   = 10      // how often the wait is extended for a slow reader
+)
+
+// closeAfterAnswers closes a connection: now if no request is open on it, else after its last
+// answer.
+func (c *client) closeAfterAnswers(g *Gateway) {
 	if c.closeWhenIdle || c.closed {
 		return
 	}
 	c.closeWhenIdle = true
 	if len(c.pipeline) == 0 {
-		c.haltThenFinish(l)
+		c.haltThenFinish(g)
 	}
 }
 
-// haltThenFinish has a connection that waits for no answer end as soon as its reader stands between two commands: what was read of
-// it, if only by the reader, is answered first.
-func (c *client) haltThenFinish(l *Loop) {
-	if c.ignoreInput.Load() || c.reading.parted { // it is read no more
-		c.finish(l)
+// haltThenFinish closes a connection without open requests as soon as its reader is between two
+// commands: what the reader has already received is answered first.
+func (c *client) haltThenFinish(g *Gateway) {
+	if c.ignoreInput.Load() || c.reading.parted { // nothing is read from it any more
+		c.finish(g)
 		return
 	}
 	c.reading.requestHalt(c.conn)
 }
 
-// readingHalted tells that the reader of a connection that is to end has read nothing that it has not posted, and reads no more
-// until it may.
+// readingHalted tells that a reader has posted all that it has read, and reads no more until it is
+// resumed.
 type readingHalted struct{ client *client }
 
-func (e readingHalted) handle(l *Loop) {
+func (e readingHalted) handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
 	}
 	if c.closeWhenIdle && len(c.pipeline) == 0 {
-		c.finish(l)
+		c.finish(g)
 	}
 	c.reading.resume(c.conn)
 	c.resumeReading <- struct{}{}
 }
 
-// finish ends the sending and gives the other side some time to close first: to
-// close with something unread would reset the connection, and with it an answer
-// that is still on its way.
-func (c *client) finish(l *Loop) {
+// finish ends the sending and gives the client some time to close first: closing a connection with
+// unread data would reset it, and the last answer could be lost.
+func (c *client) finish(g *Gateway) {
 	if c.writeEnded {
 		return
 	}
 	c.writeEnded = true
 	c.out.closeWrite()
-	wait := policy.Time(lingerTimeout)
+	wait := lingerTimeout
 	if c.ignoreInput.Load() {
 		wait = lingerAfterError
 	}
-	l.schedule(l.now()+wait, lingerTimer{c, 0})
+	g.schedule(g.now()+wait, lingerTimer{client: c})
 }
 
-// lingerTimer closes a connection that the other side leaves open.
+// lingerTimer closes a connection that the client leaves open.
 type lingerTimer struct {
 	client     *client
 	extensions int
 }
 
-func (e lingerTimer) due(l *Loop) {
-	if !e.client.out.drained() && e.extensions < maxLingers {
-		l.schedule(l.now()+lingerTimeout, lingerTimer{e.client, e.extensions + 1})
+func (t lingerTimer) due(g *Gateway) {
+	if !t.client.out.drained() && t.extensions < maxLingers {
+		g.schedule(g.now()+lingerTimeout, lingerTimer{t.client, t.extensions + 1})
 		return
 	}
-	e.client.drop(l)
+	t.client.drop(g)
 }
 
 // drop closes a connection at once.
-func (c *client) drop(l *Loop) { clientLeft{c}.handle(l) }
+func (c *client) drop(g *Gateway) { clientLeft{c}.handle(g) }
 
-// clientLeft tells that a client has closed its connection: it has gone away from all
-// it still waited for.
+// clientLeft tells that a connection has ended, and with it the wait for all answers on it.
 type clientLeft struct{ client *client }
 
-func (e clientLeft) handle(l *Loop) {
+func (e clientLeft) handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
 	}
-	c.closed = true
-	close(c.done)
+	c.endReader()
 	_ = c.conn.Close()
-	delete(l.clients.conns, c)
-	<-l.clients.slots
-	now := l.now()
+	g.clients.remove(c)
+	now := g.now()
 	for _, r := range c.pipeline {
-		l.heldBytes -= len(r.reply)
-		if r.streamed != nil {
-			r.streamed.abandon(l)
-			r.streamed = nil
-			l.forget(r)
-		}
-		if !r.answered {
-			l.closeRequest(r)
-			l.balancer.ClientGone(now, r.id)
-			l.forget(r)
-		}
+		c.abandonRequest(g, r, now)
 	}
 	c.pipeline = nil
-	if l.lifecycle.Stopping() {
-		l.endIfDone()
+	if g.lifecycle.Stopping() {
+		g.shutdown.endIfDone(g)
+	}
+}
+
+// endReader marks a connection as closed and ends its reader.
+func (c *client) endReader() {
+	c.closed = true
+	close(c.done)
+}
+
+// abandonRequest ends a request whose client has gone.
+func (c *client) abandonRequest(g *Gateway, r *request, now policy.Time) {
+	g.requests.heldBytes -= len(r.reply)
+	if r.streamed != nil {
+		r.streamed.abandon(g)
+		r.streamed = nil
+		g.requests.removeFinished(r)
+	}
+	if !r.answered {
+		g.closeRequest(r)
+		g.balancer.ClientGone(now, r.id)
+		g.requests.removeFinished(r)
 	}
 }
--- a/internal/dataplane/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -90,16 +90,16 @@
 // Those that never asked make room first, then those that asked once.
 func TestWhoMakesRoom(t *testing.T) {
 	d := newFakeDiscovery(t)
-	l := unstarted(t, d)
-	now := l.now()
+	g := unstarted(t, d)
+	now := g.now()
 	add := func(asked int, idle policy.Time) *client {
-		near, err := net.DialTCP("tcp", nil, l.clients.listener.Addr().(*net.TCPAddr))
+		near, err := net.DialTCP("tcp", nil, g.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), commands: asked, lastCommand: now - idle}
-		l.clients.conns[c] = true
-		l.clients.slots <- struct{}{}
+		g.clients.conns[c] = true
+		g.clients.slots <- struct{}{}
 		return c
 	}
 	front, gone := add(9, 1e6), add(9, 60e6)
@@ -111,11 +111,11 @@
 		asking *client
 		gone   *client
 	}{{nil, older}, {nil, old}, {nil, onceOld}, {nil, gone}, {newcomer, once}, {newcomer, front}, {newcomer, nil}} {
-		if made := l.clients.evict(l, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.closed {
+		if made := g.clients.evict(g, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.closed {
 			t.Fatalf("step %d: room made %t", i, made)
 		}
 	}
-	if busy.closed || newcomer.closed || len(l.clients.slots) != 2 {
+	if busy.closed || newcomer.closed || len(g.clients.slots) != 2 {
 		t.Error("one with an open request, or just come, made room")
 	}
 }
@@ -132,9 +132,9 @@
 }
 
 // inspect runs on the loop's goroutine.
-type inspect func(l *Loop)
+type inspect func(g *Gateway)
 
-func (f inspect) handle(l *Loop) { f(l) }
+func (f inspect) handle(g *Gateway) { f(g) }
 
 // A request that has ended leaves nothing behind until its time would be up.
 func TestEndedRequestsLeaveNoTimers(t *testing.T) {
@@ -147,15 +147,15 @@
 		c.value("ok")
 	}
 	left := make(chan string, 1)
-	r.loop.post(inspect(func(l *Loop) {
+	r.gateway.post(inspect(func(g *Gateway) {
 		timers := 0
-		for _, timer := range l.timers {
+		for _, timer := range g.timers {
 			switch timer.task.(type) {
 			case deadlineBackstop, attemptTimeout:
 				timers++
 			}
 		}
-		left <- fmt.Sprint(timers, len(l.requests), len(l.byClientID), l.heldBytes, l.open)
+		left <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.byClientID), g.requests.heldBytes, g.requests.open)
 	}))
 	if got := wait(t, left, "the loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
@@ -165,15 +165,15 @@
 // In a crowd those that say nothing, or halted half way, make room; one that is writing its
 // command, however slowly, does not: its request would be lost.
 func TestSlowWritersAreKeptInACrowd(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
-	now := l.now()
+	g := unstarted(t, newFakeDiscovery(t))
+	now := g.now()
 	make := func(used, heard policy.Time, amid bool) *client {
 		here, _ := pipe(t)
 		c := &client{conn: here, out: newSender(here), pipelineSlots: make(chan struct{}, 1), done: make(chan struct{}), lastCommand: used}
 		c.lastByte.Store(heard)
 		c.midCommand.Store(amid)
-		l.clients.slots <- struct{}{}
-		l.clients.conns[c] = true
+		g.clients.slots <- struct{}{}
+		g.clients.conns[c] = true
 		return c
 	}
 	slow := make(now-2_000_000, now, true)
@@ -181,14 +181,14 @@
 	silent := make(now-2_700_000, 0, false)
 	drips := make(now-1_000_000, now-200_000, false) // between two pieces, its command whole
 	for i, want := range []*client{silent, halted, drips} {
-		if !l.clients.evict(l, nil) {
-			t.Fatalf("nobody makes room, %d connections left", len(l.clients.conns))
+		if !g.clients.evict(g, nil) {
+			t.Fatalf("nobody makes room, %d connections left", len(g.clients.conns))
 		}
 		if !want.closed {
 			t.Fatalf("eviction %d: slow %v, halted %v, silent %v, drips %v", i, slow.closed, halted.closed, silent.closed, drips.closed)
 		}
 	}
-	if l.clients.evict(l, nil) || slow.closed {
+	if g.clients.evict(g, nil) || slow.closed {
 		t.Error("a request on its way was cut off for want of places")
 	}
 }
--- a/internal/dataplane/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -11,60 +11,78 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// command is a client's request as it was read.
+// command is a parsed API.READ or API.WRITE.
 type command struct {
 	args         [][]byte
 	clientID     uint64 // the id that the client gave
-	timeoutField [2]int // where the value of d stands in args[3]
+	timeoutField [2]int // the bounds of the value of field d in args[3]
 	request      policy.Request
 }
 
 const (
-	defaultMaxUnits  = 1e6              // where the settings tell none
-	maxTimeoutMillis = 24 * 3600 * 1000 // ms
-	customerLimit    = 1 << 33
-	timeoutSlack     = 1_000_000 // that d may be over the class's limit
+	defaultMaxUnits              = 1e6              // where the settings state none
+	maxTimeoutMillis             = 24 * 3600 * 1000 // of field d
+	customerLimit                = 1 << 33          // customers' numbers are below
+	timeoutSlack     policy.Time = 1_000_000        // by which field d may exceed the class's limit
 )
 
-// parseCommand reads API.READ or API.WRITE. Every field must be known and right: what
-// is not understood reaches no backend.
+// Errors of commands; their texts are what clients read.
+var (
+	errArguments     = errors.New("wrong number of arguments")
+	errCustomer      = errors.New("customer: 16 hex digits below 2^33 wanted")
+	errRequestID     = errors.New("id: 16 hex digits wanted")
+	errTimeoutTooBig = errors.New("field d: longer than the class allows")
+	errNoKey         = errors.New("field k: missing")
+	errFieldSyntax   = errors.New("fields: name=value wanted, each once")
+)
+
+// parseCommand parses API.READ or API.WRITE. Every field must be known and valid: what is not
+// understood reaches no backend.
 func (cfg *Config) parseCommand(args [][]byte) (command, error) {
 	if len(args) < 4 || len(args) > 5 {
-		return command{}, errors.New("wrong number of arguments")
+		return command{}, errArguments
 	}
 	c := command{args: args}
-	customer, ok := hex16(args[1])
+	customer, ok := parseHex16(args[1])
 	if !ok || customer >= customerLimit {
-		return c, errors.New("customer: 16 hex digits below 2^33 wanted")
+		return c, errCustomer
 	}
-	if c.clientID, ok = hex16(args[2]); !ok {
-		return c, errors.New("id: 16 hex digits wanted")
+	if c.clientID, ok = parseHex16(args[2]); !ok {
+		return c, errRequestID
 	}
 	c.request.Customer = customer
 	seen, err := cfg.parseFields(&c)
 	if err != nil {
 		return c, err
 	}
+	return c, cfg.checkFields(&c, seen)
+}
+
+// checkFields checks the fields of a command against one another. seen has a bit for each field
+// that it holds.
+func (cfg *Config) checkFields(c *command, seen uint) error {
 	for i, name := range fieldNames {
 		if i < requiredFields && seen&(1<<i) == 0 {
-			return c, fmt.Errorf("field %s: missing", name)
+			return fmt.Errorf("field %s: missing", name)
 		}
 	}
-	if limit := cfg.Host.Limits[c.request.Class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
-		// Longer than any client waits: it would keep its timers and its request.
-		return c, errors.New("field d: longer than the class allows")
+	class := c.request.Class
+	if limit := cfg.Host.Limits[class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
+		// No client waits for so long: the request would only take up memory.
+		return errTimeoutTooBig
 	}
-	effect := cfg.Settings.Classes[c.request.Class].Idempotency
-	if effect == policy.WithIdempotencyKey && seen&(1<<keyField) == 0 {
-		return c, errors.New("field k: missing")
+	idempotency := cfg.Settings.Classes[class].Idempotency
+	if idempotency == policy.WithIdempotencyKey && seen&(1<<keyField) == 0 {
+		return errNoKey
 	}
-	if reads := bytes.EqualFold(args[0], readCommand); reads != (effect == policy.Idempotent) {
-		return c, fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[c.request.Class])
+	isRead := bytes.EqualFold(c.args[0], readCommand)
+	if isRead != (idempotency == policy.Idempotent) {
+		return fmt.Errorf("class %s does not go by this command", cfg.Host.Classes[class])
 	}
-	return c, nil
+	return nil
 }
 
-// The fields by name, those that every request needs first.
+// The fields in the order of fieldNames; those before requiredFields are in every request.
 const (
 	classField = iota
 	planField
@@ -79,8 +97,7 @@
 
 var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
 
-// parseFields reads the list of names and values, and tells which it holds: a bit for
-// each.
+// parseFields parses the list of names and values, and returns a bit for each field that it holds.
 func (cfg *Config) parseFields(c *command) (seen uint, err error) {
 	list := c.args[3]
 	for start := 0; start <= len(list); {
@@ -90,14 +107,14 @@
 		}
 		name, value, ok := bytes.Cut(list[start:end], []byte{'='})
 		field := slices.Index(fieldNames[:], string(name))
-		switch {
-		case field < 0:
+		if field < 0 {
 			return seen, fmt.Errorf("field %.32q: unknown", name)
-		case !ok || seen&(1<<field) != 0:
-			return seen, errors.New("fields: name=value wanted, each once")
 		}
-		if err := cfg.parseField(c, field, string(value)); err != nil {
-			return seen, err
+		if !ok || seen&(1<<field) != 0 {
+			return seen, errFieldSyntax
+		}
+		if !cfg.parseField(c, field, string(value)) {
+			return seen, fmt.Errorf("field %s: bad value %.64q", fieldNames[field], value)
 		}
 		if field == timeoutFieldIndex {
 			c.timeoutField = [2]int{end - len(value), end}
@@ -108,57 +125,60 @@
 	return seen, nil
 }
 
-func (cfg *Config) parseField(c *command, field int, value string) error {
-	ok := false
+// parseField parses a field's value into the command. It returns false if the value is invalid.
+func (cfg *Config) parseField(c *command, field int, value string) bool {
+	r := &c.request
 	switch field {
 	case classField:
-		c.request.Class = slices.Index(cfg.Host.Classes, value)
-		ok = c.request.Class >= 0
+		r.Class = slices.Index(cfg.Host.Classes, value)
+		return r.Class >= 0
 	case planField:
-		c.request.Plan = slices.Index(cfg.Host.Plans, value)
-		ok = c.request.Plan >= 0
+		r.Plan = slices.Index(cfg.Host.Plans, value)
+		return r.Plan >= 0
 	case timeoutFieldIndex:
-		ms, err := strconv.ParseInt(value, 10, 64)
-		c.request.Timeout = ms * 1000
-		ok = err == nil && ms > 0 && ms <= maxTimeoutMillis
+		millis, err := strconv.ParseInt(value, 10, 64)
+		r.Timeout = millis * 1000
+		return err == nil && millis > 0 && millis <= maxTimeoutMillis
 	case keyField:
-		ok = value != ""
+		return value != ""
 	case retryField:
-		ok = value == "0" || value == "1"
+		return value == "0" || value == "1"
 	case unitsField:
 		units, err := strconv.ParseFloat(value, 64)
-		c.request.Units = units
-		most := cfg.Host.MaxUnits
-		if most <= 0 {
-			most = defaultMaxUnits
-		}
-		ok = err == nil && units > 0 && units <= most // which NaN is not
+		r.Units = units
+		return err == nil && units > 0 && units <= cfg.maxUnits() // false for NaN
 	case spreadField:
 		n, err := strconv.Atoi(value)
-		c.request.Spread = n
-		ok = err == nil && n >= 1 && n <= cfg.Settings.Gateways
+		r.Spread = n
+		return err == nil && n >= 1 && n <= cfg.Settings.Gateways
 	case firstField:
 		n, err := strconv.Atoi(value)
-		c.request.First = n
-		ok = err == nil && n >= 0 && n < cfg.Settings.Gateways
+		r.First = n
+		return err == nil && n >= 0 && n < cfg.Settings.Gateways
 	}
-	if !ok {
-		return fmt.Errorf("field %s: bad value %.64q", fieldNames[field], value)
+	return false
+}
+
+// maxUnits is how many units a request may take.
+func (cfg *Config) maxUnits() float64 {
+	if cfg.Host.MaxUnits > 0 {
+		return cfg.Host.MaxUnits
 	}
-	return nil
+	return defaultMaxUnits
 }
 
-func hex16(b []byte) (uint64, bool) {
+func parseHex16(b []byte) (uint64, bool) {
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	return n, err == nil && len(b) == 16
 }
 
-// encodeForBackend is the request as a backend gets it: as it came, but for d.
-func (r *request) encodeForBackend(wait policy.Time) []byte {
+// encodeForBackend returns the request as a backend gets it: unchanged, but for the timeout in
+// field d (in milliseconds, at least 1).
+func (r *request) encodeForBackend(timeout policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
 	list = append(list, fields[:r.timeoutField[0]]...)
-	list = strconv.AppendInt(list, max(1, wait/1000), 10)
+	list = strconv.AppendInt(list, max(1, timeout/1000), 10)
 	list = append(list, fields[r.timeoutField[1]:]...)
 
 	b := resp.AppendArray(make([]byte, 0, argBytes(r.args)+72), len(r.args))
--- a/internal/dataplane/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -1,7 +1,3 @@
-// Package gateway is a gateway on real sockets around the decision module: it
-// reads clients, backends, discovery, the counter and peers, tells the module
-// what happened and carries out what the module decides. It decides nothing
-// about requests but what no module could: malformed ones, and its own limits.
 package gateway
 
 import (
@@ -20,50 +16,52 @@
 	"mothcleat/internal/dataplane/simprotocol"
 )
 
-// Config is what a gateway is told at its start.
+// Config is the configuration of a gateway.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Seed      uint64
 	MemoryMB  int
-	Sockets   int
+	Sockets   int // file descriptors that may be open
 
 	Management string // where operators call; "": nowhere
 
 	PeerListen     string
 	Peers          []netip.AddrPort // by number, this gateway's own among them
 	Counter        string
-	KnownEndpoints registry.List
+	KnownEndpoints registry.List // used until discovery answers
 
 	Settings policy.Settings
 	Host     simprotocol.Host
 
 	Restart      Restart           // from the operators' file
-	Auth         Auth              // the same
-	Fleet        Fleet             // nil: none
-	Allocations  Allocations       // nil: quotas go by notes, or the counter
-	VersionLease VersionLease      // nil: it acts on its configuration, whatever its fleet agrees on
-	Operations   OperationRecorder // counts what is done, by what is in force; nil: nobody does
-	PlanTerms    *PlanTerms        // plans that its fleet agrees on; nil: those of the configuration
-	RejectionLog io.Writer         // gets a line for each request refused: its id and the reason; nil: none
-
-	// NewEndpointSource makes the source of news of the servers; nil: the platform's discovery.
-	// MoveTo is what its Move is told on a reload; "": the discovery's address.
+	Auth         Auth              // from the operators' file
+	Fleet        Fleet             // nil: there is none
+	Allocations  Allocations       // nil: quotas go by peers' messages or the counter
+	VersionLease VersionLease      // nil: the gateway operates on its configuration alone
+	Operations   OperationRecorder // nil: operations are not counted
+	PlanTerms    *PlanTerms        // plans that the fleet agrees on; nil: the configured ones
+	RejectionLog io.Writer         // gets a line for each rejected request; nil: there is none
+
+	// NewEndpointSource makes the source of the endpoint list; nil: the platform's discovery.
 	NewEndpointSource func(cfg *Config, log *slog.Logger) (registry.Source, error)
+	// EndpointAddresses are what the source's Move is called with on a reload; nil: the
+	// address of discovery.
 	EndpointAddresses []string
 }
 
-// Fleet is the gateway's part in what its fleet does as one.
+// Fleet is the gateway's connection to the control plane.
 type Fleet interface {
-	// Count takes in units that were sent on for a customer. The loop calls it: it must not wait.
+	// Count counts units that were sent for a customer. It is called on the event loop's
+	// goroutine, and must not block.
 	Count(customer uint64, units float64)
-	// Call answers an operator's call, from any goroutine.
+	// Call answers an operator's call. It may be called from any goroutine.
 	Call(ctx context.Context, argument string) string
 }
 
-// file is the configuration as it is written.
-type file struct {
+// configFile is the configuration as it is written.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -80,24 +78,48 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// The limits held where the configuration states none, and the least that a
-// gateway can work with.
+// The limits where the configuration states none, and the least that a gateway can work with.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	minSockets      = 32
 )
 
-// ParseConfig reads a configuration.
+// The times where the settings state none.
+const (
+	defaultDialTimeout    policy.Time = 250_000
+	defaultIdleClose      policy.Time = 10_000_000
+	defaultCounterTimeout policy.Time = 50_000
+)
+
+// ParseConfig reads a configuration. Its error names the part that is missing or wrong.
 func ParseConfig(raw []byte) (Config, error) {
-	var f file
+	c, err := parseConfigFile(raw)
+	if err == nil {
+		err = c.check()
+	}
+	if err != nil {
+		return c, fmt.Errorf("configuration: %w", err)
+	}
+	c.setDefaultTimes()
+	return c, nil
+}
+
+func parseConfigFile(raw []byte) (Config, error) {
+	var f configFile
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", err)
+		return Config{}, err
 	}
 	c := Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery,
-		Management: f.Management, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		PeerListen: f.PeerListen, Counter: f.Counter, KnownEndpoints: f.Known,
+		Name:           f.Name,
+		Listen:         f.Listen,
+		Discovery:      f.Discovery,
+		Management:     f.Management,
+		MemoryMB:       f.Limits.MemoryMB,
+		Sockets:        f.Limits.Sockets,
+		PeerListen:     f.PeerListen,
+		Counter:        f.Counter,
+		KnownEndpoints: f.Known,
 	}
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
@@ -107,65 +129,80 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("configuration: seed %q: 16 hex digits wanted", f.Seed)
+		return c, fmt.Errorf("seed %q: 16 hex digits wanted", f.Seed)
 	}
 	for i, p := range f.Peers {
 		addr, err := netip.ParseAddrPort(p)
 		if err != nil {
-			return c, fmt.Errorf("configuration: peers[%d]: %w", i, err)
+			return c, fmt.Errorf("peers[%d]: %w", i, err)
 		}
 		c.Peers = append(c.Peers, addr)
 	}
 	if len(f.Settings) == 0 {
-		return c, errors.New("configuration: settings: missing")
-	}
-	if c.Settings, c.Host, err = simprotocol.ParseJSON(f.Settings); err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+		return c, errors.New("settings: missing")
 	}
-	return c, c.check()
+	c.Settings, c.Host, err = simprotocol.ParseJSON(f.Settings)
+	return c, err
 }
 
-// check tells which part of the configuration cannot be served.
+// check returns which part of the configuration can't be served; nil: none.
 func (c *Config) check() error {
 	switch {
 	case c.Listen == "":
-		return errors.New("configuration: listen: missing")
+		return errors.New("listen: missing")
 	case c.Discovery == "":
-		return errors.New("configuration: discovery: missing")
+		return errors.New("discovery: missing")
 	case c.Sockets < minSockets:
-		return fmt.Errorf("configuration: limits.sockets: %d, at least %d wanted", c.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d, at least %d wanted", c.Sockets, minSockets)
 	case c.Settings.Peers && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
-		return fmt.Errorf("configuration: peers: %d addresses for %d gateways, peer_listen %q",
+		return fmt.Errorf("peers: %d addresses for %d gateways, peer_listen %q",
 			len(c.Peers), c.Settings.Gateways, c.PeerListen)
 	case c.Settings.Counter && !c.Settings.Peers && c.Counter == "":
-		return errors.New("configuration: counter: missing")
+		return errors.New("counter: missing")
 	}
-	for name, address := range map[string]string{"discovery": c.Discovery, "counter": c.Counter, "management": c.Management} {
-		if address == "" {
-			continue // discovery is there
-		}
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return fmt.Errorf("configuration: %s: %w", name, err)
-		}
+	if err := c.checkAddresses(); err != nil {
+		return err
 	}
 	for i, name := range c.Host.Classes {
 		if name == "" {
-			return fmt.Errorf("configuration: class %d has no name", i)
+			return fmt.Errorf("class %d has no name", i)
 		}
 	}
 	for i, name := range c.Host.Plans {
 		if name == "" {
-			return fmt.Errorf("configuration: plan %d has no name", i)
+			return fmt.Errorf("plan %d has no name", i)
 		}
 	}
-	if c.Host.DialTimeout <= 0 {
-		c.Host.DialTimeout = 250_000
-	}
-	if c.Host.IdleClose <= 0 {
-		c.Host.IdleClose = 10_000_000
+	return nil
+}
+
+// checkAddresses checks the form of the addresses that are given.
+func (c *Config) checkAddresses() error {
+	addresses := map[string]string{
+		"discovery":  c.Discovery,
+		"counter":    c.Counter,
+		"management": c.Management,
 	}
-	if c.Host.CounterTimeout <= 0 {
-		c.Host.CounterTimeout = 50_000
+	for name, address := range addresses {
+		if address == "" {
+			continue
+		}
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
 	}
 	return nil
 }
+
+func (c *Config) setDefaultTimes() {
+	h := &c.Host
+	if h.DialTimeout <= 0 {
+		h.DialTimeout = defaultDialTimeout
+	}
+	if h.IdleClose <= 0 {
+		h.IdleClose = defaultIdleClose
+	}
+	if h.CounterTimeout <= 0 {
+		h.CounterTimeout = defaultCounterTimeout
+	}
+}
--- a/internal/dataplane/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -16,12 +16,16 @@
 )
 
 const (
-	counterConns       = 4  // connections, each with its own share of the names
-	counterQueueLength = 64 // calls that wait on one
+	counterConns       = 4  // each with its own share of the names
+	counterQueueLength = 64 // calls that wait for one connection
+	counterIdleTimeout = 4 * time.Second
+	maxHeaderBytes     = 16 << 10
+	maxTotalBytes      = 256 // of an answer's body
 )
 
-// counterClient calls the central counter. Calls for one name go out in order, as the
-// module takes their totals in order.
+// counterClient calls the central counter. Calls for one name go out in order, as the balancer
+// takes their totals in order. add and setAddress belong to the event loop; runQueue runs on a
+// goroutine for each connection.
 type counterClient struct {
 	url     string
 	client  *http.Client
@@ -31,10 +35,10 @@
 }
 
 type counterCall struct {
-	url      string // of the counter, when the call was made
+	url      string // of the counter when the call was made
 	name     uint64
-	add      float64
-	ttl      policy.Time
+	amount   float64
+	ttl      policy.Time // of a new name
 	deadline time.Time
 }
 
@@ -43,10 +47,16 @@
 		url:     counterURL(cfg.Counter),
 		timeout: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
 		enabled: cfg.Settings.Counter && cfg.Counter != "",
-		client: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
-			MaxConnsPerHost: counterConns, MaxIdleConnsPerHost: counterConns,
-			IdleConnTimeout: 4 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
-		}},
+		client: &http.Client{
+			CheckRedirect: noRedirect,
+			Transport: &http.Transport{
+				MaxConnsPerHost:        counterConns,
+				MaxIdleConnsPerHost:    counterConns,
+				IdleConnTimeout:        counterIdleTimeout,
+				DisableCompression:     true,
+				MaxResponseHeaderBytes: maxHeaderBytes,
+			},
+		},
 	}
 	for i := range c.queues {
 		c.queues[i] = make(chan counterCall, counterQueueLength)
@@ -54,18 +64,27 @@
 	return c
 }
 
+// noRedirect follows no redirect: a call to the counter must not be made twice.
+func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+
 func counterURL(address string) string { return "http://" + address + "/v1/count/" }
 
-// setAddress has calls made at another address from now on. Those under way end where
-// they were begun: each has its one answer.
+// setAddress has calls made at another address from now on. Calls under way end at the old one, as
+// each has exactly one answer.
 func (c *counterClient) setAddress(address string) {
 	c.url = counterURL(address)
 	c.client.CloseIdleConnections()
 }
 
-// add has a call made. Its one answer comes as an event.
-func (c *counterClient) add(l *Loop, name uint64, add float64, life policy.Time) {
-	call := counterCall{c.url, name, add, life, time.Now().Add(c.timeout)}
+// add has an amount added to a name. Exactly one counterReplied follows.
+func (c *counterClient) add(g *Gateway, name uint64, amount float64, ttl policy.Time) {
+	call := counterCall{
+		url:      c.url,
+		name:     name,
+		amount:   amount,
+		ttl:      ttl,
+		deadline: time.Now().Add(c.timeout),
+	}
 	if c.enabled {
 		select {
 		case c.queues[name%counterConns] <- call:
@@ -73,35 +92,35 @@
 		default:
 		}
 	}
-	l.enqueue(counterReplied{name: name, result: policy.Rejected})
+	g.enqueue(counterReplied{name: name, result: policy.Rejected})
 }
 
-// runQueue makes the calls of one line, one after another.
-func (c *counterClient) runQueue(ctx context.Context, l *Loop, line <-chan counterCall) {
+// runQueue makes the calls of one queue, one after another, until the context ends.
+func (c *counterClient) runQueue(ctx context.Context, g *Gateway, queue <-chan counterCall) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case call := <-line:
+		case call := <-queue:
 			total, result := c.call(ctx, call)
-			l.post(counterReplied{call.name, result, total})
+			g.post(counterReplied{call.name, result, total})
 		}
 	}
 }
 
-// counterReplied is how a call ended.
+// counterReplied tells how a call ended.
 type counterReplied struct {
 	name   uint64
 	result policy.Result
 	total  float64
 }
 
-func (e counterReplied) handle(l *Loop) {
-	l.balancer.ReceiveCounterTotal(l.now(), e.name, e.result, e.total)
+func (e counterReplied) handle(g *Gateway) {
+	g.balancer.ReceiveCounterTotal(g.now(), e.name, e.result, e.total)
 }
 
-// call makes one call. Full and ConnectFailed tell that nothing was added; with
-// TimedOut and Reset it may have been, or may yet be.
+// call makes one call. Rejected and ConnectFailed mean that nothing was added; with TimedOut and
+// Reset the amount may have been added, or may be yet.
 func (c *counterClient) call(ctx context.Context, call counterCall) (float64, policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
@@ -109,9 +128,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { written.Store(info.Err == nil) },
 	})
-	url := call.url + strconv.FormatUint(call.name, 16) +
-		fmt.Sprintf("?add=%s&ttl_ms=%d", strconv.FormatFloat(call.add, 'f', -1, 64), max(1, call.ttl/1000))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, call.requestURL(), nil)
 	if err != nil {
 		return 0, policy.ConnectFailed
 	}
@@ -119,7 +136,7 @@
 	res, err := c.client.Do(req)
 	if err == nil {
 		defer res.Body.Close()
-		body, err = io.ReadAll(io.LimitReader(res.Body, 256))
+		body, err = io.ReadAll(io.LimitReader(res.Body, maxTotalBytes))
 	}
 	switch {
 	case err != nil && !written.Load():
@@ -135,9 +152,17 @@
 	}
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
-		// The amount was added, but nothing more on this connection can be believed.
+		// The amount was added, but nothing more on this connection can be trusted.
 		c.client.CloseIdleConnections()
 		return 0, policy.Failed
 	}
 	return total, policy.OK
 }
+
+// requestURL has the form that the counter's protocol prescribes; its ttl is in milliseconds, from
+// 1 on.
+func (call *counterCall) requestURL() string {
+	name := strconv.FormatUint(call.name, 16)
+	amount := strconv.FormatFloat(call.amount, 'f', -1, 64)
+	return call.url + name + fmt.Sprintf("?add=%s&ttl_ms=%d", amount, max(1, call.ttl/1000))
+}
--- a/internal/dataplane/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -50,7 +50,7 @@
 				c.serve(w, r)
 			}))
 			counter := newCounter(&Config{Counter: strings.TrimPrefix(s.URL, "http://")})
-			call := counterCall{url: counter.url, name: 0xab, add: -2.5, ttl: 4e6, deadline: time.Now().Add(c.wait)}
+			call := counterCall{url: counter.url, name: 0xab, amount: -2.5, ttl: 4e6, deadline: time.Now().Add(c.wait)}
 			total, result := counter.call(context.Background(), call)
 			if total != c.total || result != c.result {
 				t.Errorf("total %g, result %d", total, result)
--- a/internal/dataplane/gateway/departed_client_test.go
+++ b/internal/dataplane/gateway/departed_client_test.go
@@ -32,7 +32,7 @@
 func onlyTheOther(t *testing.T, r *rig, b *fakeBackend, dials *heldDials, other *testClient, id int) {
 	t.Helper()
 	other.lookup(id, "60000")
-	until(t, r.loop, "the other's request", func(l *Loop) bool { return l.open == 1 })
+	until(t, r.gateway, "the other's request", func(g *Gateway) bool { return g.requests.open == 1 })
 	close(dials.goOn)
 	call := b.next(t)
 	if got := string(call.args[2]); got != fmt.Sprintf("%016x", id) {
@@ -40,7 +40,7 @@
 	}
 	call.serve(t, "ok")
 	other.value("ok")
-	if n := ask(t, r.loop, func(l *Loop) int { return len(l.requests) }); n != 0 || len(b.got) > 0 {
+	if n := ask(t, r.gateway, func(g *Gateway) int { return len(g.requests.byID) }); n != 0 || len(b.got) > 0 {
 		t.Errorf("%d requests in the table, %d commands more at the backend", n, len(b.got))
 	}
 }
@@ -52,20 +52,20 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			var dials *heldDials
-			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) { dials = holdDials(g) })
 			dials.begun = make(chan string, 1024)
 			gone, other := r.client(t), r.client(t)
 			gone.raw(lookups(1, maxPipelined+50))
-			until(t, r.loop, "a full line", func(l *Loop) bool {
-				for c := range l.clients.conns {
+			until(t, r.gateway, "a full line", func(g *Gateway) bool {
+				for c := range g.clients.conns {
 					if len(c.pipeline) == maxPipelined {
-						return l.open > 0 // those that are refused wait for their turn, too
+						return g.requests.open > 0 // those that are refused wait for their turn, too
 					}
 				}
 				return false
 			})
 			leave(gone)
-			until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
+			until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 0 })
 			onlyTheOther(t, r, b, dials, other, maxPipelined+1000)
 		})
 	}
@@ -81,11 +81,11 @@
 			t.Run(what+", "+name, func(t *testing.T) {
 				b := newBackend(t)
 				var dials *heldDials
-				r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+				r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) { dials = holdDials(g) })
 				gone, other := r.client(t), r.client(t)
 				gone.raw(lookups(1, 3) + bad)
-				until(t, r.loop, "the bad commands", func(l *Loop) bool {
-					for c := range l.clients.conns {
+				until(t, r.gateway, "the bad commands", func(g *Gateway) bool {
+					for c := range g.clients.conns {
 						if c.ignoreInput.Load() {
 							return true
 						}
@@ -93,7 +93,7 @@
 					return false
 				})
 				leave(gone)
-				until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
+				until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 0 })
 				onlyTheOther(t, r, b, dials, other, 1000)
 			})
 		}
@@ -101,25 +101,25 @@
 }
 
 // occupied has the loop do nothing until a test lets it go on.
-func occupied(t *testing.T, l *Loop, meanwhile func(l *Loop)) (goOn func()) {
+func occupied(t *testing.T, g *Gateway, meanwhile func(g *Gateway)) (goOn func()) {
 	t.Helper()
 	begun, over := make(chan struct{}), make(chan struct{})
-	l.post(inspect(func(l *Loop) {
+	g.post(inspect(func(g *Gateway) {
 		close(begun)
 		<-over
-		meanwhile(l)
+		meanwhile(g)
 	}))
 	wait(t, begun, "the loop")
 	return func() { close(over) }
 }
 
 // queuedEvents waits until so many events wait for a loop that is busy.
-func queuedEvents(t *testing.T, l *Loop, n int) {
+func queuedEvents(t *testing.T, g *Gateway, n int) {
 	t.Helper()
-	for late := time.After(patience); len(l.events) < n; {
+	for late := time.After(patience); len(g.events) < n; {
 		select {
 		case <-late:
-			t.Fatalf("%d events wait, want %d", len(l.events), n)
+			t.Fatalf("%d events wait, want %d", len(g.events), n)
 		default:
 			runtime.Gosched()
 		}
@@ -133,24 +133,24 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			var dials *heldDials
-			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) { dials = holdDials(g) })
 			gone := r.client(t)
 			gone.lookup(1, "60000")
 			wait(t, dials.begun, "the dial")
 			var k *client
-			ask(t, r.loop, func(l *Loop) bool {
-				for _, request := range l.requests {
+			ask(t, r.gateway, func(g *Gateway) bool {
+				for _, request := range g.requests.byID {
 					k = request.client
 				}
 				return true
 			})
-			goOn := occupied(t, r.loop, func(*Loop) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
+			goOn := occupied(t, r.gateway, func(*Gateway) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) }) // the loop has been busy for that long
 			dials.goOn <- true
-			queuedEvents(t, r.loop, 1) // the dial's end
+			queuedEvents(t, r.gateway, 1) // the dial's end
 			leave(gone)
-			queuedEvents(t, r.loop, 2) // the close, behind it
+			queuedEvents(t, r.gateway, 2) // the close, behind it
 			goOn()
-			until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 && len(l.requests) == 0 })
+			until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 0 && len(g.requests.byID) == 0 })
 			other := r.client(t)
 			other.lookup(2, "60000")
 			call := b.next(t)
@@ -173,7 +173,7 @@
 		slowDials(f)
 		// Sent again at once: a twentieth of the aim is a moment.
 		f["settings"] = json.RawMessage(strings.Replace(string(f["settings"].(json.RawMessage)), `"promise-us":10000000`, `"promise-us":1000`, 1))
-	}), func(l *Loop) { dials = holdDials(l) })
+	}), func(g *Gateway) { dials = holdDials(g) })
 	gone := r.client(t)
 	gone.lookup(1, "900")
 	wait(t, dials.begun, "the first dial")
@@ -182,19 +182,19 @@
 	d.tell(first.entry("s-00000001", "Terminating"), second.entry("s-00000002", "Ready"))
 	d.settled(t)
 	var k *client
-	ask(t, r.loop, func(l *Loop) bool {
-		for _, request := range l.requests {
+	ask(t, r.gateway, func(g *Gateway) bool {
+		for _, request := range g.requests.byID {
 			k = request.client
 		}
 		return true
 	})
-	goOn := occupied(t, r.loop, func(*Loop) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) })
+	goOn := occupied(t, r.gateway, func(*Gateway) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) })
 	call.answer(t, "-ERR failed\r\n")
-	queuedEvents(t, r.loop, 1)
+	queuedEvents(t, r.gateway, 1)
 	gone.conn.Close()
-	queuedEvents(t, r.loop, 2)
+	queuedEvents(t, r.gateway, 2)
 	goOn()
-	until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 && len(l.requests) == 0 })
+	until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 0 && len(g.requests.byID) == 0 })
 	close(dials.goOn)
 	other := r.client(t)
 	other.lookup(2, "60000")
--- a/internal/dataplane/gateway/endpoints.go
+++ b/internal/dataplane/gateway/endpoints.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"net/netip"
 	"slices"
 
@@ -10,67 +9,110 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// noRedirect follows no redirect: a call to the counter must not be made twice.
-func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-
-const maxHeaderBytes = 16 << 10 // bytes of an answer's header
-
-// member is a server as a register has it.
+// member is a backend as discovery has it.
 type member = registry.Member
 
-// endpointState is what the module is told of a member's phase.
+// endpointState is what the balancer is told of a member's phase. A backend is not sent to if its
+// phase is unknown or its address unusable.
 func endpointState(m *member) policy.EndpointState {
 	switch m.Phase {
 	case registry.Ready:
 		if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
-			return policy.Draining // there is no way to it
+			return policy.Draining
 		}
 		return policy.Ready
 	case registry.Gone:
 		return policy.Removed
 	}
-	return policy.Draining // a phase not known is none to send to
+	return policy.Draining
 }
 
-// endpointSource is the source of news of the servers, as the loop has it.
+// endpointSource is the source of the endpoint list, with what the event loop knows of it.
 type endpointSource struct {
 	registry.Source
-	received bool     // it has told a list
+	received bool     // a list has come
 	zones    []string // by number, this gateway's own first
 }
 
-// zoneNumber gives a zone's number.
-func (r *endpointSource) zoneNumber(name string) int {
-	if i := slices.Index(r.zones, name); i >= 0 {
+// zoneNumber returns a zone's number; a new zone gets the next one.
+func (s *endpointSource) zoneNumber(name string) int {
+	if i := slices.Index(s.zones, name); i >= 0 {
 		return i
 	}
-	r.zones = append(r.zones, name)
-	return len(r.zones) - 1
+	s.zones = append(s.zones, name)
+	return len(s.zones) - 1
 }
 
-// run has the loop hear the news ahead of all queued work.
-func (r *endpointSource) run(ctx context.Context, l *Loop) {
-	r.Source.Run(ctx, func(n registry.News) {
+// run posts updates ahead of all queued events until the context ends. It runs on a goroutine of
+// its own.
+func (s *endpointSource) run(ctx context.Context, g *Gateway) {
+	s.Source.Run(ctx, func(n registry.News) {
 		select {
-		case l.urgent <- endpointEvent(n):
+		case g.urgent <- endpointEvent(n):
 		case <-ctx.Done():
 		}
 	})
 }
 
-// endpointEvent is what the register has told.
+// endpointEvent is an update of the endpoint list, or the news that there is none to be had.
 type endpointEvent registry.News
 
-func (n endpointEvent) handle(l *Loop) {
-	if n.Kind == registry.Unheard {
-		l.balancer.UpdateEndpoints(l.now(), policy.Unavailable, nil)
+func (e endpointEvent) handle(g *Gateway) {
+	if e.Kind == registry.Unheard {
+		g.balancer.UpdateEndpoints(g.now(), policy.Unavailable, nil)
 		return
 	}
 	kind := policy.Delta
-	if n.Kind == registry.Whole {
+	if e.Kind == registry.Whole {
 		kind = policy.Complete
 	}
-	l.endpoints.received = true
-	l.backends.updateEndpoints(l, kind, n.Members)
-	l.beginService()
+	g.endpoints.received = true
+	g.backends.updateEndpoints(g, kind, e.Members)
+	g.beginService()
+}
+
+// updateEndpoints applies a list of members, or its changes, and tells the balancer.
+func (p *backendPool) updateEndpoints(g *Gateway, kind policy.ListKind, list []member) {
+	update := make([]policy.Endpoint, 0, len(list))
+	if kind != policy.Delta {
+		for _, b := range p.byNumber {
+			b.state = policy.Removed // unless the list names it
+		}
+	}
+	for i := range list {
+		update = append(update, p.updateEndpoint(g, &list[i]))
+	}
+	g.balancer.UpdateEndpoints(g.now(), kind, update)
+	for id, b := range p.byID {
+		if b.state != policy.Ready {
+			p.closeIdleOf(b)
+			for len(b.waiting) > 0 {
+				p.cancelWaiting(g, b.waiting[0]) // nothing goes there, however its dial ends
+			}
+		}
+		if b.state == policy.Removed && len(b.waiting) == 0 && b.dialing == 0 {
+			delete(p.byID, id)
+			delete(p.byNumber, b.number)
+		}
+	}
+}
+
+// updateEndpoint applies one member of a list.
+func (p *backendPool) updateEndpoint(g *Gateway, m *member) policy.Endpoint {
+	b := p.find(m.ID)
+	b.state = endpointState(m)
+	if b.address != m.HostPort || b.upSince != m.UpSince {
+		// It has moved or restarted: its idle connections lead nowhere.
+		b.address = m.HostPort
+		b.upSince = m.UpSince
+		p.closeIdleOf(b)
+	}
+	return policy.Endpoint{
+		Backend:   b.number,
+		Zone:      g.endpoints.zoneNumber(m.Locality),
+		Cell:      m.Cell,
+		State:     b.state,
+		Weight:    m.Size,
+		StartedAt: m.UpSince * 1000,
+	}
 }
--- a/internal/dataplane/gateway/endpoints_test.go
+++ b/internal/dataplane/gateway/endpoints_test.go
@@ -11,43 +11,43 @@
 )
 
 // many is a loop that knows so many members.
-func many(t testing.TB, n int) (*Loop, []member) {
+func many(t testing.TB, n int) (*Gateway, []member) {
 	t.Helper()
-	l := unstarted(t, newFakeDiscovery(t))
+	g := unstarted(t, newFakeDiscovery(t))
 	list := make([]member, n)
 	for i := range list {
 		list[i] = member{ID: fmt.Sprintf("node/q-%08x", i), HostPort: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250+1), Phase: registry.Ready, Size: 1}
 	}
-	l.handle(endpointEvent{Kind: registry.Whole, Members: list})
-	return l, list
+	g.handle(endpointEvent{Kind: registry.Whole, Members: list})
+	return g, list
 }
 
 // A service of 5,000 instances is taken in, and one that goes among them is gone.
 func TestManyMembers(t *testing.T) {
-	l, list := many(t, 5000)
-	if n := len(l.backends.byID); n != 5000 {
+	g, list := many(t, 5000)
+	if n := len(g.backends.byID); n != 5000 {
 		t.Errorf("%d backends", n)
 	}
 	gone := list[1234]
 	gone.Phase = registry.Gone
-	l.handle(endpointEvent{Kind: registry.Changed, Members: []member{gone}})
-	if l.backends.byID[gone.ID] != nil || len(l.backends.byID) != 4999 {
-		t.Errorf("%d backends after one has gone", len(l.backends.byID))
+	g.handle(endpointEvent{Kind: registry.Changed, Members: []member{gone}})
+	if g.backends.byID[gone.ID] != nil || len(g.backends.byID) != 4999 {
+		t.Errorf("%d backends after one has gone", len(g.backends.byID))
 	}
-	if b := l.backends.byID[list[7].ID]; b == nil || b.state != policy.Ready {
+	if b := g.backends.byID[list[7].ID]; b == nil || b.state != policy.Ready {
 		t.Error("another one is not ready any more")
 	}
 }
 
 // BenchmarkOneChangeOfMany is what one change among 5,000 instances costs the loop.
 func BenchmarkOneChangeOfMany(b *testing.B) {
-	l, list := many(b, 5000)
+	g, list := many(b, 5000)
 	for i := 0; b.Loop(); i++ {
 		m := list[i%len(list)]
 		if i/len(list)%2 == 0 {
 			m.Phase = registry.Terminating
 		}
-		l.handle(endpointEvent{Kind: registry.Changed, Members: []member{m}})
+		g.handle(endpointEvent{Kind: registry.Changed, Members: []member{m}})
 	}
 }
 
@@ -65,19 +65,19 @@
 	m := &moves{}
 	cfg := configure(t, d, nil)
 	cfg.NewEndpointSource = func(cfg *Config, _ *slog.Logger) (registry.Source, error) { return m, nil }
-	l, err := newLoop(cfg, quiet())
+	g, err := newGateway(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.clients.listener.Close()
+	defer g.clients.listener.Close()
 	next := configure(t, d, nil)
 	next.EndpointAddresses = []string{"127.0.0.1:8501", "other=127.0.0.1:8502"}
-	configReloaded{next}.handle(l)
+	configReloaded{next}.handle(g)
 	if len(m.to) != 2 || m.to[0] != "127.0.0.1:8501" || m.to[1] != "other=127.0.0.1:8502" {
 		t.Errorf("moved to %q", m.to)
 	}
 	cfg.NewEndpointSource = func(*Config, *slog.Logger) (registry.Source, error) { return nil, errors.New("no such agent") }
-	if _, err := newLoop(cfg, quiet()); err == nil {
+	if _, err := newGateway(cfg, quiet()); err == nil {
 		t.Error("a register that can't be made was passed over")
 	}
 }
--- a/internal/dataplane/gateway/event_loop.go
+++ b/internal/dataplane/gateway/event_loop.go
@@ -2,25 +2,13 @@
 
 import (
 	"container/heap"
-	"context"
-	"fmt"
-	"log/slog"
-	"sync/atomic"
 	"time"
 
-	"mothcleat/internal/dataplane/admin"
-	"mothcleat/internal/dataplane/forwardauth"
-	"mothcleat/internal/dataplane/lifecycle"
-	"mothcleat/internal/dataplane/metrics"
 	"mothcleat/internal/dataplane/policy"
 )
 
-// answerMargin is how long before the client stops waiting a request is ended: its
-// answer has to reach the client, and this process may be kept from running.
-const answerMargin = 25_000
-
-// clock gives the time in microseconds since 1970 as of the start, monotonic
-// from then on.
+// clock gives the time in microseconds since 1970. It reads the wall clock once, at its making,
+// and is monotonic from then on. It may be read from any goroutine.
 type clock struct {
 	wall  policy.Time
 	start time.Time
@@ -28,88 +16,82 @@
 
 func newClock() clock {
 	now := time.Now()
-	return clock{now.UnixMicro(), now}
+	return clock{wall: now.UnixMicro(), start: now}
 }
 
 func (c clock) now() policy.Time { return c.wall + time.Since(c.start).Microseconds() }
 
-// event is something that happened, posted by a socket's goroutine.
+// event is something that happened. Goroutines that read sockets post events; handle runs on the
+// event loop's goroutine and must not block.
 type event interface {
-	handle(l *Loop)
+	handle(g *Gateway)
 }
 
-// timerTask is something to be done at a time.
+// timerTask is work to be done at a given time. due runs on the event loop's goroutine and must
+// not block.
 type timerTask interface {
-	due(l *Loop)
+	due(g *Gateway)
 }
 
-// Loop owns the module and the table of open requests. Only its goroutine
-// touches either; all else reaches it as an event.
-type Loop struct {
-	cfg      Config
-	log      *slog.Logger
-	clock    clock
-	lastNow  policy.Time
-	balancer *policy.Balancer
+// eventLoop serialises all that changes the gateway's state: one goroutine handles events and
+// timers, one at a time. post, postUrgent and clock may be used from any goroutine; everything
+// else belongs to the loop's own.
+type eventLoop struct {
+	gateway *Gateway
+	clock   clock
+	lastNow policy.Time
+
+	events chan event
+	urgent chan event // endpoint updates and operators' calls: handled before all queued events
+	queue  []event    // follow-ups of the event being handled
 
-	events   chan event
-	urgent   chan event // discovery's news: ahead of all queued work
-	queue    []event    // what follows from the module's own actions
 	timers   timerHeap
 	timer    *time.Timer
-	armedFor policy.Time
+	armedFor policy.Time // when timer fires; 0: it is not armed
 
-	requests      map[uint64]*request
-	byClientID    map[uint64]*request // those without a final answer, by the id that the client gave
-	nextID        uint64
-	open          int          // requests without a final answer
-	heldBytes     int          // bytes of requests and of answers that wait their turn
-	incomingBytes atomic.Int64 // bytes of requests that were read and wait for the loop
+	done bool // run returns
+}
 
-	clients      *clients
-	backends     *backendPool
-	peers        *peerLink
-	counter      *counterClient
-	endpoints    endpointSource
-	snapshots    snapshotter
-	rejections   *rejectionLog     // nil: no record is kept
-	auth         *forwardauth.Step // nil: nobody was ever asked
-	authEnabled  atomic.Bool       // for those who read commands
-	authContext  context.Context   // of the calls that it makes
-	cancelAuth   context.CancelFunc
-	lifecycle    *lifecycle.Process
-	shutdown     shutdown
-	handover     handovers
-	metrics      *metrics.Counters
-	admin        *admin.Server // nil: no address is given
-	serviceBegun bool
-	done         bool
-	suspend      suspendDetector
-	assignedPlan func(customer uint64) int // see replanned; nil: requests name the plan
+func newEventLoop(g *Gateway) eventLoop {
+	e := eventLoop{
+		gateway: g,
+		clock:   newClock(),
+		events:  make(chan event, eventQueueLength),
+		urgent:  make(chan event, urgentQueueLength),
+		timer:   time.NewTimer(time.Hour),
+	}
+	e.timer.Stop()
+	return e
 }
 
-// post hands an event to the loop.
-func (l *Loop) post(e event) { l.events <- e }
+const (
+	eventQueueLength  = 1024
+	urgentQueueLength = 16
+)
+
+// post hands an event to the loop. It waits while the queue is full.
+func (l *eventLoop) post(e event) { l.events <- e }
 
-// postUrgent hands an event to the loop ahead of all queued work.
-func (l *Loop) postUrgent(e event) { l.urgent <- e }
+// postUrgent hands an event to the loop ahead of all queued events. It waits while the urgent
+// queue is full.
+func (l *eventLoop) postUrgent(e event) { l.urgent <- e }
 
-// enqueue has an event handled right after the one at hand. Actions use it: they
-// must not call the module while it is deciding.
-func (l *Loop) enqueue(e event) { l.queue = append(l.queue, e) }
+// enqueue has an event handled right after the current one. The balancer's actions use it, as they
+// must not call the balancer while it is deciding.
+func (l *eventLoop) enqueue(e event) { l.queue = append(l.queue, e) }
 
-// now is the time, never going back.
-func (l *Loop) now() policy.Time {
+// now returns the current time, which never goes back.
+func (l *eventLoop) now() policy.Time {
 	l.lastNow = max(l.lastNow, l.clock.now())
 	return l.lastNow
 }
 
-// run handles events until the gateway has ended.
-func (l *Loop) run() {
+// run handles events and timers until the gateway is done.
+func (l *eventLoop) run() {
 	for !l.done {
 		l.fireTimers()
-		// Discovery first: work queued before a drain was told must not be sent
-		// on after its grace.
+		// Endpoint updates go first: a request that was queued before a drain was announced
+		// must not reach the draining backend after its grace period.
 		select {
 		case e := <-l.urgent:
 			l.handle(e)
@@ -123,65 +105,74 @@
 			l.handle(e)
 		case <-l.timer.C:
 			l.armedFor = 0
-			l.recordTurn()
+			l.gateway.recordTurn()
 		}
 	}
 }
 
-func (l *Loop) handle(e event) {
-	l.recordTurn()
-	e.handle(l)
+// handle handles an event and what follows from it.
+func (l *eventLoop) handle(e event) {
+	l.gateway.recordTurn()
+	e.handle(l.gateway)
 	l.runQueued()
-	l.storeSnapshotIfDue()
+	l.gateway.storeSnapshotIfDue()
 }
 
-// runQueued handles what the actions left behind.
-func (l *Loop) runQueued() {
+// runQueued handles the events that were enqueued, also those that they enqueue in turn.
+func (l *eventLoop) runQueued() {
 	for i := 0; i < len(l.queue); i++ {
-		l.queue[i].handle(l)
+		l.queue[i].handle(l.gateway)
 	}
 	clear(l.queue)
 	l.queue = l.queue[:0]
 }
 
-// schedule has something done at a time.
-func (l *Loop) schedule(when policy.Time, d timerTask) *timer {
-	t := &timer{at: when, task: d}
+// schedule has a task run at a time; one in the past runs at the next turn of the loop.
+func (l *eventLoop) schedule(when policy.Time, task timerTask) *timer {
+	t := &timer{at: when, task: task}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// cancel drops a timer that is not wanted any more: until due it would keep all
-// that it is about.
-func (l *Loop) cancel(t *timer) {
+// cancel drops a timer; nil, or one that has fired, is ignored. A timer that is left to fire keeps
+// all that its task refers to in memory until then.
+func (l *eventLoop) cancel(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// fireTimers does all that is due and arms the timer for the next.
-func (l *Loop) fireTimers() {
+// fireTimers runs all tasks that are due and arms the timer for the next one.
+func (l *eventLoop) fireTimers() {
 	for len(l.timers) > 0 {
-		next, now := l.timers[0].at, l.now()
+		next := l.timers[0].at
+		now := l.now()
 		if next > now {
-			if l.armedFor == 0 || next < l.armedFor {
-				l.timer.Reset(time.Duration(next-now) * time.Microsecond)
-				l.armedFor = next
-			}
+			l.arm(next, now)
 			return
 		}
 		t := heap.Pop(&l.timers).(*timer)
-		t.task.due(l)
+		t.task.due(l.gateway)
 		l.runQueued()
 	}
 }
 
+// arm has the timer fire at next, unless it fires before that anyway.
+func (l *eventLoop) arm(next, now policy.Time) {
+	if l.armedFor != 0 && next >= l.armedFor {
+		return
+	}
+	l.timer.Reset(time.Duration(next-now) * time.Microsecond)
+	l.armedFor = next
+}
+
 type timer struct {
 	at    policy.Time
 	task  timerTask
-	index int // in the heap; -1: in it no more
+	index int // its place in the heap; -1: it has fired or was cancelled
 }
 
+// timerHeap orders timers by their time; it implements heap.Interface.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -205,67 +196,3 @@
 	t.index = -1
 	return t
 }
-
-// policyTimer is a timer that the module has set.
-type policyTimer uint32
-
-func (a policyTimer) due(l *Loop) { l.balancer.Timer(l.now(), uint32(a)) }
-
-// The module's actions.
-
-// Send starts the next attempt of a request.
-func (l *Loop) Send(id uint64, backend uint32, until policy.Time) {
-	r := l.requests[id]
-	if r == nil {
-		panic(fmt.Sprintf("send for request %d, which is not open", id))
-	}
-	if until == 0 || until > r.deadline {
-		until = r.deadline
-	}
-	l.recordAllocation(r)
-	a := &attempt{request: r, number: r.attemptsMade, startedAt: l.now(), deadline: until}
-	r.attemptsMade++
-	r.outstanding = append(r.outstanding, a)
-	l.backends.startAttempt(l, a, backend)
-}
-
-// Reject gives the final answer that trying again is harmless.
-func (l *Loop) Reject(id uint64, after policy.Time) {
-	if r := l.requests[id]; r != nil {
-		l.answer(r, busyReply(after))
-		if l.cfg.Operations != nil {
-			l.cfg.Operations.Rejected(false)
-		}
-	}
-}
-
-// Fail gives the final answer that promises nothing.
-func (l *Loop) Fail(id uint64) {
-	if r := l.requests[id]; r != nil {
-		l.answer(r, failedReply)
-	}
-}
-
-// SetTimer has the module called at the time.
-func (l *Loop) SetTimer(at policy.Time, token uint32) { l.schedule(at, policyTimer(token)) }
-
-// Probe asks a backend whether it lives.
-func (l *Loop) Probe(backend uint32) {
-	now := l.now()
-	a := &attempt{startedAt: now, deadline: now + l.cfg.Host.DialTimeout}
-	l.backends.startAttempt(l, a, backend)
-}
-
-// SendToPeer sends a note to a peer.
-func (l *Loop) SendToPeer(peer int, note []byte) { l.peers.send(peer, note) }
-
-// AddToCounter adds to a number that all gateways share.
-func (l *Loop) AddToCounter(name uint64, add float64, life policy.Time) {
-	l.counter.add(l, name, add, life)
-}
-
-// WatchEndpoints asks discovery for the list and its changes from now on.
-func (l *Loop) WatchEndpoints() { l.endpoints.Follow() }
-
-// Log writes a line for the people on call.
-func (l *Loop) Log(line string) { l.log.Info(line) }
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -6,8 +6,10 @@
 	"log/slog"
 	"net"
 	"slices"
-	"time"
+	"sync/atomic"
 
+	"mothcleat/internal/dataplane/admin"
+	"mothcleat/internal/dataplane/forwardauth"
 	"mothcleat/internal/dataplane/lifecycle"
 	"mothcleat/internal/dataplane/membership"
 	"mothcleat/internal/dataplane/metrics"
@@ -16,112 +18,174 @@
 	"mothcleat/internal/dataplane/simprotocol"
 )
 
-const (
-	eventQueueLength    = 1024 // events that wait for the loop
-	reservedDescriptors = 48   // descriptors for all but clients and backends
-)
+// Gateway is one gateway: the event loop and the parts whose state it owns. Unless a field says
+// otherwise, only the event loop's goroutine touches it; all else reaches it as an event.
+type Gateway struct {
+	eventLoop
+	cfg      Config
+	log      *slog.Logger
+	balancer *policy.Balancer
+	metrics  *metrics.Counters // safe for concurrent use
+
+	requests  requestTable
+	clients   *clients
+	backends  *backendPool
+	peers     *peerLink
+	counter   *counterClient
+	endpoints endpointSource
+	snapshots snapshotter
+
+	lifecycle      *lifecycle.Process
+	shutdown       shutdown
+	handover       handovers
+	suspend        suspendDetector // has a method for any goroutine
+	serviceStarted bool            // see beginService
+
+	rejections *rejectionLog // nil: none is kept
+	admin      *admin.Server // nil: no address is configured
+
+	auth        *forwardauth.Step // nil: no authenticator was ever configured
+	authEnabled atomic.Bool       // auth.On, for the goroutines that read commands
+	authContext context.Context   // of calls to the authenticator
+	cancelAuth  context.CancelFunc
+
+	// assignedPlan returns the plan that a version assigns to a customer, below 0: none; see
+	// plansChanged. It is nil while requests name the plan.
+	assignedPlan func(customer uint64) int
+}
+
+// reservedDescriptors is how many file descriptors are kept for all but clients and backends.
+const reservedDescriptors = 48
 
-// Run serves until it is told to stop and all that was taken is answered.
+// Run serves until it is told to stop and every accepted request is answered. It returns an error
+// if the configuration can't be served or a socket can't be opened.
 func Run(cfg Config, log *slog.Logger, control Control) error {
-	l, err := newLoop(cfg, log)
+	g, err := newGateway(cfg, log)
 	if err != nil {
 		return err
 	}
-	l.serve(control)
+	g.serve(control)
 	return nil
 }
 
-// serve runs the loop and all that reads for it.
-func (l *Loop) serve(control Control) {
+// serve runs the event loop and the goroutines that read for it, and closes all at its end.
+func (g *Gateway) serve(control Control) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l.start(ctx)
-	go control.forward(ctx, l)
-	l.run()
-	l.storeLastSnapshot()
-	l.rejections.flush(l)
-	l.cancelAuth()
-	if l.admin != nil {
-		l.admin.Close()
-	}
-	l.clients.closeListener()
-	l.handover.end()
-	if l.peers.conn != nil {
-		_ = l.peers.conn.Close()
+	g.start(ctx)
+	go control.forward(ctx, g)
+	g.run()
+	g.storeLastSnapshot()
+	g.rejections.flush(g)
+	g.cancelAuth()
+	if g.admin != nil {
+		g.admin.Close()
+	}
+	g.clients.closeListener()
+	g.handover.end()
+	if g.peers.conn != nil {
+		_ = g.peers.conn.Close()
 	}
 }
 
-// newLoop makes a gateway with its sockets. Clients are accepted once it is ready.
-func newLoop(cfg Config, log *slog.Logger) (*Loop, error) {
-	l := &Loop{
-		cfg: cfg, log: log, clock: newClock(),
-		events: make(chan event, eventQueueLength), urgent: make(chan event, 16),
-		requests: map[uint64]*request{}, byClientID: map[uint64]*request{}, timer: time.NewTimer(time.Hour),
-		counter: newCounter(&cfg), snapshots: newSnapshotter(cfg.Restart),
-		lifecycle: lifecycle.New(lifecycle.For(longestTimeout(&cfg.Host))), metrics: metrics.New(cfg.Host.Classes),
-	}
-	l.timer.Stop()
-	l.findPredecessor()
-	source := registry.Source(NewPlatform(&cfg, log))
-	if cfg.NewEndpointSource != nil {
-		var err error
-		if source, err = cfg.NewEndpointSource(&cfg, log); err != nil {
-			return nil, err
-		}
+// newGateway makes a gateway and opens its sockets. Clients are accepted once it is ready.
+func newGateway(cfg Config, log *slog.Logger) (*Gateway, error) {
+	g := &Gateway{
+		cfg:       cfg,
+		log:       log,
+		requests:  newRequestTable(),
+		counter:   newCounter(&cfg),
+		snapshots: newSnapshotter(cfg.Restart),
+		lifecycle: lifecycle.New(lifecycle.For(longestTimeout(&cfg.Host))),
+		metrics:   metrics.New(cfg.Host.Classes),
+	}
+	g.eventLoop = newEventLoop(g)
+	g.findPredecessor()
+	if err := g.prepareEndpoints(); err != nil {
+		return nil, err
+	}
+	g.authContext, g.cancelAuth = newAuthContext()
+	if err := g.setAuth(cfg.Auth); err != nil {
+		return nil, err
 	}
-	l.endpoints = endpointSource{Source: source, zones: cfg.Host.Zones}
-	l.authContext, l.cancelAuth = newAuthContext()
-	if err := l.setAuth(cfg.Auth); err != nil {
+	served, accepted := connectionLimits(cfg.Sockets)
+	g.backends = newBackends(&cfg, served)
+	g.clients = newClients(served, accepted)
+	if err := g.prepareBalancer(); err != nil {
 		return nil, err
 	}
-	share, accepted := connectionLimits(cfg.Sockets)
-	l.backends = newBackends(&cfg, share)
-	l.clients = &clients{maxServed: share, slots: make(chan struct{}, accepted), conns: map[*client]bool{}, resumeAccept: make(chan struct{}, 1)}
-	var err error
-	if l.balancer, err = policy.New(cfg.Settings, cfg.Seed, l); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+	if err := g.openSockets(); err != nil {
+		return nil, err
+	}
+	g.metrics.Loaded.Add(1)
+	if g.snapshots.Store != nil && !g.snapshots.Successor {
+		g.restoreSnapshot()
 	}
-	l.useAllocations()
-	if cfg.PlanTerms != nil {
-		cfg.PlanTerms.attach(l.postUrgent)
+	return g, nil
+}
+
+// prepareEndpoints makes the source of the endpoint list.
+func (g *Gateway) prepareEndpoints() error {
+	source := registry.Source(NewPlatform(&g.cfg, g.log))
+	if g.cfg.NewEndpointSource != nil {
+		var err error
+		if source, err = g.cfg.NewEndpointSource(&g.cfg, g.log); err != nil {
+			return err
+		}
 	}
-	l.openRejectionLog(cfg.RejectionLog)
-	if l.handover.predecessor == nil {
-		l.peers, err = newPeers(&cfg, log)
+	g.endpoints = endpointSource{Source: source, zones: g.cfg.Host.Zones}
+	return nil
+}
+
+// prepareBalancer makes the balancer and attaches what it decides by.
+func (g *Gateway) prepareBalancer() (err error) {
+	if g.balancer, err = policy.New(g.cfg.Settings, g.cfg.Seed, actions{g}); err != nil {
+		return fmt.Errorf("configuration: %w", err)
+	}
+	g.useAllocations()
+	if g.cfg.PlanTerms != nil {
+		g.cfg.PlanTerms.attach(g.postUrgent)
+	}
+	g.openRejectionLog(g.cfg.RejectionLog)
+	return nil
+}
+
+// openSockets opens the peers' socket, the clients' listener and the operators' listener. The
+// peers' socket comes from the predecessor where there is one.
+func (g *Gateway) openSockets() (err error) {
+	if g.handover.predecessor == nil {
+		g.peers, err = newPeers(&g.cfg, g.log)
 	} else {
-		l.peers = newUnboundPeers(&cfg, log)
+		g.peers = newUnboundPeers(&g.cfg, g.log)
 	}
 	if err != nil {
-		return nil, err
+		return err
 	}
-	listen := cfg.Restart.Listen
+	listen := g.cfg.Restart.Listen
 	if listen == nil {
 		listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 	}
-	listener, err := listen(cfg.Listen)
+	listener, err := listen(g.cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("listen: %w", err)
 	}
-	l.clients.listener = listener.(*net.TCPListener)
-	if err := l.listenAdmin(); err != nil {
+	g.clients.listener = listener.(*net.TCPListener)
+	if err := g.listenAdmin(); err != nil {
 		_ = listener.Close()
-		return nil, err
-	}
-	l.metrics.Loaded.Add(1)
-	if cfg.Restart.Store != nil && !l.snapshots.Successor {
-		l.restore()
+		return err
 	}
-	return l, nil
+	return nil
 }
 
-// connectionLimits deals out descriptors: two in five are for clients, as many for backends, and some are spare, for all else. Of the
-// spare ones a few are for clients that are accepted beyond their share, until one of them has made room.
-func connectionLimits(sockets int) (share, accepted int) {
-	share = (sockets - reservedDescriptors/2) * 2 / 5
-	return share, share + max(4, share/4)
+// connectionLimits divides the file descriptors: two fifths are for clients, as many for backends,
+// and the rest is spare. A few of the spare ones serve to accept clients beyond their limit, until
+// one of them has made room.
+func connectionLimits(sockets int) (served, accepted int) {
+	served = (sockets - reservedDescriptors/2) * 2 / 5
+	return served, served + max(4, served/4)
 }
 
-// NewPlatform makes the platform's discovery as a configuration has it.
+// NewPlatform makes the client of the platform's discovery that a configuration asks for.
 func NewPlatform(cfg *Config, log *slog.Logger) *registry.Platform {
 	pace := membership.NewPace(cfg.Settings.Gateways, cfg.Seed)
 	if !cfg.Settings.PollEndpoints {
@@ -130,7 +194,8 @@
 	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pace, log)
 }
 
-// longestTimeout is how long a client waits at the most; 0: the settings don't tell it of every class.
+// longestTimeout returns how long a client waits at most; 0 if the settings leave that open for a
+// class.
 func longestTimeout(h *simprotocol.Host) policy.Time {
 	if len(h.Limits) == 0 || slices.Min(h.Limits) <= 0 {
 		return 0
@@ -138,71 +203,78 @@
 	return slices.Max(h.Limits)
 }
 
-// start begins with the list as last known and has all sockets read.
-func (l *Loop) start(ctx context.Context) {
-	l.backends.updateEndpoints(l, policy.CompleteCached, l.cfg.KnownEndpoints.Members)
-	l.runQueued()
-	l.schedule(l.now()+discoveryWait, discoveryTimeout{})
-	l.schedule(l.now()+sweepInterval, idleSweep{})
-	go l.endpoints.run(ctx, l)
-	l.startSnapshots(ctx)
-	if l.peers.conn != nil && !l.snapshots.Successor {
-		go l.peers.readMessages(l)
-	}
-	if l.counter.enabled {
-		for _, line := range l.counter.queues {
-			go l.counter.runQueue(ctx, l, line)
+// start applies the endpoint list of the configuration and starts the goroutines that read.
+func (g *Gateway) start(ctx context.Context) {
+	g.backends.updateEndpoints(g, policy.CompleteCached, g.cfg.KnownEndpoints.Members)
+	g.runQueued()
+	g.schedule(g.now()+discoveryWait, discoveryTimeout{})
+	g.schedule(g.now()+sweepInterval, idleSweep{})
+	go g.endpoints.run(ctx, g)
+	g.startSnapshots(ctx)
+	if g.peers.conn != nil && !g.snapshots.Successor {
+		go g.peers.readMessages(g)
+	}
+	if g.counter.enabled {
+		for _, queue := range g.counter.queues {
+			go g.counter.runQueue(ctx, g, queue)
 		}
 	}
 }
 
-// idleSweep closes, now and then, connections that are of no more use.
+// idleSweep periodically closes connections that are no longer of use.
 type idleSweep struct{}
 
-const sweepInterval = 100_000
+const sweepInterval policy.Time = 100_000
 
-func (idleSweep) due(l *Loop) {
-	l.clients.closeIdle(l)
-	l.backends.closeIdle(l)
-	if l.lifecycle.Draining() || l.lifecycle.Stopping() || l.handover.passingConns() {
-		l.step() // connections end one by one
+func (idleSweep) due(g *Gateway) {
+	g.clients.closeIdle(g)
+	g.backends.closeIdle(g)
+	if g.lifecycle.Draining() || g.lifecycle.Stopping() || g.handover.passingConns() {
+		g.shutdown.step(g) // connections end one by one
 	}
-	l.rejections.flush(l)
-	l.schedule(l.now()+sweepInterval, idleSweep{})
+	g.rejections.flush(g)
+	g.schedule(g.now()+sweepInterval, idleSweep{})
 }
 
-// beginService has clients accepted from now on: until then nothing answers PING.
-func (l *Loop) beginService() {
-	if l.serviceBegun {
+// discoveryWait is how long a starting gateway waits for discovery before it serves with the
+// endpoint list of its configuration.
+const discoveryWait policy.Time = 500_000
+
+// discoveryTimeout ends the wait for discovery, which may be unavailable for long.
+type discoveryTimeout struct{}
+
+func (discoveryTimeout) due(g *Gateway) {
+	if !g.endpoints.received {
+		known := g.cfg.KnownEndpoints.Members
+		g.log.Warn("discovery is silent: using the configured endpoints", "backends", len(known))
+		g.backends.updateEndpoints(g, policy.StaleBootstrap, known)
+	}
+	g.beginService()
+}
+
+// beginService accepts clients from now on, after a predecessor has handed over where there is
+// one. Until then nothing answers PING. Only the first call counts.
+func (g *Gateway) beginService() {
+	if g.serviceStarted {
 		return
 	}
-	l.serviceBegun = true
+	g.serviceStarted = true
 	switch {
-	case l.handover.predecessor != nil:
-		go l.takeFromPredecessor()
-	case l.snapshots.StopPredecessor != nil:
-		go l.replacePredecessor()
+	case g.handover.predecessor != nil:
+		go g.takeFromPredecessor()
+	case g.snapshots.StopPredecessor != nil:
+		go g.replacePredecessor()
 	default:
-		l.serveClients()
+		g.serveClients()
 	}
 }
 
-// serveClients has clients and notes taken in from now on.
-func (l *Loop) serveClients() {
-	l.log.Info("ready", "listen", l.clients.listener.Addr().String(), "backends", len(l.backends.byNumber))
-	l.lifecycle.Ready()
-	l.clients.accepting = true
-	go l.clients.accept(l)
-	l.listenForSuccessor()
-}
-
-// discoveryTimeout ends the wait for discovery, which may be down for long.
-type discoveryTimeout struct{}
-
-func (discoveryTimeout) due(l *Loop) {
-	if !l.endpoints.received {
-		l.log.Warn("discovery is silent: the list given is used with care", "backends", len(l.cfg.KnownEndpoints.Members))
-		l.backends.updateEndpoints(l, policy.StaleBootstrap, l.cfg.KnownEndpoints.Members)
-	}
-	l.beginService()
+// serveClients starts to accept clients, and listens for a successor.
+func (g *Gateway) serveClients() {
+	listen := g.clients.listener.Addr().String()
+	g.log.Info("ready", "listen", listen, "backends", len(g.backends.byNumber))
+	g.lifecycle.Ready()
+	g.clients.accepting = true
+	go g.clients.accept(g)
+	g.listenForSuccessor()
 }
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -374,20 +374,20 @@
 func TestDrainDuringDial(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t)
-	l := unstarted(t, d)
+	g := unstarted(t, d)
 	m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-	l.backends.updateEndpoints(l, policy.Complete, []member{m})
-	a := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
-	l.backends.startAttempt(l, a, 1)
+	g.backends.updateEndpoints(g, policy.Complete, []member{m})
+	a := &attempt{startedAt: g.now(), deadline: g.now() + 1e9}
+	g.backends.startAttempt(g, a, 1)
 	m.Phase = "Terminating"
-	l.backends.updateEndpoints(l, policy.Delta, []member{m})
-	up := wait(t, l.events, "the dial").(dialed)
+	g.backends.updateEndpoints(g, policy.Delta, []member{m})
+	up := wait(t, g.events, "the dial").(dialed)
 	if up.err != nil {
 		t.Fatal(up.err)
 	}
-	up.handle(l)
-	if len(l.queue) != 1 || l.queue[0].(attemptOutcome).result != policy.Superseded {
-		t.Errorf("outcomes %+v, want one that tells that nothing ran", l.queue)
+	up.handle(g)
+	if len(g.queue) != 1 || g.queue[0].(attemptOutcome).result != policy.Superseded {
+		t.Errorf("outcomes %+v, want one that tells that nothing ran", g.queue)
 	}
 	if err := wait(t, b.ended, "the connection's end"); !errors.Is(err, io.EOF) || len(b.got) > 0 {
 		t.Errorf("the connection ended with %v after %d commands", err, len(b.got))
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -1,67 +1,62 @@
 package gateway
 
 import (
-	"bytes"
-	"errors"
-	"io"
 	"net"
-	"os"
-	"sync"
 	"time"
 
 	"mothcleat/internal/dataplane/forwardauth"
 	"mothcleat/internal/dataplane/hotrestart"
 	"mothcleat/internal/dataplane/policy"
-	"mothcleat/internal/dataplane/resp"
 	"mothcleat/internal/dataplane/snapshot"
 )
 
-// handovers are the processes before and after this one.
+// handovers are the processes before and after this one. It belongs to the event loop.
 type handovers struct {
-	predecessor *hotrestart.Predecessor // nil: there was none when this one started
-	listener    *hotrestart.Listener    // where the next one asks; nil: nowhere
-	successor   *hotrestart.Successor   // the one that takes over, from its asking on; nil: none
-	connsToPass chan hotrestart.Client
-	allPassed   chan struct{} // closed when all that was put there is passed on
+	predecessor *hotrestart.Predecessor // nil: none served when this process started
+	listener    *hotrestart.Listener    // where a successor asks; nil: nowhere
+	successor   *hotrestart.Successor   // takes over or is about to; nil: none
+	connsToPass chan hotrestart.Client  // to the successor; nil: none are passed
+	allPassed   chan struct{}           // closed when all of connsToPass have been passed
 }
 
 const (
-	maxHandoverStateAge = 60_000_000             // a state from the process before is newer than that
-	maxClockSkew        = 1_000_000              // two processes' clocks may differ by so much
-	bindRetryDelay      = 200 * time.Millisecond // for the notes' socket, where the process before holds it
+	maxHandoverStateAge policy.Time = 60_000_000 // a predecessor's state is newer than that
+	maxClockSkew        policy.Time = 1_000_000  // between the clocks of two processes
+	bindRetryDelay                  = 200 * time.Millisecond
 )
 
-// passingConns tells whether connections are being passed on to a newer process.
+// passingConns reports whether connections are being passed to a successor.
 func (h *handovers) passingConns() bool { return h.connsToPass != nil }
 
 // findPredecessor looks for a process that serves already.
-func (l *Loop) findPredecessor() {
-	if l.snapshots.RendezvousPath == "" {
+func (g *Gateway) findPredecessor() {
+	if g.snapshots.RendezvousPath == "" {
 		return
 	}
-	before, err := hotrestart.Ask(l.snapshots.RendezvousPath)
+	predecessor, err := hotrestart.Ask(g.snapshots.RendezvousPath)
 	if err != nil {
 		return
 	}
-	l.log.Info("handover: another process serves; taking its place")
-	l.handover.predecessor, l.snapshots.Successor = before, true
+	g.log.Info("handover: another process serves; taking its place")
+	g.handover.predecessor = predecessor
+	g.snapshots.Successor = true
 }
 
-// listenForSuccessor has the next process find this one.
-func (l *Loop) listenForSuccessor() {
-	if l.snapshots.RendezvousPath == "" {
+// listenForSuccessor lets the next process find this one.
+func (g *Gateway) listenForSuccessor() {
+	if g.snapshots.RendezvousPath == "" {
 		return
 	}
-	line, err := hotrestart.Listen(l.snapshots.RendezvousPath)
+	listener, err := hotrestart.Listen(g.snapshots.RendezvousPath)
 	if err != nil {
-		l.log.Warn("a newer process will start cold", "error", err)
+		g.log.Warn("handover: a successor will start without state", "error", err)
 		return
 	}
-	l.handover.listener = line
-	go line.Serve(func(a *hotrestart.Successor) { l.postUrgent(successorReady{a}) })
+	g.handover.listener = listener
+	go listener.Serve(func(s *hotrestart.Successor) { g.postUrgent(successorReady{s}) })
 }
 
-// end ends what is between the processes, once all is passed on.
+// end waits until all connections are passed on, and ends the links to other processes.
 func (h *handovers) end() {
 	if h.listener != nil {
 		h.listener.Close()
@@ -75,393 +70,305 @@
 	}
 }
 
-// takeFromPredecessor takes the place of the process before, and then its clients' connections.
-func (l *Loop) takeFromPredecessor() {
-	left, err := l.handover.predecessor.Take()
-	e := predecessorState{handed: left, err: err}
+// takeFromPredecessor takes over the predecessor's state. It runs on a goroutine of its own.
+func (g *Gateway) takeFromPredecessor() {
+	handed, err := g.handover.predecessor.Take()
+	e := predecessorState{handed: handed, err: err}
 	if err == nil {
-		e.state, e.err = snapshot.Decode(left.Snapshot)
+		e.state, e.err = snapshot.Decode(handed.Snapshot)
 	}
-	l.postUrgent(e)
+	g.postUrgent(e)
 }
 
-// predecessorState is what the process before has left, or why there is nothing.
+// predecessorState is what the predecessor has handed over, or why there is nothing.
 type predecessorState struct {
 	handed hotrestart.State
 	state  policy.Snapshot
 	err    error
 }
 
-func (e predecessorState) handle(l *Loop) {
-	before := l.handover.predecessor
+func (e predecessorState) handle(g *Gateway) {
 	if e.err == nil {
-		if ahead := e.state.At - l.now(); ahead > 0 && ahead < maxClockSkew {
-			e.state.At = l.now()
-		}
-		e.err = l.balancer.Restore(l.now(), maxHandoverStateAge, &e.state)
-	}
-	if e.err == nil {
-		e.err = before.Accepted()
+		e.err = e.restore(g)
 	}
 	if e.err != nil {
-		l.log.Error("handover: starting cold beside the process before", "error", e.err)
-		before.Close()
+		g.log.Error("handover: starting without state beside the predecessor", "error", e.err)
+		g.handover.predecessor.Close()
 	} else {
-		l.log.Info("handover: state taken in", "customers", len(e.state.Customers), "backends", len(e.state.Backends))
-		go func() {
-			if err := before.Clients(l.receiveConn); err != nil {
-				l.log.Warn("handover: clients' connections", "error", err)
-			}
-		}()
+		g.log.Info("handover: state restored",
+			"customers", len(e.state.Customers), "backends", len(e.state.Backends))
+		go g.receiveConns()
+	}
+	e.takePeerSocket(g)
+	if g.snapshots.Store != nil {
+		g.beginSnapshots()
+	}
+	g.serveClients()
+}
+
+// restore loads the state into the balancer and tells the predecessor so.
+func (e *predecessorState) restore(g *Gateway) error {
+	if ahead := e.state.At - g.now(); ahead > 0 && ahead < maxClockSkew {
+		e.state.At = g.now()
 	}
+	if err := g.balancer.Restore(g.now(), maxHandoverStateAge, &e.state); err != nil {
+		return err
+	}
+	return g.handover.predecessor.Accepted()
+}
+
+// takePeerSocket continues with the predecessor's socket for peers' messages, or opens one.
+func (e *predecessorState) takePeerSocket(g *Gateway) {
 	switch {
 	case e.handed.Notes != nil && e.err == nil:
-		l.peers.conn = e.handed.Notes
-		go l.peers.readMessages(l)
-	case l.cfg.Settings.Peers:
+		g.peers.conn = e.handed.Notes
+		go g.peers.readMessages(g)
+	case g.cfg.Settings.Peers:
 		if e.handed.Notes != nil {
 			_ = e.handed.Notes.Close()
 		}
-		go l.bindPeerSocket()
-	}
-	if l.snapshots.Store != nil {
-		l.beginSnapshots()
+		go g.bindPeerSocket()
 	}
-	l.serveClients()
 }
 
-// bindPeerSocket has the notes' socket as soon as the process before has gone.
-func (l *Loop) bindPeerSocket() {
+// bindPeerSocket opens the peers' socket as soon as the predecessor has closed it. It runs on a
+// goroutine of its own.
+func (g *Gateway) bindPeerSocket() {
 	for {
-		p, err := newPeers(&l.cfg, l.log)
+		p, err := newPeers(&g.cfg, g.log)
 		if err == nil {
-			l.postUrgent(peerSocketBound{p.conn})
+			g.postUrgent(peerSocketBound{p.conn})
 			return
 		}
 		time.Sleep(bindRetryDelay)
 	}
 }
 
-// peerSocketBound is the notes' socket, had late.
+// peerSocketBound is the peers' socket, opened late.
 type peerSocketBound struct{ conn *net.UDPConn }
 
-func (e peerSocketBound) handle(l *Loop) {
-	if l.lifecycle.Parted() {
+func (e peerSocketBound) handle(g *Gateway) {
+	if g.lifecycle.Parted() {
 		_ = e.conn.Close()
 		return
 	}
-	l.peers.conn = e.conn
-	go l.peers.readMessages(l)
+	g.peers.conn = e.conn
+	go g.peers.readMessages(g)
+}
+
+// receiveConns takes over the clients' connections of the predecessor until it has passed all. It
+// runs on a goroutine of its own.
+func (g *Gateway) receiveConns() {
+	err := g.handover.predecessor.Clients(g.receiveConn)
+	if err != nil {
+		g.log.Warn("handover: clients' connections", "error", err)
+	}
 }
 
-// receiveConn takes in a connection from the process before.
-func (l *Loop) receiveConn(c hotrestart.Client) {
-	l.clients.slots <- struct{}{}
-	l.post(connReceived{c})
+// receiveConn posts a connection from the predecessor, once there is a place for it.
+func (g *Gateway) receiveConn(c hotrestart.Client) {
+	g.clients.slots <- struct{}{}
+	g.post(connReceived{c})
 }
 
+// connReceived is a client's connection from the predecessor.
 type connReceived struct{ from hotrestart.Client }
 
-func (e connReceived) handle(l *Loop) {
-	head, now := &e.from.Head, l.now()
+func (e connReceived) handle(g *Gateway) {
+	head := &e.from.Head
+	now := g.now()
 	c := newClient(e.from.Conn, now)
 	c.commands = head.Asked
 	if head.Known {
-		c.credential = &forwardauth.Credential{User: head.User, Secret: head.Secret, Named: head.Named}
+		c.credential = &forwardauth.Credential{
+			User: head.User, Secret: head.Secret, Named: head.Named,
+		}
 	}
-	c.reading.unread, c.reading.inheritedCommands, c.reading.inheritedAge = e.from.Rest, head.Kept, head.AgeUS
+	c.reading.unread = e.from.Rest
+	c.reading.inheritedCommands = head.Kept
+	c.reading.inheritedAge = head.AgeUS
 	c.reading.inheritedAt = now
-	l.metrics.PassedIn.Add(1)
-	l.startClient(c)
+	g.metrics.PassedIn.Add(1)
+	g.startClient(c)
 }
 
-// successorReady tells that a newer process could serve. It is given all that this one knows;
-// what comes meanwhile is kept, for one of the two.
+// successorReady tells that a successor is ready to take over. It is given this process's state;
+// commands that come meanwhile are held until it is known which process answers them.
 type successorReady struct{ successor *hotrestart.Successor }
 
-func (e successorReady) handle(l *Loop) {
-	if l.handover.successor != nil || l.lifecycle.Parted() {
+func (e successorReady) handle(g *Gateway) {
+	if g.handover.successor != nil || g.lifecycle.Parted() {
 		e.successor.Close()
 		return
 	}
-	l.handover.successor = e.successor
-	l.lifecycle.Pause()
-	past := time.Unix(1, 0)
-	_ = l.clients.listener.SetDeadline(past)
-	left := hotrestart.State{Notes: l.peers.conn}
-	if left.Notes != nil {
-		_ = left.Notes.SetReadDeadline(past)
+	g.handover.successor = e.successor
+	g.lifecycle.Pause()
+	_ = g.clients.listener.SetDeadline(expired)
+	state := hotrestart.State{Notes: g.peers.conn}
+	if state.Notes != nil {
+		_ = state.Notes.SetReadDeadline(expired)
 	}
 	var err error
-	if left.Snapshot, err = snapshot.Encode(l.balancer.TakeSnapshot(l.now(), true)); err != nil {
+	state.Snapshot, err = snapshot.Encode(g.balancer.TakeSnapshot(g.now(), true))
+	if err != nil {
 		e.successor.Close()
-		handoverDone{err}.handle(l)
+		handoverDone{err}.handle(g)
 		return
 	}
-	go func() { l.postUrgent(handoverDone{e.successor.Give(left)}) }()
+	go func() { g.postUrgent(handoverDone{e.successor.Give(state)}) }()
 }
 
-// handoverDone tells whether the newer process has taken over.
+// handoverDone tells whether the successor has taken over; err: why not.
 type handoverDone struct{ err error }
 
-func (e handoverDone) handle(l *Loop) {
+func (e handoverDone) handle(g *Gateway) {
 	if e.err != nil {
-		l.log.Error("handover: the newer process did not take over; this one serves on", "error", e.err)
-		l.resumeServing()
+		g.log.Error("handover: the successor did not take over; this process serves on",
+			"error", e.err)
+		g.resumeServing()
 		return
 	}
-	l.log.Info("handover: a newer process has taken over", "open", l.open, "connections", len(l.clients.conns))
-	l.lifecycle.Part(true)
-	h := &l.handover
-	h.connsToPass, h.allPassed = make(chan hotrestart.Client, cap(l.clients.slots)+1), make(chan struct{})
+	g.log.Info("handover: the successor has taken over",
+		"open", g.requests.open, "connections", len(g.clients.conns))
+	g.lifecycle.Part(true)
+	h := &g.handover
+	h.connsToPass = make(chan hotrestart.Client, cap(g.clients.slots)+1) // sends never block
+	h.allPassed = make(chan struct{})
 	go h.passAll()
-	if l.peers.conn != nil {
-		_ = l.peers.conn.Close()
-		l.peers.conn = nil
+	if g.peers.conn != nil {
+		_ = g.peers.conn.Close()
+		g.peers.conn = nil
 	}
-	l.storeLastSnapshot()
-	for c := range l.clients.conns {
+	g.storeLastSnapshot()
+	for c := range g.clients.conns {
 		c.reading.requestPart(c.conn)
 	}
-	l.step()
+	g.shutdown.step(g)
 }
 
-// resumeServing goes on as if no newer process had come.
-func (l *Loop) resumeServing() {
-	l.handover.successor = nil
-	l.lifecycle.Unpause()
-	if !l.shutdown.acceptingEnds {
-		_ = l.clients.listener.SetDeadline(time.Time{})
+// resumeServing goes on as if there had been no successor, and admits the held commands.
+func (g *Gateway) resumeServing() {
+	g.handover.successor = nil
+	g.lifecycle.Unpause()
+	if !g.shutdown.acceptingEnds {
+		_ = g.clients.listener.SetDeadline(time.Time{})
 		select {
-		case l.clients.resumeAccept <- struct{}{}:
+		case g.clients.resumeAccept <- struct{}{}:
 		default:
 		}
 	}
-	if l.peers.conn != nil {
-		_ = l.peers.conn.SetReadDeadline(time.Time{})
-		go l.peers.readMessages(l)
+	if g.peers.conn != nil {
+		_ = g.peers.conn.SetReadDeadline(time.Time{})
+		go g.peers.readMessages(g)
 	}
-	for c := range l.clients.conns {
-		kept := c.reading.held
+	for c := range g.clients.conns {
+		held := c.reading.held
 		c.reading.held = nil
-		for _, e := range kept {
+		for _, e := range held {
 			if c.closed {
 				break
 			}
-			l.admit(e)
+			g.admit(e)
 		}
 	}
 }
 
-// holdForSuccessor tells whether a command is not taken in here, but kept until it is known who
-// takes it.
-func (l *Loop) holdForSuccessor(e commandRead) bool {
-	if l.handover.successor == nil || l.lifecycle.Abandons(l.now()) {
+// holdForSuccessor holds a command while it is open which process answers it, or passes it on with
+// its connection. It returns false if this process is to answer.
+func (g *Gateway) holdForSuccessor(e commandRead) bool {
+	if g.handover.successor == nil || g.lifecycle.Abandons(g.now()) {
 		return false
 	}
 	c := e.client
-	if len(c.reading.held) == 0 && e.command.args == nil && !l.handover.passingConns() {
-		return false // it needs no decision, and this process still answers
+	needsDecision := e.command.args != nil
+	if len(c.reading.held) == 0 && !needsDecision && !g.handover.passingConns() {
+		return false
 	}
 	c.reading.held = append(c.reading.held, e)
-	c.reading.parted = c.reading.parted || e.framingLost // nothing more is read after it
-	l.passToSuccessor(c)
+	if e.framingLost { // nothing more is read after it
+		c.reading.parted = true
+	}
+	g.passToSuccessor(c)
 	return true
 }
 
-// passToSuccessor passes a client's connection on as soon as it stands between two requests.
-func (l *Loop) passToSuccessor(c *client) {
-	s := &c.reading
-	if !l.handover.passingConns() || !s.parted || c.closed || c.writeEnded || c.overLimit || c.ignoreInput.Load() || len(c.pipeline) > 0 || !c.out.drained() {
+// mayPass reports whether a client's connection can be passed on now: its reader has ended, and no
+// answer is pending.
+func (c *client) mayPass() bool {
+	ended := c.closed || c.writeEnded || c.overLimit || c.ignoreInput.Load()
+	return c.reading.parted && !ended && len(c.pipeline) == 0 && c.out.drained()
+}
+
+// passToSuccessor passes a client's connection to the successor, if connections are being passed
+// and this one may be. It is called again whenever that may have changed.
+func (g *Gateway) passToSuccessor(c *client) {
+	if !g.handover.passingConns() || !c.mayPass() {
 		return
 	}
-	p := hotrestart.Client{Conn: c.conn, Head: hotrestart.Head{Asked: c.commands, Kept: len(s.held)}}
+	passed := c.handedState(g.now())
+	c.endReader()
+	g.clients.remove(c)
+	g.metrics.PassedOn.Add(1)
+	g.handover.connsToPass <- passed
+}
+
+// handedState is what a successor needs to know of a connection.
+func (c *client) handedState(now policy.Time) hotrestart.Client {
+	rc := &c.reading
+	p := hotrestart.Client{
+		Conn: c.conn,
+		Head: hotrestart.Head{Asked: c.commands, Kept: len(rc.held)},
+	}
 	if k := c.credential; k != nil {
-		p.Head.Known, p.Head.User, p.Head.Secret, p.Head.Named = true, k.User, k.Secret, k.Named
+		p.Head.Known = true
+		p.Head.User = k.User
+		p.Head.Secret = k.Secret
+		p.Head.Named = k.Named
 	}
-	for i, e := range s.held {
+	for i, e := range rc.held {
 		if i == 0 {
-			p.Head.AgeUS = max(0, l.now()-e.arrived)
+			p.Head.AgeUS = max(0, now-e.arrived)
 		}
 		p.Rest = e.appendEncoded(p.Rest)
 	}
-	if s.inheritedCommands > 0 && len(s.held) == 0 { // from the process before, and not read here
-		p.Head.Kept, p.Head.AgeUS = s.inheritedCommands, s.inheritedAge+l.now()-s.inheritedAt
+	if rc.inheritedCommands > 0 && len(rc.held) == 0 {
+		// They came from the predecessor and were never read here.
+		p.Head.Kept = rc.inheritedCommands
+		p.Head.AgeUS = rc.inheritedAge + now - rc.inheritedAt
 	}
-	p.Rest = append(p.Rest, s.unread...)
-	c.closed = true
-	close(c.done)
-	delete(l.clients.conns, c)
-	<-l.clients.slots
-	l.metrics.PassedOn.Add(1)
-	l.handover.connsToPass <- p
+	p.Rest = append(p.Rest, rc.unread...)
+	return p
 }
 
-// passAll passes connections on. What the newer process can't be given any more is closed:
-// it has died.
+// passAll passes connections on until connsToPass is closed. After an error the successor is taken
+// for dead, and the rest is closed. It runs on a goroutine of its own.
 func (h *handovers) passAll() {
 	defer close(h.allPassed)
 	var err error
-	for p := range h.connsToPass {
+	for c := range h.connsToPass {
 		if err == nil {
-			err = h.successor.Pass(p)
+			err = h.successor.Pass(c)
 		}
-		_ = p.Conn.Close()
-	}
-}
-
-// appendEncoded appends a command as it could be read anew.
-func (e *commandRead) appendEncoded(b []byte) []byte {
-	args := e.rawArgs
-	if args == nil { // it was none that could be read: it is refused there as here
-		args = [][]byte{[]byte("UNREADABLE")}
+		_ = c.Conn.Close()
 	}
-	b = resp.AppendArray(b, len(args))
-	for _, a := range args {
-		b = resp.AppendBulk(b, a)
-	}
-	return b
 }
 
-// readingParted tells that a client's connection is not read any more, and what was read
-// of it beyond its last command.
+// readingParted tells that a client's reader has ended, and what it had read beyond the last
+// command.
 type readingParted struct {
 	client *client
 	rest   []byte
 }
 
-func (e readingParted) handle(l *Loop) {
+func (e readingParted) handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
 	}
-	c.reading.parted, c.reading.unread = true, e.rest
-	l.passToSuccessor(c)
+	c.reading.parted = true
+	c.reading.unread = e.rest
+	g.passToSuccessor(c)
 	if !c.closed && c.closeWhenIdle && len(c.pipeline) == 0 {
-		c.finish(l)
-	}
-}
-
-// readControl is what two processes need to read one connection after another. The loop owns
-// what has no lock.
-type readControl struct {
-	mu            sync.Mutex
-	inCommand     bool      // a command is being read
-	partRequested bool      // the reading ends between two commands
-	haltRequested bool      // it halts there, once nothing of another is read
-	firstDeadline time.Time // by when the first command has to come; zero: it has
-
-	parted bool          // it has
-	unread []byte        // what was read beyond the last command
-	held   []commandRead // commands that nobody has taken yet
-
-	inheritedCommands int         // commands of rest that came with the connection, whole,
-	inheritedAge      policy.Time // how old the first was
-	inheritedAt       policy.Time // at this time
-}
-
-// beginCommand tells a reader whether it may read a command, given what its waiting for one ended with.
-func (s *readControl) beginCommand(conn net.Conn, err error) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.inCommand = !s.partRequested && err == nil
-	if s.inCommand && s.haltRequested {
-		_ = conn.SetReadDeadline(s.firstDeadline) // it came while the reading was about to halt
-	}
-	return !s.partRequested
-}
-
-// haltedBy tells whether the waiting for a command has ended because the reading is to halt.
-func (s *readControl) haltedBy(err error) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.haltRequested && errors.Is(err, os.ErrDeadlineExceeded)
-}
-
-// endCommand tells that the command was read.
-func (s *readControl) endCommand(conn net.Conn, spoken bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.inCommand = false
-	if spoken {
-		s.firstDeadline = time.Time{}
-	}
-	if s.partRequested || s.haltRequested {
-		_ = conn.SetReadDeadline(time.Unix(1, 0))
-	} else if spoken {
-		_ = conn.SetReadDeadline(time.Time{})
-	}
-}
-
-// setFirstDeadline has the first command come by a time.
-func (s *readControl) setFirstDeadline(conn net.Conn, first time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.firstDeadline = first
-	if !s.partRequested && !s.haltRequested {
-		_ = conn.SetReadDeadline(first)
-	}
-}
-
-// requestHalt has the reading halt once nothing of a command is read that was not posted.
-func (s *readControl) requestHalt(conn net.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.haltRequested = true
-	if !s.inCommand {
-		_ = conn.SetReadDeadline(time.Unix(1, 0))
-	}
-}
-
-// resume lets it go on.
-func (s *readControl) resume(conn net.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.haltRequested = false; !s.partRequested {
-		_ = conn.SetReadDeadline(s.firstDeadline)
-	}
-}
-
-// requestPart ends the reading: at once, or after the command that is being read.
-func (s *readControl) requestPart(conn net.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.partRequested = true
-	if !s.inCommand {
-		_ = conn.SetReadDeadline(time.Unix(1, 0))
-	}
-}
-
-// arrivalTime is when a command came that has just been read. It belongs to the reader.
-func (s *readControl) arrivalTime(now policy.Time) policy.Time {
-	if s.inheritedCommands == 0 {
-		return now
-	}
-	s.inheritedCommands--
-	return s.inheritedAt - s.inheritedAge
-}
-
-// activityReader takes note of when something comes from a client.
-type activityReader struct {
-	from   io.Reader
-	client *client
-	clock  clock
-}
-
-func (r *activityReader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
-	if n > 0 {
-		r.client.lastByte.Store(r.clock.now())
-	}
-	return n, err
-}
-
-// commandSource is where a client's commands are read from.
-func (c *client) commandSource() io.Reader {
-	if len(c.reading.unread) == 0 {
-		return c.conn
+		c.finish(g)
 	}
-	rest := c.reading.unread
-	c.reading.unread = nil
-	return io.MultiReader(bytes.NewReader(rest), c.conn)
 }
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -197,7 +197,7 @@
 // rig is a gateway between fakes.
 type rig struct {
 	addr    string
-	loop    *Loop
+	gateway *Gateway
 	reload  chan struct{}
 	configs chan func() (Config, error) // what the next reload reads
 	once    sync.Once
@@ -209,7 +209,7 @@
 // the tests that are about it wait for one.
 type halt struct{}
 
-func (halt) handle(l *Loop) { l.done = true }
+func (halt) handle(g *Gateway) { g.done = true }
 
 // stop begins a planned shutdown.
 func (r *rig) stop() { r.once.Do(func() { close(r.stopped) }) }
@@ -243,34 +243,34 @@
 }
 
 // unstarted is a gateway whose loop a test runs by hand.
-func unstarted(t testing.TB, d *fakeDiscovery) *Loop {
+func unstarted(t testing.TB, d *fakeDiscovery) *Gateway {
 	t.Helper()
-	l, err := newLoop(configure(t, d, nil), quiet())
+	g, err := newGateway(configure(t, d, nil), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.clients.listener.Close() })
-	return l
+	t.Cleanup(func() { g.clients.listener.Close() })
+	return g
 }
 
 // begin starts a gateway and waits until it is ready.
-func begin(t testing.TB, cfg Config) *rig { return beginWith(t, cfg, func(*Loop) {}) }
+func begin(t testing.TB, cfg Config) *rig { return beginWith(t, cfg, func(*Gateway) {}) }
 
 // beginWith is begin, with the loop as a test wants it.
-func beginWith(t testing.TB, cfg Config, prepare func(*Loop)) *rig {
+func beginWith(t testing.TB, cfg Config, prepare func(*Gateway)) *rig {
 	t.Helper()
-	l, err := newLoop(cfg, quiet())
+	g, err := newGateway(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	prepare(l)
-	r := &rig{addr: l.clients.listener.Addr().String(), loop: l, stopped: make(chan struct{}), ended: make(chan struct{}),
+	prepare(g)
+	r := &rig{addr: g.clients.listener.Addr().String(), gateway: g, stopped: make(chan struct{}), ended: make(chan struct{}),
 		reload: make(chan struct{}), configs: make(chan func() (Config, error), 1)}
 	control := Control{Stop: r.stopped, Reload: r.reload, ReadConfig: func() (Config, error) { return (<-r.configs)() }}
-	go func() { l.serve(control); close(r.ended) }()
+	go func() { g.serve(control); close(r.ended) }()
 	t.Cleanup(func() {
 		select {
-		case l.urgent <- halt{}:
+		case g.urgent <- halt{}:
 		case <-r.ended:
 		case <-time.After(patience):
 		}
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -14,25 +14,25 @@
 func TestIdleTimeOfAResetConnectionCountsToTheWrite(t *testing.T) {
 	const stood = 5 * time.Second
 	b := newBackend(t)
-	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(l *Loop) {
-		l.backends.restDuration = policy.Time(time.Hour.Microseconds()) // until the test ends it
+	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(g *Gateway) {
+		g.backends.restDuration = policy.Time(time.Hour.Microseconds()) // until the test ends it
 	})
 	c, other := r.client(t), r.client(t)
 	c.lookup(1, "60000")
 	b.next(t).serve(t, "one")
 	c.value("one")
 	other.lookup(2, "60000")
-	until(t, r.loop, "a request that waits for the connection to have rested", func(l *Loop) bool {
-		return len(l.backends.byNumber[1].waiting) == 1
+	until(t, r.gateway, "a request that waits for the connection to have rested", func(g *Gateway) bool {
+		return len(g.backends.byNumber[1].waiting) == 1
 	})
-	ask(t, r.loop, func(l *Loop) bool {
-		server := l.backends.byNumber[1]
+	ask(t, r.gateway, func(g *Gateway) bool {
+		server := g.backends.byNumber[1]
 		conn, waiting := server.idle[0], server.waiting[0]
 		conn.idleSince -= stood.Microseconds()
 		waiting.startedAt = conn.idleSince - stood.Microseconds()
-		conn.restsUntil = l.now()
-		l.backends.idleTrust.lastBroken = l.now() // one that breaks alone is chance
-		connRested{conn}.due(l)
+		conn.restsUntil = g.now()
+		g.backends.idleTrust.lastBroken = g.now() // one that breaks alone is chance
+		connRested{conn}.due(g)
 		waiting.writtenAt += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
 		return true
 	})
@@ -41,7 +41,7 @@
 	call.conn.Close()
 	b.next(t).serve(t, "two") // by another
 	other.value("two")
-	if learnt := ask(t, r.loop, func(l *Loop) policy.Time { return l.backends.idleTrust.learnedLimit }); learnt < stood.Microseconds()/2 {
+	if learnt := ask(t, r.gateway, func(g *Gateway) policy.Time { return g.backends.idleTrust.learnedLimit }); learnt < stood.Microseconds()/2 {
 		t.Errorf("a connection is trusted for %d us, this one had stood idle for %d", learnt, stood.Microseconds())
 	}
 }
--- a/internal/dataplane/gateway/idle_trust.go
+++ b/internal/dataplane/gateway/idle_trust.go
@@ -2,39 +2,44 @@
 
 import "mothcleat/internal/dataplane/policy"
 
-// idleTrust learns for how long an idle connection can still be trusted. Something on
-// the way may forget connections that stand idle, and tell nobody: the next
-// request then ends as a reset, and may have run.
+// idleTrust learns for how long an idle connection can still be trusted. A middlebox may silently
+// drop idle connections; the next request on one then ends as a reset and may have been executed.
+// It belongs to the event loop.
 type idleTrust struct {
-	maxIdle      policy.Time // where nothing speaks against it
-	learnedLimit policy.Time // 0: nothing
+	maxIdle      policy.Time // the limit while nothing speaks against it
+	learnedLimit policy.Time // 0: none
 	learnedAt    policy.Time
-	lastBroken   policy.Time // when a kept connection last proved dead
+	lastBroken   policy.Time // when an idle connection last proved dead
 }
 
 const (
-	deadConnDetectionTime = 20_000    // so soon a dead connection shows when it is used
-	minIdleTrust          = 30_000    // what is learnt is never less,
-	idleTrustRecovery     = 2_000_000 // doubles in this time, and two that break within it count
+	// A connection that was dead before its use shows so soon after it.
+	deadConnDetectionTime policy.Time = 20_000
+	minIdleTrust          policy.Time = 30_000 // the least limit
+	// The limit doubles in this time; two connections that break within it count.
+	idleTrustRecovery policy.Time = 2_000_000
 )
 
-// limit is how long a connection may have been idle.
-func (k *idleTrust) limit(now policy.Time) policy.Time {
-	if k.learnedLimit == 0 {
-		return k.maxIdle
+// limit returns for how long a connection that is used may have been idle.
+func (t *idleTrust) limit(now policy.Time) policy.Time {
+	if t.learnedLimit == 0 {
+		return t.maxIdle
 	}
-	most := k.learnedLimit
-	for healed := k.learnedAt + idleTrustRecovery; healed <= now && most < k.maxIdle; healed += idleTrustRecovery {
-		most *= 2
+	limit := t.learnedLimit
+	recovered := t.learnedAt + idleTrustRecovery
+	for recovered <= now && limit < t.maxIdle {
+		limit *= 2
+		recovered += idleTrustRecovery
 	}
-	return min(most, k.maxIdle)
+	return min(limit, t.maxIdle)
 }
 
-// connBroken takes in that a connection that was idle for so long was dead when used.
-// Once is chance.
-func (k *idleTrust) connBroken(now, idle policy.Time) {
-	if k.lastBroken != 0 && now-k.lastBroken < idleTrustRecovery {
-		k.learnedLimit, k.learnedAt = max(minIdleTrust, min(k.limit(now), idle/2)), now
+// connBroken records that a connection that had been idle for some time was dead when used. A
+// single one is taken for chance.
+func (t *idleTrust) connBroken(now, idle policy.Time) {
+	if t.lastBroken != 0 && now-t.lastBroken < idleTrustRecovery {
+		t.learnedLimit = max(minIdleTrust, min(t.limit(now), idle/2))
+		t.learnedAt = now
 	}
-	k.lastBroken = now
+	t.lastBroken = now
 }
--- a/internal/dataplane/gateway/idle_trust_test.go
+++ b/internal/dataplane/gateway/idle_trust_test.go
@@ -36,23 +36,23 @@
 // nothing was sent, and something listens there.
 func TestResetDialIsMadeOnceMore(t *testing.T) {
 	b := newBackend(t)
-	l := unstarted(t, newFakeDiscovery(t))
-	l.backends.updateEndpoints(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
-	a := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
-	l.backends.startAttempt(l, a, 1)
+	g := unstarted(t, newFakeDiscovery(t))
+	g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	a := &attempt{startedAt: g.now(), deadline: g.now() + 1e9}
+	g.backends.startAttempt(g, a, 1)
 	for i, want := range []bool{false, true} {
-		e := wait(t, l.events, "a dial").(dialed)
+		e := wait(t, g.events, "a dial").(dialed)
 		if e.err != nil {
 			t.Fatal(e.err)
 		}
 		_ = e.conn.Close()
 		e.conn, e.err = nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
-		e.handle(l)
+		e.handle(g)
 		if a.ended != want {
 			t.Fatalf("after %d resets the attempt has ended: %t", i+1, a.ended)
 		}
 	}
-	if got := l.queue[len(l.queue)-1].(attemptOutcome).result; got != policy.ConnectFailed {
+	if got := g.queue[len(g.queue)-1].(attemptOutcome).result; got != policy.ConnectFailed {
 		t.Errorf("result %d", got)
 	}
 }
--- a/internal/dataplane/gateway/malformed_reply_test.go
+++ b/internal/dataplane/gateway/malformed_reply_test.go
@@ -21,30 +21,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
-			l := unstarted(t, newFakeDiscovery(t))
+			g := unstarted(t, newFakeDiscovery(t))
 			m := member{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}
-			l.backends.updateEndpoints(l, policy.Complete, []member{m})
-			first := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
-			l.backends.startAttempt(l, first, 1)
-			wait(t, l.events, "the dial").handle(l)
+			g.backends.updateEndpoints(g, policy.Complete, []member{m})
+			first := &attempt{startedAt: g.now(), deadline: g.now() + 1e9}
+			g.backends.startAttempt(g, first, 1)
+			wait(t, g.events, "the dial").handle(g)
 			used := first.conn
 			call := b.next(t) // a probe: its answer is read like any other
 			call.answer(t, answers[0])
-			wait(t, l.events, "the answer").handle(l)
+			wait(t, g.events, "the answer").handle(g)
 			var late event
 			if len(answers) > 1 {
 				call.answer(t, answers[1])
-				late = wait(t, l.events, "what follows") // read, and not taken in yet
+				late = wait(t, g.events, "what follows") // read, and not taken in yet
 			}
-			second := &attempt{startedAt: l.now(), deadline: l.now() + 1e9}
-			l.backends.startAttempt(l, second, 1)
+			second := &attempt{startedAt: g.now(), deadline: g.now() + 1e9}
+			g.backends.startAttempt(g, second, 1)
 			if late != nil {
-				late.handle(l)
+				late.handle(g)
 			}
 			for again := false; !again; {
-				e := wait(t, l.events, "another dial")
+				e := wait(t, g.events, "another dial")
 				_, again = e.(dialed)
-				e.handle(l)
+				e.handle(g)
 			}
 			if !first.ended || second.ended || second.conn == nil || second.conn == used {
 				t.Errorf("first attempt %+v, second %+v", first, second)
@@ -54,16 +54,16 @@
 }
 
 // restsFor has connections to backends rest after an answer for as long as a test wants.
-func restsFor(rest policy.Time) func(*Loop) {
-	return func(l *Loop) { l.backends.restDuration = rest }
+func restsFor(rest policy.Time) func(*Gateway) {
+	return func(g *Gateway) { g.backends.restDuration = rest }
 }
 
 // haveRested waits until the idle connections to a backend have rested.
 func haveRested(t testing.TB, r *rig) {
 	t.Helper()
-	until(t, r.loop, "connections that have rested", func(l *Loop) bool {
-		b := l.backends.byNumber[1]
-		return len(b.idle) > 0 && !slices.ContainsFunc(b.idle, func(c *backendConn) bool { return l.now() < c.restsUntil })
+	until(t, r.gateway, "connections that have rested", func(g *Gateway) bool {
+		b := g.backends.byNumber[1]
+		return len(b.idle) > 0 && !slices.ContainsFunc(b.idle, func(c *backendConn) bool { return g.now() < c.restsUntil })
 	})
 }
 
@@ -80,7 +80,7 @@
 		first.serve(t, value)
 		c.value(value)
 		c.lookup(2, "60000")
-		until(t, r.loop, "the next request", func(l *Loop) bool { return l.nextID == 2 })
+		until(t, r.gateway, "the next request", func(g *Gateway) bool { return g.requests.lastID == 2 })
 		first.answer(t, second)
 		wait(t, b.ended, "the end of the connection with a second answer")
 		b.next(t).serve(t, "two")
@@ -90,7 +90,7 @@
 		r, b, dials, first, c, other := oneWaitsForItsDial(t, restsFor(1e12))
 		first.serve(t, value)
 		c.value(value)
-		until(t, r.loop, "the answer", func(l *Loop) bool { return l.open == 1 })
+		until(t, r.gateway, "the answer", func(g *Gateway) bool { return g.requests.open == 1 })
 		first.answer(t, second)
 		wait(t, b.ended, "the end of the connection with a second answer")
 		close(dials.goOn)
@@ -100,11 +100,11 @@
 }
 
 // oneWaitsForItsDial is a backend that has got one client's request, while another's waits for a dial that is held.
-func oneWaitsForItsDial(t *testing.T, prepare func(*Loop)) (r *rig, b *fakeBackend, dials *heldDials, first *backendCall, c, other *testClient) {
+func oneWaitsForItsDial(t *testing.T, prepare func(*Gateway)) (r *rig, b *fakeBackend, dials *heldDials, first *backendCall, c, other *testClient) {
 	b = newBackend(t)
-	r = beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) {
-		prepare(l)
-		dials = holdDials(l)
+	r = beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) {
+		prepare(g)
+		dials = holdDials(g)
 	})
 	c, other = r.client(t), r.client(t)
 	c.lookup(1, "60000")
@@ -127,17 +127,17 @@
 		first.serve(t, "one")
 		c.value("one")
 		c.lookup(2, "60000")
-		until(t, r.loop, "the next request", func(l *Loop) bool { return l.nextID == 2 })
-		ask(t, r.loop, func(l *Loop) bool {
-			b := l.backends.byNumber[1]
+		until(t, r.gateway, "the next request", func(g *Gateway) bool { return g.requests.lastID == 2 })
+		ask(t, r.gateway, func(g *Gateway) bool {
+			b := g.backends.byNumber[1]
 			if len(b.waiting) != 1 || b.dialing != 0 || len(b.idle) != 1 {
 				t.Errorf("%d wait, %d dials, %d idle connections", len(b.waiting), b.dialing, len(b.idle))
 			}
 			c := b.idle[0]
 			if c.restsUntil = 0; ends {
-				l.backends.closeIdleOf(b)
+				g.backends.closeIdleOf(b)
 			}
-			connRested{c}.due(l)
+			connRested{c}.due(g)
 			return true
 		})
 		next := b.next(t)
@@ -151,7 +151,7 @@
 
 // What waits for a connection goes by one that has rested, if that is sooner than its dial.
 func TestRestedConnectionIsUsed(t *testing.T) {
-	_, b, dials, first, c, other := oneWaitsForItsDial(t, func(*Loop) {})
+	_, b, dials, first, c, other := oneWaitsForItsDial(t, func(*Gateway) {})
 	defer close(dials.goOn)
 	first.serve(t, "one")
 	c.value("one")
@@ -210,15 +210,15 @@
 func TestReports(t *testing.T) {
 	settings := strings.Replace(settingsText, `"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`, 1)
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) { f["settings"] = json.RawMessage(settings) })
-	l := &Loop{cfg: cfg}
-	if got := l.parseLoadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+	g := &Gateway{cfg: cfg}
+	if got := g.parseLoadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
 		t.Errorf("a good report: %v", got)
 	}
 	for _, text := range []string{
 		"", "=,=", "busy_reqs=7", "busy_reqs=7,pending=", "busy_reqs=NaN,pending=1", "busy_reqs=-1,pending=1",
 		"busy_reqs=1,pending=+Inf", "busy_reqs=1,pending=1e99",
 	} {
-		if got := l.parseLoadReport(text); got != nil {
+		if got := g.parseLoadReport(text); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
--- a/internal/dataplane/gateway/peers.go
+++ b/internal/dataplane/gateway/peers.go
@@ -9,21 +9,23 @@
 	"os"
 )
 
-const maxPeerMessageBytes = 256 // bytes in a datagram between gateways
+const maxPeerMessageBytes = 256 // of a datagram between gateways
 
-// peerLink sends and receives notes through one socket.
+// peerLink sends and receives gossip messages through one UDP socket. It belongs to the event
+// loop, but for readMessages, which runs on a goroutine of its own.
 type peerLink struct {
-	conn  *net.UDPConn
-	addrs []netip.AddrPort
+	conn  *net.UDPConn     // nil: there are no peers, or the socket is not open yet
+	addrs []netip.AddrPort // by the peers' numbers, this gateway's own among them
 	self  int
 	log   *slog.Logger
 }
 
-// newUnboundPeers is without a socket, so far.
+// newUnboundPeers makes a link whose socket is opened later.
 func newUnboundPeers(cfg *Config, log *slog.Logger) *peerLink {
 	return &peerLink{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
 }
 
+// newPeers makes a link and opens its socket, where the settings have peers.
 func newPeers(cfg *Config, log *slog.Logger) (*peerLink, error) {
 	p := newUnboundPeers(cfg, log)
 	if !cfg.Settings.Peers {
@@ -31,7 +33,9 @@
 	}
 	listen := cfg.Restart.ListenPacket
 	if listen == nil {
-		listen = func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }
+		listen = func(address string) (net.PacketConn, error) {
+			return net.ListenPacket("udp", address)
+		}
 	}
 	conn, err := listen(cfg.PeerListen)
 	if err != nil {
@@ -41,43 +45,44 @@
 	return p, nil
 }
 
-// send sends a note, which may be lost. One over the limit is never sent.
-func (p *peerLink) send(peer int, note []byte) {
+// send sends a message, which may be lost. One over the limit is never sent.
+func (p *peerLink) send(peer int, message []byte) {
 	if p.conn == nil || peer < 0 || peer >= len(p.addrs) || peer == p.self {
 		return
 	}
-	if len(note) > maxPeerMessageBytes {
-		p.log.Error("note over the limit", "bytes", len(note))
+	if len(message) > maxPeerMessageBytes {
+		p.log.Error("peer message over the limit", "bytes", len(message))
 		return
 	}
-	_, _ = p.conn.WriteToUDPAddrPort(note, p.addrs[peer])
+	_, _ = p.conn.WriteToUDPAddrPort(message, p.addrs[peer])
 }
 
-// peerMessage is a note from a peer.
+// peerMessage is a message from a peer.
 type peerMessage struct {
 	from int
 	body []byte
 }
 
-func (h peerMessage) handle(l *Loop) { l.balancer.ReceivePeerMessage(l.now(), h.from, h.body) }
+func (m peerMessage) handle(g *Gateway) { g.balancer.ReceivePeerMessage(g.now(), m.from, m.body) }
 
-// readMessages posts notes until the socket is closed. What comes from no peer, or is
-// longer than any note, is dropped.
-func (p *peerLink) readMessages(l *Loop) {
+// readMessages posts messages until the socket is closed or its read deadline passes. Datagrams
+// from other addresses, and over the limit, are dropped.
+func (p *peerLink) readMessages(g *Gateway) {
 	number := make(map[netip.AddrPort]int, len(p.addrs))
 	for i, a := range p.addrs {
 		number[a] = i
 	}
-	buf, conn := make([]byte, maxPeerMessageBytes+1), p.conn
+	buf := make([]byte, maxPeerMessageBytes+1)
+	conn := p.conn
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) { // closed, or paused
+		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		peer, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if err != nil || !ok || peer == p.self || n > maxPeerMessageBytes {
+		peer, known := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if err != nil || !known || peer == p.self || n > maxPeerMessageBytes {
 			continue
 		}
-		l.post(peerMessage{peer, append([]byte(nil), buf[:n]...)})
+		g.post(peerMessage{peer, append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/internal/dataplane/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.conn.Close() })
-	l := &Loop{events: make(chan event, 8)}
-	go p.readMessages(l)
+	g := &Gateway{eventLoop: eventLoop{events: make(chan event, 8)}}
+	go p.readMessages(g)
 
 	p.send(1, make([]byte, maxPeerMessageBytes+1))
 	p.send(0, []byte("to itself"))
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	if h := wait(t, l.events, "a note").(peerMessage); h.from != 1 || string(h.body) != "answer" {
+	if h := wait(t, g.events, "a note").(peerMessage); h.from != 1 || string(h.body) != "answer" {
 		t.Errorf("note %q from %d", h.body, h.from)
 	}
 }
--- /dev/null
+++ b/internal/dataplane/gateway/plan_terms.go
@@ -0,0 +1,157 @@
+package gateway
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+
+	"mothcleat/internal/dataplane/policy"
+	"mothcleat/internal/plans"
+)
+
+// PlanTerms puts versions of the plans in force in a gateway. What a version does not name stays as
+// configured. It is safe for concurrent use.
+type PlanTerms struct {
+	names      []string
+	configured []policy.Plan
+
+	mu      sync.Mutex
+	post    func(event) // nil: there is no gateway yet
+	pending event       // the last change, until there is a gateway; nil: none
+}
+
+// NewPlanTerms returns the plan terms of a configuration.
+func NewPlanTerms(c *Config) *PlanTerms {
+	return &PlanTerms{names: c.Host.Plans, configured: c.Settings.Plans}
+}
+
+// attach connects a gateway: changes are posted to it, also one that came before.
+func (t *PlanTerms) attach(post func(event)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.post = post
+	if t.pending != nil {
+		post(t.pending)
+		t.pending = nil
+	}
+}
+
+// CheckCatalog returns why a version of the plans can't be put in force here; nil if it can.
+func (t *PlanTerms) CheckCatalog(c *plans.Catalog) error {
+	for _, name := range c.PlanNames() {
+		if !slices.Contains(t.names, name) {
+			return fmt.Errorf("plans: %q is none of this gateway's plans", name)
+		}
+		if v, _ := c.Plan(name, 0); v.Rate < 0 || v.Rate > 0 && v.Burst <= 0 {
+			return fmt.Errorf("plans: %q: rate %v with burst %v", name, v.Rate, v.Burst)
+		}
+	}
+	return nil
+}
+
+// UseCatalogs puts a checked version in force, together with others (beside) whose terms bind as
+// well. A catalog without plans stands for the configuration. order grows with each call, and done
+// is called on the event loop's goroutine once the balancer uses the version.
+func (t *PlanTerms) UseCatalogs(
+	target *plans.Catalog, beside []*plans.Catalog, order uint64, done func(),
+) {
+	e := plansChanged{
+		plans:    slices.Clone(t.configured),
+		names:    t.names,
+		catalogs: append([]*plans.Catalog{target}, beside...),
+		order:    order,
+		done:     done,
+	}
+	for i, catalog := range e.catalogs {
+		for k, name := range t.names {
+			terms := t.termsIn(catalog, k, name)
+			if i > 0 {
+				terms = plans.Tighter(termsOf(&e.plans[k]), terms)
+			}
+			setTerms(&e.plans[k], terms)
+		}
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.post == nil {
+		t.pending = e
+		return
+	}
+	t.post(e)
+}
+
+// termsIn returns a plan's terms in a catalog, or the configured ones.
+func (t *PlanTerms) termsIn(catalog *plans.Catalog, number int, name string) plans.Terms {
+	if v, ok := catalog.Plan(name, 0); ok {
+		return v.Terms
+	}
+	return termsOf(&t.configured[number])
+}
+
+func termsOf(p *policy.Plan) plans.Terms {
+	return plans.Terms{
+		Rate:         p.Rate,
+		Burst:        p.Burst,
+		CeilingRate:  p.CeilingRate,
+		CeilingBurst: p.CeilingBurst,
+	}
+}
+
+func setTerms(p *policy.Plan, t plans.Terms) {
+	p.Rate = t.Rate
+	p.Burst = t.Burst
+	p.CeilingRate = t.CeilingRate
+	p.CeilingBurst = t.CeilingBurst
+}
+
+// plansChanged is a change of the plans' terms, or of which customer has which plan.
+type plansChanged struct {
+	plans    []policy.Plan
+	names    []string
+	catalogs []*plans.Catalog // the version in force, and those beside it
+	order    uint64
+	done     func()
+}
+
+// assigned returns the plan that the versions assign to a customer; below 0: the one that its
+// requests name. Where versions differ, the plan with the smaller quota binds.
+func (e *plansChanged) assigned(customer uint64) int {
+	assigned := -1
+	for _, catalog := range e.catalogs {
+		h, ok := catalog.At(customer, 0)
+		if !ok {
+			continue
+		}
+		k := slices.Index(e.names, h.Plan)
+		if k >= 0 && (assigned < 0 || smallerQuota(&e.plans[k], &e.plans[assigned])) {
+			assigned = k
+		}
+	}
+	return assigned
+}
+
+func smallerQuota(a, b *policy.Plan) bool {
+	return a.Rate < b.Rate || a.Rate == b.Rate && a.Burst < b.Burst
+}
+
+func (e plansChanged) handle(g *Gateway) {
+	if g.cfg.Allocations != nil {
+		g.cfg.Allocations.SetPlanOrder(e.order)
+	}
+	if err := g.balancer.UpdatePlans(g.now(), e.plans, e.assigned); err != nil {
+		g.log.Error("plans: not put in force", "error", err)
+		return
+	}
+	g.assignedPlan = e.assigned
+	e.done()
+}
+
+// applyAssignedPlan gives a request the plan that is assigned to its customer.
+func (g *Gateway) applyAssignedPlan(r *policy.Request) {
+	if g.assignedPlan == nil {
+		return
+	}
+	if k := g.assignedPlan(r.Customer); k >= 0 {
+		r.Plan = k
+	}
+}
--- a/internal/dataplane/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -197,7 +197,7 @@
 			cfg.Restart.Store = keeper(t, path)
 			spoil(t, path)
 			r := readyInTime(t, cfg)
-			if n := ask(t, r.loop, func(l *Loop) int { return l.balancer.TakeSnapshot(l.now(), false).Version }); n != policy.SnapshotVersion {
+			if n := ask(t, r.gateway, func(g *Gateway) int { return g.balancer.TakeSnapshot(g.now(), false).Version }); n != policy.SnapshotVersion {
 				t.Errorf("version %d", n)
 			}
 		})
