--- a/internal/dataplane/gateway/rejection_log.go
+++ b/internal/dataplane/gateway/rejection_log.go
@@ -7,34 +7,34 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// rejectionLog writes down why each request was refused, for people and rigs that look for
-// the cause of a loss: a line with the request's id and the reason.
+// rejectionLog records why each request was rejected, for people and test rigs that look for the
+// cause of a loss: a line with the request's id and the reason. It belongs to the event loop.
 type rejectionLog struct{ out *bufio.Writer }
 
-// openRejectionLog begins the record; nil: none is kept, and it costs nothing.
-func (l *Loop) openRejectionLog(w io.Writer) {
+// openRejectionLog starts the log; nil: none is kept, at no cost.
+func (g *Gateway) openRejectionLog(w io.Writer) {
 	if w == nil {
 		return
 	}
-	l.rejections = &rejectionLog{bufio.NewWriter(w)}
-	l.balancer.OnReject(func(id uint64, why policy.RejectReason) {
-		r := l.requests[id]
+	g.rejections = &rejectionLog{bufio.NewWriter(w)}
+	g.balancer.OnReject(func(id uint64, reason policy.RejectReason) {
+		r := g.requests.byID[id]
 		if r == nil || r.answered {
 			return
 		}
-		_, _ = l.rejections.out.Write(r.args[2])
-		_, _ = l.rejections.out.WriteString(" " + why.String() + "\n")
+		_, _ = g.rejections.out.Write(r.args[2])
+		_, _ = g.rejections.out.WriteString(" " + reason.String() + "\n")
 	})
 }
 
-// flush writes what is recorded so far. A record that can't be written ends, told.
-func (r *rejectionLog) flush(l *Loop) {
-	if r == nil {
+// flush writes what is recorded so far. A log that can't be written is ended, and that is reported.
+func (l *rejectionLog) flush(g *Gateway) {
+	if l == nil {
 		return
 	}
-	if err := r.out.Flush(); err != nil {
-		l.log.Error("record of refusals: ended", "error", err)
-		l.balancer.OnReject(nil)
-		l.rejections = nil
+	if err := l.out.Flush(); err != nil {
+		g.log.Error("rejection log ended", "error", err)
+		g.balancer.OnReject(nil)
+		g.rejections = nil
 	}
 }
--- a/internal/dataplane/gateway/reload.go
+++ b/internal/dataplane/gateway/reload.go
@@ -5,38 +5,41 @@
 	"slices"
 )
 
-// Control is how the program round a gateway steers it.
+// Control is how the surrounding program controls a gateway.
 type Control struct {
 	Stop       <-chan struct{}        // closed for a planned shutdown
-	HandedOver <-chan struct{}        // closed when a new process has taken over; nil: never
-	Reload     <-chan struct{}        // a value for each configuration to be taken in
-	ReadConfig func() (Config, error) // reads the configuration as it is now
+	HandedOver <-chan struct{}        // closed when a successor has taken over; nil: never
+	Reload     <-chan struct{}        // a value has the configuration read again
+	ReadConfig func() (Config, error) // reads the current configuration
 }
 
-// forward passes on what the gateway is told to do. A new configuration that can't
-// be read or used leaves the old one in force: a gateway that serves goes on.
-func (c Control) forward(ctx context.Context, l *Loop) {
-	stopped, handed := c.Stop, c.HandedOver
+// forward posts what the gateway is told to do, until the context ends. A configuration that can't
+// be read is counted and logged, and the old one stays in force. It runs on a goroutine of its own.
+func (c Control) forward(ctx context.Context, g *Gateway) {
+	stopped := c.Stop
+	handedOver := c.HandedOver
 	for {
 		var e event
 		select {
 		case <-ctx.Done():
 			return
 		case <-stopped:
-			stopped, e = nil, shutdownRequested{}
-		case <-handed:
-			handed, e = nil, handoverSignalled{}
+			stopped = nil
+			e = shutdownRequested{}
+		case <-handedOver:
+			handedOver = nil
+			e = handoverSignalled{}
 		case <-c.Reload:
 			cfg, err := c.ReadConfig()
 			if err != nil {
-				l.metrics.Invalid.Add(1)
-				l.log.Error("reload: the old configuration stays", "error", err)
+				g.metrics.Invalid.Add(1)
+				g.log.Error("reload: the old configuration stays", "error", err)
 				continue
 			}
 			e = configReloaded{cfg}
 		}
 		select {
-		case l.urgent <- e: // not behind a queue of requests
+		case g.urgent <- e:
 		case <-ctx.Done():
 			return
 		}
@@ -46,32 +49,34 @@
 // configReloaded is a new configuration.
 type configReloaded struct{ cfg Config }
 
-// handle moves to the new addresses of discovery and the counter. Requests,
-// connections and all that the module knows go on as they are; the list is
-// taken whole at the new address, as its versions may be others.
-func (e configReloaded) handle(l *Loop) {
-	l.log.Info("reload", "discovery", e.cfg.Discovery, "counter", e.cfg.Counter)
-	if kept := l.cfg.restartOnlyChanges(&e.cfg); len(kept) > 0 {
-		l.log.Warn("reload: what needs a restart stays as it was", "settings", kept)
+// handle moves to the new addresses of discovery and the counter. Requests, connections and the
+// balancer's state are not touched. The endpoint list is fetched completely from the new address,
+// as its revisions may differ.
+func (e configReloaded) handle(g *Gateway) {
+	g.log.Info("reload", "discovery", e.cfg.Discovery, "counter", e.cfg.Counter)
+	if unchanged := g.cfg.restartOnlyChanges(&e.cfg); len(unchanged) > 0 {
+		g.log.Warn("reload: what needs a restart stays as it was", "settings", unchanged)
 	}
-	l.cfg.Discovery, l.cfg.Counter = e.cfg.Discovery, e.cfg.Counter
+	g.cfg.Discovery = e.cfg.Discovery
+	g.cfg.Counter = e.cfg.Counter
 	if e.cfg.EndpointAddresses == nil {
-		l.endpoints.Move(e.cfg.Discovery)
+		g.endpoints.Move(e.cfg.Discovery)
 	}
-	for _, to := range e.cfg.EndpointAddresses {
-		l.endpoints.Move(to)
+	for _, address := range e.cfg.EndpointAddresses {
+		g.endpoints.Move(address)
 	}
 	if e.cfg.Counter != "" {
-		l.counter.setAddress(e.cfg.Counter)
+		g.counter.setAddress(e.cfg.Counter)
 	}
-	if err := l.setAuth(e.cfg.Auth); err != nil {
-		l.log.Error("reload: asking an authenticator stays as it was", "error", err)
+	if err := g.setAuth(e.cfg.Auth); err != nil {
+		g.log.Error("reload: the authenticator's settings stay as they were", "error", err)
 	}
-	l.metrics.Loaded.Add(1)
-	l.snapshots.interval = max(50_000, e.cfg.Restart.SnapshotInterval.Microseconds())
+	g.metrics.Loaded.Add(1)
+	g.snapshots.interval = snapshotInterval(e.cfg.Restart)
 }
 
-// restartOnlyChanges names what another configuration would change that only a restart can.
+// restartOnlyChanges names the settings that another configuration would change and that only a
+// restart can.
 func (c *Config) restartOnlyChanges(other *Config) (names []string) {
 	for name, changed := range map[string]bool{
 		"name":        c.Name != other.Name,
--- a/internal/dataplane/gateway/reload_test.go
+++ b/internal/dataplane/gateway/reload_test.go
@@ -73,23 +73,23 @@
 	}
 	cfg := with(first)
 	cfg.Host.CounterTimeout = policy.Time(patience.Microseconds())
-	l, err := newLoop(cfg, quiet())
+	g, err := newGateway(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.clients.listener.Close()
+	defer g.clients.listener.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for _, line := range l.counter.queues {
-		go l.counter.runQueue(ctx, l, line)
+	for _, line := range g.counter.queues {
+		go g.counter.runQueue(ctx, g, line)
 	}
-	l.AddToCounter(1, 1, 1e6)
+	actions{g}.AddToCounter(1, 1, 1e6)
 	wait(t, atFirst, "a call at the first counter")
-	configReloaded{with(second)}.handle(l)
-	l.AddToCounter(1, 1, 1e6)
+	configReloaded{with(second)}.handle(g)
+	actions{g}.AddToCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, l.events, "an answer").(counterReplied); e.result != policy.OK || e.total != total {
+		if e := wait(t, g.events, "an answer").(counterReplied); e.result != policy.OK || e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
--- a/internal/dataplane/gateway/sender.go
+++ b/internal/dataplane/gateway/sender.go
@@ -9,135 +9,158 @@
 	"golang.org/x/sys/unix"
 )
 
-// sender writes to a connection without ever making the loop wait: what the
-// socket takes at once is written at once, the rest by a goroutine of its own.
+// sender writes to a connection without ever blocking its caller: what the socket takes at once is
+// written at once, the rest by a goroutine of its own. Its methods are safe for concurrent use.
 type sender struct {
 	conn *net.TCPConn
-	raw  syscall.RawConn
+	raw  syscall.RawConn // nil: the connection was closed before
 
 	mu         sync.Mutex
 	pending    []byte
-	writing    bool   // a goroutine is writing
-	streamNext func() // writes what comes next by itself, after the rest
+	writing    bool   // a goroutine writes pending
+	streamNext func() // writes to the connection by itself, after pending; nil: none
+	closeAfter bool   // the sending ends after pending
 
-	fullyWritten *atomic.Int64 // counts what was written whole with it, of what send could not; nil: nobody counts
-	closeAfter   bool          // ends the sending after the rest
+	// fullyWritten counts the messages that send has completed; nil: nobody counts. It is set
+	// only while no goroutine writes.
+	fullyWritten *atomic.Int64
 }
 
 func newSender(conn *net.TCPConn) *sender {
-	raw, _ := conn.SyscallConn() // fails only for a closed connection: so does try
+	raw, _ := conn.SyscallConn() // fails only for a closed connection, for which writeNow fails
 	return &sender{conn: conn, raw: raw}
 }
 
-// writeNow writes what the socket takes at once.
+// writeNow writes what the socket takes at once. A full socket is no error.
 func (s *sender) writeNow(b []byte) (n int, err error) {
 	if s.raw == nil {
 		return 0, net.ErrClosed
 	}
-	var werr error
+	var writeErr error
 	err = s.raw.Write(func(fd uintptr) bool {
 		for {
-			n, werr = syscall.Write(int(fd), b)
-			if werr != syscall.EINTR {
+			n, writeErr = syscall.Write(int(fd), b)
+			if writeErr != syscall.EINTR {
 				return true
 			}
 		}
 	})
 	n = max(n, 0)
-	if err == nil && werr != syscall.EAGAIN {
-		err = werr
+	if err == nil && writeErr != syscall.EAGAIN {
+		err = writeErr
 	}
 	return n, err
 }
 
-// nothingToRead tells whether the connection is open and nothing waits to be read from it.
+// nothingToRead reports whether the connection is open and nothing waits to be read from it.
 func (s *sender) nothingToRead() bool {
 	_, err := s.peek()
-	return err == syscall.EAGAIN || err == syscall.EINTR
+	return wouldBlock(err)
 }
 
-// hungUp tells whether the other side has closed the connection, also behind what waits to be read.
+func wouldBlock(err error) bool { return err == syscall.EAGAIN || err == syscall.EINTR }
+
+// hungUp reports whether the other side has closed the connection, also behind unread data.
 func (s *sender) hungUp() bool {
 	n, err := s.peek()
 	if n > 0 {
 		return s.peerClosedWrite()
 	}
-	return err != syscall.EAGAIN && err != syscall.EINTR
+	return !wouldBlock(err)
 }
 
-// peerClosedWrite tells whether the other side has closed the connection, as far as the system has taken in all that came
-// before the close.
+// peerClosedWrite reports whether the other side has closed the connection behind unread data. The
+// kernel does not know of a close before it has received all data in front of it.
 func (s *sender) peerClosedWrite() bool {
 	closed := false
 	err := s.raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(look, 0)
-		closed = n == 1 && err == nil && look[0].Revents&unix.POLLRDHUP != 0
+		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(poll, 0)
+		closed = n == 1 && err == nil && poll[0].Revents&unix.POLLRDHUP != 0
 	})
 	return err != nil || closed
 }
 
-// peek looks for what waits to be read, of which it takes nothing. 0 without an error is the end.
+// peek returns how much waits to be read, at most 1, and takes nothing of it. 0 without an error is
+// the end of the connection.
 func (s *sender) peek() (n int, err error) {
 	if s.raw == nil {
 		return 0, net.ErrClosed
 	}
-	if cerr := s.raw.Control(func(fd uintptr) {
+	controlErr := s.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	}); cerr != nil {
-		return 0, cerr
+	})
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	return max(n, 0), err
 }
 
-// send writes b, which is the sender's from then on. It tells whether there was
-// room: at most so many bytes are kept for a reader that takes nothing.
-func (s *sender) send(b []byte, most int) bool {
+// send writes b, which is the sender's from then on. It returns false if more than maxPending bytes
+// wait for a peer that reads too slowly. A broken connection is left for its reader to find.
+func (s *sender) send(b []byte, maxPending int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.writing {
 		s.pending = append(s.pending, b...)
-		return len(s.pending) <= most
+		return len(s.pending) <= maxPending
 	}
 	n, err := s.writeNow(b)
-	if err == nil && n < len(b) {
-		s.pending, s.writing = append(s.pending, b[n:]...), true
+	switch {
+	case err != nil:
+	case n < len(b):
+		s.pending = append(s.pending, b[n:]...)
+		s.writing = true
 		go s.writePending()
-	} else if err == nil && s.fullyWritten != nil {
+	case s.fullyWritten != nil:
 		s.fullyWritten.Add(1)
 	}
-	return true // a broken connection is the reader's to find
+	return true
 }
 
+// writePending writes what is pending, and runs what is to be streamed, until nothing is left. It
+// runs on a goroutine of its own.
 func (s *sender) writePending() {
 	for {
-		s.mu.Lock()
-		b := s.pending
-		s.pending = nil
-		if f := s.streamNext; len(b) == 0 && f != nil {
-			s.streamNext = nil
-			s.mu.Unlock()
-			f()
-			continue
-		}
-		if len(b) == 0 {
-			s.writing = false
-			if s.closeAfter {
-				_ = s.conn.CloseWrite()
-			}
-			s.mu.Unlock()
+		b, stream, more := s.takePending()
+		if !more {
 			return
 		}
-		s.mu.Unlock()
+		if stream != nil {
+			stream()
+			continue
+		}
 		if _, err := s.conn.Write(b); err == nil && s.fullyWritten != nil {
 			s.fullyWritten.Add(1)
 		}
 	}
 }
 
-// stream has f write to the connection by itself, once all before is written, from another
-// goroutine. What is sent meanwhile waits for its end.
+// takePending returns what is to be written next: bytes, or a function that writes. more is false
+// if there is nothing; the writing has then ended.
+func (s *sender) takePending() (b []byte, stream func(), more bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b = s.pending
+	s.pending = nil
+	if len(b) > 0 {
+		return b, nil, true
+	}
+	if s.streamNext != nil {
+		stream = s.streamNext
+		s.streamNext = nil
+		return nil, stream, true
+	}
+	s.writing = false
+	if s.closeAfter {
+		_ = s.conn.CloseWrite()
+	}
+	return nil, nil, false
+}
+
+// stream has f write to the connection by itself, from another goroutine, once all that was sent
+// before is written. What is sent meanwhile waits until f returns.
 func (s *sender) stream(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +171,8 @@
 	}
 }
 
-// closeWrite ends the sending after what was sent. The reading goes on until the other
-// side has closed, so that no answer is lost with a reset.
+// closeWrite ends the sending after all that was sent. The reading goes on until the other side
+// has closed, so that no answer is lost with a reset.
 func (s *sender) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +182,7 @@
 	}
 }
 
-// drained tells whether all that was sent is written.
+// drained reports whether all that was sent is written.
 func (s *sender) drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/gateway/shutdown.go
+++ b/internal/dataplane/gateway/shutdown.go
@@ -6,109 +6,119 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// discoveryWait is how long a start waits for discovery before it serves with the
-// list it was given.
-const discoveryWait policy.Time = 500_000
-
-// shutdown carries out what the lifecycle decides.
+// shutdown carries out what the lifecycle decides about the end of this process and about drains.
+// It belongs to the event loop.
 type shutdown struct {
-	acceptingEnds  bool // no connection is accepted any more but those that the machine has accepted
-	listenerClosed bool // nor those
-	abandoned      bool
-	nextCheck      policy.Time // when it is asked again; 0: nothing is due
+	acceptingEnds  bool // only connections that the kernel has already accepted are taken in
+	listenerClosed bool
+	abandoned      bool        // all open requests were failed
+	nextCheck      policy.Time // when step runs again; 0: it is not scheduled
 }
 
 // shutdownRequested begins a planned shutdown.
 type shutdownRequested struct{}
 
-func (shutdownRequested) handle(l *Loop) {
-	if l.lifecycle.Stopping() {
+func (shutdownRequested) handle(g *Gateway) {
+	if g.lifecycle.Stopping() {
 		return
 	}
-	l.log.Info("stopping", "open", l.open)
-	l.lifecycle.Stop(l.now())
-	l.step()
+	g.log.Info("stopping", "open", g.requests.open)
+	g.lifecycle.Stop(g.now())
+	g.shutdown.step(g)
 }
 
-// step does what has become due and asks to be called again.
-func (l *Loop) step() {
-	now := l.now()
-	if l.lifecycle.Closed(now) && !l.shutdown.acceptingEnds {
-		l.shutdown.acceptingEnds = true
-		if l.lifecycle.Parted() || l.handover.successor != nil || !l.clients.accepting {
-			l.closeListener() // others accept here
-		} else {
-			l.clients.drainBacklog.Store(true)
-			_ = l.clients.listener.SetDeadline(time.Now().Add(backlogQuietTime)) // for an accept that waits already
-		}
+// step does what has become due: it ends accepting, closes connections, fails what is left.
+func (s *shutdown) step(g *Gateway) {
+	now := g.now()
+	if g.lifecycle.Closed(now) && !s.acceptingEnds {
+		s.acceptingEnds = true
+		s.endAccepting(g)
 	}
-	for c := range l.clients.conns {
-		l.passToSuccessor(c) // one that takes its answers slowly was not idle before
-		ends := l.lifecycle.EndsIdle
+	for c := range g.clients.conns {
+		g.passToSuccessor(c) // a client that reads its answers slowly was not idle before
+		ends := g.lifecycle.EndsIdle
 		if c.activityRank() == 0 {
-			ends = l.lifecycle.EndsNew
+			ends = g.lifecycle.EndsNew
 		}
 		if !c.awaitingAnswer() && ends(now, c.lastActivity()) {
-			c.closeAfterAnswers(l)
+			c.closeAfterAnswers(g)
 		}
 	}
-	if l.lifecycle.Abandons(now) && !l.shutdown.abandoned {
-		// What SIGKILL would find unanswered would be lost.
-		l.shutdown.abandoned = true
-		l.closeListener()
-		l.failAll()
+	if g.lifecycle.Abandons(now) && !s.abandoned {
+		// What is unanswered when SIGKILL comes is lost.
+		s.abandoned = true
+		s.closeListener(g)
+		g.failAll()
 	}
-	l.endIfDone()
+	s.endIfDone(g)
 }
 
-// closeListener closes the listener.
-func (l *Loop) closeListener() {
-	if !l.shutdown.listenerClosed {
-		l.shutdown.listenerClosed = true
-		l.clients.closeListener()
-		close(l.clients.resumeAccept)
+// endAccepting closes the listener: at once where another process accepts on the same socket, else
+// after the kernel's backlog is drained.
+func (s *shutdown) endAccepting(g *Gateway) {
+	shared := g.lifecycle.Parted() || g.handover.successor != nil
+	if shared || !g.clients.accepting {
+		s.closeListener(g)
+		return
+	}
+	g.clients.drainBacklog.Store(true)
+	// An accept that is already waiting must notice.
+	_ = g.clients.listener.SetDeadline(time.Now().Add(backlogQuietTime))
+}
+
+// closeListener closes the clients' listener. Only the first call counts.
+func (s *shutdown) closeListener(g *Gateway) {
+	if s.listenerClosed {
+		return
 	}
+	s.listenerClosed = true
+	g.clients.closeListener()
+	close(g.clients.resumeAccept)
 }
 
-// pendingWork is how much somebody still waits for: the answers to open requests, connections that are to be accepted or read
-// first, and answers that are not written to their end.
-func (l *Loop) pendingWork(now policy.Time) int {
-	owed := l.open
-	if !l.shutdown.listenerClosed {
-		owed++
+// pendingWork counts what somebody still waits for: open requests, a listener that may still hold
+// connections, and clients whose answers are not completely written.
+func (s *shutdown) pendingWork(g *Gateway, now policy.Time) int {
+	pending := g.requests.open
+	if !s.listenerClosed {
+		pending++
 	}
-	for c := range l.clients.conns {
+	for c := range g.clients.conns {
 		if c.delaysShutdown(now) {
-			owed++
+			pending++
 		}
 	}
-	return owed
+	return pending
 }
 
-// endIfDone ends the gateway once nothing is open any more, and has step called when something
-// changes by the passing of time.
-func (l *Loop) endIfDone() {
-	now := l.now()
-	if l.lifecycle.Stopping() && l.lifecycle.Over(now, l.pendingWork(now), len(l.clients.conns)) {
-		l.done = true
+// endIfDone ends the event loop once nothing is pending, and schedules step for the next moment at
+// which the lifecycle changes by the passing of time. It must be called whenever the last request
+// or the last connection may have ended.
+func (s *shutdown) endIfDone(g *Gateway) {
+	now := g.now()
+	conns := len(g.clients.conns)
+	if g.lifecycle.Stopping() && g.lifecycle.Over(now, s.pendingWork(g, now), conns) {
+		g.done = true
 	}
-	if next, ok := l.lifecycle.Next(now); ok && (l.shutdown.nextCheck <= now || next < l.shutdown.nextCheck) {
-		l.shutdown.nextCheck = next
-		l.schedule(next, shutdownTimer{})
+	next, ok := g.lifecycle.Next(now)
+	if ok && (s.nextCheck <= now || next < s.nextCheck) {
+		s.nextCheck = next
+		g.schedule(next, shutdownTimer{})
 	}
 }
 
+// shutdownTimer runs the next step of a shutdown or a drain.
 type shutdownTimer struct{}
 
-func (shutdownTimer) due(l *Loop) { l.step() }
+func (shutdownTimer) due(g *Gateway) { g.shutdown.step(g) }
 
-// failAll answers all that is still open.
-func (l *Loop) failAll() {
-	now := l.now()
-	for _, r := range l.requests {
+// failAll fails every open request.
+func (g *Gateway) failAll() {
+	now := g.now()
+	for _, r := range g.requests.byID {
 		if !r.answered {
-			l.answer(r, failedReply)
-			l.balancer.ClientGone(now, r.id)
+			g.answer(r, failedReply)
+			g.balancer.ClientGone(now, r.id)
 		}
 	}
 }
--- a/internal/dataplane/gateway/shutdown_race_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -24,9 +24,9 @@
 	goOn  chan bool   // a value for each; closed: no more are held
 }
 
-func holdDials(l *Loop) *heldDials {
+func holdDials(g *Gateway) *heldDials {
 	h := &heldDials{begun: make(chan string, 64), goOn: make(chan bool)}
-	l.backends.dial.Control = func(_, address string, _ syscall.RawConn) error {
+	g.backends.dial.Control = func(_, address string, _ syscall.RawConn) error {
 		h.begun <- address
 		<-h.goOn
 		return nil
@@ -40,18 +40,18 @@
 }
 
 // ask has the loop tell something, and waits for it.
-func ask[T any](t testing.TB, l *Loop, f func(*Loop) T) T {
+func ask[T any](t testing.TB, g *Gateway, f func(*Gateway) T) T {
 	t.Helper()
 	answer := make(chan T, 1)
-	l.post(inspect(func(l *Loop) { answer <- f(l) }))
+	g.post(inspect(func(g *Gateway) { answer <- f(g) }))
 	return wait(t, answer, "the loop")
 }
 
 // until waits for the loop to be as a test wants it: each look is an event of its own, behind all that
 // was queued before it.
-func until(t testing.TB, l *Loop, what string, f func(*Loop) bool) {
+func until(t testing.TB, g *Gateway, what string, f func(*Gateway) bool) {
 	t.Helper()
-	for late := time.After(patience); !ask(t, l, f); {
+	for late := time.After(patience); !ask(t, g, f); {
 		select {
 		case <-late:
 			t.Fatal("timed out waiting for ", what)
@@ -71,15 +71,15 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			var dials *heldDials
-			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(l *Loop) { dials = holdDials(l) })
+			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) { dials = holdDials(g) })
 			gone, other := r.client(t), r.client(t)
 			gone.lookup(1, "60000")
 			wait(t, dials.begun, "the first dial")
 			other.lookup(2, "60000")
 			wait(t, dials.begun, "the second dial")
 			leave(gone)
-			until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 1 })
-			if waiting := ask(t, r.loop, func(l *Loop) int { return len(l.backends.byNumber[1].waiting) }); waiting != 1 {
+			until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 1 })
+			if waiting := ask(t, r.gateway, func(g *Gateway) int { return len(g.backends.byNumber[1].waiting) }); waiting != 1 {
 				t.Errorf("%d attempts wait, one is wanted", waiting)
 			}
 			close(dials.goOn)
@@ -89,7 +89,7 @@
 			}
 			call.serve(t, "ok")
 			other.value("ok")
-			if n := ask(t, r.loop, func(l *Loop) int { return len(l.requests) }); n != 0 || len(b.got) > 0 {
+			if n := ask(t, r.gateway, func(g *Gateway) int { return len(g.requests.byID) }); n != 0 || len(b.got) > 0 {
 				t.Errorf("%d requests in the table, %d commands more at the backend", n, len(b.got))
 			}
 		})
@@ -126,8 +126,8 @@
 }
 
 // smallSends has a gateway's connections to backends hold little.
-func smallSends(l *Loop) {
-	l.backends.dial.Control = func(_, _ string, raw syscall.RawConn) error {
+func smallSends(g *Gateway) {
+	g.backends.dial.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096) })
 	}
 }
@@ -142,12 +142,12 @@
 	c.send("API.READ", "0000000000000007", "0000000000000001", "c=lookup,t=team,d=60000,units=1,spread=1,first=0", strings.Repeat("x", resp.MaxValue))
 	conn := wait(t, b.conns, "a connection")
 	defer conn.Close()
-	until(t, r.loop, "the partly written request", func(l *Loop) bool {
-		b := l.backends.byNumber[1]
-		return len(l.requests) == 1 && b.dialing == 0 && len(b.waiting) == 0 && l.metrics.Sends.Load() == 0
+	until(t, r.gateway, "the partly written request", func(g *Gateway) bool {
+		b := g.backends.byNumber[1]
+		return len(g.requests.byID) == 1 && b.dialing == 0 && len(b.waiting) == 0 && g.metrics.Sends.Load() == 0
 	})
 	c.conn.Close()
-	until(t, r.loop, "the client's leaving", func(l *Loop) bool { return l.open == 0 })
+	until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 0 })
 	if args, err := resp.NewReader(conn).ReadCommand(); err == nil {
 		t.Fatalf("a command of %d values came whole, its client had left", len(args))
 	} else if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -158,48 +158,48 @@
 // A command that the reader has read, and the loop has not come to, is answered before its connection ends, whatever ends it:
 // its client sends again only what was not read.
 func TestWhatWasReadIsAnsweredBeforeTheEnd(t *testing.T) {
-	for name, end := range map[string]func(l *Loop, c *client){
-		"told to": func(l *Loop, c *client) { c.closeAfterAnswers(l) },
-		"the process ends": func(l *Loop, c *client) {
-			l.lifecycle.Part(false)
-			shutdownRequested{}.handle(l)
+	for name, end := range map[string]func(g *Gateway, c *client){
+		"told to": func(g *Gateway, c *client) { c.closeAfterAnswers(g) },
+		"the process ends": func(g *Gateway, c *client) {
+			g.lifecycle.Part(false)
+			shutdownRequested{}.handle(g)
 		},
-		"idle for long": func(l *Loop, c *client) {
+		"idle for long": func(g *Gateway, c *client) {
 			c.lastCommand -= 100_000_000
 			c.lastByte.Store(0)
-			l.clients.closeIdle(l)
+			g.clients.closeIdle(g)
 		},
-		"others come": func(l *Loop, c *client) {
+		"others come": func(g *Gateway, c *client) {
 			c.lastCommand -= 100_000_000
 			c.lastByte.Store(0)
-			l.clients.maxServed = 0
-			l.clients.closeIdle(l)
+			g.clients.maxServed = 0
+			g.clients.closeIdle(g)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := unstarted(t, newFakeDiscovery(t))
+			g := unstarted(t, newFakeDiscovery(t))
 			here, there := pipe(t)
-			l.clients.slots <- struct{}{}
-			clientConnected{here}.handle(l)
+			g.clients.slots <- struct{}{}
+			clientConnected{here}.handle(g)
 			c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 			c.raw("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPING\r\n") // both are read at once
-			first := wait(t, l.events, "the first command")
-			for k := range l.clients.conns {
-				end(l, k)
+			first := wait(t, g.events, "the first command")
+			for k := range g.clients.conns {
+				end(g, k)
 			}
-			first.handle(l)
-			wait(t, l.events, "the second command").handle(l)
+			first.handle(g)
+			wait(t, g.events, "the second command").handle(g)
 			if got := c.line(); got != "+PONG" && !strings.HasPrefix(got, "-ERR") {
 				t.Fatalf("first answer %q", got)
 			}
 			if got := c.line(); got != "+PONG" && !strings.HasPrefix(got, "-ERR") {
 				t.Fatalf("second answer %q", got)
 			}
-			l.step()
-			for k := range l.clients.conns {
-				k.closeAfterAnswers(l)
+			g.shutdown.step(g)
+			for k := range g.clients.conns {
+				k.closeAfterAnswers(g)
 			}
-			wait(t, l.events, "the end of the reading").handle(l)
+			wait(t, g.events, "the end of the reading").handle(g)
 			c.closed()
 		})
 	}
@@ -209,8 +209,8 @@
 // no place for it before.
 func TestStopTakesWhatLiesInTheBacklog(t *testing.T) {
 	b := newBackend(t)
-	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(l *Loop) {
-		l.clients.slots = make(chan struct{}, 1)
+	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(g *Gateway) {
+		g.clients.slots = make(chan struct{}, 1)
 	})
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -219,11 +219,11 @@
 	late.lookup(2, "60000")
 	r.stop()
 	var closing policy.Time
-	until(t, r.loop, "the closing, and a place long after it", func(l *Loop) bool {
-		if l.shutdown.acceptingEnds && closing == 0 {
-			closing = l.now()
+	until(t, r.gateway, "the closing, and a place long after it", func(g *Gateway) bool {
+		if g.shutdown.acceptingEnds && closing == 0 {
+			closing = g.now()
 		}
-		return closing > 0 && l.now()-closing > 3*backlogQuietTime.Microseconds()
+		return closing > 0 && g.now()-closing > 3*backlogQuietTime.Microseconds()
 	})
 	call.serve(t, "one")
 	c.value("one")
@@ -257,16 +257,16 @@
 	c.lookup(1, "60000")
 	value := strings.Repeat("v", resp.MaxValue)
 	b.next(t).serve(t, value)
-	until(t, r.loop, "the answer", func(l *Loop) bool { return l.open == 0 && l.nextID == 1 })
+	until(t, r.gateway, "the answer", func(g *Gateway) bool { return g.requests.open == 0 && g.requests.lastID == 1 })
 	r.stop()
-	until(t, r.loop, "the end of the connection", func(l *Loop) bool {
-		for k := range l.clients.conns {
-			return l.shutdown.listenerClosed && k.writeEnded
+	until(t, r.gateway, "the end of the connection", func(g *Gateway) bool {
+		for k := range g.clients.conns {
+			return g.shutdown.listenerClosed && k.writeEnded
 		}
 		t.Error("the connection has gone")
 		return true
 	})
-	if owed := ask(t, r.loop, func(l *Loop) int { return l.pendingWork(l.now()) }); owed != 1 {
+	if owed := ask(t, r.gateway, func(g *Gateway) int { return g.shutdown.pendingWork(g, g.now()) }); owed != 1 {
 		t.Errorf("%d are owed something, want the one that has not read its answer", owed)
 	}
 	c.value(value)
@@ -281,14 +281,14 @@
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
 		f["settings"] = json.RawMessage(strings.ReplaceAll(settingsText, `"promise-us":10000000`, `"promise-us":300000,"hard-limit-us":400000`))
 	})
-	l, err := newLoop(cfg, quiet())
+	g, err := newGateway(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.clients.listener.Close() })
-	shutdownRequested{}.handle(l)
-	at := l.now() + longest + 700_000
-	if !l.lifecycle.Abandons(at-300_000) || !l.lifecycle.Over(at, 1, 1) {
+	t.Cleanup(func() { g.clients.listener.Close() })
+	shutdownRequested{}.handle(g)
+	at := g.now() + longest + 700_000
+	if !g.lifecycle.Abandons(at-300_000) || !g.lifecycle.Over(at, 1, 1) {
 		t.Error("requests are still open when SIGKILL may come")
 	}
 }
@@ -310,7 +310,7 @@
 			r := beginWith(t, configure(t, d, func(f map[string]any) {
 				slowDials(f)
 				f["settings"] = json.RawMessage(strings.Replace(string(f["settings"].(json.RawMessage)), `"max-attempts":3`, `"max-attempts":1`, 1))
-			}), func(l *Loop) { dials = holdDials(l) })
+			}), func(g *Gateway) { dials = holdDials(g) })
 			c := r.client(t)
 			c.lookup(1, "60000")
 			wait(t, dials.begun, "the dial to the old process")
@@ -330,7 +330,7 @@
 			close(dials.goOn)
 			other.next(t).serve(t, "ok")
 			c.value("ok")
-			if n := ask(t, r.loop, func(l *Loop) int { return l.gauges().Unhealthy }); n != 0 {
+			if n := ask(t, r.gateway, func(g *Gateway) int { return g.gauges().Unhealthy }); n != 0 {
 				t.Error("the backend is held for dead")
 			}
 		})
@@ -342,7 +342,7 @@
 	b, other := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	var dials *heldDials
-	r := beginWith(t, configure(t, d, slowDials), func(l *Loop) { dials = holdDials(l) })
+	r := beginWith(t, configure(t, d, slowDials), func(g *Gateway) { dials = holdDials(g) })
 	c := r.client(t)
 	c.lookup(1, "60000")
 	c.lookup(2, "60000")
@@ -372,7 +372,7 @@
 	first, second := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, first.entry("s-00000001", "Ready"))
 	var dials *heldDials
-	r := beginWith(t, configure(t, d, slowDials), func(l *Loop) { dials = holdDials(l) })
+	r := beginWith(t, configure(t, d, slowDials), func(g *Gateway) { dials = holdDials(g) })
 	c := r.client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=order,t=team,d=80000000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0", "x")
 	wait(t, dials.begun, "the first dial")
@@ -382,8 +382,8 @@
 	d.settled(t)
 	call.answer(t, "-ERR failed\r\n") // it may have run
 	wait(t, dials.begun, "the repeat's dial")
-	ask(t, r.loop, func(l *Loop) bool {
-		l.clock.wall += 30_000_000 // the class's window
+	ask(t, r.gateway, func(g *Gateway) bool {
+		g.clock.wall += 30_000_000 // the class's window
 		return true
 	})
 	close(dials.goOn)
@@ -397,15 +397,15 @@
 
 // Of a client that has sent much at once and gone nothing is taken any more that waited behind its other requests.
 func TestNothingIsTakenFromWhoHasSentMuchAndGone(t *testing.T) {
-	l := unstarted(t, newFakeDiscovery(t))
+	g := unstarted(t, newFakeDiscovery(t))
 	here, there := pipe(t)
-	l.clients.slots <- struct{}{}
-	k := newClient(here, l.now())
+	g.clients.slots <- struct{}{}
+	k := newClient(here, g.now())
 	k.pipelineSlots = make(chan struct{}, 1) // a line of one
-	l.startClient(k)
+	g.startClient(k)
 	c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 	c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 3))
-	first := wait(t, l.events, "the first command")
+	first := wait(t, g.events, "the first command")
 	there.Close()
 	for late := time.After(patience); !k.out.hungUp(); {
 		select {
@@ -415,8 +415,8 @@
 			runtime.Gosched()
 		}
 	}
-	first.handle(l) // there is room for another
-	if e, ok := wait(t, l.events, "what comes next").(clientLeft); !ok {
+	first.handle(g) // there is room for another
+	if e, ok := wait(t, g.events, "what comes next").(clientLeft); !ok {
 		t.Fatalf("%+v was taken, its client has gone", e)
 	}
 }
--- a/internal/dataplane/gateway/snapshot_test.go
+++ b/internal/dataplane/gateway/snapshot_test.go
@@ -90,14 +90,14 @@
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	cfg := surviving(t, d, m)
 	cfg.Restart.SnapshotInterval = time.Hour
-	l, err := newLoop(cfg, quiet())
+	g, err := newGateway(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.clients.listener.Close()
-	l.backends.updateEndpoints(l, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
-	l.balancer.SnapshotStored(l.balancer.TakeSnapshot(l.now(), false).At)
-	l.handle(tooMuch{})
+	defer g.clients.listener.Close()
+	g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	g.balancer.SnapshotStored(g.balancer.TakeSnapshot(g.now(), false).At)
+	g.handle(tooMuch{})
 	if len(m.states) != 1 {
 		t.Errorf("%d states kept", len(m.states))
 	}
@@ -106,47 +106,47 @@
 // tooMuch takes more than a lease allows for.
 type tooMuch struct{}
 
-func (tooMuch) handle(l *Loop) {
+func (tooMuch) handle(g *Gateway) {
 	for id := range uint64(3) {
-		l.requests[1000+id] = &request{id: 1000 + id, client: &client{}, deadline: l.now() + 1e6,
+		g.requests.byID[1000+id] = &request{id: 1000 + id, client: &client{}, deadline: g.now() + 1e6,
 			args: [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")}, timeoutField: [2]int{2, 3}}
-		l.balancer.Request(l.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1})
+		g.balancer.Request(g.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1})
 	}
 }
 
-// A state that can't be used is told in the log, and the start is cold.
-func TestBadStateIsToldAndTheStartIsCold(t *testing.T) {
+// A snapshot that can't be used is logged, and the gateway starts without state.
+func TestUnusableSnapshotIsLoggedAndStateIsLost(t *testing.T) {
 	for want, m := range map[string]*memory{
-		"no state":       newMemory(),
+		"no snapshot":    newMemory(),
 		"version 9":      {states: []policy.Snapshot{{Version: 9}}},
 		"other settings": {states: []policy.Snapshot{{Version: policy.SnapshotVersion, Settings: 1}}},
 	} {
 		var lines bytes.Buffer
 		d := newFakeDiscovery(t)
-		l, err := newLoop(surviving(t, d, m), slog.New(slog.NewTextHandler(&lines, nil)))
+		g, err := newGateway(surviving(t, d, m), slog.New(slog.NewTextHandler(&lines, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.clients.listener.Close()
-		if !strings.Contains(lines.String(), want) || !strings.Contains(lines.String(), "starting cold") {
+		g.clients.listener.Close()
+		if !strings.Contains(lines.String(), want) || !strings.Contains(lines.String(), "starting without state") {
 			t.Errorf("%s: log %q", want, lines.String())
 		}
 	}
 }
 
-// A keeper that fails is told once, and once more when it works again.
-func TestKeeperThatFailsIsToldOnce(t *testing.T) {
+// A snapshot store that fails is logged once, and once more when it works again.
+func TestFailingSnapshotStoreIsLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	d := newFakeDiscovery(t)
-	l, err := newLoop(configure(t, d, nil), slog.New(slog.NewTextHandler(&lines, nil)))
+	g, err := newGateway(configure(t, d, nil), slog.New(slog.NewTextHandler(&lines, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.clients.listener.Close()
+	defer g.clients.listener.Close()
 	for _, err := range []error{nil, errors.New("disk full"), errors.New("disk full"), nil} {
-		snapshotStored{err, 0}.handle(l)
+		snapshotStored{err, 0}.handle(g)
 	}
-	if got := lines.String(); strings.Count(got, "can't be kept") != 1 || strings.Count(got, "kept again") != 1 {
+	if got := lines.String(); strings.Count(got, "can't be stored") != 1 || strings.Count(got, "are stored again") != 1 {
 		t.Errorf("log %q", got)
 	}
 }
@@ -163,7 +163,7 @@
 	call := b.next(t)
 	idle.send("PING")
 	idle.want("+PONG")
-	r.loop.urgent <- handoverSignalled{}
+	r.gateway.urgent <- handoverSignalled{}
 	idle.closed()
 	idle.conn.Close()
 	for s := wait(t, m.stored, "a state"); !s.Last; s = wait(t, m.stored, "the last state") {
@@ -195,7 +195,7 @@
 	cfg := surviving(t, d, m)
 	cfg.Restart.Successor = true
 	cfg.Restart.StopPredecessor = func() error {
-		before.loop.urgent <- handoverSignalled{}
+		before.gateway.urgent <- handoverSignalled{}
 		return nil
 	}
 	next := begin(t, cfg).client(t)
@@ -209,27 +209,27 @@
 // is answered, and it ends after that; one that brings nothing ends by itself.
 func TestConnectionAcceptedAtTheCloseIsEnded(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
-		l := unstarted(t, newFakeDiscovery(t))
-		l.lifecycle.Part(false)
-		shutdownRequested{}.handle(l)
+		g := unstarted(t, newFakeDiscovery(t))
+		g.lifecycle.Part(false)
+		shutdownRequested{}.handle(g)
 		here, there := pipe(t)
-		l.clients.slots <- struct{}{}
-		clientConnected{here}.handle(l)
-		l.step()
+		g.clients.slots <- struct{}{}
+		clientConnected{here}.handle(g)
+		g.shutdown.step(g)
 		c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 		if speaks {
 			c.lookup(1, "60000")
-			wait(t, l.events, "the request").handle(l)
+			wait(t, g.events, "the request").handle(g)
 			if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
 				t.Fatalf("answer %q", got)
 			}
 		} else {
-			for k := range l.clients.conns {
+			for k := range g.clients.conns {
 				k.lastCommand -= 100_000
 			}
-			l.step()
+			g.shutdown.step(g)
 		}
-		wait(t, l.events, "the end of the reading").handle(l)
+		wait(t, g.events, "the end of the reading").handle(g)
 		c.closed()
 	}
 }
--- a/internal/dataplane/gateway/streamed_value.go
+++ b/internal/dataplane/gateway/streamed_value.go
@@ -11,10 +11,9 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// A value over resp.MaxValue is passed on as it comes: of all that are under way together
-// more than a few buffers would not fit into memory. Its request is answered, as far as
-// the decisions go, when the first byte is here. From then on nothing of the gateway's cuts
-// it off but a side that does nothing at all for long.
+// A value over resp.MaxValue is streamed to the client while it comes: buffering all values in
+// flight would need too much memory. To the balancer its request is answered when the first byte is
+// here. From then on the gateway ends it only if one side makes no progress for long.
 const (
 	copyBufferBytes     = 32 << 10
 	copyProgressTimeout = 15 * time.Second // in which each side must take or give something
@@ -26,66 +25,70 @@
 	lineBreak   = []byte("\r\n")
 )
 
-// streamedValue is an answer that is passed on as it comes.
+// streamedValue is an answer that is streamed to the client. It belongs to the event loop; copy
+// runs on the client's writer goroutine. The connection's reader waits on conn.copyResult
+// meanwhile, which gets exactly one result for each value.
 type streamedValue struct {
 	request *request
 	conn    *backendConn
 	header  resp.Long
-	started bool // its turn has come
+	started bool // its turn in the client's pipeline has come
 	ended   bool
 }
 
-// receiveStreamed has the loop say who gets a long value, and waits until it is copied. It tells
-// whether the connection can be read on.
-func (c *backendConn) receiveStreamed(l *Loop, what resp.Long) bool {
-	l.post(streamOffered{c, what})
+// receiveStreamed asks the event loop who gets a long value, and waits until it is copied. It runs
+// on the connection's reader goroutine and reports whether the connection can be read on.
+func (c *backendConn) receiveStreamed(g *Gateway, header resp.Long) bool {
+	g.post(streamOffered{c, header})
 	err := <-c.copyResult
 	e := streamFinished{conn: c, err: err}
 	if err == nil {
-		l.post(streamCopied{c.streamed})
+		g.post(streamCopied{c.streamed})
 		_ = c.conn.SetReadDeadline(time.Now().Add(replyTimeout))
-		e.err = c.reader.Tail(what)
+		e.err = c.reader.Tail(header)
 		_ = c.conn.SetReadDeadline(time.Time{})
 	}
-	e.bytesConsumed, e.extraBytes = c.bytesRead.Load()-int64(c.reader.Buffered()), c.reader.Buffered() > 0
-	l.post(e)
+	e.bytesConsumed = c.bytesRead.Load() - int64(c.reader.Buffered())
+	e.extraBytes = c.reader.Buffered() > 0
+	g.post(e)
 	return e.err == nil && !e.extraBytes
 }
 
-// streamOffered is the begin of a long value on a backend's connection.
+// streamOffered is the beginning of a long value on a backend's connection.
 type streamOffered struct {
 	conn   *backendConn
 	header resp.Long
 }
 
-func (e streamOffered) handle(l *Loop) {
-	c, a := e.conn, e.conn.attempt
+func (e streamOffered) handle(g *Gateway) {
+	c := e.conn
+	a := c.attempt
+	c.attempt = nil
 	if c.closed || a == nil || a.request == nil {
 		c.copyResult <- errUnwanted
-		l.backends.close(c)
-		if c.attempt = nil; a != nil {
-			l.finishAttempt(a, policy.Failed, nil)
+		g.backends.close(c)
+		if a != nil {
+			g.finishAttempt(a, policy.Failed, nil)
 		}
 		return
 	}
-	c.attempt = nil
 	r := a.request
 	if r.answered {
-		// Another attempt was first: to read this one to its end would be in vain.
+		// Another attempt was first: reading this value to its end would be in vain.
 		c.copyResult <- errUnwanted
-		l.backends.close(c)
-		l.backends.dialForWaiting(l, c.backend)
+		g.backends.close(c)
+		g.backends.dialForWaiting(g, c.backend)
 	} else {
 		r.streamed = &streamedValue{request: r, conn: c, header: e.header}
 		c.streamed = r.streamed
 		r.answered = true
-		l.settle(r)
-		r.client.flushAnswers(l)
+		g.settle(r)
+		r.client.flushAnswers(g)
 	}
-	l.finishAttempt(a, policy.OK, nil)
+	g.finishAttempt(a, policy.OK, nil)
 }
 
-// start has a value copied, once all before it is answered.
+// start has a value copied, when all answers before it are written.
 func (v *streamedValue) start(to *client) {
 	if v.started || v.ended {
 		return
@@ -98,59 +101,60 @@
 func (v *streamedValue) copy(to *client) error {
 	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buf)
-	onward := func() {
-		until := time.Now().Add(copyProgressTimeout)
-		_ = v.conn.conn.SetReadDeadline(until)
-		_ = to.conn.SetWriteDeadline(until)
+	extendDeadlines := func() {
+		deadline := time.Now().Add(copyProgressTimeout)
+		_ = v.conn.conn.SetReadDeadline(deadline)
+		_ = to.conn.SetWriteDeadline(deadline)
 	}
 	defer func() {
 		_ = v.conn.conn.SetReadDeadline(time.Time{})
 		_ = to.conn.SetWriteDeadline(time.Time{})
 	}()
-	onward()
+	extendDeadlines()
 	head := append(strconv.AppendInt([]byte{'$'}, int64(v.header.Size), 10), lineBreak...)
 	if _, err := to.conn.Write(head); err != nil {
 		return err
 	}
-	if err := v.conn.reader.Copy(to.conn, v.header, buf[:], onward); err != nil {
+	if err := v.conn.reader.Copy(to.conn, v.header, buf[:], extendDeadlines); err != nil {
 		return err
 	}
 	_, err := to.conn.Write(lineBreak)
 	return err
 }
 
-// abandon takes note that the client has gone.
-func (v *streamedValue) abandon(l *Loop) {
+// abandon records that the client has gone.
+func (v *streamedValue) abandon(g *Gateway) {
 	if !v.started && !v.ended {
 		v.conn.copyResult <- errUnwanted
 	}
-	v.end(l)
+	v.end(g)
 }
 
-// end takes note that the request is over.
-func (v *streamedValue) end(l *Loop) {
+// end records that the request has ended.
+func (v *streamedValue) end(g *Gateway) {
 	if !v.ended {
 		v.ended = true
-		l.open--
+		g.requests.open--
 	}
 }
 
-// streamCopied tells that a value has gone whole to its client.
+// streamCopied tells that a value was written completely to its client.
 type streamCopied struct{ value *streamedValue }
 
-func (e streamCopied) handle(l *Loop) {
+func (e streamCopied) handle(g *Gateway) {
 	r := e.value.request
 	if e.value.ended {
 		return // its client has gone
 	}
-	e.value.end(l)
+	e.value.end(g)
 	r.streamed = nil
-	l.metrics.End(r.class, metrics.Answered)
-	l.forget(r)
-	r.client.flushAnswers(l)
+	g.metrics.End(r.class, metrics.Answered)
+	g.requests.removeFinished(r)
+	r.client.flushAnswers(g)
 }
 
-// streamFinished tells that a connection that has carried a long value is free, or of no more use.
+// streamFinished tells that a connection that has carried a long value is free; err, extraBytes: or
+// of no more use.
 type streamFinished struct {
 	conn          *backendConn
 	err           error
@@ -158,24 +162,26 @@
 	extraBytes    bool
 }
 
-func (e streamFinished) handle(l *Loop) {
+func (e streamFinished) handle(g *Gateway) {
 	c := e.conn
 	v := c.streamed
-	c.streamed, c.bytesConsumed, c.restsUntil = nil, e.bytesConsumed, l.now()+l.backends.restDuration
+	c.streamed = nil
+	c.bytesConsumed = e.bytesConsumed
+	c.restsUntil = g.now() + g.backends.restDuration
 	if v != nil && !v.ended {
-		// It could not be copied to its end: the client must be able to tell.
-		v.end(l)
-		l.metrics.End(v.request.class, metrics.Errored)
-		v.request.client.drop(l)
-		l.forget(v.request)
+		// The copying failed half way: closing tells the client that the value is incomplete.
+		v.end(g)
+		g.metrics.End(v.request.class, metrics.Errored)
+		v.request.client.drop(g)
+		g.requests.removeFinished(v.request)
 	}
 	if c.closed {
 		return
 	}
 	if e.err != nil || e.extraBytes {
-		l.backends.close(c)
-		l.backends.dialForWaiting(l, c.backend)
+		g.backends.close(c)
+		g.backends.dialForWaiting(g, c.backend)
 		return
 	}
-	l.backends.release(l, c)
+	g.backends.release(g, c)
 }
--- a/internal/dataplane/gateway/suspend.go
+++ b/internal/dataplane/gateway/suspend.go
@@ -6,48 +6,54 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// suspendDetector are the times in which this process stood still: its loop turns many times a second, so a turn that comes late by seconds is one
-// that could not come. What arrived meanwhile lay in the sockets, and nobody knows since when; it is held to be as old as the leap.
+// suspendDetector finds the times in which this process did not run (a stopped machine, SIGSTOP).
+// The event loop turns many times a second, so a turn that is late by seconds tells of one.
+// Commands that arrived meanwhile lay in the sockets for an unknown time; they are treated as old
+// as the suspension. recordTurn belongs to the loop; earliestArrival may be called from anywhere.
 type suspendDetector struct {
-	lastTurn                   atomic.Int64 // when the loop last turned
-	suspendedFrom, suspendedTo atomic.Int64 // the last leap
+	lastTurn      atomic.Int64 // of the event loop; 0: none yet
+	suspendedFrom atomic.Int64 // the last suspension
+	suspendedTo   atomic.Int64 // 0: there was none
 }
 
 const (
 	minSuspension policy.Time = 1_000_000
-	// What is read within so long after a leap was there before its end, as far as can be told.
+	// What is read so soon after a suspension may have arrived during it.
 	suspensionReadGrace policy.Time = 50_000
 )
 
-// recordTurn takes note that the loop turns.
-func (p *suspendDetector) recordTurn(now policy.Time) (leapt policy.Time) {
-	last := p.lastTurn.Swap(now)
+// recordTurn records a turn of the event loop. It returns how long the process was suspended
+// before it; 0: it was not.
+func (d *suspendDetector) recordTurn(now policy.Time) (suspended policy.Time) {
+	last := d.lastTurn.Swap(now)
 	if last == 0 || now-last < minSuspension {
 		return 0
 	}
-	p.suspendedFrom.Store(last)
-	p.suspendedTo.Store(now)
+	d.suspendedFrom.Store(last)
+	d.suspendedTo.Store(now)
 	return now - last
 }
 
-// earliestArrival is when something that is read now has arrived at the earliest. Any goroutine may ask, also one that runs before the loop's after a
-// leap.
-func (p *suspendDetector) earliestArrival(now policy.Time) policy.Time {
-	if last := p.lastTurn.Load(); last != 0 && now-last >= minSuspension {
+// earliestArrival returns the earliest time at which something that is read now can have arrived.
+// A goroutine may call it after a suspension before the loop has turned.
+func (d *suspendDetector) earliestArrival(now policy.Time) policy.Time {
+	if last := d.lastTurn.Load(); last != 0 && now-last >= minSuspension {
 		return last
 	}
-	if to := p.suspendedTo.Load(); to != 0 && now-to < suspensionReadGrace {
-		return p.suspendedFrom.Load()
+	if to := d.suspendedTo.Load(); to != 0 && now-to < suspensionReadGrace {
+		return d.suspendedFrom.Load()
 	}
 	return now
 }
 
-// recordTurn takes note that the loop turns, and logs a leap.
-func (l *Loop) recordTurn() {
-	if leapt := l.suspend.recordTurn(l.clock.now()); leapt > 0 {
-		l.log.Warn("this process stood still", "ms", leapt/1000, "open", l.open)
+// recordTurn records a turn of the event loop, and logs a suspension that ended with it.
+func (g *Gateway) recordTurn() {
+	suspended := g.suspend.recordTurn(g.clock.now())
+	if suspended > 0 {
+		g.log.Warn("this process was suspended", "ms", suspended/1000, "open", g.requests.open)
 	}
 }
 
-// pastDeadline tells whether a request's client waits no more, or not long enough for any answer.
-func (l *Loop) pastDeadline(r *request) bool { return r.deadline <= l.now() }
+// pastDeadline reports whether a request's client no longer waits, or not long enough for an
+// answer to reach it.
+func (g *Gateway) pastDeadline(r *request) bool { return r.deadline <= g.now() }
