--- a/internal/controlplane/consensus/apply.go
+++ b/internal/controlplane/consensus/apply.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"go.etcd.io/raft/v3/raftpb"
@@ -13,170 +11,122 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// apply carries out an agreed entry.
-func (n *Node) apply(now time.Duration, e *raftpb.Entry) error {
-	n.applied = e.GetIndex()
-	switch {
-	case e.GetType() == raftpb.EntryConfChangeV2:
-		var cc raftpb.ConfChangeV2
-		if err := proto.Unmarshal(e.Data, &cc); err != nil {
-			return fmt.Errorf("agree: entry %d: %w", n.applied, err)
+// applyEntry applies a committed entry.
+func (n *Node) applyEntry(now time.Duration, e *raftpb.Entry) error {
+	n.appliedIndex = e.GetIndex()
+	switch e.GetType() {
+	case raftpb.EntryConfChangeV2:
+		var change raftpb.ConfChangeV2
+		if err := proto.Unmarshal(e.Data, &change); err != nil {
+			return fmt.Errorf("consensus: entry %d: %w", n.appliedIndex, err)
 		}
-		if err := n.alter(&cc); err != nil {
+		if err := n.applyVoterChange(&change); err != nil {
 			return err
 		}
-	case e.GetType() == raftpb.EntryConfChange:
-		return fmt.Errorf("agree: entry %d: a change of voters in a form that this program does not write", n.applied)
-	case len(e.Data) > 0:
-		var in controlpb.Entry
-		if err := proto.Unmarshal(e.Data, &in); err != nil {
-			return fmt.Errorf("agree: entry %d: %w", n.applied, err)
+	case raftpb.EntryConfChange:
+		return fmt.Errorf("consensus: entry %d: a change of voters in a form that this program "+
+			"does not write", n.appliedIndex)
+	default:
+		if len(e.Data) == 0 {
+			break // a new leader's first entry
 		}
-		if err := n.command(now, &in); err != nil {
+		var entry controlpb.Entry
+		if err := proto.Unmarshal(e.Data, &entry); err != nil {
+			return fmt.Errorf("consensus: entry %d: %w", n.appliedIndex, err)
+		}
+		if err := n.applyCommand(now, &entry); err != nil {
 			return err
 		}
 	}
-	n.sessions.log.commit(n.applied)
-	if n.termSeen != e.GetTerm() {
-		n.termSeen = e.GetTerm()
-		// From here on a leader of this term stamps: it counts from the newest stamp that it has applied.
-		n.clock.lead(n.lastAt, n.lastLocal)
+	n.sessions.log.commit(n.appliedIndex)
+	if n.appliedTerm != e.GetTerm() {
+		n.appliedTerm = e.GetTerm()
+		// From here on a leader of this term gives timestamps. It counts from the newest one that
+		// it has applied.
+		n.clock.resetTo(n.lastTimestamp, n.lastAppliedAt)
 	}
-	if n.applied-n.snapshot >= 2*n.cfg.KeepEntries {
+	if n.appliedIndex-n.snapshotIndex >= 2*n.config.KeepEntries {
 		return n.CreateSnapshot()
 	}
 	return nil
 }
 
-// command applies a command, once.
-func (n *Node) command(now time.Duration, e *controlpb.Entry) error {
-	at := max(time.Duration(e.At), n.lastAt)
-	n.lastAt, n.lastLocal = at, now
-	n.clock.saw(at, now)
+// applyCommand applies a command, once, and completes the requests that wait for it.
+func (n *Node) applyCommand(now time.Duration, e *controlpb.Entry) error {
+	timestamp := max(time.Duration(e.At), n.lastTimestamp)
+	n.lastTimestamp = timestamp
+	n.lastAppliedAt = now
+	n.clock.observe(timestamp, now)
 	if e.Session == 0 {
-		n.sessions.expire(at)
-		who := lease.Member{ID: e.Member.GetId(), Incarnation: e.Member.GetIncarnation()}
-		number, code := n.sessions.open(n.applied, who, e.Member.GetAddress(), at)
-		a := &controlpb.Answer{Code: code, Session: number}
-		if code == controlpb.Code_SUPERSEDED {
-			a.Reason = superseded(who)
-		}
-		for _, tag := range n.opens[who] {
-			n.done = append(n.done, Completion{tag, a})
-		}
-		delete(n.opens, who)
+		n.applyOpen(timestamp, e.Member)
 		return nil
 	}
-	in, answer, had, code := n.sessions.known(e.Session, e.Seq)
-	if in != nil {
-		in.seen = at
-		in.settle(e.AckedSeq)
-	}
-	if code == controlpb.Code_OK && !had {
-		if e.Machine != "" { // else it only says that the process is there
-			m := n.cfg.StateMachines[e.Machine]
-			if m == nil {
-				return fmt.Errorf("agree: entry %d is for %q, which this program does not know: a newer version's", n.applied, e.Machine)
+	s, answer, wasApplied, code := n.sessions.lookup(e.Session, e.Seq)
+	if s != nil {
+		s.lastSeen = timestamp
+		s.acknowledge(e.AckedSeq)
+	}
+	if code == controlpb.Code_OK && !wasApplied {
+		if e.Machine != "" { // otherwise it only keeps the session alive
+			machine := n.config.StateMachines[e.Machine]
+			if machine == nil {
+				return fmt.Errorf("consensus: entry %d is for %q, which this program does not "+
+					"know: a newer version's", n.appliedIndex, e.Machine)
 			}
-			answer = m.Apply(at, n.applied, in.member, e.Body)
+			answer = machine.Apply(timestamp, n.appliedIndex, s.member, e.Body)
 		}
-		in.answers[e.Seq] = answer
+		s.answers[e.Seq] = answer
 	}
-	for _, tag := range n.pending[e.Session][e.Seq] {
-		n.done = append(n.done, Completion{tag, &controlpb.Answer{Code: code, Body: answer}})
+	for _, tag := range n.pendingCommands[e.Session][e.Seq] {
+		n.addCompletion(tag, &controlpb.Answer{Code: code, Body: answer})
 	}
-	delete(n.pending[e.Session], e.Seq)
-	if len(n.pending[e.Session]) == 0 {
-		delete(n.pending, e.Session)
+	delete(n.pendingCommands[e.Session], e.Seq)
+	if len(n.pendingCommands[e.Session]) == 0 {
+		delete(n.pendingCommands, e.Session)
 	}
 	return nil
 }
 
-// alter takes in an agreed change of voters.
-func (n *Node) alter(cc *raftpb.ConfChangeV2) error {
-	if len(cc.Changes) > 0 {
-		v := &controlpb.Voter{}
-		if err := proto.Unmarshal(cc.Context, v); err != nil {
-			return fmt.Errorf("agree: entry %d: %w", n.applied, err)
-		}
-		if cc.Changes[0].GetType() == raftpb.ConfChangeRemoveNode {
-			delete(n.voters, v.Number)
-		} else {
-			n.voters[v.Number] = v
-		}
-		for _, tag := range n.changes {
-			n.done = append(n.done, Completion{tag, &controlpb.Answer{}})
-		}
-		n.changes = nil
-	}
-	n.conf = n.rn.ApplyConfChange(cc)
-	if len(cc.Changes) > 0 && cc.Changes[0].GetType() != raftpb.ConfChangeRemoveNode {
-		// The new voter begins from a snapshot, and takes none by which it is no voter.
-		return n.CreateSnapshot()
-	}
-	return nil
+// applyOpen opens a session for a member, and ends those that have expired.
+func (n *Node) applyOpen(timestamp time.Duration, of *controlpb.Member) {
+	n.sessions.expire(timestamp)
+	member := lease.Member{ID: of.GetId(), Incarnation: of.GetIncarnation()}
+	number, code := n.sessions.open(n.appliedIndex, member, of.GetAddress(), timestamp)
+	answer := &controlpb.Answer{Code: code, Session: number}
+	if code == controlpb.Code_SUPERSEDED {
+		answer.Reason = supersededReason(member)
+	}
+	for _, tag := range n.pendingOpens[member] {
+		n.addCompletion(tag, answer)
+	}
+	delete(n.pendingOpens, member)
 }
 
-// CreateSnapshot makes a snapshot of the state and drops old entries. Compacted tells what to save of it.
-func (n *Node) CreateSnapshot() error {
-	s := &controlpb.Snapshot{At: uint64(n.lastAt), Fleet: n.fleet, Voters: n.Voters()}
-	n.sessions.write(s)
-	for _, name := range slices.Sorted(maps.Keys(n.cfg.StateMachines)) {
-		s.Machines = append(s.Machines, &controlpb.MachineState{Name: name, State: n.cfg.StateMachines[name].Snapshot()})
-	}
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
-	if err != nil {
-		return fmt.Errorf("agree: snapshot: %w", err)
-	}
-	if _, err := n.log.CreateSnapshot(n.applied, n.conf, data); err != nil {
-		return fmt.Errorf("agree: snapshot: %w", err)
-	}
-	n.snapshot = n.applied
-	if first, _ := n.log.FirstIndex(); n.applied > n.cfg.KeepEntries && n.applied-n.cfg.KeepEntries > first {
-		if err := n.log.Compact(n.applied - n.cfg.KeepEntries); err != nil {
-			return fmt.Errorf("agree: snapshot: %w", err)
-		}
-	}
-	return nil
-}
-
-// SnapshotSince is a snapshot made since the last call, and the first entry that is still of use; it may be
-// saved at any later time. ok is false if there is none.
-func (n *Node) SnapshotSince(since uint64) (w Ready, ok bool) {
-	if n.snapshot <= since {
-		return w, false
-	}
-	s, err := n.log.Snapshot()
-	if err != nil {
-		return w, false
+// applyVoterChange applies a committed change of voters, or the end of a joint configuration, which
+// has no changes.
+func (n *Node) applyVoterChange(change *raftpb.ConfChangeV2) error {
+	if len(change.Changes) == 0 {
+		n.confState = n.rawNode.ApplyConfChange(change)
+		return nil
 	}
-	return Ready{Snapshot: s, FirstIndex: n.FirstIndex(), HardState: n.hard}, true
-}
-
-// restore takes the state from a snapshot.
-func (n *Node) restore(now time.Duration, from *raftpb.Snapshot) error {
-	var s controlpb.Snapshot
-	if err := proto.Unmarshal(from.Data, &s); err != nil {
-		return fmt.Errorf("agree: snapshot: %w", err)
+	removes := change.Changes[0].GetType() == raftpb.ConfChangeRemoveNode
+	v := &controlpb.Voter{}
+	if err := proto.Unmarshal(change.Context, v); err != nil {
+		return fmt.Errorf("consensus: entry %d: %w", n.appliedIndex, err)
 	}
-	n.fleet, n.voters = s.Fleet, map[uint64]*controlpb.Voter{}
-	for _, v := range s.Voters {
+	if removes {
+		delete(n.voters, v.Number)
+	} else {
 		n.voters[v.Number] = v
 	}
-	n.sessions = readSessions(&s)
-	n.sessions.log.begin(from.Metadata.GetIndex())
-	for _, m := range s.Machines {
-		in := n.cfg.StateMachines[m.Name]
-		if in == nil {
-			return fmt.Errorf("agree: the snapshot has a part %q, which this program does not know: a newer version's", m.Name)
-		}
-		if err := in.Restore(m.State); err != nil {
-			return err
-		}
+	for _, tag := range n.pendingVoterChanges {
+		n.addCompletion(tag, &controlpb.Answer{})
 	}
-	n.conf = from.Metadata.ConfState
-	n.applied, n.snapshot, n.termSeen = from.Metadata.GetIndex(), from.Metadata.GetIndex(), from.Metadata.GetTerm()
-	n.lastAt, n.lastLocal = time.Duration(s.At), now
-	n.clock = fleetClock{n.lastAt, now}
-	return nil
+	n.pendingVoterChanges = nil
+	n.confState = n.rawNode.ApplyConfChange(change)
+	if removes {
+		return nil
+	}
+	// The new voter begins from a snapshot, and rejects one in which it is no voter.
+	return n.CreateSnapshot()
 }
--- a/internal/controlplane/consensus/clock.go
+++ b/internal/controlplane/consensus/clock.go
@@ -2,24 +2,30 @@
 
 import "time"
 
-// fleetClock gives the fleet's time.
+// fleetClock gives the fleet's time. It starts from a timestamp and adds what the voter's own clock
+// has counted since.
 type fleetClock struct {
-	at    time.Duration // of the last entry applied, or stamped by this leader
-	since time.Duration // on this voter's clock
+	timestamp time.Duration // the fleet's time
+	localTime time.Duration // when that was, by the voter's clock
 }
 
-// now is the fleet's time by this voter's clock.
-func (c *fleetClock) now(local time.Duration) time.Duration {
-	return c.at + max(0, local-c.since)
+// now returns the fleet's time at a time of the voter's clock.
+func (c *fleetClock) now(localTime time.Duration) time.Duration {
+	return c.timestamp + max(0, localTime-c.localTime)
 }
 
-// saw takes in the stamp of an entry applied now. A stamp that this clock has passed already moves
-// nothing: what it has counted since an earlier entry is no more than what has passed.
-func (c *fleetClock) saw(at, local time.Duration) {
-	if at > c.now(local) {
-		c.at, c.since = at, local
+// observe advances the clock to the timestamp of an entry that is applied now. A timestamp that the
+// clock has passed already changes nothing: what it has counted since an earlier entry is no more
+// than the time that has passed.
+func (c *fleetClock) observe(timestamp, localTime time.Duration) {
+	if timestamp > c.now(localTime) {
+		c.resetTo(timestamp, localTime)
 	}
 }
 
-// lead sets the clock back to the last stamp: a leader counts from the newest entry alone.
-func (c *fleetClock) lead(at, appliedAt time.Duration) { c.at, c.since = at, appliedAt }
+// resetTo sets the clock to a timestamp, also backwards: a leader counts from the newest entry that
+// it has applied alone.
+func (c *fleetClock) resetTo(timestamp, localTime time.Duration) {
+	c.timestamp = timestamp
+	c.localTime = localTime
+}
--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -1,24 +1,25 @@
-// Package consensus is the fleet's agreed state: a log replicated over voters by the raft library,
-// state machines that its entries go to, and sessions by which each command is applied once
-// however often it is sent.
+// Package consensus is the fleet's replicated state: a log that the raft library replicates over
+// voters, state machines that its entries are applied to, and sessions by which each command is
+// applied once however often it is sent.
 //
-// A Node is one voter. It does no I/O: whoever drives it saves what Work names, syncs, and only then calls
-// Saved and sends what that returns. Time and randomness come from outside, so an emulator plays the same
-// code. A Node must not be used concurrently.
+// A Node is one voter. It does no I/O: its driver stores what Ready returns, syncs, and only then
+// calls Advance and sends the messages that this returns. Time and randomness are arguments, so an
+// emulator runs the same code. A Node is not safe for concurrent use.
 //
 // # The fleet's time
 //
-// A leader stamps each entry: with the stamp of the last entry before its own, and what its clock has counted
-// since it applied that one. A new leader stamps nothing before it has applied an entry of its own term, and so all
-// before it. Therefore between two stamps no more time lies than any clock with the stated pace has counted between
-// the two proposals: the fleet's time may stand still, it never runs ahead.
+// A leader gives each entry a timestamp: that of the last entry before its own, plus what its clock
+// has counted since it applied that one. A new leader proposes nothing before it has applied an
+// entry of its own term, and so all entries before it. Therefore the time between two timestamps
+// is never more than what a clock within the clock-drift bound has counted between the two
+// proposals: the fleet's time may stand still, but it never runs ahead.
 //
-// # Promise
+// # Guarantees
 //
 //   - A command that was answered OK is in the log of a majority, on disk, and was applied once.
-//   - A command that got no answer was applied once or never; sent again in its session it is answered
-//     as it was the first time.
-//   - A Read sees all that was answered before it was asked.
-//   - A voter whose folder is older than what it promised takes no part, as long as one of those who know its
-//     promises answers when it starts (see Proof).
+//   - A command that got no answer was applied once or never. If it is sent again in its session,
+//     it is answered as it was the first time.
+//   - A Read sees everything that was answered before it was sent.
+//   - A voter whose stored state is older than what it promised takes no part, as long as one of
+//     those that know its promises answers when it starts (see Verification).
 package consensus
--- a/internal/controlplane/consensus/leaders_test.go
+++ b/internal/controlplane/consensus/leaders_test.go
@@ -14,17 +14,17 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// trio is three voters in virtual time whose messages all arrive at once.
-type trio struct {
-	t     *testing.T
-	r     *rand.Rand
-	nodes map[uint64]*Node
-	now   time.Duration
+// threeVoters is three voters in virtual time whose messages all arrive at once.
+type threeVoters struct {
+	t      *testing.T
+	random *rand.Rand
+	nodes  map[uint64]*Node
+	now    time.Duration
 }
 
-func newTrio(t *testing.T, seed uint64) *trio {
+func newThreeVoters(t *testing.T, seed uint64) *threeVoters {
 	t.Helper()
-	w := &trio{t: t, r: rand.New(rand.NewPCG(seed, 2)), nodes: map[uint64]*Node{}}
+	w := &threeVoters{t: t, random: rand.New(rand.NewPCG(seed, 2)), nodes: map[uint64]*Node{}}
 	var voters []*controlpb.Voter
 	for number := range uint64(3) {
 		voters = append(voters, &controlpb.Voter{Number: number + 1, Name: fmt.Sprintf("v%d", number+1)})
@@ -40,7 +40,7 @@
 }
 
 // open opens a voter from what its folder holds.
-func (w *trio) open(number uint64, from StoredState) {
+func (w *threeVoters) open(number uint64, from StoredState) {
 	w.t.Helper()
 	n, err := Open(w.now, testConfig(number, nil), from)
 	if err == nil {
@@ -52,8 +52,8 @@
 	w.nodes[number] = n
 }
 
-// pass has time go by at all voters, and their messages arrive.
-func (w *trio) pass(d time.Duration) {
+// advance has time go by at all voters, and their messages arrive.
+func (w *threeVoters) advance(d time.Duration) {
 	w.t.Helper()
 	w.now += d
 	numbers := slices.Sorted(maps.Keys(w.nodes))
@@ -85,9 +85,9 @@
 }
 
 // leader has time go by until a voter leads.
-func (w *trio) leader() (number uint64, n *Node) {
+func (w *threeVoters) leader() (number uint64, n *Node) {
 	w.t.Helper()
-	for until := w.now + time.Minute; w.now < until; w.pass(40 * time.Millisecond) {
+	for until := w.now + time.Minute; w.now < until; w.advance(40 * time.Millisecond) {
 		for _, number = range slices.Sorted(maps.Keys(w.nodes)) {
 			if n = w.nodes[number]; n.Leadership().IsLeader {
 				return number, n
@@ -98,11 +98,11 @@
 	return 0, nil
 }
 
-// ended is the answer to a request at a voter.
-func (w *trio) ended(n *Node, tag any) *controlpb.Answer {
+// completed is the answer to a request at a voter.
+func (w *threeVoters) completed(n *Node, tag any) *controlpb.Answer {
 	w.t.Helper()
-	w.pass(40 * time.Millisecond)
-	w.pass(40 * time.Millisecond)
+	w.advance(40 * time.Millisecond)
+	w.advance(40 * time.Millisecond)
 	for _, d := range n.Completions() {
 		if d.Tag == tag && d.Answer.Code == controlpb.Code_OK {
 			return d.Answer
@@ -113,11 +113,11 @@
 }
 
 // restart opens a voter that does not lead anew, from a snapshot of all that it has.
-func (w *trio) restart(leader uint64) {
+func (w *threeVoters) restart(leader uint64) {
 	w.t.Helper()
 	number := leader%3 + 1
 	n := w.nodes[number]
-	if last, _ := n.log.LastIndex(); last != n.applied || n.applied == n.snapshot {
+	if last, _ := n.storage.LastIndex(); last != n.appliedIndex || n.appliedIndex == n.snapshotIndex {
 		return // its snapshot would not hold all that it has, or there is one already
 	}
 	if err := n.CreateSnapshot(); err != nil {
@@ -131,28 +131,28 @@
 // told names the same members at the next.
 func TestRevisionsOverLeaders(t *testing.T) {
 	for seed := range uint64(4) {
-		w := newTrio(t, seed)
+		w := newThreeVoters(t, seed)
 		cache := NewMemberCache(MembershipQuery{Scope: ScopeMembers})
 		contents, leaders := map[Revision]string{}, map[uint64]bool{}
 		for step := range uint64(150) {
 			number, n := w.leader()
 			leaders[number] = true
-			if w.r.IntN(2) == 0 {
-				who := &controlpb.Member{Id: fmt.Sprintf("g%d", w.r.IntN(10)), Incarnation: step + 1, Address: "at"}
+			if w.random.IntN(2) == 0 {
+				who := &controlpb.Member{Id: fmt.Sprintf("g%d", w.random.IntN(10)), Incarnation: step + 1, Address: "at"}
 				n.Propose(w.now, &controlpb.Command{Member: who}, who)
-				w.ended(n, who)
+				w.completed(n, who)
 			}
-			switch w.r.IntN(6) {
+			switch w.random.IntN(6) {
 			case 0:
 				n.TransferLeader(number%3 + 1)
-				w.pass(40 * time.Millisecond)
+				w.advance(40 * time.Millisecond)
 				_, n = w.leader()
 			case 1:
 				w.restart(number)
 			}
 			tag := new(int)
 			n.Read(MembershipName, cache.Query(), tag)
-			if err := cache.Update(w.ended(n, tag).Body); err != nil {
+			if err := cache.Update(w.completed(n, tag).Body); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
 			w.compare(cache, n, contents)
@@ -164,7 +164,7 @@
 }
 
 // compare compares what a cache holds with the leader's members, and with what had its revision before.
-func (w *trio) compare(cache *MemberCache, leader *Node, contents map[Revision]string) {
+func (w *threeVoters) compare(cache *MemberCache, leader *Node, contents map[Revision]string) {
 	w.t.Helper()
 	var agreed, known []lease.Member
 	for _, m := range leader.Members() {
--- a/internal/controlplane/consensus/membercache.go
+++ b/internal/controlplane/consensus/membercache.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -9,97 +8,92 @@
 	"slices"
 )
 
-// ErrCacheMismatch is the error of an answer that does not lead on from what a MemberCache holds. The cache
-// has forgotten that: its next query asks for the whole.
-var ErrCacheMismatch = errors.New("agree: the answer does not lead on from what is known of the members")
+// ErrCacheMismatch is the error of an answer that does not lead on from what a MemberCache holds.
+// The cache is empty after it: its next query asks for everything.
+var ErrCacheMismatch = errors.New(
+	"consensus: the answer does not lead on from the cached members")
 
-// MemberCache is what a process outside the voters knows of who belongs to the fleet. It asks only
-// for what has changed, and checks what it has by the answers' digests. It must not be used
-// concurrently, nor with two queries under way.
+// MemberCache is what a client knows of who belongs to the fleet. It asks only for what has
+// changed, and checks what it has by the answers' digests. It is not safe for concurrent use, and
+// only one of its queries may be in flight.
 type MemberCache struct {
-	query    MembershipQuery
-	revision Revision // zero: nothing is held, or what an older voter gave
-	voters   []VoterInfo
-	members  map[string]MemberInfo
-	silent   UnresponsiveMembers
+	query        MembershipQuery
+	revision     Revision // zero: nothing is cached, or what an older version's voter answered
+	voters       []VoterInfo
+	members      map[string]MemberInfo // by id
+	unresponsive UnresponsiveMembers
 }
 
-// NewMemberCache makes an empty cache for the part that a query asks for. The query has to be of
+// NewMemberCache returns an empty cache for the part that a query asks for. The query has to be of
 // ScopeVoters or ScopeMembers.
 func NewMemberCache(query MembershipQuery) *MemberCache {
 	return &MemberCache{query: query, members: map[string]MemberInfo{}}
 }
 
-// Query is the body of the Read that asks for what the cache lacks.
+// Query returns the body of the Read that asks for what the cache lacks.
 func (c *MemberCache) Query() []byte {
 	q := c.query
-	if c.revision != (Revision{}) {
-		q.Revision, q.UnresponsiveDigest = &c.revision, c.silent.Digest
+	if c.hasRevision() {
+		q.Revision = &c.revision
+		q.UnresponsiveDigest = c.unresponsive.Digest
 	}
 	return q.Encode()
 }
 
-// Encode is the query as the body of a Read.
-func (q *MembershipQuery) Encode() []byte {
-	raw, err := json.Marshal(q)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
-}
+func (c *MemberCache) hasRevision() bool { return c.revision != (Revision{}) }
 
-// Update takes in the answer to the last Query. An error, ErrCache among them, leaves the cache
+// Update applies the answer to the last Query. An error, such as ErrCacheMismatch, leaves the cache
 // empty.
 func (c *MemberCache) Update(body []byte) error {
-	if len(body) == 0 && c.revision != (Revision{}) {
+	if len(body) == 0 && c.hasRevision() {
 		return nil // nothing has changed
 	}
-	err := c.take(body)
+	err := c.apply(body)
 	if err != nil {
 		*c = *NewMemberCache(c.query)
 	}
 	return err
 }
 
-func (c *MemberCache) take(body []byte) error {
-	a, err := ParseMembershipAnswer(body)
+func (c *MemberCache) apply(body []byte) error {
+	answer, err := ParseMembershipAnswer(body)
 	if err != nil {
 		return err
 	}
-	if !a.Delta {
-		c.voters, c.members, c.silent = a.Voters, map[string]MemberInfo{}, UnresponsiveMembers{}
-	} else if c.revision == (Revision{}) {
-		return fmt.Errorf("%w: changes came, but nothing is known", ErrCacheMismatch)
+	if answer.Delta && !c.hasRevision() {
+		return fmt.Errorf("%w: changes came, but nothing is cached", ErrCacheMismatch)
 	}
-	for _, m := range a.Members {
-		if len(c.query.IDs) == 0 || slices.Contains(c.query.IDs, m.ID) { // an older voter gives all
+	if !answer.Delta {
+		c.voters = answer.Voters
+		c.members = map[string]MemberInfo{}
+		c.unresponsive = UnresponsiveMembers{}
+	}
+	for _, m := range answer.Members {
+		// A voter of an older version sends all members.
+		if len(c.query.IDs) == 0 || slices.Contains(c.query.IDs, m.ID) {
 			c.members[m.ID] = m
 		}
 	}
-	for _, id := range a.Removed {
+	for _, id := range answer.Removed {
 		delete(c.members, id)
 	}
-	if a.Unresponsive != nil {
-		c.silent = *a.Unresponsive
+	if answer.Unresponsive != nil {
+		c.unresponsive = *answer.Unresponsive
 	}
-	c.revision = a.Revision
-	if a.Revision != (Revision{}) && c.digest() != a.Revision.Digest {
+	c.revision = answer.Revision
+	if c.hasRevision() && c.digest() != c.revision.Digest {
 		return fmt.Errorf("%w: digest %x, not %x as at entry %d",
-			ErrCacheMismatch, c.digest(), a.Revision.Digest, a.Revision.Index)
+			ErrCacheMismatch, c.digest(), c.revision.Digest, c.revision.Index)
 	}
 	return nil
 }
 
-// digest is the digest of what the cache holds.
+// digest returns the digest of what the cache holds.
 func (c *MemberCache) digest() uint64 {
 	if c.query.Scope == ScopeVoters {
-		return digestOfVoters(c.voters)
-	}
-	digest := uint64(digestOfNone)
-	for _, m := range c.members {
-		digest ^= digestOf(m.Member, m.Address)
+		return votersDigest(c.voters)
 	}
-	return digest
+	return membersDigest(slices.Collect(maps.Values(c.members)))
 }
 
 // Voters returns the voters, by name, if they were asked for.
@@ -108,37 +102,41 @@
 // Members returns the members, by id, if they were asked for.
 func (c *MemberCache) Members() []MemberInfo {
 	all := slices.Collect(maps.Values(c.members))
-	slices.SortFunc(all, func(a, b MemberInfo) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, compareMemberInfos)
 	for i := range all {
-		_, all[i].Unresponsive = slices.BinarySearch(c.silent.IDs, all[i].ID)
+		_, all[i].Unresponsive = slices.BinarySearch(c.unresponsive.IDs, all[i].ID)
 	}
 	return all
 }
 
-// ParseMembershipAnswer reads the answer to a MembershipQuery. A voter of an older version gives a
-// List whatever is asked: that becomes an answer without a revision, which names the whole.
+// ParseMembershipAnswer reads the answer to a MembershipQuery. A voter of an older version answers
+// every query with a Membership: that becomes an answer without a revision, which names everything.
 func ParseMembershipAnswer(body []byte) (*MembershipAnswer, error) {
-	var a MembershipAnswer
-	if err := json.Unmarshal(body, &a); err == nil && a.Revision != (Revision{}) {
-		return &a, nil
+	var answer MembershipAnswer
+	err := json.Unmarshal(body, &answer)
+	if err == nil && answer.Revision != (Revision{}) {
+		return &answer, nil
 	}
-	var l Membership
-	if err := json.Unmarshal(body, &l); err != nil {
-		return nil, fmt.Errorf("agree: the answer about members can't be read: %w", err)
+	var all Membership
+	if err := json.Unmarshal(body, &all); err != nil {
+		return nil, fmt.Errorf("consensus: the answer about members can't be read: %w", err)
 	}
-	return l.answer(), nil
+	return all.answer(), nil
 }
 
-// answer is the whole list as the answer to a query.
-func (l *Membership) answer() *MembershipAnswer {
-	a := &MembershipAnswer{Voters: l.Voters, Unresponsive: &UnresponsiveMembers{}}
-	for _, m := range l.Members {
-		a.Members = append(a.Members,
-			MemberInfo{Member: m.Member, Address: m.Address, Retired: l.Retired[m.ID]})
-		if l.At-m.LastSeen >= silentAfter {
-			a.Unresponsive.IDs = append(a.Unresponsive.IDs, m.ID)
+// answer returns the whole membership as the answer to a query.
+func (m *Membership) answer() *MembershipAnswer {
+	answer := &MembershipAnswer{Voters: m.Voters, Unresponsive: &UnresponsiveMembers{}}
+	for _, one := range m.Members {
+		answer.Members = append(answer.Members, MemberInfo{
+			Member:  one.Member,
+			Address: one.Address,
+			Retired: m.Retired[one.ID],
+		})
+		if m.At-one.LastSeen >= unresponsiveAfter {
+			answer.Unresponsive.IDs = append(answer.Unresponsive.IDs, one.ID)
 		}
 	}
-	slices.Sort(a.Unresponsive.IDs)
-	return a
+	slices.Sort(answer.Unresponsive.IDs)
+	return answer
 }
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -16,29 +16,29 @@
 )
 
 // open opens a session and gives its number.
-func (a *alone) open(id string, boot uint64) uint64 {
+func (a *singleVoter) open(id string, boot uint64) uint64 {
 	a.t.Helper()
-	answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: id, Incarnation: boot, Address: "at-" + id}})
+	answer := a.propose(&controlpb.Command{Member: &controlpb.Member{Id: id, Incarnation: boot, Address: "at-" + id}})
 	if answer.Code != controlpb.Code_OK {
 		a.t.Fatalf("opening %s/%d: %v", id, boot, answer)
 	}
 	return answer.Session
 }
 
-// touch has a session say that its process is there.
-func (a *alone) touch(session, seq uint64) {
+// keepAlive has a session say that its process is there.
+func (a *singleVoter) keepAlive(session, seq uint64) {
 	a.t.Helper()
-	if answer := a.do(&controlpb.Command{Session: session, Seq: seq, AckedSeq: seq - 1, Member: &controlpb.Member{}}); answer.Code != controlpb.Code_OK {
+	if answer := a.propose(&controlpb.Command{Session: session, Seq: seq, AckedSeq: seq - 1, Member: &controlpb.Member{}}); answer.Code != controlpb.Code_OK {
 		a.t.Fatalf("session %d: %v", session, answer)
 	}
 }
 
 // read reads who belongs to the fleet.
-func (a *alone) read(body []byte) *controlpb.Answer {
+func (a *singleVoter) read(body []byte) *controlpb.Answer {
 	a.t.Helper()
 	tag := new(int)
 	a.node.Read(MembershipName, body, tag)
-	a.pass(0)
+	a.advance(0)
 	for _, d := range a.node.Completions() {
 		if d.Tag == tag {
 			return d.Answer
@@ -49,7 +49,7 @@
 }
 
 // refresh brings a cache up to date and gives the size of the answer.
-func (a *alone) refresh(c *MemberCache) int {
+func (a *singleVoter) refresh(c *MemberCache) int {
 	a.t.Helper()
 	answer := a.read(c.Query())
 	if answer.Code != controlpb.Code_OK {
@@ -62,7 +62,7 @@
 }
 
 // restart opens the voter anew from a snapshot of its state.
-func (a *alone) restart() {
+func (a *singleVoter) restart() {
 	a.t.Helper()
 	if err := a.node.CreateSnapshot(); err != nil {
 		a.t.Fatal(err)
@@ -71,10 +71,10 @@
 	if !ok {
 		a.t.Fatal("no snapshot")
 	}
-	a.begin(nil, StoredState{HardState: w.HardState, Snapshot: w.Snapshot})
+	a.start(nil, StoredState{HardState: w.HardState, Snapshot: w.Snapshot})
 }
 
-func names(all []MemberInfo) (names []string) {
+func describeMembers(all []MemberInfo) (names []string) {
 	for _, m := range all {
 		name := m.Member.String() + "@" + m.Address
 		if m.Unresponsive {
@@ -87,7 +87,7 @@
 
 // The revision changes when a session begins or ends, and by nothing else.
 func TestRevisionChangesOnlyWithTheMembers(t *testing.T) {
-	a := newAlone(t, nil)
+	a := newSingleVoter(t, nil)
 	last := a.node.sessions.log.current()
 	expect := func(changed bool, what string) {
 		t.Helper()
@@ -99,7 +99,7 @@
 	}
 	one := a.open("a", 1)
 	expect(true, "a session began")
-	a.touch(one, 1)
+	a.keepAlive(one, 1)
 	expect(false, "a session was heard of")
 	if again := a.open("a", 1); again != one {
 		t.Fatalf("session %d, not %d", again, one)
@@ -107,21 +107,21 @@
 	expect(false, "the same process asked for a session again")
 	two := a.open("a", 2)
 	expect(true, "another process took the id")
-	if answer := a.do(&controlpb.Command{Member: &controlpb.Member{Id: "a", Incarnation: 1}}); answer.Code != controlpb.Code_SUPERSEDED {
+	if answer := a.propose(&controlpb.Command{Member: &controlpb.Member{Id: "a", Incarnation: 1}}); answer.Code != controlpb.Code_SUPERSEDED {
 		t.Fatal(answer)
 	}
 	expect(false, "the earlier process was refused")
-	a.pass(SessionTTL / 2)
-	a.touch(two, 1)
+	a.advance(SessionTTL / 2)
+	a.keepAlive(two, 1)
 	expect(false, "time passed")
 	a.node.ChangeVoter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // it is one
-	a.pass(0)
+	a.advance(0)
 	expect(false, "no voter more")
-	a.pass(2 * SessionTTL)
+	a.advance(2 * SessionTTL)
 	expect(false, "a session that ran out is still there")
 	a.open("b", 1)
 	expect(true, "one session ran out, another began")
-	if got := names(a.node.sessions.memberAnswer(&MembershipQuery{}, 0).Members); !slices.Equal(got, []string{lease.Member{ID: "b", Incarnation: 1}.String() + "@at-b"}) {
+	if got := describeMembers(a.node.sessions.memberAnswer(&MembershipQuery{}, 0).Members); !slices.Equal(got, []string{lease.Member{ID: "b", Incarnation: 1}.String() + "@at-b"}) {
 		t.Fatal(got)
 	}
 }
@@ -129,7 +129,7 @@
 // Who has the newest list gets an empty answer, over restarts of the voter from a snapshot too; who
 // has an earlier one gets what changed.
 func TestAnswersHoldOnlyWhatChanged(t *testing.T) {
-	a := newAlone(t, nil)
+	a := newSingleVoter(t, nil)
 	for i := range 50 {
 		a.open(fmt.Sprintf("gateway-%02d", i), 1)
 	}
@@ -156,14 +156,14 @@
 	if a.refresh(some) == 0 || a.refresh(voters) != 0 {
 		t.Error("a change of a member is one of some members, and none of the voters")
 	}
-	if got := names(some.Members()); !slices.Equal(got, []string{
+	if got := describeMembers(some.Members()); !slices.Equal(got, []string{
 		lease.Member{ID: "gateway-03", Incarnation: 2}.String() + "@at-gateway-03", lease.Member{ID: "gateway-07", Incarnation: 1}.String() + "@at-gateway-07"}) {
 		t.Error(got)
 	}
 	before := a.node.sessions.log.current()
 	a.restart()
-	if after := a.node.sessions.log.current(); after != (Revision{a.node.snapshot, before.Digest}) {
-		t.Errorf("revision %v before, %v restored from a snapshot of entry %d", before, after, a.node.snapshot)
+	if after := a.node.sessions.log.current(); after != (Revision{a.node.snapshotIndex, before.Digest}) {
+		t.Errorf("revision %v before, %v restored from a snapshot of entry %d", before, after, a.node.snapshotIndex)
 	}
 	if a.refresh(some) != 0 || a.refresh(voters) != 0 {
 		t.Error("a restart changed parts of the list")
@@ -177,12 +177,12 @@
 // A member that nothing is heard of is told as silent, without a change of the revision, and as
 // heard of again.
 func TestSilentMembersAreTold(t *testing.T) {
-	a := newAlone(t, nil)
+	a := newSingleVoter(t, nil)
 	heard, unheard := a.open("heard", 1), a.open("unheard", 1)
 	seq := uint64(0)
 	touch := func(session uint64) {
 		seq++
-		a.touch(session, seq)
+		a.keepAlive(session, seq)
 	}
 	for name, query := range map[string]MembershipQuery{
 		"all":  {Scope: ScopeMembers},
@@ -204,7 +204,7 @@
 		if ids := silent(); ids != nil {
 			t.Fatal(name, ids)
 		}
-		a.pass(silentAfter)
+		a.advance(unresponsiveAfter)
 		touch(heard)
 		told, err := ParseMembershipAnswer(a.read(c.Query()).Body)
 		if err != nil || told.Members != nil || told.Revision != c.revision {
@@ -226,7 +226,7 @@
 
 // A change of voters changes the answer for voters.
 func TestVotersAreToldAnew(t *testing.T) {
-	a := newAlone(t, nil)
+	a := newSingleVoter(t, nil)
 	c := NewMemberCache(MembershipQuery{Scope: ScopeVoters})
 	a.refresh(c)
 	a.node.voters[8] = &controlpb.Voter{Number: 8, Name: "w", Address: "there"} // a second real voter would have to answer
@@ -240,13 +240,13 @@
 
 // A sample is as large as asked, of active members, with those that vote.
 func TestSampleIsOfActiveMembersAndVoters(t *testing.T) {
-	a := newAlone(t, nil)
+	a := newSingleVoter(t, nil)
 	a.open("silent", 1)
-	a.pass(silentAfter)
+	a.advance(unresponsiveAfter)
 	for _, id := range []string{"v", "a", "b", "c", "d", "e"} {
 		a.open(id, 1)
 	}
-	a.do(&controlpb.Command{Member: &controlpb.Member{Id: "nowhere", Incarnation: 1}})
+	a.propose(&controlpb.Command{Member: &controlpb.Member{Id: "nowhere", Incarnation: 1}})
 	drawn := map[string]bool{}
 	for seed := range uint64(40) {
 		answer, err := ParseMembershipAnswer(a.read((&MembershipQuery{Scope: ScopeSample, Sample: 2, Seed: seed}).Encode()).Body)
@@ -268,7 +268,7 @@
 // Queries that can't be answered are refused with what is wrong; one without a body gets the whole
 // list, as ever.
 func TestQueriesOfOtherVersions(t *testing.T) {
-	a := newAlone(t, nil)
+	a := newSingleVoter(t, nil)
 	a.open("a", 1)
 	a.open("a", 2)
 	for body, why := range map[string]string{
@@ -319,7 +319,7 @@
 	if err := c.Update(change); !errors.Is(err, ErrCacheMismatch) {
 		t.Error(err)
 	}
-	whole := fmt.Appendf(nil, `{"revision":{"index":4,"digest":%d},"members":[{"id":"a","boot":1}]}`, digestOfNone^digestOf(lease.Member{ID: "a", Incarnation: 1}, ""))
+	whole := fmt.Appendf(nil, `{"revision":{"index":4,"digest":%d},"members":[{"id":"a","boot":1}]}`, emptyDigest^memberDigest(lease.Member{ID: "a", Incarnation: 1}, ""))
 	if err := c.Update(whole); err != nil {
 		t.Fatal(err)
 	}
@@ -360,15 +360,15 @@
 			s.open(w.index, in.member, in.address, w.at)
 		default:
 			if in := s.byID[fmt.Sprintf("g%d", heard)]; in != nil {
-				in.seen = w.at
+				in.lastSeen = w.at
 			}
 		}
 		s.log.commit(w.index)
 		if w.r.IntN(50) == 0 {
 			var snapshot controlpb.Snapshot
-			s.write(&snapshot)
+			s.writeTo(&snapshot)
 			w.all[i] = readSessions(&snapshot)
-			w.all[i].log.begin(w.index)
+			w.all[i].log.reset(w.index)
 		}
 	}
 }
@@ -379,7 +379,7 @@
 	for seed := range uint64(8) {
 		w := &replicas{t: t, r: rand.New(rand.NewPCG(seed, 1)), all: []*sessions{newSessions(), newSessions(), newSessions()}}
 		for _, s := range w.all {
-			s.log.begin(0)
+			s.log.reset(0)
 		}
 		var caches []*MemberCache
 		for range 4 {
@@ -396,7 +396,7 @@
 			c, s := caches[w.r.IntN(len(caches))], w.all[w.r.IntN(len(w.all))]
 			deltas += w.compare(c, s)
 			if len(c.query.IDs) == 0 {
-				content := fmt.Sprint(names(s.memberAnswer(&MembershipQuery{}, 0).Members))
+				content := fmt.Sprint(describeMembers(s.memberAnswer(&MembershipQuery{}, 0).Members))
 				if had, told := contents[c.revision]; told && had != content {
 					t.Fatalf("seed %d: revision %v of %s and of %s", seed, c.revision, had, content)
 				}
@@ -438,7 +438,7 @@
 		}
 		wanted = append(wanted, name)
 	}
-	if got := names(c.Members()); !slices.Equal(got, wanted) {
+	if got := describeMembers(c.Members()); !slices.Equal(got, wanted) {
 		w.t.Fatalf("entry %d: %v, not %v", w.index, got, wanted)
 	}
 	for _, m := range c.Members() {
@@ -457,7 +457,7 @@
 func TestSameIndexOfAnotherHistory(t *testing.T) {
 	first, second := newSessions(), newSessions()
 	for i, s := range []*sessions{first, second} {
-		s.log.begin(0)
+		s.log.reset(0)
 		for index := range uint64(10) {
 			s.open(index+1, lease.Member{ID: fmt.Sprintf("g%d", index), Incarnation: uint64(i) + 1}, "", 0)
 			s.log.commit(index + 1)
@@ -466,9 +466,9 @@
 	w := &replicas{t: t}
 	restored := func(s *sessions) *sessions {
 		var snapshot controlpb.Snapshot
-		s.write(&snapshot)
+		s.writeTo(&snapshot)
 		again := readSessions(&snapshot)
-		again.log.begin(10)
+		again.log.reset(10)
 		return again
 	}
 	for _, s := range []*sessions{first, second, restored(first), restored(second)} {
@@ -484,15 +484,15 @@
 // A voter keeps a bounded number of changes; who is further behind gets the whole list.
 func TestChangesKeptAreBounded(t *testing.T) {
 	s := newSessions()
-	s.log.begin(0)
+	s.log.reset(0)
 	c := NewMemberCache(MembershipQuery{Scope: ScopeMembers})
 	w := &replicas{t: t}
 	w.compare(c, s)
 	for index := range uint64(4 * maxMembershipChanges) {
 		s.open(index+1, lease.Member{ID: fmt.Sprintf("g%d", index), Incarnation: 1}, "", 0)
 		s.log.commit(index + 1)
-		if s.log.kept > maxMembershipChanges || len(s.log.changes) > maxMembershipChanges {
-			t.Fatalf("%d changes of %d ids are kept", len(s.log.changes), s.log.kept)
+		if s.log.changedIDs > maxMembershipChanges || len(s.log.changes) > maxMembershipChanges {
+			t.Fatalf("%d changes of %d ids are kept", len(s.log.changes), s.log.changedIDs)
 		}
 	}
 	if w.compare(c, s) != 0 {
--- a/internal/controlplane/consensus/membershipquery.go
+++ b/internal/controlplane/consensus/membershipquery.go
@@ -4,14 +4,14 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
-	"hash/fnv"
 	"slices"
 	"time"
 
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustjson"
 )
 
-// Scope says which part of who belongs to the fleet a MembershipQuery asks for.
+// Scope is the part of the membership that a MembershipQuery asks for.
 type Scope string
 
 const (
@@ -19,67 +19,74 @@
 	ScopeVoters Scope = "voters"
 	// ScopeMembers is the processes with a session, or some of them.
 	ScopeMembers Scope = "members"
-	// ScopeSample is some processes that are reached and were heard of lately, drawn by a seed,
-	// beside those that vote.
+	// ScopeSample is the voters, the members that vote, and some other active members that are
+	// drawn by a seed.
 	ScopeSample Scope = "sample"
 )
 
-// silentAfter is after what time without a command a member counts as silent.
-const silentAfter = SessionTTL / 2
-
-// maxSample is the largest sample that is answered.
-const maxSample = 64
+const (
+	// unresponsiveAfter is the time without a command after which a member counts as unresponsive.
+	unresponsiveAfter = SessionTTL / 2
+	// maxSample is the largest sample, in members, that is answered.
+	maxSample = 64
+)
 
-// MembershipQuery is a Read of FleetName for no more than an asker needs. A Read without a body is
-// answered by a List.
+// MembershipQuery is a Read of MembershipName for no more than a client needs. A Read without a
+// body is answered with a Membership.
 //
-// An asker that says what it has gets an empty answer where nothing of it has changed, and for all
-// members only what changed.
+// A client that names the revision that it has gets an empty answer if nothing has changed since,
+// and of all members only what has changed.
 type MembershipQuery struct {
 	Scope Scope `json:"scope"`
 	// IDs are the members that ScopeMembers asks for; empty: all.
 	IDs []string `json:"ids,omitempty"`
-	// Retired asks for the earlier boots of each member's id as well.
+	// Retired asks for the superseded incarnations of each member's id as well.
 	Retired bool `json:"retired,omitempty"`
 	// Sample is how many members ScopeSample asks for, and Seed which.
 	Sample int    `json:"sample,omitempty"`
 	Seed   uint64 `json:"seed,omitempty"`
-	// Revision is what the asker has; nil: nothing.
+	// Revision is what the client has; nil: nothing.
 	Revision *Revision `json:"revision,omitempty"`
-	// UnresponsiveDigest is the digest of the silent members that the asker knows of.
+	// UnresponsiveDigest is the digest of the unresponsive members that the client knows of.
 	UnresponsiveDigest uint64 `json:"silent,omitempty"`
 }
 
-// MembershipAnswer is what a MembershipQuery gets, unless nothing has changed.
+// MembershipAnswer is the answer to a MembershipQuery, unless nothing has changed.
 type MembershipAnswer struct {
 	Revision Revision `json:"revision"` // never zero
-	// Delta says that Members are only those that were added or replaced, and Ended those that are
-	// no more.
+	// Delta means that Members are only those that were added or replaced, and Removed those that
+	// have no session any more.
 	Delta        bool                 `json:"delta,omitempty"`
 	Voters       []VoterInfo          `json:"voters,omitempty"`
 	Members      []MemberInfo         `json:"members,omitempty"`
 	Removed      []string             `json:"ended,omitempty"`
-	Unresponsive *UnresponsiveMembers `json:"silent,omitempty"` // nil: as the asker knows them
+	Unresponsive *UnresponsiveMembers `json:"silent,omitempty"` // nil: as the client knows them
 }
 
-// UnresponsiveMembers is the members that nothing was heard of for half of a session's span.
+// UnresponsiveMembers are the members that sent no command for half of a session's TTL.
 type UnresponsiveMembers struct {
 	Digest uint64   `json:"digest"` // 0: there are none
 	IDs    []string `json:"ids,omitempty"`
 }
 
-// MemberInfo is one process with a session, and where it is reached.
+// MemberInfo describes a process that has a session.
 type MemberInfo struct {
 	lease.Member
-	Address      string   `json:"address,omitempty"` // "": nowhere
-	Retired      []uint64 `json:"retired,omitempty"` // earlier boots of its id, if they were asked for
-	Unresponsive bool     `json:"-"`                 // nothing was heard of it lately; a MemberCache sets it
+	Address      string   `json:"address,omitempty"` // "": it is reached nowhere
+	Retired      []uint64 `json:"retired,omitempty"` // superseded incarnations, if asked for
+	Unresponsive bool     `json:"-"`                 // set by a MemberCache
 }
 
-// Active reports whether the member is reached somewhere and was heard of lately.
+// Active reports whether the member has an address and is responsive.
 func (m *MemberInfo) Active() bool { return m.Address != "" && !m.Unresponsive }
 
-// parseMembershipQuery reads the body of a Read of FleetName; nil: a List is asked for.
+func compareMemberInfos(a, b MemberInfo) int { return cmp.Compare(a.ID, b.ID) }
+
+// Encode returns the query as the body of a Read.
+func (q *MembershipQuery) Encode() []byte { return mustjson.Marshal(q) }
+
+// parseMembershipQuery reads the body of a Read of MembershipName. It returns nil if the body is
+// empty, so asks for a Membership.
 func parseMembershipQuery(body []byte) (*MembershipQuery, error) {
 	if len(body) == 0 {
 		return nil, nil
@@ -88,155 +95,142 @@
 	if err := json.Unmarshal(body, q); err != nil {
 		return nil, fmt.Errorf("the query for members can't be read: %w", err)
 	}
-	switch {
-	case q.Scope != ScopeVoters && q.Scope != ScopeMembers && q.Scope != ScopeSample:
-		return nil, fmt.Errorf("the query's scope %.40q is none of voters, members and sample", q.Scope)
-	case q.Sample < 0 || q.Sample > maxSample:
+	switch q.Scope {
+	case ScopeVoters, ScopeMembers, ScopeSample:
+	default:
+		return nil, fmt.Errorf("the query's scope %.40q is none of voters, members and sample",
+			q.Scope)
+	}
+	if q.Sample < 0 || q.Sample > maxSample {
 		return nil, fmt.Errorf("the query's sample is %d members, %d at most", q.Sample, maxSample)
 	}
 	return q, nil
 }
 
-// membershipAnswer answers a query at a time of the fleet; nil: the asker has all of it.
-func (n *Node) membershipAnswer(q *MembershipQuery, at time.Duration) []byte {
-	var a *MembershipAnswer
+// membershipAnswer answers a query at a time of the fleet. It returns nil if the client has all
+// that it asks for.
+func (n *Node) membershipAnswer(q *MembershipQuery, now time.Duration) []byte {
+	var answer *MembershipAnswer
 	switch q.Scope {
 	case ScopeVoters:
-		a = n.voterAnswer(q)
+		answer = n.voterAnswer(q)
 	case ScopeSample:
-		a = n.sampleAnswer(q, at)
+		answer = n.sampleAnswer(q, now)
 	default:
-		a = n.sessions.memberAnswer(q, at)
+		answer = n.sessions.memberAnswer(q, now)
 	}
-	if a == nil {
+	if answer == nil {
 		return nil
 	}
-	raw, err := json.Marshal(a)
-	if err != nil {
-		panic(err) // plain data
-	}
-	return raw
+	return mustjson.Marshal(answer)
 }
 
-// voterAnswer is the voters, if they are not those that the asker has.
+// voterAnswer returns the voters, or nil if the client has them.
 func (n *Node) voterAnswer(q *MembershipQuery) *MembershipAnswer {
-	a := &MembershipAnswer{Voters: n.votersAt()}
-	a.Revision.Digest = digestOfVoters(a.Voters)
-	if q.Revision != nil && *q.Revision == a.Revision {
+	answer := &MembershipAnswer{Voters: n.voterInfos()}
+	answer.Revision.Digest = votersDigest(answer.Voters)
+	if q.Revision != nil && *q.Revision == answer.Revision {
 		return nil
 	}
-	return a
+	return answer
 }
 
-// memberAnswer is the members that are asked for, as far as the asker does not have them.
-func (s *sessions) memberAnswer(q *MembershipQuery, at time.Duration) *MembershipAnswer {
-	a := &MembershipAnswer{}
+// memberAnswer returns the members that are asked for, as far as the client does not have them.
+func (s *sessions) memberAnswer(q *MembershipQuery, now time.Duration) *MembershipAnswer {
+	answer := &MembershipAnswer{}
 	if len(q.IDs) == 0 {
-		s.allMembers(q, a)
+		s.answerAll(q, answer)
 	} else {
-		s.someMembers(q, a)
+		s.answerSome(q, answer)
 	}
-	silent := s.silentOf(q.IDs, at)
-	if silent.Digest != q.UnresponsiveDigest || !a.Delta {
-		a.Unresponsive = silent
+	unresponsive := s.unresponsiveMembers(q.IDs, now)
+	if unresponsive.Digest != q.UnresponsiveDigest || !answer.Delta {
+		answer.Unresponsive = unresponsive
 	}
-	if q.Revision != nil && *q.Revision == a.Revision && a.Unresponsive == nil {
+	if q.Revision != nil && *q.Revision == answer.Revision && answer.Unresponsive == nil {
 		return nil
 	}
-	return a
+	return answer
 }
 
-// allMembers puts all members into an answer, or what has changed of them.
-func (s *sessions) allMembers(q *MembershipQuery, a *MembershipAnswer) {
-	a.Revision = s.log.current()
+// answerAll adds all members to an answer, or what has changed of them.
+func (s *sessions) answerAll(q *MembershipQuery, answer *MembershipAnswer) {
+	answer.Revision = s.log.current()
 	if q.Revision != nil {
-		if ids, ok := s.log.since(*q.Revision); ok && len(ids) <= len(s.byID) {
-			a.Delta = true
-			s.put(ids, q.Retired, a)
+		ids, ok := s.log.since(*q.Revision)
+		if ok && len(ids) <= len(s.byID) {
+			answer.Delta = true
+			s.addMembers(ids, q.Retired, answer)
 			return
 		}
 	}
-	for _, in := range s.byID {
-		a.Members = append(a.Members, in.memberAt(s.retiredFor(q.Retired, in.member.ID)))
+	for _, one := range s.byID {
+		retired := s.retiredIfWanted(q.Retired, one.member.ID)
+		answer.Members = append(answer.Members, one.memberInfo(retired))
 	}
-	slices.SortFunc(a.Members, func(x, y MemberInfo) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(answer.Members, compareMemberInfos)
 }
 
-// someMembers puts the members of some ids into an answer, unless the asker has them.
-func (s *sessions) someMembers(q *MembershipQuery, a *MembershipAnswer) {
+// answerSome adds the members with some ids to an answer, unless the client has them.
+func (s *sessions) answerSome(q *MembershipQuery, answer *MembershipAnswer) {
 	ids := slices.Clone(q.IDs)
 	slices.Sort(ids)
-	s.put(slices.Compact(ids), q.Retired, a)
-	a.Removed = nil
-	a.Revision.Digest = digestOfMembers(a.Members)
-	if q.Revision != nil && *q.Revision == a.Revision {
-		a.Delta, a.Members = true, nil
+	s.addMembers(slices.Compact(ids), q.Retired, answer)
+	answer.Removed = nil
+	answer.Revision.Digest = membersDigest(answer.Members)
+	if q.Revision != nil && *q.Revision == answer.Revision {
+		answer.Delta = true
+		answer.Members = nil
 	}
 }
 
-// put puts what there is of some ids into an answer.
-func (s *sessions) put(ids []string, retired bool, a *MembershipAnswer) {
+// addMembers adds the members with some ids to an answer, and the ids that have no member.
+func (s *sessions) addMembers(ids []string, withRetired bool, answer *MembershipAnswer) {
 	for _, id := range ids {
-		if in := s.byID[id]; in != nil {
-			a.Members = append(a.Members, in.memberAt(s.retiredFor(retired, id)))
-		} else {
-			a.Removed = append(a.Removed, id)
+		one := s.byID[id]
+		if one == nil {
+			answer.Removed = append(answer.Removed, id)
+			continue
 		}
+		retired := s.retiredIfWanted(withRetired, id)
+		answer.Members = append(answer.Members, one.memberInfo(retired))
 	}
 }
 
-func (s *sessions) retiredFor(wanted bool, id string) []uint64 {
+func (s *sessions) retiredIfWanted(wanted bool, id string) []uint64 {
 	if !wanted {
 		return nil
 	}
 	return s.retired[id]
 }
 
-// silentOf is which of the members, or of some of them, are silent.
-func (s *sessions) silentOf(ids []string, at time.Duration) *UnresponsiveMembers {
-	silent := &UnresponsiveMembers{}
-	look := func(in *session) {
-		if in != nil && in.silent(at) {
-			silent.IDs = append(silent.IDs, in.member.ID)
-			silent.Digest ^= in.digest
+// unresponsiveMembers returns which of the members with some ids are unresponsive; no ids: of all.
+func (s *sessions) unresponsiveMembers(ids []string, now time.Duration) *UnresponsiveMembers {
+	unresponsive := &UnresponsiveMembers{}
+	check := func(one *session) {
+		if one != nil && one.unresponsive(now) {
+			unresponsive.IDs = append(unresponsive.IDs, one.member.ID)
+			unresponsive.Digest ^= one.digest
 		}
 	}
 	if len(ids) == 0 {
-		for _, in := range s.byID {
-			look(in)
+		for _, one := range s.byID {
+			check(one)
 		}
 	}
 	for _, id := range ids {
-		look(s.byID[id])
+		check(s.byID[id])
 	}
-	slices.Sort(silent.IDs)
-	return silent
+	slices.Sort(unresponsive.IDs)
+	return unresponsive
 }
 
-// silent reports whether nothing was heard of the session's process lately.
-func (n *session) silent(at time.Duration) bool { return at-n.seen >= silentAfter }
-
-// memberAt is the session's process as askers are given it.
-func (n *session) memberAt(retired []uint64) MemberInfo {
-	return MemberInfo{Member: n.member, Address: n.address, Retired: retired}
+// unresponsive reports whether the session's process sent no command for a while.
+func (s *session) unresponsive(now time.Duration) bool {
+	return now-s.lastSeen >= unresponsiveAfter
 }
 
-// digestOfMembers is the digest of a list of members, in any order.
-func digestOfMembers(all []MemberInfo) uint64 {
-	digest := uint64(digestOfNone)
-	for i := range all {
-		digest ^= digestOf(all[i].Member, all[i].Address)
-	}
-	return digest
-}
-
-// digestOfVoters is the digest of a list of voters.
-func digestOfVoters(all []VoterInfo) uint64 {
-	digest := uint64(digestOfNone)
-	for _, v := range all {
-		h := fnv.New64a()
-		_, _ = h.Write([]byte(v.Name + "\x00" + v.Number + "\x00" + v.Address)) // a hash has no errors
-		digest ^= mixed(h.Sum64())
-	}
-	return digest
+// memberInfo describes the session's process to a client.
+func (s *session) memberInfo(retired []uint64) MemberInfo {
+	return MemberInfo{Member: s.member, Address: s.address, Retired: retired}
 }
--- a/internal/controlplane/consensus/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -9,45 +9,46 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// read is a linearizable read under way.
+// read is a linearizable read in flight.
 type read struct {
 	tag     any
 	machine string
 	body    []byte
-	members *MembershipQuery // of a read of FleetName; nil: the whole list
+	members *MembershipQuery // of a read of MembershipName; nil: all of it
 }
 
-// readRound is the reads that one exchange of messages with a quorum confirms. An exchange costs two messages with each
-// voter, whatever it confirms, so reads that arrive during one wait for the next: they are confirmed after their arrival.
+// readRound is the reads that one exchange of messages with a quorum confirms. An exchange costs
+// two messages with each voter, however many reads it confirms, so reads that arrive during one
+// wait for the next: a read must be confirmed after its arrival.
 type readRound struct {
 	id    uint64
 	reads []*read
-	index uint64 // they are answered once it is applied
+	index uint64 // the reads are answered once it is applied
 }
 
-// reads is the linearizable reads of a node that leads.
+// reads are the linearizable reads of a leader.
 type reads struct {
 	waiting   []*read      // for the next round
-	round     *readRound   // under way; nil: none
+	round     *readRound   // in flight; nil: none
 	confirmed []*readRound // in their order
-	lastRound uint64
+	lastRound uint64       // id
 }
 
-// Read asks a machine for what it has, after all that was answered before: it is a linearizable read. It
-// ends in a Done with the tag.
+// Read reads a state machine after everything that was answered before: it is a linearizable read.
+// It ends with a Completion that has the tag.
 func (n *Node) Read(machine string, body []byte, tag any) {
-	if !n.able(tag) {
+	if !n.acceptsRequests(tag) {
 		return
 	}
-	if n.cfg.StateMachines[machine] == nil && machine != MembershipName {
-		n.refuseUnknown(tag, machine)
+	if n.config.StateMachines[machine] == nil && machine != MembershipName {
+		n.rejectUnknownMachine(tag, machine)
 		return
 	}
 	r := &read{tag: tag, machine: machine, body: body}
 	if machine == MembershipName {
 		var err error
 		if r.members, err = parseMembershipQuery(body); err != nil {
-			n.refuse(tag, controlpb.Code_REFUSED, err.Error())
+			n.reject(tag, controlpb.Code_REFUSED, err.Error())
 			return
 		}
 	}
@@ -55,8 +56,8 @@
 	n.startReadRound()
 }
 
-// startReadRound has a quorum confirm the reads that wait, unless it is confirming others. A round whose messages are lost
-// goes out again with the leader's heartbeats.
+// startReadRound has a quorum confirm the reads that wait, unless a round is in flight. A round
+// whose messages are lost is repeated with the leader's heartbeats.
 func (n *Node) startReadRound() {
 	if n.reads.round != nil || len(n.reads.waiting) == 0 {
 		return
@@ -64,40 +65,42 @@
 	n.reads.lastRound++
 	n.reads.round = &readRound{id: n.reads.lastRound, reads: n.reads.waiting}
 	n.reads.waiting = nil
-	n.rn.ReadIndex(strconv.AppendUint(nil, n.reads.lastRound, 10))
+	n.rawNode.ReadIndex(strconv.AppendUint(nil, n.reads.lastRound, 10))
 }
 
-// confirmReads takes in from which index on a round's reads may be answered.
+// confirmReads records the index at which the reads of a confirmed round may be answered.
 func (n *Node) confirmReads(states []raft.ReadState) {
-	for _, s := range states {
-		id, err := strconv.ParseUint(string(s.RequestCtx), 10, 64)
-		if round := n.reads.round; err == nil && round != nil && round.id == id {
-			round.index = s.Index
-			n.reads.confirmed = append(n.reads.confirmed, round)
-			n.reads.round = nil
+	for _, state := range states {
+		id, err := strconv.ParseUint(string(state.RequestCtx), 10, 64)
+		round := n.reads.round
+		if err != nil || round == nil || round.id != id {
+			continue // of an earlier leadership
 		}
+		round.index = state.Index
+		n.reads.confirmed = append(n.reads.confirmed, round)
+		n.reads.round = nil
 	}
 }
 
 // answerReads answers the confirmed reads whose index is applied.
 func (n *Node) answerReads(now time.Duration) {
-	for len(n.reads.confirmed) > 0 && n.reads.confirmed[0].index <= n.applied {
+	for len(n.reads.confirmed) > 0 && n.reads.confirmed[0].index <= n.appliedIndex {
 		for _, r := range n.reads.confirmed[0].reads {
-			n.answer(r.tag, n.queried(r, n.clock.now(now)))
+			n.complete(r.tag, n.readAnswer(r, n.clock.now(now)))
 		}
 		n.reads.confirmed = n.reads.confirmed[1:]
 	}
 }
 
-// queried is the answer to a read at a time of the fleet.
-func (n *Node) queried(r *read, at time.Duration) []byte {
-	switch {
-	case r.machine != MembershipName:
-		return n.cfg.StateMachines[r.machine].Query(at, r.body)
-	case r.members != nil:
-		return n.membershipAnswer(r.members, at)
+// readAnswer returns the answer to a read at a time of the fleet.
+func (n *Node) readAnswer(r *read, now time.Duration) []byte {
+	if r.machine != MembershipName {
+		return n.config.StateMachines[r.machine].Query(now, r.body)
 	}
-	return n.list(at)
+	if r.members != nil {
+		return n.membershipAnswer(r.members, now)
+	}
+	return n.encodedMembership(now)
 }
 
 // drop removes all reads and returns their tags in the order of their arrival.
@@ -106,11 +109,14 @@
 	if r.round != nil {
 		rounds = append(rounds, r.round)
 	}
-	for _, round := range append(rounds, &readRound{reads: r.waiting}) {
+	rounds = append(rounds, &readRound{reads: r.waiting})
+	for _, round := range rounds {
 		for _, one := range round.reads {
 			tags = append(tags, one.tag)
 		}
 	}
-	r.confirmed, r.round, r.waiting = nil, nil, nil
+	r.confirmed = nil
+	r.round = nil
+	r.waiting = nil
 	return tags
 }
--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -11,8 +11,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// turn has a voter save and answer what it has to, and gives the messages that it sends.
-func (w *trio) turn(n *Node) (messages []*raftpb.Message) {
+// process has a voter save and answer what it has to, and gives the messages that it sends.
+func (w *threeVoters) process(n *Node) (messages []*raftpb.Message) {
 	w.t.Helper()
 	for {
 		if _, ok := n.Ready(w.now); !ok {
@@ -27,19 +27,19 @@
 }
 
 // deliver has messages arrive at the other voters, and gives what these send in return.
-func (w *trio) deliver(messages []*raftpb.Message) (returned []*raftpb.Message) {
+func (w *threeVoters) deliver(messages []*raftpb.Message) (returned []*raftpb.Message) {
 	w.t.Helper()
 	for _, m := range messages {
 		w.nodes[m.GetTo()].Step(m)
 	}
 	for _, number := range slices.Sorted(maps.Keys(w.nodes)) {
-		returned = append(returned, w.turn(w.nodes[number])...)
+		returned = append(returned, w.process(w.nodes[number])...)
 	}
 	return returned
 }
 
-// endedTags are the tags of the requests that a voter has answered.
-func endedTags(n *Node) (tags []any) {
+// completedTags are the tags of the requests that a voter has answered.
+func completedTags(n *Node) (tags []any) {
 	for _, d := range n.Completions() {
 		if d.Answer.Code == controlpb.Code_OK {
 			tags = append(tags, d.Tag)
@@ -50,7 +50,7 @@
 
 // Many reads at once cost two exchanges with the other voters: the first one's, and one for all that came during it.
 func TestReadsShareTheirRounds(t *testing.T) {
-	w := newTrio(t, 5)
+	w := newThreeVoters(t, 5)
 	_, leader := w.leader()
 	leader.Completions()
 	const reads = 100
@@ -59,15 +59,15 @@
 	}
 	sent := 0
 	var answered []any
-	for messages := w.turn(leader); len(messages) > 0; messages = w.deliver(messages) {
+	for messages := w.process(leader); len(messages) > 0; messages = w.deliver(messages) {
 		for _, m := range messages {
 			if m.GetType() == raftpb.MsgHeartbeat {
 				sent++
 			}
 		}
-		answered = append(answered, endedTags(leader)...)
+		answered = append(answered, completedTags(leader)...)
 	}
-	answered = append(answered, endedTags(leader)...)
+	answered = append(answered, completedTags(leader)...)
 	if others := len(w.nodes) - 1; sent != 2*others {
 		t.Errorf("%d messages for %d reads, %d wanted", sent, reads, 2*others)
 	}
@@ -84,35 +84,35 @@
 // A read that arrives while a quorum confirms an earlier one is not confirmed with it: another voter may lead, and have
 // agreed to something, since the quorum was asked.
 func TestAReadWaitsForARoundOfItsOwn(t *testing.T) {
-	w := newTrio(t, 6)
+	w := newThreeVoters(t, 6)
 	_, leader := w.leader()
 	leader.Completions()
 	leader.Read(MembershipName, nil, "first")
-	asked := w.turn(leader)
+	asked := w.process(leader)
 	var confirmations []*raftpb.Message
 	for _, m := range asked {
 		w.nodes[m.GetTo()].Step(m)
-		confirmations = append(confirmations, w.turn(w.nodes[m.GetTo()])...)
+		confirmations = append(confirmations, w.process(w.nodes[m.GetTo()])...)
 	}
 	leader.Read(MembershipName, nil, "second") // after the others have confirmed the first
 	for _, m := range confirmations {
 		leader.Step(m)
 	}
-	next := w.turn(leader)
-	if got := fmt.Sprint(endedTags(leader)); got != "[first]" {
+	next := w.process(leader)
+	if got := fmt.Sprint(completedTags(leader)); got != "[first]" {
 		t.Errorf("the first round answers %s", got)
 	}
 	for len(next) > 0 {
 		next = w.deliver(next)
 	}
-	if got := fmt.Sprint(endedTags(leader)); got != "[second]" {
+	if got := fmt.Sprint(completedTags(leader)); got != "[second]" {
 		t.Errorf("the second round answers %s", got)
 	}
 }
 
 // A leader that is followed by another ends all reads, those that wait as those that are being confirmed, and none twice.
 func TestReadsEndWithTheLeadership(t *testing.T) {
-	w := newTrio(t, 7)
+	w := newThreeVoters(t, 7)
 	number, leader := w.leader()
 	leader.Completions()
 	for i := range 3 {
@@ -125,7 +125,7 @@
 	}
 	heard := next.Leadership().Term
 	leader.Step(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &successor, To: &number, Term: &heard, Commit: new(uint64(0))})
-	w.turn(leader)
+	w.process(leader)
 	var refused []any
 	for _, d := range leader.Completions() {
 		if d.Answer.Code != controlpb.Code_NOT_LEADER {
--- a/internal/controlplane/consensus/sample.go
+++ b/internal/controlplane/consensus/sample.go
@@ -6,55 +6,59 @@
 	"time"
 )
 
-// sampleAnswer is a sample of the active members, the members that vote, and the voters. It looks at each session once:
-// with each new version of the configuration all gateways ask at once.
-func (n *Node) sampleAnswer(q *MembershipQuery, at time.Duration) *MembershipAnswer {
-	a := &MembershipAnswer{Voters: n.votersAt()}
+// sampleAnswer returns a sample of the active members, the members that vote, and the voters. It
+// looks at each session once: with each new version of the configuration all gateways ask at once.
+func (n *Node) sampleAnswer(q *MembershipQuery, now time.Duration) *MembershipAnswer {
+	answer := &MembershipAnswer{Voters: n.voterInfos()}
 	drawn := sample{size: q.Sample, seed: q.Seed}
-	for _, in := range n.sessions.byID {
-		switch {
-		case in.address == "" || in.silent(at):
-		case n.nameTaken(in.member.ID):
-			a.Members = append(a.Members, in.memberAt(nil))
-		default:
-			drawn.offer(in)
+	for _, s := range n.sessions.byID {
+		if s.address == "" || s.unresponsive(now) {
+			continue
+		}
+		if n.hasVoterNamed(s.member.ID) {
+			answer.Members = append(answer.Members, s.memberInfo(nil))
+		} else {
+			drawn.offer(s)
 		}
 	}
-	for _, one := range drawn.drawn {
-		a.Members = append(a.Members, one.session.memberAt(nil))
+	for _, one := range drawn.ranked {
+		answer.Members = append(answer.Members, one.session.memberInfo(nil))
 	}
-	slices.SortFunc(a.Members, func(x, y MemberInfo) int { return cmp.Compare(x.ID, y.ID) })
-	a.Revision.Digest = digestOfMembers(a.Members)
-	return a
+	slices.SortFunc(answer.Members, compareMemberInfos)
+	answer.Revision.Digest = membersDigest(answer.Members)
+	return answer
 }
 
-// sample draws some sessions: those that come first in an order that a seed gives. Another seed gives another order, and
-// the order in which sessions are offered does not matter.
+// sample is a few of the sessions that it is offered: the first ones in an order that its seed
+// gives. The order in which sessions are offered does not matter.
 type sample struct {
-	size  int
-	seed  uint64
-	drawn []sampled // in their order
+	size   int
+	seed   uint64
+	ranked []rankedSession // in the seed's order
 }
 
-// sampled is a session with its place in the order.
-type sampled struct {
+// rankedSession is a session with its place in the seed's order.
+type rankedSession struct {
 	rank    uint64
 	session *session
 }
 
-// offer takes a session into the sample if it comes before one that is in it, or the sample is not full.
-func (s *sample) offer(in *session) {
-	one := sampled{mixed(in.digest ^ s.seed), in}
-	if len(s.drawn) == s.size {
-		if s.size == 0 || compareSampled(s.drawn[s.size-1], one) < 0 {
+// offer adds a session to the sample if the sample is not full, or in place of its last one.
+func (s *sample) offer(offered *session) {
+	one := rankedSession{mixBits(offered.digest ^ s.seed), offered}
+	if len(s.ranked) == s.size {
+		if s.size == 0 || compareRanked(s.ranked[s.size-1], one) < 0 {
 			return
 		}
-		s.drawn = s.drawn[:s.size-1]
+		s.ranked = s.ranked[:s.size-1]
 	}
-	at, _ := slices.BinarySearchFunc(s.drawn, one, compareSampled)
-	s.drawn = slices.Insert(s.drawn, at, one)
+	at, _ := slices.BinarySearchFunc(s.ranked, one, compareRanked)
+	s.ranked = slices.Insert(s.ranked, at, one)
 }
 
-func compareSampled(a, b sampled) int {
-	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.session.member.ID, b.session.member.ID))
+func compareRanked(a, b rankedSession) int {
+	return cmp.Or(
+		cmp.Compare(a.rank, b.rank),
+		cmp.Compare(a.session.member.ID, b.session.member.ID),
+	)
 }
--- a/internal/controlplane/consensus/sample_test.go
+++ b/internal/controlplane/consensus/sample_test.go
@@ -34,12 +34,12 @@
 		for _, in := range all {
 			drawn.offer(in)
 		}
-		rank := func(in *session) uint64 { return mixed(digestOf(in.member, in.address) ^ seed) }
+		rank := func(in *session) uint64 { return mixBits(memberDigest(in.member, in.address) ^ seed) }
 		slices.SortFunc(all, func(a, b *session) int {
 			return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.member.ID, b.member.ID))
 		})
 		var got []*session
-		for _, one := range drawn.drawn {
+		for _, one := range drawn.ranked {
 			got = append(got, one.session)
 		}
 		if want := all[:min(size, len(all))]; !slices.Equal(got, want) {
--- a/internal/controlplane/consensus/sessions.go
+++ b/internal/controlplane/consensus/sessions.go
@@ -10,160 +10,217 @@
 )
 
 const (
-	// SessionTTL is for how long a session lasts without a command, in the fleet's time.
+	// SessionTTL is how long a session lasts without a command, in the fleet's time.
 	SessionTTL = time.Minute
-	// MaxOpenCommands is how many commands of a session may be without their answer known to have come.
+	// MaxOpenCommands is how many commands of a session may be without an acknowledged answer.
 	MaxOpenCommands = 256
 
-	retiredMost = 32 // boots kept of an id
+	// maxRetiredPerID is how many superseded incarnations are kept of each id.
+	maxRetiredPerID = 32
 )
 
-// session is one process's right to have each command applied once.
+// session is how a process has each of its commands applied once.
 type session struct {
-	number  uint64
-	member  lease.Member
-	address string // where it is reached; "": nowhere
-	digest  uint64 // digestOf both
-	seen    time.Duration
-	floor   uint64
-	answers map[uint64][]byte // of commands above the floor
+	number   uint64 // index of the entry that opened it
+	member   lease.Member
+	address  string        // where the process is reached; "": nowhere
+	digest   uint64        // memberDigest of the two
+	lastSeen time.Duration // the fleet's time of its last command
+	ackedSeq uint64        // the process has the answers of all commands up to it
+	answers  map[uint64][]byte
 }
 
-// sessions are part of the agreed state: every voter has the same.
+// sessions are part of the replicated state: all voters have the same.
 type sessions struct {
 	byNumber map[uint64]*session
 	byID     map[string]*session
-	retired  map[string][]uint64 // boots that another has followed
+	retired  map[string][]uint64 // superseded incarnations by id, the newest last
 	log      membershipLog
 }
 
 func newSessions() *sessions {
-	return &sessions{map[uint64]*session{}, map[string]*session{}, map[string][]uint64{}, membershipLog{digest: digestOfNone}}
+	return &sessions{
+		byNumber: map[uint64]*session{},
+		byID:     map[string]*session{},
+		retired:  map[string][]uint64{},
+		log:      membershipLog{digest: emptyDigest},
+	}
 }
 
-// open begins a session under a number. The newest process of an id goes first: an older one's session ends,
-// and it can't open another. The same process asking twice gets the session that it has.
-func (s *sessions) open(number uint64, who lease.Member, address string, at time.Duration) (uint64, controlpb.Code) {
-	if slices.Contains(s.retired[who.ID], who.Incarnation) {
+// open opens a session under a number and returns it. The newest process of an id takes precedence:
+// the session of an older one ends, and it can't open another. A process that has a session gets
+// that one.
+func (s *sessions) open(
+	number uint64, member lease.Member, address string, now time.Duration,
+) (uint64, controlpb.Code) {
+	if s.isRetired(member) {
 		return 0, controlpb.Code_SUPERSEDED
 	}
-	if old := s.byID[who.ID]; old != nil {
-		if old.member.Incarnation == who.Incarnation {
-			old.seen = at
-			return old.number, controlpb.Code_OK
+	if current := s.byID[member.ID]; current != nil {
+		if current.member.Incarnation == member.Incarnation {
+			current.lastSeen = now
+			return current.number, controlpb.Code_OK
 		}
-		s.retire(old)
+		s.supersede(current)
 	}
-	n := &session{number: number, member: who, address: address, seen: at, answers: map[uint64][]byte{}}
-	s.add(n)
+	s.add(&session{
+		number:   number,
+		member:   member,
+		address:  address,
+		lastSeen: now,
+		answers:  map[uint64][]byte{},
+	})
 	return number, controlpb.Code_OK
 }
 
-func (s *sessions) add(n *session) {
-	n.digest = digestOf(n.member, n.address)
-	s.byNumber[n.number], s.byID[n.member.ID] = n, n
-	s.log.change(n.member, n.address)
+// isRetired reports whether another process has taken a member's id since.
+func (s *sessions) isRetired(member lease.Member) bool {
+	return slices.Contains(s.retired[member.ID], member.Incarnation)
+}
+
+func (s *sessions) add(added *session) {
+	added.digest = memberDigest(added.member, added.address)
+	s.byNumber[added.number] = added
+	s.byID[added.member.ID] = added
+	s.log.record(added.member, added.address)
 }
 
-// retire ends a session that another process of its id has followed.
-func (s *sessions) retire(old *session) {
-	boots := append(s.retired[old.member.ID], old.member.Incarnation)
-	s.retired[old.member.ID] = boots[max(0, len(boots)-retiredMost):]
-	s.drop(old)
+// supersede ends a session whose id another process takes.
+func (s *sessions) supersede(old *session) {
+	incarnations := append(s.retired[old.member.ID], old.member.Incarnation)
+	s.retired[old.member.ID] = incarnations[max(0, len(incarnations)-maxRetiredPerID):]
+	s.remove(old)
 }
 
-func (s *sessions) drop(old *session) {
+func (s *sessions) remove(old *session) {
 	delete(s.byNumber, old.number)
 	delete(s.byID, old.member.ID)
-	s.log.change(old.member, old.address)
+	s.log.record(old.member, old.address)
 }
 
-// expire ends the sessions that nothing was heard of.
-func (s *sessions) expire(at time.Duration) {
+// expire ends the sessions that had no command for SessionTTL.
+func (s *sessions) expire(now time.Duration) {
 	for _, old := range s.byNumber {
-		if at-old.seen > SessionTTL {
-			s.drop(old)
+		if now-old.lastSeen > SessionTTL {
+			s.remove(old)
 		}
 	}
 }
 
-// known tells what becomes of a command; had tells that it was applied before, with what answer.
-func (s *sessions) known(number, seq uint64) (in *session, answer []byte, had bool, code controlpb.Code) {
-	in = s.byNumber[number]
-	if in == nil {
+// lookup returns the session of a command, which is nil if there is none, and whether the command
+// can be applied: OK, or why not. If it was applied before, the code is OK as well, and the answer
+// is the one that it got then.
+func (s *sessions) lookup(
+	number, seq uint64,
+) (found *session, answer []byte, wasApplied bool, code controlpb.Code) {
+	found = s.byNumber[number]
+	if found == nil {
 		return nil, nil, false, controlpb.Code_NO_SESSION
 	}
-	if answer, had = in.answers[seq]; had {
-		return in, answer, true, controlpb.Code_OK
+	answer, wasApplied = found.answers[seq]
+	if wasApplied {
+		return found, answer, true, controlpb.Code_OK
 	}
-	if seq <= in.floor {
-		return in, nil, false, controlpb.Code_REFUSED // its answer has come, by its own session's word
+	if seq <= found.ackedSeq {
+		return found, nil, false, controlpb.Code_REFUSED
 	}
-	if len(in.answers) >= MaxOpenCommands {
-		return in, nil, false, controlpb.Code_BUSY
+	if len(found.answers) >= MaxOpenCommands {
+		return found, nil, false, controlpb.Code_BUSY
 	}
-	return in, nil, false, controlpb.Code_OK
+	return found, nil, false, controlpb.Code_OK
 }
 
-// settle drops the answers that the session's process has had.
-func (n *session) settle(floor uint64) {
-	if floor <= n.floor {
+// acknowledge drops the answers of all commands up to one: the process has them.
+func (s *session) acknowledge(ackedSeq uint64) {
+	if ackedSeq <= s.ackedSeq {
 		return
 	}
-	n.floor = floor
-	for seq := range n.answers {
-		if seq <= floor {
-			delete(n.answers, seq)
+	s.ackedSeq = ackedSeq
+	for seq := range s.answers {
+		if seq <= ackedSeq {
+			delete(s.answers, seq)
 		}
 	}
 }
 
-// SessionInfo is one process with a session.
+// SessionInfo describes a process that has a session.
 type SessionInfo struct {
 	lease.Member
 	Address  string        `json:"address"`
 	LastSeen time.Duration `json:"seen"` // the fleet's time of its last command
 }
 
-// members are the processes with a session, by id.
+// members returns the processes that have a session, by id.
 func (s *sessions) members() []SessionInfo {
 	all := make([]SessionInfo, 0, len(s.byID))
-	for _, n := range s.byID {
-		all = append(all, SessionInfo{n.member, n.address, n.seen})
+	for _, one := range s.byID {
+		all = append(all, SessionInfo{one.member, one.address, one.lastSeen})
 	}
 	slices.SortFunc(all, func(a, b SessionInfo) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// write puts the sessions into a snapshot, in an order of their own.
-func (s *sessions) write(to *controlpb.Snapshot) {
-	for _, n := range s.byNumber {
-		w := &controlpb.Session{Number: n.number, Member: &controlpb.Member{Id: n.member.ID, Incarnation: n.member.Incarnation, Address: n.address}, LastSeen: uint64(n.seen), AckedSeq: n.floor}
-		for seq, answer := range n.answers {
-			w.Answers = append(w.Answers, &controlpb.CachedAnswer{Seq: seq, Answer: answer})
-		}
-		slices.SortFunc(w.Answers, func(a, b *controlpb.CachedAnswer) int { return cmp.Compare(a.Seq, b.Seq) })
-		to.Sessions = append(to.Sessions, w)
+// writeTo adds the sessions to a snapshot. Equal sessions give equal snapshots.
+func (s *sessions) writeTo(snapshot *controlpb.Snapshot) {
+	for _, one := range s.byNumber {
+		snapshot.Sessions = append(snapshot.Sessions, one.encode())
 	}
-	slices.SortFunc(to.Sessions, func(a, b *controlpb.Session) int { return cmp.Compare(a.Number, b.Number) })
-	for id, boots := range s.retired {
-		to.Retired = append(to.Retired, &controlpb.Retired{Id: id, Incarnations: boots})
+	slices.SortFunc(snapshot.Sessions, func(a, b *controlpb.Session) int {
+		return cmp.Compare(a.Number, b.Number)
+	})
+	for id, incarnations := range s.retired {
+		snapshot.Retired = append(snapshot.Retired,
+			&controlpb.Retired{Id: id, Incarnations: incarnations})
 	}
-	slices.SortFunc(to.Retired, func(a, b *controlpb.Retired) int { return cmp.Compare(a.Id, b.Id) })
+	slices.SortFunc(snapshot.Retired, func(a, b *controlpb.Retired) int {
+		return cmp.Compare(a.Id, b.Id)
+	})
 }
 
-func readSessions(from *controlpb.Snapshot) *sessions {
+// encode returns the session as it stands in a snapshot.
+func (s *session) encode() *controlpb.Session {
+	encoded := &controlpb.Session{
+		Number: s.number,
+		Member: &controlpb.Member{
+			Id:          s.member.ID,
+			Incarnation: s.member.Incarnation,
+			Address:     s.address,
+		},
+		LastSeen: uint64(s.lastSeen),
+		AckedSeq: s.ackedSeq,
+	}
+	for seq, answer := range s.answers {
+		encoded.Answers = append(encoded.Answers,
+			&controlpb.CachedAnswer{Seq: seq, Answer: answer})
+	}
+	slices.SortFunc(encoded.Answers, func(a, b *controlpb.CachedAnswer) int {
+		return cmp.Compare(a.Seq, b.Seq)
+	})
+	return encoded
+}
+
+// readSessions returns the sessions of a snapshot.
+func readSessions(snapshot *controlpb.Snapshot) *sessions {
 	s := newSessions()
-	for _, w := range from.Sessions {
-		n := &session{number: w.Number, member: lease.Member{ID: w.Member.GetId(), Incarnation: w.Member.GetIncarnation()}, address: w.Member.GetAddress(),
-			seen: time.Duration(w.LastSeen), floor: w.AckedSeq, answers: map[uint64][]byte{}}
-		for _, k := range w.Answers {
-			n.answers[k.Seq] = k.Answer
+	for _, encoded := range snapshot.Sessions {
+		one := &session{
+			number: encoded.Number,
+			member: lease.Member{
+				ID:          encoded.Member.GetId(),
+				Incarnation: encoded.Member.GetIncarnation(),
+			},
+			address:  encoded.Member.GetAddress(),
+			lastSeen: time.Duration(encoded.LastSeen),
+			ackedSeq: encoded.AckedSeq,
+			answers:  map[uint64][]byte{},
+		}
+		for _, cached := range encoded.Answers {
+			one.answers[cached.Seq] = cached.Answer
 		}
-		s.add(n)
+		s.add(one)
 	}
-	for _, r := range from.Retired {
-		s.retired[r.Id] = r.Incarnations
+	for _, retired := range snapshot.Retired {
+		s.retired[retired.Id] = retired.Incarnations
 	}
 	return s
 }
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
 	"slices"
 	"time"
@@ -11,32 +10,33 @@
 	"go.etcd.io/raft/v3/tracker"
 
 	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/mustjson"
 )
 
-// Leadership is what a voter is at a time.
+// Leadership is who leads the voters, as one voter knows it.
 type Leadership struct {
 	Term     uint64
 	Leader   uint64 // 0: none is known
-	IsLeader bool   // this voter, and it takes commands
+	IsLeader bool   // this voter leads, and accepts commands
 }
 
-// Leadership returns what this voter is now.
+// Leadership returns who leads now.
 func (n *Node) Leadership() Leadership {
-	if n.rn == nil {
-		return Leadership{Term: n.hard.GetTerm()}
+	if n.rawNode == nil {
+		return Leadership{Term: n.hardState.GetTerm()}
 	}
-	st := n.rn.BasicStatus()
-	return Leadership{st.GetTerm(), st.Lead, n.leads()}
+	status := n.rawNode.BasicStatus()
+	return Leadership{status.GetTerm(), status.Lead, n.isLeader()}
 }
 
-// leads reports whether this voter leads and has applied an entry of its own term: only then does it know all that
-// was agreed, and what time it is.
-func (n *Node) leads() bool {
-	st := n.rn.BasicStatus()
-	return st.RaftState == raft.StateLeader && n.termSeen == st.GetTerm()
+// isLeader reports whether this voter leads and has applied an entry of its own term. Only then
+// does it know everything that was committed, and the fleet's time.
+func (n *Node) isLeader() bool {
+	status := n.rawNode.BasicStatus()
+	return status.RaftState == raft.StateLeader && n.appliedTerm == status.GetTerm()
 }
 
-// Voters returns the agreed voters, by name.
+// Voters returns the voters by name.
 func (n *Node) Voters() []*controlpb.Voter {
 	all := make([]*controlpb.Voter, 0, len(n.voters))
 	for _, v := range n.voters {
@@ -49,20 +49,21 @@
 // Members returns the processes that have a session, by id.
 func (n *Node) Members() []SessionInfo { return n.sessions.members() }
 
-// Fleet returns the name that the fleet was founded under.
+// Fleet returns the name of the fleet.
 func (n *Node) Fleet() string { return n.fleet }
 
-// AppliedIndex returns the index of the last entry that the state holds.
-func (n *Node) AppliedIndex() uint64 { return n.applied }
+// AppliedIndex returns the index of the last entry that is applied to the state.
+func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
 // FirstIndex returns the index of the first entry that the log still holds.
 func (n *Node) FirstIndex() uint64 {
-	first, _ := n.log.FirstIndex() // the log in memory has no errors
+	first, _ := n.storage.FirstIndex() // the log in memory returns no errors
 	return first
 }
 
-// MembershipName is the part of the agreed state that every node has itself: who votes, and who has a session. A Read of it
-// without a body gives a List, one with a MembershipQuery only the part that it asks for.
+// MembershipName is the name of the part of the replicated state that every node has itself: the
+// voters, and the processes that have a session. A Read of it without a body is answered with a
+// Membership, one with a MembershipQuery with the part that the query asks for.
 const MembershipName = "fleet"
 
 // Membership is who belongs to the fleet.
@@ -70,54 +71,57 @@
 	Fleet        string        `json:"fleet"`
 	At           time.Duration `json:"at"` // the fleet's time
 	Term         uint64        `json:"term"`
-	Leader       string        `json:"leader"`
+	Leader       string        `json:"leader"` // name
 	AppliedIndex uint64        `json:"applied"`
-	FirstIndex   uint64        `json:"first"` // entry still in the log
+	FirstIndex   uint64        `json:"first"` // of the first entry still in the log
 	Voters       []VoterInfo   `json:"voters"`
 	Members      []SessionInfo `json:"members"`
-	// Retired are earlier boots of ids that had a session, as far as they are kept.
+	// Retired are the superseded incarnations of each id, as far as they are kept.
 	Retired map[string][]uint64 `json:"retired"`
 }
 
-// VoterInfo is a voter of the agreed list.
+// VoterInfo describes a voter.
 type VoterInfo struct {
 	Name    string `json:"name"`
-	Number  string `json:"number"` // of its folder, in hexadecimal
+	Number  string `json:"number"` // in hexadecimal
 	Address string `json:"address"`
 }
 
-// votersAt returns the agreed voters as askers are given them, by name.
-func (n *Node) votersAt() (all []VoterInfo) {
+// voterInfos returns a description of the voters, by name.
+func (n *Node) voterInfos() (all []VoterInfo) {
 	for _, v := range n.Voters() {
 		all = append(all, VoterInfo{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
 	}
 	return all
 }
 
-// list returns the List as JSON, at a time of the fleet.
-func (n *Node) list(at time.Duration) []byte {
-	r := n.Leadership()
-	l := Membership{Fleet: n.fleet, At: at, Term: r.Term, AppliedIndex: n.applied, FirstIndex: n.FirstIndex(), Members: n.Members(), Retired: n.sessions.retired}
-	l.Voters = n.votersAt()
-	for _, v := range n.Voters() {
-		if v.Number == r.Leader {
-			l.Leader = v.Name
-		}
+// encodedMembership returns a Membership as JSON, at a time of the fleet.
+func (n *Node) encodedMembership(now time.Duration) []byte {
+	leadership := n.Leadership()
+	m := Membership{
+		Fleet:        n.fleet,
+		At:           now,
+		Term:         leadership.Term,
+		AppliedIndex: n.appliedIndex,
+		FirstIndex:   n.FirstIndex(),
+		Voters:       n.voterInfos(),
+		Members:      n.Members(),
+		Retired:      n.sessions.retired,
 	}
-	raw, err := json.Marshal(l)
-	if err != nil {
-		panic(err) // plain data
+	if leader := n.voters[leadership.Leader]; leader != nil {
+		m.Leader = leader.Name
 	}
-	return raw
+	return mustjson.Marshal(m)
 }
 
-// UpToDate reports whether another voter is known to hold all that this leader does and was active lately.
-func (n *Node) UpToDate(voter uint64) (yes bool) {
-	last, _ := n.log.LastIndex()
-	n.rn.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
+// UpToDate reports whether another voter is known to have all entries of this leader, and was
+// active recently.
+func (n *Node) UpToDate(voter uint64) (upToDate bool) {
+	last, _ := n.storage.LastIndex() // the log in memory returns no errors
+	n.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
 		if id == voter {
-			yes = pr.RecentActive && pr.Match >= last
+			upToDate = progress.RecentActive && progress.Match >= last
 		}
 	})
-	return yes
+	return upToDate
 }
