--- a/internal/controlplane/allocation/budget.go
+++ b/internal/controlplane/allocation/budget.go
@@ -35,15 +35,18 @@
 	holdings         map[lease.Member]*holding
 	allocated        Share // the sum of all committed allocations
 
-	// pendingIncrease is what the round under way adds to allocated. It counts as given already, as an
-	// entry may be committed even when its response is lost.
+	// pendingIncrease is what the round under way adds to allocated. It counts as given already, as
+	// an entry may be committed even when its response is lost.
 	pendingIncrease Share
 
-	bucket            tokenBucket // units of the pool
-	carryover         float64     // committed units of the pool that are not granted; the next leader starts with them
-	proposedCarryover float64     // carryover in the round under way; below 0: no round is
-	meanGrant         float64     // moving average of the units of on-demand requests
-	deferredGrant     float64     // units of the largest on-demand request that waits for a smaller carryover
+	bucket tokenBucket // units of the pool
+
+	// carryover is how many units of the pool are not granted: the next leader starts with them.
+	carryover         float64
+	proposedCarryover float64 // in the round under way; below 0: there is none
+
+	meanGrant     float64 // moving average of the units of on-demand requests
+	deferredGrant float64 // units of the largest such request that waits for a smaller carryover
 
 	headroom     *headroomHistory // nil: no units were returned yet
 	nextDivision time.Duration    // the budget is not divided again before
@@ -57,10 +60,10 @@
 
 	unitsGranted  float64 // with updates, in all under this term
 	unitsReturned float64 // by the member, in all under this term
-	lateUnits     float64 // of those returned, units that come free with a reduction that is announced
+	lateUnits     float64 // of those returned, units that come free with an announced reduction
 
-	// returnedBefore is a bound in time: units that the member has not reported yet came free after it.
-	// 0: not known.
+	// returnedBefore is a bound in time: units that the member has not reported yet came free after
+	// it. 0: not known.
 	returnedBefore time.Duration
 
 	claim      Claim
@@ -85,8 +88,8 @@
 	}
 }
 
-// demandWindow returns the time over which a budget's demand is averaged. Requests for a small limit are
-// rare, and its division should not follow single requests.
+// demandWindow returns the time over which a budget's demand is averaged. Requests for a small
+// limit are rare, and its division should not follow single requests.
 func (b *budgetState) demandWindow() time.Duration {
 	if b.limit.Rate <= 0 {
 		return maxDemandWindow
@@ -105,8 +108,8 @@
 	return false
 }
 
-// targetCarryover returns how many units of the pool to carry over to the next leader: those that will
-// probably not be granted before the next round.
+// targetCarryover returns how many units of the pool to carry over to the next leader: those that
+// will probably not be granted before the next round.
 func (b *budgetState) targetCarryover() float64 {
 	demand := 0.0
 	for _, h := range b.holdings {
@@ -116,8 +119,8 @@
 	return math.Max(0, b.bucket.level-2*b.meanGrant-b.deferredGrant-untilNextRound)
 }
 
-// carryoverNeedsRound reports whether the committed carryover has to be changed to target by a round.
-// Small changes wait, unless the carryover leaves too little for a grant.
+// carryoverNeedsRound reports whether the committed carryover has to be changed to target by a
+// round. Small changes wait, unless the carryover leaves too little for a grant.
 func (b *budgetState) carryoverNeedsRound(target, threshold float64) bool {
 	if b.deferredGrant != 0 {
 		return true
--- a/internal/controlplane/allocation/config.go
+++ b/internal/controlplane/allocation/config.go
@@ -8,7 +8,8 @@
 // MachineName is the name of the state machine in the replicated state. It is part of stored data.
 const MachineName = "budgets"
 
-// RoleOfShard returns the name of the role that the leader of a shard holds. It is part of stored data.
+// RoleOfShard returns the name of the role that the leader of a shard holds. It is part of stored
+// data.
 func RoleOfShard(shard int) string { return fmt.Sprintf("budgets/%d", shard) }
 
 // ShardOf returns the shard of a budget, from 0 to shards-1.
@@ -23,15 +24,15 @@
 	TTL         time.Duration // of an allocation without renewal
 	ReservedTTL time.Duration // of a reserved minimum without renewal
 
-	// UseTimeout is within what time an on-demand grant has to be used, counted from its request, and
-	// units taken of an allocation, counted from when they were taken.
+	// UseTimeout is within what time an on-demand grant has to be used, counted from its request,
+	// and units taken of an allocation, counted from when they were taken.
 	UseTimeout time.Duration
 
 	// ClockDrift is by what fraction one process's clock may run faster than another's.
 	ClockDrift float64
 
-	// ReservedFraction is the fraction of a limit that is set aside as reserved minimums, the same for
-	// each member.
+	// ReservedFraction is the fraction of a limit that is set aside as reserved minimums, the same
+	// for each member.
 	ReservedFraction float64
 
 	// PoolFraction is the fraction of the rest that stays with the leader for on-demand grants.
@@ -41,8 +42,8 @@
 	// hold, beyond the reserved minimum, for the allocation to be made.
 	MinBurstRequests float64
 
-	// ChangeThreshold is by what fraction of the limit an allocation has to differ from its division
-	// before it is changed.
+	// ChangeThreshold is by what fraction of the limit an allocation has to differ from its
+	// division before it is changed.
 	ChangeThreshold float64
 
 	RenewInterval time.Duration // between two renewals of a member
--- a/internal/controlplane/allocation/divide.go
+++ b/internal/controlplane/allocation/divide.go
@@ -8,12 +8,12 @@
 }
 
 // Divide returns the allocation of each member, which includes its reserved minimum. The sum of the
-// allocations, and of the reserved minimums of members that are absent, is at most the limit less the
-// pool.
+// allocations, and of the reserved minimums of members that are absent, is at most the limit less
+// the pool.
 //
-// What is beyond reserved minimums and the pool is divided in proportion to demand. An allocation that
-// would hold less than a request is not made: pieces smaller than a request at several members serve
-// nobody, whereas the pool can grant their sum to whoever asks first.
+// What is beyond reserved minimums and the pool is divided in proportion to demand. An allocation
+// that would hold less than a request is not made: pieces smaller than a request at several members
+// serve nobody, whereas the pool can grant their sum to whoever asks first.
 func Divide(limit Share, maxMembers int, c *Config, claims []Claim) []Share {
 	allocations := make([]Share, len(claims))
 	reserved := c.ReservedMin(limit, max(maxMembers, len(claims)))
--- a/internal/controlplane/allocation/division.go
+++ b/internal/controlplane/allocation/division.go
@@ -52,7 +52,8 @@
 	return d.changes
 }
 
-// collectReleased plans that allocations which expired, or whose reduction was acknowledged, come free.
+// collectReleased plans that allocations which expired, or whose reduction was acknowledged, come
+// free.
 func (d *division) collectReleased() {
 	l := d.leader
 	for _, member := range d.members {
@@ -63,7 +64,8 @@
 			d.changes = append(d.changes, plannedChange{budget: d.id, member: member, to: to})
 			l.stats.Expired++
 		} else if h.announced != h.committed && h.update <= record.appliedUpdate {
-			d.changes = append(d.changes, plannedChange{budget: d.id, member: member, to: h.announced})
+			to = h.announced
+			d.changes = append(d.changes, plannedChange{budget: d.id, member: member, to: to})
 			l.stats.Reduced++
 		}
 	}
@@ -103,8 +105,8 @@
 // divide divides the budget among the members that are alive, by their claims.
 func (d *division) divide(alive []lease.Member, claims []Claim) {
 	l, b := d.leader, d.budget
-	// A reserved minimum that was not given back stays its member's, or a dead one's until its TTL has
-	// passed: a newcomer beyond maxMembers waits for it.
+	// A reserved minimum that was not given back stays its member's, or a dead one's until its TTL
+	// has passed: a newcomer beyond maxMembers waits for it.
 	for _, member := range d.members {
 		d.reserved = d.reserved.plus(b.holdings[member].committed.ReservedMin)
 	}
@@ -114,13 +116,14 @@
 	}
 }
 
-// assign reduces or increases what a member holds towards its part of the division. It does one change at
-// a time with one member.
+// assign reduces or increases what a member holds towards its part of the division. It does one
+// change at a time with one member.
 func (d *division) assign(member lease.Member, to Allocation) {
 	b := d.budget
 	h := b.holdings[member]
 	h.newDemand = false
-	changing := slices.ContainsFunc(d.changes, func(c plannedChange) bool { return c.member == member })
+	changing := slices.ContainsFunc(d.changes,
+		func(c plannedChange) bool { return c.member == member })
 	if changing || h.announced != h.committed {
 		h.newDemand = true // look again
 		return
@@ -131,7 +134,8 @@
 	}
 	threshold := b.limit.Burst * d.leader.config.ChangeThreshold
 	if isReduction(from, to, threshold) {
-		d.leader.announce(h, Allocation{to.Total.min(from.Total), to.ReservedMin.min(from.ReservedMin)})
+		smaller := Allocation{to.Total.min(from.Total), to.ReservedMin.min(from.ReservedMin)}
+		d.leader.announce(h, smaller)
 	} else if isIncrease(from, to, threshold) {
 		d.increase(member, to, threshold)
 	}
@@ -152,8 +156,8 @@
 		to.ReservedMin.Burst > from.ReservedMin.Burst+roundingTolerance
 }
 
-// increase plans that a member gets more, as far as there is something free. A change of the total by no
-// more than threshold units, without one of the reserved minimum, is left for later.
+// increase plans that a member gets more, as far as there is something free. A change of the total
+// by no more than threshold units, without one of the reserved minimum, is left for later.
 func (d *division) increase(member lease.Member, to Allocation, threshold float64) {
 	b := d.budget
 	h := b.holdings[member]
--- a/internal/controlplane/allocation/headroom.go
+++ b/internal/controlplane/allocation/headroom.go
@@ -11,9 +11,9 @@
 )
 
 // headroomHistory records the least headroom that the pool's bucket had in each of the last
-// headroomIntervals intervals of headroomInterval. Units that a member returns count from when they came
-// free: those that would have overflowed the pool since then are lost. Otherwise the units in buckets and
-// in flight could exceed the burst.
+// headroomIntervals intervals of headroomInterval. Units that a member returns count from when they
+// came free: those that would have overflowed the pool since then are lost. Otherwise the units in
+// buckets and in flight could exceed the burst.
 type headroomHistory struct {
 	minimum      [headroomIntervals]float64 // units, by interval number modulo headroomIntervals
 	lastInterval int64                      // number of the interval recorded last; 0: none yet
@@ -37,8 +37,8 @@
 	h.lastInterval = max(h.lastInterval, interval)
 }
 
-// minimumSince returns the least headroom, in units, from a time on. It returns 0 for a time before the
-// history.
+// minimumSince returns the least headroom, in units, from a time on. It returns 0 for a time before
+// the history.
 func (h *headroomHistory) minimumSince(at time.Duration) float64 {
 	interval := int64(at / headroomInterval)
 	if interval <= h.lastInterval-headroomIntervals+1 || at < h.startedAt {
--- a/internal/controlplane/allocation/holder.go
+++ b/internal/controlplane/allocation/holder.go
@@ -9,10 +9,10 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Holder is one process's side: its allocations, and the units stored in them. Times are by the process's
-// own clock, which must go on while the process is stopped. A process can stop between any two
-// instructions: the caller must ask for Available right before it takes units, and must use them by
-// UseBy.
+// Holder is one process's side: its allocations, and the units stored in them. Times are by the
+// process's own clock, which must go on while the process is stopped. A process can stop between
+// any two instructions: the caller must ask for Available right before it takes units, and must use
+// them by UseBy.
 type Holder struct {
 	config    Config
 	member    lease.Member
@@ -65,7 +65,9 @@
 	return h
 }
 
-func (h *Holder) shard(budget uint64) *shardState { return &h.shards[ShardOf(budget, len(h.shards))] }
+func (h *Holder) shard(budget uint64) *shardState {
+	return &h.shards[ShardOf(budget, len(h.shards))]
+}
 
 // usable returns what may be used of a budget at a time.
 func (s *shardState) usable(b *heldBudget, at time.Duration) Share {
@@ -78,8 +80,8 @@
 	return Share{}
 }
 
-// refill brings a budget to now, in steps that end where its allocation or its reserved minimum expires.
-// Units that overflow while the allocation holds are returned.
+// refill brings a budget to now, in steps that end where its allocation or its reserved minimum
+// expires. Units that overflow while the allocation holds are returned.
 func (s *shardState) refill(b *heldBudget, now time.Duration) {
 	for _, end := range []time.Duration{s.until, s.reservedUntil, now} {
 		end = min(end, now)
@@ -116,9 +118,10 @@
 	return b
 }
 
-// RecordDemand takes in that a request asked for units of a budget, whose limit is shared by at most
-// maxMembers members.
-func (h *Holder) RecordDemand(now time.Duration, budget uint64, limit Share, maxMembers int, units float64) {
+// RecordDemand takes in that a request asked for units of a budget, whose limit is shared by at
+// most maxMembers members.
+func (h *Holder) RecordDemand(now time.Duration, budget uint64, limit Share, maxMembers int,
+	units float64) {
 	s := h.shard(budget)
 	b := s.budget(budget, now)
 	b.limit = limit
@@ -144,8 +147,8 @@
 	return s.usable(s.budget(budget, now), now).Rate
 }
 
-// UseBy returns by when units that are taken now must have been used: soon, as the bucket refills in their
-// place, and never after the allocation has expired.
+// UseBy returns by when units that are taken now must have been used: soon, as the bucket refills
+// in their place, and never after the allocation has expired.
 func (h *Holder) UseBy(now time.Duration, budget uint64) time.Duration {
 	s := h.shard(budget)
 	until := s.reservedUntil
@@ -155,14 +158,14 @@
 	return min(until, now+h.config.UseTimeout)
 }
 
-// Consume takes units, no more than Available returned for the same time. A negative number puts units
-// back that were not used.
+// Consume takes units, no more than Available returned for the same time. A negative number puts
+// units back that were not used.
 func (h *Holder) Consume(now time.Duration, budget uint64, units float64) {
 	h.shard(budget).budget(budget, now).level -= units
 }
 
-// Release returns units that were granted on demand and not used. They are lost if the budget was dropped
-// in the meantime.
+// Release returns units that were granted on demand and not used. They are lost if the budget was
+// dropped in the meantime.
 func (h *Holder) Release(now time.Duration, budget uint64, units float64) {
 	s := h.shard(budget)
 	if s.budgets[budget] == nil {
--- a/internal/controlplane/allocation/holder_renewal.go
+++ b/internal/controlplane/allocation/holder_renewal.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// RenewRequest returns the renewal to send to the leader of a shard now. HandleRenewal takes its response.
-// Budgets without news since the last renewal are not in it.
+// RenewRequest returns the renewal to send to the leader of a shard now. HandleRenewal takes its
+// response. Budgets without news since the last renewal are not in it.
 func (h *Holder) RenewRequest(now time.Duration, shard int) *controlpb.RenewRequest {
 	s := &h.shards[shard]
 	request := &controlpb.RenewRequest{
@@ -53,8 +53,8 @@
 	return d
 }
 
-// ReleaseAll gives up all allocations. It returns the requests that report it, one for each shard. Nothing
-// is allocated to this holder any more.
+// ReleaseAll gives up all allocations. It returns the requests that report it, one for each shard.
+// Nothing is allocated to this holder any more.
 func (h *Holder) ReleaseAll(now time.Duration) (requests []*controlpb.RenewRequest) {
 	for i := range h.shards {
 		s := &h.shards[i]
@@ -75,9 +75,10 @@
 	return requests
 }
 
-// HandleRenewal takes in the response to the renewal that was sent at a time. It reports whether to renew
-// again at once, so that the leader learns that reductions are applied.
-func (h *Holder) HandleRenewal(now, sent time.Duration, shard int, request *controlpb.RenewRequest, response *controlpb.RenewResponse) (renewNow bool) {
+// HandleRenewal takes in the response to the renewal that was sent at a time. It reports whether to
+// renew again at once, so that the leader learns that reductions are applied.
+func (h *Holder) HandleRenewal(now, sent time.Duration, shard int, request *controlpb.RenewRequest,
+	response *controlpb.RenewResponse) (renewNow bool) {
 	s := &h.shards[shard]
 	if response.Code != controlpb.Code_OK || response.Term < s.term {
 		return false
@@ -104,12 +105,13 @@
 	s.appliedUpdate = max(s.appliedUpdate, response.LastUpdate)
 	s.lastTimestamp = max(s.lastTimestamp, response.Timestamp)
 	s.until = max(s.until, sent+min(time.Duration(response.Ttl), h.config.TTL))
-	s.reservedUntil = max(s.reservedUntil, sent+min(time.Duration(response.ReservedTtl), h.config.ReservedTTL))
+	reservedTTL := min(time.Duration(response.ReservedTtl), h.config.ReservedTTL)
+	s.reservedUntil = max(s.reservedUntil, sent+reservedTTL)
 	return renewNow
 }
 
-// startTerm drops all allocations: a new leader's first response has all that it knows of, and what it does
-// not have may be allocated to others.
+// startTerm drops all allocations: a new leader's first response has all that it knows of, and what
+// it does not have may be allocated to others.
 func (s *shardState) startTerm(term uint64) {
 	s.term = term
 	s.appliedUpdate = 0
@@ -132,15 +134,17 @@
 	}
 }
 
-// applyUpdate applies an update unless a later one was applied before. It reports whether it reduced the
-// allocation.
-func (s *shardState) applyUpdate(now time.Duration, update *controlpb.AllocationUpdate) (reduced bool) {
+// applyUpdate applies an update unless a later one was applied before. It reports whether it
+// reduced the allocation.
+func (s *shardState) applyUpdate(now time.Duration,
+	update *controlpb.AllocationUpdate) (reduced bool) {
 	b := s.budget(update.Budget, now)
 	if update.Number <= b.update {
 		return false
 	}
 	to := Allocation{shareOf(update.Total), shareOf(update.ReservedMin)}
-	reduced = !b.allocation.Total.within(to.Total) || !b.allocation.ReservedMin.within(to.ReservedMin)
+	reduced = !b.allocation.Total.within(to.Total) ||
+		!b.allocation.ReservedMin.within(to.ReservedMin)
 	b.update = update.Number
 	b.allocation = to
 	if update.UnitsGranted > b.unitsGranted {
--- /dev/null
+++ b/internal/controlplane/allocation/lagging_replica_test.go
@@ -0,0 +1,104 @@
+package allocation
+
+import (
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/lease"
+)
+
+type acceptingFence struct{}
+
+func (acceptingFence) Fence(string, uint64, lease.Member) error { return nil }
+
+// limitCluster lets gateways report the limit of one budget by different versions of the plans.
+type limitCluster struct {
+	t       *testing.T
+	now     time.Duration
+	machine *Machine
+	leader  *Leader
+}
+
+const limitBudget = 7
+
+func (c *limitCluster) elect(term uint64) {
+	c.t.Helper()
+	role := RoleOfShard(0)
+	var ledger controlpb.Ledger
+	if err := proto.Unmarshal(c.machine.Query(0, []byte(role)), &ledger); err != nil {
+		c.t.Fatal(err)
+	}
+	leader, err := NewLeader(c.now, DefaultConfig(), role, term, &ledger)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.leader = leader
+}
+
+// renew lets a gateway renew with a limit by a version of the plans, and commits what is planned.
+func (c *limitCluster) renew(id string, incarnation, version uint64, limit Share) {
+	c.t.Helper()
+	response := c.leader.Renew(c.now, &controlpb.RenewRequest{
+		Member:       &controlpb.Member{Id: id, Incarnation: incarnation},
+		Role:         RoleOfShard(0),
+		LimitVersion: version,
+		Demands: []*controlpb.Demand{{
+			Budget:         limitBudget,
+			Limit:          limit.proto(),
+			MaxMembers:     2,
+			UnitsRequested: 1,
+			MaxRequest:     1,
+		}},
+	})
+	if response.Code != controlpb.Code_OK {
+		c.t.Fatal(response.Why)
+	}
+	c.now += 300 * time.Millisecond
+	round := c.leader.Plan(c.now)
+	if round == nil {
+		return
+	}
+	err := c.machine.applyRound(lease.Member{ID: "o", Incarnation: 1}, marshal(round))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.leader.Committed(c.now)
+}
+
+func (c *limitCluster) check(limit Share, version uint64) {
+	c.t.Helper()
+	views, err := ReadViews(c.machine.Query(0, nil))
+	if err != nil || len(views) != 1 {
+		c.t.Fatalf("%+v %v", views, err)
+	}
+	if v := views[0]; v.Limit != limit || v.LimitVersion != version {
+		c.t.Errorf("the limit is %v by version %d, %v by %d wanted",
+			v.Limit, v.LimitVersion, limit, version)
+	}
+}
+
+// A gateway that lags behind in the versions of the plans raises no limit: neither with the leader
+// that knows the newer version, nor with the next one, which knows it from the ledger alone.
+func TestALaggingReplicaRaisesNoLimit(t *testing.T) {
+	c := &limitCluster{t: t, now: time.Second, machine: NewMachine(acceptingFence{})}
+	larger, smaller := Share{Rate: 8, Burst: 40}, Share{Rate: 2, Burst: 10}
+	c.elect(1)
+	c.renew("a", 1, 2, larger)
+	c.renew("a", 1, 4, smaller)
+	for incarnation := uint64(1); incarnation <= 4; incarnation++ { // the youngest last
+		c.renew("b", incarnation, 3, larger)
+	}
+	c.check(smaller, 4)
+	c.elect(2)
+	for range 5 {
+		c.renew("b", 9, 3, larger)
+	}
+	c.check(smaller, 4)
+	for range 3 {
+		c.renew("a", 1, 5, larger)
+	}
+	c.check(larger, 5)
+}
--- a/internal/controlplane/allocation/leader.go
+++ b/internal/controlplane/allocation/leader.go
@@ -7,9 +7,10 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Leader divides one shard's budgets under one term. Times are by its process's own clock, which must go
-// on while the process is stopped. The caller must check that it still holds the role before it sends any
-// response of Renew or GrantOnDemand, and must end every Plan with Committed, Rejected, or a new Leader.
+// Leader divides one shard's budgets under one term. Times are by its process's own clock, which
+// must go on while the process is stopped. The caller must check that it still holds the role
+// before it sends any response of Renew or GrantOnDemand, and must end every Plan with Committed,
+// Rejected, or a new Leader.
 type Leader struct {
 	config     Config
 	role       string
@@ -32,16 +33,17 @@
 type LeaderStats struct {
 	Rounds          uint64 `json:"rounds"`  // proposed
 	Raised          uint64 `json:"raised"`  // allocations increased
-	Reduced         uint64 `json:"lessen"`  // allocations reduced, with their members' acknowledgement
-	Expired         uint64 `json:"expired"` // allocations reduced without it
+	Reduced         uint64 `json:"lessen"`  // allocations reduced as acknowledged
+	Expired         uint64 `json:"expired"` // allocations reduced without acknowledgement
 	OnDemandGrants  uint64 `json:"lent"`
 	OnDemandDenials uint64 `json:"dry"`
 }
 
-// NewLeader starts a term with the committed ledger of its shard. Members that the ledger names count as
-// renewed just now, as the leader before may have renewed them until its lease expired. The error wraps
-// ErrCorruptLedger.
-func NewLeader(now time.Duration, c Config, role string, term uint64, ledger *controlpb.Ledger) (*Leader, error) {
+// NewLeader starts a term with the committed ledger of its shard. Members that the ledger names
+// count as renewed just now, as the leader before may have renewed them until its lease expired.
+// The error wraps ErrCorruptLedger.
+func NewLeader(now time.Duration, c Config, role string, term uint64,
+	ledger *controlpb.Ledger) (*Leader, error) {
 	committed, err := readLedger(ledger)
 	if err != nil {
 		return nil, err
@@ -72,7 +74,13 @@
 	b.committedVersion = committed.limitVersion
 	l.dirty[id] = true
 	for member, a := range committed.allocations {
-		b.holdings[member] = &holding{committed: a, announced: a, update: 1, claimedAt: now, lastDemand: now}
+		b.holdings[member] = &holding{
+			committed:  a,
+			announced:  a,
+			update:     1,
+			claimedAt:  now,
+			lastDemand: now,
+		}
 		l.memberRecord(now, member).budgets[id] = true
 	}
 	b.updateAllocated()
@@ -88,8 +96,8 @@
 	return record
 }
 
-// budget returns the state of a budget, after adding it if it is unknown. The pool of a new one fills
-// from when the leader started.
+// budget returns the state of a budget, after adding it if it is unknown. The pool of a new one
+// fills from when the leader started.
 func (l *Leader) budget(id uint64, limit Share, maxMembers int) *budgetState {
 	b := l.budgets[id]
 	if b != nil {
@@ -125,10 +133,11 @@
 	return record.startedAt
 }
 
-// updateLimit takes in the limit of a budget as a process reports it. The highest version counts, whoever
-// reports another one later. Among reports of one version, and where limits are from configurations, that
-// of the process started last counts.
-func (l *Leader) updateLimit(id uint64, b *budgetState, limit Share, version uint64, started time.Duration) {
+// updateLimit takes in the limit of a budget as a process reports it. The highest version counts,
+// whoever reports another one later. Among reports of one version, and where limits are from
+// configurations, that of the process started last counts.
+func (l *Leader) updateLimit(id uint64, b *budgetState, limit Share, version uint64,
+	started time.Duration) {
 	if version < b.limitVersion || version == b.limitVersion && started < b.limitSetBy {
 		return
 	}
@@ -142,8 +151,8 @@
 	l.dirty[id] = true
 }
 
-// unexpired returns what a member may still be using of an allocation, by the leader's clock and with
-// the clock-drift bound.
+// unexpired returns what a member may still be using of an allocation, by the leader's clock and
+// with the clock-drift bound.
 func (l *Leader) unexpired(now time.Duration, record *memberRecord, a Allocation) Allocation {
 	since := now - record.lastRenewal
 	switch {
--- a/internal/controlplane/allocation/ledger.go
+++ b/internal/controlplane/allocation/ledger.go
@@ -14,8 +14,10 @@
 
 // Allocation is what one member may use of a budget.
 type Allocation struct {
-	Total       Share `json:"part"`  // includes the reserved minimum
-	ReservedMin Share `json:"floor"` // granted to no other member without its holder's acknowledgement
+	Total Share `json:"part"` // includes the reserved minimum
+
+	// ReservedMin goes to no other member without its holder's acknowledgement, or its long TTL.
+	ReservedMin Share `json:"floor"`
 }
 
 // committedBudget is a budget in the replicated state.
@@ -24,7 +26,7 @@
 	limitVersion uint64 // version of the plans that the limit is from; a lower one no longer counts
 	maxMembers   int    // that share the limit
 	allocations  map[lease.Member]Allocation
-	carryover    float64 // units of the pool that the leader does not grant; the next one starts with them
+	carryover    float64 // units of the pool that are not granted; the next leader starts with them
 }
 
 // isEmpty reports whether a budget says nothing that one which was never committed does not say.
@@ -40,8 +42,8 @@
 	return sum
 }
 
-// sortedMembers returns the keys in an order that is the same in all processes: sums of floating-point
-// numbers depend on it.
+// sortedMembers returns the keys in an order that is the same in all processes: sums of
+// floating-point numbers depend on it.
 func sortedMembers[V any](byMember map[lease.Member]V) []lease.Member {
 	return slices.SortedFunc(maps.Keys(byMember), compareMembers)
 }
@@ -58,9 +60,10 @@
 	return Allocation{shareOf(a.Total), shareOf(a.ReservedMin)}
 }
 
-// writeLedger appends budgets, sorted by id, to a ledger. indexes has the index of each member in the
-// ledger's list.
-func writeLedger(ledger *controlpb.Ledger, indexes map[lease.Member]uint32, budgets map[uint64]*committedBudget) {
+// writeLedger appends budgets, sorted by id, to a ledger. indexes has the index of each member in
+// the ledger's list.
+func writeLedger(ledger *controlpb.Ledger, indexes map[lease.Member]uint32,
+	budgets map[uint64]*committedBudget) {
 	for _, id := range slices.Sorted(maps.Keys(budgets)) {
 		b := budgets[id]
 		change := &controlpb.BudgetChange{
@@ -82,8 +85,10 @@
 	}
 }
 
-// memberIndex returns a member's index in a message's list, after appending the member if it is absent.
-func memberIndex(list *[]*controlpb.Member, indexes map[lease.Member]uint32, member lease.Member) uint32 {
+// memberIndex returns a member's index in a message's list, after appending the member if it is
+// absent.
+func memberIndex(list *[]*controlpb.Member, indexes map[lease.Member]uint32,
+	member lease.Member) uint32 {
 	i, ok := indexes[member]
 	if !ok {
 		i = uint32(len(*list))
@@ -100,7 +105,8 @@
 		b := newCommittedBudget(change)
 		for _, a := range change.Allocations {
 			if int(a.Member) >= len(ledger.Members) {
-				return nil, fmt.Errorf("%w: member %d of %d", ErrCorruptLedger, a.Member, len(ledger.Members))
+				return nil, fmt.Errorf("%w: member %d of %d", ErrCorruptLedger, a.Member,
+					len(ledger.Members))
 			}
 			b.allocations[memberOf(ledger.Members[a.Member])] = allocationOf(a)
 		}
@@ -125,11 +131,11 @@
 	Budget uint64 `json:"budget"`
 	Limit  Share  `json:"whole"`
 
-	// LimitVersion is twice the version of the plans, plus one once no earlier version is in use any
-	// more. 0: the limit is from a configuration.
+	// LimitVersion is twice the version of the plans, plus one once no earlier version is in use
+	// any more. 0: the limit is from a configuration.
 	LimitVersion uint64             `json:"version,omitempty"`
 	MaxMembers   int                `json:"spread"`
-	Carryover    float64            `json:"spare"` // units of the pool that the next leader would start with
+	Carryover    float64            `json:"spare"` // units that the next leader would start with
 	Allocations  []MemberAllocation `json:"held"`
 }
 
@@ -160,7 +166,8 @@
 			Carryover:    b.carryover,
 		}
 		for _, member := range sortedMembers(b.allocations) {
-			v.Allocations = append(v.Allocations, MemberAllocation{Member: member, Allocation: b.allocations[member]})
+			v.Allocations = append(v.Allocations,
+				MemberAllocation{Member: member, Allocation: b.allocations[member]})
 		}
 		all = append(all, v)
 	}
--- a/internal/controlplane/allocation/machine.go
+++ b/internal/controlplane/allocation/machine.go
@@ -34,8 +34,8 @@
 	ledgers map[string]map[uint64]*committedBudget // by the role of their shard, then by id
 }
 
-// NewMachine returns a machine without budgets. The fence says who may divide them; it has to be a part
-// of the same replicated state.
+// NewMachine returns a machine without budgets. The fence says who may divide them; it has to be a
+// part of the same replicated state.
 func NewMachine(f Fence) *Machine {
 	return &Machine{fence: f, ledgers: map[string]map[uint64]*committedBudget{}}
 }
@@ -88,9 +88,10 @@
 	return nil
 }
 
-// applyChange returns a budget after a change, or an error if the change is invalid. before is nil for a
-// budget that is not in the ledger.
-func applyChange(before *committedBudget, change *controlpb.BudgetChange, members []*controlpb.Member) (*committedBudget, error) {
+// applyChange returns a budget after a change, or an error if the change is invalid. before is nil
+// for a budget that is not in the ledger.
+func applyChange(before *committedBudget, change *controlpb.BudgetChange,
+	members []*controlpb.Member) (*committedBudget, error) {
 	b := newCommittedBudget(change)
 	if before != nil {
 		maps.Copy(b.allocations, before.allocations)
@@ -123,22 +124,26 @@
 	return fmt.Errorf("an allocation of %v with a reserved minimum of %v", a.Total, a.ReservedMin)
 }
 
-// checkTotals checks that a budget's allocations and carryover fit into its limit. After a limit was
-// lowered, the allocations may exceed it until all members are told, as long as they don't grow.
+// checkTotals checks that a budget's allocations and carryover fit into its limit. After a limit
+// was lowered, the allocations may exceed it until all members are told, as long as they don't
+// grow.
 func checkTotals(b *committedBudget, totalBefore Share) error {
 	total := totalOf(b.allocations)
-	if !total.within(b.limit.max(totalBefore)) || !total.within(b.limit) && !total.within(totalBefore) {
+	tooLarge := !total.within(b.limit.max(totalBefore))
+	grown := !total.within(b.limit) && !total.within(totalBefore)
+	if tooLarge || grown {
 		return fmt.Errorf("allocations of %v exceed the limit of %v", total, b.limit)
 	}
 	maxCarryover := math.Max(0, b.limit.Burst-total.Burst) + roundingTolerance
 	if !(b.carryover >= 0) || b.carryover > maxCarryover { // the negation holds for NaN too
-		return fmt.Errorf("a carryover of %v units with allocations of %v and a limit of %v", b.carryover, total, b.limit)
+		return fmt.Errorf("a carryover of %v units with allocations of %v and a limit of %v",
+			b.carryover, total, b.limit)
 	}
 	return nil
 }
 
-// Query returns the Ledger of the shard whose role the body names, or of all shards if the body is empty.
-// ReadViews decodes it.
+// Query returns the Ledger of the shard whose role the body names, or of all shards if the body is
+// empty. ReadViews decodes it.
 func (m *Machine) Query(at time.Duration, body []byte) []byte {
 	ledger := &controlpb.Ledger{At: uint64(at)}
 	indexes := map[lease.Member]uint32{}
@@ -170,7 +175,8 @@
 		return fmt.Errorf("%w: %w", ErrCorruptLedger, err)
 	}
 	if len(state.Roles) != len(state.Ledgers) {
-		return fmt.Errorf("%w: %d roles with %d ledgers", ErrCorruptLedger, len(state.Roles), len(state.Ledgers))
+		return fmt.Errorf("%w: %d roles with %d ledgers", ErrCorruptLedger, len(state.Roles),
+			len(state.Ledgers))
 	}
 	m.ledgers = map[string]map[uint64]*committedBudget{}
 	for i, role := range state.Roles {
--- a/internal/controlplane/allocation/ondemand.go
+++ b/internal/controlplane/allocation/ondemand.go
@@ -22,9 +22,10 @@
 	reasonLaterTerm  = "a leader of a later term is known"
 )
 
-// GrantOnDemand grants units of the pool to a request that waits, all of them or none. Where AwaitRound
-// is set there are enough units, but a round has to reduce the carryover first.
-func (l *Leader) GrantOnDemand(now time.Duration, request *controlpb.OnDemandRequest) *controlpb.OnDemandResponse {
+// GrantOnDemand grants units of the pool to a request that waits, all of them or none. Where
+// AwaitRound is set there are enough units, but a round has to reduce the carryover first.
+func (l *Leader) GrantOnDemand(now time.Duration,
+	request *controlpb.OnDemandRequest) *controlpb.OnDemandResponse {
 	limit := shareOf(request.Limit)
 	if request.Role != l.role || !limit.valid() || limit.isZero() || !(request.Units > 0) {
 		return &controlpb.OnDemandResponse{Code: controlpb.Code_REFUSED, Why: reasonWrongShard}
@@ -42,7 +43,8 @@
 	if remaining >= 0 && remaining < math.Max(b.carryover, b.proposedCarryover) {
 		l.dirty[request.Budget] = true
 		b.deferredGrant = math.Max(b.deferredGrant, request.Units)
-		return &controlpb.OnDemandResponse{Term: l.term, AwaitRound: true, RetryAfter: int64(roundRetryDelay)}
+		return &controlpb.OnDemandResponse{Term: l.term, AwaitRound: true,
+			RetryAfter: int64(roundRetryDelay)}
 	}
 	if remaining < 0 {
 		l.stats.OnDemandDenials++
--- a/internal/controlplane/allocation/renewal.go
+++ b/internal/controlplane/allocation/renewal.go
@@ -18,12 +18,15 @@
 	record  *memberRecord
 	request *controlpb.RenewRequest
 
-	// sameTerm tells that the acknowledgements and totals of the request are about this leader's term.
+	// sameTerm tells that the acknowledgements and totals of the request are about this leader's
+	// term.
 	sameTerm bool
 }
 
-// Renew takes in a member's demand and acknowledgements, and returns all updates that it has not applied.
-func (l *Leader) Renew(now time.Duration, request *controlpb.RenewRequest) *controlpb.RenewResponse {
+// Renew takes in a member's demand and acknowledgements, and returns all updates that it has not
+// applied.
+func (l *Leader) Renew(now time.Duration,
+	request *controlpb.RenewRequest) *controlpb.RenewResponse {
 	member := memberOf(request.Member)
 	if l.closing {
 		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: reasonTransfer}
@@ -76,7 +79,8 @@
 	}
 }
 
-// markDirty marks the member's budgets in which a reduction was acknowledged, or whose carryover is off.
+// markDirty marks the member's budgets in which a reduction was acknowledged, or whose carryover is
+// off.
 func (l *Leader) markDirty(r *renewal) {
 	for id := range r.record.budgets {
 		b := l.budgets[id]
@@ -120,8 +124,8 @@
 	return response
 }
 
-// recordDemand takes in a member's demand on one budget, and the units that it returned. Demands with
-// impossible numbers are ignored.
+// recordDemand takes in a member's demand on one budget, and the units that it returned. Demands
+// with impossible numbers are ignored.
 func (l *Leader) recordDemand(r *renewal, d *controlpb.Demand) {
 	limit := shareOf(d.Limit)
 	if !limit.valid() || limit.isZero() || !(d.UnitsRequested >= 0) || !(d.UnitsReturned >= 0) {
@@ -154,14 +158,15 @@
 	}
 }
 
-// returnUnits puts units that a member returned back into the pool, as far as the pool had headroom for
-// them since they came free.
+// returnUnits puts units that a member returned back into the pool, as far as the pool had headroom
+// for them since they came free.
 func (l *Leader) returnUnits(now time.Duration, b *budgetState, h *holding, units float64) {
 	if units == 0 {
 		return
 	}
 	if h.announced != h.committed {
-		// There is headroom for them once the reduction is committed, and nothing else may use that.
+		// There is headroom for them once the reduction is committed, and nothing else may use
+		// that.
 		reduction := math.Max(0, h.committed.Total.Burst-h.announced.Total.Burst)
 		h.lateUnits = math.Min(h.lateUnits+units, reduction)
 		return
--- a/internal/controlplane/allocation/round.go
+++ b/internal/controlplane/allocation/round.go
@@ -20,8 +20,8 @@
 	increase bool
 }
 
-// Plan returns the next round, or nil if there is nothing to change or the last round has not ended. End
-// the round with Committed, Rejected or a new Leader.
+// Plan returns the next round, or nil if there is nothing to change or the last round has not
+// ended. End the round with Committed, Rejected or a new Leader.
 func (l *Leader) Plan(now time.Duration) *controlpb.Round {
 	if l.pendingBudgets != nil {
 		return nil
@@ -67,8 +67,8 @@
 	}
 }
 
-// planBudget plans a budget's changes and sets its proposed carryover. ok is false if the budget needs no
-// part in the round.
+// planBudget plans a budget's changes and sets its proposed carryover. ok is false if the budget
+// needs no part in the round.
 func (l *Leader) planBudget(now time.Duration, id uint64) (changes []plannedChange, ok bool) {
 	b := l.budgets[id]
 	changes = l.redivide(now, id, b)
@@ -99,9 +99,9 @@
 	return change
 }
 
-// Close returns the last round of a term whose role is transferred: all units of the pool are carried
-// over to the next leader. Nothing is granted or renewed after it, and no other round may be proposed. It
-// returns nil if there is nothing to carry over.
+// Close returns the last round of a term whose role is transferred: all units of the pool are
+// carried over to the next leader. Nothing is granted or renewed after it, and no other round may
+// be proposed. It returns nil if there is nothing to carry over.
 func (l *Leader) Close(now time.Duration) *controlpb.Round {
 	l.closing = true
 	if l.pendingBudgets != nil {
--- a/internal/controlplane/allocation/share.go
+++ b/internal/controlplane/allocation/share.go
@@ -6,8 +6,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// roundingTolerance is by how much sums of shares may differ through rounding, in units and in units
-// per second.
+// roundingTolerance is by how much sums of shares may differ through rounding, in units and in
+// units per second.
 const roundingTolerance = 1e-6
 
 // Share is a rate with a burst: the limit of a budget, or a part of it.
@@ -45,7 +45,8 @@
 // isZero reports whether a share allows nothing.
 func (s Share) isZero() bool { return s.Rate <= 0 && s.Burst <= 0 }
 
-// valid reports whether both numbers are finite and not negative. The comparisons are false for NaN.
+// valid reports whether both numbers are finite and not negative. The comparisons are false for
+// NaN.
 func (s Share) valid() bool {
 	return s.Rate >= 0 && s.Burst >= 0 && !math.IsInf(s.Rate, 0) && !math.IsInf(s.Burst, 0)
 }
--- a/internal/controlplane/allocation/tokenbucket.go
+++ b/internal/controlplane/allocation/tokenbucket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// tokenBucket stores units that arrive at a rate, up to a burst. Both are passed to each refill, as they
-// change with the division.
+// tokenBucket stores units that arrive at a rate, up to a burst. Both are passed to each refill, as
+// they change with the division.
 type tokenBucket struct {
 	level float64 // units
 	at    time.Duration
