--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -40,7 +40,7 @@
 			return err
 		}
 		body = batch.Body
-		h.reply.Start(batch.Index)
+		h.reply.Begin(batch.Index)
 		if err := batch.Decode(func(e *simprotocol.Event) { h.take(batch.Now, e) }); err != nil {
 			return err
 		}
@@ -56,18 +56,18 @@
 // take carries one event to its instance. A panic there is told as broken, and
 // the instance is gone.
 func (h *host) take(now policy.Time, e *simprotocol.Event) {
-	h.reply.For(e.Instance)
+	h.reply.SetInstance(e.Instance)
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.gateways, e.Instance)
-			h.reply.Broken(fmt.Sprint("panic: ", p))
+			h.reply.InstanceFailed(fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch e.Kind {
-	case simprotocol.Provision:
+	case simprotocol.InstanceStarted:
 		h.provision(e)
 		return
-	case simprotocol.CrashNow:
+	case simprotocol.InstanceStopped:
 		delete(h.gateways, e.Instance)
 		return
 	}
@@ -76,29 +76,29 @@
 		return
 	}
 	switch e.Kind {
-	case simprotocol.Backends:
-		g.UpdateEndpoints(now, e.News, e.Members)
-	case simprotocol.Ingress:
+	case simprotocol.EndpointsChanged:
+		g.UpdateEndpoints(now, e.ListKind, e.Endpoints)
+	case simprotocol.RequestReceived:
 		g.Request(now, e.Request)
-	case simprotocol.First:
+	case simprotocol.ResponseStarted:
 		g.ResponseStarted(now, e.Outcome.ID)
-	case simprotocol.Done:
+	case simprotocol.AttemptEnded:
 		g.Outcome(now, e.Outcome)
-	case simprotocol.Dropped:
+	case simprotocol.ClientGone:
 		g.ClientGone(now, e.Outcome.ID)
-	case simprotocol.Wake:
-		g.Timer(now, e.Token)
-	case simprotocol.Sampled:
+	case simprotocol.TimerFired:
+		g.Timer(now, e.TimerToken)
+	case simprotocol.ProbeEnded:
 		g.ReceiveProbeResult(now, e.Backend, e.Result, e.Load)
-	case simprotocol.Heard:
-		g.ReceivePeerMessage(now, e.From, e.Note)
-	case simprotocol.Ledger:
-		g.ReceiveCounterTotal(now, e.Name, e.Result, e.Total)
+	case simprotocol.PeerMessageReceived:
+		g.ReceivePeerMessage(now, e.From, e.Message)
+	case simprotocol.CounterAnswered:
+		g.ReceiveCounterTotal(now, e.CounterName, e.Result, e.CounterTotal)
 	}
 }
 
 func (h *host) provision(e *simprotocol.Event) {
-	set, err := simprotocol.ParseSettings(e.Profile)
+	set, err := simprotocol.ParseSettings(e.Settings)
 	if err == nil {
 		var g *policy.Balancer
 		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
@@ -107,5 +107,5 @@
 		}
 	}
 	delete(h.gateways, e.Instance)
-	h.reply.Broken(err.Error())
+	h.reply.InstanceFailed(err.Error())
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -49,8 +49,8 @@
 
 func TestPanicIsToldAsBroken(t *testing.T) {
 	h := &host{gateways: map[uint16]*policy.Balancer{4: {}}} // one that New did not make
-	h.reply.Start(1)
-	h.take(1, &simprotocol.Event{Kind: simprotocol.Wake, Instance: 4})
+	h.reply.Begin(1)
+	h.take(1, &simprotocol.Event{Kind: simprotocol.TimerFired, Instance: 4})
 	if got := string(h.reply.Bytes()); !strings.Contains(got, "panic") {
 		t.Errorf("%q", got)
 	}
--- a/internal/dataplane/gateway/backend_pool.go
+++ b/internal/dataplane/gateway/backend_pool.go
@@ -96,7 +96,7 @@
 		byNumber:     map[uint32]*backend{},
 		byID:         map[string]*backend{},
 		maxConns:     maxConns,
-		idleTrust:    idleTrust{maxIdle: cfg.Host.IdleClose / 2},
+		idleTrust:    idleTrust{maxIdle: cfg.Host.BackendIdleTimeout / 2},
 		restDuration: restAfterAnswer,
 		dial: net.Dialer{
 			Timeout:   time.Duration(cfg.Host.DialTimeout) * time.Microsecond,
@@ -351,7 +351,7 @@
 // closeIdle closes idle connections well before their backends do: a request that crosses the
 // close would end as a reset.
 func (p *backendPool) closeIdle(g *Gateway) {
-	oldest := g.now() - g.cfg.Host.IdleClose/2
+	oldest := g.now() - g.cfg.Host.BackendIdleTimeout/2
 	for _, b := range p.byNumber {
 		for len(b.idle) > 0 && b.idle[0].idleSince <= oldest {
 			p.close(b.idle[0])
--- a/internal/dataplane/gateway/client.go
+++ b/internal/dataplane/gateway/client.go
@@ -176,7 +176,7 @@
 	for c.commands == 1 && len(cs.conns) > cs.maxServed && !c.overLimit {
 		c.overLimit = !cs.evict(g, c)
 	}
-	tooManyOpen := g.cfg.Host.MaxOpen > 0 && g.requests.open > g.cfg.Host.MaxOpen
+	tooManyOpen := g.cfg.Host.MaxOpenRequests > 0 && g.requests.open > g.cfg.Host.MaxOpenRequests
 	overloaded := noMemory || tooManyOpen || g.requests.heldBytes >= g.cfg.MemoryMB<<20/4
 	if !overloaded && !c.overLimit && g.lifecycle.Takes(g.now()) {
 		return nil
--- a/internal/dataplane/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -67,7 +67,7 @@
 		}
 	}
 	class := c.request.Class
-	if limit := cfg.Host.Limits[class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
+	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
 		// No client waits for so long: the request would only take up memory.
 		return errTimeoutTooBig
 	}
--- a/internal/dataplane/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -33,7 +33,7 @@
 	KnownEndpoints registry.List // used until discovery answers
 
 	Settings policy.Settings
-	Host     simprotocol.Host
+	Host     simprotocol.HostSettings
 
 	Restart      Restart           // from the operators' file
 	Auth         Auth              // from the operators' file
@@ -199,8 +199,8 @@
 	if h.DialTimeout <= 0 {
 		h.DialTimeout = defaultDialTimeout
 	}
-	if h.IdleClose <= 0 {
-		h.IdleClose = defaultIdleClose
+	if h.BackendIdleTimeout <= 0 {
+		h.BackendIdleTimeout = defaultIdleClose
 	}
 	if h.CounterTimeout <= 0 {
 		h.CounterTimeout = defaultCounterTimeout
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -189,18 +189,18 @@
 func NewPlatform(cfg *Config, log *slog.Logger) *registry.Platform {
 	pace := membership.NewPace(cfg.Settings.Gateways, cfg.Seed)
 	if !cfg.Settings.PollEndpoints {
-		pace.Binds(cfg.Host.DrainGrace)
+		pace.Binds(cfg.Host.DrainGracePeriod)
 	}
 	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pace, log)
 }
 
 // longestTimeout returns how long a client waits at most; 0 if the settings leave that open for a
 // class.
-func longestTimeout(h *simprotocol.Host) policy.Time {
-	if len(h.Limits) == 0 || slices.Min(h.Limits) <= 0 {
+func longestTimeout(h *simprotocol.HostSettings) policy.Time {
+	if len(h.ClientTimeouts) == 0 || slices.Min(h.ClientTimeouts) <= 0 {
 		return 0
 	}
-	return slices.Max(h.Limits)
+	return slices.Max(h.ClientTimeouts)
 }
 
 // start applies the endpoint list of the configuration and starts the goroutines that read.
--- a/internal/dataplane/gateway/plan_terms_test.go
+++ b/internal/dataplane/gateway/plan_terms_test.go
@@ -10,7 +10,7 @@
 )
 
 func testTerms() *PlanTerms {
-	return NewPlanTerms(&Config{Host: simprotocol.Host{Plans: []string{"basico", "corporativo"}},
+	return NewPlanTerms(&Config{Host: simprotocol.HostSettings{Plans: []string{"basico", "corporativo"}},
 		Settings: policy.Settings{
 			Plans: []policy.Plan{
 				{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5},
--- a/internal/dataplane/simprotocol/codes.go
+++ b/internal/dataplane/simprotocol/codes.go
@@ -4,41 +4,41 @@
 
 import "mothcleat/internal/dataplane/policy"
 
-// Kind is the kind of an event.
-type Kind uint8
+// EventKind is the kind of an event.
+type EventKind uint8
 
 // The events, by their codes.
 const (
-	Heard     Kind = 1
-	Sampled   Kind = 2
-	Ingress   Kind = 3
-	Wake      Kind = 4
-	Provision Kind = 5
-	CrashNow  Kind = 6
-	Done      Kind = 7
-	Backends  Kind = 8
-	Dropped   Kind = 9
-	First     Kind = 10
-	Ledger    Kind = 11
+	PeerMessageReceived EventKind = 1
+	ProbeEnded          EventKind = 2
+	RequestReceived     EventKind = 3
+	TimerFired          EventKind = 4
+	InstanceStarted     EventKind = 5
+	InstanceStopped     EventKind = 6
+	AttemptEnded        EventKind = 7
+	EndpointsChanged    EventKind = 8
+	ClientGone          EventKind = 9
+	ResponseStarted     EventKind = 10
+	CounterAnswered     EventKind = 11
 )
 
 // The actions, by their codes.
 const (
-	actAssign   = 65
-	actPushBack = 66
-	actLose     = 67
-	actSetAlarm = 69
-	actSoundOut = 70
-	actWrite    = 72
-	actRecord   = 73
-	actBroken   = 74
-	actFollow   = 75
-	actCount    = 77
+	sendAction           = 65
+	rejectAction         = 66
+	failAction           = 67
+	setTimerAction       = 69
+	probeAction          = 70
+	sendToPeerAction     = 72
+	logAction            = 73
+	instanceFailedAction = 74
+	watchEndpointsAction = 75
+	addToCounterAction   = 77
 )
 
 const (
-	noteLimit = 256
-	entrySize = 22
+	maxPeerMessageSize = 256
+	endpointSize       = 22
 )
 
 var results = map[uint8]policy.Result{
@@ -46,17 +46,17 @@
 	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.Superseded,
 }
 
-var news = map[uint8]policy.ListKind{
+var listKinds = map[uint8]policy.ListKind{
 	0: policy.Complete, 1: policy.CompleteCached, 2: policy.Delta, 3: policy.Unavailable,
 }
 
-var states = map[uint8]policy.EndpointState{0: policy.Removed, 1: policy.Ready, 2: policy.Draining}
+var endpointStates = map[uint8]policy.EndpointState{0: policy.Removed, 1: policy.Ready, 2: policy.Draining}
 
-var effects = map[string]policy.Idempotency{
+var idempotencies = map[string]policy.Idempotency{
 	"retryable": policy.Idempotent, "dedup": policy.WithIdempotencyKey, "fragile": policy.NotIdempotent,
 }
 
-var groups = map[string]policy.DeduplicationScope{
+var deduplicationScopes = map[string]policy.DeduplicationScope{
 	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
--- a/internal/dataplane/simprotocol/flatten_test.go
+++ b/internal/dataplane/simprotocol/flatten_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("settings %+v, %v; want %+v", got, err, want)
 	}
 	if !reflect.DeepEqual(host.Classes, []string{"lookup"}) || !reflect.DeepEqual(host.Plans, []string{"team", "other"}) ||
-		!reflect.DeepEqual(host.Zones, []string{"a", "b"}) || host.MaxOpen != 20000 || host.ReportVia != "pull" {
+		!reflect.DeepEqual(host.Zones, []string{"a", "b"}) || host.MaxOpenRequests != 20000 || host.ReportVia != "pull" {
 		t.Errorf("host %+v", host)
 	}
 	if _, _, err := ParseJSON([]byte(strings.Replace(nested, `"balancers":3`, `"balancers":true`, 1))); err == nil {
--- a/internal/dataplane/simprotocol/frames.go
+++ b/internal/dataplane/simprotocol/frames.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	headerSize = 20
-	chunk      = 1 << 20 // bodies are read in pieces, so that a length alone allocates little
+	headerSize    = 20
+	readChunkSize = 1 << 20 // bodies are read in pieces, so that a length alone allocates little
 )
 
 // Batch is one frame of events.
@@ -38,7 +38,7 @@
 		Body:  into[:0],
 	}
 	for left := int(binary.LittleEndian.Uint32(head[8:])); left > 0; {
-		n, at := min(left, chunk), len(b.Body)
+		n, at := min(left, readChunkSize), len(b.Body)
 		for cap(b.Body) < at+n {
 			b.Body = append(b.Body[:cap(b.Body)], 0)
 		}
@@ -53,81 +53,81 @@
 
 // Event is one record. Only the fields of its kind are set.
 type Event struct {
-	Kind     Kind
+	Kind     EventKind
 	Instance uint16
 
-	Seed    uint64 // Provision
-	Profile []byte
+	Seed     uint64 // Provision
+	Settings []byte
 
-	News    policy.ListKind // Backends
-	Members []policy.Endpoint
+	ListKind  policy.ListKind // Backends
+	Endpoints []policy.Endpoint
 
 	Request policy.Request // Ingress
 	Outcome policy.Outcome // Done; First and Dropped set its ID
 
-	Token uint32 // Wake
+	TimerToken uint32 // Wake
 
 	Backend uint32 // Sampled
 	Result  policy.Result
 	Load    []float32
 
-	From int // Heard
-	Note []byte
+	From    int // Heard
+	Message []byte
 
-	Name  uint64 // Ledger
-	Total float64
+	CounterName  uint64 // Ledger
+	CounterTotal float64
 }
 
-// reader takes fields off a record; a field that is not there sets err.
-type reader struct {
-	b   []byte
-	at  int
-	err error
+// recordReader takes fields off a record; a field that is not there sets err.
+type recordReader struct {
+	record []byte
+	at     int
+	err    error
 }
 
-func (r *reader) bytes(n int) []byte {
-	if r.err != nil || n < 0 || n > len(r.b)-r.at {
+func (r *recordReader) bytes(n int) []byte {
+	if r.err != nil || n < 0 || n > len(r.record)-r.at {
 		if r.err == nil {
 			r.err = fmt.Errorf("record cut short at byte %d", r.at)
 		}
 		return nil
 	}
-	b := r.b[r.at : r.at+n]
+	b := r.record[r.at : r.at+n]
 	r.at += n
 	return b
 }
 
-func (r *reader) u8() uint8 {
+func (r *recordReader) u8() uint8 {
 	if b := r.bytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *reader) u16() uint16 {
+func (r *recordReader) u16() uint16 {
 	if b := r.bytes(2); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (r *reader) u32() uint32 {
+func (r *recordReader) u32() uint32 {
 	if b := r.bytes(4); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (r *reader) u64() uint64 {
+func (r *recordReader) u64() uint64 {
 	if b := r.bytes(8); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (r *reader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
+func (r *recordReader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
 
-func (r *reader) load() []float32 {
+func (r *recordReader) load() []float32 {
 	b := r.bytes(4 * int(r.u8()))
 	if len(b) == 0 {
 		return nil
@@ -139,10 +139,10 @@
 	return load
 }
 
-func (r *reader) result() policy.Result { return lookup(r, results, "outcome code") }
+func (r *recordReader) result() policy.Result { return lookup(r, results, "outcome code") }
 
 // lookup reads a code and what it stands for.
-func lookup[V any](r *reader, table map[uint8]V, what string) V {
+func lookup[V any](r *recordReader, table map[uint8]V, what string) V {
 	code := r.u8()
 	v, ok := table[code]
 	if !ok && r.err == nil {
@@ -154,9 +154,9 @@
 // Decode calls take with each event of a batch, in order. The event is good
 // until take returns.
 func (b *Batch) Decode(take func(*Event)) error {
-	r := reader{b: b.Body}
+	r := recordReader{record: b.Body}
 	for i := uint32(0); i < b.Count; i++ {
-		e := Event{Kind: Kind(r.u8()), Instance: r.u16()}
+		e := Event{Kind: EventKind(r.u8()), Instance: r.u16()}
 		r.event(&e)
 		if r.err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", b.Index, i, r.err)
@@ -169,17 +169,17 @@
 	return nil
 }
 
-func (r *reader) event(e *Event) {
+func (r *recordReader) event(e *Event) {
 	switch e.Kind {
-	case Provision:
+	case InstanceStarted:
 		e.Seed = r.u64()
-		e.Profile = r.bytes(int(r.u32()))
-	case CrashNow:
-	case Backends:
-		e.News = lookup(r, news, "list mode")
+		e.Settings = r.bytes(int(r.u32()))
+	case InstanceStopped:
+	case EndpointsChanged:
+		e.ListKind = lookup(r, listKinds, "list mode")
 		r.u64() // version
-		r.members(e)
-	case Ingress:
+		r.endpoints(e)
+	case RequestReceived:
 		q := &e.Request
 		q.ID = r.u64()
 		r.u8() // a client's repeat, a write: no decision rests on them
@@ -190,12 +190,12 @@
 		q.Class = int(r.u16())
 		q.First = int(r.f32())
 		q.Customer = r.u64()
-	case First:
+	case ResponseStarted:
 		e.Outcome.ID = r.u64()
 		e.Outcome.Backend = r.u32()
 		e.Outcome.Attempt = int(r.u16())
 		e.Outcome.Duration = policy.Time(r.u32())
-	case Done:
+	case AttemptEnded:
 		o := &e.Outcome
 		o.ID = r.u64()
 		o.Attempt = int(r.u16())
@@ -206,22 +206,22 @@
 		o.MeteredUse = int(r.u16())
 		o.TrueUnits = float64(r.u16())
 		o.Load = r.load()
-	case Dropped:
+	case ClientGone:
 		e.Outcome.ID = r.u64()
-	case Wake:
-		e.Token = r.u32()
-	case Sampled:
+	case TimerFired:
+		e.TimerToken = r.u32()
+	case ProbeEnded:
 		e.Backend = r.u32()
 		e.Result = r.result()
 		r.u32() // time taken
 		e.Load = r.load()
-	case Heard:
+	case PeerMessageReceived:
 		e.From = int(r.u16())
-		e.Note = r.bytes(int(r.u16()))
-	case Ledger:
-		e.Total = r.f32()
+		e.Message = r.bytes(int(r.u16()))
+	case CounterAnswered:
+		e.CounterTotal = r.f32()
 		e.Result = r.result()
-		e.Name = r.u64()
+		e.CounterName = r.u64()
 		r.u32() // time taken
 	default:
 		if r.err == nil {
@@ -230,19 +230,19 @@
 	}
 }
 
-func (r *reader) members(e *Event) {
+func (r *recordReader) endpoints(e *Event) {
 	n := int(r.u32())
-	if r.err == nil && n > (len(r.b)-r.at)/entrySize {
+	if r.err == nil && n > (len(r.record)-r.at)/endpointSize {
 		r.err = fmt.Errorf("list of %d entries is longer than its batch", n)
 	}
 	for i := 0; i < n && r.err == nil; i++ {
 		m := policy.Endpoint{Backend: r.u32(), Zone: int(r.u16())}
 		r.u8() // kind of machine: no decision rests on it
 		m.Cell = int(r.u16())
-		m.State = lookup(r, states, "readiness")
+		m.State = lookup(r, endpointStates, "readiness")
 		m.Weight = r.f32()
 		m.StartedAt = policy.Time(r.u64())
-		e.Members = append(e.Members, m)
+		e.Endpoints = append(e.Endpoints, m)
 	}
 }
 
@@ -252,14 +252,14 @@
 	instance uint16
 }
 
-// Start empties the reply for the batch of that index.
-func (r *Reply) Start(index uint32) {
+// Begin empties the reply for the batch of that index.
+func (r *Reply) Begin(index uint32) {
 	r.buf = binary.LittleEndian.AppendUint32(r.buf[:0], index)
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, 0)
 }
 
-// For has the following actions come from an instance.
-func (r *Reply) For(instance uint16) { r.instance = instance }
+// SetInstance has the following actions come from an instance.
+func (r *Reply) SetInstance(instance uint16) { r.instance = instance }
 
 // Bytes ends the reply and returns its frame.
 func (r *Reply) Bytes() []byte {
@@ -267,7 +267,7 @@
 	return r.buf
 }
 
-func (r *Reply) head(code uint8) {
+func (r *Reply) header(code uint8) {
 	r.buf = append(r.buf, code)
 	r.u16(r.instance)
 }
@@ -284,7 +284,7 @@
 
 // Send implements decide.Actions, as do the methods below.
 func (r *Reply) Send(id uint64, backend uint32, until policy.Time) {
-	r.head(actAssign)
+	r.header(sendAction)
 	r.u64(id)
 	r.u64(uint64(until))
 	r.u32(backend)
@@ -292,40 +292,40 @@
 
 // Reject writes a refusal.
 func (r *Reply) Reject(id uint64, after policy.Time) {
-	r.head(actPushBack)
+	r.header(rejectAction)
 	r.u64(id)
 	r.u32(uint32(max(0, min(after, math.MaxUint32))))
 }
 
 // Fail writes a failure.
 func (r *Reply) Fail(id uint64) {
-	r.head(actLose)
+	r.header(failAction)
 	r.u64(id)
 }
 
 // SetTimer writes a timer.
 func (r *Reply) SetTimer(at policy.Time, token uint32) {
-	r.head(actSetAlarm)
+	r.header(setTimerAction)
 	r.u64(uint64(at))
 	r.u32(token)
 }
 
 // Probe writes a probe.
 func (r *Reply) Probe(backend uint32) {
-	r.head(actSoundOut)
+	r.header(probeAction)
 	r.u32(backend)
 }
 
 // SendToPeer writes a message to a peer.
 func (r *Reply) SendToPeer(peer int, note []byte) {
-	r.head(actWrite)
+	r.header(sendToPeerAction)
 	r.u16(uint16(peer))
-	r.text(string(note[:min(len(note), noteLimit)]))
+	r.text(string(note[:min(len(note), maxPeerMessageSize)]))
 }
 
 // AddToCounter writes a counter call.
 func (r *Reply) AddToCounter(name uint64, add float64, life policy.Time) {
-	r.head(actCount)
+	r.header(addToCounterAction)
 	r.u64(name)
 	r.u32(math.Float32bits(float32(add)))
 	r.u32(uint32(max(0, min(life, math.MaxUint32))))
@@ -333,18 +333,18 @@
 
 // WatchEndpoints writes a subscription to discovery.
 func (r *Reply) WatchEndpoints() {
-	r.head(actFollow)
+	r.header(watchEndpointsAction)
 	r.buf = append(r.buf, 1)
 }
 
 // Log writes a line of the report.
 func (r *Reply) Log(line string) {
-	r.head(actRecord)
+	r.header(logAction)
 	r.text(line)
 }
 
-// Broken writes that the decision code failed.
-func (r *Reply) Broken(why string) {
-	r.head(actBroken)
+// InstanceFailed writes that the decision code failed.
+func (r *Reply) InstanceFailed(why string) {
+	r.header(instanceFailedAction)
 	r.text(why)
 }
--- a/internal/dataplane/simprotocol/wire_test.go
+++ b/internal/dataplane/simprotocol/wire_test.go
@@ -35,28 +35,28 @@
 		want        Event
 	}{
 		{"request", "03 0300 c4913a5d7f250800 01 00000040 80a90300 0100 00004040 0200 0000803f 640ad2557c3bf091",
-			Event{Kind: Ingress, Instance: 3, Request: policy.Request{ID: 0x8257f5d3a91c4, Units: 2, Timeout: 240000,
+			Event{Kind: RequestReceived, Instance: 3, Request: policy.Request{ID: 0x8257f5d3a91c4, Units: 2, Timeout: 240000,
 				Plan: 1, Spread: 3, Class: 2, First: 1, Customer: 0x91f03b7c55d20a64}}},
-		{"timer", "04 0300 4d000000", Event{Kind: Wake, Instance: 3, Token: 77}},
-		{"gone", "09 0500 192b6f0e23e80e00", Event{Kind: Dropped, Instance: 5,
+		{"timer", "04 0300 4d000000", Event{Kind: TimerFired, Instance: 3, TimerToken: 77}},
+		{"gone", "09 0500 192b6f0e23e80e00", Event{Kind: ClientGone, Instance: 5,
 			Outcome: policy.Outcome{ID: 0x0ee8230e6f2b19}}},
 		{"outcome", "07 0300 c4913a5d7f250800 0100 074a1203 03 44480000 01 5600 0300 01 0000803f",
-			Event{Kind: Done, Instance: 3, Outcome: policy.Outcome{ID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
+			Event{Kind: AttemptEnded, Instance: 3, Outcome: policy.Outcome{ID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
 				Result: policy.Rejected, Duration: 18500, RequestDone: true, MeteredUse: 86, TrueUnits: 3, Load: []float32{1}}}},
 		{"members", "08 0300 01 2900000000000000 02000000 " +
 			"074a1203 0000 00 0000 01 0000803f 0000000000000000 f211902c 0100 01 0300 02 0000c03f 20145d0000000000",
-			Event{Kind: Backends, Instance: 3, News: policy.CompleteCached, Members: []policy.Endpoint{
+			Event{Kind: EndpointsChanged, Instance: 3, ListKind: policy.CompleteCached, Endpoints: []policy.Endpoint{
 				{Backend: 0x03124a07, Weight: 1},
 				{Backend: 0x2c9011f2, Zone: 1, Cell: 3, State: policy.Draining, Weight: 1.5, StartedAt: 0x5d1420}}}},
 		{"count", "0b 0300 00001842 01 90f6890000000000 66080000",
-			Event{Kind: Ledger, Instance: 3, Total: 38, Result: policy.OK, Name: 0x89f690}},
-		{"probe", "02 0100 09000000 04 01000000 00", Event{Kind: Sampled, Instance: 1, Backend: 9, Result: policy.TimedOut}},
-		{"note", "01 0200 0100 0300 616263", Event{Kind: Heard, Instance: 2, From: 1, Note: []byte("abc")}},
+			Event{Kind: CounterAnswered, Instance: 3, CounterTotal: 38, Result: policy.OK, CounterName: 0x89f690}},
+		{"probe", "02 0100 09000000 04 01000000 00", Event{Kind: ProbeEnded, Instance: 1, Backend: 9, Result: policy.TimedOut}},
+		{"note", "01 0200 0100 0300 616263", Event{Kind: PeerMessageReceived, Instance: 2, From: 1, Message: []byte("abc")}},
 		{"stream", "0a 0100 0500000000000000 09000000 0100 02000000",
-			Event{Kind: First, Instance: 1, Outcome: policy.Outcome{ID: 5, Backend: 9, Attempt: 1, Duration: 2}}},
+			Event{Kind: ResponseStarted, Instance: 1, Outcome: policy.Outcome{ID: 5, Backend: 9, Attempt: 1, Duration: 2}}},
 		{"start", "05 0100 0700000000000000 03000000 613d31",
-			Event{Kind: Provision, Instance: 1, Seed: 7, Profile: []byte("a=1")}},
-		{"stop", "06 0100", Event{Kind: CrashNow, Instance: 1}},
+			Event{Kind: InstanceStarted, Instance: 1, Seed: 7, Settings: []byte("a=1")}},
+		{"stop", "06 0100", Event{Kind: InstanceStopped, Instance: 1}},
 	} {
 		body := unhex(t, c.bytes)
 		b, err := ReadBatch(bytes.NewReader(frame(12, 1, 99, body)), nil)
@@ -114,13 +114,13 @@
 		"46 0300 09000000":                                   func(r *Reply) { r.Probe(9) },
 		"48 0300 0100 0400 68692037":                         func(r *Reply) { r.SendToPeer(1, []byte("hi 7")) },
 		"49 0300 1100 74776f2073657276657273206b6e6f776e":    func(r *Reply) { r.Log("two servers known") },
-		"4a 0300 0200 6e6f":                                  func(r *Reply) { r.Broken("no") },
+		"4a 0300 0200 6e6f":                                  func(r *Reply) { r.InstanceFailed("no") },
 		"4b 0300 01":                                         func(r *Reply) { r.WatchEndpoints() },
 		"4d 0300 90f6890000000000 00008040 c0c62d00":         func(r *Reply) { r.AddToCounter(0x89f690, 4, 3000000) },
 	} {
 		var r Reply
-		r.Start(12)
-		r.For(3)
+		r.Begin(12)
+		r.SetInstance(3)
 		act(&r)
 		body := unhex(t, want)
 		head := binary.LittleEndian.AppendUint32([]byte{12, 0, 0, 0}, uint32(len(body)))
