--- a/cmd/mothcleat/auth.go
+++ b/cmd/mothcleat/auth.go
@@ -11,58 +11,86 @@
 	"mothcleat/internal/dataplane/gateway"
 )
 
-// auth turns the operators' settings into whom to ask and by which rules: names
-// become numbers of the configuration's classes and plans.
-func auth(a *config.Auth, cfg *gateway.Config) (gateway.Auth, error) {
-	if a.URL == "" {
+// authSettings turns the operators' settings into whom to ask and by which rules: names become
+// numbers of the configuration's classes and plans.
+func authSettings(settings *config.Auth, cfg *gateway.Config) (gateway.Auth, error) {
+	if settings.URL == "" {
 		return gateway.Auth{}, nil
 	}
-	us := func(d config.Duration) authz.Time { return time.Duration(d).Microseconds() }
-	out := gateway.Auth{
-		Settings: forwardauth.Settings{URL: a.URL,
-			Headers:    a.Headers,
-			SecretName: a.SecretHeader,
-			SecretFile: a.SecretFile,
-			TokensFile: a.TokensFile,
-			CAFile:     a.CAFile,
-			Timeout:    time.Duration(a.CallTimeout),
-			MostOut:    a.MaxConcurrentCalls},
-		Rules: authz.Settings{Budget: us(a.WaitTimeout),
-			AllowFor:    us(a.AllowTTL),
-			AllowCap:    us(a.MaxAllowTTL),
-			DenyFor:     us(a.DenyTTL),
-			StaleFor:    us(a.StaleTTL),
-			MostOut:     a.MaxConcurrentCalls,
-			MostWaiting: a.MaxWaiting,
-			MostKept:    a.MaxCacheEntries,
-			Fails:       a.FailureThreshold,
-			OpenFor:     us(a.OpenDuration),
-			OpenMost:    us(a.MaxOpenDuration)},
-	}
-	var err error
-	marked := func(key string, names, all []string, none bool) []bool {
-		marks := make([]bool, len(all))
-		for i, name := range all {
-			marks[i] = len(names) == 0 && none || slices.Contains(names, name)
-		}
-		for _, name := range names {
-			if !slices.Contains(all, name) && err == nil {
-				err = fmt.Errorf("operators: auth.%s: the configuration has no %q", key, name)
-			}
-		}
-		return marks
-	}
-	out.Rules.Ask = marked("classes", a.Classes, cfg.Host.Classes, false)
-	out.Rules.PassUnknown = marked("pass_unknown", a.FailOpenClasses, cfg.Host.Classes, false)
-	out.Rules.Plans = marked("plans", a.Plans, cfg.Host.Plans, true)
+	rules, err := authRules(settings, cfg)
 	if err != nil {
 		return gateway.Auth{}, err
 	}
+	auth := gateway.Auth{
+		Settings: forwardauth.Settings{
+			URL:        settings.URL,
+			Headers:    settings.Headers,
+			SecretName: settings.SecretHeader,
+			SecretFile: settings.SecretFile,
+			TokensFile: settings.TokensFile,
+			CAFile:     settings.CAFile,
+			Timeout:    time.Duration(settings.CallTimeout),
+			MostOut:    settings.MaxConcurrentCalls,
+		},
+		Rules: rules,
+	}
 	// Tried here, so that a bad file is found before anything is changed.
-	client, err := forwardauth.NewClient(out.Settings)
+	client, err := forwardauth.NewClient(auth.Settings)
 	if err != nil {
 		return gateway.Auth{}, fmt.Errorf("operators: %w", err)
 	}
 	client.Close()
-	return out, nil
+	return auth, nil
+}
+
+func authRules(settings *config.Auth, cfg *gateway.Config) (rules authz.Settings, err error) {
+	microseconds := func(d config.Duration) authz.Time { return time.Duration(d).Microseconds() }
+	rules = authz.Settings{
+		Budget:      microseconds(settings.WaitTimeout),
+		AllowFor:    microseconds(settings.AllowTTL),
+		AllowCap:    microseconds(settings.MaxAllowTTL),
+		DenyFor:     microseconds(settings.DenyTTL),
+		StaleFor:    microseconds(settings.StaleTTL),
+		MostOut:     settings.MaxConcurrentCalls,
+		MostWaiting: settings.MaxWaiting,
+		MostKept:    settings.MaxCacheEntries,
+		Fails:       settings.FailureThreshold,
+		OpenFor:     microseconds(settings.OpenDuration),
+		OpenMost:    microseconds(settings.MaxOpenDuration),
+	}
+	if rules.Ask, err = selectNames(
+		"classes",
+		settings.Classes,
+		cfg.Host.Classes,
+		false,
+	); err != nil {
+		return rules, err
+	}
+	rules.PassUnknown, err = selectNames(
+		"pass_unknown",
+		settings.FailOpenClasses,
+		cfg.Host.Classes,
+		false,
+	)
+	if err != nil {
+		return rules, err
+	}
+	rules.Plans, err = selectNames("plans", settings.Plans, cfg.Host.Plans, true)
+	return rules, err
+}
+
+// selectNames returns for each name of the configuration whether the setting selects it. An empty
+// setting selects all names if emptyMeansAll, else none. A name that the configuration lacks is an
+// error.
+func selectNames(key string, selected, all []string, emptyMeansAll bool) ([]bool, error) {
+	for _, name := range selected {
+		if !slices.Contains(all, name) {
+			return nil, fmt.Errorf("operators: auth.%s: the configuration has no %q", key, name)
+		}
+	}
+	marks := make([]bool, len(all))
+	for i, name := range all {
+		marks[i] = slices.Contains(selected, name) || len(selected) == 0 && emptyMeansAll
+	}
+	return marks, nil
 }
--- /dev/null
+++ b/cmd/mothcleat/controlplane_off.go
@@ -0,0 +1,43 @@
+//go:build nofleet
+
+package main
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+
+	"github.com/spf13/cobra"
+
+	"mothcleat/internal/config"
+	"mothcleat/internal/dataplane/gateway"
+)
+
+// controlPlane is empty in a program that was built without the fleet's agreed state.
+type controlPlane interface {
+	gateway.Fleet
+	Stop()
+	Close()
+}
+
+var errNoControlPlane = errors.New("fleet.on: this program was built without it (tag nofleet)")
+
+func startControlPlane(
+	s *config.Settings,
+	_ *gateway.Config,
+	_ *slog.Logger,
+) (controlPlane, error) {
+	if s.Fleet.Enabled {
+		return nil, errNoControlPlane
+	}
+	return nil, nil
+}
+
+func checkControlPlane(f *config.Fleet, _ io.Writer) error {
+	if f.Enabled {
+		return errNoControlPlane
+	}
+	return nil
+}
+
+func fleetCommands(*string, io.Writer) *cobra.Command { return nil }
--- a/cmd/mothcleat/fleetdistribution.go
+++ b/cmd/mothcleat/distributiontable.go
@@ -11,7 +11,8 @@
 	"mothcleat/internal/controlplane/distributor"
 )
 
-// showDistribution shows how far the gateway's replica of the control state is, and how far those are that it serves.
+// showDistribution shows how far the gateway's replica of the control state is, and how far those
+// are that it serves.
 func showDistribution(raw []byte, w io.Writer) error {
 	var d controlplane.Distribution
 	if err := json.Unmarshal(raw, &d); err != nil {
@@ -19,20 +20,55 @@
 	}
 	fmt.Fprint(w, "GATEWAY\tROLE\tEPOCH\tREVISION\tDIGEST\tSTATE\n")
 	if r := d.Replica; r != nil {
-		fmt.Fprintf(w, "%s\treplica\t%s\t%s\n", d.Gateway, positionColumns(r.Position), replicaState(r))
+		fmt.Fprintf(
+			w,
+			"%s\treplica\t%s\t%s\n",
+			d.Gateway,
+			positionColumns(r.Position),
+			replicaState(r),
+		)
 	}
 	if s := d.Server; s != nil {
-		fmt.Fprintf(w, "%s\tvoter\t%s\t%d replicas, the last %d revisions behind\n", d.Gateway, positionColumns(s.Position), s.Replicas, s.Lag)
+		fmt.Fprintf(
+			w,
+			"%s\tvoter\t%s\t%d replicas, the last %d revisions behind\n",
+			d.Gateway,
+			positionColumns(s.Position),
+			s.Replicas,
+			s.Lag,
+		)
 	}
 	if r := d.Replica; r != nil {
 		c := &r.Counts
-		fmt.Fprintf(w, "\nreplica: %d records, %d bytes received, %d deltas, %d repairs with %d buckets, %d messages refused, %d divergences, %d servers left\n",
-			r.Records, r.ReceivedBytes, c.Deltas, c.Repairs, c.Buckets, c.Refused, c.Divergences, c.Disconnects)
+		fmt.Fprintf(
+			w,
+			"\nreplica: %d records, %d bytes received, %d deltas, %d repairs with %d buckets, "+
+				"%d messages refused, %d divergences, %d servers left\n",
+			r.Records,
+			r.ReceivedBytes,
+			c.Deltas,
+			c.Repairs,
+			c.Buckets,
+			c.Refused,
+			c.Divergences,
+			c.Disconnects,
+		)
 	}
 	if s := d.Server; s != nil {
 		c := &s.Counts
-		fmt.Fprintf(w, "voter: %d deltas sent (%d bytes, %d encoded), %d resyncs, %d told to come back, %d buckets, %d divergences, %d replicas ahead of it\n",
-			c.Deltas, c.DeltaBytes, c.Encoded, c.Resyncs, c.Retries, c.Buckets, c.Divergences, c.BehindEvents)
+		fmt.Fprintf(
+			w,
+			"voter: %d deltas sent (%d bytes, %d encoded), %d resyncs, %d told to come back, "+
+				"%d buckets, %d divergences, %d replicas ahead of it\n",
+			c.Deltas,
+			c.DeltaBytes,
+			c.Encoded,
+			c.Resyncs,
+			c.Retries,
+			c.Buckets,
+			c.Divergences,
+			c.BehindEvents,
+		)
 	}
 	if d.Replica == nil && d.Server == nil {
 		fmt.Fprintf(w, "%s\tneither: fleet.watch is off, and it is no voter\n", d.Gateway)
@@ -51,5 +87,9 @@
 	case !r.Live:
 		return "it catches up from " + r.Server
 	}
-	return fmt.Sprintf("current, from %s; the register was heard %s ago", r.Server, seconds(r.SourceAge))
+	return fmt.Sprintf(
+		"current, from %s; the register was heard %s ago",
+		r.Server,
+		formatSeconds(r.SourceAge),
+	)
 }
--- /dev/null
+++ b/cmd/mothcleat/endpointsource.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"log/slog"
+	"strings"
+	"time"
+
+	"mothcleat/internal/config"
+	"mothcleat/internal/dataplane/gateway"
+	"mothcleat/internal/dataplane/membership"
+	"mothcleat/internal/dataplane/registry"
+	"mothcleat/internal/dataplane/registry/consul"
+)
+
+// The values of register.source.
+const (
+	sourcePlatform           = "platform"
+	sourceConsulThenPlatform = "consul+platform"
+	sourcePlatformThenConsul = "platform+consul"
+)
+
+// configureEndpointSource sets where the endpoint list comes from. With two registers the first one
+// counts where they differ, and the other is marked as such among the addresses.
+func configureEndpointSource(settings *config.Registry, cfg *gateway.Config) {
+	if settings.Source == sourcePlatform {
+		return
+	}
+	agents := strings.Join(settings.Agents, ",")
+	switch settings.Source {
+	case sourceConsulThenPlatform:
+		cfg.EndpointAddresses = []string{agents, "other=" + cfg.Discovery}
+	case sourcePlatformThenConsul:
+		cfg.EndpointAddresses = []string{cfg.Discovery, "other=" + agents}
+	default:
+		cfg.EndpointAddresses = []string{agents}
+	}
+	cfg.NewEndpointSource = func(cfg *gateway.Config, log *slog.Logger) (registry.Source, error) {
+		consulSource, err := newConsulSource(settings, log)
+		if err != nil {
+			return nil, err
+		}
+		platform := gateway.NewPlatform(cfg, log)
+		switch settings.Source {
+		case sourceConsulThenPlatform:
+			return registry.Merge(consulSource, platform), nil
+		case sourcePlatformThenConsul:
+			return registry.Merge(platform, consulSource), nil
+		default:
+			return consulSource, nil
+		}
+	}
+}
+
+// newConsulSource returns the source that the settings describe.
+func newConsulSource(settings *config.Registry, log *slog.Logger) (*consul.Source, error) {
+	mode := settings.Consistency
+	if mode == "default" {
+		mode = ""
+	}
+	microseconds := func(d config.Duration) membership.Time {
+		return time.Duration(d).Microseconds()
+	}
+	return consul.New(consul.Settings{
+		Agents:     settings.Agents,
+		TLS:        settings.TLS,
+		CAFile:     settings.CAFile,
+		TokenFile:  settings.TokenFile,
+		Service:    settings.Service,
+		Datacenter: settings.Datacenter,
+		Namespace:  settings.Namespace,
+		Filter:     settings.Filter,
+		Mode:       mode,
+		Wait:       time.Duration(settings.WaitTime),
+		Catalogue:  settings.WatchCatalog,
+		Rules: membership.Settings{
+			WarningServes: settings.WarningServes,
+			Hold:          microseconds(settings.EmptyListGrace),
+			ResetAfter:    settings.IndexResetAnswers,
+			Skew:          microseconds(settings.MaxClockSkew),
+		},
+	}, log)
+}
--- a/cmd/mothcleat/fleet_test.go
+++ b/cmd/mothcleat/fleetcommands_test.go
@@ -16,12 +16,25 @@
 func TestFleetCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "fleet")
 	table := "[fleet]\non = true\nname = \"f\"\nlisten = \"127.0.0.1:0\"\nfolder = \"" + dir + "\"\nvoters = [{ name = \"a\", address = \"127.0.0.1:1\" }]\n"
-	good, off := write(t, "good.toml", table), write(t, "off.toml", strings.Replace(table, "on = true", "on = false", 1))
+	good, off := write(
+		t,
+		"good.toml",
+		table,
+	), write(
+		t,
+		"off.toml",
+		strings.Replace(table, "on = true", "on = false", 1),
+	)
 	t.Setenv("RELAY_CONFIG", "")
 	run := func(code int, want string, args ...string) {
 		t.Helper()
 		var out, errs strings.Builder
-		if got := command(args, &out, &errs); got != code || !strings.Contains(out.String()+errs.String(), want) {
+		if got := execute(
+			args,
+			&out,
+			&errs,
+		); got != code ||
+			!strings.Contains(out.String()+errs.String(), want) {
 			t.Errorf("%v: exit %d, %q, %q", args, got, out.String(), errs.String())
 		}
 	}
@@ -47,20 +60,36 @@
 	if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	run(1, "copied", "check", "--operators", write(t, "copy.toml", strings.Replace(table, dir, copied, 1)))
+	run(
+		1,
+		"copied",
+		"check",
+		"--operators",
+		write(t, "copy.toml", strings.Replace(table, dir, copied, 1)),
+	)
 	run(1, "RELAY_CONFIG is not set", "fleet", "status")
 	run(1, "connection refused", "fleet", "status", "--door", "127.0.0.1:1")
 	run(2, "one customer at most", "fleet", "budgets", "a", "b")
 	var shown strings.Builder
-	err = showBudgets([]byte(`[{"budget":10,"whole":{"rate":4,"burst":9},"spare":2.5,"held":[{"member":{"id":"n1","boot":7},"part":{"rate":1,"burst":3},"floor":{"rate":0.5,"burst":1},"gone":true}]}]`), &shown)
+	err = showBudgets(
+		[]byte(
+			`[{"budget":10,"whole":{"rate":4,"burst":9},"spare":2.5,"held":[{"member":{"id":"n1","boot":7},"part":{"rate":1,"burst":3},"floor":{"rate":0.5,"burst":1},"gone":true}]}]`,
+		),
+		&shown,
+	)
 	for _, want := range []string{"000000000000000a", "4.00/s, 9.0", "n1", "1.00/s, 3.0", "gone", "3.00/s, 6.0", "2.5 kept"} {
 		if err != nil || !strings.Contains(shown.String(), want) {
 			t.Errorf("%v, no %q in %q", err, want, shown.String())
 		}
 	}
 	shown.Reset()
-	err = showDistribution([]byte(`{"gateway":"n1","server":{"position":{"epoch":3,"revision":41,"digest":"00ff00ff00ff00ff00ff"},"replicas":12,"lag":2},
-		"replica":{"position":{"epoch":3,"revision":40,"digest":"11ee"},"records":7,"server":"n2","live":true,"source_age":300000000,"received_bytes":5000}}`), &shown)
+	err = showDistribution(
+		[]byte(
+			`{"gateway":"n1","server":{"position":{"epoch":3,"revision":41,"digest":"00ff00ff00ff00ff00ff"},"replicas":12,"lag":2},
+		"replica":{"position":{"epoch":3,"revision":40,"digest":"11ee"},"records":7,"server":"n2","live":true,"source_age":300000000,"received_bytes":5000}}`,
+		),
+		&shown,
+	)
 	for _, want := range []string{"n1\treplica\t3\t40\t11ee", "current, from n2; the register was heard 0.3s ago", "n1\tvoter\t3\t41\t00ff00ff00ff00ff", "12 replicas, the last 2", "7 records, 5000 bytes"} {
 		if err != nil || !strings.Contains(shown.String(), want) {
 			t.Errorf("%v, no %q in %q", err, want, shown.String())
--- a/cmd/mothcleat/inherited.go
+++ b/cmd/mothcleat/inheritedlistener.go
@@ -11,8 +11,8 @@
 // holds it: it goes on listening between processes.
 const inheritedFD = "RELAY_INHERITED_FD"
 
-// inherited is the clients' listener that the platform gave this process; nil: none.
-func inherited(env func(string) string) (net.Listener, error) {
+// inheritedListener is the clients' listener that the platform gave this process; nil: none.
+func inheritedListener(env func(string) string) (net.Listener, error) {
 	text := env(inheritedFD)
 	if text == "" {
 		return nil, nil
--- a/cmd/mothcleat/inherited_test.go
+++ b/cmd/mothcleat/inheritedlistener_test.go
@@ -15,11 +15,14 @@
 	for text, want := range map[string]string{
 		"x": "a descriptor's number", "1": "a descriptor's number", "-4": "a descriptor's number", "9999": "descriptor 9999",
 	} {
-		if _, err := inherited(func(string) string { return text }); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := inheritedListener(
+			func(string) string { return text },
+		); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	if l, err := inherited(func(string) string { return "" }); l != nil || err != nil {
+	if l, err := inheritedListener(func(string) string { return "" }); l != nil || err != nil {
 		t.Errorf("nothing inherited: %v, %v", l, err)
 	}
 	given := func(f *os.File) func(string) string {
@@ -39,7 +42,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if _, err := inherited(given(file)); err == nil {
+	if _, err := inheritedListener(given(file)); err == nil {
 		t.Error("a UDP socket was taken for the clients'")
 	}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -51,7 +54,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	got, err := inherited(given(file))
+	got, err := inheritedListener(given(file))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mothcleat/main.go
+++ b/cmd/mothcleat/main.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-const long = `usage: mothcleat [--operators FILE] runs a gateway; the commands below look after one.
+const longHelp = `usage: mothcleat [--operators FILE] runs a gateway; the commands below look after one.
 
 The configuration is the JSON file that RELAY_CONFIG names. The operators' file
 holds what the platform does not offer; without one all of that is off.
@@ -22,19 +22,19 @@
 Exit code 1: it failed, with one line that says why. 2: misuse.`
 
 func main() {
-	os.Exit(command(os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// misuse is an error of the command line itself.
-type misuse struct{ error }
+// usageError is an error of the command line itself.
+type usageError struct{ error }
 
-// command runs the program and gives its exit code: 1 where it failed, 2 for misuse.
-func command(args []string, out, errs io.Writer) int {
+// execute runs the program and gives its exit code: 1 where it failed, 2 for misuse.
+func execute(args []string, out, errs io.Writer) int {
 	var operators string
 	var tell bool
 	ran := false // a command began: what goes wrong from then on is no misuse
 	root := &cobra.Command{
-		Use: "mothcleat", Long: long, SilenceUsage: true, SilenceErrors: true,
+		Use: "mothcleat", Long: longHelp, SilenceUsage: true, SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
 				return fmt.Errorf("%q is no command; --help tells more", args[0])
@@ -53,8 +53,10 @@
 	root.Flags().BoolVar(&tell, "version", false, "print the version")
 	root.PersistentFlags().StringVar(&operators, "operators", "", "the operators' file")
 	root.AddCommand(&cobra.Command{
-		Use: "check", Short: "read the files and try what they name, without serving", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return check(operators, out) },
+		Use:   "check",
+		Short: "read the files and try what they name, without serving",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return check(operators, out) },
 	}, storeCommands(out))
 	if c := fleetCommands(&operators, out); c != nil {
 		root.AddCommand(c)
@@ -68,27 +70,29 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "mothcleat:", err)
-	var wrong misuse
+	var wrong usageError
 	if !ran || errors.As(err, &wrong) {
 		return 2
 	}
 	return 1
 }
 
-// wanted makes a group of commands ask for one of them.
-func wanted(c *cobra.Command) *cobra.Command {
+// requireSubcommand makes a group of commands ask for one of them.
+func requireSubcommand(c *cobra.Command) *cobra.Command {
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if len(args) > 0 {
-			return misuse{fmt.Errorf("%q is no command; usage: %s --help", args[0], c.CommandPath())}
+			return usageError{
+				fmt.Errorf("%q is no command; usage: %s --help", args[0], c.CommandPath()),
+			}
 		}
-		return misuse{fmt.Errorf("a command is wanted; usage: %s --help", c.CommandPath())}
+		return usageError{fmt.Errorf("a command is wanted; usage: %s --help", c.CommandPath())}
 	}
 	c.Args = cobra.ArbitraryArgs
 	return c
 }
 
-// exactly is cobra.ExactArgs with the command's usage.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs is cobra.ExactArgs with the command's usage.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
 			return fmt.Errorf("usage: %s", c.UseLine())
--- a/cmd/mothcleat/main_test.go
+++ b/cmd/mothcleat/main_test.go
@@ -14,7 +14,7 @@
 
 // SIGHUP once ended the program, and with it all that it had taken.
 func TestHangUpAsksForReload(t *testing.T) {
-	control := signals()
+	control := notifySignals()
 	for range 2 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -64,15 +64,16 @@
 func TestReloadReadsTheOperatorsFileToo(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", write(t, "config.json", head+`"127.0.0.1:1"}`))
 	path := write(t, "operators.toml", "[state]\nevery = \"2s\"\n")
-	p := &program{path: path, log: quietLog()}
-	cfg, err := p.read()
+	p := &program{operatorsFile: path, log: quietLog()}
+	cfg, err := p.readConfiguration()
 	if err != nil || cfg.Restart.SnapshotInterval != 2*time.Second {
 		t.Errorf("every %v, %v", cfg.Restart.SnapshotInterval, err)
 	}
 	if err := os.WriteFile(path, []byte("[state]\nevry = \"2s\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.read(); err == nil || !strings.Contains(err.Error(), path+":2: state.evry: no such setting") {
+	if _, err := p.readConfiguration(); err == nil ||
+		!strings.Contains(err.Error(), path+":2: state.evry: no such setting") {
 		t.Errorf("error %v", err)
 	}
 }
@@ -91,8 +92,16 @@
 	if err := c.Register("q-1", "quotes", "127.0.0.1:7000", nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	consul := write(t, "consul.toml", "[register]\nsource = \"consul\"\nservice = \"quotes\"\nagents = [\"127.0.0.1:1\", \""+c.Address+"\"]\n")
-	gone := write(t, "gone.toml", "[register]\nsource = \"consul\"\nservice = \"quotes\"\nagents = [\"127.0.0.1:1\"]\n")
+	consul := write(
+		t,
+		"consul.toml",
+		"[register]\nsource = \"consul\"\nservice = \"quotes\"\nagents = [\"127.0.0.1:1\", \""+c.Address+"\"]\n",
+	)
+	gone := write(
+		t,
+		"gone.toml",
+		"[register]\nsource = \"consul\"\nservice = \"quotes\"\nagents = [\"127.0.0.1:1\"]\n",
+	)
 	for _, c := range []struct {
 		config    string
 		args      []string
@@ -117,8 +126,9 @@
 	} {
 		t.Setenv("RELAY_CONFIG", c.config)
 		var out, errs bytes.Buffer
-		code := command(c.args, &out, &errs)
-		if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.errs) {
+		code := execute(c.args, &out, &errs)
+		if code != c.code || !strings.Contains(out.String(), c.out) ||
+			!strings.Contains(errs.String(), c.errs) {
 			t.Errorf("%q: code %d, printed %q and %q", c.args, code, out.String(), errs.String())
 		}
 		if c.code != 0 && strings.Count(errs.String(), "\n") != 1 {
@@ -134,7 +144,7 @@
 	asked, handed := make(chan os.Signal, 1), make(chan struct{})
 	asked <- syscall.SIGUSR2
 	close(asked)
-	p.handOvers(asked, handed)
+	p.serveHotRestarts(asked, handed)
 	select {
 	case <-handed:
 		t.Error("handed over")
--- a/cmd/mothcleat/restart_test.go
+++ b/cmd/mothcleat/restart_test.go
@@ -47,7 +47,9 @@
 // newSite makes one with a discovery that is silent and a state that is kept.
 func newSite(t *testing.T, platformListens bool) *site {
 	t.Helper()
-	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	silent := httptest.NewServer(
+		http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }),
+	)
 	t.Cleanup(func() { silent.CloseClientConnections(); silent.Close() })
 	dir, err := os.MkdirTemp("", "mc") // a short name: a Unix socket's path may lie in it
 	if err != nil {
@@ -69,9 +71,21 @@
 	} else {
 		s.address = heldPort(t)
 	}
-	text := strings.Replace(head, "127.0.0.1:0", s.address, 1) + fmt.Sprintf(`%q,"name":"n0"}`, strings.TrimPrefix(silent.URL, "http://"))
+	text := strings.Replace(
+		head,
+		"127.0.0.1:0",
+		s.address,
+		1,
+	) + fmt.Sprintf(
+		`%q,"name":"n0"}`,
+		strings.TrimPrefix(silent.URL, "http://"),
+	)
 	s.config = write(t, "config.json", text)
-	s.operator = write(t, "operators.toml", fmt.Sprintf("[state]\nfile = %q\nevery = \"50ms\"\n", filepath.Join(dir, "state")))
+	s.operator = write(
+		t,
+		"operators.toml",
+		fmt.Sprintf("[state]\nfile = %q\nevery = \"50ms\"\n", filepath.Join(dir, "state")),
+	)
 	return s
 }
 
@@ -106,7 +120,12 @@
 func (s *site) start(t *testing.T) *process {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestRestartedProcess$")
-	cmd.Env = append(os.Environ(), restartedOperators+"="+s.operator, "RELAY_CONFIG="+s.config, "TMPDIR="+s.dir)
+	cmd.Env = append(
+		os.Environ(),
+		restartedOperators+"="+s.operator,
+		"RELAY_CONFIG="+s.config,
+		"TMPDIR="+s.dir,
+	)
 	if s.listener != nil {
 		cmd.Env = append(cmd.Env, inheritedFD+"=3")
 		cmd.ExtraFiles = []*os.File{s.listener}
@@ -172,8 +191,8 @@
 	}
 }
 
-// A process that is killed, or told to end, is followed by one that is ready in time, while discovery is silent: by itself, and
-// on the platform's socket.
+// A process that is killed, or told to end, is followed by one that is ready in time, while
+// discovery is silent: by itself, and on the platform's socket.
 func TestRestartedProcessesAreReady(t *testing.T) {
 	for _, platformListens := range []bool{false, true} {
 		t.Run(fmt.Sprintf("platform listens %t", platformListens), func(t *testing.T) {
@@ -187,8 +206,8 @@
 	}
 }
 
-// A process on the platform's socket asks the one before for its place; one that is stopped never answers, and holds nobody up
-// for longer than the term.
+// A process on the platform's socket asks the one before for its place; one that is stopped never
+// answers, and holds nobody up for longer than the term.
 func TestReadyBesideAProcessThatHangs(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, true)
@@ -197,7 +216,13 @@
 		t.Fatal(err)
 	}
 	var status syscall.WaitStatus
-	if _, err := syscall.Wait4(before.cmd.Process.Pid, &status, syscall.WUNTRACED, nil); err != nil || !status.Stopped() {
+	if _, err := syscall.Wait4(
+		before.cmd.Process.Pid,
+		&status,
+		syscall.WUNTRACED,
+		nil,
+	); err != nil ||
+		!status.Stopped() {
 		t.Fatalf("%v, %v", status, err)
 	}
 	s.start(t)
--- a/cmd/mothcleat/store.go
+++ b/cmd/mothcleat/store.go
@@ -13,21 +13,35 @@
 
 // storeCommands work on a store that no process has open.
 func storeCommands(out io.Writer) *cobra.Command {
-	c := wanted(&cobra.Command{Use: "store", Short: "look after a store that no gateway has open"})
+	c := requireSubcommand(
+		&cobra.Command{Use: "store", Short: "look after a store that no gateway has open"},
+	)
 	fromLogs := false
 	repair := &cobra.Command{
-		Use: "repair DIR", Short: "make a store anew from what can be read", Args: exactly(1),
+		Use:   "repair DIR",
+		Short: "make a store anew from what can be read",
+		Args:  exactArgs(1),
 		Long: `repair keeps the damaged folder beside the new one and prints a line for all that it gave up.
 Exit code 1 where it gave something up.`,
 		RunE: func(_ *cobra.Command, args []string) error { return repairStore(args[0], fromLogs, out) },
 	}
-	repair.Flags().BoolVar(&fromLogs, "from-logs", false, "go without the manifest: what was deleted may be there again")
+	repair.Flags().
+		BoolVar(&fromLogs, "from-logs", false, "go without the manifest: what was deleted may be there again")
 	c.AddCommand(
-		&cobra.Command{Use: "check DIR", Short: "read every byte and say what is wrong", Args: exactly(1),
-			RunE: func(_ *cobra.Command, args []string) error { return checkStore(args[0], out) }},
-		&cobra.Command{Use: "dump DIR", Short: "print all keys and values, quoted, in order", Args: exactly(1),
-			RunE: func(_ *cobra.Command, args []string) error { return dumpStore(args[0], out) }},
-		repair)
+		&cobra.Command{
+			Use:   "check DIR",
+			Short: "read every byte and say what is wrong",
+			Args:  exactArgs(1),
+			RunE:  func(_ *cobra.Command, args []string) error { return checkStore(args[0], out) },
+		},
+		&cobra.Command{
+			Use:   "dump DIR",
+			Short: "print all keys and values, quoted, in order",
+			Args:  exactArgs(1),
+			RunE:  func(_ *cobra.Command, args []string) error { return dumpStore(args[0], out) },
+		},
+		repair,
+	)
 	return c
 }
 
@@ -36,10 +50,23 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "good: %d keys after %d batches; log %d bytes in %d segments, %d of them live; index %d bytes in %d runs\n",
-		st.Keys, st.Seq, st.LogBytes, st.Segments, st.LiveBytes, st.IndexBytes, st.Runs)
+	fmt.Fprintf(
+		out,
+		"good: %d keys after %d batches; log %d bytes in %d segments, %d of them live; index %d bytes in %d runs\n",
+		st.Keys,
+		st.Seq,
+		st.LogBytes,
+		st.Segments,
+		st.LiveBytes,
+		st.IndexBytes,
+		st.Runs,
+	)
 	if st.TruncatedBytes > 0 {
-		fmt.Fprintf(out, "a torn tail of %d bytes, which nobody was promised, will be cut when it is opened\n", st.TruncatedBytes)
+		fmt.Fprintf(
+			out,
+			"a torn tail of %d bytes, which nobody was promised, will be cut when it is opened\n",
+			st.TruncatedBytes,
+		)
 	}
 	return nil
 }
@@ -59,14 +86,19 @@
 		if err != nil {
 			return err
 		}
-		if _, err := fmt.Fprintf(out, "%s\t%s\n", strconv.Quote(string(item.Key)), strconv.Quote(string(item.Value))); err != nil {
+		if _, err := fmt.Fprintf(
+			out,
+			"%s\t%s\n",
+			strconv.Quote(string(item.Key)),
+			strconv.Quote(string(item.Value)),
+		); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-var errGivenUp = errors.New("store: repaired, but not whole")
+var errIncompleteRepair = errors.New("store: repaired, but not whole")
 
 func repairStore(dir string, fromLogs bool, out io.Writer) error {
 	rep, err := store.Repair(dir, fromLogs)
@@ -78,7 +110,7 @@
 	}
 	fmt.Fprintf(out, "%d keys kept; the damaged folder is %s\n", rep.RecoveredKeys, rep.DamagedDir)
 	if len(rep.Lost) > 0 {
-		return errGivenUp
+		return errIncompleteRepair
 	}
 	return nil
 }
--- a/cmd/mothcleat/store_test.go
+++ b/cmd/mothcleat/store_test.go
@@ -23,7 +23,12 @@
 	run := func(code int, want string, args ...string) {
 		t.Helper()
 		var out, errs strings.Builder
-		if got := command(append([]string{"store"}, args...), &out, &errs); got != code || !strings.Contains(out.String()+errs.String(), want) {
+		if got := execute(
+			append([]string{"store"}, args...),
+			&out,
+			&errs,
+		); got != code ||
+			!strings.Contains(out.String()+errs.String(), want) {
 			t.Errorf("%v: exit %d, %q, %q", args, got, out.String(), errs.String())
 		}
 	}
