--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -424,7 +424,7 @@
 	return "", ""
 }
 
-// equalExceptAgents tells whether only the agents differ: those can be changed at any time.
+// equalExceptAgents reports whether only the agents differ: those can be changed at any time.
 func (r Registry) equalExceptAgents(other *Registry) bool {
 	r.Agents = other.Agents
 	return reflect.DeepEqual(&r, other)
--- a/internal/controlplane/configstate/configstate.go
+++ b/internal/controlplane/configstate/configstate.go
@@ -71,7 +71,7 @@
 	return build(codec, state)
 }
 
-// build gives the version of some records, and its bytes.
+// build returns the version of some records, and its bytes.
 func build(codec Codec, state *distribution.State) (*Version, []byte, error) {
 	raw, err := codec.Encode(state)
 	if err != nil {
--- a/internal/controlplane/configstate/fetch.go
+++ b/internal/controlplane/configstate/fetch.go
@@ -68,7 +68,7 @@
 	}, nil
 }
 
-// Next gives the buckets to be asked for now; none: all are there. ok is false where so many differ
+// Next returns the buckets to be asked for now; none: all are there. ok is false where so many differ
 // that the content is better fetched whole.
 func (r *Repair) Next() (indexes []uint32, ok bool) {
 	missing := r.buckets.Missing()
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Finish gives the content and its bytes once no bucket is missing. It returns a
+// Finish returns the content and its bytes once no bucket is missing. It returns a
 // DigestMismatchError of this package or of package distribution where the buckets don't come to
 // the wanted content.
 func (r *Repair) Finish(codec Codec) (*Version, []byte, error) {
--- a/internal/controlplane/configstate/serve.go
+++ b/internal/controlplane/configstate/serve.go
@@ -50,7 +50,7 @@
 	}}
 }
 
-// BucketsResponse gives some buckets of a content in the order in which they were asked for, as
+// BucketsResponse returns some buckets of a content in the order in which they were asked for, as
 // many as fit in one answer and one at least.
 func BucketsResponse(v *Version, indexes []uint32) *controlpb.ContentBucketsResponse {
 	answer := &controlpb.ContentBucketsResponse{}
--- a/internal/controlplane/distribution/action.go
+++ b/internal/controlplane/distribution/action.go
@@ -7,11 +7,11 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Action is what a Replica wants done: one of the types below.
+// Action is one step that a Replica wants its caller to carry out: one of the types below.
 type Action interface{ action() }
 
-// Connect opens a stream to a server. What happens on it is told with the attempt's number; no
-// other stream is open.
+// Connect opens a stream to a server. Its events are passed to the Replica with the attempt's
+// number. No other stream is open at that time.
 type Connect struct {
 	Attempt uint64
 	Server  Server
@@ -26,18 +26,18 @@
 	Reason error
 }
 
-// Deliver has the gateway act on changes: those that lead from the last state delivered to the one
+// Deliver passes changes to the gateway: those that lead from the state delivered last to the one
 // at Position.
 type Deliver struct {
 	Changes  []Change
 	Position Position
 }
 
-// Persist has the state written to disk. State is never changed afterwards.
+// Persist writes the state to disk. State is never modified afterwards.
 type Persist struct{ State *State }
 
-// ReportError has an error logged that did not end the stream: something was refused, and the old
-// state kept.
+// ReportError logs an error that did not end the stream: a message was rejected, and the replica
+// kept its state.
 type ReportError struct{ Err error }
 
 func (Connect) action()     {}
@@ -47,11 +47,11 @@
 func (Persist) action()     {}
 func (ReportError) action() {}
 
-// DisconnectReason says why a server was left.
+// DisconnectReason says why a replica left a server.
 type DisconnectReason string
 
-// The reasons for which a server is left. A WrongFleetError, or an error of a message that could
-// not be repaired, is a reason as well.
+// The reasons for which a replica leaves a server. The cause may be a WrongFleetError, or the error
+// of a message that could not be repaired.
 const (
 	ReasonUnreachable     DisconnectReason = "it could not be reached in time"
 	ReasonStreamEnded     DisconnectReason = "the stream has ended"
@@ -63,14 +63,17 @@
 	ReasonServerRemoved   DisconnectReason = "it serves no more"
 )
 
-// DisconnectError is the Reason of a Leave.
+// DisconnectError is the Reason of a Disconnect.
 type DisconnectError struct {
-	Server    string
-	Reason    DisconnectReason
-	SilentFor time.Duration // since something was heard of it
-	Cause     error         // may be nil
+	Server string
+	Reason DisconnectReason
+	// SilentFor is the time since the last message of the server.
+	SilentFor time.Duration
+	// Cause may be nil.
+	Cause error
 }
 
+// Error returns the server, the reason and the cause.
 func (e *DisconnectError) Error() string {
 	text := fmt.Sprintf("distribution: server %s: %s", e.Server, e.Reason)
 	if e.Cause != nil {
@@ -79,5 +82,5 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DisconnectError) Unwrap() error { return e.Cause }
--- a/internal/controlplane/distribution/admission.go
+++ b/internal/controlplane/distribution/admission.go
@@ -5,14 +5,17 @@
 	"time"
 )
 
-// admission lets a few resyncs in at a time, gives the rest a time to come back, and holds their
-// bytes to a rate.
+// admission limits resyncs: a few streams may resync at a time, the others are given a time to come
+// back, and a token bucket limits the bytes that all of them send.
 type admission struct {
-	settings   *PublisherSettings
-	admittedAt map[StreamID]time.Duration // since when
-	nextSlot   time.Duration              // the earliest that was not promised to anybody
+	settings *PublisherSettings
+	// admittedAt has the time of admission of each stream that resyncs.
+	admittedAt map[StreamID]time.Duration
+	// nextSlot is the earliest time that was not promised to a stream yet.
+	nextSlot time.Duration
 
-	tokens     float64 // bytes that may be sent at once; negative: owed
+	// tokens is how many bytes may be sent now. It may be negative by one message.
+	tokens     float64
 	refilledAt time.Duration
 }
 
@@ -20,9 +23,9 @@
 	a.tokens, a.refilledAt = float64(a.settings.BulkBurstBytes), now
 }
 
-// admit lets a stream in, or tells after which time it is to come back. Each one that is sent away
-// is given a later slot, as far apart as the rate takes for a resync of so many bytes, and jitter
-// of one such distance.
+// admit admits a stream's resync of about so many bytes, or returns after which time it should ask
+// again. Each rejected stream is given a later slot than the one before. Slots are as far apart as
+// the rate needs for such a resync, with jitter of one slot.
 func (a *admission) admit(
 	now time.Duration, id StreamID, bytes int, random *rand.Rand,
 ) (after time.Duration, ok bool) {
@@ -44,30 +47,30 @@
 	return min(max(after, a.settings.MinRetryDelay), a.settings.MaxRetryDelay), false
 }
 
-// release tells that a stream's resync has ended. It may not have been let in.
+// release ends a stream's resync. It does nothing for a stream that was not admitted.
 func (a *admission) release(id StreamID) { delete(a.admittedAt, id) }
 
-// duration is how long bytes take at the rate.
+// duration is how long so many bytes take at the configured rate.
 func (a *admission) duration(bytes int) time.Duration {
 	return time.Duration(
 		float64(bytes) / float64(a.settings.BulkBytesPerSecond) * float64(time.Second),
 	)
 }
 
-// refill adds what the rate gave since.
+// refill adds the tokens gained since the last call.
 func (a *admission) refill(now time.Duration) {
 	a.tokens += (now - a.refilledAt).Seconds() * float64(a.settings.BulkBytesPerSecond)
 	a.tokens = min(a.tokens, float64(a.settings.BulkBurstBytes))
 	a.refilledAt = now
 }
 
-// available tells whether bulk may be sent now.
+// available reports whether digests and buckets may be sent now.
 func (a *admission) available(now time.Duration) bool {
 	a.refill(now)
 	return a.tokens > 0
 }
 
-// availableAt is when it may.
+// availableAt returns the time at which digests and buckets may be sent again.
 func (a *admission) availableAt(now time.Duration) time.Duration {
 	a.refill(now)
 	if a.tokens > 0 {
@@ -76,5 +79,5 @@
 	return now + a.duration(int(-a.tokens)+1) + time.Microsecond
 }
 
-// spend takes bytes that are sent; the level may go below zero by one message.
+// spend takes the tokens of a message that is sent. The balance may fall below zero by one message.
 func (a *admission) spend(bytes int) { a.tokens -= float64(bytes) }
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -2,30 +2,31 @@
 
 import "slices"
 
-// BucketCount is in how many buckets a state's records lie by the hash of their keys. A replica
-// that lacks d records fetches the sums of all buckets (16 bytes each) and about d buckets. With
-// 7,300 servers and 60,000 tenants a bucket holds 33 records in the mean (see serverBuckets): 2,048
-// is near the least sum of both for ten to a few hundred records, the usual gap. It is a part of
-// the protocol: all members of a fleet need the same.
+// BucketCount is the number of buckets into which records are divided by the hash of their keys. A
+// replica that lacks d records fetches the digests of all buckets (16 bytes each) and about d
+// buckets. With 7,300 servers and 60,000 tenants a bucket holds 33 records on average (see
+// serverBuckets), and 2,048 is close to the least total for the usual gap of ten to a few hundred
+// records. The number is part of the protocol: all members of a fleet must use the same.
 const BucketCount = 2048
 
-// serverBuckets is how many of the buckets are the servers' own. Servers change far more often than
-// tenants and plans, of which there are more: in buckets of both, each server that a replica lacks
-// would have it fetch tenants.
+// serverBuckets is how many buckets hold only servers. Servers change far more often than tenants
+// and plans and are fewer. If buckets held both, each missing server would make a replica fetch
+// tenants too.
 const serverBuckets = BucketCount / 2
 
-// bucket is the records of one bucket by key. One that is in a State is never changed, so that
-// states share them.
+// bucket is the records of one bucket, sorted by key. A bucket that is part of a State is never
+// modified, so that states can share it.
 type bucket struct {
 	records []Record
-	sum     Digest // of the records' hashes
-	bytes   int
+	// sum is the sum of the records' hashes.
+	sum   Digest
+	bytes int
 }
 
 // noRecords is the bucket without records.
 var noRecords = &bucket{}
 
-// newBucket makes a bucket of records in the order of their keys.
+// newBucket returns a bucket with records that are sorted by key.
 func newBucket(records []Record) *bucket {
 	b := &bucket{records: records}
 	for i := range records {
@@ -45,7 +46,7 @@
 	})
 }
 
-// put carries a change out on a bucket that is in no State yet.
+// put applies a change to a bucket that is not yet part of a State.
 func (b *bucket) put(c *Change) {
 	at, there := b.find(&c.Record)
 	if there {
--- a/internal/controlplane/distribution/candidates.go
+++ b/internal/controlplane/distribution/candidates.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// candidates are the servers that a replica may watch, in its order of preference, and which of
-// them it avoids for now.
+// candidates are the servers that a replica may watch, in its order of preference, and the backoff
+// of each.
 type candidates struct {
 	settings *ReplicaSettings
 	random   *rand.Rand
@@ -14,15 +14,16 @@
 	backoffs map[string]backoff // by server
 }
 
+// backoff is how often a server failed in a row, and until when it is not tried again.
 type backoff struct {
 	failures int
 	until    time.Duration
 }
 
-// maxFailures bounds the doubling; MaxBackoff is reached long before.
+// maxFailures bounds the exponent of the backoff. MaxBackoff is reached long before.
 const maxFailures = 30
 
-// set takes in which servers there are. What is known of those that stay is kept.
+// set replaces the list of servers. Servers that stay keep their backoff.
 func (c *candidates) set(servers []Server) {
 	c.ranked = Rank(c.settings.ID, c.settings.Place, servers)
 	kept := map[string]backoff{}
@@ -34,7 +35,7 @@
 	c.backoffs = kept
 }
 
-// contains tells whether a server is one of them, at the same address.
+// contains reports whether a server is in the list, at the same address.
 func (c *candidates) contains(server Server) bool {
 	for _, s := range c.ranked {
 		if s.ID == server.ID {
@@ -44,7 +45,8 @@
 	return false
 }
 
-// best is the first that is not avoided; otherwise when the first of them may be tried.
+// best returns the preferred server among those that are not backing off. If there is none, ok is
+// false and at is when the first backoff ends.
 func (c *candidates) best(now time.Duration) (server Server, at time.Duration, ok bool) {
 	at = never
 	for _, s := range c.ranked {
@@ -57,7 +59,7 @@
 	return Server{}, at, false
 }
 
-// hasAlternative tells whether another server could be tried now.
+// hasAlternative reports whether another server could be tried now.
 func (c *candidates) hasAlternative(now time.Duration, server string) bool {
 	for _, s := range c.ranked {
 		if s.ID != server && c.backoffs[s.ID].until <= now {
@@ -67,12 +69,12 @@
 	return false
 }
 
-// recordFailure avoids a server for longer and longer.
+// recordFailure backs off from a server, twice as long after each failure in a row.
 func (c *candidates) recordFailure(now time.Duration, server string) {
 	c.avoid(now, server, backoffDelay(c.settings, c.backoffs[server].failures))
 }
 
-// backoffDelay is the span after so many failures.
+// backoffDelay returns the backoff after so many failures, without jitter.
 func backoffDelay(settings *ReplicaSettings, failures int) time.Duration {
 	if failures >= maxFailures {
 		return settings.MaxBackoff
@@ -80,16 +82,16 @@
 	return min(settings.MaxBackoff, settings.MinBackoff<<failures)
 }
 
-// jittered is between half of a span and all of it.
-func jittered(span time.Duration, random *rand.Rand) time.Duration {
-	return span/2 + time.Duration(random.Int64N(int64(span/2)+1))
+// jittered returns a random duration between half of a delay and the delay.
+func jittered(delay time.Duration, random *rand.Rand) time.Duration {
+	return delay/2 + time.Duration(random.Int64N(int64(delay/2)+1))
 }
 
-// avoid avoids a server for between half of a span and all of it.
-func (c *candidates) avoid(now time.Duration, server string, span time.Duration) {
+// avoid backs off from a server for between half of a delay and the delay.
+func (c *candidates) avoid(now time.Duration, server string, delay time.Duration) {
 	b := c.backoffs[server]
 	b.failures = min(b.failures+1, maxFailures)
-	b.until = now + jittered(span, c.random)
+	b.until = now + jittered(delay, c.random)
 	c.backoffs[server] = b
 }
 
--- a/internal/controlplane/distribution/changelog.go
+++ b/internal/controlplane/distribution/changelog.go
@@ -1,18 +1,22 @@
 package distribution
 
-// LogBounds bound a ChangeLog.
+// LogBounds limit the size of a ChangeLog.
 type LogBounds struct {
-	Entries int // deltas
-	Bytes   int // of their changes, about
+	// Entries is the maximum number of deltas.
+	Entries int
+	// Bytes is the approximate maximum size of their changes.
+	Bytes int
 }
 
-// DefaultLogBounds keep a release of 1,100 servers (three changes each) thirty times over.
+// DefaultLogBounds return bounds that hold thirty releases of 1,100 servers with three changes
+// each.
 func DefaultLogBounds() LogBounds { return LogBounds{Entries: 100_000, Bytes: 16 << 20} }
 
-// ChangeLog is the newest deltas of one lineage, each beginning where the one before ends.
+// ChangeLog holds the newest deltas of one epoch. Each begins where the one before it ends.
 type ChangeLog struct {
-	bounds  LogBounds
-	base    Position // before the first entry
+	bounds LogBounds
+	// base is the position before the first entry.
+	base    Position
 	entries []logEntry
 	bytes   int
 }
@@ -23,12 +27,12 @@
 	bytes    int
 }
 
-// NewChangeLog is a log without entries behind a position.
+// NewChangeLog returns an empty log that begins at a position.
 func NewChangeLog(base Position, bounds LogBounds) *ChangeLog {
 	return &ChangeLog{bounds: bounds, base: base}
 }
 
-// Base is the earliest position that Since answers for, Last the latest.
+// Base returns the earliest position that Since accepts.
 func (l *ChangeLog) Base() Position { return l.base }
 
 // Last is the position of the newest entry.
@@ -39,14 +43,14 @@
 	return l.entries[len(l.entries)-1].position
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (l *ChangeLog) Len() int { return len(l.entries) }
 
-// Bytes is about what their changes take.
+// Bytes returns the approximate size of the entries' changes.
 func (l *ChangeLog) Bytes() int { return l.bytes }
 
-// Append adds a delta, and drops the oldest where a bound is passed. A delta that does not begin at
-// Last makes the log begin anew behind it.
+// Append adds a delta and drops the oldest entries that exceed the bounds. If the delta does not
+// begin at Last, the log is emptied and begins at the delta's position.
 func (l *ChangeLog) Append(d *Delta) {
 	if last := l.Last(); d.Epoch != last.Epoch || d.From != last.Revision {
 		*l = ChangeLog{bounds: l.bounds, base: d.Position()}
@@ -73,11 +77,11 @@
 func (l *ChangeLog) dropFirst() {
 	l.base = l.entries[0].position
 	l.bytes -= l.entries[0].bytes
-	l.entries[0] = logEntry{} // its changes are free before the slice is
+	l.entries[0] = logEntry{} // lets the changes be collected before the slice is
 	l.entries = l.entries[1:]
 }
 
-// At gives the position at a revision; false where the log doesn't reach it.
+// At returns the position at a revision, or false if the log does not contain it.
 func (l *ChangeLog) At(revision uint64) (Position, bool) {
 	index, ok := l.index(revision)
 	switch {
@@ -89,7 +93,8 @@
 	return l.entries[index-1].position, true
 }
 
-// index is how many entries lie at or before a revision.
+// index returns how many entries lie at or before a revision, or false if the log does not contain
+// it.
 func (l *ChangeLog) index(revision uint64) (int, bool) {
 	if revision < l.base.Revision || revision > l.Last().Revision {
 		return 0, false
@@ -97,8 +102,8 @@
 	return int(revision - l.base.Revision), true
 }
 
-// Since gives one delta from a revision to Last, the newest change a key. It gives false where the
-// log was compacted past the revision, or doesn't reach it yet.
+// Since returns one delta from a revision to Last, with only the newest change of each key. It
+// returns false if the log was compacted past the revision or does not reach it yet.
 func (l *ChangeLog) Since(revision uint64) (*Delta, bool) {
 	index, ok := l.index(revision)
 	if !ok {
@@ -114,7 +119,7 @@
 	return d, true
 }
 
-// merge gives the newest change a key of entries, in the order of a delta.
+// merge returns the newest change of each key in the entries, in the order of a delta.
 func merge(entries []logEntry) []Change {
 	type key struct {
 		kind Kind
--- a/internal/controlplane/distribution/changelog_test.go
+++ b/internal/controlplane/distribution/changelog_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// From any revision that the log reaches one merged delta leads to the newest, whatever was
-// compacted.
+// TestSinceLeadsToTheNewest checks that from every revision in the log one merged delta leads to
+// the newest one, whatever was compacted.
 func TestSinceLeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -56,7 +56,7 @@
 	})
 }
 
-// A delta that does not begin where the log ends begins the log anew.
+// TestLogHasNoGap checks that a delta that does not begin at the log's end restarts the log.
 func TestLogHasNoGap(t *testing.T) {
 	s := NewState()
 	first := s.advance(testEpoch, []Change{ready("a", 1)})
@@ -75,7 +75,8 @@
 	}
 }
 
-// The newest change a key is merged, and a deletion stays one.
+// TestMergeTakesTheNewest checks that merging keeps the newest change of each key, deletions
+// included.
 func TestMergeTakesTheNewest(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
--- a/internal/controlplane/distribution/delta.go
+++ b/internal/controlplane/distribution/delta.go
@@ -6,18 +6,20 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Delta leads from one revision to a later one of the same epoch.
+// Delta is the changes that lead from one revision to a later one of the same epoch.
 type Delta struct {
 	Epoch    uint64
 	From, To uint64
-	Changes  []Change // one a key; deletions first, then draining servers
-	Digest   Digest   // of the whole state at To
+	// Changes has at most one change a key: deletions first, then draining servers.
+	Changes []Change
+	// Digest is the digest of the complete state at To.
+	Digest Digest
 }
 
-// Position is where the delta leads to.
+// Position returns the position that the delta leads to.
 func (d *Delta) Position() Position { return Position{d.Epoch, d.To, d.Digest} }
 
-// Urgent tells whether one of its changes is.
+// Urgent reports whether one of the changes is urgent.
 func (d *Delta) Urgent() bool {
 	for i := range d.Changes {
 		if d.Changes[i].Urgent() {
@@ -27,7 +29,7 @@
 	return false
 }
 
-// Proto gives the delta as a message. It shares the values' bytes.
+// Proto returns the delta as a message, which shares the values' bytes.
 func (d *Delta) Proto() *distributionpb.Delta {
 	return &distributionpb.Delta{
 		Epoch:   d.Epoch,
@@ -38,7 +40,8 @@
 	}
 }
 
-// DeltaFromProto reads a message and checks each change. It shares the values' bytes.
+// DeltaFromProto reads a message and checks each change. The result shares the values' bytes. It
+// returns an InvalidMessageError or an InvalidRecordError.
 func DeltaFromProto(m *distributionpb.Delta) (*Delta, error) {
 	digest, err := DecodeDigest(m.GetDigest())
 	if err != nil {
@@ -54,10 +57,10 @@
 	return &Delta{Epoch: m.Epoch, From: m.From, To: m.To, Changes: changes, Digest: digest}, nil
 }
 
-// Encode gives the delta's bytes.
+// Encode returns the encoded delta.
 func (d *Delta) Encode() []byte { return encode(d.Proto()) }
 
-// DecodeDelta reads what Encode wrote.
+// DecodeDelta reads what Encode returned.
 func DecodeDelta(raw []byte) (*Delta, error) {
 	var m distributionpb.Delta
 	if err := proto.Unmarshal(raw, &m); err != nil {
@@ -66,7 +69,7 @@
 	return DeltaFromProto(&m)
 }
 
-// ChangesProto gives changes as messages.
+// ChangesProto returns changes as messages.
 func ChangesProto(changes []Change) []*distributionpb.Change {
 	messages := make([]*distributionpb.Change, len(changes))
 	for i := range changes {
@@ -81,7 +84,7 @@
 	return messages
 }
 
-// ChangesFromProto reads messages; an InvalidRecordError for the first that can't be read or kept.
+// ChangesFromProto reads messages. It returns an InvalidRecordError for the first invalid change.
 func ChangesFromProto(messages []*distributionpb.Change) ([]Change, error) {
 	changes := make([]Change, len(messages))
 	for i, m := range messages {
@@ -93,11 +96,11 @@
 	return changes, nil
 }
 
-// encode writes a message: the same bytes for the same content.
+// encode encodes a message deterministically: equal messages give equal bytes.
 func encode(m proto.Message) []byte {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // a string that is not UTF-8 is refused on its way in
+		panic(err) // invalid UTF-8 was rejected when the record was read
 	}
 	return raw
 }
--- a/internal/controlplane/distribution/digest.go
+++ b/internal/controlplane/distribution/digest.go
@@ -12,13 +12,13 @@
 // DigestBytes is the length of an encoded Digest.
 const DigestBytes = 16
 
-// Digest is a 128-bit hash or a sum of such hashes, modulo 2 to the power of 128.
+// Digest is a 128-bit hash, or a sum of such hashes modulo 2 to the power of 128.
 type Digest struct{ High, Low uint64 }
 
-// String gives the digest in hexadecimal.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d.Encode()) }
 
-// Encode gives the digest's 16 bytes, the highest first.
+// Encode returns the digest's 16 bytes in big-endian order.
 func (d Digest) Encode() []byte { return d.appendTo(make([]byte, 0, DigestBytes)) }
 
 func (d Digest) appendTo(to []byte) []byte {
@@ -26,7 +26,7 @@
 	return binary.BigEndian.AppendUint64(to, d.Low)
 }
 
-// DecodeDigest reads what Encode wrote; an InvalidMessageError where the length is another.
+// DecodeDigest reads what Encode returned. It returns an InvalidMessageError for any other length.
 func DecodeDigest(raw []byte) (Digest, error) {
 	if len(raw) != DigestBytes {
 		return Digest{}, &InvalidMessageError{
@@ -36,29 +36,29 @@
 	return Digest{binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])}, nil
 }
 
-// plus adds; the order in which hashes are added does not matter.
+// plus adds a hash. The order of additions does not matter.
 func (d Digest) plus(other Digest) Digest {
 	low, carry := bits.Add64(d.Low, other.Low, 0)
 	high, _ := bits.Add64(d.High, other.High, carry)
 	return Digest{high, low}
 }
 
-// minus takes back what plus added.
+// minus removes a hash that was added with plus.
 func (d Digest) minus(other Digest) Digest {
 	low, borrow := bits.Sub64(d.Low, other.Low, 0)
 	high, _ := bits.Sub64(d.High, other.High, borrow)
 	return Digest{high, low}
 }
 
-// appendKey writes a key so that no two keys are written alike.
+// appendKey appends an unambiguous encoding of a key.
 func appendKey(to []byte, kind Kind, id string) []byte {
 	to = binary.AppendUvarint(to, uint64(kind))
 	to = binary.AppendUvarint(to, uint64(len(id)))
 	return append(to, id...)
 }
 
-// bucketIndex is the bucket of a key: one of the first for a server, one of the rest for anything
-// else.
+// bucketIndex returns the bucket of a key: one of the first serverBuckets for a server, one of the
+// others for any other record.
 func bucketIndex(kind Kind, id string) uint32 {
 	var scratch [128]byte
 	hash := xxh3.Hash(appendKey(scratch[:0], kind, id))
@@ -68,14 +68,14 @@
 	return serverBuckets + uint32(hash%(BucketCount-serverBuckets))
 }
 
-// recordHash is the hash of a record as it is added to its bucket's sum.
+// recordHash returns the hash of a record that is added to its bucket's sum.
 func recordHash(r *Record) Digest {
 	var scratch [512]byte
 	h := xxh3.Hash128(append(appendKey(scratch[:0], r.Kind, r.ID), r.Value...))
 	return Digest{h.Hi, h.Lo}
 }
 
-// stateDigest is the digest of a state whose records' hashes add up to a total.
+// stateDigest returns the digest of a state whose records' hashes add up to total.
 func stateDigest(epoch, revision uint64, total Digest) Digest {
 	var scratch [16 + DigestBytes]byte
 	raw := binary.BigEndian.AppendUint64(scratch[:0], epoch)
--- a/internal/controlplane/distribution/errors.go
+++ b/internal/controlplane/distribution/errors.go
@@ -2,29 +2,35 @@
 
 import "fmt"
 
-// WrongEpochError is returned for a message of another lineage than the state's.
+// WrongEpochError is returned for a message of another epoch than the state's.
 type WrongEpochError struct{ Have, Got uint64 }
 
+// Error returns both epochs.
 func (e *WrongEpochError) Error() string {
 	return fmt.Sprintf("distribution: epoch %d instead of %d", e.Got, e.Have)
 }
 
-// WrongRevisionError is returned for a delta that does not begin where the state is.
+// WrongRevisionError is returned for a delta that does not begin at the state's revision.
 type WrongRevisionError struct{ Have, From, To uint64 }
 
+// Error returns the delta's revisions and the state's.
 func (e *WrongRevisionError) Error() string {
 	return fmt.Sprintf("distribution: a delta from revision %d to %d does not fit a state at %d",
 		e.From, e.To, e.Have)
 }
 
-// DigestMismatchError is returned where the content does not come to the digest that was announced.
+// DigestMismatchError is returned if content does not have the digest that was announced for it.
 type DigestMismatchError struct {
-	Position  Position // as announced
-	Got       Digest
-	OfBuckets bool  // a bucket's sum, not the whole state's digest
-	Bucket    int32 // if OfBuckets
+	// Position is the position as announced.
+	Position Position
+	Got      Digest
+	// OfBuckets is set if a bucket's sum differs, and not the digest of the complete state.
+	OfBuckets bool
+	// Bucket is the index of that bucket if OfBuckets is set.
+	Bucket int32
 }
 
+// Error returns the digest that was computed and the one announced.
 func (e *DigestMismatchError) Error() string {
 	if e.OfBuckets {
 		return fmt.Sprintf("distribution: bucket %d comes to %s, which is not its sum at %s",
@@ -34,20 +40,22 @@
 		e.Got, e.Position)
 }
 
-// WrongBaseError is returned for the first command of a term that is a difference to another
-// position than the machine's. The whole state is taken, or the difference to the position that it
-// has.
+// WrongBaseError is returned for the first command of a term if it is a difference from another
+// position than the machine's. The source should propose the complete state, or the difference from
+// the machine's position.
 type WrongBaseError struct{ Have, Got Position }
 
+// Error returns both positions.
 func (e *WrongBaseError) Error() string {
 	return fmt.Sprintf("distribution: a term begins with a difference to %s, the state is at %s",
 		e.Got, e.Have)
 }
 
-// DivergenceError is reported where two states at one revision have different digests. It names a
-// fault of a program or of memory: it is repaired, but should be looked into.
+// DivergenceError is reported if two states at one revision have different digests. The replica
+// repairs itself, but the cause is a fault in a program or in memory and should be investigated.
 type DivergenceError struct{ Mine, Theirs Position }
 
+// Error returns both positions.
 func (e *DivergenceError) Error() string {
 	return fmt.Sprintf("distribution: two states at one revision: %s here, %s there",
 		e.Mine, e.Theirs)
@@ -56,28 +64,41 @@
 // WrongFleetError is returned for a message of another fleet.
 type WrongFleetError struct{ Want, Got string }
 
+// Error returns both names.
 func (e *WrongFleetError) Error() string {
 	return fmt.Sprintf("distribution: fleet %q instead of %q", e.Got, e.Want)
 }
 
-// InvalidRecordError is returned for a record that can't be read or kept.
+// TooManyStreamsError is returned by Publisher.Open if as many streams are open as the settings
+// allow.
+type TooManyStreamsError struct{ Open int }
+
+// Error returns the number of open streams.
+func (e *TooManyStreamsError) Error() string {
+	return fmt.Sprintf("distribution: %d streams are open, no more are taken", e.Open)
+}
+
+// InvalidRecordError is returned for a record that can't be read or stored.
 type InvalidRecordError struct {
 	Kind   Kind
 	ID     string
 	Reason string
 }
 
+// Error returns the record's key and the reason.
 func (e *InvalidRecordError) Error() string {
 	return fmt.Sprintf("distribution: record %s %q: %s", e.Kind, e.ID, e.Reason)
 }
 
-// InvalidMessageError is returned for a message that can't be read, or that does not belong where
-// it came.
+// InvalidMessageError is returned for a message that can't be read, or that is not allowed in the
+// state of the receiver.
 type InvalidMessageError struct {
-	Message string // its name
+	// Message is the name of the message.
+	Message string
 	Reason  string
 }
 
+// Error returns the message's name and the reason.
 func (e *InvalidMessageError) Error() string {
 	return fmt.Sprintf("distribution: %s: %s", e.Message, e.Reason)
 }
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -9,49 +9,60 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// MachineName is what the agreed state calls the machine, and Duty the duty of watching the
-// register for the fleet.
+// Names in the replicated state.
 const (
+	// MachineName is the name of the state machine.
 	MachineName = "distribution"
-	Role        = "register"
+	// Role is the role whose leader watches the registry on behalf of the fleet.
+	Role = "register"
 )
 
-// Fence refuses a command under an old term.
+// Fence rejects commands of former leaders.
 type Fence interface {
-	Fence(duty string, term uint64, who lease.Member) error
+	// Fence returns an error unless who holds the role under the term, which is the fencing token.
+	Fence(role string, term uint64, who lease.Member) error
 }
 
-// Update tells what a command, or a snapshot, made of a machine's state.
+// Update describes what a command or a snapshot changed.
 type Update struct {
-	State *State // never changed afterwards: it may be read by other goroutines
-	Delta *Delta // nil: nothing has changed, the source has said that it lives; or Restored
-	Term  uint64 // of the source
-
-	Restored bool // the state was replaced by a snapshot: nothing is known of what lies between
+	// State is the state after the change. It is never modified afterwards and may be read by other
+	// goroutines.
+	State *State
+	// Delta is nil if nothing has changed, so that the command was only a heartbeat of the source,
+	// and if Restored is set.
+	Delta *Delta
+	// Term is the term of the source.
+	Term uint64
+
+	// Restored is set if a snapshot has replaced the state, so that the changes since the last
+	// update are unknown.
+	Restored bool
 }
 
-// Machine is the control state as a part of the agreed state: an agree.Machine.
+// Machine is the replicated state machine of the control state: a consensus.Machine. It is not safe
+// for concurrent use.
 type Machine struct {
-	// Updated is called after each command that was taken in and after Restore, from within Apply
-	// and Restore. It may be nil.
+	// Updated is called after each accepted command and after Restore, from within Apply and
+	// Restore. It may be nil.
 	Updated func(Update)
 
-	fence   Fence
-	state   *State
-	term    uint64 // the last that spoke
+	fence Fence
+	state *State
+	// term is the term of the last accepted command.
+	term    uint64
 	owner   lease.Member
 	changes uint64
 }
 
-// NewMachine makes a machine without records. The fence is the table of duties of the same agreed
-// state.
+// NewMachine returns a machine without records. The fence has to be the lease table of the same
+// replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{fence: f, state: NewState()} }
 
-// State is the machine's state at the moment, as a copy.
+// State returns a copy of the machine's state.
 func (m *Machine) State() *State { return m.state.Clone() }
 
-// Apply takes an encoded Command in. Its answer is empty, or why the command was refused; one that
-// is refused changes nothing.
+// Apply applies an encoded Command. It returns nothing, or the text of the error for which the
+// command was rejected. A rejected command changes nothing.
 func (m *Machine) Apply(_ time.Duration, _ uint64, who lease.Member, body []byte) []byte {
 	delta, err := m.apply(who, body)
 	if err != nil {
@@ -70,7 +81,7 @@
 	if err := m.fence.Fence(Role, command.Term, who); err != nil {
 		return nil, err
 	}
-	if command.Term != m.term && !command.Whole {
+	if command.Term != m.term && !command.Complete {
 		if err := m.checkBase(command.Base); err != nil {
 			return nil, err
 		}
@@ -82,20 +93,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if command.Whole {
+	if command.Complete {
 		changes = m.difference(changes)
 	}
 	m.term, m.owner = command.Term, who
 	return m.state.advance(command.Epoch, changes), nil
 }
 
-// checkBase refuses the first command of a term where it is a difference to something else than the
-// state: what an earlier owner said last may have come in after the new one had looked.
+// checkBase rejects the first command of a term if it is a difference from another position than
+// the state's. The last command of an earlier leader may have been committed after the new leader
+// had read the state.
 func (m *Machine) checkBase(base *distributionpb.Position) error {
 	if base.GetEpoch() == 0 {
 		return &InvalidMessageError{
 			"command",
-			"the first of a term has to be the whole state, or to say what it is a difference to",
+			"the first of a term has to be the complete state, or to say what it is a difference to",
 		}
 	}
 	at, err := PositionFromProto(base)
@@ -108,8 +120,8 @@
 	return nil
 }
 
-// commandChanges reads and checks a command's changes: one a key, and no deletions in a whole
-// state.
+// commandChanges reads and checks a command's changes: at most one a key, and no deletions in a
+// complete state.
 func commandChanges(command *distributionpb.Command) ([]Change, error) {
 	changes, err := ChangesFromProto(command.Changes)
 	if err != nil {
@@ -119,11 +131,11 @@
 	if len(newest) != len(changes) {
 		return nil, &InvalidMessageError{"command", "it has two changes of one key"}
 	}
-	if command.Whole {
+	if command.Complete {
 		for i := range newest {
 			if newest[i].Deleted {
 				return nil, &InvalidRecordError{
-					newest[i].Kind, newest[i].ID, "it is deleted in a whole state",
+					newest[i].Kind, newest[i].ID, "it is deleted in a complete state",
 				}
 			}
 		}
@@ -131,10 +143,10 @@
 	return newest, nil
 }
 
-// difference turns the whole state into the changes that lead to it.
-func (m *Machine) difference(whole []Change) []Change {
+// difference returns the changes that lead from the current state to a complete one.
+func (m *Machine) difference(complete []Change) []Change {
 	next := NewState()
-	next.commit(next.stage(whole), 0, 0)
+	next.commit(next.stage(complete), 0, 0)
 	return m.state.Difference(next)
 }
 
@@ -145,11 +157,11 @@
 	}
 }
 
-// QuerySnapshot has Query give the whole state.
+// QuerySnapshot is the body of a Query that returns the complete state.
 const QuerySnapshot = "whole"
 
-// Query gives an encoded Heartbeat with position and term; for the body QueryWhole an encoded
-// Snapshot.
+// Query returns an encoded Heartbeat with position and term, or for the body QuerySnapshot an
+// encoded Snapshot.
 func (m *Machine) Query(_ time.Duration, body []byte) []byte {
 	if string(body) == QuerySnapshot {
 		return m.Snapshot()
@@ -157,10 +169,10 @@
 	return encode(&distributionpb.Heartbeat{Position: m.state.Position().Proto(), Term: m.term})
 }
 
-// Changes counts the commands taken in.
+// Changes returns the number of accepted commands and restored snapshots.
 func (m *Machine) Changes() uint64 { return m.changes }
 
-// Snapshot writes the machine: the same bytes for the same state.
+// Snapshot returns the encoded machine. Equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
 	return encode(&distributionpb.Snapshot{
 		Position:         m.state.Position().Proto(),
@@ -171,8 +183,8 @@
 	})
 }
 
-// Restore reads what Snapshot wrote. It returns an error and leaves the machine as it is for a
-// snapshot that can't be read or doesn't fit its digest.
+// Restore reads what Snapshot returned. It returns an error and keeps the current state if the
+// snapshot can't be read or does not have its digest.
 func (m *Machine) Restore(raw []byte) error {
 	var snapshot distributionpb.Snapshot
 	if err := proto.Unmarshal(raw, &snapshot); err != nil {
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -31,7 +31,7 @@
 	return encode(&distributionpb.Command{
 		Term:    term,
 		Epoch:   epoch,
-		Whole:   whole,
+		Complete:   whole,
 		Changes: ChangesProto(changes),
 	})
 }
@@ -51,9 +51,9 @@
 	}
 }
 
-// A new term's whole list comes to the difference; revisions go on, and nothing changed is no
-// revision.
-func TestMachineTurnsAWholeIntoTheDifference(t *testing.T) {
+// TestMachineAppliesCompleteListAsDifference checks that a new term's complete list is applied as its
+// difference, and that no change makes no revision.
+func TestMachineAppliesCompleteListAsDifference(t *testing.T) {
 	m, fence, updates := newTestMachine()
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
 	requireTaken(t, m, command(1, 0, false, draining("a")))
@@ -84,8 +84,9 @@
 	}
 }
 
-// A new term may begin with the difference to the position that the machine is at, and to no other.
-func TestMachineTakesADifferenceToItsPosition(t *testing.T) {
+// TestMachineAcceptsDifferenceFromItsPosition checks that a new term may begin with a difference from
+// the machine's position, and from no other.
+func TestMachineAcceptsDifferenceFromItsPosition(t *testing.T) {
 	m, fence, updates := newTestMachine()
 	begin := func(term uint64, base Position, changes ...Change) string {
 		fence.term = term
@@ -94,7 +95,7 @@
 		})))
 	}
 	if answer := begin(1, m.State().Position(),
-		ready("a", 1)); !strings.Contains(answer, "whole state") {
+		ready("a", 1)); !strings.Contains(answer, "complete state") {
 		t.Errorf("a lineage begins with a difference: %q", answer)
 	}
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
@@ -121,8 +122,8 @@
 	}
 }
 
-// What is refused changes nothing and says why.
-func TestMachineRefuses(t *testing.T) {
+// TestMachineRejectsInvalidCommands checks that a rejected command changes nothing and says why.
+func TestMachineRejectsInvalidCommands(t *testing.T) {
 	m, fence, updates := newTestMachine()
 	refused := func(body []byte, why string) {
 		t.Helper()
@@ -136,7 +137,7 @@
 			t.Errorf("a refused command (%s) has changed the machine", why)
 		}
 	}
-	refused(command(1, testEpoch, false, ready("a", 1)), "whole state")
+	refused(command(1, testEpoch, false, ready("a", 1)), "complete state")
 	refused(command(1, 0, true, ready("a", 1)), "epoch")
 	refused(command(0, testEpoch, true), "term")
 	refused([]byte{0xff}, "command")
@@ -146,11 +147,11 @@
 	refused(command(1, 0, true, deleted("a")), "deleted in a whole")
 	fence.term = 2
 	refused(command(1, 0, false, deleted("a")), "term")
-	refused(command(2, 0, false, deleted("a")), "whole state")
+	refused(command(2, 0, false, deleted("a")), "complete state")
 }
 
-// Machines that take the same commands come to the same bytes, also where one was restored in
-// between.
+// TestMachinesAgree checks that machines that apply the same commands have the same bytes, also if
+// one was restored in between.
 func TestMachinesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, fence, _ := newTestMachine()
@@ -185,7 +186,7 @@
 	})
 }
 
-// A damaged snapshot is refused, and the machine stays.
+// TestDamagedSnapshot checks that a damaged snapshot is rejected and the state kept.
 func TestDamagedSnapshot(t *testing.T) {
 	m, _, updates := newTestMachine()
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
@@ -214,7 +215,7 @@
 	}
 }
 
-// Query tells the position, or everything.
+// TestMachineQuery checks both queries: the position, and the complete state.
 func TestMachineQuery(t *testing.T) {
 	m, _, _ := newTestMachine()
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1)))
--- a/internal/controlplane/distribution/message.go
+++ b/internal/controlplane/distribution/message.go
@@ -2,11 +2,12 @@
 
 import "mothcleat/internal/controlplane/distributionpb"
 
-// Message is one response as it goes out. It is encoded once, and shared by all streams that it
-// goes to; nobody changes it.
+// Message is one response in the form in which it is sent. It is encoded once, shared by all
+// streams that it goes to, and never modified.
 type Message struct {
 	Response *distributionpb.WatchResponse
-	Bytes    []byte // Response, encoded
+	// Bytes is the encoded Response.
+	Bytes []byte
 }
 
 func newMessage(r *distributionpb.WatchResponse) *Message { return &Message{r, encode(r)} }
--- a/internal/controlplane/distribution/position.go
+++ b/internal/controlplane/distribution/position.go
@@ -7,31 +7,33 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Position is a point of a lineage. Without an epoch nothing has been said yet.
+// Position is a point in the history of a state. Without an epoch it is the position of an empty
+// state.
 type Position struct {
 	Epoch    uint64
 	Revision uint64
-	Digest   Digest // of the whole state there
+	// Digest is the digest of the complete state at this revision.
+	Digest Digest
 }
 
-// String gives epoch, revision and digest.
+// String returns epoch, revision and digest.
 func (p Position) String() string {
 	return fmt.Sprintf("%d/%d (%s)", p.Epoch, p.Revision, p.Digest)
 }
 
-// Compare orders positions by epoch, then by revision: negative where p is the earlier one. It does
-// not look at digests.
+// Compare orders positions by epoch, then by revision. The result is negative if p is the earlier
+// one. Digests are not compared.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Epoch, other.Epoch), cmp.Compare(p.Revision, other.Revision))
 }
 
-// Proto gives the position as a message.
+// Proto returns the position as a message.
 func (p Position) Proto() *distributionpb.Position {
 	return &distributionpb.Position{Epoch: p.Epoch, Revision: p.Revision, Digest: p.Digest.Encode()}
 }
 
 // PositionFromProto reads a message. A missing one, or one without epoch, is the position of an
-// empty state.
+// empty state. It returns an InvalidMessageError.
 func PositionFromProto(m *distributionpb.Position) (Position, error) {
 	if m.GetEpoch() == 0 {
 		if m.GetRevision() != 0 {
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -10,40 +10,46 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// StreamID names one stream of a Publisher; its caller gives it and never gives it twice.
+// StreamID identifies one stream of a Publisher. The caller assigns it and never uses one twice.
 type StreamID uint64
 
-// Send is a message that is to go out on a stream. The stream gets no further one before Sent was
+// Send is a message to be sent on a stream. The stream gets no further message until Sent was
 // called for it.
 type Send struct {
 	Stream  StreamID
 	Message *Message
 }
 
-// Publisher is a server's side of all its streams. Whoever drives it calls a method for each thing
-// that happens, then Take and sends what that gives, and calls Tick when Wake says so.
+// Publisher is the server's side of all its streams. The caller calls a method for each event, then
+// sends what Take returns, and calls Tick at the time that Wake returns.
 //
-// A stream has no queue: it has a position, up to which it was sent everything, and one message
-// under way. When the stream takes the next one it gets all changes since, merged. So a slow reader
-// costs no memory, gets no more than it can take, and is never left with a gap; past the bound of
-// the log it is brought up to date by buckets.
+// A stream has no queue. It has the position up to which everything was sent, and one message in
+// flight. When it can take the next message it gets all changes since that position, merged. So a
+// slow reader costs no memory and never sees a gap. A reader that falls behind the bounds of the
+// log is resynced by buckets.
 type Publisher struct {
 	settings PublisherSettings
 	random   *rand.Rand
 
-	state             *State // the newest; never changed
-	position          Position
-	log               *ChangeLog
-	publishedRevision uint64 // revision up to which live streams are to be sent changes at once
-	mergeAt           time.Duration
-	merging           bool
-
-	term          uint64
-	sourceHeard   bool
-	sourceHeardAt time.Duration // of the source
-
-	streams     map[StreamID]*stream
-	order       []*stream // by id
+	// state is the newest state. It is never modified.
+	state    *State
+	position Position
+	log      *ChangeLog
+	// publishedRevision is the revision up to which live streams are sent changes without delay.
+	publishedRevision uint64
+	// mergeAt is when the merge window ends, while merging is set.
+	mergeAt time.Duration
+	merging bool
+
+	term        uint64
+	sourceHeard bool
+	// sourceHeardAt is when the last command of the source was applied.
+	sourceHeardAt time.Duration
+
+	streams map[StreamID]*stream
+	// order is the streams sorted by id.
+	order []*stream
+	// deltas caches encoded deltas to the newest revision, by the revision they begin at.
 	deltas      map[uint64]*Message
 	heartbeatAt time.Duration
 	started     bool
@@ -52,21 +58,29 @@
 	counts      PublisherCounts
 }
 
-// PublisherCounts count what a Publisher did.
+// PublisherCounts counts what a Publisher did.
 type PublisherCounts struct {
-	Deltas     uint64 `json:"deltas"` // sent, over all streams
+	// Deltas counts deltas sent, over all streams.
+	Deltas     uint64 `json:"deltas"`
 	DeltaBytes uint64 `json:"delta_bytes"`
-	Encoded    uint64 `json:"encoded"`    // deltas encoded
-	Resyncs    uint64 `json:"resyncs"`    // admitted
-	Retries    uint64 `json:"retries"`    // resyncs that were told to come back
-	Buckets    uint64 `json:"buckets"`    // sent
-	BulkBytes  uint64 `json:"bulk_bytes"` // of digests and buckets
-	// replicas that had another digest at a revision of the log
-	Divergences  uint64 `json:"divergences"`
-	BehindEvents uint64 `json:"behind_events"` // replicas that were ahead of this server
+	// Encoded counts deltas encoded.
+	Encoded uint64 `json:"encoded"`
+	// Resyncs counts admitted resyncs.
+	Resyncs uint64 `json:"resyncs"`
+	// Retries counts resyncs that were rejected with a time to come back.
+	Retries uint64 `json:"retries"`
+	// Buckets counts buckets sent.
+	Buckets uint64 `json:"buckets"`
+	// BulkBytes counts the bytes of digests and buckets.
+	BulkBytes uint64 `json:"bulk_bytes"`
+	// Divergences counts replicas that had another digest at a revision of the log.
+	Divergences uint64 `json:"divergences"`
+	// BehindEvents counts replicas that were ahead of this server.
+	BehindEvents uint64 `json:"behind_events"`
 }
 
-// NewPublisher makes a publisher of a state, without streams. The randomness is for jitter alone.
+// NewPublisher returns a publisher of a state, without streams. The randomness is used for jitter
+// only.
 func NewPublisher(settings PublisherSettings, state *State, random *rand.Rand) *Publisher {
 	p := &Publisher{settings: settings, random: random, streams: map[StreamID]*stream{}}
 	p.admission = admission{settings: &p.settings, admittedAt: map[StreamID]time.Duration{}}
@@ -74,7 +88,7 @@
 	return p
 }
 
-// replace sets the state where nothing is known of what lies between.
+// replace sets a state whose difference from the last one is unknown.
 func (p *Publisher) replace(state *State) {
 	p.state, p.position = state, state.Position()
 	p.log = NewChangeLog(p.position, p.settings.Log)
@@ -82,14 +96,14 @@
 	p.merging, p.deltas = false, map[uint64]*Message{}
 }
 
-// Position is what the server has.
+// Position returns the position of the newest state.
 func (p *Publisher) Position() Position { return p.position }
 
-// Counts is what was done so far.
+// Counts returns the counters.
 func (p *Publisher) Counts() PublisherCounts { return p.counts }
 
-// Acknowledged is the earliest revision that a live stream has acknowledged; the newest where there
-// is no stream.
+// Acknowledged returns the earliest revision that a live stream has acknowledged, or the newest
+// revision if no stream is live.
 func (p *Publisher) Acknowledged() uint64 {
 	earliest := p.position.Revision
 	for _, s := range p.order {
@@ -100,7 +114,7 @@
 	return earliest
 }
 
-// Update takes in what the machine's Updated tells.
+// Update handles an update of the machine.
 func (p *Publisher) Update(now time.Duration, u Update) {
 	p.start(now)
 	if !u.Restored {
@@ -119,6 +133,8 @@
 	}
 }
 
+// appendDelta adds a delta to the log. Urgent changes are published at once, others when the merge
+// window ends.
 func (p *Publisher) appendDelta(now time.Duration, u Update) {
 	p.state, p.position = u.State, u.Delta.Position()
 	p.log.Append(u.Delta)
@@ -130,30 +146,32 @@
 	}
 }
 
-// publish ends the window in which changes are merged.
+// publish ends the merge window.
 func (p *Publisher) publish() {
 	p.merging, p.publishedRevision = false, p.position.Revision
 }
 
-// reroute looks at a stream after the state has changed.
+// reroute checks after a change of the state whether a stream can go on from where it is.
 func (p *Publisher) reroute(now time.Duration, s *stream) {
 	switch s.phase {
 	case phaseAhead, phaseLive:
 		if s.phase == phaseAhead && s.position.Compare(p.position) > 0 {
 			return
 		}
-		if s.phase == phaseAhead || s.position.Epoch != p.position.Epoch ||
-			s.position.Revision > p.position.Revision {
+		lineageChanged := s.position.Epoch != p.position.Epoch
+		aheadOfServer := s.position.Revision > p.position.Revision
+		if s.phase == phaseAhead || lineageChanged || aheadOfServer {
 			p.route(now, s, false)
 		}
 	}
 }
 
-// Open adds a stream. It is writable from the start. It fails where there are too many.
+// Open adds a stream, which is writable from the start. It returns a TooManyStreamsError if the
+// limit is reached.
 func (p *Publisher) Open(now time.Duration, id StreamID) error {
 	p.start(now)
 	if len(p.streams) >= p.settings.MaxStreams {
-		return fmt.Errorf("distribution: %d streams are open, no more are taken", len(p.streams))
+		return &TooManyStreamsError{Open: len(p.streams)}
 	}
 	s := &stream{id: id, writable: true}
 	p.streams[id] = s
@@ -162,7 +180,7 @@
 	return nil
 }
 
-// Close forgets a stream.
+// Close removes a stream. It does nothing for one that is not open.
 func (p *Publisher) Close(id StreamID) {
 	s := p.streams[id]
 	if s == nil {
@@ -174,20 +192,20 @@
 	p.admission.release(id)
 }
 
-// Sent tells that a stream takes the next message.
+// Sent marks a stream as ready for its next message.
 func (p *Publisher) Sent(id StreamID) {
 	if s := p.streams[id]; s != nil {
 		s.writable = true
 	}
 }
 
-// Received takes in what a replica said. After an error the stream is to be ended with it, and
-// closed.
+// Received handles a replica's request. If it returns an error, the caller should end the stream
+// with it and call Close.
 func (p *Publisher) Received(now time.Duration, id StreamID, m *distributionpb.WatchRequest) error {
 	p.start(now)
 	s := p.streams[id]
 	if s == nil {
-		return nil // it was closed
+		return nil // the stream was closed
 	}
 	switch r := m.GetRequest().(type) {
 	case *distributionpb.WatchRequest_Resume:
@@ -212,7 +230,7 @@
 		return err
 	}
 	if s.phase == phaseRetrying && now < s.retryAt {
-		// it keeps its place, and comes no sooner
+		// The stream keeps its slot and must not ask before it.
 		s.controlQueue = []*Message{retryMessage(uint64(s.retryAt - now))}
 		return nil
 	}
@@ -223,7 +241,8 @@
 	return nil
 }
 
-// route decides how a stream at a position goes on.
+// route decides how a stream goes on from its position: with deltas, with a resync, or by waiting
+// until the server has caught up.
 func (p *Publisher) route(now time.Duration, s *stream, repair bool) {
 	s.pinned, s.pendingBuckets, s.digestsSent = nil, nil, 0
 	if s.position.Compare(p.position) > 0 {
@@ -244,7 +263,7 @@
 	}
 }
 
-// startResync begins a resync, or has the replica come back.
+// startResync starts a resync, or tells the replica when to come back.
 func (p *Publisher) startResync(now time.Duration, s *stream) {
 	if after, ok := p.admission.admit(now, s.id, p.estimateResyncBytes(s), p.random); !ok {
 		s.phase, s.retryAt = phaseRetrying, now+after
@@ -259,7 +278,8 @@
 	s.phase, s.pinned, s.digestsSent = phaseDigests, p.pinned, 0
 }
 
-// estimateResyncBytes is about what a resync sends: everything to a replica that has nothing.
+// estimateResyncBytes estimates the size of a resync: everything for a replica without a state,
+// else all digests and a typical gap.
 func (p *Publisher) estimateResyncBytes(s *stream) int {
 	if s.position.Epoch == 0 {
 		return p.state.Bytes()
@@ -267,8 +287,7 @@
 	return BucketCount*DigestBytes + p.state.Bytes()/typicalGap
 }
 
-// typicalGap is the part of a state that a replica which has something is taken to lack: one in so
-// many records.
+// typicalGap is the assumed gap of a replica that has a state: one record in so many.
 const typicalGap = 16
 
 func (p *Publisher) handleFetch(s *stream, m *distributionpb.FetchBuckets) error {
@@ -277,7 +296,7 @@
 		return err
 	}
 	if s.phase != phaseFetching || at != s.pinned.position {
-		return nil // of a resync that was given up since
+		return nil // an answer to the digests of an earlier resync
 	}
 	for i, index := range m.Buckets {
 		if index >= BucketCount || i > 0 && index <= m.Buckets[i-1] {
@@ -293,13 +312,13 @@
 	return nil
 }
 
-// finishResync ends a resync: the stream has what was pinned.
+// finishResync ends a resync: the stream has the pinned state.
 func (p *Publisher) finishResync(s *stream) {
 	s.position, s.pinned, s.pendingBuckets, s.phase = s.pinned.position, nil, nil, phaseLive
 	p.admission.release(s.id)
 }
 
-// start sets the clocks by the first event.
+// start sets the timers at the first event.
 func (p *Publisher) start(now time.Duration) {
 	if !p.started {
 		p.started, p.heartbeatAt = true, now+p.settings.HeartbeatInterval
@@ -307,7 +326,7 @@
 	}
 }
 
-// Tick takes in that time has passed.
+// Tick handles the passing of time.
 func (p *Publisher) Tick(now time.Duration) {
 	p.start(now)
 	if p.merging && now >= p.mergeAt {
@@ -322,7 +341,7 @@
 	}
 }
 
-// Wake is when Tick is to be called next, if nothing happens before.
+// Wake returns when Tick should be called next if no event comes before.
 func (p *Publisher) Wake(now time.Duration) time.Duration {
 	p.start(now)
 	wake := p.heartbeatAt
@@ -335,10 +354,10 @@
 	return max(wake, now)
 }
 
-// bulkPending tells whether a stream would take buckets or digests.
+// bulkPending reports whether a stream could be sent digests or buckets.
 func (p *Publisher) bulkPending() bool {
 	return slices.ContainsFunc(p.order, func(s *stream) bool { return s.writable && s.needsBulk() })
 }
 
-// Streams gives the ids of all streams, ascending.
+// Streams returns the ids of all streams in ascending order.
 func (p *Publisher) Streams() []StreamID { return slices.Sorted(maps.Keys(p.streams)) }
--- a/internal/controlplane/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -6,8 +6,8 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Take gives what can be sent now. Changes and small messages of all streams go before any digests
-// and buckets.
+// Take returns what can be sent now. Deltas and control messages of all streams come before any
+// digests and buckets.
 func (p *Publisher) Take(now time.Duration) []Send {
 	p.start(now)
 	var sends []Send
@@ -33,12 +33,12 @@
 	if p.sourceHeard {
 		m.SourceAgeNs = uint64(now - p.sourceHeardAt)
 	} else {
-		m.SourceAgeNs = uint64(now) // since the clock's beginning: it was never heard
+		m.SourceAgeNs = uint64(now) // never heard since the clock started
 	}
 	return heartbeatMessage(m)
 }
 
-// nextMessage is a stream's next small message, or its next delta.
+// nextMessage returns a stream's next control message or delta, nil if there is none.
 func (p *Publisher) nextMessage(now time.Duration, s *stream, beat *Message) *Message {
 	if s.heartbeatDue {
 		s.heartbeatDue = false
@@ -58,7 +58,7 @@
 	}
 	delta := p.deltaSince(s.position.Revision)
 	if delta == nil {
-		p.startResync(now, s) // the log was compacted past the reader
+		p.startResync(now, s) // the log was compacted past the replica's position
 		return p.nextMessage(now, s, beat)
 	}
 	s.position = p.position
@@ -67,8 +67,8 @@
 	return delta
 }
 
-// deltaSince gives the changes since a revision, encoded once for all streams; nil where the log
-// was compacted past it.
+// deltaSince returns the changes since a revision, encoded once for all streams. It returns nil if
+// the log was compacted past the revision.
 func (p *Publisher) deltaSince(from uint64) *Message {
 	if m := p.deltas[from]; m != nil {
 		return m
@@ -83,7 +83,7 @@
 	return m
 }
 
-// takeBulk gives digests and buckets as far as the rate allows, one message a stream.
+// takeBulk appends digests and buckets as far as the rate allows, one message a stream.
 func (p *Publisher) takeBulk(now time.Duration, sends []Send) []Send {
 	for _, s := range p.order {
 		if !s.writable || !s.needsBulk() {
@@ -120,7 +120,7 @@
 	return m
 }
 
-// nextDigests is the next message of digests of a stream's resync.
+// nextDigests returns the next message of digests of a stream's resync.
 func (p *Publisher) nextDigests(s *stream) *Message {
 	if s.pinned.digests == nil {
 		sums := s.pinned.state.Sums()
--- a/internal/controlplane/distribution/publisher_settings.go
+++ b/internal/controlplane/distribution/publisher_settings.go
@@ -2,33 +2,37 @@
 
 import "time"
 
-// PublisherSettings are how a server serves its streams.
+// PublisherSettings configure a Publisher.
 type PublisherSettings struct {
 	Fleet string
 	Log   LogBounds
 
-	MaxStreams        int
-	MergeWindow       time.Duration // how long a change that is not urgent waits for others
+	MaxStreams int
+	// MergeWindow is how long a change that is not urgent waits to be merged with others.
+	MergeWindow       time.Duration
 	HeartbeatInterval time.Duration
 
-	// MaxResyncs is how many streams fetch buckets at a time. One counts for ResyncHold at most, so
-	// that slow readers don't keep others out; the rest are told to come back, after MinRetry to
-	// MaxRetry.
-	MaxResyncs        int
+	// MaxResyncs is how many streams may resync at a time.
+	MaxResyncs int
+	// ResyncSlotTimeout is how long a resync counts towards MaxResyncs, so that slow readers do not
+	// block others.
 	ResyncSlotTimeout time.Duration
-	MinRetryDelay     time.Duration
-	MaxRetryDelay     time.Duration
+	// MinRetryDelay and MaxRetryDelay bound the time after which a rejected resync may ask again.
+	MinRetryDelay time.Duration
+	MaxRetryDelay time.Duration
 
-	// BulkBytesPerSecond is what all resyncs together may send, BulkBurstBytes what they may send
-	// at once.
+	// BulkBytesPerSecond limits the bytes of all resyncs together.
 	BulkBytesPerSecond int
-	BulkBurstBytes     int
-	// BulkMessageBytes is about what one message of digests or buckets has; a single larger bucket
-	// goes by itself. It is small, so that a slow reader is not silent for long.
+	// BulkBurstBytes is how many bytes resyncs may send at once.
+	BulkBurstBytes int
+	// BulkMessageBytes is the approximate size of one message of digests or buckets. A larger
+	// bucket is sent by itself. Messages are small, so that a slow reader receives one often enough
+	// to know that the server is alive.
 	BulkMessageBytes int
 }
 
-// DefaultPublisherSettings serve 620 replicas from five servers, or from any one of them.
+// DefaultPublisherSettings return settings with which five servers, or any one of them, serve 620
+// replicas.
 func DefaultPublisherSettings(fleet string) PublisherSettings {
 	return PublisherSettings{
 		Fleet:              fleet,
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -70,7 +70,7 @@
 	return s.publisher.Received(s.now, id, m)
 }
 
-// take gives what goes out, and has it sent at once.
+// take returns what goes out, and has it sent at once.
 func (s *serving) take() []Send {
 	sends := s.publisher.Take(s.now)
 	for _, send := range sends {
@@ -100,7 +100,8 @@
 	s.publisher.Tick(s.now)
 }
 
-// A delta is encoded once, and the same message goes to all streams.
+// TestPublisherEncodesOnce checks that a delta is encoded once and the same message goes to all
+// streams.
 func TestPublisherEncodesOnce(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1))
 	for id := range StreamID(50) {
@@ -119,7 +120,8 @@
 	}
 }
 
-// Changes within the window are merged, the newest a key; an urgent one ends the window at once.
+// TestPublisherMerges checks that changes within the window are merged, and that an urgent one ends
+// the window.
 func TestPublisherMerges(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1), ready("b", 1))
 	s.open(1, s.state.Position(), false)
@@ -149,9 +151,9 @@
 	}
 }
 
-// A slow reader gets everything merged when it reads again, and nothing waits for it meanwhile;
-// past the log it is told the digests.
-func TestPublisherAndASlowReader(t *testing.T) {
+// TestPublisherMergesForSlowReader checks that a slow reader gets all changes merged once it reads
+// again, or digests past the end of the log, and that no other stream waits for it.
+func TestPublisherMergesForSlowReader(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries = 10 }, ready("a", 1))
 	from := s.state.Position()
 	s.open(1, from, false)
@@ -186,8 +188,8 @@
 	}
 }
 
-// A resume past the log, of another epoch, for a repair, or of another digest is answered by
-// digests; one that fits by the changes since.
+// TestPublisherAnswersResumes checks that a resume from past the log, of another epoch or digest,
+// or for a repair is answered by digests, and any other by the changes since.
 func TestPublisherAnswersResumes(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.Log.Entries, p.MaxResyncs = 2, 100 },
 		ready("a", 1))
@@ -233,7 +235,8 @@
 	}
 }
 
-// A replica that is ahead is told so, and served as soon as the server has caught up.
+// TestPublisherIsBehind checks that a replica that is ahead is notified, and served once the server
+// has caught up.
 func TestPublisherIsBehind(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1))
 	ahead := s.state.Clone()
@@ -254,9 +257,9 @@
 	}
 }
 
-// A few resyncs go on at a time; the others are told times that spread them, and one that comes
-// early keeps its own.
-func TestPublisherAdmitsAFew(t *testing.T) {
+// TestPublisherLimitsResyncs checks that few resyncs run at a time, that others get times that spread
+// them, and that one that comes early keeps its time.
+func TestPublisherLimitsResyncs(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 3 }, ready("a", 1))
 	var last time.Duration
 	for id := range StreamID(40) {
@@ -293,8 +296,9 @@
 	}
 }
 
-// Slow readers do not hold the places for ever.
-func TestPublisherFreesThePlacesOfSlowReaders(t *testing.T) {
+// TestPublisherFreesSlotsOfSlowReaders checks that slow readers do not hold their resync slots
+// for ever.
+func TestPublisherFreesSlotsOfSlowReaders(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 1 }, ready("a", 1))
 	s.open(1, NewState().Position(), false)
 	s.wait(s.publisher.settings.ResyncSlotTimeout)
@@ -304,8 +308,9 @@
 	}
 }
 
-// Bulk is held to a rate, and changes go before it.
-func TestPublisherHoldsBulkToARate(t *testing.T) {
+// TestPublisherLimitsBulkRate checks that digests and buckets are rate limited and deltas come
+// before them.
+func TestPublisherLimitsBulkRate(t *testing.T) {
 	const rate, burst = 50_000, 10_000
 	s := newServing(t, func(p *PublisherSettings) {
 		p.BulkBytesPerSecond, p.BulkBurstBytes, p.MaxResyncs = rate, burst, 100
@@ -340,7 +345,8 @@
 	}
 }
 
-// Heartbeats come regularly, are shared, and tell how fresh the source is.
+// TestPublisherHeartbeats checks that heartbeats are regular, shared, and carry the age of the
+// source.
 func TestPublisherHeartbeats(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1))
 	s.open(1, s.state.Position(), false)
@@ -359,7 +365,8 @@
 	}
 }
 
-// After a snapshot the log begins anew; streams that it reaches go on, others compare buckets.
+// TestPublisherAfterASnapshot checks that a snapshot restarts the log, that streams at its position
+// go on, and that others are resynced.
 func TestPublisherAfterASnapshot(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1))
 	s.open(1, s.state.Position(), false)
@@ -371,8 +378,8 @@
 	}
 }
 
-// What a replica must not say ends its stream with an error that names it.
-func TestPublisherRefuses(t *testing.T) {
+// TestPublisherRejectsInvalidRequests checks that an invalid request is answered with a typed error.
+func TestPublisherRejectsInvalidRequests(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxStreams = 1 }, ready("a", 1))
 	s.open(1, NewState().Position(), false)
 	s.drain()
@@ -417,8 +424,8 @@
 	}
 }
 
-// A fetch of an older resync means nothing.
-func TestPublisherPassesOverAnOldFetch(t *testing.T) {
+// TestPublisherIgnoresOutdatedFetch checks that a fetch for an older resync is ignored.
+func TestPublisherIgnoresOutdatedFetch(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1))
 	old := s.state.Position()
 	s.open(1, NewState().Position(), false)
@@ -434,7 +441,7 @@
 	}
 }
 
-// The earliest acknowledged revision is known.
+// TestPublisherAcknowledged checks the earliest acknowledged revision.
 func TestPublisherAcknowledged(t *testing.T) {
 	s := newServing(t, nil, ready("a", 1))
 	s.open(1, s.state.Position(), false)
--- a/internal/controlplane/distribution/rank.go
+++ b/internal/controlplane/distribution/rank.go
@@ -7,17 +7,18 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Server is one control machine that serves replicas.
+// Server is a control-plane server that a replica may watch.
 type Server struct {
-	ID      string // the same for all replicas
+	// ID is the same for all replicas.
+	ID      string
 	Address string
 	Place   Place
 }
 
-// Place is where a process runs. An empty name is near to nothing.
+// Place is where a process runs. An empty name matches no other.
 type Place struct{ Zone, Region string }
 
-// distance is 0 within a zone, 1 within a region, 2 otherwise.
+// distance returns 0 within a zone, 1 within a region and 2 otherwise.
 func (p Place) distance(other Place) int {
 	switch {
 	case p.Zone != "" && p == other:
@@ -28,10 +29,9 @@
 	return 2
 }
 
-// Rank gives the servers in the order in which a replica tries them: its zone first, then its
-// region, then the rest; within each by rendezvous hashing. So every server of a zone gets the same
-// share of the zone's replicas, and where one is added or lost, only the replicas move that come to
-// it or were on it.
+// Rank returns the servers in the order in which a replica tries them: those of its zone, then of
+// its region, then the others, each group ordered by rendezvous hashing. So the servers of a zone
+// share its replicas evenly, and only the replicas of a server that is added or removed move.
 func Rank(replica string, at Place, servers []Server) []Server {
 	ranked := slices.Clone(servers)
 	slices.SortFunc(ranked, func(a, b Server) int {
@@ -44,5 +44,5 @@
 	return ranked
 }
 
-// rendezvous is the weight that a replica gives a server.
+// rendezvous returns the weight that a replica gives a server.
 func rendezvous(replica, server string) uint64 { return xxh3.HashString(replica + "\x00" + server) }
--- a/internal/controlplane/distribution/rank_test.go
+++ b/internal/controlplane/distribution/rank_test.go
@@ -16,7 +16,7 @@
 	return servers
 }
 
-// The nearest come first: the zone's, then the region's.
+// TestRankIsByDistance checks that servers of the zone come first, then those of the region.
 func TestRankIsByDistance(t *testing.T) {
 	for n := range 50 {
 		ranked := Rank(fmt.Sprintf("gateway-%d", n), Place{"s2", "south"}, fiveServers())
@@ -30,7 +30,8 @@
 	}
 }
 
-// Servers at one distance get even shares, and a lost one's replicas alone move.
+// TestRankSpreadsEvenly checks that servers at one distance get even shares, and that only the
+// replicas of a lost server move.
 func TestRankSpreadsEvenly(t *testing.T) {
 	const replicas = 6200
 	servers := fiveServers()
@@ -56,8 +57,8 @@
 	}
 }
 
-// An empty zone or region is near to nothing.
-func TestEmptyPlacesAreNotNear(t *testing.T) {
+// TestEmptyPlacesMatchNothing checks that an empty zone or region matches nothing.
+func TestEmptyPlacesMatchNothing(t *testing.T) {
 	if d := (Place{}).distance(Place{}); d != 2 {
 		t.Errorf("%d", d)
 	}
--- a/internal/controlplane/distribution/record.go
+++ b/internal/controlplane/distribution/record.go
@@ -10,43 +10,45 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Kind says what a record is of.
+// Kind is the kind of a record.
 type Kind = distributionpb.Kind
 
-// The kinds of records. One that this version does not know is kept and passed on, not read.
+// The kinds of records. A kind that this version does not know is stored and passed on, but not
+// read.
 const (
 	KindServer = distributionpb.Kind_KIND_SERVER
 	KindPlan   = distributionpb.Kind_KIND_PLAN
 	KindTenant = distributionpb.Kind_KIND_TENANT
 )
 
-// Bounds of one record, so that no message and no log grows beyond what a stream carries in one
-// piece.
+// Bounds of one record, so that every message fits into one frame of a stream.
 const (
 	MaxIDBytes    = 512
 	MaxValueBytes = 64 << 10
 )
 
-// Record is one keyed record. Its value is not changed once it is in a State.
+// Record is one keyed record. Its value must not be modified once it is part of a State.
 type Record struct {
-	Kind  Kind
-	ID    string
-	Value []byte // of a server: an encoded ServerRecord
+	Kind Kind
+	ID   string
+	// Value is the encoded ServerRecord, PlanRecord or TenantRecord.
+	Value []byte
 }
 
-// size is what the record counts for in bounds by bytes.
+// size returns what the record counts towards bounds in bytes.
 func (r *Record) size() int { return len(r.ID) + len(r.Value) + recordOverheadBytes }
 
-// recordOverheadBytes is about what a record's fields need around its id and value in a message.
+// recordOverheadBytes is the approximate size of a record's message without id and value.
 const recordOverheadBytes = 8
 
-// Change sets a record, or deletes the record of its key.
+// Change sets a record, or deletes the record with its key.
 type Change struct {
 	Record
-	Deleted bool // Value is empty then
+	// Deleted is set for a deletion. Value is empty then.
+	Deleted bool
 }
 
-// Server reads the value of a record of KindServer.
+// Server decodes the value of a record of KindServer. It returns an InvalidRecordError.
 func (r *Record) Server() (*distributionpb.ServerRecord, error) {
 	var server distributionpb.ServerRecord
 	if err := proto.Unmarshal(r.Value, &server); err != nil {
@@ -55,7 +57,7 @@
 	return &server, nil
 }
 
-// Urgent tells whether a change has to go before others: something is deleted, or a server is
+// Urgent reports whether a change must be sent before others: a deletion, or a server that is
 // draining.
 func (c *Change) Urgent() bool {
 	if c.Deleted {
@@ -68,8 +70,8 @@
 	return err == nil && server.Phase == distributionpb.Phase_PHASE_DRAINING
 }
 
-// check refuses a change that can't be read or kept, with an InvalidRecordError. What it looks at
-// is the same in every version of the program, as the agreed machine decides by it.
+// check returns an InvalidRecordError for a change that can't be read or stored. The replicated
+// machine decides by it, so every version of the program must check the same.
 func (c *Change) check() error {
 	invalid := func(reason string) error { return &InvalidRecordError{c.Kind, c.ID, reason} }
 	switch {
@@ -96,8 +98,8 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID))
 }
 
-// sortChanges puts deletions first, then draining servers, then the rest: an address may have
-// passed from one id to another.
+// sortChanges puts deletions first, then draining servers, then the rest. Deletions come first
+// because an address may have passed from one id to another.
 func sortChanges(changes []Change) {
 	type ranked struct {
 		rank   int
--- a/internal/controlplane/distribution/repair.go
+++ b/internal/controlplane/distribution/repair.go
@@ -9,7 +9,7 @@
 // Sums are the sums of all buckets, in the order of their indexes.
 type Sums []Digest
 
-// Sums gives the sums of the state's buckets.
+// Sums returns the sums of the state's buckets.
 func (s *State) Sums() Sums {
 	sums := make(Sums, len(s.buckets))
 	for i, b := range s.buckets {
@@ -18,7 +18,7 @@
 	return sums
 }
 
-// Encode gives 16 bytes a bucket.
+// Encode returns the sums, 16 bytes each.
 func (s Sums) Encode() []byte {
 	raw := make([]byte, 0, len(s)*DigestBytes)
 	for _, sum := range s {
@@ -27,8 +27,8 @@
 	return raw
 }
 
-// DecodeSums reads what Encode wrote; an InvalidMessageError where it is not one to BucketCount
-// sums.
+// DecodeSums reads what Encode returned. It returns an InvalidMessageError unless there are 1 to
+// BucketCount sums.
 func DecodeSums(raw []byte) (Sums, error) {
 	count := len(raw) / DigestBytes
 	if count == 0 || count > BucketCount || len(raw)%DigestBytes != 0 {
@@ -43,8 +43,8 @@
 	return sums, nil
 }
 
-// BucketMessage gives a bucket as a message, and about how many bytes it takes. It shares the
-// values' bytes.
+// BucketMessage returns a bucket as a message, which shares the values' bytes, and its approximate
+// size.
 func (s *State) BucketMessage(index uint32) (m *distributionpb.Bucket, bytes int) {
 	b := s.buckets[index]
 	return bucketToProto(index, b), b.bytes
@@ -54,11 +54,11 @@
 	return &distributionpb.Bucket{Index: index, Records: appendRecords(nil, b.records)}
 }
 
-// Bucket gives the records of a bucket; the caller doesn't change them.
+// Bucket returns the records of a bucket. The caller must not modify them.
 func (s *State) Bucket(index uint32) []Record { return s.buckets[index].records }
 
-// Repair makes a state that is at a position out of one that is not, by those buckets alone that
-// differ. The state that it began with stays as it is.
+// Repair builds the state at a position from another state by fetching only the buckets that
+// differ. The state it began with is not modified.
 type Repair struct {
 	target  Position
 	sums    Sums
@@ -77,10 +77,10 @@
 	return r
 }
 
-// Target is the position that the repair leads to.
+// Target returns the position that the repair leads to.
 func (r *Repair) Target() Position { return r.target }
 
-// Missing gives the buckets that differ and have not been put yet, ascending.
+// Missing returns the indexes of the buckets that differ and were not put yet, in ascending order.
 func (r *Repair) Missing() []uint32 {
 	var missing []uint32
 	for i := range uint32(BucketCount) {
@@ -91,10 +91,10 @@
 	return missing
 }
 
-// Put takes a bucket in. Whatever the replica held there and the bucket doesn't is gone. It returns
-// an error and leaves the repair as it is for a bucket that was not missing or has no such index
-// (InvalidMessageError), a record that can't be read (InvalidRecordError), and records that don't
-// come to the bucket's sum (DigestMismatchError).
+// Put replaces a bucket. Records that the replica had there and the new bucket does not are
+// deleted. It returns an error and changes nothing for a bucket that is not missing
+// (InvalidMessageError), a record that can't be read (InvalidRecordError), and records that do not
+// add up to the bucket's sum (DigestMismatchError).
 func (r *Repair) Put(m *distributionpb.Bucket) error {
 	index := m.GetIndex()
 	if !r.missing[index] {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// bucketFromProto reads a bucket. Its records have to be its own and in the order of their keys.
+// bucketFromProto reads a bucket. Its records must belong to it and be sorted by key.
 func bucketFromProto(m *distributionpb.Bucket) (*bucket, error) {
 	records := make([]Record, len(m.GetRecords()))
 	for i, message := range m.GetRecords() {
@@ -139,8 +139,8 @@
 	return newBucket(records), nil
 }
 
-// Finish gives the state at the target. It returns an InvalidMessageError where buckets are
-// missing, and a DigestMismatchError where all buckets fit their sums and the sums don't fit the
+// Finish returns the state at the target. It returns an InvalidMessageError if buckets are missing,
+// and a DigestMismatchError if all buckets match their sums but the sums do not match the
 // position's digest.
 func (r *Repair) Finish() (*State, error) {
 	if len(r.missing) > 0 {
@@ -156,8 +156,8 @@
 	return s, nil
 }
 
-// partial is what is there so far, at no position: the base of the next repair where this one is
-// cut short.
+// partial returns the state as repaired so far, without a position. The next repair starts from it
+// if this one is interrupted.
 func (r *Repair) partial() *State {
 	s := &State{buckets: r.buckets}
 	for _, b := range r.buckets {
--- a/internal/controlplane/distribution/repair_test.go
+++ b/internal/controlplane/distribution/repair_test.go
@@ -16,7 +16,8 @@
 	return &distributionpb.Bucket{Index: index, Records: appendRecords(nil, s.Bucket(index))}
 }
 
-// A repair leads any state to any other by the buckets that differ, and no others are missing.
+// TestRepairFetchesOnlyWhatDiffers checks that a repair leads from any state to any other by the
+// buckets that differ.
 func TestRepairFetchesOnlyWhatDiffers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewState()
@@ -57,8 +58,8 @@
 	})
 }
 
-// Buckets that don't fit are refused by name.
-func TestRepairRefuses(t *testing.T) {
+// TestRepairRejectsInvalidBuckets checks that invalid buckets are rejected with the right error.
+func TestRepairRejectsInvalidBuckets(t *testing.T) {
 	source := NewState()
 	source.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
 	index, elsewhere := bucketIndex(KindServer, "a"), bucketIndex(KindServer, "b")
@@ -123,7 +124,7 @@
 	}
 }
 
-// Sums round trip, and other lengths are refused.
+// TestSumsRoundTrip checks that sums round trip and that other lengths are rejected.
 func TestSumsRoundTrip(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1)})
@@ -138,7 +139,8 @@
 	}
 }
 
-// A state file gives the state back, refuses another fleet's, and tells any damage.
+// TestStateFile checks that a state file round trips, and that another fleet's or a damaged file is
+// rejected.
 func TestStateFile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -164,7 +166,7 @@
 	})
 }
 
-// A file of another format is refused.
+// TestStateFileOfAnotherFormat checks that a file of another format is rejected.
 func TestStateFileOfAnotherFormat(t *testing.T) {
 	raw := encode(&distributionpb.StateFile{Format: stateFileFormat + 1, Fleet: "blue"})
 	if _, err := DecodeStateFile("blue", raw); err == nil {
@@ -172,8 +174,8 @@
 	}
 }
 
-// FuzzDecode: whatever comes in from a disk or a stream is refused with a typed error, or is well
-// formed.
+// FuzzDecode checks that any bytes from a disk or a stream are rejected with a typed error or are
+// well formed.
 func FuzzDecode(f *testing.F) {
 	s := NewState()
 	first := s.advance(testEpoch,
--- a/internal/controlplane/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -8,14 +8,14 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// never is a time that does not come.
+// never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// Replica is a gateway's side: the decisions of a client of the distribution. Whoever drives it
-// calls a method for each thing that happens, then carries out what Take gives, in order, and calls
-// Tick when Wake says so.
+// Replica is the client's side of the distribution in a gateway. The caller calls a method for each
+// event, then carries out the actions that Take returns, in order, and calls Tick at the time that
+// Wake returns.
 //
-// Its state only ever moves to a later position, and only to content that has that position's
+// The state only ever moves to a later position, and only to content that has that position's
 // digest.
 type Replica struct {
 	settings   ReplicaSettings
@@ -24,28 +24,41 @@
 	candidates candidates
 	actions    []Action
 
-	server                 Server // of the stream, or of the attempt to open one
-	attempt                uint64
-	phase                  replicaPhase
-	connectStartedAt       time.Duration // of the attempt
-	lastMessageAt          time.Duration // the last message, or the attempt
-	resumesWithoutProgress int           // on this stream, without progress
-	retryAt                time.Duration // phase replicaRetrying
-	lastProgressAt         time.Duration // the last progress of a Resume or a repair
-	returnAt               time.Duration // when a preferred server is to be tried again
-
-	behindSince   time.Duration // the server was behind since; never: it is not
-	announced     Position      // of the last heartbeat, if it was ahead of the state
-	target        Position      // of the digests
-	sums          Sums          // those that have come
-	repair        *Repair
-	partialRepair *State // what an unfinished repair came to
-
-	sourceAge   time.Duration // by the last heartbeat
+	// server is the server of the stream, or of the attempt to open one.
+	server           Server
+	attempt          uint64
+	phase            replicaPhase
+	connectStartedAt time.Duration
+	// lastMessageAt is when the last message came, or the attempt began.
+	lastMessageAt time.Duration
+	// resumesWithoutProgress counts the requests to resume on this stream since its last progress.
+	resumesWithoutProgress int
+	// retryAt is when the next Resume is due in phase replicaRetrying.
+	retryAt time.Duration
+	// lastProgressAt is when a Resume or a repair last progressed.
+	lastProgressAt time.Duration
+	// returnAt is when a preferred server is tried again.
+	returnAt time.Duration
+
+	// behindSince is since when the server has been behind the replica; never if it is not.
+	behindSince time.Duration
+	// announced is the position in the last heartbeat if it was ahead of the state.
+	announced Position
+	// target is the position of the digests being received.
+	target Position
+	// sums are the bucket sums received so far.
+	sums   Sums
+	repair *Repair
+	// partialRepair is the state that an interrupted repair reached; nil if there is none.
+	partialRepair *State
+
+	// sourceAge is the age of the source's last command in the last heartbeat.
+	sourceAge   time.Duration
 	sourceAgeAt time.Duration
-	// servers that were left in a row because they had no news of the source
-	sourceSwitches     int
-	nextSourceSwitchAt time.Duration // before it none is left for that
+	// sourceSwitches counts the servers left in a row because they had not heard from the source.
+	sourceSwitches int
+	// nextSourceSwitchAt is the earliest time at which the next server may be left for that reason.
+	nextSourceSwitchAt time.Duration
 	term               uint64
 
 	unpersisted bool
@@ -54,61 +67,68 @@
 	counts      ReplicaCounts
 }
 
-// ReplicaCounts count what a Replica took in.
+// ReplicaCounts counts what a Replica received.
 type ReplicaCounts struct {
-	Deltas      uint64 `json:"deltas"`  // applied
-	Resumes     uint64 `json:"resumes"` // asked for
-	Repairs     uint64 `json:"repairs"` // finished
-	Buckets     uint64 `json:"buckets"` // fetched
-	Refused     uint64 `json:"refused"` // messages that did not fit
+	// Deltas counts deltas applied.
+	Deltas uint64 `json:"deltas"`
+	// Resumes counts Resume requests sent.
+	Resumes uint64 `json:"resumes"`
+	// Repairs counts repairs finished.
+	Repairs uint64 `json:"repairs"`
+	// Buckets counts buckets fetched.
+	Buckets uint64 `json:"buckets"`
+	// Refused counts messages rejected.
+	Refused     uint64 `json:"refused"`
 	Divergences uint64 `json:"divergences"`
 	Disconnects uint64 `json:"leaves"`
 }
 
+// replicaPhase is what a replica is waiting for.
 type replicaPhase int
 
 const (
-	replicaIdle       replicaPhase = iota // no server may be tried now
+	replicaIdle       replicaPhase = iota // no server can be tried now
 	replicaConnecting                     // a stream is being opened
-	replicaResuming                       // a Resume was sent; or digests come
-	replicaRetrying                       // the server said when to send it again
-	replicaRepairing                      // buckets were asked for
-	replicaLive                           // deltas come
+	replicaResuming                       // a Resume was sent, or digests are arriving
+	replicaRetrying                       // the server has said when to resume
+	replicaRepairing                      // buckets were requested
+	replicaLive                           // deltas are arriving
 )
 
-// NewReplica makes a replica that has a state: that of its file, or NewState(). The randomness is
-// for jitter alone.
+// NewReplica returns a replica that starts from a state: the one read from its state file, or
+// NewState(). The randomness is used for jitter only.
 func NewReplica(settings ReplicaSettings, state *State, random *rand.Rand) *Replica {
 	r := &Replica{settings: settings, random: random, state: state.Clone(), behindSince: never}
 	r.candidates = candidates{settings: &r.settings, random: random, backoffs: map[string]backoff{}}
 	return r
 }
 
-// State is what the replica has in force, as a copy.
+// State returns a copy of the state.
 func (r *Replica) State() *State { return r.state.Clone() }
 
-// Position is where the replica is.
+// Position returns the position of the state.
 func (r *Replica) Position() Position { return r.state.Position() }
 
-// Counts is what was taken in so far.
+// Counts returns the counters.
 func (r *Replica) Counts() ReplicaCounts { return r.counts }
 
-// Live tells that the replica is on a server's stream and has all that the server told of.
+// Live reports whether the replica receives deltas and has everything that its server has
+// announced.
 func (r *Replica) Live() bool { return r.phase == replicaLive }
 
-// Server is the one that is watched, or tried.
+// Server returns the server that is watched or being connected to; ok is false if there is none.
 func (r *Replica) Server() (server Server, ok bool) { return r.server, r.phase != replicaIdle }
 
-// SourceAge is how long ago the source was heard of, by the last heartbeat and the time since;
-// false without one.
+// SourceAge returns the time since the source's last command, according to the last heartbeat and
+// the time since. It returns false before the first heartbeat.
 func (r *Replica) SourceAge(now time.Duration) (age time.Duration, ok bool) {
 	return r.sourceAge + now - r.sourceAgeAt, r.term > 0
 }
 
-// Term is the source's term by the last heartbeat.
+// Term returns the source's term in the last heartbeat.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Take gives what is to be done, in order, since it was last called.
+// Take returns the actions that are due since the last call, in order.
 func (r *Replica) Take() []Action {
 	actions := r.actions
 	r.actions = nil
@@ -117,7 +137,7 @@
 
 func (r *Replica) emit(a Action) { r.actions = append(r.actions, a) }
 
-// SetServers takes in which servers there are.
+// SetServers replaces the list of servers.
 func (r *Replica) SetServers(now time.Duration, servers []Server) {
 	r.start(now)
 	r.candidates.set(servers)
@@ -127,7 +147,7 @@
 	r.connect(now)
 }
 
-// Connected tells that an attempt's stream is open.
+// Connected handles that an attempt's stream is open.
 func (r *Replica) Connected(now time.Duration, attempt uint64) {
 	if attempt != r.attempt || r.phase != replicaConnecting {
 		return
@@ -136,7 +156,7 @@
 	r.resume(now, false)
 }
 
-// Disconnected tells that an attempt's stream has ended, or could not be opened.
+// Disconnected handles that an attempt's stream has ended or could not be opened.
 func (r *Replica) Disconnected(now time.Duration, attempt uint64, cause error) {
 	if attempt != r.attempt || r.phase == replicaIdle {
 		return
@@ -145,14 +165,14 @@
 	r.connect(now)
 }
 
-// start sets the clocks by the first event.
+// start sets the timers at the first event.
 func (r *Replica) start(now time.Duration) {
 	if !r.started {
 		r.started, r.persistAt = true, now+r.settings.PersistInterval
 	}
 }
 
-// connect tries the best server if there is no stream.
+// connect connects to the best server if there is no stream.
 func (r *Replica) connect(now time.Duration) {
 	if r.phase != replicaIdle {
 		return
@@ -169,7 +189,7 @@
 	r.emit(Connect{r.attempt, server})
 }
 
-// disconnect ends the stream and avoids its server for a while, except where it was not at fault.
+// disconnect ends the stream and backs off from its server, unless the server was not at fault.
 func (r *Replica) disconnect(now time.Duration, why DisconnectReason, cause error) {
 	r.savePartialRepair()
 	switch why {
@@ -184,14 +204,15 @@
 	r.phase = replicaIdle
 }
 
-// savePartialRepair has the next repair begin with what this one has fetched.
+// savePartialRepair lets the next repair start from what this one has fetched.
 func (r *Replica) savePartialRepair() {
 	if r.repair != nil {
 		r.partialRepair, r.repair = r.repair.partial(), nil
 	}
 }
 
-// resume asks for everything behind the replica's position; or, for a repair, to compare buckets.
+// resume requests everything after the replica's position, or a comparison of buckets if repair is
+// set.
 func (r *Replica) resume(now time.Duration, repair bool) {
 	if r.resumesWithoutProgress >= r.settings.MaxResumes {
 		r.disconnect(now, ReasonNoProgress, nil)
@@ -209,8 +230,8 @@
 	})})
 }
 
-// refuse reports a message that does not fit, and has the buckets compared; at once, or when the
-// server wants to be asked again.
+// refuse reports a message that was rejected and starts a repair: at once, or when the server has
+// asked to be called again.
 func (r *Replica) refuse(now time.Duration, err error) {
 	r.counts.Refused++
 	r.emit(ReportError{err})
@@ -219,7 +240,7 @@
 	}
 }
 
-// Tick takes in that time has passed.
+// Tick handles the passing of time.
 func (r *Replica) Tick(now time.Duration) {
 	r.start(now)
 	switch {
@@ -231,7 +252,7 @@
 	case r.awaitingAnswer() && now-r.lastProgressAt >= r.settings.ProgressTimeout:
 		r.disconnect(now, ReasonNoProgress, nil)
 	case r.phase == replicaRetrying && now >= r.retryAt:
-		r.resumesWithoutProgress = 0 // the server asked for it
+		r.resumesWithoutProgress = 0 // the server has asked for this resume
 		r.resume(now, false)
 	case r.shouldReturn(now):
 		r.disconnect(now, ReasonPreferredServer, nil)
@@ -240,12 +261,12 @@
 	r.persist(now)
 }
 
-// awaitingAnswer tells whether the server owes an answer, or the rest of one.
+// awaitingAnswer reports whether a Resume or a repair has not been answered completely.
 func (r *Replica) awaitingAnswer() bool {
 	return r.phase == replicaResuming || r.phase == replicaRepairing
 }
 
-// silenceTimeout is how long the server may be silent now.
+// silenceTimeout returns how long the server may currently be silent.
 func (r *Replica) silenceTimeout() time.Duration {
 	if r.phase == replicaRepairing || len(r.sums) > 0 {
 		return r.settings.RepairSilenceTimeout
@@ -253,14 +274,14 @@
 	return r.settings.SilenceTimeout
 }
 
-// shouldReturn tells that the replica has been on another server than its first for long enough,
-// and could go back.
+// shouldReturn reports whether the replica has watched another server than its preferred one for
+// long enough, and could go back.
 func (r *Replica) shouldReturn(now time.Duration) bool {
 	best, _, ok := r.candidates.best(now)
 	return ok && r.phase == replicaLive && best.ID != r.server.ID && now >= r.returnAt
 }
 
-// persist has the state written, now and then.
+// persist requests a write of the state if one is due.
 func (r *Replica) persist(now time.Duration) {
 	if r.unpersisted && now >= r.persistAt {
 		r.unpersisted, r.persistAt = false, now+r.settings.PersistInterval
@@ -268,7 +289,7 @@
 	}
 }
 
-// Wake is when Tick is to be called next, if nothing happens before.
+// Wake returns when Tick should be called next if no event comes before.
 func (r *Replica) Wake() time.Duration {
 	wake := never
 	switch r.phase {
@@ -279,7 +300,7 @@
 	case replicaRetrying:
 		wake = min(r.retryAt, r.lastMessageAt+r.silenceTimeout())
 	case replicaLive:
-		// a preferred server is tried again with the first Tick after its time
+		// The return to a preferred server waits for the first Tick after returnAt.
 		wake = r.lastMessageAt + r.silenceTimeout()
 	default:
 		wake = min(r.lastMessageAt+r.silenceTimeout(), r.lastProgressAt+r.settings.ProgressTimeout)
--- a/internal/controlplane/distribution/replica_receive.go
+++ b/internal/controlplane/distribution/replica_receive.go
@@ -7,10 +7,10 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Received takes in what the server of an attempt said.
+// Received handles a message from the server of an attempt.
 func (r *Replica) Received(now time.Duration, attempt uint64, m *distributionpb.WatchResponse) {
 	if attempt != r.attempt || r.phase == replicaIdle || r.phase == replicaConnecting {
-		return // of a stream that was left
+		return // a message of an earlier stream
 	}
 	r.lastMessageAt = now
 	switch response := m.GetResponse().(type) {
@@ -32,8 +32,8 @@
 	r.persist(now)
 }
 
-// handleHeartbeat compares positions: the server's is not to be behind, not to stay ahead, and at
-// the same revision it is to have the same digest.
+// handleHeartbeat compares positions: the server must not be behind the replica or stay ahead of
+// it, and must have the same digest at the same revision.
 func (r *Replica) handleHeartbeat(now time.Duration, m *distributionpb.Heartbeat) {
 	if m.Fleet != r.settings.Fleet {
 		r.disconnect(now, ReasonStreamEnded, &WrongFleetError{Want: r.settings.Fleet, Got: m.Fleet})
@@ -66,27 +66,27 @@
 	r.checkCaughtUp(now, mine, theirs)
 }
 
-// switchForSource leaves a server that has no news of the source, and waits longer and longer
-// before the next is left for that: where the source is silent for all, the fleet must not wander
-// about.
+// switchForSource leaves a server that has not heard from the source. The delay until the next
+// switch of that kind doubles each time: if the source is silent for all servers, the fleet must
+// not keep switching.
 func (r *Replica) switchForSource(now time.Duration) {
-	span := backoffDelay(&r.settings, r.sourceSwitches)
+	delay := backoffDelay(&r.settings, r.sourceSwitches)
 	r.sourceSwitches = min(r.sourceSwitches+1, maxFailures)
-	r.nextSourceSwitchAt = now + jittered(span, r.random)
+	r.nextSourceSwitchAt = now + jittered(delay, r.random)
 	r.disconnect(now, ReasonSourceSilent, nil)
 	r.connect(now)
 }
 
-// checkCaughtUp has the stream resumed where a heartbeat told of a revision and the next one comes
-// without it having come.
+// checkCaughtUp resumes the stream if the revision of the last heartbeat did not arrive before this
+// one.
 func (r *Replica) checkCaughtUp(now time.Duration, mine, theirs Position) {
 	if r.phase == replicaLive && mine.Compare(r.announced) < 0 {
 		r.resume(now, false)
 		return
 	}
 	r.announced = theirs
-	if theirs == mine &&
-		(r.phase == replicaLive || r.phase == replicaResuming && len(r.sums) == 0) {
+	awaitsDeltas := r.phase == replicaLive || r.phase == replicaResuming && len(r.sums) == 0
+	if theirs == mine && awaitsDeltas {
 		r.phase = replicaLive
 		r.recordProgress(now)
 		if r.sourceAge < r.settings.SourceTimeout {
@@ -95,11 +95,12 @@
 	}
 }
 
-// recordProgress forgets the resumes that went before.
+// recordProgress resets the count of resumes without progress.
 func (r *Replica) recordProgress(now time.Duration) {
 	r.resumesWithoutProgress, r.lastProgressAt = 0, now
 }
 
+// handleServerBehind leaves a server that has been behind the replica for too long.
 func (r *Replica) handleServerBehind(now time.Duration) {
 	if r.behindSince == never {
 		r.behindSince = now
@@ -110,6 +111,7 @@
 	}
 }
 
+// handleBehind handles the server's message that the replica is ahead of it.
 func (r *Replica) handleBehind(now time.Duration, m *distributionpb.Position) {
 	theirs, err := PositionFromProto(m)
 	if err != nil {
@@ -121,8 +123,8 @@
 	}
 }
 
-// handleDelta applies a delta on its exact revision. One that comes while buckets are compared is
-// not needed: the server begins at the position of the digests that it answers a Resume with.
+// handleDelta applies a delta to its exact revision. A delta that arrives during a repair is not
+// needed: after it the server goes on from the position of the digests.
 func (r *Replica) handleDelta(now time.Duration, m *distributionpb.Delta) {
 	if r.phase != replicaLive && r.phase != replicaResuming {
 		return
@@ -139,7 +141,7 @@
 		r.phase = replicaLive
 		r.accepted(now, d.Changes)
 	case r.phase == replicaResuming:
-		// It was under way when the Resume was sent, or the digest tells that it can't be resumed.
+		// The delta was in flight when the Resume was sent. A digest mismatch needs a repair.
 		if !errors.As(err, &wrongRevision) && !errors.As(err, &wrongEpoch) {
 			r.refuse(now, err)
 		}
@@ -152,7 +154,7 @@
 	}
 }
 
-// accepted hands on what the state has taken in.
+// accepted delivers and acknowledges changes that were applied to the state.
 func (r *Replica) accepted(now time.Duration, changes []Change) {
 	r.recordProgress(now)
 	r.unpersisted, r.behindSince, r.partialRepair = true, never, nil
@@ -161,8 +163,8 @@
 	r.emit(SendRequest{acknowledgeRequest(at)})
 }
 
-// handleDigests gathers the sums of all buckets, and begins a repair. The position may be of a
-// later epoch; it is not to be earlier than the replica's.
+// handleDigests collects the sums of all buckets and then starts a repair. Their position may be of
+// a later epoch but must not be before the replica's.
 func (r *Replica) handleDigests(now time.Duration, m *distributionpb.BucketDigests) {
 	if r.phase != replicaResuming && r.phase != replicaLive {
 		return
@@ -198,7 +200,7 @@
 	}
 }
 
-// startRepair asks for the buckets that differ.
+// startRepair requests the buckets that differ.
 func (r *Replica) startRepair(now time.Duration) {
 	base := r.partialRepair
 	if base == nil {
@@ -213,13 +215,13 @@
 	}
 }
 
-// handleBuckets takes in some of those that were asked for.
+// handleBuckets applies buckets that were requested.
 func (r *Replica) handleBuckets(now time.Duration, m *distributionpb.Buckets) {
 	if r.phase != replicaRepairing {
 		return
 	}
 	if at, err := PositionFromProto(m.Position); err != nil || at != r.repair.Target() {
-		return // of a repair that was given up
+		return // an answer to an earlier request
 	}
 	for _, b := range m.Buckets {
 		if err := r.repair.Put(b); err != nil {
@@ -234,7 +236,7 @@
 	}
 }
 
-// finishRepair takes a repaired state in.
+// finishRepair replaces the state by the repaired one.
 func (r *Replica) finishRepair(now time.Duration) {
 	next, err := r.repair.Finish()
 	if err != nil {
@@ -247,7 +249,7 @@
 	r.accepted(now, changes)
 }
 
-// handleRetry honours the time after which the server wants to be asked again, and a little more.
+// handleRetry waits as long as the server has asked for, plus jitter.
 func (r *Replica) handleRetry(now time.Duration, m *distributionpb.RetryLater) {
 	if r.phase != replicaResuming && r.phase != replicaLive {
 		return
--- a/internal/controlplane/distribution/replica_settings.go
+++ b/internal/controlplane/distribution/replica_settings.go
@@ -2,37 +2,50 @@
 
 import "time"
 
-// ReplicaSettings are how a replica behaves.
+// ReplicaSettings configure a Replica.
 type ReplicaSettings struct {
-	Fleet       string
-	ID          string // of the replica, the same after a restart
-	Incarnation uint64 // of its process
+	Fleet string
+	// ID identifies the replica and stays the same over restarts.
+	ID string
+	// Incarnation identifies the replica's process.
+	Incarnation uint64
 	Place       Place
 
-	ConnectTimeout time.Duration // a connection that takes longer is given up
-	SilenceTimeout time.Duration // a server that says nothing for so long is left
-	// the same while buckets are compared: a slow link takes long for one message
+	// ConnectTimeout bounds the time to open a stream.
+	ConnectTimeout time.Duration
+	// SilenceTimeout is how long a server may be silent before it is left.
+	SilenceTimeout time.Duration
+	// RepairSilenceTimeout replaces SilenceTimeout during a repair, as one message may take long on
+	// a slow link.
 	RepairSilenceTimeout time.Duration
-	ProgressTimeout      time.Duration // so long a Resume or a repair may go without progress
-	BehindTimeout        time.Duration // so long a server may stay behind the replica
-	// a server that heard nothing of the source for so long is left for another
+	// ProgressTimeout is how long a Resume or a repair may go without progress.
+	ProgressTimeout time.Duration
+	// BehindTimeout is how long a server may stay behind the replica.
+	BehindTimeout time.Duration
+	// SourceTimeout is how long a server may go without hearing from the source before it is left
+	// for another.
 	SourceTimeout time.Duration
 
-	// A server that was left is not tried again for MinBackoff, twice as long after each further
-	// failure, MaxBackoff at most. What is waited is between half of that and all of it.
+	// MinBackoff is the backoff from a server after its first failure. It doubles with each further
+	// failure up to MaxBackoff. The actual delay is between half of that and all of it.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 
-	MaxResumes int // so many on one stream without any progress; then it is left
-	// a RetryLater is honoured up to this, and for MinBackoff at least
+	// MaxResumes is how many times a stream is resumed without progress before it is left.
+	MaxResumes int
+	// MaxRetryDelay is the longest delay of a RetryLater that is honoured; the shortest is
+	// MinBackoff.
 	MaxRetryDelay time.Duration
-	RetryJitter   float64 // a RetryLater is made longer by up to this part
-	// about so long on a server that is not its first: then it tries that again
-	ReturnInterval  time.Duration
-	PersistInterval time.Duration // between two writes of the state file, while there are changes
+	// RetryJitter is the fraction by which a RetryLater's delay is extended at most.
+	RetryJitter float64
+	// ReturnInterval is the average time on another server than the preferred one before that is
+	// tried again.
+	ReturnInterval time.Duration
+	// PersistInterval is the time between two writes of the state file while there are changes.
+	PersistInterval time.Duration
 }
 
-// DefaultReplicaSettings suit DefaultPublisherSettings.
+// DefaultReplicaSettings return settings that match DefaultPublisherSettings.
 func DefaultReplicaSettings(fleet, id string) ReplicaSettings {
 	return ReplicaSettings{
 		Fleet:                fleet,
--- a/internal/controlplane/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -150,7 +150,7 @@
 	return s
 }
 
-// A replica resumes from what it has, and takes deltas in.
+// TestReplicaFollows checks that a replica resumes from its state and applies deltas.
 func TestReplicaFollows(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
@@ -169,8 +169,8 @@
 	}
 }
 
-// A replica without anything is given everything by buckets.
-func TestReplicaBeginsFromNothing(t *testing.T) {
+// TestReplicaStartsWithoutState checks that a replica without a state gets everything by buckets.
+func TestReplicaStartsWithoutState(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	c := newClient(t, NewState())
 	c.connected()
@@ -188,9 +188,10 @@
 	}
 }
 
-// What does not fit is reported by its type and leaves the state as it is; the buckets are compared
-// where the content is wrong, and deltas asked for again where one is missing.
-func TestReplicaRefuses(t *testing.T) {
+// TestReplicaRejectsInvalidMessages checks that an invalid message is reported with its type and leaves the state
+// unchanged, and that it leads to a repair if the content is wrong, or to a resume if a delta is
+// missing.
+func TestReplicaRejectsInvalidMessages(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		edit   func(*Delta)
@@ -233,8 +234,9 @@
 	}
 }
 
-// Resuming that does not help ends, and the server is avoided.
-func TestReplicaGivesAServerUp(t *testing.T) {
+// TestReplicaLeavesServerWithoutProgress checks that resuming without progress ends, with a backoff from the
+// server.
+func TestReplicaLeavesServerWithoutProgress(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
 	bad := *s.Clone().advance(0, []Change{draining("a")})
@@ -257,7 +259,7 @@
 	c.heartbeat(at)
 }
 
-// A time to come back is honoured, and made a little longer.
+// TestReplicaHonoursRetryLater checks that the time to come back is honoured, with jitter.
 func TestReplicaHonoursRetryLater(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := newClient(t, NewState())
@@ -287,8 +289,9 @@
 	}
 }
 
-// A silent server is left, another is resumed from, and messages of the old stream mean nothing.
-func TestReplicaLeavesASilentServer(t *testing.T) {
+// TestReplicaLeavesUnresponsiveServer checks that a silent server is left, another one resumed from, and
+// messages of the old stream ignored.
+func TestReplicaLeavesUnresponsiveServer(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
 	old := c.attempt
@@ -305,8 +308,9 @@
 	c.requireLeft(ReasonUnreachable)
 }
 
-// A server that is behind is given a while, then left; the replica does not go back.
-func TestReplicaIsNotTakenBack(t *testing.T) {
+// TestReplicaNeverGoesBack checks that a server that stays behind is left, and that the replica
+// does not go back.
+func TestReplicaNeverGoesBack(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	older := s.Clone()
 	s.advance(0, []Change{draining("a")})
@@ -328,8 +332,8 @@
 	c.requireAt(s.Position())
 }
 
-// A server that catches up in time is stayed with.
-func TestReplicaWaitsForAServer(t *testing.T) {
+// TestReplicaWaitsForServerToCatchUp checks that a server that catches up in time is kept.
+func TestReplicaWaitsForServerToCatchUp(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	older := s.Clone()
 	s.advance(0, []Change{draining("a")})
@@ -344,7 +348,8 @@
 	}
 }
 
-// A later epoch is taken, by the buckets that differ; an earlier one is not.
+// TestReplicaAndEpochs checks that a later epoch is accepted by the buckets that differ, and an
+// earlier one rejected.
 func TestReplicaAndEpochs(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	c := liveClient(t, s)
@@ -372,7 +377,7 @@
 	c.requireAt(anew.Position())
 }
 
-// Two digests at one revision are reported as what they are, and repaired by buckets.
+// TestReplicaRepairsADivergence checks that two digests at one revision are reported and repaired.
 func TestReplicaRepairsADivergence(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	diverged := stateOf(ready("a", 1), ready("b", 2))
@@ -394,8 +399,9 @@
 	c.requireAt(s.Position())
 }
 
-// A delta that a heartbeat told of and that does not come is asked for.
-func TestReplicaMissesADelta(t *testing.T) {
+// TestReplicaResumesAfterLostDelta checks that a delta that a heartbeat announced and that does not arrive
+// is requested.
+func TestReplicaResumesAfterLostDelta(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
 	c.heartbeatOf(s, 1)
@@ -408,8 +414,9 @@
 	}
 }
 
-// What was fetched before a stream ended is not fetched again.
-func TestReplicaKeepsWhatItFetched(t *testing.T) {
+// TestReplicaKeepsPartialRepair checks that buckets fetched before a stream ended are not fetched
+// again.
+func TestReplicaKeepsPartialRepair(t *testing.T) {
 	var all []Change
 	for n := range 40 {
 		all = append(all, ready(fmt.Sprintf("server-%d", n), 1))
@@ -434,8 +441,8 @@
 	c.requireAt(s.Position())
 }
 
-// A bucket that does not fit is refused, and fetched again.
-func TestReplicaRefusesABucket(t *testing.T) {
+// TestReplicaRejectsInvalidBucket checks that an invalid bucket is rejected and fetched again.
+func TestReplicaRejectsInvalidBucket(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	c := newClient(t, NewState())
 	c.connected()
@@ -451,7 +458,7 @@
 	c.requireAt(s.Position())
 }
 
-// Another fleet's server is left, and named.
+// TestReplicaLeavesAnotherFleet checks that another fleet's server is left with a WrongFleetError.
 func TestReplicaLeavesAnotherFleet(t *testing.T) {
 	c := newClient(t, NewState())
 	c.connected()
@@ -465,7 +472,7 @@
 	}
 }
 
-// Servers that all fail are tried less and less, within bounds.
+// TestReplicaBacksOff checks that servers that all fail are tried at a falling, bounded rate.
 func TestReplicaBacksOff(t *testing.T) {
 	c := newClient(t, NewState())
 	tried := 0
@@ -486,7 +493,8 @@
 	}
 }
 
-// A server without news of the source is left only while there is another to try.
+// TestReplicaLeavesAServerWithoutSource checks that a server without news of the source is left
+// only while there is an alternative.
 func TestReplicaLeavesAServerWithoutSource(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
@@ -516,7 +524,7 @@
 	}
 }
 
-// The state is written now and then, not at each change.
+// TestReplicaPersists checks that the state is written at intervals, not at each change.
 func TestReplicaPersists(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
@@ -534,8 +542,8 @@
 	}
 }
 
-// A replica that had to take another server goes back to its first after a while.
-func TestReplicaReturns(t *testing.T) {
+// TestReplicaReturnsToPreferredServer checks that a replica returns to its preferred server after a while.
+func TestReplicaReturnsToPreferredServer(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := newClient(t, s)
 	c.disconnected()
@@ -550,7 +558,7 @@
 	}
 }
 
-// A server that serves no more is left.
+// TestReplicaLeavesARemovedServer checks that a server that was removed from the list is left.
 func TestReplicaLeavesARemovedServer(t *testing.T) {
 	c := newClient(t, NewState())
 	c.connected()
@@ -562,8 +570,9 @@
 	}
 }
 
-// A server that never answers a Resume is left though it lives.
-func TestReplicaWantsAnAnswer(t *testing.T) {
+// TestReplicaLeavesServerThatDoesNotAnswer checks that a server that sends heartbeats but never answers a Resume is
+// left.
+func TestReplicaLeavesServerThatDoesNotAnswer(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := newClient(t, NewState())
 	c.connected()
@@ -574,8 +583,8 @@
 	c.requireLeft(ReasonNoProgress)
 }
 
-// FuzzReceived: whatever a server says, the replica keeps a state that fits its position, and never
-// goes back.
+// FuzzReceived checks that whatever a server sends, the replica's state matches its position and
+// never goes back.
 func FuzzReceived(f *testing.F) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	next := s.Clone()
@@ -613,7 +622,7 @@
 	})
 }
 
-// Positions are ordered by epoch first.
+// TestPositionOrder checks that positions are ordered by epoch first.
 func TestPositionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Position {
--- a/internal/controlplane/distribution/state.go
+++ b/internal/controlplane/distribution/state.go
@@ -4,15 +4,17 @@
 	"bytes"
 )
 
-// State is a keyed store of records at a position. Copies share what they have in common.
+// State is a keyed store of records at a position. Copies share unmodified buckets.
 type State struct {
 	epoch, revision uint64
-	buckets         []*bucket // BucketCount of them
-	total           Digest    // the sum of all buckets' sums
-	records, bytes  int
+	// buckets has BucketCount elements.
+	buckets []*bucket
+	// total is the sum of all buckets' sums.
+	total          Digest
+	records, bytes int
 }
 
-// NewState is a state without records, at the position without epoch.
+// NewState returns a state without records, at the position without epoch.
 func NewState() *State {
 	s := &State{buckets: make([]*bucket, BucketCount)}
 	for i := range s.buckets {
@@ -21,29 +23,29 @@
 	return s
 }
 
-// Clone gives a copy that is independent of s. It copies one pointer a bucket.
+// Clone returns an independent copy of s. It copies one pointer a bucket.
 func (s *State) Clone() *State {
 	c := *s
 	c.buckets = append([]*bucket(nil), s.buckets...)
 	return &c
 }
 
-// Position is where the state is, with its digest.
+// Position returns the state's position with its digest.
 func (s *State) Position() Position { return Position{s.epoch, s.revision, s.Digest()} }
 
-// Digest is the digest of epoch, revision and all records.
+// Digest returns the digest of epoch, revision and all records.
 func (s *State) Digest() Digest { return stateDigest(s.epoch, s.revision, s.total) }
 
-// Empty tells that nothing was ever said: the state has no epoch.
+// Empty reports whether the state has no epoch, so that nothing was ever applied to it.
 func (s *State) Empty() bool { return s.epoch == 0 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (s *State) Len() int { return s.records }
 
-// Bytes is about what the records take in messages.
+// Bytes returns the approximate size of the records in messages.
 func (s *State) Bytes() int { return s.bytes }
 
-// Get gives the value of a key.
+// Get returns the value of a key.
 func (s *State) Get(kind Kind, id string) (value []byte, ok bool) {
 	b := s.buckets[bucketIndex(kind, id)]
 	at, ok := b.find(&Record{Kind: kind, ID: id})
@@ -53,8 +55,8 @@
 	return b.records[at].Value, true
 }
 
-// Range calls a function for each record of a kind until it returns false, in an order that depends
-// on the content alone.
+// Range calls each for every record of a kind until it returns false, in an order that depends on
+// the content alone.
 func (s *State) Range(kind Kind, each func(Record) bool) {
 	for _, b := range s.buckets {
 		for _, r := range b.records {
@@ -65,9 +67,9 @@
 	}
 }
 
-// Apply takes a delta in. It returns an error and leaves the state as it is where the epoch is
-// another (WrongEpochError), the delta begins elsewhere (WrongRevisionError), a change can't be
-// read (InvalidRecordError), or the result has another digest (DigestMismatchError).
+// Apply applies a delta. It returns an error and leaves the state unchanged if the epoch differs
+// (WrongEpochError), the delta begins at another revision (WrongRevisionError), a change is invalid
+// (InvalidRecordError), or the result has another digest (DigestMismatchError).
 func (s *State) Apply(d *Delta) error {
 	if d.Epoch != s.epoch {
 		return &WrongEpochError{Have: s.epoch, Got: d.Epoch}
@@ -88,14 +90,14 @@
 	return nil
 }
 
-// staged is what changes make of a state.
+// staged is the result of changes that are not committed to a state yet.
 type staged struct {
 	buckets        map[uint32]*bucket
 	total          Digest
 	records, bytes int
 }
 
-// stage works changes out without touching the state.
+// stage computes the result of changes without modifying the state.
 func (s *State) stage(changes []Change) *staged {
 	next := &staged{
 		make(map[uint32]*bucket, min(len(changes), BucketCount)), s.total, s.records, s.bytes,
@@ -117,7 +119,7 @@
 	return next
 }
 
-// commit takes in what was staged.
+// commit installs what was staged.
 func (s *State) commit(next *staged, epoch, revision uint64) {
 	for index, b := range next.buckets {
 		s.buckets[index] = b
@@ -126,9 +128,9 @@
 	s.total, s.records, s.bytes = next.total, next.records, next.bytes
 }
 
-// advance makes the next revision of a state by changes, and gives the delta to it; nil where they
-// change nothing. epoch counts only for a state without one. The changes have been checked, one a
-// key.
+// advance makes the next revision of a state and returns the delta to it, or nil if the changes
+// have no effect. The epoch counts only if the state has none. The changes must have been checked
+// and name each key once.
 func (s *State) advance(epoch uint64, changes []Change) *Delta {
 	effective := make([]Change, 0, len(changes))
 	for _, c := range changes {
@@ -149,7 +151,7 @@
 	return d
 }
 
-// Difference gives the changes that lead from s to another state, one a key, deletions first.
+// Difference returns the changes that lead from s to another state, one a key, deletions first.
 func (s *State) Difference(other *State) []Change {
 	var changes []Change
 	for i, mine := range s.buckets {
@@ -173,8 +175,8 @@
 	return changes
 }
 
-// With gives a copy of the state with changes, one a key, at the same epoch and revision. The state
-// stays as it is. It returns an InvalidRecordError for a change that can't be read or kept.
+// With returns a copy of the state with changes applied, one a key, at the same epoch and revision.
+// It returns an InvalidRecordError for an invalid change.
 func (s *State) With(changes []Change) (*State, error) {
 	for i := range changes {
 		if err := changes[i].check(); err != nil {
--- a/internal/controlplane/distribution/state_test.go
+++ b/internal/controlplane/distribution/state_test.go
@@ -93,8 +93,8 @@
 
 func testRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// A state keeps what a plain map would, and its digest and counts depend on its content and
-// position alone.
+// TestStateIsAMapWithADigest checks a state against a map, and that its digest and counts depend on
+// its content and position alone.
 func TestStateIsAMapWithADigest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, model := NewState(), map[string]string{}
@@ -124,9 +124,9 @@
 	})
 }
 
-// A delta leads another copy to the same position; damaged in any one place it is refused, and the
-// copy stays.
-func TestDeltaIsAppliedWholeOrNotAtAll(t *testing.T) {
+// TestDeltaIsAppliedAtomically checks that a delta leads a copy to the same position, and that
+// one damaged in any place is rejected and changes nothing.
+func TestDeltaIsAppliedAtomically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		s.advance(testEpoch, drawChanges(t))
@@ -186,8 +186,8 @@
 	t.Fatalf("an error without a type: %v", err)
 }
 
-// Each reason to refuse a delta has its error, which names what was wrong.
-func TestRefusedDeltas(t *testing.T) {
+// TestRejectedDeltas checks the error for each reason to reject a delta.
+func TestRejectedDeltas(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
 	next := s.Clone()
@@ -285,7 +285,8 @@
 	}
 }
 
-// The digest is a part of the protocol and of files on disk: it stays what it is.
+// TestDigestIsPinned checks that the digest, which is part of the protocol and of files, does not
+// change.
 func TestDigestIsPinned(t *testing.T) {
 	s := NewState()
 	s.advance(
@@ -304,7 +305,7 @@
 	}
 }
 
-// Keys and values that run into one another have different hashes.
+// TestHashesTellKeysFromValues checks that moving bytes between key and value changes the hash.
 func TestHashesTellKeysFromValues(t *testing.T) {
 	seen := map[Digest]Record{}
 	for _, r := range []Record{
@@ -321,7 +322,7 @@
 	}
 }
 
-// Difference leads from any state to any other.
+// TestDifferenceLeadsToTheOther checks that Difference leads from any state to any other.
 func TestDifferenceLeadsToTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
@@ -338,7 +339,7 @@
 	})
 }
 
-// Deletions come first in a delta, then draining servers.
+// TestUrgentChangesComeFirst checks that deletions come first in a delta, then draining servers.
 func TestUrgentChangesComeFirst(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("z-gone", 1)})
@@ -363,7 +364,7 @@
 	}
 }
 
-// A clone and the state it was made of change independently, and a read one is not touched.
+// TestCloneIsIndependent checks that a clone and its original change independently.
 func TestCloneIsIndependent(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1)})
@@ -378,7 +379,7 @@
 	}
 }
 
-// Range gives the records of one kind, and stops where it is told.
+// TestRange checks that Range returns the records of one kind and stops when asked to.
 func TestRange(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch,
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -8,10 +8,11 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// stateFileFormat is raised when the file, a digest or the buckets come to mean something else.
+// stateFileFormat must be incremented if the meaning of the file, of a digest or of the buckets
+// changes.
 const stateFileFormat = 1
 
-// EncodeStateFile gives a state as it lies on disk. The digest of its position is the file's
+// EncodeStateFile returns the content of a state file. The digest of its position serves as the
 // checksum.
 func EncodeStateFile(fleet string, s *State) []byte {
 	return encode(&distributionpb.StateFile{
@@ -22,7 +23,7 @@
 	})
 }
 
-// DecodeStateFile reads what EncodeStateFile wrote. It returns a WrongFleetError for another
+// DecodeStateFile reads what EncodeStateFile returned. It returns a WrongFleetError for another
 // fleet's file, and an InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged
 // one.
 func DecodeStateFile(fleet string, raw []byte) (*State, error) {
@@ -57,7 +58,7 @@
 	return to
 }
 
-// stateFromProto makes a state of its records, and verifies the position's digest.
+// stateFromProto builds a state from its records and verifies the position's digest.
 func stateFromProto(at *distributionpb.Position, records []*distributionpb.Record) (*State, error) {
 	position, err := PositionFromProto(at)
 	if err != nil {
--- a/internal/controlplane/distribution/stream.go
+++ b/internal/controlplane/distribution/stream.go
@@ -5,36 +5,40 @@
 	"time"
 )
 
-// streamPhase is what a stream waits for.
+// streamPhase is what a stream is waiting for.
 type streamPhase int
 
 const (
-	phaseOpened   streamPhase = iota // the replica's Resume
-	phaseAhead                       // this server to reach the replica's position
-	phaseRetrying                    // the replica's Resume, after a time
-	phaseDigests                     // digests are to be sent
-	phaseFetching                    // the replica's FetchBuckets
-	phaseBuckets                     // buckets are to be sent
-	phaseLive                        // changes
+	phaseOpened   streamPhase = iota // for the replica's first Resume
+	phaseAhead                       // for this server to reach the replica's position
+	phaseRetrying                    // for the replica's Resume after a delay
+	phaseDigests                     // to be sent digests
+	phaseFetching                    // for the replica's FetchBuckets
+	phaseBuckets                     // to be sent buckets
+	phaseLive                        // for changes
 )
 
-// stream is what a Publisher knows of one.
+// stream is the publisher's view of one stream.
 type stream struct {
-	id             StreamID
-	replica        string
-	phase          streamPhase
-	writable       bool
-	position       Position // up to which it was sent everything
-	acknowledged   uint64
-	controlQueue   []*Message // small ones that are due, at most one of a sort
-	heartbeatDue   bool       // a heartbeat is due
-	retryAt        time.Duration
-	pinned         *pinnedState
-	digestsSent    int      // messages of digests that were sent
-	pendingBuckets []uint32 // still to be sent
+	id       StreamID
+	replica  string
+	phase    streamPhase
+	writable bool
+	// position is the position up to which everything was sent.
+	position     Position
+	acknowledged uint64
+	// controlQueue has the small messages that are due, at most one of each type.
+	controlQueue []*Message
+	heartbeatDue bool
+	retryAt      time.Duration
+	pinned       *pinnedState
+	// digestsSent counts the messages of digests that were sent.
+	digestsSent int
+	// pendingBuckets are the indexes of the buckets still to be sent.
+	pendingBuckets []uint32
 }
 
-// pinnedState is a state that resyncs are served from, while the newest goes on.
+// pinnedState is a state that resyncs are served from while newer states are published.
 type pinnedState struct {
 	state    *State
 	position Position
@@ -43,11 +47,11 @@
 
 func compareStreams(a, b *stream) int { return cmp.Compare(a.id, b.id) }
 
-// needsBulk tells whether digests or buckets are to be sent.
+// needsBulk reports whether digests or buckets should be sent.
 func (s *stream) needsBulk() bool { return s.phase == phaseDigests || s.phase == phaseBuckets }
 
-// send adds a message to those that go out, if there is one; the stream takes no other before it
-// was sent.
+// send appends a message, if there is one, and marks the stream as not writable until Sent is
+// called.
 func (s *stream) send(sends []Send, m *Message) []Send {
 	if m == nil {
 		return sends
--- a/internal/controlplane/distribution/together_test.go
+++ b/internal/controlplane/distribution/together_test.go
@@ -110,10 +110,10 @@
 	w.act()
 }
 
-// Any interleaving of changes, messages, losses, damage, resumes, compactions, restarts of the
-// server and of the replica ends, after quiet, with the same digest and with what the gateway was
-// told.
-func TestAnyInterleavingEndsAtTheSameDigest(t *testing.T) {
+// TestAnyInterleavingConverges checks that any interleaving of changes, messages, losses,
+// damage, resumes, compactions and restarts converges to the same digest, and that the gateway was
+// delivered the same content.
+func TestAnyInterleavingConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultPublisherSettings(testFleet)
 		settings.Log.Entries = rapid.IntRange(1, 10).Draw(t, "log")
--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// load gives the state that the last process wrote down, or an empty one.
+// load returns the state that the last process wrote down, or an empty one.
 func (c *Client) load() *distribution.State {
 	if c.file.path == "" {
 		return distribution.NewState()
@@ -234,7 +234,7 @@
 	c.attempt.announced = position
 }
 
-// current tells whether the replica has all that its server has, but for what is newer than the
+// current reports whether the replica has all that its server has, but for what is newer than the
 // heartbeat before: amid changes a heartbeat may come ahead of the delta that leads to its
 // position.
 func (c *Client) current(position distribution.Position) bool {
--- a/internal/controlplane/distributor/client_test.go
+++ b/internal/controlplane/distributor/client_test.go
@@ -133,7 +133,7 @@
 }
 
 // Many replicas that come from nothing at once are let in a few at a time, and all get the state.
-func TestHerdFromNothing(t *testing.T) {
+func TestManyReplicasStartWithoutState(t *testing.T) {
 	const replicas = 100
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.MaxResyncs = 2
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -78,7 +78,7 @@
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	command := &distributionpb.Command{Term: 1, Epoch: 1, Whole: !s.begun, Changes: changes}
+	command := &distributionpb.Command{Term: 1, Epoch: 1, Complete: !s.begun, Changes: changes}
 	s.begun = true
 	raw, err := proto.Marshal(command)
 	if err != nil {
--- a/internal/controlplane/distributor/fault.go
+++ b/internal/controlplane/distributor/fault.go
@@ -17,7 +17,7 @@
 	faultDamageDelta = "distribution-damage-delta" // denied: deltas come out as they were made
 )
 
-// sentBytes gives the bytes that go out for a message: its own, but for the faults of a rig.
+// sentBytes returns the bytes that go out for a message: its own, but for the faults of a rig.
 func sentBytes(message *distribution.Message) []byte {
 	delta := message.Response.GetDelta()
 	if !failpoint.Built || delta == nil {
@@ -31,7 +31,7 @@
 	return damagedBytes(message.Response)
 }
 
-// damagedBytes gives the bytes of a delta whose content is other than its digest says, and which
+// damagedBytes returns the bytes of a delta whose content is other than its digest says, and which
 // can still be read.
 func damagedBytes(response *distributionpb.WatchResponse) []byte {
 	copied := proto.CloneOf(response)
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -210,7 +210,7 @@
 	case !p.firstOfTerm:
 		command.Changes = p.changesFor(maps.Keys(p.changed))
 	case p.proposedComplete || replica == nil || replica.Empty() || p.refusals >= maxBaseRefusals:
-		p.proposedComplete, command.Whole = true, true
+		p.proposedComplete, command.Complete = true, true
 		command.Changes = p.changesFor(maps.Keys(p.values))
 	default:
 		p.addDifference(replica)
--- a/internal/controlplane/distributor/publish_test.go
+++ b/internal/controlplane/distributor/publish_test.go
@@ -24,11 +24,11 @@
 	}
 }
 
-// show gives a command's changes in short.
+// show returns a command's changes in short.
 func show(t *testing.T, command *distributionpb.Command) string {
 	t.Helper()
 	var text []string
-	if command.Whole {
+	if command.Complete {
 		text = append(text, "whole")
 	}
 	for _, change := range command.Changes {
@@ -45,7 +45,7 @@
 	return strings.Join(text, " ")
 }
 
-// show gives what the fleet is to agree on, in short.
+// show returns what the fleet is to agree on, in short.
 func (p *pendingChanges) show(t *testing.T, replica *distribution.State) string {
 	t.Helper()
 	return show(t, p.command(5, replica))
@@ -153,7 +153,7 @@
 
 // A whole list whose outcome is not known is followed by a whole list, whatever the replica has by
 // then.
-func TestWholeListStaysWhole(t *testing.T) {
+func TestCompleteListStaysComplete(t *testing.T) {
 	a, b := member("a", registry.Ready), member("b", registry.Ready)
 	p := newPendingChanges(quiet)
 	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a}})
@@ -165,7 +165,7 @@
 }
 
 // A server of which no record can be made holds up no other.
-func TestBadServersArePassedOver(t *testing.T) {
+func TestInvalidServersAreSkipped(t *testing.T) {
 	var log logBuffer
 	p := newPendingChanges(logTo(&log))
 	long := strings.Repeat("x", distribution.MaxIDBytes+1)
--- a/internal/controlplane/distributor/server_test.go
+++ b/internal/controlplane/distributor/server_test.go
@@ -102,7 +102,7 @@
 }
 
 // A replica of another fleet, and a request that is none, end the stream with a line that says why.
-func TestBadRequestsAreRefused(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	s := newTestServer(t, nil)
 	for _, request := range []*distributionpb.WatchRequest{resume("other"), {}} {
 		stream := watch(t, s.address)
@@ -154,7 +154,7 @@
 
 // A stream that is not read for a while holds up nobody else. What it gets then follows without a
 // gap, up to where the server no longer has what lies between, and sends digests.
-func TestAReaderThatPauses(t *testing.T) {
+func TestPausedReaderGetsMergedChanges(t *testing.T) {
 	// More than a stream's window ever holds.
 	const changes, addressBytes, logged = 600, 32 << 10, 8
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
--- a/internal/controlplane/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -139,7 +139,7 @@
 const silentLong = time.Minute
 
 // The list is told whole once, and then only what changed, deletions first.
-func TestSourceTellsChanges(t *testing.T) {
+func TestSourceNotifiesOfChanges(t *testing.T) {
 	s := newTestServer(t, nil)
 	s.agree(set("a", "127.0.0.1:1"), set("b", "127.0.0.1:2"))
 	direct := &directRegister{}
@@ -154,7 +154,7 @@
 
 // A process that hears nothing of the source watches the register itself, and has the fleet's list
 // whole again once it hears; what moves, moves then and later.
-func TestSourceWatchesByItself(t *testing.T) {
+func TestSourceFallsBackToDirectWatch(t *testing.T) {
 	const silent = 400 * time.Millisecond
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.HeartbeatInterval = 20 * time.Millisecond
@@ -183,7 +183,7 @@
 
 // A watch of the register that told nothing changes nothing: when the fleet's list is heard again,
 // only what has changed meanwhile is told.
-func TestAWatchThatToldNothingChangesNothing(t *testing.T) {
+func TestSilentDirectWatchChangesNothing(t *testing.T) {
 	const silent = 400 * time.Millisecond
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.HeartbeatInterval = 20 * time.Millisecond
--- a/internal/controlplane/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -29,7 +29,7 @@
 	warnedVoter string    // the voter that was named in the log
 }
 
-// ready tells whether entries may be proposed. It asks the voters now and then until a majority
+// ready reports whether entries may be proposed. It asks the voters now and then until a majority
 // knows of the distribution, and none that answers doesn't. One that doesn't answer is not waited
 // for: it holds up nobody but itself.
 func (s *voterSupport) ready(ctx context.Context) bool {
--- a/internal/controlplane/distributor/support_test.go
+++ b/internal/controlplane/distributor/support_test.go
@@ -14,7 +14,7 @@
 
 // Nothing is proposed while a voter answers that knows nothing of the distribution, or no majority
 // is known to know it. One that doesn't answer is not waited for.
-func TestOlderVotersAreSpared(t *testing.T) {
+func TestNothingIsProposedWithOlderVoters(t *testing.T) {
 	s, other := newTestServer(t, nil), newTestServer(t, nil)
 	older := controlrpc.NewServer(context.Background(), fleet, nil, nil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// take gives all that waits.
+// take returns all that waits.
 func (q *updateQueue) take() []distribution.Update {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/plans/change.go
+++ b/internal/plans/change.go
@@ -16,7 +16,7 @@
 	RemovedCustomers []uint64
 }
 
-// Empty tells that nothing changes.
+// Empty reports that nothing changes.
 func (c *Changes) Empty() bool {
 	return len(c.Plans)+len(c.RemovedPlans)+len(c.Assignments)+len(c.RemovedCustomers) == 0
 }
--- a/internal/plans/file.go
+++ b/internal/plans/file.go
@@ -77,7 +77,7 @@
 // PlanNames are the names of all plans.
 func (b *Catalog) PlanNames() []string { return b.names }
 
-// Plan gives the terms of a plan at a time.
+// Plan returns the terms of a plan at a time.
 func (b *Catalog) Plan(name string, t Time) (v Version, ok bool) {
 	for i, n := range b.names {
 		if n != name {
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -167,7 +167,7 @@
 	return h, true
 }
 
-// Carry gives the levels of a customer's two stores under new terms. What was spent stays spent: a
+// Carry returns the levels of a customer's two stores under new terms. What was spent stays spent: a
 // store that lacks so many units of its old burst lacks as many of its new one. A downgrade below
 // what is used leaves it under nothing, to fill at the new rate; and back again it holds what it
 // held. No order of changes grants a unit more than the terms in force did.
@@ -182,7 +182,7 @@
 	return to - (from - level)
 }
 
-// Tighter gives terms that keep both: those in force while some gateways have not heard of the
+// Tighter returns terms that keep both: those in force while some gateways have not heard of the
 // newer ones yet.
 func Tighter(a, b Terms) Terms {
 	return Terms{
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -20,7 +20,7 @@
 
 var hundred = bytes.Repeat([]byte("v"), 100)
 
-// keyOf gives 16 bytes that come in no order.
+// keyOf returns 16 bytes that come in no order.
 func keyOf(i int) []byte {
 	return fmt.Appendf(nil, "%016x", hash(littleEndian.AppendUint64(nil, uint64(i))))
 }
--- a/internal/storage/store/check.go
+++ b/internal/storage/store/check.go
@@ -287,7 +287,7 @@
 	}
 }
 
-// hidden tells whether a gap of a newer run may have held another value of a key.
+// hidden reports whether a gap of a newer run may have held another value of a key.
 func hidden(newer [][]gap, key []byte) bool {
 	for _, gaps := range newer {
 		for _, g := range gaps {
--- a/internal/storage/store/commit.go
+++ b/internal/storage/store/commit.go
@@ -107,7 +107,7 @@
 // maxGroupBytes is how many bytes of batches share a write, beside the first.
 const maxGroupBytes = 4 << 20
 
-// takeGroup gives the batches that are written together: the leader's and those that wait in line
+// takeGroup returns the batches that are written together: the leader's and those that wait in line
 // with no other work between.
 func (s *Store) takeGroup(c *commit) []*commit {
 	s.mu.Lock()
--- a/internal/storage/store/export_test.go
+++ b/internal/storage/store/export_test.go
@@ -9,7 +9,7 @@
 	return len(s.queue)
 }
 
-// AsVersion gives a file of another version, whole in itself.
+// AsVersion returns a file of another version, whole in itself.
 func AsVersion(file []byte, v uint32) []byte {
 	b := slices.Clone(file)
 	littleEndian.PutUint32(b[8:], v)
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -78,7 +78,7 @@
 func segmentName(id uint64) string { return fmt.Sprintf("%016x.log", id) }
 func runName(id uint64) string     { return fmt.Sprintf("%016x.idx", id) }
 
-// isStoreFile tells whether a store could have made a file of that name.
+// isStoreFile reports whether a store could have made a file of that name.
 func isStoreFile(name string) bool {
 	var id uint64
 	var ext string
@@ -203,7 +203,7 @@
 
 func (r record) size() int64 { return recordHeaderBytes + int64(r.keyBytes) + int64(r.valueBytes) }
 
-// batchHeader gives the head of a batch; the segment is in its checksum, so that a
+// batchHeader returns the head of a batch; the segment is in its checksum, so that a
 // batch of another segment is not taken for one of this.
 func batchHeader(segment, seq uint64, count uint32, body []byte) []byte {
 	b := make([]byte, 0, batchHeaderBytes)
@@ -313,7 +313,7 @@
 	return littleEndian.AppendUint32(b, checksum(littleEndian.AppendUint64(nil, store), b))
 }
 
-// readMark gives the later slot that can be read; without one ok is false.
+// readMark returns the later slot that can be read; without one ok is false.
 func readMark(f File, store uint64) (m syncMark, ok bool) {
 	if _, err := readHeader(f, markName, kindMark, store, 0); err != nil {
 		return m, false
--- a/internal/storage/store/overlay.go
+++ b/internal/storage/store/overlay.go
@@ -36,7 +36,7 @@
 	return location{}, false
 }
 
-// with gives a treap in which the key stands at a location, and where it stood before. Nodes of the
+// with returns a treap in which the key stands at a location, and where it stood before. Nodes of the
 // same epoch were made by the same change and are nobody else's yet: they are turned in place, all
 // others copied.
 func (n *node) with(
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// read gives a record whole and checked.
+// read returns a record whole and checked.
 func (s *segment) read(at location) (b []byte, r record, err error) {
 	b = make([]byte, at.size)
 	if _, err := s.f.ReadAt(b, at.offset); err != nil {
--- a/internal/testing/harness/audit.go
+++ b/internal/testing/harness/audit.go
@@ -53,7 +53,7 @@
 	AttemptsOver         int // tries with more attempts than a request may have
 }
 
-// OK tells whether no rule was broken.
+// OK reports whether no rule was broken.
 func (v *Verdict) OK() bool {
 	for _, n := range v.Broken {
 		if n > 0 {
@@ -89,7 +89,7 @@
 	return v
 }
 
-// killedDuring tells whether a gateway was being killed outright in a span. A kill lasts from the
+// killedDuring reports whether a gateway was being killed outright in a span. A kill lasts from the
 // signal until the process has ended: on a busy machine that takes a while, in which the system
 // still takes connections for it.
 func killedDuring(rec *Record, gateway int, from, to time.Duration) bool {
@@ -115,7 +115,7 @@
 // resumeGracePeriod is for how long what a gateway does may still come of its having been stopped.
 const resumeGracePeriod = time.Second
 
-// pausedDuring tells whether a gateway lay stopped in a span, or had just been woken.
+// pausedDuring reports whether a gateway lay stopped in a span, or had just been woken.
 func pausedDuring(rec *Record, gateway int, from, to time.Duration) bool {
 	paused := time.Duration(-1)
 	for _, l := range rec.ProcessEvents {
--- a/internal/testing/harness/site.go
+++ b/internal/testing/harness/site.go
@@ -79,7 +79,7 @@
 	seen map[string]time.Duration
 }
 
-// Remember tells whether a key's effect happens now, and keeps it for the window.
+// Remember reports whether a key's effect happens now, and keeps it for the window.
 func (s *Site) Remember(key string, now, window time.Duration) bool {
 	k := &s.keys
 	k.mu.Lock()
--- a/sim/around.go
+++ b/sim/around.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// knowsStart tells whether a gateway has been told of a server's present start.
+// knowsStart reports whether a gateway has been told of a server's present start.
 func (r *registry) knowsStart(gateway int, sv *server) bool {
 	boot := &r.w.Record.ServerStarts[sv.startIndex]
 	return !boot.SlowStart ||
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -51,7 +51,7 @@
 // publish appends a command, and has the model take it in if its term is the newest. A change
 // without value is a deletion.
 func (l *lineage) publish(who lease.Member, term uint64, whole bool, changes records) {
-	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Whole: whole}, changes)
+	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Complete: whole}, changes)
 	if term == l.term && who == l.owner {
 		l.model(whole, changes)
 	}
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// blocked tells whether nothing passes.
+// blocked reports whether nothing passes.
 func (w *World) blocked(l *link) bool { return l.cut || w.now < l.server.cutUntil }
 
 // breakLink ends a stream; both sides hear of it unless nothing passes.
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// current tells whether a link's replica had everything before a delta, and nothing was ever wrong
+// current reports whether a link's replica had everything before a delta, and nothing was ever wrong
 // with the link: a request that was lost shows later.
 func (w *World) current(l *link, d *distribution.Delta) bool {
 	r := l.replica
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -187,7 +187,7 @@
 	return f
 }
 
-// Mutate gives a schedule that differs a little.
+// Mutate returns a schedule that differs a little.
 func (s Schedule) Mutate(r *rand.Rand) Schedule {
 	s.Faults = slices.Clone(s.Faults)
 	for range 1 + r.IntN(3) {
--- a/sim/search.go
+++ b/sim/search.go
@@ -138,7 +138,7 @@
 	return found, nil
 }
 
-// Shrink gives the shortest schedule found that still breaks the rule: faults are left
+// Shrink returns the shortest schedule found that still breaks the rule: faults are left
 // out, the run ends sooner, and what the world has beyond the plain is taken away.
 func (s Schedule) Shrink(rule string) Schedule {
 	return s.shrink(func(t Schedule) bool {
--- a/sim/server.go
+++ b/sim/server.go
@@ -104,7 +104,7 @@
 	sv.startQueued()
 }
 
-// overloaded tells whether it has been sent more than it can bear while cold, and whether
+// overloaded reports whether it has been sent more than it can bear while cold, and whether
 // two thirds of that came from gateways that had been told of its start.
 func (sv *server) overloaded(a harness.Attempt) (over, told bool) {
 	s := sv.w.Site
