--- a/internal/controlplane/distribution/doc.go
+++ b/internal/controlplane/distribution/doc.go
@@ -1,5 +1,5 @@
-// Package distribution carries the control state of a fleet (the list of servers, plans and tenants)
-// from the replicated log to every gateway as differences.
+// Package distribution carries the control state of a fleet (the list of servers, plans and
+// tenants) from the replicated log to every gateway as differences.
 //
 // The parts, in the order in which a change passes them:
 //
@@ -8,14 +8,15 @@
 //   - ChangeLog holds a server's newest deltas, bounded, so that a replica can resume.
 //   - Publisher decides what a server sends on which stream, and when.
 //   - Replica decides for a gateway which server it watches, what it applies and what it requests.
-//   - Repair brings a diverged or outdated State up to date by fetching only the buckets that differ.
+//   - Repair brings a diverged or outdated State up to date by fetching only the buckets that
+//     differ.
 //
 // # Positions
 //
-// A Position is (epoch, revision, digest). The epoch identifies a lineage of revisions. It is set by
-// the first command that a fleet's machine applies, and a fleet that is created anew gets a greater
-// one. Positions are ordered by epoch, then revision. Terms of the source can't order epochs, as a
-// new fleet counts its terms from one again.
+// A Position is (epoch, revision, digest). The epoch identifies a lineage of revisions. It is set
+// by the first command that a fleet's machine applies, and a fleet that is created anew gets a
+// greater one. Positions are ordered by epoch, then revision. Terms of the source can't order
+// epochs, as a new fleet counts its terms from one again.
 //
 // # Guarantees
 //
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -100,15 +100,16 @@
 	return m.state.advance(command.Epoch, changes), nil
 }
 
+// firstOfTermReason is why a first command of a term without a base is rejected.
+const firstOfTermReason = "the first of a term has to be the complete state, " +
+	"or to say what it is a difference to"
+
 // checkBase rejects the first command of a term if it is a difference from another position than
 // the state's. The last command of an earlier leader may have been committed after the new leader
 // had read the state.
 func (m *Machine) checkBase(base *distributionpb.Position) error {
 	if base.GetEpoch() == 0 {
-		return &InvalidMessageError{
-			"command",
-			"the first of a term has to be the complete state, or to say what it is a difference to",
-		}
+		return &InvalidMessageError{"command", firstOfTermReason}
 	}
 	at, err := PositionFromProto(base)
 	if err != nil {
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -29,10 +29,10 @@
 
 func command(term, epoch uint64, whole bool, changes ...Change) []byte {
 	return encode(&distributionpb.Command{
-		Term:    term,
-		Epoch:   epoch,
-		Complete:   whole,
-		Changes: ChangesProto(changes),
+		Term:     term,
+		Epoch:    epoch,
+		Complete: whole,
+		Changes:  ChangesProto(changes),
 	})
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestMachineAppliesCompleteListAsDifference checks that a new term's complete list is applied as its
-// difference, and that no change makes no revision.
+// TestMachineAppliesCompleteListAsDifference checks that a new term's complete list is applied as
+// its difference, and that no change makes no revision.
 func TestMachineAppliesCompleteListAsDifference(t *testing.T) {
 	m, fence, updates := newTestMachine()
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestMachineAcceptsDifferenceFromItsPosition checks that a new term may begin with a difference from
-// the machine's position, and from no other.
+// TestMachineAcceptsDifferenceFromItsPosition checks that a new term may begin with a difference
+// from the machine's position, and from no other.
 func TestMachineAcceptsDifferenceFromItsPosition(t *testing.T) {
 	m, fence, updates := newTestMachine()
 	begin := func(term uint64, base Position, changes ...Change) string {
@@ -94,8 +94,8 @@
 			Term: term, Epoch: testEpoch, Base: base.Proto(), Changes: ChangesProto(changes),
 		})))
 	}
-	if answer := begin(1, m.State().Position(),
-		ready("a", 1)); !strings.Contains(answer, "complete state") {
+	answer := begin(1, m.State().Position(), ready("a", 1))
+	if !strings.Contains(answer, "complete state") {
 		t.Errorf("a lineage begins with a difference: %q", answer)
 	}
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1), ready("b", 1)))
@@ -105,8 +105,8 @@
 	other := m.State().Position()
 	other.Digest.Low++
 	for _, base := range []Position{old, other} {
-		if answer := begin(2, base, draining("a")); !strings.Contains(answer,
-			"a term begins with a difference to") {
+		answer := begin(2, base, draining("a"))
+		if !strings.Contains(answer, "a term begins with a difference to") {
 			t.Errorf("%v is taken: %q", base, answer)
 		}
 	}
@@ -144,7 +144,7 @@
 	requireTaken(t, m, command(1, testEpoch, true, ready("a", 1)))
 	refused(command(1, 0, false, Change{Record: Record{KindServer, "x", []byte{0xff}}}), `"x"`)
 	refused(command(1, 0, false, ready("a", 2), deleted("a")), "two changes of one key")
-	refused(command(1, 0, true, deleted("a")), "deleted in a whole")
+	refused(command(1, 0, true, deleted("a")), "deleted in a complete")
 	fence.term = 2
 	refused(command(1, 0, false, deleted("a")), "term")
 	refused(command(2, 0, false, deleted("a")), "complete state")
@@ -170,7 +170,9 @@
 				}
 			}
 			body := command(fence.term, testEpoch, whole, changes...)
-			if a, b := m.Apply(0, 0, watcher, body), other.Apply(0, 0, watcher, body); !bytes.Equal(a, b) {
+			a := m.Apply(0, 0, watcher, body)
+			b := other.Apply(0, 0, watcher, body)
+			if !bytes.Equal(a, b) {
 				t.Fatalf("%q and %q", a, b)
 			}
 			if rapid.Bool().Draw(t, "restored") {
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestPublisherLimitsResyncs checks that few resyncs run at a time, that others get times that spread
-// them, and that one that comes early keeps its time.
+// TestPublisherLimitsResyncs checks that few resyncs run at a time, that others get times that
+// spread them, and that one that comes early keeps its time.
 func TestPublisherLimitsResyncs(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxResyncs = 3 }, ready("a", 1))
 	var last time.Duration
@@ -378,7 +378,8 @@
 	}
 }
 
-// TestPublisherRejectsInvalidRequests checks that an invalid request is answered with a typed error.
+// TestPublisherRejectsInvalidRequests checks that an invalid request is answered with a typed
+// error.
 func TestPublisherRejectsInvalidRequests(t *testing.T) {
 	s := newServing(t, func(p *PublisherSettings) { p.MaxStreams = 1 }, ready("a", 1))
 	s.open(1, NewState().Position(), false)
--- a/internal/controlplane/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -188,9 +188,9 @@
 	}
 }
 
-// TestReplicaRejectsInvalidMessages checks that an invalid message is reported with its type and leaves the state
-// unchanged, and that it leads to a repair if the content is wrong, or to a resume if a delta is
-// missing.
+// TestReplicaRejectsInvalidMessages checks that an invalid message is reported with its type and
+// leaves the state unchanged, and that it leads to a repair if the content is wrong, or to a resume
+// if a delta is missing.
 func TestReplicaRejectsInvalidMessages(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestReplicaLeavesServerWithoutProgress checks that resuming without progress ends, with a backoff from the
-// server.
+// TestReplicaLeavesServerWithoutProgress checks that resuming without progress ends, with a backoff
+// from the server.
 func TestReplicaLeavesServerWithoutProgress(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
@@ -289,8 +289,8 @@
 	}
 }
 
-// TestReplicaLeavesUnresponsiveServer checks that a silent server is left, another one resumed from, and
-// messages of the old stream ignored.
+// TestReplicaLeavesUnresponsiveServer checks that a silent server is left, another one resumed
+// from, and messages of the old stream ignored.
 func TestReplicaLeavesUnresponsiveServer(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
@@ -399,8 +399,8 @@
 	c.requireAt(s.Position())
 }
 
-// TestReplicaResumesAfterLostDelta checks that a delta that a heartbeat announced and that does not arrive
-// is requested.
+// TestReplicaResumesAfterLostDelta checks that a delta that a heartbeat announced and that does not
+// arrive is requested.
 func TestReplicaResumesAfterLostDelta(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := liveClient(t, s)
@@ -542,7 +542,8 @@
 	}
 }
 
-// TestReplicaReturnsToPreferredServer checks that a replica returns to its preferred server after a while.
+// TestReplicaReturnsToPreferredServer checks that a replica returns to its preferred server after a
+// while.
 func TestReplicaReturnsToPreferredServer(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := newClient(t, s)
@@ -570,8 +571,8 @@
 	}
 }
 
-// TestReplicaLeavesServerThatDoesNotAnswer checks that a server that sends heartbeats but never answers a Resume is
-// left.
+// TestReplicaLeavesServerThatDoesNotAnswer checks that a server that sends heartbeats but never
+// answers a Resume is left.
 func TestReplicaLeavesServerThatDoesNotAnswer(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	c := newClient(t, NewState())
--- a/internal/controlplane/distribution/state_test.go
+++ b/internal/controlplane/distribution/state_test.go
@@ -138,7 +138,8 @@
 		raw := d.Encode()
 		if rapid.Bool().Draw(t, "damaged") {
 			damaged := bytes.Clone(raw)
-			damaged[rapid.IntRange(0, len(raw)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+			at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
+			damaged[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 			before, had := copied.Position(), content(copied)
 			broken, err := DecodeDelta(damaged)
 			if err == nil {
