--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"testing"
 
 	"go.etcd.io/raft/v3/raftpb"
@@ -11,44 +9,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// process has a voter save and answer what it has to, and gives the messages that it sends.
-func (w *threeVoters) process(n *Node) (messages []*raftpb.Message) {
-	w.t.Helper()
-	for {
-		if _, ok := n.Ready(w.now); !ok {
-			return messages
-		}
-		sent, err := n.Advance(w.now)
-		if err != nil {
-			w.t.Fatal(err)
-		}
-		messages = append(messages, sent...)
-	}
-}
-
-// deliver has messages arrive at the other voters, and gives what these send in return.
-func (w *threeVoters) deliver(messages []*raftpb.Message) (returned []*raftpb.Message) {
-	w.t.Helper()
-	for _, m := range messages {
-		w.nodes[m.GetTo()].Step(m)
-	}
-	for _, number := range slices.Sorted(maps.Keys(w.nodes)) {
-		returned = append(returned, w.process(w.nodes[number])...)
-	}
-	return returned
-}
-
-// completedTags are the tags of the requests that a voter has answered.
-func completedTags(n *Node) (tags []any) {
-	for _, d := range n.Completions() {
-		if d.Answer.Code == controlpb.Code_OK {
-			tags = append(tags, d.Tag)
-		}
-	}
-	return tags
-}
-
-// Many reads at once cost two exchanges with the other voters: the first one's, and one for all that came during it.
+// Many reads at once cost two exchanges with the other voters: that of the first read, and one for
+// all that arrived during it.
 func TestReadsShareTheirRounds(t *testing.T) {
 	w := newThreeVoters(t, 5)
 	_, leader := w.leader()
@@ -81,9 +43,9 @@
 	}
 }
 
-// A read that arrives while a quorum confirms an earlier one is not confirmed with it: another voter may lead, and have
-// agreed to something, since the quorum was asked.
-func TestAReadWaitsForARoundOfItsOwn(t *testing.T) {
+// A read that arrives while a quorum confirms an earlier one is not confirmed with it: another
+// voter may have become the leader, and committed an entry, since the quorum was asked.
+func TestReadWaitsForARoundOfItsOwn(t *testing.T) {
 	w := newThreeVoters(t, 6)
 	_, leader := w.leader()
 	leader.Completions()
@@ -110,7 +72,8 @@
 	}
 }
 
-// A leader that is followed by another ends all reads, those that wait as those that are being confirmed, and none twice.
+// A leader that is followed by another rejects all its reads, those that wait and those that are
+// being confirmed, and none twice.
 func TestReadsEndWithTheLeadership(t *testing.T) {
 	w := newThreeVoters(t, 7)
 	number, leader := w.leader()
@@ -118,22 +81,25 @@
 	for i := range 3 {
 		leader.Read(MembershipName, nil, i)
 	}
-	delete(w.nodes, number) // nothing reaches it any more
+	delete(w.nodes, number) // it is unreachable from now on
 	successor, next := w.leader()
 	if successor == number {
-		t.Fatal("it leads still")
+		t.Fatal("it still leads")
 	}
-	heard := next.Leadership().Term
-	leader.Step(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &successor, To: &number, Term: &heard, Commit: new(uint64(0))})
+	term := next.Leadership().Term
+	leader.Step(&raftpb.Message{
+		Type: raftpb.MsgHeartbeat.Enum(), From: &successor, To: &number, Term: &term,
+		Commit: new(uint64(0)),
+	})
 	w.process(leader)
-	var refused []any
-	for _, d := range leader.Completions() {
-		if d.Answer.Code != controlpb.Code_NOT_LEADER {
-			t.Errorf("%v", d.Answer)
+	var rejected []any
+	for _, completion := range leader.Completions() {
+		if completion.Answer.Code != controlpb.Code_NOT_LEADER {
+			t.Errorf("%v", completion.Answer)
 		}
-		refused = append(refused, d.Tag)
+		rejected = append(rejected, completion.Tag)
 	}
-	if got := fmt.Sprint(refused); got != "[0 1 2]" {
+	if got := fmt.Sprint(rejected); got != "[0 1 2]" {
 		t.Errorf("reads that ended: %s", got)
 	}
 }
--- a/internal/controlplane/consensus/sample_test.go
+++ b/internal/controlplane/consensus/sample_test.go
@@ -10,31 +10,34 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// drawnSessions draws sessions of some processes.
+// drawnSessions returns the sessions of random processes.
 func drawnSessions(r *rand.Rand, n int) *sessions {
 	s := newSessions()
 	for i := range n {
-		who := lease.Member{ID: fmt.Sprintf("g%d", r.IntN(10*n)), Incarnation: r.Uint64()}
-		s.open(uint64(i+1), who, fmt.Sprintf("127.0.0.1:%d", i), 0)
+		member := lease.Member{ID: fmt.Sprintf("g%d", r.IntN(10*n)), Incarnation: r.Uint64()}
+		s.open(uint64(i+1), member, fmt.Sprintf("127.0.0.1:%d", i), 0)
 	}
 	return s
 }
 
-// A sample is the first sessions in the order that its seed gives, in whatever order they are offered.
-func TestASampleIsTheFirstInTheSeedsOrder(t *testing.T) {
+// A sample is the first sessions in the order that its seed gives, in whatever order they are
+// offered.
+func TestSampleIsTheFirstInTheSeedsOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 3))
 	for range 100 {
 		sessions := drawnSessions(r, r.IntN(40))
 		seed, size := r.Uint64(), r.IntN(12)
 		var all []*session
-		for _, in := range sessions.byID {
-			all = append(all, in)
+		for _, one := range sessions.byID {
+			all = append(all, one)
 		}
 		drawn := sample{size: size, seed: seed}
-		for _, in := range all {
-			drawn.offer(in)
+		for _, one := range all {
+			drawn.offer(one)
+		}
+		rank := func(s *session) uint64 {
+			return mixBits(memberDigest(s.member, s.address) ^ seed)
 		}
-		rank := func(in *session) uint64 { return mixBits(memberDigest(in.member, in.address) ^ seed) }
 		slices.SortFunc(all, func(a, b *session) int {
 			return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.member.ID, b.member.ID))
 		})
@@ -48,14 +51,14 @@
 	}
 }
 
-// BenchmarkSample is one sample of 8 of 620 members.
+// BenchmarkSample draws one sample of 8 of 620 members.
 func BenchmarkSample(b *testing.B) {
 	sessions := drawnSessions(rand.New(rand.NewPCG(1, 1)), 620)
 	b.ReportAllocs()
 	for i := range b.N {
 		drawn := sample{size: 8, seed: uint64(i)}
-		for _, in := range sessions.byID {
-			drawn.offer(in)
+		for _, one := range sessions.byID {
+			drawn.offer(one)
 		}
 	}
 }
