--- a/cmd/mothcleat/check.go
+++ b/cmd/mothcleat/check.go
@@ -72,7 +72,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), registerTimeout)
 	defer cancel()
-	instances, err := source.Try(ctx)
+	instances, err := source.Check(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/mothcleat/endpointsource.go
+++ b/cmd/mothcleat/endpointsource.go
@@ -61,22 +61,22 @@
 		return time.Duration(d).Microseconds()
 	}
 	return consul.New(consul.Settings{
-		Agents:     settings.Agents,
-		TLS:        settings.TLS,
-		CAFile:     settings.CAFile,
-		TokenFile:  settings.TokenFile,
-		Service:    settings.Service,
-		Datacenter: settings.Datacenter,
-		Namespace:  settings.Namespace,
-		Filter:     settings.Filter,
-		Mode:       mode,
-		Wait:       time.Duration(settings.WaitTime),
-		Catalogue:  settings.WatchCatalog,
-		Rules: membership.Settings{
+		Agents:       settings.Agents,
+		TLS:          settings.TLS,
+		CAFile:       settings.CAFile,
+		TokenFile:    settings.TokenFile,
+		Service:      settings.Service,
+		Datacenter:   settings.Datacenter,
+		Namespace:    settings.Namespace,
+		Filter:       settings.Filter,
+		Consistency:  mode,
+		Wait:         time.Duration(settings.WaitTime),
+		WatchCatalog: settings.WatchCatalog,
+		Membership: membership.Settings{
 			WarningServes: settings.WarningServes,
-			Hold:          microseconds(settings.EmptyListGrace),
+			EmptyListHold: microseconds(settings.EmptyListGrace),
 			ResetAfter:    settings.IndexResetAnswers,
-			Skew:          microseconds(settings.MaxClockSkew),
+			MaxClockSkew:  microseconds(settings.MaxClockSkew),
 		},
 	}, log)
 }
--- a/cmd/mothcleat/hotrestart.go
+++ b/cmd/mothcleat/hotrestart.go
@@ -33,7 +33,7 @@
 	}
 	if listener != nil {
 		restart.Listen = func(string) (net.Listener, error) { return listener, nil }
-		restart.RendezvousPath = hotrestart.Path(os.TempDir(), cfg.Name)
+		restart.RendezvousPath = hotrestart.SocketPath(os.TempDir(), cfg.Name)
 		if p.settings.HotRestart.Enabled {
 			p.log.Warn(
 				"hand-over: the platform holds the clients' socket, and replaces processes itself; " +
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -54,8 +54,8 @@
 		return
 	}
 	defer closed()
-	news := make(chan registry.News)
-	go source.Run(ctx, func(n registry.News) {
+	news := make(chan registry.Update)
+	go source.Run(ctx, func(n registry.Update) {
 		select {
 		case news <- n:
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 		case <-ctx.Done():
 			return
 		case n := <-news:
-			heard = n.Kind != registry.Unheard
+			heard = n.Kind != registry.Unavailable
 			pending.update(n)
 		case <-beat.C:
 		}
@@ -153,11 +153,11 @@
 }
 
 // update takes in what the register told.
-func (p *pendingChanges) update(n registry.News) {
+func (p *pendingChanges) update(n registry.Update) {
 	switch n.Kind {
-	case registry.Unheard:
+	case registry.Unavailable:
 		return
-	case registry.Whole:
+	case registry.CompleteList:
 		p.deleteUnlisted(n.Members)
 	}
 	for _, m := range n.Members {
--- a/internal/controlplane/distributor/publish_test.go
+++ b/internal/controlplane/distributor/publish_test.go
@@ -64,30 +64,30 @@
 		}
 	}
 	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
-	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{b, a}})
+	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{b, a}})
 	expect("whole a=Ready b=Ready")
 	p.record(errUnknown)
-	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{c}})
+	p.update(registry.Update{Kind: registry.Delta, Members: []registry.Member{c}})
 	expect("whole a=Ready b=Ready c=Ready")
 	p.record(nil)
 	expect("")
-	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{a}})
+	p.update(registry.Update{Kind: registry.Delta, Members: []registry.Member{a}})
 	expect("") // as it was
-	p.update(registry.News{
-		Kind:    registry.Changed,
+	p.update(registry.Update{
+		Kind:    registry.Delta,
 		Members: []registry.Member{member("b", registry.Terminating)},
 	})
 	expect("b=Terminating")
 	p.record(errUnknown)
-	p.update(registry.News{
-		Kind:    registry.Changed,
+	p.update(registry.Update{
+		Kind:    registry.Delta,
 		Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)},
 	})
 	expect("b=Terminating -c") // what is not known to be agreed is said again
 	p.record(nil)
-	p.update(registry.News{Kind: registry.Unheard})
+	p.update(registry.Update{Kind: registry.Unavailable})
 	expect("")
-	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a, c}})
+	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{a, c}})
 	expect("-b c=Ready") // a whole list is told as what is other
 	p.record(nil)
 	expect("")
@@ -120,8 +120,8 @@
 	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
 	replica := replicaWith(t, a, b, c)
 	p := newPendingChanges(quiet)
-	p.update(registry.News{
-		Kind: registry.Whole,
+	p.update(registry.Update{
+		Kind: registry.CompleteList,
 		Members: []registry.Member{
 			a, member("b", registry.Terminating), member("d", registry.Ready),
 		},
@@ -135,7 +135,7 @@
 	}
 	p.record(errUnknown)
 	// as the replica has it: the command may not
-	p.update(registry.News{Kind: registry.Changed, Members: []registry.Member{b}})
+	p.update(registry.Update{Kind: registry.Delta, Members: []registry.Member{b}})
 	if got := p.show(t, replica); got != "b=Ready -c d=Ready" {
 		t.Errorf("%q", got)
 	}
@@ -156,7 +156,7 @@
 func TestCompleteListStaysComplete(t *testing.T) {
 	a, b := member("a", registry.Ready), member("b", registry.Ready)
 	p := newPendingChanges(quiet)
-	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{a}})
+	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{a}})
 	p.show(t, nil)
 	p.record(errUnknown)
 	if got := p.show(t, replicaWith(t, a, b)); got != "whole a=Ready" {
@@ -169,7 +169,7 @@
 	var log logBuffer
 	p := newPendingChanges(logTo(&log))
 	long := strings.Repeat("x", distribution.MaxIDBytes+1)
-	p.update(registry.News{Kind: registry.Whole, Members: []registry.Member{
+	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{
 		member("a", registry.Ready),
 		member("", registry.Ready),
 		member(long, registry.Ready),
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -93,7 +93,7 @@
 
 // Run brings the list: the fleet's, or this process's own where the fleet's is not heard of. It
 // returns after the context ends and the replica is written down.
-func (s *Source) Run(ctx context.Context, tell func(registry.News)) {
+func (s *Source) Run(ctx context.Context, tell func(registry.Update)) {
 	s.running.Add(1)
 	defer s.running.Done()
 	ctx, cancel := context.WithCancel(ctx)
@@ -138,7 +138,7 @@
 // listener turns what the replica takes in into news of the servers.
 type listener struct {
 	source *Source
-	notify func(registry.News)
+	notify func(registry.Update)
 	events chan listEvent
 	ctx    context.Context
 
@@ -148,7 +148,7 @@
 	sourceHeardAt      time.Time           // of the source
 	stopDirectWatch    context.CancelFunc  // ends this process's own watch; nil: it has none
 	// of that watch: what comes late of an earlier one goes nowhere
-	directUpdates <-chan registry.News
+	directUpdates <-chan registry.Update
 }
 
 func (l *listener) queue(event listEvent) {
@@ -194,7 +194,7 @@
 
 // notifyComplete tells the whole list.
 func (l *listener) notifyComplete() {
-	n := registry.News{Kind: registry.Whole}
+	n := registry.Update{Kind: registry.CompleteList}
 	if l.state != nil {
 		l.state.Range(distribution.KindServer, func(r distribution.Record) bool {
 			n.Members = l.appendMember(n.Members, &distribution.Change{Record: r})
@@ -208,7 +208,7 @@
 // notifyChanges tells what is other than before. Deletions come first: an address may have passed
 // from one id to another.
 func (l *listener) notifyChanges(changes []distribution.Change) {
-	n := registry.News{Kind: registry.Changed}
+	n := registry.Update{Kind: registry.Delta}
 	for i := range changes {
 		n.Members = l.appendMember(n.Members, &changes[i])
 	}
@@ -247,11 +247,11 @@
 	l.source.log().Warn("fleet: the list of servers is not heard: this gateway watches the register itself",
 		"silent_for", time.Since(l.sourceHeardAt).Round(time.Millisecond).String())
 	ctx, l.stopDirectWatch = context.WithCancel(ctx)
-	news := make(chan registry.News)
+	news := make(chan registry.Update)
 	l.directUpdates = news
 	go func() {
 		defer closed()
-		source.Run(ctx, func(n registry.News) {
+		source.Run(ctx, func(n registry.Update) {
 			select {
 			case news <- n:
 			case <-ctx.Done():
--- a/internal/controlplane/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -31,11 +31,11 @@
 	d.moves = append(d.moves, address)
 }
 
-func (d *directRegister) Run(ctx context.Context, tell func(registry.News)) {
+func (d *directRegister) Run(ctx context.Context, tell func(registry.Update)) {
 	d.count(&d.runs)
 	if !d.mute {
-		tell(registry.News{
-			Kind:    registry.Whole,
+		tell(registry.Update{
+			Kind:    registry.CompleteList,
 			Members: []registry.Member{member("own", registry.Ready)},
 		})
 	}
@@ -61,9 +61,9 @@
 	news []string
 }
 
-func (l *told) tell(n registry.News) {
+func (l *told) tell(n registry.Update) {
 	var text []string
-	if n.Kind == registry.Whole {
+	if n.Kind == registry.CompleteList {
 		text = append(text, "whole")
 	}
 	for _, m := range n.Members {
--- a/internal/controlplane/endpointwatch/fleetwatch.go
+++ b/internal/controlplane/endpointwatch/fleetwatch.go
@@ -78,8 +78,8 @@
 		return
 	}
 	defer closed()
-	news := make(chan registry.News)
-	go source.Run(ctx, func(n registry.News) {
+	news := make(chan registry.Update)
+	go source.Run(ctx, func(n registry.Update) {
 		select {
 		case news <- n:
 		case <-ctx.Done():
@@ -95,10 +95,10 @@
 		case <-ctx.Done():
 			return
 		case n := <-news:
-			if heard = n.Kind != registry.Unheard; !heard {
+			if heard = n.Kind != registry.Unavailable; !heard {
 				continue // no beat until it is heard again: the others look for themselves
 			}
-			if n.Kind == registry.Whole {
+			if n.Kind == registry.CompleteList {
 				clear(list)
 				clear(waits)
 				whole = true
@@ -151,7 +151,7 @@
 }
 
 // Run brings the list: the fleet's, or this gateway's own where the fleet's is not heard.
-func (w *Watch) Run(ctx context.Context, tell func(registry.News)) {
+func (w *Watch) Run(ctx context.Context, tell func(registry.Update)) {
 	heads := make(chan endpointlist.Head, 1)
 	go w.Client.Watch(ctx, endpointlist.MachineName, func(state []byte) {
 		var h endpointlist.Head
@@ -164,7 +164,7 @@
 		}
 		heads <- h
 	})
-	r := receiver{w: w, tell: tell, news: make(chan registry.News)}
+	r := receiver{w: w, tell: tell, news: make(chan registry.Update)}
 	defer r.stop()
 	look := time.NewTicker(max(20*time.Millisecond, w.Silent/10))
 	defer look.Stop()
@@ -188,13 +188,13 @@
 // receiver is one gateway's hearing.
 type receiver struct {
 	w     *Watch
-	tell  func(registry.News)
+	tell  func(registry.Update)
 	gate  lease.Gate // the list's effects end with the process, and so may the gate
 	last  endpointlist.Head
 	have  map[string]json.RawMessage // as it was told
 	heard time.Time
-	news  chan registry.News // of its own watch
-	own   context.CancelFunc // nil: it has none
+	news  chan registry.Update // of its own watch
+	own   context.CancelFunc   // nil: it has none
 }
 
 // head takes in that the fleet's watcher said something.
@@ -226,9 +226,9 @@
 
 // say tells the loop what is other than it was told.
 func (r *receiver) say(l *endpointlist.List) {
-	n := registry.News{Kind: registry.Changed}
+	n := registry.Update{Kind: registry.Delta}
 	if r.have == nil {
-		n.Kind = registry.Whole
+		n.Kind = registry.CompleteList
 	}
 	for id, raw := range l.Servers {
 		if was, ok := r.have[id]; ok && bytes.Equal(was, raw) {
@@ -253,7 +253,7 @@
 		gone := func(m registry.Member) int { return map[bool]int{true: 0, false: 1}[m.Phase == registry.Gone] }
 		return cmp.Or(cmp.Compare(gone(a), gone(b)), cmp.Compare(a.ID, b.ID))
 	})
-	if r.have = l.Servers; n.Kind == registry.Whole || len(n.Members) > 0 {
+	if r.have = l.Servers; n.Kind == registry.CompleteList || len(n.Members) > 0 {
 		r.tell(n)
 	}
 }
@@ -273,7 +273,7 @@
 	news := r.news
 	go func() {
 		defer closed()
-		source.Run(ctx, func(n registry.News) {
+		source.Run(ctx, func(n registry.Update) {
 			select {
 			case news <- n:
 			case <-ctx.Done():
--- a/internal/dataplane/gateway/authorization.go
+++ b/internal/dataplane/gateway/authorization.go
@@ -72,7 +72,7 @@
 	switch {
 	case verdict == authz.Deny:
 		g.answer(r, deniedReply)
-	case verdict == authz.Pass && g.lifecycle.Takes(g.now()):
+	case verdict == authz.Pass && g.lifecycle.AdmitsRequests(g.now()):
 		now := g.now()
 		what.Timeout = max(0, r.deadline-now)
 		if g.acquireVersionLease(r) {
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -276,7 +276,7 @@
 		"deadline": func(g *Gateway, r *request) { deadlineBackstop{r}.due(g) },
 		"drain":    func(g *Gateway, _ *request) { g.failAll() },
 		"handed": func(g *Gateway, _ *request) {
-			g.lifecycle.Part(false) // what comes now is told to come again
+			g.lifecycle.HandOver(false) // what comes now is told to come again
 		},
 	} {
 		for _, first := range []bool{true, false} {
--- a/internal/dataplane/gateway/client.go
+++ b/internal/dataplane/gateway/client.go
@@ -178,7 +178,7 @@
 	}
 	tooManyOpen := g.cfg.Host.MaxOpenRequests > 0 && g.requests.open > g.cfg.Host.MaxOpenRequests
 	overloaded := noMemory || tooManyOpen || g.requests.heldBytes >= g.cfg.MemoryMB<<20/4
-	if !overloaded && !c.overLimit && g.lifecycle.Takes(g.now()) {
+	if !overloaded && !c.overLimit && g.lifecycle.AdmitsRequests(g.now()) {
 		return nil
 	}
 	c.closeWhenIdle = c.closeWhenIdle || c.overLimit
@@ -213,7 +213,7 @@
 	if n == 0 {
 		return
 	}
-	if len(c.pipeline) == 0 && (c.closeWhenIdle || g.lifecycle.EndsBusy(g.now())) {
+	if len(c.pipeline) == 0 && (c.closeWhenIdle || g.lifecycle.ClosesAfterAnswer(g.now())) {
 		c.closeWhenIdle = true
 		c.haltThenFinish(g)
 	}
--- a/internal/dataplane/gateway/endpoints.go
+++ b/internal/dataplane/gateway/endpoints.go
@@ -46,7 +46,7 @@
 // run posts updates ahead of all queued events until the context ends. It runs on a goroutine of
 // its own.
 func (s *endpointSource) run(ctx context.Context, g *Gateway) {
-	s.Source.Run(ctx, func(n registry.News) {
+	s.Source.Run(ctx, func(n registry.Update) {
 		select {
 		case g.urgent <- endpointEvent(n):
 		case <-ctx.Done():
@@ -55,15 +55,15 @@
 }
 
 // endpointEvent is an update of the endpoint list, or the news that there is none to be had.
-type endpointEvent registry.News
+type endpointEvent registry.Update
 
 func (e endpointEvent) handle(g *Gateway) {
-	if e.Kind == registry.Unheard {
+	if e.Kind == registry.Unavailable {
 		g.balancer.UpdateEndpoints(g.now(), policy.Unavailable, nil)
 		return
 	}
 	kind := policy.Delta
-	if e.Kind == registry.Whole {
+	if e.Kind == registry.CompleteList {
 		kind = policy.Complete
 	}
 	g.endpoints.received = true
--- a/internal/dataplane/gateway/endpoints_test.go
+++ b/internal/dataplane/gateway/endpoints_test.go
@@ -18,7 +18,7 @@
 	for i := range list {
 		list[i] = member{ID: fmt.Sprintf("node/q-%08x", i), HostPort: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250+1), Phase: registry.Ready, Size: 1}
 	}
-	g.handle(endpointEvent{Kind: registry.Whole, Members: list})
+	g.handle(endpointEvent{Kind: registry.CompleteList, Members: list})
 	return g, list
 }
 
@@ -30,7 +30,7 @@
 	}
 	gone := list[1234]
 	gone.Phase = registry.Gone
-	g.handle(endpointEvent{Kind: registry.Changed, Members: []member{gone}})
+	g.handle(endpointEvent{Kind: registry.Delta, Members: []member{gone}})
 	if g.backends.byID[gone.ID] != nil || len(g.backends.byID) != 4999 {
 		t.Errorf("%d backends after one has gone", len(g.backends.byID))
 	}
@@ -47,7 +47,7 @@
 		if i/len(list)%2 == 0 {
 			m.Phase = registry.Terminating
 		}
-		g.handle(endpointEvent{Kind: registry.Changed, Members: []member{m}})
+		g.handle(endpointEvent{Kind: registry.Delta, Members: []member{m}})
 	}
 }
 
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -96,7 +96,7 @@
 		requests:  newRequestTable(),
 		counter:   newCounter(&cfg),
 		snapshots: newSnapshotter(cfg.Restart),
-		lifecycle: lifecycle.New(lifecycle.For(longestTimeout(&cfg.Host))),
+		lifecycle: lifecycle.New(lifecycle.SettingsFor(longestTimeout(&cfg.Host))),
 		metrics:   metrics.New(cfg.Host.Classes),
 	}
 	g.eventLoop = newEventLoop(g)
@@ -187,11 +187,11 @@
 
 // NewPlatform makes the client of the platform's discovery that a configuration asks for.
 func NewPlatform(cfg *Config, log *slog.Logger) *registry.Platform {
-	pace := membership.NewPace(cfg.Settings.Gateways, cfg.Seed)
+	pacer := membership.NewPacer(cfg.Settings.Gateways, cfg.Seed)
 	if !cfg.Settings.PollEndpoints {
-		pace.Binds(cfg.Host.DrainGracePeriod)
+		pacer.SetPushed(cfg.Host.DrainGracePeriod)
 	}
-	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pace, log)
+	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pacer, log)
 }
 
 // longestTimeout returns how long a client waits at most; 0 if the settings leave that open for a
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -12,11 +12,11 @@
 
 // handovers are the processes before and after this one. It belongs to the event loop.
 type handovers struct {
-	predecessor *hotrestart.Predecessor // nil: none served when this process started
-	listener    *hotrestart.Listener    // where a successor asks; nil: nowhere
-	successor   *hotrestart.Successor   // takes over or is about to; nil: none
-	connsToPass chan hotrestart.Client  // to the successor; nil: none are passed
-	allPassed   chan struct{}           // closed when all of connsToPass have been passed
+	predecessor *hotrestart.Predecessor    // nil: none served when this process started
+	listener    *hotrestart.Listener       // where a successor asks; nil: nowhere
+	successor   *hotrestart.Successor      // takes over or is about to; nil: none
+	connsToPass chan hotrestart.ClientConn // to the successor; nil: none are passed
+	allPassed   chan struct{}              // closed when all of connsToPass have been passed
 }
 
 const (
@@ -33,7 +33,7 @@
 	if g.snapshots.RendezvousPath == "" {
 		return
 	}
-	predecessor, err := hotrestart.Ask(g.snapshots.RendezvousPath)
+	predecessor, err := hotrestart.FindPredecessor(g.snapshots.RendezvousPath)
 	if err != nil {
 		return
 	}
@@ -72,7 +72,7 @@
 
 // takeFromPredecessor takes over the predecessor's state. It runs on a goroutine of its own.
 func (g *Gateway) takeFromPredecessor() {
-	handed, err := g.handover.predecessor.Take()
+	handed, err := g.handover.predecessor.TakeState()
 	e := predecessorState{handed: handed, err: err}
 	if err == nil {
 		e.state, e.err = snapshot.Decode(handed.Snapshot)
@@ -114,18 +114,18 @@
 	if err := g.balancer.Restore(g.now(), maxHandoverStateAge, &e.state); err != nil {
 		return err
 	}
-	return g.handover.predecessor.Accepted()
+	return g.handover.predecessor.Confirm()
 }
 
 // takePeerSocket continues with the predecessor's socket for peers' messages, or opens one.
 func (e *predecessorState) takePeerSocket(g *Gateway) {
 	switch {
-	case e.handed.Notes != nil && e.err == nil:
-		g.peers.conn = e.handed.Notes
+	case e.handed.PeerSocket != nil && e.err == nil:
+		g.peers.conn = e.handed.PeerSocket
 		go g.peers.readMessages(g)
 	case g.cfg.Settings.Peers:
-		if e.handed.Notes != nil {
-			_ = e.handed.Notes.Close()
+		if e.handed.PeerSocket != nil {
+			_ = e.handed.PeerSocket.Close()
 		}
 		go g.bindPeerSocket()
 	}
@@ -148,7 +148,7 @@
 type peerSocketBound struct{ conn *net.UDPConn }
 
 func (e peerSocketBound) handle(g *Gateway) {
-	if g.lifecycle.Parted() {
+	if g.lifecycle.HandedOver() {
 		_ = e.conn.Close()
 		return
 	}
@@ -159,33 +159,33 @@
 // receiveConns takes over the clients' connections of the predecessor until it has passed all. It
 // runs on a goroutine of its own.
 func (g *Gateway) receiveConns() {
-	err := g.handover.predecessor.Clients(g.receiveConn)
+	err := g.handover.predecessor.ReceiveClients(g.receiveConn)
 	if err != nil {
 		g.log.Warn("handover: clients' connections", "error", err)
 	}
 }
 
 // receiveConn posts a connection from the predecessor, once there is a place for it.
-func (g *Gateway) receiveConn(c hotrestart.Client) {
+func (g *Gateway) receiveConn(c hotrestart.ClientConn) {
 	g.clients.slots <- struct{}{}
 	g.post(connReceived{c})
 }
 
 // connReceived is a client's connection from the predecessor.
-type connReceived struct{ from hotrestart.Client }
+type connReceived struct{ from hotrestart.ClientConn }
 
 func (e connReceived) handle(g *Gateway) {
-	head := &e.from.Head
+	head := &e.from.State
 	now := g.now()
 	c := newClient(e.from.Conn, now)
-	c.commands = head.Asked
-	if head.Known {
+	c.commands = head.Commands
+	if head.HasCredential {
 		c.credential = &forwardauth.Credential{
 			User: head.User, Secret: head.Secret, Named: head.Named,
 		}
 	}
-	c.reading.unread = e.from.Rest
-	c.reading.inheritedCommands = head.Kept
+	c.reading.unread = e.from.Unread
+	c.reading.inheritedCommands = head.HeldCommands
 	c.reading.inheritedAge = head.AgeUS
 	c.reading.inheritedAt = now
 	g.metrics.PassedIn.Add(1)
@@ -197,16 +197,16 @@
 type successorReady struct{ successor *hotrestart.Successor }
 
 func (e successorReady) handle(g *Gateway) {
-	if g.handover.successor != nil || g.lifecycle.Parted() {
+	if g.handover.successor != nil || g.lifecycle.HandedOver() {
 		e.successor.Close()
 		return
 	}
 	g.handover.successor = e.successor
 	g.lifecycle.Pause()
 	_ = g.clients.listener.SetDeadline(expired)
-	state := hotrestart.State{Notes: g.peers.conn}
-	if state.Notes != nil {
-		_ = state.Notes.SetReadDeadline(expired)
+	state := hotrestart.State{PeerSocket: g.peers.conn}
+	if state.PeerSocket != nil {
+		_ = state.PeerSocket.SetReadDeadline(expired)
 	}
 	var err error
 	state.Snapshot, err = snapshot.Encode(g.balancer.TakeSnapshot(g.now(), true))
@@ -215,7 +215,7 @@
 		handoverDone{err}.handle(g)
 		return
 	}
-	go func() { g.postUrgent(handoverDone{e.successor.Give(state)}) }()
+	go func() { g.postUrgent(handoverDone{e.successor.SendState(state)}) }()
 }
 
 // handoverDone tells whether the successor has taken over; err: why not.
@@ -230,9 +230,9 @@
 	}
 	g.log.Info("handover: the successor has taken over",
 		"open", g.requests.open, "connections", len(g.clients.conns))
-	g.lifecycle.Part(true)
+	g.lifecycle.HandOver(true)
 	h := &g.handover
-	h.connsToPass = make(chan hotrestart.Client, cap(g.clients.slots)+1) // sends never block
+	h.connsToPass = make(chan hotrestart.ClientConn, cap(g.clients.slots)+1) // sends never block
 	h.allPassed = make(chan struct{})
 	go h.passAll()
 	if g.peers.conn != nil {
@@ -276,7 +276,7 @@
 // holdForSuccessor holds a command while it is open which process answers it, or passes it on with
 // its connection. It returns false if this process is to answer.
 func (g *Gateway) holdForSuccessor(e commandRead) bool {
-	if g.handover.successor == nil || g.lifecycle.Abandons(g.now()) {
+	if g.handover.successor == nil || g.lifecycle.FailsOpenRequests(g.now()) {
 		return false
 	}
 	c := e.client
@@ -313,30 +313,30 @@
 }
 
 // handedState is what a successor needs to know of a connection.
-func (c *client) handedState(now policy.Time) hotrestart.Client {
+func (c *client) handedState(now policy.Time) hotrestart.ClientConn {
 	rc := &c.reading
-	p := hotrestart.Client{
-		Conn: c.conn,
-		Head: hotrestart.Head{Asked: c.commands, Kept: len(rc.held)},
+	p := hotrestart.ClientConn{
+		Conn:  c.conn,
+		State: hotrestart.ConnState{Commands: c.commands, HeldCommands: len(rc.held)},
 	}
 	if k := c.credential; k != nil {
-		p.Head.Known = true
-		p.Head.User = k.User
-		p.Head.Secret = k.Secret
-		p.Head.Named = k.Named
+		p.State.HasCredential = true
+		p.State.User = k.User
+		p.State.Secret = k.Secret
+		p.State.Named = k.Named
 	}
 	for i, e := range rc.held {
 		if i == 0 {
-			p.Head.AgeUS = max(0, now-e.arrived)
+			p.State.AgeUS = max(0, now-e.arrived)
 		}
-		p.Rest = e.appendEncoded(p.Rest)
+		p.Unread = e.appendEncoded(p.Unread)
 	}
 	if rc.inheritedCommands > 0 && len(rc.held) == 0 {
 		// They came from the predecessor and were never read here.
-		p.Head.Kept = rc.inheritedCommands
-		p.Head.AgeUS = rc.inheritedAge + now - rc.inheritedAt
+		p.State.HeldCommands = rc.inheritedCommands
+		p.State.AgeUS = rc.inheritedAge + now - rc.inheritedAt
 	}
-	p.Rest = append(p.Rest, rc.unread...)
+	p.Unread = append(p.Unread, rc.unread...)
 	return p
 }
 
@@ -347,7 +347,7 @@
 	var err error
 	for c := range h.connsToPass {
 		if err == nil {
-			err = h.successor.Pass(c)
+			err = h.successor.PassClient(c)
 		}
 		_ = c.Conn.Close()
 	}
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -233,11 +233,11 @@
 	c.send("PING")
 	c.want("+PONG")
 	for round := range 3 {
-		before, err := hotrestart.Ask(h.meet)
+		before, err := hotrestart.FindPredecessor(h.meet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := before.Take(); err != nil {
+		if _, err := before.TakeState(); err != nil {
 			t.Fatal(err)
 		}
 		c.lookup(round+1, "60000") // while nobody knows who is to take it
--- a/internal/dataplane/gateway/restart.go
+++ b/internal/dataplane/gateway/restart.go
@@ -76,10 +76,10 @@
 type handoverSignalled struct{}
 
 func (handoverSignalled) handle(g *Gateway) {
-	if g.lifecycle.Parted() {
+	if g.lifecycle.HandedOver() {
 		return
 	}
-	g.lifecycle.Part(false)
+	g.lifecycle.HandOver(false)
 	g.log.Info("handed over", "open", g.requests.open)
 	if g.peers.conn != nil {
 		_ = g.peers.conn.Close() // peers' messages are the successor's from now on
--- a/internal/dataplane/gateway/shutdown.go
+++ b/internal/dataplane/gateway/shutdown.go
@@ -30,21 +30,21 @@
 // step does what has become due: it ends accepting, closes connections, fails what is left.
 func (s *shutdown) step(g *Gateway) {
 	now := g.now()
-	if g.lifecycle.Closed(now) && !s.acceptingEnds {
+	if g.lifecycle.AcceptingEnded(now) && !s.acceptingEnds {
 		s.acceptingEnds = true
 		s.endAccepting(g)
 	}
 	for c := range g.clients.conns {
 		g.passToSuccessor(c) // a client that reads its answers slowly was not idle before
-		ends := g.lifecycle.EndsIdle
+		ends := g.lifecycle.ClosesIdle
 		if c.activityRank() == 0 {
-			ends = g.lifecycle.EndsNew
+			ends = g.lifecycle.ClosesUnused
 		}
 		if !c.awaitingAnswer() && ends(now, c.lastActivity()) {
 			c.closeAfterAnswers(g)
 		}
 	}
-	if g.lifecycle.Abandons(now) && !s.abandoned {
+	if g.lifecycle.FailsOpenRequests(now) && !s.abandoned {
 		// What is unanswered when SIGKILL comes is lost.
 		s.abandoned = true
 		s.closeListener(g)
@@ -56,7 +56,7 @@
 // endAccepting closes the listener: at once where another process accepts on the same socket, else
 // after the kernel's backlog is drained.
 func (s *shutdown) endAccepting(g *Gateway) {
-	shared := g.lifecycle.Parted() || g.handover.successor != nil
+	shared := g.lifecycle.HandedOver() || g.handover.successor != nil
 	if shared || !g.clients.accepting {
 		s.closeListener(g)
 		return
@@ -97,10 +97,10 @@
 func (s *shutdown) endIfDone(g *Gateway) {
 	now := g.now()
 	conns := len(g.clients.conns)
-	if g.lifecycle.Stopping() && g.lifecycle.Over(now, s.pendingWork(g, now), conns) {
+	if g.lifecycle.Stopping() && g.lifecycle.Done(now, s.pendingWork(g, now), conns) {
 		g.done = true
 	}
-	next, ok := g.lifecycle.Next(now)
+	next, ok := g.lifecycle.NextChange(now)
 	if ok && (s.nextCheck <= now || next < s.nextCheck) {
 		s.nextCheck = next
 		g.schedule(next, shutdownTimer{})
--- a/internal/dataplane/gateway/shutdown_race_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -161,7 +161,7 @@
 	for name, end := range map[string]func(g *Gateway, c *client){
 		"told to": func(g *Gateway, c *client) { c.closeAfterAnswers(g) },
 		"the process ends": func(g *Gateway, c *client) {
-			g.lifecycle.Part(false)
+			g.lifecycle.HandOver(false)
 			shutdownRequested{}.handle(g)
 		},
 		"idle for long": func(g *Gateway, c *client) {
@@ -288,7 +288,7 @@
 	t.Cleanup(func() { g.clients.listener.Close() })
 	shutdownRequested{}.handle(g)
 	at := g.now() + longest + 700_000
-	if !g.lifecycle.Abandons(at-300_000) || !g.lifecycle.Over(at, 1, 1) {
+	if !g.lifecycle.FailsOpenRequests(at-300_000) || !g.lifecycle.Done(at, 1, 1) {
 		t.Error("requests are still open when SIGKILL may come")
 	}
 }
--- a/internal/dataplane/gateway/snapshot_test.go
+++ b/internal/dataplane/gateway/snapshot_test.go
@@ -210,7 +210,7 @@
 func TestConnectionAcceptedAtTheCloseIsEnded(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
 		g := unstarted(t, newFakeDiscovery(t))
-		g.lifecycle.Part(false)
+		g.lifecycle.HandOver(false)
 		shutdownRequested{}.handle(g)
 		here, there := pipe(t)
 		g.clients.slots <- struct{}{}
--- a/internal/dataplane/hotrestart/handover.go
+++ b/internal/dataplane/hotrestart/handover.go
@@ -29,18 +29,18 @@
 )
 
 const (
-	piece     = 32 << 10 // bytes of a state or of what was read in a message
-	largest   = 96 << 10 // and of any message: a head may hold a long credential, escaped
-	stateMost = 64 << 20 // bytes of a state that is taken in
-	restMost  = 24 << 20 // bytes read from one connection that are taken in
-	stepTime  = 2 * time.Second
+	chunkBytes      = 32 << 10 // bytes of a state or of what was read in a message
+	maxMessageBytes = 96 << 10 // and of any message: a head may hold a long credential, escaped
+	maxStateBytes   = 64 << 20 // bytes of a state that is taken in
+	maxUnreadBytes  = 24 << 20 // bytes read from one connection that are taken in
+	stepTimeout     = 2 * time.Second
 )
 
-// ErrNone tells that no process serves before this one.
-var ErrNone = errors.New("handover: no process before this one")
+// ErrNoPredecessor tells that no process serves before this one.
+var ErrNoPredecessor = errors.New("handover: no process before this one")
 
-// Path is where the processes of a gateway find each other in a folder.
-func Path(folder, name string) string {
+// SocketPath is where the processes of a gateway find each other in a folder.
+func SocketPath(folder, name string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // names may be longer than a file's may be
 	return filepath.Join(folder, fmt.Sprintf("mothcleat-%016x.sock", h.Sum64()))
@@ -49,9 +49,9 @@
 // maxAddressBytes is how long a socket's address may be; the folder of temporary files may be deeper.
 const maxAddressBytes = 100
 
-// address gives a path as a socket's address that is short enough: by way of the folder's
+// socketAddress gives a path as a socket's address that is short enough: by way of the folder's
 // descriptor where it is not. done lets go of that.
-func address(path string) (a *net.UnixAddr, done func(), err error) {
+func socketAddress(path string) (a *net.UnixAddr, done func(), err error) {
 	if len(path) <= maxAddressBytes {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
 	}
@@ -65,40 +65,40 @@
 
 // State is what a process knows and holds once for all its clients.
 type State struct {
-	Snapshot []byte       // of the decision state
-	Notes    *net.UDPConn // nil: there is none
+	Snapshot   []byte       // of the decision state
+	PeerSocket *net.UDPConn // nil: there is none
 }
 
-// Client is a client's connection between two requests, or with some behind it that were
+// ClientConn is a client's connection between two requests, or with some behind it that were
 // read and not taken.
-type Client struct {
-	Conn *net.TCPConn
-	Head Head
-	Rest []byte // what was read from it and belongs to no request yet taken
+type ClientConn struct {
+	Conn   *net.TCPConn
+	State  ConnState
+	Unread []byte // what was read from it and belongs to no request yet taken
 }
 
-// Head tells of a connection what its next holder can't see.
-type Head struct {
-	Asked  int   `json:"asked"`            // well-formed commands it has brought
-	Kept   int   `json:"kept,omitempty"`   // commands that are whole in Rest,
-	AgeUS  int64 `json:"age_us,omitempty"` // and how long ago the first of them came
-	Length int   `json:"length,omitempty"` // of Rest
+// ConnState tells of a connection what its next holder can't see.
+type ConnState struct {
+	Commands     int   `json:"asked"`            // well-formed commands it has brought
+	HeldCommands int   `json:"kept,omitempty"`   // commands that are whole in Rest,
+	AgeUS        int64 `json:"age_us,omitempty"` // and how long ago the first of them came
+	UnreadLength int   `json:"length,omitempty"` // of Rest
 
-	User   string `json:"user,omitempty"` // of the last AUTH
-	Secret string `json:"secret,omitempty"`
-	Named  bool   `json:"named,omitempty"`
-	Known  bool   `json:"known,omitempty"` // there was one
+	User          string `json:"user,omitempty"` // of the last AUTH
+	Secret        string `json:"secret,omitempty"`
+	Named         bool   `json:"named,omitempty"`
+	HasCredential bool   `json:"known,omitempty"` // there was one
 }
 
-// link is one side of the socket.
-type link struct {
+// messageLink is one side of the socket.
+type messageLink struct {
 	conn *net.UnixConn
 	buf  []byte
 }
 
 // write sends a message, with a descriptor if carry is not nil.
-func (l *link) write(kind byte, body []byte, carry syscall.Conn) error {
-	_ = l.conn.SetWriteDeadline(time.Now().Add(stepTime))
+func (l *messageLink) write(kind byte, body []byte, carry syscall.Conn) error {
+	_ = l.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
 	message := append([]byte{kind}, body...)
 	if carry == nil {
 		_, err := l.conn.Write(message)
@@ -119,9 +119,9 @@
 
 // read gets a message. The descriptor with it, if any, is the caller's; the body
 // is valid until the next read.
-func (l *link) read() (kind byte, body []byte, carried *os.File, err error) {
+func (l *messageLink) read() (kind byte, body []byte, carried *os.File, err error) {
 	if l.buf == nil {
-		l.buf = make([]byte, largest)
+		l.buf = make([]byte, maxMessageBytes)
 	}
 	oob := make([]byte, syscall.CmsgSpace(4*4))
 	n, oobn, _, _, err := l.conn.ReadMsgUnix(l.buf, oob)
@@ -155,36 +155,36 @@
 }
 
 // Predecessor is the process that serves before this one. Its methods belong to one goroutine.
-type Predecessor struct{ link }
+type Predecessor struct{ messageLink }
 
-// Ask looks for the process before. ErrNone: there is none, or none that answers.
-func Ask(path string) (*Predecessor, error) {
-	to, done, err := address(path)
+// FindPredecessor looks for the process before. ErrNone: there is none, or none that answers.
+func FindPredecessor(path string) (*Predecessor, error) {
+	to, done, err := socketAddress(path)
 	if err != nil {
-		return nil, ErrNone
+		return nil, ErrNoPredecessor
 	}
 	defer done()
 	conn, err := net.DialUnix("unixpacket", nil, to)
 	if err != nil {
-		return nil, ErrNone
+		return nil, ErrNoPredecessor
 	}
-	return &Predecessor{link{conn: conn}}, nil
+	return &Predecessor{messageLink{conn: conn}}, nil
 }
 
-// Take tells the process before that this one could serve, and gets what it leaves.
+// TakeState tells the process before that this one could serve, and gets what it leaves.
 // Until Accepted it goes on if this process ends.
-func (p *Predecessor) Take() (State, error) {
+func (p *Predecessor) TakeState() (State, error) {
 	var s State
 	if err := p.write('T', nil, nil); err != nil {
 		return s, fmt.Errorf("handover: %w", err)
 	}
-	_ = p.conn.SetReadDeadline(time.Now().Add(stepTime))
+	_ = p.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	for {
 		kind, body, carried, err := p.read()
 		switch {
 		case err != nil:
 			return s, fmt.Errorf("handover: %w", err)
-		case kind == 'S' && len(s.Snapshot)+len(body) <= stateMost:
+		case kind == 'S' && len(s.Snapshot)+len(body) <= maxStateBytes:
 			s.Snapshot = append(s.Snapshot, body...)
 		case kind == 'E':
 			if carried == nil {
@@ -200,7 +200,7 @@
 				_ = conn.Close()
 				return s, errors.New("handover: the socket for notes is of another kind")
 			}
-			s.Notes = notes
+			s.PeerSocket = notes
 			return s, nil
 		default:
 			return s, fmt.Errorf("handover: a message %q amid the state", kind)
@@ -208,16 +208,16 @@
 	}
 }
 
-// Accepted gives the word that the state was taken in.
-func (p *Predecessor) Accepted() error { return p.write('K', nil, nil) }
+// Confirm gives the word that the state was taken in.
+func (p *Predecessor) Confirm() error { return p.write('K', nil, nil) }
 
-// Clients calls f for each connection that the process before passes on, until it has
+// ReceiveClients calls f for each connection that the process before passes on, until it has
 // passed all, or has ended. What can't be used is closed.
-func (p *Predecessor) Clients(f func(Client)) error {
+func (p *Predecessor) ReceiveClients(f func(ClientConn)) error {
 	defer p.conn.Close()
 	_ = p.conn.SetReadDeadline(time.Time{})
 	for {
-		c, err := p.client()
+		c, err := p.receiveClient()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -230,7 +230,7 @@
 	}
 }
 
-func (p *Predecessor) client() (c Client, err error) {
+func (p *Predecessor) receiveClient() (c ClientConn, err error) {
 	kind, body, carried, err := p.read()
 	if err != nil {
 		return c, err
@@ -239,21 +239,21 @@
 		return c, fmt.Errorf("a message %q where a connection was due", kind)
 	}
 	defer carried.Close()
-	if err := json.Unmarshal(body, &c.Head); err != nil {
+	if err := json.Unmarshal(body, &c.State); err != nil {
 		return c, err
 	}
-	if c.Head.Length < 0 || c.Head.Length > restMost || c.Head.Kept < 0 {
-		return c, fmt.Errorf("%d bytes that were read", c.Head.Length)
+	if c.State.UnreadLength < 0 || c.State.UnreadLength > maxUnreadBytes || c.State.HeldCommands < 0 {
+		return c, fmt.Errorf("%d bytes that were read", c.State.UnreadLength)
 	}
-	for len(c.Rest) < c.Head.Length {
+	for len(c.Unread) < c.State.UnreadLength {
 		kind, more, _, err := p.read()
 		if err != nil {
 			return c, err
 		}
-		if kind != 'M' || len(c.Rest)+len(more) > c.Head.Length {
+		if kind != 'M' || len(c.Unread)+len(more) > c.State.UnreadLength {
 			return c, fmt.Errorf("a message %q amid what was read", kind)
 		}
-		c.Rest = append(c.Rest, more...)
+		c.Unread = append(c.Unread, more...)
 	}
 	conn, err := net.FileConn(carried)
 	if err != nil {
@@ -279,7 +279,7 @@
 func Listen(path string) (*Listener, error) {
 	next := fmt.Sprintf("%s.%d", path, os.Getpid())
 	_ = os.Remove(next)
-	at, done, err := address(next)
+	at, done, err := socketAddress(next)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -309,7 +309,7 @@
 			return
 		}
 		go func() {
-			a := &Successor{link: link{conn: conn}}
+			a := &Successor{messageLink: messageLink{conn: conn}}
 			kind, _, carried, err := a.read()
 			if carried != nil {
 				_ = carried.Close()
@@ -325,13 +325,13 @@
 
 // Successor is the process that takes this one's place.
 type Successor struct {
-	link
+	messageLink
 	once sync.Once
 }
 
-// Give gives the state, and waits for the word that it was taken in. After an error the
+// SendState gives the state, and waits for the word that it was taken in. After an error the
 // newer process has not taken over, and has been cut off.
-func (s *Successor) Give(left State) (err error) {
+func (s *Successor) SendState(left State) (err error) {
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -339,20 +339,20 @@
 		}
 	}()
 	for state := left.Snapshot; len(state) > 0; {
-		n := min(len(state), piece)
+		n := min(len(state), chunkBytes)
 		if err := s.write('S', state[:n], nil); err != nil {
 			return err
 		}
 		state = state[n:]
 	}
 	var carry syscall.Conn
-	if left.Notes != nil {
-		carry = left.Notes
+	if left.PeerSocket != nil {
+		carry = left.PeerSocket
 	}
 	if err := s.write('E', nil, carry); err != nil {
 		return err
 	}
-	_ = s.conn.SetReadDeadline(time.Now().Add(stepTime))
+	_ = s.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	kind, _, _, err := s.read()
 	if err == nil && kind != 'K' {
 		err = fmt.Errorf("a message %q where the word was due", kind)
@@ -360,18 +360,18 @@
 	return err
 }
 
-// Pass passes a connection on. It stays open here, too, until the caller closes it.
-func (s *Successor) Pass(c Client) error {
-	c.Head.Length = len(c.Rest)
-	head, err := json.Marshal(c.Head)
+// PassClient passes a connection on. It stays open here, too, until the caller closes it.
+func (s *Successor) PassClient(c ClientConn) error {
+	c.State.UnreadLength = len(c.Unread)
+	head, err := json.Marshal(c.State)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	if err := s.write('C', head, c.Conn); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	for rest := c.Rest; len(rest) > 0; {
-		n := min(len(rest), piece)
+	for rest := c.Unread; len(rest) > 0; {
+		n := min(len(rest), chunkBytes)
 		if err := s.write('M', rest[:n], nil); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
--- a/internal/dataplane/hotrestart/handover_test.go
+++ b/internal/dataplane/hotrestart/handover_test.go
@@ -26,7 +26,7 @@
 	}
 	t.Cleanup(line.Close)
 	go line.Serve(give)
-	b, err := Ask(path)
+	b, err := FindPredecessor(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 func TestEstateAndConnections(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		state := make([]byte, r.IntN(5*piece))
+		state := make([]byte, r.IntN(5*chunkBytes))
 		rests := make([][]byte, 20)
 		for i := range state {
 			state[i] = byte(r.Uint32())
@@ -71,34 +71,34 @@
 		var theirs []net.Conn
 		var mine []*net.TCPConn
 		for i := range rests {
-			rests[i] = bytes.Repeat([]byte{byte(i + 1)}, r.IntN(3)*r.IntN(3*piece))
+			rests[i] = bytes.Repeat([]byte{byte(i + 1)}, r.IntN(3)*r.IntN(3*chunkBytes))
 			here, there := connections(t)
 			mine, theirs = append(mine, here), append(theirs, there)
 		}
 		b := meet(t, func(a *Successor) {
-			if err := a.Give(State{Snapshot: state, Notes: notes}); err != nil {
+			if err := a.SendState(State{Snapshot: state, PeerSocket: notes}); err != nil {
 				t.Error(err)
 				return
 			}
 			for i, c := range mine {
-				if err := a.Pass(Client{Conn: c, Head: Head{Asked: i, User: "u", Known: true}, Rest: rests[i]}); err != nil {
+				if err := a.PassClient(ClientConn{Conn: c, State: ConnState{Commands: i, User: "u", HasCredential: true}, Unread: rests[i]}); err != nil {
 					t.Error(err)
 				}
 				c.Close()
 			}
 			a.Close()
 		})
-		e, err := b.Take()
-		if err != nil || !bytes.Equal(e.Snapshot, state) || e.Notes.LocalAddr().String() != notes.LocalAddr().String() {
-			t.Fatalf("seed %d: state of %d bytes for %d, notes %v, %v", seed, len(e.Snapshot), len(state), e.Notes, err)
+		e, err := b.TakeState()
+		if err != nil || !bytes.Equal(e.Snapshot, state) || e.PeerSocket.LocalAddr().String() != notes.LocalAddr().String() {
+			t.Fatalf("seed %d: state of %d bytes for %d, notes %v, %v", seed, len(e.Snapshot), len(state), e.PeerSocket, err)
 		}
-		if err := b.Accepted(); err != nil {
+		if err := b.Confirm(); err != nil {
 			t.Fatal(err)
 		}
 		n := 0
-		if err := b.Clients(func(c Client) {
-			if c.Head.Asked != n || !bytes.Equal(c.Rest, rests[n]) || c.Head.User != "u" {
-				t.Errorf("seed %d: connection %d: head %+v, %d bytes, %d wanted", seed, n, c.Head, len(c.Rest), len(rests[n]))
+		if err := b.ReceiveClients(func(c ClientConn) {
+			if c.State.Commands != n || !bytes.Equal(c.Unread, rests[n]) || c.State.User != "u" {
+				t.Errorf("seed %d: connection %d: head %+v, %d bytes, %d wanted", seed, n, c.State, len(c.Unread), len(rests[n]))
 			}
 			if _, err := c.Conn.Write([]byte{byte(n)}); err != nil {
 				t.Error(err)
@@ -115,7 +115,7 @@
 		if n != len(rests) {
 			t.Fatalf("seed %d: %d connections of %d", seed, n, len(rests))
 		}
-		e.Notes.Close()
+		e.PeerSocket.Close()
 	}
 }
 
@@ -126,19 +126,19 @@
 	secret := strings.Repeat("<", 8<<10)
 	b := meet(t, func(a *Successor) {
 		_ = a.write('E', nil, nil)
-		if err := a.Pass(Client{Conn: here, Head: Head{Known: true, Secret: secret}, Rest: []byte("rest")}); err != nil {
+		if err := a.PassClient(ClientConn{Conn: here, State: ConnState{HasCredential: true, Secret: secret}, Unread: []byte("rest")}); err != nil {
 			t.Error(err)
 		}
 		a.Close()
 	})
-	if _, err := b.Take(); err != nil {
+	if _, err := b.TakeState(); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	err := b.Clients(func(c Client) {
+	err := b.ReceiveClients(func(c ClientConn) {
 		n++
-		if c.Head.Secret != secret || string(c.Rest) != "rest" {
-			t.Errorf("a secret of %d bytes and %q", len(c.Head.Secret), c.Rest)
+		if c.State.Secret != secret || string(c.Unread) != "rest" {
+			t.Errorf("a secret of %d bytes and %q", len(c.State.Secret), c.Unread)
 		}
 		c.Conn.Close()
 	})
@@ -155,8 +155,8 @@
 		"nonsense": func(p *Predecessor) { _ = p.write('Z', nil, nil) },
 	} {
 		given := make(chan error, 1)
-		b := meet(t, func(a *Successor) { given <- a.Give(State{Snapshot: []byte("x")}) })
-		if _, err := b.Take(); err != nil {
+		b := meet(t, func(a *Successor) { given <- a.SendState(State{Snapshot: []byte("x")}) })
+		if _, err := b.TakeState(); err != nil {
 			t.Fatal(name, err)
 		}
 		end(b)
@@ -178,12 +178,12 @@
 	if err := os.MkdirAll(deep, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	nobodyBefore(t, Path(deep, strings.Repeat("name", 100)))
+	nobodyBefore(t, SocketPath(deep, strings.Repeat("name", 100)))
 }
 
 func nobodyBefore(t *testing.T, path string) {
 	t.Helper()
-	if _, err := Ask(path); !errors.Is(err, ErrNone) {
+	if _, err := FindPredecessor(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("an empty folder: %v", err)
 	}
 	first, err := Listen(path)
@@ -195,13 +195,13 @@
 		t.Fatal(err)
 	}
 	first.Close() // the older one ends later: the newer one must still be found
-	b, err := Ask(path)
+	b, err := FindPredecessor(path)
 	if err != nil {
 		t.Fatal("the second process is not found: ", err)
 	}
 	b.Close()
 	second.Close()
-	if _, err := Ask(path); !errors.Is(err, ErrNone) {
+	if _, err := FindPredecessor(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("a path left by a dead process: %v", err)
 	}
 }
@@ -215,7 +215,7 @@
 		"another descriptor":    func(a *Successor) { _ = a.write('E', nil, there.(syscall.Conn)) },
 	} {
 		b := meet(t, talk)
-		if e, err := b.Take(); err == nil {
+		if e, err := b.TakeState(); err == nil {
 			t.Errorf("%s: taken for an estate %+v", name, e)
 		}
 	}
@@ -226,10 +226,10 @@
 			_ = a.write('C', []byte(head), here)
 			a.Close()
 		})
-		if _, err := b.Take(); err != nil {
+		if _, err := b.TakeState(); err != nil {
 			t.Fatal(name, err)
 		}
-		if err := b.Clients(func(c Client) { t.Errorf("%s: a connection %+v", name, c.Head) }); err == nil {
+		if err := b.ReceiveClients(func(c ClientConn) { t.Errorf("%s: a connection %+v", name, c.State) }); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/internal/dataplane/hotrestart/stored_test.go
+++ b/internal/dataplane/hotrestart/stored_test.go
@@ -51,12 +51,12 @@
 	send(`C{"asked":3,"kept":1,"age_us":250,"length":9,"user":"u","secret":"s","named":true,"known":true}`, int(descriptor.Fd()))
 	send("MPING\r")
 	send("M\nabc")
-	predecessor := &Predecessor{link{conn: newer}}
-	state, err := predecessor.Take()
-	if err != nil || string(state.Snapshot) != "a state in two pieces" || state.Notes != nil {
-		t.Fatalf("%q %v %v", state.Snapshot, state.Notes, err)
+	predecessor := &Predecessor{messageLink{conn: newer}}
+	state, err := predecessor.TakeState()
+	if err != nil || string(state.Snapshot) != "a state in two pieces" || state.PeerSocket != nil {
+		t.Fatalf("%q %v %v", state.Snapshot, state.PeerSocket, err)
 	}
-	if err := predecessor.Accepted(); err != nil {
+	if err := predecessor.Confirm(); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"T", "K"} {
@@ -67,14 +67,14 @@
 		}
 	}
 	older.Close()
-	var passed []Client
-	if err := predecessor.Clients(func(c Client) { passed = append(passed, c) }); err != nil || len(passed) != 1 {
+	var passed []ClientConn
+	if err := predecessor.ReceiveClients(func(c ClientConn) { passed = append(passed, c) }); err != nil || len(passed) != 1 {
 		t.Fatal(len(passed), err)
 	}
 	defer passed[0].Conn.Close()
-	head := Head{Asked: 3, Kept: 1, AgeUS: 250, Length: 9, User: "u", Secret: "s", Named: true, Known: true}
-	if passed[0].Head != head || !bytes.Equal(passed[0].Rest, []byte("PING\r\nabc")) {
-		t.Errorf("%+v %q", passed[0].Head, passed[0].Rest)
+	head := ConnState{Commands: 3, HeldCommands: 1, AgeUS: 250, UnreadLength: 9, User: "u", Secret: "s", Named: true, HasCredential: true}
+	if passed[0].State != head || !bytes.Equal(passed[0].Unread, []byte("PING\r\nabc")) {
+		t.Errorf("%+v %q", passed[0].State, passed[0].Unread)
 	}
 	fixture.Equal(t, "testdata/head-keys.txt", fixture.JSONKeys(head))
 }
--- a/internal/dataplane/lifecycle/lifecycle_test.go
+++ b/internal/dataplane/lifecycle/lifecycle_test.go
@@ -16,7 +16,7 @@
 func TestDrainEmpties(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		p := New(For(3_000_000))
+		p := New(SettingsFor(3_000_000))
 		p.Ready()
 		const begun = Time(10_000_000)
 		var conns []conn
@@ -30,7 +30,7 @@
 			if yes, _ := p.Serves(); yes {
 				t.Fatalf("seed %d: says yes %d us after the drain began", seed, now-begun)
 			}
-			if p.Closed(now) || !p.Takes(now) {
+			if p.AcceptingEnded(now) || !p.AdmitsRequests(now) {
 				t.Fatalf("seed %d: a drained process keeps running and takes what comes", seed)
 			}
 			if now < heard && r.IntN(5) == 0 {
@@ -41,10 +41,10 @@
 				switch {
 				case c.busy > now:
 				case c.busy > 0:
-					if c.busy = 0; p.EndsBusy(now) {
+					if c.busy = 0; p.ClosesAfterAnswer(now) {
 						continue
 					}
-				case p.EndsIdle(now, c.used):
+				case p.ClosesIdle(now, c.used):
 					continue
 				case r.IntN(60) == 0:
 					c.used, c.busy, lastAsked = now, now+20_000+r.Int64N(300_000), now
@@ -60,7 +60,7 @@
 			t.Fatalf("seed %d: a kept connection brought a request %d us after the drain began", seed, lastAsked-begun)
 		}
 		p.Resume()
-		if yes, why := p.Serves(); !yes || p.EndsBusy(begun+5_000_000) || p.EndsIdle(begun+5_000_000, 0) {
+		if yes, why := p.Serves(); !yes || p.ClosesAfterAnswer(begun+5_000_000) || p.ClosesIdle(begun+5_000_000, 0) {
 			t.Fatalf("seed %d: not back to work: %s", seed, why)
 		}
 	}
@@ -72,7 +72,7 @@
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		longest := r.Int64N(20_000_000)
-		set := For(longest)
+		set := SettingsFor(longest)
 		kill := min(longest, 3_000_000) + 700_000
 		p := New(set)
 		var now, stopped Time
@@ -91,7 +91,7 @@
 				draining = false
 			case 3:
 				if r.IntN(3) == 0 {
-					p.Part(r.IntN(2) == 0)
+					p.HandOver(r.IntN(2) == 0)
 					parted = true
 				}
 			case 4:
@@ -106,36 +106,36 @@
 			if yes, why := p.Serves(); yes != (ready && !draining && !parted) || yes != (why == "") {
 				t.Fatalf("seed %d: serves %v %q with ready %v draining %v parted %v", seed, yes, why, ready, draining, parted)
 			}
-			if p.Takes(now) && parted {
+			if p.AdmitsRequests(now) && parted {
 				t.Fatalf("seed %d: takes a request that is the newer process's", seed)
 			}
-			if closed && !p.Closed(now) {
+			if closed && !p.AcceptingEnded(now) {
 				t.Fatalf("seed %d: opened again", seed)
 			}
-			closed = p.Closed(now)
-			if stopping && now < stopped+set.AcceptFor && !parted && closed {
+			closed = p.AcceptingEnded(now)
+			if stopping && now < stopped+set.AcceptTime && !parted && closed {
 				t.Fatalf("seed %d: closed while connections still come", seed)
 			}
-			if !stopping && p.Over(now, 0, 0) {
+			if !stopping && p.Done(now, 0, 0) {
 				t.Fatalf("seed %d: ends without being told", seed)
 			}
-			if stopping && now >= stopped+set.AnswerFor+set.CloseFor && !p.Over(now, 1+r.IntN(3), 1) {
+			if stopping && now >= stopped+set.AnswerTime+set.LingerTime && !p.Done(now, 1+r.IntN(3), 1) {
 				t.Fatalf("seed %d: still there when SIGKILL comes", seed)
 			}
-			if stopping && now >= stopped+kill && !p.Over(now, 1, 1) {
+			if stopping && now >= stopped+kill && !p.Done(now, 1, 1) {
 				t.Fatalf("seed %d: still there when SIGKILL may come, with a longest deadline of %d us", seed, longest)
 			}
-			if p.Over(now, 1, 1) && now < stopped+set.AnswerFor {
+			if p.Done(now, 1, 1) && now < stopped+set.AnswerTime {
 				t.Fatalf("seed %d: ends with a request open", seed)
 			}
-			if next, ok := p.Next(now); ok && next <= now {
+			if next, ok := p.NextChange(now); ok && next <= now {
 				t.Fatalf("seed %d: next change at %d, now %d", seed, next, now)
 			}
 			// Between now and Next nothing changes for a connection of either kind.
-			if next, ok := p.Next(now); ok && r.IntN(2) == 0 {
+			if next, ok := p.NextChange(now); ok && r.IntN(2) == 0 {
 				mid := now + (next-now)/2
-				if p.EndsBusy(mid) != p.EndsBusy(now) || p.Closed(mid) != p.Closed(now) || p.Takes(mid) != p.Takes(now) ||
-					p.Abandons(mid) != p.Abandons(now) {
+				if p.ClosesAfterAnswer(mid) != p.ClosesAfterAnswer(now) || p.AcceptingEnded(mid) != p.AcceptingEnded(now) || p.AdmitsRequests(mid) != p.AdmitsRequests(now) ||
+					p.FailsOpenRequests(mid) != p.FailsOpenRequests(now) {
 					t.Fatalf("seed %d: something changed between %d and %d unannounced", seed, now, next)
 				}
 			}
@@ -151,8 +151,8 @@
 		if longest > 0 && longest < 3_000_000 {
 			kill = longest + 700_000
 		}
-		s := For(longest)
-		if s.AcceptFor <= 400_000 || s.AnswerFor < s.AcceptFor || s.AnswerFor+s.CloseFor >= kill {
+		s := SettingsFor(longest)
+		if s.AcceptTime <= 400_000 || s.AnswerTime < s.AcceptTime || s.AnswerTime+s.LingerTime >= kill {
 			t.Errorf("longest %d: SIGKILL at %d, steps %+v", longest, kill, s)
 		}
 	}
@@ -161,22 +161,22 @@
 // TestWhatComesAfterAnEmptyMomentHasItsTime: one moment without work is not the end of what comes on a connection that is
 // still open.
 func TestWhatComesAfterAnEmptyMomentHasItsTime(t *testing.T) {
-	set := For(0)
+	set := SettingsFor(0)
 	p := New(set)
 	p.Stop(0)
-	now := set.AcceptFor
-	if p.Over(now, 0, 2) {
+	now := set.AcceptTime
+	if p.Done(now, 0, 2) {
 		t.Fatal("ends with connections open")
 	}
-	now += set.CloseFor / 2
-	if p.Over(now, 1, 2) {
+	now += set.LingerTime / 2
+	if p.Done(now, 1, 2) {
 		t.Fatal("ends with a request open")
 	}
-	now += set.CloseFor
-	if p.Over(now, 0, 2) {
+	now += set.LingerTime
+	if p.Done(now, 0, 2) {
 		t.Fatal("the request was answered this moment: its connection has had no time to close")
 	}
-	if now += set.CloseFor; !p.Over(now, 0, 2) {
+	if now += set.LingerTime; !p.Done(now, 0, 2) {
 		t.Fatal("does not end")
 	}
 }
--- a/internal/dataplane/membership/membership.go
+++ b/internal/dataplane/membership/membership.go
@@ -70,7 +70,7 @@
 // but may be ahead or behind.
 const (
 	HealthView View = iota
-	CatalogueView
+	CatalogView
 	views
 )
 
@@ -94,41 +94,41 @@
 // Settings say how lists are judged.
 type Settings struct {
 	WarningServes bool // an instance with a warning is sent work
-	Hold          Time // how long the servers stay when a list is empty all at once
+	EmptyListHold Time // how long the servers stay when a list is empty all at once
 	ResetAfter    int  // lists in a row with an older index that show a register counting anew
-	Skew          Time // by how much a server's clock may be behind this one's
+	MaxClockSkew  Time // by how much a server's clock may be behind this one's
 }
 
 // record is what is known of one name.
 type record struct {
 	Server
-	created uint64
-	told    Time // its start as its metadata said
-	sick    bool // its last list called it critical
+	created        uint64
+	announcedStart Time // its start as its metadata said
+	critical       bool // its last list called it critical
 }
 
 // Table is what is known of a service.
 type Table struct {
-	set     Settings
-	now     Time
-	records map[string]*record
-	index   [views]uint64
-	older   [views]int      // lists in a row with an older index
-	missing map[string]bool // names that the catalogue, as of its index, does not have
-	begun   bool
-	empty   Time // since when lists are empty; 0: they are not
+	settings    Settings
+	now         Time
+	records     map[string]*record
+	index       [views]uint64
+	olderInRow  [views]int      // lists in a row with an older index
+	missing     map[string]bool // names that the catalogue, as of its index, does not have
+	initialized bool
+	emptySince  Time // since when lists are empty; 0: they are not
 }
 
 // New makes a table that knows nothing.
 func New(set Settings) (*Table, error) {
-	if set.Hold < 0 || set.ResetAfter < 1 || set.Skew < 0 {
+	if set.EmptyListHold < 0 || set.ResetAfter < 1 || set.MaxClockSkew < 0 {
 		return nil, errors.New("membership: hold and skew of 0 and more, and a reset after 1 and more wanted")
 	}
-	return &Table{set: set, records: map[string]*record{}, missing: map[string]bool{}}, nil
+	return &Table{settings: set, records: map[string]*record{}, missing: map[string]bool{}}, nil
 }
 
-// Whole gives all servers but those that are gone, by name.
-func (t *Table) Whole() []Server {
+// Servers gives all servers but those that are gone, by name.
+func (t *Table) Servers() []Server {
 	var list []Server
 	for _, r := range t.records {
 		if r.Phase != Gone {
@@ -140,22 +140,22 @@
 }
 
 // Holding tells whether the servers stay though the register's list is empty, and since when.
-func (t *Table) Holding() (since Time, holds bool) { return t.empty, t.empty != 0 }
+func (t *Table) Holding() (since Time, holds bool) { return t.emptySince, t.emptySince != 0 }
 
-// Heard takes in a list and gives the servers that changed, by name. The list is not kept.
-func (t *Table) Heard(now Time, l List) []Server {
+// Apply takes in a list and gives the servers that changed, by name. The list is not kept.
+func (t *Table) Apply(now Time, l List) []Server {
 	t.now = max(t.now, now)
-	if l.View >= views || !t.ordered(l.View, l.Index) {
+	if l.View >= views || !t.acceptIndex(l.View, l.Index) {
 		return nil
 	}
-	before := t.snapshot()
+	before := t.serversByName()
 	switch {
-	case l.View == CatalogueView:
-		t.catalogue(l.Instances)
-	case len(l.Instances) == 0 && t.hold():
+	case l.View == CatalogView:
+		t.applyCatalog(l.Instances)
+	case len(l.Instances) == 0 && t.holdEmpty():
 	default:
-		t.empty = 0
-		t.health(l.Instances)
+		t.emptySince = 0
+		t.applyHealth(l.Instances)
 	}
 	return t.changes(before)
 }
@@ -163,50 +163,50 @@
 // Tick takes in that time has passed without a list.
 func (t *Table) Tick(now Time) []Server {
 	t.now = max(t.now, now)
-	if t.empty == 0 || t.now-t.empty < t.set.Hold {
+	if t.emptySince == 0 || t.now-t.emptySince < t.settings.EmptyListHold {
 		return nil
 	}
-	before := t.snapshot()
-	t.empty = 0
-	t.health(nil)
+	before := t.serversByName()
+	t.emptySince = 0
+	t.applyHealth(nil)
 	return t.changes(before)
 }
 
-// ordered tells whether a list counts: it is not older than one that did, or the
+// acceptIndex tells whether a list counts: it is not older than one that did, or the
 // register has begun to count anew.
-func (t *Table) ordered(v View, index uint64) bool {
+func (t *Table) acceptIndex(v View, index uint64) bool {
 	if index < t.index[v] {
-		if t.older[v]++; t.older[v] < t.set.ResetAfter {
+		if t.olderInRow[v]++; t.olderInRow[v] < t.settings.ResetAfter {
 			return false
 		}
 		t.index = [views]uint64{} // no index of before means anything now
 		clear(t.missing)
 	}
-	t.older[v], t.index[v] = 0, index
+	t.olderInRow[v], t.index[v] = 0, index
 	return true
 }
 
-// hold tells whether an empty list is not to be believed yet. One server that goes is
+// holdEmpty tells whether an empty list is not to be believed yet. One server that goes is
 // that server's end; several at once are the register's.
-func (t *Table) hold() bool {
-	if t.empty == 0 {
+func (t *Table) holdEmpty() bool {
+	if t.emptySince == 0 {
 		present := 0
 		for _, r := range t.records {
 			if r.Phase != Gone {
 				present++
 			}
 		}
-		if present < 2 || t.set.Hold == 0 {
+		if present < 2 || t.settings.EmptyListHold == 0 {
 			return false
 		}
-		t.empty = max(1, t.now)
+		t.emptySince = max(1, t.now)
 	}
-	return t.now-t.empty < t.set.Hold
+	return t.now-t.emptySince < t.settings.EmptyListHold
 }
 
-// catalogue takes in which names the catalogue has. It can only take away: without
+// applyCatalog takes in which names the catalogue has. It can only take away: without
 // health nobody is sent work.
-func (t *Table) catalogue(list []Instance) {
+func (t *Table) applyCatalog(list []Instance) {
 	has := make(map[string]bool, len(list))
 	for i := range list {
 		has[list[i].Name()] = true
@@ -217,26 +217,26 @@
 	}
 	for name, r := range t.records {
 		// The newer of the two views knows better.
-		if !has[name] && t.index[CatalogueView] >= t.index[HealthView] {
+		if !has[name] && t.index[CatalogView] >= t.index[HealthView] {
 			t.missing[name] = true
 			r.Phase = Gone
 		}
 	}
 }
 
-// health takes in a list of instances with their checks.
-func (t *Table) health(list []Instance) {
+// applyHealth takes in a list of instances with their checks.
+func (t *Table) applyHealth(list []Instance) {
 	byName := make(map[string]*Instance, len(list))
 	for i := range list {
 		// One name at two addresses: the registration changed last counts.
 		in, other := &list[i], byName[list[i].Name()]
-		if other == nil || newer(in, other) {
+		if other == nil || moreRecent(in, other) {
 			byName[in.Name()] = in
 		}
 	}
 	newest := map[string]*Instance{} // at an address
 	for _, in := range byName {
-		if other := newest[in.Address]; other == nil || newer(in, other) {
+		if other := newest[in.Address]; other == nil || moreRecent(in, other) {
 			newest[in.Address] = in
 		}
 	}
@@ -248,24 +248,24 @@
 	for name, in := range byName {
 		phase := Ready
 		switch {
-		case t.missing[name] && t.index[CatalogueView] >= t.index[HealthView]:
+		case t.missing[name] && t.index[CatalogView] >= t.index[HealthView]:
 			phase = Gone
-		case in.Draining, in.Health >= Maintenance, in.Health == Warning && !t.set.WarningServes, newest[in.Address] != in:
+		case in.Draining, in.Health >= Maintenance, in.Health == Warning && !t.settings.WarningServes, newest[in.Address] != in:
 			phase = Draining
 		}
-		t.take(name, in, phase)
+		t.updateRecord(name, in, phase)
 	}
-	t.begun = true
+	t.initialized = true
 }
 
-// newer tells which of two registrations counts.
-func newer(a, b *Instance) bool {
+// moreRecent tells which of two registrations counts.
+func moreRecent(a, b *Instance) bool {
 	return cmp.Or(cmp.Compare(a.Modified, b.Modified), cmp.Compare(a.Created, b.Created), cmp.Compare(a.Name(), b.Name()),
 		cmp.Compare(a.Address, b.Address)) > 0
 }
 
-// take brings a record to what an instance says.
-func (t *Table) take(name string, in *Instance, phase Phase) {
+// updateRecord brings a record to what an instance says.
+func (t *Table) updateRecord(name string, in *Instance, phase Phase) {
 	r := t.records[name]
 	isNew := r == nil
 	if isNew {
@@ -273,39 +273,39 @@
 		t.records[name] = r
 	}
 	switch {
-	case isNew && !t.begun && in.Started == 0:
+	case isNew && !t.initialized && in.Started == 0:
 		// It was there before this gateway listened: nothing says that it is cold.
 	case isNew, r.Address != in.Address, t.restarted(r, in):
-		r.Started = t.start(in)
+		r.Started = t.startTime(in)
 	}
 	r.Server = Server{Name: name, Address: in.Address, Phase: phase, Started: r.Started, Zone: in.Zone, Cell: in.Cell, Size: in.Size}
-	r.created, r.told, r.sick = in.Created, in.Started, in.Health == Critical
+	r.created, r.announcedStart, r.critical = in.Created, in.Started, in.Health == Critical
 }
 
 // restarted tells whether a known name stands for another process now.
 func (t *Table) restarted(r *record, in *Instance) bool {
 	switch {
-	case in.Started != r.told:
+	case in.Started != r.announcedStart:
 		return in.Started != 0
 	case in.Started != 0:
 		return false // it shows that it is the same
 	case r.Phase == Gone || in.Created != r.created:
 		return in.Created != r.created || in.Created == 0
 	}
-	return r.sick && in.Health != Critical // a process that crashed and came back looks like this
+	return r.critical && in.Health != Critical // a process that crashed and came back looks like this
 }
 
-// start is when a process was started, with care: its clock may be behind, and the
+// startTime is when a process was started, with care: its clock may be behind, and the
 // future is none.
-func (t *Table) start(in *Instance) Time {
+func (t *Table) startTime(in *Instance) Time {
 	if in.Started == 0 {
 		return t.now
 	}
-	return min(t.now, in.Started+t.set.Skew)
+	return min(t.now, in.Started+t.settings.MaxClockSkew)
 }
 
-// snapshot is the servers as they are, by name.
-func (t *Table) snapshot() map[string]Server {
+// serversByName is the servers as they are, by name.
+func (t *Table) serversByName() map[string]Server {
 	m := make(map[string]Server, len(t.records))
 	for name, r := range t.records {
 		m[name] = r.Server
--- a/internal/dataplane/membership/membership_test.go
+++ b/internal/dataplane/membership/membership_test.go
@@ -9,7 +9,9 @@
 
 const second = Time(1e6)
 
-func settings() Settings { return Settings{Hold: 60 * second, ResetAfter: 3, Skew: 5 * second} }
+func settings() Settings {
+	return Settings{EmptyListHold: 60 * second, ResetAfter: 3, MaxClockSkew: 5 * second}
+}
 
 func table(t testing.TB, set Settings) *Table {
 	t.Helper()
@@ -59,9 +61,9 @@
 		set := settings()
 		set.WarningServes = c.warning
 		tab := table(t, set)
-		tab.Heard(second, list(1, in(1)))
-		tab.Heard(2*second, list(2, in(1, c.change)))
-		if got := tab.Whole()[0].Phase; got != c.phase {
+		tab.Apply(second, list(1, in(1)))
+		tab.Apply(2*second, list(2, in(1, c.change)))
+		if got := tab.Servers()[0].Phase; got != c.phase {
 			t.Errorf("%s: phase %d, want %d", c.name, got, c.phase)
 		}
 	}
@@ -71,15 +73,15 @@
 // register that counts anew.
 func TestOlderIndexUndoesNoDrain(t *testing.T) {
 	tab := table(t, settings())
-	tab.Heard(1, list(10, in(1), in(2)))
+	tab.Apply(1, list(10, in(1), in(2)))
 	drained := in(1, func(i *Instance) { i.Draining = true })
-	want(t, "drain", tab.Heard(2, list(12, drained, in(2))), "s1=1 ")
-	want(t, "older", tab.Heard(3, list(11, in(1), in(2))), "")
-	want(t, "older again", tab.Heard(4, list(10, in(1), in(2))), "")
-	want(t, "the same", tab.Heard(5, list(12, drained, in(2))), "")
-	want(t, "older", tab.Heard(6, list(3, in(1), in(2))), "")
-	want(t, "older", tab.Heard(7, list(3, in(1), in(2))), "")
-	want(t, "counts anew", tab.Heard(8, list(4, in(1), in(2))), "s1=0 ")
+	want(t, "drain", tab.Apply(2, list(12, drained, in(2))), "s1=1 ")
+	want(t, "older", tab.Apply(3, list(11, in(1), in(2))), "")
+	want(t, "older again", tab.Apply(4, list(10, in(1), in(2))), "")
+	want(t, "the same", tab.Apply(5, list(12, drained, in(2))), "")
+	want(t, "older", tab.Apply(6, list(3, in(1), in(2))), "")
+	want(t, "older", tab.Apply(7, list(3, in(1), in(2))), "")
+	want(t, "counts anew", tab.Apply(8, list(4, in(1), in(2))), "s1=0 ")
 }
 
 // What disappears and reappears under the same address is a new, cold process, unless
@@ -99,9 +101,9 @@
 		{"another address", func(*Instance) {}, func(i *Instance) { i.Address = "10.0.0.9:1" }, true},
 	} {
 		tab := table(t, settings())
-		tab.Heard(100*second, list(1, in(1, c.before), in(2)))
-		want(t, c.name, tab.Heard(110*second, list(2, in(2))), "s1=2 ")
-		got := tab.Heard(120*second, list(3, in(1, c.after), in(2)))
+		tab.Apply(100*second, list(1, in(1, c.before), in(2)))
+		want(t, c.name, tab.Apply(110*second, list(2, in(2))), "s1=2 ")
+		got := tab.Apply(120*second, list(3, in(1, c.after), in(2)))
 		if len(got) != 1 || got[0].Phase != Ready || (got[0].Started == 120*second) != c.cold {
 			t.Errorf("%s: %+v, cold %t wanted", c.name, got, c.cold)
 		}
@@ -116,10 +118,10 @@
 		cold   bool
 	}{{Critical, true}, {Maintenance, false}, {Warning, false}} {
 		tab := table(t, settings())
-		tab.Heard(100*second, list(1, in(1)))
-		tab.Heard(110*second, list(2, in(1, func(i *Instance) { i.Health = c.health })))
-		tab.Heard(120*second, list(3, in(1)))
-		if got := tab.Whole()[0]; got.Phase != Ready || (got.Started != 0) != c.cold {
+		tab.Apply(100*second, list(1, in(1)))
+		tab.Apply(110*second, list(2, in(1, func(i *Instance) { i.Health = c.health })))
+		tab.Apply(120*second, list(3, in(1)))
+		if got := tab.Servers()[0]; got.Phase != Ready || (got.Started != 0) != c.cold {
 			t.Errorf("after %d: %+v", c.health, got)
 		}
 	}
@@ -128,20 +130,20 @@
 // An empty list after a full one is held against; one server that goes is believed.
 func TestEmptyList(t *testing.T) {
 	tab := table(t, settings())
-	tab.Heard(second, list(1, in(1), in(2)))
-	want(t, "empty", tab.Heard(2*second, list(2)), "")
+	tab.Apply(second, list(1, in(1), in(2)))
+	want(t, "empty", tab.Apply(2*second, list(2)), "")
 	if since, holds := tab.Holding(); !holds || since != 2*second {
 		t.Errorf("holds %t since %d", holds, since)
 	}
 	want(t, "still", tab.Tick(61*second), "")
 	want(t, "over", tab.Tick(63*second), "s1=2 s2=2 ")
-	tab.Heard(64*second, list(3, in(1), in(2)))
-	tab.Heard(65*second, list(4))
-	want(t, "back in time", tab.Heard(66*second, list(5, in(1))), "s2=2 ")
+	tab.Apply(64*second, list(3, in(1), in(2)))
+	tab.Apply(65*second, list(4))
+	want(t, "back in time", tab.Apply(66*second, list(5, in(1))), "s2=2 ")
 	if _, holds := tab.Holding(); holds {
 		t.Error("holds on")
 	}
-	want(t, "the only one", tab.Heard(67*second, list(6)), "s1=2 ")
+	want(t, "the only one", tab.Apply(67*second, list(6)), "s1=2 ")
 }
 
 // One name at two addresses: the last change counts. Two names at one address: the
@@ -149,14 +151,14 @@
 func TestContradictions(t *testing.T) {
 	tab := table(t, settings())
 	moved := in(1, func(i *Instance) { i.Address, i.Modified = "10.0.0.9:1", 50 })
-	tab.Heard(1, list(1, moved, in(1)))
-	if got := tab.Whole(); len(got) != 1 || got[0].Address != "10.0.0.9:1" {
+	tab.Apply(1, list(1, moved, in(1)))
+	if got := tab.Servers(); len(got) != 1 || got[0].Address != "10.0.0.9:1" {
 		t.Errorf("%+v", got)
 	}
 	same := in(2, func(i *Instance) { i.Address, i.Modified = "10.0.0.9:1", 60 })
-	want(t, "two at one address", tab.Heard(2, list(2, moved, same)), "s1=1 s2=0 ")
+	want(t, "two at one address", tab.Apply(2, list(2, moved, same)), "s1=1 s2=0 ")
 	other := in(2, func(i *Instance) { i.Node = "m" })
-	if got := tab.Heard(3, list(3, moved, same, other)); len(got) != 1 || got[0].Name != "m/s2" {
+	if got := tab.Apply(3, list(3, moved, same, other)); len(got) != 1 || got[0].Name != "m/s2" {
 		t.Errorf("an id on two nodes: %+v", got)
 	}
 }
@@ -164,22 +166,22 @@
 // The catalogue takes away what it no longer has, if it is not behind, and adds nothing.
 func TestCatalogue(t *testing.T) {
 	tab := table(t, settings())
-	tab.Heard(1, list(10, in(1), in(2)))
-	cat := func(index uint64, is ...Instance) List { return List{View: CatalogueView, Index: index, Instances: is} }
-	want(t, "behind", tab.Heard(2, cat(9, in(1))), "")
-	want(t, "ahead", tab.Heard(3, cat(11, in(1), in(3))), "s2=2 ")
-	want(t, "health that is behind it", tab.Heard(4, list(11, in(1), in(2))), "")
-	want(t, "health that is ahead again", tab.Heard(5, list(12, in(1), in(2))), "s2=0 ")
-	want(t, "nothing at all", tab.Heard(6, cat(13)), "")
+	tab.Apply(1, list(10, in(1), in(2)))
+	cat := func(index uint64, is ...Instance) List { return List{View: CatalogView, Index: index, Instances: is} }
+	want(t, "behind", tab.Apply(2, cat(9, in(1))), "")
+	want(t, "ahead", tab.Apply(3, cat(11, in(1), in(3))), "s2=2 ")
+	want(t, "health that is behind it", tab.Apply(4, list(11, in(1), in(2))), "")
+	want(t, "health that is ahead again", tab.Apply(5, list(12, in(1), in(2))), "s2=0 ")
+	want(t, "nothing at all", tab.Apply(6, cat(13)), "")
 }
 
 // A start that a clock tells is taken with care.
 func TestClocksApart(t *testing.T) {
 	for told, started := range map[Time]Time{130 * second: 120 * second, 118 * second: 120 * second, 50 * second: 55 * second} {
 		tab := table(t, settings())
-		tab.Heard(100*second, list(1, in(2)))
-		tab.Heard(120*second, list(2, in(1, func(i *Instance) { i.Started = told }), in(2)))
-		if got := tab.Whole()[0].Started; got != started {
+		tab.Apply(100*second, list(1, in(2)))
+		tab.Apply(120*second, list(2, in(1, func(i *Instance) { i.Started = told }), in(2)))
+		if got := tab.Servers()[0].Started; got != started {
 			t.Errorf("told %d: %d, want %d", told, got, started)
 		}
 	}
@@ -233,8 +235,8 @@
 			if r.IntN(3) == 0 { // an answer that was long on its way
 				l = past[r.IntN(len(past))]
 			}
-			before := tab.Whole()
-			changes := tab.Heard(now, l)
+			before := tab.Servers()
+			changes := tab.Apply(now, l)
 			counts := l.Index >= newest.Index
 			if older++; counts {
 				older = 0
@@ -263,7 +265,7 @@
 				told[c.Name] = c
 			}
 			// What was told is what there is.
-			now2 := tab.Whole()
+			now2 := tab.Servers()
 			for _, s := range now2 {
 				if told[s.Name] != s {
 					t.Fatalf("seed %d: told %+v, is %+v", seed, told[s.Name], s)
@@ -294,7 +296,7 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	for _, set := range []Settings{{Hold: -1, ResetAfter: 1}, {ResetAfter: 0}, {ResetAfter: 1, Skew: -1}} {
+	for _, set := range []Settings{{EmptyListHold: -1, ResetAfter: 1}, {ResetAfter: 0}, {ResetAfter: 1, MaxClockSkew: -1}} {
 		if _, err := New(set); err == nil {
 			t.Errorf("%+v was taken", set)
 		}
@@ -311,6 +313,6 @@
 	for i := 0; b.Loop(); i++ {
 		l.Index++
 		l.Instances[i%5000].Draining = !l.Instances[i%5000].Draining
-		tab.Heard(Time(i), l)
+		tab.Apply(Time(i), l)
 	}
 }
--- a/internal/dataplane/membership/pace_test.go
+++ b/internal/dataplane/membership/pacer_test.go
@@ -12,9 +12,9 @@
 	const perSecond = 20 // a fleet that came again each 100 ms would ask for up to 480
 	for _, gateways := range []int{1, 3, 8, 24, 48} {
 		for seed := range uint64(20) {
-			paces, due := make([]*Pace, gateways), make([]Time, gateways)
+			paces, due := make([]*Pacer, gateways), make([]Time, gateways)
 			for i := range paces {
-				paces[i] = NewPace(gateways, seed<<8|uint64(i))
+				paces[i] = NewPacer(gateways, seed<<8|uint64(i))
 				due[i] = paces[i].Failed(true, 0)
 			}
 			served, tokens, calls := 0, 0.0, 0
@@ -34,7 +34,7 @@
 						tokens -= 0.5
 						due[i] = -1
 						served++
-						paces[i].Worked()
+						paces[i].Succeeded()
 					} else {
 						tokens = max(tokens, -perSecond)
 						due[i] = now + paces[i].Failed(true, 0)
@@ -51,8 +51,8 @@
 // TestPaceBounds holds the waits against what a drain leaves time for.
 func TestPaceBounds(t *testing.T) {
 	for gateways := range 200 {
-		p := NewPace(gateways, 7)
-		if w := p.Watch(); w < 2_000_000 || w > 20_000_000 || gateways <= 6 && w != 2_000_000 {
+		p := NewPacer(gateways, 7)
+		if w := p.WatchTimeout(); w < 2_000_000 || w > 20_000_000 || gateways <= 6 && w != 2_000_000 {
 			t.Fatalf("a watch of %d gateways waits %d us", gateways, w)
 		}
 		last := Time(0)
@@ -67,9 +67,9 @@
 			t.Fatalf("after 100 failures: again after %d us", last)
 		}
 		for range 60 {
-			p.Worked()
+			p.Succeeded()
 		}
-		if after := p.Worked(); after != 0 {
+		if after := p.Succeeded(); after != 0 {
 			t.Fatalf("a register with room: the next watch after %d us", after)
 		}
 		if after := p.Failed(false, 0); after > 100_000 {
@@ -81,8 +81,8 @@
 // Where what a register has binds at once, silence and failures end within a part of the time that is given to act on it.
 func TestPaceHeedsTheGrace(t *testing.T) {
 	for _, grace := range []Time{0, 100_000, 250_000, 600_000, 2_000_000, 60_000_000} {
-		p := NewPace(300, 7).Binds(grace)
-		soon := p.Patience()
+		p := NewPacer(300, 7).SetPushed(grace)
+		soon := p.SilenceTimeout()
 		if soon < 50_000 || soon > 500_000 || grace >= 200_000 && soon > grace/4 {
 			t.Errorf("grace %d: patience %d", grace, soon)
 		}
@@ -91,9 +91,9 @@
 				t.Errorf("grace %d: %d after a failure, patience %d", grace, again, soon)
 			}
 		}
-		p.Worked()
+		p.Succeeded()
 		for range 20 {
-			if wait := p.Watch(); wait < 2_000_000 || wait+soon > 4_000_000 {
+			if wait := p.WatchTimeout(); wait < 2_000_000 || wait+soon > 4_000_000 {
 				t.Errorf("grace %d: a watch waits %d, and is then silent for %d until another call is made", grace, wait, soon)
 			}
 		}
@@ -101,7 +101,7 @@
 			t.Errorf("grace %d: turned away, and again after %d", grace, again)
 		}
 	}
-	if p := NewPace(300, 7); p.Patience() != 0 {
+	if p := NewPacer(300, 7); p.SilenceTimeout() != 0 {
 		t.Error("impatient without a reason")
 	}
 }
@@ -117,9 +117,9 @@
 	)
 	for _, grace := range []Time{-1, 0, 250_000, 2_000_000} { // -1: the register tells only who asks
 		for gateways := range 620 {
-			p := NewPace(gateways, uint64(gateways))
+			p := NewPacer(gateways, uint64(gateways))
 			if grace >= 0 {
-				p.Binds(grace)
+				p.SetPushed(grace)
 			}
 			chance := rand.New(rand.NewPCG(uint64(gateways), uint64(grace)))
 			failed := false
@@ -127,7 +127,7 @@
 				spent, turnedAway := Time(0), false
 				switch chance.IntN(5) {
 				case 0:
-					if gap := p.Worked(); gap > whole {
+					if gap := p.Succeeded(); gap > whole {
 						t.Fatalf("%d gateways, grace %d: the next call %d us after an answer", gateways, grace, gap)
 					}
 					failed = false
@@ -137,7 +137,7 @@
 				case 2:
 					spent = hung
 				case 3:
-					watch := p.Watch()
+					watch := p.WatchTimeout()
 					if !failed {
 						continue // such a watch has a wait of its own, in which it may hang
 					}
--- a/internal/dataplane/registry/consul/answer.go
+++ b/internal/dataplane/registry/consul/answer.go
@@ -14,23 +14,23 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// mostAnswer bounds a list: 5,000 instances take about 5 MB.
-const mostAnswer = 64 << 20
+// maxAnswerBytes bounds a list: 5,000 instances take about 5 MB.
+const maxAnswerBytes = 64 << 20
 
-// head is what an answer's header tells.
-type head struct {
+// answerHeader is what an answer's header tells.
+type answerHeader struct {
 	index       uint64
 	leader      bool
 	lastContact time.Duration // how old a follower's word may be
 }
 
-func readHead(h http.Header) (head, error) {
+func parseHeader(h http.Header) (answerHeader, error) {
 	index, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return head{}, fmt.Errorf("index %.32q", h.Get("X-Consul-Index"))
+		return answerHeader{}, fmt.Errorf("index %.32q", h.Get("X-Consul-Index"))
 	}
 	contact, _ := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64)
-	return head{index: index, leader: h.Get("X-Consul-KnownLeader") != "false",
+	return answerHeader{index: index, leader: h.Get("X-Consul-KnownLeader") != "false",
 		lastContact: time.Duration(max(0, min(contact, int64(time.Hour/time.Millisecond)))) * time.Millisecond}, nil
 }
 
@@ -52,16 +52,16 @@
 	}
 }
 
-// catalogueEntry is an entry of /v1/catalog/service.
-type catalogueEntry struct {
+// catalogEntry is an entry of /v1/catalog/service.
+type catalogEntry struct {
 	Node, Address, ServiceID string
 }
 
-// readHealth reads a list with checks. One that is cut is an error: it must not
+// decodeHealth reads a list with checks. One that is cut is an error: it must not
 // pass for a short one.
-func readHealth(in io.Reader) ([]membership.Instance, error) {
+func decodeHealth(in io.Reader) ([]membership.Instance, error) {
 	var entries []healthEntry
-	if err := decode(in, &entries); err != nil {
+	if err := decodeList(in, &entries); err != nil {
 		return nil, err
 	}
 	list := make([]membership.Instance, 0, len(entries))
@@ -75,9 +75,9 @@
 	return list, nil
 }
 
-func readCatalogue(in io.Reader) ([]membership.Instance, error) {
-	var entries []catalogueEntry
-	if err := decode(in, &entries); err != nil {
+func decodeCatalog(in io.Reader) ([]membership.Instance, error) {
+	var entries []catalogEntry
+	if err := decodeList(in, &entries); err != nil {
 		return nil, err
 	}
 	list := make([]membership.Instance, 0, len(entries))
@@ -90,9 +90,9 @@
 	return list, nil
 }
 
-// decode reads one JSON list and nothing behind it.
-func decode(in io.Reader, into any) error {
-	d := json.NewDecoder(io.LimitReader(in, mostAnswer))
+// decodeList reads one JSON list and nothing behind it.
+func decodeList(in io.Reader, into any) error {
+	d := json.NewDecoder(io.LimitReader(in, maxAnswerBytes))
 	if err := d.Decode(into); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
@@ -118,15 +118,15 @@
 		in.Size = s.Weights.Passing
 	}
 	in.Cell, _ = strconv.Atoi(s.Meta["cell"])
-	in.Started = started(s.Meta["started"])
+	in.Started = parseStart(s.Meta["started"])
 	for _, c := range e.Checks {
-		in.Health = max(in.Health, health(c.CheckID, c.Status))
+		in.Health = max(in.Health, checkHealth(c.CheckID, c.Status))
 	}
 	return in
 }
 
-// health is what one check says. A status that is not known is none to trust.
-func health(id, status string) membership.Health {
+// checkHealth is what one check says. A status that is not known is none to trust.
+func checkHealth(id, status string) membership.Health {
 	switch {
 	case status == "passing":
 		return membership.Passing
@@ -138,9 +138,9 @@
 	return membership.Critical
 }
 
-// started reads a start from metadata: Unix seconds or milliseconds, or RFC 3339. 0
+// parseStart reads a start from metadata: Unix seconds or milliseconds, or RFC 3339. 0
 // where it says nothing that can be read.
-func started(text string) membership.Time {
+func parseStart(text string) membership.Time {
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil && n > 0 {
 		const year3000 = 32503680000
 		if n < year3000 {
--- a/internal/dataplane/registry/consul/consul.go
+++ b/internal/dataplane/registry/consul/consul.go
@@ -24,39 +24,39 @@
 
 // Settings say where the service is and how it is read.
 type Settings struct {
-	Agents     []string // HOST:PORT, tried in turn
-	TLS        bool
-	CAFile     string // PEM; "": the system's authorities
-	TokenFile  string // an ACL token in one line; "": none
-	Service    string
-	Datacenter string
-	Namespace  string
-	Filter     string // an expression as Consul's filter parameter takes it
-	Mode       string // "": the default consistency, "stale" or "consistent"
-	Wait       time.Duration
-	Catalogue  bool // the catalogue is followed besides
-	Rules      membership.Settings
+	Agents       []string // HOST:PORT, tried in turn
+	TLS          bool
+	CAFile       string // PEM; "": the system's authorities
+	TokenFile    string // an ACL token in one line; "": none
+	Service      string
+	Datacenter   string
+	Namespace    string
+	Filter       string // an expression as Consul's filter parameter takes it
+	Consistency  string // "": the default consistency, "stale" or "consistent"
+	Wait         time.Duration
+	WatchCatalog bool // the catalogue is followed besides
+	Membership   membership.Settings
 }
 
 const (
-	answerSlack = time.Second            // for an answer after the wait is over
-	retryFirst  = 100 * time.Millisecond // after a call that failed,
-	retryMost   = 3 * time.Second        // and at most
-	tooSoon     = 100 * time.Millisecond // the least time between two calls that tell nothing new
-	staleMost   = 10 * time.Second       // a follower's word that is older is none
-	mostHeader  = 16 << 10
-	tickEvery   = time.Second
+	answerTimeoutSlack = time.Second            // for an answer after the wait is over
+	minRetryDelay      = 100 * time.Millisecond // after a call that failed,
+	maxRetryDelay      = 3 * time.Second        // and at most
+	minCallInterval    = 100 * time.Millisecond // the least time between two calls that tell nothing new
+	maxStaleness       = 10 * time.Second       // a follower's word that is older is none
+	maxHeaderBytes     = 16 << 10
+	tickInterval       = time.Second
 )
 
 // Source follows one service. It implements registry.Source.
 type Source struct {
-	set    Settings
-	token  string
-	client *http.Client
-	table  *membership.Table
-	log    *slog.Logger
-	moved  chan []string
-	now    func() membership.Time
+	settings Settings
+	token    string
+	client   *http.Client
+	table    *membership.Table
+	log      *slog.Logger
+	moved    chan []string
+	now      func() membership.Time
 }
 
 // New makes a source. It reads the files that the settings name; an error tells
@@ -67,8 +67,8 @@
 		return nil, errors.New("register.agents: none")
 	case set.Service == "":
 		return nil, errors.New("register.service: missing")
-	case set.Mode != "" && set.Mode != "stale" && set.Mode != "consistent":
-		return nil, fmt.Errorf("register.mode: %q: default, stale or consistent wanted", set.Mode)
+	case set.Consistency != "" && set.Consistency != "stale" && set.Consistency != "consistent":
+		return nil, fmt.Errorf("register.mode: %q: default, stale or consistent wanted", set.Consistency)
 	case set.Wait < 100*time.Millisecond || set.Wait > 10*time.Minute:
 		return nil, fmt.Errorf("register.wait: %v: from 100ms to 10m wanted", set.Wait)
 	}
@@ -77,11 +77,11 @@
 			return nil, fmt.Errorf("register.agents: %w", err)
 		}
 	}
-	table, err := membership.New(set.Rules)
+	table, err := membership.New(set.Membership)
 	if err != nil {
 		return nil, err
 	}
-	s := &Source{set: set, table: table, log: log, moved: make(chan []string, 1),
+	s := &Source{settings: set, table: table, log: log, moved: make(chan []string, 1),
 		now: func() membership.Time { return time.Now().UnixMicro() }}
 	if set.TokenFile != "" {
 		raw, err := os.ReadFile(set.TokenFile)
@@ -94,7 +94,7 @@
 		}
 	}
 	transport := &http.Transport{Proxy: nil, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 2, DisableCompression: true,
-		MaxResponseHeaderBytes: mostHeader, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, TLSHandshakeTimeout: 2 * time.Second}
+		MaxResponseHeaderBytes: maxHeaderBytes, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, TLSHandshakeTimeout: 2 * time.Second}
 	if set.CAFile != "" {
 		pem, err := os.ReadFile(set.CAFile)
 		if err != nil {
@@ -111,11 +111,11 @@
 	return s, nil
 }
 
-// Try makes one call that does not wait, to each agent in turn until one answers, and
+// Check makes one call that does not wait, to each agent in turn until one answers, and
 // tells how many instances there are.
-func (s *Source) Try(ctx context.Context) (n int, err error) {
-	for _, agent := range s.set.Agents {
-		list, _, e := s.get(ctx, membership.HealthView, agent, 0)
+func (s *Source) Check(ctx context.Context) (n int, err error) {
+	for _, agent := range s.settings.Agents {
+		list, _, e := s.fetch(ctx, membership.HealthView, agent, 0)
 		if e == nil {
 			return len(list), nil
 		}
@@ -136,29 +136,29 @@
 	s.moved <- strings.Split(agents, ",")
 }
 
-// answer is a list that a watch has read.
-type answer struct {
-	list membership.List
-	life int // of the watches that read it
+// viewUpdate is a list that a watch has read.
+type viewUpdate struct {
+	list       membership.List
+	generation int // of the watches that read it
 }
 
 // Run follows the service until the context ends.
-func (s *Source) Run(ctx context.Context, tell func(registry.News)) {
-	answers := make(chan answer)
+func (s *Source) Run(ctx context.Context, tell func(registry.Update)) {
+	answers := make(chan viewUpdate)
 	life, whole := 0, true
-	agents := s.set.Agents
+	agents := s.settings.Agents
 	begin := func() (stop func()) {
 		watching, cancel := context.WithCancel(ctx)
-		done := make(chan struct{}, views)
+		done := make(chan struct{}, viewCount)
 		n := 1
 		go func(life int, agents []string) {
 			s.watch(watching, membership.HealthView, agents, life, answers)
 			done <- struct{}{}
 		}(life, agents)
-		if s.set.Catalogue {
+		if s.settings.WatchCatalog {
 			n++
 			go func(life int, agents []string) {
-				s.watch(watching, membership.CatalogueView, agents, life, answers)
+				s.watch(watching, membership.CatalogView, agents, life, answers)
 				done <- struct{}{}
 			}(life, agents)
 		}
@@ -172,7 +172,7 @@
 	}
 	stop := begin()
 	defer func() { stop() }()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	held := false
 	for {
@@ -189,15 +189,15 @@
 		case <-tick.C:
 			changed = s.table.Tick(s.now())
 		case a := <-answers:
-			if a.life != life {
+			if a.generation != life {
 				continue
 			}
-			changed = s.table.Heard(s.now(), a.list)
+			changed = s.table.Apply(s.now(), a.list)
 			heard = a.list.View == membership.HealthView
 		}
 		if _, holds := s.table.Holding(); holds != held {
 			if held = holds; holds {
-				s.log.Warn("register: the list is empty all at once; the servers stay", "for", time.Duration(s.set.Rules.Hold)*time.Microsecond)
+				s.log.Warn("register: the list is empty all at once; the servers stay", "for", time.Duration(s.settings.Membership.EmptyListHold)*time.Microsecond)
 			} else {
 				s.log.Info("register: the list is believed again")
 			}
@@ -205,14 +205,14 @@
 		switch {
 		case whole && heard:
 			whole = false
-			tell(registry.News{Kind: registry.Whole, Members: members(s.table.Whole())})
+			tell(registry.Update{Kind: registry.CompleteList, Members: members(s.table.Servers())})
 		case len(changed) > 0 && !whole:
-			tell(registry.News{Kind: registry.Changed, Members: members(changed)})
+			tell(registry.Update{Kind: registry.Delta, Members: members(changed)})
 		}
 	}
 }
 
-const views = 2
+const viewCount = 2
 
 // members puts servers into the platform's form.
 func members(servers []membership.Server) []registry.Member {
@@ -226,9 +226,9 @@
 }
 
 // watch reads one view over and over. An agent that fails makes room for the next.
-func (s *Source) watch(ctx context.Context, view membership.View, agents []string, life int, to chan<- answer) {
+func (s *Source) watch(ctx context.Context, view membership.View, agents []string, life int, to chan<- viewUpdate) {
 	var index uint64
-	retry, at := retryFirst, rand.IntN(len(agents))
+	retry, at := minRetryDelay, rand.IntN(len(agents))
 	pause := func(wait time.Duration) {
 		select {
 		case <-time.After(wait):
@@ -237,7 +237,7 @@
 	}
 	for ctx.Err() == nil {
 		called := time.Now()
-		l, h, err := s.get(ctx, view, agents[at], index)
+		l, h, err := s.fetch(ctx, view, agents[at], index)
 		if ctx.Err() != nil {
 			return
 		}
@@ -247,12 +247,12 @@
 			// index it answers at once with what it has.
 			index, at = 0, (at+1)%len(agents)
 			pause(retry/2 + rand.N(retry/2+1))
-			retry = min(2*retry, retryMost)
+			retry = min(2*retry, maxRetryDelay)
 			continue
 		}
-		retry = retryFirst
+		retry = minRetryDelay
 		select {
-		case to <- answer{membership.List{View: view, Index: h.index, Instances: l}, life}:
+		case to <- viewUpdate{membership.List{View: view, Index: h.index, Instances: l}, life}:
 		case <-ctx.Done():
 			return
 		}
@@ -263,69 +263,69 @@
 		default:
 			index = max(1, h.index) // never 0 in a blocking call
 		}
-		if spent := time.Since(called); spent < tooSoon && (same || index == 0) {
-			pause(tooSoon - spent) // an agent that answers at once for ever
+		if spent := time.Since(called); spent < minCallInterval && (same || index == 0) {
+			pause(minCallInterval - spent) // an agent that answers at once for ever
 		}
 	}
 }
 
-// get makes one call: a blocking one from an index on, or one that answers at once.
-func (s *Source) get(ctx context.Context, view membership.View, agent string, index uint64) ([]membership.Instance, head, error) {
+// fetch makes one call: a blocking one from an index on, or one that answers at once.
+func (s *Source) fetch(ctx context.Context, view membership.View, agent string, index uint64) ([]membership.Instance, answerHeader, error) {
 	q := url.Values{}
 	if index > 0 {
 		q.Set("index", fmt.Sprint(index))
-		q.Set("wait", fmt.Sprintf("%dms", s.set.Wait.Milliseconds()))
+		q.Set("wait", fmt.Sprintf("%dms", s.settings.Wait.Milliseconds()))
 	}
-	for name, value := range map[string]string{"dc": s.set.Datacenter, "ns": s.set.Namespace, "filter": s.set.Filter} {
+	for name, value := range map[string]string{"dc": s.settings.Datacenter, "ns": s.settings.Namespace, "filter": s.settings.Filter} {
 		if value != "" {
 			q.Set(name, value)
 		}
 	}
-	if s.set.Mode != "" {
-		q.Set(s.set.Mode, "")
+	if s.settings.Consistency != "" {
+		q.Set(s.settings.Consistency, "")
 	}
 	path, scheme := "/v1/health/service/", "http"
-	if view == membership.CatalogueView {
+	if view == membership.CatalogView {
 		path = "/v1/catalog/service/"
 	}
-	if s.set.TLS {
+	if s.settings.TLS {
 		scheme = "https"
 	}
 	// Consul adds up to a sixteenth to the wait.
-	limit := s.set.Wait + s.set.Wait/16 + answerSlack
+	limit := s.settings.Wait + s.settings.Wait/16 + answerTimeoutSlack
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	u := url.URL{Scheme: scheme, Host: agent, Path: path + s.set.Service, RawQuery: q.Encode()}
+	u := url.URL{Scheme: scheme, Host: agent, Path: path + s.settings.Service, RawQuery: q.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
-		return nil, head{}, fmt.Errorf("call: %w", err)
+		return nil, answerHeader{}, fmt.Errorf("call: %w", err)
 	}
 	if s.token != "" {
 		req.Header.Set("X-Consul-Token", s.token)
 	}
 	res, err := s.client.Do(req)
 	if err != nil {
-		return nil, head{}, fmt.Errorf("call: %w", err)
+		return nil, answerHeader{}, fmt.Errorf("call: %w", err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(res.Body, 200))
-		return nil, head{}, fmt.Errorf("call: status %s: %.200q", res.Status, text)
+		return nil, answerHeader{}, fmt.Errorf("call: status %s: %.200q", res.Status, text)
 	}
-	h, err := readHead(res.Header)
+	h, err := parseHeader(res.Header)
 	switch {
 	case err != nil:
 		return nil, h, fmt.Errorf("call: %w", err)
-	case !h.leader && s.set.Mode != "stale":
+	case !h.leader && s.settings.Consistency != "stale":
 		return nil, h, errors.New("call: the agent knows no leader")
-	case h.lastContact > staleMost:
+	case h.lastContact > maxStaleness:
 		return nil, h, fmt.Errorf("call: a follower's word, %v old", h.lastContact)
 	}
 	var list []membership.Instance
-	if view == membership.CatalogueView {
-		list, err = readCatalogue(res.Body)
+	if view == membership.CatalogView {
+		list, err = decodeCatalog(res.Body)
 	} else {
-		list, err = readHealth(res.Body)
+		list, err = decodeHealth(res.Body)
 	}
 	return list, h, err
 }
--- a/internal/dataplane/registry/consul/consul_test.go
+++ b/internal/dataplane/registry/consul/consul_test.go
@@ -26,13 +26,13 @@
 	*lab.Consul
 	t      *testing.T
 	source *Source
-	told   chan registry.News
+	told   chan registry.Update
 	now    map[string]registry.Member // what was told so far
 }
 
 func settings(agents ...string) Settings {
-	return Settings{Agents: agents, Service: "quotes", Wait: time.Second, Catalogue: true,
-		Rules: membership.Settings{Hold: patience.Microseconds(), ResetAfter: 3, Skew: 0}}
+	return Settings{Agents: agents, Service: "quotes", Wait: time.Second, WatchCatalog: true,
+		Membership: membership.Settings{EmptyListHold: patience.Microseconds(), ResetAfter: 3, MaxClockSkew: 0}}
 }
 
 func newConsul(t *testing.T) *lab.Consul {
@@ -59,10 +59,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Consul: c, t: t, source: s, told: make(chan registry.News, 1024), now: map[string]registry.Member{}}
+	r := &rig{Consul: c, t: t, source: s, told: make(chan registry.Update, 1024), now: map[string]registry.Member{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); s.Run(ctx, func(n registry.News) { r.told <- n }) }()
+	go func() { defer close(ended); s.Run(ctx, func(n registry.Update) { r.told <- n }) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -89,7 +89,7 @@
 	for late := time.After(patience); !so(); {
 		select {
 		case n := <-r.told:
-			if n.Kind == registry.Whole {
+			if n.Kind == registry.CompleteList {
 				clear(r.now)
 			}
 			for _, m := range n.Members {
@@ -213,7 +213,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	for i, at := range r.Calls()[before : before+calls] {
-		allowed := watches * (int(at.Sub(began)/tooSoon) + headroom)
+		allowed := watches * (int(at.Sub(began)/minCallInterval) + headroom)
 		if i+1 > allowed {
 			t.Errorf("%d calls within %v, %d at most", i+1, at.Sub(began), allowed)
 		}
@@ -248,7 +248,7 @@
 		got <- r.Header
 		return nil, io.EOF
 	})
-	_, _, err = s.get(context.Background(), membership.HealthView, "127.0.0.1:1", 0)
+	_, _, err = s.fetch(context.Background(), membership.HealthView, "127.0.0.1:1", 0)
 	if h := <-got; h.Get("X-Consul-Token") != "t0ken" || err == nil || strings.Contains(err.Error(), "t0ken") {
 		t.Errorf("header %v, error %v", h, err)
 	}
@@ -261,8 +261,8 @@
 func TestBadSettings(t *testing.T) {
 	for i, change := range []func(*Settings){
 		func(s *Settings) { s.Agents = nil }, func(s *Settings) { s.Agents = []string{"nowhere"} }, func(s *Settings) { s.Service = "" },
-		func(s *Settings) { s.Mode = "fast" }, func(s *Settings) { s.Wait = 0 }, func(s *Settings) { s.TokenFile = "/nowhere" },
-		func(s *Settings) { s.CAFile = "/dev/null" }, func(s *Settings) { s.Rules.ResetAfter = 0 },
+		func(s *Settings) { s.Consistency = "fast" }, func(s *Settings) { s.Wait = 0 }, func(s *Settings) { s.TokenFile = "/nowhere" },
+		func(s *Settings) { s.CAFile = "/dev/null" }, func(s *Settings) { s.Membership.ResetAfter = 0 },
 	} {
 		set := settings("127.0.0.1:1")
 		change(&set)
@@ -282,7 +282,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		for _, read := range []func(io.Reader) ([]membership.Instance, error){readHealth, readCatalogue} {
+		for _, read := range []func(io.Reader) ([]membership.Instance, error){decodeHealth, decodeCatalog} {
 			list, err := read(strings.NewReader(string(text)))
 			if err != nil && list != nil {
 				t.Errorf("%q: a list beside an error", text)
--- a/internal/dataplane/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -90,12 +90,12 @@
 }
 
 // pacesOfTheWorst are paces of a large fleet whose calls have failed for long. Some of them have been turned away before.
-func pacesOfTheWorst(asks bool) []*membership.Pace {
-	var paces []*membership.Pace
+func pacesOfTheWorst(asks bool) []*membership.Pacer {
+	var paces []*membership.Pacer
 	for seed := range uint64(12) {
-		p := membership.NewPace(300, seed)
+		p := membership.NewPacer(300, seed)
 		if !asks {
-			p.Binds(2_000_000)
+			p.SetPushed(2_000_000)
 		}
 		for n := range 12 {
 			p.Failed(seed%2 == 0 && n < 6, 0)
@@ -138,11 +138,11 @@
 }
 
 // heardInTime waits for the list, and compares how long it took with the term.
-func heardInTime(t *testing.T, what string, told <-chan News, reachable *atomic.Pointer[time.Time]) {
+func heardInTime(t *testing.T, what string, told <-chan Update, reachable *atomic.Pointer[time.Time]) {
 	for late := time.After(patience); ; {
 		select {
 		case n := <-told:
-			if n.Kind == Unheard {
+			if n.Kind == Unavailable {
 				continue
 			}
 			if took := time.Since(*reachable.Load()); took > term {
@@ -216,14 +216,14 @@
 		t.Fatal(err)
 	}
 	defer filler.Close()
-	p := NewPlatform(socket.address, false, membership.NewPace(300, 7).Binds(200_000), quiet())
+	p := NewPlatform(socket.address, false, membership.NewPacer(300, 7).SetPushed(200_000), quiet())
 	begun := make(chan struct{}, 1024)
 	p.dialer.Control = func(string, string, syscall.RawConn) error {
 		begun <- struct{}{}
 		return nil
 	}
 	told := follow(t, p)
-	for n := range 2*mostCalls + 1 {
+	for n := range 2*maxConcurrentCalls + 1 {
 		select {
 		case <-begun:
 		case <-time.After(patience):
--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -8,46 +8,46 @@
 	"strings"
 )
 
-// merge follows two registers at once, for a migration from one to the other. What
+// mergedSource follows two registers at once, for a migration from one to the other. What
 // the winner says of an address counts; the other one adds the servers at addresses
 // that the winner does not know.
-type merge struct {
-	winner, other Source
+type mergedSource struct {
+	primary, secondary Source
 }
 
 // Merge makes one source of two. A Move is for the winner, unless the address
 // begins with "other=", which is for the other one.
 func Merge(winner, other Source) Source {
-	return &merge{winner: winner, other: other}
+	return &mergedSource{primary: winner, secondary: other}
 }
 
 // Follow has both followed.
-func (m *merge) Follow() {
-	m.winner.Follow()
-	m.other.Follow()
+func (m *mergedSource) Follow() {
+	m.primary.Follow()
+	m.secondary.Follow()
 }
 
 // Move moves one of the two.
-func (m *merge) Move(address string) {
+func (m *mergedSource) Move(address string) {
 	if rest, ok := strings.CutPrefix(address, "other="); ok {
-		m.other.Move(rest)
+		m.secondary.Move(rest)
 		return
 	}
-	m.winner.Move(address)
+	m.primary.Move(address)
 }
 
 // Run brings the news of both, as one.
-func (m *merge) Run(ctx context.Context, tell func(News)) {
+func (m *mergedSource) Run(ctx context.Context, tell func(Update)) {
 	type from struct {
 		source int
-		news   News
+		news   Update
 	}
 	news := make(chan from)
 	ended := make(chan struct{}, 2)
-	for i, s := range []Source{m.winner, m.other} {
+	for i, s := range []Source{m.primary, m.secondary} {
 		go func() {
 			defer func() { ended <- struct{}{} }()
-			s.Run(ctx, func(n News) {
+			s.Run(ctx, func(n Update) {
 				select {
 				case news <- from{i, n}:
 				case <-ctx.Done():
@@ -65,10 +65,10 @@
 			return
 		case n = <-news:
 		}
-		if n.news.Kind == Unheard {
+		if n.news.Kind == Unavailable {
 			continue // the other one may be heard, and what was told holds
 		}
-		if n.news.Kind == Whole || has[n.source] == nil {
+		if n.news.Kind == CompleteList || has[n.source] == nil {
 			has[n.source] = map[string]Member{}
 		}
 		for _, e := range n.news.Members {
@@ -78,11 +78,11 @@
 		}
 		now := union(has[0], has[1])
 		if changed := difference(told, now); len(changed) > 0 || len(told) == 0 {
-			kind := Changed
+			kind := Delta
 			if len(told) == 0 {
-				kind = Whole
+				kind = CompleteList
 			}
-			tell(News{kind, changed})
+			tell(Update{kind, changed})
 		}
 		told = now
 	}
@@ -119,12 +119,12 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(gone(b), gone(a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(goneFirst(b), goneFirst(a)), cmp.Compare(a.ID, b.ID))
 	})
 	return list
 }
 
-func gone(m Member) int {
+func goneFirst(m Member) int {
 	if m.Phase == Gone {
 		return 1
 	}
--- a/internal/dataplane/registry/merge_test.go
+++ b/internal/dataplane/registry/merge_test.go
@@ -7,11 +7,11 @@
 
 // scripted is a source whose news a test sends.
 type scripted struct {
-	news  chan News
+	news  chan Update
 	moved []string
 }
 
-func (s *scripted) Run(ctx context.Context, tell func(News)) {
+func (s *scripted) Run(ctx context.Context, tell func(Update)) {
 	for {
 		select {
 		case n := <-s.news:
@@ -28,22 +28,22 @@
 // The winner's word on an address counts; the other one adds what the winner does
 // not know, and takes nothing of it back.
 func TestMerge(t *testing.T) {
-	winner, other := &scripted{news: make(chan News)}, &scripted{news: make(chan News)}
+	winner, other := &scripted{news: make(chan Update)}, &scripted{news: make(chan Update)}
 	m := Merge(winner, other)
 	told := follow(t, m)
 	for i, c := range []struct {
 		from *scripted
-		news News
+		news Update
 		want []Member // nil: nothing is told
 	}{
-		{other, News{Whole, []Member{at("o1", "a:1", Ready), at("o2", "a:2", Ready)}}, []Member{at("o1", "a:1", Ready), at("o2", "a:2", Ready)}},
-		{winner, News{Whole, []Member{at("w1", "a:1", Terminating)}}, []Member{at("o1", "a:1", Gone), at("w1", "a:1", Terminating)}},
-		{other, News{Changed, []Member{at("o1", "a:1", Ready)}}, nil},
-		{other, News{Changed, []Member{at("o2", "a:2", Terminating)}}, []Member{at("o2", "a:2", Terminating)}},
-		{winner, News{Unheard, nil}, nil},
-		{winner, News{Changed, []Member{at("w1", "a:1", Gone)}}, []Member{at("w1", "a:1", Gone), at("o1", "a:1", Ready)}},
-		{other, News{Whole, nil}, []Member{at("o1", "a:1", Gone), at("o2", "a:2", Gone)}},
-		{winner, News{Changed, []Member{at("w9", "a:9", Ready)}}, []Member{at("w9", "a:9", Ready)}},
+		{other, Update{CompleteList, []Member{at("o1", "a:1", Ready), at("o2", "a:2", Ready)}}, []Member{at("o1", "a:1", Ready), at("o2", "a:2", Ready)}},
+		{winner, Update{CompleteList, []Member{at("w1", "a:1", Terminating)}}, []Member{at("o1", "a:1", Gone), at("w1", "a:1", Terminating)}},
+		{other, Update{Delta, []Member{at("o1", "a:1", Ready)}}, nil},
+		{other, Update{Delta, []Member{at("o2", "a:2", Terminating)}}, []Member{at("o2", "a:2", Terminating)}},
+		{winner, Update{Unavailable, nil}, nil},
+		{winner, Update{Delta, []Member{at("w1", "a:1", Gone)}}, []Member{at("w1", "a:1", Gone), at("o1", "a:1", Ready)}},
+		{other, Update{CompleteList, nil}, []Member{at("o1", "a:1", Gone), at("o2", "a:2", Gone)}},
+		{winner, Update{Delta, []Member{at("w9", "a:9", Ready)}}, []Member{at("w9", "a:9", Ready)}},
 	} {
 		c.from.news <- c.news
 		if c.want == nil {
--- a/internal/dataplane/registry/platform.go
+++ b/internal/dataplane/registry/platform.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	watchSlack = time.Second           // for an answer after the wait is over
-	listWait   = 2 * time.Second       // for the whole list, which comes at once
-	dialWithin = 2 * time.Second       // for a connection: a dial outlives the call that it was made for
-	tooSoon    = 50 * time.Millisecond // for a watch that tells nothing
-	mostList   = 8 << 20               // bytes
-	mostCalls  = 8                     // that are out at once
+	watchResponseSlack = time.Second           // for an answer after the wait is over
+	listTimeout        = 2 * time.Second       // for the whole list, which comes at once
+	dialTimeout        = 2 * time.Second       // for a connection: a dial outlives the call that it was made for
+	minWatchDuration   = 50 * time.Millisecond // for a watch that tells nothing
+	maxListBytes       = 8 << 20               // bytes
+	maxConcurrentCalls = 8                     // that are out at once
 )
 
-const mostHeader = 16 << 10 // bytes of an answer's header
+const maxHeaderBytes = 16 << 10 // bytes of an answer's header
 
 // Platform is the platform's discovery: HTTP watches at one address.
 type Platform struct {
-	address string
-	moved   chan string // addresses of new configurations: the last one only
-	client  *http.Client
-	dialer  net.Dialer
-	asks    bool          // discovery tells only who asks
-	start   chan struct{} // closed when the list is to be followed
-	once    bool
-	pace    *membership.Pace
-	log     *slog.Logger
+	address         string
+	moved           chan string // addresses of new configurations: the last one only
+	client          *http.Client
+	dialer          net.Dialer
+	polled          bool          // discovery tells only who asks
+	followed        chan struct{} // closed when the list is to be followed
+	followRequested bool
+	pacer           *membership.Pacer
+	log             *slog.Logger
 }
 
 // NewPlatform makes a source at an address. Asks: discovery tells only who asks,
 // so it is followed only after Follow. The pace is the source's own.
-func NewPlatform(address string, asks bool, pace *membership.Pace, log *slog.Logger) *Platform {
+func NewPlatform(address string, asks bool, pace *membership.Pacer, log *slog.Logger) *Platform {
 	d := &Platform{
-		address: address, moved: make(chan string, 1), log: log, pace: pace,
-		dialer: net.Dialer{Timeout: dialWithin},
-		asks:   asks, start: make(chan struct{}),
+		address: address, moved: make(chan string, 1), log: log, pacer: pace,
+		dialer: net.Dialer{Timeout: dialTimeout},
+		polled: asks, followed: make(chan struct{}),
 	}
 	d.client = &http.Client{
 		// No redirect is followed: only the addresses of the configuration are called.
@@ -55,7 +55,7 @@
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				return d.dialer.DialContext(ctx, network, address)
 			},
-			MaxConnsPerHost: mostCalls, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
+			MaxConnsPerHost: maxConcurrentCalls, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 		},
 	}
 	if !asks {
@@ -66,9 +66,9 @@
 
 // Follow has the list followed from now on.
 func (d *Platform) Follow() {
-	if !d.once {
-		d.once = true
-		close(d.start)
+	if !d.followRequested {
+		d.followRequested = true
+		close(d.followed)
 	}
 }
 
@@ -83,9 +83,9 @@
 
 // Run follows the list, at another address as soon as there is one: a watch that
 // is under way at the old one ends, and its news come before any of the new one.
-func (d *Platform) Run(ctx context.Context, tell func(News)) {
+func (d *Platform) Run(ctx context.Context, tell func(Update)) {
 	select {
-	case <-d.start:
+	case <-d.followed:
 	case <-ctx.Done():
 		return
 	}
@@ -106,14 +106,14 @@
 	}
 }
 
-// errTurnedAway tells that discovery has no room for a call: what was heard of it still
+// errRejected tells that discovery has no room for a call: what was heard of it still
 // counts, and the watch can go on from there, which costs it less than a whole list.
-var errTurnedAway = errors.New("turned away")
+var errRejected = errors.New("turned away")
 
 func micros(t membership.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // watch watches for changes; at first and after a break it takes the whole list.
-func (d *Platform) watch(ctx context.Context, tell func(News), url string) {
+func (d *Platform) watch(ctx context.Context, tell func(Update), url string) {
 	version := ""
 	pause := func(wait time.Duration) {
 		select {
@@ -123,32 +123,32 @@
 	}
 	for ctx.Err() == nil {
 		called := time.Now()
-		list, err := d.ask(ctx, url, version)
+		list, err := d.fetch(ctx, url, version)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if !errors.Is(err, errTurnedAway) {
+			if !errors.Is(err, errRejected) {
 				version = ""
 			}
-			again := micros(d.pace.Failed(errors.Is(err, errTurnedAway), time.Since(called).Microseconds()))
+			again := micros(d.pacer.Failed(errors.Is(err, errRejected), time.Since(called).Microseconds()))
 			d.log.Warn("discovery", "error", err, "again_ms", again.Milliseconds())
-			if d.asks {
-				tell(News{Kind: Unheard})
+			if d.polled {
+				tell(Update{Kind: Unavailable})
 			}
 			pause(again)
 			continue
 		}
-		if version != "" && len(list.Members) == 0 && time.Since(called) < tooSoon {
-			pause(tooSoon) // a watch that does not wait must not become a busy loop
+		if version != "" && len(list.Members) == 0 && time.Since(called) < minWatchDuration {
+			pause(minWatchDuration) // a watch that does not wait must not become a busy loop
 		}
 		version = fmt.Sprint(list.Revision)
-		kind := Changed
+		kind := Delta
 		if list.Complete {
-			kind = Whole
+			kind = CompleteList
 		}
-		tell(News{kind, list.Members})
-		if gap := d.pace.Worked(); gap > 0 {
+		tell(Update{kind, list.Members})
+		if gap := d.pacer.Succeeded(); gap > 0 {
 			pause(micros(gap))
 		}
 	}
@@ -156,13 +156,13 @@
 
 // The causes of calls that end.
 var (
-	errBroken  = errors.New("the connection broke")
-	errGivenUp = errors.New("given up")
+	errConnectionBroken = errors.New("the connection broke")
+	errAbandoned        = errors.New("given up")
 )
 
-// ask makes one call, and as long as it is silent further ones for the whole list beside it: a discovery that was
+// fetch makes one call, and as long as it is silent further ones for the whole list beside it: a discovery that was
 // down, or lost a call, may answer only calls that are made later, and at once. The first answer counts.
-func (d *Platform) ask(ctx context.Context, url, version string) (List, error) {
+func (d *Platform) fetch(ctx context.Context, url, version string) (List, error) {
 	type answer struct {
 		list List
 		err  error
@@ -173,13 +173,13 @@
 	var out []context.CancelCauseFunc // oldest first
 	call := func(version string, wait time.Duration) {
 		ctx, giveUp := context.WithCancelCause(ctx)
-		if out = append(out, giveUp); len(out) > mostCalls {
-			out[0](errGivenUp)
+		if out = append(out, giveUp); len(out) > maxConcurrentCalls {
+			out[0](errAbandoned)
 			out = out[1:]
 		}
 		go func() {
 			defer giveUp(nil)
-			list, err := d.get(ctx, url, version, wait)
+			list, err := d.request(ctx, url, version, wait)
 			select {
 			case answers <- answer{list, err}:
 			case <-ctx.Done():
@@ -188,10 +188,10 @@
 	}
 	wait := time.Duration(0)
 	if version != "" {
-		wait = micros(d.pace.Watch())
+		wait = micros(d.pacer.WatchTimeout())
 	}
 	call(version, wait)
-	patience := micros(d.pace.Patience())
+	patience := micros(d.pacer.SilenceTimeout())
 	again := time.NewTimer(wait + patience)
 	defer again.Stop()
 	late := again.C
@@ -201,7 +201,7 @@
 	for asked := 0; ; {
 		select {
 		case a := <-answers:
-			if patience == 0 || !errors.Is(a.err, context.DeadlineExceeded) && !errors.Is(a.err, errGivenUp) {
+			if patience == 0 || !errors.Is(a.err, context.DeadlineExceeded) && !errors.Is(a.err, errAbandoned) {
 				return a.list, a.err
 			}
 		case <-late:
@@ -216,10 +216,10 @@
 	}
 }
 
-// sentOnce has a call end where the transport would send it once more: it does so
+// cancelOnResend has a call end where the transport would send it once more: it does so
 // by itself for a GET on a kept connection that broke. What answers then may be
 // another process, to which the version of the old one means nothing.
-func sentOnce(cancel func()) *httptrace.ClientTrace {
+func cancelOnResend(cancel func()) *httptrace.ClientTrace {
 	var sent atomic.Bool
 	return &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { sent.Store(info.Err == nil) },
@@ -231,12 +231,12 @@
 	}
 }
 
-// get makes one call: a watch from a version on, which may wait, or one for the whole list.
-func (d *Platform) get(ctx context.Context, url, version string, wait time.Duration) (list List, err error) {
-	most := listWait
+// request makes one call: a watch from a version on, which may wait, or one for the whole list.
+func (d *Platform) request(ctx context.Context, url, version string, wait time.Duration) (list List, err error) {
+	most := listTimeout
 	if version != "" {
 		url += fmt.Sprintf("?index=%s&wait=%d", version, wait.Milliseconds())
-		most = wait + watchSlack
+		most = wait + watchResponseSlack
 	}
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -247,7 +247,7 @@
 			err = fmt.Errorf("discovery call: %w", context.Cause(ctx))
 		}
 	}()
-	ctx = httptrace.WithClientTrace(ctx, sentOnce(func() { broke(errBroken) }))
+	ctx = httptrace.WithClientTrace(ctx, cancelOnResend(func() { broke(errConnectionBroken) }))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return list, fmt.Errorf("discovery call: %w", err)
@@ -258,13 +258,13 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusServiceUnavailable {
-		return list, fmt.Errorf("discovery call: %w", errTurnedAway)
+		return list, fmt.Errorf("discovery call: %w", errRejected)
 	}
 	if res.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("discovery call: status %s", res.Status)
 	}
 	// A list that is cut or has no end must not pass for a short one.
-	if err := json.NewDecoder(io.LimitReader(res.Body, mostList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxListBytes)).Decode(&list); err != nil {
 		return list, fmt.Errorf("discovery list: %w", err)
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 64)) // so that the connection is kept
--- a/internal/dataplane/registry/platform_test.go
+++ b/internal/dataplane/registry/platform_test.go
@@ -20,7 +20,7 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func next(t *testing.T, from <-chan News) News {
+func next(t *testing.T, from <-chan Update) Update {
 	t.Helper()
 	select {
 	case n := <-from:
@@ -32,13 +32,13 @@
 }
 
 // follow runs a source for a test.
-func follow(t *testing.T, s Source) chan News {
+func follow(t *testing.T, s Source) chan Update {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	told, ended := make(chan News), make(chan struct{})
+	told, ended := make(chan Update), make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.Run(ctx, func(n News) {
+		s.Run(ctx, func(n Update) {
 			select {
 			case told <- n:
 			case <-ctx.Done():
@@ -84,8 +84,8 @@
 func TestPlatformTakesTheWholeListAfterABreak(t *testing.T) {
 	address, calls := script(t, `{"revision":4,"complete":true,"members":[{"id":"a"}]}`, `{"revision":5,"members":[{"id":"b"}]}`,
 		`!500`, `{"revision":7,"complete":true,"members":[]}`, `{"revision":8,"members":[{"id`, `{"revision":9,"complete":true,"members":[]}`, `hang`)
-	told := follow(t, NewPlatform(address, false, membership.NewPace(1, 7), quiet()))
-	for _, want := range []Kind{Whole, Changed, Whole, Whole} {
+	told := follow(t, NewPlatform(address, false, membership.NewPacer(1, 7), quiet()))
+	for _, want := range []Kind{CompleteList, Delta, CompleteList, CompleteList} {
 		if n := next(t, told); n.Kind != want {
 			t.Errorf("%+v, want kind %d", n, want)
 		}
@@ -100,14 +100,14 @@
 // Where it tells only who asks, nothing is called before Follow, and a failure is told.
 func TestPlatformThatIsAsked(t *testing.T) {
 	address, calls := script(t, `!503`)
-	p := NewPlatform(address, true, membership.NewPace(1, 7), quiet())
+	p := NewPlatform(address, true, membership.NewPacer(1, 7), quiet())
 	told := follow(t, p)
 	if len(calls) > 0 {
 		t.Error("called before it was to be followed")
 	}
 	p.Follow()
 	p.Follow()
-	if n := next(t, told); n.Kind != Unheard {
+	if n := next(t, told); n.Kind != Unavailable {
 		t.Errorf("%+v", n)
 	}
 }
@@ -116,7 +116,7 @@
 func TestPlatformMoves(t *testing.T) {
 	old, calls := script(t, `{"revision":4,"complete":true,"members":[{"id":"old"}]}`, `hang`)
 	moved, _ := script(t, `{"revision":1,"complete":true,"members":[{"id":"new"}]}`, `hang`)
-	p := NewPlatform(old, false, membership.NewPace(1, 7), quiet())
+	p := NewPlatform(old, false, membership.NewPacer(1, 7), quiet())
 	told := follow(t, p)
 	next(t, told)
 	for range 2 {
@@ -124,7 +124,7 @@
 	}
 	p.Move("127.0.0.1:1")
 	p.Move(moved)
-	if n := next(t, told); n.Kind != Whole || n.Members[0].ID != "new" {
+	if n := next(t, told); n.Kind != CompleteList || n.Members[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 }
@@ -163,12 +163,12 @@
 				fmt.Fprint(w, list)
 			}))
 			t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-			told := follow(t, NewPlatform(strings.TrimPrefix(s.URL, "http://"), false, membership.NewPace(1, 7).Binds(2_000_000), quiet()))
+			told := follow(t, NewPlatform(strings.TrimPrefix(s.URL, "http://"), false, membership.NewPacer(1, 7).SetPushed(2_000_000), quiet()))
 			for _, h := range held {
 				if h {
 					continue
 				}
-				if n := next(t, told); n.Kind != Whole || len(n.Members) != 1 {
+				if n := next(t, told); n.Kind != CompleteList || len(n.Members) != 1 {
 					t.Errorf("%+v", n)
 				}
 			}
--- a/internal/dataplane/registry/registry.go
+++ b/internal/dataplane/registry/registry.go
@@ -35,13 +35,13 @@
 
 // News is a whole list, only what changed, or that nothing could be had.
 const (
-	Whole Kind = iota
-	Changed
-	Unheard
+	CompleteList Kind = iota
+	Delta
+	Unavailable
 )
 
-// News is what a source has to tell. The members are the receiver's.
-type News struct {
+// Update is what a source has to tell. The members are the receiver's.
+type Update struct {
 	Kind    Kind
 	Members []Member
 }
@@ -50,7 +50,7 @@
 type Source interface {
 	// Run brings news until the context ends. It calls tell from one goroutine at
 	// a time; what tell has returned from was heard before what it is called with next.
-	Run(ctx context.Context, tell func(News))
+	Run(ctx context.Context, tell func(Update))
 	// Follow has the list followed from now on, where the register tells only who
 	// asks; elsewhere it does nothing. It may be called at any time, from one goroutine.
 	Follow()
--- a/internal/dataplane/snapshot/snapshot.go
+++ b/internal/dataplane/snapshot/snapshot.go
@@ -30,8 +30,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// options are those of a store that is small, read whole, and shares a gateway's memory.
-var options = store.Options{SegmentBytes: 1 << 20, MaxOverlayKeys: 4 << 10, Verify: true}
+// storeOptions are those of a store that is small, read whole, and shares a gateway's memory.
+var storeOptions = store.Options{SegmentBytes: 1 << 20, MaxOverlayKeys: 4 << 10, Verify: true}
 
 // File keeps the newest state given to it. Its methods may be called concurrently. The store is held from the first state
 // stored to the last one, so a process that takes over reads it when the one before has stored its last.
@@ -42,8 +42,8 @@
 	store     *store.Store                    // nil: not held
 	customers map[uint64]policy.CustomerState // as the store has them
 	backends  map[uint32]policy.BackendState
-	last      policy.Time // of the state that the store holds
-	done      bool        // the last state of an orderly end is written
+	storedAt  policy.Time // of the state that the store holds
+	final     bool        // the last state of an orderly end is written
 }
 
 // Open makes a File at a path. The folder above must exist and be writable, which is
@@ -67,22 +67,22 @@
 func (f *File) Store(s policy.Snapshot, durable bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.done || s.At < f.last {
+	if f.final || s.At < f.storedAt {
 		return nil
 	}
 	err := f.write(s, durable)
 	if err == nil && s.Last {
-		err = f.release()
+		err = f.closeStore()
 	}
 	if err != nil {
-		return errors.Join(fmt.Errorf("state: %w", err), f.release(), f.remove())
+		return errors.Join(fmt.Errorf("state: %w", err), f.closeStore(), f.remove())
 	}
-	f.last, f.done = s.At, s.Last
+	f.storedAt, f.final = s.At, s.Last
 	return nil
 }
 
-// release gives the store to whoever comes next.
-func (f *File) release() error {
+// closeStore gives the store to whoever comes next.
+func (f *File) closeStore() error {
 	held := f.store
 	f.store, f.customers, f.backends = nil, nil, nil
 	if held == nil {
@@ -91,15 +91,15 @@
 	return held.Close()
 }
 
-// isFile tells whether an earlier version's file stands at the path.
-func (f *File) isFile() bool {
+// isLegacyFile tells whether an earlier version's file stands at the path.
+func (f *File) isLegacyFile() bool {
 	info, err := os.Stat(f.path)
 	return err == nil && info.Mode().IsRegular()
 }
 
 // remove takes the state away, and nothing else that may stand in its folder.
 func (f *File) remove() error {
-	if f.isFile() {
+	if f.isLegacyFile() {
 		return os.Remove(f.path)
 	}
 	return store.Remove(f.path)
@@ -109,7 +109,7 @@
 func (f *File) write(s policy.Snapshot, durable bool) error {
 	var b store.Batch
 	if f.store == nil {
-		if err := f.hold(&b); err != nil {
+		if err := f.openStore(&b); err != nil {
 			return err
 		}
 	}
@@ -133,20 +133,20 @@
 	return f.store.Commit(&b, store.Durability(durable))
 }
 
-// hold opens the store to write to it, and has a batch take out what is in it. A file of an earlier version makes room.
-func (f *File) hold(b *store.Batch) error {
-	if f.isFile() {
+// openStore opens the store to write to it, and has a batch take out what is in it. A file of an earlier version makes room.
+func (f *File) openStore(b *store.Batch) error {
+	if f.isLegacyFile() {
 		if err := f.remove(); err != nil {
 			return err
 		}
 	}
-	s, err := store.Open(f.path, options)
+	s, err := store.Open(f.path, storeOptions)
 	var damage *store.DamageError
 	if errors.As(err, &damage) { // it was refused, and told, when it was read
 		if err := f.remove(); err != nil {
 			return err
 		}
-		s, err = store.Open(f.path, options)
+		s, err = store.Open(f.path, storeOptions)
 	}
 	if err != nil {
 		return err
@@ -202,25 +202,25 @@
 func (f *File) Load() (s policy.Snapshot, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.isFile() {
-		return f.loadFile()
+	if f.isLegacyFile() {
+		return f.loadLegacyFile()
 	}
 	from := f.store
 	if from == nil {
-		o := options
+		o := storeOptions
 		o.ReadOnly = true
 		if from, err = store.Open(f.path, o); err != nil {
 			return s, fmt.Errorf("state: %s: %w", f.path, err)
 		}
 		defer from.Close()
 	}
-	if s, err = load(from); err != nil {
+	if s, err = loadFrom(from); err != nil {
 		return policy.Snapshot{}, fmt.Errorf("state: %s: %w", f.path, err)
 	}
 	return s, nil
 }
 
-func load(from *store.Store) (s policy.Snapshot, err error) {
+func loadFrom(from *store.Store) (s policy.Snapshot, err error) {
 	view, err := from.Snapshot()
 	if err != nil {
 		return s, err
@@ -262,8 +262,8 @@
 	return append(to, v), err
 }
 
-// loadFile reads what versions before the store wrote: the bytes that Encode gives.
-func (f *File) loadFile() (policy.Snapshot, error) {
+// loadLegacyFile reads what versions before the store wrote: the bytes that Encode gives.
+func (f *File) loadLegacyFile() (policy.Snapshot, error) {
 	raw, err := os.ReadFile(f.path)
 	if err != nil {
 		return policy.Snapshot{}, fmt.Errorf("state: %w", err)
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -194,7 +194,7 @@
 			t.Fatal(err)
 		}
 		if !next.Last { // as the end of the process does
-			if err := f.release(); err != nil {
+			if err := f.closeStore(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -301,17 +301,17 @@
 // stand-in: that they would have asked is counted instead.
 type noRegister struct{}
 
-func (noRegister) Run(ctx context.Context, _ func(registry.News)) { <-ctx.Done() }
-func (noRegister) Follow()                                        {}
-func (noRegister) Move(string)                                    {}
+func (noRegister) Run(ctx context.Context, _ func(registry.Update)) { <-ctx.Done() }
+func (noRegister) Follow()                                          {}
+func (noRegister) Move(string)                                      {}
 
 // receive takes in news of the servers.
-func (g *hollowGateway) receive(n registry.News) {
+func (g *hollowGateway) receive(n registry.Update) {
 	now := time.Now().UnixNano()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	removed := map[string]bool{}
-	if n.Kind == registry.Whole {
+	if n.Kind == registry.CompleteList {
 		for id := range g.servers {
 			removed[id] = true
 		}
@@ -325,7 +325,7 @@
 	for id := range removed { // what a whole list does not have
 		g.put(id, registry.Gone, "", now)
 	}
-	if g.current == 0 && n.Kind != registry.Unheard {
+	if g.current == 0 && n.Kind != registry.Unavailable {
 		g.current = now
 	}
 }
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -55,7 +55,7 @@
 		Direct: func() (registry.Source, error) {
 			return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName,
 				Wait: registerWait,
-				Rules: membership.Settings{Hold: registerHold.Microseconds(),
+				Membership: membership.Settings{EmptyListHold: registerHold.Microseconds(),
 					ResetAfter: registerReset}}, discardLog)
 		}}
 	w.set.Add(endpointlist.Role, watch.Work)
