--- a/cmd/mothcleat/auditcommand.go
+++ b/cmd/mothcleat/auditcommand.go
@@ -36,8 +36,8 @@
 			"of gateways that run, by their doors, or of folders",
 		Long: "audit joins the records of several gateways: those at the doors, which run, " +
 			"and those whose fleet folders are given, which don't.\n" +
-			"What is agreed (versions, and where each record stood) comes from the gateway at --door, " +
-			"or from a file that versions --json wrote.",
+			"What is agreed (versions, and where each record stood) comes from the gateway " +
+			"at --door, or from a file that versions --json wrote.",
 		RunE: func(_ *cobra.Command, dirs []string) error {
 			options.dirs = dirs
 			if err := options.filter.setTimes(from, to); err != nil {
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -137,8 +137,9 @@
 		Use:   "found NAME",
 		Short: "make the folder of a new fleet's voter, once for each",
 		Args:  exactArgs(1),
-		Long: `found makes this gateway's folder that of a voter of a fleet that begins. All voters that the
-operators' file names have to be given the same list. A voter whose folder was lost must not be founded again: see join.`,
+		Long: "found makes this gateway's folder that of a voter of a fleet that begins. " +
+			"All voters that the\noperators' file names have to be given the same list. " +
+			"A voter whose folder was lost must not be founded again: see join.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return bootstrapReplica(*cli.operatorsFile, args[0], cli.out)
 		},
--- a/cmd/mothcleat/hotrestart.go
+++ b/cmd/mothcleat/hotrestart.go
@@ -36,8 +36,8 @@
 		restart.RendezvousPath = hotrestart.SocketPath(os.TempDir(), cfg.Name)
 		if p.settings.HotRestart.Enabled {
 			p.log.Warn(
-				"hand-over: the platform holds the clients' socket, and replaces processes itself; " +
-					"handover.on is passed over",
+				"hand-over: the platform holds the clients' socket, " +
+					"and replaces processes itself; handover.on is passed over",
 			)
 		}
 		return nil
--- a/cmd/mothcleat/main.go
+++ b/cmd/mothcleat/main.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 )
 
-const longHelp = `usage: mothcleat [--operators FILE] runs a gateway; the commands below look after one.
-
+const longHelp = "usage: mothcleat [--operators FILE] runs a gateway; " +
+	"the commands below look after one.\n" + `
 The configuration is the JSON file that RELAY_CONFIG names. The operators' file
 holds what the platform does not offer; without one all of that is off.
 SIGTERM stops the gateway in order, SIGHUP has both files read anew, SIGUSR2 has a new
@@ -31,7 +31,7 @@
 // execute runs the program and gives its exit code: 1 where it failed, 2 for misuse.
 func execute(args []string, out, errs io.Writer) int {
 	var operators string
-	var tell bool
+	var showVersion bool
 	ran := false // a command began: what goes wrong from then on is no misuse
 	root := &cobra.Command{
 		Use: "mothcleat", Long: longHelp, SilenceUsage: true, SilenceErrors: true,
@@ -42,7 +42,7 @@
 			return nil
 		},
 		RunE: func(*cobra.Command, []string) error {
-			if tell {
+			if showVersion {
 				_, err := fmt.Fprintln(out, version())
 				return err
 			}
@@ -50,7 +50,7 @@
 		},
 	}
 	// cobra's own --version would link text/template, and with it 2 MB.
-	root.Flags().BoolVar(&tell, "version", false, "print the version")
+	root.Flags().BoolVar(&showVersion, "version", false, "print the version")
 	root.PersistentFlags().StringVar(&operators, "operators", "", "the operators' file")
 	root.AddCommand(&cobra.Command{
 		Use:   "check",
--- a/cmd/mothcleat/store.go
+++ b/cmd/mothcleat/store.go
@@ -21,12 +21,14 @@
 		Use:   "repair DIR",
 		Short: "make a store anew from what can be read",
 		Args:  exactArgs(1),
-		Long: `repair keeps the damaged folder beside the new one and prints a line for all that it gave up.
-Exit code 1 where it gave something up.`,
-		RunE: func(_ *cobra.Command, args []string) error { return repairStore(args[0], fromLogs, out) },
+		Long: "repair keeps the damaged folder beside the new one " +
+			"and prints a line for all that it gave up.\nExit code 1 where it gave something up.",
+		RunE: func(_ *cobra.Command, args []string) error {
+			return repairStore(args[0], fromLogs, out)
+		},
 	}
-	repair.Flags().
-		BoolVar(&fromLogs, "from-logs", false, "go without the manifest: what was deleted may be there again")
+	repair.Flags().BoolVar(&fromLogs, "from-logs", false,
+		"go without the manifest: what was deleted may be there again")
 	c.AddCommand(
 		&cobra.Command{
 			Use:   "check DIR",
@@ -52,7 +54,8 @@
 	}
 	fmt.Fprintf(
 		out,
-		"good: %d keys after %d batches; log %d bytes in %d segments, %d of them live; index %d bytes in %d runs\n",
+		"good: %d keys after %d batches; log %d bytes in %d segments, %d of them live; "+
+			"index %d bytes in %d runs\n",
 		st.Keys,
 		st.Seq,
 		st.LogBytes,
