--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -132,7 +132,7 @@
 // However long messages take, whether they are lost, duplicated or reordered, and at whatever pace
 // within the clock-drift bound the clocks go: no two members hold the lease at one moment, and
 // terms only grow.
-func TestNoTwoMembersHoldTheLease(t *testing.T) {
+func TestNoTwoHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{TTL: 1000 * ms, ClockDriftBound: 0.125, OfferTTL: 200 * ms}
 		table := NewTable(config)
