--- a/internal/controlplane/allocation/cluster_test.go
+++ b/internal/controlplane/allocation/cluster_test.go
@@ -9,6 +9,7 @@
 
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 const ms = time.Millisecond
@@ -96,7 +97,7 @@
 func (c *cluster) apply(round *controlpb.Round) {
 	c.t.Helper()
 	var result Result
-	raw := c.machine.Apply(c.now, 0, c.fence.leader, marshal(round))
+	raw := c.machine.Apply(c.now, 0, c.fence.leader, mustproto.Marshal(round))
 	if err := json.Unmarshal(raw, &result); err != nil || !result.OK {
 		c.t.Fatalf("%v %+v", err, result)
 	}
--- a/internal/controlplane/allocation/lagging_replica_test.go
+++ b/internal/controlplane/allocation/lagging_replica_test.go
@@ -8,6 +8,7 @@
 
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 type acceptingFence struct{}
@@ -61,7 +62,7 @@
 	if round == nil {
 		return
 	}
-	err := c.machine.applyRound(lease.Member{ID: "o", Incarnation: 1}, marshal(round))
+	err := c.machine.applyRound(lease.Member{ID: "o", Incarnation: 1}, mustproto.Marshal(round))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/controlplane/allocation/leader_benchmark_test.go
+++ b/internal/controlplane/allocation/leader_benchmark_test.go
@@ -11,6 +11,7 @@
 
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 // BenchmarkLeaderAtSize measures what one second of a fleet costs its leader and all holders, and what
@@ -119,7 +120,7 @@
 	if round == nil {
 		return
 	}
-	raw := marshal(round)
+	raw := mustproto.Marshal(round)
 	f.counts.entryBytes += len(raw)
 	f.counts.rounds++
 	for _, change := range round.Changes {
--- a/internal/controlplane/allocation/machine.go
+++ b/internal/controlplane/allocation/machine.go
@@ -13,6 +13,7 @@
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/mustjson"
+	"mothcleat/internal/mustproto"
 )
 
 var (
@@ -153,7 +154,7 @@
 		}
 		writeLedger(ledger, indexes, m.ledgers[role])
 	}
-	return marshal(ledger)
+	return mustproto.Marshal(ledger)
 }
 
 // Snapshot returns the encoded state: the same bytes for the same state.
@@ -165,7 +166,7 @@
 		state.Roles = append(state.Roles, role)
 		state.Ledgers = append(state.Ledgers, ledger)
 	}
-	return marshal(state)
+	return mustproto.Marshal(state)
 }
 
 // Restore replaces the state by what Snapshot returned. Its errors wrap ErrCorruptLedger.
@@ -188,11 +189,3 @@
 	}
 	return nil
 }
-
-func marshal(m proto.Message) []byte {
-	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-	if err != nil {
-		panic(err) // messages of valid strings and numbers can always be encoded
-	}
-	return raw
-}
--- a/internal/controlplane/allocation/machine_test.go
+++ b/internal/controlplane/allocation/machine_test.go
@@ -10,6 +10,7 @@
 
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 func TestMachineRejectsInvalidRounds(t *testing.T) {
@@ -17,7 +18,7 @@
 	m := NewMachine(f)
 	apply := func(r *controlpb.Round) Result {
 		var result Result
-		if err := json.Unmarshal(m.Apply(0, 0, f.leader, marshal(r)), &result); err != nil {
+		if err := json.Unmarshal(m.Apply(0, 0, f.leader, mustproto.Marshal(r)), &result); err != nil {
 			t.Fatal(err)
 		}
 		return result
@@ -100,7 +101,7 @@
 					ReservedMin: total.times(0.1).proto(),
 				})
 			}
-			m.Apply(0, 0, f.leader, marshal(r))
+			m.Apply(0, 0, f.leader, mustproto.Marshal(r))
 			for _, b := range m.ledgers[RoleOfShard(0)] {
 				if sum := totalOf(b.allocations); !sum.within(limit) {
 					t.Fatalf("%v of %v", sum, limit)
--- a/internal/controlplane/distribution/delta.go
+++ b/internal/controlplane/distribution/delta.go
@@ -4,6 +4,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/mustproto"
 )
 
 // Delta is the changes that lead from one revision to a later one of the same epoch.
@@ -58,7 +59,7 @@
 }
 
 // Encode returns the encoded delta.
-func (d *Delta) Encode() []byte { return encode(d.Proto()) }
+func (d *Delta) Encode() []byte { return mustproto.Marshal(d.Proto()) }
 
 // DecodeDelta reads what Encode returned.
 func DecodeDelta(raw []byte) (*Delta, error) {
@@ -95,12 +96,3 @@
 	}
 	return changes, nil
 }
-
-// encode encodes a message deterministically: equal messages give equal bytes.
-func encode(m proto.Message) []byte {
-	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-	if err != nil {
-		panic(err) // invalid UTF-8 was rejected when the record was read
-	}
-	return raw
-}
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -7,6 +7,7 @@
 
 	"mothcleat/internal/controlplane/distributionpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 // Names in the replicated state.
@@ -167,7 +168,10 @@
 	if string(body) == QuerySnapshot {
 		return m.Snapshot()
 	}
-	return encode(&distributionpb.Heartbeat{Position: m.state.Position().Proto(), Term: m.term})
+	return mustproto.Marshal(&distributionpb.Heartbeat{
+		Position: m.state.Position().Proto(),
+		Term:     m.term,
+	})
 }
 
 // Changes returns the number of accepted commands and restored snapshots.
@@ -175,7 +179,7 @@
 
 // Snapshot returns the encoded machine. Equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
-	return encode(&distributionpb.Snapshot{
+	return mustproto.Marshal(&distributionpb.Snapshot{
 		Position:         m.state.Position().Proto(),
 		Term:             m.term,
 		OwnerId:          m.owner.ID,
--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -10,6 +10,7 @@
 
 	"mothcleat/internal/controlplane/distributionpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 // testFence admits one term of one member.
@@ -28,7 +29,7 @@
 var watcher = lease.Member{ID: "g-1", Incarnation: 1}
 
 func command(term, epoch uint64, whole bool, changes ...Change) []byte {
-	return encode(&distributionpb.Command{
+	return mustproto.Marshal(&distributionpb.Command{
 		Term:     term,
 		Epoch:    epoch,
 		Complete: whole,
@@ -90,7 +91,7 @@
 	m, fence, updates := newTestMachine()
 	begin := func(term uint64, base Position, changes ...Change) string {
 		fence.term = term
-		return string(m.Apply(0, 0, watcher, encode(&distributionpb.Command{
+		return string(m.Apply(0, 0, watcher, mustproto.Marshal(&distributionpb.Command{
 			Term: term, Epoch: testEpoch, Base: base.Proto(), Changes: ChangesProto(changes),
 		})))
 	}
@@ -198,7 +199,7 @@
 		t.Fatal(err)
 	}
 	snapshot.Records = snapshot.Records[1:]
-	for _, raw := range [][]byte{encode(&snapshot), good[:len(good)-3], {0xff}} {
+	for _, raw := range [][]byte{mustproto.Marshal(&snapshot), good[:len(good)-3], {0xff}} {
 		err := m.Restore(raw)
 		if err == nil {
 			t.Error("a damaged snapshot is taken")
--- a/internal/controlplane/distribution/message.go
+++ b/internal/controlplane/distribution/message.go
@@ -1,6 +1,9 @@
 package distribution
 
-import "mothcleat/internal/controlplane/distributionpb"
+import (
+	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/mustproto"
+)
 
 // Message is one response in the form in which it is sent. It is encoded once, shared by all
 // streams that it goes to, and never modified.
@@ -10,7 +13,9 @@
 	Bytes []byte
 }
 
-func newMessage(r *distributionpb.WatchResponse) *Message { return &Message{r, encode(r)} }
+func newMessage(r *distributionpb.WatchResponse) *Message {
+	return &Message{r, mustproto.Marshal(r)}
+}
 
 func deltaMessage(d *Delta) *Message {
 	return newMessage(&distributionpb.WatchResponse{
--- a/internal/controlplane/distribution/repair_test.go
+++ b/internal/controlplane/distribution/repair_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/mustproto"
 )
 
 // bucketMessage is a bucket as a server sends it.
@@ -168,7 +169,7 @@
 
 // TestStateFileOfAnotherFormat checks that a file of another format is rejected.
 func TestStateFileOfAnotherFormat(t *testing.T) {
-	raw := encode(&distributionpb.StateFile{Format: stateFileFormat + 1, Fleet: "blue"})
+	raw := mustproto.Marshal(&distributionpb.StateFile{Format: stateFileFormat + 1, Fleet: "blue"})
 	if _, err := DecodeStateFile("blue", raw); err == nil {
 		t.Error("it is taken")
 	}
@@ -183,7 +184,7 @@
 	f.Add(first.Encode())
 	f.Add(s.advance(0, []Change{draining("a"), deleted("b")}).Encode())
 	f.Add(EncodeStateFile("blue", s))
-	f.Add(encode(bucketMessage(s, bucketIndex(KindServer, "a"))))
+	f.Add(mustproto.Marshal(bucketMessage(s, bucketIndex(KindServer, "a"))))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if d, err := DecodeDelta(raw); err != nil {
 			requireTyped(t, err)
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -6,6 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/mustproto"
 )
 
 // stateFileFormat must be incremented if the meaning of the file, of a digest or of the buckets
@@ -15,7 +16,7 @@
 // EncodeStateFile returns the content of a state file. The digest of its position serves as the
 // checksum.
 func EncodeStateFile(fleet string, s *State) []byte {
-	return encode(&distributionpb.StateFile{
+	return mustproto.Marshal(&distributionpb.StateFile{
 		Format:   stateFileFormat,
 		Fleet:    fleet,
 		Position: s.Position().Proto(),
--- a/internal/controlplane/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -13,6 +13,7 @@
 	"mothcleat/internal/controlplane/configstate"
 	"mothcleat/internal/controlplane/distribution"
 	"mothcleat/internal/controlplane/distributionpb"
+	"mothcleat/internal/mustproto"
 	"mothcleat/internal/plans"
 )
 
@@ -150,8 +151,8 @@
 		record := &distributionpb.PlanRecord{
 			Rate: v.Rate, Burst: v.Burst, CeilingRate: v.CeilingRate, CeilingBurst: v.CeilingBurst,
 		}
-		changes = append(changes, setRecord(distribution.KindPlan, name, encode(record)))
-		values[name] = encode(&distributionpb.TenantRecord{Plan: name})
+		changes = append(changes, setRecord(distribution.KindPlan, name, mustproto.Marshal(record)))
+		values[name] = mustproto.Marshal(&distributionpb.TenantRecord{Plan: name})
 	}
 	book.Customers(func(customer uint64, plan string) bool {
 		changes = append(changes,
@@ -223,12 +224,3 @@
 	to.Assignments = append(to.Assignments, plans.Assignment{Customer: customer, Plan: record.Plan})
 	return nil
 }
-
-// encode writes a message: the same bytes for the same values.
-func encode(m proto.Message) []byte {
-	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-	if err != nil {
-		panic(err) // its strings come from a TOML file, which is UTF-8
-	}
-	return raw
-}
--- a/internal/controlplane/planconfig/planconfig_test.go
+++ b/internal/controlplane/planconfig/planconfig_test.go
@@ -11,6 +11,7 @@
 	"mothcleat/internal/controlplane/configstate"
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/distribution"
+	"mothcleat/internal/mustproto"
 	"mothcleat/internal/plans"
 )
 
@@ -149,8 +150,8 @@
 	if answer.Delta == nil || len(answer.Delta.Changes) != 1 {
 		t.Fatalf("%v", answer)
 	}
-	t.Logf("%d bytes of delta for a content of %d", len(encode(answer)), newVersion.Size)
-	if size := len(encode(answer)); size > 256 {
+	t.Logf("%d bytes of delta for a content of %d", len(mustproto.Marshal(answer)), newVersion.Size)
+	if size := len(mustproto.Marshal(answer)); size > 256 {
 		t.Errorf("%d bytes", size)
 	}
 	repair, err := configstate.NewRepair(oldVersion, newVersion.Digest,
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -11,6 +11,7 @@
 	"mothcleat/internal/controlplane/distribution"
 	"mothcleat/internal/controlplane/distributionpb"
 	"mothcleat/internal/controlplane/lease"
+	"mothcleat/internal/mustproto"
 )
 
 // lineage is what a fleet has agreed on since it was founded.
@@ -79,11 +80,7 @@
 			Deleted: value == "",
 		})
 	}
-	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
-	if err != nil {
-		panic(err) // plain data
-	}
-	l.log = append(l.log, entry{who, command.Term, raw})
+	l.log = append(l.log, entry{who, command.Term, mustproto.Marshal(command)})
 }
 
 func (l *lineage) model(whole bool, changes records) {
