--- a/internal/controlplane/allocator/stored_test.go
+++ b/internal/controlplane/allocator/stored_test.go
@@ -7,7 +7,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// The processes that ran before are read as an earlier build wrote them, and this one is added.
+// The incarnations that ended are read as an earlier build wrote them, and this one is added.
 func TestStoredIncarnationsAreRead(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored")
 	file, err := OpenIncarnationFile(dir, 12345)
@@ -15,10 +15,10 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	gone, err := json.Marshal(file.Ended)
+	ended, err := json.Marshal(file.Ended)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fixture.Equal(t, "testdata/gone.json", gone)
+	fixture.Equal(t, "testdata/gone.json", ended)
 	fixture.Equal(t, "testdata/boots-after.json", fixture.Read(t, dir+"/boots.json"))
 }
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -203,9 +203,9 @@
 	}
 	n.distribute()
 	if cfg.Budgets != nil {
-		n.divide = &allocator.ShardLeaders{Rules: *cfg.Budgets, Client: n.client, Log: cfg.Log}
+		n.divide = &allocator.ShardLeaders{Config: *cfg.Budgets, RPC: n.client, Log: cfg.Log}
 		for shard := range cfg.BudgetShards {
-			n.duties.AddBalanced(allocation.RoleOfShard(shard), n.divide.Work)
+			n.duties.AddBalanced(allocation.RoleOfShard(shard), n.divide.Lead)
 		}
 		n.rights = allocator.NewClient(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
 		n.rights.RecordTo(cfg.Rights)
--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -22,7 +22,7 @@
 
 // points are where processes stop or kill themselves, by a file in their folder.
 var points = []string{
-	"budgets-before-agree", "budgets-after-agree", "right-taken", "right-told", "right-lessened",
+	"round-before-commit", "round-after-commit", "allocation-taken", "allocation-renewed", "allocation-reduced",
 }
 
 func faults(more string) string {
@@ -183,13 +183,13 @@
 		// A holder stops between taking units and its last look at the clock, for twice its span,
 		// and is woken with requests queued.
 		i := (ownerOf(t, run) + 1) % 4
-		run.stands(t, i, "stop", "right-taken")
+		run.stands(t, i, "stop", "allocation-taken")
 		testcluster.Pass(t.Context(), 2*allocation.DefaultConfig().TTL)
 		clustertest.Check(t, run.f.Wake(i))
 		run.f.Record.AddProcessEvent(i, harness.Resumed)
 		// The owner stops between having a round agreed and telling it, and before: its words come
 		// after those of the next.
-		for _, point := range []string{"budgets-after-agree", "budgets-before-agree"} {
+		for _, point := range []string{"round-after-commit", "round-before-commit"} {
 			i := ownerOf(t, run)
 			run.stands(t, i, "stop", point)
 			eventually(t, "another owner", func() bool {
@@ -202,7 +202,7 @@
 		}
 		// What a part is lessened to is heard by a process that is killed before it acts on it, and
 		// by one that is killed after.
-		for _, point := range []string{"right-told", "right-lessened"} {
+		for _, point := range []string{"allocation-renewed", "allocation-reduced"} {
 			i := (ownerOf(t, run) + 1) % 4
 			run.stands(t, i, "kill", point)
 			clustertest.Check(t, run.f.Begin(i))
@@ -273,7 +273,7 @@
 // then all is back. Whoever takes the duty on has the same trouble.
 func TestNoOwnerFor30Seconds(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 9}, func(int) string {
-		return "slow=budgets-begin:" + without.String() + "@slow"
+		return "slow=shard-before-read:" + without.String() + "@slow"
 	})
 	play(t, run, func() {
 		for i := range run.f.Gateways {
--- a/internal/testing/allocationtest/rights.go
+++ b/internal/testing/allocationtest/rights.go
@@ -77,7 +77,7 @@
 		shard int
 	}
 	last := map[key]allocator.RecordLine{}
-	held := map[key]map[string]allocator.Parts{}
+	held := map[key]map[string]allocation.Allocation{}
 	close := func(k key, to time.Duration) {
 		l := last[k]
 		for id, h := range held[k] {
@@ -111,12 +111,12 @@
 		}
 		last[k] = l
 		if l.Changed {
-			for id, h := range l.Held {
+			for id, h := range l.Allocations {
 				if held[k][id] != h {
 					r.Changes++
 				}
 			}
-			held[k] = l.Held
+			held[k] = l.Allocations
 		}
 		if _, ok := r.First[l.Member]; !ok && len(held[k]) > 0 {
 			r.First[l.Member] = l.At
