--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,5 @@
-// Command simhost hosts decision instances on the simulator's wire: it reads
-// batches of events from standard input and writes their actions to standard
-// output. It decides nothing.
+// Command simhost runs gateways' decisions for the simulator: it reads batches of events from
+// standard input and writes the actions to standard output. It decides nothing itself.
 package main
 
 import (
@@ -10,10 +9,11 @@
 	"io"
 	"os"
 
-	"mothcleat/internal/dataplane/policy"
 	"mothcleat/internal/dataplane/simprotocol"
 )
 
+const bufferSize = 1 << 16 // bytes
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -21,91 +21,34 @@
 	}
 }
 
-// host keeps the instances of one process.
-type host struct {
-	gateways map[uint16]*policy.Balancer
-	reply    simprotocol.Reply
-}
-
+// run answers each batch with a reply until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{gateways: map[uint16]*policy.Balancer{}}
-	var body []byte
+	reader := bufio.NewReaderSize(in, bufferSize)
+	writer := bufio.NewWriterSize(out, bufferSize)
+	h := newHost()
+	var body []byte // reused
 	for {
-		batch, err := simprotocol.ReadBatch(r, body)
-		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		batch, err := simprotocol.ReadBatch(reader, body)
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		body = batch.Body
-		h.reply.Begin(batch.Index)
-		if err := batch.Decode(func(e *simprotocol.Event) { h.take(batch.Now, e) }); err != nil {
+		reply, err := h.handleBatch(&batch)
+		if err != nil {
 			return err
 		}
-		if _, err := w.Write(h.reply.Bytes()); err != nil {
-			return fmt.Errorf("writing reply %d: %w", batch.Index, err)
-		}
-		if err := w.Flush(); err != nil {
+		if err := writeReply(writer, reply); err != nil {
 			return fmt.Errorf("writing reply %d: %w", batch.Index, err)
 		}
 	}
 }
 
-// take carries one event to its instance. A panic there is told as broken, and
-// the instance is gone.
-func (h *host) take(now policy.Time, e *simprotocol.Event) {
-	h.reply.SetInstance(e.Instance)
-	defer func() {
-		if p := recover(); p != nil {
-			delete(h.gateways, e.Instance)
-			h.reply.InstanceFailed(fmt.Sprint("panic: ", p))
-		}
-	}()
-	switch e.Kind {
-	case simprotocol.InstanceStarted:
-		h.provision(e)
-		return
-	case simprotocol.InstanceStopped:
-		delete(h.gateways, e.Instance)
-		return
-	}
-	g := h.gateways[e.Instance]
-	if g == nil {
-		return
-	}
-	switch e.Kind {
-	case simprotocol.EndpointsChanged:
-		g.UpdateEndpoints(now, e.ListKind, e.Endpoints)
-	case simprotocol.RequestReceived:
-		g.Request(now, e.Request)
-	case simprotocol.ResponseStarted:
-		g.ResponseStarted(now, e.Outcome.ID)
-	case simprotocol.AttemptEnded:
-		g.Outcome(now, e.Outcome)
-	case simprotocol.ClientGone:
-		g.ClientGone(now, e.Outcome.ID)
-	case simprotocol.TimerFired:
-		g.Timer(now, e.TimerToken)
-	case simprotocol.ProbeEnded:
-		g.ReceiveProbeResult(now, e.Backend, e.Result, e.Load)
-	case simprotocol.PeerMessageReceived:
-		g.ReceivePeerMessage(now, e.From, e.Message)
-	case simprotocol.CounterAnswered:
-		g.ReceiveCounterTotal(now, e.CounterName, e.Result, e.CounterTotal)
-	}
-}
-
-func (h *host) provision(e *simprotocol.Event) {
-	set, err := simprotocol.ParseSettings(e.Settings)
-	if err == nil {
-		var g *policy.Balancer
-		if g, err = policy.New(set, e.Seed, &h.reply); err == nil {
-			h.gateways[e.Instance] = g
-			return
-		}
+func writeReply(w *bufio.Writer, reply []byte) error {
+	if _, err := w.Write(reply); err != nil {
+		return err
 	}
-	delete(h.gateways, e.Instance)
-	h.reply.InstanceFailed(err.Error())
+	return w.Flush()
 }
--- a/internal/dataplane/policy/actions.go
+++ b/internal/dataplane/policy/actions.go
@@ -18,8 +18,8 @@
 	// SendToPeer sends at most 256 bytes to a peer, where they may arrive late, twice or not at
 	// all. The message is valid until the call returns.
 	SendToPeer(peer int, message []byte)
-	// AddToCounter adds to a named number that all gateways share, and which lives for a time.
-	AddToCounter(name uint64, add float64, life Time)
+	// AddToCounter adds to a named number that all gateways share, and that lives for the TTL.
+	AddToCounter(name uint64, add float64, ttl Time)
 	// WatchEndpoints asks discovery for the endpoint list and its changes from now on.
 	WatchEndpoints()
 	// Log writes a line for the engineers on call.
--- a/internal/dataplane/policy/restore.go
+++ b/internal/dataplane/policy/restore.go
@@ -17,6 +17,7 @@
 // SnapshotError is why a snapshot cannot be restored.
 type SnapshotError struct{ Problem string }
 
+// Error says what is wrong with the snapshot.
 func (e *SnapshotError) Error() string { return "snapshot: " + e.Problem }
 
 func snapshotErrorf(format string, args ...any) error {
--- a/internal/dataplane/policy/settings.go
+++ b/internal/dataplane/policy/settings.go
@@ -102,6 +102,7 @@
 	Problem string
 }
 
+// Error names the field and what is wrong with it.
 func (e *SettingsError) Error() string { return "settings: " + e.Field + ": " + e.Problem }
 
 func settingsErrorf(field, format string, args ...any) error {
--- a/internal/dataplane/simprotocol/codes.go
+++ b/internal/dataplane/simprotocol/codes.go
@@ -1,20 +1,21 @@
-// Package simprotocol speaks the dune-e1ca dialect of the simulator: frames, records
-// and settings. Every code and key name of the dialect stands in this package.
+// Package simprotocol speaks the simulator's protocol, in the dialect dune-e1ca: frames, records
+// and settings. It is the one place that maps the protocol's codes and key names to the terms of
+// package policy.
 package simprotocol
 
 import "mothcleat/internal/dataplane/policy"
 
-// EventKind is the kind of an event.
+// EventKind is the kind of an event, by the protocol's codes.
 type EventKind uint8
 
-// The events, by their codes.
+// The events.
 const (
 	PeerMessageReceived EventKind = 1
 	ProbeEnded          EventKind = 2
 	RequestReceived     EventKind = 3
 	TimerFired          EventKind = 4
 	InstanceStarted     EventKind = 5
-	InstanceStopped     EventKind = 6
+	InstanceStopped     EventKind = 6 // as by a crash: it gets no chance to act
 	AttemptEnded        EventKind = 7
 	EndpointsChanged    EventKind = 8
 	ClientGone          EventKind = 9
@@ -22,7 +23,7 @@
 	CounterAnswered     EventKind = 11
 )
 
-// The actions, by their codes.
+// The protocol's codes of actions.
 const (
 	sendAction           = 65
 	rejectAction         = 66
@@ -36,29 +37,55 @@
 	addToCounterAction   = 77
 )
 
-const (
-	maxPeerMessageSize = 256
-	endpointSize       = 22
+// The protocol's codes of results, list kinds and endpoint states.
+var (
+	results = map[uint8]policy.Result{
+		1: policy.OK,
+		2: policy.Failed,
+		3: policy.Rejected,
+		4: policy.TimedOut,
+		5: policy.ConnectFailed,
+		6: policy.Reset,
+		7: policy.Cancelled,
+		8: policy.Superseded,
+	}
+	listKinds = map[uint8]policy.ListKind{
+		0: policy.Complete,
+		1: policy.CompleteCached,
+		2: policy.Delta,
+		3: policy.Unavailable,
+	}
+	endpointStates = map[uint8]policy.EndpointState{
+		0: policy.Removed,
+		1: policy.Ready,
+		2: policy.Draining,
+	}
 )
 
-var results = map[uint8]policy.Result{
-	1: policy.OK, 2: policy.Failed, 3: policy.Rejected, 4: policy.TimedOut,
-	5: policy.ConnectFailed, 6: policy.Reset, 7: policy.Cancelled, 8: policy.Superseded,
-}
-
-var listKinds = map[uint8]policy.ListKind{
-	0: policy.Complete, 1: policy.CompleteCached, 2: policy.Delta, 3: policy.Unavailable,
-}
-
-var endpointStates = map[uint8]policy.EndpointState{0: policy.Removed, 1: policy.Ready, 2: policy.Draining}
-
-var idempotencies = map[string]policy.Idempotency{
-	"retryable": policy.Idempotent, "dedup": policy.WithIdempotencyKey, "fragile": policy.NotIdempotent,
-}
-
-var deduplicationScopes = map[string]policy.DeduplicationScope{
-	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
-}
-
-// metrics are the report values that decisions use; others are passed over.
-var metrics = map[string]policy.Metric{"busy_reqs": policy.Busy, "pending": policy.Waiting}
+// The words in the protocol's settings.
+var (
+	idempotencies = map[string]policy.Idempotency{
+		"retryable": policy.Idempotent,
+		"dedup":     policy.WithIdempotencyKey,
+		"fragile":   policy.NotIdempotent,
+	}
+	deduplicationScopes = map[string]policy.DeduplicationScope{
+		"all":  policy.ScopeAll,
+		"zone": policy.ScopeZone,
+		"cell": policy.ScopeCell,
+	}
+	// metrics are the values of a load report that decisions use; others map to policy.Unused.
+	metrics = map[string]policy.Metric{
+		"busy_reqs": policy.Busy,
+		"pending":   policy.Waiting,
+	}
+	// membershipModes tell whether endpoints are polled.
+	membershipModes = map[string]bool{"pushed": false, "on_request": true}
+	// weightKinds tell whether weights are comparable.
+	weightKinds = map[string]bool{
+		"silent":  false,
+		"nominal": true,
+		"rough":   true,
+		"live":    true,
+	}
+)
--- a/internal/dataplane/simprotocol/flatten.go
+++ b/internal/dataplane/simprotocol/flatten.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// flatten turns nested JSON settings into the simulator's paths and values, so
-// that both forms are read by one table.
+// flatten turns nested JSON settings into the simulator's paths and values, so that one table reads
+// both forms.
 func flatten(raw []byte) (map[string]string, error) {
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber() // keeps a number as it is written
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber() // keeps a number as it is written
 	var tree map[string]any
-	if err := dec.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	values := map[string]string{}
@@ -29,26 +29,33 @@
 			flattenInto(values, join(path, key), child)
 		}
 	case []any:
-		var scalars []string
-		for i, child := range node {
-			switch child.(type) {
-			case map[string]any, []any:
-				flattenInto(values, join(path, strconv.Itoa(i)), child)
-			default:
-				scalars = append(scalars, scalar(child))
-			}
-		}
-		if len(scalars) < len(node) || len(node) == 0 {
-			values[join(path, "count")] = strconv.Itoa(len(node))
-		}
-		if len(scalars) == len(node) {
-			values[path] = strings.Join(scalars, ",")
-		}
+		flattenList(values, path, node)
 	default:
 		values[path] = scalar(node)
 	}
 }
 
+// flattenList writes a list of scalars as one value, other items under their numbers. A list that
+// is empty, or has other items than scalars, has a count.
+func flattenList(values map[string]string, path string, items []any) {
+	var scalars []string
+	for i, item := range items {
+		switch item.(type) {
+		case map[string]any, []any:
+			flattenInto(values, join(path, strconv.Itoa(i)), item)
+		default:
+			scalars = append(scalars, scalar(item))
+		}
+	}
+	if len(scalars) < len(items) || len(items) == 0 {
+		values[join(path, "count")] = strconv.Itoa(len(items))
+	}
+	if len(scalars) == len(items) {
+		values[path] = strings.Join(scalars, ",")
+	}
+}
+
+// join returns the path of a key under a path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -56,6 +63,7 @@
 	return path + "." + key
 }
 
+// scalar returns a scalar as the simulator writes it; null is empty.
 func scalar(v any) string {
 	if v == nil {
 		return ""
--- a/internal/dataplane/simprotocol/settings.go
+++ b/internal/dataplane/simprotocol/settings.go
@@ -1,166 +1,42 @@
 package simprotocol
 
 import (
-	"fmt"
-	"strconv"
 	"strings"
 
 	"mothcleat/internal/dataplane/policy"
 )
 
-// HostSettings is what the settings tell the host of a gateway on real sockets; the
-// simulator does these things itself.
+// HostSettings are what the settings tell the host of a gateway on real sockets. In the simulator
+// they concern the simulator itself.
 type HostSettings struct {
-	Classes, Plans     []string      // their names, in the order of the settings
-	ClientTimeouts     []policy.Time // of each class: how long a client waits at the most; 0: not told
-	MaxUnits           float64       // that a request may take; 0: not told
+	Classes            []string      // names, in the order of the policy's settings
+	Plans              []string      // names, in the order of the policy's settings
+	ClientTimeouts     []policy.Time // of each class, the longest that a client waits; 0: not told
+	MaxUnits           float64       // of a request; 0: not told
 	Zones              []string      // names, by number
 	Report             []string      // the names of the values in a load report
 	ReportVia          string        // "piggyback", "pull" or "silent"
-	MaxOpenRequests    int           // requests open at once
+	MaxOpenRequests    int
 	DialTimeout        policy.Time
-	BackendIdleTimeout policy.Time // backends close an idle connection by then
+	BackendIdleTimeout policy.Time // after which backends close an idle connection
 	CounterTimeout     policy.Time
-	DrainGracePeriod   policy.Time // after a drain was told, in which sends there must stop
+	DrainGracePeriod   policy.Time // after a drain was told, within which sends must stop
 }
 
-// parsedSettings is a settings text being read.
-type parsedSettings struct {
+// draft holds settings that are being read.
+type draft struct {
 	policy.Settings
 	host HostSettings
 }
 
-type setter func(d *parsedSettings, value string) error
-
-func integerSetting[T ~int | ~int64](field func(*parsedSettings) *T) setter {
-	return func(d *parsedSettings, v string) error {
-		n, err := strconv.ParseInt(v, 10, 64)
-		if err == nil {
-			*field(d) = T(n)
-		}
-		return err
-	}
-}
-
-func floatSetting(field func(*parsedSettings) *float64) setter {
-	return func(d *parsedSettings, v string) error {
-		f, err := strconv.ParseFloat(v, 64)
-		if err == nil {
-			*field(d) = f
-		}
-		return err
-	}
-}
-
-func boolSetting(field func(*parsedSettings) *bool) setter {
-	return func(d *parsedSettings, v string) error {
-		b, err := strconv.ParseBool(v)
-		if err == nil {
-			*field(d) = b
-		}
-		return err
-	}
-}
-
-func textSetting(field func(*parsedSettings) *string) setter {
-	return func(d *parsedSettings, v string) error {
-		*field(d) = v
-		return nil
-	}
-}
-
-func wordSetting[V any](table map[string]V, field func(*parsedSettings) *V) setter {
-	return func(d *parsedSettings, v string) error {
-		x, ok := table[v]
-		if !ok {
-			return fmt.Errorf("unknown word")
-		}
-		*field(d) = x
-		return nil
-	}
-}
-
-// topLevelSettings are the plain settings.
-var topLevelSettings = map[string]setter{
-	"self-index":                     integerSetting(func(d *parsedSettings) *int { return &d.Self }),
-	"balancers":                      integerSetting(func(d *parsedSettings) *int { return &d.Gateways }),
-	"az":                             integerSetting(func(d *parsedSettings) *int { return &d.Zone }),
-	"granularity-us":                 integerSetting(func(d *parsedSettings) *policy.Time { return &d.Tick }),
-	"ceilings.peers":                 boolSetting(func(d *parsedSettings) *bool { return &d.Peers }),
-	"ceilings.probes":                boolSetting(func(d *parsedSettings) *bool { return &d.Probes }),
-	"ceilings.second-copies":         boolSetting(func(d *parsedSettings) *bool { return &d.Hedging }),
-	"ceilings.retry-after":           boolSetting(func(d *parsedSettings) *bool { return &d.RetryAfter }),
-	"ceilings.max-attempts":          integerSetting(func(d *parsedSettings) *int { return &d.MaxAttempts }),
-	"ceilings.max-retry-after-us":    integerSetting(func(d *parsedSettings) *policy.Time { return &d.MaxRetryAfter }),
-	"ceilings.max-open":              integerSetting(func(d *parsedSettings) *int { return &d.host.MaxOpenRequests }),
-	"ceilings.dial-timeout-us":       integerSetting(func(d *parsedSettings) *policy.Time { return &d.host.DialTimeout }),
-	"ceilings.idle-close-us":         integerSetting(func(d *parsedSettings) *policy.Time { return &d.host.BackendIdleTimeout }),
-	"family-info.counter-timeout-us": integerSetting(func(d *parsedSettings) *policy.Time { return &d.host.CounterTimeout }),
-	"localities": func(d *parsedSettings, v string) error {
-		d.host.Zones = strings.Split(v, ",")
-		return nil
-	},
-	"report.via":                  textSetting(func(d *parsedSettings) *string { return &d.host.ReportVia }),
-	"family-info.counter":         boolSetting(func(d *parsedSettings) *bool { return &d.Counter }),
-	"family-info.settles":         boolSetting(func(d *parsedSettings) *bool { return &d.SettlesUnits }),
-	"family-info.meter-period-us": integerSetting(func(d *parsedSettings) *policy.Time { return &d.MeterPeriod }),
-	"family-info.max-units":       floatSetting(func(d *parsedSettings) *float64 { return &d.host.MaxUnits }),
-	"family-info.mail-per-s":      floatSetting(func(d *parsedSettings) *float64 { return &d.MaxPeerMessagesPerSecond }),
-	"guarantees.ask-within-us":    integerSetting(func(d *parsedSettings) *policy.Time { return &d.PollInterval }),
-	"guarantees.drain-grace-us":   integerSetting(func(d *parsedSettings) *policy.Time { return &d.host.DrainGracePeriod }),
-	"guarantees.cold-from":        floatSetting(func(d *parsedSettings) *float64 { return &d.SlowStartMinFraction }),
-	"guarantees.cold-us":          integerSetting(func(d *parsedSettings) *policy.Time { return &d.SlowStartDuration }),
-	"guarantees.tip-after-us":     integerSetting(func(d *parsedSettings) *policy.Time { return &d.SlowStartOverloadWindow }),
-	"prices.cross-zone":           floatSetting(func(d *parsedSettings) *float64 { return &d.CrossZonePrice }),
-	"membership-mode": wordSetting(map[string]bool{"pushed": false, "on_request": true},
-		func(d *parsedSettings) *bool { return &d.PollEndpoints }),
-	"weights": wordSetting(map[string]bool{"silent": false, "nominal": true, "rough": true, "live": true},
-		func(d *parsedSettings) *bool { return &d.ComparableWeights }),
-	"report.names": func(d *parsedSettings, v string) error {
-		d.Report, d.host.Report = nil, strings.Split(v, ",")
-		for _, name := range d.host.Report {
-			d.Report = append(d.Report, metrics[name])
-		}
-		return nil
-	},
-}
-
-func last[T any](items []T) *T { return &items[len(items)-1] }
-
-func lastClass(d *parsedSettings) *policy.Class { return last(d.Classes) }
-func lastPlan(d *parsedSettings) *policy.Plan   { return last(d.Plans) }
-
-// classSettings and planKeys are the settings of an item of a list.
-var classSettings = map[string]setter{
-	"name":          textSetting(func(d *parsedSettings) *string { return last(d.host.Classes) }),
-	"promise-us":    integerSetting(func(d *parsedSettings) *policy.Time { return &lastClass(d).LatencyObjective }),
-	"hard-limit-us": integerSetting(func(d *parsedSettings) *policy.Time { return last(d.host.ClientTimeouts) }),
-	"window-us":     integerSetting(func(d *parsedSettings) *policy.Time { return &lastClass(d).DeduplicationWindow }),
-	"worth":         floatSetting(func(d *parsedSettings) *float64 { return &lastClass(d).PriorityWeight }),
-	"repeat":        wordSetting(idempotencies, func(d *parsedSettings) *policy.Idempotency { return &lastClass(d).Idempotency }),
-	"group":         wordSetting(deduplicationScopes, func(d *parsedSettings) *policy.DeduplicationScope { return &lastClass(d).DeduplicationScope }),
-}
-
-var planSettings = map[string]setter{
-	"name":            textSetting(func(d *parsedSettings) *string { return last(d.host.Plans) }),
-	"rate":            floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).Rate }),
-	"burst":           floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).Burst }),
-	"never-over-rate": floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).CeilingRate }),
-	"ceiling-burst":   floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).CeilingBurst }),
-	"hard-slack":      floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).CeilingSlack }),
-	"max-out":         integerSetting(func(d *parsedSettings) *int { return &lastPlan(d).OpenLimit }),
-	"value-factor":    floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).Price }),
-	"beyond-earns":    floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).BeyondEarns }),
-	"beyond-costs":    floatSetting(func(d *parsedSettings) *float64 { return &lastPlan(d).BeyondCosts }),
-}
-
+// The names of the lists of classes and plans.
 const (
 	classList = "request-classes"
 	planList  = "tariffs"
 )
 
-// ParseSettings reads a settings text. Unknown keys are skipped; a value that
-// can't be read is an error that names its key.
+// ParseSettings reads settings as the simulator sends them: lines of paths and values. Unknown
+// paths are ignored. The error is a *SettingError.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	values := map[string]string{}
 	for line := range strings.SplitSeq(string(text), "\n") {
@@ -173,8 +49,8 @@
 	return d.Settings, err
 }
 
-// ParseJSON reads the settings in the form of a gateway's configuration: the
-// same names and units, as nested JSON.
+// ParseJSON reads settings as a gateway's configuration has them: the same names and units, as
+// nested JSON. The error is about the JSON, or a *SettingError.
 func ParseJSON(raw []byte) (policy.Settings, HostSettings, error) {
 	values, err := flatten(raw)
 	if err != nil {
@@ -184,51 +60,115 @@
 	return d.Settings, d.host, err
 }
 
-func parse(values map[string]string) (*parsedSettings, error) {
-	d := &parsedSettings{}
+func parse(values map[string]string) (*draft, error) {
+	d := &draft{}
 	if err := d.apply(values, "", topLevelSettings); err != nil {
 		return d, err
 	}
-	err := d.applyList(values, classList, classSettings, func() {
-		d.Classes, d.host.Classes = append(d.Classes, policy.Class{}), append(d.host.Classes, "")
-		d.host.ClientTimeouts = append(d.host.ClientTimeouts, 0)
-	})
-	if err != nil {
+	if err := d.applyList(values, classList, classSettings, d.addClass); err != nil {
 		return d, err
 	}
-	err = d.applyList(values, planList, planSettings, func() {
-		d.Plans, d.host.Plans = append(d.Plans, policy.Plan{Price: 1}), append(d.host.Plans, "")
-	})
-	return d, err
+	return d, d.applyList(values, planList, planSettings, d.addPlan)
 }
 
-func (d *parsedSettings) apply(values map[string]string, prefix string, table map[string]setter) error {
-	for key, set := range table {
-		v, ok := values[prefix+key]
-		if !ok {
-			continue
-		}
-		if err := set(d, v); err != nil {
-			return fmt.Errorf("setting %s: value %q: %w", prefix+key, v, err)
-		}
-	}
-	return nil
+func (d *draft) addClass() {
+	d.Classes = append(d.Classes, policy.Class{})
+	d.host.Classes = append(d.host.Classes, "")
+	d.host.ClientTimeouts = append(d.host.ClientTimeouts, 0)
 }
 
-func (d *parsedSettings) applyList(values map[string]string, name string, table map[string]setter, add func()) error {
-	v, ok := values[name+".count"]
-	if !ok {
-		return fmt.Errorf("setting %s.count: missing", name)
-	}
-	n, err := strconv.Atoi(v)
-	if err != nil || n < 0 || n > len(values) {
-		return fmt.Errorf("setting %s.count: value %q is no count of items", name, v)
-	}
-	for i := range n {
-		add()
-		if err := d.apply(values, fmt.Sprintf("%s.%d.", name, i), table); err != nil {
-			return err
-		}
+func (d *draft) addPlan() {
+	d.Plans = append(d.Plans, policy.Plan{Price: 1})
+	d.host.Plans = append(d.host.Plans, "")
+}
+
+func last[T any](items []T) *T { return &items[len(items)-1] }
+
+func (d *draft) class() *policy.Class { return last(d.Classes) }
+func (d *draft) plan() *policy.Plan   { return last(d.Plans) }
+
+// setReport takes over the names in a load report, and which of the values decisions use.
+func setReport(d *draft, value string) error {
+	d.Report = nil
+	d.host.Report = strings.Split(value, ",")
+	for _, name := range d.host.Report {
+		d.Report = append(d.Report, metrics[name])
 	}
 	return nil
 }
+
+// topLevelSettings are the settings outside lists.
+var topLevelSettings = map[string]setter{
+	"self-index":     intSetting(func(d *draft) *int { return &d.Self }),
+	"balancers":      intSetting(func(d *draft) *int { return &d.Gateways }),
+	"az":             intSetting(func(d *draft) *int { return &d.Zone }),
+	"granularity-us": intSetting(func(d *draft) *policy.Time { return &d.Tick }),
+	"localities":     listSetting(func(d *draft) *[]string { return &d.host.Zones }),
+	"report.via":     textSetting(func(d *draft) *string { return &d.host.ReportVia }),
+	"report.names":   setReport,
+	"membership-mode": wordSetting(membershipModes,
+		func(d *draft) *bool { return &d.PollEndpoints }),
+	"weights": wordSetting(weightKinds, func(d *draft) *bool { return &d.ComparableWeights }),
+
+	"ceilings.peers":         boolSetting(func(d *draft) *bool { return &d.Peers }),
+	"ceilings.probes":        boolSetting(func(d *draft) *bool { return &d.Probes }),
+	"ceilings.second-copies": boolSetting(func(d *draft) *bool { return &d.Hedging }),
+	"ceilings.retry-after":   boolSetting(func(d *draft) *bool { return &d.RetryAfter }),
+	"ceilings.max-attempts":  intSetting(func(d *draft) *int { return &d.MaxAttempts }),
+	"ceilings.max-retry-after-us": intSetting(
+		func(d *draft) *policy.Time { return &d.MaxRetryAfter }),
+	"ceilings.max-open": intSetting(func(d *draft) *int { return &d.host.MaxOpenRequests }),
+	"ceilings.dial-timeout-us": intSetting(
+		func(d *draft) *policy.Time { return &d.host.DialTimeout }),
+	"ceilings.idle-close-us": intSetting(
+		func(d *draft) *policy.Time { return &d.host.BackendIdleTimeout }),
+
+	"family-info.counter": boolSetting(func(d *draft) *bool { return &d.Counter }),
+	"family-info.counter-timeout-us": intSetting(
+		func(d *draft) *policy.Time { return &d.host.CounterTimeout }),
+	"family-info.settles": boolSetting(func(d *draft) *bool { return &d.SettlesUnits }),
+	"family-info.meter-period-us": intSetting(
+		func(d *draft) *policy.Time { return &d.MeterPeriod }),
+	"family-info.max-units": floatSetting(func(d *draft) *float64 { return &d.host.MaxUnits }),
+	"family-info.mail-per-s": floatSetting(
+		func(d *draft) *float64 { return &d.MaxPeerMessagesPerSecond }),
+
+	"guarantees.ask-within-us": intSetting(func(d *draft) *policy.Time { return &d.PollInterval }),
+	"guarantees.drain-grace-us": intSetting(
+		func(d *draft) *policy.Time { return &d.host.DrainGracePeriod }),
+	"guarantees.cold-from": floatSetting(
+		func(d *draft) *float64 { return &d.SlowStartMinFraction }),
+	"guarantees.cold-us": intSetting(
+		func(d *draft) *policy.Time { return &d.SlowStartDuration }),
+	"guarantees.tip-after-us": intSetting(
+		func(d *draft) *policy.Time { return &d.SlowStartOverloadWindow }),
+	"prices.cross-zone": floatSetting(func(d *draft) *float64 { return &d.CrossZonePrice }),
+}
+
+// classSettings are the settings of a class, the last one of the list so far.
+var classSettings = map[string]setter{
+	"name":          textSetting(func(d *draft) *string { return last(d.host.Classes) }),
+	"promise-us":    intSetting(func(d *draft) *policy.Time { return &d.class().LatencyObjective }),
+	"hard-limit-us": intSetting(func(d *draft) *policy.Time { return last(d.host.ClientTimeouts) }),
+	"window-us": intSetting(
+		func(d *draft) *policy.Time { return &d.class().DeduplicationWindow }),
+	"worth": floatSetting(func(d *draft) *float64 { return &d.class().PriorityWeight }),
+	"repeat": wordSetting(idempotencies,
+		func(d *draft) *policy.Idempotency { return &d.class().Idempotency }),
+	"group": wordSetting(deduplicationScopes,
+		func(d *draft) *policy.DeduplicationScope { return &d.class().DeduplicationScope }),
+}
+
+// planSettings are the settings of a plan, the last one of the list so far.
+var planSettings = map[string]setter{
+	"name":            textSetting(func(d *draft) *string { return last(d.host.Plans) }),
+	"rate":            floatSetting(func(d *draft) *float64 { return &d.plan().Rate }),
+	"burst":           floatSetting(func(d *draft) *float64 { return &d.plan().Burst }),
+	"never-over-rate": floatSetting(func(d *draft) *float64 { return &d.plan().CeilingRate }),
+	"ceiling-burst":   floatSetting(func(d *draft) *float64 { return &d.plan().CeilingBurst }),
+	"hard-slack":      floatSetting(func(d *draft) *float64 { return &d.plan().CeilingSlack }),
+	"max-out":         intSetting(func(d *draft) *int { return &d.plan().OpenLimit }),
+	"value-factor":    floatSetting(func(d *draft) *float64 { return &d.plan().Price }),
+	"beyond-earns":    floatSetting(func(d *draft) *float64 { return &d.plan().BeyondEarns }),
+	"beyond-costs":    floatSetting(func(d *draft) *float64 { return &d.plan().BeyondCosts }),
+}
