--- a/internal/controlplane/distributor/attempt.go
+++ b/internal/controlplane/distributor/attempt.go
@@ -11,18 +11,18 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// maxQueuedRequests is how many requests wait for a stream to take them; an attempt whose stream
-// takes none is ended.
+// maxQueuedRequests is how many requests may wait for a stream to send them. An attempt that
+// exceeds it is ended.
 const maxQueuedRequests = 16
 
 var errRequestsQueued = errors.New("the stream takes no requests")
 
-// attemptEvent is something that happened on an attempt's goroutines, to be taken in by the
-// client's own.
+// attemptEvent is something that happened on an attempt's goroutines and that the client's
+// goroutine handles.
 type attemptEvent func(*Client)
 
-// attempt is one stream to a voter, from the attempt to open it on. Its goroutines end with its
-// context.
+// attempt is one stream to a voter, beginning with the attempt to open it. Its goroutines end with
+// its context.
 type attempt struct {
 	number   uint64
 	ctx      context.Context
@@ -30,10 +30,11 @@
 	requests chan *distributionpb.WatchRequest
 	events   chan<- attemptEvent
 
-	announced distribution.Position // by the last heartbeat; of the client's goroutine
+	// announced is the position in the last heartbeat. Only the client's goroutine uses it.
+	announced distribution.Position
 }
 
-// connect begins to open a stream.
+// connect starts to open a stream.
 func connect(ctx context.Context, c *Client, to distribution.Connect) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{
@@ -44,7 +45,7 @@
 	return a
 }
 
-// emit hands an event to the client, unless the attempt is over.
+// emit passes an event to the client, unless the attempt has ended.
 func (a *attempt) emit(event attemptEvent) {
 	select {
 	case a.events <- event:
@@ -52,21 +53,21 @@
 	}
 }
 
-// send queues a request. It is called by the client's goroutine, and never waits.
+// send queues a request. The client's goroutine calls it, and it never blocks.
 func (a *attempt) send(request *distributionpb.WatchRequest) {
 	select {
 	case a.requests <- request:
 	default:
-		go a.disconnected(errRequestsQueued)
+		go a.emitDisconnected(errRequestsQueued)
 	}
 }
 
-// run opens the stream and passes on what it brings until it ends.
+// run opens the stream and passes on what it receives until it ends.
 func (a *attempt) run(c *Client, address string) {
 	defer a.cancel()
 	stream, err := a.open(c, address)
 	if err != nil {
-		a.disconnected(err)
+		a.emitDisconnected(err)
 		return
 	}
 	a.emit(func(c *Client) { c.replica.Connected(c.clock.now(), a.number) })
@@ -74,7 +75,7 @@
 	for {
 		response, err := stream.Recv()
 		if err != nil {
-			a.disconnected(err)
+			a.emitDisconnected(err)
 			return
 		}
 		c.bytes.Add(uint64(proto.Size(response)))
@@ -82,7 +83,9 @@
 	}
 }
 
-type watchStream = grpc.BidiStreamingClient[distributionpb.WatchRequest, distributionpb.WatchResponse]
+type watchStream = grpc.BidiStreamingClient[
+	distributionpb.WatchRequest, distributionpb.WatchResponse,
+]
 
 func (a *attempt) open(c *Client, address string) (watchStream, error) {
 	connection, err := c.options.Link.Connection(address)
@@ -92,7 +95,7 @@
 	return distributionpb.NewDistributionClient(connection).Watch(a.ctx)
 }
 
-// sendQueued sends requests. That the stream has ended is told by what is received.
+// sendQueued sends requests. The receiving side reports the end of the stream.
 func (a *attempt) sendQueued(stream watchStream) {
 	for {
 		select {
@@ -106,6 +109,6 @@
 	}
 }
 
-func (a *attempt) disconnected(cause error) {
+func (a *attempt) emitDisconnected(cause error) {
 	a.emit(func(c *Client) { c.replica.Disconnected(c.clock.now(), a.number, cause) })
 }
--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -13,51 +13,60 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Observer hears what a Client takes in, from one goroutine. While a method has not returned the
-// Client takes in nothing further.
+// Observer is notified of what a Client applies, by one goroutine. The Client waits until a method
+// has returned.
 type Observer interface {
-	// Applied tells that changes are in force, and the state with them, which is never changed.
+	// Applied is called with changes that were applied, and the state after them, which is never
+	// modified.
 	Applied(changes []distribution.Change, state *distribution.State)
-	// SourceHeard tells how long ago the server that is watched heard of the source, and whether
-	// the replica has all that this server had by the heartbeat before.
+	// SourceHeard is called with the time since the watched server heard from the source, and
+	// whether the replica has everything that this server had at the heartbeat before.
 	SourceHeard(sourceAge time.Duration, current bool)
 }
 
-// ClientOptions say how a replica is kept.
+// ClientOptions configure a Client.
 type ClientOptions struct {
-	Link     *controlrpc.Client // knows the voters, and has the connections to them
+	// Link knows the voters and has the connections to them.
+	Link     *controlrpc.Client
 	Settings distribution.ReplicaSettings
-	// of the voters, by name; one that is not there is near to nobody
+	// Places are the places of the voters, by name. A voter without one is near to nobody.
 	Places map[string]distribution.Place
-	File   string // where the last state lies; "": it is not kept
-	Log    *slog.Logger
+	// File is the state file; empty to keep none.
+	File string
+	Log  *slog.Logger
 }
 
 const (
-	voterRefreshInterval = time.Second          // how often it is looked who votes now
-	minTickDelay         = 5 * time.Millisecond // between two looks at the replica's clock
-	maxTickDelay         = 250 * time.Millisecond
+	// voterRefreshInterval is how often the list of voters is read.
+	voterRefreshInterval = time.Second
+	// minTickDelay and maxTickDelay bound the time between two ticks of the replica.
+	minTickDelay = 5 * time.Millisecond
+	maxTickDelay = 250 * time.Millisecond
 )
 
-// Client keeps a replica of the agreed control state, from the stream of one voter at a time.
+// Client keeps a replica of the replicated control state, which it receives from one voter at a
+// time.
 type Client struct {
 	options ClientOptions
 	file    stateFile
 	clock   clock
 	status  atomic.Pointer[ReplicaStatus]
 	state   atomic.Pointer[distribution.State]
-	bytes   atomic.Uint64 // received
+	// bytes counts the bytes received.
+	bytes atomic.Uint64
 
-	// Of Run's goroutine alone.
-	replica   *distribution.Replica
-	observer  Observer
-	events    chan attemptEvent
-	attempt   *attempt // nil: no stream is open or being opened
-	saver     saver
-	persisted bool // a state of this process, or of one before, is on disk or about to be
+	// replica and the fields below belong to Run's goroutine.
+	replica  *distribution.Replica
+	observer Observer
+	events   chan attemptEvent
+	// attempt is nil if no stream is open or being opened.
+	attempt *attempt
+	saver   saver
+	// persisted is set if a state of this process or an earlier one is on disk or about to be.
+	persisted bool
 }
 
-// NewClient makes a client. Run has it begin.
+// NewClient returns a client. It does nothing until Run is called.
 func NewClient(o ClientOptions) *Client {
 	c := &Client{
 		options: o,
@@ -69,25 +78,25 @@
 	return c
 }
 
-// Status is what the replica was when it last took something in. It may be called at any time,
-// concurrently.
+// Status returns the status of the replica after the last event. It is safe for concurrent use.
 func (c *Client) Status() ReplicaStatus {
 	status := *c.status.Load()
 	status.ReceivedBytes = c.bytes.Load()
 	return status
 }
 
-// State is what the replica has in force; nil: nothing yet. It may be called at any time,
-// concurrently; what it gives is never changed.
+// State returns the state of the replica, or nil before the first one. It is safe for concurrent
+// use, and the state is never modified.
 func (c *Client) State() *distribution.State { return c.state.Load() }
 
-// Run keeps the replica until the context ends, and then writes down what is not written yet.
+// Run maintains the replica until the context ends, and then writes the state to disk.
 func (c *Client) Run(ctx context.Context, observer Observer) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	c.observer = observer
 	state := c.load()
 	c.replica = distribution.NewReplica(c.options.Settings, state, random)
-	if c.persisted = !state.Empty(); c.persisted {
+	c.persisted = !state.Empty()
+	if c.persisted {
 		c.state.Store(state)
 		observer.Applied(nil, state)
 	}
@@ -115,7 +124,7 @@
 	}
 }
 
-// load returns the state that the last process wrote down, or an empty one.
+// load returns the state that the last process has written, or an empty one.
 func (c *Client) load() *distribution.State {
 	if c.file.path == "" {
 		return distribution.NewState()
@@ -131,18 +140,18 @@
 	return state
 }
 
-// shutdown leaves the stream and has the last state written.
+// shutdown ends the stream and writes the last state.
 func (c *Client) shutdown() {
 	c.cancelAttempt()
 	c.saver.stop(c.replica.State())
 }
 
-// tickDelay is how long there is nothing to do for the replica, within bounds.
+// tickDelay returns the time until the replica's next tick, within bounds.
 func (c *Client) tickDelay() time.Duration {
 	return min(max(c.replica.Wake()-c.clock.now(), minTickDelay), maxTickDelay)
 }
 
-// setServers tells the replica who votes now.
+// setServers passes the current voters to the replica.
 func (c *Client) setServers() {
 	var servers []distribution.Server
 	for _, voter := range c.options.Link.Voters() {
@@ -155,7 +164,7 @@
 	c.replica.SetServers(c.clock.now(), servers)
 }
 
-// executeActions does what the replica wants done.
+// executeActions carries out the replica's actions.
 func (c *Client) executeActions(ctx context.Context) {
 	for actions := c.replica.Take(); len(actions) > 0; actions = c.replica.Take() {
 		for _, action := range actions {
@@ -188,8 +197,8 @@
 	}
 }
 
-// saveFirstState has the first state of a process that began with nothing written at once: one that
-// is killed soon after then leaves something to its next.
+// saveFirstState writes the first state of a process that started without one immediately, so that
+// a process that is killed soon after leaves a state to the next.
 func (c *Client) saveFirstState(state *distribution.State) {
 	if !c.persisted {
 		c.persisted = true
@@ -197,12 +206,12 @@
 	}
 }
 
-// logDisconnect logs why a server is left. That a process ends, or another one is nearer, is
-// nothing to look into.
+// logDisconnect logs why a server is left. A return to the preferred server is only a debug
+// message.
 func (c *Client) logDisconnect(reason error) {
 	level := slog.LevelInfo
-	var leave *distribution.DisconnectError
-	if errors.As(reason, &leave) && leave.Reason == distribution.ReasonPreferredServer {
+	var disconnect *distribution.DisconnectError
+	if errors.As(reason, &disconnect) && disconnect.Reason == distribution.ReasonPreferredServer {
 		level = slog.LevelDebug
 	}
 	c.options.Log.Log(context.Background(), level, "fleet: another voter is watched",
@@ -216,7 +225,7 @@
 	}
 }
 
-// received takes in what the server of an attempt said.
+// received handles a message from the server of an attempt.
 func (c *Client) received(attempt uint64, response *distributionpb.WatchResponse) {
 	now := c.clock.now()
 	c.replica.Received(now, attempt, response)
@@ -234,9 +243,8 @@
 	c.attempt.announced = position
 }
 
-// current reports whether the replica has all that its server has, but for what is newer than the
-// heartbeat before: amid changes a heartbeat may come ahead of the delta that leads to its
-// position.
+// current reports whether the replica has everything that its server had at the heartbeat before.
+// Between changes, a heartbeat may arrive before the delta that leads to its position.
 func (c *Client) current(position distribution.Position) bool {
 	mine, announced := c.replica.Position(), c.attempt.announced
 	if !c.replica.Live() || mine.Epoch == 0 {
--- a/internal/controlplane/distributor/client_test.go
+++ b/internal/controlplane/distributor/client_test.go
@@ -105,9 +105,8 @@
 		t.Errorf("the file is named %d times:\n%s", n, log.String())
 	}
 	r.stop()
-	if state, err := (stateFile{
-		path, fleet,
-	}).load(); err != nil || state.Position() != s.machine.State().Position() {
+	state, err := stateFile{path, fleet}.load()
+	if err != nil || state.Position() != s.machine.State().Position() {
 		t.Errorf("the file was not replaced: %v", err)
 	}
 }
--- a/internal/controlplane/distributor/clock.go
+++ b/internal/controlplane/distributor/clock.go
@@ -6,7 +6,7 @@
 	"mothcleat/internal/monotonic"
 )
 
-// clock counts time since it was made; it goes on while the process is stopped.
+// clock counts the time since it was created, including time while the process is suspended.
 type clock struct{ start time.Duration }
 
 func newClock() clock { return clock{monotonic.Now()} }
--- a/internal/controlplane/distributor/direct.go
+++ b/internal/controlplane/distributor/direct.go
@@ -7,16 +7,18 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// directSources are the sources of this process that ask the register itself, which move together.
+// directSources are the sources of this process that watch the registry directly. They move to a
+// new address together.
 type directSources struct {
 	make func() (registry.Source, error)
 
 	mu      sync.Mutex
 	running []registry.Source
-	movedTo string // the last address; "": none was told
+	// movedTo is the last address given to move; empty if there was none.
+	movedTo string
 }
 
-// open makes a source that moves with the others until closed is called.
+// open creates a source that moves with the others until closed is called.
 func (d *directSources) open() (source registry.Source, closed func(), err error) {
 	source, err = d.make()
 	if err != nil {
@@ -31,7 +33,7 @@
 	return source, func() { d.close(source) }, nil
 }
 
-// close has a source move no more.
+// close removes a source from those that move.
 func (d *directSources) close(source registry.Source) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,7 +42,8 @@
 	})
 }
 
-// move has the register followed at another address, by all that run and all that are opened later.
+// move moves all running sources, and all that are opened later, to another address of the
+// registry.
 func (d *directSources) move(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/distributor/disk.go
+++ b/internal/controlplane/distributor/disk.go
@@ -10,14 +10,14 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// stateFile is where a replica's last state lies.
+// stateFile is the file that holds a replica's last state.
 type stateFile struct {
 	path  string
 	fleet string
 }
 
-// load reads the state. Where there is no file it is nil. An error names the file; the state is to
-// be taken anew then.
+// load reads the state. It returns nil if there is no file. An error names the file, and the caller
+// should start without a state.
 func (f stateFile) load() (*distribution.State, error) {
 	raw, err := os.ReadFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -33,7 +33,7 @@
 	return state, nil
 }
 
-// save replaces the file as a whole: whoever reads it has the old state or the new one.
+// save replaces the file atomically: a reader sees the old state or the new one.
 func (f stateFile) save(state *distribution.State) error {
 	if err := os.MkdirAll(filepath.Dir(f.path), 0o700); err != nil {
 		return err
--- a/internal/controlplane/distributor/doc.go
+++ b/internal/controlplane/distributor/doc.go
@@ -1,6 +1,6 @@
-// Package distributor carries the agreed control state from the voters to all processes of a fleet:
-// the gRPC service that every voter answers, the client that keeps a replica of it, in memory and
-// on disk, and the list of servers as the first user of both. What is to be sent, fetched, merged
-// or refused is decided by package distribution; the goroutines, connections, files and clocks are
+// Package distributor carries the replicated control state from the voters to all processes of a
+// fleet. It has the gRPC service that every voter serves, the client that maintains a replica in
+// memory and on disk, and the list of servers as the first user of both. Package distribution
+// decides what is sent, fetched, merged or rejected; goroutines, connections, files and clocks are
 // here.
 package distributor
--- a/internal/controlplane/distributor/fault.go
+++ b/internal/controlplane/distributor/fault.go
@@ -11,13 +11,16 @@
 	"mothcleat/internal/failpoint"
 )
 
-// Names of the faults that rigs ask for; see package failpoint.
+// Names of the failpoints that tests use; see package failpoint.
 const (
-	faultSendDelta   = "distribution-send-delta"   // a delta is about to be sent on a stream
-	faultDamageDelta = "distribution-damage-delta" // denied: deltas come out as they were made
+	// faultSendDelta is reached before a delta is sent on a stream.
+	faultSendDelta = "distribution-send-delta"
+	// faultDamageDelta is denied to have deltas sent with other content than their digest says.
+	faultDamageDelta = "distribution-damage-delta"
 )
 
-// sentBytes returns the bytes that go out for a message: its own, but for the faults of a rig.
+// sentBytes returns the bytes to be sent for a message: its encoding, unless a failpoint damages
+// it.
 func sentBytes(message *distribution.Message) []byte {
 	delta := message.Response.GetDelta()
 	if !failpoint.Built || delta == nil {
@@ -31,8 +34,7 @@
 	return damagedBytes(message.Response)
 }
 
-// damagedBytes returns the bytes of a delta whose content is other than its digest says, and which
-// can still be read.
+// damagedBytes returns a delta that can be read but whose content does not match its digest.
 func damagedBytes(response *distributionpb.WatchResponse) []byte {
 	copied := proto.CloneOf(response)
 	for _, change := range copied.GetDelta().Changes {
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -22,32 +22,34 @@
 
 const (
 	publishTimeout = 2 * time.Second
-	// publishTimeoutPerByte is what a command is given beside for its size: a whole list is half a
-	// megabyte at 7,300 servers.
+	// publishTimeoutPerByte extends the timeout of a command by its size: a complete list of 7,300
+	// servers is half a megabyte.
 	publishTimeoutPerByte = 4 * time.Microsecond
-	// maxPublishDelay bounds what is waited after a command that was not agreed on, twice as long
-	// after each.
+	// maxPublishDelay bounds the delay after a command that was not committed, which doubles with
+	// each failure.
 	maxPublishDelay = 4 * time.Second
-	// maxBaseRefusals is how often a term may begin with a difference that is refused; then it
-	// begins with the whole list.
+	// maxBaseRefusals is how often a term may begin with a difference that is rejected. Then it
+	// begins with the complete list.
 	maxBaseRefusals = 3
 )
 
-// errRefused is returned for a command that was agreed on and changed nothing.
+// errRefused is returned for a command that was committed but rejected by the state machine.
 var errRefused = errors.New("refused")
 
-// registerPublisher watches the register on behalf of the fleet and has what changed of it agreed
-// on.
-type registerPublisher struct {
-	direct            *directSources
-	link              *controlrpc.Client
-	replica           func() *distribution.State // of this process
-	heartbeatInterval time.Duration              // between two commands where nothing changes
+// registryPublisher watches the registry on behalf of the fleet and proposes its changes to the
+// replicated log.
+type registryPublisher struct {
+	direct *directSources
+	link   *controlrpc.Client
+	// replica returns the state of this process's replica; nil if it has none.
+	replica func() *distribution.State
+	// heartbeatInterval is the time between two commands while nothing changes.
+	heartbeatInterval time.Duration
 	log               *slog.Logger
 }
 
-// Work is the work of the role: it lasts for as long as the context does.
-func (p *registerPublisher) Work(ctx context.Context, tenure *election.Tenure) {
+// Work publishes for as long as the context lasts. It is an election.Work.
+func (p *registryPublisher) Work(ctx context.Context, tenure *election.Tenure) {
 	source, closed, err := p.direct.open()
 	if err != nil {
 		p.log.Error("fleet: the register can't be watched", "error", err)
@@ -66,19 +68,19 @@
 	pending := newPendingChanges(p.log)
 	support := voterSupport{link: p.link, log: p.log}
 	delay := publishDelay{minDelay: p.heartbeatInterval}
-	heard := false
+	registryHeard := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case n := <-news:
-			heard = n.Kind != registry.Unavailable
+			registryHeard = n.Kind != registry.Unavailable
 			pending.update(n)
 		case <-beat.C:
 		}
-		// Without news of the register there is no heartbeat either: the others look for
-		// themselves.
-		if heard && delay.elapsed(time.Now()) && support.ready(ctx) && tenure.Holds() {
+		// Without news of the registry there is no heartbeat either, so that the other processes
+		// watch the registry themselves.
+		if registryHeard && delay.elapsed(time.Now()) && support.ready(ctx) && tenure.Holds() {
 			err := p.publish(ctx, pending.command(tenure.Term, p.replica()))
 			pending.record(err)
 			delay.record(time.Now(), err)
@@ -86,11 +88,12 @@
 	}
 }
 
-// publishDelay is how long nothing is proposed after a command that was not agreed on. That it may
-// be under way yet, on voters that are late, is no reason to give them more.
+// publishDelay is the backoff after a command that was not committed. The command may still be in
+// flight to lagging voters, which should not get more.
 type publishDelay struct {
-	minDelay  time.Duration
-	nextDelay time.Duration // after the next failure; 0: least
+	minDelay time.Duration
+	// nextDelay is the delay after the next failure; 0 for minDelay.
+	nextDelay time.Duration
 	until     time.Time
 }
 
@@ -106,8 +109,8 @@
 	d.nextDelay *= 2
 }
 
-// publish has the fleet agree on a command.
-func (p *registerPublisher) publish(ctx context.Context, command *distributionpb.Command) error {
+// publish proposes a command and waits until it is committed.
+func (p *registryPublisher) publish(ctx context.Context, command *distributionpb.Command) error {
 	body, err := proto.Marshal(command)
 	if err != nil {
 		return err
@@ -125,20 +128,24 @@
 	return err
 }
 
-// pendingChanges is the list of servers as the register has it, and what of it is not agreed yet.
+// pendingChanges is the list of servers in the registry, and which part of it is not committed yet.
 type pendingChanges struct {
-	log     *slog.Logger
-	epoch   uint64
-	values  map[string][]byte // by id
-	changed map[string]bool   // ids whose record is not agreed as it is
+	log   *slog.Logger
+	epoch uint64
+	// values are the records by server id.
+	values map[string][]byte
+	// changed are the ids of servers whose record differs from the committed one.
+	changed map[string]bool
 
-	// Until the first command of a term is agreed on it is not known what the state is: a command
-	// without an answer may have been carried out. So each further one has all records that an
-	// earlier one had, as they are now.
-	firstOfTerm      bool
-	proposedComplete bool            // such a command had the whole list
-	proposed         map[string]bool // ids that such a command had
-	refusals         int
+	// firstOfTerm is set until the first command of a term is committed. Until then the committed
+	// state is unknown, as a command without an answer may have been applied. So each further
+	// command has all records that an earlier one had, with their current values.
+	firstOfTerm bool
+	// proposedComplete is set if such a command had the complete list.
+	proposedComplete bool
+	// proposed are the ids that such a command had.
+	proposed map[string]bool
+	refusals int
 }
 
 func newPendingChanges(log *slog.Logger) *pendingChanges {
@@ -152,7 +159,7 @@
 	}
 }
 
-// update takes in what the register told.
+// update applies an update of the registry.
 func (p *pendingChanges) update(n registry.Update) {
 	switch n.Kind {
 	case registry.Unavailable:
@@ -201,9 +208,9 @@
 	}
 }
 
-// command is what is to be agreed on: what changed, or a heartbeat. The first one of a term has
-// what is other than the replica of this process, or the whole list where there is nothing to tell
-// that from.
+// command returns the next command: the changes, or a heartbeat. The first command of a term has
+// the differences from this process's replica, or the complete list if there is no replica to
+// compare with.
 func (p *pendingChanges) command(term uint64, replica *distribution.State) *distributionpb.Command {
 	command := &distributionpb.Command{Term: term, Epoch: p.epoch}
 	switch {
@@ -220,7 +227,7 @@
 	return command
 }
 
-// addDifference adds the ids of all servers that a state has otherwise than the register.
+// addDifference adds the ids of all servers whose record in a state differs from the registry.
 func (p *pendingChanges) addDifference(state *distribution.State) {
 	state.Range(distribution.KindServer, func(r distribution.Record) bool {
 		if value, there := p.values[r.ID]; !there || !bytes.Equal(value, r.Value) {
@@ -235,7 +242,7 @@
 	}
 }
 
-// changesFor are the changes that make some ids what the register has.
+// changesFor returns the changes that set some ids to their value in the registry.
 func (p *pendingChanges) changesFor(ids iter.Seq[string]) []*distributionpb.Change {
 	var changes []*distributionpb.Change
 	for _, id := range slices.Sorted(ids) {
@@ -247,7 +254,7 @@
 	return changes
 }
 
-// record takes in how the last command ended.
+// record handles the outcome of the last command.
 func (p *pendingChanges) record(err error) {
 	switch {
 	case err == nil:
--- a/internal/controlplane/distributor/records.go
+++ b/internal/controlplane/distributor/records.go
@@ -21,8 +21,8 @@
 	distributionpb.Phase_PHASE_DRAINING: registry.Terminating,
 }
 
-// encodeServer makes the value of a server's record: the same bytes for the same member. It returns
-// an error that names the server for one of which no record can be agreed on.
+// encodeServer returns the value of a server's record. Equal members give equal bytes. It returns
+// an error that names the server if the record would be rejected.
 func encodeServer(m registry.Member) ([]byte, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&distributionpb.ServerRecord{
 		Address:   m.HostPort,
@@ -45,8 +45,8 @@
 	return value, nil
 }
 
-// decodeServer reads the value of a server's record. A phase that this program does not know is
-// none to send to.
+// decodeServer reads the value of a server's record. A phase that this program does not know
+// becomes an empty one, in which a server gets no requests.
 func decodeServer(id string, value []byte) (registry.Member, error) {
 	var record distributionpb.ServerRecord
 	if err := proto.Unmarshal(value, &record); err != nil {
--- a/internal/controlplane/distributor/saver.go
+++ b/internal/controlplane/distributor/saver.go
@@ -6,11 +6,13 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// saver writes states to disk on a goroutine of its own: the newest that it was given counts.
+// saver writes states to disk on its own goroutine. It writes only the newest state that it was
+// given.
 type saver struct {
-	file   stateFile
-	log    *slog.Logger
-	states chan *distribution.State // nil: nothing is kept
+	file stateFile
+	log  *slog.Logger
+	// states is nil if no file is configured.
+	states chan *distribution.State
 	done   chan struct{}
 }
 
@@ -23,7 +25,7 @@
 	go s.run()
 }
 
-// save has a state written soon; it never waits. It is called from one goroutine.
+// save schedules a state to be written and never blocks. Only one goroutine may call it.
 func (s *saver) save(state *distribution.State) {
 	if s.states == nil {
 		return
@@ -35,7 +37,7 @@
 	s.states <- state
 }
 
-// stop has the last state written, and returns when it is.
+// stop writes the last state and returns when it is written.
 func (s *saver) stop(last *distribution.State) {
 	if s.states == nil {
 		return
--- a/internal/controlplane/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -18,8 +18,8 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Server answers the Distribution service from the state machine of this process's voter, whether
-// that voter leads or not. Its methods may be called concurrently.
+// Server serves the Distribution service from the state machine of this process's voter, whether
+// that voter leads or not. Its methods are safe for concurrent use.
 type Server struct {
 	distributionpb.UnimplementedDistributionServer
 	log     *slog.Logger
@@ -30,18 +30,22 @@
 	publisher *distribution.Publisher
 	streams   map[distribution.StreamID]*serverStream
 	lastID    distribution.StreamID
-	attached  bool          // a voter's machine tells its updates
-	wakeAt    time.Duration // when Run looks again by itself
-	rearm     chan struct{} // Run is to look earlier than it would
+	// attached is set once a voter's machine reports its updates.
+	attached bool
+	// wakeAt is when Run ticks next by itself.
+	wakeAt time.Duration
+	// rearm signals that Run should tick earlier than wakeAt.
+	rearm chan struct{}
 }
 
-// serverStream is a stream that is open. Publisher has one message under way on each, so that out
-// never fills.
+// serverStream is an open stream. Publisher has one message in flight on each, so that out never
+// blocks.
 type serverStream struct {
 	out chan *distribution.Message
 }
 
-// NewServer makes a server without a state. It answers once a machine is attached and Run runs.
+// NewServer returns a server without a state. It serves once a machine is attached and Run is
+// running.
 func NewServer(settings distribution.PublisherSettings, log *slog.Logger) *Server {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Server{
@@ -51,13 +55,13 @@
 	}
 }
 
-// Register has a gRPC server answer the service.
+// Register registers the service with a gRPC server.
 func (s *Server) Register(r grpc.ServiceRegistrar) {
 	distributionpb.RegisterDistributionServer(r, s)
 }
 
-// Attach has the server tell of a machine's updates from now on. It is to be called before the
-// machine is used.
+// Attach makes the server publish a machine's updates. It has to be called before the machine is
+// used.
 func (s *Server) Attach(machine *distribution.Machine) {
 	s.mu.Lock()
 	s.attached = true
@@ -81,7 +85,7 @@
 	}
 }
 
-// step takes the waiting updates in and gives how long there is nothing to do.
+// step handles the queued updates and returns the time until the next tick.
 func (s *Server) step() time.Duration {
 	updates := s.updates.take()
 	s.mu.Lock()
@@ -96,7 +100,7 @@
 	return s.wakeAt - now
 }
 
-// dispatch hands what can be sent to the streams. It is called with the lock held, after each
+// dispatch passes what can be sent to the streams. It is called with the lock held, after each
 // event.
 func (s *Server) dispatch(now time.Duration) {
 	for _, send := range s.publisher.Take(now) {
@@ -136,7 +140,8 @@
 	}
 }
 
-// open adds a stream.
+// open adds a stream. It returns a gRPC status if this process is no voter or too many streams are
+// open.
 func (s *Server) open() (distribution.StreamID, <-chan *distribution.Message, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +165,7 @@
 	s.dispatch(s.clock.now())
 }
 
-// receive takes in what the replica says until the stream ends.
+// receive handles the replica's requests until the stream ends.
 func (s *Server) receive(
 	id distribution.StreamID,
 	stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse],
@@ -189,7 +194,7 @@
 	return err
 }
 
-// sent tells that a stream's connection has taken its message.
+// sent reports that a stream has sent its message.
 func (s *Server) sent(id distribution.StreamID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +202,7 @@
 	s.dispatch(s.clock.now())
 }
 
-// send passes a message on. The same bytes go to all streams that a message is for.
+// send sends a message. All streams that a message is for share its bytes.
 func send(stream grpc.ServerStream, message *distribution.Message) error {
 	return stream.SendMsg(controlrpc.Encoded(sentBytes(message)))
 }
--- a/internal/controlplane/distributor/server_test.go
+++ b/internal/controlplane/distributor/server_test.go
@@ -36,7 +36,9 @@
 		}
 	}
 	counts := s.Status().Counts
-	if sent, encoded := counts.Deltas-before.Deltas, counts.Encoded-before.Encoded; sent != replicas*deltas || encoded != deltas {
+	sent := counts.Deltas - before.Deltas
+	encoded := counts.Encoded - before.Encoded
+	if sent != replicas*deltas || encoded != deltas {
 		t.Errorf("%d deltas were sent and %d encoded, for %d changes to %d replicas",
 			sent, encoded, deltas, replicas)
 	}
--- a/internal/controlplane/distributor/settings.go
+++ b/internal/controlplane/distributor/settings.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// DefaultSourceTimeout is for how long a process that hears nothing of the source waits where
-	// nothing else is said.
+	// DefaultSourceTimeout is the default time after which a process that hears nothing of the
+	// source watches the registry itself.
 	DefaultSourceTimeout = time.Second
 
-	// heartbeats of the source, and on each stream, within the time after which silence counts
+	// heartbeatsPerSourceTimeout is the number of heartbeats, of the source and on each stream,
+	// within the source timeout.
 	heartbeatsPerSourceTimeout = 4
 	minHeartbeatInterval       = 50 * time.Millisecond
 )
 
-// heartbeatInterval is the time between two heartbeats, of the source and on each stream.
-func heartbeatInterval(silent time.Duration) time.Duration {
-	return max(minHeartbeatInterval, silent/heartbeatsPerSourceTimeout)
+// heartbeatInterval returns the time between two heartbeats, of the source and on each stream.
+func heartbeatInterval(sourceTimeout time.Duration) time.Duration {
+	return max(minHeartbeatInterval, sourceTimeout/heartbeatsPerSourceTimeout)
 }
 
-// StatePath is where a process's replica lies in its folder of the fleet.
+// StatePath returns the path of a process's state file in its fleet directory.
 func StatePath(folder string) string { return filepath.Join(folder, "distribution", "state") }
 
-// NewPublisherSettings are how a voter serves replicas. After a time without news of the source,
-// silent, processes look for themselves; logEntries are the changes that are kept for replicas
-// which resume, 0: as many as by default.
+// NewPublisherSettings returns the settings with which a voter serves replicas. Processes watch the
+// registry themselves after sourceTimeout without news of the source. logEntries is the number of
+// deltas kept for replicas that resume; 0 for the default.
 func NewPublisherSettings(
-	fleet string, silent time.Duration, logEntries int,
+	fleet string, sourceTimeout time.Duration, logEntries int,
 ) distribution.PublisherSettings {
 	settings := distribution.DefaultPublisherSettings(fleet)
-	settings.HeartbeatInterval = heartbeatInterval(silent)
+	settings.HeartbeatInterval = heartbeatInterval(sourceTimeout)
 	if logEntries > 0 {
 		settings.Log.Entries = logEntries
 	}
 	return settings
 }
 
-// NewReplicaSettings are how a process's replica behaves. A stream is left when three heartbeats in
-// a row did not come: so that another server can be heard within the time after which a process
-// looks for itself.
+// NewReplicaSettings returns the settings of a process's replica. A stream is left when three
+// heartbeats in a row are missing, so that another server can be heard within sourceTimeout.
 func NewReplicaSettings(
-	fleet, id string, incarnation uint64, place distribution.Place, silent time.Duration,
+	fleet, id string, incarnation uint64, place distribution.Place, sourceTimeout time.Duration,
 ) distribution.ReplicaSettings {
 	settings := distribution.DefaultReplicaSettings(fleet, id)
 	settings.Incarnation, settings.Place = incarnation, place
-	settings.SilenceTimeout = (heartbeatsPerSourceTimeout - 1) * heartbeatInterval(silent)
+	settings.SilenceTimeout = (heartbeatsPerSourceTimeout - 1) * heartbeatInterval(sourceTimeout)
 	settings.ConnectTimeout = settings.SilenceTimeout
-	settings.SourceTimeout = 2 * silent
+	settings.SourceTimeout = 2 * sourceTimeout
 	return settings
 }
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -13,36 +13,41 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// SourceOptions say how a process has the list of servers.
+// SourceOptions configure a Source.
 type SourceOptions struct {
-	// Direct makes a source that asks the register itself. Several may run at once.
+	// Direct creates a source that watches the registry directly. Several may run at once.
 	Direct func() (registry.Source, error)
 	Client ClientOptions
-	// the fleet's list was not heard of for so long: the process watches the register by itself
+	// SourceTimeout is the time without news of the fleet's list after which the process watches
+	// the registry itself.
 	SourceTimeout time.Duration
 }
 
-// Source is the list of servers as the fleet has it: a registry.Source for the gateway's loop, and
-// the work of the role that watches the register for all. A process that has not heard of the
-// fleet's list for a while watches the register itself until it hears again.
+// Source provides the fleet's list of servers: a registry.Source for the gateway's event loop, and
+// the work of the role that watches the registry for all. A process that has not heard of the
+// fleet's list for a while watches the registry itself until it hears again.
 type Source struct {
 	options SourceOptions
 	direct  *directSources
 	client  *Client
-	closing chan struct{}  // Run is to end
-	running sync.WaitGroup // of Run
+	// closing ends Run.
+	closing chan struct{}
+	// running counts the calls of Run.
+	running sync.WaitGroup
 }
 
 var _ registry.Source = (*Source)(nil)
 
 const (
-	closeTimeout           = time.Second
-	startupTimeout         = 100 * time.Millisecond // a start does not wait for longer
+	closeTimeout = time.Second
+	// startupSourceTimeout is the source timeout at startup: a process that starts does not wait
+	// for longer.
+	startupSourceTimeout   = 100 * time.Millisecond
 	minCheckInterval       = 20 * time.Millisecond
 	checksPerSourceTimeout = 10
 )
 
-// NewSource makes a source. Run has it begin.
+// NewSource returns a source. It does nothing until Run is called.
 func NewSource(o SourceOptions) *Source {
 	return &Source{
 		options: o,
@@ -52,8 +57,8 @@
 	}
 }
 
-// Close ends Run, and returns when the replica is written down, or its disk has taken too long. It
-// is called once.
+// Close ends Run, and returns when the state is written or the disk has taken too long. It must be
+// called once.
 func (s *Source) Close() {
 	close(s.closing)
 	ended := make(chan struct{})
@@ -68,18 +73,18 @@
 	}
 }
 
-// Client is the replica that the list is read from.
+// Client returns the client of the replica that the list is read from.
 func (s *Source) Client() *Client { return s.client }
 
-// Follow does nothing: the register answers whoever asks.
+// Follow does nothing: the registry needs no request to start.
 func (s *Source) Follow() {}
 
-// Move has the register followed at another address, by whoever of this process asks it.
+// Move changes the address of the registry for all of this process's direct watches.
 func (s *Source) Move(address string) { s.direct.move(address) }
 
-// Work watches the register on behalf of the fleet.
+// Work watches the registry on behalf of the fleet.
 func (s *Source) Work(ctx context.Context, tenure *election.Tenure) {
-	p := registerPublisher{
+	p := registryPublisher{
 		direct:            s.direct,
 		link:              s.options.Client.Link,
 		replica:           s.client.State,
@@ -91,8 +96,8 @@
 
 func (s *Source) log() *slog.Logger { return s.options.Client.Log }
 
-// Run brings the list: the fleet's, or this process's own where the fleet's is not heard of. It
-// returns after the context ends and the replica is written down.
+// Run delivers the fleet's list, or this process's own if the fleet's is not heard of. It returns
+// after the context has ended and the state is written.
 func (s *Source) Run(ctx context.Context, tell func(registry.Update)) {
 	s.running.Add(1)
 	defer s.running.Done()
@@ -104,10 +109,13 @@
 		defer close(ended)
 		s.client.Run(ctx, &l)
 	}()
-	defer func() { cancel(); <-ended }()
-	look := time.NewTicker(max(minCheckInterval, s.options.SourceTimeout/checksPerSourceTimeout))
-	defer look.Stop()
-	l.sourceHeardAt = time.Now().Add(startupTimeout - s.options.SourceTimeout)
+	defer func() {
+		cancel()
+		<-ended
+	}()
+	check := time.NewTicker(max(minCheckInterval, s.options.SourceTimeout/checksPerSourceTimeout))
+	defer check.Stop()
+	l.sourceHeardAt = time.Now().Add(startupSourceTimeout - s.options.SourceTimeout)
 	for {
 		select {
 		case <-ctx.Done():
@@ -117,10 +125,10 @@
 		case event := <-l.events:
 			event(&l)
 		case n := <-l.directUpdates:
-			// what the receiver has is from elsewhere now: the fleet's list comes whole again
+			// The receiver now has another list: the fleet's is delivered completely next time.
 			l.fleetListDelivered = false
 			tell(n)
-		case <-look.C:
+		case <-check.C:
 			if time.Since(l.sourceHeardAt) > s.options.SourceTimeout {
 				l.startDirectWatch(ctx)
 			}
@@ -128,26 +136,31 @@
 	}
 }
 
-// maxQueuedEvents is how many events wait for a receiver that takes none; then the replica waits,
+// maxQueuedEvents is how many events may wait for a slow receiver. After that the replica waits
 // too.
 const maxQueuedEvents = 16
 
-// listEvent is something that the client told, for Run's goroutine.
+// listEvent is an event of the client for Run's goroutine.
 type listEvent func(*listener)
 
-// listener turns what the replica takes in into news of the servers.
+// listener turns changes of the replica into updates of the list of servers.
 type listener struct {
 	source *Source
 	notify func(registry.Update)
 	events chan listEvent
 	ctx    context.Context
 
-	// Of Run's goroutine alone.
-	state              *distribution.State // the newest; nil: nothing was taken in yet
-	fleetListDelivered bool                // the receiver has the fleet's list
-	sourceHeardAt      time.Time           // of the source
-	stopDirectWatch    context.CancelFunc  // ends this process's own watch; nil: it has none
-	// of that watch: what comes late of an earlier one goes nowhere
+	// state is the newest state; nil before the first. It and the fields below belong to Run's
+	// goroutine.
+	state *distribution.State
+	// fleetListDelivered is set if the receiver has the fleet's list.
+	fleetListDelivered bool
+	// sourceHeardAt is when the source was last heard of.
+	sourceHeardAt time.Time
+	// stopDirectWatch ends this process's own watch; nil if there is none.
+	stopDirectWatch context.CancelFunc
+	// directUpdates are the updates of that watch. Late updates of an earlier one are dropped with
+	// its channel.
 	directUpdates <-chan registry.Update
 }
 
@@ -158,12 +171,12 @@
 	}
 }
 
-// Applied takes in what the replica has in force now.
+// Applied queues changes of the replica.
 func (l *listener) Applied(changes []distribution.Change, state *distribution.State) {
 	l.queue(func(l *listener) { l.applied(changes, state) })
 }
 
-// SourceHeard takes in how fresh that is.
+// SourceHeard queues the age of the replica's state.
 func (l *listener) SourceHeard(sourceAge time.Duration, current bool) {
 	at := time.Now().Add(-sourceAge)
 	l.queue(func(l *listener) { l.sourceHeard(at, current) })
@@ -176,8 +189,8 @@
 	}
 }
 
-// sourceHeard takes in when the source was last heard of. Once that is recent, the fleet's list
-// counts.
+// sourceHeard handles when the source was last heard of. If that is recent, the fleet's list is
+// used.
 func (l *listener) sourceHeard(at time.Time, current bool) {
 	if !current || time.Since(at) > l.source.options.SourceTimeout {
 		return
@@ -192,7 +205,7 @@
 	}
 }
 
-// notifyComplete tells the whole list.
+// notifyComplete delivers the complete list.
 func (l *listener) notifyComplete() {
 	n := registry.Update{Kind: registry.CompleteList}
 	if l.state != nil {
@@ -205,8 +218,8 @@
 	l.notify(n)
 }
 
-// notifyChanges tells what is other than before. Deletions come first: an address may have passed
-// from one id to another.
+// notifyChanges delivers changes. Deletions come first, because an address may have passed from one
+// id to another.
 func (l *listener) notifyChanges(changes []distribution.Change) {
 	n := registry.Update{Kind: registry.Delta}
 	for i := range changes {
@@ -217,7 +230,7 @@
 	}
 }
 
-// appendMember adds the member that a change is of; other kinds of records are none.
+// appendMember appends the member that a change is of. Records of other kinds are skipped.
 func (l *listener) appendMember(
 	to []registry.Member, change *distribution.Change,
 ) []registry.Member {
@@ -235,7 +248,7 @@
 	return append(to, member)
 }
 
-// startDirectWatch has this process watch the register by itself.
+// startDirectWatch starts this process's own watch of the registry.
 func (l *listener) startDirectWatch(ctx context.Context) {
 	if l.stopDirectWatch != nil {
 		return
@@ -244,7 +257,8 @@
 	if err != nil {
 		return
 	}
-	l.source.log().Warn("fleet: the list of servers is not heard: this gateway watches the register itself",
+	l.source.log().Warn(
+		"fleet: the list of servers is not heard: this gateway watches the register itself",
 		"silent_for", time.Since(l.sourceHeardAt).Round(time.Millisecond).String())
 	ctx, l.stopDirectWatch = context.WithCancel(ctx)
 	news := make(chan registry.Update)
--- a/internal/controlplane/distributor/status.go
+++ b/internal/controlplane/distributor/status.go
@@ -6,7 +6,7 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// Position is a position as operators see it.
+// Position is a distribution.Position as operators see it.
 type Position struct {
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
@@ -17,13 +17,14 @@
 	return Position{p.Epoch, p.Revision, p.Digest.String()}
 }
 
-// ReplicaStatus is what a Client tells of its replica.
+// ReplicaStatus is the status of a Client's replica.
 type ReplicaStatus struct {
 	Position Position `json:"position"`
 	Records  int      `json:"records"`
-	// that is watched, or tried; "": none can be now
-	Server        string                     `json:"server"`
-	Live          bool                       `json:"live"` // it has all that this server told of
+	// Server is the server that is watched or being connected to; empty if there is none.
+	Server string `json:"server"`
+	// Live is set if the replica has everything that its server has announced.
+	Live          bool                       `json:"live"`
 	SourceAge     time.Duration              `json:"source_age"`
 	ReceivedBytes uint64                     `json:"received_bytes"`
 	Counts        distribution.ReplicaCounts `json:"counts"`
@@ -44,18 +45,18 @@
 	c.status.Store(status)
 }
 
-// ServerStatus is what a Server tells of itself.
+// ServerStatus is the status of a Server.
 type ServerStatus struct {
 	Position Position `json:"position"`
 	Replicas int      `json:"replicas"`
-	// the earliest revision of a replica that is live
+	// Acknowledged is the earliest revision that a live replica has acknowledged.
 	Acknowledged uint64 `json:"acknowledged"`
-	// revisions from there to the server's
+	// Lag is the number of revisions from there to the server's.
 	Lag    uint64                       `json:"lag"`
 	Counts distribution.PublisherCounts `json:"counts"`
 }
 
-// Status is what the server is now.
+// Status returns the current status.
 func (s *Server) Status() ServerStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -15,23 +15,29 @@
 )
 
 const (
-	supportTimeout       = 250 * time.Millisecond // for one voter to answer
+	// supportTimeout bounds the time for one voter to answer.
+	supportTimeout       = 250 * time.Millisecond
 	supportRetryInterval = time.Second
 )
 
-// voterSupport tells whether the voters know of the distribution. A voter of an older program takes
-// no part any more once it meets an entry of it in the log: two of three would leave no majority.
+// voterSupport finds out whether the voters support the distribution. A voter of an older program
+// stops when it meets an entry of the distribution in the log, and two of three such voters would
+// leave no majority.
 type voterSupport struct {
-	link        *controlrpc.Client
-	log         *slog.Logger
-	supported   bool      // no voter that answered was older, once
-	lastProbe   time.Time // last
-	warnedVoter string    // the voter that was named in the log
+	link *controlrpc.Client
+	log  *slog.Logger
+	// supported is set once a majority supports the distribution and no voter that answered is
+	// older.
+	supported bool
+	// lastProbe is when the voters were last probed.
+	lastProbe time.Time
+	// warnedVoter is the voter that was last named in the log.
+	warnedVoter string
 }
 
-// ready reports whether entries may be proposed. It asks the voters now and then until a majority
-// knows of the distribution, and none that answers doesn't. One that doesn't answer is not waited
-// for: it holds up nobody but itself.
+// ready reports whether entries may be proposed. It probes the voters at intervals until a majority
+// supports the distribution and none that answers is older. It does not wait for voters that do not
+// answer.
 func (s *voterSupport) ready(ctx context.Context) bool {
 	if s.supported || time.Since(s.lastProbe) < supportRetryInterval {
 		return s.supported
@@ -61,13 +67,13 @@
 	s.warnedVoter = older
 }
 
-// voterSupportStatus is what a voter answers when it is asked for the distribution.
+// voterSupportStatus is the result of a probe.
 type voterSupportStatus int
 
 const (
 	supportUnknown voterSupportStatus = iota
-	supportPresent                    // it serves it
-	supportMissing                    // it answers, and has no such service
+	supportPresent                    // the voter serves the distribution
+	supportMissing                    // the voter answers and has no such service
 )
 
 // probeVoter opens a stream of the distribution and ends it at once.
@@ -80,9 +86,10 @@
 	}
 	stream, err := distributionpb.NewDistributionClient(connection).Watch(ctx)
 	if err == nil {
-		if err = stream.CloseSend(); err == nil {
-			_, err = stream.Recv()
-		}
+		err = stream.CloseSend()
+	}
+	if err == nil {
+		_, err = stream.Recv()
 	}
 	switch {
 	case err == nil, errors.Is(err, io.EOF):
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -6,19 +6,20 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// maxQueuedUpdates is how many updates of a machine wait for the server. Past it they are told as
-// one: that the state was replaced.
+// maxQueuedUpdates is how many updates of a machine may wait for the server. Any more are merged
+// into one that replaces the state.
 const maxQueuedUpdates = 1024
 
-// updateQueue takes updates from the voter's goroutine, which must not wait, to the server's.
+// updateQueue passes updates from the voter's goroutine, which must not block, to the server's.
 type updateQueue struct {
-	ready chan struct{} // there is something to take
+	// ready signals that there is something to take.
+	ready chan struct{}
 
 	mu     sync.Mutex
 	queued []distribution.Update
 }
 
-// put adds an update; it never waits.
+// put adds an update and never blocks.
 func (q *updateQueue) put(u distribution.Update) {
 	q.mu.Lock()
 	if len(q.queued) == maxQueuedUpdates {
@@ -33,7 +34,7 @@
 	}
 }
 
-// take returns all that waits.
+// take returns all queued updates.
 func (q *updateQueue) take() []distribution.Update {
 	q.mu.Lock()
 	defer q.mu.Unlock()
