--- a/internal/dataplane/membership/membership.go
+++ b/internal/dataplane/membership/membership.go
@@ -1,20 +1,3 @@
-// Package membership decides which servers there are, from what a register says
-// late and in contradiction: which may be sent work, which drain, which are gone,
-// and when each was started. It does no I/O; the times at which something was heard
-// come from outside.
-//
-// Promises, for lists handed to Heard with times that never go back:
-//
-//   - A server is Ready only if the newest list that counts says so. A list with an
-//     older index undoes nothing, least of all a drain; only several in a row show that
-//     the register has begun to count anew.
-//   - At most one server is Ready at an address, and at most one of a name.
-//   - A server that was gone and is back counts as started when it was heard again, unless
-//     the register shows that it is the same process.
-//   - An empty list after one of several servers is an outage of the register, not the
-//     death of all: the servers stay for a stated time.
-//
-// A Table is for one goroutine at a time.
 package membership
 
 import (
@@ -23,13 +6,13 @@
 	"slices"
 )
 
-// Time is a moment or a length of time in microseconds.
+// Time is a moment or a duration in microseconds.
 type Time = int64
 
 // Health is the worst of an instance's checks.
 type Health uint8
 
-// The states of health. Maintenance is an operator's word, not a fault.
+// The states of health, from the best. Maintenance is set by an operator and no fault.
 const (
 	Passing Health = iota
 	Warning
@@ -40,48 +23,48 @@
 // Phase is what a gateway is to do with a server.
 type Phase uint8
 
-// The phases.
+// The phases. A Draining server finishes its work and gets no new work.
 const (
 	Ready Phase = iota
 	Draining
 	Gone
 )
 
-// Instance is an entry of a register's list.
+// Instance is an entry of a registry's list.
 type Instance struct {
-	Node, ID          string // together they name it
-	Address           string
+	Node, ID          string // name it together
+	Address           string // HOST:PORT
 	Health            Health
 	Draining          bool   // by tag or metadata
 	Started           Time   // as its metadata says; 0: it does not
-	Created, Modified uint64 // the register's indexes of its registration
+	Created, Modified uint64 // the registry's indexes of its registration; 0: not known
 	Zone              string
 	Cell              int
 	Size              float64
 }
 
-// Name tells instances apart: ids are unique on their node only.
+// Name returns what tells instances apart: ids are unique on their node only.
 func (i *Instance) Name() string { return i.Node + "/" + i.ID }
 
-// View is the part of a register that a list comes from.
+// View is the part of a registry that a list comes from.
 type View uint8
 
-// The views. Health has instances with their checks; Catalogue has none of those,
-// but may be ahead or behind.
+// The views. The health view has instances with their checks; the catalog has no checks, and may
+// be ahead of the health view or behind it.
 const (
 	HealthView View = iota
 	CatalogView
 	views
 )
 
-// List is what a register said of a service.
+// List is a registry's list of a service's instances, as of an index.
 type List struct {
 	View      View
 	Index     uint64
 	Instances []Instance
 }
 
-// Server is what a gateway is told.
+// Server is what a gateway is told of an instance.
 type Server struct {
 	Name, Address string
 	Phase         Phase
@@ -91,43 +74,51 @@
 	Size          float64
 }
 
-// Settings say how lists are judged.
+// Settings are the rules by which lists are judged.
 type Settings struct {
 	WarningServes bool // an instance with a warning is sent work
 	EmptyListHold Time // how long the servers stay when a list is empty all at once
-	ResetAfter    int  // lists in a row with an older index that show a register counting anew
+	ResetAfter    int  // lists in a row with an older index that show a registry counting anew
 	MaxClockSkew  Time // by how much a server's clock may be behind this one's
 }
 
+// ErrSettings is returned for settings out of range.
+var ErrSettings = errors.New(
+	"membership: hold and skew of 0 and more, and a reset after 1 and more wanted")
+
 // record is what is known of one name.
 type record struct {
 	Server
 	created        uint64
 	announcedStart Time // its start as its metadata said
-	critical       bool // its last list called it critical
+	critical       bool // by its last list
 }
 
-// Table is what is known of a service.
+// Table is what is known of a service. It is not safe for concurrent use.
 type Table struct {
 	settings    Settings
 	now         Time
 	records     map[string]*record
 	index       [views]uint64
 	olderInRow  [views]int      // lists in a row with an older index
-	missing     map[string]bool // names that the catalogue, as of its index, does not have
-	initialized bool
-	emptySince  Time // since when lists are empty; 0: they are not
+	missing     map[string]bool // names that the catalog, as of its index, does not have
+	initialized bool            // a list of the health view was applied
+	emptySince  Time            // since when lists are empty; 0: they are not
 }
 
-// New makes a table that knows nothing.
-func New(set Settings) (*Table, error) {
-	if set.EmptyListHold < 0 || set.ResetAfter < 1 || set.MaxClockSkew < 0 {
-		return nil, errors.New("membership: hold and skew of 0 and more, and a reset after 1 and more wanted")
+// New makes a table that knows no servers. It returns ErrSettings for settings out of range.
+func New(settings Settings) (*Table, error) {
+	if settings.EmptyListHold < 0 || settings.ResetAfter < 1 || settings.MaxClockSkew < 0 {
+		return nil, ErrSettings
 	}
-	return &Table{settings: set, records: map[string]*record{}, missing: map[string]bool{}}, nil
+	return &Table{
+		settings: settings,
+		records:  map[string]*record{},
+		missing:  map[string]bool{},
+	}, nil
 }
 
-// Servers gives all servers but those that are gone, by name.
+// Servers returns all servers but those that are gone, by name.
 func (t *Table) Servers() []Server {
 	var list []Server
 	for _, r := range t.records {
@@ -135,14 +126,18 @@
 			list = append(list, r.Server)
 		}
 	}
-	slices.SortFunc(list, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
+	sortByName(list)
 	return list
 }
 
-// Holding tells whether the servers stay though the register's list is empty, and since when.
+func sortByName(list []Server) {
+	slices.SortFunc(list, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
+}
+
+// Holding reports whether the servers stay although the registry's list is empty, and since when.
 func (t *Table) Holding() (since Time, holds bool) { return t.emptySince, t.emptySince != 0 }
 
-// Apply takes in a list and gives the servers that changed, by name. The list is not kept.
+// Apply applies a list and returns the servers that changed, by name. The list is not retained.
 func (t *Table) Apply(now Time, l List) []Server {
 	t.now = max(t.now, now)
 	if l.View >= views || !t.acceptIndex(l.View, l.Index) {
@@ -160,7 +155,7 @@
 	return t.changes(before)
 }
 
-// Tick takes in that time has passed without a list.
+// Tick records that time has passed without a list, and returns the servers that changed by it.
 func (t *Table) Tick(now Time) []Server {
 	t.now = max(t.now, now)
 	if t.emptySince == 0 || t.now-t.emptySince < t.settings.EmptyListHold {
@@ -172,22 +167,24 @@
 	return t.changes(before)
 }
 
-// acceptIndex tells whether a list counts: it is not older than one that did, or the
-// register has begun to count anew.
+// acceptIndex reports whether a list counts: it is not older than an accepted one, or the registry
+// has begun to count anew.
 func (t *Table) acceptIndex(v View, index uint64) bool {
 	if index < t.index[v] {
-		if t.olderInRow[v]++; t.olderInRow[v] < t.settings.ResetAfter {
+		t.olderInRow[v]++
+		if t.olderInRow[v] < t.settings.ResetAfter {
 			return false
 		}
-		t.index = [views]uint64{} // no index of before means anything now
+		t.index = [views]uint64{} // earlier indexes mean nothing now
 		clear(t.missing)
 	}
-	t.olderInRow[v], t.index[v] = 0, index
+	t.olderInRow[v] = 0
+	t.index[v] = index
 	return true
 }
 
-// holdEmpty tells whether an empty list is not to be believed yet. One server that goes is
-// that server's end; several at once are the register's.
+// holdEmpty reports whether an empty list is not to be believed yet. If one server goes, that is
+// the server's end; if several go at once, the registry has failed.
 func (t *Table) holdEmpty() bool {
 	if t.emptySince == 0 {
 		present := 0
@@ -204,40 +201,43 @@
 	return t.now-t.emptySince < t.settings.EmptyListHold
 }
 
-// applyCatalog takes in which names the catalogue has. It can only take away: without
-// health nobody is sent work.
+// catalogDecides reports whether the catalog is at least as new as the health view.
+func (t *Table) catalogDecides() bool { return t.index[CatalogView] >= t.index[HealthView] }
+
+// applyCatalog records which names the catalog has. It can only remove servers: without a health
+// check none is sent work.
 func (t *Table) applyCatalog(list []Instance) {
-	has := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for i := range list {
-		has[list[i].Name()] = true
+		listed[list[i].Name()] = true
 	}
 	clear(t.missing)
 	if len(list) == 0 {
-		return // what the health view says of that decides, with its hold
+		return // the health view decides, with its hold
 	}
 	for name, r := range t.records {
-		// The newer of the two views knows better.
-		if !has[name] && t.index[CatalogView] >= t.index[HealthView] {
+		if !listed[name] && t.catalogDecides() {
 			t.missing[name] = true
 			r.Phase = Gone
 		}
 	}
 }
 
-// applyHealth takes in a list of instances with their checks.
+// applyHealth applies a list of instances with their checks.
 func (t *Table) applyHealth(list []Instance) {
 	byName := make(map[string]*Instance, len(list))
 	for i := range list {
-		// One name at two addresses: the registration changed last counts.
-		in, other := &list[i], byName[list[i].Name()]
+		// Of one name at two addresses the registration changed last counts.
+		in := &list[i]
+		other := byName[in.Name()]
 		if other == nil || moreRecent(in, other) {
 			byName[in.Name()] = in
 		}
 	}
-	newest := map[string]*Instance{} // at an address
+	newestAt := map[string]*Instance{} // by address
 	for _, in := range byName {
-		if other := newest[in.Address]; other == nil || moreRecent(in, other) {
-			newest[in.Address] = in
+		if other := newestAt[in.Address]; other == nil || moreRecent(in, other) {
+			newestAt[in.Address] = in
 		}
 	}
 	for name, r := range t.records {
@@ -246,22 +246,31 @@
 		}
 	}
 	for name, in := range byName {
-		phase := Ready
-		switch {
-		case t.missing[name] && t.index[CatalogView] >= t.index[HealthView]:
-			phase = Gone
-		case in.Draining, in.Health >= Maintenance, in.Health == Warning && !t.settings.WarningServes, newest[in.Address] != in:
-			phase = Draining
-		}
-		t.updateRecord(name, in, phase)
+		t.updateRecord(name, in, t.phaseOf(name, in, newestAt[in.Address]))
 	}
 	t.initialized = true
 }
 
-// moreRecent tells which of two registrations counts.
+// phaseOf returns the phase of a listed instance, given the newest one at its address.
+func (t *Table) phaseOf(name string, in, newest *Instance) Phase {
+	if t.missing[name] && t.catalogDecides() {
+		return Gone
+	}
+	unhealthy := in.Health >= Maintenance || in.Health == Warning && !t.settings.WarningServes
+	if in.Draining || unhealthy || newest != in {
+		return Draining
+	}
+	return Ready
+}
+
+// moreRecent reports which of two registrations counts.
 func moreRecent(a, b *Instance) bool {
-	return cmp.Or(cmp.Compare(a.Modified, b.Modified), cmp.Compare(a.Created, b.Created), cmp.Compare(a.Name(), b.Name()),
-		cmp.Compare(a.Address, b.Address)) > 0
+	return cmp.Or(
+		cmp.Compare(a.Modified, b.Modified),
+		cmp.Compare(a.Created, b.Created),
+		cmp.Compare(a.Name(), b.Name()),
+		cmp.Compare(a.Address, b.Address),
+	) > 0
 }
 
 // updateRecord brings a record to what an instance says.
@@ -272,31 +281,45 @@
 		r = &record{}
 		t.records[name] = r
 	}
-	switch {
-	case isNew && !t.initialized && in.Started == 0:
-		// It was there before this gateway listened: nothing says that it is cold.
-	case isNew, r.Address != in.Address, t.restarted(r, in):
+	// An instance of the first list without a start was there before this gateway listened, and
+	// counts as started long ago.
+	startUnknown := isNew && !t.initialized && in.Started == 0
+	if !startUnknown && (isNew || r.Address != in.Address || t.restarted(r, in)) {
 		r.Started = t.startTime(in)
 	}
-	r.Server = Server{Name: name, Address: in.Address, Phase: phase, Started: r.Started, Zone: in.Zone, Cell: in.Cell, Size: in.Size}
-	r.created, r.announcedStart, r.critical = in.Created, in.Started, in.Health == Critical
+	r.Server = Server{
+		Name:    name,
+		Address: in.Address,
+		Phase:   phase,
+		Started: r.Started,
+		Zone:    in.Zone,
+		Cell:    in.Cell,
+		Size:    in.Size,
+	}
+	r.created = in.Created
+	r.announcedStart = in.Started
+	r.critical = in.Health == Critical
 }
 
-// restarted tells whether a known name stands for another process now.
+// restarted reports whether a known name stands for another process now.
 func (t *Table) restarted(r *record, in *Instance) bool {
-	switch {
-	case in.Started != r.announcedStart:
+	if in.Started != r.announcedStart {
 		return in.Started != 0
-	case in.Started != 0:
-		return false // it shows that it is the same
-	case r.Phase == Gone || in.Created != r.created:
-		return in.Created != r.created || in.Created == 0
 	}
-	return r.critical && in.Health != Critical // a process that crashed and came back looks like this
+	if in.Started != 0 {
+		return false // its metadata shows that it is the same
+	}
+	if in.Created != r.created {
+		return true
+	}
+	if r.Phase == Gone {
+		return in.Created == 0 // without an index it can't be told from another
+	}
+	return r.critical && in.Health != Critical // as after a crash
 }
 
-// startTime is when a process was started, with care: its clock may be behind, and the
-// future is none.
+// startTime returns when an instance was started. Its clock may be behind, and a start in the
+// future is not believed.
 func (t *Table) startTime(in *Instance) Time {
 	if in.Started == 0 {
 		return t.now
@@ -304,7 +327,6 @@
 	return min(t.now, in.Started+t.settings.MaxClockSkew)
 }
 
-// serversByName is the servers as they are, by name.
 func (t *Table) serversByName() map[string]Server {
 	m := make(map[string]Server, len(t.records))
 	for name, r := range t.records {
@@ -313,14 +335,15 @@
 	return m
 }
 
-// changes gives the servers that are not as they were.
+// changes returns the servers that differ from those before.
 func (t *Table) changes(before map[string]Server) []Server {
 	var list []Server
 	for name, r := range t.records {
-		if was, there := before[name]; !there && r.Phase != Gone || there && was != r.Server {
+		old, known := before[name]
+		if known && old != r.Server || !known && r.Phase != Gone {
 			list = append(list, r.Server)
 		}
 	}
-	slices.SortFunc(list, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
+	sortByName(list)
 	return list
 }
