--- a/internal/dataplane/registry/consul/answer.go
+++ b/internal/dataplane/registry/consul/answer.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -17,21 +18,36 @@
 // maxAnswerBytes bounds a list: 5,000 instances take about 5 MB.
 const maxAnswerBytes = 64 << 20
 
-// answerHeader is what an answer's header tells.
+// Errors of lists.
+var (
+	errIndex        = errors.New("index")
+	errEntry        = errors.New("no node or no service")
+	errTrailingData = errors.New("list: something stands behind it")
+)
+
+// answerHeader is what the header of an answer says.
 type answerHeader struct {
 	index       uint64
-	leader      bool
-	lastContact time.Duration // how old a follower's word may be
+	leader      bool          // the agent knows a leader
+	lastContact time.Duration // of a follower with the leader: how old its answer may be
 }
 
+// maxLastContact bounds lastContact, which then can't overflow.
+const maxLastContact = time.Hour
+
 func parseHeader(h http.Header) (answerHeader, error) {
-	index, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
+	text := h.Get("X-Consul-Index")
+	index, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return answerHeader{}, fmt.Errorf("index %.32q", h.Get("X-Consul-Index"))
-	}
-	contact, _ := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64)
-	return answerHeader{index: index, leader: h.Get("X-Consul-KnownLeader") != "false",
-		lastContact: time.Duration(max(0, min(contact, int64(time.Hour/time.Millisecond)))) * time.Millisecond}, nil
+		return answerHeader{}, fmt.Errorf("%w %.32q", errIndex, text)
+	}
+	contact, _ := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64) // 0 if it is none
+	contact = max(0, min(contact, maxLastContact.Milliseconds()))
+	return answerHeader{
+		index:       index,
+		leader:      h.Get("X-Consul-KnownLeader") != "false",
+		lastContact: time.Duration(contact) * time.Millisecond,
+	}, nil
 }
 
 // healthEntry is an entry of /v1/health/service.
@@ -57,8 +73,8 @@
 	Node, Address, ServiceID string
 }
 
-// decodeHealth reads a list with checks. One that is cut is an error: it must not
-// pass for a short one.
+// decodeHealth reads a list with checks. A list that is cut off is an error: it must not pass for a
+// short one.
 func decodeHealth(in io.Reader) ([]membership.Instance, error) {
 	var entries []healthEntry
 	if err := decodeList(in, &entries); err != nil {
@@ -68,13 +84,14 @@
 	for i := range entries {
 		e := &entries[i]
 		if e.Node.Node == "" || e.Service.ID == "" {
-			return nil, fmt.Errorf("entry %d: no node or no service", i)
+			return nil, fmt.Errorf("entry %d: %w", i, errEntry)
 		}
 		list = append(list, e.instance())
 	}
 	return list, nil
 }
 
+// decodeCatalog reads a list without checks; see decodeHealth.
 func decodeCatalog(in io.Reader) ([]membership.Instance, error) {
 	var entries []catalogEntry
 	if err := decodeList(in, &entries); err != nil {
@@ -83,26 +100,27 @@
 	list := make([]membership.Instance, 0, len(entries))
 	for i, e := range entries {
 		if e.Node == "" || e.ServiceID == "" {
-			return nil, fmt.Errorf("entry %d: no node or no service", i)
+			return nil, fmt.Errorf("entry %d: %w", i, errEntry)
 		}
 		list = append(list, membership.Instance{Node: e.Node, ID: e.ServiceID})
 	}
 	return list, nil
 }
 
-// decodeList reads one JSON list and nothing behind it.
-func decodeList(in io.Reader, into any) error {
+// decodeList reads one JSON list, which nothing may follow.
+func decodeList(in io.Reader, list any) error {
 	d := json.NewDecoder(io.LimitReader(in, maxAnswerBytes))
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(list); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("list: something stands behind it")
+		return errTrailingData
 	}
 	return nil
 }
 
-// instance is what an entry says of an instance.
+// instance returns what an entry says of an instance. A service without an address is at its
+// node's.
 func (e *healthEntry) instance() membership.Instance {
 	s := &e.Service
 	host := s.Address
@@ -110,22 +128,27 @@
 		host = e.Node.Address
 	}
 	in := membership.Instance{
-		Node: e.Node.Node, ID: s.ID, Address: net.JoinHostPort(host, strconv.Itoa(s.Port)),
-		Created: s.CreateIndex, Modified: s.ModifyIndex, Size: 1, Zone: s.Meta["locality"],
+		Node:     e.Node.Node,
+		ID:       s.ID,
+		Address:  net.JoinHostPort(host, strconv.Itoa(s.Port)),
 		Draining: slices.Contains(s.Tags, "draining") || s.Meta["draining"] == "true",
+		Started:  parseStart(s.Meta["started"]),
+		Created:  s.CreateIndex,
+		Modified: s.ModifyIndex,
+		Zone:     s.Meta["locality"],
+		Size:     1,
 	}
 	if s.Weights.Passing > 0 {
 		in.Size = s.Weights.Passing
 	}
 	in.Cell, _ = strconv.Atoi(s.Meta["cell"])
-	in.Started = parseStart(s.Meta["started"])
 	for _, c := range e.Checks {
 		in.Health = max(in.Health, checkHealth(c.CheckID, c.Status))
 	}
 	return in
 }
 
-// checkHealth is what one check says. A status that is not known is none to trust.
+// checkHealth returns what one check says. An unknown status counts as critical.
 func checkHealth(id, status string) membership.Health {
 	switch {
 	case status == "passing":
@@ -138,15 +161,17 @@
 	return membership.Critical
 }
 
-// parseStart reads a start from metadata: Unix seconds or milliseconds, or RFC 3339. 0
-// where it says nothing that can be read.
+// year3000 is that year in Unix seconds: a start that would be later is in milliseconds.
+const year3000 = 32503680000
+
+// parseStart reads a start from metadata: Unix seconds or milliseconds, or RFC 3339. It returns 0
+// for what can't be read.
 func parseStart(text string) membership.Time {
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil && n > 0 {
-		const year3000 = 32503680000
-		if n < year3000 {
+		switch {
+		case n < year3000:
 			return n * 1_000_000
-		}
-		if n/1000 < year3000 {
+		case n/1000 < year3000:
 			return n * 1000
 		}
 		return 0
--- a/internal/dataplane/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -218,7 +218,7 @@
 	defer filler.Close()
 	p := NewPlatform(socket.address, false, membership.NewPacer(300, 7).SetPushed(200_000), quiet())
 	begun := make(chan struct{}, 1024)
-	p.dialer.Control = func(string, string, syscall.RawConn) error {
+	p.client.dialer.Control = func(string, string, syscall.RawConn) error {
 		begun <- struct{}{}
 		return nil
 	}
--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -3,25 +3,27 @@
 import (
 	"cmp"
 	"context"
-	"maps"
 	"slices"
 	"strings"
 )
 
-// mergedSource follows two registers at once, for a migration from one to the other. What
-// the winner says of an address counts; the other one adds the servers at addresses
-// that the winner does not know.
+// mergedSource follows two registries at once, for a migration from one to the other. What the
+// primary says of an address counts; the secondary adds servers at addresses that the primary does
+// not have.
 type mergedSource struct {
 	primary, secondary Source
 }
 
-// Merge makes one source of two. A Move is for the winner, unless the address
-// begins with "other=", which is for the other one.
-func Merge(winner, other Source) Source {
-	return &mergedSource{primary: winner, secondary: other}
+// secondaryPrefix begins the address of a Move that is for the secondary source.
+const secondaryPrefix = "other="
+
+// Merge makes one source of two. A Move is for the primary, unless the address begins with
+// "other=", which is for the secondary.
+func Merge(primary, secondary Source) Source {
+	return &mergedSource{primary: primary, secondary: secondary}
 }
 
-// Follow has both followed.
+// Follow has both registries followed.
 func (m *mergedSource) Follow() {
 	m.primary.Follow()
 	m.secondary.Follow()
@@ -29,104 +31,128 @@
 
 // Move moves one of the two.
 func (m *mergedSource) Move(address string) {
-	if rest, ok := strings.CutPrefix(address, "other="); ok {
+	if rest, ok := strings.CutPrefix(address, secondaryPrefix); ok {
 		m.secondary.Move(rest)
 		return
 	}
 	m.primary.Move(address)
 }
 
-// Run brings the news of both, as one.
-func (m *mergedSource) Run(ctx context.Context, tell func(Update)) {
-	type from struct {
-		source int
-		news   Update
-	}
-	news := make(chan from)
+// sourceUpdate is an update of one of the two sources.
+type sourceUpdate struct {
+	source int // 0: the primary
+	update Update
+}
+
+// Run announces the updates of both as those of one list.
+func (m *mergedSource) Run(ctx context.Context, notify func(Update)) {
+	updates := make(chan sourceUpdate)
 	ended := make(chan struct{}, 2)
 	for i, s := range []Source{m.primary, m.secondary} {
 		go func() {
 			defer func() { ended <- struct{}{} }()
-			s.Run(ctx, func(n Update) {
+			s.Run(ctx, func(u Update) {
 				select {
-				case news <- from{i, n}:
+				case updates <- sourceUpdate{i, u}:
 				case <-ctx.Done():
 				}
 			})
 		}()
 	}
-	defer func() { <-ended; <-ended }()
-	var has [2]map[string]Member // by id; nil: nothing was heard yet
-	told := map[string]Member{}
+	defer func() {
+		<-ended
+		<-ended
+	}()
+	var lists mergedLists
 	for {
-		var n from
 		select {
 		case <-ctx.Done():
 			return
-		case n = <-news:
-		}
-		if n.news.Kind == Unavailable {
-			continue // the other one may be heard, and what was told holds
-		}
-		if n.news.Kind == CompleteList || has[n.source] == nil {
-			has[n.source] = map[string]Member{}
-		}
-		for _, e := range n.news.Members {
-			if has[n.source][e.ID] = e; e.Phase == Gone {
-				delete(has[n.source], e.ID)
+		case u := <-updates:
+			if merged, ok := lists.apply(u); ok {
+				notify(merged)
 			}
 		}
-		now := union(has[0], has[1])
-		if changed := difference(told, now); len(changed) > 0 || len(told) == 0 {
-			kind := Delta
-			if len(told) == 0 {
-				kind = CompleteList
-			}
-			tell(Update{kind, changed})
+	}
+}
+
+// mergedLists are the lists of both sources, and what was announced of them.
+type mergedLists struct {
+	lists     [2]map[string]Member // by id; nil: none has come yet
+	announced map[string]Member
+}
+
+// apply applies an update of one source. It returns the update of the merged list, and whether
+// there is one. While one source is unavailable, its last list holds.
+func (m *mergedLists) apply(u sourceUpdate) (Update, bool) {
+	if u.update.Kind == Unavailable {
+		return Update{}, false
+	}
+	list := &m.lists[u.source]
+	if u.update.Kind == CompleteList || *list == nil {
+		*list = map[string]Member{}
+	}
+	for _, member := range u.update.Members {
+		if member.Phase == Gone {
+			delete(*list, member.ID)
+		} else {
+			(*list)[member.ID] = member
 		}
-		told = now
 	}
+	merged := union(m.lists[0], m.lists[1])
+	changed := difference(m.announced, merged)
+	first := len(m.announced) == 0
+	m.announced = merged
+	switch {
+	case first:
+		return Update{CompleteList, changed}, true
+	case len(changed) > 0:
+		return Update{Delta, changed}, true
+	}
+	return Update{}, false
 }
 
-// union is all that the winner has, and what the other one has elsewhere.
-func union(winner, other map[string]Member) map[string]Member {
+// union returns all of the primary's members, and the secondary's at other addresses.
+func union(primary, secondary map[string]Member) map[string]Member {
 	all := map[string]Member{}
-	taken := map[string]bool{}
-	for id, e := range winner {
-		all[id], taken[e.HostPort] = e, true
+	taken := map[string]bool{} // by address
+	for id, member := range primary {
+		all[id] = member
+		taken[member.HostPort] = true
 	}
-	for id, e := range other {
-		if _, there := all[id]; !there && !taken[e.HostPort] {
-			all[id] = e
+	for id, member := range secondary {
+		if _, known := all[id]; !known && !taken[member.HostPort] {
+			all[id] = member
 		}
 	}
 	return all
 }
 
-// difference is what is to be told so that one list becomes another, by id. What is
-// gone comes first: an address may have passed from one id to another.
+// difference returns the changes that make one list of the other, by id. Members that are gone come
+// first, as an address may have passed from one id to another.
 func difference(before, after map[string]Member) []Member {
 	var list []Member
-	for id, e := range before {
-		if _, there := after[id]; !there {
-			e.Phase = Gone
-			list = append(list, e)
+	for id, member := range before {
+		if _, listed := after[id]; !listed {
+			member.Phase = Gone
+			list = append(list, member)
 		}
 	}
-	for id, e := range maps.All(after) {
-		if was, there := before[id]; !there || was != e {
-			list = append(list, e)
+	for id, member := range after {
+		if old, known := before[id]; !known || old != member {
+			list = append(list, member)
 		}
 	}
 	slices.SortFunc(list, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(goneFirst(b), goneFirst(a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(goneFirst(a), goneFirst(b)), cmp.Compare(a.ID, b.ID))
 	})
 	return list
 }
 
+// goneFirst is the rank of a member in a list of changes.
 func goneFirst(m Member) int {
 	if m.Phase == Gone {
-		return 1
+		return 0
 	}
-	return 0
+	return 1
 }
--- a/internal/dataplane/registry/platform.go
+++ b/internal/dataplane/registry/platform.go
@@ -2,63 +2,43 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"net"
-	"net/http"
-	"net/http/httptrace"
-	"sync/atomic"
 	"time"
 
 	"mothcleat/internal/dataplane/membership"
 )
 
-const (
-	watchResponseSlack = time.Second           // for an answer after the wait is over
-	listTimeout        = 2 * time.Second       // for the whole list, which comes at once
-	dialTimeout        = 2 * time.Second       // for a connection: a dial outlives the call that it was made for
-	minWatchDuration   = 50 * time.Millisecond // for a watch that tells nothing
-	maxListBytes       = 8 << 20               // bytes
-	maxConcurrentCalls = 8                     // that are out at once
-)
-
-const maxHeaderBytes = 16 << 10 // bytes of an answer's header
-
-// Platform is the platform's discovery: HTTP watches at one address.
+// Platform follows the platform's discovery: HTTP watches at one address. Run and the methods that
+// it calls run on one goroutine; Follow and Move may be called from another.
 type Platform struct {
-	address         string
-	moved           chan string // addresses of new configurations: the last one only
-	client          *http.Client
-	dialer          net.Dialer
-	polled          bool          // discovery tells only who asks
+	address string
+	moved   chan string // addresses of new configurations: the last one only
+	client  *client
+	pacer   *membership.Pacer
+	log     *slog.Logger
+
+	polled          bool          // discovery tells only callers
 	followed        chan struct{} // closed when the list is to be followed
 	followRequested bool
-	pacer           *membership.Pacer
-	log             *slog.Logger
 }
 
-// NewPlatform makes a source at an address. Asks: discovery tells only who asks,
-// so it is followed only after Follow. The pace is the source's own.
-func NewPlatform(address string, asks bool, pace *membership.Pacer, log *slog.Logger) *Platform {
+// NewPlatform makes a source at an address. polled: discovery tells only callers, so it is called
+// only after Follow. The pacer is the source's from now on.
+func NewPlatform(
+	address string, polled bool, pacer *membership.Pacer, log *slog.Logger,
+) *Platform {
 	d := &Platform{
-		address: address, moved: make(chan string, 1), log: log, pacer: pace,
-		dialer: net.Dialer{Timeout: dialTimeout},
-		polled: asks, followed: make(chan struct{}),
-	}
-	d.client = &http.Client{
-		// No redirect is followed: only the addresses of the configuration are called.
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		Transport: &http.Transport{
-			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-				return d.dialer.DialContext(ctx, network, address)
-			},
-			MaxConnsPerHost: maxConcurrentCalls, MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
-		},
-	}
-	if !asks {
+		address:  address,
+		moved:    make(chan string, 1),
+		client:   newClient(),
+		pacer:    pacer,
+		log:      log,
+		polled:   polled,
+		followed: make(chan struct{}),
+	}
+	if !polled {
 		d.Follow()
 	}
 	return d
@@ -75,15 +55,15 @@
 // Move has the list followed at another address.
 func (d *Platform) Move(address string) {
 	select {
-	case <-d.moved: // a newer configuration came before this one was acted on
+	case <-d.moved: // a newer configuration came before this one was applied
 	default:
 	}
 	d.moved <- address
 }
 
-// Run follows the list, at another address as soon as there is one: a watch that
-// is under way at the old one ends, and its news come before any of the new one.
-func (d *Platform) Run(ctx context.Context, tell func(Update)) {
+// Run follows the list, and moves to another address as soon as there is one: the watch at the old
+// one ends, and its updates come before any of the new one.
+func (d *Platform) Run(ctx context.Context, notify func(Update)) {
 	select {
 	case <-d.followed:
 	case <-ctx.Done():
@@ -94,7 +74,7 @@
 		ended := make(chan struct{})
 		go func(url string) {
 			defer close(ended)
-			d.watch(watching, tell, url)
+			d.watch(watching, notify, url)
 		}("http://" + address + "/catalog/members")
 		select {
 		case address = <-d.moved:
@@ -106,21 +86,19 @@
 	}
 }
 
-// errRejected tells that discovery has no room for a call: what was heard of it still
-// counts, and the watch can go on from there, which costs it less than a whole list.
-var errRejected = errors.New("turned away")
+func duration(t membership.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
-func micros(t membership.Time) time.Duration { return time.Duration(t) * time.Microsecond }
-
-// watch watches for changes; at first and after a break it takes the whole list.
-func (d *Platform) watch(ctx context.Context, tell func(Update), url string) {
-	version := ""
-	pause := func(wait time.Duration) {
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
-		}
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
 	}
+}
+
+// watch announces changes until the context ends; at first and after a failure, the complete list.
+func (d *Platform) watch(ctx context.Context, notify func(Update), url string) {
+	version := "" // of the list that was announced; "": none
 	for ctx.Err() == nil {
 		called := time.Now()
 		list, err := d.fetch(ctx, url, version)
@@ -128,145 +106,104 @@
 			return
 		}
 		if err != nil {
-			if !errors.Is(err, errRejected) {
+			// After a rejection the watch can go on from the same version, which costs
+			// discovery less than a complete list.
+			rejected := errors.Is(err, errRejected)
+			if !rejected {
 				version = ""
 			}
-			again := micros(d.pacer.Failed(errors.Is(err, errRejected), time.Since(called).Microseconds()))
-			d.log.Warn("discovery", "error", err, "again_ms", again.Milliseconds())
+			retryDelay := duration(d.pacer.Failed(rejected, time.Since(called).Microseconds()))
+			d.log.Warn("discovery", "error", err, "again_ms", retryDelay.Milliseconds())
 			if d.polled {
-				tell(Update{Kind: Unavailable})
+				notify(Update{Kind: Unavailable})
 			}
-			pause(again)
+			sleep(ctx, retryDelay)
 			continue
 		}
 		if version != "" && len(list.Members) == 0 && time.Since(called) < minWatchDuration {
-			pause(minWatchDuration) // a watch that does not wait must not become a busy loop
+			sleep(ctx, minWatchDuration) // a watch that does not wait must not become a busy loop
 		}
 		version = fmt.Sprint(list.Revision)
 		kind := Delta
 		if list.Complete {
 			kind = CompleteList
 		}
-		tell(Update{kind, list.Members})
-		if gap := d.pacer.Succeeded(); gap > 0 {
-			pause(micros(gap))
+		notify(Update{kind, list.Members})
+		if interval := d.pacer.Succeeded(); interval > 0 {
+			sleep(ctx, duration(interval))
 		}
 	}
 }
 
-// The causes of calls that end.
-var (
-	errConnectionBroken = errors.New("the connection broke")
-	errAbandoned        = errors.New("given up")
-)
+// answer is how a call ended.
+type answer struct {
+	list List
+	err  error
+}
 
-// fetch makes one call, and as long as it is silent further ones for the whole list beside it: a discovery that was
-// down, or lost a call, may answer only calls that are made later, and at once. The first answer counts.
+// parallelCalls are the calls of one fetch. It belongs to one goroutine.
+type parallelCalls struct {
+	client      *client
+	url         string
+	answers     chan answer
+	outstanding []context.CancelCauseFunc // oldest first
+}
+
+// start makes a call on a goroutine of its own. The oldest call is abandoned where there would be
+// more than maxConcurrentCalls.
+func (p *parallelCalls) start(ctx context.Context, version string, wait time.Duration) {
+	callCtx, abandon := context.WithCancelCause(ctx)
+	p.outstanding = append(p.outstanding, abandon)
+	if len(p.outstanding) > maxConcurrentCalls {
+		p.outstanding[0](errAbandoned)
+		p.outstanding = p.outstanding[1:]
+	}
+	go func() {
+		defer abandon(nil)
+		list, err := p.client.request(callCtx, p.url, version, wait)
+		select {
+		case p.answers <- answer{list, err}:
+		case <-callCtx.Done():
+		}
+	}()
+}
+
+// fetch makes one call and, as long as it is silent, further ones for the complete list beside it:
+// discovery that was down, or lost a call, may answer only later calls, and these at once. The first
+// answer counts.
 func (d *Platform) fetch(ctx context.Context, url, version string) (List, error) {
-	type answer struct {
-		list List
-		err  error
-	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan answer)
-	var out []context.CancelCauseFunc // oldest first
-	call := func(version string, wait time.Duration) {
-		ctx, giveUp := context.WithCancelCause(ctx)
-		if out = append(out, giveUp); len(out) > maxConcurrentCalls {
-			out[0](errAbandoned)
-			out = out[1:]
-		}
-		go func() {
-			defer giveUp(nil)
-			list, err := d.request(ctx, url, version, wait)
-			select {
-			case answers <- answer{list, err}:
-			case <-ctx.Done():
-			}
-		}()
-	}
+	calls := parallelCalls{client: d.client, url: url, answers: make(chan answer)}
 	wait := time.Duration(0)
 	if version != "" {
-		wait = micros(d.pacer.WatchTimeout())
+		wait = duration(d.pacer.WatchTimeout())
 	}
-	call(version, wait)
-	patience := micros(d.pacer.SilenceTimeout())
-	again := time.NewTimer(wait + patience)
-	defer again.Stop()
-	late := again.C
-	if patience == 0 {
-		late = nil // silence is waited out
+	calls.start(ctx, version, wait)
+	silenceTimeout := duration(d.pacer.SilenceTimeout())
+	timer := time.NewTimer(wait + silenceTimeout)
+	defer timer.Stop()
+	silent := timer.C
+	if silenceTimeout == 0 {
+		silent = nil // silence is waited out
 	}
-	for asked := 0; ; {
+	for repeated := 0; ; {
 		select {
-		case a := <-answers:
-			if patience == 0 || !errors.Is(a.err, context.DeadlineExceeded) && !errors.Is(a.err, errAbandoned) {
+		case a := <-calls.answers:
+			givenUp := errors.Is(a.err, context.DeadlineExceeded) ||
+				errors.Is(a.err, errAbandoned)
+			if silenceTimeout == 0 || !givenUp {
 				return a.list, a.err
 			}
-		case <-late:
-			if asked++; asked == 1 {
-				d.log.Warn("discovery is silent: asking again beside", "version", version)
+		case <-silent:
+			repeated++
+			if repeated == 1 {
+				d.log.Warn("discovery is silent: calling again beside", "version", version)
 			}
-			call("", 0)
-			again.Reset(patience)
+			calls.start(ctx, "", 0)
+			timer.Reset(silenceTimeout)
 		case <-ctx.Done():
 			return List{}, ctx.Err()
 		}
 	}
 }
-
-// cancelOnResend has a call end where the transport would send it once more: it does so
-// by itself for a GET on a kept connection that broke. What answers then may be
-// another process, to which the version of the old one means nothing.
-func cancelOnResend(cancel func()) *httptrace.ClientTrace {
-	var sent atomic.Bool
-	return &httptrace.ClientTrace{
-		WroteRequest: func(info httptrace.WroteRequestInfo) { sent.Store(info.Err == nil) },
-		GotConn: func(httptrace.GotConnInfo) {
-			if sent.Load() {
-				cancel()
-			}
-		},
-	}
-}
-
-// request makes one call: a watch from a version on, which may wait, or one for the whole list.
-func (d *Platform) request(ctx context.Context, url, version string, wait time.Duration) (list List, err error) {
-	most := listTimeout
-	if version != "" {
-		url += fmt.Sprintf("?index=%s&wait=%d", version, wait.Milliseconds())
-		most = wait + watchResponseSlack
-	}
-	ctx, cancel := context.WithTimeout(ctx, most)
-	defer cancel()
-	ctx, broke := context.WithCancelCause(ctx)
-	defer broke(nil)
-	defer func() {
-		if err != nil && ctx.Err() != nil {
-			err = fmt.Errorf("discovery call: %w", context.Cause(ctx))
-		}
-	}()
-	ctx = httptrace.WithClientTrace(ctx, cancelOnResend(func() { broke(errConnectionBroken) }))
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return list, fmt.Errorf("discovery call: %w", err)
-	}
-	res, err := d.client.Do(req)
-	if err != nil {
-		return list, fmt.Errorf("discovery call: %w", err)
-	}
-	defer res.Body.Close()
-	if res.StatusCode == http.StatusServiceUnavailable {
-		return list, fmt.Errorf("discovery call: %w", errRejected)
-	}
-	if res.StatusCode != http.StatusOK {
-		return list, fmt.Errorf("discovery call: status %s", res.Status)
-	}
-	// A list that is cut or has no end must not pass for a short one.
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxListBytes)).Decode(&list); err != nil {
-		return list, fmt.Errorf("discovery list: %w", err)
-	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 64)) // so that the connection is kept
-	return list, nil
-}
