--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -18,73 +18,106 @@
 	"mothcleat/internal/storage/store"
 )
 
-// BenchmarkRecover is how long a lone voter takes from its folder to having applied all entries again, by
-// how many it holds behind its snapshot.
+// BenchmarkRecover measures how long a single voter takes to open its storage and apply all entries
+// again, by the number of entries behind its snapshot.
 func BenchmarkRecover(b *testing.B) {
 	for _, entries := range []int{0, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
 			dir := filepath.Join(b.TempDir(), "log")
-			if err := Bootstrap(dir, "f", "a", three[:1]); err != nil {
-				b.Fatal(err)
-			}
-			f, err := OpenStorage(dir, store.Options{})
-			if err != nil {
-				b.Fatal(err)
-			}
-			var w consensus.Ready
-			last := uint64(1)
-			add := func(e *controlpb.Entry) {
-				raw, err := proto.Marshal(e)
-				if err != nil {
-					b.Fatal(err)
-				}
-				last++
-				w.Entries = append(w.Entries, &raftpb.Entry{Index: new(last), Term: new(uint64(1)), Data: raw})
-			}
-			add(&controlpb.Entry{Member: &controlpb.Member{Id: "m", Incarnation: 1}})
-			for i := range entries {
-				add(&controlpb.Entry{Session: 2, Seq: uint64(i + 1), AckedSeq: uint64(i), Machine: checkpoint.MachineName,
-					Body: fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i%100, i)})
-			}
-			w.HardState, w.MustSync = &raftpb.HardState{Term: new(uint64(1)), Vote: new(f.Identity().Number), Commit: new(last)}, true
-			if err := f.Save(w); err != nil {
-				b.Fatal(err)
-			}
-			if err := f.Close(); err != nil {
-				b.Fatal(err)
-			}
+			last := storeEntries(b, dir, entries)
 			b.ResetTimer()
 			for range b.N {
-				f, err := OpenStorage(dir, store.Options{})
-				if err != nil {
-					b.Fatal(err)
-				}
-				saved, err := f.Load()
-				if err != nil {
-					b.Fatal(err)
-				}
-				d := lease.NewMachine(lease.DefaultConfig())
-				n, err := consensus.Open(monotonic.Now(), consensus.Config{Number: f.Identity().Number, Random: rand.New(rand.NewPCG(1, 1)), ElectionTicks: 10,
-					HeartbeatTicks: 2, Logger: raftLogger{slog.New(slog.DiscardHandler)},
-					StateMachines: map[string]consensus.StateMachine{lease.MachineName: d, checkpoint.MachineName: checkpoint.NewMachine(d)}}, saved)
-				if err != nil {
-					b.Fatal(err)
-				}
-				if err := n.Start(1); err != nil {
-					b.Fatal(err)
-				}
-				for n.AppliedIndex() < last {
-					if _, ok := n.Ready(monotonic.Now()); !ok {
-						b.Fatalf("stands at %d of %d", n.AppliedIndex(), last)
-					}
-					if _, err := n.Advance(monotonic.Now()); err != nil {
-						b.Fatal(err)
-					}
-				}
-				if err := f.Close(); err != nil {
-					b.Fatal(err)
-				}
+				recoverEntries(b, dir, last)
 			}
 		})
 	}
 }
+
+// storeEntries makes the storage of a voter whose log has some commands of one session, and returns
+// the index of the last entry.
+func storeEntries(b *testing.B, dir string, count int) (last uint64) {
+	b.Helper()
+	if err := Bootstrap(dir, "f", "a", threeVoters[:1]); err != nil {
+		b.Fatal(err)
+	}
+	s, err := OpenStorage(dir, store.Options{})
+	if err != nil {
+		b.Fatal(err)
+	}
+	ready := consensus.Ready{MustSync: true}
+	last = 1
+	add := func(e *controlpb.Entry) {
+		data, err := proto.Marshal(e)
+		if err != nil {
+			b.Fatal(err)
+		}
+		last++
+		ready.Entries = append(ready.Entries,
+			&raftpb.Entry{Index: new(last), Term: new(uint64(1)), Data: data})
+	}
+	add(&controlpb.Entry{Member: &controlpb.Member{Id: "m", Incarnation: 1}})
+	session := last
+	for i := range count {
+		add(&controlpb.Entry{
+			Session:  session,
+			Seq:      uint64(i + 1),
+			AckedSeq: uint64(i),
+			Machine:  checkpoint.MachineName,
+			Body:     fmt.Appendf(nil, `{"key":"%d","value":"%d"}`, i%100, i),
+		})
+	}
+	ready.HardState = &raftpb.HardState{
+		Term:   new(uint64(1)),
+		Vote:   new(s.Identity().Number),
+		Commit: new(last),
+	}
+	if err := s.Save(ready); err != nil {
+		b.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		b.Fatal(err)
+	}
+	return last
+}
+
+// recoverEntries opens a storage and applies its entries up to an index.
+func recoverEntries(b *testing.B, dir string, last uint64) {
+	b.Helper()
+	s, err := OpenStorage(dir, store.Options{})
+	if err != nil {
+		b.Fatal(err)
+	}
+	stored, err := s.Load()
+	if err != nil {
+		b.Fatal(err)
+	}
+	leases := lease.NewMachine(lease.DefaultConfig())
+	node, err := consensus.Open(monotonic.Now(), consensus.Config{
+		Number:         s.Identity().Number,
+		Random:         rand.New(rand.NewPCG(1, 1)),
+		ElectionTicks:  defaultElectionTicks,
+		HeartbeatTicks: heartbeatTicks,
+		Logger:         raftLogger{slog.New(slog.DiscardHandler)},
+		StateMachines: map[string]consensus.StateMachine{
+			lease.MachineName:      leases,
+			checkpoint.MachineName: checkpoint.NewMachine(leases),
+		},
+	}, stored)
+	if err != nil {
+		b.Fatal(err)
+	}
+	if err := node.Start(1); err != nil {
+		b.Fatal(err)
+	}
+	for node.AppliedIndex() < last {
+		if _, ok := node.Ready(monotonic.Now()); !ok {
+			b.Fatalf("it stays at %d of %d", node.AppliedIndex(), last)
+		}
+		if _, err := node.Advance(monotonic.Now()); err != nil {
+			b.Fatal(err)
+		}
+	}
+	if err := s.Close(); err != nil {
+		b.Fatal(err)
+	}
+}
--- a/internal/controlplane/replica/calls.go
+++ b/internal/controlplane/replica/calls.go
@@ -10,136 +10,129 @@
 	"mothcleat/internal/monotonic"
 )
 
-// post has the voter's goroutine call f. It returns false, without waiting, if the queue is full.
-func (v *Replica) post(f func()) bool {
+// replyFunc takes the answer to a request. It is the tag of the node's completions.
+type replyFunc = func(*controlpb.Answer)
+
+// post has the replica's goroutine call f. It returns false, without waiting, if the queue is full.
+func (r *Replica) post(f func()) bool {
 	select {
-	case v.calls <- f:
+	case r.calls <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-// call has the voter's goroutine answer a request. Where the context ends first, the answer says so.
-func (v *Replica) call(ctx context.Context, do func(end func(*controlpb.Answer))) *controlpb.Answer {
-	answer := make(chan *controlpb.Answer, 1)
-	end := func(a *controlpb.Answer) {
+// call has the replica's goroutine make a request, and waits for its answer. If the context ends
+// first, the answer says so.
+func (r *Replica) call(ctx context.Context, request func(reply replyFunc)) *controlpb.Answer {
+	answers := make(chan *controlpb.Answer, 1)
+	reply := func(answer *controlpb.Answer) {
 		select {
-		case answer <- a:
+		case answers <- answer:
 		default:
 		}
 	}
-	if !v.post(func() {
-		if v.node == nil || !v.begun {
-			end(&controlpb.Answer{Code: controlpb.Code_NOT_READY, Reason: "this voter takes no part now"})
+	posted := r.post(func() {
+		if r.node == nil || !r.started {
+			reply(notReady("this voter takes no part now"))
 			return
 		}
-		do(end)
-	}) {
-		return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Reason: "this voter has too much to do"}
+		request(reply)
+	})
+	if !posted {
+		return notReady("this voter has too many requests queued")
 	}
 	select {
-	case a := <-answer:
-		return a
+	case answer := <-answers:
+		return answer
 	case <-ctx.Done():
-		return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Reason: "no answer in time: it may be agreed yet"}
-	case <-v.ended:
-		return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Reason: "this voter has ended: it may be agreed yet"}
+		return notReady("no answer in time: it may still be committed")
+	case <-r.done:
+		return notReady("this voter has ended: it may still be committed")
 	}
 }
 
-// Propose proposes a command. After an answer NOT_READY or NOT_LEADER the command may still be agreed.
-func (v *Replica) Propose(ctx context.Context, c *controlpb.Command) *controlpb.Answer {
-	return v.call(ctx, func(end func(*controlpb.Answer)) { v.node.Propose(monotonic.Now(), c, end) })
+func notReady(reason string) *controlpb.Answer {
+	return &controlpb.Answer{Code: controlpb.Code_NOT_READY, Reason: reason}
+}
+
+// Propose proposes a command. After an answer NOT_READY or NOT_LEADER the command may still be
+// committed.
+func (r *Replica) Propose(ctx context.Context, c *controlpb.Command) *controlpb.Answer {
+	return r.call(ctx, func(reply replyFunc) { r.node.Propose(monotonic.Now(), c, reply) })
 }
 
-// Read queries a machine; it is a linearizable read.
-func (v *Replica) Read(ctx context.Context, q *controlpb.Query) *controlpb.Answer {
-	return v.call(ctx, func(end func(*controlpb.Answer)) { v.node.Read(q.Machine, q.Body, end) })
+// Read queries a state machine. It is a linearizable read.
+func (r *Replica) Read(ctx context.Context, q *controlpb.Query) *controlpb.Answer {
+	return r.call(ctx, func(reply replyFunc) { r.node.Read(q.Machine, q.Body, reply) })
 }
 
 // ChangeVoter proposes to add or remove a voter.
-func (v *Replica) ChangeVoter(ctx context.Context, c *controlpb.VoterChange) *controlpb.Answer {
-	return v.call(ctx, func(end func(*controlpb.Answer)) { v.node.ChangeVoter(c.Add, c.Voter, end) })
+func (r *Replica) ChangeVoter(ctx context.Context, c *controlpb.VoterChange) *controlpb.Answer {
+	return r.call(ctx, func(reply replyFunc) { r.node.ChangeVoter(c.Add, c.Voter, reply) })
 }
 
-// CreateSnapshot has the voter write a snapshot and drop old entries.
-func (v *Replica) CreateSnapshot(ctx context.Context) error {
-	a := v.call(ctx, func(end func(*controlpb.Answer)) {
-		a := &controlpb.Answer{}
-		if err := v.node.CreateSnapshot(); err != nil {
-			a.Code, a.Reason = controlpb.Code_REFUSED, err.Error()
+// CreateSnapshot has the replica store a snapshot and drop old entries.
+func (r *Replica) CreateSnapshot(ctx context.Context) error {
+	answer := r.call(ctx, func(reply replyFunc) {
+		answer := &controlpb.Answer{}
+		if err := r.node.CreateSnapshot(); err != nil {
+			answer.Code = controlpb.Code_REFUSED
+			answer.Reason = err.Error()
 		}
-		end(a)
+		reply(answer)
 	})
-	if a.Code != controlpb.Code_OK {
-		return errors.New(a.Reason)
+	if answer.Code != controlpb.Code_OK {
+		return errors.New(answer.Reason)
 	}
 	return nil
 }
 
-// Step takes in messages of another voter. If the queue is full they are dropped; raft sends them again.
-func (v *Replica) Step(from *controlpb.Voter, messages []*raftpb.Message) {
-	v.post(func() {
-		if v.node == nil || !v.begun {
+// Step processes messages of another voter. If the queue is full they are dropped: raft sends them
+// again.
+func (r *Replica) Step(from *controlpb.Voter, messages []*raftpb.Message) {
+	r.post(func() {
+		if r.node == nil || !r.started {
 			return
 		}
-		if v.heard == nil || len(v.heard) > maxHeard {
-			v.heard = map[uint64]*controlpb.Voter{}
+		if r.knownSenders == nil || len(r.knownSenders) > maxKnownSenders {
+			r.knownSenders = map[uint64]*controlpb.Voter{}
 		}
-		v.heard[from.Number] = from
+		r.knownSenders[from.Number] = from
 		for _, m := range messages {
-			v.node.Step(m)
-		}
-	})
-}
-
-// ReportUnreachable takes in that messages to a voter were dropped.
-func (v *Replica) ReportUnreachable(number uint64) {
-	v.post(func() {
-		if v.begun {
-			v.node.ReportUnreachable(number)
+			r.node.Step(m)
 		}
 	})
 }
 
-// ReportSnapshot takes in whether a snapshot was passed to a voter.
-func (v *Replica) ReportSnapshot(number uint64, ok bool) {
-	v.post(func() {
-		if v.begun {
-			v.node.ReportSnapshot(number, ok)
+// ReportUnreachable reports that messages to a voter were dropped.
+func (r *Replica) ReportUnreachable(number uint64) {
+	r.post(func() {
+		if r.started {
+			r.node.ReportUnreachable(number)
 		}
 	})
 }
 
-// AnswerVerification returns what this voter was promised by another, or nil if it can't tell before the context
-// ends. It answers also while it does not take part itself.
-func (v *Replica) AnswerVerification(ctx context.Context, p *controlpb.Position) *controlpb.VerificationReply {
-	answer := make(chan *controlpb.VerificationReply, 1)
-	v.post(func() {
-		if v.node == nil || v.asked == folderRefused {
-			return
+// ReportSnapshot reports whether a snapshot was sent to a voter.
+func (r *Replica) ReportSnapshot(number uint64, ok bool) {
+	r.post(func() {
+		if r.started {
+			r.node.ReportSnapshot(number, ok)
 		}
-		w := v.node.AnswerVerification(p.Voter)
-		answer <- &controlpb.VerificationReply{From: v.id.Number, Term: w.Term, Leader: w.Leader, PromisedTerm: w.Promised.Term, PromisedIndex: w.Promised.Index, UnknownVoter: w.UnknownVoter}
 	})
-	select {
-	case w := <-answer:
-		return w
-	case <-ctx.Done():
-		return nil
-	}
 }
 
-// TransferLeadership transfers leadership, if this voter leads, to another that is up to date.
-func (v *Replica) TransferLeadership() {
-	v.post(func() {
-		if v.node == nil || !v.begun || !v.node.Leadership().IsLeader {
+// TransferLeadership transfers leadership, if this replica leads, to another that is up to date.
+func (r *Replica) TransferLeadership() {
+	r.post(func() {
+		if r.node == nil || !r.started || !r.node.Leadership().IsLeader {
 			return
 		}
-		for _, o := range v.others() {
-			if v.node.UpToDate(o.Number) {
-				v.node.TransferLeader(o.Number)
+		for _, v := range r.otherVoters() {
+			if r.node.UpToDate(v.Number) {
+				r.node.TransferLeader(v.Number)
 				return
 			}
 		}
--- a/internal/controlplane/replica/export_test.go
+++ b/internal/controlplane/replica/export_test.go
@@ -2,9 +2,9 @@
 
 import "mothcleat/internal/storage/store"
 
-// Adopt has a copied folder count as made where it lies.
+// Adopt marks a copied storage as made where it is, so that it can be opened.
 func Adopt(dir string) error {
-	made, err := place(dir)
+	made, err := placeOf(dir)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -5,80 +5,88 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// Status describes a voter.
+// Status describes a replica.
 type Status struct {
 	Identity
 	Leadership   consensus.Leadership
-	Leader       string // its name
-	Voters       []*controlpb.Voter
+	Leader       string             // name; "": none is known
+	Voters       []*controlpb.Voter // by name
 	AppliedIndex uint64
-	FirstIndex   uint64
+	FirstIndex   uint64 // of the first entry still in the log
 	Fault        string // why it takes no part; "": it does
 }
 
-// publish brings Status up to date and logs what has changed.
-func (v *Replica) publish() {
-	if v.node == nil {
+// Status returns what the replica is now.
+func (r *Replica) Status() Status {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.status
+}
+
+// publish updates what Status returns, and logs what has changed. The goroutine calls it after each
+// round: it must not cost more in a fleet with many members.
+func (r *Replica) publish() {
+	if r.node == nil {
 		return
 	}
-	role, voters := v.node.Leadership(), v.node.Voters()
+	leadership := r.node.Leadership()
+	voters := r.node.Voters()
 	leader := ""
-	for _, o := range voters {
-		if o.Number == role.Leader {
-			leader = o.Name
+	for _, v := range voters {
+		if v.Number == leadership.Leader {
+			leader = v.Name
 		}
 	}
-	v.logChanges(role, leader, voters)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.status = Status{
-		Identity:     v.id,
-		Leadership:   role,
+	r.logChanges(leadership, leader, voters)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status = Status{
+		Identity:     r.identity,
+		Leadership:   leadership,
 		Leader:       leader,
 		Voters:       voters,
-		AppliedIndex: v.node.AppliedIndex(),
-		FirstIndex:   v.node.FirstIndex(),
-		Fault:        v.publishedTrouble(),
+		AppliedIndex: r.node.AppliedIndex(),
+		FirstIndex:   r.node.FirstIndex(),
+		Fault:        r.currentFault(),
 	}
 }
 
-// publishedTrouble is why the voter takes no part. Called with mu held.
-func (v *Replica) publishedTrouble() string {
-	switch {
-	case v.begun:
+// currentFault returns why the replica takes no part. The caller holds r.mu.
+func (r *Replica) currentFault() string {
+	if r.started {
 		return ""
-	case v.status.Fault != "":
-		return v.status.Fault
+	}
+	if r.status.Fault != "" {
+		return r.status.Fault
 	}
 	return "it waits for other voters to say what it has promised them"
 }
 
 // logChanges logs a new leader and a new list of voters.
-func (v *Replica) logChanges(role consensus.Leadership, leader string, voters []*controlpb.Voter) {
-	if role != v.role {
-		v.opt.Log.Info("fleet: leader", "voter", v.id.Name, "term", role.Term, "leader", leader, "leads", role.IsLeader)
-		v.role = role
+func (r *Replica) logChanges(
+	leadership consensus.Leadership, leader string, voters []*controlpb.Voter,
+) {
+	if leadership != r.loggedLeadership {
+		r.options.Log.Info("fleet: leader", "voter", r.identity.Name, "term", leadership.Term,
+			"leader", leader, "leads", leadership.IsLeader)
+		r.loggedLeadership = leadership
 	}
-	list := ""
-	for _, o := range voters {
-		list += " " + o.Name
+	names := ""
+	for _, v := range voters {
+		names += " " + v.Name
 	}
-	if list != v.voters {
-		v.opt.Log.Info("fleet: voters", "voter", v.id.Name, "voters", list, "term", role.Term, "entry", v.node.AppliedIndex())
-		v.voters = list
+	if names != r.loggedVoters {
+		r.options.Log.Info("fleet: voters", "voter", r.identity.Name, "voters", names,
+			"term", leadership.Term, "entry", r.node.AppliedIndex())
+		r.loggedVoters = names
 	}
 }
 
-// Status returns what the voter is now.
-func (v *Replica) Status() Status {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.status
-}
-
-// trouble sets why the voter takes no part.
-func (v *Replica) trouble(why string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.status.Fault, v.status.Leadership, v.status.Leader = why, consensus.Leadership{}, ""
+// setFault sets why the replica takes no part.
+func (r *Replica) setFault(reason string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status.Fault = reason
+	r.status.Leadership = consensus.Leadership{}
+	r.status.Leader = ""
 }
--- a/internal/controlplane/replica/stored_test.go
+++ b/internal/controlplane/replica/stored_test.go
@@ -21,8 +21,9 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A folder that an earlier build wrote, in a fleet with all state machines, holds the same commands: applied by this
-// build they lead to the same state of every machine, byte by byte, and a snapshot of it restores the same.
+// The storage that an earlier build wrote, in a fleet with all state machines, holds the same
+// commands: applied by this build they lead to the same state of every state machine, byte by byte,
+// and a snapshot of it restores the same.
 func TestStoredFolderIsReplayed(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored/log")
 	if err := replica.Adopt(dir); err != nil {
@@ -69,8 +70,12 @@
 func replay(t *testing.T, number uint64, saved consensus.StoredState) consensus.Ready {
 	t.Helper()
 	config := consensus.Config{
-		Number: number, StateMachines: newMachines(), Random: rand.New(rand.NewPCG(1, 1)),
-		ElectionTicks: 10, HeartbeatTicks: 2, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+		Number:         number,
+		StateMachines:  newMachines(),
+		Random:         rand.New(rand.NewPCG(1, 1)),
+		ElectionTicks:  10,
+		HeartbeatTicks: 2,
+		Logger:         &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 	}
 	const now = time.Second
 	node, err := consensus.Open(now, config, saved)
@@ -89,7 +94,8 @@
 		}
 	}
 	if node.AppliedIndex() != saved.HardState.GetCommit() {
-		t.Fatalf("applied up to %d, %d are committed", node.AppliedIndex(), saved.HardState.GetCommit())
+		t.Fatalf("applied up to %d, %d are committed",
+			node.AppliedIndex(), saved.HardState.GetCommit())
 	}
 	if err := node.CreateSnapshot(); err != nil {
 		t.Fatal(err)
