--- /dev/null
+++ b/internal/dataplane/policy/customer_test.go
@@ -0,0 +1,43 @@
+package policy
+
+import "testing"
+
+func TestIdleCustomersAreDropped(t *testing.T) {
+	r := newTestBalancer(t, testSettings())
+	for id := range uint64(3000) {
+		r.serve(0, 0, id, 1)
+		r.time += second / 50
+		r.Timer(r.time, 0)
+	}
+	if n := len(r.customers); n > 2500 {
+		t.Errorf("%d customers are kept of 3000 that came once in a minute", n)
+	}
+	r.time += 60 * second
+	r.Timer(r.time, 0)
+	r.time += 60 * second
+	r.Timer(r.time, 0)
+	if n := len(r.customers) + len(r.customerOrder); n != 0 {
+		t.Errorf("%d records are kept of idle customers", n)
+	}
+	// A new customer counts as one of those dropped, known or not.
+	if r.sharedBucket.rate <= 100 || r.sharedBucket.rate > 3000 {
+		t.Errorf("the shared bucket fills at %g a second from 3000 idle shares of 1", r.sharedBucket.rate)
+	}
+}
+
+// Requests may name a gateway set that does not exist.
+func TestAnyGatewaySetIsServed(t *testing.T) {
+	set := testSettings()
+	set.Gateways = 12
+	for _, first := range []int{-9, -1, 8, 1 << 40} {
+		for _, spread := range []int{-1, 0, 3, 9, 12, 100} {
+			r := newTestBalancer(t, set)
+			r.Request(r.time, Request{ID: 1, Customer: 9, Units: 1, Timeout: second, First: first, Spread: spread})
+			r.Timer(r.time+second, decisionTimer)
+			r.Timer(r.time+second, gossipTimer)
+			if r.actionRecorder.count("send 1 ") != 1 {
+				t.Errorf("first %d, spread %d: %v", first, spread, r.recorded)
+			}
+		}
+	}
+}
--- a/internal/dataplane/policy/example_test.go
+++ b/internal/dataplane/policy/example_test.go
@@ -6,17 +6,17 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// host is what a gateway of one's own brings: sends, answers and timers.
+// host is a minimal host: it prints the actions and keeps the timers.
 type host struct {
 	now    policy.Time
-	timers []policy.Time // due times, all of token 0
+	timers []policy.Time // due times, all of the same token
 }
 
 func (h *host) Send(id uint64, backend uint32, until policy.Time) {
 	fmt.Printf("request %d goes to backend %d\n", id, backend)
 }
 func (h *host) Reject(id uint64, after policy.Time) {
-	fmt.Printf("request %d refused, back after %d ms\n", id, after/1000)
+	fmt.Printf("request %d rejected, retry after %d ms\n", id, after/1000)
 }
 func (h *host) Fail(id uint64)                                          { fmt.Printf("request %d failed\n", id) }
 func (h *host) SetTimer(at policy.Time, token uint32)                   { h.timers = append(h.timers, at) }
@@ -35,8 +35,8 @@
 	h.now = to
 }
 
-// One gateway hosts one instance: it hands in each event with the time and does
-// what the instance asks. All calls come from one goroutine.
+// A host passes each event with its time to one Balancer and carries out the actions. All calls come
+// from one goroutine.
 func Example() {
 	h := &host{now: 1000}
 	g, err := policy.New(policy.Settings{
@@ -58,6 +58,6 @@
 	// Output:
 	// request 1 goes to backend 7
 	// request 2 goes to backend 7
-	// request 3 refused, back after 1000 ms
+	// request 3 rejected, retry after 1000 ms
 	// request 2 goes to backend 7
 }
--- a/internal/dataplane/policy/stored_test.go
+++ b/internal/dataplane/policy/formats_test.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// Peers of earlier builds send messages of this form, and read them.
+// Peers of earlier builds send and read messages of this form.
 func TestPeerMessageFormat(t *testing.T) {
 	held := usageEntry{id: 0x1122334455, plan: 2, first: 300, spread: 5, consumed: 1000, requested: 1100, newlyRequested: 77, wanted: 6, queryNumber: 9, wantsCeiling: true, remaining: unpackFraction(130)}
 	granted := grantEntry{id: 0x66778899aa, fraction: unpackFraction(200), queryNumber: 9, granted: true}
@@ -28,7 +28,7 @@
 	}
 }
 
-// A kept state names the settings that it is of by this sum: it must not change with the program.
+// A stored snapshot names its settings by this checksum, which must not change between builds.
 func TestSettingsSum(t *testing.T) {
 	settings := Settings{
 		Self: 1, Gateways: 3, Peers: true, Counter: true,
--- /dev/null
+++ b/internal/dataplane/policy/hedge_test.go
@@ -0,0 +1,34 @@
+package policy
+
+import "testing"
+
+// An attempt that is not answered is given up while there is time for another one.
+func TestHedgeWhileThereIsTime(t *testing.T) {
+	r := newTestBalancer(t, testSettings())
+	for _, class := range []int{0, 1} {
+		r.classLatencies[class].add(float64(second/50), slowSampleWeight)
+	}
+	for _, c := range []struct {
+		class int
+		until Time
+	}{{0, hedgeAfterMeanLatencies * second / 50}, {1, 0}} { // idempotent, and not
+		r.attemptDeadlines = nil
+		if _, sent := r.request(c.class, 1, 9, 1); !sent {
+			t.Fatal("not sent")
+		}
+		if got := max(0, r.attemptDeadlines[0]-r.time); got != c.until {
+			t.Errorf("class %d: given up after %d, want %d", c.class, got, c.until)
+		}
+	}
+}
+
+// A back end that answers within a moment may pause for one: a request is not sent again before a
+// part of its objective has passed.
+func TestHedgeDelayHasAMinimum(t *testing.T) {
+	r := newTestBalancer(t, testSettings())
+	r.classLatencies[0].add(100, slowSampleWeight)
+	r.request(0, 1, 9, 1)
+	if got, want := r.attemptDeadlines[0]-r.time, Time(minHedgeObjectiveFraction*float64(r.settings.Classes[0].LatencyObjective)); got != want {
+		t.Errorf("given up after %d, want %d", got, want)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/policy/picker_test.go
@@ -0,0 +1,73 @@
+package policy
+
+import (
+	"math"
+	"testing"
+)
+
+// Each of many gateways has hardly any attempts in flight. Where the list tells weights, idle
+// backends get their part by weight, and the smaller ones do not stand idle while all send to the
+// largest. Attempts in flight count by weight as well.
+func TestIdleBackendsArePickedByWeight(t *testing.T) {
+	for name, sizes := range map[string][]float64{"small weights": {1, 1, 3, 3}, "large weights": {2.5, 2.5, 7.5, 7.5}} {
+		set := testSettings()
+		set.ComparableWeights = true
+		r := newTestBalancer(t, set)
+		list := endpointList(4)
+		for i := range list {
+			list[i].Weight = sizes[i]
+		}
+		r.UpdateEndpoints(r.time, Complete, list)
+		got := map[uint32]int{}
+		const asked = 2000
+		for range asked {
+			r.time += second / 20
+			id, sent := r.request(0, 1, r.lastID, 1)
+			if !sent {
+				t.Fatalf("%s: request %d was not sent: %s", name, id, r.lastAction())
+			}
+			got[r.requests[id].attempts[0].backend.Backend]++
+			r.endAttempt(id, OK, true)
+		}
+		for i, m := range list {
+			if part, want := float64(got[m.Backend])/asked, sizes[i]/sizes[2]*3/8; math.Abs(part-want) > 0.03 {
+				t.Errorf("%s: backend %d of weight %g got %.3f of all, want %.3f", name, i+1, sizes[i], part, want)
+			}
+		}
+	}
+}
+
+// In a large fleet each gateway sends a backend a request now and then only, and must not pay for a
+// handshake with nearly every one. In a small fleet all backends are used evenly.
+func TestSlowGatewayOfALargeFleetUsesFewBackends(t *testing.T) {
+	for _, c := range []struct{ gateways, least, most int }{{36, 2, 8}, {3, 20, 24}} {
+		used := map[uint32]bool{}
+		set := testSettings()
+		set.Gateways = c.gateways
+		g, err := New(set, 5, &actionRecorder{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &testBalancer{Balancer: g, actionRecorder: g.actions.(*actionRecorder), t: t, time: start}
+		g.UpdateEndpoints(start, Complete, endpointList(24))
+		for i := range 60 {
+			r.time += second
+			r.Timer(r.time, 0)
+			// now and then two at once
+			one, ok := r.request(0, 1, uint64(2*i), 1)
+			two, both := uint64(0), false
+			if i%3 == 0 {
+				two, both = r.request(0, 1, uint64(2*i+1), 1)
+			}
+			for _, id := range []uint64{one, two} {
+				if (id == one && ok) || (id == two && both) {
+					used[r.requests[id].attempts[0].backend.Backend] = true
+					r.endAttempt(id, OK, true)
+				}
+			}
+		}
+		if len(used) < c.least || len(used) > c.most {
+			t.Errorf("%d gateways: %d of 24 backends are used, %d to %d wanted", c.gateways, len(used), c.least, c.most)
+		}
+	}
+}
--- a/internal/dataplane/policy/replan_test.go
+++ b/internal/dataplane/policy/planupdate_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-func asTheyAre(uint64) int { return -1 }
+func keepPlan(uint64) int { return -1 }
 
-// alone is a gateway that shares with nobody, so that its banks are whole quotas.
-func alone(t *testing.T) *rig {
-	set := settings()
+// newSingleGateway returns a gateway that shares with none, so that its buckets are whole quotas.
+func newSingleGateway(t *testing.T) *testBalancer {
+	set := testSettings()
 	set.Gateways, set.Peers = 1, false
-	return newRig(t, set)
+	return newTestBalancer(t, set)
 }
 
-// What was spent stays spent, however terms go down and up again.
-func TestReplanGrantsNoSecondBurst(t *testing.T) {
-	r := alone(t)
+// What was consumed stays consumed, however the terms go down and up again.
+func TestUpdatePlansGrantsNoSecondBurst(t *testing.T) {
+	r := newSingleGateway(t)
 	served := 0
 	for r.serve(0, 0, 7, 1) {
 		served++
@@ -31,16 +31,16 @@
 	for _, burst := range []float64{2, 8, 20, 1, 8} {
 		plans = slices.Clone(plans)
 		plans[0].Burst = burst
-		if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
+		if err := r.UpdatePlans(r.time, plans, keepPlan); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if r.serve(0, 0, 7, 1) {
-		t.Error("a unit more than was bought")
+		t.Error("a unit beyond the quota was sent")
 	}
 	plans = slices.Clone(plans)
 	plans[0].Burst = 12 // four more than it had
-	if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
+	if err := r.UpdatePlans(r.time, plans, keepPlan); err != nil {
 		t.Fatal(err)
 	}
 	for served = 0; r.serve(0, 0, 7, 1); served++ {
@@ -50,11 +50,11 @@
 	}
 }
 
-// A customer that is given another plan goes on under that, whatever its requests named before.
-func TestReplanGivesACustomerAnotherPlan(t *testing.T) {
-	r := alone(t)
+// A customer that is given another plan goes on under it, whatever its requests named before.
+func TestUpdatePlansChangesACustomersPlan(t *testing.T) {
+	r := newSingleGateway(t)
 	r.serve(0, 0, 7, 1)
-	if err := r.UpdatePlans(r.at, r.settings.Plans, func(uint64) int { return 1 }); err != nil {
+	if err := r.UpdatePlans(r.time, r.settings.Plans, func(uint64) int { return 1 }); err != nil {
 		t.Fatal(err)
 	}
 	served := 1
@@ -66,43 +66,43 @@
 	}
 }
 
-func TestReplanRefusesWhatCannotBeServed(t *testing.T) {
-	r := alone(t)
-	if err := r.UpdatePlans(r.at, r.settings.Plans[:1], asTheyAre); err == nil {
-		t.Error("fewer plans")
+func TestUpdatePlansRejectsInvalidPlans(t *testing.T) {
+	r := newSingleGateway(t)
+	if err := r.UpdatePlans(r.time, r.settings.Plans[:1], keepPlan); err == nil {
+		t.Error("fewer plans were accepted")
 	}
 	bad := slices.Clone(r.settings.Plans)
 	bad[0].Burst = 0
-	if err := r.UpdatePlans(r.at, bad, asTheyAre); err == nil || r.settings.Plans[0].Burst == 0 {
-		t.Errorf("a rate without a burst: %v", err)
+	if err := r.UpdatePlans(r.time, bad, keepPlan); err == nil || r.settings.Plans[0].Burst == 0 {
+		t.Errorf("a rate without a burst was accepted: %v", err)
 	}
 }
 
-// Over any order of requests, times and terms a customer gets no more than the terms grant: held against a bank that follows them by the
-// rule that what was spent stays spent.
-func TestReplanKeepsToTheTerms(t *testing.T) {
+// Over any order of requests, times and terms a customer gets no more than the terms grant: as by a
+// bucket that follows them by the rule that what was consumed stays consumed.
+func TestUpdatePlansKeepsToTheTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := settings()
+		set := testSettings()
 		set.Gateways, set.Peers = 1, false
 		set.Plans = []Plan{{Rate: 4, Burst: 8, Price: 1, BeyondCosts: 1}, {Rate: 4, Burst: 8, Price: 1, BeyondEarns: 1, CeilingRate: 8, CeilingBurst: 16}}
-		f := &fake{}
+		f := &actionRecorder{}
 		g, err := New(set, 1, f)
 		if err != nil {
 			t.Fatal(err)
 		}
 		at := start
-		g.UpdateEndpoints(at, CompleteCached, members(4))
+		g.UpdateEndpoints(at, CompleteCached, endpointList(4))
 		at += second
 		level, ceiling := set.Plans[0].Burst, 0.0
 		first := true
 		for id := range uint64(60) {
-			if rapid.IntRange(0, 3).Draw(t, "replan") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "update") == 0 {
 				next := slices.Clone(g.settings.Plans)
 				k := rapid.Float64Range(0.1, 3).Draw(t, "factor")
 				was := slices.Clone(next)
 				next[0].Rate, next[0].Burst = 4*k, 8*k
 				next[1].CeilingRate, next[1].CeilingBurst = 8*k, 16*k
-				if err := g.UpdatePlans(at, next, asTheyAre); err != nil {
+				if err := g.UpdatePlans(at, next, keepPlan); err != nil {
 					t.Fatal(err)
 				}
 				level = math.Min(next[0].Burst, level+next[0].Burst-was[0].Burst)
@@ -116,7 +116,7 @@
 			units := float64(rapid.IntRange(1, 4).Draw(t, "units"))
 			before := f.count("send")
 			g.Request(at, Request{ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units, Timeout: second, Spread: 1})
-			if plan == 1 && first { // its ceiling counts from the gateway's start
+			if plan == 1 && first { // its ceiling fills from the gateway's start
 				ceiling, first = math.Min(g.settings.Plans[1].CeilingBurst, math.Max(ceiling, g.settings.Plans[1].CeilingBurst)), false
 			}
 			if f.count("send") == before {
@@ -134,18 +134,19 @@
 	})
 }
 
-// A state that is saved under other terms is one that a new process begins from, with no more than the settings grant.
-func TestAStateSavedUnderOtherTerms(t *testing.T) {
-	r := alone(t)
+// A new process can restore a snapshot taken under other terms, with no more than the settings
+// grant.
+func TestSnapshotTakenUnderOtherPlans(t *testing.T) {
+	r := newSingleGateway(t)
 	r.serve(0, 0, 7, 1)
 	plans := slices.Clone(r.settings.Plans)
 	plans[0].Burst, plans[2].CeilingBurst = 100, 200
-	if err := r.UpdatePlans(r.at, plans, asTheyAre); err != nil {
+	if err := r.UpdatePlans(r.time, plans, keepPlan); err != nil {
 		t.Fatal(err)
 	}
-	s := r.TakeSnapshot(r.at, true)
-	next := alone(t)
-	if err := next.Restore(next.at, second, &s); err != nil {
+	s := r.TakeSnapshot(r.time, true)
+	next := newSingleGateway(t)
+	if err := next.Restore(next.time, second, &s); err != nil {
 		t.Fatal(err)
 	}
 	served := 0
--- /dev/null
+++ b/internal/dataplane/policy/sharedbucket_test.go
@@ -0,0 +1,32 @@
+package policy
+
+import "testing"
+
+func TestSharedBucketServesPlansThatMayExceedQuota(t *testing.T) {
+	r := newTestBalancer(t, testSettings())
+	r.serve(0, 1, 1, 1)
+	r.time += 10 * second // the bucket of customer 1 is full and spills
+	r.serve(0, 1, 1, 1)
+	if r.sharedBucket.level < 10 {
+		t.Fatalf("the shared bucket holds %g after ten seconds of spill", r.sharedBucket.level)
+	}
+	sent := 0
+	for range 40 {
+		if r.serve(0, 1, 2, 1) {
+			sent++
+		}
+	}
+	if sent <= 20 {
+		t.Errorf("a customer that may exceed its quota got %d units, want more than its burst of 20", sent)
+	}
+	r.sharedBucket.level = 10
+	sent = 0
+	for range 40 {
+		if r.serve(0, 0, 3, 1) {
+			sent++
+		}
+	}
+	if sent != 8 {
+		t.Errorf("a customer that may not exceed its quota got %d units, want its burst of 8", sent)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/policy/slowstart_test.go
@@ -0,0 +1,71 @@
+package policy
+
+import "testing"
+
+func TestSlowStartLimitsSends(t *testing.T) {
+	r := newTestBalancer(t, testSettings())
+	var out []uint64
+	load := func(seconds int) map[uint32]int {
+		got := map[uint32]int{}
+		for i := range seconds * 100 {
+			r.time += second / 100
+			if id, sent := r.request(0, 1, uint64(i), 1); sent {
+				got[r.requests[id].attempts[0].backend.Backend]++
+				out = append(out, id)
+			}
+			for len(out) > 0 && r.time-r.requests[out[0]].attempts[0].sentAt >= second/10 {
+				r.endAttempt(out[0], OK, true)
+				out = out[1:]
+			}
+		}
+		return got
+	}
+	load(8)
+	r.UpdateEndpoints(r.time, Delta, []Endpoint{{Backend: 4, Cell: 1, StartedAt: r.time}})
+	got := load(1)
+	warm := float64(got[1]+got[2]+got[3]) / 3
+	if cold := float64(got[4]); cold > 0.6*warm || cold == 0 {
+		t.Errorf("the backend in slow start got %g where a warm one got %g", cold, warm)
+	}
+	// All in slow start at once: the limit holds all the same.
+	list := endpointList(4)
+	for i := range list {
+		list[i].StartedAt = r.time
+	}
+	r.UpdateEndpoints(r.time, Complete, list)
+	got = load(1)
+	if n := got[1] + got[2] + got[3] + got[4]; n > 60 {
+		t.Errorf("%d of 100 sent to backends that are all in slow start", n)
+	}
+}
+
+// A backend in slow start gets requests though each of many gateways sends too little to save up a
+// whole send for it (issue i47ec98).
+func TestSlowStartWithManySlowGateways(t *testing.T) {
+	sent := 0
+	for seed := range uint64(60) {
+		g, err := New(testSettings(), seed, &actionRecorder{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &testBalancer{Balancer: g, actionRecorder: g.actions.(*actionRecorder), t: t, time: start}
+		list := endpointList(4)
+		list[3].StartedAt = start
+		g.UpdateEndpoints(start, Complete, list)
+		for i := range 12 { // one request in half a second; one backend of four is in slow start
+			r.time += second / 2
+			r.Timer(r.time, 0)
+			id, ok := r.request(0, 1, uint64(i), 1)
+			if ok && r.requests[id].attempts[0].backend.Backend == 4 {
+				sent++
+			}
+			if ok {
+				r.endAttempt(id, OK, true)
+			}
+		}
+	}
+	// A warm backend gets a quarter of the 720; this one a fifth to two thirds of that.
+	if sent < 20 || sent > 130 {
+		t.Errorf("%d sends to the backend in slow start by 60 gateways", sent)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/policy/testbalancer_test.go
@@ -0,0 +1,175 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// actionRecorder records actions as lines of text.
+type actionRecorder struct {
+	recorded         []string
+	attemptDeadlines []Time // when each attempt is given up
+}
+
+func (f *actionRecorder) record(format string, args ...any) {
+	f.recorded = append(f.recorded, fmt.Sprintf(format, args...))
+}
+
+func (f *actionRecorder) Send(id uint64, backend uint32, until Time) {
+	f.record("send %d to %d", id, backend)
+	f.attemptDeadlines = append(f.attemptDeadlines, until)
+}
+
+func (f *actionRecorder) Reject(id uint64, after Time)        { f.record("reject %d after %d", id, after) }
+func (f *actionRecorder) Fail(id uint64)                      { f.record("fail %d", id) }
+func (f *actionRecorder) SetTimer(at Time, token uint32)      { f.record("timer %d", at) }
+func (f *actionRecorder) Probe(backend uint32)                { f.record("probe %d", backend) }
+func (f *actionRecorder) SendToPeer(peer int, message []byte) { f.record("peer %d %x", peer, message) }
+func (f *actionRecorder) AddToCounter(name uint64, add float64, life Time) {
+	f.record("counter %d %g", name, add)
+}
+
+func (f *actionRecorder) WatchEndpoints() { f.record("watch") }
+func (f *actionRecorder) Log(line string) { f.record("log %s", line) }
+func (f *actionRecorder) count(prefix string) int {
+	n := 0
+	for _, line := range f.recorded {
+		if strings.HasPrefix(line, prefix) {
+			n++
+		}
+	}
+	return n
+}
+
+func (f *actionRecorder) lastAction() string {
+	for _, line := range slices.Backward(f.recorded) {
+		if !strings.HasPrefix(line, "log") {
+			return line
+		}
+	}
+	return ""
+}
+
+const start = 100 * second
+
+func testSettings() Settings {
+	return Settings{
+		Gateways: 2, Peers: true, Probes: true, RetryAfter: true, MaxPeerMessagesPerSecond: 60,
+		MaxAttempts: 3, MaxRetryAfter: second, Tick: 4000,
+		SlowStartMinFraction: 0.2, SlowStartDuration: 10 * second, SlowStartOverloadWindow: second,
+		Classes: []Class{
+			{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1},
+			{LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 5},
+			{LatencyObjective: second, Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 3},
+		},
+		Plans: []Plan{
+			{Rate: 2, Burst: 8, Price: 1, BeyondCosts: 1},
+			{Rate: 10, Burst: 20, Price: 1, BeyondEarns: 0.3},
+			{Rate: 4, Burst: 8, Price: 1, BeyondEarns: 0.3, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2},
+		},
+	}
+}
+
+// testBalancer is a Balancer with four backends, of two cells, that has run for a second.
+type testBalancer struct {
+	*Balancer
+	*actionRecorder
+	t      *testing.T
+	time   Time
+	lastID uint64
+
+	firstGateways map[uint64]int // of gateway sets with a home, by customer
+}
+
+func newTestBalancer(t *testing.T, set Settings) *testBalancer {
+	t.Helper()
+	f := &actionRecorder{}
+	g, err := New(set, 7, f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &testBalancer{Balancer: g, actionRecorder: f, t: t, time: start}
+	g.UpdateEndpoints(start, CompleteCached, endpointList(4))
+	r.time += second
+	return r
+}
+
+func endpointList(n int) []Endpoint {
+	var list []Endpoint
+	for i := range n {
+		list = append(list, Endpoint{Backend: uint32(i + 1), Cell: i % 2})
+	}
+	return list
+}
+
+// request makes a request of a customer with two gateways. It returns its id and whether it was
+// sent.
+func (r *testBalancer) request(class, plan int, customer uint64, units float64) (uint64, bool) {
+	r.lastID++
+	before := r.actionRecorder.count("send")
+	r.Request(r.time, Request{ID: r.lastID, Class: class, Plan: plan, Customer: customer, Units: units,
+		Timeout: 2 * second, Spread: 2})
+	return r.lastID, r.actionRecorder.count("send") > before
+}
+
+// endAttempt ends the last attempt of a request.
+func (r *testBalancer) endAttempt(id uint64, result Result, over bool) {
+	q := r.requests[id]
+	if q == nil {
+		r.t.Fatalf("request %d is not known", id)
+	}
+	n := len(q.attempts) - 1
+	r.Outcome(r.time, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].backend.Backend, Result: result,
+		Duration: second / 10, RequestDone: over})
+}
+
+// serve makes a request and, if it is sent, answers it at once.
+func (r *testBalancer) serve(class, plan int, customer uint64, units float64) bool {
+	id, sent := r.request(class, plan, customer, units)
+	if sent {
+		r.endAttempt(id, OK, true)
+	}
+	return sent
+}
+
+func assertNear(t *testing.T, what string, got, want float64) {
+	t.Helper()
+	if math.Abs(got-want) > 1e-6 {
+		t.Errorf("%s: %g, want %g", what, got, want)
+	}
+}
+
+// gossipTo lets a gossip interval pass at one gateway and delivers its messages to another.
+func gossipTo(from, to *testBalancer) {
+	from.recorded = nil
+	from.time += second / 10
+	from.Timer(from.time, 0)
+	deliverMessages(from, to)
+}
+
+// deliverMessages delivers the messages that one gateway has sent to another, once.
+func deliverMessages(from, to *testBalancer) {
+	to.time = max(to.time, from.time)
+	sent := from.recorded
+	from.recorded = nil
+	for _, line := range sent {
+		var peer int
+		var message []byte
+		if n, _ := fmt.Sscanf(line, "peer %d %x", &peer, &message); n == 2 && peer == to.settings.Self {
+			to.ReceivePeerMessage(to.time, from.settings.Self, message)
+		}
+	}
+}
+
+func newPair(t *testing.T) (a, b *testBalancer) {
+	set := testSettings()
+	a = newTestBalancer(t, set)
+	set.Self = 1
+	b = newTestBalancer(t, set)
+	gossipTo(a, b)
+	gossipTo(b, a)
+	return a, b
+}
