--- a/internal/dataplane/lifecycle/lifecycle.go
+++ b/internal/dataplane/lifecycle/lifecycle.go
@@ -1,57 +1,66 @@
-// Package lifecycle decides what a gateway's process takes, keeps and says of itself
-// while it starts, serves, is emptied by operators, is told to stop, and hands over to
-// a newer process. It does no I/O and has no clock: the host tells the time, which
-// never goes back, and what has happened, and asks what follows. One goroutine at a time.
+// Package lifecycle decides what a gateway's process admits, closes and says of itself while it
+// starts, serves, is drained by operators, shuts down, and hands over to a successor. It does no
+// I/O and has no clock: the caller passes the time, which never goes back, and asks what follows.
 package lifecycle
 
-// Time is a moment or a length of time in microseconds.
+// Time is a moment or a duration in microseconds.
 type Time = int64
 
-// Settings are the lengths of the steps. The zero value of each is taken as it stands.
+// Settings are the durations of the steps of a drain and of a shutdown. Zero values are used as
+// they are.
 type Settings struct {
-	// DrainNoticeTime is how long a drain goes on as before: those who send here have to hear of
-	// it, and to end a connection earlier would only have them open another one.
+	// DrainNoticeTime is how long a drain goes on as before: clients' front ends have to hear
+	// of it, and would only open another connection if one ended earlier.
 	DrainNoticeTime Time
-	// DrainIdleCloseAfter is how long after a drain's begin connections end that nobody uses.
-	// Until then each ends with its next answer, which no request can cross.
+	// DrainIdleCloseAfter is when a drain closes idle connections, from its start. Until then
+	// each closes with its next answer, which no request can cross.
 	DrainIdleCloseAfter Time
-	// DrainFirstCommandTime is how long a connection that came during a drain has to say something.
+	// DrainFirstCommandTime is how long a connection that came during a drain has for its first
+	// command.
 	DrainFirstCommandTime Time
 
-	// AcceptTime is how long a process that was told to stop goes on as before.
+	// AcceptTime is how long a process that shuts down goes on as before.
 	AcceptTime Time
-	// LateFirstCommandTime is how long a connection has then that came too late to have brought anything.
+	// LateFirstCommandTime is how long a connection that was accepted late then has for its
+	// first command.
 	LateFirstCommandTime Time
-	// AnswerTime is when it answers all that is still open.
+	// AnswerTime is when all open requests are failed, from the start of the shutdown.
 	AnswerTime Time
-	// LingerTime is how long the other sides then have to close.
+	// LingerTime is how long clients then have to close.
 	LingerTime Time
 }
 
-// The platform's times: new connections come for 0.3 s after a drain was told and 0.4 s after SIGTERM,
-// nothing may be held 4 s after a drain, or taken in its last 2 s, and SIGKILL comes so long after SIGTERM
-// as a client waits at the most, but no more than killMost of it, and killAfter.
+// The platform's times. New connections come for 0.3 s after the start of a drain and for 0.4 s
+// after SIGTERM; nothing may be open 4 s after the start of a drain, or be admitted in its last 2 s.
+// SIGKILL comes after SIGTERM by the longest time that a client waits (maxClientWait at most) and
+// killGrace.
 const (
 	maxClientWait    Time = 3_000_000
 	killGrace        Time = 700_000
-	answerBeforeKill Time = 500_000 // before SIGKILL
-	exitBeforeKill   Time = 100_000 // the same
+	answerBeforeKill Time = 500_000
+	exitBeforeKill   Time = 100_000
 )
 
-// SettingsFor are the steps that the platform's times leave room for where a client waits so long at the most;
-// 0: that is not known.
-func SettingsFor(longest Time) Settings {
-	if longest <= 0 {
-		longest = maxClientWait
+// SettingsFor returns the durations that the platform's times allow where clients wait for at most
+// so long; 0: that is not known.
+func SettingsFor(longestWait Time) Settings {
+	if longestWait <= 0 {
+		longestWait = maxClientWait
+	}
+	kill := min(longestWait, maxClientWait) + killGrace
+	s := Settings{
+		DrainNoticeTime:       400_000,
+		DrainIdleCloseAfter:   1_500_000,
+		DrainFirstCommandTime: 400_000,
+		AcceptTime:            500_000,
+		LateFirstCommandTime:  100_000,
 	}
-	kill := min(longest, maxClientWait) + killGrace
-	s := Settings{DrainNoticeTime: 400_000, DrainIdleCloseAfter: 1_500_000, DrainFirstCommandTime: 400_000, AcceptTime: 500_000, LateFirstCommandTime: 100_000}
 	s.AnswerTime = max(s.AcceptTime, kill-answerBeforeKill)
 	s.LingerTime = max(0, min(300_000, kill-exitBeforeKill-s.AnswerTime))
 	return s
 }
 
-// Process is the state of one process. Make it with New.
+// Process is the state of one process. Make it with New. It is not safe for concurrent use.
 type Process struct {
 	settings Settings
 	ready    bool
@@ -62,60 +71,65 @@
 	stopping  bool
 	stopStart Time
 
-	paused      bool // a newer process is being given all
+	paused      bool // a successor is being given the state
 	handedOver  bool
-	passesConns bool // and its connections are passed on
+	passesConns bool // to the successor
 
-	empty      bool // was without work at a time after it closed
+	empty      bool // nothing was pending at a time after accepting ended
 	emptySince Time
 }
 
 // New makes the state of a process that starts.
-func New(set Settings) *Process { return &Process{settings: set} }
+func New(settings Settings) *Process { return &Process{settings: settings} }
 
-// Ready takes note that the process can serve.
+// Ready records that the process can serve.
 func (p *Process) Ready() { p.ready = true }
 
-// Drain empties the process; it keeps running. A drain that is on goes on.
+// Drain starts a drain; the process keeps running. A drain that is on goes on.
 func (p *Process) Drain(now Time) {
 	if !p.draining {
-		p.draining, p.drainStart = true, now
+		p.draining = true
+		p.drainStart = now
 	}
 }
 
 // Resume ends a drain.
 func (p *Process) Resume() { p.draining = false }
 
-// Stop begins the orderly end. The first call counts.
+// Stop starts the shutdown. Only the first call counts.
 func (p *Process) Stop(now Time) {
 	if !p.stopping {
-		p.stopping, p.stopStart = true, now
+		p.stopping = true
+		p.stopStart = now
 	}
 }
 
-// Pause has nothing more decided on until Part or Unpause: a newer process is being given
-// all that this one knows.
+// Pause has no request admitted until HandOver or Unpause, while a successor is given the state.
 func (p *Process) Pause() { p.paused = true }
 
-// Unpause takes note that the newer process did not take over.
+// Unpause records that the successor did not take over.
 func (p *Process) Unpause() { p.paused = false }
 
-// HandOver takes note that a newer process takes all that is new from now on, and whether
-// connections are passed on to it. There is no way back.
-func (p *Process) HandOver(passes bool) { p.paused, p.handedOver, p.passesConns = false, true, passes }
+// HandOver records that a successor takes all that is new from now on, and whether connections are
+// passed to it. It can't be undone.
+func (p *Process) HandOver(passesConns bool) {
+	p.paused = false
+	p.handedOver = true
+	p.passesConns = passesConns
+}
 
-// HandedOver tells whether a newer process has taken over.
+// HandedOver reports whether a successor has taken over.
 func (p *Process) HandedOver() bool { return p.handedOver }
 
-// Draining tells whether operators have the process emptied.
+// Draining reports whether a drain is on.
 func (p *Process) Draining() bool { return p.draining }
 
-// Stopping tells whether the process was told to stop.
+// Stopping reports whether the process shuts down.
 func (p *Process) Stopping() bool { return p.stopping }
 
-// Serves tells whether requests may be sent here, and if not, why. It is what those
-// who choose among processes are told.
-func (p *Process) Serves() (yes bool, why string) {
+// Serves reports whether requests should be sent here, and if not, why: the answer to health
+// checks.
+func (p *Process) Serves() (serves bool, reason string) {
 	switch {
 	case p.handedOver:
 		return false, "handed over"
@@ -127,85 +141,102 @@
 	return true, ""
 }
 
-// AcceptingEnded tells whether no connection is accepted any more, and what comes on one that
-// was accepted late is not taken.
+// stoppedFor reports whether the shutdown started at least so long ago.
+func (p *Process) stoppedFor(now, duration Time) bool {
+	return p.stopping && now-p.stopStart >= duration
+}
+
+// AcceptingEnded reports whether no connection is accepted any more.
 func (p *Process) AcceptingEnded(now Time) bool {
-	return p.handedOver || p.stopping && now-p.stopStart >= p.settings.AcceptTime
+	return p.handedOver || p.stoppedFor(now, p.settings.AcceptTime)
 }
 
-// AdmitsRequests tells whether requests are still decided on here. What comes otherwise is the
-// newer process's, or comes again.
+// AdmitsRequests reports whether requests are still admitted. Others are the successor's, or are to
+// be retried.
 func (p *Process) AdmitsRequests(now Time) bool {
-	return !p.paused && !p.handedOver && !(p.stopping && now-p.stopStart >= p.settings.AnswerTime)
+	return !p.paused && !p.handedOver && !p.FailsOpenRequests(now)
 }
 
-// closesConns tells whether connections end because the process does. Those that are to be passed
-// on have some time for it.
+// closesConns reports whether connections close because the process shuts down. Those that are to
+// be passed to a successor have some time for it.
 func (p *Process) closesConns(now Time) bool {
-	return p.stopping && (now-p.stopStart >= p.settings.AcceptTime || p.handedOver && !p.passesConns)
+	if !p.stopping {
+		return false
+	}
+	return p.stoppedFor(now, p.settings.AcceptTime) || p.handedOver && !p.passesConns
 }
 
-// ClosesAfterAnswer tells whether a connection ends with the answer after which it has no
-// request open.
+// ClosesAfterAnswer reports whether a connection closes with the answer after which it has no open
+// request.
 func (p *Process) ClosesAfterAnswer(now Time) bool {
-	return p.closesConns(now) || p.draining && now-p.drainStart >= p.settings.DrainNoticeTime
+	drained := p.draining && now-p.drainStart >= p.settings.DrainNoticeTime
+	return p.closesConns(now) || drained
 }
 
-// ClosesIdle tells whether a connection without a request, last used or opened at a time,
-// ends now.
-func (p *Process) ClosesIdle(now, used Time) bool {
+// ClosesIdle reports whether a connection without open requests, last used or opened at a time,
+// closes now.
+func (p *Process) ClosesIdle(now, lastUsed Time) bool {
 	if p.closesConns(now) {
 		return true
 	}
-	return p.draining && now-p.drainStart >= p.settings.DrainIdleCloseAfter && now-used >= p.settings.DrainFirstCommandTime
+	drained := p.draining && now-p.drainStart >= p.settings.DrainIdleCloseAfter
+	return drained && now-lastUsed >= p.settings.DrainFirstCommandTime
 }
 
-// ClosesUnused tells the same of a connection that has brought nothing since it was opened: it may have been
-// on its way here before anything was told.
+// ClosesUnused reports the same of a connection without any command since it was opened: it may
+// have been on its way before the shutdown was announced.
 func (p *Process) ClosesUnused(now, opened Time) bool {
-	return p.ClosesIdle(now, opened) && (!p.closesConns(now) || now-opened >= p.settings.LateFirstCommandTime)
+	if !p.ClosesIdle(now, opened) {
+		return false
+	}
+	return !p.closesConns(now) || now-opened >= p.settings.LateFirstCommandTime
 }
 
-// FailsOpenRequests tells whether all that is open must be answered at once.
+// FailsOpenRequests reports whether all open requests must be failed now.
 func (p *Process) FailsOpenRequests(now Time) bool {
-	return p.stopping && now-p.stopStart >= p.settings.AnswerTime
+	return p.stoppedFor(now, p.settings.AnswerTime)
 }
 
-// Done tells whether the process has ended, given what is owed (its open requests, and all else that
-// somebody still waits for) and its connections. It must be asked whenever one of them has become none.
-func (p *Process) Done(now Time, open, connections int) bool {
+// Done reports whether the process has ended, given its pending work (open requests, and all else
+// that a client waits for) and its connections. It must be called whenever one of the two becomes
+// 0.
+func (p *Process) Done(now Time, pending, connections int) bool {
 	if !p.stopping || !p.AcceptingEnded(now) {
 		return false
 	}
-	if open > 0 {
-		p.empty = false // what has come since has its own time to be read
-		return now-p.stopStart >= p.settings.AnswerTime+p.settings.LingerTime
+	timedOut := p.stoppedFor(now, p.settings.AnswerTime+p.settings.LingerTime)
+	if pending > 0 {
+		p.empty = false // a connection that came since has its own time to be read
+		return timedOut
 	}
 	if !p.empty {
-		p.empty, p.emptySince = true, now
+		p.empty = true
+		p.emptySince = now
 	}
-	return connections == 0 || now-p.emptySince >= p.settings.LingerTime || now-p.stopStart >= p.settings.AnswerTime+p.settings.LingerTime
+	lingered := now-p.emptySince >= p.settings.LingerTime
+	return connections == 0 || lingered || timedOut
 }
 
-// NextChange is when something above changes by the mere passing of time, for the first time
-// after now; false: nothing does. While a drain is on, connections also end one by one:
-// the host asks about them as often as it likes.
+// NextChange returns when one of the answers above next changes by the passing of time, after now;
+// false: none does. During a drain connections also close one by one, about which the caller asks
+// as often as it likes.
 func (p *Process) NextChange(now Time) (next Time, ok bool) {
-	at := func(t Time) {
+	consider := func(t Time) {
 		if t > now && (!ok || t < next) {
-			next, ok = t, true
+			next = t
+			ok = true
 		}
 	}
 	if p.draining {
-		at(p.drainStart + p.settings.DrainNoticeTime)
-		at(p.drainStart + p.settings.DrainIdleCloseAfter)
+		consider(p.drainStart + p.settings.DrainNoticeTime)
+		consider(p.drainStart + p.settings.DrainIdleCloseAfter)
 	}
 	if p.stopping {
-		at(p.stopStart + p.settings.AcceptTime)
-		at(p.stopStart + p.settings.AnswerTime)
-		at(p.stopStart + p.settings.AnswerTime + p.settings.LingerTime)
+		consider(p.stopStart + p.settings.AcceptTime)
+		consider(p.stopStart + p.settings.AnswerTime)
+		consider(p.stopStart + p.settings.AnswerTime + p.settings.LingerTime)
 		if p.empty {
-			at(p.emptySince + p.settings.LingerTime)
+			consider(p.emptySince + p.settings.LingerTime)
 		}
 	}
 	return next, ok
