--- a/internal/controlplane/rollout/agent.go
+++ b/internal/controlplane/rollout/agent.go
@@ -120,7 +120,7 @@
 
 // Leave tells the fleet that this process acts on nothing any more.
 func (a *Agent) Leave(ctx context.Context) {
-	if err := a.execute(ctx, configversion.Command{Kind: "left"}); err != nil {
+	if err := a.execute(ctx, configversion.Command{Kind: configversion.KindLeave}); err != nil {
 		a.log.Debug("fleet: versions: not told that this process leaves", "error", err)
 	}
 }
--- a/internal/controlplane/rollout/guide.go
+++ b/internal/controlplane/rollout/guide.go
@@ -32,7 +32,7 @@
 				"term", op.Term, "error", err)
 			continue
 		}
-		a.log.Info("fleet: versions: "+op.Kind, "item", op.Item, "number", op.Number, "stage", op.Stage,
+		a.log.Info("fleet: versions: "+string(op.Kind), "item", op.Item, "number", op.Number, "stage", op.Stage,
 			"why", op.Why, "term", op.Term)
 	}
 }
--- a/internal/controlplane/rollout/permits.go
+++ b/internal/controlplane/rollout/permits.go
@@ -51,7 +51,7 @@
 	if !mustEnrol {
 		return nil
 	}
-	if err := a.execute(ctx, configversion.Command{Kind: "here", EndedIncarnations: gone}); err != nil {
+	if err := a.execute(ctx, configversion.Command{Kind: configversion.KindEnrol, EndedIncarnations: gone}); err != nil {
 		return err
 	}
 	a.mu.Lock()
--- a/internal/controlplane/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -40,7 +40,7 @@
 		return 0, err
 	}
 	op := configversion.Command{
-		Kind:   "propose",
+		Kind:   configversion.KindPropose,
 		Item:   item,
 		Number: newestNumber(&view, item),
 		Digest: digest,
@@ -127,7 +127,7 @@
 // Execute has an operator's command about a version agreed. It returns the number of the version that
 // the command made, if it made one.
 func (a *Agent) Execute(ctx context.Context, op configversion.Command) (uint64, error) {
-	if op.Kind == "go-on" && op.Stage != configversion.StageAll {
+	if op.Kind == configversion.KindAdvance && op.Stage != configversion.StageAll {
 		list, err := a.memberList(ctx)
 		if err != nil {
 			return 0, err
--- a/internal/controlplane/rollout/report.go
+++ b/internal/controlplane/rollout/report.go
@@ -33,14 +33,14 @@
 		target := a.holder.Target(name)
 		if number >= target.Number && number > a.reported[name] {
 			all = append(all, report{
-				op:     configversion.Command{Kind: "report", Item: name, Number: number},
+				op:     configversion.Command{Kind: configversion.KindReport, Item: name, Number: number},
 				digest: target.Digest,
 			})
 		}
 		why := a.holder.RejectionReason(name, target.Digest)
 		if why != "" && !a.reportedRejections[target.Digest] {
 			all = append(all, report{
-				op:     configversion.Command{Kind: "report", Item: name, Number: target.Number, Rejected: true, Why: why},
+				op:     configversion.Command{Kind: configversion.KindReport, Item: name, Number: target.Number, Rejected: true, Why: why},
 				digest: target.Digest,
 			})
 		}
@@ -73,7 +73,7 @@
 		if head == nil || *head == last {
 			return
 		}
-		if err := a.execute(ctx, configversion.Command{Kind: "head", Head: head}); err == nil {
+		if err := a.execute(ctx, configversion.Command{Kind: configversion.KindReportHead, Head: head}); err == nil {
 			last = *head
 		}
 	})
--- a/internal/controlplane/versions.go
+++ b/internal/controlplane/versions.go
@@ -49,15 +49,15 @@
 		defer cancel()
 		return n.agent.Propose(ctx, words[0], strings.Join(words[3:], " "), configversion.Stage(words[1]), lead)
 	case do == "shut" && len(words) >= 1: // ID WHY
-		return n.agent.Execute(ctx, configversion.Command{Kind: do, ID: words[0], Why: strings.Join(words[1:], " ")})
+		return n.agent.Execute(ctx, configversion.Command{Kind: configversion.KindFence, ID: words[0], Why: strings.Join(words[1:], " ")})
 	case do == "let" && len(words) == 1:
-		return n.agent.Execute(ctx, configversion.Command{Kind: do, ID: words[0]})
+		return n.agent.Execute(ctx, configversion.Command{Kind: configversion.KindReadmit, ID: words[0]})
 	case slices.Contains([]string{"go-on", "hold", "withdraw"}, do) && len(words) >= 2: // ITEM NUMBER STAGE or WHY
 		number, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return nil, fmt.Errorf("number %.20q: a whole number wanted", words[1])
 		}
-		op := configversion.Command{Kind: do, Item: words[0], Number: number, Why: strings.Join(words[2:], " ")}
+		op := configversion.Command{Kind: configversion.CommandKind(do), Item: words[0], Number: number, Why: strings.Join(words[2:], " ")}
 		if do == "go-on" {
 			op.Stage, op.Why = configversion.Stage(op.Why), ""
 		}
--- a/sim/configversion/faults.go
+++ b/sim/configversion/faults.go
@@ -22,7 +22,7 @@
 	case w.chance("killed", 1500):
 		m.dead = true
 	case w.chance("left", 3000):
-		w.apply(m, configversion.Command{Kind: "left"}, nil)
+		w.apply(m, configversion.Command{Kind: configversion.KindLeave}, nil)
 		m.dead = true
 	case m.cut <= w.now && w.chance("cut", 800):
 		m.cut = w.now + time.Duration(w.r.Int64N(int64(3*w.rules.TTL)))
--- a/sim/configversion/member.go
+++ b/sim/configversion/member.go
@@ -147,7 +147,7 @@
 	}
 	if number > m.told[item] && w.r.IntN(4) == 0 {
 		boot := m.boot
-		w.apply(m, configversion.Command{Kind: "report", Item: item, Number: number}, func(r configversion.Result) {
+		w.apply(m, configversion.Command{Kind: configversion.KindReport, Item: item, Number: number}, func(r configversion.Result) {
 			if m.boot == boot && r.OK {
 				m.told[item] = max(m.told[item], number)
 			}
@@ -159,7 +159,7 @@
 func (w *World) ask(m *member, sent time.Duration) {
 	boot := m.boot
 	if m.enrols {
-		w.apply(m, configversion.Command{Kind: "here", EndedIncarnations: m.gone}, nil)
+		w.apply(m, configversion.Command{Kind: configversion.KindEnrol, EndedIncarnations: m.gone}, nil)
 		m.enrols = false
 	}
 	who := m.me()
@@ -181,7 +181,7 @@
 			for _, g := range t.Targets {
 				if why := m.holder.RejectionReason(g.Item, g.Digest); why != "" && !m.refused[g.Digest] {
 					m.refused[g.Digest] = true
-					w.apply(m, configversion.Command{Kind: "report", Item: g.Item, Number: g.Number, Rejected: true, Why: why}, nil)
+					w.apply(m, configversion.Command{Kind: configversion.KindReport, Item: g.Item, Number: g.Number, Rejected: true, Why: why}, nil)
 				}
 			}
 		})
--- a/sim/configversion/rollouts.go
+++ b/sim/configversion/rollouts.go
@@ -31,14 +31,14 @@
 	item := names[w.r.IntN(items)]
 	last := w.newest(item)
 	if last != nil && last.State != configversion.StateWithdrawn && last.Number > 1 && w.r.IntN(3) == 0 {
-		w.apply(m, configversion.Command{Kind: "withdraw", Item: item, Number: last.Number, Why: "drawn"}, func(r configversion.Result) {
+		w.apply(m, configversion.Command{Kind: configversion.KindWithdraw, Item: item, Number: last.Number, Why: "drawn"}, func(r configversion.Result) {
 			if r.OK {
 				w.res.Withdrawn++
 			}
 		})
 		return
 	}
-	op := configversion.Command{Kind: "propose", Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: configversion.StageAll}
+	op := configversion.Command{Kind: configversion.KindPropose, Item: item, Digest: fmt.Sprintf("%016x%048x", w.r.Uint64(), 1), Size: 1, Stage: configversion.StageAll}
 	if last != nil {
 		op.Number = last.Number
 	}
--- a/sim/configversion/size.go
+++ b/sim/configversion/size.go
@@ -30,7 +30,7 @@
 	words, bytes, entries, began := w.words, w.bytes, w.index, w.now
 	for k := range rollOuts {
 		m := w.members[r.IntN(gateways)]
-		op := configversion.Command{Kind: "propose", Item: names[0], Number: uint64(k + 1), Digest: fmt.Sprintf("%016x%048x", r.Uint64(), 1), Size: 1, Stage: configversion.StageAll}
+		op := configversion.Command{Kind: configversion.KindPropose, Item: names[0], Number: uint64(k + 1), Digest: fmt.Sprintf("%016x%048x", r.Uint64(), 1), Size: 1, Stage: configversion.StageAll}
 		for k := range keepers {
 			w.members[k].content[op.Digest] = true
 		}
