--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -227,7 +227,10 @@
 // hundred.
 func BenchmarkIndex(b *testing.B) {
 	at := func(i int) location { return location{uint64(i>>16) + 1, int64(i&0xffff) * 129, 129} }
-	look := func(b *testing.B, before int64, held any, get func(key []byte) bool, hundredFrom func(key []byte) int) {
+	look := func(
+		b *testing.B, before int64, held any,
+		get func(key []byte) bool, hundredFrom func(key []byte) int,
+	) {
 		bytes := float64(heap()-before) / million
 		r := rand.New(rand.NewPCG(1, 1))
 		b.Run("present", func(b *testing.B) {
--- a/internal/storage/store/commit.go
+++ b/internal/storage/store/commit.go
@@ -10,21 +10,27 @@
 type Durability bool
 
 const (
-	Buffered Durability = false // the system has it: it outlives the process
-	Durable  Durability = true  // the disk has it: it outlives the power
+	// Buffered waits until the operating system has the data, which survives the end of the
+	// process.
+	Buffered Durability = false
+	// Durable waits until the disk has the data, which survives a power failure.
+	Durable Durability = true
 )
 
-// commit is a batch on its way, or a goroutine that wants to lead for a work of its own (batch
-// nil).
+// commit is a batch that is being committed, or a goroutine that waits to become the writer for
+// other work (batch nil).
 type commit struct {
 	batch   *Batch
 	durable bool
 	err     error
-	done    chan bool // true: it is committed or failed; false: its goroutine leads now
+	// done receives true when the batch is committed or failed, and false when its goroutine
+	// becomes the writer.
+	done chan bool
 }
 
-// Commit makes a batch part of the store. Commits of several goroutines at a time share one write
-// and one sync. After an error the batch is not in the store as this process sees it.
+// Commit commits a batch. Concurrent commits share one write and one sync (group commit). After an
+// error the batch is not visible to this process. The error wraps ErrClosed or ErrReadOnly, or is a
+// TooLargeError.
 func (s *Store) Commit(b *Batch, d Durability) error {
 	if b.err != nil {
 		return b.err
@@ -54,10 +60,10 @@
 	return c.err
 }
 
-// Sync has all that was committed on disk.
+// Sync syncs everything committed so far.
 func (s *Store) Sync() error { return s.Commit(&Batch{}, Durable) }
 
-// enqueue waits until a commit is done (true) or its goroutine leads (false).
+// enqueue waits until a commit is done (true), or until its goroutine becomes the writer (false).
 func (s *Store) enqueue(c *commit) bool {
 	s.mu.Lock()
 	if !s.writing {
@@ -70,12 +76,12 @@
 	return <-c.done
 }
 
-// becomeWriter waits for the place of the one that writes.
+// becomeWriter waits until this goroutine is the only writer.
 func (s *Store) becomeWriter() {
 	s.enqueue(&commit{done: make(chan bool, 1)})
 }
 
-// handOverWriter gives that place to the next in the queue.
+// handOverWriter makes the next in the queue the writer.
 func (s *Store) handOverWriter() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,9 +94,9 @@
 	next.done <- false
 }
 
-// waitForFollowers lets goroutines whose commits have just returned come with their next ones:
-// without it they and those that waited meanwhile take turns, with a sync for each half. It yields
-// as long as more come, and not at all where the last group was one.
+// waitForFollowers lets goroutines whose commits have just returned enqueue their next ones.
+// Otherwise they and those that waited meanwhile would alternate, with one sync for each half. It
+// yields as long as the queue grows, and not at all after a group of one.
 func (s *Store) waitForFollowers() {
 	for before := -1; s.lastGroupSize > 1; {
 		s.mu.Lock()
@@ -104,15 +110,16 @@
 	}
 }
 
-// maxGroupBytes is how many bytes of batches share a write, beside the first.
+// maxGroupBytes is the maximum size of batches that share a write, not counting the first.
 const maxGroupBytes = 4 << 20
 
-// takeGroup returns the batches that are written together: the leader's and those that wait in line
-// with no other work between.
+// takeGroup returns the batches that are written together: the writer's, and those that follow in
+// the queue up to the first other work.
 func (s *Store) takeGroup(c *commit) []*commit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	group, bytes := []*commit{c}, c.batch.Bytes()
+	group := []*commit{c}
+	bytes := c.batch.Bytes()
 	n := 0
 	for _, w := range s.queue {
 		if w.batch == nil || bytes+w.batch.Bytes() > maxGroupBytes {
@@ -126,7 +133,7 @@
 	return group
 }
 
-// commitGroup commits a group. Each of it gets its error.
+// commitGroup commits a group and sets the error of each member.
 func (s *Store) commitGroup(group []*commit) {
 	err := s.writable()
 	if err == nil {
@@ -137,6 +144,7 @@
 	}
 }
 
+// writable returns why nothing can be committed, nil if commits are possible.
 func (s *Store) writable() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +157,7 @@
 	return nil
 }
 
-// failPermanently has the store take no commits any more.
+// failPermanently makes the store read-only because of an error and returns it.
 func (s *Store) failPermanently(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,9 +167,12 @@
 	return fmt.Errorf("%w: %w", ErrReadOnly, err)
 }
 
-// appendGroup writes a group to the log and takes it in.
+// appendGroup writes a group to the log and applies it.
 func (s *Store) appendGroup(group []*commit) error {
-	change, buf, seq, durable := s.newChange(), s.buf[:0], s.seq, false
+	change := s.newChange()
+	buf := s.buf[:0]
+	seq := s.seq
+	durable := false
 	for _, c := range group {
 		durable = durable || c.durable
 		if c.batch.count == 0 {
@@ -169,8 +180,8 @@
 		}
 		seq++
 		body := s.end + int64(len(buf)) + batchHeaderBytes
-		buf = append(append(buf, batchHeader(s.active.id, seq, c.batch.count, c.batch.body)...),
-			c.batch.body...)
+		buf = append(buf, batchHeader(s.active.id, seq, c.batch.count, c.batch.body)...)
+		buf = append(buf, c.batch.body...)
 		err := c.batch.each(func(op byte, key []byte, at, size int64) error {
 			return change.add(op, key, location{s.active.id, body + at, uint32(size)})
 		})
@@ -183,7 +194,7 @@
 	}
 	if len(buf) > 0 {
 		if _, err := s.active.f.WriteAt(buf, s.end); err != nil {
-			// Part of it may stand in the file: it must not be found there.
+			// A part of the group may be in the file, where recovery must not find it.
 			if undo := s.active.f.Truncate(s.end); undo != nil {
 				return s.failPermanently(errors.Join(err, undo))
 			}
@@ -201,12 +212,12 @@
 	s.stats.WrittenBytes += int64(len(buf))
 	change.apply(seq)
 	if synced {
-		s.markErr = s.writeMark() // it costs no data: the old mark holds
+		s.markErr = s.writeMark() // no data is lost: the old mark stays valid
 	}
 	return nil
 }
 
-// sync has the log on disk.
+// sync syncs the log and writes the sync mark.
 func (s *Store) sync() error {
 	if s.synced == s.end {
 		return nil
@@ -217,7 +228,7 @@
 	return s.writeMark()
 }
 
-// syncTo has the active segment on disk up to an offset that was written.
+// syncTo syncs the active segment up to an offset that was written.
 func (s *Store) syncTo(end int64) error {
 	if err := s.active.f.Sync(); err != nil {
 		return s.failPermanently(err)
@@ -227,15 +238,15 @@
 	return nil
 }
 
-// change is what a group of batches does to what is held in memory. Nothing is changed before
-// apply.
+// change is the effect of a group of batches on the memory state. Nothing is changed before apply.
 type change struct {
 	store       *Store
 	overlay     *node
 	epoch       uint32
 	overlayKeys int
 	keys        int64
-	live        map[uint64]int64 // bytes by segment
+	// live is the change of live bytes by segment.
+	live map[uint64]int64
 }
 
 func (s *Store) newChange() *change {
@@ -249,7 +260,7 @@
 	}
 }
 
-// add takes in one operation whose record stands at a location.
+// add adds one operation whose record is at a location.
 func (c *change) add(op byte, key []byte, at location) error {
 	to := at
 	if op == opDelete {
@@ -276,7 +287,7 @@
 	return nil
 }
 
-// apply shows the change to readers, as the store after a batch.
+// apply makes the change visible to readers, as the state after a batch.
 func (c *change) apply(seq uint64) {
 	for id, n := range c.live {
 		if g := c.store.files.segment(id); g != nil {
--- a/internal/storage/store/compact.go
+++ b/internal/storage/store/compact.go
@@ -7,29 +7,35 @@
 	"slices"
 )
 
-// mergeJob makes one run of several that follow each other in age.
+// mergeJob merges several runs of adjacent age into one.
 type mergeJob struct {
-	runs   []*run
-	from   *mergeWalker
-	to     *runWriter
-	bottom bool // there is none older: deletions need no entry any more
+	runs []*run
+	from *mergeWalker
+	to   *runWriter
+	// bottom is set if no run is older, so that deletions need no entries.
+	bottom bool
 }
 
-// copyJob copies the live records of a segment to the end of the log, so that it can go.
+// copyJob copies the live records of a segment to the end of the log, so that the segment can be
+// removed.
 type copyJob struct {
-	source   *segment
-	batchAt  int64 // of the next batch
-	recordAt int64 // within it, of the next record; 0: at its head
-	batchEnd int64 // where that batch ends
+	source *segment
+	// batchAt is the offset of the next batch.
+	batchAt int64
+	// recordAt is the offset of the next record within that batch; 0 before its header was read.
+	recordAt int64
+	// batchEnd is where that batch ends.
+	batchEnd int64
 }
 
-// entryCost is what an entry of a merge costs in a step's bytes.
+// entryCost is the cost of an entry in the byte budget of a compaction step.
 const entryCost = 32
 
-// compactInBackground does some of the work that keeps the store small. Its errors leave what was
-// committed as it is; they are kept for Stats and Compact.
+// compactInBackground runs one compaction step as part of a commit. Errors do not affect what was
+// committed. They are reported by Stats and Compact.
 func (s *Store) compactInBackground(budget int) { s.backgroundErr = s.compactWithin(budget) }
 
+// compactWithin runs one step of sealing, merging and copying within a budget of bytes.
 func (s *Store) compactWithin(budget int) error {
 	if err := s.writable(); err != nil {
 		return err
@@ -64,8 +70,8 @@
 	return nil
 }
 
-// Compact does all the work that is due at once, where it would otherwise go along with commits,
-// and gives the space of everything that is not live back. Commits wait for its steps only.
+// Compact runs all compaction that is due, which otherwise happens in steps along with commits, and
+// reclaims the space of all dead records. Commits wait for one step at most.
 func (s *Store) Compact(ctx context.Context) error {
 	for before := uint64(0); ; {
 		s.becomeWriter()
@@ -80,7 +86,8 @@
 	}
 }
 
-// compactStep is one step of Compact, which empties segments before one: those there when it began.
+// compactStep runs one step of Compact, which empties the segments that existed when it began:
+// those before the id in before.
 func (s *Store) compactStep(before *uint64) (more bool, err error) {
 	if err := s.writable(); err != nil {
 		return false, err
@@ -104,7 +111,7 @@
 	return s.merging != nil || s.copying != nil, nil
 }
 
-// seal ends the active segment: its keys go into a run, and a new segment begins.
+// seal ends the active segment: its keys are written to a run, and a new segment begins.
 func (s *Store) seal() error {
 	if err := s.sync(); err != nil {
 		return err
@@ -117,7 +124,8 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("store: %w", err), s.discard(w))
 	}
-	old, oldEnd := s.active, s.end
+	old := s.active
+	oldEnd := s.end
 	if err := s.startSegment(); err != nil {
 		return errors.Join(fmt.Errorf("store: %w", err), s.discard(w))
 	}
@@ -135,12 +143,14 @@
 	if err := s.writeManifest(set, s.active.id, s.seq+1, s.keys); err != nil {
 		return s.failPermanently(err)
 	}
-	s.firstSeq, s.baseKeys, s.overlayKeys = s.seq+1, s.keys, 0
+	s.firstSeq = s.seq + 1
+	s.baseKeys = s.keys
+	s.overlayKeys = 0
 	s.installFiles(set, nil)
 	return s.writeMark()
 }
 
-// writeRun writes all entries of a walker into a run.
+// writeRun writes all entries of a walker to a run.
 func (s *Store) writeRun(w *runWriter, from walker, bottom bool) (*run, error) {
 	for {
 		key, at, ok, err := from.next()
@@ -159,10 +169,12 @@
 	}
 }
 
-// planMerge begins a merge where the newer runs have grown to half of an older one. So there
-// are few runs, and entries that newer ones hide are at most as many as the others.
+// planMerge starts a merge if the newer runs have grown to half the size of an older one. So there
+// are few runs, and at most half of all entries are hidden by newer ones.
 func (s *Store) planMerge() {
-	runs, newer, n := s.files.runs, 0, 0
+	runs := s.files.runs
+	newer := 0 // entries of the runs before one
+	n := 0     // runs to merge
 	for i, r := range runs {
 		if i > 0 && 2*newer >= r.entries {
 			n = i + 1
@@ -174,21 +186,22 @@
 	}
 	j := &mergeJob{runs: runs[:n], bottom: n == len(runs)}
 	var from []walker
-	most := 0
+	maxKeys := 0
 	for _, r := range j.runs {
 		from = append(from, r.from(nil))
-		most += r.entries
+		maxKeys += r.entries
 	}
-	w, err := s.newRunWriter(most)
+	w, err := s.newRunWriter(maxKeys)
 	if err != nil {
 		s.backgroundErr = fmt.Errorf("store: %w", err)
 		return
 	}
-	j.from, j.to = merge(from...), w
+	j.from = merge(from...)
+	j.to = w
 	s.merging = j
 }
 
-// continueMerge goes on with a merge.
+// continueMerge continues a merge within a budget.
 func (s *Store) continueMerge(budget int) error {
 	j := s.merging
 	for ; budget > 0; budget -= entryCost {
@@ -210,6 +223,7 @@
 	return nil
 }
 
+// finishMerge replaces the merged runs by the new one.
 func (s *Store) finishMerge(j *mergeJob) error {
 	r, err := j.to.finish()
 	if err != nil {
@@ -241,7 +255,7 @@
 	return nil
 }
 
-// replaceFiles has the manifest name another set, with the active segment as it began.
+// replaceFiles writes a manifest with another set of files and the same active segment.
 func (s *Store) replaceFiles(set *fileSet) error {
 	if err := s.writeManifest(set, s.active.id, s.firstSeq, s.baseKeys); err != nil {
 		return s.failPermanently(err)
@@ -250,7 +264,7 @@
 	return nil
 }
 
-// abandonMerge gives up a merge that is not finished.
+// abandonMerge gives up an unfinished merge.
 func (s *Store) abandonMerge() {
 	if j := s.merging; j != nil {
 		s.merging = nil
@@ -258,14 +272,14 @@
 	}
 }
 
-// discard takes away a run that is not finished, or not needed.
+// discard removes a run that is unfinished or not needed.
 func (s *Store) discard(w *runWriter) error {
 	return errors.Join(w.f.Close(), s.fs.Remove(w.name))
 }
 
-// planSegmentCopy looks for a segment that should go: one without live records at once, else the
-// one with the smallest share of them once half of the log is dead, or any before one that has dead
-// ones.
+// planSegmentCopy picks a segment to remove: one without live records at once; otherwise the one
+// with the smallest live fraction, once half of the log is dead, or if before is not 0, if it is
+// older than that segment and has dead records.
 func (s *Store) planSegmentCopy(before uint64) error {
 	var worst *segment
 	var live, length int64
@@ -276,12 +290,12 @@
 		if g.live == 0 {
 			return s.removeSegment(g)
 		}
-		live, length = live+g.live, length+g.length
+		live += g.live
+		length += g.length
 		if before != 0 && g.id >= before {
 			continue
 		}
-		if worst == nil ||
-			float64(g.live)/float64(g.length) < float64(worst.live)/float64(worst.length) {
+		if worst == nil || g.liveFraction() < worst.liveFraction() {
 			worst = g
 		}
 	}
@@ -291,55 +305,21 @@
 	case before == 0 && 2*live >= length:
 		return nil
 	case before != 0 && worst.live*10 >= (worst.length-fileHeaderBytes)*9:
-		return nil // what would be won is heads of batches, mostly
+		return nil // mostly headers of batches would be reclaimed
 	}
 	s.copying = &copyJob{source: worst, batchAt: fileHeaderBytes}
 	return nil
 }
 
-// continueSegmentCopy goes on with emptying a segment.
+// errBudgetSpent ends a compaction step between two records.
+var errBudgetSpent = errors.New("store: the step's budget is spent")
+
+// continueSegmentCopy continues to empty a segment within a budget.
 func (s *Store) continueSegmentCopy(budget int) error {
 	j := s.copying
 	var b Batch
-	for budget > 0 && j.batchAt < j.source.length {
-		if j.recordAt == 0 {
-			n, _, _, err := j.source.readBatch(j.batchAt, j.source.length)
-			if err != nil {
-				return err
-			}
-			j.recordAt, j.batchEnd = j.batchAt+batchHeaderBytes, j.batchAt+n
-		}
-		var full = errors.New("full")
-		err := j.source.records(j.recordAt, j.batchEnd, func(r record, key []byte, at int64) error {
-			if budget <= 0 {
-				return full
-			}
-			budget -= entryCost + int(r.keyBytes)
-			j.recordAt = at + r.size()
-			if r.op == opDelete {
-				return nil
-			}
-			now, ok, err := find(s.overlay, s.files, key, &s.block)
-			if err != nil || !ok || now.segment != j.source.id || now.offset != at {
-				return err
-			}
-			rec, _, err := j.source.read(now)
-			if err != nil {
-				return err
-			}
-			budget -= int(r.valueBytes)
-			s.stats.CopiedBytes += r.size()
-			b.body = append(b.body, rec...)
-			b.count++
-			return nil
-		})
-		if err == full {
-			break
-		}
-		if err != nil {
-			return err
-		}
-		j.batchAt, j.recordAt = j.batchEnd, 0
+	if err := s.collectLive(j, &b, budget); err != nil {
+		return err
 	}
 	if b.count > 0 {
 		c := &commit{batch: &b}
@@ -359,9 +339,56 @@
 	return s.removeSegment(j.source)
 }
 
-// removeSegment takes a segment without live records out of the store.
+// collectLive adds the live records of a segment to a batch until the budget is spent.
+func (s *Store) collectLive(j *copyJob, b *Batch, budget int) error {
+	collect := func(r record, key []byte, at int64) error {
+		if budget <= 0 {
+			return errBudgetSpent
+		}
+		budget -= entryCost + int(r.keyBytes)
+		j.recordAt = at + r.size()
+		if r.op == opDelete {
+			return nil
+		}
+		now, ok, err := find(s.overlay, s.files, key, &s.block)
+		if err != nil || !ok || now.segment != j.source.id || now.offset != at {
+			return err
+		}
+		raw, _, err := j.source.read(now)
+		if err != nil {
+			return err
+		}
+		budget -= int(r.valueBytes)
+		s.stats.CopiedBytes += r.size()
+		b.body = append(b.body, raw...)
+		b.count++
+		return nil
+	}
+	for budget > 0 && j.batchAt < j.source.length {
+		if j.recordAt == 0 {
+			n, _, _, err := j.source.readBatch(j.batchAt, j.source.length)
+			if err != nil {
+				return err
+			}
+			j.recordAt = j.batchAt + batchHeaderBytes
+			j.batchEnd = j.batchAt + n
+		}
+		err := j.source.records(j.recordAt, j.batchEnd, collect)
+		if errors.Is(err, errBudgetSpent) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		j.batchAt = j.batchEnd
+		j.recordAt = 0
+	}
+	return nil
+}
+
+// removeSegment removes a segment without live records from the store.
 func (s *Store) removeSegment(g *segment) error {
-	if err := s.sync(); err != nil { // what hides or holds its records now
+	if err := s.sync(); err != nil { // the newer records of its keys
 		return err
 	}
 	rest := slices.DeleteFunc(slices.Clone(s.files.segments), func(other *segment) bool {
--- a/internal/storage/store/doc.go
+++ b/internal/storage/store/doc.go
@@ -1,39 +1,43 @@
-// Package store is a small embedded store: keys and values in a folder, written by
-// one process at a time, that comes back after any crash with all that it promised.
-//
-// # Promise
-//
-//   - After Commit with Durable returned nil, the batch survives any crash of the
-//     process, the system or the power.
-//   - After Commit with Buffered returned nil, the batch survives the end of the
-//     process. Until the next durable commit, Sync or Close a crash of the system may
-//     take it, and then all that was committed after it as well.
-//   - A batch is there whole or not at all, and batches are there in the order of their
-//     commits without a gap.
-//   - Nothing is ever read that was not committed. A commit that returned an error is not
-//     seen by this process; only if the process ends before another commit may the next
-//     one find it, whole or not at all.
-//   - A torn tail, which only a crash amid a write that nobody was promised leaves, is cut and told
-//     in Stats.Cut. Any other damage is an error that names file and offset: at Open
-//     where it concerns the manifest, the heads, the newest segment or an index's directory (all
-//     bytes, with Options.Verify), else at the read that meets it. It is never a silent loss.
-//   - A failed write changes nothing. After a failed sync nothing can be promised any
-//     more: the store takes no commit until it is opened anew, and reads go on.
-//   - A folder of a newer format, or another program's, is refused and left as it is.
-//
-// What was synced is noted beside the log, so that a promised batch that is gone
-// or changed is told from a torn tail. That note is not synced itself: damage on top of a power cut
-// may look like a tail.
+// Package store is a small embedded key-value store in a directory. One process at a time writes
+// it, and after any crash it recovers everything that it has promised.
+//
+// # Guarantees
+//
+//   - After Commit with Durable has returned nil, the batch survives any crash of the process or
+//     the system, and any power failure.
+//   - After Commit with Buffered has returned nil, the batch survives the end of the process. Until
+//     the next durable commit, Sync or Close, a crash of the system may lose it together with
+//     everything committed after it.
+//   - Batches are atomic and ordered: recovery finds a prefix of the committed batches without a
+//     gap.
+//   - Data that was not committed is never read. A commit that returned an error is not visible to
+//     this process. Only if the process ends before another commit may the next one find it,
+//     complete or not at all.
+//   - A torn tail, which only a crash during a write that was not yet promised leaves, is truncated
+//     and reported in Stats.TruncatedBytes. Any other damage is an error that names file and
+//     offset: at Open if it concerns the manifest, the headers, the newest segment or an index's
+//     directory (all bytes, with Options.Verify), and otherwise at the read that meets it. Data is
+//     never lost silently.
+//   - A failed write changes nothing. After a failed sync nothing can be promised any more: the
+//     store becomes read-only until it is opened again.
+//   - A directory of a newer format, or of another program, is rejected and not changed.
+//
+// The end of the synced log is recorded in a separate file, so that promised data that is missing
+// or damaged is not taken for a torn tail. That record is not synced itself: damage in addition to
+// a power failure may look like a torn tail.
 //
 // # Bounds
 //
-// Disk: at most twice the live records and two segments, for the log, once compaction has caught
-// up; it goes along with commits in steps of Options.Step bytes and four times the commit's own.
-// For the index four entries a live key, and as much again while runs are merged. Memory:
-// Options.Overlay entries of some 130 bytes and their key, and less than 3 bytes a key for the rest
-// where keys have up to 32 bytes (a filter of 10 bits a key, and a first key for each 4 KiB of
-// index). A commit holds its batch twice. Descriptors: one a segment and one an index run.
+// Disk: at most twice the live records and two segments for the log once compaction has caught up.
+// Compaction runs along with commits in steps of Options.CompactionStepBytes and four times the
+// commit's own bytes. The index takes four entries a live key, and as much again during merges.
+//
+// Memory: Options.MaxOverlayKeys entries of about 130 bytes and their keys, and less than 3 bytes
+// for each other key if keys have up to 32 bytes: a filter of 10 bits a key, and the first key of
+// each 4 KiB of index. A commit holds its batch twice.
+//
+// File descriptors: one for each segment and each index run.
 //
-// The store starts no goroutine and looks at no clock. Its methods may be called
-// concurrently. docs/store-format.md has the format, docs/store.md why it is so.
+// The store starts no goroutine and reads no clock. Its methods are safe for concurrent use.
+// docs/store-format.md describes the format, docs/store.md the reasons for the design.
 package store
--- a/internal/storage/store/fileset.go
+++ b/internal/storage/store/fileset.go
@@ -22,7 +22,7 @@
 	return set.segments[i]
 }
 
-// load returns the value of the record at a location, which has to be the key's.
+// load returns the value of the record at a location, which must belong to the key.
 func (set *fileSet) load(key []byte, at location) ([]byte, error) {
 	g := set.segment(at.segment)
 	if g == nil {
@@ -40,8 +40,8 @@
 	return b[recordHeaderBytes+int(r.keyBytes):], nil
 }
 
-// releaseFiles releases one reference to a set and closes the files that no set refers to any more.
-// Called with mu held.
+// releaseFiles drops one reference to a set and closes the files that no set refers to any more.
+// The caller holds mu.
 func (s *Store) releaseFiles(set *fileSet) {
 	if set.refs--; set.refs > 0 {
 		return
@@ -54,14 +54,15 @@
 	}
 }
 
+// release drops one reference to the file and closes it with the last one.
 func (f *file) release() {
 	if f.refs--; f.refs == 0 {
-		_ = f.f.Close() // only ever read since it was synced
+		_ = f.f.Close() // the file was only read since it was synced
 	}
 }
 
-// installFiles replaces the current set and overlay.
-func (s *Store) installFiles(set *fileSet, top *node) {
+// installFiles replaces the current set of files and the overlay.
+func (s *Store) installFiles(set *fileSet, overlay *node) {
 	set.refs = 1
 	for _, g := range set.segments {
 		g.refs++
@@ -72,6 +73,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.files
-	s.files, s.overlay = set, top
+	s.files = set
+	s.overlay = overlay
 	s.releaseFiles(old)
 }
--- a/internal/storage/store/filter.go
+++ b/internal/storage/store/filter.go
@@ -1,7 +1,7 @@
 package store
 
-// filter tells which keys an index run surely does not hold: a Bloom filter with 10 bits
-// and 7 probes a key, of which it takes some 0.8% of the absent ones for present.
+// filter is a Bloom filter of the keys of a run, with 10 bits and 7 probes a key. Its rate of false
+// positives is about 0.8%.
 type filter []byte
 
 const (
@@ -11,7 +11,7 @@
 
 func newFilter(keys int) filter { return make(filter, (keys*filterBits+7)/8+1) }
 
-// hash is FNV-1a with a finisher, as the filter in a file must mean the same to every process.
+// hash is FNV-1a with a finisher. It is part of the file format.
 func hash(key []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, c := range key {
@@ -21,7 +21,7 @@
 	return h ^ h>>29
 }
 
-// bit is the place of a probe.
+// bit returns the index of a probe's bit.
 func (f filter) bit(h uint64, probe int) uint64 {
 	return (h>>32 + uint64(probe)*(h&0xffffffff|1)) % (uint64(len(f)) * 8)
 }
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -11,6 +11,7 @@
 
 // The format, byte by byte, is docs/store-format.md's. All numbers are little-endian.
 
+// Sizes are in bytes. docs/store-format.md describes the format. All numbers are little-endian.
 const (
 	formatVersion = 1
 
@@ -32,38 +33,56 @@
 	opDelete = 2
 )
 
-// MaxKey, MaxValue and MaxBatch are the most bytes of each that a store takes.
+// Limits of a batch, in bytes.
 const (
-	MaxKey   = 64 << 10
+	// MaxKey is the maximum length of a key.
+	MaxKey = 64 << 10
+	// MaxValue is the maximum length of a value.
 	MaxValue = 256 << 20
+	// MaxBatch is the maximum size of a batch.
 	MaxBatch = 1 << 30
 )
 
 var (
-	// ErrLocked: another process, or another Store of this one, has the folder open.
+	// ErrLocked is returned if another process, or another Store of this one, has the directory
+	// open.
 	ErrLocked = errors.New("store: in use")
-	// ErrClosed: the Store was closed.
+	// ErrClosed is returned after Close.
 	ErrClosed = errors.New("store: closed")
-	// ErrNotFound: there is no such key.
+	// ErrNotFound is returned for a key that does not exist.
 	ErrNotFound = errors.New("store: no such key")
-	// ErrReadOnly: the store takes no commits; the cause is wrapped beside it.
+	// ErrReadOnly is returned if the store takes no commits. The cause is wrapped beside it.
 	ErrReadOnly = errors.New("store: read-only")
 )
 
-// DamageError tells what can't be read as it was written.
+// TooLargeError is returned by Commit for a batch with a key or value that is too long, or for a
+// batch that is too large. Sizes are in bytes.
+type TooLargeError struct {
+	What  string // key, value or batch
+	Size  int
+	Limit int
+}
+
+// Error returns the size and the limit.
+func (e *TooLargeError) Error() string {
+	return fmt.Sprintf("store: a %s of %d bytes, %d at most", e.What, e.Size, e.Limit)
+}
+
+// DamageError reports data that can't be read as it was written.
 type DamageError struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
+// Error returns file, offset and reason.
 func (e *DamageError) Error() string {
 	return fmt.Sprintf("store: %s: offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// updateChecksum goes on with a checksum.
+// updateChecksum adds data to a checksum.
 func updateChecksum(crc uint32, part []byte) uint32 { return crc32.Update(crc, castagnoli, part) }
 
 func checksum(parts ...[]byte) (crc uint32) {
@@ -78,7 +97,7 @@
 func segmentName(id uint64) string { return fmt.Sprintf("%016x.log", id) }
 func runName(id uint64) string     { return fmt.Sprintf("%016x.idx", id) }
 
-// isStoreFile reports whether a store could have made a file of that name.
+// isStoreFile reports whether a file of that name may have been created by a store.
 func isStoreFile(name string) bool {
 	var id uint64
 	var ext string
@@ -87,7 +106,7 @@
 		name == manifestNew || name == markName
 }
 
-// encodeHeader is the beginning of a file.
+// encodeHeader returns the header of a file.
 func encodeHeader(kind byte, store, file uint64) []byte {
 	b := append(make([]byte, 0, fileHeaderBytes), "mcstore"...)
 	b = append(b, kind)
@@ -97,7 +116,7 @@
 	return littleEndian.AppendUint32(b, checksum(b))
 }
 
-// readHeader reads the beginning of a file; store 0 takes any store's.
+// readHeader reads the header of a file and returns the id of its store. Store 0 accepts any store.
 func readHeader(f File, name string, kind byte, store, file uint64) (uint64, error) {
 	b := make([]byte, fileHeaderBytes)
 	if _, err := f.ReadAt(b, 0); err != nil {
@@ -123,7 +142,7 @@
 	return littleEndian.Uint64(b[12:]), nil
 }
 
-// readError takes the end of a file for damage; any other error stays one of reading.
+// readError turns the end of a file into a DamageError, and wraps any other error.
 func readError(err error, name string, at int64, reason string) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return &DamageError{name, at, reason}
@@ -131,14 +150,14 @@
 	return fmt.Errorf("store: %s: offset %d: %w", name, at, err)
 }
 
-// appendBlock puts length and checksum before a block.
+// appendBlock appends a block with its length and checksum.
 func appendBlock(dst, block []byte) []byte {
 	dst = littleEndian.AppendUint32(dst, uint32(len(block)))
 	dst = littleEndian.AppendUint32(dst, checksum(dst[len(dst)-4:], block))
 	return append(dst, block...)
 }
 
-// readBlock reads a block that ends by limit.
+// readBlock reads a block that must end by limit.
 func readBlock(f io.ReaderAt, name string, at, limit int64) ([]byte, error) {
 	var pre [blockHeaderBytes]byte
 	if at+blockHeaderBytes > limit {
@@ -158,7 +177,7 @@
 	return verifyBlock(name, at, b)
 }
 
-// verifyBlock checks a block that was read whole and gives its content.
+// verifyBlock checks a block that was read completely and returns its content.
 func verifyBlock(name string, at int64, b []byte) ([]byte, error) {
 	content := b[blockHeaderBytes:]
 	if littleEndian.Uint32(b) != uint32(len(content)) ||
@@ -168,16 +187,17 @@
 	return content, nil
 }
 
-// location is where the record of a key stands.
+// location is where the record of a key is.
 type location struct {
 	segment uint64
 	offset  int64
-	size    uint32 // 0: the key is deleted
+	// size is 0 if the key is deleted.
+	size uint32
 }
 
 func (l location) deleted() bool { return l.size == 0 }
 
-// appendRecord adds one operation as it stands in the log.
+// appendRecord appends one operation in the format of the log.
 func appendRecord(dst []byte, op byte, key, value []byte) []byte {
 	at := len(dst)
 	dst = append(dst, 0, 0, 0, 0, op)
@@ -188,23 +208,26 @@
 	return dst
 }
 
-// record is the head of one operation.
+// record is the header of one operation.
 type record struct {
-	checksum             uint32
-	op                   byte
-	keyBytes, valueBytes uint32 // lengths
+	checksum uint32
+	op       byte
+	// keyBytes and valueBytes are lengths.
+	keyBytes, valueBytes uint32
 }
 
+// parseRecord reads the header of a record; ok is false if it is invalid.
 func parseRecord(b []byte) (r record, ok bool) {
 	r = record{littleEndian.Uint32(b), b[4], littleEndian.Uint32(b[5:]), littleEndian.Uint32(b[9:])}
 	return r, (r.op == opPut || r.op == opDelete && r.valueBytes == 0) && r.keyBytes <= MaxKey &&
 		r.valueBytes <= MaxValue
 }
 
+// size returns the length of the complete record.
 func (r record) size() int64 { return recordHeaderBytes + int64(r.keyBytes) + int64(r.valueBytes) }
 
-// batchHeader returns the head of a batch; the segment is in its checksum, so that a
-// batch of another segment is not taken for one of this.
+// batchHeader returns the header of a batch. Its checksum covers the segment, so that a batch of
+// another segment is not accepted.
 func batchHeader(segment, seq uint64, count uint32, body []byte) []byte {
 	b := make([]byte, 0, batchHeaderBytes)
 	b = littleEndian.AppendUint32(b, uint32(len(body)))
@@ -218,20 +241,26 @@
 	return checksum(littleEndian.AppendUint64(nil, segment), b[:20])
 }
 
-// manifest names what is live.
+// manifest names the files in use.
 type manifest struct {
-	store    uint64
-	next     uint64 // id of the next file
-	active   uint64 // segment that is appended to
-	seq      uint64 // of its first batch
-	keys     uint64 // live ones before it
+	store uint64
+	// next is the id of the next file.
+	next uint64
+	// active is the segment that is appended to.
+	active uint64
+	// seq is the number of the active segment's first batch.
+	seq uint64
+	// keys is the number of live keys before that batch.
+	keys     uint64
 	segments []sealedSegment
-	runs     []sealedRun // the newest first
+	// runs has the newest first.
+	runs []sealedRun
 }
 
 type sealedSegment struct {
-	id           uint64
-	length, live int64 // bytes; live before the active segment's first batch
+	id uint64
+	// length and live are in bytes. live is as it was before the active segment's first batch.
+	length, live int64
 }
 
 type sealedRun struct {
@@ -293,14 +322,15 @@
 	return m, nil
 }
 
-// syncMark is how far the log was synced when it was written.
+// syncMark records how far the log was synced.
 type syncMark struct {
 	segment uint64
 	end     int64
-	seq     uint64 // of the last batch before the end
+	// seq is the number of the last batch before end.
+	seq uint64
 }
 
-// The mark's file holds two slots that are written in turn, each in a sector of its own.
+// The mark's file holds two slots that are written alternately, each in a sector of its own.
 const (
 	markSlotBytes = 512
 	markBytes     = 28
@@ -313,7 +343,7 @@
 	return littleEndian.AppendUint32(b, checksum(littleEndian.AppendUint64(nil, store), b))
 }
 
-// readMark returns the later slot that can be read; without one ok is false.
+// readMark returns the later readable slot. ok is false if there is none.
 func readMark(f File, store uint64) (m syncMark, ok bool) {
 	if _, err := readHeader(f, markName, kindMark, store, 0); err != nil {
 		return m, false
@@ -326,8 +356,11 @@
 		s := syncMark{
 			littleEndian.Uint64(b), int64(littleEndian.Uint64(b[8:])), littleEndian.Uint64(b[16:]),
 		}
-		if bytes.Equal(b, s.encode(store)) && (!ok || s.seq >= m.seq && s.segment >= m.segment) {
-			m, ok = s, true
+		valid := bytes.Equal(b, s.encode(store))
+		later := s.seq >= m.seq && s.segment >= m.segment
+		if valid && (!ok || later) {
+			m = s
+			ok = true
 		}
 	}
 	return m, ok
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/fs.go
@@ -9,18 +9,23 @@
 	"syscall"
 )
 
-// FS is the folder that a store lives in, as wide as the store needs. DirFS gives the
-// real one.
+// FS is the directory of a store, with the operations that the store needs. DirFS returns one of
+// the operating system.
 type FS interface {
-	// for reading and writing; an old file is emptied
+	// Create opens a file for reading and writing and truncates an old one.
 	Create(name string) (File, error)
-	Open(name string, write bool) (File, error) // fs.ErrNotExist if there is none
-	Rename(from, to string) error               // replaces what is there
-	Remove(name string) error                   // its open files stay readable
-	List() ([]string, error)                    // names of all files
-	// of the folder: what was created, renamed and removed
+	// Open returns fs.ErrNotExist if there is no such file.
+	Open(name string, write bool) (File, error)
+	// Rename replaces an existing file.
+	Rename(from, to string) error
+	// Remove deletes a file. Open files stay readable.
+	Remove(name string) error
+	// List returns the names of all files.
+	List() ([]string, error)
+	// Sync syncs the directory: files created, renamed and removed.
 	Sync() error
-	Lock(shared bool) (unlock func() error, err error) // ErrLocked if another has it
+	// Lock returns ErrLocked if another process holds the lock.
+	Lock(shared bool) (unlock func() error, err error)
 }
 
 // File is one open file.
@@ -35,8 +40,8 @@
 
 type dirFS struct{ dir string }
 
-// DirFS is the folder at a path. It is made, with its name synced, if it is not there and create
-// is set; the folder above must exist.
+// DirFS returns the directory at a path. If create is set, a missing directory is created and its
+// name synced. Its parent must exist.
 func DirFS(dir string, create bool) (FS, error) {
 	if create {
 		if err := os.Mkdir(dir, 0o700); err == nil {
@@ -90,7 +95,7 @@
 	return names, err
 }
 
-// Lock takes a lock on the folder itself. The system gives it back when the process ends.
+// Lock locks the directory itself. The operating system releases the lock when the process ends.
 func (d dirFS) Lock(shared bool) (func() error, error) {
 	f, err := os.Open(d.dir)
 	if err != nil {
--- a/internal/storage/store/manifest.go
+++ b/internal/storage/store/manifest.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// writeManifest replaces the manifest by one that names a set of files. After an error it is not
-// known which of the two a crash would leave.
+// writeManifest replaces the manifest by one with another set of files. After an error it is
+// unknown which of the two would survive a crash.
 func (s *Store) writeManifest(set *fileSet, active, seq, keys uint64) error {
 	m := &manifest{store: s.id, next: s.nextFileID, active: active, seq: seq, keys: keys}
 	for _, g := range set.segments {
@@ -33,7 +33,7 @@
 	return s.fs.Sync()
 }
 
-// createMarkFile creates the mark's file anew, since an old one may be damaged.
+// createMarkFile creates the mark's file, as an existing one may be damaged.
 func (s *Store) createMarkFile() error {
 	f, err := s.fs.Create(markName)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return s.writeMark()
 }
 
-// writeMark writes down how far the log is on disk. The mark is not synced: after a power cut an
-// older one is valid too.
+// writeMark records how far the log is synced. The mark itself is not synced: after a power failure
+// an older one is valid too.
 func (s *Store) writeMark() error {
 	s.markSlot = 3 - max(s.markSlot, 1)
 	m := syncMark{s.active.id, s.synced, s.seq}
--- a/internal/storage/store/overlay.go
+++ b/internal/storage/store/overlay.go
@@ -2,26 +2,27 @@
 
 import "hash/maphash"
 
-// node is a persistent treap: the keys written since the index last took them in,
-// in order. A change copies the path to it, so a root, once given out, stays as it is
-// and readers need no lock. Priorities are hashes with a seed of the process: no
-// choice of keys unbalances it.
+// node is a node of a persistent treap that holds the keys written since the last sealing. A change
+// copies the path to its key, so that a root never changes once it was published and readers need
+// no lock. Priorities are seeded hashes, so that no choice of keys unbalances the treap.
 type node struct {
-	key         string
-	at          location
-	priority    uint32
-	epoch       uint32 // of the change that made it
+	key      string
+	at       location
+	priority uint32
+	// epoch is the change that created the node.
+	epoch       uint32
 	left, right *node
 }
 
-// nodeBytes is what an entry takes beside its key, with what the paths last copied hold.
+// nodeBytes is the approximate memory of an entry besides its key, with what recently copied paths
+// hold.
 const nodeBytes = 128
 
 var seed = maphash.MakeSeed()
 
 func priority(key string) uint32 { return uint32(maphash.String(seed, key)) }
 
-// get finds a key.
+// get returns the location of a key.
 func (n *node) get(key string) (location, bool) {
 	for n != nil {
 		switch {
@@ -36,9 +37,9 @@
 	return location{}, false
 }
 
-// with returns a treap in which the key stands at a location, and where it stood before. Nodes of the
-// same epoch were made by the same change and are nobody else's yet: they are turned in place, all
-// others copied.
+// with returns a treap with a key at a location, and the key's old location. Nodes of the same
+// epoch were created by the same change and are not shared yet: they are modified in place, all
+// others are copied.
 func (n *node) with(
 	key string, at location, priority, epoch uint32,
 ) (root *node, old location, had bool) {
@@ -64,15 +65,17 @@
 			return r, old, had
 		}
 	default:
-		old, had, n.at = n.at, true, at
+		old = n.at
+		had = true
+		n.at = at
 	}
 	return n, old, had
 }
 
-// treapWalker goes through a treap in order.
+// treapWalker iterates over a treap in order.
 type treapWalker struct{ path []*node }
 
-// from begins at the first key that is not before one.
+// from starts at the first key that is not before key.
 func (n *node) from(key string) *treapWalker {
 	w := &treapWalker{}
 	for n != nil {
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -7,8 +7,8 @@
 	"io/fs"
 )
 
-// create creates a store where there is none. A creation that a crash interrupted is begun anew,
-// since nobody was promised anything of it.
+// create creates a store. A creation that was interrupted by a crash is started again, as nothing
+// was promised yet.
 func (s *Store) create(names []string) error {
 	if s.options.ReadOnly {
 		return fmt.Errorf("store: %w: no manifest", fs.ErrNotExist)
@@ -36,7 +36,9 @@
 	}
 	var id [8]byte
 	rand.Read(id[:])
-	s.id, s.nextFileID, s.firstSeq = littleEndian.Uint64(id[:])|1, 1, 1
+	s.id = littleEndian.Uint64(id[:]) | 1 // never 0
+	s.nextFileID = 1
+	s.firstSeq = 1
 	if err := s.startSegment(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -65,7 +67,8 @@
 		return errors.Join(err, f.Close(), s.fs.Remove(segmentName(id)))
 	}
 	s.active = &segment{file: file{f: f, name: segmentName(id)}, id: id}
-	s.end, s.synced = fileHeaderBytes, fileHeaderBytes
+	s.end = fileHeaderBytes
+	s.synced = fileHeaderBytes
 	return nil
 }
 
@@ -77,7 +80,11 @@
 
 // recover opens the files that the manifest names and replays the active segment.
 func (s *Store) recover(m *manifest) error {
-	s.id, s.nextFileID, s.firstSeq, s.keys, s.baseKeys = m.store, m.next, m.seq, m.keys, m.keys
+	s.id = m.store
+	s.nextFileID = m.next
+	s.firstSeq = m.seq
+	s.keys = m.keys
+	s.baseKeys = m.keys
 	for _, of := range m.segments {
 		f, err := s.openNamed(segmentName(of.id), false)
 		if err != nil {
@@ -115,7 +122,7 @@
 	return s.replay()
 }
 
-// openNamed opens a file that the manifest names. A missing one is damage.
+// openNamed opens a file that the manifest names. A missing file is damage.
 func (s *Store) openNamed(name string, write bool) (File, error) {
 	f, err := s.fs.Open(name, write)
 	switch {
@@ -127,13 +134,14 @@
 	return f, nil
 }
 
-// replay applies the batches of the active segment, up to its torn tail if it has one.
+// replay applies the batches of the active segment, up to its torn tail if there is one.
 func (s *Store) replay() error {
 	size, err := s.active.f.Size()
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	s.seq, s.end = s.firstSeq-1, fileHeaderBytes
+	s.seq = s.firstSeq - 1
+	s.end = fileHeaderBytes
 	var tail *DamageError
 	for s.end < size && tail == nil {
 		if tail, err = s.replayBatch(size); err != nil {
@@ -148,7 +156,7 @@
 }
 
 // replayBatch applies the batch at the end of what was replayed. tail is not nil if the batch can't
-// be read: the log is torn or damaged from there on.
+// be read, so that the log is torn or damaged from there on.
 func (s *Store) replayBatch(size int64) (tail *DamageError, err error) {
 	n, count, seq, err := s.active.readBatch(s.end, size)
 	if errors.As(err, &tail) {
@@ -162,10 +170,11 @@
 		return &DamageError{s.active.name, s.end, what}, nil
 	}
 	change := s.newChange()
-	err = s.active.records(s.end+batchHeaderBytes, s.end+n, func(r record, key []byte, at int64) error {
+	add := func(r record, key []byte, at int64) error {
 		count--
 		return change.add(r.op, key, location{s.active.id, at, uint32(r.size())})
-	})
+	}
+	err = s.active.records(s.end+batchHeaderBytes, s.end+n, add)
 	if err != nil {
 		return nil, err
 	}
@@ -177,9 +186,8 @@
 	return nil, nil
 }
 
-// checkMark holds the mark, which says how far the log was on disk, against what was replayed. tail
-// is why the replay ended, nil if it read the whole segment. A mark that can't be opened or read is
-// passed over.
+// checkMark compares the sync mark with what was replayed. tail is why the replay ended, nil if it
+// has read the whole segment. A mark that can't be read is ignored.
 func (s *Store) checkMark(tail *DamageError) error {
 	f, err := s.fs.Open(markName, false)
 	if err != nil {
@@ -205,15 +213,15 @@
 	return fmt.Errorf("%w; bytes up to %d, batch %d, were promised", tail, m.end, m.seq)
 }
 
-// prepareWriting makes a recovered store ready for commits: it cuts off the torn tail and removes
-// unfinished files. names are all files of the folder.
+// prepareWriting makes a recovered store ready for commits: it truncates the torn tail and removes
+// unfinished files. names are all files of the directory.
 func (s *Store) prepareWriting(names []string) error {
 	if s.stats.TruncatedBytes > 0 {
 		if err := s.active.f.Truncate(s.end); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
 	}
-	// What was read may not have been on disk yet: what is committed after it must not outlive it.
+	// What was read may not be on disk yet, and later commits must not survive it.
 	if err := s.active.f.Sync(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
--- /dev/null
+++ b/internal/storage/store/repair.go
@@ -0,0 +1,74 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+)
+
+// Report says what Repair recovered and what was lost.
+type Report struct {
+	// RecoveredKeys is the number of keys in the new store.
+	RecoveredKeys int
+	// DamagedDir is where the damaged store's directory is now.
+	DamagedDir string
+	// Lost has one line for each part that was lost.
+	Lost []string
+}
+
+// Repair replaces a damaged store by a new one with what can be read of it. The damaged directory
+// is kept beside it under another name. A key is recovered only if its value is certainly the
+// newest: whatever a damaged part of the index or the log may have changed is given up and
+// reported. That can't be determined if the manifest itself is damaged. Then Repair fails unless
+// fromLogs is set, which recovers every readable batch, so that deleted keys may reappear.
+func Repair(dir string, fromLogs bool) (rep Report, err error) {
+	dir = filepath.Clean(dir)
+	folder, err := DirFS(dir, false)
+	if err != nil {
+		return rep, fmt.Errorf("store: %w", err)
+	}
+	unlock, err := folder.Lock(false)
+	if err != nil {
+		return rep, fmt.Errorf("store: %w", err)
+	}
+	defer func() { err = errors.Join(err, unlock()) }()
+	repaired := dir + ".repaired"
+	if err := os.RemoveAll(repaired); err != nil {
+		return rep, fmt.Errorf("store: %w", err)
+	}
+	to, err := Open(repaired, Options{})
+	if err != nil {
+		return rep, err
+	}
+	old := &salvage{fs: folder, to: to, report: &rep}
+	if fromLogs {
+		err = old.recoverByLogs()
+	} else {
+		err = old.recoverByManifest()
+	}
+	rep.RecoveredKeys = int(to.Stats().Keys)
+	if err := errors.Join(err, to.Close()); err != nil {
+		return rep, errors.Join(err, os.RemoveAll(repaired))
+	}
+	rep.DamagedDir = unusedName(dir + ".damaged")
+	if err := os.Rename(dir, rep.DamagedDir); err != nil {
+		return rep, fmt.Errorf("store: %w", err)
+	}
+	if err := os.Rename(repaired, dir); err != nil {
+		return rep, fmt.Errorf("store: %w", err)
+	}
+	return rep, syncDir(filepath.Dir(dir))
+}
+
+// unusedName returns a path, or with a number appended if something exists there.
+func unusedName(path string) string {
+	name := path
+	for n := 2; ; n++ {
+		if _, err := os.Lstat(name); errors.Is(err, fs.ErrNotExist) {
+			return name
+		}
+		name = fmt.Sprintf("%s.%d", path, n)
+	}
+}
--- a/internal/storage/store/run.go
+++ b/internal/storage/store/run.go
@@ -3,20 +3,24 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"math"
 	"sort"
 )
 
-// run is one sealed index: entries in order of their keys, in blocks of some 4 KiB. Memory
-// holds the first key of each block and the filter alone.
+// run is one sealed index: entries sorted by key, in blocks of about 4 KiB. Memory holds the first
+// key of each block, and the filter.
 type run struct {
 	file
-	id           uint64
-	length       int64
-	entries      int
-	tombstones   int
-	blocksEnd    int64    // of the blocks
-	directory    []byte   // as they stand in the file
-	fenceOffsets []uint32 // where each begins there
+	id         uint64
+	length     int64
+	entries    int
+	tombstones int
+	// blocksEnd is the offset where the blocks end.
+	blocksEnd int64
+	// directory has the offset and the first key of each block, as in the file.
+	directory []byte
+	// fenceOffsets are the offsets of the entries in directory.
+	fenceOffsets []uint32
 	filter       filter
 }
 
@@ -25,12 +29,13 @@
 	footerBytes      = 48
 )
 
-// runWriter writes a run. Its keys must come in order.
+// runWriter writes a run. Keys must be added in order.
 type runWriter struct {
-	f          File
-	name       string
-	id         uint64
-	at         int64 // where buf goes
+	f    File
+	name string
+	id   uint64
+	// at is the offset at which buf will be written.
+	at         int64
 	buf        []byte
 	block      []byte
 	directory  []byte
@@ -39,12 +44,12 @@
 	tombstones int
 }
 
-func (s *Store) newRunWriter(most int) (*runWriter, error) {
+func (s *Store) newRunWriter(maxKeys int) (*runWriter, error) {
 	id := s.allocateFileID()
 	w := &runWriter{
 		name:   runName(id),
 		id:     id,
-		filter: newFilter(most),
+		filter: newFilter(maxKeys),
 		buf:    encodeHeader(kindRun, s.id, id),
 	}
 	var err error
@@ -94,7 +99,7 @@
 	return err
 }
 
-// finish writes the directory and has the run on disk.
+// finish writes the directory and the filter and syncs the run.
 func (w *runWriter) finish() (*run, error) {
 	if err := w.endBlock(); err != nil {
 		return nil, err
@@ -125,7 +130,7 @@
 	return r, r.indexFences()
 }
 
-// openRun reads a run's directory.
+// openRun reads a run's directory and filter.
 func openRun(f File, store uint64, m sealedRun) (*run, error) {
 	name := runName(m.id)
 	size, err := f.Size()
@@ -171,7 +176,7 @@
 	return r, r.indexFences()
 }
 
-// indexFences finds where each fence begins.
+// indexFences finds the entries of the directory.
 func (r *run) indexFences() error {
 	for at := 0; at < len(r.directory); {
 		r.fenceOffsets = append(r.fenceOffsets, uint32(at))
@@ -184,7 +189,8 @@
 	return nil
 }
 
-// fenceAt reads the fence at a place: its block's offset, its key, its length.
+// fenceAt reads the entry of the directory at an offset: its block's offset, its key and its
+// length.
 func (r *run) fenceAt(at int) (offset int64, key []byte, n int) {
 	b := r.directory[at:]
 	o, k := binary.Uvarint(b)
@@ -198,7 +204,8 @@
 	return int64(o), b[k+l : k+l+int(size)], k + l + int(size)
 }
 
-// blockFor is the number of the block that would hold a key, -1 if it is before all.
+// blockFor returns the number of the block that would hold a key, -1 if the key is before all
+// blocks.
 func (r *run) blockFor(key []byte) int {
 	return sort.Search(len(r.fenceOffsets), func(i int) bool {
 		_, first, _ := r.fenceAt(int(r.fenceOffsets[i]))
@@ -206,7 +213,7 @@
 	}) - 1
 }
 
-// block reads a block into buf, in one read: it ends where the next begins.
+// block reads a block into buf in one read, as it ends where the next one begins.
 func (r *run) block(i int, buf *[]byte) ([]byte, error) {
 	offset, _, _ := r.fenceAt(int(r.fenceOffsets[i]))
 	end := r.blocksEnd
@@ -227,29 +234,37 @@
 	return verifyBlock(r.name, offset, b)
 }
 
-// entry reads the first entry of what is left of a block.
+// entry reads the first entry of the rest of a block.
 func (r *run) entry(b []byte) (key []byte, at location, rest []byte, err error) {
-	n, k := binary.Uvarint(b)
-	if k > 0 && n <= uint64(len(b)-k) {
-		key, b = b[k:k+int(n)], b[k+int(n):]
-		size, l := binary.Uvarint(b)
-		if l > 0 && size == 0 {
-			return key, at, b[l:], nil
-		}
-		if l > 0 && size <= 1<<32-1 {
-			b = b[l:]
-			if segment, l := binary.Uvarint(b); l > 0 {
-				b = b[l:]
-				if offset, l := binary.Uvarint(b); l > 0 {
-					return key, location{segment, int64(offset), uint32(size)}, b[l:], nil
-				}
-			}
-		}
-	}
-	return nil, at, nil, &DamageError{r.name, 0, "an entry can't be read"}
+	keyBytes, n := binary.Uvarint(b)
+	if n <= 0 || keyBytes > uint64(len(b)-n) {
+		return nil, at, nil, r.entryDamage()
+	}
+	b = b[n:]
+	key, b = b[:keyBytes], b[keyBytes:]
+	size, n := binary.Uvarint(b)
+	if n <= 0 || size > math.MaxUint32 {
+		return nil, at, nil, r.entryDamage()
+	}
+	b = b[n:]
+	if size == 0 {
+		return key, at, b, nil
+	}
+	segment, n := binary.Uvarint(b)
+	if n <= 0 {
+		return nil, at, nil, r.entryDamage()
+	}
+	b = b[n:]
+	offset, n := binary.Uvarint(b)
+	if n <= 0 {
+		return nil, at, nil, r.entryDamage()
+	}
+	return key, location{segment, int64(offset), uint32(size)}, b[n:], nil
 }
 
-// get finds a key; h is its hash.
+func (r *run) entryDamage() error { return &DamageError{r.name, 0, "an entry can't be read"} }
+
+// get returns the location of a key; h is the key's hash.
 func (r *run) get(key []byte, h uint64, buf *[]byte) (location, bool, error) {
 	if !r.filter.has(h) {
 		return location{}, false, nil
@@ -278,13 +293,14 @@
 	return location{}, false, nil
 }
 
-// runWalker goes through a run in order. Keys are of use until the next call.
+// runWalker iterates over a run in order. Keys are valid until the next call.
 type runWalker struct {
 	r     *run
 	block int
 	buf   []byte
 	rest  []byte
-	first []byte // what is before it is passed over
+	// first is the first key to return.
+	first []byte
 }
 
 func (r *run) from(key []byte) *runWalker {
@@ -312,26 +328,28 @@
 	}
 }
 
-// walker goes through entries in order of their keys.
+// walker iterates over entries sorted by key.
 type walker interface {
 	next() (key []byte, at location, ok bool, err error)
 }
 
-// mergeWalker goes through several walkers at once; where some have the same key the first one
-// counts.
+// mergeWalker merges several walkers. Of entries with the same key it returns the one of the first
+// walker.
 type mergeWalker struct {
 	from  []walker
 	heads []mergeHead
-	key   []byte // the last one given out
-	// source is the number of the walker that the last one came from
+	// key is the last key returned.
+	key []byte
+	// source is the number of the walker that the last entry came from.
 	source int
 }
 
 type mergeHead struct {
-	key  []byte
-	at   location
-	ok   bool
-	read bool // the next entry is wanted
+	key []byte
+	at  location
+	ok  bool
+	// read is set if the next entry must be read.
+	read bool
 }
 
 func merge(from ...walker) *mergeWalker {
@@ -343,7 +361,7 @@
 }
 
 func (m *mergeWalker) next() (key []byte, at location, ok bool, err error) {
-	least := -1
+	first := -1 // the walker with the smallest key
 	for i := range m.heads {
 		h := &m.heads[i]
 		if h.read {
@@ -352,17 +370,18 @@
 			}
 			h.read = false
 		}
-		if h.ok && (least < 0 || bytes.Compare(h.key, m.heads[least].key) < 0) {
-			least = i
+		if h.ok && (first < 0 || bytes.Compare(h.key, m.heads[first].key) < 0) {
+			first = i
 		}
 	}
-	if least < 0 {
+	if first < 0 {
 		return nil, at, false, nil
 	}
-	// The key lives in its walker's block: kept until that one moves on.
-	m.key = append(m.key[:0], m.heads[least].key...)
-	at, m.source = m.heads[least].at, least
-	for i := least; i < len(m.heads); i++ {
+	// The key is in its walker's block, which that walker may overwrite with its next entry.
+	m.key = append(m.key[:0], m.heads[first].key...)
+	m.source = first
+	at = m.heads[first].at
+	for i := first; i < len(m.heads); i++ {
 		if h := &m.heads[i]; h.ok && bytes.Equal(h.key, m.key) {
 			h.read = true
 		}
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -16,10 +16,13 @@
 // segment is a file of the log.
 type segment struct {
 	file
-	id         uint64
-	length     int64 // of a sealed one; the active one grows
-	live       int64 // bytes of records that are the newest of their keys
-	liveAtSeal int64 // live when the active segment began: what the manifest says
+	id uint64
+	// length is the length of a sealed segment.
+	length int64
+	// live is the number of bytes of records that are the newest of their keys.
+	live int64
+	// liveAtSeal is live when the active segment began, as in the manifest.
+	liveAtSeal int64
 }
 
 func openSegment(f File, store uint64, m sealedSegment) (*segment, error) {
@@ -43,7 +46,16 @@
 	return s, err
 }
 
-// readBatch checks the batch at an offset and gives its head; the records are not looked at.
+// liveFraction returns which part of a sealed segment is live.
+func (s *segment) liveFraction() float64 { return float64(s.live) / float64(s.length) }
+
+const (
+	checksumChunkBytes = 256 << 10 // read at once to check a batch
+	readBufferBytes    = 64 << 10
+)
+
+// readBatch checks the batch at an offset and returns the fields of its header. It does not parse
+// the records.
 func (s *segment) readBatch(at, end int64) (size int64, count uint32, seq uint64, err error) {
 	b := make([]byte, batchHeaderBytes)
 	if at+batchHeaderBytes > end {
@@ -59,7 +71,8 @@
 	if at+batchHeaderBytes+body > end {
 		return 0, 0, 0, &DamageError{s.name, at, "ends within a batch"}
 	}
-	crc, chunk := uint32(0), make([]byte, min(body, 256<<10))
+	crc := uint32(0)
+	chunk := make([]byte, min(body, checksumChunkBytes))
 	for from := at + batchHeaderBytes; from < at+batchHeaderBytes+body; {
 		part := chunk[:min(int64(len(chunk)), at+batchHeaderBytes+body-from)]
 		if _, err := s.f.ReadAt(part, from); err != nil {
@@ -74,16 +87,16 @@
 	return batchHeaderBytes + body, littleEndian.Uint32(b[4:]), littleEndian.Uint64(b[8:]), nil
 }
 
-// records goes through the records between two offsets that hold whole ones; the key is of use
-// until do returns.
+// records calls do for each record between two offsets. The key is valid until do returns.
 func (s *segment) records(from, to int64, do func(r record, key []byte, at int64) error) error {
-	in := bufio.NewReaderSize(io.NewSectionReader(s.f, from, to-from), 64<<10)
-	pre, key := make([]byte, recordHeaderBytes), []byte(nil)
+	in := bufio.NewReaderSize(io.NewSectionReader(s.f, from, to-from), readBufferBytes)
+	header := make([]byte, recordHeaderBytes)
+	var key []byte
 	for at := from; at < to; {
-		if _, err := io.ReadFull(in, pre); err != nil {
+		if _, err := io.ReadFull(in, header); err != nil {
 			return readError(err, s.name, at, "ends within a record")
 		}
-		r, ok := parseRecord(pre)
+		r, ok := parseRecord(header)
 		if !ok || at+r.size() > to {
 			return &DamageError{s.name, at, "a record can't be read"}
 		}
@@ -105,7 +118,7 @@
 	return nil
 }
 
-// read returns a record whole and checked.
+// read returns a complete record after checking it.
 func (s *segment) read(at location) (b []byte, r record, err error) {
 	b = make([]byte, at.size)
 	if _, err := s.f.ReadAt(b, at.offset); err != nil {
--- a/internal/storage/store/snapshot.go
+++ b/internal/storage/store/snapshot.go
@@ -16,8 +16,8 @@
 	return view.Get(key)
 }
 
-// Snapshot is the store as it was at one time. It may be read concurrently, also with commits. The
-// files that it reads stay on disk until it is closed.
+// Snapshot is the store at one point in time. It is safe for concurrent use, also with commits. Its
+// files stay on disk until it is closed.
 type Snapshot struct {
 	store   *Store
 	seq     uint64
@@ -26,7 +26,8 @@
 	once    sync.Once
 }
 
-// Snapshot returns the store as it is now, with all commits that have returned. Close it after use.
+// Snapshot returns the current state, with all commits that have returned. The caller must close
+// it.
 func (s *Store) Snapshot() (*Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,7 @@
 // Item is a key with its value. The receiver owns both.
 type Item struct{ Key, Value []byte }
 
-// Range iterates over the keys in [from, to) in byte order; a nil to means to the end. It stops
+// Range iterates over the keys in [from, to) in byte order. A nil to means no upper bound. It stops
 // after the first error.
 func (v *Snapshot) Range(from, to []byte) iter.Seq2[Item, error] {
 	return func(yield func(Item, error) bool) {
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -14,23 +14,23 @@
 	defaultStepBytes    = 64 << 10
 )
 
-// Options say how a store is opened. The zero value is valid.
+// Options configure a store. The zero value is valid.
 type Options struct {
 	// SegmentBytes is the size at which a segment of the log is sealed, 16 MiB if it is 0. One
-	// batch may pass it.
+	// batch may exceed it.
 	SegmentBytes int64
 	// MaxOverlayKeys is how many keys written since the last sealing are held in memory, 16,384 if
 	// it is 0.
 	MaxOverlayKeys int
-	// CompactionStepBytes is how many bytes of compaction go along with each commit at least, 64
+	// CompactionStepBytes is the minimum number of bytes of compaction along with each commit, 64
 	// KiB if it is 0.
 	CompactionStepBytes int
-	// Verify has Open read and check every byte.
+	// Verify makes Open read and check every byte.
 	Verify bool
-	// ReadOnly opens without changing anything; other readers may do so at the same time. A torn
-	// tail is reported in Stats and left.
+	// ReadOnly opens the store without changing anything. Several readers may do so at the same
+	// time. A torn tail is reported in Stats and not truncated.
 	ReadOnly bool
-	// FS is the folder. If it is nil, the folder at the path given to Open is used.
+	// FS is the directory. If it is nil, the directory at the path given to Open is used.
 	FS FS
 }
 
@@ -47,67 +47,93 @@
 	return o
 }
 
-// Store is an open store. Its methods may be called concurrently.
+// Store is an open store. Its methods are safe for concurrent use.
 type Store struct {
 	fs      FS
 	options Options
 	id      uint64
 	unlock  func() error
 
-	mu      sync.Mutex // guards what follows, and every file's refs
-	seq     uint64     // of the last batch
-	overlay *node      // what was written since the active segment began
+	mu  sync.Mutex // guards what follows, and every file's refs
+	seq uint64     // of the last batch
+	// overlay holds what was written since the active segment began.
+	overlay *node
 	files   *fileSet
 	closed  bool
-	failed  error // why nothing is committed any more
+	// failed is why the store has become read-only.
+	failed error
 
 	queue   []*commit
 	writing bool // one goroutine writes; what follows is its own
 
-	nextFileID    uint64 // id of the next file
-	active        *segment
-	end           int64 // of the active segment
-	synced        int64 // how far it is known to be on disk
-	firstSeq      uint64
-	overlayKeys   int // entries of top
-	keys          uint64
-	baseKeys      uint64
-	markFile      File
-	markSlot      int64
-	buf, block    []byte
-	merging       *mergeJob
-	copying       *copyJob
-	lastGroupSize int // of the last group
+	// nextFileID is the id of the next file.
+	nextFileID uint64
+	active     *segment
+	// end is the end of the active segment.
+	end int64
+	// synced is how far the active segment is known to be on disk.
+	synced   int64
+	firstSeq uint64
+	// overlayKeys is the number of entries of the overlay.
+	overlayKeys int
+	keys        uint64
+	baseKeys    uint64
+	markFile    File
+	markSlot    int64
+	buf, block  []byte
+	merging     *mergeJob
+	copying     *copyJob
+	// lastGroupSize is the number of commits in the last group.
+	lastGroupSize int
 	epoch         uint32
-	retrySealAt   int64 // no sealing before this end: the last one failed
-	backgroundErr error // of the last step
-	markErr       error // of the last mark
-	stats         Stats
+	// retrySealAt is the end at which sealing is tried again after a failure.
+	retrySealAt int64
+	// backgroundErr is the error of the last compaction step.
+	backgroundErr error
+	// markErr is the error of the last sync mark.
+	markErr error
+	stats   Stats
 }
 
-// Stats describe a store. Sizes of files are in bytes, as the files are now.
+// Stats describes a store. Sizes are in bytes.
 type Stats struct {
-	Keys           uint64 // there now
-	Seq            uint64 // batches committed ever
-	LiveBytes      int64  // bytes of the newest records of all keys
-	LogBytes       int64
-	IndexBytes     int64
-	Segments       int
-	Runs           int
-	Entries        int   // of the runs, deletions among them
-	OverlayKeys    int   // keys in memory
-	MemoryBytes    int64 // bytes of overlay, filters and directories, by reckoning
-	TruncatedBytes int64 // bytes of a torn tail that Open cut off
-	RemovedFiles   int   // files of unfinished work that Open removed
-	WrittenBytes   int64 // bytes of commits and moves since Open
-	CopiedBytes    int64 // bytes that compaction has copied
-	MergedEntries  int64 // entries that it has written
-	Syncs          int64 // of the log
-	// what the last step of compaction, or the last mark, failed with; commits went on
+	// Keys is the number of keys.
+	Keys uint64
+	// Seq is the number of batches ever committed.
+	Seq uint64
+	// LiveBytes is the size of the newest records of all keys.
+	LiveBytes  int64
+	LogBytes   int64
+	IndexBytes int64
+	Segments   int
+	Runs       int
+	// Entries is the number of entries of the runs, including deletions.
+	Entries int
+	// OverlayKeys is the number of keys in memory.
+	OverlayKeys int
+	// MemoryBytes is the estimated memory of overlay, filters and directories.
+	MemoryBytes int64
+	// TruncatedBytes is the size of the torn tail that Open has truncated.
+	TruncatedBytes int64
+	// RemovedFiles is the number of unfinished files that Open has removed.
+	RemovedFiles int
+	// WrittenBytes counts bytes of commits and copies since Open.
+	WrittenBytes int64
+	// CopiedBytes counts bytes copied by compaction.
+	CopiedBytes int64
+	// MergedEntries counts entries written by compaction.
+	MergedEntries int64
+	// Syncs counts syncs of the log.
+	Syncs int64
+	// BackgroundError is the error of the last compaction step or sync mark. Commits do not fail
+	// because of it.
 	BackgroundError error
 }
 
-// Open opens the store in a folder, or creates one there. The error wraps ErrLocked if another
+// errOpenedReadOnly is why a store that was opened with Options.ReadOnly takes no commits.
+var errOpenedReadOnly = errors.New("opened read-only")
+
+// Open opens the store in a directory, or creates one there. The error wraps ErrLocked if another
 // process has it open, and is a *DamageError if something can't be read as it was written.
 func Open(dir string, opt Options) (_ *Store, err error) {
 	opt = opt.withDefaults()
@@ -152,21 +178,25 @@
 		}
 	}
 	if opt.ReadOnly {
-		s.failed = errors.New("opened so")
+		s.failed = errOpenedReadOnly
 		return s, nil
 	}
 	return s, s.prepareWriting(names)
 }
 
-// Stats returns the store's present figures. It waits for a commit that is under way.
+// Stats returns the current figures. It waits for a commit in progress.
 func (s *Store) Stats() Stats {
 	s.becomeWriter()
 	defer s.handOverWriter()
 	st := s.stats
-	st.Keys, st.Seq, st.Segments, st.Runs, st.OverlayKeys = s.keys, s.seq, len(s.files.segments), len(s.files.runs), s.overlayKeys
-	st.LogBytes, st.MemoryBytes, st.BackgroundError = s.end, int64(s.overlayKeys)*nodeBytes, errors.Join(
-		s.backgroundErr, s.markErr,
-	)
+	st.Keys = s.keys
+	st.Seq = s.seq
+	st.Segments = len(s.files.segments)
+	st.Runs = len(s.files.runs)
+	st.OverlayKeys = s.overlayKeys
+	st.LogBytes = s.end
+	st.MemoryBytes = int64(s.overlayKeys) * nodeBytes
+	st.BackgroundError = errors.Join(s.backgroundErr, s.markErr)
 	for _, g := range s.files.segments {
 		st.LiveBytes += g.live
 		st.LogBytes += g.length
@@ -179,8 +209,8 @@
 	return st
 }
 
-// Close syncs what was committed and unlocks the folder. Commits under way are finished. Snapshots
-// can be read until they are closed themselves.
+// Close syncs what was committed and unlocks the directory. Commits in progress are finished. Open
+// snapshots stay readable.
 func (s *Store) Close() error {
 	s.becomeWriter()
 	defer s.handOverWriter()
@@ -199,7 +229,7 @@
 	return errors.Join(err, s.release())
 }
 
-// release closes all files and unlocks the folder.
+// release closes all files and unlocks the directory.
 func (s *Store) release() error {
 	var err error
 	if s.markFile != nil {
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Random batches, reopenings, crashes and compactions against a plain map.
+// TestAgainstAMap runs random batches, reopenings, crashes and compactions against a map.
 func TestAgainstAMap(t *testing.T) {
 	for seed := range uint64(16) {
 		w, f, promised := storetest.NewWorkload(seed), faultfs.New(), 0
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestRangeIsOrderedAndEndsWhereAsked(t *testing.T) {
+func TestRangeIsOrderedAndBounded(t *testing.T) {
 	s := open(t, "", storetest.Small(faultfs.New()))
 	for i := range 40 { // through overlay and runs
 		if err := s.Commit(put(fmt.Sprintf("%02d", i*7%40), "v"), store.Buffered); err != nil {
@@ -144,8 +144,8 @@
 	}
 }
 
-// Two batches that share a write are torn at every byte of it: the first may be there
-// without the second, never the other way round, and never a part of one.
+// TestGroupCommitTornAnywhere tears two batches that share a write at every byte. The first may be
+// recovered without the second, never the second without the first, and never a part of one.
 func TestGroupCommitTornAnywhere(t *testing.T) {
 	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
@@ -258,7 +258,7 @@
 	}
 }
 
-func TestForeignAndNewerFoldersStay(t *testing.T) {
+func TestForeignAndNewerDirectoriesAreKept(t *testing.T) {
 	f := faultfs.New()
 	if err := open(t, "", store.Options{FS: f}).Commit(put("k", "v"), store.Durable); err != nil {
 		t.Fatal(err)
@@ -287,7 +287,8 @@
 	}
 }
 
-// What the disk refuses changes nothing; what it may have lost ends the promises, not the reading.
+// TestDiskFullShortWritesAndFailedSyncs checks that a failed write changes nothing, and that a
+// failed sync makes the store read-only.
 func TestDiskFullShortWritesAndFailedSyncs(t *testing.T) {
 	f := faultfs.New()
 	s := open(t, "", storetest.Small(f))
@@ -351,7 +352,7 @@
 	}
 }
 
-func TestReadOnlyFolder(t *testing.T) {
+func TestReadOnlyDirectory(t *testing.T) {
 	if os.Getuid() == 0 {
 		t.Log("as root nothing is read-only: only the missing folder is tried")
 	} else {
@@ -373,8 +374,8 @@
 	}
 }
 
-// Space: overwriting the same keys for long leaves a log of the size that the package comment
-// states.
+// TestSpaceAndRunsStayBounded checks that overwriting the same keys for long leaves a log of the
+// size that the package comment states.
 func TestSpaceAndRunsStayBounded(t *testing.T) {
 	f := faultfs.New()
 	o := store.Options{
@@ -489,15 +490,15 @@
 	}
 }
 
-func TestFilterMostlyKnowsWhatIsAbsent(t *testing.T) {
+func TestFilterFalsePositiveRate(t *testing.T) {
 	if rate := store.FalseRate(20_000); rate > 0.02 {
 		t.Errorf("%.4f of the absent keys taken for present", rate)
 	}
 }
 
-// A process dies and leaves what it committed to the system alone; the next one syncs, and the
-// power goes.
-func TestWhatWasFoundIsSyncedToo(t *testing.T) {
+// TestRecoveredDataIsSynced kills a process after a buffered commit. The next one commits durably,
+// and then the power fails.
+func TestRecoveredDataIsSynced(t *testing.T) {
 	f := faultfs.New()
 	first := open(t, "", store.Options{FS: f})
 	f.Record()
@@ -512,8 +513,9 @@
 	want(t, open(t, "", store.Options{FS: left}), "k", "v")
 }
 
-// What Sync promised is told from a torn tail like any durable commit.
-func TestSyncIsPromisedToo(t *testing.T) {
+// TestSyncIsDurable checks that data promised by Sync is told from a torn tail like that of a
+// durable commit.
+func TestSyncIsDurable(t *testing.T) {
 	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
 	if err := errors.Join(s.Commit(put("k", "v"), store.Buffered), s.Sync()); err != nil {
