--- a/internal/controlplane/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -1,8 +1,10 @@
-// Package checkpoint is the replicated state of progress markers: a few keys with versions, by which the next leader of
-// singleton work resumes where the last one stopped. A write can name a role and a term as a fencing token, and is
-// refused under an old term; and it can name the version that its writer read (compare and set).
+// Package checkpoint is the replicated state of progress markers: a few keys with versions, by
+// which the next leader of singleton work resumes where the last one stopped. A write can name a
+// role and a term as a fencing token, and is rejected under an old term. It can also name the version that
+// its writer has read (compare and set).
 //
-// It is a deterministic state machine: nothing here does I/O or reads a clock.
+// It is a deterministic state machine: nothing here does I/O or reads a clock. The texts of its
+// errors are part of replicated answers: every version of the program must produce the same ones.
 package checkpoint
 
 import (
@@ -21,52 +23,58 @@
 // Limits of the state.
 const (
 	MaxKeys       = 4096
-	MaxValueBytes = 16 << 10 // bytes
+	MaxValueBytes = 16 << 10
+
+	maxKeyBytes = 256
 )
 
-// Op is the command: it sets a key, or deletes it where the value is empty.
+// Op is the command: it sets a key, or deletes it if the value is empty.
 type Op struct {
-	Key             string  `json:"key"`
-	Value           string  `json:"value"`
-	ExpectedVersion *uint64 `json:"if,omitempty"` // the version that the key must have; 0 means that it is absent
-	Role            string  `json:"duty,omitempty"`
-	Term            uint64  `json:"term,omitempty"`
+	Key   string `json:"key"`
+	Value string `json:"value"`
+	// ExpectedVersion is the version that the key must have; 0 means that it must be absent.
+	ExpectedVersion *uint64 `json:"if,omitempty"`
+	// Role and Term are the fencing token; without a role there is none.
+	Role string `json:"duty,omitempty"`
+	Term uint64 `json:"term,omitempty"`
 }
 
 // Entry is a key with its value and version.
 type Entry struct {
 	Key     string `json:"key"`
 	Value   string `json:"value"`
-	Version uint64 `json:"version"` // index of the log entry that wrote it; 0 where the key is absent
+	Version uint64 `json:"version"` // index of the log entry that wrote it; 0 if the key is absent
 }
 
 // Result is the answer to an Op, with the entry as it is after it.
 type Result struct {
 	OK     bool   `json:"ok"`
-	Reason string `json:"why,omitempty"`
+	Reason string `json:"why,omitempty"` // why it is not OK
 	Entry
 }
 
-// Fence refuses a command under an old term.
+// Fence rejects commands of earlier leaders.
 type Fence interface {
-	Fence(duty string, term uint64, who lease.Member) error
+	// Fence returns an error unless the member leads the role under the newest term, and names it.
+	Fence(role string, term uint64, member lease.Member) error
 }
 
 // Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	fence   Fence
-	entries map[string]Entry
+	entries map[string]Entry // by key
 }
 
-// NewMachine returns an empty state machine. The fence is the table of leases of the same replicated state.
+// NewMachine returns an empty state machine. The fence is the table of leases of the same
+// replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{f, map[string]Entry{}} }
 
 // Apply applies an Op and returns a Result, both as JSON.
-func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
+func (m *Machine) Apply(_ time.Duration, index uint64, member lease.Member, body []byte) []byte {
 	var op Op
 	err := json.Unmarshal(body, &op)
 	if err == nil {
-		err = m.set(index, who, &op)
+		err = m.set(index, member, &op)
 	}
 	r := Result{OK: err == nil, Entry: m.entries[op.Key]}
 	r.Key = op.Key
@@ -76,25 +84,28 @@
 	return mustjson.Marshal(r)
 }
 
-var errVersion = errors.New("standing: it was written since")
+var errVersionMismatch = errors.New("standing: it was written since")
 
 // set checks a command and applies it.
-func (m *Machine) set(index uint64, who lease.Member, op *Op) error {
+func (m *Machine) set(index uint64, member lease.Member, op *Op) error {
 	if op.Role != "" {
-		if err := m.fence.Fence(op.Role, op.Term, who); err != nil {
+		if err := m.fence.Fence(op.Role, op.Term, member); err != nil {
 			return err
 		}
 	}
-	old, is := m.entries[op.Key]
-	switch {
-	case op.ExpectedVersion != nil && *op.ExpectedVersion != old.Version:
-		return errVersion
-	case len(op.Value) > MaxValueBytes || len(op.Key) > 256 || op.Key == "":
-		return fmt.Errorf("standing: a key of up to 256 bytes and a value of up to %d wanted", MaxValueBytes)
-	case op.Value == "":
+	current, exists := m.entries[op.Key]
+	if op.ExpectedVersion != nil && *op.ExpectedVersion != current.Version {
+		return errVersionMismatch
+	}
+	if op.Key == "" || len(op.Key) > maxKeyBytes || len(op.Value) > MaxValueBytes {
+		return fmt.Errorf("standing: a key of up to %d bytes and a value of up to %d wanted",
+			maxKeyBytes, MaxValueBytes)
+	}
+	if op.Value == "" {
 		delete(m.entries, op.Key)
 		return nil
-	case !is && len(m.entries) >= MaxKeys:
+	}
+	if !exists && len(m.entries) >= MaxKeys {
 		return fmt.Errorf("standing: %d keys are the most", MaxKeys)
 	}
 	m.entries[op.Key] = Entry{op.Key, op.Value, index}
@@ -108,7 +119,8 @@
 	return mustjson.Marshal(e)
 }
 
-// Snapshot returns the state as JSON. Equal states give equal bytes, as maps are encoded in the order of their keys.
+// Snapshot returns the state as JSON. Equal states give equal bytes: maps are encoded in the order
+// of their keys.
 func (m *Machine) Snapshot() []byte { return mustjson.Marshal(m.entries) }
 
 // Restore replaces the state by that of a snapshot.
