--- a/internal/controlplane/election/members.go
+++ b/internal/controlplane/election/members.go
@@ -9,70 +9,63 @@
 	"mothcleat/internal/monotonic"
 )
 
-// preferredLeader returns the member that a spread role should be transferred to now, or "" where it stays.
-func (s *Set) preferredLeader(r *runner, now time.Duration) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !r.spread || now < r.moveAt {
-		return ""
-	}
-	for _, id := range s.members {
-		if lease.Rank(r.name, id, s.members) == 0 {
-			if since, ok := s.since[id]; !ok || id == s.opt.Client.Me().ID || now-since < settledAge {
-				return ""
-			}
-			r.moveAt = now + moveInterval // the member may be known and yet unable to take the role
-			return id
-		}
-	}
-	return ""
-}
-
-// refreshMembers keeps the list of members up to date until the context ends.
+// refreshMembers keeps the members up to date until the context ends.
 func (s *Set) refreshMembers(ctx context.Context) {
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, membersTimeout)
-		all, err := s.eligible(one)
+		requestCtx, cancel := context.WithTimeout(ctx, membersTimeout)
+		eligible, err := s.eligible(requestCtx)
 		cancel()
 		if err == nil {
-			s.mu.Lock()
-			s.members = idsOf(all)
-			there := map[string]time.Duration{}
-			for _, m := range all {
-				s.at[m.ID] = m.Address
-				if there[m.ID] = monotonic.Now(); s.since[m.ID] > 0 {
-					there[m.ID] = s.since[m.ID]
-				}
-			}
-			s.since = there
-			s.mu.Unlock()
+			s.setMembers(eligible)
 		}
 		select {
 		case <-ctx.Done():
-		case <-s.unknown:
-			wait := time.NewTimer(retryDelay)
-			select {
-			case <-ctx.Done():
-			case <-wait.C:
-			}
+		case <-s.refreshNow:
+			sleep(ctx, retryDelay)
 		case <-time.After(membersInterval):
 		}
 	}
 }
 
-// eligible returns the members that can be leaders: candidates that are active, so with an address and a recent sign
-// of life.
-func (s *Set) eligible(ctx context.Context) (all []consensus.MemberInfo, err error) {
-	members, err := s.agreed.List(ctx)
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// setMembers replaces the known members. Addresses of those that are gone are kept: a lease may
+// still name them.
+func (s *Set) setMembers(eligible []consensus.MemberInfo) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.members = idsOf(eligible)
+	firstSeen := map[string]time.Duration{}
+	for _, m := range eligible {
+		s.addresses[m.ID] = m.Address
+		firstSeen[m.ID] = monotonic.Now()
+		if earlier := s.firstSeen[m.ID]; earlier > 0 {
+			firstSeen[m.ID] = earlier
+		}
+	}
+	s.firstSeen = firstSeen
+}
+
+// eligible returns the members that can lead: candidates that are active.
+func (s *Set) eligible(ctx context.Context) (eligible []consensus.MemberInfo, err error) {
+	members, err := s.membership.List(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, m := range members {
-		if m.Active() && s.opt.candidate(m.ID) {
-			all = append(all, m)
+		if m.Active() && s.options.isCandidate(m.ID) {
+			eligible = append(eligible, m)
 		}
 	}
-	return all, nil
+	return eligible, nil
 }
 
 // idsOf returns the ids of members, in their order.
@@ -89,3 +82,26 @@
 	defer s.mu.Unlock()
 	return s.members
 }
+
+// preferredLeader returns the member that a balanced role should be transferred to now, or "" if it
+// should stay. The caller holds e.mu.
+func (s *Set) preferredLeader(e *elector, now time.Duration) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !e.balanced || now < e.nextMoveAt {
+		return ""
+	}
+	for _, id := range s.members {
+		if lease.Rank(e.role, id, s.members) != 0 {
+			continue
+		}
+		firstSeen, known := s.firstSeen[id]
+		if !known || id == s.self().ID || now-firstSeen < settledAge {
+			return ""
+		}
+		// The member may be known and yet unable to take the role.
+		e.nextMoveAt = now + moveInterval
+		return id
+	}
+	return ""
+}
--- a/internal/controlplane/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -11,48 +11,80 @@
 	"mothcleat/internal/monotonic"
 )
 
-// request asks for the lease of the role, or for its renewal, and takes in the answer. The arguments are the time
+// supersededDelay is the pause before the next request of a process whose id another has taken.
+const supersededDelay = time.Hour
+
+// propose proposes a command to the table of leases.
+func (e *elector) propose(ctx context.Context, op lease.Op) (lease.Result, error) {
+	var result lease.Result
+	body, err := e.set.options.Client.Propose(ctx, lease.MachineName, op.Encode())
+	if err != nil {
+		return result, err
+	}
+	return result, json.Unmarshal(body, &result)
+}
+
+// requestContext returns a context with the deadline of a request: one TTL.
+func (e *elector) requestContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), e.set.options.LeaseConfig.TTL)
+}
+
+// request requests the lease or its renewal, and processes the answer. The arguments are the time
 // of sending, the newest term that this process knows it holds, and its rank.
-func (r *runner) request(sent time.Duration, knows uint64, rank int) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.LeaseConfig.TTL)
+func (e *elector) request(sentAt time.Duration, knownTerm uint64, rank int) {
+	ctx, cancel := e.requestContext()
 	defer cancel()
-	raw, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionAcquire, Role: r.name, Term: knows}.Encode())
-	var res lease.Result
-	if err == nil {
-		err = json.Unmarshal(raw, &res)
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	result, err := e.propose(ctx,
+		lease.Op{Action: lease.ActionAcquire, Role: e.role, Term: knownTerm})
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	now := monotonic.Now()
 	switch {
 	case errors.Is(err, controlrpc.ErrSuperseded):
-		r.holder.Rejected(now, sent, time.Hour, err.Error())
-		r.endIfExpired(now)
+		e.claimant.Rejected(now, sentAt, supersededDelay, err.Error())
+		e.endIfExpired(now)
 	case err != nil:
-		r.holder.Failed(now, sent, retryDelay)
-	case !res.OK:
-		again := min(maxRequestDelay, max(10*time.Millisecond, res.Remaining+5*time.Millisecond)) + time.Duration(rank)*rankDelay
-		if rank >= activeRanks {
-			again = max(lowRankDelay, res.Remaining)
-		}
-		r.holder.Rejected(now, sent, again, res.Reason)
-		r.endIfExpired(now)
-	case r.holder.GaveUp(res.Lease.Term):
-		r.holder.Failed(now, sent, retryDelay)
-		go r.release(res.Lease.Term) // an earlier release got no answer
-	case r.holder.Granted(now, sent, res.Lease.Term, res.TTL):
-		r.wish = res.Lease.TransferTo
-		r.scheduleEnd(r.holder.Remaining(now))
-		if r.cancel == nil || r.term != res.Lease.Term {
-			r.begin(res.Lease)
-		}
+		e.claimant.Failed(now, sentAt, retryDelay)
+	case !result.OK:
+		e.claimant.Rejected(now, sentAt, rejectedDelay(result.Remaining, rank), result.Reason)
+		e.endIfExpired(now)
+	case e.claimant.GaveUp(result.Lease.Term):
+		e.claimant.Failed(now, sentAt, retryDelay)
+		go e.release(result.Lease.Term) // an earlier release got no answer
+	default:
+		e.granted(now, sentAt, &result)
+	}
+}
+
+// granted processes the answer that the lease is granted or renewed. The caller holds e.mu.
+func (e *elector) granted(now, sentAt time.Duration, result *lease.Result) {
+	if !e.claimant.Granted(now, sentAt, result.Lease.Term, result.TTL) {
+		return
+	}
+	e.transferTo = result.Lease.TransferTo
+	e.endWorkAfter(e.claimant.Remaining(now))
+	if e.cancelWork == nil || e.workTerm != result.Lease.Term {
+		e.startWork(result.Lease)
+	}
+}
+
+// rejectedDelay returns the pause before the next request when another member holds the lease for
+// some remaining time.
+func rejectedDelay(remaining time.Duration, rank int) time.Duration {
+	if rank >= activeRanks {
+		return max(lowRankDelay, remaining)
 	}
+	const minDelay = 10 * time.Millisecond
+	const afterExpiry = 5 * time.Millisecond
+	delay := min(maxRequestDelay, max(minDelay, remaining+afterExpiry))
+	return delay + time.Duration(rank)*rankDelay
 }
 
-// release tells the agreed table that this process gave up a term.
-func (r *runner) release(term uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.LeaseConfig.TTL)
+// release tells the table of leases that this process gave up a term.
+func (e *elector) release(term uint64) {
+	ctx, cancel := e.requestContext()
 	defer cancel()
-	_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionRelease, Role: r.name, Term: term}.Encode())
-	r.set.opt.Log.Info("fleet: duty given up again", "duty", r.name, "term", term, "error", err)
+	_, err := e.propose(ctx, lease.Op{Action: lease.ActionRelease, Role: e.role, Term: term})
+	e.set.options.Log.Info("fleet: role released again",
+		"role", e.role, "term", term, "error", err)
 }
--- a/internal/controlplane/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -8,58 +8,68 @@
 	"mothcleat/internal/monotonic"
 )
 
-// transfer ends the work and transfers the role to the member named, or else to the first in rank.
-func (r *runner) transfer(to string) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.set.opt.LeaseConfig.TTL)
+// transfer ends the work and transfers the role to the member with an id, or with "" to the first
+// in rank. If no other member is active, the role is released.
+func (e *elector) transfer(id string) {
+	ctx, cancel := e.requestContext()
 	defer cancel()
-	next, known := r.successor(ctx, to)
-	if to != "" && !known {
-		// That member takes no part: the wish is withdrawn, and the role stays here.
-		_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionRequestTransfer, Role: r.name}.Encode())
-		r.set.opt.Log.Warn("fleet: duty can't be handed on: no such gateway takes part", "duty", r.name, "to", to, "error", err)
+	successor, found := e.successor(ctx, id)
+	if id != "" && !found {
+		e.withdrawTransfer(ctx, id)
 		return
 	}
-	r.mu.Lock()
-	now := monotonic.Now()
-	term, held := r.holder.Holds(now)
-	r.stop()
-	worked := r.worked
-	r.mu.Unlock()
+	e.mu.Lock()
+	term, held := e.claimant.Holds(monotonic.Now())
+	e.stopWork()
+	workDone := e.workDone
+	e.mu.Unlock()
 	if !held {
 		return
 	}
 	select {
-	case <-worked:
+	case <-workDone:
 	case <-time.After(stopTimeout):
 	}
-	op := lease.Op{Action: lease.ActionRelease, Role: r.name, Term: term}
-	if known {
-		op.Action, op.To = lease.ActionTransfer, next
+	op := lease.Op{Action: lease.ActionRelease, Role: e.role, Term: term}
+	if found {
+		op.Action = lease.ActionTransfer
+		op.To = successor
 	}
-	_, err := r.set.opt.Client.Propose(ctx, lease.MachineName, op.Encode())
-	r.mu.Lock()
-	r.holder.GiveUp(monotonic.Now(), 2*r.set.opt.LeaseConfig.OfferTTL, "handed on")
-	r.term = 0
-	r.mu.Unlock()
-	r.set.opt.Log.Info("fleet: duty given up", "duty", r.name, "term", term, "to", op.To.ID, "error", err)
+	_, err := e.propose(ctx, op)
+	e.mu.Lock()
+	e.claimant.GiveUp(monotonic.Now(), 2*e.set.options.LeaseConfig.OfferTTL, "transferred")
+	e.workTerm = 0
+	e.mu.Unlock()
+	e.set.options.Log.Info("fleet: role released",
+		"role", e.role, "term", term, "to", op.To.ID, "error", err)
 }
 
-// successor returns the member to transfer the role to. The result known is false where there is none.
-func (r *runner) successor(ctx context.Context, named string) (best lease.Member, known bool) {
+// withdrawTransfer withdraws the request to transfer the role to a member that is not active: the
+// role stays here.
+func (e *elector) withdrawTransfer(ctx context.Context, id string) {
+	_, err := e.propose(ctx, lease.Op{Action: lease.ActionRequestTransfer, Role: e.role})
+	e.set.options.Log.Warn("fleet: role can't be transferred: no such gateway takes part",
+		"role", e.role, "to", id, "error", err)
+}
+
+// successor returns the member to transfer the role to: that with an id, or with "" the first in
+// rank. The result found is false if there is none.
+func (e *elector) successor(ctx context.Context, id string) (best lease.Member, found bool) {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	all, err := r.set.eligible(ctx)
+	eligible, err := e.set.eligible(ctx)
 	if err != nil {
 		return best, false
 	}
-	ids := idsOf(all)
-	rank := len(ids)
-	for _, m := range all {
-		if m.ID == r.set.opt.Client.Me().ID || named != "" && m.ID != named {
+	ids := idsOf(eligible)
+	bestRank := len(ids)
+	for _, m := range eligible {
+		if m.ID == e.set.self().ID || id != "" && m.ID != id {
 			continue
 		}
-		if n := lease.Rank(r.name, m.ID, ids); n < rank {
-			best, rank = m.Member, n
+		if rank := lease.Rank(e.role, m.ID, ids); rank < bestRank {
+			best = m.Member
+			bestRank = rank
 		}
 	}
 	return best, best.ID != ""
--- a/internal/controlplane/election/watch.go
+++ b/internal/controlplane/election/watch.go
@@ -8,52 +8,62 @@
 	"mothcleat/internal/monotonic"
 )
 
-// received takes in an update of the agreed table of leases and wakes the runners that it concerns.
-func (s *Set) received(state []byte) {
-	var v lease.View
-	if json.Unmarshal(state, &v) != nil {
+// updateLeases processes an update of the table of leases, and notifies the electors that it
+// concerns.
+func (s *Set) updateLeases(state []byte) {
+	var view lease.View
+	if json.Unmarshal(state, &view) != nil {
 		return
 	}
-	me := s.opt.Client.Me()
+	s.recordLeases(view.Leases)
+	for i := range view.Leases {
+		l := &view.Leases[i]
+		e := s.electors[l.Role]
+		if e != nil && e.observe(l) {
+			e.notify()
+		}
+	}
+}
+
+// recordLeases records the leases under newer terms, and has the members refreshed if it does not
+// know a holder.
+func (s *Set) recordLeases(leases []lease.Lease) {
 	s.mu.Lock()
-	for _, h := range v.Leases {
-		if h.Term < s.owners[h.Role].Term {
+	defer s.mu.Unlock()
+	for _, l := range leases {
+		if l.Term < s.leases[l.Role].Term {
 			continue // an older state, from another replica
 		}
-		s.owners[h.Role] = h
-		if _, known := s.at[h.Holder.ID]; h.Holder.ID != "" && !known {
+		s.leases[l.Role] = l
+		_, known := s.addresses[l.Holder.ID]
+		if l.Holder.ID != "" && !known {
 			select {
-			case s.unknown <- struct{}{}:
+			case s.refreshNow <- struct{}{}:
 			default:
 			}
 		}
 	}
-	s.mu.Unlock()
-	for _, h := range v.Leases {
-		r := s.runners[h.Role]
-		if r == nil {
-			continue
-		}
-		r.mu.Lock()
-		term, held := r.holder.Holds(monotonic.Now())
-		switch {
-		case held && h.Term > term && h.Holder != me:
-			r.holder.GiveUp(monotonic.Now(), maxRequestDelay, "another holds it under term "+strconv.FormatUint(h.Term, 10))
-			r.endIfExpired(monotonic.Now())
-		case held && h.Term == term && h.TransferTo != "":
-			r.wish = h.TransferTo
-		case !held && h.Holder == me && h.Unconfirmed:
-			r.soon = true
-		case !held && h.Holder.ID == "":
-			r.freed = true
-		default:
-			r.mu.Unlock()
-			continue
-		}
-		r.mu.Unlock()
-		select {
-		case r.wake <- struct{}{}:
-		default:
-		}
+}
+
+// observe processes an update of the elector's lease. It reports whether there is something to do.
+func (e *elector) observe(l *lease.Lease) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	self := e.set.self()
+	term, held := e.claimant.Holds(monotonic.Now())
+	switch {
+	case held && l.Term > term && l.Holder != self:
+		reason := "another holds it under term " + strconv.FormatUint(l.Term, 10)
+		e.claimant.GiveUp(monotonic.Now(), maxRequestDelay, reason)
+		e.endIfExpired(monotonic.Now())
+	case held && l.Term == term && l.TransferTo != "":
+		e.transferTo = l.TransferTo
+	case !held && l.Holder == self && l.Unconfirmed:
+		e.offered = true
+	case !held && l.Holder.ID == "":
+		e.vacant = true
+	default:
+		return false
 	}
+	return true
 }
--- a/internal/testing/electiontest/judge.go
+++ b/internal/testing/electiontest/judge.go
@@ -236,7 +236,7 @@
 
 var (
 	takenLine = regexp.MustCompile(
-		`(?m)^time=(\S+) .*msg="fleet: duty taken".* duty=(\S+) term=(\d+)`,
+		`(?m)^time=(\S+) .*msg="fleet: role acquired".* role=(\S+) term=(\d+)`,
 	)
 	ledLine = regexp.MustCompile(`(?m)msg="fleet: leader".* term=(\d+) leader=\S+ leads=true`)
 )
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	logged(t, f, i, "refused: lease: not the owner under this term")
-	logged(t, f, i, "duty lost")
+	logged(t, f, i, "role lost")
 	<-asked
 	exported(t, f, at, 0)
 }
