--- a/internal/dataplane/policy/admission_test.go
+++ b/internal/dataplane/policy/admission_test.go
@@ -32,14 +32,16 @@
 	}
 	r.time += second // it is suspended
 	for _, c := range []struct {
-		grace Time
-		sent  bool
+		timeout Time
+		sent    bool
 	}{{2*second - second*9/10, false}, {2*second - second/10, true}} {
 		r.lastID++
 		before := r.actionRecorder.count("send")
-		r.Request(r.time, Request{ID: r.lastID, Plan: 1, Customer: 9, Units: 1, Timeout: c.grace, Spread: 2})
+		r.Request(r.time, Request{
+			ID: r.lastID, Plan: 1, Customer: 9, Units: 1, Timeout: c.timeout, Spread: 2,
+		})
 		if sent := r.actionRecorder.count("send") > before; sent != c.sent {
-			t.Errorf("with %d left of 2000000: sent %t, want %t", c.grace, sent, c.sent)
+			t.Errorf("with %d left of 2000000: sent %t, want %t", c.timeout, sent, c.sent)
 		}
 	}
 }
--- a/internal/dataplane/policy/balancer_test.go
+++ b/internal/dataplane/policy/balancer_test.go
@@ -22,7 +22,8 @@
 	}
 	r.ClientGone(r.time, id)
 	r.endAttempt(id, Reset, true)
-	if r.requests[id] != nil || r.actionRecorder.count("fail")+r.actionRecorder.count("reject") != 0 {
+	if r.requests[id] != nil ||
+		r.actionRecorder.count("fail")+r.actionRecorder.count("reject") != 0 {
 		t.Error("a request whose client has gone was answered or kept")
 	}
 }
@@ -48,7 +49,9 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	for _, c := range []struct{ gateways, backends, spread int }{{2, 16, 2}, {360, 90, 150}, {620, 15, 3}, {620, 730, 3}, {620, 7300, 3}} {
+	for _, c := range []struct{ gateways, backends, spread int }{
+		{2, 16, 2}, {360, 90, 150}, {620, 15, 3}, {620, 730, 3}, {620, 7300, 3},
+	} {
 		b.Run(fmt.Sprintf("%dx%d", c.gateways, c.backends), func(b *testing.B) {
 			set := testSettings()
 			set.Gateways = c.gateways
@@ -63,13 +66,19 @@
 			for i := 0; b.Loop(); i++ {
 				now += 5000
 				id := uint64(i)
-				g.Request(now, Request{ID: id, Plan: 1, Customer: id % 200, Units: 1, Timeout: second, Spread: c.spread})
+				g.Request(now, Request{
+					ID: id, Plan: 1, Customer: id % 200, Units: 1, Timeout: second,
+					Spread: c.spread,
+				})
 				switch r := g.requests[id]; {
 				case r == nil:
 				case len(r.attempts) == 0:
 					waits++
 				default:
-					g.Outcome(now, Outcome{ID: id, Backend: r.attempts[0].backend.Backend, Duration: 1000, RequestDone: true})
+					g.Outcome(now, Outcome{
+						ID: id, Backend: r.attempts[0].backend.Backend, Duration: 1000,
+						RequestDone: true,
+					})
 				}
 			}
 			b.ReportMetric(float64(waits)/float64(b.N), "waiting/op") // not sent at once
--- a/internal/dataplane/policy/ceiling_test.go
+++ b/internal/dataplane/policy/ceiling_test.go
@@ -13,7 +13,7 @@
 			t.Fatal(err)
 		}
 		g.UpdateEndpoints(at, CompleteCached, endpointList(4))
-		return &testBalancer{Balancer: g, actionRecorder: g.actions.(*actionRecorder), t: t}
+		return wrapBalancer(t, g, 0)
 	}
 	gateways := []*testBalancer{restart(0, start), restart(1, start)}
 	sent, lowest := 0.0, 0.0
--- a/internal/dataplane/policy/clock_test.go
+++ b/internal/dataplane/policy/clock_test.go
@@ -12,7 +12,9 @@
 	if _, sent := r.request(0, 1, 8, 1); !sent || b.unhealthy {
 		t.Error("attempts in flight during a suspension count as unanswered")
 	}
-	r.Outcome(r.time, Outcome{ID: id, Backend: b.Backend, Result: OK, Duration: 3 * second, RequestDone: true})
+	r.Outcome(r.time, Outcome{
+		ID: id, Backend: b.Backend, Result: OK, Duration: 3 * second, RequestDone: true,
+	})
 	if b.latencyRatio != 0 || r.meanLatency.value != 0 {
 		t.Error("the time that an answer waited for this gateway counts as the backend's")
 	}
--- a/internal/dataplane/policy/counter_test.go
+++ b/internal/dataplane/policy/counter_test.go
@@ -28,6 +28,8 @@
 	id, _ := r.request(0, 1, 9, 5)
 	assertNear(t, "fraction before a reading", r.quotaFraction(r.customers[9]), 0.5)
 	b := r.requests[id].attempts[0].backend.Backend
-	r.Outcome(r.time, Outcome{ID: id, Backend: b, Result: OK, Duration: 1, RequestDone: true, MeteredUse: 201})
+	r.Outcome(r.time, Outcome{
+		ID: id, Backend: b, Result: OK, Duration: 1, RequestDone: true, MeteredUse: 201,
+	})
 	assertNear(t, "fraction with a quarter of the use", r.quotaFraction(r.customers[9]), 0.25)
 }
--- a/internal/dataplane/policy/customer_test.go
+++ b/internal/dataplane/policy/customer_test.go
@@ -21,7 +21,8 @@
 	}
 	// A new customer counts as one of those dropped, known or not.
 	if r.sharedBucket.rate <= 100 || r.sharedBucket.rate > 3000 {
-		t.Errorf("the shared bucket fills at %g a second from 3000 idle shares of 1", r.sharedBucket.rate)
+		t.Errorf("the shared bucket fills at %g a second from 3000 idle shares of 1",
+			r.sharedBucket.rate)
 	}
 }
 
@@ -32,7 +33,9 @@
 	for _, first := range []int{-9, -1, 8, 1 << 40} {
 		for _, spread := range []int{-1, 0, 3, 9, 12, 100} {
 			r := newTestBalancer(t, set)
-			r.Request(r.time, Request{ID: 1, Customer: 9, Units: 1, Timeout: second, First: first, Spread: spread})
+			r.Request(r.time, Request{
+				ID: 1, Customer: 9, Units: 1, Timeout: second, First: first, Spread: spread,
+			})
 			r.Timer(r.time+second, decisionTimer)
 			r.Timer(r.time+second, gossipTimer)
 			if r.actionRecorder.count("send 1 ") != 1 {
--- a/internal/dataplane/policy/endpoints_test.go
+++ b/internal/dataplane/policy/endpoints_test.go
@@ -13,7 +13,8 @@
 		r := newTestBalancer(t, testSettings())
 		r.UpdateEndpoints(r.time, event.kind, event.list)
 		for i := range uint64(30) {
-			if id, sent := r.request(0, 1, i, 1); sent && r.requests[id].attempts[0].backend.Backend < 3 {
+			if id, sent := r.request(0, 1, i, 1); sent &&
+				r.requests[id].attempts[0].backend.Backend < 3 {
 				t.Fatal("sent to a backend that is draining or removed")
 			}
 		}
--- a/internal/dataplane/policy/example_test.go
+++ b/internal/dataplane/policy/example_test.go
@@ -18,13 +18,15 @@
 func (h *host) Reject(id uint64, after policy.Time) {
 	fmt.Printf("request %d rejected, retry after %d ms\n", id, after/1000)
 }
-func (h *host) Fail(id uint64)                                          { fmt.Printf("request %d failed\n", id) }
-func (h *host) SetTimer(at policy.Time, token uint32)                   { h.timers = append(h.timers, at) }
-func (h *host) Probe(backend uint32)                                    {}
-func (h *host) SendToPeer(peer int, note []byte)                        {}
-func (h *host) AddToCounter(name uint64, add float64, life policy.Time) {}
-func (h *host) WatchEndpoints()                                         {}
-func (h *host) Log(line string)                                         { fmt.Println(line) }
+func (h *host) Fail(id uint64) { fmt.Printf("request %d failed\n", id) }
+
+func (h *host) SetTimer(at policy.Time, token uint32) { h.timers = append(h.timers, at) }
+
+func (h *host) Probe(backend uint32)                                   {}
+func (h *host) SendToPeer(peer int, message []byte)                    {}
+func (h *host) AddToCounter(name uint64, add float64, ttl policy.Time) {}
+func (h *host) WatchEndpoints()                                        {}
+func (h *host) Log(line string)                                        { fmt.Println(line) }
 
 // run moves the clock to a time, with the timers that fall due on the way.
 func (h *host) run(g *policy.Balancer, to policy.Time) {
@@ -35,14 +37,16 @@
 	h.now = to
 }
 
-// A host passes each event with its time to one Balancer and carries out the actions. All calls come
-// from one goroutine.
+// A host passes each event with its time to one Balancer and carries out the actions. All calls
+// come from one goroutine.
 func Example() {
 	h := &host{now: 1000}
 	g, err := policy.New(policy.Settings{
 		Gateways: 1, MaxAttempts: 2, Tick: 1000, RetryAfter: true, MaxRetryAfter: 2_000_000,
-		Classes: []policy.Class{{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1}},
-		Plans:   []policy.Plan{{Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}},
+		Classes: []policy.Class{
+			{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1},
+		},
+		Plans: []policy.Plan{{Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}},
 	}, 42, h)
 	if err != nil {
 		fmt.Println(err)
@@ -50,10 +54,14 @@
 	}
 	g.UpdateEndpoints(h.now, policy.Complete, []policy.Endpoint{{Backend: 7}})
 	for id := uint64(1); id <= 3; id++ {
-		g.Request(h.now, policy.Request{ID: id, Customer: 99, Units: 1, Timeout: 2_000_000, Spread: 1})
+		g.Request(h.now, policy.Request{
+			ID: id, Customer: 99, Units: 1, Timeout: 2_000_000, Spread: 1,
+		})
 	}
 	h.run(g, 101_000)
-	g.Outcome(h.now, policy.Outcome{ID: 1, Backend: 7, Result: policy.OK, Duration: 100_000, RequestDone: true})
+	g.Outcome(h.now, policy.Outcome{
+		ID: 1, Backend: 7, Result: policy.OK, Duration: 100_000, RequestDone: true,
+	})
 	g.Outcome(h.now, policy.Outcome{ID: 2, Backend: 7, Result: policy.Rejected, Duration: 100_000})
 	// Output:
 	// request 1 goes to backend 7
--- a/internal/dataplane/policy/gossip_test.go
+++ b/internal/dataplane/policy/gossip_test.go
@@ -22,7 +22,9 @@
 	for range 3 {
 		a.serve(0, 1, 9, 4)
 		c := a.customers[9]
-		messages = append(messages, (&usageEntry{id: 9, plan: 1, spread: 2, consumed: toWireUnits(c.consumed), remaining: 0.5}).appendTo(a.newPeerMessage()))
+		messages = append(messages, (&usageEntry{
+			id: 9, plan: 1, spread: 2, consumed: toWireUnits(c.consumed), remaining: 0.5,
+		}).appendTo(a.newPeerMessage()))
 	}
 	b.ReceivePeerMessage(b.time, 0, messages[0])
 	level := b.customers[9].bucket.level
@@ -39,7 +41,8 @@
 	bad := slices.Clone(good)
 	bad[0]++
 	plan := (&usageEntry{id: 9, plan: 200, spread: 2}).appendTo(messageHeader(1, 0, 0))
-	for _, message := range [][]byte{nil, {1}, good[:len(good)-1], append(slices.Clone(good), 0), bad, plan} {
+	tooLong := append(slices.Clone(good), 0)
+	for _, message := range [][]byte{nil, {1}, good[:len(good)-1], tooLong, bad, plan} {
 		b.ReceivePeerMessage(b.time, 0, message)
 	}
 	for _, from := range []int{-1, 1, 2} {
@@ -80,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testBalancer{Balancer: again, actionRecorder: again.actions.(*actionRecorder), t: t, time: b.time}
+	r := wrapBalancer(t, again, b.time)
 	r.UpdateEndpoints(r.time, CompleteCached, endpointList(4))
 	b.ReceivePeerMessage(b.time, 0, again.newPeerMessage()) // announces its start
 	gossipTo(b, r)
--- a/internal/dataplane/policy/healthcheck_test.go
+++ b/internal/dataplane/policy/healthcheck_test.go
@@ -29,7 +29,8 @@
 	for i := range 150 {
 		r.time += second / 100
 		r.Timer(r.time, 0)
-		if id, sent := r.request(0, 1, uint64(i), 1); sent && r.requests[id].attempts[0].backend != b {
+		if id, sent := r.request(0, 1, uint64(i), 1); sent &&
+			r.requests[id].attempts[0].backend != b {
 			r.endAttempt(id, OK, true)
 		}
 	}
--- a/internal/dataplane/policy/hedge_test.go
+++ b/internal/dataplane/policy/hedge_test.go
@@ -28,7 +28,10 @@
 	r := newTestBalancer(t, testSettings())
 	r.classLatencies[0].add(100, slowSampleWeight)
 	r.request(0, 1, 9, 1)
-	if got, want := r.attemptDeadlines[0]-r.time, Time(minHedgeObjectiveFraction*float64(r.settings.Classes[0].LatencyObjective)); got != want {
+	got := r.attemptDeadlines[0] - r.time
+	objective := r.settings.Classes[0].LatencyObjective
+	want := Time(minHedgeObjectiveFraction * float64(objective))
+	if got != want {
 		t.Errorf("given up after %d, want %d", got, want)
 	}
 }
--- a/internal/dataplane/policy/home_test.go
+++ b/internal/dataplane/policy/home_test.go
@@ -33,9 +33,12 @@
 		Timeout: 2 * second, First: remote.firstGateways[customer], Spread: 12})
 	sent := slices.Clone(remote.recorded)
 	deliverMessages(remote, home)
-	home.recorded = slices.DeleteFunc(home.recorded, func(l string) bool { return !strings.HasPrefix(l, "peer 5 ") })
+	home.recorded = slices.DeleteFunc(home.recorded, func(line string) bool {
+		return !strings.HasPrefix(line, "peer 5 ")
+	})
 	deliverMessages(home, remote)
-	if !slices.ContainsFunc(append(sent, remote.recorded...), func(l string) bool { return strings.HasPrefix(l, "send") }) {
+	isSend := func(line string) bool { return strings.HasPrefix(line, "send") }
+	if !slices.ContainsFunc(append(sent, remote.recorded...), isSend) {
 		return false
 	}
 	remote.endAttempt(remote.lastID, OK, true)
@@ -78,8 +81,12 @@
 func TestUnresponsiveHomeDelaysNoRequest(t *testing.T) {
 	_, remote := newHomeAndRemote(t)
 	remote.recorded = nil
-	remote.Request(remote.time, Request{ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: remote.firstGateways[9], Spread: 12})
-	if remote.actionRecorder.count("send") != 0 || remote.actionRecorder.count("peer 0 ") != 1 || remote.actionRecorder.count("timer") != 1 {
+	remote.Request(remote.time, Request{
+		ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: remote.firstGateways[9],
+		Spread: 12,
+	})
+	if remote.actionRecorder.count("send") != 0 || remote.actionRecorder.count("peer 0 ") != 1 ||
+		remote.actionRecorder.count("timer") != 1 {
 		t.Fatalf("%v, want a query to the home and a timer", remote.recorded)
 	}
 	remote.Timer(remote.time+second/10, decisionTimer)
@@ -87,7 +94,8 @@
 		t.Errorf("%v, want it sent", remote.recorded)
 	}
 	before := len(remote.recorded)
-	remote.ReceivePeerMessage(remote.time+second/5, 0, grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}.appendTo(messageHeader(1, 0, 0)))
+	answer := grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}
+	remote.ReceivePeerMessage(remote.time+second/5, 0, answer.appendTo(messageHeader(1, 0, 0)))
 	if len(remote.recorded) != before {
 		t.Errorf("a late answer caused actions: %v", remote.recorded[before:])
 	}
@@ -96,11 +104,16 @@
 // A client that has gone while the home was queried is not answered.
 func TestClientGoneWhileHomeIsQueried(t *testing.T) {
 	_, remote := newHomeAndRemote(t)
-	remote.Request(remote.time, Request{ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: remote.firstGateways[9], Spread: 12})
+	remote.Request(remote.time, Request{
+		ID: 1, Customer: 9, Units: 1, Timeout: 2 * second, First: remote.firstGateways[9],
+		Spread: 12,
+	})
 	remote.ClientGone(remote.time, 1)
 	remote.recorded = nil
-	remote.ReceivePeerMessage(remote.time, 0, grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}.appendTo(messageHeader(1, 0, 0)))
+	answer := grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}
+	remote.ReceivePeerMessage(remote.time, 0, answer.appendTo(messageHeader(1, 0, 0)))
 	if len(remote.recorded) != 0 || len(remote.awaitingUnits) != 0 {
-		t.Errorf("actions for a client that has gone: %v, %d waiting", remote.recorded, len(remote.awaitingUnits))
+		t.Errorf("actions for a client that has gone: %v, %d waiting",
+			remote.recorded, len(remote.awaitingUnits))
 	}
 }
--- a/internal/dataplane/policy/outlier_test.go
+++ b/internal/dataplane/policy/outlier_test.go
@@ -48,7 +48,8 @@
 	for range 5 {
 		r.recordOutcome(&attempt{backend: b}, 0, Failed, 1)
 	}
-	if b.errorRate < ejectionErrorRate || r.actionRecorder.count("log backend 2 ejected: errors") == 0 {
+	if b.errorRate < ejectionErrorRate ||
+		r.actionRecorder.count("log backend 2 ejected: errors") == 0 {
 		t.Errorf("errors %g", b.errorRate)
 	}
 }
--- a/internal/dataplane/policy/picker_test.go
+++ b/internal/dataplane/policy/picker_test.go
@@ -9,18 +9,21 @@
 // backends get their part by weight, and the smaller ones do not stand idle while all send to the
 // largest. Attempts in flight count by weight as well.
 func TestIdleBackendsArePickedByWeight(t *testing.T) {
-	for name, sizes := range map[string][]float64{"small weights": {1, 1, 3, 3}, "large weights": {2.5, 2.5, 7.5, 7.5}} {
+	for name, weights := range map[string][]float64{
+		"small weights": {1, 1, 3, 3},
+		"large weights": {2.5, 2.5, 7.5, 7.5},
+	} {
 		set := testSettings()
 		set.ComparableWeights = true
 		r := newTestBalancer(t, set)
 		list := endpointList(4)
 		for i := range list {
-			list[i].Weight = sizes[i]
+			list[i].Weight = weights[i]
 		}
 		r.UpdateEndpoints(r.time, Complete, list)
 		got := map[uint32]int{}
-		const asked = 2000
-		for range asked {
+		const requests = 2000
+		for range requests {
 			r.time += second / 20
 			id, sent := r.request(0, 1, r.lastID, 1)
 			if !sent {
@@ -30,8 +33,11 @@
 			r.endAttempt(id, OK, true)
 		}
 		for i, m := range list {
-			if part, want := float64(got[m.Backend])/asked, sizes[i]/sizes[2]*3/8; math.Abs(part-want) > 0.03 {
-				t.Errorf("%s: backend %d of weight %g got %.3f of all, want %.3f", name, i+1, sizes[i], part, want)
+			part := float64(got[m.Backend]) / requests
+			want := weights[i] / weights[2] * 3 / 8
+			if math.Abs(part-want) > 0.03 {
+				t.Errorf("%s: backend %d of weight %g got %.3f of all, want %.3f",
+					name, i+1, weights[i], part, want)
 			}
 		}
 	}
@@ -48,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &testBalancer{Balancer: g, actionRecorder: g.actions.(*actionRecorder), t: t, time: start}
+		r := wrapBalancer(t, g, start)
 		g.UpdateEndpoints(start, Complete, endpointList(24))
 		for i := range 60 {
 			r.time += second
@@ -67,7 +73,8 @@
 			}
 		}
 		if len(used) < c.least || len(used) > c.most {
-			t.Errorf("%d gateways: %d of 24 backends are used, %d to %d wanted", c.gateways, len(used), c.least, c.most)
+			t.Errorf("%d gateways: %d of 24 backends are used, %d to %d wanted",
+				c.gateways, len(used), c.least, c.most)
 		}
 	}
 }
--- a/internal/dataplane/policy/planupdate_test.go
+++ b/internal/dataplane/policy/planupdate_test.go
@@ -84,7 +84,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.Gateways, set.Peers = 1, false
-		set.Plans = []Plan{{Rate: 4, Burst: 8, Price: 1, BeyondCosts: 1}, {Rate: 4, Burst: 8, Price: 1, BeyondEarns: 1, CeilingRate: 8, CeilingBurst: 16}}
+		set.Plans = []Plan{
+			{Rate: 4, Burst: 8, Price: 1, BeyondCosts: 1},
+			{Rate: 4, Burst: 8, Price: 1, BeyondEarns: 1, CeilingRate: 8, CeilingBurst: 16},
+		}
 		f := &actionRecorder{}
 		g, err := New(set, 1, f)
 		if err != nil {
@@ -106,18 +109,26 @@
 					t.Fatal(err)
 				}
 				level = math.Min(next[0].Burst, level+next[0].Burst-was[0].Burst)
-				ceiling = math.Min(next[1].CeilingBurst, ceiling+next[1].CeilingBurst-was[1].CeilingBurst)
+				ceilingGrowth := next[1].CeilingBurst - was[1].CeilingBurst
+				ceiling = math.Min(next[1].CeilingBurst, ceiling+ceilingGrowth)
 			}
 			dt := rapid.Int64Range(0, second).Draw(t, "pass")
 			at += dt
-			level = math.Min(g.settings.Plans[0].Burst, level+g.settings.Plans[0].Rate*float64(dt)/float64(second))
-			ceiling = math.Min(g.settings.Plans[1].CeilingBurst, ceiling+g.settings.Plans[1].CeilingRate*float64(dt)/float64(second))
+			quotaPlan, ceilingPlan := g.settings.Plans[0], g.settings.Plans[1]
+			seconds := float64(dt) / float64(second)
+			level = math.Min(quotaPlan.Burst, level+quotaPlan.Rate*seconds)
+			ceiling = math.Min(ceilingPlan.CeilingBurst, ceiling+ceilingPlan.CeilingRate*seconds)
 			plan := rapid.IntRange(0, 1).Draw(t, "plan")
 			units := float64(rapid.IntRange(1, 4).Draw(t, "units"))
 			before := f.count("send")
-			g.Request(at, Request{ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units, Timeout: second, Spread: 1})
+			g.Request(at, Request{
+				ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units,
+				Timeout: second, Spread: 1,
+			})
 			if plan == 1 && first { // its ceiling fills from the gateway's start
-				ceiling, first = math.Min(g.settings.Plans[1].CeilingBurst, math.Max(ceiling, g.settings.Plans[1].CeilingBurst)), false
+				full := ceilingPlan.CeilingBurst
+				ceiling = math.Min(full, math.Max(ceiling, full))
+				first = false
 			}
 			if f.count("send") == before {
 				continue
--- a/internal/dataplane/policy/quota_test.go
+++ b/internal/dataplane/policy/quota_test.go
@@ -27,7 +27,8 @@
 	whole, _, known := b.RemainingQuota(9)
 	own, _, _ := a.RemainingQuota(9)
 	if !known || math.Abs(whole-own) > 0.5 {
-		t.Errorf("the other gateway has %g (known %t), the one that consumed has %g", whole, known, own)
+		t.Errorf("the other gateway has %g (known %t), the one that consumed has %g",
+			whole, known, own)
 	}
 }
 
@@ -105,7 +106,9 @@
 func TestHomeGrantsUnitsOfItsCeiling(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 12
-	set.Plans[2] = Plan{Rate: 40, Burst: 80, CeilingRate: 80, CeilingBurst: 160, CeilingSlack: 4, Price: 1}
+	set.Plans[2] = Plan{
+		Rate: 40, Burst: 80, CeilingRate: 80, CeilingBurst: 160, CeilingSlack: 4, Price: 1,
+	}
 	const customer, spread = 9, 12
 	home := newTestBalancer(t, set)
 	homeAt := home.homeOf(home.findOrAddCustomer(customer, 2, 0, spread))
@@ -118,9 +121,13 @@
 	remote.Timer(remote.time, gossipTimer)
 	home.findOrAddCustomer(customer, 2, 0, spread)
 	ask := func(id uint64) {
-		remote.Request(remote.time, Request{ID: id, Class: 2, Plan: 2, Customer: customer, Units: 4, Timeout: 2 * second, Spread: spread})
+		remote.Request(remote.time, Request{
+			ID: id, Class: 2, Plan: 2, Customer: customer, Units: 4, Timeout: 2 * second,
+			Spread: spread,
+		})
 	}
-	remote.findOrAddCustomer(customer, 2, 0, spread).ceilingBucket.level = 1 // its own part is used up
+	// its own part is used up
+	remote.findOrAddCustomer(customer, 2, 0, spread).ceilingBucket.level = 1
 	before := home.customers[customer].ceilingBucket.level
 	remote.recorded = nil
 	ask(1)
@@ -134,7 +141,8 @@
 	if remote.actionRecorder.count("send 1 ") != 1 {
 		t.Fatalf("not sent after the home's grant: %v", remote.recorded)
 	}
-	assertNear(t, "the remote gateway's own part", remote.customers[customer].ceilingBucket.level, 1)
+	assertNear(t, "the remote gateway's own part",
+		remote.customers[customer].ceilingBucket.level, 1)
 	home.recorded = answers // the same answer again
 	deliverMessages(home, remote)
 	if n := remote.actionRecorder.count("send"); n != 1 {
@@ -211,7 +219,10 @@
 			if requests && i < spread && r.Float64() < 0.03 {
 				id++
 				g.time = now
-				g.Request(now, Request{ID: id, Class: 0, Plan: plan, Customer: customer, Units: float64(1 + r.IntN(4)), Timeout: second, Spread: spread})
+				g.Request(now, Request{
+					ID: id, Class: 0, Plan: plan, Customer: customer,
+					Units: float64(1 + r.IntN(4)), Timeout: second, Spread: spread,
+				})
 			}
 			done := g.recorded
 			g.recorded = nil
@@ -222,16 +233,21 @@
 				if n, _ := fmt.Sscanf(line, "peer %d %x", &to, &message); n == 2 {
 					for range 1 + int(indicator(r.Float64() < twice)) {
 						if r.Float64() >= loss {
-							pending = append(pending, delivery{now + 2000 + r.Int64N(late+1), i, to, message})
+							at := now + 2000 + r.Int64N(late+1)
+							pending = append(pending, delivery{at, i, to, message})
 						}
 					}
 				} else if n, _ := fmt.Sscanf(line, "send %d to %d", &request, &backend); n == 2 {
 					truth.refill(now)
 					truth.level -= g.requests[request].Units
 					if truth.level < -p.CeilingSlack-1e-6 {
-						t.Fatalf("seed %d, spread %d: the ceiling's bucket is at %g after %v s", seed, spread, truth.level, float64(now-start)/float64(second))
+						t.Fatalf("seed %d, spread %d: the ceiling's bucket is at %g after %v s",
+							seed, spread, truth.level, float64(now-start)/float64(second))
 					}
-					g.Outcome(now, Outcome{ID: request, Backend: uint32(backend), Duration: second / 20, RequestDone: true})
+					g.Outcome(now, Outcome{
+						ID: request, Backend: uint32(backend), Duration: second / 20,
+						RequestDone: true,
+					})
 				}
 			}
 		}
@@ -249,8 +265,10 @@
 		tick(false)
 	}
 	for i, g := range rigs[:spread] {
-		if whole, _, known := g.RemainingQuota(customer); known && whole < p.Burst-1e-6 && !g.isRemote(g.customers[customer]) {
-			t.Errorf("seed %d, spread %d: gateway %d has %g of %g after the pause", seed, spread, i, whole, p.Burst)
+		if whole, _, known := g.RemainingQuota(customer); known && whole < p.Burst-1e-6 &&
+			!g.isRemote(g.customers[customer]) {
+			t.Errorf("seed %d, spread %d: gateway %d has %g of %g after the pause",
+				seed, spread, i, whole, p.Burst)
 		}
 	}
 }
@@ -309,7 +327,9 @@
 			r.time += second / 2
 			r.lastID++
 			before := r.actionRecorder.count("send")
-			r.Request(r.time, Request{ID: r.lastID, Customer: 9, Units: units, Timeout: 2 * second, Spread: 4})
+			r.Request(r.time, Request{
+				ID: r.lastID, Customer: 9, Units: units, Timeout: 2 * second, Spread: 4,
+			})
 			if r.actionRecorder.count("send") > before {
 				passed += units
 				r.endAttempt(r.lastID, OK, true)
--- a/internal/dataplane/policy/retry_test.go
+++ b/internal/dataplane/policy/retry_test.go
@@ -26,10 +26,14 @@
 		want    retryDecision
 	}{
 		{"nothing sent", notIdempotent, nil, false, 0, retryDecision{true, nil, true}},
-		{"idempotent, executed", idempotent, []*attempt{executed}, false, 0, retryDecision{true, nil, true}},
-		{"idempotent, pending", idempotent, []*attempt{pending}, false, 0, retryDecision{false, nil, true}},
-		{"idempotent, pending, hedging", idempotent, []*attempt{pending}, true, 0, retryDecision{true, nil, true}},
-		{"not idempotent, not executed", notIdempotent, []*attempt{notExecuted, notExecuted}, false, 0,
+		{"idempotent, executed", idempotent, []*attempt{executed}, false, 0,
+			retryDecision{true, nil, true}},
+		{"idempotent, pending", idempotent, []*attempt{pending}, false, 0,
+			retryDecision{false, nil, true}},
+		{"idempotent, pending, hedging", idempotent, []*attempt{pending}, true, 0,
+			retryDecision{true, nil, true}},
+		{"not idempotent, not executed", notIdempotent,
+			[]*attempt{notExecuted, notExecuted}, false, 0,
 			retryDecision{true, nil, true}},
 		{"not idempotent, executed", notIdempotent, []*attempt{notExecuted, executed}, false, 0,
 			retryDecision{false, nil, false}},
@@ -37,7 +41,8 @@
 			retryDecision{true, executed, false}},
 		{"keyed, after its window", keyedInCell, []*attempt{executed}, false, second,
 			retryDecision{false, executed, false}},
-		{"keyed everywhere", keyed, []*attempt{executed}, false, 0, retryDecision{true, executed, true}},
+		{"keyed everywhere", keyed, []*attempt{executed}, false, 0,
+			retryDecision{true, executed, true}},
 		{"keyed, not executed", keyedInCell, []*attempt{notExecuted}, false, 9 * second,
 			retryDecision{true, nil, true}},
 	} {
@@ -71,7 +76,8 @@
 		if c.want != "send" {
 			continue
 		}
-		if second := r.requests[id].attempts[1].backend; second == first || c.class == 2 && second.Cell != first.Cell {
+		if second := r.requests[id].attempts[1].backend; second == first || c.class == 2 &&
+			second.Cell != first.Cell {
 			t.Errorf("%s: to backend %d of cell %d", c.name, second.Backend, second.Cell)
 		}
 		for r.requests[id] != nil {
--- a/internal/dataplane/policy/saturation_test.go
+++ b/internal/dataplane/policy/saturation_test.go
@@ -82,6 +82,7 @@
 	}
 	inFlight, _, gateways = r.loadView()
 	if inFlight > 0.1 || gateways > 1.02 {
-		t.Errorf("with many answers of its own: %g in flight at others, %g gateways", inFlight, gateways)
+		t.Errorf("with many answers of its own: %g in flight at others, %g gateways",
+			inFlight, gateways)
 	}
 }
--- a/internal/dataplane/policy/settings_test.go
+++ b/internal/dataplane/policy/settings_test.go
@@ -16,7 +16,8 @@
 	} {
 		set := testSettings()
 		spoil(&set)
-		if _, err := New(set, 1, &actionRecorder{}); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := New(set, 1, &actionRecorder{}); err == nil ||
+			!strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
 	}
--- a/internal/dataplane/policy/sharedbucket_test.go
+++ b/internal/dataplane/policy/sharedbucket_test.go
@@ -17,7 +17,7 @@
 		}
 	}
 	if sent <= 20 {
-		t.Errorf("a customer that may exceed its quota got %d units, want more than its burst of 20", sent)
+		t.Errorf("a plan that may exceed its quota got %d units, its burst is 20", sent)
 	}
 	r.sharedBucket.level = 10
 	sent = 0
@@ -27,6 +27,6 @@
 		}
 	}
 	if sent != 8 {
-		t.Errorf("a customer that may not exceed its quota got %d units, want its burst of 8", sent)
+		t.Errorf("a plan that may not exceed its quota got %d units, want its burst of 8", sent)
 	}
 }
--- a/internal/dataplane/policy/slowstart_fleet_test.go
+++ b/internal/dataplane/policy/slowstart_fleet_test.go
@@ -72,7 +72,8 @@
 	if s.startedAt == 0 {
 		return 1
 	}
-	return min(1, slowStartMinFraction+(1-slowStartMinFraction)*float64(now-s.startedAt)/slowStartDuration)
+	age := float64(now-s.startedAt) / slowStartDuration
+	return min(1, slowStartMinFraction+(1-slowStartMinFraction)*age)
 }
 
 // simulatedGateway hosts one gateway's Balancer.
@@ -84,15 +85,21 @@
 
 func newSimulatedFleet(t *testing.T, gateways int, load float64, seed uint64) *simulatedFleet {
 	t.Helper()
-	f := &simulatedFleet{t: t, now: 100_000_000, load: load, rand: rand.New(rand.NewPCG(seed, 0xf1ee))}
+	random := rand.New(rand.NewPCG(seed, 0xf1ee))
+	f := &simulatedFleet{t: t, now: 100_000_000, load: load, rand: random}
 	for i := range gateways {
 		m := &simulatedGateway{fleet: f, attempts: map[uint64]int{}}
 		var err error
 		m.balancer, err = policy.New(policy.Settings{
-			Self: i, Gateways: gateways, MaxAttempts: 3, Tick: 1000, RetryAfter: true, MaxRetryAfter: 2_000_000,
-			SlowStartMinFraction: slowStartMinFraction, SlowStartDuration: slowStartDuration, SlowStartOverloadWindow: overloadWindow,
-			Classes: []policy.Class{{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1}},
-			Plans:   []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1}},
+			Self: i, Gateways: gateways, MaxAttempts: 3, Tick: 1000,
+			RetryAfter: true, MaxRetryAfter: 2_000_000,
+			SlowStartMinFraction:    slowStartMinFraction,
+			SlowStartDuration:       slowStartDuration,
+			SlowStartOverloadWindow: overloadWindow,
+			Classes: []policy.Class{
+				{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1},
+			},
+			Plans: []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1}},
 		}, seed<<8|uint64(i), m)
 		if err != nil {
 			t.Fatal(err)
@@ -123,7 +130,8 @@
 func (f *simulatedFleet) updateEndpoints(news policy.ListKind) {
 	var list []policy.Endpoint
 	for n := range f.servers {
-		list = append(list, policy.Endpoint{Backend: uint32(n + 1), StartedAt: f.servers[n].startedAt})
+		backend := uint32(n + 1)
+		list = append(list, policy.Endpoint{Backend: backend, StartedAt: f.servers[n].startedAt})
 	}
 	for _, m := range f.gateways {
 		m.balancer.UpdateEndpoints(f.now, news, list)
@@ -135,7 +143,10 @@
 	f.schedule(policy.Time(f.rand.ExpFloat64()/(fleetServers*serverRate*f.load)*1e6), func() {
 		m := f.gateways[f.rand.IntN(len(f.gateways))]
 		f.nextID++
-		m.balancer.Request(f.now, policy.Request{ID: f.nextID, Customer: f.nextID % 97, Units: 1, Timeout: 2_000_000, Spread: 1, First: m.number()})
+		m.balancer.Request(f.now, policy.Request{
+			ID: f.nextID, Customer: f.nextID % 97, Units: 1, Timeout: 2_000_000, Spread: 1,
+			First: m.number(),
+		})
 		f.scheduleRequest()
 	})
 }
@@ -168,9 +179,12 @@
 // Send schedules the outcome of an attempt.
 func (m *simulatedGateway) Send(id uint64, backend uint32, _ policy.Time) {
 	f, server := m.fleet, &m.fleet.servers[backend-1]
-	o := policy.Outcome{ID: id, Attempt: m.attempts[id], Backend: backend, Result: policy.OK, RequestDone: true}
+	o := policy.Outcome{
+		ID: id, Attempt: m.attempts[id], Backend: backend, Result: policy.OK, RequestDone: true,
+	}
 	m.attempts[id]++
-	switch life := server.startedAt; {
+	startedAt := server.startedAt // tells a later incarnation apart
+	switch {
 	case server.down:
 		o.Result, o.Duration, o.RequestDone = policy.ConnectFailed, rejectLatency, false
 	case server.queued >= maxServerQueue:
@@ -178,11 +192,12 @@
 		o.Result, o.Duration, o.RequestDone = policy.Rejected, rejectLatency, false
 	default:
 		server.sends = append(server.sends, f.now)
-		server.idleAt = max(server.idleAt, f.now) + policy.Time(1e6/serverRate/server.capacity(f.now))
+		serviceTime := policy.Time(1e6 / serverRate / server.capacity(f.now))
+		server.idleAt = max(server.idleAt, f.now) + serviceTime
 		server.queued++
 		o.Duration = server.idleAt - f.now + answerLatency
 		f.schedule(server.idleAt-f.now, func() {
-			if server.startedAt == life {
+			if server.startedAt == startedAt {
 				server.queued--
 			}
 		})
@@ -209,7 +224,7 @@
 
 // worstOverload compares the requests sent to the first servers in each window with what they
 // tolerate, and returns the figures of the worst window.
-func (f *simulatedFleet) worstOverload(servers int) (sent int, bears float64) {
+func (f *simulatedFleet) worstOverload(servers int) (sent int, tolerated float64) {
 	over := math.Inf(-1)
 	for n := range servers {
 		server := &f.servers[n]
@@ -217,20 +232,21 @@
 			for server.sends[i]-server.sends[from] > overloadWindow {
 				from++
 			}
-			allowed := overloadFactor * serverRate * server.capacity(server.sends[i]) * overloadWindow / 1e6
+			capacity := server.capacity(server.sends[i])
+			allowed := overloadFactor * serverRate * capacity * overloadWindow / 1e6
 			count, limit := i-from+1, allowed+2*math.Sqrt(allowed)+2
 			if float64(count)-limit > over {
-				over, sent, bears = float64(count)-limit, count, limit
+				over, sent, tolerated = float64(count)-limit, count, limit
 			}
 		}
 	}
-	return sent, bears
+	return sent, tolerated
 }
 
-// Servers in slow start are sent no more by all gateways together than they tolerate, N + 2 roots of
-// N + 2 requests in a window, though no gateway hears of another, once a list has told of their
-// start: at once, after a crash, or some time after it; one of ten, or most of them; at a load below
-// the servers' capacity, and at twice that.
+// Servers in slow start are sent no more by all gateways together than they tolerate, N + 2 roots
+// of N + 2 requests in a window, though no gateway hears of another, once a list has told of their
+// start: at once, after a crash, or some time after it; one of ten, or most of them; at a load
+// below the servers' capacity, and at twice that.
 func TestFleetSparesServersInSlowStart(t *testing.T) {
 	for name, begin := range map[string]func(f *simulatedFleet, servers int){
 		"restart, told at once": func(f *simulatedFleet, servers int) {
@@ -251,22 +267,14 @@
 		},
 	} {
 		for _, gateways := range []int{20, 30} {
-			for _, cold := range []int{1, 8} {
+			for _, restarted := range []int{1, 8} {
 				for _, load := range []float64{0.7, 2} {
-					t.Run(fmt.Sprintf("%s, %d gateways, %d in slow start, load %g", name, gateways, cold, load), func(t *testing.T) {
+					name := fmt.Sprintf("%s, %d gateways, %d in slow start, load %g",
+						name, gateways, restarted, load)
+					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						for seed := range uint64(2) {
-							f := newSimulatedFleet(t, gateways, load, seed)
-							f.run(f.now + 15_000_000)
-							begin(f, cold)
-							f.run(f.now + slowStartDuration)
-							sent, bears := f.worstOverload(cold)
-							if sent == 0 {
-								t.Errorf("seed %d: no server is sent anything", seed)
-							}
-							if float64(sent) > bears {
-								t.Errorf("seed %d: %d requests in a window, %.1f tolerated", seed, sent, bears)
-							}
+							checkSlowStart(t, seed, gateways, restarted, load, begin)
 						}
 					})
 				}
@@ -274,3 +282,19 @@
 		}
 	}
 }
+
+func checkSlowStart(t *testing.T, seed uint64, gateways, restarted int, load float64,
+	begin func(f *simulatedFleet, servers int)) {
+	t.Helper()
+	f := newSimulatedFleet(t, gateways, load, seed)
+	f.run(f.now + 15_000_000)
+	begin(f, restarted)
+	f.run(f.now + slowStartDuration)
+	sent, tolerated := f.worstOverload(restarted)
+	if sent == 0 {
+		t.Errorf("seed %d: no server is sent anything", seed)
+	}
+	if float64(sent) > tolerated {
+		t.Errorf("seed %d: %d requests in a window, %.1f tolerated", seed, sent, tolerated)
+	}
+}
--- a/internal/dataplane/policy/slowstart_test.go
+++ b/internal/dataplane/policy/slowstart_test.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &testBalancer{Balancer: g, actionRecorder: g.actions.(*actionRecorder), t: t, time: start}
+		r := wrapBalancer(t, g, start)
 		list := endpointList(4)
 		list[3].StartedAt = start
 		g.UpdateEndpoints(start, Complete, list)
--- a/internal/dataplane/policy/snapshot_test.go
+++ b/internal/dataplane/policy/snapshot_test.go
@@ -32,8 +32,8 @@
 	return &testBalancer{Balancer: g, actionRecorder: f, t: t, time: at}
 }
 
-// Whatever happened before, and whenever the process ended, a restored Balancer has no more than the
-// earlier one would have. The host has stored a snapshot whenever one was due, and now and then
+// Whatever happened before, and whenever the process ended, a restored Balancer has no more than
+// the earlier one would have. The host has stored a snapshot whenever one was due, and now and then
 // besides; those may be written long after they were taken, or never.
 func TestRestoredBucketsNeverHoldMore(t *testing.T) {
 	for seed := range uint64(1000) {
@@ -71,8 +71,10 @@
 			default:
 				customer := 1 + uint64(r.IntN(4))
 				a.lastID++
-				a.Request(a.time, Request{ID: a.lastID, Class: r.IntN(3), Plan: int(customer % 3), Customer: customer,
-					Units: 1 + float64(r.IntN(2)), Timeout: 2 * second, Spread: spread})
+				a.Request(a.time, Request{
+					ID: a.lastID, Class: r.IntN(3), Plan: int(customer % 3), Customer: customer,
+					Units: 1 + float64(r.IntN(2)), Timeout: 2 * second, Spread: spread,
+				})
 				if q := a.requests[a.lastID]; q != nil {
 					a.endAttempt(a.lastID, OK, true)
 				}
@@ -90,9 +92,12 @@
 		a.advanceClock(a.time + down)
 		for customer := uint64(1); customer <= 4; customer++ {
 			plan := int(customer % 3)
-			x, y := a.findOrAddCustomer(customer, plan, 0, spread), b.findOrAddCustomer(customer, plan, 0, spread)
-			if y.bucket.level > x.bucket.level+1e-6 || y.ceilingBucket.level > x.ceilingBucket.level+1e-6 {
-				t.Fatalf("seed %d, customer %d: restored bucket %g and ceiling %g, without a restart %g and %g", seed, customer,
+			x := a.findOrAddCustomer(customer, plan, 0, spread)
+			y := b.findOrAddCustomer(customer, plan, 0, spread)
+			if y.bucket.level > x.bucket.level+1e-6 ||
+				y.ceilingBucket.level > x.ceilingBucket.level+1e-6 {
+				t.Fatalf("seed %d, customer %d: restored bucket %g and ceiling %g, "+
+					"without a restart %g and %g", seed, customer,
 					y.bucket.level, y.ceilingBucket.level, x.bucket.level, x.ceilingBucket.level)
 			}
 		}
@@ -107,7 +112,9 @@
 	a.lastID = 1000
 	for range 3 {
 		a.lastID++
-		a.Request(a.time, Request{ID: a.lastID, Plan: 2, Customer: 9, Units: 2, Timeout: 2 * second, Spread: 1})
+		a.Request(a.time, Request{
+			ID: a.lastID, Plan: 2, Customer: 9, Units: 2, Timeout: 2 * second, Spread: 1,
+		})
 		a.endAttempt(a.lastID, OK, true)
 	}
 	slow := a.backendByID[2]
@@ -122,12 +129,15 @@
 	x, y := a.findOrAddCustomer(9, 2, 0, 1), b.findOrAddCustomer(9, 2, 0, 1)
 	assertNear(t, "bucket", y.bucket.level, x.bucket.level)
 	assertNear(t, "ceiling", y.ceilingBucket.level, x.ceilingBucket.level)
-	assertNear(t, "latency ratio", b.backendByID[2].currentLatencyRatio(b.time), slow.currentLatencyRatio(b.time))
+	assertNear(t, "latency ratio",
+		b.backendByID[2].currentLatencyRatio(b.time), slow.currentLatencyRatio(b.time))
 	if !b.backendByID[3].unhealthy || b.backendByID[3].nextProbe != broken.nextProbe {
 		t.Error("an ejected backend is not ejected any more")
 	}
 	assertNear(t, "mean latency", b.meanLatency.value, a.meanLatency.value)
-	if assertNear(t, "another customer's ceiling", b.findOrAddCustomer(10, 2, 0, 1).ceilingBucket.level, a.findOrAddCustomer(10, 2, 0, 1).ceilingBucket.level); b.uncleanRestore {
+	x, y = a.findOrAddCustomer(10, 2, 0, 1), b.findOrAddCustomer(10, 2, 0, 1)
+	assertNear(t, "another customer's ceiling", y.ceilingBucket.level, x.ceilingBucket.level)
+	if b.uncleanRestore {
 		t.Error("a graceful restart counts as an unclean one")
 	}
 }
@@ -138,13 +148,15 @@
 	set := testSettings()
 	a := newTestBalancer(t, set)
 	a.backendByID[1].addLatencyRatio(a.time, 20)
-	a.backendByID[2].StartedAt, a.backendByID[2].slowStart = a.time, tokenBucket{at: a.time} // found to have restarted by this gateway
+	// found to have restarted by this gateway
+	a.backendByID[2].StartedAt, a.backendByID[2].slowStart = a.time, tokenBucket{at: a.time}
 	b := restoredBalancer(t, set, a.time+second/10, a.TakeSnapshot(a.time, true))
 	list := endpointList(4)
 	list[0].StartedAt = b.time - second/20
 	b.UpdateEndpoints(b.time, Complete, list)
 	if b.backendByID[1].currentLatencyRatio(b.time) != 1 || b.warmFraction(b.backendByID[1]) > 0.3 {
-		t.Errorf("backend 1: latency ratio %g, warm fraction %g", b.backendByID[1].currentLatencyRatio(b.time), b.warmFraction(b.backendByID[1]))
+		t.Errorf("backend 1: latency ratio %g, warm fraction %g",
+			b.backendByID[1].currentLatencyRatio(b.time), b.warmFraction(b.backendByID[1]))
 	}
 	if b.warmFraction(b.backendByID[2]) > 0.3 {
 		t.Error("a backend that was found to have restarted is warm")
@@ -157,16 +169,22 @@
 	a := newTestBalancer(t, set)
 	a.serve(0, 2, 9, 1)
 	for reason, change := range map[string]func(*Snapshot, *Settings){
-		"version":                       func(s *Snapshot, _ *Settings) { s.Version++ },
-		"other settings":                func(_ *Snapshot, set *Settings) { set.Plans[0].Rate++ },
-		"ahead":                         func(s *Snapshot, _ *Settings) { s.At += 10 * second },
-		"old":                           func(s *Snapshot, _ *Settings) { s.At -= 2 * maxSnapshotAge },
-		"classes":                       func(s *Snapshot, _ *Settings) { s.ClassLatencies = s.ClassLatencies[:1] },
-		"row":                           func(s *Snapshot, _ *Settings) { s.ClientTimeouts[1] = nil },
-		"twice":                         func(s *Snapshot, _ *Settings) { s.Customers = append(s.Customers, s.Customers[0]) },
-		"more left than the plan holds": func(s *Snapshot, _ *Settings) { s.Customers[0].BucketLevel = 1e9 },
-		"figure":                        func(s *Snapshot, _ *Settings) { s.Customers[0].LocalDemand = -1 },
-		"waits":                         func(s *Snapshot, _ *Settings) { s.Backends[0].ProbeBackoff = -1 },
+		"version":        func(s *Snapshot, _ *Settings) { s.Version++ },
+		"other settings": func(_ *Snapshot, set *Settings) { set.Plans[0].Rate++ },
+		"ahead":          func(s *Snapshot, _ *Settings) { s.At += 10 * second },
+		"old":            func(s *Snapshot, _ *Settings) { s.At -= 2 * maxSnapshotAge },
+		"classes": func(s *Snapshot, _ *Settings) {
+			s.ClassLatencies = s.ClassLatencies[:1]
+		},
+		"row": func(s *Snapshot, _ *Settings) { s.ClientTimeouts[1] = nil },
+		"twice": func(s *Snapshot, _ *Settings) {
+			s.Customers = append(s.Customers, s.Customers[0])
+		},
+		"more left than the plan holds": func(s *Snapshot, _ *Settings) {
+			s.Customers[0].BucketLevel = 1e9
+		},
+		"figure": func(s *Snapshot, _ *Settings) { s.Customers[0].LocalDemand = -1 },
+		"waits":  func(s *Snapshot, _ *Settings) { s.Backends[0].ProbeBackoff = -1 },
 	} {
 		s, other := a.TakeSnapshot(a.time, true), testSettings()
 		change(&s, &other)
@@ -174,7 +192,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := g.Restore(a.time+second, maxSnapshotAge, &s); err == nil || !strings.Contains(err.Error(), reason) || strings.Contains(err.Error(), "\n") {
+		if err := g.Restore(a.time+second, maxSnapshotAge, &s); err == nil ||
+			!strings.Contains(err.Error(), reason) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", reason, err)
 		}
 		if len(g.customers) > 0 || g.meanLatency.samples > 0 {
@@ -283,7 +302,9 @@
 	r := newTestBalancer(t, set)
 	take := func(units float64) {
 		r.lastID++
-		r.Request(r.time, Request{ID: r.lastID, Plan: 1, Customer: 5, Units: units, Timeout: 2 * second, Spread: 1})
+		r.Request(r.time, Request{
+			ID: r.lastID, Plan: 1, Customer: 5, Units: units, Timeout: 2 * second, Spread: 1,
+		})
 		r.endAttempt(r.lastID, OK, true)
 	}
 	take(1)
--- a/internal/dataplane/policy/testbalancer_test.go
+++ b/internal/dataplane/policy/testbalancer_test.go
@@ -23,17 +23,21 @@
 	f.attemptDeadlines = append(f.attemptDeadlines, until)
 }
 
-func (f *actionRecorder) Reject(id uint64, after Time)        { f.record("reject %d after %d", id, after) }
-func (f *actionRecorder) Fail(id uint64)                      { f.record("fail %d", id) }
-func (f *actionRecorder) SetTimer(at Time, token uint32)      { f.record("timer %d", at) }
-func (f *actionRecorder) Probe(backend uint32)                { f.record("probe %d", backend) }
-func (f *actionRecorder) SendToPeer(peer int, message []byte) { f.record("peer %d %x", peer, message) }
-func (f *actionRecorder) AddToCounter(name uint64, add float64, life Time) {
+func (f *actionRecorder) Reject(id uint64, after Time) {
+	f.record("reject %d after %d", id, after)
+}
+
+func (f *actionRecorder) Fail(id uint64)                { f.record("fail %d", id) }
+func (f *actionRecorder) SetTimer(at Time, _ uint32)    { f.record("timer %d", at) }
+func (f *actionRecorder) Probe(backend uint32)          { f.record("probe %d", backend) }
+func (f *actionRecorder) SendToPeer(peer int, m []byte) { f.record("peer %d %x", peer, m) }
+func (f *actionRecorder) WatchEndpoints()               { f.record("watch") }
+func (f *actionRecorder) Log(line string)               { f.record("log %s", line) }
+
+func (f *actionRecorder) AddToCounter(name uint64, add float64, _ Time) {
 	f.record("counter %d %g", name, add)
 }
 
-func (f *actionRecorder) WatchEndpoints() { f.record("watch") }
-func (f *actionRecorder) Log(line string) { f.record("log %s", line) }
 func (f *actionRecorder) count(prefix string) int {
 	n := 0
 	for _, line := range f.recorded {
@@ -63,12 +67,18 @@
 		Classes: []Class{
 			{LatencyObjective: second / 2, Idempotency: Idempotent, PriorityWeight: 1},
 			{LatencyObjective: second, Idempotency: NotIdempotent, PriorityWeight: 5},
-			{LatencyObjective: second, Idempotency: WithIdempotencyKey, DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 3},
+			{
+				LatencyObjective: second, Idempotency: WithIdempotencyKey,
+				DeduplicationScope: ScopeCell, DeduplicationWindow: second, PriorityWeight: 3,
+			},
 		},
 		Plans: []Plan{
 			{Rate: 2, Burst: 8, Price: 1, BeyondCosts: 1},
 			{Rate: 10, Burst: 20, Price: 1, BeyondEarns: 0.3},
-			{Rate: 4, Burst: 8, Price: 1, BeyondEarns: 0.3, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2},
+			{
+				Rate: 4, Burst: 8, Price: 1, BeyondEarns: 0.3,
+				CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2,
+			},
 		},
 	}
 }
@@ -97,6 +107,12 @@
 	return r
 }
 
+// wrapBalancer returns a Balancer whose actions are recorded, as a testBalancer at a time.
+func wrapBalancer(t *testing.T, lb *Balancer, at Time) *testBalancer {
+	recorder := lb.actions.(*actionRecorder)
+	return &testBalancer{Balancer: lb, actionRecorder: recorder, t: t, time: at}
+}
+
 func endpointList(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -110,8 +126,10 @@
 func (r *testBalancer) request(class, plan int, customer uint64, units float64) (uint64, bool) {
 	r.lastID++
 	before := r.actionRecorder.count("send")
-	r.Request(r.time, Request{ID: r.lastID, Class: class, Plan: plan, Customer: customer, Units: units,
-		Timeout: 2 * second, Spread: 2})
+	r.Request(r.time, Request{
+		ID: r.lastID, Class: class, Plan: plan, Customer: customer, Units: units,
+		Timeout: 2 * second, Spread: 2,
+	})
 	return r.lastID, r.actionRecorder.count("send") > before
 }
 
@@ -122,8 +140,10 @@
 		r.t.Fatalf("request %d is not known", id)
 	}
 	n := len(q.attempts) - 1
-	r.Outcome(r.time, Outcome{ID: id, Attempt: n, Backend: q.attempts[n].backend.Backend, Result: result,
-		Duration: second / 10, RequestDone: over})
+	r.Outcome(r.time, Outcome{
+		ID: id, Attempt: n, Backend: q.attempts[n].backend.Backend, Result: result,
+		Duration: second / 10, RequestDone: over,
+	})
 }
 
 // serve makes a request and, if it is sent, answers it at once.
@@ -158,7 +178,8 @@
 	for _, line := range sent {
 		var peer int
 		var message []byte
-		if n, _ := fmt.Sscanf(line, "peer %d %x", &peer, &message); n == 2 && peer == to.settings.Self {
+		if n, _ := fmt.Sscanf(line, "peer %d %x", &peer, &message); n == 2 &&
+			peer == to.settings.Self {
 			to.ReceivePeerMessage(to.time, from.settings.Self, message)
 		}
 	}
--- a/internal/dataplane/policy/trial_test.go
+++ b/internal/dataplane/policy/trial_test.go
@@ -49,14 +49,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &testBalancer{Balancer: g, actionRecorder: g.actions.(*actionRecorder), t: t, time: start}
+		r := wrapBalancer(t, g, start)
 		g.UpdateEndpoints(start, CompleteCached, endpointList(4))
 		for range 10 * seconds {
 			r.time += second / 10
 			asked++
 			for _, b := range g.backends {
 				if b.Backend != rejecting {
-					b.latencyRatio, b.latencyRatioAt = 20, r.time // overloaded, so that the rejecting one looks best
+					// overloaded, so that the rejecting one looks best
+					b.latencyRatio, b.latencyRatioAt = 20, r.time
 				}
 			}
 			id, ok := r.request(0, 0, 1, 1)
@@ -74,10 +75,12 @@
 	// Once each before any knows, then as often as the waits allow, which double up to
 	// maxProbeBackoff: at the shortest 0.43, 0.87, 1.73, 2 and 2 s.
 	if most := 6 * gateways; tried > most {
-		t.Errorf("%d of %d requests tried at the one that rejects all, at most %d wanted", tried, asked, most)
+		t.Errorf("%d of %d requests tried at the one that rejects all, at most %d wanted",
+			tried, asked, most)
 	}
 	if tried < 2*gateways {
-		t.Errorf("it was tried %d times by %d gateways: nobody would notice its recovery", tried, gateways)
+		t.Errorf("it was tried %d times by %d gateways: nobody would notice its recovery",
+			tried, gateways)
 	}
 	if served < asked*99/100 {
 		t.Errorf("%d of %d served, the other backends have capacity", served, asked)
@@ -120,7 +123,8 @@
 		b.consecutiveRejections = 10
 	}
 	if got := wait(); got < maxProbeBackoff/2 || got > maxProbeBackoff {
-		t.Errorf("longest wait %d us, %d to %d wanted", got, Time(maxProbeBackoff/2), Time(maxProbeBackoff))
+		t.Errorf("longest wait %d us, %d to %d wanted",
+			got, Time(maxProbeBackoff/2), Time(maxProbeBackoff))
 	}
 	r.time += maxProbeBackoff
 	id, ok := r.request(0, 0, 1, 1)
