--- /dev/null
+++ b/internal/dataplane/snapshot/text.go
@@ -0,0 +1,83 @@
+package snapshot
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"os"
+
+	"mothcleat/internal/dataplane/policy"
+)
+
+const (
+	magic         = "mothcleat-state"
+	formatVersion = 1
+	maxStateBytes = 64 << 20 // of a snapshot that is read
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// Errors of Decode.
+var (
+	ErrForeign  = errors.New("no state of this program")
+	ErrFormat   = errors.New("unknown format")
+	ErrHead     = errors.New("head can't be read")
+	ErrLength   = errors.New("wrong length")
+	ErrChecksum = errors.New("checksum differs: damaged")
+)
+
+// Encode returns a snapshot as one text, for a successor: a line with the length of what follows in
+// bytes and its CRC-32C as eight hex digits,
+//
+//	mothcleat-state 1 LENGTH CHECKSUM
+//
+// and a policy.Snapshot as JSON.
+func Encode(s policy.Snapshot) ([]byte, error) {
+	text, err := json.Marshal(s)
+	if err != nil {
+		return nil, err
+	}
+	sum := crc32.Checksum(text, castagnoli)
+	head := fmt.Appendf(nil, "%s %d %d %08x\n", magic, formatVersion, len(text), sum)
+	return append(head, text...), nil
+}
+
+// Decode reads what Encode returns. It returns one of the errors above for what can't be used.
+func Decode(raw []byte) (s policy.Snapshot, err error) {
+	line, text, ok := bytes.Cut(raw[:min(len(raw), maxStateBytes)], []byte("\n"))
+	if !ok || !bytes.HasPrefix(line, []byte(magic+" ")) {
+		return s, ErrForeign
+	}
+	var format, length int
+	var sum uint32
+	n, err := fmt.Sscanf(string(line), magic+" %d %d %08x", &format, &length, &sum)
+	if n < 1 || format != formatVersion {
+		return s, fmt.Errorf("%w: format %d, %d wanted", ErrFormat, format, formatVersion)
+	}
+	if err != nil {
+		return s, ErrHead
+	}
+	switch {
+	case len(text) < length:
+		return s, fmt.Errorf("%w: cut after %d of %d bytes", ErrLength, len(text), length)
+	case len(text) > length:
+		return s, fmt.Errorf("%w: %d bytes too many", ErrLength, len(text)-length)
+	case crc32.Checksum(text, castagnoli) != sum:
+		return s, ErrChecksum
+	}
+	if err := json.Unmarshal(text, &s); err != nil {
+		return policy.Snapshot{}, err
+	}
+	return s, nil
+}
+
+// loadLegacyFile reads the single file of versions before the store: what Encode returns.
+func loadLegacyFile(path string) (policy.Snapshot, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return policy.Snapshot{}, err
+	}
+	return Decode(raw)
+}
