--- a/internal/dataplane/gateway/accept_test.go
+++ b/internal/dataplane/gateway/accept_test.go
@@ -7,7 +7,7 @@
 
 // Connections that the machine has accepted when the listener is to be closed are served; to close it over them would reset
 // them, and lose what they have brought. Later ones are refused.
-func TestWaitingConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
+func TestBacklogIsAcceptedBeforeListenerCloses(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	address := g.clients.listener.Addr().String()
 	const waiting = 3
@@ -55,7 +55,7 @@
 }
 
 // Where there is no place for another connection the listener stays open until there is one: what waits would be reset.
-func TestTheListenerStaysOpenWithoutAPlace(t *testing.T) {
+func TestListenerStaysOpenWithoutFreeSlots(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	for len(g.clients.slots) < cap(g.clients.slots) {
 		g.clients.slots <- struct{}{}
--- a/internal/dataplane/gateway/admin_test.go
+++ b/internal/dataplane/gateway/admin_test.go
@@ -53,7 +53,7 @@
 }
 
 // The figures are what the peers have seen, each request and attempt once.
-func TestFiguresTellWhatHappened(t *testing.T) {
+func TestMetricsCountOutcomes(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"), b.entry("s-2", "Terminating"))
 	r := managed(t, d)
@@ -97,7 +97,7 @@
 
 // A drained gateway says no at once, answers what it has and what still comes, ends its
 // connections, goes on running, and comes back.
-func TestDrainEmptiesAndComesBack(t *testing.T) {
+func TestDrainClosesConnectionsAndCanBeEnded(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
 	if got := operator(t, r, "check"); got != "ok\n" {
--- a/internal/dataplane/gateway/authorization_bench_test.go
+++ b/internal/dataplane/gateway/authorization_bench_test.go
@@ -11,10 +11,10 @@
 	"mothcleat/internal/dataplane/forwardauth"
 )
 
-// BenchmarkPermit times requests through a gateway whose backend and authenticator
+// BenchmarkAuthorization times requests through a gateway whose backend and authenticator
 // answer at once: asking nobody, with the verdict in the cache, and with a call for
 // each request. The quantiles are in microseconds.
-func BenchmarkPermit(b *testing.B) {
+func BenchmarkAuthorization(b *testing.B) {
 	for _, kind := range []string{"off", "warm", "cold"} {
 		b.Run(kind, func(b *testing.B) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -70,7 +70,7 @@
 
 // An allowed request goes on, a denied one reaches no backend and takes no units; the
 // backend never sees the token.
-func TestAuthenticatorDecides(t *testing.T) {
+func TestAuthenticatorVerdicts(t *testing.T) {
 	r, b, _, calls := askingRig(t, nil)
 	c := r.client(t)
 	c.send("AUTH", "the-token")
@@ -119,7 +119,7 @@
 
 // A hung authenticator holds nobody beyond the budget; a class that passes without a
 // verdict goes on, once, though the verdict comes later.
-func TestHungAuthenticatorIsGivenUp(t *testing.T) {
+func TestHungAuthenticatorTimesOut(t *testing.T) {
 	r, b, _, calls := askingRig(t, func(c *Config) { c.Auth.Rules.Budget = 50_000 })
 	c := r.client(t)
 	c.lookup(1, "86400000")
@@ -143,7 +143,7 @@
 }
 
 // 429 is a refusal with advice; a fault is none of the statuses that deny.
-func TestOtherAnswers(t *testing.T) {
+func TestOtherAuthenticatorAnswers(t *testing.T) {
 	r, b, _, calls := askingRig(t, nil)
 	for id, c := range []struct {
 		status int
@@ -163,7 +163,7 @@
 
 // While a request waits for its verdict, its client leaves, the gateway is drained,
 // or asking is switched off: each is closed once, and at once.
-func TestWaitingForAVerdict(t *testing.T) {
+func TestRequestEndsWhileAwaitingVerdict(t *testing.T) {
 	t.Run("the client leaves", func(t *testing.T) {
 		r, b, _, calls := askingRig(t, nil)
 		c, other := r.client(t), r.client(t)
@@ -269,7 +269,7 @@
 
 // A verdict in the same instant as the client's leave, the deadline or the drain's
 // end, before or after it: one answer, and nothing sent on after it.
-func TestVerdictAtTheSameInstant(t *testing.T) {
+func TestVerdictRacesWithRequestEnd(t *testing.T) {
 	s, calls := newAuthenticator(t)
 	for name, end := range map[string]func(g *Gateway, r *request){
 		"leave":    func(g *Gateway, r *request) { clientLeft{r.client}.handle(g) },
--- a/internal/dataplane/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -12,7 +12,7 @@
 
 // A connection that says nothing, or only half a command, is ended; one whose
 // request is open is not.
-func TestSilentAndHalfCommandsAreEnded(t *testing.T) {
+func TestSilentAndStalledClientsAreCutOff(t *testing.T) {
 	t.Parallel() // it waits for seconds
 	r, b, _ := oneBackend(t, nil)
 	good := r.client(t)
@@ -35,7 +35,7 @@
 }
 
 // Values far beyond any limit are not read: the error comes before they do.
-func TestHugeValueIsNotRead(t *testing.T) {
+func TestOversizedCommandIsNotRead(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
 	c.raw("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
@@ -46,7 +46,7 @@
 }
 
 // A client that only errs is cut off; one that errs now and then is not.
-func TestErrorsInARowEndTheConnection(t *testing.T) {
+func TestConsecutiveErrorsCloseConnection(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
 	for range 2 * maxConsecutiveErrors {
@@ -71,7 +71,7 @@
 }
 
 // The id of another client's open request is turned away: that one is served.
-func TestIDOfAnOpenRequest(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c, other := r.client(t), r.client(t)
 	c.lookup(1, "60000")
@@ -88,7 +88,7 @@
 }
 
 // Those that never asked make room first, then those that asked once.
-func TestWhoMakesRoom(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	d := newFakeDiscovery(t)
 	g := unstarted(t, d)
 	now := g.now()
@@ -121,7 +121,7 @@
 }
 
 // Connections that asked once and stay take no place from those that come.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	r, b := fourBackends(t, 40) // 6 clients, and 4 that may be turned away
 	for id := range 30 {
 		c := r.client(t)
@@ -137,7 +137,7 @@
 func (f inspect) handle(g *Gateway) { f(g) }
 
 // A request that has ended leaves nothing behind until its time would be up.
-func TestEndedRequestsLeaveNoTimers(t *testing.T) {
+func TestEndedRequestsCancelTimers(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	const many = 50
@@ -164,7 +164,7 @@
 
 // In a crowd those that say nothing, or halted half way, make room; one that is writing its
 // command, however slowly, does not: its request would be lost.
-func TestSlowWritersAreKeptInACrowd(t *testing.T) {
+func TestSlowSendersAreNotEvicted(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	now := g.now()
 	make := func(used, heard policy.Time, amid bool) *client {
--- a/internal/dataplane/gateway/descriptor_limit_test.go
+++ b/internal/dataplane/gateway/descriptor_limit_test.go
@@ -25,7 +25,7 @@
 const discoveryCalls = 8
 
 // Of the descriptors that a gateway may hold, clients and backends leave enough for all else, at any limit.
-func TestPlacesLeaveDescriptorsForAllElse(t *testing.T) {
+func TestConnectionLimitsReserveDescriptors(t *testing.T) {
 	const (
 		counter = counterConns
 		sockets = 2 // the listener's and the notes'
--- a/internal/dataplane/gateway/departed_client_test.go
+++ b/internal/dataplane/gateway/disconnected_client_test.go
@@ -47,7 +47,7 @@
 
 // A client that has sent more commands than its line holds, and leaves, is seen to have left though its reader waits for room
 // and its close lies behind commands that nobody has read: none of its requests is sent on after that.
-func TestWhoLeavesBehindAFullLineIsNotSentOn(t *testing.T) {
+func TestDisconnectBehindFullPipelineSendsNothing(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
@@ -73,7 +73,7 @@
 
 // A client whose framing is lost, or that errs again and again, is read no more; that it leaves is seen all the same, and its
 // requests before the bad commands are not sent on after that.
-func TestWhoLeavesAfterBadCommandsIsNotSentOn(t *testing.T) {
+func TestDisconnectAfterInvalidCommandsSendsNothing(t *testing.T) {
 	for what, bad := range map[string]string{
 		"lost framing": "*1\r\nnonsense\r\n", "errors in a row": strings.Repeat("*1\r\n$7\r\nNOTHING\r\n", 2*maxConsecutiveErrors),
 	} {
@@ -128,7 +128,7 @@
 
 // A loop that is behind has a dial's end before a client's close in its queue: before it sends the request on it looks whether
 // the client is still there.
-func TestABusyLoopLooksBeforeItSends(t *testing.T) {
+func TestBusyLoopChecksHangUpBeforeSend(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
@@ -165,7 +165,7 @@
 
 // A further attempt, that an outcome asks for while the client's close waits behind it in the queue, is not sent either: a dial
 // to where it would go is never begun after the close was handled, and what was begun before writes nothing.
-func TestNoFurtherAttemptForWhoHasLeft(t *testing.T) {
+func TestNoRetryAfterDisconnect(t *testing.T) {
 	first, second := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, first.entry("s-00000001", "Ready"))
 	var dials *heldDials
--- a/internal/dataplane/gateway/endpoints_test.go
+++ b/internal/dataplane/gateway/endpoints_test.go
@@ -23,7 +23,7 @@
 }
 
 // A service of 5,000 instances is taken in, and one that goes among them is gone.
-func TestManyMembers(t *testing.T) {
+func TestManyEndpoints(t *testing.T) {
 	g, list := many(t, 5000)
 	if n := len(g.backends.byID); n != 5000 {
 		t.Errorf("%d backends", n)
@@ -60,7 +60,7 @@
 func (m *moves) Move(address string) { m.to = append(m.to, address) }
 
 // A reload moves whatever register there is, and nothing else about it.
-func TestReloadMovesTheRegisterThatThereIs(t *testing.T) {
+func TestReloadMovesEndpointSource(t *testing.T) {
 	d := newFakeDiscovery(t)
 	m := &moves{}
 	cfg := configure(t, d, nil)
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -110,7 +110,7 @@
 
 // What may have run of a class that must not run twice is never sent again, nor
 // refused: its failure promises nothing.
-func TestUnsafeIsNotSentAgain(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	for name, end := range map[string]func(*backendCall){
 		"reset": func(c *backendCall) { c.conn.Close() },
 		"error": func(c *backendCall) { _, _ = c.conn.Write([]byte("-ERR failed\r\n")) },
@@ -129,7 +129,7 @@
 }
 
 // An unsafe request that was turned away never ran: it goes out again.
-func TestTurnedAwayNeverRan(t *testing.T) {
+func TestBusyAnswerIsRetried(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
@@ -139,7 +139,7 @@
 }
 
 // A backend where nothing listens is known to have run nothing.
-func TestRefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionIsRejectedAsNotExecuted(t *testing.T) {
 	b := newBackend(t)
 	b.listener.Close()
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
@@ -167,7 +167,7 @@
 }
 
 // A refusal says when to come again, and comes at once.
-func TestRefusalIsPromptAndSaysWhen(t *testing.T) {
+func TestRejectionIsPromptWithRetryAfter(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	ask := func(id int) {
@@ -184,7 +184,7 @@
 }
 
 // Bad input is answered once and reaches no backend.
-func TestBadInput(t *testing.T) {
+func TestInvalidCommands(t *testing.T) {
 	r, b, _ := oneBackend(t, func(f map[string]any) {
 		text := strings.Replace(settingsText, `"counter":false`, `"counter":false,"max-units":4`, 1)
 		f["settings"] = json.RawMessage(strings.Replace(text, `"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`, 1))
@@ -242,7 +242,7 @@
 }
 
 // A client that leaves is seen while its request is out: its place is free again.
-func TestClientThatLeavesGivesUpItsPlace(t *testing.T) {
+func TestDisconnectFreesSlot(t *testing.T) {
 	r, b, _ := oneBackend(t, func(f map[string]any) {
 		f["settings"] = json.RawMessage(strings.Replace(settingsText, `"max-open":20000`, `"max-open":1`, 1))
 	})
@@ -410,7 +410,7 @@
 }
 
 // A member without a usable address gets nothing; one that is gone is gone.
-func TestUselessAddress(t *testing.T) {
+func TestUnusableAddress(t *testing.T) {
 	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
 		if m := (member{HostPort: address, Phase: "Ready"}); endpointState(&m) != policy.Draining {
 			t.Errorf("%q: state %d", address, endpointState(&m))
@@ -423,7 +423,7 @@
 
 // A watch that is never answered hides a drain, which counts as told 6 s later all
 // the same: it is given up by then, and the list taken anew on another connection.
-func TestHungWatchIsGivenUp(t *testing.T) {
+func TestHungWatchTimesOut(t *testing.T) {
 	t.Parallel() // it waits for seconds
 	var held atomic.Bool
 	var d *fakeDiscovery
@@ -451,7 +451,7 @@
 }
 
 // After a broken watch the whole list is taken: what changed may be missed.
-func TestDiscoveryTakesTheWholeListAfterABreak(t *testing.T) {
+func TestCompleteListAfterDiscoveryFailure(t *testing.T) {
 	_, b, d := oneBackend(t, nil)
 	for first := true; ; first = false {
 		query := wait(t, d.calls, "a call to discovery")
@@ -467,7 +467,7 @@
 
 // A planned stop answers all that was taken, on connections that then end, and
 // goes on taking new connections for a while.
-func TestStopAnswersWhatWasTaken(t *testing.T) {
+func TestShutdownAnswersAdmittedRequests(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
 	c.lookup(1, "60000")
@@ -483,7 +483,7 @@
 }
 
 // What is still out when SIGKILL comes near is failed, not left.
-func TestStopFailsWhatIsNotServed(t *testing.T) {
+func TestShutdownFailsOpenRequests(t *testing.T) {
 	t.Parallel() // it waits for seconds
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -513,7 +513,7 @@
 
 // Clients beyond the share of descriptors take the place of idle connections;
 // where none is idle they are refused at once.
-func TestMoreClientsThanPlaces(t *testing.T) {
+func TestMoreClientsThanSlots(t *testing.T) {
 	r, b := fourBackends(t, 40) // 6 clients
 	idle := r.client(t)
 	idle.send("PING")
@@ -569,7 +569,7 @@
 }
 
 // Where a record is kept each refusal is in it with its reason, and nothing else is.
-func TestRefusalsAreWrittenDown(t *testing.T) {
+func TestRejectionLog(t *testing.T) {
 	d := newFakeDiscovery(t)
 	cfg := configure(t, d, nil)
 	written := make(writes, 16)
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -80,7 +80,7 @@
 // A newer process takes the place of one that serves: no connection ends, what was open
 // is answered by the old one, what stood behind it and half a command by the new one, which
 // knows what was taken.
-func TestANewerProcessTakesOver(t *testing.T) {
+func TestSuccessorTakesOver(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
 	h := hold(t)
@@ -134,7 +134,7 @@
 
 // A chain of processes, each replacing the one before under requests: every request of every
 // client gets its one answer.
-func TestAChainOfProcessesAnswersAll(t *testing.T) {
+func TestChainOfHandoversAnswersAll(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
 	h := hold(t)
@@ -189,7 +189,7 @@
 
 // A third process that comes while the first still answers what it had takes the second's
 // place; the first is left to its end, and what it has is answered.
-func TestAThirdProcessWhileTheFirstEnds(t *testing.T) {
+func TestThirdProcessWhileFirstShutsDown(t *testing.T) {
 	b := newBackend(t)
 	h := hold(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
@@ -224,7 +224,7 @@
 
 // A newer process that dies before it has taken over leaves the old one serving, with what
 // came meanwhile.
-func TestANewerProcessThatDiesChangesNothing(t *testing.T) {
+func TestSuccessorThatDiesChangesNothing(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
 	h := hold(t)
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -11,7 +11,7 @@
 // How long a connection had stood idle when it proved dead counts to the write, not to the sending of the request that was
 // written: one that waits while its connection rests is sent before that begins to stand idle, and the difference, below
 // nothing, would have no connection trusted any more that was idle for a moment.
-func TestIdleTimeOfAResetConnectionCountsToTheWrite(t *testing.T) {
+func TestIdleTimeEndsAtTheWrite(t *testing.T) {
 	const stood = 5 * time.Second
 	b := newBackend(t)
 	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(g *Gateway) {
--- a/internal/dataplane/gateway/idle_trust_test.go
+++ b/internal/dataplane/gateway/idle_trust_test.go
@@ -9,7 +9,7 @@
 )
 
 // Kept connections that break when used are trusted for less, until that heals.
-func TestKeepLearnsAndHeals(t *testing.T) {
+func TestIdleTrustLearnsAndRecovers(t *testing.T) {
 	k := idleTrust{maxIdle: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(most policy.Time) {
@@ -34,7 +34,7 @@
 
 // A dial that is reset is made once more before the backend is held for dead:
 // nothing was sent, and something listens there.
-func TestResetDialIsMadeOnceMore(t *testing.T) {
+func TestResetDialIsRepeatedOnce(t *testing.T) {
 	b := newBackend(t)
 	g := unstarted(t, newFakeDiscovery(t))
 	g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
--- a/internal/dataplane/gateway/malformed_reply_test.go
+++ b/internal/dataplane/gateway/malformed_reply_test.go
@@ -13,7 +13,7 @@
 
 // Bytes behind a good answer lie there when the next request is written, and
 // would be taken for its answer: the connection is not used again.
-func TestSecondCopyAnswersNothing(t *testing.T) {
+func TestRepeatedAnswerIsDropped(t *testing.T) {
 	const good = "+PONG\r\n"
 	for name, answers := range map[string][]string{
 		"at once": {good + good},
@@ -69,7 +69,7 @@
 
 // A second copy of an answer may come when the next request has long been written, and would be its answer: until it
 // can't be under way any more the connection is not used, neither for what comes next nor for what waits already.
-func TestLateSecondAnswerAnswersNothing(t *testing.T) {
+func TestLateRepeatedAnswerIsDropped(t *testing.T) {
 	const value, second = "one", "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n"
 	t.Run("the next request", func(t *testing.T) {
 		b := newBackend(t)
@@ -117,7 +117,7 @@
 }
 
 // What comes while a connection rests waits for it, and is not dialed for; where the connection ends otherwise, it is.
-func TestNextRequestWaitsForTheRest(t *testing.T) {
+func TestNextRequestWaitsForRestingConnection(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		b := newBackend(t)
 		r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), restsFor(1e12))
@@ -165,7 +165,7 @@
 
 // An answer that can't be read is one failed attempt and ends one connection.
 // The others to that backend go on: its process has not died.
-func TestSpoiltAnswerEndsOneConnection(t *testing.T) {
+func TestMalformedAnswerClosesOneConnection(t *testing.T) {
 	for _, answer := range []string{
 		"?\r\n", ":5\r\n", "+OK\r\n", "$2\r\nno\r\n", "*3\r\n*3\r\n*3\r\n", "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
 		"*1000000000\r\n", "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n", "*3\r\n$3221225472\r\nxxxx",
@@ -196,7 +196,7 @@
 }
 
 // A load report or figure on use that can't be read leaves the value good.
-func TestBadReportLeavesTheValue(t *testing.T) {
+func TestBadLoadReportKeepsTheValue(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	for id, tail := range []string{"$-1\r\n$3\r\n=,=\r\n", ":12\r\n$-1\r\n", "$x\r\n$-1\r\n", "*9\r\n", "?"} {
@@ -207,7 +207,7 @@
 }
 
 // What is no load must not reach the decisions.
-func TestReports(t *testing.T) {
+func TestLoadReports(t *testing.T) {
 	settings := strings.Replace(settingsText, `"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`, 1)
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) { f["settings"] = json.RawMessage(settings) })
 	g := &Gateway{cfg: cfg}
--- a/internal/dataplane/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -22,7 +22,7 @@
 
 // A note over 256 bytes would void the run; what is too long or comes from no
 // peer is dropped.
-func TestNotes(t *testing.T) {
+func TestPeerMessages(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
 	cfg := &Config{PeerListen: "127.0.0.1:0", Settings: policy.Settings{Peers: true},
 		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()}}
--- a/internal/dataplane/gateway/plan_terms_test.go
+++ b/internal/dataplane/gateway/plan_terms_test.go
@@ -18,7 +18,7 @@
 		}})
 }
 
-func TestPlansThatCanNotBeActedOnHere(t *testing.T) {
+func TestUnusablePlansAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[plan]]\nname = \"outro\"\nrate = 1\nburst = 2\n":         "none of this gateway's plans",
 		"[[plan]]\nname = \"basico\"\nrate = 1\nburst = 2\nx = 3\n": "line 5",
@@ -45,7 +45,7 @@
 
 // While versions overlap the tighter terms bind, and of two plans the smaller; what a version does
 // not name is as it was.
-func TestTighterTermsWhileVersionsOverlap(t *testing.T) {
+func TestTighterTermsBindWhileVersionsOverlap(t *testing.T) {
 	terms, done := testTerms(), 0
 	var got []plansChanged
 	newer := parsed(
--- a/internal/dataplane/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -153,7 +153,7 @@
 
 // A gateway is ready whatever it finds of the process before: a good state, a damaged one, one that another process holds, or
 // one that its folder does not take.
-func TestReadyWithAnyState(t *testing.T) {
+func TestReadyWithAnySnapshot(t *testing.T) {
 	for name, spoil := range map[string]func(t *testing.T, path string){
 		"good": func(*testing.T, string) {},
 		"none": func(t *testing.T, path string) {
--- a/internal/dataplane/gateway/reload_test.go
+++ b/internal/dataplane/gateway/reload_test.go
@@ -37,7 +37,7 @@
 }
 
 // What can't be read leaves the gateway as it was: it goes on watching.
-func TestReloadThatFailsKeepsTheOld(t *testing.T) {
+func TestFailedReloadKeepsConfiguration(t *testing.T) {
 	r, _, d := oneBackend(t, nil)
 	r.reloads(Config{}, errors.New("no such file"))
 	d.settled(t)
--- a/internal/dataplane/gateway/shutdown_race_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -63,7 +63,7 @@
 
 // A request whose client has left while its attempt waited for a connection is not sent on when that
 // comes up: the first command on it is the next client's.
-func TestWhoHasLeftIsNotSentOn(t *testing.T) {
+func TestDisconnectWithdrawsWaitingAttempt(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
 		"closed": func(c *testClient) { c.conn.Close() },
 		"reset":  func(c *testClient) { _ = c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
@@ -134,7 +134,7 @@
 
 // The last byte of a request that is only partly written does not come once its client has left: a
 // backend begins a command with that byte.
-func TestPartlyWrittenIsCutOffWithItsClient(t *testing.T) {
+func TestDisconnectAbortsPartialWrite(t *testing.T) {
 	b := newDeaf(t)
 	entry := fmt.Sprintf(`{"id":"s-00000001","host_port":%q,"phase":"Ready","size":1}`, b.listener.Addr())
 	r := beginWith(t, configure(t, newFakeDiscovery(t, entry), nil), smallSends)
@@ -157,7 +157,7 @@
 
 // A command that the reader has read, and the loop has not come to, is answered before its connection ends, whatever ends it:
 // its client sends again only what was not read.
-func TestWhatWasReadIsAnsweredBeforeTheEnd(t *testing.T) {
+func TestReadCommandsAreAnsweredBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(g *Gateway, c *client){
 		"told to": func(g *Gateway, c *client) { c.closeAfterAnswers(g) },
 		"the process ends": func(g *Gateway, c *client) {
@@ -207,7 +207,7 @@
 
 // A connection that the machine has accepted, and this process has not, is taken: the end waits for it, also where there was
 // no place for it before.
-func TestStopTakesWhatLiesInTheBacklog(t *testing.T) {
+func TestShutdownDrainsBacklog(t *testing.T) {
 	b := newBackend(t)
 	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(g *Gateway) {
 		g.clients.slots = make(chan struct{}, 1)
@@ -237,7 +237,7 @@
 }
 
 // An answer that its client has not read to the end is still owed: the process waits for it, as long as there is time.
-func TestStopWaitsForSlowReaders(t *testing.T) {
+func TestShutdownWaitsForSlowReaders(t *testing.T) {
 	b := newBackend(t)
 	cfg := configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil)
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -276,7 +276,7 @@
 }
 
 // The steps of the end follow from the longest deadline of the settings: SIGKILL comes that much, and 0.7 s, after SIGTERM.
-func TestStepsOfTheEndFollowTheSettings(t *testing.T) {
+func TestShutdownStepsFollowSettings(t *testing.T) {
 	const longest = 400_000
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
 		f["settings"] = json.RawMessage(strings.ReplaceAll(settingsText, `"promise-us":10000000`, `"promise-us":300000,"hard-limit-us":400000`))
@@ -294,7 +294,7 @@
 }
 
 // A dial to where a backend was does not speak against it: the process before refused, or was not there.
-func TestADialToAnOldAddressIsMadeAnew(t *testing.T) {
+func TestDialToOldAddressIsRepeated(t *testing.T) {
 	for name, change := range map[string]func(old, new *fakeBackend) string{
 		"moved": func(old, new *fakeBackend) string { return new.entry("s-00000001", "Ready") },
 		"started anew": func(old, new *fakeBackend) string {
@@ -338,7 +338,7 @@
 }
 
 // A drain that is told while attempts wait for their dials ends them at once: none waits till its dial is up, or its time over.
-func TestADrainEndsWhatWaits(t *testing.T) {
+func TestDrainCancelsWaitingAttempts(t *testing.T) {
 	b, other := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	var dials *heldDials
@@ -368,7 +368,7 @@
 
 // A repeat of a keyed request that waits for its connection until the window has closed is not sent: the backends have
 // forgotten what may have run.
-func TestARepeatIsNotSentAfterItsWindow(t *testing.T) {
+func TestRetryIsNotSentAfterDeduplicationWindow(t *testing.T) {
 	first, second := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, first.entry("s-00000001", "Ready"))
 	var dials *heldDials
@@ -396,7 +396,7 @@
 }
 
 // Of a client that has sent much at once and gone nothing is taken any more that waited behind its other requests.
-func TestNothingIsTakenFromWhoHasSentMuchAndGone(t *testing.T) {
+func TestPipelinedCommandsOfDisconnectedClientAreDropped(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	here, there := pipe(t)
 	g.clients.slots <- struct{}{}
--- a/internal/dataplane/gateway/snapshot_test.go
+++ b/internal/dataplane/gateway/snapshot_test.go
@@ -54,7 +54,7 @@
 
 // What a customer took before a restart stays taken, after an orderly stop and
 // after an end without one.
-func TestRestartKeepsWhatWasTaken(t *testing.T) {
+func TestRestartKeepsConsumedUnits(t *testing.T) {
 	for _, orderly := range []bool{true, false} {
 		m := newMemory()
 		b := newBackend(t)
@@ -84,7 +84,7 @@
 }
 
 // A request that nearly spends a lease has a state kept at once, not only a while later.
-func TestUrgentStateIsKeptBeforeAnythingElse(t *testing.T) {
+func TestDueSnapshotIsStoredFirst(t *testing.T) {
 	m := newMemory()
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
@@ -153,7 +153,7 @@
 
 // A process that was handed over takes nothing more, answers what it has, and
 // keeps its last state at once: the new process waits for it.
-func TestHandedOverAnswersWhatItHasAndEnds(t *testing.T) {
+func TestHandoverSignalAnswersOpenRequestsAndEnds(t *testing.T) {
 	m := newMemory()
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
@@ -183,7 +183,7 @@
 
 // A successor takes the last state of the process before, and no older one, then
 // has clients in.
-func TestSuccessorWaitsForTheLastState(t *testing.T) {
+func TestSuccessorWaitsForLastSnapshot(t *testing.T) {
 	m := newMemory()
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
@@ -207,7 +207,7 @@
 
 // A connection that was accepted just before a process closes is not left to be cut off with a request on it: what it brings
 // is answered, and it ends after that; one that brings nothing ends by itself.
-func TestConnectionAcceptedAtTheCloseIsEnded(t *testing.T) {
+func TestConnectionAcceptedAtCloseIsAnsweredAndClosed(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
 		g := unstarted(t, newFakeDiscovery(t))
 		g.lifecycle.HandOver(false)
--- a/internal/dataplane/gateway/streamed_value_test.go
+++ b/internal/dataplane/gateway/streamed_value_test.go
@@ -29,7 +29,7 @@
 
 // A value of 4 MiB goes on as it comes, unaltered, and what stands behind it on the
 // connection comes after it.
-func TestLongValueIsPassedOnAsItComes(t *testing.T) {
+func TestLongValueIsStreamed(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
 	c := r.client(t)
@@ -70,7 +70,7 @@
 
 // A value that its backend breaks off is broken off for the client, who can tell, and for
 // nobody else.
-func TestLongValueThatBreaksOff(t *testing.T) {
+func TestTruncatedLongValue(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
 	c, other := r.client(t), r.client(t)
@@ -91,7 +91,7 @@
 }
 
 // A client that leaves amid a value, or before its turn has come, leaves nothing behind.
-func TestClientLeavesALongValue(t *testing.T) {
+func TestDisconnectDuringLongValue(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
 	amid, behind := r.client(t), r.client(t)
@@ -119,7 +119,7 @@
 
 // Many long values at once, to clients that take nothing until all have begun, are not held:
 // together they are far more than what the process grows by.
-func TestManyLongValuesAreNotHeld(t *testing.T) {
+func TestLongValuesAreNotBuffered(t *testing.T) {
 	const many, size = 24, 4 << 20
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready"), b.entry("s-2", "Ready")))
@@ -155,7 +155,7 @@
 }
 
 // What no value can be, by its length, is no answer.
-func TestLongerThanAnyValue(t *testing.T) {
+func TestValueOverAnyLimit(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
 	c := r.client(t)
--- a/internal/dataplane/hotrestart/handover_test.go
+++ b/internal/dataplane/hotrestart/handover_test.go
@@ -55,7 +55,7 @@
 	return here.(*net.TCPConn), there
 }
 
-func TestEstateAndConnections(t *testing.T) {
+func TestStateAndConnections(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		state := make([]byte, r.IntN(5*chunkBytes))
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestNoWordNoSuccession has the newer process end before, or say something else than, its
+// TestNoHandoverWithoutConfirmation has the newer process end before, or say something else than, its
 // word: the one before must learn that it serves on.
-func TestNoWordNoSuccession(t *testing.T) {
+func TestNoHandoverWithoutConfirmation(t *testing.T) {
 	for name, end := range map[string]func(*Predecessor){
 		"dies":     func(p *Predecessor) { p.Close() },
 		"nonsense": func(p *Predecessor) { _ = p.write('Z', nil, nil) },
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestNobodyBefore asks where nobody is, where somebody was, and where two were.
-func TestNobodyBefore(t *testing.T) {
+// TestNoPredecessor asks where nobody is, where somebody was, and where two were.
+func TestNoPredecessor(t *testing.T) {
 	nobodyBefore(t, filepath.Join(t.TempDir(), "s"))
 	deep := filepath.Join(t.TempDir(), strings.Repeat("deep/", 40)) // longer than a socket's address
 	if err := os.MkdirAll(deep, 0o700); err != nil {
--- a/internal/dataplane/lifecycle/lifecycle_test.go
+++ b/internal/dataplane/lifecycle/lifecycle_test.go
@@ -11,9 +11,9 @@
 	busy Time // until then it has a request open; 0: none
 }
 
-// TestDrainEmpties plays a front that goes on as the platform says: it hears of the
+// TestDrainClosesAllConnections plays a front that goes on as the platform says: it hears of the
 // drain within 0.1 s, opens connections for 0.2 s more and uses those that stay open.
-func TestDrainEmpties(t *testing.T) {
+func TestDrainClosesAllConnections(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		p := New(SettingsFor(3_000_000))
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestAnyOrder gives a process all calls in any order and holds what must be so at
+// TestInvariantsInAnyOrder gives a process all calls in any order and holds what must be so at
 // every moment.
-func TestAnyOrder(t *testing.T) {
+func TestInvariantsInAnyOrder(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		longest := r.Int64N(20_000_000)
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestStepsFitAnyDeadline: whatever clients wait at the most, all is answered before SIGKILL may come, and connections that
+// TestSettingsFitAnyDeadline: whatever clients wait at the most, all is answered before SIGKILL may come, and connections that
 // were on their way are accepted.
-func TestStepsFitAnyDeadline(t *testing.T) {
+func TestSettingsFitAnyDeadline(t *testing.T) {
 	for _, longest := range []Time{1, 10_000, 100_000, 300_000, 700_000, 1_000_000, 2_999_999, 3_000_000, 15_000_000, 0} {
 		kill := Time(3_700_000)
 		if longest > 0 && longest < 3_000_000 {
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestWhatComesAfterAnEmptyMomentHasItsTime: one moment without work is not the end of what comes on a connection that is
+// TestWorkAfterAnEmptyMomentHasItsTime: one moment without work is not the end of what comes on a connection that is
 // still open.
-func TestWhatComesAfterAnEmptyMomentHasItsTime(t *testing.T) {
+func TestWorkAfterAnEmptyMomentHasItsTime(t *testing.T) {
 	set := SettingsFor(0)
 	p := New(set)
 	p.Stop(0)
--- a/internal/dataplane/membership/membership_test.go
+++ b/internal/dataplane/membership/membership_test.go
@@ -86,7 +86,7 @@
 
 // What disappears and reappears under the same address is a new, cold process, unless
 // the register shows that it is the same.
-func TestReappears(t *testing.T) {
+func TestReappearingServer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		before func(*Instance)
@@ -112,7 +112,7 @@
 
 // A process that crashed under a standing registration is cold when it is back; one
 // in maintenance ran on.
-func TestBackFromCriticalIsCold(t *testing.T) {
+func TestRecoveryFromCriticalCountsAsRestart(t *testing.T) {
 	for _, c := range []struct {
 		health Health
 		cold   bool
@@ -164,7 +164,7 @@
 }
 
 // The catalogue takes away what it no longer has, if it is not behind, and adds nothing.
-func TestCatalogue(t *testing.T) {
+func TestCatalog(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(1, list(10, in(1), in(2)))
 	cat := func(index uint64, is ...Instance) List { return List{View: CatalogView, Index: index, Instances: is} }
@@ -176,7 +176,7 @@
 }
 
 // A start that a clock tells is taken with care.
-func TestClocksApart(t *testing.T) {
+func TestClockSkew(t *testing.T) {
 	for told, started := range map[Time]Time{130 * second: 120 * second, 118 * second: 120 * second, 50 * second: 55 * second} {
 		tab := table(t, settings())
 		tab.Apply(100*second, list(1, in(2)))
--- a/internal/dataplane/membership/pacer_test.go
+++ b/internal/dataplane/membership/pacer_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestPaceRecovers plays a register that answers so many calls a second to a fleet that
+// TestPacerRecovers plays a register that answers so many calls a second to a fleet that
 // all fail at once: all must be served soon, and the register must not be held down by
 // those who come again.
-func TestPaceRecovers(t *testing.T) {
+func TestPacerRecovers(t *testing.T) {
 	const perSecond = 20 // a fleet that came again each 100 ms would ask for up to 480
 	for _, gateways := range []int{1, 3, 8, 24, 48} {
 		for seed := range uint64(20) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestPaceBounds holds the waits against what a drain leaves time for.
-func TestPaceBounds(t *testing.T) {
+// TestPacerBounds holds the waits against what a drain leaves time for.
+func TestPacerBounds(t *testing.T) {
 	for gateways := range 200 {
 		p := NewPacer(gateways, 7)
 		if w := p.WatchTimeout(); w < 2_000_000 || w > 20_000_000 || gateways <= 6 && w != 2_000_000 {
@@ -79,7 +79,7 @@
 }
 
 // Where what a register has binds at once, silence and failures end within a part of the time that is given to act on it.
-func TestPaceHeedsTheGrace(t *testing.T) {
+func TestPacerSilenceTimeoutFollowsGracePeriod(t *testing.T) {
 	for _, grace := range []Time{0, 100_000, 250_000, 600_000, 2_000_000, 60_000_000} {
 		p := NewPacer(300, 7).SetPushed(grace)
 		soon := p.SilenceTimeout()
@@ -108,7 +108,7 @@
 
 // Whatever a register does with the calls of one gateway, the next call begins soon enough after one that failed, was turned
 // away or given up: a change counts as told 6 s after the register had it and could be reached, and the call itself takes time.
-func TestPaceComesAgainWithinTheTerm(t *testing.T) {
+func TestPacerBoundsCallSpacing(t *testing.T) {
 	const (
 		whole  = 4_000_000 // from the beginning of a call to that of the next; 2 s are left for that one
 		slack  = 1_000_000 // that a watch is given beyond its wait
--- a/internal/dataplane/registry/consul/consul_test.go
+++ b/internal/dataplane/registry/consul/consul_test.go
@@ -145,7 +145,7 @@
 }
 
 // An agent that fails in any way makes room for the next, and nothing that was known is lost.
-func TestFaultsLoseNothing(t *testing.T) {
+func TestAgentFailuresLoseNothing(t *testing.T) {
 	for name, f := range map[string]lab.ConsulFault{"errors": {Errs: true}, "half answers": {Half: true}, "dropped answers": {Drop: 0.9}, "silence": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -167,7 +167,7 @@
 }
 
 // An empty list is not the death of all servers; a single one that goes is believed.
-func TestEmptyListIsHeld(t *testing.T) {
+func TestEmptyListHold(t *testing.T) {
 	r := newRig(t, nil)
 	r.until("all servers", r.all(registry.Ready))
 	for i := range 3 { // one change at a time: the last two go together as far as a lagging list shows
@@ -199,7 +199,7 @@
 
 // An agent that answers at once for ever makes no busy loop: the calls since it began are never more than two watches may
 // make in that time. A busy machine makes calls later, which allows no more of them.
-func TestAtOnceIsNoBusyLoop(t *testing.T) {
+func TestImmediateAnswersMakeNoBusyLoop(t *testing.T) {
 	const (
 		watches  = 2
 		headroom = 3 // of each watch: the call under way, the first that is answered at once, one more in the first interval
--- a/internal/dataplane/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -107,7 +107,7 @@
 
 // A discovery that can be reached right after it has failed a call, or has let it hang, is asked again, and heard, within the
 // term: also in a large fleet, after a long row of calls that failed.
-func TestDiscoveryThatReturnsIsHeardWithinTheTerm(t *testing.T) {
+func TestReturningDiscoveryIsReachedInTime(t *testing.T) {
 	t.Parallel() // the pauses are seconds
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -172,7 +172,7 @@
 }
 
 // The same where nothing listened, and the next moment something does.
-func TestDiscoveryThatRefusedIsHeardWithinTheTerm(t *testing.T) {
+func TestDiscoveryAfterRefusalsIsReachedInTime(t *testing.T) {
 	t.Parallel()
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -205,7 +205,7 @@
 
 // Dials that nobody answers go on for minutes if they are let, and each holds one of the few connections that there may be:
 // when discovery's machine is back, a new one must be free at once.
-func TestDialsThatHangMakeRoomForOthers(t *testing.T) {
+func TestHungDialsMakeRoomForOthers(t *testing.T) {
 	t.Parallel()
 	socket := boundSocket(t)
 	if err := syscall.Listen(socket.fd, 0); err != nil {
--- a/internal/dataplane/registry/platform_test.go
+++ b/internal/dataplane/registry/platform_test.go
@@ -81,7 +81,7 @@
 
 // At first and after any break the whole list is taken, and changes from its
 // version on; what is no list is no news.
-func TestPlatformTakesTheWholeListAfterABreak(t *testing.T) {
+func TestPlatformFetchesCompleteListAfterFailure(t *testing.T) {
 	address, calls := script(t, `{"revision":4,"complete":true,"members":[{"id":"a"}]}`, `{"revision":5,"members":[{"id":"b"}]}`,
 		`!500`, `{"revision":7,"complete":true,"members":[]}`, `{"revision":8,"members":[{"id`, `{"revision":9,"complete":true,"members":[]}`, `hang`)
 	told := follow(t, NewPlatform(address, false, membership.NewPacer(1, 7), quiet()))
@@ -98,7 +98,7 @@
 }
 
 // Where it tells only who asks, nothing is called before Follow, and a failure is told.
-func TestPlatformThatIsAsked(t *testing.T) {
+func TestPolledPlatform(t *testing.T) {
 	address, calls := script(t, `!503`)
 	p := NewPlatform(address, true, membership.NewPacer(1, 7), quiet())
 	told := follow(t, p)
@@ -131,7 +131,7 @@
 
 // A discovery that was down answers no call that was made meanwhile, and what it has told counts from its return: another call is
 // made beside one that is silent, be it a watch whose wait is over or one for the whole list. The first that is answered counts.
-func TestSilentDiscoveryIsAskedBeside(t *testing.T) {
+func TestSilentDiscoveryIsCalledInParallel(t *testing.T) {
 	const list = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
 	for name, held := range map[string][]bool{ // call by call
 		"a list": {true, false}, "three lists": {true, true, true, false}, "a watch": {false, true, false},
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -53,7 +53,7 @@
 }
 
 // A file that ends at any byte, or has any byte changed, is refused with a reason.
-func TestEveryCutAndEveryFlipIsRefused(t *testing.T) {
+func TestEveryTruncationAndBitFlipIsRejected(t *testing.T) {
 	raw, err := Encode(sample(7))
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 }
 
 // A store that is cut or changed anywhere is refused with a reason, or holds a state that it held.
-func TestEveryCutAndEveryFlipOfTheStore(t *testing.T) {
+func TestEveryTruncationAndBitFlipOfTheStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	write := func(path string) {
 		f, err := Open(path)
@@ -170,7 +170,7 @@
 }
 
 // The next process goes on where the one before ended, in order or not, and where an earlier version did.
-func TestNextProcessGoesOn(t *testing.T) {
+func TestNextProcessContinues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	raw, err := Encode(sample(1))
 	if err != nil {
@@ -269,7 +269,7 @@
 }
 
 // A path that names a folder with other things in it costs none of them, whatever becomes of the state.
-func TestWhatIsNotTheStateStays(t *testing.T) {
+func TestOtherFilesAreKept(t *testing.T) {
 	path := t.TempDir()
 	other := filepath.Join(path, "operators.toml")
 	if err := os.WriteFile(other, []byte("x"), 0o600); err != nil {
