--- a/internal/dataplane/gateway/accept_test.go
+++ b/internal/dataplane/gateway/accept_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Connections that the machine has accepted when the listener is to be closed are served; to close it over them would reset
-// them, and lose what they have brought. Later ones are refused.
+// Connections that the kernel has accepted when the listener is to be closed are served: closing
+// the listener over them would reset them and lose their requests. Later ones are refused.
 func TestBacklogIsAcceptedBeforeListenerCloses(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	address := g.clients.listener.Addr().String()
@@ -54,7 +54,8 @@
 	}
 }
 
-// Where there is no place for another connection the listener stays open until there is one: what waits would be reset.
+// While there is no free slot for a waiting connection the listener stays open: closing it would
+// reset the connection.
 func TestListenerStaysOpenWithoutFreeSlots(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	for len(g.clients.slots) < cap(g.clients.slots) {
--- a/internal/dataplane/gateway/admin_test.go
+++ b/internal/dataplane/gateway/admin_test.go
@@ -28,7 +28,7 @@
 	return string(b)
 }
 
-// vars reads the figures.
+// vars reads the metrics.
 func vars(t testing.TB, r *rig) map[string]int {
 	t.Helper()
 	text, ok := strings.CutSuffix(operator(t, r, "vars"), "\neof\n")
@@ -47,12 +47,12 @@
 	return figures
 }
 
-// managed is a gateway with an admin interface.
+// managed starts a gateway with an admin interface.
 func managed(t testing.TB, d *fakeDiscovery) *rig {
 	return begin(t, configure(t, d, func(f map[string]any) { f["management"] = "127.0.0.1:0" }))
 }
 
-// The figures are what the peers have seen, each request and attempt once.
+// The metrics count each request and each attempt once, as clients and backends have seen them.
 func TestMetricsCountOutcomes(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"), b.entry("s-2", "Terminating"))
@@ -62,14 +62,20 @@
 	c.lookup(1, "60000")
 	b.next(t).serve(t, "one")
 	c.value("one")
-	c.send("API.WRITE", "0000000000000007", "0000000000000002", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
-	b.next(t).answer(t, "-ERR failed\r\n") // it may have run, and must not run twice
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000002",
+		"c=once,t=team,d=60000,units=1,spread=1,first=0",
+		"x",
+	)
+	b.next(t).answer(t, "-ERR failed\r\n") // it may have been executed
 	c.want("-ERR failed")
 	tiny := "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0"
 	c.send("API.READ", "0000000000000009", "0000000000000003", tiny)
 	b.next(t).serve(t, "two")
 	c.value("two")
-	c.send("API.READ", "0000000000000009", "0000000000000005", tiny) // its store is empty
+	c.send("API.READ", "0000000000000009", "0000000000000005", tiny) // its bucket is empty
 	if line := c.line(); !strings.HasPrefix(line, "-BUSY") {
 		t.Fatalf("answer %q, want a refusal", line)
 	}
@@ -95,8 +101,8 @@
 	}
 }
 
-// A drained gateway says no at once, answers what it has and what still comes, ends its
-// connections, goes on running, and comes back.
+// A drained gateway fails health checks at once, answers the requests that it has and that still
+// come, closes its connections, keeps running, and can be returned to service.
 func TestDrainClosesConnectionsAndCanBeEnded(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
@@ -119,7 +125,7 @@
 	if got := operator(t, r, "check"); got != "fail draining\n" {
 		t.Errorf("check of a drained gateway: %q", got)
 	}
-	late := r.client(t) // the front has not heard of it yet
+	late := r.client(t) // the front end does not know of the drain yet
 	late.lookup(2, "60000")
 	b.next(t).serve(t, "late")
 	late.value("late")
--- a/internal/dataplane/gateway/authorization_bench_test.go
+++ b/internal/dataplane/gateway/authorization_bench_test.go
@@ -49,7 +49,10 @@
 			}
 			slices.Sort(took)
 			for _, p := range []float64{0.5, 0.99, 0.999} {
-				b.ReportMetric(float64(took[int(p*float64(len(took)-1))].Microseconds()), fmt.Sprintf("p%g-us", p*100))
+				b.ReportMetric(
+					float64(took[int(p*float64(len(took)-1))].Microseconds()),
+					fmt.Sprintf("p%g-us", p*100),
+				)
 			}
 		})
 	}
@@ -57,7 +60,13 @@
 
 // BenchmarkKey times what a question costs before it is looked up.
 func BenchmarkKey(b *testing.B) {
-	q := forwardauth.Question{Credential: &forwardauth.Credential{Secret: "token"}, Customer: "0000000000000007", Plan: "team", Class: "lookup", Units: 1}
+	q := forwardauth.Question{
+		Credential: &forwardauth.Credential{Secret: "token"},
+		Customer:   "0000000000000007",
+		Plan:       "team",
+		Class:      "lookup",
+		Units:      1,
+	}
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Key()
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -15,14 +15,14 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// authCall is a question that has come to a fake authenticator.
+// authCall is a question that has reached the fake authenticator.
 type authCall struct {
 	header http.Header
 	answer chan int // the status
 	gone   <-chan struct{}
 }
 
-// newAuthenticator answers as a test tells it to.
+// newAuthenticator starts an authenticator that answers as the test says.
 func newAuthenticator(t testing.TB) (*httptest.Server, chan *authCall) {
 	calls := make(chan *authCall, 1024)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,20 +43,36 @@
 
 const us = 1_000_000
 
-// asking is a configuration that asks about lookups and orders.
+// asking is a configuration that has lookups and orders authorised.
 func asking(t testing.TB, d *fakeDiscovery, url string) Config {
 	cfg := configure(t, d, nil)
 	cfg.Auth = Auth{
 		Settings: forwardauth.Settings{URL: url, Timeout: patience, MostOut: 8},
-		Rules: authz.Settings{Ask: []bool{true, true, false}, PassUnknown: []bool{false, true, false}, Plans: []bool{true, true},
-			Budget: 60 * us, AllowFor: 60 * us, AllowCap: 60 * us, DenyFor: 60 * us, StaleFor: 0,
-			MostOut: 8, MostWaiting: 100, MostKept: 100, Fails: 100, OpenFor: us, OpenMost: us},
+		Rules: authz.Settings{
+			Ask:         []bool{true, true, false},
+			PassUnknown: []bool{false, true, false},
+			Plans:       []bool{true, true},
+			Budget:      60 * us,
+			AllowFor:    60 * us,
+			AllowCap:    60 * us,
+			DenyFor:     60 * us,
+			StaleFor:    0,
+			MostOut:     8,
+			MostWaiting: 100,
+			MostKept:    100,
+			Fails:       100,
+			OpenFor:     us,
+			OpenMost:    us,
+		},
 	}
 	return cfg
 }
 
-// askingRig is a gateway with one backend and an authenticator.
-func askingRig(t *testing.T, change func(*Config)) (*rig, *fakeBackend, *fakeDiscovery, chan *authCall) {
+// askingRig starts a gateway with one backend and an authenticator.
+func askingRig(
+	t *testing.T,
+	change func(*Config),
+) (*rig, *fakeBackend, *fakeDiscovery, chan *authCall) {
 	t.Helper()
 	s, calls := newAuthenticator(t)
 	b := newBackend(t)
@@ -68,8 +84,8 @@
 	return begin(t, cfg), b, d, calls
 }
 
-// An allowed request goes on, a denied one reaches no backend and takes no units; the
-// backend never sees the token.
+// An allowed request is sent, a denied one reaches no backend and takes no units, and the backend
+// never sees the token.
 func TestAuthenticatorVerdicts(t *testing.T) {
 	r, b, _, calls := askingRig(t, nil)
 	c := r.client(t)
@@ -95,14 +111,14 @@
 	}
 	call.serve(t, "ok")
 	c.value("ok")
-	c.lookup(2, "86400000") // cached
+	c.lookup(2, "86400000") // its verdict is cached
 	b.next(t).serve(t, "again")
 	c.value("again")
 
 	other := r.client(t)
 	other.send("HELLO", "2", "AUTH", "user", "wrong")
 	other.want("*14")
-	for range 25 { // its values
+	for range 25 { // the values of both keys
 		other.line()
 	}
 	other.lookup(3, "86400000")
@@ -117,8 +133,8 @@
 	}
 }
 
-// A hung authenticator holds nobody beyond the budget; a class that passes without a
-// verdict goes on, once, though the verdict comes later.
+// A hung authenticator delays no request beyond its budget. A request of a class that passes
+// without a verdict is sent once, though the verdict comes later.
 func TestHungAuthenticatorTimesOut(t *testing.T) {
 	r, b, _, calls := askingRig(t, func(c *Config) { c.Auth.Rules.Budget = 50_000 })
 	c := r.client(t)
@@ -127,12 +143,24 @@
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("answer %q", got)
 	}
-	c.send("API.WRITE", "0000000000000007", "0000000000000002", "c=order,t=team,d=86400000,k=k1,units=1,spread=1,first=0", "x")
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000002",
+		"c=order,t=team,d=86400000,k=k1,units=1,spread=1,first=0",
+		"x",
+	)
 	ask := wait(t, calls, "a question")
 	call := b.next(t)
-	ask.answer <- http.StatusOK // too late to matter
-	c.send("API.WRITE", "0000000000000007", "0000000000000003", "c=order,t=team,d=86400000,k=k2,units=1,spread=1,first=0", "x")
-	second := b.next(t) // asked, or by the late answer: either way once
+	ask.answer <- http.StatusOK // too late
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000003",
+		"c=order,t=team,d=86400000,k=k2,units=1,spread=1,first=0",
+		"x",
+	)
+	second := b.next(t) // by a verdict, or by the late answer: either way once
 	if string(second.args[2]) != "0000000000000003" {
 		t.Errorf("the order was sent twice: %q", second.args)
 	}
@@ -142,7 +170,7 @@
 	c.value("two")
 }
 
-// 429 is a refusal with advice; a fault is none of the statuses that deny.
+// Status 429 is a rejection with advice; a failing authenticator denies nothing.
 func TestOtherAuthenticatorAnswers(t *testing.T) {
 	r, b, _, calls := askingRig(t, nil)
 	for id, c := range []struct {
@@ -161,8 +189,8 @@
 	}
 }
 
-// While a request waits for its verdict, its client leaves, the gateway is drained,
-// or asking is switched off: each is closed once, and at once.
+// While a request awaits its verdict, its client disconnects, the gateway is drained, or the
+// authenticator is switched off: the request ends once, and at once.
 func TestRequestEndsWhileAwaitingVerdict(t *testing.T) {
 	t.Run("the client leaves", func(t *testing.T) {
 		r, b, _, calls := askingRig(t, nil)
@@ -212,8 +240,14 @@
 		old := wait(t, calls, "a question")
 		s, moved := newAuthenticator(t)
 		r.reloads(asking(t, d, s.URL), nil)
-		// An answer that came before the reload would be cached, and the new one would not be asked.
-		until(t, r.gateway, "the reload", func(g *Gateway) bool { return g.metrics.Loaded.Load() == 2 })
+		// An answer that came before the reload would be cached, and the new one would not be
+		// asked.
+		until(
+			t,
+			r.gateway,
+			"the reload",
+			func(g *Gateway) bool { return g.metrics.Loaded.Load() == 2 },
+		)
 		other.send("AUTH", "x")
 		other.want("+OK")
 		old.answer <- http.StatusOK
@@ -248,7 +282,7 @@
 	})
 }
 
-// Credentials that fit no header are refused, and tell nothing of themselves.
+// Credentials that fit no header are rejected, and the answer reveals nothing of them.
 func TestBadCredentials(t *testing.T) {
 	r, _, _, calls := askingRig(t, nil)
 	c := r.client(t)
@@ -256,7 +290,9 @@
 		{"AUTH", ""}, {"HELLO", "2", "AUTH", "secret"}, {"HELLO", "2", "secret"}, {"HELLO", "3"}} {
 		c.send(args...)
 		got := c.line()
-		if !strings.HasPrefix(got, "-ERR ") && !strings.HasPrefix(got, "-NOPROTO ") || strings.Contains(got, "secret") || strings.Contains(got, "break") {
+		if !strings.HasPrefix(got, "-ERR ") && !strings.HasPrefix(got, "-NOPROTO ") ||
+			strings.Contains(got, "secret") ||
+			strings.Contains(got, "break") {
 			t.Errorf("%.20q: %q", args, got)
 		}
 		c.send("PING")
@@ -267,8 +303,8 @@
 	}
 }
 
-// A verdict in the same instant as the client's leave, the deadline or the drain's
-// end, before or after it: one answer, and nothing sent on after it.
+// A verdict at the same instant as a disconnect, the deadline or the end of a drain, before it or
+// after it: there is one answer, and nothing is sent after it.
 func TestVerdictRacesWithRequestEnd(t *testing.T) {
 	s, calls := newAuthenticator(t)
 	for name, end := range map[string]func(g *Gateway, r *request){
@@ -276,7 +312,7 @@
 		"deadline": func(g *Gateway, r *request) { deadlineBackstop{r}.due(g) },
 		"drain":    func(g *Gateway, _ *request) { g.failAll() },
 		"handed": func(g *Gateway, _ *request) {
-			g.lifecycle.HandOver(false) // what comes now is told to come again
+			g.lifecycle.HandOver(false) // later requests are told to retry
 		},
 	} {
 		for _, first := range []bool{true, false} {
@@ -287,13 +323,24 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { g.cancelAuth(); g.clients.listener.Close() })
-			g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+			g.backends.updateEndpoints(
+				g,
+				policy.Complete,
+				[]member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}},
+			)
 			here, there := pipe(t)
 			g.clients.slots <- struct{}{}
-			c := &client{conn: here, out: newSender(here), pipelineSlots: make(chan struct{}, 4), done: make(chan struct{})}
+			c := &client{
+				conn:          here,
+				out:           newSender(here),
+				pipelineSlots: make(chan struct{}, 4),
+				done:          make(chan struct{}),
+			}
 			g.clients.conns[c] = true
-			cmd, err := g.cfg.parseCommand([][]byte{[]byte("API.READ"), []byte("0000000000000007"), []byte("0000000000000001"),
-				[]byte("c=lookup,t=team,d=80000000,units=1,spread=1,first=0")})
+			cmd, err := g.cfg.parseCommand(
+				[][]byte{[]byte("API.READ"), []byte("0000000000000007"), []byte("0000000000000001"),
+					[]byte("c=lookup,t=team,d=80000000,units=1,spread=1,first=0")},
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -321,7 +368,11 @@
 			}
 			here.Close()
 			text, _ := io.ReadAll(there)
-			if n := strings.Count(string(text), "\r\n"); n > 1 || n == 0 && name != "leave" && !(first && name == "handed") {
+			if n := strings.Count(
+				string(text),
+				"\r\n",
+			); n > 1 ||
+				n == 0 && name != "leave" && !(first && name == "handed") {
 				t.Errorf("%s, verdict first %t: answers %q", name, first, text)
 			}
 		}
--- a/internal/dataplane/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -10,8 +10,7 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// A connection that says nothing, or only half a command, is ended; one whose
-// request is open is not.
+// A connection that sends nothing, or half a command, is closed; one with an open request is not.
 func TestSilentAndStalledClientsAreCutOff(t *testing.T) {
 	t.Parallel() // it waits for seconds
 	r, b, _ := oneBackend(t, nil)
@@ -34,7 +33,7 @@
 	good.value("ok")
 }
 
-// Values far beyond any limit are not read: the error comes before they do.
+// Values far beyond any limit are not read: the error comes before their data.
 func TestOversizedCommandIsNotRead(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -45,7 +44,7 @@
 	c.ended()
 }
 
-// A client that only errs is cut off; one that errs now and then is not.
+// A client that sends only invalid commands is cut off; one that errs now and then is not.
 func TestConsecutiveErrorsCloseConnection(t *testing.T) {
 	r, _, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -70,7 +69,7 @@
 	c.ended()
 }
 
-// The id of another client's open request is turned away: that one is served.
+// A request with the id of another client's open request is rejected, and the open one is served.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c, other := r.client(t), r.client(t)
@@ -82,12 +81,12 @@
 	}
 	call.serve(t, "ok")
 	c.value("ok")
-	c.lookup(1, "60000") // it is open no more
+	c.lookup(1, "60000") // it has ended
 	b.next(t).serve(t, "again")
 	c.value("again")
 }
 
-// Those that never asked make room first, then those that asked once.
+// Connections without a command are evicted first, then those with one command.
 func TestEvictionOrder(t *testing.T) {
 	d := newFakeDiscovery(t)
 	g := unstarted(t, d)
@@ -97,7 +96,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &client{conn: near, out: newSender(near), done: make(chan struct{}), commands: asked, lastCommand: now - idle}
+		c := &client{
+			conn:        near,
+			out:         newSender(near),
+			done:        make(chan struct{}),
+			commands:    asked,
+			lastCommand: now - idle,
+		}
 		g.clients.conns[c] = true
 		g.clients.slots <- struct{}{}
 		return c
@@ -111,7 +116,11 @@
 		asking *client
 		gone   *client
 	}{{nil, older}, {nil, old}, {nil, onceOld}, {nil, gone}, {newcomer, once}, {newcomer, front}, {newcomer, nil}} {
-		if made := g.clients.evict(g, c.asking); made != (c.gone != nil) || c.gone != nil && !c.gone.closed {
+		if made := g.clients.evict(
+			g,
+			c.asking,
+		); made != (c.gone != nil) ||
+			c.gone != nil && !c.gone.closed {
 			t.Fatalf("step %d: room made %t", i, made)
 		}
 	}
@@ -120,9 +129,9 @@
 	}
 }
 
-// Connections that asked once and stay take no place from those that come.
+// Connections that sent one command and stay open take no slots from new ones.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	r, b := fourBackends(t, 40) // 6 clients, and 4 that may be turned away
+	r, b := fourBackends(t, 40) // 6 clients, and 4 that may be rejected
 	for id := range 30 {
 		c := r.client(t)
 		c.lookup(id, "60000")
@@ -131,12 +140,12 @@
 	}
 }
 
-// inspect runs on the loop's goroutine.
+// inspect runs a function on the event loop's goroutine.
 type inspect func(g *Gateway)
 
 func (f inspect) handle(g *Gateway) { f(g) }
 
-// A request that has ended leaves nothing behind until its time would be up.
+// A request that has ended leaves no timer and no state behind.
 func TestEndedRequestsCancelTimers(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -162,14 +171,20 @@
 	}
 }
 
-// In a crowd those that say nothing, or halted half way, make room; one that is writing its
-// command, however slowly, does not: its request would be lost.
+// At the limit of connections, silent and stalled ones are evicted. One that is sending its
+// command, however slowly, is not: its request would be lost.
 func TestSlowSendersAreNotEvicted(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	now := g.now()
 	make := func(used, heard policy.Time, amid bool) *client {
 		here, _ := pipe(t)
-		c := &client{conn: here, out: newSender(here), pipelineSlots: make(chan struct{}, 1), done: make(chan struct{}), lastCommand: used}
+		c := &client{
+			conn:          here,
+			out:           newSender(here),
+			pipelineSlots: make(chan struct{}, 1),
+			done:          make(chan struct{}),
+			lastCommand:   used,
+		}
 		c.lastByte.Store(heard)
 		c.midCommand.Store(amid)
 		g.clients.slots <- struct{}{}
@@ -179,13 +194,20 @@
 	slow := make(now-2_000_000, now, true)
 	halted := make(now-3_000_000, now-2_500_000, true)
 	silent := make(now-2_700_000, 0, false)
-	drips := make(now-1_000_000, now-200_000, false) // between two pieces, its command whole
+	drips := make(now-1_000_000, now-200_000, false) // it pauses between two pieces
 	for i, want := range []*client{silent, halted, drips} {
 		if !g.clients.evict(g, nil) {
 			t.Fatalf("nobody makes room, %d connections left", len(g.clients.conns))
 		}
 		if !want.closed {
-			t.Fatalf("eviction %d: slow %v, halted %v, silent %v, drips %v", i, slow.closed, halted.closed, silent.closed, drips.closed)
+			t.Fatalf(
+				"eviction %d: slow %v, halted %v, silent %v, drips %v",
+				i,
+				slow.closed,
+				halted.closed,
+				silent.closed,
+				drips.closed,
+			)
 		}
 	}
 	if g.clients.evict(g, nil) || slow.closed {
--- a/internal/dataplane/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -67,7 +67,8 @@
 		}
 	}
 	class := c.request.Class
-	if limit := cfg.Host.ClientTimeouts[class]; limit > 0 && c.request.Timeout > limit+timeoutSlack {
+	limit := cfg.Host.ClientTimeouts[class]
+	if limit > 0 && c.request.Timeout > limit+timeoutSlack {
 		// No client waits for so long: the request would only take up memory.
 		return errTimeoutTooBig
 	}
--- a/internal/dataplane/gateway/command_test.go
+++ b/internal/dataplane/gateway/command_test.go
@@ -8,7 +8,9 @@
 
 func BenchmarkParse(b *testing.B) {
 	cfg, err := ParseConfig([]byte(fmt.Sprintf(
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`, json.RawMessage(settingsText))))
+		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`,
+		json.RawMessage(settingsText),
+	)))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/dataplane/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -12,7 +12,7 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// hijack ends a call's connection without an answer.
+// hijack closes a call's connection without an answer.
 func hijack(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -21,7 +21,7 @@
 	_ = conn.Close()
 }
 
-// "Nothing added" must be kept apart from "may have been added".
+// "Nothing was added" must be told apart from "it may have been added".
 func TestCounterCalls(t *testing.T) {
 	released := make(chan struct{})
 	for _, c := range []struct {
@@ -50,12 +50,23 @@
 				c.serve(w, r)
 			}))
 			counter := newCounter(&Config{Counter: strings.TrimPrefix(s.URL, "http://")})
-			call := counterCall{url: counter.url, name: 0xab, amount: -2.5, ttl: 4e6, deadline: time.Now().Add(c.wait)}
+			call := counterCall{
+				url:      counter.url,
+				name:     0xab,
+				amount:   -2.5,
+				ttl:      4e6,
+				deadline: time.Now().Add(c.wait),
+			}
 			total, result := counter.call(context.Background(), call)
 			if total != c.total || result != c.result {
 				t.Errorf("total %g, result %d", total, result)
 			}
-			if made := wait(t, got, "a call"); made != "POST /v1/count/ab?add=-2.5&ttl_ms=4000" || len(got) > 0 {
+			if made := wait(
+				t,
+				got,
+				"a call",
+			); made != "POST /v1/count/ab?add=-2.5&ttl_ms=4000" ||
+				len(got) > 0 {
 				t.Errorf("call %s and %d more", made, len(got))
 			}
 			if c.name == "no answer" {
@@ -67,7 +78,10 @@
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
 	counter := newCounter(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
-	_, result := counter.call(context.Background(), counterCall{url: counter.url, deadline: time.Now().Add(patience)})
+	_, result := counter.call(
+		context.Background(),
+		counterCall{url: counter.url, deadline: time.Now().Add(patience)},
+	)
 	if result != policy.ConnectFailed {
 		t.Errorf("no listener: result %d", result)
 	}
--- a/internal/dataplane/gateway/descriptor_limit_test.go
+++ b/internal/dataplane/gateway/descriptor_limit_test.go
@@ -21,28 +21,31 @@
 	"time"
 )
 
-// discoveryCalls are out at once while discovery is silent.
+// discoveryCalls are made at the same time while discovery is silent.
 const discoveryCalls = 8
 
-// Of the descriptors that a gateway may hold, clients and backends leave enough for all else, at any limit.
+// Clients and backends leave enough of a gateway's descriptors for all else, at any limit.
 func TestConnectionLimitsReserveDescriptors(t *testing.T) {
 	const (
 		counter = counterConns
-		sockets = 2 // the listener's and the notes'
+		sockets = 2 // the listener and the peers' socket
 		process = 5 // three standard files, and two of the language's own for waiting
 	)
 	for limit := minSockets; limit <= 8192; limit++ {
 		share, accepted := connectionLimits(limit)
-		if sum := share + accepted + discoveryCalls + counter + sockets + process; share < 1 || sum > limit {
+		if sum := share + accepted + discoveryCalls + counter + sockets + process; share < 1 ||
+			sum > limit {
 			t.Fatalf("limit %d: %d descriptors at most", limit, sum)
 		}
 	}
 }
 
-// limitedConfig names the file with the configuration of a process with a limit on descriptors.
+// limitedConfig names the variable with the configuration file of a process with a limit on
+// descriptors.
 const limitedConfig = "MOTHCLEAT_TEST_LIMITED_CONFIG"
 
-// TestLimitedProcess is no test but the process that the next one starts: a gateway under the system's own limit.
+// TestLimitedProcess is no test but the process that TestIdleClientsLeaveDescriptorsForDiscovery
+// starts: a gateway under the system's limit on descriptors.
 func TestLimitedProcess(t *testing.T) {
 	path := os.Getenv(limitedConfig)
 	if path == "" {
@@ -57,7 +60,10 @@
 		t.Fatal(err)
 	}
 	most := uint64(cfg.Sockets)
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+	if err := syscall.Setrlimit(
+		syscall.RLIMIT_NOFILE,
+		&syscall.Rlimit{Cur: most, Max: most},
+	); err != nil {
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
@@ -65,24 +71,35 @@
 		_, _ = io.Copy(io.Discard, os.Stdin)
 		close(stop)
 	}()
-	if err := Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), Control{Stop: stop}); err != nil {
+	if err := Run(
+		cfg,
+		slog.New(slog.NewTextHandler(os.Stderr, nil)),
+		Control{Stop: stop},
+	); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// limited is such a process.
+// limited is a process that runs TestLimitedProcess.
 type limited struct {
 	address string
 	pid     int
 	short   atomic.Pointer[string] // the first line of its log that tells of no descriptor left
 }
 
-// startLimited starts a process and waits until it is ready.
+// startLimited starts such a process and waits until it is ready.
 func startLimited(t *testing.T, discovery string, sockets int) *limited {
 	t.Helper()
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"memory_mb": 192, "sockets": sockets}, "settings": json.RawMessage(settingsText),
+		"name":      "n0",
+		"listen":    "127.0.0.1:0",
+		"discovery": discovery,
+		"seed":      "8c1f30d27a5be964",
+		"limits": map[string]any{
+			"memory_mb": 192,
+			"sockets":   sockets,
+		},
+		"settings": json.RawMessage(settingsText),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +146,7 @@
 	return p
 }
 
-// sockets counts those that the process holds.
+// sockets counts the sockets that the process has open.
 func (p *limited) sockets() int {
 	dir := fmt.Sprintf("/proc/%d/fd", p.pid)
 	entries, _ := os.ReadDir(dir)
@@ -142,7 +159,8 @@
 	return n
 }
 
-// crowd keeps so many connections open that ask nothing, or have asked before; one that the gateway ends is opened anew.
+// crowd keeps a number of connections open that send nothing, or have sent one command; one that
+// the gateway closes is opened again.
 func crowd(t *testing.T, address string, size int) {
 	t.Helper()
 	over := make(chan struct{})
@@ -178,7 +196,8 @@
 	}
 }
 
-// asks sends a request until it is served: a connection may be shut unread while others take all places.
+// asks sends a request until it is served: a connection may be closed unread while others take all
+// slots.
 func asks(t *testing.T, address string, b *fakeBackend, id int) {
 	t.Helper()
 	served := make(chan struct{})
@@ -209,7 +228,7 @@
 	}
 }
 
-// fallible is a discovery that is down and comes back.
+// fallible is discovery that fails and comes back.
 type fallible struct {
 	*fakeDiscovery
 	mu      sync.Mutex
@@ -239,14 +258,18 @@
 
 func (f *fallible) comeBack() { close(f.down) }
 
-// Clients that ask nothing take all the places that there are for clients, under the system's own limit on descriptors, while
-// discovery is down. When it is back the gateway opens its watch, accepts and dials; at no time did it lack a descriptor.
+// Silent clients take all slots for clients, under the system's limit on descriptors, while
+// discovery is down. When it is back the gateway watches it, accepts and dials; it never lacked a
+// descriptor.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
 	t.Parallel() // places are made in seconds
 	const sockets = minSockets
 	_, accepted := connectionLimits(sockets)
 	b := newBackend(t)
-	f := &fallible{fakeDiscovery: newFakeDiscovery(t, b.entry("s-00000001", "Ready")), silence: make(chan struct{}, 1024)}
+	f := &fallible{
+		fakeDiscovery: newFakeDiscovery(t, b.entry("s-00000001", "Ready")),
+		silence:       make(chan struct{}, 1024),
+	}
 	f.Close()
 	f.Server = httptest.NewServer(f) // the discovery that fails, in place of the one that does not
 	f.fall()
--- a/internal/dataplane/gateway/endpoints_test.go
+++ b/internal/dataplane/gateway/endpoints_test.go
@@ -10,19 +10,24 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// many is a loop that knows so many members.
+// many returns an event loop with a number of endpoints.
 func many(t testing.TB, n int) (*Gateway, []member) {
 	t.Helper()
 	g := unstarted(t, newFakeDiscovery(t))
 	list := make([]member, n)
 	for i := range list {
-		list[i] = member{ID: fmt.Sprintf("node/q-%08x", i), HostPort: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250+1), Phase: registry.Ready, Size: 1}
+		list[i] = member{
+			ID:       fmt.Sprintf("node/q-%08x", i),
+			HostPort: fmt.Sprintf("127.0.%d.%d:7000", i/250, i%250+1),
+			Phase:    registry.Ready,
+			Size:     1,
+		}
 	}
 	g.handle(endpointEvent{Kind: registry.CompleteList, Members: list})
 	return g, list
 }
 
-// A service of 5,000 instances is taken in, and one that goes among them is gone.
+// A list of 5,000 endpoints is applied, and one that is removed from it is gone.
 func TestManyEndpoints(t *testing.T) {
 	g, list := many(t, 5000)
 	if n := len(g.backends.byID); n != 5000 {
@@ -39,7 +44,7 @@
 	}
 }
 
-// BenchmarkOneChangeOfMany is what one change among 5,000 instances costs the loop.
+// BenchmarkOneChangeOfMany measures what one change among 5,000 endpoints costs the event loop.
 func BenchmarkOneChangeOfMany(b *testing.B) {
 	g, list := many(b, 5000)
 	for i := 0; b.Loop(); i++ {
@@ -51,7 +56,7 @@
 	}
 }
 
-// moves is a source that takes note of where it is moved.
+// moves is a source that records where it is moved.
 type moves struct {
 	registry.Source
 	to []string
@@ -59,7 +64,7 @@
 
 func (m *moves) Move(address string) { m.to = append(m.to, address) }
 
-// A reload moves whatever register there is, and nothing else about it.
+// A reload moves whichever endpoint source there is, and changes nothing else of it.
 func TestReloadMovesEndpointSource(t *testing.T) {
 	d := newFakeDiscovery(t)
 	m := &moves{}
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -17,7 +17,7 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// oneBackend is a gateway with one backend that is ready.
+// oneBackend starts a gateway with one backend that is ready.
 func oneBackend(t *testing.T, change func(map[string]any)) (*rig, *fakeBackend, *fakeDiscovery) {
 	t.Helper()
 	b := newBackend(t)
@@ -25,8 +25,8 @@
 	return begin(t, configure(t, d, change)), b, d
 }
 
-// fourBackends is the same with four ids at one address: the module lets more
-// requests be out at once.
+// fourBackends does the same with four ids at one address: the balancer then has more requests in
+// flight at once.
 func fourBackends(t *testing.T, sockets int) (*rig, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t)
@@ -58,8 +58,8 @@
 	c.value("value")
 }
 
-// Answers go out in the order of the commands though backends answer in
-// another, and the reading goes on while answers are out.
+// Answers are in the order of the commands though backends answer in another, and commands are read
+// while answers are pending.
 func TestPipelinedAnswersKeepTheirOrder(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -70,7 +70,7 @@
 	c.send("PING")
 	second.serve(t, "second")
 	c.lookup(3, "60000")
-	b.next(t).serve(t, "third") // by now the second is answered at the gateway
+	b.next(t).serve(t, "third") // the second is answered in the gateway by now
 	first.serve(t, "first")
 	c.value("first")
 	c.value("second")
@@ -81,7 +81,7 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		again        bool // a lookup may be sent again after it
+		again        bool // a lookup may be retried after it
 	}{
 		{"error", "-ERR failed\r\n", true},
 		{"turned away", "-BUSY\r\n", true},
@@ -108,8 +108,8 @@
 	}
 }
 
-// What may have run of a class that must not run twice is never sent again, nor
-// refused: its failure promises nothing.
+// A request that may have been executed and must not be executed twice is neither retried nor
+// rejected: it fails.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	for name, end := range map[string]func(*backendCall){
 		"reset": func(c *backendCall) { c.conn.Close() },
@@ -118,7 +118,13 @@
 		t.Run(name, func(t *testing.T) {
 			r, b, _ := oneBackend(t, nil)
 			c := r.client(t)
-			c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
+			c.send(
+				"API.WRITE",
+				"0000000000000007",
+				"0000000000000001",
+				"c=once,t=team,d=60000,units=1,spread=1,first=0",
+				"x",
+			)
 			end(b.next(t))
 			c.want("-ERR failed")
 			if len(b.got) > 0 {
@@ -128,30 +134,41 @@
 	}
 }
 
-// An unsafe request that was turned away never ran: it goes out again.
+// A non-idempotent request that the backend rejected was not executed, and is retried.
 func TestBusyAnswerIsRetried(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
-	c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000001",
+		"c=once,t=team,d=60000,units=1,spread=1,first=0",
+		"x",
+	)
 	b.next(t).answer(t, "-BUSY\r\n")
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 }
 
-// A backend where nothing listens is known to have run nothing.
+// A backend at whose address nothing listens has executed nothing.
 func TestRefusedConnectionIsRejectedAsNotExecuted(t *testing.T) {
 	b := newBackend(t)
 	b.listener.Close()
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	c := begin(t, configure(t, d, nil)).client(t)
-	c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000001",
+		"c=once,t=team,d=60000,units=1,spread=1,first=0",
+		"x",
+	)
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("answer %q: a refusal was owed", got)
 	}
 }
 
-// A silent backend must not keep a request past its deadline, and what it
-// answers later reaches nobody.
+// A silent backend delays no request beyond its deadline, and its later answer reaches nobody.
 func TestAnswersBeforeTheDeadline(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -166,28 +183,35 @@
 	c.value("second")
 }
 
-// A refusal says when to come again, and comes at once.
+// A rejection comes at once and says when to retry.
 func TestRejectionIsPromptWithRetryAfter(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	ask := func(id int) {
-		c.send("API.READ", "0000000000000009", fmt.Sprintf("%016x", id), "c=lookup,t=tiny,d=86400000,units=1,spread=1,first=0")
+		c.send(
+			"API.READ",
+			"0000000000000009",
+			fmt.Sprintf("%016x", id),
+			"c=lookup,t=tiny,d=86400000,units=1,spread=1,first=0",
+		)
 	}
 	ask(1)
 	call := b.next(t)
 	call.serve(t, "ok")
 	c.value("ok")
-	ask(2) // the bank holds 1 unit: a day's wait would outlast the test
+	ask(2) // the bucket holds 1 unit, and refills in a day
 	if got := c.line(); got != "-BUSY 2000" {
 		t.Errorf("answer %q", got)
 	}
 }
 
-// Bad input is answered once and reaches no backend.
+// An invalid command is answered once and reaches no backend.
 func TestInvalidCommands(t *testing.T) {
 	r, b, _ := oneBackend(t, func(f map[string]any) {
 		text := strings.Replace(settingsText, `"counter":false`, `"counter":false,"max-units":4`, 1)
-		f["settings"] = json.RawMessage(strings.Replace(text, `"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`, 1))
+		f["settings"] = json.RawMessage(
+			strings.Replace(text, `"name":"lookup"`, `"name":"lookup","hard-limit-us":60000000`, 1),
+		)
 	})
 	const id, customer = "0000000000000001", "0000000000000007"
 	good := "c=lookup,t=team,d=60000,units=1,spread=1,first=0"
@@ -219,7 +243,7 @@
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%s: %q", name, got)
 		}
-		c.send("PING") // the framing holds
+		c.send("PING") // the framing is intact
 		c.want("+PONG")
 	}
 	if len(b.got) > 0 {
@@ -241,10 +265,12 @@
 	}
 }
 
-// A client that leaves is seen while its request is out: its place is free again.
+// A client's disconnect is noticed while its request is in flight: its slot is free again.
 func TestDisconnectFreesSlot(t *testing.T) {
 	r, b, _ := oneBackend(t, func(f map[string]any) {
-		f["settings"] = json.RawMessage(strings.Replace(settingsText, `"max-open":20000`, `"max-open":1`, 1))
+		f["settings"] = json.RawMessage(
+			strings.Replace(settingsText, `"max-open":20000`, `"max-open":1`, 1),
+		)
 	})
 	c := r.client(t)
 	c.lookup(1, "80000000")
@@ -269,8 +295,8 @@
 	wait(t, served, "the second request")
 }
 
-// A connection that breaks under a request tells of that one only: the idle one
-// is used, unless it has ended too.
+// A connection that breaks under a request says nothing of others: an idle one is used, unless it
+// has ended too.
 func TestBrokenConnectionAndIdleOnes(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		r, b, _ := oneBackend(t, nil)
@@ -295,7 +321,7 @@
 	}
 }
 
-// A kept connection that breaks when it is used speaks against those kept longer:
+// An idle connection that breaks when used speaks against those that have been idle for longer:
 // they are not tried one after another.
 func TestStaleConnectionsAreDropped(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
@@ -324,8 +350,8 @@
 	}
 }
 
-// A backend that has started anew is reached by a new connection, though the old
-// one, as of a machine that vanished, was never closed.
+// A backend that has restarted is reached by a new connection, though the old one, as of a machine
+// that vanished, was never closed.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
 	r, b, d := oneBackend(t, nil)
 	c := r.client(t)
@@ -333,7 +359,14 @@
 	first := b.next(t)
 	first.serve(t, "ok")
 	c.value("ok")
-	d.tell(strings.Replace(b.entry("s-00000001", "Ready"), `"up_since_ms":0`, `"up_since_ms":1000000000000`, 1))
+	d.tell(
+		strings.Replace(
+			b.entry("s-00000001", "Ready"),
+			`"up_since_ms":0`,
+			`"up_since_ms":1000000000000`,
+			1,
+		),
+	)
 	d.settled(t)
 	c.lookup(2, "60000")
 	second := b.next(t)
@@ -344,8 +377,8 @@
 	}
 }
 
-// After a drain was told nothing new goes to the backend; the ids are its
-// identity, so the same backend at a new address is still the same.
+// Nothing new is sent to a draining backend. Ids are a backend's identity: at a new address it is
+// still the same backend.
 func TestDrainAndChangeOfAddress(t *testing.T) {
 	r, old, d := oneBackend(t, nil)
 	c := r.client(t)
@@ -369,8 +402,8 @@
 	}
 }
 
-// A drain that is told while an attempt waits for its dial holds for it too: the
-// connection comes up, and nothing is written to it.
+// A drain that is announced while an attempt waits for its dial holds for the attempt too: nothing
+// is written to the new connection.
 func TestDrainDuringDial(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t)
@@ -394,11 +427,13 @@
 	}
 }
 
-// An idle connection is closed before the backend does it: a request that
-// crossed the backend's close would end as a reset.
+// An idle connection is closed before the backend closes it: a request that crossed the backend's
+// close would end as a reset.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	r, b, _ := oneBackend(t, func(f map[string]any) {
-		f["settings"] = json.RawMessage(strings.Replace(settingsText, `"idle-close-us":30000000`, `"idle-close-us":200000`, 1))
+		f["settings"] = json.RawMessage(
+			strings.Replace(settingsText, `"idle-close-us":30000000`, `"idle-close-us":200000`, 1),
+		)
 	})
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -409,7 +444,7 @@
 	}
 }
 
-// A member without a usable address gets nothing; one that is gone is gone.
+// A member without a usable address is sent nothing, and one that is gone is removed.
 func TestUnusableAddress(t *testing.T) {
 	for _, address := range []string{"", "nowhere", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"} {
 		if m := (member{HostPort: address, Phase: "Ready"}); endpointState(&m) != policy.Draining {
@@ -421,8 +456,8 @@
 	}
 }
 
-// A watch that is never answered hides a drain, which counts as told 6 s later all
-// the same: it is given up by then, and the list taken anew on another connection.
+// A watch that is never answered hides a drain, which counts as announced 6 s later all the same:
+// by then the watch has timed out, and the complete list was fetched on another connection.
 func TestHungWatchTimesOut(t *testing.T) {
 	t.Parallel() // it waits for seconds
 	var held atomic.Bool
@@ -431,7 +466,10 @@
 	hung := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") && !held.Swap(true) {
 			wait, err := strconv.Atoi(r.URL.Query().Get("wait"))
-			if limit := time.Duration(wait)*time.Millisecond + time.Second; err != nil || limit >= 6*time.Second {
+			if limit := time.Duration(
+				wait,
+			)*time.Millisecond + time.Second; err != nil ||
+				limit >= 6*time.Second {
 				t.Errorf("a watch is waited for %v, %v", limit, err)
 			}
 			d.tell(second.entry("s-00000002", "Ready"))
@@ -442,7 +480,14 @@
 	}))
 	t.Cleanup(func() { hung.CloseClientConnections(); hung.Close() })
 	d = newFakeDiscovery(t)
-	r := begin(t, configure(t, d, func(f map[string]any) { f["discovery"] = strings.TrimPrefix(hung.URL, "http://") }))
+	r := begin(
+		t,
+		configure(
+			t,
+			d,
+			func(f map[string]any) { f["discovery"] = strings.TrimPrefix(hung.URL, "http://") },
+		),
+	)
 	d.settled(t)
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -450,7 +495,7 @@
 	c.value("ok")
 }
 
-// After a broken watch the whole list is taken: what changed may be missed.
+// After a broken watch the complete list is fetched, as changes may have been missed.
 func TestCompleteListAfterDiscoveryFailure(t *testing.T) {
 	_, b, d := oneBackend(t, nil)
 	for first := true; ; first = false {
@@ -465,8 +510,8 @@
 	}
 }
 
-// A planned stop answers all that was taken, on connections that then end, and
-// goes on taking new connections for a while.
+// A planned shutdown answers all admitted requests, on connections that then close, and accepts new
+// connections for a while.
 func TestShutdownAnswersAdmittedRequests(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c, idle := r.client(t), r.client(t)
@@ -482,7 +527,7 @@
 	wait(t, r.ended, "the gateway's end")
 }
 
-// What is still out when SIGKILL comes near is failed, not left.
+// Requests that are still open when SIGKILL is near are failed.
 func TestShutdownFailsOpenRequests(t *testing.T) {
 	t.Parallel() // it waits for seconds
 	r, b, _ := oneBackend(t, nil)
@@ -496,9 +541,9 @@
 	wait(t, r.ended, "the gateway's end")
 }
 
-// Without a descriptor to spare an attempt ends at once, and no client waits.
+// Without a free descriptor an attempt ends at once, and no client waits for it.
 func TestOutOfDescriptors(t *testing.T) {
-	r, b := fourBackends(t, minSockets) // 3 to backends
+	r, b := fourBackends(t, minSockets) // 3 connections to backends
 	c := r.client(t)
 	for id := range 3 {
 		c.lookup(id, "60000")
@@ -511,8 +556,8 @@
 	}
 }
 
-// Clients beyond the share of descriptors take the place of idle connections;
-// where none is idle they are refused at once.
+// Clients beyond the limit take the slots of idle connections; where none is idle they are rejected
+// at once.
 func TestMoreClientsThanSlots(t *testing.T) {
 	r, b := fourBackends(t, 40) // 6 clients
 	idle := r.client(t)
@@ -533,12 +578,18 @@
 	surplus.closed()
 }
 
-// A value near the limit passes both ways whole.
+// A value near the limit passes both ways unchanged.
 func TestLargeValues(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
 	large := strings.Repeat("v", resp.MaxValue)
-	c.send("API.READ", "0000000000000007", "0000000000000001", "c=lookup,t=team,d=60000,units=1,spread=1,first=0", large)
+	c.send(
+		"API.READ",
+		"0000000000000007",
+		"0000000000000001",
+		"c=lookup,t=team,d=60000,units=1,spread=1,first=0",
+		large,
+	)
 	call := b.next(t)
 	if string(call.args[4]) != large {
 		t.Error("the body changed")
@@ -548,7 +599,10 @@
 }
 
 func TestBadConfiguration(t *testing.T) {
-	good := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`, settingsText)
+	good := fmt.Sprintf(
+		`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"01","settings":%s}`,
+		settingsText,
+	)
 	if _, err := ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -568,14 +622,14 @@
 	}
 }
 
-// Where a record is kept each refusal is in it with its reason, and nothing else is.
+// The rejection log has each rejected request with its reason, and nothing else.
 func TestRejectionLog(t *testing.T) {
 	d := newFakeDiscovery(t)
 	cfg := configure(t, d, nil)
 	written := make(writes, 16)
 	cfg.RejectionLog = written
 	c := begin(t, cfg).client(t)
-	c.lookup(0xabc, "500") // there is no backend, so no room
+	c.lookup(0xabc, "500") // there is no backend, so no capacity
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("%q", got)
 	}
@@ -584,7 +638,7 @@
 	}
 }
 
-// writes hands on what is written.
+// writes passes on what is written.
 type writes chan string
 
 func (w writes) Write(p []byte) (int, error) {
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -40,7 +40,9 @@
 	t.Helper()
 	cfg := configure(t, d, func(f map[string]any) {
 		f["management"] = "127.0.0.1:0"
-		f["settings"] = json.RawMessage(strings.Replace(settingsText, `"second-copies":true`, `"second-copies":false`, 1))
+		f["settings"] = json.RawMessage(
+			strings.Replace(settingsText, `"second-copies":true`, `"second-copies":false`, 1),
+		)
 	})
 	cfg.Restart.RendezvousPath = h.meet
 	cfg.Restart.Listen = func(string) (net.Listener, error) { return net.FileListener(h.file) }
@@ -72,14 +74,20 @@
 // once sends a request that must not run twice: no copy of it follows.
 func (c *testClient) once(id int) {
 	c.t.Helper()
-	c.send("API.WRITE", "0000000000000007", fmt.Sprintf("%016x", id), "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		fmt.Sprintf("%016x", id),
+		"c=once,t=team,d=60000,units=1,spread=1,first=0",
+		"x",
+	)
 }
 
 const tinyFields = "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0"
 
-// A newer process takes the place of one that serves: no connection ends, what was open
-// is answered by the old one, what stood behind it and half a command by the new one, which
-// knows what was taken.
+// A successor takes over from a process that serves: no connection ends, open requests are answered
+// by the predecessor, and the commands behind them and half a command by the successor, which knows
+// what was consumed.
 func TestSuccessorTakesOver(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
@@ -95,8 +103,14 @@
 	open := b.next(t)
 	busy.once(2) // behind the open one
 	behind := b.next(t)
-	command := string(resp.AppendBulk(resp.AppendBulk(resp.AppendBulk(resp.AppendBulk(resp.AppendArray(nil, 4), []byte("API.READ")),
-		[]byte("0000000000000007")), []byte("0000000000000011")), []byte("c=lookup,t=team,d=60000,units=1,spread=1,first=0")))
+	command := string(
+		resp.AppendBulk(resp.AppendBulk(resp.AppendBulk(
+			resp.AppendBulk(resp.AppendArray(nil, 4), []byte("API.READ")),
+			[]byte(
+				"0000000000000007",
+			),
+		), []byte("0000000000000011")), []byte("c=lookup,t=team,d=60000,units=1,spread=1,first=0")),
+	)
 	half.raw(command[:40])
 
 	next := h.process(t, d)
@@ -120,7 +134,8 @@
 	b.nextOf(t, 6).serve(t, "six")
 	busy.value("six")
 	figures := vars(t, next)
-	if figures["answered.lookup"] != 2 || figures["deferred.lookup"] != 1 || figures["passed_in"] < 4 {
+	if figures["answered.lookup"] != 2 || figures["deferred.lookup"] != 1 ||
+		figures["passed_in"] < 4 {
 		t.Errorf("figures of the newer process: %v", figures)
 	}
 	if figures := vars(t, old); figures["answered.once"] != 2 || figures["current"] != 0 {
@@ -132,8 +147,8 @@
 	idle.want("+PONG")
 }
 
-// A chain of processes, each replacing the one before under requests: every request of every
-// client gets its one answer.
+// In a chain of processes, each taking over from the one before under load, every request of every
+// client gets exactly one answer.
 func TestChainOfHandoversAnswersAll(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
@@ -163,7 +178,7 @@
 					id := fmt.Sprintf("%016x", n<<20|i<<4|k)
 					head, value := c.line(), ""
 					if strings.HasPrefix(head, "-BUSY") {
-						continue // an answer like others: the quota is one for all processes
+						continue // a valid answer: all processes share one quota
 					}
 					if value = c.line(); head != "$16" || value != id {
 						done <- fmt.Errorf("client %d: answer %q %q to %s", n, head, value, id)
@@ -187,8 +202,8 @@
 	}
 }
 
-// A third process that comes while the first still answers what it had takes the second's
-// place; the first is left to its end, and what it has is answered.
+// A third process that starts while the first still answers its requests takes over from the
+// second. The first ends by itself, and its requests are answered.
 func TestThirdProcessWhileFirstShutsDown(t *testing.T) {
 	b := newBackend(t)
 	h := hold(t)
@@ -222,8 +237,8 @@
 	}
 }
 
-// A newer process that dies before it has taken over leaves the old one serving, with what
-// came meanwhile.
+// If a successor dies before it has taken over, the predecessor goes on serving, also the commands
+// that came meanwhile.
 func TestSuccessorThatDiesChangesNothing(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
@@ -240,7 +255,7 @@
 		if _, err := before.TakeState(); err != nil {
 			t.Fatal(err)
 		}
-		c.lookup(round+1, "60000") // while nobody knows who is to take it
+		c.lookup(round+1, "60000") // while it is open which process answers it
 		before.Close()
 		b.next(t).serve(t, "kept")
 		c.value("kept")
@@ -248,7 +263,7 @@
 	other := old.client(t)
 	other.send("PING")
 	other.want("+PONG")
-	next := h.process(t, d) // and one that lives takes over all the same
+	next := h.process(t, d) // a successor that lives takes over
 	other.send("PING")
 	other.want("+PONG")
 	c.lookup(9, "60000")
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -18,17 +18,17 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// patience bounds every wait for an event; nothing is asserted of its speed.
+// patience bounds every wait for an event; it says nothing about its speed.
 const patience = 30 * time.Second
 
-// fakeBackend answers commands as a test tells it to.
+// fakeBackend answers commands as the test says.
 type fakeBackend struct {
 	listener net.Listener
 	got      chan *backendCall
 	ended    chan error // how each connection ended
 }
 
-// backendCall is one command that a backend has got whole.
+// backendCall is a command that a backend has received completely.
 type backendCall struct {
 	args [][]byte
 	conn net.Conn
@@ -52,13 +52,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &fakeBackend{listener: l, got: make(chan *backendCall, 1024), ended: make(chan error, 1024)}
+	b := &fakeBackend{
+		listener: l,
+		got:      make(chan *backendCall, 1024),
+		ended:    make(chan error, 1024),
+	}
 	t.Cleanup(func() { l.Close() })
 	b.serveOn(l)
 	return b
 }
 
-// serveOn has commands read that come by a listener.
+// serveOn reads commands from connections of a listener.
 func (b *fakeBackend) serveOn(l net.Listener) {
 	go func() {
 		for {
@@ -83,8 +87,12 @@
 }
 
 func (b *fakeBackend) entry(id, phase string) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
-		id, b.listener.Addr().String(), phase)
+	return fmt.Sprintf(
+		`{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
+		id,
+		b.listener.Addr().String(),
+		phase,
+	)
 }
 
 // next waits for a command.
@@ -104,7 +112,7 @@
 	}
 }
 
-// fakeDiscovery tells a list, and each change that a test makes.
+// fakeDiscovery serves a list of members and each change that the test makes.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -131,10 +139,10 @@
 	d.changed = make(chan struct{})
 }
 
-// settled waits until the gateway watches from the last change on: it has then
-// read that change, and acts on it ahead of what it reads later. Which change is
-// the last is asked anew at each call: another may be told while this waits. The
-// bound is on all calls together, as a gateway that never settles goes on calling.
+// settled waits until the gateway watches from the last change on: it has then read that change,
+// and applies it ahead of what it reads later. Which change is the last is looked up at each call,
+// as another may be made meanwhile. The bound is on all calls together, as a gateway that never
+// settles goes on calling.
 func (d *fakeDiscovery) settled(t testing.TB) {
 	t.Helper()
 	for late := time.After(patience); ; {
@@ -164,7 +172,13 @@
 		revision, list, changed := d.revision, d.list, d.changed
 		d.mu.Unlock()
 		if index := r.URL.Query().Get("index"); index == "" || index != fmt.Sprint(revision) {
-			fmt.Fprintf(w, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, index == "", list)
+			fmt.Fprintf(
+				w,
+				`{"revision":%d,"complete":%t,"members":[%s]}`,
+				revision,
+				index == "",
+				list,
+			)
 			return
 		}
 		select {
@@ -191,7 +205,7 @@
  "tariffs":[{"name":"team","rate":1000,"burst":1000,"value-factor":1},
   {"name":"tiny","rate":0.1,"burst":1,"value-factor":1}]}`
 
-// quiet is a log that nobody reads.
+// quiet returns a log that discards everything.
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // rig is a gateway between fakes.
@@ -205,8 +219,8 @@
 	ended   chan struct{}
 }
 
-// halt ends the loop at once. A planned stop takes half a second at least: only
-// the tests that are about it wait for one.
+// halt ends the event loop at once. A planned shutdown takes half a second at least: only the tests
+// that are about it wait for one.
 type halt struct{}
 
 func (halt) handle(g *Gateway) { g.done = true }
@@ -214,13 +228,13 @@
 // stop begins a planned shutdown.
 func (r *rig) stop() { r.once.Do(func() { close(r.stopped) }) }
 
-// reloads has the gateway take in another configuration, or fail to.
+// reloads has the gateway read another configuration, or fail to read it.
 func (r *rig) reloads(cfg Config, err error) {
 	r.configs <- func() (Config, error) { return cfg, err }
 	r.reload <- struct{}{}
 }
 
-// configure gives the configuration of a gateway that discovery serves.
+// configure returns the configuration of a gateway with a fake discovery.
 func configure(t testing.TB, d *fakeDiscovery, change func(map[string]any)) Config {
 	t.Helper()
 	f := map[string]any{
@@ -242,7 +256,7 @@
 	return cfg
 }
 
-// unstarted is a gateway whose loop a test runs by hand.
+// unstarted returns a gateway whose event loop the test runs by hand.
 func unstarted(t testing.TB, d *fakeDiscovery) *Gateway {
 	t.Helper()
 	g, err := newGateway(configure(t, d, nil), quiet())
@@ -256,7 +270,7 @@
 // begin starts a gateway and waits until it is ready.
 func begin(t testing.TB, cfg Config) *rig { return beginWith(t, cfg, func(*Gateway) {}) }
 
-// beginWith is begin, with the loop as a test wants it.
+// beginWith is begin, after a function has prepared the gateway.
 func beginWith(t testing.TB, cfg Config, prepare func(*Gateway)) *rig {
 	t.Helper()
 	g, err := newGateway(cfg, quiet())
@@ -264,9 +278,19 @@
 		t.Fatal(err)
 	}
 	prepare(g)
-	r := &rig{addr: g.clients.listener.Addr().String(), gateway: g, stopped: make(chan struct{}), ended: make(chan struct{}),
-		reload: make(chan struct{}), configs: make(chan func() (Config, error), 1)}
-	control := Control{Stop: r.stopped, Reload: r.reload, ReadConfig: func() (Config, error) { return (<-r.configs)() }}
+	r := &rig{
+		addr:    g.clients.listener.Addr().String(),
+		gateway: g,
+		stopped: make(chan struct{}),
+		ended:   make(chan struct{}),
+		reload:  make(chan struct{}),
+		configs: make(chan func() (Config, error), 1),
+	}
+	control := Control{
+		Stop:       r.stopped,
+		Reload:     r.reload,
+		ReadConfig: func() (Config, error) { return (<-r.configs)() },
+	}
 	go func() { g.serve(control); close(r.ended) }()
 	t.Cleanup(func() {
 		select {
@@ -321,10 +345,15 @@
 	c.raw(string(b))
 }
 
-// lookup sends a request that is safe to repeat.
+// lookup sends an idempotent request.
 func (c *testClient) lookup(id int, wait string) {
 	c.t.Helper()
-	c.send("API.READ", "0000000000000007", fmt.Sprintf("%016x", id), "c=lookup,t=team,d="+wait+",units=1,spread=1,first=0")
+	c.send(
+		"API.READ",
+		"0000000000000007",
+		fmt.Sprintf("%016x", id),
+		"c=lookup,t=team,d="+wait+",units=1,spread=1,first=0",
+	)
 }
 
 // line reads one line.
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -8,30 +8,42 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// How long a connection had stood idle when it proved dead counts to the write, not to the sending of the request that was
-// written: one that waits while its connection rests is sent before that begins to stand idle, and the difference, below
-// nothing, would have no connection trusted any more that was idle for a moment.
+// The idle time of a connection that proved dead ends with the write of the request, not with the
+// start of its attempt: an attempt that waits while its connection rests starts before the
+// connection becomes idle, and the negative difference would make the gateway trust no idle
+// connection any more.
 func TestIdleTimeEndsAtTheWrite(t *testing.T) {
 	const stood = 5 * time.Second
 	b := newBackend(t)
-	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(g *Gateway) {
-		g.backends.restDuration = policy.Time(time.Hour.Microseconds()) // until the test ends it
-	})
+	r := beginWith(
+		t,
+		configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil),
+		func(g *Gateway) {
+			g.backends.restDuration = policy.Time(
+				time.Hour.Microseconds(),
+			) // until the test ends it
+		},
+	)
 	c, other := r.client(t), r.client(t)
 	c.lookup(1, "60000")
 	b.next(t).serve(t, "one")
 	c.value("one")
 	other.lookup(2, "60000")
-	until(t, r.gateway, "a request that waits for the connection to have rested", func(g *Gateway) bool {
-		return len(g.backends.byNumber[1].waiting) == 1
-	})
+	until(
+		t,
+		r.gateway,
+		"a request that waits for the connection to have rested",
+		func(g *Gateway) bool {
+			return len(g.backends.byNumber[1].waiting) == 1
+		},
+	)
 	ask(t, r.gateway, func(g *Gateway) bool {
 		server := g.backends.byNumber[1]
 		conn, waiting := server.idle[0], server.waiting[0]
 		conn.idleSince -= stood.Microseconds()
 		waiting.startedAt = conn.idleSince - stood.Microseconds()
 		conn.restsUntil = g.now()
-		g.backends.idleTrust.lastBroken = g.now() // one that breaks alone is chance
+		g.backends.idleTrust.lastBroken = g.now() // a single one is taken for chance
 		connRested{conn}.due(g)
 		waiting.writtenAt += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
 		return true
@@ -41,7 +53,15 @@
 	call.conn.Close()
 	b.next(t).serve(t, "two") // by another
 	other.value("two")
-	if learnt := ask(t, r.gateway, func(g *Gateway) policy.Time { return g.backends.idleTrust.learnedLimit }); learnt < stood.Microseconds()/2 {
-		t.Errorf("a connection is trusted for %d us, this one had stood idle for %d", learnt, stood.Microseconds())
+	if learnt := ask(
+		t,
+		r.gateway,
+		func(g *Gateway) policy.Time { return g.backends.idleTrust.learnedLimit },
+	); learnt < stood.Microseconds()/2 {
+		t.Errorf(
+			"a connection is trusted for %d us, this one had stood idle for %d",
+			learnt,
+			stood.Microseconds(),
+		)
 	}
 }
--- a/internal/dataplane/gateway/idle_trust_test.go
+++ b/internal/dataplane/gateway/idle_trust_test.go
@@ -8,7 +8,7 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// Kept connections that break when used are trusted for less, until that heals.
+// Idle connections that break when used are trusted for a shorter time, until that recovers.
 func TestIdleTrustLearnsAndRecovers(t *testing.T) {
 	k := idleTrust{maxIdle: 15_000_000}
 	now := policy.Time(1e9)
@@ -19,7 +19,7 @@
 		}
 	}
 	k.connBroken(now, 400_000)
-	want(15_000_000) // one is chance
+	want(15_000_000) // a single one is taken for chance
 	now += 100_000
 	k.connBroken(now, 400_000)
 	want(200_000)
@@ -32,12 +32,16 @@
 	want(15_000_000)
 }
 
-// A dial that is reset is made once more before the backend is held for dead:
-// nothing was sent, and something listens there.
+// A dial that is reset is repeated once before the backend counts as unreachable: nothing was sent,
+// and something listens there.
 func TestResetDialIsRepeatedOnce(t *testing.T) {
 	b := newBackend(t)
 	g := unstarted(t, newFakeDiscovery(t))
-	g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	g.backends.updateEndpoints(
+		g,
+		policy.Complete,
+		[]member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}},
+	)
 	a := &attempt{startedAt: g.now(), deadline: g.now() + 1e9}
 	g.backends.startAttempt(g, a, 1)
 	for i, want := range []bool{false, true} {
--- a/internal/dataplane/gateway/malformed_reply_test.go
+++ b/internal/dataplane/gateway/malformed_reply_test.go
@@ -11,13 +11,13 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// Bytes behind a good answer lie there when the next request is written, and
-// would be taken for its answer: the connection is not used again.
+// Bytes behind a good answer would be taken for the answer to the next request: the connection is
+// not used again.
 func TestRepeatedAnswerIsDropped(t *testing.T) {
 	const good = "+PONG\r\n"
 	for name, answers := range map[string][]string{
 		"at once": {good + good},
-		"behind":  {good, good}, // read when the first is long taken in
+		"behind":  {good, good}, // read when the first has long been handled
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
@@ -28,13 +28,13 @@
 			g.backends.startAttempt(g, first, 1)
 			wait(t, g.events, "the dial").handle(g)
 			used := first.conn
-			call := b.next(t) // a probe: its answer is read like any other
+			call := b.next(t) // a health check: its answer is read like any other
 			call.answer(t, answers[0])
 			wait(t, g.events, "the answer").handle(g)
 			var late event
 			if len(answers) > 1 {
 				call.answer(t, answers[1])
-				late = wait(t, g.events, "what follows") // read, and not taken in yet
+				late = wait(t, g.events, "what follows") // read, and not handled yet
 			}
 			second := &attempt{startedAt: g.now(), deadline: g.now() + 1e9}
 			g.backends.startAttempt(g, second, 1)
@@ -53,34 +53,48 @@
 	}
 }
 
-// restsFor has connections to backends rest after an answer for as long as a test wants.
+// restsFor has connections to backends rest after an answer for a given time.
 func restsFor(rest policy.Time) func(*Gateway) {
 	return func(g *Gateway) { g.backends.restDuration = rest }
 }
 
-// haveRested waits until the idle connections to a backend have rested.
+// haveRested ends the rest of the idle connections to a backend.
 func haveRested(t testing.TB, r *rig) {
 	t.Helper()
 	until(t, r.gateway, "connections that have rested", func(g *Gateway) bool {
 		b := g.backends.byNumber[1]
-		return len(b.idle) > 0 && !slices.ContainsFunc(b.idle, func(c *backendConn) bool { return g.now() < c.restsUntil })
+		return len(b.idle) > 0 &&
+			!slices.ContainsFunc(
+				b.idle,
+				func(c *backendConn) bool { return g.now() < c.restsUntil },
+			)
 	})
 }
 
-// A second copy of an answer may come when the next request has long been written, and would be its answer: until it
-// can't be under way any more the connection is not used, neither for what comes next nor for what waits already.
+// A repetition of an answer may come when the next request has long been written, and would be
+// taken for its answer: the connection is not used, neither for new attempts nor for waiting ones,
+// until the repetition can't be on its way any more.
 func TestLateRepeatedAnswerIsDropped(t *testing.T) {
 	const value, second = "one", "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n"
 	t.Run("the next request", func(t *testing.T) {
 		b := newBackend(t)
-		r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), restsFor(1e12))
+		r := beginWith(
+			t,
+			configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil),
+			restsFor(1e12),
+		)
 		c := r.client(t)
 		c.lookup(1, "60000")
 		first := b.next(t)
 		first.serve(t, value)
 		c.value(value)
 		c.lookup(2, "60000")
-		until(t, r.gateway, "the next request", func(g *Gateway) bool { return g.requests.lastID == 2 })
+		until(
+			t,
+			r.gateway,
+			"the next request",
+			func(g *Gateway) bool { return g.requests.lastID == 2 },
+		)
 		first.answer(t, second)
 		wait(t, b.ended, "the end of the connection with a second answer")
 		b.next(t).serve(t, "two")
@@ -99,13 +113,21 @@
 	})
 }
 
-// oneWaitsForItsDial is a backend that has got one client's request, while another's waits for a dial that is held.
-func oneWaitsForItsDial(t *testing.T, prepare func(*Gateway)) (r *rig, b *fakeBackend, dials *heldDials, first *backendCall, c, other *testClient) {
+// oneWaitsForItsDial returns a backend that has received one client's request, while another's
+// waits for a dial that is held.
+func oneWaitsForItsDial(
+	t *testing.T,
+	prepare func(*Gateway),
+) (r *rig, b *fakeBackend, dials *heldDials, first *backendCall, c, other *testClient) {
 	b = newBackend(t)
-	r = beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) {
-		prepare(g)
-		dials = holdDials(g)
-	})
+	r = beginWith(
+		t,
+		configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials),
+		func(g *Gateway) {
+			prepare(g)
+			dials = holdDials(g)
+		},
+	)
 	c, other = r.client(t), r.client(t)
 	c.lookup(1, "60000")
 	wait(t, dials.begun, "the first dial")
@@ -116,22 +138,37 @@
 	return r, b, dials, first, c, other
 }
 
-// What comes while a connection rests waits for it, and is not dialed for; where the connection ends otherwise, it is.
+// A request that comes while a connection rests waits for it without a dial; if the connection
+// ends, it is dialed for.
 func TestNextRequestWaitsForRestingConnection(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		b := newBackend(t)
-		r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), restsFor(1e12))
+		r := beginWith(
+			t,
+			configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil),
+			restsFor(1e12),
+		)
 		c := r.client(t)
 		c.lookup(1, "60000")
 		first := b.next(t)
 		first.serve(t, "one")
 		c.value("one")
 		c.lookup(2, "60000")
-		until(t, r.gateway, "the next request", func(g *Gateway) bool { return g.requests.lastID == 2 })
+		until(
+			t,
+			r.gateway,
+			"the next request",
+			func(g *Gateway) bool { return g.requests.lastID == 2 },
+		)
 		ask(t, r.gateway, func(g *Gateway) bool {
 			b := g.backends.byNumber[1]
 			if len(b.waiting) != 1 || b.dialing != 0 || len(b.idle) != 1 {
-				t.Errorf("%d wait, %d dials, %d idle connections", len(b.waiting), b.dialing, len(b.idle))
+				t.Errorf(
+					"%d wait, %d dials, %d idle connections",
+					len(b.waiting),
+					b.dialing,
+					len(b.idle),
+				)
 			}
 			c := b.idle[0]
 			if c.restsUntil = 0; ends {
@@ -149,7 +186,7 @@
 	}
 }
 
-// What waits for a connection goes by one that has rested, if that is sooner than its dial.
+// An attempt that waits for its dial is written to a connection that has rested, if that is sooner.
 func TestRestedConnectionIsUsed(t *testing.T) {
 	_, b, dials, first, c, other := oneWaitsForItsDial(t, func(*Gateway) {})
 	defer close(dials.goOn)
@@ -163,8 +200,8 @@
 	other.value("two")
 }
 
-// An answer that can't be read is one failed attempt and ends one connection.
-// The others to that backend go on: its process has not died.
+// An answer that can't be read is one failed attempt and closes one connection. The others to that
+// backend go on: its process has not died.
 func TestMalformedAnswerClosesOneConnection(t *testing.T) {
 	for _, answer := range []string{
 		"?\r\n", ":5\r\n", "+OK\r\n", "$2\r\nno\r\n", "*3\r\n*3\r\n*3\r\n", "*3\r\n$-7\r\n$-1\r\n$-1\r\n",
@@ -188,14 +225,21 @@
 			if again.conn != fine.conn {
 				t.Error("the idle connection was not used")
 			}
-			if err := wait(t, b.ended, "the end of the spoilt connection"); errors.Is(err, io.ErrUnexpectedEOF) {
+			if err := wait(
+				t,
+				b.ended,
+				"the end of the spoilt connection",
+			); errors.Is(
+				err,
+				io.ErrUnexpectedEOF,
+			) {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// A load report or figure on use that can't be read leaves the value good.
+// A load report or a figure on use that can't be read leaves the value good.
 func TestBadLoadReportKeepsTheValue(t *testing.T) {
 	r, b, _ := oneBackend(t, nil)
 	c := r.client(t)
@@ -206,12 +250,24 @@
 	}
 }
 
-// What is no load must not reach the decisions.
+// A report with an impossible load must not reach the balancer.
 func TestLoadReports(t *testing.T) {
-	settings := strings.Replace(settingsText, `"names":[],"via":"silent"`, `"names":["busy_reqs","pending"],"via":"piggyback"`, 1)
-	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) { f["settings"] = json.RawMessage(settings) })
+	settings := strings.Replace(
+		settingsText,
+		`"names":[],"via":"silent"`,
+		`"names":["busy_reqs","pending"],"via":"piggyback"`,
+		1,
+	)
+	cfg := configure(
+		t,
+		newFakeDiscovery(t),
+		func(f map[string]any) { f["settings"] = json.RawMessage(settings) },
+	)
 	g := &Gateway{cfg: cfg}
-	if got := g.parseLoadReport("pending=2,busy_reqs=7,other=1"); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+	if got := g.parseLoadReport(
+		"pending=2,busy_reqs=7,other=1",
+	); len(got) != 2 || got[0] != 7 ||
+		got[1] != 2 {
 		t.Errorf("a good report: %v", got)
 	}
 	for _, text := range []string{
--- a/internal/dataplane/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -20,12 +20,18 @@
 	return c
 }
 
-// A note over 256 bytes would void the run; what is too long or comes from no
-// peer is dropped.
+// A message over 256 bytes would void the run. Datagrams that are too long or come from no peer are
+// dropped.
 func TestPeerMessages(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
-	cfg := &Config{PeerListen: "127.0.0.1:0", Settings: policy.Settings{Peers: true},
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()}}
+	cfg := &Config{
+		PeerListen: "127.0.0.1:0",
+		Settings:   policy.Settings{Peers: true},
+		Peers: []netip.AddrPort{
+			netip.MustParseAddrPort("127.0.0.1:1"),
+			peer.LocalAddr().(*net.UDPAddr).AddrPort(),
+		},
+	}
 	p, err := newPeers(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/gateway/plan_terms_test.go
+++ b/internal/dataplane/gateway/plan_terms_test.go
@@ -10,12 +10,14 @@
 )
 
 func testTerms() *PlanTerms {
-	return NewPlanTerms(&Config{Host: simprotocol.HostSettings{Plans: []string{"basico", "corporativo"}},
-		Settings: policy.Settings{
-			Plans: []policy.Plan{
-				{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5},
-			},
-		}})
+	return NewPlanTerms(
+		&Config{Host: simprotocol.HostSettings{Plans: []string{"basico", "corporativo"}},
+			Settings: policy.Settings{
+				Plans: []policy.Plan{
+					{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5},
+				},
+			}},
+	)
 }
 
 func TestUnusablePlansAreRejected(t *testing.T) {
--- a/internal/dataplane/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -20,7 +20,8 @@
 	"mothcleat/internal/storage/store"
 )
 
-// readyWithin is the term: nine in ten restarted processes are ready by then. Here each has to be.
+// readyWithin is the time in which nine in ten restarted processes must be ready. Here each has to
+// be.
 const readyWithin = 10 * time.Second
 
 // readyInTime starts a gateway and waits for the answer to its first PING.
@@ -52,7 +53,7 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// badDiscoveries are those that tell no list, by how they don't.
+// badDiscoveries are the ways in which discovery serves no list.
 var badDiscoveries = map[string]func(t *testing.T) (address string){
 	"refuses": func(t *testing.T) string {
 		_, address := bound(t)
@@ -63,16 +64,25 @@
 		if err := syscall.Listen(fd, 0); err != nil {
 			t.Fatal(err)
 		}
-		filler, err := net.Dial("tcp", address) // the one that the queue holds: the system drops what else comes
+		filler, err := net.Dial(
+			"tcp",
+			address,
+		) // the one that the queue holds: the system drops what else comes
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { filler.Close() })
 		return address
 	},
-	"is silent":     answering(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }),
-	"turns away":    answering(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
-	"tells no list": answering(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "<html>") }),
+	"is silent": answering(
+		func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+	),
+	"turns away": answering(
+		func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+	),
+	"tells no list": answering(
+		func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "<html>") },
+	),
 	"hangs amid the list": answering(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, `{"revision":4,"complete":true,"members":[{"id"`)
 		w.(http.Flusher).Flush()
@@ -88,8 +98,8 @@
 	}
 }
 
-// A gateway that starts while discovery tells no list is ready all the same, and serves by the list it was given, whether lists
-// are pushed or have to be asked for.
+// A gateway that starts while discovery serves no list becomes ready all the same, and serves by
+// the list of its configuration, whether lists are pushed or polled.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, discovery := range badDiscoveries {
 		for _, mode := range []string{"pushed", "on_request"} {
@@ -98,8 +108,20 @@
 				b := newBackend(t)
 				cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
 					f["discovery"] = discovery(t)
-					f["known"] = json.RawMessage(`{"revision":41,"complete":true,"members":[` + b.entry("s-00000001", "Ready") + `]}`)
-					f["settings"] = json.RawMessage(strings.Replace(settingsText, `"membership-mode":"pushed"`, fmt.Sprintf(`"membership-mode":%q`, mode), 1))
+					f["known"] = json.RawMessage(
+						`{"revision":41,"complete":true,"members":[` + b.entry(
+							"s-00000001",
+							"Ready",
+						) + `]}`,
+					)
+					f["settings"] = json.RawMessage(
+						strings.Replace(
+							settingsText,
+							`"membership-mode":"pushed"`,
+							fmt.Sprintf(`"membership-mode":%q`, mode),
+							1,
+						),
+					)
 				})
 				r := readyInTime(t, cfg)
 				c := r.client(t)
@@ -111,13 +133,17 @@
 	}
 }
 
-// keptState gives a folder with the state that a gateway has left.
+// keptState returns a directory with the snapshot that a gateway has left.
 func keptState(t *testing.T) (path string, cfg Config) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "state")
 	b := newBackend(t)
 	cfg = configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil)
-	cfg.Restart = Restart{Store: keeper(t, path), SnapshotInterval: 50 * time.Millisecond, MaxSnapshotAge: time.Hour}
+	cfg.Restart = Restart{
+		Store:            keeper(t, path),
+		SnapshotInterval: 50 * time.Millisecond,
+		MaxSnapshotAge:   time.Hour,
+	}
 	r := begin(t, cfg)
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -137,7 +163,7 @@
 	return f
 }
 
-// eachFile has something done to each file of a folder.
+// eachFile calls a function for each file in a directory.
 func eachFile(t *testing.T, dir string, change func(path string) error) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -151,8 +177,8 @@
 	}
 }
 
-// A gateway is ready whatever it finds of the process before: a good state, a damaged one, one that another process holds, or
-// one that its folder does not take.
+// A gateway becomes ready whatever snapshot it finds: a good one, a damaged one, one that another
+// process has locked, or one in a directory that it can't write.
 func TestReadyWithAnySnapshot(t *testing.T) {
 	for name, spoil := range map[string]func(t *testing.T, path string){
 		"good": func(*testing.T, string) {},
@@ -197,7 +223,11 @@
 			cfg.Restart.Store = keeper(t, path)
 			spoil(t, path)
 			r := readyInTime(t, cfg)
-			if n := ask(t, r.gateway, func(g *Gateway) int { return g.balancer.TakeSnapshot(g.now(), false).Version }); n != policy.SnapshotVersion {
+			if n := ask(
+				t,
+				r.gateway,
+				func(g *Gateway) int { return g.balancer.TakeSnapshot(g.now(), false).Version },
+			); n != policy.SnapshotVersion {
 				t.Errorf("version %d", n)
 			}
 		})
--- a/internal/dataplane/gateway/reload_test.go
+++ b/internal/dataplane/gateway/reload_test.go
@@ -13,8 +13,8 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// A new configuration moves discovery at once, though a watch is under way at
-// the old address; the request and the connection that are open go on.
+// A new configuration moves discovery at once, though a watch is under way at the old address; the
+// open request and its connection go on.
 func TestReloadMovesDiscovery(t *testing.T) {
 	r, before, old := oneBackend(t, nil)
 	old.settled(t)
@@ -36,13 +36,16 @@
 	}
 }
 
-// What can't be read leaves the gateway as it was: it goes on watching.
+// A configuration that can't be read changes nothing: the gateway goes on watching.
 func TestFailedReloadKeepsConfiguration(t *testing.T) {
 	r, _, d := oneBackend(t, nil)
 	r.reloads(Config{}, errors.New("no such file"))
 	d.settled(t)
 	second := newBackend(t)
-	d.tell(second.entry("s-00000002", "Ready"), strings.Replace(second.entry("s-00000001", "Gone"), "Ready", "Gone", 1))
+	d.tell(
+		second.entry("s-00000002", "Ready"),
+		strings.Replace(second.entry("s-00000001", "Gone"), "Ready", "Gone", 1),
+	)
 	d.settled(t)
 	c := r.client(t)
 	c.lookup(1, "60000")
@@ -67,7 +70,9 @@
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	with := func(s *httptest.Server) Config {
 		return configure(t, d, func(f map[string]any) {
-			f["settings"] = json.RawMessage(strings.Replace(settingsText, `"counter":false`, `"counter":true`, 1))
+			f["settings"] = json.RawMessage(
+				strings.Replace(settingsText, `"counter":false`, `"counter":true`, 1),
+			)
 			f["counter"] = strings.TrimPrefix(s.URL, "http://")
 		})
 	}
@@ -89,7 +94,8 @@
 	actions{g}.AddToCounter(1, 1, 1e6)
 	wait(t, atSecond, "a call at the second counter")
 	for _, total := range []float64{1, 2} {
-		if e := wait(t, g.events, "an answer").(counterReplied); e.result != policy.OK || e.total != total {
+		if e := wait(t, g.events, "an answer").(counterReplied); e.result != policy.OK ||
+			e.total != total {
 			t.Errorf("answer %+v, want the total %g", e, total)
 		}
 	}
--- a/internal/dataplane/gateway/shutdown_race_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -18,7 +18,7 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// heldDials are dials of a gateway that come up when a test lets them.
+// heldDials holds a gateway's dials until the test lets them finish.
 type heldDials struct {
 	begun chan string // their addresses
 	goOn  chan bool   // a value for each; closed: no more are held
@@ -34,12 +34,14 @@
 	return h
 }
 
-// slowDials are settings under which a dial may take as long as a test holds it.
+// slowDials are settings under which a dial may take as long as the test holds it.
 func slowDials(f map[string]any) {
-	f["settings"] = json.RawMessage(strings.Replace(settingsText, `"dial-timeout-us":250000`, `"dial-timeout-us":60000000`, 1))
+	f["settings"] = json.RawMessage(
+		strings.Replace(settingsText, `"dial-timeout-us":250000`, `"dial-timeout-us":60000000`, 1),
+	)
 }
 
-// ask has the loop tell something, and waits for it.
+// ask runs a function on the event loop's goroutine and returns its result.
 func ask[T any](t testing.TB, g *Gateway, f func(*Gateway) T) T {
 	t.Helper()
 	answer := make(chan T, 1)
@@ -47,8 +49,8 @@
 	return wait(t, answer, "the loop")
 }
 
-// until waits for the loop to be as a test wants it: each look is an event of its own, behind all that
-// was queued before it.
+// until waits for the event loop to reach a state: each look is an event of its own, behind all
+// that was queued before it.
 func until(t testing.TB, g *Gateway, what string, f func(*Gateway) bool) {
 	t.Helper()
 	for late := time.After(patience); !ask(t, g, f); {
@@ -61,8 +63,8 @@
 	}
 }
 
-// A request whose client has left while its attempt waited for a connection is not sent on when that
-// comes up: the first command on it is the next client's.
+// A request whose client has disconnected while its attempt waited for a connection is not sent
+// when the connection is up: the first command on it is the next client's.
 func TestDisconnectWithdrawsWaitingAttempt(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
 		"closed": func(c *testClient) { c.conn.Close() },
@@ -71,15 +73,28 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
 			var dials *heldDials
-			r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials), func(g *Gateway) { dials = holdDials(g) })
+			r := beginWith(
+				t,
+				configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials),
+				func(g *Gateway) { dials = holdDials(g) },
+			)
 			gone, other := r.client(t), r.client(t)
 			gone.lookup(1, "60000")
 			wait(t, dials.begun, "the first dial")
 			other.lookup(2, "60000")
 			wait(t, dials.begun, "the second dial")
 			leave(gone)
-			until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 1 })
-			if waiting := ask(t, r.gateway, func(g *Gateway) int { return len(g.backends.byNumber[1].waiting) }); waiting != 1 {
+			until(
+				t,
+				r.gateway,
+				"the client's leaving",
+				func(g *Gateway) bool { return g.requests.open == 1 },
+			)
+			if waiting := ask(
+				t,
+				r.gateway,
+				func(g *Gateway) int { return len(g.backends.byNumber[1].waiting) },
+			); waiting != 1 {
 				t.Errorf("%d attempts wait, one is wanted", waiting)
 			}
 			close(dials.goOn)
@@ -89,14 +104,19 @@
 			}
 			call.serve(t, "ok")
 			other.value("ok")
-			if n := ask(t, r.gateway, func(g *Gateway) int { return len(g.requests.byID) }); n != 0 || len(b.got) > 0 {
+			if n := ask(
+				t,
+				r.gateway,
+				func(g *Gateway) int { return len(g.requests.byID) },
+			); n != 0 ||
+				len(b.got) > 0 {
 				t.Errorf("%d requests in the table, %d commands more at the backend", n, len(b.got))
 			}
 		})
 	}
 }
 
-// deaf is a backend that reads nothing until a test lets it, on sockets that hold little.
+// deaf is a backend that reads nothing until the test lets it, on sockets with small buffers.
 type deaf struct {
 	listener net.Listener
 	conns    chan *net.TCPConn
@@ -105,7 +125,9 @@
 func newDeaf(t testing.TB) *deaf {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(
+			func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) },
+		)
 	}}
 	l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,29 +147,46 @@
 	return d
 }
 
-// smallSends has a gateway's connections to backends hold little.
+// smallSends gives a gateway's connections to backends small buffers.
 func smallSends(g *Gateway) {
 	g.backends.dial.Control = func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096) })
+		return raw.Control(
+			func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096) },
+		)
 	}
 }
 
-// The last byte of a request that is only partly written does not come once its client has left: a
-// backend begins a command with that byte.
+// The last byte of a partly written request is not sent once its client has disconnected: a backend
+// begins a command with that byte.
 func TestDisconnectAbortsPartialWrite(t *testing.T) {
 	b := newDeaf(t)
-	entry := fmt.Sprintf(`{"id":"s-00000001","host_port":%q,"phase":"Ready","size":1}`, b.listener.Addr())
+	entry := fmt.Sprintf(
+		`{"id":"s-00000001","host_port":%q,"phase":"Ready","size":1}`,
+		b.listener.Addr(),
+	)
 	r := beginWith(t, configure(t, newFakeDiscovery(t, entry), nil), smallSends)
 	c := r.client(t)
-	c.send("API.READ", "0000000000000007", "0000000000000001", "c=lookup,t=team,d=60000,units=1,spread=1,first=0", strings.Repeat("x", resp.MaxValue))
+	c.send(
+		"API.READ",
+		"0000000000000007",
+		"0000000000000001",
+		"c=lookup,t=team,d=60000,units=1,spread=1,first=0",
+		strings.Repeat("x", resp.MaxValue),
+	)
 	conn := wait(t, b.conns, "a connection")
 	defer conn.Close()
 	until(t, r.gateway, "the partly written request", func(g *Gateway) bool {
 		b := g.backends.byNumber[1]
-		return len(g.requests.byID) == 1 && b.dialing == 0 && len(b.waiting) == 0 && g.metrics.Sends.Load() == 0
+		return len(g.requests.byID) == 1 && b.dialing == 0 && len(b.waiting) == 0 &&
+			g.metrics.Sends.Load() == 0
 	})
 	c.conn.Close()
-	until(t, r.gateway, "the client's leaving", func(g *Gateway) bool { return g.requests.open == 0 })
+	until(
+		t,
+		r.gateway,
+		"the client's leaving",
+		func(g *Gateway) bool { return g.requests.open == 0 },
+	)
 	if args, err := resp.NewReader(conn).ReadCommand(); err == nil {
 		t.Fatalf("a command of %d values came whole, its client had left", len(args))
 	} else if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -155,8 +194,8 @@
 	}
 }
 
-// A command that the reader has read, and the loop has not come to, is answered before its connection ends, whatever ends it:
-// its client sends again only what was not read.
+// A command that the reader has read, and the event loop has not handled, is answered before its
+// connection closes, whatever closes it: the client sends again only what was not read.
 func TestReadCommandsAreAnsweredBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(g *Gateway, c *client){
 		"told to": func(g *Gateway, c *client) { c.closeAfterAnswers(g) },
@@ -205,17 +244,21 @@
 	}
 }
 
-// A connection that the machine has accepted, and this process has not, is taken: the end waits for it, also where there was
-// no place for it before.
+// A connection that the kernel has accepted, and this process has not, is served: the shutdown
+// waits for it, also where there was no slot for it before.
 func TestShutdownDrainsBacklog(t *testing.T) {
 	b := newBackend(t)
-	r := beginWith(t, configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil), func(g *Gateway) {
-		g.clients.slots = make(chan struct{}, 1)
-	})
+	r := beginWith(
+		t,
+		configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil),
+		func(g *Gateway) {
+			g.clients.slots = make(chan struct{}, 1)
+		},
+	)
 	c := r.client(t)
 	c.lookup(1, "60000")
 	call := b.next(t)
-	late := r.client(t) // there is no place for it
+	late := r.client(t) // there is no slot for it
 	late.lookup(2, "60000")
 	r.stop()
 	var closing policy.Time
@@ -236,17 +279,21 @@
 	wait(t, r.ended, "the gateway's end")
 }
 
-// An answer that its client has not read to the end is still owed: the process waits for it, as long as there is time.
+// The shutdown waits, while there is time, for an answer that its client has not read completely.
 func TestShutdownWaitsForSlowReaders(t *testing.T) {
 	b := newBackend(t)
 	cfg := configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil)
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096) })
+		return raw.Control(
+			func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096) },
+		)
 	}}
 	cfg.Restart.Listen = func(address string) (net.Listener, error) { return small.Listen(context.Background(), "tcp", address) }
 	r := begin(t, cfg)
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(
+			func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) },
+		)
 	}}
 	conn, err := dialer.Dial("tcp", r.addr)
 	if err != nil {
@@ -257,7 +304,12 @@
 	c.lookup(1, "60000")
 	value := strings.Repeat("v", resp.MaxValue)
 	b.next(t).serve(t, value)
-	until(t, r.gateway, "the answer", func(g *Gateway) bool { return g.requests.open == 0 && g.requests.lastID == 1 })
+	until(
+		t,
+		r.gateway,
+		"the answer",
+		func(g *Gateway) bool { return g.requests.open == 0 && g.requests.lastID == 1 },
+	)
 	r.stop()
 	until(t, r.gateway, "the end of the connection", func(g *Gateway) bool {
 		for k := range g.clients.conns {
@@ -266,7 +318,11 @@
 		t.Error("the connection has gone")
 		return true
 	})
-	if owed := ask(t, r.gateway, func(g *Gateway) int { return g.shutdown.pendingWork(g, g.now()) }); owed != 1 {
+	if owed := ask(
+		t,
+		r.gateway,
+		func(g *Gateway) int { return g.shutdown.pendingWork(g, g.now()) },
+	); owed != 1 {
 		t.Errorf("%d are owed something, want the one that has not read its answer", owed)
 	}
 	c.value(value)
@@ -275,11 +331,18 @@
 	wait(t, r.ended, "the gateway's end")
 }
 
-// The steps of the end follow from the longest deadline of the settings: SIGKILL comes that much, and 0.7 s, after SIGTERM.
+// The steps of the shutdown follow from the longest deadline of the settings: SIGKILL comes that
+// long, and 0.7 s, after SIGTERM.
 func TestShutdownStepsFollowSettings(t *testing.T) {
 	const longest = 400_000
 	cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
-		f["settings"] = json.RawMessage(strings.ReplaceAll(settingsText, `"promise-us":10000000`, `"promise-us":300000,"hard-limit-us":400000`))
+		f["settings"] = json.RawMessage(
+			strings.ReplaceAll(
+				settingsText,
+				`"promise-us":10000000`,
+				`"promise-us":300000,"hard-limit-us":400000`,
+			),
+		)
 	})
 	g, err := newGateway(cfg, quiet())
 	if err != nil {
@@ -293,7 +356,8 @@
 	}
 }
 
-// A dial to where a backend was does not speak against it: the process before refused, or was not there.
+// A dial to a backend's old address says nothing of the backend: the process before refused, or was
+// not there.
 func TestDialToOldAddressIsRepeated(t *testing.T) {
 	for name, change := range map[string]func(old, new *fakeBackend) string{
 		"moved": func(old, new *fakeBackend) string { return new.entry("s-00000001", "Ready") },
@@ -309,7 +373,14 @@
 			var dials *heldDials
 			r := beginWith(t, configure(t, d, func(f map[string]any) {
 				slowDials(f)
-				f["settings"] = json.RawMessage(strings.Replace(string(f["settings"].(json.RawMessage)), `"max-attempts":3`, `"max-attempts":1`, 1))
+				f["settings"] = json.RawMessage(
+					strings.Replace(
+						string(f["settings"].(json.RawMessage)),
+						`"max-attempts":3`,
+						`"max-attempts":1`,
+						1,
+					),
+				)
 			}), func(g *Gateway) { dials = holdDials(g) })
 			c := r.client(t)
 			c.lookup(1, "60000")
@@ -330,14 +401,19 @@
 			close(dials.goOn)
 			other.next(t).serve(t, "ok")
 			c.value("ok")
-			if n := ask(t, r.gateway, func(g *Gateway) int { return g.gauges().Unhealthy }); n != 0 {
+			if n := ask(
+				t,
+				r.gateway,
+				func(g *Gateway) int { return g.gauges().Unhealthy },
+			); n != 0 {
 				t.Error("the backend is held for dead")
 			}
 		})
 	}
 }
 
-// A drain that is told while attempts wait for their dials ends them at once: none waits till its dial is up, or its time over.
+// A drain that is announced while attempts wait for their dials ends them at once: none waits until
+// its dial or its time is over.
 func TestDrainCancelsWaitingAttempts(t *testing.T) {
 	b, other := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
@@ -366,21 +442,27 @@
 	}
 }
 
-// A repeat of a keyed request that waits for its connection until the window has closed is not sent: the backends have
-// forgotten what may have run.
+// A retry with an idempotency key that waits for its connection until the deduplication window is
+// over is not sent: backends have forgotten what may have been executed.
 func TestRetryIsNotSentAfterDeduplicationWindow(t *testing.T) {
 	first, second := newBackend(t), newBackend(t)
 	d := newFakeDiscovery(t, first.entry("s-00000001", "Ready"))
 	var dials *heldDials
 	r := beginWith(t, configure(t, d, slowDials), func(g *Gateway) { dials = holdDials(g) })
 	c := r.client(t)
-	c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=order,t=team,d=80000000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0", "x")
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000001",
+		"c=order,t=team,d=80000000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0",
+		"x",
+	)
 	wait(t, dials.begun, "the first dial")
 	dials.goOn <- true
 	call := first.next(t)
 	d.tell(first.entry("s-00000001", "Terminating"), second.entry("s-00000002", "Ready"))
 	d.settled(t)
-	call.answer(t, "-ERR failed\r\n") // it may have run
+	call.answer(t, "-ERR failed\r\n") // it may have been executed
 	wait(t, dials.begun, "the repeat's dial")
 	ask(t, r.gateway, func(g *Gateway) bool {
 		g.clock.wall += 30_000_000 // the class's window
@@ -395,13 +477,14 @@
 	}
 }
 
-// Of a client that has sent much at once and gone nothing is taken any more that waited behind its other requests.
+// Of a client that has sent many commands at once and disconnected, none is admitted that waited
+// behind its other requests.
 func TestPipelinedCommandsOfDisconnectedClientAreDropped(t *testing.T) {
 	g := unstarted(t, newFakeDiscovery(t))
 	here, there := pipe(t)
 	g.clients.slots <- struct{}{}
 	k := newClient(here, g.now())
-	k.pipelineSlots = make(chan struct{}, 1) // a line of one
+	k.pipelineSlots = make(chan struct{}, 1) // a pipeline of one
 	g.startClient(k)
 	c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
 	c.raw(strings.Repeat("*1\r\n$4\r\nPING\r\n", 3))
@@ -415,7 +498,7 @@
 			runtime.Gosched()
 		}
 	}
-	first.handle(g) // there is room for another
+	first.handle(g) // there is a slot for another
 	if e, ok := wait(t, g.events, "what comes next").(clientLeft); !ok {
 		t.Fatalf("%+v was taken, its client has gone", e)
 	}
--- a/internal/dataplane/gateway/snapshot_test.go
+++ b/internal/dataplane/gateway/snapshot_test.go
@@ -16,7 +16,7 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// memory keeps states for a test.
+// memory stores snapshots in memory.
 type memory struct {
 	mu     sync.Mutex
 	states []policy.Snapshot
@@ -45,15 +45,19 @@
 	return m.err
 }
 
-// surviving is a configuration with a keeper.
+// surviving is a configuration with a snapshot store.
 func surviving(t testing.TB, d *fakeDiscovery, m *memory) Config {
 	cfg := configure(t, d, nil)
-	cfg.Restart = Restart{Store: m, SnapshotInterval: 50 * time.Millisecond, MaxSnapshotAge: time.Hour}
+	cfg.Restart = Restart{
+		Store:            m,
+		SnapshotInterval: 50 * time.Millisecond,
+		MaxSnapshotAge:   time.Hour,
+	}
 	return cfg
 }
 
-// What a customer took before a restart stays taken, after an orderly stop and
-// after an end without one.
+// What a customer consumed before a restart stays consumed, after an orderly shutdown and after a
+// crash.
 func TestRestartKeepsConsumedUnits(t *testing.T) {
 	for _, orderly := range []bool{true, false} {
 		m := newMemory()
@@ -62,9 +66,14 @@
 		r := begin(t, surviving(t, d, m))
 		c := r.client(t)
 		tiny := func(c *testClient, id string) {
-			c.send("API.READ", "0000000000000009", id, "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0")
+			c.send(
+				"API.READ",
+				"0000000000000009",
+				id,
+				"c=lookup,t=tiny,d=60000,units=1,spread=1,first=0",
+			)
 		}
-		tiny(c, "0000000000000001") // the whole bank
+		tiny(c, "0000000000000001") // the whole bucket
 		b.next(t).serve(t, "ok")
 		c.value("ok")
 		if orderly {
@@ -83,7 +92,8 @@
 	}
 }
 
-// A request that nearly spends a lease has a state kept at once, not only a while later.
+// A request that nearly spends a customer's reserved units has a snapshot stored at once, not only
+// periodically.
 func TestDueSnapshotIsStoredFirst(t *testing.T) {
 	m := newMemory()
 	b := newBackend(t)
@@ -95,7 +105,11 @@
 		t.Fatal(err)
 	}
 	defer g.clients.listener.Close()
-	g.backends.updateEndpoints(g, policy.Complete, []member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}})
+	g.backends.updateEndpoints(
+		g,
+		policy.Complete,
+		[]member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}},
+	)
 	g.balancer.SnapshotStored(g.balancer.TakeSnapshot(g.now(), false).At)
 	g.handle(tooMuch{})
 	if len(m.states) != 1 {
@@ -103,14 +117,22 @@
 	}
 }
 
-// tooMuch takes more than a lease allows for.
+// tooMuch consumes more than a customer's reserved units.
 type tooMuch struct{}
 
 func (tooMuch) handle(g *Gateway) {
 	for id := range uint64(3) {
-		g.requests.byID[1000+id] = &request{id: 1000 + id, client: &client{}, deadline: g.now() + 1e6,
-			args: [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")}, timeoutField: [2]int{2, 3}}
-		g.balancer.Request(g.now(), policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1})
+		g.requests.byID[1000+id] = &request{
+			id:           1000 + id,
+			client:       &client{},
+			deadline:     g.now() + 1e6,
+			args:         [][]byte{[]byte("API.READ"), nil, nil, []byte("d=1")},
+			timeoutField: [2]int{2, 3},
+		}
+		g.balancer.Request(
+			g.now(),
+			policy.Request{ID: 1000 + id, Customer: 7, Units: 120, Timeout: 1e6, Spread: 1},
+		)
 	}
 }
 
@@ -128,7 +150,8 @@
 			t.Fatal(err)
 		}
 		g.clients.listener.Close()
-		if !strings.Contains(lines.String(), want) || !strings.Contains(lines.String(), "starting without state") {
+		if !strings.Contains(lines.String(), want) ||
+			!strings.Contains(lines.String(), "starting without state") {
 			t.Errorf("%s: log %q", want, lines.String())
 		}
 	}
@@ -146,13 +169,14 @@
 	for _, err := range []error{nil, errors.New("disk full"), errors.New("disk full"), nil} {
 		snapshotStored{err, 0}.handle(g)
 	}
-	if got := lines.String(); strings.Count(got, "can't be stored") != 1 || strings.Count(got, "are stored again") != 1 {
+	if got := lines.String(); strings.Count(got, "can't be stored") != 1 ||
+		strings.Count(got, "are stored again") != 1 {
 		t.Errorf("log %q", got)
 	}
 }
 
-// A process that was handed over takes nothing more, answers what it has, and
-// keeps its last state at once: the new process waits for it.
+// A process that has handed over admits nothing more, answers its open requests, and stores its
+// last snapshot at once, as the successor waits for it.
 func TestHandoverSignalAnswersOpenRequestsAndEnds(t *testing.T) {
 	m := newMemory()
 	b := newBackend(t)
@@ -168,10 +192,13 @@
 	idle.conn.Close()
 	for s := wait(t, m.stored, "a state"); !s.Last; s = wait(t, m.stored, "the last state") {
 	}
-	c.lookup(2, "60000") // told to come again, or unread, as the connection is to end
+	c.lookup(2, "60000") // rejected, or unread as the connection closes
 	call.serve(t, "ok")
 	c.value("ok")
-	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 && !strings.HasPrefix(string(rest), "-BUSY") {
+	if rest, err := io.ReadAll(
+		c.in,
+	); err != nil ||
+		len(rest) > 0 && !strings.HasPrefix(string(rest), "-BUSY") {
 		t.Errorf("after the answer: %q, %v", rest, err)
 	}
 	c.conn.Close()
@@ -181,15 +208,20 @@
 	}
 }
 
-// A successor takes the last state of the process before, and no older one, then
-// has clients in.
+// A successor restores the predecessor's last snapshot, and no older one, before it accepts
+// clients.
 func TestSuccessorWaitsForLastSnapshot(t *testing.T) {
 	m := newMemory()
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
 	before := begin(t, surviving(t, d, m))
 	c := before.client(t)
-	c.send("API.READ", "0000000000000009", "0000000000000001", "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0")
+	c.send(
+		"API.READ",
+		"0000000000000009",
+		"0000000000000001",
+		"c=lookup,t=tiny,d=60000,units=1,spread=1,first=0",
+	)
 	b.next(t).serve(t, "ok")
 	c.value("ok")
 	cfg := surviving(t, d, m)
@@ -199,14 +231,19 @@
 		return nil
 	}
 	next := begin(t, cfg).client(t)
-	next.send("API.READ", "0000000000000009", "0000000000000002", "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0")
+	next.send(
+		"API.READ",
+		"0000000000000009",
+		"0000000000000002",
+		"c=lookup,t=tiny,d=60000,units=1,spread=1,first=0",
+	)
 	if got := next.line(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("answer %q: the state before was not taken in", got)
 	}
 }
 
-// A connection that was accepted just before a process closes is not left to be cut off with a request on it: what it brings
-// is answered, and it ends after that; one that brings nothing ends by itself.
+// A connection that was accepted just before the shutdown is not reset with a request on it: the
+// request is answered and the connection closes after that; one without a request closes by itself.
 func TestConnectionAcceptedAtCloseIsAnsweredAndClosed(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
 		g := unstarted(t, newFakeDiscovery(t))
@@ -234,7 +271,7 @@
 	}
 }
 
-// pipe is a pair of ends of one connection.
+// pipe returns both ends of one connection.
 func pipe(t testing.TB) (here *net.TCPConn, there net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/gateway/streamed_value_test.go
+++ b/internal/dataplane/gateway/streamed_value_test.go
@@ -12,7 +12,7 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// longText is a value over what is held at once, of its own for each seed.
+// longText returns a value that is too long to be buffered, another one for each seed.
 func longText(seed uint64, size int) []byte {
 	r := rand.NewChaCha8([32]byte{byte(seed)})
 	b := make([]byte, size)
@@ -27,8 +27,7 @@
 	c.answer(t, string(part))
 }
 
-// A value of 4 MiB goes on as it comes, unaltered, and what stands behind it on the
-// connection comes after it.
+// A value of 4 MiB is streamed unaltered, and the answers behind it follow.
 func TestLongValueIsStreamed(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
@@ -68,8 +67,8 @@
 	}
 }
 
-// A value that its backend breaks off is broken off for the client, who can tell, and for
-// nobody else.
+// A value that its backend breaks off is broken off for its client, who can tell, and for nobody
+// else.
 func TestTruncatedLongValue(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
@@ -85,12 +84,16 @@
 	other.lookup(2, "60000")
 	b.next(t).serve(t, "fine")
 	other.value("fine")
-	if got := vars(t, r); got["errored.lookup"] != 1 || got["answered.lookup"] != 1 || got["current"] != 0 {
+	if got := vars(
+		t,
+		r,
+	); got["errored.lookup"] != 1 || got["answered.lookup"] != 1 ||
+		got["current"] != 0 {
 		t.Errorf("figures %v", got)
 	}
 }
 
-// A client that leaves amid a value, or before its turn has come, leaves nothing behind.
+// A client that disconnects in the middle of a value, or before its turn, leaves no state behind.
 func TestDisconnectDuringLongValue(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
@@ -117,7 +120,7 @@
 	}
 }
 
-// Many long values at once, to clients that take nothing until all have begun, are not held:
+// Many long values at once, to clients that read nothing until all have begun, are not buffered:
 // together they are far more than what the process grows by.
 func TestLongValuesAreNotBuffered(t *testing.T) {
 	const many, size = 24, 4 << 20
@@ -137,7 +140,7 @@
 		sent.Go(func() { _, _ = io.WriteString(call.conn, text) })
 		clients[i].want(fmt.Sprintf("$%d", size))
 	}
-	runtime.GC() // what lives counts, not what was left lying
+	runtime.GC() // only live memory counts
 	runtime.ReadMemStats(&amid)
 	if grown := int64(amid.HeapAlloc) - int64(before.HeapAlloc); grown > many*size/4 {
 		t.Errorf("the heap grew by %d MB for %d MB of values under way", grown>>20, many*size>>20)
@@ -154,12 +157,18 @@
 	}
 }
 
-// What no value can be, by its length, is no answer.
+// An answer with an impossible length fails the request.
 func TestValueOverAnyLimit(t *testing.T) {
 	b := newBackend(t)
 	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
 	c := r.client(t)
-	c.send("API.WRITE", "0000000000000007", "0000000000000001", "c=once,t=team,d=60000,units=1,spread=1,first=0", "x")
+	c.send(
+		"API.WRITE",
+		"0000000000000007",
+		"0000000000000001",
+		"c=once,t=team,d=60000,units=1,spread=1,first=0",
+		"x",
+	)
 	b.next(t).answer(t, fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLong+1))
 	c.want("-ERR failed")
 }
--- a/internal/dataplane/hotrestart/handover_test.go
+++ b/internal/dataplane/hotrestart/handover_test.go
@@ -81,7 +81,13 @@
 				return
 			}
 			for i, c := range mine {
-				if err := a.PassClient(ClientConn{Conn: c, State: ConnState{Commands: i, User: "u", HasCredential: true}, Unread: rests[i]}); err != nil {
+				if err := a.PassClient(
+					ClientConn{
+						Conn:   c,
+						State:  ConnState{Commands: i, User: "u", HasCredential: true},
+						Unread: rests[i],
+					},
+				); err != nil {
 					t.Error(err)
 				}
 				c.Close()
@@ -89,8 +95,16 @@
 			a.Close()
 		})
 		e, err := b.TakeState()
-		if err != nil || !bytes.Equal(e.Snapshot, state) || e.PeerSocket.LocalAddr().String() != notes.LocalAddr().String() {
-			t.Fatalf("seed %d: state of %d bytes for %d, notes %v, %v", seed, len(e.Snapshot), len(state), e.PeerSocket, err)
+		if err != nil || !bytes.Equal(e.Snapshot, state) ||
+			e.PeerSocket.LocalAddr().String() != notes.LocalAddr().String() {
+			t.Fatalf(
+				"seed %d: state of %d bytes for %d, notes %v, %v",
+				seed,
+				len(e.Snapshot),
+				len(state),
+				e.PeerSocket,
+				err,
+			)
 		}
 		if err := b.Confirm(); err != nil {
 			t.Fatal(err)
@@ -98,7 +112,14 @@
 		n := 0
 		if err := b.ReceiveClients(func(c ClientConn) {
 			if c.State.Commands != n || !bytes.Equal(c.Unread, rests[n]) || c.State.User != "u" {
-				t.Errorf("seed %d: connection %d: head %+v, %d bytes, %d wanted", seed, n, c.State, len(c.Unread), len(rests[n]))
+				t.Errorf(
+					"seed %d: connection %d: head %+v, %d bytes, %d wanted",
+					seed,
+					n,
+					c.State,
+					len(c.Unread),
+					len(rests[n]),
+				)
 			}
 			if _, err := c.Conn.Write([]byte{byte(n)}); err != nil {
 				t.Error(err)
@@ -126,7 +147,13 @@
 	secret := strings.Repeat("<", 8<<10)
 	b := meet(t, func(a *Successor) {
 		_ = a.write('E', nil, nil)
-		if err := a.PassClient(ClientConn{Conn: here, State: ConnState{HasCredential: true, Secret: secret}, Unread: []byte("rest")}); err != nil {
+		if err := a.PassClient(
+			ClientConn{
+				Conn:   here,
+				State:  ConnState{HasCredential: true, Secret: secret},
+				Unread: []byte("rest"),
+			},
+		); err != nil {
 			t.Error(err)
 		}
 		a.Close()
@@ -147,7 +174,8 @@
 	}
 }
 
-// TestNoHandoverWithoutConfirmation has the newer process end before, or say something else than, its
+// TestNoHandoverWithoutConfirmation has the newer process end before, or say something else than,
+// its
 // word: the one before must learn that it serves on.
 func TestNoHandoverWithoutConfirmation(t *testing.T) {
 	for name, end := range map[string]func(*Predecessor){
@@ -174,7 +202,10 @@
 // TestNoPredecessor asks where nobody is, where somebody was, and where two were.
 func TestNoPredecessor(t *testing.T) {
 	nobodyBefore(t, filepath.Join(t.TempDir(), "s"))
-	deep := filepath.Join(t.TempDir(), strings.Repeat("deep/", 40)) // longer than a socket's address
+	deep := filepath.Join(
+		t.TempDir(),
+		strings.Repeat("deep/", 40),
+	) // longer than a socket's address
 	if err := os.MkdirAll(deep, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -229,7 +260,9 @@
 		if _, err := b.TakeState(); err != nil {
 			t.Fatal(name, err)
 		}
-		if err := b.ReceiveClients(func(c ClientConn) { t.Errorf("%s: a connection %+v", name, c.State) }); err == nil {
+		if err := b.ReceiveClients(
+			func(c ClientConn) { t.Errorf("%s: a connection %+v", name, c.State) },
+		); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -56,7 +56,8 @@
 	return filepath.Join(dir, fmt.Sprintf("mothcleat-%016x.sock", h.Sum64()))
 }
 
-// maxAddressBytes is the limit of a socket address, which paths of temporary directories may exceed.
+// maxAddressBytes is the limit of a socket address, which paths of temporary directories may
+// exceed.
 const maxAddressBytes = 100
 
 // socketAddress returns the address of a path. One that is too long is reached through the
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// read reads a message. The descriptor that came with it, if any, is the caller's; the body is valid
-// until the next read. The error is io.EOF at the end.
+// read reads a message. The descriptor that came with it, if any, is the caller's; the body is
+// valid until the next read. The error is io.EOF at the end.
 func (l *messageLink) read() (kind byte, body []byte, carried *os.File, err error) {
 	if l.buf == nil {
 		l.buf = make([]byte, maxMessageBytes)
--- a/internal/dataplane/hotrestart/stored_test.go
+++ b/internal/dataplane/hotrestart/stored_test.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A process of an earlier build passes its state and a client's connection on in these messages, and waits for these.
+// A process of an earlier build passes its state and a client's connection on in these messages,
+// and waits for these.
 func TestMessagesOfEarlierBuilds(t *testing.T) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
 	if err != nil {
@@ -48,7 +49,10 @@
 	send("Sa state ")
 	send("Sin two pieces")
 	send("E")
-	send(`C{"asked":3,"kept":1,"age_us":250,"length":9,"user":"u","secret":"s","named":true,"known":true}`, int(descriptor.Fd()))
+	send(
+		`C{"asked":3,"kept":1,"age_us":250,"length":9,"user":"u","secret":"s","named":true,"known":true}`,
+		int(descriptor.Fd()),
+	)
 	send("MPING\r")
 	send("M\nabc")
 	predecessor := &Predecessor{messageLink{conn: newer}}
@@ -68,11 +72,23 @@
 	}
 	older.Close()
 	var passed []ClientConn
-	if err := predecessor.ReceiveClients(func(c ClientConn) { passed = append(passed, c) }); err != nil || len(passed) != 1 {
+	if err := predecessor.ReceiveClients(
+		func(c ClientConn) { passed = append(passed, c) },
+	); err != nil ||
+		len(passed) != 1 {
 		t.Fatal(len(passed), err)
 	}
 	defer passed[0].Conn.Close()
-	head := ConnState{Commands: 3, HeldCommands: 1, AgeUS: 250, UnreadLength: 9, User: "u", Secret: "s", Named: true, HasCredential: true}
+	head := ConnState{
+		Commands:      3,
+		HeldCommands:  1,
+		AgeUS:         250,
+		UnreadLength:  9,
+		User:          "u",
+		Secret:        "s",
+		Named:         true,
+		HasCredential: true,
+	}
 	if passed[0].State != head || !bytes.Equal(passed[0].Unread, []byte("PING\r\nabc")) {
 		t.Errorf("%+v %q", passed[0].State, passed[0].Unread)
 	}
--- a/internal/dataplane/lifecycle/lifecycle.go
+++ b/internal/dataplane/lifecycle/lifecycle.go
@@ -31,9 +31,9 @@
 }
 
 // The platform's times. New connections come for 0.3 s after the start of a drain and for 0.4 s
-// after SIGTERM; nothing may be open 4 s after the start of a drain, or be admitted in its last 2 s.
-// SIGKILL comes after SIGTERM by the longest time that a client waits (maxClientWait at most) and
-// killGrace.
+// after SIGTERM; nothing may be open 4 s after the start of a drain, or be admitted in its last 2
+// s. SIGKILL comes after SIGTERM by the longest time that a client waits (maxClientWait at most)
+// and killGrace.
 const (
 	maxClientWait    Time = 3_000_000
 	killGrace        Time = 700_000
--- a/internal/dataplane/lifecycle/lifecycle_test.go
+++ b/internal/dataplane/lifecycle/lifecycle_test.go
@@ -57,10 +57,15 @@
 			t.Fatalf("seed %d: %d connections 4 s after the drain began", seed, len(conns))
 		}
 		if lastAsked > begun+2_000_000 {
-			t.Fatalf("seed %d: a kept connection brought a request %d us after the drain began", seed, lastAsked-begun)
+			t.Fatalf(
+				"seed %d: a kept connection brought a request %d us after the drain began",
+				seed,
+				lastAsked-begun,
+			)
 		}
 		p.Resume()
-		if yes, why := p.Serves(); !yes || p.ClosesAfterAnswer(begun+5_000_000) || p.ClosesIdle(begun+5_000_000, 0) {
+		if yes, why := p.Serves(); !yes || p.ClosesAfterAnswer(begun+5_000_000) ||
+			p.ClosesIdle(begun+5_000_000, 0) {
 			t.Fatalf("seed %d: not back to work: %s", seed, why)
 		}
 	}
@@ -103,8 +108,17 @@
 					stopping = true
 				}
 			}
-			if yes, why := p.Serves(); yes != (ready && !draining && !parted) || yes != (why == "") {
-				t.Fatalf("seed %d: serves %v %q with ready %v draining %v parted %v", seed, yes, why, ready, draining, parted)
+			if yes, why := p.Serves(); yes != (ready && !draining && !parted) ||
+				yes != (why == "") {
+				t.Fatalf(
+					"seed %d: serves %v %q with ready %v draining %v parted %v",
+					seed,
+					yes,
+					why,
+					ready,
+					draining,
+					parted,
+				)
 			}
 			if p.AdmitsRequests(now) && parted {
 				t.Fatalf("seed %d: takes a request that is the newer process's", seed)
@@ -119,11 +133,16 @@
 			if !stopping && p.Done(now, 0, 0) {
 				t.Fatalf("seed %d: ends without being told", seed)
 			}
-			if stopping && now >= stopped+set.AnswerTime+set.LingerTime && !p.Done(now, 1+r.IntN(3), 1) {
+			if stopping && now >= stopped+set.AnswerTime+set.LingerTime &&
+				!p.Done(now, 1+r.IntN(3), 1) {
 				t.Fatalf("seed %d: still there when SIGKILL comes", seed)
 			}
 			if stopping && now >= stopped+kill && !p.Done(now, 1, 1) {
-				t.Fatalf("seed %d: still there when SIGKILL may come, with a longest deadline of %d us", seed, longest)
+				t.Fatalf(
+					"seed %d: still there when SIGKILL may come, with a longest deadline of %d us",
+					seed,
+					longest,
+				)
 			}
 			if p.Done(now, 1, 1) && now < stopped+set.AnswerTime {
 				t.Fatalf("seed %d: ends with a request open", seed)
@@ -134,16 +153,24 @@
 			// Between now and Next nothing changes for a connection of either kind.
 			if next, ok := p.NextChange(now); ok && r.IntN(2) == 0 {
 				mid := now + (next-now)/2
-				if p.ClosesAfterAnswer(mid) != p.ClosesAfterAnswer(now) || p.AcceptingEnded(mid) != p.AcceptingEnded(now) || p.AdmitsRequests(mid) != p.AdmitsRequests(now) ||
+				if p.ClosesAfterAnswer(mid) != p.ClosesAfterAnswer(now) ||
+					p.AcceptingEnded(mid) != p.AcceptingEnded(now) ||
+					p.AdmitsRequests(mid) != p.AdmitsRequests(now) ||
 					p.FailsOpenRequests(mid) != p.FailsOpenRequests(now) {
-					t.Fatalf("seed %d: something changed between %d and %d unannounced", seed, now, next)
+					t.Fatalf(
+						"seed %d: something changed between %d and %d unannounced",
+						seed,
+						now,
+						next,
+					)
 				}
 			}
 		}
 	}
 }
 
-// TestSettingsFitAnyDeadline: whatever clients wait at the most, all is answered before SIGKILL may come, and connections that
+// TestSettingsFitAnyDeadline: whatever clients wait at the most, all is answered before SIGKILL may
+// come, and connections that
 // were on their way are accepted.
 func TestSettingsFitAnyDeadline(t *testing.T) {
 	for _, longest := range []Time{1, 10_000, 100_000, 300_000, 700_000, 1_000_000, 2_999_999, 3_000_000, 15_000_000, 0} {
@@ -152,13 +179,15 @@
 			kill = longest + 700_000
 		}
 		s := SettingsFor(longest)
-		if s.AcceptTime <= 400_000 || s.AnswerTime < s.AcceptTime || s.AnswerTime+s.LingerTime >= kill {
+		if s.AcceptTime <= 400_000 || s.AnswerTime < s.AcceptTime ||
+			s.AnswerTime+s.LingerTime >= kill {
 			t.Errorf("longest %d: SIGKILL at %d, steps %+v", longest, kill, s)
 		}
 	}
 }
 
-// TestWorkAfterAnEmptyMomentHasItsTime: one moment without work is not the end of what comes on a connection that is
+// TestWorkAfterAnEmptyMomentHasItsTime: one moment without work is not the end of what comes on a
+// connection that is
 // still open.
 func TestWorkAfterAnEmptyMomentHasItsTime(t *testing.T) {
 	set := SettingsFor(0)
--- a/internal/dataplane/membership/membership_test.go
+++ b/internal/dataplane/membership/membership_test.go
@@ -23,14 +23,26 @@
 }
 
 func in(id int, change ...func(*Instance)) Instance {
-	i := Instance{Node: "n", ID: fmt.Sprint("s", id), Address: fmt.Sprintf("10.0.0.%d:1", id), Created: uint64(id), Modified: uint64(id), Size: 1}
+	i := Instance{
+		Node:     "n",
+		ID:       fmt.Sprint("s", id),
+		Address:  fmt.Sprintf("10.0.0.%d:1", id),
+		Created:  uint64(id),
+		Modified: uint64(id),
+		Size:     1,
+	}
 	for _, f := range change {
 		f(&i)
 	}
 	return i
 }
 
-func list(index uint64, instances ...Instance) List { return List{Index: index, Instances: instances} }
+func list(
+	index uint64,
+	instances ...Instance,
+) List {
+	return List{Index: index, Instances: instances}
+}
 
 // phases of a change, as text.
 func phases(servers []Server) (text string) {
@@ -285,7 +297,9 @@
 				at[s.Address] = true
 				good := holds
 				for _, i := range newest.Instances {
-					good = good || i.Name() == s.Name && !i.Draining && (i.Health == Passing || i.Health == Warning && set.WarningServes)
+					good = good ||
+						i.Name() == s.Name && !i.Draining &&
+							(i.Health == Passing || i.Health == Warning && set.WarningServes)
 				}
 				if !good {
 					t.Fatalf("seed %d: %+v is ready, and the newest list says otherwise", seed, s)
--- a/internal/dataplane/membership/pacer.go
+++ b/internal/dataplane/membership/pacer.go
@@ -99,8 +99,8 @@
 func (p *Pacer) jitter(t Time) Time { return t*3/4 + p.random(t/4) }
 
 // Failed records a call that was not answered, and the time spent on it, and returns after how long
-// to call again. If it was rejected, the registry has too little capacity for the fleet's calls, and
-// each gateway calls less often for a while.
+// to call again. If it was rejected, the registry has too little capacity for the fleet's calls,
+// and each gateway calls less often for a while.
 func (p *Pacer) Failed(rejected bool, spent Time) (after Time) {
 	if rejected {
 		doubled := max(2*p.callInterval, Time(p.gateways)*callIntervalPerGateway)
--- a/internal/dataplane/membership/pacer_test.go
+++ b/internal/dataplane/membership/pacer_test.go
@@ -21,7 +21,12 @@
 			now := Time(0)
 			for ; served < gateways; now += 1000 {
 				if now > 30_000_000 {
-					t.Fatalf("%d gateways, seed %d: %d of them are served after 30 s", gateways, seed, served)
+					t.Fatalf(
+						"%d gateways, seed %d: %d of them are served after 30 s",
+						gateways,
+						seed,
+						served,
+					)
 				}
 				tokens = min(perSecond, tokens+perSecond/1000.0)
 				for i := range due {
@@ -52,7 +57,8 @@
 func TestPacerBounds(t *testing.T) {
 	for gateways := range 200 {
 		p := NewPacer(gateways, 7)
-		if w := p.WatchTimeout(); w < 2_000_000 || w > 20_000_000 || gateways <= 6 && w != 2_000_000 {
+		if w := p.WatchTimeout(); w < 2_000_000 || w > 20_000_000 ||
+			gateways <= 6 && w != 2_000_000 {
 			t.Fatalf("a watch of %d gateways waits %d us", gateways, w)
 		}
 		last := Time(0)
@@ -78,7 +84,8 @@
 	}
 }
 
-// Where what a register has binds at once, silence and failures end within a part of the time that is given to act on it.
+// Where what a register has binds at once, silence and failures end within a part of the time that
+// is given to act on it.
 func TestPacerSilenceTimeoutFollowsGracePeriod(t *testing.T) {
 	for _, grace := range []Time{0, 100_000, 250_000, 600_000, 2_000_000, 60_000_000} {
 		p := NewPacer(300, 7).SetPushed(grace)
@@ -94,7 +101,12 @@
 		p.Succeeded()
 		for range 20 {
 			if wait := p.WatchTimeout(); wait < 2_000_000 || wait+soon > 4_000_000 {
-				t.Errorf("grace %d: a watch waits %d, and is then silent for %d until another call is made", grace, wait, soon)
+				t.Errorf(
+					"grace %d: a watch waits %d, and is then silent for %d until another call is made",
+					grace,
+					wait,
+					soon,
+				)
 			}
 		}
 		if again := p.Failed(true, 0); again < 300*60_000*3/4 && again < 3_000_000 {
@@ -106,8 +118,9 @@
 	}
 }
 
-// Whatever a register does with the calls of one gateway, the next call begins soon enough after one that failed, was turned
-// away or given up: a change counts as told 6 s after the register had it and could be reached, and the call itself takes time.
+// Whatever a register does with the calls of one gateway, the next call begins soon enough after
+// one that failed, was turned away or given up: a change counts as told 6 s after the register had
+// it and could be reached, and the call itself takes time.
 func TestPacerBoundsCallSpacing(t *testing.T) {
 	const (
 		whole  = 4_000_000 // from the beginning of a call to that of the next; 2 s are left for that one
@@ -128,7 +141,12 @@
 				switch chance.IntN(5) {
 				case 0:
 					if gap := p.Succeeded(); gap > whole {
-						t.Fatalf("%d gateways, grace %d: the next call %d us after an answer", gateways, grace, gap)
+						t.Fatalf(
+							"%d gateways, grace %d: the next call %d us after an answer",
+							gateways,
+							grace,
+							gap,
+						)
 					}
 					failed = false
 					continue
@@ -144,8 +162,14 @@
 					spent = watch + slack
 				}
 				if after := p.Failed(turnedAway, spent); spent+after > whole {
-					t.Fatalf("%d gateways, grace %d: a call failed after %d us, turned away %t, and the next is made %d us later",
-						gateways, grace, spent, turnedAway, after)
+					t.Fatalf(
+						"%d gateways, grace %d: a call failed after %d us, turned away %t, and the next is made %d us later",
+						gateways,
+						grace,
+						spent,
+						turnedAway,
+						after,
+					)
 				}
 				failed = true
 			}
--- a/internal/dataplane/registry/client.go
+++ b/internal/dataplane/registry/client.go
@@ -78,8 +78,8 @@
 }
 
 // request makes one call: a watch from a version on, which may wait, or one for the complete list.
-// It returns errRejected, errConnectionBroken, errAbandoned or context.DeadlineExceeded, wrapped, for
-// what these say.
+// It returns errRejected, errConnectionBroken, errAbandoned or context.DeadlineExceeded, wrapped,
+// for what these say.
 func (c *client) request(
 	ctx context.Context, url, version string, wait time.Duration,
 ) (list List, err error) {
--- a/internal/dataplane/registry/consul/consul_test.go
+++ b/internal/dataplane/registry/consul/consul_test.go
@@ -31,8 +31,17 @@
 }
 
 func settings(agents ...string) Settings {
-	return Settings{Agents: agents, Service: "quotes", Wait: time.Second, WatchCatalog: true,
-		Membership: membership.Settings{EmptyListHold: patience.Microseconds(), ResetAfter: 3, MaxClockSkew: 0}}
+	return Settings{
+		Agents:       agents,
+		Service:      "quotes",
+		Wait:         time.Second,
+		WatchCatalog: true,
+		Membership: membership.Settings{
+			EmptyListHold: patience.Microseconds(),
+			ResetAfter:    3,
+			MaxClockSkew:  0,
+		},
+	}
 }
 
 func newConsul(t *testing.T) *lab.Consul {
@@ -59,7 +68,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Consul: c, t: t, source: s, told: make(chan registry.Update, 1024), now: map[string]registry.Member{}}
+	r := &rig{
+		Consul: c,
+		t:      t,
+		source: s,
+		told:   make(chan registry.Update, 1024),
+		now:    map[string]registry.Member{},
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); s.Run(ctx, func(n registry.Update) { r.told <- n }) }()
@@ -76,7 +91,13 @@
 
 func register(t *testing.T, c *lab.Consul, i int, meta map[string]string) {
 	t.Helper()
-	if err := c.Register(id(i), "quotes", fmt.Sprintf("127.0.0.1:%d", 7000+i), nil, meta); err != nil {
+	if err := c.Register(
+		id(i),
+		"quotes",
+		fmt.Sprintf("127.0.0.1:%d", 7000+i),
+		nil,
+		meta,
+	); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -137,9 +158,16 @@
 // Weights and metadata are what the gateway is told of a server.
 func TestMetadata(t *testing.T) {
 	r := newRig(t, nil)
-	register(t, r.Consul, 4, map[string]string{"locality": "sala-2", "cell": "3", "started": "1700000000"})
+	register(
+		t,
+		r.Consul,
+		4,
+		map[string]string{"locality": "sala-2", "cell": "3", "started": "1700000000"},
+	)
 	r.until("the new one", r.phase(4, registry.Ready))
-	if m := r.now[id(4)]; m.Locality != "sala-2" || m.Cell != 3 || m.UpSince != 1700000000000 || m.HostPort != "127.0.0.1:7004" || m.Size != 1 {
+	if m := r.now[id(4)]; m.Locality != "sala-2" || m.Cell != 3 || m.UpSince != 1700000000000 ||
+		m.HostPort != "127.0.0.1:7004" ||
+		m.Size != 1 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -182,7 +210,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	register(t, r.Consul, 1, nil)
-	r.until("the end of the outage", func() bool { return r.phase(2, registry.Gone)() && r.phase(1, registry.Ready)() })
+	r.until(
+		"the end of the outage",
+		func() bool { return r.phase(2, registry.Gone)() && r.phase(1, registry.Ready)() },
+	)
 }
 
 // An index that begins anew is followed again.
@@ -197,7 +228,8 @@
 	r.until("a change after the reset", r.phase(0, registry.Gone))
 }
 
-// An agent that answers at once for ever makes no busy loop: the calls since it began are never more than two watches may
+// An agent that answers at once for ever makes no busy loop: the calls since it began are never
+// more than two watches may
 // make in that time. A busy machine makes calls later, which allows no more of them.
 func TestImmediateAnswersMakeNoBusyLoop(t *testing.T) {
 	const (
@@ -240,7 +272,10 @@
 		t.Fatal(err)
 	}
 	got := make(chan http.Header, 16)
-	s, err := New(func() Settings { set := settings("127.0.0.1:1"); set.TokenFile = file; return set }(), quiet())
+	s, err := New(
+		func() Settings { set := settings("127.0.0.1:1"); set.TokenFile = file; return set }(),
+		quiet(),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,7 +284,8 @@
 		return nil, io.EOF
 	})
 	_, _, err = s.fetch(context.Background(), membership.HealthView, "127.0.0.1:1", 0)
-	if h := <-got; h.Get("X-Consul-Token") != "t0ken" || err == nil || strings.Contains(err.Error(), "t0ken") {
+	if h := <-got; h.Get("X-Consul-Token") != "t0ken" || err == nil ||
+		strings.Contains(err.Error(), "t0ken") {
 		t.Errorf("header %v, error %v", h, err)
 	}
 }
--- a/internal/dataplane/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -18,7 +18,8 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// term is within which a change counts as told, once discovery has it and can be reached, whatever became of earlier calls.
+// term is within which a change counts as told, once discovery has it and can be reached, whatever
+// became of earlier calls.
 const term = 6 * time.Second
 
 // socket is one that a test lets listen when it wants.
@@ -89,7 +90,8 @@
 	},
 }
 
-// pacesOfTheWorst are paces of a large fleet whose calls have failed for long. Some of them have been turned away before.
+// pacesOfTheWorst are paces of a large fleet whose calls have failed for long. Some of them have
+// been turned away before.
 func pacesOfTheWorst(asks bool) []*membership.Pacer {
 	var paces []*membership.Pacer
 	for seed := range uint64(12) {
@@ -105,7 +107,8 @@
 	return paces
 }
 
-// A discovery that can be reached right after it has failed a call, or has let it hang, is asked again, and heard, within the
+// A discovery that can be reached right after it has failed a call, or has let it hang, is asked
+// again, and heard, within the
 // term: also in a large fleet, after a long row of calls that failed.
 func TestReturningDiscoveryIsReachedInTime(t *testing.T) {
 	t.Parallel() // the pauses are seconds
@@ -116,15 +119,25 @@
 			what := fmt.Sprintf("%s, asks %t", name, asks)
 			for _, pace := range pacesOfTheWorst(asks) {
 				var reachable atomic.Pointer[time.Time]
-				s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					if now := time.Now(); reachable.CompareAndSwap(nil, &now) {
-						fail(w, r)
-						return
-					}
-					fmt.Fprint(w, oneMember)
-				}))
+				s := httptest.NewServer(
+					http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+						if now := time.Now(); reachable.CompareAndSwap(nil, &now) {
+							fail(w, r)
+							return
+						}
+						fmt.Fprint(w, oneMember)
+					}),
+				)
 				t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-				told := follow(t, NewPlatform(strings.TrimPrefix(s.URL, "http://"), asks, pace, quiet()).following())
+				told := follow(
+					t,
+					NewPlatform(
+						strings.TrimPrefix(s.URL, "http://"),
+						asks,
+						pace,
+						quiet(),
+					).following(),
+				)
 				all.Go(func() { heardInTime(t, what, told, &reachable) })
 			}
 		}
@@ -138,7 +151,12 @@
 }
 
 // heardInTime waits for the list, and compares how long it took with the term.
-func heardInTime(t *testing.T, what string, told <-chan Update, reachable *atomic.Pointer[time.Time]) {
+func heardInTime(
+	t *testing.T,
+	what string,
+	told <-chan Update,
+	reachable *atomic.Pointer[time.Time],
+) {
 	for late := time.After(patience); ; {
 		select {
 		case n := <-told:
@@ -146,7 +164,12 @@
 				continue
 			}
 			if took := time.Since(*reachable.Load()); took > term {
-				t.Errorf("%s: heard %v after discovery could be reached, want at most %v", what, took, term)
+				t.Errorf(
+					"%s: heard %v after discovery could be reached, want at most %v",
+					what,
+					took,
+					term,
+				)
 			}
 		case <-late:
 			t.Error(what, ": nothing was heard")
@@ -203,7 +226,8 @@
 	}
 }
 
-// Dials that nobody answers go on for minutes if they are let, and each holds one of the few connections that there may be:
+// Dials that nobody answers go on for minutes if they are let, and each holds one of the few
+// connections that there may be:
 // when discovery's machine is back, a new one must be free at once.
 func TestHungDialsMakeRoomForOthers(t *testing.T) {
 	t.Parallel()
@@ -211,7 +235,10 @@
 	if err := syscall.Listen(socket.fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	filler, err := net.Dial("tcp", socket.address) // the one that the queue holds: the system drops what else comes
+	filler, err := net.Dial(
+		"tcp",
+		socket.address,
+	) // the one that the queue holds: the system drops what else comes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -227,7 +254,10 @@
 		select {
 		case <-begun:
 		case <-time.After(patience):
-			t.Fatalf("%d dials were begun, and then no other: those that hang hold all the places", n)
+			t.Fatalf(
+				"%d dials were begun, and then no other: those that hang hold all the places",
+				n,
+			)
 		}
 	}
 	now := time.Now()
--- a/internal/dataplane/registry/platform.go
+++ b/internal/dataplane/registry/platform.go
@@ -169,8 +169,8 @@
 }
 
 // fetch makes one call and, as long as it is silent, further ones for the complete list beside it:
-// discovery that was down, or lost a call, may answer only later calls, and these at once. The first
-// answer counts.
+// discovery that was down, or lost a call, may answer only later calls, and these at once. The
+// first answer counts.
 func (d *Platform) fetch(ctx context.Context, url, version string) (List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/dataplane/registry/platform_test.go
+++ b/internal/dataplane/registry/platform_test.go
@@ -82,8 +82,16 @@
 // At first and after any break the whole list is taken, and changes from its
 // version on; what is no list is no news.
 func TestPlatformFetchesCompleteListAfterFailure(t *testing.T) {
-	address, calls := script(t, `{"revision":4,"complete":true,"members":[{"id":"a"}]}`, `{"revision":5,"members":[{"id":"b"}]}`,
-		`!500`, `{"revision":7,"complete":true,"members":[]}`, `{"revision":8,"members":[{"id`, `{"revision":9,"complete":true,"members":[]}`, `hang`)
+	address, calls := script(
+		t,
+		`{"revision":4,"complete":true,"members":[{"id":"a"}]}`,
+		`{"revision":5,"members":[{"id":"b"}]}`,
+		`!500`,
+		`{"revision":7,"complete":true,"members":[]}`,
+		`{"revision":8,"members":[{"id`,
+		`{"revision":9,"complete":true,"members":[]}`,
+		`hang`,
+	)
 	told := follow(t, NewPlatform(address, false, membership.NewPacer(1, 7), quiet()))
 	for _, want := range []Kind{CompleteList, Delta, CompleteList, CompleteList} {
 		if n := next(t, told); n.Kind != want {
@@ -129,8 +137,9 @@
 	}
 }
 
-// A discovery that was down answers no call that was made meanwhile, and what it has told counts from its return: another call is
-// made beside one that is silent, be it a watch whose wait is over or one for the whole list. The first that is answered counts.
+// A discovery that was down answers no call that was made meanwhile, and what it has told counts
+// from its return: another call is made beside one that is silent, be it a watch whose wait is over
+// or one for the whole list. The first that is answered counts.
 func TestSilentDiscoveryIsCalledInParallel(t *testing.T) {
 	const list = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
 	for name, held := range map[string][]bool{ // call by call
@@ -163,7 +172,15 @@
 				fmt.Fprint(w, list)
 			}))
 			t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-			told := follow(t, NewPlatform(strings.TrimPrefix(s.URL, "http://"), false, membership.NewPacer(1, 7).SetPushed(2_000_000), quiet()))
+			told := follow(
+				t,
+				NewPlatform(
+					strings.TrimPrefix(s.URL, "http://"),
+					false,
+					membership.NewPacer(1, 7).SetPushed(2_000_000),
+					quiet(),
+				),
+			)
 			for _, h := range held {
 				if h {
 					continue
--- a/internal/dataplane/snapshot/snapshot.go
+++ b/internal/dataplane/snapshot/snapshot.go
@@ -3,8 +3,8 @@
 //
 // The store holds, as JSON, the snapshot without its customers and backends under the key "head",
 // and each of those under a key of its own: "c" or "b" and its id in big-endian. A snapshot is
-// stored as one batch of what has changed since the one before, so it is stored completely or not at
-// all. A store that is cut off, damaged or foreign is rejected as a whole.
+// stored as one batch of what has changed since the one before, so it is stored completely or not
+// at all. A store that is cut off, damaged or foreign is rejected as a whole.
 package snapshot
 
 import (
@@ -21,9 +21,9 @@
 // storeOptions are for a store that is small, read completely, and shares a gateway's memory.
 var storeOptions = store.Options{SegmentBytes: 1 << 20, MaxOverlayKeys: 4 << 10, Verify: true}
 
-// File stores the newest snapshot given to it. It is safe for concurrent use. The store is open from
-// the first snapshot stored to the last one, so a successor can read it once this process has stored
-// its last.
+// File stores the newest snapshot given to it. It is safe for concurrent use. The store is open
+// from the first snapshot stored to the last one, so a successor can read it once this process has
+// stored its last.
 type File struct {
 	path string
 
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -15,10 +15,20 @@
 )
 
 func sample(at policy.Time) policy.Snapshot {
-	return policy.Snapshot{Version: policy.SnapshotVersion, At: at, Settings: 1 << 63, StateSince: 5,
-		ClassLatencies: []policy.Estimate{{Value: 0.1, Samples: 3}}, ClientTimeouts: [][]policy.Estimate{{{Value: 1e6, Samples: 1}}},
-		Customers: []policy.CustomerState{{ID: 1<<33 - 1, Plan: 1, Spread: 2, BucketLevel: 1.25, CeilingLevel: -3}},
-		Backends:  []policy.BackendState{{Backend: 7, StartedAt: 99, Unhealthy: true}}}
+	return policy.Snapshot{
+		Version:    policy.SnapshotVersion,
+		At:         at,
+		Settings:   1 << 63,
+		StateSince: 5,
+		ClassLatencies: []policy.Estimate{
+			{Value: 0.1, Samples: 3},
+		},
+		ClientTimeouts: [][]policy.Estimate{{{Value: 1e6, Samples: 1}}},
+		Customers: []policy.CustomerState{
+			{ID: 1<<33 - 1, Plan: 1, Spread: 2, BucketLevel: 1.25, CeilingLevel: -3},
+		},
+		Backends: []policy.BackendState{{Backend: 7, StartedAt: 99, Unhealthy: true}},
+	}
 }
 
 func TestStoreAndLoad(t *testing.T) {
@@ -169,7 +179,8 @@
 	}
 }
 
-// The next process goes on where the one before ended, in order or not, and where an earlier version did.
+// The next process goes on where the one before ended, in order or not, and where an earlier
+// version did.
 func TestNextProcessContinues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	raw, err := Encode(sample(1))
@@ -222,12 +233,19 @@
 	}
 }
 
-// What a second costs: 10,000 customers of which one in a hundred changed, as one file written anew, and in the store.
+// What a second costs: 10,000 customers of which one in a hundred changed, as one file written
+// anew, and in the store.
 func BenchmarkSecond(b *testing.B) {
 	state := sample(1)
 	state.Customers = make([]policy.CustomerState, 10_000)
 	for i := range state.Customers {
-		state.Customers[i] = policy.CustomerState{ID: uint64(i), Spread: 2, BucketLevel: float64(i) / 3, CeilingLevel: 1e3, LocalDemand: 1.5}
+		state.Customers[i] = policy.CustomerState{
+			ID:           uint64(i),
+			Spread:       2,
+			BucketLevel:  float64(i) / 3,
+			CeilingLevel: 1e3,
+			LocalDemand:  1.5,
+		}
 	}
 	next := func() policy.Snapshot {
 		state.At++
@@ -241,7 +259,10 @@
 		for b.Loop() {
 			raw, err := Encode(next())
 			if err == nil {
-				err = errors.Join(os.WriteFile(path+".new", raw, 0o600), os.Rename(path+".new", path))
+				err = errors.Join(
+					os.WriteFile(path+".new", raw, 0o600),
+					os.Rename(path+".new", path),
+				)
 			}
 			if err != nil {
 				b.Fatal(err)
@@ -268,7 +289,8 @@
 	})
 }
 
-// A path that names a folder with other things in it costs none of them, whatever becomes of the state.
+// A path that names a folder with other things in it costs none of them, whatever becomes of the
+// state.
 func TestOtherFilesAreKept(t *testing.T) {
 	path := t.TempDir()
 	other := filepath.Join(path, "operators.toml")
@@ -286,7 +308,13 @@
 	if err := f.Store(sample(1), false); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Store(sample(2), false); !errors.Is(err, store.ErrLocked) { // which removes the state
+	if err := g.Store(
+		sample(2),
+		false,
+	); !errors.Is(
+		err,
+		store.ErrLocked,
+	) { // which removes the state
 		t.Errorf("stored beside another process: %v", err)
 	}
 	if _, err := os.Stat(other); err != nil {
--- a/internal/dataplane/snapshot/stored_test.go
+++ b/internal/dataplane/snapshot/stored_test.go
@@ -6,7 +6,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A state that an earlier build kept in its store, or passed on as text, is read to the same values.
+// A state that an earlier build kept in its store, or passed on as text, is read to the same
+// values.
 func TestStoredStateIsRead(t *testing.T) {
 	const path = "testdata/stored/state.txt"
 	file, err := Open(fixture.Copy(t, "testdata/stored/state"))
@@ -22,7 +23,12 @@
 		t.Fatal(err)
 	}
 	if len(fromText.Customers) != 8 || len(fromText.Backends) != 4 || !fromText.Last {
-		t.Errorf("%d customers, %d backends, last %t", len(fromText.Customers), len(fromText.Backends), fromText.Last)
+		t.Errorf(
+			"%d customers, %d backends, last %t",
+			len(fromText.Customers),
+			len(fromText.Backends),
+			fromText.Last,
+		)
 	}
 	for _, state := range []struct {
 		from string
