--- a/internal/controlplane/metering/metering.go
+++ b/internal/controlplane/metering/metering.go
@@ -9,86 +9,58 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"mothcleat/internal/controlplane/controlpb"
-	"mothcleat/internal/failpoint"
 	"mothcleat/internal/storage/store"
 )
 
-// drainInterval is how often the ring is read.
+// drainInterval is how often the records of the ring are stored.
 const drainInterval = 50 * time.Millisecond
 
-// Counter counts the use of one process. Count may be called from one goroutine alone; the other
-// methods may be called from any.
+// Counter meters the use of one process. Only one goroutine may call Count. The other methods are
+// safe for concurrent use.
 type Counter struct {
 	id           string
 	incarnation  uint64
 	periodLength time.Duration
 	log          *slog.Logger
 
-	dir      string // of the store
-	ring     *ring
-	consumed atomic.Uint64 // records
-	lost     atomic.Uint64 // records for which there was no room
-
-	mu           sync.Mutex
-	store        *store.Store
-	current      openPeriod
-	reportedLost uint64 // of lost
+	// dir is the directory of the store.
+	dir  string
+	ring *ring
+	// consumed counts records that were stored and so can be overwritten.
+	consumed atomic.Uint64
+	// lost counts records for which the ring had no room.
+	lost atomic.Uint64
+
+	mu      sync.Mutex
+	store   *store.Store
+	current openPeriod
+	// reportedLost is the part of lost that was logged.
+	reportedLost uint64
 	failed       bool
 }
 
-// openPeriod is the open period: its sums and its begin.
-type openPeriod struct {
-	Number    uint64 `json:"number"`
-	StartedAt int64  `json:"begun"` // microseconds since 1970
-	// records of the ring in this period and those before
-	Consumed uint64             `json:"taken"`
-	Units    map[uint64]float64 `json:"units"`
-}
-
-// closedPeriod is a closed period, as it is stored until it was collected.
-type closedPeriod struct {
-	StartedAt int64              `json:"begun"`
-	EndedAt   int64              `json:"ended"`
-	Units     map[uint64]float64 `json:"units"`
-	Last      bool               `json:"last,omitempty"`
-}
-
-// Keys of the store: the incarnation that ended last, the open period by incarnation, and closed
-// periods by incarnation and number.
-var keyEnded = []byte("ended")
-
-func openKey(boot uint64) []byte { return binary.BigEndian.AppendUint64([]byte{'o'}, boot) }
-
-func closedKey(boot, number uint64) []byte {
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte{'c'}, boot), number)
-}
-
-// Open opens the counts in a folder, creates it where there is none, and closes the period that the
-// process before left open. A period lasts for length. Its errors wrap store.ErrLocked where
-// another process counts there.
+// Open opens the counts in a directory, which it creates if it does not exist, and closes the
+// period that the last process left open. length is the length of a period. The error wraps
+// store.ErrLocked if another process counts there.
 func Open(
-	dir, id string, boot uint64, length time.Duration, log *slog.Logger,
+	dir, id string, incarnation uint64, length time.Duration, log *slog.Logger,
 ) (_ *Counter, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
 	c := &Counter{
 		id:           id,
-		incarnation:  boot,
+		incarnation:  incarnation,
 		periodLength: length,
 		log:          log,
 		dir:          filepath.Join(dir, "counts"),
@@ -108,7 +80,7 @@
 	if err := c.closePredecessor(before, added); err != nil {
 		return nil, err
 	}
-	c.ring.reset(boot)
+	c.ring.reset(incarnation)
 	c.current = openPeriod{
 		Number:    1,
 		StartedAt: time.Now().UnixMicro(),
@@ -117,94 +89,38 @@
 	return c, nil
 }
 
-// closePredecessor closes the period that another incarnation left open, with what it left in the
-// ring.
-func (c *Counter) closePredecessor(boot, added uint64) error {
-	left, err := c.load(boot)
-	if err != nil || left.Number == 0 {
+// closePredecessor closes the period that another incarnation left open, including the records that
+// it left in the ring.
+func (c *Counter) closePredecessor(incarnation, added uint64) error {
+	unfinished, err := c.load(incarnation)
+	if err != nil || unfinished.Number == 0 {
 		return err
 	}
-	if added > left.Consumed+c.ring.size {
-		return fmt.Errorf(
-			"usecount: the ring of boot %x has %d records, %d of them counted: it does not belong to these counts",
-			boot,
-			added,
-			left.Consumed,
-		)
+	if added > unfinished.Consumed+c.ring.size {
+		const format = "metering: the ring of incarnation %x has %d records, %d of them counted: " +
+			"it does not belong to these counts"
+		return fmt.Errorf(format, incarnation, added, unfinished.Consumed)
 	}
-	for n := left.Consumed; n < added; n++ {
+	for n := unfinished.Consumed; n < added; n++ {
 		customer, units := c.ring.record(n)
-		left.Units[customer] += units
+		unfinished.Units[customer] += units
 	}
-	if added > left.Consumed {
+	if added > unfinished.Consumed {
 		c.log.Info("fleet: use of the process before",
-			"boot", fmt.Sprintf("%x", boot), "records", added-left.Consumed)
+			"boot", fmt.Sprintf("%x", incarnation), "records", added-unfinished.Consumed)
 	}
-	return c.closePeriod(boot, &left, true, nil)
+	return c.closePeriod(incarnation, &unfinished, true, nil)
 }
 
-// load returns the period that an incarnation left open. Its number is 0 where that has ended, or
-// there was none.
-func (c *Counter) load(boot uint64) (p openPeriod, err error) {
-	ended, err := c.store.Get(keyEnded)
-	if err != nil && !errors.Is(err, store.ErrNotFound) {
-		return p, err
-	}
-	if boot == 0 || len(ended) == 8 && binary.BigEndian.Uint64(ended) == boot {
-		return p, nil
-	}
-	switch raw, err := c.store.Get(openKey(boot)); {
-	case errors.Is(err, store.ErrNotFound):
-		p = openPeriod{Number: 1, StartedAt: time.Now().UnixMicro()}
-	case err != nil:
-		return p, err
-	default:
-		if err := json.Unmarshal(raw, &p); err != nil {
-			return p, fmt.Errorf("usecount: period of boot %x: %w", boot, err)
-		}
-	}
-	if p.Units == nil {
-		p.Units = map[uint64]float64{}
-	}
-	return p, nil
-}
-
-// closePeriod closes a period and, unless it is the last of its incarnation, opens the next in the
-// same batch.
-func (c *Counter) closePeriod(boot uint64, p *openPeriod, last bool, next *openPeriod) error {
-	var b store.Batch
-	raw, err := json.Marshal(closedPeriod{p.StartedAt, time.Now().UnixMicro(), p.Units, last})
-	if err != nil {
-		return err
-	}
-	b.Put(closedKey(boot, p.Number), raw)
-	b.Delete(openKey(boot))
-	if last {
-		b.Put(keyEnded, binary.BigEndian.AppendUint64(nil, boot))
-	}
-	if next != nil {
-		if raw, err = json.Marshal(next); err != nil {
-			return err
-		}
-		b.Put(openKey(boot), raw)
-	}
-	failpoint.At("use-before-close")
-	if err := c.store.Commit(&b, store.Durable); err != nil {
-		return err
-	}
-	failpoint.At("use-after-close")
-	return nil
-}
-
-// Count adds units that were forwarded for a tenant. It never blocks, and may be called from one
-// goroutine alone.
+// Count adds units that were forwarded for a tenant. It never blocks. Only one goroutine may call
+// it.
 func (c *Counter) Count(customer uint64, units float64) {
 	if !c.ring.add(customer, units, c.consumed.Load()) {
 		c.lost.Add(1)
 	}
 }
 
-// Run stores what the ring has and closes periods until the context ends.
+// Run stores records and closes periods until the context ends.
 func (c *Counter) Run(ctx context.Context) {
 	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
@@ -218,37 +134,14 @@
 	}
 }
 
-// step stores what the ring has, and closes the period when it is over.
+// step stores the records of the ring, and closes the period when it is over.
 func (c *Counter) step(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.store == nil {
 		return
 	}
-	more := c.drainRing()
-	over := now.UnixMicro()-c.current.StartedAt >= c.periodLength.Microseconds() &&
-		len(c.current.Units) > 0
-	var err error
-	switch {
-	case over:
-		next := openPeriod{
-			Number:    c.current.Number + 1,
-			StartedAt: now.UnixMicro(),
-			Consumed:  c.current.Consumed,
-			Units:     map[uint64]float64{},
-		}
-		if err = c.closePeriod(c.incarnation, &c.current, false, &next); err == nil {
-			c.current = next
-			more = true
-		}
-	case more:
-		var b store.Batch
-		var raw []byte
-		if raw, err = json.Marshal(&c.current); err == nil {
-			b.Put(openKey(c.incarnation), raw)
-			err = c.store.Commit(&b, store.Buffered)
-		}
-	}
+	stored, err := c.storeRecords(now)
 	if err != nil {
 		// The ring holds new records for as long as it has room.
 		if !c.failed {
@@ -262,18 +155,54 @@
 		c.log.Info("fleet: use is kept again")
 		c.failed = false
 	}
-	if more {
+	if stored {
 		c.consumed.Store(c.current.Consumed)
 	}
-	if lost := c.lost.Load(); lost != c.reportedLost {
-		c.log.Error("fleet: use was not counted: there was no room",
-			"requests", lost-c.reportedLost)
-		c.reportedLost = lost
+	c.reportLost()
+}
+
+// storeRecords adds the records of the ring to the current period and stores it. It closes the
+// period when it is over. It reports whether anything was stored.
+func (c *Counter) storeRecords(now time.Time) (stored bool, err error) {
+	drained := c.drainRing()
+	age := now.UnixMicro() - c.current.StartedAt
+	if age >= c.periodLength.Microseconds() && len(c.current.Units) > 0 {
+		next := openPeriod{
+			Number:    c.current.Number + 1,
+			StartedAt: now.UnixMicro(),
+			Consumed:  c.current.Consumed,
+			Units:     map[uint64]float64{},
+		}
+		if err := c.closePeriod(c.incarnation, &c.current, false, &next); err != nil {
+			return false, err
+		}
+		c.current = next
+		return true, nil
+	}
+	if !drained {
+		return false, nil
+	}
+	raw, err := json.Marshal(&c.current)
+	if err != nil {
+		return false, err
+	}
+	var b store.Batch
+	b.Put(openKey(c.incarnation), raw)
+	return true, c.store.Commit(&b, store.Buffered)
+}
+
+// reportLost logs records for which the ring had no room.
+func (c *Counter) reportLost() {
+	lost := c.lost.Load()
+	if lost == c.reportedLost {
+		return
 	}
+	c.log.Error("fleet: use was not counted: there was no room", "requests", lost-c.reportedLost)
+	c.reportedLost = lost
 }
 
-// reopen opens the store again after a failure and goes on from what it holds, as a new process
-// would: a batch that failed may be stored or not.
+// reopen opens the store again after a failure and continues from its content, as a new process
+// would, because it is unknown whether the failed batch was stored.
 func (c *Counter) reopen() {
 	_ = c.store.Close() // its error is that of the failed batch
 	s, err := store.Open(c.dir, store.Options{})
@@ -297,7 +226,7 @@
 	return more
 }
 
-// Close closes the last period and the store. Nothing may be counted after it.
+// Close closes the last period and the store. Count must not be called after it.
 func (c *Counter) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -313,54 +242,3 @@
 	c.store = nil
 	return err
 }
-
-// ClosedPeriods passes the closed periods that were not collected yet to give, in order of
-// incarnation and number, and deletes those that were. The argument had is the last period
-// collected, by incarnation.
-func (c *Counter) ClosedPeriods(had map[uint64]uint64, give func(*controlpb.Part) error) error {
-	c.mu.Lock()
-	s := c.store
-	c.mu.Unlock()
-	if s == nil {
-		return errors.New("usecount: closed")
-	}
-	view, err := s.Snapshot()
-	if err != nil {
-		return err
-	}
-	defer view.Close()
-	var done store.Batch
-	for item, err := range view.Range([]byte{'c'}, []byte{'d'}) {
-		if err != nil {
-			return err
-		}
-		boot, number := binary.BigEndian.Uint64(item.Key[1:]), binary.BigEndian.Uint64(item.Key[9:])
-		if number <= had[boot] {
-			done.Delete(item.Key)
-			continue
-		}
-		var p closedPeriod
-		if err := json.Unmarshal(item.Value, &p); err != nil {
-			return fmt.Errorf("usecount: period %d of boot %x: %w", number, boot, err)
-		}
-		part := &controlpb.Part{
-			Id:          c.id,
-			Incarnation: boot,
-			Period:      number,
-			Begun:       p.StartedAt,
-			Ended:       p.EndedAt,
-			Last:        p.Last,
-		}
-		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
-			part.Units = append(part.Units,
-				&controlpb.Units{Customer: customer, Units: p.Units[customer]})
-		}
-		if err := give(part); err != nil {
-			return err
-		}
-	}
-	if done.Len() > 0 {
-		return s.Commit(&done, store.Buffered)
-	}
-	return nil
-}
--- a/internal/controlplane/metering/metering_test.go
+++ b/internal/controlplane/metering/metering_test.go
@@ -14,16 +14,16 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func open(t *testing.T, dir string, boot uint64) *Counter {
+func open(t *testing.T, dir string, incarnation uint64) *Counter {
 	t.Helper()
-	c, err := Open(dir, "g", boot, time.Second, quiet)
+	c, err := Open(dir, "g", incarnation, time.Second, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// parts are what is to be collected: units by boot and period.
+// parts are what is to be collected: units by incarnation and period.
 func parts(
 	t *testing.T, c *Counter, had map[uint64]uint64,
 ) (sums map[[2]uint64]float64, last map[uint64]bool) {
@@ -72,8 +72,9 @@
 			}
 		}
 		abandon(t, c)
-		for boot := uint64(2); boot < 4; boot++ { // and the next is killed before it does anything
-			abandon(t, open(t, dir, boot))
+		for incarnation := uint64(2); incarnation < 4; incarnation++ {
+			// The next ones are killed before they do anything.
+			abandon(t, open(t, dir, incarnation))
 		}
 		c = open(t, dir, 9)
 		sums, last := parts(t, c, nil)
@@ -82,7 +83,7 @@
 			if key[0] == 1 {
 				got += units
 			} else if units != 0 {
-				t.Errorf("kill after %d: %g units of boot %d", kill, units, key[0])
+				t.Errorf("kill after %d: %g units of incarnation %d", kill, units, key[0])
 			}
 		}
 		if got != counted || counted > 0 && !last[1] {
--- a/internal/controlplane/metering/ring.go
+++ b/internal/controlplane/metering/ring.go
@@ -9,17 +9,18 @@
 	"mothcleat/internal/storage/mmapfile"
 )
 
-// ring is a ring buffer in a memory-mapped file, to which one goroutine adds records and from which
-// another takes them. What was added survives a kill of the process at any instruction, as the
-// pages belong to the operating system. A power failure may lose it.
+// ring is a ring buffer in a memory-mapped file. One goroutine adds records and another one reads
+// them. Records survive a kill of the process at any instruction, because the pages belong to the
+// operating system. A power failure may lose them.
 //
 // The file has 8 bytes of magic, the incarnation that adds, the number of records ever added, and
-// then the records, each a tenant and the bits of a float64; all in the byte order of the machine.
+// then the records, each a tenant and the bits of a float64, all in the byte order of the machine.
 type ring struct {
 	memory      []byte
 	added       *atomic.Uint64
 	incarnation *uint64
-	size        uint64 // records
+	// size is the capacity in records.
+	size uint64
 }
 
 const (
@@ -29,34 +30,35 @@
 	recordBytes     = 16
 )
 
-// openRing maps the file of a ring and creates it where there is none. The results before and added
-// are the incarnation that added to it last, and how many records that added.
+// openRing maps the file of a ring and creates it if it does not exist. before and added are the
+// incarnation that used it last and the number of records that it has added.
 func openRing(path string) (r *ring, before uint64, added uint64, err error) {
-	memory, fresh, err := mmapfile.Open(path, ringHeaderBytes+ringRecords*recordBytes)
+	memory, created, err := mmapfile.Open(path, ringHeaderBytes+ringRecords*recordBytes)
 	if err != nil {
 		return nil, 0, 0, err
 	}
 	r = &ring{memory: memory, size: ringRecords}
 	r.incarnation = (*uint64)(unsafe.Pointer(&memory[8]))
 	r.added = (*atomic.Uint64)(unsafe.Pointer(&memory[16]))
-	if !fresh && binary.NativeEndian.Uint64(memory) == ringMagic {
+	if !created && binary.NativeEndian.Uint64(memory) == ringMagic {
 		before, added = *r.incarnation, r.added.Load()
 	}
 	return r, before, added, nil
 }
 
 // reset empties the ring for a new incarnation.
-func (r *ring) reset(boot uint64) {
-	binary.NativeEndian.PutUint64(r.memory, 0) // a ring whose begin was interrupted counts as empty
+func (r *ring) reset(incarnation uint64) {
+	binary.NativeEndian.PutUint64(r.memory, 0) // a ring whose reset was interrupted is empty
 	r.added.Store(0)
-	*r.incarnation = boot
+	*r.incarnation = incarnation
 	binary.NativeEndian.PutUint64(r.memory, ringMagic)
 }
 
-// add adds a record, where taken records were taken before. It returns false if there is no room.
-func (r *ring) add(customer uint64, units float64, taken uint64) bool {
+// add adds a record. consumed is the number of records that were stored. It returns false if there
+// is no room.
+func (r *ring) add(customer uint64, units float64, consumed uint64) bool {
 	n := r.added.Load()
-	if n-taken >= r.size {
+	if n-consumed >= r.size {
 		return false
 	}
 	at := r.memory[ringHeaderBytes+n%r.size*recordBytes:]
@@ -66,7 +68,7 @@
 	return true
 }
 
-// record returns the record with a number, which has to be in the ring.
+// record returns the record with a number, which must be in the ring.
 func (r *ring) record(n uint64) (customer uint64, units float64) {
 	at := r.memory[ringHeaderBytes+n%r.size*recordBytes:]
 	return binary.NativeEndian.Uint64(at), math.Float64frombits(binary.NativeEndian.Uint64(at[8:]))
--- a/internal/controlplane/usageexport/usageexport.go
+++ b/internal/controlplane/usageexport/usageexport.go
@@ -1,8 +1,8 @@
 // Package usageexport is the replicated state of usage export: which files count, and up to which
-// period the use of each gateway is exported. Gateways meter units by period and incarnation, which
-// the code calls a boot; the leader of a shard collects closed periods and writes them to files. A
-// file counts only once a committed entry names its digest. That entry is refused under an old
-// term, and where it would export a period twice or skip one.
+// period the use of each gateway is exported. Gateways meter units by period and incarnation. The
+// leader of a shard collects closed periods and writes them to files. A file counts only once a
+// committed command names its digest. A command is rejected under an old term, and if it would
+// export a period twice or skip one.
 //
 // It is a deterministic state machine: nothing here does I/O or reads a clock.
 package usageexport
@@ -25,7 +25,7 @@
 // MachineName is the name of this state machine in the replicated state.
 const MachineName = "exports"
 
-// maxFiles is how many files are listed; the chain of digests covers older ones.
+// maxFiles is the number of files that are listed. The chain of digests covers older ones.
 const maxFiles = 512
 
 // RoleOfShard returns the name of the role that exports a shard.
@@ -40,14 +40,16 @@
 
 // PeriodRange is a range of periods of one incarnation in a file, both ends included.
 type PeriodRange struct {
-	ID          string `json:"id"`
-	Incarnation string `json:"boot"` // in hexadecimal
+	ID string `json:"id"`
+	// Incarnation is in hexadecimal.
+	Incarnation string `json:"boot"`
 	From        uint64 `json:"from"`
 	To          uint64 `json:"to"`
-	Last        bool   `json:"last,omitempty"` // the incarnation counted nothing after it
+	// Last is set if the incarnation counted nothing after the range.
+	Last bool `json:"last,omitempty"`
 }
 
-// Gap is use that was lost, as far as is known: what an incarnation counted after a period.
+// Gap is use that is known to be lost: what an incarnation counted after a period.
 type Gap struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
@@ -57,15 +59,17 @@
 
 // File is an exported file that counts.
 type File struct {
-	Role   string        `json:"duty"`
-	Term   uint64        `json:"term"`
-	Owner  string        `json:"owner"` // id
+	Role string `json:"duty"`
+	Term uint64 `json:"term"`
+	// Owner is the id of the leader that exported the file.
+	Owner  string        `json:"owner"`
 	Name   string        `json:"name"`
 	SHA256 string        `json:"sha256"`
 	Rows   int           `json:"rows"`
 	Units  float64       `json:"units"`
 	Ranges []PeriodRange `json:"spans"`
-	Index  uint64        `json:"index"` // index of the log entry that made it count
+	// Index is the index of the log entry that made the file count.
+	Index uint64 `json:"index"`
 }
 
 // Incarnation is one incarnation of a gateway.
@@ -74,20 +78,20 @@
 	Incarnation string `json:"boot"`
 }
 
-// Command is the command: it makes a file count, and reports gaps and incarnations.
+// Command makes a file count, and reports gaps and incarnations.
 type Command struct {
 	Shards int   `json:"shards"`
 	File   *File `json:"file,omitempty"`
 	Gaps   []Gap `json:"gaps,omitempty"`
 	// Seen are incarnations that counted use, or may have. They are listed from then on, even if
-	// their folders are lost.
+	// their directories are lost.
 	Seen []Incarnation `json:"seen,omitempty"`
 	// Role and Term are the role and the fencing token under which the command is sent.
 	Role string `json:"duty"`
 	Term uint64 `json:"term"`
 }
 
-// Result is the answer to an Op.
+// Result is the answer to a Command.
 type Result struct {
 	OK     bool   `json:"ok"`
 	Reason string `json:"why,omitempty"`
@@ -99,38 +103,49 @@
 	Incarnation string `json:"boot"`
 	Period      uint64 `json:"period"`
 	Last        bool   `json:"last,omitempty"`
-	Gap         string `json:"gap,omitempty"` // why what came after is lost
+	// Gap is why later periods are lost; empty if they are not.
+	Gap string `json:"gap,omitempty"`
 }
 
 // View is the answer to a query, and the format of a snapshot.
 type View struct {
 	Progress []Progress `json:"marks"`
-	Files    []File     `json:"files"` // the newest last
-	Count    uint64     `json:"count"` // files ever
-	Units    float64    `json:"units"` // in them
-	Chain    string     `json:"chain"` // over the digests of all files, in their order
+	// Files has the newest last.
+	Files []File `json:"files"`
+	// Count is the number of files that ever counted.
+	Count uint64 `json:"count"`
+	// Units is the sum of the units in them.
+	Units float64 `json:"units"`
+	// Chain is a hash over the digests of all files, in their order.
+	Chain string `json:"chain"`
 }
 
-// Fence refuses a command under an old term.
+// Fence rejects commands of former leaders.
 type Fence interface {
-	Fence(duty string, term uint64, who lease.Member) error
+	// Fence returns an error unless who holds the role under the term, which is the fencing token.
+	Fence(role string, term uint64, who lease.Member) error
 }
 
-// Machine is the state machine. It is not safe for concurrent use.
+// incarnationKey identifies an incarnation of a gateway.
+type incarnationKey struct{ id, incarnation string }
+
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
 	fence    Fence
-	progress map[[2]string]*Progress
+	progress map[incarnationKey]*Progress
 	view     View
 }
 
-// NewMachine returns an empty state machine. The fence is the table of leases, which has to be part
-// of the same replicated state.
-func NewMachine(f Fence) *Machine { return &Machine{fence: f, progress: map[[2]string]*Progress{}} }
+// NewMachine returns an empty state machine. The fence has to be the lease table of the same
+// replicated state.
+func NewMachine(f Fence) *Machine {
+	return &Machine{fence: f, progress: map[incarnationKey]*Progress{}}
+}
 
 // IncarnationText returns an incarnation in hexadecimal.
-func IncarnationText(boot uint64) string { return strconv.FormatUint(boot, 16) }
+func IncarnationText(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
 
-// Apply applies an Op and returns a Result, both as JSON.
+// Apply applies a Command and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
 	var op Command
 	err := json.Unmarshal(body, &op)
@@ -144,84 +159,110 @@
 	return mustjson.Marshal(r)
 }
 
-// apply checks a command whole and then applies it.
-func (m *Machine) apply(index uint64, who lease.Member, op *Command) error {
-	if err := m.fence.Fence(op.Role, op.Term, who); err != nil {
+// apply checks a command completely and then applies it.
+func (m *Machine) apply(index uint64, who lease.Member, command *Command) error {
+	if err := m.fence.Fence(command.Role, command.Term, who); err != nil {
 		return err
 	}
-	mine := func(id string) error {
-		if d := RoleOfShard(ShardOf(id, op.Shards)); d != op.Role {
-			return fmt.Errorf("exports: the use of %s goes under %s, not %s", id, d, op.Role)
-		}
-		return nil
+	if err := m.check(command); err != nil {
+		return err
 	}
-	if f := op.File; f != nil {
-		if f.Role != op.Role || f.Term != op.Term || f.Name == "" ||
-			len(f.SHA256) != 2*sha256.Size {
-			return fmt.Errorf("exports: file %q: not whole", f.Name)
+	for _, seen := range command.Seen {
+		m.progressOf(seen.ID, seen.Incarnation)
+	}
+	for _, gap := range command.Gaps {
+		progress := m.progressOf(gap.ID, gap.Incarnation)
+		if !progress.Last && progress.Gap == "" {
+			progress.Gap = gap.Reason
 		}
-		// All spans are checked before any of them is applied.
-		ends := map[[2]string]uint64{}
-		for _, s := range f.Ranges {
-			if err := mine(s.ID); err != nil {
-				return err
-			}
-			key := [2]string{s.ID, s.Incarnation}
-			done, seen := ends[key]
-			if mark := m.progress[key]; !seen && mark != nil {
-				done = mark.Period
-			}
-			if s.From != done+1 || s.To < s.From {
-				return fmt.Errorf("exports: periods %d to %d of %s/%s: those up to %d are exported",
-					s.From, s.To, s.ID, s.Incarnation, done)
-			}
-			ends[key] = s.To
+	}
+	if command.File != nil {
+		m.addFile(index, who, command.File)
+	}
+	return nil
+}
+
+// check returns why a command can't be applied, nil if it can. It changes nothing.
+func (m *Machine) check(command *Command) error {
+	if command.File != nil {
+		if err := m.checkFile(command); err != nil {
+			return err
 		}
 	}
-	for _, g := range op.Gaps {
-		if err := mine(g.ID); err != nil {
+	for _, gap := range command.Gaps {
+		if err := command.checkShard(gap.ID); err != nil {
 			return err
 		}
 	}
-	for _, b := range op.Seen {
-		if err := mine(b.ID); err != nil {
+	for _, seen := range command.Seen {
+		if err := command.checkShard(seen.ID); err != nil {
 			return err
 		}
 	}
-	for _, b := range op.Seen {
-		m.progressOf(b.ID, b.Incarnation)
+	return nil
+}
+
+// checkShard rejects gateways whose use is exported under another role.
+func (c *Command) checkShard(id string) error {
+	if role := RoleOfShard(ShardOf(id, c.Shards)); role != c.Role {
+		return fmt.Errorf("exports: the use of %s goes under %s, not %s", id, role, c.Role)
 	}
-	for _, g := range op.Gaps {
-		if mark := m.progressOf(g.ID, g.Incarnation); !mark.Last && mark.Gap == "" {
-			mark.Gap = g.Reason
-		}
+	return nil
+}
+
+// checkFile checks that a file is complete, and that each of its ranges begins after the last
+// exported period of its incarnation.
+func (m *Machine) checkFile(command *Command) error {
+	f := command.File
+	underCommand := f.Role == command.Role && f.Term == command.Term
+	if !underCommand || f.Name == "" || len(f.SHA256) != 2*sha256.Size {
+		return fmt.Errorf("exports: file %q: incomplete", f.Name)
 	}
-	if op.File == nil {
-		return nil
+	exported := map[incarnationKey]uint64{} // by incarnation, with the ranges checked so far
+	for _, r := range f.Ranges {
+		if err := command.checkShard(r.ID); err != nil {
+			return err
+		}
+		key := incarnationKey{r.ID, r.Incarnation}
+		last, seen := exported[key]
+		if progress := m.progress[key]; !seen && progress != nil {
+			last = progress.Period
+		}
+		if r.From != last+1 || r.To < r.From {
+			return fmt.Errorf("exports: periods %d to %d of %s/%s: those up to %d are exported",
+				r.From, r.To, r.ID, r.Incarnation, last)
+		}
+		exported[key] = r.To
 	}
-	for _, s := range op.File.Ranges {
-		mark := m.progressOf(s.ID, s.Incarnation)
-		mark.Period, mark.Last = s.To, s.Last
-		if s.Last {
-			mark.Gap = "" // its folder came back
+	return nil
+}
+
+// addFile makes a checked file count.
+func (m *Machine) addFile(index uint64, who lease.Member, file *File) {
+	for _, r := range file.Ranges {
+		progress := m.progressOf(r.ID, r.Incarnation)
+		progress.Period = r.To
+		progress.Last = r.Last
+		if r.Last {
+			progress.Gap = "" // the incarnation's counts were found again
 		}
 	}
-	f := *op.File
-	f.Owner, f.Index = who.ID, index
+	f := *file
+	f.Owner = who.ID
+	f.Index = index
 	m.view.Count++
 	m.view.Units += f.Units
 	sum := sha256.Sum256([]byte(m.view.Chain + f.SHA256))
 	m.view.Chain = hex.EncodeToString(sum[:])
 	files := append(m.view.Files, f)
 	m.view.Files = files[max(0, len(files)-maxFiles):]
-	return nil
 }
 
-// progressOf returns the mark of an incarnation, which is added where there is none.
-func (m *Machine) progressOf(id, boot string) *Progress {
-	key := [2]string{id, boot}
+// progressOf returns the progress of an incarnation, which is added if it is new.
+func (m *Machine) progressOf(id, incarnation string) *Progress {
+	key := incarnationKey{id, incarnation}
 	if m.progress[key] == nil {
-		m.progress[key] = &Progress{ID: id, Incarnation: boot}
+		m.progress[key] = &Progress{ID: id, Incarnation: incarnation}
 	}
 	return m.progress[key]
 }
@@ -229,12 +270,12 @@
 // Query returns a View as JSON.
 func (m *Machine) Query(time.Duration, []byte) []byte { return m.Snapshot() }
 
-// Snapshot returns the state as JSON; equal states give equal bytes.
+// Snapshot returns the state as JSON. Equal states give equal bytes.
 func (m *Machine) Snapshot() []byte {
 	v := m.view
 	v.Progress = make([]Progress, 0, len(m.progress))
-	for _, mark := range m.progress {
-		v.Progress = append(v.Progress, *mark)
+	for _, progress := range m.progress {
+		v.Progress = append(v.Progress, *progress)
 	}
 	slices.SortFunc(v.Progress, func(a, b Progress) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
@@ -248,9 +289,9 @@
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return fmt.Errorf("exports: %w", err)
 	}
-	m.progress = map[[2]string]*Progress{}
-	for _, mark := range v.Progress {
-		m.progress[[2]string{mark.ID, mark.Incarnation}] = &mark
+	m.progress = map[incarnationKey]*Progress{}
+	for _, progress := range v.Progress {
+		m.progress[incarnationKey{progress.ID, progress.Incarnation}] = &progress
 	}
 	v.Progress = nil
 	m.view = v
--- a/internal/controlplane/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -13,7 +13,7 @@
 	late  = lease.Member{ID: "b", Incarnation: 1}
 )
 
-// machine is one whose duty the owner holds under term 2.
+// machine returns a machine whose role the owner holds under term 2.
 func machine(t *testing.T) *Machine {
 	t.Helper()
 	tb := lease.NewTable(lease.DefaultConfig())
@@ -86,7 +86,7 @@
 				PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}),
 			"",
 		},
-		// another boot counts anew
+		// another incarnation counts anew
 		{owner, file(2, PeriodRange{ID: "g", Incarnation: "2", From: 1, To: 1}), ""},
 		{
 			owner,
@@ -119,7 +119,7 @@
 	}
 }
 
-// A boot that was seen and vanished is a gap, and no gap any more when its folder is back.
+// An incarnation that was seen and vanished is a gap, until its directory is back.
 func TestGaps(t *testing.T) {
 	m := machine(t)
 	seen := Command{Shards: 1, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{"g", "1"}}}
@@ -134,17 +134,17 @@
 			t.Fatal(r)
 		}
 	}
-	if mark := m.progress[[2]string{"g", "1"}]; mark == nil || mark.Gap != "lost" {
-		t.Errorf("%+v", mark)
+	if progress := m.progress[incarnationKey{"g", "1"}]; progress == nil || progress.Gap != "lost" {
+		t.Errorf("%+v", progress)
 	}
 	if r := do(t, m, owner,
 		file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
 		t.Fatal(r)
 	}
-	if mark := m.progress[[2]string{"g", "1"}]; mark.Gap != "" || !mark.Last {
-		t.Errorf("%+v", mark)
+	if progress := m.progress[incarnationKey{"g", "1"}]; progress.Gap != "" || !progress.Last {
+		t.Errorf("%+v", progress)
 	}
-	// what belongs to another shard is another duty's
+	// Another shard's gateways are exported under another role.
 	other := "x"
 	for ShardOf(other, 4) == 0 {
 		other += "x"
