--- a/cmd/mothcleat/auth.go
+++ b/cmd/mothcleat/auth.go
@@ -30,7 +30,7 @@
 			TokensFile: settings.TokensFile,
 			CAFile:     settings.CAFile,
 			Timeout:    time.Duration(settings.CallTimeout),
-			MostOut:    settings.MaxConcurrentCalls,
+			MaxConns:   settings.MaxConcurrentCalls,
 		},
 		Rules: rules,
 	}
@@ -46,19 +46,19 @@
 func authRules(settings *config.Auth, cfg *gateway.Config) (rules authz.Settings, err error) {
 	microseconds := func(d config.Duration) authz.Time { return time.Duration(d).Microseconds() }
 	rules = authz.Settings{
-		Budget:      microseconds(settings.WaitTimeout),
-		AllowFor:    microseconds(settings.AllowTTL),
-		AllowCap:    microseconds(settings.MaxAllowTTL),
-		DenyFor:     microseconds(settings.DenyTTL),
-		StaleFor:    microseconds(settings.StaleTTL),
-		MostOut:     settings.MaxConcurrentCalls,
-		MostWaiting: settings.MaxWaiting,
-		MostKept:    settings.MaxCacheEntries,
-		Fails:       settings.FailureThreshold,
-		OpenFor:     microseconds(settings.OpenDuration),
-		OpenMost:    microseconds(settings.MaxOpenDuration),
+		MaxWait:         microseconds(settings.WaitTimeout),
+		AllowTTL:        microseconds(settings.AllowTTL),
+		MaxAllowTTL:     microseconds(settings.MaxAllowTTL),
+		MaxDenyTTL:      microseconds(settings.DenyTTL),
+		StaleTTL:        microseconds(settings.StaleTTL),
+		MaxCalls:        settings.MaxConcurrentCalls,
+		MaxWaiting:      settings.MaxWaiting,
+		MaxCached:       settings.MaxCacheEntries,
+		BreakerFailures: settings.FailureThreshold,
+		BreakerMinOpen:  microseconds(settings.OpenDuration),
+		BreakerMaxOpen:  microseconds(settings.MaxOpenDuration),
 	}
-	if rules.Ask, err = selectNames(
+	if rules.Classes, err = selectNames(
 		"classes",
 		settings.Classes,
 		cfg.Host.Classes,
@@ -66,7 +66,7 @@
 	); err != nil {
 		return rules, err
 	}
-	rules.PassUnknown, err = selectNames(
+	rules.FailOpen, err = selectNames(
 		"pass_unknown",
 		settings.FailOpenClasses,
 		cfg.Host.Classes,
--- a/internal/dataplane/admin/admin.go
+++ b/internal/dataplane/admin/admin.go
@@ -36,11 +36,11 @@
 	handle   Handler
 	log      *slog.Logger
 
-	mu      sync.Mutex
-	silent  []net.Conn // callers without a whole line yet, the oldest first
-	open    int
-	closed  bool
-	pending sync.WaitGroup
+	mu           sync.Mutex
+	awaitingLine []net.Conn // callers without a whole line yet, the oldest first
+	open         int
+	closed       bool
+	pending      sync.WaitGroup
 }
 
 // Listen listens at an address and answers calls from then on, until Close.
@@ -62,7 +62,7 @@
 	_ = s.listener.Close()
 	s.mu.Lock()
 	s.closed = true
-	for _, c := range s.silent {
+	for _, c := range s.awaitingLine {
 		_ = c.Close()
 	}
 	s.mu.Unlock()
@@ -86,12 +86,12 @@
 			_ = conn.Close()
 			return
 		}
-		if s.open >= maxOpenCalls && len(s.silent) > 0 {
-			_ = s.silent[0].Close()
-			s.silent = s.silent[1:]
+		if s.open >= maxOpenCalls && len(s.awaitingLine) > 0 {
+			_ = s.awaitingLine[0].Close()
+			s.awaitingLine = s.awaitingLine[1:]
 		}
 		s.open++
-		s.silent = append(s.silent, conn)
+		s.awaitingLine = append(s.awaitingLine, conn)
 		s.pending.Add(1)
 		s.mu.Unlock()
 		go s.serve(conn)
@@ -105,9 +105,9 @@
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxLineBytes), maxLineBytes).ReadString('\n')
 	s.mu.Lock()
-	for i, c := range s.silent {
+	for i, c := range s.awaitingLine {
 		if c == conn {
-			s.silent = append(s.silent[:i:i], s.silent[i+1:]...)
+			s.awaitingLine = append(s.awaitingLine[:i:i], s.awaitingLine[i+1:]...)
 			break
 		}
 	}
--- a/internal/dataplane/admin/admin_test.go
+++ b/internal/dataplane/admin/admin_test.go
@@ -82,8 +82,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.silent) > maxOpenCalls {
-		t.Errorf("%d silent callers are kept, %d at most wanted", len(d.silent), maxOpenCalls)
+	if len(d.awaitingLine) > maxOpenCalls {
+		t.Errorf("%d silent callers are kept, %d at most wanted", len(d.awaitingLine), maxOpenCalls)
 	}
 }
 
--- a/internal/dataplane/authz/api.go
+++ b/internal/dataplane/authz/api.go
@@ -32,18 +32,18 @@
 // The verdicts. Wait is none yet: Decide brings it. Later and Unknown may be
 // answered with a refusal: nothing ran.
 const (
-	Wait    Verdict = iota
-	Pass            // it may go on
-	Deny            // the authenticator said no
-	Later           // the authenticator said: come back later
-	Unknown         // no verdict could be had, and the class does not pass without one
+	Pending    Verdict = iota
+	Allow              // it may go on
+	Deny               // the authenticator said no
+	RetryLater         // the authenticator said: come back later
+	Unknown            // no verdict could be had, and the class does not pass without one
 )
 
 // Answer is how a call ended. Verdict is Pass, Deny, Later or Unknown.
 type Answer struct {
-	Verdict Verdict
-	MaxAge  Time // how long the answer may be kept; below 0: not told
-	After   Time // with Later: when to come back
+	Verdict    Verdict
+	MaxAge     Time // how long the answer may be kept; below 0: not told
+	RetryAfter Time // with Later: when to come back
 }
 
 // Question is a request that waits to go on.
@@ -51,7 +51,7 @@
 	ID          uint64
 	Key         Key
 	Class, Plan int
-	Grace       Time // how long the client waits from now
+	Timeout     Time // how long the client waits from now
 }
 
 // Actions is what a Gate has done. Calls take effect in order.
@@ -66,35 +66,35 @@
 
 // Settings say how a Gate decides. Times are in microseconds.
 type Settings struct {
-	Ask         []bool // by class: whether it is asked about
-	Plans       []bool // by plan: the same; both must hold
-	PassUnknown []bool // by class: whether it passes when no verdict can be had
+	Classes  []bool // by class: whether it is asked about
+	Plans    []bool // by plan: the same; both must hold
+	FailOpen []bool // by class: whether it passes when no verdict can be had
 
-	Budget   Time // the longest that a request waits, and never more than a quarter of its grace
-	AllowFor Time // how long an allowance is kept where it tells nothing,
-	AllowCap Time // and at most
-	DenyFor  Time // how long a denial is kept at most
-	StaleFor Time // how long an allowance that has run out may serve while it is asked again
+	MaxWait     Time // the longest that a request waits, and never more than a quarter of its grace
+	AllowTTL    Time // how long an allowance is kept where it tells nothing,
+	MaxAllowTTL Time // and at most
+	MaxDenyTTL  Time // how long a denial is kept at most
+	StaleTTL    Time // how long an allowance that has run out may serve while it is asked again
 
-	MostOut     int // calls out at once
-	MostWaiting int // requests that wait at once
-	MostKept    int // answers kept
+	MaxCalls   int // calls out at once
+	MaxWaiting int // requests that wait at once
+	MaxCached  int // answers kept
 
-	Fails    int  // failures in a row that open the breaker
-	OpenFor  Time // how long it stays open at first,
-	OpenMost Time // and at most: each failed trial doubles it
+	BreakerFailures int  // failures in a row that open the breaker
+	BreakerMinOpen  Time // how long it stays open at first,
+	BreakerMaxOpen  Time // and at most: each failed trial doubles it
 }
 
 // check tells what can't be served.
 func (s *Settings) check() error {
 	switch {
-	case len(s.Ask) != len(s.PassUnknown):
+	case len(s.Classes) != len(s.FailOpen):
 		return errors.New("authz: as many classes to ask about as to pass wanted")
-	case s.Budget <= 0 || s.MostOut <= 0 || s.MostWaiting <= 0 || s.MostKept <= 0 || s.Fails <= 0:
+	case s.MaxWait <= 0 || s.MaxCalls <= 0 || s.MaxWaiting <= 0 || s.MaxCached <= 0 || s.BreakerFailures <= 0:
 		return errors.New("authz: budget and limits above 0 wanted")
-	case s.AllowFor < 0 || s.AllowCap < 0 || s.DenyFor < 0 || s.StaleFor < 0:
+	case s.AllowTTL < 0 || s.MaxAllowTTL < 0 || s.MaxDenyTTL < 0 || s.StaleTTL < 0:
 		return errors.New("authz: times of 0 and more wanted")
-	case s.OpenFor <= 0 || s.OpenMost < s.OpenFor:
+	case s.BreakerMinOpen <= 0 || s.BreakerMaxOpen < s.BreakerMinOpen:
 		return errors.New("authz: an opening above 0 and no longer than the longest wanted")
 	}
 	return nil
--- a/internal/dataplane/authz/authz_test.go
+++ b/internal/dataplane/authz/authz_test.go
@@ -10,9 +10,9 @@
 
 func settings() Settings {
 	return Settings{
-		Ask: []bool{true, true, false}, Plans: []bool{true, true}, PassUnknown: []bool{false, true, false},
-		Budget: 200 * ms, AllowFor: 10 * second, AllowCap: 60 * second, DenyFor: 2 * second, StaleFor: 5 * second,
-		MostOut: 4, MostWaiting: 50, MostKept: 20, Fails: 3, OpenFor: second, OpenMost: 8 * second,
+		Classes: []bool{true, true, false}, Plans: []bool{true, true}, FailOpen: []bool{false, true, false},
+		MaxWait: 200 * ms, AllowTTL: 10 * second, MaxAllowTTL: 60 * second, MaxDenyTTL: 2 * second, StaleTTL: 5 * second,
+		MaxCalls: 4, MaxWaiting: 50, MaxCached: 20, BreakerFailures: 3, BreakerMinOpen: second, BreakerMaxOpen: 8 * second,
 	}
 }
 
@@ -60,7 +60,7 @@
 // ask asks for a key and returns the request's id and its verdict so far.
 func (r *rig) ask(k, class int) (uint64, Verdict) {
 	r.next++
-	v, _ := r.Request(r.at, Question{ID: r.next, Key: key(k), Class: class, Grace: 3 * second})
+	v, _ := r.Request(r.at, Question{ID: r.next, Key: key(k), Class: class, Timeout: 3 * second})
 	return r.next, v
 }
 
@@ -72,7 +72,7 @@
 	}
 	c := r.out[0]
 	r.out = r.out[1:]
-	r.Answered(r.at, c.number, Answer{Verdict: v, MaxAge: maxAge, After: second})
+	r.HandleAnswer(r.at, c.number, Answer{Verdict: v, MaxAge: maxAge, RetryAfter: second})
 }
 
 func (r *rig) want(what string, got, want Verdict) {
@@ -88,20 +88,20 @@
 	var ids []uint64
 	for range 5 {
 		id, v := r.ask(1, 0)
-		r.want("asked", v, Wait)
+		r.want("asked", v, Pending)
 		ids = append(ids, id)
 	}
 	if len(r.out) != 1 {
 		t.Fatalf("%d calls", len(r.out))
 	}
-	r.answer(Pass, -1)
+	r.answer(Allow, -1)
 	for _, id := range ids {
-		r.want("answered", r.decided[id], Pass)
+		r.want("answered", r.decided[id], Allow)
 	}
 	_, v := r.ask(1, 0)
-	r.want("cached", v, Pass)
+	r.want("cached", v, Allow)
 	_, v = r.ask(9, 2)
-	r.want("a class that is not asked about", v, Pass)
+	r.want("a class that is not asked about", v, Allow)
 	if len(r.out) != 0 {
 		t.Error("asked again")
 	}
@@ -111,26 +111,26 @@
 func TestStaleAllowanceServesWhileAskedAgain(t *testing.T) {
 	r := newRig(t, settings())
 	r.ask(1, 0)
-	r.answer(Pass, 2*second)
+	r.answer(Allow, 2*second)
 	r.at += 3 * second
 	_, v := r.ask(1, 0)
-	r.want("stale", v, Pass)
+	r.want("stale", v, Allow)
 	_, v = r.ask(1, 0)
-	if r.want("stale, asked already", v, Pass); len(r.out) != 1 {
+	if r.want("stale, asked already", v, Allow); len(r.out) != 1 {
 		t.Errorf("%d calls", len(r.out))
 	}
 	r.answer(Unknown, -1)
 	_, v = r.ask(1, 0)
-	r.want("the authenticator fails, the old word still holds", v, Pass)
+	r.want("the authenticator fails, the old word still holds", v, Allow)
 	r.answer(Deny, -1)
 	_, v = r.ask(1, 0)
 	r.want("denied since", v, Deny)
 	r.at += 3 * second
-	if _, v = r.ask(1, 0); v != Wait {
+	if _, v = r.ask(1, 0); v != Pending {
 		t.Errorf("a denial outlived its time: %d", v)
 	}
-	r.answer(Pass, 0)
-	if _, v = r.ask(1, 0); v != Wait {
+	r.answer(Allow, 0)
+	if _, v = r.ask(1, 0); v != Pending {
 		t.Errorf("an answer that must not be kept was: %d", v)
 	}
 }
@@ -144,19 +144,19 @@
 	if r.timerAt != r.at+200*ms {
 		t.Errorf("timer in %d", r.timerAt-r.at)
 	}
-	v, _ := r.Request(r.at, Question{ID: 99, Key: key(1), Grace: 400 * ms})
-	if r.want("short", v, Wait); r.timerAt != r.at+100*ms {
+	v, _ := r.Request(r.at, Question{ID: 99, Key: key(1), Timeout: 400 * ms})
+	if r.want("short", v, Pending); r.timerAt != r.at+100*ms {
 		t.Errorf("timer in %d for a client that waits 400 ms", r.timerAt-r.at)
 	}
 	r.at += 200 * ms
 	r.Timer(r.at)
 	r.want("given up", r.decided[id], Unknown)
-	r.want("its class passes", r.decided[pass], Pass)
+	r.want("its class passes", r.decided[pass], Allow)
 	r.want("short", r.decided[99], Unknown)
-	r.answer(Pass, -1) // late: for the cache only
+	r.answer(Allow, -1) // late: for the cache only
 	_, v = r.ask(1, 0)
-	r.want("after a late answer", v, Pass)
-	if v, _ := r.Request(r.at, Question{ID: 100, Key: key(2), Grace: 0}); v != Unknown {
+	r.want("after a late answer", v, Allow)
+	if v, _ := r.Request(r.at, Question{ID: 100, Key: key(2), Timeout: 0}); v != Unknown {
 		t.Errorf("no time at all: %d", v)
 	}
 }
@@ -172,11 +172,11 @@
 	_, v := r.ask(9, 0)
 	r.want("open", v, Unknown)
 	_, v = r.ask(9, 1)
-	r.want("open, a class that passes", v, Pass)
+	r.want("open, a class that passes", v, Allow)
 	for _, wait := range []Time{second, 2 * second, 4 * second, 8 * second, 8 * second} {
 		r.at += wait
 		trial, v := r.ask(10, 0)
-		r.want("trial", v, Wait)
+		r.want("trial", v, Pending)
 		_, v = r.ask(11, 0)
 		r.want("beside the trial", v, Unknown)
 		r.answer(Unknown, -1)
@@ -185,7 +185,7 @@
 	r.at += 8 * second
 	r.ask(10, 0)
 	r.answer(Deny, -1)
-	if _, v = r.ask(11, 0); v != Wait || r.Open() {
+	if _, v = r.ask(11, 0); v != Pending || r.BreakerOpen() {
 		t.Errorf("closed again: %d", v)
 	}
 }
@@ -193,26 +193,26 @@
 // Calls and requests that wait are bounded: what is more is decided at once.
 func TestBounds(t *testing.T) {
 	set := settings()
-	set.MostWaiting = 6
+	set.MaxWaiting = 6
 	r := newRig(t, set)
 	for k := range 4 {
 		_, v := r.ask(k, 0)
-		r.want("room", v, Wait)
+		r.want("room", v, Pending)
 	}
 	_, v := r.ask(4, 0)
 	r.want("no call left", v, Unknown)
 	for range 2 {
 		_, v = r.ask(0, 0)
-		r.want("joins", v, Wait)
+		r.want("joins", v, Pending)
 	}
 	_, v = r.ask(0, 0)
 	r.want("too many wait", v, Unknown)
 	for k := range 1000 { // ever new tokens
 		r.out = nil
-		r.Answered(r.at, r.Gate.next, Answer{Verdict: Pass, MaxAge: -1})
+		r.HandleAnswer(r.at, r.Gate.lastCall, Answer{Verdict: Allow, MaxAge: -1})
 		r.ask(100+k, 0)
 	}
-	if len(r.cache) > set.MostKept {
+	if len(r.cache) > set.MaxCached {
 		t.Errorf("%d answers kept", len(r.cache))
 	}
 }
@@ -221,28 +221,28 @@
 func TestElsewhere(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(1, 0)
-	if err := r.Set(r.at, settings(), true); err != nil {
+	if err := r.Update(r.at, settings(), true); err != nil {
 		t.Fatal(err)
 	}
 	again, v := r.ask(1, 0)
-	if r.want("new", v, Wait); len(r.out) != 2 {
+	if r.want("new", v, Pending); len(r.out) != 2 {
 		t.Fatalf("%d calls", len(r.out))
 	}
-	r.answer(Pass, -1)
-	r.want("the old one's", r.decided[id], Pass)
+	r.answer(Allow, -1)
+	r.want("the old one's", r.decided[id], Allow)
 	if _, there := r.decided[again]; there {
 		t.Error("the old one's answer served a question to the new one")
 	}
-	r.PassAll(r.at)
-	r.want("switched off", r.decided[again], Pass)
+	r.AllowAll(r.at)
+	r.want("switched off", r.decided[again], Allow)
 	r.answer(Deny, -1)
-	r.Gone(r.at, again)
+	r.Cancel(r.at, again)
 }
 
 func TestBadSettings(t *testing.T) {
 	for i, change := range []func(*Settings){
-		func(s *Settings) { s.Budget = 0 }, func(s *Settings) { s.MostOut = 0 }, func(s *Settings) { s.PassUnknown = nil },
-		func(s *Settings) { s.DenyFor = -1 }, func(s *Settings) { s.OpenMost = s.OpenFor - 1 },
+		func(s *Settings) { s.MaxWait = 0 }, func(s *Settings) { s.MaxCalls = 0 }, func(s *Settings) { s.FailOpen = nil },
+		func(s *Settings) { s.MaxDenyTTL = -1 }, func(s *Settings) { s.BreakerMaxOpen = s.BreakerMinOpen - 1 },
 	} {
 		set := settings()
 		change(&set)
@@ -250,7 +250,7 @@
 			t.Errorf("settings %d were taken", i)
 		}
 		r := newRig(t, settings())
-		if err := r.Set(r.at, set, false); err == nil || r.set.Budget != settings().Budget {
+		if err := r.Update(r.at, set, false); err == nil || r.settings.MaxWait != settings().MaxWait {
 			t.Errorf("settings %d were taken at a reload", i)
 		}
 	}
@@ -263,7 +263,7 @@
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := settings()
-		set.MostOut, set.MostKept, set.Fails = 1+rng.IntN(5), 1+rng.IntN(10), 1+rng.IntN(4)
+		set.MaxCalls, set.MaxCached, set.BreakerFailures = 1+rng.IntN(5), 1+rng.IntN(10), 1+rng.IntN(4)
 		r := newRig(t, set)
 		type word struct {
 			verdict  Verdict
@@ -280,11 +280,11 @@
 		check := func(a *asked, v Verdict, at Time) {
 			w, there := said[a.q.Key]
 			switch {
-			case v == Pass && (a.q.Class == 2 || set.PassUnknown[a.q.Class]):
-			case v == Pass && there && w.verdict == Pass && at <= w.at+w.last+set.StaleFor:
-			case v == Deny && there && w.verdict == Deny && at <= w.at+set.DenyFor:
-			case v == Later && there && w.verdict == Later && at <= w.at+second:
-			case v == Unknown && !set.PassUnknown[a.q.Class]:
+			case v == Allow && (a.q.Class == 2 || set.FailOpen[a.q.Class]):
+			case v == Allow && there && w.verdict == Allow && at <= w.at+w.last+set.StaleTTL:
+			case v == Deny && there && w.verdict == Deny && at <= w.at+set.MaxDenyTTL:
+			case v == RetryLater && there && w.verdict == RetryLater && at <= w.at+second:
+			case v == Unknown && !set.FailOpen[a.q.Class]:
 			default:
 				t.Fatalf("seed %d: verdict %d for key %v at %d, said %+v", seed, v, a.q.Key[0], at, w)
 			}
@@ -295,7 +295,7 @@
 				if a == nil {
 					t.Fatalf("seed %d: a verdict for request %d, which does not wait", seed, id)
 				}
-				if limit := a.at + min(set.Budget, a.q.Grace/4); r.when[id] > limit {
+				if limit := a.at + min(set.MaxWait, a.q.Timeout/4); r.when[id] > limit {
 					t.Fatalf("seed %d: request %d was decided %d late", seed, id, r.when[id]-limit)
 				}
 				check(a, v, r.when[id])
@@ -321,16 +321,16 @@
 			switch x := rng.IntN(10); {
 			case x < 6:
 				a := &asked{q: Question{ID: uint64(len(all) + 1), Key: key(rng.IntN(8)), Class: rng.IntN(3),
-					Grace: Time(rng.Float64() * 3 * float64(second))}, at: r.at}
+					Timeout: Time(rng.Float64() * 3 * float64(second))}, at: r.at}
 				all = append(all, a)
 				before := len(r.out)
 				v, _ := r.Request(r.at, a.q)
-				if v == Wait {
+				if v == Pending {
 					open[a.q.ID] = a
 				} else {
 					check(a, v, r.at)
 				}
-				if len(r.out) > set.MostOut || len(r.out) > before+1 {
+				if len(r.out) > set.MaxCalls || len(r.out) > before+1 {
 					t.Fatalf("seed %d: %d calls out", seed, len(r.out))
 				}
 				for i, c := range r.out {
@@ -340,26 +340,26 @@
 						}
 					}
 				}
-				if len(r.out) > before && unknowns >= set.Fails && len(r.out) > 1 && r.trial && !r.calls[r.out[len(r.out)-1].number].trial {
+				if len(r.out) > before && unknowns >= set.BreakerFailures && len(r.out) > 1 && r.probing && !r.calls[r.out[len(r.out)-1].number].probe {
 					t.Fatalf("seed %d: a call beside a trial", seed)
 				}
 			case x < 9 && len(r.out) > 0:
 				i := rng.IntN(len(r.out))
 				c := r.out[i]
 				r.out = append(r.out[:i:i], r.out[i+1:]...)
-				a := Answer{Verdict: Pass + Verdict(rng.IntN(4)), MaxAge: Time(rng.IntN(4)-1) * second, After: second}
+				a := Answer{Verdict: Allow + Verdict(rng.IntN(4)), MaxAge: Time(rng.IntN(4)-1) * second, RetryAfter: second}
 				if a.Verdict == Unknown {
 					unknowns++
 				} else {
 					unknowns = 0
-					last := set.AllowFor
+					last := set.AllowTTL
 					if a.MaxAge >= 0 {
 						last = a.MaxAge
 					}
 					said[c.key] = word{a.Verdict, r.at, last}
 				}
-				r.Answered(r.at, c.number, a)
-				r.Answered(r.at, c.number, Answer{Verdict: Pass}) // a second one is passed over
+				r.HandleAnswer(r.at, c.number, a)
+				r.HandleAnswer(r.at, c.number, Answer{Verdict: Allow}) // a second one is passed over
 				for id, waits := range open {
 					if _, decided := r.decided[id]; waits.q.Key == c.key && !decided {
 						t.Fatalf("seed %d: request %d still waits though its question was answered", seed, id)
@@ -367,13 +367,13 @@
 				}
 			case len(open) > 0 && x == 9:
 				for id := range open {
-					r.Gone(r.at, id)
+					r.Cancel(r.at, id)
 					delete(open, id)
 					break
 				}
 			}
 			settle()
-			if len(r.cache) > set.MostKept || len(r.waiters) != len(open) {
+			if len(r.cache) > set.MaxCached || len(r.waiters) != len(open) {
 				t.Fatalf("seed %d: %d kept, %d wait, %d should", seed, len(r.cache), len(r.waiters), len(open))
 			}
 		}
@@ -392,8 +392,8 @@
 func BenchmarkCached(b *testing.B) {
 	r := newRig(b, settings())
 	r.ask(1, 0)
-	r.answer(Pass, -1)
-	q := Question{Key: key(1), Grace: second}
+	r.answer(Allow, -1)
+	q := Question{Key: key(1), Timeout: second}
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Request(r.at, q)
@@ -402,12 +402,12 @@
 
 func BenchmarkAsked(b *testing.B) {
 	r := newRig(b, settings())
-	r.set.MostKept = 1000
+	r.settings.MaxCached = 1000
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		v, _ := r.Request(r.at, Question{ID: uint64(i), Key: key(i), Grace: second})
-		if v == Wait {
-			r.Answered(r.at, r.Gate.next, Answer{Verdict: Pass, MaxAge: -1})
+		v, _ := r.Request(r.at, Question{ID: uint64(i), Key: key(i), Timeout: second})
+		if v == Pending {
+			r.HandleAnswer(r.at, r.Gate.lastCall, Answer{Verdict: Allow, MaxAge: -1})
 			clear(r.decided)
 			r.out = r.out[:0]
 		}
@@ -419,12 +419,12 @@
 	const many = 100_000
 	for b.Loop() {
 		r := newRig(b, settings())
-		r.set.MostKept = many
+		r.settings.MaxCached = many
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range many {
-			r.keep(key(i), Answer{Verdict: Pass, MaxAge: -1})
+			r.store(key(i), Answer{Verdict: Allow, MaxAge: -1})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/dataplane/forwardauth/client.go
+++ b/internal/dataplane/forwardauth/client.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	mostHeader = 16 << 10 // bytes of an answer's header
-	mostBody   = 4 << 10  // bytes of its body that are read so that the connection is kept
-	mostLater  = time.Hour
-	laterElse  = time.Second // where a 429 does not say when
+	maxHeaderBytes    = 16 << 10 // bytes of an answer's header
+	maxBodyBytes      = 4 << 10  // bytes of its body that are read so that the connection is kept
+	maxRetryAfter     = time.Hour
+	defaultRetryAfter = time.Second // where a 429 does not say when
 )
 
 // Settings say whom to ask, and how. The zero value asks nobody.
@@ -43,16 +43,16 @@
 	TokensFile string        // lines of a customer and its token; "": none
 	CAFile     string        // PEM; "": the system's authorities
 	Timeout    time.Duration // of a call
-	MostOut    int           // connections
+	MaxConns   int           // connections
 }
 
 // Client asks one authenticator.
 type Client struct {
-	url    string
-	header http.Header
-	http   *http.Client
-	wait   time.Duration
-	tokens map[string]*Credential // by customer
+	url     string
+	header  http.Header
+	http    *http.Client
+	timeout time.Duration
+	tokens  map[string]*Credential // by customer
 }
 
 // NewClient makes a client. It reads the files that the settings name; an error
@@ -65,9 +65,9 @@
 	if u.User != nil || u.Fragment != "" {
 		return nil, errors.New("auth.url: holds credentials or a fragment")
 	}
-	c := &Client{url: s.URL, header: http.Header{}, wait: s.Timeout}
+	c := &Client{url: s.URL, header: http.Header{}, timeout: s.Timeout}
 	for name, value := range s.Headers {
-		if !token(name) || !plain(value) || reserved(name) {
+		if !validHeaderName(name) || !validHeaderValue(value) || reservedHeader(name) {
 			return nil, fmt.Errorf("auth.headers: %q can't be set", name)
 		}
 		c.header.Set(name, value)
@@ -78,7 +78,7 @@
 			return nil, fmt.Errorf("auth.secret_file: %w", err)
 		}
 		secret := strings.TrimSpace(string(raw))
-		if secret == "" || !plain(secret) || !token(s.SecretName) || reserved(s.SecretName) {
+		if secret == "" || !validHeaderValue(secret) || !validHeaderName(s.SecretName) || reservedHeader(s.SecretName) {
 			return nil, fmt.Errorf("auth.secret_file: no secret in one line, or no header %q to put it in", s.SecretName)
 		}
 		c.header.Set(s.SecretName, secret)
@@ -89,8 +89,8 @@
 		}
 	}
 	transport := &http.Transport{
-		Proxy: nil, DisableCompression: true, MaxResponseHeaderBytes: mostHeader,
-		MaxConnsPerHost: s.MostOut, MaxIdleConnsPerHost: s.MostOut, IdleConnTimeout: 30 * time.Second,
+		Proxy: nil, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
+		MaxConnsPerHost: s.MaxConns, MaxIdleConnsPerHost: s.MaxConns, IdleConnTimeout: 30 * time.Second,
 		DialContext:         (&net.Dialer{Timeout: s.Timeout}).DialContext,
 		TLSHandshakeTimeout: s.Timeout, ForceAttemptHTTP2: u.Scheme == "https",
 	}
@@ -143,14 +143,14 @@
 	Named        bool // there is a user
 }
 
-const mostCredential = 8 << 10 // bytes
+const maxCredentialBytes = 8 << 10 // bytes
 
 // NewCredential checks what a client gave: it must fit a header.
 func NewCredential(user, secret string, named bool) (*Credential, error) {
 	switch {
-	case len(user)+len(secret) > mostCredential:
+	case len(user)+len(secret) > maxCredentialBytes:
 		return nil, errors.New("credential: too long")
-	case secret == "" || !plain(user) || !plain(secret) || strings.Contains(user, ":"):
+	case secret == "" || !validHeaderValue(user) || !validHeaderValue(secret) || strings.Contains(user, ":"):
 		return nil, errors.New("credential: characters that no header may hold")
 	}
 	return &Credential{user, secret, named}, nil
@@ -170,7 +170,7 @@
 	Customer, Plan, Class string
 	Units                 float64
 	Write                 bool
-	From                  string // the address of the client's connection
+	ClientAddress         string // the address of the client's connection
 }
 
 // Key is the question in short: all that a verdict may depend on but the address.
@@ -196,17 +196,17 @@
 	return k
 }
 
-// Ask makes one call and tells how it ended. No error text leaves it: it might
+// Authorize makes one call and tells how it ended. No error text leaves it: it might
 // hold a token.
-func (c *Client) Ask(ctx context.Context, q *Question) authz.Answer {
+func (c *Client) Authorize(ctx context.Context, q *Question) authz.Answer {
 	unknown := authz.Answer{Verdict: authz.Unknown, MaxAge: -1}
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return unknown
 	}
-	q.fill(req.Header)
+	q.setHeaders(req.Header)
 	for name, values := range c.header {
 		req.Header[name] = values
 	}
@@ -216,15 +216,15 @@
 	}
 	defer res.Body.Close()
 	// A verdict is in the head: a body that drips or has no end holds nobody up.
-	answer := judge(res.StatusCode, res.Header, time.Now())
-	if res.ContentLength >= 0 && res.ContentLength <= mostBody {
-		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, mostBody))
+	answer := parseAnswer(res.StatusCode, res.Header, time.Now())
+	if res.ContentLength >= 0 && res.ContentLength <= maxBodyBytes {
+		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxBodyBytes))
 	}
 	return answer
 }
 
-// fill writes the headers that tell of a request.
-func (q *Question) fill(h http.Header) {
+// setHeaders writes the headers that tell of a request.
+func (q *Question) setHeaders(h http.Header) {
 	method := http.MethodGet
 	if q.Write {
 		method = http.MethodPost
@@ -233,7 +233,7 @@
 	h.Set("X-Forwarded-Proto", "redis")
 	h.Set("X-Forwarded-Host", "mothcleat")
 	h.Set("X-Forwarded-Uri", "/"+url.PathEscape(q.Class))
-	if host, _, err := net.SplitHostPort(q.From); err == nil {
+	if host, _, err := net.SplitHostPort(q.ClientAddress); err == nil {
 		h.Set("X-Forwarded-For", host)
 	}
 	h.Set("X-Mothcleat-Customer", q.Customer)
@@ -246,15 +246,15 @@
 	}
 }
 
-// judge reads the verdict from an answer's head.
-func judge(status int, h http.Header, now time.Time) authz.Answer {
+// parseAnswer reads the verdict from an answer's head.
+func parseAnswer(status int, h http.Header, now time.Time) authz.Answer {
 	switch {
 	case status >= 200 && status < 300:
-		return authz.Answer{Verdict: authz.Pass, MaxAge: maxAge(h)}
+		return authz.Answer{Verdict: authz.Allow, MaxAge: maxAge(h)}
 	case status == http.StatusUnauthorized || status == http.StatusForbidden:
 		return authz.Answer{Verdict: authz.Deny, MaxAge: maxAge(h)}
 	case status == http.StatusTooManyRequests:
-		return authz.Answer{Verdict: authz.Later, MaxAge: -1, After: retryAfter(h, now).Microseconds()}
+		return authz.Answer{Verdict: authz.RetryLater, MaxAge: -1, RetryAfter: retryAfter(h, now).Microseconds()}
 	}
 	return authz.Answer{Verdict: authz.Unknown, MaxAge: -1}
 }
@@ -286,17 +286,17 @@
 // retryAfter is when to come back, at least 1 ms from now.
 func retryAfter(h http.Header, now time.Time) time.Duration {
 	value := strings.TrimSpace(h.Get("Retry-After"))
-	after := laterElse
+	after := defaultRetryAfter
 	if s, err := strconv.ParseInt(value, 10, 64); err == nil {
-		after = time.Duration(min(max(s, 0), int64(mostLater/time.Second))) * time.Second
+		after = time.Duration(min(max(s, 0), int64(maxRetryAfter/time.Second))) * time.Second
 	} else if at, err := http.ParseTime(value); err == nil {
 		after = at.Sub(now)
 	}
-	return min(max(after, time.Millisecond), mostLater)
+	return min(max(after, time.Millisecond), maxRetryAfter)
 }
 
-// plain tells whether a text can stand in a header's value.
-func plain(s string) bool {
+// validHeaderValue tells whether a text can stand in a header's value.
+func validHeaderValue(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] >= 0x7f {
 			return false
@@ -305,8 +305,8 @@
 	return strings.TrimSpace(s) == s
 }
 
-// token tells whether a text can be a header's name.
-func token(s string) bool {
+// validHeaderName tells whether a text can be a header's name.
+func validHeaderName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0) {
@@ -316,8 +316,8 @@
 	return s != ""
 }
 
-// reserved tells whether a header is the program's own to set.
-func reserved(name string) bool {
+// reservedHeader tells whether a header is the program's own to set.
+func reservedHeader(name string) bool {
 	switch name = http.CanonicalHeaderKey(name); name {
 	case "Authorization", "Host", "Content-Length", "Transfer-Encoding", "Connection", "Upgrade", "Te", "Trailer":
 		return true
--- a/internal/dataplane/forwardauth/client_test.go
+++ b/internal/dataplane/forwardauth/client_test.go
@@ -26,8 +26,8 @@
 	if s.Timeout == 0 {
 		s.Timeout = patience
 	}
-	if s.MostOut == 0 {
-		s.MostOut = 4
+	if s.MaxConns == 0 {
+		s.MaxConns = 4
 	}
 	c, err := NewClient(s)
 	if err != nil {
@@ -39,7 +39,7 @@
 
 func question() *Question {
 	return &Question{Credential: &Credential{Secret: "t0ken"}, Customer: "0000000000000007", Plan: "team", Class: "order", Units: 2.5,
-		Write: true, From: "127.0.0.1:5"}
+		Write: true, ClientAddress: "127.0.0.1:5"}
 }
 
 // raw is an authenticator that answers with bytes, each connection once.
@@ -77,13 +77,13 @@
 		want   authz.Verdict
 		maxAge authz.Time
 	}{
-		{"allow", text("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), authz.Pass, -1},
-		{"allow without a body", text("HTTP/1.1 204 No Content\r\nCache-Control: private, max-age=7\r\n\r\n"), authz.Pass, 7e6},
-		{"allow, not to be kept", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=9, no-store\r\nContent-Length: 0\r\n\r\n"), authz.Pass, 0},
-		{"allow, an age that is none", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=soon\r\nContent-Length: 0\r\n\r\n"), authz.Pass, 0},
+		{"allow", text("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), authz.Allow, -1},
+		{"allow without a body", text("HTTP/1.1 204 No Content\r\nCache-Control: private, max-age=7\r\n\r\n"), authz.Allow, 7e6},
+		{"allow, not to be kept", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=9, no-store\r\nContent-Length: 0\r\n\r\n"), authz.Allow, 0},
+		{"allow, an age that is none", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=soon\r\nContent-Length: 0\r\n\r\n"), authz.Allow, 0},
 		{"deny", text("HTTP/1.1 401 No\r\nContent-Length: 0\r\n\r\n"), authz.Deny, -1},
 		{"forbid", text("HTTP/1.1 403 No\r\nContent-Length: 0\r\n\r\n"), authz.Deny, -1},
-		{"later", text("HTTP/1.1 429 No\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"), authz.Later, -1},
+		{"later", text("HTTP/1.1 429 No\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"), authz.RetryLater, -1},
 		{"fault", text("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), authz.Unknown, -1},
 		{"redirect", text("HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n"), authz.Unknown, -1},
 		{"1xx ahead", text("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 403 No\r\nContent-Length: 0\r\n\r\n"), authz.Deny, -1},
@@ -113,18 +113,18 @@
 					return
 				}
 			}
-		}, authz.Pass, -1},
+		}, authz.Allow, -1},
 		{"half a body", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
-		}, authz.Pass, -1},
+		}, authz.Allow, -1},
 	} {
 		wait := patience
 		if c.name == "hangs" || c.name == "header drips" {
 			wait = 100 * time.Millisecond // it is to run out
 		}
 		cl := client(t, Settings{URL: raw(t, c.answer), Timeout: wait})
-		a := cl.Ask(context.Background(), question())
-		if a.Verdict != c.want || a.MaxAge != c.maxAge || c.want == authz.Later && a.After != 3e6 {
+		a := cl.Authorize(context.Background(), question())
+		if a.Verdict != c.want || a.MaxAge != c.maxAge || c.want == authz.RetryLater && a.RetryAfter != 3e6 {
 			t.Errorf("%s: %+v, want verdict %d, age %d", c.name, a, c.want, c.maxAge)
 		}
 	}
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	c := client(t, Settings{URL: s.URL + "/verify?x=1", Headers: map[string]string{"X-Site": "caxias"}, SecretName: "X-Secret", SecretFile: file})
-	if a := c.Ask(context.Background(), question()); a.Verdict != authz.Pass {
+	if a := c.Authorize(context.Background(), question()); a.Verdict != authz.Allow {
 		t.Fatalf("%+v", a)
 	}
 	r := <-got
@@ -182,14 +182,14 @@
 	}
 	c := client(t, Settings{URL: s.URL, CAFile: ca})
 	for range 5 {
-		if a := c.Ask(context.Background(), question()); a.Verdict != authz.Later || a.After != 2e6 {
+		if a := c.Authorize(context.Background(), question()); a.Verdict != authz.RetryLater || a.RetryAfter != 2e6 {
 			t.Errorf("%+v: HTTP/2 was wanted", a)
 		}
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for 5 calls", n)
 	}
-	if a := client(t, Settings{URL: s.URL}).Ask(context.Background(), question()); a.Verdict != authz.Unknown {
+	if a := client(t, Settings{URL: s.URL}).Authorize(context.Background(), question()); a.Verdict != authz.Unknown {
 		t.Errorf("a certificate that nobody vouches for: %+v", a)
 	}
 }
@@ -240,7 +240,7 @@
 func TestKeys(t *testing.T) {
 	a := question()
 	b := question()
-	b.From = "127.0.0.9:1"
+	b.ClientAddress = "127.0.0.9:1"
 	if a.Key() != b.Key() {
 		t.Error("the address makes another question")
 	}
@@ -272,10 +272,10 @@
 	}
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		c := client(t, Settings{URL: raw(t, func(c net.Conn) { _, _ = c.Write(answer) })})
-		a := c.Ask(context.Background(), question())
+		a := c.Authorize(context.Background(), question())
 		switch {
-		case a.Verdict < authz.Pass || a.Verdict > authz.Unknown, a.MaxAge < -1, a.MaxAge > 24*3600*1e6,
-			a.After < 0, a.After > mostLater.Microseconds(), a.Verdict == authz.Later && a.After == 0:
+		case a.Verdict < authz.Allow || a.Verdict > authz.Unknown, a.MaxAge < -1, a.MaxAge > 24*3600*1e6,
+			a.RetryAfter < 0, a.RetryAfter > maxRetryAfter.Microseconds(), a.Verdict == authz.RetryLater && a.RetryAfter == 0:
 			t.Errorf("%q: %+v", answer, a)
 		}
 	})
--- a/internal/dataplane/forwardauth/step.go
+++ b/internal/dataplane/forwardauth/step.go
@@ -26,21 +26,21 @@
 	client   *Client
 	settings Settings
 	ctx      context.Context
-	asking   *Question // of the request at hand
-	on       bool
+	current  *Question // of the request at hand
+	enabled  bool
 }
 
 // NewStep makes a step that asks nobody until Set tells whom.
 func NewStep(ctx context.Context, host Host) *Step { return &Step{ctx: ctx, host: host} }
 
-// Set takes in settings: on at the first that name an authenticator, off again
+// Update takes in settings: on at the first that name an authenticator, off again
 // with those that name none. Those who wait are served in either case. An error
 // leaves all as it was.
-func (s *Step) Set(set Settings, rules authz.Settings, seed uint64) error {
+func (s *Step) Update(set Settings, rules authz.Settings, seed uint64) error {
 	if set.URL == "" {
-		if s.on {
-			s.on = false
-			s.gate.PassAll(s.host.Now())
+		if s.enabled {
+			s.enabled = false
+			s.gate.AllowAll(s.host.Now())
 			s.client.Close()
 		}
 		return nil
@@ -53,43 +53,43 @@
 		if s.gate, err = authz.New(rules, seed, s); err != nil {
 			return fmt.Errorf("auth: %w", err)
 		}
-	} else if err := s.gate.Set(s.host.Now(), rules, set.URL != s.settings.URL || !s.on); err != nil {
+	} else if err := s.gate.Update(s.host.Now(), rules, set.URL != s.settings.URL || !s.enabled); err != nil {
 		return fmt.Errorf("auth: %w", err)
 	}
 	if s.client != nil {
 		s.client.Close()
 	}
-	s.client, s.settings, s.on = client, set, true
+	s.client, s.settings, s.enabled = client, set, true
 	return nil
 }
 
-// On tells whether requests are to be put to Request.
-func (s *Step) On() bool { return s != nil && s.on }
+// Enabled tells whether requests are to be put to Request.
+func (s *Step) Enabled() bool { return s != nil && s.enabled }
 
 // Request decides on a request, or has it wait for Decided.
 func (s *Step) Request(id uint64, q *Question, class, plan int, grace authz.Time) (authz.Verdict, authz.Time) {
 	if q.Credential == nil {
 		q.Credential = s.client.tokens[q.Customer]
 	}
-	s.asking = q
-	defer func() { s.asking = nil }()
-	return s.gate.Request(s.host.Now(), authz.Question{ID: id, Key: q.Key(), Class: class, Plan: plan, Grace: grace})
+	s.current = q
+	defer func() { s.current = nil }()
+	return s.gate.Request(s.host.Now(), authz.Question{ID: id, Key: q.Key(), Class: class, Plan: plan, Timeout: grace})
 }
 
-// Gone tells that a request needs no verdict any more.
-func (s *Step) Gone(id uint64) {
+// Cancel tells that a request needs no verdict any more.
+func (s *Step) Cancel(id uint64) {
 	if s.gate != nil {
-		s.gate.Gone(s.host.Now(), id)
+		s.gate.Cancel(s.host.Now(), id)
 	}
 }
 
 // Call begins a call for the question at hand: a gate asks only while it decides
 // on a request.
 func (s *Step) Call(number uint64, _ authz.Key) {
-	client, q := s.client, s.asking
+	client, q := s.client, s.current
 	go func() {
-		answer := client.Ask(s.ctx, q)
-		s.host.Post(func() { s.gate.Answered(s.host.Now(), number, answer) })
+		answer := client.Authorize(s.ctx, q)
+		s.host.Post(func() { s.gate.HandleAnswer(s.host.Now(), number, answer) })
 	}()
 }
 
--- a/internal/dataplane/forwardauth/step_test.go
+++ b/internal/dataplane/forwardauth/step_test.go
@@ -66,22 +66,22 @@
 	defer s.Close()
 	h := &fakeHost{t: t, events: make(chan func(), many), decided: map[uint64]authz.Verdict{}}
 	step := NewStep(context.Background(), h)
-	rules := authz.Settings{Ask: []bool{true}, PassUnknown: []bool{false}, Plans: []bool{true}, Budget: time.Hour.Microseconds(),
-		AllowFor: 1e6, AllowCap: 1e6, DenyFor: 1e6, MostOut: calls, MostWaiting: many, MostKept: many, Fails: 3, OpenFor: 1000, OpenMost: 2000}
-	if err := step.Set(Settings{URL: s.URL, Timeout: patience, MostOut: calls}, rules, 1); err != nil {
+	rules := authz.Settings{Classes: []bool{true}, FailOpen: []bool{false}, Plans: []bool{true}, MaxWait: time.Hour.Microseconds(),
+		AllowTTL: 1e6, MaxAllowTTL: 1e6, MaxDenyTTL: 1e6, MaxCalls: calls, MaxWaiting: many, MaxCached: many, BreakerFailures: 3, BreakerMinOpen: 1000, BreakerMaxOpen: 2000}
+	if err := step.Update(Settings{URL: s.URL, Timeout: patience, MaxConns: calls}, rules, 1); err != nil {
 		t.Fatal(err)
 	}
 	next, atOnce := uint64(0), 0
 	ask := func(customer int) authz.Verdict {
 		next++
-		v, _ := step.Request(next, &Question{Customer: string(rune('a' + customer)), From: "127.0.0.1:1"}, 0, 0, 1e12)
+		v, _ := step.Request(next, &Question{Customer: string(rune('a' + customer)), ClientAddress: "127.0.0.1:1"}, 0, 0, 1e12)
 		return v
 	}
 	down.Store(true)
 	for i := range many {
 		if v := ask(i % (calls + 4)); v == authz.Unknown {
 			atOnce++ // no call was left for its question
-		} else if v != authz.Wait {
+		} else if v != authz.Pending {
 			t.Fatalf("verdict %d", v)
 		}
 	}
@@ -95,16 +95,16 @@
 			t.Fatalf("request %d: verdict %d of an authenticator that died", id, v)
 		}
 	}
-	if !step.gate.Open() {
+	if !step.gate.BreakerOpen() {
 		t.Error("the breaker is closed")
 	}
 	down.Store(false)
 	h.until("an allowance after its return", func() bool {
-		if v := ask(0); v == authz.Wait {
+		if v := ask(0); v == authz.Pending {
 			id := next
 			h.until("its verdict", func() bool { _, there := h.decided[id]; return there })
-			return h.decided[id] == authz.Pass
-		} else if v == authz.Pass {
+			return h.decided[id] == authz.Allow
+		} else if v == authz.Allow {
 			return true
 		}
 		time.Sleep(time.Millisecond) // the breaker's time passes
@@ -119,30 +119,30 @@
 func TestSet(t *testing.T) {
 	h := &fakeHost{t: t, events: make(chan func(), 8), decided: map[uint64]authz.Verdict{}}
 	step := NewStep(context.Background(), h)
-	rules := authz.Settings{Ask: []bool{true}, PassUnknown: []bool{false}, Plans: []bool{true}, Budget: 1e6, MostOut: 1, MostWaiting: 1,
-		MostKept: 1, Fails: 1, OpenFor: 1, OpenMost: 1}
+	rules := authz.Settings{Classes: []bool{true}, FailOpen: []bool{false}, Plans: []bool{true}, MaxWait: 1e6, MaxCalls: 1, MaxWaiting: 1,
+		MaxCached: 1, BreakerFailures: 1, BreakerMinOpen: 1, BreakerMaxOpen: 1}
 	var none *Step
-	if none.On() || step.On() {
+	if none.Enabled() || step.Enabled() {
 		t.Error("on before anything was set")
 	}
-	step.Gone(1)
-	if err := step.Set(Settings{}, authz.Settings{}, 1); err != nil || step.On() {
+	step.Cancel(1)
+	if err := step.Update(Settings{}, authz.Settings{}, 1); err != nil || step.Enabled() {
 		t.Errorf("off: %v", err)
 	}
-	good := Settings{URL: "http://127.0.0.1:1/", Timeout: time.Second, MostOut: 1}
-	if err := step.Set(good, authz.Settings{}, 1); err == nil || step.On() {
+	good := Settings{URL: "http://127.0.0.1:1/", Timeout: time.Second, MaxConns: 1}
+	if err := step.Update(good, authz.Settings{}, 1); err == nil || step.Enabled() {
 		t.Error("rules that can't be used were taken")
 	}
-	if err := step.Set(good, rules, 1); err != nil || !step.On() {
+	if err := step.Update(good, rules, 1); err != nil || !step.Enabled() {
 		t.Errorf("on: %v", err)
 	}
-	if err := step.Set(Settings{URL: "nowhere"}, rules, 1); err == nil || !step.On() || step.settings.URL != good.URL {
+	if err := step.Update(Settings{URL: "nowhere"}, rules, 1); err == nil || !step.Enabled() || step.settings.URL != good.URL {
 		t.Error("a bad address changed something")
 	}
-	if v, _ := step.Request(1, &Question{}, 0, 0, 4e9); v != authz.Wait {
+	if v, _ := step.Request(1, &Question{}, 0, 0, 4e9); v != authz.Pending {
 		t.Errorf("verdict %d", v)
 	}
-	if err := step.Set(Settings{}, authz.Settings{}, 1); err != nil || step.On() || h.decided[1] != authz.Pass {
+	if err := step.Update(Settings{}, authz.Settings{}, 1); err != nil || step.Enabled() || h.decided[1] != authz.Allow {
 		t.Errorf("switched off: %v, verdict %d", err, h.decided[1])
 	}
 }
--- a/internal/dataplane/gateway/admin.go
+++ b/internal/dataplane/gateway/admin.go
@@ -81,7 +81,7 @@
 
 // gauges returns the current values that vars shows beside the counters.
 func (g *Gateway) gauges() metrics.Gauges {
-	now := metrics.Gauges{Current: g.requests.open}
-	now.Size, now.Unhealthy = g.balancer.CountBackends()
+	now := metrics.Gauges{OpenRequests: g.requests.open}
+	now.Backends, now.UnhealthyBackends = g.balancer.CountBackends()
 	return now
 }
--- a/internal/dataplane/gateway/authorization.go
+++ b/internal/dataplane/gateway/authorization.go
@@ -35,10 +35,10 @@
 	if g.auth == nil {
 		g.auth = forwardauth.NewStep(g.authContext, (*authHost)(g))
 	}
-	if err := g.auth.Set(a.Settings, a.Rules, g.cfg.Seed^authSeedMask); err != nil {
+	if err := g.auth.Update(a.Settings, a.Rules, g.cfg.Seed^authSeedMask); err != nil {
 		return err
 	}
-	g.authEnabled.Store(g.auth.On())
+	g.authEnabled.Store(g.auth.Enabled())
 	return nil
 }
 
@@ -47,16 +47,16 @@
 func (g *Gateway) authorize(r *request, what policy.Request) {
 	r.awaitingAuth = &what
 	question := &forwardauth.Question{
-		Credential: r.client.credential,
-		Customer:   string(r.args[1]),
-		Plan:       g.cfg.Host.Plans[what.Plan],
-		Class:      g.cfg.Host.Classes[what.Class],
-		Units:      what.Units,
-		Write:      bytes.EqualFold(r.args[0], writeCommand),
-		From:       r.client.conn.RemoteAddr().String(),
+		Credential:    r.client.credential,
+		Customer:      string(r.args[1]),
+		Plan:          g.cfg.Host.Plans[what.Plan],
+		Class:         g.cfg.Host.Classes[what.Class],
+		Units:         what.Units,
+		Write:         bytes.EqualFold(r.args[0], writeCommand),
+		ClientAddress: r.client.conn.RemoteAddr().String(),
 	}
 	verdict, retryAfter := g.auth.Request(r.id, question, what.Class, what.Plan, what.Timeout)
-	if verdict != authz.Wait {
+	if verdict != authz.Pending {
 		g.authorized(r.id, verdict, retryAfter)
 	}
 }
@@ -72,14 +72,14 @@
 	switch {
 	case verdict == authz.Deny:
 		g.answer(r, deniedReply)
-	case verdict == authz.Pass && g.lifecycle.AdmitsRequests(g.now()):
+	case verdict == authz.Allow && g.lifecycle.AdmitsRequests(g.now()):
 		now := g.now()
 		what.Timeout = max(0, r.deadline-now)
 		if g.acquireVersionLease(r) {
 			g.applyAssignedPlan(&what)
 			g.balancer.Request(now, what)
 		}
-	case verdict == authz.Later:
+	case verdict == authz.RetryLater:
 		g.answer(r, g.retryLaterReply(retryAfter))
 	default:
 		g.answer(r, g.retryLaterReply(overloadRetryAfter))
@@ -90,7 +90,7 @@
 func (g *Gateway) cancelAuthorization(r *request) {
 	if r.awaitingAuth != nil {
 		r.awaitingAuth = nil
-		g.auth.Gone(r.id)
+		g.auth.Cancel(r.id)
 	}
 }
 
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -47,22 +47,22 @@
 func asking(t testing.TB, d *fakeDiscovery, url string) Config {
 	cfg := configure(t, d, nil)
 	cfg.Auth = Auth{
-		Settings: forwardauth.Settings{URL: url, Timeout: patience, MostOut: 8},
+		Settings: forwardauth.Settings{URL: url, Timeout: patience, MaxConns: 8},
 		Rules: authz.Settings{
-			Ask:         []bool{true, true, false},
-			PassUnknown: []bool{false, true, false},
-			Plans:       []bool{true, true},
-			Budget:      60 * us,
-			AllowFor:    60 * us,
-			AllowCap:    60 * us,
-			DenyFor:     60 * us,
-			StaleFor:    0,
-			MostOut:     8,
-			MostWaiting: 100,
-			MostKept:    100,
-			Fails:       100,
-			OpenFor:     us,
-			OpenMost:    us,
+			Classes:         []bool{true, true, false},
+			FailOpen:        []bool{false, true, false},
+			Plans:           []bool{true, true},
+			MaxWait:         60 * us,
+			AllowTTL:        60 * us,
+			MaxAllowTTL:     60 * us,
+			MaxDenyTTL:      60 * us,
+			StaleTTL:        0,
+			MaxCalls:        8,
+			MaxWaiting:      100,
+			MaxCached:       100,
+			BreakerFailures: 100,
+			BreakerMinOpen:  us,
+			BreakerMaxOpen:  us,
 		},
 	}
 	return cfg
@@ -136,7 +136,7 @@
 // A hung authenticator delays no request beyond its budget. A request of a class that passes
 // without a verdict is sent once, though the verdict comes later.
 func TestHungAuthenticatorTimesOut(t *testing.T) {
-	r, b, _, calls := askingRig(t, func(c *Config) { c.Auth.Rules.Budget = 50_000 })
+	r, b, _, calls := askingRig(t, func(c *Config) { c.Auth.Rules.MaxWait = 50_000 })
 	c := r.client(t)
 	c.lookup(1, "86400000")
 	wait(t, calls, "a question")
@@ -246,7 +246,7 @@
 			t,
 			r.gateway,
 			"the reload",
-			func(g *Gateway) bool { return g.metrics.Loaded.Load() == 2 },
+			func(g *Gateway) bool { return g.metrics.ConfigLoads.Load() == 2 },
 		)
 		other.send("AUTH", "x")
 		other.want("+OK")
--- a/internal/dataplane/gateway/backend_reply.go
+++ b/internal/dataplane/gateway/backend_reply.go
@@ -24,7 +24,7 @@
 	c.reader = in
 	for {
 		e := replyRead{conn: c}
-		var long resp.Long
+		var long resp.LongValue
 		e.err = in.Await()
 		if e.err == nil {
 			_ = c.conn.SetReadDeadline(time.Now().Add(replyTimeout))
--- a/internal/dataplane/gateway/client_reader.go
+++ b/internal/dataplane/gateway/client_reader.go
@@ -70,7 +70,7 @@
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return readDisconnected
 		}
-		g.post(readingParted{c, in.Rest()})
+		g.post(readingParted{c, in.Unread()})
 		return c.awaitHangUp()
 	}
 	if c.reading.haltedBy(err) {
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -117,7 +117,7 @@
 	if err := g.openSockets(); err != nil {
 		return nil, err
 	}
-	g.metrics.Loaded.Add(1)
+	g.metrics.ConfigLoads.Add(1)
 	if g.snapshots.Store != nil && !g.snapshots.Successor {
 		g.restoreSnapshot()
 	}
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -188,7 +188,7 @@
 	c.reading.inheritedCommands = head.HeldCommands
 	c.reading.inheritedAge = head.AgeUS
 	c.reading.inheritedAt = now
-	g.metrics.PassedIn.Add(1)
+	g.metrics.ConnsReceived.Add(1)
 	g.startClient(c)
 }
 
@@ -308,7 +308,7 @@
 	passed := c.handedState(g.now())
 	c.endReader()
 	g.clients.remove(c)
-	g.metrics.PassedOn.Add(1)
+	g.metrics.ConnsPassed.Add(1)
 	g.handover.connsToPass <- passed
 }
 
--- a/internal/dataplane/gateway/reload.go
+++ b/internal/dataplane/gateway/reload.go
@@ -32,7 +32,7 @@
 		case <-c.Reload:
 			cfg, err := c.ReadConfig()
 			if err != nil {
-				g.metrics.Invalid.Add(1)
+				g.metrics.ConfigErrors.Add(1)
 				g.log.Error("reload: the old configuration stays", "error", err)
 				continue
 			}
@@ -71,7 +71,7 @@
 	if err := g.setAuth(e.cfg.Auth); err != nil {
 		g.log.Error("reload: the authenticator's settings stay as they were", "error", err)
 	}
-	g.metrics.Loaded.Add(1)
+	g.metrics.ConfigLoads.Add(1)
 	g.snapshots.interval = snapshotInterval(e.cfg.Restart)
 }
 
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -159,11 +159,11 @@
 	switch {
 	case !r.classKnown:
 	case len(reply) > 4 && string(reply[:5]) == "-BUSY":
-		counters.End(r.class, metrics.Deferred)
+		counters.CountRequest(r.class, metrics.Rejected)
 	case len(reply) > 0 && reply[0] == '-':
-		counters.End(r.class, metrics.Errored)
+		counters.CountRequest(r.class, metrics.Failed)
 	default:
-		counters.End(r.class, metrics.Answered)
+		counters.CountRequest(r.class, metrics.Answered)
 	}
 }
 
@@ -182,7 +182,7 @@
 		g.answer(r, g.retryLaterReply(overloadRetryAfter)) // it arrived during a suspension
 		return
 	}
-	if g.auth.On() {
+	if g.auth.Enabled() {
 		g.authorize(r, what)
 		return
 	}
--- a/internal/dataplane/gateway/shutdown_race_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -404,7 +404,7 @@
 			if n := ask(
 				t,
 				r.gateway,
-				func(g *Gateway) int { return g.gauges().Unhealthy },
+				func(g *Gateway) int { return g.gauges().UnhealthyBackends },
 			); n != 0 {
 				t.Error("the backend is held for dead")
 			}
--- a/internal/dataplane/gateway/streamed_value.go
+++ b/internal/dataplane/gateway/streamed_value.go
@@ -31,21 +31,21 @@
 type streamedValue struct {
 	request *request
 	conn    *backendConn
-	header  resp.Long
+	header  resp.LongValue
 	started bool // its turn in the client's pipeline has come
 	ended   bool
 }
 
 // receiveStreamed asks the event loop who gets a long value, and waits until it is copied. It runs
 // on the connection's reader goroutine and reports whether the connection can be read on.
-func (c *backendConn) receiveStreamed(g *Gateway, header resp.Long) bool {
+func (c *backendConn) receiveStreamed(g *Gateway, header resp.LongValue) bool {
 	g.post(streamOffered{c, header})
 	err := <-c.copyResult
 	e := streamFinished{conn: c, err: err}
 	if err == nil {
 		g.post(streamCopied{c.streamed})
 		_ = c.conn.SetReadDeadline(time.Now().Add(replyTimeout))
-		e.err = c.reader.Tail(header)
+		e.err = c.reader.SkipTail(header)
 		_ = c.conn.SetReadDeadline(time.Time{})
 	}
 	e.bytesConsumed = c.bytesRead.Load() - int64(c.reader.Buffered())
@@ -57,7 +57,7 @@
 // streamOffered is the beginning of a long value on a backend's connection.
 type streamOffered struct {
 	conn   *backendConn
-	header resp.Long
+	header resp.LongValue
 }
 
 func (e streamOffered) handle(g *Gateway) {
@@ -148,7 +148,7 @@
 	}
 	e.value.end(g)
 	r.streamed = nil
-	g.metrics.End(r.class, metrics.Answered)
+	g.metrics.CountRequest(r.class, metrics.Answered)
 	g.requests.removeFinished(r)
 	r.client.flushAnswers(g)
 }
@@ -171,7 +171,7 @@
 	if v != nil && !v.ended {
 		// The copying failed half way: closing tells the client that the value is incomplete.
 		v.end(g)
-		g.metrics.End(v.request.class, metrics.Errored)
+		g.metrics.CountRequest(v.request.class, metrics.Failed)
 		v.request.client.drop(g)
 		g.requests.removeFinished(v.request)
 	}
--- a/internal/dataplane/gateway/streamed_value_test.go
+++ b/internal/dataplane/gateway/streamed_value_test.go
@@ -169,6 +169,6 @@
 		"c=once,t=team,d=60000,units=1,spread=1,first=0",
 		"x",
 	)
-	b.next(t).answer(t, fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLong+1))
+	b.next(t).answer(t, fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxStreamedValue+1))
 	c.want("-ERR failed")
 }
--- a/internal/dataplane/metrics/metrics.go
+++ b/internal/dataplane/metrics/metrics.go
@@ -13,8 +13,8 @@
 // The outcomes: served, refused, failed.
 const (
 	Answered Outcome = iota
-	Deferred
-	Errored
+	Rejected
+	Failed
 	outcomeCount
 )
 
@@ -25,11 +25,11 @@
 	classes []string
 	ended   [][outcomeCount]int64 // by class
 
-	Sends    atomic.Int64 // attempts written whole to backends
-	Loaded   atomic.Int64 // configurations taken in
-	Invalid  atomic.Int64 // and those that could not be
-	PassedIn atomic.Int64 // clients' connections had from the process before
-	PassedOn atomic.Int64 // and given to the one after
+	Sends         atomic.Int64 // attempts written whole to backends
+	ConfigLoads   atomic.Int64 // configurations taken in
+	ConfigErrors  atomic.Int64 // and those that could not be
+	ConnsReceived atomic.Int64 // clients' connections had from the process before
+	ConnsPassed   atomic.Int64 // and given to the one after
 }
 
 // New makes counters for classes of these names.
@@ -37,14 +37,14 @@
 	return &Counters{classes: classes, ended: make([][outcomeCount]int64, len(classes))}
 }
 
-// End counts a request of a class that has ended.
-func (c *Counters) End(class int, how Outcome) { c.ended[class][how]++ }
+// CountRequest counts a request of a class that has ended.
+func (c *Counters) CountRequest(class int, how Outcome) { c.ended[class][how]++ }
 
 // Gauges are what the gateway has at the moment.
 type Gauges struct {
-	Current   int // requests taken and not ended
-	Size      int // backends listed
-	Unhealthy int // of those, the ones that it avoids
+	OpenRequests      int // requests taken and not ended
+	Backends          int // backends listed
+	UnhealthyBackends int // of those, the ones that it avoids
 }
 
 // Append appends all metrics, a line each: gateway.NAME=NUMBER.
@@ -62,12 +62,12 @@
 		}
 	}
 	line("sends", "", c.Sends.Load())
-	line("current", "", int64(gauges.Current))
-	line("cluster_size", "", int64(gauges.Size))
-	line("cluster_unhealthy", "", int64(gauges.Unhealthy))
-	line("conf_loaded", "", c.Loaded.Load())
-	line("conf_invalid", "", c.Invalid.Load())
-	line("passed_in", "", c.PassedIn.Load())
-	line("passed_on", "", c.PassedOn.Load())
+	line("current", "", int64(gauges.OpenRequests))
+	line("cluster_size", "", int64(gauges.Backends))
+	line("cluster_unhealthy", "", int64(gauges.UnhealthyBackends))
+	line("conf_loaded", "", c.ConfigLoads.Load())
+	line("conf_invalid", "", c.ConfigErrors.Load())
+	line("passed_in", "", c.ConnsReceived.Load())
+	line("passed_on", "", c.ConnsPassed.Load())
 	return b
 }
--- a/internal/dataplane/resp/resp.go
+++ b/internal/dataplane/resp/resp.go
@@ -18,13 +18,13 @@
 
 // Limits of what is read.
 const (
-	MaxValue   = 64 << 10        // bytes in one value
-	MaxCommand = MaxValue + 4096 // bytes in all values of a command
-	MaxArgs    = 16              // values in one command or array that are kept
-	maxCount   = 1024            // values in one that is passed over for its size
-	MaxLong    = 16 << 20        // bytes in a value that is passed on as it comes
-	maxSkip    = 1 << 20         // bytes in a value that is passed over
-	step       = 4096            // bytes that a buffer is taken ahead of what has come
+	MaxValue         = 64 << 10        // bytes in one value
+	MaxCommand       = MaxValue + 4096 // bytes in all values of a command
+	MaxArgs          = 16              // values in one command or array that are kept
+	maxSkippedArgs   = 1024            // values in one that is passed over for its size
+	MaxStreamedValue = 16 << 20        // bytes in a value that is passed on as it comes
+	maxSkippedValue  = 1 << 20         // bytes in a value that is passed over
+	growBytes        = 4096            // bytes that a buffer is taken ahead of what has come
 )
 
 // ErrTooLarge tells that a well-framed command was read past and dropped. The
@@ -44,9 +44,9 @@
 // NewReader makes a reader.
 func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, 2048)} }
 
-// line reads up to the end of a line, which is left out. It is valid until the
+// readLine reads up to the end of a line, which is left out. It is valid until the
 // next read.
-func (r *Reader) line() ([]byte, error) {
+func (r *Reader) readLine() ([]byte, error) {
 	b, err := r.in.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
@@ -59,8 +59,8 @@
 	return b[:len(b)-2], nil
 }
 
-// length reads the number after a kind byte.
-func length(b []byte, least, most int) (int, error) {
+// parseLength reads the number after a kind byte.
+func parseLength(b []byte, least, most int) (int, error) {
 	n, err := strconv.Atoi(string(b))
 	if err != nil || n < least || n > most {
 		return 0, malformed("invalid length")
@@ -72,37 +72,37 @@
 // empty array is passed over.
 func (r *Reader) ReadCommand() ([][]byte, error) {
 	for {
-		head, err := r.line()
+		head, err := r.readLine()
 		if err != nil {
 			return nil, err
 		}
 		if len(head) == 0 || head[0] != '*' {
 			return nil, malformed("expected an array")
 		}
-		n, err := length(head[1:], 0, maxCount)
+		n, err := parseLength(head[1:], 0, maxSkippedArgs)
 		if err != nil {
 			return nil, err
 		}
 		if n > 0 {
-			return r.values(n)
+			return r.readValues(n)
 		}
 	}
 }
 
-// values reads the bulk strings of a command into one buffer.
-func (r *Reader) values(n int) ([][]byte, error) {
+// readValues reads the bulk strings of a command into one buffer.
+func (r *Reader) readValues(n int) ([][]byte, error) {
 	tooLarge := n > MaxArgs
 	var ends [MaxArgs]int
 	buf := make([]byte, 0, 192)
 	for i := range n {
-		head, err := r.line()
+		head, err := r.readLine()
 		if err != nil {
-			return nil, midway(err)
+			return nil, unexpectedEOF(err)
 		}
 		if len(head) == 0 || head[0] != '$' {
 			return nil, malformed("expected a bulk string")
 		}
-		size, err := length(head[1:], 0, maxSkip)
+		size, err := parseLength(head[1:], 0, maxSkippedValue)
 		if err != nil {
 			return nil, err
 		}
@@ -112,13 +112,13 @@
 			_, err = r.in.Discard(size)
 		} else {
 			ends[i] = len(buf) + size
-			buf, err = r.append(buf, size)
+			buf, err = r.readBytes(buf, size)
 		}
 		if err == nil {
-			err = r.crlf()
+			err = r.readCRLF()
 		}
 		if err != nil {
-			return nil, midway(err)
+			return nil, unexpectedEOF(err)
 		}
 	}
 	if tooLarge {
@@ -132,11 +132,11 @@
 	return args, nil
 }
 
-// append reads size bytes more behind buf. It takes room as the bytes come: many
+// readBytes reads size bytes more behind buf. It takes room as the bytes come: many
 // that announce much and send little must not cost what they announce.
-func (r *Reader) append(buf []byte, size int) ([]byte, error) {
+func (r *Reader) readBytes(buf []byte, size int) ([]byte, error) {
 	for size > 0 {
-		n := min(size, max(step, len(buf)))
+		n := min(size, max(growBytes, len(buf)))
 		start := len(buf)
 		buf = slices.Grow(buf, n)[:start+n]
 		if _, err := io.ReadFull(r.in, buf[start:]); err != nil {
@@ -147,7 +147,7 @@
 	return buf, nil
 }
 
-func (r *Reader) crlf() error {
+func (r *Reader) readCRLF() error {
 	var end [2]byte
 	for i := range end {
 		c, err := r.in.ReadByte()
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// midway tells an end within a message from one between two.
-func midway(err error) error {
+// unexpectedEOF tells an end within a message from one between two.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -179,8 +179,8 @@
 // Buffered is how many bytes were read that belong to no message yet.
 func (r *Reader) Buffered() int { return r.in.Buffered() }
 
-// Rest is a copy of the bytes that were read and belong to no message yet.
-func (r *Reader) Rest() []byte {
+// Unread is a copy of the bytes that were read and belong to no message yet.
+func (r *Reader) Unread() []byte {
 	b, _ := r.in.Peek(r.in.Buffered())
 	return bytes.Clone(b)
 }
@@ -195,28 +195,28 @@
 
 // ReadReply reads one reply: at most an array of plain values. With an error
 // comes what was read whole of an array before it.
-func (r *Reader) ReadReply() (Reply, error) { return r.reply(true, nil) }
+func (r *Reader) ReadReply() (Reply, error) { return r.readReply(true, nil) }
 
-// Long is a value of over MaxValue bytes that stands first in an array. It has not been
+// LongValue is a value of over MaxValue bytes that stands first in an array. It has not been
 // read: Copy does it, and then Tail.
-type Long struct {
-	Size int // bytes; 0: there is no such value
-	tail int // values behind it
+type LongValue struct {
+	Size         int // bytes; 0: there is no such value
+	valuesBehind int // values behind it
 }
 
 // ReadReplyHead is ReadReply but for a long value: it reads up to the value's first byte, and
 // waits for that one.
-func (r *Reader) ReadReplyHead() (re Reply, long Long, err error) {
-	re, err = r.reply(true, &long)
+func (r *Reader) ReadReplyHead() (re Reply, long LongValue, err error) {
+	re, err = r.readReply(true, &long)
 	if err == nil && long.Size > 0 {
-		err = midway(r.Await())
+		err = unexpectedEOF(r.Await())
 	}
 	return re, long, err
 }
 
 // Copy passes a long value on as it comes, through a buffer, which bounds what is held of
 // it. Before each write and read it calls onward, which may set deadlines.
-func (r *Reader) Copy(to io.Writer, long Long, buf []byte, onward func()) error {
+func (r *Reader) Copy(to io.Writer, long LongValue, buf []byte, onward func()) error {
 	for left := long.Size; left > 0; {
 		onward()
 		n, err := r.in.Read(buf[:min(len(buf), left)])
@@ -227,27 +227,27 @@
 			}
 		}
 		if err != nil && left > 0 {
-			return midway(err)
+			return unexpectedEOF(err)
 		}
 	}
 	return nil
 }
 
-// Tail reads past what stands behind a long value: the other values of its array.
-func (r *Reader) Tail(long Long) error {
-	if err := r.crlf(); err != nil {
-		return midway(err)
+// SkipTail reads past what stands behind a long value: the other values of its array.
+func (r *Reader) SkipTail(long LongValue) error {
+	if err := r.readCRLF(); err != nil {
+		return unexpectedEOF(err)
 	}
-	for range long.tail {
-		if _, err := r.reply(false, nil); err != nil {
-			return midway(err)
+	for range long.valuesBehind {
+		if _, err := r.readReply(false, nil); err != nil {
+			return unexpectedEOF(err)
 		}
 	}
 	return nil
 }
 
-func (r *Reader) reply(arrays bool, long *Long) (Reply, error) {
-	head, err := r.line()
+func (r *Reader) readReply(arrays bool, long *LongValue) (Reply, error) {
+	head, err := r.readLine()
 	if err != nil {
 		return Reply{}, err
 	}
@@ -262,9 +262,9 @@
 	case '$':
 		most := MaxValue
 		if long != nil && !arrays {
-			most = MaxLong
+			most = MaxStreamedValue
 		}
-		size, err := length(head[1:], -1, most)
+		size, err := parseLength(head[1:], -1, most)
 		if err != nil {
 			return re, err
 		}
@@ -276,12 +276,12 @@
 			re.Null = true
 			return re, nil
 		}
-		if re.Text, err = r.append(nil, size); err == nil {
-			err = r.crlf()
+		if re.Text, err = r.readBytes(nil, size); err == nil {
+			err = r.readCRLF()
 		}
-		return re, midway(err)
+		return re, unexpectedEOF(err)
 	case '*':
-		n, err := length(head[1:], -1, MaxArgs)
+		n, err := parseLength(head[1:], -1, MaxArgs)
 		if err != nil || !arrays {
 			return re, malformed("unexpected array")
 		}
@@ -291,13 +291,13 @@
 			if i > 0 {
 				first = nil
 			}
-			item, err := r.reply(false, first)
+			item, err := r.readReply(false, first)
 			if err != nil {
-				return re, midway(err)
+				return re, unexpectedEOF(err)
 			}
 			re.Items = append(re.Items, item)
 			if first != nil && first.Size > 0 {
-				first.tail = n - 1
+				first.valuesBehind = n - 1
 				break
 			}
 		}
