--- a/internal/dataplane/policy/admission.go
+++ b/internal/dataplane/policy/admission.go
@@ -78,7 +78,7 @@
 		return
 	}
 	lb.charge(r, withinQuota)
-	lb.earnRetry()
+	lb.retries.earn()
 	lb.requests[r.ID] = r
 	lb.sendAttempt(r, b)
 }
--- a/internal/dataplane/policy/attempt.go
+++ b/internal/dataplane/policy/attempt.go
@@ -34,15 +34,18 @@
 // attemptTable holds the requests in flight, and what further attempts they may have.
 type attemptTable struct {
 	requests       map[uint64]*request
-	awaitingUnits  []*request      // from a home or on demand, oldest first
-	retryBudget    float64         // further attempts allowed
+	awaitingUnits  []*request // from a home or on demand, oldest first
+	retries        retryBudget
 	sendPace       decayingSum     // sends to each warm backend
 	clientTimeouts [][]runningMean // microseconds, by plan and class
 	meanValue      runningMean     // of a request for the work that it takes
 }
 
 func newAttemptTable(set *Settings) attemptTable {
-	t := attemptTable{requests: map[uint64]*request{}, retryBudget: maxRetryBudget}
+	t := attemptTable{
+		requests: map[uint64]*request{},
+		retries:  retryBudget{attempts: maxRetryBudget},
+	}
 	for range set.Plans {
 		t.clientTimeouts = append(t.clientTimeouts, make([]runningMean, len(set.Classes)))
 	}
--- a/internal/dataplane/policy/customer.go
+++ b/internal/dataplane/policy/customer.go
@@ -54,13 +54,18 @@
 		c = lb.newCustomer(id, plan, first, spread)
 		p := &lb.settings.Plans[plan]
 		lb.idleRefill[plan] = math.Max(0, lb.idleRefill[plan]-p.Rate/float64(c.spread))
-		lb.customers[id] = c
-		lb.customerOrder = append(lb.customerOrder, c)
+		lb.customerTable.add(c)
 	}
 	lb.refill(c)
 	return c
 }
 
+// add adds a customer's record.
+func (t *customerTable) add(c *customer) {
+	t.customers[c.id] = c
+	t.customerOrder = append(t.customerOrder, c)
+}
+
 // newCustomer returns the record of a customer that this gateway does not know. Its bucket is full:
 // peers tell of those that are not, and available bounds what may be consumed until they can have
 // done so, so that a restart grants no second burst. Its part of the ceiling fills from this
@@ -102,18 +107,23 @@
 
 // recordDemand counts what a customer requests, granted or not.
 func (lb *Balancer) recordDemand(c *customer, units float64) {
-	c.localDemand.add(lb.now, c.demandWindow, units)
+	c.demand.add(lb.now, units)
 	c.meteredDemand.add(lb.now, max(1, lb.settings.MeterPeriod), units)
-	c.requested += units
-	c.lastUnits = units
-	c.maxUnits = math.Max(c.maxUnits, units)
 	lb.addGrantedDemand(c, units)
 	lb.markChanged(c)
 }
 
-// totalDemand returns the units requested lately through all gateways of the set.
-func (c *customer) totalDemand(now Time) float64 {
-	return c.localDemand.get(now, c.demandWindow) + c.peerUsage.get(now, c.demandWindow)
+// add counts a request.
+func (d *demand) add(now Time, units float64) {
+	d.localDemand.add(now, d.demandWindow, units)
+	d.requested += units
+	d.lastUnits = units
+	d.maxUnits = math.Max(d.maxUnits, units)
+}
+
+// total returns the units requested lately through all gateways of the set.
+func (d *demand) total(now Time) float64 {
+	return d.localDemand.get(now, d.demandWindow) + d.peerUsage.get(now, d.demandWindow)
 }
 
 // inSet reports whether a gateway is of the customer's set.
--- a/internal/dataplane/policy/endpoints.go
+++ b/internal/dataplane/policy/endpoints.go
@@ -46,7 +46,7 @@
 	for _, endpoint := range list {
 		lb.updateEndpoint(kind, endpoint)
 	}
-	lb.pruneBackends()
+	lb.endpointTable.prune()
 	lb.updateMeanWeight()
 }
 
@@ -77,23 +77,41 @@
 			faultReports: make([]decayingSum, len(lb.settings.Classes)+len(lb.settings.Plans)),
 		}
 		lb.restoreBackend(b)
-		lb.backendByID[m.Backend] = b
-		lb.backends = append(lb.backends, b)
+		lb.endpointTable.add(b)
 	}
 	return b
 }
 
-// pruneBackends drops the backends that are not listed and have no attempts in flight.
-func (lb *Balancer) pruneBackends() {
-	lb.backends = slices.DeleteFunc(lb.backends, func(b *backend) bool {
-		gone := !b.listed && b.inFlight == 0
-		if gone {
-			delete(lb.backendByID, b.Backend)
+// add adds a backend's record.
+func (t *endpointTable) add(b *backend) {
+	t.backendByID[b.Backend] = b
+	t.backends = append(t.backends, b)
+}
+
+// prune drops the backends that are not listed and have no attempts in flight.
+func (t *endpointTable) prune() {
+	t.backends = slices.DeleteFunc(t.backends, func(b *backend) bool {
+		unused := !b.listed && b.inFlight == 0
+		if unused {
+			delete(t.backendByID, b.Backend)
 		}
-		return gone
+		return unused
 	})
 }
 
+// updateMeanWeight computes the mean weight of the backends that are ready and have one.
+func (t *endpointTable) updateMeanWeight() {
+	sum := 0.0
+	n := 0.0
+	for _, b := range t.backends {
+		if b.State == Ready && b.listed && b.Weight > 0 {
+			sum += b.Weight
+			n++
+		}
+	}
+	t.meanWeight = sum / max(n, 1)
+}
+
 // watchEndpoints asks discovery for the list and its changes.
 func (lb *Balancer) watchEndpoints() {
 	lb.lastWatch = lb.now
--- a/internal/dataplane/policy/gossipreceive.go
+++ b/internal/dataplane/policy/gossipreceive.go
@@ -51,13 +51,10 @@
 	}
 }
 
-// mergePeerLoad adds a peer's load view to what is known of all peers. However often a peer tells
-// of it, it counts as one.
+// mergePeerLoad adds a peer's load view to what is known of all peers.
 func (lb *Balancer) mergePeerLoad(from int, m peerMessage) {
 	weight := math.Min(1, float64(lb.activeTime-lb.peerHeardAt[from])/float64(second))
-	lb.peersHeard.add(lb.activeTime, second, weight)
-	lb.peersInFlight.add(lb.activeTime, second, weight*m.inFlight)
-	lb.peersOnTime.add(lb.activeTime, second, weight*m.onTime)
+	lb.peerLoad.add(lb.activeTime, weight, m.inFlight, m.onTime)
 	lb.peerHeardAt[from] = lb.activeTime
 }
 
--- a/internal/dataplane/policy/gossipsend.go
+++ b/internal/dataplane/policy/gossipsend.go
@@ -141,10 +141,15 @@
 	return lb.settings.Peers && !lb.hasHome(c) && !lb.nearlyEmpty(c)
 }
 
-// useAnnounced takes note that a customer's use is in the messages under construction.
-func (lb *Balancer) useAnnounced(c *customer) {
+// allAnnounced takes note that all use so far is announced.
+func (c *customer) allAnnounced() {
 	c.announcedConsumed = c.consumed
 	c.announcedRequested = c.requested
+}
+
+// useAnnounced takes note that a customer's use is in the messages under construction.
+func (lb *Balancer) useAnnounced(c *customer) {
+	c.allAnnounced()
 	c.pendingAnnouncements--
 	c.nextAnnouncement = lb.now + calmPeriods*lb.gossipInterval
 	if lb.hasHome(c) {
--- a/internal/dataplane/policy/gossipurgent.go
+++ b/internal/dataplane/policy/gossipurgent.go
@@ -25,7 +25,7 @@
 // nearlyEmpty reports whether a customer's bucket may be empty before all gateways of its set have
 // heard so: they then tell at once what they consume. All of them judge by the same bucket.
 func (lb *Balancer) nearlyEmpty(c *customer) bool {
-	all := c.totalDemand(lb.now)
+	all := c.demand.total(lb.now)
 	soon := all * float64(2*calmPeriods*lb.gossipInterval) / float64(c.demandWindow)
 	return c.bucket.level < 2*c.lastUnits+soon
 }
@@ -43,8 +43,7 @@
 		return
 	}
 	lb.urgentDelay.add(0, fastSampleWeight)
-	c.announcedConsumed = c.consumed
-	c.announcedRequested = c.requested
+	c.allAnnounced()
 	c.nextAnnouncement = lb.now + lb.gossipInterval
 	c.pendingAnnouncements = announcementRepeats - 1
 	for _, peer := range peers {
--- a/internal/dataplane/policy/healthcheck.go
+++ b/internal/dataplane/policy/healthcheck.go
@@ -46,9 +46,7 @@
 		return
 	}
 	if b.unhealthy {
-		b.unresponsive = b.unresponsive && r != ConnectFailed
-		b.probeBackoff = min(2*b.probeBackoff, maxProbeBackoff)
-		b.nextProbe = now + b.probeBackoff
+		b.probeFailed(now, r)
 	}
 }
 
--- a/internal/dataplane/policy/hedge.go
+++ b/internal/dataplane/policy/hedge.go
@@ -10,7 +10,7 @@
 // capacity for it, and it can still be answered within the latency objective.
 func (lb *Balancer) hedgeAt(r *request) Time {
 	class := &lb.settings.Classes[r.Class]
-	if class.Idempotency == NotIdempotent || lb.retryBudget < 1 ||
+	if class.Idempotency == NotIdempotent || !lb.retries.covers(executedRetryCost) ||
 		len(r.attempts) == lb.settings.MaxAttempts || lb.saturated(sharedBucketCapacity) {
 		return 0
 	}
--- a/internal/dataplane/policy/home.go
+++ b/internal/dataplane/policy/home.go
@@ -160,7 +160,7 @@
 	if !lb.hasHome(c) || lb.isRemote(c) || rate == 0 {
 		return
 	}
-	requested := c.totalDemand(lb.now)
+	requested := c.demand.total(lb.now)
 	refilled := rate * float64(c.demandWindow) / float64(second)
 	grantable := refilled + c.bucket.level - homeReserveFraction*c.bucket.capacity
 	c.grantFraction = math.Min(1, math.Max(minGrant, grantable/math.Max(requested, 1e-9)))
--- a/internal/dataplane/policy/outlier.go
+++ b/internal/dataplane/policy/outlier.go
@@ -48,15 +48,28 @@
 
 // eject leaves a backend out, each time in a row for longer.
 func (lb *Balancer) eject(b *backend, reason string) {
-	if lb.now-b.ejectedAt > 2*maxProbeBackoff {
-		b.probeBackoff = 0
-	}
-	b.probeBackoff = min(max(minProbeBackoff, 2*b.probeBackoff), maxProbeBackoff)
-	b.ejectedAt = lb.now
-	b.nextProbe = lb.now + b.probeBackoff
+	b.startEjection(lb.now)
 	lb.actions.Log(fmt.Sprintf("backend %d ejected: %s", b.Backend, reason))
 }
 
+// startEjection sets when the backend is tried again. An ejection that follows the last one closely
+// doubles the wait.
+func (s *outlierState) startEjection(now Time) {
+	if now-s.ejectedAt > 2*maxProbeBackoff {
+		s.probeBackoff = 0
+	}
+	s.probeBackoff = min(max(minProbeBackoff, 2*s.probeBackoff), maxProbeBackoff)
+	s.ejectedAt = now
+	s.nextProbe = now + s.probeBackoff
+}
+
+// probeFailed doubles the wait for the next probe.
+func (s *outlierState) probeFailed(now Time, r Result) {
+	s.unresponsive = s.unresponsive && r != ConnectFailed
+	s.probeBackoff = min(2*s.probeBackoff, maxProbeBackoff)
+	s.nextProbe = now + s.probeBackoff
+}
+
 // readmit ends an ejection for bad health. Where no connection could be made, the process may have
 // restarted, whether discovery tells so or not, and the backend enters slow start. One that was
 // unresponsive or only reset connections is still warm.
--- a/internal/dataplane/policy/picker.go
+++ b/internal/dataplane/policy/picker.go
@@ -52,7 +52,7 @@
 	if b.State != Ready || !b.listed || !lb.slowStartAllows(b) {
 		return false
 	}
-	if lb.awaitsTrial(b) || lb.now < b.backoffUntil {
+	if b.awaitsTrial(lb.now) || lb.now < b.backoffUntil {
 		return false
 	}
 	if within != nil && !lb.settings.Classes[r.Class].sameScope(within.backend, b) {
@@ -101,16 +101,3 @@
 	}
 	return 1
 }
-
-// updateMeanWeight computes the mean weight of the backends that are ready and have one.
-func (lb *Balancer) updateMeanWeight() {
-	sum := 0.0
-	n := 0.0
-	for _, b := range lb.backends {
-		if b.State == Ready && b.listed && b.Weight > 0 {
-			sum += b.Weight
-			n++
-		}
-	}
-	lb.meanWeight = sum / math.Max(n, 1)
-}
--- a/internal/dataplane/policy/retry.go
+++ b/internal/dataplane/policy/retry.go
@@ -15,11 +15,21 @@
 	deduplicationMarginTicks = 4
 )
 
-// earnRetry adds to the retry budget what a first attempt earns.
-func (lb *Balancer) earnRetry() {
-	lb.retryBudget = math.Min(maxRetryBudget, lb.retryBudget+retryBudgetRatio)
+// retryBudget is the number of further attempts that may be made. It bounds the load that retries
+// add to a back end that fails.
+type retryBudget struct{ attempts float64 }
+
+// earn adds what a first attempt earns.
+func (b *retryBudget) earn() {
+	b.attempts = math.Min(maxRetryBudget, b.attempts+retryBudgetRatio)
 }
 
+// covers reports whether a retry of a cost may be made.
+func (b *retryBudget) covers(cost float64) bool { return b.attempts >= cost }
+
+// spend takes the cost of a retry.
+func (b *retryBudget) spend(cost float64) { b.attempts -= cost }
+
 // retryOrAnswer sends a request again after its last attempt has failed, or gives its final answer.
 func (lb *Balancer) retryOrAnswer(r *request, last *attempt) {
 	decision := lb.mayRetry(r, r.attempts, lb.now)
@@ -43,7 +53,7 @@
 // retry sends a further attempt if the limits allow it and there is a backend for it.
 func (lb *Balancer) retry(r *request, within *attempt, cost float64) bool {
 	objective := lb.settings.Classes[r.Class].LatencyObjective
-	if len(r.attempts) >= lb.settings.MaxAttempts || lb.retryBudget < cost {
+	if len(r.attempts) >= lb.settings.MaxAttempts || !lb.retries.covers(cost) {
 		return false
 	}
 	if r.deadline-lb.now <= objective/retryTimeDivisor {
@@ -53,7 +63,7 @@
 	if b == nil {
 		return false
 	}
-	lb.retryBudget -= cost
+	lb.retries.spend(cost)
 	lb.sendAttempt(r, b)
 	return true
 }
--- a/internal/dataplane/policy/saturation.go
+++ b/internal/dataplane/policy/saturation.go
@@ -31,6 +31,14 @@
 	peersOnTime   decayingSum // answers a second
 }
 
+// add merges a peer's load. The weight is below 1 if the peer has told of its load less than a second
+// ago, so that it counts as one however often it does.
+func (p *peerLoad) add(now Time, weight, inFlight, onTime float64) {
+	p.peersHeard.add(now, second, weight)
+	p.peersInFlight.add(now, second, weight*inFlight)
+	p.peersOnTime.add(now, second, weight*onTime)
+}
+
 func newSaturationState(set *Settings) saturationState {
 	s := saturationState{
 		withinObjective: make([][]*attempt, len(set.Classes)),
@@ -151,6 +159,11 @@
 	if a.spansSuspension || o.Result != OK && !(o.Result == TimedOut && late) {
 		return
 	}
-	lb.lateFraction.add(indicator(late), fastSampleWeight)
-	lb.onTime.add(lb.activeTime, second, indicator(!late))
+	lb.addAnswer(lb.activeTime, late)
+}
+
+// addAnswer counts an answer that came late or on time.
+func (s *saturationState) addAnswer(now Time, late bool) {
+	s.lateFraction.add(indicator(late), fastSampleWeight)
+	s.onTime.add(now, second, indicator(!late))
 }
--- a/internal/dataplane/policy/trial.go
+++ b/internal/dataplane/policy/trial.go
@@ -25,8 +25,8 @@
 
 // awaitsTrial reports whether a backend that may have restarted is to be sent nothing now. It gets
 // one attempt at a time.
-func (lb *Balancer) awaitsTrial(b *backend) bool {
-	return b.maybeRestarted && (b.inFlight > 0 || lb.now < b.notBefore)
+func (b *backend) awaitsTrial(now Time) bool {
+	return b.maybeRestarted && (b.inFlight > 0 || now < b.notBefore)
 }
 
 // scheduleTrial draws when a backend that only a stale list names may be tried.
