--- a/internal/controlplane/allocator/client.go
+++ b/internal/controlplane/allocator/client.go
@@ -188,7 +188,7 @@
 		MaxMembers:   uint32(reply.Quota.Spread),
 	}
 	c.mu.Unlock()
-	response, err := c.rpc.Borrow(ctx, leader.ID, address, request)
+	response, err := c.rpc.RequestUnits(ctx, leader.ID, address, request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.OnDemandRequests++
--- a/internal/controlplane/allocator/client_renewal.go
+++ b/internal/controlplane/allocator/client_renewal.go
@@ -61,7 +61,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	response, err := c.rpc.Renew(callCtx, leader.ID, address, request)
+	response, err := c.rpc.RenewAllocations(callCtx, leader.ID, address, request)
 	failpoint.At("allocation-renewed")
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +105,7 @@
 		leader, address, ok := c.leaders.Leader(allocation.RoleOfShard(shard))
 		if ok {
 			callCtx, cancel := context.WithTimeout(ctx, renewTimeout)
-			response, err := c.rpc.Renew(callCtx, leader.ID, address, request)
+			response, err := c.rpc.RenewAllocations(callCtx, leader.ID, address, request)
 			cancel()
 			if err == nil && response.Code == controlpb.Code_OK {
 				return
--- a/internal/controlplane/controlrpc/client.go
+++ b/internal/controlplane/controlrpc/client.go
@@ -9,460 +9,267 @@
 	"time"
 
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 
 	"mothcleat/internal/controlplane/controlpb"
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Errors of a Client, to be told apart by errors.Is.
+// Errors of a Client, to be tested with errors.Is.
 var (
-	// ErrOutcomeUnknown: the command may have been applied, or not, and can't be asked about any more.
+	// ErrOutcomeUnknown means that a command may have been applied or not, and that the session has
+	// expired in which this could be found out.
 	ErrOutcomeUnknown = errors.New("fleet: the session ran out before an answer came")
-	// ErrSuperseded: another process has taken this one's id. Nothing is done for this one any more.
+	// ErrSuperseded means that another process has taken this one's id. All further commands of
+	// this process fail with it.
 	ErrSuperseded = errors.New("fleet: superseded")
-	// ErrRejected: by what the command asks for.
+	// ErrRejected means that a request was rejected because of what it asks for.
 	ErrRejected = errors.New("fleet: refused")
-	// ErrNoContent: the process that was asked for a content doesn't have it.
+	// ErrNoContent means that the process that was asked for a content does not have it.
 	ErrNoContent = errors.New("fleet: the content is not there")
 )
 
 const (
-	tryWithin = 250 * time.Millisecond // for one voter to answer; asked again, a command is still applied once
-	// tryPerByte is what a voter is given beside for the size of a command: a large one that is late would be sent again
-	// on top of itself.
-	tryPerByte = 2 * time.Microsecond
-	shunFor    = 750 * time.Millisecond // a voter that did not answer is not taken for the leader by others' word
-	pause      = 30 * time.Millisecond  // between two tries
-	touchEach  = 10 * time.Second       // a session says that it lives
+	// attemptTimeout is the deadline of one attempt at one voter. A command that is sent again is
+	// still applied once.
+	attemptTimeout = 250 * time.Millisecond
+	// attemptTimeoutPerByte is added for the size of a command: a large one would otherwise be sent
+	// again while it is still on its way.
+	attemptTimeoutPerByte = 2 * time.Microsecond
+	// retryDelay is the pause between two attempts.
+	retryDelay = 30 * time.Millisecond
+	// avoidDuration is for how long a voter that did not answer is not tried as the leader that
+	// others name.
+	avoidDuration = 750 * time.Millisecond
 )
 
-// Client asks the fleet's voters, for one process. Its methods may be called concurrently.
+// Client sends one process's requests to the fleet's voters and to other processes. Its methods are
+// safe for concurrent use.
 type Client struct {
 	fleet     string
-	me        lease.Member
-	address   string
-	addresses Addresses
+	self      lease.Member
+	address   string    // where this process is reached
+	overrides Addresses // where others are reached
 	log       *slog.Logger
-	conns     conns
-
-	mu      sync.Mutex
-	voters  []string // names
-	at      map[string]string
-	leader  string // name; "": not known
-	next    int    // voter to try when no leader is known
-	session uint64 // 0: none is open
-	seq     uint64
-	out     map[uint64]bool // commands without an answer
-	over    error           // ErrSuperseded, from then on
-	touched time.Time
-	shunned map[string]time.Time
+	conns     connections
+
+	mu         sync.Mutex
+	voters     []string             // names
+	addresses  map[string]string    // of voters, by name
+	leader     string               // name; "": not known
+	nextVoter  int                  // index of the voter to try if no leader is known
+	avoidUntil map[string]time.Time // by name, of voters that did not answer
+	session    clientSession
 }
 
-// NewClient makes a client. at has the voters' addresses by name, as they are known at first; address is where this
-// process is reached itself.
-func NewClient(fleet string, me lease.Member, address string, voters []*controlpb.Voter, addresses Addresses, log *slog.Logger) *Client {
-	c := &Client{fleet: fleet, me: me, address: address, addresses: addresses, log: log, out: map[uint64]bool{},
-		shunned: map[string]time.Time{}}
+// NewClient returns a client for a process, which is reached at an address, if any. The voters are
+// those that are known at first.
+func NewClient(
+	fleet string, self lease.Member, address string,
+	voters []*controlpb.Voter, overrides Addresses, log *slog.Logger,
+) *Client {
+	c := &Client{
+		fleet:      fleet,
+		self:       self,
+		address:    address,
+		overrides:  overrides,
+		log:        log,
+		avoidUntil: map[string]time.Time{},
+		session:    clientSession{inFlight: map[uint64]bool{}},
+	}
 	c.SetVoters(voters)
 	return c
 }
 
-// Observe has an observer told of all calls; nil: none. It is to be called before the first call.
+// Observe has an observer notified of all calls; nil: none. It must be called before the first
+// call.
 func (c *Client) Observe(o *Observer) { c.conns.observer = o }
 
-// SetVoters takes in who votes now.
+// SetVoters replaces the known voters.
 func (c *Client) SetVoters(voters []*controlpb.Voter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.voters, c.at = nil, map[string]string{}
+	c.voters = nil
+	c.addresses = map[string]string{}
 	for _, v := range voters {
 		c.voters = append(c.voters, v.Name)
-		c.at[v.Name] = c.addresses.of(v.Name, v.Address)
+		c.addresses[v.Name] = c.overrides.resolve(v.Name, v.Address)
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() { c.conns.close() }
 
-// Me is the process that it asks for.
-func (c *Client) Me() lease.Member { return c.me }
+// Me returns the process that the client belongs to.
+func (c *Client) Me() lease.Member { return c.self }
 
-// Fleet is the name of the fleet that it asks.
+// member returns the process as messages describe it.
+func (c *Client) member() *controlpb.Member {
+	return &controlpb.Member{
+		Id:          c.self.ID,
+		Incarnation: c.self.Incarnation,
+		Address:     c.address,
+	}
+}
+
+// Fleet returns the name of the fleet.
 func (c *Client) Fleet() string { return c.fleet }
 
 // Endpoint is a voter and where it is reached from here.
 type Endpoint struct{ Name, Address string }
 
-// Voters are the voters as they are known now, in the order in which they were told.
+// Voters returns the known voters, in the order of the last SetVoters.
 func (c *Client) Voters() []Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]Endpoint, 0, len(c.voters))
 	for _, name := range c.voters {
-		all = append(all, Endpoint{name, c.at[name]})
+		all = append(all, Endpoint{name, c.addresses[name]})
 	}
 	return all
 }
 
-// Connection gives the connection to an address, which all calls of this client share. It is opened when it is first
-// used, and closed by Close.
+// Connection returns the connection to an address, which all calls of this client share. It is
+// opened when it is first used, and closed by Close.
 func (c *Client) Connection(address string) (grpc.ClientConnInterface, error) {
 	return c.conns.connection(address)
 }
 
-// target is the voter to ask now.
-func (c *Client) target() (name, address string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if name = c.leader; name == "" && len(c.voters) > 0 {
-		name = c.voters[c.next%len(c.voters)]
-	}
-	return name, c.at[name]
+// process returns a client of the Fleet service of another process.
+func (c *Client) process(id, address string) (controlpb.FleetClient, error) {
+	return c.conns.fleetClient(c.overrides.resolve(id, address))
 }
 
-// missed takes in that a voter did not help, and who leads by its word. silent: it did not answer at all.
-func (c *Client) missed(name, leader string, silent bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if silent {
-		c.shunned[name] = time.Now().Add(shunFor)
-	}
-	if _, ok := c.at[leader]; ok && leader != name && time.Now().After(c.shunned[leader]) {
-		c.leader = leader
-		return
+// Read reads a state machine, after everything that was answered before.
+func (c *Client) Read(ctx context.Context, machine string, body []byte) ([]byte, error) {
+	answer, err := c.callLeader(ctx, attemptTimeout,
+		func(ctx context.Context, voter controlpb.FleetClient) (*controlpb.Answer, error) {
+			return voter.Ask(ctx,
+				&controlpb.Query{Fleet: c.fleet, Machine: machine, Body: body})
+		})
+	if err == nil {
+		err = rejection(answer)
 	}
-	c.leader = ""
-	for range c.voters {
-		c.next++
-		if time.Now().After(c.shunned[c.voters[c.next%len(c.voters)]]) {
-			return
-		}
+	if err != nil {
+		return nil, err
 	}
+	return answer.Body, nil
 }
 
-func (c *Client) helped(name string) {
-	c.mu.Lock()
-	c.leader = name
-	c.mu.Unlock()
+// ChangeVoter adds or removes a voter.
+func (c *Client) ChangeVoter(ctx context.Context, add bool, v *controlpb.Voter) error {
+	answer, err := c.callLeader(ctx, attemptTimeout,
+		func(ctx context.Context, voter controlpb.FleetClient) (*controlpb.Answer, error) {
+			return voter.Alter(ctx, &controlpb.VoterChange{Fleet: c.fleet, Add: add, Voter: v})
+		})
+	if err != nil {
+		return err
+	}
+	return rejection(answer)
 }
 
-// each asks one voter after another until one gives a final answer, or the context ends. The call must be one that
-// may be made again.
-func (c *Client) each(ctx context.Context, call func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error)) (*controlpb.Answer, error) {
-	return c.eachWithin(ctx, tryWithin, call)
+// rejection returns ErrRejected if an answer is not OK.
+func rejection(answer *controlpb.Answer) error {
+	if answer.Code == controlpb.Code_OK {
+		return nil
+	}
+	return fmt.Errorf("%w: %s", ErrRejected, answer.Reason)
 }
 
-// eachWithin is each with another time for one voter to answer.
-func (c *Client) eachWithin(ctx context.Context, within time.Duration, call func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error)) (*controlpb.Answer, error) {
-	last := "no voter is known"
+// callFunc is one attempt of a request at one voter.
+type callFunc func(ctx context.Context, voter controlpb.FleetClient) (*controlpb.Answer, error)
+
+// callLeader sends a request to one voter after another until one gives a final answer, or the
+// context ends. Each attempt has a timeout. The request must be idempotent.
+func (c *Client) callLeader(
+	ctx context.Context, timeout time.Duration, call callFunc,
+) (*controlpb.Answer, error) {
+	lastFailure := "no voter is known"
 	for {
-		name, address := c.target()
-		if address != "" {
-			to, err := c.conns.to(address)
+		if name, address := c.target(); address != "" {
+			voter, err := c.conns.fleetClient(address)
 			if err != nil {
 				return nil, err
 			}
-			one, cancel := context.WithTimeout(ctx, within)
-			a, err := call(one, to)
-			cancel()
-			switch {
-			case err != nil:
-				last = fmt.Sprintf("%s: %v", name, err)
-				c.missed(name, "", true)
-			case a.Code == controlpb.Code_NOT_LEADER:
-				last = fmt.Sprintf("%s: %s", name, a.Reason)
-				c.missed(name, a.Leader, false)
-			case a.Code == controlpb.Code_NOT_READY || a.Code == controlpb.Code_BUSY:
-				last = fmt.Sprintf("%s: %s", name, a.Reason)
-				if a.Code == controlpb.Code_NOT_READY {
-					c.missed(name, a.Leader, false)
-				}
-			default:
-				c.helped(name)
-				return a, nil
+			answer, failure := c.attempt(ctx, timeout, name, voter, call)
+			if failure == "" {
+				return answer, nil
 			}
+			lastFailure = name + ": " + failure
 		}
-		wait(ctx, pause)
+		sleep(ctx, retryDelay)
 		if ctx.Err() != nil {
-			return nil, fmt.Errorf("fleet: no answer: %s: %w", last, ctx.Err())
+			return nil, fmt.Errorf("fleet: no answer: %s: %w", lastFailure, ctx.Err())
 		}
 	}
 }
 
-// open opens a session if none is open.
-func (c *Client) open(ctx context.Context) error {
-	c.mu.Lock()
-	open, over := c.session != 0, c.over
-	c.mu.Unlock()
-	if open || over != nil {
-		return over
-	}
-	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
-		return to.Do(ctx, &controlpb.Command{Fleet: c.fleet, Member: c.member()})
-	})
+// attempt makes one attempt at a voter, and chooses the voter of the next. It returns a final
+// answer, or why there is none.
+func (c *Client) attempt(
+	ctx context.Context, timeout time.Duration,
+	name string, voter controlpb.FleetClient, call callFunc,
+) (answer *controlpb.Answer, failure string) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	answer, err := call(ctx, voter)
 	if err != nil {
-		return err
-	}
-	if a.Code == controlpb.Code_SUPERSEDED {
-		return c.superseded(a.Reason)
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.session != a.Session {
-		c.session, c.touched = a.Session, time.Now()
-	}
-	return nil
-}
-
-func (c *Client) member() *controlpb.Member {
-	return &controlpb.Member{Id: c.me.ID, Incarnation: c.me.Incarnation, Address: c.address}
+		c.avoid(name)
+		c.tryNext(name, "")
+		return nil, err.Error()
+	}
+	switch answer.Code {
+	case controlpb.Code_NOT_LEADER, controlpb.Code_NOT_READY:
+		c.tryNext(name, answer.Leader)
+		return nil, answer.Reason
+	case controlpb.Code_BUSY:
+		return nil, answer.Reason
+	}
+	c.setLeader(name)
+	return answer, ""
 }
 
-func (c *Client) superseded(why string) error {
+// target returns the voter to try now, and its address.
+func (c *Client) target() (name, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over == nil {
-		c.over = fmt.Errorf("%w: %s", ErrSuperseded, why)
-		c.log.Error("fleet: this process is refused: " + why)
-	}
-	return c.over
-}
-
-// Propose has a command applied, once, and gives its answer. An error that is neither ErrSuperseded nor ErrRefused
-// leaves open whether it was, or will be.
-func (c *Client) Propose(ctx context.Context, machine string, body []byte) ([]byte, error) {
-	if err := c.open(ctx); err != nil {
-		return nil, err
-	}
-	c.mu.Lock()
-	c.seq++
-	seq, session := c.seq, c.session
-	c.out[seq] = true
-	c.mu.Unlock()
-	defer func() {
-		c.mu.Lock()
-		delete(c.out, seq)
-		c.mu.Unlock()
-	}()
-	within := tryWithin + tryPerByte*time.Duration(len(body))
-	a, err := c.eachWithin(ctx, within, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
-		return to.Do(ctx, &controlpb.Command{Fleet: c.fleet, Session: session, Seq: seq, AckedSeq: c.floor(), Machine: machine, Body: body, Member: c.member()})
-	})
-	if err != nil {
-		return nil, err
-	}
-	switch a.Code {
-	case controlpb.Code_OK:
-		c.mu.Lock()
-		c.touched = time.Now()
-		c.mu.Unlock()
-		return a.Body, nil
-	case controlpb.Code_SUPERSEDED:
-		return nil, c.superseded(a.Reason)
-	case controlpb.Code_NO_SESSION:
-		c.mu.Lock()
-		if c.session == session {
-			c.session = 0
-		}
-		c.mu.Unlock()
-		return nil, ErrOutcomeUnknown
+	name = c.leader
+	if name == "" && len(c.voters) > 0 {
+		name = c.voters[c.nextVoter%len(c.voters)]
 	}
-	return nil, fmt.Errorf("%w: %s", ErrRejected, a.Reason)
+	return name, c.addresses[name]
 }
 
-// floor is up to which command all answers have come.
-func (c *Client) floor() uint64 {
+// avoid records that a voter did not answer.
+func (c *Client) avoid(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	floor := c.seq
-	for seq := range c.out {
-		floor = min(floor, seq-1)
-	}
-	return floor
-}
-
-// Read reads what a machine has, after all that was answered before.
-func (c *Client) Read(ctx context.Context, machine string, body []byte) ([]byte, error) {
-	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
-		return to.Ask(ctx, &controlpb.Query{Fleet: c.fleet, Machine: machine, Body: body})
-	})
-	if err == nil && a.Code != controlpb.Code_OK {
-		err = fmt.Errorf("%w: %s", ErrRejected, a.Reason)
-	}
-	if err != nil {
-		return nil, err
-	}
-	return a.Body, nil
-}
-
-// ChangeVoter has one voter more or less.
-func (c *Client) ChangeVoter(ctx context.Context, add bool, v *controlpb.Voter) error {
-	a, err := c.each(ctx, func(ctx context.Context, to controlpb.FleetClient) (*controlpb.Answer, error) {
-		return to.Alter(ctx, &controlpb.VoterChange{Fleet: c.fleet, Add: add, Voter: v})
-	})
-	if err == nil && a.Code != controlpb.Code_OK {
-		err = fmt.Errorf("%w: %s", ErrRejected, a.Reason)
-	}
-	return err
+	c.avoidUntil[name] = time.Now().Add(avoidDuration)
 }
 
-// KeepSessionAlive keeps the session open until the context ends.
-func (c *Client) KeepSessionAlive(ctx context.Context) {
-	for ctx.Err() == nil {
-		c.mu.Lock()
-		due := time.Since(c.touched) >= touchEach
-		c.mu.Unlock()
-		if due {
-			one, cancel := context.WithTimeout(ctx, touchEach)
-			_, err := c.Propose(one, "", nil)
-			cancel()
-			if errors.Is(err, ErrSuperseded) {
-				return
-			}
-		}
-		wait(ctx, touchEach/20)
-	}
-}
-
-// Watch calls do with a machine's state, and again each time that it has changed, until the context ends. Any
-// voter may tell: the state may be older than what another answers.
-func (c *Client) Watch(ctx context.Context, machine string, do func(state []byte)) {
+// tryNext chooses the voter to try after one that did not help: the leader that this one names, or
+// else the next one that is not avoided.
+func (c *Client) tryNext(name, leader string) {
 	c.mu.Lock()
-	i := int(c.me.Incarnation % 1024) // the watchers are spread over the voters
-	c.mu.Unlock()
-	for ; ctx.Err() == nil; i++ {
-		c.mu.Lock()
-		address := ""
-		if len(c.voters) > 0 {
-			address = c.at[c.voters[i%len(c.voters)]]
-		}
-		c.mu.Unlock()
-		if to, err := c.conns.to(address); err == nil && address != "" {
-			c.watch(ctx, to, machine, do)
-		}
-		wait(ctx, 4*pause)
-	}
-}
-
-// watch follows one voter for as long as it is heard.
-func (c *Client) watch(ctx context.Context, to controlpb.FleetClient, machine string, do func(state []byte)) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	silent := time.AfterFunc(newsEvery+tryWithin, cancel)
-	defer silent.Stop()
-	s, err := to.Watch(ctx, &controlpb.WatchRequest{Fleet: c.fleet, Machine: machine})
-	if err != nil {
+	defer c.mu.Unlock()
+	_, known := c.addresses[leader]
+	if known && leader != name && !c.isAvoided(leader) {
+		c.leader = leader
 		return
 	}
-	for {
-		news, err := s.Recv()
-		if err != nil {
+	c.leader = ""
+	for range c.voters {
+		c.nextVoter++
+		if !c.isAvoided(c.voters[c.nextVoter%len(c.voters)]) {
 			return
 		}
-		silent.Reset(newsEvery + tryWithin)
-		do(news.Body)
 	}
 }
 
-// Collect asks a process for its use that was not collected yet.
-func (c *Client) Collect(ctx context.Context, id, address string, had map[uint64]uint64, take func(*controlpb.Part) error) error {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return err
-	}
-	ask := &controlpb.CollectRequest{Fleet: c.fleet}
-	for boot, period := range had {
-		ask.Collected = append(ask.Collected, &controlpb.Collected{Incarnation: boot, Period: period})
-	}
-	s, err := to.Collect(ctx, ask)
-	if err != nil {
-		return err
-	}
-	for {
-		p, err := s.Recv()
-		if err != nil {
-			return err
-		}
-		if err := take(p); err != nil {
-			return err
-		}
-	}
-}
+// isAvoided reports whether a voter did not answer recently. The caller holds c.mu.
+func (c *Client) isAvoided(name string) bool { return !time.Now().After(c.avoidUntil[name]) }
 
-// Renew asks the owner of a shard of the budgets, a process with an address.
-func (c *Client) Renew(ctx context.Context, id, address string, ask *controlpb.RenewRequest) (*controlpb.RenewResponse, error) {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return nil, err
-	}
-	ask.Fleet = c.fleet
-	return to.Renew(ctx, ask)
-}
-
-// Borrow asks the owner of a shard for units.
-func (c *Client) Borrow(ctx context.Context, id, address string, ask *controlpb.OnDemandRequest) (*controlpb.OnDemandResponse, error) {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return nil, err
-	}
-	ask.Fleet, ask.Member = c.fleet, c.member()
-	return to.Borrow(ctx, ask)
-}
-
-// Content asks a process for the content of a version, from a place on. The function that it gives returns one piece after another; an
-// error ends it, io.EOF where there is no more.
-func (c *Client) Content(ctx context.Context, id, address, digest string, from int64) (func() ([]byte, error), error) {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return nil, err
-	}
-	s, err := to.Content(ctx, &controlpb.ContentAsk{Fleet: c.fleet, Digest: digest, From: from})
-	if err != nil {
-		return nil, err
-	}
-	return func() ([]byte, error) {
-		p, err := s.Recv()
-		return p.GetData(), err
-	}, nil
-}
-
-// ContentDelta asks a process for what leads to the content of a version from one of some that are here. ErrNoContent is
-// returned where the content is not there.
-func (c *Client) ContentDelta(ctx context.Context, id, address string, request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error) {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return nil, err
-	}
-	request.Fleet = c.fleet
-	answer, err := to.ContentDelta(ctx, request)
-	if status.Code(err) == codes.NotFound {
-		err = ErrNoContent
-	}
-	return answer, err
-}
-
-// ContentBuckets asks a process for some buckets of a content's records.
-func (c *Client) ContentBuckets(ctx context.Context, id, address string, request *controlpb.ContentBucketsRequest) (*controlpb.ContentBucketsResponse, error) {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return nil, err
-	}
-	request.Fleet = c.fleet
-	return to.ContentBuckets(ctx, request)
-}
-
-// Keep asks a process to keep a content that this one has.
-func (c *Client) Keep(ctx context.Context, id, address string, ask *controlpb.KeepAsk) error {
-	to, err := c.conns.to(c.addresses.of(id, address))
-	if err != nil {
-		return err
-	}
-	ask = &controlpb.KeepAsk{Fleet: c.fleet, Item: ask.Item, Digest: ask.Digest, Size: ask.Size, From: ask.From}
-	a, err := to.Keep(ctx, ask)
-	if err == nil && a.Code != controlpb.Code_OK {
-		err = fmt.Errorf("%w: %s", ErrRejected, a.Reason)
-	}
-	return err
+func (c *Client) setLeader(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leader = name
 }
--- a/internal/controlplane/controlrpc/codec.go
+++ b/internal/controlplane/controlrpc/codec.go
@@ -7,14 +7,14 @@
 	"google.golang.org/grpc/mem"
 )
 
-// Encoded is a message of a server that is encoded already. Many streams may send the same one at once; its bytes are
-// neither copied nor changed.
+// Encoded is a message of a server that is encoded already. Many streams may send the same one at
+// once: its bytes are neither copied nor changed.
 type Encoded []byte
 
 // encodedCodec is the protobuf codec, which passes an Encoded on as it is.
 type encodedCodec struct{ encoding.CodecV2 }
 
-// Marshal gives a message's bytes.
+// Marshal returns a message's bytes.
 func (c encodedCodec) Marshal(message any) (mem.BufferSlice, error) {
 	if raw, ok := message.(Encoded); ok {
 		return mem.BufferSlice{mem.SliceBuffer(raw)}, nil
--- /dev/null
+++ b/internal/controlplane/controlrpc/contents.go
@@ -0,0 +1,172 @@
+package controlrpc
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"mothcleat/internal/controlplane/controlpb"
+)
+
+// Contents has the contents of versions. Its methods return fs.ErrNotExist if a content is not
+// here, and are called concurrently.
+type Contents interface {
+	// Give sends a content from an offset in bytes on.
+	Give(digest string, from int64, send func([]byte) error) error
+	// Keep fetches a content from the process that asks for that, and stores it.
+	Keep(ctx context.Context, request *controlpb.KeepAsk) error
+	// Delta returns what leads to a content from one that the client has.
+	Delta(request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error)
+	// Buckets returns some buckets of a content's records.
+	Buckets(
+		request *controlpb.ContentBucketsRequest,
+	) (*controlpb.ContentBucketsResponse, error)
+}
+
+// noContents is why a process answers no requests for contents.
+const noContents = "this process keeps no contents"
+
+// Content requests a content from a process, from an offset in bytes on. The function that it
+// returns gives one piece after another, and io.EOF after the last.
+func (c *Client) Content(
+	ctx context.Context, id, address, digest string, from int64,
+) (func() ([]byte, error), error) {
+	client, err := c.process(id, address)
+	if err != nil {
+		return nil, err
+	}
+	stream, err := client.Content(ctx,
+		&controlpb.ContentAsk{Fleet: c.fleet, Digest: digest, From: from})
+	if err != nil {
+		return nil, err
+	}
+	return func() ([]byte, error) {
+		piece, err := stream.Recv()
+		return piece.GetData(), err
+	}, nil
+}
+
+// ContentDelta requests from a process what leads to a content from one that is here. It returns
+// ErrNoContent if that process does not have the content.
+func (c *Client) ContentDelta(
+	ctx context.Context, id, address string, request *controlpb.ContentDeltaRequest,
+) (*controlpb.ContentDeltaResponse, error) {
+	client, err := c.process(id, address)
+	if err != nil {
+		return nil, err
+	}
+	request.Fleet = c.fleet
+	response, err := client.ContentDelta(ctx, request)
+	if status.Code(err) == codes.NotFound {
+		err = ErrNoContent
+	}
+	return response, err
+}
+
+// ContentBuckets requests some buckets of a content's records from a process.
+func (c *Client) ContentBuckets(
+	ctx context.Context, id, address string, request *controlpb.ContentBucketsRequest,
+) (*controlpb.ContentBucketsResponse, error) {
+	client, err := c.process(id, address)
+	if err != nil {
+		return nil, err
+	}
+	request.Fleet = c.fleet
+	return client.ContentBuckets(ctx, request)
+}
+
+// Keep asks a process to fetch and store a content that this one has.
+func (c *Client) Keep(
+	ctx context.Context, id, address string, request *controlpb.KeepAsk,
+) error {
+	client, err := c.process(id, address)
+	if err != nil {
+		return err
+	}
+	// The request may be sent to several processes at once: it is not changed.
+	answer, err := client.Keep(ctx, &controlpb.KeepAsk{
+		Fleet:  c.fleet,
+		Item:   request.Item,
+		Digest: request.Digest,
+		Size:   request.Size,
+		From:   request.From,
+	})
+	if err != nil {
+		return err
+	}
+	return rejection(answer)
+}
+
+// Content sends a content, if it is here.
+func (s *Server) Content(
+	request *controlpb.ContentAsk, stream grpc.ServerStreamingServer[controlpb.Piece],
+) error {
+	if err := s.checkContents(request.Fleet); err != nil {
+		return err
+	}
+	send := func(data []byte) error { return stream.Send(&controlpb.Piece{Data: data}) }
+	return contentError(s.Contents.Give(request.Digest, request.From, send))
+}
+
+// ContentDelta returns what leads to a content from one that the client has.
+func (s *Server) ContentDelta(
+	_ context.Context, request *controlpb.ContentDeltaRequest,
+) (*controlpb.ContentDeltaResponse, error) {
+	if err := s.checkContents(request.Fleet); err != nil {
+		return nil, err
+	}
+	response, err := s.Contents.Delta(request)
+	return response, contentError(err)
+}
+
+// ContentBuckets returns some buckets of a content's records.
+func (s *Server) ContentBuckets(
+	_ context.Context, request *controlpb.ContentBucketsRequest,
+) (*controlpb.ContentBucketsResponse, error) {
+	if err := s.checkContents(request.Fleet); err != nil {
+		return nil, err
+	}
+	response, err := s.Contents.Buckets(request)
+	return response, contentError(err)
+}
+
+// Keep fetches a content from the process that asks for that, and stores it.
+func (s *Server) Keep(
+	ctx context.Context, request *controlpb.KeepAsk,
+) (*controlpb.Answer, error) {
+	if request.Fleet != s.fleet {
+		return nil, errOtherFleet
+	}
+	if s.Contents == nil {
+		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Reason: noContents}, nil
+	}
+	ctx, cancel := withDefaultTimeout(ctx)
+	defer cancel()
+	if err := s.Contents.Keep(ctx, request); err != nil {
+		return &controlpb.Answer{Code: controlpb.Code_REFUSED, Reason: err.Error()}, nil
+	}
+	return &controlpb.Answer{}, nil
+}
+
+// checkContents rejects a request for contents of another fleet, or if none are stored here.
+func (s *Server) checkContents(fleet string) error {
+	if fleet != s.fleet {
+		return errOtherFleet
+	}
+	if s.Contents == nil {
+		return status.Error(codes.Unimplemented, noContents)
+	}
+	return nil
+}
+
+// contentError returns the gRPC status NotFound for a content that is not here.
+func contentError(err error) error {
+	if errors.Is(err, fs.ErrNotExist) {
+		return status.Error(codes.NotFound, "it is not here")
+	}
+	return err
+}
--- a/internal/controlplane/controlrpc/members.go
+++ b/internal/controlplane/controlrpc/members.go
@@ -7,36 +7,39 @@
 	"mothcleat/internal/controlplane/consensus"
 )
 
-// Members keeps a part of who belongs to the fleet, and asks the leader only for what has changed
-// of it. Its methods may be called concurrently.
+// Members caches a part of the membership, and asks the leader only for what has changed of it. Its
+// methods are safe for concurrent use.
 type Members struct {
 	client *Client
 	turn   chan struct{} // holds a token while nobody uses the cache
 	cache  *consensus.MemberCache
 }
 
-// Members makes a cache of the part that a query asks for; see agree.NewMemberCache.
+// Members returns a cache of the part that a query asks for; see consensus.NewMemberCache.
 func (c *Client) Members(query consensus.MembershipQuery) *Members {
-	m := &Members{client: c, turn: make(chan struct{}, 1), cache: consensus.NewMemberCache(query)}
+	m := &Members{
+		client: c,
+		turn:   make(chan struct{}, 1),
+		cache:  consensus.NewMemberCache(query),
+	}
 	m.turn <- struct{}{}
 	return m
 }
 
-// Voters returns the voters as they are agreed now, by name.
+// Voters returns the present voters, by name.
 func (m *Members) Voters(ctx context.Context) (all []consensus.VoterInfo, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Voters() })
 	return all, err
 }
 
-// List returns the members as they are agreed now, by id. They share their retired boots with the
-// cache.
+// List returns the present members, by id. They share their retired incarnations with the cache.
 func (m *Members) List(ctx context.Context) (all []consensus.MemberInfo, err error) {
 	err = m.refresh(ctx, func() { all = m.cache.Members() })
 	return all, err
 }
 
 // refresh brings the cache up to date and has it read. Others wait meanwhile: an answer leads on
-// from what was asked with.
+// from what its query named.
 func (m *Members) refresh(ctx context.Context, read func()) error {
 	select {
 	case <-m.turn:
@@ -44,10 +47,10 @@
 		return ctx.Err()
 	}
 	defer func() { m.turn <- struct{}{} }()
-	err := m.ask(ctx)
+	err := m.update(ctx)
 	if errors.Is(err, consensus.ErrCacheMismatch) {
-		m.client.log.Warn("fleet: the list of members is asked for anew", "error", err)
-		err = m.ask(ctx)
+		m.client.log.Warn("fleet: the list of members is requested again", "error", err)
+		err = m.update(ctx)
 	}
 	if err == nil {
 		read()
@@ -55,10 +58,11 @@
 	return err
 }
 
-func (m *Members) ask(ctx context.Context) error {
-	raw, err := m.client.Read(ctx, consensus.MembershipName, m.cache.Query())
+// update queries what the cache lacks.
+func (m *Members) update(ctx context.Context) error {
+	answer, err := m.client.Read(ctx, consensus.MembershipName, m.cache.Query())
 	if err != nil {
 		return err
 	}
-	return m.cache.Update(raw)
+	return m.cache.Update(answer)
 }
--- a/internal/controlplane/controlrpc/observer.go
+++ b/internal/controlplane/controlrpc/observer.go
@@ -8,14 +8,14 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Observer is told what a process's calls carry, so that a rig can count it. A nil Observer counts nothing and costs nothing.
-// Its fields are called concurrently.
+// Observer is notified of what a process's calls carry, so that tests can count it. A nil Observer
+// counts nothing and costs nothing. Its fields are called concurrently.
 type Observer struct {
-	Stats stats.Handler                // hears of each call and message
-	Wrap  func(conn net.Conn) net.Conn // sees each connection, dialled or accepted
+	Stats stats.Handler                // is notified of each call and message
+	Wrap  func(conn net.Conn) net.Conn // wraps each connection, dialled or accepted
 }
 
-// ServerOptions are what a server of the process is to be made with.
+// ServerOptions returns the options of an observed server.
 func (o *Observer) ServerOptions() []grpc.ServerOption {
 	if o == nil {
 		return nil
@@ -23,7 +23,7 @@
 	return []grpc.ServerOption{grpc.StatsHandler(o.Stats)}
 }
 
-// Listener gives a listener whose connections are observed.
+// Listener returns a listener whose connections are observed.
 func (o *Observer) Listener(l net.Listener) net.Listener {
 	if o == nil {
 		return l
@@ -31,7 +31,7 @@
 	return &observedListener{Listener: l, observer: o}
 }
 
-// dialOptions are what a connection of the process is to be dialled with.
+// dialOptions returns the options of an observed connection.
 func (o *Observer) dialOptions() []grpc.DialOption {
 	if o == nil {
 		return nil
@@ -51,7 +51,7 @@
 	observer *Observer
 }
 
-// Accept waits for a connection and has it observed.
+// Accept accepts a connection and has it observed.
 func (l *observedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/controlplane/controlrpc/observer_test.go
+++ b/internal/controlplane/controlrpc/observer_test.go
@@ -31,13 +31,14 @@
 	}
 }
 
-// An observer hears of each connection and message of a client, and a client without one works the same.
+// An observer is notified of each connection and message of a client, and a client without one
+// works the same.
 func TestObserver(t *testing.T) {
-	all, _ := voters(t, 1)
+	all, _ := startVoters(t, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
 	messages, connections := &countingHandler{}, atomic.Int64{}
-	observed, plain := client(t, "a", all), client(t, "b", all)
+	observed, plain := newTestClient(t, "a", all), newTestClient(t, "b", all)
 	observed.Observe(&Observer{Stats: messages, Wrap: func(conn net.Conn) net.Conn {
 		connections.Add(1)
 		return conn
@@ -47,12 +48,13 @@
 			t.Fatal(err)
 		}
 	}
-	if connections.Load() == 0 || messages.in.Load() == 0 || messages.out.Load() < messages.in.Load() {
-		t.Errorf("%d connections, %d messages in, %d out", connections.Load(), messages.in.Load(), messages.out.Load())
+	in, out := messages.in.Load(), messages.out.Load()
+	if connections.Load() == 0 || in == 0 || out < in {
+		t.Errorf("%d connections, %d messages in, %d out", connections.Load(), in, out)
 	}
 }
 
-// An observer hears of connections that are accepted, too, and no observer leaves a listener as it is.
+// An observer is notified of accepted connections as well; no observer leaves a listener as it is.
 func TestObserverOfAListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
