--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -15,7 +15,10 @@
 // distributionsearch looks for faults by which a gateway is given a state that was not agreed, or
 // misses one.
 func (b *bench) distributionsearch() *cobra.Command {
-	return b.play("distributionsearch", "looks in virtual time for faults by which a gateway has a wrong or an old list of servers, and for wrong variants", 30*time.Second,
+	return b.play(
+		"distributionsearch",
+		"looks in virtual time for faults by which a gateway has a wrong or an old list of servers, and for wrong variants",
+		30*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
@@ -39,7 +42,8 @@
 				}
 				return figures, nil
 			}
-		})
+		},
+	)
 }
 
 // distributionFinding is a finding as the search for mutants reads it.
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -63,7 +63,16 @@
 	root.SetOut(out)
 	root.SetErr(progress)
 	root.SetArgs(args)
-	root.AddCommand(b.try(), b.fleet(), b.upgrade(), b.quota(), b.auth(), b.consul(), b.owner(), b.budgets(), b.audit(),
+	root.AddCommand(
+		b.try(),
+		b.fleet(),
+		b.upgrade(),
+		b.quota(),
+		b.auth(),
+		b.consul(),
+		b.owner(),
+		b.budgets(),
+		b.audit(),
 		b.sim(),
 		b.search(),
 		b.ownersearch(),
@@ -76,7 +85,8 @@
 		b.store(),
 		b.storeWriter(),
 		b.scale(),
-		b.scaleHollow())
+		b.scaleHollow(),
+	)
 	err := root.ExecuteContext(ctx)
 	if err != nil {
 		return 2, err
@@ -86,8 +96,11 @@
 
 // play is a command that plays something and prints its figures. make adds the command's
 // own flags and returns what checks them and what plays.
-func (b *bench) play(name, short string, usual time.Duration,
-	make func(c *cobra.Command) (check func() error, play func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error))) *cobra.Command {
+func (b *bench) play(
+	name, short string,
+	usual time.Duration,
+	make func(c *cobra.Command) (check func() error, play func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error)),
+) *cobra.Command {
 	c := &cobra.Command{Use: name, Short: short, Args: none}
 	seed := c.Flags().Uint64("seed", 1, "which world is drawn, and what happens in it")
 	length := c.Flags().Duration("for", usual, "how long clients ask, 1s to 24h")
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -19,12 +19,20 @@
 	} {
 		var out bytes.Buffer
 		code, err := run(context.Background(), strings.Fields(c.args), &out, io.Discard)
-		if code != 2 || err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") || out.Len() > 0 {
+		if code != 2 || err == nil || !strings.Contains(err.Error(), c.want) ||
+			strings.Contains(err.Error(), "\n") ||
+			out.Len() > 0 {
 			t.Errorf("%q: code %d, %v, printed %q", c.args, code, err, out.String())
 		}
 	}
 	var out bytes.Buffer
-	if code, err := run(context.Background(), []string{"--help"}, &out, io.Discard); code != 0 || err != nil || !strings.Contains(out.String(), "Usage:") {
+	if code, err := run(
+		context.Background(),
+		[]string{"--help"},
+		&out,
+		io.Discard,
+	); code != 0 || err != nil ||
+		!strings.Contains(out.String(), "Usage:") {
 		t.Errorf("help: code %d, %v, %q", code, err, out.String())
 	}
 }
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -22,11 +22,19 @@
 	var ladders []string
 	var slopes, keep, page bool
 	var benchmarks, pageAt string
-	c := &cobra.Command{Use: "scale",
-		Short: "hollow gateways before real control processes: what a large fleet asks of them, by role", Args: none}
+	c := &cobra.Command{
+		Use:   "scale",
+		Short: "hollow gateways before real control processes: what a large fleet asks of them, by role",
+		Args:  none,
+	}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "which world is drawn, and what happens in it")
-	f.DurationVar(&o.For, "for", 20*time.Second, "how long changes are made and measured, 1s to 10m")
+	f.DurationVar(
+		&o.For,
+		"for",
+		20*time.Second,
+		"how long changes are made and measured, 1s to 10m",
+	)
 	f.IntVar(&o.Gateways, "gateways", 120, "hollow gateways")
 	f.IntVar(&o.Servers, "servers", 1000, "servers in the register")
 	f.IntVar(&o.Tenants, "tenants", 6000, "tenants with a plan each")
@@ -37,11 +45,26 @@
 		"servers drained, added anew and taken away, a second")
 	f.IntVar(&o.RackSize, "rack", 0, "servers that go at once in the middle of the run")
 	f.IntVar(&o.Versions, "versions", 1, "versions of the plans proposed in the run")
-	f.BoolVar(&o.BaseVersion, "base-version", false, "a version of the plans is in force everywhere before the run")
+	f.BoolVar(
+		&o.BaseVersion,
+		"base-version",
+		false,
+		"a version of the plans is in force everywhere before the run",
+	)
 	f.IntVar(&o.PerProcess, "per-process", 0, "hollow gateways in one process; 0: 62")
-	f.DurationVar(&o.Tick, "tick", 0, "the pace of the control processes' log; 0: the program's, which a crowded machine can't keep")
+	f.DurationVar(
+		&o.Tick,
+		"tick",
+		0,
+		"the pace of the control processes' log; 0: the program's, which a crowded machine can't keep",
+	)
 	f.DurationVar(&o.Span, "span", 0, "how long an owner's right lasts; 0: the program's")
-	f.StringVar(&faults, "faults", "", "injected one after another, spread over the run: some of stop,kill,leader,gateways")
+	f.StringVar(
+		&faults,
+		"faults",
+		"",
+		"injected one after another, spread over the run: some of stop,kill,leader,gateways",
+	)
 	f.StringVar(&roles, "roles", "all",
 		"what is switched on: all, none, or some of list,configuration,allocation,metering")
 	f.StringVar(&path, "path", string(scale.PathCompleteList),
@@ -91,7 +114,12 @@
 }
 
 // playScale plays one run for each path, and prints the result of each as a line.
-func (b *bench) playScale(ctx context.Context, o scale.Options, paths []scale.Path, into string) error {
+func (b *bench) playScale(
+	ctx context.Context,
+	o scale.Options,
+	paths []scale.Path,
+	into string,
+) error {
 	byPath := map[scale.Path]*scale.Result{}
 	for _, path := range paths {
 		o.Path = path
@@ -124,7 +152,12 @@
 }
 
 // playLadders plays ladders of sizes, and prints the slopes.
-func (b *bench) playLadders(ctx context.Context, o *scale.Options, names []string, into string) error {
+func (b *bench) playLadders(
+	ctx context.Context,
+	o *scale.Options,
+	names []string,
+	into string,
+) error {
 	if len(names) == 0 {
 		for _, l := range scale.Ladders() {
 			names = append(names, l.Name)
--- a/cmd/lab/store.go
+++ b/cmd/lab/store.go
@@ -15,7 +15,10 @@
 // The commands that try the embedded store.
 
 func (b *bench) store() *cobra.Command {
-	return b.play("store", "the embedded store: crashed after every operation, cut and changed at every byte, killed while it writes", time.Minute,
+	return b.play(
+		"store",
+		"the embedded store: crashed after every operation, cut and changed at every byte, killed while it writes",
+		time.Minute,
 		func(c *cobra.Command) (func() error, player) {
 			batches := c.Flags().Int("batches", 40,
 				"that are crashed and damaged, 24 to 400; the time grows with the square")
@@ -23,7 +26,8 @@
 			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				return b.runStore(ctx, seed, length, *batches)
 			}
-		})
+		},
+	)
 }
 
 // runStore plays whole rounds of crashes and damage for half of the time, and kills for the rest.
--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -25,56 +25,61 @@
 // The commands that play the real decisions in virtual time.
 
 func (b *bench) sim() *cobra.Command {
-	return b.play("sim", "a fleet in virtual time: the real decisions, all else modelled", time.Minute, func(c *cobra.Command) (func() error, player) {
-		o, f := sim.Options{}, c.Flags()
-		f.IntVar(&o.Gateways, "gateways", 40, "of the fleet")
-		f.IntVar(&o.Servers, "servers", 12, "quote servers")
-		f.Float64Var(&o.Load, "load", 0.55,
-			"part of what the servers can do that is asked inside the quotas")
-		f.Float64Var(&o.PerSecond, "per-second", 0,
-			"requests a second inside the quotas: work is made lighter or heavier for it")
-		f.IntVar(&o.Customers, "customers", 0,
-			"about so many: plans are made larger or smaller for it")
-		f.IntVar(&o.Spread, "spread", 0,
-			"gateways that every customer comes through; 0: 2 to 4, as drawn")
-		f.Float64Var(&o.Surge, "surge", 0,
-			"one plan's customers ask for so many times more in the middle third")
-		f.Float64Var(&o.MessageLoss, "loss", -1,
-			"part of the notes between gateways that is lost; -1: as drawn")
-		f.DurationVar(&o.MessageDelay, "late", 0, "how much later than usual notes come")
-		f.Float64Var(&o.MessageDuplication, "twice", 0, "part of the notes that come twice")
-		f.DurationVar(&o.Shift, "shift", 0,
-			"how often a customer's busiest gateway changes; 0: 15s")
-		f.DurationVar(&o.Kills, "kills", 0, "a gateway is killed each so often")
-		f.DurationVar(&o.Restarts, "restarts", 0,
-			"a server ends, and comes back cold, each so often")
-		f.BoolVar(&o.Snapshots, "state", false,
-			"gateways keep their state, and killed ones come back with it")
-		world := f.String(
-			"world",
-			"",
-			"a file with a schedule as the search prints it, - for standard input; all other flags are passed over",
-		)
-		check := func() error {
-			if *world != "" {
-				return nil
+	return b.play(
+		"sim",
+		"a fleet in virtual time: the real decisions, all else modelled",
+		time.Minute,
+		func(c *cobra.Command) (func() error, player) {
+			o, f := sim.Options{}, c.Flags()
+			f.IntVar(&o.Gateways, "gateways", 40, "of the fleet")
+			f.IntVar(&o.Servers, "servers", 12, "quote servers")
+			f.Float64Var(&o.Load, "load", 0.55,
+				"part of what the servers can do that is asked inside the quotas")
+			f.Float64Var(&o.PerSecond, "per-second", 0,
+				"requests a second inside the quotas: work is made lighter or heavier for it")
+			f.IntVar(&o.Customers, "customers", 0,
+				"about so many: plans are made larger or smaller for it")
+			f.IntVar(&o.Spread, "spread", 0,
+				"gateways that every customer comes through; 0: 2 to 4, as drawn")
+			f.Float64Var(&o.Surge, "surge", 0,
+				"one plan's customers ask for so many times more in the middle third")
+			f.Float64Var(&o.MessageLoss, "loss", -1,
+				"part of the notes between gateways that is lost; -1: as drawn")
+			f.DurationVar(&o.MessageDelay, "late", 0, "how much later than usual notes come")
+			f.Float64Var(&o.MessageDuplication, "twice", 0, "part of the notes that come twice")
+			f.DurationVar(&o.Shift, "shift", 0,
+				"how often a customer's busiest gateway changes; 0: 15s")
+			f.DurationVar(&o.Kills, "kills", 0, "a gateway is killed each so often")
+			f.DurationVar(&o.Restarts, "restarts", 0,
+				"a server ends, and comes back cold, each so often")
+			f.BoolVar(&o.Snapshots, "state", false,
+				"gateways keep their state, and killed ones come back with it")
+			world := f.String(
+				"world",
+				"",
+				"a file with a schedule as the search prints it, - for standard input; all other flags are passed over",
+			)
+			check := func() error {
+				if *world != "" {
+					return nil
+				}
+				t := o
+				t.Seed, t.Duration = 1, time.Second
+				return t.Check()
 			}
-			t := o
-			t.Seed, t.Duration = 1, time.Second
-			return t.Check()
-		}
-		return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
-			o.Seed, o.Duration = seed, length
-			if *world != "" {
-				s, err := readSchedule(*world)
-				if err != nil {
-					return nil, err
+			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+				o.Seed, o.Duration = seed, length
+				if *world != "" {
+					s, err := readSchedule(*world)
+					if err != nil {
+						return nil, err
+					}
+					o = s.Options
 				}
-				o = s.Options
+				return sim.RunSummary(o)
 			}
-			return sim.RunSummary(o)
-		}
-	})
+		},
+	)
 }
 
 func readSchedule(path string) (sim.Schedule, error) {
@@ -92,7 +97,10 @@
 }
 
 func (b *bench) search() *cobra.Command {
-	return b.play("search", "looks for schedules of faults that break a rule, and shows on mutants that it can find them", 30*time.Second,
+	return b.play(
+		"search",
+		"looks for schedules of faults that break a rule, and shows on mutants that it can find them",
+		30*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many at most")
@@ -113,7 +121,9 @@
 				}
 				fig := harness.NewSummary("search", seed)
 				fig.Seconds = time.Since(began).Seconds()
-				fig.Extra["schedules"], fig.Extra["states"], fig.Extra["found"], fig.Extra["findings"] = found.Schedules, found.States, len(found.Findings), found.Findings
+				fig.Extra["schedules"], fig.Extra["states"], fig.Extra["found"], fig.Extra["findings"] = found.Schedules, found.States, len(
+					found.Findings,
+				), found.Findings
 				for _, x := range found.Findings {
 					fig.Broken[harness.Rule(x.Rule)]++
 					fig.AddFailure(x.Rule + ": " + x.Detail)
@@ -132,12 +142,16 @@
 				}
 				return fig, nil
 			}
-		})
+		},
+	)
 }
 
 // ownersearch looks for what breaks the promises of what the fleet agrees on.
 func (b *bench) ownersearch() *cobra.Command {
-	return b.play("ownersearch", "looks in virtual time for faults that break what a fleet's voters and owners promise, and for wrong variants", 30*time.Second,
+	return b.play(
+		"ownersearch",
+		"looks in virtual time for faults that break what a fleet's voters and owners promise, and for wrong variants",
+		30*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
@@ -188,12 +202,16 @@
 				}
 				return fig, nil
 			}
-		})
+		},
+	)
 }
 
 // budgetsearch looks for what has budgets pass their whole.
 func (b *bench) budgetsearch() *cobra.Command {
-	return b.play("budgetsearch", "looks in virtual time for faults by which parts of a budget pass the whole, and for wrong variants", 30*time.Second,
+	return b.play(
+		"budgetsearch",
+		"looks in virtual time for faults by which parts of a budget pass the whole, and for wrong variants",
+		30*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
@@ -237,12 +255,16 @@
 				}
 				return fig, nil
 			}
-		})
+		},
+	)
 }
 
 // auditsearch looks for acts on versions that nobody is to act on.
 func (b *bench) auditsearch() *cobra.Command {
-	return b.play("auditsearch", "looks in virtual time for faults by which a gateway acts on what was withdrawn, and for wrong variants", 30*time.Second,
+	return b.play(
+		"auditsearch",
+		"looks in virtual time for faults by which a gateway acts on what was withdrawn, and for wrong variants",
+		30*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			f := c.Flags()
 			most := f.Int("schedules", 1_000_000, "so many plays at most")
@@ -287,7 +309,8 @@
 				}
 				return fig, nil
 			}
-		})
+		},
+	)
 }
 
 // mutants adds to the figures what the search makes of wrong variants.
@@ -314,14 +337,21 @@
 			f.AddFailure("mutant not found: " + r.Name)
 		}
 	}
-	f.Extra["mutants"], f.Extra["mutants_found"], f.Extra["mutants_schedules_median"] = len(results), n, mutants.Median(results)
+	f.Extra["mutants"], f.Extra["mutants_found"], f.Extra["mutants_schedules_median"] = len(
+		results,
+	), n, mutants.Median(
+		results,
+	)
 	f.Extra["mutant_results"] = results
 	return nil
 }
 
 func (b *bench) experiment() *cobra.Command {
-	c := &cobra.Command{Use: "experiment FILE.toml", Short: "plays a sweep in the emulator, paired by seed; one that was interrupted goes on where it was",
-		Args: one("a file")}
+	c := &cobra.Command{
+		Use:   "experiment FILE.toml",
+		Short: "plays a sweep in the emulator, paired by seed; one that was interrupted goes on where it was",
+		Args:  one("a file"),
+	}
 	out := c.Flags().String("out", "results", "folder for the results, NAME.jsonl")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		f, err := experiment.Load(args[0])
@@ -381,8 +411,16 @@
 	for _, r := range rows {
 		broken += r.Figures["broken"]
 	}
-	line := map[string]any{"command": "experiment", "name": f.Name, "worlds": len(rows), "of": len(f.Points()), "broken": broken,
-		"summary": all, "files": files, "ok": why == nil && broken == 0}
+	line := map[string]any{
+		"command": "experiment",
+		"name":    f.Name,
+		"worlds":  len(rows),
+		"of":      len(f.Points()),
+		"broken":  broken,
+		"summary": all,
+		"files":   files,
+		"ok":      why == nil && broken == 0,
+	}
 	if why != nil {
 		line["why"] = why.Error()
 	}
@@ -398,12 +436,16 @@
 }
 
 func (b *bench) calibrate() *cobra.Command {
-	return b.play("calibrate", "the same sites, seeds and faults in real processes and in the emulator, side by side", 20*time.Second,
+	return b.play(
+		"calibrate",
+		"the same sites, seeds and faults in real processes and in the emulator, side by side",
+		20*time.Second,
 		func(c *cobra.Command) (func() error, player) {
 			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
 				return calibrate.Run(ctx, seed, length, b.progress)
 			}
-		})
+		},
+	)
 }
 
 func one(what string) cobra.PositionalArgs {
--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -83,7 +83,7 @@
 // processes held.
 func kept(t *testing.T, run *trialRun) *harness.Summary {
 	t.Helper()
-	fig := run.f.Figures("budgets")
+	fig := run.f.Summary("budgets")
 	clustertest.Check(t, run.judge(fig))
 	if !fig.OK || len(Windows(run.f.Site, run.f.Record, Slack{})) == 0 {
 		t.Errorf("broken %v, why %v", fig.Broken, fig.Why)
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -155,7 +155,7 @@
 	}
 	f.Clients.Run(asking)
 	wg.Wait()
-	p.fig = f.Figures("budgets")
+	p.fig = f.Summary("budgets")
 	p.withRoom = RefusedWithRoom(f.Site, f.Record)
 	t.course()
 	fig := p.fig
--- a/internal/testing/audittest/audit_test.go
+++ b/internal/testing/audittest/audit_test.go
@@ -88,7 +88,7 @@
 // kept fails the test if a rule was broken.
 func kept(t *testing.T, f *testcluster.Fleet) {
 	t.Helper()
-	if fig := f.Figures("audit"); !fig.OK {
+	if fig := f.Summary("audit"); !fig.OK {
 		t.Errorf("broken %v, why %v", fig.Broken, fig.Why)
 	}
 }
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -320,7 +320,7 @@
 
 // judge ends the fleet and reads what all have left.
 func (c *course) judge() (*harness.Summary, error) {
-	fig := c.f.Figures("audit")
+	fig := c.f.Summary("audit")
 	// heads of the last entries but few are told
 	testcluster.Pass(context.Background(), 4*time.Second)
 	c.look(0)
--- a/internal/testing/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -65,14 +65,20 @@
 			}
 			return all
 		}},
-		{"register silent and a server down, 8 gateways", 8, 0.55, -1, func(length time.Duration) []harness.Fault {
-			return []harness.Fault{{
-				At:   at(length, 0.1),
-				For:  at(length, 0.5),
-				Kind: harness.RegistrySilent,
+		{
+			"register silent and a server down, 8 gateways",
+			8,
+			0.55,
+			-1,
+			func(length time.Duration) []harness.Fault {
+				return []harness.Fault{{
+					At:   at(length, 0.1),
+					For:  at(length, 0.5),
+					Kind: harness.RegistrySilent,
+				},
+					{At: at(length, 0.2), For: 1500 * time.Millisecond, Kind: harness.Down, N: 2}}
 			},
-				{At: at(length, 0.2), For: 1500 * time.Millisecond, Kind: harness.Down, N: 2}}
-		}},
+		},
 	}
 }
 
@@ -125,14 +131,18 @@
 			rows[i] = compare(p.Name, real, model)
 			mu.Lock()
 			defer mu.Unlock()
-			fmt.Fprintf(progress, "%-46s service %.3f, emulated %.3f; refused %.3f, %.3f; p50 %.0f, %.0f ms; within %t\n", p.Name,
+			fmt.Fprintf(
+				progress,
+				"%-46s service %.3f, emulated %.3f; refused %.3f, %.3f; p50 %.0f, %.0f ms; within %t\n",
+				p.Name,
 				rows[i].Service[0],
 				rows[i].Service[1],
 				rows[i].Refused[0],
 				rows[i].Refused[1],
 				rows[i].P50[0],
 				rows[i].P50[1],
-				rows[i].Within)
+				rows[i].Within,
+			)
 			for k, side := range []*harness.Summary{real, model} {
 				for rule, n := range side.Broken {
 					f.Broken[rule] += n
@@ -156,7 +166,9 @@
 		}
 	}
 	f.Seconds = time.Since(began).Seconds()
-	f.Extra["pairings"], f.Extra["within"], f.Extra["of"], f.Extra["service_gap_most"] = rows, within, len(rows), worst
+	f.Extra["pairings"], f.Extra["within"], f.Extra["of"], f.Extra["service_gap_most"] = rows, within, len(
+		rows,
+	), worst
 	return f, nil
 }
 
@@ -166,13 +178,33 @@
 	ctx context.Context, p Pairing, seed uint64, length time.Duration, bin string,
 ) (real, model *harness.Summary, err error) {
 	faults := p.Faults(length)
-	real, err = lab.Play(ctx, lab.PlayOptions{Seed: seed, Gateways: p.Gateways, Servers: servers, Load: p.Load, For: length,
-		NoteLoss: p.NoteLoss, Faults: faults, Bin: bin})
+	real, err = lab.Play(
+		ctx,
+		lab.PlayOptions{
+			Seed:        seed,
+			Gateways:    p.Gateways,
+			Servers:     servers,
+			Load:        p.Load,
+			For:         length,
+			MessageLoss: p.NoteLoss,
+			Faults:      faults,
+			Bin:         bin,
+		},
+	)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	model, err = sim.RunSummary(sim.Options{Seed: seed, Gateways: p.Gateways, Servers: servers, Load: p.Load, Duration: length,
-		MessageLoss: p.NoteLoss, Faults: faults})
+	model, err = sim.RunSummary(
+		sim.Options{
+			Seed:        seed,
+			Gateways:    p.Gateways,
+			Servers:     servers,
+			Load:        p.Load,
+			Duration:    length,
+			MessageLoss: p.NoteLoss,
+			Faults:      faults,
+		},
+	)
 	return real, model, err
 }
 
--- a/internal/testing/electiontest/judge.go
+++ b/internal/testing/electiontest/judge.go
@@ -62,7 +62,7 @@
 				[]byte(g.Log()), 0o644))
 		}
 	}
-	f := t.f.Figures("owner")
+	f := t.f.Summary("owner")
 	two, late := t.effects(&v)
 	f.Broken["two_owners"], f.Broken["late_effects"] = two, late
 	j, err := w.judge(0, ended)
--- a/internal/testing/electiontest/watch_test.go
+++ b/internal/testing/electiontest/watch_test.go
@@ -118,7 +118,7 @@
 	if err := errors.Join(f.World.Stop(t.Context())); err != nil {
 		t.Fatal(err)
 	}
-	fig := f.Figures("watch")
+	fig := f.Summary("watch")
 	for rule, n := range fig.Broken {
 		if n > 0 {
 			t.Errorf("%s: %d: %v", rule, n, fig.Why)
--- a/internal/testing/experiment/experiment.go
+++ b/internal/testing/experiment/experiment.go
@@ -121,7 +121,11 @@
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		row, _ := strict.Errors[0].Position()
-		return nil, fmt.Errorf("line %d: %s: no such setting", row, strings.Join(strict.Errors[0].Key(), "."))
+		return nil, fmt.Errorf(
+			"line %d: %s: no such setting",
+			row,
+			strings.Join(strict.Errors[0].Key(), "."),
+		)
 	}
 	if err != nil {
 		return nil, errors.New(strings.Join(strings.Fields(err.Error()), " "))
@@ -232,7 +236,13 @@
 	}
 	todo := slices.DeleteFunc(f.Points(), func(p Point) bool { return have[p] })
 	if len(old) > 0 {
-		fmt.Fprintf(progress, "%s: %d worlds were played before, %d to go\n", f.Name, len(old), len(todo))
+		fmt.Fprintf(
+			progress,
+			"%s: %d worlds were played before, %d to go\n",
+			f.Name,
+			len(old),
+			len(todo),
+		)
 	}
 	out, err := rewrite(results, old)
 	if err != nil {
@@ -267,8 +277,17 @@
 			}
 			errs = errors.Join(errs, err)
 			if done++; done%max(1, len(todo)/20) == 0 {
-				left := time.Duration(float64(time.Since(began)) / float64(done) * float64(len(todo)-done))
-				fmt.Fprintf(progress, "%s: %d of %d worlds, %v to go\n", f.Name, done, len(todo), left.Round(time.Second))
+				left := time.Duration(
+					float64(time.Since(began)) / float64(done) * float64(len(todo)-done),
+				)
+				fmt.Fprintf(
+					progress,
+					"%s: %d of %d worlds, %v to go\n",
+					f.Name,
+					done,
+					len(todo),
+					left.Round(time.Second),
+				)
 			}
 		}()
 	}
@@ -411,7 +430,16 @@
 			}
 			for k, v := range f.Variant {
 				mean, half := interval(samples[k])
-				s.Variants, s.Means, s.Spreads = append(s.Variants, v.Name), append(s.Means, mean), append(s.Spreads, half)
+				s.Variants, s.Means, s.Spreads = append(
+					s.Variants,
+					v.Name,
+				), append(
+					s.Means,
+					mean,
+				), append(
+					s.Spreads,
+					half,
+				)
 			}
 			if len(samples) == 2 {
 				differences := make([]float64, s.Seeds)
@@ -435,7 +463,13 @@
 			fmt.Fprintf(out, "  %s %.4f ±%.4f", v, s.Means[i], s.Spreads[i])
 		}
 		if len(s.Variants) == 2 {
-			fmt.Fprintf(out, "  difference %+.4f ±%.4f%s", s.Difference, s.Interval, map[bool]string{true: " *"}[s.Tells])
+			fmt.Fprintf(
+				out,
+				"  difference %+.4f ±%.4f%s",
+				s.Difference,
+				s.Interval,
+				map[bool]string{true: " *"}[s.Tells],
+			)
 		}
 		fmt.Fprintf(out, "  (%d seeds)\n", s.Seeds)
 	}
--- a/internal/testing/experiment/experiment_test.go
+++ b/internal/testing/experiment/experiment_test.go
@@ -82,7 +82,12 @@
 	if err := os.WriteFile(cut, append([]byte("{nothing\n"), raw...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Run(context.Background(), cut, io.Discard); err == nil || !strings.Contains(err.Error(), ":1:") {
+	if err := f.Run(
+		context.Background(),
+		cut,
+		io.Discard,
+	); err == nil ||
+		!strings.Contains(err.Error(), ":1:") {
 		t.Errorf("damage in the first line: %v", err)
 	}
 	rows, err := ReadRows(whole)
@@ -106,8 +111,14 @@
 	var rows []Row
 	for i, y := range []float64{0.2, 0.5, 0.9} { // far apart, their differences close together
 		seed := f.First + uint64(i)
-		rows = append(rows, Row{Point{"half", 1, seed}, map[string]float64{"service": y}},
-			Row{Point{"whole", 1, seed}, map[string]float64{"service": y + 0.05 + 0.001*float64(i)}})
+		rows = append(
+			rows,
+			Row{Point{"half", 1, seed}, map[string]float64{"service": y}},
+			Row{
+				Point{"whole", 1, seed},
+				map[string]float64{"service": y + 0.05 + 0.001*float64(i)},
+			},
+		)
 	}
 	rows = append(rows, Row{Point{"half", 3, f.First}, map[string]float64{"service": 1}}) // no pair
 	all := f.Summarise(rows)
--- a/internal/testing/experiment/plot.go
+++ b/internal/testing/experiment/plot.go
@@ -23,7 +23,10 @@
 			for _, s := range all {
 				if s.Figure == figure && k < len(s.Means) {
 					line.XYs = append(line.XYs, plotter.XY{X: s.X, Y: s.Means[k]})
-					line.YErrors = append(line.YErrors, struct{ Low, High float64 }{s.Spreads[k], s.Spreads[k]})
+					line.YErrors = append(
+						line.YErrors,
+						struct{ Low, High float64 }{s.Spreads[k], s.Spreads[k]},
+					)
 				}
 			}
 			if len(line.XYs) == 0 {
@@ -37,7 +40,13 @@
 			if err != nil {
 				return files, fmt.Errorf("plot: %s: %w", figure, err)
 			}
-			l.Color, dots.Color, bars.Color = plotutil.Color(k), plotutil.Color(k), plotutil.Color(k)
+			l.Color, dots.Color, bars.Color = plotutil.Color(
+				k,
+			), plotutil.Color(
+				k,
+			), plotutil.Color(
+				k,
+			)
 			dots.Shape = plotutil.Shape(k)
 			p.Add(l, dots, bars)
 			p.Legend.Add(v.Name, l, dots)
--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -74,7 +74,7 @@
 	seed uint64,
 	length time.Duration,
 	bin string,
-	asks bool,
+	withAuth bool,
 	progress io.Writer,
 ) (*harness.Summary, error) {
 	const gateways, servers, load = 3, 36, 0.5
@@ -87,46 +87,31 @@
 		Log:      progress,
 	}
 	var a *Authenticator
-	if asks {
-		denied := map[string]bool{}
-		// the same draw as the world's
-		for i, c := range harness.NewSite(seed, gateways, servers, load).Customers {
-			denied[c.ID] = i%10 == 0
-		}
-		// The record is the world's; it is put in place below, before anything is asked.
+	if withAuth {
 		var err error
-		if a, err = NewAuthenticator(harness.NewRecord(), denied, seed); err != nil {
+		if a, err = addAuthenticator(&o); err != nil {
 			return nil, err
 		}
 		defer a.Close()
-		o.Operators = authText(a.Address)
-		o.Prepare = func(w *World, g *Gateway) error {
-			a.rec = w.Record
-			var b strings.Builder
-			for _, c := range w.Site.Customers {
-				fmt.Fprintf(&b, "%s %s\n", c.ID, tokenOf(c.ID))
-			}
-			return os.WriteFile(filepath.Join(g.dir, "tokens"), []byte(b.String()), 0o600)
-		}
 	}
 	w, err := NewWorld(ctx, o)
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	asking, cancel := context.WithTimeout(ctx, length)
+	trafficContext, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	w.progress(asking, progress, length)
+	w.progress(trafficContext, progress, length)
 	moods := make(chan error, 1)
-	if asks {
-		go func() { moods <- a.moods(asking, rand.New(rand.NewPCG(seed, 0x300d)), progress) }()
+	if withAuth {
+		go func() { moods <- a.moods(trafficContext, rand.New(rand.NewPCG(seed, 0x300d)), progress) }()
 	}
-	w.Clients.Run(asking)
+	w.Clients.Run(trafficContext)
 	var cpu float64
 	for _, g := range w.Gateways {
 		cpu += g.cpu()
 	}
-	if asks {
+	if withAuth {
 		if err := <-moods; err != nil {
 			return nil, err
 		}
@@ -136,16 +121,40 @@
 	if err := w.Stop(stop); err != nil {
 		return nil, err
 	}
-	f := w.figures("auth")
+	f := w.summarize("auth")
 	f.Extra["cpu_us_per_try"] = cpu * 1e6 / float64(max(1, f.Taken))
 	f.Extra["p999_ms"] = harness.Percentile(w.Site, w.Record, 0.999)
-	if asks {
+	if withAuth {
 		f.Extra["calls_per_try"] = float64(a.calls) / float64(max(1, f.Taken))
 		checkAuthenticator(f, w, a)
 	}
 	return f, nil
 }
 
+// addAuthenticator starts an authenticator that denies every tenth customer, and has the world's
+// gateways ask it.
+func addAuthenticator(o *Options) (*Authenticator, error) {
+	denied := map[string]bool{}
+	// The site is drawn as the world draws it.
+	for i, c := range harness.NewSite(o.Seed, o.Gateways, o.Servers, o.Load).Customers {
+		denied[c.ID] = i%10 == 0
+	}
+	a, err := NewAuthenticator(harness.NewRecord(), denied, o.Seed)
+	if err != nil {
+		return nil, err
+	}
+	o.Operators = authText(a.Address)
+	o.Prepare = func(w *World, g *Gateway) error {
+		a.rec = w.Record // the world's record, before the first call
+		var tokens strings.Builder
+		for _, c := range w.Site.Customers {
+			fmt.Fprintf(&tokens, "%s %s\n", c.ID, tokenOf(c.ID))
+		}
+		return os.WriteFile(filepath.Join(g.dir, "tokens"), []byte(tokens.String()), 0o600)
+	}
+	return a, nil
+}
+
 // moods has the authenticator go through its moods until the run ends, each for a
 // while and each after a time in which it answers.
 func (a *Authenticator) moods(ctx context.Context, r *rand.Rand, progress io.Writer) error {
--- a/internal/testing/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -18,8 +18,20 @@
 		want    float64
 	}{{900 * ms, 0}, {-3 * time.Second, 2}, {1500 * ms, 2}} {
 		rec := harness.NewRecord()
-		rec.AddTry(harness.Try{ID: "1", First: "1", Customer: "c", Units: 2, RequestedAt: time.Second, SentAt: time.Second,
-			Wait: 2 * time.Second, AnsweredAt: 1200 * ms, Kind: harness.Served, Answers: 1})
+		rec.AddTry(
+			harness.Try{
+				ID:          "1",
+				First:       "1",
+				Customer:    "c",
+				Units:       2,
+				RequestedAt: time.Second,
+				SentAt:      time.Second,
+				Wait:        2 * time.Second,
+				AnsweredAt:  1200 * ms,
+				Kind:        harness.Served,
+				Answers:     1,
+			},
+		)
 		rec.AddAttempt(harness.Attempt{
 			ID:          "1",
 			Server:      "a",
--- a/internal/testing/lab/authenticator.go
+++ b/internal/testing/lab/authenticator.go
@@ -41,7 +41,11 @@
 }
 
 // NewAuthenticator starts one that denies the customers given.
-func NewAuthenticator(rec *harness.Record, denied map[string]bool, seed uint64) (*Authenticator, error) {
+func NewAuthenticator(
+	rec *harness.Record,
+	denied map[string]bool,
+	seed uint64,
+) (*Authenticator, error) {
 	a := &Authenticator{rec: rec, rand: rand.New(rand.NewPCG(seed, 0xa)), denied: denied,
 		allows: map[string][]time.Duration{}, changed: make(chan struct{}), Address: "127.0.0.1:0"}
 	return a, a.listen()
@@ -89,7 +93,8 @@
 	customer := r.Header.Get("X-Mothcleat-Customer")
 	a.mu.Lock()
 	a.calls++
-	if r.Header.Get("Authorization") != "Bearer "+tokenOf(customer) || strings.Contains(r.URL.String(), "token") {
+	if r.Header.Get("Authorization") != "Bearer "+tokenOf(customer) ||
+		strings.Contains(r.URL.String(), "token") {
 		a.strange++
 	}
 	mood, changed := a.mood, a.changed
--- a/internal/testing/lab/consul.go
+++ b/internal/testing/lab/consul.go
@@ -70,7 +70,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("consul: %w", err)
 	}
-	c := &Consul{Address: l.Addr().String(), rand: rand.New(rand.NewPCG(seed, 0xc05)), index: 10, changed: make(chan struct{}), began: time.Now()}
+	c := &Consul{
+		Address: l.Addr().String(),
+		rand:    rand.New(rand.NewPCG(seed, 0xc05)),
+		index:   10,
+		changed: make(chan struct{}),
+		began:   time.Now(),
+	}
 	c.past = []consulState{{index: 10, at: c.began}}
 	c.server = &http.Server{Handler: c, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = c.server.Serve(l) }()
@@ -140,7 +146,18 @@
 	if err != nil {
 		return fmt.Errorf("consul: %w", err)
 	}
-	c.register(consulService{ID: id, Name: name, Address: host, Port: port, Tags: tags, Meta: meta, Weights: consulWeights{1, 1}}, "passing")
+	c.register(
+		consulService{
+			ID:      id,
+			Name:    name,
+			Address: host,
+			Port:    port,
+			Tags:    tags,
+			Meta:    meta,
+			Weights: consulWeights{1, 1},
+		},
+		"passing",
+	)
 	return nil
 }
 
@@ -189,7 +206,11 @@
 
 // SetMaintenance puts an instance into maintenance, or takes it out.
 func (c *Consul) SetMaintenance(id string, on bool) bool {
-	return c.SetCheck(id, "_service_maintenance:"+id, map[bool]string{true: "critical", false: ""}[on])
+	return c.SetCheck(
+		id,
+		"_service_maintenance:"+id,
+		map[bool]string{true: "critical", false: ""}[on],
+	)
 }
 
 // state is what a query sees now.
@@ -299,7 +320,9 @@
 		if index > 0 && s.index <= index && s.index+4 > index && !ended && !f.AtOnce && !f.Errs {
 			lag := make(<-chan time.Time)
 			if f.Lag > 0 {
-				lag = time.After(min(f.Lag, 50*time.Millisecond)) // what was changed comes to be seen
+				lag = time.After(
+					min(f.Lag, 50*time.Millisecond),
+				) // what was changed comes to be seen
 			}
 			select {
 			case <-changed:
@@ -317,22 +340,29 @@
 		case drop:
 			panic(http.ErrAbortHandler)
 		default:
-			w.Header().Set("X-Consul-Index", fmt.Sprint(s.index))
-			w.Header().Set("X-Consul-KnownLeader", "true")
-			w.Header().Set("X-Consul-LastContact", fmt.Sprint(f.Lag.Milliseconds()))
-			w.Header().Set("Content-Type", "application/json")
-			text := s.text(name, health)
-			if f.Half {
-				text = text[:len(text)/2]
-			}
-			if _, err := w.Write(text); err == nil && health && !f.Half && c.answers != nil {
-				c.answers(s.services)
-			}
+			c.writeAnswer(w, f, &s, name, health)
 		}
 		return
 	}
 }
 
+// writeAnswer writes the list of a service's instances, or half of it.
+func (c *Consul) writeAnswer(
+	w http.ResponseWriter, f ConsulFault, s *consulState, name string, health bool,
+) {
+	w.Header().Set("X-Consul-Index", fmt.Sprint(s.index))
+	w.Header().Set("X-Consul-KnownLeader", "true")
+	w.Header().Set("X-Consul-LastContact", fmt.Sprint(f.Lag.Milliseconds()))
+	w.Header().Set("Content-Type", "application/json")
+	text := s.text(name, health)
+	if f.Half {
+		text = text[:len(text)/2]
+	}
+	if _, err := w.Write(text); err == nil && health && !f.Half && c.answers != nil {
+		c.answers(s.services)
+	}
+}
+
 // text is the list of a service's instances, as JSON.
 func (s *consulState) text(name string, health bool) []byte {
 	list := []any{}
@@ -347,25 +377,70 @@
 			continue
 		}
 		if !health {
-			list = append(list, map[string]any{"ID": "", "Node": consulNode, "Address": "127.0.0.1", "Datacenter": "dc1", "ServiceID": v.ID,
-				"ServiceName": v.Name, "ServiceAddress": v.Address, "ServicePort": v.Port, "ServiceTags": v.Tags, "ServiceMeta": v.Meta,
-				"ServiceWeights": v.Weights, "CreateIndex": v.CreateIndex, "ModifyIndex": v.ModifyIndex})
+			list = append(
+				list,
+				map[string]any{
+					"ID":             "",
+					"Node":           consulNode,
+					"Address":        "127.0.0.1",
+					"Datacenter":     "dc1",
+					"ServiceID":      v.ID,
+					"ServiceName":    v.Name,
+					"ServiceAddress": v.Address,
+					"ServicePort":    v.Port,
+					"ServiceTags":    v.Tags,
+					"ServiceMeta":    v.Meta,
+					"ServiceWeights": v.Weights,
+					"CreateIndex":    v.CreateIndex,
+					"ModifyIndex":    v.ModifyIndex,
+				},
+			)
 			continue
 		}
-		checks := []any{map[string]any{"Node": consulNode, "CheckID": "serfHealth", "Name": "Serf Health Status", "Status": "passing"}}
+		checks := []any{
+			map[string]any{
+				"Node":    consulNode,
+				"CheckID": "serfHealth",
+				"Name":    "Serf Health Status",
+				"Status":  "passing",
+			},
+		}
 		names := make([]string, 0, len(v.checks))
 		for check := range v.checks {
 			names = append(names, check)
 		}
 		slices.Sort(names)
 		for _, check := range names {
-			checks = append(checks, map[string]any{"Node": consulNode, "CheckID": check, "Name": check, "Status": v.checks[check],
-				"ServiceID": v.ID, "ServiceName": v.Name})
+			checks = append(
+				checks,
+				map[string]any{
+					"Node":        consulNode,
+					"CheckID":     check,
+					"Name":        check,
+					"Status":      v.checks[check],
+					"ServiceID":   v.ID,
+					"ServiceName": v.Name,
+				},
+			)
 		}
 		list = append(list, map[string]any{
-			"Node": map[string]any{"ID": "", "Node": consulNode, "Address": "127.0.0.1", "Datacenter": "dc1"},
-			"Service": map[string]any{"ID": v.ID, "Service": v.Name, "Tags": v.Tags, "Address": v.Address, "Port": v.Port, "Meta": v.Meta,
-				"Weights": v.Weights, "CreateIndex": v.CreateIndex, "ModifyIndex": v.ModifyIndex},
+			"Node": map[string]any{
+				"ID":         "",
+				"Node":       consulNode,
+				"Address":    "127.0.0.1",
+				"Datacenter": "dc1",
+			},
+			"Service": map[string]any{
+				"ID":          v.ID,
+				"Service":     v.Name,
+				"Tags":        v.Tags,
+				"Address":     v.Address,
+				"Port":        v.Port,
+				"Meta":        v.Meta,
+				"Weights":     v.Weights,
+				"CreateIndex": v.CreateIndex,
+				"ModifyIndex": v.ModifyIndex,
+			},
 			"Checks": checks,
 		})
 	}
--- a/internal/testing/lab/consul_test.go
+++ b/internal/testing/lab/consul_test.go
@@ -20,9 +20,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &api.AgentServiceRegistration{ID: "q-1", Name: "quotes", Address: "127.0.0.9", Port: 7001, Tags: []string{"blue"},
-		Meta: map[string]string{"cell": "3"}, Weights: &api.AgentWeights{Passing: 4, Warning: 2},
-		Check: &api.AgentServiceCheck{TTL: "10s", Status: api.HealthPassing}}
+	want := &api.AgentServiceRegistration{
+		ID:      "q-1",
+		Name:    "quotes",
+		Address: "127.0.0.9",
+		Port:    7001,
+		Tags:    []string{"blue"},
+		Meta:    map[string]string{"cell": "3"},
+		Weights: &api.AgentWeights{Passing: 4, Warning: 2},
+		Check:   &api.AgentServiceCheck{TTL: "10s", Status: api.HealthPassing},
+	}
 	if err := client.Agent().ServiceRegister(want); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +39,9 @@
 	}
 	got := list[0].Service
 	if got.ID != want.ID || got.Address != want.Address || got.Port != want.Port || !reflect.DeepEqual(got.Tags, want.Tags) ||
-		got.Meta["cell"] != "3" || got.Weights != *want.Weights || got.CreateIndex == 0 || list[0].Checks.AggregatedStatus() != api.HealthPassing {
+		got.Meta["cell"] != "3" || got.Weights != *want.Weights ||
+		got.CreateIndex == 0 ||
+		list[0].Checks.AggregatedStatus() != api.HealthPassing {
 		t.Errorf("read back %+v", got)
 	}
 	if !meta.KnownLeader || meta.LastIndex == 0 {
@@ -41,7 +50,8 @@
 	// A blocking query ends with the change.
 	woken := make(chan uint64, 1)
 	go func() {
-		_, m, err := client.Health().Service("quotes", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: within})
+		_, m, err := client.Health().
+			Service("quotes", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: within})
 		if err != nil {
 			t.Error(err)
 			woken <- 0
@@ -83,13 +93,16 @@
 		t.Fatal(err)
 	}
 	catalogue, _, err := client.Catalog().Service("quotes", "", nil)
-	if err != nil || len(catalogue) != 1 || catalogue[0].ServiceID != "q-1" || catalogue[0].ServicePort != 7001 {
+	if err != nil || len(catalogue) != 1 || catalogue[0].ServiceID != "q-1" ||
+		catalogue[0].ServicePort != 7001 {
 		t.Errorf("catalogue %+v, %v", catalogue, err)
 	}
 	if err := client.Agent().ServiceDeregister("q-1"); err != nil {
 		t.Fatal(err)
 	}
-	if list, _, err := client.Health().Service("quotes", "", false, nil); err != nil || len(list) != 0 {
+	if list, _, err := client.Health().
+		Service("quotes", "", false, nil); err != nil ||
+		len(list) != 0 {
 		t.Errorf("%d entries after it was deregistered, %v", len(list), err)
 	}
 	if err := client.Agent().ServiceDeregister("q-1"); err == nil {
--- a/internal/testing/lab/consulregister.go
+++ b/internal/testing/lab/consulregister.go
@@ -82,7 +82,7 @@
 				return // a later change was heard of before
 			}
 			switch {
-			case phase == phaseGone:
+			case phase == phaseRemoved:
 				a.Deregister(sv.ID)
 			case phase == phaseReady:
 				_ = a.Register(sv.ID, consulName, sv.addrs[g], nil,
--- a/internal/testing/lab/consulrun.go
+++ b/internal/testing/lab/consulrun.go
@@ -38,31 +38,31 @@
 		return nil, err
 	}
 	defer remove()
-	var figures [2]*harness.Summary
+	var summaries [2]*harness.Summary
 	var errs [2]error
 	var wg sync.WaitGroup
 	for i, log := range []io.Writer{progress, io.Discard} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			figures[i], errs[i] = runConsulWorld(ctx, o, i == 0, log)
+			summaries[i], errs[i] = runConsulWorld(ctx, o, i == 0, log)
 		}()
 	}
 	wg.Wait()
 	for _, err := range errs {
 		if err != nil {
-			return figures[0], err
+			return summaries[0], err
 		}
 	}
-	f := figures[0]
-	beside := map[bool]string{true: "heard", false: "platform"}[o.Silent]
-	f.Extra[beside] = figures[1]
-	if !figures[1].OK {
+	f := summaries[0]
+	otherName := map[bool]string{true: "heard", false: "platform"}[o.Silent]
+	f.Extra[otherName] = summaries[1]
+	if !summaries[1].OK {
 		f.AddFailure("the gateways beside did not hold their promises")
 	}
-	if lost := figures[1].Service - f.Service; o.Silent && lost > 0.02 {
+	if lost := summaries[1].Service - f.Service; o.Silent && lost > 0.02 {
 		f.AddFailure(fmt.Sprintf("service %.3f with Consul silent, %.3f with it",
-			f.Service, figures[1].Service))
+			f.Service, summaries[1].Service))
 	}
 	return f, nil
 }
@@ -89,14 +89,14 @@
 		return nil, err
 	}
 	defer w.Close()
-	asking, cancel := context.WithTimeout(ctx, length)
+	trafficContext, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	w.progress(asking, progress, length)
+	w.progress(trafficContext, progress, length)
 	c := &chaos{w: w, o: FleetOptions{Seed: seed, For: length}}
 	switch {
 	case !o.Silent:
 		c.wg.Add(1)
-		go func() { defer c.wg.Done(); c.servers(asking, rand.New(rand.NewPCG(seed, 0x5e4))) }()
+		go func() { defer c.wg.Done(); c.servers(trafficContext, rand.New(rand.NewPCG(seed, 0x5e4))) }()
 	case first:
 		time.AfterFunc(2*time.Second, func() {
 			fmt.Fprintln(progress, "Consul answers nothing from now on")
@@ -109,36 +109,42 @@
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			w.Consul.faults(asking, rand.New(rand.NewPCG(seed, 0xfa)), length, progress)
+			w.Consul.faults(trafficContext, rand.New(rand.NewPCG(seed, 0xfa)), length, progress)
 		}()
 	}
-	w.Clients.Run(asking)
+	w.Clients.Run(trafficContext)
 	c.wg.Wait()
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		return nil, err
 	}
-	f := w.figures("consul")
+	f := w.summarize("consul")
 	for _, err := range c.errs {
 		f.AddFailure(err.Error())
 	}
 	f.Extra["drain_to_last_send_ms_max"] = lastSend(w.Record).Milliseconds()
 	if consul {
-		f.Extra["told_lag_ms_p99"] = harness.Quantile(w.Consul.lags, 0.99)
-		most := 0
-		for _, a := range w.Consul.agents {
-			most = max(most, busiest(a.Calls()))
-		}
-		f.Extra["calls_per_second_max"] = most
-		if most > maxConsulCalls {
-			f.AddFailure(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted",
-				most, maxConsulCalls))
-		}
+		checkConsulCalls(f, w)
 	}
 	return f, nil
 }
 
+// checkConsulCalls adds to the summary how late Consul's agents were and how often gateways called
+// them, and fails it if that was too often.
+func checkConsulCalls(f *harness.Summary, w *World) {
+	f.Extra["told_lag_ms_p99"] = harness.Quantile(w.Consul.lags, 0.99)
+	maxCalls := 0
+	for _, a := range w.Consul.agents {
+		maxCalls = max(maxCalls, busiest(a.Calls()))
+	}
+	f.Extra["calls_per_second_max"] = maxCalls
+	if maxCalls > maxConsulCalls {
+		f.AddFailure(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted",
+			maxCalls, maxConsulCalls))
+	}
+}
+
 // maxConsulCalls bounds what one gateway asks its agent in any second.
 const maxConsulCalls = 30
 
@@ -178,7 +184,7 @@
 
 // lastSend is the longest time from when a gateway was told to stop sending to a
 // server until it sent to it all the same.
-func lastSend(rec *harness.Record) (most time.Duration) {
+func lastSend(rec *harness.Record) (latest time.Duration) {
 	for _, a := range rec.Attempts {
 		stop, since := false, time.Duration(0)
 		for _, t := range rec.EndpointUpdates {
@@ -191,20 +197,20 @@
 			stop = t.Stop
 		}
 		if stop {
-			most = max(most, a.FirstByteAt-since)
+			latest = max(latest, a.FirstByteAt-since)
 		}
 	}
-	return most
+	return latest
 }
 
 // busiest is the most calls in any second.
-func busiest(calls []time.Time) (most int) {
+func busiest(calls []time.Time) (maxCalls int) {
 	slices.SortFunc(calls, func(a, b time.Time) int { return a.Compare(b) })
 	for from, to := 0, 0; to < len(calls); to++ {
 		for calls[to].Sub(calls[from]) > time.Second {
 			from++
 		}
-		most = max(most, to-from+1)
+		maxCalls = max(maxCalls, to-from+1)
 	}
-	return most
+	return maxCalls
 }
--- a/internal/testing/lab/counter.go
+++ b/internal/testing/lab/counter.go
@@ -35,8 +35,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("counter: %w", err)
 	}
-	c := &Counter{Address: l.Addr().String(), names: map[string]*count{}, rand: rand.New(rand.NewPCG(seed, 0xc0))}
-	c.server = &http.Server{Handler: c, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 10 * time.Second}
+	c := &Counter{
+		Address: l.Addr().String(),
+		names:   map[string]*count{},
+		rand:    rand.New(rand.NewPCG(seed, 0xc0)),
+	}
+	c.server = &http.Server{
+		Handler:           c,
+		ReadHeaderTimeout: 5 * time.Second,
+		IdleTimeout:       10 * time.Second,
+	}
 	go func() { _ = c.server.Serve(l) }()
 	return c, nil
 }
@@ -77,7 +85,8 @@
 	}
 	add, err := strconv.ParseFloat(r.URL.Query().Get("add"), 64)
 	ttl, err2 := strconv.Atoi(r.URL.Query().Get("ttl_ms"))
-	if err != nil || err2 != nil || ttl < 1 || !(add >= -1e9 && add <= 1e9) || name == "" || len(name) > 64 {
+	if err != nil || err2 != nil || ttl < 1 || !(add >= -1e9 && add <= 1e9) || name == "" ||
+		len(name) > 64 {
 		http.Error(w, "bad call", http.StatusBadRequest)
 		return
 	}
--- a/internal/testing/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -15,15 +15,15 @@
 
 // FleetOptions say how a fleet is treated.
 type FleetOptions struct {
-	Seed      uint64
-	Instances int
-	For       time.Duration
-	State     string // "on", "off" or "both": whether gateways keep their state
-	InPlace   bool   // only hand-overs and reloads: no port may ever be closed
-	Whole     bool   // one restart of the whole fleet, against a fleet that has none
-	Quiet     bool   // nothing is killed or restarted
-	Load      float64
-	Bin       string // of the gateway; "": it is built
+	Seed       uint64
+	Instances  int
+	For        time.Duration
+	State      string // "on", "off" or "both": whether gateways keep their state
+	InPlace    bool   // only hand-overs and reloads: no port may ever be closed
+	RestartAll bool   // one restart of the whole fleet, against a fleet that has none
+	Quiet      bool   // nothing is killed or restarted
+	Load       float64
+	Bin        string // of the gateway; "": it is built
 }
 
 // operatorsText is the operators' file of an instance; paths are in its folder.
@@ -59,12 +59,12 @@
 	case "both":
 		worlds = append(worlds, world{"without", o, false})
 	}
-	if o.Whole {
-		still := o
-		still.Quiet = true
-		worlds = append(worlds, world{"undisturbed", still, true})
+	if o.RestartAll {
+		undisturbed := o
+		undisturbed.Quiet = true
+		worlds = append(worlds, world{"undisturbed", undisturbed, true})
 	}
-	figures, errs := make([]*harness.Summary, len(worlds)), make([]error, len(worlds))
+	summaries, errs := make([]*harness.Summary, len(worlds)), make([]error, len(worlds))
 	var wg sync.WaitGroup
 	for i, w := range worlds {
 		wg.Add(1)
@@ -74,18 +74,18 @@
 			if i > 0 {
 				log = io.Discard
 			}
-			figures[i], errs[i] = runWorld(ctx, w.o, w.state, log)
+			summaries[i], errs[i] = runWorld(ctx, w.o, w.state, log)
 		}()
 	}
 	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
-			return figures[0], fmt.Errorf("%s: %w", worlds[i].name, err)
+			return summaries[0], fmt.Errorf("%s: %w", worlds[i].name, err)
 		}
 	}
-	f := figures[0]
+	f := summaries[0]
 	f.Extra["state"] = worlds[0].name
-	for i, other := range figures[1:] {
+	for i, other := range summaries[1:] {
 		name := worlds[i+1].name
 		f.Extra[name] = other
 		if !other.OK {
@@ -101,9 +101,9 @@
 // compare judges a whole-fleet restart against a fleet that had none: what is
 // handed out beyond the quotas, as a part of all that is handed out, is no more
 // but for one part in twenty.
-func compare(f, still *harness.Summary) {
+func compare(f, undisturbed *harness.Summary) {
 	sent := func(f *harness.Summary) float64 { return f.Extra["sent_units"].(float64) }
-	mine, other := f.Over/sent(f), still.Over/sent(still)
+	mine, other := f.Over/sent(f), undisturbed.Over/sent(undisturbed)
 	f.Extra["over_quota_share"], f.Extra["over_quota_share_undisturbed"] = mine, other
 	if mine > other+0.05 {
 		f.AddFailure(fmt.Sprintf(
@@ -117,28 +117,31 @@
 func runWorld(
 	ctx context.Context, o FleetOptions, state bool, progress io.Writer,
 ) (*harness.Summary, error) {
-	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Instances, Servers: 12, Load: o.Load, Bin: o.Bin,
-		Operators: operatorsText(state), Log: progress})
+	w, err := NewWorld(
+		ctx,
+		Options{Seed: o.Seed, Gateways: o.Instances, Servers: 12, Load: o.Load, Bin: o.Bin,
+			Operators: operatorsText(state), Log: progress},
+	)
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
 	w.Site.AbandonFraction = impatient
 	c := &chaos{w: w, o: o, busy: make([]sync.Mutex, o.Instances)}
-	asking, cancel := context.WithTimeout(ctx, o.For)
+	trafficContext, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
-	w.progress(asking, progress, o.For)
+	w.progress(trafficContext, progress, o.For)
 	if !o.Quiet {
-		c.run(asking)
+		c.run(trafficContext)
 	}
-	w.Clients.Run(asking)
+	w.Clients.Run(trafficContext)
 	c.wg.Wait()
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		c.fail(err)
 	}
-	f := w.figures("fleet")
+	f := w.summarize("fleet")
 	c.summarize(f)
 	return f, nil
 }
@@ -177,7 +180,7 @@
 
 func (c *chaos) run(ctx context.Context) {
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xca05))
-	if c.o.Whole {
+	if c.o.RestartAll {
 		c.wg.Add(1)
 		go func() { defer c.wg.Done(); c.restartAll(ctx, c.o.For/2) }()
 		return
@@ -223,9 +226,9 @@
 	defer wg.Wait()
 	// Each instance gets something about every 20 s, as far as one machine starts processes.
 	mean := max(200*time.Millisecond, 20*time.Second/time.Duration(c.o.Instances))
-	begun, together := time.Now(), c.o.InPlace
+	startedAt, together := time.Now(), c.o.InPlace
 	for sleep(ctx, time.Duration(r.ExpFloat64()*float64(mean))) {
-		if !together && time.Since(begun) > c.o.For/3 {
+		if !together && time.Since(startedAt) > c.o.For/3 {
 			together = true
 			c.w.Register.Silence(true)
 			c.restartAll(ctx, 0)
@@ -412,7 +415,7 @@
 
 // afterRestart is the service of requests that came first to a gateway within
 // some time of its start.
-func afterRestart(s *harness.Site, rec *harness.Record, span time.Duration) float64 {
+func afterRestart(s *harness.Site, rec *harness.Record, window time.Duration) float64 {
 	var since []harness.ProcessEvent
 	first := map[int]bool{}
 	for _, l := range rec.ProcessEvents {
@@ -425,7 +428,7 @@
 	all := slices.DeleteFunc(harness.Outcomes(s, rec), func(o harness.Outcome) bool {
 		return !slices.ContainsFunc(since, func(l harness.ProcessEvent) bool {
 			return l.Gateway == o.Try.Gateway && o.Try.RequestedAt >= l.At &&
-				o.Try.RequestedAt < l.At+span
+				o.Try.RequestedAt < l.At+window
 		})
 	})
 	return harness.Service(s, all)
--- a/internal/testing/lab/fleetcall.go
+++ b/internal/testing/lab/fleetcall.go
@@ -13,8 +13,9 @@
 // adminDialTimeout is how long a connection to a gateway's admin interface may take.
 const adminDialTimeout = time.Second
 
-// CallFleet asks the gateway's admin interface a question about its fleet and decodes the JSON answer into a value; nil
-// ignores it. It returns the gateway's own words as an error where it can't answer, and an error after the timeout.
+// CallFleet asks the gateway's admin interface a question about its fleet and decodes the JSON
+// answer into a value; nil ignores it. It returns the gateway's own words as an error where it
+// can't answer, and an error after the timeout.
 func (g *Gateway) CallFleet(line string, timeout time.Duration, into any) error {
 	conn, err := net.DialTimeout("tcp", g.AdminAddress(), adminDialTimeout)
 	if err != nil {
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -189,11 +189,11 @@
 	s *harness.Site,
 	c *harness.Customer,
 	t *harness.Try,
-	leaveAfter time.Duration,
+	abandonAfter time.Duration,
 ) {
 	deadline := time.Now().Add(t.Wait)
-	for again := false; ; again = true {
-		conn, err := f.take(t.Gateway, again)
+	for retry := false; ; retry = true {
+		conn, err := f.take(t.Gateway, retry)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				t.PortClosedAt = f.rec.Now()
@@ -202,17 +202,17 @@
 			return // what a former connection ended with stands
 		}
 		now := f.rec.Now()
-		if !again {
+		if !retry {
 			t.SentAt = now
 		}
 		cmd := command(s, c, t, max(time.Millisecond, time.Until(deadline)))
 		until := deadline.Add(harness.OnSockets)
-		if leaveAfter > 0 {
-			until = time.Now().Add(leaveAfter)
+		if abandonAfter > 0 {
+			until = time.Now().Add(abandonAfter)
 		}
 		_ = conn.SetDeadline(until)
 		if _, err = conn.Write(cmd); err == nil {
-			if !again {
+			if !retry {
 				t.SentAt = f.rec.Now()
 			}
 			err = readAnswer(t, conn.in, f.rec)
@@ -225,14 +225,14 @@
 		used := conn.used
 		conn.Close()
 		if errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
-			if t.Kind = harness.NoAnswer; leaveAfter > 0 {
+			if t.Kind = harness.NoAnswer; abandonAfter > 0 {
 				t.Kind, t.ClientLeftAt = harness.ClientLeft, f.rec.Now()
 			}
 			return
 		}
 		t.Kind, t.Reset = harness.Ended, t.Reset || errors.Is(err, syscall.ECONNRESET) ||
 			errors.Is(err, syscall.EPIPE)
-		if again || !used && !errors.Is(err, io.EOF) {
+		if retry || !used && !errors.Is(err, io.EOF) {
 			return
 		}
 		t.ClosedAt = f.rec.Now()
@@ -310,7 +310,7 @@
 	seed  uint64
 	runs  uint64 // added to the seed
 
-	asked, served, open atomic.Int64
+	sent, served, open atomic.Int64
 }
 
 // NewClients makes the clients of a site.
@@ -332,7 +332,7 @@
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.ask(ctx, tries, seed, i)
+			c.runCustomer(ctx, tries, seed, i)
 		}()
 	}
 	c.wg.Wait()
@@ -340,8 +340,8 @@
 	c.front.close()
 }
 
-// ask sends one customer's requests.
-func (c *Clients) ask(ctx, tries context.Context, seed uint64, number int) {
+// runCustomer sends one customer's requests.
+func (c *Clients) runCustomer(ctx, tries context.Context, seed uint64, number int) {
 	traffic := c.site.Traffic(seed, number)
 	for {
 		select {
@@ -351,7 +351,7 @@
 		}
 		t, r := traffic.Request(c.rec.Now())
 		c.wg.Add(1)
-		c.asked.Add(1)
+		c.sent.Add(1)
 		c.open.Add(1)
 		go func() {
 			defer c.wg.Done()
@@ -365,7 +365,7 @@
 func (c *Clients) request(
 	ctx context.Context, who *harness.Customer, first harness.Try, r *rand.Rand,
 ) {
-	wait, leave := c.site.ClientTimeout(first.Class, r), c.site.AbandonDelay(r)
+	wait, abandonAfter := c.site.ClientTimeout(first.Class, r), c.site.AbandonDelay(r)
 	last := -1
 	for n := 0; n <= c.site.Retries; n++ {
 		t := first
@@ -378,7 +378,7 @@
 		}
 		t.Gateway = c.site.PickGateway(who, last, c.rec.Now(), c.front.up, r)
 		last = t.Gateway
-		c.front.send(ctx, c.site, who, &t, leave)
+		c.front.send(ctx, c.site, who, &t, abandonAfter)
 		c.rec.AddTry(t)
 		if t.Kind == harness.Served {
 			c.served.Add(1)
--- a/internal/testing/lab/notes.go
+++ b/internal/testing/lab/notes.go
@@ -33,7 +33,10 @@
 	for i := range dest {
 		n.links = append(n.links, make([]*net.UDPConn, len(dest)))
 		for j := range dest {
-			c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+			c, err := net.ListenUDP(
+				"udp",
+				net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")),
+			)
 			if err != nil {
 				n.Close()
 				return nil, fmt.Errorf("notes: %w", err)
@@ -91,7 +94,7 @@
 			n.Dropped.Add(1)
 			continue
 		}
-		note := append([]byte(nil), buf[:size]...)
-		time.AfterFunc(late, func() { _, _ = n.links[j][i].WriteToUDPAddrPort(note, n.dest[j]) })
+		message := append([]byte(nil), buf[:size]...)
+		time.AfterFunc(late, func() { _, _ = n.links[j][i].WriteToUDPAddrPort(message, n.dest[j]) })
 	}
 }
--- a/internal/testing/lab/play.go
+++ b/internal/testing/lab/play.go
@@ -18,7 +18,7 @@
 	Gateways, Servers int
 	Load              float64
 	For               time.Duration
-	NoteLoss          float64 // below 0: the site's
+	MessageLoss       float64 // below 0: the site's
 	Faults            []harness.Fault
 	Bin               string // of the gateway; "": it is built
 }
@@ -26,17 +26,20 @@
 // Play plays one world with a list of faults in real processes. Clocks that are off,
 // half-cut notes and restarts from a state are the emulator's alone.
 func Play(ctx context.Context, o PlayOptions) (*harness.Summary, error) {
-	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, Bin: o.Bin,
-		Operators: recordText, Log: io.Discard, Change: func(s *harness.Site) {
-			if o.NoteLoss >= 0 {
-				s.MessageLoss = o.NoteLoss
-			}
-		}})
+	w, err := NewWorld(
+		ctx,
+		Options{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Load: o.Load, Bin: o.Bin,
+			Operators: recordText, Log: io.Discard, Change: func(s *harness.Site) {
+				if o.MessageLoss >= 0 {
+					s.MessageLoss = o.MessageLoss
+				}
+			}},
+	)
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	asking, cancel := context.WithTimeout(ctx, o.For)
+	trafficContext, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -45,7 +48,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if !sleep(asking, f.At) {
+			if !sleep(trafficContext, f.At) {
 				return
 			}
 			if err := w.befall(f); err != nil {
@@ -55,14 +58,14 @@
 			}
 		}()
 	}
-	w.Clients.Run(asking)
+	w.Clients.Run(trafficContext)
 	wg.Wait()
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := errors.Join(errs, w.Stop(stop)); err != nil {
 		return nil, err
 	}
-	f := w.figures("play")
+	f := w.summarize("play")
 	f.Extra["sent_units"] = harness.SentUnits(w.Record)
 	return f, nil
 }
--- a/internal/testing/lab/quota.go
+++ b/internal/testing/lab/quota.go
@@ -25,14 +25,14 @@
 
 // quotaRow is what one fleet came to.
 type quotaRow struct {
-	Gateways int                       `json:"gateways"`
-	Service  float64                   `json:"service"`
-	Given    map[string]*harness.Share `json:"given_of_bought"`
-	Over     float64                   `json:"over_quota_units"`
-	Sent     float64                   `json:"sent_units"`
-	Notes    float64                   `json:"notes_per_second"` // to each gateway
-	Losses   map[string]float64        `json:"losses"`
-	OK       bool                      `json:"ok"`
+	Gateways          int                       `json:"gateways"`
+	Service           float64                   `json:"service"`
+	Given             map[string]*harness.Share `json:"given_of_bought"`
+	Over              float64                   `json:"over_quota_units"`
+	Sent              float64                   `json:"sent_units"`
+	MessagesPerSecond float64                   `json:"notes_per_second"` // to each gateway
+	Losses            map[string]float64        `json:"losses"`
+	OK                bool                      `json:"ok"`
 }
 
 // RunQuota plays the same requests to fleets of several sizes side by side, with nothing
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	defer remove()
-	rows, figures, errs := make([]quotaRow,
+	rows, summaries, errs := make([]quotaRow,
 		len(o.Sizes)), make([]*harness.Summary, len(o.Sizes)), make([]error, len(o.Sizes))
 	var wg sync.WaitGroup
 	for i, n := range o.Sizes {
@@ -59,7 +59,7 @@
 			if i == len(o.Sizes)-1 {
 				log = progress
 			}
-			rows[i], figures[i], errs[i] = runQuotaWorld(ctx, o, n, log)
+			rows[i], summaries[i], errs[i] = runQuotaWorld(ctx, o, n, log)
 		}()
 	}
 	wg.Wait()
@@ -69,23 +69,23 @@
 		}
 	}
 	last := len(rows) - 1
-	f, least, beyond := figures[last], 1.0, 0.0
+	f, minimum, beyond := summaries[last], 1.0, 0.0
 	for i, r := range rows {
-		least = min(least, r.Given[harness.NearQuota].Of, r.Given[harness.OverQuota].Of)
+		minimum = min(minimum, r.Given[harness.NearQuota].Of, r.Given[harness.OverQuota].Of)
 		beyond = max(beyond, r.Over)
 		if i < last {
-			for rule, n := range figures[i].Broken {
+			for rule, n := range summaries[i].Broken {
 				f.Broken[rule] += n
 			}
-			if !figures[i].OK {
+			if !summaries[i].OK {
 				f.AddFailure(fmt.Sprintf("%d gateways did not hold their promises: %v",
-					r.Gateways, figures[i].Why))
+					r.Gateways, summaries[i].Why))
 			}
 		}
 	}
-	f.Extra["fleets"], f.Extra["given_of_bought_least"] = rows, least
+	f.Extra["fleets"], f.Extra["given_of_bought_least"] = rows, minimum
 	f.Extra["service_gap"] = rows[0].Service - rows[last].Service
-	f.Extra["over_quota_units_most"], f.Extra["notes_per_second"] = beyond, rows[last].Notes
+	f.Extra["over_quota_units_most"], f.Extra["notes_per_second"] = beyond, rows[last].MessagesPerSecond
 	quotaTable(out, rows)
 	return f, nil
 }
@@ -105,22 +105,38 @@
 		return quotaRow{}, nil, err
 	}
 	defer w.Close()
-	asking, cancel := context.WithTimeout(ctx, o.For)
+	trafficContext, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
-	w.progress(asking, progress, o.For)
-	w.Clients.Run(asking)
-	notes := float64(w.PeerNetwork.Sent.Load()) / w.Record.Now().Seconds() / float64(gateways)
+	w.progress(trafficContext, progress, o.For)
+	w.Clients.Run(trafficContext)
+	messagesPerSecond := float64(
+		w.PeerNetwork.Sent.Load(),
+	) / w.Record.Now().
+		Seconds() /
+		float64(
+			gateways,
+		)
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		return quotaRow{}, nil, err
 	}
-	f := w.figures("quota")
+	f := w.summarize("quota")
 	if n := w.PeerNetwork.Over.Load(); n > 0 {
 		f.AddFailure(fmt.Sprintf("%d notes over %d bytes", n, maxPeerMessageBytes))
 	}
-	return quotaRow{Gateways: gateways, Service: f.Service, Given: harness.GivenOfBought(w.Site, w.Record), Over: f.Over,
-		Sent: harness.SentUnits(w.Record), Notes: notes, Losses: f.Losses, OK: f.OK}, f, nil
+	return quotaRow{
+		Gateways: gateways,
+		Service:  f.Service,
+		Given:    harness.GivenOfBought(w.Site, w.Record),
+		Over:     f.Over,
+		Sent: harness.SentUnits(
+			w.Record,
+		),
+		MessagesPerSecond: messagesPerSecond,
+		Losses:            f.Losses,
+		OK:                f.OK,
+	}, f, nil
 }
 
 // quotaTable shows the fleets to a person.
@@ -128,8 +144,17 @@
 	fmt.Fprintf(out, "\n  %8s %8s %21s %12s %8s   worth lost inside the quotas, by cause\n",
 		"gateways", "service", "given: under near over", "units beyond", "notes/s")
 	for _, r := range rows {
-		fmt.Fprintf(out, "  %8d %8.3f %8.3f %6.3f %6.3f %12.0f %8.1f  ", r.Gateways, r.Service, r.Given[harness.UnderQuota].Of,
-			r.Given[harness.NearQuota].Of, r.Given[harness.OverQuota].Of, r.Over, r.Notes)
+		fmt.Fprintf(
+			out,
+			"  %8d %8.3f %8.3f %6.3f %6.3f %12.0f %8.1f  ",
+			r.Gateways,
+			r.Service,
+			r.Given[harness.UnderQuota].Of,
+			r.Given[harness.NearQuota].Of,
+			r.Given[harness.OverQuota].Of,
+			r.Over,
+			r.MessagesPerSecond,
+		)
 		for _, why := range harness.ByLoss(r.Losses) {
 			fmt.Fprintf(out, " %s %.3f", why, r.Losses[why])
 		}
--- a/internal/testing/lab/register.go
+++ b/internal/testing/lab/register.go
@@ -16,9 +16,9 @@
 
 // phases of a server, in the register's words.
 const (
-	phaseReady = "Ready"
-	phaseStop  = "Terminating"
-	phaseGone  = "Gone"
+	phaseReady   = "Ready"
+	phaseStop    = "Terminating"
+	phaseRemoved = "Gone"
 )
 
 type member struct {
@@ -44,10 +44,10 @@
 	agents []*agent
 	lag    time.Duration
 
-	mu     sync.Mutex
-	rand   *rand.Rand
-	silent bool
-	heard  chan struct{} // closed when the silence ends
+	mu          sync.Mutex
+	rand        *rand.Rand
+	silent      bool
+	silenceOver chan struct{} // closed when the silence ends
 }
 
 // agent is what one gateway can ask.
@@ -113,9 +113,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if on && !r.silent {
-		r.heard = make(chan struct{})
+		r.silenceOver = make(chan struct{})
 	} else if !on && r.silent {
-		close(r.heard)
+		close(r.silenceOver)
 	}
 	r.silent = on
 }
@@ -144,10 +144,10 @@
 		}
 		time.AfterFunc(late, func() {
 			r.mu.Lock()
-			silent, heard := r.silent, r.heard
+			silent, silenceOver := r.silent, r.silenceOver
 			r.mu.Unlock()
 			if silent {
-				<-heard // nothing reaches an agent meanwhile
+				<-silenceOver // nothing reaches an agent meanwhile
 			}
 			a.take(m)
 		})
@@ -205,7 +205,7 @@
 	l := memberList{Revision: a.revision, Complete: after == 0, Members: []member{}}
 	var entries []*entry
 	for _, e := range a.members {
-		if e.revision > after && (after > 0 || e.Phase != phaseGone) {
+		if e.revision > after && (after > 0 || e.Phase != phaseRemoved) {
 			l.Members, entries = append(l.Members, e.member), append(entries, e)
 		}
 	}
@@ -229,11 +229,11 @@
 	watch := r.URL.Query().Has("index")
 	for {
 		a.reg.mu.Lock()
-		silent, heard := a.reg.silent, a.reg.heard
+		silent, silenceOver := a.reg.silent, a.reg.silenceOver
 		a.reg.mu.Unlock()
 		if silent {
 			select {
-			case <-heard:
+			case <-silenceOver:
 				continue
 			case <-r.Context().Done():
 				return
--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -40,20 +40,20 @@
 	cores int
 	speed float64
 
-	mu          sync.Mutex
-	rand        *rand.Rand
-	up          bool
-	incarnation int // in the record
-	life        harness.ServerStart
-	fault       Fault
-	drain       bool
-	conns       map[net.Conn]bool
-	lists       []net.Listener
-	addrs       []string          // by gateway; the same after a restart
-	recent      []harness.Attempt // within the span over which a fall is counted
-	waiting     int
-	slots       chan struct{}
-	ended       chan struct{} // closed with this life
+	mu           sync.Mutex
+	rand         *rand.Rand
+	up           bool
+	incarnation  int // in the record
+	currentStart harness.ServerStart
+	fault        Fault
+	drain        bool
+	conns        map[net.Conn]bool
+	lists        []net.Listener
+	addrs        []string          // by gateway; the same after a restart
+	recent       []harness.Attempt // within the span over which a fall is counted
+	waiting      int
+	slots        chan struct{}
+	ended        chan struct{} // closed with this life
 }
 
 // NewServer makes a server that is up and warm.
@@ -109,14 +109,14 @@
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
-	sv.life = harness.ServerStart{
+	sv.currentStart = harness.ServerStart{
 		Server:    sv.ID,
 		Cores:     float64(sv.cores),
 		Speed:     sv.speed,
 		SlowStart: slowStart,
 		At:        sv.rec.Now(),
 	}
-	sv.incarnation = sv.rec.AddServerStart(sv.life)
+	sv.incarnation = sv.rec.AddServerStart(sv.currentStart)
 	for g, l := range sv.lists {
 		go sv.accept(l, g, sv.ended)
 	}
@@ -166,8 +166,8 @@
 func (sv *Server) Up() (up bool, slowStartSince time.Duration) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.life.SlowStart {
-		slowStartSince = sv.life.At
+	if sv.currentStart.SlowStart {
+		slowStartSince = sv.currentStart.At
 	}
 	return sv.up, slowStartSince
 }
@@ -258,9 +258,15 @@
 	complete time.Duration // when its last byte came
 }
 
-// command executes one command and returns the reply. ok is false if the connection is to be broken instead. clientGone
-// is done once the gateway has closed the connection; ended is closed when the server's process ends.
-func (sv *Server) command(clientGone context.Context, ended chan struct{}, in received, gateway int) (reply []byte, ok bool) {
+// command executes one command and returns the reply. ok is false if the connection is to be broken
+// instead. clientGone is done once the gateway has closed the connection; ended is closed when the
+// server's process ends.
+func (sv *Server) command(
+	clientGone context.Context,
+	ended chan struct{},
+	in received,
+	gateway int,
+) (reply []byte, ok bool) {
 	args := in.args
 	switch name := strings.ToUpper(string(args[0])); {
 	case name == "PING":
@@ -271,13 +277,22 @@
 		return []byte("-ERR unknown command\r\n"), true
 	}
 	fields := fieldsOf(string(args[3]))
-	class := slices.IndexFunc(sv.site.Classes, func(c harness.Class) bool { return c.Name == fields["c"] })
+	class := slices.IndexFunc(
+		sv.site.Classes,
+		func(c harness.Class) bool { return c.Name == fields["c"] },
+	)
 	if class < 0 {
 		return []byte("-SYNTAX\r\n"), true
 	}
 	id := string(args[2])
 	a := harness.Attempt{
-		ID: id, Key: fields["k"], Server: sv.ID, Gateway: gateway, Class: class, FirstByteAt: in.first, ReceivedAt: in.complete,
+		ID:          id,
+		Key:         fields["k"],
+		Server:      sv.ID,
+		Gateway:     gateway,
+		Class:       class,
+		FirstByteAt: in.first,
+		ReceivedAt:  in.complete,
 	}
 	admitted := sv.admit(&a)
 	if admitted.done {
@@ -288,7 +303,7 @@
 	}
 	defer func() { <-admitted.slots }()
 	sv.rec.MarkRun(admitted.number, sv.effect(a))
-	if !sv.work(a, &admitted.life, admitted.fault, len(admitted.slots), ended) {
+	if !sv.work(a, &admitted.start, admitted.fault, len(admitted.slots), ended) {
 		return nil, false
 	}
 	if admitted.late < admitted.fault.Reset {
@@ -305,7 +320,7 @@
 type admission struct {
 	number int // of the attempt in the record
 	fault  Fault
-	life   harness.ServerStart
+	start  harness.ServerStart
 	slots  chan struct{}
 	late   float64 // the draw that decides whether the connection is reset after the work
 
@@ -313,12 +328,18 @@
 	reply []byte // if done; nil: the connection is broken
 }
 
-// admit records an attempt and takes it into the queue, unless the server is overloaded, full or failing.
+// admit records an attempt and takes it into the queue, unless the server is overloaded, full or
+// failing.
 func (sv *Server) admit(a *harness.Attempt) admission {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	a.Work = sv.draw(a.Class)
-	result := admission{number: sv.rec.AddAttempt(*a), fault: sv.fault, life: sv.life, slots: sv.slots}
+	result := admission{
+		number: sv.rec.AddAttempt(*a),
+		fault:  sv.fault,
+		start:  sv.currentStart,
+		slots:  sv.slots,
+	}
 	if sv.overrun(*a) {
 		sv.rec.MarkOverloaded(sv.incarnation)
 		sv.kill()
@@ -341,9 +362,13 @@
 	return result
 }
 
-// waitForSlot waits in the queue for a slot, and returns false if the gateway or the server ends first. Work that
-// waits is dropped then.
-func (sv *Server) waitForSlot(clientGone context.Context, ended chan struct{}, admitted admission) bool {
+// waitForSlot waits in the queue for a slot, and returns false if the gateway or the server ends
+// first. Work that waits is dropped then.
+func (sv *Server) waitForSlot(
+	clientGone context.Context,
+	ended chan struct{},
+	admitted admission,
+) bool {
 	leaveQueue := func() {
 		sv.mu.Lock()
 		sv.waiting--
@@ -391,7 +416,7 @@
 	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool {
 		return a.ReceivedAt-b.ReceivedAt > sv.site.OverloadWindow
 	})
-	share := sv.site.CapacityShare(&sv.life, a.ReceivedAt)
+	share := sv.site.CapacityShare(&sv.currentStart, a.ReceivedAt)
 	if share == 1 {
 		return false
 	}
@@ -399,7 +424,7 @@
 	for _, b := range sv.recent {
 		sum += b.Work.Seconds()
 	}
-	can := sv.life.Cores * sv.life.Speed * share * sv.site.OverloadWindow.Seconds()
+	can := sv.currentStart.Cores * sv.currentStart.Speed * share * sv.site.OverloadWindow.Seconds()
 	slack := 0.0
 	for _, c := range sv.site.Classes {
 		slack = max(slack, c.Work.Seconds())
@@ -409,12 +434,12 @@
 
 // work spends a request's time: slots share the cores.
 func (sv *Server) work(
-	a harness.Attempt, life *harness.ServerStart, f Fault, busy int, ended chan struct{},
+	a harness.Attempt, start *harness.ServerStart, f Fault, busy int, ended chan struct{},
 ) bool {
 	need := a.Work.Seconds() / sv.speed * max(1, f.Slow) * max(1, float64(busy)/float64(sv.cores))
 	for need > 0 {
 		step := min(need, 0.1)
-		share := sv.site.CapacityShare(life, sv.rec.Now())
+		share := sv.site.CapacityShare(start, sv.rec.Now())
 		select {
 		case <-time.After(time.Duration(step / share * float64(time.Second))):
 		case <-ended:
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	defer w.Close()
-	asking, cancel := context.WithTimeout(ctx, length)
+	trafficContext, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	go func() {
 		steps := []struct {
@@ -43,12 +43,12 @@
 			{
 				length / 12,
 				"gateway 1 is told to stop, and starts again",
-				func() { w.restart(asking, w.Gateways[1]) },
+				func() { w.restart(trafficContext, w.Gateways[1]) },
 			},
 		}
 		for _, s := range steps {
 			select {
-			case <-asking.Done():
+			case <-trafficContext.Done():
 				return
 			case <-time.After(s.after):
 			}
@@ -58,9 +58,9 @@
 			s.do()
 		}
 	}()
-	w.progress(asking, progress, length)
-	w.Clients.Run(asking)
-	f := w.figures("try")
+	w.progress(trafficContext, progress, length)
+	w.Clients.Run(trafficContext)
+	f := w.summarize("try")
 	table(f, out)
 	if serve {
 		w.sample(out)
@@ -73,8 +73,15 @@
 
 // table shows the figures to a person.
 func table(f *harness.Summary, out io.Writer) {
-	fmt.Fprintf(out, "\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
-		f.Requests, f.InTime, f.Late, f.Refused, f.Failed)
+	fmt.Fprintf(
+		out,
+		"\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
+		f.Requests,
+		f.InTime,
+		f.Late,
+		f.Refused,
+		f.Failed,
+	)
 	fmt.Fprintf(
 		out,
 		"  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth asked inside the quotas\n",
@@ -131,7 +138,7 @@
 
 // progress shows a line a second until the context ends.
 func (w *World) progress(ctx context.Context, out io.Writer, length time.Duration) {
-	begun := time.Now()
+	startedAt := time.Now()
 	go func() {
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
@@ -141,20 +148,23 @@
 				return
 			case <-tick.C:
 			}
-			past := time.Since(begun).Round(time.Second)
+			past := time.Since(startedAt).Round(time.Second)
 			running := 0
 			for _, g := range w.Gateways {
 				if g.Running() {
 					running++
 				}
 			}
-			fmt.Fprintf(out, "%4.0f s, %4.0f s to go: %d asked, %d served, %d open, %d gateways run\n",
+			fmt.Fprintf(
+				out,
+				"%4.0f s, %4.0f s to go: %d asked, %d served, %d open, %d gateways run\n",
 				past.Seconds(),
 				max(0, length-past).Seconds(),
-				w.Clients.asked.Load(),
+				w.Clients.sent.Load(),
 				w.Clients.served.Load(),
 				w.Clients.open.Load(),
-				running)
+				running,
+			)
 		}
 	}()
 }
--- a/internal/testing/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -38,32 +38,43 @@
 		return nil, err
 	}
 	defer remove()
-	w, err := NewWorld(ctx, Options{Seed: o.Seed, Gateways: o.Instances, Servers: 12, Load: o.Load, Bin: o.Bin, Operators: recordText,
-		Held: true, Log: progress})
+	w, err := NewWorld(
+		ctx,
+		Options{
+			Seed:      o.Seed,
+			Gateways:  o.Instances,
+			Servers:   12,
+			Load:      o.Load,
+			Bin:       o.Bin,
+			Operators: recordText,
+			Held:      true,
+			Log:       progress,
+		},
+	)
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	asking, cancel := context.WithTimeout(ctx, o.For)
+	trafficContext, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
-	w.progress(asking, progress, o.For)
+	w.progress(trafficContext, progress, o.For)
 	u := &upgrades{w: w, o: o, did: map[string]int{}}
 	var wg sync.WaitGroup
 	for _, g := range w.Gateways {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			u.treat(asking, g, rand.New(rand.NewPCG(o.Seed, uint64(0x0b9+g.Number))))
+			u.treat(trafficContext, g, rand.New(rand.NewPCG(o.Seed, uint64(0x0b9+g.Number))))
 		}()
 	}
-	w.Clients.Run(asking)
+	w.Clients.Run(trafficContext)
 	wg.Wait()
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	if err := w.Stop(stop); err != nil {
 		u.fail(err)
 	}
-	f := w.figures("upgrade")
+	f := w.summarize("upgrade")
 	u.summarize(f)
 	return f, nil
 }
@@ -115,7 +126,7 @@
 // replace has a new process take the place of the one that serves.
 func (u *upgrades) replace(g *Gateway) error {
 	began := u.w.Record.Now()
-	next, err := g.beside()
+	next, err := g.startBeside()
 	if err != nil {
 		return err
 	}
@@ -150,7 +161,7 @@
 // kill starts a new process and kills it some time later. If it had not taken over, the
 // one that serves goes on; else the gateway has crashed, and is started anew.
 func (u *upgrades) kill(ctx context.Context, g *Gateway, after time.Duration) error {
-	next, err := g.beside()
+	next, err := g.startBeside()
 	if err != nil {
 		return err
 	}
@@ -254,8 +265,8 @@
 	return process{g.pid, g.adminAddress}
 }
 
-// beside starts a process beside the one that serves: the same but for its admin address.
-func (g *Gateway) beside() (process, error) {
+// startBeside starts a process beside the one that serves: the same but for its admin address.
+func (g *Gateway) startBeside() (process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pid == 0 {
--- a/internal/testing/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -103,8 +103,14 @@
 	if w.PeerNetwork, err = NewPeerNetwork(peers, w.Site.MessageLoss, o.Seed); err != nil {
 		return w, err
 	}
-	fmt.Fprintf(o.Log, "starting %d gateways before %d quote servers, %d customers, %.0f requests/s inside the quotas\n",
-		o.Gateways, o.Servers, len(w.Site.Customers), w.Site.PerSecond)
+	fmt.Fprintf(
+		o.Log,
+		"starting %d gateways before %d quote servers, %d customers, %.0f requests/s inside the quotas\n",
+		o.Gateways,
+		o.Servers,
+		len(w.Site.Customers),
+		w.Site.PerSecond,
+	)
 	err = w.startAll(ctx)
 	w.Clients = NewClients(w.Site, w.Record, w.Gateways, o.Seed)
 	return w, err
@@ -153,7 +159,8 @@
 	return nil
 }
 
-// newGateways prepares the gateways' folders and files, without starting them, and returns their peer addresses.
+// newGateways prepares the gateways' folders and files, without starting them, and returns their
+// peer addresses.
 func (w *World) newGateways(o *Options) (peers []netip.AddrPort, err error) {
 	for i := range o.Gateways {
 		g, err := w.newGateway(o, i)
@@ -180,7 +187,11 @@
 		if w.Consul != nil {
 			text = strings.ReplaceAll(text, "%AGENT%", w.Consul.agents[i].Address)
 		}
-		if err := os.WriteFile(filepath.Join(g.dir, "operators.toml"), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(
+			filepath.Join(g.dir, "operators.toml"),
+			[]byte(text),
+			0o600,
+		); err != nil {
 			return nil, err
 		}
 	}
@@ -218,8 +229,8 @@
 // Start starts a gateway and waits until it is ready.
 func (w *World) Start(ctx context.Context, g *Gateway) error { return w.start(ctx, g) }
 
-// Figures audits the run and sums it up.
-func (w *World) Figures(command string) *harness.Summary { return w.figures(command) }
+// Summary audits the run and sums it up.
+func (w *World) Summary(command string) *harness.Summary { return w.summarize(command) }
 
 // Address is a free address of the world's own for something that restarts.
 func (w *World) Address(i int) (string, error) {
@@ -265,8 +276,8 @@
 // recordText has a gateway write down why it refuses, for figures to tell of losses.
 const recordText = "[record]\nrefusals = \"refusals\"\n"
 
-// figures audits the run and sums it up, with the reasons that the gateways wrote down.
-func (w *World) figures(command string) *harness.Summary {
+// summarize audits the run and sums it up, with the reasons that the gateways wrote down.
+func (w *World) summarize(command string) *harness.Summary {
 	why := map[string]string{}
 	for _, g := range w.Gateways {
 		raw, err := os.ReadFile(filepath.Join(g.dir, "refusals"))
@@ -339,7 +350,7 @@
 func (w *World) KillServer(sv *Server) {
 	since := w.upSince(sv)
 	sv.Kill()
-	w.notify(sv, phaseGone, since, false)
+	w.notify(sv, phaseRemoved, since, false)
 }
 
 // StartServer brings a server back, cold; the register hears of it.
--- a/internal/testing/scale/capacity.go
+++ b/internal/testing/scale/capacity.go
@@ -10,8 +10,8 @@
 	"slices"
 )
 
-// Capacity is what was measured: docs/capacity.json. The table of docs/CAPACITY.md is worked out from
-// it.
+// Capacity is what was measured: docs/capacity.json. The table of docs/CAPACITY.md is worked out
+// from it.
 type Capacity struct {
 	About      []string    `json:"about"` // how it was measured, and what was scaled down and why
 	Steps      []Step      `json:"steps"`
@@ -48,7 +48,10 @@
 
 // Take puts a ladder's steps in the place of those that were there; trials stay.
 func (c *Capacity) Take(name string, steps []Step) {
-	c.Steps = slices.DeleteFunc(c.Steps, func(s Step) bool { return s.Ladder == name && s.Trial == "" })
+	c.Steps = slices.DeleteFunc(
+		c.Steps,
+		func(s Step) bool { return s.Ladder == name && s.Trial == "" },
+	)
 	c.Steps = append(c.Steps, steps...)
 }
 
--- a/internal/testing/scale/changes.go
+++ b/internal/testing/scale/changes.go
@@ -10,9 +10,8 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// drive has servers replaced, a rack go, versions proposed and real gateways asked, all at once, for
-// the length of the run. What it
-// returns waits for the requests that are under way at its end.
+// drive has servers replaced, a rack go, versions proposed and real gateways asked, all at once,
+// for the length of the run. What it returns waits for the requests that are under way at its end.
 func (p *play) drive(ctx context.Context) (ended func()) {
 	running, cancel := context.WithTimeout(ctx, p.options.For)
 	var wg sync.WaitGroup
@@ -87,7 +86,9 @@
 	if !pass(ctx, replaceStep) {
 		return
 	}
-	p.changed(change{server: serverID(old), phase: registry.Gone, at: p.register.Remove(serverID(old))})
+	p.changed(
+		change{server: serverID(old), phase: registry.Gone, at: p.register.Remove(serverID(old))},
+	)
 }
 
 // loseRack has many servers go at once.
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -64,8 +64,12 @@
 			c.own = append(c.own, own)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(c.operators(c.own[g.Number],
-		true)), 0o600); err != nil {
+	if err := os.WriteFile(
+		filepath.Join(g.Dir(), "operators.toml"),
+		[]byte(c.operators(c.own[g.Number],
+			true)),
+		0o600,
+	); err != nil {
 		return err
 	}
 	found := exec.Command(c.options.Bin, "fleet", "found", controlName(g.Number), "--operators",
@@ -82,8 +86,12 @@
 	var b strings.Builder
 	parts := c.options.Parts
 	if control {
-		fmt.Fprintf(&b,
-			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n", serviceName, c.register.Address)
+		fmt.Fprintf(
+			&b,
+			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n",
+			serviceName,
+			c.register.Address,
+		)
 	}
 	fmt.Fprintf(&b, "[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\n", fleetName,
 		listen)
@@ -92,8 +100,13 @@
 		voters = append(voters, fmt.Sprintf("{ name = %q, address = %q }", controlName(i), own))
 		owners = append(owners, fmt.Sprintf("%q", controlName(i)))
 	}
-	fmt.Fprintf(&b, "voters = [%s]\nowners = [%s]\n", strings.Join(voters, ", "), strings.Join(owners,
-		", "))
+	fmt.Fprintf(
+		&b,
+		"voters = [%s]\nowners = [%s]\n",
+		strings.Join(voters, ", "),
+		strings.Join(owners,
+			", "),
+	)
 	if c.options.Tick > 0 {
 		fmt.Fprintf(&b, "tick = %q\n", c.options.Tick)
 	}
@@ -118,8 +131,11 @@
 // voters are the founding voters.
 func (c *control) voters() (all []*controlpb.Voter) {
 	for i, own := range c.own {
-		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber(fleetName, controlName(i)),
-			Name: controlName(i), Address: own})
+		all = append(
+			all,
+			&controlpb.Voter{Number: replica.BootstrapNumber(fleetName, controlName(i)),
+				Name: controlName(i), Address: own},
+		)
 	}
 	return all
 }
@@ -178,11 +194,20 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return 0, err
 	}
-	return number, c.call(at, fmt.Sprintf("versions propose %s %s 0s %s", planconfig.ItemName, configversion.StageAll, file),
-		&number)
+	return number, c.call(
+		at,
+		fmt.Sprintf(
+			"versions propose %s %s 0s %s",
+			planconfig.ItemName,
+			configversion.StageAll,
+			file,
+		),
+		&number,
+	)
 }
 
-// plansText is a version of all plans, with the plan of each tenant. One tenant has another plan than usual; below 0: none.
+// plansText is a version of all plans, with the plan of each tenant. One tenant has another plan
+// than usual; below 0: none.
 func (c *control) plansText(tenants int, factor float64, moved int) string {
 	var b strings.Builder
 	site := c.world.Site
@@ -190,7 +215,12 @@
 		fmt.Fprintf(&b, "[[plan]]\nname = %q\nrate = %g\nburst = %g\n", p.Name, p.Rate*factor,
 			p.Burst*factor)
 		if p.CeilingRate > 0 {
-			fmt.Fprintf(&b, "ceiling_rate = %g\nceiling_burst = %g\n", p.CeilingRate, p.CeilingBurst)
+			fmt.Fprintf(
+				&b,
+				"ceiling_rate = %g\nceiling_burst = %g\n",
+				p.CeilingRate,
+				p.CeilingBurst,
+			)
 		}
 	}
 	for t := range tenants {
--- a/internal/testing/scale/faults.go
+++ b/internal/testing/scale/faults.go
@@ -59,8 +59,8 @@
 	began        time.Time
 }
 
-// injectFaults injects the faults of a run, one in each stretch, and notes when each stretch began. It returns when the
-// context ends and each process that a fault befell runs again.
+// injectFaults injects the faults of a run, one in each stretch, and notes when each stretch began.
+// It returns when the context ends and each process that a fault befell runs again.
 func (p *play) injectFaults(ctx context.Context) {
 	began := time.Now()
 	p.stretches = []Stretch{{Fault: Undisturbed, began: began}}
@@ -81,7 +81,8 @@
 	}
 }
 
-// inject injects a fault, waits for its length and ends it. It returns the name of the process that it befell.
+// inject injects a fault, waits for its length and ends it. It returns the name of the process that
+// it befell.
 func (p *play) inject(ctx context.Context, fault Fault) (target string, err error) {
 	if fault == FaultGateways {
 		return "the first process of hollow gateways", p.children[0].pause(ctx)
@@ -110,7 +111,8 @@
 	return g.Signal(syscall.SIGCONT)
 }
 
-// restart kills a control process and starts it again after downLength, whatever becomes of the context.
+// restart kills a control process and starts it again after downLength, whatever becomes of the
+// context.
 func (c *control) restart(ctx context.Context, at int) error {
 	g := c.world.Gateways[at]
 	if err := g.Signal(syscall.SIGKILL); err != nil {
--- a/internal/testing/scale/faults_test.go
+++ b/internal/testing/scale/faults_test.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// A run with faults injects each of them, has the process serve again, and tells what changes took in each stretch; what
-// was changed meanwhile is at all gateways in the end.
+// A run with faults injects each of them, has the process serve again, and tells what changes took
+// in each stretch; what was changed meanwhile is at all gateways in the end.
 func TestFaultsOfARun(t *testing.T) {
 	if !lab.HasGo() {
 		t.Fatal("no go command to build the gateway with")
@@ -45,7 +45,12 @@
 // A change counts to the stretch in which it was made.
 func TestAChangeCountsToItsStretch(t *testing.T) {
 	began := time.Now()
-	p := &play{stretches: []Stretch{{Fault: Undisturbed, began: began}, {Fault: FaultKill, began: began.Add(time.Second)}}}
+	p := &play{
+		stretches: []Stretch{
+			{Fault: Undisturbed, began: began},
+			{Fault: FaultKill, began: began.Add(time.Second)},
+		},
+	}
 	for after, want := range map[time.Duration]Fault{0: Undisturbed, time.Second - 1: Undisturbed, time.Second: FaultKill, time.Hour: FaultKill} {
 		if s := p.stretchOf(began.Add(after)); s == nil || s.Fault != want {
 			t.Errorf("after %v: %+v, %s wanted", after, s, want)
--- a/internal/testing/scale/fit.go
+++ b/internal/testing/scale/fit.go
@@ -13,8 +13,8 @@
 	Y float64 `json:"y"`
 }
 
-// Slope is a straight line through measured points: what a quantity is at 0, and by how much it grows
-// with one more.
+// Slope is a straight line through measured points: what a quantity is at 0, and by how much it
+// grows with one more.
 type Slope struct {
 	Name      string  `json:"name"`
 	Unit      string  `json:"unit"`
--- a/internal/testing/scale/ladder.go
+++ b/internal/testing/scale/ladder.go
@@ -21,7 +21,8 @@
 	Trial  string  `json:"trial,omitempty"` // why it is kept as a trial only, and in no slope; "": it is none
 }
 
-// failed tells why a step is no measure of what its size takes; "": it is one. What did not arrive costs nothing.
+// failed tells why a step is no measure of what its size takes; "": it is one. What did not arrive
+// costs nothing.
 func (s *Step) failed() string {
 	r := s.Result
 	switch {
@@ -30,8 +31,12 @@
 	case r.HerdMilliseconds < 0:
 		return "not all gateways were current in time"
 	case r.Diverged+r.LostChanges+r.LostVersions > 0:
-		return fmt.Sprintf("%d lists were not the register's in the end, %d changes and %d versions did not arrive",
-			r.Diverged, r.LostChanges, r.LostVersions)
+		return fmt.Sprintf(
+			"%d lists were not the register's in the end, %d changes and %d versions did not arrive",
+			r.Diverged,
+			r.LostChanges,
+			r.LostVersions,
+		)
 	case r.DutyChanges > r.Options.Control: // each may have been handed to where it belongs
 		return fmt.Sprintf("%d duties changed hands", r.DutyChanges)
 	}
@@ -68,11 +73,19 @@
 // Sizes of the ladders.
 var (
 	gatewaySizes    = []int{40, 80, 160}
-	allocationSizes = []int{20, 40, 80} // of gateways: more than these lose their owners on eight cores
-	serverSizes     = []int{730, 2000, 7300}
-	wholeListSizes  = []int{365, 730, 1460} // of servers: with more the whole list does not come to all
-	tenantSizes     = []int{6000, 20000, 60000}
-	changeSizes     = []int{1, 2, 4} // times stepReplacements
+	allocationSizes = []int{
+		20,
+		40,
+		80,
+	} // of gateways: more than these lose their owners on eight cores
+	serverSizes    = []int{730, 2000, 7300}
+	wholeListSizes = []int{
+		365,
+		730,
+		1460,
+	} // of servers: with more the whole list does not come to all
+	tenantSizes = []int{6000, 20000, 60000}
+	changeSizes = []int{1, 2, 4} // times stepReplacements
 )
 
 // Ladders are all of them.
@@ -86,7 +99,13 @@
 		newLadder(LadderDeltaChanges, changeSizes, listOn, deltaOn, changesAre),
 		newLadder(LadderPlansTenants, tenantSizes, configurationOn, tenantsAre),
 		newLadder(LadderPlansDelta, tenantSizes, configurationOn, baseVersionOn, tenantsAre),
-		newLadder(LadderLeaseGateways, gatewaySizes, versionLeasesOn, gatewaysAre, tenantsByGateways),
+		newLadder(
+			LadderLeaseGateways,
+			gatewaySizes,
+			versionLeasesOn,
+			gatewaysAre,
+			tenantsByGateways,
+		),
 		newLadder(LadderAllocation, allocationSizes, allocationOn, gatewaysAre, tenantsByGateways),
 		newLadder(LadderMetering, gatewaySizes, meteringOn, gatewaysAre, tenantsByGateways),
 	}
@@ -99,8 +118,14 @@
 func newLadder(name string, sizes []int, settings ...setting) Ladder {
 	l := Ladder{Name: name}
 	for _, size := range sizes {
-		o := Options{Gateways: stepGateways, Servers: stepServersUsually, Tenants: stepTenantsUsually,
-			Control: DesignControl, For: stepFor, Path: PathCompleteList}
+		o := Options{
+			Gateways: stepGateways,
+			Servers:  stepServersUsually,
+			Tenants:  stepTenantsUsually,
+			Control:  DesignControl,
+			For:      stepFor,
+			Path:     PathCompleteList,
+		}
 		for _, set := range settings {
 			set(&o, size)
 		}
--- a/internal/testing/scale/meter.go
+++ b/internal/testing/scale/meter.go
@@ -30,14 +30,22 @@
 
 // Plus is the sum of two.
 func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{t.MessagesIn + o.MessagesIn, t.MessagesOut + o.MessagesOut, t.BytesIn + o.BytesIn,
-		t.BytesOut + o.BytesOut}
+	return Traffic{
+		t.MessagesIn + o.MessagesIn,
+		t.MessagesOut + o.MessagesOut,
+		t.BytesIn + o.BytesIn,
+		t.BytesOut + o.BytesOut,
+	}
 }
 
 // Minus is the difference of two.
 func (t Traffic) Minus(o Traffic) Traffic {
-	return Traffic{t.MessagesIn - o.MessagesIn, t.MessagesOut - o.MessagesOut, t.BytesIn - o.BytesIn,
-		t.BytesOut - o.BytesOut}
+	return Traffic{
+		t.MessagesIn - o.MessagesIn,
+		t.MessagesOut - o.MessagesOut,
+		t.BytesIn - o.BytesIn,
+		t.BytesOut - o.BytesOut,
+	}
 }
 
 // Messages and Bytes are both directions together.
@@ -74,8 +82,8 @@
 	return all
 }
 
-// Connections is how many bytes all connections carried, with headers and everything else that is no
-// message.
+// Connections is how many bytes all connections carried, with headers and everything else that is
+// no message.
 func (m *Meter) Connections() (in, out int64) { return m.connectionIn.Load(), m.connectionOut.Load() }
 
 // call is one call under way.
@@ -145,7 +153,10 @@
 	switch method {
 	case serviceFleet + "Renew", serviceFleet + "Borrow":
 		return RoleAllocation
-	case serviceFleet + "Content", serviceFleet + "Keep", serviceFleet + "ContentDelta", serviceFleet + "ContentBuckets":
+	case serviceFleet + "Content",
+		serviceFleet + "Keep",
+		serviceFleet + "ContentDelta",
+		serviceFleet + "ContentBuckets":
 		return RoleConfiguration
 	case serviceFleet + "Collect":
 		return RoleMetering
@@ -175,7 +186,8 @@
 		return RoleMetering
 	case lease.MachineName:
 		return RoleElection
-	case consensus.MembershipName, "": // who belongs to the fleet, and a session that says that it lives
+	case consensus.MembershipName,
+		"": // who belongs to the fleet, and a session that says that it lives
 		return RoleMembership
 	}
 	return RoleOther
--- a/internal/testing/scale/model.go
+++ b/internal/testing/scale/model.go
@@ -8,9 +8,8 @@
 	"strings"
 )
 
-// Names of the slopes. What a role takes is measured with the others off; what sessions, leases and the
-// log take by themselves is
-// subtracted.
+// Names of the slopes. What a role takes is measured with the others off; what sessions, leases and
+// the log take by themselves is subtracted.
 const (
 	SlopeBaseCores          = "gateway: sessions alone, processor"
 	SlopeBaseMemory         = "gateway: sessions alone, memory"
@@ -115,7 +114,14 @@
 		{SlopeMembershipMessages, unitCount, byGateways, LadderBase, xGateways,
 			messagesOf(RoleMembership)},
 		{SlopeElectionBytes, unitBytes, byGateways, LadderBase, xGateways, bytesOf(RoleElection)},
-		{SlopeElectionMessages, unitCount, byGateways, LadderBase, xGateways, messagesOf(RoleElection)},
+		{
+			SlopeElectionMessages,
+			unitCount,
+			byGateways,
+			LadderBase,
+			xGateways,
+			messagesOf(RoleElection),
+		},
 		{SlopeLeaseBytes, unitBytes, byGateways, LadderLeaseGateways, xGateways,
 			bytesOf(RoleConfiguration)},
 		{SlopeLeaseMessages, unitCount, byGateways, LadderLeaseGateways, xGateways,
@@ -171,12 +177,26 @@
 	return []quantity{
 		{SlopeCompleteListBytes, unitB, byServers, LadderListServers, xServers,
 			func(r *Result) float64 { return r.BytesPerListChange }},
-		{SlopeCompleteListCores, unitSeconds, byServers, LadderListServers, xServers, perChange(b.cores)},
+		{
+			SlopeCompleteListCores,
+			unitSeconds,
+			byServers,
+			LadderListServers,
+			xServers,
+			perChange(b.cores),
+		},
 		{SlopeCompleteListControl, unitSeconds, byServers, LadderListServers, xServers,
 			perGateway(perChange(b.control))},
 		{SlopeCompleteListMemory, unitMB, byServers, LadderListServers, xServers, b.memory},
 		{SlopeDeltaBytes, unitBytes, byChanges, LadderDeltaChanges, xChanges, bytesOf(RoleList)},
-		{SlopeDeltaMessages, unitCount, byChanges, LadderDeltaChanges, xChanges, messagesOf(RoleList)},
+		{
+			SlopeDeltaMessages,
+			unitCount,
+			byChanges,
+			LadderDeltaChanges,
+			xChanges,
+			messagesOf(RoleList),
+		},
 		{SlopeDeltaCores, unitCores, byChanges, LadderDeltaChanges, xChanges, b.cores},
 		{SlopeDeltaChangeBytes, unitB, byServers, LadderDeltaServers, xServers,
 			func(r *Result) float64 { return r.BytesPerListChange }},
@@ -185,15 +205,64 @@
 		{SlopeDeltaRegister, unitSeconds, byServers, LadderDeltaServers, xServers,
 			perChange(b.control)},
 		{SlopeDeltaMemory, unitMB, byServers, LadderDeltaServers, xServers, b.memory},
-		{SlopeContentBytes, unitB, byTenants, LadderPlansTenants, xTenants, perVersion(b.configuration)},
-		{SlopeContentCores, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.cores)},
-		{SlopeContentControl, unitSeconds, byTenants, LadderPlansTenants, xTenants, perVersion(b.control)},
-		{SlopeVersionBytes, unitB, byTenants, LadderPlansDelta, xTenants, perVersion(b.configuration)},
-		{SlopeVersionCores, unitSeconds, byTenants, LadderPlansDelta, xTenants, perVersion(b.cores)},
-		{SlopeVersionControl, unitSeconds, byTenants, LadderPlansDelta, xTenants, perVersion(b.control)},
+		{
+			SlopeContentBytes,
+			unitB,
+			byTenants,
+			LadderPlansTenants,
+			xTenants,
+			perVersion(b.configuration),
+		},
+		{
+			SlopeContentCores,
+			unitSeconds,
+			byTenants,
+			LadderPlansTenants,
+			xTenants,
+			perVersion(b.cores),
+		},
+		{
+			SlopeContentControl,
+			unitSeconds,
+			byTenants,
+			LadderPlansTenants,
+			xTenants,
+			perVersion(b.control),
+		},
+		{
+			SlopeVersionBytes,
+			unitB,
+			byTenants,
+			LadderPlansDelta,
+			xTenants,
+			perVersion(b.configuration),
+		},
+		{
+			SlopeVersionCores,
+			unitSeconds,
+			byTenants,
+			LadderPlansDelta,
+			xTenants,
+			perVersion(b.cores),
+		},
+		{
+			SlopeVersionControl,
+			unitSeconds,
+			byTenants,
+			LadderPlansDelta,
+			xTenants,
+			perVersion(b.control),
+		},
 		{SlopeVersionMemory, unitMB, byTenants, LadderPlansDelta, xTenants, b.memory},
 		{SlopeLeaseControl, unitCores, byGateways, LadderLeaseGateways, xGateways, b.control},
-		{SlopeAuditBytes, unitBytes, byGateways, LadderLeaseGateways, xGateways, bytesOf(RoleAudit)},
+		{
+			SlopeAuditBytes,
+			unitBytes,
+			byGateways,
+			LadderLeaseGateways,
+			xGateways,
+			bytesOf(RoleAudit),
+		},
 		{SlopeAuditMessages, unitCount, byGateways, LadderLeaseGateways, xGateways,
 			messagesOf(RoleAudit)},
 		{SlopeAllocationBytes, unitBytes, byQuotas, LadderAllocation, xGateways,
@@ -202,7 +271,14 @@
 			messagesOf(RoleAllocation)},
 		{SlopeAllocationCores, unitCores, byQuotas, LadderAllocation, xGateways, b.cores},
 		{SlopeAllocationControl, unitCores, byQuotas, LadderAllocation, xGateways, b.control},
-		{SlopeMeteringBytes, unitBytes, byGateways, LadderMetering, xGateways, bytesOf(RoleMetering)},
+		{
+			SlopeMeteringBytes,
+			unitBytes,
+			byGateways,
+			LadderMetering,
+			xGateways,
+			bytesOf(RoleMetering),
+		},
 		{SlopeMeteringMessages, unitCount, byGateways, LadderMetering, xGateways,
 			messagesOf(RoleMetering)},
 		{SlopeMeteringCores, unitCores, byGateways, LadderMetering, xGateways, b.cores},
@@ -280,8 +356,13 @@
 
 // loads are the mean day and a release.
 func loads() []Load {
-	day := Load{"a mean day",
-		(replacementsPerDay*changesPerReplaced + failuresPerDay*changesPerFailure) / float64(secondsPerDay), versionsPerDay / float64(secondsPerDay)}
+	day := Load{
+		"a mean day",
+		(replacementsPerDay*changesPerReplaced + failuresPerDay*changesPerFailure) / float64(
+			secondsPerDay,
+		),
+		versionsPerDay / float64(secondsPerDay),
+	}
 	release := Load{"a release", replacementsPerDay * changesPerReplaced / float64(secondsPerHour),
 		day.VersionsPerSecond}
 	return []Load{day, release}
@@ -308,9 +389,20 @@
 		list.MemoryMB = s.at(SlopeCompleteListMemory, n)
 		list.Messages = 3 * l.ChangesPerSecond // the news, the question, the list
 	} else {
-		list.Bytes, list.Messages = s.at(SlopeDeltaBytes, l.ChangesPerSecond), s.at(SlopeDeltaMessages,
-			l.ChangesPerSecond)
-		list.Cores, list.MemoryMB = s.at(SlopeDeltaCores, l.ChangesPerSecond), s.at(SlopeDeltaMemory, n)
+		list.Bytes, list.Messages = s.at(
+			SlopeDeltaBytes,
+			l.ChangesPerSecond,
+		), s.at(
+			SlopeDeltaMessages,
+			l.ChangesPerSecond,
+		)
+		list.Cores, list.MemoryMB = s.at(
+			SlopeDeltaCores,
+			l.ChangesPerSecond,
+		), s.at(
+			SlopeDeltaMemory,
+			n,
+		)
 		register := max(0, s.at(SlopeDeltaRegister, n)-s.at(SlopeDeltaRegister, stepServers))
 		list.Control = l.ChangesPerSecond * (s.at(SlopeDeltaControl, g) + register)
 	}
@@ -328,8 +420,14 @@
 		{string(RoleAudit), s.at(SlopeAuditMessages, g), s.at(SlopeAuditBytes, g), 0, 0, 0},
 		{string(RoleMetering), s.at(SlopeMeteringMessages, g), s.at(SlopeMeteringBytes, g),
 			s.at(SlopeMeteringCores, g), 0, s.at(SlopeMeteringControl, g)},
-		{string(RoleMembership), s.at(SlopeMembershipMessages, g), s.at(SlopeMembershipBytes, g), 0, 0,
-			0},
+		{
+			string(RoleMembership),
+			s.at(SlopeMembershipMessages, g),
+			s.at(SlopeMembershipBytes, g),
+			0,
+			0,
+			0,
+		},
 	}
 }
 
--- a/internal/testing/scale/page.go
+++ b/internal/testing/scale/page.go
@@ -59,8 +59,12 @@
 	want, have := strings.Split(tables, "\n"), strings.Split(strings.TrimPrefix(stands, "\n"), "\n")
 	for i := range max(len(want), len(have)) {
 		if i >= len(want) || i >= len(have) || want[i] != have[i] {
-			return fmt.Errorf("%s: table line %d is not what %s gives: run lab scale --page", pagePath,
-				i+1, jsonPath)
+			return fmt.Errorf(
+				"%s: table line %d is not what %s gives: run lab scale --page",
+				pagePath,
+				i+1,
+				jsonPath,
+			)
 		}
 	}
 	return nil
@@ -112,20 +116,34 @@
 type about struct{ state, mechanism string }
 
 var roleAbout = map[string]about{
-	string(RoleList): {"7,300 records at each gateway",
-		"`internal/controlplane/distribution`, `internal/controlplane/distributor`: deltas by revision from every control machine"},
-	string(RoleConfiguration): {"plans of 60,000 tenants at each gateway",
-		"`internal/controlplane/configversion`, `internal/controlplane/rollout`, `internal/controlplane/configstate`: permits by asking the leader twice a second; a version as the records that changed, verified by its digest"},
-	string(RoleAllocation): {"a gateway: its part of some 290 tenants; owners: 60,000",
-		"`internal/controlplane/allocation`, `internal/controlplane/allocator`: renewal with five owners, five times a second"},
-	string(RoleElection): {"five replicas of the log",
-		"`internal/controlplane/lease`, `internal/controlplane/consensus`, `internal/controlplane/controlrpc`: the duties, watched as a whole"},
-	string(RoleAudit): {"a gateway: its own record",
-		"`internal/controlplane/auditlog`, `internal/controlplane/auditrecorder`: the record's head, agreed every 3 s while it changes"},
-	string(RoleMetering): {"a gateway: use by tenant, until it is collected",
-		"`internal/controlplane/metering`, `internal/controlplane/usageexporter`: collected every 5 s by one owner"},
-	string(RoleMembership): {"all 620 processes, at each",
-		"`internal/controlplane/consensus`: the list of processes, asked for by three parts of a gateway every 3 s, by part and revision"},
+	string(RoleList): {
+		"7,300 records at each gateway",
+		"`internal/controlplane/distribution`, `internal/controlplane/distributor`: deltas by revision from every control machine",
+	},
+	string(RoleConfiguration): {
+		"plans of 60,000 tenants at each gateway",
+		"`internal/controlplane/configversion`, `internal/controlplane/rollout`, `internal/controlplane/configstate`: permits by asking the leader twice a second; a version as the records that changed, verified by its digest",
+	},
+	string(RoleAllocation): {
+		"a gateway: its part of some 290 tenants; owners: 60,000",
+		"`internal/controlplane/allocation`, `internal/controlplane/allocator`: renewal with five owners, five times a second",
+	},
+	string(RoleElection): {
+		"five replicas of the log",
+		"`internal/controlplane/lease`, `internal/controlplane/consensus`, `internal/controlplane/controlrpc`: the duties, watched as a whole",
+	},
+	string(RoleAudit): {
+		"a gateway: its own record",
+		"`internal/controlplane/auditlog`, `internal/controlplane/auditrecorder`: the record's head, agreed every 3 s while it changes",
+	},
+	string(RoleMetering): {
+		"a gateway: use by tenant, until it is collected",
+		"`internal/controlplane/metering`, `internal/controlplane/usageexporter`: collected every 5 s by one owner",
+	},
+	string(RoleMembership): {
+		"all 620 processes, at each",
+		"`internal/controlplane/consensus`: the list of processes, asked for by three parts of a gateway every 3 s, by part and revision",
+	},
 }
 
 func (c *Capacity) roleTable(b *strings.Builder, s Slopes) {
@@ -133,8 +151,18 @@
 	head(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day", "role",
 		"state", "messages/s", "bytes/s", "of a core", "memory, MB",
 		"control machines, cores together", "mechanism", "bytes, of a gateway's 10,000/s")
-	row(b, "request path", "pools of 15 servers", "-", "-", c.requestCores(15), "-", "none",
-		"`internal/dataplane/policy`, `internal/dataplane/gateway`", "the core is not control's: one pool of 7,300 would be "+c.requestCores(DesignServers))
+	row(
+		b,
+		"request path",
+		"pools of 15 servers",
+		"-",
+		"-",
+		c.requestCores(15),
+		"-",
+		"none",
+		"`internal/dataplane/policy`, `internal/dataplane/gateway`",
+		"the core is not control's: one pool of 7,300 would be "+c.requestCores(DesignServers),
+	)
 	uses := s.uses(day, PathDelta)
 	for _, u := range uses {
 		a := roleAbout[u.Role]
@@ -148,9 +176,22 @@
 		number(sum.Cores)+": "+fits(sum.Cores, limitCores),
 		number(sum.MemoryMB)+": "+fits(sum.MemoryMB, limitMemoryMB), "", "", fits(sum.Bytes,
 			limitBytes))
-	row(b, "**a control machine as a whole**", "", "",
-		number(sum.Bytes*DesignGateways/DesignControl)+" if all fell to them, evenly", number(sum.Control/DesignControl)+" if spread evenly", "",
-		number(sum.Control), "a process of the program uses one core; permits and sessions fall to the leader alone", "cores: "+fits(sum.Control, DesignControl*controlCoresEach))
+	row(
+		b,
+		"**a control machine as a whole**",
+		"",
+		"",
+		number(
+			sum.Bytes*DesignGateways/DesignControl,
+		)+" if all fell to them, evenly",
+		number(sum.Control/DesignControl)+" if spread evenly",
+		"",
+		number(
+			sum.Control,
+		),
+		"a process of the program uses one core; permits and sessions fall to the leader alone",
+		"cores: "+fits(sum.Control, DesignControl*controlCoresEach),
+	)
 }
 
 // requestCores is what choosing a server takes of a core at the peak.
@@ -163,17 +204,30 @@
 }
 
 func (c *Capacity) completeListTable(b *strings.Builder, s Slopes) {
-	head(b, "The list of servers by both paths", "load", "changes/s", "path", "bytes/s to one gateway",
-		"of the limit", "of a gateway's core", "control machines, cores together",
-		"all roles: bytes/s to one gateway", "all roles: of a gateway's core", "all roles: control machines, cores together")
+	head(
+		b,
+		"The list of servers by both paths",
+		"load",
+		"changes/s",
+		"path",
+		"bytes/s to one gateway",
+		"of the limit",
+		"of a gateway's core",
+		"control machines, cores together",
+		"all roles: bytes/s to one gateway",
+		"all roles: of a gateway's core",
+		"all roles: control machines, cores together",
+	)
 	for _, l := range loads() {
 		for _, path := range []Path{PathCompleteList, PathDelta} {
 			uses := s.uses(l, path)
 			u, sum := uses[0], total(uses)
 			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes,
 				limitBytes), number(u.Cores), number(u.Control),
-				number(sum.Bytes)+": "+fits(sum.Bytes,
-					limitBytes), number(sum.Cores)+": "+fits(sum.Cores, limitCores), number(sum.Control))
+				number(sum.Bytes)+": "+fits(
+					sum.Bytes,
+					limitBytes,
+				), number(sum.Cores)+": "+fits(sum.Cores, limitCores), number(sum.Control))
 		}
 	}
 }
@@ -190,32 +244,89 @@
 		deltaBytes = one.PerOne
 	}
 	completeList := s.at(SlopeCompleteListBytes, DesignServers)
-	version, content := s.at(SlopeVersionBytes, DesignTenants), s.at(SlopeContentBytes, DesignTenants)
-	event("a server changes", "one delta", deltaBytes, g, "measured (slope by changes a second, some of which shared a message)")
+	version, content := s.at(
+		SlopeVersionBytes,
+		DesignTenants,
+	), s.at(
+		SlopeContentBytes,
+		DesignTenants,
+	)
+	event(
+		"a server changes",
+		"one delta",
+		deltaBytes,
+		g,
+		"measured (slope by changes a second, some of which shared a message)",
+	)
 	event("the same, whole list", "the list is fetched by each", completeList, g,
 		"measured (slope by servers)")
-	event("a version of the plans", "what differs, from another gateway or a control machine",
-		version, g, "measured (slope by tenants), all plans' terms and one tenant; in and out at a gateway")
+	event(
+		"a version of the plans",
+		"what differs, from another gateway or a control machine",
+		version,
+		g,
+		"measured (slope by tenants), all plans' terms and one tenant; in and out at a gateway",
+	)
 	event("the same, whole", "the content by digest, to a gateway that has none", content, g,
 		"measured (slope by tenants); in and out at a gateway")
-	event("a rack gone", fmt.Sprintf("%d servers in one change", rackServers), rackServers*deltaBytes,
-		g, "assumed: a change's bytes each; they merge to less")
+	event(
+		"a rack gone",
+		fmt.Sprintf("%d servers in one change", rackServers),
+		rackServers*deltaBytes,
+		g,
+		"assumed: a change's bytes each; they merge to less",
+	)
 	event("a zone gone", fmt.Sprintf("%d servers; %d gateways go with it", DesignServers/zones,
 		g/zones), DesignServers/zones*deltaBytes, g-g/zones, "assumed, as above")
-	event("regions apart for an hour",
-		fmt.Sprintf("the side without the majority turns everybody away after %d s: %d of 3,600 s; its servers' changes come to it by its own register",
-			versionLeaseSeconds, secondsPerHour-versionLeaseSeconds), 0, g/2, "by design (`docs/audit.md`); to be designed anew")
-	event("regions together again", "each of the other region gets an hour's changes, merged",
-		loads()[0].ChangesPerSecond*secondsPerHour*deltaBytes, g/2, "assumed: a mean hour's changes")
-	event("all gateways started at once, from nothing", "the whole list and the content", completeList+content,
-		g, "worked out from slopes; see the runs for the time")
+	event(
+		"regions apart for an hour",
+		fmt.Sprintf(
+			"the side without the majority turns everybody away after %d s: %d of 3,600 s; its servers' changes come to it by its own register",
+			versionLeaseSeconds,
+			secondsPerHour-versionLeaseSeconds,
+		),
+		0,
+		g/2,
+		"by design (`docs/audit.md`); to be designed anew",
+	)
+	event(
+		"regions together again",
+		"each of the other region gets an hour's changes, merged",
+		loads()[0].ChangesPerSecond*secondsPerHour*deltaBytes,
+		g/2,
+		"assumed: a mean hour's changes",
+	)
+	event(
+		"all gateways started at once, from nothing",
+		"the whole list and the content",
+		completeList+content,
+		g,
+		"worked out from slopes; see the runs for the time",
+	)
 }
 
 func (c *Capacity) runTable(b *strings.Builder) {
-	head(b, "Runs near the size", "run", "gateways, servers, tenants", "path", "pace of the log",
-		"all current after a start, s", "in force p50, p99, ms", "draining p99, ms", "a rack p99, ms", "plans in force p99, ms",
-		"versions refused", "diverged, stale, lost", "bytes/s a gateway, all roles", "of a core", "memory, MB",
-		"added p99, ms", "duties that changed hands", "notes")
+	head(
+		b,
+		"Runs near the size",
+		"run",
+		"gateways, servers, tenants",
+		"path",
+		"pace of the log",
+		"all current after a start, s",
+		"in force p50, p99, ms",
+		"draining p99, ms",
+		"a rack p99, ms",
+		"plans in force p99, ms",
+		"versions refused",
+		"diverged, stale, lost",
+		"bytes/s a gateway, all roles",
+		"of a core",
+		"memory, MB",
+		"added p99, ms",
+		"duties that changed hands",
+		"notes",
+	)
 	for i, r := range c.Runs {
 		o := &r.Options
 		added := "-"
@@ -228,13 +339,32 @@
 		}
 		where := fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
 			number(float64(o.Tenants)))
-		row(b, fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date), where, string(o.Path), pace(o), herd(r),
-			r.InForce.text(r.InForce.P50)+", "+r.InForce.text(r.InForce.P99), r.Draining.text(r.Draining.P99),
-			r.Rack.text(r.Rack.P99), r.PlansInForce.text(r.PlansInForce.P99),
+		row(
+			b,
+			fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date),
+			where,
+			string(o.Path),
+			pace(o),
+			herd(r),
+			r.InForce.text(
+				r.InForce.P50,
+			)+", "+r.InForce.text(
+				r.InForce.P99,
+			),
+			r.Draining.text(r.Draining.P99),
+			r.Rack.text(r.Rack.P99),
+			r.PlansInForce.text(r.PlansInForce.P99),
 			fmt.Sprintf("%d of %d", r.ProposalsRefused, r.ProposalsRefused+r.PlanVersions),
 			fmt.Sprintf("%d, %s, %d", r.Diverged, stale, r.LostChanges+r.LostVersions),
-			number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond), number(r.Gateway.Cores),
-			number(r.Gateway.ResidentMB), added, leaderChanges(r), cmp.Or(strings.Join(r.Notes, "; "), "-"))
+			number(r.Gateway.BytesInPerSecond+r.Gateway.BytesOutPerSecond),
+			number(r.Gateway.Cores),
+			number(
+				r.Gateway.ResidentMB,
+			),
+			added,
+			leaderChanges(r),
+			cmp.Or(strings.Join(r.Notes, "; "), "-"),
+		)
 	}
 }
 
@@ -271,8 +401,15 @@
 }
 
 func (c *Capacity) runRoleTable(b *strings.Builder) {
-	head(b, "Bytes a second at one gateway in these runs, by role", "run", "role", "messages/s", "in",
-		"out")
+	head(
+		b,
+		"Bytes a second at one gateway in these runs, by role",
+		"run",
+		"role",
+		"messages/s",
+		"in",
+		"out",
+	)
 	for i, r := range c.Runs {
 		for _, role := range slices.Sorted(maps.Keys(r.Roles)) {
 			one := r.Roles[role]
@@ -284,8 +421,17 @@
 
 // faultTable tells what changes took in each stretch of the runs with faults.
 func (c *Capacity) faultTable(b *strings.Builder) {
-	head(b, "Changes through faults in these runs", "run", "fault", "process", "changes at gateways",
-		"in force p50, p99, ms", "draining p99, ms", "plans in force p99, ms")
+	head(
+		b,
+		"Changes through faults in these runs",
+		"run",
+		"fault",
+		"process",
+		"changes at gateways",
+		"in force p50, p99, ms",
+		"draining p99, ms",
+		"plans in force p99, ms",
+	)
 	for i, r := range c.Runs {
 		for j := range r.Stretches {
 			s := &r.Stretches[j]
@@ -293,9 +439,16 @@
 			if s.Failed != "" {
 				fault += ", which failed: " + s.Failed
 			}
-			row(b, number(float64(i+1)), fault, cmp.Or(s.Target, "-"), number(float64(s.InForce.Count)),
+			row(
+				b,
+				number(float64(i+1)),
+				fault,
+				cmp.Or(s.Target, "-"),
+				number(float64(s.InForce.Count)),
 				s.InForce.text(s.InForce.P50)+", "+s.InForce.text(s.InForce.P99),
-				s.Draining.text(s.Draining.P99), s.PlansInForce.text(s.PlansInForce.P99))
+				s.Draining.text(s.Draining.P99),
+				s.PlansInForce.text(s.PlansInForce.P99),
+			)
 		}
 	}
 }
@@ -327,14 +480,26 @@
 }
 
 func (c *Capacity) failedTable(b *strings.Builder) {
-	head(b, "Steps that are in no slope: they failed, or are trials", "ladder", "gateways, servers, tenants", "why",
-		"units granted, of those asked for")
+	head(
+		b,
+		"Steps that are in no slope: they failed, or are trials",
+		"ladder",
+		"gateways, servers, tenants",
+		"why",
+		"units granted, of those asked for",
+	)
 	for i := range c.Steps {
 		s := &c.Steps[i]
 		o := &s.Result.Options
 		if why := s.failed(); why != "" {
-			row(b, s.Ladder, fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
-				number(float64(o.Tenants))), why, number(s.Result.Gateway.GrantedOfRequests))
+			row(
+				b,
+				s.Ladder,
+				fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
+					number(float64(o.Tenants))),
+				why,
+				number(s.Result.Gateway.GrantedOfRequests),
+			)
 		}
 	}
 }
--- a/internal/testing/scale/page_test.go
+++ b/internal/testing/scale/page_test.go
@@ -88,11 +88,15 @@
 			t.Errorf("%+v, 12,500 bytes a second wanted", u)
 		}
 	}
-	if sum := total(slopes.uses(day, PathDelta)); number(sum.Bytes) != notMeasured || fits(sum.Cores,
-		limitCores) != notMeasured {
+	if sum := total(
+		slopes.uses(day, PathDelta),
+	); number(sum.Bytes) != notMeasured ||
+		fits(sum.Cores,
+			limitCores) != notMeasured {
 		t.Errorf("a sum of what was not all measured: %+v", sum)
 	}
-	if day.ChangesPerSecond < 0.0386 || day.ChangesPerSecond > 0.0388 || loads()[1].ChangesPerSecond < 0.916 {
+	if day.ChangesPerSecond < 0.0386 || day.ChangesPerSecond > 0.0388 ||
+		loads()[1].ChangesPerSecond < 0.916 {
 		t.Errorf("%+v", loads())
 	}
 	if !strings.HasPrefix(fits(12_500, limitBytes), "**over, x1.2") || !strings.HasPrefix(fits(5000,
@@ -117,8 +121,14 @@
 
 // What benchmarks print is read, with all their units.
 func TestReadBenchmarks(t *testing.T) {
-	all, err := ReadBenchmarks(strings.NewReader("goos: linux\nBenchmarkOwner/620x60000-8 \t 5\t 240000000 ns/op\t 21600 wireB/s/gateway\nPASS\n"))
-	if err != nil || len(all) != 1 || all[0].Name != "Owner/620x60000" || all[0].Metrics["wireB/s/gateway"] != 21600 || all[0].Metrics["ns/op"] != 24e7 {
+	all, err := ReadBenchmarks(
+		strings.NewReader(
+			"goos: linux\nBenchmarkOwner/620x60000-8 \t 5\t 240000000 ns/op\t 21600 wireB/s/gateway\nPASS\n",
+		),
+	)
+	if err != nil || len(all) != 1 || all[0].Name != "Owner/620x60000" ||
+		all[0].Metrics["wireB/s/gateway"] != 21600 ||
+		all[0].Metrics["ns/op"] != 24e7 {
 		t.Errorf("%+v, %v", all, err)
 	}
 	c := &Capacity{}
--- a/internal/testing/scale/process.go
+++ b/internal/testing/scale/process.go
@@ -52,8 +52,8 @@
 	return u, nil
 }
 
-// Since is what was used since an earlier reading; memory is as it is now. Of a process that was started since, it is all
-// that it has used.
+// Since is what was used since an earlier reading; memory is as it is now. Of a process that was
+// started since, it is all that it has used.
 func (u Usage) Since(before Usage) Usage {
 	if u.PID != before.PID {
 		return u
--- a/internal/testing/scale/real.go
+++ b/internal/testing/scale/real.go
@@ -38,9 +38,12 @@
 			"operators.toml"), []byte(c.operators(own, false)),
 			0o600)
 	}
-	w, err := lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.RealGateways, Servers: servers,
-		Load: load, Bin: o.Bin, Log: log, Names: realNames,
-		Operators: "#\n", Prepare: prepare})
+	w, err := lab.NewWorld(
+		ctx,
+		lab.Options{Seed: o.Seed, Gateways: o.RealGateways, Servers: servers,
+			Load: load, Bin: o.Bin, Log: log, Names: realNames,
+			Operators: "#\n", Prepare: prepare},
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -72,9 +75,16 @@
 		}
 		all = append(all, (t.AnsweredAt-t.SentAt)-(one[0].RepliedAt-one[0].FirstByteAt))
 	}
-	return Added{Requests: len(all),
-		RequestsPerSecond: float64(len(all)) / (to - from).Seconds() / float64(len(r.world.Gateways)),
-		P50Milliseconds:   harness.Quantile(all, 0.5), P99Milliseconds: harness.Quantile(all, 0.99)}
+	return Added{
+		Requests: len(all),
+		RequestsPerSecond: float64(
+			len(all),
+		) / (to - from).Seconds() / float64(
+			len(r.world.Gateways),
+		),
+		P50Milliseconds: harness.Quantile(all, 0.5),
+		P99Milliseconds: harness.Quantile(all, 0.99),
+	}
 }
 
 func (r *realGateways) close(logs string) {
--- a/internal/testing/scale/register.go
+++ b/internal/testing/scale/register.go
@@ -15,9 +15,9 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// Register is a stand-in for a Consul agent with one service of many servers, written from the public
-// pages of its HTTP API:
-// blocking queries on the health view. Its methods may be called concurrently.
+// Register is a stand-in for a Consul agent with one service of many servers, written from the
+// public pages of its HTTP API: blocking queries on the health view. Its methods may be called
+// concurrently.
 type Register struct {
 	Address string
 	server  *http.Server
@@ -62,11 +62,15 @@
 // Close ends it.
 func (r *Register) Close() { _ = r.server.Close() }
 
-// serverID names a server; serverAddress is an address that nothing listens at: hollow gateways send
-// nothing.
+// serverID names a server; serverAddress is an address that nothing listens at: hollow gateways
+// send nothing.
 func serverID(i int) string { return fmt.Sprintf("q-%08x", i) }
 
-func serverAddress(i int) string { return fmt.Sprintf("10.%d.%d.%d:8000", i>>16&255, i>>8&255, i&255) }
+func serverAddress(
+	i int,
+) string {
+	return fmt.Sprintf("10.%d.%d.%d:8000", i>>16&255, i>>8&255, i&255)
+}
 
 // zoneOf spreads the servers over the zones.
 func zoneOf(address string) string { return "zone-" + string('1'+address[len(address)-6]%4) }
--- a/internal/testing/scale/result.go
+++ b/internal/testing/scale/result.go
@@ -25,7 +25,8 @@
 	WrittenBytesPerSecond float64 `json:"written_bytes_per_second"`
 }
 
-// Gateway is what one hollow gateway used at the mean: its process's, divided by how many are in it.
+// Gateway is what one hollow gateway used at the mean: its process's, divided by how many are in
+// it.
 type Gateway struct {
 	Cores              float64 `json:"cores"`
 	ResidentMB         float64 `json:"resident_mb"`
--- a/internal/testing/scale/run.go
+++ b/internal/testing/scale/run.go
@@ -120,11 +120,22 @@
 			return err
 		}
 		p.children = append(p.children, c)
-		config, err := json.Marshal(HollowConfig{Fleet: fleetName, Voters: p.control.voters(),
-			Owners: p.control.owners(), First: first,
+		config, err := json.Marshal(HollowConfig{
+			Fleet:  fleetName,
+			Voters: p.control.voters(),
+			Owners: p.control.owners(),
+			First:  first,
 			Count: min(o.PerProcess,
-				o.Gateways-first), Gateways: o.Gateways, Dir: dir, Seed: o.Seed, Tenants: o.Tenants,
-			RequestsPerGateway: o.RequestsPerGateway, Shards: o.Control, Parts: o.Parts, Path: o.Path})
+				o.Gateways-first),
+			Gateways:           o.Gateways,
+			Dir:                dir,
+			Seed:               o.Seed,
+			Tenants:            o.Tenants,
+			RequestsPerGateway: o.RequestsPerGateway,
+			Shards:             o.Control,
+			Parts:              o.Parts,
+			Path:               o.Path,
+		})
 		if err != nil {
 			return err
 		}
@@ -143,7 +154,8 @@
 	return p.baseVersion(ctx)
 }
 
-// baseVersion has a version of the plans be in force everywhere, where one is wanted before the run.
+// baseVersion has a version of the plans be in force everywhere, where one is wanted before the
+// run.
 func (p *play) baseVersion(ctx context.Context) error {
 	if !p.options.BaseVersion || !p.options.Parts.Configuration {
 		return nil
@@ -244,9 +256,8 @@
 	return nil
 }
 
-// behind is how many gateways are not current: their list is not the register's, or an older version of
-// the plans is in force. last
-// is when the last of the others first had a list.
+// behind is how many gateways are not current: their list is not the register's, or an older
+// version of the plans is in force. last is when the last of the others first had a list.
 func (p *play) behind(samples []Sample, version uint64) (behind int, last time.Time) {
 	digest, _ := p.register.Digest()
 	for _, s := range samples {
--- a/internal/testing/scale/scale.go
+++ b/internal/testing/scale/scale.go
@@ -1,10 +1,8 @@
-// Package scale is the rig that measures what a large fleet asks of its control plane: hollow gateways
-// (the program's own
-// control-plane client code over real gRPC on loopback, without the request path), many to a process,
-// before five real processes
-// of the program that hold all duties, with a few real gateways beside them. From ladders of sizes it
-// fits slopes, and from those
-// it works out the table of docs/CAPACITY.md.
+// Package scale is the rig that measures what a large fleet asks of its control plane: hollow
+// gateways (the program's own control-plane client code over real gRPC on loopback, without the
+// request path), many to a process, before five real processes of the program that hold all duties,
+// with a few real gateways beside them. From ladders of sizes it fits slopes, and from those it
+// works out the table of docs/CAPACITY.md.
 package scale
 
 import (
@@ -65,8 +63,8 @@
 // AllParts are all of them.
 var AllParts = Parts{List: true, Configuration: true, Allocation: true, Metering: true}
 
-// ParseParts reads a list of roles with commas between them; "all" and "none" are words for every one
-// and not any.
+// ParseParts reads a list of roles with commas between them; "all" and "none" are words for every
+// one and not any.
 func ParseParts(text string) (p Parts, err error) {
 	for word := range strings.SplitSeq(text, ",") {
 		switch word {
@@ -82,7 +80,10 @@
 		case "metering":
 			p.Metering = true
 		default:
-			return p, fmt.Errorf("--roles %q: all, none, list, configuration, allocation or metering wanted", word)
+			return p, fmt.Errorf(
+				"--roles %q: all, none, list, configuration, allocation or metering wanted",
+				word,
+			)
 		}
 	}
 	return p, nil
@@ -154,7 +155,10 @@
 	case o.Path != PathCompleteList && o.Path != PathDelta:
 		return fmt.Errorf("--path %s: wholelist, delta or both wanted", o.Path)
 	case o.ReplacementsPerSecond < 0 || o.ReplacementsPerSecond > 100:
-		return fmt.Errorf("--replacements %v: from 0 to 100 a second wanted", o.ReplacementsPerSecond)
+		return fmt.Errorf(
+			"--replacements %v: from 0 to 100 a second wanted",
+			o.ReplacementsPerSecond,
+		)
 	case o.RackSize < 0 || o.RackSize > o.Servers/2:
 		return fmt.Errorf("--rack %d: from 0 to half of the servers wanted", o.RackSize)
 	case o.Tick < 0 || o.Tick > time.Second || o.Span < 0 || o.Span > time.Minute:
@@ -173,8 +177,14 @@
 		return err
 	}
 	if need := o.memory(); float64(need) > maxMemoryShare*float64(total) {
-		return fmt.Errorf("--gateways %d: some %d MB of memory for %d servers and %d tenants each; this machine has %d MB, and half of it may be used",
-			o.Gateways, need>>20, o.Servers, o.Tenants, total>>20)
+		return fmt.Errorf(
+			"--gateways %d: some %d MB of memory for %d servers and %d tenants each; this machine has %d MB, and half of it may be used",
+			o.Gateways,
+			need>>20,
+			o.Servers,
+			o.Tenants,
+			total>>20,
+		)
 	}
 	return nil
 }
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -24,13 +24,24 @@
 }
 
 func tiny() Options {
-	return Options{Seed: 46, Gateways: 4, Servers: 60, Tenants: 80, Control: 3, For: 3 * time.Second,
-		ReplacementsPerSecond: 1, RackSize: 5, Versions: 1,
-		Parts: AllParts, Path: PathCompleteList, PerProcess: 2}
+	return Options{
+		Seed:                  46,
+		Gateways:              4,
+		Servers:               60,
+		Tenants:               80,
+		Control:               3,
+		For:                   3 * time.Second,
+		ReplacementsPerSecond: 1,
+		RackSize:              5,
+		Versions:              1,
+		Parts:                 AllParts,
+		Path:                  PathCompleteList,
+		PerProcess:            2,
+	}
 }
 
-// A tiny fleet: every change comes to every gateway, every role is counted, and only control processes
-// hold duties.
+// A tiny fleet: every change comes to every gateway, every role is counted, and only control
+// processes hold duties.
 func TestATinyFleet(t *testing.T) {
 	for _, path := range []Path{PathCompleteList, PathDelta} {
 		t.Run(string(path), func(t *testing.T) { t.Parallel(); playTiny(t, path) })
@@ -54,10 +65,12 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log.String())
 	}
-	if r.Diverged != 0 || r.LostChanges != 0 || r.LostVersions != 0 || r.HerdMilliseconds < 0 || r.Processes != 2 {
+	if r.Diverged != 0 || r.LostChanges != 0 || r.LostVersions != 0 || r.HerdMilliseconds < 0 ||
+		r.Processes != 2 {
 		t.Errorf("%s\n%s", r.Line(), log.String())
 	}
-	if r.ServerChanges <= o.RackSize || r.InForce.Count == 0 || r.Draining.Count == 0 || r.Rack.Count != o.RackSize*o.Gateways {
+	if r.ServerChanges <= o.RackSize || r.InForce.Count == 0 || r.Draining.Count == 0 ||
+		r.Rack.Count != o.RackSize*o.Gateways {
 		t.Errorf("changes were not played: %s", r.Line())
 	}
 	if r.PlanVersions+r.ProposalsRefused != o.Versions {
@@ -141,7 +154,8 @@
 
 func TestFit(t *testing.T) {
 	s, err := Fit("a", "B", "gateways", []Point{{40, 90}, {80, 170}, {160, 330}})
-	if err != nil || s.At0 < 9.9 || s.At0 > 10.1 || s.PerOne < 1.99 || s.PerOne > 2.01 || s.Residual > 0.001 {
+	if err != nil || s.At0 < 9.9 || s.At0 > 10.1 || s.PerOne < 1.99 || s.PerOne > 2.01 ||
+		s.Residual > 0.001 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if s, err = Fit("b", "B", "gateways", []Point{{1, 0}, {2, 10}, {3,
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -28,7 +28,9 @@
 		processor += after[i].Usage.Since(before[i].Usage).ProcessorSeconds
 		r.Gateway.RequestsPerSecond += float64(after[i].Requests-before[i].Requests) / seconds / n
 		r.Gateway.GrantedOfRequests += float64(after[i].Granted - before[i].Granted)
-		r.Gateway.FallbacksPerMinute += float64(after[i].Fallbacks-before[i].Fallbacks) / seconds * 60 / n
+		r.Gateway.FallbacksPerMinute += float64(
+			after[i].Fallbacks-before[i].Fallbacks,
+		) / seconds * 60 / n
 	}
 	if r.Gateway.RequestsPerSecond > 0 {
 		r.Gateway.GrantedOfRequests /= r.Gateway.RequestsPerSecond * seconds * n
@@ -44,9 +46,11 @@
 	perMessage := math.Max(0, in+out-float64(messages.Bytes())) / math.Max(1,
 		float64(messages.Messages()))
 	for role, t := range roles {
-		r.Roles[role] = Row{MessagesPerSecond: float64(t.Messages()) / seconds / n,
+		r.Roles[role] = Row{
+			MessagesPerSecond: float64(t.Messages()) / seconds / n,
 			BytesInPerSecond:  (float64(t.BytesIn) + perMessage*float64(t.MessagesIn)) / seconds / n,
-			BytesOutPerSecond: (float64(t.BytesOut) + perMessage*float64(t.MessagesOut)) / seconds / n}
+			BytesOutPerSecond: (float64(t.BytesOut) + perMessage*float64(t.MessagesOut)) / seconds / n,
+		}
 	}
 }
 
@@ -55,10 +59,20 @@
 	leader := p.control.leader()
 	for i := range after {
 		u := after[i].Since(before[i])
-		one := Process{Name: controlName(i), Leads: i == leader, Duties: p.control.rolesHeld(i),
-			Cores:      u.ProcessorSeconds / took.Seconds(),
-			ResidentMB: float64(u.ResidentBytes) / (1 << 20), PeakMB: float64(u.PeakBytes) / (1 << 20),
-			ReadBytesPerSecond: float64(u.ReadBytes) / took.Seconds(), WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds()}
+		one := Process{
+			Name:   controlName(i),
+			Leads:  i == leader,
+			Duties: p.control.rolesHeld(i),
+			Cores:  u.ProcessorSeconds / took.Seconds(),
+			ResidentMB: float64(
+				u.ResidentBytes,
+			) / (1 << 20),
+			PeakMB: float64(u.PeakBytes) / (1 << 20),
+			ReadBytesPerSecond: float64(
+				u.ReadBytes,
+			) / took.Seconds(),
+			WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds(),
+		}
 		p.result.ControlProcesses = append(p.result.ControlProcesses, one)
 		p.result.ControlCores += one.Cores
 	}
@@ -136,10 +150,24 @@
 			}
 		}
 	}
-	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(run.all), delaysOf(run.drains), delaysOf(rack), delaysOf(run.plans)
+	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(
+		run.all,
+	), delaysOf(
+		run.drains,
+	), delaysOf(
+		rack,
+	), delaysOf(
+		run.plans,
+	)
 	for stretch, delays := range stretches {
 		if stretch != nil {
-			stretch.InForce, stretch.Draining, stretch.PlansInForce = delaysOf(delays.all), delaysOf(delays.drains), delaysOf(delays.plans)
+			stretch.InForce, stretch.Draining, stretch.PlansInForce = delaysOf(
+				delays.all,
+			), delaysOf(
+				delays.drains,
+			), delaysOf(
+				delays.plans,
+			)
 		}
 	}
 	r.Stretches = p.stretches
@@ -147,7 +175,9 @@
 	p.sumStates(settled)
 	if n := r.ListChanges; n > 0 {
 		list := r.Roles[RoleList]
-		r.BytesPerListChange = (list.BytesInPerSecond + list.BytesOutPerSecond) * r.Seconds / float64(n)
+		r.BytesPerListChange = (list.BytesInPerSecond + list.BytesOutPerSecond) * r.Seconds / float64(
+			n,
+		)
 	}
 }
 
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -20,10 +20,9 @@
 	"mothcleat/internal/dataplane/registry/consul"
 )
 
-// watcher is the process that watches the register for all where the whole list travels: the program
-// does that no more, so the rig
-// does, to have the older path beside the newer one. What it publishes is agreed and served by the real
-// control processes.
+// watcher is the process that watches the register for all where the whole list travels: the
+// program does that no more, so the rig does, to have the older path beside the newer one. What it
+// publishes is agreed and served by the real control processes.
 type watcher struct {
 	client *controlrpc.Client
 	set    *election.Set
@@ -45,8 +44,11 @@
 func startWatcher(voters []*controlpb.Voter, register string, span time.Duration) *watcher {
 	me := lease.Member{ID: watcherName, Incarnation: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watcher{client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, discardLog),
-		cancel: cancel, ended: make(chan struct{})}
+	w := &watcher{
+		client: controlrpc.NewClient(fleetName, me, watcherAddress, voters, nil, discardLog),
+		cancel: cancel,
+		ended:  make(chan struct{}),
+	}
 	w.set = election.New(election.Options{LeaseConfig: lease.Config{TTL: cmp.Or(span, leaseTTL),
 		ClockDriftBound: clockMargin,
 		OfferTTL:        leaseOffer}, Client: w.client,
@@ -77,14 +79,22 @@
 	w.client.Close()
 }
 
-// completeListSource is a hollow gateway's hearing of the whole list, as gateways had it before the list
-// travelled by what changed.
-func (g *hollowGateway) completeListSource(voters []*controlpb.Voter, log *slog.Logger) registry.Source {
+// completeListSource is a hollow gateway's hearing of the whole list, as gateways had it before the
+// list travelled by what changed.
+func (g *hollowGateway) completeListSource(
+	voters []*controlpb.Voter,
+	log *slog.Logger,
+) registry.Source {
 	me := lease.Member{ID: hollowName(g.number), Incarnation: rand.Uint64()>>1 | 1}
 	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
 		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
-	return &endpointwatch.Watch{Client: client, Silent: silenceTimeout, Log: log, Direct: g.noDirect}
+	return &endpointwatch.Watch{
+		Client: client,
+		Silent: silenceTimeout,
+		Log:    log,
+		Direct: g.noDirect,
+	}
 }
 
 // noDirect stands in for the register itself, and counts that it would have been asked.
--- a/internal/testing/storetest/damage.go
+++ b/internal/testing/storetest/damage.go
@@ -14,8 +14,8 @@
 type Tally struct {
 	Opened  int // with all that was promised
 	Refused int // with file and place
-	// Invented: content that the store never had. LostPromised: an older one than was promised. Unclear: a refusal
-	// that names no place, or one after a crash alone.
+	// Invented: content that the store never had. LostPromised: an older one than was promised.
+	// Unclear: a refusal that names no place, or one after a crash alone.
 	Invented, LostPromised, Unclear int
 	Why                             []string // the first of these
 }
@@ -91,7 +91,11 @@
 		}
 	}
 	if st := w.Store.Stats(); st.CopiedBytes == 0 || st.MergedEntries == 0 || st.Segments < 2 {
-		return nil, fmt.Errorf("%d batches are too few: the work that should be crashed did not happen: %+v", batches, st)
+		return nil, fmt.Errorf(
+			"%d batches are too few: the work that should be crashed did not happen: %+v",
+			batches,
+			st,
+		)
 	}
 	ops, promised := f.Ops(), 0
 	for n := 0; n <= len(ops) && ctx.Err() == nil; n++ {
@@ -137,8 +141,8 @@
 	return t, ctx.Err()
 }
 
-// Damage cuts every file of a store at every byte and changes every byte, each once, and opens what is left, with
-// all bytes read at once and as they are needed.
+// Damage cuts every file of a store at every byte and changes every byte, each once, and opens what
+// is left, with all bytes read at once and as they are needed.
 func Damage(ctx context.Context, seed uint64, batches int) (*Tally, error) {
 	w, f, t := NewWorkload(seed), faultfs.New(), &Tally{}
 	var err error
--- a/internal/testing/storetest/kill.go
+++ b/internal/testing/storetest/kill.go
@@ -16,7 +16,8 @@
 	"mothcleat/internal/storage/store"
 )
 
-// killable is how the process that is killed opens its store: small enough that all work goes on all the time.
+// killable is how the process that is killed opens its store: small enough that all work goes on
+// all the time.
 var killable = store.Options{SegmentBytes: 64 << 10, MaxOverlayKeys: 256, Verify: true}
 
 const writers = 4
@@ -41,8 +42,8 @@
 	return &b
 }
 
-// Write commits batches in a folder without end, several goroutines at a time, and writes a line for each that is
-// durable: the writer and its number. It is the process that is killed.
+// Write commits batches in a folder without end, several goroutines at a time, and writes a line
+// for each that is durable: the writer and its number. It is the process that is killed.
 func Write(dir string, out io.Writer) error {
 	s, err := store.Open(dir, killable)
 	if err != nil {
@@ -88,9 +89,16 @@
 	Acknowledged int // batches
 }
 
-// Kills starts a process that runs Write (command with the folder as its last argument), kills it at random, again
-// and again until the time is up, and holds the store against what the process had acknowledged.
-func Kills(ctx context.Context, seed uint64, dir string, length time.Duration, command ...string) (*KillTally, error) {
+// Kills starts a process that runs Write (command with the folder as its last argument), kills it
+// at random, again and again until the time is up, and holds the store against what the process had
+// acknowledged.
+func Kills(
+	ctx context.Context,
+	seed uint64,
+	dir string,
+	length time.Duration,
+	command ...string,
+) (*KillTally, error) {
 	r, t := rand.New(rand.NewPCG(seed, 2)), &KillTally{}
 	promised, barren := make([]int, writers), 0
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; t.Kills++ {
@@ -123,7 +131,10 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	time.AfterFunc(time.Duration(20+r.IntN(300))*time.Millisecond, func() { _ = cmd.Process.Kill() })
+	time.AfterFunc(
+		time.Duration(20+r.IntN(300))*time.Millisecond,
+		func() { _ = cmd.Process.Kill() },
+	)
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		var w, n int
 		if _, err := fmt.Sscan(lines.Text(), &w, &n); err != nil || w >= writers {
@@ -157,7 +168,14 @@
 			return
 		}
 		if n < promised[w] {
-			t.bad(&t.LostPromised, "kill %d: writer %d stands at %d, %d was acknowledged", t.Kills, w, n, promised[w])
+			t.bad(
+				&t.LostPromised,
+				"kill %d: writer %d stands at %d, %d was acknowledged",
+				t.Kills,
+				w,
+				n,
+				promised[w],
+			)
 			return
 		}
 		promised[w] = n
@@ -165,13 +183,20 @@
 			keys++
 		}
 		for slot := range 50 {
-			// The newest batch up to n that touched the slot put it, if it is not the one that deleted it since.
+			// The newest batch up to n that touched the slot put it, if it is not the one that
+			// deleted it since.
 			put, del := n-(n-slot+50)%50, n-(n+7-slot+50)%50
 			key := fmt.Sprintf("w%d/%02d", w, slot)
 			if put >= 1 && put >= del {
 				keys++
 				if got[key] != string(value(w, put)) {
-					t.bad(&t.Invented, "kill %d: %s is not what batch %d put there", t.Kills, key, put)
+					t.bad(
+						&t.Invented,
+						"kill %d: %s is not what batch %d put there",
+						t.Kills,
+						key,
+						put,
+					)
 					return
 				}
 			}
--- a/internal/testing/storetest/workload.go
+++ b/internal/testing/storetest/workload.go
@@ -1,5 +1,6 @@
-// Package storetest tries the embedded store: random batches against a plain map, crashes
-// after every operation, files cut and changed at every byte, and a process that is killed while it writes.
+// Package storetest tries the embedded store: random batches against a plain map, crashes after
+// every operation, files cut and changed at every byte, and a process that is killed while it
+// writes.
 package storetest
 
 import (
@@ -80,7 +81,13 @@
 		}
 		got[string(item.Key)] = string(item.Value)
 		if one, err := view.Get(item.Key); err != nil || !bytes.Equal(one, item.Value) {
-			return nil, fmt.Errorf("%q: a range gives %q, a look-up %q, %w", item.Key, item.Value, one, err)
+			return nil, fmt.Errorf(
+				"%q: a range gives %q, a look-up %q, %w",
+				item.Key,
+				item.Value,
+				one,
+				err,
+			)
 		}
 	}
 	return got, nil
--- a/internal/testing/testcluster/harm.go
+++ b/internal/testing/testcluster/harm.go
@@ -14,8 +14,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Harm does things to a fleet's processes and links, by a seed, and counts what was done. The voters keep their majority. Its methods may be
-// called concurrently.
+// Harm does things to a fleet's processes and links, by a seed, and counts what was done. The
+// voters keep their majority. Its methods may be called concurrently.
 type Harm struct {
 	Fleet    *Fleet
 	Seed     uint64
@@ -42,7 +42,10 @@
 func (h *Harm) Befell(i int, from, to time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.ContainsFunc(h.done, func(d harmed) bool { return d.gateway == i && d.from < to && d.to > from })
+	return slices.ContainsFunc(
+		h.done,
+		func(d harmed) bool { return d.gateway == i && d.from < to && d.to > from },
+	)
 }
 
 // Kind is one thing that is done to a gateway, from beginning to end.
@@ -83,11 +86,14 @@
 
 // Logf tells of something, with the time.
 func (h *Harm) Logf(format string, args ...any) {
-	fmt.Fprintf(h.Progress, "  %6.2fs "+format+"\n", append([]any{h.Fleet.Record.Now().Seconds()}, args...)...)
+	fmt.Fprintf(
+		h.Progress,
+		"  %6.2fs "+format+"\n",
+		append([]any{h.Fleet.Record.Now().Seconds()}, args...)...)
 }
 
-// Run plays tracks beside one another until the context ends, and then has all be well again. Each does its kinds in an order of
-// chance, again and again, with one to three seconds between them.
+// Run plays tracks beside one another until the context ends, and then has all be well again. Each
+// does its kinds in an order of chance, again and again, with one to three seconds between them.
 func (h *Harm) Run(ctx context.Context, tracks ...[]Kind) {
 	h.busy = map[int]bool{}
 	defer func() {
--- a/internal/testing/testcluster/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -1,5 +1,6 @@
-// Package testcluster is a fleet of real gateways between stand-ins, with a link of its own between every two
-// of them, for scenarios that have links and processes fail. It knows nothing of what the gateways decide.
+// Package testcluster is a fleet of real gateways between stand-ins, with a link of its own between
+// every two of them, for scenarios that have links and processes fail. It knows nothing of what the
+// gateways decide.
 package testcluster
 
 import (
@@ -68,8 +69,8 @@
 	return bin, remove, err
 }
 
-// fleetsAtOnce is how many of a package's tests run beside one another, however few cores there are: a fleet of a few gateways mostly
-// waits.
+// fleetsAtOnce is how many of a package's tests run beside one another, however few cores there
+// are: a fleet of a few gateways mostly waits.
 const fleetsAtOnce = "4"
 
 // Main builds the gateway for a package's tests, runs them, and gives the exit code.
@@ -112,8 +113,21 @@
 		}
 	}
 	f.Bin = o.Bin
-	f.World, err = lab.NewWorld(ctx, lab.Options{Seed: o.Seed, Gateways: o.Instances, Servers: o.Servers, Load: o.Load, Bin: o.Bin, Log: o.Log,
-		Admin: true, Consul: o.Consul, Operators: "#\n", Prepare: f.prepare})
+	f.World, err = lab.NewWorld(
+		ctx,
+		lab.Options{
+			Seed:      o.Seed,
+			Gateways:  o.Instances,
+			Servers:   o.Servers,
+			Load:      o.Load,
+			Bin:       o.Bin,
+			Log:       o.Log,
+			Admin:     true,
+			Consul:    o.Consul,
+			Operators: "#\n",
+			Prepare:   f.prepare,
+		},
+	)
 	return f, err
 }
 
@@ -142,7 +156,11 @@
 				if err != nil {
 					return err
 				}
-				if f.Links[i][j], err = faultproxy.New(net.JoinHostPort(host, "0"), f.Own[j], f.opt.Seed+uint64(i*n+j)); err != nil {
+				if f.Links[i][j], err = faultproxy.New(
+					net.JoinHostPort(host, "0"),
+					f.Own[j],
+					f.opt.Seed+uint64(i*n+j),
+				); err != nil {
 					return err
 				}
 			}
@@ -153,15 +171,30 @@
 	}
 	text := f.Operators(g.Number)
 	if f.opt.Consul {
-		text += fmt.Sprintf("[register]\nsource = \"consul\"\nservice = \"quotes\"\nagents = [%q]\nwait = \"2s\"\n", w.Consul.Agent(g.Number).Address)
+		text += fmt.Sprintf(
+			"[register]\nsource = \"consul\"\nservice = \"quotes\"\nagents = [%q]\nwait = \"2s\"\n",
+			w.Consul.Agent(g.Number).Address,
+		)
 	}
-	if err := os.WriteFile(filepath.Join(g.Dir(), "operators.toml"), []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(
+		filepath.Join(g.Dir(), "operators.toml"),
+		[]byte(text),
+		0o600,
+	); err != nil {
 		return err
 	}
 	if g.Number >= f.opt.Voters {
 		return nil
 	}
-	return f.Command(g.Number, nil, "fleet", "found", Name(g.Number), "--operators", "operators.toml")
+	return f.Command(
+		g.Number,
+		nil,
+		"fleet",
+		"found",
+		Name(g.Number),
+		"--operators",
+		"operators.toml",
+	)
 }
 
 // Name is a gateway's name.
@@ -182,8 +215,16 @@
 	if f.opt.Consul {
 		more += "\nwatch = true"
 	}
-	return fmt.Sprintf("[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\nvoters = [%s]\naddresses = { %s }\nexports = %q\nperiod = \"1s\"\n%s\n%s",
-		FleetName, f.Own[i], strings.Join(voters, ", "), strings.Join(ways, ", "), f.Exports, more, f.opt.Operators)
+	return fmt.Sprintf(
+		"[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\nvoters = [%s]\naddresses = { %s }\nexports = %q\nperiod = \"1s\"\n%s\n%s",
+		FleetName,
+		f.Own[i],
+		strings.Join(voters, ", "),
+		strings.Join(ways, ", "),
+		f.Exports,
+		more,
+		f.opt.Operators,
+	)
 }
 
 // Command runs the program in a gateway's folder and reads what it prints.
@@ -193,7 +234,12 @@
 	var errs bytes.Buffer
 	cmd.Stdout, cmd.Stderr = out, &errs
 	if err := cmd.Run(); err != nil {
-		return fmt.Errorf("mothcleat %s: %w: %s", strings.Join(args, " "), err, strings.TrimSpace(errs.String()))
+		return fmt.Errorf(
+			"mothcleat %s: %w: %s",
+			strings.Join(args, " "),
+			err,
+			strings.TrimSpace(errs.String()),
+		)
 	}
 	return nil
 }
@@ -214,12 +260,20 @@
 // Voters are the founding voters, at their own addresses: what a client of the rig's asks.
 func (f *Fleet) Voters() (all []*controlpb.Voter) {
 	for i := range f.opt.Voters {
-		all = append(all, &controlpb.Voter{Number: replica.BootstrapNumber(FleetName, Name(i)), Name: Name(i), Address: f.Own[i]})
+		all = append(
+			all,
+			&controlpb.Voter{
+				Number:  replica.BootstrapNumber(FleetName, Name(i)),
+				Name:    Name(i),
+				Address: f.Own[i],
+			},
+		)
 	}
 	return all
 }
 
-// Addresses are where the gateways are reached from one of them; from -1: by the rig, past all links.
+// Addresses are where the gateways are reached from one of them; from -1: by the rig, past all
+// links.
 func (f *Fleet) Addresses(from int) controlrpc.Addresses {
 	a := controlrpc.Addresses{}
 	for j := range f.Own {
@@ -231,7 +285,8 @@
 	return a
 }
 
-// Isolate cuts a gateway off from all others, or ends that: to = only what it sends, from = only what it hears.
+// Isolate cuts a gateway off from all others, or ends that: to = only what it sends, from = only
+// what it hears.
 func (f *Fleet) Isolate(i int, to, from, yes bool) {
 	for j := range f.Links {
 		if i == j {
@@ -288,7 +343,8 @@
 // Passed is how many bytes all links have carried.
 func (f *Fleet) Passed() int64 { bytes, _ := f.passed(); return bytes }
 
-// Memory is the most that a gateway's process was seen to hold, in MB: by those that run, and those that were signalled.
+// Memory is the most that a gateway's process was seen to hold, in MB: by those that run, and those
+// that were signalled.
 func (f *Fleet) Memory() (most float64) {
 	for _, g := range f.Gateways {
 		most = max(most, g.Memory())
@@ -334,9 +390,11 @@
 // FleetDir is a gateway's folder of the fleet.
 func (f *Fleet) FleetDir(i int) string { return filepath.Join(f.dir(i), "fleet") }
 
-// Save copies a gateway's folder as it is, while its process may run; Restore puts the copy in its place.
+// Save copies a gateway's folder as it is, while its process may run; Restore puts the copy in its
+// place.
 //
-// It is a copy of one moment: a file that grew while others were copied would make it a damaged folder, not an older one.
+// It is a copy of one moment: a file that grew while others were copied would make it a damaged
+// folder, not an older one.
 func (f *Fleet) Save(i int) error {
 	to := filepath.Join(f.dir(i), "older")
 	for range maxSaves {
@@ -383,8 +441,8 @@
 	return files, err
 }
 
-// Restore puts what Save copied in the place of what the folder holds. The folders stay the same ones, as when a disk
-// is put back whole: only what they hold is older.
+// Restore puts what Save copied in the place of what the folder holds. The folders stay the same
+// ones, as when a disk is put back whole: only what they hold is older.
 func (f *Fleet) Restore(i int) error {
 	err := filepath.WalkDir(f.FleetDir(i), func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -397,7 +455,10 @@
 
 // Copy puts a copy of a gateway's folder in the place of another's.
 func (f *Fleet) Copy(from, to int) error {
-	return errors.Join(os.RemoveAll(f.FleetDir(to)), os.CopyFS(f.FleetDir(to), os.DirFS(f.FleetDir(from))))
+	return errors.Join(
+		os.RemoveAll(f.FleetDir(to)),
+		os.CopyFS(f.FleetDir(to), os.DirFS(f.FleetDir(from))),
+	)
 }
 
 // Empty removes a gateway's folder.
