--- a/internal/controlplane/configstate/configstate.go
+++ b/internal/controlplane/configstate/configstate.go
@@ -1,13 +1,12 @@
-// Package configstate decides how the content of a configuration version travels as its difference
-// to another version.
+// Package configstate decides how the content of a configuration version is transferred as its
+// difference from another version.
 //
-// A content is a file of an item, for example the plans of all tenants. Its identity is the SHA-256
-// digest of its bytes, which the fleet agrees on (package versions). A Codec reads it as keyed
-// records and writes the records back as the same bytes. So a process that has one content gets
-// another as the records that differ: by a delta where the server knows both, and otherwise by the
-// buckets of records whose sums differ. What results is written back and counts only if its bytes
-// come to the agreed digest. Without any content, or where too much differs, the bytes travel
-// whole.
+// A content is the file of an item, for example the plans of all tenants. It is identified by the
+// SHA-256 digest of its bytes, which the fleet agrees on (package configversion). A Codec reads it
+// as keyed records and writes the records back as the same bytes. So a process that has one content
+// gets another one as the records that differ: by a delta if the server knows both, and otherwise
+// by the buckets of records whose sums differ. The result is encoded and counts only if its bytes
+// have the agreed digest. Without any content, or if too much differs, all bytes are transferred.
 //
 // Nothing here does I/O.
 package configstate
@@ -21,34 +20,37 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// Codec reads the contents of one item as records and writes them. Its methods may be called
-// concurrently, and must not change a state.
+// Codec reads the contents of one item as records and writes them. Its methods must be safe for
+// concurrent use and must not modify a state.
 type Codec interface {
 	// Decode reads a content. Its error names the place that can't be read.
 	Decode(raw []byte) (*distribution.State, error)
-	// Encode writes records as a content: the same bytes for the same records, whatever was read
-	// before. It returns an error for records that are no content of the item.
+	// Encode writes records as a content. Equal records give equal bytes. It returns an error for
+	// records that are no content of the item.
 	Encode(state *distribution.State) ([]byte, error)
 }
 
-// Version is one content. It is never changed.
+// Version is one content. It is never modified.
 type Version struct {
-	Digest string // SHA-256 of its bytes, hexadecimal
-	Size   int64  // of its bytes
-	State  *distribution.State
+	// Digest is the SHA-256 digest of the content's bytes in hexadecimal.
+	Digest string
+	// Size is the number of bytes.
+	Size  int64
+	State *distribution.State
 
-	// Canonical tells that Encode gives the content's bytes. Another content, which an older
-	// program has proposed as a person wrote it, can't be made of its records and travels whole.
+	// Canonical is set if Encode returns exactly the content's bytes. Any other content, such as a
+	// hand-written one that an older program has proposed, can't be rebuilt from its records and is
+	// transferred completely.
 	Canonical bool
 }
 
-// Digest is the identity of a content.
+// Digest returns the digest that identifies a content.
 func Digest(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-// Read reads a content. An InvalidContentError says why it can't be read.
+// Read reads a content. It returns an InvalidContentError if it can't be read.
 func Read(codec Codec, raw []byte) (*Version, error) {
 	digest := Digest(raw)
 	state, err := codec.Decode(raw)
@@ -62,7 +64,7 @@
 	return &Version{digest, int64(len(raw)), state, bytes.Equal(raw, canonical)}, nil
 }
 
-// Canonical reads a content and gives the version of its canonical bytes, and these.
+// Canonical reads a content and returns the version of its canonical bytes, and these bytes.
 func Canonical(codec Codec, raw []byte) (*Version, []byte, error) {
 	state, err := codec.Decode(raw)
 	if err != nil {
@@ -80,8 +82,7 @@
 	return &Version{Digest(raw), int64(len(raw)), state, true}, raw, nil
 }
 
-// buildVerified is build where the digest is known beforehand. It returns a DigestMismatchError for
-// another result.
+// buildVerified is build with a known digest. It returns a DigestMismatchError for another result.
 func buildVerified(
 	codec Codec, state *distribution.State, digest string,
 ) (*Version, []byte, error) {
@@ -101,22 +102,25 @@
 	Reason error
 }
 
+// Error returns the reason.
 func (e *InvalidContentError) Error() string { return e.Reason.Error() }
 
+// Unwrap returns the reason.
 func (e *InvalidContentError) Unwrap() error { return e.Reason }
 
-// DigestMismatchError is returned where records don't come to the content that was asked for.
+// DigestMismatchError is returned if records do not add up to the requested content.
 type DigestMismatchError struct{ Want, Got string }
 
+// Error returns the first digits of both digests.
 func (e *DigestMismatchError) Error() string {
 	return fmt.Sprintf("configuration: the records come to digest %.12s instead of %.12s",
 		e.Got, e.Want)
 }
 
-// WrongBaseError is returned for a delta to another content than the one at hand, or between others
-// than asked for.
+// WrongBaseError is returned for a delta from or to another content than the requested one.
 type WrongBaseError struct{ Have, Got string }
 
+// Error returns the first digits of both digests.
 func (e *WrongBaseError) Error() string {
 	return fmt.Sprintf("configuration: a delta from or to %.12q, not %.12q", e.Got, e.Have)
 }
--- a/internal/controlplane/configstate/fetch.go
+++ b/internal/controlplane/configstate/fetch.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// bucketsPerRequest is how many buckets are asked for at once.
+	// bucketsPerRequest is how many buckets are requested at once.
 	bucketsPerRequest = 256
-	// maxMissingBuckets is how many buckets may differ. With more the content is fetched whole.
+	// maxMissingBuckets is how many buckets may differ. If more do, fetching the complete content
+	// is cheaper.
 	maxMissingBuckets = distribution.BucketCount / 4
 )
 
-// ApplyDelta makes the content with a digest out of a base, and gives its bytes. It returns a
+// ApplyDelta builds the content with a digest from a base, and returns its bytes. It returns a
 // WrongBaseError for a delta between other contents, an InvalidRecordError of package distribution
-// for a record that can't be kept, a DigestMismatchError where the result is not the wanted
-// content, and the codec's error for what is no content at all.
+// for an invalid record, a DigestMismatchError if the result is another content, and the codec's
+// error if it is no content at all.
 func ApplyDelta(
 	codec Codec, base *Version, digest string, d *controlpb.ContentDelta,
 ) (*Version, []byte, error) {
@@ -36,7 +37,7 @@
 	return buildVerified(codec, state, digest)
 }
 
-// Repair makes a content out of another by the buckets that differ.
+// Repair builds a content from another one by the buckets that differ.
 type Repair struct {
 	digest  string
 	buckets *distribution.Repair
@@ -68,15 +69,15 @@
 	}, nil
 }
 
-// Next returns the buckets to be asked for now; none: all are there. ok is false where so many differ
-// that the content is better fetched whole.
+// Next returns the buckets to request next; none if all are there. ok is false if so many differ
+// that the complete content should be fetched.
 func (r *Repair) Next() (indexes []uint32, ok bool) {
 	missing := r.buckets.Missing()
 	return missing[:min(len(missing), bucketsPerRequest)], len(missing) <= maxMissingBuckets
 }
 
-// Put takes an answer in. It returns an error for a bucket that was not asked for or does not come
-// to its sum, and for an answer without any.
+// Put adds the buckets of a response. It returns an error for a bucket that was not requested or
+// does not match its sum, and for a response without any.
 func (r *Repair) Put(answer *controlpb.ContentBucketsResponse) error {
 	if len(answer.GetBuckets()) == 0 {
 		return &distribution.InvalidMessageError{Message: "buckets", Reason: "there are none"}
@@ -90,8 +91,8 @@
 }
 
 // Finish returns the content and its bytes once no bucket is missing. It returns a
-// DigestMismatchError of this package or of package distribution where the buckets don't come to
-// the wanted content.
+// DigestMismatchError of this package or of package distribution if the buckets do not add up to
+// the requested content.
 func (r *Repair) Finish(codec Codec) (*Version, []byte, error) {
 	state, err := r.buckets.Finish()
 	if err != nil {
--- a/internal/controlplane/configstate/serve.go
+++ b/internal/controlplane/configstate/serve.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// maxDeltaShare is what part of a content's size a delta may have. A larger one saves too
-	// little.
+	// maxDeltaShare is the largest size of a delta as a fraction of the content. A larger delta
+	// saves too little.
 	maxDeltaShare = 0.5
-	// maxBucketBytes is about how many bytes of records one answer has.
+	// maxBucketBytes is the approximate size of one response with buckets.
 	maxBucketBytes = 512 << 10
-	// maxBases is how many contents a request may name: a server looks for each of them.
+	// maxBases is how many contents a request may name. The server searches for each of them.
 	maxBases = 8
 )
 
-// DeltaResponse is what a server that has a content sends to a process that has some bases: a delta
-// from the first of them that find returns, or the sums of all buckets; neither where the content
-// has to travel whole. find returns nil for a content that is not here.
+// DeltaResponse returns the response of a server that has a content to a process that has some
+// bases: a delta from the first base that find returns, or the sums of all buckets, or neither if
+// the content has to be transferred completely. find returns nil for a content that the server does
+// not have.
 func DeltaResponse(
 	target *Version, bases []string, find func(digest string) *Version,
 ) *controlpb.ContentDeltaResponse {
@@ -50,8 +51,8 @@
 	}}
 }
 
-// BucketsResponse returns some buckets of a content in the order in which they were asked for, as
-// many as fit in one answer and one at least.
+// BucketsResponse returns buckets of a content in the requested order, as many as fit into one
+// response and at least one.
 func BucketsResponse(v *Version, indexes []uint32) *controlpb.ContentBucketsResponse {
 	answer := &controlpb.ContentBucketsResponse{}
 	size := 0
--- a/internal/controlplane/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -1,6 +1,6 @@
-// Package planconfig is the terms of all plans, and which tenant has which, as one item of the
-// fleet's configuration: a TOML file of package plans on one side, keyed records of package
-// distribution on the other.
+// Package planconfig is the item of the fleet's configuration that holds the terms of all plans,
+// and which tenant has which plan. It converts between a TOML file of package plans and keyed
+// records of package distribution.
 package planconfig
 
 import (
@@ -17,99 +17,105 @@
 	"mothcleat/internal/plans"
 )
 
-// ItemName is what the fleet calls the item.
+// ItemName is the name of the item in the fleet.
 const ItemName = "plans"
 
-// Terms is what puts plans in force: in a gateway, gateway.PlanTerms.
+// Terms applies plans in a process. In a gateway it is gateway.PlanTerms.
 type Terms interface {
-	// CheckCatalog returns why the plans can't be acted on here, nil if they can.
-	CheckCatalog(book *plans.Catalog) error
-	// UseCatalogs has plans decide from now on, beside others whose terms bind as well; see
-	// rollout.Item for the rest.
-	UseCatalogs(target *plans.Catalog, beside []*plans.Catalog, order uint64, done func())
+	// CheckCatalog returns why a catalog can't be applied here, nil if it can.
+	CheckCatalog(catalog *plans.Catalog) error
+	// UseCatalogs makes a catalog decide from now on, together with others whose terms apply as
+	// well. order and done are those of rollout.Item.
+	UseCatalogs(target *plans.Catalog, others []*plans.Catalog, order uint64, done func())
 }
 
-// Item is the plans of one process: a rollout.Item. Its methods may be called concurrently.
+// Item is the plans of one process: a rollout.Item. Its methods are safe for concurrent use.
 type Item struct {
 	terms Terms
 
-	mu     sync.Mutex
-	recent []decodedState // the newest last
+	mu sync.Mutex
+	// recent caches decoded states, the newest last.
+	recent []decodedState
 }
 
-// decodedState is a state and what it says.
+// decodedState is a state and the catalog that it encodes.
 type decodedState struct {
 	state   *distribution.State
 	catalog *plans.Catalog
 }
 
-// maxRecent is how many books are kept: those of versions that overlap, and the base of the next.
+// maxRecent is how many decoded states are cached: those of overlapping versions, and the base of
+// the next.
 const maxRecent = 3
 
 // errUnknownKind is the reason of an InvalidRecordError for a record of another kind.
 var errUnknownKind = errors.New("it is neither a plan nor a tenant")
 
-// New returns the item that puts plans in force by terms.
+// New returns the item that applies plans through terms.
 func New(terms Terms) *Item { return &Item{terms: terms} }
 
 // Decode reads a file of plans as records.
 func (i *Item) Decode(raw []byte) (*distribution.State, error) {
-	book, err := plans.Parse(raw)
+	catalog, err := plans.Parse(raw)
 	if err != nil {
 		return nil, err
 	}
-	state, err := stateOf(book)
+	state, err := stateOf(catalog)
 	if err != nil {
 		return nil, err
 	}
-	i.remember(state, book)
+	i.remember(state, catalog)
 	return state, nil
 }
 
 // Encode writes records as a file of plans.
 func (i *Item) Encode(state *distribution.State) ([]byte, error) {
-	book, err := i.catalogOf(state)
+	catalog, err := i.catalogOf(state)
 	if err != nil {
 		return nil, err
 	}
-	return plans.Render(book), nil
+	return plans.Render(catalog), nil
 }
 
-// Check returns why a version can't be acted on here, nil if it can.
+// Check returns why a version can't be applied here, nil if it can.
 func (i *Item) Check(v *configstate.Version) error {
-	book, err := i.catalogOf(v.State)
+	catalog, err := i.catalogOf(v.State)
 	if err != nil {
 		return err
 	}
-	return i.terms.CheckCatalog(book)
+	return i.terms.CheckCatalog(catalog)
 }
 
-// Use has a version decide from now on; see rollout.Item. Versions that were checked can be read.
+// Use makes a version decide from now on; see rollout.Item. It must have been checked.
 func (i *Item) Use(
-	target *configstate.Version, beside []*configstate.Version, order uint64, done func(),
+	target *configstate.Version, others []*configstate.Version, order uint64, done func(),
 ) {
-	book := &plans.Catalog{} // nothing: the process's own configuration holds
-	var err error
-	if target != nil {
-		if book, err = i.catalogOf(target.State); err != nil {
+	catalog, err := i.versionCatalog(target)
+	if err != nil {
+		return
+	}
+	var otherCatalogs []*plans.Catalog
+	for _, v := range others {
+		other, err := i.versionCatalog(v)
+		if err != nil {
 			return
 		}
+		otherCatalogs = append(otherCatalogs, other)
 	}
-	var besideBooks []*plans.Catalog
-	for _, v := range beside {
-		one := &plans.Catalog{}
-		if v != nil {
-			if one, err = i.catalogOf(v.State); err != nil {
-				return
-			}
-		}
-		besideBooks = append(besideBooks, one)
+	i.terms.UseCatalogs(catalog, otherCatalogs, order, done)
+}
+
+// versionCatalog returns the catalog of a version. For nil it is an empty one, with which the
+// process's own configuration applies.
+func (i *Item) versionCatalog(v *configstate.Version) (*plans.Catalog, error) {
+	if v == nil {
+		return &plans.Catalog{}, nil
 	}
-	i.terms.UseCatalogs(book, besideBooks, order, done)
+	return i.catalogOf(v.State)
 }
 
-// catalogOf returns what a state says: as it was worked out before, or from the newest state that
-// was, by what differs.
+// catalogOf returns the catalog of a state: the cached one, or one derived from the newest cached
+// state by what differs.
 func (i *Item) catalogOf(state *distribution.State) (*plans.Catalog, error) {
 	i.mu.Lock()
 	known := slices.Clone(i.recent)
@@ -125,36 +131,36 @@
 	if err != nil {
 		return nil, err
 	}
-	book, err := base.catalog.Change(changes)
+	catalog, err := base.catalog.Change(changes)
 	if err != nil {
 		return nil, err
 	}
-	i.remember(state, book)
-	return book, nil
+	i.remember(state, catalog)
+	return catalog, nil
 }
 
-func (i *Item) remember(state *distribution.State, book *plans.Catalog) {
+func (i *Item) remember(state *distribution.State, catalog *plans.Catalog) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.recent = append(i.recent, decodedState{state, book})
+	i.recent = append(i.recent, decodedState{state, catalog})
 	if len(i.recent) > maxRecent {
 		i.recent = slices.Delete(i.recent, 0, 1)
 	}
 }
 
-// stateOf returns the records of a book. Tenants of one plan share their value.
-func stateOf(book *plans.Catalog) (*distribution.State, error) {
+// stateOf returns the records of a catalog. Tenants of one plan share their value.
+func stateOf(catalog *plans.Catalog) (*distribution.State, error) {
 	var changes []distribution.Change
 	values := map[string][]byte{}
-	for _, name := range book.PlanNames() {
-		v, _ := book.Plan(name, 0)
+	for _, name := range catalog.PlanNames() {
+		v, _ := catalog.Plan(name, 0)
 		record := &distributionpb.PlanRecord{
 			Rate: v.Rate, Burst: v.Burst, CeilingRate: v.CeilingRate, CeilingBurst: v.CeilingBurst,
 		}
 		changes = append(changes, setRecord(distribution.KindPlan, name, mustproto.Marshal(record)))
 		values[name] = mustproto.Marshal(&distributionpb.TenantRecord{Plan: name})
 	}
-	book.Customers(func(customer uint64, plan string) bool {
+	catalog.Customers(func(customer uint64, plan string) bool {
 		changes = append(changes,
 			setRecord(distribution.KindTenant, plans.CustomerID(customer), values[plan]))
 		return true
--- a/internal/controlplane/planconfig/planconfig_test.go
+++ b/internal/controlplane/planconfig/planconfig_test.go
@@ -15,17 +15,17 @@
 	"mothcleat/internal/plans"
 )
 
-// unknownKind is a kind of records that no program knows.
+// unknownKind is a kind of record that no program knows.
 const unknownKind = 77
 
-// used is what a process was told to put in force.
+// used is what a process was given to apply.
 type used struct {
 	target *plans.Catalog
-	beside []*plans.Catalog
+	others []*plans.Catalog
 	order  uint64
 }
 
-// fakeTerms takes note of what it is told.
+// fakeTerms records what it is given.
 type fakeTerms struct {
 	refuse error
 	used   []used
@@ -34,9 +34,9 @@
 func (f *fakeTerms) CheckCatalog(*plans.Catalog) error { return f.refuse }
 
 func (f *fakeTerms) UseCatalogs(
-	target *plans.Catalog, beside []*plans.Catalog, order uint64, done func(),
+	target *plans.Catalog, others []*plans.Catalog, order uint64, done func(),
 ) {
-	f.used = append(f.used, used{target, beside, order})
+	f.used = append(f.used, used{target, others, order})
 	done()
 }
 
@@ -66,9 +66,9 @@
 	return v, text
 }
 
-// Any two contents lead to one another by a delta and by buckets, each time to the very bytes that
-// were agreed.
-func TestAnyContentLeadsToAnyOther(t *testing.T) {
+// TestAnyContentFromAnyOther checks that any two contents lead to one another by a delta and by
+// buckets, each time to exactly the agreed bytes.
+func TestAnyContentFromAnyOther(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 5))
 	for range 60 {
 		server, replica := New(&fakeTerms{}), New(&fakeTerms{})
@@ -125,9 +125,10 @@
 	return v, raw
 }
 
-// One tenant that gets another plan is a message of a hundred bytes or two, however many tenants
-// there are, and buckets are a few kilobytes beside their sums.
-func TestOneTenantIsASmallDelta(t *testing.T) {
+// TestOneTenantMakesASmallDelta checks that one tenant that gets another plan makes a message of
+// one or two hundred bytes however many tenants there are, and that buckets are a few kilobytes in
+// addition to their sums.
+func TestOneTenantMakesASmallDelta(t *testing.T) {
 	server := New(&fakeTerms{})
 	var text strings.Builder
 	text.WriteString(
@@ -164,9 +165,9 @@
 	}
 }
 
-// What does not lead to the agreed content is refused: each case is a fault of a server, a link or
-// a program.
-func TestWhatIsNotTheAgreedContentIsRefused(t *testing.T) {
+// TestOtherContentIsRejected checks that whatever does not lead to the agreed content is rejected.
+// Each case is a fault of a server, a link or a program.
+func TestOtherContentIsRejected(t *testing.T) {
 	r := rand.New(rand.NewPCG(11, 2))
 	item := New(&fakeTerms{})
 	base, _ := canonical(t, item, drawnFile(r, 300))
@@ -232,8 +233,9 @@
 	}
 }
 
-// Buckets that are not those of the agreed content are refused, one at a time or as a whole.
-func TestWrongBucketsAreRefused(t *testing.T) {
+// TestWrongBucketsAreRejected checks that buckets of another content are rejected, one at a time or
+// all together.
+func TestWrongBucketsAreRejected(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
 	item := New(&fakeTerms{})
 	base, _ := canonical(t, item, drawnFile(r, 300))
@@ -284,9 +286,9 @@
 	}
 }
 
-// A content as a person wrote it can be a base; it is never served as a difference, as its bytes
-// can't be made of records.
-func TestAContentAsAPersonWroteIt(t *testing.T) {
+// TestHandWrittenContent checks that a hand-written content can be a base, and is never served as a
+// difference, as its bytes can't be made of records.
+func TestHandWrittenContent(t *testing.T) {
 	item := New(&fakeTerms{})
 	written := []byte("# by hand\n[[plan]]\nrate = 1.0\nburst = 2\nname = 'one'\n")
 	v, err := configstate.Read(item, written)
@@ -313,9 +315,9 @@
 	}
 }
 
-// What is put in force is the book of the version, whichever book it was made of; nil is the
-// process's own configuration.
-func TestWhatIsPutInForce(t *testing.T) {
+// TestUse checks that the catalog of the version is applied, whichever catalog it was derived from,
+// and that nil stands for the process's own configuration.
+func TestUse(t *testing.T) {
 	r := rand.New(rand.NewPCG(8, 1))
 	terms := &fakeTerms{}
 	item := New(terms)
@@ -328,18 +330,18 @@
 	item.Use(all[7], []*configstate.Version{all[0], nil}, 9, func() { done++ })
 	item.Use(nil, nil, 11, func() { done++ })
 	if done != 2 || len(terms.used) != 2 || terms.used[0].order != 9 ||
-		len(terms.used[0].beside) != 2 {
+		len(terms.used[0].others) != 2 {
 		t.Fatalf("%+v", terms.used)
 	}
 	for got, want := range map[*plans.Catalog]*configstate.Version{
 		terms.used[0].target:    all[7],
-		terms.used[0].beside[0]: all[0],
+		terms.used[0].others[0]: all[0],
 	} {
 		if configstate.Digest(plans.Render(got)) != want.Digest {
-			t.Error("another book than the version's")
+			t.Error("another catalog than the version's")
 		}
 	}
-	if len(terms.used[0].beside[1].PlanNames()) != 0 || len(terms.used[1].target.PlanNames()) != 0 {
+	if len(terms.used[0].others[1].PlanNames()) != 0 || len(terms.used[1].target.PlanNames()) != 0 {
 		t.Error("the process's own configuration is not empty")
 	}
 	terms.refuse = errors.New("not here")
--- a/internal/plans/change_test.go
+++ b/internal/plans/change_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// drawnBook draws a book as a file has it.
-func drawnBook(t *testing.T, r *rand.Rand) *Catalog {
+// drawnCatalog draws a catalog that a file could hold.
+func drawnCatalog(t *testing.T, r *rand.Rand) *Catalog {
 	t.Helper()
 	var versions []Version
 	for i := range 1 + r.IntN(5) {
@@ -24,11 +24,11 @@
 				Assignment{Customer: uint64(i) << 40, Plan: versions[r.IntN(len(versions))].Plan})
 		}
 	}
-	b, err := NewCatalog(versions, assignments)
+	catalog, err := NewCatalog(versions, assignments)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return catalog
 }
 
 func drawnTerms(r *rand.Rand) Terms {
@@ -39,7 +39,7 @@
 	return terms
 }
 
-// difference works out changes between two books from their maps alone.
+// difference computes the changes between two catalogs from their maps alone.
 func difference(from, to *Catalog) *Changes {
 	c := &Changes{}
 	for _, name := range to.PlanNames() {
@@ -69,12 +69,12 @@
 	return c
 }
 
-// Changes lead from any book to any other, and the first stays as it was; what is rendered is read
-// as the same book.
-func TestChangesLeadToTheOtherBook(t *testing.T) {
+// TestChangesLeadToTheOtherCatalog checks that changes lead from any catalog to any other, that the
+// first is not modified, and that a rendered catalog is parsed as the same catalog.
+func TestChangesLeadToTheOtherCatalog(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	for range 300 {
-		from, to := drawnBook(t, r), drawnBook(t, r)
+		from, to := drawnCatalog(t, r), drawnCatalog(t, r)
 		before, want := Render(from), Render(to)
 		got, err := from.Change(difference(from, to))
 		if err != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Changes that can't hold name what is wrong.
-func TestChangesThatCannotHold(t *testing.T) {
+// TestInvalidChanges checks that the error for invalid changes names what is wrong.
+func TestInvalidChanges(t *testing.T) {
 	b, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/plans/file.go
+++ b/internal/plans/file.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// file is what a version of all plans is written as.
+// file is the TOML form of a catalog without times.
 type file struct {
 	Plan []struct {
 		Name         string  `toml:"name"`
@@ -23,8 +23,8 @@
 	} `toml:"customer"`
 }
 
-// Parse reads the terms of all plans, and which customers have which, from TOML. What it does not
-// know it refuses, with the line.
+// Parse reads the terms of all plans, and which customers have which plan, from TOML. It rejects
+// unknown keys. Its error names the line or the entry.
 func Parse(raw []byte) (*Catalog, error) {
 	var f file
 	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
@@ -67,23 +67,23 @@
 		}
 		assignments = append(assignments, Assignment{Customer: id, Plan: c.Plan})
 	}
-	b, err := NewCatalog(versions, assignments)
+	catalog, err := NewCatalog(versions, assignments)
 	if err != nil {
 		return nil, fmt.Errorf("plans: %w", err)
 	}
-	return b, nil
+	return catalog, nil
 }
 
-// PlanNames are the names of all plans.
-func (b *Catalog) PlanNames() []string { return b.names }
+// PlanNames returns the names of all plans.
+func (c *Catalog) PlanNames() []string { return c.names }
 
-// Plan returns the terms of a plan at a time.
-func (b *Catalog) Plan(name string, t Time) (v Version, ok bool) {
-	for i, n := range b.names {
+// Plan returns the version of a plan at a time.
+func (c *Catalog) Plan(name string, t Time) (v Version, ok bool) {
+	for i, n := range c.names {
 		if n != name {
 			continue
 		}
-		for _, one := range b.versions[i] {
+		for _, one := range c.versions[i] {
 			if one.From <= t {
 				v, ok = one, true
 			}
--- a/internal/plans/file_test.go
+++ b/internal/plans/file_test.go
@@ -21,7 +21,7 @@
 plan = "corporativo"
 `
 
-func TestAFileOfPlans(t *testing.T) {
+func TestParse(t *testing.T) {
 	b, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestABadFileOfPlansNamesItsPlace(t *testing.T) {
+func TestParseErrorsNameThePlace(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key": {good + "colour = \"red\"\n", "colour"},
 		"no TOML":     {"[[plan]\n", "line 1"},
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -1,9 +1,8 @@
-// Package plans decides which terms hold for a customer at a time, and what becomes of what
-// it has spent when they change. It does no I/O, and time comes from outside.
+// Package plans decides which terms apply to a customer at a time, and what happens to its token
+// buckets when the terms change. It does no I/O, and times are arguments.
 //
-// A Book is all that was announced: versions of plans, and which customer has which plan, each from
-// a time on. It is built once and then only read, so any number of goroutines may ask it; news make
-// a new Book.
+// A Catalog holds versions of plans, and which customer has which plan, each from some time on. It
+// is immutable once built, so any number of goroutines may read it. A change makes a new Catalog.
 package plans
 
 import (
@@ -14,19 +13,23 @@
 	"sort"
 )
 
-// Time is microseconds since 1970, as in the decision module.
+// Time is microseconds since 1970, as in package policy.
 type Time = int64
 
 // Terms are what a plan grants each of its customers, over all gateways together. Units are those
 // of requests.
 type Terms struct {
-	Rate         float64 // units a second; 0: no rate is kept
-	Burst        float64 // units that the store holds
-	CeilingRate  float64 // of the second store; 0: there is none
+	// Rate is in units a second; 0 for no quota.
+	Rate float64
+	// Burst is the capacity of the token bucket in units.
+	Burst float64
+	// CeilingRate is the rate of the second token bucket, the ceiling, in units a second; 0 for
+	// none.
+	CeilingRate  float64
 	CeilingBurst float64
 }
 
-// Version is what a plan grants from a time on.
+// Version is the terms of a plan from a time on.
 type Version struct {
 	Plan string
 	From Time
@@ -36,88 +39,123 @@
 // Assignment gives a customer a plan from a time on.
 type Assignment struct {
 	Customer uint64
-	Plan     string // "": none; the customer is served no more
-	From     Time
+	// Plan is empty if the customer is not served any more.
+	Plan string
+	From Time
 }
 
-// ActivePlan is what holds for a customer: a plan's version since a time.
+// ActivePlan is the version of a plan that applies to a customer.
 type ActivePlan struct {
-	Plan    string
-	Version int  // counts a plan's versions from 1
-	Since   Time // when it began for this customer
-	Until   Time // when the next one begins; Forever: none is known
+	Plan string
+	// Version counts the versions of the plan from 1.
+	Version int
+	// Since is when the version began to apply to this customer.
+	Since Time
+	// Until is when the next version or assignment begins; Forever if none is known.
+	Until Time
 	Terms
 }
 
-// Forever is later than any time that a book may name.
+// Forever is later than any time that a catalog may name.
 const Forever Time = 1 << 62
 
 // Catalog holds versions and assignments, indexed by customer and time.
 //
-// The index is two levels of packed slices: a customer's assignments stand together in the order of
-// their times, found by its id in a sorted slice; a plan's versions the same. A holding is where
-// the two meet, so a new version of a plan costs one entry however many customers have the plan.
+// The index has two levels of packed slices. A customer's assignments are adjacent and sorted by
+// time, and are found by binary search for its id; the versions of a plan likewise. ActivePlan
+// combines the two, so a new version of a plan costs one entry however many customers have the
+// plan.
 type Catalog struct {
 	customers []uint64
-	spans     []uint32 // where each customer's assignments begin; one more at the end
-	from      []Time
-	plan      []int32 // -1: none
-	names     []string
-	versions  [][]Version // by plan, in the order of their times
+	// assignments are the indexes of each customer's first assignment, with the end as the last
+	// element.
+	assignments []uint32
+	from        []Time
+	// plan is the number of each assignment's plan, or noPlan.
+	plan  []int32
+	names []string
+	// versions are sorted by time within each plan.
+	versions [][]Version
 }
 
-// NewCatalog checks and indexes what was announced. The order of the lists does not matter.
+// NewCatalog checks and indexes versions and assignments, which may be in any order. Its error
+// names the entry that is invalid.
 func NewCatalog(versions []Version, assignments []Assignment) (*Catalog, error) {
-	b := &Catalog{}
-	byName := map[string]int32{}
+	c := &Catalog{}
+	numbers, err := c.addVersions(versions)
+	if err != nil {
+		return nil, err
+	}
+	if err := c.addAssignments(assignments, numbers); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// addVersions sets the plans and returns their numbers by name.
+func (c *Catalog) addVersions(versions []Version) (numbers map[string]int32, err error) {
+	numbers = map[string]int32{}
 	for _, v := range versions {
 		if err := v.check(); err != nil {
 			return nil, fmt.Errorf("plan %q from %d: %w", v.Plan, v.From, err)
 		}
-		p, ok := byName[v.Plan]
+		number, ok := numbers[v.Plan]
 		if !ok {
-			p = int32(len(b.names))
-			byName[v.Plan] = p
-			b.names, b.versions = append(b.names, v.Plan), append(b.versions, nil)
+			number = int32(len(c.names))
+			numbers[v.Plan] = number
+			c.names = append(c.names, v.Plan)
+			c.versions = append(c.versions, nil)
 		}
-		b.versions[p] = append(b.versions[p], v)
+		c.versions[number] = append(c.versions[number], v)
 	}
-	for _, of := range b.versions {
-		slices.SortFunc(of, func(a, b Version) int { return cmp.Compare(a.From, b.From) })
-		for i := range of[1:] {
-			if of[i].From == of[i+1].From {
-				return nil, fmt.Errorf("plan %q from %d: announced twice", of[i].Plan, of[i].From)
+	for _, ofPlan := range c.versions {
+		slices.SortFunc(ofPlan, func(a, b Version) int { return cmp.Compare(a.From, b.From) })
+		for i := range ofPlan[1:] {
+			if ofPlan[i].From == ofPlan[i+1].From {
+				return nil, fmt.Errorf("plan %q from %d: announced twice",
+					ofPlan[i].Plan, ofPlan[i].From)
 			}
 		}
 	}
+	return numbers, nil
+}
+
+// addAssignments sets the customers. numbers are those of the plans by name.
+func (c *Catalog) addAssignments(assignments []Assignment, numbers map[string]int32) error {
 	all := slices.Clone(assignments)
 	slices.SortFunc(all, func(a, b Assignment) int {
 		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.From, b.From))
 	})
 	for i, a := range all {
-		p, ok := byName[a.Plan]
+		number, ok := numbers[a.Plan]
 		if a.Plan == "" {
-			p, ok = -1, true
+			number = noPlan
+			ok = true
 		}
+		first := i == 0 || all[i-1].Customer != a.Customer
 		switch {
 		case !ok:
-			return nil, fmt.Errorf("customer %x from %d: there is no plan %q",
+			return fmt.Errorf("customer %x from %d: there is no plan %q",
 				a.Customer, a.From, a.Plan)
 		case a.From < 0 || a.From >= Forever:
-			return nil, fmt.Errorf("customer %x: no time: %d", a.Customer, a.From)
-		case i > 0 && all[i-1].Customer == a.Customer && all[i-1].From == a.From:
-			return nil, fmt.Errorf("customer %x from %d: given two plans", a.Customer, a.From)
+			return fmt.Errorf("customer %x: no time: %d", a.Customer, a.From)
+		case !first && all[i-1].From == a.From:
+			return fmt.Errorf("customer %x from %d: given two plans", a.Customer, a.From)
 		}
-		if i == 0 || all[i-1].Customer != a.Customer {
-			b.customers = append(b.customers, a.Customer)
-			b.spans = append(b.spans, uint32(i))
+		if first {
+			c.customers = append(c.customers, a.Customer)
+			c.assignments = append(c.assignments, uint32(i))
 		}
-		b.from, b.plan = append(b.from, a.From), append(b.plan, p)
+		c.from = append(c.from, a.From)
+		c.plan = append(c.plan, number)
 	}
-	b.spans = append(b.spans, uint32(len(all)))
-	return b, nil
+	c.assignments = append(c.assignments, uint32(len(all)))
+	return nil
 }
 
+// noPlan is the number of the plan of a customer that has none.
+const noPlan = -1
+
 func (v *Version) check() error {
 	switch {
 	case v.Plan == "":
@@ -134,43 +172,44 @@
 	return nil
 }
 
-// At tells what holds for a customer at a time; ok is false where it has no plan then, or the plan
-// has no version yet.
-func (b *Catalog) At(customer uint64, t Time) (h ActivePlan, ok bool) {
-	i, found := slices.BinarySearch(b.customers, customer)
+// At returns the plan that applies to a customer at a time. ok is false if it has no plan then, or
+// the plan has no version yet.
+func (c *Catalog) At(customer uint64, t Time) (active ActivePlan, ok bool) {
+	i, found := slices.BinarySearch(c.customers, customer)
 	if !found {
-		return h, false
+		return active, false
 	}
-	first, last := int(b.spans[i]), int(b.spans[i+1])
-	a := first + sort.Search(last-first, func(i int) bool { return b.from[first+i] > t }) - 1
-	if a < first || b.plan[a] < 0 {
-		return h, false
+	first, end := int(c.assignments[i]), int(c.assignments[i+1])
+	later := sort.Search(end-first, func(i int) bool { return c.from[first+i] > t })
+	assignment := first + later - 1
+	if assignment < first || c.plan[assignment] == noPlan {
+		return active, false
 	}
-	of := b.versions[b.plan[a]]
-	v := sort.Search(len(of), func(i int) bool { return of[i].From > t }) - 1
-	if v < 0 {
-		return h, false
+	versions := c.versions[c.plan[assignment]]
+	version := sort.Search(len(versions), func(i int) bool { return versions[i].From > t }) - 1
+	if version < 0 {
+		return active, false
 	}
-	h = ActivePlan{
-		Plan:    of[v].Plan,
-		Version: v + 1,
-		Since:   max(b.from[a], of[v].From),
+	active = ActivePlan{
+		Plan:    versions[version].Plan,
+		Version: version + 1,
+		Since:   max(c.from[assignment], versions[version].From),
 		Until:   Forever,
-		Terms:   of[v].Terms,
+		Terms:   versions[version].Terms,
 	}
-	if a+1 < last {
-		h.Until = b.from[a+1]
+	if assignment+1 < end {
+		active.Until = c.from[assignment+1]
 	}
-	if v+1 < len(of) {
-		h.Until = min(h.Until, of[v+1].From)
+	if version+1 < len(versions) {
+		active.Until = min(active.Until, versions[version+1].From)
 	}
-	return h, true
+	return active, true
 }
 
-// Carry returns the levels of a customer's two stores under new terms. What was spent stays spent: a
-// store that lacks so many units of its old burst lacks as many of its new one. A downgrade below
-// what is used leaves it under nothing, to fill at the new rate; and back again it holds what it
-// held. No order of changes grants a unit more than the terms in force did.
+// Carry returns the levels of a customer's two token buckets under new terms. What was spent stays
+// spent: a bucket that lacks some units of its old burst lacks as many of its new one. A downgrade
+// below what is used leaves the bucket negative, to fill at the new rate, and a later upgrade
+// restores the level. No sequence of changes grants a unit more than the terms in force did.
 func Carry(from, to Terms, level, ceiling float64) (float64, float64) {
 	return carry(from.Burst, to.Burst, level), carry(from.CeilingBurst, to.CeilingBurst, ceiling)
 }
@@ -182,8 +221,8 @@
 	return to - (from - level)
 }
 
-// Tighter returns terms that keep both: those in force while some gateways have not heard of the
-// newer ones yet.
+// Tighter returns terms that satisfy both a and b. They apply while some gateways do not know the
+// newer terms yet.
 func Tighter(a, b Terms) Terms {
 	return Terms{
 		Rate:         tighter(a.Rate, b.Rate),
@@ -193,7 +232,7 @@
 	}
 }
 
-// tighter is the smaller of two bounds, of which 0 is none.
+// tighter returns the smaller of two limits. 0 means no limit.
 func tighter(a, b float64) float64 {
 	if a == 0 || b != 0 && b < a {
 		return b
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// plain is what holds, by looking at everything that was announced.
+// plain returns the active plan by a linear search.
 func plain(
 	versions []Version, assignments []Assignment, customer uint64, t Time,
 ) (v Version, ok bool) {
@@ -50,7 +50,7 @@
 	return versions, assignments
 }
 
-func TestAtAgainstLookingAtEverything(t *testing.T) {
+func TestAtAgainstLinearSearch(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
 		versions, assignments := drawn(r, 8, 5, 40)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestBooksThatCanNotBe(t *testing.T) {
+func TestInvalidCatalogs(t *testing.T) {
 	good := Version{"pro", 5, Terms{Rate: 1, Burst: 2}}
 	for reason, c := range map[string]struct {
 		v []Version
@@ -105,10 +105,11 @@
 	}
 }
 
-// Whatever the order of changes, spends and pauses, a customer is granted no more than the burst of
-// the terms it began with, what the rates in force filled, and what upgrades added to its burst,
-// less what downgrades took; and a change back at once leaves the store as it was.
-func TestCarryGrantsNothing(t *testing.T) {
+// TestCarryGrantsNoExtraUnits checks that whatever the order of changes, spends and pauses, a
+// customer is granted no more than the burst of the terms it began with, what the rates in force
+// filled, and what upgrades added to its burst, less what downgrades took, and that a change that
+// is taken back at once leaves the bucket as it was.
+func TestCarryGrantsNoExtraUnits(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		draw := func() Terms { return Terms{Rate: 1 + 9*r.Float64(), Burst: 1 + 20*r.Float64()} }
@@ -145,7 +146,7 @@
 	}
 }
 
-func TestTighterKeepsBoth(t *testing.T) {
+func TestTighterSatisfiesBoth(t *testing.T) {
 	a, b := Terms{Rate: 2, Burst: 9, CeilingRate: 4, CeilingBurst: 10}, Terms{Rate: 3, Burst: 5}
 	want := Terms{Rate: 2, Burst: 5, CeilingRate: 4, CeilingBurst: 10}
 	if got := Tighter(a, b); got != want || Tighter(b, a) != want {
@@ -157,14 +158,14 @@
 func BenchmarkAt(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 3))
 	versions, assignments := drawn(r, 100_000, 20, 1000)
-	book, err := NewCatalog(versions, assignments)
+	catalog, err := NewCatalog(versions, assignments)
 	if err != nil {
 		b.Fatal(err)
 	}
 	at := func() (uint64, Time) { return uint64(r.IntN(100_000)) * 7, Time(r.IntN(1000)) }
-	b.Run("book", func(b *testing.B) {
+	b.Run("catalog", func(b *testing.B) {
 		for b.Loop() {
-			book.At(at())
+			catalog.At(at())
 		}
 	})
 	// a map of slices, scanned: what stands to reason
--- a/internal/plans/render.go
+++ b/internal/plans/render.go
@@ -7,26 +7,26 @@
 	"strconv"
 )
 
-// customerTextBytes is about how long the text of one customer is.
+// customerTextBytes is the approximate length of one customer's text.
 const customerTextBytes = 64
 
-// Render writes a book as TOML that Parse reads: plans by name, then customers by id, without
-// comments. The same book gives the same bytes, and Render of what Parse read from them gives them
-// again. Of a plan or a customer with several entries, only the first is written, as a file has no
+// Render writes a catalog as TOML that Parse reads: plans by name, then customers by id, without
+// comments. Equal catalogs give equal bytes, and rendering the parsed result gives the same bytes
+// again. Of a plan or customer with several entries only the first is written, as a file has no
 // times.
-func Render(b *Catalog) []byte {
-	text := make([]byte, 0, len(b.customers)*customerTextBytes+len(b.names)*2*customerTextBytes)
-	order := make([]int, len(b.names))
+func Render(c *Catalog) []byte {
+	text := make([]byte, 0, len(c.customers)*customerTextBytes+len(c.names)*2*customerTextBytes)
+	order := make([]int, len(c.names))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(i, j int) int { return compareNames(b.names[i], b.names[j]) })
+	slices.SortFunc(order, func(i, j int) int { return compareNames(c.names[i], c.names[j]) })
 	for _, i := range order {
-		text = appendPlan(text, &b.versions[i][0])
+		text = appendPlan(text, &c.versions[i][0])
 	}
-	for i, customer := range b.customers {
-		if plan := b.plan[b.spans[i]]; plan >= 0 {
-			text = appendCustomer(text, customer, b.names[plan])
+	for i, customer := range c.customers {
+		if plan := c.plan[c.assignments[i]]; plan >= 0 {
+			text = appendCustomer(text, customer, c.names[plan])
 		}
 	}
 	return text
