--- a/internal/controlplane/allocation/lagging_replica_test.go
+++ b/internal/controlplane/allocation/lagging_replica_test.go
@@ -55,7 +55,7 @@
 		}},
 	})
 	if response.Code != controlpb.Code_OK {
-		c.t.Fatal(response.Why)
+		c.t.Fatal(response.Reason)
 	}
 	c.now += 300 * time.Millisecond
 	round := c.leader.Plan(c.now)
--- a/internal/controlplane/allocation/ondemand.go
+++ b/internal/controlplane/allocation/ondemand.go
@@ -28,10 +28,10 @@
 	request *controlpb.OnDemandRequest) *controlpb.OnDemandResponse {
 	limit := shareOf(request.Limit)
 	if request.Role != l.role || !limit.valid() || limit.isZero() || !(request.Units > 0) {
-		return &controlpb.OnDemandResponse{Code: controlpb.Code_REFUSED, Why: reasonWrongShard}
+		return &controlpb.OnDemandResponse{Code: controlpb.Code_REFUSED, Reason: reasonWrongShard}
 	}
 	if l.closing {
-		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Why: reasonTransfer}
+		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonTransfer}
 	}
 	b := l.budget(request.Budget, limit, int(request.MaxMembers))
 	record := l.memberRecord(now, memberOf(request.Member))
--- a/internal/controlplane/allocation/renewal.go
+++ b/internal/controlplane/allocation/renewal.go
@@ -29,19 +29,19 @@
 	request *controlpb.RenewRequest) *controlpb.RenewResponse {
 	member := memberOf(request.Member)
 	if l.closing {
-		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: reasonTransfer}
+		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonTransfer}
 	}
 	if request.Role != l.role || member.ID == "" {
-		return &controlpb.RenewResponse{Code: controlpb.Code_REFUSED, Why: reasonWrongShard}
+		return &controlpb.RenewResponse{Code: controlpb.Code_REFUSED, Reason: reasonWrongShard}
 	}
 	if request.Term > l.term {
-		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: reasonLaterTerm}
+		return &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonLaterTerm}
 	}
 	l.markPredecessorsEnded(member, request.EndedIncarnations)
 	record := l.memberRecord(now, member)
 	if record.ended {
 		why := fmt.Sprintf("%s has left, or its successor reported that it no longer runs", member)
-		return &controlpb.RenewResponse{Code: controlpb.Code_SUPERSEDED, Why: why}
+		return &controlpb.RenewResponse{Code: controlpb.Code_SUPERSEDED, Reason: why}
 	}
 	l.startTime(now, record, request.Age)
 	r := &renewal{now, member, record, request, request.Term == l.term}
--- a/internal/controlplane/allocator/shardleaders.go
+++ b/internal/controlplane/allocator/shardleaders.go
@@ -226,7 +226,7 @@
 
 // Renew renews a member's allocations, if this process leads the shard.
 func (d *ShardLeaders) Renew(request *controlpb.RenewRequest) *controlpb.RenewResponse {
-	notLeader := &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Why: reasonNotLeader}
+	notLeader := &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonNotLeader}
 	s := d.shard(request.Role)
 	if s == nil {
 		return notLeader
@@ -249,7 +249,7 @@
 ) *controlpb.OnDemandResponse {
 	s := d.shard(request.Role)
 	if s == nil {
-		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Why: reasonNotLeader}
+		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonNotLeader}
 	}
 	timeout := time.NewTimer(awaitRoundTimeout)
 	defer timeout.Stop()
@@ -274,7 +274,7 @@
 	defer s.mu.Unlock()
 	if !s.tenure.Holds() {
 		notLeader := controlpb.Code_NOT_LEADER
-		return &controlpb.OnDemandResponse{Code: notLeader, Why: reasonNotLeader}, nil
+		return &controlpb.OnDemandResponse{Code: notLeader, Reason: reasonNotLeader}, nil
 	}
 	response = s.leader.GrantOnDemand(monotonic.Now(), request)
 	if response.AwaitRound {
--- a/internal/controlplane/controlrpc/allocations.go
+++ b/internal/controlplane/controlrpc/allocations.go
@@ -49,7 +49,7 @@
 	}
 	if s.Budgets == nil {
 		return &controlpb.RenewResponse{
-			Code: controlpb.Code_NOT_LEADER, Why: notDividing,
+			Code: controlpb.Code_NOT_LEADER, Reason: notDividing,
 		}, nil
 	}
 	return s.Budgets.Renew(request), nil
@@ -64,7 +64,7 @@
 	}
 	if s.Budgets == nil {
 		return &controlpb.OnDemandResponse{
-			Code: controlpb.Code_NOT_LEADER, Why: notDividing,
+			Code: controlpb.Code_NOT_LEADER, Reason: notDividing,
 		}, nil
 	}
 	return s.Budgets.GrantOnDemand(request), nil
--- a/internal/controlplane/controlrpc/contents.go
+++ b/internal/controlplane/controlrpc/contents.go
@@ -15,10 +15,10 @@
 // Contents has the contents of versions. Its methods return fs.ErrNotExist if a content is not
 // here, and are called concurrently.
 type Contents interface {
-	// Give sends a content from an offset in bytes on.
-	Give(digest string, from int64, send func([]byte) error) error
+	// Send sends a content from an offset in bytes on.
+	Send(digest string, from int64, send func([]byte) error) error
 	// Keep fetches a content from the process that asks for that, and stores it.
-	Keep(ctx context.Context, request *controlpb.KeepAsk) error
+	Keep(ctx context.Context, request *controlpb.KeepRequest) error
 	// Delta returns what leads to a content from one that the client has.
 	Delta(request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error)
 	// Buckets returns some buckets of a content's records.
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	stream, err := client.Content(ctx,
-		&controlpb.ContentAsk{Fleet: c.fleet, Digest: digest, From: from})
+		&controlpb.ContentRequest{Fleet: c.fleet, Digest: digest, From: from})
 	if err != nil {
 		return nil, err
 	}
@@ -81,14 +81,14 @@
 
 // Keep asks a process to fetch and store a content that this one has.
 func (c *Client) Keep(
-	ctx context.Context, id, address string, request *controlpb.KeepAsk,
+	ctx context.Context, id, address string, request *controlpb.KeepRequest,
 ) error {
 	client, err := c.process(id, address)
 	if err != nil {
 		return err
 	}
 	// The request may be sent to several processes at once: it is not changed.
-	answer, err := client.Keep(ctx, &controlpb.KeepAsk{
+	answer, err := client.Keep(ctx, &controlpb.KeepRequest{
 		Fleet:  c.fleet,
 		Item:   request.Item,
 		Digest: request.Digest,
@@ -103,13 +103,13 @@
 
 // Content sends a content, if it is here.
 func (s *Server) Content(
-	request *controlpb.ContentAsk, stream grpc.ServerStreamingServer[controlpb.Piece],
+	request *controlpb.ContentRequest, stream grpc.ServerStreamingServer[controlpb.ContentChunk],
 ) error {
 	if err := s.checkContents(request.Fleet); err != nil {
 		return err
 	}
-	send := func(data []byte) error { return stream.Send(&controlpb.Piece{Data: data}) }
-	return contentError(s.Contents.Give(request.Digest, request.From, send))
+	send := func(data []byte) error { return stream.Send(&controlpb.ContentChunk{Data: data}) }
+	return contentError(s.Contents.Send(request.Digest, request.From, send))
 }
 
 // ContentDelta returns what leads to a content from one that the client has.
@@ -136,7 +136,7 @@
 
 // Keep fetches a content from the process that asks for that, and stores it.
 func (s *Server) Keep(
-	ctx context.Context, request *controlpb.KeepAsk,
+	ctx context.Context, request *controlpb.KeepRequest,
 ) (*controlpb.Answer, error) {
 	if request.Fleet != s.fleet {
 		return nil, errOtherFleet
--- a/internal/controlplane/controlrpc/usage.go
+++ b/internal/controlplane/controlrpc/usage.go
@@ -12,13 +12,13 @@
 
 // UsageSource sends the closed periods of this process's usage that were not collected yet. The map
 // collected has the newest collected period of each incarnation.
-type UsageSource func(collected map[uint64]uint64, send func(*controlpb.Part) error) error
+type UsageSource func(collected map[uint64]uint64, send func(*controlpb.UsagePeriod) error) error
 
 // Collect calls take with each closed period of a process's usage that was not collected yet. It
 // returns io.EOF when it has all, or the error that ended it.
 func (c *Client) Collect(
 	ctx context.Context, id, address string, collected map[uint64]uint64,
-	take func(*controlpb.Part) error,
+	take func(*controlpb.UsagePeriod) error,
 ) error {
 	client, err := c.process(id, address)
 	if err != nil {
@@ -46,7 +46,7 @@
 
 // Collect sends this process's usage that was not collected yet.
 func (s *Server) Collect(
-	request *controlpb.CollectRequest, stream grpc.ServerStreamingServer[controlpb.Part],
+	request *controlpb.CollectRequest, stream grpc.ServerStreamingServer[controlpb.UsagePeriod],
 ) error {
 	if request.Fleet != s.fleet {
 		return errOtherFleet
--- a/internal/controlplane/metering/metering_test.go
+++ b/internal/controlplane/metering/metering_test.go
@@ -29,7 +29,7 @@
 ) (sums map[[2]uint64]float64, last map[uint64]bool) {
 	t.Helper()
 	sums, last = map[[2]uint64]float64{}, map[uint64]bool{}
-	if err := c.ClosedPeriods(had, func(p *controlpb.Part) error {
+	if err := c.ClosedPeriods(had, func(p *controlpb.UsagePeriod) error {
 		key := [2]uint64{p.Incarnation, p.Period}
 		if _, twice := sums[key]; twice {
 			t.Errorf("period %v twice", key)
--- a/internal/controlplane/metering/periods.go
+++ b/internal/controlplane/metering/periods.go
@@ -109,7 +109,7 @@
 // ClosedPeriods calls give for the closed periods that were not collected yet, in order of
 // incarnation and number, and deletes those that were. had is the last collected period by
 // incarnation. It returns ErrClosed after Close, or the error of give.
-func (c *Counter) ClosedPeriods(had map[uint64]uint64, give func(*controlpb.Part) error) error {
+func (c *Counter) ClosedPeriods(had map[uint64]uint64, give func(*controlpb.UsagePeriod) error) error {
 	c.mu.Lock()
 	s := c.store
 	c.mu.Unlock()
@@ -136,12 +136,12 @@
 		if err := json.Unmarshal(item.Value, &p); err != nil {
 			return fmt.Errorf("metering: period %d of incarnation %x: %w", number, incarnation, err)
 		}
-		part := &controlpb.Part{
+		part := &controlpb.UsagePeriod{
 			Id:          c.id,
 			Incarnation: incarnation,
 			Period:      number,
-			Begun:       p.StartedAt,
-			Ended:       p.EndedAt,
+			StartedAt:   p.StartedAt,
+			EndedAt:     p.EndedAt,
 			Last:        p.Last,
 		}
 		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
--- a/internal/controlplane/metering/stored_test.go
+++ b/internal/controlplane/metering/stored_test.go
@@ -24,9 +24,9 @@
 	}
 	defer counter.Close()
 	var text strings.Builder
-	err = counter.ClosedPeriods(nil, func(part *controlpb.Part) error {
+	err = counter.ClosedPeriods(nil, func(part *controlpb.UsagePeriod) error {
 		if part.Last {
-			part.Ended = 0 // the killed process's last period is closed by this one, now
+			part.EndedAt = 0 // the killed process's last period is closed by this one, now
 		}
 		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(part)
 		text.WriteString(hex.EncodeToString(raw) + "\n")
--- a/internal/controlplane/rollout/fetch.go
+++ b/internal/controlplane/rollout/fetch.go
@@ -157,7 +157,7 @@
 
 // Keep fetches a content that is about to be proposed from the process that asks for it. Once it returns nil the content is
 // on the disk: the version is agreed on by its word.
-func (a *Agent) Keep(ctx context.Context, ask *controlpb.KeepAsk) error {
+func (a *Agent) Keep(ctx context.Context, ask *controlpb.KeepRequest) error {
 	if ask.Size < 0 || ask.Size > configversion.MaxContentSize || !digestName.MatchString(ask.Digest) {
 		return fmt.Errorf("rollout: digest %.80q, %d bytes", ask.Digest, ask.Size)
 	}
@@ -177,7 +177,7 @@
 	return fmt.Errorf("rollout: no process %.40q", ask.From.GetId())
 }
 
-// Give sends a content that is here, from an offset in bytes on.
-func (a *Agent) Give(digest string, from int64, send func([]byte) error) error {
+// Send sends a content that is here, from an offset in bytes on.
+func (a *Agent) Send(digest string, from int64, send func([]byte) error) error {
 	return a.contents.Send(digest, from, send)
 }
--- a/internal/controlplane/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -100,7 +100,7 @@
 // replicate has a majority of the voters keep a content of the given size in bytes.
 func (a *Agent) replicate(ctx context.Context, list *consensus.Membership, item, digest string, size int64) error {
 	me := a.client.Me()
-	ask := &controlpb.KeepAsk{Item: item, Digest: digest, Size: size, From: &controlpb.Member{Id: me.ID, Incarnation: me.Incarnation}}
+	ask := &controlpb.KeepRequest{Item: item, Digest: digest, Size: size, From: &controlpb.Member{Id: me.ID, Incarnation: me.Incarnation}}
 	results := make(chan bool, len(list.Voters))
 	for _, v := range list.Voters {
 		if v.Name == me.ID {
--- a/internal/controlplane/usageexporter/batch.go
+++ b/internal/controlplane/usageexporter/batch.go
@@ -88,7 +88,7 @@
 
 // add adds a period. It ignores one that was exported or added before, and returns an error if a
 // period is missing.
-func (b *batch) add(p *controlpb.Part) error {
+func (b *batch) add(p *controlpb.UsagePeriod) error {
 	incarnation := usageexport.IncarnationText(p.Incarnation)
 	last := b.progress[p.Id][incarnation].Period
 	i := slices.IndexFunc(b.ranges, func(r usageexport.PeriodRange) bool {
@@ -114,7 +114,7 @@
 }
 
 // addRows adds one row a tenant.
-func (b *batch) addRows(incarnation string, p *controlpb.Part) error {
+func (b *batch) addRows(incarnation string, p *controlpb.UsagePeriod) error {
 	for _, u := range p.Units {
 		b.rows++
 		b.units += u.Units
@@ -122,8 +122,8 @@
 			p.Id,
 			incarnation,
 			strconv.FormatUint(p.Period, 10),
-			strconv.FormatInt(p.Begun, 10),
-			strconv.FormatInt(p.Ended, 10),
+			strconv.FormatInt(p.StartedAt, 10),
+			strconv.FormatInt(p.EndedAt, 10),
 			fmt.Sprintf("%016x", u.Customer),
 			strconv.FormatFloat(u.Units, 'g', -1, 64),
 		})
--- a/internal/controlplane/usageexporter/exporter.go
+++ b/internal/controlplane/usageexporter/exporter.go
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	received := map[string]bool{} // by incarnation
-	add := func(p *controlpb.Part) error {
+	add := func(p *controlpb.UsagePeriod) error {
 		if p.Id != m.ID {
 			return fmt.Errorf("%s answers for %s", p.Id, m.ID)
 		}
