--- a/internal/dataplane/policy/admission.go
+++ b/internal/dataplane/policy/admission.go
@@ -63,7 +63,7 @@
 // admit sends a request if its quota, or else the shared bucket, covers it, and its ceiling does.
 func (lb *Balancer) admit(r *request, withinQuota bool) {
 	defer lb.releaseUnused(r)
-	if !withinQuota && !lb.sharedBucketLends(r) {
+	if !withinQuota && !lb.sharedBucketCovers(r) {
 		lb.reject(r.ID, lb.refillDelay(r), lb.emptyReason(r))
 		return
 	}
--- a/internal/dataplane/policy/allocations.go
+++ b/internal/dataplane/policy/allocations.go
@@ -14,7 +14,7 @@
 // for a time: what Available returns may be consumed at once, and not later. The methods are called
 // from the Balancer's goroutine and must not block.
 type Allocations interface {
-	// RecordDemand takes note of units that were requested, granted or not.
+	// RecordDemand records units that were requested, granted or not.
 	RecordDemand(now Time, quota *SharedQuota, units float64)
 	// Available returns how many units may be consumed now.
 	Available(now Time, quota *SharedQuota) float64
@@ -35,7 +35,7 @@
 	awaitsOnDemand bool
 	onDemandUnits  float64 // got on demand
 	reservedUnits  float64 // of this gateway's own part
-	retryAfter     Time    // when there may be as many units, as the leader told with its denial
+	retryAfter     Time    // when as many units may be free, by the leader's denial
 }
 
 // UseAllocations has customers' quotas come from allocations rather than from gossip. It must be
--- a/internal/dataplane/policy/attempt.go
+++ b/internal/dataplane/policy/attempt.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// ResponseStarted takes note that a streamed answer has begun: it is the client's final one.
+// ResponseStarted records that a streamed answer has begun: it is the client's final one.
 func (lb *Balancer) ResponseStarted(now Time, id uint64) {
 	lb.advanceClock(now)
 	if r := lb.requests[id]; r != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// ClientGone takes note that a client has left, or that its timeout has passed.
+// ClientGone records that a client has left, or that its timeout has passed.
 func (lb *Balancer) ClientGone(now Time, id uint64) {
 	lb.ResponseStarted(now, id)
 	if r := lb.requests[id]; r != nil && !r.pending() {
--- a/internal/dataplane/policy/counter.go
+++ b/internal/dataplane/policy/counter.go
@@ -8,7 +8,7 @@
 // counterState is what this gateway knows of a customer from the shared counter and the meter.
 type counterState struct {
 	counterCalls  []float64   // units of the calls without an answer, oldest first
-	counterTotal  float64     // units, the last total heard
+	counterTotal  float64     // units, the last total received
 	meteredDemand decayingSum // units requested here over the meter's period
 	shareFraction float64     // this gateway's part of all use, by the meter; 0: no reading yet
 }
--- a/internal/dataplane/policy/events.go
+++ b/internal/dataplane/policy/events.go
@@ -6,7 +6,7 @@
 	Zone      int
 	Cell      int
 	State     EndpointState
-	Weight    float64 // 0: none told
+	Weight    float64 // 0: not known
 	StartedAt Time    // of its process; 0: long ago
 }
 
@@ -67,7 +67,7 @@
 	Result      Result
 	Duration    Time
 	RequestDone bool    // the client has its final answer
-	MeteredUse  int     // 1 + percent of the rate used through all gateways; 0: not told
-	TrueUnits   float64 // consumed, if answers tell so; 0: not told
+	MeteredUse  int     // 1 + percent of the rate used through all gateways; 0: not known
+	TrueUnits   float64 // consumed, if the answer says so; 0: not known
 	Load        []float32
 }
--- a/internal/dataplane/policy/faultreport.go
+++ b/internal/dataplane/policy/faultreport.go
@@ -12,7 +12,7 @@
 	remaining int
 }
 
-// reportFault takes note of a fault at a backend for one class or plan, and has the peers told.
+// reportFault records a fault at a backend for one class or plan, and has the peers notified.
 // Such a fault is met rarely at any one backend; all gateways then prefer others until the report
 // fades. It may harm where one is avoided by all for too long.
 func (lb *Balancer) reportFault(b *backend, subject int) {
@@ -26,7 +26,7 @@
 func (lb *Balancer) classSubject(class int) int { return class }
 func (lb *Balancer) planSubject(plan int) int   { return len(lb.settings.Classes) + plan }
 
-// applyFaultReport takes note of a peer's report.
+// applyFaultReport records a peer's report.
 func (lb *Balancer) applyFaultReport(now Time, report faultReport) {
 	b := lb.backendByID[report.backend]
 	if b != nil && int(report.subject) < len(b.faultReports) {
--- a/internal/dataplane/policy/gossipreceive.go
+++ b/internal/dataplane/policy/gossipreceive.go
@@ -6,7 +6,7 @@
 // larger one means that the message is older than another that came first.
 const maxNewerStep = math.MaxUint16 / 2
 
-// peerTotals is what a peer last told of a customer, in wire units that wrap.
+// peerTotals are the totals that a peer last announced for a customer, in wire units that wrap.
 type peerTotals struct {
 	known       bool
 	incarnation uint32
@@ -138,7 +138,7 @@
 	return true
 }
 
-// peerTotalsOf returns what a gateway of the customer's set last told of it.
+// peerTotalsOf returns what a gateway of the customer's set last announced for it.
 func (lb *Balancer) peerTotalsOf(c *customer, from int) *peerTotals {
 	if c.peerTotals == nil {
 		c.peerTotals = make([]peerTotals, c.spread)
--- a/internal/dataplane/policy/gossipsend.go
+++ b/internal/dataplane/policy/gossipsend.go
@@ -8,10 +8,10 @@
 const (
 	minGossipInterval     = second / 30
 	gossipMessageFraction = 0.5 // of the messages a peer takes in, for regular gossip
-	maxDirectPeers        = 8   // gateways that tell one another all; a larger set has a home
-	announcementRepeats   = 2   // a change is told once more than needed, against loss
+	maxDirectPeers        = 8   // gateways that announce all use to one another
+	announcementRepeats   = 2   // announcements of a change: one more than needed, against loss
 	calmPeriods           = 4   // gossip intervals between messages of a bucket far from empty
-	startupPeriods        = 4   // gossip intervals until a new gateway was told of all buckets
+	startupPeriods        = 4   // gossip intervals until a new gateway knows all buckets
 	loadViewFanout        = 6   // peers, drawn each sweep, that are sent the load view
 )
 
@@ -27,7 +27,7 @@
 	urgentState
 }
 
-// announcements is what a customer's gateway set was told of it.
+// announcements is what was announced to a customer's gateway set.
 type announcements struct {
 	announcedConsumed    float64 // units, of those consumed here
 	announcedRequested   float64 // units, of those requested here
@@ -119,7 +119,7 @@
 	)
 }
 
-// announceUse announces a customer's use where it is due and the messages have room for it.
+// announceUse announces a customer's use if that is due and the messages have room.
 func (lb *Balancer) announceUse(c *customer) {
 	if lb.now < c.nextAnnouncement && lb.announcementCanWait(c) {
 		return
@@ -162,8 +162,8 @@
 	}
 }
 
-// queueUsage adds a customer to the messages for all gateways that are told of its use. It reports
-// whether all of them had room; else it adds it to none.
+// queueUsage adds a customer to the messages for all gateways that receive its use. It reports
+// whether all of the messages had room; else it adds the customer to none.
 func (lb *Balancer) queueUsage(c *customer) bool {
 	first, n := lb.gossipTargets(c)
 	for i := range n {
@@ -182,7 +182,7 @@
 	return true
 }
 
-// gossipTargets returns to how many gateways, from which number on, a customer's use is told.
+// gossipTargets returns how many gateways, from which number on, receive a customer's use.
 func (lb *Balancer) gossipTargets(c *customer) (first, n int) {
 	if lb.hasHome(c) {
 		return lb.homeOf(c), 1
@@ -190,7 +190,7 @@
 	return c.first, c.spread
 }
 
-// usageEntryOf returns what this gateway has to tell of a customer.
+// usageEntryOf returns the usage entry of a customer.
 func (lb *Balancer) usageEntryOf(c *customer) usageEntry {
 	remaining := c.bucket.level / max(c.bucket.capacity, 1e-9)
 	if lb.hasHome(c) {
@@ -209,7 +209,7 @@
 }
 
 // shareLoadView has messages with this gateway's load view go to n peers, drawn each time, so that
-// a gateway that serves no customer of theirs is heard of.
+// they also learn the load of a gateway that serves no customer of theirs.
 func (lb *Balancer) shareLoadView(n int) {
 	for range n {
 		peer := lb.rand.IntN(lb.settings.Gateways)
@@ -229,8 +229,8 @@
 
 // newPeerMessage returns a message with the header and the fault reports that are still to be sent.
 func (lb *Balancer) newPeerMessage() []byte {
-	held, onTime, gateways := lb.loadView()
-	message := messageHeader(lb.incarnation, held/gateways, onTime/gateways)
+	inFlight, onTime, gateways := lb.loadView()
+	message := messageHeader(lb.incarnation, inFlight/gateways, onTime/gateways)
 	return lb.appendFaultReports(message)
 }
 
--- a/internal/dataplane/policy/gossipurgent.go
+++ b/internal/dataplane/policy/gossipurgent.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	messageDelay          = second / 14 // until an urgent message is heard, with room for chance
+	messageDelay          = second / 14 // until an urgent message arrives, with a margin
 	delayIncrease         = second / 50 // added to that when messages prove late or lost
 	delayDecrease         = second / 2000
 	maxLearnedDelay       = second / 2
@@ -19,11 +19,11 @@
 type urgentState struct {
 	urgentBuckets []tokenBucket // messages, for each peer
 	urgentDelay   runningMean   // microseconds for which an urgent message waits for a token
-	learnedDelay  Time          // how much later than messageDelay they are heard
+	learnedDelay  Time          // how much later than messageDelay they arrive
 }
 
-// nearlyEmpty reports whether a customer's bucket may be empty before all gateways of its set have
-// heard so: they then tell at once what they consume. All of them judge by the same bucket.
+// nearlyEmpty reports whether a customer's bucket may be empty before all gateways of its set are
+// notified: they then announce at once what they consume. All of them judge by the same bucket.
 func (lb *Balancer) nearlyEmpty(c *customer) bool {
 	all := c.demand.total(lb.now)
 	soon := all * float64(2*calmPeriods*lb.gossipInterval) / float64(c.demandWindow)
@@ -55,8 +55,8 @@
 // the gateways that this one hears of, who are taken to be as many as the peer hears of.
 func (lb *Balancer) urgentBucket(peer int) *tokenBucket {
 	b := &lb.urgentBuckets[peer]
-	heard := math.Max(1, lb.peersHeard.get(lb.activeTime, second))
-	senders := math.Min(float64(lb.settings.Gateways-1), heard)
+	active := math.Max(1, lb.peersHeard.get(lb.activeTime, second))
+	senders := math.Min(float64(lb.settings.Gateways-1), active)
 	b.rate = urgentMessageFraction * math.Max(lb.settings.MaxPeerMessagesPerSecond, 1) / senders
 	b.capacity = urgentBurst
 	b.refill(lb.now)
--- a/internal/dataplane/policy/home.go
+++ b/internal/dataplane/policy/home.go
@@ -8,21 +8,22 @@
 	homeReserveFraction   = 0.75 // of a burst, kept for chance in what the set requests
 	minGrant              = 0.01 // so that no customer is shut out for good
 	grantTolerance        = 0.1  // by what part a remote gateway's grant may be off uncorrected
-	grantChangeFactor     = 1.25 // the change of a grant that is told to the whole set
+	grantChangeFactor     = 1.25 // the change of a grant that is announced to the whole set
 	maxSavedRequests      = 2.0  // requests that a local share under a grant saves up
 )
 
-// homeGrant is the state of a customer whose gateway set is so large that one of them, its home,
-// keeps the bucket. The home grants each gateway a fraction of what is requested there.
+// homeGrant is the state of a customer whose gateway set is so large that one of them, its home
+// replica, keeps the bucket. The home grants each gateway a fraction of what is requested there.
 type homeGrant struct {
 	grantFraction         float64
 	localShare            float64 // units that a remote gateway may grant under a fraction below 1
 	homeQueries           byte    // the number of the last query, wraps
-	announcedGrant        float64 // at home: the fraction last told to the whole set
-	nextGrantAnnouncement Time    // at home: when it may be told again
+	announcedGrant        float64 // at home: the fraction last announced to the whole set
+	nextGrantAnnouncement Time    // at home: when it may be announced again
 }
 
-// hasHome reports whether a customer's set is too large for its gateways to tell one another all.
+// hasHome reports whether a customer's set is too large for its gateways to announce all use to one
+// another.
 func (lb *Balancer) hasHome(c *customer) bool {
 	return lb.settings.Peers && c.spread > maxDirectPeers && lb.allocations == nil
 }
@@ -154,7 +155,7 @@
 
 // updateGrant has a home set the fraction that it grants: what the rate brings and the bucket holds
 // beyond the reserve, over all that was requested, both in the demand window. A large enough change
-// is told to the whole set, unless the gateways query the home for each request.
+// is announced to the whole set, unless the gateways query the home for each request.
 func (lb *Balancer) updateGrant(c *customer) {
 	rate := lb.settings.Plans[c.plan].Rate
 	if !lb.hasHome(c) || lb.isRemote(c) || rate == 0 {
@@ -199,7 +200,7 @@
 	lb.actions.SendToPeer(from, answer.appendTo(lb.newPeerMessage()))
 }
 
-// correctGrant tells a remote gateway the grant if the one that it goes by is too far off.
+// correctGrant sends a remote gateway the grant if the one that it goes by is too far off.
 func (lb *Balancer) correctGrant(c *customer, from int, fraction float64) {
 	if lb.hasHome(c) && math.Abs(fraction-c.grantFraction) > grantTolerance*c.grantFraction {
 		lb.queueGrant(from, c)
--- a/internal/dataplane/policy/outlier.go
+++ b/internal/dataplane/policy/outlier.go
@@ -165,7 +165,7 @@
 	return 1 + (s.latencyRatio-1)*math.Exp2(-age/float64(latencyRatioHalfLife))
 }
 
-// recordConnectionFault takes note that a connection to a backend failed or was reset, and reports
+// recordConnectionFault records that a connection to a backend failed or was reset, and reports
 // whether the backend is unhealthy. A single reset concerns a single connection. Even after many
 // the process may still run, and be warm: only a failure to connect shows that it has ended.
 func (lb *Balancer) recordConnectionFault(b *backend, r Result) bool {
--- a/internal/dataplane/policy/peermessage.go
+++ b/internal/dataplane/policy/peermessage.go
@@ -187,7 +187,7 @@
 
 func fromWireUnits(units uint16) float64 { return float64(units) / wireUnitsPerUnit }
 
-// packFraction returns a fraction in a byte, more finely near 0, and rounded down: by what is told
+// packFraction returns a fraction in a byte, more finely near 0, and rounded down: by what is said
 // to remain another gateway may grant requests.
 func packFraction(x float64) byte {
 	return byte(math.MaxUint8 * math.Sqrt(math.Min(1, math.Max(0, x))))
--- a/internal/dataplane/policy/picker.go
+++ b/internal/dataplane/policy/picker.go
@@ -10,8 +10,8 @@
 )
 
 // pick returns the least loaded usable backend, or nil. It prefers healthy backends that the
-// request has not tried; without any it is in panic mode, and takes any backend that is listed. A
-// request with an idempotency key that may have been executed stays within its attempt's scope.
+// request has not tried; without any it is in panic mode, and ignores health. A request with an
+// idempotency key that may have been executed stays within its attempt's scope.
 func (lb *Balancer) pick(r *request, within *attempt) *backend {
 	for _, panicMode := range []bool{false, true} {
 		if b := lb.pickLeastLoaded(r, within, panicMode); b != nil {
--- a/internal/dataplane/policy/planupdate.go
+++ b/internal/dataplane/policy/planupdate.go
@@ -8,8 +8,8 @@
 // UpdatePlans replaces the terms of the plans, and has customers take the plans that planOf
 // returns; one below 0 leaves a customer its plan. The plans must be as many as before, in the same
 // order; the error is a *SettingsError. What a customer has consumed stays consumed: its buckets
-// here lack as many units as before. Quotas that are allocated are divided anew once the leader is
-// told of them.
+// here lack as many units as before. Quotas that are allocated are divided anew once the leader
+// is notified.
 func (lb *Balancer) UpdatePlans(now Time, plans []Plan, planOf func(customer uint64) int) error {
 	if len(plans) != len(lb.settings.Plans) {
 		problem := fmt.Sprintf("%d in place of %d", len(plans), len(lb.settings.Plans))
--- a/internal/dataplane/policy/saturation.go
+++ b/internal/dataplane/policy/saturation.go
@@ -31,8 +31,8 @@
 	peersOnTime   decayingSum // answers a second
 }
 
-// add merges a peer's load. The weight is below 1 if the peer has told of its load less than a second
-// ago, so that it counts as one however often it does.
+// add merges a peer's load. The weight is below 1 if the peer has told of its load less than a
+// second ago, so that it counts as one however often it does.
 func (p *peerLoad) add(now Time, weight, inFlight, onTime float64) {
 	p.peersHeard.add(now, second, weight)
 	p.peersInFlight.add(now, second, weight*inFlight)
--- a/internal/dataplane/policy/settings_test.go
+++ b/internal/dataplane/policy/settings_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -16,7 +17,9 @@
 	} {
 		set := testSettings()
 		spoil(&set)
-		if _, err := New(set, 1, &actionRecorder{}); err == nil ||
+		_, err := New(set, 1, &actionRecorder{})
+		var invalid *SettingsError
+		if !errors.As(err, &invalid) || invalid.Field != field ||
 			!strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
--- a/internal/dataplane/policy/sharedbucket.go
+++ b/internal/dataplane/policy/sharedbucket.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// sharedBucketCapacity is the part of the back end's capacity up to which the shared bucket lends.
+// sharedBucketCapacity is the part of the back end's capacity up to which the shared bucket grants
+// units.
 const sharedBucketCapacity = 0.8
 
 // spareCapacity is what customers have bought and do not use.
@@ -50,9 +51,9 @@
 	lb.sharedBucket.level = math.Min(lb.sharedBucket.capacity, lb.sharedBucket.level+spill)
 }
 
-// sharedBucketLends reports whether a request that its own quota does not cover may use the
+// sharedBucketCovers reports whether a request that its own quota does not cover may use the
 // shared bucket.
-func (lb *Balancer) sharedBucketLends(r *request) bool {
+func (lb *Balancer) sharedBucketCovers(r *request) bool {
 	lb.refillShared()
 	if !lb.settings.Plans[r.Plan].mayExceedQuota() || lb.sharedBucket.level < r.Units {
 		return false
--- a/internal/dataplane/policy/snapshot.go
+++ b/internal/dataplane/policy/snapshot.go
@@ -111,7 +111,7 @@
 // further action: only then can no crash grant quota.
 func (lb *Balancer) SnapshotDue() bool { return lb.snapshotDue }
 
-// SnapshotStored takes note that the snapshot taken at a time is stored, and would be restored now.
+// SnapshotStored records that the snapshot taken at a time is stored, and would be restored now.
 // Until then the one before counts. The call is ignored if it is not for the last snapshot taken.
 func (lb *Balancer) SnapshotStored(at Time) {
 	if at != lb.lastSnapshot {
--- a/internal/dataplane/policy/snapshot_test.go
+++ b/internal/dataplane/policy/snapshot_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"math/rand/v2"
 	"strings"
 	"testing"
@@ -192,8 +193,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := g.Restore(a.time+second, maxSnapshotAge, &s); err == nil ||
-			!strings.Contains(err.Error(), reason) || strings.Contains(err.Error(), "\n") {
+		err = g.Restore(a.time+second, maxSnapshotAge, &s)
+		var unusable *SnapshotError
+		if !errors.As(err, &unusable) || !strings.Contains(err.Error(), reason) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", reason, err)
 		}
 		if len(g.customers) > 0 || g.meanLatency.samples > 0 {
