--- a/internal/config/operators_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The file that is shipped states the defaults, all of them.
+// TestShippedFileStatesTheDefaults checks that the shipped file sets every setting to its default.
 func TestShippedFileStatesTheDefaults(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "operators.toml")
 	s, err := Load(path)
@@ -23,48 +23,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range []string{"file", "every", "oldest", "on", "pid_file", "ready_within", "url",
-		"classes",
-		"plans",
-		"pass_unknown",
-		"budget",
-		"timeout",
-		"allow_for",
-		"allow_most",
-		"deny_for",
-		"stale_for",
-		"most_calls",
-		"most_waiting",
-		"most_kept",
-		"fails",
-		"open_for",
-		"open_most",
-		"headers",
-		"secret_header",
-		"secret_file",
-		"tokens_file",
-		"ca_file",
-		"source",
-		"agents",
-		"tls",
-		"token_file",
-		"service",
-		"datacenter",
-		"namespace",
-		"filter",
-		"mode",
-		"wait",
-		"catalogue",
-		"warning_serves", "hold", "reset_after", "skew", "refusals"} {
+	for _, key := range []string{
+		"file", "every", "oldest", "on", "pid_file", "ready_within", "url", "classes", "plans",
+		"pass_unknown", "budget", "timeout", "allow_for", "allow_most", "deny_for", "stale_for",
+		"most_calls", "most_waiting", "most_kept", "fails", "open_for", "open_most", "headers",
+		"secret_header", "secret_file", "tokens_file", "ca_file", "source", "agents", "tls",
+		"token_file", "service", "datacenter", "namespace", "filter", "mode", "wait",
+		"catalogue", "warning_serves", "hold", "reset_after", "skew", "refusals",
+	} {
 		if !strings.Contains(string(raw), "\n"+key+" = ") {
 			t.Errorf("%s is not in the shipped file", key)
 		}
 	}
 }
 
-func TestWhatIsSetIsTaken(t *testing.T) {
+func TestParse(t *testing.T) {
 	s, err := Parse([]byte(
-		"[state]\nfile = \"/x/state\"\nevery = \"250ms\"\n[handover]\non = true\npid_file = \"/x/pid\"\n",
+		"[state]\nfile = \"/x/state\"\nevery = \"250ms\"\n" +
+			"[handover]\non = true\npid_file = \"/x/pid\"\n",
 	))
 	if err != nil {
 		t.Fatal(err)
@@ -80,10 +56,10 @@
 	}
 }
 
-// Each error is one line with the line number, the key and the reason.
 const fleetHead = "[fleet]\non = true\nname = \"f\"\nlisten = \"127.0.0.1:0\"\n"
 
-func TestBadFiles(t *testing.T) {
+// TestInvalidFiles checks that each error is one line with line number, key and reason.
+func TestInvalidFiles(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[state]\n\nfil = \"x\"\n", "3: state.fil: no such setting"},
 		{"[stat]\n", "1: stat: no such setting"},
@@ -105,7 +81,8 @@
 		{fleetHead + "voters = []\n", "5: fleet.voters: none"},
 		{
 			fleetHead +
-				"voters = [{ name = \"a\", address = \"h:1\" }, { name = \"b\", address = \"h:2\" }]\n",
+				"voters = [{ name = \"a\", address = \"h:1\" }, " +
+				"{ name = \"b\", address = \"h:2\" }]\n",
 			"5: fleet.voters: 2: 1, 3, 5 or 7",
 		},
 		{
@@ -138,7 +115,7 @@
 	}
 }
 
-func TestFixedNamesWhatNeedsANewProcess(t *testing.T) {
+func TestRestartRequired(t *testing.T) {
 	a, b := Defaults(), Defaults()
 	b.State.SaveInterval = Duration(2 * time.Second)
 	if got := a.RestartRequired(&b); len(got) > 0 {
