--- a/cmd/mothcleat/controlplane.go
+++ b/cmd/mothcleat/controlplane.go
@@ -61,14 +61,14 @@
 		return nil, err
 	}
 	node := controlplane.Start(nodeConfig)
-	if agent := node.Permit(); agent != nil {
+	if agent := node.RolloutAgent(); agent != nil {
 		cfg.VersionLease = agent
 		cfg.Operations = node
 	}
-	if allocations := node.Rights(); allocations != nil {
+	if allocations := node.AllocationClient(); allocations != nil {
 		cfg.Allocations = allocations
 	}
-	if source := node.Register(); source != nil {
+	if source := node.EndpointSource(); source != nil {
 		cfg.NewEndpointSource = func(*gateway.Config, *slog.Logger) (registry.Source, error) {
 			return source, nil
 		}
@@ -92,19 +92,19 @@
 			ClockDriftBound: fleet.ClockDriftBound,
 			OfferTTL:        time.Duration(fleet.TransferTimeout),
 		},
-		TickInterval: time.Duration(fleet.RaftTick),
-		KeepEntries:  uint64(fleet.RetainedLogEntries),
-		Exports:      fleet.ExportDir,
-		Period:       time.Duration(fleet.MeteringPeriod),
-		Log:          log,
-		Silent:       time.Duration(fleet.SourceTimeout),
-		Place:        distribution.Place{Zone: fleet.Zone, Region: fleet.Region},
-		Places:       voterPlaces(fleet),
-		ChangeLog:    fleet.ChangeLogEntries,
-		Candidates:   fleet.LeaderCandidates,
+		TickInterval:     time.Duration(fleet.RaftTick),
+		KeepEntries:      uint64(fleet.RetainedLogEntries),
+		ExportDir:        fleet.ExportDir,
+		MeteringPeriod:   time.Duration(fleet.MeteringPeriod),
+		Log:              log,
+		SourceTimeout:    time.Duration(fleet.SourceTimeout),
+		Place:            distribution.Place{Zone: fleet.Zone, Region: fleet.Region},
+		Places:           voterPlaces(fleet),
+		ChangeLogEntries: fleet.ChangeLogEntries,
+		Candidates:       fleet.LeaderCandidates,
 	}
 	if fleet.ExportDir != "" {
-		nodeConfig.Shards = fleet.ExportShards
+		nodeConfig.ExportShards = fleet.ExportShards
 		if err := os.MkdirAll(fleet.ExportDir, 0o755); err != nil {
 			return nodeConfig, fmt.Errorf("fleet.exports: %w", err)
 		}
@@ -112,7 +112,7 @@
 	if newSource := cfg.NewEndpointSource; fleet.SharedWatch && newSource != nil {
 		// A copy of the configuration as it is now, since the gateway changes its own later.
 		copied := *cfg
-		nodeConfig.Direct = func() (registry.Source, error) { return newSource(&copied, log) }
+		nodeConfig.NewSource = func() (registry.Source, error) { return newSource(&copied, log) }
 	}
 	return nodeConfig, nil
 }
@@ -134,8 +134,8 @@
 	rules.PoolFraction = budgets.OnDemandFraction
 	rules.ClockDrift = clockDriftBound
 	rules.StartFull = budgets.StartFull
-	nodeConfig.Budgets = &rules
-	nodeConfig.BudgetShards = budgets.Shards
+	nodeConfig.Allocation = &rules
+	nodeConfig.AllocationShards = budgets.Shards
 	if budgets.RecordFile == "" {
 		return nil
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		return fmt.Errorf("budgets.record: %w", err)
 	}
-	nodeConfig.Rights = record
+	nodeConfig.AllocationLog = record
 	return nil
 }
 
--- a/cmd/mothcleat/distributiontable.go
+++ b/cmd/mothcleat/distributiontable.go
@@ -14,7 +14,7 @@
 // showDistribution shows how far the gateway's replica of the control state is, and how far those
 // are that it serves.
 func showDistribution(raw []byte, w io.Writer) error {
-	var d controlplane.Distribution
+	var d controlplane.DistributionStatus
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return err
 	}
--- a/cmd/mothcleat/fleettables.go
+++ b/cmd/mothcleat/fleettables.go
@@ -166,7 +166,7 @@
 }
 
 func showVersions(raw []byte, w io.Writer) error {
-	var v controlplane.Versions
+	var v controlplane.VersionsStatus
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 			formatSeconds(v.At-m.ReportedAt),
 		)
 	}
-	for _, b := range v.Behind {
+	for _, b := range v.LaggingReplicas {
 		fmt.Fprintf(
 			w,
 			"\nbehind: %s has %s %d, %d is wanted for %s %s",
--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -30,29 +30,29 @@
 	return json.Unmarshal(raw, into)
 }
 
-// Here is what this process knows of itself, whoever else can be asked.
-type Here struct {
-	Member  lease.Member      `json:"member"`
-	Voter   bool              `json:"voter"`
-	Number  string            `json:"number,omitempty"`
-	Term    uint64            `json:"term,omitempty"`
-	Leader  string            `json:"leader,omitempty"`
-	Leads   bool              `json:"leads,omitempty"`
-	Applied uint64            `json:"applied,omitempty"`
-	Trouble string            `json:"trouble,omitempty"`
-	Roles   map[string]uint64 `json:"duties"`
+// LocalStatus is what this process knows of itself, whoever else can be asked.
+type LocalStatus struct {
+	Member       lease.Member      `json:"member"`
+	Voter        bool              `json:"voter"`
+	Number       string            `json:"number,omitempty"`
+	Term         uint64            `json:"term,omitempty"`
+	Leader       string            `json:"leader,omitempty"`
+	Leads        bool              `json:"leads,omitempty"`
+	AppliedIndex uint64            `json:"applied,omitempty"`
+	Fault        string            `json:"trouble,omitempty"`
+	Roles        map[string]uint64 `json:"duties"`
 }
 
-// Here tells it.
-func (n *Node) Here() Here {
-	h := Here{Member: n.me, Roles: n.duties.HeldTerms()}
+// LocalStatus tells it.
+func (n *Node) LocalStatus() LocalStatus {
+	h := LocalStatus{Member: n.me, Roles: n.duties.HeldTerms()}
 	if why := n.trouble.Load(); why != nil {
-		h.Trouble = *why
+		h.Fault = *why
 	}
 	if s := n.server.Load(); s != nil && s.Replica() != nil {
 		st := s.Replica().Status()
-		h.Voter, h.Number, h.Term, h.Leader, h.Leads, h.Applied = true, fmt.Sprintf("%016x", st.Number), st.Leadership.Term, st.Leader, st.Leadership.IsLeader, st.AppliedIndex
-		h.Trouble += st.Fault
+		h.Voter, h.Number, h.Term, h.Leader, h.Leads, h.AppliedIndex = true, fmt.Sprintf("%016x", st.Number), st.Leadership.Term, st.Leader, st.Leadership.IsLeader, st.AppliedIndex
+		h.Fault += st.Fault
 	}
 	return h
 }
@@ -64,7 +64,7 @@
 	var err error
 	switch {
 	case len(words) == 1 && words[0] == "here":
-		what = n.Here()
+		what = n.LocalStatus()
 	case len(words) == 1 && words[0] == "status":
 		what, err = n.Membership(ctx)
 	case len(words) == 1 && words[0] == "owners":
@@ -82,13 +82,13 @@
 		what = v
 	case len(words) == 1 && words[0] == "rights" && n.rights != nil:
 		held, did := n.rights.Status()
-		what = Rights{n.me, monotonic.Now(), held, did, n.divide.Stats()}
+		what = AllocationStatus{n.me, monotonic.Now(), held, did, n.divide.Stats()}
 	case len(words) <= 2 && len(words) > 0 && words[0] == "budgets":
 		what, err = n.books(ctx, words[1:])
 	case n.agent != nil && len(words) > 0 && words[0] == "versions":
 		what, err = n.versions(ctx, words[1:])
 	case len(words) == 1 && words[0] == "distribution":
-		what = n.Distribution()
+		what = n.DistributionStatus()
 	case len(words) == 3 && words[0] == "transfer":
 		what, err = n.transfer(ctx, words[1], words[2])
 	case len(words) == 2 && words[0] == "remove":
@@ -115,13 +115,13 @@
 	return string(raw) + "\n"
 }
 
-// Rights is what this process holds of the budgets, and what it divides.
-type Rights struct {
-	Member  lease.Member                      `json:"member"`
-	At      time.Duration                     `json:"at"` // by the clock that goes on while a process is stopped
-	Held    []allocation.HolderStatus         `json:"held"`
-	Did     allocator.ClientStats             `json:"did"`
-	Divides map[string]allocation.LeaderStats `json:"divides"`
+// AllocationStatus is what this process holds of the budgets, and what it divides.
+type AllocationStatus struct {
+	Member      lease.Member                      `json:"member"`
+	At          time.Duration                     `json:"at"` // by the clock that goes on while a process is stopped
+	Held        []allocation.HolderStatus         `json:"held"`
+	Stats       allocator.ClientStats             `json:"did"`
+	LeaderStats map[string]allocation.LeaderStats `json:"divides"`
 }
 
 // books are all budgets as they are agreed.
--- a/internal/controlplane/jsonkeys_test.go
+++ b/internal/controlplane/jsonkeys_test.go
@@ -21,10 +21,10 @@
 // Operators' tools and the logs of older builds know these keys.
 func TestJSONKeys(t *testing.T) {
 	fixture.Equal(t, "testdata/operator-keys.txt", fixture.JSONKeys(
-		controlplane.Here{},
-		controlplane.Rights{},
-		controlplane.Versions{},
-		controlplane.Distribution{},
+		controlplane.LocalStatus{},
+		controlplane.AllocationStatus{},
+		controlplane.VersionsStatus{},
+		controlplane.DistributionStatus{},
 		consensus.Membership{},
 		lease.View{},
 		usageexport.View{},
--- a/internal/controlplane/machines_test.go
+++ b/internal/controlplane/machines_test.go
@@ -15,7 +15,7 @@
 // a whole, or whose Query is a few bytes; none that holds something for each process or tenant.
 func TestOnlySmallMachinesAreToldAtEachChange(t *testing.T) {
 	var told []string
-	for name, machine := range Machines(lease.DefaultConfig(), configversion.DefaultConfig()) {
+	for name, machine := range NewStateMachines(lease.DefaultConfig(), configversion.DefaultConfig()) {
 		if _, counts := machine.(interface{ Changes() uint64 }); counts {
 			told = append(told, name)
 		}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -40,40 +40,40 @@
 
 // Config is what a process is told of its fleet.
 type Config struct {
-	Fleet        string // its name
-	ID           string // this gateway's
-	Listen       string
-	Address      string // where others reach it; "": Listen
-	Dir          string
-	Voters       []*controlpb.Voter   // as they are known at first
-	Addresses    controlrpc.Addresses // where others are reached from here, if not where they say
-	LeaseConfig  lease.Config
-	Candidates   []string      // ids of those that may hold duties; empty: all may
-	TickInterval time.Duration // of voters; 0: 40 ms
-	KeepEntries  uint64        // entries behind a snapshot; 0: 4,096
-	Shards       int           // of the export; 0: no use is counted or exported
-	Exports      string        // folder of exported files
-	Period       time.Duration
-	Log          *slog.Logger
-
-	// Direct makes a source that asks the register itself; nil: each gateway watches its register
+	Fleet          string // its name
+	ID             string // this gateway's
+	Listen         string
+	Address        string // where others reach it; "": Listen
+	Dir            string
+	Voters         []*controlpb.Voter   // as they are known at first
+	Addresses      controlrpc.Addresses // where others are reached from here, if not where they say
+	LeaseConfig    lease.Config
+	Candidates     []string      // ids of those that may hold duties; empty: all may
+	TickInterval   time.Duration // of voters; 0: 40 ms
+	KeepEntries    uint64        // entries behind a snapshot; 0: 4,096
+	ExportShards   int           // of the export; 0: no use is counted or exported
+	ExportDir      string        // folder of exported files
+	MeteringPeriod time.Duration
+	Log            *slog.Logger
+
+	// NewSource makes a source that asks the register itself; nil: each gateway watches its register
 	// as it always did.
-	Direct func() (registry.Source, error)
-	// Budgets are the rules by which quotas are divided; nil: they are not.
-	Budgets      *allocation.Config
-	BudgetShards int
+	NewSource func() (registry.Source, error)
+	// Allocation are the rules by which quotas are divided; nil: they are not.
+	Allocation       *allocation.Config
+	AllocationShards int
 	// Versions are the rules of what the fleet acts on, and Items what that is here; nil: each
 	// gateway acts on its configuration.
-	Versions *configversion.Config
-	Items    map[string]rollout.Item
-	Rights   io.Writer     // gets a line for each renewal of rights; nil: none
-	Silent   time.Duration // see distributor.SourceOptions; 0: distributor.DefaultSilent
+	Versions      *configversion.Config
+	Items         map[string]rollout.Item
+	AllocationLog io.Writer     // gets a line for each renewal of rights; nil: none
+	SourceTimeout time.Duration // see distributor.SourceOptions; 0: distributor.DefaultSilent
 
 	Place  distribution.Place            // where this process runs
 	Places map[string]distribution.Place // where the voters run, by name
 	// changes that a voter keeps for replicas; 0: as many as by default
-	ChangeLog int
-	Observer  *controlrpc.Observer // counts calls, messages and bytes; nil: nobody does
+	ChangeLogEntries int
+	Observer         *controlrpc.Observer // counts calls, messages and bytes; nil: nobody does
 }
 
 // Node is a process's part. Make it with Start.
@@ -119,8 +119,8 @@
 	giveBackMost = 500 * time.Millisecond
 )
 
-// Machines are the parts of the agreed state.
-func Machines(r lease.Config, v configversion.Config) map[string]consensus.StateMachine {
+// NewStateMachines are the parts of the agreed state.
+func NewStateMachines(r lease.Config, v configversion.Config) map[string]consensus.StateMachine {
 	d := lease.NewMachine(r)
 	return map[string]consensus.StateMachine{lease.MachineName: d,
 		usageexport.MachineName:   usageexport.NewMachine(d),
@@ -173,8 +173,8 @@
 	if cfg.Address == "" {
 		cfg.Address = cfg.Listen
 	}
-	if cfg.Silent == 0 {
-		cfg.Silent = distributor.DefaultSourceTimeout
+	if cfg.SourceTimeout == 0 {
+		cfg.SourceTimeout = distributor.DefaultSourceTimeout
 	}
 	n := &Node{cfg: cfg, ctx: ctx, cancel: cancel, leave: leave, left: make(chan struct{}), ready: make(chan struct{}),
 		early: make(chan use, earlyMost)}
@@ -188,13 +188,13 @@
 		Candidates:  cfg.Candidates,
 		Log:         cfg.Log,
 	})
-	if cfg.Shards > 0 {
-		for shard := range cfg.Shards {
+	if cfg.ExportShards > 0 {
+		for shard := range cfg.ExportShards {
 			e := &usageexporter.Exporter{
-				Dir:      cfg.Exports,
+				Dir:      cfg.ExportDir,
 				Shard:    shard,
-				Shards:   cfg.Shards,
-				Interval: cfg.Period,
+				Shards:   cfg.ExportShards,
+				Interval: cfg.MeteringPeriod,
 				Client:   n.client,
 				Log:      cfg.Log,
 			}
@@ -202,13 +202,13 @@
 		}
 	}
 	n.distribute()
-	if cfg.Budgets != nil {
-		n.divide = &allocator.ShardLeaders{Config: *cfg.Budgets, RPC: n.client, Log: cfg.Log}
-		for shard := range cfg.BudgetShards {
+	if cfg.Allocation != nil {
+		n.divide = &allocator.ShardLeaders{Config: *cfg.Allocation, RPC: n.client, Log: cfg.Log}
+		for shard := range cfg.AllocationShards {
 			n.duties.AddBalanced(allocation.RoleOfShard(shard), n.divide.Lead)
 		}
-		n.rights = allocator.NewClient(*cfg.Budgets, cfg.BudgetShards, n.client, n.duties, cfg.Log)
-		n.rights.RecordTo(cfg.Rights)
+		n.rights = allocator.NewClient(*cfg.Allocation, cfg.AllocationShards, n.client, n.duties, cfg.Log)
+		n.rights.RecordTo(cfg.AllocationLog)
 	}
 	if cfg.Versions != nil {
 		n.contents = rollout.NewContents(ContentsDir(cfg.Dir))
@@ -225,15 +225,15 @@
 	return n
 }
 
-// Permit tells whether this process may act; nil: it always may.
-func (n *Node) Permit() *rollout.Agent { return n.agent }
+// RolloutAgent tells whether this process may act; nil: it always may.
+func (n *Node) RolloutAgent() *rollout.Agent { return n.agent }
 
-// Rights are this process's parts of the quotas; nil: they are not divided.
-func (n *Node) Rights() *allocator.Client { return n.rights }
+// AllocationClient are this process's parts of the quotas; nil: they are not divided.
+func (n *Node) AllocationClient() *allocator.Client { return n.rights }
 
-// Register is the source of news of the servers, where the register is watched for all; nil: it is
+// EndpointSource is the source of news of the servers, where the register is watched for all; nil: it is
 // not.
-func (n *Node) Register() registry.Source {
+func (n *Node) EndpointSource() registry.Source {
 	if n.list == nil {
 		return nil
 	}
@@ -302,8 +302,8 @@
 	}
 	var parts controlrpc.UsageSource
 	var counter *metering.Counter
-	if n.cfg.Shards > 0 {
-		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.Period,
+	if n.cfg.ExportShards > 0 {
+		if counter, err = metering.Open(UseDir(n.cfg.Dir), n.cfg.ID, n.me.Incarnation, n.cfg.MeteringPeriod,
 			n.cfg.Log); err != nil {
 			return err
 		}
@@ -432,7 +432,7 @@
 		c.Count(customer, units)
 		return
 	}
-	if n.cfg.Shards == 0 {
+	if n.cfg.ExportShards == 0 {
 		return
 	}
 	select {
--- a/internal/controlplane/replica/stored_test.go
+++ b/internal/controlplane/replica/stored_test.go
@@ -63,7 +63,7 @@
 }
 
 func newMachines() map[string]consensus.StateMachine {
-	return controlplane.Machines(lease.DefaultConfig(), configversion.DefaultConfig())
+	return controlplane.NewStateMachines(lease.DefaultConfig(), configversion.DefaultConfig())
 }
 
 // replay applies all committed entries and returns a snapshot of the state that they lead to.
--- a/internal/controlplane/versions.go
+++ b/internal/controlplane/versions.go
@@ -14,10 +14,10 @@
 
 const proposeWithin = 2500 * time.Millisecond
 
-// Versions is what is agreed on what to act on, and who is behind.
-type Versions struct {
+// VersionsStatus is what is agreed on what to act on, and who is behind.
+type VersionsStatus struct {
 	configversion.View
-	Behind []configversion.LaggingReplica `json:"behind"`
+	LaggingReplicas []configversion.LaggingReplica `json:"behind"`
 }
 
 // versions answers a call about what the fleet acts on.
@@ -29,7 +29,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return Versions{v, configversion.LaggingReplicas(&v)}, nil
+		return VersionsStatus{v, configversion.LaggingReplicas(&v)}, nil
 	}
 	switch do, words := words[0], words[1:]; {
 	case do == "here" && len(words) == 0:
--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -128,7 +128,7 @@
 }
 
 // rights are what a gateway holds.
-func rights(t *testing.T, f *testcluster.Fleet, i int) (r controlplane.Rights) {
+func rights(t *testing.T, f *testcluster.Fleet, i int) (r controlplane.AllocationStatus) {
 	t.Helper()
 	clustertest.Check(t, f.Call(i, "rights", &r))
 	return r
@@ -337,8 +337,8 @@
 			})
 		}
 		eventually(t, "the voter with the older folder says that it must not vote", func() bool {
-			var here controlplane.Here
-			return run.f.Call(voter, "here", &here) == nil && here.Trouble != ""
+			var here controlplane.LocalStatus
+			return run.f.Call(voter, "here", &here) == nil && here.Fault != ""
 		})
 	})
 	kept(t, run)
@@ -351,7 +351,7 @@
 		testcluster.Options{Instances: 4, Seed: 12, Operators: Text(1, "span = \"50s\"")}, nil)
 	play(t, run, func() {
 		i := ownerOf(t, run)
-		var here controlplane.Here
+		var here controlplane.LocalStatus
 		clustertest.Check(t, run.f.Call(i, "here", &here))
 		holds := func() bool {
 			var books []allocation.View
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -320,7 +320,7 @@
 		return own
 	}
 	h.Killed = func(ctx context.Context, i int, again time.Time) {
-		var dead controlplane.Here
+		var dead controlplane.LocalStatus
 		err := t.f.Call(i, "here", &dead)
 		h.Fail(t.f.End(i, syscall.SIGKILL))
 		if err == nil {
--- a/internal/testing/audittest/fleet.go
+++ b/internal/testing/audittest/fleet.go
@@ -53,7 +53,7 @@
 }
 
 // agreed is what is agreed, asked at a gateway.
-func agreed(f *testcluster.Fleet, at int) (v controlplane.Versions, err error) {
+func agreed(f *testcluster.Fleet, at int) (v controlplane.VersionsStatus, err error) {
 	return v, f.Call(at, "versions", &v)
 }
 
@@ -63,7 +63,7 @@
 }
 
 // version finds a version in what is agreed.
-func version(v *controlplane.Versions, number uint64) *configversion.Version {
+func version(v *controlplane.VersionsStatus, number uint64) *configversion.Version {
 	for i := range v.Versions {
 		if v.Versions[i].Item == "plans" && v.Versions[i].Number == number {
 			return &v.Versions[i]
--- a/internal/testing/audittest/hard_test.go
+++ b/internal/testing/audittest/hard_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	clustertest.Eventually(t, "a guide", func() (bool, string) {
 		for i = range f.Gateways {
-			var here controlplane.Here
+			var here controlplane.LocalStatus
 			if f.Stopped(i) || f.Call(i, "here", &here) != nil {
 				continue
 			}
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -204,7 +204,7 @@
 // guide is who guides roll-outs; -1: nobody says so.
 func (c *course) guide() int {
 	for i, g := range c.f.Gateways {
-		var h controlplane.Here
+		var h controlplane.LocalStatus
 		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil &&
 			h.Roles[configversion.Role] > 0 {
 			return i
@@ -303,7 +303,7 @@
 		}
 	}
 	behind := map[string]bool{}
-	for _, b := range v.Behind {
+	for _, b := range v.LaggingReplicas {
 		behind[b.Member.String()] = true
 	}
 	for who := range c.behind {
--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -204,7 +204,7 @@
 	return *d.Replica, nil
 }
 
-func (c *cluster) distribution(i int) (d controlplane.Distribution, err error) {
+func (c *cluster) distribution(i int) (d controlplane.DistributionStatus, err error) {
 	return d, c.Call(i, "distribution", &d)
 }
 
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -64,7 +64,7 @@
 ) (i int, h lease.Lease) {
 	t.Helper()
 	clustertest.Eventually(t, "an owner of "+duty, func() (bool, string) {
-		var here controlplane.Here
+		var here controlplane.LocalStatus
 		if i, h = owner(f, at, duty); i < 0 || h.Term <= but {
 			return false, fmt.Sprintf("%d %+v", i, h)
 		}
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -156,7 +156,7 @@
 // leader is which control process leads the log; -1: none says so.
 func (c *control) leader() int {
 	for i := range c.own {
-		var here controlplane.Here
+		var here controlplane.LocalStatus
 		if c.call(i, "here", &here) == nil && here.Leads {
 			return i
 		}
@@ -166,7 +166,7 @@
 
 // rolesHeld tells how many duties each control process holds.
 func (c *control) rolesHeld(i int) (held int) {
-	var here controlplane.Here
+	var here controlplane.LocalStatus
 	if c.call(i, "here", &here) == nil {
 		held = len(here.Roles)
 	}
--- a/internal/testing/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -64,7 +64,7 @@
 // request is one request of one unit.
 func (g *hollowGateway) request(id, tenant uint64) {
 	g.process.requests.Add(1)
-	allocations := g.node.Rights()
+	allocations := g.node.AllocationClient()
 	if allocations == nil {
 		g.node.Count(tenant, 1)
 		g.node.Sent(true, 1)
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -234,18 +234,18 @@
 	settings := controlplane.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
 		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
 		Candidates: c.Owners, LeaseConfig: lease.Config{TTL: leaseTTL, ClockDriftBound: clockMargin,
-			OfferTTL: leaseOffer}, Period: usePeriod, Silent: silenceTimeout,
+			OfferTTL: leaseOffer}, MeteringPeriod: usePeriod, SourceTimeout: silenceTimeout,
 		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
 	if c.Parts.Metering {
-		settings.Shards = 1
+		settings.ExportShards = 1
 	}
 	if c.Parts.List && c.Path == PathDelta {
-		settings.Direct = g.noDirect
+		settings.NewSource = g.noDirect
 	}
 	if c.Parts.Allocation {
 		r := allocation.DefaultConfig()
 		r.StartFull, r.ClockDrift = true, clockMargin
-		settings.Budgets, settings.BudgetShards = &r, c.Shards
+		settings.Allocation, settings.AllocationShards = &r, c.Shards
 	}
 	if c.Parts.Configuration {
 		r := configversion.DefaultConfig()
@@ -258,13 +258,13 @@
 	g.node = controlplane.Start(settings)
 	switch {
 	case c.Parts.List && c.Path == PathDelta:
-		go g.node.Register().Run(ctx, g.receive)
+		go g.node.EndpointSource().Run(ctx, g.receive)
 	case c.Parts.List:
 		go g.completeListSource(c.Voters, log).Run(ctx, g.receive)
 	}
 	g.tenants = tenantsOf(g.number, c.Gateways, c.Tenants)
 	if c.Parts.Allocation || c.Parts.Metering {
-		if u := g.node.Rights(); u != nil {
+		if u := g.node.AllocationClient(); u != nil {
 			u.OnReply(g.onDemandGranted)
 		}
 		go g.demand(ctx)
@@ -370,14 +370,14 @@
 
 func (g *hollowGateway) state() GatewayState {
 	mayOperate := true
-	if a := g.node.Permit(); a != nil {
+	if a := g.node.RolloutAgent(); a != nil {
 		until, _ := a.Current()
 		mayOperate = until > 0
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	stale := 0
-	if replica := g.node.Distribution().Replica; replica != nil {
+	if replica := g.node.DistributionStatus().Replica; replica != nil {
 		stale = int(replica.Counts.Divergences)
 	}
 	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current,
