--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -39,10 +39,11 @@
 }
 
 var (
-	mu          sync.Mutex // guards done of all faults
-	faults      []*fault
-	clock       = clockFaults{rate: 1}
-	deniedUntil = map[string]string{} // the file that denies an operation while it exists, by the operation's name
+	mu     sync.Mutex // guards done of all faults
+	faults []*fault
+	clock  = clockFaults{rate: 1}
+	// deniedUntil has, by the name of an operation, the file that denies it while it exists.
+	deniedUntil = map[string]string{}
 )
 
 func init() {
@@ -115,9 +116,9 @@
 	return err == nil
 }
 
-// signalThisThread delivers a signal before this goroutine does anything else. A signal to the process may go to any
-// of its threads, which a busy machine may schedule after this one has gone on; one to this thread is delivered when
-// the system call returns.
+// signalThisThread delivers a signal before this goroutine does anything else. A signal to the
+// process may go to any of its threads, which a busy machine may schedule after this one has gone
+// on; one to this thread is delivered when the system call returns.
 func signalThisThread(s syscall.Signal) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -126,8 +127,8 @@
 	}
 }
 
-// due reports whether the fault is to happen now. A file asks for a signal once, since it is removed; it asks for a
-// delay for as long as it exists.
+// due reports whether the fault is to happen now. A file asks for a signal once, since it is
+// removed; it asks for a delay for as long as it exists.
 func (f *fault) due() bool {
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -23,8 +23,8 @@
 	module = "mothcleat/"
 )
 
-// purePackages make decisions: they get time and randomness from their callers and do no I/O, so that the emulator
-// plays them as they are.
+// purePackages make decisions: they get time and randomness from their callers and do no I/O, so
+// that the emulator plays them as they are.
 var purePackages = []string{
 	"internal/controlplane/allocation",
 	"internal/controlplane/auditlog",
@@ -45,7 +45,14 @@
 }
 
 // impureImports are what a pure package must not import, with all below them.
-var impureImports = []string{"net", "os", "syscall", "golang.org/x/sys", "google.golang.org/grpc", "log"}
+var impureImports = []string{
+	"net",
+	"os",
+	"syscall",
+	"golang.org/x/sys",
+	"google.golang.org/grpc",
+	"log",
+}
 
 // ambientTime are the functions of package time that read a clock or wait.
 var ambientTime = []string{
@@ -64,6 +71,13 @@
 
 func (f *file) folder() string { return path.Dir(f.name) }
 
+// skippedFolders hold no sources of the module.
+var skippedFolders = []string{"testdata", ".git", "journal"}
+
+func isSource(name string) bool {
+	return strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go")
+}
+
 // sources returns all source files of the module that are no tests.
 func sources(t *testing.T) (all []*file) {
 	t.Helper()
@@ -71,9 +85,9 @@
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && (entry.Name() == "testdata" || entry.Name() == ".git" || entry.Name() == "journal"):
+		case entry.IsDir() && slices.Contains(skippedFolders, entry.Name()):
 			return filepath.SkipDir
-		case entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
+		case entry.IsDir() || !isSource(name):
 			return nil
 		}
 		relative, err := filepath.Rel(root, name)
@@ -109,7 +123,8 @@
 	return f, nil
 }
 
-// localName returns the name by which a file refers to a package of the standard library, or the alias it gives one.
+// localName returns the name by which a file refers to a package of the standard library, or the
+// alias it gives one.
 func localName(spec *ast.ImportSpec, imported string) string {
 	if spec.Name != nil {
 		return spec.Name.Name
@@ -168,7 +183,8 @@
 				calls = append(calls, "time."+name)
 			}
 		case "math/rand/v2":
-			isFunction := name != "Rand" && name != "Source" && name != "PCG" && name != "Zipf" && name != "ChaCha8"
+			isFunction := name != "Rand" && name != "Source" && name != "PCG" && name != "Zipf" &&
+				name != "ChaCha8"
 			if isFunction && !slices.Contains(seededRandom, name) {
 				calls = append(calls, "rand."+name)
 			}
@@ -182,22 +198,51 @@
 var mayNotImport = []struct {
 	from, to, reason string
 }{
-	{"internal/dataplane", "internal/controlplane", "the data plane runs without the control plane"},
+	{
+		"internal/dataplane",
+		"internal/controlplane",
+		"the data plane runs without the control plane",
+	},
 	{"internal/storage", "internal/dataplane", "storage knows nothing of what it stores"},
 	{"internal/storage", "internal/controlplane", "storage knows nothing of what it stores"},
-	{"internal/controlplane/lease", "internal/controlplane", "leases know nothing of what is leased"},
-	{"internal/controlplane/consensus", "internal/controlplane/allocation", "state machines register with the log"},
-	{"internal/controlplane/consensus", "internal/controlplane/configversion", "state machines register with the log"},
-	{"internal/controlplane/consensus", "internal/controlplane/distribution", "state machines register with the log"},
-	{"internal/controlplane/consensus", "internal/controlplane/usageexport", "state machines register with the log"},
-	{"internal/controlplane/consensus", "internal/controlplane/checkpoint", "state machines register with the log"},
+	{
+		"internal/controlplane/lease",
+		"internal/controlplane",
+		"leases know nothing of what is leased",
+	},
+	{
+		"internal/controlplane/consensus",
+		"internal/controlplane/allocation",
+		"state machines register with the log",
+	},
+	{
+		"internal/controlplane/consensus",
+		"internal/controlplane/configversion",
+		"state machines register with the log",
+	},
+	{
+		"internal/controlplane/consensus",
+		"internal/controlplane/distribution",
+		"state machines register with the log",
+	},
+	{
+		"internal/controlplane/consensus",
+		"internal/controlplane/usageexport",
+		"state machines register with the log",
+	},
+	{
+		"internal/controlplane/consensus",
+		"internal/controlplane/checkpoint",
+		"state machines register with the log",
+	},
 }
 
 func TestLayersImportOnlyDownwards(t *testing.T) {
 	for _, f := range sources(t) {
 		for _, imported := range f.imports {
 			for _, rule := range mayNotImport {
-				if below(f.folder(), rule.from) && below(imported, module+rule.to) && imported != module+f.folder() {
+				if below(f.folder(), rule.from) && below(imported, module+rule.to) &&
+					imported != module+f.folder() {
 					t.Errorf("%s imports %s: %s", f.name, imported, rule.reason)
 				}
 			}
@@ -212,14 +257,16 @@
 			continue
 		}
 		for _, imported := range f.imports {
-			if below(imported, module+"internal/testing") || below(imported, module+"sim") || imported == "testing" {
+			if below(imported, module+"internal/testing") || below(imported, module+"sim") ||
+				imported == "testing" {
 				t.Errorf("%s imports %s", f.name, imported)
 			}
 		}
 	}
 }
 
-// The platform judges the program by the files that the deploy file names: it has to name all of them.
+// The platform judges the program by the files that the deploy file names: it has to name all of
+// them.
 func TestDeployFileNamesAllSources(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
 	if err != nil {
@@ -242,7 +289,10 @@
 		t.Errorf("policy: %v, %v wanted", named, policyFiles)
 	}
 	for _, used := range dependencies(t, "cmd/mothcleat") {
-		inNode := slices.ContainsFunc(deploy.Node, func(folder string) bool { return below(used, folder) })
+		inNode := slices.ContainsFunc(
+			deploy.Node,
+			func(folder string) bool { return below(used, folder) },
+		)
 		if used != policy && !inNode {
 			t.Errorf("node: %s is missing", used)
 		}
--- a/internal/storage/mmapfile/mmapfile.go
+++ b/internal/storage/mmapfile/mmapfile.go
@@ -1,5 +1,6 @@
-// Package mmapfile maps files into memory, shared with the operating system. What a process writes there
-// outlives its death at any instruction, since the pages belong to the system. A power cut may lose it.
+// Package mmapfile maps files into memory, shared with the operating system. What a process writes
+// there outlives its death at any instruction, since the pages belong to the system. A power cut
+// may lose it.
 package mmapfile
 
 import (
@@ -11,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Open maps a file of the given size in bytes and creates it if it does not exist. A file of another
-// size is replaced by one of zeros; fresh reports that the file was created or replaced. Release the
-// memory with Close.
+// Open maps a file of the given size in bytes and creates it if it does not exist. A file of
+// another size is replaced by one of zeros; fresh reports that the file was created or replaced.
+// Release the memory with Close.
 func Open(path string, size int) (memory []byte, fresh bool, err error) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -37,7 +38,13 @@
 			return nil, false, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	if memory, err = unix.Mmap(int(f.Fd()), 0, size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED); err != nil {
+	if memory, err = unix.Mmap(
+		int(f.Fd()),
+		0,
+		size,
+		unix.PROT_READ|unix.PROT_WRITE,
+		unix.MAP_SHARED,
+	); err != nil {
 		return nil, false, fmt.Errorf("%s: %w", path, err)
 	}
 	return memory, fresh, nil
--- a/internal/testing/distributiontest/content_test.go
+++ b/internal/testing/distributiontest/content_test.go
@@ -19,8 +19,9 @@
 	smallLogChanges = 16
 )
 
-// Replicas that were away for longer than the voters keep changes, deltas and files that are damaged, and a slow reader:
-// each gets what differs, and nothing wrong comes into force. The cases follow one another on one cluster under traffic.
+// Replicas that were away for longer than the voters keep changes, deltas and files that are
+// damaged, and a slow reader: each gets what differs, and nothing wrong comes into force. The cases
+// follow one another on one cluster under traffic.
 func TestReplicasThatHaveToBeRepaired(t *testing.T) {
 	c := start(t, 5, smallLog)
 	c.addExtra(0, 200, "sala-1")
@@ -54,8 +55,8 @@
 // revision is the rig's own replica's.
 func (c *cluster) revision() uint64 { return c.observer.newest().Position().Revision }
 
-// compactedPastAReplica has more changes than the voters keep while a replica is down: it fetches exactly the buckets in
-// which its file differs from what is in force.
+// compactedPastAReplica has more changes than the voters keep while a replica is down: it fetches
+// exactly the buckets in which its file differs from what is in force.
 func compactedPastAReplica(c *cluster) {
 	gateway := voters
 	clustertest.Check(c.t, c.End(gateway, syscall.SIGTERM))
@@ -121,7 +122,12 @@
 		got += c.logged(i, "the content comes to digest") - refused[i]
 	}
 	if sent < len(c.Gateways) || got < len(c.Gateways) {
-		c.t.Errorf("%d damaged deltas were sent, %d were refused, of %d gateways", sent, got, len(c.Gateways))
+		c.t.Errorf(
+			"%d damaged deltas were sent, %d were refused, of %d gateways",
+			sent,
+			got,
+			len(c.Gateways),
+		)
 	}
 	server = c.drainOne()
 	c.settled()
@@ -151,14 +157,20 @@
 
 // stateFileLine is what is logged of a file that is refused, up to its name.
 func (c *cluster) stateFileLine() string {
-	return "the control state on disk is refused, and taken anew\" gateway=" + testcluster.Name(voters) + " error=\"fleet/distribution/state: "
+	return "the control state on disk is refused, and taken anew\" gateway=" + testcluster.Name(
+		voters,
+	) + " error=\"fleet/distribution/state: "
 }
 
-// slowReader has one gateway get 1 KB/s from each voter amid many changes. The others get all of them before it does.
+// slowReader has one gateway get 1 KB/s from each voter amid many changes. The others get all of
+// them before it does.
 func slowReader(c *cluster) {
 	gateway := voters
 	for v := range voters {
-		c.Links[gateway][v].Set(faultproxy.Downstream, faultproxy.Conditions{BytesPerSecond: 1 << 10})
+		c.Links[gateway][v].Set(
+			faultproxy.Downstream,
+			faultproxy.Conditions{BytesPerSecond: 1 << 10},
+		)
 	}
 	c.addExtra(0, 200, "sala-3")
 	c.addExtra(0, 100, "sala-4")
--- a/internal/testing/distributiontest/herd_test.go
+++ b/internal/testing/distributiontest/herd_test.go
@@ -12,8 +12,8 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-// Much at once: a rack's servers gone, all gateways started, a part of the fleet that comes back. The cases follow one
-// another on one cluster under traffic.
+// Much at once: a rack's servers gone, all gateways started, a part of the fleet that comes back.
+// The cases follow one another on one cluster under traffic.
 func TestMuchAtOnce(t *testing.T) {
 	c := start(t, 6, "")
 	stop := c.traffic()
@@ -50,7 +50,8 @@
 	}
 }
 
-// partCutOff cuts a voter and two other gateways off from the rest while something changes, and heals that.
+// partCutOff cuts a voter and two other gateways off from the rest while something changes, and
+// heals that.
 func partCutOff(c *cluster) {
 	apart := []int{c.preferred(voters), voters, voters + 1}
 	held := c.Held()
@@ -60,7 +61,11 @@
 	c.settled(apart...)
 	c.inForce(server, apart...)
 	for _, i := range apart {
-		c.logs(i, "this gateway watches the register itself", c.logged(i, "the list of servers is heard again"))
+		c.logs(
+			i,
+			"this gateway watches the register itself",
+			c.logged(i, "the list of servers is heard again"),
+		)
 	}
 	c.addExtra(0, 10, "sala-2")
 	c.settled(apart...)
@@ -82,7 +87,8 @@
 	}
 }
 
-// allFromDisk ends all gateways, changes something, and starts them at once: none of them takes the state anew.
+// allFromDisk ends all gateways, changes something, and starts them at once: none of them takes the
+// state anew.
 func allFromDisk(c *cluster) {
 	c.endAll()
 	c.addExtra(0, 5, "sala-3")
--- a/internal/testing/distributiontest/process_test.go
+++ b/internal/testing/distributiontest/process_test.go
@@ -9,9 +9,9 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-// Voters that are killed, stopped, cut off one way or replaced as the leader while something changes, and one whose folder
-// is an older one: the gateways have each change from the others, and all have the same at the end. The cases follow one
-// another on one cluster under traffic.
+// Voters that are killed, stopped, cut off one way or replaced as the leader while something
+// changes, and one whose folder is an older one: the gateways have each change from the others, and
+// all have the same at the end. The cases follow one another on one cluster under traffic.
 func TestControlProcessesFail(t *testing.T) {
 	c := start(t, 5, "")
 	stop := c.traffic()
@@ -39,7 +39,11 @@
 	c.Gateways[voter].Expect(syscall.SIGKILL)
 	c.ask(voter, killAtDelta, true)
 	server := c.drainOne()
-	clustertest.Eventually(c.t, testcluster.Name(voter)+" is killed", func() (bool, string) { return !c.Gateways[voter].Running(), "" })
+	clustertest.Eventually(
+		c.t,
+		testcluster.Name(voter)+" is killed",
+		func() (bool, string) { return !c.Gateways[voter].Running(), "" },
+	)
 	c.settled(voter)
 	c.inForce(server, voter)
 	clustertest.Check(c.t, c.Begin(voter))
@@ -60,7 +64,11 @@
 	c.settled(voter)
 	c.inForce(server, voter)
 	if now := c.server(gateway); now == voter {
-		c.t.Errorf("%s still watches %s, which is stopped", testcluster.Name(gateway), testcluster.Name(voter))
+		c.t.Errorf(
+			"%s still watches %s, which is stopped",
+			testcluster.Name(gateway),
+			testcluster.Name(voter),
+		)
 	}
 	testcluster.Pass(c.t.Context(), time.Until(began.Add(stopLength)))
 	if !c.Stopped(voter) {
@@ -106,7 +114,8 @@
 	c.settled()
 }
 
-// restoredFromAnOlderFolder puts an older folder in the place of a voter's, which so has less than its replicas.
+// restoredFromAnOlderFolder puts an older folder in the place of a voter's, which so has less than
+// its replicas.
 func restoredFromAnOlderFolder(c *cluster) {
 	gateway := voters // the first that is no voter
 	voter := c.preferred(gateway)
--- a/internal/testing/faultfs/crash.go
+++ b/internal/testing/faultfs/crash.go
@@ -9,7 +9,8 @@
 	Kept = -1
 )
 
-// Pending returns the indices of those among the first n operations that a crash after them may undo.
+// Pending returns the indices of those among the first n operations that a crash after them may
+// undo.
 func (f *FS) Pending(n int) (pending []int) {
 	lastDirSync, lastFileSync := f.lastSyncs(n)
 	for i, op := range f.ops[:n] {
@@ -45,8 +46,8 @@
 	return dir, files
 }
 
-// After returns the folder that a crash after the first n operations leaves. fate returns what becomes
-// of the pending operation with an index.
+// After returns the folder that a crash after the first n operations leaves. fate returns what
+// becomes of the pending operation with an index.
 func (f *FS) After(n int, fate func(i int) int) *FS {
 	crashed := f.recordedFrom.copy()
 	for id, data := range f.recordedFrom.files {
@@ -69,8 +70,8 @@
 	return crashed
 }
 
-// replay carries out a recorded operation. Of a write it carries out only the first kept bytes, where
-// kept is positive.
+// replay carries out a recorded operation. Of a write it carries out only the first kept bytes,
+// where kept is positive.
 func (f *FS) replay(op *Op, kept int) {
 	switch op.Kind {
 	case Write:
--- a/internal/testing/faultfs/faultfs.go
+++ b/internal/testing/faultfs/faultfs.go
@@ -1,10 +1,10 @@
-// Package faultfs is an in-memory file system for a store. It records all operations and can produce every state that
-// a crash might have left.
+// Package faultfs is an in-memory file system for a store. It records all operations and can
+// produce every state that a crash might have left.
 //
-// The model: data written to a file before its last sync survives a crash. Each later write or truncation survives, is
-// lost or, for a write, survives in part, independently of the others. The same holds for names: creations, renames
-// and removals are durable once the directory was synced, whatever was synced in the files. A real file system may
-// promise more.
+// The model: data written to a file before its last sync survives a crash. Each later write or
+// truncation survives, is lost or, for a write, survives in part, independently of the others. The
+// same holds for names: creations, renames and removals are durable once the directory was synced,
+// whatever was synced in the files. A real file system may promise more.
 package faultfs
 
 import (
@@ -49,8 +49,8 @@
 
 // FS is the file system. Its methods may be called concurrently.
 type FS struct {
-	// Fail, if set, is called before each operation; an error that it returns is returned in place of the operation.
-	// For a write it also returns how many bytes are written nevertheless.
+	// Fail, if set, is called before each operation; an error that it returns is returned in place
+	// of the operation. For a write it also returns how many bytes are written nevertheless.
 	Fail func(op *Op) (written int, err error)
 
 	mu           sync.Mutex
@@ -143,7 +143,8 @@
 	f.files[id] = b[:size:size]
 }
 
-// record calls Fail, records the operation, and returns how many bytes of a write are to be written.
+// record calls Fail, records the operation, and returns how many bytes of a write are to be
+// written.
 func (f *FS) record(op Op) (int, error) {
 	n := len(op.data)
 	if f.Fail != nil {
@@ -236,7 +237,8 @@
 	return err
 }
 
-// Lock takes the lock of the directory, of which there is one. The error is store.ErrLocked if it is held.
+// Lock takes the lock of the directory, of which there is one. The error is store.ErrLocked if it
+// is held.
 func (f *FS) Lock(bool) (func() error, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -279,7 +281,9 @@
 	if !f.writable {
 		return 0, fmt.Errorf("%s: %w", f.name, fs.ErrPermission)
 	}
-	n, err := f.fs.record(Op{Kind: Write, Name: f.name, fileID: f.id, offset: at, data: slices.Clone(p)})
+	n, err := f.fs.record(
+		Op{Kind: Write, Name: f.name, fileID: f.id, offset: at, data: slices.Clone(p)},
+	)
 	f.fs.write(f.id, at, p[:n])
 	return n, err
 }
@@ -287,7 +291,9 @@
 func (f *file) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.record(Op{Kind: Truncate, Name: f.name, fileID: f.id, offset: size}); err != nil {
+	if _, err := f.fs.record(
+		Op{Kind: Truncate, Name: f.name, fileID: f.id, offset: size},
+	); err != nil {
 		return err
 	}
 	f.fs.truncate(f.id, size)
--- a/internal/testing/faultproxy/faultproxy.go
+++ b/internal/testing/faultproxy/faultproxy.go
@@ -1,8 +1,9 @@
-// Package faultproxy is a TCP proxy on loopback that tests put between processes to inject faults into the link:
-// each direction can be cut, delayed or slowed by itself, and connections can be reset or left half open.
+// Package faultproxy is a TCP proxy on loopback that tests put between processes to inject faults
+// into the link: each direction can be cut, delayed or slowed by itself, and connections can be
+// reset or left half open.
 //
-// A cut link gives no error: bytes that are sent wait, as with a network that drops every packet, and arrive once
-// the link is no longer cut.
+// A cut link gives no error: bytes that are sent wait, as with a network that drops every packet,
+// and arrive once the link is no longer cut.
 package faultproxy
 
 import (
@@ -50,13 +51,19 @@
 
 const chunkBytes = 16 << 10
 
-// New returns a proxy that listens at one address and connects to the target. The seed is that of the jitter.
+// New returns a proxy that listens at one address and connects to the target. The seed is that of
+// the jitter.
 func New(listen, target string, seed uint64) (*Link, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, target: target, changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 0x11))}
+	k := &Link{
+		listener: l,
+		target:   target,
+		changed:  make(chan struct{}),
+		random:   rand.New(rand.NewPCG(seed, 0x11)),
+	}
 	k.connections = map[*connectionPair]bool{}
 	go k.accept()
 	return k, nil
@@ -90,8 +97,8 @@
 	}
 }
 
-// HalfOpen resets all connections on the side of the target alone: the process that connected is not notified, and
-// what it sends is lost.
+// HalfOpen resets all connections on the side of the target alone: the process that connected is
+// not notified, and what it sends is lost.
 func (k *Link) HalfOpen() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -107,8 +114,8 @@
 	_ = c.Close()
 }
 
-// Forwarded returns how many bytes were forwarded, and how many reads had to wait for a cut to end: a test sees by
-// them whether its faults had any effect.
+// Forwarded returns how many bytes were forwarded, and how many reads had to wait for a cut to end:
+// a test sees by them whether its faults had any effect.
 func (k *Link) Forwarded(d Direction) (bytes int64, held int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -141,8 +148,8 @@
 	}
 }
 
-// join connects an accepted connection to the target. While a direction is cut no connection can be made, as no
-// handshake would be answered.
+// join connects an accepted connection to the target. While a direction is cut no connection can be
+// made, as no handshake would be answered.
 func (k *Link) join(client net.Conn) {
 	if !k.waitWhileCut(Upstream) || !k.waitWhileCut(Downstream) {
 		_ = client.Close()
@@ -174,7 +181,8 @@
 	k.mu.Unlock()
 }
 
-// waitWhileCut waits until a direction is not cut. It returns false if the proxy was closed meanwhile.
+// waitWhileCut waits until a direction is not cut. It returns false if the proxy was closed
+// meanwhile.
 func (k *Link) waitWhileCut(d Direction) bool {
 	for first := true; ; first = false {
 		k.mu.Lock()
--- a/internal/testing/faultproxy/faultproxy_test.go
+++ b/internal/testing/faultproxy/faultproxy_test.go
@@ -116,7 +116,14 @@
 
 func TestDelayAndTrickle(t *testing.T) {
 	k, c := link(t)
-	k.Set(Upstream, Conditions{Delay: 50 * time.Millisecond, Jitter: 10 * time.Millisecond, BytesPerSecond: 200})
+	k.Set(
+		Upstream,
+		Conditions{
+			Delay:          50 * time.Millisecond,
+			Jitter:         10 * time.Millisecond,
+			BytesPerSecond: 200,
+		},
+	)
 	began := time.Now()
 	send(t, c, "0123456789012345678901234567890123456789")
 	receive(t, c, "0123456789012345678901234567890123456789")
--- a/internal/testing/mutants/mutants.go
+++ b/internal/testing/mutants/mutants.go
@@ -46,7 +46,8 @@
 	File string `toml:"file"`
 	Old  string `toml:"old"` // stands once in the file
 	New  string `toml:"new"`
-	// Test is a package whose tests find it, where no play can: the fault shows only beside one that the rest rules out.
+	// Test is a package whose tests find it, where no play can: the fault shows only beside one
+	// that the rest rules out.
 	Test string `toml:"test"`
 }
 
@@ -79,7 +80,9 @@
 	var f struct {
 		Mutant []Mutant `toml:"mutant"`
 	}
-	if err := toml.NewDecoder(bytes.NewReader(list)).DisallowUnknownFields().Decode(&f); err != nil {
+	if err := toml.NewDecoder(bytes.NewReader(list)).
+		DisallowUnknownFields().
+		Decode(&f); err != nil {
 		return nil, fmt.Errorf("mutants: %w", err)
 	}
 	return f.Mutant, nil
@@ -144,15 +147,25 @@
 		return "", err
 	}
 	file, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
-	raw, err := json.Marshal(map[string]any{"Replace": map[string]string{filepath.Join(root, m.File): file}})
+	raw, err := json.Marshal(
+		map[string]any{"Replace": map[string]string{filepath.Join(root, m.File): file}},
+	)
 	if err != nil {
 		return "", err
 	}
 	return overlay, errors.Join(os.WriteFile(file, text, 0o600), os.WriteFile(overlay, raw, 0o600))
 }
 
-// Run builds the mutants and searches each, over at most so many schedules, by a command of the lab.
-func Run(ctx context.Context, search string, all []Mutant, seed uint64, schedules int, progress io.Writer) ([]Result, error) {
+// Run builds the mutants and searches each, over at most so many schedules, by a command of the
+// lab.
+func Run(
+	ctx context.Context,
+	search string,
+	all []Mutant,
+	seed uint64,
+	schedules int,
+	progress io.Writer,
+) ([]Result, error) {
 	root, err := Root(ctx)
 	if err != nil {
 		return nil, err
@@ -168,7 +181,13 @@
 			defer func() { <-room }()
 			results[i], errs[i] = all[i].run(ctx, root, search, seed, schedules)
 			if errs[i] == nil {
-				fmt.Fprintf(progress, "mutant %-40s found %t after %d schedules\n", all[i].Name, results[i].Found, results[i].After)
+				fmt.Fprintf(
+					progress,
+					"mutant %-40s found %t after %d schedules\n",
+					all[i].Name,
+					results[i].Found,
+					results[i].After,
+				)
 			}
 		}()
 	}
@@ -176,7 +195,12 @@
 	return results, errors.Join(errs...)
 }
 
-func (m *Mutant) run(ctx context.Context, root, search string, seed uint64, schedules int) (Result, error) {
+func (m *Mutant) run(
+	ctx context.Context,
+	root, search string,
+	seed uint64,
+	schedules int,
+) (Result, error) {
 	r := Result{Name: m.Name}
 	dir, err := os.MkdirTemp("", "mothcleat-mutant-")
 	if err != nil {
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -53,8 +53,8 @@
 		ClockDriftBound: clockMargin,
 		OfferTTL:        leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: discardLog})
-	watch := &endpointwatch.Watch{Client: w.client, Silent: silenceTimeout, Log: discardLog,
-		Direct: func() (registry.Source, error) {
+	watch := &endpointwatch.Source{Client: w.client, SilenceTimeout: silenceTimeout, Log: discardLog,
+		NewDirect: func() (registry.Source, error) {
 			return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName,
 				Wait: registerWait,
 				Membership: membership.Settings{EmptyListHold: registerHold.Microseconds(),
@@ -89,11 +89,11 @@
 	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
 		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
-	return &endpointwatch.Watch{
-		Client: client,
-		Silent: silenceTimeout,
-		Log:    log,
-		Direct: g.noDirect,
+	return &endpointwatch.Source{
+		Client:         client,
+		SilenceTimeout: silenceTimeout,
+		Log:            log,
+		NewDirect:      g.noDirect,
 	}
 }
 
--- a/internal/testing/testcluster/clustertest/rigtest.go
+++ b/internal/testing/testcluster/clustertest/rigtest.go
@@ -8,7 +8,8 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// Fleet starts a fleet for a test, beside others, and ends it with the test. What the gateways logged last is told if the test fails.
+// Fleet starts a fleet for a test, beside others, and ends it with the test. What the gateways
+// logged last is told if the test fails.
 func Fleet(t *testing.T, o testcluster.Options) *testcluster.Fleet {
 	t.Helper()
 	t.Parallel() // the tests mostly wait
@@ -28,7 +29,8 @@
 	return f
 }
 
-// Eventually waits for something, with a generous deadline. What is told with a no is told if it never comes.
+// Eventually waits for something, with a generous deadline. What is told with a no is told if it
+// never comes.
 func Eventually(t *testing.T, what string, is func() (bool, string)) {
 	t.Helper()
 	last := ""
--- a/internal/testing/testcluster/harm.go
+++ b/internal/testing/testcluster/harm.go
@@ -17,12 +17,16 @@
 // Harm does things to a fleet's processes and links, by a seed, and counts what was done. The
 // voters keep their majority. Its methods may be called concurrently.
 type Harm struct {
-	Fleet    *Fleet
-	Seed     uint64
-	Voters   int                                               // the first so many
-	Likely   func(*rand.Rand) int                              // whom it is to befall every third time, such as an owner; below 0, or nil: anybody
-	Stops    time.Duration                                     // at most so long
-	Killed   func(ctx context.Context, i int, again time.Time) // called while a killed gateway is down; nil: nothing is done
+	Fleet  *Fleet
+	Seed   uint64
+	Voters int // the first so many gateways
+	// Likely, if set, returns the gateway that every third fault strikes, such as a leader. Below 0
+	// means any.
+	Likely func(*rand.Rand) int
+	// Stops is the longest time for which a process is suspended.
+	Stops time.Duration
+	// Killed, if set, is called while a killed gateway is down, until restartAt.
+	Killed   func(ctx context.Context, i int, restartAt time.Time)
 	Progress io.Writer
 
 	mu   sync.Mutex
--- a/internal/testing/testcluster/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -38,7 +38,7 @@
 	Load      float64
 	Servers   int                // 0: ten
 	Bin       string             // built with the tag faults; "": it is built
-	Consul    bool               // the register is Consul, with an agent for each gateway, which one gateway watches for all
+	Consul    bool               // the register is Consul, which one gateway watches for all
 	Fleet     string             // further lines of [fleet]
 	Operators string             // further tables
 	Env       func(i int) string // a variable more for each gateway; nil: none
@@ -216,7 +216,8 @@
 		more += "\nwatch = true"
 	}
 	return fmt.Sprintf(
-		"[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\nvoters = [%s]\naddresses = { %s }\nexports = %q\nperiod = \"1s\"\n%s\n%s",
+		"[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\nvoters = [%s]\n"+
+			"addresses = { %s }\nexports = %q\nperiod = \"1s\"\n%s\n%s",
 		FleetName,
 		f.Own[i],
 		strings.Join(voters, ", "),
--- a/sim/parallel/plays.go
+++ b/sim/parallel/plays.go
@@ -7,9 +7,15 @@
 	"sync"
 )
 
-// Until plays number after number from 0 on, on all cores, until so many were played, one was found, or the context ends. play tells what
-// came of one; took is given it, one at a time, and tells whether the search is over.
-func Until[R any](ctx context.Context, most int, play func(n int) R, took func(n int, r R) (over bool)) {
+// Until plays number after number from 0 on, on all cores, until so many were played, one was
+// found, or the context ends. play tells what came of one; took is given it, one at a time, and
+// tells whether the search is over.
+func Until[R any](
+	ctx context.Context,
+	most int,
+	play func(n int) R,
+	took func(n int, r R) (over bool),
+) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, over := 0, false
