--- a/internal/dataplane/authz/api.go
+++ b/internal/dataplane/authz/api.go
@@ -1,49 +1,45 @@
-// Package authz decides, for one gateway, whether a request may go on: it says
-// when an authenticator is to be asked, who waits for its verdict and for how
-// long, what a verdict is worth later, and when a dead authenticator is left in
-// peace. It does no I/O: the host owns the clock, the sockets and the random
-// numbers.
+// Package authz decides, for one gateway, whether a request may go on: when an authenticator is
+// asked, which requests wait for its verdict and for how long, how long a verdict is cached, and
+// when a failing authenticator is not called. It does no I/O: the caller owns the clock, the
+// sockets and the random numbers.
 //
-// Promises, given that times never go back and that the host delivers exactly one
-// Answered for each Call:
+// Guarantees, given that times never go back and that the caller calls HandleAnswer exactly once
+// for each Call:
 //
-//   - A request gets one verdict: from Request itself, or later by Decide, unless
-//     Gone was called first.
-//   - That verdict comes by the request's budget at the latest, if the host calls Timer
-//     when asked to.
-//   - Equal questions share one call; no more than MostOut calls are out.
-//   - An answer that comes when nobody waits any more only fills the cache.
-//
-// A Gate is for one goroutine at a time.
+//   - A request gets one verdict: from Request itself, or later by Decide, unless Cancel was called
+//     first.
+//   - That verdict comes within the request's wait, if the caller calls Timer when asked to.
+//   - Equal questions share one call; no more than MaxCalls calls are outstanding.
+//   - An answer for which nobody waits any more only fills the cache.
 package authz
 
 import "errors"
 
-// Time is a moment or a length of time in microseconds.
+// Time is a moment or a duration in microseconds.
 type Time = int64
 
-// Key stands for a question: a digest of all that the authenticator is told that
-// its verdict may depend on. Equal keys are equal questions.
+// Key stands for a question: a digest of all that the verdict may depend on. Equal keys are equal
+// questions.
 type Key [16]byte
 
 // Verdict is what becomes of a request.
 type Verdict uint8
 
-// The verdicts. Wait is none yet: Decide brings it. Later and Unknown may be
-// answered with a refusal: nothing ran.
+// The verdicts. Pending is none yet: Decide brings it. With RetryLater and Unknown nothing was
+// executed, so the request may be rejected.
 const (
-	Pending    Verdict = iota
-	Allow              // it may go on
-	Deny               // the authenticator said no
-	RetryLater         // the authenticator said: come back later
-	Unknown            // no verdict could be had, and the class does not pass without one
+	Pending Verdict = iota
+	Allow
+	Deny
+	RetryLater // the authenticator said so
+	Unknown    // there is no verdict, and the class does not fail open
 )
 
-// Answer is how a call ended. Verdict is Pass, Deny, Later or Unknown.
+// Answer is how a call ended. Verdict is Allow, Deny, RetryLater or Unknown.
 type Answer struct {
 	Verdict    Verdict
-	MaxAge     Time // how long the answer may be kept; below 0: not told
-	RetryAfter Time // with Later: when to come back
+	MaxAge     Time // how long it may be cached; below 0: it does not say
+	RetryAfter Time // with RetryLater
 }
 
 // Question is a request that waits to go on.
@@ -56,46 +52,65 @@
 
 // Actions is what a Gate has done. Calls take effect in order.
 type Actions interface {
-	// Call asks the authenticator. Call numbers are never used again.
+	// Call asks the authenticator. Call numbers are never reused.
 	Call(call uint64, key Key)
-	// Decide gives a request that waits its one verdict; after tells when to come back.
-	Decide(id uint64, v Verdict, after Time)
-	// SetTimer asks for a Timer call at the time; a later call moves it.
+	// Decide gives a waiting request its one verdict; retryAfter is for RetryLater.
+	Decide(id uint64, v Verdict, retryAfter Time)
+	// SetTimer asks for a Timer call at a time; a later SetTimer replaces it.
 	SetTimer(at Time)
 }
 
 // Settings say how a Gate decides. Times are in microseconds.
 type Settings struct {
-	Classes  []bool // by class: whether it is asked about
-	Plans    []bool // by plan: the same; both must hold
-	FailOpen []bool // by class: whether it passes when no verdict can be had
+	Classes  []bool // by class: whether the authenticator is asked
+	Plans    []bool // the same by plan; both must hold
+	FailOpen []bool // by class: whether requests go on without a verdict
 
-	MaxWait     Time // the longest that a request waits, and never more than a quarter of its grace
-	AllowTTL    Time // how long an allowance is kept where it tells nothing,
-	MaxAllowTTL Time // and at most
-	MaxDenyTTL  Time // how long a denial is kept at most
-	StaleTTL    Time // how long an allowance that has run out may serve while it is asked again
+	MaxWait     Time // of a request, and never more than a quarter of its timeout
+	AllowTTL    Time // how long an allowance without a max-age is cached
+	MaxAllowTTL Time
+	MaxDenyTTL  Time
+	StaleTTL    Time // how long an expired allowance may serve while it is revalidated
 
-	MaxCalls   int // calls out at once
+	MaxCalls   int // outstanding at once
 	MaxWaiting int // requests that wait at once
-	MaxCached  int // answers kept
+	MaxCached  int // answers
 
-	BreakerFailures int  // failures in a row that open the breaker
-	BreakerMinOpen  Time // how long it stays open at first,
-	BreakerMaxOpen  Time // and at most: each failed trial doubles it
+	BreakerFailures int  // in a row, that open the circuit breaker
+	BreakerMinOpen  Time // how long it stays open at first
+	BreakerMaxOpen  Time // each failed probe doubles the time up to this
 }
 
-// check tells what can't be served.
+// Errors of settings.
+var (
+	ErrClasses = errors.New("authz: as many classes to ask about as to pass wanted")
+	ErrLimits  = errors.New("authz: budget and limits above 0 wanted")
+	ErrTimes   = errors.New("authz: times of 0 and more wanted")
+	ErrBreaker = errors.New("authz: an opening above 0 and no longer than the longest wanted")
+)
+
+// check returns why settings can't be used; nil if they can.
 func (s *Settings) check() error {
+	limits := []int{s.MaxCalls, s.MaxWaiting, s.MaxCached, s.BreakerFailures}
+	ttls := []Time{s.AllowTTL, s.MaxAllowTTL, s.MaxDenyTTL, s.StaleTTL}
 	switch {
 	case len(s.Classes) != len(s.FailOpen):
-		return errors.New("authz: as many classes to ask about as to pass wanted")
-	case s.MaxWait <= 0 || s.MaxCalls <= 0 || s.MaxWaiting <= 0 || s.MaxCached <= 0 || s.BreakerFailures <= 0:
-		return errors.New("authz: budget and limits above 0 wanted")
-	case s.AllowTTL < 0 || s.MaxAllowTTL < 0 || s.MaxDenyTTL < 0 || s.StaleTTL < 0:
-		return errors.New("authz: times of 0 and more wanted")
+		return ErrClasses
+	case s.MaxWait <= 0 || anyBelow(limits, 1):
+		return ErrLimits
+	case anyBelow(ttls, 0):
+		return ErrTimes
 	case s.BreakerMinOpen <= 0 || s.BreakerMaxOpen < s.BreakerMinOpen:
-		return errors.New("authz: an opening above 0 and no longer than the longest wanted")
+		return ErrBreaker
 	}
 	return nil
 }
+
+func anyBelow[T int | int64](values []T, limit T) bool {
+	for _, v := range values {
+		if v < limit {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/dataplane/authz/authz.go
+++ b/internal/dataplane/authz/authz.go
@@ -5,24 +5,15 @@
 	"math/rand/v2"
 )
 
-// maxWaitDivisor is the part of its client's time that a request may wait.
+// maxWaitDivisor: a request waits for at most this fraction of its client's timeout.
 const maxWaitDivisor = 4
 
-// entry is what is known of a key. It stands in the cache, in the order of last use.
-type entry struct {
-	key        Key
-	verdict    Verdict
-	expires    Time // it holds
-	staleUntil Time // an allowance may serve until then, while it is asked again
-	prev, next *entry
-}
-
-// call is a question that is out.
+// call is an outstanding call.
 type call struct {
 	number   uint64
 	key      Key
-	probe    bool // the one that finds out whether the authenticator is back
-	outdated bool // asked of another authenticator: its answer is not kept
+	probe    bool // it finds out whether the authenticator is back
+	outdated bool // it went to an earlier authenticator: its answer is not cached
 	waiting  []*waiter
 }
 
@@ -32,103 +23,94 @@
 	class    int
 	deadline Time
 	call     *call
-	index    int // in the heap; -1: it has its verdict
+	index    int // in the heap; -1: it waits no more
 }
 
-// Gate decides for one gateway.
+// Gate decides for one gateway. It is not safe for concurrent use.
 type Gate struct {
 	settings Settings
 	actions  Actions
-	rand     *rand.Rand
 	now      Time
 
-	cache    map[Key]*entry
-	lru      entry // head of the ring of entries, the one used last behind it
+	cache    *cache
+	breaker  breaker
 	calls    map[uint64]*call
-	byKey    map[Key]*call
+	byKey    map[Key]*call // those that are not outdated
 	lastCall uint64
 
-	waiters    map[uint64]*waiter
+	waiters    map[uint64]*waiter // by request
 	byDeadline deadlineHeap
 	timer      Time // 0: none is set
-
-	failures     int
-	breakerOpen  Time // 0: the breaker is closed
-	breakerUntil Time
-	probing      bool // a trial is out
 }
 
-// New makes a gate that knows nothing but its settings.
-func New(set Settings, seed uint64, do Actions) (*Gate, error) {
-	if err := set.check(); err != nil {
+// New makes a gate with an empty cache. It returns an error for settings that can't be used.
+func New(settings Settings, seed uint64, actions Actions) (*Gate, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	g := &Gate{settings: set, actions: do, rand: rand.New(rand.NewPCG(seed, seed>>32)),
-		cache: map[Key]*entry{}, calls: map[uint64]*call{}, byKey: map[Key]*call{}, waiters: map[uint64]*waiter{}}
-	g.lru.prev, g.lru.next = &g.lru, &g.lru
-	return g, nil
+	return &Gate{
+		settings: settings,
+		actions:  actions,
+		cache:    newCache(),
+		breaker:  breaker{rand: rand.New(rand.NewPCG(seed, seed>>32))},
+		calls:    map[uint64]*call{},
+		byKey:    map[Key]*call{},
+		waiters:  map[uint64]*waiter{},
+	}, nil
 }
 
-// Update takes in new settings. Elsewhere: the authenticator is another one; what
-// the old one said holds for those who wait for it, and for nobody after.
-func (g *Gate) Update(now Time, set Settings, elsewhere bool) error {
-	if err := set.check(); err != nil {
+// Update applies new settings. moved: the authenticator is another one; answers of the old one
+// count only for requests that already wait for them. It returns an error, and changes nothing, for
+// settings that can't be used.
+func (g *Gate) Update(now Time, settings Settings, moved bool) error {
+	if err := settings.check(); err != nil {
 		return err
 	}
 	g.now = max(g.now, now)
-	g.settings = set
-	if elsewhere {
-		clear(g.cache)
-		g.lru.prev, g.lru.next = &g.lru, &g.lru
+	g.settings = settings
+	if moved {
+		g.cache.clear()
 		for _, c := range g.calls {
 			c.outdated = true
 		}
 		clear(g.byKey)
-		g.failures, g.breakerOpen, g.probing = 0, 0, false
-	}
-	for len(g.cache) > g.settings.MaxCached {
-		g.evict(g.lru.prev)
+		g.breaker.close()
 	}
+	g.cache.shrink(g.settings.MaxCached)
 	return nil
 }
 
-// applies tells whether a question is to be asked at all.
+// applies reports whether the authenticator is asked about a request at all.
 func (g *Gate) applies(q *Question) bool {
-	return q.Class >= 0 && q.Class < len(g.settings.Classes) && g.settings.Classes[q.Class] &&
-		q.Plan >= 0 && q.Plan < len(g.settings.Plans) && g.settings.Plans[q.Plan]
+	s := &g.settings
+	if q.Class < 0 || q.Class >= len(s.Classes) || q.Plan < 0 || q.Plan >= len(s.Plans) {
+		return false
+	}
+	return s.Classes[q.Class] && s.Plans[q.Plan]
 }
 
-// Request decides on a request: at once, or with Wait by Decide later. After
-// tells, with Later, when to come back.
-func (g *Gate) Request(now Time, q Question) (v Verdict, after Time) {
+// Request decides on a request: at once, or with Pending by Decide later. retryAfter is for
+// RetryLater.
+func (g *Gate) Request(now Time, q Question) (v Verdict, retryAfter Time) {
 	g.now = max(g.now, now)
 	if !g.applies(&q) {
 		return Allow, 0
 	}
-	e := g.cache[q.Key]
-	if e != nil {
-		g.touch(e)
-		switch {
-		case g.now < e.expires:
-			return e.verdict, g.retryAfter(e)
-		case e.verdict == Allow && g.now < e.staleUntil:
-			if g.byKey[q.Key] == nil {
-				g.startCall(q.Key) // if it can be asked; the old word serves in any case
-			}
-			return Allow, 0
-		}
+	if v, retryAfter, ok := g.cached(q.Key); ok {
+		return v, retryAfter
 	}
-	until := g.now + min(g.settings.MaxWait, q.Timeout/maxWaitDivisor)
-	if until <= g.now || len(g.waiters) >= g.settings.MaxWaiting {
+	deadline := g.now + min(g.settings.MaxWait, q.Timeout/maxWaitDivisor)
+	if deadline <= g.now || len(g.waiters) >= g.settings.MaxWaiting {
 		return g.undecided(q.Class), 0
 	}
 	c := g.byKey[q.Key]
 	if c == nil {
-		if c = g.startCall(q.Key); c == nil {
-			return g.undecided(q.Class), 0
-		}
+		c = g.startCall(q.Key)
 	}
-	w := &waiter{id: q.ID, class: q.Class, deadline: until, call: c}
+	if c == nil {
+		return g.undecided(q.Class), 0
+	}
+	w := &waiter{id: q.ID, class: q.Class, deadline: deadline, call: c}
 	c.waiting = append(c.waiting, w)
 	g.waiters[q.ID] = w
 	heap.Push(&g.byDeadline, w)
@@ -136,15 +118,29 @@
 	return Pending, 0
 }
 
-// retryAfter is when to come back, of an answer that says so.
-func (g *Gate) retryAfter(e *entry) Time {
-	if e.verdict == RetryLater {
-		return e.expires - g.now
+// cached returns the verdict that the cache has; ok is false if it has none. A stale allowance
+// serves while it is revalidated, whether or not a call can be made for that.
+func (g *Gate) cached(key Key) (v Verdict, retryAfter Time, ok bool) {
+	e := g.cache.get(key)
+	if e == nil {
+		return 0, 0, false
 	}
-	return 0
+	if g.now < e.expires {
+		if e.verdict == RetryLater {
+			retryAfter = e.expires - g.now
+		}
+		return e.verdict, retryAfter, true
+	}
+	if e.verdict == Allow && g.now < e.staleUntil {
+		if g.byKey[key] == nil {
+			g.startCall(key)
+		}
+		return Allow, 0, true
+	}
+	return 0, 0, false
 }
 
-// undecided is what a class gets where no verdict can be had.
+// undecided returns what a class gets without a verdict.
 func (g *Gate) undecided(class int) Verdict {
 	if g.settings.FailOpen[class] {
 		return Allow
@@ -152,27 +148,25 @@
 	return Unknown
 }
 
-// startCall begins a call, if there is room for one and the breaker lets it through.
+// startCall starts a call; nil: the limit of calls or the breaker does not allow one.
 func (g *Gate) startCall(key Key) *call {
 	if len(g.calls) >= g.settings.MaxCalls {
 		return nil
 	}
-	trial := false
-	if g.breakerOpen > 0 {
-		if g.probing || g.now < g.breakerUntil {
-			return nil
-		}
-		trial, g.probing = true, true
+	ok, probe := g.breaker.allow(g.now)
+	if !ok {
+		return nil
 	}
 	g.lastCall++
-	c := &call{number: g.lastCall, key: key, probe: trial}
-	g.calls[c.number], g.byKey[key] = c, c
+	c := &call{number: g.lastCall, key: key, probe: probe}
+	g.calls[c.number] = c
+	g.byKey[key] = c
 	g.actions.Call(c.number, key)
 	return c
 }
 
-// HandleAnswer takes in how a call ended. A second answer, or one to no call, is
-// passed over.
+// HandleAnswer applies the answer to a call. A second answer, or one to an unknown call, is
+// ignored.
 func (g *Gate) HandleAnswer(now Time, number uint64, a Answer) {
 	g.now = max(g.now, now)
 	c := g.calls[number]
@@ -182,7 +176,7 @@
 	delete(g.calls, number)
 	if !c.outdated {
 		delete(g.byKey, c.key)
-		g.recordResult(c, a.Verdict)
+		g.breaker.record(g.now, &g.settings, c.probe, a.Verdict == Unknown)
 		g.store(c.key, a)
 	}
 	for _, w := range c.waiting {
@@ -199,95 +193,52 @@
 	g.arm()
 }
 
-// recordResult has the breaker learn from a call. Only the trial speaks for an open one: what was asked
-// before it opened tells nothing new.
-func (g *Gate) recordResult(c *call, v Verdict) {
-	switch {
-	case c.probe && v == Unknown:
-		g.probing = false
-		g.openBreaker(min(2*g.breakerOpen, g.settings.BreakerMaxOpen))
-	case c.probe || v != Unknown && g.breakerOpen == 0:
-		g.failures, g.breakerOpen = 0, 0
-		g.probing = g.probing && !c.probe
-	case v == Unknown && g.breakerOpen == 0:
-		if g.failures++; g.failures >= g.settings.BreakerFailures {
-			g.openBreaker(g.settings.BreakerMinOpen)
-		}
-	}
-}
+// BreakerOpen reports whether the circuit breaker is open.
+func (g *Gate) BreakerOpen() bool { return g.breaker.open() }
 
-// openBreaker opens the breaker for a time drawn below it: of many gateways not all try
-// at the same moment.
-func (g *Gate) openBreaker(for_ Time) {
-	g.breakerOpen = for_
-	g.breakerUntil = g.now + for_/2 + g.rand.Int64N(for_/2+1)
+// store caches an answer for as long as it may be cached. Without a verdict, what was cached before
+// stays.
+func (g *Gate) store(key Key, a Answer) {
+	if a.Verdict == Unknown || a.Verdict == Pending {
+		return
+	}
+	ttl, staleTTL := g.ttl(a)
+	if ttl+staleTTL <= 0 {
+		g.cache.remove(key)
+		return
+	}
+	e := g.cache.put(key, g.settings.MaxCached)
+	e.verdict = a.Verdict
+	e.expires = g.now + ttl
+	e.staleUntil = e.expires + staleTTL
 }
 
-// BreakerOpen tells whether the breaker keeps questions back.
-func (g *Gate) BreakerOpen() bool { return g.breakerOpen > 0 }
-
-// store puts an answer into the cache, for as long as it may be kept.
-func (g *Gate) store(key Key, a Answer) {
-	var last, stale Time
+// ttl returns how long an answer may be cached, and for how much longer it may serve stale.
+func (g *Gate) ttl(a Answer) (ttl, staleTTL Time) {
+	s := &g.settings
 	switch a.Verdict {
 	case Allow:
-		last = g.settings.AllowTTL
+		ttl = s.AllowTTL
+		staleTTL = s.StaleTTL
 		if a.MaxAge >= 0 {
-			last = a.MaxAge
+			ttl = a.MaxAge
 		}
-		last, stale = min(last, g.settings.MaxAllowTTL), g.settings.StaleTTL
 		if a.MaxAge == 0 {
-			stale = 0 // it is not to be kept at all
+			staleTTL = 0 // it must not be cached at all
 		}
+		ttl = min(ttl, s.MaxAllowTTL)
 	case Deny:
-		last = g.settings.MaxDenyTTL
+		ttl = s.MaxDenyTTL
 		if a.MaxAge >= 0 {
-			last = min(last, a.MaxAge)
+			ttl = min(ttl, a.MaxAge)
 		}
 	case RetryLater:
-		last = min(a.RetryAfter, g.settings.MaxAllowTTL)
-	default:
-		return // what was known before still serves as far as it may
-	}
-	e := g.cache[key]
-	if last+stale <= 0 {
-		if e != nil {
-			g.evict(e)
-		}
-		return
-	}
-	if e == nil {
-		for len(g.cache) >= g.settings.MaxCached {
-			g.evict(g.lru.prev)
-		}
-		e = &entry{key: key}
-		g.cache[key] = e
-		g.link(e)
+		ttl = min(a.RetryAfter, s.MaxAllowTTL)
 	}
-	e.verdict, e.expires, e.staleUntil = a.Verdict, g.now+last, g.now+last+stale
+	return ttl, staleTTL
 }
 
-func (g *Gate) link(e *entry) {
-	e.prev, e.next = &g.lru, g.lru.next
-	e.prev.next, e.next.prev = e, e
-}
-
-func (e *entry) unlink() { e.prev.next, e.next.prev = e.next, e.prev }
-
-// touch makes an entry the one used last.
-func (g *Gate) touch(e *entry) {
-	if g.lru.next != e {
-		e.unlink()
-		g.link(e)
-	}
-}
-
-func (g *Gate) evict(e *entry) {
-	e.unlink()
-	delete(g.cache, e.key)
-}
-
-// Cancel takes in that a request needs no verdict any more.
+// Cancel records that a request needs no verdict any more.
 func (g *Gate) Cancel(now Time, id uint64) {
 	g.now = max(g.now, now)
 	if w := g.waiters[id]; w != nil {
@@ -296,14 +247,13 @@
 	}
 }
 
-// removeWaiter takes a request from those that wait.
 func (g *Gate) removeWaiter(w *waiter) {
 	delete(g.waiters, w.id)
 	heap.Remove(&g.byDeadline, w.index)
 }
 
-// Timer gives up the requests whose budget is spent. Their calls go on: an answer
-// is of use to those who ask next.
+// Timer decides the requests that have waited for long enough. Their calls go on: an answer is of
+// use to later requests.
 func (g *Gate) Timer(now Time) {
 	g.now = max(g.now, now)
 	g.timer = 0
@@ -315,7 +265,7 @@
 	g.arm()
 }
 
-// AllowAll has all that wait go on: nothing is asked any more.
+// AllowAll allows all waiting requests: the authenticator is asked no more.
 func (g *Gate) AllowAll(now Time) {
 	g.now = max(g.now, now)
 	for len(g.byDeadline) > 0 {
@@ -325,15 +275,19 @@
 	}
 }
 
-// arm sets the timer for the request that is to be given up first.
+// arm sets the timer for the next deadline, unless it fires before that anyway.
 func (g *Gate) arm() {
-	if len(g.byDeadline) > 0 && (g.timer == 0 || g.byDeadline[0].deadline < g.timer) {
-		g.timer = g.byDeadline[0].deadline
-		g.actions.SetTimer(g.timer)
+	if len(g.byDeadline) == 0 {
+		return
+	}
+	next := g.byDeadline[0].deadline
+	if g.timer == 0 || next < g.timer {
+		g.timer = next
+		g.actions.SetTimer(next)
 	}
 }
 
-// deadlineHeap holds those that wait, the one to be given up first on top.
+// deadlineHeap orders waiters by their deadlines; it implements heap.Interface.
 type deadlineHeap []*waiter
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/internal/dataplane/authz/authz_test.go
+++ b/internal/dataplane/authz/authz_test.go
@@ -10,9 +10,24 @@
 
 func settings() Settings {
 	return Settings{
-		Classes: []bool{true, true, false}, Plans: []bool{true, true}, FailOpen: []bool{false, true, false},
-		MaxWait: 200 * ms, AllowTTL: 10 * second, MaxAllowTTL: 60 * second, MaxDenyTTL: 2 * second, StaleTTL: 5 * second,
-		MaxCalls: 4, MaxWaiting: 50, MaxCached: 20, BreakerFailures: 3, BreakerMinOpen: second, BreakerMaxOpen: 8 * second,
+		Classes: []bool{
+			true,
+			true,
+			false,
+		},
+		Plans:           []bool{true, true},
+		FailOpen:        []bool{false, true, false},
+		MaxWait:         200 * ms,
+		AllowTTL:        10 * second,
+		MaxAllowTTL:     60 * second,
+		MaxDenyTTL:      2 * second,
+		StaleTTL:        5 * second,
+		MaxCalls:        4,
+		MaxWaiting:      50,
+		MaxCached:       20,
+		BreakerFailures: 3,
+		BreakerMinOpen:  second,
+		BreakerMaxOpen:  8 * second,
 	}
 }
 
@@ -46,7 +61,13 @@
 func (r *rig) SetTimer(at Time) { r.timerAt = at }
 
 func newRig(t testing.TB, set Settings) *rig {
-	r := &rig{t: t, at: 100 * second, decided: map[uint64]Verdict{}, after: map[uint64]Time{}, when: map[uint64]Time{}}
+	r := &rig{
+		t:       t,
+		at:      100 * second,
+		decided: map[uint64]Verdict{},
+		after:   map[uint64]Time{},
+		when:    map[uint64]Time{},
+	}
 	g, err := New(set, 7, r)
 	if err != nil {
 		t.Fatal(err)
@@ -212,8 +233,8 @@
 		r.HandleAnswer(r.at, r.Gate.lastCall, Answer{Verdict: Allow, MaxAge: -1})
 		r.ask(100+k, 0)
 	}
-	if len(r.cache) > set.MaxCached {
-		t.Errorf("%d answers kept", len(r.cache))
+	if len(r.cache.entries) > set.MaxCached {
+		t.Errorf("%d answers kept", len(r.cache.entries))
 	}
 }
 
@@ -250,7 +271,12 @@
 			t.Errorf("settings %d were taken", i)
 		}
 		r := newRig(t, settings())
-		if err := r.Update(r.at, set, false); err == nil || r.settings.MaxWait != settings().MaxWait {
+		if err := r.Update(
+			r.at,
+			set,
+			false,
+		); err == nil ||
+			r.settings.MaxWait != settings().MaxWait {
 			t.Errorf("settings %d were taken at a reload", i)
 		}
 	}
@@ -263,7 +289,13 @@
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := settings()
-		set.MaxCalls, set.MaxCached, set.BreakerFailures = 1+rng.IntN(5), 1+rng.IntN(10), 1+rng.IntN(4)
+		set.MaxCalls, set.MaxCached, set.BreakerFailures = 1+rng.IntN(
+			5,
+		), 1+rng.IntN(
+			10,
+		), 1+rng.IntN(
+			4,
+		)
 		r := newRig(t, set)
 		type word struct {
 			verdict  Verdict
@@ -286,7 +318,14 @@
 			case v == RetryLater && there && w.verdict == RetryLater && at <= w.at+second:
 			case v == Unknown && !set.FailOpen[a.q.Class]:
 			default:
-				t.Fatalf("seed %d: verdict %d for key %v at %d, said %+v", seed, v, a.q.Key[0], at, w)
+				t.Fatalf(
+					"seed %d: verdict %d for key %v at %d, said %+v",
+					seed,
+					v,
+					a.q.Key[0],
+					at,
+					w,
+				)
 			}
 		}
 		settle := func() {
@@ -320,8 +359,11 @@
 			}
 			switch x := rng.IntN(10); {
 			case x < 6:
-				a := &asked{q: Question{ID: uint64(len(all) + 1), Key: key(rng.IntN(8)), Class: rng.IntN(3),
-					Timeout: Time(rng.Float64() * 3 * float64(second))}, at: r.at}
+				a := &asked{
+					q: Question{ID: uint64(len(all) + 1), Key: key(rng.IntN(8)), Class: rng.IntN(3),
+						Timeout: Time(rng.Float64() * 3 * float64(second))},
+					at: r.at,
+				}
 				all = append(all, a)
 				before := len(r.out)
 				v, _ := r.Request(r.at, a.q)
@@ -340,14 +382,20 @@
 						}
 					}
 				}
-				if len(r.out) > before && unknowns >= set.BreakerFailures && len(r.out) > 1 && r.probing && !r.calls[r.out[len(r.out)-1].number].probe {
+				if len(r.out) > before && unknowns >= set.BreakerFailures && len(r.out) > 1 &&
+					r.breaker.probing &&
+					!r.calls[r.out[len(r.out)-1].number].probe {
 					t.Fatalf("seed %d: a call beside a trial", seed)
 				}
 			case x < 9 && len(r.out) > 0:
 				i := rng.IntN(len(r.out))
 				c := r.out[i]
 				r.out = append(r.out[:i:i], r.out[i+1:]...)
-				a := Answer{Verdict: Allow + Verdict(rng.IntN(4)), MaxAge: Time(rng.IntN(4)-1) * second, RetryAfter: second}
+				a := Answer{
+					Verdict:    Allow + Verdict(rng.IntN(4)),
+					MaxAge:     Time(rng.IntN(4)-1) * second,
+					RetryAfter: second,
+				}
 				if a.Verdict == Unknown {
 					unknowns++
 				} else {
@@ -359,10 +407,18 @@
 					said[c.key] = word{a.Verdict, r.at, last}
 				}
 				r.HandleAnswer(r.at, c.number, a)
-				r.HandleAnswer(r.at, c.number, Answer{Verdict: Allow}) // a second one is passed over
+				r.HandleAnswer(
+					r.at,
+					c.number,
+					Answer{Verdict: Allow},
+				) // a second one is passed over
 				for id, waits := range open {
 					if _, decided := r.decided[id]; waits.q.Key == c.key && !decided {
-						t.Fatalf("seed %d: request %d still waits though its question was answered", seed, id)
+						t.Fatalf(
+							"seed %d: request %d still waits though its question was answered",
+							seed,
+							id,
+						)
 					}
 				}
 			case len(open) > 0 && x == 9:
@@ -373,8 +429,14 @@
 				}
 			}
 			settle()
-			if len(r.cache) > set.MaxCached || len(r.waiters) != len(open) {
-				t.Fatalf("seed %d: %d kept, %d wait, %d should", seed, len(r.cache), len(r.waiters), len(open))
+			if len(r.cache.entries) > set.MaxCached || len(r.waiters) != len(open) {
+				t.Fatalf(
+					"seed %d: %d kept, %d wait, %d should",
+					seed,
+					len(r.cache.entries),
+					len(r.waiters),
+					len(open),
+				)
 			}
 		}
 		r.at += 10 * second
--- a/internal/dataplane/forwardauth/client_test.go
+++ b/internal/dataplane/forwardauth/client_test.go
@@ -38,8 +38,15 @@
 }
 
 func question() *Question {
-	return &Question{Credential: &Credential{Secret: "t0ken"}, Customer: "0000000000000007", Plan: "team", Class: "order", Units: 2.5,
-		Write: true, ClientAddress: "127.0.0.1:5"}
+	return &Question{
+		Credential:    &Credential{Secret: "t0ken"},
+		Customer:      "0000000000000007",
+		Plan:          "team",
+		Class:         "order",
+		Units:         2.5,
+		Write:         true,
+		ClientAddress: "127.0.0.1:5",
+	}
 }
 
 // raw is an authenticator that answers with bytes, each connection once.
@@ -124,7 +131,8 @@
 		}
 		cl := client(t, Settings{URL: raw(t, c.answer), Timeout: wait})
 		a := cl.Authorize(context.Background(), question())
-		if a.Verdict != c.want || a.MaxAge != c.maxAge || c.want == authz.RetryLater && a.RetryAfter != 3e6 {
+		if a.Verdict != c.want || a.MaxAge != c.maxAge ||
+			c.want == authz.RetryLater && a.RetryAfter != 3e6 {
 			t.Errorf("%s: %+v, want verdict %d, age %d", c.name, a, c.want, c.maxAge)
 		}
 	}
@@ -135,13 +143,23 @@
 func TestWhatIsTold(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:1")
 	got := make(chan *http.Request, 1)
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got <- r }))
+	s := httptest.NewServer(
+		http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got <- r }),
+	)
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "secret")
 	if err := os.WriteFile(file, []byte("s3cret\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := client(t, Settings{URL: s.URL + "/verify?x=1", Headers: map[string]string{"X-Site": "caxias"}, SecretName: "X-Secret", SecretFile: file})
+	c := client(
+		t,
+		Settings{
+			URL:        s.URL + "/verify?x=1",
+			Headers:    map[string]string{"X-Site": "caxias"},
+			SecretName: "X-Secret",
+			SecretFile: file,
+		},
+	)
 	if a := c.Authorize(context.Background(), question()); a.Verdict != authz.Allow {
 		t.Fatalf("%+v", a)
 	}
@@ -177,19 +195,30 @@
 	s.StartTLS()
 	defer s.Close()
 	ca := filepath.Join(t.TempDir(), "ca.pem")
-	if err := os.WriteFile(ca, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: s.Certificate().Raw}), 0o600); err != nil {
+	if err := os.WriteFile(
+		ca,
+		pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: s.Certificate().Raw}),
+		0o600,
+	); err != nil {
 		t.Fatal(err)
 	}
 	c := client(t, Settings{URL: s.URL, CAFile: ca})
 	for range 5 {
-		if a := c.Authorize(context.Background(), question()); a.Verdict != authz.RetryLater || a.RetryAfter != 2e6 {
+		if a := c.Authorize(
+			context.Background(),
+			question(),
+		); a.Verdict != authz.RetryLater ||
+			a.RetryAfter != 2e6 {
 			t.Errorf("%+v: HTTP/2 was wanted", a)
 		}
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for 5 calls", n)
 	}
-	if a := client(t, Settings{URL: s.URL}).Authorize(context.Background(), question()); a.Verdict != authz.Unknown {
+	if a := client(
+		t,
+		Settings{URL: s.URL},
+	).Authorize(context.Background(), question()); a.Verdict != authz.Unknown {
 		t.Errorf("a certificate that nobody vouches for: %+v", a)
 	}
 }
@@ -211,7 +240,8 @@
 	for _, bad := range []string{"7 hush", "0000000000000007 hush x", "0000000000000007 hush\n0000000000000007 hush", "0000000000000007 h\x01hush"} {
 		write("\n" + bad)
 		_, err := NewClient(Settings{URL: "http://127.0.0.1:1/", TokensFile: path})
-		if err == nil || strings.Contains(err.Error(), "hush") || !strings.Contains(err.Error(), path+":") {
+		if err == nil || strings.Contains(err.Error(), "hush") ||
+			!strings.Contains(err.Error(), path+":") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -230,7 +260,8 @@
 		{URL: "http://x/", SecretName: "S", SecretFile: bad + "x"}, {URL: "http://x/", CAFile: bad}, {URL: "http://x/", SecretFile: bad},
 	} {
 		_, err := NewClient(s)
-		if err == nil || strings.Contains(err.Error(), "\n") || strings.Contains(err.Error(), "lines-of-secret") {
+		if err == nil || strings.Contains(err.Error(), "\n") ||
+			strings.Contains(err.Error(), "lines-of-secret") {
 			t.Errorf("%+v: error %v", s, err)
 		}
 	}
@@ -274,8 +305,12 @@
 		c := client(t, Settings{URL: raw(t, func(c net.Conn) { _, _ = c.Write(answer) })})
 		a := c.Authorize(context.Background(), question())
 		switch {
-		case a.Verdict < authz.Allow || a.Verdict > authz.Unknown, a.MaxAge < -1, a.MaxAge > 24*3600*1e6,
-			a.RetryAfter < 0, a.RetryAfter > maxRetryAfter.Microseconds(), a.Verdict == authz.RetryLater && a.RetryAfter == 0:
+		case a.Verdict < authz.Allow || a.Verdict > authz.Unknown,
+			a.MaxAge < -1,
+			a.MaxAge > 24*3600*1e6,
+			a.RetryAfter < 0,
+			a.RetryAfter > maxRetryAfter.Microseconds(),
+			a.Verdict == authz.RetryLater && a.RetryAfter == 0:
 			t.Errorf("%q: %+v", answer, a)
 		}
 	})
--- a/internal/dataplane/forwardauth/step_test.go
+++ b/internal/dataplane/forwardauth/step_test.go
@@ -22,7 +22,10 @@
 func (h *fakeHost) Now() authz.Time { return time.Now().UnixMicro() }
 func (h *fakeHost) Post(f func())   { h.events <- f }
 func (h *fakeHost) At(when authz.Time, f func()) {
-	h.timers = append(h.timers, time.AfterFunc(time.Duration(when-h.Now())*time.Microsecond, func() { h.Post(f) }))
+	h.timers = append(
+		h.timers,
+		time.AfterFunc(time.Duration(when-h.Now())*time.Microsecond, func() { h.Post(f) }),
+	)
 }
 
 func (h *fakeHost) Decided(id uint64, v authz.Verdict, _ authz.Time) {
@@ -66,15 +69,38 @@
 	defer s.Close()
 	h := &fakeHost{t: t, events: make(chan func(), many), decided: map[uint64]authz.Verdict{}}
 	step := NewStep(context.Background(), h)
-	rules := authz.Settings{Classes: []bool{true}, FailOpen: []bool{false}, Plans: []bool{true}, MaxWait: time.Hour.Microseconds(),
-		AllowTTL: 1e6, MaxAllowTTL: 1e6, MaxDenyTTL: 1e6, MaxCalls: calls, MaxWaiting: many, MaxCached: many, BreakerFailures: 3, BreakerMinOpen: 1000, BreakerMaxOpen: 2000}
-	if err := step.Update(Settings{URL: s.URL, Timeout: patience, MaxConns: calls}, rules, 1); err != nil {
+	rules := authz.Settings{
+		Classes:         []bool{true},
+		FailOpen:        []bool{false},
+		Plans:           []bool{true},
+		MaxWait:         time.Hour.Microseconds(),
+		AllowTTL:        1e6,
+		MaxAllowTTL:     1e6,
+		MaxDenyTTL:      1e6,
+		MaxCalls:        calls,
+		MaxWaiting:      many,
+		MaxCached:       many,
+		BreakerFailures: 3,
+		BreakerMinOpen:  1000,
+		BreakerMaxOpen:  2000,
+	}
+	if err := step.Update(
+		Settings{URL: s.URL, Timeout: patience, MaxConns: calls},
+		rules,
+		1,
+	); err != nil {
 		t.Fatal(err)
 	}
 	next, atOnce := uint64(0), 0
 	ask := func(customer int) authz.Verdict {
 		next++
-		v, _ := step.Request(next, &Question{Customer: string(rune('a' + customer)), ClientAddress: "127.0.0.1:1"}, 0, 0, 1e12)
+		v, _ := step.Request(
+			next,
+			&Question{Customer: string(rune('a' + customer)), ClientAddress: "127.0.0.1:1"},
+			0,
+			0,
+			1e12,
+		)
 		return v
 	}
 	down.Store(true)
@@ -119,8 +145,18 @@
 func TestSet(t *testing.T) {
 	h := &fakeHost{t: t, events: make(chan func(), 8), decided: map[uint64]authz.Verdict{}}
 	step := NewStep(context.Background(), h)
-	rules := authz.Settings{Classes: []bool{true}, FailOpen: []bool{false}, Plans: []bool{true}, MaxWait: 1e6, MaxCalls: 1, MaxWaiting: 1,
-		MaxCached: 1, BreakerFailures: 1, BreakerMinOpen: 1, BreakerMaxOpen: 1}
+	rules := authz.Settings{
+		Classes:         []bool{true},
+		FailOpen:        []bool{false},
+		Plans:           []bool{true},
+		MaxWait:         1e6,
+		MaxCalls:        1,
+		MaxWaiting:      1,
+		MaxCached:       1,
+		BreakerFailures: 1,
+		BreakerMinOpen:  1,
+		BreakerMaxOpen:  1,
+	}
 	var none *Step
 	if none.Enabled() || step.Enabled() {
 		t.Error("on before anything was set")
@@ -136,13 +172,23 @@
 	if err := step.Update(good, rules, 1); err != nil || !step.Enabled() {
 		t.Errorf("on: %v", err)
 	}
-	if err := step.Update(Settings{URL: "nowhere"}, rules, 1); err == nil || !step.Enabled() || step.settings.URL != good.URL {
+	if err := step.Update(
+		Settings{URL: "nowhere"},
+		rules,
+		1,
+	); err == nil || !step.Enabled() ||
+		step.settings.URL != good.URL {
 		t.Error("a bad address changed something")
 	}
 	if v, _ := step.Request(1, &Question{}, 0, 0, 4e9); v != authz.Pending {
 		t.Errorf("verdict %d", v)
 	}
-	if err := step.Update(Settings{}, authz.Settings{}, 1); err != nil || step.Enabled() || h.decided[1] != authz.Allow {
+	if err := step.Update(
+		Settings{},
+		authz.Settings{},
+		1,
+	); err != nil || step.Enabled() ||
+		h.decided[1] != authz.Allow {
 		t.Errorf("switched off: %v, verdict %d", err, h.decided[1])
 	}
 }
--- a/internal/dataplane/metrics/metrics.go
+++ b/internal/dataplane/metrics/metrics.go
@@ -20,7 +20,8 @@
 
 var outcomeNames = [outcomeCount]string{"answered", "deferred", "errored"}
 
-// Counters hold what was counted. End and Append belong to one goroutine; the atomic fields are anybody's.
+// Counters hold what was counted. End and Append belong to one goroutine; the atomic fields are
+// anybody's.
 type Counters struct {
 	classes []string
 	ended   [][outcomeCount]int64 // by class
--- a/internal/dataplane/resp/resp.go
+++ b/internal/dataplane/resp/resp.go
@@ -1,9 +1,9 @@
-// Package resp reads and writes RESP2, bounded: no input makes it hold more
-// than a few values of MaxValue bytes.
+// Package resp reads and writes RESP2 with bounded memory: no input makes it hold more than a few
+// values of MaxValue bytes.
 //
-// It stands in for a library's parser because two of them lose what the gateway
-// needs: redcon v1.6.4 panics on a bulk length of -2 and lets a command grow
-// without bound, redigo allocates whatever length it is told.
+// It replaces a library's parser because two of them lack what the gateway needs: redcon v1.6.4
+// panics on a bulk length of -2 and lets a command grow without bound, and redigo allocates
+// whatever length it is told.
 package resp
 
 import (
@@ -16,36 +16,37 @@
 	"strconv"
 )
 
-// Limits of what is read.
+// Limits of what is read, in bytes or values.
 const (
-	MaxValue         = 64 << 10        // bytes in one value
-	MaxCommand       = MaxValue + 4096 // bytes in all values of a command
-	MaxArgs          = 16              // values in one command or array that are kept
-	maxSkippedArgs   = 1024            // values in one that is passed over for its size
-	MaxStreamedValue = 16 << 20        // bytes in a value that is passed on as it comes
-	maxSkippedValue  = 1 << 20         // bytes in a value that is passed over
-	growBytes        = 4096            // bytes that a buffer is taken ahead of what has come
+	MaxValue         = 64 << 10        // bytes of a value
+	MaxCommand       = MaxValue + 4096 // bytes of all values of a command
+	MaxArgs          = 16              // values of a command or an array
+	MaxStreamedValue = 16 << 20        // bytes of a value that Copy streams
+
+	maxSkippedArgs  = 1024    // values of a command that is dropped for its size
+	maxSkippedValue = 1 << 20 // bytes of a value that is dropped
+	growBytes       = 4096    // by which a buffer grows at least ahead of what has come
+	readerBytes     = 2048    // of the connection's buffer
+	commandBytes    = 192     // first allocated for a command
 )
 
-// ErrTooLarge tells that a well-framed command was read past and dropped. The
-// next one can be read.
+// ErrTooLarge says that a well-formed command was read past and dropped. The next one can be read.
 var ErrTooLarge = errors.New("command too large")
 
-// ErrProtocol tells that the framing is lost: nothing more can be read.
+// ErrProtocol says that the framing is lost: nothing more can be read.
 var ErrProtocol = errors.New("protocol error")
 
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrProtocol, what) }
 
-// Reader reads commands or replies from a connection.
+// Reader reads commands or replies from a connection. It is not safe for concurrent use.
 type Reader struct {
 	in *bufio.Reader
 }
 
 // NewReader makes a reader.
-func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, 2048)} }
+func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, readerBytes)} }
 
-// readLine reads up to the end of a line, which is left out. It is valid until the
-// next read.
+// readLine reads a line and returns it without its end. It is valid until the next read.
 func (r *Reader) readLine() ([]byte, error) {
 	b, err := r.in.ReadSlice('\n')
 	switch {
@@ -59,17 +60,17 @@
 	return b[:len(b)-2], nil
 }
 
-// parseLength reads the number after a kind byte.
-func parseLength(b []byte, least, most int) (int, error) {
+// parseLength parses the number after a kind byte.
+func parseLength(b []byte, lowest, highest int) (int, error) {
 	n, err := strconv.Atoi(string(b))
-	if err != nil || n < least || n > most {
+	if err != nil || n < lowest || n > highest {
 		return 0, malformed("invalid length")
 	}
 	return n, nil
 }
 
-// ReadCommand reads an array of bulk strings. The values are the caller's. An
-// empty array is passed over.
+// ReadCommand reads an array of bulk strings, which belong to the caller. Empty arrays are skipped.
+// Its error wraps ErrTooLarge or ErrProtocol where these apply.
 func (r *Reader) ReadCommand() ([][]byte, error) {
 	for {
 		head, err := r.readLine()
@@ -89,11 +90,12 @@
 	}
 }
 
-// readValues reads the bulk strings of a command into one buffer.
+// readValues reads the bulk strings of a command into one buffer. A command that is too large is
+// read to its end without being held.
 func (r *Reader) readValues(n int) ([][]byte, error) {
 	tooLarge := n > MaxArgs
 	var ends [MaxArgs]int
-	buf := make([]byte, 0, 192)
+	buf := make([]byte, 0, commandBytes)
 	for i := range n {
 		head, err := r.readLine()
 		if err != nil {
@@ -124,7 +126,8 @@
 	if tooLarge {
 		return nil, ErrTooLarge
 	}
-	args, start := make([][]byte, n), 0
+	args := make([][]byte, n)
+	start := 0
 	for i := range args {
 		args[i] = buf[start:ends[i]:ends[i]]
 		start = ends[i]
@@ -132,8 +135,8 @@
 	return args, nil
 }
 
-// readBytes reads size bytes more behind buf. It takes room as the bytes come: many
-// that announce much and send little must not cost what they announce.
+// readBytes appends size bytes to buf. It allocates as the bytes come: clients that announce much
+// and send little must not cost what they announce.
 func (r *Reader) readBytes(buf []byte, size int) ([]byte, error) {
 	for size > 0 {
 		n := min(size, max(growBytes, len(buf)))
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// unexpectedEOF tells an end within a message from one between two.
+// unexpectedEOF replaces io.EOF, for an end within a message.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -170,22 +173,22 @@
 	return err
 }
 
-// Await waits for the first byte of what comes next.
+// Await waits for the first byte of the next message.
 func (r *Reader) Await() error {
 	_, err := r.in.Peek(1)
 	return err
 }
 
-// Buffered is how many bytes were read that belong to no message yet.
+// Buffered returns how many bytes were read that belong to no message yet.
 func (r *Reader) Buffered() int { return r.in.Buffered() }
 
-// Unread is a copy of the bytes that were read and belong to no message yet.
+// Unread returns a copy of the bytes that were read and belong to no message yet.
 func (r *Reader) Unread() []byte {
 	b, _ := r.in.Peek(r.in.Buffered())
 	return bytes.Clone(b)
 }
 
-// Reply is what came back for a command.
+// Reply is the answer to a command.
 type Reply struct {
 	Kind  byte   // '+', '-', ':', '$' or '*'
 	Null  bool   // a null string or array
@@ -193,19 +196,19 @@
 	Items []Reply
 }
 
-// ReadReply reads one reply: at most an array of plain values. With an error
-// comes what was read whole of an array before it.
+// ReadReply reads one reply: at most an array of plain values. With an error it returns what was
+// read completely of an array before it.
 func (r *Reader) ReadReply() (Reply, error) { return r.readReply(true, nil) }
 
-// LongValue is a value of over MaxValue bytes that stands first in an array. It has not been
-// read: Copy does it, and then Tail.
+// LongValue is a value of over MaxValue bytes that is the first of an array. It has not been read:
+// Copy reads it, and SkipTail what follows.
 type LongValue struct {
 	Size         int // bytes; 0: there is no such value
 	valuesBehind int // values behind it
 }
 
-// ReadReplyHead is ReadReply but for a long value: it reads up to the value's first byte, and
-// waits for that one.
+// ReadReplyHead is ReadReply except for a long value: of that it reads up to the value's first
+// byte, which it waits for.
 func (r *Reader) ReadReplyHead() (re Reply, long LongValue, err error) {
 	re, err = r.readReply(true, &long)
 	if err == nil && long.Size > 0 {
@@ -214,11 +217,11 @@
 	return re, long, err
 }
 
-// Copy passes a long value on as it comes, through a buffer, which bounds what is held of
-// it. Before each write and read it calls onward, which may set deadlines.
-func (r *Reader) Copy(to io.Writer, long LongValue, buf []byte, onward func()) error {
+// Copy streams a long value through a buffer, which bounds what is held of it. Before each read and
+// write it calls beforeStep, which may set deadlines.
+func (r *Reader) Copy(to io.Writer, long LongValue, buf []byte, beforeStep func()) error {
 	for left := long.Size; left > 0; {
-		onward()
+		beforeStep()
 		n, err := r.in.Read(buf[:min(len(buf), left)])
 		if n > 0 {
 			left -= n
@@ -233,7 +236,7 @@
 	return nil
 }
 
-// SkipTail reads past what stands behind a long value: the other values of its array.
+// SkipTail reads past what follows a long value: the other values of its array.
 func (r *Reader) SkipTail(long LongValue) error {
 	if err := r.readCRLF(); err != nil {
 		return unexpectedEOF(err)
@@ -246,7 +249,9 @@
 	return nil
 }
 
-func (r *Reader) readReply(arrays bool, long *LongValue) (Reply, error) {
+// readReply reads one reply, an array only where one is allowed. If long is not nil, the first
+// value of an array may be a long one, which is left unread and described there.
+func (r *Reader) readReply(arrayAllowed bool, long *LongValue) (Reply, error) {
 	head, err := r.readLine()
 	if err != nil {
 		return Reply{}, err
@@ -254,56 +259,71 @@
 	if len(head) == 0 {
 		return Reply{}, malformed("empty line")
 	}
-	re := Reply{Kind: head[0]}
-	switch re.Kind {
+	reply := Reply{Kind: head[0]}
+	switch reply.Kind {
 	case '+', '-', ':':
-		re.Text = bytes.Clone(head[1:])
-		return re, nil
+		reply.Text = bytes.Clone(head[1:])
+		return reply, nil
 	case '$':
-		most := MaxValue
-		if long != nil && !arrays {
-			most = MaxStreamedValue
-		}
-		size, err := parseLength(head[1:], -1, most)
-		if err != nil {
-			return re, err
-		}
-		if size > MaxValue {
-			long.Size = size
-			return re, nil
-		}
-		if size < 0 {
-			re.Null = true
-			return re, nil
-		}
-		if re.Text, err = r.readBytes(nil, size); err == nil {
-			err = r.readCRLF()
+		if arrayAllowed {
+			long = nil // it is no value of an array
 		}
-		return re, unexpectedEOF(err)
+		err := r.readBulk(&reply, head[1:], long)
+		return reply, err
 	case '*':
 		n, err := parseLength(head[1:], -1, MaxArgs)
-		if err != nil || !arrays {
-			return re, malformed("unexpected array")
+		if err != nil || !arrayAllowed {
+			return reply, malformed("unexpected array")
 		}
-		re.Null = n < 0
-		for i := range n {
-			first := long
-			if i > 0 {
-				first = nil
-			}
-			item, err := r.readReply(false, first)
-			if err != nil {
-				return re, unexpectedEOF(err)
-			}
-			re.Items = append(re.Items, item)
-			if first != nil && first.Size > 0 {
-				first.valuesBehind = n - 1
-				break
-			}
+		reply.Null = n < 0
+		err = r.readItems(&reply, n, long)
+		return reply, err
+	}
+	return reply, malformed("unknown kind of reply")
+}
+
+// readBulk reads a bulk string whose length is given as text. If long is not nil, a long value is
+// left unread.
+func (r *Reader) readBulk(reply *Reply, length []byte, long *LongValue) error {
+	limit := MaxValue
+	if long != nil {
+		limit = MaxStreamedValue
+	}
+	size, err := parseLength(length, -1, limit)
+	if err != nil {
+		return err
+	}
+	if size > MaxValue {
+		long.Size = size
+		return nil
+	}
+	if size < 0 {
+		reply.Null = true
+		return nil
+	}
+	if reply.Text, err = r.readBytes(nil, size); err == nil {
+		err = r.readCRLF()
+	}
+	return unexpectedEOF(err)
+}
+
+// readItems reads the values of an array, up to a long value that is its first.
+func (r *Reader) readItems(reply *Reply, n int, long *LongValue) error {
+	for i := range n {
+		if i > 0 {
+			long = nil
+		}
+		item, err := r.readReply(false, long)
+		if err != nil {
+			return unexpectedEOF(err)
+		}
+		reply.Items = append(reply.Items, item)
+		if long != nil && long.Size > 0 {
+			long.valuesBehind = n - 1
+			break
 		}
-		return re, nil
 	}
-	return re, malformed("unknown kind of reply")
+	return nil
 }
 
 // AppendArray appends the head of an array of n values.
--- a/internal/dataplane/resp/resp_test.go
+++ b/internal/dataplane/resp/resp_test.go
@@ -83,7 +83,12 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range runs {
-		if _, err := NewReader(strings.NewReader("*16\r\n$65536\r\nab")).ReadCommand(); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := NewReader(
+			strings.NewReader("*16\r\n$65536\r\nab"),
+		).ReadCommand(); !errors.Is(
+			err,
+			io.ErrUnexpectedEOF,
+		) {
 			t.Fatal(err)
 		}
 	}
@@ -92,7 +97,12 @@
 		t.Errorf("%d bytes for a command of which two came", each)
 	}
 	large := "$65536\r\n" + strings.Repeat("x", MaxValue) + "\r\n"
-	if _, err := NewReader(strings.NewReader("*2\r\n" + large + large)).ReadCommand(); !errors.Is(err, ErrTooLarge) {
+	if _, err := NewReader(
+		strings.NewReader("*2\r\n" + large + large),
+	).ReadCommand(); !errors.Is(
+		err,
+		ErrTooLarge,
+	) {
 		t.Errorf("a command beyond the limit in all: %v", err)
 	}
 }
