--- a/internal/controlplane/rollout/apply.go
+++ b/internal/controlplane/rollout/apply.go
@@ -27,24 +27,28 @@
 	refs appliedRefs
 }
 
-// apply passes what holds now and is here to its items, and logs whether this process is shut out.
+// apply passes contents that are effective and here to their items, and logs whether this process
+// is fenced.
 func (a *Agent) apply() {
 	a.applying.Lock()
 	defer a.applying.Unlock()
 	for _, due := range a.collectDue() {
-		target, beside, err := a.readContents(due.item, due.refs)
+		target, overlapping, err := a.readContents(due.item, due.refs)
 		if err != nil {
-			a.log.Error("fleet: versions: a content can't be read any more", "item", due.name, "error", err)
+			a.log.Error("fleet: versions: a content can't be read any more", "item", due.name,
+				"error", err)
 			a.markLost(due.refs.target.Digest)
 			continue
 		}
 		a.markApplied(due)
 		failpoint.At("version-before-force")
-		due.item.Use(target, beside, applicationOrder(due.refs), func() { a.putInForce(due.name, due.refs.target) })
+		done := func() { a.setInForce(due.name, due.refs.target) }
+		due.item.Use(target, overlapping, applicationOrder(due.refs), done)
 	}
 }
 
-// collectDue returns the applications that are due. It reads no contents: whoever asks for a permit waits for mu.
+// collectDue returns the applications that are due. It reads no contents, as calls of Current wait
+// for mu.
 func (a *Agent) collectDue() (all []application) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,34 +64,34 @@
 
 // nextApplication returns the application of an item that is due, if one is. Called with mu held.
 func (a *Agent) nextApplication(now time.Duration, name string) (due application, ok bool) {
-	target, beside, complete, ok := a.holder.NextToApply(now, name)
+	target, overlapping, complete, ok := a.holder.NextToApply(now, name)
 	item := a.items[name]
 	if !ok || !complete || item == nil {
 		return application{}, false
 	}
-	refs := appliedRefs{target, beside}
+	refs := appliedRefs{target, overlapping}
 	if last, known := a.applied[name]; known && last.equal(refs) {
 		return application{}, false
 	}
 	return application{name, item, refs}, true
 }
 
-// markApplied takes in that an application is passed to its item.
+// markApplied takes in that an application was passed to its item.
 func (a *Agent) markApplied(due application) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.applied[due.name] = due.refs
 }
 
-// markLost has a content be wanted again.
+// markLost has a content fetched again.
 func (a *Agent) markLost(digest string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.holder.ContentLost(digest)
 }
 
-// applicationOrder is the order that Item.Use gets: a version alone comes after the same version
-// beside earlier ones.
+// applicationOrder returns the order for Item.Use: a version alone comes after the same version
+// with overlapping ones.
 func applicationOrder(refs appliedRefs) uint64 {
 	order := 2 * refs.target.Number
 	if len(refs.overlapping) == 0 {
@@ -96,8 +100,8 @@
 	return order
 }
 
-// putInForce takes in that an item's version decides from now on.
-func (a *Agent) putInForce(name string, target configversion.Ref) {
+// setInForce takes in that an item's version decides from now on.
+func (a *Agent) setInForce(name string, target configversion.Ref) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.holder.InForce()[name]
@@ -113,7 +117,7 @@
 	}
 }
 
-// logFencing logs each change of whether this process is shut out. Called with mu held.
+// logFencing logs each change of whether this process is fenced. Called with mu held.
 func (a *Agent) logFencing(now time.Duration) {
 	why := a.holder.FencedReason(now)
 	fenced := why != ""
@@ -122,14 +126,16 @@
 	}
 	a.fenced = fenced
 	if fenced {
-		a.log.Warn("fleet: shut out: this gateway acts on nothing", "why", why)
+		a.log.Warn("fleet: fenced: this gateway operates under no version", "why", why)
 	} else {
-		a.log.Info("fleet: let in: this gateway acts")
+		a.log.Info("fleet: readmitted: this gateway operates again")
 	}
 }
 
-// readContents returns the contents of a target and of what stands beside it.
-func (a *Agent) readContents(item Item, refs appliedRefs) (target *configstate.Version, beside []*configstate.Version, err error) {
+// readContents returns the contents of a target and of the versions that overlap with it.
+func (a *Agent) readContents(item Item, refs appliedRefs) (
+	target *configstate.Version, overlapping []*configstate.Version, err error,
+) {
 	if target, err = a.readContent(item, refs.target); err != nil {
 		return nil, nil, err
 	}
@@ -138,12 +144,13 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		beside = append(beside, one)
+		overlapping = append(overlapping, one)
 	}
-	return target, beside, nil
+	return target, overlapping, nil
 }
 
-// readContent returns a content that was checked, and nil for what this process has by its own configuration.
+// readContent returns a content that was checked, and nil for what this process's own configuration
+// has.
 func (a *Agent) readContent(item Item, ref configversion.Ref) (*configstate.Version, error) {
 	if ref.Digest == "" {
 		return nil, nil
--- a/internal/controlplane/rollout/cleanup.go
+++ b/internal/controlplane/rollout/cleanup.go
@@ -26,21 +26,21 @@
 			return
 		}
 		if err := a.contents.RemoveUnused(referencedDigests(&view), minContentAge); err != nil {
-			a.log.Warn("fleet: versions: contents that are of no more use can't be removed", "error", err)
+			a.log.Warn("fleet: versions: unused contents can't be removed", "error", err)
 		}
 	})
 }
 
 // referencedDigests returns the digests of the newest versions of each item, and of all versions
-// that a process may still act on.
+// that a gateway may still operate under.
 func referencedDigests(view *configversion.View) map[string]bool {
 	digests := map[string]bool{}
 	seen := map[string]int{} // versions, by item
 	for i := len(view.Versions) - 1; i >= 0; i-- {
 		v := &view.Versions[i]
 		seen[v.Item]++
-		mayBeActedOn := v.ExpiresAt == 0 || view.At < v.ExpiresAt
-		if seen[v.Item] <= maxKeptVersions || mayBeActedOn {
+		usable := v.ExpiresAt == 0 || view.At < v.ExpiresAt
+		if seen[v.Item] <= maxKeptVersions || usable {
 			digests[v.Digest] = true
 		}
 	}
--- a/internal/controlplane/rollout/calls.go
+++ b/internal/controlplane/rollout/commands.go
@@ -3,14 +3,19 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"time"
 
 	"mothcleat/internal/controlplane/configversion"
 	"mothcleat/internal/controlplane/consensus"
 )
 
-// View returns the agreed state of all versions.
+// RejectedError is the error of a command that the state machine rejected.
+type RejectedError struct{ Why string }
+
+// Error returns why the command was rejected.
+func (e *RejectedError) Error() string { return e.Why }
+
+// View returns the committed state of all versions.
 func (a *Agent) View(ctx context.Context) (view configversion.View, err error) {
 	raw, err := a.client.Read(ctx, configversion.MachineName, nil)
 	if err == nil {
@@ -19,14 +24,15 @@
 	return view, err
 }
 
-// membersOf asks for the members of some ids.
+// membersOf returns the members of some ids.
 func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]consensus.MemberInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	return a.client.Members(consensus.MembershipQuery{Scope: consensus.ScopeMembers, IDs: ids}).List(ctx)
+	return a.client.Members(consensus.MembershipQuery{Scope: consensus.ScopeMembers,
+		IDs: ids}).List(ctx)
 }
 
-// memberList asks for all members and voters of the fleet, on behalf of an operator's command.
+// memberList returns all members and voters of the fleet. Only operators' commands need so many.
 func (a *Agent) memberList(ctx context.Context) (list consensus.Membership, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -37,13 +43,15 @@
 	return list, err
 }
 
-// execute has a command agreed.
+// execute commits a command.
 func (a *Agent) execute(ctx context.Context, op configversion.Command) error {
 	_, err := a.executeNumbered(ctx, op)
 	return err
 }
 
-// executeNumbered has a command agreed and returns the number in its result.
+// executeNumbered commits a command and returns the number in its result. The error is a
+// *RejectedError where the state machine rejected the command; after any other error the outcome is
+// unknown.
 func (a *Agent) executeNumbered(ctx context.Context, op configversion.Command) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -57,7 +65,7 @@
 		return 0, err
 	}
 	if !result.OK {
-		return result.Number, errors.New(result.Why)
+		return result.Number, &RejectedError{result.Why}
 	}
 	return result.Number, nil
 }
--- a/internal/controlplane/rollout/contents.go
+++ b/internal/controlplane/rollout/contents.go
@@ -19,12 +19,12 @@
 )
 
 // Contents is a content-addressed folder: each file is named by the SHA-256 digest of its content,
-// in hexadecimal. A file under that name is complete. An incomplete one has the suffix partSuffix, and
-// fetching it resumes at its end. The methods may be called concurrently.
+// in hexadecimal. A file under that name is complete. An incomplete one has the suffix partSuffix,
+// and fetching it resumes at its end. The methods may be called concurrently.
 type Contents struct {
 	dir string
-	// unsynced contents are not written through to the disk: what a power cut leaves of them is found by its digest, and
-	// fetched again.
+	// unsynced contents are not synced to the disk: what a power cut damages is found by its
+	// digest, and fetched again.
 	unsynced bool
 }
 
@@ -35,13 +35,13 @@
 
 var digestName = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// ErrDigest is returned for a content that does not match its digest. Its file has been removed.
-var ErrDigest = errors.New("rollout: a content that is not what its digest says")
+// ErrDigest is the error of a content that does not match its digest. Its file has been removed.
+var ErrDigest = errors.New("rollout: a content does not match its digest")
 
-// NewContents returns the contents of a folder, which Make creates.
+// NewContents returns the contents of a folder, which Create creates.
 func NewContents(dir string) *Contents { return &Contents{dir: dir} }
 
-// Unsynced returns the same folder for contents that nobody relies on this process to keep.
+// Unsynced returns the same folder for contents that need not survive a power cut in this process.
 func (c *Contents) Unsynced() *Contents { return &Contents{dir: c.dir, unsynced: true} }
 
 // Create creates the folder if it does not exist.
@@ -77,7 +77,7 @@
 	return digest, c.finish(digest)
 }
 
-// PartialSize returns how many bytes of an incomplete content are here.
+// PartialSize returns how many bytes of an incomplete content are here, 0 if there is none.
 func (c *Contents) PartialSize(digest string) int64 {
 	info, err := os.Stat(c.partPath(digest))
 	if err != nil {
@@ -86,8 +86,9 @@
 	return info.Size()
 }
 
-// Receive writes the chunks that next returns, from an offset in bytes on. At the content's full size it
-// checks the digest. Where next fails, what has come stays, so that a later call can resume.
+// Receive writes the chunks that next returns, from an offset in bytes on. At the content's full
+// size it checks the digest. Where next fails, what was received stays, so that a later call can
+// resume.
 func (c *Contents) Receive(r configversion.Ref, from int64, next func() ([]byte, error)) error {
 	f, err := os.OpenFile(c.partPath(r.Digest), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -115,7 +116,8 @@
 	return c.finish(r.Digest)
 }
 
-// finish checks the digest of a complete content, syncs it unless the contents are unsynced, and renames it to its final name.
+// finish checks the digest of a complete content, syncs it unless the contents are unsynced, and
+// renames it to its final name.
 func (c *Contents) finish(digest string) error {
 	name := c.partPath(digest)
 	f, err := os.OpenFile(name, os.O_RDWR, 0o600)
@@ -142,7 +144,7 @@
 	return c.syncDir()
 }
 
-// Sync has a complete content lie on the disk, one that was stored unsynced as well.
+// Sync syncs a complete content to the disk, also one that was stored unsynced.
 func (c *Contents) Sync(digest string) error {
 	f, err := os.OpenFile(c.path(digest), os.O_RDWR, 0o600)
 	if err != nil {
@@ -193,7 +195,7 @@
 	}
 }
 
-// Newest returns the digests of some complete contents, those written last first.
+// Newest returns the digests of up to limit complete contents, those written last first.
 func (c *Contents) Newest(limit int) ([]string, error) {
 	entries, err := os.ReadDir(c.dir)
 	if err != nil {
@@ -211,8 +213,8 @@
 	return digests[:min(len(digests), limit)], nil
 }
 
-// RemoveUnused removes the contents, complete or not, whose digests are not in keep and whose files were last
-// written longer ago than minAge.
+// RemoveUnused removes the contents, complete or not, whose digests are not in keep and whose files
+// were last written longer ago than minAge.
 func (c *Contents) RemoveUnused(keep map[string]bool, minAge time.Duration) error {
 	entries, err := os.ReadDir(c.dir)
 	if err != nil {
--- a/internal/controlplane/rollout/contents_test.go
+++ b/internal/controlplane/rollout/contents_test.go
@@ -12,8 +12,9 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// A fetch that is cut at any byte is gone on with, and ends whole; one that is damaged on the way is never there under its name.
-func TestAFetchCutAtEachByte(t *testing.T) {
+// A fetch that is interrupted at any byte is resumed and ends with the full content. A content that
+// is damaged on the way never gets its final name.
+func TestAFetchInterruptedAtEachByte(t *testing.T) {
 	raw := bytes.Repeat([]byte("terms of a plan\n"), 12)
 	from, to := NewContents(t.TempDir()), NewContents(t.TempDir())
 	digest, err := from.Add(raw)
@@ -22,7 +23,8 @@
 	}
 	ref := configversion.Ref{Digest: digest, Size: int64(len(raw))}
 	broke := errors.New("the link broke")
-	// fetch takes what comes, up to a byte of the content, with one byte of it changed if that is not below 0.
+	// fetch takes what comes, up to a byte of the content, with one byte of it changed if that is
+	// not below 0.
 	fetch := func(end, spoilt int) error {
 		begun := to.PartialSize(digest)
 		var pieces [][]byte
@@ -81,8 +83,9 @@
 	}
 }
 
-// What is of no more use goes; what some version holds that may come back, or was touched of late, stays.
-func TestTidy(t *testing.T) {
+// Unused contents are removed. Those of versions that may be restored, and those written a short
+// time ago, stay.
+func TestRemoveUnused(t *testing.T) {
 	c := NewContents(t.TempDir())
 	v := configversion.View{At: time.Hour}
 	var digests []string
@@ -116,7 +119,7 @@
 	}
 }
 
-// What is stored unsynced is checked like anything else, and can be synced once somebody relies on it.
+// Contents that were stored unsynced are checked like others, and can be synced later.
 func TestUnsyncedContents(t *testing.T) {
 	contents := NewContents(t.TempDir())
 	digest, err := contents.Unsynced().Add([]byte("terms"))
--- a/internal/controlplane/rollout/difference.go
+++ b/internal/controlplane/rollout/delta.go
@@ -14,14 +14,12 @@
 // maxBasesOffered is how many contents that are here a request names.
 const maxBasesOffered = 4
 
-// errFullContentNeeded is returned where a content has to travel whole: nothing is here to begin
-// with, or too much differs.
-var errFullContentNeeded = errors.New("rollout: the content has to travel whole")
+// errFullContentNeeded is the error where no content is here to start from, or too much differs.
+var errFullContentNeeded = errors.New("rollout: the full content has to be fetched")
 
-// fetchDelta makes a content out of one that is here by what a source says of the difference, and
-// stores it. The error is fleetlink.ErrNoContent where the source does not have the content, and
-// errWhole where it is to be fetched whole. After any other error too, the whole content may be
-// fetched: nothing was stored.
+// fetchDelta makes a content from one that is here and the differences to it that a source has, and
+// stores it. The error is controlrpc.ErrNoContent where the source does not have the content. After
+// any other error nothing was stored, and the full content may be fetched.
 func (a *Agent) fetchDelta(
 	ctx context.Context, wanted contentRequest, source consensus.MemberInfo,
 ) error {
@@ -33,21 +31,23 @@
 	if len(bases) == 0 {
 		return errFullContentNeeded
 	}
-	answer, err := a.client.ContentDelta(ctx, source.ID, source.Address, &controlpb.ContentDeltaRequest{
-		Item: wanted.item, Digest: wanted.ref.Digest, Bases: bases,
-	})
+	response, err := a.client.ContentDelta(ctx, source.ID, source.Address,
+		&controlpb.ContentDeltaRequest{
+			Item: wanted.item, Digest: wanted.ref.Digest, Bases: bases,
+		})
 	switch {
 	case err != nil:
 		return err
-	case answer.Delta != nil:
-		return a.applyDelta(wanted, answer.Delta)
-	case answer.Sums != nil:
-		return a.repair(ctx, wanted, bases[0], answer.Sums, source)
+	case response.Delta != nil:
+		return a.applyDelta(wanted, response.Delta)
+	case response.Sums != nil:
+		return a.repair(ctx, wanted, bases[0], response.Sums, source)
 	}
 	return errFullContentNeeded
 }
 
-// bases returns the digests of contents that are here: those in memory, or else the newest on disk.
+// bases returns the digests of contents to start from: those in memory, or else the newest on the
+// disk.
 func (a *Agent) bases() []string {
 	if digests := a.versions.newest(); len(digests) > 0 {
 		return digests
@@ -99,13 +99,14 @@
 		if len(indexes) == 0 {
 			break
 		}
-		answer, err := a.client.ContentBuckets(ctx, source.ID, source.Address, &controlpb.ContentBucketsRequest{
-			Item: wanted.item, Digest: digest, Buckets: indexes,
-		})
+		response, err := a.client.ContentBuckets(ctx, source.ID, source.Address,
+			&controlpb.ContentBucketsRequest{
+				Item: wanted.item, Digest: digest, Buckets: indexes,
+			})
 		if err != nil {
 			return err
 		}
-		if err := repair.Put(answer); err != nil {
+		if err := repair.Put(response); err != nil {
 			return err
 		}
 	}
@@ -117,7 +118,7 @@
 	return a.store(wanted.into, content, raw)
 }
 
-// store has a content that was verified lie on disk and in memory.
+// store keeps a verified content on the disk and in memory.
 func (a *Agent) store(into *Contents, content *configstate.Version, raw []byte) error {
 	failpoint.At("content-before-store")
 	if _, err := into.Add(raw); err != nil {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// Delta answers a process that fetches a content and has others; see fleetlink.Contents.
+// Delta serves a process that fetches a content and has others; see controlrpc.Contents.
 func (a *Agent) Delta(
 	request *controlpb.ContentDeltaRequest,
 ) (*controlpb.ContentDeltaResponse, error) {
@@ -145,7 +146,7 @@
 	return configstate.DeltaResponse(target, request.Bases, find), nil
 }
 
-// Buckets answers a process that fetches some buckets of a content; see fleetlink.Contents.
+// Buckets serves a process that fetches some buckets of a content; see controlrpc.Contents.
 func (a *Agent) Buckets(
 	request *controlpb.ContentBucketsRequest,
 ) (*controlpb.ContentBucketsResponse, error) {
@@ -159,7 +160,7 @@
 	return configstate.BucketsResponse(target, request.Buckets), nil
 }
 
-// requested returns a content that another process asks for, and its item. The content is nil where
+// requested returns a content that another process fetches, and its item. The content is nil where
 // this program can't read it as records; the error is fs.ErrNotExist where it is not here.
 func (a *Agent) requested(itemName, digest string) (Item, *configstate.Version, error) {
 	item := a.items[itemName]
--- a/internal/controlplane/rollout/difference_test.go
+++ b/internal/controlplane/rollout/delta_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// anyTerms finds all plans good.
+// anyTerms accepts all plans.
 type anyTerms struct{}
 
 func (anyTerms) CheckCatalog(*plans.Catalog) error { return nil }
@@ -52,7 +52,7 @@
 	done()
 }
 
-// testAgent is an agent without a control plane: what it fetches, tests ask of it.
+// testAgent is an agent without a control plane: tests call its methods to fetch.
 type testAgent struct {
 	*Agent
 	dir    string
@@ -60,7 +60,7 @@
 	bytes  *payloadBytes
 }
 
-// newTestAgent starts an agent that keeps contents in a folder and serves them.
+// newTestAgent starts an agent that stores contents in a folder and serves them.
 func newTestAgent(t *testing.T, id, dir string) *testAgent {
 	t.Helper()
 	quiet := slog.New(slog.DiscardHandler)
@@ -98,7 +98,7 @@
 	return a
 }
 
-// add has an agent keep a content, as one that was proposed there.
+// add stores a content at an agent, as one that was proposed there.
 func (a *testAgent) add(t *testing.T, raw []byte) configversion.Ref {
 	t.Helper()
 	digest, err := a.contents.Add(raw)
@@ -108,7 +108,7 @@
 	return configversion.Ref{Digest: digest, Size: int64(len(raw))}
 }
 
-// fetches has an agent fetch a content from another, and returns how many bytes that took.
+// fetches lets an agent fetch a content from another one, and returns how many bytes were sent.
 func (a *testAgent) fetches(t *testing.T, ref configversion.Ref, from *testAgent) int64 {
 	t.Helper()
 	before := from.bytes.sent.Load()
@@ -159,15 +159,15 @@
 	return raw
 }
 
-// A content comes whole to who has nothing, as the tenants that changed to who has the one before,
-// also after a restart, and by buckets to who has one that the server lost.
-func TestAContentTravelsAsWhatDiffers(t *testing.T) {
+// A content is fetched in full by an agent that has none, as the tenants that changed by one that
+// has the version before, also after a restart, and by buckets where the source has lost that one.
+func TestAContentIsFetchedAsItsDifferences(t *testing.T) {
 	server := newTestAgent(t, "server", t.TempDir())
 	dir := t.TempDir()
 	replica := newTestAgent(t, "replica", dir)
 	first := server.add(t, planText(t, 0))
 	if n := replica.fetches(t, first, server); n < first.Size {
-		t.Errorf("whole: %d bytes", n)
+		t.Errorf("in full: %d bytes", n)
 	}
 	replica.wantFetched(t, FetchStats{Full: 1})
 	if n := replica.fetches(t, server.add(t, planText(t, 1)), server); n > 400 {
@@ -188,9 +188,9 @@
 	restarted.wantFetched(t, FetchStats{Deltas: 1, Repairs: 1})
 }
 
-// A content that is not there is asked of another process; one of other tenants, or that a person
-// wrote otherwise than the program would, travels whole.
-func TestAContentTravelsWholeWhereItHasTo(t *testing.T) {
+// A content that a source does not have is fetched from another one. A content of other tenants, or
+// one that is not in canonical form, is fetched in full.
+func TestAContentIsFetchedInFullWhereItHasTo(t *testing.T) {
 	server, replica := newTestAgent(t, "server",
 		t.TempDir()), newTestAgent(t, "replica", t.TempDir())
 	replica.add(t, planText(t, 0))
@@ -212,8 +212,8 @@
 	replica.wantFetched(t, FetchStats{Full: 3})
 }
 
-// A damaged base is never built on: it is removed, and the content comes whole.
-func TestADamagedBaseIsNotBuiltOn(t *testing.T) {
+// A damaged base is removed and not used, and the content is fetched in full.
+func TestADamagedBaseIsNotUsed(t *testing.T) {
 	server := newTestAgent(t, "server", t.TempDir())
 	dir := t.TempDir()
 	first := server.add(t, planText(t, 0))
@@ -230,7 +230,7 @@
 	}
 }
 
-// lyingContents sends what doesn't lead to the content that was asked for.
+// lyingContents sends deltas that don't lead to the requested content.
 type lyingContents struct {
 	*Agent
 	delta *controlpb.ContentDelta
@@ -242,8 +242,8 @@
 	return &controlpb.ContentDeltaResponse{Delta: l.delta}, nil
 }
 
-// A delta that does not come to the agreed digest is dropped, and the same source is asked for the
-// whole content.
+// A delta that does not lead to the committed digest is dropped, and the full content is fetched
+// from the same source.
 func TestAWrongDeltaIsDropped(t *testing.T) {
 	liar := newTestAgent(t, "liar", t.TempDir())
 	replica := newTestAgent(t, "replica", t.TempDir())
--- a/internal/controlplane/rollout/fetch.go
+++ b/internal/controlplane/rollout/fetch.go
@@ -23,7 +23,8 @@
 		for _, ref := range wanted {
 			err := a.ensureContent(ctx, ref)
 			if err != nil {
-				a.log.Debug("fleet: versions: a content is not to be had yet", "digest", ref.Digest, "error", err)
+				a.log.Debug("fleet: versions: a content can't be fetched yet", "digest", ref.Digest,
+					"error", err)
 				continue
 			}
 			a.check(ref.Digest)
@@ -32,8 +33,8 @@
 	})
 }
 
-// ensureContent has a content lie here, fetched from another process where it does not. A file that is not what its name says is
-// removed, and fetched by the next call.
+// ensureContent fetches a content from another process unless it is here. A file that does not
+// match its digest is removed, and fetched by the next call.
 func (a *Agent) ensureContent(ctx context.Context, ref configversion.Ref) error {
 	if a.versions.known(ref.Digest) {
 		return nil
@@ -43,7 +44,8 @@
 		return err
 	}
 	a.refreshSources(ctx)
-	return a.fetch(ctx, contentRequest{a.itemOf(ref.Digest), ref, a.contents.Unsynced()}, a.sources())
+	return a.fetch(ctx, contentRequest{a.itemOf(ref.Digest), ref, a.contents.Unsynced()},
+		a.sources())
 }
 
 // itemOf returns the name of an item that wants a content, "" if none does.
@@ -56,27 +58,29 @@
 	return ""
 }
 
-// check has each item that wants a content check it, and takes in the verdict.
+// check lets each item that wants a content check it, and takes in the result.
 func (a *Agent) check(digest string) {
 	a.mu.Lock()
 	names := a.holder.ItemsWithContent(digest)
 	a.mu.Unlock()
 	why := ""
 	for _, name := range names {
-		refusal, err := a.checkItem(name, digest)
+		rejection, err := a.checkItem(name, digest)
 		if err != nil {
-			a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error", err)
-			return // it is wanted still
+			a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error",
+				err)
+			return // it is still missing
 		}
-		if refusal != nil {
-			why = refusal.Error()
+		if rejection != nil {
+			why = rejection.Error()
 		}
 	}
 	if failpoint.Denied("content-read") {
 		why = "this program can't read it"
 	}
 	if why != "" {
-		a.log.Error("fleet: versions: a content can't be acted on here", "items", names, "digest", digest,
+		a.log.Error("fleet: versions: a content can't be applied here", "items", names, "digest",
+			digest,
 			"why", why)
 	}
 	a.mu.Lock()
@@ -84,8 +88,9 @@
 	a.holder.ContentChecked(digest, why)
 }
 
-// checkItem returns why an item can't apply a content, or an error if the content can't be had from the disk.
-func (a *Agent) checkItem(name, digest string) (refusal, err error) {
+// checkItem returns why an item can't apply a content, or an error if the content can't be read
+// from the disk.
+func (a *Agent) checkItem(name, digest string) (rejection, err error) {
 	item := a.items[name]
 	if item == nil {
 		return fmt.Errorf("this program does not know what %s are", name), nil
@@ -101,17 +106,24 @@
 	return item.Check(content), nil
 }
 
-// contentRequest is a content that is to be fetched.
+// contentRequest is a content to fetch.
 type contentRequest struct {
-	item string // what it is of; "": not known
+	item string // name of an item that it is of; "": not known
 	ref  configversion.Ref
 	into *Contents
 }
 
+var (
+	errNoSource         = errors.New("rollout: no process to fetch from is known")
+	errUnknownRequester = errors.New("rollout: unknown process")
+	errInvalidRequest   = errors.New("rollout: invalid request")
+)
+
 // fetch fetches a content from one source after another until it is complete. It returns the error
 // of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, wanted contentRequest, sources []consensus.MemberInfo) error {
-	last := errors.New("rollout: nobody to fetch from is known")
+func (a *Agent) fetch(ctx context.Context, wanted contentRequest,
+	sources []consensus.MemberInfo) error {
+	last := errNoSource
 	for _, source := range sources {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
 		err := a.fetchFrom(one, wanted, source)
@@ -124,21 +136,24 @@
 	return last
 }
 
-// fetchFrom fetches a content from one source: as its difference to one that is here, or else the part of it that is not
-// here yet.
-func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
+// fetchFrom fetches a content from one source: as its difference to one that is here, or else in
+// full.
+func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest,
+	source consensus.MemberInfo) error {
 	err := a.fetchDelta(ctx, wanted, source)
 	if err == nil || errors.Is(err, controlrpc.ErrNoContent) {
 		return err
 	}
 	if !errors.Is(err, errFullContentNeeded) {
-		a.log.Debug("fleet: versions: a difference can't be used", "source", source.ID, "digest", wanted.ref.Digest, "error", err)
+		a.log.Debug("fleet: versions: a delta can't be used", "source", source.ID, "digest",
+			wanted.ref.Digest, "error", err)
 	}
 	return a.fetchFull(ctx, wanted, source)
 }
 
 // fetchFull fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchFull(ctx context.Context, wanted contentRequest, source consensus.MemberInfo) error {
+func (a *Agent) fetchFull(ctx context.Context, wanted contentRequest,
+	source consensus.MemberInfo) error {
 	ref := wanted.ref
 	offset := wanted.into.PartialSize(ref.Digest)
 	if offset > ref.Size {
@@ -155,26 +170,28 @@
 	return nil
 }
 
-// Keep fetches a content that is about to be proposed from the process that asks for it. Once it returns nil the content is
-// on the disk: the version is agreed on by its word.
-func (a *Agent) Keep(ctx context.Context, ask *controlpb.KeepRequest) error {
-	if ask.Size < 0 || ask.Size > configversion.MaxContentSize || !digestName.MatchString(ask.Digest) {
-		return fmt.Errorf("rollout: digest %.80q, %d bytes", ask.Digest, ask.Size)
-	}
-	if _, err := a.contents.Read(ask.Digest); err == nil {
-		return a.contents.Sync(ask.Digest)
-	}
-	members, err := a.membersOf(ctx, ask.From.GetId())
+// Keep fetches a content that is about to be proposed from the process that requests it. Once it
+// returns nil, the content is on the disk: the version is committed because of that.
+func (a *Agent) Keep(ctx context.Context, request *controlpb.KeepRequest) error {
+	if request.Size < 0 || request.Size > configversion.MaxContentSize ||
+		!digestName.MatchString(request.Digest) {
+		return fmt.Errorf("%w: digest %.80q, %d bytes", errInvalidRequest, request.Digest,
+			request.Size)
+	}
+	if _, err := a.contents.Read(request.Digest); err == nil {
+		return a.contents.Sync(request.Digest)
+	}
+	members, err := a.membersOf(ctx, request.From.GetId())
 	if err != nil {
 		return err
 	}
 	for _, m := range members {
-		if m.ID == ask.From.GetId() {
-			ref := configversion.Ref{Digest: ask.Digest, Size: ask.Size}
-			return a.fetchFrom(ctx, contentRequest{ask.Item, ref, a.contents}, m)
+		if m.ID == request.From.GetId() {
+			ref := configversion.Ref{Digest: request.Digest, Size: request.Size}
+			return a.fetchFrom(ctx, contentRequest{request.Item, ref, a.contents}, m)
 		}
 	}
-	return fmt.Errorf("rollout: no process %.40q", ask.From.GetId())
+	return fmt.Errorf("%w: %.40q", errUnknownRequester, request.From.GetId())
 }
 
 // Send sends a content that is here, from an offset in bytes on.
--- /dev/null
+++ b/internal/controlplane/rollout/leases.go
@@ -0,0 +1,87 @@
+package rollout
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"mothcleat/internal/controlplane/configversion"
+	"mothcleat/internal/failpoint"
+	"mothcleat/internal/monotonic"
+)
+
+// Current returns until when this process may operate under what is in force, by the clock of
+// package monotonic, and the generation of that. The time is 0 if the process is fenced.
+func (a *Agent) Current() (until time.Duration, generation uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.holder.LeasedUntil(monotonic.Now()), a.generation
+}
+
+// Expired reports whether what was decided under a lease may no longer be done. until and
+// generation are what Current returned at the decision.
+func (a *Agent) Expired(until time.Duration, generation uint64) bool {
+	failpoint.At("lease-taken")
+	now := monotonic.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return now >= until || generation != a.generation || a.holder.LeasedUntil(now) == 0
+}
+
+// renewLeases renews the leases until the context ends. Without an answer they expire by
+// themselves.
+func (a *Agent) renewLeases(ctx context.Context) {
+	query, err := json.Marshal(a.client.Me())
+	if err != nil {
+		panic(err) // a plain struct
+	}
+	repeat(ctx, a.config.RenewInterval, func() {
+		if err := a.enrol(ctx); err != nil {
+			return
+		}
+		a.renewLease(ctx, query)
+	})
+}
+
+// enrol has the fleet count this process as a holder of leases, unless it does already.
+func (a *Agent) enrol(ctx context.Context) error {
+	a.mu.Lock()
+	mustEnrol, ended := a.mustEnrol, a.endedIncarnations
+	a.mu.Unlock()
+	if !mustEnrol {
+		return nil
+	}
+	command := configversion.Command{Kind: configversion.KindEnrol, EndedIncarnations: ended}
+	if err := a.execute(ctx, command); err != nil {
+		return err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.mustEnrol = false
+	return nil
+}
+
+func (a *Agent) renewLease(ctx context.Context, query []byte) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	sent := monotonic.Now()
+	raw, err := a.client.Read(ctx, configversion.MachineName, query)
+	if err != nil {
+		return
+	}
+	var response configversion.LeaseResponse
+	if err := json.Unmarshal(raw, &response); err != nil {
+		return
+	}
+	failpoint.At("lease-renewed")
+	a.handleLease(sent, &response)
+}
+
+// handleLease takes in the response to the request that was sent at a time.
+func (a *Agent) handleLease(sent time.Duration, response *configversion.LeaseResponse) {
+	a.mu.Lock()
+	a.holder.HandleLease(monotonic.Now(), sent, response)
+	a.mustEnrol = a.mustEnrol || response.MustEnrol
+	a.mu.Unlock()
+	a.apply()
+}
--- a/internal/controlplane/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -13,9 +14,9 @@
 	"mothcleat/internal/failpoint"
 )
 
-// Propose starts the roll-out of the content of a file, beginning with the given stage. lead is how
-// long after the agreement the version holds. It returns the version's number. The version is agreed
-// only when a majority of the voters have the content, so that it is not lost with this process.
+// Propose starts the rollout of the content of a file, with the given stage first. The version is
+// effective lead after it is committed. It returns the version's number. The version is committed
+// only once a majority of the voters have the content, so that it is not lost with this process.
 func (a *Agent) Propose(ctx context.Context, item, path string, stage configversion.Stage,
 	lead time.Duration) (uint64, error) {
 	raw, err := a.readProposal(item, path)
@@ -34,7 +35,7 @@
 	if err := a.replicate(ctx, &list, item, digest, size); err != nil {
 		return 0, err
 	}
-	failpoint.At("propose-before-agree")
+	failpoint.At("propose-before-commit")
 	view, err := a.View(ctx)
 	if err != nil {
 		return 0, err
@@ -54,19 +55,20 @@
 	return a.executeNumbered(ctx, op)
 }
 
-// readProposal reads a file, checks that it can be applied as an item, and returns the canonical bytes of what it says:
-// those are what travels as differences.
+// readProposal reads a file, checks that it can be applied as an item, and returns its content in
+// canonical form, in which it is distributed.
 func (a *Agent) readProposal(item, path string) ([]byte, error) {
 	known := a.items[item]
 	if known == nil {
-		return nil, fmt.Errorf("rollout: this program does not know what %.40q are", item)
+		return nil, fmt.Errorf("%w: this program has no item %.40q", errInvalidRequest, item)
 	}
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > configversion.MaxContentSize {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), configversion.MaxContentSize)
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(),
+			configversion.MaxContentSize)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +79,8 @@
 		err = known.Check(content)
 	}
 	if err == nil && content.Size > configversion.MaxContentSize {
-		err = fmt.Errorf("%d bytes as they would travel, %d at most", content.Size, configversion.MaxContentSize)
+		err = fmt.Errorf("%d bytes in canonical form, %d at most", content.Size,
+			configversion.MaxContentSize)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -97,10 +100,15 @@
 	return number
 }
 
-// replicate has a majority of the voters keep a content of the given size in bytes.
-func (a *Agent) replicate(ctx context.Context, list *consensus.Membership, item, digest string, size int64) error {
+// errNoMajority is the error of a content that too few voters have.
+var errNoMajority = errors.New("rollout: a majority of the voters is needed")
+
+// replicate stores a content of the given size in bytes at a majority of the voters.
+func (a *Agent) replicate(ctx context.Context, list *consensus.Membership, item, digest string,
+	size int64) error {
 	me := a.client.Me()
-	ask := &controlpb.KeepRequest{Item: item, Digest: digest, Size: size, From: &controlpb.Member{Id: me.ID, Incarnation: me.Incarnation}}
+	request := &controlpb.KeepRequest{Item: item, Digest: digest, Size: size,
+		From: &controlpb.Member{Id: me.ID, Incarnation: me.Incarnation}}
 	results := make(chan bool, len(list.Voters))
 	for _, v := range list.Voters {
 		if v.Name == me.ID {
@@ -108,7 +116,7 @@
 			continue
 		}
 		go func() {
-			results <- a.client.Keep(ctx, v.Name, v.Address, ask) == nil
+			results <- a.client.Keep(ctx, v.Name, v.Address, request) == nil
 		}()
 	}
 	replicas := 0
@@ -120,11 +128,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("rollout: %d of %d voters have the content, a majority is wanted",
-		replicas, len(list.Voters))
+	return fmt.Errorf("%w: %d of %d voters have the content", errNoMajority, replicas,
+		len(list.Voters))
 }
 
-// Execute has an operator's command about a version agreed. It returns the number of the version that
+// Execute commits an operator's command about a version. It returns the number of the version that
 // the command made, if it made one.
 func (a *Agent) Execute(ctx context.Context, op configversion.Command) (uint64, error) {
 	if op.Kind == configversion.KindAdvance && op.Stage != configversion.StageAll {
--- a/internal/controlplane/rollout/report.go
+++ b/internal/controlplane/rollout/report.go
@@ -8,13 +8,14 @@
 	"mothcleat/internal/failpoint"
 )
 
-// report is a command that tells the fleet about a version, and the digest that it is about.
+// report is a command that reports a version, and the digest of its content.
 type report struct {
 	op     configversion.Command
 	digest string
 }
 
-// reportVersions tells the fleet what is in force here and what can't be, until the context ends.
+// reportVersions reports to the fleet what is in force here and what is rejected, until the context
+// ends.
 func (a *Agent) reportVersions(ctx context.Context) {
 	repeat(ctx, a.config.RenewInterval/4, func() {
 		for _, r := range a.pendingReports() {
@@ -25,7 +26,7 @@
 	})
 }
 
-// pendingReports returns what the fleet was not told yet.
+// pendingReports returns what was not reported yet.
 func (a *Agent) pendingReports() (all []report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,14 +34,16 @@
 		target := a.holder.Target(name)
 		if number >= target.Number && number > a.reported[name] {
 			all = append(all, report{
-				op:     configversion.Command{Kind: configversion.KindReport, Item: name, Number: number},
+				op: configversion.Command{Kind: configversion.KindReport, Item: name,
+					Number: number},
 				digest: target.Digest,
 			})
 		}
 		why := a.holder.RejectionReason(name, target.Digest)
 		if why != "" && !a.reportedRejections[target.Digest] {
 			all = append(all, report{
-				op:     configversion.Command{Kind: configversion.KindReport, Item: name, Number: target.Number, Rejected: true, Why: why},
+				op: configversion.Command{Kind: configversion.KindReport, Item: name,
+					Number: target.Number, Rejected: true, Why: why},
 				digest: target.Digest,
 			})
 		}
@@ -48,13 +51,13 @@
 	return all
 }
 
-// finishReport takes in whether a report was accepted; one that was not is sent again.
+// finishReport takes in whether a report was committed. One that was not is sent again.
 func (a *Agent) finishReport(r report, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case err != nil:
-		a.log.Debug("fleet: versions: a report was not taken", "item", r.op.Item, "error", err)
+		a.log.Debug("fleet: versions: a report was not committed", "item", r.op.Item, "error", err)
 	case r.op.Rejected:
 		a.reportedRejections[r.digest] = true
 	default:
@@ -62,7 +65,7 @@
 	}
 }
 
-// reportHead tells the fleet the head of this process's audit record, until the context ends.
+// reportHead reports the head of this process's audit log to the fleet, until the context ends.
 func (a *Agent) reportHead(ctx context.Context) {
 	if a.recordHead == nil {
 		return
@@ -73,7 +76,8 @@
 		if head == nil || *head == last {
 			return
 		}
-		if err := a.execute(ctx, configversion.Command{Kind: configversion.KindReportHead, Head: head}); err == nil {
+		if err := a.execute(ctx, configversion.Command{Kind: configversion.KindReportHead,
+			Head: head}); err == nil {
 			last = *head
 		}
 	})
--- a/internal/controlplane/rollout/sources.go
+++ b/internal/controlplane/rollout/sources.go
@@ -10,18 +10,18 @@
 	"mothcleat/internal/monotonic"
 )
 
-// sourceSample is how many processes are asked for to fetch contents from, beside the voters.
+// sourceSample is how many processes to fetch contents from are queried, in addition to the voters.
 const sourceSample = 8
 
-// sourceSet is processes that contents may be fetched from, and when they were asked for.
+// sourceSet is the processes that contents may be fetched from, and when they were queried.
 type sourceSet struct {
 	members []consensus.MemberInfo
 	voters  []consensus.VoterInfo
 	at      time.Duration // by the clock of package monotonic
 }
 
-// refreshSources asks for processes to fetch contents from, unless that was done within
-// sourceRefreshInterval. Where no answer comes, those asked for before stay.
+// refreshSources queries the processes to fetch contents from, unless that was done within
+// sourceRefreshInterval. Without an answer the earlier ones stay.
 func (a *Agent) refreshSources(ctx context.Context) {
 	known := a.sourceSet.Load()
 	if known != nil && len(known.members) > 0 && monotonic.Now()-known.at < sourceRefreshInterval {
@@ -29,23 +29,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sourceQueryTimeout)
 	defer cancel()
-	query := consensus.MembershipQuery{Scope: consensus.ScopeSample, Sample: sourceSample, Seed: rand.Uint64()}
+	query := consensus.MembershipQuery{Scope: consensus.ScopeSample, Sample: sourceSample,
+		Seed: rand.Uint64()}
 	raw, err := a.client.Read(ctx, consensus.MembershipName, query.Encode())
 	if err != nil {
-		a.log.Debug("fleet: versions: no processes to fetch from were told", "error", err)
+		a.log.Debug("fleet: versions: the processes to fetch from can't be queried", "error", err)
 		return
 	}
 	answer, err := consensus.ParseMembershipAnswer(raw)
 	if err != nil {
-		a.log.Warn("fleet: versions: no processes to fetch from were told", "error", err)
+		a.log.Warn("fleet: versions: the processes to fetch from can't be queried", "error", err)
 		return
 	}
 	a.sourceSet.Store(&sourceSet{answer.Members, answer.Voters, monotonic.Now()})
 }
 
-// sources returns the other processes in the order in which they are asked for a content: one at
-// random, so that the load of a new content spreads; then the voters, most of which have what was
-// proposed; then the others.
+// sources returns the other processes in the order in which to fetch from them: one at random, so
+// that the load of a new content spreads; then the voters, most of which have what was proposed;
+// then the others.
 func (a *Agent) sources() (all []consensus.MemberInfo) {
 	known := a.sourceSet.Load()
 	if known == nil {
@@ -58,12 +59,16 @@
 	}
 	if len(all) > 1 {
 		rank := func(m consensus.MemberInfo) int {
-			if slices.ContainsFunc(known.voters, func(v consensus.VoterInfo) bool { return v.Name == m.ID }) {
+			if slices.ContainsFunc(known.voters,
+				func(v consensus.VoterInfo) bool { return v.Name == m.ID }) {
 				return 0
 			}
 			return 1
 		}
-		slices.SortStableFunc(all[1:], func(a, b consensus.MemberInfo) int { return rank(a) - rank(b) })
+		slices.SortStableFunc(all[1:], func(a,
+			b consensus.MemberInfo) int {
+			return rank(a) - rank(b)
+		})
 	}
 	return all
 }
--- a/internal/controlplane/rollout/stored_test.go
+++ b/internal/controlplane/rollout/stored_test.go
@@ -8,7 +8,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A version's content that an earlier build fetched is read by its digest, and its canonical form is the same bytes.
+// A version's content that an earlier build fetched is read by its digest, and its canonical form
+// is the same bytes.
 func TestStoredContentIsRead(t *testing.T) {
 	contents := NewContents("testdata/stored")
 	digests, err := contents.Newest(2)
--- a/internal/controlplane/rollout/versioncache.go
+++ b/internal/controlplane/rollout/versioncache.go
@@ -7,12 +7,13 @@
 	"mothcleat/internal/controlplane/configstate"
 )
 
-// maxCachedVersions is how many contents a process keeps as records: those of versions that overlap, and the base of the
-// next one. They share the records that they have in common where one was made of the other.
+// maxCachedVersions is how many contents a process caches as records: those of versions that
+// overlap, and the base of the next one. Contents of which one was made from the other share their
+// common records.
 const maxCachedVersions = 3
 
-// versionCache keeps the newest contents as records. Its methods may be called concurrently; one that has to read a file
-// holds the others up.
+// versionCache caches the newest contents as records. Its methods may be called concurrently; they
+// wait while one of them reads a file.
 type versionCache struct {
 	contents *Contents
 
@@ -22,7 +23,8 @@
 
 func newVersionCache(contents *Contents) *versionCache { return &versionCache{contents: contents} }
 
-// read returns a content from memory or from its file. The errors are those of Contents.Read and configstate.Read.
+// read returns a content from memory or from its file. The errors are those of Contents.Read and
+// configstate.Read.
 func (c *versionCache) read(codec configstate.Codec, digest string) (*configstate.Version, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +43,7 @@
 	return v, nil
 }
 
-// put keeps a content whose bytes were verified.
+// put caches a content whose bytes were verified.
 func (c *versionCache) put(v *configstate.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/audittest/audit_test.go
+++ b/internal/testing/audittest/audit_test.go
@@ -101,7 +101,7 @@
 		t,
 		testcluster.Options{
 			Instances: 4,
-			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" },
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=lease-taken@stop" },
 		},
 	)
 	const stopped = 3
@@ -160,7 +160,7 @@
 			Instances: 4,
 			Seed:      7,
 			Operators: alone,
-			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=permit-taken@stop" },
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=lease-taken@stop" },
 		},
 	)
 	const stopped = 3
--- a/internal/testing/audittest/hard_test.go
+++ b/internal/testing/audittest/hard_test.go
@@ -191,7 +191,7 @@
 		testcluster.Options{
 			Instances: 4,
 			Seed:      4,
-			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=guide-before-agree@stop" },
+			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=rollout-before-commit@stop" },
 		},
 	)
 	play(t, f, func() {
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -315,7 +315,7 @@
 }
 
 var outs = regexp.MustCompile(
-	`(?m)^.*msg="fleet: (shut out: this gateway acts on nothing|let in: this gateway acts)".*$`,
+	`(?m)^.*msg="fleet: (fenced: this gateway operates under no version|readmitted: this gateway operates again)".*$`,
 )
 
 // judge ends the fleet and reads what all have left.
@@ -346,7 +346,7 @@
 		late += lateActs(c.f, all, c.ended)
 		out := false
 		for _, m := range outs.FindAllStringSubmatch(g.Log(), -1) {
-			if is := strings.HasPrefix(m[1], "shut"); is &&
+			if is := strings.HasPrefix(m[1], "fenced"); is &&
 				!strings.Contains(m[0], "not heard the fleet yet") {
 				shut++
 				out = true
