--- a/internal/controlplane/auditlog/audit.go
+++ b/internal/controlplane/auditlog/audit.go
@@ -1,7 +1,6 @@
 package auditlog
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 )
@@ -9,7 +8,7 @@
 // Interval is an interval in which one gateway operated under one version of an item.
 type Interval struct {
 	ID          string `json:"id"`
-	Incarnation string `json:"boot"`
+	Incarnation string `json:"boot"` // hexadecimal
 	Item        string `json:"item"`
 	Number      uint64 `json:"number"`
 	From        int64  `json:"from"` // microseconds since 1970, by the gateway's clock
@@ -17,51 +16,76 @@
 	Counts
 	First uint64 `json:"first"` // number of the first entry that it is derived from
 	Last  uint64 `json:"last"`
-	// Compacted tells that it is derived from summaries in place of entries that are no longer kept. First and Last
-	// then name all entries of the summary.
+
+	// Compacted tells that it is derived from checkpoints in place of entries that are no longer
+	// kept. First and Last then name all entries of the checkpoint.
 	Compacted bool `json:"folded,omitempty"`
 }
 
 // Gap is an interval that the log of an incarnation does not cover.
 type Gap struct {
 	ID          string `json:"id"`
-	Incarnation string `json:"boot"`
-	From        int64  `json:"from"`
-	To          int64  `json:"to"` // 0 where no entry follows
+	Incarnation string `json:"boot"` // hexadecimal
+	From        int64  `json:"from"` // microseconds since 1970, by the gateway's clock
+	To          int64  `json:"to"`   // 0 where no entry follows
 	Why         string `json:"why"`
 }
 
-// Summarize joins verified entries: which gateway operated under which version, from when to when and how often. Gaps are
-// more than most microseconds between two entries, and chains without a last entry.
-func Summarize(good []Entry, most int64) (all []Interval, gaps []Gap) {
-	type key struct{ id, boot, item string }
-	open := map[key]int{} // where the stretch under way stands
+// Summarize joins valid entries to one audit: which gateway operated under which version, from when
+// to when and how often. Gaps are more than maxPause microseconds between two entries, and chains
+// without a last entry. Entries of one chain must be in order.
+func Summarize(valid []Entry, maxPause int64) (all []Interval, gaps []Gap) {
+	type key struct {
+		chain chainID
+		item  string
+	}
+	open := map[key]int{} // index of the interval that is open
 	last := map[chainID]*Entry{}
-	for i := range good {
-		e := &good[i]
-		c := chainID{e.ID, e.Incarnation}
-		if before := last[c]; before != nil && e.StartedAt-before.EndedAt > most {
-			gaps = append(gaps, Gap{e.ID, e.Incarnation, before.EndedAt, e.StartedAt, "nothing was written"})
+	for i := range valid {
+		e := &valid[i]
+		before := last[e.chain()]
+		if before != nil && e.StartedAt-before.EndedAt > maxPause {
+			gaps = append(gaps, Gap{e.ID, e.Incarnation, before.EndedAt, e.StartedAt,
+				"nothing was written"})
 		}
-		last[c] = e
+		last[e.chain()] = e
 		for _, item := range slices.Sorted(maps.Keys(e.InForce)) {
-			k := key{e.ID, e.Incarnation, item}
-			at, ok := open[k]
-			if !ok || all[at].Number != e.InForce[item] {
-				at = len(all)
-				open[k] = at
-				all = append(all, Interval{ID: e.ID, Incarnation: e.Incarnation, Item: item, Number: e.InForce[item], From: e.StartedAt, First: e.Seq})
+			k := key{e.chain(), item}
+			index, ok := open[k]
+			if !ok || all[index].Number != e.InForce[item] {
+				index = len(all)
+				open[k] = index
+				all = append(all, newInterval(e, item))
 			}
-			s := &all[at]
-			s.To, s.Last, s.Counts = e.EndedAt, e.Seq, s.Counts.Plus(e.Counts)
+			interval := &all[index]
+			interval.To = e.EndedAt
+			interval.Last = e.Seq
+			interval.Counts = interval.Counts.Plus(e.Counts)
 		}
 	}
-	for _, c := range slices.SortedFunc(maps.Keys(last), func(a, b chainID) int {
-		return cmp.Or(cmp.Compare(a.gateway, b.gateway), cmp.Compare(a.incarnation, b.incarnation))
-	}) {
-		if e := last[c]; !e.Last {
-			gaps = append(gaps, Gap{c.gateway, c.incarnation, e.EndedAt, 0, "the record has no end: the process runs, or its folder was lost"})
+	gaps = append(gaps, openEnds(last)...)
+	return append(compactedIntervals(valid), all...), gaps
+}
+
+// newInterval returns an interval that starts with an entry, without the entry's counts.
+func newInterval(e *Entry, item string) Interval {
+	return Interval{
+		ID:          e.ID,
+		Incarnation: e.Incarnation,
+		Item:        item,
+		Number:      e.InForce[item],
+		From:        e.StartedAt,
+		First:       e.Seq,
+	}
+}
+
+// openEnds returns a gap for each chain without a last entry.
+func openEnds(last map[chainID]*Entry) (gaps []Gap) {
+	for _, id := range slices.SortedFunc(maps.Keys(last), compareChains) {
+		if e := last[id]; !e.Last {
+			why := "the log has no end: the process runs, or its folder was lost"
+			gaps = append(gaps, Gap{id.gateway, id.incarnation, e.EndedAt, 0, why})
 		}
 	}
-	return append(compactedIntervals(good), all...), gaps
+	return gaps
 }
--- a/internal/controlplane/auditlog/auditlog_test.go
+++ b/internal/controlplane/auditlog/auditlog_test.go
@@ -1,7 +1,6 @@
 package auditlog
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -9,12 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-// record writes some entries of one boot, with a change of version in the middle.
-func record(id, boot string, n int) (all []Entry) {
-	prev := Root(id, boot)
+// chainOf returns a chain of n entries of one incarnation, with a change of version in the middle.
+func chainOf(id, incarnation string, n int) (all []Entry) {
+	prev := Root(id, incarnation)
 	for i := range n {
-		e := Entry{ID: id, Incarnation: boot, Seq: uint64(i + 1), StartedAt: int64(i) * 100, EndedAt: int64(i+1) * 100, InForce: map[string]uint64{"plans": 1},
-			Counts: Counts{Forwarded: 3, Units: 4.5}, Prev: prev, Last: i == n-1}
+		e := Entry{
+			ID:          id,
+			Incarnation: incarnation,
+			Seq:         uint64(i + 1),
+			StartedAt:   int64(i) * 100,
+			EndedAt:     int64(i+1) * 100,
+			InForce:     map[string]uint64{"plans": 1},
+			Counts:      Counts{Forwarded: 3, Units: 4.5},
+			Prev:        prev,
+			Last:        i == n-1,
+		}
 		if i >= n/2 {
 			e.InForce["plans"] = 2
 		}
@@ -24,87 +32,111 @@
 	return all
 }
 
-func head(e *Entry) Head { return Head{e.ID, e.Incarnation, e.Seq, e.Hash()} }
+func headOf(e *Entry) Head { return Head{e.ID, e.Incarnation, e.Seq, e.Hash()} }
 
-func TestARecordThatHolds(t *testing.T) {
-	all := append(record("n0", "a", 8), record("n1", "b", 6)...)
-	good, bad := Verify(slices.Clone(all), []Head{head(&all[3]), head(&all[7]), head(&all[13])})
-	if len(bad) != 0 || len(good) != len(all) {
-		t.Fatalf("%v, %d of %d entries", bad, len(good), len(all))
-	}
-	// Two copies of one record tell nothing new.
-	if good, bad = Verify(append(slices.Clone(all), all[2:5]...), nil); len(bad) != 0 || len(good) != len(all) {
-		t.Fatalf("%v, %d of %d entries", bad, len(good), len(all))
+func checkValid(t *testing.T, entries []Entry, heads []Head, want int) (valid []Entry) {
+	t.Helper()
+	valid, violations := Verify(entries, heads)
+	if len(violations) != 0 || len(valid) != want {
+		t.Fatalf("%v, %d of %d entries are valid", violations, len(valid), want)
 	}
-	rows, gaps := Summarize(good, 1000)
-	if len(gaps) != 0 || len(rows) != 4 {
-		t.Fatalf("%+v %+v", rows, gaps)
+	return valid
+}
+
+func TestValidLog(t *testing.T) {
+	all := append(chainOf("n0", "a", 8), chainOf("n1", "b", 6)...)
+	heads := []Head{headOf(&all[3]), headOf(&all[7]), headOf(&all[13])}
+	checkValid(t, slices.Clone(all), heads, len(all))
+	// Two copies of one log are no violation.
+	valid := checkValid(t, append(slices.Clone(all), all[2:5]...), nil, len(all))
+	intervals, gaps := Summarize(valid, 1000)
+	if len(gaps) != 0 || len(intervals) != 4 {
+		t.Fatalf("%+v %+v", intervals, gaps)
 	}
-	if r := rows[0]; r.Number != 1 || r.Forwarded != 12 || r.Units != 18 || r.First != 1 || r.Last != 4 || r.From != 0 || r.To != 400 {
-		t.Errorf("%+v", r)
+	want := Interval{ID: "n0", Incarnation: "a", Item: "plans", Number: 1, From: 0, To: 400,
+		Counts: Counts{Forwarded: 12, Units: 18}, First: 1, Last: 4}
+	if intervals[0] != want {
+		t.Errorf("%+v, %+v wanted", intervals[0], want)
 	}
 }
 
-// Whatever is done to a record shows: an entry changed, left out, doubled under another content, the end cut off, all of it written
-// anew, a copy under another name.
-func TestDamageShows(t *testing.T) {
+// damage damages a chain at an index in one of several ways.
+var damage = map[string]func(chain []Entry, at int) []Entry{
+	"changed": func(chain []Entry, at int) []Entry {
+		chain[at].Units++
+		return chain
+	},
+	"removed": func(chain []Entry, at int) []Entry { return slices.Delete(chain, at, at+1) },
+	"duplicated with another content": func(chain []Entry, at int) []Entry {
+		other := chain[at]
+		other.Forwarded++
+		return slices.Insert(chain, at+1, other)
+	},
+	"truncated": func(chain []Entry, at int) []Entry { return chain[:at] },
+	"rewritten": func(chain []Entry, at int) []Entry { // as a chain that is valid in itself
+		prev := chain[at].Prev
+		for i := at; i < len(chain); i++ {
+			chain[i].Units++
+			chain[i].Prev = prev
+			prev = chain[i].Hash()
+		}
+		return chain
+	},
+	"lost": func([]Entry, int) []Entry { return nil },
+	"renamed": func(chain []Entry, _ int) []Entry {
+		for i := range chain {
+			chain[i].Incarnation = "b"
+		}
+		return chain
+	},
+}
+
+// Any damage to a log that lies before a reported head is a violation.
+func TestDamageIsAViolation(t *testing.T) {
+	kinds := []string{"changed", "removed", "duplicated with another content", "truncated",
+		"rewritten",
+		"lost", "renamed"}
 	rapid.Check(t, func(t *rapid.T) {
-		all := record("n0", "a", rapid.IntRange(2, 20).Draw(t, "entries"))
-		told := rapid.IntRange(1, len(all)).Draw(t, "told")
-		heads := []Head{head(&all[told-1])}
-		at := rapid.IntRange(0, told-1).Draw(t, "at")
-		damaged := slices.Clone(all)
-		what := rapid.SampledFrom([]string{"changed", "left out", "doubled", "cut", "anew", "gone", "renamed"}).Draw(t, "what")
-		switch what {
-		case "changed":
-			damaged[at].Units++
-		case "left out":
-			damaged = slices.Delete(damaged, at, at+1)
-		case "doubled":
-			other := damaged[at]
-			other.Forwarded++
-			damaged = slices.Insert(damaged, at+1, other)
-		case "cut":
-			damaged = damaged[:at]
-		case "anew": // from some place on, with a chain that holds by itself
-			prev := damaged[at].Prev
-			for i := at; i < len(damaged); i++ {
-				damaged[i].Units++
-				damaged[i].Prev = prev
-				prev = damaged[i].Hash()
-			}
-		case "gone":
-			damaged = nil
-		case "renamed":
-			for i := range damaged {
-				damaged[i].Incarnation = "b"
-			}
+		all := chainOf("n0", "a", rapid.IntRange(2, 20).Draw(t, "entries"))
+		reported := rapid.IntRange(1, len(all)).Draw(t, "reported")
+		heads := []Head{headOf(&all[reported-1])}
+		at := rapid.IntRange(0, reported-1).Draw(t, "at")
+		kind := rapid.SampledFrom(kinds).Draw(t, "kind")
+		damaged := damage[kind](slices.Clone(all), at)
+		valid, violations := Verify(damaged, heads)
+		if len(violations) == 0 {
+			t.Fatalf("%s at %d of %d, reported at %d: no violation", kind, at, len(all), reported)
 		}
-		good, bad := Verify(damaged, heads)
-		if len(bad) == 0 {
-			t.Fatalf("%s at %d of %d, told at %d: nothing is seen", what, at, len(all), told)
+		if kind != "changed" && kind != "rewritten" {
+			return
 		}
-		for _, e := range good {
-			if e.Seq > uint64(at) && (what == "changed" || what == "anew") && e.Units != 4.5 {
-				t.Fatalf("%s: entry %d still counts as %v units", what, e.Seq, e.Units)
+		for _, e := range valid {
+			if e.Seq > uint64(at) && e.Units != 4.5 {
+				t.Fatalf("%s: entry %d still counts %v units", kind, e.Seq, e.Units)
 			}
 		}
 	})
 }
 
-// What no record tells is a gap, and stays one.
-func TestGapsStayGaps(t *testing.T) {
-	all := record("n0", "a", 6)
-	for i := 3; i < 6; i++ { // it lay still
+// What no log covers is a gap.
+func TestGaps(t *testing.T) {
+	all := chainOf("n0", "a", 6)
+	for i := 3; i < 6; i++ { // the process was stopped
 		all[i].StartedAt += 10_000
 		all[i].EndedAt += 10_000
 	}
 	all[5].Last = false // and was killed
-	rows, gaps := Summarize(all, 1000)
-	if len(gaps) != 2 || gaps[0].From != 300 || gaps[0].To != 10_300 || gaps[1].To != 0 {
-		t.Errorf("%+v", gaps)
+	intervals, gaps := Summarize(all, 1000)
+	if len(gaps) != 2 {
+		t.Fatalf("%+v", gaps)
+	}
+	if gaps[0].From != 300 || gaps[0].To != 10_300 {
+		t.Errorf("the gap of the stop is %+v", gaps[0])
+	}
+	if gaps[1].To != 0 || !strings.Contains(gaps[1].Why, "no end") {
+		t.Errorf("the gap behind the last entry is %+v", gaps[1])
 	}
-	if len(rows) != 2 || !strings.Contains(fmt.Sprint(gaps), "no end") {
-		t.Errorf("%+v", rows)
+	if len(intervals) != 2 {
+		t.Errorf("%+v", intervals)
 	}
 }
--- a/internal/controlplane/auditrecorder/recorder_test.go
+++ b/internal/controlplane/auditrecorder/recorder_test.go
@@ -7,16 +7,16 @@
 	"mothcleat/internal/controlplane/auditlog"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// A process that ends at any moment leaves a record that holds, with all that it counted: the next one writes the rest down, under the
-// versions that it was done by.
-func TestWhatAKilledProcessLeft(t *testing.T) {
+// A process that ends at any moment leaves a valid log: the next one writes what it had counted and
+// not written, under the versions that it was counted by.
+func TestNextProcessWritesWhatAKilledOneCounted(t *testing.T) {
 	dir := t.TempDir()
 	var heads []auditlog.Head
 	total := auditlog.Counts{}
-	for boot := uint64(1); boot <= 6; boot++ {
-		r, err := Open(dir, "n0", boot, quiet)
+	for incarnation := uint64(1); incarnation <= 6; incarnation++ {
+		r, err := Open(dir, "n0", incarnation, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,13 +25,14 @@
 			r.Sent(false, 2.5)
 			r.Rejected(false)
 			r.Rejected(true)
-			total = total.Plus(auditlog.Counts{Forwarded: 1, Retries: 1, Units: 2.5, Rejected: 1, RejectedFenced: 1})
+			total = total.Plus(auditlog.Counts{Forwarded: 1, Retries: 1, Units: 2.5, Rejected: 1,
+				RejectedFenced: 1})
 			if k%2 == 0 {
-				r.Change(map[string]uint64{"plans": boot*10 + uint64(k)})
+				r.Change(map[string]uint64{"plans": incarnation*10 + uint64(k)})
 			}
-			if boot%3 == 1 && k == 3 { // some of it was written before
+			if incarnation%3 == 1 && k == 3 { // some of it is written before
 				r.mu.Lock()
-				err = r.write(int64(boot)*1000, false)
+				err = r.write(int64(incarnation)*1000, false)
 				r.mu.Unlock()
 				if err != nil {
 					t.Fatal(err)
@@ -41,18 +42,18 @@
 		if h := r.Head(); h != nil {
 			heads = append(heads, *h)
 		}
-		if boot%2 == 0 { // it ends in order
+		if incarnation%2 == 0 { // it is shut down
 			if err := r.Close(); err != nil {
 				t.Fatal(err)
 			}
 			continue
 		}
-		// It is killed: nothing more is written by it, and its lock goes.
+		// It is killed: it writes nothing more, and its lock is released.
 		if err := r.store.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := Open(dir, "n0", 7, quiet)
+	r, err := Open(dir, "n0", 7, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,9 +64,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, bad := auditlog.Verify(all, heads)
-	if len(bad) > 0 || len(good) != len(all) || len(heads) == 0 {
-		t.Fatalf("%v, %d of %d entries, %d heads", bad, len(good), len(all), len(heads))
+	valid, violations := auditlog.Verify(all, heads)
+	if len(violations) > 0 || len(valid) != len(all) || len(heads) == 0 {
+		t.Fatalf("%v, %d of %d entries, %d heads", violations, len(valid), len(all), len(heads))
 	}
 	var sum auditlog.Counts
 	byVersion := map[uint64]uint64{}
@@ -74,22 +75,23 @@
 		byVersion[e.InForce["plans"]] += e.Forwarded
 	}
 	if sum != total {
-		t.Errorf("%+v were recorded, %+v were done", sum, total)
+		t.Errorf("%+v were written, %+v were counted", sum, total)
 	}
-	// Two under the first version of each boot's, two under the next.
-	for boot := uint64(1); boot <= 6; boot++ {
-		if byVersion[boot*10] != 2 || byVersion[boot*10+2] != 2 || byVersion[boot*10+4] != 0 {
-			t.Errorf("boot %d: %v", boot, byVersion)
+	// Each incarnation counts two requests under its first version, and two under the next.
+	for incarnation := uint64(1); incarnation <= 6; incarnation++ {
+		first := incarnation * 10
+		if byVersion[first] != 2 || byVersion[first+2] != 2 || byVersion[first+4] != 0 {
+			t.Errorf("incarnation %d: %v", incarnation, byVersion)
 		}
 	}
-	if _, gaps := auditlog.Summarize(good, 1<<62); len(gaps) != 0 {
+	if _, gaps := auditlog.Summarize(valid, 1<<62); len(gaps) != 0 {
 		t.Errorf("%+v", gaps)
 	}
 }
 
-// What recording costs a request in the loop.
+// BenchmarkSent measures what counting costs a request in the event loop.
 func BenchmarkSent(b *testing.B) {
-	r, err := Open(b.TempDir(), "n0", 1, quiet)
+	r, err := Open(b.TempDir(), "n0", 1, discardLog)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -100,35 +102,36 @@
 	_ = r.Close()
 }
 
-// A record that is bounded holds all the same: what is not kept any more is in sums, which are in the chain.
-func TestABoundedRecordHolds(t *testing.T) {
+// A log that is bounded is valid as well: checkpoints, which are in the chain, stand for the
+// entries that are not kept.
+func TestABoundedLogIsValid(t *testing.T) {
 	dir := t.TempDir()
 	var heads []auditlog.Head
-	done, most := uint64(0), 0
-	for boot := uint64(1); boot <= 9; boot++ {
-		r, err := Open(dir, "n0", boot*7919%100, quiet)
+	counted, maxKept := uint64(0), 0
+	for incarnation := uint64(1); incarnation <= 9; incarnation++ {
+		r, err := Open(dir, "n0", incarnation*7919%100, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.maxEntries = 20
 		for k := range 30 {
 			r.Sent(true, 1)
-			done++
+			counted++
 			if k%10 == 9 {
-				r.Change(map[string]uint64{"plans": boot})
+				r.Change(map[string]uint64{"plans": incarnation})
 			}
 			r.mu.Lock()
-			err := r.write(int64(boot*1000)+int64(k), false)
+			err := r.write(int64(incarnation*1000)+int64(k), false)
 			r.mu.Unlock()
 			if err != nil {
 				t.Fatal(err)
 			}
 			heads = append(heads, *r.Head())
-			all, err := entries(r.store, 0)
+			all, err := readEntries(r.store, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			most = max(most, len(all))
+			maxKept = max(maxKept, len(all))
 		}
 		if err := r.Close(); err != nil {
 			t.Fatal(err)
@@ -137,41 +140,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		good, bad := auditlog.Verify(all, heads)
-		if len(bad) > 0 || len(good) != len(all) {
-			t.Fatalf("boot %d: %v", boot, bad)
+		valid, violations := auditlog.Verify(all, heads)
+		if len(violations) > 0 || len(valid) != len(all) {
+			t.Fatalf("incarnation %d: %v", incarnation, violations)
 		}
 		sum := uint64(0)
-		rows, _ := auditlog.Summarize(good, 1<<62)
-		for _, row := range rows {
-			sum += row.Forwarded
+		intervals, _ := auditlog.Summarize(valid, 1<<62)
+		for _, interval := range intervals {
+			sum += interval.Forwarded
 		}
-		for _, e := range all { // what was done before anything was in force is no stretch of an item
+		for _, e := range all { // what was counted before a version was in force is in no interval
 			if len(e.InForce) == 0 {
 				sum += e.Forwarded
 			}
 		}
-		if boot > 2 && !all[len(all)-1].Last {
-			t.Errorf("boot %d: no end", boot)
+		if incarnation > 2 && !all[len(all)-1].Last {
+			t.Errorf("incarnation %d: no last entry", incarnation)
 		}
-		if sum > done || sum+10*boot < done { // ten of each boot were folded without an item
-			t.Errorf("boot %d: %d requests were done, the record tells %d", boot, done, sum)
+		// Ten of each incarnation were compacted without an item.
+		if sum > counted || sum+10*incarnation < counted {
+			t.Errorf("incarnation %d: %d requests were counted, the log has %d", incarnation,
+				counted, sum)
 		}
 	}
-	if most > 24 {
-		t.Errorf("%d entries were kept, 20 is the bound", most)
+	if maxKept > 24 {
+		t.Errorf("%d entries were kept, 20 is the bound", maxKept)
 	}
 	all, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The sums can't be changed unseen either.
+	// A change of a checkpoint is a violation too.
 	for i := range all {
 		for j := range all[i].Checkpoints {
 			for k := range all[i].Checkpoints[j].Sums {
 				all[i].Checkpoints[j].Sums[k].Forwarded++
-				if _, bad := auditlog.Verify(all, heads[len(heads)-1:]); len(bad) == 0 {
-					t.Errorf("entry %d: a changed sum does not show", i)
+				_, violations := auditlog.Verify(all, heads[len(heads)-1:])
+				if len(violations) == 0 {
+					t.Errorf("entry %d: a changed sum is no violation", i)
 				}
 				all[i].Checkpoints[j].Sums[k].Forwarded--
 			}
--- a/internal/controlplane/auditrecorder/stored_test.go
+++ b/internal/controlplane/auditrecorder/stored_test.go
@@ -10,8 +10,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// An audit log that an earlier build's killed process left is read as it was written, and its counts that were not
-// written yet become its last entry.
+// An audit log that an earlier build's killed process left is read as it was written, and its
+// counts that were not written yet become its last entry.
 func TestStoredAuditLogIsRead(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored")
 	entries, err := Read(dir)
--- a/internal/controlplane/configversion/version.go
+++ b/internal/controlplane/configversion/version.go
@@ -80,7 +80,7 @@
 // Errors of commands, to be told apart by errors.Is.
 var (
 	ErrUnknownVersion    = errors.New("versions: no such version")
-	ErrRolloutInProgress = errors.New("versions: another rollout of the item is in progress")
+	ErrRolloutInProgress = errors.New("versions: another rollout of the item is under way")
 	ErrInvalidCommand    = errors.New("versions: invalid command")
 	ErrWrongState        = errors.New("versions: not possible in the version's state")
 	ErrOutdated          = errors.New("versions: the item has a newer version")
