--- /dev/null
+++ b/internal/testing/harness/audit_answers.go
@@ -0,0 +1,157 @@
+package harness
+
+import (
+	"slices"
+	"time"
+)
+
+// kinds are the names of the kinds of tries in breaches.
+var kinds = [...]string{"unsent", "served", "refused", "failed", "ended", "silent", "left"}
+
+// leftWithin is how long after its client has left a request may still be sent on; over so large a
+// part of those that waited is a breach.
+const (
+	// abandonTolerance is how long after its client has left a request may still be forwarded.
+	abandonTolerance = 300 * time.Millisecond
+	// maxAbandonedFraction is the fraction of abandoned tries above which later forwards are a
+	// breach.
+	maxAbandonedFraction = 0.25
+)
+
+// checkAbandoned counts a try that was forwarded after its client had left.
+func (v *Verdict) checkAbandoned(t *Try, seen []Attempt) {
+	if len(seen) > 0 && seen[0].ReceivedAt <= t.ClientLeftAt {
+		return
+	}
+	v.AbandonedWaiting++
+	if slices.ContainsFunc(seen, func(a Attempt) bool {
+		return a.ReceivedAt > t.ClientLeftAt+abandonTolerance
+	}) {
+		v.AbandonedForwarded++
+	}
+}
+
+// checkAnswers judges the first rule: one answer, in time, that a server made for this request, and
+// no attempt after it.
+func (v *Verdict) checkAnswers(s *Site, rec *Record, attempts map[string][]Attempt) {
+	for _, e := range rec.ProcessEvents {
+		if e.Event == Crashed {
+			v.breach(Lost, e.At, "gateway %d ended by itself", e.Gateway)
+		}
+	}
+	for i := range rec.Tries {
+		t := &rec.Tries[i]
+		if t.Kind != Unsent {
+			v.checkTry(s, rec, t, attempts[t.ID])
+		}
+	}
+	if float64(v.AbandonedForwarded) > maxAbandonedFraction*float64(v.AbandonedWaiting) {
+		v.breach(Lost, rec.Now(), "%d of %d requests whose clients had left while they waited "+
+			"were sent on %v and more later",
+			v.AbandonedForwarded, v.AbandonedWaiting, abandonTolerance)
+	}
+}
+
+// tryContext is what was going on while a client waited for a try.
+type tryContext struct {
+	seen   []Attempt     // the try's attempts by the time of their last byte
+	end    time.Duration // when the client stops waiting
+	killed bool          // the gateway was being killed
+	paused bool          // the gateway was suspended
+}
+
+// checkTry judges one try that a gateway may have taken.
+func (v *Verdict) checkTry(s *Site, rec *Record, t *Try, seen []Attempt) {
+	end := t.SentAt + t.Wait
+	c := &tryContext{
+		seen:   seen,
+		end:    end,
+		killed: killedDuring(rec, t.Gateway, t.SentAt, end),
+		paused: pausedDuring(rec, t.Gateway, t.SentAt, end),
+	}
+	if t.ClosedAt > 0 {
+		// The connection was closed between two requests, and the client sent the try again. The
+		// gateway must not have read it.
+		v.Crossed++
+		if len(seen) > 0 && seen[0].FirstByteAt < t.ClosedAt && !c.killed && !c.paused {
+			v.breach(Lost, t.ClosedAt,
+				"try %s was sent on, and its connection ended without an answer", t.ID)
+			return
+		}
+	}
+	if t.Kind == ClientLeft {
+		if !c.paused {
+			v.checkAbandoned(t, seen)
+		}
+		return
+	}
+	if t.Kind == Ended && len(seen) == 0 && !t.Reset && !c.killed {
+		return
+	}
+	v.Taken++
+	if !v.hasOneAnswer(s, rec, t, c) {
+		return
+	}
+	v.checkAnswer(t, c)
+	if len(seen) > s.MaxAttempts {
+		v.AttemptsOver++
+	}
+}
+
+// hasOneAnswer reports whether a try that was taken has exactly one answer, and counts those that
+// have not.
+func (v *Verdict) hasOneAnswer(s *Site, rec *Record, t *Try, c *tryContext) bool {
+	switch {
+	case t.Answers == 1:
+		v.AnsweredOnce++
+		return true
+	case t.Answers > 1:
+		v.breach(Lost, t.AnsweredAt, "try %s has %d answers", t.ID, t.Answers)
+	case c.killed:
+		v.KilledUnanswered++
+	case c.paused:
+		v.PausedUnanswered++
+	default:
+		v.breach(Lost, t.SentAt, "try %s of class %s has no answer from gateway %d "+
+			"(%s, closed at %v, reset %t, no port at %v, attempts %v; %s)",
+			t.ID, s.Classes[t.Class].Name, t.Gateway,
+			kinds[t.Kind], t.ClosedAt, t.Reset, t.PortClosedAt, times(c.seen),
+			recentEvents(rec, t.Gateway, c.end))
+	}
+	return false
+}
+
+// checkAnswer judges the only answer of a try: in time, made by a server for this try, and without
+// an attempt after it.
+func (v *Verdict) checkAnswer(t *Try, c *tryContext) {
+	late := t.AnsweredAt > c.end+OnSockets
+	switch {
+	case late && c.paused:
+		v.PausedLateOperations++
+	case late:
+		v.breach(Lost, t.AnsweredAt, "try %s was answered %v after its client stopped waiting",
+			t.ID, t.AnsweredAt-c.end)
+	}
+	madeValue := func(a Attempt) bool { return a.Ran && ValueOf(a.ID, a.Server) == t.Value }
+	if t.Kind == Served && !slices.ContainsFunc(c.seen, madeValue) {
+		v.breach(Lost, t.AnsweredAt, "try %s was served %q, which no server made for it",
+			t.ID, t.Value)
+	}
+	for _, a := range c.seen {
+		afterAnswer := a.FirstByteAt > t.AnsweredAt+OnSockets
+		switch {
+		case afterAnswer && c.paused:
+			v.PausedLateOperations++
+		case afterAnswer:
+			v.breach(Lost, a.FirstByteAt, "try %s was sent on %v after its answer",
+				t.ID, a.FirstByteAt-t.AnsweredAt)
+		}
+	}
+}
+
+func times(list []Attempt) (at []time.Duration) {
+	for _, a := range list {
+		at = append(at, a.FirstByteAt)
+	}
+	return at
+}
--- a/internal/testing/harness/audit_test.go
+++ b/internal/testing/harness/audit_test.go
@@ -24,8 +24,21 @@
 	for i := range n {
 		at := time.Duration(i+1) * time.Second
 		id := fmt.Sprintf("%016x", i)
-		t := Try{ID: id, First: id, Customer: "c", Plan: 2, Class: i % 2, Units: 2, RequestedAt: at, SentAt: at, Wait: 2 * time.Second,
-			AnsweredAt: at + 200*ms, Kind: Served, Answers: 1, Value: ValueOf(id, "a")}
+		t := Try{
+			ID:          id,
+			First:       id,
+			Customer:    "c",
+			Plan:        2,
+			Class:       i % 2,
+			Units:       2,
+			RequestedAt: at,
+			SentAt:      at,
+			Wait:        2 * time.Second,
+			AnsweredAt:  at + 200*ms,
+			Kind:        Served,
+			Answers:     1,
+			Value:       ValueOf(id, "a"),
+		}
 		a := Attempt{
 			ID:          id,
 			Server:      "a",
@@ -67,11 +80,13 @@
 		},
 		"left while it was worked on": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.AnsweredAt, x.ClientLeftAt = ClientLeft, 0, 0, r.Attempts[3].ReceivedAt+ms
+			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
+			x.ClientLeftAt = r.Attempts[3].ReceivedAt + ms
 		},
 		"left at the moment it was sent on": func(r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.AnsweredAt, x.ClientLeftAt = ClientLeft, 0, 0, r.Attempts[3].ReceivedAt-299*ms
+			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
+			x.ClientLeftAt = r.Attempts[3].ReceivedAt - 299*ms
 		},
 		"drained and back": func(r *Record) {
 			r.EndpointUpdates = []EndpointUpdate{
@@ -177,7 +192,8 @@
 		}},
 		{"sent on though its client had left", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
-			x.Kind, x.Answers, x.AnsweredAt, x.ClientLeftAt = ClientLeft, 0, 0, r.Attempts[3].ReceivedAt-301*ms
+			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
+			x.ClientLeftAt = r.Attempts[3].ReceivedAt - 301*ms
 		}},
 		{"effect twice", Twice, func(_ *Site, r *Record) { again(r, 1, "b", 50*ms) }},
 		{"keyed after its window", Twice, func(s *Site, r *Record) {
--- a/internal/testing/harness/fault.go
+++ b/internal/testing/harness/fault.go
@@ -8,35 +8,45 @@
 // FaultKind is something that goes wrong.
 type FaultKind string
 
-// The kinds of faults. N is a gateway for kill, restart, freeze and clock, a server for
-// down, drain, slow, errors, hang and reset, and the first of the second half for cut.
+// The kinds of faults. N is a gateway for kill, restart, freeze and clock, a server for down,
+// drain, slow, errors, hang and reset, and the first gateway of the second half for cut.
 const (
-	Kill FaultKind = "kill" // ends outright, and comes back knowing nothing
-	// the same, and comes back from its kept state, if states are kept
+	// Kill ends a gateway, which comes back without a state.
+	Kill FaultKind = "kill"
+	// Restart ends a gateway, which comes back from its stored state if states are stored.
 	Restart FaultKind = "restart"
-	Freeze  FaultKind = "freeze" // stands still for a moment
-	// is killed, and its next process has a clock that is off by X seconds
-	ClockOff       FaultKind = "clock"
-	Down           FaultKind = "down"   // a server ends, and comes back cold
-	Drained        FaultKind = "drain"  // a server is said to drain, and then to be ready again
-	Slow           FaultKind = "slow"   // its work takes X times as long
-	Errors         FaultKind = "errors" // a part X of its requests fail at once
-	Hang           FaultKind = "hang"   // it takes requests and answers none
-	Resets         FaultKind = "reset"  // a part X of its answers end with a reset connection
-	RegistrySilent FaultKind = "silent" // the register tells nothing
-	Cut            FaultKind = "cut"    // no note passes between two halves of the gateways
-	LateBy         FaultKind = "late"   // notes come X seconds later
+	// Freeze suspends a gateway for a moment.
+	Freeze FaultKind = "freeze"
+	// ClockOff ends a gateway, whose next process has a clock that is off by X seconds.
+	ClockOff FaultKind = "clock"
+	// Down ends a server, which comes back and warms up.
+	Down FaultKind = "down"
+	// Drained announces that a server is draining, and then that it is ready again.
+	Drained FaultKind = "drain"
+	// Slow makes a server's work take X times as long.
+	Slow FaultKind = "slow"
+	// Errors makes a fraction X of a server's requests fail at once.
+	Errors FaultKind = "errors"
+	// Hang makes a server accept requests and answer none.
+	Hang FaultKind = "hang"
+	// Resets makes a fraction X of a server's answers end with a reset connection.
+	Resets FaultKind = "reset"
+	// RegistrySilent stops all updates of the registry.
+	RegistrySilent FaultKind = "silent"
+	// Cut stops all peer messages between two halves of the gateways.
+	Cut FaultKind = "cut"
+	// LateBy delays peer messages by X seconds.
+	LateBy FaultKind = "late"
 )
 
-// The kinds by whom they befall.
+// The kinds of faults by what they affect.
 var (
 	GatewayFaults = []FaultKind{Kill, Restart, Freeze, ClockOff}
 	ServerFaults  = []FaultKind{Down, Drained, Slow, Errors, Hang, Resets}
 	OtherFaults   = []FaultKind{RegistrySilent, Cut, LateBy}
 )
 
-// Fault is one thing that goes wrong, as data: it can be written down, changed, and
-// played again by any rig.
+// Fault is one fault as data, which can be stored, changed and replayed by any rig.
 type Fault struct {
 	At   time.Duration `json:"at"`
 	For  time.Duration `json:"for"`
@@ -45,7 +55,7 @@
 	X    float64       `json:"x,omitempty"`
 }
 
-// String is a fault as a person reads it.
+// String returns the fault in readable form.
 func (f Fault) String() string {
 	return fmt.Sprintf("%v %s %d for %v, %.2f",
 		f.At.Round(time.Millisecond), f.Kind, f.N, f.For.Round(time.Millisecond), f.X)
--- a/internal/testing/harness/record.go
+++ b/internal/testing/harness/record.go
@@ -1,8 +1,7 @@
-// Package harness is what every rig shares that plays gateways against a world: the
-// site that a seed draws and its traffic, the record of all that clients and servers
-// saw, and the auditor that judges it by the five rules and sums it up. The lab plays
-// real processes in real time, the emulator real decisions in virtual time; a verdict
-// means the same in both.
+// Package harness is what all rigs share that play gateways against a world: the site that a seed
+// draws and its traffic, the record of everything that clients and servers saw, and the auditor
+// that judges the record by the five rules and summarizes it. The lab plays real processes in real
+// time, the emulator real decisions in virtual time. A verdict means the same in both.
 //
 // Nothing here knows how a gateway decides.
 package harness
@@ -12,112 +11,143 @@
 	"time"
 )
 
-// Kind tells what a client got for a try.
+// Kind is how a try ended for its client.
 type Kind uint8
 
-// What a try can end with. Ended: the connection ended without an answer.
-// Unsent: no gateway took it, as no connection could be made. Silent: nothing
-// came until the client stopped waiting.
+// How a try can end.
 const (
+	// Unsent is a try that no gateway took, as no connection could be made.
 	Unsent Kind = iota
 	Served
 	Refused
 	Failed
+	// Ended is a try whose connection ended without an answer.
 	Ended
+	// NoAnswer is a try without an answer when its client stopped waiting.
 	NoAnswer
-	ClientLeft // its client went away before an answer, at the time of that name
+	// ClientLeft is a try whose client closed the connection before an answer.
+	ClientLeft
 )
 
-// Try is one request of a client as the client saw it. Times are lengths since
-// the start of the record; a zero Answered means that no answer came.
+// Try is one request of a client as the client saw it. Times are since the start of the record. A
+// zero AnsweredAt means that no answer came.
 type Try struct {
-	ID           string
-	First        string // the ID of the first try that this one repeats; its own if none
-	Customer     string
-	Plan         int
-	Class        int
-	Units        float64
-	Key          string
-	Gateway      int
-	RequestedAt  time.Duration // when the client wanted it, first tries only
-	SentAt       time.Duration // its last byte was written
-	Wait         time.Duration // how long the client waits from then on
-	AnsweredAt   time.Duration
-	Kind         Kind
-	Answers      int           // whole answers that came
-	Value        string        // of a served one
-	RetryAfter   time.Duration // the advice that came with a refusal
-	RejectReason string        // the gateway's reason for it, where it tells
-	// its first connection ended without a byte of an answer, then; it was sent once more
+	ID string
+	// First is the ID of the first try that this one repeats, or its own.
+	First    string
+	Customer string
+	Plan     int
+	Class    int
+	Units    float64
+	Key      string
+	Gateway  int
+	// RequestedAt is when the client wanted the request; only for first tries.
+	RequestedAt time.Duration
+	// SentAt is when the last byte was written.
+	SentAt time.Duration
+	// Wait is how long the client waits from SentAt on.
+	Wait       time.Duration
+	AnsweredAt time.Duration
+	Kind       Kind
+	// Answers counts complete answers.
+	Answers int
+	// Value is the value of a served try.
+	Value string
+	// RetryAfter is the delay that came with a rejection.
+	RetryAfter time.Duration
+	// RejectReason is the gateway's reason for a rejection, if the rig knows it.
+	RejectReason string
+	// ClosedAt is when the first connection ended without a byte of an answer. The try was then
+	// sent once more.
 	ClosedAt time.Duration
-	Reset    bool // a connection was reset, not closed
-	// its client closed the connection of its own accord, waiting for the answer; 0: it did not
+	// Reset is set if a connection was reset, not closed.
+	Reset bool
+	// ClientLeftAt is when the client closed the connection by itself while it waited; 0 if it did
+	// not.
 	ClientLeftAt time.Duration
-	PortClosedAt time.Duration // when nothing listened at the gateway's address; 0: something did
+	// PortClosedAt is when nothing listened at the gateway's address; 0 if something did.
+	PortClosedAt time.Duration
 }
 
-// Attempt is one request as a quote server saw it.
+// Attempt is one request as a server saw it.
 type Attempt struct {
-	ID          string
-	Key         string
-	Server      string
-	Gateway     int
-	Class       int
-	Work        time.Duration // of one core at speed 1
-	FirstByteAt time.Duration // its first byte came
-	ReceivedAt  time.Duration // its last byte came
-	Ran         bool          // its work was begun
-	Effect      bool          // and it was no repeat that the server dropped
-	Rejected    bool          // it was turned away unseen
-	RepliedAt   time.Duration // its answer was about to be written; 0: there was none
+	ID      string
+	Key     string
+	Server  string
+	Gateway int
+	Class   int
+	// Work is the request's work on one core at speed 1.
+	Work time.Duration
+	// FirstByteAt is when the first byte came.
+	FirstByteAt time.Duration
+	// ReceivedAt is when the last byte came.
+	ReceivedAt time.Duration
+	// Ran is set if the work was started.
+	Ran bool
+	// Effect is set if the work was started and not dropped as a duplicate.
+	Effect bool
+	// Rejected is set if the server rejected the request unseen.
+	Rejected bool
+	// RepliedAt is when the answer was about to be written; 0 if there was none.
+	RepliedAt time.Duration
 }
 
-// EndpointUpdate is the register's word about a server, as written to a gateway.
+// EndpointUpdate is an update of the registry about a server, as written to a gateway.
 type EndpointUpdate struct {
 	Gateway int
 	Server  string
-	Stop    bool // it drains or is gone
-	At      time.Duration
+	// Stop is set if the server is draining or removed.
+	Stop bool
+	At   time.Duration
 }
 
-// ProcessEvent is a change in the life of a gateway's process.
+// ProcessEvent is something that happened to a gateway's process.
 type ProcessEvent struct {
 	Gateway int
 	Event   Event
 	At      time.Duration
 }
 
-// Event is what happened to a gateway.
+// Event is the kind of a ProcessEvent.
 type Event uint8
 
 // The events. Crashed is an end that nobody asked for.
 const (
 	Started Event = iota
 	Ready
-	Stopping // told to stop
-	Reloaded // told to reload
-	Handed   // told to hand over to a new process
+	// Stopping is a request to stop.
+	Stopping
+	// Reloaded is a request to reload.
+	Reloaded
+	// Handed is a request to hand over to a new process.
+	Handed
 	Killed
 	Exited
+	// Crashed is an end that nobody asked for.
 	Crashed
-	Paused  // stopped as it was, by the rig
-	Resumed // and going on again
+	// Paused is a suspension by the rig.
+	Paused
+	// Resumed is the end of a suspension.
+	Resumed
 )
 
-// ServerStart is a start of a quote server's process.
+// ServerStart is a start of a server's process.
 type ServerStart struct {
-	Server       string
-	Cores        float64
-	Speed        float64
-	SlowStart    bool // it starts cold; else it has been up for long
-	At           time.Duration
-	OverloadedAt time.Duration // when it was overrun; 0: it was not
-	// a third and more of that by gateways that had not been told of its start: no breach
+	Server string
+	Cores  float64
+	Speed  float64
+	// SlowStart is set if the server is warming up. Otherwise it has been up for long.
+	SlowStart bool
+	At        time.Duration
+	// OverloadedAt is when the server was overloaded; 0 if it was not.
+	OverloadedAt time.Duration
+	// BeforeNotified is set if at least a third of the overload came from gateways that had not
+	// been notified of the start, which is no breach.
 	BeforeNotified bool
 }
 
-// Record is all that was seen in one run. The Add methods may be called
-// concurrently; the slices only once all that adds has ended.
+// Record is everything that was seen in one run. The Add and Mark methods are safe for concurrent
+// use. The slices may be read only once everything that adds has ended.
 type Record struct {
 	mu              sync.Mutex
 	began           time.Time
@@ -128,59 +158,60 @@
 	ServerStarts    []ServerStart
 }
 
-// NewRecord begins a record.
+// NewRecord returns a record that starts now.
 func NewRecord() *Record { return &Record{began: time.Now()} }
 
-// Began is when the record began.
+// Began returns when the record started.
 func (r *Record) Began() time.Time { return r.began }
 
-// Now is the time since the record began.
+// Now returns the time since the record started.
 func (r *Record) Now() time.Duration { return time.Since(r.began) }
 
 // AddTry adds a try that has ended.
 func (r *Record) AddTry(t Try) { r.add(func() { r.Tries = append(r.Tries, t) }) }
 
-// AddAttempt adds an attempt when it is whole and returns its place, for Ran.
+// AddAttempt adds an attempt that was received completely, and returns its index for the Mark
+// methods.
 func (r *Record) AddAttempt(a Attempt) (n int) {
 	r.add(func() { r.Attempts = append(r.Attempts, a); n = len(r.Attempts) - 1 })
 	return n
 }
 
-// MarkRun takes note that an attempt was begun, and whether it had its effect.
+// MarkRun records that an attempt was started, and whether it had an effect.
 func (r *Record) MarkRun(n int, effect bool) {
 	r.add(func() { r.Attempts[n].Ran, r.Attempts[n].Effect = true, effect })
 }
 
-// MarkReplied takes note that an attempt's answer is written.
+// MarkReplied records that an attempt's answer is written.
 func (r *Record) MarkReplied(n int) {
 	r.add(func() { r.Attempts[n].RepliedAt = r.Now() })
 }
 
-// MarkRejected takes note that an attempt was turned away unseen.
+// MarkRejected records that an attempt was rejected unseen.
 func (r *Record) MarkRejected(n int) { r.add(func() { r.Attempts[n].Rejected = true }) }
 
-// AddEndpointUpdate adds a word of the register.
+// AddEndpointUpdate adds an update of the registry.
 func (r *Record) AddEndpointUpdate(t EndpointUpdate) {
 	r.add(func() { r.EndpointUpdates = append(r.EndpointUpdates, t) })
 }
 
-// AddProcessEvent adds a change in a gateway's life.
+// AddProcessEvent adds an event of a gateway's process at the current time.
 func (r *Record) AddProcessEvent(gateway int, e Event) {
 	r.add(func() { r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{gateway, e, r.Now()}) })
 }
 
-// AddServerStart adds a start of a server and returns its place, for Fell.
+// AddServerStart adds a start of a server, and returns its index for MarkOverloaded.
 func (r *Record) AddServerStart(b ServerStart) (n int) {
 	r.add(func() { r.ServerStarts = append(r.ServerStarts, b); n = len(r.ServerStarts) - 1 })
 	return n
 }
 
-// MarkOverloaded takes note that a server fell over.
+// MarkOverloaded records that a server was overloaded.
 func (r *Record) MarkOverloaded(n int) {
 	r.add(func() { r.ServerStarts[n].OverloadedAt = r.Now() })
 }
 
-// Read has f look at the record while nobody adds to it.
+// Read calls f while nothing is added to the record.
 func (r *Record) Read(f func()) { r.add(f) }
 
 func (r *Record) add(f func()) {
--- a/internal/testing/harness/figures.go
+++ b/internal/testing/harness/summary.go
@@ -6,34 +6,39 @@
 	"time"
 )
 
-// Summary is what a run comes to; its JSON is a lab command's last line.
+// Summary is the result of a run. Its JSON is the last line of a lab command's output.
 type Summary struct {
-	Command  string       `json:"command"`
-	Seed     uint64       `json:"seed"`
-	Seconds  float64      `json:"seconds"`
-	Broken   map[Rule]int `json:"broken"`
-	Why      []string     `json:"why,omitempty"` // the first breaches, and promises not kept
-	OK       bool         `json:"ok"`
-	Requests int          `json:"asked"` // first tries
-	InTime   int          `json:"served_in_time"`
-	Late     int          `json:"served_late"`
-	Refused  int          `json:"refused"` // first tries that ended so, after all retries
-	Failed   int          `json:"failed"`
-	P50      float64      `json:"p50_ms"` // of those served, from when they were asked
-	P99      float64      `json:"p99_ms"`
-	// worth served in time / worth asked, inside the quotas
-	Service float64            `json:"service"`
-	Taken   int                `json:"taken"`
-	Once    int                `json:"answered_once"`
-	Killed  int                `json:"killed_unanswered"`
-	Crossed int                `json:"crossed"`
-	Over    float64            `json:"over_quota_units"`
-	Losses  map[string]float64 `json:"losses"` // of the worth asked inside the quotas, by cause
-	// a command's own figures; they stand beside the others
+	Command string       `json:"command"`
+	Seed    uint64       `json:"seed"`
+	Seconds float64      `json:"seconds"`
+	Broken  map[Rule]int `json:"broken"`
+	// Why are the first breaches and other failures.
+	Why []string `json:"why,omitempty"`
+	OK  bool     `json:"ok"`
+	// Requests counts first tries.
+	Requests int `json:"asked"`
+	InTime   int `json:"served_in_time"`
+	Late     int `json:"served_late"`
+	// Refused counts first tries that were rejected after all retries.
+	Refused int `json:"refused"`
+	Failed  int `json:"failed"`
+	// P50 is the median time to be served in milliseconds, from when the request was wanted.
+	P50 float64 `json:"p50_ms"`
+	P99 float64 `json:"p99_ms"`
+	// Service is the value served in time as a fraction of the value requested, inside quotas.
+	Service float64 `json:"service"`
+	Taken   int     `json:"taken"`
+	Once    int     `json:"answered_once"`
+	Killed  int     `json:"killed_unanswered"`
+	Crossed int     `json:"crossed"`
+	Over    float64 `json:"over_quota_units"`
+	// Losses are fractions of the value requested inside quotas, by cause.
+	Losses map[string]float64 `json:"losses"`
+	// Extra are a command's own figures, which are put beside the others.
 	Extra map[string]any `json:"-"`
 }
 
-// Summarize audits a record and sums it up.
+// Summarize audits a record and summarizes it.
 func Summarize(command string, seed uint64, s *Site, rec *Record) *Summary {
 	v := Audit(s, rec)
 	f := &Summary{Command: command,
@@ -73,18 +78,21 @@
 		}
 	}
 	if v.AbandonedWaiting > 0 {
-		f.Extra["left_waiting"], f.Extra["left_sent_on"] = v.AbandonedWaiting, v.AbandonedForwarded
+		f.Extra["left_waiting"] = v.AbandonedWaiting
+		f.Extra["left_sent_on"] = v.AbandonedForwarded
 	}
 	if v.PausedUnanswered+v.PausedLateOperations > 0 {
-		f.Extra["paused_unanswered"], f.Extra["paused_late"] = v.PausedUnanswered, v.PausedLateOperations
+		f.Extra["paused_unanswered"] = v.PausedUnanswered
+		f.Extra["paused_late"] = v.PausedLateOperations
 	}
 	f.Service = Service(s, all)
 	f.Losses = Losses(s, rec)
-	f.P50, f.P99 = Quantile(times, 0.5), Quantile(times, 0.99)
+	f.P50 = Quantile(times, 0.5)
+	f.P99 = Quantile(times, 0.99)
 	return f
 }
 
-// Percentile is a quantile of the time to be served, in milliseconds.
+// Percentile returns a quantile of the time to be served, in milliseconds.
 func Percentile(s *Site, rec *Record, p float64) float64 {
 	var times []time.Duration
 	for _, o := range Outcomes(s, rec) {
@@ -95,16 +103,17 @@
 	return Quantile(times, p)
 }
 
-// Quantile sorts times and gives one of them, in milliseconds.
+// Quantile sorts times and returns a quantile in milliseconds.
 func Quantile(times []time.Duration, p float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
 	slices.Sort(times)
-	return float64(times[min(len(times)-1, int(p*float64(len(times))))].Microseconds()) / 1000
+	index := min(len(times)-1, int(p*float64(len(times))))
+	return float64(times[index].Microseconds()) / 1000
 }
 
-// AddFailure takes note of a promise that was not kept.
+// AddFailure adds a failure that is no breach of a rule.
 func (f *Summary) AddFailure(why string) {
 	f.OK = false
 	f.Why = append(f.Why, why)
@@ -124,7 +133,7 @@
 	return append(append(b[:len(b)-1], ','), extra[1:]...), nil
 }
 
-// NewSummary is the figures of a command that plays no single world: nothing is broken yet.
+// NewSummary returns the summary of a command that plays no single world, without breaches.
 func NewSummary(command string, seed uint64) *Summary {
 	f := &Summary{
 		Command: command,
@@ -139,14 +148,14 @@
 	return f
 }
 
-// FailedRun is the figures of a run that could not be played.
+// FailedRun returns the summary of a run that could not be played.
 func FailedRun(command string, seed uint64, why error) *Summary {
 	f := NewSummary(command, seed)
 	f.AddFailure(why.Error())
 	return f
 }
 
-// Line is the figures as one line of JSON.
+// Line returns the summary as one line of JSON.
 func (f *Summary) Line() string {
 	b, err := json.Marshal(f)
 	if err != nil {
@@ -155,15 +164,16 @@
 	return string(b)
 }
 
-// Outcome is how a first try ended, with the retries folded into it.
+// Outcome is how a first try ended, including its retries.
 type Outcome struct {
-	Try    *Try
-	Kind   Kind
-	Took   time.Duration
-	Inside bool // its customer's quota held it when it was asked
+	Try  *Try
+	Kind Kind
+	Took time.Duration
+	// Inside is set if the customer's quota had the units when the try was wanted.
+	Inside bool
 }
 
-// Outcomes are the first tries in the order of their asking.
+// Outcomes returns the outcomes of first tries in the order in which they were wanted.
 func Outcomes(s *Site, rec *Record) []Outcome {
 	last := map[string]*Try{}
 	var firsts []*Try
@@ -193,33 +203,33 @@
 	return all
 }
 
-// Service is the worth served in time over the worth asked, inside the quotas.
+// Service returns the value served in time as a fraction of the value requested, inside quotas.
 func Service(s *Site, all []Outcome) float64 {
-	got, asked := 0.0, 0.0
+	served, requested := 0.0, 0.0
 	for _, o := range all {
 		if !o.Inside {
 			continue
 		}
-		worth := s.Classes[o.Try.Class].Value * s.Plans[o.Try.Plan].Price * o.Try.Units
-		asked += worth
+		value := s.Classes[o.Try.Class].Value * s.Plans[o.Try.Plan].Price * o.Try.Units
+		requested += value
 		if o.Kind == Served && o.Took <= s.Classes[o.Try.Class].LatencyTarget {
-			got += worth
+			served += value
 		}
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 1
 	}
-	return got / asked
+	return served / requested
 }
 
-// SentUnits is how many units were sent on, inside the quotas or beyond them.
+// SentUnits returns how many units were forwarded, inside quotas and beyond them.
 func SentUnits(rec *Record) (units float64) {
-	whole := map[string]bool{}
+	received := map[string]bool{}
 	for _, a := range rec.Attempts {
-		whole[a.ID] = true
+		received[a.ID] = true
 	}
 	for _, t := range rec.Tries {
-		if whole[t.ID] {
+		if received[t.ID] {
 			units += t.Units
 		}
 	}
--- a/internal/testing/harness/traffic.go
+++ b/internal/testing/harness/traffic.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Traffic is what one customer asks for: a Poisson stream at the rate of its use.
-// The same site, seed and customer give the same requests in every rig.
+// Traffic is the requests of one customer: a Poisson process at the rate of its use. The same site,
+// seed and customer give the same requests in every rig.
 type Traffic struct {
 	site *Site
 	who  *Customer
 	rand *rand.Rand
-	rate float64 // requests a second
+	// rate is in requests a second.
+	rate float64
 }
 
-// Traffic is the stream of the customer with a number.
+// Traffic returns the traffic of the customer with a number.
 func (s *Site) Traffic(seed uint64, number int) *Traffic {
 	who := &s.Customers[number]
 	units := 0.0
@@ -30,33 +31,49 @@
 	}
 }
 
-// Pause is how long after the last request the next one comes.
+// Pause returns the time between the last request and the next one.
 func (t *Traffic) Pause() time.Duration {
 	return time.Duration(t.rand.ExpFloat64() / t.rate * float64(time.Second))
 }
 
-// Request is the next request, asked at a time, and what draws all that its client does.
+// Request returns the next request, requested at a time, and the randomness for what its client
+// does.
 func (t *Traffic) Request(now time.Duration) (Try, *rand.Rand) {
-	s, r, class := t.site, t.rand, 0
-	for x := r.Float64(); class < len(s.Classes)-1 && x >= s.Classes[class].Share; class++ {
-		x -= s.Classes[class].Share
+	number := t.site.drawClass(t.rand)
+	class := &t.site.Classes[number]
+	moreUnits := t.rand.IntN(int(class.MaxUnits-class.MinUnits) + 1)
+	first := Try{
+		Customer:    t.who.ID,
+		Plan:        t.who.Plan,
+		Class:       number,
+		Units:       class.MinUnits + float64(moreUnits),
+		RequestedAt: now,
 	}
-	k := &s.Classes[class]
-	first := Try{Customer: t.who.ID, Plan: t.who.Plan, Class: class,
-		Units: k.MinUnits + float64(r.IntN(int(k.MaxUnits-k.MinUnits)+1)), RequestedAt: now}
-	if k.Keyed {
-		first.Key = Hex16(r.Uint64())
+	if class.Keyed {
+		first.Key = Hex16(t.rand.Uint64())
 	}
-	return first, rand.New(rand.NewPCG(r.Uint64(), 1))
+	return first, rand.New(rand.NewPCG(t.rand.Uint64(), 1))
 }
 
-// ClientTimeout is how long a client waits for a try of a class.
+// drawClass draws the number of a class by the classes' shares.
+func (s *Site) drawClass(r *rand.Rand) int {
+	x := r.Float64()
+	for number := range len(s.Classes) - 1 {
+		if x < s.Classes[number].Share {
+			return number
+		}
+		x -= s.Classes[number].Share
+	}
+	return len(s.Classes) - 1
+}
+
+// ClientTimeout returns how long a client waits for a try of a class.
 func (s *Site) ClientTimeout(class int, r *rand.Rand) time.Duration {
 	return time.Duration(Between(r, 0.5, 1) * float64(s.Classes[class].GiveUp))
 }
 
-// AbandonDelay is how long after a try its client loses patience and closes the connection; 0: it
-// waits for the answer.
+// AbandonDelay returns how long after a try its client closes the connection; 0 if it waits for the
+// answer.
 func (s *Site) AbandonDelay(r *rand.Rand) time.Duration {
 	if s.AbandonFraction == 0 || r.Float64() >= s.AbandonFraction {
 		return 0
@@ -64,14 +81,14 @@
 	return time.Duration(Between(r, 5, 250) * float64(time.Millisecond))
 }
 
-// Backoff is how long a client waits after its nth try, from 0, in vain.
+// Backoff returns how long a client waits after its nth unserved try, counted from 0.
 func Backoff(n int, advice time.Duration, r *rand.Rand) time.Duration {
 	return max(time.Duration(Between(r, 50, 100)*float64(int(1)<<n))*time.Millisecond, advice)
 }
 
-// PickGateway deals a try out to a gateway of the customer's set: unevenly, and the
-// busiest one changes now and then; a retry goes through another. Those not up
-// are passed over while others are.
+// PickGateway picks a gateway of the customer's set for a try. The distribution is uneven, and the
+// busiest gateway changes at intervals. A retry goes through another gateway, and gateways that are
+// not up are skipped while others are.
 func (s *Site) PickGateway(
 	who *Customer, last int, now time.Duration, up func(gateway int) bool, r *rand.Rand,
 ) int {
