--- a/internal/dataplane/admin/admin.go
+++ b/internal/dataplane/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is a listener for operators: each connection carries one line, and
-// gets one answer. It answers whatever the rest of the program is busy with, and what
-// callers hold open costs little: their number, their lines and their time are bounded.
+// Package admin is a listener for operators: each connection carries one line and gets one answer.
+// It answers however busy the rest of the program is. The number of open connections, the length of
+// their lines and their time are bounded.
 package admin
 
 import (
@@ -10,34 +10,37 @@
 	"io"
 	"log/slog"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"time"
 )
 
 const (
-	maxLineBytes  = 512             // bytes of a call
-	maxOpenCalls  = 24              // callers at once; the one that has been silent longest makes room
-	readTimeout   = 5 * time.Second // for a call to come whole
-	writeTimeout  = 2 * time.Second // for its answer to be taken
-	answerTimeout = 900 * time.Millisecond
+	maxLineBytes = 512
+	// Beyond so many connections the one that has been silent longest is closed.
+	maxOpenCalls     = 24
+	readTimeout      = 5 * time.Second // for the line
+	writeTimeout     = 2 * time.Second // for the answer
+	answerTimeout    = 900 * time.Millisecond
+	acceptRetryDelay = 20 * time.Millisecond // after an error, such as a lack of descriptors
 
 	closeTimeout      = 500 * time.Millisecond // for the caller to close after its answer
-	maxDiscardedBytes = 64 << 10               // bytes behind a call that are passed over
+	maxDiscardedBytes = 64 << 10               // behind the line
 )
 
-// Handler answers a call: the whole answer with its last line break. The context ends
-// when an answer would be of no use any more. It is called concurrently.
+// Handler answers a call with the complete answer, its last line break included. The context ends
+// when an answer is of no use any more. It is called concurrently.
 type Handler func(ctx context.Context, name, argument string) string
 
-// Server answers operators' calls. Make it with Listen.
+// Server answers operators' calls. Make it with Listen. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	handle   Handler
 	log      *slog.Logger
 
 	mu           sync.Mutex
-	awaitingLine []net.Conn // callers without a whole line yet, the oldest first
+	awaitingLine []net.Conn // connections without a complete line, the oldest first
 	open         int
 	closed       bool
 	pending      sync.WaitGroup
@@ -54,10 +57,10 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens at.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends it: callers that have a call under way get their answer first.
+// Close stops listening and waits until calls under way are answered.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -69,65 +72,91 @@
 	s.pending.Wait()
 }
 
+// accept serves connections until Close.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as a shortage of descriptors
+		if err != nil {
 			s.log.Warn("admin interface", "error", err)
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.mu.Lock()
-		if s.closed {
-			s.mu.Unlock()
+		if !s.admit(conn) {
 			_ = conn.Close()
 			return
 		}
-		if s.open >= maxOpenCalls && len(s.awaitingLine) > 0 {
-			_ = s.awaitingLine[0].Close()
-			s.awaitingLine = s.awaitingLine[1:]
-		}
-		s.open++
-		s.awaitingLine = append(s.awaitingLine, conn)
-		s.pending.Add(1)
-		s.mu.Unlock()
 		go s.serve(conn)
 	}
 }
 
-// serve answers one caller.
+// admit counts a connection, and closes the one that has been silent longest where there are too
+// many. It returns false after Close.
+func (s *Server) admit(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return false
+	}
+	if s.open >= maxOpenCalls && len(s.awaitingLine) > 0 {
+		_ = s.awaitingLine[0].Close()
+		s.awaitingLine = s.awaitingLine[1:]
+	}
+	s.open++
+	s.awaitingLine = append(s.awaitingLine, conn)
+	s.pending.Add(1)
+	return true
+}
+
+// lineEnded records that a connection's line is read, or will not come.
+func (s *Server) lineEnded(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	i := slices.Index(s.awaitingLine, conn)
+	if i >= 0 {
+		s.awaitingLine = append(s.awaitingLine[:i:i], s.awaitingLine[i+1:]...)
+	}
+}
+
+// left records that a connection has ended.
+func (s *Server) left() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.open--
+}
+
+// serve answers one call.
 func (s *Server) serve(conn net.Conn) {
 	defer s.pending.Done()
 	defer conn.Close()
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
-	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxLineBytes), maxLineBytes).ReadString('\n')
-	s.mu.Lock()
-	for i, c := range s.awaitingLine {
-		if c == conn {
-			s.awaitingLine = append(s.awaitingLine[:i:i], s.awaitingLine[i+1:]...)
-			break
-		}
+	in := bufio.NewReaderSize(io.LimitReader(conn, maxLineBytes), maxLineBytes)
+	line, err := in.ReadString('\n')
+	s.lineEnded(conn)
+	switch {
+	case err == nil:
+		s.write(conn, s.answer(line))
+	case len(line) == maxLineBytes:
+		s.write(conn, "fail line too long\n")
 	}
-	s.mu.Unlock()
-	if err == nil {
-		name, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
-		ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
-		answer := s.handle(ctx, name, strings.TrimSpace(argument))
-		cancel()
-		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, _ = io.WriteString(conn, answer)
-	} else if len(line) == maxLineBytes {
-		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, _ = io.WriteString(conn, "fail line too long\n")
-	}
-	// To close with something unread would reset the connection, and the answer with it.
+	// Closing with unread data would reset the connection, and the answer could be lost.
 	_ = conn.(*net.TCPConn).CloseWrite()
 	_ = conn.SetReadDeadline(time.Now().Add(closeTimeout))
 	_, _ = io.CopyN(io.Discard, conn, maxDiscardedBytes)
-	s.mu.Lock()
-	s.open--
-	s.mu.Unlock()
+	s.left()
+}
+
+// answer has a line answered by the handler.
+func (s *Server) answer(line string) string {
+	name, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	defer cancel()
+	return s.handle(ctx, name, strings.TrimSpace(argument))
+}
+
+func (s *Server) write(conn net.Conn, answer string) {
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, _ = io.WriteString(conn, answer)
 }
--- a/internal/dataplane/hotrestart/handover_test.go
+++ b/internal/dataplane/hotrestart/handover_test.go
@@ -16,7 +16,7 @@
 
 const patience = 30 * time.Second
 
-// meet is a process before and one after, which has asked and called Take.
+// meet returns both sides of a handover whose successor has called TakeState.
 func meet(t *testing.T, give func(*Successor)) *Predecessor {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
@@ -34,7 +34,7 @@
 	return b
 }
 
-// connections are a pair of ends.
+// connections returns both ends of a connection.
 func connections(t *testing.T) (*net.TCPConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestLongestCredential passes on a connection whose credential is as long as any, of bytes
-// that JSON writes with six each.
+// TestLongestCredential passes on a connection whose credential is as long as any may be, of bytes
+// that JSON encodes with six each.
 func TestLongestCredential(t *testing.T) {
 	here, _ := connections(t)
 	secret := strings.Repeat("<", 8<<10)
@@ -174,9 +174,8 @@
 	}
 }
 
-// TestNoHandoverWithoutConfirmation has the newer process end before, or say something else than,
-// its
-// word: the one before must learn that it serves on.
+// TestNoHandoverWithoutConfirmation has the successor end before its confirmation, or send another
+// message: the predecessor must learn that it goes on serving.
 func TestNoHandoverWithoutConfirmation(t *testing.T) {
 	for name, end := range map[string]func(*Predecessor){
 		"dies":     func(p *Predecessor) { p.Close() },
@@ -199,7 +198,7 @@
 	}
 }
 
-// TestNoPredecessor asks where nobody is, where somebody was, and where two were.
+// TestNoPredecessor looks for a predecessor where none is, where one was, and where two were.
 func TestNoPredecessor(t *testing.T) {
 	nobodyBefore(t, filepath.Join(t.TempDir(), "s"))
 	deep := filepath.Join(
@@ -225,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.Close() // the older one ends later: the newer one must still be found
+	first.Close() // the older process ends later: the newer one must still be found
 	b, err := FindPredecessor(path)
 	if err != nil {
 		t.Fatal("the second process is not found: ", err)
@@ -237,7 +236,7 @@
 	}
 }
 
-// TestForeignMessages feeds a newer process what no process of this program says.
+// TestForeignMessages sends a successor what no predecessor sends.
 func TestForeignMessages(t *testing.T) {
 	_, there := connections(t)
 	for name, talk := range map[string]func(*Successor){
--- a/internal/dataplane/lifecycle/lifecycle_test.go
+++ b/internal/dataplane/lifecycle/lifecycle_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// conn is a connection as a front would use it.
+// conn is a connection as a front end would use it.
 type conn struct {
 	used Time
 	busy Time // until then it has a request open; 0: none
 }
 
-// TestDrainClosesAllConnections plays a front that goes on as the platform says: it hears of the
-// drain within 0.1 s, opens connections for 0.2 s more and uses those that stay open.
+// TestDrainClosesAllConnections plays a front end that behaves as the platform says: it learns of
+// the drain within 0.1 s, opens connections for 0.2 s more and uses those that stay open.
 func TestDrainClosesAllConnections(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestInvariantsInAnyOrder gives a process all calls in any order and holds what must be so at
-// every moment.
+// TestInvariantsInAnyOrder makes all calls in random order and checks what must hold at every
+// moment.
 func TestInvariantsInAnyOrder(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -150,7 +150,7 @@
 			if next, ok := p.NextChange(now); ok && next <= now {
 				t.Fatalf("seed %d: next change at %d, now %d", seed, next, now)
 			}
-			// Between now and Next nothing changes for a connection of either kind.
+			// Between now and NextChange nothing changes for a connection of either kind.
 			if next, ok := p.NextChange(now); ok && r.IntN(2) == 0 {
 				mid := now + (next-now)/2
 				if p.ClosesAfterAnswer(mid) != p.ClosesAfterAnswer(now) ||
@@ -169,9 +169,8 @@
 	}
 }
 
-// TestSettingsFitAnyDeadline: whatever clients wait at the most, all is answered before SIGKILL may
-// come, and connections that
-// were on their way are accepted.
+// However long clients wait, all requests are answered before SIGKILL may come, and connections
+// that were on their way are accepted.
 func TestSettingsFitAnyDeadline(t *testing.T) {
 	for _, longest := range []Time{1, 10_000, 100_000, 300_000, 700_000, 1_000_000, 2_999_999, 3_000_000, 15_000_000, 0} {
 		kill := Time(3_700_000)
@@ -186,9 +185,8 @@
 	}
 }
 
-// TestWorkAfterAnEmptyMomentHasItsTime: one moment without work is not the end of what comes on a
-// connection that is
-// still open.
+// A single moment without work does not end the time for commands on a connection that is still
+// open.
 func TestWorkAfterAnEmptyMomentHasItsTime(t *testing.T) {
 	set := SettingsFor(0)
 	p := New(set)
--- a/internal/dataplane/membership/membership_test.go
+++ b/internal/dataplane/membership/membership_test.go
@@ -44,7 +44,7 @@
 	return List{Index: index, Instances: instances}
 }
 
-// phases of a change, as text.
+// phases returns the phases of changed servers, as text.
 func phases(servers []Server) (text string) {
 	for _, s := range servers {
 		text += fmt.Sprintf("%s=%d ", s.Name[2:], s.Phase)
@@ -81,8 +81,8 @@
 	}
 }
 
-// An old list that comes after a drain undoes nothing; several in a row show a
-// register that counts anew.
+// An old list that comes after a drain undoes nothing; several in a row show a registry that counts
+// anew.
 func TestOlderIndexUndoesNoDrain(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(1, list(10, in(1), in(2)))
@@ -96,8 +96,8 @@
 	want(t, "counts anew", tab.Apply(8, list(4, in(1), in(2))), "s1=0 ")
 }
 
-// What disappears and reappears under the same address is a new, cold process, unless
-// the register shows that it is the same.
+// A server that disappears and reappears at the same address is a restarted process, unless the
+// registry shows that it is the same.
 func TestReappearingServer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -122,8 +122,8 @@
 	}
 }
 
-// A process that crashed under a standing registration is cold when it is back; one
-// in maintenance ran on.
+// A process that crashed while its registration stayed counts as restarted when it is back; one in
+// maintenance kept running.
 func TestRecoveryFromCriticalCountsAsRestart(t *testing.T) {
 	for _, c := range []struct {
 		health Health
@@ -139,7 +139,7 @@
 	}
 }
 
-// An empty list after a full one is held against; one server that goes is believed.
+// An empty list after a full one is held back; if one server goes, that is believed.
 func TestEmptyList(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(second, list(1, in(1), in(2)))
@@ -158,8 +158,8 @@
 	want(t, "the only one", tab.Apply(67*second, list(6)), "s1=2 ")
 }
 
-// One name at two addresses: the last change counts. Two names at one address: the
-// newer drains the older.
+// Of one name at two addresses the last change counts; of two names at one address the newer one
+// makes the older one drain.
 func TestContradictions(t *testing.T) {
 	tab := table(t, settings())
 	moved := in(1, func(i *Instance) { i.Address, i.Modified = "10.0.0.9:1", 50 })
@@ -175,7 +175,7 @@
 	}
 }
 
-// The catalogue takes away what it no longer has, if it is not behind, and adds nothing.
+// The catalog removes what it no longer has, if it is not behind, and adds nothing.
 func TestCatalog(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(1, list(10, in(1), in(2)))
@@ -187,7 +187,7 @@
 	want(t, "nothing at all", tab.Apply(6, cat(13)), "")
 }
 
-// A start that a clock tells is taken with care.
+// A start from another clock is corrected by the clock skew.
 func TestClockSkew(t *testing.T) {
 	for told, started := range map[Time]Time{130 * second: 120 * second, 118 * second: 120 * second, 50 * second: 55 * second} {
 		tab := table(t, settings())
@@ -199,7 +199,7 @@
 	}
 }
 
-// Random registers, answers out of order: the promises hold at each step.
+// With random registries and answers out of order, the guarantees hold at each step.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -244,7 +244,7 @@
 				l.Instances = nil
 			}
 			past = append(past, l)
-			if r.IntN(3) == 0 { // an answer that was long on its way
+			if r.IntN(3) == 0 { // a delayed answer
 				l = past[r.IntN(len(past))]
 			}
 			before := tab.Servers()
@@ -254,7 +254,7 @@
 				older = 0
 			}
 			if older >= set.ResetAfter {
-				break // the register would seem to count anew: another life
+				break // the registry would seem to count anew
 			}
 			if !counts && len(changes) > 0 {
 				t.Fatalf("seed %d: an older list changed %+v", seed, changes)
@@ -276,7 +276,7 @@
 				}
 				told[c.Name] = c
 			}
-			// What was told is what there is.
+			// The announced servers are those of the table.
 			now2 := tab.Servers()
 			for _, s := range now2 {
 				if told[s.Name] != s {
@@ -317,7 +317,7 @@
 	}
 }
 
-// BenchmarkOneChange is one change in a list of 5,000.
+// BenchmarkOneChange measures one change in a list of 5,000.
 func BenchmarkOneChange(b *testing.B) {
 	tab := table(b, settings())
 	l := list(1)
--- a/internal/dataplane/membership/pacer_test.go
+++ b/internal/dataplane/membership/pacer_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestPacerRecovers plays a register that answers so many calls a second to a fleet that
-// all fail at once: all must be served soon, and the register must not be held down by
-// those who come again.
+// TestPacerRecovers plays a registry with capacity for so many calls a second and a fleet that
+// fails all at once: all gateways must be served soon, and retries must not keep the registry
+// overloaded.
 func TestPacerRecovers(t *testing.T) {
-	const perSecond = 20 // a fleet that came again each 100 ms would ask for up to 480
+	const perSecond = 20 // a fleet that retried each 100 ms would make up to 480
 	for _, gateways := range []int{1, 3, 8, 24, 48} {
 		for seed := range uint64(20) {
 			paces, due := make([]*Pacer, gateways), make([]Time, gateways)
@@ -34,7 +34,7 @@
 						continue
 					}
 					calls++
-					// a call that is turned away costs the register half of one it serves
+					// a rejected call costs the registry half of one that it serves
 					if tokens -= 0.5; tokens >= 0.5 {
 						tokens -= 0.5
 						due[i] = -1
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestPacerBounds holds the waits against what a drain leaves time for.
+// TestPacerBounds checks the waits against the time that a drain allows.
 func TestPacerBounds(t *testing.T) {
 	for gateways := range 200 {
 		p := NewPacer(gateways, 7)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Where what a register has binds at once, silence and failures end within a part of the time that
-// is given to act on it.
+// Where changes bind at once, silence and failures end within a part of the time that is given to
+// act on a change.
 func TestPacerSilenceTimeoutFollowsGracePeriod(t *testing.T) {
 	for _, grace := range []Time{0, 100_000, 250_000, 600_000, 2_000_000, 60_000_000} {
 		p := NewPacer(300, 7).SetPushed(grace)
@@ -118,9 +118,9 @@
 	}
 }
 
-// Whatever a register does with the calls of one gateway, the next call begins soon enough after
-// one that failed, was turned away or given up: a change counts as told 6 s after the register had
-// it and could be reached, and the call itself takes time.
+// Whatever a registry does with the calls of one gateway, the next call begins soon enough after
+// one that failed, was rejected or given up: a change binds 6 s after the registry had it and could
+// be reached, and the call itself takes time.
 func TestPacerBoundsCallSpacing(t *testing.T) {
 	const (
 		whole  = 4_000_000 // from the beginning of a call to that of the next; 2 s are left for that one
@@ -128,7 +128,7 @@
 		hung   = 2_000_000 // that a call for the whole list is given
 		rounds = 200
 	)
-	for _, grace := range []Time{-1, 0, 250_000, 2_000_000} { // -1: the register tells only who asks
+	for _, grace := range []Time{-1, 0, 250_000, 2_000_000} { // -1: lists are polled
 		for gateways := range 620 {
 			p := NewPacer(gateways, uint64(gateways))
 			if grace >= 0 {
--- a/internal/dataplane/metrics/metrics.go
+++ b/internal/dataplane/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a gateway did since its process started, and writes it
-// down for those who watch it.
+// Package metrics counts what a gateway did since its process started, and writes it as text for
+// monitoring.
 package metrics
 
 import (
@@ -10,7 +10,7 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The outcomes: served, refused, failed.
+// The outcomes. Their names in the text are older: answered, deferred and errored.
 const (
 	Answered Outcome = iota
 	Rejected
@@ -20,17 +20,17 @@
 
 var outcomeNames = [outcomeCount]string{"answered", "deferred", "errored"}
 
-// Counters hold what was counted. End and Append belong to one goroutine; the atomic fields are
-// anybody's.
+// Counters are the counts. CountRequest and Append belong to one goroutine; the atomic fields may be
+// used from any.
 type Counters struct {
 	classes []string
 	ended   [][outcomeCount]int64 // by class
 
-	Sends         atomic.Int64 // attempts written whole to backends
-	ConfigLoads   atomic.Int64 // configurations taken in
-	ConfigErrors  atomic.Int64 // and those that could not be
-	ConnsReceived atomic.Int64 // clients' connections had from the process before
-	ConnsPassed   atomic.Int64 // and given to the one after
+	Sends         atomic.Int64 // attempts written completely to backends
+	ConfigLoads   atomic.Int64 // configurations in force, the first among them
+	ConfigErrors  atomic.Int64 // configurations that could not be read
+	ConnsReceived atomic.Int64 // clients' connections from the predecessor
+	ConnsPassed   atomic.Int64 // clients' connections passed to the successor
 }
 
 // New makes counters for classes of these names.
@@ -41,14 +41,14 @@
 // CountRequest counts a request of a class that has ended.
 func (c *Counters) CountRequest(class int, how Outcome) { c.ended[class][how]++ }
 
-// Gauges are what the gateway has at the moment.
+// Gauges are current values.
 type Gauges struct {
-	OpenRequests      int // requests taken and not ended
-	Backends          int // backends listed
-	UnhealthyBackends int // of those, the ones that it avoids
+	OpenRequests      int // admitted and not answered
+	Backends          int // in the endpoint list
+	UnhealthyBackends int // of those, the ejected and unhealthy ones
 }
 
-// Append appends all metrics, a line each: gateway.NAME=NUMBER.
+// Append appends all metrics to b, one a line: gateway.NAME=NUMBER.
 func (c *Counters) Append(b []byte, gauges Gauges) []byte {
 	line := func(name, class string, n int64) {
 		b = append(append(b, "gateway."...), name...)
--- a/internal/dataplane/registry/consul/consul_test.go
+++ b/internal/dataplane/registry/consul/consul_test.go
@@ -21,13 +21,13 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// rig is a source that follows a stand-in.
+// rig is a source that follows a fake Consul agent.
 type rig struct {
 	*lab.Consul
 	t      *testing.T
 	source *Source
 	told   chan registry.Update
-	now    map[string]registry.Member // what was told so far
+	now    map[string]registry.Member // announced so far
 }
 
 func settings(agents ...string) Settings {
@@ -104,7 +104,7 @@
 
 func id(i int) string { return fmt.Sprintf("q-%08x", i) }
 
-// until takes in news until it is so.
+// until applies updates until a condition holds.
 func (r *rig) until(what string, so func() bool) {
 	r.t.Helper()
 	for late := time.After(patience); !so(); {
@@ -130,7 +130,7 @@
 	return func() bool { return r.phase(0, phase)() && r.phase(1, phase)() && r.phase(2, phase)() }
 }
 
-// Every way to drain is told, and the way back.
+// Every way to drain is announced, and the way back.
 func TestDrains(t *testing.T) {
 	r := newRig(t, nil)
 	r.until("all servers", r.all(registry.Ready))
@@ -155,7 +155,7 @@
 	}
 }
 
-// Weights and metadata are what the gateway is told of a server.
+// Weights and metadata become the properties of a server.
 func TestMetadata(t *testing.T) {
 	r := newRig(t, nil)
 	register(
@@ -172,7 +172,7 @@
 	}
 }
 
-// An agent that fails in any way makes room for the next, and nothing that was known is lost.
+// An agent that fails in any way is followed by the next one, and nothing that was known is lost.
 func TestAgentFailuresLoseNothing(t *testing.T) {
 	for name, f := range map[string]lab.ConsulFault{"errors": {Errs: true}, "half answers": {Half: true}, "dropped answers": {Drop: 0.9}, "silence": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -182,7 +182,7 @@
 			r.SetFault(f)
 			r.Deregister(id(2))
 			before := len(r.Calls())
-			for len(r.Calls()) < before+3 { // it goes on asking
+			for len(r.Calls()) < before+3 { // it goes on calling
 				time.Sleep(time.Millisecond)
 			}
 			if f.Drop == 0 && !r.all(registry.Ready)() {
@@ -194,7 +194,7 @@
 	}
 }
 
-// An empty list is not the death of all servers; a single one that goes is believed.
+// An empty list does not remove all servers; a single server that goes is believed to have gone.
 func TestEmptyListHold(t *testing.T) {
 	r := newRig(t, nil)
 	r.until("all servers", r.all(registry.Ready))
@@ -216,7 +216,7 @@
 	)
 }
 
-// An index that begins anew is followed again.
+// An index that begins anew is followed.
 func TestIndexReset(t *testing.T) {
 	r := newRig(t, func(s *Settings) { s.Wait = 100 * time.Millisecond })
 	r.until("all servers", r.all(registry.Ready))
@@ -228,9 +228,9 @@
 	r.until("a change after the reset", r.phase(0, registry.Gone))
 }
 
-// An agent that answers at once for ever makes no busy loop: the calls since it began are never
-// more than two watches may
-// make in that time. A busy machine makes calls later, which allows no more of them.
+// An agent that answers at once all the time makes no busy loop: the calls since the beginning are
+// never more than two watches may make in that time. A busy machine makes calls later, which allows
+// no more of them.
 func TestImmediateAnswersMakeNoBusyLoop(t *testing.T) {
 	const (
 		watches  = 2
@@ -252,12 +252,12 @@
 	}
 }
 
-// Moved to other agents, the service is followed there.
+// After a move to other agents, the service is followed there.
 func TestMove(t *testing.T) {
 	r := newRig(t, nil)
 	r.until("all servers", r.all(registry.Ready))
 	other := newConsul(t)
-	for i := range 40 { // the same cluster goes on counting
+	for i := range 40 { // the same cluster, whose index goes on
 		register(t, other, i%3, nil)
 	}
 	other.Deregister(id(2))
--- a/internal/dataplane/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -18,18 +18,19 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// term is within which a change counts as told, once discovery has it and can be reached, whatever
+// term is the time within which a change binds, once discovery has it and can be reached, whatever
 // became of earlier calls.
 const term = 6 * time.Second
 
-// socket is one that a test lets listen when it wants.
+// socket is a socket that the test has listen when it wants.
 type socket struct {
 	fd      int
 	file    *os.File // owns the descriptor
 	address string
 }
 
-// boundSocket has an address that nothing listens at yet: connections are refused there.
+// boundSocket returns a socket with an address at which nothing listens yet: connections are
+// refused there.
 func boundSocket(t *testing.T) *socket {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -70,7 +71,7 @@
 
 const oneMember = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
 
-// failing fails one call in a way of its own, or holds it until its caller gives it up.
+// failing are the ways in which one call fails, or is held until its caller gives it up.
 var failing = map[string]func(w http.ResponseWriter, r *http.Request){
 	"turned away": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"an error":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
@@ -90,8 +91,8 @@
 	},
 }
 
-// pacesOfTheWorst are paces of a large fleet whose calls have failed for long. Some of them have
-// been turned away before.
+// pacesOfTheWorst returns pacers of a large fleet whose calls have failed for long, some of them by
+// rejections.
 func pacesOfTheWorst(asks bool) []*membership.Pacer {
 	var paces []*membership.Pacer
 	for seed := range uint64(12) {
@@ -107,11 +108,10 @@
 	return paces
 }
 
-// A discovery that can be reached right after it has failed a call, or has let it hang, is asked
-// again, and heard, within the
-// term: also in a large fleet, after a long row of calls that failed.
+// Discovery that can be reached right after it has failed a call, or has let it hang, is called
+// again, and answers, within the term: also in a large fleet, after a long row of failed calls.
 func TestReturningDiscoveryIsReachedInTime(t *testing.T) {
-	t.Parallel() // the pauses are seconds
+	t.Parallel() // the delays are seconds
 	var all sync.WaitGroup
 	defer all.Wait()
 	for name, fail := range failing {
@@ -150,7 +150,7 @@
 	return d
 }
 
-// heardInTime waits for the list, and compares how long it took with the term.
+// heardInTime waits for the list, and checks how long it took against the term.
 func heardInTime(
 	t *testing.T,
 	what string,
@@ -178,7 +178,7 @@
 	}
 }
 
-// failures is a log that tells of each call that failed.
+// failures is a log that reports each call that failed.
 type failures struct {
 	slog.Handler
 	seen chan struct{}
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// The same where nothing listened, and the next moment something does.
+// The same holds where nothing listened, and the next moment something does.
 func TestDiscoveryAfterRefusalsIsReachedInTime(t *testing.T) {
 	t.Parallel()
 	var all sync.WaitGroup
@@ -226,9 +226,8 @@
 	}
 }
 
-// Dials that nobody answers go on for minutes if they are let, and each holds one of the few
-// connections that there may be:
-// when discovery's machine is back, a new one must be free at once.
+// Dials that nobody answers would go on for minutes, and each holds one of the few connections:
+// when discovery's machine is back, a new connection must be possible at once.
 func TestHungDialsMakeRoomForOthers(t *testing.T) {
 	t.Parallel()
 	socket := boundSocket(t)
--- a/internal/dataplane/registry/merge_test.go
+++ b/internal/dataplane/registry/merge_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// scripted is a source whose news a test sends.
+// scripted is a source whose updates the test sends.
 type scripted struct {
 	news  chan Update
 	moved []string
@@ -25,8 +25,8 @@
 func (s *scripted) Move(to string)        { s.moved = append(s.moved, to) }
 func at(id, address, phase string) Member { return Member{ID: id, HostPort: address, Phase: phase} }
 
-// The winner's word on an address counts; the other one adds what the winner does
-// not know, and takes nothing of it back.
+// What the primary says of an address counts; the secondary adds what the primary does not have,
+// and removes nothing of it.
 func TestMerge(t *testing.T) {
 	winner, other := &scripted{news: make(chan Update)}, &scripted{news: make(chan Update)}
 	m := Merge(winner, other)
@@ -34,7 +34,7 @@
 	for i, c := range []struct {
 		from *scripted
 		news Update
-		want []Member // nil: nothing is told
+		want []Member // nil: no update
 	}{
 		{other, Update{CompleteList, []Member{at("o1", "a:1", Ready), at("o2", "a:2", Ready)}}, []Member{at("o1", "a:1", Ready), at("o2", "a:2", Ready)}},
 		{winner, Update{CompleteList, []Member{at("w1", "a:1", Terminating)}}, []Member{at("o1", "a:1", Gone), at("w1", "a:1", Terminating)}},
@@ -47,7 +47,7 @@
 	} {
 		c.from.news <- c.news
 		if c.want == nil {
-			continue // the next step would show what was told instead
+			continue // the next step would show any update
 		}
 		n := next(t, told)
 		if len(n.Members) != len(c.want) {
--- a/internal/dataplane/registry/platform_test.go
+++ b/internal/dataplane/registry/platform_test.go
@@ -56,7 +56,7 @@
 	return told
 }
 
-// script answers calls in turn, the last answer to all that follow.
+// script answers calls in turn, and all later ones with the last answer.
 func script(t *testing.T, answers ...string) (string, chan string) {
 	t.Helper()
 	calls := make(chan string, 1024)
@@ -79,8 +79,8 @@
 	return strings.TrimPrefix(s.URL, "http://"), calls
 }
 
-// At first and after any break the whole list is taken, and changes from its
-// version on; what is no list is no news.
+// At first and after any failure the complete list is fetched, and changes from its version on;
+// what is no list is no update.
 func TestPlatformFetchesCompleteListAfterFailure(t *testing.T) {
 	address, calls := script(
 		t,
@@ -105,7 +105,7 @@
 	}
 }
 
-// Where it tells only who asks, nothing is called before Follow, and a failure is told.
+// Where discovery tells only callers, nothing is called before Follow, and a failure is announced.
 func TestPolledPlatform(t *testing.T) {
 	address, calls := script(t, `!503`)
 	p := NewPlatform(address, true, membership.NewPacer(1, 7), quiet())
@@ -120,7 +120,7 @@
 	}
 }
 
-// A move ends the watch under way; the last of several counts.
+// A move ends the watch under way; the last of several moves counts.
 func TestPlatformMoves(t *testing.T) {
 	old, calls := script(t, `{"revision":4,"complete":true,"members":[{"id":"old"}]}`, `hang`)
 	moved, _ := script(t, `{"revision":1,"complete":true,"members":[{"id":"new"}]}`, `hang`)
@@ -137,9 +137,9 @@
 	}
 }
 
-// A discovery that was down answers no call that was made meanwhile, and what it has told counts
-// from its return: another call is made beside one that is silent, be it a watch whose wait is over
-// or one for the whole list. The first that is answered counts.
+// Discovery that was down does not answer calls made meanwhile, and its changes bind from its
+// return on: another call is made beside a silent one, be it a watch whose wait is over or a call
+// for the complete list. The first answer counts.
 func TestSilentDiscoveryIsCalledInParallel(t *testing.T) {
 	const list = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
 	for name, held := range map[string][]bool{ // call by call
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A file that ends at any byte, or has any byte changed, is refused with a reason.
+// A file that ends at any byte, or has any byte changed, is rejected with a reason.
 func TestEveryTruncationAndBitFlipIsRejected(t *testing.T) {
 	raw, err := Encode(sample(7))
 	if err != nil {
@@ -95,7 +95,8 @@
 	}
 }
 
-// A store that is cut or changed anywhere is refused with a reason, or holds a state that it held.
+// A store that is truncated or changed anywhere is rejected with a reason, or holds a snapshot that
+// was stored.
 func TestEveryTruncationAndBitFlipOfTheStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	write := func(path string) {
@@ -148,7 +149,7 @@
 	}
 }
 
-// What can't be written leaves nothing: an old state would grant twice.
+// A snapshot that can't be stored leaves none: an old one would grant twice.
 func TestFailedStoreLeavesNoState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	f, err := Open(path)
@@ -158,7 +159,7 @@
 	if err := f.Store(sample(1), false); err != nil {
 		t.Fatal(err)
 	}
-	g, err := Open(path) // another process, which finds the first one's store held
+	g, err := Open(path) // another process, which finds the store locked
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +180,7 @@
 	}
 }
 
-// The next process goes on where the one before ended, in order or not, and where an earlier
+// The next process continues where the one before ended, orderly or not, and where an earlier
 // version did.
 func TestNextProcessContinues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
@@ -200,7 +201,7 @@
 		}
 		next := sample(at + 1)
 		next.Last = at%2 == 0
-		next.Customers[0].ID += uint64(at) // the one before is gone
+		next.Customers[0].ID += uint64(at) // the customer before is gone
 		if err := f.Store(next, next.Last); err != nil {
 			t.Fatal(err)
 		}
@@ -233,8 +234,8 @@
 	}
 }
 
-// What a second costs: 10,000 customers of which one in a hundred changed, as one file written
-// anew, and in the store.
+// BenchmarkSecond measures what a second costs: 10,000 customers of which one in a hundred changed,
+// as one file written anew, and in the store.
 func BenchmarkSecond(b *testing.B) {
 	state := sample(1)
 	state.Customers = make([]policy.CustomerState, 10_000)
@@ -289,8 +290,8 @@
 	})
 }
 
-// A path that names a folder with other things in it costs none of them, whatever becomes of the
-// state.
+// A path that names a directory with other files costs none of them, whatever becomes of the
+// snapshot.
 func TestOtherFilesAreKept(t *testing.T) {
 	path := t.TempDir()
 	other := filepath.Join(path, "operators.toml")
--- a/internal/dataplane/snapshot/stored_test.go
+++ b/internal/dataplane/snapshot/stored_test.go
@@ -6,8 +6,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A state that an earlier build kept in its store, or passed on as text, is read to the same
-// values.
+// A snapshot that an earlier build stored, or passed on as text, is read to the same values.
 func TestStoredStateIsRead(t *testing.T) {
 	const path = "testdata/stored/state.txt"
 	file, err := Open(fixture.Copy(t, "testdata/stored/state"))
