--- a/internal/dataplane/gateway/backend_reply.go
+++ b/internal/dataplane/gateway/backend_reply.go
@@ -150,7 +150,7 @@
 // or none.
 func (g *Gateway) parseLoadReport(text string) []float32 {
 	names := g.cfg.Host.Report
-	if len(g.cfg.Settings.Report) == 0 || !strings.Contains(text, "=") {
+	if len(g.cfg.Settings.LoadReportMetrics) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
 	load := make([]float32, len(names))
--- a/internal/dataplane/gateway/plan_terms_test.go
+++ b/internal/dataplane/gateway/plan_terms_test.go
@@ -14,7 +14,7 @@
 		&Config{Host: simprotocol.HostSettings{Plans: []string{"basico", "corporativo"}},
 			Settings: policy.Settings{
 				Plans: []policy.Plan{
-					{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, OpenLimit: 5},
+					{Rate: 2, Burst: 8, Price: 3}, {Rate: 10, Burst: 40, ConcurrencyLimit: 5},
 				},
 			}},
 	)
@@ -67,7 +67,7 @@
 	}
 	b, c := got[0].plans[0], got[0].plans[1]
 	if b.Rate != 1 || b.Burst != 6 || b.Price != 3 || c.Rate != 10 || c.Burst != 40 ||
-		c.OpenLimit != 5 {
+		c.ConcurrencyLimit != 5 {
 		t.Errorf("%+v %+v", b, c)
 	}
 	if k := got[0].assigned(7); k != 0 {
--- a/internal/dataplane/policy/attempt.go
+++ b/internal/dataplane/policy/attempt.go
@@ -131,11 +131,11 @@
 
 // settleUnits corrects what a request has consumed by what its answer tells.
 func (lb *Balancer) settleUnits(r *request, o *Outcome) {
-	if !lb.settings.SettlesUnits || o.Result != OK || o.TrueUnits <= 0 {
+	if !lb.settings.ReportsActualUnits || o.Result != OK || o.ActualUnits <= 0 {
 		return
 	}
 	c := r.customer
-	more := o.TrueUnits - r.Units
+	more := o.ActualUnits - r.Units
 	lb.refill(c)
 	lb.consume(c, more)
 	if lb.usesAllocations(c) {
--- a/internal/dataplane/policy/events.go
+++ b/internal/dataplane/policy/events.go
@@ -68,6 +68,6 @@
 	Duration    Time
 	RequestDone bool    // the client has its final answer
 	MeteredUse  int     // 1 + percent of the rate used through all gateways; 0: not known
-	TrueUnits   float64 // consumed, if the answer says so; 0: not known
+	ActualUnits float64 // consumed, if the answer says so; 0: not known
 	Load        []float32
 }
--- a/internal/dataplane/policy/example_test.go
+++ b/internal/dataplane/policy/example_test.go
@@ -46,7 +46,7 @@
 		Classes: []policy.Class{
 			{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1},
 		},
-		Plans: []policy.Plan{{Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}},
+		Plans: []policy.Plan{{Rate: 1, Burst: 2, Price: 1, OverQuotaCost: 1}},
 	}, 42, h)
 	if err != nil {
 		fmt.Println(err)
--- a/internal/dataplane/policy/formats_test.go
+++ b/internal/dataplane/policy/formats_test.go
@@ -60,9 +60,9 @@
 		},
 		Plans: []Plan{
 			{
-				Rate: 1.5, Burst: 2.5, OpenLimit: 3,
+				Rate: 1.5, Burst: 2.5, ConcurrencyLimit: 3,
 				CeilingRate: 4.5, CeilingBurst: 5.5, CeilingSlack: 6.5,
-				Price: 9.5, BeyondEarns: 7.5, BeyondCosts: 8.5,
+				Price: 9.5, OverQuotaRevenue: 7.5, OverQuotaCost: 8.5,
 			},
 		},
 	}
--- a/internal/dataplane/policy/healthcheck.go
+++ b/internal/dataplane/policy/healthcheck.go
@@ -53,7 +53,7 @@
 // recordLoadReport takes over the queue length from a backend's load report.
 func (lb *Balancer) recordLoadReport(b *backend, load []float32) {
 	for i, value := range load {
-		if i < len(lb.settings.Report) && lb.settings.Report[i] != Unused {
+		if i < len(lb.settings.LoadReportMetrics) && lb.settings.LoadReportMetrics[i] != Unused {
 			b.reportedQueue = float64(value)
 			b.queueReportedAt = lb.now
 		}
--- a/internal/dataplane/policy/home_test.go
+++ b/internal/dataplane/policy/home_test.go
@@ -12,7 +12,7 @@
 func newHomeAndRemote(t *testing.T) (home, remote *testBalancer) {
 	set := testSettings()
 	set.Gateways = 12
-	set.Plans[1].Rate, set.Plans[1].Burst, set.Plans[1].BeyondEarns = 20, 40, 0
+	set.Plans[1].Rate, set.Plans[1].Burst, set.Plans[1].OverQuotaRevenue = 20, 40, 0
 	probe := newTestBalancer(t, set)
 	first := func(id uint64) int { return 12 - probe.homeOf(&customer{id: id, spread: 12}) }
 	home = newTestBalancer(t, set)
--- a/internal/dataplane/policy/planupdate_test.go
+++ b/internal/dataplane/policy/planupdate_test.go
@@ -78,6 +78,18 @@
 	}
 }
 
+// twoPlanSettings returns settings of a single gateway with a plan that has a quota only, and one
+// that has a ceiling too.
+func twoPlanSettings() Settings {
+	set := testSettings()
+	set.Gateways, set.Peers = 1, false
+	set.Plans = []Plan{
+		{Rate: 4, Burst: 8, Price: 1, OverQuotaCost: 1},
+		{Rate: 4, Burst: 8, Price: 1, OverQuotaRevenue: 1, CeilingRate: 8, CeilingBurst: 16},
+	}
+	return set
+}
+
 // resized returns the level of a bucket whose burst has changed.
 func resized(level, before, after float64) float64 {
 	return math.Min(after, level+after-before)
@@ -87,12 +99,7 @@
 // bucket that follows them by the rule that what was consumed stays consumed.
 func TestUpdatePlansKeepsToTheTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := testSettings()
-		set.Gateways, set.Peers = 1, false
-		set.Plans = []Plan{
-			{Rate: 4, Burst: 8, Price: 1, BeyondCosts: 1},
-			{Rate: 4, Burst: 8, Price: 1, BeyondEarns: 1, CeilingRate: 8, CeilingBurst: 16},
-		}
+		set := twoPlanSettings()
 		f := &actionRecorder{}
 		g, err := New(set, 1, f)
 		if err != nil {
--- a/internal/dataplane/policy/quota.go
+++ b/internal/dataplane/policy/quota.go
@@ -62,7 +62,7 @@
 // belowConcurrencyLimit reports whether this gateway's share of the limit on attempts in flight
 // has room for one more.
 func (lb *Balancer) belowConcurrencyLimit(c *customer) bool {
-	limit := lb.settings.Plans[c.plan].OpenLimit
+	limit := lb.settings.Plans[c.plan].ConcurrencyLimit
 	if limit == 0 {
 		return true
 	}
--- a/internal/dataplane/policy/quota_test.go
+++ b/internal/dataplane/policy/quota_test.go
@@ -202,7 +202,7 @@
 		if metered {
 			set.MeterPeriod = second
 		}
-		set.Plans = []Plan{{Rate: 2, Burst: 4, Price: 1, BeyondCosts: 1}}
+		set.Plans = []Plan{{Rate: 2, Burst: 4, Price: 1, OverQuotaCost: 1}}
 		r := newTestBalancer(t, set)
 		const seconds, units = 120, 2 // of a request
 		const share = 0.5             // units a second
--- a/internal/dataplane/policy/settings.go
+++ b/internal/dataplane/policy/settings.go
@@ -7,22 +7,22 @@
 
 // Settings are what a Balancer needs to know from the start.
 type Settings struct {
-	Self     int // the number of this gateway, from 0
-	Gateways int
-	Zone     int
-	Classes  []Class
-	Plans    []Plan
-	Report   []Metric // the order of the values in a load report
+	Self              int // the number of this gateway, from 0
+	Gateways          int
+	Zone              int
+	Classes           []Class
+	Plans             []Plan
+	LoadReportMetrics []Metric // the order of the values in a load report
 
 	PollEndpoints bool // discovery pushes no changes
 	PollInterval  Time
 
-	Peers        bool // gateways may send one another messages
-	Probes       bool // backends may be sent health checks
-	Hedging      bool // a further attempt may be made while one is in flight
-	RetryAfter   bool // rejections may advise when to retry
-	Counter      bool // there is a shared counter
-	SettlesUnits bool // answers tell how many units a request has consumed
+	Peers              bool // gateways may send one another messages
+	Probes             bool // backends may be sent health checks
+	Hedging            bool // a further attempt may be made while one is in flight
+	RetryAfter         bool // rejections may advise when to retry
+	Counter            bool // there is a shared counter
+	ReportsActualUnits bool // answers tell how many units a request has consumed
 
 	MeterPeriod              Time // 0: answers tell no use through all gateways
 	MaxPeerMessagesPerSecond float64
@@ -72,15 +72,15 @@
 // Plan is what a customer has bought. The snapshot's checksum of the settings rests on the order of
 // its fields.
 type Plan struct {
-	Rate         float64 // units a second; 0: no quota
-	Burst        float64 // units
-	CeilingRate  float64 // units a second, never to be exceeded; 0: no ceiling
-	CeilingBurst float64 // units
-	CeilingSlack float64 // units by which all gateways together may exceed the ceiling
-	OpenLimit    int     // attempts in flight; 0: no limit
-	Price        float64 // what a unit earns
-	BeyondEarns  float64 // what a unit beyond the quota earns
-	BeyondCosts  float64 // and what it costs
+	Rate             float64 // units a second; 0: no quota
+	Burst            float64 // units
+	CeilingRate      float64 // units a second, never to be exceeded; 0: no ceiling
+	CeilingBurst     float64 // units
+	CeilingSlack     float64 // units by which all gateways together may exceed the ceiling
+	ConcurrencyLimit int     // attempts in flight; 0: no limit
+	Price            float64 // what a unit earns
+	OverQuotaRevenue float64 // what a unit beyond the quota earns
+	OverQuotaCost    float64 // and what it costs
 }
 
 // Metric is a value that backends report of their load.
@@ -89,8 +89,8 @@
 // The metrics. Both Busy and Waiting are taken as the length of a backend's queue.
 const (
 	Unused Metric = iota
-	Busy
-	Waiting
+	BusyRequests
+	QueuedRequests
 )
 
 // maxSubjects is how many classes and plans together a fault report can name.
--- a/internal/dataplane/policy/sharedbucket.go
+++ b/internal/dataplane/policy/sharedbucket.go
@@ -30,7 +30,7 @@
 }
 
 // mayExceedQuota reports whether use beyond the quota earns more than it costs.
-func (p *Plan) mayExceedQuota() bool { return p.BeyondEarns > p.BeyondCosts }
+func (p *Plan) mayExceedQuota() bool { return p.OverQuotaRevenue > p.OverQuotaCost }
 
 // refillShared brings the shared bucket up to now.
 func (lb *Balancer) refillShared() { lb.sharedBucket.refill(lb.now) }
--- a/internal/dataplane/policy/slowstart_fleet_test.go
+++ b/internal/dataplane/policy/slowstart_fleet_test.go
@@ -99,7 +99,7 @@
 			Classes: []policy.Class{
 				{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1},
 			},
-			Plans: []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1}},
+			Plans: []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, OverQuotaCost: 1}},
 		}, seed<<8|uint64(i), m)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dataplane/policy/testbalancer_test.go
+++ b/internal/dataplane/policy/testbalancer_test.go
@@ -73,10 +73,10 @@
 			},
 		},
 		Plans: []Plan{
-			{Rate: 2, Burst: 8, Price: 1, BeyondCosts: 1},
-			{Rate: 10, Burst: 20, Price: 1, BeyondEarns: 0.3},
+			{Rate: 2, Burst: 8, Price: 1, OverQuotaCost: 1},
+			{Rate: 10, Burst: 20, Price: 1, OverQuotaRevenue: 0.3},
 			{
-				Rate: 4, Burst: 8, Price: 1, BeyondEarns: 0.3,
+				Rate: 4, Burst: 8, Price: 1, OverQuotaRevenue: 0.3,
 				CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 2,
 			},
 		},
--- a/internal/dataplane/simprotocol/batch_test.go
+++ b/internal/dataplane/simprotocol/batch_test.go
@@ -47,7 +47,7 @@
 			Event{Kind: AttemptEnded, Instance: 3, Outcome: policy.Outcome{
 				ID: 0x8257f5d3a91c4, Attempt: 1, Backend: 0x03124a07,
 				Result: policy.Rejected, Duration: 18500, RequestDone: true,
-				MeteredUse: 86, TrueUnits: 3, Load: []float32{1}}}},
+				MeteredUse: 86, ActualUnits: 3, Load: []float32{1}}}},
 		{"endpoints", "08 0300 01 2900000000000000 02000000 " +
 			"074a1203 0000 00 0000 01 0000803f 0000000000000000 " +
 			"f211902c 0100 01 0300 02 0000c03f 20145d0000000000",
--- a/internal/dataplane/simprotocol/codes.go
+++ b/internal/dataplane/simprotocol/codes.go
@@ -76,8 +76,8 @@
 	}
 	// metrics are the values of a load report that decisions use; others map to policy.Unused.
 	metrics = map[string]policy.Metric{
-		"busy_reqs": policy.Busy,
-		"pending":   policy.Waiting,
+		"busy_reqs": policy.BusyRequests,
+		"pending":   policy.QueuedRequests,
 	}
 	// membershipModes tell whether endpoints are polled.
 	membershipModes = map[string]bool{"pushed": false, "on_request": true}
--- a/internal/dataplane/simprotocol/event.go
+++ b/internal/dataplane/simprotocol/event.go
@@ -104,7 +104,7 @@
 	o.Duration = r.duration()
 	o.RequestDone = r.u8() != 0
 	o.MeteredUse = int(r.u16())
-	o.TrueUnits = float64(r.u16())
+	o.ActualUnits = float64(r.u16())
 	o.Load = r.load()
 }
 
--- a/internal/dataplane/simprotocol/settings.go
+++ b/internal/dataplane/simprotocol/settings.go
@@ -89,10 +89,10 @@
 
 // setReport takes over the names in a load report, and which of the values decisions use.
 func setReport(d *draft, value string) error {
-	d.Report = nil
+	d.LoadReportMetrics = nil
 	d.host.Report = strings.Split(value, ",")
 	for _, name := range d.host.Report {
-		d.Report = append(d.Report, metrics[name])
+		d.LoadReportMetrics = append(d.LoadReportMetrics, metrics[name])
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	"family-info.counter": boolSetting(func(d *draft) *bool { return &d.Counter }),
 	"family-info.counter-timeout-us": intSetting(
 		func(d *draft) *policy.Time { return &d.host.CounterTimeout }),
-	"family-info.settles": boolSetting(func(d *draft) *bool { return &d.SettlesUnits }),
+	"family-info.settles": boolSetting(func(d *draft) *bool { return &d.ReportsActualUnits }),
 	"family-info.meter-period-us": intSetting(
 		func(d *draft) *policy.Time { return &d.MeterPeriod }),
 	"family-info.max-units": floatSetting(func(d *draft) *float64 { return &d.host.MaxUnits }),
@@ -167,8 +167,8 @@
 	"never-over-rate": floatSetting(func(d *draft) *float64 { return &d.plan().CeilingRate }),
 	"ceiling-burst":   floatSetting(func(d *draft) *float64 { return &d.plan().CeilingBurst }),
 	"hard-slack":      floatSetting(func(d *draft) *float64 { return &d.plan().CeilingSlack }),
-	"max-out":         intSetting(func(d *draft) *int { return &d.plan().OpenLimit }),
+	"max-out":         intSetting(func(d *draft) *int { return &d.plan().ConcurrencyLimit }),
 	"value-factor":    floatSetting(func(d *draft) *float64 { return &d.plan().Price }),
-	"beyond-earns":    floatSetting(func(d *draft) *float64 { return &d.plan().BeyondEarns }),
-	"beyond-costs":    floatSetting(func(d *draft) *float64 { return &d.plan().BeyondCosts }),
+	"beyond-earns":    floatSetting(func(d *draft) *float64 { return &d.plan().OverQuotaRevenue }),
+	"beyond-costs":    floatSetting(func(d *draft) *float64 { return &d.plan().OverQuotaCost }),
 }
--- a/internal/dataplane/simprotocol/settings_test.go
+++ b/internal/dataplane/simprotocol/settings_test.go
@@ -26,7 +26,7 @@
 func TestParseSettings(t *testing.T) {
 	got, err := ParseSettings([]byte(validSettings))
 	want := policy.Settings{Self: 1, Gateways: 2, PollEndpoints: true, SlowStartMinFraction: 0.16,
-		Report: []policy.Metric{policy.Unused, policy.Waiting},
+		LoadReportMetrics: []policy.Metric{policy.Unused, policy.QueuedRequests},
 		Classes: []policy.Class{{LatencyObjective: 600000, Idempotency: policy.WithIdempotencyKey,
 			DeduplicationScope: policy.ScopeCell}},
 		Plans: []policy.Plan{{Rate: 1.5, Burst: 6, Price: 1}}}
