--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -5,206 +5,212 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"strconv"
 	"strings"
 	"time"
 
-	"mothcleat/internal/controlplane/allocation"
-	"mothcleat/internal/controlplane/allocator"
-	"mothcleat/internal/controlplane/controlpb"
+	"mothcleat/internal/controlplane/consensus"
 	"mothcleat/internal/controlplane/lease"
 	"mothcleat/internal/controlplane/usageexport"
 	"mothcleat/internal/monotonic"
 )
 
-const callWithin = 800 * time.Millisecond // an operator's call
+// callTimeout is the deadline of the requests that an operator's call makes.
+const callTimeout = 800 * time.Millisecond
 
-// ask reads a part of the agreed state.
-func (n *Node) ask(ctx context.Context, machine string, body []byte, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
-	defer cancel()
-	raw, err := n.client.Read(ctx, machine, body)
-	if err != nil {
-		return err
-	}
-	return json.Unmarshal(raw, into)
+var errNoVoter = errors.New("this process is no voter")
+
+// operatorCall is a call of an operator, by the arguments that it takes.
+type operatorCall struct {
+	minArguments int
+	maxArguments int
+	run          func(n *Node, ctx context.Context, arguments []string) (any, error)
 }
 
-// LocalStatus is what this process knows of itself, whoever else can be asked.
-type LocalStatus struct {
-	Member       lease.Member      `json:"member"`
-	Voter        bool              `json:"voter"`
-	Number       string            `json:"number,omitempty"`
-	Term         uint64            `json:"term,omitempty"`
-	Leader       string            `json:"leader,omitempty"`
-	Leads        bool              `json:"leads,omitempty"`
-	AppliedIndex uint64            `json:"applied,omitempty"`
-	Fault        string            `json:"trouble,omitempty"`
-	Roles        map[string]uint64 `json:"duties"`
-}
-
-// LocalStatus tells it.
-func (n *Node) LocalStatus() LocalStatus {
-	h := LocalStatus{Member: n.me, Roles: n.duties.HeldTerms()}
-	if why := n.trouble.Load(); why != nil {
-		h.Fault = *why
-	}
-	if s := n.server.Load(); s != nil && s.Replica() != nil {
-		st := s.Replica().Status()
-		h.Voter, h.Number, h.Term, h.Leader, h.Leads, h.AppliedIndex = true, fmt.Sprintf("%016x", st.Number), st.Leadership.Term, st.Leader, st.Leadership.IsLeader, st.AppliedIndex
-		h.Fault += st.Fault
-	}
-	return h
+// operatorCalls are the calls by name.
+var operatorCalls = map[string]operatorCall{
+	"here":         {0, 0, (*Node).callHere},
+	"status":       {0, 0, (*Node).callStatus},
+	"owners":       {0, 0, (*Node).callOwners},
+	"history":      {1, 1, (*Node).callHistory},
+	"exports":      {0, 0, (*Node).callExports},
+	"rights":       {0, 0, (*Node).callRights},
+	"budgets":      {0, 1, (*Node).callBudgets},
+	"versions":     {0, anyNumber, (*Node).callVersions},
+	"distribution": {0, 0, (*Node).callDistribution},
+	"transfer":     {2, 2, (*Node).callTransfer},
+	"remove":       {1, 1, (*Node).callRemove},
+	"add":          {0, 0, (*Node).callAdd},
+	"snapshot":     {0, 0, (*Node).callSnapshot},
 }
 
-// Call answers an operator's call: one line of JSON, or "fail" with why. It waits for voters, not for the gateway.
+// anyNumber is the greatest number of arguments of a call that is not limited.
+const anyNumber = 1 << 20
+
+// errUnknownCall is the error of a call that this process does not know, or has no part for.
+var errUnknownCall = errors.New("unknown call")
+
+// Call answers an operator's call with one line: JSON, or "fail" with the reason. It waits for
+// voters, but not for the gateway's event loop.
 func (n *Node) Call(ctx context.Context, argument string) string {
-	words := strings.Fields(argument)
-	var what any
-	var err error
-	switch {
-	case len(words) == 1 && words[0] == "here":
-		what = n.LocalStatus()
-	case len(words) == 1 && words[0] == "status":
-		what, err = n.Membership(ctx)
-	case len(words) == 1 && words[0] == "owners":
-		var v lease.View
-		err = n.ask(ctx, lease.MachineName, nil, &v)
-		what = v
-	case len(words) == 2 && words[0] == "history":
-		var v lease.View
-		if err = n.ask(ctx, lease.MachineName, []byte(words[1]), &v); err == nil {
-			what = v.History
-		}
-	case len(words) == 1 && words[0] == "exports":
-		var v usageexport.View
-		err = n.ask(ctx, usageexport.MachineName, nil, &v)
-		what = v
-	case len(words) == 1 && words[0] == "rights" && n.rights != nil:
-		held, did := n.rights.Status()
-		what = AllocationStatus{n.me, monotonic.Now(), held, did, n.divide.Stats()}
-	case len(words) <= 2 && len(words) > 0 && words[0] == "budgets":
-		what, err = n.books(ctx, words[1:])
-	case n.agent != nil && len(words) > 0 && words[0] == "versions":
-		what, err = n.versions(ctx, words[1:])
-	case len(words) == 1 && words[0] == "distribution":
-		what = n.DistributionStatus()
-	case len(words) == 3 && words[0] == "transfer":
-		what, err = n.transfer(ctx, words[1], words[2])
-	case len(words) == 2 && words[0] == "remove":
-		what, err = n.alter(ctx, false, words[1])
-	case len(words) == 1 && words[0] == "add":
-		what, err = n.alter(ctx, true, n.cfg.ID)
-	case len(words) == 1 && words[0] == "snapshot":
-		s := n.server.Load()
-		if s == nil || s.Replica() == nil {
-			err = errors.New("this process is no voter")
-		} else if err = s.Replica().CreateSnapshot(ctx); err == nil {
-			what = s.Replica().Status().AppliedIndex
-		}
-	default:
-		err = fmt.Errorf("unknown call %.64q; here, status, owners, history DUTY, exports, rights, budgets [CUSTOMER], distribution, transfer DUTY ID, add, remove NAME or snapshot", argument)
-	}
-	var raw []byte
+	result, err := n.dispatch(ctx, argument)
+	var encoded []byte
 	if err == nil {
-		raw, err = json.Marshal(what)
+		encoded, err = json.Marshal(result)
 	}
 	if err != nil {
 		return "fail " + strings.ReplaceAll(err.Error(), "\n", " ") + "\n"
 	}
-	return string(raw) + "\n"
+	return string(encoded) + "\n"
 }
 
-// AllocationStatus is what this process holds of the budgets, and what it divides.
-type AllocationStatus struct {
-	Member      lease.Member                      `json:"member"`
-	At          time.Duration                     `json:"at"` // by the clock that goes on while a process is stopped
-	Held        []allocation.HolderStatus         `json:"held"`
-	Stats       allocator.ClientStats             `json:"did"`
-	LeaderStats map[string]allocation.LeaderStats `json:"divides"`
-}
-
-// books are all budgets as they are agreed.
-func (n *Node) books(ctx context.Context, customer []string) (some []allocation.View, err error) {
-	wanted := uint64(0)
-	if len(customer) > 0 {
-		if wanted, err = strconv.ParseUint(customer[0], 16, 64); err != nil {
-			return nil, fmt.Errorf("customer %.32q: up to 16 hexadecimal digits wanted", customer[0])
-		}
+func (n *Node) dispatch(ctx context.Context, argument string) (any, error) {
+	words := strings.Fields(argument)
+	if len(words) == 0 {
+		return nil, unknownCall(argument)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
-	defer cancel()
-	raw, err := n.client.Read(ctx, allocation.MachineName, nil)
-	if err != nil {
-		return nil, err
+	call, known := operatorCalls[words[0]]
+	arguments := words[1:]
+	if !known || len(arguments) < call.minArguments || len(arguments) > call.maxArguments {
+		return nil, unknownCall(argument)
 	}
-	all, err := allocation.ReadViews(raw)
-	if err != nil {
-		return nil, err
+	result, err := call.run(n, ctx, arguments)
+	if errors.Is(err, errUnknownCall) {
+		err = unknownCall(argument)
 	}
-	l, err := n.Membership(ctx)
+	return result, err
+}
+
+func unknownCall(argument string) error {
+	return fmt.Errorf("%w %.64q; here, status, owners, history DUTY, exports, rights, "+
+		"budgets [CUSTOMER], distribution, transfer DUTY ID, add, remove NAME or snapshot",
+		errUnknownCall, argument)
+}
+
+// read reads a state machine's JSON into a value.
+func (n *Node) read(ctx context.Context, machine string, body []byte, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	answer, err := n.client.Read(ctx, machine, body)
 	if err != nil {
-		return nil, err
-	}
-	here := map[lease.Member]bool{}
-	for _, m := range l.Members {
-		here[m.Member] = true
-	}
-	some = []allocation.View{}
-	for _, v := range all {
-		if len(customer) > 0 && v.Budget != wanted {
-			continue
-		}
-		for i := range v.Allocations {
-			v.Allocations[i].Ended = !here[v.Allocations[i].Member]
-		}
-		some = append(some, v)
+		return err
 	}
-	return some, nil
+	return json.Unmarshal(answer, into)
+}
+
+// LocalStatus is what this process knows of itself, also when no voter answers.
+type LocalStatus struct {
+	Member       lease.Member `json:"member"`
+	Voter        bool         `json:"voter"`
+	Number       string       `json:"number,omitempty"` // of the voter, in hexadecimal
+	Term         uint64       `json:"term,omitempty"`
+	Leader       string       `json:"leader,omitempty"`
+	Leads        bool         `json:"leads,omitempty"`
+	AppliedIndex uint64       `json:"applied,omitempty"`
+	// Fault is why the process takes no part, or does not vote; "": it does.
+	Fault string `json:"trouble,omitempty"`
+	// Roles are the terms of the roles that it leads, by role.
+	Roles map[string]uint64 `json:"duties"`
+}
+
+// LocalStatus returns what this process knows of itself.
+func (n *Node) LocalStatus() LocalStatus {
+	status := LocalStatus{Member: n.self, Roles: n.roles.HeldTerms()}
+	if fault := n.fault.Load(); fault != nil {
+		status.Fault = *fault
+	}
+	if r := n.localReplica(); r != nil {
+		voter := r.Status()
+		status.Voter = true
+		status.Number = fmt.Sprintf("%016x", voter.Number)
+		status.Term = voter.Leadership.Term
+		status.Leader = voter.Leader
+		status.Leads = voter.Leadership.IsLeader
+		status.AppliedIndex = voter.AppliedIndex
+		status.Fault += voter.Fault
+	}
+	return status
+}
+
+// Membership returns who belongs to the fleet, as the leader has it.
+func (n *Node) Membership(ctx context.Context) (m consensus.Membership, err error) {
+	return m, n.read(ctx, consensus.MembershipName, nil, &m)
+}
+
+func (n *Node) callHere(context.Context, []string) (any, error) { return n.LocalStatus(), nil }
+
+func (n *Node) callStatus(ctx context.Context, _ []string) (any, error) { return n.Membership(ctx) }
+
+// callOwners returns all leases.
+func (n *Node) callOwners(ctx context.Context, _ []string) (any, error) {
+	var view lease.View
+	err := n.read(ctx, lease.MachineName, nil, &view)
+	return view, err
+}
+
+// callHistory returns the latest holders of a role's lease.
+func (n *Node) callHistory(ctx context.Context, arguments []string) (any, error) {
+	var view lease.View
+	err := n.read(ctx, lease.MachineName, []byte(arguments[0]), &view)
+	return view.History, err
 }
 
-// transfer has a duty go to another gateway: its owner hands it on when it hears of that.
-func (n *Node) transfer(ctx context.Context, duty, to string) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+func (n *Node) callExports(ctx context.Context, _ []string) (any, error) {
+	var view usageexport.View
+	err := n.read(ctx, usageexport.MachineName, nil, &view)
+	return view, err
+}
+
+// callRights returns what this process holds of the quotas, and what it divides.
+func (n *Node) callRights(context.Context, []string) (any, error) {
+	if n.allocations == nil {
+		return nil, errUnknownCall
+	}
+	held, stats := n.allocations.Status()
+	return AllocationStatus{
+		Member:      n.self,
+		At:          monotonic.Now(),
+		Held:        held,
+		Stats:       stats,
+		LeaderStats: n.shardLeaders.Stats(),
+	}, nil
+}
+
+func (n *Node) callDistribution(context.Context, []string) (any, error) {
+	return n.DistributionStatus(), nil
+}
+
+// callTransfer asks the leader of a role to transfer it to another gateway.
+func (n *Node) callTransfer(ctx context.Context, arguments []string) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	raw, err := n.client.Propose(ctx, lease.MachineName, lease.Op{Action: lease.ActionRequestTransfer, Role: duty, To: lease.Member{ID: to}}.Encode())
+	op := lease.Op{
+		Action: lease.ActionRequestTransfer,
+		Role:   arguments[0],
+		To:     lease.Member{ID: arguments[1]},
+	}
+	answer, err := n.client.Propose(ctx, lease.MachineName, op.Encode())
 	if err != nil {
 		return nil, err
 	}
-	var r lease.Result
-	if err := json.Unmarshal(raw, &r); err != nil {
+	var result lease.Result
+	if err := json.Unmarshal(answer, &result); err != nil {
 		return nil, err
 	}
-	if !r.OK {
-		return nil, errors.New(r.Reason)
+	if !result.OK {
+		return nil, errors.New(result.Reason)
 	}
 	return "the owner is told", nil
 }
 
-// alter has a voter less, or this process's one more.
-func (n *Node) alter(ctx context.Context, add bool, name string) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
-	defer cancel()
-	v := &controlpb.Voter{Name: name}
-	if add {
-		s := n.server.Load()
-		if s == nil || s.Replica() == nil {
-			return nil, errors.New("this process has no voter's folder: make one with mothcleat fleet join, and start it again")
-		}
-		v.Number, v.Address = s.Replica().Identity().Number, n.cfg.Address
-	} else {
-		l, err := n.Membership(ctx)
-		if err != nil {
-			return nil, err
-		}
-		for _, known := range l.Voters {
-			if known.Name == name {
-				_, _ = fmt.Sscanf(known.Number, "%x", &v.Number)
-			}
-		}
-	}
-	if err := n.client.ChangeVoter(ctx, add, v); err != nil {
+// callSnapshot has this process's replica store a snapshot, and returns the index of its last
+// entry.
+func (n *Node) callSnapshot(ctx context.Context, _ []string) (any, error) {
+	r := n.localReplica()
+	if r == nil {
+		return nil, errNoVoter
+	}
+	if err := r.CreateSnapshot(ctx); err != nil {
 		return nil, err
 	}
-	return "agreed", nil
+	return r.Status().AppliedIndex, nil
 }
--- a/internal/controlplane/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -1,7 +1,7 @@
 // Package checkpoint is the replicated state of progress markers: a few keys with versions, by
 // which the next leader of singleton work resumes where the last one stopped. A write can name a
-// role and a term as a fencing token, and is rejected under an old term. It can also name the version that
-// its writer has read (compare and set).
+// role and a term as a fencing token, and is rejected under an old term. It can also name the
+// version that its writer has read (compare and set).
 //
 // It is a deterministic state machine: nothing here does I/O or reads a clock. The texts of its
 // errors are part of replicated answers: every version of the program must produce the same ones.
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -1,51 +1,52 @@
 package controlplane
 
 import (
-	"mothcleat/internal/controlplane/consensus"
 	"mothcleat/internal/controlplane/distribution"
 	"mothcleat/internal/controlplane/distributor"
 )
 
-// distribute sets up the distribution of the control state: the voter's side, and the list of servers.
-func (n *Node) distribute() {
-	cfg := &n.cfg
-	n.streams = distributor.NewServer(distributor.NewPublisherSettings(cfg.Fleet, cfg.SourceTimeout, cfg.ChangeLogEntries), cfg.Log)
-	if cfg.NewSource == nil {
+// setUpDistribution sets up the distribution of the endpoint list: a voter's side, and, if one
+// gateway watches the registry for all, this process's replica of the list.
+func (n *Node) setUpDistribution() {
+	config := &n.config
+	n.streams = distributor.NewServer(
+		distributor.NewPublisherSettings(
+			config.Fleet, config.SourceTimeout, config.ChangeLogEntries),
+		config.Log)
+	if config.NewSource == nil {
 		return
 	}
-	n.list = distributor.NewSource(distributor.SourceOptions{
-		Direct: cfg.NewSource, SourceTimeout: cfg.SourceTimeout,
+	n.endpoints = distributor.NewSource(distributor.SourceOptions{
+		Direct:        config.NewSource,
+		SourceTimeout: config.SourceTimeout,
 		Client: distributor.ClientOptions{
-			Link: n.client, Places: cfg.Places, File: distributor.StatePath(cfg.Dir), Log: cfg.Log,
-			Settings: distributor.NewReplicaSettings(cfg.Fleet, cfg.ID, n.me.Incarnation, cfg.Place, cfg.SourceTimeout),
+			Link:   n.client,
+			Places: config.Places,
+			File:   distributor.StatePath(config.Dir),
+			Log:    config.Log,
+			Settings: distributor.NewReplicaSettings(config.Fleet, config.ID,
+				n.self.Incarnation, config.Place, config.SourceTimeout),
 		},
 	})
-	n.duties.Add(distribution.Role, n.list.Work)
+	n.roles.Add(distribution.Role, n.endpoints.Work)
 }
 
-// machines are new ones, of which the distribution's is served to replicas.
-func (n *Node) machines() map[string]consensus.StateMachine {
-	machines := NewStateMachines(n.cfg.LeaseConfig, n.versionRules())
-	n.streams.Attach(machines[distribution.MachineName].(*distribution.Machine))
-	return machines
-}
-
-// DistributionStatus is what this process knows of the distribution of the control state.
+// DistributionStatus is what this process knows of the distribution of the endpoint list.
 type DistributionStatus struct {
 	Gateway string                     `json:"gateway"`
 	Server  *distributor.ServerStatus  `json:"server,omitempty"`  // of a voter
-	Replica *distributor.ReplicaStatus `json:"replica,omitempty"` // where the list of servers goes over it
+	Replica *distributor.ReplicaStatus `json:"replica,omitempty"` // if the list is distributed
 }
 
-// DistributionStatus tells it.
+// DistributionStatus returns it.
 func (n *Node) DistributionStatus() DistributionStatus {
-	d := DistributionStatus{Gateway: n.me.ID}
-	if s := n.server.Load(); s != nil && s.Replica() != nil {
+	d := DistributionStatus{Gateway: n.self.ID}
+	if n.localReplica() != nil {
 		status := n.streams.Status()
 		d.Server = &status
 	}
-	if n.list != nil {
-		status := n.list.Client().Status()
+	if n.endpoints != nil {
+		status := n.endpoints.Client().Status()
 		d.Replica = &status
 	}
 	return d
