--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -169,7 +169,7 @@
 				defer cancel()
 				found := election.Search(limited, seed, *most, *each)
 				fig := harness.NewSummary("ownersearch", seed)
-				fig.Seconds = found.Took.Seconds()
+				fig.Seconds = found.Elapsed.Seconds()
 				type finding struct {
 					Rule    string           `json:"rule"`
 					What    string           `json:"what"`
@@ -181,15 +181,15 @@
 					all = append(
 						all,
 						finding{
-							x.Breach.What, x.Breach.How + " at " + x.Breach.At, x.After, x.Options,
+							x.Breach.Rule, x.Breach.Detail + " at " + x.Breach.At, x.After, x.Options,
 						},
 					)
-					fig.Broken[harness.Rule(x.Breach.What)]++
-					fig.AddFailure(x.Breach.What + ": " + x.Breach.How)
+					fig.Broken[harness.Rule(x.Breach.Rule)]++
+					fig.AddFailure(x.Breach.Rule + ": " + x.Breach.Detail)
 				}
-				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["acknowledged"] = found.Plays, all, found.Faults, found.Acked
-				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
-				fig.Extra["events_per_second"] = float64(found.Events) / found.Took.Seconds()
+				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["acknowledged"] = found.Plays, all, found.Faults, found.Acknowledged
+				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Elapsed.Seconds()
+				fig.Extra["events_per_second"] = float64(found.Events) / found.Elapsed.Seconds()
 				for _, k := range election.Kinds {
 					if found.Faults[k] == 0 {
 						fig.AddFailure("no " + k + ": nothing was shown")
--- a/sim/election/faults.go
+++ b/sim/election/faults.go
@@ -1,180 +1,240 @@
 package election
 
-import (
-	"time"
+import "time"
+
+// Kinds of faults. Their values are keys of the reports.
+const (
+	faultSuspend    = "stops"
+	faultKill       = "kills"
+	faultCut        = "cuts"
+	faultSlowDisk   = "slow disks"
+	faultOlderCopy  = "folders put back"
+	quietBeginning  = 800 * ms        // of each play
+	copyAge         = 3 * time.Second // of the copy of a disk that is restored
+	quietAfterwards = 4 * time.Second // of a restored copy
 )
 
-// Kinds are the faults that a search has to have met.
-var Kinds = []string{"stops", "kills", "cuts", "slow disks", "folders put back"}
+// Kinds are the faults that a search must have injected to have shown anything.
+var Kinds = []string{faultSuspend, faultKill, faultCut, faultSlowDisk, faultOlderCopy}
 
-// schedule has things go wrong, a little apart and for a while each, as the seed draws.
-func (w *World) schedule() {
-	// Where a folder is put back, no other voter dies: that those who know its promises forget them at the same
-	// time is more than is promised.
-	rollback := w.r.IntN(2) == 0
+// scheduleFaults has faults injected, a little apart and for a while each, as the seed draws.
+func (w *World) scheduleFaults() {
+	// In a play in which an older copy of a disk is restored, no voter is killed: that those who
+	// know its promises forget them at the same time is more than is promised.
+	restoresCopies := w.random.IntN(2) == 0
 	var next func()
 	next = func() {
-		w.at(time.Duration(100+w.r.IntN(1500))*ms, func() {
-			w.fault(rollback)
+		w.schedule(time.Duration(100+w.random.IntN(1500))*ms, func() {
+			w.injectFault(restoresCopies)
 			next()
 		})
 	}
-	w.at(800*ms, next)
-	if w.r.IntN(3) == 0 {
-		w.loss = 0.1 * w.r.Float64()
+	w.schedule(quietBeginning, next)
+	if w.random.IntN(3) == 0 {
+		w.lossRate = 0.1 * w.random.Float64()
 	}
-	if w.r.IntN(3) == 0 {
-		w.late = time.Duration(w.r.IntN(60)) * ms
+	if w.random.IntN(3) == 0 {
+		w.extraDelay = time.Duration(w.random.IntN(60)) * ms
 	}
 }
 
-func (w *World) fault(rollback bool) {
-	if w.now < w.calm {
+// injectFault injects one fault.
+func (w *World) injectFault(restoresCopies bool) {
+	if w.now < w.noFaultsBefore {
 		return
 	}
-	lasts := time.Duration(50+w.r.IntN(4000)) * ms
-	voter, any := w.procs[w.r.IntN(w.o.Voters)], w.procs[w.r.IntN(len(w.procs))]
-	holder := any
-	for _, p := range w.procs[w.o.Voters:] {
-		if _, ok := p.member.holder.Holds(p.clock()); ok && p.up {
-			holder = p
-		}
-	}
-	leader := voter
-	for _, p := range w.procs[:w.o.Voters] {
-		if p.up && p.voter.begun && p.voter.node.Leadership().IsLeader {
-			leader = p
-		}
-	}
-	target := []*proc{voter, any, holder, leader}[w.r.IntN(4)]
-	switch w.r.IntN(9) {
+	duration := time.Duration(50+w.random.IntN(4000)) * ms
+	voter := w.processes[w.random.IntN(w.options.Voters)]
+	anyone := w.processes[w.random.IntN(len(w.processes))]
+	targets := []*process{voter, anyone, w.leaseHolder(anyone), w.logLeader(voter)}
+	target := targets[w.random.IntN(len(targets))]
+	switch w.random.IntN(9) {
 	case 0, 1:
-		w.stop(target, lasts)
+		w.suspend(target, duration)
 	case 2:
-		if !rollback || target.voter == nil {
-			w.kill(target, lasts, w.r.IntN(2) == 0, nil)
+		if !restoresCopies || target.voter == nil {
+			powerCut := w.random.IntN(2) == 0
+			w.kill(target, duration, powerCut, nil)
 		}
 	case 3:
-		if !rollback || !voter.up {
-			return
-		}
-		if voter.voter.older == nil {
-			c := copyOf(voter.voter.disk.saved)
-			voter.voter.older = &c
-		}
-		w.at(3*time.Second, func() { w.putBack(voter, lasts) })
-	case 4: // heard by nobody, or hearing nobody
-		w.did("cuts")
-		says := w.r.IntN(2) == 0
-		for _, o := range w.procs {
-			w.cutFor(target, o, says, !says, lasts)
+		if restoresCopies && voter.up {
+			w.scheduleRestore(voter, duration)
 		}
+	case 4:
+		w.cutOneWay(target, duration)
 	case 5:
-		w.did("cuts")
-		for _, o := range w.procs {
-			if w.r.IntN(2) == 0 {
-				w.cutFor(target, o, true, true, lasts)
-			}
-		}
+		w.cutFromSome(target, duration)
 	case 6:
-		w.did("cuts")
-		w.cutFor(target, any, true, true, lasts)
+		w.countFault(faultCut)
+		w.cutLink(target, anyone, true, true, duration)
 	case 7:
-		if target.voter != nil {
-			w.did("slow disks")
-			v := target.voter
-			v.slow = time.Duration(w.r.IntN(3000)) * ms
-			w.at(lasts, func() { v.slow = 0 })
+		w.slowDisk(target, duration)
+	case 8:
+		if !restoresCopies && w.random.IntN(4) == 0 {
+			w.killAllVoters(duration / 4)
+		}
+	}
+}
+
+// leaseHolder returns the member that holds the role's lease, or else another process.
+func (w *World) leaseHolder(otherwise *process) *process {
+	holder := otherwise
+	for _, p := range w.members() {
+		if _, ok := p.member.claimant.Holds(p.clock()); ok && p.up {
+			holder = p
 		}
-	case 8: // all voters at once
-		if !rollback && w.r.IntN(4) == 0 {
-			for _, p := range w.procs[:w.o.Voters] {
-				w.kill(p, lasts/4, true, nil)
-			}
+	}
+	return holder
+}
+
+// logLeader returns the voter that leads, or else another process.
+func (w *World) logLeader(otherwise *process) *process {
+	leader := otherwise
+	for _, p := range w.voters() {
+		if p.up && p.voter.started && p.voter.node.Leadership().IsLeader {
+			leader = p
 		}
 	}
+	return leader
 }
 
-func (w *World) did(what string) { w.res.Faults[what]++ }
+func (w *World) countFault(kind string) { w.result.Faults[kind]++ }
+
+// cutOneWay cuts a process from all others in one direction.
+func (w *World) cutOneWay(p *process, duration time.Duration) {
+	w.countFault(faultCut)
+	outward := w.random.IntN(2) == 0
+	for _, other := range w.processes {
+		w.cutLink(p, other, outward, !outward, duration)
+	}
+}
 
-func (w *World) cutFor(a, b *proc, there, back bool, lasts time.Duration) {
+// cutFromSome cuts a process from about half of the others.
+func (w *World) cutFromSome(p *process, duration time.Duration) {
+	w.countFault(faultCut)
+	for _, other := range w.processes {
+		if w.random.IntN(2) == 0 {
+			w.cutLink(p, other, true, true, duration)
+		}
+	}
+}
+
+// cutLink cuts the link between two processes, in one or both directions.
+func (w *World) cutLink(a, b *process, aToB, bToA bool, duration time.Duration) {
 	if a == b {
 		return
 	}
-	if there {
-		w.cut[[2]int{a.n, b.n}] = true
+	there := link{a.index, b.index}
+	back := link{b.index, a.index}
+	if aToB {
+		w.cutLinks[there] = true
 	}
-	if back {
-		w.cut[[2]int{b.n, a.n}] = true
+	if bToA {
+		w.cutLinks[back] = true
 	}
-	w.at(lasts, func() {
-		delete(w.cut, [2]int{a.n, b.n})
-		delete(w.cut, [2]int{b.n, a.n})
+	w.schedule(duration, func() {
+		delete(w.cutLinks, there)
+		delete(w.cutLinks, back)
 	})
 }
 
-func (w *World) stop(p *proc, lasts time.Duration) {
-	if !p.up || p.stopped {
+// slowDisk has the syncs of a voter's disk take up to 3 s longer.
+func (w *World) slowDisk(p *process, duration time.Duration) {
+	v := p.voter
+	if v == nil {
 		return
 	}
-	w.did("stops")
-	p.stopped = true
-	life := p.life
-	w.at(lasts, func() {
-		if p.life == life && p.stopped {
-			p.stopped = false
-			p.wake()
-			p.work()
+	w.countFault(faultSlowDisk)
+	v.extraSyncTime = time.Duration(w.random.IntN(3000)) * ms
+	w.schedule(duration, func() { v.extraSyncTime = 0 })
+}
+
+// suspend suspends a process; its clock goes on.
+func (w *World) suspend(p *process, duration time.Duration) {
+	if !p.up || p.suspended {
+		return
+	}
+	w.countFault(faultSuspend)
+	p.suspended = true
+	incarnation := p.incarnation
+	w.schedule(duration, func() {
+		if p.incarnation == incarnation && p.suspended {
+			p.suspended = false
+			p.runInbox()
+			p.processReady()
 		}
 	})
 }
 
-// kill ends a process; power: what its disk had not synced is gone, too.
-func (w *World) kill(p *proc, lasts time.Duration, power bool, then func()) {
+// kill kills a process, which starts again later. With a power cut a voter's disk loses what it has
+// not synced. The function killed is called in between, unless it is nil.
+func (w *World) kill(p *process, duration time.Duration, powerCut bool, killed func()) {
 	if !p.up {
 		return
 	}
-	w.did("kills")
-	p.up, p.inbox, p.busy = false, nil, false
+	w.countFault(faultKill)
+	p.up = false
+	p.inbox = nil
+	p.writing = false
 	if v := p.voter; v != nil {
-		v.node, v.begun = nil, false
-		if !power {
+		v.node = nil
+		v.started = false
+		if !powerCut {
 			v.disk.sync()
 		}
-		v.disk.waiting = nil
+		v.disk.unsynced = nil
 	}
-	if then != nil {
-		then()
+	if killed != nil {
+		killed()
 	}
-	w.at(lasts, func() {
+	w.schedule(duration, func() {
 		if !p.up {
 			p.start()
 		}
 	})
 }
 
-// putBack kills a voter and puts an older copy of its folder in place; the others run and are heard.
-func (w *World) putBack(p *proc, lasts time.Duration) {
-	v := p.voter
-	if !p.up || p.stopped || !v.begun {
-		return
+// killAllVoters has a power cut at all voters at once.
+func (w *World) killAllVoters(duration time.Duration) {
+	for _, p := range w.voters() {
+		w.kill(p, duration, true, nil)
 	}
-	if w.res.Faults["folders put back"] > 0 {
-		return // one a play: two of three folders lost is more than is promised
+}
+
+// scheduleRestore copies a voter's disk, unless there is a copy, and has it restored later.
+func (w *World) scheduleRestore(p *process, duration time.Duration) {
+	if p.voter.olderCopy == nil {
+		state := cloneState(p.voter.disk.synced)
+		p.voter.olderCopy = &state
 	}
-	// What is promised is that it shows while those who know are heard.
-	if len(w.cut) > 0 || w.loss > 0 {
+	w.schedule(copyAge, func() { w.restoreOlderCopy(p, duration) })
+}
+
+// restoreOlderCopy kills a voter and restores an older copy of its disk, once a play: two of three
+// disks lost are more than is promised. What is promised is that this is detected while those that
+// know the voter's promises can be reached, so the others have to be.
+func (w *World) restoreOlderCopy(p *process, duration time.Duration) {
+	if !p.up || p.suspended || !p.voter.started || w.result.Faults[faultOlderCopy] > 0 {
 		return
 	}
-	for _, o := range w.procs[:w.o.Voters] {
-		if !o.up || o.stopped || o.voter.slow > 0 || o.voter.stuck || !o.voter.begun {
-			return
-		}
+	if len(w.cutLinks) > 0 || w.lossRate > 0 || !w.allVotersWork() {
+		return
 	}
-	w.calm = w.now + 4*time.Second
-	older := *v.older
-	w.kill(p, lasts/4, false, func() {
-		w.did("folders put back")
-		v.disk.saved = older
+	w.noFaultsBefore = w.now + quietAfterwards
+	older := *p.voter.olderCopy
+	w.kill(p, duration/4, false, func() {
+		w.countFault(faultOlderCopy)
+		p.voter.disk.synced = older
 	})
 }
+
+// allVotersWork reports whether no voter has a fault.
+func (w *World) allVotersWork() bool {
+	for _, p := range w.voters() {
+		v := p.voter
+		if !p.up || p.suspended || v.extraSyncTime > 0 || v.slowSync || !v.started {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/sim/election/play_test.go
@@ -0,0 +1,52 @@
+package election
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+// A seed always has the same history.
+func TestOneSeedHasOneHistory(t *testing.T) {
+	for seed := range uint64(12) {
+		o := Options{Seed: seed, Voters: 3, Members: 4, Duration: 8 * time.Second}
+		if a, b := Play(o), Play(o); !reflect.DeepEqual(a, b) {
+			t.Errorf("%+v\n%+v", a, b)
+		}
+	}
+}
+
+// Without faults one voter leads the log all the while, the role is led, and commands are answered.
+func TestNoFaults(t *testing.T) {
+	r := Play(Options{Seed: 1, Voters: 3, Members: 4, Duration: 10 * time.Second, NoFaults: true})
+	if r.Breach != nil || r.Acknowledged < 50 || r.Effects < 20 || r.Leaders != 1 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// Whatever faults are injected, no rule is broken; and enough of each kind are.
+func TestFaultsBreakNothing(t *testing.T) {
+	faults := map[string]int{}
+	acknowledged := 0
+	for seed := range uint64(50) {
+		r := Play(Options{
+			Seed: seed, Voters: 3 + 2*int(seed%2), Members: 4, Duration: 14 * time.Second,
+		})
+		if r.Breach != nil {
+			t.Errorf("seed %d: %+v", seed, *r.Breach)
+		}
+		for kind, count := range r.Faults {
+			faults[kind] += count
+		}
+		acknowledged += r.Acknowledged
+	}
+	for _, kind := range Kinds {
+		if faults[kind] < 2 {
+			t.Errorf("%d %s", faults[kind], kind)
+		}
+	}
+	if acknowledged < 1000 {
+		t.Errorf("%d commands were acknowledged", acknowledged)
+	}
+	t.Log(faults, acknowledged)
+}
--- a/sim/election/search.go
+++ b/sim/election/search.go
@@ -7,44 +7,58 @@
 	"mothcleat/sim/parallel"
 )
 
-// Finding is a play that breaks a promise; its options play it again.
+// Finding is a play that breaks a rule. Its options play it again.
 type Finding struct {
 	Options Options `json:"options"`
 	Breach  Breach  `json:"breach"`
-	After   int     `json:"after"` // plays until it was found
+	After   int     `json:"after"` // number of plays until it was found
 }
 
-// Found is what a search came to.
-type Found struct {
-	Plays    int
-	Events   int
-	Faults   map[string]int
-	Acked    int
-	Findings []Finding
-	Took     time.Duration
+// Summary is what came of a search.
+type Summary struct {
+	Plays        int
+	Events       int
+	Faults       map[string]int // by kind
+	Acknowledged int            // commands
+	Findings     []Finding
+	Elapsed      time.Duration
 }
 
-// draw gives the options of one play of a search.
-func draw(seed uint64, n int, length time.Duration) Options {
-	return Options{Seed: seed*1_000_003 + uint64(n), Voters: 3 + 2*(n%3), Members: 3 + n%4, For: length}
+// add adds the result of the nth play of a search.
+func (s *Summary) add(n int, options Options, result *Result) {
+	s.Plays++
+	s.Events += result.Events
+	s.Acknowledged += result.Acknowledged
+	for kind, count := range result.Faults {
+		s.Faults[kind] += count
+	}
+	if result.Breach != nil {
+		s.Findings = append(s.Findings, Finding{options, *result.Breach, n + 1})
+	}
 }
 
-// Search plays one schedule after another, on all cores, until so many were played or one was found.
-func Search(ctx context.Context, seed uint64, most int, length time.Duration) Found {
-	f := Found{Faults: map[string]int{}}
-	began := time.Now()
-	parallel.Until(ctx, most, func(n int) Result { return Play(draw(seed, n, length)) }, func(n int, r Result) bool {
-		f.Plays++
-		f.Events += r.Events
-		f.Acked += r.Acked
-		for k, x := range r.Faults {
-			f.Faults[k] += x
-		}
-		if r.Breach != nil {
-			f.Findings = append(f.Findings, Finding{draw(seed, n, length), *r.Breach, n + 1})
-		}
-		return r.Breach != nil
-	})
-	f.Took = time.Since(began)
-	return f
+// Search plays one schedule of faults after another, on all cores, until a number of them was
+// played, a rule was broken, or the context ends. Each play lasts for a virtual time.
+func Search(ctx context.Context, seed uint64, maxPlays int, duration time.Duration) Summary {
+	summary := Summary{Faults: map[string]int{}}
+	start := time.Now()
+	play := func(n int) Result { return Play(optionsOf(seed, n, duration)) }
+	done := func(n int, result Result) bool {
+		summary.add(n, optionsOf(seed, n, duration), &result)
+		return result.Breach != nil
+	}
+	parallel.Until(ctx, maxPlays, play, done)
+	summary.Elapsed = time.Since(start)
+	return summary
+}
+
+// optionsOf returns the options of the nth play of a search.
+func optionsOf(seed uint64, n int, duration time.Duration) Options {
+	const seedStride = 1_000_003 // prime: searches with near seeds play different schedules
+	return Options{
+		Seed:     seed*seedStride + uint64(n),
+		Voters:   3 + 2*(n%3),
+		Members:  3 + n%4,
+		Duration: duration,
+	}
 }
