--- a/sim/around.go
+++ b/sim/around.go
@@ -9,23 +9,26 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// peerNetwork carries what gateways tell one another: late, some twice, some not at all.
+// peerNetwork carries peer messages between gateways: late, some twice, some not at all.
 type peerNetwork struct {
-	w                  *World
-	rand               *rand.Rand
-	receivedThisSecond []int // taken in by each gateway in the present second
+	w    *World
+	rand *rand.Rand
+	// receivedThisSecond counts the messages received by each gateway in its current second.
+	receivedThisSecond []int
 	second             []int64
-	// until when no note passes between the gateways below cutAt and the others
+	// partitionedUntil is until when no message passes between the gateways below partitionAt and
+	// the others, in microseconds.
 	partitionedUntil int64
 	partitionAt      int
-	delayedUntil     int64 // until when notes come later, by slowBy
-	extraDelay       int64
+	// delayedUntil is until when messages are delayed by extraDelay, in microseconds.
+	delayedUntil int64
+	extraDelay   int64
 }
 
-func (n *peerNetwork) deliver(from, to int, note []byte) {
+func (n *peerNetwork) deliver(from, to int, message []byte) {
 	w := n.w
 	w.PeerMessages.Sent++
-	w.PeerMessages.Bytes += len(note)
+	w.PeerMessages.Bytes += len(message)
 	lost, late := n.rand.Float64() < w.Site.MessageLoss, 1300+n.rand.Int64N(9700)
 	twice := w.options.MessageDuplication > 0 && n.rand.Float64() < w.options.MessageDuplication
 	cut := w.now < n.partitionedUntil && (from < n.partitionAt) != (to < n.partitionAt)
@@ -33,7 +36,7 @@
 		w.PeerMessages.Lost++
 		return
 	}
-	copied := append([]byte(nil), note...)
+	copied := append([]byte(nil), message...)
 	arrive := func() {
 		g := w.gateways[to]
 		if s := w.now / 1e6; s != n.second[to] {
@@ -57,14 +60,17 @@
 	}
 }
 
-// registry tells gateways of the servers, some time after it happened.
+// registry notifies gateways of changes of the servers, some time after they happened.
 type registry struct {
-	w     *World
-	rand  *rand.Rand
-	known [][]policy.Endpoint // by gateway
-	// when a gateway hears what was told last of a server: news keep their order
+	w    *World
+	rand *rand.Rand
+	// known is the list of servers by gateway.
+	known [][]policy.Endpoint
+	// lastDelivery is when a gateway receives the last update about a server, as updates keep their
+	// order.
 	lastDelivery map[[2]int]int64
-	silentUntil  int64 // it tells nothing until then
+	// silentUntil is until when the registry sends nothing, in microseconds.
+	silentUntil int64
 }
 
 func (r *registry) start(gateways int) {
@@ -82,12 +88,12 @@
 	return append([]policy.Endpoint(nil), r.known[gateway]...)
 }
 
-// announce has all gateways hear of a server's state.
+// announce notifies all gateways of a server's state.
 func (r *registry) announce(sv *server, state policy.EndpointState) {
 	w := r.w
 	m := policy.Endpoint{Backend: sv.number, Cell: 1, State: state, Weight: 1}
-	if boot := w.Record.ServerStarts[sv.startIndex]; boot.SlowStart {
-		m.StartedAt = epoch + boot.At.Microseconds()
+	if start := w.Record.ServerStarts[sv.startIndex]; start.SlowStart {
+		m.StartedAt = epoch + start.At.Microseconds()
 	}
 	if r.lastDelivery == nil {
 		r.lastDelivery = map[[2]int]int64{}
@@ -101,7 +107,7 @@
 	}
 }
 
-// arrive has one gateway hear of a server, once the register is not silent.
+// arrive delivers an update to one gateway, once the registry is not silent.
 func (r *registry) arrive(i int, sv *server, m policy.Endpoint) {
 	w, g := r.w, r.w.gateways[i]
 	if w.now < r.silentUntil {
@@ -121,18 +127,19 @@
 	})
 }
 
-// knowsStart reports whether a gateway has been told of a server's present start.
+// knowsStart reports whether a gateway was notified of a server's current start.
 func (r *registry) knowsStart(gateway int, sv *server) bool {
-	boot := &r.w.Record.ServerStarts[sv.startIndex]
-	return !boot.SlowStart ||
-		r.known[gateway][sv.number-1].StartedAt >= epoch+boot.At.Microseconds()
+	start := &r.w.Record.ServerStarts[sv.startIndex]
+	return !start.SlowStart ||
+		r.known[gateway][sv.number-1].StartedAt >= epoch+start.At.Microseconds()
 }
 
-// frontEntry is one gateway as the front sees it: one that has died is noticed
-// only after some time.
+// frontEntry is one gateway as the front sees it. The front detects a dead gateway only after some
+// time.
 type frontEntry struct {
-	down           bool
-	failingSince   int64 // since when nothing listens there; 0: something does
+	down bool
+	// failingSince is since when nothing listens there, in microseconds; 0 if something does.
+	failingSince   int64
 	detectionDelay int64
 }
 
@@ -154,7 +161,7 @@
 	}
 }
 
-// client asks for one customer, whatever comes back.
+// client makes one customer's requests, independently of the answers.
 type client struct {
 	w       *World
 	number  int
@@ -178,7 +185,8 @@
 	w.after(c.pause(), c.sendNext)
 }
 
-// pause is the time until the customer's next request: less in a surge of its plan.
+// pause returns the time until the customer's next request in microseconds. It is shorter in a
+// surge of its plan.
 func (c *client) pause() int64 {
 	pause, w := float64(c.traffic.Pause().Microseconds()), c.w
 	if w.options.Surge > 0 && w.now > w.endAt/3 && w.now < w.endAt*2/3 &&
@@ -196,7 +204,8 @@
 	wait        time.Duration
 	tries       int
 	lastGateway int
-	startedAt   int64 // when the first try was sent
+	// startedAt is when the first try was sent.
+	startedAt int64
 }
 
 func (q *clientRequest) send() {
@@ -231,13 +240,13 @@
 			return
 		}
 		t.SentAt = w.at()
-		life := g.incarnation
-		g.deliver(life, func() {
+		incarnation := g.incarnation
+		g.deliver(incarnation, func() {
 			g.accept(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) })
 		})
 		if w.now < g.frozenUntil { // a process that ends before it has read
 			w.after(g.frozenUntil-w.now, func() {
-				if life != g.incarnation {
+				if incarnation != g.incarnation {
 					t.Reset = true
 					q.end(&t, harness.Ended, 0)
 				}
@@ -246,7 +255,7 @@
 	})
 }
 
-// end takes in how a try ended, and sends the next one.
+// end records how a try ended, and schedules the next one.
 func (q *clientRequest) end(t *harness.Try, k harness.Kind, after int64) {
 	w := q.c.w
 	t.Kind, t.RetryAfter = k, time.Duration(after)*time.Microsecond
--- a/sim/clock.go
+++ b/sim/clock.go
@@ -2,14 +2,15 @@
 
 import "container/heap"
 
-// clock is virtual time with all that is still to happen. What falls on one
-// microsecond happens in the order in which it was planned, so that one seed
-// gives one history.
+// clock is virtual time with all scheduled events. Events at the same microsecond happen in the
+// order in which they were scheduled, so that one seed gives one history.
 type clock struct {
-	now        int64 // microseconds
+	// now is in microseconds.
+	now        int64
 	events     eventHeap
 	nextNumber uint64
-	processed  int // events so far
+	// processed counts events.
+	processed int
 }
 
 type scheduledEvent struct {
@@ -18,13 +19,14 @@
 	do     func()
 }
 
-// after plans something; a time that is past means now, after all planned for now.
+// after schedules an event after a delay in microseconds. A negative delay means now, after
+// everything scheduled for now.
 func (c *clock) after(d int64, do func()) {
 	c.nextNumber++
 	heap.Push(&c.events, scheduledEvent{c.now + max(0, d), c.nextNumber, do})
 }
 
-// next has the next planned thing happen; false: nothing is left before the end.
+// next runs the next event, and returns false if there is none before the end.
 func (c *clock) next(end int64) bool {
 	if len(c.events) == 0 || c.events[0].at > end {
 		return false
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -5,8 +5,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// deadlineMargin is how long before its client stops waiting a request is ended, as by the
-// gateway on sockets.
+// deadlineMargin is how long before its client stops waiting a request is ended, in microseconds,
+// as by a gateway on sockets.
 const deadlineMargin = 25_000
 
 const (
@@ -18,34 +18,40 @@
 	resultReset    = policy.Reset
 )
 
-// gateway hosts one decision module and keeps a host's promises to it: one event
-// at a time, times that never go back, one Outcome for each Send.
+// gateway hosts one decision module and keeps a host's promises to it: one event at a time, times
+// that never go back, and one Outcome for each Send.
 type gateway struct {
-	w           *World
-	number      int
-	module      *policy.Balancer
-	incarnation int // counts its processes: what was planned for an earlier one is void
+	w      *World
+	number int
+	module *policy.Balancer
+	// incarnation counts the gateway's processes. Events scheduled for an earlier one are dropped.
+	incarnation int
 	up          bool
 	open        map[uint64]*request
-	order       []uint64 // ids in the order they came, for a kill to end them in
-	nextID      uint64
-	skew        int64 // of its clock, in microseconds
-	frozenUntil int64 // it stands still until then
+	// order has the ids of requests in the order in which they came, in which a kill ends them.
+	order  []uint64
+	nextID uint64
+	// skew is the offset of its clock in microseconds.
+	skew int64
+	// frozenUntil is until when the process is suspended, in microseconds.
+	frozenUntil int64
 	snapshot    *policy.Snapshot
 
 	front frontEntry
 }
 
-// request is a client's try that a gateway holds.
+// request is a client's try that a gateway has accepted.
 type request struct {
 	gateway     *gateway
 	incarnation int
 	id          uint64
 	try         *harness.Try
-	deadline    int64 // of the client, less the margin
-	answered    bool
-	attempts    []*attempt
-	done        func(harness.Kind, int64) // the client hears; with the advice
+	// deadline is the client's, less the margin.
+	deadline int64
+	answered bool
+	attempts []*attempt
+	// done notifies the client, with the retry delay in microseconds.
+	done func(harness.Kind, int64)
 }
 
 // attempt is one send of a request.
@@ -57,18 +63,19 @@
 	ended       bool
 	recordIndex int
 	work        float64
-	send        uint64 // counts all sends of the world
+	// send counts all sends of the world.
+	send uint64
 }
 
 func (g *gateway) now() policy.Time { return epoch + g.w.now + g.skew }
 
-// deliver has something happen to a process, unless it has ended; while it stands still
-// it waits. What the module must have kept by then is kept before anything else happens.
-func (g *gateway) deliver(life int, do func()) {
+// deliver delivers an event to a process, unless it has ended. While the process is suspended the
+// event waits. A due snapshot is stored before anything else happens.
+func (g *gateway) deliver(incarnation int, do func()) {
 	switch {
-	case life != g.incarnation || !g.up:
+	case incarnation != g.incarnation || !g.up:
 	case g.w.now < g.frozenUntil:
-		g.w.after(g.frozenUntil-g.w.now, func() { g.deliver(life, do) })
+		g.w.after(g.frozenUntil-g.w.now, func() { g.deliver(incarnation, do) })
 	default:
 		do()
 		if g.w.options.Snapshots && g.module.SnapshotDue() {
@@ -77,22 +84,22 @@
 	}
 }
 
-// saveSnapshot keeps the state, and whatever happens later has it.
+// saveSnapshot stores the state, which every later start can use.
 func (g *gateway) saveSnapshot() {
 	s := g.module.TakeSnapshot(g.now(), false)
 	g.snapshot = &s
 	g.module.SnapshotStored(s.At)
 }
 
-// saveEverySecond keeps the state each second.
-func (g *gateway) saveEverySecond(life int) {
-	g.deliver(life, g.saveSnapshot)
-	if life == g.incarnation {
-		g.w.after(1_000_000, func() { g.saveEverySecond(life) })
+// saveEverySecond stores the state each second.
+func (g *gateway) saveEverySecond(incarnation int) {
+	g.deliver(incarnation, g.saveSnapshot)
+	if incarnation == g.incarnation {
+		g.w.after(1_000_000, func() { g.saveEverySecond(incarnation) })
 	}
 }
 
-// start begins a process that knows nothing, or what a former one has kept.
+// start starts a process, from a snapshot or without one.
 func (g *gateway) start(s *policy.Snapshot) error {
 	g.incarnation++
 	g.open, g.order = map[uint64]*request{}, nil
@@ -130,7 +137,7 @@
 	return nil
 }
 
-// kill ends the process outright: its clients see their connections end.
+// kill ends the process: its clients see their connections end.
 func (g *gateway) kill() {
 	g.up = false
 	g.incarnation++
@@ -152,17 +159,17 @@
 	}
 }
 
-// accept takes a try in from the front.
+// accept accepts a try from the front.
 func (g *gateway) accept(t *harness.Try, who *harness.Customer, done func(harness.Kind, int64)) {
 	g.nextID++
 	wait := t.Wait.Microseconds()
-	grace := wait - min(deadlineMargin, wait/4)
+	timeout := wait - min(deadlineMargin, wait/4)
 	q := &request{
 		gateway:     g,
 		incarnation: g.incarnation,
 		id:          g.nextID,
 		try:         t,
-		deadline:    g.w.now + grace,
+		deadline:    g.w.now + timeout,
 		done:        done,
 	}
 	g.open[q.id] = q
@@ -177,7 +184,7 @@
 		g.order = kept
 	}
 	// All attempts end by the deadline: right after it the module has answered.
-	g.w.after(grace+1, func() {
+	g.w.after(timeout+1, func() {
 		g.deliver(q.incarnation, func() {
 			if !q.answered {
 				g.w.recordBreach("gateway %d: request %s has no answer at its deadline",
@@ -186,12 +193,20 @@
 			}
 		})
 	})
-	g.module.Request(g.now(), policy.Request{ID: q.id, Class: t.Class, Plan: t.Plan, Customer: customerNumber(who.ID),
-		Units: t.Units, Timeout: grace, First: who.First, Spread: who.Spread})
+	g.module.Request(g.now(), policy.Request{
+		ID:       q.id,
+		Class:    t.Class,
+		Plan:     t.Plan,
+		Customer: customerNumber(who.ID),
+		Units:    t.Units,
+		Timeout:  timeout,
+		First:    who.First,
+		Spread:   who.Spread,
+	})
 	g.forget(q)
 }
 
-// forget drops a request that nothing waits for any more.
+// forget removes a request that nothing waits for any more.
 func (g *gateway) forget(q *request) {
 	if !q.answered {
 		return
@@ -204,7 +219,7 @@
 	delete(g.open, q.id)
 }
 
-// answer gives a request its final answer; the first one counts.
+// answer sends the final answer of a request. Only the first one counts.
 func (q *request) answer(k harness.Kind, after int64) {
 	if q.answered {
 		return
@@ -218,7 +233,7 @@
 	})
 }
 
-// end ends an attempt: exactly one Outcome for each Send.
+// end ends an attempt with exactly one Outcome.
 func (a *attempt) end(r policy.Result) {
 	g := a.q.gateway
 	g.deliver(a.q.incarnation, func() { a.finish(r) })
@@ -235,12 +250,18 @@
 		a.q.try.Value = harness.ValueOf(a.q.try.ID, a.server.id)
 		a.q.answer(harness.Served, 0)
 	}
-	g.module.Outcome(g.now(), policy.Outcome{ID: a.q.id, Attempt: a.number, Backend: a.server.number, Result: r,
-		Duration: g.w.now - a.sent, RequestDone: a.q.answered})
+	g.module.Outcome(g.now(), policy.Outcome{
+		ID:          a.q.id,
+		Attempt:     a.number,
+		Backend:     a.server.number,
+		Result:      r,
+		Duration:    g.w.now - a.sent,
+		RequestDone: a.q.answered,
+	})
 	g.forget(a.q)
 }
 
-// actions carries out what a module decides. Nothing calls back into it.
+// actions carries out the decisions of a module, and never calls back into it.
 type actions struct {
 	g           *gateway
 	incarnation int
@@ -290,8 +311,8 @@
 	})
 }
 
-func (x *actions) SendToPeer(peer int, note []byte) {
-	x.g.w.peers.deliver(x.g.number, peer, note)
+func (x *actions) SendToPeer(peer int, message []byte) {
+	x.g.w.peers.deliver(x.g.number, peer, message)
 }
 func (x *actions) Probe(uint32)                              {}
 func (x *actions) AddToCounter(uint64, float64, policy.Time) {}
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -11,32 +11,34 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// scheduleFault has a fault happen at its time.
+// scheduleFault schedules a fault.
 func (w *World) scheduleFault(f harness.Fault) {
 	w.after(f.At.Microseconds(), func() { w.injectFault(f) })
 }
 
+// injectFault starts a fault now.
 func (w *World) injectFault(f harness.Fault) {
-	span := f.For.Microseconds()
+	micros := f.For.Microseconds()
+	end := w.now + micros
 	switch {
 	case slices.Contains(harness.GatewayFaults, f.Kind):
-		w.gatewayFault(w.gateways[f.N%len(w.gateways)], f, span)
+		w.gatewayFault(w.gateways[f.N%len(w.gateways)], f, micros)
 	case slices.Contains(harness.ServerFaults, f.Kind):
-		w.serverFault(w.servers[f.N%len(w.servers)], f, span)
+		w.serverFault(w.servers[f.N%len(w.servers)], f, micros)
 	case f.Kind == harness.RegistrySilent:
-		w.registry.silentUntil = max(w.registry.silentUntil, w.now+span)
+		w.registry.silentUntil = max(w.registry.silentUntil, end)
 	case f.Kind == harness.Cut:
-		w.peers.partitionedUntil, w.peers.partitionAt = max(w.peers.partitionedUntil,
-			w.now+span), 1+f.N%max(1, len(w.gateways)-1)
+		w.peers.partitionedUntil = max(w.peers.partitionedUntil, end)
+		w.peers.partitionAt = 1 + f.N%max(1, len(w.gateways)-1)
 	case f.Kind == harness.LateBy:
-		w.peers.delayedUntil, w.peers.extraDelay = max(w.peers.delayedUntil,
-			w.now+span), int64(f.X*1e6)
+		w.peers.delayedUntil = max(w.peers.delayedUntil, end)
+		w.peers.extraDelay = int64(f.X * 1e6)
 	}
 }
 
-func (w *World) gatewayFault(g *gateway, f harness.Fault, span int64) {
+func (w *World) gatewayFault(g *gateway, f harness.Fault, micros int64) {
 	if f.Kind == harness.Freeze {
-		g.frozenUntil = max(g.frozenUntil, w.now+span)
+		g.frozenUntil = max(g.frozenUntil, w.now+micros)
 		return
 	}
 	if !g.up {
@@ -47,7 +49,7 @@
 	if f.Kind == harness.Restart {
 		kept = g.snapshot
 	}
-	w.after(span, func() {
+	w.after(micros, func() {
 		if f.Kind == harness.ClockOff {
 			g.skew = int64(f.X * 1e6)
 		}
@@ -57,14 +59,14 @@
 	})
 }
 
-func (w *World) serverFault(sv *server, f harness.Fault, span int64) {
+func (w *World) serverFault(sv *server, f harness.Fault, micros int64) {
 	if !sv.up {
 		return
 	}
-	life := sv.incarnation
+	incarnation := sv.incarnation
 	until := func(undo func()) {
-		w.after(span, func() {
-			if life == sv.incarnation {
+		w.after(micros, func() {
+			if incarnation == sv.incarnation {
 				undo()
 			}
 		})
@@ -73,7 +75,7 @@
 	case harness.Down:
 		sv.kill()
 		w.registry.announce(sv, policy.Removed)
-		w.after(span, func() {
+		w.after(micros, func() {
 			sv.start(true)
 			w.registry.announce(sv, policy.Ready)
 		})
@@ -88,19 +90,22 @@
 		until(func() { sv.errorFraction = 0 })
 	case harness.Hang:
 		sv.hanging = true
-		until(func() { sv.hanging = false; sv.startQueued() })
+		until(func() {
+			sv.hanging = false
+			sv.startQueued()
+		})
 	case harness.Resets:
 		sv.resetFraction = f.X
 		until(func() { sv.resetFraction = 0 })
 	}
 }
 
-// Schedule is a world with all that goes wrong in it.
+// Schedule is a world with everything that goes wrong in it.
 type Schedule struct {
 	Options
 }
 
-// ParseSchedule reads a schedule that was written down.
+// ParseSchedule reads a schedule from JSON.
 func ParseSchedule(raw []byte) (Schedule, error) {
 	var s Schedule
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -109,7 +114,7 @@
 	return s, s.Check()
 }
 
-// String is the schedule as one line of JSON.
+// String returns the schedule as one line of JSON.
 func (s Schedule) String() string {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -153,36 +158,36 @@
 	return s
 }
 
-func randomFault(r *rand.Rand, within time.Duration) harness.Fault {
+func randomFault(r *rand.Rand, duration time.Duration) harness.Fault {
 	kinds := slices.Concat(harness.GatewayFaults, harness.ServerFaults, harness.ServerFaults,
 		harness.OtherFaults)
 	f := harness.Fault{
-		At:   time.Duration(r.Float64() * float64(within)),
+		At:   time.Duration(r.Float64() * float64(duration)),
 		Kind: kinds[r.IntN(len(kinds))],
 		N:    r.IntN(1000),
 	}
-	span := func(least, most float64) {
-		f.For = time.Duration(harness.Between(r, least, most) * float64(time.Second))
+	lasts := func(low, high float64) { // in seconds
+		f.For = time.Duration(harness.Between(r, low, high) * float64(time.Second))
 	}
 	switch f.Kind {
 	case harness.Freeze:
-		span(0.005, 0.04)
+		lasts(0.005, 0.04)
 	case harness.Kill, harness.Restart, harness.ClockOff:
-		span(0.05, 1.5)
+		lasts(0.05, 1.5)
 		f.X = harness.Between(r, -2, 2)
 	case harness.Down:
-		span(1, 3) // long enough for who sends to it to notice
+		lasts(1, 3) // long enough for who sends to it to notice
 	case harness.Slow:
-		span(0.5, 4)
+		lasts(0.5, 4)
 		f.X = harness.Between(r, 2, 8)
 	case harness.Errors, harness.Resets:
-		span(0.5, 4)
+		lasts(0.5, 4)
 		f.X = harness.Between(r, 0.2, 1)
 	case harness.LateBy:
-		span(0.5, 4)
+		lasts(0.5, 4)
 		f.X = harness.Between(r, 0.02, 2)
 	default:
-		span(0.5, 4)
+		lasts(0.5, 4)
 	}
 	return f
 }
--- a/sim/search.go
+++ b/sim/search.go
@@ -14,23 +14,24 @@
 
 // Finding is a schedule that breaks a rule.
 type Finding struct {
-	Schedule        Schedule `json:"schedule"`
-	Rule            string   `json:"rule"`
-	Detail          string   `json:"what"`
-	SchedulesPlayed int      `json:"after"` // schedules played until it was found
-	Faults          int      `json:"faults"`
+	Schedule Schedule `json:"schedule"`
+	Rule     string   `json:"rule"`
+	Detail   string   `json:"what"`
+	// SchedulesPlayed counts the schedules played until it was found.
+	SchedulesPlayed int `json:"after"`
+	Faults          int `json:"faults"`
 }
 
-// SearchResult is what a search came to.
+// SearchResult is the result of a search.
 type SearchResult struct {
 	Schedules int `json:"schedules"`
-	// ways in which requests ended, by what went wrong meanwhile
+	// States counts the different ways in which requests ended, with the faults at that time.
 	States   int       `json:"states"`
 	Findings []Finding `json:"findings"`
 }
 
-// Play plays a schedule and tells the first rule that it breaks, what was seen, and
-// the ways in which its requests ended. "": none.
+// Play plays a schedule and returns the first rule that it breaks, what was seen, and the ways in
+// which its requests ended. The rule is empty if none was broken.
 func (s Schedule) Play() (rule, what string, states []string, err error) {
 	w, err := New(s.Options)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return "", "", w.states(), nil
 }
 
-// states are what leads the search: how tries ended, with what was wrong at that time.
+// states guides the search: how tries ended, with the faults at that time.
 func (w *World) states() []string {
 	attempts := map[string]int{}
 	for _, a := range w.Record.Attempts {
@@ -72,74 +73,114 @@
 	return all
 }
 
-// Search plays random schedules, and changed ones of those that led to something new,
-// until the context ends, so many were played or one breaks a rule. That one is made as
-// short as it can be. The same seed and number of schedules give the same findings on
-// any number of cores.
-func Search(ctx context.Context, seed uint64, most int) (*SearchResult, error) {
-	r := rand.New(rand.NewPCG(seed, 0x5ea))
-	found, seen := &SearchResult{}, map[string]bool{}
-	var corpus []Schedule
-	type result struct {
-		rule, what string
-		states     []string
-		err        error
+// Search plays random schedules, and mutations of those that led to a new state, until the context
+// ends, so many were played, or one breaks a rule. That one is shrunk. The same seed and number of
+// schedules give the same findings on any number of cores.
+func Search(ctx context.Context, seed uint64, maxSchedules int) (*SearchResult, error) {
+	search := &search{
+		random: rand.New(rand.NewPCG(seed, searchStream)),
+		found:  &SearchResult{},
+		seen:   map[string]bool{},
 	}
-	// schedules drawn before any of them is looked at, however many cores there are
-	const round = 16
-	for found.Schedules < most && ctx.Err() == nil {
-		batch, results := make([]Schedule, round), make([]result, round)
-		for i := range batch {
-			if len(corpus) > 0 && r.IntN(2) == 0 {
-				batch[i] = corpus[r.IntN(len(corpus))].Mutate(r)
-			} else {
-				batch[i] = RandomSchedule(r)
+	for search.found.Schedules < maxSchedules && ctx.Err() == nil {
+		batch := search.draw()
+		for i, played := range playAll(batch) {
+			done, err := search.add(batch[i], played)
+			if err != nil || done {
+				return search.found, err
 			}
 		}
-		var wg sync.WaitGroup
-		room := make(chan struct{}, runtime.GOMAXPROCS(0))
-		for i := range batch {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				room <- struct{}{}
-				defer func() { <-room }()
-				results[i].rule, results[i].what, results[i].states, results[i].err = batch[i].Play()
-			}()
+	}
+	search.found.States = len(search.seen)
+	return search.found, nil
+}
+
+const (
+	// batchSize is how many schedules are drawn before any of them is played. It does not depend on
+	// the number of cores.
+	batchSize = 16
+	// searchStream separates the random numbers of a search from others of the same seed.
+	searchStream = 0x5ea
+)
+
+// search is a search in progress.
+type search struct {
+	random *rand.Rand
+	found  *SearchResult
+	seen   map[string]bool // states
+	corpus []Schedule      // those that led to a new state
+}
+
+// played is the result of Schedule.Play.
+type played struct {
+	rule, what string
+	states     []string
+	err        error
+}
+
+// draw draws a batch of schedules: new ones, and mutations of the corpus.
+func (s *search) draw() []Schedule {
+	batch := make([]Schedule, batchSize)
+	for i := range batch {
+		if len(s.corpus) > 0 && s.random.IntN(2) == 0 {
+			batch[i] = s.corpus[s.random.IntN(len(s.corpus))].Mutate(s.random)
+		} else {
+			batch[i] = RandomSchedule(s.random)
 		}
-		wg.Wait()
-		for i, x := range results {
-			found.Schedules++
-			if x.err != nil {
-				return found, x.err
-			}
-			if x.rule != "" {
-				short := batch[i].Shrink(x.rule)
-				_, what, _, err := short.Play()
-				if err != nil {
-					return found, err
-				}
-				found.Findings = append(found.Findings,
-					Finding{short, x.rule, what, found.Schedules, len(short.Faults)})
-				found.States = len(seen)
-				return found, nil
-			}
-			fresh := false
-			for _, s := range x.states {
-				fresh = fresh || !seen[s]
-				seen[s] = true
-			}
-			if fresh {
-				corpus = append(corpus, batch[i])
-			}
+	}
+	return batch
+}
+
+// playAll plays schedules on all cores.
+func playAll(batch []Schedule) []played {
+	results := make([]played, len(batch))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var wg sync.WaitGroup
+	for i := range batch {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			r := &results[i]
+			r.rule, r.what, r.states, r.err = batch[i].Play()
+		}()
+	}
+	wg.Wait()
+	return results
+}
+
+// add adds a schedule that was played. It reports whether the search is done, because the schedule
+// breaks a rule.
+func (s *search) add(schedule Schedule, p played) (done bool, err error) {
+	s.found.Schedules++
+	if p.err != nil {
+		return false, p.err
+	}
+	if p.rule != "" {
+		short := schedule.Shrink(p.rule)
+		_, what, _, err := short.Play()
+		if err != nil {
+			return false, err
 		}
+		finding := Finding{short, p.rule, what, s.found.Schedules, len(short.Faults)}
+		s.found.Findings = append(s.found.Findings, finding)
+		s.found.States = len(s.seen)
+		return true, nil
+	}
+	newState := false
+	for _, state := range p.states {
+		newState = newState || !s.seen[state]
+		s.seen[state] = true
+	}
+	if newState {
+		s.corpus = append(s.corpus, schedule)
 	}
-	found.States = len(seen)
-	return found, nil
+	return false, nil
 }
 
-// Shrink returns the shortest schedule found that still breaks the rule: faults are left
-// out, the run ends sooner, and what the world has beyond the plain is taken away.
+// Shrink returns the shortest schedule found that still breaks the rule: with fewer faults, a
+// shorter run and fewer special options.
 func (s Schedule) Shrink(rule string) Schedule {
 	return s.shrink(func(t Schedule) bool {
 		got, _, _, err := t.Play()
--- a/sim/server.go
+++ b/sim/server.go
@@ -13,24 +13,28 @@
 	queuePerCore = 8
 )
 
-// server is a quote server: slots that share its cores, a waiting room, a cold
-// start, and a fall when it is overrun.
+// server is a model of a server with slots that share its cores, a queue, a slow start, and a
+// failure when it is overloaded.
 type server struct {
-	w      *World
-	number uint32 // the gateways' name for it
+	w *World
+	// number is the gateways' name for it.
+	number uint32
 	id     string
 	cores  int
 	speed  float64
 	rand   *rand.Rand
 
-	up            bool
-	draining      bool
-	incarnation   int // counts its processes: what an earlier one had begun is gone
-	startIndex    int // its place in the record
+	up       bool
+	draining bool
+	// incarnation counts its processes. What an earlier one had started is gone.
+	incarnation int
+	// startIndex is the index of its current start in the record.
+	startIndex    int
 	errorFraction float64
 	slowdown      float64
 	hanging       bool
-	resetFraction float64 // part of its answers that end with a reset
+	// resetFraction is the fraction of its answers that end with a reset.
+	resetFraction float64
 	busy          int
 	queue         []*attempt
 	recent        []harness.Attempt
@@ -42,7 +46,7 @@
 		rand: rand.New(rand.NewPCG(w.options.Seed, 0x5e0000+uint64(i)))}
 }
 
-func (sv *server) start(cold bool) {
+func (sv *server) start(slowStart bool) {
 	sv.up, sv.draining, sv.busy, sv.queue, sv.recent = true, false, 0, nil, nil
 	sv.errorFraction, sv.slowdown, sv.hanging, sv.resetFraction = 0, 1, false, 0
 	sv.incarnation++
@@ -50,12 +54,12 @@
 		Server:    sv.id,
 		Cores:     float64(sv.cores),
 		Speed:     sv.speed,
-		SlowStart: cold,
+		SlowStart: slowStart,
 		At:        sv.w.at(),
 	})
 }
 
-// kill ends the process: what it holds is reset, what comes finds no port.
+// kill ends the process: everything in flight is reset, and later connections are refused.
 func (sv *server) kill() {
 	sv.up = false
 	sv.incarnation++
@@ -69,24 +73,36 @@
 	}
 }
 
-// capacityShare is the part of its capacity that it has.
+// capacityShare returns the fraction of its capacity that the server has.
 func (sv *server) capacityShare() float64 {
 	return sv.w.Site.CapacityShare(&sv.w.Record.ServerStarts[sv.startIndex], sv.w.at())
 }
 
-// arrive takes in an attempt that has come whole.
+// arrive handles an attempt that was received completely.
 func (sv *server) arrive(a *attempt) {
 	if !sv.up {
 		a.end(resultConnect)
 		return
 	}
-	w, class := sv.w, &sv.w.Site.Classes[a.q.try.Class]
+	w := sv.w
+	class := &w.Site.Classes[a.q.try.Class]
 	x := math.Exp(0.4*sv.rand.NormFloat64() - 0.08) // mean 1
-	seen := harness.Attempt{ID: a.q.try.ID, Key: a.q.try.Key, Server: sv.id, Gateway: a.q.gateway.number, Class: a.q.try.Class,
-		Work: time.Duration(x * float64(class.Work)), FirstByteAt: w.at(), ReceivedAt: w.at()}
-	a.recordIndex, a.work = w.Record.AddAttempt(seen), seen.Work.Seconds()
-	if over, told := sv.overloaded(seen); over {
-		w.Record.ServerStarts[sv.startIndex].OverloadedAt, w.Record.ServerStarts[sv.startIndex].BeforeNotified = w.at(), !told
+	seen := harness.Attempt{
+		ID:          a.q.try.ID,
+		Key:         a.q.try.Key,
+		Server:      sv.id,
+		Gateway:     a.q.gateway.number,
+		Class:       a.q.try.Class,
+		Work:        time.Duration(x * float64(class.Work)),
+		FirstByteAt: w.at(),
+		ReceivedAt:  w.at(),
+	}
+	a.recordIndex = w.Record.AddAttempt(seen)
+	a.work = seen.Work.Seconds()
+	if over, notified := sv.overloaded(seen); over {
+		start := &w.Record.ServerStarts[sv.startIndex]
+		start.OverloadedAt = w.at()
+		start.BeforeNotified = !notified
 		sv.kill()
 		a.end(resultReset)
 		return
@@ -104,9 +120,9 @@
 	sv.startQueued()
 }
 
-// overloaded reports whether it has been sent more than it can bear while cold, and whether
-// two thirds of that came from gateways that had been told of its start.
-func (sv *server) overloaded(a harness.Attempt) (over, told bool) {
+// overloaded reports whether the server was sent more than it can bear during its slow start, and
+// whether two thirds of that came from gateways that were notified of its start.
+func (sv *server) overloaded(a harness.Attempt) (over, notified bool) {
 	s := sv.w.Site
 	share := sv.capacityShare()
 	if share == 1 {
@@ -114,24 +130,26 @@
 		return false, false
 	}
 	sv.recent = append(sv.recent, a)
-	from, sum, slack, by := 0, 0.0, 0.0, 0.0
-	for ; a.ReceivedAt-sv.recent[from].ReceivedAt > s.OverloadWindow; from++ {
+	for a.ReceivedAt-sv.recent[0].ReceivedAt > s.OverloadWindow {
+		sv.recent = sv.recent[1:]
 	}
-	sv.recent = sv.recent[from:]
+	sum := 0.0         // core seconds
+	sumNotified := 0.0 // of gateways that were notified
 	for _, b := range sv.recent {
 		sum += b.Work.Seconds()
 		if sv.w.registry.knowsStart(b.Gateway, sv) {
-			by += b.Work.Seconds()
+			sumNotified += b.Work.Seconds()
 		}
 	}
+	slack := 0.0
 	for _, c := range s.Classes {
 		slack = max(slack, c.Work.Seconds())
 	}
-	return sum > s.OverloadMultiple*float64(sv.cores)*sv.speed*share*s.OverloadWindow.Seconds()+
-		slack, by >= sum*2/3
+	limit := s.OverloadMultiple * float64(sv.cores) * sv.speed * share * s.OverloadWindow.Seconds()
+	return sum > limit+slack, sumNotified >= sum*2/3
 }
 
-// startQueued begins what waits while there are slots.
+// startQueued starts queued attempts while there are free slots.
 func (sv *server) startQueued() {
 	for sv.up && !sv.hanging && sv.busy < sv.cores*slotsPerCore && len(sv.queue) > 0 {
 		a := sv.queue[0]
@@ -150,14 +168,15 @@
 	}
 }
 
-// spend spends a request's time, as much at once as a cold start stays as it is.
-func (sv *server) spend(a *attempt, life int, need float64) {
+// spend spends a request's work, in steps within which the capacity of a slow start is taken as
+// constant.
+func (sv *server) spend(a *attempt, incarnation int, need float64) {
 	now := min(need, 0.1)
 	sv.w.after(int64(now/sv.capacityShare()*1e6), func() {
 		switch {
-		case life != sv.incarnation:
+		case incarnation != sv.incarnation:
 		case need > now+1e-9:
-			sv.spend(a, life, need-now)
+			sv.spend(a, incarnation, need-now)
 		default:
 			sv.busy--
 			result := resultOK
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -30,8 +30,16 @@
 
 // One seed gives one history, whatever else runs beside it; another gives another.
 func TestOneSeedOneHistory(t *testing.T) {
-	o := Options{Seed: 3, Gateways: 8, Load: 0.6, Duration: 10 * time.Second, MessageLoss: -1, MessageDuplication: 0.2,
-		Kills: time.Second, Restarts: 2 * time.Second}
+	o := Options{
+		Seed:               3,
+		Gateways:           8,
+		Load:               0.6,
+		Duration:           10 * time.Second,
+		MessageLoss:        -1,
+		MessageDuplication: 0.2,
+		Kills:              time.Second,
+		Restarts:           2 * time.Second,
+	}
 	digests := make([]string, 6)
 	var wg sync.WaitGroup
 	for i := range digests {
