--- a/internal/dataplane/admin/admin_test.go
+++ b/internal/dataplane/admin/admin_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestSilentCallersHoldNothingUp has far more callers say nothing or half a call than the
-// server keeps: each real call is answered all the same.
-func TestSilentCallersHoldNothingUp(t *testing.T) {
+// Far more connections send nothing, or half a line, than the server keeps open: each complete call
+// is answered all the same.
+func TestSilentConnectionsBlockNothing(t *testing.T) {
 	d := open(t, echo)
 	for i := range 4 * maxOpenCalls {
 		c := dial(t, d)
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestCloseAnswersWhatIsUnderWay ends the interface amid a call.
-func TestCloseAnswersWhatIsUnderWay(t *testing.T) {
+// Close answers a call under way.
+func TestCloseAnswersCallsUnderWay(t *testing.T) {
 	begun, goOn := make(chan struct{}), make(chan struct{})
 	d := open(t, func(context.Context, string, string) string {
 		close(begun)
--- a/internal/dataplane/authz/authz_test.go
+++ b/internal/dataplane/authz/authz_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// rig holds what a gate has had done.
+// rig records what a gate has had done.
 type rig struct {
 	*Gate
 	t       testing.TB
@@ -103,8 +103,8 @@
 	}
 }
 
-// Equal questions share a call; its answer serves all, and then the cache.
-func TestOneCallForEqualQuestions(t *testing.T) {
+// Equal questions share a call; its answer serves all of them, and then the cache.
+func TestEqualQuestionsShareACall(t *testing.T) {
 	r := newRig(t, settings())
 	var ids []uint64
 	for range 5 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// An allowance that has run out serves while it is asked again, for a while only.
-func TestStaleAllowanceServesWhileAskedAgain(t *testing.T) {
+// An expired allowance serves while it is revalidated, for a limited time.
+func TestStaleWhileRevalidate(t *testing.T) {
 	r := newRig(t, settings())
 	r.ask(1, 0)
 	r.answer(Allow, 2*second)
@@ -156,9 +156,9 @@
 	}
 }
 
-// A hung authenticator holds a request for its budget and no longer; a quarter of
-// the client's time is the most.
-func TestBudget(t *testing.T) {
+// A hung authenticator delays a request for the longest wait and no longer, at most a quarter of
+// the client's timeout.
+func TestMaxWait(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(1, 0)
 	pass, _ := r.ask(1, 1)
@@ -174,7 +174,7 @@
 	r.want("given up", r.decided[id], Unknown)
 	r.want("its class passes", r.decided[pass], Allow)
 	r.want("short", r.decided[99], Unknown)
-	r.answer(Allow, -1) // late: for the cache only
+	r.answer(Allow, -1) // too late for the request: for the cache only
 	_, v = r.ask(1, 0)
 	r.want("after a late answer", v, Allow)
 	if v, _ := r.Request(r.at, Question{ID: 100, Key: key(2), Timeout: 0}); v != Unknown {
@@ -182,8 +182,8 @@
 	}
 }
 
-// After failures in a row nothing is asked; then one trial at a time, and an
-// answer closes the breaker.
+// After failures in a row there are no calls; then one probe at a time, and an answer closes the
+// breaker.
 func TestBreaker(t *testing.T) {
 	r := newRig(t, settings())
 	for k := range 3 {
@@ -211,7 +211,7 @@
 	}
 }
 
-// Calls and requests that wait are bounded: what is more is decided at once.
+// Calls and waiting requests are bounded: beyond the bounds a request is decided at once.
 func TestBounds(t *testing.T) {
 	set := settings()
 	set.MaxWaiting = 6
@@ -228,7 +228,7 @@
 	}
 	_, v = r.ask(0, 0)
 	r.want("too many wait", v, Unknown)
-	for k := range 1000 { // ever new tokens
+	for k := range 1000 { // new tokens all the time
 		r.out = nil
 		r.HandleAnswer(r.at, r.Gate.lastCall, Answer{Verdict: Allow, MaxAge: -1})
 		r.ask(100+k, 0)
@@ -238,8 +238,8 @@
 	}
 }
 
-// What another authenticator said is not kept; who waits for it is answered.
-func TestElsewhere(t *testing.T) {
+// Answers of an earlier authenticator are not cached; requests that wait for them are answered.
+func TestMovedAuthenticator(t *testing.T) {
 	r := newRig(t, settings())
 	id, _ := r.ask(1, 0)
 	if err := r.Update(r.at, settings(), true); err != nil {
@@ -282,9 +282,9 @@
 	}
 }
 
-// The model knows, for each key, what the authenticator last said and when. Random
-// events must never make a gate say more than that allows, keep a request beyond
-// its budget, or let one go without its one verdict.
+// The model knows, for each key, what the authenticator last said and when. Random events must
+// never make a gate allow more than that, delay a request beyond its longest wait, or leave one
+// without its one verdict.
 func TestModel(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -347,7 +347,7 @@
 			if rng.IntN(40) == 0 {
 				step = Time(rng.Float64() * 8 * float64(second))
 			}
-			for end := r.at + step; ; { // timers that are due come first, at their time
+			for end := r.at + step; ; { // due timers fire first, at their time
 				if r.timerAt == 0 || r.timerAt > end {
 					r.at = end
 					break
@@ -411,7 +411,7 @@
 					r.at,
 					c.number,
 					Answer{Verdict: Allow},
-				) // a second one is passed over
+				) // a second answer is ignored
 				for id, waits := range open {
 					if _, decided := r.decided[id]; waits.q.Key == c.key && !decided {
 						t.Fatalf(
@@ -441,7 +441,7 @@
 		}
 		r.at += 10 * second
 		r.timerAt = 0
-		for range open { // whatever is out, nobody is left waiting
+		for range open { // no request is left waiting
 			r.when = map[uint64]Time{}
 		}
 		r.Timer(r.at)
@@ -462,7 +462,7 @@
 	}
 }
 
-func BenchmarkAsked(b *testing.B) {
+func BenchmarkUncached(b *testing.B) {
 	r := newRig(b, settings())
 	r.settings.MaxCached = 1000
 	b.ReportAllocs()
@@ -476,8 +476,8 @@
 	}
 }
 
-// BenchmarkKept tells what an answer that is kept takes in memory.
-func BenchmarkKept(b *testing.B) {
+// BenchmarkCachedAnswerMemory measures the memory of a cached answer.
+func BenchmarkCachedAnswerMemory(b *testing.B) {
 	const many = 100_000
 	for b.Loop() {
 		r := newRig(b, settings())
--- a/internal/dataplane/forwardauth/client_test.go
+++ b/internal/dataplane/forwardauth/client_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// raw is an authenticator that answers with bytes, each connection once.
+// raw is an authenticator that answers with bytes, once on each connection.
 func raw(t testing.TB, answer func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +74,7 @@
 	return "http://" + l.Addr().String() + "/verify"
 }
 
-// What comes back in whatever form is a verdict or none, and comes in time.
+// An answer in whatever form is a verdict or none, and is known in time.
 func TestAnswersOfEveryKind(t *testing.T) {
 	text := func(s string) func(net.Conn) { return func(c net.Conn) { _, _ = io.WriteString(c, s) } }
 	hold := func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
@@ -127,7 +127,7 @@
 	} {
 		wait := patience
 		if c.name == "hangs" || c.name == "header drips" {
-			wait = 100 * time.Millisecond // it is to run out
+			wait = 100 * time.Millisecond // it is to time out
 		}
 		cl := client(t, Settings{URL: raw(t, c.answer), Timeout: wait})
 		a := cl.Authorize(context.Background(), question())
@@ -138,9 +138,9 @@
 	}
 }
 
-// What is told is told in headers that proxies use, once, with the secret that a file
-// holds; environment proxies are not used.
-func TestWhatIsTold(t *testing.T) {
+// The authenticator gets the headers that proxies use, once each, with the secret of a file;
+// proxies of the environment are not used.
+func TestRequestHeaders(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:1")
 	got := make(chan *http.Request, 1)
 	s := httptest.NewServer(
@@ -178,8 +178,8 @@
 	}
 }
 
-// A connection is used again; HTTP/2 is spoken over TLS where the server has it, and a
-// certificate of an unknown authority is no verdict.
+// A connection is reused; HTTP/2 is used over TLS where the server has it; a certificate of an
+// unknown authority gives no verdict.
 func TestConnections(t *testing.T) {
 	var conns atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -223,8 +223,8 @@
 	}
 }
 
-// Customers whose connection gave no credential have that of the file; a bad line
-// is named and not shown.
+// Customers whose connection gave no credential have that of the file; a bad line is named and not
+// shown.
 func TestTokensFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tokens")
 	write := func(text string) {
@@ -267,7 +267,7 @@
 	}
 }
 
-// Questions are equal where all is equal that a verdict may depend on, and only then.
+// Questions have equal keys if all is equal that a verdict may depend on, and only then.
 func TestKeys(t *testing.T) {
 	a := question()
 	b := question()
@@ -292,7 +292,7 @@
 	}
 }
 
-// Whatever an authenticator sends: there is one answer, within bounds.
+// Whatever an authenticator sends, there is one answer, within bounds.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 401\r\n\r\n", "HTTP/1.1 429 x\r\nRetry-After: 99999999999999\r\n\r\n",
--- a/internal/dataplane/forwardauth/step_test.go
+++ b/internal/dataplane/forwardauth/step_test.go
@@ -11,7 +11,7 @@
 	"mothcleat/internal/dataplane/authz"
 )
 
-// fakeHost is a goroutine that decides: the test's own.
+// fakeHost is the goroutine that decides: the test's own.
 type fakeHost struct {
 	t       *testing.T
 	events  chan func()
@@ -35,7 +35,7 @@
 	h.decided[id] = v
 }
 
-// until runs the host until it is so.
+// until runs the host until a condition holds.
 func (h *fakeHost) until(what string, so func() bool) {
 	h.t.Helper()
 	for late := time.After(patience); !so(); {
@@ -48,9 +48,9 @@
 	}
 }
 
-// An authenticator that dies with two thousand questions waiting, and comes back:
-// each request has one verdict, no more calls go out than may, and the first trial
-// after its return lets questions through again.
+// An authenticator dies with two thousand requests waiting, and comes back: each request has one
+// verdict, the calls stay within their limit, and the first probe after its return lets questions
+// through again.
 func TestCrashWithManyWaiting(t *testing.T) {
 	const many, calls = 2000, 16
 	var down atomic.Bool
@@ -106,7 +106,7 @@
 	down.Store(true)
 	for i := range many {
 		if v := ask(i % (calls + 4)); v == authz.Unknown {
-			atOnce++ // no call was left for its question
+			atOnce++ // there was no call left for its question
 		} else if v != authz.Pending {
 			t.Fatalf("verdict %d", v)
 		}
@@ -141,8 +141,9 @@
 	}
 }
 
-// Off, on, elsewhere, off again: settings that can't be used leave all as it was.
-func TestSet(t *testing.T) {
+// The step is disabled, enabled, moved and disabled again; settings that can't be used change
+// nothing.
+func TestUpdate(t *testing.T) {
 	h := &fakeHost{t: t, events: make(chan func(), 8), decided: map[uint64]authz.Verdict{}}
 	step := NewStep(context.Background(), h)
 	rules := authz.Settings{
--- a/internal/dataplane/resp/resp_test.go
+++ b/internal/dataplane/resp/resp_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// What is only announced takes no room: many half commands fit in little memory.
-func TestAnnouncedLengthsTakeNoRoom(t *testing.T) {
+// What is only announced takes no memory: many incomplete commands fit in little of it.
+func TestAnnouncedLengthsAllocateNothing(t *testing.T) {
 	const runs = 200
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Whatever comes, a reader neither panics nor keeps more than it may.
+// Whatever comes, a reader neither panics nor holds more than it may.
 func FuzzReadCommand(f *testing.F) {
 	for _, seed := range []string{"*1\r\n$4\r\nPING\r\n", "*1\r\n$-2\r\nxx", "*3\r\n$1\r\na\r\n", "*\r\n", "*1\r\n$\r\n"} {
 		f.Add(seed)
