--- a/sim/allocation/network.go
+++ b/sim/allocation/network.go
@@ -9,46 +9,48 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// message is a message on its way between a process and an owner.
+// message is a message in flight between a process and a leader.
 type message struct {
-	to    int // process; -1: the owner of the term
-	term  uint64
-	from  int
-	boot  uint64
-	sent  time.Duration // by the asker's clock
-	asks  *controlpb.RenewRequest
-	ask   []byte
-	tells []byte
-	lends *controlpb.OnDemandRequest
-	lent  *controlpb.OnDemandResponse
-	loan  int           // which asking for units it is about: a request takes one answer
-	at    time.Duration // when it arrives, true time
+	to              int // index of a process; -1: the leader of the term
+	term            uint64
+	from            int
+	incarnation     uint64
+	sentAt          time.Duration // by the requester's clock
+	renewal         *controlpb.RenewRequest
+	encodedRenewal  []byte
+	encodedResponse []byte
+	onDemand        *controlpb.OnDemandRequest
+	grant           *controlpb.OnDemandResponse
+	requestNumber   int           // of an on-demand request, which takes one response
+	arrivesAt       time.Duration // when it arrives, true time
 }
 
-// send sends a renewal to the owner.
-func (w *World) send(i int, now time.Duration, ask *controlpb.RenewRequest) {
+// sendRenewal sends a renewal to the leader.
+func (w *World) sendRenewal(i int, now time.Duration, request *controlpb.RenewRequest) {
 	p := w.members[i]
-	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, ask: encode(ask), asks: ask})
+	w.transmit(message{to: -1, term: w.term, from: i, incarnation: p.me.Incarnation, sentAt: now,
+		encodedRenewal: encode(request), renewal: request})
 }
 
-// post sends a message: most arrive within a few ticks, some are lost, doubled or late.
-func (w *World) post(m message) {
+// transmit sends a message: most arrive within a few ticks, some are lost, duplicated or late.
+func (w *World) transmit(m message) {
 	from := m.from
 	if m.to >= 0 {
 		from = m.to
 	}
-	if w.members[from].cut || w.quiet == 0 && w.often(12*w.mild) {
+	if w.members[from].partitioned || w.faultless == 0 && w.oneIn(12*w.faultRarity) {
 		w.res.Faults["lost"]++
 		return
 	}
 	for {
-		m.at = w.now + time.Duration(w.choose(30))*ms
-		if w.quiet == 0 && w.often(15*w.mild) {
-			m.at += []time.Duration{100 * ms, time.Second, 4 * time.Second, 9 * time.Second}[w.choose(4)]
+		m.arrivesAt = w.now + time.Duration(w.draw(30))*ms
+		if w.faultless == 0 && w.oneIn(15*w.faultRarity) {
+			m.arrivesAt += []time.Duration{100 * ms, time.Second, 4 * time.Second,
+				9 * time.Second}[w.draw(4)]
 			w.res.Faults["late"]++
 		}
-		w.net = append(w.net, m)
-		if w.quiet > 0 || !w.often(15*w.mild) {
+		w.inFlight = append(w.inFlight, m)
+		if w.faultless > 0 || !w.oneIn(15*w.faultRarity) {
 			return
 		}
 		w.res.Faults["doubled"]++
@@ -63,10 +65,10 @@
 	return raw
 }
 
-// deliverDue delivers the messages whose time has come, but for those to a stopped process.
+// deliverDue delivers the messages that arrive by now, except those to a stopped process.
 func (w *World) deliverDue() {
-	for n := 0; n < len(w.net); {
-		if w.net[n].at > w.now || w.waits(&w.net[n]) {
+	for n := 0; n < len(w.inFlight); {
+		if w.inFlight[n].arrivesAt > w.now || w.receiverStopped(&w.inFlight[n]) {
 			n++
 			continue
 		}
@@ -76,84 +78,86 @@
 
 // deliver takes one message from the network and passes it to its receiver.
 func (w *World) deliver(n int) {
-	m := w.net[n]
-	w.net = slices.Delete(w.net, n, n+1)
+	m := w.inFlight[n]
+	w.inFlight = slices.Delete(w.inFlight, n, n+1)
 	if m.to < 0 {
-		w.deliverToOwner(m)
+		w.deliverToLeader(m)
 		return
 	}
 	p := w.members[m.to]
-	if p.me.Incarnation != m.boot || p.stopped || p.dead || p.left {
+	if p.me.Incarnation != m.incarnation || p.stopped || p.dead || p.shutDown {
 		return
 	}
-	if m.tells != nil {
-		w.deliverRights(p, m)
+	if m.encodedResponse != nil {
+		w.deliverRenewal(p, m)
 	} else {
-		w.deliverLoan(p, m)
+		w.deliverGrant(p, m)
 	}
 }
 
-func (w *World) deliverToOwner(m message) {
-	for _, o := range w.owners {
-		if o.term == m.term && !o.stopped && o.at(w.now) < o.until {
-			w.serve(o, m)
+func (w *World) deliverToLeader(m message) {
+	for _, o := range w.tenures {
+		if o.term == m.term && !o.stopped && o.at(w.now) < o.leaseUntil {
+			w.handle(o, m)
 		}
 	}
 }
 
-// deliverRights passes the answer to a renewal to its process.
-func (w *World) deliverRights(p *process, m message) {
+// deliverRenewal passes the response to a renewal to its process.
+func (w *World) deliverRenewal(p *process, m message) {
 	var a controlpb.RenewResponse
-	if err := proto.Unmarshal(m.tells, &a); err != nil {
+	if err := proto.Unmarshal(m.encodedResponse, &a); err != nil {
 		panic(err)
 	}
-	if p.holder.HandleRenewal(p.at(w.now), m.sent, 0, m.asks, &a) {
+	if p.holder.HandleRenewal(p.at(w.now), m.sentAt, 0, m.renewal, &a) {
 		w.renew(m.to)
 	}
 }
 
-// deliverLoan passes lent units to their process, which uses them later or gives them back.
-func (w *World) deliverLoan(p *process, m message) {
-	if p.answered[m.loan] {
+// deliverGrant passes units granted on demand to their process, which uses them later or returns
+// them.
+func (w *World) deliverGrant(p *process, m message) {
+	if p.answered[m.requestNumber] {
 		return
 	}
-	p.answered[m.loan] = true
+	p.answered[m.requestNumber] = true
 	now := p.at(w.now)
-	by := m.sent + w.rules.UseTimeout
-	if !m.lent.Granted || now >= by {
+	by := m.sentAt + w.config.UseTimeout
+	if !m.grant.Granted || now >= by {
 		return
 	}
-	if w.quiet == 0 && w.often(8) {
-		p.holder.Release(now, m.lends.Budget, m.lends.Units)
-		w.use(m.lends.Budget, -m.lends.Units)
+	if w.faultless == 0 && w.oneIn(8) {
+		p.holder.Release(now, m.onDemand.Budget, m.onDemand.Units)
+		w.use(m.onDemand.Budget, -m.onDemand.Units)
 		return
 	}
-	p.hands = append(p.hands, loan{m.lends.Budget, m.lends.Units, by, m.sent})
+	p.taken = append(p.taken, takenUnits{m.onDemand.Budget, m.onDemand.Units, by, m.sentAt})
 }
 
-// serve has an owner answer a message.
-func (w *World) serve(o *owner, m message) {
-	back := message{to: m.from, boot: m.boot, sent: m.sent, asks: m.asks, lends: m.lends, loan: m.loan}
-	if m.lends != nil {
-		if back.lent = o.owner.GrantOnDemand(o.at(w.now), m.lends); back.lent.Granted {
-			w.use(m.lends.Budget, m.lends.Units) // its use may come Rules.LoanSpan later
+// handle lets a leader respond to a message.
+func (w *World) handle(o *tenure, m message) {
+	back := message{to: m.from, incarnation: m.incarnation, sentAt: m.sentAt, renewal: m.renewal,
+		onDemand: m.onDemand, requestNumber: m.requestNumber}
+	if m.onDemand != nil {
+		if back.grant = o.leader.GrantOnDemand(o.at(w.now), m.onDemand); back.grant.Granted {
+			w.use(m.onDemand.Budget, m.onDemand.Units) // its use may come Config.UseTimeout later
 		}
 	} else {
-		var ask controlpb.RenewRequest
-		if err := proto.Unmarshal(m.ask, &ask); err != nil {
+		var request controlpb.RenewRequest
+		if err := proto.Unmarshal(m.encodedRenewal, &request); err != nil {
 			panic(err)
 		}
-		back.tells = encode(o.owner.Renew(o.at(w.now), &ask))
+		back.encodedResponse = encode(o.leader.Renew(o.at(w.now), &request))
 	}
-	w.post(back)
+	w.transmit(back)
 }
 
-// waits reports whether the receiver of a message is stopped.
-func (w *World) waits(m *message) bool {
+// receiverStopped reports whether the receiver of a message is stopped.
+func (w *World) receiverStopped(m *message) bool {
 	if m.to >= 0 {
 		return w.members[m.to].stopped
 	}
-	for _, o := range w.owners {
+	for _, o := range w.tenures {
 		if o.term == m.term {
 			return o.stopped
 		}
--- a/sim/allocation/process.go
+++ b/sim/allocation/process.go
@@ -22,79 +22,93 @@
 // process is a gateway's process.
 type process struct {
 	clock
-	me       lease.Member
-	holder   *allocation.Holder
-	stopped  bool
-	cut      bool // nothing that it says or is told arrives
-	cutTill  time.Duration
-	busy     bool // it is asked often
-	asked    int  // askings for units, and which were answered
-	answered map[int]bool
-	dead     bool
-	left     bool
-	// What it has taken or was lent, and has not used yet: a stop may lie between.
-	hands []loan
+	me               lease.Member
+	holder           *allocation.Holder
+	stopped          bool
+	partitioned      bool // no message from or to it arrives
+	partitionedUntil time.Duration
+	busy             bool // it gets many requests
+	requestCount     int  // on-demand requests
+	answered         map[int]bool
+	dead             bool
+	shutDown         bool
+	// taken is what it has taken or was granted and has not used yet. It may be stopped in between.
+	taken []takenUnits
 }
 
-type loan struct {
-	budget uint64
-	units  float64
-	by     time.Duration // by its clock
-	at     time.Duration // when it was taken, or asked for
+type takenUnits struct {
+	budget  uint64
+	units   float64
+	useBy   time.Duration // by its clock
+	takenAt time.Duration // when they were taken, or requested
 }
 
-// boot starts a process anew, with a clock at nine tenths of the true pace to the full one.
-func (w *World) boot(i int, p *process) {
-	w.boots++
-	*p = process{clock: clock{0.9 + 0.1*float64(w.choose(5))/4, time.Duration(w.choose(100)) * time.Second},
-		me: lease.Member{ID: fmt.Sprintf("n%d", i), Incarnation: w.boots}}
+// start starts a process anew, with a clock at nine tenths of the true pace up to the full one.
+func (w *World) start(i int, p *process) {
+	w.incarnations++
+	*p = process{clock: clock{0.9 + 0.1*float64(w.draw(5))/4,
+		time.Duration(w.draw(100)) * time.Second},
+		me: lease.Member{ID: fmt.Sprintf("n%d", i), Incarnation: w.incarnations}}
 	p.answered = map[int]bool{}
-	p.holder = allocation.NewHolder(w.rules, p.me, 1)
+	p.holder = allocation.NewHolder(w.config, p.me, 1)
 }
 
-// ask has a client ask a process for units. The process takes them from its part, or asks the owner to lend
-// them.
-func (w *World) ask(i int) {
+// request lets a process handle a client's request. It takes the units from its allocation, or
+// requests them on demand.
+func (w *World) request(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || p.left {
+	if p.stopped || p.dead || p.shutDown {
 		return
 	}
-	id, units := uint64(1+w.choose(len(w.wholes))), float64(1+w.choose(4))
+	id, units := uint64(1+w.draw(len(w.limits))), float64(1+w.draw(4))
 	now := p.at(w.now)
-	p.holder.RecordDemand(now, id, w.wholes[id], len(w.members), units)
+	p.holder.RecordDemand(now, id, w.limits[id], len(w.members), units)
 	level := p.holder.Available(now, id)
 	if level >= units {
 		p.holder.Consume(now, id, units)
-		p.hands = append(p.hands, loan{id, units, p.holder.UseBy(now, id), now})
-		w.use(id, units) // its use may come Rules.LoanSpan later, which is the stated slack
+		p.taken = append(p.taken, takenUnits{id, units, p.holder.UseBy(now, id), now})
+		w.use(id, units) // its use may come Config.UseTimeout later, which is the stated slack
 		return
 	}
-	p.asked++
-	w.post(message{to: -1, term: w.term, from: i, boot: p.me.Incarnation, sent: now, loan: p.asked, lends: &controlpb.OnDemandRequest{Role: allocation.RoleOfShard(0),
-		Member: &controlpb.Member{Id: p.me.ID, Incarnation: p.me.Incarnation}, Budget: id, Units: units, MaxMembers: uint32(len(w.members)),
-		Limit: &controlpb.Share{Rate: w.wholes[id].Rate, Burst: w.wholes[id].Burst}}})
+	p.requestCount++
+	w.transmit(message{
+		to:            -1,
+		term:          w.term,
+		from:          i,
+		incarnation:   p.me.Incarnation,
+		sentAt:        now,
+		requestNumber: p.requestCount,
+		onDemand: &controlpb.OnDemandRequest{
+			Role:       allocation.RoleOfShard(0),
+			Member:     &controlpb.Member{Id: p.me.ID, Incarnation: p.me.Incarnation},
+			Budget:     id,
+			Units:      units,
+			MaxMembers: uint32(len(w.members)),
+			Limit:      &controlpb.Share{Rate: w.limits[id].Rate, Burst: w.limits[id].Burst},
+		},
+	})
 }
 
-// act has a process use what it has taken first, after a last look at its clock.
-func (w *World) act(i int) {
+// useTaken lets a process use the oldest units that it has taken, after a last look at its clock.
+func (w *World) useTaken(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || len(p.hands) == 0 {
+	if p.stopped || p.dead || len(p.taken) == 0 {
 		return
 	}
-	h := p.hands[0]
-	p.hands = p.hands[1:]
-	if now := p.at(w.now); now < h.by && h.by > h.at+w.rules.UseTimeout {
-		w.breach("late_use", "taken at %v, and used at %v", h.at, now)
+	h := p.taken[0]
+	p.taken = p.taken[1:]
+	if now := p.at(w.now); now < h.useBy && h.useBy > h.takenAt+w.config.UseTimeout {
+		w.breach("late_use", "taken at %v, and used at %v", h.takenAt, now)
 	}
 }
 
-// renew has a process renew its part.
+// renew lets a process renew its allocations.
 func (w *World) renew(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || p.left {
+	if p.stopped || p.dead || p.shutDown {
 		return
 	}
 	now := p.at(w.now)
-	ask := p.holder.RenewRequest(now, 0)
-	w.send(i, now, ask)
+	request := p.holder.RenewRequest(now, 0)
+	w.sendRenewal(i, now, request)
 }
--- a/sim/allocation/search.go
+++ b/sim/allocation/search.go
@@ -28,18 +28,21 @@
 }
 
 // Kinds are the faults that are played.
-var Kinds = []string{"doubled", "lost", "late", "stopped", "cut", "killed", "left", "started", "owner stopped", "owner cut", "owner changed"}
+var Kinds = []string{"doubled", "lost", "late", "stopped", "cut", "killed", "left", "started",
+	"owner stopped", "owner cut", "owner changed"}
 
 const steps = 600 // of a play
 
-// Search plays one schedule after another, on all cores, until so many were played or one was found.
-func Search(ctx context.Context, seed uint64, most int) Found {
+// Search plays one schedule after another, on all cores, until so many were played or one was
+// found.
+func Search(ctx context.Context, seed uint64, maxPlays int) Found {
 	f := Found{Faults: map[string]int{}}
 	began := time.Now()
 	draw := func(n int) Finding {
-		return Finding{Seed: seed*1_000_003 + uint64(n), Members: 2 + n%4, Budgets: 1 + n%2, After: n + 1}
+		return Finding{Seed: seed*1_000_003 + uint64(n), Members: 2 + n%4, Budgets: 1 + n%2,
+			After: n + 1}
 	}
-	parallel.Until(ctx, most, func(n int) Result {
+	parallel.Until(ctx, maxPlays, func(n int) Result {
 		one := draw(n)
 		return Play(Random(one.Seed), one.Members, one.Budgets, steps)
 	}, func(n int, r Result) bool {
--- a/sim/allocation/budgets_test.go
+++ b/sim/allocation/search_test.go
@@ -6,18 +6,19 @@
 	"pgregory.net/rapid"
 )
 
-// The whole is never passed, whatever fails, and is in use again afterwards.
-func TestWholeIsNeverPassed(t *testing.T) {
+// The limit is never exceeded, whatever fails, and is in use again afterwards.
+func TestLimitIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed, members := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "members")
-		r := Play(Random(seed), members, rapid.IntRange(1, 3).Draw(t, "budgets"), rapid.IntRange(1, 800).Draw(t, "steps"))
+		r := Play(Random(seed), members, rapid.IntRange(1, 3).Draw(t, "budgets"),
+			rapid.IntRange(1, 800).Draw(t, "steps"))
 		if r.Breach != nil {
 			t.Fatalf("%+v", *r.Breach)
 		}
 	})
 }
 
-// The same, led by seeds: many more plays in the same time, and all faults among them.
+// The same by seeds: many more plays in the same time, with all kinds of faults among them.
 func TestSearchFindsNothing(t *testing.T) {
 	f := Search(t.Context(), 1, 200)
 	if len(f.Findings) > 0 {
