--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -183,7 +183,7 @@
 func (n *Node) callTransfer(ctx context.Context, arguments []string) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	op := lease.Op{
+	op := lease.Command{
 		Action: lease.ActionRequestTransfer,
 		Role:   arguments[0],
 		To:     lease.Member{ID: arguments[1]},
--- a/internal/controlplane/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -28,8 +28,8 @@
 	maxKeyBytes = 256
 )
 
-// Op is the command: it sets a key, or deletes it if the value is empty.
-type Op struct {
+// Command is the command: it sets a key, or deletes it if the value is empty.
+type Command struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 	// ExpectedVersion is the version that the key must have; 0 means that it must be absent.
@@ -46,7 +46,7 @@
 	Version uint64 `json:"version"` // index of the log entry that wrote it; 0 if the key is absent
 }
 
-// Result is the answer to an Op, with the entry as it is after it.
+// Result is the answer to a Command, with the entry as it is after it.
 type Result struct {
 	OK     bool   `json:"ok"`
 	Reason string `json:"why,omitempty"` // why it is not OK
@@ -69,15 +69,15 @@
 // replicated state.
 func NewMachine(f Fence) *Machine { return &Machine{f, map[string]Entry{}} }
 
-// Apply applies an Op and returns a Result, both as JSON.
+// Apply applies a Command and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, member lease.Member, body []byte) []byte {
-	var op Op
-	err := json.Unmarshal(body, &op)
+	var command Command
+	err := json.Unmarshal(body, &command)
 	if err == nil {
-		err = m.set(index, member, &op)
+		err = m.set(index, member, &command)
 	}
-	r := Result{OK: err == nil, Entry: m.entries[op.Key]}
-	r.Key = op.Key
+	r := Result{OK: err == nil, Entry: m.entries[command.Key]}
+	r.Key = command.Key
 	if err != nil {
 		r.Reason = err.Error()
 	}
@@ -87,28 +87,28 @@
 var errVersionMismatch = errors.New("standing: it was written since")
 
 // set checks a command and applies it.
-func (m *Machine) set(index uint64, member lease.Member, op *Op) error {
-	if op.Role != "" {
-		if err := m.fence.Fence(op.Role, op.Term, member); err != nil {
+func (m *Machine) set(index uint64, member lease.Member, command *Command) error {
+	if command.Role != "" {
+		if err := m.fence.Fence(command.Role, command.Term, member); err != nil {
 			return err
 		}
 	}
-	current, exists := m.entries[op.Key]
-	if op.ExpectedVersion != nil && *op.ExpectedVersion != current.Version {
+	current, exists := m.entries[command.Key]
+	if command.ExpectedVersion != nil && *command.ExpectedVersion != current.Version {
 		return errVersionMismatch
 	}
-	if op.Key == "" || len(op.Key) > maxKeyBytes || len(op.Value) > MaxValueBytes {
+	if command.Key == "" || len(command.Key) > maxKeyBytes || len(command.Value) > MaxValueBytes {
 		return fmt.Errorf("standing: a key of up to %d bytes and a value of up to %d wanted",
 			maxKeyBytes, MaxValueBytes)
 	}
-	if op.Value == "" {
-		delete(m.entries, op.Key)
+	if command.Value == "" {
+		delete(m.entries, command.Key)
 		return nil
 	}
 	if !exists && len(m.entries) >= MaxKeys {
 		return fmt.Errorf("standing: %d keys are the most", MaxKeys)
 	}
-	m.entries[op.Key] = Entry{op.Key, op.Value, index}
+	m.entries[command.Key] = Entry{command.Key, command.Value, index}
 	return nil
 }
 
--- a/internal/controlplane/checkpoint/checkpoint_test.go
+++ b/internal/controlplane/checkpoint/checkpoint_test.go
@@ -16,23 +16,23 @@
 	m := NewMachine(table)
 	for i, c := range []struct {
 		member  lease.Member
-		op      Op
+		command Command
 		ok      bool
 		value   string
 		version uint64
 	}{
-		{a, Op{Key: "k", Value: "1"}, true, "1", 1},
-		{b, Op{Key: "k", Value: "2", ExpectedVersion: new(uint64(9))}, false, "1", 1},
-		{b, Op{Key: "k", Value: "2", ExpectedVersion: new(uint64(1))}, true, "2", 3},
-		{b, Op{Key: "k", Value: "3", Role: "d", Term: 1}, false, "2", 3}, // another leads the role
-		{a, Op{Key: "k", Value: "3", Role: "d", Term: 2}, false, "2", 3}, // another term
-		{a, Op{Key: "k", Value: "3", Role: "d", Term: 1}, true, "3", 6},
-		{a, Op{Key: "", Value: "3"}, false, "", 0},
-		{a, Op{Key: "k", Value: string(make([]byte, MaxValueBytes+1))}, false, "3", 6},
-		{a, Op{Key: "k"}, true, "", 0}, // deleted
-		{a, Op{Key: "k", Value: "4", ExpectedVersion: new(uint64(0))}, true, "4", 10},
+		{a, Command{Key: "k", Value: "1"}, true, "1", 1},
+		{b, Command{Key: "k", Value: "2", ExpectedVersion: new(uint64(9))}, false, "1", 1},
+		{b, Command{Key: "k", Value: "2", ExpectedVersion: new(uint64(1))}, true, "2", 3},
+		{b, Command{Key: "k", Value: "3", Role: "d", Term: 1}, false, "2", 3}, // not the leader
+		{a, Command{Key: "k", Value: "3", Role: "d", Term: 2}, false, "2", 3}, // another term
+		{a, Command{Key: "k", Value: "3", Role: "d", Term: 1}, true, "3", 6},
+		{a, Command{Key: "", Value: "3"}, false, "", 0},
+		{a, Command{Key: "k", Value: string(make([]byte, MaxValueBytes+1))}, false, "3", 6},
+		{a, Command{Key: "k"}, true, "", 0}, // deleted
+		{a, Command{Key: "k", Value: "4", ExpectedVersion: new(uint64(0))}, true, "4", 10},
 	} {
-		raw, err := json.Marshal(c.op)
+		raw, err := json.Marshal(c.command)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/consensus/session_rejection_test.go
+++ b/internal/controlplane/consensus/session_rejection_test.go
@@ -18,7 +18,7 @@
 	var sessions, seqs [2]uint64
 	acquire := func(i int) *controlpb.Answer {
 		seqs[i]++
-		op := lease.Op{Action: lease.ActionAcquire, Role: "d", Term: 1}
+		op := lease.Command{Action: lease.ActionAcquire, Role: "d", Term: 1}
 		return a.propose(&controlpb.Command{
 			Session:  sessions[i],
 			Seq:      seqs[i],
--- a/internal/controlplane/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -15,9 +15,9 @@
 const supersededDelay = time.Hour
 
 // propose proposes a command to the table of leases.
-func (e *elector) propose(ctx context.Context, op lease.Op) (lease.Result, error) {
+func (e *elector) propose(ctx context.Context, command lease.Command) (lease.Result, error) {
 	var result lease.Result
-	body, err := e.set.options.Client.Propose(ctx, lease.MachineName, op.Encode())
+	body, err := e.set.options.Client.Propose(ctx, lease.MachineName, command.Encode())
 	if err != nil {
 		return result, err
 	}
@@ -35,7 +35,7 @@
 	ctx, cancel := e.requestContext()
 	defer cancel()
 	result, err := e.propose(ctx,
-		lease.Op{Action: lease.ActionAcquire, Role: e.role, Term: knownTerm})
+		lease.Command{Action: lease.ActionAcquire, Role: e.role, Term: knownTerm})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := monotonic.Now()
@@ -84,7 +84,7 @@
 func (e *elector) release(term uint64) {
 	ctx, cancel := e.requestContext()
 	defer cancel()
-	_, err := e.propose(ctx, lease.Op{Action: lease.ActionRelease, Role: e.role, Term: term})
+	_, err := e.propose(ctx, lease.Command{Action: lease.ActionRelease, Role: e.role, Term: term})
 	e.set.options.Log.Info("fleet: role released again",
 		"role", e.role, "term", term, "error", err)
 }
--- a/internal/controlplane/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -30,24 +30,24 @@
 	case <-workDone:
 	case <-time.After(stopTimeout):
 	}
-	op := lease.Op{Action: lease.ActionRelease, Role: e.role, Term: term}
+	command := lease.Command{Action: lease.ActionRelease, Role: e.role, Term: term}
 	if found {
-		op.Action = lease.ActionTransfer
-		op.To = successor
+		command.Action = lease.ActionTransfer
+		command.To = successor
 	}
-	_, err := e.propose(ctx, op)
+	_, err := e.propose(ctx, command)
 	e.mu.Lock()
 	e.claimant.GiveUp(monotonic.Now(), 2*e.set.options.LeaseConfig.OfferTTL, "transferred")
 	e.workTerm = 0
 	e.mu.Unlock()
 	e.set.options.Log.Info("fleet: role released",
-		"role", e.role, "term", term, "to", op.To.ID, "error", err)
+		"role", e.role, "term", term, "to", command.To.ID, "error", err)
 }
 
 // withdrawTransfer withdraws the request to transfer the role to a member that is not active: the
 // role stays here.
 func (e *elector) withdrawTransfer(ctx context.Context, id string) {
-	_, err := e.propose(ctx, lease.Op{Action: lease.ActionRequestTransfer, Role: e.role})
+	_, err := e.propose(ctx, lease.Command{Action: lease.ActionRequestTransfer, Role: e.role})
 	e.set.options.Log.Warn("fleet: role can't be transferred: no such gateway takes part",
 		"role", e.role, "to", id, "error", err)
 }
--- a/internal/controlplane/jsonkeys_test.go
+++ b/internal/controlplane/jsonkeys_test.go
@@ -43,11 +43,11 @@
 		auditlog.VersionCounts{},
 	))
 	fixture.Equal(t, "testdata/command-keys.txt", fixture.JSONKeys(
-		lease.Op{},
+		lease.Command{},
 		lease.Result{},
 		usageexport.Command{},
 		usageexport.Result{},
-		checkpoint.Op{},
+		checkpoint.Command{},
 		checkpoint.Entry{},
 		checkpoint.Result{},
 		allocation.Result{},
--- a/internal/controlplane/lease/machine.go
+++ b/internal/controlplane/lease/machine.go
@@ -11,7 +11,7 @@
 // MachineName is the name of this state machine in the replicated state.
 const MachineName = "duties"
 
-// Action is what an Op does. Its values are stored in the log.
+// Action is what a Command does. Its values are stored in the log.
 type Action string
 
 const (
@@ -25,8 +25,8 @@
 	ActionRequestTransfer Action = "wish"
 )
 
-// Op is one command to the replicated table of leases.
-type Op struct {
+// Command is one command to the replicated table of leases.
+type Command struct {
 	Action Action `json:"do"`
 	Role   string `json:"duty"`
 	// Term is the term that the sender holds; for ActionAcquire the newest that it knows it holds.
@@ -35,7 +35,7 @@
 	To Member `json:"to,omitzero"`
 }
 
-// Result is the answer to an Op.
+// Result is the answer to a Command.
 type Result struct {
 	OK     bool   `json:"ok"`
 	Reason string `json:"why,omitempty"`    // why it is not OK
@@ -50,7 +50,7 @@
 const unknownCommand = "no such command to duties"
 
 // Encode returns the command as JSON.
-func (o Op) Encode() []byte { return mustjson.Marshal(o) }
+func (o Command) Encode() []byte { return mustjson.Marshal(o) }
 
 // Machine is a Table as a state machine of the replicated state.
 type Machine struct {
@@ -61,41 +61,41 @@
 // NewMachine returns a state machine with an empty table.
 func NewMachine(config Config) *Machine { return &Machine{Table: NewTable(config)} }
 
-// Apply applies an Op and returns a Result, both as JSON.
+// Apply applies a Command and returns a Result, both as JSON.
 func (m *Machine) Apply(now time.Duration, _ uint64, member Member, body []byte) []byte {
-	var op Op
-	if err := json.Unmarshal(body, &op); err != nil || op.Role == "" {
+	var command Command
+	if err := json.Unmarshal(body, &command); err != nil || command.Role == "" {
 		return mustjson.Marshal(Result{Reason: unknownCommand})
 	}
-	termBefore := m.Term(op.Role)
+	termBefore := m.Term(command.Role)
 	var l Lease
 	var err error
-	switch op.Action {
+	switch command.Action {
 	case ActionAcquire:
-		l, err = m.acquire(now, member, &op)
+		l, err = m.acquire(now, member, &command)
 	case ActionRelease:
-		err = m.Release(now, op.Role, op.Term, member)
+		err = m.Release(now, command.Role, command.Term, member)
 	case ActionTransfer:
-		err = m.Transfer(now, op.Role, op.Term, member, op.To)
+		err = m.Transfer(now, command.Role, command.Term, member, command.To)
 	case ActionRequestTransfer:
-		err = m.RequestTransfer(op.Role, op.To.ID)
+		err = m.RequestTransfer(command.Role, command.To.ID)
 		if err == nil {
 			m.changes++
 		}
 	default:
 		return mustjson.Marshal(Result{Reason: unknownCommand})
 	}
-	if m.Term(op.Role) != termBefore {
+	if m.Term(command.Role) != termBefore {
 		m.changes++
 	}
-	return mustjson.Marshal(m.result(now, &op, l, err))
+	return mustjson.Marshal(m.result(now, &command, l, err))
 }
 
 // acquire applies an ActionAcquire. That a holder confirms its grant counts as a change.
-func (m *Machine) acquire(now time.Duration, member Member, op *Op) (Lease, error) {
-	before := m.leases[op.Role]
+func (m *Machine) acquire(now time.Duration, member Member, command *Command) (Lease, error) {
+	before := m.leases[command.Role]
 	wasUnconfirmed := before != nil && before.Unconfirmed
-	l, err := m.Acquire(now, op.Role, member, op.Term)
+	l, err := m.Acquire(now, command.Role, member, command.Term)
 	if wasUnconfirmed && err == nil && !l.Unconfirmed {
 		m.changes++
 	}
@@ -103,7 +103,7 @@
 }
 
 // result returns the answer to a command that has led to a lease or an error.
-func (m *Machine) result(now time.Duration, op *Op, l Lease, err error) Result {
+func (m *Machine) result(now time.Duration, command *Command, l Lease, err error) Result {
 	r := Result{OK: err == nil, Lease: l}
 	if err != nil {
 		r.Reason = err.Error()
@@ -111,7 +111,7 @@
 		if errors.Is(err, ErrExcluded) {
 			r.Remaining = l.ExcludedUntil - now
 		}
-	} else if op.Action == ActionAcquire {
+	} else if command.Action == ActionAcquire {
 		r.TTL = m.RemainingTTL(now, &l)
 	}
 	return r
@@ -120,15 +120,15 @@
 // RejectEarly returns the answer to a request for a lease that another member holds, so that it
 // needs no entry in the log.
 func (m *Machine) RejectEarly(now time.Duration, member Member, body []byte) ([]byte, bool) {
-	var op Op
-	if json.Unmarshal(body, &op) != nil || op.Action != ActionAcquire {
+	var command Command
+	if json.Unmarshal(body, &command) != nil || command.Action != ActionAcquire {
 		return nil, false
 	}
-	l, held := m.HeldByOther(now, op.Role, member)
+	l, held := m.HeldByOther(now, command.Role, member)
 	if !held {
 		return nil, false
 	}
-	return mustjson.Marshal(m.result(now, &op, l, ErrHeld)), true
+	return mustjson.Marshal(m.result(now, &command, l, ErrHeld)), true
 }
 
 // View is the answer to a Query.
--- a/internal/testing/electiontest/history.go
+++ b/internal/testing/electiontest/history.go
@@ -115,7 +115,7 @@
 		}
 		return output{ok: true, value: e.Value, version: e.Version}
 	}
-	op := checkpoint.Op{Key: in.key, Value: in.value}
+	op := checkpoint.Command{Key: in.key, Value: in.value}
 	if in.what == 'c' {
 		op.ExpectedVersion = &in.if_
 	}
--- a/sim/election/member.go
+++ b/sim/election/member.go
@@ -62,12 +62,12 @@
 		return
 	}
 	m.claimant.Sent(now)
-	op := lease.Op{
+	command := lease.Command{
 		Action: lease.ActionAcquire,
 		Role:   roleName,
 		Term:   m.claimant.KnownTerm(),
 	}
-	m.propose(lease.MachineName, op.Encode(), func(answer []byte, ok bool) {
+	m.propose(lease.MachineName, command.Encode(), func(answer []byte, ok bool) {
 		m.leaseAnswered(now, answer, ok)
 	})
 	m.process.after(checkInterval, m.requestLease)
@@ -85,16 +85,16 @@
 		m.claimant.Rejected(now, sentAt, delay, result.Reason)
 	case m.claimant.GaveUp(result.Lease.Term):
 		m.claimant.Failed(now, sentAt, leaseRetryDelay)
-		m.changeLease(lease.Op{Action: lease.ActionRelease, Term: result.Lease.Term})
+		m.changeLease(lease.Command{Action: lease.ActionRelease, Term: result.Lease.Term})
 	default:
 		m.claimant.Granted(now, sentAt, result.Lease.Term, result.TTL)
 	}
 }
 
 // changeLease releases or transfers the lease, without waiting for the answer.
-func (m *member) changeLease(op lease.Op) {
-	op.Role = roleName
-	m.propose(lease.MachineName, op.Encode(), func([]byte, bool) {})
+func (m *member) changeLease(command lease.Command) {
+	command.Role = roleName
+	m.propose(lease.MachineName, command.Encode(), func([]byte, bool) {})
 }
 
 // act does a little of each kind: it writes, reads, has effects as the leader of the role, and
@@ -155,14 +155,14 @@
 // giveLeaseUp releases the lease, or transfers it to another member.
 func (m *member) giveLeaseUp(term uint64) {
 	w := m.process.world
-	op := lease.Op{Action: lease.ActionRelease, Term: term}
+	command := lease.Command{Action: lease.ActionRelease, Term: term}
 	to := w.members()[w.random.IntN(w.options.Members)].member
 	if to != m && w.random.IntN(2) == 0 {
-		op.Action = lease.ActionTransfer
-		op.To = to.self
+		command.Action = lease.ActionTransfer
+		command.To = to.self
 	}
 	m.claimant.GiveUp(m.process.clock(), resignDelay, "given up")
-	m.changeLease(op)
+	m.changeLease(command)
 }
 
 // haveEffects has one effect that is itself a command, and one at a receiver outside the log, which
@@ -171,20 +171,20 @@
 	const maxReceiverDelay = 800 * ms
 	w := m.process.world
 	w.result.Effects++
-	op := checkpoint.Op{
+	command := checkpoint.Command{
 		Key:   "effect",
 		Value: strconv.Itoa(w.result.Effects),
 		Role:  roleName,
 		Term:  term,
 	}
-	m.propose(checkpoint.MachineName, mustjson.Marshal(op), func([]byte, bool) {})
+	m.propose(checkpoint.MachineName, mustjson.Marshal(command), func([]byte, bool) {})
 	self := m.self
 	delay := time.Duration(w.random.Int64N(int64(maxReceiverDelay)))
 	w.schedule(delay, func() { w.receive(term, self) })
 }
 
-// command is a command that is sent until there is an answer, or too many attempts were made.
-type command struct {
+// pendingCommand is a command that is sent until there is an answer, or too many attempts were made.
+type pendingCommand struct {
 	member   *member
 	message  *controlpb.Command
 	done     func(answer []byte, ok bool)
@@ -201,7 +201,7 @@
 	}
 	m.lastSeq++
 	m.inFlight[m.lastSeq] = true
-	c := &command{member: m, done: done, message: &controlpb.Command{
+	c := &pendingCommand{member: m, done: done, message: &controlpb.Command{
 		Session: m.session,
 		Seq:     m.lastSeq,
 		Machine: machine,
@@ -212,7 +212,7 @@
 }
 
 // attempt sends the command for the nth time, and again later if there is no answer.
-func (c *command) attempt(n int) {
+func (c *pendingCommand) attempt(n int) {
 	if c.finished {
 		return
 	}
@@ -235,7 +235,7 @@
 }
 
 // answered processes the answer to one attempt.
-func (c *command) answered(answer *controlpb.Answer) {
+func (c *pendingCommand) answered(answer *controlpb.Answer) {
 	switch answer.Code {
 	case controlpb.Code_OK:
 		c.finish(answer.Body, true)
@@ -249,7 +249,7 @@
 	}
 }
 
-func (c *command) finish(answer []byte, ok bool) {
+func (c *pendingCommand) finish(answer []byte, ok bool) {
 	if c.finished {
 		return
 	}
--- a/sim/election/statemachines.go
+++ b/sim/election/statemachines.go
@@ -74,13 +74,16 @@
 	now time.Duration, index uint64, member lease.Member, body []byte,
 ) []byte {
 	answer := m.Machine.Apply(now, index, member, body)
-	var op checkpoint.Op
+	var command checkpoint.Command
 	var result checkpoint.Result
-	if json.Unmarshal(body, &op) != nil || json.Unmarshal(answer, &result) != nil || !result.OK {
+	if json.Unmarshal(body, &command) != nil || json.Unmarshal(answer, &result) != nil {
+		return answer
+	}
+	if !result.OK {
 		return answer
 	}
 	world := m.voter.process.world
-	world.recordApplied(m.voter, index, fmt.Sprintf("%s %d %s", op.Key, op.Term, member))
-	world.recordEffect(index, op.Term, member)
+	world.recordApplied(m.voter, index, fmt.Sprintf("%s %d %s", command.Key, command.Term, member))
+	world.recordEffect(index, command.Term, member)
 	return answer
 }
