--- a/internal/controlplane/configversion/config.go
+++ b/internal/controlplane/configversion/config.go
@@ -49,8 +49,8 @@
 // ErrInvalidConfig is the error of settings that can't work together.
 var ErrInvalidConfig = errors.New("versions: invalid configuration")
 
-// Validate returns an error that wraps ErrInvalidConfig if the settings can't work together: one lost
-// answer must not fence a gateway, nor may a late enrolment.
+// Validate returns an error that wraps ErrInvalidConfig if the settings can't work together: one
+// lost answer must not fence a gateway, nor may a late enrolment.
 func (c Config) Validate() error {
 	switch {
 	case c.RenewInterval <= 0 || c.TTL < 4*c.RenewInterval:
