--- a/internal/dataplane/gateway/accept.go
+++ b/internal/dataplane/gateway/accept.go
@@ -15,7 +15,7 @@
 	acceptRetryDelay = 20 * time.Millisecond // after an error, such as a lack of descriptors
 
 	// Before the listener is closed, no connection must have come for so long: those that the
-	// kernel has accepted by then are taken in, and would be reset otherwise.
+	// kernel has accepted by then are served, and would be reset otherwise.
 	backlogQuietTime = 20 * time.Millisecond
 
 	// The loop waits so long for an accept that blocks although the listener is closed.
--- a/internal/dataplane/gateway/shutdown.go
+++ b/internal/dataplane/gateway/shutdown.go
@@ -9,7 +9,7 @@
 // shutdown carries out what the lifecycle decides about the end of this process and about drains.
 // It belongs to the event loop.
 type shutdown struct {
-	acceptingEnds  bool // only connections that the kernel has already accepted are taken in
+	acceptingEnds  bool // only connections that the kernel has already accepted are served
 	listenerClosed bool
 	abandoned      bool        // all open requests were failed
 	nextCheck      policy.Time // when step runs again; 0: it is not scheduled
--- a/internal/dataplane/metrics/metrics.go
+++ b/internal/dataplane/metrics/metrics.go
@@ -20,8 +20,8 @@
 
 var outcomeNames = [outcomeCount]string{"answered", "deferred", "errored"}
 
-// Counters are the counts. CountRequest and Append belong to one goroutine; the atomic fields may be
-// used from any.
+// Counters are the counts. CountRequest and Append belong to one goroutine; the atomic fields may
+// be used from any.
 type Counters struct {
 	classes []string
 	ended   [][outcomeCount]int64 // by class
