--- a/internal/controlplane/lease/claimant.go
+++ b/internal/controlplane/lease/claimant.go
@@ -105,7 +105,7 @@
 }
 
 // GiveUp ends the lease by this side's decision, and requests it again only after retryDelay. The
-// term is never held again: whoever was told of its end may already act.
+// term is never held again: whoever was notified of its end may already act.
 func (c *Claimant) GiveUp(now, retryDelay time.Duration, reason string) {
 	c.givenUpTerm = c.term
 	c.endLease(reason)
@@ -113,7 +113,7 @@
 }
 
 // GaveUp reports whether this side gave a term up. A table that still grants that term does not
-// know so: it has to be told again, or the lease would be renewed without anyone doing the work.
+// know so: it has to be notified again, or the lease would be renewed and the work not done.
 func (c *Claimant) GaveUp(term uint64) bool { return term != 0 && term <= c.givenUpTerm }
 
 func (c *Claimant) endLease(reason string) {
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -93,7 +93,7 @@
 	return *l, true
 }
 
-// grant begins a new term. A wish to transfer the lease ends with the term that it was made in.
+// grant begins a new term. A request to transfer the lease ends with the term that it was made in.
 func (t *Table) grant(
 	now time.Duration, l *Lease, to Member, ttl time.Duration, cause Cause,
 ) {
