--- a/internal/testing/electiontest/hard_test.go
+++ b/internal/testing/electiontest/hard_test.go
@@ -190,13 +190,13 @@
 	}
 	hasOwner(t, f, 2, usageexport.RoleOfShard(0), 0)
 	run := &trialRun{f: f}
-	want := run.sent()[2]
+	want := run.sentUnits()[2]
 	if want == 0 {
 		t.Fatal("nothing was sent on: nothing is shown")
 	}
 	clustertest.Eventually(t, fmt.Sprintf("the %g units of the one that was left", want), func() (bool, string) {
 		v := view(t, f, 2)
-		return run.counted(&v)[2] == want, fmt.Sprint(run.counted(&v))
+		return run.exportedUnits(&v)[2] == want, fmt.Sprint(run.exportedUnits(&v))
 	})
 }
 
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -140,7 +140,7 @@
 	t.Helper()
 	run := &trialRun{f: f}
 	want := 0.0
-	for _, units := range run.sent() {
+	for _, units := range run.sentUnits() {
 		want += units
 	}
 	if want == 0 {
@@ -164,7 +164,7 @@
 	if sum != v.Units {
 		t.Errorf("the files hold %g units, %g were agreed", sum, v.Units)
 	}
-	if two, late := run.effects(&v); two+late > 0 {
+	if two, late := countConflicts(&v); two+late > 0 {
 		t.Errorf("%d effects of two owners, %d late ones", two, late)
 	}
 	return v
--- a/internal/testing/electiontest/run.go
+++ b/internal/testing/electiontest/run.go
@@ -116,7 +116,7 @@
 	go func() { defer wg.Done(); t.faults(asking) }()
 	f.Clients.Run(asking)
 	wg.Wait()
-	fig, err := t.judge(ctx, w, o.For)
+	fig, err := t.check(ctx, w, o.For)
 	if fig != nil && rest > 0 {
 		fig.Extra["bytes_per_second_gateway_at_rest"] = rest
 	}
