--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -62,7 +62,7 @@
 	for _, x := range found.Findings {
 		rule := string(x.Breach.Rule)
 		findings = append(findings,
-			distributionFinding{rule, x.Breach.Detail + " at " + x.Breach.At, x.After, x})
+			distributionFinding{rule, x.Breach.Detail + " at " + x.Breach.At, x.PlaysUntilFound, x})
 		figures.Broken[harness.Rule(rule)]++
 		figures.AddFailure(rule + ": " + x.Breach.Detail)
 	}
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -14,52 +14,54 @@
 	"mothcleat/internal/mustproto"
 )
 
-// lineage is what a fleet has agreed on since it was founded.
+// lineage is what a fleet has committed since it was created.
 type lineage struct {
-	epoch  uint64
-	log    []entry
-	term   uint64
-	owner  lease.Member
-	states []records // by revision: the model
+	epoch uint64
+	log   []entry
+	term  uint64
+	owner lease.Member
+	// states are the model's states by revision.
+	states []records
 }
 
-// records is the model's state: the values by id.
+// records are the model's values by id.
 type records map[string]string
 
-// entry is one of the log: a command, or that the source has another owner.
+// entry is an entry of the log: a command, or a new leader of the source.
 type entry struct {
-	who     lease.Member
-	term    uint64
-	command []byte // empty: the term begins
+	who  lease.Member
+	term uint64
+	// command is empty if the term begins.
+	command []byte
 }
 
-// newLineage has the fleet begin at revision 0 of an epoch.
+// newLineage starts a fleet at revision 0 of an epoch.
 func (w *World) newLineage(epoch uint64) {
 	w.lineage = &lineage{epoch: epoch, states: []records{{}}}
 	w.lineages[epoch] = w.lineage
 }
 
-// newest is the last revision.
+// newest returns the last revision.
 func (l *lineage) newest() uint64 { return uint64(len(l.states) - 1) }
 
-// startTerm has another owner.
+// startTerm begins the term of another leader.
 func (l *lineage) startTerm(who lease.Member) {
 	l.term++
 	l.owner = who
 	l.log = append(l.log, entry{who: who, term: l.term})
 }
 
-// publish appends a command, and has the model take it in if its term is the newest. A change
-// without value is a deletion.
-func (l *lineage) publish(who lease.Member, term uint64, whole bool, changes records) {
-	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Complete: whole}, changes)
+// publish appends a command, and applies it to the model if its term is the newest. A change
+// without a value is a deletion.
+func (l *lineage) publish(who lease.Member, term uint64, complete bool, changes records) {
+	l.command(who, &distributionpb.Command{Term: term, Epoch: l.epoch, Complete: complete}, changes)
 	if term == l.term && who == l.owner {
-		l.model(whole, changes)
+		l.model(complete, changes)
 	}
 }
 
-// publishDifference appends the first command of a term as the difference to a revision. It counts
-// where that is still the newest.
+// publishDifference appends the first command of a term as the difference from a position. It is
+// accepted if that is still the newest.
 func (l *lineage) publishDifference(base distribution.Position, changes records) (taken bool) {
 	l.command(l.owner,
 		&distributionpb.Command{Term: l.term, Epoch: l.epoch, Base: base.Proto()}, changes)
@@ -83,10 +85,11 @@
 	l.log = append(l.log, entry{who, command.Term, mustproto.Marshal(command)})
 }
 
-func (l *lineage) model(whole bool, changes records) {
+// model applies a command to the model.
+func (l *lineage) model(complete bool, changes records) {
 	last := l.states[len(l.states)-1]
 	next := maps.Clone(last)
-	if whole {
+	if complete {
 		clear(next)
 	}
 	for id, value := range changes {
@@ -101,25 +104,26 @@
 	}
 }
 
-// registry is the list of servers as it really is, and who watches it.
+// registry is the real list of servers, and the leader that watches it.
 type registry struct {
-	servers     records
-	phases      map[string]distributionpb.Phase
-	watcher     lease.Member
-	term        uint64
-	completeDue bool // the watcher has not said it yet
+	servers records
+	phases  map[string]distributionpb.Phase
+	watcher lease.Member
+	term    uint64
+	// completeDue is set if the watcher has not published the complete list yet.
+	completeDue bool
 	next        int
-	pending     records // changes that the watcher has not said yet
+	// pending are changes that the watcher has not published yet.
+	pending records
 }
 
-// Between how many servers the list has, but at the beginning: enough for several messages of
-// buckets.
+// Bounds of the size of the list, which exceed several messages of buckets.
 const (
 	minServers = 30
 	maxServers = 80
 )
 
-// change draws one change of the list, and gives its id.
+// change draws one change of the list, and returns its id.
 func (r *registry) change(random *rand.Rand, now time.Duration) string {
 	what := random.IntN(10)
 	if len(r.servers) < minServers || what < 2 && len(r.servers) < maxServers {
@@ -141,7 +145,7 @@
 	return id
 }
 
-// pick is one of the servers, the same for the same randomness.
+// pick draws one of the servers.
 func (r *registry) pick(random *rand.Rand) string {
 	for {
 		id := fmt.Sprintf("server-%d", 1+random.IntN(r.next))
@@ -163,7 +167,7 @@
 	r.servers[id], r.phases[id] = string(raw), phase
 }
 
-// createFleet begins the fleet.
+// createFleet creates the fleet.
 func (w *World) createFleet(size Size) {
 	w.registry = registry{
 		servers: records{},
@@ -185,16 +189,18 @@
 	w.after(0, w.heartbeat)
 }
 
-// newWatcher has another gateway watch the register. What the last one had not said is in its whole
-// list.
+// newWatcher makes another gateway watch the registry. What the last one had not published is in
+// its complete list.
 func (w *World) newWatcher() {
 	w.lineage.startTerm(lease.Member{ID: "watcher", Incarnation: w.random.Uint64()})
-	w.registry.watcher, w.registry.term, w.registry.completeDue = w.lineage.owner, w.lineage.term, true
+	w.registry.watcher = w.lineage.owner
+	w.registry.term = w.lineage.term
+	w.registry.completeDue = true
 }
 
-// changeRegister changes the list, now and then in bursts, and has the watcher say so, a little
+// changeRegistry changes the list, sometimes in bursts, and has the watcher publish that a little
 // later.
-func (w *World) changeRegister() {
+func (w *World) changeRegistry() {
 	if w.quiet {
 		return // so that what a link has lost just before has to be missed without a further change
 	}
@@ -211,17 +217,17 @@
 	if w.random.IntN(30) == 0 {
 		pause = w.between(2*time.Second, 6*time.Second)
 	}
-	w.after(pause, w.changeRegister)
+	w.after(pause, w.changeRegistry)
 }
 
-// heartbeat has the watcher say something regularly.
+// heartbeat has the watcher publish regularly.
 func (w *World) heartbeat() {
 	w.publishChanges()
 	w.after(time.Second, w.heartbeat)
 }
 
-// publishChanges has the watcher say what has changed; or, late and under a term that has ended,
-// what nobody is to take in.
+// publishChanges has the watcher publish what has changed, and sometimes adds a late command under
+// a term that has ended, which must be rejected.
 func (w *World) publishChanges() {
 	r := &w.registry
 	if w.chance("late command", 60) {
@@ -243,8 +249,8 @@
 	}
 }
 
-// publishDifference has a new watcher say the difference to what some gateway has, which may be
-// older than what is agreed.
+// publishDifference has a new watcher publish the difference from some gateway's state, which may
+// be older than the committed one.
 func (w *World) publishDifference() (taken bool) {
 	state := w.replicas[w.random.IntN(len(w.replicas))].client.State()
 	if state.Empty() {
@@ -269,7 +275,7 @@
 	return taken
 }
 
-// recreateFleet wipes all servers and founds another fleet of the same name. One old server may go
+// recreateFleet wipes all servers and creates another fleet of the same name. One old server may go
 // on for a while.
 func (w *World) recreateFleet() {
 	w.newLineage(w.lineage.epoch + 1 + uint64(w.random.IntN(5)))
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -18,7 +18,7 @@
 	keepaliveAfter     = 10 * time.Second
 )
 
-// link is one stream between a replica and a server. It keeps the order of what it carries.
+// link is one stream between a replica and a server. It keeps the order of messages.
 type link struct {
 	id                 distribution.StreamID
 	server             *server
@@ -27,19 +27,24 @@
 	replicaIncarnation uint64
 	attempt            uint64
 	open               bool
-	cut                bool // nothing passes any more, and nobody is told
-	faults             int
-	freeDown           time.Duration // when the next message may begin
-	lastDown           time.Duration // arrival of the last
-	lastUp             time.Duration
-	retryAt            time.Duration // before it the replica is not to come back
+	// cut is set if nothing passes any more, and neither side is notified.
+	cut bool
+	// faults counts disturbances.
+	faults int
+	// freeDown is when the next message to the replica may begin.
+	freeDown time.Duration
+	// lastDown is when the last message to the replica arrives.
+	lastDown time.Duration
+	lastUp   time.Duration
+	// retryAt is before when the replica must not come back.
+	retryAt time.Duration
 }
 
 var errBroken = errors.New("the stream is broken")
 
 // connect opens a stream for an attempt of a replica.
 func (w *World) connect(r *replica, c distribution.Connect) {
-	boot := r.incarnation
+	incarnation := r.incarnation
 	var s *server
 	for _, candidate := range w.servers {
 		if candidate.id == c.Server.ID {
@@ -51,7 +56,9 @@
 		case w.now < s.cutUntil || w.now < s.stoppedUntil || w.chance("no connection", 40):
 			return // nobody answers
 		case !s.up:
-			w.onReplica(r, boot, func() { r.client.Disconnected(w.now, c.Attempt, errBroken) })
+			w.onReplica(r, incarnation, func() {
+				r.client.Disconnected(w.now, c.Attempt, errBroken)
+			})
 			return
 		}
 		w.streams++
@@ -60,7 +67,7 @@
 			server:             s,
 			serverIncarnation:  s.incarnation,
 			replica:            r,
-			replicaIncarnation: boot,
+			replicaIncarnation: incarnation,
 			attempt:            c.Attempt,
 			open:               true,
 		}
@@ -70,12 +77,15 @@
 			}
 			s.links[l.id] = l
 		})
-		w.onReplica(r, boot, func() {
+		w.onReplica(r, incarnation, func() {
 			r.link = l
 			r.client.Connected(w.now, c.Attempt)
 		})
 		if w.chance("stream cut", 30) {
-			w.after(w.between(0, 3*time.Second), func() { l.cut = true; l.faults++ })
+			w.after(w.between(0, 3*time.Second), func() {
+				l.cut = true
+				l.faults++
+			})
 		} else if w.chance("stream broken", 30) {
 			w.after(w.between(0, 3*time.Second), func() { w.breakLink(l) })
 		}
@@ -85,7 +95,7 @@
 // blocked reports whether nothing passes.
 func (w *World) blocked(l *link) bool { return l.cut || w.now < l.server.cutUntil }
 
-// breakLink ends a stream; both sides hear of it unless nothing passes.
+// breakLink ends a stream. Both sides are notified unless nothing passes.
 func (w *World) breakLink(l *link) {
 	if !l.open {
 		return
@@ -103,8 +113,8 @@
 	})
 }
 
-// closed tells the server that a stream has ended: at once, or by the transport's own sign of life
-// where nothing passes.
+// closed notifies the server that a stream has ended: at once, or by the transport's keepalive if
+// nothing passes.
 func (w *World) closed(l *link) {
 	delay := w.between(0, 10*time.Millisecond)
 	if w.blocked(l) {
@@ -118,7 +128,7 @@
 	})
 }
 
-// sendDown carries a message to the replica, as fast as it reads.
+// sendDown carries a message to the replica, at the rate at which it reads.
 func (w *World) sendDown(l *link, m *distribution.Message) {
 	rate := fastBytesPerSecond
 	if l.replica.slow {
@@ -147,7 +157,8 @@
 	w.at(l.lastDown, arrives)
 }
 
-// lostOneIn is how often a message is lost. Those with buckets are few, and so lost more often.
+// lostOneIn returns how often a message is lost. Those with buckets are few, and so are lost more
+// often.
 func lostOneIn(m *distribution.Message) int {
 	if m.Response.GetBuckets() != nil {
 		return 40
@@ -155,8 +166,8 @@
 	return 300
 }
 
-// arrived hands a message to the replica; one that can't be read ends the stream, as it does in a
-// real one.
+// arrived delivers a message to the replica. One that can't be read ends the stream, as in a real
+// one.
 func (w *World) arrived(l *link, raw []byte, sent *distribution.Message) {
 	if !l.open || w.blocked(l) {
 		return
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -8,23 +8,27 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// replica is one gateway: the client, its state file, and what the gateway was told.
+// replica is one gateway: the client, its state file, and what was delivered to the gateway.
 type replica struct {
-	id, zone     string
-	client       *distribution.Replica
-	incarnation  uint64
-	up           bool
-	slow         bool // it reads slowly
+	id, zone    string
+	client      *distribution.Replica
+	incarnation uint64
+	up          bool
+	// slow is set if the gateway reads slowly.
+	slow bool
+	// stoppedUntil is until when the process is suspended.
 	stoppedUntil time.Duration
 	file         []byte
 	link         *link
-	woken        uint64
+	// woken numbers the scheduled ticks. Only the last one counts.
+	woken uint64
 
-	delivered records // what the gateway has in force
+	// delivered is what the gateway applies.
+	delivered records
 	position  distribution.Position
 }
 
-// startReplica starts a gateway's process, with the state file that it has.
+// startReplica starts a gateway's process with its state file.
 func (w *World) startReplica(r *replica) {
 	r.incarnation++
 	r.up, r.stoppedUntil, r.link = true, 0, nil
@@ -49,14 +53,8 @@
 	r.client = distribution.NewReplica(replicaSettings(r.id, r.incarnation, r.zone), state, random)
 	var servers []distribution.Server
 	for _, s := range w.servers {
-		servers = append(
-			servers,
-			distribution.Server{
-				ID:      s.id,
-				Address: s.id,
-				Place:   distribution.Place{Zone: s.zone, Region: "south"},
-			},
-		)
+		place := distribution.Place{Zone: s.zone, Region: "south"}
+		servers = append(servers, distribution.Server{ID: s.id, Address: s.id, Place: place})
 	}
 	r.client.SetServers(w.now, servers)
 	w.driveReplica(r)
@@ -71,19 +69,19 @@
 	}
 }
 
-// onReplica has a gateway's process do something now, or when it goes on.
-func (w *World) onReplica(r *replica, boot uint64, do func()) {
+// onReplica calls do for a gateway's process now, or when it resumes.
+func (w *World) onReplica(r *replica, incarnation uint64, do func()) {
 	switch {
-	case !r.up || r.incarnation != boot:
+	case !r.up || r.incarnation != incarnation:
 	case w.now < r.stoppedUntil:
-		w.at(r.stoppedUntil, func() { w.onReplica(r, boot, do) })
+		w.at(r.stoppedUntil, func() { w.onReplica(r, incarnation, do) })
 	default:
 		do()
 		w.driveReplica(r)
 	}
 }
 
-// driveReplica carries out what a client wants done, and wakes it when it wants to be woken.
+// driveReplica carries out a client's actions, and schedules its next tick.
 func (w *World) driveReplica(r *replica) {
 	for _, action := range r.client.Take() {
 		switch a := action.(type) {
@@ -108,17 +106,17 @@
 		}
 	}
 	r.woken++
-	woken, boot := r.woken, r.incarnation
+	woken, incarnation := r.woken, r.incarnation
 	if wake := r.client.Wake(); wake < time.Hour {
 		w.at(max(wake, w.now+time.Millisecond), func() {
 			if r.woken == woken {
-				w.onReplica(r, boot, func() { r.client.Tick(w.now) })
+				w.onReplica(r, incarnation, func() { r.client.Tick(w.now) })
 			}
 		})
 	}
 }
 
-// deliver has the gateway act on changes, and holds the outcome against the model.
+// deliver applies changes to the gateway, and checks the result against the model.
 func (w *World) deliver(r *replica, d distribution.Deliver) {
 	w.result.Delivered++
 	if d.Position.Compare(r.position) < 0 {
@@ -135,7 +133,7 @@
 	w.checkState(r, d.Position)
 }
 
-// checkState holds what a gateway has against what was agreed at a position.
+// checkState compares what a gateway has with what was committed at a position.
 func (w *World) checkState(r *replica, at distribution.Position) {
 	l := w.lineages[at.Epoch]
 	if l == nil || at.Revision > l.newest() {
--- a/sim/distribution/search.go
+++ b/sim/distribution/search.go
@@ -7,22 +7,24 @@
 	"mothcleat/sim/parallel"
 )
 
-// Finding is a play that breaks a promise; its seed and size play it again.
+// Finding is a play that breaks a promise. Its seed and size reproduce it.
 type Finding struct {
 	Seed   uint64 `json:"seed"`
 	Size   Size   `json:"size"`
 	Breach Breach `json:"breach"`
-	After  int    `json:"after"` // plays until it was found
+	// PlaysUntilFound counts the plays until it was found.
+	PlaysUntilFound int `json:"after"`
 }
 
-// SearchResult is what a search came to.
+// SearchResult is the result of a search.
 type SearchResult struct {
 	Plays, Revisions, Delivered int
 	Repairs, Resumes            uint64
 	Faults                      map[string]int
-	Refused                     map[string]int // messages and files, by the type of error
-	Findings                    []Finding
-	Took                        time.Duration
+	// Refused counts rejected messages and files by type of error.
+	Refused  map[string]int
+	Findings []Finding
+	Took     time.Duration
 }
 
 // FaultKinds are the faults that are played.
@@ -50,21 +52,21 @@
 	"state file lost", "stream broken", "stream cut", "term from a difference",
 }
 
-const playLength = 40 * time.Second // of a play, before it comes to rest
+// playLength is the length of a play before it comes to rest.
+const playLength = 40 * time.Second
 
-// Search plays one schedule after another, on all cores, until so many were played or one was
-// found.
-func Search(ctx context.Context, seed uint64, most int) SearchResult {
+// Search plays schedules on all cores until maxPlays were played or one breaks a promise.
+func Search(ctx context.Context, seed uint64, maxPlays int) SearchResult {
 	f := SearchResult{Faults: map[string]int{}, Refused: map[string]int{}}
 	began := time.Now()
 	draw := func(n int) Finding {
 		return Finding{
-			Seed:  seed*1_000_003 + uint64(n),
-			Size:  Size{Servers: 2 + n%4, Replicas: 4 + n%7},
-			After: n + 1,
+			Seed:            seed*1_000_003 + uint64(n),
+			Size:            Size{Servers: 2 + n%4, Replicas: 4 + n%7},
+			PlaysUntilFound: n + 1,
 		}
 	}
-	parallel.Until(ctx, most, func(n int) Result {
+	parallel.Until(ctx, maxPlays, func(n int) Result {
 		one := draw(n)
 		return Play(one.Seed, one.Size, playLength)
 	}, func(n int, r Result) bool {
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -11,27 +11,32 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// server is one control machine: a voter's machine and the publisher behind it.
+// server is one control-plane server: a voter's machine and its publisher.
 type server struct {
-	id, zone     string
-	lineage      *lineage
-	applied      int // entries of the lineage's log
-	machine      *distribution.Machine
-	publisher    *distribution.Publisher
-	incarnation  uint64
-	up           bool
-	stoppedUntil time.Duration // until then it does nothing
-	cutUntil     time.Duration // until then nothing passes, and nobody is told
-	pulling      bool
-	wakeNumber   uint64
-	links        map[distribution.StreamID]*link
-	slowLog      time.Duration // by how much longer entries take to it
+	id, zone string
+	lineage  *lineage
+	// applied is the number of entries of the lineage's log that it has applied.
+	applied     int
+	machine     *distribution.Machine
+	publisher   *distribution.Publisher
+	incarnation uint64
+	up          bool
+	// stoppedUntil is until when it is suspended.
+	stoppedUntil time.Duration
+	// cutUntil is until when nothing passes, and nobody is notified.
+	cutUntil   time.Duration
+	pulling    bool
+	wakeNumber uint64
+	links      map[distribution.StreamID]*link
+	// slowLog is the additional delay of log entries.
+	slowLog time.Duration
 
-	owner lease.Member // of the source, as far as it has applied
+	// owner is the leader of the source, as far as it has applied the log.
+	owner lease.Member
 	term  uint64
 }
 
-// Fence is the table of the one duty, as far as the server has applied the log.
+// Fence accepts commands of the leader of the source, as far as the server has applied the log.
 func (s *server) Fence(_ string, term uint64, who lease.Member) error {
 	if term != s.term || who != s.owner {
 		return lease.ErrStaleTerm
@@ -39,8 +44,8 @@
 	return nil
 }
 
-// restart starts a server's process with the log applied up to an entry: the last, or an earlier
-// one where its folder is older.
+// restart starts a server's process with the log applied up to an entry: the last one, or an
+// earlier one if its directory is older.
 func (w *World) restart(s *server, l *lineage, applied int) {
 	w.kill(s)
 	s.up, s.stoppedUntil, s.lineage, s.applied = true, 0, l, 0
@@ -49,11 +54,11 @@
 	for s.applied < applied {
 		w.apply(s)
 	}
-	fresh := distribution.NewMachine(s)
-	if err := fresh.Restore(s.machine.Snapshot()); err != nil {
+	restored := distribution.NewMachine(s)
+	if err := restored.Restore(s.machine.Snapshot()); err != nil {
 		panic(err) // what it wrote itself
 	}
-	s.machine = fresh
+	s.machine = restored
 	s.publisher = distribution.NewPublisher(w.publisherSettings, s.machine.State(),
 		rand.New(rand.NewPCG(w.random.Uint64(), 1)))
 	s.machine.Updated = func(u distribution.Update) { w.updated(s, u) }
@@ -61,7 +66,7 @@
 	w.drive(s)
 }
 
-// kill ends a server's process. Its replicas hear of it, unless it is cut.
+// kill ends a server's process. Its replicas are notified unless it is cut off.
 func (w *World) kill(s *server) {
 	s.incarnation++
 	s.up, s.pulling = false, false
@@ -71,28 +76,28 @@
 	s.links = map[distribution.StreamID]*link{}
 }
 
-// onServer has a server's process do something now, or when it goes on.
-func (w *World) onServer(s *server, boot uint64, do func()) {
+// onServer calls do for a server's process now, or when it resumes.
+func (w *World) onServer(s *server, incarnation uint64, do func()) {
 	switch {
-	case !s.up || s.incarnation != boot:
+	case !s.up || s.incarnation != incarnation:
 	case w.now < s.stoppedUntil:
-		w.at(s.stoppedUntil, func() { w.onServer(s, boot, do) })
+		w.at(s.stoppedUntil, func() { w.onServer(s, incarnation, do) })
 	default:
 		do()
 		w.drive(s)
 	}
 }
 
-// pull has a server apply what is in the log, each entry after a delay.
+// pull makes a server apply the log, each entry after a delay.
 func (w *World) pull(s *server) {
 	if !s.up || s.pulling || s.applied >= len(s.lineage.log) {
 		return
 	}
 	s.pulling = true
-	boot := s.incarnation
+	incarnation := s.incarnation
 	delay := w.between(time.Millisecond, 10*time.Millisecond) + s.slowLog
 	w.after(delay, func() {
-		w.onServer(s, boot, func() {
+		w.onServer(s, incarnation, func() {
 			s.pulling = false
 			if w.now >= s.cutUntil {
 				w.apply(s)
@@ -104,7 +109,7 @@
 	})
 }
 
-// pullSoon goes on pulling; a server that is cut off tries again later.
+// pullSoon continues to apply the log. A server that is cut off tries again later.
 func (w *World) pullSoon(s *server) {
 	if w.now < s.cutUntil {
 		w.at(s.cutUntil, func() { w.pull(s) })
@@ -113,7 +118,7 @@
 	w.pull(s)
 }
 
-// apply takes the next entry in.
+// apply applies the next entry.
 func (w *World) apply(s *server) {
 	next := s.lineage.log[s.applied]
 	s.applied++
@@ -124,8 +129,8 @@
 	s.machine.Apply(w.now, uint64(s.applied), next.who, next.command)
 }
 
-// updated hands a change on to the publisher, and looks later whether an urgent one has come to
-// where it had to.
+// updated passes a change to the publisher, and checks later whether an urgent one has arrived in
+// time.
 func (w *World) updated(s *server, u distribution.Update) {
 	s.publisher.Update(w.now, u)
 	if u.Delta == nil || !u.Delta.Urgent() {
@@ -148,8 +153,8 @@
 	}
 }
 
-// current reports whether a link's replica had everything before a delta, and nothing was ever wrong
-// with the link: a request that was lost shows later.
+// current reports whether a link's replica had everything before a delta, and the link was never
+// disturbed, as a lost request shows later.
 func (w *World) current(l *link, d *distribution.Delta) bool {
 	r := l.replica
 	running := l.open && r.up && r.incarnation == l.replicaIncarnation && w.now >= r.stoppedUntil &&
@@ -159,7 +164,7 @@
 	return running && passing && r.client.Live() && at.Revision == d.From && at.Epoch == d.Epoch
 }
 
-// drive sends what a server's publisher wants sent, and wakes it when it wants to be woken.
+// drive sends what a server's publisher wants to send, and schedules its next tick.
 func (w *World) drive(s *server) {
 	for _, send := range s.publisher.Take(w.now) {
 		if l := s.links[send.Stream]; l != nil {
@@ -167,15 +172,15 @@
 		}
 	}
 	s.wakeNumber++
-	woken, boot := s.wakeNumber, s.incarnation
+	woken, incarnation := s.wakeNumber, s.incarnation
 	w.at(s.publisher.Wake(w.now), func() {
 		if s.wakeNumber == woken {
-			w.onServer(s, boot, func() { s.publisher.Tick(w.now) })
+			w.onServer(s, incarnation, func() { s.publisher.Tick(w.now) })
 		}
 	})
 }
 
-// handleRequest takes in a replica's request, and ends the stream where the publisher wants that.
+// handleRequest handles a replica's request, and ends the stream if the publisher rejects it.
 func (w *World) handleRequest(s *server, l *link, m *distributionpb.WatchRequest) {
 	if err := s.publisher.Received(w.now, l.id, m); err != nil {
 		w.refused(err)
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -1,9 +1,9 @@
 // Package distribution plays the distribution of control state in virtual time: the real machines,
-// publishers and replicas of mothcleat/internal/controlplane/distribution over one agreed history.
-// Links lose, double, damage and delay messages, are slow or cut; servers stop, are killed and come
-// back, also from an older state; gateways restart with, without and with a damaged state file; the
-// source changes its term amid bursts; the fleet is founded anew. A model that is a plain map holds
-// everything that a gateway is given against what was agreed.
+// publishers and replicas of internal/controlplane/distribution over one history. Links lose,
+// duplicate, damage and delay messages, are slow or cut. Servers are suspended, killed and
+// restarted, also from an older state. Gateways restart with, without and with a damaged state
+// file. The source changes its term during bursts, and the fleet is created anew. A model that is a
+// plain map checks everything that a gateway is given against what was committed.
 package distribution
 
 import (
@@ -16,27 +16,29 @@
 )
 
 const (
-	fleetName   = "emulated"
-	quietPeriod = 60 * time.Second // at the end nothing goes wrong any more
-	// urgentTimeout is by when an urgent change has to be in force where nothing disturbs the
-	// stream.
+	fleetName = "emulated"
+	// quietPeriod is the time without faults at the end of a play.
+	quietPeriod = 60 * time.Second
+	// urgentTimeout is how long an urgent change may take on an undisturbed stream.
 	urgentTimeout = 750 * time.Millisecond
 )
 
-// Rule is a promise that a play looks at.
+// Rule is a promise that a play checks.
 type Rule string
 
 // The rules.
 const (
-	// Diverged: a gateway that was told a position did not have the records that were agreed there.
+	// Diverged is broken if a gateway at a position does not have the records that were committed
+	// there.
 	Diverged Rule = "diverged"
-	// StaleOperations: a gateway was taken back to an earlier position, and so a drain was undone.
+	// StaleOperations is broken if a gateway goes back to an earlier position, so that a drain is
+	// undone.
 	StaleOperations Rule = "stale_operations"
-	// LostChanges: after a time of quiet a gateway does not have the newest state.
+	// LostChanges is broken if a gateway does not have the newest state after a quiet period.
 	LostChanges Rule = "lost_changes"
-	// LateUrgent: a drain or deletion took long on a stream that nothing disturbed.
+	// LateUrgent is broken if a drain or deletion takes long on an undisturbed stream.
 	LateUrgent Rule = "late_urgent"
-	// EarlyResume: a replica came back before the time that it was given.
+	// EarlyResume is broken if a replica comes back before the time that it was given.
 	EarlyResume Rule = "early_resume"
 )
 
@@ -47,22 +49,24 @@
 	At     string `json:"at"`
 }
 
-// Size is how large a play is.
+// Size is the size of a play.
 type Size struct {
 	Servers  int `json:"servers"`
 	Replicas int `json:"replicas"`
 }
 
-// Result is what a play came to.
+// Result is the result of a play.
 type Result struct {
 	Breach    *Breach
 	Faults    map[string]int
 	Revisions int
-	Delivered int // to gateways
+	// Delivered counts deliveries to gateways.
+	Delivered int
 	Repairs   uint64
 	Resumes   uint64
 	Retries   uint64
-	Refused   map[string]int // messages, by the type of error
+	// Refused counts rejected messages by type of error.
+	Refused map[string]int
 }
 
 // World is one play.
@@ -73,8 +77,9 @@
 	sequence uint64
 	quiet    bool
 
-	lineage           *lineage            // the fleet's
-	lineages          map[uint64]*lineage // all that there were, by epoch
+	lineage *lineage // the fleet's
+	// lineages are all lineages that there were, by epoch.
+	lineages          map[uint64]*lineage
 	registry          registry
 	servers           []*server
 	replicas          []*replica
@@ -83,8 +88,8 @@
 	result            Result
 }
 
-// event is something that happens at a time; of two at one time the one that was planned first
-// comes first.
+// event is scheduled for a time. Of two events at one time the one that was scheduled first comes
+// first.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -110,20 +115,20 @@
 	return x
 }
 
-// at plans something; what is past happens now.
+// at schedules an event. A time in the past means now.
 func (w *World) at(when time.Duration, do func()) {
 	w.sequence++
 	heap.Push(&w.events, event{max(when, w.now), w.sequence, do})
 }
 
-func (w *World) after(span time.Duration, do func()) { w.at(w.now+span, do) }
+func (w *World) after(delay time.Duration, do func()) { w.at(w.now+delay, do) }
 
-// between draws a time from one to another.
+// between draws a duration.
 func (w *World) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// chance is true once in n; never in calm.
+// chance is true once in n calls on average, and never in the quiet period. It counts the fault.
 func (w *World) chance(fault string, n int) bool {
 	if w.quiet || w.random.IntN(n) != 0 {
 		return false
@@ -138,7 +143,7 @@
 	}
 }
 
-// publisherSettings are tight: the log is short, and resyncs wait for one another.
+// publisherSettings returns tight settings: the log is short, and resyncs wait for one another.
 func publisherSettings() distribution.PublisherSettings {
 	s := distribution.DefaultPublisherSettings(fleetName)
 	s.Log = distribution.LogBounds{Entries: 24, Bytes: 64 << 10}
@@ -147,21 +152,21 @@
 	return s
 }
 
-// replicaSettings are the real ones, with a state file that is written more often.
-func replicaSettings(id string, boot uint64, zone string) distribution.ReplicaSettings {
+// replicaSettings returns the real settings, with a state file that is written more often.
+func replicaSettings(id string, incarnation uint64, zone string) distribution.ReplicaSettings {
 	s := distribution.DefaultReplicaSettings(fleetName, id)
-	s.Incarnation, s.Place = boot, distribution.Place{Zone: zone, Region: "south"}
+	s.Incarnation, s.Place = incarnation, distribution.Place{Zone: zone, Region: "south"}
 	s.PersistInterval, s.ReturnInterval = 2*time.Second, 20*time.Second
 	return s
 }
 
-// Play plays one schedule of faults of a length, and then a time of quiet.
+// Play plays one schedule of faults of a length, and then a quiet period.
 func Play(seed uint64, size Size, length time.Duration) Result {
 	w := &World{random: rand.New(rand.NewPCG(seed, 46)), publisherSettings: publisherSettings()}
 	w.lineages = map[uint64]*lineage{}
 	w.result = Result{Faults: map[string]int{}, Refused: map[string]int{}}
 	w.createFleet(size)
-	w.after(0, w.changeRegister)
+	w.after(0, w.changeRegistry)
 	w.after(w.between(time.Second, 3*time.Second), w.injectFault)
 	w.at(length, w.endFaults)
 	w.at(length+quietPeriod, w.checkConverged)
@@ -197,7 +202,7 @@
 	}
 }
 
-// checkConverged looks whether everybody has everything.
+// checkConverged checks whether every replica has the newest state.
 func (w *World) checkConverged() {
 	newest := w.lineage.newest()
 	for _, r := range w.replicas {
