--- a/internal/dataplane/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -146,29 +146,29 @@
 }
 
 // check returns which part of the configuration can't be served; nil: none.
-func (c *Config) check() error {
+func (cfg *Config) check() error {
 	switch {
-	case c.Listen == "":
+	case cfg.Listen == "":
 		return errors.New("listen: missing")
-	case c.Discovery == "":
+	case cfg.Discovery == "":
 		return errors.New("discovery: missing")
-	case c.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets: %d, at least %d wanted", c.Sockets, minSockets)
-	case c.Settings.Peers && (c.PeerListen == "" || len(c.Peers) != c.Settings.Gateways):
+	case cfg.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d, at least %d wanted", cfg.Sockets, minSockets)
+	case cfg.Settings.Peers && (cfg.PeerListen == "" || len(cfg.Peers) != cfg.Settings.Gateways):
 		return fmt.Errorf("peers: %d addresses for %d gateways, peer_listen %q",
-			len(c.Peers), c.Settings.Gateways, c.PeerListen)
-	case c.Settings.Counter && !c.Settings.Peers && c.Counter == "":
+			len(cfg.Peers), cfg.Settings.Gateways, cfg.PeerListen)
+	case cfg.Settings.Counter && !cfg.Settings.Peers && cfg.Counter == "":
 		return errors.New("counter: missing")
 	}
-	if err := c.checkAddresses(); err != nil {
+	if err := cfg.checkAddresses(); err != nil {
 		return err
 	}
-	for i, name := range c.Host.Classes {
+	for i, name := range cfg.Host.Classes {
 		if name == "" {
 			return fmt.Errorf("class %d has no name", i)
 		}
 	}
-	for i, name := range c.Host.Plans {
+	for i, name := range cfg.Host.Plans {
 		if name == "" {
 			return fmt.Errorf("plan %d has no name", i)
 		}
@@ -177,11 +177,11 @@
 }
 
 // checkAddresses checks the form of the addresses that are given.
-func (c *Config) checkAddresses() error {
+func (cfg *Config) checkAddresses() error {
 	addresses := map[string]string{
-		"discovery":  c.Discovery,
-		"counter":    c.Counter,
-		"management": c.Management,
+		"discovery":  cfg.Discovery,
+		"counter":    cfg.Counter,
+		"management": cfg.Management,
 	}
 	for name, address := range addresses {
 		if address == "" {
@@ -194,8 +194,8 @@
 	return nil
 }
 
-func (c *Config) setDefaultTimes() {
-	h := &c.Host
+func (cfg *Config) setDefaultTimes() {
+	h := &cfg.Host
 	if h.DialTimeout <= 0 {
 		h.DialTimeout = defaultDialTimeout
 	}
--- a/internal/dataplane/gateway/reload.go
+++ b/internal/dataplane/gateway/reload.go
@@ -77,14 +77,14 @@
 
 // restartOnlyChanges names the settings that another configuration would change and that only a
 // restart can.
-func (c *Config) restartOnlyChanges(other *Config) (names []string) {
+func (cfg *Config) restartOnlyChanges(other *Config) (names []string) {
 	for name, changed := range map[string]bool{
-		"name":        c.Name != other.Name,
-		"listen":      c.Listen != other.Listen,
-		"management":  c.Management != other.Management,
-		"peer_listen": c.PeerListen != other.PeerListen,
-		"peers":       !slices.Equal(c.Peers, other.Peers),
-		"limits":      c.MemoryMB != other.MemoryMB || c.Sockets != other.Sockets,
+		"name":        cfg.Name != other.Name,
+		"listen":      cfg.Listen != other.Listen,
+		"management":  cfg.Management != other.Management,
+		"peer_listen": cfg.PeerListen != other.PeerListen,
+		"peers":       !slices.Equal(cfg.Peers, other.Peers),
+		"limits":      cfg.MemoryMB != other.MemoryMB || cfg.Sockets != other.Sockets,
 	} {
 		if changed {
 			names = append(names, name)
