--- a/internal/testing/harness/quota.go
+++ b/internal/testing/harness/quota.go
@@ -38,10 +38,10 @@
 )
 
 // requestPeriod returns the times of the first and the last request.
-func (rec *Record) requestPeriod() (from, to time.Duration) {
+func (r *Record) requestPeriod() (from, to time.Duration) {
 	first := true
-	for i := range rec.Tries {
-		if t := &rec.Tries[i]; t.ID == t.First {
+	for i := range r.Tries {
+		if t := &r.Tries[i]; t.ID == t.First {
 			if first || t.RequestedAt < from {
 				from, first = t.RequestedAt, false
 			}
