--- a/internal/dataplane/forwardauth/step_test.go
+++ b/internal/dataplane/forwardauth/step_test.go
@@ -35,13 +35,20 @@
 	h.decided[id] = v
 }
 
+// recheckInterval is how often a condition is checked while no event comes: some hold by the passing
+// of time alone, such as the end of a breaker's opening.
+const recheckInterval = time.Millisecond
+
 // until runs the host until a condition holds.
 func (h *fakeHost) until(what string, so func() bool) {
 	h.t.Helper()
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
 	for late := time.After(patience); !so(); {
 		select {
 		case f := <-h.events:
 			f()
+		case <-recheck.C:
 		case <-late:
 			h.t.Fatal("timed out waiting for ", what)
 		}
@@ -133,7 +140,6 @@
 		} else if v == authz.Allow {
 			return true
 		}
-		time.Sleep(time.Millisecond) // the breaker's time passes
 		return false
 	})
 	if n := most.Load(); n > calls {
