--- a/internal/controlplane/configversion/fencing.go
+++ b/internal/controlplane/configversion/fencing.go
@@ -5,6 +5,9 @@
 // maxDelayDoublings bounds the readmission delay of a gateway that flaps.
 const maxDelayDoublings = 6
 
+// ReasonNoResponseYet is why a process is fenced from its start until the first response.
+const ReasonNoResponseYet = "no response from the fleet yet"
+
 // fencing is whether a process is fenced: without a valid lease it operates under no version. A
 // process that is fenced again and again is readmitted later each time.
 type fencing struct {
@@ -89,7 +92,7 @@
 	case h.LeasedUntil(now) != 0:
 		return ""
 	case !h.received:
-		return "no response from the fleet yet"
+		return ReasonNoResponseYet
 	case h.fencing.byFleet != "":
 		return h.fencing.byFleet
 	case now >= h.expiry:
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -347,7 +347,7 @@
 		out := false
 		for _, m := range outs.FindAllStringSubmatch(g.Log(), -1) {
 			if is := strings.HasPrefix(m[1], "fenced"); is &&
-				!strings.Contains(m[0], "not heard the fleet yet") {
+				!strings.Contains(m[0], configversion.ReasonNoResponseYet) {
 				shut++
 				out = true
 			} else if !is && out {
