--- a/internal/testing/electiontest/checker.go
+++ b/internal/testing/electiontest/checker.go
@@ -128,12 +128,12 @@
 
 // reportFaults reports the injected faults, and fails a run in which some kind was not injected.
 func (t *trialRun) reportFaults(summary *harness.Summary) {
-	for name, count := range t.did {
+	for name, count := range t.injected {
 		summary.Extra[strings.ReplaceAll(name, " ", "_")] = count
 	}
 	summary.Extra["held_pieces"] = t.f.Held()
 	for _, name := range []string{"late_wakes", "stops", "cuts", "kills"} {
-		if t.did[name] == 0 {
+		if t.injected[name] == 0 {
 			summary.AddFailure("no " + name + ": nothing was shown")
 			summary.Extra[name] = 0
 		}
@@ -215,7 +215,7 @@
 			continue
 		}
 		for _, row := range rows[1:] {
-			if i, ok := number(row[0]); ok {
+			if i, ok := gatewayIndex(row[0]); ok {
 				units, _ := strconv.ParseFloat(row[6], 64)
 				got[i] += units
 			}
@@ -329,9 +329,9 @@
 func (t *trialRun) reportVacancies(f *harness.Summary) {
 	byRole := t.acquisitions()
 	var failovers, transfers []time.Duration
-	for _, p := range t.free {
+	for _, p := range t.vacancies {
 		next := time.Time{}
-		for _, a := range byRole[p.duty] {
+		for _, a := range byRole[p.role] {
 			if a.term > p.term && (next.IsZero() || a.at.Before(next)) {
 				next = a.at
 			}
@@ -339,8 +339,8 @@
 		if next.IsZero() {
 			continue
 		}
-		vacancy := max(0, next.Sub(p.at))
-		if p.order {
+		vacancy := max(0, next.Sub(p.begin))
+		if p.transferred {
 			transfers = append(transfers, vacancy)
 		} else {
 			failovers = append(failovers, vacancy)
--- a/internal/testing/electiontest/faults.go
+++ b/internal/testing/electiontest/faults.go
@@ -22,7 +22,7 @@
 func (t *trialRun) faults(ctx context.Context) {
 	defer t.heal()
 	var wg sync.WaitGroup
-	track := func(seed uint64, least, most float64, kinds ...func(context.Context, *rand.Rand)) {
+	track := func(seed uint64, minPause, maxPause float64, kinds ...func(context.Context, *rand.Rand)) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -30,7 +30,7 @@
 			for {
 				r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 				for _, kind := range kinds {
-					if !testcluster.Pass(ctx, span(r, least, most)) {
+					if !testcluster.Pass(ctx, randomDuration(r, minPause, maxPause)) {
 						return
 					}
 					kind(ctx, r)
@@ -38,8 +38,8 @@
 			}
 		}()
 	}
-	track(0x0117e5, 0.3, 1.2, t.stopAmidExport, t.stopAmidExport, t.stopLeader, t.killOwner,
-		t.killAtPoint, t.handOn, t.stopOwner, t.transfer, t.slowDisk, t.emptyFolder)
+	track(0x0117e5, 0.3, 1.2, t.suspendAmidExport, t.suspendAmidExport, t.suspendLogLeader, t.killRoleLeader,
+		t.killAtPoint, t.handOn, t.suspendRoleLeader, t.transfer, t.slowDisk, t.emptyFolder)
 	track(0x11111e, 0.5, 2, t.cutOneWay, t.isolate, t.weather)
 	wg.Wait()
 }
@@ -58,46 +58,51 @@
 	}
 }
 
-func (t *trialRun) duty(r *rand.Rand) string { return usageexport.RoleOfShard(r.IntN(t.o.Shards)) }
+// randomRole returns the role of one shard of the export.
+func (t *trialRun) randomRole(r *rand.Rand) string {
+	return usageexport.RoleOfShard(r.IntN(t.o.Shards))
+}
 
-func span(r *rand.Rand, least, most float64) time.Duration {
-	return time.Duration(harness.Between(r, least, most) * float64(time.Second))
+// randomDuration returns a duration between two numbers of seconds.
+func randomDuration(r *rand.Rand, minSeconds, maxSeconds float64) time.Duration {
+	return time.Duration(harness.Between(r, minSeconds, maxSeconds) * float64(time.Second))
 }
 
-// stop has a process lie still for a while.
-func (t *trialRun) stop(ctx context.Context, i int, d time.Duration) {
+// suspend suspends a process for a while.
+func (t *trialRun) suspend(ctx context.Context, i int, d time.Duration) {
 	if err := t.f.Stop(i); err != nil {
 		t.fail(err)
 		return
 	}
-	t.count("stops")
+	t.countFault("stops")
 	testcluster.Pass(ctx, d)
 	t.fail(t.f.Wake(i))
 }
 
-func (t *trialRun) ended(duty string, h lease.Lease, order bool) {
+// beginVacancy records that a role loses its leader now.
+func (t *trialRun) beginVacancy(role string, h lease.Lease, order bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.free = append(t.free, passing{duty, h.Term, time.Now(), order})
+	t.vacancies = append(t.vacancies, vacancy{role, h.Term, time.Now(), order})
 }
 
-func (t *trialRun) stopOwner(ctx context.Context, r *rand.Rand) {
-	duty := t.duty(r)
-	if i, h := t.owner(duty); i >= 0 {
-		t.note("stop %s, owner of %s under term %d", testcluster.Name(i), duty, h.Term)
-		t.ended(duty, h, false)
-		t.stop(ctx, i, span(r, 2, 5))
+func (t *trialRun) suspendRoleLeader(ctx context.Context, r *rand.Rand) {
+	role := t.randomRole(r)
+	if i, h := t.roleLeader(role); i >= 0 {
+		t.logFault("stop %s, owner of %s under term %d", testcluster.Name(i), role, h.Term)
+		t.beginVacancy(role, h, false)
+		t.suspend(ctx, i, randomDuration(r, 2, 5))
 	}
 }
 
-// stopAmidExport has the owner stop itself between its check and its write, and wakes it when
+// suspendAmidExport has the owner stop itself between its check and its write, and wakes it when
 // another has gone on.
-func (t *trialRun) stopAmidExport(ctx context.Context, r *rand.Rand) {
-	duty := t.duty(r)
+func (t *trialRun) suspendAmidExport(ctx context.Context, r *rand.Rand) {
+	role := t.randomRole(r)
 	point := []string{
 		"export-before-agree", "export-before-agree", "export-amid-write", "export-collected",
 	}[r.IntN(4)]
-	i, h := t.owner(duty)
+	i, h := t.roleLeader(role)
 	if i < 0 {
 		return
 	}
@@ -113,41 +118,41 @@
 		}
 	}
 	t.f.Record.AddProcessEvent(i, harness.Paused)
-	t.ended(duty, h, false)
-	t.note("%s stopped itself at %s, owner of %s under term %d",
-		testcluster.Name(i), point, duty, h.Term)
-	t.count("stops")
-	testcluster.Pass(ctx, span(r, 3, 5))
-	if _, next := t.owner(duty); next.Term > h.Term {
-		t.count("late_wakes")
+	t.beginVacancy(role, h, false)
+	t.logFault("%s stopped itself at %s, owner of %s under term %d",
+		testcluster.Name(i), point, role, h.Term)
+	t.countFault("stops")
+	testcluster.Pass(ctx, randomDuration(r, 3, 5))
+	if _, next := t.roleLeader(role); next.Term > h.Term {
+		t.countFault("late_wakes")
 	}
 	t.fail(t.f.Wake(i))
 }
 
-func (t *trialRun) stopLeader(ctx context.Context, r *rand.Rand) {
-	if i := t.leader(); i >= 0 {
-		t.note("stop %s, the leader", testcluster.Name(i))
-		t.stop(ctx, i, span(r, 1.5, 4))
+func (t *trialRun) suspendLogLeader(ctx context.Context, r *rand.Rand) {
+	if i := t.logLeader(); i >= 0 {
+		t.logFault("stop %s, the leader", testcluster.Name(i))
+		t.suspend(ctx, i, randomDuration(r, 1.5, 4))
 	}
 }
 
 // kill ends a process and starts it again.
 func (t *trialRun) kill(ctx context.Context, r *rand.Rand, i int, then func()) {
-	t.count("kills")
+	t.countFault("kills")
 	t.killed[i]++
 	t.fail(t.f.End(i, syscall.SIGKILL))
 	if then != nil {
 		then()
 	}
-	testcluster.Pass(ctx, span(r, 0.2, 2))
+	testcluster.Pass(ctx, randomDuration(r, 0.2, 2))
 	t.fail(t.f.Begin(i))
 }
 
-func (t *trialRun) killOwner(ctx context.Context, r *rand.Rand) {
-	duty := t.duty(r)
-	if i, h := t.owner(duty); i >= 0 {
-		t.note("kill %s, owner of %s under term %d", testcluster.Name(i), duty, h.Term)
-		t.ended(duty, h, false)
+func (t *trialRun) killRoleLeader(ctx context.Context, r *rand.Rand) {
+	role := t.randomRole(r)
+	if i, h := t.roleLeader(role); i >= 0 {
+		t.logFault("kill %s, owner of %s under term %d", testcluster.Name(i), role, h.Term)
+		t.beginVacancy(role, h, false)
 		t.kill(ctx, r, i, nil)
 	}
 }
@@ -156,14 +161,14 @@
 func (t *trialRun) killAtPoint(ctx context.Context, r *rand.Rand) {
 	point := points[r.IntN(len(points))]
 	i := r.IntN(t.o.Instances)
-	duty := t.duty(r)
+	role := t.randomRole(r)
 	var h lease.Lease
 	if strings.HasPrefix(point, "export") {
-		if i, h = t.owner(duty); i < 0 {
+		if i, h = t.roleLeader(role); i < 0 {
 			return
 		}
 	} else if strings.HasPrefix(point, "voter") {
-		if i = t.leader(); i < 0 {
+		if i = t.logLeader(); i < 0 {
 			return
 		}
 	}
@@ -182,55 +187,55 @@
 	}
 	t.f.Record.AddProcessEvent(i, harness.Killed)
 	if h.Term > 0 {
-		t.ended(duty, h, false)
+		t.beginVacancy(role, h, false)
 	}
-	t.count("kills")
+	t.countFault("kills")
 	t.killed[i]++
-	t.note("%s killed itself at %s", testcluster.Name(i), point)
-	testcluster.Pass(ctx, span(r, 0.2, 1.5))
+	t.logFault("%s killed itself at %s", testcluster.Name(i), point)
+	testcluster.Pass(ctx, randomDuration(r, 0.2, 1.5))
 	t.fail(t.f.Begin(i))
 }
 
 // cutOneWay has a gateway be heard by nobody, or hear nobody.
 func (t *trialRun) cutOneWay(ctx context.Context, r *rand.Rand) {
-	i := t.leader()
+	i := t.logLeader()
 	if i < 0 || r.IntN(3) == 0 {
 		i = r.IntN(t.o.Instances)
 	}
 	says := r.IntN(2) == 0
-	t.note("%s %s", testcluster.Name(i),
+	t.logFault("%s %s", testcluster.Name(i),
 		map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
 	t.f.Isolate(i, says, !says, true)
-	testcluster.Pass(ctx, span(r, 2, 4))
+	testcluster.Pass(ctx, randomDuration(r, 2, 4))
 	t.f.Isolate(i, says, !says, false)
-	t.count("cuts")
+	t.countFault("cuts")
 }
 
 // isolate cuts a gateway off, or a pair of them from one another.
 func (t *trialRun) isolate(ctx context.Context, r *rand.Rand) {
 	i, j := r.IntN(t.o.Instances), r.IntN(t.o.Instances)
-	if owner, _ := t.owner(t.duty(r)); owner >= 0 && r.IntN(2) == 0 {
+	if owner, _ := t.roleLeader(t.randomRole(r)); owner >= 0 && r.IntN(2) == 0 {
 		i = owner
 	}
 	if i == j || r.IntN(2) == 0 {
-		t.note("%s is cut off", testcluster.Name(i))
+		t.logFault("%s is cut off", testcluster.Name(i))
 		t.f.Isolate(i, true, true, true)
-		testcluster.Pass(ctx, span(r, 2, 5))
+		testcluster.Pass(ctx, randomDuration(r, 2, 5))
 		t.f.Isolate(i, true, true, false)
 	} else {
-		t.note("%s and %s don't hear each other", testcluster.Name(i), testcluster.Name(j))
+		t.logFault("%s and %s don't hear each other", testcluster.Name(i), testcluster.Name(j))
 		t.f.Between(i, j, true)
-		testcluster.Pass(ctx, span(r, 2, 5))
+		testcluster.Pass(ctx, randomDuration(r, 2, 5))
 		t.f.Between(i, j, false)
 	}
-	t.count("cuts")
+	t.countFault("cuts")
 }
 
 // weather slows links, resets them, or leaves them half open.
 func (t *trialRun) weather(ctx context.Context, r *rand.Rand) {
 	i := r.IntN(t.o.Instances)
 	what := r.IntN(4)
-	t.note("links of %s: %s", testcluster.Name(i),
+	t.logFault("links of %s: %s", testcluster.Name(i),
 		[]string{"late", "a trickle", "reset", "half open"}[what])
 	for j, l := range t.f.Links[i] {
 		if l == nil {
@@ -250,58 +255,58 @@
 			l.HalfOpen()
 		}
 	}
-	t.count("weather")
-	testcluster.Pass(ctx, span(r, 1, 3))
+	t.countFault("weather")
+	testcluster.Pass(ctx, randomDuration(r, 1, 3))
 	t.f.Heal()
 }
 
 // handOn stops an owner in order.
 func (t *trialRun) handOn(ctx context.Context, r *rand.Rand) {
-	duty := t.duty(r)
-	i, h := t.owner(duty)
+	role := t.randomRole(r)
+	i, h := t.roleLeader(role)
 	if i < 0 {
 		return
 	}
-	t.note("%s, owner of %s under term %d, is told to stop", testcluster.Name(i), duty, h.Term)
-	t.ended(duty, h, true)
+	t.logFault("%s, owner of %s under term %d, is told to stop", testcluster.Name(i), role, h.Term)
+	t.beginVacancy(role, h, true)
 	t.fail(t.f.End(i, syscall.SIGTERM))
-	t.count("stopped in order")
-	testcluster.Pass(ctx, span(r, 0.1, 1))
+	t.countFault("stopped in order")
+	testcluster.Pass(ctx, randomDuration(r, 0.1, 1))
 	t.fail(t.f.Begin(i))
 }
 
 // transfer has a duty handed on by an operator's word.
 func (t *trialRun) transfer(ctx context.Context, r *rand.Rand) {
-	duty := t.duty(r)
-	i, h := t.owner(duty)
+	role := t.randomRole(r)
+	i, h := t.roleLeader(role)
 	to := r.IntN(t.o.Instances)
 	if i < 0 || i == to {
 		return
 	}
-	var told string
-	if t.view("transfer "+duty+" "+testcluster.Name(to), &told) == nil {
-		t.note("%s is to be handed on from %s to %s",
-			duty, testcluster.Name(i), testcluster.Name(to))
-		t.ended(duty, h, true)
-		t.count("transfers")
+	var answer string
+	if t.view("transfer "+role+" "+testcluster.Name(to), &answer) == nil {
+		t.logFault("%s is to be transferred from %s to %s",
+			role, testcluster.Name(i), testcluster.Name(to))
+		t.beginVacancy(role, h, true)
+		t.countFault("transfers")
 	}
 }
 
 // slowDisk has a voter's sync take three seconds.
 func (t *trialRun) slowDisk(ctx context.Context, r *rand.Rand) {
-	i := t.leader()
+	i := t.logLeader()
 	if i < 0 {
 		return
 	}
 	flag := filepath.Join(t.f.Gateways[i].Dir(), "slow-sync")
-	t.note("the disk of %s, the leader, is slow", testcluster.Name(i))
+	t.logFault("the disk of %s, the leader, is slow", testcluster.Name(i))
 	if err := os.WriteFile(flag, nil, 0o600); err != nil {
 		t.fail(err)
 		return
 	}
-	testcluster.Pass(ctx, span(r, 2, 4))
+	testcluster.Pass(ctx, randomDuration(r, 2, 4))
 	t.fail(os.Remove(flag))
-	t.count("slow disks")
+	t.countFault("slow disks")
 }
 
 // emptyFolder kills a gateway that is no voter, and takes its folder away, once a run.
@@ -310,7 +315,7 @@
 	if len(t.emptied) > 0 || t.o.Instances < 4 {
 		return
 	}
-	t.note("kill %s and take its folder away", testcluster.Name(i))
+	t.logFault("kill %s and take its folder away", testcluster.Name(i))
 	t.emptied[i] = true
 	t.kill(ctx, r, i, func() { t.fail(t.f.Empty(i)) })
 }
--- a/internal/testing/electiontest/hard_test.go
+++ b/internal/testing/electiontest/hard_test.go
@@ -31,7 +31,7 @@
 	f := fleet(t, testcluster.Options{Instances: 3})
 	duty := usageexport.RoleOfShard(0)
 	hasOwner(t, f, 0, duty, 0)
-	i, ok := number(status(t, f, 0).Leader)
+	i, ok := gatewayIndex(status(t, f, 0).Leader)
 	if !ok {
 		t.Fatal("no leader")
 	}
@@ -122,7 +122,7 @@
 	if err := errors.Join(f.Command(3, nil, "fleet", "join", "n3", "--operators", "operators.toml"), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
-	cut, ok := number(status(t, f, 0).Leader)
+	cut, ok := gatewayIndex(status(t, f, 0).Leader)
 	if !ok {
 		t.Fatal("no leader")
 	}
@@ -205,7 +205,7 @@
 	f := fleet(t, testcluster.Options{Instances: 4})
 	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 	was := status(t, f, 3)
-	i, ok := number(was.Leader)
+	i, ok := gatewayIndex(was.Leader)
 	if !ok {
 		t.Fatal("no leader")
 	}
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -216,7 +216,7 @@
 	for _, says := range []bool{true, false} {
 		var i int
 		clustertest.Eventually(t, "a leader", func() (bool, string) {
-			i = run.leader()
+			i = run.logLeader()
 			return i >= 0, ""
 		})
 		var was consensus.Membership
@@ -389,7 +389,7 @@
 	)
 	run := &trialRun{f: f, o: Options{Instances: 3, Shards: 1}}
 	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
-	i := run.leader()
+	i := run.logLeader()
 	if i < 0 {
 		t.Fatal("no leader")
 	}
--- a/internal/testing/electiontest/run.go
+++ b/internal/testing/electiontest/run.go
@@ -53,25 +53,25 @@
 
 // trialRun is one run.
 type trialRun struct {
-	f        *testcluster.Fleet
-	o        Options
-	progress io.Writer
-	asked    atomic.Int32 // the gateway that answered last
-	mu       sync.Mutex   // guards what follows
-	did      map[string]int
-	schedule []string
-	free     []passing // how the duty passed on, where that was asked of a fault
-	killed   []int     // by gateway
-	emptied  map[int]bool
-	errs     []error
+	f         *testcluster.Fleet
+	o         Options
+	progress  io.Writer
+	asked     atomic.Int32 // the gateway that answered last
+	mu        sync.Mutex   // guards what follows
+	injected  map[string]int
+	schedule  []string
+	vacancies []vacancy // that faults have begun
+	killed    []int     // by gateway
+	emptied   map[int]bool
+	errs      []error
 }
 
-// passing is when an owner ended, and under which term.
-type passing struct {
-	duty  string
-	term  uint64
-	at    time.Time
-	order bool // handed on in order
+// vacancy is when a role lost its leader, and under which term it was led.
+type vacancy struct {
+	role        string
+	term        uint64
+	begin       time.Time
+	transferred bool // the leader transferred it
 }
 
 // Run plays a fleet and judges it.
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	t := &trialRun{f: f, o: o, progress: progress, did: map[string]int{},
+	t := &trialRun{f: f, o: o, progress: progress, injected: map[string]int{},
 		killed: make([]int, o.Instances), emptied: map[int]bool{}}
 	// The points' faults need an environment of their own: each process starts anew with it.
 	for i, g := range f.Gateways {
@@ -156,7 +156,7 @@
 	for {
 		held := 0
 		for shard := range t.o.Shards {
-			if i, _ := t.owner(usageexport.RoleOfShard(shard)); i >= 0 {
+			if i, _ := t.roleLeader(usageexport.RoleOfShard(shard)); i >= 0 {
 				held++
 			}
 		}
@@ -186,14 +186,14 @@
 	return errors.Join(errors.New("nobody tells "+line), err)
 }
 
-// owner is who holds a duty; -1: nobody, or nobody tells.
-func (t *trialRun) owner(duty string) (int, lease.Lease) {
+// roleLeader returns the gateway that leads a role, and its lease; -1: there is none, or no answer.
+func (t *trialRun) roleLeader(role string) (int, lease.Lease) {
 	var v lease.View
 	if t.view("owners", &v) != nil {
 		return -1, lease.Lease{}
 	}
 	for _, h := range v.Leases {
-		if i, ok := number(h.Holder.ID); h.Role == duty && ok && v.At <= h.ExpiresAt &&
+		if i, ok := gatewayIndex(h.Holder.ID); h.Role == role && ok && v.At <= h.ExpiresAt &&
 			!h.Unconfirmed {
 			return i, h
 		}
@@ -201,30 +201,30 @@
 	return -1, lease.Lease{}
 }
 
-func number(name string) (int, bool) {
+func gatewayIndex(name string) (int, bool) {
 	i, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	return i, err == nil && strings.HasPrefix(name, "n")
 }
 
-// leader is the voter that leads; -1: nobody tells.
-func (t *trialRun) leader() int {
+// logLeader returns the voter that leads; -1: there is none, or no answer.
+func (t *trialRun) logLeader() int {
 	var l consensus.Membership
 	if t.view("status", &l) != nil {
 		return -1
 	}
-	if i, ok := number(l.Leader); ok {
+	if i, ok := gatewayIndex(l.Leader); ok {
 		return i
 	}
 	return -1
 }
 
-func (t *trialRun) count(what string) {
+func (t *trialRun) countFault(what string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.did[what]++
+	t.injected[what]++
 }
 
-func (t *trialRun) note(format string, args ...any) {
+func (t *trialRun) logFault(format string, args ...any) {
 	line := fmt.Sprintf("%6.2fs ", t.f.Record.Now().Seconds()) + fmt.Sprintf(format, args...)
 	t.mu.Lock()
 	defer t.mu.Unlock()
