--- a/internal/controlplane/distribution/machine_test.go
+++ b/internal/controlplane/distribution/machine_test.go
@@ -62,14 +62,14 @@
 	fence.term = 2
 	requireTaken(t, m, command(2, testEpoch+1, true, draining("a"), ready("c", 1)))
 	requireTaken(t, m, command(2, testEpoch+1, true, draining("a"), ready("c", 1)))
-	type told struct {
+	type update struct {
 		changes  int
 		revision uint64
 		term     uint64
 	}
-	want := []told{{2, 1, 1}, {1, 2, 1}, {0, 2, 1}, {2, 3, 2}, {0, 3, 2}}
+	want := []update{{2, 1, 1}, {1, 2, 1}, {0, 2, 1}, {2, 3, 2}, {0, 3, 2}}
 	for i, u := range *updates {
-		got := told{0, u.State.Position().Revision, u.Term}
+		got := update{0, u.State.Position().Revision, u.Term}
 		if u.Delta != nil {
 			got.changes = len(u.Delta.Changes)
 		}
@@ -129,12 +129,12 @@
 	refused := func(body []byte, why string) {
 		t.Helper()
 		before := m.Snapshot()
-		told := len(*updates)
+		update := len(*updates)
 		if answer := string(m.Apply(0, 0, watcher, body)); !strings.Contains(answer, why) ||
 			answer == "" {
 			t.Errorf("%q does not say %q", answer, why)
 		}
-		if !bytes.Equal(before, m.Snapshot()) || len(*updates) != told {
+		if !bytes.Equal(before, m.Snapshot()) || len(*updates) != update {
 			t.Errorf("a refused command (%s) has changed the machine", why)
 		}
 	}
--- a/internal/controlplane/distribution/together_test.go
+++ b/internal/controlplane/distribution/together_test.go
@@ -23,7 +23,7 @@
 	attempt   uint64
 	down      []*distributionpb.WatchResponse
 	up        []*distributionpb.WatchRequest
-	told      map[string]string
+	delivered map[string]string
 	at        Position
 }
 
@@ -57,9 +57,9 @@
 	w.at = d.Position
 	for _, c := range d.Changes {
 		if key := c.Kind.String() + c.ID; c.Deleted {
-			delete(w.told, key)
+			delete(w.delivered, key)
 		} else {
-			w.told[key] = string(c.Value)
+			w.delivered[key] = string(c.Value)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultPublisherSettings(testFleet)
 		settings.Log.Entries = rapid.IntRange(1, 10).Draw(t, "log")
-		w := &together{T: t, state: NewState(), told: map[string]string{}}
+		w := &together{T: t, state: NewState(), delivered: map[string]string{}}
 		w.state.advance(testEpoch, drawChanges(t))
 		w.publisher = NewPublisher(settings, w.state.Clone(), testRandom())
 		w.replica = NewReplica(DefaultReplicaSettings(testFleet, "g"), NewState(), testRandom())
@@ -151,8 +151,8 @@
 				want[r.Kind.String()+r.ID] = string(r.Value)
 			}
 		}
-		if !maps.Equal(w.told, want) {
-			t.Fatalf("the gateway was told %v instead of %v", w.told, want)
+		if !maps.Equal(w.delivered, want) {
+			t.Fatalf("the gateway was delivered %v instead of %v", w.delivered, want)
 		}
 	})
 }
--- a/internal/controlplane/distributor/publish.go
+++ b/internal/controlplane/distributor/publish.go
@@ -56,10 +56,10 @@
 		return
 	}
 	defer closed()
-	news := make(chan registry.Update)
+	updates := make(chan registry.Update)
 	go source.Run(ctx, func(n registry.Update) {
 		select {
-		case news <- n:
+		case updates <- n:
 		case <-ctx.Done():
 		}
 	})
@@ -73,7 +73,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-news:
+		case n := <-updates:
 			registryHeard = n.Kind != registry.Unavailable
 			pending.update(n)
 		case <-beat.C:
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -261,13 +261,13 @@
 		"fleet: the list of servers is not heard: this gateway watches the register itself",
 		"silent_for", time.Since(l.sourceHeardAt).Round(time.Millisecond).String())
 	ctx, l.stopDirectWatch = context.WithCancel(ctx)
-	news := make(chan registry.Update)
-	l.directUpdates = news
+	updates := make(chan registry.Update)
+	l.directUpdates = updates
 	go func() {
 		defer closed()
 		source.Run(ctx, func(n registry.Update) {
 			select {
-			case news <- n:
+			case updates <- n:
 			case <-ctx.Done():
 			}
 		})
--- a/internal/controlplane/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -14,7 +14,7 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// directRegister is a register that is asked directly.
+// directRegister is a registry that is asked directly.
 type directRegister struct {
 	mu    sync.Mutex
 	runs  int
@@ -55,13 +55,13 @@
 	return d.runs - d.ended
 }
 
-// told is what a source has told so far.
-type told struct {
-	mu   sync.Mutex
-	news []string
+// updateRecorder records what a source has delivered.
+type updateRecorder struct {
+	mu      sync.Mutex
+	updates []string
 }
 
-func (l *told) tell(n registry.Update) {
+func (l *updateRecorder) tell(n registry.Update) {
 	var text []string
 	if n.Kind == registry.CompleteList {
 		text = append(text, "whole")
@@ -71,37 +71,37 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.news = append(l.news, strings.Join(text, " "))
+	l.updates = append(l.updates, strings.Join(text, " "))
 }
 
-// expect waits until exactly some news were told.
-func (l *told) expect(t *testing.T, want ...string) {
+// expect waits until exactly some updates were delivered.
+func (l *updateRecorder) expect(t *testing.T, want ...string) {
 	t.Helper()
 	eventually(t, func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return len(l.news) >= len(want)
+		return len(l.updates) >= len(want)
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !slices.Equal(l.news, want) {
-		t.Fatalf("%q was told instead of %q", l.news, want)
+	if !slices.Equal(l.updates, want) {
+		t.Fatalf("%q was told instead of %q", l.updates, want)
 	}
 }
 
-// expectAfter waits until what was told behind some news begins with a whole list and comes to some
+// expectAfter waits until what was delivered after some updates begins with a whole list and comes to some
 // members.
-func (l *told) expectAfter(t *testing.T, skip int, want string) {
+func (l *updateRecorder) expectAfter(t *testing.T, skip int, want string) {
 	t.Helper()
 	eventually(t, func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if len(l.news) <= skip {
+		if len(l.updates) <= skip {
 			return false
 		}
-		rest, whole := strings.CutPrefix(strings.Join(l.news[skip:], " "), "whole ")
+		rest, whole := strings.CutPrefix(strings.Join(l.updates[skip:], " "), "whole ")
 		if !whole || strings.Contains(rest, "whole") {
-			t.Fatalf("%q was told", l.news)
+			t.Fatalf("%q was told", l.updates)
 		}
 		return rest == want
 	})
@@ -111,11 +111,11 @@
 	return &distributionpb.Change{Kind: distributionpb.Kind_KIND_SERVER, Id: id, Deleted: true}
 }
 
-// newTestSource starts a source whose register is asked directly where the fleet's list is not
+// newTestSource starts a source whose registry is asked directly where the fleet's list is not
 // heard.
 func newTestSource(
 	t *testing.T, direct *directRegister, silent time.Duration, file string, s *testServer,
-) (*Source, *told) {
+) (*Source, *updateRecorder) {
 	t.Helper()
 	o := clientOptions("gateway", file, silent, quiet, s)
 	source := NewSource(SourceOptions{
@@ -123,7 +123,7 @@
 		Client:        o,
 		SourceTimeout: silent,
 	})
-	list := &told{}
+	list := &updateRecorder{}
 	var running sync.WaitGroup
 	running.Go(func() { source.Run(context.Background(), list.tell) })
 	t.Cleanup(func() {
@@ -138,7 +138,7 @@
 // busy.
 const silentLong = time.Minute
 
-// The list is told whole once, and then only what changed, deletions first.
+// The list is delivered completely once, and then only what changed, deletions first.
 func TestSourceNotifiesOfChanges(t *testing.T) {
 	s := newTestServer(t, nil)
 	s.agree(set("a", "127.0.0.1:1"), set("b", "127.0.0.1:2"))
@@ -152,7 +152,7 @@
 	}
 }
 
-// A process that hears nothing of the source watches the register itself, and has the fleet's list
+// A process that hears nothing of the source watches the registry itself, and has the fleet's list
 // whole again once it hears; what moves, moves then and later.
 func TestSourceFallsBackToDirectWatch(t *testing.T) {
 	const silent = 400 * time.Millisecond
@@ -181,8 +181,8 @@
 	eventually(t, func() bool { return direct.running() == 0 })
 }
 
-// A watch of the register that told nothing changes nothing: when the fleet's list is heard again,
-// only what has changed meanwhile is told.
+// A watch of the registry that delivered nothing changes nothing: when the fleet's list is heard again,
+// only what has changed meanwhile is delivered.
 func TestSilentDirectWatchChangesNothing(t *testing.T) {
 	const silent = 400 * time.Millisecond
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
