--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -121,9 +121,10 @@
 				}
 				fig := harness.NewSummary("search", seed)
 				fig.Seconds = time.Since(began).Seconds()
-				fig.Extra["schedules"], fig.Extra["states"], fig.Extra["found"], fig.Extra["findings"] = found.Schedules, found.States, len(
-					found.Findings,
-				), found.Findings
+				fig.Extra["schedules"] = found.Schedules
+				fig.Extra["states"] = found.States
+				fig.Extra["found"] = len(found.Findings)
+				fig.Extra["findings"] = found.Findings
 				for _, x := range found.Findings {
 					fig.Broken[harness.Rule(x.Rule)]++
 					fig.AddFailure(x.Rule + ": " + x.Detail)
@@ -337,11 +338,9 @@
 			f.AddFailure("mutant not found: " + r.Name)
 		}
 	}
-	f.Extra["mutants"], f.Extra["mutants_found"], f.Extra["mutants_schedules_median"] = len(
-		results,
-	), n, mutants.Median(
-		results,
-	)
+	f.Extra["mutants"] = len(results)
+	f.Extra["mutants_found"] = n
+	f.Extra["mutants_schedules_median"] = mutants.Median(results)
 	f.Extra["mutant_results"] = results
 	return nil
 }
--- a/internal/testing/allocationtest/rights.go
+++ b/internal/testing/allocationtest/rights.go
@@ -158,7 +158,9 @@
 		}
 		slices.SortFunc(
 			edges,
-			func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sign, b.sign)) },
+			func(a, b edge) int {
+				return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sign, b.sign))
+			},
 		)
 		var now, highest Sum
 		for _, e := range edges {
@@ -173,7 +175,8 @@
 		}
 		limit := wholes[id]
 		highest.Budget = id
-		highest.Over.Rate, highest.Over.Burst = highest.Over.Rate-limit.Rate, highest.Over.Burst-limit.Burst
+		highest.Over.Rate -= limit.Rate
+		highest.Over.Burst -= limit.Burst
 		all = append(all, highest)
 	}
 	slices.SortFunc(all, func(a, b Sum) int { return cmp.Compare(b.Over.Burst, a.Over.Burst) })
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -87,7 +87,9 @@
 		if err != nil {
 			return fig, err
 		}
-		fig.Extra["service_"+w.name], fig.Extra["over_"+w.name], fig.Extra["refused_with_room_"+w.name] = p.fig.Service, p.fig.Over, p.withRoom
+		fig.Extra["service_"+w.name] = p.fig.Service
+		fig.Extra["over_"+w.name] = p.fig.Over
+		fig.Extra["refused_with_room_"+w.name] = p.withRoom
 		for rule, n := range p.fig.Broken {
 			if n > 0 && !strings.HasPrefix(w.name, "notes") {
 				fig.AddFailure(fmt.Sprintf("%s: %s broken %d times", w.name, rule, n))
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -319,7 +319,8 @@
 }
 
 var outs = regexp.MustCompile(
-	`(?m)^.*msg="fleet: (fenced: this gateway operates under no version|readmitted: this gateway operates again)".*$`,
+	`(?m)^.*msg="fleet: (fenced: this gateway operates under no version|` +
+		`readmitted: this gateway operates again)".*$`,
 )
 
 // check ends the fleet and reads what all have left.
@@ -333,7 +334,9 @@
 			return fig, err
 		}
 	}
-	logs, shut, let, perGateway, hearing := map[int][]period{}, 0, 0, []time.Duration{}, []time.Duration{}
+	logs := map[int][]period{}
+	shut, let := 0, 0
+	perGateway, hearing := []time.Duration{}, []time.Duration{}
 	broken := func(rule string, n int, format string, args ...any) {
 		if fig.Broken[harness.Rule(rule)] += n; n > 0 {
 			fig.AddFailure(rule + ": " + fmt.Sprintf(format, args...))
@@ -405,31 +408,19 @@
 	}
 	beyond := over(c.f, changes, stops)
 	broken("mixed_sum_over_whole", len(beyond), "%v", beyond[:min(3, len(beyond))])
-	fig.Extra["rollouts"], fig.Extra["withdrawn"], fig.Extra["proposals_refused"] = len(
-		c.all,
-	)-1, c.drawn, c.refused
+	fig.Extra["rollouts"] = len(c.all) - 1
+	fig.Extra["withdrawn"] = c.drawn
+	fig.Extra["proposals_refused"] = c.refused
 	fig.Extra["brought_up"], fig.Extra["shut_out"], fig.Extra["let_back"] = c.brought, shut, let
-	fig.Extra["in_force_ms_p50"], fig.Extra["in_force_ms_p99"] = harness.Quantile(
-		perGateway,
-		0.5,
-	), harness.Quantile(
-		perGateway,
-		0.99,
-	)
-	fig.Extra["in_force_hearing_ms_p50"], fig.Extra["in_force_hearing_ms_p99"] = harness.Quantile(
-		hearing,
-		0.5,
-	), harness.Quantile(
-		hearing,
-		0.99,
-	)
-	fig.Extra["entries"], fig.Extra["stretches"], fig.Extra["gaps"], fig.Extra["untaken"], fig.Extra["late_writes"] = len(
-		all,
-	), len(
-		rows,
-	), len(
-		gaps,
-	), untaken, late
+	fig.Extra["in_force_ms_p50"] = harness.Quantile(perGateway, 0.5)
+	fig.Extra["in_force_ms_p99"] = harness.Quantile(perGateway, 0.99)
+	fig.Extra["in_force_hearing_ms_p50"] = harness.Quantile(hearing, 0.5)
+	fig.Extra["in_force_hearing_ms_p99"] = harness.Quantile(hearing, 0.99)
+	fig.Extra["entries"] = len(all)
+	fig.Extra["stretches"] = len(rows)
+	fig.Extra["gaps"] = len(gaps)
+	fig.Extra["untaken"] = untaken
+	fig.Extra["late_writes"] = late
 	for _, k := range []string{"stops", "cuts", "kills", "leaves", "joins"} {
 		fig.Extra[k] = c.harm.Did(k)
 	}
--- a/internal/testing/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -133,7 +133,8 @@
 			defer mu.Unlock()
 			fmt.Fprintf(
 				progress,
-				"%-46s service %.3f, emulated %.3f; refused %.3f, %.3f; p50 %.0f, %.0f ms; within %t\n",
+				"%-46s service %.3f, emulated %.3f; refused %.3f, %.3f; "+
+					"p50 %.0f, %.0f ms; within %t\n",
 				p.Name,
 				rows[i].Service[0],
 				rows[i].Service[1],
@@ -166,9 +167,10 @@
 		}
 	}
 	f.Seconds = time.Since(began).Seconds()
-	f.Extra["pairings"], f.Extra["within"], f.Extra["of"], f.Extra["service_gap_most"] = rows, within, len(
-		rows,
-	), worst
+	f.Extra["pairings"] = rows
+	f.Extra["within"] = within
+	f.Extra["of"] = len(rows)
+	f.Extra["service_gap_most"] = worst
 	return f, nil
 }
 
--- a/internal/testing/experiment/experiment.go
+++ b/internal/testing/experiment/experiment.go
@@ -36,7 +36,7 @@
 	For     string      `toml:"for"`     // virtual time of each world
 	Sweep   string      `toml:"sweep"`   // the setting on the x axis, by its name in [world]
 	Values  []float64   `toml:"values"`  // of it
-	Figures []string    `toml:"figures"` // that are summed up and plotted, by their names in the results
+	Figures []string    `toml:"figures"` // plotted, by their names in the results
 	World   sim.Options `toml:"world"`
 	Lengths Lengths     `toml:"lengths"`
 	Variant []Variant   `toml:"variant"` // one or two; none: the world as it is
@@ -133,8 +133,13 @@
 	for _, l := range []struct {
 		key, text string
 		to        *time.Duration
-	}{{"for", f.For, &f.World.Duration}, {"lengths.shift", f.Lengths.Shift, &f.World.Shift}, {"lengths.note_late", f.Lengths.NoteLate, &f.World.MessageDelay},
-		{"lengths.kills", f.Lengths.Kills, &f.World.Kills}, {"lengths.restarts", f.Lengths.Restarts, &f.World.Restarts}} {
+	}{
+		{"for", f.For, &f.World.Duration},
+		{"lengths.shift", f.Lengths.Shift, &f.World.Shift},
+		{"lengths.note_late", f.Lengths.NoteLate, &f.World.MessageDelay},
+		{"lengths.kills", f.Lengths.Kills, &f.World.Kills},
+		{"lengths.restarts", f.Lengths.Restarts, &f.World.Restarts},
+	} {
 		if l.text == "" {
 			continue
 		}
@@ -430,16 +435,9 @@
 			}
 			for k, v := range f.Variant {
 				mean, half := interval(samples[k])
-				s.Variants, s.Means, s.Spreads = append(
-					s.Variants,
-					v.Name,
-				), append(
-					s.Means,
-					mean,
-				), append(
-					s.Spreads,
-					half,
-				)
+				s.Variants = append(s.Variants, v.Name)
+				s.Means = append(s.Means, mean)
+				s.Spreads = append(s.Spreads, half)
 			}
 			if len(samples) == 2 {
 				differences := make([]float64, s.Seeds)
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -230,8 +230,8 @@
 			}
 			return
 		}
-		t.Kind, t.Reset = harness.Ended, t.Reset || errors.Is(err, syscall.ECONNRESET) ||
-			errors.Is(err, syscall.EPIPE)
+		t.Kind = harness.Ended
+		t.Reset = t.Reset || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 		if retry || !used && !errors.Is(err, io.EOF) {
 			return
 		}
--- a/internal/testing/scale/model.go
+++ b/internal/testing/scale/model.go
@@ -389,20 +389,10 @@
 		list.MemoryMB = s.at(SlopeCompleteListMemory, n)
 		list.Messages = 3 * l.ChangesPerSecond // the news, the question, the list
 	} else {
-		list.Bytes, list.Messages = s.at(
-			SlopeDeltaBytes,
-			l.ChangesPerSecond,
-		), s.at(
-			SlopeDeltaMessages,
-			l.ChangesPerSecond,
-		)
-		list.Cores, list.MemoryMB = s.at(
-			SlopeDeltaCores,
-			l.ChangesPerSecond,
-		), s.at(
-			SlopeDeltaMemory,
-			n,
-		)
+		list.Bytes = s.at(SlopeDeltaBytes, l.ChangesPerSecond)
+		list.Messages = s.at(SlopeDeltaMessages, l.ChangesPerSecond)
+		list.Cores = s.at(SlopeDeltaCores, l.ChangesPerSecond)
+		list.MemoryMB = s.at(SlopeDeltaMemory, n)
 		register := max(0, s.at(SlopeDeltaRegister, n)-s.at(SlopeDeltaRegister, stepServers))
 		list.Control = l.ChangesPerSecond * (s.at(SlopeDeltaControl, g) + register)
 	}
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -150,24 +150,15 @@
 			}
 		}
 	}
-	r.InForce, r.Draining, r.Rack, r.PlansInForce = delaysOf(
-		run.all,
-	), delaysOf(
-		run.drains,
-	), delaysOf(
-		rack,
-	), delaysOf(
-		run.plans,
-	)
+	r.InForce = delaysOf(run.all)
+	r.Draining = delaysOf(run.drains)
+	r.Rack = delaysOf(rack)
+	r.PlansInForce = delaysOf(run.plans)
 	for stretch, delays := range stretches {
 		if stretch != nil {
-			stretch.InForce, stretch.Draining, stretch.PlansInForce = delaysOf(
-				delays.all,
-			), delaysOf(
-				delays.drains,
-			), delaysOf(
-				delays.plans,
-			)
+			stretch.InForce = delaysOf(delays.all)
+			stretch.Draining = delaysOf(delays.drains)
+			stretch.PlansInForce = delaysOf(delays.plans)
 		}
 	}
 	r.Stretches = p.stretches
--- a/internal/testing/testcluster/clustertest/rigtest.go
+++ b/internal/testing/testcluster/clustertest/rigtest.go
@@ -34,7 +34,8 @@
 func Eventually(t *testing.T, what string, is func() (bool, string)) {
 	t.Helper()
 	last := ""
-	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	deadline := time.Now().Add(40 * time.Second)
+	for ; time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		ok, state := is()
 		if ok {
 			return
--- a/sim/allocation/price.go
+++ b/sim/allocation/price.go
@@ -15,13 +15,13 @@
 
 // The schemes whose price is told. None of them ever passes the whole.
 const (
-	OneBank      Scheme = "one bank"        // all gateways see one store, at once: what is compared with
+	OneBank      Scheme = "one bank"        // all gateways see one bucket at once: the baseline
 	Even         Scheme = "even parts"      // static
 	Parts        Scheme = "parts"           // by demand, as Rules say, and nothing is lent
 	Lending      Scheme = "parts and loans" // the same, and what lacks is borrowed
 	OnDemandOnly Scheme = "loans"           // no parts but floors: all is borrowed
-	Direct       Scheme = "direct"          // even parts, and what lacks is borrowed from the other with most
-	Moved        Scheme = "moved"           // even parts, and the request goes to where its units are
+	Direct       Scheme = "direct"          // even shares, and the rest from the gateway with most
+	Moved        Scheme = "moved"           // even shares, and the request goes to its units
 )
 
 // Schemes are all of them.
@@ -50,7 +50,9 @@
 	r := rand.New(rand.NewPCG(p.Seed, 0x9e1ce))
 	between := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
 	for range p.Each {
-		for _, plan := range [][4]float64{{0.96, 1.7, 3.2, 5.8}, {2.9, 4.9, 3.5, 6}, {11, 20, 1.3, 2.8}} {
+		for _, plan := range [][4]float64{
+			{0.96, 1.7, 3.2, 5.8}, {2.9, 4.9, 3.5, 6}, {11, 20, 1.3, 2.8},
+		} {
 			rate := between(plan[0], plan[1])
 			b := buyer{
 				limit: allocation.Share{
--- a/sim/configversion/member.go
+++ b/sim/configversion/member.go
@@ -59,7 +59,10 @@
 	m.incarnation, m.dead, m.stopped, m.hands = w.incarnations, false, false, nil
 	m.holder = configversion.NewHolder(w.rules)
 	m.enrols, m.requestedAt = true, -time.Hour
-	m.reported, m.refused, m.terms, m.fetching = map[string]uint64{}, map[string]bool{}, map[string]float64{}, map[string]time.Duration{}
+	m.reported = map[string]uint64{}
+	m.refused = map[string]bool{}
+	m.terms = map[string]float64{}
+	m.fetching = map[string]time.Duration{}
 }
 
 // reads reports whether a member's program can act on a content.
--- a/sim/configversion/size.go
+++ b/sim/configversion/size.go
@@ -66,12 +66,8 @@
 		s.ToAll, s.ToNineTenths = append(s.ToAll, all), append(s.ToNineTenths, nineTenths)
 	}
 	per := (w.now - began).Seconds() * float64(gateways)
-	s.Words, s.Bytes, s.Agreed = float64(
-		w.words-words,
-	)/per, float64(
-		w.bytes-bytes,
-	)/per, float64(
-		w.index-entries,
-	)/(w.now-began).Seconds()
+	s.Words = float64(w.words-words) / per
+	s.Bytes = float64(w.bytes-bytes) / per
+	s.Agreed = float64(w.index-entries) / (w.now - began).Seconds()
 	return s
 }
--- a/sim/configversion/world.go
+++ b/sim/configversion/world.go
@@ -24,7 +24,9 @@
 
 // Breach is a promise that was not kept.
 type Breach struct {
-	What string `json:"what"` // acts_on_withdrawn, two_digests, two_guides, mixed, without_content, never_caught_up or unreadable
+	// What is acts_on_withdrawn, two_digests, two_guides, mixed, without_content,
+	// never_caught_up or unreadable.
+	What string `json:"what"`
 	How  string `json:"how"`
 	At   string `json:"at"`
 }
