--- a/internal/controlplane/configversion/controller.go
+++ b/internal/controlplane/configversion/controller.go
@@ -9,12 +9,12 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// maxGatewaysWithoutTenth is up to how many gateways a rollout goes from one of them to all at
-// once.
-const maxGatewaysWithoutTenth = 10
+// maxGatewaysWithoutTenthStage is the largest number of gateways for which rollouts skip
+// StageTenth.
+const maxGatewaysWithoutTenthStage = 10
 
-// Pilots returns the gateways that operate under a version in a stage before StageAll, sorted. They
-// are chosen by rendezvous hashing, so that versions differ in their pilots.
+// Pilots returns the ids, sorted, of the gateways that operate under a version in a stage before
+// StageAll. Rendezvous hashing chooses them, so that different versions have different pilots.
 func Pilots(item string, number uint64, stage Stage, ids []string) []string {
 	count := 1
 	if stage == StageTenth {
@@ -31,8 +31,8 @@
 }
 
 // NextCommands returns the commands that the rollouts in progress need: an advance where a stage
-// went well, a pause where a gateway rejected the version or the stage timed out. term is that of
-// the rollout controller that asks.
+// succeeded, a pause where a gateway rejected the version or the stage timed out. term is the term
+// of the calling rollout controller.
 func NextCommands(c Config, term uint64, v *View) (commands []Command) {
 	ids := gatewayIDs(v)
 	for i := range v.Versions {
@@ -60,7 +60,7 @@
 	return ids
 }
 
-// nextCommand returns the command that one rollout needs, if it needs one.
+// nextCommand returns the command that one rollout needs; ok is false if it needs none.
 func nextCommand(c Config, v *View, version *Version, ids []string) (next Command, ok bool) {
 	started := max(version.StageStartedAt, version.EffectiveFrom)
 	lagging, applied := 0, 0
@@ -93,25 +93,25 @@
 
 // nextStage returns the advance to the stage after the current one.
 func nextStage(version *Version, ids []string) Command {
-	if version.Stage == StageOne && len(ids) > maxGatewaysWithoutTenth {
+	if version.Stage == StageOne && len(ids) > maxGatewaysWithoutTenthStage {
 		pilots := Pilots(version.Item, version.Number, StageTenth, ids)
 		return Command{Kind: KindAdvance, Stage: StageTenth, Pilots: pilots}
 	}
 	return Command{Kind: KindAdvance, Stage: StageAll}
 }
 
-// LaggingReplica is a process that does not have the version in force that it is to operate under.
+// LaggingReplica is a process that does not yet have its target version in force.
 type LaggingReplica struct {
 	Member  lease.Member  `json:"member"`
 	Item    string        `json:"item"`
-	InForce uint64        `json:"has"` // 0: it reported nothing
+	InForce uint64        `json:"has"` // 0 if it reported nothing
 	Target  uint64        `json:"wants"`
-	Since   time.Duration `json:"since"`         // the fleet's time
-	Why     string        `json:"why,omitempty"` // it rejects the target
+	Since   time.Duration `json:"since"`         // by the fleet's clock
+	Why     string        `json:"why,omitempty"` // why it rejects the target
 }
 
-// LaggingReplicas returns the processes that lag behind, sorted by member and then by item.
-func LaggingReplicas(v *View) (all []LaggingReplica) {
+// LaggingReplicas returns the lagging processes, sorted by member and then by item.
+func LaggingReplicas(v *View) (replicas []LaggingReplica) {
 	for _, m := range v.Members {
 		for item, target := range targetsOf(v, m.Member.ID) {
 			if m.InForce[item] >= target.Number {
@@ -127,16 +127,16 @@
 			if rejection := m.Rejected[item]; rejection.Number == target.Number {
 				replica.Why = rejection.Why
 			}
-			all = append(all, replica)
+			replicas = append(replicas, replica)
 		}
 	}
-	slices.SortFunc(all, func(a, b LaggingReplica) int {
+	slices.SortFunc(replicas, func(a, b LaggingReplica) int {
 		return cmp.Or(compareMembers(a.Member, b.Member), cmp.Compare(a.Item, b.Item))
 	})
-	return all
+	return replicas
 }
 
-// targetsOf returns the versions that a gateway is to operate under, by item.
+// targetsOf returns the target versions of a gateway, by item.
 func targetsOf(v *View, id string) map[string]*Version {
 	targets := map[string]*Version{}
 	for i := range v.Versions {
--- a/internal/controlplane/configversion/fencing.go
+++ b/internal/controlplane/configversion/fencing.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// maxDelayDoublings bounds the readmission delay of a gateway that flaps.
+// maxDelayDoublings limits how often the readmission delay of a flapping gateway doubles.
 const maxDelayDoublings = 6
 
-// ReasonNoResponseYet is why a process is fenced from its start until the first response.
+// ReasonNoResponseYet is the reason for which a process is fenced until its first lease response.
 const ReasonNoResponseYet = "no response from the fleet yet"
 
-// fencing is whether a process is fenced: without a valid lease it operates under no version. A
-// process that is fenced again and again is readmitted later each time.
+// fencing tracks whether a process is fenced: without a valid lease it operates under no version.
+// A process that is fenced repeatedly within Config.FlapWindow is readmitted later each time.
 type fencing struct {
-	byFleet    string        // why the fleet gave no lease; "": it did
-	fenced     bool          // now
-	everLeased bool          // it was not fenced once
-	fencedAt   time.Duration // when it was last fenced; 0: not since it first had a lease
-	readmitAt  time.Duration // by the delay; 0: the delay has not begun
-	flaps      int           // how often it was fenced again within Config.FlapWindow, in a row
-	count      uint64        // how often it was fenced since it first had a lease
+	fleetReason string        // why the fleet granted no lease; "" if it granted one
+	fenced      bool          // whether it is fenced now
+	everLeased  bool          // whether it ever had a lease
+	fencedAt    time.Duration // when it was last fenced; 0 if never since its first lease
+	readmitAt   time.Duration // end of the readmission delay; 0 while it has not begun
+	flaps       int           // consecutive times it was fenced again within Config.FlapWindow
+	count       uint64        // times it was fenced since its first lease
 }
 
-// LeasedUntil returns until when this process may operate under what is in force; 0: it is fenced.
-// Call it at the last moment before each operation.
+// LeasedUntil returns until when this process may operate under the versions in force, 0 if it is
+// fenced. Call it at the last moment before each operation.
 func (h *Holder) LeasedUntil(now time.Duration) time.Duration {
 	return h.updateFencing(now)
 }
 
-// updateFencing fences or readmits this process, and returns its lease's expiry, 0 if it is fenced.
+// updateFencing fences or readmits this process, and returns the expiry of its lease, 0 if it is
+// fenced.
 func (h *Holder) updateFencing(now time.Duration) time.Duration {
 	f := &h.fencing
 	expiry := h.leaseExpiry(now)
@@ -62,7 +63,7 @@
 	}
 }
 
-// readmissionDelay returns for how long a process stays fenced after it has leases again.
+// readmissionDelay returns how long a process stays fenced after it has leases again.
 func (f *fencing) readmissionDelay(c Config) time.Duration {
 	if f.flaps == 0 {
 		return 0
@@ -70,9 +71,9 @@
 	return min(c.ReadmissionDelay<<min(f.flaps-1, maxDelayDoublings), c.FlapWindow/2)
 }
 
-// leaseExpiry returns until when the leases of all versions in force hold, 0 if one does not.
+// leaseExpiry returns until when the leases of all versions in force are valid, 0 if one is not.
 func (h *Holder) leaseExpiry(now time.Duration) time.Duration {
-	if !h.received || h.fencing.byFleet != "" || now >= h.expiry {
+	if !h.received || h.fencing.fleetReason != "" || now >= h.expiry {
 		return 0
 	}
 	expiry := h.expiry
@@ -93,8 +94,8 @@
 		return ""
 	case !h.received:
 		return ReasonNoResponseYet
-	case h.fencing.byFleet != "":
-		return h.fencing.byFleet
+	case h.fencing.fleetReason != "":
+		return h.fencing.fleetReason
 	case now >= h.expiry:
 		return "no response from the fleet for too long"
 	case now < h.fencing.readmitAt:
@@ -112,5 +113,5 @@
 	return "its version leases have expired"
 }
 
-// FencedCount returns how often this process was fenced since it first had a lease.
+// FencedCount returns how often this process was fenced since its first lease.
 func (h *Holder) FencedCount() uint64 { return h.fencing.count }
--- a/internal/controlplane/configversion/fencing_test.go
+++ b/internal/controlplane/configversion/fencing_test.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// Without any item a gateway is leased for as long as it reaches the fleet, and not before.
+// Without any items a gateway has a lease from its first response, for as long as it reaches the
+// fleet.
 func TestLeaseWithoutItems(t *testing.T) {
 	c := DefaultConfig()
 	h := NewHolder(c)
 	if h.LeasedUntil(0) != 0 {
-		t.Error("it has a lease before the first response")
+		t.Error("the holder has a lease before the first response")
 	}
 	h.HandleLease(2*time.Second, time.Second, &LeaseResponse{Seq: 1})
 	if got := h.LeasedUntil(2 * time.Second); got != time.Second+c.TTL {
-		t.Errorf("it has a lease until %v", got)
+		t.Errorf("the lease is valid until %v", got)
 	}
 	if h.LeasedUntil(time.Second+c.TTL) != 0 {
-		t.Error("it has a lease after the expiry")
+		t.Error("the holder has a lease after the expiry")
 	}
 	now := 12 * time.Second
 	h.HandleLease(now, now, &LeaseResponse{Seq: 2, FencedReason: "by hand"})
 	if h.LeasedUntil(now) != 0 {
-		t.Error("it has a lease although it is fenced")
+		t.Error("the holder has a lease although it is fenced")
 	}
 	if why := h.FencedReason(now); !strings.Contains(why, "by hand") {
-		t.Errorf("it is fenced because: %s", why)
+		t.Errorf("reason for the fencing: %q", why)
 	}
 }
 
-// A gateway that is fenced again and again is readmitted later each time.
+// Each time that a gateway is fenced again within the flap window, its readmission is delayed
+// longer.
 func TestFlappingDelaysReadmission(t *testing.T) {
 	c := DefaultConfig()
 	h := NewHolder(c)
@@ -38,11 +40,11 @@
 	var delays []time.Duration
 	for range 5 {
 		h.HandleLease(now, now, &LeaseResponse{Seq: 1})
-		began := now
+		start := now
 		for ; h.LeasedUntil(now) == 0; now += 10 * time.Millisecond {
 			h.HandleLease(now, now, &LeaseResponse{Seq: 1})
 		}
-		delays = append(delays, now-began)
+		delays = append(delays, now-start)
 		h.HandleLease(now, now, &LeaseResponse{Seq: 1, FencedReason: "not enrolled"})
 		now += time.Second
 	}
@@ -52,6 +54,6 @@
 		}
 	}
 	if delays[1] != 0 || delays[2] != c.ReadmissionDelay || h.FencedCount() != 5 {
-		t.Errorf("the delays are %v, and it was fenced %d times", delays, h.FencedCount())
+		t.Errorf("the delays are %v, and the holder was fenced %d times", delays, h.FencedCount())
 	}
 }
--- a/internal/controlplane/configversion/helpers_test.go
+++ b/internal/controlplane/configversion/helpers_test.go
@@ -22,31 +22,31 @@
 )
 
 // apply applies a command and returns its result.
-func apply(t *testing.T, m *Machine, at time.Duration, who lease.Member, c Command) Result {
+func apply(t *testing.T, m *Machine, at time.Duration, member lease.Member, c Command) Result {
 	t.Helper()
 	var r Result
-	if err := json.Unmarshal(m.Apply(at, 1, who, c.Encode()), &r); err != nil {
+	if err := json.Unmarshal(m.Apply(at, 1, member, c.Encode()), &r); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// mustApply applies a command that has to be accepted, and returns the number of its result.
-func mustApply(t *testing.T, m *Machine, at time.Duration, who lease.Member, c Command) uint64 {
+// mustApply applies a command that must succeed, and returns the number in its result.
+func mustApply(t *testing.T, m *Machine, at time.Duration, member lease.Member, c Command) uint64 {
 	t.Helper()
-	r := apply(t, m, at, who, c)
+	r := apply(t, m, at, member, c)
 	if !r.OK {
 		t.Fatal(r.Why)
 	}
 	return r.Number
 }
 
-// enrolled returns a machine with some members.
+// enrolled returns a machine in which the members are enrolled.
 func enrolled(t *testing.T, c Config, members ...lease.Member) *Machine {
 	t.Helper()
 	m := NewMachine(c, acceptingFence{})
-	for _, who := range members {
-		mustApply(t, m, 0, who, Command{Kind: KindEnrol})
+	for _, member := range members {
+		mustApply(t, m, 0, member, Command{Kind: KindEnrol})
 	}
 	return m
 }
--- a/internal/controlplane/configversion/holder.go
+++ b/internal/controlplane/configversion/holder.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Holder is one process's side: the leases that it holds, and the contents that it has. Times are
-// by the process's own clock, which must go on while the process is stopped.
+// Holder tracks the version leases that one process holds and the contents that it has stored.
+// Times are by the process's own clock, which must advance while the process is stopped.
 type Holder struct {
 	config   Config
 	items    map[string]*itemState
-	received bool          // a response has come
-	seq      uint64        // of the state that the last response was from
+	received bool          // whether a response was received
+	seq      uint64        // of the state that the last response is from
 	expiry   time.Duration // of the lease as a whole
 	fencing  fencing
 }
 
-// itemState is one item.
+// itemState is the state of one item.
 type itemState struct {
 	target        Target
 	effectiveFrom time.Duration            // of the target
 	leases        map[uint64]time.Duration // expiry by version number
-	// Version number, at first 1: what this process's configuration has.
+	// inForce is a version number. It starts at 1, which stands for this process's own
+	// configuration.
 	inForce   uint64
-	available map[string]bool   // digests whose content is here and was checked
-	rejected  map[string]string // why, by digests that can't be applied here
+	available map[string]bool   // digests whose content is stored here and was checked
+	rejected  map[string]string // reason by digest, for contents that can't be applied here
 }
 
 // NewHolder returns a holder without leases.
 func NewHolder(c Config) *Holder { return &Holder{config: c, items: map[string]*itemState{}} }
 
-// HandleLease takes in the response to the request that was sent at a time. A response from an
-// older state than the last one is ignored.
+// HandleLease handles the response to the lease request that was sent at the time sent. It ignores
+// a response from an older state than that of the last response.
 func (h *Holder) HandleLease(now, sent time.Duration, r *LeaseResponse) {
 	h.updateFencing(now)
 	if h.received && r.Seq < h.seq {
@@ -40,7 +41,7 @@
 	}
 	h.received = true
 	h.seq = r.Seq
-	h.fencing.byFleet = r.FencedReason
+	h.fencing.fleetReason = r.FencedReason
 	if r.FencedReason != "" {
 		h.updateFencing(now)
 		return
@@ -52,7 +53,7 @@
 	h.updateFencing(now)
 }
 
-// setTarget takes in the target of one item, and its leases.
+// setTarget sets the target of one item and its leases.
 func (h *Holder) setTarget(now, sent time.Duration, target Target) {
 	i := h.items[target.Item]
 	if i == nil {
@@ -66,28 +67,29 @@
 	i.target = target
 	leases := map[uint64]time.Duration{}
 	for number, ttl := range target.Leases {
-		// No lease is shortened by a late response, nor by a leader whose time is behind.
+		// Neither a late response nor a leader whose clock is behind shortens a lease.
 		leases[number] = max(sent+min(ttl, h.config.TTL), i.leases[number])
 	}
-	i.leases = leases // a version without a lease was withdrawn, or has expired
+	i.leases = leases // a version without a lease was withdrawn or has expired
 }
 
-// MissingContents returns the contents to fetch: of each target first, and then of the versions
-// that overlap with it.
-func (h *Holder) MissingContents() (all []Ref) {
+// MissingContents returns the contents to fetch: for each item, that of the target first, then
+// those of the versions that overlap with it.
+func (h *Holder) MissingContents() (refs []Ref) {
 	for _, item := range h.Items() {
 		i := h.items[item]
 		for _, ref := range append([]Ref{i.target.Ref}, i.target.Overlapping...) {
 			missing := !i.available[ref.Digest] && i.rejected[ref.Digest] == ""
-			if missing && !slices.Contains(all, ref) {
-				all = append(all, ref)
+			if missing && !slices.Contains(refs, ref) {
+				refs = append(refs, ref)
 			}
 		}
 	}
-	return all
+	return refs
 }
 
-// ContentChecked takes in that a content is here and can be applied, or why it can't be.
+// ContentChecked records that a content is stored here and, if why is empty, can be applied.
+// Otherwise why is the reason for which it can't.
 func (h *Holder) ContentChecked(digest string, why string) {
 	for _, i := range h.items {
 		if why == "" {
@@ -98,7 +100,7 @@
 	}
 }
 
-// ContentLost takes in that a content that was here is gone: it has to be fetched again.
+// ContentLost records that a content is no longer stored here and must be fetched again.
 func (h *Holder) ContentLost(digest string) {
 	if digest == "" {
 		return
@@ -117,19 +119,19 @@
 	return i.target.Ref
 }
 
-// ItemsWithContent returns the items for which a content is wanted.
-func (h *Holder) ItemsWithContent(digest string) (all []string) {
+// ItemsWithContent returns the items that need a content, sorted.
+func (h *Holder) ItemsWithContent(digest string) (items []string) {
 	hasDigest := func(ref Ref) bool { return ref.Digest == digest }
 	for _, item := range h.Items() {
 		target := &h.items[item].target
 		if hasDigest(target.Ref) || slices.ContainsFunc(target.Overlapping, hasDigest) {
-			all = append(all, item)
+			items = append(items, item)
 		}
 	}
-	return all
+	return items
 }
 
-// RejectionReason returns why a content can't be applied here; "": it can, as far as is known.
+// RejectionReason returns why a content can't be applied here, "" if no reason is known.
 func (h *Holder) RejectionReason(item, digest string) string {
 	i := h.items[item]
 	if i == nil {
@@ -138,9 +140,9 @@
 	return i.rejected[digest]
 }
 
-// NextToApply returns the target of an item if its content is here and it is effective; else ok is
-// false. overlapping are the other versions whose terms bind as well, without those whose content
-// is rejected. complete is false while a content of them is missing.
+// NextToApply returns the target of an item if its content is stored here and it is effective;
+// otherwise ok is false. overlapping are the other versions whose terms apply as well, without
+// those whose content is rejected. complete is false while the content of one of them is missing.
 func (h *Holder) NextToApply(now time.Duration, item string) (target Ref, overlapping []Ref,
 	complete, ok bool) {
 	i := h.items[item]
@@ -159,8 +161,8 @@
 	return i.target.Ref, overlapping, complete, true
 }
 
-// SetInForce takes in that an item's version decides from now on. A lower number than before is
-// ignored.
+// SetInForce records that a version of an item is in force from now on. It ignores a number that is
+// lower than that in force.
 func (h *Holder) SetInForce(now time.Duration, item string, number uint64) {
 	if i := h.items[item]; i != nil && number > i.inForce {
 		i.inForce = number
@@ -168,14 +170,14 @@
 	h.updateFencing(now)
 }
 
-// InForce returns the version numbers in force, by item.
+// InForce returns the numbers of the versions in force, by item.
 func (h *Holder) InForce() map[string]uint64 {
-	all := map[string]uint64{}
+	numbers := map[string]uint64{}
 	for item, i := range h.items {
-		all[item] = i.inForce
+		numbers[item] = i.inForce
 	}
-	return all
+	return numbers
 }
 
-// Items returns the items that are known, sorted.
+// Items returns the known items, sorted.
 func (h *Holder) Items() []string { return slices.Sorted(maps.Keys(h.items)) }
--- a/internal/controlplane/configversion/lease.go
+++ b/internal/controlplane/configversion/lease.go
@@ -10,58 +10,59 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Target is what one gateway is to operate under for an item.
+// Target is the version of an item that one gateway is to operate under.
 type Target struct {
 	Item string `json:"item"`
 	Ref
 	EffectiveIn time.Duration `json:"in"` // time until the version is effective
 
 	// Overlapping are earlier versions that another gateway may still operate under. A gateway that
-	// operates under the target keeps to their terms as well.
+	// operates under the target applies their terms as well.
 	Overlapping []Ref `json:"beside,omitempty"`
 
-	// Leases has the versions that the gateway may operate under, by number, and for how long from
-	// its request: the target, and others until it has the target in force.
+	// Leases maps the numbers of the versions that the gateway may operate under to durations,
+	// which count from its request. They are the target, and other versions until it has the target
+	// in force.
 	Leases map[uint64]time.Duration `json:"may"`
 }
 
-// LeaseResponse is the response to a gateway's lease request.
+// LeaseResponse is the response to the lease request of a gateway.
 type LeaseResponse struct {
-	At           time.Duration `json:"at"`              // the fleet's time
-	Seq          uint64        `json:"seq"`             // of the state that it is from
+	At           time.Duration `json:"at"`              // by the fleet's clock
+	Seq          uint64        `json:"seq"`             // of the state that the response is from
 	MustEnrol    bool          `json:"enrol,omitempty"` // the enrolment is unknown, or expires soon
-	FencedReason string        `json:"out,omitempty"`   // why there are no leases; "": there are
+	FencedReason string        `json:"out,omitempty"`   // why there are no leases; "" if there are
 	Targets      []Target      `json:"target"`
 }
 
-// Query returns the LeaseResponse for the member in the body. Without a body it returns a View.
-// Both are JSON.
+// Query returns the LeaseResponse for the lease.Member in the body, or a View if the body is empty.
+// All of them are JSON.
 func (m *Machine) Query(at time.Duration, body []byte) []byte {
 	if len(body) == 0 {
 		return mustjson.Marshal(m.View(at))
 	}
-	var who lease.Member
-	if json.Unmarshal(body, &who) != nil {
+	var member lease.Member
+	if json.Unmarshal(body, &member) != nil {
 		return mustjson.Marshal(LeaseResponse{At: at, FencedReason: ErrInvalidCommand.Error()})
 	}
-	return mustjson.Marshal(m.LeaseFor(at, who))
+	return mustjson.Marshal(m.LeaseFor(at, member))
 }
 
-// LeaseFor returns what a member may operate under at a time of the fleet.
-func (m *Machine) LeaseFor(at time.Duration, who lease.Member) LeaseResponse {
+// LeaseFor returns the versions that a member may operate under at a time of the fleet's clock.
+func (m *Machine) LeaseFor(at time.Duration, member lease.Member) LeaseResponse {
 	r := LeaseResponse{At: at, Seq: m.seq, Targets: []Target{}}
-	s := m.members[who]
+	s := m.members[member]
 	if s == nil || at >= s.EnrolledUntil {
 		r.MustEnrol = true
 		r.FencedReason = "not enrolled"
 		return r
 	}
 	r.MustEnrol = s.EnrolledUntil-at < m.config.EnrolmentTTL/2
-	if gateway, ok := m.fenced[who.ID]; ok {
+	if gateway, ok := m.fenced[member.ID]; ok {
 		r.FencedReason = "fenced: " + gateway.Why
 		return r
 	}
-	maxTTL := min(m.config.TTL, m.config.lessDrift(s.EnrolledUntil-at))
+	maxTTL := min(m.config.TTL, m.config.minusDrift(s.EnrolledUntil-at))
 	for item := range m.items {
 		if v := m.targetOf(item, s); v != nil {
 			r.Targets = append(r.Targets, m.leasesOf(at, v, maxTTL))
@@ -71,18 +72,19 @@
 	return r
 }
 
-// targetOf returns the version of an item that a member is to operate under, nil if there is none.
+// targetOf returns the target version of an item for a member, nil if there is none.
 func (m *Machine) targetOf(item string, s *MemberStatus) *Version {
 	newest := m.newestVersion(item)
 	pilot := newest.inRollout() && slices.Contains(newest.Pilots, s.Member.ID)
-	// A pilot that can't apply the version stays with the one that is for all.
+	// A pilot that can't apply the version keeps the one whose rollout is complete.
 	if pilot && s.Rejected[item].Number != newest.Number {
 		return newest
 	}
 	return m.newestComplete(item)
 }
 
-// leasesOf returns what a member with a target may operate under, each version for maxTTL at most.
+// leasesOf returns the target and leases of a member, with a TTL of at most maxTTL for each
+// version.
 func (m *Machine) leasesOf(at time.Duration, target *Version, maxTTL time.Duration) Target {
 	t := Target{
 		Item:        target.Item,
@@ -102,7 +104,7 @@
 		case v.ExpiresAt == 0:
 			t.Leases[v.Number] = maxTTL
 		default:
-			t.Leases[v.Number] = min(maxTTL, m.config.lessDrift(v.ExpiresAt-at))
+			t.Leases[v.Number] = min(maxTTL, m.config.minusDrift(v.ExpiresAt-at))
 		}
 	}
 	return t
--- a/internal/controlplane/configversion/lease_test.go
+++ b/internal/controlplane/configversion/lease_test.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// No lease outlasts its member's enrolment: after that nothing waits for the member's report.
-func TestALeaseEndsWithTheEnrolment(t *testing.T) {
+// No lease outlasts the enrolment of its member, because afterwards the machine no longer waits for
+// the reports of that member.
+func TestLeaseEndsWithEnrolment(t *testing.T) {
 	c := DefaultConfig()
 	m := enrolled(t, c, gatewayA, gatewayB)
 	proposal := Command{Kind: KindPropose, Item: "plans", Digest: digestOne, Stage: StageAll}
 	mustApply(t, m, 0, gatewayB, proposal)
-	late := c.EnrolmentTTL - time.Second
-	response := m.LeaseFor(late, gatewayA)
+	nearExpiry := c.EnrolmentTTL - time.Second
+	response := m.LeaseFor(nearExpiry, gatewayA)
 	if !response.MustEnrol {
-		t.Error("a member whose enrolment expires is not asked to enrol")
+		t.Error("a member whose enrolment expires soon is not told to enrol again")
 	}
 	for number, ttl := range response.Targets[0].Leases {
-		if late+c.withDrift(ttl) > c.EnrolmentTTL {
-			t.Errorf("the lease of %d has %v, %v before the enrolment expires",
-				number, ttl, c.EnrolmentTTL-late)
+		if nearExpiry+c.withDrift(ttl) > c.EnrolmentTTL {
+			t.Errorf("the lease of version %d lasts %v, but the enrolment expires in %v",
+				number, ttl, c.EnrolmentTTL-nearExpiry)
 		}
 	}
 	response = m.LeaseFor(c.EnrolmentTTL, gatewayA)
--- a/internal/controlplane/configversion/rollout.go
+++ b/internal/controlplane/configversion/rollout.go
@@ -9,7 +9,7 @@
 )
 
 // propose starts the rollout of a new version and returns its number.
-func (m *Machine) propose(at time.Duration, who lease.Member, c *Command) (uint64, error) {
+func (m *Machine) propose(at time.Duration, member lease.Member, c *Command) (uint64, error) {
 	if !proposalIsValid(c) {
 		return 0, ErrInvalidCommand
 	}
@@ -19,7 +19,7 @@
 	}
 	newest := m.newestVersion(c.Item)
 	if newest == nil {
-		newest = m.addInitialVersion(at, who, c.Item)
+		newest = m.addInitialVersion(at, member, c.Item)
 		if c.Number == 0 {
 			c.Number = newest.Number
 		}
@@ -43,7 +43,7 @@
 		CommittedAt:      at,
 		StageStartedAt:   at,
 		EffectiveFrom:    at + c.Lead,
-		ProposedBy:       who,
+		ProposedBy:       member,
 		ProposedWallTime: c.WallTime,
 	}
 	m.appendVersion(v)
@@ -53,8 +53,8 @@
 	return v.Number, nil
 }
 
-// addInitialVersion adds an item with version 1: what each gateway has by its own configuration.
-func (m *Machine) addInitialVersion(at time.Duration, who lease.Member, item string) *Version {
+// addInitialVersion adds an item with version 1, which stands for each gateway's own configuration.
+func (m *Machine) addInitialVersion(at time.Duration, member lease.Member, item string) *Version {
 	v := &Version{
 		Item:           item,
 		Number:         1,
@@ -63,7 +63,7 @@
 		CommittedAt:    at,
 		StageStartedAt: at,
 		EffectiveFrom:  at,
-		ProposedBy:     who,
+		ProposedBy:     member,
 	}
 	m.items[item] = append(m.items[item], v)
 	return v
@@ -84,17 +84,17 @@
 	return (c.Stage == StageOne || c.Stage == StageTenth) && len(c.Pilots) > 0
 }
 
-// appendVersion appends a version, and drops the oldest where too many are kept and no gateway may
-// operate under them.
+// appendVersion appends a version. While more than maxVersionsPerItem are retained, it drops the
+// oldest one if no gateway may operate under it.
 func (m *Machine) appendVersion(v *Version) {
-	all := append(m.items[v.Item], v)
-	for len(all) > maxVersionsPerItem && !all[0].usableAt(v.CommittedAt) {
-		all = all[1:]
+	versions := append(m.items[v.Item], v)
+	for len(versions) > maxVersionsPerItem && !versions[0].usableAt(v.CommittedAt) {
+		versions = versions[1:]
 	}
-	m.items[v.Item] = all
+	m.items[v.Item] = versions
 }
 
-// completeRollout moves a version to its last stage and ends all earlier ones.
+// completeRollout advances a version to StageAll and ends all earlier versions.
 func (m *Machine) completeRollout(at time.Duration, wallTime int64, v *Version) {
 	for _, old := range m.items[v.Item] {
 		if old.Number >= v.Number || old.EndedAt != 0 {
@@ -114,7 +114,7 @@
 	v.Why = ""
 }
 
-// advanceStage moves a rollout to a stage. Only an operator may advance a rollout that is paused.
+// advanceStage advances a rollout to a stage. Only an operator may advance a paused rollout.
 func (m *Machine) advanceStage(at time.Duration, v *Version, c *Command) error {
 	switch {
 	case !v.inRollout():
@@ -127,7 +127,7 @@
 	case c.Stage != StageTenth && c.Stage != StageOne, len(c.Pilots) == 0:
 		return ErrInvalidCommand
 	}
-	for _, id := range c.Pilots { // earlier pilots stay
+	for _, id := range c.Pilots { // earlier pilots are kept
 		if !slices.Contains(v.Pilots, id) {
 			v.Pilots = append(v.Pilots, id)
 		}
@@ -140,15 +140,16 @@
 	return nil
 }
 
-// withdraw ends the newest version. As numbers only grow, the version before it is restored under a
-// new number, for all gateways. It returns that number.
-func (m *Machine) withdraw(at time.Duration, who lease.Member, v *Version, c *Command) (uint64,
+// withdraw ends the newest version and restores the newest completed one before it, for all
+// gateways. Because numbers only grow, the restored content gets a new number, which withdraw
+// returns.
+func (m *Machine) withdraw(at time.Duration, member lease.Member, v *Version, c *Command) (uint64,
 	error) {
 	if v != m.newestVersion(v.Item) || v.State == StateWithdrawn || v.Number == 1 {
 		return 0, fmt.Errorf("%w: only the newest can be withdrawn", wrongStateError(v))
 	}
-	before := m.newestRestorable(v)
-	if before == nil {
+	previous := m.newestRestorable(v)
+	if previous == nil {
 		return 0, unknownVersionError(v.Item, v.Number-1)
 	}
 	v.State = StateWithdrawn
@@ -156,31 +157,32 @@
 	next := &Version{
 		Item:             v.Item,
 		Number:           v.Number + 1,
-		Digest:           before.Digest,
-		Size:             before.Size,
+		Digest:           previous.Digest,
+		Size:             previous.Size,
 		CommittedAt:      at,
 		EffectiveFrom:    at,
-		ProposedBy:       who,
+		ProposedBy:       member,
 		ProposedWallTime: c.WallTime,
-		Restores:         before.Number,
+		Restores:         previous.Number,
 	}
 	m.appendVersion(next)
 	m.completeRollout(at, c.WallTime, next)
 	return next.Number, nil
 }
 
-// newestRestorable returns the last version before v that was for all gateways, nil if there is
+// newestRestorable returns the newest version before v whose rollout was completed, nil if there is
 // none.
-func (m *Machine) newestRestorable(v *Version) (before *Version) {
+func (m *Machine) newestRestorable(v *Version) (restorable *Version) {
 	for _, old := range m.items[v.Item] {
 		if old.Number < v.Number && (old.State == StateComplete || old.State == StateSuperseded) {
-			before = old
+			restorable = old
 		}
 	}
-	return before
+	return restorable
 }
 
-// expireSuperseded lets the versions expire that all possible holders of leases have left behind.
+// expireSuperseded expires, for each item, the versions before the newest complete one, provided
+// that all possible holders of leases have reported that one in force.
 func (m *Machine) expireSuperseded(at time.Duration) {
 	for item := range m.items {
 		complete := m.newestComplete(item)
@@ -195,8 +197,8 @@
 	}
 }
 
-// anyMemberLags reports whether a member has not reported a version of an item, or a later one, in
-// force.
+// anyMemberLags reports whether any member has not yet reported a version of an item, or a later
+// one, as in force.
 func (m *Machine) anyMemberLags(item string, number uint64) bool {
 	for _, s := range m.members {
 		if s.InForce[item] < number {
--- a/internal/controlplane/configversion/rollout_test.go
+++ b/internal/controlplane/configversion/rollout_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// A version goes from one gateway to all. The version before it expires when all gateways have
-// reported the new one, or after the TTL. A withdrawal restores that version under a new number.
+// A rollout advances from one gateway to all. The previous version expires when all gateways have
+// reported the new one, or after the TTL. A withdrawal restores the previous version under a new
+// number.
 func TestRolloutAndWithdrawal(t *testing.T) {
 	c := DefaultConfig()
 	m := enrolled(t, c, gatewayA, gatewayB)
 	proposal := Command{Kind: KindPropose, Item: "plans", Digest: digestOne, Size: 3, Stage: StageOne,
 		Pilots: []string{"a"}}
 	number := mustApply(t, m, 1*time.Second, gatewayA, proposal)
-	if number != 2 { // 1 is what each gateway's own configuration has
-		t.Fatalf("number %d", number)
+	if number != 2 { // 1 stands for each gateway's own configuration
+		t.Fatalf("the first proposal has number %d", number)
 	}
 	target := m.LeaseFor(1*time.Second, gatewayB).Targets[0]
 	if target.Number != 1 || len(target.Overlapping) != 0 {
-		t.Errorf("a gateway that is no pilot gets %+v", target)
+		t.Errorf("a gateway that is not a pilot gets %+v", target)
 	}
 	target = m.LeaseFor(1*time.Second, gatewayA).Targets[0]
 	if target.Number != 2 || len(target.Leases) != 2 {
@@ -30,10 +31,10 @@
 	}
 	second := Command{Kind: KindPropose, Item: "plans", Digest: digestTwo, Stage: StageAll, Number: 2}
 	if r := apply(t, m, 1*time.Second, gatewayB, second); r.OK {
-		t.Error("a second rollout is started during the first")
+		t.Error("a second rollout started during the first")
 	}
 	if commands := nextCommands(c, m, 2*time.Second); len(commands) != 0 {
-		t.Errorf("before any gateway has it in force the controller sends %+v", commands)
+		t.Errorf("before any gateway has the version in force the controller sends %+v", commands)
 	}
 	report := Command{Kind: KindReport, Item: "plans", Number: 2}
 	mustApply(t, m, 2*time.Second, gatewayA, report)
@@ -54,29 +55,29 @@
 	mustApply(t, m, 5*time.Second, gatewayB, report)
 	target = m.LeaseFor(5*time.Second, gatewayB).Targets[0]
 	if len(target.Overlapping) != 0 || len(target.Leases) != 1 {
-		t.Errorf("when all have it in force a gateway gets %+v", target)
+		t.Errorf("when all gateways have the version in force one gets %+v", target)
 	}
 	withdrawal := Command{Kind: KindWithdraw, Item: "plans", Number: 2, Why: "wrong"}
 	number = mustApply(t, m, 6*time.Second, gatewayB, withdrawal)
 	target = m.LeaseFor(6*time.Second, gatewayA).Targets[0]
 	if number != 3 || target.Number != 3 || target.Digest != "" || target.Leases[2] != 0 {
-		t.Errorf("after the withdrawal, version %d, a gateway gets %+v", number, target)
+		t.Errorf("after the withdrawal, which made version %d, a gateway gets %+v", number, target)
 	}
 	advance := Command{Kind: KindAdvance, Item: "plans", Number: 2, Stage: StageAll}
 	if r := apply(t, m, 7*time.Second, gatewayA, advance); r.OK {
-		t.Error("a withdrawn version is advanced")
+		t.Error("a withdrawn version was advanced")
 	}
 }
 
-// A version that a gateway rejects is paused, and only an operator advances it.
-func TestARejectionPausesTheRollout(t *testing.T) {
+// A rollout is paused when a gateway rejects the version, and then only an operator can advance it.
+func TestRejectionPausesRollout(t *testing.T) {
 	c := DefaultConfig()
 	m := enrolled(t, c, gatewayA)
 	mustApply(t, m, 0, gatewayA, Command{Kind: KindPropose, Item: "plans", Digest: digestOne,
 		Stage: StageOne, Pilots: []string{"a"}})
 	mustApply(t, m, 1, gatewayA, Command{Kind: KindReport, Item: "plans", Number: 2, Rejected: true,
 		Why: "no such plan"})
-	// A report about the version that is for all does not revoke the rejection.
+	// A report of the version that is in force everywhere does not revoke the rejection.
 	mustApply(t, m, 1, gatewayA, Command{Kind: KindReport, Item: "plans", Number: 1})
 	commands := nextCommands(c, m, 2)
 	if len(commands) != 1 || commands[0].Kind != KindPause ||
@@ -85,11 +86,11 @@
 	}
 	mustApply(t, m, 3, gatewayA, commands[0])
 	if target := m.LeaseFor(3, gatewayA).Targets[0]; target.Number != 1 {
-		t.Errorf("the gateway that rejects it is to operate under %d", target.Number)
+		t.Errorf("the target of the gateway that rejects the version is %d", target.Number)
 	}
 	advance := Command{Kind: KindAdvance, Item: "plans", Number: 2, Stage: StageAll, Term: 1}
 	if r := apply(t, m, 4, gatewayA, advance); r.OK {
-		t.Error("the controller advances a paused rollout")
+		t.Error("the controller advanced a paused rollout")
 	}
 	advance.Term = 0
 	mustApply(t, m, 4, gatewayA, advance)
--- a/internal/controlplane/configversion/version.go
+++ b/internal/controlplane/configversion/version.go
@@ -9,19 +9,19 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// State is how far the rollout of a version has come.
+// State is the progress of the rollout of a version.
 type State string
 
 // The states of a version. Their values are part of stored data.
 const (
 	StateRollingOut State = "rolling"
-	StatePaused     State = "held"      // its stage stays as it is until an operator's command
-	StateComplete   State = "whole"     // it is for all gateways
+	StatePaused     State = "held"      // its stage does not change until an operator's command
+	StateComplete   State = "whole"     // for all gateways
 	StateSuperseded State = "past"      // a later version is complete
 	StateWithdrawn  State = "withdrawn" // it was withdrawn, and an earlier one restored
 )
 
-// Stage is which gateways operate under a version.
+// Stage determines which gateways operate under a version.
 type Stage string
 
 // The stages of a rollout. Their values are part of stored data.
@@ -31,11 +31,11 @@
 	StageAll   Stage = "all"
 )
 
-// Version is one version of an item. Durations are times of the fleet's clock.
+// Version is one version of an item. Values of type time.Duration are times of the fleet's clock.
 type Version struct {
 	Item   string `json:"item"`
 	Number uint64 `json:"number"`
-	// SHA-256, hexadecimal; "": what each gateway's own configuration has.
+	// Digest is a hexadecimal SHA-256; "" stands for each gateway's own configuration.
 	Digest string   `json:"digest"`
 	Size   int64    `json:"size"` // bytes
 	State  State    `json:"state"`
@@ -45,39 +45,40 @@
 	CommittedAt    time.Duration `json:"agreed"`
 	StageStartedAt time.Duration `json:"staged"`
 	EffectiveFrom  time.Duration `json:"from"`
-	EndedAt        time.Duration `json:"over"` // when it was withdrawn or superseded; 0: it was not
+	EndedAt        time.Duration `json:"over"` // when withdrawn or superseded; 0 if neither
 
-	// ExpiresAt is from when on no gateway operates under it. 0: that is open. It may be moved to
-	// an earlier time.
+	// ExpiresAt is the time from which on no gateway operates under the version; 0 if that is open.
+	// It may be moved to an earlier time.
 	ExpiresAt  time.Duration `json:"until"`
 	ProposedBy lease.Member  `json:"by"`
 
 	// ProposedWallTime and EndedWallTime are by the clocks of the processes that sent the commands,
-	// in microseconds since 1970. They are for operators and audits: nothing is decided by them.
+	// in microseconds since 1970. They are for operators and audits only: no decision uses them.
 	ProposedWallTime int64 `json:"said,omitempty"`
 	EndedWallTime    int64 `json:"ended,omitempty"`
 
-	Why string `json:"why,omitempty"` // it was paused or withdrawn
-	// Number of the version that a withdrawal restored by it.
+	Why string `json:"why,omitempty"` // why it was paused or withdrawn
+	// Restores is the number of the earlier version whose content a withdrawal restored as this
+	// one.
 	Restores uint64 `json:"restores,omitempty"`
 }
 
 // usableAt reports whether a gateway may still operate under a version.
 func (v *Version) usableAt(at time.Duration) bool { return v.ExpiresAt == 0 || at < v.ExpiresAt }
 
-// inRollout reports whether the rollout of a version is under way.
+// inRollout reports whether the rollout of a version is in progress or paused.
 func (v *Version) inRollout() bool { return v.State == StateRollingOut || v.State == StatePaused }
 
 func (v *Version) ref() Ref { return Ref{v.Number, v.Digest, v.Size} }
 
-// Ref names a version and its content.
+// Ref identifies a version and its content.
 type Ref struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
 	Size   int64  `json:"size"` // bytes
 }
 
-// Errors of commands, to be told apart by errors.Is.
+// Errors of commands.
 var (
 	ErrUnknownVersion    = errors.New("versions: no such version")
 	ErrRolloutInProgress = errors.New("versions: another rollout of the item is under way")
@@ -93,10 +94,10 @@
 )
 
 const (
-	// MaxContentSize is how many bytes an item's content may have.
+	// MaxContentSize is the largest size of an item's content, in bytes.
 	MaxContentSize = 16 << 20
 
-	maxLead        = 24 * time.Hour // from a version's commitment to when it is effective
+	maxLead        = 24 * time.Hour // from the commitment of a version until it is effective
 	maxReasonBytes = 200
 	maxItems       = 64
 )
--- a/internal/controlplane/configversion/view.go
+++ b/internal/controlplane/configversion/view.go
@@ -13,15 +13,15 @@
 	"mothcleat/internal/mustjson"
 )
 
-// MemberStatus is a process that may hold leases.
+// MemberStatus describes a process that may hold leases.
 type MemberStatus struct {
 	Member        lease.Member  `json:"member"`
-	Since         time.Duration `json:"since"` // it is enrolled
-	EnrolledUntil time.Duration `json:"until"` // its leases have expired by then
+	Since         time.Duration `json:"since"` // when it enrolled
+	EnrolledUntil time.Duration `json:"until"` // all its leases expire by then
 
-	// Version numbers that it reported, by item.
+	// InForce has the version numbers that it reported as in force, by item.
 	InForce    map[string]uint64    `json:"in_force,omitempty"`
-	ReportedAt time.Duration        `json:"at"`                // the last time
+	ReportedAt time.Duration        `json:"at"`                // time of its last such report
 	Rejected   map[string]Rejection `json:"refused,omitempty"` // by item
 }
 
@@ -31,29 +31,29 @@
 	Why    string `json:"why"`
 }
 
-// FencedGateway is a gateway that was fenced by a command, as an operator wanted or because its
-// audit log is not valid.
+// FencedGateway is a gateway that an operator fenced by a command, or that was fenced by one
+// because its audit log is invalid.
 type FencedGateway struct {
 	ID  string        `json:"id"`
 	At  time.Duration `json:"at"`
 	Why string        `json:"why"`
 }
 
-// View is the whole state. Versions are sorted by item, and then the oldest first.
+// View is the whole state. Versions are sorted by item and then by number.
 type View struct {
 	At       time.Duration   `json:"at"`
-	Seq      uint64          `json:"seq"` // commands that were carried out
+	Seq      uint64          `json:"seq"` // number of commands executed successfully
 	Versions []Version       `json:"versions"`
 	Members  []MemberStatus  `json:"members"`
 	Fenced   []FencedGateway `json:"shut"`
 
-	// Heads are the heads of audit logs as their processes reported them, and Forks where a process
-	// reported two different logs.
+	// Heads are the heads of audit logs as their processes reported them. Forks are the places
+	// where a process reported two different logs.
 	Heads []auditlog.Head      `json:"heads"`
 	Forks []auditlog.Violation `json:"forks"`
 }
 
-// View returns the whole state, sorted, so that equal states give equal views.
+// View returns the whole state, sorted so that equal states have equal views.
 func (m *Machine) View(at time.Duration) View {
 	v := View{
 		At:       at,
@@ -65,8 +65,8 @@
 		Forks:    slices.Clone(m.forks),
 	}
 	for _, versions := range m.items {
-		for _, one := range versions {
-			v.Versions = append(v.Versions, *one)
+		for _, version := range versions {
+			v.Versions = append(v.Versions, *version)
 		}
 	}
 	slices.SortFunc(v.Versions, func(a, b Version) int {
@@ -75,8 +75,7 @@
 	for _, s := range m.members {
 		v.Members = append(v.Members, *s)
 	}
-	slices.SortFunc(v.Members, func(a,
-		b MemberStatus) int {
+	slices.SortFunc(v.Members, func(a, b MemberStatus) int {
 		return compareMembers(a.Member, b.Member)
 	})
 	for _, id := range slices.Sorted(maps.Keys(m.fenced)) {
@@ -92,18 +91,18 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// Snapshot returns the state as JSON, the same bytes for the same state.
+// Snapshot returns the state as JSON. Equal states have equal bytes.
 func (m *Machine) Snapshot() []byte { return mustjson.Marshal(m.View(0)) }
 
-// Restore replaces the state by what Snapshot returned.
+// Restore replaces the state by a result of Snapshot.
 func (m *Machine) Restore(raw []byte) error {
 	var v View
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return fmt.Errorf("versions: %w", err)
 	}
 	restored := NewMachine(m.config, m.fence)
-	for _, one := range v.Versions {
-		restored.items[one.Item] = append(restored.items[one.Item], &one)
+	for _, version := range v.Versions {
+		restored.items[version.Item] = append(restored.items[version.Item], &version)
 	}
 	for _, s := range v.Members {
 		if s.InForce == nil {
