--- a/internal/controlplane/rollout/apply.go
+++ b/internal/controlplane/rollout/apply.go
@@ -10,7 +10,7 @@
 	"mothcleat/internal/monotonic"
 )
 
-// appliedRefs names what was passed to Item.Use.
+// appliedRefs identifies the contents of one call of Item.Use.
 type appliedRefs struct {
 	target      configversion.Ref
 	overlapping []configversion.Ref
@@ -27,15 +27,15 @@
 	refs appliedRefs
 }
 
-// apply passes contents that are effective and here to their items, and logs whether this process
-// is fenced.
+// apply passes contents that are effective and stored here to their items, and logs changes of
+// whether this process is fenced.
 func (a *Agent) apply() {
 	a.applying.Lock()
 	defer a.applying.Unlock()
 	for _, due := range a.collectDue() {
 		target, overlapping, err := a.readContents(due.item, due.refs)
 		if err != nil {
-			a.log.Error("fleet: versions: a content can't be read any more", "item", due.name,
+			a.log.Error("fleet: versions: a stored content can no longer be read", "item", due.name,
 				"error", err)
 			a.markLost(due.refs.target.Digest)
 			continue
@@ -47,22 +47,23 @@
 	}
 }
 
-// collectDue returns the applications that are due. It reads no contents, as calls of Current wait
-// for mu.
-func (a *Agent) collectDue() (all []application) {
+// collectDue returns the applications that are due. It reads no contents, because Current would
+// have to wait for mu.
+func (a *Agent) collectDue() (applications []application) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := monotonic.Now()
 	for _, name := range a.holder.Items() {
 		if due, ok := a.nextApplication(now, name); ok {
-			all = append(all, due)
+			applications = append(applications, due)
 		}
 	}
 	a.logFencing(now)
-	return all
+	return applications
 }
 
-// nextApplication returns the application of an item that is due, if one is. Called with mu held.
+// nextApplication returns the application that is due for an item; ok is false if none is. The
+// caller holds mu.
 func (a *Agent) nextApplication(now time.Duration, name string) (due application, ok bool) {
 	target, overlapping, complete, ok := a.holder.NextToApply(now, name)
 	item := a.items[name]
@@ -76,22 +77,22 @@
 	return application{name, item, refs}, true
 }
 
-// markApplied takes in that an application was passed to its item.
+// markApplied records that an application was passed to its item.
 func (a *Agent) markApplied(due application) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.applied[due.name] = due.refs
 }
 
-// markLost has a content fetched again.
+// markLost records that a content is lost, so that it is fetched again.
 func (a *Agent) markLost(digest string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.holder.ContentLost(digest)
 }
 
-// applicationOrder returns the order for Item.Use: a version alone comes after the same version
-// with overlapping ones.
+// applicationOrder returns the order for Item.Use. A version without overlapping ones comes after
+// the same version with overlapping ones.
 func applicationOrder(refs appliedRefs) uint64 {
 	order := 2 * refs.target.Number
 	if len(refs.overlapping) == 0 {
@@ -100,7 +101,7 @@
 	return order
 }
 
-// setInForce takes in that an item's version decides from now on.
+// setInForce records that a version of an item is in force from now on.
 func (a *Agent) setInForce(name string, target configversion.Ref) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,7 +118,7 @@
 	}
 }
 
-// logFencing logs each change of whether this process is fenced. Called with mu held.
+// logFencing logs each change of whether this process is fenced. The caller holds mu.
 func (a *Agent) logFencing(now time.Duration) {
 	why := a.holder.FencedReason(now)
 	fenced := why != ""
@@ -140,17 +141,16 @@
 		return nil, nil, err
 	}
 	for _, ref := range refs.overlapping {
-		one, err := a.readContent(item, ref)
+		version, err := a.readContent(item, ref)
 		if err != nil {
 			return nil, nil, err
 		}
-		overlapping = append(overlapping, one)
+		overlapping = append(overlapping, version)
 	}
 	return target, overlapping, nil
 }
 
-// readContent returns a content that was checked, and nil for what this process's own configuration
-// has.
+// readContent returns a content that was checked, nil for this process's own configuration.
 func (a *Agent) readContent(item Item, ref configversion.Ref) (*configstate.Version, error) {
 	if ref.Digest == "" {
 		return nil, nil
--- a/internal/controlplane/rollout/cleanup.go
+++ b/internal/controlplane/rollout/cleanup.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxKeptVersions is how many of an item's newest versions keep their contents, since a
-	// withdrawal may bring an earlier one back.
+	// maxKeptVersions is the number of newest versions of an item whose contents are kept, because
+	// a withdrawal may restore an earlier version.
 	maxKeptVersions = 16
-	// minContentAge is how long a file must be untouched before it is removed: a younger one may be
-	// a content that is being fetched or proposed.
+	// minContentAge is how long a file must not have been written before it is removed. A newer
+	// file may be a content that is being fetched or proposed.
 	minContentAge = time.Hour
 )
 
-// cleanUp removes contents that no version refers to any more, until the context ends.
+// cleanUp periodically removes contents that no version refers to any more, until the context ends.
 func (a *Agent) cleanUp(ctx context.Context) {
 	repeat(ctx, cleanupInterval, func() {
 		queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
@@ -26,7 +26,7 @@
 			return
 		}
 		if err := a.contents.RemoveUnused(referencedDigests(&view), minContentAge); err != nil {
-			a.log.Warn("fleet: versions: unused contents can't be removed", "error", err)
+			a.log.Warn("fleet: versions: failed to remove unused contents", "error", err)
 		}
 	})
 }
@@ -35,7 +35,7 @@
 // that a gateway may still operate under.
 func referencedDigests(view *configversion.View) map[string]bool {
 	digests := map[string]bool{}
-	seen := map[string]int{} // versions, by item
+	seen := map[string]int{} // number of versions, by item
 	for i := len(view.Versions) - 1; i >= 0; i-- {
 		v := &view.Versions[i]
 		seen[v.Item]++
--- a/internal/controlplane/rollout/commands.go
+++ b/internal/controlplane/rollout/commands.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/controlplane/consensus"
 )
 
-// RejectedError is the error of a command that the state machine rejected.
+// RejectedError is returned for a command that the state machine rejected.
 type RejectedError struct{ Why string }
 
 // Error returns why the command was rejected.
@@ -24,7 +24,7 @@
 	return view, err
 }
 
-// membersOf returns the members of some ids.
+// membersOf returns the members with the given ids.
 func (a *Agent) membersOf(ctx context.Context, ids ...string) ([]consensus.MemberInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -32,7 +32,8 @@
 		IDs: ids}).List(ctx)
 }
 
-// memberList returns all members and voters of the fleet. Only operators' commands need so many.
+// memberList returns all members and voters of the fleet. Only operators' commands need all of
+// them.
 func (a *Agent) memberList(ctx context.Context) (list consensus.Membership, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -44,19 +45,21 @@
 }
 
 // execute commits a command.
-func (a *Agent) execute(ctx context.Context, op configversion.Command) error {
-	_, err := a.executeNumbered(ctx, op)
+func (a *Agent) execute(ctx context.Context, command configversion.Command) error {
+	_, err := a.executeNumbered(ctx, command)
 	return err
 }
 
 // executeNumbered commits a command and returns the number in its result. The error is a
-// *RejectedError where the state machine rejected the command; after any other error the outcome is
+// *RejectedError if the state machine rejected the command. After any other error the outcome is
 // unknown.
-func (a *Agent) executeNumbered(ctx context.Context, op configversion.Command) (uint64, error) {
+func (a *Agent) executeNumbered(
+	ctx context.Context, command configversion.Command,
+) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	op.WallTime = time.Now().UnixMicro()
-	raw, err := a.client.Propose(ctx, configversion.MachineName, op.Encode())
+	command.WallTime = time.Now().UnixMicro()
+	raw, err := a.client.Propose(ctx, configversion.MachineName, command.Encode())
 	if err != nil {
 		return 0, err
 	}
--- a/internal/controlplane/rollout/contents.go
+++ b/internal/controlplane/rollout/contents.go
@@ -18,13 +18,13 @@
 	"mothcleat/internal/failpoint"
 )
 
-// Contents is a content-addressed folder: each file is named by the SHA-256 digest of its content,
-// in hexadecimal. A file under that name is complete. An incomplete one has the suffix partSuffix,
-// and fetching it resumes at its end. The methods may be called concurrently.
+// Contents is a content-addressed folder: the name of each file is the hexadecimal SHA-256 digest
+// of its content. A file with that name is complete. An incomplete file has the additional suffix
+// partSuffix, and a fetch resumes at its end. The methods may be called concurrently.
 type Contents struct {
 	dir string
-	// unsynced contents are not synced to the disk: what a power cut damages is found by its
-	// digest, and fetched again.
+	// unsynced says that contents are not synced to the disk. A content that a power failure
+	// damages is detected by its digest and fetched again.
 	unsynced bool
 }
 
@@ -35,13 +35,13 @@
 
 var digestName = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// ErrDigest is the error of a content that does not match its digest. Its file has been removed.
+// ErrDigest is returned for a content that does not match its digest, after its file was removed.
 var ErrDigest = errors.New("rollout: a content does not match its digest")
 
-// NewContents returns the contents of a folder, which Create creates.
+// NewContents returns the contents of a folder. Call Create if the folder may not exist.
 func NewContents(dir string) *Contents { return &Contents{dir: dir} }
 
-// Unsynced returns the same folder for contents that need not survive a power cut in this process.
+// Unsynced returns the same folder for storing contents that need not survive a power failure.
 func (c *Contents) Unsynced() *Contents { return &Contents{dir: c.dir, unsynced: true} }
 
 // Create creates the folder if it does not exist.
@@ -51,8 +51,8 @@
 
 func (c *Contents) partPath(digest string) string { return c.path(digest) + partSuffix }
 
-// Read returns a content after checking its digest. The error is ErrDigest if the file was damaged,
-// and fs.ErrNotExist if there is none.
+// Read returns a content after checking its digest. The error wraps ErrDigest if the file was
+// damaged, and fs.ErrNotExist if there is none.
 func (c *Contents) Read(digest string) ([]byte, error) {
 	if !digestName.MatchString(digest) {
 		return nil, fmt.Errorf("rollout: digest %.80q", digest)
@@ -77,7 +77,7 @@
 	return digest, c.finish(digest)
 }
 
-// PartialSize returns how many bytes of an incomplete content are here, 0 if there is none.
+// PartialSize returns the size in bytes of an incomplete content, 0 if there is none.
 func (c *Contents) PartialSize(digest string) int64 {
 	info, err := os.Stat(c.partPath(digest))
 	if err != nil {
@@ -86,9 +86,9 @@
 	return info.Size()
 }
 
-// Receive writes the chunks that next returns, from an offset in bytes on. At the content's full
-// size it checks the digest. Where next fails, what was received stays, so that a later call can
-// resume.
+// Receive writes the chunks that next returns, starting at an offset in bytes. When the content has
+// its full size, Receive checks the digest. If next fails, the bytes that were received are kept,
+// so that a later call can resume.
 func (c *Contents) Receive(r configversion.Ref, from int64, next func() ([]byte, error)) error {
 	f, err := os.OpenFile(c.partPath(r.Digest), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return c.syncDir()
 }
 
-// Sync syncs a complete content to the disk, also one that was stored unsynced.
+// Sync syncs a complete content to the disk, including one that was stored unsynced.
 func (c *Contents) Sync(digest string) error {
 	f, err := os.OpenFile(c.path(digest), os.O_RDWR, 0o600)
 	if err != nil {
@@ -164,8 +164,8 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Send sends a content in chunks, from an offset in bytes on. The error is fs.ErrNotExist if the
-// content is not here.
+// Send sends a content in chunks, starting at an offset in bytes. The error wraps fs.ErrNotExist if
+// the content is not stored here.
 func (c *Contents) Send(digest string, from int64, send func([]byte) error) error {
 	if !digestName.MatchString(digest) {
 		return fs.ErrNotExist
@@ -195,7 +195,7 @@
 	}
 }
 
-// Newest returns the digests of up to limit complete contents, those written last first.
+// Newest returns the digests of up to limit complete contents, the last written first.
 func (c *Contents) Newest(limit int) ([]string, error) {
 	entries, err := os.ReadDir(c.dir)
 	if err != nil {
@@ -213,8 +213,8 @@
 	return digests[:min(len(digests), limit)], nil
 }
 
-// RemoveUnused removes the contents, complete or not, whose digests are not in keep and whose files
-// were last written longer ago than minAge.
+// RemoveUnused removes the contents, complete or incomplete, whose digests are not in keep and
+// whose files were last written at least minAge ago.
 func (c *Contents) RemoveUnused(keep map[string]bool, minAge time.Duration) error {
 	entries, err := os.ReadDir(c.dir)
 	if err != nil {
--- a/internal/controlplane/rollout/contents_test.go
+++ b/internal/controlplane/rollout/contents_test.go
@@ -12,9 +12,9 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// A fetch that is interrupted at any byte is resumed and ends with the full content. A content that
-// is damaged on the way never gets its final name.
-func TestAFetchInterruptedAtEachByte(t *testing.T) {
+// A fetch that is interrupted at any byte can be resumed and yields the full content. A content
+// that is corrupted in transit never gets its final name.
+func TestFetchInterruptedAtEachByte(t *testing.T) {
 	raw := bytes.Repeat([]byte("terms of a plan\n"), 12)
 	from, to := NewContents(t.TempDir()), NewContents(t.TempDir())
 	digest, err := from.Add(raw)
@@ -22,26 +22,26 @@
 		t.Fatal(err)
 	}
 	ref := configversion.Ref{Digest: digest, Size: int64(len(raw))}
-	broke := errors.New("the link broke")
-	// fetch takes what comes, up to a byte of the content, with one byte of it changed if that is
-	// not below 0.
-	fetch := func(end, spoilt int) error {
-		begun := to.PartialSize(digest)
-		var pieces [][]byte
-		if err := from.Send(digest, begun, func(b []byte) error {
-			pieces = append(pieces, bytes.Clone(b))
+	errLinkBroken := errors.New("the link broke")
+	// fetch receives the content up to the byte at end, and then the link breaks. If corrupted is
+	// not negative, fetch changes the byte at that offset.
+	fetch := func(end, corrupted int) error {
+		offset := to.PartialSize(digest)
+		var chunks [][]byte
+		if err := from.Send(digest, offset, func(b []byte) error {
+			chunks = append(chunks, bytes.Clone(b))
 			return nil
 		}); err != nil {
 			return err
 		}
-		all := bytes.Join(pieces, nil)
-		all = all[:max(0, min(len(all), end-int(begun)))]
-		if spoilt >= int(begun) && spoilt < int(begun)+len(all) {
-			all[spoilt-int(begun)]++
+		all := bytes.Join(chunks, nil)
+		all = all[:max(0, min(len(all), end-int(offset)))]
+		if corrupted >= int(offset) && corrupted < int(offset)+len(all) {
+			all[corrupted-int(offset)]++
 		}
-		return to.Receive(ref, begun, func() ([]byte, error) {
+		return to.Receive(ref, offset, func() ([]byte, error) {
 			if len(all) == 0 {
-				return nil, broke
+				return nil, errLinkBroken
 			}
 			n := min(7, len(all))
 			b := all[:n]
@@ -50,25 +50,26 @@
 		})
 	}
 	for end := range raw {
-		for _, spoilt := range []int{-1, end / 2} {
-			if err := fetch(end, spoilt); !errors.Is(err, broke) {
+		for _, corrupted := range []int{-1, end / 2} {
+			if err := fetch(end, corrupted); !errors.Is(err, errLinkBroken) {
 				t.Fatalf("cut at %d: %v", end, err)
 			}
 			if _, err := to.Read(digest); !errors.Is(err, os.ErrNotExist) {
-				t.Fatalf("cut at %d: it is there already: %v", end, err)
+				t.Fatalf("cut at %d: reading the incomplete content: %v", end, err)
 			}
 			if got := to.PartialSize(digest); got != int64(end) {
-				t.Fatalf("cut at %d: %d bytes are kept", end, got)
+				t.Fatalf("cut at %d: the partial size is %d", end, got)
 			}
 			err := fetch(len(raw), -1)
-			if spoilt >= 0 && spoilt < end {
+			if corrupted >= 0 && corrupted < end {
 				if !errors.Is(err, ErrDigest) {
-					t.Fatalf("cut at %d, byte %d changed: %v", end, spoilt, err)
+					t.Fatalf("cut at %d, byte %d changed: %v", end, corrupted, err)
 				}
-				err = fetch(len(raw), -1) // from the beginning
+				err = fetch(len(raw), -1) // from the beginning, because the file was removed
 			}
-			if got, bad := to.Read(digest); err != nil || bad != nil || !bytes.Equal(got, raw) {
-				t.Fatalf("cut at %d: %v, %v", end, err, bad)
+			got, readErr := to.Read(digest)
+			if err != nil || readErr != nil || !bytes.Equal(got, raw) {
+				t.Fatalf("cut at %d: after resuming: %v, %v", end, err, readErr)
 			}
 			if err := os.Remove(to.path(digest)); err != nil {
 				t.Fatal(err)
@@ -76,15 +77,15 @@
 		}
 	}
 	if err := to.Receive(ref, 0, func() ([]byte, error) { return make([]byte, len(raw)+1), nil }); !errors.Is(err, ErrDigest) {
-		t.Errorf("one that is longer than it is to be: %v", err)
+		t.Errorf("a content longer than its size: %v", err)
 	}
 	if err := from.Send("../../../etc/passwd", 0, func([]byte) error { return io.ErrUnexpectedEOF }); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a digest that is none: %v", err)
+		t.Errorf("an invalid digest: %v", err)
 	}
 }
 
-// Unused contents are removed. Those of versions that may be restored, and those written a short
-// time ago, stay.
+// RemoveUnused removes unused contents, but neither those of versions that may be restored nor
+// those that were written a short time ago.
 func TestRemoveUnused(t *testing.T) {
 	c := NewContents(t.TempDir())
 	v := configversion.View{At: time.Hour}
@@ -95,18 +96,18 @@
 			t.Fatal(err)
 		}
 		digests = append(digests, d)
-		one := configversion.Version{Item: "plans", Number: uint64(k + 1), Digest: d, ExpiresAt: time.Minute}
+		version := configversion.Version{Item: "plans", Number: uint64(k + 1), Digest: d, ExpiresAt: time.Minute}
 		if k == 1 {
-			one.ExpiresAt = 0 // somebody acts on it
+			version.ExpiresAt = 0 // a gateway may still operate under it
 		}
-		v.Versions = append(v.Versions, one)
+		v.Versions = append(v.Versions, version)
 	}
 	if err := c.RemoveUnused(referencedDigests(&v), time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	for k, d := range digests {
 		if _, err := c.Read(d); err != nil {
-			t.Errorf("version %d, just made: %v", k, err)
+			t.Errorf("version %d, just written: %v", k, err)
 		}
 	}
 	if err := c.RemoveUnused(referencedDigests(&v), 0); err != nil {
@@ -119,7 +120,7 @@
 	}
 }
 
-// Contents that were stored unsynced are checked like others, and can be synced later.
+// Contents that were stored unsynced are verified like others, and can be synced later.
 func TestUnsyncedContents(t *testing.T) {
 	contents := NewContents(t.TempDir())
 	digest, err := contents.Unsynced().Add([]byte("terms"))
@@ -130,15 +131,15 @@
 		t.Error(err)
 	}
 	if raw, err := contents.Read(digest); err != nil || string(raw) != "terms" {
-		t.Errorf("%q %v", raw, err)
+		t.Errorf("Read returns %q, %v", raw, err)
 	}
-	if err := os.WriteFile(contents.path(digest), []byte("ter"), 0o600); err != nil { // as a power cut may leave it
+	if err := os.WriteFile(contents.path(digest), []byte("ter"), 0o600); err != nil { // as after a power failure
 		t.Fatal(err)
 	}
 	if _, err := contents.Read(digest); !errors.Is(err, ErrDigest) {
-		t.Errorf("a torn content: %v", err)
+		t.Errorf("a truncated content: %v", err)
 	}
 	if err := contents.Sync(digest); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a content that is not there: %v", err)
+		t.Errorf("syncing a content that does not exist: %v", err)
 	}
 }
--- a/internal/controlplane/rollout/controller.go
+++ b/internal/controlplane/rollout/controller.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/failpoint"
 )
 
-// RunController moves rollouts from stage to stage, until the context ends. It is run by the
-// process that holds configversion.Role.
+// RunController advances rollouts from stage to stage until the context ends. The process that
+// holds configversion.Role runs it.
 func (a *Agent) RunController(ctx context.Context, t *election.Tenure) {
 	repeat(ctx, a.config.RenewInterval, func() { a.advanceRollouts(ctx, t.Term) })
 }
@@ -22,19 +22,18 @@
 	if err != nil {
 		return
 	}
-	for _, op := range configversion.NextCommands(a.config, term, &view) {
+	for _, command := range configversion.NextCommands(a.config, term, &view) {
 		failpoint.At("rollout-before-commit")
-		// Not bound to the role's context: a process that has lost the role has to see that its
-		// command is rejected by its term.
-		err := a.execute(context.WithoutCancel(ctx), op)
+		// The call does not use the role's context: a process that has lost the role must see that
+		// its command is rejected because of its term.
+		err := a.execute(context.WithoutCancel(ctx), command)
 		if err != nil {
-			a.log.Warn("fleet: versions: a command was not committed", "do", op.Kind, "item",
-				op.Item, "number", op.Number,
-				"term", op.Term, "error", err)
+			a.log.Warn("fleet: versions: a command was not committed", "do", command.Kind,
+				"item", command.Item, "number", command.Number, "term", command.Term, "error", err)
 			continue
 		}
-		a.log.Info("fleet: versions: "+string(op.Kind), "item", op.Item, "number", op.Number,
-			"stage", op.Stage,
-			"why", op.Why, "term", op.Term)
+		a.log.Info("fleet: versions: "+string(command.Kind), "item", command.Item,
+			"number", command.Number, "stage", command.Stage, "why", command.Why,
+			"term", command.Term)
 	}
 }
--- a/internal/controlplane/rollout/delta.go
+++ b/internal/controlplane/rollout/delta.go
@@ -11,19 +11,19 @@
 	"mothcleat/internal/failpoint"
 )
 
-// maxBasesOffered is how many contents that are here a request names.
+// maxBasesOffered is how many stored contents a request offers as bases.
 const maxBasesOffered = 4
 
-// errFullContentNeeded is the error where no content is here to start from, or too much differs.
+// errFullContentNeeded is returned if no content is stored here to start from, or too much differs.
 var errFullContentNeeded = errors.New("rollout: the full content has to be fetched")
 
-// fetchDelta makes a content from one that is here and the differences to it that a source has, and
-// stores it. The error is controlrpc.ErrNoContent where the source does not have the content. After
-// any other error nothing was stored, and the full content may be fetched.
+// fetchDelta builds a content from one that is stored here and the differences that a source sends,
+// and stores the result. The error is controlrpc.ErrNoContent if the source does not have the
+// content. After any other error nothing was stored, and the caller may fetch the full content.
 func (a *Agent) fetchDelta(
-	ctx context.Context, wanted contentRequest, source consensus.MemberInfo,
+	ctx context.Context, request contentRequest, source consensus.MemberInfo,
 ) error {
-	item := a.items[wanted.item]
+	item := a.items[request.item]
 	if item == nil {
 		return errFullContentNeeded
 	}
@@ -33,56 +33,57 @@
 	}
 	response, err := a.client.ContentDelta(ctx, source.ID, source.Address,
 		&controlpb.ContentDeltaRequest{
-			Item: wanted.item, Digest: wanted.ref.Digest, Bases: bases,
+			Item: request.item, Digest: request.ref.Digest, Bases: bases,
 		})
 	switch {
 	case err != nil:
 		return err
 	case response.Delta != nil:
-		return a.applyDelta(wanted, response.Delta)
+		return a.applyDelta(request, response.Delta)
 	case response.Sums != nil:
-		return a.repair(ctx, wanted, bases[0], response.Sums, source)
+		return a.repair(ctx, request, bases[0], response.Sums, source)
 	}
 	return errFullContentNeeded
 }
 
-// bases returns the digests of contents to start from: those in memory, or else the newest on the
-// disk.
+// bases returns the digests of contents to start from: those in memory, or if there are none, the
+// newest on the disk.
 func (a *Agent) bases() []string {
 	if digests := a.versions.newest(); len(digests) > 0 {
 		return digests
 	}
 	digests, err := a.contents.Newest(maxBasesOffered)
 	if err != nil {
-		a.log.Warn("fleet: versions: the folder of contents can't be listed", "error", err)
+		a.log.Warn("fleet: versions: failed to list the folder of contents", "error", err)
 	}
 	return digests
 }
 
-// applyDelta stores the content that a delta leads to.
-func (a *Agent) applyDelta(wanted contentRequest, delta *controlpb.ContentDelta) error {
-	item := a.items[wanted.item]
+// applyDelta applies a delta to its base and stores the resulting content.
+func (a *Agent) applyDelta(request contentRequest, delta *controlpb.ContentDelta) error {
+	item := a.items[request.item]
 	base, err := a.versions.read(item, delta.Base)
 	if err != nil {
 		return err
 	}
-	content, raw, err := configstate.ApplyDelta(item, base, wanted.ref.Digest, delta)
+	content, raw, err := configstate.ApplyDelta(item, base, request.ref.Digest, delta)
 	if err != nil {
 		return err
 	}
 	a.fetched.deltas.Add(1)
-	return a.store(wanted.into, content, raw)
+	return a.store(request.into, content, raw)
 }
 
-// repair stores a content after fetching the buckets in which the one with the digest base differs.
+// repair builds a content from the one with the digest base by fetching the buckets that differ,
+// and stores the result.
 func (a *Agent) repair(
 	ctx context.Context,
-	wanted contentRequest,
+	request contentRequest,
 	base string,
 	sums *controlpb.ContentSums,
 	source consensus.MemberInfo,
 ) error {
-	item, digest := a.items[wanted.item], wanted.ref.Digest
+	item, digest := a.items[request.item], request.ref.Digest
 	from, err := a.versions.read(item, base)
 	if err != nil {
 		return err
@@ -101,7 +102,7 @@
 		}
 		response, err := a.client.ContentBuckets(ctx, source.ID, source.Address,
 			&controlpb.ContentBucketsRequest{
-				Item: wanted.item, Digest: digest, Buckets: indexes,
+				Item: request.item, Digest: digest, Buckets: indexes,
 			})
 		if err != nil {
 			return err
@@ -115,10 +116,10 @@
 		return err
 	}
 	a.fetched.repairs.Add(1)
-	return a.store(wanted.into, content, raw)
+	return a.store(request.into, content, raw)
 }
 
-// store keeps a verified content on the disk and in memory.
+// store stores a verified content on the disk and caches it in memory.
 func (a *Agent) store(into *Contents, content *configstate.Version, raw []byte) error {
 	failpoint.At("content-before-store")
 	if _, err := into.Add(raw); err != nil {
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// Delta serves a process that fetches a content and has others; see controlrpc.Contents.
+// Delta answers a process that fetches a content and has others; see controlrpc.Contents.
 func (a *Agent) Delta(
 	request *controlpb.ContentDeltaRequest,
 ) (*controlpb.ContentDeltaResponse, error) {
@@ -146,7 +147,7 @@
 	return configstate.DeltaResponse(target, request.Bases, find), nil
 }
 
-// Buckets serves a process that fetches some buckets of a content; see controlrpc.Contents.
+// Buckets answers a process that fetches some buckets of a content; see controlrpc.Contents.
 func (a *Agent) Buckets(
 	request *controlpb.ContentBucketsRequest,
 ) (*controlpb.ContentBucketsResponse, error) {
@@ -160,8 +161,9 @@
 	return configstate.BucketsResponse(target, request.Buckets), nil
 }
 
-// requested returns a content that another process fetches, and its item. The content is nil where
-// this program can't read it as records; the error is fs.ErrNotExist where it is not here.
+// requested returns a content that another process fetches, and its item. The content is nil if
+// this program can't read it as records. The error wraps fs.ErrNotExist if the content is not
+// stored here.
 func (a *Agent) requested(itemName, digest string) (Item, *configstate.Version, error) {
 	item := a.items[itemName]
 	if item == nil {
--- a/internal/controlplane/rollout/delta_test.go
+++ b/internal/controlplane/rollout/delta_test.go
@@ -28,36 +28,36 @@
 
 const testFleet = "fleet"
 
-// payloadBytes counts the bytes of all messages that a server sends.
-type payloadBytes struct{ sent atomic.Int64 }
+// payloadCounter is a stats handler that counts the bytes of all messages that a server sends.
+type payloadCounter struct{ sent atomic.Int64 }
 
-func (p *payloadBytes) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context {
+func (p *payloadCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context {
 	return ctx
 }
-func (p *payloadBytes) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+func (p *payloadCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
 	return ctx
 }
-func (p *payloadBytes) HandleConn(context.Context, stats.ConnStats) {}
-func (p *payloadBytes) HandleRPC(_ context.Context, event stats.RPCStats) {
+func (p *payloadCounter) HandleConn(context.Context, stats.ConnStats) {}
+func (p *payloadCounter) HandleRPC(_ context.Context, event stats.RPCStats) {
 	if out, ok := event.(*stats.OutPayload); ok {
 		p.sent.Add(int64(out.WireLength))
 	}
 }
 
-// anyTerms accepts all plans.
-type anyTerms struct{}
+// acceptingTerms accepts all plans and applies none.
+type acceptingTerms struct{}
 
-func (anyTerms) CheckCatalog(*plans.Catalog) error { return nil }
-func (anyTerms) UseCatalogs(_ *plans.Catalog, _ []*plans.Catalog, _ uint64, done func()) {
+func (acceptingTerms) CheckCatalog(*plans.Catalog) error { return nil }
+func (acceptingTerms) UseCatalogs(_ *plans.Catalog, _ []*plans.Catalog, _ uint64, done func()) {
 	done()
 }
 
-// testAgent is an agent without a control plane: tests call its methods to fetch.
+// testAgent is an agent without a control plane. Tests call its fetch methods directly.
 type testAgent struct {
 	*Agent
 	dir    string
-	source consensus.MemberInfo // where it serves
-	bytes  *payloadBytes
+	source consensus.MemberInfo // its identity and address as a source
+	bytes  *payloadCounter
 }
 
 // newTestAgent starts an agent that stores contents in a folder and serves them.
@@ -70,11 +70,11 @@
 	if err := contents.Create(); err != nil {
 		t.Fatal(err)
 	}
-	items := map[string]Item{planconfig.ItemName: planconfig.New(anyTerms{})}
+	items := map[string]Item{planconfig.ItemName: planconfig.New(acceptingTerms{})}
 	a := &testAgent{
 		Agent: New(configversion.DefaultConfig(), client, contents, items, quiet),
 		dir:   dir,
-		bytes: &payloadBytes{},
+		bytes: &payloadCounter{},
 	}
 	observer := &controlrpc.Observer{Stats: a.bytes, Wrap: func(c net.Conn) net.Conn { return c }}
 	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil,
@@ -98,7 +98,7 @@
 	return a
 }
 
-// add stores a content at an agent, as one that was proposed there.
+// add stores a content as if it had been proposed at this agent.
 func (a *testAgent) add(t *testing.T, raw []byte) configversion.Ref {
 	t.Helper()
 	digest, err := a.contents.Add(raw)
@@ -108,8 +108,8 @@
 	return configversion.Ref{Digest: digest, Size: int64(len(raw))}
 }
 
-// fetches lets an agent fetch a content from another one, and returns how many bytes were sent.
-func (a *testAgent) fetches(t *testing.T, ref configversion.Ref, from *testAgent) int64 {
+// mustFetch fetches a content from another agent, and returns how many bytes that agent sent.
+func (a *testAgent) mustFetch(t *testing.T, ref configversion.Ref, from *testAgent) int64 {
 	t.Helper()
 	before := from.bytes.sent.Load()
 	if err := a.fetchFrom(t.Context(), contentRequest{planconfig.ItemName, ref, a.contents},
@@ -122,7 +122,7 @@
 	return from.bytes.sent.Load() - before
 }
 
-func (a *testAgent) wantFetched(t *testing.T, want FetchStats) {
+func (a *testAgent) expectFetched(t *testing.T, want FetchStats) {
 	t.Helper()
 	if got := a.Status().Fetched; got != want {
 		t.Errorf("fetched %+v, want %+v", got, want)
@@ -131,15 +131,15 @@
 
 const testTenants = 5000
 
-// planText is a canonical content in which the first tenants have the large plan, the others the
-// small one.
-func planText(t *testing.T, large int) []byte {
+// plansFile returns a canonical content in which the first tenants, large in number, have the large
+// plan and the others the small one.
+func plansFile(t *testing.T, large int) []byte {
 	t.Helper()
-	return planTextFrom(t, 0, large)
+	return plansFileFrom(t, 0, large)
 }
 
-// planTextFrom is planText with tenants that are numbered from a first one.
-func planTextFrom(t *testing.T, first, large int) []byte {
+// plansFileFrom is like plansFile, but the tenants are numbered from first.
+func plansFileFrom(t *testing.T, first, large int) []byte {
 	t.Helper()
 	var text strings.Builder
 	text.WriteString(
@@ -152,106 +152,107 @@
 		}
 		fmt.Fprintf(&text, "[[customer]]\nid = \"%016x\"\nplan = %q\n", first+i, plan)
 	}
-	_, raw, err := configstate.Canonical(planconfig.New(anyTerms{}), []byte(text.String()))
+	_, raw, err := configstate.Canonical(planconfig.New(acceptingTerms{}), []byte(text.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-// A content is fetched in full by an agent that has none, as the tenants that changed by one that
-// has the version before, also after a restart, and by buckets where the source has lost that one.
-func TestAContentIsFetchedAsItsDifferences(t *testing.T) {
+// An agent without contents fetches a content in full. An agent that has the previous version
+// fetches only the tenants that changed, also after a restart, and by buckets if the source does
+// not have that version.
+func TestContentIsFetchedAsDifference(t *testing.T) {
 	server := newTestAgent(t, "server", t.TempDir())
 	dir := t.TempDir()
 	replica := newTestAgent(t, "replica", dir)
-	first := server.add(t, planText(t, 0))
-	if n := replica.fetches(t, first, server); n < first.Size {
-		t.Errorf("in full: %d bytes", n)
+	first := server.add(t, plansFile(t, 0))
+	if n := replica.mustFetch(t, first, server); n < first.Size {
+		t.Errorf("the full content took only %d bytes", n)
 	}
-	replica.wantFetched(t, FetchStats{Full: 1})
-	if n := replica.fetches(t, server.add(t, planText(t, 1)), server); n > 400 {
-		t.Errorf("one tenant: %d bytes", n)
+	replica.expectFetched(t, FetchStats{Full: 1})
+	if n := replica.mustFetch(t, server.add(t, plansFile(t, 1)), server); n > 400 {
+		t.Errorf("the delta of one tenant took %d bytes", n)
 	}
-	replica.wantFetched(t, FetchStats{Full: 1, Deltas: 1})
+	replica.expectFetched(t, FetchStats{Full: 1, Deltas: 1})
 
 	restarted := newTestAgent(t, "restarted", dir)
-	if n := restarted.fetches(t, server.add(t, planText(t, 3)), server); n > 600 {
-		t.Errorf("two tenants after a restart: %d bytes", n)
+	if n := restarted.mustFetch(t, server.add(t, plansFile(t, 3)), server); n > 600 {
+		t.Errorf("the delta of two tenants after a restart took %d bytes", n)
 	}
-	restarted.wantFetched(t, FetchStats{Deltas: 1})
+	restarted.expectFetched(t, FetchStats{Deltas: 1})
 
-	other := newTestAgent(t, "other", t.TempDir()) // it never had what the replica has
-	if n := restarted.fetches(t, other.add(t, planText(t, 4)), other); n > 64<<10 {
-		t.Errorf("by buckets: %d bytes", n)
+	otherServer := newTestAgent(t, "other", t.TempDir()) // it never had the replica's contents
+	if n := restarted.mustFetch(t, otherServer.add(t, plansFile(t, 4)), otherServer); n > 64<<10 {
+		t.Errorf("the buckets took %d bytes", n)
 	}
-	restarted.wantFetched(t, FetchStats{Deltas: 1, Repairs: 1})
+	restarted.expectFetched(t, FetchStats{Deltas: 1, Repairs: 1})
 }
 
-// A content that a source does not have is fetched from another one. A content of other tenants, or
-// one that is not in canonical form, is fetched in full.
-func TestAContentIsFetchedInFullWhereItHasTo(t *testing.T) {
+// A source that does not have a content answers ErrNoContent. A content with other tenants, one
+// that is not in canonical form, and one of an unknown item are fetched in full.
+func TestContentIsFetchedInFull(t *testing.T) {
 	server, replica := newTestAgent(t, "server",
 		t.TempDir()), newTestAgent(t, "replica", t.TempDir())
-	replica.add(t, planText(t, 0))
+	replica.add(t, plansFile(t, 0))
 	absent := configversion.Ref{Digest: strings.Repeat("0", 64), Size: 3}
 	err := replica.fetchFrom(t.Context(),
 		contentRequest{planconfig.ItemName, absent, replica.contents}, server.source)
 	if !errors.Is(err, controlrpc.ErrNoContent) {
-		t.Errorf("a content that is not there: %v", err)
+		t.Errorf("a content that the source does not have: %v", err)
 	}
-	server.add(t, planText(t, 0))
-	replica.fetches(t, server.add(t, planTextFrom(t, testTenants, 0)), server)
-	replica.wantFetched(t, FetchStats{Full: 1})
-	replica.fetches(t, server.add(t, append([]byte("# by hand\n"), planText(t, 1)...)), server)
-	replica.wantFetched(t, FetchStats{Full: 2})
-	unknown := contentRequest{"unknown", server.add(t, planText(t, 2)), replica.contents}
+	server.add(t, plansFile(t, 0))
+	replica.mustFetch(t, server.add(t, plansFileFrom(t, testTenants, 0)), server)
+	replica.expectFetched(t, FetchStats{Full: 1})
+	replica.mustFetch(t, server.add(t, append([]byte("# by hand\n"), plansFile(t, 1)...)), server)
+	replica.expectFetched(t, FetchStats{Full: 2})
+	unknown := contentRequest{"unknown", server.add(t, plansFile(t, 2)), replica.contents}
 	if err := replica.fetchFrom(t.Context(), unknown, server.source); err != nil {
-		t.Errorf("of an item that this program does not know: %v", err)
+		t.Errorf("a content of an unknown item: %v", err)
 	}
-	replica.wantFetched(t, FetchStats{Full: 3})
+	replica.expectFetched(t, FetchStats{Full: 3})
 }
 
-// A damaged base is removed and not used, and the content is fetched in full.
-func TestADamagedBaseIsNotUsed(t *testing.T) {
+// A damaged base is removed instead of used, and the content is fetched in full.
+func TestDamagedBaseIsNotUsed(t *testing.T) {
 	server := newTestAgent(t, "server", t.TempDir())
 	dir := t.TempDir()
-	first := server.add(t, planText(t, 0))
-	newTestAgent(t, "before", dir).fetches(t, first, server)
+	first := server.add(t, plansFile(t, 0))
+	newTestAgent(t, "before", dir).mustFetch(t, first, server)
 	path := filepath.Join(dir, first.Digest)
-	if err := os.WriteFile(path, planText(t, 9), 0o600); err != nil {
+	if err := os.WriteFile(path, plansFile(t, 9), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	replica := newTestAgent(t, "replica", dir)
-	replica.fetches(t, server.add(t, planText(t, 1)), server)
-	replica.wantFetched(t, FetchStats{Full: 1})
+	replica.mustFetch(t, server.add(t, plansFile(t, 1)), server)
+	replica.expectFetched(t, FetchStats{Full: 1})
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the damaged file: %v", err)
+		t.Errorf("stat of the damaged file: %v", err)
 	}
 }
 
-// lyingContents sends deltas that don't lead to the requested content.
-type lyingContents struct {
+// wrongDeltaContents serves deltas that don't lead to the requested content.
+type wrongDeltaContents struct {
 	*Agent
 	delta *controlpb.ContentDelta
 }
 
-func (l lyingContents) Delta(
+func (l wrongDeltaContents) Delta(
 	*controlpb.ContentDeltaRequest,
 ) (*controlpb.ContentDeltaResponse, error) {
 	return &controlpb.ContentDeltaResponse{Delta: l.delta}, nil
 }
 
-// A delta that does not lead to the committed digest is dropped, and the full content is fetched
+// A delta that does not lead to the committed digest is discarded, and the full content is fetched
 // from the same source.
-func TestAWrongDeltaIsDropped(t *testing.T) {
-	liar := newTestAgent(t, "liar", t.TempDir())
+func TestWrongDeltaIsDiscarded(t *testing.T) {
+	faulty := newTestAgent(t, "faulty", t.TempDir())
 	replica := newTestAgent(t, "replica", t.TempDir())
-	base := replica.add(t, planText(t, 0))
-	target := liar.add(t, planText(t, 2))
+	base := replica.add(t, plansFile(t, 0))
+	target := faulty.add(t, plansFile(t, 2))
 	server := controlrpc.NewServer(context.Background(), testFleet, nil, nil)
-	server.Contents = lyingContents{
-		liar.Agent, &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest},
+	server.Contents = wrongDeltaContents{
+		faulty.Agent, &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest},
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -264,7 +265,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	source := consensus.MemberInfo{
-		Member:  lease.Member{ID: "liar", Incarnation: 2},
+		Member:  lease.Member{ID: "faulty", Incarnation: 2},
 		Address: listener.Addr().String(),
 	}
 	if err := replica.fetchFrom(
@@ -272,7 +273,7 @@
 	); err != nil {
 		t.Fatal(err)
 	}
-	replica.wantFetched(t, FetchStats{Full: 1})
+	replica.expectFetched(t, FetchStats{Full: 1})
 	if _, err := replica.contents.Read(target.Digest); err != nil {
 		t.Error(err)
 	}
--- a/internal/controlplane/rollout/fetch.go
+++ b/internal/controlplane/rollout/fetch.go
@@ -14,17 +14,17 @@
 	"mothcleat/internal/failpoint"
 )
 
-// fetchContents fetches and checks the contents that are wanted here, until the context ends.
+// fetchContents fetches and checks the contents that this process needs, until the context ends.
 func (a *Agent) fetchContents(ctx context.Context) {
 	repeat(ctx, fetchInterval, func() {
 		a.mu.Lock()
-		wanted := a.holder.MissingContents()
+		missing := a.holder.MissingContents()
 		a.mu.Unlock()
-		for _, ref := range wanted {
+		for _, ref := range missing {
 			err := a.ensureContent(ctx, ref)
 			if err != nil {
-				a.log.Debug("fleet: versions: a content can't be fetched yet", "digest", ref.Digest,
-					"error", err)
+				a.log.Debug("fleet: versions: a content can't be fetched yet; retrying",
+					"digest", ref.Digest, "error", err)
 				continue
 			}
 			a.check(ref.Digest)
@@ -33,8 +33,8 @@
 	})
 }
 
-// ensureContent fetches a content from another process unless it is here. A file that does not
-// match its digest is removed, and fetched by the next call.
+// ensureContent fetches a content from another process unless it is stored here. A file that does
+// not match its digest is removed, and the next call fetches it.
 func (a *Agent) ensureContent(ctx context.Context, ref configversion.Ref) error {
 	if a.versions.known(ref.Digest) {
 		return nil
@@ -48,7 +48,7 @@
 		a.sources())
 }
 
-// itemOf returns the name of an item that wants a content, "" if none does.
+// itemOf returns the name of an item that needs a content, "" if none does.
 func (a *Agent) itemOf(digest string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// check lets each item that wants a content check it, and takes in the result.
+// check passes a content to the Check method of each item that needs it, and records the result.
 func (a *Agent) check(digest string) {
 	a.mu.Lock()
 	names := a.holder.ItemsWithContent(digest)
@@ -67,9 +67,9 @@
 	for _, name := range names {
 		rejection, err := a.checkItem(name, digest)
 		if err != nil {
-			a.log.Error("fleet: versions: a content can't be read any more", "item", name, "error",
-				err)
-			return // it is still missing
+			a.log.Error("fleet: versions: a stored content can no longer be read", "item", name,
+				"error", err)
+			return // the content remains missing
 		}
 		if rejection != nil {
 			why = rejection.Error()
@@ -80,16 +80,15 @@
 	}
 	if why != "" {
 		a.log.Error("fleet: versions: a content can't be applied here", "items", names, "digest",
-			digest,
-			"why", why)
+			digest, "why", why)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.holder.ContentChecked(digest, why)
 }
 
-// checkItem returns why an item can't apply a content, or an error if the content can't be read
-// from the disk.
+// checkItem returns why an item can't apply a content. err is set if the content can't be read from
+// the disk.
 func (a *Agent) checkItem(name, digest string) (rejection, err error) {
 	item := a.items[name]
 	if item == nil {
@@ -106,11 +105,11 @@
 	return item.Check(content), nil
 }
 
-// contentRequest is a content to fetch.
+// contentRequest describes a content to fetch.
 type contentRequest struct {
-	item string // name of an item that it is of; "": not known
+	item string // name of an item that the content belongs to, "" if unknown
 	ref  configversion.Ref
-	into *Contents
+	into *Contents // where to store it
 }
 
 var (
@@ -119,43 +118,43 @@
 	errInvalidRequest   = errors.New("rollout: invalid request")
 )
 
-// fetch fetches a content from one source after another until it is complete. It returns the error
-// of the last source that failed.
-func (a *Agent) fetch(ctx context.Context, wanted contentRequest,
+// fetch tries one source after another until the content is complete. If all fail, it returns the
+// error of the last one.
+func (a *Agent) fetch(ctx context.Context, request contentRequest,
 	sources []consensus.MemberInfo) error {
-	last := errNoSource
+	lastErr := errNoSource
 	for _, source := range sources {
-		one, cancel := context.WithTimeout(ctx, fetchTimeout)
-		err := a.fetchFrom(one, wanted, source)
+		sourceCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
+		err := a.fetchFrom(sourceCtx, request, source)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		last = fmt.Errorf("%s: %w", source.ID, err)
+		lastErr = fmt.Errorf("%s: %w", source.ID, err)
 	}
-	return last
+	return lastErr
 }
 
-// fetchFrom fetches a content from one source: as its difference to one that is here, or else in
-// full.
-func (a *Agent) fetchFrom(ctx context.Context, wanted contentRequest,
+// fetchFrom fetches a content from one source: as its difference from a content that is stored
+// here, or in full if that fails.
+func (a *Agent) fetchFrom(ctx context.Context, request contentRequest,
 	source consensus.MemberInfo) error {
-	err := a.fetchDelta(ctx, wanted, source)
+	err := a.fetchDelta(ctx, request, source)
 	if err == nil || errors.Is(err, controlrpc.ErrNoContent) {
 		return err
 	}
 	if !errors.Is(err, errFullContentNeeded) {
-		a.log.Debug("fleet: versions: a delta can't be used", "source", source.ID, "digest",
-			wanted.ref.Digest, "error", err)
+		a.log.Debug("fleet: versions: a delta can't be used; fetching the full content",
+			"source", source.ID, "digest", request.ref.Digest, "error", err)
 	}
-	return a.fetchFull(ctx, wanted, source)
+	return a.fetchFull(ctx, request, source)
 }
 
-// fetchFull fetches the part of a content that is not here yet from one source.
-func (a *Agent) fetchFull(ctx context.Context, wanted contentRequest,
+// fetchFull fetches the part of a content that is not stored here yet from one source.
+func (a *Agent) fetchFull(ctx context.Context, request contentRequest,
 	source consensus.MemberInfo) error {
-	ref := wanted.ref
-	offset := wanted.into.PartialSize(ref.Digest)
+	ref := request.ref
+	offset := request.into.PartialSize(ref.Digest)
 	if offset > ref.Size {
 		offset = 0
 	}
@@ -163,15 +162,15 @@
 	if err != nil {
 		return err
 	}
-	if err := wanted.into.Receive(ref, offset, next); err != nil {
+	if err := request.into.Receive(ref, offset, next); err != nil {
 		return err
 	}
 	a.fetched.full.Add(1)
 	return nil
 }
 
-// Keep fetches a content that is about to be proposed from the process that requests it. Once it
-// returns nil, the content is on the disk: the version is committed because of that.
+// Keep fetches a content from the process that sent the request and is about to propose it. Once
+// Keep returns nil, the content is on the disk; the version is committed on that condition.
 func (a *Agent) Keep(ctx context.Context, request *controlpb.KeepRequest) error {
 	if request.Size < 0 || request.Size > configversion.MaxContentSize ||
 		!digestName.MatchString(request.Digest) {
@@ -194,7 +193,7 @@
 	return fmt.Errorf("%w: %.40q", errUnknownRequester, request.From.GetId())
 }
 
-// Send sends a content that is here, from an offset in bytes on.
+// Send sends a content that is stored here, starting at an offset in bytes.
 func (a *Agent) Send(digest string, from int64, send func([]byte) error) error {
 	return a.contents.Send(digest, from, send)
 }
--- a/internal/controlplane/rollout/leases.go
+++ b/internal/controlplane/rollout/leases.go
@@ -10,26 +10,25 @@
 	"mothcleat/internal/monotonic"
 )
 
-// Current returns until when this process may operate under what is in force, by the clock of
-// package monotonic, and the generation of that. The time is 0 if the process is fenced.
+// Current returns until when this process may operate under the versions in force, by the clock of
+// package monotonic, and the generation of these versions. The time is 0 if the process is fenced.
 func (a *Agent) Current() (until time.Duration, generation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.LeasedUntil(monotonic.Now()), a.generation
 }
 
-// Expired reports whether what was decided under a lease may no longer be done. until and
-// generation are what Current returned at the decision.
+// Expired reports whether an operation that was decided on under a lease may no longer be carried
+// out. until and generation are what Current returned when the decision was made.
 func (a *Agent) Expired(until time.Duration, generation uint64) bool {
 	failpoint.At("lease-taken")
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := monotonic.Now() // after the wait for the lock
+	now := monotonic.Now() // read after waiting for the lock
 	return now >= until || generation != a.generation || a.holder.LeasedUntil(now) == 0
 }
 
-// renewLeases renews the leases until the context ends. Without an answer they expire by
-// themselves.
+// renewLeases renews the leases until the context ends. Without a response they expire.
 func (a *Agent) renewLeases(ctx context.Context) {
 	query, err := json.Marshal(a.client.Me())
 	if err != nil {
@@ -43,7 +42,7 @@
 	})
 }
 
-// enrol has the fleet count this process as a holder of leases, unless it does already.
+// enrol enrols this process as a holder of leases if that is due.
 func (a *Agent) enrol(ctx context.Context) error {
 	a.mu.Lock()
 	mustEnrol, ended := a.mustEnrol, a.endedIncarnations
@@ -77,7 +76,7 @@
 	a.handleLease(sent, &response)
 }
 
-// handleLease takes in the response to the request that was sent at a time.
+// handleLease handles the response to the lease request that was sent at the time sent.
 func (a *Agent) handleLease(sent time.Duration, response *configversion.LeaseResponse) {
 	a.mu.Lock()
 	a.holder.HandleLease(monotonic.Now(), sent, response)
--- a/internal/controlplane/rollout/leases_test.go
+++ b/internal/controlplane/rollout/leases_test.go
@@ -9,15 +9,15 @@
 	"mothcleat/internal/monotonic"
 )
 
-// Guards against a check that reads the clock and then waits: a lease that expires while the check
-// waits for the agent's mutex has expired.
+// Guards against a check that reads the clock before it waits for the agent's mutex: a lease that
+// expires during the wait must count as expired.
 func TestLeaseThatExpiresWhileTheCheckWaits(t *testing.T) {
 	a := New(configversion.DefaultConfig(), nil, nil, nil, slog.New(slog.DiscardHandler))
 	sent := monotonic.Now()
 	a.holder.HandleLease(sent, sent, &configversion.LeaseResponse{})
 	until, generation := a.Current()
 	if until == 0 || a.Expired(until, generation) {
-		t.Fatalf("a lease until %v at %v", until, monotonic.Now())
+		t.Fatalf("the lease is valid until %v at %v", until, monotonic.Now())
 	}
 	until = monotonic.Now() + 50*time.Millisecond
 	a.mu.Lock()
@@ -33,6 +33,6 @@
 	}
 	a.mu.Unlock()
 	if !<-expired {
-		t.Error("a lease that expired before the check got the mutex still holds")
+		t.Error("a lease that expired before the check got the mutex counts as valid")
 	}
 }
--- a/internal/controlplane/rollout/propose.go
+++ b/internal/controlplane/rollout/propose.go
@@ -14,9 +14,9 @@
 	"mothcleat/internal/failpoint"
 )
 
-// Propose starts the rollout of the content of a file, with the given stage first. The version is
-// effective lead after it is committed. It returns the version's number. The version is committed
-// only once a majority of the voters have the content, so that it is not lost with this process.
+// Propose starts the rollout of the content of a file at the given stage, and returns the number of
+// the version. The version is effective lead after it is committed. It is committed only after a
+// majority of the voters have the content, so that the content is not lost with this process.
 func (a *Agent) Propose(ctx context.Context, item, path string, stage configversion.Stage,
 	lead time.Duration) (uint64, error) {
 	raw, err := a.readProposal(item, path)
@@ -40,7 +40,7 @@
 	if err != nil {
 		return 0, err
 	}
-	op := configversion.Command{
+	command := configversion.Command{
 		Kind:   configversion.KindPropose,
 		Item:   item,
 		Number: newestNumber(&view, item),
@@ -50,17 +50,17 @@
 		Lead:   lead,
 	}
 	if stage != configversion.StageAll {
-		op.Pilots = configversion.Pilots(item, op.Number+1, stage, memberIDs(&list))
+		command.Pilots = configversion.Pilots(item, command.Number+1, stage, memberIDs(&list))
 	}
-	return a.executeNumbered(ctx, op)
+	return a.executeNumbered(ctx, command)
 }
 
 // readProposal reads a file, checks that it can be applied as an item, and returns its content in
-// canonical form, in which it is distributed.
-func (a *Agent) readProposal(item, path string) ([]byte, error) {
-	known := a.items[item]
-	if known == nil {
-		return nil, fmt.Errorf("%w: this program has no item %.40q", errInvalidRequest, item)
+// the canonical form in which contents are distributed.
+func (a *Agent) readProposal(name, path string) ([]byte, error) {
+	item := a.items[name]
+	if item == nil {
+		return nil, fmt.Errorf("%w: this program has no item %.40q", errInvalidRequest, name)
 	}
 	info, err := os.Stat(path)
 	if err != nil {
@@ -74,9 +74,9 @@
 	if err != nil {
 		return nil, err
 	}
-	content, canonical, err := configstate.Canonical(known, raw)
+	content, canonical, err := configstate.Canonical(item, raw)
 	if err == nil {
-		err = known.Check(content)
+		err = item.Check(content)
 	}
 	if err == nil && content.Size > configversion.MaxContentSize {
 		err = fmt.Errorf("%d bytes in canonical form, %d at most", content.Size,
@@ -89,7 +89,7 @@
 	return canonical, nil
 }
 
-// newestNumber returns the number of an item's newest version, 1 if it has none.
+// newestNumber returns the number of the newest version of an item, 1 if it has none.
 func newestNumber(view *configversion.View, item string) uint64 {
 	number := uint64(1)
 	for _, v := range view.Versions {
@@ -100,10 +100,10 @@
 	return number
 }
 
-// errNoMajority is the error of a content that too few voters have.
+// errNoMajority is returned if too few voters have a content.
 var errNoMajority = errors.New("rollout: a majority of the voters is needed")
 
-// replicate stores a content of the given size in bytes at a majority of the voters.
+// replicate has a majority of the voters store a content of the given size in bytes.
 func (a *Agent) replicate(ctx context.Context, list *consensus.Membership, item, digest string,
 	size int64) error {
 	me := a.client.Me()
@@ -133,16 +133,17 @@
 }
 
 // Execute commits an operator's command about a version. It returns the number of the version that
-// the command made, if it made one.
-func (a *Agent) Execute(ctx context.Context, op configversion.Command) (uint64, error) {
-	if op.Kind == configversion.KindAdvance && op.Stage != configversion.StageAll {
+// the command created, 0 if it created none.
+func (a *Agent) Execute(ctx context.Context, command configversion.Command) (uint64, error) {
+	if command.Kind == configversion.KindAdvance && command.Stage != configversion.StageAll {
 		list, err := a.memberList(ctx)
 		if err != nil {
 			return 0, err
 		}
-		op.Pilots = configversion.Pilots(op.Item, op.Number, op.Stage, memberIDs(&list))
+		command.Pilots = configversion.Pilots(command.Item, command.Number, command.Stage,
+			memberIDs(&list))
 	}
-	return a.executeNumbered(ctx, op)
+	return a.executeNumbered(ctx, command)
 }
 
 func memberIDs(list *consensus.Membership) (ids []string) {
--- a/internal/controlplane/rollout/report.go
+++ b/internal/controlplane/rollout/report.go
@@ -8,71 +8,73 @@
 	"mothcleat/internal/failpoint"
 )
 
-// report is a command that reports a version, and the digest of its content.
+// report is a command that reports a version, with the digest of the content of that version.
 type report struct {
-	op     configversion.Command
-	digest string
+	command configversion.Command
+	digest  string
 }
 
-// reportVersions reports to the fleet what is in force here and what is rejected, until the context
-// ends.
+// reportVersions reports to the fleet which versions are in force here and which are rejected,
+// until the context ends.
 func (a *Agent) reportVersions(ctx context.Context) {
 	repeat(ctx, a.config.RenewInterval/4, func() {
 		for _, r := range a.pendingReports() {
 			failpoint.At("version-before-report")
-			err := a.execute(ctx, r.op)
+			err := a.execute(ctx, r.command)
 			a.finishReport(r, err)
 		}
 	})
 }
 
-// pendingReports returns what was not reported yet.
-func (a *Agent) pendingReports() (all []report) {
+// pendingReports returns the reports that were not committed yet.
+func (a *Agent) pendingReports() (reports []report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name, number := range a.holder.InForce() {
 		target := a.holder.Target(name)
 		if number >= target.Number && number > a.reported[name] {
-			all = append(all, report{
-				op: configversion.Command{Kind: configversion.KindReport, Item: name,
+			reports = append(reports, report{
+				command: configversion.Command{Kind: configversion.KindReport, Item: name,
 					Number: number},
 				digest: target.Digest,
 			})
 		}
 		why := a.holder.RejectionReason(name, target.Digest)
 		if why != "" && !a.reportedRejections[target.Digest] {
-			all = append(all, report{
-				op: configversion.Command{Kind: configversion.KindReport, Item: name,
+			reports = append(reports, report{
+				command: configversion.Command{Kind: configversion.KindReport, Item: name,
 					Number: target.Number, Rejected: true, Why: why},
 				digest: target.Digest,
 			})
 		}
 	}
-	return all
+	return reports
 }
 
-// finishReport takes in whether a report was committed. One that was not is sent again.
+// finishReport records whether a report was committed. A report that was not is sent again.
 func (a *Agent) finishReport(r report, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case err != nil:
-		a.log.Debug("fleet: versions: a report was not committed", "item", r.op.Item, "error", err)
-	case r.op.Rejected:
+		a.log.Debug("fleet: versions: a report was not committed", "item", r.command.Item,
+			"error", err)
+	case r.command.Rejected:
 		a.reportedRejections[r.digest] = true
 	default:
-		a.reported[r.op.Item] = max(a.reported[r.op.Item], r.op.Number)
+		a.reported[r.command.Item] = max(a.reported[r.command.Item], r.command.Number)
 	}
 }
 
-// reportHead reports the head of this process's audit log to the fleet, until the context ends.
+// reportHead reports the head of this process's audit log to the fleet whenever it has changed,
+// until the context ends.
 func (a *Agent) reportHead(ctx context.Context) {
-	if a.recordHead == nil {
+	if a.headSource == nil {
 		return
 	}
 	var last auditlog.Head
 	repeat(ctx, headReportInterval, func() {
-		head := a.recordHead()
+		head := a.headSource()
 		if head == nil || *head == last {
 			return
 		}
--- a/internal/controlplane/rollout/sources.go
+++ b/internal/controlplane/rollout/sources.go
@@ -10,18 +10,19 @@
 	"mothcleat/internal/monotonic"
 )
 
-// sourceSample is how many processes to fetch contents from are queried, in addition to the voters.
+// sourceSample is the number of sampled processes to fetch contents from, in addition to the
+// voters.
 const sourceSample = 8
 
-// sourceSet is the processes that contents may be fetched from, and when they were queried.
+// sourceSet has the processes that contents may be fetched from, and when this list was queried.
 type sourceSet struct {
 	members []consensus.MemberInfo
 	voters  []consensus.VoterInfo
 	at      time.Duration // by the clock of package monotonic
 }
 
-// refreshSources queries the processes to fetch contents from, unless that was done within
-// sourceRefreshInterval. Without an answer the earlier ones stay.
+// refreshSources queries the processes to fetch contents from, unless a query succeeded within the
+// last sourceRefreshInterval. If the query fails, the earlier list is kept.
 func (a *Agent) refreshSources(ctx context.Context) {
 	known := a.sourceSet.Load()
 	if known != nil && len(known.members) > 0 && monotonic.Now()-known.at < sourceRefreshInterval {
@@ -33,31 +34,31 @@
 		Seed: rand.Uint64()}
 	raw, err := a.client.Read(ctx, consensus.MembershipName, query.Encode())
 	if err != nil {
-		a.log.Debug("fleet: versions: the processes to fetch from can't be queried", "error", err)
+		a.log.Debug("fleet: versions: failed to query the processes to fetch from", "error", err)
 		return
 	}
 	answer, err := consensus.ParseMembershipAnswer(raw)
 	if err != nil {
-		a.log.Warn("fleet: versions: the processes to fetch from can't be queried", "error", err)
+		a.log.Warn("fleet: versions: failed to query the processes to fetch from", "error", err)
 		return
 	}
 	a.sourceSet.Store(&sourceSet{answer.Members, answer.Voters, monotonic.Now()})
 }
 
-// sources returns the other processes in the order in which to fetch from them: one at random, so
-// that the load of a new content spreads; then the voters, most of which have what was proposed;
-// then the others.
-func (a *Agent) sources() (all []consensus.MemberInfo) {
+// sources returns the other processes in the order in which to fetch from them: first a random one,
+// to spread the load of a new content; then the voters, because most of them have a proposed
+// content; then the others.
+func (a *Agent) sources() (sources []consensus.MemberInfo) {
 	known := a.sourceSet.Load()
 	if known == nil {
 		return nil
 	}
 	for _, i := range rand.Perm(len(known.members)) {
 		if m := known.members[i]; m.Address != "" && m.ID != a.client.Me().ID {
-			all = append(all, m)
+			sources = append(sources, m)
 		}
 	}
-	if len(all) > 1 {
+	if len(sources) > 1 {
 		rank := func(m consensus.MemberInfo) int {
 			if slices.ContainsFunc(known.voters,
 				func(v consensus.VoterInfo) bool { return v.Name == m.ID }) {
@@ -65,10 +66,9 @@
 			}
 			return 1
 		}
-		slices.SortStableFunc(all[1:], func(a,
-			b consensus.MemberInfo) int {
+		slices.SortStableFunc(sources[1:], func(a, b consensus.MemberInfo) int {
 			return rank(a) - rank(b)
 		})
 	}
-	return all
+	return sources
 }
--- a/internal/controlplane/rollout/stored_test.go
+++ b/internal/controlplane/rollout/stored_test.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A version's content that an earlier build fetched is read by its digest, and its canonical form
-// is the same bytes.
+// A content that an earlier build stored can be read by its digest, and its canonical form has the
+// same bytes.
 func TestStoredContentIsRead(t *testing.T) {
 	contents := NewContents("testdata/stored")
 	digests, err := contents.Newest(2)
@@ -26,6 +26,6 @@
 	}
 	fixture.Equal(t, "testdata/stored/"+digests[0], canonical)
 	if version.Digest != digests[0] {
-		t.Errorf("digest %s, %s wanted", version.Digest, digests[0])
+		t.Errorf("digest is %s, want %s", version.Digest, digests[0])
 	}
 }
--- a/internal/controlplane/rollout/versioncache.go
+++ b/internal/controlplane/rollout/versioncache.go
@@ -7,13 +7,13 @@
 	"mothcleat/internal/controlplane/configstate"
 )
 
-// maxCachedVersions is how many contents a process caches as records: those of versions that
-// overlap, and the base of the next one. Contents of which one was made from the other share their
-// common records.
+// maxCachedVersions is how many contents a process caches as records: those of overlapping
+// versions, and the base of the next version. A content that was derived from another one shares
+// their common records with it.
 const maxCachedVersions = 3
 
 // versionCache caches the newest contents as records. Its methods may be called concurrently; they
-// wait while one of them reads a file.
+// block while one of them reads a file.
 type versionCache struct {
 	contents *Contents
 
@@ -43,7 +43,7 @@
 	return v, nil
 }
 
-// put caches a content whose bytes were verified.
+// put caches a content whose digest was verified.
 func (c *versionCache) put(v *configstate.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,14 +52,14 @@
 	}
 }
 
-// known reports whether a content is in memory.
+// known reports whether a content is cached.
 func (c *versionCache) known(digest string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.find(digest) != nil
 }
 
-// newest returns the digests of the contents in memory, the newest first.
+// newest returns the digests of the cached contents, the newest first.
 func (c *versionCache) newest() (digests []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
