--- a/internal/controlplane/auditlog/audit.go
+++ b/internal/controlplane/auditlog/audit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Interval is an interval in which one gateway operated under one version of an item.
+// Interval is a time interval in which one gateway operated under one version of an item.
 type Interval struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"` // hexadecimal
@@ -15,31 +15,32 @@
 	To          int64  `json:"to"`
 	Counts
 	First uint64 `json:"first"` // number of the first entry that it is derived from
-	Last  uint64 `json:"last"`
+	Last  uint64 `json:"last"`  // number of the last entry
 
-	// Compacted tells that it is derived from checkpoints in place of entries that are no longer
-	// kept. First and Last then name all entries of the checkpoint.
+	// Compacted says that the interval is derived from a checkpoint instead of entries, because
+	// these are no longer kept. First and Last then span all entries of the checkpoint.
 	Compacted bool `json:"folded,omitempty"`
 }
 
-// Gap is an interval that the log of an incarnation does not cover.
+// Gap is a time interval that the log of an incarnation does not cover.
 type Gap struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"` // hexadecimal
 	From        int64  `json:"from"` // microseconds since 1970, by the gateway's clock
-	To          int64  `json:"to"`   // 0 where no entry follows
+	To          int64  `json:"to"`   // 0 if no entry follows
 	Why         string `json:"why"`
 }
 
-// Summarize joins valid entries to one audit: which gateway operated under which version, from when
-// to when and how often. Gaps are more than maxPause microseconds between two entries, and chains
-// without a last entry. Entries of one chain must be in order.
-func Summarize(valid []Entry, maxPause int64) (all []Interval, gaps []Gap) {
+// Summarize merges valid entries into one audit: which gateway operated under which version, in
+// which interval, and how many operations it did. A gap is a pause of more than maxPause
+// microseconds between two entries, or a chain without a last entry. Entries of one chain must be
+// in order.
+func Summarize(valid []Entry, maxPause int64) (intervals []Interval, gaps []Gap) {
 	type key struct {
 		chain chainID
 		item  string
 	}
-	open := map[key]int{} // index of the interval that is open
+	open := map[key]int{} // index of the open interval
 	last := map[chainID]*Entry{}
 	for i := range valid {
 		e := &valid[i]
@@ -52,22 +53,22 @@
 		for _, item := range slices.Sorted(maps.Keys(e.InForce)) {
 			k := key{e.chain(), item}
 			index, ok := open[k]
-			if !ok || all[index].Number != e.InForce[item] {
-				index = len(all)
+			if !ok || intervals[index].Number != e.InForce[item] {
+				index = len(intervals)
 				open[k] = index
-				all = append(all, newInterval(e, item))
+				intervals = append(intervals, newInterval(e, item))
 			}
-			interval := &all[index]
+			interval := &intervals[index]
 			interval.To = e.EndedAt
 			interval.Last = e.Seq
 			interval.Counts = interval.Counts.Plus(e.Counts)
 		}
 	}
 	gaps = append(gaps, openEnds(last)...)
-	return append(compactedIntervals(valid), all...), gaps
+	return append(compactedIntervals(valid), intervals...), gaps
 }
 
-// newInterval returns an interval that starts with an entry, without the entry's counts.
+// newInterval returns an interval that starts with an entry. The caller sets its end and counts.
 func newInterval(e *Entry, item string) Interval {
 	return Interval{
 		ID:          e.ID,
--- a/internal/controlplane/auditlog/auditlog.go
+++ b/internal/controlplane/auditlog/auditlog.go
@@ -1,14 +1,14 @@
-// Package auditlog is the audit log of a gateway: which configuration versions it operated under,
-// and how many operations it did under each. It also verifies the logs of many gateways and joins
-// them to one audit. It does no I/O.
+// Package auditlog defines the audit log of a gateway: which configuration versions the gateway
+// operated under, and how many operations it did under each. The package also verifies the logs of
+// many gateways and merges them into one audit. It does no I/O.
 //
-// A log is one hash chain for each incarnation of a gateway. Entries are numbered from 1, and each
-// holds the hash of the entry before, so that an entry that was changed, removed, inserted or
-// duplicated shows in all later ones. The hash of the newest entry of each chain (Head) is
-// committed to the replicated state every few seconds: so a chain that was truncated, or rewritten
-// from some entry on, does not match the heads that its own incarnation reported, and two versions
-// of one chain are detected. A chain can't show what its process never wrote; that is compared with
-// what others observed.
+// A log has one hash chain for each incarnation of a gateway. Entries are numbered from 1, and each
+// holds the hash of the previous entry, so that all later entries reveal one that was changed,
+// removed, inserted or duplicated. The hash of the newest entry of each chain (Head) is committed
+// to the replicated state every few seconds. A chain that was truncated, or rewritten from some
+// entry on, therefore does not match the heads that its own incarnation reported, and two versions
+// of one chain are detected. A chain can't reveal what its process never wrote; for that, it is
+// compared with what others observed.
 package auditlog
 
 import (
@@ -22,14 +22,14 @@
 
 // Counts counts operations.
 type Counts struct {
-	Forwarded      uint64  `json:"sent"`    // requests, at their first attempt
+	Forwarded      uint64  `json:"sent"`    // requests forwarded, counted at their first attempt
 	Retries        uint64  `json:"again"`   // attempts beyond the first
 	Units          float64 `json:"units"`   // of the requests forwarded
 	Rejected       uint64  `json:"refused"` // requests rejected for any other reason than fencing
 	RejectedFenced uint64  `json:"turned"`  // requests rejected because the gateway was fenced
 }
 
-// Plus returns the sum.
+// Plus returns the sum of c and o.
 func (c Counts) Plus(o Counts) Counts {
 	return Counts{
 		Forwarded:      c.Forwarded + o.Forwarded,
@@ -40,7 +40,7 @@
 	}
 }
 
-// Minus returns the difference. No count of o may be larger than that of c.
+// Minus returns c minus o. No count of o may be larger than that of c.
 func (c Counts) Minus(o Counts) Counts {
 	return Counts{
 		Forwarded:      c.Forwarded - o.Forwarded,
@@ -51,8 +51,9 @@
 	}
 }
 
-// Entry is what one incarnation did in one interval under one set of versions. A change of versions
-// starts a new entry. Its JSON is hashed: keys and their order are part of stored data.
+// Entry records what one incarnation did in one time interval under one set of versions. A change
+// of versions starts a new entry. The JSON of an entry is hashed: its keys and their order are part
+// of stored data.
 type Entry struct {
 	ID          string            `json:"id"`
 	Incarnation string            `json:"boot"` // hexadecimal
@@ -62,15 +63,15 @@
 	InForce     map[string]uint64 `json:"in_force,omitempty"` // version numbers, by item
 	Counts
 
-	// Checkpoints stand for entries that are no longer kept: of this incarnation, or of earlier
-	// ones of the gateway.
+	// Checkpoints replace entries that are no longer kept, of this incarnation or of earlier
+	// incarnations of the gateway.
 	Checkpoints []Checkpoint `json:"folds,omitempty"`
-	Last        bool         `json:"last,omitempty"` // the incarnation did nothing more
-	// Hash of the entry before, or Root for the first.
+	Last        bool         `json:"last,omitempty"` // the incarnation did nothing afterwards
+	// Prev is the hash of the previous entry, or Root for the first entry.
 	Prev string `json:"prev"`
 }
 
-// Hash returns the SHA-256 of the whole entry, in hexadecimal.
+// Hash returns the hexadecimal SHA-256 of the whole entry.
 func (e *Entry) Hash() string {
 	sum := sha256.Sum256(mustjson.Marshal(e))
 	return hex.EncodeToString(sum[:])
@@ -78,7 +79,7 @@
 
 func (e *Entry) chain() chainID { return chainID{e.ID, e.Incarnation} }
 
-// Root returns the hash that the first entry of an incarnation has as its Prev.
+// Root returns the Prev hash of the first entry of an incarnation.
 func Root(id, incarnation string) string {
 	sum := sha256.Sum256([]byte(id + "/" + incarnation))
 	return hex.EncodeToString(sum[:])
@@ -105,7 +106,7 @@
 	return fmt.Sprintf("%s/%s entry %d: %s", v.ID, v.Incarnation, v.Seq, v.What)
 }
 
-// chainID names the chain of one incarnation.
+// chainID identifies the chain of one incarnation.
 type chainID struct{ gateway, incarnation string }
 
 func compareChains(a, b chainID) int {
--- a/internal/controlplane/auditlog/checkpoint.go
+++ b/internal/controlplane/auditlog/checkpoint.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Checkpoint stands for the first entries of an incarnation: their sums, and the hash of the last
-// of them, which the next entry has as its Prev. It is part of what the chain hashes.
+// Checkpoint replaces the first entries of an incarnation. It has their sums, and the hash of the
+// last of them, which is the Prev of the next entry. It is itself part of a hashed entry.
 type Checkpoint struct {
 	Incarnation string          `json:"boot"`    // hexadecimal
-	Through     uint64          `json:"through"` // number of the last entry
-	Hash        string          `json:"hash"`
-	Sums        []VersionCounts `json:"sums"` // sorted by item and number
+	Through     uint64          `json:"through"` // number of the last entry it replaces
+	Hash        string          `json:"hash"`    // of that entry
+	Sums        []VersionCounts `json:"sums"`    // sorted by item and number
 }
 
-// VersionCounts is what was done in those entries under one version of an item.
+// VersionCounts sums the operations under one version of an item in the replaced entries.
 type VersionCounts struct {
 	Item   string `json:"item"`
 	Number uint64 `json:"number"`
@@ -24,7 +24,7 @@
 	Counts
 }
 
-// versionKey names a version of an item.
+// versionKey identifies a version of an item.
 type versionKey struct {
 	item   string
 	number uint64
@@ -50,16 +50,17 @@
 	})
 }
 
-// Compact returns the checkpoint of the first entries of one incarnation, after all other
-// checkpoints that before and the entries themselves have. The entries have to be complete up to
-// the last of them, but for those that an earlier checkpoint stands for.
-func Compact(entries []Entry, before []Checkpoint) (all []Checkpoint) {
+// Compact returns the checkpoint that replaces the first entries of one incarnation. In the result
+// it follows the newest checkpoints of all other incarnations that earlier and the entries contain.
+// The entries must be complete up to the last of them, except for those that an earlier checkpoint
+// replaced.
+func Compact(entries []Entry, earlier []Checkpoint) (checkpoints []Checkpoint) {
 	if len(entries) == 0 {
-		return before
+		return earlier
 	}
 	last := &entries[len(entries)-1]
 	c := Checkpoint{Incarnation: last.Incarnation, Through: last.Seq, Hash: last.Hash()}
-	newest := newestCheckpoints(entries, before)
+	newest := newestCheckpoints(entries, earlier)
 	sums := versionSums{}
 	for i := range entries {
 		e := &entries[i]
@@ -73,15 +74,16 @@
 	c.Sums = sums.sorted()
 	delete(newest, c.Incarnation)
 	for _, incarnation := range slices.Sorted(maps.Keys(newest)) {
-		all = append(all, newest[incarnation])
+		checkpoints = append(checkpoints, newest[incarnation])
 	}
-	return append(all, c)
+	return append(checkpoints, c)
 }
 
-// newestCheckpoints returns the newest checkpoint of each incarnation of one gateway.
-func newestCheckpoints(entries []Entry, before []Checkpoint) map[string]Checkpoint {
+// newestCheckpoints returns the newest checkpoint of each incarnation of one gateway, by
+// incarnation.
+func newestCheckpoints(entries []Entry, earlier []Checkpoint) map[string]Checkpoint {
 	newest := map[string]Checkpoint{}
-	take := func(checkpoints []Checkpoint) {
+	add := func(checkpoints []Checkpoint) {
 		for _, c := range checkpoints {
 			known, ok := newest[c.Incarnation]
 			if !ok || known.Through < c.Through {
@@ -89,15 +91,15 @@
 			}
 		}
 	}
-	take(before)
+	add(earlier)
 	for i := range entries {
-		take(entries[i].Checkpoints)
+		add(entries[i].Checkpoints)
 	}
 	return newest
 }
 
-// compactedIntervals returns what the newest checkpoints of valid entries stand for, as intervals.
-func compactedIntervals(valid []Entry) (all []Interval) {
+// compactedIntervals returns the intervals derived from the newest checkpoints in valid entries.
+func compactedIntervals(valid []Entry) (intervals []Interval) {
 	newest := map[chainID]Checkpoint{}
 	for i := range valid {
 		for _, c := range valid[i].Checkpoints {
@@ -111,7 +113,7 @@
 	for _, id := range slices.SortedFunc(maps.Keys(newest), compareChains) {
 		c := newest[id]
 		for _, s := range c.Sums {
-			all = append(all, Interval{
+			intervals = append(intervals, Interval{
 				ID:          id.gateway,
 				Incarnation: id.incarnation,
 				Item:        s.Item,
@@ -125,5 +127,5 @@
 			})
 		}
 	}
-	return all
+	return intervals
 }
--- a/internal/controlplane/auditlog/verify.go
+++ b/internal/controlplane/auditlog/verify.go
@@ -7,8 +7,9 @@
 	"slices"
 )
 
-// Verify checks chains in themselves and against the committed heads. It returns the valid entries,
-// chain by chain and in order, without those behind a break, and the violations that it found.
+// Verify checks the consistency of each chain, and checks the chains against the committed heads.
+// It returns the valid entries, chain by chain and in order, and the violations. Entries after a
+// break in a chain are not valid.
 func Verify(entries []Entry, heads []Head) (valid []Entry, violations []Violation) {
 	entriesOf := map[chainID][]Entry{}
 	checkpointsOf := map[chainID][]Checkpoint{}
@@ -42,7 +43,7 @@
 type chainVerifier struct {
 	id      chainID
 	entries []Entry // sorted by number
-	start   uint64  // number of the entry up to which checkpoints stand for the entries
+	start   uint64  // number of the last entry that a checkpoint replaces
 
 	seq    uint64 // number of the last entry that was checked
 	prev   string // its hash
@@ -53,7 +54,7 @@
 	violations []Violation
 }
 
-// newChainVerifier starts behind the last checkpoint that fits the entries.
+// newChainVerifier returns a verifier that starts after the last checkpoint that fits the entries.
 func newChainVerifier(id chainID, entries []Entry, checkpoints []Checkpoint) *chainVerifier {
 	v := &chainVerifier{
 		id:      id,
@@ -73,7 +74,7 @@
 	return v
 }
 
-// follows reports whether the entries that are kept continue a checkpoint.
+// follows reports whether the retained entries continue a checkpoint.
 func (v *chainVerifier) follows(c Checkpoint) bool {
 	if len(v.entries) == 0 {
 		return true
@@ -87,12 +88,12 @@
 		Violation{v.id.gateway, v.id.incarnation, seq, fmt.Sprintf(format, args...)})
 }
 
-// checkEntries checks that each entry follows the one before.
+// checkEntries checks that each entry follows the previous one.
 func (v *chainVerifier) checkEntries() {
 	for i := range v.entries {
 		e := &v.entries[i]
 		if e.Seq == v.seq && i > 0 {
-			// The same entry in two copies of the log is no violation.
+			// The same entry in two copies of the log is not a violation.
 			if e.Hash() != v.prev {
 				v.violation(e.Seq, "two entries of one number")
 			}
@@ -121,11 +122,11 @@
 	}
 }
 
-// checkHeads compares the chain with the heads that its process reported. Where the chain was
-// rewritten, the entries behind the last head that fits are not valid.
+// checkHeads compares the chain with the heads that its process reported. If the chain was
+// rewritten, the entries after the last matching head are not valid.
 func (v *chainVerifier) checkHeads(heads []Head) {
 	slices.SortFunc(heads, func(a, b Head) int { return cmp.Compare(a.Seq, b.Seq) })
-	lastFitting, rewritten := uint64(0), false
+	lastMatching, rewritten := uint64(0), false
 	for _, h := range heads {
 		hash, ok := v.hashes[h.Seq]
 		switch {
@@ -139,10 +140,10 @@
 			v.violation(h.Seq, "it is not the one that was reported to the fleet")
 			rewritten = true
 		case ok && !rewritten:
-			lastFitting = h.Seq
+			lastMatching = h.Seq
 		}
 	}
 	if rewritten {
-		v.valid = slices.DeleteFunc(v.valid, func(e Entry) bool { return e.Seq > lastFitting })
+		v.valid = slices.DeleteFunc(v.valid, func(e Entry) bool { return e.Seq > lastMatching })
 	}
 }
