--- a/internal/controlplane/auditrecorder/compact.go
+++ b/internal/controlplane/auditrecorder/compact.go
@@ -9,27 +9,27 @@
 	"mothcleat/internal/controlplane/auditlog"
 )
 
-// compact prepares the next entry to hold checkpoints in place of the older half of the entries:
-// those of the incarnations that ended first, and the first ones of this incarnation. The batch
-// that writes that entry deletes them. The caller holds r.mu, or no other goroutine has the
-// Recorder yet.
+// compact prepares the replacement of the older half of the entries by checkpoints in the next
+// entry. The older half are those of the incarnations that ended first, and then the first entries
+// of this incarnation. The batch that writes the next entry deletes them. The caller holds r.mu, or
+// no other goroutine has access to the Recorder yet.
 func (r *Recorder) compact() error {
-	all, err := readEntries(r.store, 0)
+	allEntries, err := readEntries(r.store, 0)
 	if err != nil {
 		return err
 	}
 	byIncarnation := map[string][]auditlog.Entry{}
-	for _, e := range all {
+	for _, e := range allEntries {
 		byIncarnation[e.Incarnation] = append(byIncarnation[e.Incarnation], e)
 	}
 	own := incarnationText(r.state.Incarnation)
-	deleted, want := 0, len(all)/2
+	deleted, limit := 0, len(allEntries)/2
 	for _, incarnation := range oldestFirst(byIncarnation) {
 		entries := byIncarnation[incarnation]
-		if incarnation == own { // the last of its entries stay
-			entries = entries[:max(0, min(len(entries), want-deleted))]
+		if incarnation == own { // its newest entries are kept
+			entries = entries[:max(0, min(len(entries), limit-deleted))]
 		}
-		if len(entries) == 0 || deleted >= want {
+		if len(entries) == 0 || deleted >= limit {
 			break
 		}
 		r.checkpoints = auditlog.Compact(entries, r.checkpoints)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// oldestFirst returns the incarnations by when their last entries ended.
+// oldestFirst returns the incarnations, sorted by when their last entries ended.
 func oldestFirst(byIncarnation map[string][]auditlog.Entry) []string {
 	endOf := func(incarnation string) int64 {
 		entries := byIncarnation[incarnation]
@@ -53,7 +53,7 @@
 	})
 }
 
-// deleteEntries adds the deletions of entries to the next batch.
+// deleteEntries adds deletions of entries to the next batch.
 func (r *Recorder) deleteEntries(incarnation string, entries []auditlog.Entry) error {
 	number, err := strconv.ParseUint(incarnation, 16, 64)
 	if err != nil {
--- a/internal/controlplane/auditrecorder/counterfile.go
+++ b/internal/controlplane/auditrecorder/counterfile.go
@@ -12,20 +12,19 @@
 	"mothcleat/internal/storage/mmapfile"
 )
 
-// counterFile is a memory-mapped file in which one goroutine counts: in a cell for each set of
-// versions, one after another. What was counted survives the end of the process at any instruction,
-// but not always a power cut.
+// counterFile is a memory-mapped file in which one goroutine counts operations, in one cell after
+// another: each set of versions has its own cell. The counts survive an exit of the process at any
+// instruction, but not always a power failure.
 //
 // The file has 8 bytes of magic number, the incarnation, the number of the last cell, and then the
-// cells, each with its counts and the versions in force as JSON. Numbers are in the machine's byte
-// order.
+// cells, each with its counts and the versions in force as JSON. Numbers are in native byte order.
 type counterFile struct {
 	memory      []byte
 	incarnation *uint64
-	lastCell    *atomic.Uint64 // its number, from 1 on
+	lastCell    *atomic.Uint64 // its number, counting from 1
 }
 
-// counterCell is one cell. Its layout is that of the file.
+// counterCell is one cell, with the layout that it has in the file.
 type counterCell struct {
 	forwarded, retries, units, rejected, rejectedFenced atomic.Uint64
 
@@ -42,9 +41,9 @@
 	fileBytes     = headerBytes + cellCount*cellBytes
 )
 
-// openCounterFile opens a file, and creates it where there is none. before is the incarnation that
-// counted in it, 0 if none did.
-func openCounterFile(path string) (c *counterFile, before uint64, err error) {
+// openCounterFile opens a file, and creates it if it does not exist. previous is the incarnation
+// that counted in it, 0 if none did.
+func openCounterFile(path string) (c *counterFile, previous uint64, err error) {
 	memory, created, err := mmapfile.Open(path, fileBytes)
 	if err != nil {
 		return nil, 0, err
@@ -55,13 +54,13 @@
 		lastCell:    (*atomic.Uint64)(unsafe.Pointer(&memory[16])),
 	}
 	if !created && binary.NativeEndian.Uint64(memory) == fileMagic {
-		before = *c.incarnation
+		previous = *c.incarnation
 	}
-	return c, before, nil
+	return c, previous, nil
 }
 
-// begin empties the cells for a new incarnation and begins the first one. The magic number is
-// written last: a file that is only half begun counts as empty.
+// begin clears the cells for a new incarnation and starts the first cell. It writes the magic
+// number last, so that a partly initialised file counts as empty.
 func (c *counterFile) begin(incarnation uint64, inForce map[string]uint64) *counterCell {
 	binary.NativeEndian.PutUint64(c.memory, 0)
 	clear(c.memory[headerBytes:])
@@ -72,13 +71,13 @@
 	return first
 }
 
-// cell returns a cell by its number, from 1 on. Cells are reused after cellCount numbers.
+// cell returns a cell by its number, counting from 1. Cells are reused after cellCount numbers.
 func (c *counterFile) cell(number uint64) *counterCell {
 	offset := headerBytes + (number-1)%cellCount*cellBytes
 	return (*counterCell)(unsafe.Pointer(&c.memory[offset]))
 }
 
-// next begins another cell.
+// next starts another cell, for the versions in force from now on.
 func (c *counterFile) next(inForce map[string]uint64) *counterCell {
 	number := c.lastCell.Load() + 1
 	cell := c.cell(number)
@@ -90,13 +89,13 @@
 
 func (c *counterFile) close() error { return mmapfile.Close(c.memory) }
 
-// addUnits adds units. Only one goroutine may call it.
+// addUnits adds to the units of a cell. Only one goroutine may call it.
 func (c *counterCell) addUnits(units float64) {
 	sum := math.Float64frombits(c.units.Load()) + units
 	c.units.Store(math.Float64bits(sum))
 }
 
-// counts returns what was counted in a cell.
+// counts returns the counts of a cell.
 func (c *counterCell) counts() auditlog.Counts {
 	return auditlog.Counts{
 		Forwarded:      c.forwarded.Load(),
@@ -107,11 +106,11 @@
 	}
 }
 
-// inForce returns the versions that a cell counts under, nil where they have more text than a cell
-// holds.
-func (c *counterCell) inForce() (all map[string]uint64) {
-	if json.Unmarshal(c.text[:min(c.length, cellTextBytes)], &all) != nil {
+// inForce returns the versions that a cell counts under, nil if their JSON is longer than a cell
+// can hold.
+func (c *counterCell) inForce() (versions map[string]uint64) {
+	if json.Unmarshal(c.text[:min(c.length, cellTextBytes)], &versions) != nil {
 		return nil
 	}
-	return all
+	return versions
 }
--- a/internal/controlplane/auditrecorder/recorder.go
+++ b/internal/controlplane/auditrecorder/recorder.go
@@ -1,7 +1,7 @@
 // Package auditrecorder writes the audit log of a gateway (package auditlog) to a store. The
-// gateway's event loop counts operations in a memory-mapped file, which takes some nanoseconds and
-// never blocks; another goroutine writes the entries. The next process writes what its predecessor
-// had counted and not yet written.
+// gateway's event loop counts operations in a memory-mapped file, which takes a few nanoseconds and
+// never blocks. Another goroutine writes the entries. The next process writes what its predecessor
+// had counted but not yet written.
 package auditrecorder
 
 import (
@@ -22,31 +22,33 @@
 
 const (
 	writeInterval = time.Second
-	idleInterval  = 5 * time.Second // between entries while nothing is counted: the log goes on
+	// idleInterval is the interval between entries while nothing is counted. They keep the log free
+	// of gaps.
+	idleInterval = 5 * time.Second
 
-	// MaxEntries is how many entries are kept, of all incarnations together: those of a busy day. A
-	// checkpoint stands for older ones.
+	// MaxEntries is the number of entries that are kept, of all incarnations together. It suffices
+	// for a busy day. Checkpoints replace older entries.
 	MaxEntries = 100_000
 )
 
-// Recorder writes the audit log of one process. Sent, Rejected and Change may be called from the
-// event loop's goroutine alone; the other methods may be called from any.
+// Recorder writes the audit log of one process. Sent, Rejected and Change may be called only from
+// the event loop's goroutine; the other methods may be called from any goroutine.
 type Recorder struct {
 	id          string
 	incarnation uint64
 	log         *slog.Logger
 	counters    *counterFile
-	current     *counterCell // the event loop's
+	current     *counterCell // used by the event loop only
 	head        atomic.Pointer[auditlog.Head]
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	store       *store.Store
 	state       state
 	writeFailed bool
 	maxEntries  int
 
-	// The next entry holds the checkpoints, and is written in one batch with the deletions of the
-	// entries that these stand for.
+	// checkpoints are part of the next entry. One batch writes that entry and performs the
+	// deletions of the entries that the checkpoints replace.
 	checkpoints    []auditlog.Checkpoint
 	deletions      store.Batch
 	deletedEntries int
@@ -57,17 +59,18 @@
 	Incarnation uint64          `json:"boot"`
 	Seq         uint64          `json:"seq"`  // of the last entry
 	Hash        string          `json:"hash"` // of the last entry
-	Cell        uint64          `json:"cell"` // number of the cell that is written next
+	Cell        uint64          `json:"cell"` // number of the next cell to write
 	Written     auditlog.Counts `json:"written"`
 	EndedAt     int64           `json:"ended"` // of the last entry, in microseconds since 1970
-	Closed      bool            `json:"over"`  // the incarnation does nothing more
+	Closed      bool            `json:"over"`  // the incarnation has ended
 	Entries     int             `json:"kept"`  // of all incarnations
 }
 
 func incarnationText(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
 
-// Open opens the audit log in a folder, creates it where there is none, and ends the chain that the
-// process before left open. The error wraps store.ErrLocked where another process writes there.
+// Open opens the audit log in a folder, creates it if it does not exist, and ends the chain that
+// the previous process left open. The error wraps store.ErrLocked if another process has the log
+// open.
 func Open(dir, id string, incarnation uint64, log *slog.Logger) (_ *Recorder, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -82,12 +85,12 @@
 			err = errors.Join(err, r.store.Close())
 		}
 	}()
-	var before uint64
-	r.counters, before, err = openCounterFile(filepath.Join(dir, countersName))
+	var previous uint64
+	r.counters, previous, err = openCounterFile(filepath.Join(dir, countersName))
 	if err != nil {
 		return nil, err
 	}
-	if err := r.endPredecessor(before); err != nil {
+	if err := r.endPredecessor(previous); err != nil {
 		return nil, errors.Join(err, r.counters.close())
 	}
 	r.state = state{
@@ -101,9 +104,9 @@
 	return r, r.put(nil)
 }
 
-// endPredecessor reads the state and writes what the incarnation before has counted and not
-// written.
-func (r *Recorder) endPredecessor(before uint64) error {
+// endPredecessor reads the state and writes what the previous incarnation counted but did not
+// write.
+func (r *Recorder) endPredecessor(previous uint64) error {
 	raw, err := r.store.Get(stateKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
@@ -114,13 +117,14 @@
 	if err := json.Unmarshal(raw, &r.state); err != nil {
 		return err
 	}
-	if before == 0 || before != r.state.Incarnation || r.state.Closed {
+	if previous == 0 || previous != r.state.Incarnation || r.state.Closed {
 		return nil
 	}
 	return r.write(r.state.EndedAt, true)
 }
 
-// Sent counts an attempt that was forwarded: the first one of a request with its units, or a retry.
+// Sent counts an attempt that was forwarded: the first attempt of a request with its units, or a
+// retry.
 func (r *Recorder) Sent(first bool, units float64) {
 	if !first {
 		r.current.retries.Add(1)
@@ -130,7 +134,7 @@
 	r.current.forwarded.Add(1)
 }
 
-// Rejected counts a request that was rejected, because this gateway is fenced or for another
+// Rejected counts a request that was rejected because this gateway is fenced, or for another
 // reason.
 func (r *Recorder) Rejected(fenced bool) {
 	if fenced {
@@ -143,7 +147,7 @@
 // Change sets the versions that are in force from now on.
 func (r *Recorder) Change(inForce map[string]uint64) { r.current = r.counters.next(inForce) }
 
-// Run writes entries until the context ends.
+// Run periodically writes entries until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
 	ticker := time.NewTicker(writeInterval)
 	defer ticker.Stop()
@@ -157,29 +161,29 @@
 	}
 }
 
-// writeAndLog writes entries, and logs the first of several errors in a row.
+// writeAndLog writes entries. Of several consecutive errors it logs only the first.
 func (r *Recorder) writeAndLog() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	err := r.write(time.Now().UnixMicro(), false)
 	if err != nil && !r.writeFailed {
-		r.log.Error("fleet: the audit log can't be written; counting goes on", "error", err)
+		r.log.Error("fleet: failed to write the audit log; counting continues", "error", err)
 	}
 	r.writeFailed = err != nil
 }
 
-// write writes what was counted since the last call, in an entry for each set of versions. With
-// last, the incarnation does nothing more. now is in microseconds since 1970. The caller holds
-// r.mu, or no other goroutine has the Recorder yet.
+// write writes what was counted since the last call, with one entry for each set of versions. last
+// says that the incarnation has ended. now is in microseconds since 1970. The caller holds r.mu, or
+// no other goroutine has access to the Recorder yet.
 func (r *Recorder) write(now int64, last bool) error {
-	before := r.state
+	previous := r.state
 	entries := r.newEntries(now, last)
 	if len(entries) == 0 {
 		return nil
 	}
 	r.state.Closed = last
 	if err := r.put(entries); err != nil {
-		r.state = before
+		r.state = previous
 		return err
 	}
 	r.checkpoints = nil
@@ -191,11 +195,11 @@
 	return nil
 }
 
-// newEntries returns the entries to write, and advances the state behind them.
+// newEntries returns the entries to write, and advances the state past them.
 func (r *Recorder) newEntries(now int64, last bool) (entries []auditlog.Entry) {
 	lastCell := r.counters.lastCell.Load()
 	if lastCell-r.state.Cell >= cellCount {
-		r.log.Error("fleet: versions changed faster than the audit log is written; counts are lost",
+		r.log.Error("fleet: versions changed faster than the audit log was written; counts lost",
 			"cells", lastCell-r.state.Cell)
 		r.state.Cell = lastCell - cellCount + 1
 		r.state.Written = auditlog.Counts{}
@@ -204,7 +208,7 @@
 		cell := r.counters.cell(r.state.Cell)
 		counts := cell.counts()
 		counted := counts.Minus(r.state.Written)
-		open := r.state.Cell == lastCell // the event loop counts in it
+		open := r.state.Cell == lastCell // the event loop still counts in it
 		idle := time.Duration(now-r.state.EndedAt) * time.Microsecond
 		if counted != (auditlog.Counts{}) || open && (last || idle >= idleInterval) {
 			e := r.newEntry(now, cell.inForce(), counted)
@@ -225,7 +229,8 @@
 	}
 }
 
-// newEntry returns the next entry, and counts it in the state. The caller completes and hashes it.
+// newEntry returns the next entry and counts it in the state. The caller completes and hashes the
+// entry.
 func (r *Recorder) newEntry(now int64, inForce map[string]uint64,
 	counted auditlog.Counts) auditlog.Entry {
 	r.state.Seq++
@@ -244,7 +249,8 @@
 	return e
 }
 
-// Head returns the newest entry on the disk of this process, or nil where it has none yet.
+// Head returns the head of this process's chain: its newest entry on the disk, nil if there is none
+// yet.
 func (r *Recorder) Head() *auditlog.Head {
 	head := r.head.Load()
 	if head == nil || head.Incarnation != incarnationText(r.incarnation) {
@@ -255,12 +261,11 @@
 
 // Entries returns the entries of all incarnations of this gateway that ended at from or later, in
 // microseconds since 1970.
-func (r *Recorder) Entries(from int64) ([]auditlog.Entry,
-	error) {
+func (r *Recorder) Entries(from int64) ([]auditlog.Entry, error) {
 	return readEntries(r.store, from)
 }
 
-// Close writes the last entry and closes the store. Nothing may be counted after it.
+// Close writes the last entry and closes the store. Nothing may be counted afterwards.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/auditrecorder/recorder_test.go
+++ b/internal/controlplane/auditrecorder/recorder_test.go
@@ -9,8 +9,8 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// A process that ends at any moment leaves a valid log: the next one writes what it had counted and
-// not written, under the versions that it was counted by.
+// A process that ends at any moment leaves a valid log: the next process writes what it had counted
+// but not written, under the versions under which it was counted.
 func TestNextProcessWritesWhatAKilledOneCounted(t *testing.T) {
 	dir := t.TempDir()
 	var heads []auditlog.Head
@@ -30,7 +30,7 @@
 			if k%2 == 0 {
 				r.Change(map[string]uint64{"plans": incarnation*10 + uint64(k)})
 			}
-			if incarnation%3 == 1 && k == 3 { // some of it is written before
+			if incarnation%3 == 1 && k == 3 { // part of the counts is written before the end
 				r.mu.Lock()
 				err = r.write(int64(incarnation)*1000, false)
 				r.mu.Unlock()
@@ -42,13 +42,13 @@
 		if h := r.Head(); h != nil {
 			heads = append(heads, *h)
 		}
-		if incarnation%2 == 0 { // it is shut down
+		if incarnation%2 == 0 { // the process is shut down
 			if err := r.Close(); err != nil {
 				t.Fatal(err)
 			}
 			continue
 		}
-		// It is killed: it writes nothing more, and its lock is released.
+		// The process is killed: it writes nothing more, and its lock is released.
 		if err := r.store.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,8 @@
 	}
 	valid, violations := auditlog.Verify(all, heads)
 	if len(violations) > 0 || len(valid) != len(all) || len(heads) == 0 {
-		t.Fatalf("%v, %d of %d entries, %d heads", violations, len(valid), len(all), len(heads))
+		t.Fatalf("violations %v, %d of %d entries are valid, %d heads", violations, len(valid),
+			len(all), len(heads))
 	}
 	var sum auditlog.Counts
 	byVersion := map[uint64]uint64{}
@@ -75,21 +76,21 @@
 		byVersion[e.InForce["plans"]] += e.Forwarded
 	}
 	if sum != total {
-		t.Errorf("%+v were written, %+v were counted", sum, total)
+		t.Errorf("the log has %+v, but %+v were counted", sum, total)
 	}
 	// Each incarnation counts two requests under its first version, and two under the next.
 	for incarnation := uint64(1); incarnation <= 6; incarnation++ {
 		first := incarnation * 10
 		if byVersion[first] != 2 || byVersion[first+2] != 2 || byVersion[first+4] != 0 {
-			t.Errorf("incarnation %d: %v", incarnation, byVersion)
+			t.Errorf("incarnation %d: requests by version %v", incarnation, byVersion)
 		}
 	}
 	if _, gaps := auditlog.Summarize(valid, 1<<62); len(gaps) != 0 {
-		t.Errorf("%+v", gaps)
+		t.Errorf("gaps %+v", gaps)
 	}
 }
 
-// BenchmarkSent measures what counting costs a request in the event loop.
+// BenchmarkSent measures the cost of counting one request in the event loop.
 func BenchmarkSent(b *testing.B) {
 	r, err := Open(b.TempDir(), "n0", 1, discardLog)
 	if err != nil {
@@ -102,9 +103,9 @@
 	_ = r.Close()
 }
 
-// A log that is bounded is valid as well: checkpoints, which are in the chain, stand for the
-// entries that are not kept.
-func TestABoundedLogIsValid(t *testing.T) {
+// A log with a bounded number of entries is valid: checkpoints, which are part of the chain,
+// replace the entries that are not kept.
+func TestBoundedLogIsValid(t *testing.T) {
 	dir := t.TempDir()
 	var heads []auditlog.Head
 	counted, maxKept := uint64(0), 0
@@ -142,14 +143,15 @@
 		}
 		valid, violations := auditlog.Verify(all, heads)
 		if len(violations) > 0 || len(valid) != len(all) {
-			t.Fatalf("incarnation %d: %v", incarnation, violations)
+			t.Fatalf("incarnation %d: violations %v, %d of %d entries are valid", incarnation, violations,
+				len(valid), len(all))
 		}
 		sum := uint64(0)
 		intervals, _ := auditlog.Summarize(valid, 1<<62)
 		for _, interval := range intervals {
 			sum += interval.Forwarded
 		}
-		for _, e := range all { // what was counted before a version was in force is in no interval
+		for _, e := range all { // counts from before a version was in force are in no interval
 			if len(e.InForce) == 0 {
 				sum += e.Forwarded
 			}
@@ -157,14 +159,14 @@
 		if incarnation > 2 && !all[len(all)-1].Last {
 			t.Errorf("incarnation %d: no last entry", incarnation)
 		}
-		// Ten of each incarnation were compacted without an item.
+		// Ten requests of each incarnation were compacted without an item.
 		if sum > counted || sum+10*incarnation < counted {
 			t.Errorf("incarnation %d: %d requests were counted, the log has %d", incarnation,
 				counted, sum)
 		}
 	}
 	if maxKept > 24 {
-		t.Errorf("%d entries were kept, 20 is the bound", maxKept)
+		t.Errorf("%d entries were kept with a bound of 20", maxKept)
 	}
 	all, err := Read(dir)
 	if err != nil {
@@ -177,7 +179,7 @@
 				all[i].Checkpoints[j].Sums[k].Forwarded++
 				_, violations := auditlog.Verify(all, heads[len(heads)-1:])
 				if len(violations) == 0 {
-					t.Errorf("entry %d: a changed sum is no violation", i)
+					t.Errorf("entry %d: a changed sum is not a violation", i)
 				}
 				all[i].Checkpoints[j].Sums[k].Forwarded--
 			}
--- a/internal/controlplane/auditrecorder/storage.go
+++ b/internal/controlplane/auditrecorder/storage.go
@@ -11,7 +11,7 @@
 	"mothcleat/internal/storage/store"
 )
 
-// Names in the folder of an audit log, and keys in its store. They are part of stored data.
+// File names in the folder of an audit log, and keys in its store. They are part of stored data.
 const (
 	entriesName  = "entries"
 	countersName = "cells"
@@ -28,8 +28,8 @@
 	return binary.BigEndian.AppendUint64(key, seq)
 }
 
-// put stores entries, the pending deletions and the state in one batch. The caller holds r.mu, or
-// no other goroutine has the Recorder yet.
+// put commits entries, the pending deletions and the state in one batch. The caller holds r.mu, or
+// no other goroutine has access to the Recorder yet.
 func (r *Recorder) put(entries []auditlog.Entry) error {
 	batch := r.deletions
 	for i := range entries {
@@ -59,22 +59,22 @@
 	return nil
 }
 
-// Read returns all entries of the audit log in a folder to which no process writes now.
-func Read(dir string) (all []auditlog.Entry, err error) {
+// Read returns all entries of the audit log in a folder. No process may be writing to that folder.
+func Read(dir string) (entries []auditlog.Entry, err error) {
 	s, err := store.Open(filepath.Join(dir, entriesName), store.Options{ReadOnly: true})
 	if err != nil {
 		return nil, err
 	}
 	defer s.Close()
-	all, err = readEntries(s, 0)
+	entries, err = readEntries(s, 0)
 	if err != nil {
-		return all, fmt.Errorf("audit log: %s: %w", dir, err)
+		return entries, fmt.Errorf("audit log: %s: %w", dir, err)
 	}
-	return all, nil
+	return entries, nil
 }
 
 // readEntries returns the entries that ended at from or later, in microseconds since 1970.
-func readEntries(s *store.Store, from int64) (all []auditlog.Entry, err error) {
+func readEntries(s *store.Store, from int64) (entries []auditlog.Entry, err error) {
 	snapshot, err := s.Snapshot()
 	if err != nil {
 		return nil, err
@@ -82,15 +82,15 @@
 	defer snapshot.Close()
 	for item, err := range snapshot.Range([]byte{entryPrefix}, []byte{entryPrefix + 1}) {
 		if err != nil {
-			return all, err
+			return entries, err
 		}
 		var e auditlog.Entry
 		if err := json.Unmarshal(item.Value, &e); err != nil {
-			return all, fmt.Errorf("invalid entry: %w", err)
+			return entries, fmt.Errorf("invalid entry: %w", err)
 		}
 		if e.EndedAt >= from {
-			all = append(all, e)
+			entries = append(entries, e)
 		}
 	}
-	return all, nil
+	return entries, nil
 }
--- a/internal/controlplane/auditrecorder/stored_test.go
+++ b/internal/controlplane/auditrecorder/stored_test.go
@@ -10,8 +10,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// An audit log that an earlier build's killed process left is read as it was written, and its
-// counts that were not written yet become its last entry.
+// The audit log of a killed process of an earlier build can be read unchanged. Its counts that were
+// not written yet become its last entry.
 func TestStoredAuditLogIsRead(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored")
 	entries, err := Read(dir)
@@ -29,8 +29,8 @@
 		t.Fatal(err)
 	}
 	equalEntries(t, "testdata/entries-recovered.json", entries)
-	if _, damage := auditlog.Verify(entries, nil); len(damage) > 0 {
-		t.Errorf("damage %v", damage)
+	if _, violations := auditlog.Verify(entries, nil); len(violations) > 0 {
+		t.Errorf("violations %v", violations)
 	}
 }
 
