--- a/internal/controlplane/planconfig/planconfig.go
+++ b/internal/controlplane/planconfig/planconfig.go
@@ -1,6 +1,6 @@
-// Package planconfig is the item of the fleet's configuration that holds the terms of all plans,
-// and which tenant has which plan. It converts between a TOML file of package plans and keyed
-// records of package distribution.
+// Package planconfig implements the configuration item that holds the terms of all plans and the
+// plan of each tenant. It converts between a TOML file of package plans and keyed records of
+// package distribution.
 package planconfig
 
 import (
@@ -17,19 +17,20 @@
 	"mothcleat/internal/plans"
 )
 
-// ItemName is the name of the item in the fleet.
+// ItemName is the name of the item in the fleet's configuration.
 const ItemName = "plans"
 
 // Terms applies plans in a process. In a gateway it is gateway.PlanTerms.
 type Terms interface {
 	// CheckCatalog returns why a catalog can't be applied here, nil if it can.
 	CheckCatalog(catalog *plans.Catalog) error
-	// UseCatalogs makes a catalog decide from now on, together with others whose terms apply as
+	// UseCatalogs puts a catalog in force, together with overlapping ones whose terms apply as
 	// well. order and done are those of rollout.Item.
-	UseCatalogs(target *plans.Catalog, others []*plans.Catalog, order uint64, done func())
+	UseCatalogs(target *plans.Catalog, overlapping []*plans.Catalog, order uint64, done func())
 }
 
-// Item is the plans of one process: a rollout.Item. Its methods are safe for concurrent use.
+// Item applies the plans in one process. It is a rollout.Item. Its methods are safe for concurrent
+// use.
 type Item struct {
 	terms Terms
 
@@ -38,23 +39,23 @@
 	recent []decodedState
 }
 
-// decodedState is a state and the catalog that it encodes.
+// decodedState is a state with the catalog that it encodes.
 type decodedState struct {
 	state   *distribution.State
 	catalog *plans.Catalog
 }
 
 // maxRecent is how many decoded states are cached: those of overlapping versions, and the base of
-// the next.
+// the next version.
 const maxRecent = 3
 
-// errUnknownKind is the reason of an InvalidRecordError for a record of another kind.
+// errUnknownKind is the reason in an InvalidRecordError for a record of an unknown kind.
 var errUnknownKind = errors.New("it is neither a plan nor a tenant")
 
 // New returns the item that applies plans through terms.
 func New(terms Terms) *Item { return &Item{terms: terms} }
 
-// Decode reads a file of plans as records.
+// Decode converts a file of plans to records.
 func (i *Item) Decode(raw []byte) (*distribution.State, error) {
 	catalog, err := plans.Parse(raw)
 	if err != nil {
@@ -64,11 +65,11 @@
 	if err != nil {
 		return nil, err
 	}
-	i.remember(state, catalog)
+	i.cache(state, catalog)
 	return state, nil
 }
 
-// Encode writes records as a file of plans.
+// Encode converts records to a file of plans.
 func (i *Item) Encode(state *distribution.State) ([]byte, error) {
 	catalog, err := i.catalogOf(state)
 	if err != nil {
@@ -86,27 +87,27 @@
 	return i.terms.CheckCatalog(catalog)
 }
 
-// Use makes a version decide from now on; see rollout.Item. It must have been checked.
+// Use puts a version in force; see rollout.Item. The version must have been checked.
 func (i *Item) Use(
-	target *configstate.Version, others []*configstate.Version, order uint64, done func(),
+	target *configstate.Version, overlapping []*configstate.Version, order uint64, done func(),
 ) {
 	catalog, err := i.versionCatalog(target)
 	if err != nil {
 		return
 	}
-	var otherCatalogs []*plans.Catalog
-	for _, v := range others {
+	var overlappingCatalogs []*plans.Catalog
+	for _, v := range overlapping {
 		other, err := i.versionCatalog(v)
 		if err != nil {
 			return
 		}
-		otherCatalogs = append(otherCatalogs, other)
+		overlappingCatalogs = append(overlappingCatalogs, other)
 	}
-	i.terms.UseCatalogs(catalog, otherCatalogs, order, done)
+	i.terms.UseCatalogs(catalog, overlappingCatalogs, order, done)
 }
 
-// versionCatalog returns the catalog of a version. For nil it is an empty one, with which the
-// process's own configuration applies.
+// versionCatalog returns the catalog of a version. For nil it returns an empty catalog, with which
+// the process's own configuration applies.
 func (i *Item) versionCatalog(v *configstate.Version) (*plans.Catalog, error) {
 	if v == nil {
 		return &plans.Catalog{}, nil
@@ -114,18 +115,18 @@
 	return i.catalogOf(v.State)
 }
 
-// catalogOf returns the catalog of a state: the cached one, or one derived from the newest cached
-// state by what differs.
+// catalogOf returns the catalog of a state: the cached one, or one that is derived from the newest
+// cached state by applying the difference.
 func (i *Item) catalogOf(state *distribution.State) (*plans.Catalog, error) {
 	i.mu.Lock()
-	known := slices.Clone(i.recent)
+	cached := slices.Clone(i.recent)
 	i.mu.Unlock()
 	base := decodedState{distribution.NewState(), &plans.Catalog{}}
-	for _, one := range known {
-		if one.state == state {
-			return one.catalog, nil
+	for _, decoded := range cached {
+		if decoded.state == state {
+			return decoded.catalog, nil
 		}
-		base = one
+		base = decoded
 	}
 	changes, err := changesOf(base.state.Difference(state))
 	if err != nil {
@@ -135,11 +136,11 @@
 	if err != nil {
 		return nil, err
 	}
-	i.remember(state, catalog)
+	i.cache(state, catalog)
 	return catalog, nil
 }
 
-func (i *Item) remember(state *distribution.State, catalog *plans.Catalog) {
+func (i *Item) cache(state *distribution.State, catalog *plans.Catalog) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.recent = append(i.recent, decodedState{state, catalog})
@@ -148,7 +149,8 @@
 	}
 }
 
-// stateOf returns the records of a catalog. Tenants of one plan share their value.
+// stateOf returns the records of a catalog. Tenants with the same plan share the value of their
+// records.
 func stateOf(catalog *plans.Catalog) (*distribution.State, error) {
 	var changes []distribution.Change
 	values := map[string][]byte{}
@@ -172,8 +174,9 @@
 	return distribution.Change{Record: distribution.Record{Kind: kind, ID: id, Value: value}}
 }
 
-// changesOf reads changes of records as changes of plans. It returns an InvalidRecordError of
-// package distribution for a record that is neither a plan nor a tenant, or can't be read.
+// changesOf converts changes of records to changes of plans. It returns a
+// *distribution.InvalidRecordError for a record that is neither a plan nor a tenant, or can't be
+// decoded.
 func changesOf(records []distribution.Change) (*plans.Changes, error) {
 	changes := &plans.Changes{}
 	for i := range records {
--- a/internal/controlplane/planconfig/planconfig_test.go
+++ b/internal/controlplane/planconfig/planconfig_test.go
@@ -18,30 +18,30 @@
 // unknownKind is a kind of record that no program knows.
 const unknownKind = 77
 
-// used is what a process was given to apply.
-type used struct {
-	target *plans.Catalog
-	others []*plans.Catalog
-	order  uint64
+// appliedCatalogs are the arguments of one call of UseCatalogs.
+type appliedCatalogs struct {
+	target      *plans.Catalog
+	overlapping []*plans.Catalog
+	order       uint64
 }
 
-// fakeTerms records what it is given.
+// fakeTerms records the catalogs that it is given to apply.
 type fakeTerms struct {
-	refuse error
-	used   []used
+	checkErr error
+	applied  []appliedCatalogs
 }
 
-func (f *fakeTerms) CheckCatalog(*plans.Catalog) error { return f.refuse }
+func (f *fakeTerms) CheckCatalog(*plans.Catalog) error { return f.checkErr }
 
 func (f *fakeTerms) UseCatalogs(
-	target *plans.Catalog, others []*plans.Catalog, order uint64, done func(),
+	target *plans.Catalog, overlapping []*plans.Catalog, order uint64, done func(),
 ) {
-	f.used = append(f.used, used{target, others, order})
+	f.applied = append(f.applied, appliedCatalogs{target, overlapping, order})
 	done()
 }
 
-// drawnFile draws a file of plans with up to a number of tenants.
-func drawnFile(r *rand.Rand, tenants int) []byte {
+// randomFile draws a file of plans with up to a number of tenants.
+func randomFile(r *rand.Rand, tenants int) []byte {
 	var text strings.Builder
 	count := 1 + r.IntN(4)
 	for i := range count {
@@ -66,13 +66,13 @@
 	return v, text
 }
 
-// TestAnyContentFromAnyOther checks that any two contents lead to one another by a delta and by
-// buckets, each time to exactly the agreed bytes.
+// TestAnyContentFromAnyOther checks that a replica can build any content from any other one, by a
+// delta and by buckets, with exactly the committed bytes.
 func TestAnyContentFromAnyOther(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 5))
 	for range 60 {
 		server, replica := New(&fakeTerms{}), New(&fakeTerms{})
-		oldRaw, newRaw := drawnFile(r, 200), drawnFile(r, 200)
+		oldRaw, newRaw := randomFile(r, 200), randomFile(r, 200)
 		target, want := canonical(t, server, newRaw)
 		base, err := configstate.Read(replica, oldRaw)
 		if err != nil {
@@ -86,16 +86,16 @@
 			Changes: distribution.ChangesProto(serverBase.State.Difference(target.State))}
 		got, raw, err := configstate.ApplyDelta(replica, base, target.Digest, delta)
 		if err != nil || got.Digest != target.Digest || !bytes.Equal(raw, want) {
-			t.Fatalf("by delta: %v", err)
+			t.Fatalf("by delta: error %v, or a different content", err)
 		}
 		got, raw = repaired(t, replica, base, target)
 		if got.Digest != target.Digest || !bytes.Equal(raw, want) {
-			t.Fatal("by buckets: another content")
+			t.Fatal("by buckets: a different content")
 		}
 	}
 }
 
-// repaired fetches the buckets in which a base differs from a target.
+// repaired builds the target from a base by fetching the buckets that differ.
 func repaired(
 	t *testing.T, replica *Item, base, target *configstate.Version,
 ) (*configstate.Version, []byte) {
@@ -109,7 +109,7 @@
 	for {
 		indexes, ok := repair.Next()
 		if !ok {
-			t.Fatal("too much differs")
+			t.Fatal("the repair gave up: too much differs")
 		}
 		if len(indexes) == 0 {
 			break
@@ -125,9 +125,9 @@
 	return v, raw
 }
 
-// TestOneTenantMakesASmallDelta checks that one tenant that gets another plan makes a message of
-// one or two hundred bytes however many tenants there are, and that buckets are a few kilobytes in
-// addition to their sums.
+// TestOneTenantMakesASmallDelta checks that the change of one tenant's plan makes a delta of one or
+// two hundred bytes regardless of the number of tenants, and that by buckets only one bucket of a
+// few kilobytes is fetched in addition to the sums.
 func TestOneTenantMakesASmallDelta(t *testing.T) {
 	server := New(&fakeTerms{})
 	var text strings.Builder
@@ -149,11 +149,11 @@
 	}
 	answer := configstate.DeltaResponse(newVersion, []string{"unknown", oldVersion.Digest}, find)
 	if answer.Delta == nil || len(answer.Delta.Changes) != 1 {
-		t.Fatalf("%v", answer)
+		t.Fatalf("the response is %v", answer)
 	}
 	t.Logf("%d bytes of delta for a content of %d", len(mustproto.Marshal(answer)), newVersion.Size)
 	if size := len(mustproto.Marshal(answer)); size > 256 {
-		t.Errorf("%d bytes", size)
+		t.Errorf("the response has %d bytes", size)
 	}
 	repair, err := configstate.NewRepair(oldVersion, newVersion.Digest,
 		configstate.DeltaResponse(newVersion, []string{"unknown"}, find).Sums)
@@ -161,18 +161,18 @@
 		t.Fatal(err)
 	}
 	if indexes, ok := repair.Next(); !ok || len(indexes) != 1 {
-		t.Errorf("buckets %v", indexes)
+		t.Errorf("buckets to fetch: %v", indexes)
 	}
 }
 
-// TestOtherContentIsRejected checks that whatever does not lead to the agreed content is rejected.
-// Each case is a fault of a server, a link or a program.
+// TestOtherContentIsRejected checks that a delta that does not lead to the committed content is
+// rejected. Each case stands for a fault of a server, a link or a program.
 func TestOtherContentIsRejected(t *testing.T) {
 	r := rand.New(rand.NewPCG(11, 2))
 	item := New(&fakeTerms{})
-	base, _ := canonical(t, item, drawnFile(r, 300))
-	other, _ := canonical(t, item, drawnFile(r, 300))
-	target, _ := canonical(t, item, drawnFile(r, 300))
+	base, _ := canonical(t, item, randomFile(r, 300))
+	other, _ := canonical(t, item, randomFile(r, 300))
+	target, _ := canonical(t, item, randomFile(r, 300))
 	good := func() *controlpb.ContentDelta {
 		return &controlpb.ContentDelta{Base: base.Digest, Digest: target.Digest,
 			Changes: distribution.ChangesProto(base.State.Difference(target.State))}
@@ -181,47 +181,47 @@
 	var mismatch *configstate.DigestMismatchError
 	var invalid *distribution.InvalidRecordError
 	for name, c := range map[string]struct {
-		base   *configstate.Version
-		spoil  func(*controlpb.ContentDelta)
-		target any
+		base    *configstate.Version
+		corrupt func(*controlpb.ContentDelta)
+		target  any
 	}{
-		"to another base": {other, func(*controlpb.ContentDelta) {}, &wrongBase},
+		"for another base": {other, func(*controlpb.ContentDelta) {}, &wrongBase},
 		"of another base, renamed": {
 			other, func(d *controlpb.ContentDelta) { d.Base = other.Digest }, &mismatch,
 		},
-		"to another content": {
+		"for another content": {
 			base, func(d *controlpb.ContentDelta) { d.Digest = other.Digest }, &wrongBase,
 		},
-		"a change lost": {
+		"a lost change": {
 			base, func(d *controlpb.ContentDelta) { d.Changes = d.Changes[1:] }, &mismatch,
 		},
-		"a deletion undone": {
+		"an inverted deletion": {
 			base,
 			func(d *controlpb.ContentDelta) { d.Changes[0].Deleted = !d.Changes[0].Deleted },
 			nil,
 		},
-		"no record": {
+		"a record without a kind": {
 			base, func(d *controlpb.ContentDelta) { d.Changes[0].Kind = 0 }, &invalid,
 		},
-		"a record of no plan": {
+		"a record of an unknown kind": {
 			base,
 			func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Kind = unknownKind },
 			&invalid,
 		},
-		"a tenant without hexadecimal": {
+		"a tenant id that is not hexadecimal": {
 			base, func(d *controlpb.ContentDelta) { d.Changes[0].Id = "tenant" }, nil,
 		},
-		"a value of no plan": {
+		"a value that can't be decoded": {
 			base,
 			func(d *controlpb.ContentDelta) { d.Changes[len(d.Changes)-1].Value = []byte{255} },
 			&invalid,
 		},
 	} {
 		d := good()
-		c.spoil(d)
+		c.corrupt(d)
 		v, _, err := configstate.ApplyDelta(item, c.base, target.Digest, d)
 		if err == nil || v != nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 		if c.target != nil && !errors.As(err, c.target) {
 			t.Errorf("%s: %v", name, err)
@@ -229,18 +229,18 @@
 	}
 	if v, _, err := configstate.ApplyDelta(item, base, target.Digest,
 		good()); err != nil || v.Digest != target.Digest {
-		t.Errorf("the good one: %v", err)
+		t.Errorf("the correct delta: %v", err)
 	}
 }
 
-// TestWrongBucketsAreRejected checks that buckets of another content are rejected, one at a time or
-// all together.
+// TestWrongBucketsAreRejected checks that buckets of another content are rejected, whether or not
+// the sums are of the committed content.
 func TestWrongBucketsAreRejected(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
 	item := New(&fakeTerms{})
-	base, _ := canonical(t, item, drawnFile(r, 300))
-	target, _ := canonical(t, item, drawnFile(r, 300))
-	other, _ := canonical(t, item, drawnFile(r, 300))
+	base, _ := canonical(t, item, randomFile(r, 300))
+	target, _ := canonical(t, item, randomFile(r, 300))
+	other, _ := canonical(t, item, randomFile(r, 300))
 	none := func(string) *configstate.Version { return nil }
 	sums := configstate.DeltaResponse(target, []string{base.Digest}, none).Sums
 	var wrong *configstate.WrongBaseError
@@ -249,7 +249,7 @@
 	}
 	short := &controlpb.ContentSums{Digest: sums.Digest, State: sums.State, Sums: sums.Sums[:160]}
 	if _, err := configstate.NewRepair(base, target.Digest, short); err == nil {
-		t.Error("sums of ten buckets are taken")
+		t.Error("the sums of only ten buckets were accepted")
 	}
 	repair, err := configstate.NewRepair(base, target.Digest, sums)
 	if err != nil {
@@ -257,18 +257,19 @@
 	}
 	indexes, _ := repair.Next()
 	if err := repair.Put(configstate.BucketsResponse(other, indexes)); err == nil {
-		t.Error("buckets of another content are taken")
+		t.Error("buckets of another content were accepted")
 	}
 	if err := repair.Put(&controlpb.ContentBucketsResponse{}); err == nil {
-		t.Error("an answer without buckets is taken")
+		t.Error("a response without buckets was accepted")
 	}
 	if _, _, err := repair.Finish(item); err == nil {
-		t.Error("it ended with buckets missing")
+		t.Error("the repair finished although buckets are missing")
 	}
-	// Sums and buckets that fit one another, of another content under the wanted digest.
-	lie := configstate.DeltaResponse(other, []string{base.Digest}, none).Sums
-	lie.Digest = target.Digest
-	if repair, err = configstate.NewRepair(base, target.Digest, lie); err != nil {
+	// The sums and buckets match each other, but are those of another content under the wanted
+	// digest.
+	mismatched := configstate.DeltaResponse(other, []string{base.Digest}, none).Sums
+	mismatched.Digest = target.Digest
+	if repair, err = configstate.NewRepair(base, target.Digest, mismatched); err != nil {
 		t.Fatal(err)
 	}
 	for {
@@ -286,20 +287,20 @@
 	}
 }
 
-// TestHandWrittenContent checks that a hand-written content can be a base, and is never served as a
-// difference, as its bytes can't be made of records.
+// TestHandWrittenContent checks that a hand-written content can be a base, but is never served as a
+// difference, because its bytes can't be rebuilt from records.
 func TestHandWrittenContent(t *testing.T) {
 	item := New(&fakeTerms{})
 	written := []byte("# by hand\n[[plan]]\nrate = 1.0\nburst = 2\nname = 'one'\n")
 	v, err := configstate.Read(item, written)
 	if err != nil || v.Canonical {
-		t.Fatalf("%+v %v", v, err)
+		t.Fatalf("Read returns %+v, %v", v, err)
 	}
 	next, _ := canonical(t, item, []byte("[[plan]]\nname = 'one'\nrate = 2\nburst = 2\n"))
 	find := func(string) *configstate.Version { return next }
 	if a := configstate.DeltaResponse(v, []string{next.Digest},
 		find); a.Delta != nil || a.Sums != nil {
-		t.Errorf("%v", a)
+		t.Errorf("the response is %v", a)
 	}
 	d := &controlpb.ContentDelta{
 		Base:    v.Digest,
@@ -311,41 +312,42 @@
 	}
 	if _, err := configstate.Read(item,
 		[]byte("[[plan]]\nname = 1\n")); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("no file of plans: %v", err)
+		t.Errorf("an invalid file of plans: %v", err)
 	}
 }
 
-// TestUse checks that the catalog of the version is applied, whichever catalog it was derived from,
-// and that nil stands for the process's own configuration.
+// TestUse checks that the catalog of the version is applied, regardless of the catalog that it was
+// derived from, and that nil stands for the process's own configuration.
 func TestUse(t *testing.T) {
 	r := rand.New(rand.NewPCG(8, 1))
 	terms := &fakeTerms{}
 	item := New(terms)
 	var all []*configstate.Version
 	for range 8 {
-		v, _ := canonical(t, item, drawnFile(r, 50))
+		v, _ := canonical(t, item, randomFile(r, 50))
 		all = append(all, v)
 	}
 	done := 0
 	item.Use(all[7], []*configstate.Version{all[0], nil}, 9, func() { done++ })
 	item.Use(nil, nil, 11, func() { done++ })
-	if done != 2 || len(terms.used) != 2 || terms.used[0].order != 9 ||
-		len(terms.used[0].others) != 2 {
-		t.Fatalf("%+v", terms.used)
+	if done != 2 || len(terms.applied) != 2 || terms.applied[0].order != 9 ||
+		len(terms.applied[0].overlapping) != 2 {
+		t.Fatalf("done was called %d times, applied are %+v", done, terms.applied)
 	}
 	for got, want := range map[*plans.Catalog]*configstate.Version{
-		terms.used[0].target:    all[7],
-		terms.used[0].others[0]: all[0],
+		terms.applied[0].target:         all[7],
+		terms.applied[0].overlapping[0]: all[0],
 	} {
 		if configstate.Digest(plans.Render(got)) != want.Digest {
-			t.Error("another catalog than the version's")
+			t.Error("the applied catalog is not that of the version")
 		}
 	}
-	if len(terms.used[0].others[1].PlanNames()) != 0 || len(terms.used[1].target.PlanNames()) != 0 {
+	if len(terms.applied[0].overlapping[1].PlanNames()) != 0 ||
+		len(terms.applied[1].target.PlanNames()) != 0 {
 		t.Error("the process's own configuration is not empty")
 	}
-	terms.refuse = errors.New("not here")
-	if err := item.Check(all[3]); !errors.Is(err, terms.refuse) {
+	terms.checkErr = errors.New("not here")
+	if err := item.Check(all[3]); !errors.Is(err, terms.checkErr) {
 		t.Error(err)
 	}
 }
