--- a/internal/controlplane/configversion/version.go
+++ b/internal/controlplane/configversion/version.go
@@ -78,7 +78,7 @@
 	Size   int64  `json:"size"` // bytes
 }
 
-// Errors of commands.
+// Errors of commands. Use errors.Is to distinguish them.
 var (
 	ErrUnknownVersion    = errors.New("versions: no such version")
 	ErrRolloutInProgress = errors.New("versions: another rollout of the item is under way")
--- a/internal/controlplane/configversion/view.go
+++ b/internal/controlplane/configversion/view.go
@@ -31,8 +31,8 @@
 	Why    string `json:"why"`
 }
 
-// FencedGateway is a gateway that an operator fenced by a command, or that was fenced by one
-// because its audit log is invalid.
+// FencedGateway is a gateway that was fenced by a command, at an operator's discretion or because
+// its audit log is invalid.
 type FencedGateway struct {
 	ID  string        `json:"id"`
 	At  time.Duration `json:"at"`
