--- a/internal/controlplane/allocation/budget.go
+++ b/internal/controlplane/allocation/budget.go
@@ -8,70 +8,74 @@
 )
 
 const (
-	minDemandWindow = 2 * time.Second // over which demand is averaged
+	// Bounds of the time over which demand is averaged.
+	minDemandWindow = 2 * time.Second
 	maxDemandWindow = 20 * time.Second
 
-	// roundTime is how long a round takes to be committed, unless the log's leader changes.
+	// roundTime is the time until a round is committed, unless the log's leader changes.
 	roundTime = 300 * time.Millisecond
 )
 
-// memberRecord is one process that uses budgets of the shard, as the shard's leader knows it.
+// memberRecord is the state of one process that uses budgets of the shard.
 type memberRecord struct {
-	lastRenewal   time.Duration // by the leader's clock, like all times here
-	appliedUpdate uint64        // number of the last update that it acknowledged
-	startedAt     time.Duration // estimated from the age that it reports; 0: not known yet
-	ended         bool          // it has left, or its successor reported that it no longer runs
+	lastRenewal   time.Duration // by the leader's clock, like all times in this file
+	appliedUpdate uint64        // number of the last update that the member acknowledged
+	startedAt     time.Duration // estimated from the age that the member reports; 0: not known yet
+	ended         bool          // the member has left, or its successor reported that it has exited
 	budgets       map[uint64]bool
 }
 
-// budgetState is a budget as the leader of its shard keeps it.
+// budgetState is the leader's state of a budget.
 type budgetState struct {
 	limit            Share
-	limitVersion     uint64        // version of the plans that the limit is from
-	committedVersion uint64        // the version in the replicated state
-	proposedVersion  uint64        // the version in the round under way
+	limitVersion     uint64        // version of the plans that defines the limit
+	committedVersion uint64        // limitVersion in the replicated state
+	proposedVersion  uint64        // limitVersion in the pending round
 	limitSetBy       time.Duration // start time of the process that reported the limit
-	maxMembers       int           // that share the limit
+	maxMembers       int           // maximum number of members that share the limit
 	holdings         map[lease.Member]*holding
 	allocated        Share // the sum of all committed allocations
 
-	// pendingIncrease is what the round under way adds to allocated. It counts as given already, as
-	// an entry may be committed even when its response is lost.
+	// pendingIncrease is what the pending round adds to allocated. It already counts as allocated,
+	// because an entry may be committed even when its response is lost.
 	pendingIncrease Share
 
 	bucket tokenBucket // units of the pool
 
-	// carryover is how many units of the pool are not granted: the next leader starts with them.
+	// carryover is the number of units of the pool that are not granted, because the next leader
+	// starts with them.
 	carryover         float64
-	proposedCarryover float64 // in the round under way; below 0: there is none
+	proposedCarryover float64 // in the pending round; below 0: there is none
 
 	meanGrant     float64 // moving average of the units of on-demand requests
 	deferredGrant float64 // units of the largest such request that waits for a smaller carryover
 
 	headroom     *headroomHistory // nil: no units were returned yet
-	nextDivision time.Duration    // the budget is not divided again before
+	nextDivision time.Duration    // earliest time of the next division
 }
 
 // holding is one member's allocation of one budget.
 type holding struct {
 	committed Allocation
-	announced Allocation // what the member was told last: never more than is committed
+	announced Allocation // in the last update for the member: never more than is committed
 	update    uint64     // number of the update that announced it
 
-	unitsGranted  float64 // with updates, in all under this term
-	forfeited     float64 // of those, granted before the allocation expired last
-	unitsReturned float64 // by the member, in all under this term
-	lateUnits     float64 // of those returned, units that come free with an announced reduction
-	releasedBy    uint64  // number of the last update whose lateUnits are taken in
+	// Totals under the leader's term, in units.
+	unitsGranted  float64 // granted to the member with updates
+	forfeited     float64 // of those, granted before the allocation last expired
+	unitsReturned float64 // returned by the member
 
-	// returnedBefore is a bound in time: units that the member has not reported yet came free after
-	// it. 0: not known.
-	returnedBefore time.Duration
+	releasedUnits float64 // of those returned, units that become free with the announced reduction
+	releasedBy    uint64  // number of the last update for which releasedUnits was recorded
+
+	// unreportedSince is a lower bound: units that the member has yet to report as returned became
+	// free after this time. 0: not known.
+	unreportedSince time.Duration
 
 	claim      Claim
 	claimedAt  time.Duration
 	lastDemand time.Duration
-	newDemand  bool // there was demand since the budget was last divided
+	newDemand  bool // since the last division, the member had demand or a change was deferred
 }
 
 // updateAllocated recomputes the sum of the committed allocations.
@@ -82,7 +86,7 @@
 	}
 }
 
-// refill brings the pool's bucket to a time, at the pool's rate and burst.
+// refill refills the pool's bucket up to a time, at the pool's rate and burst.
 func (b *budgetState) refill(at time.Duration, pool Share) {
 	b.bucket.refill(at, pool)
 	if b.headroom != nil {
@@ -90,8 +94,8 @@
 	}
 }
 
-// demandWindow returns the time over which a budget's demand is averaged. Requests for a small
-// limit are rare, and its division should not follow single requests.
+// demandWindow returns the time over which a budget's demand is averaged. It is longer for a small
+// limit: requests for it are rare, and its division should not follow single requests.
 func (b *budgetState) demandWindow() time.Duration {
 	if b.limit.Rate <= 0 {
 		return maxDemandWindow
@@ -100,7 +104,7 @@
 	return min(maxDemandWindow, max(minDemandWindow, window))
 }
 
-// hasNewDemand reports whether a member had demand since the budget was last divided.
+// hasNewDemand reports whether newDemand is set for any member.
 func (b *budgetState) hasNewDemand() bool {
 	for _, h := range b.holdings {
 		if h.newDemand {
@@ -110,8 +114,8 @@
 	return false
 }
 
-// targetCarryover returns how many units of the pool to carry over to the next leader: those that
-// will probably not be granted before the next round.
+// targetCarryover returns the number of units of the pool to carry over to the next leader: those
+// that will probably not be granted before the next round.
 func (b *budgetState) targetCarryover() float64 {
 	demand := 0.0
 	for _, h := range b.holdings {
@@ -121,8 +125,8 @@
 	return math.Max(0, b.bucket.level-2*b.meanGrant-b.deferredGrant-untilNextRound)
 }
 
-// carryoverNeedsRound reports whether the committed carryover has to be changed to target by a
-// round. Small changes wait, unless the carryover leaves too little for a grant.
+// carryoverNeedsRound reports whether a round has to change the committed carryover to target.
+// Small changes wait, unless the carryover leaves too few units for a grant.
 func (b *budgetState) carryoverNeedsRound(target, threshold float64) bool {
 	if b.deferredGrant != 0 {
 		return true
--- a/internal/controlplane/allocation/config.go
+++ b/internal/controlplane/allocation/config.go
@@ -14,49 +14,50 @@
 
 // ShardOf returns the shard of a budget, from 0 to shards-1.
 func ShardOf(budget uint64, shards int) int {
-	const multiplier = 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio spreads ids evenly
+	const multiplier = 0x9E3779B97F4A7C15 // 2^64 / golden ratio, which spreads ids evenly
 	return int((budget * multiplier) >> 33 % uint64(max(1, shards)))
 }
 
-// Config says how budgets are divided, and for how long allocations hold. It is the same for all
-// processes of a fleet.
+// Config configures how budgets are divided and how long allocations are valid. All processes of a
+// fleet must use the same values.
 type Config struct {
-	TTL         time.Duration // of an allocation without renewal
-	ReservedTTL time.Duration // of a reserved minimum without renewal
+	TTL         time.Duration // validity of an allocation without renewal
+	ReservedTTL time.Duration // validity of a reserved minimum without renewal
 
-	// UseTimeout is within what time an on-demand grant has to be used, counted from its request,
-	// and units taken of an allocation, counted from when they were taken.
+	// UseTimeout is the time within which units have to be used: the units of an on-demand grant
+	// from when they were requested, and those of an allocation from when they were taken.
 	UseTimeout time.Duration
 
-	// ClockDrift is by what fraction one process's clock may run faster than another's.
+	// ClockDrift is the fraction by which one process's clock may run faster than another's.
 	ClockDrift float64
 
-	// ReservedFraction is the fraction of a limit that is set aside as reserved minimums, the same
-	// for each member.
+	// ReservedFraction is the fraction of a limit that is set aside for reserved minimums, which
+	// are the same for each member.
 	ReservedFraction float64
 
 	// PoolFraction is the fraction of the rest that stays with the leader for on-demand grants.
 	PoolFraction float64
 
-	// MinBurstRequests is how many of a member's largest request the burst of an allocation has to
-	// hold, beyond the reserved minimum, for the allocation to be made.
+	// MinBurstRequests is the least burst of an allocation that exceeds its reserved minimum, as a
+	// multiple of the member's largest request.
 	MinBurstRequests float64
 
-	// ChangeThreshold is by what fraction of the limit an allocation has to differ from its
-	// division before it is changed.
+	// ChangeThreshold is the fraction of the limit by which an allocation has to differ from the
+	// result of a division before it is changed.
 	ChangeThreshold float64
 
 	RenewInterval time.Duration // between two renewals of a member
 
-	// StartFull lets the first leader ever start with a full pool, as nobody can have used anything
-	// before.
+	// StartFull lets the leader of term 1 start with a full pool, because no units can have been
+	// used before it.
 	StartFull bool
 
-	// IdleTimeout is after what time without demand a member gives back its reserved minimum too.
+	// IdleTimeout is the time without demand after which a member returns its reserved minimum too.
 	IdleTimeout time.Duration
 }
 
-// DefaultConfig returns the configuration whose reasons docs/budgets.md gives.
+// DefaultConfig returns the default configuration. docs/budgets.md gives the reasons for its
+// values.
 func DefaultConfig() Config {
 	return Config{
 		TTL:              3 * time.Second,
@@ -72,12 +73,13 @@
 	}
 }
 
-// withDrift returns for how long to wait by one clock so that d has passed by every other one.
+// withDrift returns how long to wait by one clock until d has passed by every other clock.
 func (c *Config) withDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.ClockDrift)
 }
 
-// ReservedMin returns the reserved minimum of each of so many members.
+// ReservedMin returns the reserved minimum of each member where the given number of members share a
+// limit.
 func (c *Config) ReservedMin(limit Share, members int) Share {
 	return limit.times(c.ReservedFraction / float64(max(1, members)))
 }
--- a/internal/controlplane/allocation/divide.go
+++ b/internal/controlplane/allocation/divide.go
@@ -3,17 +3,17 @@
 // Claim is what one member needs of a budget.
 type Claim struct {
 	Demand     float64 // recent demand in units per second
-	MaxRequest float64 // units of its largest recent request
-	Idle       bool    // it had no demand for so long that it gives back its reserved minimum too
+	MaxRequest float64 // units of the member's largest recent request
+	Idle       bool    // no demand for Config.IdleTimeout: the reserved minimum is returned too
 }
 
 // Divide returns the allocation of each member, which includes its reserved minimum. The sum of the
-// allocations, and of the reserved minimums of members that are absent, is at most the limit less
-// the pool.
+// allocations and of the reserved minimums of absent members is at most the limit minus the pool.
 //
-// What is beyond reserved minimums and the pool is divided in proportion to demand. An allocation
-// that would hold less than a request is not made: pieces smaller than a request at several members
-// serve nobody, whereas the pool can grant their sum to whoever asks first.
+// The part of the limit beyond the reserved minimums and the pool is divided in proportion to
+// demand. A member whose burst would be too small for its requests gets only the reserved minimum:
+// several members with less than a request each can serve none, whereas the pool can grant the sum
+// to the first request.
 func Divide(limit Share, maxMembers int, c *Config, claims []Claim) []Share {
 	allocations := make([]Share, len(claims))
 	reserved := c.ReservedMin(limit, max(maxMembers, len(claims)))
--- a/internal/controlplane/allocation/division.go
+++ b/internal/controlplane/allocation/division.go
@@ -10,22 +10,23 @@
 
 const (
 	minDivisionInterval = time.Second // between two divisions of one budget
-	minDemand           = 0.01        // units per second; below, there is no demand
+	minDemand           = 0.01        // units per second; a lower demand counts as none
 )
 
-// division is one look at a budget: what came free since the last one, and its division by demand.
+// division plans the changes of one budget for the next round: the allocations that became free,
+// and those that follow from dividing the budget by demand.
 type division struct {
 	leader   *Leader
 	now      time.Duration
 	id       uint64
 	budget   *budgetState
-	members  []lease.Member // with a holding, sorted
-	free     Share          // may still be allocated
+	members  []lease.Member // all members that have a holding, sorted
+	free     Share          // the part of the limit that may still be allocated
 	reserved Share          // the sum of all reserved minimums
 	changes  []plannedChange
 }
 
-// redivide returns a budget's changes, and announces its reductions.
+// redivide returns a budget's changes for the next round, and announces reductions to the members.
 func (l *Leader) redivide(now time.Duration, id uint64, b *budgetState) []plannedChange {
 	d := &division{
 		leader:  l,
@@ -35,15 +36,15 @@
 		members: sortedMembers(b.holdings),
 		free:    l.pool(now, b),
 	}
-	d.collectReleased()
-	alive, claims := d.collectClaims()
+	d.planReleases()
+	active, claims := d.collectClaims()
 	if now < b.nextDivision {
-		if len(alive) > 0 {
-			l.dirty[id] = true // look again when the division is due
+		if len(active) > 0 {
+			l.dirty[id] = true // check again when the division is due
 		}
 		return d.changes
 	}
-	d.divide(alive, claims)
+	d.divide(active, claims)
 	b.nextDivision = now + max(minDivisionInterval, b.demandWindow()/4)
 	if b.hasNewDemand() {
 		l.dirty[id] = true
@@ -52,16 +53,16 @@
 	return d.changes
 }
 
-// collectReleased plans that allocations which expired, or whose reduction was acknowledged, come
-// free.
-func (d *division) collectReleased() {
+// planReleases plans to free the allocations that have expired, and the differences of reductions
+// that were acknowledged.
+func (d *division) planReleases() {
 	l := d.leader
 	for _, member := range d.members {
 		h, record := d.budget.holdings[member], l.members[member]
 		if to := l.unexpired(d.now, record, h.committed); to != h.committed {
-			// Should the member renew before that is committed, the response tells it.
+			// If the member renews before the round is committed, the response has the reduction.
 			l.announce(h, to)
-			// Units that were on their way expired with the rest.
+			// Granted units that have not reached the member expired with the allocation.
 			h.forfeited = h.unitsGranted
 			d.changes = append(d.changes, plannedChange{budget: d.id, member: member, to: to})
 			l.stats.Expired++
@@ -73,7 +74,7 @@
 	}
 }
 
-// announce has a member be told of a smaller allocation with its next renewal.
+// announce sets the smaller allocation that the response to the member's next renewal contains.
 func (l *Leader) announce(h *holding, to Allocation) {
 	l.lastUpdate++
 	h.announced = to
@@ -81,16 +82,16 @@
 }
 
 // collectClaims returns the members whose allocations have not expired, with their claims.
-func (d *division) collectClaims() (alive []lease.Member, claims []Claim) {
+func (d *division) collectClaims() (active []lease.Member, claims []Claim) {
 	for _, member := range d.members {
 		record := d.leader.members[member]
 		if record.ended || d.now-record.lastRenewal >= d.leader.config.TTL {
 			continue
 		}
-		alive = append(alive, member)
+		active = append(active, member)
 		claims = append(claims, d.claim(d.budget.holdings[member]))
 	}
-	return alive, claims
+	return active, claims
 }
 
 // claim returns a member's claim, decayed to now.
@@ -104,22 +105,22 @@
 	return c
 }
 
-// divide divides the budget among the members that are alive, by their claims.
-func (d *division) divide(alive []lease.Member, claims []Claim) {
+// divide divides the budget among the active members by their claims.
+func (d *division) divide(active []lease.Member, claims []Claim) {
 	l, b := d.leader, d.budget
-	// A reserved minimum that was not given back stays its member's, or a dead one's until its TTL
-	// has passed: a newcomer beyond maxMembers waits for it.
+	// A reserved minimum stays allocated until its member returns it or its TTL has passed, also if
+	// the member has exited. A new member beyond maxMembers waits for it.
 	for _, member := range d.members {
 		d.reserved = d.reserved.plus(b.holdings[member].committed.ReservedMin)
 	}
 	reservedMin := l.config.ReservedMin(b.limit, max(b.maxMembers, len(claims)))
 	for i, total := range Divide(b.limit, b.maxMembers, &l.config, claims) {
-		d.assign(alive[i], Allocation{total, reservedMin.min(total)})
+		d.assign(active[i], Allocation{total, reservedMin.min(total)})
 	}
 }
 
-// assign reduces or increases what a member holds towards its part of the division. It does one
-// change at a time with one member.
+// assign changes a member's allocation towards the result of the division. A member has at most one
+// change in progress: while there is one, assign leaves the rest to a later division.
 func (d *division) assign(member lease.Member, to Allocation) {
 	b := d.budget
 	h := b.holdings[member]
@@ -127,7 +128,7 @@
 	changing := slices.ContainsFunc(d.changes,
 		func(c plannedChange) bool { return c.member == member })
 	if changing || h.announced != h.committed {
-		h.newDemand = true // look again
+		h.newDemand = true // divide again
 		return
 	}
 	from := h.committed
@@ -143,23 +144,23 @@
 	}
 }
 
-// isReduction reports whether an allocation is to be reduced. Changes of its total by no more than
-// threshold units wait, unless nothing is left.
+// isReduction reports whether an allocation is to be reduced. A reduction of its total by at most
+// threshold units waits, unless nothing is left.
 func isReduction(from, to Allocation, threshold float64) bool {
 	return to.Total.Burst < from.Total.Burst-threshold ||
 		to.ReservedMin.Burst < from.ReservedMin.Burst-roundingTolerance ||
 		to.Total.isZero() && !from.Total.isZero()
 }
 
-// isIncrease reports whether an allocation is to be increased. Changes of its total by no more than
-// threshold units wait.
+// isIncrease reports whether an allocation is to be increased. An increase of its total by at most
+// threshold units waits.
 func isIncrease(from, to Allocation, threshold float64) bool {
 	return to.Total.Burst > from.Total.Burst+threshold ||
 		to.ReservedMin.Burst > from.ReservedMin.Burst+roundingTolerance
 }
 
-// increase plans that a member gets more, as far as there is something free. A change of the total
-// by no more than threshold units, without one of the reserved minimum, is left for later.
+// increase plans a member's increase, limited to the free part of the budget. It leaves an increase
+// of the total by at most threshold units to a later division, unless the reserved minimum grows.
 func (d *division) increase(member lease.Member, to Allocation, threshold float64) {
 	b := d.budget
 	h := b.holdings[member]
@@ -177,7 +178,7 @@
 
 	sameReserved := to.ReservedMin.Burst <= from.ReservedMin.Burst+roundingTolerance
 	if extra.Burst <= roundingTolerance || extra.Burst <= threshold && sameReserved {
-		h.newDemand = true // look again
+		h.newDemand = true // divide again
 		return
 	}
 	units := 0.0
--- a/internal/controlplane/allocation/headroom.go
+++ b/internal/controlplane/allocation/headroom.go
@@ -10,23 +10,23 @@
 	headroomIntervals = 32
 )
 
-// headroomHistory records the least headroom that the pool's bucket had in each of the last
-// headroomIntervals intervals of headroomInterval. Units that a member returns count from when they
-// came free: those that would have overflowed the pool since then are lost. Otherwise the units in
-// buckets and in flight could exceed the burst.
+// headroomHistory records the minimum headroom of the pool's bucket in each of the last
+// headroomIntervals intervals of headroomInterval. Units that a member returns count as in the pool
+// since they became free: those that would have overflowed the pool are lost. Otherwise the units
+// in buckets and in flight could exceed the burst.
 type headroomHistory struct {
 	minimum      [headroomIntervals]float64 // units, by interval number modulo headroomIntervals
 	lastInterval int64                      // number of the interval recorded last; 0: none yet
 	startedAt    time.Duration
 }
 
-// record takes in the headroom, in units, at a time.
+// record records the headroom, in units, at a time.
 func (h *headroomHistory) record(at time.Duration, headroom float64) {
 	interval := int64(at / headroomInterval)
 	if h.lastInterval == 0 {
 		h.startedAt = at
 	}
-	// Between two records the bucket only filled, so that it had more headroom than at the second.
+	// Between two calls the bucket only fills, so its headroom was larger than at the second call.
 	for i := max(h.lastInterval+1, interval-headroomIntervals+1); i <= interval; i++ {
 		h.minimum[i%headroomIntervals] = headroom
 	}
@@ -37,8 +37,8 @@
 	h.lastInterval = max(h.lastInterval, interval)
 }
 
-// take fills headroom with units that came free after a time, as if they had been in the pool since
-// then. It returns how many there was headroom for: the others would have overflowed.
+// take reduces the headroom from a time on by units that became free after it, as if they had been
+// in the pool since then. It returns how many units had headroom; the others would have overflowed.
 func (h *headroomHistory) take(since time.Duration, units float64) float64 {
 	units = math.Min(units, h.minimumSince(since))
 	if units <= 0 {
@@ -50,8 +50,8 @@
 	return units
 }
 
-// minimumSince returns the least headroom, in units, from a time on. It returns 0 for a time before
-// the history.
+// minimumSince returns the minimum headroom, in units, from a time on. It returns 0 for a time
+// before the start of the history.
 func (h *headroomHistory) minimumSince(at time.Duration) float64 {
 	interval := int64(at / headroomInterval)
 	if interval <= h.lastInterval-headroomIntervals+1 || at < h.startedAt {
--- a/internal/controlplane/allocation/holder.go
+++ b/internal/controlplane/allocation/holder.go
@@ -9,45 +9,45 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Holder is one process's side: its allocations, and the units stored in them. Times are by the
-// process's own clock, which must go on while the process is stopped. A process can stop between
-// any two instructions: the caller must ask for Available right before it takes units, and must use
+// Holder has one process's allocations and the units stored in them. Times are by the process's own
+// clock, which must go on while the process is suspended. A process can be suspended between any
+// two instructions: the caller must call Available immediately before it takes units, and must use
 // them by UseBy.
 type Holder struct {
 	config    Config
 	member    lease.Member
 	shards    []shardState
-	startedAt time.Duration // time of the first request; 0: there was none
+	startedAt time.Duration // time of the first call of Age; 0: there was none
 }
 
-// shardState is what the leader of one shard has told this process.
+// shardState is the state of one shard as this process last received it from the shard's leader.
 type shardState struct {
 	role          string
 	term          uint64        // of the newest leader that responded
 	appliedUpdate uint64        // number of the last update that is applied
 	lastTimestamp int64         // of the last response
-	until         time.Duration // the allocations hold
-	reservedUntil time.Duration // the reserved minimums hold
+	until         time.Duration // expiry of the allocations
+	reservedUntil time.Duration // expiry of the reserved minimums
 	budgets       map[uint64]*heldBudget
 	dirty         map[uint64]bool // budgets with something to report
 }
 
-// heldBudget is a budget as this process may use it.
+// heldBudget is this process's part of a budget.
 type heldBudget struct {
 	limit      Share
 	maxMembers int
 	allocation Allocation
 	update     uint64        // number of the update that announced it
 	level      float64       // stored units
-	refilledAt time.Duration // when level was brought up to date
+	refilledAt time.Duration // when level was last refilled
 
 	// Totals under the term, in units.
-	unitsGranted    float64 // by the leader with updates
-	unitsReturned   float64 // to the leader
+	unitsGranted    float64 // granted by the leader with updates
+	unitsReturned   float64 // returned to the leader
 	returnsReported float64 // of those, reported in a renewal that was answered
 
 	releasedBy    uint64  // number of the last update that reduced the allocation
-	unitsReleased float64 // of those returned, stored units that this update left no room for
+	unitsReleased float64 // of those returned, stored units that exceeded the reduced allocation
 
 	// Since the last renewal, in units.
 	unitsRequested float64
@@ -72,7 +72,7 @@
 	return &h.shards[ShardOf(budget, len(h.shards))]
 }
 
-// usable returns what may be used of a budget at a time.
+// usable returns the share of a budget that may be used at a time.
 func (s *shardState) usable(b *heldBudget, at time.Duration) Share {
 	switch {
 	case at < s.until:
@@ -83,8 +83,8 @@
 	return Share{}
 }
 
-// refill brings a budget to now, in steps that end where its allocation or its reserved minimum
-// expires. Units that overflow while the allocation holds are returned.
+// refill refills a budget up to now, in steps that end where its allocation or its reserved minimum
+// expires. Units that overflow while the allocation is valid are returned.
 func (s *shardState) refill(b *heldBudget, now time.Duration) {
 	for _, end := range []time.Duration{s.until, s.reservedUntil, now} {
 		end = min(end, now)
@@ -99,18 +99,18 @@
 		b.level = bucket.level
 		b.refilledAt = end
 	}
-	// Where the allocation expired, stored units beyond what is left are lost.
+	// If the allocation has expired, stored units beyond what is still usable are lost.
 	b.level = math.Min(b.level, math.Max(s.usable(b, now).Burst, 0))
 }
 
-// refillAll brings all budgets of the shard to now.
+// refillAll refills all budgets of the shard up to now.
 func (s *shardState) refillAll(now time.Duration) {
 	for _, b := range s.budgets {
 		s.refill(b, now)
 	}
 }
 
-// budget returns a budget, refilled to now, after adding it if it is unknown.
+// budget returns a budget, refilled up to now. It adds the budget if it is unknown.
 func (s *shardState) budget(id uint64, now time.Duration) *heldBudget {
 	b := s.budgets[id]
 	if b == nil {
@@ -121,8 +121,8 @@
 	return b
 }
 
-// RecordDemand takes in that a request asked for units of a budget, whose limit is shared by at
-// most maxMembers members.
+// RecordDemand records that a request needs units of a budget, whose limit is shared by at most
+// maxMembers members.
 func (h *Holder) RecordDemand(now time.Duration, budget uint64, limit Share, maxMembers int,
 	units float64) {
 	s := h.shard(budget)
@@ -134,24 +134,24 @@
 	s.dirty[budget] = true
 }
 
-// RecordRejected takes in that a request for units was rejected.
+// RecordRejected records that a request for units was rejected.
 func (h *Holder) RecordRejected(now time.Duration, budget uint64, units float64) {
 	h.shard(budget).budget(budget, now).unitsRejected += units
 }
 
-// Available returns how many units of a budget may be taken now.
+// Available returns the number of units of a budget that may be taken now.
 func (h *Holder) Available(now time.Duration, budget uint64) float64 {
 	return h.shard(budget).budget(budget, now).level
 }
 
-// RefillRate returns at which rate units of a budget arrive, in units per second.
+// RefillRate returns the rate at which a budget is refilled now, in units per second.
 func (h *Holder) RefillRate(now time.Duration, budget uint64) float64 {
 	s := h.shard(budget)
 	return s.usable(s.budget(budget, now), now).Rate
 }
 
-// UseBy returns by when units that are taken now must have been used: soon, as the bucket refills
-// in their place, and never after the allocation has expired.
+// UseBy returns the time by which units that are taken now must have been used: within
+// Config.UseTimeout, because the bucket refills in their place, and before the allocation expires.
 func (h *Holder) UseBy(now time.Duration, budget uint64) time.Duration {
 	s := h.shard(budget)
 	until := s.reservedUntil
@@ -161,8 +161,8 @@
 	return min(until, now+h.config.UseTimeout)
 }
 
-// Consume takes units, no more than Available returned for the same time. A negative number puts
-// units back that were not used.
+// Consume takes units, at most as many as Available returned for the same time. A negative number
+// puts back units that were not used.
 func (h *Holder) Consume(now time.Duration, budget uint64, units float64) {
 	h.shard(budget).budget(budget, now).level -= units
 }
@@ -186,7 +186,7 @@
 	return int64(now - h.startedAt)
 }
 
-// Usable returns what this process may use of a budget at a time.
+// Usable returns the share of a budget that this process may use at a time.
 func (h *Holder) Usable(now time.Duration, budget uint64) Share {
 	s := h.shard(budget)
 	b := s.budgets[budget]
@@ -196,12 +196,12 @@
 	return s.usable(b, now)
 }
 
-// Expiry returns until when the allocations of a shard hold, and the reserved minimums.
+// Expiry returns when the allocations of a shard expire, and when its reserved minimums expire.
 func (h *Holder) Expiry(shard int) (until, reservedUntil time.Duration) {
 	return h.shards[shard].until, h.shards[shard].reservedUntil
 }
 
-// HolderStatus is a budget as this process holds it, as operators see it.
+// HolderStatus describes this process's part of a budget for operators.
 type HolderStatus struct {
 	Budget        uint64        `json:"budget"`
 	Allocation    Allocation    `json:"held"`
@@ -211,7 +211,7 @@
 	ReservedUntil time.Duration `json:"floor_until"` // remaining time of the reserved minimum
 }
 
-// Status returns all that this process holds, by shard and then by budget.
+// Status returns all allocations of this process, ordered by shard and then by budget.
 func (h *Holder) Status(now time.Duration) (all []HolderStatus) {
 	for i := range h.shards {
 		s := &h.shards[i]
--- a/internal/controlplane/allocation/holder_renewal.go
+++ b/internal/controlplane/allocation/holder_renewal.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// RenewRequest returns the renewal to send to the leader of a shard now. HandleRenewal takes its
-// response. Budgets without news since the last renewal are not in it.
+// RenewRequest returns the renewal to send to the leader of a shard now. It contains the budgets
+// with demand or returned units to report. Pass the response to HandleRenewal.
 func (h *Holder) RenewRequest(now time.Duration, shard int) *controlpb.RenewRequest {
 	s := &h.shards[shard]
 	request := &controlpb.RenewRequest{
@@ -30,13 +30,13 @@
 			continue
 		}
 		if b.allocation.Total.isZero() && b.update == 0 {
-			delete(s.budgets, id) // there was demand once, and nothing was allocated
+			delete(s.budgets, id) // nothing was allocated, and there is no new demand
 		}
 	}
 	return request
 }
 
-// takeDemand returns the demand since the last renewal, and starts anew.
+// takeDemand returns the demand since the last renewal and resets it.
 func (b *heldBudget) takeDemand(id uint64) *controlpb.Demand {
 	d := &controlpb.Demand{
 		Budget:         id,
@@ -55,8 +55,8 @@
 	return d
 }
 
-// ReleaseAll gives up all allocations. It returns the requests that report it, one for each shard.
-// Nothing is allocated to this holder any more.
+// ReleaseAll releases all allocations and returns the requests that report this, one for each
+// shard. Afterwards this holder accepts no allocations.
 func (h *Holder) ReleaseAll(now time.Duration) (requests []*controlpb.RenewRequest) {
 	for i := range h.shards {
 		s := &h.shards[i]
@@ -72,13 +72,13 @@
 		requests = append(requests, request)
 		s.until = 0
 		s.reservedUntil = 0
-		s.term = math.MaxUint64 // responses of all leaders are ignored
+		s.term = math.MaxUint64 // ignores the responses of all leaders
 	}
 	return requests
 }
 
-// HandleRenewal takes in the response to the renewal that was sent at a time. It reports whether to
-// renew again at once, so that the leader learns that reductions are applied.
+// HandleRenewal applies the response to a renewal; sent is when the request was sent. It reports
+// whether to renew again immediately, so that the leader learns that reductions were applied.
 func (h *Holder) HandleRenewal(now, sent time.Duration, shard int, request *controlpb.RenewRequest,
 	response *controlpb.RenewResponse) (renewNow bool) {
 	s := &h.shards[shard]
@@ -86,7 +86,7 @@
 		return false
 	}
 	if now >= s.until || response.Term > s.term {
-		s.refillAll(now) // what expired loses its stored units before it holds again
+		s.refillAll(now) // expired allocations lose their stored units before they are renewed
 	}
 	if response.Term > s.term {
 		s.startTerm(response.Term)
@@ -112,8 +112,8 @@
 	return renewNow
 }
 
-// startTerm drops all allocations: a new leader's first response has all that it knows of, and what
-// it does not have may be allocated to others.
+// startTerm drops all allocations: a new leader's first response contains all of this process's
+// allocations that the leader knows. Others may be allocated to other members.
 func (s *shardState) startTerm(term uint64) {
 	s.term = term
 	s.appliedUpdate = 0
@@ -129,7 +129,7 @@
 	}
 }
 
-// markReported takes in that the leader has the returned units of some demands.
+// markReported records that the leader has received the returned units of some demands.
 func (s *shardState) markReported(demands []*controlpb.Demand) {
 	for _, d := range demands {
 		if b := s.budgets[d.Budget]; b != nil {
@@ -138,8 +138,8 @@
 	}
 }
 
-// applyUpdate applies an update unless a later one was applied before. It reports whether it
-// reduced the allocation.
+// applyUpdate applies an update unless the same or a later one was applied before. It reports
+// whether the update reduced the allocation.
 func (s *shardState) applyUpdate(now time.Duration,
 	update *controlpb.AllocationUpdate) (reduced bool) {
 	b := s.budget(update.Budget, now)
@@ -151,7 +151,7 @@
 		!b.allocation.ReservedMin.within(to.ReservedMin)
 	b.update = update.Number
 	b.allocation = to
-	// What never arrived before the allocation expired has expired with it.
+	// Units that were granted before the allocation expired and never arrived expired with it.
 	b.unitsGranted = math.Max(b.unitsGranted, update.UnitsForfeited)
 	if update.UnitsGranted > b.unitsGranted {
 		b.level += update.UnitsGranted - b.unitsGranted
--- a/internal/controlplane/allocation/leader.go
+++ b/internal/controlplane/allocation/leader.go
@@ -7,41 +7,41 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Leader divides one shard's budgets under one term. Times are by its process's own clock, which
-// must go on while the process is stopped. The caller must check that it still holds the role
-// before it sends any response of Renew or GrantOnDemand, and must end every Plan with Committed,
-// Rejected, or a new Leader.
+// Leader divides the budgets of one shard under one term. Times are by its process's own clock,
+// which must go on while the process is suspended. The caller must check that it still holds the
+// role before it sends any response of Renew or GrantOnDemand. It must end every round that Plan
+// returns with Committed or Rejected, or replace the Leader.
 type Leader struct {
 	config     Config
 	role       string
 	term       uint64
 	startedAt  time.Duration
-	startFull  bool   // it is the first leader ever, and starts with full pools
-	closing    bool   // it grants and renews nothing any more
-	lastUpdate uint64 // number of the last update that it announced
+	startFull  bool   // this is the leader of term 1, and it starts with full pools
+	closing    bool   // Close was called: nothing is granted or renewed any more
+	lastUpdate uint64 // number of the last update that was announced
 
 	members map[lease.Member]*memberRecord
 	budgets map[uint64]*budgetState
-	dirty   map[uint64]bool // budgets to look at in the next plan
+	dirty   map[uint64]bool // budgets that the next Plan has to check
 
-	pendingChanges []plannedChange // of the round under way
-	pendingBudgets []uint64        // of the round under way; nil: there is none
+	pendingChanges []plannedChange // of the pending round
+	pendingBudgets []uint64        // of the pending round; nil: no round is pending
 	stats          LeaderStats
 }
 
-// LeaderStats counts what a leader did.
+// LeaderStats counts the actions of a leader.
 type LeaderStats struct {
-	Rounds          uint64 `json:"rounds"`  // proposed
+	Rounds          uint64 `json:"rounds"`  // rounds proposed
 	Raised          uint64 `json:"raised"`  // allocations increased
-	Reduced         uint64 `json:"lessen"`  // allocations reduced as acknowledged
+	Reduced         uint64 `json:"lessen"`  // allocations reduced after an acknowledgement
 	Expired         uint64 `json:"expired"` // allocations reduced without acknowledgement
 	OnDemandGrants  uint64 `json:"lent"`
 	OnDemandDenials uint64 `json:"dry"`
 }
 
-// NewLeader starts a term with the committed ledger of its shard. Members that the ledger names
-// count as renewed just now, as the leader before may have renewed them until its lease expired.
-// The error wraps ErrCorruptLedger.
+// NewLeader returns a leader that starts its term with the committed ledger of the shard. It treats
+// the members in the ledger as renewed now, because the previous leader may have renewed them until
+// its lease expired. The error wraps ErrCorruptLedger.
 func NewLeader(now time.Duration, c Config, role string, term uint64,
 	ledger *controlpb.Ledger) (*Leader, error) {
 	committed, err := readLedger(ledger)
@@ -86,7 +86,7 @@
 	b.updateAllocated()
 }
 
-// memberRecord returns the record of a member, after adding one if it is unknown.
+// memberRecord returns the record of a member. It adds one if the member is unknown.
 func (l *Leader) memberRecord(now time.Duration, member lease.Member) *memberRecord {
 	record := l.members[member]
 	if record == nil {
@@ -96,8 +96,8 @@
 	return record
 }
 
-// budget returns the state of a budget, after adding it if it is unknown. The pool of a new one
-// fills from when the leader started.
+// budget returns the state of a budget. It adds the budget if it is unknown; the pool of an added
+// budget has been filling since the leader started.
 func (l *Leader) budget(id uint64, limit Share, maxMembers int) *budgetState {
 	b := l.budgets[id]
 	if b != nil {
@@ -117,15 +117,15 @@
 	return b
 }
 
-// pool returns what no member holds of a budget, after bringing its bucket to now.
+// pool returns the part of a budget's limit that no member holds, and refills its bucket up to now.
 func (l *Leader) pool(now time.Duration, b *budgetState) Share {
 	free := b.limit.minus(b.allocated).minus(b.pendingIncrease).max(Share{})
 	b.refill(now, free)
 	return free
 }
 
-// startTime returns when a member's process was started, after noting it from the process's age in
-// nanoseconds if it is not known yet.
+// startTime returns when a member's process started. The first call for a record computes it from
+// the age of the process in nanoseconds.
 func (l *Leader) startTime(now time.Duration, record *memberRecord, age int64) time.Duration {
 	if record.startedAt == 0 {
 		record.startedAt = now - time.Duration(max(0, age))
@@ -133,9 +133,9 @@
 	return record.startedAt
 }
 
-// updateLimit takes in the limit of a budget as a process reports it. The highest version counts,
-// whoever reports another one later. Among reports of one version, and where limits are from
-// configurations, that of the process started last counts.
+// updateLimit sets the limit of a budget to the one that a process reports, unless a report with
+// higher precedence is known: the highest version takes precedence, and among reports of one
+// version, and where limits are from configurations, the process that started last does.
 func (l *Leader) updateLimit(id uint64, b *budgetState, limit Share, version uint64,
 	started time.Duration) {
 	if version < b.limitVersion || version == b.limitVersion && started < b.limitSetBy {
@@ -151,8 +151,8 @@
 	l.dirty[id] = true
 }
 
-// unexpired returns what a member may still be using of an allocation, by the leader's clock and
-// with the clock-drift bound.
+// unexpired returns the part of an allocation that a member may still be using, by the leader's
+// clock and with the clock-drift bound.
 func (l *Leader) unexpired(now time.Duration, record *memberRecord, a Allocation) Allocation {
 	since := now - record.lastRenewal
 	switch {
@@ -164,10 +164,10 @@
 	return a
 }
 
-// Stats returns what the leader did so far.
+// Stats returns the counts of the leader's actions so far.
 func (l *Leader) Stats() LeaderStats { return l.stats }
 
-// Pool returns the leader's own part of a budget, and the units in it.
+// Pool returns the share of a budget that is the pool, and the units in the pool.
 func (l *Leader) Pool(now time.Duration, budget uint64) (free Share, level float64) {
 	b := l.budgets[budget]
 	if b == nil {
--- a/internal/controlplane/allocation/ledger.go
+++ b/internal/controlplane/allocation/ledger.go
@@ -12,29 +12,30 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Allocation is what one member may use of a budget.
+// Allocation is the share of a budget that one member may use.
 type Allocation struct {
 	Total Share `json:"part"` // includes the reserved minimum
 
-	// ReservedMin goes to no other member without its holder's acknowledgement, or its long TTL.
+	// ReservedMin is allocated to no other member before the holder has acknowledged the reduction
+	// or Config.ReservedTTL has passed.
 	ReservedMin Share `json:"floor"`
 }
 
 // committedBudget is a budget in the replicated state.
 type committedBudget struct {
 	limit        Share
-	limitVersion uint64 // version of the plans that the limit is from; a lower one no longer counts
-	maxMembers   int    // that share the limit
+	limitVersion uint64 // version of the plans that defines the limit; lower ones are ignored
+	maxMembers   int    // maximum number of members that share the limit
 	allocations  map[lease.Member]Allocation
 	carryover    float64 // units of the pool that are not granted; the next leader starts with them
 }
 
-// isEmpty reports whether a budget says nothing that one which was never committed does not say.
+// isEmpty reports whether a budget is equivalent to one that was never committed.
 func (b *committedBudget) isEmpty() bool {
 	return len(b.allocations) == 0 && b.carryover == 0 && b.limitVersion == 0
 }
 
-// totalOf returns the sum of what all members may use.
+// totalOf returns the sum of the total shares of all members.
 func totalOf(allocations map[lease.Member]Allocation) (sum Share) {
 	for _, member := range sortedMembers(allocations) {
 		sum = sum.plus(allocations[member].Total)
@@ -42,8 +43,8 @@
 	return sum
 }
 
-// sortedMembers returns the keys in an order that is the same in all processes: sums of
-// floating-point numbers depend on it.
+// sortedMembers returns the keys in an order that is the same in all processes, because sums of
+// floating-point numbers depend on the order.
 func sortedMembers[V any](byMember map[lease.Member]V) []lease.Member {
 	return slices.SortedFunc(maps.Keys(byMember), compareMembers)
 }
@@ -60,7 +61,7 @@
 	return Allocation{shareOf(a.Total), shareOf(a.ReservedMin)}
 }
 
-// writeLedger appends budgets, sorted by id, to a ledger. indexes has the index of each member in
+// writeLedger appends budgets, sorted by id, to a ledger. indexes maps each member to its index in
 // the ledger's list.
 func writeLedger(ledger *controlpb.Ledger, indexes map[lease.Member]uint32,
 	budgets map[uint64]*committedBudget) {
@@ -85,8 +86,7 @@
 	}
 }
 
-// memberIndex returns a member's index in a message's list, after appending the member if it is
-// absent.
+// memberIndex returns a member's index in a message's list. It appends the member if it is absent.
 func memberIndex(list *[]*controlpb.Member, indexes map[lease.Member]uint32,
 	member lease.Member) uint32 {
 	i, ok := indexes[member]
@@ -105,8 +105,8 @@
 		b := newCommittedBudget(change)
 		for _, a := range change.Allocations {
 			if int(a.Member) >= len(ledger.Members) {
-				return nil, fmt.Errorf("%w: member %d of %d", ErrCorruptLedger, a.Member,
-					len(ledger.Members))
+				return nil, fmt.Errorf("%w: member index %d in a list of %d", ErrCorruptLedger,
+					a.Member, len(ledger.Members))
 			}
 			b.allocations[memberOf(ledger.Members[a.Member])] = allocationOf(a)
 		}
@@ -126,27 +126,27 @@
 	}
 }
 
-// View is a budget in the replicated state, as operators see it.
+// View describes a budget in the replicated state for operators.
 type View struct {
 	Budget uint64 `json:"budget"`
 	Limit  Share  `json:"whole"`
 
-	// LimitVersion is twice the version of the plans, plus one once no earlier version is in use
-	// any more. 0: the limit is from a configuration.
+	// LimitVersion is twice the version of the plans, plus one when no earlier version is in use
+	// any more. It is 0 if the limit is from a configuration.
 	LimitVersion uint64             `json:"version,omitempty"`
 	MaxMembers   int                `json:"spread"`
-	Carryover    float64            `json:"spare"` // units that the next leader would start with
+	Carryover    float64            `json:"spare"` // units with which the next leader would start
 	Allocations  []MemberAllocation `json:"held"`
 }
 
-// MemberAllocation is what one member may use.
+// MemberAllocation is the allocation of one member.
 type MemberAllocation struct {
 	Member lease.Member `json:"member"`
 	Allocation
-	Ended bool `json:"gone,omitempty"` // the process no longer runs: the allocation expires
+	Ended bool `json:"gone,omitempty"` // the process has exited, and the allocation will expire
 }
 
-// ReadViews decodes what Machine.Query returned. Its errors wrap ErrCorruptLedger.
+// ReadViews decodes the result of Machine.Query. Its errors wrap ErrCorruptLedger.
 func ReadViews(raw []byte) (all []View, err error) {
 	var ledger controlpb.Ledger
 	if err := proto.Unmarshal(raw, &ledger); err != nil {
--- a/internal/controlplane/allocation/machine.go
+++ b/internal/controlplane/allocation/machine.go
@@ -17,37 +17,38 @@
 )
 
 var (
-	// ErrInvalidRound is the error of a round that can't be decoded, or would exceed a limit.
+	// ErrInvalidRound means that a round can't be decoded, is inconsistent, or would exceed a
+	// limit.
 	ErrInvalidRound = errors.New("allocation: invalid round")
 
-	// ErrCorruptLedger is the error of a ledger or snapshot that can't be decoded.
+	// ErrCorruptLedger means that a ledger or snapshot can't be decoded.
 	ErrCorruptLedger = errors.New("allocation: corrupt ledger")
 )
 
-// Fence rejects a command that was sent under an old term of a role.
+// Fence rejects commands that were sent under an old term of a role.
 type Fence interface {
 	Fence(role string, term uint64, who lease.Member) error
 }
 
-// Machine is the budgets as a part of the replicated state.
+// Machine is the replicated state machine that stores the budgets.
 type Machine struct {
 	fence   Fence
 	ledgers map[string]map[uint64]*committedBudget // by the role of their shard, then by id
 }
 
-// NewMachine returns a machine without budgets. The fence says who may divide them; it has to be a
-// part of the same replicated state.
+// NewMachine returns a machine without budgets. The fence decides which member may divide them; it
+// must be part of the same replicated state.
 func NewMachine(f Fence) *Machine {
 	return &Machine{fence: f, ledgers: map[string]map[uint64]*committedBudget{}}
 }
 
-// Result is the response to a round, encoded as JSON.
+// Result is the result of a round. It is encoded as JSON.
 type Result struct {
 	OK  bool   `json:"ok"`
-	Why string `json:"why,omitempty"` // error text where it is not OK
+	Why string `json:"why,omitempty"` // text of the error if OK is false
 }
 
-// Apply carries out a round completely or not at all, and returns a Result.
+// Apply applies a round completely or not at all, and returns a Result.
 func (m *Machine) Apply(_ time.Duration, _ uint64, who lease.Member, body []byte) []byte {
 	result := Result{OK: true}
 	if err := m.applyRound(who, body); err != nil {
@@ -125,9 +126,9 @@
 	return fmt.Errorf("an allocation of %v with a reserved minimum of %v", a.Total, a.ReservedMin)
 }
 
-// checkTotals checks that a budget's allocations and carryover fit into its limit. After a limit
-// was lowered, the allocations may exceed it until all members are told, as long as they don't
-// grow.
+// checkTotals checks that a budget's allocations and carryover are within its limit. After the
+// limit was lowered, the allocations may exceed it until all members are notified, as long as their
+// sum doesn't grow.
 func checkTotals(b *committedBudget, totalBefore Share) error {
 	total := totalOf(b.allocations)
 	tooLarge := !total.within(b.limit.max(totalBefore))
@@ -136,15 +137,15 @@
 		return fmt.Errorf("allocations of %v exceed the limit of %v", total, b.limit)
 	}
 	maxCarryover := math.Max(0, b.limit.Burst-total.Burst) + roundingTolerance
-	if !(b.carryover >= 0) || b.carryover > maxCarryover { // the negation holds for NaN too
+	if !(b.carryover >= 0) || b.carryover > maxCarryover { // the negation is also true for NaN
 		return fmt.Errorf("a carryover of %v units with allocations of %v and a limit of %v",
 			b.carryover, total, b.limit)
 	}
 	return nil
 }
 
-// Query returns the Ledger of the shard whose role the body names, or of all shards if the body is
-// empty. ReadViews decodes it.
+// Query returns the encoded Ledger of the shard whose role is in the body, or of all shards if the
+// body is empty. ReadViews decodes it.
 func (m *Machine) Query(at time.Duration, body []byte) []byte {
 	ledger := &controlpb.Ledger{At: uint64(at)}
 	indexes := map[lease.Member]uint32{}
@@ -169,15 +170,15 @@
 	return mustproto.Marshal(state)
 }
 
-// Restore replaces the state by what Snapshot returned. Its errors wrap ErrCorruptLedger.
+// Restore replaces the state by that of a snapshot. Its errors wrap ErrCorruptLedger.
 func (m *Machine) Restore(raw []byte) error {
 	var state controlpb.BudgetState
 	if err := proto.Unmarshal(raw, &state); err != nil {
 		return fmt.Errorf("%w: %w", ErrCorruptLedger, err)
 	}
 	if len(state.Roles) != len(state.Ledgers) {
-		return fmt.Errorf("%w: %d roles with %d ledgers", ErrCorruptLedger, len(state.Roles),
-			len(state.Ledgers))
+		return fmt.Errorf("%w: the snapshot has %d roles and %d ledgers", ErrCorruptLedger,
+			len(state.Roles), len(state.Ledgers))
 	}
 	m.ledgers = map[string]map[uint64]*committedBudget{}
 	for i, role := range state.Roles {
--- a/internal/controlplane/allocation/ondemand.go
+++ b/internal/controlplane/allocation/ondemand.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// roundRetryDelay is after what time a request that waits for a round is to be sent again.
+	// roundRetryDelay is the delay before a request that waits for a round is to be sent again.
 	roundRetryDelay = 30 * time.Millisecond
 
 	// grantSmoothing is the weight of the newest request in budgetState.meanGrant.
@@ -22,8 +22,8 @@
 	reasonLaterTerm  = "a leader of a later term is known"
 )
 
-// GrantOnDemand grants units of the pool to a request that waits, all of them or none. Where
-// AwaitRound is set there are enough units, but a round has to reduce the carryover first.
+// GrantOnDemand grants units of the pool to a waiting request, all of them or none. If AwaitRound
+// is set in the response, there are enough units, but a round has to reduce the carryover first.
 func (l *Leader) GrantOnDemand(now time.Duration,
 	request *controlpb.OnDemandRequest) *controlpb.OnDemandResponse {
 	limit := shareOf(request.Limit)
@@ -57,7 +57,7 @@
 	l.stats.OnDemandGrants++
 	b.bucket.level = remaining
 	if remaining-b.carryover < b.meanGrant {
-		l.dirty[request.Budget] = true // less may have to be carried over
+		l.dirty[request.Budget] = true // the carryover may have to be reduced
 	}
 	return &controlpb.OnDemandResponse{Granted: true, Term: l.term}
 }
--- a/internal/controlplane/allocation/renewal.go
+++ b/internal/controlplane/allocation/renewal.go
@@ -11,20 +11,20 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// renewal is one member's renewal, while the leader handles it.
+// renewal is a member's renewal that the leader is handling.
 type renewal struct {
 	now     time.Duration
 	member  lease.Member
 	record  *memberRecord
 	request *controlpb.RenewRequest
 
-	// sameTerm tells that the acknowledgements and totals of the request are about this leader's
+	// sameTerm means that the acknowledgements and totals in the request refer to this leader's
 	// term.
 	sameTerm bool
 }
 
-// Renew takes in a member's demand and acknowledgements, and returns all updates that it has not
-// applied.
+// Renew records a member's demand and acknowledgements, and returns all updates that the member has
+// not applied.
 func (l *Leader) Renew(now time.Duration,
 	request *controlpb.RenewRequest) *controlpb.RenewResponse {
 	member := memberOf(request.Member)
@@ -60,7 +60,7 @@
 	return l.renewResponse(r)
 }
 
-// markPredecessorsEnded frees what earlier incarnations of a member held.
+// markPredecessorsEnded frees the allocations of earlier incarnations of a member.
 func (l *Leader) markPredecessorsEnded(member lease.Member, incarnations []uint64) {
 	for _, incarnation := range incarnations {
 		predecessor := lease.Member{ID: member.ID, Incarnation: incarnation}
@@ -70,7 +70,7 @@
 	}
 }
 
-// markEnded frees a member's allocations: it no longer uses them.
+// markEnded frees the allocations of a member that no longer uses them.
 func (l *Leader) markEnded(member lease.Member) {
 	record := l.members[member]
 	record.ended = true
@@ -79,8 +79,8 @@
 	}
 }
 
-// markDirty marks the member's budgets in which a reduction was acknowledged, or whose carryover is
-// off.
+// markDirty marks the member's budgets in which a reduction was acknowledged, or whose carryover
+// differs from its target by more than Config.ChangeThreshold.
 func (l *Leader) markDirty(r *renewal) {
 	for id := range r.record.budgets {
 		b := l.budgets[id]
@@ -125,8 +125,8 @@
 	return response
 }
 
-// recordDemand takes in a member's demand on one budget, and the units that it returned. Demands
-// with impossible numbers are ignored.
+// recordDemand records a member's demand on one budget and the units that it returned. It ignores
+// demands with invalid numbers.
 func (l *Leader) recordDemand(r *renewal, d *controlpb.Demand) {
 	limit := shareOf(d.Limit)
 	if !limit.valid() || limit.isZero() || !(d.UnitsRequested >= 0) || !(d.UnitsReturned >= 0) {
@@ -152,32 +152,32 @@
 		l.dirty[d.Budget] = true
 	}
 	timestamp := time.Duration(r.request.LastTimestamp)
-	if r.sameTerm && d.UnitsReturned >= h.unitsReturned && timestamp >= h.returnedBefore {
+	if r.sameTerm && d.UnitsReturned >= h.unitsReturned && timestamp >= h.unreportedSince {
 		returned := d.UnitsReturned - h.unitsReturned
 		returned -= h.takeReleased(d, returned)
 		l.returnUnits(r.now, b, h, returned)
 		h.unitsReturned = d.UnitsReturned
-		h.returnedBefore = timestamp
+		h.unreportedSince = timestamp
 	}
 }
 
-// takeReleased takes in the units that the announced reduction left no room for, and returns how
-// many of the returned ones these are. There is headroom for them once the reduction is committed,
-// and nothing else may use that. Units that overflowed before the member applied the reduction are
-// not among them: there may have been no headroom for those anywhere.
+// takeReleased records the units that exceeded the allocation after the announced reduction, and
+// returns how many of the returned units these are. The committed reduction gives them headroom,
+// which nothing else may use. Units that overflowed before the member applied the reduction are not
+// among them, because no bucket may have had headroom for those.
 func (h *holding) takeReleased(d *controlpb.Demand, returned float64) float64 {
 	if h.announced == h.committed || d.ReleasedBy != h.update || h.releasedBy == h.update {
 		return 0
 	}
 	released := math.Min(math.Max(0, d.UnitsReleased), returned)
 	reduction := math.Max(0, h.committed.Total.Burst-h.announced.Total.Burst)
-	h.lateUnits = math.Min(released, reduction)
+	h.releasedUnits = math.Min(released, reduction)
 	h.releasedBy = h.update
 	return released
 }
 
-// returnUnits puts units that a member returned back into the pool, as far as the pool had headroom
-// for them since they came free.
+// returnUnits puts units that a member returned back into the pool, up to the headroom that the
+// pool has had since they became free.
 func (l *Leader) returnUnits(now time.Duration, b *budgetState, h *holding, units float64) {
 	if units == 0 {
 		return
@@ -186,7 +186,7 @@
 		b.headroom = &headroomHistory{}
 	}
 	l.pool(now, b)
-	if h.returnedBefore > 0 {
-		b.bucket.level += b.headroom.take(h.returnedBefore, units)
+	if h.unreportedSince > 0 {
+		b.bucket.level += b.headroom.take(h.unreportedSince, units)
 	}
 }
--- a/internal/controlplane/allocation/round.go
+++ b/internal/controlplane/allocation/round.go
@@ -10,18 +10,18 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// plannedChange is one member's change in the round under way.
+// plannedChange is one member's change in the pending round.
 type plannedChange struct {
 	budget   uint64
 	member   lease.Member
-	from     Share // of an increase: what the member held before
+	from     Share // of an increase: the member's total before it
 	to       Allocation
-	units    float64 // of an increase: units of the pool that come with it
+	units    float64 // of an increase: units of the pool that are granted with it
 	increase bool
 }
 
-// Plan returns the next round, or nil if there is nothing to change or the last round has not
-// ended. End the round with Committed, Rejected or a new Leader.
+// Plan returns the next round, or nil if there is nothing to change or a round is pending. The
+// caller must end the round with Committed or Rejected, or replace the Leader.
 func (l *Leader) Plan(now time.Duration) *controlpb.Round {
 	if l.pendingBudgets != nil {
 		return nil
@@ -67,12 +67,12 @@
 	}
 }
 
-// planBudget plans a budget's changes and sets its proposed carryover. ok is false if the budget
-// needs no part in the round.
+// planBudget plans a budget's changes and sets its proposed carryover. ok is false if the round
+// need not include the budget.
 func (l *Leader) planBudget(now time.Duration, id uint64) (changes []plannedChange, ok bool) {
 	b := l.budgets[id]
 	changes = l.redivide(now, id, b)
-	l.pool(now, b) // the pool is smaller by what is to be increased
+	l.pool(now, b) // the planned increases have reduced the pool
 	free := math.Max(0, b.limit.Burst-b.allocated.Burst-b.pendingIncrease.Burst)
 	carryover := math.Min(b.targetCarryover(), free)
 	changed := len(changes) > 0 || b.limitVersion != b.committedVersion
@@ -99,9 +99,9 @@
 	return change
 }
 
-// Close returns the last round of a term whose role is transferred: all units of the pool are
-// carried over to the next leader. Nothing is granted or renewed after it, and no other round may
-// be proposed. It returns nil if there is nothing to carry over.
+// Close returns the last round of a term whose role is transferred. It carries all units of the
+// pools over to the next leader. Afterwards nothing is granted or renewed, and no other round may
+// be proposed. Close returns nil if there is nothing to carry over or a round is pending.
 func (l *Leader) Close(now time.Duration) *controlpb.Round {
 	l.closing = true
 	if l.pendingBudgets != nil {
@@ -124,7 +124,7 @@
 	return round
 }
 
-// Committed takes in that the round was committed.
+// Committed records that the pending round was committed.
 func (l *Leader) Committed(now time.Duration) {
 	for _, c := range l.pendingChanges {
 		l.commit(now, c)
@@ -143,7 +143,7 @@
 func (l *Leader) commit(now time.Duration, c plannedChange) {
 	b := l.budgets[c.budget]
 	h := b.holdings[c.member]
-	l.pool(now, b) // what comes free counts from now on
+	l.pool(now, b) // the freed share adds to the pool's rate from now on
 	h.committed = c.to
 	if c.increase {
 		l.lastUpdate++
@@ -152,19 +152,20 @@
 		h.unitsGranted += c.units
 		b.pendingIncrease = b.pendingIncrease.minus(c.to.Total.minus(c.from)).max(Share{})
 	}
-	if c.to.Total.isZero() && l.members[c.member].ended { // else its totals of units go on
+	// The holding of a member that has not ended keeps its totals of units.
+	if c.to.Total.isZero() && l.members[c.member].ended {
 		delete(b.holdings, c.member)
 		delete(l.members[c.member].budgets, c.budget)
 	}
 	b.updateAllocated()
 	if !c.increase {
-		b.bucket.level += h.lateUnits
-		h.lateUnits = 0
+		b.bucket.level += h.releasedUnits
+		h.releasedUnits = 0
 	}
 	l.dirty[c.budget] = true
 }
 
-// Rejected takes in that the round was not committed and never will be.
+// Rejected records that the pending round was not committed and never will be.
 func (l *Leader) Rejected(now time.Duration) {
 	for _, id := range l.pendingBudgets {
 		l.budgets[id].proposedCarryover = -1
--- a/internal/controlplane/allocation/share.go
+++ b/internal/controlplane/allocation/share.go
@@ -6,8 +6,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// roundingTolerance is by how much sums of shares may differ through rounding, in units and in
-// units per second.
+// roundingTolerance is the largest difference between sums of shares that is taken for a rounding
+// error, in units and in units per second.
 const roundingTolerance = 1e-6
 
 // Share is a rate with a burst: the limit of a budget, or a part of it.
@@ -34,12 +34,12 @@
 	return Share{math.Max(s.Rate, o.Rate), math.Max(s.Burst, o.Burst)}
 }
 
-// within reports whether a share is no larger than another, but for rounding.
+// within reports whether a share is no larger than another, up to rounding errors.
 func (s Share) within(o Share) bool {
 	return s.Rate <= o.Rate+roundingTolerance && s.Burst <= o.Burst+roundingTolerance
 }
 
-// equalShares reports whether two shares are equal but for rounding.
+// equalShares reports whether two shares are equal up to rounding errors.
 func equalShares(a, b Share) bool { return a.within(b) && b.within(a) }
 
 // isZero reports whether a share allows nothing.
--- a/internal/controlplane/allocation/tokenbucket.go
+++ b/internal/controlplane/allocation/tokenbucket.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// tokenBucket stores units that arrive at a rate, up to a burst. Both are passed to each refill, as
-// they change with the division.
+// tokenBucket stores units that arrive at a rate, up to a burst. Both are arguments of refill,
+// because they change with each division.
 type tokenBucket struct {
-	level float64 // units
-	at    time.Duration
+	level float64       // units
+	at    time.Duration // time of the last refill
 }
 
-// refill brings the bucket to a time. It returns the units that overflowed.
+// refill refills the bucket up to now. It returns the number of units that overflowed.
 func (b *tokenBucket) refill(now time.Duration, s Share) (overflow float64) {
 	if now > b.at {
 		b.level += s.Rate * (now - b.at).Seconds()
