--- a/internal/controlplane/allocation/cluster_test.go
+++ b/internal/controlplane/allocation/cluster_test.go
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// testConfig is the default with larger allocations, as the tests show how these move.
+// testConfig returns the default configuration with smaller reserved minimums and pools. The larger
+// allocations make their changes visible.
 func testConfig() Config {
 	c := DefaultConfig()
 	c.ReservedFraction = 0.2
@@ -40,7 +41,7 @@
 	return c.ReservedMin(limit, 2)
 }
 
-// cluster is a leader, the state machine that it proposes to, and its members, without a network.
+// cluster is a leader, the state machine to which it proposes, and its members, without a network.
 // It has one budget, with id 1.
 type cluster struct {
 	t       *testing.T
@@ -83,7 +84,7 @@
 	return NewHolder(testConfig(), lease.Member{ID: id, Incarnation: incarnation}, 1)
 }
 
-// renew lets a member renew, and acknowledge reductions.
+// renew sends a member's renewal to the leader, and repeats it to acknowledge reductions.
 func (c *cluster) renew(h *Holder) {
 	for range 3 {
 		request := h.RenewRequest(c.now, 0)
@@ -99,12 +100,12 @@
 	var result Result
 	raw := c.machine.Apply(c.now, 0, c.fence.leader, mustproto.Marshal(round))
 	if err := json.Unmarshal(raw, &result); err != nil || !result.OK {
-		c.t.Fatalf("%v %+v", err, result)
+		c.t.Fatalf("a round was not applied: error %v, result %+v", err, result)
 	}
 	c.leader.Committed(c.now)
 }
 
-// commitRound commits what is planned. It reports whether anything was.
+// commitRound commits the round that the leader plans. It returns false if there is none.
 func (c *cluster) commitRound() bool {
 	c.t.Helper()
 	round := c.leader.Plan(c.now)
@@ -115,7 +116,8 @@
 	return true
 }
 
-// advance lets time pass in which each member has a demand in units per second.
+// advance advances the time by d in steps of 50 ms. Each member in demand renews in each step and
+// has the given demand, in units per second.
 func (c *cluster) advance(d time.Duration, demand map[*Holder]float64) {
 	c.t.Helper()
 	for end := c.now + d; c.now < end; c.now += 50 * ms {
@@ -139,7 +141,8 @@
 	}
 }
 
-// grant asks for units of the pool, again after a round where the leader says so.
+// grant requests units of the pool, and repeats the request after a round if the leader requires
+// one. It reports whether the units were granted.
 func (c *cluster) grant(units float64) bool {
 	response := c.leader.GrantOnDemand(c.now, c.onDemandRequest(units))
 	if response.AwaitRound && c.commitRound() {
--- a/internal/controlplane/allocation/divide_test.go
+++ b/internal/controlplane/allocation/divide_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// However demand is distributed, the allocations, and the reserved minimums of absent members,
-// leave the pool.
+// For any distribution of demand, Divide leaves the pool unallocated. An idle member gets nothing,
+// and every other member gets at least its reserved minimum.
 func TestDivideLeavesReservedMinimumsAndPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := testConfig()
@@ -31,12 +31,13 @@
 			sum = sum.plus(total)
 			idle := claims[i].Idle
 			if idle != total.isZero() && !reservedMin.isZero() || !idle && !reservedMin.within(total) {
-				t.Fatalf("%v for %+v", total, claims[i])
+				t.Fatalf("allocation %v for claim %+v, with a reserved minimum of %v",
+					total, claims[i], reservedMin)
 			}
 		}
 		divisible := limit.times(c.ReservedFraction + (1-c.ReservedFraction)*(1-c.PoolFraction))
 		if !sum.within(divisible) {
-			t.Fatalf("%v of %v", sum, divisible)
+			t.Fatalf("allocations sum to %v, want at most %v", sum, divisible)
 		}
 	})
 }
--- a/internal/controlplane/allocation/holder_test.go
+++ b/internal/controlplane/allocation/holder_test.go
@@ -8,7 +8,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Stored units are returned when an allocation is reduced, once.
+// When an allocation is reduced, the stored units that exceed it are returned exactly once, also if
+// responses are duplicated or late.
 func TestStoredUnitsMoveWithTheirAllocation(t *testing.T) {
 	h := NewHolder(testConfig(), lease.Member{ID: "a", Incarnation: 1}, 1)
 	now := time.Hour
@@ -33,40 +34,42 @@
 	h.HandleRenewal(now, now, 0, request, response(1, 8, 7))
 	h.HandleRenewal(now, now, 0, request, response(1, 8, 7)) // a duplicate
 	if got := h.Available(now, 1); got != 7 {
-		t.Fatalf("%v units are available after 7 were granted", got)
+		t.Fatalf("%v units are available, want the 7 that were granted", got)
 	}
 	if !h.HandleRenewal(now, now, 0, h.RenewRequest(now, 0), response(2, 3, 7)) {
-		t.Error("after a reduction it does not renew at once")
+		t.Error("HandleRenewal did not request an immediate renewal after a reduction")
 	}
 	h.HandleRenewal(now, now, 0, request, response(1, 8, 7)) // a late duplicate
 	r := h.RenewRequest(now, 0)
 	if got := h.Available(now, 1); got != 3 {
-		t.Errorf("%v units are kept", got)
+		t.Errorf("%v units are available after the reduction, want 3", got)
 	}
 	if len(r.Demands) != 1 || r.Demands[0].UnitsReturned != 4 || r.AppliedUpdate != 2 {
-		t.Errorf("the renewal after the reduction is %v", r)
+		t.Errorf("the renewal after the reduction is %v, want 4 returned units and update 2", r)
 	}
 }
 
-// An allocation that expired starts again from its reserved minimum.
+// An allocation that expired and is renewed later has no more stored units than its reserved
+// minimum allows.
 func TestExpiredAllocationLosesStoredUnitsBeforeItHoldsAgain(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
 	a := c.member("a", 1)
 	c.advance(20*time.Second, map[*Holder]float64{a: 1})
 	if a.Available(c.now, 1) < 30 {
-		t.Fatalf("only %v units are stored", a.Available(c.now, 1))
+		t.Fatalf("%v units are stored before the expiry, want at least 30", a.Available(c.now, 1))
 	}
-	// The renewal is sent before the expiry, and answered after it: the allocation is the same
-	// again.
+	// The renewal is sent before the expiry and answered after it. The leader still has the full
+	// allocation, and the response renews it.
 	c.now += testConfig().TTL - 100*ms
 	sent, request := c.now, a.RenewRequest(c.now, 0)
 	c.now += 200 * ms
 	a.HandleRenewal(c.now, sent, 0, request, c.leader.Renew(c.now, request))
 	reservedMin := testReservedMin(c.limit)
 	if usable := a.Usable(c.now, 1); usable.Burst <= 2*reservedMin.Burst {
-		t.Errorf("after the expiry it may use %v", usable)
+		t.Errorf("after the late response the member may use %v, want the full allocation", usable)
 	}
 	if level := a.Available(c.now, 1); level > reservedMin.Burst+1 {
-		t.Errorf("after the expiry %v units are available", level)
+		t.Errorf("after the late response %v units are available, want at most %v",
+			level, reservedMin.Burst+1)
 	}
 }
--- a/internal/controlplane/allocation/lagging_replica_test.go
+++ b/internal/controlplane/allocation/lagging_replica_test.go
@@ -15,7 +15,8 @@
 
 func (acceptingFence) Fence(string, uint64, lease.Member) error { return nil }
 
-// limitCluster lets gateways report the limit of one budget by different versions of the plans.
+// limitCluster is a leader and a state machine to which gateways report the limit of one budget
+// from different versions of the plans.
 type limitCluster struct {
 	t       *testing.T
 	now     time.Duration
@@ -39,7 +40,8 @@
 	c.leader = leader
 }
 
-// renew lets a gateway renew with a limit by a version of the plans, and commits what is planned.
+// renew sends a gateway's renewal with the limit of a version of the plans, and commits the round
+// that the leader plans.
 func (c *limitCluster) renew(id string, incarnation, version uint64, limit Share) {
 	c.t.Helper()
 	response := c.leader.Renew(c.now, &controlpb.RenewRequest{
@@ -73,23 +75,25 @@
 	c.t.Helper()
 	views, err := ReadViews(c.machine.Query(0, nil))
 	if err != nil || len(views) != 1 {
-		c.t.Fatalf("%+v %v", views, err)
+		c.t.Fatalf("views %+v, error %v, want one view", views, err)
 	}
 	if v := views[0]; v.Limit != limit || v.LimitVersion != version {
-		c.t.Errorf("the limit is %v by version %d, %v by %d wanted",
+		c.t.Errorf("the limit is %v of version %d, want %v of version %d",
 			v.Limit, v.LimitVersion, limit, version)
 	}
 }
 
-// A gateway that lags behind in the versions of the plans raises no limit: neither with the leader
-// that knows the newer version, nor with the next one, which knows it from the ledger alone.
-func TestALaggingReplicaRaisesNoLimit(t *testing.T) {
+// A gateway with an earlier version of the plans does not change the limit back to a larger one:
+// neither with the leader that received the newer version, nor with the next leader, which knows
+// the newer version only from the ledger.
+func TestLaggingReplicaDoesNotRaiseTheLimit(t *testing.T) {
 	c := &limitCluster{t: t, now: time.Second, machine: NewMachine(acceptingFence{})}
 	larger, smaller := Share{Rate: 8, Burst: 40}, Share{Rate: 2, Burst: 10}
 	c.elect(1)
 	c.renew("a", 1, 2, larger)
 	c.renew("a", 1, 4, smaller)
-	for incarnation := uint64(1); incarnation <= 4; incarnation++ { // the youngest last
+	// Each incarnation started later than those before.
+	for incarnation := uint64(1); incarnation <= 4; incarnation++ {
 		c.renew("b", incarnation, 3, larger)
 	}
 	c.check(smaller, 4)
--- a/internal/controlplane/allocation/leader_benchmark_test.go
+++ b/internal/controlplane/allocation/leader_benchmark_test.go
@@ -14,8 +14,8 @@
 	"mothcleat/internal/mustproto"
 )
 
-// BenchmarkLeaderAtSize measures what one second of a fleet costs its leader and all holders, and what
-// goes over the wire and into the log. Each tenant uses two to four gateways, and its traffic
+// BenchmarkLeaderAtSize measures the cost of one second of a fleet for the leader and all holders,
+// and the bytes sent and written to the log. Each tenant uses two to four gateways, and its traffic
 // shifts between them.
 func BenchmarkLeaderAtSize(b *testing.B) {
 	sizes := []struct{ members, tenants int }{{150, 10_000}, {300, 20_000}, {620, 60_000}}
@@ -26,14 +26,14 @@
 	}
 }
 
-// benchmarkTenant is one tenant, and which gateways its requests go through.
+// benchmarkTenant is one tenant and the gateways that receive its requests.
 type benchmarkTenant struct {
 	limit      Share
 	first      int // index of its first gateway
-	maxMembers int
+	maxMembers int // number of its gateways, whose indexes are consecutive
 }
 
-// benchmarkCounts is what went over the wire and into the log.
+// benchmarkCounts counts the messages sent and the entries written to the log, and their bytes.
 type benchmarkCounts struct {
 	requestBytes, responseBytes, entryBytes int
 	rounds, renewals, changes               int
@@ -78,10 +78,10 @@
 	return f
 }
 
-// second lets one second pass, in five steps.
-func (f *benchmarkFleet) second() {
+// advanceOneSecond advances the time by one second, in five steps.
+func (f *benchmarkFleet) advanceOneSecond() {
 	for step := range 5 {
-		f.request()
+		f.sendRequests()
 		for i, h := range f.holders {
 			if i%5 != step { // each member skips one step in five
 				f.renew(h)
@@ -92,8 +92,8 @@
 	}
 }
 
-// request lets a tenth of the tenants send a request.
-func (f *benchmarkFleet) request() {
+// sendRequests sends one request each for randomly chosen tenants, a tenth of their number.
+func (f *benchmarkFleet) sendRequests() {
 	for range len(f.tenants) / 10 {
 		index := f.random.IntN(len(f.tenants))
 		tenant := &f.tenants[index]
@@ -136,15 +136,15 @@
 func benchmarkLeader(b *testing.B, members, tenants int) {
 	f := newBenchmarkFleet(b, members, tenants)
 	for range 5 {
-		f.second() // until most tenants are known
+		f.advanceOneSecond() // until the leader knows most tenants
 	}
 	f.counts = benchmarkCounts{}
 	b.ResetTimer()
 	for range b.N {
-		f.second()
+		f.advanceOneSecond()
 	}
 	b.StopTimer()
-	f.holders, f.tenants = nil, nil // the memory of the leader and the state machine is reported
+	f.holders, f.tenants = nil, nil // reports only the memory of the leader and the state machine
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
--- a/internal/controlplane/allocation/leader_test.go
+++ b/internal/controlplane/allocation/leader_test.go
@@ -11,53 +11,58 @@
 	c := newCluster(t, Share{10, 100})
 	a, b := c.member("a", 1), c.member("b", 1)
 	c.advance(6*time.Second, map[*Holder]float64{a: 9, b: 1})
-	x, y := a.Usable(c.now, 1), b.Usable(c.now, 1)
-	if x.Burst < 3*y.Burst || y.Burst < 9 {
-		t.Fatalf("with nine tenths of the demand a has %v, and b with one tenth %v", x, y)
+	shareA, shareB := a.Usable(c.now, 1), b.Usable(c.now, 1)
+	if shareA.Burst < 3*shareB.Burst || shareB.Burst < 9 {
+		t.Fatalf("a has %v with nine tenths of the demand, and b has %v with one tenth",
+			shareA, shareB)
 	}
 	c.advance(40*time.Second, map[*Holder]float64{a: 1, b: 9})
-	x, y = a.Usable(c.now, 1), b.Usable(c.now, 1)
-	if 2*y.Burst < 3*x.Burst {
-		t.Errorf("after the demand has moved, a has %v and b %v", x, y)
+	shareA, shareB = a.Usable(c.now, 1), b.Usable(c.now, 1)
+	if 2*shareB.Burst < 3*shareA.Burst {
+		t.Errorf("after the demand has moved to b, a has %v and b %v", shareA, shareB)
 	}
 	pool, _ := c.leader.Pool(c.now, 1)
-	if sum := x.plus(y).plus(pool); !equalShares(sum, c.limit) {
-		t.Errorf("allocations %v, %v and pool %v make %v", x, y, pool, sum)
+	if sum := shareA.plus(shareB).plus(pool); !equalShares(sum, c.limit) {
+		t.Errorf("allocations %v and %v and pool %v sum to %v, want %v",
+			shareA, shareB, pool, sum, c.limit)
 	}
 }
 
-// An allocation goes to no other member before its holder has acknowledged that it is reduced.
+// An allocation is given to no other member before its holder has acknowledged the reduction or its
+// TTL has passed.
 func TestReductionNeedsAcknowledgement(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
 	a, b := c.member("a", 1), c.member("b", 1)
 	c.advance(6*time.Second, map[*Holder]float64{a: 10, b: 0})
 	held := a.Usable(c.now, 1)
-	// a does not renew any more, and b has all the demand.
+	// a stops renewing, and b has all the demand.
 	silentSince := c.now
 	for c.now < silentSince+2*time.Second {
 		c.advance(50*ms, map[*Holder]float64{b: 10})
 		other := b.Usable(c.now, 1)
 		if sum := held.plus(other); !sum.within(c.limit) {
 			silence := c.now - silentSince
-			t.Fatalf("%v after the last renewal of a, which has %v, b has %v", silence, held, other)
+			t.Fatalf("%v after the last renewal of a, a holds %v and b %v, together more than %v",
+				silence, held, other, c.limit)
 		}
 	}
 	c.advance(4*time.Second, map[*Holder]float64{b: 10})
 	if got := a.Usable(c.now, 1); !equalShares(got, testReservedMin(c.limit)) {
-		t.Errorf("without renewal for %v, a has %v", c.now-silentSince, got)
+		t.Errorf("without renewal for %v, a has %v, want its reserved minimum %v",
+			c.now-silentSince, got, testReservedMin(c.limit))
 	}
 	if got := b.Usable(c.now, 1); got.Burst < held.Burst-11 {
-		t.Errorf("b has %v of the %v that a had", got, held)
+		t.Errorf("b has %v, want about the %v that a had", got, held)
 	}
 	c.advance(70*time.Second, map[*Holder]float64{b: 10})
 	if left := a.Usable(c.now, 1); !left.isZero() {
-		t.Errorf("a has %v after the TTL of its reserved minimum", left)
+		t.Errorf("a has %v after the TTL of its reserved minimum, want nothing", left)
 	}
 }
 
-// Units that are returned late count as if they had been returned when they came free: had the pool
-// no headroom then, they are lost.
-func TestLateReturnsFindNoHeadroomThatCameSince(t *testing.T) {
+// Units that are returned late count as if they had been returned when they became free: if the
+// pool had no headroom then, they are lost, even if it has headroom now.
+func TestLateReturnsUseNoLaterHeadroom(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		c := newCluster(t, Share{10, 50})
 		a := c.member("a", 1)
@@ -82,12 +87,12 @@
 		_, after := c.leader.Pool(c.now, 1)
 		switch returned := after - before; {
 		case overflow < 0.5:
-			t.Fatalf("%v units overflowed", overflow)
+			t.Fatalf("%v units overflowed, want at least 0.5", overflow)
 		case full && returned > 1e-9:
-			t.Errorf("%v units were returned to a pool of %v that was full when they came free",
+			t.Errorf("%v units were returned to a pool of %v that was full when they became free",
 				returned, pool)
 		case !full && returned < 0.9*overflow:
-			t.Errorf("%v of %v units were returned, and there was headroom for all",
+			t.Errorf("%v of %v units were returned to a pool that had headroom for all",
 				returned, overflow)
 		}
 	}
@@ -101,13 +106,14 @@
 	request := c.onDemandRequest(1)
 	committed := func() float64 { return c.machine.ledgers[RoleOfShard(0)][1].carryover }
 	if committed() < 10 {
-		t.Fatalf("%v units are carried over", committed())
+		t.Fatalf("%v units are carried over, want at least 10", committed())
 	}
 	drain := func() (awaitRound bool) {
 		for range 100 {
 			response := c.leader.GrantOnDemand(c.now, request)
 			if level := c.leader.budgets[1].bucket.level; level < committed()-1e-9 {
-				t.Fatalf("%v units are left, and the committed carryover is %v", level, committed())
+				t.Fatalf("%v units are left, less than the committed carryover of %v",
+					level, committed())
 			}
 			awaitRound = awaitRound || response.AwaitRound
 			if !response.Granted {
@@ -117,16 +123,16 @@
 		return awaitRound
 	}
 	if !drain() {
-		t.Error("all units are granted without a round")
+		t.Error("the leader never required a round before a grant")
 	}
 	if c.leader.Plan(c.now) == nil {
 		t.Fatal("no round is planned that reduces the carryover")
 	}
-	drain() // and before that round is committed
+	drain() // checks the carryover again while the round is pending
 }
 
-// What is proposed for a member is not granted to others.
-func TestProposedIncreaseCountsAsGiven(t *testing.T) {
+// An increase that is proposed for a member is not granted to others.
+func TestProposedIncreaseCountsAsAllocated(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
 	a := c.member("a", 1)
 	a.RecordDemand(c.now, 1, c.limit, 2, 5)
@@ -140,11 +146,13 @@
 	total := shareOf(round.Changes[0].Allocations[0].Total)
 	after, _ := c.leader.Pool(c.now, 1)
 	if total.isZero() || !equalShares(after.plus(total), before) {
-		t.Errorf("%v is proposed, and of the pool of %v, %v is left", total, before, after)
+		t.Errorf("an allocation of %v is proposed, and the pool changes from %v to %v",
+			total, before, after)
 	}
 }
 
-// A new leader starts with what the one before carried over, and grants of it at once.
+// A new leader starts with the units that the previous leader carried over, and grants them at
+// once.
 func TestNewLeaderStartsWithTheCarryover(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
 	a := c.member("a", 1)
@@ -152,37 +160,40 @@
 	pool, _ := c.leader.Pool(c.now, 1)
 	for range 3 {
 		if !c.grant(4) {
-			t.Fatal("the pool grants nothing")
+			t.Fatal("an on-demand request was not granted")
 		}
 	}
 	left := c.leader.budgets[1].bucket.level
 	c.elect()
 	started := c.leader.budgets[1].bucket.level
 	if started > left || started < 0.5*pool.Burst {
-		t.Errorf("with %v of a pool of %v left, the next leader starts with %v", left, pool, started)
+		t.Errorf("with %v units left in a pool of %v, the next leader starts with %v",
+			left, pool, started)
 	}
 	if !c.grant(4) {
-		t.Error("the new leader grants nothing")
+		t.Error("the new leader did not grant an on-demand request")
 	}
 	if got := c.leader.budgets[1].bucket.level; got > started-4+1e-9 {
-		t.Errorf("%v of %v are left after a grant of 4", got, started)
+		t.Errorf("%v of %v units are left after a grant of 4", got, started)
 	}
 }
 
+// The allocations of a member that leaves, or whose successor reports that it has exited, are free
+// at once.
 func TestLeavingMembersAndSuccessors(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
 	a, b := c.member("a", 1), c.member("b", 1)
 	c.advance(5*time.Second, map[*Holder]float64{a: 5, b: 5})
 	leaving := a.ReleaseAll(c.now)[0]
 	if a.Available(c.now, 1) != 0 || !a.Usable(c.now, 1).isZero() {
-		t.Fatal("a has left, and holds something")
+		t.Fatal("a still has units or an allocation after ReleaseAll")
 	}
 	c.leader.Renew(c.now, leaving)
 	c.advance(3*time.Second, map[*Holder]float64{b: 5})
 	if got := b.Usable(c.now, 1); got.Burst < 50 {
-		t.Errorf("3 s after a has left, b has %v", got)
+		t.Errorf("3 s after a has left, b has %v, want a burst of at least 50", got)
 	}
-	// b is killed. Its successor, which has the lock on its folder, gets all of it at once.
+	// b is killed. Its successor holds the lock on the folder and gets b's allocation at once.
 	successor := c.member("b", 2)
 	successor.RecordDemand(c.now, 1, c.limit, 2, 1)
 	request := successor.RenewRequest(c.now, 0)
@@ -190,39 +201,41 @@
 	successor.HandleRenewal(c.now, c.now, 0, request, c.leader.Renew(c.now, request))
 	c.advance(2*time.Second, map[*Holder]float64{successor: 5})
 	if got := successor.Usable(c.now, 1); got.Burst < 50 {
-		t.Errorf("2 s after its start the successor has %v", got)
+		t.Errorf("2 s after its start the successor has %v, want a burst of at least 50", got)
 	}
 	late := b.RenewRequest(c.now, 0)
 	if response := c.leader.Renew(c.now, late); response.Code != controlpb.Code_SUPERSEDED {
-		t.Errorf("a member that its successor reported as ended gets %v", response)
+		t.Errorf("a member that its successor reported as ended gets %v, want SUPERSEDED", response)
 	}
 }
 
-// A limit is lowered to a tenth while all of it is allocated. Nothing is increased until the
-// allocations sum to the new limit, which they do as soon as all members have renewed, and after
-// the TTL of those that have not.
+// A limit is lowered to a tenth while all of it is allocated. No allocation is increased until the
+// sum is within the new limit, which is the case when each member has renewed or its TTL has
+// passed.
 func TestLimitLoweredWhileAllIsAllocated(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
 	a, b := c.member("a", 1), c.member("b", 1)
 	c.advance(5*time.Second, map[*Holder]float64{a: 5, b: 5})
 	c.limit = Share{1, 10}
-	c.advance(500*ms, map[*Holder]float64{a: 5}) // b is silent
+	c.advance(500*ms, map[*Holder]float64{a: 5}) // b does not renew
 	c.advance(4*time.Second, map[*Holder]float64{a: 5})
 	pool, _ := c.leader.Pool(c.now, 1)
-	reservedMin := testReservedMin(Share{10, 100}) // of b, by the old limit
+	reservedMin := testReservedMin(Share{10, 100}) // b's, from the old limit
 	if sum := a.Usable(c.now, 1).plus(pool).minus(reservedMin); !sum.within(c.limit) {
-		t.Errorf("a has %v and the pool is %v of %v", a.Usable(c.now, 1), pool, c.limit)
+		t.Errorf("a has %v and the pool is %v, together more than the limit of %v allows",
+			a.Usable(c.now, 1), pool, c.limit)
 	}
 	c.advance(time.Second, map[*Holder]float64{a: 5, b: 5})
 	c.advance(3*time.Second, map[*Holder]float64{a: 5, b: 5})
 	pool, _ = c.leader.Pool(c.now, 1)
 	sum := a.Usable(c.now, 1).plus(b.Usable(c.now, 1)).plus(pool)
 	if !equalShares(sum, c.limit) {
-		t.Errorf("allocations and pool sum to %v of %v", sum, c.limit)
+		t.Errorf("allocations and pool sum to %v, want %v", sum, c.limit)
 	}
 }
 
-// Reserved minimums that together would exceed the limit are reduced with each member that joins.
+// Each member that joins reduces the reserved minimums of the others, so that the sum stays within
+// the limit.
 func TestFortyMembersJoinASmallLimit(t *testing.T) {
 	c := newCluster(t, Share{3, 9})
 	demand := map[*Holder]float64{}
@@ -239,11 +252,11 @@
 		sum = sum.plus(usable)
 	}
 	if pool, _ := c.leader.Pool(c.now, 1); !equalShares(sum.plus(pool), c.limit) {
-		t.Errorf("allocations of %v and a pool of %v", sum, pool)
+		t.Errorf("allocations of %v and a pool of %v don't sum to %v", sum, pool, c.limit)
 	}
 }
 
-// A term whose role is transferred carries over its whole pool, and grants and renews nothing
+// When a role is transferred, the leader carries over the whole pool, and grants and renews nothing
 // afterwards.
 func TestCloseCarriesOverThePool(t *testing.T) {
 	c := newCluster(t, Share{10, 100})
@@ -256,27 +269,27 @@
 	}
 	c.apply(round)
 	if c.grant(0.1) {
-		t.Error("it grants after its last round")
+		t.Error("the leader granted units after its last round")
 	}
 	response := c.leader.Renew(c.now, a.RenewRequest(c.now, 0))
 	if response.Code != controlpb.Code_NOT_LEADER {
-		t.Error("it renews after its last round")
+		t.Error("the leader renewed an allocation after its last round")
 	}
 	c.elect()
 	if _, started := c.leader.Pool(c.now, 1); started < level-1e-9 || started > level+1e-9 {
-		t.Errorf("the next leader starts with %v of %v", started, level)
+		t.Errorf("the next leader starts with %v units, want %v", started, level)
 	}
 }
 
-// Units that overflowed before a reduction was applied had no headroom while all buckets were full:
-// the burst that the reduction frees does not bring them back.
-func TestReductionReturnsOnlyUnitsThatItLeavesNoRoomFor(t *testing.T) {
+// Units that overflowed while all buckets were full had no headroom. A reduction that is applied
+// later must not return them to the pool with the burst that it frees.
+func TestReductionReturnsOnlyUnitsThatExceedIt(t *testing.T) {
 	c := newCluster(t, Share{10, 50})
 	a, b := c.member("a", 1), c.member("b", 1)
 	c.advance(30*time.Second, map[*Holder]float64{a: 2}) // all buckets are full, and a's overflows
 	held := a.Usable(c.now, 1)
-	c.now += 2 * time.Second // what overflows from a's bucket in this time is reported below
-	// b's demand has a's allocation reduced.
+	c.now += 2 * time.Second // the overflow of a's bucket in this time is reported below
+	// b's demand reduces a's allocation.
 	b.RecordDemand(c.now, 1, c.limit, 2, 20)
 	c.renew(b)
 	c.commitRound()
@@ -288,7 +301,7 @@
 		c.renew(b)
 	}
 	if after := a.Usable(c.now, 1); after.Burst > held.Burst-5 {
-		t.Fatalf("a's allocation was %v and is %v: not reduced", held, after)
+		t.Fatalf("a's allocation was not reduced: it was %v and is %v", held, after)
 	}
 	_, pool := c.leader.Pool(c.now, 1)
 	stored := pool + a.Available(c.now, 1) + b.Available(c.now, 1)
@@ -299,9 +312,9 @@
 	}
 }
 
-// Units whose grant never reached the member are lost when its allocation expires: a later grant
-// does not bring them.
-func TestGrantThatNeverArrivedExpires(t *testing.T) {
+// Granted units that never reached the member are lost when its allocation expires. A later grant
+// must not include them.
+func TestUndeliveredGrantExpires(t *testing.T) {
 	c := newCluster(t, Share{10, 50})
 	a := c.member("a", 1)
 	c.now += 20 * time.Second // the pool is full
@@ -310,7 +323,7 @@
 	c.commitRound()                                 // grants a its first allocation
 	granted := c.leader.budgets[1].holdings[a.member].unitsGranted
 	if granted < 5 {
-		t.Fatalf("%v units were granted", granted)
+		t.Fatalf("%v units were granted, want at least 5", granted)
 	}
 	reservedTTL := c.leader.config.withDrift(c.leader.config.ReservedTTL)
 	for end := c.now + reservedTTL + time.Second; c.now < end; c.now += 50 * ms {
@@ -332,12 +345,12 @@
 			stored, pool, allowed)
 	}
 	if usable := a.Usable(c.now, 1); usable.isZero() {
-		t.Error("nothing was allocated anew")
+		t.Error("the member got no new allocation")
 	}
 }
 
-// Headroom that the pool once had takes the units of one member that came free then, not those of
-// several: else the pool would hold more than if all had been returned in time.
+// Headroom that the pool had in the past is used once, even if several members return units that
+// became free at that time. Otherwise the pool would have more units than after returns in time.
 func TestLateReturnsOfSeveralMembersShareTheHeadroom(t *testing.T) {
 	c := newCluster(t, Share{10, 50})
 	a, b := c.member("a", 1), c.member("b", 1)
@@ -352,7 +365,7 @@
 	for range 2 {
 		for h := range members {
 			h.RecordDemand(c.now, 1, c.limit, 2, 0.01)
-			c.renew(h) // what came free before is reported
+			c.renew(h) // reports the units that became free before
 		}
 	}
 	for range 10 { // the pool is nearly full at the end, and both members' buckets overflow
@@ -374,8 +387,9 @@
 	}
 }
 
-// The same where the overflow is reported together with the units that the reduction released: the
-// response that brought the reduction was on its way meanwhile.
+// A bucket overflows while the response with a reduction is in flight, so that the member reports
+// the overflow together with the units that the reduction released. Only the latter may go back to
+// the pool.
 func TestOverflowReportedWithAReductionIsNotReleasedByIt(t *testing.T) {
 	c := newCluster(t, Share{10, 50})
 	a, b := c.member("a", 1), c.member("b", 1)
--- a/internal/controlplane/allocation/machine_test.go
+++ b/internal/controlplane/allocation/machine_test.go
@@ -44,39 +44,39 @@
 		t.Fatal(r.Why)
 	}
 	before := m.Snapshot()
-	for what, r := range map[string]*controlpb.Round{
+	for name, r := range map[string]*controlpb.Round{
 		"more than the limit":               round(3, allocation(1, Share{5, 4}, Share{})),
 		"an old term":                       round(2, allocation(1, Share{1, 1}, Share{})),
 		"a reserved minimum over its total": round(3, allocation(1, Share{1, 1}, Share{2, 2})),
 		"a negative rate":                   round(3, allocation(1, Share{-1, 1}, Share{})),
-		"a rate that is no number":          round(3, allocation(1, Share{math.NaN(), 1}, Share{})),
+		"a rate that is not a number":       round(3, allocation(1, Share{math.NaN(), 1}, Share{})),
 		"a member that is not in the list":  round(3, allocation(7, Share{1, 1}, Share{})),
 		"two changes of one budget in one round": {Role: RoleOfShard(0), Term: 3, Members: members, Changes: []*controlpb.BudgetChange{
 			{Budget: 2, Limit: Share{1, 1}.proto()}, {Budget: 2, Limit: Share{1, 1}.proto()}}},
 	} {
 		if result := apply(r); result.OK || result.Why == "" {
-			t.Errorf("%s: accepted", what)
+			t.Errorf("%s: the round was accepted, or rejected without a reason", name)
 		}
 	}
 	if string(m.Snapshot()) != string(before) {
-		t.Error("a rejected round has changed the state")
+		t.Error("a rejected round changed the state")
 	}
 	other := NewMachine(f)
 	if err := other.Restore(before); err != nil || string(other.Snapshot()) != string(before) {
-		t.Errorf("a snapshot is restored as another state: %v", err)
+		t.Errorf("a restored snapshot differs from the state: error %v", err)
 	}
 	if err := other.Restore([]byte("\xff")); !errors.Is(err, ErrCorruptLedger) {
-		t.Errorf("restoring noise returns %v", err)
+		t.Errorf("Restore of invalid bytes returns %v, want ErrCorruptLedger", err)
 	}
 	if json.Unmarshal(m.Apply(0, 0, f.leader, []byte("\xff")), &Result{}) != nil {
-		t.Error("the response to noise can't be decoded")
+		t.Error("the result of Apply for invalid bytes can't be decoded")
 	}
 	if err := m.applyRound(f.leader, []byte("\xff")); !errors.Is(err, ErrInvalidRound) {
-		t.Errorf("applying noise returns %v", err)
+		t.Errorf("applyRound of invalid bytes returns %v, want ErrInvalidRound", err)
 	}
 }
 
-// Whatever is proposed, the committed allocations sum to no more than the limit.
+// For any sequence of proposed rounds, the committed allocations sum to at most the limit.
 func TestCommittedAllocationsNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &singleLeaderFence{1, lease.Member{ID: "o", Incarnation: 1}}
@@ -104,7 +104,7 @@
 			m.Apply(0, 0, f.leader, mustproto.Marshal(r))
 			for _, b := range m.ledgers[RoleOfShard(0)] {
 				if sum := totalOf(b.allocations); !sum.within(limit) {
-					t.Fatalf("%v of %v", sum, limit)
+					t.Fatalf("allocations sum to %v, want at most %v", sum, limit)
 				}
 			}
 		}
