--- a/internal/controlplane/lease/claimant.go
+++ b/internal/controlplane/lease/claimant.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Claimant is one member's side of the lease of one role: whether the member may act, and when to
-// request the lease or its renewal. Its times are of the member's own clock, which must go on
-// while the process is suspended.
+// Claimant is one member's side of the lease of one role. It determines whether the member may act,
+// and when to request the lease or its renewal. Its times are by the member's own clock, which must
+// go on while the process is suspended.
 type Claimant struct {
 	config Config
 	role   string
@@ -14,7 +14,7 @@
 	expiresAt     time.Duration // 0: the lease is not held
 	sentAt        time.Duration // when the request in flight was sent
 	inFlight      bool          // a request is in flight
-	nextRequestAt time.Duration // no request is sent before
+	nextRequestAt time.Duration // earliest time of the next request
 	givenUpTerm   uint64        // the newest term that this side gave up
 	lossReason    string        // why the last lease ended
 }
@@ -24,22 +24,22 @@
 	return &Claimant{config: config, role: role, self: self}
 }
 
-// Holds returns the term under which this member may act at a time, and whether it may. It has to
-// be called at the last moment before each effect, and even so the receiver's check decides.
+// Holds reports whether this member may act now, and returns the term. It must be called
+// immediately before each effect; even then, the receiver of the effect has to check the term.
 func (c *Claimant) Holds(now time.Duration) (term uint64, ok bool) {
 	if c.expiresAt != 0 && now >= c.expiresAt {
-		c.endLease("its TTL is over")
+		c.endLease("its TTL has passed")
 	}
 	return c.term, c.expiresAt != 0
 }
 
-// Remaining returns how long the lease lasts without renewal.
+// Remaining returns how long the lease is still valid without renewal.
 func (c *Claimant) Remaining(now time.Duration) time.Duration { return max(0, c.expiresAt-now) }
 
-// Due reports whether to send a request now, and else when to look again.
+// Due reports whether to send a request now. If not, at is when to call Due again.
 func (c *Claimant) Due(now time.Duration) (due bool, at time.Duration) {
 	if c.inFlight {
-		// A later answer could hardly be of use: its lease would be over soon.
+		// The lease that a later answer grants would expire soon after the answer.
 		retryAt := c.sentAt + c.config.TTL/2
 		if now < retryAt {
 			return false, retryAt
@@ -58,16 +58,16 @@
 	c.inFlight = true
 }
 
-// KnownTerm returns the newest term that this side knows it was granted. A request names it.
+// KnownTerm returns the newest term that this side knows it was granted. Each request contains it.
 func (c *Claimant) KnownTerm() uint64 { return c.term }
 
-// Granted records the answer to the request that was sent at a time: the lease was granted under a
-// term, for a TTL counted from the sending. It returns false if the grant is of no use any more:
-// its TTL is over, or its term was given up (see GaveUp).
+// Granted records that the request sent at sentAt was granted: this member holds the lease under a
+// term, for a TTL counted from sentAt. It returns false if the grant can't be used: its TTL has
+// passed, a newer term is known, or its term was given up (see GaveUp).
 func (c *Claimant) Granted(now, sentAt time.Duration, term uint64, ttl time.Duration) bool {
 	c.answered(sentAt)
 	if term < c.term || term <= c.givenUpTerm {
-		return false // an older answer, overtaken by a newer one
+		return false // the answer is out of date
 	}
 	ttl = min(ttl, c.config.TTL)
 	expiresAt := sentAt + ttl
@@ -80,8 +80,8 @@
 	return ok
 }
 
-// Rejected records that the request sent at a time was rejected: this member does not hold the
-// lease. It is requested again after retryDelay.
+// Rejected records that the request sent at sentAt was rejected: this member does not hold the
+// lease. The next request is sent after retryDelay.
 func (c *Claimant) Rejected(now, sentAt, retryDelay time.Duration, reason string) {
 	c.answered(sentAt)
 	if c.expiresAt != 0 {
@@ -90,30 +90,31 @@
 	c.nextRequestAt = now + retryDelay
 }
 
-// Failed records that the request sent at a time got no answer. The next one is sent after
+// Failed records that the request sent at sentAt got no answer. The next one is sent after
 // retryDelay.
 func (c *Claimant) Failed(now, sentAt, retryDelay time.Duration) {
 	c.answered(sentAt)
 	c.nextRequestAt = now + retryDelay
 }
 
-// answered records that the request sent at a time is not in flight any more.
+// answered records that the request sent at sentAt is no longer in flight.
 func (c *Claimant) answered(sentAt time.Duration) {
 	if sentAt == c.sentAt {
 		c.inFlight = false
 	}
 }
 
-// GiveUp ends the lease by this side's decision, and requests it again only after retryDelay. The
-// term is never held again: whoever was notified of its end may already act.
+// GiveUp ends the lease by this side's decision. The next request is sent after retryDelay. The
+// term is never held again, because a member that was notified of its end may already act.
 func (c *Claimant) GiveUp(now, retryDelay time.Duration, reason string) {
 	c.givenUpTerm = c.term
 	c.endLease(reason)
 	c.nextRequestAt = now + retryDelay
 }
 
-// GaveUp reports whether this side gave a term up. A table that still grants that term does not
-// know so: it has to be notified again, or the lease would be renewed and the work not done.
+// GaveUp reports whether this side gave up a term. A table that still grants such a term has not
+// been notified: the caller has to notify it again, or the lease would be renewed without the work
+// being done.
 func (c *Claimant) GaveUp(term uint64) bool { return term != 0 && term <= c.givenUpTerm }
 
 func (c *Claimant) endLease(reason string) {
--- a/internal/controlplane/lease/gate.go
+++ b/internal/controlplane/lease/gate.go
@@ -7,9 +7,9 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Gate is how a receiver rejects the effects of earlier leaders: it keeps the highest term that it
-// has seen of each role, and whose that was. Where the receiver's effects outlive its process, the
-// gate has to be stored with them (Snapshot, Restore), before the effect.
+// Gate rejects the effects of earlier leaders on behalf of a receiver. It keeps the highest term
+// seen of each role, and its holder. If effects outlive the receiver's process, the gate must be
+// stored with them (Snapshot, Restore), before the effect takes place.
 type Gate struct {
 	seen map[string]seenTerm // by role
 }
@@ -20,8 +20,8 @@
 	Holder Member `json:"owner"`
 }
 
-// Admit admits an effect that a member has under a term, or returns ErrStaleTerm. The result
-// changed reports that the gate has to be stored before the effect takes place.
+// Admit admits an effect of a member under a term, or returns an error that wraps ErrStaleTerm. If
+// changed is true, the gate has to be stored before the effect takes place.
 func (g *Gate) Admit(role string, term uint64, member Member) (changed bool, err error) {
 	last := g.seen[role]
 	if term < last.Term {
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,19 +1,20 @@
-// Package lease decides who holds the lease of a role, and until when. A role is work that one
-// member does on behalf of the fleet; the member that holds its lease is the role's leader. Each
-// time that the lease is granted to another member, or anew to the same one, its term grows by
-// one. The term is the fencing token: whoever receives an effect of a leader rejects it by an old
-// term.
+// Package lease decides which member holds the lease of a role, and until when. A role is work that
+// one member does on behalf of the fleet; the member that holds the lease is the role's leader.
+// Each time the lease is granted to another member, or granted again to the same one, its term
+// grows by one. The term is the fencing token: a receiver rejects an effect of a leader whose term
+// is old.
 //
-// Both sides count the same TTL. The Claimant counts it from when it sent its request; the Table,
-// which grants, counts from when it granted and adds the clock-drift bound. So the claimant stops
-// first however long messages take, as long as no clock runs faster than another by more than the
-// bound. No clock has to show the right time.
+// Both sides count the same TTL. The Claimant counts it from when it sent its request. The Table,
+// which grants the lease, counts it from when it granted the lease and adds the clock-drift bound.
+// However long messages take, the claimant therefore stops first, as long as no clock runs faster
+// than another by more than the bound. Clocks need not show the right time.
 //
-// Clocks are not enough against a process that checks its lease, is suspended, and acts later.
-// Whoever receives its effects must therefore check the term: Table.Fence where the effect is
-// itself a replicated command, Gate where a receiver keeps the highest term that it has seen.
+// Clocks are not enough against a process that checks its lease, is suspended, and acts later. The
+// receiver of its effects must therefore check the term: with Table.Fence if the effect is itself a
+// replicated command, and with a Gate if the receiver keeps the highest term that it has seen.
 //
-// Nothing here does I/O, starts a goroutine or reads a clock. No type is safe for concurrent use.
+// This package does no I/O, starts no goroutine and reads no clock. None of its types is safe for
+// concurrent use.
 package lease
 
 import (
@@ -22,8 +23,8 @@
 	"time"
 )
 
-// Member is one process: an id and an incarnation, a random number that is new with each process.
-// What was granted to one incarnation is not another's.
+// Member identifies one process by an id and an incarnation, a random number that is new for each
+// process. A lease that was granted to one incarnation is not valid for another.
 type Member struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"boot"`
@@ -32,45 +33,48 @@
 // String returns the id and the incarnation in hexadecimal.
 func (m Member) String() string { return fmt.Sprintf("%s/%x", m.ID, m.Incarnation) }
 
-// Config is how long leases last. It has to be the same in all processes of a fleet.
+// Config configures how long leases are valid. All processes of a fleet must use the same values.
 type Config struct {
-	// TTL is how long a lease lasts without renewal.
+	// TTL is the validity of a lease without renewal.
 	TTL time.Duration
-	// ClockDriftBound is by how much a clock may run faster than another, as a fraction: 0.05 is
-	// one part in twenty.
+	// ClockDriftBound is the fraction by which one clock may run faster than another: 0.05 is one
+	// part in twenty.
 	ClockDriftBound float64
-	// OfferTTL is how long a lease that was transferred waits for its new holder to confirm it.
+	// OfferTTL is the time within which the new holder of a transferred lease has to confirm it.
 	OfferTTL time.Duration
 }
 
-// DefaultConfig returns a configuration with which a lease is free again about 1.1 s after its
-// holder's last renewal. Its clock-drift bound covers a clock that runs at nine tenths of the pace.
+// DefaultConfig returns a configuration with which a lease is available again about 1.1 s after its
+// holder's last renewal. Its clock-drift bound covers a clock that runs at nine tenths of the speed
+// of another.
 func DefaultConfig() Config {
 	return Config{TTL: time.Second, ClockDriftBound: 0.125, OfferTTL: 500 * time.Millisecond}
 }
 
-// withClockDrift returns how long the granting side must wait for another clock to count d.
+// withClockDrift returns how long the granting side must wait until d has passed by any other
+// clock.
 func (c Config) withClockDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.ClockDriftBound)
 }
 
-// Errors of a Table and a Gate, to be tested with errors.Is. Their texts, and those that wrap them,
-// are part of replicated answers: every version of the program must produce the same ones.
+// Errors of a Table and a Gate, for use with errors.Is. Their texts, and the texts of errors that
+// wrap them, are part of replicated results: every version of the program must produce the same
+// texts.
 var (
 	// ErrHeld means that another member holds the lease.
 	ErrHeld = errors.New("lease: another holds it")
-	// ErrStaleTerm means that a member is not the holder under the term that it names.
+	// ErrStaleTerm means that a member is not the holder under the term in its request.
 	ErrStaleTerm = errors.New("lease: not the owner under this term")
-	// ErrExcluded means that a member is not granted the lease for a while, because it did not
+	// ErrExcluded means that a member is temporarily not granted the lease, because it did not
 	// confirm its last grant.
 	ErrExcluded = errors.New("lease: it was given the duty lately, and did not hear of it")
 )
 
-// Cause is why a lease changed hands. Its values are stored.
+// Cause is the reason for the last change of a lease's holder. Its values are stored.
 type Cause string
 
 const (
-	// Acquired means that the lease was free.
+	// Acquired means that the lease was available.
 	Acquired Cause = "taken"
 	// Expired means that its holder did not renew it.
 	Expired Cause = "lapsed"
@@ -80,25 +84,25 @@
 	Released Cause = "released"
 )
 
-// Lease is the lease of a role as the Table has it. Its times are the fleet's.
+// Lease is the state of a role's lease in a Table. Its times are by the fleet's clock.
 type Lease struct {
 	Role      string        `json:"duty"`
 	Term      uint64        `json:"term"`
-	Holder    Member        `json:"owner"` // without an id: nobody
+	Holder    Member        `json:"owner"` // no member holds the lease if the id is empty
 	GrantedAt time.Duration `json:"since"`
 	ExpiresAt time.Duration `json:"until"`
-	// Unconfirmed means that the holder has not yet shown that it knows of this grant.
+	// Unconfirmed means that the holder has not yet confirmed this grant.
 	Unconfirmed bool `json:"offered,omitempty"`
-	// TransferTo is the id of the member that the holder is to transfer the lease to; "": none.
+	// TransferTo is the id of the member to which the holder is to transfer the lease; "": none.
 	TransferTo string `json:"wish,omitempty"`
 	Cause      Cause  `json:"cause"`
-	// Excluded let a grant expire without confirming it. It is not granted the lease again before
-	// ExcludedUntil.
+	// Excluded is the member whose last grant expired unconfirmed. It is not granted the lease
+	// again before ExcludedUntil.
 	Excluded      Member        `json:"deaf,omitzero"`
 	ExcludedUntil time.Duration `json:"deaf_until,omitempty"`
 }
 
-// available reports whether the lease may be granted to anyone at a time.
+// available reports whether the lease may be granted to any member now.
 func (l *Lease) available(now time.Duration) bool {
 	return l.Holder.ID == "" || now > l.ExpiresAt
 }
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -16,52 +16,52 @@
 	a, b := Member{"a", 1}, Member{"b", 1}
 	restarted := Member{"a", 2}
 	if l, err := table.Acquire(0, "d", a, 0); err != nil || l.Term != 1 || l.ExpiresAt != 110*ms {
-		t.Fatalf("%+v, %v", l, err)
+		t.Fatalf("Acquire of a new lease: %+v, %v", l, err)
 	}
 	// Another incarnation of the same id is another member.
-	for _, who := range []Member{b, restarted} {
-		if _, err := table.Acquire(110*ms, "d", who, 0); !errors.Is(err, ErrHeld) {
-			t.Errorf("%v: %v", who, err)
+	for _, other := range []Member{b, restarted} {
+		if _, err := table.Acquire(110*ms, "d", other, 0); !errors.Is(err, ErrHeld) {
+			t.Errorf("Acquire by %v returns %v, want ErrHeld", other, err)
 		}
 	}
 	if l, err := table.Acquire(50*ms, "d", a, 1); err != nil ||
 		l.Term != 1 || l.ExpiresAt != 160*ms {
-		t.Errorf("renewed: %+v, %v", l, err)
+		t.Errorf("renewal by the holder: %+v, %v", l, err)
 	}
 	if l, err := table.Acquire(161*ms, "d", b, 0); err != nil || l.Term != 2 || l.Cause != Expired {
-		t.Errorf("expired: %+v, %v", l, err)
+		t.Errorf("Acquire after the lease has expired: %+v, %v", l, err)
 	}
 	if err := table.Fence("d", 1, a); !errors.Is(err, ErrStaleTerm) {
-		t.Errorf("an old term: %v", err)
+		t.Errorf("Fence with an old term returns %v, want ErrStaleTerm", err)
 	}
 	if err := table.Fence("d", 2, a); !errors.Is(err, ErrStaleTerm) {
-		t.Errorf("another's term: %v", err)
+		t.Errorf("Fence with another member's term returns %v, want ErrStaleTerm", err)
 	}
 	if err := table.Transfer(170*ms, "d", 2, b, restarted); err != nil {
 		t.Fatal(err)
 	}
 	if err := table.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
-		t.Errorf("after the transfer: %v", err)
+		t.Errorf("Fence after the transfer returns %v, want ErrStaleTerm", err)
 	}
-	// A lease that was transferred and is not confirmed is free soon.
+	// A transferred lease that is not confirmed becomes available after OfferTTL.
 	if _, err := table.Acquire(190*ms, "d", b, 0); !errors.Is(err, ErrHeld) {
-		t.Errorf("before the offer has expired: %v", err)
+		t.Errorf("Acquire before the offer has expired returns %v, want ErrHeld", err)
 	}
 	if l, err := table.Acquire(193*ms, "d", b, 0); err != nil || l.Term != 4 {
-		t.Errorf("after the offer has expired: %+v, %v", l, err)
+		t.Errorf("Acquire after the offer has expired: %+v, %v", l, err)
 	}
 	if err := table.Fence("d", 2, b); !errors.Is(err, ErrStaleTerm) {
-		t.Errorf("a holder's own older term: %v", err)
+		t.Errorf("Fence with the holder's own older term returns %v, want ErrStaleTerm", err)
 	}
 	if err := table.Release(194*ms, "d", 4, b); err != nil {
 		t.Fatal(err)
 	}
 	if l, err := table.Acquire(194*ms, "d", a, 0); err != nil ||
 		l.Term != 6 || l.Cause != Acquired {
-		t.Errorf("after the release: %+v, %v", l, err)
+		t.Errorf("Acquire after the release: %+v, %v", l, err)
 	}
 	if n := len(table.History("d")); n != 6 {
-		t.Errorf("%d changes of holder", n)
+		t.Errorf("the history has %d changes of holder, want 6", n)
 	}
 	if err := table.RequestTransfer("d", "b"); err != nil {
 		t.Fatal(err)
@@ -69,11 +69,12 @@
 	restored := NewTable(table.config)
 	err := restored.Restore(table.Snapshot())
 	if err != nil || string(restored.Snapshot()) != string(table.Snapshot()) {
-		t.Errorf("%v: %s, %s", err, restored.Snapshot(), table.Snapshot())
+		t.Errorf("Restore: error %v; snapshot after it %s, want %s",
+			err, restored.Snapshot(), table.Snapshot())
 	}
 	if _, err := table.Acquire(400*ms, "d", b, 0); err != nil ||
 		table.Leases()[0].TransferTo != "" {
-		t.Errorf("a requested transfer outlived its term: %+v, %v", table.Leases(), err)
+		t.Errorf("a requested transfer was kept in the next term: %+v, %v", table.Leases(), err)
 	}
 }
 
@@ -82,7 +83,7 @@
 	a, b := Member{"a", 1}, Member{"b", 1}
 	for i, c := range []struct {
 		term    uint64
-		who     Member
+		member  Member
 		changed bool
 		ok      bool
 	}{
@@ -94,28 +95,29 @@
 		{4, b, true, true},
 		{3, a, false, false},
 	} {
-		changed, err := g.Admit("d", c.term, c.who)
+		changed, err := g.Admit("d", c.term, c.member)
 		if changed != c.changed || (err == nil) != c.ok {
-			t.Errorf("%d: %v, %v", i, changed, err)
+			t.Errorf("case %d: Admit returns changed %v and error %v, want changed %v and ok %v",
+				i, changed, err, c.changed, c.ok)
 		}
 		var restored Gate
 		if err := restored.Restore(g.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
-		g = restored // a restart changes nothing
+		g = restored // a restored gate has to behave the same
 	}
 }
 
-// process is a claimant with a clock of its own.
+// process is a claimant with its own clock.
 type process struct {
 	claimant *Claimant
 	self     Member
-	pace     float64
-	shift    time.Duration
+	speed    float64 // of the clock, relative to the table's
+	offset   time.Duration
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
-	return p.shift + time.Duration(float64(now)*p.pace)
+	return p.offset + time.Duration(float64(now)*p.speed)
 }
 
 // message is a request or its answer in flight.
@@ -129,9 +131,9 @@
 	err       error
 }
 
-// However long messages take, whether they are lost, duplicated or reordered, and at whatever pace
-// within the clock-drift bound the clocks go: no two members hold the lease at one moment, and
-// terms only grow.
+// No two members hold the lease at the same time, and terms only grow. Messages may be delayed,
+// lost, duplicated or reordered, and clocks may run at any speed within the clock-drift bound.
+// The test keeps its name because rapid replays the failures in testdata/rapid by it.
 func TestNoTwoHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{TTL: 1000 * ms, ClockDriftBound: 0.125, OfferTTL: 200 * ms}
@@ -140,9 +142,9 @@
 		for i := range rapid.IntRange(2, 4).Draw(t, "processes") {
 			p := &process{
 				self: Member{fmt.Sprint(i), 1},
-				// The table's clock may be the fast one: it goes at 1, the slowest at 1/1.125.
-				pace:  rapid.Float64Range(1/1.125+0.001, 1.2).Draw(t, "pace"),
-				shift: time.Duration(rapid.IntRange(0, 30_000).Draw(t, "shift")) * ms,
+				// The table's clock has speed 1 and may be the fastest; the slowest has 1/1.125.
+				speed:  rapid.Float64Range(1/1.125+0.001, 1.2).Draw(t, "pace"),
+				offset: time.Duration(rapid.IntRange(0, 30_000).Draw(t, "shift")) * ms,
 			}
 			p.claimant = NewClaimant(config, "d", p.self)
 			processes = append(processes, p)
@@ -152,14 +154,14 @@
 		var newestTerm uint64
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "passes")) * ms
-			who := rapid.IntRange(0, len(processes)-1).Draw(t, "who")
-			p := processes[who]
+			index := rapid.IntRange(0, len(processes)-1).Draw(t, "who")
+			p := processes[index]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				if due, _ := p.claimant.Due(p.clock(now)); due {
 					p.claimant.Sent(p.clock(now))
 					inFlight = append(inFlight, message{
-						process: who, isRequest: true, sentAt: p.clock(now),
+						process: index, isRequest: true, sentAt: p.clock(now),
 						knownTerm: p.claimant.KnownTerm(),
 					})
 				}
@@ -178,7 +180,7 @@
 					m.lease, m.err = table.Acquire(now, "d", to.self, m.knownTerm)
 					m.ttl = table.RemainingTTL(now, &m.lease)
 					if m.err == nil && m.lease.Term < newestTerm {
-						t.Fatalf("term %d after %d", m.lease.Term, newestTerm)
+						t.Fatalf("term %d was granted after term %d", m.lease.Term, newestTerm)
 					}
 					newestTerm = max(newestTerm, m.lease.Term)
 					inFlight = append(inFlight, m)
@@ -188,7 +190,7 @@
 					to.claimant.Granted(to.clock(now), m.sentAt, m.lease.Term, m.ttl)
 				}
 			case 4:
-				if len(inFlight) > 0 { // lost
+				if len(inFlight) > 0 { // the oldest message is lost
 					inFlight = inFlight[1:]
 				}
 			case 5:
@@ -199,7 +201,7 @@
 							p.claimant.GiveUp(p.clock(now), 50*ms, "given up")
 						}
 					} else if to != p {
-						// The work has ended before the lease is transferred.
+						// The holder ends its work before it transfers the lease.
 						p.claimant.GiveUp(p.clock(now), 50*ms, "transferred")
 						_ = table.Transfer(now, "d", term, p.self, to.self)
 					}
@@ -212,28 +214,28 @@
 				}
 			}
 			if holders > 1 {
-				t.Fatalf("%d hold at %v", holders, now)
+				t.Fatalf("%d members hold the lease at %v", holders, now)
 			}
 		}
 	})
 }
 
-// A claimant that was suspended past its TTL knows so by its clock alone.
-func TestClaimantStopsByItself(t *testing.T) {
+// A claimant that was suspended past its TTL detects the expiry by its clock alone.
+func TestClaimantStopsWithoutAnswers(t *testing.T) {
 	c := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
 	c.Sent(10 * ms)
 	if !c.Granted(60*ms, 10*ms, 1, 100*ms) {
-		t.Fatal("not held")
+		t.Fatal("the claimant does not hold a lease that was granted")
 	}
 	if _, ok := c.Holds(109 * ms); !ok {
-		t.Error("ended early")
+		t.Error("the lease ended before its TTL has passed")
 	}
 	if _, ok := c.Holds(110 * ms); ok {
-		t.Error("holds past its TTL, counted from the sending")
+		t.Error("the claimant holds the lease when its TTL, counted from the request, has passed")
 	}
 	c.Sent(200 * ms)
 	if c.Granted(300*ms, 200*ms, 2, 100*ms) {
-		t.Error("an answer that came after its TTL is accepted")
+		t.Error("an answer that arrived when its TTL had passed was accepted")
 	}
 }
 
@@ -245,22 +247,22 @@
 	for at := time.Duration(0); at < 110*ms; at += 10 * ms {
 		l, err := table.Acquire(at, "d", unconfirming, 0)
 		if err != nil || l.Term != 1 || l.ExpiresAt != 110*ms {
-			t.Fatalf("%+v, %v", l, err)
+			t.Fatalf("Acquire without a confirmation at %v: %+v, %v", at, l, err)
 		}
 	}
 	if _, err := table.Acquire(111*ms, "d", unconfirming, 0); !errors.Is(err, ErrExcluded) {
-		t.Errorf("granted again: %v", err)
+		t.Errorf("Acquire after the unconfirmed grant returns %v, want ErrExcluded", err)
 	}
 	if l, err := table.Acquire(112*ms, "d", other, 0); err != nil || l.Term != 2 {
-		t.Errorf("%+v, %v", l, err)
+		t.Errorf("Acquire by another member: %+v, %v", l, err)
 	}
 	if l, err := table.Acquire(150*ms, "d", other, 2); err != nil ||
 		l.Unconfirmed || l.ExpiresAt != 260*ms {
-		t.Errorf("renewed: %+v, %v", l, err)
+		t.Errorf("confirmation by another member: %+v, %v", l, err)
 	}
 }
 
-// A term that was given up is never held again, whatever answers are still in flight.
+// A term that was given up is never held again, even if an answer that renews it was in flight.
 func TestGivenUpTermIsNotHeldAgain(t *testing.T) {
 	c := NewClaimant(Config{TTL: 100 * ms}, "d", Member{"a", 1})
 	c.Sent(0)
@@ -268,13 +270,14 @@
 	c.Sent(30 * ms)
 	c.GiveUp(40*ms, 0, "transferred")
 	if c.Granted(50*ms, 30*ms, 3, 100*ms) {
-		t.Error("held again by a late renewal")
+		t.Error("a late renewal was accepted for a term that was given up")
 	}
 	if !c.GaveUp(3) || c.GaveUp(4) {
-		t.Error("GaveUp is wrong about what was given up")
+		t.Errorf("GaveUp is %v for term 3 and %v for term 4, want true and false",
+			c.GaveUp(3), c.GaveUp(4))
 	}
 	if !c.Granted(60*ms, 55*ms, 4, 100*ms) {
-		t.Error("the next term is not held")
+		t.Error("a grant of the next term was not accepted")
 	}
 }
 
@@ -290,21 +293,21 @@
 				return id
 			}
 		}
-		t.Fatalf("nobody is first for %s", role)
+		t.Fatalf("no member has rank 0 for %s", role)
 		return ""
 	}
 	count := map[string]int{}
 	for i := range 2000 {
 		role := fmt.Sprintf("use/%d", i)
-		was := first(role, ids)
-		count[was]++
-		if now := first(role, ids[1:]); was != ids[0] && now != was {
-			t.Fatalf("%s moved from %s to %s", role, was, now)
+		before := first(role, ids)
+		count[before]++
+		if after := first(role, ids[1:]); before != ids[0] && after != before {
+			t.Fatalf("%s moved from %s to %s when %s left", role, before, after, ids[0])
 		}
 	}
 	for id, n := range count {
 		if n < 50 || n > 170 {
-			t.Errorf("%s is first for %d of 2000", id, n)
+			t.Errorf("%s has rank 0 for %d of 2000 roles, want 50 to 170", id, n)
 		}
 	}
 }
--- a/internal/controlplane/lease/machine.go
+++ b/internal/controlplane/lease/machine.go
@@ -29,28 +29,30 @@
 type Command struct {
 	Action Action `json:"do"`
 	Role   string `json:"duty"`
-	// Term is the term that the sender holds; for ActionAcquire the newest that it knows it holds.
+	// Term is the term that the sender holds; for ActionAcquire, the newest term that the sender
+	// knows it was granted.
 	Term uint64 `json:"term,omitempty"`
-	// To is whom ActionTransfer grants the lease; for ActionRequestTransfer only its id counts.
+	// To is the member to which ActionTransfer grants the lease. ActionRequestTransfer uses only
+	// its id.
 	To Member `json:"to,omitzero"`
 }
 
-// Result is the answer to a Command.
+// Result is the result of a Command.
 type Result struct {
 	OK     bool   `json:"ok"`
-	Reason string `json:"why,omitempty"`    // why it is not OK
-	Lease  Lease  `json:"holding,omitzero"` // as it is after an ActionAcquire
-	// Remaining is how long another's lease or the sender's exclusion still lasts, by the fleet's
-	// time.
+	Reason string `json:"why,omitempty"`    // text of the error if OK is false
+	Lease  Lease  `json:"holding,omitzero"` // the lease after an ActionAcquire
+	// Remaining is the time until another member's lease or the sender's exclusion expires, by the
+	// fleet's clock.
 	Remaining time.Duration `json:"left,omitempty"`
 	TTL       time.Duration `json:"span,omitempty"` // see Table.RemainingTTL
 }
 
-// unknownCommand is the reason of the Result of a command that can't be read.
+// unknownCommand is the Reason in the Result of a command that can't be decoded.
 const unknownCommand = "no such command to duties"
 
 // Encode returns the command as JSON.
-func (o Command) Encode() []byte { return mustjson.Marshal(o) }
+func (c Command) Encode() []byte { return mustjson.Marshal(c) }
 
 // Machine is a Table as a state machine of the replicated state.
 type Machine struct {
@@ -91,7 +93,7 @@
 	return mustjson.Marshal(m.result(now, &command, l, err))
 }
 
-// acquire applies an ActionAcquire. That a holder confirms its grant counts as a change.
+// acquire applies an ActionAcquire. It counts a holder's confirmation of its grant as a change.
 func (m *Machine) acquire(now time.Duration, member Member, command *Command) (Lease, error) {
 	before := m.leases[command.Role]
 	wasUnconfirmed := before != nil && before.Unconfirmed
@@ -102,7 +104,7 @@
 	return l, err
 }
 
-// result returns the answer to a command that has led to a lease or an error.
+// result returns the Result of a command from the lease or the error that it produced.
 func (m *Machine) result(now time.Duration, command *Command, l Lease, err error) Result {
 	r := Result{OK: err == nil, Lease: l}
 	if err != nil {
@@ -117,8 +119,8 @@
 	return r
 }
 
-// RejectEarly returns the answer to a request for a lease that another member holds, so that it
-// needs no entry in the log.
+// RejectEarly returns the Result of a request for a lease that another member holds, so that the
+// request needs no entry in the log. It returns false if the command has to be proposed.
 func (m *Machine) RejectEarly(now time.Duration, member Member, body []byte) ([]byte, bool) {
 	var command Command
 	if json.Unmarshal(body, &command) != nil || command.Action != ActionAcquire {
@@ -131,14 +133,15 @@
 	return mustjson.Marshal(m.result(now, &command, l, ErrHeld)), true
 }
 
-// View is the answer to a Query.
+// View is the result of a Query.
 type View struct {
-	At      time.Duration `json:"at"` // the fleet's time
+	At      time.Duration `json:"at"` // by the fleet's clock
 	Leases  []Lease       `json:"duties"`
 	History []Lease       `json:"history,omitempty"`
 }
 
-// Query returns a View as JSON, with the history of the role that the body names.
+// Query returns a View as JSON. It includes the history of the role whose name is in the body, if
+// any.
 func (m *Machine) Query(now time.Duration, body []byte) []byte {
 	v := View{At: now, Leases: m.Leases()}
 	if len(body) > 0 {
@@ -147,10 +150,10 @@
 	return mustjson.Marshal(v)
 }
 
-// Changes counts the changes of leases, so that watchers are notified of them.
+// Changes returns the number of changes of leases so far, so that watchers can detect changes.
 func (m *Machine) Changes() uint64 { return m.changes }
 
-// Restore replaces the state by that of a snapshot, and counts as a change.
+// Restore replaces the state by that of a snapshot. It counts as a change.
 func (m *Machine) Restore(snapshot []byte) error {
 	m.changes++
 	return m.Table.Restore(snapshot)
--- a/internal/controlplane/lease/rank.go
+++ b/internal/controlplane/lease/rank.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// Rank returns how many of the members come before one for a role, by rendezvous hashing. So roles
-// are spread evenly, and when a member leaves only its own roles move.
+// Rank returns the number of members that precede the member id for a role, by rendezvous hashing.
+// This spreads roles evenly, and when a member leaves, only its own roles move.
 func Rank(role, id string, members []string) int {
 	own := rendezvousWeight(role, id)
 	rank := 0
@@ -25,7 +25,7 @@
 	h.Write([]byte(id)) // a hash returns no errors
 	h.Write([]byte{0})
 	h.Write([]byte(role))
-	// FNV alone leaves similar names close together: the finalizer of MurmurHash3 spreads them.
+	// FNV alone gives similar names similar hashes. The finalizer of MurmurHash3 spreads them.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxHistory is how many changes of holder are kept of each lease.
+	// maxHistory is the number of changes of holder that are kept for each lease.
 	maxHistory = 64
-	// exclusionTTLs is for how many TTLs a member that did not confirm a grant is excluded.
+	// exclusionTTLs is the time, in TTLs, for which a member that did not confirm a grant is
+	// excluded.
 	exclusionTTLs = 4
 )
 
-// Table is the granting side: the leases of all roles. Its methods take the fleet's time, which
-// never runs faster than any member's clock by more than the clock-drift bound.
+// Table has the leases of all roles and grants them. Its methods take times by the fleet's clock,
+// which never runs faster than any member's clock by more than the clock-drift bound.
 type Table struct {
 	config  Config
 	leases  map[string]*Lease  // by role
@@ -31,12 +32,12 @@
 }
 
 // Acquire grants the lease of a role to a member, or renews it for the incarnation that holds it.
-// It returns the lease as it is afterwards, and ErrHeld if another member holds it.
+// It returns the resulting lease, and ErrHeld if another member holds it.
 //
-// The knownTerm is the newest term that the member knows it holds. Only a holder that knows its
-// present term is renewed: otherwise a member whose requests arrive, but that receives no answer,
-// would keep for ever a lease that it does not know of. If such a grant expires, the member gets
-// ErrExcluded for a while.
+// The knownTerm is the newest term that the member knows it was granted. Acquire renews the lease
+// only for a holder that knows the current term: otherwise a member whose requests arrive, but that
+// receives no answers, would keep a lease forever without knowing of it. If such a grant expires,
+// Acquire temporarily returns ErrExcluded to the member.
 func (t *Table) Acquire(
 	now time.Duration, role string, member Member, knownTerm uint64,
 ) (Lease, error) {
@@ -76,8 +77,8 @@
 	l.ExpiresAt = max(l.ExpiresAt, now+t.config.withClockDrift(t.config.TTL))
 }
 
-// RemainingTTL returns how long a holder may count on a lease by its own clock, from when it sent
-// its request: what is left of the lease, less the clock drift.
+// RemainingTTL returns how long a lease is valid by the holder's own clock, from when the holder
+// sent its request: the remaining time of the lease, less the clock drift.
 func (t *Table) RemainingTTL(now time.Duration, l *Lease) time.Duration {
 	remaining := time.Duration(float64(l.ExpiresAt-now) / (1 + t.config.ClockDriftBound))
 	return max(0, min(t.config.TTL, remaining))
@@ -93,7 +94,8 @@
 	return *l, true
 }
 
-// grant begins a new term. A request to transfer the lease ends with the term that it was made in.
+// grant starts a new term. It withdraws a request to transfer the lease, which is valid only for
+// the term in which it was made.
 func (t *Table) grant(
 	now time.Duration, l *Lease, to Member, ttl time.Duration, cause Cause,
 ) {
@@ -108,8 +110,8 @@
 	t.history[l.Role] = history[max(0, len(history)-maxHistory):]
 }
 
-// Release gives a lease up before it expires. It returns ErrStaleTerm if the member does not hold
-// it under the term.
+// Release ends a lease before it expires. It returns an error that wraps ErrStaleTerm if the member
+// does not hold the lease under the term.
 func (t *Table) Release(now time.Duration, role string, term uint64, member Member) error {
 	if err := t.Fence(role, term, member); err != nil {
 		return err
@@ -118,9 +120,9 @@
 	return nil
 }
 
-// Transfer grants a lease to another member under the next term. That member has to confirm it by
-// an Acquire within Config.OfferTTL; after that the lease is free. Transfer returns ErrStaleTerm
-// if the member does not hold the lease under the term.
+// Transfer grants a lease to another member under the next term. That member has to confirm it with
+// an Acquire within Config.OfferTTL; otherwise the lease becomes available. Transfer returns an
+// error that wraps ErrStaleTerm if the member does not hold the lease under the term.
 func (t *Table) Transfer(now time.Duration, role string, term uint64, member, to Member) error {
 	if err := t.Fence(role, term, member); err != nil {
 		return err
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// RequestTransfer asks the holder of a lease to transfer it to the member with an id; "" withdraws
-// the request. The request ends with the holder's term.
+// RequestTransfer requests that the holder of a lease transfer it to the member with the id to; ""
+// withdraws the request. The request ends with the holder's term.
 func (t *Table) RequestTransfer(role, to string) error {
 	l := t.leases[role]
 	if l == nil {
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// Fence returns ErrStaleTerm unless a member is the holder under the newest term, and names it. It
-// does not look at the time: as long as no later term was granted, nobody else acts.
+// Fence returns an error that wraps ErrStaleTerm unless the member is the holder and the term is
+// the newest. It ignores the time: no other member acts before a later term is granted.
 func (t *Table) Fence(role string, term uint64, member Member) error {
 	l := t.leases[role]
 	if l == nil || l.Term != term {
@@ -168,7 +170,7 @@
 	return 0
 }
 
-// Leases returns all leases as they are, ordered by role.
+// Leases returns all leases, ordered by role.
 func (t *Table) Leases() []Lease {
 	all := make([]Lease, 0, len(t.leases))
 	for _, l := range t.leases {
@@ -178,10 +180,10 @@
 	return all
 }
 
-// History returns the latest changes of a role's holder, the oldest first.
+// History returns the latest changes of a role's holder, oldest first.
 func (t *Table) History(role string) []Lease { return slices.Clone(t.history[role]) }
 
-// tableState is a table as it is stored.
+// tableState is the stored form of a table.
 type tableState struct {
 	Leases  []Lease            `json:"duties"`
 	History map[string][]Lease `json:"history"`
