--- a/internal/controlplane/allocator/client.go
+++ b/internal/controlplane/allocator/client.go
@@ -23,15 +23,15 @@
 	maxOnDemandRequests = 256 // in flight
 	onDemandTimeout     = 150 * time.Millisecond
 
-	// unresponsiveDelay is for how long a leader that did not answer an on-demand request gets no
-	// other.
+	// unresponsiveDelay is the time for which a leader that did not answer an on-demand request is
+	// sent no other.
 	unresponsiveDelay = 250 * time.Millisecond
 )
 
-// Client is this process's allocations as the gateway's event loop uses them, and their renewal.
-// The calls of the loop wait for nothing but a mutex that is held briefly. All times are by the
-// clock of package monotonic: the loop's own time may have been read before the process was
-// stopped.
+// Client provides this process's allocations to the gateway's event loop, and renews them. Its
+// methods may be called concurrently, except OnReply and RecordTo. Calls from the event loop block
+// only on a mutex that is held briefly. All times are by the clock of package monotonic, because
+// the loop's own time may have been read before the process was suspended.
 type Client struct {
 	config  allocation.Config
 	shards  int
@@ -47,24 +47,24 @@
 	mu                sync.Mutex // guards what follows
 	holder            *allocation.Holder
 	endedIncarnations []uint64 // of this process's id
-	lastRequest       uint64   // id of the request that units were taken for last
+	lastRequest       uint64   // id of the request for which units were last taken
 	lastUseBy         time.Duration
 	stats             ClientStats
-	planOrder         uint64    // version of the plans that limits are from; see SetPlanOrder
+	planOrder         uint64    // order of the plans that define the limits; see SetPlanOrder
 	record            io.Writer // nil: allocations are not recorded
 }
 
-// ClientStats counts what a Client did.
+// ClientStats counts the requests of a Client and their outcomes.
 type ClientStats struct {
 	Renewals         uint64 `json:"renewals"`
-	Failed           uint64 `json:"failed"` // renewals
+	Failed           uint64 `json:"failed"` // failed renewals
 	OnDemandRequests uint64 `json:"loans"`
 	OnDemandGrants   uint64 `json:"lent"`
-	OnDemandFailures uint64 `json:"unheard"` // requests without an answer
+	OnDemandFailures uint64 `json:"unheard"` // requests that failed or got no answer
 }
 
-// NewClient returns a client without allocations. Call OnReply before the gateway uses it, and Run
-// to renew.
+// NewClient returns a client without allocations. Call OnReply before the gateway uses the client,
+// and Run to renew allocations.
 func NewClient(c allocation.Config, shards int, rpc *controlrpc.Client, leaders *election.Set,
 	log *slog.Logger) *Client {
 	return &Client{
@@ -80,30 +80,30 @@
 	}
 }
 
-// OnReply sets the function that gets the replies to RequestOnDemand, from any goroutine. Call it
-// before the first RequestOnDemand.
+// OnReply sets the function that receives the replies to RequestOnDemand. It may be called from any
+// goroutine. Call OnReply before the first RequestOnDemand.
 func (c *Client) OnReply(onReply func(gateway.OnDemandReply)) { c.onReply = onReply }
 
 func limitOf(q *policy.SharedQuota) allocation.Share {
 	return allocation.Share{Rate: q.Rate, Burst: q.Burst}
 }
 
-// RecordDemand takes in that a request asked for units of a quota.
+// RecordDemand records that a request needs units of a quota.
 func (c *Client) RecordDemand(_ policy.Time, q *policy.SharedQuota, units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.holder.RecordDemand(monotonic.Now(), q.ID, limitOf(q), q.Spread, units)
 }
 
-// Available returns how many units of a quota may be taken now. Where the quota was just lowered,
-// the allocation may still be larger than it.
+// Available returns the number of units of a quota that may be taken now. It is at most the quota's
+// burst, which the allocation may still exceed just after the quota was lowered.
 func (c *Client) Available(_ policy.Time, q *policy.SharedQuota) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return min(c.holder.Available(monotonic.Now(), q.ID), q.Burst)
 }
 
-// RefillRate returns at which rate units of a quota arrive, in units per second.
+// RefillRate returns the rate at which a quota is refilled now, in units per second.
 func (c *Client) RefillRate(_ policy.Time, q *policy.SharedQuota) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +130,8 @@
 	c.holder.Release(monotonic.Now(), q.ID, units)
 }
 
-// UsableUntil returns until when the units taken for a request may be used. It returns 0 if none
-// were, or if units were taken for another request since.
+// UsableUntil returns the time until which the units taken for a request may be used. It returns 0
+// if none were taken, or if units were taken for another request since.
 func (c *Client) UsableUntil(id uint64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,9 +149,10 @@
 	return expired
 }
 
-// RequestOnDemand asks the leader of a quota's shard for units, for the request with an id. The
-// reply goes to the function of OnReply. It returns false, and nothing is sent, if no leader is
-// known, the leader was unresponsive a moment ago, or too many requests are in flight.
+// RequestOnDemand requests units of a quota from the leader of its shard, for the request with the
+// id. The function set by OnReply receives the reply. RequestOnDemand sends nothing and returns
+// false if no leader is known, an on-demand request to the shard failed within the last
+// unresponsiveDelay, or maxOnDemandRequests are in flight.
 func (c *Client) RequestOnDemand(id uint64, q *policy.SharedQuota, units float64) bool {
 	shard := allocation.ShardOf(q.ID, c.shards)
 	now := monotonic.Now()
@@ -172,7 +173,7 @@
 	return true
 }
 
-// requestOnDemand sends an on-demand request and completes the reply by the response.
+// requestOnDemand sends an on-demand request and fills in the reply from the response.
 func (c *Client) requestOnDemand(shard int, leader lease.Member, address string,
 	reply gateway.OnDemandReply, units float64) gateway.OnDemandReply {
 	ctx, cancel := context.WithTimeout(context.Background(), onDemandTimeout)
@@ -205,23 +206,23 @@
 	return reply
 }
 
-// SetPlanOrder sets by which version of the plans limits are from now on. The number is twice the
-// version, plus one once no earlier version is in use any more.
+// SetPlanOrder sets the version of the plans that defines the limits from now on. The order is
+// twice the version, plus one when no earlier version is in use any more.
 func (c *Client) SetPlanOrder(order uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.planOrder = order
 }
 
-// SetEndedIncarnations sets the incarnations of this process's id that have ended: what they held
-// is free.
+// SetEndedIncarnations sets the incarnations of this process's id that have exited. Renewals report
+// them, so that their allocations become free.
 func (c *Client) SetEndedIncarnations(incarnations []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endedIncarnations = incarnations
 }
 
-// Status returns what this process holds now, and what it did.
+// Status returns the current allocations of this process, and the counts of its requests.
 func (c *Client) Status() ([]allocation.HolderStatus, ClientStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/allocator/client_renewal.go
+++ b/internal/controlplane/allocator/client_renewal.go
@@ -14,8 +14,8 @@
 const (
 	renewTimeout = 400 * time.Millisecond
 
-	// idleInterval is between two renewals of a process that holds nothing and has no demand. They
-	// keep the connection to the leader open.
+	// idleInterval is the time between two renewals of a process that has no allocation and no
+	// demand. These renewals keep the connection to the leader open.
 	idleInterval = time.Second
 )
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// renew renews a shard's allocations once. It reports whether to renew again at once.
+// renew renews a shard's allocations once. It reports whether to renew again immediately.
 func (c *Client) renew(ctx context.Context, shard int) (renewNow bool) {
 	leader, address, ok := c.leaders.Leader(allocation.RoleOfShard(shard))
 	if !ok {
@@ -79,8 +79,8 @@
 	return renewNow
 }
 
-// ReleaseAll gives up all allocations. It returns when their leaders have acknowledged it, or the
-// context ends.
+// ReleaseAll releases all allocations. It returns when their leaders have acknowledged the release
+// or the context ends.
 func (c *Client) ReleaseAll(ctx context.Context) {
 	c.mu.Lock()
 	requests := c.holder.ReleaseAll(monotonic.Now())
@@ -91,14 +91,15 @@
 	var wg sync.WaitGroup
 	for shard, request := range requests {
 		if request.AppliedUpdate == 0 {
-			continue // nothing was ever allocated
+			continue // no leader has ever answered, so nothing was allocated
 		}
 		wg.Go(func() { c.sendUntilAcknowledged(ctx, shard, request) })
 	}
 	wg.Wait()
 }
 
-// sendUntilAcknowledged sends a renewal to the leader of a shard until one has answered it.
+// sendUntilAcknowledged sends a renewal to the leader of a shard, and retries until a leader has
+// answered it or the context ends.
 func (c *Client) sendUntilAcknowledged(ctx context.Context, shard int,
 	request *controlpb.RenewRequest) {
 	for ctx.Err() == nil {
--- a/internal/controlplane/allocator/incarnationfile.go
+++ b/internal/controlplane/allocator/incarnationfile.go
@@ -13,19 +13,20 @@
 const (
 	incarnationFileName = "boots.json" // part of stored data
 
-	// maxEndedIncarnations bounds the record. Those before were reported long ago, or their
+	// maxEndedIncarnations bounds the record. Earlier incarnations have been reported, or their
 	// allocations have expired.
 	maxEndedIncarnations = 16
 )
 
 // IncarnationFile is a gateway's record of the processes that ran in its folder. The process that
-// holds its lock knows that all earlier ones have ended, so that what they held is free at once.
+// holds the lock on the file knows that all earlier ones have exited, and can report that their
+// allocations are free.
 type IncarnationFile struct {
 	file  *os.File
 	Ended []uint64 // incarnations of earlier processes, the newest last
 }
 
-// OpenIncarnationFile takes the lock and adds an incarnation to the record. The error wraps
+// OpenIncarnationFile locks the file in dir and adds an incarnation to the record. The error wraps
 // unix.EWOULDBLOCK while another process holds the lock.
 func OpenIncarnationFile(dir string, incarnation uint64) (_ *IncarnationFile, err error) {
 	path := filepath.Join(dir, incarnationFileName)
@@ -43,7 +44,8 @@
 	}
 	f := &IncarnationFile{file: file}
 	if err := json.NewDecoder(file).Decode(&f.Ended); err != nil {
-		f.Ended = nil // it is new, or was cut by a crash: what those processes held expires
+		// The file is new, or a crash truncated it: the allocations of its processes will expire.
+		f.Ended = nil
 	}
 	f.Ended = f.Ended[max(0, len(f.Ended)-maxEndedIncarnations):]
 	return f, f.write(incarnation)
--- a/internal/controlplane/allocator/record.go
+++ b/internal/controlplane/allocator/record.go
@@ -12,23 +12,25 @@
 )
 
 // RecordLine is one line of the record of a process's allocations, for tests that compare
-// processes. Times are by the clock of package monotonic, the same for all processes of a machine.
+// processes. Times are by the clock of package monotonic, which all processes of a machine share.
 type RecordLine struct {
 	At            time.Duration `json:"at"`
 	Member        lease.Member  `json:"member"`
 	Shard         int           `json:"shard"`
-	Until         time.Duration `json:"until"`       // the allocations hold
-	ReservedUntil time.Duration `json:"floor_until"` // the reserved minimums hold
+	Until         time.Duration `json:"until"`       // expiry of the allocations
+	ReservedUntil time.Duration `json:"floor_until"` // expiry of the reserved minimums
 
-	// Changed tells that Allocations is all that is held from now on; else that is as before.
+	// Changed means that Allocations has all allocations from now on. If it is false, they are the
+	// same as in the line before.
 	Changed     bool                             `json:"changed,omitempty"`
 	Allocations map[string]allocation.Allocation `json:"held,omitempty"` // by budget, hexadecimal
 }
 
-// RecordTo has each renewal recorded; nil: none is. Call it before Run.
+// RecordTo records each renewal to a writer; nil records none. Call it before Run.
 func (c *Client) RecordTo(w io.Writer) { c.record = w }
 
-// writeRecord writes a line. The caller holds c.mu. After an error nothing more is recorded.
+// writeRecord writes a line to the record, and stops recording after an error. The caller holds
+// c.mu.
 func (c *Client) writeRecord(shard int, changed bool) {
 	if c.record == nil {
 		return
--- a/internal/controlplane/allocator/shardleaders.go
+++ b/internal/controlplane/allocator/shardleaders.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// planInterval bounds the time without a look at the budgets. A renewal causes one at once.
+	// planInterval is the maximum time between two plans. A renewal causes a plan immediately.
 	planInterval = 20 * time.Millisecond
 
-	// retryInterval is between two attempts to reach the replicated state or a leader.
+	// retryInterval is the time between two attempts to reach the replicated state or a leader.
 	retryInterval = 50 * time.Millisecond
 
-	// closeTimeout is for the last round of a term, and is shorter than the time after which the
+	// closeTimeout bounds the last round of a term. It is shorter than the time after which the
 	// role is transferred in any case.
 	closeTimeout = 250 * time.Millisecond
 
-	// awaitRoundTimeout is how long an on-demand request waits for a round.
+	// awaitRoundTimeout is the maximum time that an on-demand request waits for a round.
 	awaitRoundTimeout = 80 * time.Millisecond
 )
 
@@ -61,24 +61,24 @@
 	committed chan struct{} // closed with the next round that is committed
 }
 
-// Lead leads a shard until the context ends or the shard can't be led under this term any more.
-func (d *ShardLeaders) Lead(ctx context.Context, t *election.Tenure) {
-	if !d.startTerm(t) {
-		// The lease expired and was renewed under the same term, as nobody else asked for it. What
-		// was allocated since the term began was known to a Leader that has ended. The next one
-		// needs another term.
+// Lead leads a shard until the context ends or the shard can no longer be led under this term.
+func (l *ShardLeaders) Lead(ctx context.Context, t *election.Tenure) {
+	if !l.startTerm(t) {
+		// The lease expired and was renewed under the same term, because no other member requested
+		// it. Only the previous Leader of this process, which has ended, knew the allocations of
+		// the term. A new Leader needs a new term.
 		t.Resign()
 		return
 	}
 	failpoint.At("shard-before-read")
-	ledger, err := d.readLedger(ctx, t.Role)
+	ledger, err := l.readLedger(ctx, t.Role)
 	if err != nil {
 		return
 	}
-	// Whatever the leader before allocated, it did so before now.
-	leader, err := allocation.NewLeader(monotonic.Now(), d.Config, t.Role, t.Term, ledger)
+	// Any allocation by the previous leader was made before now.
+	leader, err := allocation.NewLeader(monotonic.Now(), l.Config, t.Role, t.Term, ledger)
 	if err != nil {
-		d.Log.Error("allocation: the committed ledger is unusable", "role", t.Role, "error", err)
+		l.Log.Error("allocation: the committed ledger is unusable", "role", t.Role, "error", err)
 		return
 	}
 	s := &shardLeader{
@@ -87,58 +87,58 @@
 		planNow:   make(chan struct{}, 1),
 		committed: make(chan struct{}),
 	}
-	d.add(s)
-	defer d.remove(s)
-	// A round that is under way when ctx ends is completed: commitCtx ends closeTimeout later.
+	l.add(s)
+	defer l.remove(s)
+	// A round that is pending when ctx ends can still complete: commitCtx ends closeTimeout later.
 	commitCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { time.AfterFunc(closeTimeout, cancel) })()
-	defer d.closeTerm(ctx, commitCtx, s)
-	d.commitRounds(ctx, commitCtx, s)
+	defer l.closeTerm(ctx, commitCtx, s)
+	l.commitRounds(ctx, commitCtx, s)
 }
 
 // startTerm reports whether this process leads under a term for the first time.
-func (d *ShardLeaders) startTerm(t *election.Tenure) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lastTerms == nil {
-		d.lastTerms = map[string]uint64{}
+func (l *ShardLeaders) startTerm(t *election.Tenure) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.lastTerms == nil {
+		l.lastTerms = map[string]uint64{}
 	}
-	if t.Term <= d.lastTerms[t.Role] {
+	if t.Term <= l.lastTerms[t.Role] {
 		return false
 	}
-	d.lastTerms[t.Role] = t.Term
+	l.lastTerms[t.Role] = t.Term
 	return true
 }
 
-func (d *ShardLeaders) add(s *shardLeader) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.shards == nil {
-		d.shards = map[string]*shardLeader{}
+func (l *ShardLeaders) add(s *shardLeader) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.shards == nil {
+		l.shards = map[string]*shardLeader{}
 	}
-	d.shards[s.tenure.Role] = s
+	l.shards[s.tenure.Role] = s
 }
 
-func (d *ShardLeaders) remove(s *shardLeader) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.shards[s.tenure.Role] == s {
-		delete(d.shards, s.tenure.Role)
+func (l *ShardLeaders) remove(s *shardLeader) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.shards[s.tenure.Role] == s {
+		delete(l.shards, s.tenure.Role)
 	}
 }
 
-// shard returns the leader of a role's shard, nil if it is not led here.
-func (d *ShardLeaders) shard(role string) *shardLeader {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.shards[role]
+// shard returns the leader of a role's shard, or nil if this process does not lead the shard.
+func (l *ShardLeaders) shard(role string) *shardLeader {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.shards[role]
 }
 
 // readLedger returns the committed ledger of a role's shard. It retries until the context ends.
-func (d *ShardLeaders) readLedger(ctx context.Context, role string) (*controlpb.Ledger, error) {
+func (l *ShardLeaders) readLedger(ctx context.Context, role string) (*controlpb.Ledger, error) {
 	for {
-		raw, err := d.RPC.Read(ctx, allocation.MachineName, []byte(role))
+		raw, err := l.RPC.Read(ctx, allocation.MachineName, []byte(role))
 		ledger := &controlpb.Ledger{}
 		if err == nil {
 			err = proto.Unmarshal(raw, ledger)
@@ -153,16 +153,16 @@
 	}
 }
 
-// commitRounds plans and commits rounds until ctx ends. Where the outcome of a round is unknown it
-// resigns: another term starts with what is committed.
-func (d *ShardLeaders) commitRounds(ctx, commitCtx context.Context, s *shardLeader) {
+// commitRounds plans and commits rounds until ctx ends or a round fails. If a round fails, possibly
+// with an unknown outcome, it resigns, so that another term starts with the committed ledger.
+func (l *ShardLeaders) commitRounds(ctx, commitCtx context.Context, s *shardLeader) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		err := d.commit(commitCtx, s, s.leader.Plan)
+		err := l.commit(commitCtx, s, s.leader.Plan)
 		if err != nil {
 			if ctx.Err() == nil {
-				d.Log.Error("allocation: a round is lost; resigning as the leader of the shard",
+				l.Log.Error("allocation: a round failed; resigning as the leader of the shard",
 					"role", s.tenure.Role, "term", s.tenure.Term, "error", err)
 				s.tenure.Resign()
 			}
@@ -177,19 +177,19 @@
 }
 
 // closeTerm commits the last round of a term whose role is to be transferred.
-func (d *ShardLeaders) closeTerm(ctx, commitCtx context.Context, s *shardLeader) {
+func (l *ShardLeaders) closeTerm(ctx, commitCtx context.Context, s *shardLeader) {
 	if ctx.Err() == nil || !s.tenure.Holds() {
 		return
 	}
-	if err := d.commit(commitCtx, s, s.leader.Close); err != nil {
-		d.Log.Info("allocation: the pools are not carried over", "role", s.tenure.Role, "error",
-			err)
+	if err := l.commit(commitCtx, s, s.leader.Close); err != nil {
+		l.Log.Info("allocation: the pools could not be carried over to the next leader",
+			"role", s.tenure.Role, "error", err)
 	}
 }
 
-// commit proposes the round that plan returns, if any, and returns once the outcome is known, or
-// the context ends.
-func (d *ShardLeaders) commit(ctx context.Context, s *shardLeader,
+// commit proposes the round that plan returns. It returns nil if there is none or once the round is
+// committed, and an error if the round was rejected or its outcome is unknown.
+func (l *ShardLeaders) commit(ctx context.Context, s *shardLeader,
 	plan func(time.Duration) *controlpb.Round) error {
 	s.mu.Lock()
 	round := plan(monotonic.Now())
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := d.RPC.Propose(ctx, allocation.MachineName, body)
+	raw, err := l.RPC.Propose(ctx, allocation.MachineName, body)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !result.OK {
-		// There is a later leader, or this one is wrong about what is committed.
+		// There is a later leader, or this leader's state differs from the committed ledger.
 		s.leader.Rejected(monotonic.Now())
 		return fmt.Errorf("%w: %s", errRoundRejected, result.Why)
 	}
@@ -225,9 +225,9 @@
 }
 
 // Renew renews a member's allocations, if this process leads the shard.
-func (d *ShardLeaders) Renew(request *controlpb.RenewRequest) *controlpb.RenewResponse {
+func (l *ShardLeaders) Renew(request *controlpb.RenewRequest) *controlpb.RenewResponse {
 	notLeader := &controlpb.RenewResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonNotLeader}
-	s := d.shard(request.Role)
+	s := l.shard(request.Role)
 	if s == nil {
 		return notLeader
 	}
@@ -242,12 +242,12 @@
 	return response
 }
 
-// GrantOnDemand grants units, if this process leads the shard. It waits up to awaitRoundTimeout for
-// a round that has to be committed first.
-func (d *ShardLeaders) GrantOnDemand(
+// GrantOnDemand grants units, if this process leads the shard. If a round has to be committed
+// first, it waits up to awaitRoundTimeout.
+func (l *ShardLeaders) GrantOnDemand(
 	request *controlpb.OnDemandRequest,
 ) *controlpb.OnDemandResponse {
-	s := d.shard(request.Role)
+	s := l.shard(request.Role)
 	if s == nil {
 		return &controlpb.OnDemandResponse{Code: controlpb.Code_NOT_LEADER, Reason: reasonNotLeader}
 	}
@@ -266,7 +266,8 @@
 	}
 }
 
-// grantOnDemand grants units, or returns a channel that is closed with the next round.
+// grantOnDemand handles a request for units. If the response has AwaitRound set, committed is
+// closed when the next round is committed.
 func (s *shardLeader) grantOnDemand(request *controlpb.OnDemandRequest) (
 	response *controlpb.OnDemandResponse, committed chan struct{},
 ) {
@@ -283,7 +284,7 @@
 	return response, s.committed
 }
 
-// requestPlan has the budgets looked at without waiting for planInterval.
+// requestPlan triggers a plan without waiting for planInterval.
 func (s *shardLeader) requestPlan() {
 	select {
 	case s.planNow <- struct{}{}:
@@ -291,12 +292,12 @@
 	}
 }
 
-// Stats returns what the leaders in this process did, by role.
-func (d *ShardLeaders) Stats() map[string]allocation.LeaderStats {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// Stats returns the counts of the leaders in this process, by role.
+func (l *ShardLeaders) Stats() map[string]allocation.LeaderStats {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	all := map[string]allocation.LeaderStats{}
-	for role, s := range d.shards {
+	for role, s := range l.shards {
 		s.mu.Lock()
 		all[role] = s.leader.Stats()
 		s.mu.Unlock()
--- a/internal/controlplane/allocator/stored_test.go
+++ b/internal/controlplane/allocator/stored_test.go
@@ -7,7 +7,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// The incarnations that ended are read as an earlier build wrote them, and this one is added.
+// OpenIncarnationFile reads the incarnations that an earlier build stored, and adds its own.
 func TestStoredIncarnationsAreRead(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored")
 	file, err := OpenIncarnationFile(dir, 12345)
