--- a/internal/controlplane/metering/metering.go
+++ b/internal/controlplane/metering/metering.go
@@ -1,10 +1,10 @@
-// Package metering counts the units that a gateway forwards, by tenant and period. A kill at any
-// instruction loses at most the one request that was sent and not yet counted.
+// Package metering counts the units that a gateway forwards, by customer and period. If the process
+// is killed at any instruction, at most one request that was sent and not yet counted is lost.
 //
-// The gateway's loop appends to a ring buffer in a memory-mapped file, which takes some tens of
-// nanoseconds and never blocks. Another goroutine reads it and stores sums together with its read
-// position, so that each record is counted in exactly one period. The next process counts what its
-// predecessor left in the ring buffer.
+// The gateway's event loop appends records to a ring buffer in a memory-mapped file, which takes
+// some tens of nanoseconds and never blocks. Another goroutine reads the records and stores sums
+// together with its read position, so that each record is counted in exactly one period. The next
+// process counts the records that its predecessor left in the ring buffer.
 package metering
 
 import (
@@ -25,8 +25,8 @@
 // drainInterval is how often the records of the ring are stored.
 const drainInterval = 50 * time.Millisecond
 
-// Counter meters the use of one process. Only one goroutine may call Count. The other methods are
-// safe for concurrent use.
+// Counter counts the units that one process forwards. Only one goroutine may call Count. The other
+// methods are safe for concurrent use.
 type Counter struct {
 	id           string
 	incarnation  uint64
@@ -36,9 +36,9 @@
 	// dir is the directory of the store.
 	dir  string
 	ring *ring
-	// consumed counts records that were stored and so can be overwritten.
+	// consumed is the number of records that were stored and can therefore be overwritten.
 	consumed atomic.Uint64
-	// lost counts records for which the ring had no room.
+	// lost is the number of records for which the ring had no room.
 	lost atomic.Uint64
 
 	mu      sync.Mutex
@@ -46,12 +46,12 @@
 	current openPeriod
 	// reportedLost is the part of lost that was logged.
 	reportedLost uint64
-	failed       bool
+	failed       bool // the last step could not store records
 }
 
 // Open opens the counts in a directory, which it creates if it does not exist, and closes the
 // period that the last process left open. length is the length of a period. The error wraps
-// store.ErrLocked if another process counts there.
+// store.ErrLocked if another process uses the directory.
 func Open(
 	dir, id string, incarnation uint64, length time.Duration, log *slog.Logger,
 ) (_ *Counter, err error) {
@@ -73,11 +73,11 @@
 			err = errors.Join(err, c.store.Close())
 		}
 	}()
-	var before, added uint64
-	if c.ring, before, added, err = openRing(filepath.Join(dir, "ring")); err != nil {
+	var predecessor, added uint64
+	if c.ring, predecessor, added, err = openRing(filepath.Join(dir, "ring")); err != nil {
 		return nil, err
 	}
-	if err := c.closePredecessor(before, added); err != nil {
+	if err := c.closePredecessor(predecessor, added); err != nil {
 		return nil, err
 	}
 	c.ring.reset(incarnation)
@@ -106,13 +106,13 @@
 		unfinished.Units[customer] += units
 	}
 	if added > unfinished.Consumed {
-		c.log.Info("fleet: use of the process before",
+		c.log.Info("fleet: counted the use that the previous process left in the ring",
 			"boot", fmt.Sprintf("%x", incarnation), "records", added-unfinished.Consumed)
 	}
 	return c.closePeriod(incarnation, &unfinished, true, nil)
 }
 
-// Count adds units that were forwarded for a tenant. It never blocks. Only one goroutine may call
+// Count adds units that were forwarded for a customer. It never blocks. Only one goroutine may call
 // it.
 func (c *Counter) Count(customer uint64, units float64) {
 	if !c.ring.add(customer, units, c.consumed.Load()) {
@@ -122,19 +122,19 @@
 
 // Run stores records and closes periods until the context ends.
 func (c *Counter) Run(ctx context.Context) {
-	tick := time.NewTicker(drainInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(drainInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			c.step(time.Now())
 		}
 	}
 }
 
-// step stores the records of the ring, and closes the period when it is over.
+// step stores the records of the ring, and closes the period if its length has passed.
 func (c *Counter) step(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +143,7 @@
 	}
 	stored, err := c.storeRecords(now)
 	if err != nil {
-		// The ring holds new records for as long as it has room.
+		// New records stay in the ring as long as it has room.
 		if !c.failed {
 			c.log.Error("fleet: use can't be kept", "error", err)
 		}
@@ -152,7 +152,7 @@
 		return
 	}
 	if c.failed {
-		c.log.Info("fleet: use is kept again")
+		c.log.Info("fleet: use can be kept again")
 		c.failed = false
 	}
 	if stored {
@@ -162,7 +162,7 @@
 }
 
 // storeRecords adds the records of the ring to the current period and stores it. It closes the
-// period when it is over. It reports whether anything was stored.
+// period if its length has passed. It reports whether anything was stored.
 func (c *Counter) storeRecords(now time.Time) (stored bool, err error) {
 	drained := c.drainRing()
 	age := now.UnixMicro() - c.current.StartedAt
@@ -207,7 +207,7 @@
 	_ = c.store.Close() // its error is that of the failed batch
 	s, err := store.Open(c.dir, store.Options{})
 	if err != nil {
-		return // the closed store goes on failing, and the next step tries again
+		return // the closed store still fails, and the next step tries again
 	}
 	c.store = s
 	if p, err := c.load(c.incarnation); err == nil && p.Number != 0 {
@@ -215,15 +215,15 @@
 	}
 }
 
-// drainRing adds the records of the ring to the open period. They stay in the ring until the period
-// is stored.
-func (c *Counter) drainRing() (more bool) {
+// drainRing adds the records of the ring to the open period and reports whether there were any. The
+// records stay in the ring until the period is stored.
+func (c *Counter) drainRing() (drained bool) {
 	for added := c.ring.added.Load(); c.current.Consumed < added; c.current.Consumed++ {
 		customer, units := c.ring.record(c.current.Consumed)
 		c.current.Units[customer] += units
-		more = true
+		drained = true
 	}
-	return more
+	return drained
 }
 
 // Close closes the last period and the store. Count must not be called after it.
--- a/internal/controlplane/metering/periods.go
+++ b/internal/controlplane/metering/periods.go
@@ -14,19 +14,19 @@
 	"mothcleat/internal/storage/store"
 )
 
-// openPeriod is the open period.
+// openPeriod is the stored form of the open period.
 type openPeriod struct {
 	Number uint64 `json:"number"`
 	// StartedAt is in microseconds since 1970.
 	StartedAt int64 `json:"begun"`
-	// Consumed counts the records of the ring in this period and those before it.
+	// Consumed is the number of records of the ring in this period and those before it.
 	Consumed uint64 `json:"taken"`
-	// Units are the sums by tenant.
+	// Units are the sums by customer.
 	Units map[uint64]float64 `json:"units"`
 }
 
-// closedPeriod is a closed period, which is stored until it was collected. Times are in
-// microseconds since 1970.
+// closedPeriod is the stored form of a closed period, which is kept until it has been collected.
+// Times are in microseconds since 1970.
 type closedPeriod struct {
 	StartedAt int64              `json:"begun"`
 	EndedAt   int64              `json:"ended"`
@@ -34,8 +34,9 @@
 	Last      bool               `json:"last,omitempty"`
 }
 
-// keyEnded is the key of the incarnation that ended last. Other keys are the open period by
-// incarnation, and closed periods by incarnation and number.
+// keyEnded is the key of the incarnation that ended last. The other keys, which openKey and
+// closedKey return, are of the open period by incarnation, and of closed periods by incarnation and
+// number.
 var keyEnded = []byte("ended")
 
 func openKey(incarnation uint64) []byte {
@@ -106,12 +107,13 @@
 // ErrClosed is returned by a Counter that was closed.
 var ErrClosed = errors.New("metering: closed")
 
-// ClosedPeriods calls give for the closed periods that were not collected yet, in order of
-// incarnation and number, and deletes those that were. had is the last collected period by
-// incarnation. It returns ErrClosed after Close, or the error of give.
+// ClosedPeriods calls collect for the closed periods that have not been collected, in order of
+// incarnation and number, and deletes those that have. collected maps each incarnation to the
+// number of its last collected period. ClosedPeriods returns ErrClosed after Close, or the error of
+// collect.
 func (c *Counter) ClosedPeriods(
-	had map[uint64]uint64,
-	give func(*controlpb.UsagePeriod) error,
+	collected map[uint64]uint64,
+	collect func(*controlpb.UsagePeriod) error,
 ) error {
 	c.mu.Lock()
 	s := c.store
@@ -124,22 +126,22 @@
 		return err
 	}
 	defer view.Close()
-	var done store.Batch
+	var deletions store.Batch
 	for item, err := range view.Range([]byte{'c'}, []byte{'d'}) {
 		if err != nil {
 			return err
 		}
 		incarnation := binary.BigEndian.Uint64(item.Key[1:])
 		number := binary.BigEndian.Uint64(item.Key[9:])
-		if number <= had[incarnation] {
-			done.Delete(item.Key)
+		if number <= collected[incarnation] {
+			deletions.Delete(item.Key)
 			continue
 		}
 		var p closedPeriod
 		if err := json.Unmarshal(item.Value, &p); err != nil {
 			return fmt.Errorf("metering: period %d of incarnation %x: %w", number, incarnation, err)
 		}
-		part := &controlpb.UsagePeriod{
+		period := &controlpb.UsagePeriod{
 			Id:          c.id,
 			Incarnation: incarnation,
 			Period:      number,
@@ -148,15 +150,15 @@
 			Last:        p.Last,
 		}
 		for _, customer := range slices.Sorted(maps.Keys(p.Units)) {
-			part.Units = append(part.Units,
+			period.Units = append(period.Units,
 				&controlpb.Units{Customer: customer, Units: p.Units[customer]})
 		}
-		if err := give(part); err != nil {
+		if err := collect(period); err != nil {
 			return err
 		}
 	}
-	if done.Len() > 0 {
-		return s.Commit(&done, store.Buffered)
+	if deletions.Len() > 0 {
+		return s.Commit(&deletions, store.Buffered)
 	}
 	return nil
 }
--- a/internal/controlplane/metering/ring.go
+++ b/internal/controlplane/metering/ring.go
@@ -13,8 +13,9 @@
 // them. Records survive a kill of the process at any instruction, because the pages belong to the
 // operating system. A power failure may lose them.
 //
-// The file has 8 bytes of magic, the incarnation that adds, the number of records ever added, and
-// then the records, each a tenant and the bits of a float64, all in the byte order of the machine.
+// The file consists of an 8-byte magic number, the incarnation that adds records, the number of
+// records that it has added, padding up to ringHeaderBytes, and the records. Each record is a
+// customer and the bits of a float64. All numbers are in the byte order of the machine.
 type ring struct {
 	memory      []byte
 	added       *atomic.Uint64
@@ -30,9 +31,9 @@
 	recordBytes     = 16
 )
 
-// openRing maps the file of a ring and creates it if it does not exist. before and added are the
-// incarnation that used it last and the number of records that it has added.
-func openRing(path string) (r *ring, before uint64, added uint64, err error) {
+// openRing maps the file of a ring and creates it if it does not exist. predecessor and added are
+// the incarnation that used the ring last and the number of records that it has added.
+func openRing(path string) (r *ring, predecessor uint64, added uint64, err error) {
 	memory, created, err := mmapfile.Open(path, ringHeaderBytes+ringRecords*recordBytes)
 	if err != nil {
 		return nil, 0, 0, err
@@ -41,21 +42,21 @@
 	r.incarnation = (*uint64)(unsafe.Pointer(&memory[8]))
 	r.added = (*atomic.Uint64)(unsafe.Pointer(&memory[16]))
 	if !created && binary.NativeEndian.Uint64(memory) == ringMagic {
-		before, added = *r.incarnation, r.added.Load()
+		predecessor, added = *r.incarnation, r.added.Load()
 	}
-	return r, before, added, nil
+	return r, predecessor, added, nil
 }
 
 // reset empties the ring for a new incarnation.
 func (r *ring) reset(incarnation uint64) {
-	binary.NativeEndian.PutUint64(r.memory, 0) // a ring whose reset was interrupted is empty
+	binary.NativeEndian.PutUint64(r.memory, 0) // an interrupted reset leaves an empty ring
 	r.added.Store(0)
 	*r.incarnation = incarnation
 	binary.NativeEndian.PutUint64(r.memory, ringMagic)
 }
 
-// add adds a record. consumed is the number of records that were stored. It returns false if there
-// is no room.
+// add adds a record. consumed is the number of records that may be overwritten. It returns false if
+// there is no room.
 func (r *ring) add(customer uint64, units float64, consumed uint64) bool {
 	n := r.added.Load()
 	if n-consumed >= r.size {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// record returns the record with a number, which must be in the ring.
+// record returns the record number n, which must be in the ring.
 func (r *ring) record(n uint64) (customer uint64, units float64) {
 	at := r.memory[ringHeaderBytes+n%r.size*recordBytes:]
 	return binary.NativeEndian.Uint64(at), math.Float64frombits(binary.NativeEndian.Uint64(at[8:]))
--- a/internal/controlplane/metering/stored_test.go
+++ b/internal/controlplane/metering/stored_test.go
@@ -14,8 +14,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// Counts that an earlier build's killed process left are read as it wrote them, those in its ring
-// included.
+// Open reads the counts that a killed process of an earlier build left, including those in its
+// ring.
 func TestStoredCountsAreRead(t *testing.T) {
 	counter, err := Open(fixture.Copy(t, "testdata/stored"), "n2", 12345, time.Second,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -24,11 +24,11 @@
 	}
 	defer counter.Close()
 	var text strings.Builder
-	err = counter.ClosedPeriods(nil, func(part *controlpb.UsagePeriod) error {
-		if part.Last {
-			part.EndedAt = 0 // the killed process's last period is closed by this one, now
+	err = counter.ClosedPeriods(nil, func(period *controlpb.UsagePeriod) error {
+		if period.Last {
+			period.EndedAt = 0 // Open has just closed the killed process's last period
 		}
-		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(part)
+		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(period)
 		text.WriteString(hex.EncodeToString(raw) + "\n")
 		return err
 	})
