--- a/internal/controlplane/allocation/division.go
+++ b/internal/controlplane/allocation/division.go
@@ -108,8 +108,8 @@
 // divide divides the budget among the active members by their claims.
 func (d *division) divide(active []lease.Member, claims []Claim) {
 	l, b := d.leader, d.budget
-	// A reserved minimum stays allocated until its member returns it or its TTL has passed, also if
-	// the member has exited. A new member beyond maxMembers waits for it.
+	// A reserved minimum stays allocated until its member returns it or its TTL has passed, even if
+	// the member has exited without notice. A new member beyond maxMembers waits for it.
 	for _, member := range d.members {
 		d.reserved = d.reserved.plus(b.holdings[member].committed.ReservedMin)
 	}
--- a/internal/controlplane/allocation/holder.go
+++ b/internal/controlplane/allocation/holder.go
@@ -10,9 +10,9 @@
 )
 
 // Holder has one process's allocations and the units stored in them. Times are by the process's own
-// clock, which must go on while the process is suspended. A process can be suspended between any
-// two instructions: the caller must call Available immediately before it takes units, and must use
-// them by UseBy.
+// clock, which must keep running while the process is suspended. A process can be suspended between
+// any two instructions: the caller must call Available immediately before it takes units, and must
+// use them by UseBy.
 type Holder struct {
 	config    Config
 	member    lease.Member
--- a/internal/controlplane/allocation/leader.go
+++ b/internal/controlplane/allocation/leader.go
@@ -8,9 +8,9 @@
 )
 
 // Leader divides the budgets of one shard under one term. Times are by its process's own clock,
-// which must go on while the process is suspended. The caller must check that it still holds the
-// role before it sends any response of Renew or GrantOnDemand. It must end every round that Plan
-// returns with Committed or Rejected, or replace the Leader.
+// which must keep running while the process is suspended. The caller must check that it still holds
+// the role before it sends any response of Renew or GrantOnDemand. It must end every round that
+// Plan returns with Committed or Rejected, or replace the Leader.
 type Leader struct {
 	config     Config
 	role       string
--- a/internal/controlplane/lease/claimant.go
+++ b/internal/controlplane/lease/claimant.go
@@ -4,7 +4,7 @@
 
 // Claimant is one member's side of the lease of one role. It determines whether the member may act,
 // and when to request the lease or its renewal. Its times are by the member's own clock, which must
-// go on while the process is suspended.
+// keep running while the process is suspended.
 type Claimant struct {
 	config Config
 	role   string
