--- a/internal/dataplane/gateway/accept.go
+++ b/internal/dataplane/gateway/accept.go
@@ -193,7 +193,7 @@
 func (g *Gateway) startClient(c *client) bool {
 	g.clients.conns[c] = true
 	if g.handover.passingConns() {
-		c.reading.parted = true // nothing was read from it
+		c.reading.detached = true // nothing was read from it
 		g.passToSuccessor(c)
 		return false
 	}
@@ -223,7 +223,7 @@
 		if inUse || now-c.lastActivity() < minIdle[c.activityRank()] {
 			continue
 		}
-		if candidate == nil || c.mattersLessThan(candidate) {
+		if candidate == nil || c.evictedBefore(candidate) {
 			candidate = c
 		}
 	}
@@ -234,8 +234,8 @@
 	return true
 }
 
-// mattersLessThan orders connections for eviction.
-func (c *client) mattersLessThan(other *client) bool {
+// evictedBefore orders connections for eviction.
+func (c *client) evictedBefore(other *client) bool {
 	if c.activityRank() != other.activityRank() {
 		return c.activityRank() < other.activityRank()
 	}
--- a/internal/dataplane/gateway/admin.go
+++ b/internal/dataplane/gateway/admin.go
@@ -15,15 +15,15 @@
 	if g.cfg.Management == "" {
 		return nil
 	}
-	if g.admin, err = admin.Listen(g.cfg.Management, g.callLoop, g.log); err != nil {
+	if g.admin, err = admin.Listen(g.cfg.Management, g.handleAdminCall, g.log); err != nil {
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
 }
 
-// callLoop has the event loop answer an operator's call, ahead of all queued events. It may be
-// called from any goroutine.
-func (g *Gateway) callLoop(ctx context.Context, name, argument string) string {
+// handleAdminCall has the event loop answer an operator's call ahead of all queued events. It may
+// be called from any goroutine.
+func (g *Gateway) handleAdminCall(ctx context.Context, name, argument string) string {
 	if name == "fleet" && g.cfg.Fleet != nil {
 		return g.cfg.Fleet.Call(ctx, argument) // the event loop has no part in it
 	}
--- a/internal/dataplane/gateway/allocations.go
+++ b/internal/dataplane/gateway/allocations.go
@@ -86,7 +86,7 @@
 // answerExpired answers a request whose deadline or version lease is over.
 func (g *Gateway) answerExpired(r *request) {
 	switch {
-	case r.sentOn:
+	case r.sent:
 		g.answer(r, failedReply) // it may have been executed
 	case g.pastDeadline(r):
 		g.answer(r, g.retryLaterReply(overloadRetryAfter))
@@ -98,7 +98,7 @@
 // allocationExpired reports whether the allocation expired that admitted a request, before its
 // first attempt was written.
 func (g *Gateway) allocationExpired(r *request) bool {
-	if r.sentOn || r.allocationUntil == 0 {
+	if r.sent || r.allocationUntil == 0 {
 		return false
 	}
 	return g.cfg.Allocations.Expired(r.allocationUntil)
--- a/internal/dataplane/gateway/authorization.go
+++ b/internal/dataplane/gateway/authorization.go
@@ -44,18 +44,19 @@
 
 // authorize has the authenticator decide whether a request may go on. Until then the balancer does
 // not know of it, so a denied request takes no units.
-func (g *Gateway) authorize(r *request, what policy.Request) {
-	r.awaitingAuth = &what
+func (g *Gateway) authorize(r *request, policyReq policy.Request) {
+	r.awaitingAuth = &policyReq
 	question := &forwardauth.Question{
 		Credential:    r.client.credential,
 		Customer:      string(r.args[1]),
-		Plan:          g.cfg.Host.Plans[what.Plan],
-		Class:         g.cfg.Host.Classes[what.Class],
-		Units:         what.Units,
+		Plan:          g.cfg.Host.Plans[policyReq.Plan],
+		Class:         g.cfg.Host.Classes[policyReq.Class],
+		Units:         policyReq.Units,
 		Write:         bytes.EqualFold(r.args[0], writeCommand),
 		ClientAddress: r.client.conn.RemoteAddr().String(),
 	}
-	verdict, retryAfter := g.auth.Request(r.id, question, what.Class, what.Plan, what.Timeout)
+	verdict, retryAfter := g.auth.Request(
+		r.id, question, policyReq.Class, policyReq.Plan, policyReq.Timeout)
 	if verdict != authz.Pending {
 		g.authorized(r.id, verdict, retryAfter)
 	}
@@ -67,17 +68,17 @@
 	if r == nil || r.awaitingAuth == nil {
 		return
 	}
-	what := *r.awaitingAuth
+	policyReq := *r.awaitingAuth
 	r.awaitingAuth = nil
 	switch {
 	case verdict == authz.Deny:
 		g.answer(r, deniedReply)
 	case verdict == authz.Allow && g.lifecycle.AdmitsRequests(g.now()):
 		now := g.now()
-		what.Timeout = max(0, r.deadline-now)
+		policyReq.Timeout = max(0, r.deadline-now)
 		if g.acquireVersionLease(r) {
-			g.applyAssignedPlan(&what)
-			g.balancer.Request(now, what)
+			g.applyAssignedPlan(&policyReq)
+			g.balancer.Request(now, policyReq)
 		}
 	case verdict == authz.RetryLater:
 		g.answer(r, g.retryLaterReply(retryAfter))
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -308,7 +308,7 @@
 func TestVerdictRacesWithRequestEnd(t *testing.T) {
 	s, calls := newAuthenticator(t)
 	for name, end := range map[string]func(g *Gateway, r *request){
-		"leave":    func(g *Gateway, r *request) { clientLeft{r.client}.handle(g) },
+		"leave":    func(g *Gateway, r *request) { clientDisconnected{r.client}.handle(g) },
 		"deadline": func(g *Gateway, r *request) { deadlineBackstop{r}.due(g) },
 		"drain":    func(g *Gateway, _ *request) { g.failAll() },
 		"handed": func(g *Gateway, _ *request) {
--- a/internal/dataplane/gateway/backend_dial.go
+++ b/internal/dataplane/gateway/backend_dial.go
@@ -15,8 +15,8 @@
 	if len(b.waiting) == 0 {
 		return
 	}
-	resting := b.resting(g)
-	for b.dialing+resting < len(b.waiting) {
+	coolingDown := b.coolingDown(g)
+	for b.dialing+coolingDown < len(b.waiting) {
 		if p.open >= p.maxConns && !p.evict() {
 			// A lack of descriptors is no fault of the backend: nothing was sent, and
 			// nothing is learnt of it.
@@ -104,7 +104,7 @@
 		p.dialForWaiting(g, b) // the backend has moved or restarted since
 		return
 	}
-	if len(b.waiting) == 0 || len(b.waiting) <= b.dialing+b.resting(g) {
+	if len(b.waiting) == 0 || len(b.waiting) <= b.dialing+b.coolingDown(g) {
 		return
 	}
 	a := b.waiting[0]
--- a/internal/dataplane/gateway/backend_pool.go
+++ b/internal/dataplane/gateway/backend_pool.go
@@ -51,9 +51,9 @@
 	attempt *attempt // nil: none is in flight
 	closed  bool
 
-	idleSince     policy.Time
-	restsUntil    policy.Time // not used before: more may follow its last answer
-	wakeScheduled bool        // connRested is scheduled
+	idleSince            policy.Time
+	cooldownUntil        policy.Time // not used before: more may follow its last answer
+	cooldownEndScheduled bool        // cooldownEnded is scheduled
 
 	bytesRead     atomic.Int64
 	bytesConsumed int64 // of bytesRead, those that belong to answers already handled
@@ -70,35 +70,36 @@
 	return n, err
 }
 
-// clean reports whether nothing unexpected has come. What is unread when a request is written,
-// such as a repetition of the last answer, would be taken for the request's answer.
-func (c *backendConn) clean() bool {
+// noUnexpectedInput reports whether the connection holds no bytes beyond the answers already
+// handled. Unread bytes, such as a duplicate of the last answer, would be taken for the answer to
+// the next request.
+func (c *backendConn) noUnexpectedInput() bool {
 	return c.bytesRead.Load() == c.bytesConsumed && c.out.nothingToRead()
 }
 
 // backendPool holds the backends and the connections to them. It belongs to the event loop.
 type backendPool struct {
-	byNumber     map[uint32]*backend
-	byID         map[string]*backend
-	idleTrust    idleTrust
-	maxConns     int // connections and dials together
-	open         int // of those
-	restDuration policy.Time
-	dial         net.Dialer
+	byNumber    map[uint32]*backend
+	byID        map[string]*backend
+	idleLimiter idleLimiter
+	maxConns    int // connections and dials together
+	open        int // of those
+	cooldown    policy.Time
+	dial        net.Dialer
 }
 
-// restAfterAnswer is how long a connection is left alone after an answer. Some backends repeat an
+// connCooldown is how long a connection is left alone after an answer. Some backends repeat an
 // answer some milliseconds late; if a request were written meanwhile, the repetition would be taken
 // for its answer, as nothing in a value says what it answers.
-const restAfterAnswer policy.Time = 6_000
+const connCooldown policy.Time = 6_000
 
-func newBackends(cfg *Config, maxConns int) *backendPool {
+func newBackendPool(cfg *Config, maxConns int) *backendPool {
 	return &backendPool{
-		byNumber:     map[uint32]*backend{},
-		byID:         map[string]*backend{},
-		maxConns:     maxConns,
-		idleTrust:    idleTrust{maxIdle: cfg.Host.BackendIdleTimeout / 2},
-		restDuration: restAfterAnswer,
+		byNumber:    map[uint32]*backend{},
+		byID:        map[string]*backend{},
+		maxConns:    maxConns,
+		idleLimiter: idleLimiter{maxIdle: cfg.Host.BackendIdleTimeout / 2},
+		cooldown:    connCooldown,
 		dial: net.Dialer{
 			Timeout:   time.Duration(cfg.Host.DialTimeout) * time.Microsecond,
 			KeepAlive: -1,
@@ -106,10 +107,10 @@
 	}
 }
 
-// find returns the backend with an id, and adds it if there is none. Its number is the hexadecimal
-// end of the id, else a hash of it: the same at every gateway, as peers' messages name backends by
-// it.
-func (p *backendPool) find(id string) *backend {
+// findOrAdd returns the backend with the given id and adds it if it is missing. The backend's
+// number is the hexadecimal suffix of the id, or else a hash of the id. Every gateway derives the
+// same number, because messages between peers identify backends by it.
+func (p *backendPool) findOrAdd(id string) *backend {
 	if b := p.byID[id]; b != nil {
 		return b
 	}
@@ -139,21 +140,21 @@
 		g.finishAttempt(a, policy.Superseded, nil)
 		return
 	}
-	p.place(g, b, a)
+	p.assignConn(g, b, a)
 }
 
-// place writes an attempt to the idle connection that was used last, of those that have rested, or
-// has a connection dialed for it.
-func (p *backendPool) place(g *Gateway, b *backend, a *attempt) {
+// assignConn writes an attempt to the most recently used idle connection whose cooldown has ended.
+// If there is none, the attempt waits and a connection is dialed for it.
+func (p *backendPool) assignConn(g *Gateway, b *backend, a *attempt) {
 	now := g.now()
-	oldestTrusted := now - p.idleTrust.limit(now)
+	oldestUsable := now - p.idleLimiter.limit(now)
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if c.idleSince < oldestTrusted {
+		if c.idleSince < oldestUsable {
 			p.close(c)
 			continue
 		}
-		if now < c.restsUntil {
+		if now < c.cooldownUntil {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
@@ -165,34 +166,35 @@
 	p.dialForWaiting(g, b)
 }
 
-// resting counts the connections that are about to become usable, and has each given to a waiting
-// attempt then.
-func (b *backend) resting(g *Gateway) int {
+// coolingDown returns the number of idle connections in their cooldown, and schedules the
+// assignment of each to a waiting attempt at the end of its cooldown.
+func (b *backend) coolingDown(g *Gateway) int {
 	n := 0
 	for _, c := range b.idle {
-		if g.now() < c.restsUntil {
-			c.scheduleWake(g)
+		if g.now() < c.cooldownUntil {
+			c.scheduleCooldownEnd(g)
 			n++
 		}
 	}
 	return n
 }
 
-// scheduleWake has a resting connection looked at when it has rested, whatever has become of it.
-func (c *backendConn) scheduleWake(g *Gateway) {
-	if !c.wakeScheduled {
-		c.wakeScheduled = true
-		g.schedule(c.restsUntil, connRested{c})
+// scheduleCooldownEnd schedules cooldownEnded, which fires even if the connection has been used or
+// closed by then.
+func (c *backendConn) scheduleCooldownEnd(g *Gateway) {
+	if !c.cooldownEndScheduled {
+		c.cooldownEndScheduled = true
+		g.schedule(c.cooldownUntil, cooldownEnded{c})
 	}
 }
 
-// connRested tells that a connection has rested.
-type connRested struct{ conn *backendConn }
+// cooldownEnded tells that a connection has rested.
+type cooldownEnded struct{ conn *backendConn }
 
-func (e connRested) due(g *Gateway) {
+func (e cooldownEnded) due(g *Gateway) {
 	c := e.conn
 	b := c.backend
-	c.wakeScheduled = false
+	c.cooldownEndScheduled = false
 	if i := slices.Index(b.idle, c); i >= 0 && len(b.waiting) > 0 {
 		b.idle = slices.Delete(b.idle, i, i+1)
 		g.backends.release(g, c)
@@ -211,10 +213,10 @@
 		p.dialForWaiting(g, b)
 		return
 	}
-	if g.now() < c.restsUntil && len(b.waiting) > 0 {
-		c.scheduleWake(g)
+	if g.now() < c.cooldownUntil && len(b.waiting) > 0 {
+		c.scheduleCooldownEnd(g)
 	}
-	for len(b.waiting) > 0 && g.now() >= c.restsUntil {
+	for len(b.waiting) > 0 && g.now() >= c.cooldownUntil {
 		a := b.waiting[0]
 		b.waiting = b.waiting[1:]
 		if p.write(g, c, a) {
@@ -239,7 +241,7 @@
 		p.close(c)
 		return true
 	}
-	if !c.clean() {
+	if !c.noUnexpectedInput() {
 		p.close(c)
 		return false
 	}
@@ -306,12 +308,12 @@
 // countSend counts an attempt that was written, and the request's units with its first one.
 func (g *Gateway) countSend(r *request) {
 	if g.cfg.Operations != nil {
-		g.cfg.Operations.Sent(!r.sentOn, r.units)
+		g.cfg.Operations.Sent(!r.sent, r.units)
 	}
-	if r.sentOn {
+	if r.sent {
 		return
 	}
-	r.sentOn = true
+	r.sent = true
 	if g.cfg.Fleet != nil {
 		g.cfg.Fleet.Count(r.customer, r.units)
 	}
@@ -345,7 +347,7 @@
 		c.lastSeenOpen = now
 		return false
 	}
-	g.enqueue(clientLeft{c})
+	g.enqueue(clientDisconnected{c})
 	g.finishAttempt(a, policy.Superseded, nil)
 	return true
 }
--- a/internal/dataplane/gateway/backend_reply.go
+++ b/internal/dataplane/gateway/backend_reply.go
@@ -66,7 +66,7 @@
 	}
 	reused := c.bytesConsumed > 0 // it carried an answer before this one
 	c.bytesConsumed = e.bytesConsumed
-	c.restsUntil = g.now() + g.backends.restDuration
+	c.cooldownUntil = g.now() + g.backends.cooldown
 	if a == nil || e.err != nil && !e.malformed {
 		g.backends.connEnded(g, c, reused)
 		return
@@ -99,7 +99,7 @@
 		// Where a reused connection proved dead, those of the same backend that have been
 		// idle for longer are most likely dead as well.
 		if reused && g.now()-a.writtenAt < deadConnDetectionTime {
-			p.idleTrust.connBroken(g.now(), a.connIdle)
+			p.idleLimiter.connBroken(g.now(), a.connIdle)
 		}
 		b := c.backend
 		for reused && len(b.idle) > 0 && b.idle[0].idleSince <= c.idleSince {
--- a/internal/dataplane/gateway/client.go
+++ b/internal/dataplane/gateway/client.go
@@ -204,7 +204,7 @@
 	if n > 0 {
 		c.pipeline = slices.Delete(c.pipeline, 0, n)
 		if len(out) > 0 && !c.closed && !c.out.send(out, maxUnreadBytes) {
-			g.enqueue(clientLeft{c})
+			g.enqueue(clientDisconnected{c})
 		}
 	}
 	if len(c.pipeline) > 0 && c.pipeline[0].streamed != nil {
--- a/internal/dataplane/gateway/client_close.go
+++ b/internal/dataplane/gateway/client_close.go
@@ -25,18 +25,18 @@
 // haltThenFinish closes a connection without open requests as soon as its reader is between two
 // commands: what the reader has already received is answered first.
 func (c *client) haltThenFinish(g *Gateway) {
-	if c.ignoreInput.Load() || c.reading.parted { // nothing is read from it any more
+	if c.ignoreInput.Load() || c.reading.detached { // nothing is read from it any more
 		c.finish(g)
 		return
 	}
 	c.reading.requestHalt(c.conn)
 }
 
-// readingHalted tells that a reader has posted all that it has read, and reads no more until it is
+// readerHalted tells that a reader has posted all that it has read, and reads no more until it is
 // resumed.
-type readingHalted struct{ client *client }
+type readerHalted struct{ client *client }
 
-func (e readingHalted) handle(g *Gateway) {
+func (e readerHalted) handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
@@ -78,12 +78,12 @@
 }
 
 // drop closes a connection at once.
-func (c *client) drop(g *Gateway) { clientLeft{c}.handle(g) }
+func (c *client) drop(g *Gateway) { clientDisconnected{c}.handle(g) }
 
-// clientLeft tells that a connection has ended, and with it the wait for all answers on it.
-type clientLeft struct{ client *client }
+// clientDisconnected tells that a connection has ended, and with it the wait for all answers on it.
+type clientDisconnected struct{ client *client }
 
-func (e clientLeft) handle(g *Gateway) {
+func (e clientDisconnected) handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
--- a/internal/dataplane/gateway/client_reader.go
+++ b/internal/dataplane/gateway/client_reader.go
@@ -35,17 +35,17 @@
 // requests are open. A client that sends nothing, or does not finish a command, is cut off.
 func (c *client) readCommands(g *Gateway) {
 	in := resp.NewReader(&activityReader{c.commandSource(), c, g.clock})
-	spoken := c.commands > 0 // it came from the predecessor
-	if !spoken {
+	validCommandRead := c.commands > 0 // it came from the predecessor
+	if !validCommandRead {
 		c.reading.setFirstDeadline(c.conn, time.Now().Add(firstCommandTimeout))
 	}
 	for {
-		next := c.readNext(g, in, &spoken)
+		next := c.readNext(g, in, &validCommandRead)
 		if next == readEnded {
 			return
 		}
 		if next == readDisconnected {
-			g.post(clientLeft{c})
+			g.post(clientDisconnected{c})
 			return
 		}
 	}
@@ -55,14 +55,14 @@
 type readResult int
 
 const (
-	readOn           readResult = iota
+	readContinue     readResult = iota
 	readEnded                   // the event loop closes the connection or passes it on
 	readDisconnected            // the client has closed the connection, or is cut off
 )
 
 // readNext waits for a command, reads it and posts it. spoken tells whether a valid command has
 // been read.
-func (c *client) readNext(g *Gateway, in *resp.Reader, spoken *bool) readResult {
+func (c *client) readNext(g *Gateway, in *resp.Reader, validCommandRead *bool) readResult {
 	e := commandRead{client: c}
 	pipelined := in.Buffered() > 0
 	err := in.Await()
@@ -70,14 +70,14 @@
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return readDisconnected
 		}
-		g.post(readingParted{c, in.Unread()})
+		g.post(readerDetached{c, in.Unread()})
 		return c.awaitHangUp()
 	}
 	if c.reading.haltedBy(err) {
-		g.post(readingHalted{c})
+		g.post(readerHalted{c})
 		select {
 		case <-c.resumeReading:
-			return readOn
+			return readContinue
 		case <-c.done:
 			return readEnded
 		}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return readDisconnected
 	}
-	if *spoken {
+	if *validCommandRead {
 		_ = c.conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	}
 	c.midCommand.Store(true)
@@ -95,9 +95,9 @@
 		return readDisconnected
 	}
 	if !e.invalid {
-		*spoken = true
+		*validCommandRead = true
 	}
-	c.reading.endCommand(c.conn, *spoken)
+	c.reading.endCommand(c.conn, *validCommandRead)
 	return c.postCommand(g, e, pipelined)
 }
 
@@ -117,7 +117,7 @@
 	if e.framingLost || c.ignoreInput.Load() {
 		return c.awaitHangUp() // the event loop closes it after its last answer
 	}
-	return readOn
+	return readContinue
 }
 
 // waitForSlot waits for a place in the pipeline. It reports whether the client is still connected
--- a/internal/dataplane/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -87,9 +87,9 @@
 
 // The times where the settings state none.
 const (
-	defaultDialTimeout    policy.Time = 250_000
-	defaultIdleClose      policy.Time = 10_000_000
-	defaultCounterTimeout policy.Time = 50_000
+	defaultDialTimeout        policy.Time = 250_000
+	defaultBackendIdleTimeout policy.Time = 10_000_000
+	defaultCounterTimeout     policy.Time = 50_000
 )
 
 // ParseConfig reads a configuration. Its error names the part that is missing or wrong.
@@ -200,7 +200,7 @@
 		h.DialTimeout = defaultDialTimeout
 	}
 	if h.BackendIdleTimeout <= 0 {
-		h.BackendIdleTimeout = defaultIdleClose
+		h.BackendIdleTimeout = defaultBackendIdleTimeout
 	}
 	if h.CounterTimeout <= 0 {
 		h.CounterTimeout = defaultCounterTimeout
--- a/internal/dataplane/gateway/connpasser.go
+++ b/internal/dataplane/gateway/connpasser.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			p.writeFailed(err)
 		} else if !p.successor.SendsReceipts() {
-			p.received()
+			p.closeOldestUnreceived()
 		}
 	}
 }
@@ -95,8 +95,8 @@
 	return true
 }
 
-// received closes this process's side of the oldest connection that is kept.
-func (p *connPasser) received() {
+// closeOldestUnreceived closes this process's side of the oldest connection that is kept.
+func (p *connPasser) closeOldestUnreceived() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.unreceived) == 0 {
@@ -115,7 +115,7 @@
 			p.end(err)
 			return
 		}
-		p.received()
+		p.closeOldestUnreceived()
 	}
 }
 
@@ -141,10 +141,10 @@
 	unreceived := p.unreceived
 	p.unreceived = nil
 	p.mu.Unlock()
-	died := errors.Is(err, hotrestart.ErrSuccessorDied)
-	p.gateway.postUrgent(passingEnded{p, died, err})
+	successorExited := errors.Is(err, hotrestart.ErrSuccessorDied)
+	p.gateway.postUrgent(passingEnded{p, successorExited, err})
 	for _, c := range unreceived {
-		if died || errors.Is(err, hotrestart.ErrSuccessorLeft) {
+		if successorExited || errors.Is(err, hotrestart.ErrSuccessorLeft) {
 			p.gateway.returnConn(c)
 		} else {
 			_ = c.Conn.Close() // the successor may have it
@@ -161,19 +161,19 @@
 // connReturned is a client's connection that no successor has received.
 type connReturned struct{ from hotrestart.ClientConn }
 
-func (e connReturned) handle(g *Gateway) { g.readAgain(e.from) }
+func (e connReturned) handle(g *Gateway) { g.restartReader(e.from) }
 
-// readAgain reads from a connection whose reader has ended. Its place is taken already.
-func (g *Gateway) readAgain(from hotrestart.ClientConn) {
+// restartReader reads from a connection whose reader has ended. Its place is taken already.
+func (g *Gateway) restartReader(from hotrestart.ClientConn) {
 	_ = from.Conn.SetReadDeadline(time.Time{})
 	g.startClient(clientFrom(&from, g.now()))
 }
 
 // passingEnded tells that the successor takes no more connections, and whether it has died.
 type passingEnded struct {
-	passer *connPasser
-	died   bool
-	err    error
+	passer          *connPasser
+	successorExited bool
+	err             error
 }
 
 func (e passingEnded) handle(g *Gateway) {
@@ -184,11 +184,11 @@
 	close(h.passer.queue)
 	h.passer = nil
 	h.successor = nil
-	h.servesConns = true
-	if e.died {
+	h.keepsDetached = true
+	if e.successorExited {
 		g.log.Error("handover: the successor has died; this process serves again",
 			"open", g.requests.open, "connections", len(g.clients.conns))
-		g.takeBack()
+		g.resumeAfterSuccessorExit()
 	} else {
 		g.log.Warn("handover: the successor takes no more connections", "error", e.err)
 	}
@@ -198,9 +198,9 @@
 	}
 }
 
-// takeBack serves again after the successor has died. What the successor has consumed is not known:
-// the buckets start empty.
-func (g *Gateway) takeBack() {
+// resumeAfterSuccessorExit resumes service after the successor has exited. The buckets start empty,
+// because the units that the successor has consumed are unknown.
+func (g *Gateway) resumeAfterSuccessorExit() {
 	g.lifecycle.TakeBack()
 	g.balancer.ForgetUnits(g.now())
 	g.resumeAccepting()
--- a/internal/dataplane/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -42,7 +42,7 @@
 	deadline time.Time
 }
 
-func newCounter(cfg *Config) *counterClient {
+func newCounterClient(cfg *Config) *counterClient {
 	c := &counterClient{
 		url:     counterURL(cfg.Counter),
 		timeout: time.Duration(cfg.Host.CounterTimeout) * time.Microsecond,
--- a/internal/dataplane/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -49,7 +49,7 @@
 				got <- r.Method + " " + r.URL.String()
 				c.serve(w, r)
 			}))
-			counter := newCounter(&Config{Counter: strings.TrimPrefix(s.URL, "http://")})
+			counter := newCounterClient(&Config{Counter: strings.TrimPrefix(s.URL, "http://")})
 			call := counterCall{
 				url:      counter.url,
 				name:     0xab,
@@ -77,7 +77,7 @@
 	}
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
-	counter := newCounter(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
+	counter := newCounterClient(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
 	_, result := counter.call(
 		context.Background(),
 		counterCall{url: counter.url, deadline: time.Now().Add(patience)},
--- a/internal/dataplane/gateway/endpoints.go
+++ b/internal/dataplane/gateway/endpoints.go
@@ -99,7 +99,7 @@
 
 // updateEndpoint applies one member of a list.
 func (p *backendPool) updateEndpoint(g *Gateway, m *member) policy.Endpoint {
-	b := p.find(m.ID)
+	b := p.findOrAdd(m.ID)
 	b.state = endpointState(m)
 	if b.address != m.HostPort || b.upSince != m.UpSince {
 		// It has moved or restarted: its idle connections lead nowhere.
--- a/internal/dataplane/gateway/event_loop.go
+++ b/internal/dataplane/gateway/event_loop.go
@@ -105,14 +105,14 @@
 			l.handle(e)
 		case <-l.timer.C:
 			l.armedFor = 0
-			l.gateway.recordTurn()
+			l.gateway.recordIteration()
 		}
 	}
 }
 
 // handle handles an event and what follows from it.
 func (l *eventLoop) handle(e event) {
-	l.gateway.recordTurn()
+	l.gateway.recordIteration()
 	e.handle(l.gateway)
 	l.runQueued()
 	l.gateway.storeSnapshotIfDue()
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -37,7 +37,7 @@
 
 	lifecycle      *lifecycle.Process
 	shutdown       shutdown
-	handover       handovers
+	handover       handoverLinks
 	suspend        suspendDetector // has a method for any goroutine
 	serviceStarted bool            // see beginService
 	backlogSince   policy.Time     // since when connections may wait in the listener's backlog
@@ -95,7 +95,7 @@
 		cfg:       cfg,
 		log:       log,
 		requests:  newRequestTable(),
-		counter:   newCounter(&cfg),
+		counter:   newCounterClient(&cfg),
 		snapshots: newSnapshotter(cfg.Restart),
 		lifecycle: lifecycle.New(lifecycle.SettingsFor(longestTimeout(&cfg.Host))),
 		metrics:   metrics.New(cfg.Host.Classes),
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	served, accepted := connectionLimits(cfg.Sockets)
-	g.backends = newBackends(&cfg, served)
+	g.backends = newBackendPool(&cfg, served)
 	g.clients = newClients(served, accepted)
 	if err := g.prepareBalancer(); err != nil {
 		return nil, err
@@ -155,9 +155,9 @@
 // peers' socket comes from the predecessor where there is one.
 func (g *Gateway) openSockets() (err error) {
 	if g.handover.predecessor == nil {
-		g.peers, err = newPeers(&g.cfg, g.log)
+		g.peers, err = newPeerLink(&g.cfg, g.log)
 	} else {
-		g.peers = newUnboundPeers(&g.cfg, g.log)
+		g.peers = newUnboundPeerLink(&g.cfg, g.log)
 	}
 	if err != nil {
 		return err
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -10,14 +10,15 @@
 	"mothcleat/internal/dataplane/snapshot"
 )
 
-// handovers are the processes before and after this one. It belongs to the event loop.
-type handovers struct {
+// handoverLinks are the processes before and after this one. It belongs to the event loop.
+type handoverLinks struct {
 	predecessor *hotrestart.Predecessor // nil: none served when this process started
 	listener    *hotrestart.Listener    // where a successor asks; nil: nowhere
 	successor   *hotrestart.Successor   // takes over or is about to; nil: none
 	passer      *connPasser             // nil: no connections are passed
-	// servesConns: the successor takes no more connections; those that have parted are read again.
-	servesConns bool
+	// keepsDetached: the successor accepts no more connections, and detached connections are read
+	// here again.
+	keepsDetached bool
 }
 
 const (
@@ -27,7 +28,7 @@
 )
 
 // passingConns reports whether connections are being passed to a successor.
-func (h *handovers) passingConns() bool { return h.passer != nil }
+func (h *handoverLinks) passingConns() bool { return h.passer != nil }
 
 // findPredecessor looks for a process that serves already.
 func (g *Gateway) findPredecessor() {
@@ -58,7 +59,7 @@
 }
 
 // end waits until all connections are passed on, and ends the links to other processes.
-func (h *handovers) end() {
+func (h *handoverLinks) end() {
 	if h.listener != nil {
 		h.listener.Close()
 	}
@@ -72,19 +73,19 @@
 
 // takeFromPredecessor takes over the predecessor's state. It runs on a goroutine of its own.
 func (g *Gateway) takeFromPredecessor() {
-	handed, err := g.handover.predecessor.TakeState()
-	e := predecessorState{handed: handed, err: err}
+	received, err := g.handover.predecessor.TakeState()
+	e := predecessorState{received: received, err: err}
 	if err == nil {
-		e.state, e.err = snapshot.Decode(handed.Snapshot)
+		e.state, e.err = snapshot.Decode(received.Snapshot)
 	}
 	g.postUrgent(e)
 }
 
 // predecessorState is what the predecessor has handed over, or why there is nothing.
 type predecessorState struct {
-	handed hotrestart.State
-	state  policy.Snapshot
-	err    error
+	received hotrestart.State
+	state    policy.Snapshot
+	err      error
 }
 
 func (e predecessorState) handle(g *Gateway) {
@@ -120,12 +121,12 @@
 // takePeerSocket continues with the predecessor's socket for peers' messages, or opens one.
 func (e *predecessorState) takePeerSocket(g *Gateway) {
 	switch {
-	case e.handed.PeerSocket != nil && e.err == nil:
-		g.peers.conn = e.handed.PeerSocket
+	case e.received.PeerSocket != nil && e.err == nil:
+		g.peers.conn = e.received.PeerSocket
 		go g.peers.readMessages(g)
 	case g.cfg.Settings.Peers:
-		if e.handed.PeerSocket != nil {
-			_ = e.handed.PeerSocket.Close()
+		if e.received.PeerSocket != nil {
+			_ = e.received.PeerSocket.Close()
 		}
 		go g.bindPeerSocket()
 	}
@@ -135,7 +136,7 @@
 // goroutine of its own.
 func (g *Gateway) bindPeerSocket() {
 	for {
-		p, err := newPeers(&g.cfg, g.log)
+		p, err := newPeerLink(&g.cfg, g.log)
 		if err == nil {
 			g.postUrgent(peerSocketBound{p.conn})
 			return
@@ -207,10 +208,10 @@
 	}
 	g.handover.successor = e.successor
 	g.lifecycle.Pause()
-	_ = g.clients.listener.SetDeadline(expired)
+	_ = g.clients.listener.SetDeadline(expiredDeadline)
 	state := hotrestart.State{PeerSocket: g.peers.conn}
 	if state.PeerSocket != nil {
-		_ = state.PeerSocket.SetReadDeadline(expired)
+		_ = state.PeerSocket.SetReadDeadline(expiredDeadline)
 	}
 	var err error
 	state.Snapshot, err = snapshot.Encode(g.balancer.TakeSnapshot(g.now(), true))
@@ -236,7 +237,7 @@
 		"open", g.requests.open, "connections", len(g.clients.conns))
 	g.lifecycle.HandOver(true)
 	h := &g.handover
-	h.servesConns = false
+	h.keepsDetached = false
 	h.passer = newConnPasser(g, h.successor)
 	if g.peers.conn != nil {
 		_ = g.peers.conn.Close()
@@ -244,7 +245,7 @@
 	}
 	g.storeLastSnapshot()
 	for c := range g.clients.conns {
-		c.reading.requestPart(c.conn)
+		c.reading.requestDetach(c.conn)
 	}
 	g.shutdown.step(g)
 }
@@ -300,7 +301,7 @@
 	}
 	c.reading.held = append(c.reading.held, e)
 	if e.framingLost { // nothing more is read after it
-		c.reading.parted = true
+		c.reading.detached = true
 	}
 	g.passToSuccessor(c)
 	return true
@@ -310,21 +311,21 @@
 // answer is pending.
 func (c *client) mayPass() bool {
 	ended := c.closed || c.writeEnded || c.overLimit || c.ignoreInput.Load()
-	return c.reading.parted && !ended && len(c.pipeline) == 0 && c.out.drained()
+	return c.reading.detached && !ended && len(c.pipeline) == 0 && c.out.drained()
 }
 
 // passToSuccessor passes a client's connection to the successor, if connections are being passed
 // and this one may be. It is called again whenever that may have changed.
 func (g *Gateway) passToSuccessor(c *client) {
 	h := &g.handover
-	if !h.passingConns() && !h.servesConns || !c.mayPass() {
+	if !h.passingConns() && !h.keepsDetached || !c.mayPass() {
 		return
 	}
-	passed := c.handedState(g.now())
+	passed := c.exportForSuccessor(g.now())
 	c.endReader()
 	if !h.passingConns() {
 		delete(g.clients.conns, c)
-		g.readAgain(passed) // in the same place
+		g.restartReader(passed) // in the same place
 		return
 	}
 	g.clients.remove(c)
@@ -332,8 +333,8 @@
 	h.passer.pass(passed)
 }
 
-// handedState is what a successor needs to know of a connection.
-func (c *client) handedState(now policy.Time) hotrestart.ClientConn {
+// exportForSuccessor is what a successor needs to know of a connection.
+func (c *client) exportForSuccessor(now policy.Time) hotrestart.ClientConn {
 	rc := &c.reading
 	p := hotrestart.ClientConn{
 		Conn:  c.conn,
@@ -360,19 +361,19 @@
 	return p
 }
 
-// readingParted tells that a client's reader has ended, and what it had read beyond the last
+// readerDetached tells that a client's reader has ended, and what it had read beyond the last
 // command.
-type readingParted struct {
+type readerDetached struct {
 	client *client
 	rest   []byte
 }
 
-func (e readingParted) handle(g *Gateway) {
+func (e readerDetached) handle(g *Gateway) {
 	c := e.client
 	if c.closed {
 		return
 	}
-	c.reading.parted = true
+	c.reading.detached = true
 	c.reading.unread = e.rest
 	g.passToSuccessor(c)
 	if !c.closed && c.closeWhenIdle && len(c.pipeline) == 0 {
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -19,7 +19,7 @@
 		t,
 		configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil),
 		func(g *Gateway) {
-			g.backends.restDuration = policy.Time(
+			g.backends.cooldown = policy.Time(
 				time.Hour.Microseconds(),
 			) // until the test ends it
 		},
@@ -42,9 +42,9 @@
 		conn, waiting := server.idle[0], server.waiting[0]
 		conn.idleSince -= stood.Microseconds()
 		waiting.startedAt = conn.idleSince - stood.Microseconds()
-		conn.restsUntil = g.now()
-		g.backends.idleTrust.lastBroken = g.now() // a single one is taken for chance
-		connRested{conn}.due(g)
+		conn.cooldownUntil = g.now()
+		g.backends.idleLimiter.lastBroken = g.now() // a single one is taken for chance
+		cooldownEnded{conn}.due(g)
 		waiting.writtenAt += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
 		return true
 	})
@@ -56,7 +56,7 @@
 	if learnt := ask(
 		t,
 		r.gateway,
-		func(g *Gateway) policy.Time { return g.backends.idleTrust.learnedLimit },
+		func(g *Gateway) policy.Time { return g.backends.idleLimiter.learnedLimit },
 	); learnt < stood.Microseconds()/2 {
 		t.Errorf(
 			"a connection is trusted for %d us, this one had stood idle for %d",
--- a/internal/dataplane/gateway/idle_trust.go
+++ b/internal/dataplane/gateway/idle_trust.go
@@ -2,10 +2,10 @@
 
 import "mothcleat/internal/dataplane/policy"
 
-// idleTrust learns for how long an idle connection can still be trusted. A middlebox may silently
+// idleLimiter learns for how long an idle connection can still be trusted. A middlebox may silently
 // drop idle connections; the next request on one then ends as a reset and may have been executed.
 // It belongs to the event loop.
-type idleTrust struct {
+type idleLimiter struct {
 	maxIdle      policy.Time // the limit while nothing speaks against it
 	learnedLimit policy.Time // 0: none
 	learnedAt    policy.Time
@@ -15,30 +15,30 @@
 const (
 	// A connection that was dead before its use shows so soon after it.
 	deadConnDetectionTime policy.Time = 20_000
-	minIdleTrust          policy.Time = 30_000 // the least limit
+	minIdleLimit          policy.Time = 30_000 // the least limit
 	// The limit doubles in this time; two connections that break within it count.
-	idleTrustRecovery policy.Time = 2_000_000
+	idleLimitRecovery policy.Time = 2_000_000
 )
 
 // limit returns for how long a connection that is used may have been idle.
-func (t *idleTrust) limit(now policy.Time) policy.Time {
+func (t *idleLimiter) limit(now policy.Time) policy.Time {
 	if t.learnedLimit == 0 {
 		return t.maxIdle
 	}
 	limit := t.learnedLimit
-	recovered := t.learnedAt + idleTrustRecovery
+	recovered := t.learnedAt + idleLimitRecovery
 	for recovered <= now && limit < t.maxIdle {
 		limit *= 2
-		recovered += idleTrustRecovery
+		recovered += idleLimitRecovery
 	}
 	return min(limit, t.maxIdle)
 }
 
 // connBroken records that a connection that had been idle for some time was dead when used. A
 // single one is taken for chance.
-func (t *idleTrust) connBroken(now, idle policy.Time) {
-	if t.lastBroken != 0 && now-t.lastBroken < idleTrustRecovery {
-		t.learnedLimit = max(minIdleTrust, min(t.limit(now), idle/2))
+func (t *idleLimiter) connBroken(now, idle policy.Time) {
+	if t.lastBroken != 0 && now-t.lastBroken < idleLimitRecovery {
+		t.learnedLimit = max(minIdleLimit, min(t.limit(now), idle/2))
 		t.learnedAt = now
 	}
 	t.lastBroken = now
--- a/internal/dataplane/gateway/idle_trust_test.go
+++ b/internal/dataplane/gateway/idle_trust_test.go
@@ -10,7 +10,7 @@
 
 // Idle connections that break when used are trusted for a shorter time, until that recovers.
 func TestIdleTrustLearnsAndRecovers(t *testing.T) {
-	k := idleTrust{maxIdle: 15_000_000}
+	k := idleLimiter{maxIdle: 15_000_000}
 	now := policy.Time(1e9)
 	want := func(most policy.Time) {
 		t.Helper()
@@ -25,9 +25,9 @@
 	want(200_000)
 	now += 1
 	k.connBroken(now, 1000)
-	want(minIdleTrust)
-	now += 2 * idleTrustRecovery
-	want(4 * minIdleTrust)
+	want(minIdleLimit)
+	now += 2 * idleLimitRecovery
+	want(4 * minIdleLimit)
 	now += 60e6
 	want(15_000_000)
 }
--- a/internal/dataplane/gateway/malformed_reply_test.go
+++ b/internal/dataplane/gateway/malformed_reply_test.go
@@ -55,7 +55,7 @@
 
 // restsFor has connections to backends rest after an answer for a given time.
 func restsFor(rest policy.Time) func(*Gateway) {
-	return func(g *Gateway) { g.backends.restDuration = rest }
+	return func(g *Gateway) { g.backends.cooldown = rest }
 }
 
 // haveRested ends the rest of the idle connections to a backend.
@@ -66,7 +66,7 @@
 		return len(b.idle) > 0 &&
 			!slices.ContainsFunc(
 				b.idle,
-				func(c *backendConn) bool { return g.now() < c.restsUntil },
+				func(c *backendConn) bool { return g.now() < c.cooldownUntil },
 			)
 	})
 }
@@ -171,10 +171,10 @@
 				)
 			}
 			c := b.idle[0]
-			if c.restsUntil = 0; ends {
+			if c.cooldownUntil = 0; ends {
 				g.backends.closeIdleOf(b)
 			}
-			connRested{c}.due(g)
+			cooldownEnded{c}.due(g)
 			return true
 		})
 		next := b.next(t)
--- a/internal/dataplane/gateway/peers.go
+++ b/internal/dataplane/gateway/peers.go
@@ -20,14 +20,14 @@
 	log   *slog.Logger
 }
 
-// newUnboundPeers makes a link whose socket is opened later.
-func newUnboundPeers(cfg *Config, log *slog.Logger) *peerLink {
+// newUnboundPeerLink makes a link whose socket is opened later.
+func newUnboundPeerLink(cfg *Config, log *slog.Logger) *peerLink {
 	return &peerLink{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
 }
 
-// newPeers makes a link and opens its socket, where the settings have peers.
-func newPeers(cfg *Config, log *slog.Logger) (*peerLink, error) {
-	p := newUnboundPeers(cfg, log)
+// newPeerLink makes a link and opens its socket, where the settings have peers.
+func newPeerLink(cfg *Config, log *slog.Logger) (*peerLink, error) {
+	p := newUnboundPeerLink(cfg, log)
 	if !cfg.Settings.Peers {
 		return p, nil
 	}
--- a/internal/dataplane/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -32,7 +32,7 @@
 			peer.LocalAddr().(*net.UDPAddr).AddrPort(),
 		},
 	}
-	p, err := newPeers(cfg, quiet())
+	p, err := newPeerLink(cfg, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/gateway/plan_terms.go
+++ b/internal/dataplane/gateway/plan_terms.go
@@ -53,12 +53,12 @@
 // well. A catalog without plans stands for the configuration. order grows with each call, and done
 // is called on the event loop's goroutine once the balancer uses the version.
 func (t *PlanTerms) UseCatalogs(
-	target *plans.Catalog, beside []*plans.Catalog, order uint64, done func(),
+	target *plans.Catalog, others []*plans.Catalog, order uint64, done func(),
 ) {
 	e := plansChanged{
 		plans:    slices.Clone(t.configured),
 		names:    t.names,
-		catalogs: append([]*plans.Catalog{target}, beside...),
+		catalogs: append([]*plans.Catalog{target}, others...),
 		order:    order,
 		done:     done,
 	}
--- a/internal/dataplane/gateway/read_control.go
+++ b/internal/dataplane/gateway/read_control.go
@@ -13,23 +13,23 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// expired is a read deadline in the past: it ends a read that waits.
-var expired = time.Unix(1, 0)
+// expiredDeadline is a read deadline in the past: it ends a read that waits.
+var expiredDeadline = time.Unix(1, 0)
 
 // readControl lets the event loop stop a client's reader between two commands: to close the
 // connection (halt) or to pass it on to a successor (part). The event loop and the reader share
 // what the mutex guards; what follows it belongs to the event loop, but for arrivalTime.
 type readControl struct {
-	mu            sync.Mutex
-	inCommand     bool // the reader is reading a command
-	partRequested bool // the reader ends between two commands
-	haltRequested bool // the reader halts there, once it has posted all that it has read
+	mu              sync.Mutex
+	inCommand       bool // the reader is reading a command
+	detachRequested bool // the reader ends between two commands
+	haltRequested   bool // the reader halts there, once it has posted all that it has read
 	// firstDeadline is by when the first command must have come; zero: it has.
 	firstDeadline time.Time
 
-	parted bool          // the reader has ended
-	unread []byte        // what it had read beyond the last command
-	held   []commandRead // commands that wait to know which process answers them
+	detached bool          // the reader has ended
+	unread   []byte        // what it had read beyond the last command
+	held     []commandRead // commands that wait to know which process answers them
 
 	// A connection from a predecessor came with inheritedCommands complete commands in unread,
 	// the first of which was inheritedAge old at inheritedAt.
@@ -43,11 +43,11 @@
 func (rc *readControl) beginCommand(conn net.Conn, err error) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
-	rc.inCommand = !rc.partRequested && err == nil
+	rc.inCommand = !rc.detachRequested && err == nil
 	if rc.inCommand && rc.haltRequested {
 		_ = conn.SetReadDeadline(rc.firstDeadline) // the command came before the halt
 	}
-	return !rc.partRequested
+	return !rc.detachRequested
 }
 
 // haltedBy reports whether the wait for a command has ended, with err, because of a halt.
@@ -59,16 +59,16 @@
 
 // endCommand is called by the reader when it has read a command. spoken: a valid one has come on
 // this connection, so that no deadline applies to the wait for the next.
-func (rc *readControl) endCommand(conn net.Conn, spoken bool) {
+func (rc *readControl) endCommand(conn net.Conn, validCommandRead bool) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	rc.inCommand = false
-	if spoken {
+	if validCommandRead {
 		rc.firstDeadline = time.Time{}
 	}
-	if rc.partRequested || rc.haltRequested {
-		_ = conn.SetReadDeadline(expired)
-	} else if spoken {
+	if rc.detachRequested || rc.haltRequested {
+		_ = conn.SetReadDeadline(expiredDeadline)
+	} else if validCommandRead {
 		_ = conn.SetReadDeadline(time.Time{})
 	}
 }
@@ -78,18 +78,18 @@
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	rc.firstDeadline = deadline
-	if !rc.partRequested && !rc.haltRequested {
+	if !rc.detachRequested && !rc.haltRequested {
 		_ = conn.SetReadDeadline(deadline)
 	}
 }
 
-// requestHalt has the reader halt when it is between two commands; readingHalted follows.
+// requestHalt has the reader halt when it is between two commands; readerHalted follows.
 func (rc *readControl) requestHalt(conn net.Conn) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	rc.haltRequested = true
 	if !rc.inCommand {
-		_ = conn.SetReadDeadline(expired)
+		_ = conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
@@ -98,19 +98,19 @@
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	rc.haltRequested = false
-	if !rc.partRequested {
+	if !rc.detachRequested {
 		_ = conn.SetReadDeadline(rc.firstDeadline)
 	}
 }
 
-// requestPart ends the reader: at once, or after the command that it is reading; readingParted
+// requestDetach ends the reader: at once, or after the command that it is reading; readerDetached
 // follows. It can't be withdrawn.
-func (rc *readControl) requestPart(conn net.Conn) {
+func (rc *readControl) requestDetach(conn net.Conn) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
-	rc.partRequested = true
+	rc.detachRequested = true
 	if !rc.inCommand {
-		_ = conn.SetReadDeadline(expired)
+		_ = conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -31,7 +31,7 @@
 
 	attemptsMade int
 	outstanding  []*attempt // those without an outcome
-	sentOn       bool       // an attempt was written to a backend, and the units were counted
+	sent         bool       // an attempt was written to a backend, and the units were counted
 
 	answered      bool
 	reply         []byte         // waits in the client's pipeline for its turn
@@ -139,15 +139,15 @@
 func (g *Gateway) closeRequest(r *request) {
 	r.answered = true
 	g.requests.open--
-	g.settle(r)
+	g.cancelPending(r)
 	for _, a := range r.outstanding {
 		g.backends.withdraw(g, a)
 	}
 }
 
-// settle ends what was still to be done to find an answer: the authenticator's verdict, the
+// cancelPending ends what was still to be done to find an answer: the authenticator's verdict, the
 // deadline's timer, the reservation of the client's id.
-func (g *Gateway) settle(r *request) {
+func (g *Gateway) cancelPending(r *request) {
 	g.cancelAuthorization(r)
 	g.cancel(r.deadlineTimer)
 	r.deadlineTimer = nil
@@ -169,26 +169,26 @@
 
 // submit enters a request in the table and has it authorised, where the settings ask for that, and
 // then decided on by the balancer. arrived is when its command came.
-func (g *Gateway) submit(r *request, what policy.Request, arrived policy.Time) {
+func (g *Gateway) submit(r *request, policyReq policy.Request, arrived policy.Time) {
 	now := g.now()
 	g.requests.add(r)
-	spare := min(answerMargin, what.Timeout/4)
-	r.deadline = arrived + what.Timeout - spare
+	margin := min(answerMargin, policyReq.Timeout/4)
+	r.deadline = arrived + policyReq.Timeout - margin
 	r.client.lastSeenOpen = max(r.client.lastSeenOpen, arrived)
-	r.deadlineTimer = g.schedule(r.deadline+spare/2, deadlineBackstop{r})
-	what.ID = r.id
-	what.Timeout = max(0, r.deadline-now)
+	r.deadlineTimer = g.schedule(r.deadline+margin/2, deadlineBackstop{r})
+	policyReq.ID = r.id
+	policyReq.Timeout = max(0, r.deadline-now)
 	if g.pastDeadline(r) {
 		g.answer(r, g.retryLaterReply(overloadRetryAfter)) // it arrived during a suspension
 		return
 	}
 	if g.auth.Enabled() {
-		g.authorize(r, what)
+		g.authorize(r, policyReq)
 		return
 	}
 	if g.acquireVersionLease(r) {
-		g.applyAssignedPlan(&what)
-		g.balancer.Request(now, what)
+		g.applyAssignedPlan(&policyReq)
+		g.balancer.Request(now, policyReq)
 	}
 }
 
--- a/internal/dataplane/gateway/shutdown_race_test.go
+++ b/internal/dataplane/gateway/shutdown_race_test.go
@@ -499,7 +499,7 @@
 		}
 	}
 	first.handle(g) // there is a slot for another
-	if e, ok := wait(t, g.events, "what comes next").(clientLeft); !ok {
+	if e, ok := wait(t, g.events, "what comes next").(clientDisconnected); !ok {
 		t.Fatalf("%+v was taken, its client has gone", e)
 	}
 }
--- a/internal/dataplane/gateway/streamed_value.go
+++ b/internal/dataplane/gateway/streamed_value.go
@@ -20,9 +20,9 @@
 )
 
 var (
-	copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
-	errUnwanted = errors.New("nobody waits for the value")
-	lineBreak   = []byte("\r\n")
+	copyBuffers   = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
+	errNoReceiver = errors.New("nobody waits for the value")
+	lineBreak     = []byte("\r\n")
 )
 
 // streamedValue is an answer that is streamed to the client. It belongs to the event loop; copy
@@ -65,7 +65,7 @@
 	a := c.attempt
 	c.attempt = nil
 	if c.closed || a == nil || a.request == nil {
-		c.copyResult <- errUnwanted
+		c.copyResult <- errNoReceiver
 		g.backends.close(c)
 		if a != nil {
 			g.finishAttempt(a, policy.Failed, nil)
@@ -75,14 +75,14 @@
 	r := a.request
 	if r.answered {
 		// Another attempt was first: reading this value to its end would be in vain.
-		c.copyResult <- errUnwanted
+		c.copyResult <- errNoReceiver
 		g.backends.close(c)
 		g.backends.dialForWaiting(g, c.backend)
 	} else {
 		r.streamed = &streamedValue{request: r, conn: c, header: e.header}
 		c.streamed = r.streamed
 		r.answered = true
-		g.settle(r)
+		g.cancelPending(r)
 		r.client.flushAnswers(g)
 	}
 	g.finishAttempt(a, policy.OK, nil)
@@ -125,7 +125,7 @@
 // abandon records that the client has gone.
 func (v *streamedValue) abandon(g *Gateway) {
 	if !v.started && !v.ended {
-		v.conn.copyResult <- errUnwanted
+		v.conn.copyResult <- errNoReceiver
 	}
 	v.end(g)
 }
@@ -167,7 +167,7 @@
 	v := c.streamed
 	c.streamed = nil
 	c.bytesConsumed = e.bytesConsumed
-	c.restsUntil = g.now() + g.backends.restDuration
+	c.cooldownUntil = g.now() + g.backends.cooldown
 	if v != nil && !v.ended {
 		// The copying failed half way: closing tells the client that the value is incomplete.
 		v.end(g)
--- a/internal/dataplane/gateway/suspend.go
+++ b/internal/dataplane/gateway/suspend.go
@@ -10,9 +10,9 @@
 // The event loop turns many times a second, so a turn that is late by seconds tells of one.
 // Commands that arrived meanwhile lay in the sockets for an unknown time; they are treated as old
 // as the suspension, and so are those that came while a process that starts did not accept
-// yet. recordTurn belongs to the loop; earliestArrival may be called from anywhere.
+// yet. recordIteration belongs to the loop; earliestArrival may be called from anywhere.
 type suspendDetector struct {
-	lastTurn      atomic.Int64 // of the event loop; 0: none yet
+	lastIteration atomic.Int64 // of the event loop; 0: none yet
 	suspendedFrom atomic.Int64 // the last suspension
 	suspendedTo   atomic.Int64 // 0: there was none
 }
@@ -29,10 +29,10 @@
 	d.suspendedTo.Store(now)
 }
 
-// recordTurn records a turn of the event loop. It returns how long the process was suspended
+// recordIteration records a turn of the event loop. It returns how long the process was suspended
 // before it; 0: it was not.
-func (d *suspendDetector) recordTurn(now policy.Time) (suspended policy.Time) {
-	last := d.lastTurn.Swap(now)
+func (d *suspendDetector) recordIteration(now policy.Time) (suspended policy.Time) {
+	last := d.lastIteration.Swap(now)
 	if last == 0 || now-last < minSuspension {
 		return 0
 	}
@@ -44,7 +44,7 @@
 // earliestArrival returns the earliest time at which something that is read now can have arrived.
 // A goroutine may call it after a suspension before the loop has turned.
 func (d *suspendDetector) earliestArrival(now policy.Time) policy.Time {
-	if last := d.lastTurn.Load(); last != 0 && now-last >= minSuspension {
+	if last := d.lastIteration.Load(); last != 0 && now-last >= minSuspension {
 		return last
 	}
 	if to := d.suspendedTo.Load(); to != 0 && now-to < suspensionReadGrace {
@@ -53,9 +53,9 @@
 	return now
 }
 
-// recordTurn records a turn of the event loop, and logs a suspension that ended with it.
-func (g *Gateway) recordTurn() {
-	suspended := g.suspend.recordTurn(g.clock.now())
+// recordIteration records a turn of the event loop, and logs a suspension that ended with it.
+func (g *Gateway) recordIteration() {
+	suspended := g.suspend.recordIteration(g.clock.now())
 	if suspended > 0 {
 		g.log.Warn("this process was suspended", "ms", suspended/1000, "open", g.requests.open)
 	}
