--- a/internal/dataplane/gateway/actions.go
+++ b/internal/dataplane/gateway/actions.go
@@ -6,17 +6,17 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// actions carries out what the balancer decides. The balancer calls it on the event loop's
-// goroutine while it is deciding, so no action calls the balancer back: results are enqueued.
+// actions carries out the balancer's decisions. The balancer calls it on the event loop's goroutine
+// while it is deciding, so actions must not call the balancer: they enqueue results instead.
 type actions struct{ gateway *Gateway }
 
-// Send starts the next attempt of a request. until bounds the attempt; 0: the request's deadline
-// does. Each Send brings exactly one attemptOutcome.
+// Send starts the next attempt of a request. until is the attempt's deadline; 0: the request's
+// deadline applies. Each Send produces exactly one attemptOutcome.
 func (a actions) Send(id uint64, backend uint32, until policy.Time) {
 	g := a.gateway
 	r := g.requests.byID[id]
 	if r == nil {
-		panic(fmt.Sprintf("send for request %d, which is not open", id))
+		panic(fmt.Sprintf("Send for request %d, which is not in the request table", id))
 	}
 	if until == 0 || until > r.deadline {
 		until = r.deadline
@@ -28,7 +28,7 @@
 	g.backends.startAttempt(g, attempt, backend)
 }
 
-// Reject answers a request as not executed, so that its client may safely retry.
+// Reject answers that a request was not executed, so its client may safely retry.
 func (a actions) Reject(id uint64, retryAfter policy.Time) {
 	g := a.gateway
 	r := g.requests.byID[id]
@@ -41,14 +41,14 @@
 	}
 }
 
-// Fail answers a request with an error; it may have been executed.
+// Fail answers a request with an error. The request may have been executed.
 func (a actions) Fail(id uint64) {
 	if r := a.gateway.requests.byID[id]; r != nil {
 		a.gateway.answer(r, failedReply)
 	}
 }
 
-// SetTimer has the balancer called with the token at a time.
+// SetTimer schedules a call of the balancer's Timer with the token.
 func (a actions) SetTimer(at policy.Time, token uint32) {
 	a.gateway.schedule(at, policyTimer(token))
 }
@@ -64,18 +64,18 @@
 // SendToPeer sends a gossip message to a peer.
 func (a actions) SendToPeer(peer int, message []byte) { a.gateway.peers.send(peer, message) }
 
-// AddToCounter adds to a number that all gateways share; ttl is the life of a new name.
+// AddToCounter adds to a central counter that all gateways share; ttl applies to a new name.
 func (a actions) AddToCounter(name uint64, amount float64, ttl policy.Time) {
 	a.gateway.counter.add(a.gateway, name, amount, ttl)
 }
 
-// WatchEndpoints has the endpoint list and its changes followed from now on.
+// WatchEndpoints makes the source of the endpoint list follow its changes from now on.
 func (a actions) WatchEndpoints() { a.gateway.endpoints.Follow() }
 
-// Log writes a line to the operators' log.
+// Log writes a line to the gateway's log.
 func (a actions) Log(line string) { a.gateway.log.Info(line) }
 
-// policyTimer is a timer that the balancer has set.
+// policyTimer is the token of a timer that the balancer has set.
 type policyTimer uint32
 
 func (t policyTimer) due(g *Gateway) { g.balancer.Timer(g.now(), uint32(t)) }
--- a/internal/dataplane/gateway/event_loop.go
+++ b/internal/dataplane/gateway/event_loop.go
@@ -7,8 +7,8 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// clock gives the time in microseconds since 1970. It reads the wall clock once, at its making,
-// and is monotonic from then on. It may be read from any goroutine.
+// clock returns the time in microseconds since the Unix epoch. It reads the wall clock once, when
+// it is created, and is monotonic from then on. It is safe for concurrent use.
 type clock struct {
 	wall  policy.Time
 	start time.Time
@@ -21,35 +21,35 @@
 
 func (c clock) now() policy.Time { return c.wall + time.Since(c.start).Microseconds() }
 
-// event is something that happened. Goroutines that read sockets post events; handle runs on the
-// event loop's goroutine and must not block.
+// event is a unit of work for the event loop. Goroutines that read sockets post events. handle runs
+// on the event loop's goroutine and must not block.
 type event interface {
 	handle(g *Gateway)
 }
 
-// timerTask is work to be done at a given time. due runs on the event loop's goroutine and must
+// timerTask is a task scheduled for a given time. due runs on the event loop's goroutine and must
 // not block.
 type timerTask interface {
 	due(g *Gateway)
 }
 
-// eventLoop serialises all that changes the gateway's state: one goroutine handles events and
-// timers, one at a time. post, postUrgent and clock may be used from any goroutine; everything
-// else belongs to the loop's own.
+// eventLoop serialises all changes of the gateway's state: one goroutine handles events and timers
+// one at a time. post, postUrgent and clock are safe for concurrent use; everything else belongs to
+// the event loop's goroutine.
 type eventLoop struct {
 	gateway *Gateway
 	clock   clock
 	lastNow policy.Time
 
 	events chan event
-	urgent chan event // endpoint updates and operators' calls: handled before all queued events
-	queue  []event    // follow-ups of the event being handled
+	urgent chan event // endpoint updates and admin calls: handled before all events in events
+	queue  []event    // events enqueued by the event being handled
 
 	timers   timerHeap
 	timer    *time.Timer
-	armedFor policy.Time // when timer fires; 0: it is not armed
+	armedFor policy.Time // when timer fires; 0: timer is not armed
 
-	done bool // run returns
+	done bool // makes run return
 }
 
 func newEventLoop(g *Gateway) eventLoop {
@@ -69,18 +69,18 @@
 	urgentQueueLength = 16
 )
 
-// post hands an event to the loop. It waits while the queue is full.
+// post sends an event to the loop. It blocks while the queue is full.
 func (l *eventLoop) post(e event) { l.events <- e }
 
-// postUrgent hands an event to the loop ahead of all queued events. It waits while the urgent
+// postUrgent sends an event to the loop ahead of all queued events. It blocks while the urgent
 // queue is full.
 func (l *eventLoop) postUrgent(e event) { l.urgent <- e }
 
-// enqueue has an event handled right after the current one. The balancer's actions use it, as they
-// must not call the balancer while it is deciding.
+// enqueue appends an event that the loop handles right after the current one. The balancer's
+// actions use it, because they must not call the balancer while it is deciding.
 func (l *eventLoop) enqueue(e event) { l.queue = append(l.queue, e) }
 
-// now returns the current time, which never goes back.
+// now returns the current time, which never decreases.
 func (l *eventLoop) now() policy.Time {
 	l.lastNow = max(l.lastNow, l.clock.now())
 	return l.lastNow
@@ -110,7 +110,7 @@
 	}
 }
 
-// handle handles an event and what follows from it.
+// handle handles an event and all events that it enqueues.
 func (l *eventLoop) handle(e event) {
 	l.gateway.recordIteration()
 	e.handle(l.gateway)
@@ -118,7 +118,7 @@
 	l.gateway.storeSnapshotIfDue()
 }
 
-// runQueued handles the events that were enqueued, also those that they enqueue in turn.
+// runQueued handles all enqueued events, including those enqueued while it runs.
 func (l *eventLoop) runQueued() {
 	for i := 0; i < len(l.queue); i++ {
 		l.queue[i].handle(l.gateway)
@@ -127,22 +127,23 @@
 	l.queue = l.queue[:0]
 }
 
-// schedule has a task run at a time; one in the past runs at the next turn of the loop.
+// schedule runs a task at the given time. A task whose time has passed runs in the loop's next
+// iteration.
 func (l *eventLoop) schedule(when policy.Time, task timerTask) *timer {
 	t := &timer{at: when, task: task}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// cancel drops a timer; nil, or one that has fired, is ignored. A timer that is left to fire keeps
-// all that its task refers to in memory until then.
+// cancel removes a timer; it ignores nil and a timer that has fired. A timer that is not cancelled
+// keeps everything its task refers to in memory until it fires.
 func (l *eventLoop) cancel(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// fireTimers runs all tasks that are due and arms the timer for the next one.
+// fireTimers runs all due tasks and arms the timer for the next one.
 func (l *eventLoop) fireTimers() {
 	for len(l.timers) > 0 {
 		next := l.timers[0].at
@@ -157,7 +158,7 @@
 	}
 }
 
-// arm has the timer fire at next, unless it fires before that anyway.
+// arm sets the timer to fire at next, unless it already fires earlier.
 func (l *eventLoop) arm(next, now policy.Time) {
 	if l.armedFor != 0 && next >= l.armedFor {
 		return
@@ -169,10 +170,10 @@
 type timer struct {
 	at    policy.Time
 	task  timerTask
-	index int // its place in the heap; -1: it has fired or was cancelled
+	index int // position in the heap; -1: the timer has fired or was cancelled
 }
 
-// timerHeap orders timers by their time; it implements heap.Interface.
+// timerHeap orders timers by time. It implements heap.Interface.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -18,8 +18,8 @@
 	"mothcleat/internal/dataplane/simprotocol"
 )
 
-// Gateway is one gateway: the event loop and the parts whose state it owns. Unless a field says
-// otherwise, only the event loop's goroutine touches it; all else reaches it as an event.
+// Gateway is one gateway: the event loop and the components whose state it owns. Unless a field
+// says otherwise, only the event loop's goroutine accesses it; all other goroutines post events.
 type Gateway struct {
 	eventLoop
 	cfg      Config
@@ -38,28 +38,30 @@
 	lifecycle      *lifecycle.Process
 	shutdown       shutdown
 	handover       handoverLinks
-	suspend        suspendDetector // has a method for any goroutine
+	suspend        suspendDetector // earliestArrival is safe for concurrent use
 	serviceStarted bool            // see beginService
-	backlogSince   policy.Time     // since when connections may wait in the listener's backlog
+	backlogSince   policy.Time     // since when connections may have waited in the backlog
 
-	rejections *rejectionLog // nil: none is kept
+	rejections *rejectionLog // nil: no log is written
 	admin      *admin.Server // nil: no address is configured
 
-	auth        *forwardauth.Step // nil: no authenticator was ever configured
-	authEnabled atomic.Bool       // auth.On, for the goroutines that read commands
-	authContext context.Context   // of calls to the authenticator
+	auth        *forwardauth.Step // nil: no authenticator has been configured yet
+	authEnabled atomic.Bool       // a copy of auth.Enabled for the goroutines that read commands
+	authContext context.Context   // context of calls to the authenticator
 	cancelAuth  context.CancelFunc
 
-	// assignedPlan returns the plan that a version assigns to a customer, below 0: none; see
-	// plansChanged. It is nil while requests name the plan.
+	// assignedPlan returns the plan that the versions in force assign to a customer, or a negative
+	// number if they assign none; see plansChanged. While it is nil, the plan is the one that the
+	// request names.
 	assignedPlan func(customer uint64) int
 }
 
-// reservedDescriptors is how many file descriptors are kept for all but clients and backends.
+// reservedDescriptors is the number of file descriptors reserved for everything except client and
+// backend connections.
 const reservedDescriptors = 48
 
-// Run serves until it is told to stop and every accepted request is answered. It returns an error
-// if the configuration can't be served or a socket can't be opened.
+// Run serves until it is told to stop and every accepted request has been answered. It returns an
+// error if the configuration is not usable or a socket can't be opened.
 func Run(cfg Config, log *slog.Logger, control Control) error {
 	g, err := newGateway(cfg, log)
 	if err != nil {
@@ -69,7 +71,8 @@
 	return nil
 }
 
-// serve runs the event loop and the goroutines that read for it, and closes all at its end.
+// serve runs the event loop and the goroutines that read for it, and closes all resources when the
+// loop ends.
 func (g *Gateway) serve(control Control) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -89,7 +92,7 @@
 	}
 }
 
-// newGateway makes a gateway and opens its sockets. Clients are accepted once it is ready.
+// newGateway creates a gateway and opens its sockets. The gateway accepts clients once it is ready.
 func newGateway(cfg Config, log *slog.Logger) (*Gateway, error) {
 	g := &Gateway{
 		cfg:       cfg,
@@ -125,7 +128,7 @@
 	return g, nil
 }
 
-// prepareEndpoints makes the source of the endpoint list.
+// prepareEndpoints creates the source of the endpoint list.
 func (g *Gateway) prepareEndpoints() error {
 	source := registry.Source(NewPlatform(&g.cfg, g.log))
 	if g.cfg.NewEndpointSource != nil {
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// prepareBalancer makes the balancer and attaches what it decides by.
+// prepareBalancer creates the balancer and connects the allocations, the plan terms and the
+// rejection log.
 func (g *Gateway) prepareBalancer() (err error) {
 	if g.balancer, err = policy.New(g.cfg.Settings, g.cfg.Seed, actions{g}); err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -151,8 +155,8 @@
 	return nil
 }
 
-// openSockets opens the peers' socket, the clients' listener and the operators' listener. The
-// peers' socket comes from the predecessor where there is one.
+// openSockets opens the peer socket, the client listener and the admin listener. If there is a
+// predecessor, the peer socket is taken from it later.
 func (g *Gateway) openSockets() (err error) {
 	if g.handover.predecessor == nil {
 		g.peers, err = newPeerLink(&g.cfg, g.log)
@@ -179,15 +183,15 @@
 	return nil
 }
 
-// connectionLimits divides the file descriptors: two fifths are for clients, as many for backends,
-// and the rest is spare. A few of the spare ones serve to accept clients beyond their limit, until
-// one of them has made room.
+// connectionLimits divides the file descriptors: two fifths for clients, two fifths for backends,
+// and the rest as a reserve. Part of the reserve is used to accept clients over their limit until a
+// connection has been evicted for them.
 func connectionLimits(sockets int) (served, accepted int) {
 	served = (sockets - reservedDescriptors/2) * 2 / 5
 	return served, served + max(4, served/4)
 }
 
-// NewPlatform makes the client of the platform's discovery that a configuration asks for.
+// NewPlatform returns the client of the platform's discovery for a configuration.
 func NewPlatform(cfg *Config, log *slog.Logger) *registry.Platform {
 	pacer := membership.NewPacer(cfg.Settings.Gateways, cfg.Seed)
 	if !cfg.Settings.PollEndpoints {
@@ -196,8 +200,8 @@
 	return registry.NewPlatform(cfg.Discovery, cfg.Settings.PollEndpoints, pacer, log)
 }
 
-// longestTimeout returns how long a client waits at most; 0 if the settings leave that open for a
-// class.
+// longestTimeout returns the longest client timeout of all classes, or 0 if the settings give none
+// for some class.
 func longestTimeout(h *simprotocol.HostSettings) policy.Time {
 	if len(h.ClientTimeouts) == 0 || slices.Min(h.ClientTimeouts) <= 0 {
 		return 0
@@ -205,7 +209,7 @@
 	return slices.Max(h.ClientTimeouts)
 }
 
-// start applies the endpoint list of the configuration and starts the goroutines that read.
+// start applies the endpoint list of the configuration and starts the background goroutines.
 func (g *Gateway) start(ctx context.Context) {
 	g.backends.updateEndpoints(g, policy.CompleteCached, g.cfg.KnownEndpoints.Members)
 	g.runQueued()
@@ -223,7 +227,8 @@
 	}
 }
 
-// idleSweep periodically closes connections that are no longer of use.
+// idleSweep periodically closes idle connections, advances a shutdown or drain, and flushes the
+// rejection log.
 type idleSweep struct{}
 
 const sweepInterval policy.Time = 100_000
@@ -232,17 +237,17 @@
 	g.clients.closeIdle(g)
 	g.backends.closeIdle(g)
 	if g.lifecycle.Draining() || g.lifecycle.Stopping() || g.handover.passingConns() {
-		g.shutdown.step(g) // connections end one by one
+		g.shutdown.step(g) // connections become closable one by one
 	}
 	g.rejections.flush(g)
 	g.schedule(g.now()+sweepInterval, idleSweep{})
 }
 
-// discoveryWait is how long a starting gateway waits for discovery before it serves with the
-// endpoint list of its configuration.
+// discoveryWait is how long a starting gateway waits for discovery before it uses the endpoint list
+// of its configuration.
 const discoveryWait policy.Time = 500_000
 
-// discoveryTimeout ends the wait for discovery, which may be unavailable for long.
+// discoveryTimeout ends the wait for discovery, which may stay unavailable for a long time.
 type discoveryTimeout struct{}
 
 func (discoveryTimeout) due(g *Gateway) {
@@ -254,8 +259,8 @@
 	g.beginService()
 }
 
-// beginService accepts clients from now on, after a predecessor has handed over where there is
-// one. Until then nothing answers PING. Only the first call counts.
+// beginService starts to accept clients, after the handover if there is a predecessor. Until then
+// PING gets no answer. Only the first call has an effect.
 func (g *Gateway) beginService() {
 	if g.serviceStarted {
 		return
@@ -263,7 +268,7 @@
 	g.serviceStarted = true
 	switch {
 	case g.handover.predecessor != nil:
-		g.backlogSince = g.now() // until now the predecessor accepts
+		g.backlogSince = g.now() // the predecessor has accepted until now
 		go g.takeFromPredecessor()
 	case g.snapshots.StopPredecessor != nil:
 		if g.snapshots.Successor {
@@ -275,7 +280,7 @@
 	}
 }
 
-// serveClients starts to accept clients, and listens for a successor.
+// serveClients starts to accept clients and to listen for a successor.
 func (g *Gateway) serveClients() {
 	listen := g.clients.listener.Addr().String()
 	g.log.Info("ready", "listen", listen, "backends", len(g.backends.byNumber))
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -10,61 +10,61 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// answerMargin is how long before its client stops waiting a request times out: the answer has to
-// reach the client, and this process may be kept from running for a moment.
+// answerMargin is how long before the end of its client's wait a request times out. It leaves time
+// for the answer to reach the client and for a short scheduling delay of this process.
 const answerMargin policy.Time = 25_000
 
-// request is a client's request. It stays in the request table until it is answered and all of its
-// attempts have ended. It belongs to the event loop.
+// request is a client's request. It stays in the request table until it has been answered and all
+// its attempts have ended. It belongs to the event loop.
 type request struct {
-	id           uint64 // this gateway's own number; 0: it never reached the request table
-	clientID     uint64 // the id that the client gave
+	id           uint64 // assigned by this gateway; 0: the request never entered the request table
+	clientID     uint64 // the id that the client sent
 	client       *client
 	args         [][]byte
-	timeoutField [2]int // the bounds of the value of field d in args[3]
+	timeoutField [2]int // start and end of the value of field d in args[3]
 	deadline     policy.Time
 
-	classKnown bool // the command could be parsed, so that class is set
+	classKnown bool // the command was parsed, and class is set
 	class      int
 	customer   uint64
 	units      float64
 
 	attemptsMade int
-	outstanding  []*attempt // those without an outcome
-	sent         bool       // an attempt was written to a backend, and the units were counted
+	outstanding  []*attempt // attempts without an outcome yet
+	sent         bool       // an attempt was written to a backend and the units were counted
 
 	answered      bool
-	reply         []byte         // waits in the client's pipeline for its turn
-	streamed      *streamedValue // replaces reply for a long value; nil: none
+	reply         []byte         // held until all earlier answers of the connection are written
+	streamed      *streamedValue // replaces reply for a long value; nil: not streamed
 	deadlineTimer *timer
 
-	// allocationUntil is when the allocation that admitted the request expires, by the clock of
-	// Config.Allocations; 0: never.
+	// allocationUntil is the expiry of the allocation that admitted the request, on the clock of
+	// Config.Allocations; 0: it does not expire.
 	allocationUntil time.Duration
-	// leaseUntil and leaseStamp are of the version lease that admitted the request; see
-	// VersionLease.
+	// leaseUntil and leaseStamp are the expiry and the stamp of the version lease that admitted the
+	// request; see VersionLease.
 	leaseUntil time.Duration
 	leaseStamp uint64
-	// awaitingAuth is what goes to the balancer once the authenticator allows it; nil: nothing
-	// waits for a verdict.
+	// awaitingAuth is passed to the balancer once the authenticator allows the request; nil: the
+	// request does not wait for a verdict.
 	awaitingAuth *policy.Request
 }
 
-// requestTable holds the requests that the gateway has accepted and not finished with. It belongs
-// to the event loop.
+// requestTable holds the requests that the gateway has accepted and not yet finished. It belongs to
+// the event loop.
 type requestTable struct {
 	byID       map[uint64]*request
-	byClientID map[uint64]*request // those without a final answer, by the client's id
+	byClientID map[uint64]*request // requests without a final answer, by the client's id
 	lastID     uint64
-	open       int // commands without a final answer, also those that never reach the balancer
-	heldBytes  int // of requests in the table and of answers that wait for their turn
+	open       int // commands without a final answer, including those that never reach the balancer
+	heldBytes  int // size of the requests in the table and of the unwritten answers
 }
 
 func newRequestTable() requestTable {
 	return requestTable{byID: map[uint64]*request{}, byClientID: map[uint64]*request{}}
 }
 
-// add gives a request its number and enters it.
+// add assigns a request its id and adds it to the table.
 func (t *requestTable) add(r *request) {
 	t.lastID++
 	r.id = t.lastID
@@ -73,7 +73,8 @@
 	t.heldBytes += argBytes(r.args)
 }
 
-// removeFinished drops a request that nothing waits for any more.
+// removeFinished removes a request that is answered, has no outstanding attempt and is not being
+// streamed.
 func (t *requestTable) removeFinished(r *request) {
 	finished := r.answered && len(r.outstanding) == 0 && r.streamed == nil
 	if finished && t.byID[r.id] == r {
@@ -82,7 +83,7 @@
 	}
 }
 
-// freeClientID lets the client's id be used again.
+// freeClientID makes the client's id available for another request.
 func (t *requestTable) freeClientID(r *request) {
 	if t.byClientID[r.clientID] == r {
 		delete(t.byClientID, r.clientID)
@@ -97,14 +98,14 @@
 	return n
 }
 
-// The gateway's own answers.
+// Answers that the gateway itself generates.
 var (
 	pongReply   = []byte("+PONG\r\n")
 	failedReply = []byte("-ERR failed\r\n")
 )
 
-// busyReply tells a client that its request was not executed and when to retry: after a time in
-// microseconds, rounded up to milliseconds; 0 or less: no advice.
+// busyReply returns the answer that a request was not executed and may be retried after retryAfter.
+// The advice is rounded up to milliseconds; it is omitted if retryAfter is not positive.
 func busyReply(retryAfter policy.Time) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
@@ -112,7 +113,7 @@
 	return fmt.Appendf(nil, "-BUSY %d\r\n", (retryAfter+999)/1000)
 }
 
-// retryLaterReply is busyReply with the advice that the settings allow.
+// retryLaterReply returns busyReply with the retry advice limited by the settings.
 func (g *Gateway) retryLaterReply(retryAfter policy.Time) []byte {
 	if !g.cfg.Settings.RetryAfter {
 		retryAfter = 0
@@ -120,8 +121,8 @@
 	return busyReply(min(retryAfter, g.cfg.Settings.MaxRetryAfter))
 }
 
-// answer gives a request its final answer. Only the first call counts; later answers never reach
-// the client.
+// answer sets a request's final answer. Only the first call has an effect; later answers are
+// discarded.
 func (g *Gateway) answer(r *request, reply []byte) {
 	if r.answered {
 		return
@@ -134,8 +135,8 @@
 	g.requests.removeFinished(r)
 }
 
-// closeRequest records that a request needs no further answer. Attempts that have not reached a
-// backend completely are withdrawn.
+// closeRequest marks a request as answered and withdraws the attempts that are not completely
+// written to a backend.
 func (g *Gateway) closeRequest(r *request) {
 	r.answered = true
 	g.requests.open--
@@ -145,8 +146,8 @@
 	}
 }
 
-// cancelPending ends what was still to be done to find an answer: the authenticator's verdict, the
-// deadline's timer, the reservation of the client's id.
+// cancelPending cancels the pending authorization and the deadline timer of a request, and releases
+// the client's id.
 func (g *Gateway) cancelPending(r *request) {
 	g.cancelAuthorization(r)
 	g.cancel(r.deadlineTimer)
@@ -154,7 +155,8 @@
 	g.requests.freeClientID(r)
 }
 
-// countOutcome counts how a request ended, by the beginning of its answer.
+// countOutcome counts a request as rejected, failed or answered, according to the prefix of its
+// answer.
 func (r *request) countOutcome(counters *metrics.Counters, reply []byte) {
 	switch {
 	case !r.classKnown:
@@ -167,8 +169,8 @@
 	}
 }
 
-// submit enters a request in the table and has it authorised, where the settings ask for that, and
-// then decided on by the balancer. arrived is when its command came.
+// submit adds a request to the table and passes it to the balancer, after the authenticator has
+// allowed it if one is enabled. arrived is the time at which the command arrived.
 func (g *Gateway) submit(r *request, policyReq policy.Request, arrived policy.Time) {
 	now := g.now()
 	g.requests.add(r)
@@ -193,7 +195,7 @@
 }
 
 // deadlineBackstop fails a request that is still open shortly before its client stops waiting,
-// whatever went wrong: no request may stay unanswered.
+// whatever the cause, because no request may stay unanswered.
 type deadlineBackstop struct{ request *request }
 
 func (b deadlineBackstop) due(g *Gateway) {
@@ -201,13 +203,12 @@
 	if r.answered {
 		return
 	}
-	g.log.Warn("request was open at its deadline", "id", string(r.args[2]))
+	g.log.Warn("request was still unanswered at its deadline", "id", string(r.args[2]))
 	g.answer(r, failedReply)
 	g.balancer.ClientGone(g.now(), r.id)
 }
 
-// attemptOutcome is how an attempt ended. There is exactly one for each Send, and one for each
-// Probe.
+// attemptOutcome is the result of an attempt. Each Send and each Probe produces exactly one.
 type attemptOutcome struct {
 	attempt  *attempt
 	result   policy.Result
--- a/internal/dataplane/gateway/sender.go
+++ b/internal/dataplane/gateway/sender.go
@@ -9,29 +9,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// sender writes to a connection without ever blocking its caller: what the socket takes at once is
-// written at once, the rest by a goroutine of its own. Its methods are safe for concurrent use.
+// sender writes to a connection without blocking its caller: it writes immediately what the socket
+// accepts and leaves the rest to a separate goroutine. Its methods are safe for concurrent use.
 type sender struct {
 	conn *net.TCPConn
-	raw  syscall.RawConn // nil: the connection was closed before
+	raw  syscall.RawConn // nil: the connection was closed before newSender
 
 	mu         sync.Mutex
 	pending    []byte
-	writing    bool   // a goroutine writes pending
-	streamNext func() // writes to the connection by itself, after pending; nil: none
-	closeAfter bool   // the sending ends after pending
+	writing    bool   // writePending runs
+	streamNext func() // function that writes to the connection after pending; nil: none
+	closeAfter bool   // shut down the write side after pending
 
-	// fullyWritten counts the messages that send has completed; nil: nobody counts. It is set
-	// only while no goroutine writes.
+	// fullyWritten counts the messages that send has written completely; nil: they are not counted.
+	// It may be set only while writePending is not running.
 	fullyWritten *atomic.Int64
 }
 
 func newSender(conn *net.TCPConn) *sender {
-	raw, _ := conn.SyscallConn() // fails only for a closed connection, for which writeNow fails
+	raw, _ := conn.SyscallConn() // fails only for a closed connection, and then writeNow fails too
 	return &sender{conn: conn, raw: raw}
 }
 
-// writeNow writes what the socket takes at once. A full socket is no error.
+// writeNow writes as much as the socket accepts without blocking. A full socket buffer is not an
+// error.
 func (s *sender) writeNow(b []byte) (n int, err error) {
 	if s.raw == nil {
 		return 0, net.ErrClosed
@@ -52,7 +53,7 @@
 	return n, err
 }
 
-// nothingToRead reports whether the connection is open and nothing waits to be read from it.
+// nothingToRead reports whether the connection is open and has no unread data.
 func (s *sender) nothingToRead() bool {
 	_, err := s.peek()
 	return wouldBlock(err)
@@ -60,7 +61,8 @@
 
 func wouldBlock(err error) bool { return err == syscall.EAGAIN || err == syscall.EINTR }
 
-// hungUp reports whether the other side has closed the connection, also behind unread data.
+// hungUp reports whether the peer has closed the connection, even if unread data precedes the
+// close.
 func (s *sender) hungUp() bool {
 	n, err := s.peek()
 	if n > 0 {
@@ -69,8 +71,8 @@
 	return !wouldBlock(err)
 }
 
-// peerClosedWrite reports whether the other side has closed the connection behind unread data. The
-// kernel does not know of a close before it has received all data in front of it.
+// peerClosedWrite reports whether the peer has closed its write side after unread data. The kernel
+// learns of the close only once it has received all data before it.
 func (s *sender) peerClosedWrite() bool {
 	closed := false
 	err := s.raw.Control(func(fd uintptr) {
@@ -81,8 +83,8 @@
 	return err != nil || closed
 }
 
-// peek returns how much waits to be read, at most 1, and takes nothing of it. 0 without an error is
-// the end of the connection.
+// peek returns the number of readable bytes, at most 1, without consuming them. 0 without an error
+// means the end of the stream.
 func (s *sender) peek() (n int, err error) {
 	if s.raw == nil {
 		return 0, net.ErrClosed
@@ -97,8 +99,9 @@
 	return max(n, 0), err
 }
 
-// send writes b, which is the sender's from then on. It returns false if more than maxPending bytes
-// wait for a peer that reads too slowly. A broken connection is left for its reader to find.
+// send writes b and takes ownership of it. It returns false if more than maxPending bytes are
+// queued because the peer reads too slowly. It does not report a broken connection: the
+// connection's reader detects that.
 func (s *sender) send(b []byte, maxPending int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,8 +122,8 @@
 	return true
 }
 
-// writePending writes what is pending, and runs what is to be streamed, until nothing is left. It
-// runs on a goroutine of its own.
+// writePending writes the pending bytes and runs the stream functions until none are left. It runs
+// on its own goroutine.
 func (s *sender) writePending() {
 	for {
 		b, stream, more := s.takePending()
@@ -137,8 +140,8 @@
 	}
 }
 
-// takePending returns what is to be written next: bytes, or a function that writes. more is false
-// if there is nothing; the writing has then ended.
+// takePending returns what to write next: bytes or a stream function. more is false if there is
+// neither; writePending must then return.
 func (s *sender) takePending() (b []byte, stream func(), more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,8 +162,8 @@
 	return nil, nil, false
 }
 
-// stream has f write to the connection by itself, from another goroutine, once all that was sent
-// before is written. What is sent meanwhile waits until f returns.
+// stream runs f on another goroutine once everything sent before has been written. f writes to the
+// connection directly. Data sent in the meantime is queued until f returns.
 func (s *sender) stream(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,8 +174,9 @@
 	}
 }
 
-// closeWrite ends the sending after all that was sent. The reading goes on until the other side
-// has closed, so that no answer is lost with a reset.
+// closeWrite shuts down the write side once everything sent has been written. The connection stays
+// readable until the peer closes it, because an earlier close could reset the connection and lose
+// an answer.
 func (s *sender) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +186,7 @@
 	}
 }
 
-// drained reports whether all that was sent is written.
+// drained reports whether everything sent has been written.
 func (s *sender) drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
