--- a/internal/dataplane/gateway/backend_dial.go
+++ b/internal/dataplane/gateway/backend_dial.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// dialForWaiting dials as long as more attempts wait than dials and resting connections are there
-// for them.
+// dialForWaiting starts dials until every waiting attempt has a dial in progress or a connection in
+// its cooldown. At the connection limit it ends the newest waiting attempts instead.
 func (p *backendPool) dialForWaiting(g *Gateway, b *backend) {
 	if len(b.waiting) == 0 {
 		return
@@ -18,8 +18,8 @@
 	coolingDown := b.coolingDown(g)
 	for b.dialing+coolingDown < len(b.waiting) {
 		if p.open >= p.maxConns && !p.evict() {
-			// A lack of descriptors is no fault of the backend: nothing was sent, and
-			// nothing is learnt of it.
+			// The gateway is at its connection limit, which is not the backend's fault. Nothing was
+			// sent, and nothing is learnt about the backend.
 			last := len(b.waiting) - 1
 			a := b.waiting[last]
 			b.waiting = b.waiting[:last]
@@ -32,7 +32,7 @@
 	}
 }
 
-// dialOnce dials a backend and posts the result. It runs on a goroutine of its own.
+// dialOnce dials a backend and posts the result. It runs on its own goroutine.
 func (p *backendPool) dialOnce(g *Gateway, b *backend, address string, upSince int64) {
 	conn, err := p.dial.DialContext(context.Background(), "tcp", address)
 	e := dialed{backend: b, address: address, upSince: upSince, err: err}
@@ -42,7 +42,7 @@
 	g.post(e)
 }
 
-// evict closes the connection that has been idle longest, and reports whether there was one.
+// evict closes the connection that has been idle longest. It returns false if there is none.
 func (p *backendPool) evict() bool {
 	var oldest *backendConn
 	for _, b := range p.byNumber {
@@ -64,7 +64,8 @@
 	}
 }
 
-// dialed tells how a dial ended. address and upSince are the backend's when it began.
+// dialed is the result of a dial. address and upSince are the backend's values at the start of the
+// dial.
 type dialed struct {
 	backend *backend
 	address string
@@ -97,11 +98,12 @@
 	p.release(g, c)
 }
 
-// dialFailed ends the attempt that has waited longest, if no other connection is on its way to it.
+// dialFailed ends the attempt that has waited longest, unless another dial or a connection in its
+// cooldown can serve it.
 func (p *backendPool) dialFailed(g *Gateway, e dialed) {
 	b := e.backend
 	if e.address != b.address || e.upSince != b.upSince {
-		p.dialForWaiting(g, b) // the backend has moved or restarted since
+		p.dialForWaiting(g, b) // the backend has changed its address or restarted since
 		return
 	}
 	if len(b.waiting) == 0 || len(b.waiting) <= b.dialing+b.coolingDown(g) {
@@ -109,8 +111,8 @@
 	}
 	a := b.waiting[0]
 	if errors.Is(e.err, syscall.ECONNRESET) && !a.redialed {
-		// Something listens there (else the connection would be refused), and nothing was
-		// sent: another dial may succeed.
+		// Something listens at the address (otherwise the connection would be refused), and nothing
+		// was sent, so another dial may succeed.
 		a.redialed = true
 		p.dialForWaiting(g, b)
 		return
--- a/internal/dataplane/gateway/backend_pool.go
+++ b/internal/dataplane/gateway/backend_pool.go
@@ -14,65 +14,67 @@
 	"mothcleat/internal/failpoint"
 )
 
-// attempt is one send of a request to a backend or, without a request, a health check.
+// attempt is one attempt to send a request to a backend or, without a request, a health check.
 type attempt struct {
 	request   *request // nil: a health check
-	number    int      // among the request's attempts, from 0
+	number    int      // index among the request's attempts, from 0
 	backend   uint32
 	startedAt policy.Time
 	deadline  policy.Time
 	timeout   *timer
 
-	conn      *backendConn // nil: it waits for one, or has ended
-	writtenAt policy.Time  // when it was written to conn
-	connIdle  policy.Time  // for how long conn had been idle then
-	redialed  bool         // a dial for it was reset and repeated
-	ended     bool         // its outcome is enqueued
+	conn      *backendConn // nil: the attempt waits for a connection or has ended
+	writtenAt policy.Time  // when the attempt was written to conn
+	connIdle  policy.Time  // how long conn had been idle at writtenAt
+	redialed  bool         // a dial for this attempt was reset and retried
+	ended     bool         // the outcome is enqueued
 }
 
-// backend is a backend that discovery has named.
+// backend is a backend from the endpoint list.
 type backend struct {
-	number  uint32 // names it in the balancer and in peers' messages
+	number  uint32 // identifies it to the balancer and in messages between peers
 	address string
-	upSince int64 // Unix time in milliseconds, as discovery has it
+	upSince int64 // start time reported by discovery, in Unix milliseconds
 	state   policy.EndpointState
-	idle    []*backendConn // the one used last at the end
-	waiting []*attempt     // for a connection, oldest first
+	idle    []*backendConn // sorted by last use, the latest at the end
+	waiting []*attempt     // attempts waiting for a connection, oldest first
 	dialing int
 }
 
-// backendConn is a connection to a backend. It carries one attempt at a time: answers come in
-// order, so a slow one would hold up those behind it, and giving it up would close the connection
-// under them. The event loop owns it; its reader goroutine uses bytesRead, reader and copyResult.
+// backendConn is a connection to a backend. It carries one attempt at a time: because answers come
+// in order, a slow one would delay those behind it, and cancelling it would close the connection
+// for all of them. The event loop owns it; its reader goroutine uses bytesRead, reader and
+// copyResult.
 type backendConn struct {
 	backend *backend
 	conn    *net.TCPConn
 	out     *sender
-	attempt *attempt // nil: none is in flight
+	attempt *attempt // in flight on the connection; nil: none
 	closed  bool
 
 	idleSince            policy.Time
-	cooldownUntil        policy.Time // not used before: more may follow its last answer
-	cooldownEndScheduled bool        // cooldownEnded is scheduled
+	cooldownUntil        policy.Time // not reused before: more data may follow the last answer
+	cooldownEndScheduled bool        // a cooldownEnded is scheduled
 
 	bytesRead     atomic.Int64
-	bytesConsumed int64 // of bytesRead, those that belong to answers already handled
+	bytesConsumed int64 // bytes of bytesRead that belong to answers already handled
 
 	reader     *resp.Reader
-	streamed   *streamedValue // in flight on it; nil: none
-	copyResult chan error     // how the copying of a streamed value ended
+	streamed   *streamedValue // being copied from the connection; nil: none
+	copyResult chan error     // result of copying a streamed value
 }
 
-// Read reads from the connection and counts the bytes, for the connection's reader.
+// Read reads from the connection and counts the bytes in bytesRead. Only the connection's reader
+// calls it.
 func (c *backendConn) Read(b []byte) (int, error) {
 	n, err := c.conn.Read(b)
 	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// noUnexpectedInput reports whether the connection holds no bytes beyond the answers already
-// handled. Unread bytes, such as a duplicate of the last answer, would be taken for the answer to
-// the next request.
+// noUnexpectedInput reports whether the connection is open and has received no bytes beyond the
+// answers already handled. Other bytes, such as a duplicate of the last answer, would be taken for
+// the answer to the next request.
 func (c *backendConn) noUnexpectedInput() bool {
 	return c.bytesRead.Load() == c.bytesConsumed && c.out.nothingToRead()
 }
@@ -82,15 +84,16 @@
 	byNumber    map[uint32]*backend
 	byID        map[string]*backend
 	idleLimiter idleLimiter
-	maxConns    int // connections and dials together
-	open        int // of those
+	maxConns    int // limit on connections plus dials in progress
+	open        int // connections plus dials in progress
 	cooldown    policy.Time
 	dial        net.Dialer
 }
 
-// connCooldown is how long a connection is left alone after an answer. Some backends repeat an
-// answer some milliseconds late; if a request were written meanwhile, the repetition would be taken
-// for its answer, as nothing in a value says what it answers.
+// connCooldown is how long a connection is not reused after an answer. Some backends send a
+// duplicate of an answer a few milliseconds later. If a request were written before the duplicate
+// arrived, the duplicate would be taken for its answer, because an answer does not identify its
+// request.
 const connCooldown policy.Time = 6_000
 
 func newBackendPool(cfg *Config, maxConns int) *backendPool {
@@ -123,7 +126,7 @@
 	}
 	number := uint32(n)
 	for p.byNumber[number] != nil {
-		number++ // two ids with one number are still two backends
+		number++ // two ids with the same number are still two backends
 	}
 	b := &backend{number: number, state: policy.Removed}
 	p.byID[id] = b
@@ -131,7 +134,7 @@
 	return b
 }
 
-// startAttempt carries out a Send or a Probe.
+// startAttempt starts the attempt of a Send or a Probe.
 func (p *backendPool) startAttempt(g *Gateway, a *attempt, number uint32) {
 	a.backend = number
 	a.timeout = g.schedule(a.deadline, attemptTimeout{a})
@@ -188,7 +191,7 @@
 	}
 }
 
-// cooldownEnded tells that a connection has rested.
+// cooldownEnded fires at the end of a connection's cooldown.
 type cooldownEnded struct{ conn *backendConn }
 
 func (e cooldownEnded) due(g *Gateway) {
@@ -199,15 +202,16 @@
 		b.idle = slices.Delete(b.idle, i, i+1)
 		g.backends.release(g, c)
 	}
-	g.backends.dialForWaiting(g, b) // the connection may have been closed or used meanwhile
+	g.backends.dialForWaiting(g, b) // the connection may have been closed or used in the meantime
 }
 
-// release gives a connection to the attempt that has waited longest, or adds it to the idle ones.
+// release assigns a connection to the attempt that has waited longest, or adds the connection to
+// the idle ones.
 func (p *backendPool) release(g *Gateway, c *backendConn) {
 	b := c.backend
 	unwanted := b.state != policy.Ready && len(b.waiting) == 0
-	// An answer may come before the request is written completely; the next request would be
-	// written into the rest of it.
+	// An answer may come before the request is written completely. The next request would then be
+	// written into the rest of this one.
 	if unwanted || !c.out.drained() {
 		p.close(c)
 		p.dialForWaiting(g, b)
@@ -232,8 +236,8 @@
 	b.idle = append(b.idle, c)
 }
 
-// write writes an attempt to an idle connection. It reports whether the attempt is dealt with: in
-// flight, or ended. It returns false, with nothing sent, if the connection is broken.
+// write writes an attempt to an idle connection. It returns true if the attempt is then in flight
+// or has ended, and false if the connection is broken and nothing was sent.
 func (p *backendPool) write(g *Gateway, c *backendConn, a *attempt) bool {
 	if c.backend.state != policy.Ready {
 		// The backend began to drain while the attempt waited for its connection.
@@ -246,7 +250,8 @@
 		return false
 	}
 	command := g.encodeAttempt(a)
-	// What a suspended process may no longer do is checked last, right before the write.
+	// These checks come last, right before the write, because the process may have been suspended
+	// since the decision.
 	if g.clientHungUp(a) || g.retryExpired(a) || g.decisionExpired(a) {
 		p.release(g, c)
 		return true
@@ -266,13 +271,13 @@
 	return true
 }
 
-// The health checks, as RESP2 commands.
+// Health checks, as RESP2 commands.
 var (
 	infoLoadCommand   = []byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
 	healthPingCommand = []byte("*1\r\n$4\r\nPING\r\n")
 )
 
-// encodeAttempt returns what a backend is sent.
+// encodeAttempt returns the command to send to the backend for an attempt.
 func (g *Gateway) encodeAttempt(a *attempt) []byte {
 	switch {
 	case a.request != nil:
@@ -284,8 +289,8 @@
 	}
 }
 
-// send writes an attempt's command: what the socket takes now, and the rest as it takes more. It
-// returns false if the connection is broken.
+// send writes an attempt's command: as much as the socket accepts now, and the rest in the
+// background. It returns false if the connection is broken.
 func (c *backendConn) send(command []byte, a *attempt, g *Gateway) bool {
 	n, err := c.out.writeNow(command)
 	if err != nil {
@@ -305,7 +310,7 @@
 	return true
 }
 
-// countSend counts an attempt that was written, and the request's units with its first one.
+// countSend counts a written attempt, and with the first attempt also the request's units.
 func (g *Gateway) countSend(r *request) {
 	if g.cfg.Operations != nil {
 		g.cfg.Operations.Sent(!r.sent, r.units)
@@ -319,8 +324,8 @@
 	}
 }
 
-// retryExpired ends a retry of an attempt that may have been executed, where it waited too long for
-// its connection to be sent any more. It reports whether it has.
+// retryExpired ends a retry that waited too long for its connection and may no longer be sent,
+// because an earlier attempt may have been executed. It reports whether it ended the retry.
 func (g *Gateway) retryExpired(a *attempt) bool {
 	if a.request == nil || a.number == 0 {
 		return false
@@ -332,8 +337,8 @@
 	return true
 }
 
-// clientHungUp ends an attempt whose client has closed its connection, though the event of that is
-// still queued. It reports whether it has.
+// clientHungUp ends an attempt whose client has closed its connection, even if the event loop has
+// not handled that event yet. It reports whether it ended the attempt.
 func (g *Gateway) clientHungUp(a *attempt) bool {
 	if a.request == nil {
 		return false
@@ -352,8 +357,8 @@
 	return true
 }
 
-// closeIdle closes idle connections well before their backends do: a request that crosses the
-// close would end as a reset.
+// closeIdle closes idle connections well before their backends do, because a request sent while the
+// backend closes the connection would end with a reset.
 func (p *backendPool) closeIdle(g *Gateway) {
 	oldest := g.now() - g.cfg.Host.BackendIdleTimeout/2
 	for _, b := range p.byNumber {
@@ -363,7 +368,7 @@
 	}
 }
 
-// close closes a connection that carries no attempt any more.
+// close closes a connection that no longer carries an attempt.
 func (p *backendPool) close(c *backendConn) {
 	if c.closed {
 		return
@@ -377,7 +382,7 @@
 	}
 }
 
-// attemptTimeout ends an attempt at its deadline, and its connection with it.
+// attemptTimeout ends an attempt at its deadline and closes its connection.
 type attemptTimeout struct{ attempt *attempt }
 
 func (t attemptTimeout) due(g *Gateway) {
@@ -392,9 +397,10 @@
 	g.backends.abort(g, a, policy.TimedOut)
 }
 
-// withdraw ends an attempt whose request needs no answer any more, unless a backend has received it
-// completely: one that waits for a connection is not sent, and the last byte of one that is partly
-// written is not sent. A complete one goes on until it is answered or times out.
+// withdraw ends an attempt whose request no longer needs an answer, unless the attempt is
+// completely written. An attempt that waits for a connection is not sent, and a partly written one
+// is aborted before its last byte. A completely written one continues until it is answered or times
+// out.
 func (p *backendPool) withdraw(g *Gateway, a *attempt) {
 	if a.ended {
 		return
@@ -404,30 +410,30 @@
 		return
 	}
 	if !a.conn.out.drained() {
-		p.abort(g, a, policy.Cancelled) // its last byte may have gone this very moment
+		p.abort(g, a, policy.Cancelled) // its last byte may just have been written
 	}
 }
 
-// cancelWaiting ends an attempt that waits for a connection.
+// cancelWaiting ends an attempt that is waiting for a connection.
 func (p *backendPool) cancelWaiting(g *Gateway, a *attempt) {
 	b := p.byNumber[a.backend]
 	b.waiting = slices.DeleteFunc(b.waiting, func(w *attempt) bool { return w == a })
 	g.finishAttempt(a, policy.Superseded, nil)
 }
 
-// abort ends an attempt in flight, and its connection.
+// abort ends an attempt in flight and closes its connection.
 func (p *backendPool) abort(g *Gateway, a *attempt, result policy.Result) {
 	a.conn.attempt = nil
 	p.close(a.conn)
 	g.finishAttempt(a, result, nil)
 }
 
-// finishAttempt ends an attempt. The first call enqueues its one outcome; later ones do nothing.
+// finishAttempt ends an attempt. The first call enqueues the outcome; later calls do nothing.
 func (g *Gateway) finishAttempt(a *attempt, result policy.Result, value []byte) {
 	g.finishAttemptWithReport(a, result, value, nil)
 }
 
-// finishAttemptWithReport is finishAttempt with the backend's load report; nil: none.
+// finishAttemptWithReport is finishAttempt with the backend's load report (nil if there is none).
 func (g *Gateway) finishAttemptWithReport(
 	a *attempt, result policy.Result, value []byte, load []float32,
 ) {
--- a/internal/dataplane/gateway/backend_reply.go
+++ b/internal/dataplane/gateway/backend_reply.go
@@ -13,8 +13,8 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// replyTimeout is how soon after its first byte an answer must be complete: a corrupt length may
-// promise more than ever comes.
+// replyTimeout is the limit from the first byte of an answer to its end. It ends the wait for an
+// answer whose corrupt length announces more data than the backend sends.
 const replyTimeout = time.Second
 
 // readReplies posts a backend's answers until the connection ends or its framing is lost. It runs
@@ -48,14 +48,14 @@
 	}
 }
 
-// replyRead is an answer on a backend's connection, or the end of the connection.
+// replyRead is an answer read from a backend's connection, or the end of the connection.
 type replyRead struct {
 	conn          *backendConn
 	reply         resp.Reply
 	err           error
-	malformed     bool  // an answer has come that can't be read
-	bytesConsumed int64 // bytes of this answer and those before
-	extraBytes    bool  // something follows the answer
+	malformed     bool  // an answer was received that can't be parsed
+	bytesConsumed int64 // total bytes of this answer and all earlier ones
+	extraBytes    bool  // more data follows the answer
 }
 
 func (e replyRead) handle(g *Gateway) {
@@ -64,7 +64,7 @@
 	if c.closed {
 		return
 	}
-	reused := c.bytesConsumed > 0 // it carried an answer before this one
+	reused := c.bytesConsumed > 0 // the connection carried an answer before this one
 	c.bytesConsumed = e.bytesConsumed
 	c.cooldownUntil = g.now() + g.backends.cooldown
 	if a == nil || e.err != nil && !e.malformed {
@@ -77,8 +77,8 @@
 	}
 	c.attempt = nil
 	if !wellFormed || e.malformed || e.extraBytes {
-		// What comes next on this connection may belong to no request. That says nothing of
-		// the backend's other connections.
+		// Further data on this connection may not belong to any request. The backend's other
+		// connections are not affected.
 		g.backends.close(c)
 		g.backends.dialForWaiting(g, c.backend)
 	}
@@ -88,16 +88,16 @@
 	}
 }
 
-// connEnded closes a connection that the backend has ended, or that brought an answer nobody asked
-// for. reused: it carried answers before.
+// connEnded closes a connection that the backend has closed or on which an unsolicited answer came.
+// reused: the connection has carried answers before.
 func (p *backendPool) connEnded(g *Gateway, c *backendConn, reused bool) {
 	p.close(c)
 	a := c.attempt
 	c.attempt = nil
 	if a != nil {
-		// The attempt's last byte was written, or may have been: it may have been executed.
-		// Where a reused connection proved dead, those of the same backend that have been
-		// idle for longer are most likely dead as well.
+		// The attempt's last byte may have been written, so the attempt may have been executed. If
+		// a reused connection turns out to be dead, those connections of the same backend that have
+		// been idle for longer are most likely dead as well.
 		if reused && g.now()-a.writtenAt < deadConnDetectionTime {
 			p.idleLimiter.connBroken(g.now(), a.connIdle)
 		}
@@ -107,12 +107,12 @@
 		}
 		g.finishAttempt(a, policy.Reset, nil)
 	}
-	p.dialForWaiting(g, c.backend) // an attempt may have waited for the connection to rest
+	p.dialForWaiting(g, c.backend) // an attempt may have waited for the end of the cooldown
 }
 
-// classifyReply tells what an answer means, and whether it has an expected form: an array with the
-// value first, or an error. What follows the value, such as a load report that can't be read, does
-// not make it malformed.
+// classifyReply returns the result of an answer and whether the answer has an expected form: an
+// array with the value first, or an error. Data after the value, such as a load report that can't
+// be parsed, does not make an answer malformed.
 func classifyReply(
 	reply resp.Reply, probe bool,
 ) (result policy.Result, value []byte, load string, wellFormed bool) {
@@ -133,10 +133,10 @@
 		}
 		return policy.OK, reply.Items[0].Text, load, true
 	}
-	return policy.Failed, nil, "", false // without a value, though it may have been executed
+	return policy.Failed, nil, "", false // no value, but the request may have been executed
 }
 
-// holdsValue reports whether an answer is an array that begins with a value.
+// holdsValue reports whether an answer is an array whose first item is a value.
 func holdsValue(reply resp.Reply) bool {
 	if reply.Kind != '*' || len(reply.Items) == 0 {
 		return false
@@ -145,16 +145,16 @@
 	return first.Kind == '$' && !first.Null
 }
 
-// parseLoadReport reads a load report into the order of the settings; nil if it is none. One that
-// is incomplete or holds an impossible load is ignored: it would draw all requests to its backend,
-// or none.
+// parseLoadReport parses a load report into the order of the settings. It returns nil if the text
+// is not a load report. A report that is incomplete or contains an invalid load is ignored, because
+// it would attract all requests to its backend, or none.
 func (g *Gateway) parseLoadReport(text string) []float32 {
 	names := g.cfg.Host.Report
 	if len(g.cfg.Settings.LoadReportMetrics) == 0 || !strings.Contains(text, "=") {
 		return nil
 	}
 	load := make([]float32, len(names))
-	seen := 0 // a bit for each name
+	seen := 0 // one bit for each name
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		i := slices.Index(names, name)
--- a/internal/dataplane/gateway/streamed_value.go
+++ b/internal/dataplane/gateway/streamed_value.go
@@ -11,33 +11,34 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// A value over resp.MaxValue is streamed to the client while it comes: buffering all values in
-// flight would need too much memory. To the balancer its request is answered when the first byte is
-// here. From then on the gateway ends it only if one side makes no progress for long.
+// A value over resp.MaxValue is streamed to the client as it arrives, because buffering all values
+// in flight would need too much memory. The balancer counts the request as answered when the first
+// byte has arrived. From then on the gateway aborts the copy only if one side makes no progress for
+// copyProgressTimeout.
 const (
 	copyBufferBytes     = 32 << 10
-	copyProgressTimeout = 15 * time.Second // in which each side must take or give something
+	copyProgressTimeout = 15 * time.Second // each side must make progress within it
 )
 
 var (
 	copyBuffers   = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
-	errNoReceiver = errors.New("nobody waits for the value")
+	errNoReceiver = errors.New("no client waits for the value")
 	lineBreak     = []byte("\r\n")
 )
 
-// streamedValue is an answer that is streamed to the client. It belongs to the event loop; copy
-// runs on the client's writer goroutine. The connection's reader waits on conn.copyResult
-// meanwhile, which gets exactly one result for each value.
+// streamedValue is an answer that is streamed to the client. It belongs to the event loop, except
+// that copy runs on the client's writer goroutine. Meanwhile the connection's reader waits on
+// conn.copyResult, which receives exactly one result for each value.
 type streamedValue struct {
 	request *request
 	conn    *backendConn
 	header  resp.LongValue
-	started bool // its turn in the client's pipeline has come
+	started bool // all earlier answers of the client's pipeline are written
 	ended   bool
 }
 
-// receiveStreamed asks the event loop who gets a long value, and waits until it is copied. It runs
-// on the connection's reader goroutine and reports whether the connection can be read on.
+// receiveStreamed offers a long value to the event loop and waits until it is copied. It runs on
+// the connection's reader goroutine and reports whether the reader can continue on the connection.
 func (c *backendConn) receiveStreamed(g *Gateway, header resp.LongValue) bool {
 	g.post(streamOffered{c, header})
 	err := <-c.copyResult
@@ -54,7 +55,7 @@
 	return e.err == nil && !e.extraBytes
 }
 
-// streamOffered is the beginning of a long value on a backend's connection.
+// streamOffered is the header of a long value read from a backend's connection.
 type streamOffered struct {
 	conn   *backendConn
 	header resp.LongValue
@@ -74,7 +75,7 @@
 	}
 	r := a.request
 	if r.answered {
-		// Another attempt was first: reading this value to its end would be in vain.
+		// Another attempt was answered first, so the rest of this value is not needed.
 		c.copyResult <- errNoReceiver
 		g.backends.close(c)
 		g.backends.dialForWaiting(g, c.backend)
@@ -88,7 +89,7 @@
 	g.finishAttempt(a, policy.OK, nil)
 }
 
-// start has a value copied, when all answers before it are written.
+// start starts to copy the value once all earlier answers are written.
 func (v *streamedValue) start(to *client) {
 	if v.started || v.ended {
 		return
@@ -97,7 +98,7 @@
 	to.out.stream(func() { v.conn.copyResult <- v.copy(to) })
 }
 
-// copy writes the value to the client as it comes.
+// copy writes the value to the client as it arrives.
 func (v *streamedValue) copy(to *client) error {
 	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buf)
@@ -122,7 +123,7 @@
 	return err
 }
 
-// abandon records that the client has gone.
+// abandon ends the value after its client has disconnected.
 func (v *streamedValue) abandon(g *Gateway) {
 	if !v.started && !v.ended {
 		v.conn.copyResult <- errNoReceiver
@@ -130,7 +131,7 @@
 	v.end(g)
 }
 
-// end records that the request has ended.
+// end marks the request as no longer open. Only the first call has an effect.
 func (v *streamedValue) end(g *Gateway) {
 	if !v.ended {
 		v.ended = true
@@ -138,13 +139,13 @@
 	}
 }
 
-// streamCopied tells that a value was written completely to its client.
+// streamCopied reports that a value has been written completely to its client.
 type streamCopied struct{ value *streamedValue }
 
 func (e streamCopied) handle(g *Gateway) {
 	r := e.value.request
 	if e.value.ended {
-		return // its client has gone
+		return // its client has disconnected
 	}
 	e.value.end(g)
 	r.streamed = nil
@@ -153,8 +154,8 @@
 	r.client.flushAnswers(g)
 }
 
-// streamFinished tells that a connection that has carried a long value is free; err, extraBytes: or
-// of no more use.
+// streamFinished reports that a connection has finished with a long value. The connection can be
+// reused unless err or extraBytes is set.
 type streamFinished struct {
 	conn          *backendConn
 	err           error
@@ -169,7 +170,8 @@
 	c.bytesConsumed = e.bytesConsumed
 	c.cooldownUntil = g.now() + g.backends.cooldown
 	if v != nil && !v.ended {
-		// The copying failed half way: closing tells the client that the value is incomplete.
+		// The copy failed midway. Closing the connection shows the client that the value is
+		// incomplete.
 		v.end(g)
 		g.metrics.CountRequest(v.request.class, metrics.Failed)
 		v.request.client.drop(g)
