--- a/internal/dataplane/gateway/accept.go
+++ b/internal/dataplane/gateway/accept.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	acceptRetryDelay = 20 * time.Millisecond // after an error, such as a lack of descriptors
+	acceptRetryDelay = 20 * time.Millisecond // after an error such as too many open descriptors
 
-	// Before the listener is closed, no connection must have come for so long: those that the
-	// kernel has accepted by then are served, and would be reset otherwise.
+	// The listener is closed only after no connection has arrived for this time. Connections that
+	// the kernel has already accepted are served; closing the listener would reset them.
 	backlogQuietTime = 20 * time.Millisecond
 
-	// The loop waits so long for an accept that blocks although the listener is closed.
+	// closeListener waits at most this long, because a blocked accept can delay the close.
 	listenerCloseTimeout = 20 * time.Millisecond
 )
 
 const (
 	clientIdleTimeout        policy.Time = 8_000_000 // without a command
-	singleCommandIdleTimeout policy.Time = 3_000_000 // the same after a single command
-	// At the limit of connections, one that is used may be closed when idle for so long.
+	singleCommandIdleTimeout policy.Time = 3_000_000 // the same, after a single command
+	// At the connection limit, a connection that was in use may be evicted after being idle for
+	// this time.
 	minIdleBeforeEviction policy.Time = 2_000_000
-	// By then a new connection has usually sent something.
+	// A new connection has usually sent data within this time.
 	newConnectionAge policy.Time = 100_000
 )
 
-// clients accepts connections and keeps them within their share of the file descriptors. It
-// belongs to the event loop but for accept, which runs on a goroutine of its own.
+// clients accepts client connections and limits them to their share of the file descriptors. It
+// belongs to the event loop, except for accept, which runs on its own goroutine.
 type clients struct {
 	listener  *net.TCPListener
-	slots     chan struct{} // a place for each connection that may be open
-	maxServed int           // connections beyond are accepted only to be rejected
+	slots     chan struct{} // one slot for each open connection
+	maxServed int           // further connections are accepted only to reject their requests
 	conns     map[*client]bool
 
-	accepting     bool          // accept runs
-	resumeAccept  chan struct{} // has accept go on after a pause; closed: it ends
-	drainBacklog  atomic.Bool   // accept ends when no connection has come for backlogQuietTime
-	incomingBytes atomic.Int64  // of commands that were read and wait for the event loop
+	accepting     bool          // accept has been started
+	resumeAccept  chan struct{} // a value resumes accept after a pause; closing it ends accept
+	drainBacklog  atomic.Bool   // accept ends once no connection has arrived for backlogQuietTime
+	incomingBytes atomic.Int64  // size of the commands read but not yet handled by the event loop
 }
 
 func newClients(served, accepted int) *clients {
@@ -54,20 +55,20 @@
 	}
 }
 
-// accept posts new connections until the listener is closed. While all places are taken it does not
+// accept posts new connections until the listener is closed. While all slots are taken it does not
 // accept, and connections wait in the listener's backlog.
 func (cs *clients) accept(g *Gateway) {
 	raw, err := cs.listener.SyscallConn()
 	if err != nil {
-		g.log.Error("accept", "error", err)
+		g.log.Error("no access to the listening socket; accepting no clients", "error", err)
 		return
 	}
 	for {
 		cs.slots <- struct{}{}
-		// A process that hands the socket to another makes it blocking for all that share it,
-		// and an accept that blocks can't be ended.
+		// Passing the socket to another process makes it blocking for all processes that share it,
+		// and a blocking accept can't be interrupted.
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
-		if cs.drainBacklog.Load() { // the wait for a place may have been long
+		if cs.drainBacklog.Load() { // the wait for a slot may have been long
 			_ = cs.listener.SetDeadline(time.Now().Add(backlogQuietTime))
 		}
 		conn, err := cs.listener.AcceptTCP()
@@ -83,14 +84,14 @@
 			}
 		default:
 			<-cs.slots
-			g.log.Warn("accept", "error", err)
+			g.log.Warn("accept failed; retrying", "error", err)
 			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// pauseOrEnd is called when the listener's deadline has passed: accepting is paused, or the backlog
-// is drained. It reports whether accepting goes on.
+// pauseOrEnd is called when the listener's deadline has passed, either to pause accepting or
+// because the backlog is drained. It reports whether accepting continues.
 func (cs *clients) pauseOrEnd(g *Gateway, raw syscall.RawConn) bool {
 	if cs.drainBacklog.Load() && !cs.closeOnceDrained(g, raw) {
 		return true
@@ -100,9 +101,9 @@
 	return resumed
 }
 
-// closeOnceDrained accepts all waiting connections and closes the listener at once. Closing resets
-// connections that wait then, so nothing slow lies between the last look and the close. Where
-// places for connections run out it returns false and does not close.
+// closeOnceDrained accepts all waiting connections and then closes the listener. Closing resets
+// connections that are still waiting, so nothing slow happens between the last check and the close.
+// If it runs out of slots, it returns false and does not close the listener.
 func (cs *clients) closeOnceDrained(g *Gateway, raw syscall.RawConn) bool {
 	for {
 		select {
@@ -119,14 +120,14 @@
 		conn, err := connFromFD(fd)
 		if err != nil {
 			<-cs.slots
-			g.log.Warn("accept", "error", err)
+			g.log.Warn("an accepted connection is not usable", "error", err)
 			continue
 		}
 		g.post(clientConnected{conn})
 	}
 }
 
-// acceptPending accepts a waiting connection without blocking. ok is false if there is none, or it
+// acceptPending accepts a waiting connection without blocking. ok is false if there is none or it
 // can't be accepted.
 func acceptPending(raw syscall.RawConn) (fd int, ok bool) {
 	_ = raw.Control(func(listener uintptr) {
@@ -139,7 +140,7 @@
 	return fd, ok
 }
 
-// connFromFD makes a connection of a descriptor, which it takes over.
+// connFromFD returns a connection for a file descriptor and takes ownership of the descriptor.
 func connFromFD(fd int) (*net.TCPConn, error) {
 	file := os.NewFile(uintptr(fd), "connection")
 	defer file.Close()
@@ -154,9 +155,9 @@
 	return tcp, nil
 }
 
-var errNotTCP = errors.New("the connection is no TCP connection")
+var errNotTCP = errors.New("descriptor is not a TCP connection")
 
-// acceptPaused tells that accept waits to be resumed, or that the backlog is drained.
+// acceptPaused reports that accept waits to be resumed or that the backlog is drained.
 type acceptPaused struct{}
 
 func (acceptPaused) handle(g *Gateway) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// closeListener closes the listener; no connection is accepted any more.
+// closeListener closes the listener, and waits up to listenerCloseTimeout for that.
 func (cs *clients) closeListener() {
 	done := make(chan struct{})
 	go func() {
@@ -188,12 +189,12 @@
 	}
 }
 
-// startClient starts to read from a new connection and returns true. While connections are passed
-// to a successor it passes this one instead and returns false.
+// startClient starts to read from a new connection and returns true. While connections are being
+// passed to a successor, it passes the connection on instead and returns false.
 func (g *Gateway) startClient(c *client) bool {
 	g.clients.conns[c] = true
 	if g.handover.passingConns() {
-		c.reading.detached = true // nothing was read from it
+		c.reading.detached = true // no reader was started
 		g.passToSuccessor(c)
 		return false
 	}
@@ -201,18 +202,19 @@
 	return true
 }
 
-// remove forgets a connection and frees its place.
+// remove removes a connection and frees its slot.
 func (cs *clients) remove(c *client) {
 	delete(cs.conns, c)
 	<-cs.slots
 }
 
-// evict closes the connection that matters least, and reports whether one could be closed: first
-// those without a command, then those with one, then idle ones. For a client that has sent a
-// command (requesting; nil: a connection that has sent nothing yet) idle ones are closed at once.
+// evict closes the least active connection and reports whether one could be closed. Connections
+// without a command come first, then those with one, then those with more. requesting is the client
+// whose command needs the slot; for it, connections without a command are closed sooner and the
+// others without a minimum idle time. It is nil for a new connection that has not sent a command.
 func (cs *clients) evict(g *Gateway, requesting *client) bool {
 	now := g.now()
-	// How long a connection must have been idle, by its rank.
+	// Minimum idle time by activity rank.
 	minIdle := [...]policy.Time{newConnectionAge, 2 * newConnectionAge, minIdleBeforeEviction}
 	if requesting != nil {
 		minIdle = [...]policy.Time{newConnectionAge / 5, 0, 0}
@@ -234,7 +236,7 @@
 	return true
 }
 
-// evictedBefore orders connections for eviction.
+// evictedBefore reports whether c is to be evicted before other.
 func (c *client) evictedBefore(other *client) bool {
 	if c.activityRank() != other.activityRank() {
 		return c.activityRank() < other.activityRank()
@@ -242,12 +244,13 @@
 	return c.lastActivity() < other.lastActivity()
 }
 
-// closeIdle closes connections that only take up places.
+// closeIdle evicts connections over the limit and closes those whose idle timeout has passed.
 func (cs *clients) closeIdle(g *Gateway) {
 	for len(cs.conns) > cs.maxServed && cs.evict(g, nil) {
 	}
 	now := g.now()
-	// By rank: one that only ever sent a single command is not a connection of a pool.
+	// By activity rank. A connection that has sent only a single command does not belong to a
+	// connection pool.
 	timeouts := [...]policy.Time{clientIdleTimeout, singleCommandIdleTimeout, clientIdleTimeout}
 	for c := range cs.conns {
 		if now-c.lastActivity() > timeouts[c.activityRank()] && !c.awaitingAnswer() {
--- a/internal/dataplane/gateway/client.go
+++ b/internal/dataplane/gateway/client.go
@@ -12,51 +12,51 @@
 )
 
 const (
-	maxPipelined   = 256               // commands of a connection that wait for their answers
-	maxUnreadBytes = 2 * resp.MaxValue // of answers that a client has not read
+	maxPipelined   = 256               // unanswered commands of a connection
+	maxUnreadBytes = 2 * resp.MaxValue // answers queued for a client that has not read them
 
-	// overloadRetryAfter is the advice when the gateway itself has no capacity.
+	// overloadRetryAfter is the retry advice when the gateway itself has no capacity.
 	overloadRetryAfter policy.Time = 500_000
 
-	// A client that sends so many invalid commands in a row is cut off: each costs as much as a
-	// request.
+	// A client that sends this many invalid commands in a row is disconnected, because each costs
+	// as much as a request.
 	maxConsecutiveErrors = 5
 
-	// A client that stops in the middle of a command for so long is no longer waited for.
+	// A client that has sent nothing for this time in the middle of a command counts as stalled.
 	stalledCommandTimeout policy.Time = 800_000
 
-	// A client is known to be connected for so long after it was last looked at.
+	// A client counts as connected for this time after its connection was last checked.
 	hangUpCheckMaxAge policy.Time = 20_000
 )
 
 // client is a connection from a client. The event loop owns it; its reader goroutine (see
-// readCommands) uses the fields that say so.
+// readCommands) uses conn, out, reading, the channels and the atomic fields.
 type client struct {
 	conn *net.TCPConn
 	out  *sender // safe for concurrent use
 
 	// pipeline holds the requests without a written answer, in the order of their commands.
 	pipeline []*request
-	// pipelineSlots holds a place for each command that the reader has posted and that is
-	// unanswered; the reader waits for a place.
+	// pipelineSlots holds a slot for each unanswered command that the reader has posted. The reader
+	// waits for a free slot.
 	pipelineSlots chan struct{}
 
-	done          chan struct{} // closed with the connection; ends the reader
-	resumeReading chan struct{} // has a halted reader go on
-	ignoreInput   atomic.Bool   // commands that are still read are dropped
+	done          chan struct{} // closed when the connection ends; ends the reader
+	resumeReading chan struct{} // a value resumes a halted reader
+	ignoreInput   atomic.Bool   // commands read from now on are dropped
 
 	closed        bool // nothing more can be written
-	closeWhenIdle bool // closes as soon as its pipeline is empty
-	writeEnded    bool // the sending is ended: no command is accepted any more
-	overLimit     bool // over the limit of connections: its request is rejected, then it closes
+	closeWhenIdle bool // close as soon as the pipeline is empty
+	writeEnded    bool // the write side is shut down: no more commands are accepted
+	overLimit     bool // over the connection limit: reject the request, then close
 
-	commands          int // valid ones so far
+	commands          int // valid commands so far
 	consecutiveErrors int
 
 	credential   *forwardauth.Credential // of the last AUTH; nil: none
-	lastCommand  policy.Time             // when it last sent a command, or was opened
-	lastSeenOpen policy.Time             // when it was last known to be connected
-	lastByte     atomic.Int64            // when the reader last received something
+	lastCommand  policy.Time             // time of the last command or of the connection's start
+	lastSeenOpen policy.Time             // when the client was last known to be connected
+	lastByte     atomic.Int64            // when the reader last received data
 	midCommand   atomic.Bool             // the reader is in the middle of a command
 	reading      readControl
 }
@@ -72,22 +72,23 @@
 	}
 }
 
-// lastActivity returns when a client last sent anything, or was opened: one that sends its command
-// slowly is not idle.
+// lastActivity returns when the client last sent data or was connected. A client that sends its
+// command slowly is therefore not idle.
 func (c *client) lastActivity() policy.Time { return max(c.lastCommand, c.lastByte.Load()) }
 
-// sendingCommand reports whether a client is sending a command, however slowly: closing the
-// connection would lose that request. One that has stalled is not.
+// sendingCommand reports whether the client is in the middle of sending a command, even slowly, but
+// has not stalled. Closing the connection would lose that request.
 func (c *client) sendingCommand(now policy.Time) bool {
 	return c.midCommand.Load() && now-c.lastByte.Load() < stalledCommandTimeout
 }
 
-// awaitingAnswer reports whether a client waits for an answer, also to a command that was read and
-// is not handled yet.
+// awaitingAnswer reports whether the client waits for an answer, including one to a command that
+// was read but not handled yet.
 func (c *client) awaitingAnswer() bool { return len(c.pipeline) > 0 || len(c.pipelineSlots) > 0 }
 
-// delaysShutdown reports whether a process that ends waits for this client: while it may still
-// send a command (but not in the middle of a stalled one), and until its answers are written.
+// delaysShutdown reports whether a process that is shutting down waits for this client: until its
+// answers are written, and while it may still send a command and has not stalled in the middle of
+// one.
 func (c *client) delaysShutdown(now policy.Time) bool {
 	if !c.out.drained() {
 		return true
@@ -96,16 +97,17 @@
 	return !c.writeEnded && !stalled
 }
 
-// activityRank ranks a client by its valid commands: 0 for none, 1 for one, 2 for more.
+// activityRank returns 0 for a client without a valid command, 1 for one with a single command, and
+// 2 for more.
 func (c *client) activityRank() int { return min(c.commands, 2) }
 
-// handle admits a command, unless the connection is ending or a successor is about to take over.
+// handle admits a command, unless the connection is closing or a successor is about to take over.
 func (e commandRead) handle(g *Gateway) {
 	c := e.client
 	g.clients.incomingBytes.Add(-int64(e.argBytes))
 	if c.closed || c.writeEnded || c.ignoreInput.Load() {
 		<-c.pipelineSlots
-		return // it crossed the end of the connection: the client sends it again
+		return // it arrived while the connection was closing; the client retries it
 	}
 	if g.holdForSuccessor(e) {
 		return
@@ -137,7 +139,7 @@
 		r.units = e.command.request.Units
 	}
 	if e.reply == nil && g.requests.byClientID[r.clientID] != nil {
-		// Backends could not tell apart two open requests with one id.
+		// Backends could not distinguish two open requests with the same id.
 		e.reply = errorReply(errDuplicateID)
 		e.invalid = true
 	}
@@ -154,8 +156,8 @@
 
 var errDuplicateID = errors.New("id: that request is open")
 
-// countCommand counts a valid or invalid command, and cuts off a client that errs again and again
-// or whose framing is lost.
+// countCommand counts a valid or invalid command. After too many invalid commands in a row, or if
+// the framing is lost, further input is ignored and the connection closes after its answers.
 func (c *client) countCommand(invalid, framingLost bool) {
 	if !invalid {
 		c.commands++
@@ -169,8 +171,8 @@
 	}
 }
 
-// rejectionReply returns the immediate answer where the gateway itself has no capacity; nil if it
-// has.
+// rejectionReply returns the answer that rejects a command if the gateway itself has no capacity
+// for it, or nil if it has.
 func (g *Gateway) rejectionReply(c *client, noMemory bool) []byte {
 	cs := g.clients
 	for c.commands == 1 && len(cs.conns) > cs.maxServed && !c.overLimit {
@@ -185,7 +187,7 @@
 	return g.retryLaterReply(overloadRetryAfter)
 }
 
-// flushAnswers writes the answers whose turn has come, in one write.
+// flushAnswers writes the ready answers at the head of the pipeline in a single write.
 func (c *client) flushAnswers(g *Gateway) {
 	var out []byte
 	n := 0
@@ -220,7 +222,8 @@
 	g.passToSuccessor(c)
 }
 
-// pingReply answers health checks of whoever chooses among gateways.
+// pingReply returns the answer to a health check by clients or load balancers that choose among
+// gateways.
 func (g *Gateway) pingReply() []byte {
 	if serves, reason := g.lifecycle.Serves(); !serves {
 		return errorReply(errors.New(reason))
--- a/internal/dataplane/gateway/client_close.go
+++ b/internal/dataplane/gateway/client_close.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	lingerTimeout    policy.Time = 500_000 // for the client to close first, after its last answer
-	lingerAfterError policy.Time = 200_000 // the same after an error that ends the connection
-	maxLingers                   = 10      // how often the wait is extended for a slow reader
+	lingerTimeout    policy.Time = 500_000 // for the client to close first after its last answer
+	lingerAfterError policy.Time = 200_000 // the same, after an error that ends the connection
+	maxLingers                   = 10      // number of extensions for a client that reads slowly
 )
 
-// closeAfterAnswers closes a connection: now if no request is open on it, else after its last
-// answer.
+// closeAfterAnswers closes a connection: immediately if no request is open on it, otherwise after
+// its last answer.
 func (c *client) closeAfterAnswers(g *Gateway) {
 	if c.closeWhenIdle || c.closed {
 		return
@@ -23,17 +23,16 @@
 }
 
 // haltThenFinish closes a connection without open requests as soon as its reader is between two
-// commands: what the reader has already received is answered first.
+// commands, so that commands already received are answered first.
 func (c *client) haltThenFinish(g *Gateway) {
-	if c.ignoreInput.Load() || c.reading.detached { // nothing is read from it any more
+	if c.ignoreInput.Load() || c.reading.detached { // the connection is no longer read
 		c.finish(g)
 		return
 	}
 	c.reading.requestHalt(c.conn)
 }
 
-// readerHalted tells that a reader has posted all that it has read, and reads no more until it is
-// resumed.
+// readerHalted reports that a reader has posted everything it has read and waits to be resumed.
 type readerHalted struct{ client *client }
 
 func (e readerHalted) handle(g *Gateway) {
@@ -48,8 +47,8 @@
 	c.resumeReading <- struct{}{}
 }
 
-// finish ends the sending and gives the client some time to close first: closing a connection with
-// unread data would reset it, and the last answer could be lost.
+// finish shuts down the write side and gives the client time to close first. Closing a connection
+// with unread data would reset it and could lose the last answer.
 func (c *client) finish(g *Gateway) {
 	if c.writeEnded {
 		return
@@ -63,7 +62,7 @@
 	g.schedule(g.now()+wait, lingerTimer{client: c})
 }
 
-// lingerTimer closes a connection that the client leaves open.
+// lingerTimer closes a connection that the client has not closed in time.
 type lingerTimer struct {
 	client     *client
 	extensions int
@@ -77,10 +76,11 @@
 	t.client.drop(g)
 }
 
-// drop closes a connection at once.
+// drop closes a connection immediately.
 func (c *client) drop(g *Gateway) { clientDisconnected{c}.handle(g) }
 
-// clientDisconnected tells that a connection has ended, and with it the wait for all answers on it.
+// clientDisconnected reports that a connection has ended. Its open requests no longer need an
+// answer.
 type clientDisconnected struct{ client *client }
 
 func (e clientDisconnected) handle(g *Gateway) {
@@ -107,7 +107,7 @@
 	close(c.done)
 }
 
-// abandonRequest ends a request whose client has gone.
+// abandonRequest ends a request whose client has disconnected.
 func (c *client) abandonRequest(g *Gateway, r *request, now policy.Time) {
 	g.requests.heldBytes -= len(r.reply)
 	if r.streamed != nil {
--- a/internal/dataplane/gateway/client_reader.go
+++ b/internal/dataplane/gateway/client_reader.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	firstCommandTimeout = 2800 * time.Millisecond // from accepting to the end of the first command
+	firstCommandTimeout = 2800 * time.Millisecond // from accept to the end of the first command
 	commandTimeout      = 2600 * time.Millisecond // from a later command's first byte to its end
-	hangUpCheckInterval = 25 * time.Millisecond   // for a client that is not read from
+	hangUpCheckInterval = 25 * time.Millisecond   // while the connection is not read
 )
 
 var (
@@ -30,12 +30,13 @@
 	errUnknownCommand = errors.New("unknown command")
 )
 
-// readCommands posts what a client sends until the connection ends. It runs on the client's reader
-// goroutine. It waits for answers only where the pipeline is full, so that a close is noticed while
-// requests are open. A client that sends nothing, or does not finish a command, is cut off.
+// readCommands posts the client's commands until the connection ends. It runs on the client's
+// reader goroutine. It waits for answers only while the pipeline is full, so it detects a close
+// while requests are open. It disconnects a client that sends no first command or does not finish a
+// command in time.
 func (c *client) readCommands(g *Gateway) {
 	in := resp.NewReader(&activityReader{c.commandSource(), c, g.clock})
-	validCommandRead := c.commands > 0 // it came from the predecessor
+	validCommandRead := c.commands > 0 // the connection came from the predecessor
 	if !validCommandRead {
 		c.reading.setFirstDeadline(c.conn, time.Now().Add(firstCommandTimeout))
 	}
@@ -51,17 +52,17 @@
 	}
 }
 
-// readResult is what a reader does after a command.
+// readResult is what the reader does next.
 type readResult int
 
 const (
 	readContinue     readResult = iota
-	readEnded                   // the event loop closes the connection or passes it on
-	readDisconnected            // the client has closed the connection, or is cut off
+	readEnded                   // the event loop closes the connection or passes it to a successor
+	readDisconnected            // the client has closed the connection or is to be disconnected
 )
 
-// readNext waits for a command, reads it and posts it. spoken tells whether a valid command has
-// been read.
+// readNext waits for a command, reads it and posts it. It sets validCommandRead when the command is
+// valid.
 func (c *client) readNext(g *Gateway, in *resp.Reader, validCommandRead *bool) readResult {
 	e := commandRead{client: c}
 	pipelined := in.Buffered() > 0
@@ -101,27 +102,27 @@
 	return c.postCommand(g, e, pipelined)
 }
 
-// postCommand posts a command once there is a place for it in the pipeline.
+// postCommand posts a command once the pipeline has a free slot for it.
 func (c *client) postCommand(g *Gateway, e commandRead, pipelined bool) readResult {
 	if !c.waitForSlot() {
 		g.clients.incomingBytes.Add(-int64(e.argBytes))
 		return readDisconnected
 	}
 	if pipelined && c.out.hungUp() {
-		// The command may have waited for long in the buffer, and nobody waits for its answer.
+		// The command may have been in the buffer for long, and no client waits for its answer.
 		g.clients.incomingBytes.Add(-int64(e.argBytes))
 		<-c.pipelineSlots
 		return readDisconnected
 	}
 	g.post(e)
 	if e.framingLost || c.ignoreInput.Load() {
-		return c.awaitHangUp() // the event loop closes it after its last answer
+		return c.awaitHangUp() // the event loop closes the connection after its last answer
 	}
 	return readContinue
 }
 
-// waitForSlot waits for a place in the pipeline. It reports whether the client is still connected
-// then: a reader that waits does not notice a close.
+// waitForSlot waits for a free slot in the pipeline. It returns false if the client has
+// disconnected; it polls for that, because no read reports a close while the reader waits here.
 func (c *client) waitForSlot() bool {
 	select {
 	case c.pipelineSlots <- struct{}{}:
@@ -144,7 +145,7 @@
 	}
 }
 
-// awaitHangUp waits for the end of a connection that is read no more.
+// awaitHangUp waits for the end of a connection that is no longer read.
 func (c *client) awaitHangUp() readResult {
 	check := time.NewTicker(hangUpCheckInterval)
 	defer check.Stop()
@@ -160,7 +161,7 @@
 	}
 }
 
-// errorReply is an error as RESP2 has it; what is not printable ASCII is replaced.
+// errorReply encodes an error as a RESP2 error. Characters other than printable ASCII are replaced.
 func errorReply(err error) []byte {
 	printable := func(r rune) rune {
 		if r < ' ' || r > '~' {
@@ -171,23 +172,23 @@
 	return fmt.Appendf(nil, "-ERR %s\r\n", strings.Map(printable, err.Error()))
 }
 
-// commandRead is a command that a client has sent.
+// commandRead is a command read from a client.
 type commandRead struct {
 	client  *client
 	arrived policy.Time
-	command command  // with args for a valid request only
-	rawArgs [][]byte // as received; nil for what could not be read
+	command command  // args are set only for a valid request
+	rawArgs [][]byte // as received; nil if the command could not be read
 
-	argBytes int    // counted in clients.incomingBytes
-	reply    []byte // the answer, where none of the balancer's is needed; nil: one is
-	ping     bool   // asks whether requests may be sent here
+	argBytes int    // size counted in clients.incomingBytes
+	reply    []byte // answer that needs no decision by the balancer; nil: one is needed
+	ping     bool   // the command is a health check
 
 	invalid      bool
-	framingLost  bool // nothing behind it on the connection can be understood
+	framingLost  bool // later data on the connection can't be parsed
 	disconnected bool // the client has closed the connection
-	noMemory     bool // there is no capacity to hold it
+	noMemory     bool // there is no memory for the command
 
-	credential *forwardauth.Credential // what the client says of itself from now on; nil: nothing
+	credential *forwardauth.Credential // credential for the client's later requests; nil: unchanged
 }
 
 // readFrom reads one command.
@@ -212,14 +213,15 @@
 	}
 }
 
-// reject has an invalid command answered with an error.
+// reject marks a command as invalid and sets the error as its answer.
 func (e *commandRead) reject(err error) {
 	e.reply = errorReply(err)
 	e.invalid = true
 }
 
-// reserveMemory counts a command among those that wait for the event loop. One for which there is
-// no memory is dropped: what waits must not grow with what clients send.
+// reserveMemory adds a command's size to that of the commands waiting for the event loop. At the
+// limit it drops the command's content, so that the memory in use does not grow with what clients
+// send.
 func (e *commandRead) reserveMemory(g *Gateway) {
 	e.argBytes = argBytes(e.command.args)
 	limit := int64(g.cfg.MemoryMB) << 20 / 8
@@ -232,7 +234,7 @@
 	}
 }
 
-// interpret parses a request, or answers another command.
+// interpret parses a request or sets the answer to another command.
 func (e *commandRead) interpret(cfg *Config, args [][]byte, auth bool) {
 	name := args[0]
 	switch {
--- a/internal/dataplane/gateway/command.go
+++ b/internal/dataplane/gateway/command.go
@@ -14,19 +14,19 @@
 // command is a parsed API.READ or API.WRITE.
 type command struct {
 	args         [][]byte
-	clientID     uint64 // the id that the client gave
-	timeoutField [2]int // the bounds of the value of field d in args[3]
+	clientID     uint64 // the id that the client sent
+	timeoutField [2]int // start and end of the value of field d in args[3]
 	request      policy.Request
 }
 
 const (
-	defaultMaxUnits              = 1e6              // where the settings state none
+	defaultMaxUnits              = 1e6              // if the settings give none
 	maxTimeoutMillis             = 24 * 3600 * 1000 // of field d
-	customerLimit                = 1 << 33          // customers' numbers are below
-	timeoutSlack     policy.Time = 1_000_000        // by which field d may exceed the class's limit
+	customerLimit                = 1 << 33          // customer numbers are below it
+	timeoutSlack     policy.Time = 1_000_000        // how far field d may exceed the class's limit
 )
 
-// Errors of commands; their texts are what clients read.
+// Errors in commands. Their texts are sent to clients.
 var (
 	errArguments     = errors.New("wrong number of arguments")
 	errCustomer      = errors.New("customer: 16 hex digits below 2^33 wanted")
@@ -36,8 +36,8 @@
 	errFieldSyntax   = errors.New("fields: name=value wanted, each once")
 )
 
-// parseCommand parses API.READ or API.WRITE. Every field must be known and valid: what is not
-// understood reaches no backend.
+// parseCommand parses API.READ or API.WRITE. Every field must be known and valid; a command that
+// can't be parsed is not sent to a backend.
 func (cfg *Config) parseCommand(args [][]byte) (command, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return command{}, errArguments
@@ -58,8 +58,8 @@
 	return c, cfg.checkFields(&c, seen)
 }
 
-// checkFields checks the fields of a command against one another. seen has a bit for each field
-// that it holds.
+// checkFields checks the fields of a command against each other and against the class. seen has one
+// bit for each field that is present.
 func (cfg *Config) checkFields(c *command, seen uint) error {
 	for i, name := range fieldNames {
 		if i < requiredFields && seen&(1<<i) == 0 {
@@ -69,7 +69,7 @@
 	class := c.request.Class
 	limit := cfg.Host.ClientTimeouts[class]
 	if limit > 0 && c.request.Timeout > limit+timeoutSlack {
-		// No client waits for so long: the request would only take up memory.
+		// No client waits this long, and the request would only use memory.
 		return errTimeoutTooBig
 	}
 	idempotency := cfg.Settings.Classes[class].Idempotency
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// The fields in the order of fieldNames; those before requiredFields are in every request.
+// Indexes of the fields in fieldNames. Those below requiredFields are required.
 const (
 	classField = iota
 	planField
@@ -98,7 +98,8 @@
 
 var fieldNames = [...]string{"c", "t", "d", "units", "spread", "first", "k", "r"}
 
-// parseFields parses the list of names and values, and returns a bit for each field that it holds.
+// parseFields parses the list of names and values. It returns one bit for each field that is
+// present.
 func (cfg *Config) parseFields(c *command) (seen uint, err error) {
 	list := c.args[3]
 	for start := 0; start <= len(list); {
@@ -160,7 +161,7 @@
 	return false
 }
 
-// maxUnits is how many units a request may take.
+// maxUnits returns the maximum number of units of a request.
 func (cfg *Config) maxUnits() float64 {
 	if cfg.Host.MaxUnits > 0 {
 		return cfg.Host.MaxUnits
@@ -173,8 +174,8 @@
 	return n, err == nil && len(b) == 16
 }
 
-// encodeForBackend returns the request as a backend gets it: unchanged, but for the timeout in
-// field d (in milliseconds, at least 1).
+// encodeForBackend returns the request as it is sent to a backend: unchanged except for the timeout
+// in field d (in milliseconds, at least 1).
 func (r *request) encodeForBackend(timeout policy.Time) []byte {
 	fields := r.args[3]
 	list := make([]byte, 0, len(fields)+8)
--- a/internal/dataplane/gateway/read_control.go
+++ b/internal/dataplane/gateway/read_control.go
@@ -13,52 +13,53 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// expiredDeadline is a read deadline in the past: it ends a read that waits.
+// expiredDeadline is a deadline in the past. Setting it interrupts a blocked read or accept.
 var expiredDeadline = time.Unix(1, 0)
 
 // readControl lets the event loop stop a client's reader between two commands: to close the
-// connection (halt) or to pass it on to a successor (part). The event loop and the reader share
-// what the mutex guards; what follows it belongs to the event loop, but for arrivalTime.
+// connection (halt) or to pass it to a successor (detach). The event loop and the reader share the
+// fields that mu guards, up to firstDeadline. The others belong to the event loop, except in
+// arrivalTime.
 type readControl struct {
 	mu              sync.Mutex
 	inCommand       bool // the reader is reading a command
-	detachRequested bool // the reader ends between two commands
-	haltRequested   bool // the reader halts there, once it has posted all that it has read
-	// firstDeadline is by when the first command must have come; zero: it has.
+	detachRequested bool // the reader is to end between two commands
+	haltRequested   bool // the reader is to halt there, after posting all it has read
+	// firstDeadline is the read deadline of the first command; zero: the command has arrived.
 	firstDeadline time.Time
 
 	detached bool          // the reader has ended
-	unread   []byte        // what it had read beyond the last command
-	held     []commandRead // commands that wait to know which process answers them
+	unread   []byte        // data read beyond the last command
+	held     []commandRead // commands waiting until it is known which process answers them
 
-	// A connection from a predecessor came with inheritedCommands complete commands in unread,
-	// the first of which was inheritedAge old at inheritedAt.
+	// inheritedCommands is the number of complete commands in unread of a connection received from
+	// a predecessor. The first of them had the age inheritedAge at inheritedAt.
 	inheritedCommands int
 	inheritedAge      policy.Time
 	inheritedAt       policy.Time
 }
 
-// beginCommand is called by the reader when its wait for a command has ended, with the error of
-// that wait. It returns false if the reader is to end.
+// beginCommand is called by the reader at the end of its wait for a command, with the error of the
+// wait. It returns false if the reader is to end.
 func (rc *readControl) beginCommand(conn net.Conn, err error) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	rc.inCommand = !rc.detachRequested && err == nil
 	if rc.inCommand && rc.haltRequested {
-		_ = conn.SetReadDeadline(rc.firstDeadline) // the command came before the halt
+		_ = conn.SetReadDeadline(rc.firstDeadline) // the command arrived before the halt
 	}
 	return !rc.detachRequested
 }
 
-// haltedBy reports whether the wait for a command has ended, with err, because of a halt.
+// haltedBy reports whether a halt has ended the wait for a command. err is the error of the wait.
 func (rc *readControl) haltedBy(err error) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	return rc.haltRequested && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// endCommand is called by the reader when it has read a command. spoken: a valid one has come on
-// this connection, so that no deadline applies to the wait for the next.
+// endCommand is called by the reader after it has read a command. validCommandRead: a valid command
+// was read on this connection, so the wait for the next one has no deadline.
 func (rc *readControl) endCommand(conn net.Conn, validCommandRead bool) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// setFirstDeadline sets by when the first command must have come.
+// setFirstDeadline sets the read deadline of the first command.
 func (rc *readControl) setFirstDeadline(conn net.Conn, deadline time.Time) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// requestHalt has the reader halt when it is between two commands; readerHalted follows.
+// requestHalt makes the reader halt between two commands and then post readerHalted.
 func (rc *readControl) requestHalt(conn net.Conn) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// resume withdraws a halt.
+// resume cancels a halt.
 func (rc *readControl) resume(conn net.Conn) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -103,8 +104,8 @@
 	}
 }
 
-// requestDetach ends the reader: at once, or after the command that it is reading; readerDetached
-// follows. It can't be withdrawn.
+// requestDetach ends the reader between two commands: immediately, or after the command that it is
+// reading. The reader then posts readerDetached. A detach can't be cancelled.
 func (rc *readControl) requestDetach(conn net.Conn) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -114,8 +115,8 @@
 	}
 }
 
-// arrivalTime returns when the command that was just read arrived; now, unless it came with the
-// connection from a predecessor. Only the reader calls it.
+// arrivalTime returns when the command that was just read arrived: now, unless the command came
+// with the connection from a predecessor. Only the reader calls it.
 func (rc *readControl) arrivalTime(now policy.Time) policy.Time {
 	if rc.inheritedCommands == 0 {
 		return now
@@ -124,7 +125,7 @@
 	return rc.inheritedAt - rc.inheritedAge
 }
 
-// activityReader records when something comes from a client.
+// activityReader records the time at which data was last read from a client.
 type activityReader struct {
 	from   io.Reader
 	client *client
@@ -139,8 +140,8 @@
 	return n, err
 }
 
-// commandSource returns what a client's commands are read from: first what a predecessor had read,
-// then the connection.
+// commandSource returns the reader of a client's commands: first the data that a predecessor had
+// read, then the connection.
 func (c *client) commandSource() io.Reader {
 	if len(c.reading.unread) == 0 {
 		return c.conn
@@ -150,10 +151,10 @@
 	return io.MultiReader(bytes.NewReader(unread), c.conn)
 }
 
-// appendEncoded appends a command to b in the form in which it can be read again.
+// appendEncoded appends the command to b in its RESP2 encoding.
 func (e *commandRead) appendEncoded(b []byte) []byte {
 	args := e.rawArgs
-	if args == nil { // it could not be read: the successor answers an unknown command with an error
+	if args == nil { // not readable: the successor answers the unknown command with an error
 		args = [][]byte{[]byte("UNREADABLE")}
 	}
 	b = resp.AppendArray(b, len(args))
