--- a/internal/dataplane/gateway/admin.go
+++ b/internal/dataplane/gateway/admin.go
@@ -10,7 +10,7 @@
 
 const adminBusyAnswer = "fail busy\n"
 
-// listenAdmin has operators' calls answered, where the configuration has an address for them.
+// listenAdmin opens the admin interface if the configuration has an address for it.
 func (g *Gateway) listenAdmin() (err error) {
 	if g.cfg.Management == "" {
 		return nil
@@ -21,11 +21,11 @@
 	return nil
 }
 
-// handleAdminCall has the event loop answer an operator's call ahead of all queued events. It may
-// be called from any goroutine.
+// handleAdminCall passes an admin call to the event loop, ahead of all queued events, and returns
+// the answer. It may be called from any goroutine.
 func (g *Gateway) handleAdminCall(ctx context.Context, name, argument string) string {
 	if name == "fleet" && g.cfg.Fleet != nil {
-		return g.cfg.Fleet.Call(ctx, argument) // the event loop has no part in it
+		return g.cfg.Fleet.Call(ctx, argument) // answered without the event loop
 	}
 	e := adminCall{name, make(chan string, 1)}
 	select {
@@ -41,10 +41,10 @@
 	}
 }
 
-// adminCall is a call by an operator.
+// adminCall is a call of the admin interface.
 type adminCall struct {
 	name   string
-	answer chan string // has room for the one answer
+	answer chan string // buffered for the one answer
 }
 
 func (c adminCall) handle(g *Gateway) {
@@ -68,7 +68,7 @@
 	c.answer <- answer
 }
 
-// checkAnswer tells operators whether clients should be sent here.
+// checkAnswer returns the answer to check: whether clients should be sent to this gateway.
 func (g *Gateway) checkAnswer() string {
 	if serves, reason := g.lifecycle.Serves(); !serves {
 		return "fail " + reason + "\n"
@@ -79,9 +79,9 @@
 	return "ok\n"
 }
 
-// gauges returns the current values that vars shows beside the counters.
+// gauges returns the current values that vars prints in addition to the counters.
 func (g *Gateway) gauges() metrics.Gauges {
-	now := metrics.Gauges{OpenRequests: g.requests.open}
-	now.Backends, now.UnhealthyBackends = g.balancer.CountBackends()
-	return now
+	values := metrics.Gauges{OpenRequests: g.requests.open}
+	values.Backends, values.UnhealthyBackends = g.balancer.CountBackends()
+	return values
 }
--- a/internal/dataplane/gateway/authorization.go
+++ b/internal/dataplane/gateway/authorization.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// Auth is the authenticator to ask before a request goes on, and by which rules. The zero value
-// asks none.
+// Auth holds the settings of the authenticator that decides on each request, and its rules. The
+// zero value disables authorization.
 type Auth struct {
 	Settings forwardauth.Settings
 	Rules    authz.Settings
@@ -18,16 +18,17 @@
 
 var deniedReply = []byte("-NOPERM denied\r\n")
 
-// authSeedMask keeps the authenticator's random numbers apart from the balancer's.
+// authSeedMask makes the authenticator's random numbers differ from the balancer's.
 const authSeedMask = 0xa0
 
-// newAuthContext returns the context of calls to an authenticator; they end with the gateway.
+// newAuthContext returns the context of calls to an authenticator. It is cancelled when the gateway
+// ends.
 func newAuthContext() (context.Context, context.CancelFunc) {
 	return context.WithCancel(context.Background())
 }
 
-// setAuth applies the settings of the authenticator. It returns an error, and changes nothing, if
-// they can't be used.
+// setAuth applies the settings of the authenticator. If they are not usable, it returns an error
+// and leaves the previous settings in force.
 func (g *Gateway) setAuth(a Auth) error {
 	if a.Settings.URL == "" && g.auth == nil {
 		return nil
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// authorize has the authenticator decide whether a request may go on. Until then the balancer does
-// not know of it, so a denied request takes no units.
+// authorize asks the authenticator whether a request is allowed. The balancer receives the request
+// only after the verdict, so a denied request takes no units.
 func (g *Gateway) authorize(r *request, policyReq policy.Request) {
 	r.awaitingAuth = &policyReq
 	question := &forwardauth.Question{
@@ -62,7 +63,7 @@
 	}
 }
 
-// authorized applies a verdict. Only the first one for a request counts.
+// authorized applies a verdict. Only the first verdict for a request has an effect.
 func (g *Gateway) authorized(id uint64, verdict authz.Verdict, retryAfter authz.Time) {
 	r := g.requests.byID[id]
 	if r == nil || r.awaitingAuth == nil {
@@ -87,7 +88,7 @@
 	}
 }
 
-// cancelAuthorization records that a request needs no verdict any more.
+// cancelAuthorization cancels a request's wait for a verdict.
 func (g *Gateway) cancelAuthorization(r *request) {
 	if r.awaitingAuth != nil {
 		r.awaitingAuth = nil
@@ -95,8 +96,8 @@
 	}
 }
 
-// authHost is the gateway as the authorization step sees it. Post may be called from any
-// goroutine, the other methods on the event loop's.
+// authHost implements the gateway's interface to the authorization step. Post may be called from
+// any goroutine, the other methods only on the event loop's goroutine.
 type authHost Gateway
 
 func (h *authHost) Now() authz.Time { return (*Gateway)(h).now() }
--- a/internal/dataplane/gateway/authorization_test.go
+++ b/internal/dataplane/gateway/authorization_test.go
@@ -310,7 +310,7 @@
 	for name, end := range map[string]func(g *Gateway, r *request){
 		"leave":    func(g *Gateway, r *request) { clientDisconnected{r.client}.handle(g) },
 		"deadline": func(g *Gateway, r *request) { deadlineBackstop{r}.due(g) },
-		"drain":    func(g *Gateway, _ *request) { g.failAll() },
+		"drain":    func(g *Gateway, _ *request) { g.failOpenRequests() },
 		"handed": func(g *Gateway, _ *request) {
 			g.lifecycle.HandOver(false) // later requests are told to retry
 		},
--- a/internal/dataplane/gateway/credential.go
+++ b/internal/dataplane/gateway/credential.go
@@ -19,11 +19,11 @@
 
 var (
 	errProtocolVersion = errors.New("protocol version")
-	errHelloSyntax     = errors.New("syntax") // names no argument: it may be a secret
+	errHelloSyntax     = errors.New("syntax") // quotes no argument, because it may be a secret
 )
 
-// readCredential reads AUTH and HELLO as RESP2 clients send them. The credential is not checked
-// here: the authenticator does that with each request.
+// readCredential parses AUTH and HELLO as RESP2 clients send them. It does not check the
+// credential; the authenticator does that for each request.
 func (e *commandRead) readCredential(args [][]byte) {
 	var c *forwardauth.Credential
 	var err error
@@ -44,7 +44,7 @@
 	e.credential = c
 }
 
-// readAuth reads what follows AUTH: a password, or a user and a password.
+// readAuth parses the arguments of AUTH: a password, or a user and a password.
 func readAuth(args [][]byte) (*forwardauth.Credential, error) {
 	switch len(args) {
 	case 1:
@@ -55,8 +55,9 @@
 	return nil, errArguments
 }
 
-// readHello reads what follows HELLO: a version, AUTH with a user and a password, and a name for
-// the connection, which is ignored. It returns errProtocolVersion for a version other than 2.
+// readHello parses the arguments of HELLO: a protocol version, AUTH with a user and a password, and
+// SETNAME with a connection name, which is ignored. It returns errProtocolVersion for a version
+// other than 2.
 func readHello(args [][]byte) (c *forwardauth.Credential, err error) {
 	if len(args) > 0 {
 		if string(args[0]) != "2" {
--- a/internal/dataplane/gateway/shutdown.go
+++ b/internal/dataplane/gateway/shutdown.go
@@ -6,12 +6,12 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// shutdown carries out what the lifecycle decides about the end of this process and about drains.
-// It belongs to the event loop.
+// shutdown carries out the lifecycle's decisions on shutdown and drains. It belongs to the event
+// loop.
 type shutdown struct {
-	acceptingEnds  bool // only connections that the kernel has already accepted are served
+	acceptingEnds  bool // only connections already accepted by the kernel are still served
 	listenerClosed bool
-	abandoned      bool        // all open requests were failed
+	requestsFailed bool        // all open requests were failed
 	nextCheck      policy.Time // when step runs again; 0: it is not scheduled
 }
 
@@ -27,18 +27,19 @@
 	g.shutdown.step(g)
 }
 
-// step does what has become due: it ends accepting, closes connections, fails what is left.
+// step carries out the due parts of a shutdown or drain: it stops accepting, closes idle
+// connections and fails the remaining requests.
 func (s *shutdown) step(g *Gateway) {
 	now := g.now()
-	// A process that has handed over keeps its listener, without accepting, until it is told to
-	// stop: it accepts again should its successor die.
+	// A process that has handed over keeps its listener without accepting until it is told to stop,
+	// so that it can accept again if its successor exits.
 	ends := g.lifecycle.Stopping() && g.lifecycle.AcceptingEnded(now)
 	if ends && !s.acceptingEnds {
 		s.acceptingEnds = true
 		s.endAccepting(g)
 	}
 	for c := range g.clients.conns {
-		g.passToSuccessor(c) // a client that reads its answers slowly was not idle before
+		g.passToSuccessor(c) // the answers of a slow client may have been pending before
 		ends := g.lifecycle.ClosesIdle
 		if c.activityRank() == 0 {
 			ends = g.lifecycle.ClosesUnused
@@ -47,17 +48,17 @@
 			c.closeAfterAnswers(g)
 		}
 	}
-	if g.lifecycle.FailsOpenRequests(now) && !s.abandoned {
-		// What is unanswered when SIGKILL comes is lost.
-		s.abandoned = true
+	if g.lifecycle.FailsOpenRequests(now) && !s.requestsFailed {
+		// Requests that are unanswered at SIGKILL would be lost.
+		s.requestsFailed = true
 		s.closeListener(g)
-		g.failAll()
+		g.failOpenRequests()
 	}
 	s.endIfDone(g)
 }
 
-// endAccepting closes the listener: at once where another process accepts on the same socket, else
-// after the kernel's backlog is drained.
+// endAccepting closes the listener: immediately if another process accepts on the same socket,
+// otherwise once the kernel's backlog is drained.
 func (s *shutdown) endAccepting(g *Gateway) {
 	shared := g.lifecycle.HandedOver() || g.handover.successor != nil
 	if shared || !g.clients.accepting {
@@ -65,11 +66,11 @@
 		return
 	}
 	g.clients.drainBacklog.Store(true)
-	// An accept that is already waiting must notice.
+	// Interrupts an accept that is already waiting.
 	_ = g.clients.listener.SetDeadline(time.Now().Add(backlogQuietTime))
 }
 
-// closeListener closes the clients' listener. Only the first call counts.
+// closeListener closes the client listener. Only the first call has an effect.
 func (s *shutdown) closeListener(g *Gateway) {
 	if s.listenerClosed {
 		return
@@ -79,8 +80,8 @@
 	close(g.clients.resumeAccept)
 }
 
-// pendingWork counts what somebody still waits for: open requests, a listener that may still hold
-// connections, and clients whose answers are not completely written.
+// pendingWork returns the amount of unfinished work: the open requests, an open listener, which may
+// still hold connections, and the clients that delay the shutdown.
 func (s *shutdown) pendingWork(g *Gateway, now policy.Time) int {
 	pending := g.requests.open
 	if !s.listenerClosed {
@@ -94,9 +95,9 @@
 	return pending
 }
 
-// endIfDone ends the event loop once nothing is pending, and schedules step for the next moment at
-// which the lifecycle changes by the passing of time. It must be called whenever the last request
-// or the last connection may have ended.
+// endIfDone ends the event loop once no work is pending, and schedules step for the next change of
+// the lifecycle that depends on time alone. It must be called whenever the last request or the last
+// connection may have ended.
 func (s *shutdown) endIfDone(g *Gateway) {
 	now := g.now()
 	conns := len(g.clients.conns)
@@ -110,13 +111,13 @@
 	}
 }
 
-// shutdownTimer runs the next step of a shutdown or a drain.
+// shutdownTimer runs the next step of a shutdown or drain.
 type shutdownTimer struct{}
 
 func (shutdownTimer) due(g *Gateway) { g.shutdown.step(g) }
 
-// failAll fails every open request.
-func (g *Gateway) failAll() {
+// failOpenRequests fails every open request.
+func (g *Gateway) failOpenRequests() {
 	now := g.now()
 	for _, r := range g.requests.byID {
 		if !r.answered {
--- a/internal/dataplane/gateway/suspend.go
+++ b/internal/dataplane/gateway/suspend.go
@@ -6,31 +6,32 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// suspendDetector finds the times in which this process did not run (a stopped machine, SIGSTOP).
-// The event loop turns many times a second, so a turn that is late by seconds tells of one.
-// Commands that arrived meanwhile lay in the sockets for an unknown time; they are treated as old
-// as the suspension, and so are those that came while a process that starts did not accept
-// yet. recordIteration belongs to the loop; earliestArrival may be called from anywhere.
+// suspendDetector detects periods in which this process did not run (a stopped machine, SIGSTOP).
+// The event loop iterates many times a second, so an iteration that is late by seconds indicates a
+// suspension. Commands that arrived during one waited in the sockets for an unknown time and are
+// treated as if they had arrived at its start. The same applies to commands that arrived before a
+// starting process accepted. recordIteration belongs to the event loop; earliestArrival is safe for
+// concurrent use.
 type suspendDetector struct {
-	lastIteration atomic.Int64 // of the event loop; 0: none yet
-	suspendedFrom atomic.Int64 // the last suspension
-	suspendedTo   atomic.Int64 // 0: there was none
+	lastIteration atomic.Int64 // of the event loop; 0: there was none yet
+	suspendedFrom atomic.Int64 // start of the last suspension
+	suspendedTo   atomic.Int64 // end of the last suspension; 0: there was none
 }
 
 const (
 	minSuspension policy.Time = 1_000_000
-	// What is read so soon after a suspension may have arrived during it.
+	// Commands read within this time after a suspension may have arrived during it.
 	suspensionReadGrace policy.Time = 50_000
 )
 
-// recordBacklog records that commands may have lain in sockets since a time at which nobody read.
+// recordBacklog records that commands read now may have waited in the sockets since the given time.
 func (d *suspendDetector) recordBacklog(since, now policy.Time) {
 	d.suspendedFrom.Store(since)
 	d.suspendedTo.Store(now)
 }
 
-// recordIteration records a turn of the event loop. It returns how long the process was suspended
-// before it; 0: it was not.
+// recordIteration records an iteration of the event loop. It returns how long the process was
+// suspended before the iteration, or 0 if it was not.
 func (d *suspendDetector) recordIteration(now policy.Time) (suspended policy.Time) {
 	last := d.lastIteration.Swap(now)
 	if last == 0 || now-last < minSuspension {
@@ -41,8 +42,8 @@
 	return now - last
 }
 
-// earliestArrival returns the earliest time at which something that is read now can have arrived.
-// A goroutine may call it after a suspension before the loop has turned.
+// earliestArrival returns the earliest time at which data read now can have arrived. A goroutine
+// may call it after a suspension before the event loop's next iteration.
 func (d *suspendDetector) earliestArrival(now policy.Time) policy.Time {
 	if last := d.lastIteration.Load(); last != 0 && now-last >= minSuspension {
 		return last
@@ -53,7 +54,7 @@
 	return now
 }
 
-// recordIteration records a turn of the event loop, and logs a suspension that ended with it.
+// recordIteration records an iteration of the event loop and logs a suspension that preceded it.
 func (g *Gateway) recordIteration() {
 	suspended := g.suspend.recordIteration(g.clock.now())
 	if suspended > 0 {
@@ -61,6 +62,6 @@
 	}
 }
 
-// pastDeadline reports whether a request's client no longer waits, or not long enough for an
-// answer to reach it.
+// pastDeadline reports whether a request's client no longer waits, or not long enough to receive an
+// answer.
 func (g *Gateway) pastDeadline(r *request) bool { return r.deadline <= g.now() }
--- a/internal/dataplane/gateway/version_lease.go
+++ b/internal/dataplane/gateway/version_lease.go
@@ -6,36 +6,37 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// VersionLease tells whether this gateway may operate under the configuration versions in force in
-// it. It is called on the event loop's goroutine, and must not block.
+// VersionLease reports whether this gateway may operate under the configuration versions in force
+// on it. It is called on the event loop's goroutine and must not block.
 //
-// A lease is fencing by time at the sender: a backend knows nothing of versions, so it cannot
-// reject an attempt by a fencing token. The expiry is checked right before each write, and nothing
-// of what was decided before outlives that check. Between the check and the write of one attempt
-// the process may be suspended, as between any two instructions. The event loop alone writes, one
-// attempt at a time, so each suspension lets one attempt at most be written after its lease has
-// expired; every later one is checked again. The same holds for allocations.
+// A lease is time-based fencing at the sender: backends do not know versions, so they can't reject
+// an attempt by a fencing token. The expiry is checked right before each write, and no earlier
+// decision is carried out once that check fails. The process may be suspended between the check and
+// the write of one attempt, as between any two instructions. Because only the event loop writes,
+// one attempt at a time, each suspension lets at most one attempt be written after its lease has
+// expired; every later attempt is checked again. The same applies to allocations.
 type VersionLease interface {
-	// Current returns when the lease expires, by a clock that goes on while the process is
-	// suspended, and a stamp of what is in force; until 0: there is no lease.
+	// Current returns when the lease expires, on a clock that advances while the process is
+	// suspended, and a stamp of the versions in force. until is 0 if there is no lease.
 	Current() (until time.Duration, stamp uint64)
-	// Expired reports whether what was decided under a lease may no longer be carried out.
+	// Expired reports whether a decision made under a lease may no longer be carried out.
 	Expired(until time.Duration, stamp uint64) bool
 }
 
-// OperationRecorder counts what a gateway does, by the versions in force at the time. It is called
-// on the event loop's goroutine, and must not block.
+// OperationRecorder counts a gateway's operations by the versions in force at the time. It is
+// called on the event loop's goroutine and must not block.
 type OperationRecorder interface {
-	// Sent counts an attempt that was sent; first: the request's first one, which takes units.
+	// Sent counts a sent attempt; first: it is the request's first one, which takes units.
 	Sent(first bool, units float64)
-	// Rejected counts a rejected request; fenced: because there was no version lease.
+	// Rejected counts a rejected request; fenced: it was rejected for lack of a version lease.
 	Rejected(fenced bool)
 }
 
-// fencedRetryAfter is the advice to clients of a gateway without a version lease.
+// fencedRetryAfter is the retry advice of a gateway without a version lease.
 const fencedRetryAfter policy.Time = 500_000
 
-// acquireVersionLease admits a request under the current version lease, or rejects it at once.
+// acquireVersionLease admits a request under the current version lease, or rejects it if there is
+// none.
 func (g *Gateway) acquireVersionLease(r *request) bool {
 	if g.cfg.VersionLease == nil {
 		return true
@@ -57,7 +58,7 @@
 	return until == 0
 }
 
-// rejectFenced rejects a request for lack of a version lease. Nothing of it was sent.
+// rejectFenced rejects a request for lack of a version lease. No attempt of it was sent.
 func (g *Gateway) rejectFenced(r *request) {
 	g.answer(r, g.retryLaterReply(fencedRetryAfter))
 	if g.cfg.Operations != nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// versionLeaseExpired reports whether the lease is over under which a request was admitted.
+// versionLeaseExpired reports whether the lease that admitted a request has expired.
 func (g *Gateway) versionLeaseExpired(r *request) bool {
 	return g.cfg.VersionLease != nil && g.cfg.VersionLease.Expired(r.leaseUntil, r.leaseStamp)
 }
