--- a/internal/dataplane/gateway/connpasser.go
+++ b/internal/dataplane/gateway/connpasser.go
@@ -8,13 +8,14 @@
 	"mothcleat/internal/dataplane/hotrestart"
 )
 
-// receiptTimeout is how long a process that ends waits for the successor to receive the last
+// receiptTimeout is how long an exiting process waits for the successor to receive the last
 // connections.
 const receiptTimeout = time.Second
 
-// connPasser passes clients' connections to a successor. It keeps each until the successor has
-// received it, so that none is lost with a successor that dies: what was not received is read here
-// again. pass and finish belong to the event loop.
+// connPasser passes client connections to a successor. It keeps each connection until the successor
+// has received it, so that none is lost if the successor exits: this process resumes reading from
+// the connections that were not received. pass and finish must be called on the event loop's
+// goroutine.
 type connPasser struct {
 	gateway     *Gateway
 	successor   *hotrestart.Successor
@@ -23,11 +24,12 @@
 	receiptsEnd chan struct{}              // closed once no more receipts are read
 
 	mu         sync.Mutex
-	unreceived []hotrestart.ClientConn // written, in their order
-	ended      bool                    // the successor takes no more
+	unreceived []hotrestart.ClientConn // written or being written, in order
+	ended      bool                    // the successor accepts no more
 }
 
-// newConnPasser starts to pass connections to a successor that has taken over.
+// newConnPasser returns a connPasser for a successor that has taken over, and starts its
+// goroutines.
 func newConnPasser(g *Gateway, successor *hotrestart.Successor) *connPasser {
 	p := &connPasser{
 		gateway:     g,
@@ -41,10 +43,11 @@
 	return p
 }
 
-// pass passes a connection on.
+// pass queues a connection to be passed.
 func (p *connPasser) pass(c hotrestart.ClientConn) { p.queue <- c }
 
-// finish waits until all connections have been received, as far as the successor still receives.
+// finish waits until all connections have been received or the successor accepts no more. It waits
+// at most receiptTimeout for the writes, and as long for the receipts.
 func (p *connPasser) finish() {
 	close(p.queue)
 	select {
@@ -67,7 +70,7 @@
 	}
 }
 
-// writeAll writes connections until the queue is closed. It runs on a goroutine of its own.
+// writeAll writes connections until the queue is closed. It runs on its own goroutine.
 func (p *connPasser) writeAll() {
 	defer close(p.written)
 	for c := range p.queue {
@@ -84,7 +87,7 @@
 	}
 }
 
-// keep keeps a connection until it is received. It returns false if the successor takes no more.
+// keep records a connection as not received yet. It returns false if the successor accepts no more.
 func (p *connPasser) keep(c hotrestart.ClientConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +98,8 @@
 	return true
 }
 
-// closeOldestUnreceived closes this process's side of the oldest connection that is kept.
+// closeOldestUnreceived closes this process's descriptor of the oldest unreceived connection, which
+// the successor has now received.
 func (p *connPasser) closeOldestUnreceived() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,8 +110,8 @@
 	p.unreceived = p.unreceived[1:]
 }
 
-// readReceipts takes in which connections the successor has received, until it takes no more. It
-// runs on a goroutine of its own.
+// readReceipts handles the successor's receipts until it accepts no more connections. It runs on
+// its own goroutine.
 func (p *connPasser) readReceipts() {
 	defer close(p.receiptsEnd)
 	for {
@@ -119,8 +123,8 @@
 	}
 }
 
-// writeFailed ends the passing after an error of PassClient. Whether the successor has died is what
-// AwaitReceipt says; a successor that does not read is taken for alive.
+// writeFailed ends the passing after an error of PassClient. AwaitReceipt determines whether the
+// successor has exited; a successor that only does not read counts as running.
 func (p *connPasser) writeFailed(err error) {
 	select {
 	case <-p.receiptsEnd:
@@ -130,7 +134,7 @@
 	}
 }
 
-// end returns the connections that the successor has not received, and tells the event loop.
+// end returns the connections that the successor has not received and notifies the event loop.
 func (p *connPasser) end(err error) {
 	p.mu.Lock()
 	if p.ended {
@@ -147,29 +151,30 @@
 		if successorExited || errors.Is(err, hotrestart.ErrSuccessorLeft) {
 			p.gateway.returnConn(c)
 		} else {
-			_ = c.Conn.Close() // the successor may have it
+			_ = c.Conn.Close() // the successor may have received it
 		}
 	}
 }
 
-// returnConn posts a connection that no successor has received, once there is a place for it.
+// returnConn posts a connection that no successor has received, once a slot is free.
 func (g *Gateway) returnConn(c hotrestart.ClientConn) {
 	g.clients.slots <- struct{}{}
 	g.post(connReturned{c})
 }
 
-// connReturned is a client's connection that no successor has received.
+// connReturned is a client connection that no successor has received.
 type connReturned struct{ from hotrestart.ClientConn }
 
 func (e connReturned) handle(g *Gateway) { g.restartReader(e.from) }
 
-// restartReader reads from a connection whose reader has ended. Its place is taken already.
+// restartReader starts a new reader for a connection whose reader has ended. The connection must
+// already have a slot.
 func (g *Gateway) restartReader(from hotrestart.ClientConn) {
 	_ = from.Conn.SetReadDeadline(time.Time{})
 	g.startClient(clientFrom(&from, g.now()))
 }
 
-// passingEnded tells that the successor takes no more connections, and whether it has died.
+// passingEnded reports that the successor accepts no more connections, and whether it has exited.
 type passingEnded struct {
 	passer          *connPasser
 	successorExited bool
@@ -186,11 +191,11 @@
 	h.successor = nil
 	h.keepsDetached = true
 	if e.successorExited {
-		g.log.Error("handover: the successor has died; this process serves again",
+		g.log.Error("handover: the successor has exited; this process resumes serving",
 			"open", g.requests.open, "connections", len(g.clients.conns))
 		g.resumeAfterSuccessorExit()
 	} else {
-		g.log.Warn("handover: the successor takes no more connections", "error", e.err)
+		g.log.Warn("handover: the successor accepts no more connections", "error", e.err)
 	}
 	g.admitHeld()
 	for c := range g.clients.conns {
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -10,19 +10,20 @@
 	"mothcleat/internal/dataplane/snapshot"
 )
 
-// handoverLinks are the processes before and after this one. It belongs to the event loop.
+// handoverLinks are the links to the predecessor and to a successor of this process. They belong to
+// the event loop.
 type handoverLinks struct {
-	predecessor *hotrestart.Predecessor // nil: none served when this process started
-	listener    *hotrestart.Listener    // where a successor asks; nil: nowhere
-	successor   *hotrestart.Successor   // takes over or is about to; nil: none
-	passer      *connPasser             // nil: no connections are passed
+	predecessor *hotrestart.Predecessor // nil: no process served when this one started
+	listener    *hotrestart.Listener    // accepts a successor; nil: successors are not accepted
+	successor   *hotrestart.Successor   // has taken over or is about to; nil: none
+	passer      *connPasser             // nil: connections are not being passed
 	// keepsDetached: the successor accepts no more connections, and detached connections are read
 	// here again.
 	keepsDetached bool
 }
 
 const (
-	maxHandoverStateAge policy.Time = 60_000_000 // a predecessor's state is newer than that
+	maxHandoverStateAge policy.Time = 60_000_000 // an older state of a predecessor is not restored
 	maxClockSkew        policy.Time = 1_000_000  // between the clocks of two processes
 	bindRetryDelay                  = 200 * time.Millisecond
 )
@@ -30,7 +31,7 @@
 // passingConns reports whether connections are being passed to a successor.
 func (h *handoverLinks) passingConns() bool { return h.passer != nil }
 
-// findPredecessor looks for a process that serves already.
+// findPredecessor looks for a process that already serves.
 func (g *Gateway) findPredecessor() {
 	if g.snapshots.RendezvousPath == "" {
 		return
@@ -44,7 +45,7 @@
 	g.snapshots.Successor = true
 }
 
-// listenForSuccessor lets the next process find this one.
+// listenForSuccessor lets a successor connect to this process.
 func (g *Gateway) listenForSuccessor() {
 	if g.snapshots.RendezvousPath == "" {
 		return
@@ -58,7 +59,7 @@
 	go listener.Serve(func(s *hotrestart.Successor) { g.postUrgent(successorReady{s}) })
 }
 
-// end waits until all connections are passed on, and ends the links to other processes.
+// end waits until all connections have been passed and closes the links to other processes.
 func (h *handoverLinks) end() {
 	if h.listener != nil {
 		h.listener.Close()
@@ -71,7 +72,7 @@
 	}
 }
 
-// takeFromPredecessor takes over the predecessor's state. It runs on a goroutine of its own.
+// takeFromPredecessor receives the predecessor's state. It runs on its own goroutine.
 func (g *Gateway) takeFromPredecessor() {
 	received, err := g.handover.predecessor.TakeState()
 	e := predecessorState{received: received, err: err}
@@ -81,7 +82,7 @@
 	g.postUrgent(e)
 }
 
-// predecessorState is what the predecessor has handed over, or why there is nothing.
+// predecessorState is the state received from the predecessor, or the error that prevented it.
 type predecessorState struct {
 	received hotrestart.State
 	state    policy.Snapshot
@@ -107,7 +108,7 @@
 	g.serveClients()
 }
 
-// restore loads the state into the balancer and tells the predecessor so.
+// restore loads the state into the balancer and confirms that to the predecessor.
 func (e *predecessorState) restore(g *Gateway) error {
 	if ahead := e.state.At - g.now(); ahead > 0 && ahead < maxClockSkew {
 		e.state.At = g.now()
@@ -118,7 +119,7 @@
 	return g.handover.predecessor.Confirm()
 }
 
-// takePeerSocket continues with the predecessor's socket for peers' messages, or opens one.
+// takePeerSocket takes over the predecessor's peer socket, or opens a new one.
 func (e *predecessorState) takePeerSocket(g *Gateway) {
 	switch {
 	case e.received.PeerSocket != nil && e.err == nil:
@@ -132,8 +133,8 @@
 	}
 }
 
-// bindPeerSocket opens the peers' socket as soon as the predecessor has closed it. It runs on a
-// goroutine of its own.
+// bindPeerSocket opens the peer socket as soon as the other process has closed its own. It runs on
+// its own goroutine.
 func (g *Gateway) bindPeerSocket() {
 	for {
 		p, err := newPeerLink(&g.cfg, g.log)
@@ -145,7 +146,7 @@
 	}
 }
 
-// peerSocketBound is the peers' socket, opened late.
+// peerSocketBound is the peer socket, opened by bindPeerSocket.
 type peerSocketBound struct{ conn *net.UDPConn }
 
 func (e peerSocketBound) handle(g *Gateway) {
@@ -157,22 +158,22 @@
 	go g.peers.readMessages(g)
 }
 
-// receiveConns takes over the clients' connections of the predecessor until it has passed all. It
-// runs on a goroutine of its own.
+// receiveConns receives client connections until the predecessor has passed all of them. It runs on
+// its own goroutine.
 func (g *Gateway) receiveConns() {
 	err := g.handover.predecessor.ReceiveClients(g.receiveConn)
 	if err != nil {
-		g.log.Warn("handover: clients' connections", "error", err)
+		g.log.Warn("handover: receiving client connections failed", "error", err)
 	}
 }
 
-// receiveConn posts a connection from the predecessor, once there is a place for it.
+// receiveConn posts a connection from the predecessor once a slot is free.
 func (g *Gateway) receiveConn(c hotrestart.ClientConn) {
 	g.clients.slots <- struct{}{}
 	g.post(connReceived{c})
 }
 
-// connReceived is a client's connection from the predecessor.
+// connReceived is a client connection received from the predecessor.
 type connReceived struct{ from hotrestart.ClientConn }
 
 func (e connReceived) handle(g *Gateway) {
@@ -180,7 +181,8 @@
 	g.startClient(clientFrom(&e.from, g.now()))
 }
 
-// clientFrom makes a client of a connection from another process, or of one that was to be passed.
+// clientFrom returns a client for a connection received from the predecessor, or for one that was
+// not passed to the successor after all.
 func clientFrom(from *hotrestart.ClientConn, now policy.Time) *client {
 	head := &from.State
 	c := newClient(from.Conn, now)
@@ -197,8 +199,9 @@
 	return c
 }
 
-// successorReady tells that a successor is ready to take over. It is given this process's state;
-// commands that come meanwhile are held until it is known which process answers them.
+// successorReady reports that a successor is ready to take over. The successor is sent this
+// process's state. Commands that arrive in the meantime are held until it is known which process
+// answers them.
 type successorReady struct{ successor *hotrestart.Successor }
 
 func (e successorReady) handle(g *Gateway) {
@@ -223,7 +226,7 @@
 	go func() { g.postUrgent(handoverDone{e.successor.SendState(state)}) }()
 }
 
-// handoverDone tells whether the successor has taken over; err: why not.
+// handoverDone reports that the successor has taken over, or with err why it has not.
 type handoverDone struct{ err error }
 
 func (e handoverDone) handle(g *Gateway) {
@@ -250,7 +253,7 @@
 	g.shutdown.step(g)
 }
 
-// resumeServing goes on as if there had been no successor, and admits the held commands.
+// resumeServing resumes service after a failed handover and admits the held commands.
 func (g *Gateway) resumeServing() {
 	g.handover.successor = nil
 	g.lifecycle.Unpause()
@@ -262,7 +265,7 @@
 	g.admitHeld()
 }
 
-// resumeAccepting accepts clients again after a pause, unless the process ends.
+// resumeAccepting accepts clients again after a pause, unless accepting has ended.
 func (g *Gateway) resumeAccepting() {
 	if g.shutdown.acceptingEnds {
 		return
@@ -288,8 +291,8 @@
 	}
 }
 
-// holdForSuccessor holds a command while it is open which process answers it, or passes it on with
-// its connection. It returns false if this process is to answer.
+// holdForSuccessor holds a command while it is undecided which process answers it, or passes it to
+// the successor with its connection. It returns false if this process is to answer the command.
 func (g *Gateway) holdForSuccessor(e commandRead) bool {
 	if g.handover.successor == nil || g.lifecycle.FailsOpenRequests(g.now()) {
 		return false
@@ -300,22 +303,23 @@
 		return false
 	}
 	c.reading.held = append(c.reading.held, e)
-	if e.framingLost { // nothing more is read after it
+	if e.framingLost { // no more commands are read after it
 		c.reading.detached = true
 	}
 	g.passToSuccessor(c)
 	return true
 }
 
-// mayPass reports whether a client's connection can be passed on now: its reader has ended, and no
-// answer is pending.
+// mayPass reports whether a client's connection can be passed now: it stays open, its reader has
+// ended and no answer is pending.
 func (c *client) mayPass() bool {
 	ended := c.closed || c.writeEnded || c.overLimit || c.ignoreInput.Load()
 	return c.reading.detached && !ended && len(c.pipeline) == 0 && c.out.drained()
 }
 
-// passToSuccessor passes a client's connection to the successor, if connections are being passed
-// and this one may be. It is called again whenever that may have changed.
+// passToSuccessor passes a client's connection to the successor if connections are being passed and
+// mayPass is true. If the successor accepts no more connections, it restarts the reader here
+// instead. It is called whenever these conditions may have changed.
 func (g *Gateway) passToSuccessor(c *client) {
 	h := &g.handover
 	if !h.passingConns() && !h.keepsDetached || !c.mayPass() {
@@ -325,7 +329,7 @@
 	c.endReader()
 	if !h.passingConns() {
 		delete(g.clients.conns, c)
-		g.restartReader(passed) // in the same place
+		g.restartReader(passed) // keeps its slot
 		return
 	}
 	g.clients.remove(c)
@@ -333,7 +337,7 @@
 	h.passer.pass(passed)
 }
 
-// exportForSuccessor is what a successor needs to know of a connection.
+// exportForSuccessor returns a connection with the state that a successor needs.
 func (c *client) exportForSuccessor(now policy.Time) hotrestart.ClientConn {
 	rc := &c.reading
 	p := hotrestart.ClientConn{
@@ -353,7 +357,7 @@
 		p.Unread = e.appendEncoded(p.Unread)
 	}
 	if rc.inheritedCommands > 0 && len(rc.held) == 0 {
-		// They came from the predecessor and were never read here.
+		// The commands came from the predecessor and were not read here.
 		p.State.HeldCommands = rc.inheritedCommands
 		p.State.AgeUS = rc.inheritedAge + now - rc.inheritedAt
 	}
@@ -361,8 +365,8 @@
 	return p
 }
 
-// readerDetached tells that a client's reader has ended, and what it had read beyond the last
-// command.
+// readerDetached reports that a client's reader has ended. rest is the data it had read beyond the
+// last command.
 type readerDetached struct {
 	client *client
 	rest   []byte
--- a/internal/dataplane/gateway/snapshot.go
+++ b/internal/dataplane/gateway/snapshot.go
@@ -12,23 +12,23 @@
 // SnapshotStore stores snapshots of the balancer's state for the next process. It must be safe for
 // concurrent use.
 type SnapshotStore interface {
-	// Load returns the snapshot stored last; its error is fs.ErrNotExist if there is none.
+	// Load returns the latest stored snapshot. Its error is fs.ErrNotExist if there is none.
 	Load() (policy.Snapshot, error)
-	// Store replaces it. A durable snapshot also survives a power failure.
+	// Store replaces the stored snapshot. A durable snapshot also survives a power failure.
 	Store(s policy.Snapshot, durable bool) error
 }
 
-// minSnapshotInterval is the least time between two periodic snapshots.
+// minSnapshotInterval is the minimum interval of periodic snapshots.
 const minSnapshotInterval = 50 * time.Millisecond
 
-// snapshotter takes snapshots of the balancer and has them stored. It belongs to the event loop,
-// but for Store and pending, which storePending uses on a goroutine of its own.
+// snapshotter takes snapshots of the balancer and stores them. It belongs to the event loop, except
+// for Store and pending, which storePending uses on its own goroutine.
 type snapshotter struct {
 	Restart
 	interval policy.Time
 	pending  chan policy.Snapshot // the newest periodic snapshot, for storePending
-	failing  bool                 // the last snapshot could not be stored
-	stopped  bool                 // the last snapshot is stored: none may follow
+	failing  bool                 // the latest snapshot could not be stored
+	stopped  bool                 // the final snapshot is stored: none may follow
 }
 
 func newSnapshotter(r Restart) snapshotter {
@@ -43,8 +43,8 @@
 	return max(minSnapshotInterval, r.SnapshotInterval).Microseconds()
 }
 
-// restoreSnapshot loads the predecessor's snapshot into the balancer. One that can't be used is
-// logged, and the gateway starts without state.
+// restoreSnapshot loads the predecessor's snapshot into the balancer. If the snapshot can't be
+// used, that is logged and the gateway starts without state.
 func (g *Gateway) restoreSnapshot() {
 	s, err := g.snapshots.Store.Load()
 	if err == nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// startSnapshots starts the goroutine that stores periodic snapshots, and begins with them unless
-// a predecessor still serves: its snapshot must not be overwritten.
+// startSnapshots starts the goroutine that stores periodic snapshots. It also starts taking
+// snapshots, unless a predecessor still serves: the predecessor's snapshot must not be overwritten.
 func (g *Gateway) startSnapshots(ctx context.Context) {
 	if g.snapshots.Store == nil {
 		return
@@ -75,7 +75,7 @@
 }
 
 // beginSnapshots stores a snapshot before the first request and periodically from then on, so that
-// there is one whenever the process ends.
+// one exists whenever the process ends.
 func (g *Gateway) beginSnapshots() {
 	g.storeSnapshot()
 	g.schedule(g.now()+g.snapshots.interval, snapshotTimer{})
@@ -97,14 +97,14 @@
 		return
 	}
 	select {
-	case <-s.pending: // storePending has not come to it, and a newer one replaces it
+	case <-s.pending: // storePending has not stored it yet, and a newer one replaces it
 	default:
 	}
 	s.pending <- g.balancer.TakeSnapshot(g.now(), false)
 	g.schedule(g.now()+s.interval, snapshotTimer{})
 }
 
-// storePending stores periodic snapshots beside the event loop until the context ends.
+// storePending stores periodic snapshots until the context ends. It runs on its own goroutine.
 func (s *snapshotter) storePending(ctx context.Context, g *Gateway) {
 	for {
 		select {
@@ -121,7 +121,7 @@
 	}
 }
 
-// snapshotStored tells whether the snapshot taken at a time was stored.
+// snapshotStored is the result of storing the snapshot that was taken at the time at.
 type snapshotStored struct {
 	err error
 	at  policy.Time
@@ -143,8 +143,8 @@
 	}
 }
 
-// storeSnapshotIfDue stores a snapshot before anything else happens when a customer's reserved
-// units are nearly spent. The event loop waits while a small file is written.
+// storeSnapshotIfDue stores a snapshot, before the next event is handled, if a customer's reserved
+// units are nearly spent. The event loop blocks while the small file is written.
 func (g *Gateway) storeSnapshotIfDue() {
 	if g.snapshots.Store != nil && !g.snapshots.stopped && g.balancer.SnapshotDue() {
 		g.storeSnapshot()
@@ -152,7 +152,7 @@
 }
 
 // storeLastSnapshot stores the final snapshot durably. No request may reach the balancer after it.
-// Only the first call counts.
+// Only the first call has an effect.
 func (g *Gateway) storeLastSnapshot() {
 	if g.snapshots.Store == nil || g.snapshots.stopped {
 		return
