--- a/internal/dataplane/gateway/allocations.go
+++ b/internal/dataplane/gateway/allocations.go
@@ -6,19 +6,20 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// Allocations are this gateway's shares of the quotas that the fleet shares. Expiries are by a
-// clock of the implementation's. All methods but OnReply are called on the event loop's goroutine,
-// and must not block.
+// Allocations are this gateway's shares of the fleet's quotas. Expiries are on the implementation's
+// own clock. All methods except OnReply are called on the event loop's goroutine and must not
+// block.
 type Allocations interface {
 	policy.Allocations
 	// UsableUntil returns when the units taken for a request expire; 0: none were taken.
 	UsableUntil(id uint64) time.Duration
-	// Expired reports whether that time is over now.
+	// Expired reports whether the expiry until has passed.
 	Expired(until time.Duration) bool
-	// SetPlanOrder tells by which version of the plans customers' limits are from now on.
+	// SetPlanOrder sets the order of the plan version that determines customers' limits from now
+	// on.
 	SetPlanOrder(order uint64)
-	// OnReply sets the receiver of the answers to on-demand requests. It is called once, and
-	// the receiver may be called from any goroutine.
+	// OnReply sets the function that receives the answers to on-demand requests. It is called once.
+	// The function may be called from any goroutine.
 	OnReply(receive func(OnDemandReply))
 }
 
@@ -26,12 +27,12 @@
 type OnDemandReply struct {
 	RequestID   uint64
 	Quota       policy.SharedQuota
-	Units       float64       // 0: none were granted
-	RetryAfter  time.Duration // after which there may be as many
+	Units       float64       // units granted; 0: none
+	RetryAfter  time.Duration // after which the requested units may be available
 	UsableUntil time.Duration // when the units expire
 }
 
-// onDemandReplied is such an answer on its way to the balancer.
+// onDemandReplied passes an OnDemandReply to the balancer.
 type onDemandReplied OnDemandReply
 
 func (e onDemandReplied) handle(g *Gateway) {
@@ -42,7 +43,7 @@
 	g.balancer.ReceiveOnDemand(g.now(), e.RequestID, &e.Quota, e.Units, retryAfter)
 }
 
-// useAllocations has the balancer decide by allocations, where the fleet grants them.
+// useAllocations makes the balancer decide by allocations if the gateway has them.
 func (g *Gateway) useAllocations() {
 	if g.cfg.Allocations == nil {
 		return
@@ -62,10 +63,10 @@
 	}
 }
 
-// decisionExpired ends an attempt whose request was admitted by something that has expired since:
-// its deadline, its version lease or its allocation. The process may have been suspended, or the
-// request may have waited for a connection, so this is checked last before a write. It reports
-// whether the attempt has ended.
+// decisionExpired ends an attempt if the deadline, the version lease or the allocation of its
+// request has expired. This is the last check before a write, because the process may have been
+// suspended or the request may have waited for a connection. It reports whether it ended the
+// attempt.
 func (g *Gateway) decisionExpired(a *attempt) bool {
 	r := a.request
 	if r == nil {
@@ -83,7 +84,7 @@
 	return true
 }
 
-// answerExpired answers a request whose deadline or version lease is over.
+// answerExpired answers a request whose deadline or version lease has expired.
 func (g *Gateway) answerExpired(r *request) {
 	switch {
 	case r.sent:
@@ -95,7 +96,7 @@
 	}
 }
 
-// allocationExpired reports whether the allocation expired that admitted a request, before its
+// allocationExpired reports whether the allocation that admitted a request has expired before the
 // first attempt was written.
 func (g *Gateway) allocationExpired(r *request) bool {
 	if r.sent || r.allocationUntil == 0 {
--- a/internal/dataplane/gateway/config.go
+++ b/internal/dataplane/gateway/config.go
@@ -23,44 +23,44 @@
 	Discovery string
 	Seed      uint64
 	MemoryMB  int
-	Sockets   int // file descriptors that may be open
+	Sockets   int // limit on open file descriptors
 
-	Management string // where operators call; "": nowhere
+	Management string // address of the admin interface; "": none
 
 	PeerListen     string
-	Peers          []netip.AddrPort // by number, this gateway's own among them
+	Peers          []netip.AddrPort // by peer number, including this gateway
 	Counter        string
-	KnownEndpoints registry.List // used until discovery answers
+	KnownEndpoints registry.List // used until discovery responds
 
 	Settings policy.Settings
 	Host     simprotocol.HostSettings
 
 	Restart      Restart           // from the operators' file
 	Auth         Auth              // from the operators' file
-	Fleet        Fleet             // nil: there is none
-	Allocations  Allocations       // nil: quotas go by peers' messages or the counter
-	VersionLease VersionLease      // nil: the gateway operates on its configuration alone
+	Fleet        Fleet             // nil: there is no control plane
+	Allocations  Allocations       // nil: quotas use peer messages or the counter
+	VersionLease VersionLease      // nil: the gateway operates on its own configuration
 	Operations   OperationRecorder // nil: operations are not counted
-	PlanTerms    *PlanTerms        // plans that the fleet agrees on; nil: the configured ones
-	RejectionLog io.Writer         // gets a line for each rejected request; nil: there is none
+	PlanTerms    *PlanTerms        // plans that the fleet has agreed on; nil: the configured ones
+	RejectionLog io.Writer         // gets a line for each rejected request; nil: no log
 
-	// NewEndpointSource makes the source of the endpoint list; nil: the platform's discovery.
+	// NewEndpointSource returns the source of the endpoint list; nil: the platform's discovery.
 	NewEndpointSource func(cfg *Config, log *slog.Logger) (registry.Source, error)
-	// EndpointAddresses are what the source's Move is called with on a reload; nil: the
-	// address of discovery.
+	// EndpointAddresses are the addresses passed to the source's Move on a reload; nil: the address
+	// of discovery.
 	EndpointAddresses []string
 }
 
 // Fleet is the gateway's connection to the control plane.
 type Fleet interface {
-	// Count counts units that were sent for a customer. It is called on the event loop's
-	// goroutine, and must not block.
+	// Count counts units that were sent for a customer. It is called on the event loop's goroutine
+	// and must not block.
 	Count(customer uint64, units float64)
-	// Call answers an operator's call. It may be called from any goroutine.
+	// Call returns the answer to an admin call. It may be called from any goroutine.
 	Call(ctx context.Context, argument string) string
 }
 
-// configFile is the configuration as it is written.
+// configFile is the JSON form of the configuration.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -78,21 +78,21 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// The limits where the configuration states none, and the least that a gateway can work with.
+// The default limits, and the minimum that a gateway needs.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	minSockets      = 32
 )
 
-// The times where the settings state none.
+// The default times.
 const (
 	defaultDialTimeout        policy.Time = 250_000
 	defaultBackendIdleTimeout policy.Time = 10_000_000
 	defaultCounterTimeout     policy.Time = 50_000
 )
 
-// ParseConfig reads a configuration. Its error names the part that is missing or wrong.
+// ParseConfig parses a JSON configuration. Its error names the part that is missing or invalid.
 func ParseConfig(raw []byte) (Config, error) {
 	c, err := parseConfigFile(raw)
 	if err == nil {
@@ -129,7 +129,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("seed %q: 16 hex digits wanted", f.Seed)
+		return c, fmt.Errorf("seed %q: must be 16 hex digits", f.Seed)
 	}
 	for i, p := range f.Peers {
 		addr, err := netip.ParseAddrPort(p)
@@ -145,7 +145,7 @@
 	return c, err
 }
 
-// check returns which part of the configuration can't be served; nil: none.
+// check returns an error that names the first invalid part of the configuration, or nil.
 func (cfg *Config) check() error {
 	switch {
 	case cfg.Listen == "":
@@ -153,9 +153,9 @@
 	case cfg.Discovery == "":
 		return errors.New("discovery: missing")
 	case cfg.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets: %d, at least %d wanted", cfg.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d, must be at least %d", cfg.Sockets, minSockets)
 	case cfg.Settings.Peers && (cfg.PeerListen == "" || len(cfg.Peers) != cfg.Settings.Gateways):
-		return fmt.Errorf("peers: %d addresses for %d gateways, peer_listen %q",
+		return fmt.Errorf("peers: %d addresses for %d gateways with peer_listen %q",
 			len(cfg.Peers), cfg.Settings.Gateways, cfg.PeerListen)
 	case cfg.Settings.Counter && !cfg.Settings.Peers && cfg.Counter == "":
 		return errors.New("counter: missing")
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// checkAddresses checks the form of the addresses that are given.
+// checkAddresses checks the form of the configured addresses.
 func (cfg *Config) checkAddresses() error {
 	addresses := map[string]string{
 		"discovery":  cfg.Discovery,
--- a/internal/dataplane/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	counterConns       = 4  // each with its own share of the names
-	counterQueueLength = 64 // calls that wait for one connection
+	counterConns       = 4  // each handles its own share of the names
+	counterQueueLength = 64 // calls waiting for one connection
 	counterIdleTimeout = 4 * time.Second
 	maxHeaderBytes     = 16 << 10
-	maxTotalBytes      = 256 // of an answer's body
+	maxTotalBytes      = 256 // limit on the body of a response
 )
 
-// counterClient calls the central counter. Calls for one name go out in order, as the balancer
-// takes their totals in order. add and setAddress belong to the event loop; runQueue runs on a
-// goroutine for each connection.
+// counterClient calls the central counter. Calls for one name are made in order, because the
+// balancer expects their totals in order. add and setAddress belong to the event loop; runQueue
+// runs on one goroutine for each connection.
 type counterClient struct {
 	url     string
 	client  *http.Client
@@ -35,7 +35,7 @@
 }
 
 type counterCall struct {
-	url      string // of the counter when the call was made
+	url      string // URL of the counter when the call was added
 	name     uint64
 	amount   float64
 	ttl      policy.Time // of a new name
@@ -64,19 +64,20 @@
 	return c
 }
 
-// noRedirect follows no redirect: a call to the counter must not be made twice.
+// noRedirect makes the client follow no redirects, because a call to the counter must not be made
+// twice.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func counterURL(address string) string { return "http://" + address + "/v1/count/" }
 
-// setAddress has calls made at another address from now on. Calls under way end at the old one, as
-// each has exactly one answer.
+// setAddress changes the address for later calls. Queued and running calls still use the old
+// address, because each call has exactly one answer.
 func (c *counterClient) setAddress(address string) {
 	c.url = counterURL(address)
 	c.client.CloseIdleConnections()
 }
 
-// add has an amount added to a name. Exactly one counterReplied follows.
+// add queues a call that adds an amount to a name. Exactly one counterReplied follows.
 func (c *counterClient) add(g *Gateway, name uint64, amount float64, ttl policy.Time) {
 	call := counterCall{
 		url:      c.url,
@@ -95,7 +96,7 @@
 	g.enqueue(counterReplied{name: name, result: policy.Rejected})
 }
 
-// runQueue makes the calls of one queue, one after another, until the context ends.
+// runQueue makes the calls of one queue one after another until the context ends.
 func (c *counterClient) runQueue(ctx context.Context, g *Gateway, queue <-chan counterCall) {
 	for {
 		select {
@@ -108,7 +109,7 @@
 	}
 }
 
-// counterReplied tells how a call ended.
+// counterReplied is the result of a call.
 type counterReplied struct {
 	name   uint64
 	result policy.Result
@@ -119,8 +120,8 @@
 	g.balancer.ReceiveCounterTotal(g.now(), e.name, e.result, e.total)
 }
 
-// call makes one call. Rejected and ConnectFailed mean that nothing was added; with TimedOut and
-// Reset the amount may have been added, or may be yet.
+// call makes one call. Rejected and ConnectFailed mean that nothing was added. With TimedOut and
+// Reset the amount may have been added or may still be added.
 func (c *counterClient) call(ctx context.Context, call counterCall) (float64, policy.Result) {
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
@@ -152,15 +153,14 @@
 	}
 	total, err := strconv.ParseFloat(strings.TrimSpace(string(body)), 64)
 	if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
-		// The amount was added, but nothing more on this connection can be trusted.
+		// The amount was added, but later data on this connection can't be trusted.
 		c.client.CloseIdleConnections()
 		return 0, policy.Failed
 	}
 	return total, policy.OK
 }
 
-// requestURL has the form that the counter's protocol prescribes; its ttl is in milliseconds, from
-// 1 on.
+// requestURL returns the URL that the counter's protocol prescribes. Its ttl_ms is at least 1.
 func (call *counterCall) requestURL() string {
 	name := strconv.FormatUint(call.name, 16)
 	amount := strconv.FormatFloat(call.amount, 'f', -1, 64)
--- a/internal/dataplane/gateway/endpoints.go
+++ b/internal/dataplane/gateway/endpoints.go
@@ -9,11 +9,11 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// member is a backend as discovery has it.
+// member is a backend as discovery reports it.
 type member = registry.Member
 
-// endpointState is what the balancer is told of a member's phase. A backend is not sent to if its
-// phase is unknown or its address unusable.
+// endpointState returns the balancer's state for a member's phase. A backend with an unknown phase
+// or an unusable address gets no requests.
 func endpointState(m *member) policy.EndpointState {
 	switch m.Phase {
 	case registry.Ready:
@@ -27,14 +27,14 @@
 	return policy.Draining
 }
 
-// endpointSource is the source of the endpoint list, with what the event loop knows of it.
+// endpointSource is the source of the endpoint list, with the related state of the event loop.
 type endpointSource struct {
 	registry.Source
-	received bool     // a list has come
-	zones    []string // by number, this gateway's own first
+	received bool     // a list or a change has been received
+	zones    []string // by zone number, this gateway's own first
 }
 
-// zoneNumber returns a zone's number; a new zone gets the next one.
+// zoneNumber returns a zone's number. A new zone gets the next number.
 func (s *endpointSource) zoneNumber(name string) int {
 	if i := slices.Index(s.zones, name); i >= 0 {
 		return i
@@ -43,8 +43,8 @@
 	return len(s.zones) - 1
 }
 
-// run posts updates ahead of all queued events until the context ends. It runs on a goroutine of
-// its own.
+// run posts updates ahead of all queued events until the context ends. It runs on its own
+// goroutine.
 func (s *endpointSource) run(ctx context.Context, g *Gateway) {
 	s.Source.Run(ctx, func(n registry.Update) {
 		select {
@@ -54,7 +54,7 @@
 	})
 }
 
-// endpointEvent is an update of the endpoint list, or the news that there is none to be had.
+// endpointEvent is an update of the endpoint list, or a report that discovery is unavailable.
 type endpointEvent registry.Update
 
 func (e endpointEvent) handle(g *Gateway) {
@@ -71,7 +71,7 @@
 	g.beginService()
 }
 
-// updateEndpoints applies a list of members, or its changes, and tells the balancer.
+// updateEndpoints applies a complete list of members or a change of it, and updates the balancer.
 func (p *backendPool) updateEndpoints(g *Gateway, kind policy.ListKind, list []member) {
 	update := make([]policy.Endpoint, 0, len(list))
 	if kind != policy.Delta {
@@ -87,7 +87,7 @@
 		if b.state != policy.Ready {
 			p.closeIdleOf(b)
 			for len(b.waiting) > 0 {
-				p.cancelWaiting(g, b.waiting[0]) // nothing goes there, however its dial ends
+				p.cancelWaiting(g, b.waiting[0]) // not sent, whatever the result of its dial
 			}
 		}
 		if b.state == policy.Removed && len(b.waiting) == 0 && b.dialing == 0 {
@@ -102,7 +102,7 @@
 	b := p.findOrAdd(m.ID)
 	b.state = endpointState(m)
 	if b.address != m.HostPort || b.upSince != m.UpSince {
-		// It has moved or restarted: its idle connections lead nowhere.
+		// The backend has changed its address or restarted, so its idle connections are dead.
 		b.address = m.HostPort
 		b.upSince = m.UpSince
 		p.closeIdleOf(b)
--- a/internal/dataplane/gateway/peers.go
+++ b/internal/dataplane/gateway/peers.go
@@ -9,23 +9,23 @@
 	"os"
 )
 
-const maxPeerMessageBytes = 256 // of a datagram between gateways
+const maxPeerMessageBytes = 256 // maximum size of a datagram between gateways
 
-// peerLink sends and receives gossip messages through one UDP socket. It belongs to the event
-// loop, but for readMessages, which runs on a goroutine of its own.
+// peerLink sends and receives gossip messages through one UDP socket. It belongs to the event loop,
+// except for readMessages, which runs on its own goroutine.
 type peerLink struct {
 	conn  *net.UDPConn     // nil: there are no peers, or the socket is not open yet
-	addrs []netip.AddrPort // by the peers' numbers, this gateway's own among them
+	addrs []netip.AddrPort // by peer number, including this gateway
 	self  int
 	log   *slog.Logger
 }
 
-// newUnboundPeerLink makes a link whose socket is opened later.
+// newUnboundPeerLink returns a link whose socket is opened later.
 func newUnboundPeerLink(cfg *Config, log *slog.Logger) *peerLink {
 	return &peerLink{addrs: cfg.Peers, self: cfg.Settings.Self, log: log}
 }
 
-// newPeerLink makes a link and opens its socket, where the settings have peers.
+// newPeerLink returns a link, with an open socket if the settings enable peers.
 func newPeerLink(cfg *Config, log *slog.Logger) (*peerLink, error) {
 	p := newUnboundPeerLink(cfg, log)
 	if !cfg.Settings.Peers {
@@ -45,13 +45,13 @@
 	return p, nil
 }
 
-// send sends a message, which may be lost. One over the limit is never sent.
+// send sends a message, which may be lost. A message over the size limit is not sent.
 func (p *peerLink) send(peer int, message []byte) {
 	if p.conn == nil || peer < 0 || peer >= len(p.addrs) || peer == p.self {
 		return
 	}
 	if len(message) > maxPeerMessageBytes {
-		p.log.Error("peer message over the limit", "bytes", len(message))
+		p.log.Error("peer message exceeds the size limit; not sent", "bytes", len(message))
 		return
 	}
 	_, _ = p.conn.WriteToUDPAddrPort(message, p.addrs[peer])
@@ -66,7 +66,7 @@
 func (m peerMessage) handle(g *Gateway) { g.balancer.ReceivePeerMessage(g.now(), m.from, m.body) }
 
 // readMessages posts messages until the socket is closed or its read deadline passes. Datagrams
-// from other addresses, and over the limit, are dropped.
+// from unknown addresses and datagrams over the size limit are dropped.
 func (p *peerLink) readMessages(g *Gateway) {
 	number := make(map[netip.AddrPort]int, len(p.addrs))
 	for i, a := range p.addrs {
--- a/internal/dataplane/gateway/plan_terms.go
+++ b/internal/dataplane/gateway/plan_terms.go
@@ -9,15 +9,15 @@
 	"mothcleat/internal/plans"
 )
 
-// PlanTerms puts versions of the plans in force in a gateway. What a version does not name stays as
-// configured. It is safe for concurrent use.
+// PlanTerms puts versions of the plans in force in a gateway. Plans that a version does not name
+// stay as configured. PlanTerms is safe for concurrent use.
 type PlanTerms struct {
 	names      []string
 	configured []policy.Plan
 
 	mu      sync.Mutex
-	post    func(event) // nil: there is no gateway yet
-	pending event       // the last change, until there is a gateway; nil: none
+	post    func(event) // nil: no gateway is attached yet
+	pending event       // the latest change, until a gateway is attached; nil: none
 }
 
 // NewPlanTerms returns the plan terms of a configuration.
@@ -25,7 +25,7 @@
 	return &PlanTerms{names: c.Host.Plans, configured: c.Settings.Plans}
 }
 
-// attach connects a gateway: changes are posted to it, also one that came before.
+// attach attaches a gateway. Changes are posted to it, including one that was made before.
 func (t *PlanTerms) attach(post func(event)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// CheckCatalog returns why a version of the plans can't be put in force here; nil if it can.
+// CheckCatalog returns an error if a version of the plans can't be put in force here.
 func (t *PlanTerms) CheckCatalog(c *plans.Catalog) error {
 	for _, name := range c.PlanNames() {
 		if !slices.Contains(t.names, name) {
@@ -49,9 +49,10 @@
 	return nil
 }
 
-// UseCatalogs puts a checked version in force, together with others (beside) whose terms bind as
-// well. A catalog without plans stands for the configuration. order grows with each call, and done
-// is called on the event loop's goroutine once the balancer uses the version.
+// UseCatalogs puts the checked version target in force, together with other versions (others) whose
+// terms also apply; the tighter terms bind. A catalog without plans stands for the configured
+// plans. order must increase with each call. done is called on the event loop's goroutine once the
+// balancer uses the version.
 func (t *PlanTerms) UseCatalogs(
 	target *plans.Catalog, others []*plans.Catalog, order uint64, done func(),
 ) {
@@ -104,17 +105,17 @@
 	p.CeilingBurst = t.CeilingBurst
 }
 
-// plansChanged is a change of the plans' terms, or of which customer has which plan.
+// plansChanged is a change of the plans' terms or of the customers' plans.
 type plansChanged struct {
 	plans    []policy.Plan
 	names    []string
-	catalogs []*plans.Catalog // the version in force, and those beside it
+	catalogs []*plans.Catalog // the version in force, then the others that apply
 	order    uint64
 	done     func()
 }
 
-// assigned returns the plan that the versions assign to a customer; below 0: the one that its
-// requests name. Where versions differ, the plan with the smaller quota binds.
+// assigned returns the plan that the versions assign to a customer, or a negative number if its
+// requests name the plan. If the versions differ, the plan with the smaller quota binds.
 func (e *plansChanged) assigned(customer uint64) int {
 	assigned := -1
 	for _, catalog := range e.catalogs {
@@ -139,14 +140,14 @@
 		g.cfg.Allocations.SetPlanOrder(e.order)
 	}
 	if err := g.balancer.UpdatePlans(g.now(), e.plans, e.assigned); err != nil {
-		g.log.Error("plans: not put in force", "error", err)
+		g.log.Error("plans: the version was not put in force", "error", err)
 		return
 	}
 	g.assignedPlan = e.assigned
 	e.done()
 }
 
-// applyAssignedPlan gives a request the plan that is assigned to its customer.
+// applyAssignedPlan sets a request's plan to the one assigned to its customer, if there is one.
 func (g *Gateway) applyAssignedPlan(r *policy.Request) {
 	if g.assignedPlan == nil {
 		return
--- a/internal/dataplane/gateway/rejection_log.go
+++ b/internal/dataplane/gateway/rejection_log.go
@@ -7,11 +7,12 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// rejectionLog records why each request was rejected, for people and test rigs that look for the
-// cause of a loss: a line with the request's id and the reason. It belongs to the event loop.
+// rejectionLog records why each request was rejected, for operators and test rigs that look for the
+// cause of a loss. It writes a line with the request's id and the reason. It belongs to the event
+// loop.
 type rejectionLog struct{ out *bufio.Writer }
 
-// openRejectionLog starts the log; nil: none is kept, at no cost.
+// openRejectionLog starts the log. If w is nil, no log is kept, at no cost.
 func (g *Gateway) openRejectionLog(w io.Writer) {
 	if w == nil {
 		return
@@ -27,13 +28,13 @@
 	})
 }
 
-// flush writes what is recorded so far. A log that can't be written is ended, and that is reported.
+// flush writes the recorded lines. If that fails, it reports the error and ends the log.
 func (l *rejectionLog) flush(g *Gateway) {
 	if l == nil {
 		return
 	}
 	if err := l.out.Flush(); err != nil {
-		g.log.Error("rejection log ended", "error", err)
+		g.log.Error("rejection log ended: it can't be written", "error", err)
 		g.balancer.OnReject(nil)
 		g.rejections = nil
 	}
--- a/internal/dataplane/gateway/reload.go
+++ b/internal/dataplane/gateway/reload.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Control is how the surrounding program controls a gateway.
+// Control is the interface through which the program controls a gateway.
 type Control struct {
 	Stop       <-chan struct{}        // closed for a planned shutdown
 	HandedOver <-chan struct{}        // closed when a successor has taken over; nil: never
-	Reload     <-chan struct{}        // a value has the configuration read again
+	Reload     <-chan struct{}        // each value triggers a reload of the configuration
 	ReadConfig func() (Config, error) // reads the current configuration
 }
 
-// forward posts what the gateway is told to do, until the context ends. A configuration that can't
-// be read is counted and logged, and the old one stays in force. It runs on a goroutine of its own.
+// forward posts an event for each signal on the control channels until the context ends. If the
+// configuration can't be read, that is counted and logged, and the old configuration stays in
+// force. forward runs on its own goroutine.
 func (c Control) forward(ctx context.Context, g *Gateway) {
 	stopped := c.Stop
 	handedOver := c.HandedOver
@@ -33,7 +34,7 @@
 			cfg, err := c.ReadConfig()
 			if err != nil {
 				g.metrics.ConfigErrors.Add(1)
-				g.log.Error("reload: the old configuration stays", "error", err)
+				g.log.Error("reload: failed; the old configuration stays in force", "error", err)
 				continue
 			}
 			e = configReloaded{cfg}
@@ -46,16 +47,17 @@
 	}
 }
 
-// configReloaded is a new configuration.
+// configReloaded is a newly read configuration.
 type configReloaded struct{ cfg Config }
 
-// handle moves to the new addresses of discovery and the counter. Requests, connections and the
-// balancer's state are not touched. The endpoint list is fetched completely from the new address,
-// as its revisions may differ.
+// handle switches to the new addresses of discovery and the counter, and applies the
+// authenticator's settings and the snapshot interval. Requests, connections and the balancer's
+// state do not change. The complete endpoint list is fetched from the new address, because its
+// revisions may differ.
 func (e configReloaded) handle(g *Gateway) {
 	g.log.Info("reload", "discovery", e.cfg.Discovery, "counter", e.cfg.Counter)
 	if unchanged := g.cfg.restartOnlyChanges(&e.cfg); len(unchanged) > 0 {
-		g.log.Warn("reload: what needs a restart stays as it was", "settings", unchanged)
+		g.log.Warn("reload: settings that need a restart were not changed", "settings", unchanged)
 	}
 	g.cfg.Discovery = e.cfg.Discovery
 	g.cfg.Counter = e.cfg.Counter
@@ -69,14 +71,14 @@
 		g.counter.setAddress(e.cfg.Counter)
 	}
 	if err := g.setAuth(e.cfg.Auth); err != nil {
-		g.log.Error("reload: the authenticator's settings stay as they were", "error", err)
+		g.log.Error("reload: the authenticator's settings were not changed", "error", err)
 	}
 	g.metrics.ConfigLoads.Add(1)
 	g.snapshots.interval = snapshotInterval(e.cfg.Restart)
 }
 
-// restartOnlyChanges names the settings that another configuration would change and that only a
-// restart can.
+// restartOnlyChanges returns the names of the settings that differ in other and that only a restart
+// can change.
 func (cfg *Config) restartOnlyChanges(other *Config) (names []string) {
 	for name, changed := range map[string]bool{
 		"name":        cfg.Name != other.Name,
