--- a/internal/dataplane/policy/admission.go
+++ b/internal/dataplane/policy/admission.go
@@ -68,7 +68,7 @@
 		return
 	}
 	ceiling := &r.customer.ceilingBucket
-	if !r.homePaysCeiling && !lb.underCeiling(r.customer, r.Units) {
+	if !r.chargesHomeCeiling && !lb.underCeiling(r.customer, r.Units) {
 		lb.reject(r.ID, timeUntil(ceiling.level, ceiling.rate, r.Units), ReasonCeiling)
 		return
 	}
@@ -93,7 +93,7 @@
 		lb.sharedBucket.level -= r.Units
 	}
 	plan := &lb.settings.Plans[r.Plan]
-	if plan.CeilingRate > 0 && !r.homePaysCeiling {
+	if plan.CeilingRate > 0 && !r.chargesHomeCeiling {
 		c.ceilingBucket.level -= r.Units
 	}
 	lb.recordSpend(c, r.Units)
--- a/internal/dataplane/policy/attempt.go
+++ b/internal/dataplane/policy/attempt.go
@@ -25,10 +25,10 @@
 
 // homeQuery is what a request asks of its customer's home.
 type homeQuery struct {
-	queryNumber     byte
-	decideBy        Time // when it is decided without an answer
-	deniedByHome    bool
-	homePaysCeiling bool // the units are to be taken off the home's part of the ceiling, or were
+	queryNumber        byte
+	decideBy           Time // when it is decided without an answer
+	deniedByHome       bool
+	chargesHomeCeiling bool // the units are to be taken off the home's part of the ceiling, or were
 }
 
 // attemptTable holds the requests in flight, and what further attempts they may have.
@@ -41,13 +41,13 @@
 	meanValue      runningMean     // of a request for the work that it takes
 }
 
-func newAttemptTable(set *Settings) attemptTable {
+func newAttemptTable(settings *Settings) attemptTable {
 	t := attemptTable{
 		requests: map[uint64]*request{},
 		retries:  retryBudget{attempts: maxRetryBudget},
 	}
-	for range set.Plans {
-		t.clientTimeouts = append(t.clientTimeouts, make([]runningMean, len(set.Classes)))
+	for range settings.Plans {
+		t.clientTimeouts = append(t.clientTimeouts, make([]runningMean, len(settings.Classes)))
 	}
 	return t
 }
--- a/internal/dataplane/policy/balancer.go
+++ b/internal/dataplane/policy/balancer.go
@@ -35,23 +35,23 @@
 }
 
 // New returns a Balancer that knows nothing but its settings. The error is a *SettingsError.
-func New(set Settings, seed uint64, do Actions) (*Balancer, error) {
-	if err := set.validate(); err != nil {
+func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	lb := &Balancer{
-		settings:        set,
-		configuredPlans: set.Plans,
-		actions:         do,
+		settings:        settings,
+		configuredPlans: settings.Plans,
+		actions:         actions,
 		rand:            rand.New(rand.NewPCG(seed, seed>>32)),
-		sharesUsage:     set.Gateways > 1 && (set.Peers || set.Counter),
-		snapshotState:   snapshotState{settingsSum: set.checksum()},
+		sharesUsage:     settings.Gateways > 1 && (settings.Peers || settings.Counter),
+		snapshotState:   snapshotState{settingsSum: settings.checksum()},
 		customerTable:   customerTable{customers: map[uint64]*customer{}},
-		spareCapacity:   newSpareCapacity(set.Plans),
-		gossipState:     newGossipState(&set, uint32(seed>>32)^uint32(seed)),
+		spareCapacity:   newSpareCapacity(settings.Plans),
+		gossipState:     newGossipState(&settings, uint32(seed>>32)^uint32(seed)),
 		endpointTable:   endpointTable{backendByID: map[uint32]*backend{}},
-		saturationState: newSaturationState(&set),
-		attemptTable:    newAttemptTable(&set),
+		saturationState: newSaturationState(&settings),
+		attemptTable:    newAttemptTable(&settings),
 	}
 	return lb, nil
 }
--- a/internal/dataplane/policy/ceiling.go
+++ b/internal/dataplane/policy/ceiling.go
@@ -12,13 +12,13 @@
 // time, in which the home's own part may fill again; its burst is smaller by that.
 func (lb *Balancer) ceilingShare(c *customer) (rate, burst float64) {
 	p := &lb.settings.Plans[c.plan]
-	part := 1 / float64(c.spread)
+	fraction := 1 / float64(c.spread)
 	if !lb.hasHome(c) {
-		return part * p.CeilingRate, part * p.CeilingBurst
+		return fraction * p.CeilingRate, fraction * p.CeilingBurst
 	}
 	if lb.isRemote(c) {
-		part = (1 - homeCeilingFraction) / float64(c.spread-1)
-		return part * p.CeilingRate, part * p.CeilingBurst
+		fraction = (1 - homeCeilingFraction) / float64(c.spread-1)
+		return fraction * p.CeilingRate, fraction * p.CeilingBurst
 	}
 	rate = homeCeilingFraction * p.CeilingRate
 	refilled := rate * float64(lb.homeTimeout()) / float64(second)
--- a/internal/dataplane/policy/clock.go
+++ b/internal/dataplane/policy/clock.go
@@ -42,7 +42,7 @@
 	if lb.settings.PollEndpoints {
 		lb.watchEndpoints()
 	}
-	lb.announce()
+	lb.announceStart()
 }
 
 // detectSuspension notices that this process did not run for a while, by a timer that is late. How
--- a/internal/dataplane/policy/counter.go
+++ b/internal/dataplane/policy/counter.go
@@ -33,13 +33,13 @@
 	if c == nil || len(c.counterCalls) == 0 {
 		return
 	}
-	own := c.counterCalls[0]
+	ownUnits := c.counterCalls[0]
 	c.counterCalls = c.counterCalls[1:]
 	if r != OK {
 		return
 	}
 	lb.refill(c)
-	byPeers := math.Max(0, total-c.counterTotal-own)
+	byPeers := math.Max(0, total-c.counterTotal-ownUnits)
 	c.counterTotal = total
 	c.bucket.level = math.Max(0, c.bucket.level-byPeers)
 	c.peerUsage.add(now, c.demandWindow, byPeers)
@@ -54,7 +54,7 @@
 	if period == 0 || reading == 0 || rate == 0 {
 		return
 	}
-	all := float64(reading-1) / 100 * rate
-	own := c.meteredDemand.get(lb.now, period) * float64(second) / float64(period)
-	c.shareFraction = own / math.Max(all, math.Max(own, 1e-9))
+	totalRate := float64(reading-1) / 100 * rate
+	ownRate := c.meteredDemand.get(lb.now, period) * float64(second) / float64(period)
+	c.shareFraction = ownRate / math.Max(totalRate, math.Max(ownRate, 1e-9))
 }
--- a/internal/dataplane/policy/customer.go
+++ b/internal/dataplane/policy/customer.go
@@ -73,20 +73,20 @@
 func (lb *Balancer) newCustomer(id uint64, plan, first, spread int) *customer {
 	p := &lb.settings.Plans[plan]
 	spread = min(max(spread, 1), lb.settings.Gateways)
-	even := float64(spread)
+	setSize := float64(spread)
 	c := &customer{
 		id:            id,
 		plan:          plan,
 		first:         (first%lb.settings.Gateways + lb.settings.Gateways) % lb.settings.Gateways,
 		spread:        spread,
 		bucket:        tokenBucket{level: p.Burst, rate: p.Rate, capacity: p.Burst, at: lb.now},
-		ceilingBucket: tokenBucket{level: p.CeilingSlack / even / 2, at: lb.stateSince},
+		ceilingBucket: tokenBucket{level: p.CeilingSlack / setSize / 2, at: lb.stateSince},
 		homeGrant:     homeGrant{grantFraction: 1, announcedGrant: 1},
 	}
 	c.demandWindow = lb.demandWindowOf(p, spread)
 	c.ceilingBucket.rate, c.ceilingBucket.capacity = lb.ceilingShare(c)
 	if !lb.sharesUsage {
-		c.bucket.level /= even
+		c.bucket.level /= setSize
 	}
 	c.ceilingBucket.refill(lb.now)
 	c.ceilingBucket.level -= lb.possiblySpent(c, c.ceilingBucket.rate)
--- a/internal/dataplane/policy/endpoints.go
+++ b/internal/dataplane/policy/endpoints.go
@@ -51,16 +51,16 @@
 }
 
 // updateEndpoint takes over one entry of a list. A new process at a backend is in slow start.
-func (lb *Balancer) updateEndpoint(kind ListKind, m Endpoint) {
-	b := lb.findOrAddBackend(m)
-	if m.StartedAt > b.StartedAt {
+func (lb *Balancer) updateEndpoint(kind ListKind, endpoint Endpoint) {
+	b := lb.findOrAddBackend(endpoint)
+	if endpoint.StartedAt > b.StartedAt {
 		b.latencyRatio = 0
 		b.errorRate = 0
 		b.slowStart = lb.newSlowStartBucket()
 	}
-	m.StartedAt = max(m.StartedAt, b.StartedAt)
-	b.Endpoint = m
-	b.listed = m.State != Removed
+	endpoint.StartedAt = max(endpoint.StartedAt, b.StartedAt)
+	b.Endpoint = endpoint
+	b.listed = endpoint.State != Removed
 	b.maybeRestarted = kind == StaleBootstrap
 	if b.maybeRestarted {
 		lb.scheduleTrial(b)
@@ -68,11 +68,11 @@
 }
 
 // findOrAddBackend returns a backend's record.
-func (lb *Balancer) findOrAddBackend(m Endpoint) *backend {
-	b := lb.backendByID[m.Backend]
+func (lb *Balancer) findOrAddBackend(endpoint Endpoint) *backend {
+	b := lb.backendByID[endpoint.Backend]
 	if b == nil {
 		b = &backend{
-			Endpoint:     m,
+			Endpoint:     endpoint,
 			slowStart:    lb.newSlowStartBucket(),
 			faultReports: make([]decayingSum, len(lb.settings.Classes)+len(lb.settings.Plans)),
 		}
--- a/internal/dataplane/policy/formats_test.go
+++ b/internal/dataplane/policy/formats_test.go
@@ -13,7 +13,7 @@
 func TestPeerMessageFormat(t *testing.T) {
 	usage := usageEntry{
 		id: 0x1122334455, plan: 2, first: 300, spread: 5, consumed: 1000, requested: 1100,
-		newlyRequested: 77, wanted: 6, queryNumber: 9, wantsCeiling: true,
+		newlyRequested: 77, queryHalves: 6, queryNumber: 9, queriesCeiling: true,
 		remaining: unpackFraction(130),
 	}
 	granted := grantEntry{
--- a/internal/dataplane/policy/gossipreceive.go
+++ b/internal/dataplane/policy/gossipreceive.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// maxNewerStep is the largest step of a total on the wire, modulo 65536, that is one forwards: a
+// maxForwardStep is the largest step of a total on the wire, modulo 65536, that is one forwards: a
 // larger one means that the message is older than another that came first.
-const maxNewerStep = math.MaxUint16 / 2
+const maxForwardStep = math.MaxUint16 / 2
 
 // peerTotals are the totals that a peer last announced for a customer, in wire units that wrap.
 type peerTotals struct {
@@ -53,9 +53,9 @@
 
 // mergePeerLoad adds a peer's load view to what is known of all peers.
 func (lb *Balancer) mergePeerLoad(from int, m peerMessage) {
-	weight := math.Min(1, float64(lb.activeTime-lb.peerHeardAt[from])/float64(second))
+	weight := math.Min(1, float64(lb.activeTime-lb.lastReceivedAt[from])/float64(second))
 	lb.peerLoad.add(lb.activeTime, weight, m.inFlight, m.onTime)
-	lb.peerHeardAt[from] = lb.activeTime
+	lb.lastReceivedAt[from] = lb.activeTime
 }
 
 // applyPeerEntry takes what a peer consumed off a customer's bucket, and answers its query.
@@ -101,18 +101,18 @@
 // since it last told anybody is taken off, since it is not yet known here.
 func (lb *Balancer) applyFirstEntry(c *customer, knownBefore bool, e *usageEntry) {
 	remaining := e.remaining*c.bucket.capacity - (c.consumed - c.announcedConsumed)
-	lessNew := c.bucket.level - fromWireUnits(min(e.consumed, e.newlyRequested))
+	afterNewUse := c.bucket.level - fromWireUnits(min(e.consumed, e.newlyRequested))
 	switch {
 	case c.restored:
 		// A peer that ran all along knows better than a snapshot, which lacks an allowance.
 		c.restored = false
 		c.bucket.level = math.Max(remaining, c.bucket.level)
-		remaining = math.Max(remaining, lessNew)
+		remaining = math.Max(remaining, afterNewUse)
 	case knownBefore || lb.hasHome(c) && e.remaining == 1:
 		// The peer has restarted: what it believes to remain says less than what is known here.
-		remaining = lessNew
+		remaining = afterNewUse
 	default:
-		remaining = math.Min(remaining, lessNew)
+		remaining = math.Min(remaining, afterNewUse)
 	}
 	c.bucket.level = math.Max(0, math.Min(c.bucket.level, remaining))
 	c.peerUsage.add(lb.now, c.demandWindow, fromWireUnits(e.newlyRequested))
@@ -123,10 +123,10 @@
 func (lb *Balancer) applyDifference(c *customer, last *peerTotals, e *usageEntry) bool {
 	consumed := e.consumed - last.consumed
 	requested := e.requested - last.requested
-	if requested > maxNewerStep || consumed > maxNewerStep && e.wanted == 0 {
+	if requested > maxForwardStep || consumed > maxForwardStep && e.queryHalves == 0 {
 		return false
 	}
-	if consumed > maxNewerStep {
+	if consumed > maxForwardStep {
 		// Its total lies behind what it was granted, which it did not consume.
 		consumed = 0
 		e.consumed = last.consumed
--- a/internal/dataplane/policy/gossipsend.go
+++ b/internal/dataplane/policy/gossipsend.go
@@ -10,7 +10,7 @@
 	gossipMessageFraction = 0.5 // of the messages a peer takes in, for regular gossip
 	maxDirectPeers        = 8   // gateways that announce all use to one another
 	announcementRepeats   = 2   // announcements of a change: one more than needed, against loss
-	calmPeriods           = 4   // gossip intervals between messages of a bucket far from empty
+	relaxedPeriods        = 4   // gossip intervals between messages of a bucket far from empty
 	startupPeriods        = 4   // gossip intervals until a new gateway knows all buckets
 	loadViewFanout        = 6   // peers, drawn each sweep, that are sent the load view
 )
@@ -23,7 +23,7 @@
 	outgoing         [][]byte    // for each peer, the message under construction
 	pendingFaults    []pendingFault
 	peerIncarnations []uint32
-	peerHeardAt      []Time
+	lastReceivedAt   []Time
 	urgentState
 }
 
@@ -38,26 +38,26 @@
 	restored             bool // the bucket is a restored one, of which no peer has told since
 }
 
-func newGossipState(set *Settings, incarnation uint32) gossipState {
+func newGossipState(settings *Settings, incarnation uint32) gossipState {
 	s := gossipState{
 		incarnation:      incarnation,
 		gossipInterval:   minGossipInterval,
-		outgoing:         make([][]byte, set.Gateways),
-		peerIncarnations: make([]uint32, set.Gateways),
-		peerHeardAt:      make([]Time, set.Gateways),
-		urgentState:      urgentState{urgentBuckets: make([]tokenBucket, set.Gateways)},
+		outgoing:         make([][]byte, settings.Gateways),
+		peerIncarnations: make([]uint32, settings.Gateways),
+		lastReceivedAt:   make([]Time, settings.Gateways),
+		urgentState:      urgentState{urgentBuckets: make([]tokenBucket, settings.Gateways)},
 	}
-	if set.MaxPeerMessagesPerSecond > 0 {
-		senders := min(set.Gateways-1, maxDirectPeers)
-		s.gossipInterval = max(s.gossipInterval, set.messageIntakeTime(senders))
+	if settings.MaxPeerMessagesPerSecond > 0 {
+		senders := min(settings.Gateways-1, maxDirectPeers)
+		s.gossipInterval = max(s.gossipInterval, settings.messageIntakeTime(senders))
 	}
 	return s
 }
 
 // messageIntakeTime returns the time in which a gateway can take in one message from each of so
 // many senders.
-func (set *Settings) messageIntakeTime(senders int) Time {
-	rate := gossipMessageFraction * max(set.MaxPeerMessagesPerSecond, 1)
+func (settings *Settings) messageIntakeTime(senders int) Time {
+	rate := gossipMessageFraction * max(settings.MaxPeerMessagesPerSecond, 1)
 	return Time(float64(senders) / rate * float64(second))
 }
 
@@ -66,17 +66,17 @@
 }
 
 // announce tells the neighbours that this gateway has just started and knows nothing.
-func (lb *Balancer) announce() {
+func (lb *Balancer) announceStart() {
 	for peer := range lb.outgoing {
-		lb.peerHeardAt[peer] = lb.now
-		if lb.announcesTo(lb.settings.Self, peer) {
+		lb.lastReceivedAt[peer] = lb.now
+		if lb.announcesStartTo(lb.settings.Self, peer) {
 			lb.actions.SendToPeer(peer, lb.newPeerMessage())
 		}
 	}
 }
 
-// announcesTo reports whether a gateway tells another of its start.
-func (lb *Balancer) announcesTo(from, to int) bool {
+// announcesStartTo reports whether a gateway tells another of its start.
+func (lb *Balancer) announcesStartTo(from, to int) bool {
 	n := lb.settings.Gateways
 	return lb.settings.Peers && from != to && (to-from+n)%n <= maxDirectPeers
 }
@@ -101,7 +101,7 @@
 	for _, c := range lb.pendingGossip {
 		lb.refill(c)
 		lb.updateGrant(c)
-		lb.announceUse(c)
+		lb.announceUsage(c)
 		if c.pendingAnnouncements > 0 {
 			kept = append(kept, c)
 		}
@@ -119,8 +119,8 @@
 	)
 }
 
-// announceUse announces a customer's use if that is due and the messages have room.
-func (lb *Balancer) announceUse(c *customer) {
+// announceUsage announces a customer's use if that is due and the messages have room.
+func (lb *Balancer) announceUsage(c *customer) {
 	if lb.now < c.nextAnnouncement && lb.announcementCanWait(c) {
 		return
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	if lb.queueUsage(c) {
-		lb.useAnnounced(c)
+		lb.recordAnnouncement(c)
 	}
 }
 
@@ -141,17 +141,17 @@
 	return lb.settings.Peers && !lb.hasHome(c) && !lb.nearlyEmpty(c)
 }
 
-// allAnnounced takes note that all use so far is announced.
-func (c *customer) allAnnounced() {
+// markAllAnnounced takes note that all use so far is announced.
+func (c *customer) markAllAnnounced() {
 	c.announcedConsumed = c.consumed
 	c.announcedRequested = c.requested
 }
 
-// useAnnounced takes note that a customer's use is in the messages under construction.
-func (lb *Balancer) useAnnounced(c *customer) {
-	c.allAnnounced()
+// recordAnnouncement takes note that a customer's use is in the messages under construction.
+func (lb *Balancer) recordAnnouncement(c *customer) {
+	c.markAllAnnounced()
 	c.pendingAnnouncements--
-	c.nextAnnouncement = lb.now + calmPeriods*lb.gossipInterval
+	c.nextAnnouncement = lb.now + relaxedPeriods*lb.gossipInterval
 	if lb.hasHome(c) {
 		c.pendingAnnouncements = 0
 		c.nextAnnouncement = lb.now + lb.messageIntakeTime(c.spread)
--- a/internal/dataplane/policy/gossipurgent.go
+++ b/internal/dataplane/policy/gossipurgent.go
@@ -25,9 +25,10 @@
 // nearlyEmpty reports whether a customer's bucket may be empty before all gateways of its set are
 // notified: they then announce at once what they consume. All of them judge by the same bucket.
 func (lb *Balancer) nearlyEmpty(c *customer) bool {
-	all := c.demand.total(lb.now)
-	soon := all * float64(2*calmPeriods*lb.gossipInterval) / float64(c.demandWindow)
-	return c.bucket.level < 2*c.lastUnits+soon
+	totalDemand := c.demand.total(lb.now)
+	expectedDemand := totalDemand *
+		float64(2*relaxedPeriods*lb.gossipInterval) / float64(c.demandWindow)
+	return c.bucket.level < 2*c.lastUnits+expectedDemand
 }
 
 // notifyPeersNow tells a customer's gateway set at once of its use if the bucket is nearly empty
@@ -43,7 +44,7 @@
 		return
 	}
 	lb.urgentDelay.add(0, fastSampleWeight)
-	c.allAnnounced()
+	c.markAllAnnounced()
 	c.nextAnnouncement = lb.now + lb.gossipInterval
 	c.pendingAnnouncements = announcementRepeats - 1
 	for _, peer := range peers {
@@ -55,7 +56,7 @@
 // the gateways that this one hears of, who are taken to be as many as the peer hears of.
 func (lb *Balancer) urgentBucket(peer int) *tokenBucket {
 	b := &lb.urgentBuckets[peer]
-	active := math.Max(1, lb.peersHeard.get(lb.activeTime, second))
+	active := math.Max(1, lb.activePeers.get(lb.activeTime, second))
 	senders := math.Min(float64(lb.settings.Gateways-1), active)
 	b.rate = urgentMessageFraction * math.Max(lb.settings.MaxPeerMessagesPerSecond, 1) / senders
 	b.capacity = urgentBurst
@@ -72,7 +73,7 @@
 	case lb.nearlyEmpty(c):
 		return messageDelay + lb.learnedDelay + Time(lb.urgentDelay.value)
 	}
-	return calmPeriods * lb.gossipInterval
+	return relaxedPeriods * lb.gossipInterval
 }
 
 // adjustLearnedDelay leaves more of a bucket to the peers where they prove to have consumed units
--- a/internal/dataplane/policy/hedge.go
+++ b/internal/dataplane/policy/hedge.go
@@ -15,8 +15,8 @@
 		return 0
 	}
 	latency := Time(lb.classLatencies[r.Class].value)
-	least := Time(minHedgeObjectiveFraction * float64(class.LatencyObjective))
-	at := lb.now + max(hedgeAfterMeanLatencies*latency, least)
+	minDelay := Time(minHedgeObjectiveFraction * float64(class.LatencyObjective))
+	at := lb.now + max(hedgeAfterMeanLatencies*latency, minDelay)
 	if latency == 0 || at+latency > r.attempts[0].sentAt+class.LatencyObjective {
 		return 0
 	}
--- a/internal/dataplane/policy/home.go
+++ b/internal/dataplane/policy/home.go
@@ -54,7 +54,7 @@
 // needsHome reports whether a request has to wait for its customer's home.
 func (lb *Balancer) needsHome(r *request) bool {
 	c := r.customer
-	if !lb.isRemote(c) || 2*r.Units > maxWantedHalves {
+	if !lb.isRemote(c) || 2*r.Units > maxQueryHalves {
 		return false
 	}
 	return lb.consultsHome(c) || !lb.underCeiling(c, r.Units)
@@ -65,12 +65,12 @@
 func (lb *Balancer) queryHome(r *request) {
 	c := r.customer
 	c.homeQueries++
-	r.homePaysCeiling = !lb.underCeiling(c, r.Units)
+	r.chargesHomeCeiling = !lb.underCeiling(c, r.Units)
 	r.queryNumber = max(1, c.homeQueries) // 0 stands for no query
 	e := lb.usageEntryOf(c)
-	e.wanted = byte(math.Ceil(2 * r.Units))
+	e.queryHalves = byte(math.Ceil(2 * r.Units))
 	e.queryNumber = r.queryNumber
-	e.wantsCeiling = r.homePaysCeiling
+	e.queriesCeiling = r.chargesHomeCeiling
 	c.announcedRequested = c.requested
 	lb.actions.SendToPeer(lb.homeOf(c), e.appendTo(lb.newPeerMessage()))
 	lb.awaitUnits(r)
@@ -112,7 +112,7 @@
 
 // decideAnswered decides on a request that its home has granted or denied.
 func (lb *Balancer) decideAnswered(r *request, granted bool) {
-	r.homePaysCeiling = r.homePaysCeiling && granted
+	r.chargesHomeCeiling = r.chargesHomeCeiling && granted
 	r.deniedByHome = !granted
 	if granted {
 		r.customer.localShare += r.Units // consumed at once
@@ -123,7 +123,7 @@
 // decideUnanswered decides on a request that has waited in vain.
 func (lb *Balancer) decideUnanswered(r *request) {
 	c := r.customer
-	r.homePaysCeiling = false
+	r.chargesHomeCeiling = false
 	c.localShare = math.Min(c.localShare+c.grantFraction*r.Units, maxSavedRequests*r.Units)
 	lb.admit(r, lb.withinQuota(c, r.Units))
 }
@@ -165,7 +165,7 @@
 	refilled := rate * float64(c.demandWindow) / float64(second)
 	grantable := refilled + c.bucket.level - homeReserveFraction*c.bucket.capacity
 	c.grantFraction = math.Min(1, math.Max(minGrant, grantable/math.Max(requested, 1e-9)))
-	if !c.grantMoved() || lb.now < c.nextGrantAnnouncement || lb.consultsHome(c) {
+	if !c.grantChanged() || lb.now < c.nextGrantAnnouncement || lb.consultsHome(c) {
 		return
 	}
 	c.announcedGrant = c.grantFraction
@@ -175,8 +175,8 @@
 	}
 }
 
-// grantMoved reports whether the grant differs enough from the announced one.
-func (g *homeGrant) grantMoved() bool {
+// grantChanged reports whether the grant differs enough from the announced one.
+func (g *homeGrant) grantChanged() bool {
 	if g.grantFraction == 1 && g.announcedGrant < 1 {
 		return true
 	}
@@ -187,15 +187,15 @@
 // answerQuery grants or denies the units that a remote gateway asks for, and takes granted ones off
 // the bucket before it answers.
 func (lb *Balancer) answerQuery(c *customer, from int, totals *peerTotals, e *usageEntry) {
-	want := float64(e.wanted) / 2
+	units := float64(e.queryHalves) / 2
 	answer := grantEntry{id: c.id, fraction: c.grantFraction, queryNumber: e.queryNumber}
-	answer.granted = c.bucket.level >= want && (!e.wantsCeiling || lb.underCeiling(c, want))
+	answer.granted = c.bucket.level >= units && (!e.queriesCeiling || lb.underCeiling(c, units))
 	if answer.granted {
-		c.bucket.level -= want
-		if e.wantsCeiling {
-			c.ceilingBucket.level -= want
+		c.bucket.level -= units
+		if e.queriesCeiling {
+			c.ceilingBucket.level -= units
 		}
-		totals.consumed += toWireUnits(want)
+		totals.consumed += toWireUnits(units)
 	}
 	lb.actions.SendToPeer(from, answer.appendTo(lb.newPeerMessage()))
 }
--- a/internal/dataplane/policy/peermessage.go
+++ b/internal/dataplane/policy/peermessage.go
@@ -22,8 +22,8 @@
 // The wanted units of an entry are sent in halves; the highest bit tells that they are wanted of
 // the ceiling too.
 const (
-	maxWantedHalves = 127
-	ceilingFlag     = 128
+	maxQueryHalves = 127
+	ceilingFlag    = 128
 )
 
 // The kinds of items.
@@ -52,9 +52,9 @@
 	consumed       uint16 // in this incarnation
 	requested      uint16 // in this incarnation
 	newlyRequested uint16 // of those requested, since the last message; at most 255
-	wanted         byte   // halves of units that a query asks for
+	queryHalves    byte   // halves of units that a query asks for
 	queryNumber    byte   // 0: no query
-	wantsCeiling   bool
+	queriesCeiling bool
 	remaining      float64 // of the bucket, as a part of the burst; with a home, the grant
 }
 
@@ -87,11 +87,11 @@
 	message = binary.LittleEndian.AppendUint16(message, e.consumed)
 	message = binary.LittleEndian.AppendUint16(message, e.requested)
 	newly := byte(min(e.newlyRequested, math.MaxUint8))
-	wanted := e.wanted
-	if e.wantsCeiling {
-		wanted |= ceilingFlag
+	queryHalves := e.queryHalves
+	if e.queriesCeiling {
+		queryHalves |= ceilingFlag
 	}
-	return append(message, newly, wanted, e.queryNumber, packFraction(e.remaining))
+	return append(message, newly, queryHalves, e.queryNumber, packFraction(e.remaining))
 }
 
 // appendTo appends a grant to a message.
@@ -160,8 +160,8 @@
 		consumed:       binary.LittleEndian.Uint16(raw[11:]),
 		requested:      binary.LittleEndian.Uint16(raw[13:]),
 		newlyRequested: uint16(raw[15]),
-		wanted:         raw[16] &^ ceilingFlag,
-		wantsCeiling:   raw[16]&ceilingFlag > 0,
+		queryHalves:    raw[16] &^ ceilingFlag,
+		queriesCeiling: raw[16]&ceilingFlag > 0,
 		queryNumber:    raw[17],
 		remaining:      unpackFraction(raw[18]),
 	}
--- a/internal/dataplane/policy/quota.go
+++ b/internal/dataplane/policy/quota.go
@@ -8,12 +8,12 @@
 // quotaFraction returns this gateway's fraction of a customer's quota: that of recent demand, or
 // what the meter tells. A gateway that is not heard counts as idle.
 func (lb *Balancer) quotaFraction(c *customer) float64 {
-	own := c.localDemand.get(lb.now, c.demandWindow)
+	ownDemand := c.localDemand.get(lb.now, c.demandWindow)
 	switch {
 	case c.spread == 1:
 		return 1
-	case lb.sharesUsage && own > 0 && !lb.isRemote(c):
-		return own / (own + c.peerUsage.get(lb.now, c.demandWindow))
+	case lb.sharesUsage && ownDemand > 0 && !lb.isRemote(c):
+		return ownDemand / (ownDemand + c.peerUsage.get(lb.now, c.demandWindow))
 	case !lb.sharesUsage && c.shareFraction > 0:
 		return c.shareFraction
 	}
@@ -41,9 +41,9 @@
 func (lb *Balancer) availableByGossip(c *customer) float64 {
 	unannounced := c.consumed - c.announcedConsumed
 	delay := float64(lb.notificationDelay(c))
-	peersSoon := c.peerUsage.get(lb.now, c.demandWindow) * delay / float64(c.demandWindow)
+	expectedPeerUse := c.peerUsage.get(lb.now, c.demandWindow) * delay / float64(c.demandWindow)
 	share := lb.quotaFraction(c)*(c.bucket.level+unannounced) - unannounced
-	return math.Max(share, c.bucket.level-peersSoon)
+	return math.Max(share, c.bucket.level-expectedPeerUse)
 }
 
 // peersHaveReported reports whether peers had the time to tell of all buckets that are not full.
--- a/internal/dataplane/policy/restore.go
+++ b/internal/dataplane/policy/restore.go
@@ -182,14 +182,14 @@
 }
 
 // validate reports what in a snapshot is impossible under the settings.
-func (s *Snapshot) validate(set *Settings) error {
-	if err := s.validateMeans(set); err != nil {
+func (s *Snapshot) validate(settings *Settings) error {
+	if err := s.validateMeans(settings); err != nil {
 		return err
 	}
 	seen := make(map[uint64]bool, len(s.Customers))
 	for i := range s.Customers {
 		c := &s.Customers[i]
-		if err := c.validate(i, set, seen[c.ID]); err != nil {
+		if err := c.validate(i, settings, seen[c.ID]); err != nil {
 			return err
 		}
 		seen[c.ID] = true
@@ -202,14 +202,15 @@
 	return nil
 }
 
-func (s *Snapshot) validateMeans(set *Settings) error {
-	if len(s.ClassLatencies) != len(set.Classes) || len(s.ClientTimeouts) != len(set.Plans) {
+func (s *Snapshot) validateMeans(settings *Settings) error {
+	if len(s.ClassLatencies) != len(settings.Classes) ||
+		len(s.ClientTimeouts) != len(settings.Plans) {
 		return snapshotErrorf("%d classes and %d plans",
 			len(s.ClassLatencies), len(s.ClientTimeouts))
 	}
 	means := []Estimate{s.MeanLatency, s.MeanValue, s.LateFraction}
 	for _, row := range append([][]Estimate{s.ClassLatencies}, s.ClientTimeouts...) {
-		if len(row) != len(set.Classes) {
+		if len(row) != len(settings.Classes) {
 			return snapshotErrorf("a row of %d classes", len(row))
 		}
 		means = append(means, row...)
@@ -222,13 +223,14 @@
 	return validateFigures(s.OnTimeAnswers, s.SendPace)
 }
 
-func (c *CustomerState) validate(i int, set *Settings, repeated bool) error {
-	if c.Plan < 0 || c.Plan >= len(set.Plans) || c.Spread < 1 || c.Spread > set.Gateways ||
-		c.First < 0 || c.First >= set.Gateways || repeated {
+func (c *CustomerState) validate(i int, settings *Settings, repeated bool) error {
+	if c.Plan < 0 || c.Plan >= len(settings.Plans) ||
+		c.Spread < 1 || c.Spread > settings.Gateways ||
+		c.First < 0 || c.First >= settings.Gateways || repeated {
 		return snapshotErrorf("customers[%d]: plan %d, gateways %d from %d, or twice",
 			i, c.Plan, c.Spread, c.First)
 	}
-	p := &set.Plans[c.Plan]
+	p := &settings.Plans[c.Plan]
 	if c.BucketLevel > p.Burst*(1+roundingTolerance) ||
 		p.CeilingRate > 0 && c.CeilingLevel > p.CeilingBurst*(1+roundingTolerance) {
 		return snapshotErrorf("customers[%d]: more left than the plan holds", i)
--- a/internal/dataplane/policy/saturation.go
+++ b/internal/dataplane/policy/saturation.go
@@ -26,7 +26,7 @@
 
 // peerLoad is what peers told of their load in the last second, each counted once.
 type peerLoad struct {
-	peersHeard    decayingSum // peers
+	activePeers   decayingSum // peers
 	peersInFlight decayingSum // attempts
 	peersOnTime   decayingSum // answers a second
 }
@@ -34,18 +34,18 @@
 // add merges a peer's load. The weight is below 1 if the peer has told of its load less than a
 // second ago, so that it counts as one however often it does.
 func (p *peerLoad) add(now Time, weight, inFlight, onTime float64) {
-	p.peersHeard.add(now, second, weight)
+	p.activePeers.add(now, second, weight)
 	p.peersInFlight.add(now, second, weight*inFlight)
 	p.peersOnTime.add(now, second, weight*onTime)
 }
 
-func newSaturationState(set *Settings) saturationState {
+func newSaturationState(settings *Settings) saturationState {
 	s := saturationState{
-		withinObjective: make([][]*attempt, len(set.Classes)),
-		classLatencies:  make([]runningMean, len(set.Classes)),
-		minObjective:    set.Classes[0].LatencyObjective,
+		withinObjective: make([][]*attempt, len(settings.Classes)),
+		classLatencies:  make([]runningMean, len(settings.Classes)),
+		minObjective:    settings.Classes[0].LatencyObjective,
 	}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		s.minObjective = min(s.minObjective, class.LatencyObjective)
 	}
 	return s
@@ -53,21 +53,21 @@
 
 // saturated reports whether a part of the back end's capacity is used up. The capacity is the
 // number of attempts that are answered within their objective in the time that an answer may take.
-func (lb *Balancer) saturated(part float64) bool {
+func (lb *Balancer) saturated(fraction float64) bool {
 	lb.refreshHealth()
 	inFlight, onTime, gateways := lb.loadView()
 	perBackend := minInFlight - (minInFlight-minInFlightWhenLate)*lb.lateFraction.value
-	least := perBackend * float64(lb.healthyCount) / float64(lb.settings.Gateways) * gateways
+	minCapacity := perBackend * float64(lb.healthyCount) / float64(lb.settings.Gateways) * gateways
 	answerTime := lb.saturationLatency(lb.settings.Classes)
-	byAnswers := onTime * answerTime / float64(second) * saturationLatencyFraction
-	capacity := math.Max(least, byAnswers)
-	if inFlight >= capacity*part {
+	measuredCapacity := onTime * answerTime / float64(second) * saturationLatencyFraction
+	capacity := math.Max(minCapacity, measuredCapacity)
+	if inFlight >= capacity*fraction {
 		return true
 	}
 	// Many gateways may start or see more demand at the same moment, so that one may use more than
 	// an even share, yet not all of it.
-	own := minOwnInFlight + ownCapacityFactor*capacity/gateways*part
-	return lb.effectiveInFlight() >= own
+	ownLimit := minOwnInFlight + ownCapacityFactor*capacity/gateways*fraction
+	return lb.effectiveInFlight() >= ownLimit
 }
 
 // saturationLatency returns the latency that an answer may have, in microseconds. A loaded back end
@@ -93,7 +93,7 @@
 	weight := lb.peerWeight()
 	inFlight = lb.effectiveInFlight() + weight*lb.peersInFlight.get(lb.activeTime, second)
 	onTime = lb.onTime.get(lb.activeTime, second) + weight*lb.peersOnTime.get(lb.activeTime, second)
-	gateways = 1 + weight*lb.peersHeard.get(lb.activeTime, second)
+	gateways = 1 + weight*lb.activePeers.get(lb.activeTime, second)
 	return inFlight, onTime, gateways
 }
 
--- a/internal/dataplane/policy/settings.go
+++ b/internal/dataplane/policy/settings.go
@@ -110,25 +110,25 @@
 }
 
 // validate reports the first field that cannot be served.
-func (set *Settings) validate() error {
+func (settings *Settings) validate() error {
 	switch {
-	case set.Gateways < 1:
-		return settingsErrorf("gateways", "%d, at least 1 wanted", set.Gateways)
-	case set.Self < 0 || set.Self >= set.Gateways:
-		return settingsErrorf("self", "%d is none of %d gateways", set.Self, set.Gateways)
-	case len(set.Classes) == 0:
+	case settings.Gateways < 1:
+		return settingsErrorf("gateways", "%d, at least 1 wanted", settings.Gateways)
+	case settings.Self < 0 || settings.Self >= settings.Gateways:
+		return settingsErrorf("self", "%d is none of %d gateways", settings.Self, settings.Gateways)
+	case len(settings.Classes) == 0:
 		return settingsErrorf("classes", "none")
-	case len(set.Plans) == 0 || len(set.Classes)+len(set.Plans) > maxSubjects:
+	case len(settings.Plans) == 0 || len(settings.Classes)+len(settings.Plans) > maxSubjects:
 		return settingsErrorf("plans", "%d, at least 1 and with the classes at most %d wanted",
-			len(set.Plans), maxSubjects)
+			len(settings.Plans), maxSubjects)
 	}
-	for i, c := range set.Classes {
+	for i, c := range settings.Classes {
 		if c.LatencyObjective <= 0 {
 			field := fmt.Sprintf("classes[%d].aim", i) // as the settings file names it
 			return settingsErrorf(field, "%d, above 0 wanted", c.LatencyObjective)
 		}
 	}
-	for i, p := range set.Plans {
+	for i, p := range settings.Plans {
 		if p.Rate < 0 || p.CeilingRate < 0 || p.Rate > 0 && p.Burst <= 0 {
 			field := fmt.Sprintf("plans[%d]", i)
 			return settingsErrorf(field, "rate %g with burst %g", p.Rate, p.Burst)
@@ -139,9 +139,10 @@
 
 // checksum returns a number that is the same for settings under which a snapshot is of use. Stored
 // snapshots hold it: it must not change between builds.
-func (set *Settings) checksum() uint64 {
+func (settings *Settings) checksum() uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %v %v %t %t",
-		set.Self, set.Gateways, set.Classes, set.Plans, set.Peers, set.Counter)
+		settings.Self, settings.Gateways, settings.Classes, settings.Plans,
+		settings.Peers, settings.Counter)
 	return h.Sum64()
 }
--- a/internal/dataplane/policy/slowstart.go
+++ b/internal/dataplane/policy/slowstart.go
@@ -10,9 +10,9 @@
 	if b.StartedAt == 0 || lb.settings.SlowStartDuration == 0 {
 		return 1
 	}
-	least := lb.settings.SlowStartMinFraction
+	minFraction := lb.settings.SlowStartMinFraction
 	age := math.Max(0, float64(lb.now-b.StartedAt)/float64(lb.settings.SlowStartDuration))
-	return math.Min(1, least+(1-least)*age)
+	return math.Min(1, minFraction+(1-minFraction)*age)
 }
 
 // newSlowStartBucket returns the sends that a backend may get at the start of its slow start: less
@@ -32,8 +32,8 @@
 	window := float64(lb.settings.SlowStartOverloadWindow) / float64(second)
 	pace := lb.sendPace.get(lb.now, sendPaceWindow) * float64(second) / float64(sendPaceWindow)
 	// Through all gateways it gets one send in a window at least.
-	least := 1 / math.Max(window, 1) / float64(lb.settings.Gateways)
-	b.slowStart.rate = math.Max(pace, least) * warm
+	minRate := 1 / math.Max(window, 1) / float64(lb.settings.Gateways)
+	b.slowStart.rate = math.Max(pace, minRate) * warm
 	b.slowStart.capacity = math.Max(1, b.slowStart.rate*window/2)
 	b.slowStart.refill(lb.now)
 	return b.slowStart.level >= 1
