--- a/internal/dataplane/policy/planupdate.go
+++ b/internal/dataplane/policy/planupdate.go
@@ -5,14 +5,15 @@
 	"math"
 )
 
-// UpdatePlans replaces the terms of the plans, and has customers take the plans that planOf
-// returns; one below 0 leaves a customer its plan. The plans must be as many as before, in the same
-// order; the error is a *SettingsError. What a customer has consumed stays consumed: its buckets
-// here lack as many units as before. Quotas that are allocated are divided anew once the leader
-// is notified.
+// UpdatePlans replaces the terms of the plans, and moves customers to the plans that planOf
+// returns; a result below 0 leaves a customer's plan as it is. The number and the order of the
+// plans must be as before. The error is a *SettingsError. What a customer has consumed stays
+// consumed: its buckets here lack as many units as before. Allocated quotas are divided again once
+// the leader is notified.
 func (lb *Balancer) UpdatePlans(now Time, plans []Plan, planOf func(customer uint64) int) error {
 	if len(plans) != len(lb.settings.Plans) {
-		problem := fmt.Sprintf("%d in place of %d", len(plans), len(lb.settings.Plans))
+		problem := fmt.Sprintf("there are %d, must be %d as before",
+			len(plans), len(lb.settings.Plans))
 		return &SettingsError{Field: "plans", Problem: problem}
 	}
 	next := lb.settings
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// updateSpareCapacity fits the shared bucket to the new plans.
+// updateSpareCapacity adapts the shared bucket to the new plans.
 func (lb *Balancer) updateSpareCapacity(before []Plan) {
 	plans := lb.settings.Plans
 	for i := range lb.idleRefill {
@@ -49,7 +50,7 @@
 	lb.sharedBucket.level = math.Min(lb.sharedBucket.level, lb.sharedBucket.capacity)
 }
 
-// applyPlan fits a customer's buckets to the terms of its plan.
+// applyPlan adapts a customer's buckets to the terms of its plan.
 func (lb *Balancer) applyPlan(c *customer, oldBurst float64) {
 	p := &lb.settings.Plans[c.plan]
 	fraction := 1.0
@@ -65,6 +66,7 @@
 	c.ceilingBucket.capacity = burst
 	c.demandWindow = lb.demandWindowOf(p, c.spread)
 	if lb.usesAllocations(c) {
-		lb.allocations.RecordDemand(lb.now, lb.sharedQuota(c), 0) // tells the leader the new quota
+		// Notifies the leader of the new quota.
+		lb.allocations.RecordDemand(lb.now, lb.sharedQuota(c), 0)
 	}
 }
--- a/internal/dataplane/policy/restore.go
+++ b/internal/dataplane/policy/restore.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// restoredRateDecay is the time in which restored rates fade to 1/e: what was in the last
-	// second before is the best guess for the next one.
+	// restoredRateDecay is the time in which restored rates fade to 1/e: those of the last second
+	// before the snapshot are the best estimates for the next one.
 	restoredRateDecay = 10 * second
 
-	// roundingTolerance is by what part a level may exceed its capacity.
+	// roundingTolerance is the fraction by which a level may exceed its capacity.
 	roundingTolerance = 1e-9
 )
 
-// SnapshotError is why a snapshot cannot be restored.
+// SnapshotError reports why a snapshot cannot be restored.
 type SnapshotError struct{ Problem string }
 
 // Error says what is wrong with the snapshot.
@@ -24,12 +24,12 @@
 	return &SnapshotError{Problem: fmt.Sprintf(format, args...)}
 }
 
-// Restore takes over the state of an earlier incarnation, which must not be older than maxAge. It
-// must come before the first request and peer message; endpoints may have come. If the error, a
-// *SnapshotError, is not nil, the Balancer is as it was.
+// Restore restores the state of an earlier incarnation, which must not be older than maxAge. It
+// must be called before the first request and peer message; endpoints may have been updated. If it
+// returns an error, a *SnapshotError, the Balancer is unchanged.
 func (lb *Balancer) Restore(now, maxAge Time, s *Snapshot) error {
 	if len(lb.customers) > 0 || len(lb.requests) > 0 {
-		return snapshotErrorf("the gateway has begun")
+		return snapshotErrorf("the gateway already has customers or requests")
 	}
 	if err := s.validateOrigin(now, maxAge, lb.settingsSum); err != nil {
 		return err
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// ForgetUnits has the Balancer go on like one that has just started: another process may have
-// consumed what the buckets held.
+// ForgetUnits makes the Balancer continue like one that has just started, because another process
+// may have consumed the units in its buckets.
 func (lb *Balancer) ForgetUnits(now Time) {
 	lb.advanceClock(now)
 	lb.stateSince = lb.now
@@ -89,12 +89,12 @@
 
 func (e Estimate) runningMean() runningMean { return runningMean{e.Value, e.Samples} }
 
-// restoreCustomer restores a customer's record. What peers consumed meanwhile was not heard, so
-// that a bucket which they share is taken not to have filled; one that is this gateway's alone has.
+// restoreCustomer restores a customer's record. What peers consumed meanwhile is not known, so a
+// bucket that they share is assumed not to have filled; one that only this gateway uses has filled.
 func (lb *Balancer) restoreCustomer(stored *CustomerState, age Time) {
 	c := lb.findOrAddCustomer(stored.ID, stored.Plan, stored.First, stored.Spread)
 	p := &lb.settings.Plans[c.plan]
-	reserve := 0.0 // as it was taken off
+	reserve := 0.0 // the allowance that the snapshot deducted
 	if lb.uncleanRestore {
 		reserve = p.allowance(2*stored.LocalDemand, c.demandWindow)
 	}
@@ -122,16 +122,16 @@
 	c.bucket.at = lb.now
 	ceiling.at = lb.now
 	c.restored = lb.sharesUsage && c.spread > 1
-	lb.markChanged(c) // as of a gateway that has just started
+	lb.markChanged(c) // as after a start without a snapshot
 }
 
-// restore sets the level to what it is some time after it was measured.
+// restore sets the level to a stored level and the refill since it was measured.
 func (b *tokenBucket) restore(level, rate float64, age Time) {
 	b.level = levelAfter(level, rate, b.capacity, age)
 }
 
 // possiblySpent returns the units that an earlier incarnation may have granted, after its last
-// snapshot, to a customer that the snapshot does not name. The bucket has refilled since the start.
+// snapshot, to a customer that the snapshot does not contain, less the refill since the start.
 func (lb *Balancer) possiblySpent(c *customer, rate float64) float64 {
 	if !lb.uncleanRestore {
 		return 0
@@ -145,7 +145,7 @@
 	return math.Max(0, snapshotAllowanceFraction*burst-refilled)
 }
 
-// restoreBackend gives a backend its stored state if it is still the same process.
+// restoreBackend restores the stored state of a backend if it is still the same process.
 func (lb *Balancer) restoreBackend(b *backend) {
 	stored, ok := lb.restoredBackends[b.Backend]
 	delete(lb.restoredBackends, b.Backend)
@@ -163,25 +163,25 @@
 	b.nextProbe = stored.NextProbe
 }
 
-// validateOrigin reports why a snapshot is not one that this gateway may take over now.
+// validateOrigin returns an error if this gateway may not restore the snapshot now.
 func (s *Snapshot) validateOrigin(now, maxAge Time, settingsSum uint64) error {
 	age := now - s.At
 	seconds := float64(age) / float64(second)
 	switch {
 	case s.Version != SnapshotVersion:
-		return snapshotErrorf("version %d, %d wanted", s.Version, SnapshotVersion)
+		return snapshotErrorf("is of version %d, must be %d", s.Version, SnapshotVersion)
 	case s.Settings != settingsSum:
-		return snapshotErrorf("of other settings")
+		return snapshotErrorf("was taken under other settings")
 	case age < 0:
-		return snapshotErrorf("from %.3f s ahead", -seconds)
+		return snapshotErrorf("is %.3f s ahead of the clock", -seconds)
 	case age > maxAge:
 		maxSeconds := float64(maxAge) / float64(second)
-		return snapshotErrorf("%.3f s old, at most %.3f s wanted", seconds, maxSeconds)
+		return snapshotErrorf("is %.3f s old, must be at most %.3f s", seconds, maxSeconds)
 	}
 	return nil
 }
 
-// validate reports what in a snapshot is impossible under the settings.
+// validate returns an error for the first value that is impossible under the settings.
 func (s *Snapshot) validate(settings *Settings) error {
 	if err := s.validateMeans(settings); err != nil {
 		return err
@@ -205,13 +205,13 @@
 func (s *Snapshot) validateMeans(settings *Settings) error {
 	if len(s.ClassLatencies) != len(settings.Classes) ||
 		len(s.ClientTimeouts) != len(settings.Plans) {
-		return snapshotErrorf("%d classes and %d plans",
+		return snapshotErrorf("has %d classes and %d plans, unlike the settings",
 			len(s.ClassLatencies), len(s.ClientTimeouts))
 	}
 	means := []Estimate{s.MeanLatency, s.MeanValue, s.LateFraction}
 	for _, row := range append([][]Estimate{s.ClassLatencies}, s.ClientTimeouts...) {
 		if len(row) != len(settings.Classes) {
-			return snapshotErrorf("a row of %d classes", len(row))
+			return snapshotErrorf("has a row of %d classes, unlike the settings", len(row))
 		}
 		means = append(means, row...)
 	}
@@ -227,7 +227,8 @@
 	if c.Plan < 0 || c.Plan >= len(settings.Plans) ||
 		c.Spread < 1 || c.Spread > settings.Gateways ||
 		c.First < 0 || c.First >= settings.Gateways || repeated {
-		return snapshotErrorf("customers[%d]: plan %d, gateways %d from %d, or twice",
+		return snapshotErrorf(
+			"customers[%d]: plan %d or gateways %d from %d are invalid, or it is listed twice",
 			i, c.Plan, c.Spread, c.First)
 	}
 	p := &settings.Plans[c.Plan]
@@ -236,7 +237,8 @@
 		return snapshotErrorf("customers[%d]: more left than the plan holds", i)
 	}
 	if !finite(c.BucketLevel) || !finite(c.CeilingLevel) {
-		return snapshotErrorf("customers[%d]: levels %g and %g", i, c.BucketLevel, c.CeilingLevel)
+		return snapshotErrorf("customers[%d]: levels %g and %g must be finite",
+			i, c.BucketLevel, c.CeilingLevel)
 	}
 	return validateFigures(
 		c.LocalDemand, c.PeerUsage, c.ShareFraction, c.GrantFraction, c.LocalShare,
@@ -245,18 +247,19 @@
 
 func (b *BackendState) validate(i int) error {
 	if b.ProbeBackoff < 0 || b.ProbeBackoff > maxProbeBackoff {
-		return snapshotErrorf("backends[%d]: waits for %d", i, b.ProbeBackoff)
+		return snapshotErrorf("backends[%d]: waits for %d us, must be between 0 and %d us",
+			i, b.ProbeBackoff, Time(maxProbeBackoff))
 	}
 	return validateFigures(b.LatencyRatio, b.ErrorRate)
 }
 
 func finite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
 
-// validateFigures reports a figure that is negative or not finite.
+// validateFigures returns an error for the first figure that is negative or not finite.
 func validateFigures(figures ...float64) error {
 	for _, x := range figures {
 		if !finite(x) || x < 0 {
-			return snapshotErrorf("a figure of %g", x)
+			return snapshotErrorf("has a figure of %g, must be finite and at least 0", x)
 		}
 	}
 	return nil
--- a/internal/dataplane/policy/settings.go
+++ b/internal/dataplane/policy/settings.go
@@ -5,50 +5,50 @@
 	"hash/fnv"
 )
 
-// Settings are what a Balancer needs to know from the start.
+// Settings configure a Balancer.
 type Settings struct {
-	Self              int // the number of this gateway, from 0
+	Self              int // number of this gateway, from 0
 	Gateways          int
 	Zone              int
 	Classes           []Class
 	Plans             []Plan
-	LoadReportMetrics []Metric // the order of the values in a load report
+	LoadReportMetrics []Metric // in the order of the values in a load report
 
-	PollEndpoints bool // discovery pushes no changes
+	PollEndpoints bool // discovery does not push changes
 	PollInterval  Time
 
-	Peers              bool // gateways may send one another messages
-	Probes             bool // backends may be sent health checks
+	Peers              bool // gateways may send messages to each other
+	Probes             bool // health checks may be sent to backends
 	Hedging            bool // a further attempt may be made while one is in flight
 	RetryAfter         bool // rejections may advise when to retry
 	Counter            bool // there is a shared counter
-	ReportsActualUnits bool // answers tell how many units a request has consumed
+	ReportsActualUnits bool // answers report how many units a request consumed
 
-	MeterPeriod              Time // 0: answers tell no use through all gateways
+	MeterPeriod              Time // 0: answers do not report the use through all gateways
 	MaxPeerMessagesPerSecond float64
-	MaxAttempts              int  // for one request
-	MaxRetryAfter            Time // largest advice
-	Tick                     Time // least time between two events
+	MaxAttempts              int  // per request
+	MaxRetryAfter            Time // largest retry advice
+	Tick                     Time // minimum time between two events
 
-	SlowStartMinFraction    float64 // the part of its capacity that a backend has at its start
-	SlowStartDuration       Time    // until it has all of it; 0: there is no slow start
+	SlowStartMinFraction    float64 // of its capacity, that a backend has when it starts
+	SlowStartDuration       Time    // until it has its full capacity; 0: no slow start
 	SlowStartOverloadWindow Time    // over which sends to a backend in slow start are counted
 
 	CrossZonePrice    float64
 	ComparableWeights bool // the weights in endpoint lists are comparable capacities
 }
 
-// Class is a class of requests. The snapshot's checksum of the settings rests on the order of its
+// Class is a class of requests. The settings checksum in snapshots depends on the order of its
 // fields, and on their types having no String methods.
 type Class struct {
-	LatencyObjective    Time // an answer by then earns the full value
+	LatencyObjective    Time // an answer within it earns the full value
 	Idempotency         Idempotency
 	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow Time // for which the backends of a scope drop repetitions
+	DeduplicationWindow Time // in which the backends of a scope drop repetitions
 	PriorityWeight      float64
 }
 
-// Idempotency tells how far a request that may have been executed may be sent again.
+// Idempotency tells whether and where a request that may have been executed may be sent again.
 type Idempotency uint8
 
 // The kinds of requests: those that may be repeated freely, those whose repetitions are dropped
@@ -69,7 +69,7 @@
 	ScopeCell
 )
 
-// Plan is what a customer has bought. The snapshot's checksum of the settings rests on the order of
+// Plan is what a customer has bought. The settings checksum in snapshots depends on the order of
 // its fields.
 type Plan struct {
 	Rate             float64 // units a second; 0: no quota
@@ -80,65 +80,69 @@
 	ConcurrencyLimit int     // attempts in flight; 0: no limit
 	Price            float64 // what a unit earns
 	OverQuotaRevenue float64 // what a unit beyond the quota earns
-	OverQuotaCost    float64 // and what it costs
+	OverQuotaCost    float64 // what a unit beyond the quota costs
 }
 
-// Metric is a value that backends report of their load.
+// Metric is a load metric that backends report.
 type Metric uint8
 
-// The metrics. Both Busy and Waiting are taken as the length of a backend's queue.
+// The metrics. Both BusyRequests and QueuedRequests are taken as the length of a backend's queue.
 const (
 	Unused Metric = iota
 	BusyRequests
 	QueuedRequests
 )
 
-// maxSubjects is how many classes and plans together a fault report can name.
+// maxSubjects is the largest number of classes and plans together that fault reports can name.
 const maxSubjects = 255
 
-// SettingsError names a field of the settings that cannot be served.
+// SettingsError reports an invalid field of the settings.
 type SettingsError struct {
 	Field   string
 	Problem string
 }
 
-// Error names the field and what is wrong with it.
+// Error names the field and the problem.
 func (e *SettingsError) Error() string { return "settings: " + e.Field + ": " + e.Problem }
 
 func settingsErrorf(field, format string, args ...any) error {
 	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate reports the first field that cannot be served.
+// validate returns an error for the first invalid field.
 func (settings *Settings) validate() error {
 	switch {
 	case settings.Gateways < 1:
-		return settingsErrorf("gateways", "%d, at least 1 wanted", settings.Gateways)
+		return settingsErrorf("gateways", "is %d, must be at least 1", settings.Gateways)
 	case settings.Self < 0 || settings.Self >= settings.Gateways:
-		return settingsErrorf("self", "%d is none of %d gateways", settings.Self, settings.Gateways)
+		return settingsErrorf("self", "is %d, must be at least 0 and below %d",
+			settings.Self, settings.Gateways)
 	case len(settings.Classes) == 0:
-		return settingsErrorf("classes", "none")
+		return settingsErrorf("classes", "there are 0, must be at least 1")
 	case len(settings.Plans) == 0 || len(settings.Classes)+len(settings.Plans) > maxSubjects:
-		return settingsErrorf("plans", "%d, at least 1 and with the classes at most %d wanted",
+		return settingsErrorf("plans",
+			"there are %d, must be at least 1 and with the classes at most %d",
 			len(settings.Plans), maxSubjects)
 	}
 	for i, c := range settings.Classes {
 		if c.LatencyObjective <= 0 {
 			field := fmt.Sprintf("classes[%d].aim", i) // as the settings file names it
-			return settingsErrorf(field, "%d, above 0 wanted", c.LatencyObjective)
+			return settingsErrorf(field, "is %d, must be above 0", c.LatencyObjective)
 		}
 	}
 	for i, p := range settings.Plans {
 		if p.Rate < 0 || p.CeilingRate < 0 || p.Rate > 0 && p.Burst <= 0 {
 			field := fmt.Sprintf("plans[%d]", i)
-			return settingsErrorf(field, "rate %g with burst %g", p.Rate, p.Burst)
+			return settingsErrorf(field,
+				"rate %g with burst %g: rates must be at least 0, and a rate needs a burst above 0",
+				p.Rate, p.Burst)
 		}
 	}
 	return nil
 }
 
-// checksum returns a number that is the same for settings under which a snapshot is of use. Stored
-// snapshots hold it: it must not change between builds.
+// checksum returns a number that is equal for settings under which the same snapshot can be
+// restored. Stored snapshots contain it, so it must not change between builds.
 func (settings *Settings) checksum() uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %v %v %t %t",
