--- a/internal/dataplane/policy/admission.go
+++ b/internal/dataplane/policy/admission.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	commonCapacity   = 0.5 // the part of the capacity that is open to all requests
-	maxRelativeValue = 1.5 // the largest value of a request that counts, in mean values
+	commonCapacity   = 0.5 // fraction of the capacity that is open to all requests
+	maxRelativeValue = 1.5 // upper bound of the value of a request, in mean values
 )
 
 // Request decides on a new request: it is sent, rejected, failed, or waits for units.
@@ -34,8 +34,9 @@
 	}
 }
 
-// arrivedTooLate reports whether a request came while this gateway was suspended, and is too old
-// for an answer within the latency objective. Its age is what its timeout lacks of the usual one.
+// arrivedTooLate reports whether a request arrived while this gateway was suspended and is too old
+// to be answered within the latency objective. Its age is the difference between the usual timeout
+// and its own.
 func (lb *Balancer) arrivedTooLate(q *Request) bool {
 	timeout := &lb.clientTimeouts[q.Plan][q.Class]
 	if lb.now > lb.resumedAt {
@@ -46,8 +47,8 @@
 	return expected > float64(lb.settings.Classes[q.Class].LatencyObjective)
 }
 
-// capacityFraction returns the part of the back end's capacity that is open to a request: the more,
-// the more valuable it is for the work that it takes.
+// capacityFraction returns the fraction of the back end's capacity that is open to a request. It
+// grows with the request's value relative to the work that it takes.
 func (lb *Balancer) capacityFraction(r *request) float64 {
 	work := lb.classLatencies[r.Class].value
 	if work == 0 {
@@ -60,7 +61,8 @@
 	return commonCapacity + (1-commonCapacity)*relative
 }
 
-// admit sends a request if its quota, or else the shared bucket, covers it, and its ceiling does.
+// admit sends a request if the quota or else the shared bucket covers it, and the ceiling does,
+// too. Otherwise it rejects the request.
 func (lb *Balancer) admit(r *request, withinQuota bool) {
 	defer lb.releaseUnused(r)
 	if !withinQuota && !lb.sharedBucketCovers(r) {
@@ -83,7 +85,7 @@
 	lb.sendAttempt(r, b)
 }
 
-// charge takes a request's units from where they are granted.
+// charge deducts a request's units from the buckets that cover them.
 func (lb *Balancer) charge(r *request, withinQuota bool) {
 	c := r.customer
 	if withinQuota {
--- a/internal/dataplane/policy/allocations.go
+++ b/internal/dataplane/policy/allocations.go
@@ -2,43 +2,43 @@
 
 import "slices"
 
-// SharedQuota is the quota of one customer that gateways share.
+// SharedQuota is the quota of one customer, which several gateways share.
 type SharedQuota struct {
 	ID     uint64
 	Rate   float64 // units a second
 	Burst  float64 // units
-	Spread int     // by how many gateways it is shared
+	Spread int     // number of gateways that share it
 }
 
-// Allocations are this gateway's parts of the shared quotas, as a leader divides them. They hold
-// for a time: what Available returns may be consumed at once, and not later. The methods are called
-// from the Balancer's goroutine and must not block.
+// Allocations are this gateway's parts of the shared quotas, as a leader divides them. They expire:
+// what Available returns may be consumed at once, but not later. The methods are called from the
+// Balancer's goroutine and must not block.
 type Allocations interface {
 	// RecordDemand records units that were requested, granted or not.
 	RecordDemand(now Time, quota *SharedQuota, units float64)
 	// Available returns how many units may be consumed now.
 	Available(now Time, quota *SharedQuota) float64
-	// RefillRate returns the units a second that come in.
+	// RefillRate returns the rate at which units become available, in units a second.
 	RefillRate(now Time, quota *SharedQuota) float64
-	// Consume takes units for a request, beside those that it got on demand. Negative units are
-	// given back.
+	// Consume takes units for a request, in addition to those obtained on demand. Negative units
+	// are given back.
 	Consume(now Time, id uint64, quota *SharedQuota, units float64)
-	// Release gives back units that were got on demand and not consumed.
+	// Release gives back units that were obtained on demand and not consumed.
 	Release(now Time, quota *SharedQuota, units float64)
-	// RequestOnDemand asks the leader for units that a request lacks. ReceiveOnDemand has to be
-	// called with the answer, unless this returns false: there is no leader to ask.
+	// RequestOnDemand requests the units that a request lacks from the leader. The answer must be
+	// passed to ReceiveOnDemand. If there is no leader it returns false, and no answer follows.
 	RequestOnDemand(id uint64, quota *SharedQuota, units float64) bool
 }
 
 // allocationHold is what a request holds of its customer's allocation while it waits for more.
 type allocationHold struct {
 	awaitsOnDemand bool
-	onDemandUnits  float64 // got on demand
-	reservedUnits  float64 // of this gateway's own part
-	retryAfter     Time    // when as many units may be free, by the leader's denial
+	onDemandUnits  float64 // obtained on demand
+	reservedUnits  float64 // taken from this gateway's own part
+	retryAfter     Time    // time until as many units may be free, from the leader's denial
 }
 
-// UseAllocations has customers' quotas come from allocations rather than from gossip. It must be
+// UseAllocations makes customers' quotas come from allocations rather than from gossip. It must be
 // called before the first event.
 func (lb *Balancer) UseAllocations(a Allocations) {
 	lb.allocations = a
@@ -56,9 +56,9 @@
 	return lb.allocations != nil && lb.settings.Plans[c.plan].Rate > 0
 }
 
-// decideByAllocation decides on a request by its customer's allocation. It asks for what this
-// gateway's part lacks, and the request waits for that as others wait for a home's answer; without
-// an answer it is decided by what is there.
+// decideByAllocation decides on a request by its customer's allocation. If this gateway's part
+// lacks units it requests them on demand, and the request waits as others wait for a home's answer.
+// If no answer arrives, the units available here decide.
 func (lb *Balancer) decideByAllocation(r *request) {
 	quota := lb.sharedQuota(r.customer)
 	lb.allocations.RecordDemand(lb.now, quota, r.Units)
@@ -75,8 +75,8 @@
 	lb.awaitUnits(r)
 }
 
-// ReceiveOnDemand handles the answer to RequestOnDemand: the units, or 0 and the time after which
-// there may be as many.
+// ReceiveOnDemand handles the answer to RequestOnDemand: the granted units, or 0 and the time after
+// which as many may be free.
 func (lb *Balancer) ReceiveOnDemand(
 	now Time, id uint64, quota *SharedQuota, units float64, after Time,
 ) {
@@ -84,7 +84,7 @@
 	r := lb.requests[id]
 	if r == nil || !r.awaitsOnDemand {
 		if units > 0 {
-			lb.allocations.Release(lb.now, quota, units) // it was decided, or its client has gone
+			lb.allocations.Release(lb.now, quota, units) // already decided, or the client has gone
 		}
 		return
 	}
@@ -101,7 +101,8 @@
 	lb.admit(r, true)
 }
 
-// consumeAllocation takes what a request does not already hold of its customer's allocation.
+// consumeAllocation takes the units that a request does not hold yet from its customer's
+// allocation.
 func (lb *Balancer) consumeAllocation(r *request) {
 	if !lb.usesAllocations(r.customer) {
 		return
@@ -112,7 +113,7 @@
 	r.reservedUnits = 0
 }
 
-// releaseReserved gives back what a request holds of this gateway's own part.
+// releaseReserved gives back the units that a request has reserved of this gateway's own part.
 func (lb *Balancer) releaseReserved(r *request) {
 	if r.reservedUnits > 0 {
 		lb.allocations.Consume(lb.now, 0, lb.sharedQuota(r.customer), -r.reservedUnits)
@@ -120,7 +121,7 @@
 	}
 }
 
-// releaseUnused gives back all that a request holds and did not consume.
+// releaseUnused gives back all units that a request holds and did not consume.
 func (lb *Balancer) releaseUnused(r *request) {
 	lb.releaseReserved(r)
 	if r.onDemandUnits > 0 {
--- a/internal/dataplane/policy/attempt.go
+++ b/internal/dataplane/policy/attempt.go
@@ -9,7 +9,7 @@
 	pending         bool
 	overdue         bool // pending past the latency objective
 	spansSuspension bool // this gateway was suspended while it was in flight
-	mayHaveRun      bool // pending, or ended in a way that does not prove that nothing was executed
+	mayHaveRun      bool // pending, or ended without proof that nothing was executed
 }
 
 // request is a client's request that this gateway has not rejected.
@@ -23,22 +23,22 @@
 	allocationHold
 }
 
-// homeQuery is what a request asks of its customer's home.
+// homeQuery is a request's query to its customer's home.
 type homeQuery struct {
 	queryNumber        byte
-	decideBy           Time // when it is decided without an answer
+	decideBy           Time // when the request is decided without an answer
 	deniedByHome       bool
-	chargesHomeCeiling bool // the units are to be taken off the home's part of the ceiling, or were
+	chargesHomeCeiling bool // the units are charged to the home's part of the ceiling
 }
 
-// attemptTable holds the requests in flight, and what further attempts they may have.
+// attemptTable holds the requests in flight and the budget for their retries.
 type attemptTable struct {
 	requests       map[uint64]*request
 	awaitingUnits  []*request // from a home or on demand, oldest first
 	retries        retryBudget
 	sendPace       decayingSum     // sends to each warm backend
 	clientTimeouts [][]runningMean // microseconds, by plan and class
-	meanValue      runningMean     // of a request for the work that it takes
+	meanValue      runningMean     // value of a request relative to the work that it takes
 }
 
 func newAttemptTable(settings *Settings) attemptTable {
@@ -52,7 +52,7 @@
 	return t
 }
 
-// tried reports whether the request was sent to a backend.
+// tried reports whether the request has been sent to a backend.
 func (r *request) tried(b *backend) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.backend == b })
 }
@@ -79,8 +79,8 @@
 	lb.actions.Send(r.ID, b.Backend, lb.hedgeAt(r))
 }
 
-// Outcome handles the end of an attempt: the request is done, or gets a further attempt, or a final
-// answer.
+// Outcome handles the end of an attempt: the request is done, gets a further attempt, or gets its
+// final answer.
 func (lb *Balancer) Outcome(now Time, o Outcome) {
 	lb.advanceClock(now)
 	r := lb.requests[o.ID]
@@ -102,7 +102,7 @@
 	lb.retryOrAnswer(r, a)
 }
 
-// settleAttempt books the end of an attempt on its backend and its customer.
+// settleAttempt records the end of an attempt for its backend and its customer.
 func (lb *Balancer) settleAttempt(r *request, a *attempt, o *Outcome) {
 	b := a.backend
 	b.inFlight--
@@ -129,7 +129,7 @@
 	lb.settleUnits(r, o)
 }
 
-// settleUnits corrects what a request has consumed by what its answer tells.
+// settleUnits corrects a request's consumption by the units that its answer reports.
 func (lb *Balancer) settleUnits(r *request, o *Outcome) {
 	if !lb.settings.ReportsActualUnits || o.Result != OK || o.ActualUnits <= 0 {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// ResponseStarted records that a streamed answer has begun: it is the client's final one.
+// ResponseStarted records that a streamed answer has begun, which is then the client's final one.
 func (lb *Balancer) ResponseStarted(now Time, id uint64) {
 	lb.advanceClock(now)
 	if r := lb.requests[id]; r != nil {
--- a/internal/dataplane/policy/balancer.go
+++ b/internal/dataplane/policy/balancer.go
@@ -6,8 +6,8 @@
 
 // The tokens of the timers that a Balancer sets.
 const (
-	gossipTimer   uint32 = iota // all that is due regularly
-	decisionTimer               // a request has waited long enough for its home's answer
+	gossipTimer   uint32 = iota // periodic work
+	decisionTimer               // a request's wait for units may be over
 )
 
 // sweepInterval is how often idle customers are dropped.
@@ -31,10 +31,11 @@
 	attemptTable
 
 	allocations Allocations // nil: quotas are shared by gossip or through the counter
-	sharesUsage bool        // gateways learn of each other's use
+	sharesUsage bool        // gateways inform each other of their use
 }
 
-// New returns a Balancer that knows nothing but its settings. The error is a *SettingsError.
+// New returns a Balancer without any state from earlier incarnations. The error is a
+// *SettingsError.
 func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
--- a/internal/dataplane/policy/ceiling.go
+++ b/internal/dataplane/policy/ceiling.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// homeCeilingFraction is the part of a ceiling that the customer's home holds, if it has one.
+// homeCeilingFraction is the fraction of a ceiling that the customer's home holds, if it has one.
 const homeCeilingFraction = 0.5
 
 // ceilingShare returns this gateway's part of a customer's ceiling, in units a second and units.
-// The parts are even, so that no message has to arrive for the ceiling to hold. Of many even parts
-// none would hold a request: a customer with a home has half of its ceiling there, and the home
-// grants units of it on request. Units that are granted are used or lost within the home's answer
-// time, in which the home's own part may fill again; its burst is smaller by that.
+// The parts are equal, so that the ceiling holds even if no message arrives. In a large gateway set
+// an equal part would be smaller than a request: there the customer's home holds half of the
+// ceiling and grants units of it on request. Granted units are used or lost within the time that
+// the home has for its answer. The home's own part may refill meanwhile, so its burst is smaller by
+// that.
 func (lb *Balancer) ceilingShare(c *customer) (rate, burst float64) {
 	p := &lb.settings.Plans[c.plan]
 	fraction := 1 / float64(c.spread)
--- a/internal/dataplane/policy/clock.go
+++ b/internal/dataplane/policy/clock.go
@@ -8,13 +8,13 @@
 // suspendedAfterTicks is how late a timer must be, in ticks, for the process to count as suspended.
 const suspendedAfterTicks = 8
 
-// clock is the time of the current event, and the time during which this gateway ran.
+// clock holds the time of the current event and the time for which this gateway has been active.
 type clock struct {
-	now          Time // never goes back
-	startedAt    Time // of the first event; 0 before it
+	now          Time // never decreases
+	startedAt    Time // time of the first event; 0 before it
 	nextTimer    Time // when the next gossip timer is due
-	suspendedFor Time // in all
-	activeTime   Time // now less suspendedFor
+	suspendedFor Time // total time of all suspensions
+	activeTime   Time // now minus suspendedFor
 	resumedAt    Time // end of the last suspension
 }
 
@@ -29,7 +29,7 @@
 	lb.activeTime = lb.now - lb.suspendedFor
 }
 
-// start begins the first event: it sets the first timer and makes this gateway known to its peers.
+// start handles the first event: it sets the first timer and announces this gateway to its peers.
 func (lb *Balancer) start(now Time) {
 	lb.startedAt = max(1, now)
 	lb.lastSweep = now
@@ -45,8 +45,8 @@
 	lb.announceStart()
 }
 
-// detectSuspension notices that this process did not run for a while, by a timer that is late. How
-// long the attempts in flight took then says nothing about their backends.
+// detectSuspension detects by a late timer that this process did not run for a while. The durations
+// of the attempts then in flight say nothing about their backends.
 func (lb *Balancer) detectSuspension(now Time) {
 	late := now - lb.nextTimer
 	if late <= suspendedAfterTicks*lb.settings.Tick {
--- a/internal/dataplane/policy/counter.go
+++ b/internal/dataplane/policy/counter.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// counterNameTTL is how long a name on the shared counter lives, the longest that it allows.
+// counterNameTTL is how long the shared counter keeps a name: the longest time that it allows.
 const counterNameTTL = 60 * second
 
 // counterState is what this gateway knows of a customer from the shared counter and the meter.
 type counterState struct {
-	counterCalls  []float64   // units of the calls without an answer, oldest first
+	counterCalls  []float64   // units of the unanswered calls, oldest first
 	counterTotal  float64     // units, the last total received
 	meteredDemand decayingSum // units requested here over the meter's period
-	shareFraction float64     // this gateway's part of all use, by the meter; 0: no reading yet
+	shareFraction float64     // this gateway's fraction of all use, by the meter; 0: no reading yet
 }
 
-// addToCounter adds what was consumed here, and not announced, to the shared counter.
+// addToCounter adds the units consumed here and not yet announced to the shared counter.
 func (lb *Balancer) addToCounter(c *customer) {
 	units := c.consumed - c.announcedConsumed
 	if c.consumed > c.announcedConsumed {
@@ -25,8 +25,8 @@
 }
 
 // ReceiveCounterTotal handles the answer to an AddToCounter: the total of a customer's use through
-// all gateways, in units. What a failed call added all the same later counts as a peer's use, which
-// errs on the side of rejecting.
+// all gateways, in units. If a call that failed was counted nevertheless, its units later count as
+// a peer's use, which errs on the side of rejecting.
 func (lb *Balancer) ReceiveCounterTotal(now Time, name uint64, r Result, total float64) {
 	lb.advanceClock(now)
 	c := lb.customers[name]
@@ -46,8 +46,9 @@
 	lb.recordSpend(c, byPeers)
 }
 
-// applyMeterReading sets this gateway's part of a customer's quota by the use through all gateways
-// in the last metered period. The reading is 1 plus the percentage of the rate; 0 stands for none.
+// applyMeterReading sets this gateway's fraction of a customer's quota from the use through all
+// gateways in the last metered period. The reading is 1 plus that use in percent of the rate; 0
+// means that there is none.
 func (lb *Balancer) applyMeterReading(c *customer, reading int) {
 	rate := lb.settings.Plans[c.plan].Rate
 	period := lb.settings.MeterPeriod
--- a/internal/dataplane/policy/customer.go
+++ b/internal/dataplane/policy/customer.go
@@ -3,15 +3,16 @@
 import "math"
 
 const (
-	// demandWindowFraction is the demand window, in the times in which an empty bucket fills.
+	// demandWindowFraction is the demand window as a fraction of the time that fills an empty
+	// bucket.
 	demandWindowFraction = 0.5
 
-	// negligibleUnits stands for nothing: a decaying sum never quite reaches 0.
+	// negligibleUnits is the sum below which demand counts as 0: a decaying sum never reaches 0.
 	negligibleUnits = 0.01
 )
 
-// customer is what this gateway knows of one customer. A customer is served by its gateway set:
-// spread gateways in a row, from the one numbered first.
+// customer is this gateway's record of one customer, which is served by its gateway set: spread
+// consecutive gateways, beginning with the number first.
 type customer struct {
 	id     uint64
 	plan   int
@@ -29,18 +30,18 @@
 	snapshotReserve
 }
 
-// demand is what a customer requests and consumes.
+// demand measures what a customer requests and consumes.
 type demand struct {
 	demandWindow Time
 	localDemand  decayingSum // units requested here
 	peerUsage    decayingSum // units requested at other gateways
-	requested    float64     // units requested here, in all
-	consumed     float64     // units consumed here, in all
+	requested    float64     // total units requested here
+	consumed     float64     // total units consumed here
 	lastUnits    float64     // of the last request
 	maxUnits     float64     // of the largest request
 }
 
-// customerTable holds the customers that this gateway has seen lately.
+// customerTable holds the customers that this gateway has seen recently.
 type customerTable struct {
 	customers     map[uint64]*customer
 	customerOrder []*customer // oldest first
@@ -67,9 +68,9 @@
 }
 
 // newCustomer returns the record of a customer that this gateway does not know. Its bucket is full:
-// peers tell of those that are not, and available bounds what may be consumed until they can have
-// done so, so that a restart grants no second burst. Its part of the ceiling fills from this
-// gateway's start, with half of the slack: an earlier incarnation may have used the rest.
+// peers report those that are not, and until they have had time to, available limits what may be
+// consumed, so that a restart grants no second burst. This gateway's part of the ceiling has filled
+// since the gateway's start, from half of the slack: an earlier incarnation may have used the rest.
 func (lb *Balancer) newCustomer(id uint64, plan, first, spread int) *customer {
 	p := &lb.settings.Plans[plan]
 	spread = min(max(spread, 1), lb.settings.Gateways)
@@ -91,7 +92,7 @@
 	c.ceilingBucket.refill(lb.now)
 	c.ceilingBucket.level -= lb.possiblySpent(c, c.ceilingBucket.rate)
 	c.bucket.level = math.Max(0, c.bucket.level-lb.possiblySpent(c, c.bucket.rate))
-	c.storedAllowance = snapshotAllowanceFraction * p.Burst // of a snapshot that does not name it
+	c.storedAllowance = snapshotAllowanceFraction * p.Burst // of a snapshot without it
 	c.snapshotAllowance = c.storedAllowance
 	return c
 }
@@ -105,7 +106,7 @@
 	return max(window, lb.messageIntakeTime(spread))
 }
 
-// recordDemand counts what a customer requests, granted or not.
+// recordDemand records units that a customer requests, granted or not.
 func (lb *Balancer) recordDemand(c *customer, units float64) {
 	c.demand.add(lb.now, units)
 	c.meteredDemand.add(lb.now, max(1, lb.settings.MeterPeriod), units)
@@ -113,7 +114,7 @@
 	lb.markChanged(c)
 }
 
-// add counts a request.
+// add records a request.
 func (d *demand) add(now Time, units float64) {
 	d.localDemand.add(now, d.demandWindow, units)
 	d.requested += units
@@ -121,18 +122,18 @@
 	d.maxUnits = math.Max(d.maxUnits, units)
 }
 
-// total returns the units requested lately through all gateways of the set.
+// total returns the units requested recently through all gateways of the set.
 func (d *demand) total(now Time) float64 {
 	return d.localDemand.get(now, d.demandWindow) + d.peerUsage.get(now, d.demandWindow)
 }
 
-// inSet reports whether a gateway is of the customer's set.
+// inSet reports whether a gateway belongs to the customer's gateway set.
 func (lb *Balancer) inSet(c *customer, gateway int) bool {
 	n := lb.settings.Gateways
 	return (gateway-c.first+n)%n < c.spread
 }
 
-// otherGateways returns the numbers of the other gateways of a customer's set.
+// otherGateways returns the numbers of the other gateways in a customer's set.
 func (lb *Balancer) otherGateways(c *customer) []int {
 	peers := make([]int, 0, c.spread)
 	for i := range c.spread {
@@ -143,7 +144,7 @@
 	return peers
 }
 
-// sweepIdleCustomers drops idle customers. What their full buckets would spill goes on filling the
+// sweepIdleCustomers drops idle customers. The overflow of their full buckets continues to fill the
 // shared bucket.
 func (lb *Balancer) sweepIdleCustomers() {
 	lb.lastSweep = lb.now
@@ -165,7 +166,7 @@
 	lb.sharedBucket.rate = sumOf(lb.idleRefill)
 }
 
-// idle reports whether nothing is lost when a customer's record is dropped.
+// idle reports whether a customer's record can be dropped without loss of information.
 func (c *customer) idle(now Time) bool {
 	return c.localDemand.get(now, c.demandWindow) < negligibleUnits &&
 		c.peerUsage.get(now, c.demandWindow) < negligibleUnits &&
--- a/internal/dataplane/policy/endpoints.go
+++ b/internal/dataplane/policy/endpoints.go
@@ -7,8 +7,8 @@
 	Endpoint
 	listed          bool
 	inFlight        int  // attempts
-	overdue         int  // of those, the ones past their latency objective
-	unansweredSince Time // in active time: when it answered last, or became busy
+	overdue         int  // attempts in flight that are past their latency objective
+	unansweredSince Time // in active time: its last answer, or when it became busy
 	lastSend        Time // 0: never
 	reportedQueue   float64
 	queueReportedAt Time
@@ -19,17 +19,17 @@
 	trialState
 }
 
-// endpointTable holds the backends that discovery lists, or listed while they have attempts in
-// flight.
+// endpointTable holds the backends that discovery lists, and those that it no longer lists while
+// they have attempts in flight.
 type endpointTable struct {
 	backends    []*backend
 	backendByID map[uint32]*backend
-	meanWeight  float64 // of the backends that are ready and have one; 0: none has
+	meanWeight  float64 // of the ready backends that have a weight; 0: none has
 	lastWatch   Time
-	watching    bool // discovery tells of changes
+	watching    bool // discovery reports changes
 }
 
-// UpdateEndpoints handles a watch event. Backends that it tells to be draining or removed get no
+// UpdateEndpoints handles a watch event. Backends that it reports as draining or removed get no
 // further attempts.
 func (lb *Balancer) UpdateEndpoints(now Time, kind ListKind, list []Endpoint) {
 	lb.advanceClock(now)
@@ -50,7 +50,7 @@
 	lb.updateMeanWeight()
 }
 
-// updateEndpoint takes over one entry of a list. A new process at a backend is in slow start.
+// updateEndpoint applies one entry of a list. A new process at a backend is in slow start.
 func (lb *Balancer) updateEndpoint(kind ListKind, endpoint Endpoint) {
 	b := lb.findOrAddBackend(endpoint)
 	if endpoint.StartedAt > b.StartedAt {
@@ -67,7 +67,7 @@
 	}
 }
 
-// findOrAddBackend returns a backend's record.
+// findOrAddBackend returns the record of an endpoint's backend, which it adds if there is none.
 func (lb *Balancer) findOrAddBackend(endpoint Endpoint) *backend {
 	b := lb.backendByID[endpoint.Backend]
 	if b == nil {
@@ -112,13 +112,13 @@
 	t.meanWeight = sum / max(n, 1)
 }
 
-// watchEndpoints asks discovery for the list and its changes.
+// watchEndpoints requests the list and its changes from discovery.
 func (lb *Balancer) watchEndpoints() {
 	lb.lastWatch = lb.now
 	lb.actions.WatchEndpoints()
 }
 
-// pollEndpoints asks discovery again if it is to be polled and does not tell of changes.
+// pollEndpoints requests the list again if discovery must be polled and reports no changes.
 func (lb *Balancer) pollEndpoints() {
 	if !lb.settings.PollEndpoints || lb.watching {
 		return
--- a/internal/dataplane/policy/estimators.go
+++ b/internal/dataplane/policy/estimators.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// The weights of a new sample in a running mean, once enough samples were seen.
+// The weights of a new sample in a running mean, once there are enough samples.
 const (
-	slowSampleWeight = 0.02 // of the whole back end
-	fastSampleWeight = 0.1  // of one backend, and of what changes quickly
+	slowSampleWeight = 0.02 // for means over the whole back end
+	fastSampleWeight = 0.1  // for one backend, and for what changes quickly
 )
 
-// decayingSum is a sum whose parts decay exponentially with age. The window is the time in which a
-// part falls to 1/e; over it the sum approximates the total of what was added in one window.
+// decayingSum is a sum whose terms decay exponentially with age. The window is the time in which a
+// term falls to 1/e; the sum approximates the total of the terms added in one window.
 type decayingSum struct {
 	sum float64
 	at  Time
@@ -29,10 +29,11 @@
 	s.sum = s.get(now, window) + x
 }
 
-// decay returns what is left of 1 after some time.
+// decay returns the fraction of a term that is left at an age.
 func decay(age, window Time) float64 { return math.Exp(-float64(age) / float64(window)) }
 
-// runningMean follows its samples: it is their mean at first, then each new one has a least weight.
+// runningMean is the mean of its samples at first; later each new sample has a minimum weight, so
+// that the mean follows changes.
 type runningMean struct {
 	value   float64
 	samples float64
--- a/internal/dataplane/policy/events.go
+++ b/internal/dataplane/policy/events.go
@@ -1,16 +1,16 @@
 package policy
 
-// Endpoint is an entry of discovery's endpoint list.
+// Endpoint is an entry of the endpoint list that discovery provides.
 type Endpoint struct {
 	Backend   uint32
 	Zone      int
 	Cell      int
 	State     EndpointState
-	Weight    float64 // 0: not known
-	StartedAt Time    // of its process; 0: long ago
+	Weight    float64 // 0: unknown
+	StartedAt Time    // when its process started; 0: long ago
 }
 
-// EndpointState is what discovery says of a backend.
+// EndpointState is the state of a backend according to discovery.
 type EndpointState uint8
 
 // The states of a backend.
@@ -20,16 +20,16 @@
 	Removed
 )
 
-// ListKind tells what the endpoint list of a watch event is.
+// ListKind is the kind of the endpoint list in a watch event.
 type ListKind uint8
 
 // The kinds of lists.
 const (
 	Complete       ListKind = iota
-	CompleteCached          // complete, but it may be stale
-	Delta                   // only what has changed
-	Unavailable             // there is no list: discovery cannot be reached
-	StaleBootstrap          // an old list that stands in while a new gateway has no other
+	CompleteCached          // complete, but possibly stale
+	Delta                   // only the changes
+	Unavailable             // no list: discovery cannot be reached
+	StaleBootstrap          // an old list, used while a new gateway has no other
 )
 
 // Request is a client's request.
@@ -38,9 +38,9 @@
 	Class    int
 	Plan     int
 	Customer uint64
-	Units    float64 // of the customer's quota
-	Timeout  Time    // how long the client waits from now
-	First    int     // the customer's gateways: Spread of them in a row from the number First
+	Units    float64 // that it takes from the customer's quota
+	Timeout  Time    // until the client stops waiting
+	First    int     // the customer's gateway set: Spread consecutive gateways from number First
 	Spread   int
 }
 
@@ -56,7 +56,7 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Superseded // not written, for no fault of the backend
+	Superseded // not written, through no fault of the backend
 )
 
 // Outcome is how an attempt ended.
@@ -67,7 +67,7 @@
 	Result      Result
 	Duration    Time
 	RequestDone bool    // the client has its final answer
-	MeteredUse  int     // 1 + percent of the rate used through all gateways; 0: not known
-	ActualUnits float64 // consumed, if the answer says so; 0: not known
+	MeteredUse  int     // 1 + use through all gateways in percent of the rate; 0: unknown
+	ActualUnits float64 // consumed, as reported by the answer; 0: unknown
 	Load        []float32
 }
--- a/internal/dataplane/policy/gossipreceive.go
+++ b/internal/dataplane/policy/gossipreceive.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// maxForwardStep is the largest step of a total on the wire, modulo 65536, that is one forwards: a
-// larger one means that the message is older than another that came first.
+// maxForwardStep is the largest step of a total on the wire, modulo 65536, that counts as forward:
+// a larger one means that the message is older than one that was received before.
 const maxForwardStep = math.MaxUint16 / 2
 
-// peerTotals are the totals that a peer last announced for a customer, in wire units that wrap.
+// peerTotals are the totals that a peer last announced for a customer, in wire units, which wrap
+// around.
 type peerTotals struct {
 	known       bool
 	incarnation uint32
@@ -39,8 +40,8 @@
 	}
 }
 
-// informNewPeer has a gateway that has just started told of all buckets that are not full: it
-// takes those that it does not hear of for full.
+// informNewPeer schedules announcements of all buckets that are not full to a gateway that has just
+// started. It assumes that the buckets that nobody announces to it are full.
 func (lb *Balancer) informNewPeer(peer int) {
 	for _, c := range lb.customerOrder {
 		lb.refill(c)
@@ -51,14 +52,14 @@
 	}
 }
 
-// mergePeerLoad adds a peer's load view to what is known of all peers.
+// mergePeerLoad merges a peer's load view into the load of all peers.
 func (lb *Balancer) mergePeerLoad(from int, m peerMessage) {
 	weight := math.Min(1, float64(lb.activeTime-lb.lastReceivedAt[from])/float64(second))
 	lb.peerLoad.add(lb.activeTime, weight, m.inFlight, m.onTime)
 	lb.lastReceivedAt[from] = lb.activeTime
 }
 
-// applyPeerEntry takes what a peer consumed off a customer's bucket, and answers its query.
+// applyPeerEntry deducts a peer's consumption from a customer's bucket, and answers its query.
 func (lb *Balancer) applyPeerEntry(from int, incarnation uint32, e usageEntry) {
 	c := lb.findOrAddCustomer(e.id, e.plan, e.first, e.spread)
 	if !lb.inSet(c, from) || lb.isRemote(c) {
@@ -96,20 +97,21 @@
 	return true
 }
 
-// applyFirstEntry applies the first entry of a peer's incarnation. With no earlier total to
-// subtract, the bucket is bounded by what the peer believes to remain, and what the peer consumed
-// since it last told anybody is taken off, since it is not yet known here.
+// applyFirstEntry applies the first entry of a peer's incarnation. As there is no earlier total to
+// subtract, the bucket is limited to what the peer believes to remain. What the peer consumed since
+// its last announcement to any gateway is deducted, because it is not yet known here.
 func (lb *Balancer) applyFirstEntry(c *customer, knownBefore bool, e *usageEntry) {
 	remaining := e.remaining*c.bucket.capacity - (c.consumed - c.announcedConsumed)
 	afterNewUse := c.bucket.level - fromWireUnits(min(e.consumed, e.newlyRequested))
 	switch {
 	case c.restored:
-		// A peer that ran all along knows better than a snapshot, which lacks an allowance.
+		// The level of a peer that kept running is better than that of a snapshot, which is lower
+		// by an allowance.
 		c.restored = false
 		c.bucket.level = math.Max(remaining, c.bucket.level)
 		remaining = math.Max(remaining, afterNewUse)
 	case knownBefore || lb.hasHome(c) && e.remaining == 1:
-		// The peer has restarted: what it believes to remain says less than what is known here.
+		// The peer has restarted: what it believes to remain is less reliable than the level here.
 		remaining = afterNewUse
 	default:
 		remaining = math.Min(remaining, afterNewUse)
@@ -119,7 +121,7 @@
 }
 
 // applyDifference applies what a peer consumed and requested since its last entry. It returns
-// false, and does nothing, if the entry is an older one that came late.
+// false, and does nothing, if a newer entry was received before.
 func (lb *Balancer) applyDifference(c *customer, last *peerTotals, e *usageEntry) bool {
 	consumed := e.consumed - last.consumed
 	requested := e.requested - last.requested
@@ -127,7 +129,7 @@
 		return false
 	}
 	if consumed > maxForwardStep {
-		// Its total lies behind what it was granted, which it did not consume.
+		// The last total includes units that were granted to the peer and that it did not consume.
 		consumed = 0
 		e.consumed = last.consumed
 	}
--- a/internal/dataplane/policy/gossipsend.go
+++ b/internal/dataplane/policy/gossipsend.go
@@ -7,19 +7,19 @@
 
 const (
 	minGossipInterval     = second / 30
-	gossipMessageFraction = 0.5 // of the messages a peer takes in, for regular gossip
-	maxDirectPeers        = 8   // gateways that announce all use to one another
-	announcementRepeats   = 2   // announcements of a change: one more than needed, against loss
+	gossipMessageFraction = 0.5 // of the messages that a peer can take in, for regular gossip
+	maxDirectPeers        = 8   // gateways that announce all their use to each other
+	announcementRepeats   = 2   // announcements of a change: one more than needed, in case of loss
 	relaxedPeriods        = 4   // gossip intervals between messages of a bucket far from empty
 	startupPeriods        = 4   // gossip intervals until a new gateway knows all buckets
-	loadViewFanout        = 6   // peers, drawn each sweep, that are sent the load view
+	loadViewFanout        = 6   // random peers that are sent the load view in each sweep
 )
 
-// gossipState is what this gateway sends to its peers, and when it heard from each.
+// gossipState is what this gateway sends to its peers, and when it last received from each.
 type gossipState struct {
 	incarnation      uint32 // of this process
 	gossipInterval   Time
-	pendingGossip    []*customer // whose use has changed since it was last announced
+	pendingGossip    []*customer // whose use has changed since its last announcement
 	outgoing         [][]byte    // for each peer, the message under construction
 	pendingFaults    []pendingFault
 	peerIncarnations []uint32
@@ -32,10 +32,10 @@
 	announcedConsumed    float64 // units, of those consumed here
 	announcedRequested   float64 // units, of those requested here
 	pendingAnnouncements int     // how often its use is still to be announced
-	nextAnnouncement     Time    // not before, if the peers can wait
-	urgentSince          Time    // since when an urgent message waits for a token; 0: none does
+	nextAnnouncement     Time    // not earlier, if the peers can wait
+	urgentSince          Time    // when an urgent message began to wait for a token; 0: none waits
 	peerTotals           []peerTotals
-	restored             bool // the bucket is a restored one, of which no peer has told since
+	restored             bool // the bucket was restored and no peer has reported it since
 }
 
 func newGossipState(settings *Settings, incarnation uint32) gossipState {
@@ -54,8 +54,8 @@
 	return s
 }
 
-// messageIntakeTime returns the time in which a gateway can take in one message from each of so
-// many senders.
+// messageIntakeTime returns the time in which a gateway can take in one message from each of a
+// number of senders.
 func (settings *Settings) messageIntakeTime(senders int) Time {
 	rate := gossipMessageFraction * max(settings.MaxPeerMessagesPerSecond, 1)
 	return Time(float64(senders) / rate * float64(second))
@@ -65,7 +65,7 @@
 	return lb.settings.messageIntakeTime(senders)
 }
 
-// announce tells the neighbours that this gateway has just started and knows nothing.
+// announceStart informs the neighbours that this gateway has just started and has no state.
 func (lb *Balancer) announceStart() {
 	for peer := range lb.outgoing {
 		lb.lastReceivedAt[peer] = lb.now
@@ -75,13 +75,13 @@
 	}
 }
 
-// announcesStartTo reports whether a gateway tells another of its start.
+// announcesStartTo reports whether a gateway announces its start to another.
 func (lb *Balancer) announcesStartTo(from, to int) bool {
 	n := lb.settings.Gateways
 	return lb.settings.Peers && from != to && (to-from+n)%n <= maxDirectPeers
 }
 
-// markChanged has a customer's use announced with the next regular messages.
+// markChanged schedules the announcement of a customer's use with the next regular messages.
 func (lb *Balancer) markChanged(c *customer) {
 	if c.spread == 1 || !lb.sharesUsage || lb.isRemote(c) && lb.consultsHome(c) {
 		c.announcedConsumed = c.consumed
@@ -93,8 +93,8 @@
 	c.pendingAnnouncements = announcementRepeats
 }
 
-// gossip tells peers, or the counter, of every customer whose use has changed, those first that
-// consumed the largest part of their burst.
+// gossip announces the use of every customer for whom it has changed to the peers or to the
+// counter, in the order of compareUnannounced.
 func (lb *Balancer) gossip() {
 	slices.SortStableFunc(lb.pendingGossip, compareUnannounced)
 	kept := lb.pendingGossip[:0]
@@ -110,8 +110,8 @@
 	lb.flushMessages()
 }
 
-// compareUnannounced orders customers by what was consumed and not announced, as a part of the
-// burst, largest first. The quotients are compared as products.
+// compareUnannounced orders customers by the units consumed and not yet announced, as a fraction of
+// the burst, largest first. The quotients are compared as products.
 func compareUnannounced(a, b *customer) int {
 	return cmp.Compare(
 		(b.consumed-b.announcedConsumed)*a.bucket.capacity,
@@ -119,7 +119,7 @@
 	)
 }
 
-// announceUsage announces a customer's use if that is due and the messages have room.
+// announceUsage announces a customer's use if an announcement is due and the messages have room.
 func (lb *Balancer) announceUsage(c *customer) {
 	if lb.now < c.nextAnnouncement && lb.announcementCanWait(c) {
 		return
@@ -133,7 +133,7 @@
 	}
 }
 
-// announcementCanWait reports whether the peers decide as well without the next announcement.
+// announcementCanWait reports whether the peers decide equally well without the next announcement.
 func (lb *Balancer) announcementCanWait(c *customer) bool {
 	if lb.isRemote(c) && c.grantFraction < 1 {
 		return true
@@ -141,13 +141,13 @@
 	return lb.settings.Peers && !lb.hasHome(c) && !lb.nearlyEmpty(c)
 }
 
-// markAllAnnounced takes note that all use so far is announced.
+// markAllAnnounced records that all use so far is announced.
 func (c *customer) markAllAnnounced() {
 	c.announcedConsumed = c.consumed
 	c.announcedRequested = c.requested
 }
 
-// recordAnnouncement takes note that a customer's use is in the messages under construction.
+// recordAnnouncement records that a customer's use is in the messages under construction.
 func (lb *Balancer) recordAnnouncement(c *customer) {
 	c.markAllAnnounced()
 	c.pendingAnnouncements--
@@ -162,8 +162,8 @@
 	}
 }
 
-// queueUsage adds a customer to the messages for all gateways that receive its use. It reports
-// whether all of the messages had room; else it adds the customer to none.
+// queueUsage adds a customer to the messages for all gateways that receive its use, and returns
+// true. If one of the messages has no room it adds the customer to none, and returns false.
 func (lb *Balancer) queueUsage(c *customer) bool {
 	first, n := lb.gossipTargets(c)
 	for i := range n {
@@ -182,7 +182,7 @@
 	return true
 }
 
-// gossipTargets returns how many gateways, from which number on, receive a customer's use.
+// gossipTargets returns the gateways that receive a customer's use: n consecutive ones from first.
 func (lb *Balancer) gossipTargets(c *customer) (first, n int) {
 	if lb.hasHome(c) {
 		return lb.homeOf(c), 1
@@ -208,8 +208,8 @@
 	}
 }
 
-// shareLoadView has messages with this gateway's load view go to n peers, drawn each time, so that
-// they also learn the load of a gateway that serves no customer of theirs.
+// shareLoadView begins messages with this gateway's load view to n random peers, so that they also
+// learn the load of a gateway that serves none of their customers.
 func (lb *Balancer) shareLoadView(n int) {
 	for range n {
 		peer := lb.rand.IntN(lb.settings.Gateways)
@@ -227,7 +227,7 @@
 	return lb.outgoing[peer]
 }
 
-// newPeerMessage returns a message with the header and the fault reports that are still to be sent.
+// newPeerMessage returns a message with the header and the pending fault reports.
 func (lb *Balancer) newPeerMessage() []byte {
 	inFlight, onTime, gateways := lb.loadView()
 	message := messageHeader(lb.incarnation, inFlight/gateways, onTime/gateways)
@@ -243,8 +243,8 @@
 	}
 }
 
-// sendMessage sends the message under construction for a peer. It counts as an urgent one, so that
-// urgent ones only use what the regular ones leave.
+// sendMessage sends the message under construction for a peer. It takes a token for urgent
+// messages, so that those use only what the regular messages leave.
 func (lb *Balancer) sendMessage(peer int) {
 	lb.urgentBucket(peer).level--
 	lb.actions.SendToPeer(peer, lb.outgoing[peer])
--- a/internal/dataplane/policy/gossipurgent.go
+++ b/internal/dataplane/policy/gossipurgent.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	messageDelay          = second / 14 // until an urgent message arrives, with a margin
+	messageDelay          = second / 14 // until an urgent message arrives, including a margin
 	delayIncrease         = second / 50 // added to that when messages prove late or lost
 	delayDecrease         = second / 2000
 	maxLearnedDelay       = second / 2
-	counterDelayPeriods   = 2   // gossip intervals until the counter tells what others consume
-	urgentMessageFraction = 0.8 // of the messages a peer takes in, those that urgent ones may use
-	urgentBurst           = 8.0 // urgent messages to one peer that may follow one another
+	counterDelayPeriods   = 2   // gossip intervals until the counter shows what others consume
+	urgentMessageFraction = 0.8 // of the messages that a peer can take in, for urgent ones
+	urgentBurst           = 8.0 // urgent messages that may be sent to one peer in a row
 )
 
-// urgentState limits the messages that are sent at once, and measures how late peers hear them.
+// urgentState limits the messages that are sent at once, and measures how late they are received.
 type urgentState struct {
 	urgentBuckets []tokenBucket // messages, for each peer
 	urgentDelay   runningMean   // microseconds for which an urgent message waits for a token
@@ -23,7 +23,7 @@
 }
 
 // nearlyEmpty reports whether a customer's bucket may be empty before all gateways of its set are
-// notified: they then announce at once what they consume. All of them judge by the same bucket.
+// notified. They then announce at once what they consume. All of them decide by the same bucket.
 func (lb *Balancer) nearlyEmpty(c *customer) bool {
 	totalDemand := c.demand.total(lb.now)
 	expectedDemand := totalDemand *
@@ -31,8 +31,8 @@
 	return c.bucket.level < 2*c.lastUnits+expectedDemand
 }
 
-// notifyPeersNow tells a customer's gateway set at once of its use if the bucket is nearly empty
-// and every peer can take in a message; else the next regular messages will.
+// notifyPeersNow announces a customer's use to its gateway set at once if the bucket is nearly
+// empty and every peer can take in a message. Otherwise the next regular messages announce it.
 func (lb *Balancer) notifyPeersNow(c *customer) {
 	if !lb.settings.Peers || c.spread == 1 || lb.hasHome(c) || !lb.nearlyEmpty(c) {
 		return
@@ -52,8 +52,8 @@
 	}
 }
 
-// urgentBucket returns how many messages a peer may be sent at once. The peer's limit is shared by
-// the gateways that this one hears of, who are taken to be as many as the peer hears of.
+// urgentBucket returns the bucket of messages that may be sent to a peer at once. The peer's limit
+// is shared by its senders, which are assumed to be as many as the gateways that send to this one.
 func (lb *Balancer) urgentBucket(peer int) *tokenBucket {
 	b := &lb.urgentBuckets[peer]
 	active := math.Max(1, lb.activePeers.get(lb.activeTime, second))
@@ -64,8 +64,8 @@
 	return b
 }
 
-// notificationDelay returns how long it takes until this gateway hears what the others of a set
-// consume. Urgent messages of theirs are taken to wait for a token as long as those sent here.
+// notificationDelay returns the time until this gateway is notified of what the others in a set
+// consume. Their urgent messages are assumed to wait for a token as long as those sent here.
 func (lb *Balancer) notificationDelay(c *customer) Time {
 	switch {
 	case !lb.settings.Peers:
@@ -76,8 +76,8 @@
 	return relaxedPeriods * lb.gossipInterval
 }
 
-// adjustLearnedDelay leaves more of a bucket to the peers where they prove to have consumed units
-// that this gateway had granted as well: messages are lost, or later than assumed.
+// adjustLearnedDelay leaves more of a bucket to the peers if they prove to have consumed units that
+// this gateway granted as well: messages are lost, or later than assumed.
 func (lb *Balancer) adjustLearnedDelay(c *customer, consumed float64) {
 	switch {
 	case consumed == 0 || c.bucket.level >= consumed+2*c.lastUnits || !lb.settings.Peers:
--- a/internal/dataplane/policy/healthcheck.go
+++ b/internal/dataplane/policy/healthcheck.go
@@ -6,9 +6,10 @@
 // which a backend with attempts in flight is unhealthy.
 const unresponsiveAfterObjectives = 1.0
 
-// detectUnresponsive ejects a backend that answers nothing: its process hangs, or the network drops
-// packets without breaking connections. Only overdue attempts count, and a single one, which may be
-// lost on the way, counts half. A very slow backend is readmitted by its own late answers.
+// detectUnresponsive ejects a backend that does not answer: its process hangs, or the network drops
+// packets without breaking connections. Only overdue attempts count; a single one counts half,
+// since it may have been lost on the way. A very slow backend is readmitted by its own late
+// answers.
 func (lb *Balancer) detectUnresponsive(b *backend) {
 	silence := float64(lb.activeTime - b.unansweredSince)
 	evidence := silence * lb.warmFraction(b) * math.Min(1, float64(b.overdue)/2)
@@ -50,7 +51,7 @@
 	}
 }
 
-// recordLoadReport takes over the queue length from a backend's load report.
+// recordLoadReport stores the queue length from a backend's load report.
 func (lb *Balancer) recordLoadReport(b *backend, load []float32) {
 	for i, value := range load {
 		if i < len(lb.settings.LoadReportMetrics) && lb.settings.LoadReportMetrics[i] != Unused {
@@ -60,8 +61,8 @@
 	}
 }
 
-// CountBackends returns how many backends discovery lists, and how many of those are avoided: they
-// are draining or ejected. It changes nothing.
+// CountBackends returns how many backends discovery lists, and how many of those are avoided
+// because they are draining or ejected. It changes no state.
 func (lb *Balancer) CountBackends() (listed, avoided int) {
 	for _, b := range lb.backends {
 		if !b.listed || b.State == Removed {
--- a/internal/dataplane/policy/hedge.go
+++ b/internal/dataplane/policy/hedge.go
@@ -2,12 +2,12 @@
 
 const (
 	hedgeAfterMeanLatencies   Time    = 10   // of the class
-	minHedgeObjectiveFraction float64 = 0.05 // a moment's pause is no fault
+	minHedgeObjectiveFraction float64 = 0.05 // a short pause must not cause a hedge
 )
 
-// hedgeAt returns when the attempt just made is given up for another one, or 0 if it keeps the
-// client's deadline. It is given up only where another attempt may be made, the back end has
-// capacity for it, and it can still be answered within the latency objective.
+// hedgeAt returns when the attempt just made is given up for another one, or 0 if it may last until
+// the client's deadline. It is given up only if another attempt may be made, the back end has
+// capacity for that, and the answer can still arrive within the latency objective.
 func (lb *Balancer) hedgeAt(r *request) Time {
 	class := &lb.settings.Classes[r.Class]
 	if class.Idempotency == NotIdempotent || !lb.retries.covers(executedRetryCost) ||
--- a/internal/dataplane/policy/home.go
+++ b/internal/dataplane/policy/home.go
@@ -3,27 +3,27 @@
 import "math"
 
 const (
-	homeTimeoutObjectives = 0.1  // shortest latency objectives for which a home's answer is awaited
-	maxQueryFraction      = 0.7  // of the messages a home takes in, for queries of one customer
-	homeReserveFraction   = 0.75 // of a burst, kept for chance in what the set requests
-	minGrant              = 0.01 // so that no customer is shut out for good
-	grantTolerance        = 0.1  // by what part a remote gateway's grant may be off uncorrected
+	homeTimeoutObjectives = 0.1  // wait for a home's answer, in shortest latency objectives
+	maxQueryFraction      = 0.7  // of the messages a home can take in, for queries of one customer
+	homeReserveFraction   = 0.75 // of a burst, reserved for random variation of the demand
+	minGrant              = 0.01 // so that no customer is locked out permanently
+	grantTolerance        = 0.1  // relative error of a remote gateway's grant that is not corrected
 	grantChangeFactor     = 1.25 // the change of a grant that is announced to the whole set
-	maxSavedRequests      = 2.0  // requests that a local share under a grant saves up
+	maxSavedRequests      = 2.0  // requests for which a local share under a grant accumulates units
 )
 
-// homeGrant is the state of a customer whose gateway set is so large that one of them, its home
-// replica, keeps the bucket. The home grants each gateway a fraction of what is requested there.
+// homeGrant is the state of a customer whose gateway set is so large that one of the gateways, its
+// home, keeps the bucket. The home grants each gateway a fraction of the units requested there.
 type homeGrant struct {
 	grantFraction         float64
 	localShare            float64 // units that a remote gateway may grant under a fraction below 1
-	homeQueries           byte    // the number of the last query, wraps
-	announcedGrant        float64 // at home: the fraction last announced to the whole set
-	nextGrantAnnouncement Time    // at home: when it may be announced again
+	homeQueries           byte    // number of the last query, wraps around
+	announcedGrant        float64 // at the home: the fraction last announced to the whole set
+	nextGrantAnnouncement Time    // at the home: when it may be announced again
 }
 
-// hasHome reports whether a customer's set is too large for its gateways to announce all use to one
-// another.
+// hasHome reports whether a customer's set is too large for its gateways to announce all use to
+// each other.
 func (lb *Balancer) hasHome(c *customer) bool {
 	return lb.settings.Peers && c.spread > maxDirectPeers && lb.allocations == nil
 }
@@ -39,7 +39,7 @@
 	return lb.hasHome(c) && lb.homeOf(c) != lb.settings.Self
 }
 
-// homeTimeout returns how long a home's answer is awaited.
+// homeTimeout returns how long a request waits for a home's answer.
 func (lb *Balancer) homeTimeout() Time {
 	return Time(homeTimeoutObjectives * float64(lb.minObjective))
 }
@@ -60,13 +60,13 @@
 	return lb.consultsHome(c) || !lb.underCeiling(c, r.Units)
 }
 
-// queryHome asks the home for a request's units, also of the ceiling if this gateway's part of that
-// lacks them. The request waits for the answer.
+// queryHome queries the home for a request's units, and also for units of the ceiling if this
+// gateway's part of that lacks them. The request waits for the answer.
 func (lb *Balancer) queryHome(r *request) {
 	c := r.customer
 	c.homeQueries++
 	r.chargesHomeCeiling = !lb.underCeiling(c, r.Units)
-	r.queryNumber = max(1, c.homeQueries) // 0 stands for no query
+	r.queryNumber = max(1, c.homeQueries) // 0 means no query
 	e := lb.usageEntryOf(c)
 	e.queryHalves = byte(math.Ceil(2 * r.Units))
 	e.queryNumber = r.queryNumber
@@ -76,7 +76,7 @@
 	lb.awaitUnits(r)
 }
 
-// awaitUnits has a request wait for units from elsewhere, for a bounded time.
+// awaitUnits makes a request wait for units from elsewhere, for a limited time.
 func (lb *Balancer) awaitUnits(r *request) {
 	r.decideBy = lb.now + min(lb.homeTimeout(), r.Timeout/2)
 	lb.actions.SetTimer(r.decideBy, decisionTimer)
@@ -84,8 +84,8 @@
 	lb.awaitingUnits = append(lb.awaitingUnits, r)
 }
 
-// decideAwaiting decides on the request that a home's answer is for, and on those that have waited
-// long enough, which the local share under the home's last grant then decides.
+// decideAwaiting decides on the request that a home's answer is for, and on those whose wait is
+// over. The local share under the home's last grant decides on the latter.
 func (lb *Balancer) decideAwaiting(c *customer, answer grantEntry) {
 	kept := lb.awaitingUnits[:0]
 	for _, r := range lb.awaitingUnits {
@@ -120,7 +120,7 @@
 	lb.admit(r, granted)
 }
 
-// decideUnanswered decides on a request that has waited in vain.
+// decideUnanswered decides on a request that received no answer in time.
 func (lb *Balancer) decideUnanswered(r *request) {
 	c := r.customer
 	r.chargesHomeCeiling = false
@@ -128,8 +128,8 @@
 	lb.admit(r, lb.withinQuota(c, r.Units))
 }
 
-// addGrantedDemand adds the granted fraction of a request's units to the local share, which gives a
-// gateway that rarely sees a customer a rate that follows its demand.
+// addGrantedDemand adds the granted fraction of a request's units to the local share. This gives a
+// gateway that rarely sees a customer a rate that follows the demand.
 func (lb *Balancer) addGrantedDemand(c *customer, units float64) {
 	if lb.consultsHome(c) {
 		return
@@ -137,14 +137,14 @@
 	c.localShare = math.Min(c.localShare+c.grantFraction*units, maxSavedRequests*units)
 }
 
-// applyGrant takes over the grant that a customer's home tells, and its answer to a query.
+// applyGrant applies the grant that a customer's home has sent, and its answer to a query.
 func (lb *Balancer) applyGrant(grant grantEntry) {
 	c := lb.customers[grant.id]
 	if c == nil || !lb.isRemote(c) {
 		return
 	}
 	if c.grantFraction == 1 && grant.fraction < 1 {
-		// Drawn, so that not all gateways hold a request, or none, at the same time.
+		// Random, so that not all local shares, or none, cover a request at the same time.
 		c.localShare = lb.rand.Float64() * c.lastUnits
 	}
 	c.grantFraction = grant.fraction
@@ -153,9 +153,9 @@
 	}
 }
 
-// updateGrant has a home set the fraction that it grants: what the rate brings and the bucket holds
-// beyond the reserve, over all that was requested, both in the demand window. A large enough change
-// is announced to the whole set, unless the gateways query the home for each request.
+// updateGrant updates the fraction that a home grants: the units that the bucket gains in the
+// demand window and holds beyond the reserve, divided by all units requested in the window. A large
+// enough change is announced to the whole set, unless the gateways query the home for each request.
 func (lb *Balancer) updateGrant(c *customer) {
 	rate := lb.settings.Plans[c.plan].Rate
 	if !lb.hasHome(c) || lb.isRemote(c) || rate == 0 {
@@ -175,7 +175,7 @@
 	}
 }
 
-// grantChanged reports whether the grant differs enough from the announced one.
+// grantChanged reports whether the grant differs enough from the announced one to be announced.
 func (g *homeGrant) grantChanged() bool {
 	if g.grantFraction == 1 && g.announcedGrant < 1 {
 		return true
@@ -184,8 +184,8 @@
 		g.grantFraction < g.announcedGrant/grantChangeFactor
 }
 
-// answerQuery grants or denies the units that a remote gateway asks for, and takes granted ones off
-// the bucket before it answers.
+// answerQuery grants or denies the units that a remote gateway queries, and deducts granted units
+// from the bucket before it answers.
 func (lb *Balancer) answerQuery(c *customer, from int, totals *peerTotals, e *usageEntry) {
 	units := float64(e.queryHalves) / 2
 	answer := grantEntry{id: c.id, fraction: c.grantFraction, queryNumber: e.queryNumber}
@@ -200,7 +200,7 @@
 	lb.actions.SendToPeer(from, answer.appendTo(lb.newPeerMessage()))
 }
 
-// correctGrant sends a remote gateway the grant if the one that it goes by is too far off.
+// correctGrant sends the grant to a remote gateway if the one that it uses is too far off.
 func (lb *Balancer) correctGrant(c *customer, from int, fraction float64) {
 	if lb.hasHome(c) && math.Abs(fraction-c.grantFraction) > grantTolerance*c.grantFraction {
 		lb.queueGrant(from, c)
--- a/internal/dataplane/policy/outlier.go
+++ b/internal/dataplane/policy/outlier.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	ejectionErrorRate    = 0.25 // of recent answers, those that are errors
+	ejectionErrorRate    = 0.25 // fraction of errors among recent answers
 	connectionFaultDecay = second
 	maxRecentResets      = 2.5
 	minProbeBackoff      = second / 2
 	maxProbeBackoff      = 4 * second
 	latencyRatioHalfLife = 4 * second
 	maxLatencyRatio      = 20.0 // of a single answer
-	promptAnswerFactor   = 2.0  // usual latencies within which an answer shows a warm backend
+	promptAnswerFactor   = 2.0  // usual latencies up to which an answer shows a warm backend
 )
 
-// outlierState is a backend's health as this gateway sees it. An unhealthy backend, or one with too
-// many errors, is ejected: it is sent nothing but trials.
+// outlierState is a backend's health as seen by this gateway. An unhealthy backend, or one with too
+// many errors, is ejected: it receives nothing but trials.
 type outlierState struct {
 	unhealthy        bool // until a trial succeeds
 	unresponsive     bool // unhealthy without a sign that its process has ended
@@ -28,14 +28,15 @@
 	nextProbe        Time
 }
 
-// latencyState is how slow a backend is.
+// latencyState tracks how slow a backend is.
 type latencyState struct {
-	latencyRatio   float64 // to the usual latency of each class; 0: not known
+	latencyRatio   float64 // to the usual latency of each class; 0: unknown
 	latencyRatioAt Time
 }
 
-// ejected reports whether a backend is left out. If probes are allowed, they are the trials of an
-// unhealthy one; else, and after errors, single requests are.
+// ejected reports whether a backend may be sent no requests now. If probes are allowed, they are
+// the trials of an unhealthy backend. Without probes, and after errors, the trials are single
+// requests.
 func (lb *Balancer) ejected(b *backend) bool {
 	if b.unhealthy && lb.settings.Probes {
 		return true
@@ -46,13 +47,13 @@
 	return lb.now < b.nextProbe || b.inFlight > 0
 }
 
-// eject leaves a backend out, each time in a row for longer.
+// eject ejects a backend, for longer with each ejection in a row.
 func (lb *Balancer) eject(b *backend, reason string) {
 	b.startEjection(lb.now)
 	lb.actions.Log(fmt.Sprintf("backend %d ejected: %s", b.Backend, reason))
 }
 
-// startEjection sets when the backend is tried again. An ejection that follows the last one closely
+// startEjection sets when the backend is tried again. An ejection soon after the previous one
 // doubles the wait.
 func (s *outlierState) startEjection(now Time) {
 	if now-s.ejectedAt > 2*maxProbeBackoff {
@@ -70,9 +71,9 @@
 	s.nextProbe = now + s.probeBackoff
 }
 
-// readmit ends an ejection for bad health. Where no connection could be made, the process may have
-// restarted, whether discovery tells so or not, and the backend enters slow start. One that was
-// unresponsive or only reset connections is still warm.
+// readmit ends an ejection for bad health. If no connection could be made, the process may have
+// restarted, whether discovery reports that or not, and the backend enters slow start. A backend
+// that was unresponsive or only reset connections is still warm.
 func (lb *Balancer) readmit(b *backend) {
 	if !b.unhealthy {
 		return
@@ -87,7 +88,8 @@
 	lb.actions.Log(fmt.Sprintf("backend %d readmitted", b.Backend))
 }
 
-// recordOutcome learns from how an attempt ended. The duration is in microseconds.
+// recordOutcome updates a backend's health and latency by the outcome of an attempt. The duration
+// is in microseconds.
 func (lb *Balancer) recordOutcome(a *attempt, class int, r Result, duration float64) {
 	b := a.backend
 	switch r {
@@ -108,7 +110,7 @@
 		b.recordError(1)
 		lb.ejectForErrors(b)
 	case ConnectFailed, Reset:
-		b.maybeRestarted = true // before anybody tells of that
+		b.maybeRestarted = true // before discovery reports it
 		if !lb.recordConnectionFault(b, r) {
 			b.recordError(1)
 			lb.ejectForErrors(b)
@@ -121,22 +123,22 @@
 	s.errorRate += fastSampleWeight * (failed - s.errorRate)
 }
 
-// ejectForErrors ejects a backend with too many errors, unless it is out already.
+// ejectForErrors ejects a backend with too many errors, unless it is ejected already.
 func (lb *Balancer) ejectForErrors(b *backend) {
 	if b.errorRate >= ejectionErrorRate && lb.now >= b.nextProbe {
 		lb.eject(b, "errors")
 	}
 }
 
-// recordPromptness ends the suspicion that a backend has restarted once an answer is prompt.
+// recordPromptness clears the suspicion that a backend has restarted if an answer was prompt.
 func (lb *Balancer) recordPromptness(b *backend, class int, duration float64) {
 	objective := float64(lb.settings.Classes[class].LatencyObjective)
 	usual := math.Max(lb.classLatencies[class].value, saturationLatencyFraction*objective)
 	b.maybeRestarted = b.maybeRestarted && duration > promptAnswerFactor*usual
 }
 
-// recordLatency adds an answer's latency to the means and to the backend's ratio. In slow start a
-// backend is taken to be slower in proportion.
+// recordLatency adds an answer's latency to the means and to the backend's ratio. A backend in slow
+// start is expected to be slower in proportion.
 func (lb *Balancer) recordLatency(b *backend, class int, r Result, duration float64) {
 	warm := lb.warmFraction(b)
 	if r == OK && warm == 1 {
@@ -149,14 +151,14 @@
 	}
 }
 
-// addLatencyRatio adds an answer's latency, in usual ones.
+// addLatencyRatio adds the ratio of an answer's latency to the usual one.
 func (s *latencyState) addLatencyRatio(now Time, ratio float64) {
 	current := s.currentLatencyRatio(now)
 	s.latencyRatio = current + fastSampleWeight*(math.Min(ratio, maxLatencyRatio)-current)
 	s.latencyRatioAt = now
 }
 
-// currentLatencyRatio returns the ratio as of now: without answers it returns to 1.
+// currentLatencyRatio returns the ratio as of now. Without answers it decays to 1.
 func (s *latencyState) currentLatencyRatio(now Time) float64 {
 	if s.latencyRatio == 0 {
 		return 1
@@ -167,7 +169,7 @@
 
 // recordConnectionFault records that a connection to a backend failed or was reset, and reports
 // whether the backend is unhealthy. A single reset concerns a single connection. Even after many
-// the process may still run, and be warm: only a failure to connect shows that it has ended.
+// resets the process may still run and be warm: only a failure to connect shows that it has ended.
 func (lb *Balancer) recordConnectionFault(b *backend, r Result) bool {
 	b.connectionFaults.add(lb.now, connectionFaultDecay, 1)
 	if r == Reset && b.connectionFaults.sum < maxRecentResets {
--- a/internal/dataplane/policy/peermessage.go
+++ b/internal/dataplane/policy/peermessage.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// The form of a peer message: a header with the version, the sender's incarnation and its load
+// The format of a peer message: a header with the version, the sender's incarnation and its load
 // view, then items, each of which begins with its kind. Numbers are little-endian.
 const (
 	peerMessageVersion = 2
@@ -16,11 +16,11 @@
 	grantSize       = 9
 	faultReportSize = 6
 
-	wireUnitsPerUnit = 8.0 // units are sent in eighths, their totals wrap
+	wireUnitsPerUnit = 8.0 // units are sent in eighths; totals wrap around
 )
 
-// The wanted units of an entry are sent in halves; the highest bit tells that they are wanted of
-// the ceiling too.
+// The units that an entry queries are sent in halves; the highest bit tells that units of the
+// ceiling are queried, too.
 const (
 	maxQueryHalves = 127
 	ceilingFlag    = 128
@@ -43,7 +43,7 @@
 	faults      []faultReport
 }
 
-// usageEntry tells of one customer. Totals and differences are in wire units.
+// usageEntry reports one customer's use. Totals and differences are in wire units.
 type usageEntry struct {
 	id             uint64
 	plan           int
@@ -51,14 +51,14 @@
 	spread         int
 	consumed       uint16 // in this incarnation
 	requested      uint16 // in this incarnation
-	newlyRequested uint16 // of those requested, since the last message; at most 255
-	queryHalves    byte   // halves of units that a query asks for
+	newlyRequested uint16 // part of requested since the last message; at most 255
+	queryHalves    byte   // queried units, in halves
 	queryNumber    byte   // 0: no query
 	queriesCeiling bool
-	remaining      float64 // of the bucket, as a part of the burst; with a home, the grant
+	remaining      float64 // level of the bucket as a fraction of the burst; with a home, the grant
 }
 
-// grantEntry is what a home tells its set of one customer.
+// grantEntry is what a home sends to its set about one customer.
 type grantEntry struct {
 	id          uint64
 	fraction    float64
@@ -66,7 +66,8 @@
 	granted     bool
 }
 
-// faultReport tells of a fault at a backend for a class or, numbered after all classes, a plan.
+// faultReport reports a fault at a backend for a class or a plan. Plans are numbered after all
+// classes.
 type faultReport struct {
 	backend uint32
 	subject byte
@@ -110,7 +111,7 @@
 	return append(binary.LittleEndian.AppendUint32(message, r.backend), r.subject)
 }
 
-// parsePeerMessage decodes a message. One of another version or a wrong length is not ok.
+// parsePeerMessage decodes a message. It returns false for another version or a wrong length.
 func parsePeerMessage(raw []byte) (m peerMessage, ok bool) {
 	if len(raw) < headerSize || raw[0] != peerMessageVersion {
 		return m, false
@@ -187,8 +188,8 @@
 
 func fromWireUnits(units uint16) float64 { return float64(units) / wireUnitsPerUnit }
 
-// packFraction returns a fraction in a byte, more finely near 0, and rounded down: by what is said
-// to remain another gateway may grant requests.
+// packFraction encodes a fraction in a byte, with more precision near 0. It rounds down, since
+// another gateway may grant requests by what is reported to remain.
 func packFraction(x float64) byte {
 	return byte(math.MaxUint8 * math.Sqrt(math.Min(1, math.Max(0, x))))
 }
--- a/internal/dataplane/policy/picker.go
+++ b/internal/dataplane/policy/picker.go
@@ -4,14 +4,14 @@
 
 const (
 	crossZoneLoadWeight    = 5.0         // load per unit of the settings' cross-zone price
-	idleConnectionLifetime = 10 * second // after which a backend may have closed it
-	handshakeLoad          = 1.0         // of a connection that serves a single request
+	idleConnectionLifetime = 10 * second // after which a backend may have closed the connection
+	handshakeLoad          = 1.0         // added by a new connection that serves a single request
 	reportedQueueLifetime  = second
 )
 
 // pick returns the least loaded usable backend, or nil. It prefers healthy backends that the
-// request has not tried; without any it is in panic mode, and ignores health. A request with an
-// idempotency key that may have been executed stays within its attempt's scope.
+// request has not tried; if there is none, it enters panic mode and ignores health. A request with
+// an idempotency key that may have been executed stays within the scope of that attempt.
 func (lb *Balancer) pick(r *request, within *attempt) *backend {
 	for _, panicMode := range []bool{false, true} {
 		if b := lb.pickLeastLoaded(r, within, panicMode); b != nil {
@@ -21,7 +21,8 @@
 	return nil
 }
 
-// pickLeastLoaded draws among equally loaded backends in proportion to their weights.
+// pickLeastLoaded returns the usable backend with the lowest load score, or nil. Among equal scores
+// it draws in proportion to the weights.
 func (lb *Balancer) pickLeastLoaded(r *request, within *attempt, panicMode bool) *backend {
 	var best *backend
 	bestScore := math.Inf(1)
@@ -47,7 +48,7 @@
 	return best
 }
 
-// usable reports whether a backend may be sent a request.
+// usable reports whether a request may be sent to a backend.
 func (lb *Balancer) usable(b *backend, r *request, within *attempt, panicMode bool) bool {
 	if b.State != Ready || !b.listed || !lb.slowStartAllows(b) {
 		return false
@@ -61,9 +62,9 @@
 	return panicMode || !lb.ejected(b) && !r.tried(b)
 }
 
-// loadScore returns the time that a request may have to wait at a backend, relative to others. An
-// idle backend is no better for its weight: each of many gateways has next to nothing in flight
-// anywhere, and all would send to the largest alone.
+// loadScore returns the time that a request may have to wait at a backend, relative to others. The
+// weight does not improve the score of an idle backend: in a large fleet each gateway has hardly
+// any attempts in flight, and all gateways would send to the largest backend only.
 func (lb *Balancer) loadScore(b *backend) float64 {
 	queue := float64(b.inFlight)
 	if lb.now-b.queueReportedAt < reportedQueueLifetime {
@@ -81,9 +82,9 @@
 	return score
 }
 
-// needsHandshake reports whether a request to a backend probably takes a new connection, and
-// whether that matters: in a large fleet each gateway sends a backend a request now and then only,
-// and nearly every one would pay for a handshake.
+// needsHandshake reports whether a request to a backend probably needs a new connection and whether
+// that matters: in a large fleet each gateway sends requests to any one backend so rarely that
+// nearly every request would pay for a handshake.
 func (lb *Balancer) needsHandshake(b *backend) bool {
 	if lb.settings.Gateways <= maxConcurrentTrials {
 		return false
@@ -94,7 +95,8 @@
 	return lb.warmFraction(b) == 1
 }
 
-// relativeWeight returns a backend's capacity, in mean capacities, as far as the list tells.
+// relativeWeight returns a backend's capacity relative to the mean, or 1 if the endpoint list has
+// no comparable weight for it.
 func (lb *Balancer) relativeWeight(b *backend) float64 {
 	if lb.settings.ComparableWeights && b.Weight > 0 && lb.meanWeight > 0 {
 		return b.Weight / lb.meanWeight
--- a/internal/dataplane/policy/quota.go
+++ b/internal/dataplane/policy/quota.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// maxStartupTime is the longest time for which a new gateway holds no more than an even share.
+// maxStartupTime limits the time for which a new gateway grants no more than an even share.
 const maxStartupTime = second / 2
 
-// quotaFraction returns this gateway's fraction of a customer's quota: that of recent demand, or
-// what the meter tells. A gateway that is not heard counts as idle.
+// quotaFraction returns this gateway's fraction of a customer's quota: its fraction of recent
+// demand, or the one that the meter reports. A gateway that sends no messages counts as idle.
 func (lb *Balancer) quotaFraction(c *customer) float64 {
 	ownDemand := c.localDemand.get(lb.now, c.demandWindow)
 	switch {
@@ -35,9 +35,10 @@
 	return lb.availableByGossip(c)
 }
 
-// availableByGossip returns this gateway's fraction of the bucket as of the last message, less what
-// it has consumed since; or, if that is more, what the peers will not have consumed before they are
-// heard again. The fraction alone may be less than a request where the burst is small.
+// availableByGossip returns this gateway's fraction of the bucket as of its last announcement, less
+// what it has consumed since; or, if that is more, what the peers are not expected to consume
+// before their next messages arrive. With a small burst the fraction alone may be less than a
+// request.
 func (lb *Balancer) availableByGossip(c *customer) float64 {
 	unannounced := c.consumed - c.announcedConsumed
 	delay := float64(lb.notificationDelay(c))
@@ -46,7 +47,7 @@
 	return math.Max(share, c.bucket.level-expectedPeerUse)
 }
 
-// peersHaveReported reports whether peers had the time to tell of all buckets that are not full.
+// peersHaveReported reports whether peers have had time to report all buckets that are not full.
 func (lb *Balancer) peersHaveReported() bool {
 	return lb.now-lb.startedAt >= min(maxStartupTime, startupPeriods*lb.gossipInterval)
 }
@@ -70,8 +71,8 @@
 	return float64(c.inFlight) < math.Max(1, share)
 }
 
-// consume takes units from a customer's quota, and has the peers notified. Negative units are
-// given back.
+// consume takes units from a customer's quota and notifies the peers. Negative units are given
+// back.
 func (lb *Balancer) consume(c *customer, units float64) {
 	c.bucket.level -= units
 	c.localShare = math.Max(0, c.localShare-units)
@@ -80,8 +81,8 @@
 	lb.notifyPeersNow(c)
 }
 
-// refillDelay returns how long it takes until the quota covers a request. Where the gateways share
-// one bucket, it fills for all of them at once.
+// refillDelay returns the time until the quota covers a request. A bucket that the gateways share
+// fills for all of them at once.
 func (lb *Balancer) refillDelay(r *request) Time {
 	if r.retryAfter > 0 {
 		return r.retryAfter
--- a/internal/dataplane/policy/rejectreason.go
+++ b/internal/dataplane/policy/rejectreason.go
@@ -14,10 +14,10 @@
 	ReasonCeiling                       // this gateway's part of the ceiling is used up
 	ReasonNoBackend                     // no backend may be sent the request
 	ReasonAttemptLimit                  // all attempts that may be made have failed
-	ReasonTooLate                       // it had waited too long before it came
+	ReasonTooLate                       // it had waited too long before it arrived
 )
 
-// rejectReasonNames are the words in the gateway's record of rejections.
+// rejectReasonNames are the names of the reasons in the gateway's record of rejections.
 var rejectReasonNames = [...]string{
 	ReasonLocalShare:       "slice",
 	ReasonQuota:            "store",
@@ -30,16 +30,16 @@
 	ReasonTooLate:          "late",
 }
 
-// String returns the reason in a word or two.
+// String returns the reason's name in the gateway's record of rejections.
 func (r RejectReason) String() string { return rejectReasonNames[r] }
 
-// OnReject has f called with the reason for each rejection, just before it is given. It serves
-// those who look for a cause.
+// OnReject has f called with the reason for each rejection, just before the rejection. It serves
+// diagnosis.
 func (lb *Balancer) OnReject(f func(id uint64, reason RejectReason)) { lb.onReject = f }
 
-// RemainingQuota returns what is left of a customer's whole bucket, as far as known here, and what
-// of it may be consumed here, in units at the last event. If the customer is not known its bucket
-// is full. Like OnReject it serves those who look for a cause.
+// RemainingQuota returns how many units are left in a customer's whole bucket, as far as known
+// here, and how many of them may be consumed here, at the last event. The bucket of a customer that
+// is not known is full. Like OnReject it serves diagnosis.
 func (lb *Balancer) RemainingQuota(customer uint64) (whole, here float64, known bool) {
 	c := lb.customers[customer]
 	if c == nil {
--- a/internal/dataplane/policy/retry.go
+++ b/internal/dataplane/policy/retry.go
@@ -3,34 +3,36 @@
 import "math"
 
 const (
-	retryBudgetRatio     = 0.2  // further attempts that a first attempt earns
-	maxRetryBudget       = 10.0 // further attempts saved up
+	retryBudgetRatio     = 0.2  // retries that a first attempt earns
+	maxRetryBudget       = 10.0 // retries that can accumulate
 	executedRetryCost    = 1.0
 	notExecutedRetryCost = 0.1 // after an attempt that cost the back end next to nothing
 
-	// retryTimeDivisor: a retry needs one tenth of the latency objective until the deadline.
+	// retryTimeDivisor divides the latency objective: a retry needs more than one tenth of it until
+	// the deadline.
 	retryTimeDivisor = 10
 
-	// deduplicationMarginTicks is how much earlier a deduplication window is taken to close.
+	// deduplicationMarginTicks is how many ticks earlier a deduplication window is assumed to
+	// close.
 	deduplicationMarginTicks = 4
 )
 
-// retryBudget is the number of further attempts that may be made. It bounds the load that retries
-// add to a back end that fails.
+// retryBudget is the number of retries that may be made. It bounds the load that retries add to a
+// failing back end.
 type retryBudget struct{ attempts float64 }
 
-// earn adds what a first attempt earns.
+// earn adds the retries that a first attempt earns.
 func (b *retryBudget) earn() {
 	b.attempts = math.Min(maxRetryBudget, b.attempts+retryBudgetRatio)
 }
 
-// covers reports whether a retry of a cost may be made.
+// covers reports whether the budget suffices for a retry of a cost.
 func (b *retryBudget) covers(cost float64) bool { return b.attempts >= cost }
 
-// spend takes the cost of a retry.
+// spend deducts the cost of a retry.
 func (b *retryBudget) spend(cost float64) { b.attempts -= cost }
 
-// retryOrAnswer sends a request again after its last attempt has failed, or gives its final answer.
+// retryOrAnswer retries a request whose last attempt has failed, or gives its final answer.
 func (lb *Balancer) retryOrAnswer(r *request, last *attempt) {
 	decision := lb.mayRetry(r, r.attempts, lb.now)
 	if decision.allowed {
@@ -50,7 +52,7 @@
 	}
 }
 
-// retry sends a further attempt if the limits allow it and there is a backend for it.
+// retry sends a further attempt and returns true if the limits allow it and a backend is usable.
 func (lb *Balancer) retry(r *request, within *attempt, cost float64) bool {
 	objective := lb.settings.Classes[r.Class].LatencyObjective
 	if len(r.attempts) >= lb.settings.MaxAttempts || !lb.retries.covers(cost) {
@@ -68,9 +70,9 @@
 	return true
 }
 
-// MayStillSend reports whether an attempt that a Send asked for may be written now. The host may
-// have waited for a connection, while a deduplication window closes. It changes nothing and may be
-// called during Send.
+// MayStillSend reports whether an attempt that was requested by Send may be written now. The
+// deduplication window may have closed while the host waited for a connection. It changes no state
+// and may be called during Send.
 func (lb *Balancer) MayStillSend(now Time, id uint64, attempt int) bool {
 	r := lb.requests[id]
 	if r == nil || attempt >= len(r.attempts) {
@@ -79,11 +81,11 @@
 	return lb.mayRetry(r, r.attempts[:attempt], now).allowed
 }
 
-// retryDecision tells how a request may go on after the attempts made.
+// retryDecision tells how a request may continue after the attempts made.
 type retryDecision struct {
 	allowed   bool     // it may be sent again
 	within    *attempt // only within this attempt's deduplication scope; nil: anywhere
-	mayReject bool     // the client may be told that a repetition is harmless
+	mayReject bool     // the client may be told that a retry is harmless
 }
 
 func (lb *Balancer) mayRetry(r *request, made []*attempt, now Time) retryDecision {
@@ -91,7 +93,7 @@
 	return lb.settings.Classes[r.Class].mayRetry(made, lb.settings.Hedging, now, margin)
 }
 
-// mayRetry decides whether a request may be sent again. A deduplication window is taken to close
+// mayRetry decides whether a request may be sent again. A deduplication window is assumed to close
 // earlier by the margin.
 func (c *Class) mayRetry(made []*attempt, hedging bool, now, margin Time) retryDecision {
 	d := retryDecision{allowed: true, mayReject: true}
@@ -114,7 +116,8 @@
 	return d
 }
 
-// sameScope reports whether two backends drop each other's repetitions.
+// sameScope reports whether two backends are in one deduplication scope: they drop each other's
+// repetitions.
 func (c *Class) sameScope(a, b *backend) bool {
 	switch c.DeduplicationScope {
 	case ScopeZone:
--- a/internal/dataplane/policy/saturation.go
+++ b/internal/dataplane/policy/saturation.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	saturationLatencyFraction = 0.35 // of the objective, the mean latency of a saturated back end
+	saturationLatencyFraction = 0.35 // of the objective: mean latency of a saturated back end
 	minInFlight               = 3.0  // attempts that a healthy backend may always hold
-	minInFlightWhenLate       = 1.0  // the same while all answers are late, so that it drains
+	minInFlightWhenLate       = 1.0  // the same while all answers are late, so that queues drain
 	sufficientAnswerRate      = 8.0  // answers a second that count as much as all peers' load views
 	minOwnInFlight            = 2.0  // attempts one gateway may always have in flight
-	ownCapacityFactor         = 2.0  // even shares of the capacity that it may use beyond that
+	ownCapacityFactor         = 2.0  // even shares of the capacity that it may use in addition
 )
 
-// saturationState estimates how much the back end can do, and how much of that is used.
+// saturationState estimates the back end's capacity and how much of it is used.
 type saturationState struct {
-	withinObjective [][]*attempt  // of each class, oldest first: those not yet past their objective
+	withinObjective [][]*attempt  // of each class, oldest first: those not past their objective
 	onTime          decayingSum   // answers within their objective, over a second
-	lateFraction    runningMean   // of recent answers, those past their objective
+	lateFraction    runningMean   // fraction of recent answers that were past their objective
 	meanLatency     runningMean   // microseconds
 	classLatencies  []runningMean // microseconds, of each class
 	minObjective    Time          // the shortest latency objective
@@ -24,15 +24,15 @@
 	peerLoad
 }
 
-// peerLoad is what peers told of their load in the last second, each counted once.
+// peerLoad is the load that peers reported in the last second, each peer counted once.
 type peerLoad struct {
 	activePeers   decayingSum // peers
 	peersInFlight decayingSum // attempts
 	peersOnTime   decayingSum // answers a second
 }
 
-// add merges a peer's load. The weight is below 1 if the peer has told of its load less than a
-// second ago, so that it counts as one however often it does.
+// add merges a peer's load report. The weight is below 1 if the peer's previous report is less than
+// a second old, so that a peer counts once however often it reports.
 func (p *peerLoad) add(now Time, weight, inFlight, onTime float64) {
 	p.activePeers.add(now, second, weight)
 	p.peersInFlight.add(now, second, weight*inFlight)
@@ -51,7 +51,7 @@
 	return s
 }
 
-// saturated reports whether a part of the back end's capacity is used up. The capacity is the
+// saturated reports whether a fraction of the back end's capacity is used up. The capacity is the
 // number of attempts that are answered within their objective in the time that an answer may take.
 func (lb *Balancer) saturated(fraction float64) bool {
 	lb.refreshHealth()
@@ -64,14 +64,14 @@
 	if inFlight >= capacity*fraction {
 		return true
 	}
-	// Many gateways may start or see more demand at the same moment, so that one may use more than
-	// an even share, yet not all of it.
+	// Demand may rise at many gateways at the same moment, also when they all start. One gateway
+	// may therefore use more than an even share of the capacity, but not all of it.
 	ownLimit := minOwnInFlight + ownCapacityFactor*capacity/gateways*fraction
 	return lb.effectiveInFlight() >= ownLimit
 }
 
 // saturationLatency returns the latency that an answer may have, in microseconds. A loaded back end
-// slows down all classes alike: the class with the tightest objective sets it.
+// slows down all classes alike, so the class with the tightest objective determines it.
 func (s *saturationState) saturationLatency(classes []Class) float64 {
 	allowed := math.Inf(1)
 	for i, latency := range s.classLatencies {
@@ -86,9 +86,9 @@
 	return allowed
 }
 
-// loadView returns the attempts in flight and the answers on time in a second, with those of the
-// peers, and of how many gateways that is the load. On its own a gateway may see only a few answers
-// a second; the more it sees, the less the peers' older figures count.
+// loadView returns the attempts in flight and the on-time answers a second, including those of the
+// peers, and the number of gateways covered. A single gateway may see only a few answers a second;
+// the more it sees, the less the peers' older figures count.
 func (lb *Balancer) loadView() (inFlight, onTime, gateways float64) {
 	weight := lb.peerWeight()
 	inFlight = lb.effectiveInFlight() + weight*lb.peersInFlight.get(lb.activeTime, second)
@@ -97,16 +97,16 @@
 	return inFlight, onTime, gateways
 }
 
-// peerWeight returns how much the peers' figures count, from 0 to 1.
+// peerWeight returns the weight of the peers' figures, from 0 to 1.
 func (lb *Balancer) peerWeight() float64 {
 	own := lb.onTime.get(lb.activeTime, second)
 	return sufficientAnswerRate / (sufficientAnswerRate + own)
 }
 
-// effectiveInFlight returns how many attempts the back end works on for this gateway. Overdue ones
-// count as far as answers are late everywhere: lost or stuck at a few backends they would reject
-// what the others can serve. Those at an unhealthy backend do not count, at a slow one they count
-// less.
+// effectiveInFlight returns how many attempts the back end is working on for this gateway. Overdue
+// attempts count only to the extent that answers are late everywhere: otherwise those that are lost
+// or stuck at a few backends would cause the rejection of requests that the others can serve.
+// Attempts at an unhealthy backend do not count, and those at a slow one count less.
 func (lb *Balancer) effectiveInFlight() float64 {
 	total := 0.0
 	for _, b := range lb.backends {
@@ -119,7 +119,7 @@
 	return total
 }
 
-// refreshHealth brings overdue attempts and the health of the backends up to date.
+// refreshHealth updates the overdue attempts and the health of the backends.
 func (lb *Balancer) refreshHealth() {
 	for class := range lb.withinObjective {
 		lb.markOverdue(class, lb.settings.Classes[class].LatencyObjective)
@@ -138,7 +138,8 @@
 	}
 }
 
-// markOverdue marks the attempts of a class that have been in flight for longer than an age.
+// markOverdue marks as overdue the attempts of a class that have been in flight for longer than an
+// age.
 func (lb *Balancer) markOverdue(class int, age Time) {
 	attempts := lb.withinObjective[class]
 	for len(attempts) > 0 && lb.now-attempts[0].sentAt > age {
@@ -152,8 +153,8 @@
 	lb.withinObjective[class] = attempts
 }
 
-// recordLateness counts an answer as late or on time. Other ends say nothing of the back end's
-// capacity: a rejected attempt counted as on time would admit more of its kind.
+// recordLateness counts an answer as late or on time. Other outcomes say nothing about the back
+// end's capacity: to count a rejected attempt as on time would admit more attempts of its kind.
 func (lb *Balancer) recordLateness(r *request, a *attempt, o *Outcome) {
 	late := o.Duration > lb.settings.Classes[r.Class].LatencyObjective
 	if a.spansSuspension || o.Result != OK && !(o.Result == TimedOut && late) {
@@ -162,7 +163,7 @@
 	lb.addAnswer(lb.activeTime, late)
 }
 
-// addAnswer counts an answer that came late or on time.
+// addAnswer counts an answer as late or on time.
 func (s *saturationState) addAnswer(now Time, late bool) {
 	s.lateFraction.add(indicator(late), fastSampleWeight)
 	s.onTime.add(now, second, indicator(!late))
--- a/internal/dataplane/policy/sharedbucket.go
+++ b/internal/dataplane/policy/sharedbucket.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// sharedBucketCapacity is the part of the back end's capacity up to which the shared bucket grants
-// units.
+// sharedBucketCapacity is the fraction of the back end's capacity that must be used for the shared
+// bucket to grant no more units.
 const sharedBucketCapacity = 0.8
 
-// spareCapacity is what customers have bought and do not use.
+// spareCapacity tracks the quota that customers have bought and do not use.
 type spareCapacity struct {
-	sharedBucket tokenBucket // filled by what full buckets spill
-	idleRefill   []float64   // of each plan, the rate at which dropped customers' buckets spill
+	sharedBucket tokenBucket // filled by the overflow of full buckets
+	idleRefill   []float64   // of each plan, the rate at which dropped customers' buckets overflow
 }
 
 func newSpareCapacity(plans []Plan) spareCapacity {
@@ -32,17 +32,17 @@
 // mayExceedQuota reports whether use beyond the quota earns more than it costs.
 func (p *Plan) mayExceedQuota() bool { return p.OverQuotaRevenue > p.OverQuotaCost }
 
-// refillShared brings the shared bucket up to now.
+// refillShared brings the shared bucket up to date.
 func (lb *Balancer) refillShared() { lb.sharedBucket.refill(lb.now) }
 
-// refill fills a customer's buckets. This gateway's part of what does not fit fills the shared
-// bucket.
+// refill brings a customer's buckets up to date. This gateway's part of their overflow goes to the
+// shared bucket.
 func (lb *Balancer) refill(c *customer) {
 	fraction := lb.quotaFraction(c)
 	if !lb.sharesUsage {
 		p := &lb.settings.Plans[c.plan]
 		c.bucket.rate = fraction * p.Rate
-		// A share smaller than one request would never let one pass: it saves up for one.
+		// A share smaller than a request would never admit one, so it accumulates units for one.
 		c.bucket.capacity = math.Max(fraction*p.Burst, math.Min(c.maxUnits, p.Burst))
 		fraction = 1
 	}
@@ -51,7 +51,7 @@
 	lb.sharedBucket.level = math.Min(lb.sharedBucket.capacity, lb.sharedBucket.level+spill)
 }
 
-// sharedBucketCovers reports whether a request that its own quota does not cover may use the
+// sharedBucketCovers reports whether a request that its customer's quota does not cover may use the
 // shared bucket.
 func (lb *Balancer) sharedBucketCovers(r *request) bool {
 	lb.refillShared()
--- a/internal/dataplane/policy/slowstart.go
+++ b/internal/dataplane/policy/slowstart.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// sendPaceWindow is the time over which the pace of sends to a warm backend is measured.
+// sendPaceWindow is the time over which the rate of sends to a warm backend is measured.
 const sendPaceWindow = 4 * second
 
-// warmFraction returns the part of its capacity that a backend has at least, 1 after slow start.
+// warmFraction returns the fraction of its capacity that a backend has at least, 1 after slow
+// start.
 func (lb *Balancer) warmFraction(b *backend) float64 {
 	if b.StartedAt == 0 || lb.settings.SlowStartDuration == 0 {
 		return 1
@@ -15,15 +16,16 @@
 	return math.Min(1, minFraction+(1-minFraction)*age)
 }
 
-// newSlowStartBucket returns the sends that a backend may get at the start of its slow start: less
-// than one, drawn, so that of many gateways neither all nor none send at once.
+// newSlowStartBucket returns the bucket of sends for a backend that enters slow start. It holds a
+// random part of one send, so that of many gateways neither all nor none send at once.
 func (lb *Balancer) newSlowStartBucket() tokenBucket {
 	return tokenBucket{level: lb.rand.Float64(), at: lb.now}
 }
 
-// slowStartAllows reports whether a backend may be sent one more request. In slow start it gets its
-// warm fraction of what this gateway sends a warm backend, saved up for half of the window over
-// which overload is measured: through all gateways it is used no more than the warm ones are.
+// slowStartAllows reports whether one more request may be sent to a backend. A backend in slow
+// start gets its warm fraction of the sends that this gateway makes to a warm one. Unused sends
+// accumulate over half of the window over which overload is measured. All gateways together thus
+// use the backend no more than the warm ones.
 func (lb *Balancer) slowStartAllows(b *backend) bool {
 	warm := lb.warmFraction(b)
 	if warm == 1 {
@@ -31,7 +33,7 @@
 	}
 	window := float64(lb.settings.SlowStartOverloadWindow) / float64(second)
 	pace := lb.sendPace.get(lb.now, sendPaceWindow) * float64(second) / float64(sendPaceWindow)
-	// Through all gateways it gets one send in a window at least.
+	// All gateways together may send it at least one request in a window.
 	minRate := 1 / math.Max(window, 1) / float64(lb.settings.Gateways)
 	b.slowStart.rate = math.Max(pace, minRate) * warm
 	b.slowStart.capacity = math.Max(1, b.slowStart.rate*window/2)
@@ -39,7 +41,7 @@
 	return b.slowStart.level >= 1
 }
 
-// recordSendPace counts an answer from a warm backend towards the pace of sends to each of them.
+// recordSendPace counts an answer from a warm backend towards the rate of sends to each of them.
 func (lb *Balancer) recordSendPace(b *backend) {
 	if lb.warmFraction(b) == 1 {
 		lb.sendPace.add(lb.now, sendPaceWindow, 1/float64(max(1, lb.warmCount)))
--- a/internal/dataplane/policy/snapshot.go
+++ b/internal/dataplane/policy/snapshot.go
@@ -9,19 +9,19 @@
 // SnapshotVersion is the version of Snapshot that this build writes and reads.
 const SnapshotVersion = 1
 
-// Snapshot is the part of a Balancer's state that may outlive its process: the levels of
+// Snapshot is the part of a Balancer's state that can outlive its process: the levels of
 // customers' buckets and ceilings, recent demand, and which backends are slow, ejected or warming
-// up. It holds no request. It is plain data that shares nothing with the Balancer, so that a host
-// may store it in any form; the JSON keys are those of earlier builds' stored snapshots.
+// up. It contains no requests. It is plain data that shares nothing with the Balancer, so that a
+// host may store it in any form; the JSON keys are those of snapshots that earlier builds stored.
 //
-// Its levels are lower bounds: an allowance is taken off for what may be consumed until the next
+// Its levels are lower bounds: an allowance is deducted for what may be consumed until the next
 // snapshot is stored. A Balancer restored from it therefore never holds more than the one that
 // took it would hold by then, provided that the host follows SnapshotDue.
 type Snapshot struct {
 	Version  int    `json:"Version"`
 	At       Time   `json:"At"`       // when it was taken
 	Settings uint64 `json:"Settings"` // checksum of the settings of the Balancer that took it
-	// StateSince is when the oldest Balancer in the chain of restored ones started.
+	// StateSince is when the first Balancer in the chain of restored ones started.
 	StateSince Time `json:"Born"`
 	Last       bool `json:"Last"` // nothing was consumed after it
 
@@ -79,15 +79,15 @@
 	lastSnapshot     Time                    // when the last snapshot was taken
 	snapshotsStored  bool                    // the host stores snapshots
 	snapshotDue      bool                    // see SnapshotDue
-	uncleanRestore   bool                    // more may have been consumed than the snapshot tells
+	uncleanRestore   bool                    // the restored snapshot may lack recent consumption
 	restoredBackends map[uint32]BackendState // until discovery lists the backend
 }
 
-// snapshotReserve bounds what a customer may consume before the next snapshot is stored.
+// snapshotReserve limits what a customer may consume before the next snapshot is stored.
 type snapshotReserve struct {
-	spent             float64 // units that have left its buckets, in all
-	storedAllowance   float64 // the total up to which the stored snapshot allows for
-	snapshotAllowance float64 // the same for the snapshot taken last
+	spent             float64 // total units taken from its buckets
+	storedAllowance   float64 // largest value of spent that the stored snapshot allows for
+	snapshotAllowance float64 // the same for the last snapshot taken
 }
 
 // allowance returns the units that a customer may consume until the next snapshot is stored.
@@ -96,9 +96,9 @@
 	return math.Max(snapshotAllowanceFraction*p.Burst, pace)
 }
 
-// recordSpend counts units that have left a customer's buckets, which a restored snapshot must not
+// recordSpend counts units taken from a customer's buckets, which a restored snapshot must not
 // bring back. The next snapshot is due before the allowance is used up: one more request of the
-// same size still fits, should the process end before the snapshot is stored.
+// same size still fits, in case the process ends before the snapshot is stored.
 func (lb *Balancer) recordSpend(c *customer, units float64) {
 	c.spent += units
 	if lb.snapshotsStored && c.spent+units > c.storedAllowance {
@@ -107,12 +107,13 @@
 }
 
 // SnapshotDue reports whether nearly all of the stored snapshot's allowance is used up. A host that
-// stores snapshots must ask after each event, and if so store a new one before it carries out any
-// further action: only then can no crash grant quota.
+// stores snapshots must call it after each event and, if a snapshot is due, store a new one before
+// it carries out any further action. Otherwise a crash may grant quota twice.
 func (lb *Balancer) SnapshotDue() bool { return lb.snapshotDue }
 
-// SnapshotStored records that the snapshot taken at a time is stored, and would be restored now.
-// Until then the one before counts. The call is ignored if it is not for the last snapshot taken.
+// SnapshotStored records that the snapshot taken at a time is stored and would be restored from now
+// on. Until then the previous one counts. The call is ignored if it is not for the last snapshot
+// taken.
 func (lb *Balancer) SnapshotStored(at Time) {
 	if at != lb.lastSnapshot {
 		return
@@ -124,8 +125,8 @@
 	}
 }
 
-// TakeSnapshot returns the state. The last snapshot of a graceful shutdown takes off no allowance:
-// the caller promises to pass no request after it.
+// TakeSnapshot returns the state. The last snapshot of a graceful shutdown deducts no allowance:
+// the caller must pass no request after it.
 func (lb *Balancer) TakeSnapshot(now Time, last bool) Snapshot {
 	lb.advanceClock(now)
 	s := Snapshot{
@@ -155,7 +156,7 @@
 }
 
 // customerState returns a customer's part of a snapshot. Its levels fit the plans as configured,
-// which a restored Balancer starts with, whatever terms hold now.
+// with which a restored Balancer starts, even if other terms apply now.
 func (lb *Balancer) customerState(c *customer, last bool) CustomerState {
 	lb.refill(c)
 	reserve := 0.0
--- a/internal/dataplane/policy/trial.go
+++ b/internal/dataplane/policy/trial.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Many gateways must not try a backend at the same time that may hold nothing but has little to
-// offer. Up to maxConcurrentTrials of them may; each further one adds trialSpacing to the time over
-// which they begin. No gateway has to hear of another for that.
+// A backend without attempts in flight may still have little capacity, so many gateways must not
+// try it at the same time. Up to maxConcurrentTrials gateways may; each further one adds
+// trialSpacing to the time over which their trials begin. This needs no messages between gateways.
 const (
 	maxConcurrentTrials = 6
 	trialSpacing        = second / 30
@@ -15,16 +15,16 @@
 	maybeRestarted        bool // only a stale list names it, or a connection failed
 	notBefore             Time // when it may be tried if it may have restarted
 	consecutiveRejections int
-	backoffUntil          Time // nothing is sent before, after a rejection
+	backoffUntil          Time // after a rejection, nothing is sent before
 }
 
-// trialSpread returns the time over which all gateways begin to try a backend.
+// trialSpread returns the time over which all gateways begin to try a backend, in microseconds.
 func (lb *Balancer) trialSpread() float64 {
 	return float64(trialSpacing * Time(max(0, lb.settings.Gateways-maxConcurrentTrials)))
 }
 
-// awaitsTrial reports whether a backend that may have restarted is to be sent nothing now. It gets
-// one attempt at a time.
+// awaitsTrial reports whether nothing may be sent now to a backend that may have restarted. Such a
+// backend gets one attempt at a time.
 func (b *backend) awaitsTrial(now Time) bool {
 	return b.maybeRestarted && (b.inFlight > 0 || now < b.notBefore)
 }
@@ -34,8 +34,8 @@
 	b.notBefore = lb.now + Time(lb.rand.Float64()*lb.trialSpread())
 }
 
-// backOffRejecting has nothing sent to a backend for a while after it rejected an attempt: it holds
-// nothing then and would look idle to every gateway. The wait is drawn; it doubles with each
+// backOffRejecting stops sends to a backend for a while after it rejected an attempt: without
+// attempts in flight it would look idle to every gateway. The wait is random and doubles with each
 // rejection in a row.
 func (lb *Balancer) backOffRejecting(b *backend) {
 	if lb.now < b.backoffUntil {
