--- a/internal/dataplane/policy/admission.go
+++ b/internal/dataplane/policy/admission.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	commonCapacity   = 0.5 // fraction of the capacity that is open to all requests
+	baseCapacity     = 0.5 // fraction of the capacity that is open to all requests
 	maxRelativeValue = 1.5 // upper bound of the value of a request, in mean values
 )
 
@@ -58,7 +58,7 @@
 	value := class.PriorityWeight * lb.settings.Plans[r.Plan].Price * r.Units / work
 	lb.meanValue.add(value, slowSampleWeight)
 	relative := math.Min(maxRelativeValue, value/math.Max(lb.meanValue.value, 1e-12))
-	return commonCapacity + (1-commonCapacity)*relative
+	return baseCapacity + (1-baseCapacity)*relative
 }
 
 // admit sends a request if the quota or else the shared bucket covers it, and the ceiling does,
--- a/internal/dataplane/policy/healthcheck.go
+++ b/internal/dataplane/policy/healthcheck.go
@@ -11,8 +11,8 @@
 // since it may have been lost on the way. A very slow backend is readmitted by its own late
 // answers.
 func (lb *Balancer) detectUnresponsive(b *backend) {
-	silence := float64(lb.activeTime - b.unansweredSince)
-	evidence := silence * lb.warmFraction(b) * math.Min(1, float64(b.overdue)/2)
+	unanswered := float64(lb.activeTime - b.unansweredSince)
+	evidence := unanswered * lb.warmFraction(b) * math.Min(1, float64(b.overdue)/2)
 	if b.unhealthy || evidence <= unresponsiveAfterObjectives*float64(lb.minObjective) {
 		return
 	}
