--- a/internal/dataplane/policy/admission_test.go
+++ b/internal/dataplane/policy/admission_test.go
@@ -10,19 +10,19 @@
 		}
 	}
 	if r.serve(0, 0, 9, 2) {
-		t.Fatal("a request beyond the quota of a plan that may not exceed it was sent")
+		t.Fatal("a request beyond the quota was sent, though the plan may not exceed it")
 	}
 	if got := r.lastAction(); got != "reject 5 after 1000000" {
-		t.Errorf("%q, want a rejection until the bucket holds 2 units", got)
+		t.Errorf("last action is %q, want a rejection until the bucket holds 2 units", got)
 	}
 	r.time += second
 	if !r.serve(0, 0, 9, 2) {
-		t.Error("not sent after the bucket had refilled")
+		t.Error("a request was not sent after the bucket had refilled")
 	}
 }
 
-// Requests that a gateway finds after a suspension have waited: no work is done for answers that
-// would come too late.
+// Requests that a gateway receives after a suspension have waited. Those whose answers would be too
+// late are rejected, so that the backends do no work for them.
 func TestRequestThatWaitedTooLongIsRejected(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	for range 60 {
@@ -30,7 +30,7 @@
 		r.Timer(r.time, 0)
 		r.serve(0, 1, 9, 1)
 	}
-	r.time += second // it is suspended
+	r.time += second // the gateway is suspended
 	for _, c := range []struct {
 		timeout Time
 		sent    bool
--- a/internal/dataplane/policy/attempt_test.go
+++ b/internal/dataplane/policy/attempt_test.go
@@ -12,7 +12,7 @@
 		ID: id, Backend: r.requests[id].attempts[0].backend.Backend, Result: OK, Duration: 1,
 		RequestDone: true, ActualUnits: 5,
 	})
-	assertNear(t, "bucket after 5 true units", r.customers[9].bucket.level, 8.0/1-5)
+	assertNear(t, "bucket after 5 reported units", r.customers[9].bucket.level, 8.0/1-5)
 	r.request(0, 0, 8, 1)
 	r.request(0, 0, 8, 1)
 	if _, sent := r.request(0, 0, 8, 1); sent {
--- a/internal/dataplane/policy/balancer_test.go
+++ b/internal/dataplane/policy/balancer_test.go
@@ -24,7 +24,7 @@
 	r.endAttempt(id, Reset, true)
 	if r.requests[id] != nil ||
 		r.actionRecorder.count("fail")+r.actionRecorder.count("reject") != 0 {
-		t.Error("a request whose client has gone was answered or kept")
+		t.Error("a request whose client has gone was answered or is kept")
 	}
 }
 
@@ -44,7 +44,7 @@
 		return r.recorded
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Error("the same events caused other actions")
+		t.Error("the same events caused different actions")
 	}
 }
 
@@ -56,45 +56,45 @@
 			set := testSettings()
 			set.Gateways = c.gateways
 			set.Plans[1].Rate = 20 // large enough for grants, so that requests are decided at once
-			g, err := New(set, 7, ignoredActions{&actionRecorder{}})
+			lb, err := New(set, 7, ignoredActions{&actionRecorder{}})
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.UpdateEndpoints(start, CompleteCached, endpointList(c.backends))
+			lb.UpdateEndpoints(start, CompleteCached, endpointList(c.backends))
 			b.ReportAllocs()
 			now, waits := start, 0
 			for i := 0; b.Loop(); i++ {
 				now += 5000
 				id := uint64(i)
-				g.Request(now, Request{
+				lb.Request(now, Request{
 					ID: id, Plan: 1, Customer: id % 200, Units: 1, Timeout: second,
 					Spread: c.spread,
 				})
-				switch r := g.requests[id]; {
+				switch r := lb.requests[id]; {
 				case r == nil:
 				case len(r.attempts) == 0:
 					waits++
 				default:
-					g.Outcome(now, Outcome{
+					lb.Outcome(now, Outcome{
 						ID: id, Backend: r.attempts[0].backend.Backend, Duration: 1000,
 						RequestDone: true,
 					})
 				}
 			}
-			b.ReportMetric(float64(waits)/float64(b.N), "waiting/op") // not sent at once
+			b.ReportMetric(float64(waits)/float64(b.N), "waiting/op") // requests not sent at once
 		})
 	}
 }
 
 func BenchmarkUpdateEndpoints(b *testing.B) {
-	g, err := New(testSettings(), 7, ignoredActions{&actionRecorder{}})
+	lb, err := New(testSettings(), 7, ignoredActions{&actionRecorder{}})
 	if err != nil {
 		b.Fatal(err)
 	}
 	list := endpointList(32)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.UpdateEndpoints(start, Complete, list)
+		lb.UpdateEndpoints(start, Complete, list)
 	}
 }
 
--- a/internal/dataplane/policy/ceiling_test.go
+++ b/internal/dataplane/policy/ceiling_test.go
@@ -5,15 +5,15 @@
 func TestCeilingHoldsThroughRestartsWithoutPeers(t *testing.T) {
 	set := testSettings()
 	plan := set.Plans[2]
-	truth := tokenBucket{plan.CeilingBurst, plan.CeilingRate, plan.CeilingBurst, start}
+	reference := tokenBucket{plan.CeilingBurst, plan.CeilingRate, plan.CeilingBurst, start}
 	restart := func(self int, at Time) *testBalancer {
 		set.Self = self
-		g, err := New(set, uint64(at), &actionRecorder{})
+		lb, err := New(set, uint64(at), &actionRecorder{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateEndpoints(at, CompleteCached, endpointList(4))
-		return wrapBalancer(t, g, 0)
+		lb.UpdateEndpoints(at, CompleteCached, endpointList(4))
+		return wrapBalancer(t, lb, 0)
 	}
 	gateways := []*testBalancer{restart(0, start), restart(1, start)}
 	sent, lowest := 0.0, 0.0
@@ -26,16 +26,17 @@
 			r.time, r.sharedBucket.level = at, 100 // whatever the shared bucket would grant
 			if r.serve(0, 2, 9, 1) {
 				sent++
-				truth.refill(at)
-				truth.level--
-				lowest = min(lowest, truth.level)
+				reference.refill(at)
+				reference.level--
+				lowest = min(lowest, reference.level)
 			}
 		}
 	}
 	if lowest < -plan.CeilingSlack {
-		t.Errorf("the ceiling's bucket fell to %g, %g allowed", lowest, -plan.CeilingSlack)
+		t.Errorf("the level of the ceiling fell to %g, want at least %g",
+			lowest, -plan.CeilingSlack)
 	}
 	if sent < 200 {
-		t.Errorf("%g units sent in 30 s: the ceiling of 8 a second is far from used", sent)
+		t.Errorf("%g units sent in 30 s, want at least 200 under the ceiling of 8 a second", sent)
 	}
 }
--- a/internal/dataplane/policy/clock_test.go
+++ b/internal/dataplane/policy/clock_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// What piled up while this gateway was suspended is not blamed on the backends.
+// The time that attempts and answers waited while this gateway was suspended does not count against
+// the backends.
 func TestSuspensionIsNotBlamedOnBackends(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	id, _ := r.request(0, 1, 9, 1)
@@ -16,6 +17,6 @@
 		ID: id, Backend: b.Backend, Result: OK, Duration: 3 * second, RequestDone: true,
 	})
 	if b.latencyRatio != 0 || r.meanLatency.value != 0 {
-		t.Error("the time that an answer waited for this gateway counts as the backend's")
+		t.Error("the time that an answer waited for this gateway counts as the backend's latency")
 	}
 }
--- a/internal/dataplane/policy/counter_test.go
+++ b/internal/dataplane/policy/counter_test.go
@@ -9,7 +9,7 @@
 	r.serve(0, 0, 9, 2)
 	r.Timer(r.time, 0)
 	if r.actionRecorder.count("counter 9 2") != 1 {
-		t.Fatal("use was not counted")
+		t.Fatal("use was not added to the counter")
 	}
 	r.ReceiveCounterTotal(r.time, 9, OK, 2)
 	assertNear(t, "level", r.customers[9].bucket.level, 6)
@@ -17,7 +17,7 @@
 	r.Timer(r.time, 0)
 	r.ReceiveCounterTotal(r.time, 9, OK, 7)
 	assertNear(t, "level after 3 units by others", r.customers[9].bucket.level, 1)
-	r.ReceiveCounterTotal(r.time, 9, OK, 100) // there is no call in flight
+	r.ReceiveCounterTotal(r.time, 9, OK, 100) // no call is in flight
 	assertNear(t, "level after a stray answer", r.customers[9].bucket.level, 1)
 }
 
--- a/internal/dataplane/policy/customer_test.go
+++ b/internal/dataplane/policy/customer_test.go
@@ -10,23 +10,23 @@
 		r.Timer(r.time, 0)
 	}
 	if n := len(r.customers); n > 2500 {
-		t.Errorf("%d customers are kept of 3000 that came once in a minute", n)
+		t.Errorf("%d customers are kept of 3000 that sent one request in a minute", n)
 	}
 	r.time += 60 * second
 	r.Timer(r.time, 0)
 	r.time += 60 * second
 	r.Timer(r.time, 0)
 	if n := len(r.customers) + len(r.customerOrder); n != 0 {
-		t.Errorf("%d records are kept of idle customers", n)
+		t.Errorf("%d records of idle customers are kept", n)
 	}
-	// A new customer counts as one of those dropped, known or not.
+	// A new customer reduces the refill for dropped ones, whether it was one of them or not.
 	if r.sharedBucket.rate <= 100 || r.sharedBucket.rate > 3000 {
 		t.Errorf("the shared bucket fills at %g a second from 3000 idle shares of 1",
 			r.sharedBucket.rate)
 	}
 }
 
-// Requests may name a gateway set that does not exist.
+// Requests may name a gateway set that does not exist; they are served nevertheless.
 func TestAnyGatewaySetIsServed(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 12
--- a/internal/dataplane/policy/endpoints_test.go
+++ b/internal/dataplane/policy/endpoints_test.go
@@ -15,11 +15,11 @@
 		for i := range uint64(30) {
 			if id, sent := r.request(0, 1, i, 1); sent &&
 				r.requests[id].attempts[0].backend.Backend < 3 {
-				t.Fatal("sent to a backend that is draining or removed")
+				t.Fatal("a request was sent to a backend that is draining or removed")
 			}
 		}
 		if r.actionRecorder.count("send") == 0 {
-			t.Error("nothing was sent at all")
+			t.Error("no request was sent")
 		}
 	}
 }
--- a/internal/dataplane/policy/example_test.go
+++ b/internal/dataplane/policy/example_test.go
@@ -28,7 +28,7 @@
 func (h *host) WatchEndpoints()                                        {}
 func (h *host) Log(line string)                                        { fmt.Println(line) }
 
-// run moves the clock to a time, with the timers that fall due on the way.
+// run advances the clock to a time and fires the timers that are due until then.
 func (h *host) run(g *policy.Balancer, to policy.Time) {
 	for len(h.timers) > 0 && h.timers[0] <= to {
 		h.now, h.timers = h.timers[0], h.timers[1:]
--- a/internal/dataplane/policy/exchange_test.go
+++ b/internal/dataplane/policy/exchange_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Over random exchanges, with messages lost, repeated and late and gateways that restart, what all
-// send for a customer stays under its ceiling; and after a pause in which a burst fills, every
-// gateway knows the bucket to be full.
+// In random exchanges, with messages that are lost, repeated or late and gateways that restart, all
+// gateways together keep to a customer's ceiling. After a pause that fills the burst, every gateway
+// has a full bucket.
 func TestCeilingsHoldOverRandomExchanges(t *testing.T) {
 	for seed := range uint64(30) {
 		for _, spread := range []int{2, 4, 9, 12} {
@@ -36,15 +36,15 @@
 	gateways []*testBalancer
 	now      Time
 	requests uint64
-	ceiling  tokenBucket // that all gateways together must keep to
+	ceiling  tokenBucket // for all gateways together
 
 	pending    []delivery
-	loss       float64 // the part of messages that is lost
-	repetition float64 // the part of messages that is sent twice
-	delay      Time    // the longest
+	loss       float64 // fraction of messages that are lost
+	repetition float64 // fraction of messages that are sent twice
+	delay      Time    // the largest
 }
 
-// delivery is a message under way.
+// delivery is a message in transit.
 type delivery struct {
 	at       Time
 	from, to int
@@ -85,7 +85,7 @@
 	lb.UpdateEndpoints(e.now, CompleteCached, endpointList(4))
 }
 
-// run plays eight seconds with requests and restarts.
+// run simulates eight seconds with requests and restarts.
 func (e *randomExchange) run() {
 	e.t.Helper()
 	for range 200 * 8 {
@@ -95,11 +95,11 @@
 		}
 	}
 	if e.requests == 0 {
-		e.t.Fatal("nothing was requested")
+		e.t.Fatal("no request was made")
 	}
 }
 
-// checkBucketsAfterPause lets the burst fill, and checks that no gateway misses a part of it.
+// checkBucketsAfterPause lets the burst fill, and checks that each gateway has all of it.
 func (e *randomExchange) checkBucketsAfterPause() {
 	e.t.Helper()
 	p := e.plan()
@@ -116,7 +116,7 @@
 	}
 }
 
-// tick lets 5 ms pass.
+// tick advances the time by 5 ms.
 func (e *randomExchange) tick(requests bool) {
 	e.t.Helper()
 	e.now += second / 200
@@ -183,13 +183,13 @@
 	}
 }
 
-// answer checks the ceiling with a request that was sent, and answers it.
+// answer checks that a request that was sent is under the ceiling, and answers it.
 func (e *randomExchange) answer(g *testBalancer, request uint64, backend uint32) {
 	e.t.Helper()
 	e.ceiling.refill(e.now)
 	e.ceiling.level -= g.requests[request].Units
 	if e.ceiling.level < -e.plan().CeilingSlack-1e-6 {
-		e.t.Fatalf("seed %d, spread %d: the ceiling's bucket is at %g after %v s",
+		e.t.Fatalf("seed %d, spread %d: the level of the ceiling is %g after %v s",
 			e.seed, e.spread, e.ceiling.level, float64(e.now-start)/float64(second))
 	}
 	g.Outcome(e.now, Outcome{
--- a/internal/dataplane/policy/faultreport_test.go
+++ b/internal/dataplane/policy/faultreport_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-// A fault for one class or plan, which each gateway meets too rarely to learn of by itself, diverts
-// that class or plan only.
+// A fault that concerns one class or plan, and that each gateway sees too rarely to detect by
+// itself, diverts only that class or plan from the backend.
 func TestFaultReportsDivertOneClassOrPlan(t *testing.T) {
 	for _, c := range []struct {
-		how                Result
-		class, plan        int // of the request that meets the fault
-		same, other, plans int // classes and plans that avoid the backend, and that do not
+		result                                 Result
+		class, plan                            int // of the request that fails
+		divertedClass, servedClass, servedPlan int // that avoid the backend, and that do not
 	}{
 		{TimedOut, 0, 1, 0, 1, 1},
 		{Rejected, 0, 1, 0, 0, 0},
 	} {
 		a, b := newPair(t)
 		id, _ := a.request(c.class, c.plan, 9, 1)
-		bad := a.requests[id].attempts[0].backend.Backend
-		a.endAttempt(id, c.how, true)
+		faulty := a.requests[id].attempts[0].backend.Backend
+		a.endAttempt(id, c.result, true)
 		gossipTo(a, b)
 		used := func(class, plan int) bool {
 			for i := range 40 {
 				id, sent := b.request(class, plan, uint64(100+i), 1)
-				if sent && b.requests[id].attempts[0].backend.Backend == bad {
+				if sent && b.requests[id].attempts[0].backend.Backend == faulty {
 					return true
 				}
 				if sent {
@@ -30,11 +30,12 @@
 			}
 			return false
 		}
-		if used(c.same, c.plan) {
-			t.Errorf("%d: the backend is still picked for what it fails", c.how)
+		if used(c.divertedClass, c.plan) {
+			t.Errorf("result %d: the backend is still picked for requests that fail there",
+				c.result)
 		}
-		if !used(c.other, c.plans) {
-			t.Errorf("%d: the backend gets nothing of what it serves", c.how)
+		if !used(c.servedClass, c.servedPlan) {
+			t.Errorf("result %d: the backend is not picked for requests that it serves", c.result)
 		}
 	}
 }
--- a/internal/dataplane/policy/formats_test.go
+++ b/internal/dataplane/policy/formats_test.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// Peers of earlier builds send and read messages of this form.
+// Peers of earlier builds send and read messages in this format.
 func TestPeerMessageFormat(t *testing.T) {
 	usage := usageEntry{
 		id: 0x1122334455, plan: 2, first: 300, spread: 5, consumed: 1000, requested: 1100,
@@ -36,11 +36,11 @@
 		entries: []usageEntry{usage}, grants: []grantEntry{granted}, faults: []faultReport{fault},
 	}
 	if !ok || !reflect.DeepEqual(got, want) {
-		t.Errorf("%t %+v, %+v wanted", ok, got, want)
+		t.Errorf("decoded %t, %+v, want %+v", ok, got, want)
 	}
 }
 
-// A stored snapshot names its settings by this checksum, which must not change between builds.
+// Stored snapshots contain this checksum of the settings, so it must not change between builds.
 func TestSettingsSum(t *testing.T) {
 	settings := Settings{
 		Self: 1, Gateways: 3, Peers: true, Counter: true,
--- a/internal/dataplane/policy/gossip_test.go
+++ b/internal/dataplane/policy/gossip_test.go
@@ -12,7 +12,7 @@
 	}
 	gossipTo(a, b)
 	if b.serve(0, 0, 9, 2) {
-		t.Error("the second gateway granted the burst again")
+		t.Error("the second gateway granted the burst a second time")
 	}
 }
 
@@ -49,7 +49,7 @@
 		b.ReceivePeerMessage(b.time, from, good)
 	}
 	if len(b.customers) != 0 {
-		t.Error("a malformed message made a customer's record")
+		t.Error("a malformed message created a customer's record")
 	}
 }
 
@@ -62,13 +62,13 @@
 		b.serve(0, 1, 9, 1)
 	}
 	gossipTo(b, a)
-	if part := a.quotaFraction(a.customers[9]); part < 0.7 || part > 0.8 {
-		t.Errorf("fraction %g, want about three quarters", part)
+	if fraction := a.quotaFraction(a.customers[9]); fraction < 0.7 || fraction > 0.8 {
+		t.Errorf("fraction %g, want 0.7 to 0.8", fraction)
 	}
 	a.time += 30 * second
 	a.serve(0, 1, 9, 1)
-	if part := a.quotaFraction(a.customers[9]); part < 0.99 {
-		t.Errorf("fraction %g without the peer for long, want 1", part)
+	if fraction := a.quotaFraction(a.customers[9]); fraction < 0.99 {
+		t.Errorf("fraction %g after 30 s without use at the peer, want at least 0.99", fraction)
 	}
 }
 
--- a/internal/dataplane/policy/healthcheck_test.go
+++ b/internal/dataplane/policy/healthcheck_test.go
@@ -17,11 +17,11 @@
 	}
 	r.ReceiveProbeResult(r.time, b.Backend, OK, nil)
 	if r.ejected(b) || r.warmFraction(b) == 1 {
-		t.Error("a backend whose connections broke must be readmitted, in slow start")
+		t.Error("a backend that refused a connection was not readmitted, or not into slow start")
 	}
 }
 
-// Backends that hang or are cut off are ejected (issue i62622c).
+// A backend that hangs or is cut off from the network is ejected (issue i62622c).
 func TestUnresponsiveBackendIsEjected(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	stuck, _ := r.request(0, 1, 9, 1)
@@ -35,11 +35,11 @@
 		}
 	}
 	if !b.unhealthy || !r.ejected(b) {
-		t.Error("a backend that answers nothing for several objectives is still used")
+		t.Error("a backend that did not answer for several latency objectives is still used")
 	}
 	r.time += second
 	r.ReceiveProbeResult(r.time, b.Backend, OK, nil)
 	if r.ejected(b) || r.warmFraction(b) != 1 {
-		t.Error("a backend that was only unresponsive must be readmitted warm")
+		t.Error("a backend that was only unresponsive was not readmitted, or not as warm")
 	}
 }
--- a/internal/dataplane/policy/hedge_test.go
+++ b/internal/dataplane/policy/hedge_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An attempt that is not answered is given up while there is time for another one.
+// An unanswered attempt is given up while there is time for another one.
 func TestHedgeWhileThereIsTime(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	for _, class := range []int{0, 1} {
@@ -14,7 +14,7 @@
 	}{{0, hedgeAfterMeanLatencies * second / 50}, {1, 0}} { // idempotent, and not
 		r.attemptDeadlines = nil
 		if _, sent := r.request(c.class, 1, 9, 1); !sent {
-			t.Fatal("not sent")
+			t.Fatal("the request was not sent")
 		}
 		if got := max(0, r.attemptDeadlines[0]-r.time); got != c.until {
 			t.Errorf("class %d: given up after %d, want %d", c.class, got, c.until)
@@ -22,8 +22,8 @@
 	}
 }
 
-// A back end that answers within a moment may pause for one: a request is not sent again before a
-// part of its objective has passed.
+// A fast back end may pause for a moment: a request is not hedged before a minimum fraction of its
+// latency objective has passed.
 func TestHedgeDelayHasAMinimum(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	r.classLatencies[0].add(100, slowSampleWeight)
--- a/internal/dataplane/policy/home_test.go
+++ b/internal/dataplane/policy/home_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// wideRigs are the home of customers 9 (small quota) and 10 (large) and a remote of
-// their sets of twelve.
+// newHomeAndRemote returns the home of customers 9 (small quota) and 10 (large quota), and a remote
+// gateway of their gateway sets, which have twelve gateways.
 func newHomeAndRemote(t *testing.T) (home, remote *testBalancer) {
 	set := testSettings()
 	set.Gateways = 12
@@ -45,13 +45,13 @@
 	return true
 }
 
-// A quota holds through many gateways, none of which sees more than a little of the demand: by
-// queries, and by grants where queries would be too many.
+// A quota holds in a large gateway set, where each gateway sees only a little of the demand: by
+// queries to the home, or by grants if there would be too many queries.
 func TestLargeGatewaySetKeepsToItsQuota(t *testing.T) {
 	for _, c := range []struct {
 		plan     int
 		customer uint64
-		requests int // each tenth of a second
+		requests int // in each tenth of a second
 		rate     float64
 		slack    float64
 	}{
@@ -77,7 +77,7 @@
 	}
 }
 
-// If the home does not answer, the local share decides in time.
+// If the home does not answer, the local share decides on the request in time.
 func TestUnresponsiveHomeDelaysNoRequest(t *testing.T) {
 	_, remote := newHomeAndRemote(t)
 	remote.recorded = nil
@@ -87,11 +87,11 @@
 	})
 	if remote.actionRecorder.count("send") != 0 || remote.actionRecorder.count("peer 0 ") != 1 ||
 		remote.actionRecorder.count("timer") != 1 {
-		t.Fatalf("%v, want a query to the home and a timer", remote.recorded)
+		t.Fatalf("actions %v, want a query to the home and a timer", remote.recorded)
 	}
 	remote.Timer(remote.time+second/10, decisionTimer)
 	if remote.actionRecorder.count("send 1 ") != 1 {
-		t.Errorf("%v, want it sent", remote.recorded)
+		t.Errorf("actions %v, want the request to be sent", remote.recorded)
 	}
 	before := len(remote.recorded)
 	answer := grantEntry{id: 9, fraction: 1, queryNumber: 1, granted: true}
@@ -101,7 +101,7 @@
 	}
 }
 
-// A client that has gone while the home was queried is not answered.
+// A client that leaves while the home is queried gets no answer.
 func TestClientGoneWhileHomeIsQueried(t *testing.T) {
 	_, remote := newHomeAndRemote(t)
 	remote.Request(remote.time, Request{
--- a/internal/dataplane/policy/outlier_test.go
+++ b/internal/dataplane/policy/outlier_test.go
@@ -9,22 +9,22 @@
 	b := r.requests[id].attempts[0].backend
 	r.endAttempt(id, Reset, true)
 	if b.unhealthy || r.ejected(b) {
-		t.Error("ejected after a single reset")
+		t.Error("the backend was ejected after a single reset")
 	}
 	r.time += 10 * second
 	r.Timer(r.time, 0)
 	if r.recordConnectionFault(b, Reset) || b.unhealthy {
-		t.Error("ejected for two resets long apart")
+		t.Error("the backend was ejected after two resets 10 s apart")
 	}
 	for range 3 {
 		r.recordConnectionFault(b, Reset)
 	}
 	if !b.unhealthy {
-		t.Fatal("not ejected after many resets at once")
+		t.Fatal("the backend was not ejected after many resets at once")
 	}
 	r.ReceiveProbeResult(r.time, b.Backend, OK, nil)
 	if b.unhealthy || r.warmFraction(b) < 1 {
-		t.Error("a backend whose connections were only reset is in slow start")
+		t.Error("a backend whose connections were only reset was not readmitted as warm")
 	}
 }
 
@@ -42,7 +42,8 @@
 		}
 	}
 	if n := r.actionRecorder.count("send") - 200; n > 20 {
-		t.Errorf("%d of 200 requests met the backend that fails all of them", n)
+		t.Errorf("%d of 200 requests met the backend that fails all of them, want at most 20",
+			n)
 	}
 	b := r.backendByID[2]
 	for range 5 {
@@ -50,6 +51,6 @@
 	}
 	if b.errorRate < ejectionErrorRate ||
 		r.actionRecorder.count("log backend 2 ejected: errors") == 0 {
-		t.Errorf("errors %g", b.errorRate)
+		t.Errorf("error rate %g: the backend was not ejected for errors", b.errorRate)
 	}
 }
--- a/internal/dataplane/policy/picker_test.go
+++ b/internal/dataplane/policy/picker_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Each of many gateways has hardly any attempts in flight. Where the list tells weights, idle
-// backends get their part by weight, and the smaller ones do not stand idle while all send to the
-// largest. Attempts in flight count by weight as well.
+// In a large fleet each gateway has hardly any attempts in flight. If the endpoint list has
+// weights, idle backends are picked in proportion to them, so that the smaller ones are not idle
+// while all gateways send to the largest. Attempts in flight also count by weight.
 func TestIdleBackendsArePickedByWeight(t *testing.T) {
 	for name, weights := range map[string][]float64{
 		"small weights": {1, 1, 3, 3},
@@ -32,34 +32,34 @@
 			got[r.requests[id].attempts[0].backend.Backend]++
 			r.endAttempt(id, OK, true)
 		}
-		for i, m := range list {
-			part := float64(got[m.Backend]) / requests
+		for i, endpoint := range list {
+			fraction := float64(got[endpoint.Backend]) / requests
 			want := weights[i] / weights[2] * 3 / 8
-			if math.Abs(part-want) > 0.03 {
+			if math.Abs(fraction-want) > 0.03 {
 				t.Errorf("%s: backend %d of weight %g got %.3f of all, want %.3f",
-					name, i+1, weights[i], part, want)
+					name, i+1, weights[i], fraction, want)
 			}
 		}
 	}
 }
 
-// In a large fleet each gateway sends a backend a request now and then only, and must not pay for a
-// handshake with nearly every one. In a small fleet all backends are used evenly.
+// In a large fleet each gateway sends few requests to any one backend, and must not pay for a
+// handshake with nearly every request. In a small fleet all backends are used.
 func TestSlowGatewayOfALargeFleetUsesFewBackends(t *testing.T) {
 	for _, c := range []struct{ gateways, minUsed, maxUsed int }{{36, 2, 8}, {3, 20, 24}} {
 		used := map[uint32]bool{}
 		set := testSettings()
 		set.Gateways = c.gateways
-		g, err := New(set, 5, &actionRecorder{})
+		lb, err := New(set, 5, &actionRecorder{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := wrapBalancer(t, g, start)
-		g.UpdateEndpoints(start, Complete, endpointList(24))
+		r := wrapBalancer(t, lb, start)
+		lb.UpdateEndpoints(start, Complete, endpointList(24))
 		for i := range 60 {
 			r.time += second
 			r.Timer(r.time, 0)
-			// now and then two at once
+			// every third time two requests at once
 			one, ok := r.request(0, 1, uint64(2*i), 1)
 			two, both := uint64(0), false
 			if i%3 == 0 {
@@ -73,7 +73,7 @@
 			}
 		}
 		if len(used) < c.minUsed || len(used) > c.maxUsed {
-			t.Errorf("%d gateways: %d of 24 backends are used, %d to %d wanted",
+			t.Errorf("%d gateways: %d of 24 backends are used, want %d to %d",
 				c.gateways, len(used), c.minUsed, c.maxUsed)
 		}
 	}
--- a/internal/dataplane/policy/planupdate_test.go
+++ b/internal/dataplane/policy/planupdate_test.go
@@ -10,14 +10,14 @@
 
 func keepPlan(uint64) int { return -1 }
 
-// newSingleGateway returns a gateway that shares with none, so that its buckets are whole quotas.
+// newSingleGateway returns a gateway without peers, whose buckets hold the whole quotas.
 func newSingleGateway(t *testing.T) *testBalancer {
 	set := testSettings()
 	set.Gateways, set.Peers = 1, false
 	return newTestBalancer(t, set)
 }
 
-// What was consumed stays consumed, however the terms go down and up again.
+// What was consumed stays consumed, even if the burst is reduced and raised again.
 func TestUpdatePlansGrantsNoSecondBurst(t *testing.T) {
 	r := newSingleGateway(t)
 	served := 0
@@ -25,7 +25,7 @@
 		served++
 	}
 	if served != 8 {
-		t.Fatalf("%d units of a burst of 8", served)
+		t.Fatalf("%d units were granted of a burst of 8", served)
 	}
 	plans := slices.Clone(r.settings.Plans)
 	for _, burst := range []float64{2, 8, 20, 1, 8} {
@@ -36,21 +36,22 @@
 		}
 	}
 	if r.serve(0, 0, 7, 1) {
-		t.Error("a unit beyond the quota was sent")
+		t.Error("a unit beyond the quota was granted")
 	}
 	plans = slices.Clone(plans)
-	plans[0].Burst = 12 // four more than it had
+	plans[0].Burst = 12 // four more than before
 	if err := r.UpdatePlans(r.time, plans, keepPlan); err != nil {
 		t.Fatal(err)
 	}
 	for served = 0; r.serve(0, 0, 7, 1); served++ {
 	}
 	if served != 4 {
-		t.Errorf("%d units of the four that the burst grew by", served)
+		t.Errorf("%d units were granted after the burst grew by 4", served)
 	}
 }
 
-// A customer that is given another plan goes on under it, whatever its requests named before.
+// A customer that is moved to another plan is served under it, whichever plan its earlier requests
+// named.
 func TestUpdatePlansChangesACustomersPlan(t *testing.T) {
 	r := newSingleGateway(t)
 	r.serve(0, 0, 7, 1)
@@ -62,7 +63,7 @@
 		served++
 	}
 	if served != 20 {
-		t.Errorf("%d units of a burst of 20", served)
+		t.Errorf("%d units were granted of a burst of 20", served)
 	}
 }
 
@@ -78,8 +79,8 @@
 	}
 }
 
-// twoPlanSettings returns settings of a single gateway with a plan that has a quota only, and one
-// that has a ceiling too.
+// twoPlanSettings returns settings of a single gateway with two plans: one with a quota only, and
+// one with a ceiling as well.
 func twoPlanSettings() Settings {
 	set := testSettings()
 	set.Gateways, set.Peers = 1, false
@@ -95,68 +96,69 @@
 	return math.Min(after, level+after-before)
 }
 
-// Over any order of requests, times and terms a customer gets no more than the terms grant: as by a
-// bucket that follows them by the rule that what was consumed stays consumed.
+// In any sequence of requests, pauses and plan updates a customer gets no more than the plans
+// grant. The reference is a bucket that follows the updates by the rule that what was consumed
+// stays consumed.
 func TestUpdatePlansKeepsToTheTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := twoPlanSettings()
-		f := &actionRecorder{}
-		g, err := New(set, 1, f)
+		recorder := &actionRecorder{}
+		lb, err := New(set, 1, recorder)
 		if err != nil {
 			t.Fatal(err)
 		}
 		at := start
-		g.UpdateEndpoints(at, CompleteCached, endpointList(4))
+		lb.UpdateEndpoints(at, CompleteCached, endpointList(4))
 		at += second
 		level, ceiling := set.Plans[0].Burst, 0.0
-		first := true
+		firstRequest := true
 		for id := range uint64(60) {
 			if rapid.IntRange(0, 3).Draw(t, "update") == 0 {
-				next := slices.Clone(g.settings.Plans)
-				k := rapid.Float64Range(0.1, 3).Draw(t, "factor")
-				was := slices.Clone(next)
-				next[0].Rate, next[0].Burst = 4*k, 8*k
-				next[1].CeilingRate, next[1].CeilingBurst = 8*k, 16*k
-				if err := g.UpdatePlans(at, next, keepPlan); err != nil {
+				next := slices.Clone(lb.settings.Plans)
+				factor := rapid.Float64Range(0.1, 3).Draw(t, "factor")
+				previous := slices.Clone(next)
+				next[0].Rate, next[0].Burst = 4*factor, 8*factor
+				next[1].CeilingRate, next[1].CeilingBurst = 8*factor, 16*factor
+				if err := lb.UpdatePlans(at, next, keepPlan); err != nil {
 					t.Fatal(err)
 				}
-				level = resized(level, was[0].Burst, next[0].Burst)
-				ceiling = resized(ceiling, was[1].CeilingBurst, next[1].CeilingBurst)
+				level = resized(level, previous[0].Burst, next[0].Burst)
+				ceiling = resized(ceiling, previous[1].CeilingBurst, next[1].CeilingBurst)
 			}
-			dt := rapid.Int64Range(0, second).Draw(t, "pass")
-			at += dt
-			quotaPlan, ceilingPlan := g.settings.Plans[0], g.settings.Plans[1]
-			seconds := float64(dt) / float64(second)
+			elapsed := rapid.Int64Range(0, second).Draw(t, "pass")
+			at += elapsed
+			quotaPlan, ceilingPlan := lb.settings.Plans[0], lb.settings.Plans[1]
+			seconds := float64(elapsed) / float64(second)
 			level = math.Min(quotaPlan.Burst, level+quotaPlan.Rate*seconds)
 			ceiling = math.Min(ceilingPlan.CeilingBurst, ceiling+ceilingPlan.CeilingRate*seconds)
 			plan := rapid.IntRange(0, 1).Draw(t, "plan")
 			units := float64(rapid.IntRange(1, 4).Draw(t, "units"))
-			before := f.count("send")
-			g.Request(at, Request{
+			before := recorder.count("send")
+			lb.Request(at, Request{
 				ID: id + 1, Class: 0, Plan: plan, Customer: uint64(7 + plan), Units: units,
 				Timeout: second, Spread: 1,
 			})
-			if plan == 1 && first {
+			if plan == 1 && firstRequest {
 				ceiling = ceilingPlan.CeilingBurst // it has filled since the gateway's start
-				first = false
+				firstRequest = false
 			}
-			if f.count("send") == before {
+			if recorder.count("send") == before {
 				continue
 			}
 			const rounding = 1e-6
 			if plan == 0 {
 				if level -= units; level < -rounding {
-					t.Fatalf("%g units more than the quota", -level)
+					t.Fatalf("%g units were sent beyond the quota", -level)
 				}
 			} else if ceiling -= units; ceiling < -rounding {
-				t.Fatalf("%g units more than the ceiling", -ceiling)
+				t.Fatalf("%g units were sent beyond the ceiling", -ceiling)
 			}
 		}
 	})
 }
 
-// A new process can restore a snapshot taken under other terms, with no more than the settings
-// grant.
+// A new process can restore a snapshot that was taken after a plan update, and grants no more than
+// its own settings do.
 func TestSnapshotTakenUnderOtherPlans(t *testing.T) {
 	r := newSingleGateway(t)
 	r.serve(0, 0, 7, 1)
@@ -175,6 +177,6 @@
 		served++
 	}
 	if served != 8 {
-		t.Errorf("%d units of a burst of 8", served)
+		t.Errorf("%d units were granted of a burst of 8", served)
 	}
 }
--- a/internal/dataplane/policy/quota_test.go
+++ b/internal/dataplane/policy/quota_test.go
@@ -5,32 +5,33 @@
 	"testing"
 )
 
-// Use of a bucket that is nearly empty is announced to the whole set at once, use of a full one
-// with later messages.
+// Use of a nearly empty bucket is announced to the whole gateway set at once, use of a full one
+// with the next regular messages.
 func TestNearlyEmptyBucketIsAnnouncedAtOnce(t *testing.T) {
 	a, b := newPair(t)
 	a.time, b.time = a.time+second, b.time+second
 	a.serve(0, 1, 9, 1)
-	if n := a.actionRecorder.count("peer"); n > 1 { // that of its start
-		t.Fatalf("use of a full bucket is announced at once: %d messages", n)
+	if n := a.actionRecorder.count("peer"); n > 1 { // the first announces its start
+		t.Fatalf("use of a full bucket was announced at once: %d messages", n)
 	}
 	a.recorded = nil
 	for range 18 {
 		a.serve(0, 1, 9, 1)
 	}
 	if n := a.actionRecorder.count("peer 1"); n == 0 {
-		t.Fatal("use of a nearly empty bucket is not announced")
+		t.Fatal("use of a nearly empty bucket was not announced")
 	}
 	deliverMessages(a, b)
 	whole, _, known := b.RemainingQuota(9)
 	own, _, _ := a.RemainingQuota(9)
 	if !known || math.Abs(whole-own) > 0.5 {
-		t.Errorf("the other gateway has %g (known %t), the one that consumed has %g",
+		t.Errorf("the level is %g at the peer (known %t), and %g at the gateway that consumed",
 			whole, known, own)
 	}
 }
 
-// Urgent messages stay within the peer's limit; what does not fit goes with the next regular ones.
+// Urgent messages stay within the peer's limit. Use that exceeds it is announced with the next
+// regular messages.
 func TestUrgentMessagesStayWithinTheLimit(t *testing.T) {
 	set := testSettings()
 	set.Plans[0] = Plan{Rate: 400, Burst: 100, Price: 1}
@@ -46,35 +47,35 @@
 	urgent := urgentMessageFraction*set.MaxPeerMessagesPerSecond*seconds + urgentBurst
 	limit := int(urgent) + 10*seconds
 	if n := r.actionRecorder.count("peer"); n == 0 || n > limit {
-		t.Errorf("%d messages in %d s, at most %d wanted", n, seconds, limit)
+		t.Errorf("%d messages in %d s, want 1 to %d", n, seconds, limit)
 	}
 }
 
-// A gateway that has just started may grant an even share, and does not announce it as the whole
-// bucket, which stays what it is for the others.
+// A gateway that has just started may grant an even share. It does not announce that share as the
+// whole bucket, whose level must not change for the peers.
 func TestStartHalvesNoBurst(t *testing.T) {
 	a := newTestBalancer(t, testSettings())
-	a.Balancer.startedAt, a.Balancer.stateSince = a.time, a.time // it starts now
+	a.Balancer.startedAt, a.Balancer.stateSince = a.time, a.time // the gateway starts now
 	if id, sent := a.request(0, 0, 9, 4); !sent {
 		t.Fatalf("request %d within an even share was not sent", id)
 	}
 	if a.serve(0, 0, 9, 1) {
-		t.Error("more than an even share was sent before peers were heard")
+		t.Error("more than an even share was granted before peers had time to report")
 	}
 	whole, _, _ := a.RemainingQuota(9)
 	assertNear(t, "the whole bucket", whole, 4)
 	a.time += second
 	if !a.serve(0, 0, 9, 4) {
-		t.Error("the bucket is not whole once peers would have been heard")
+		t.Error("the whole bucket is not available after peers have had time to report")
 	}
 }
 
-// Where messages prove late or lost, more is left to the peers, and less again once they prove on
-// time.
+// If messages prove late or lost, a gateway leaves more of a bucket to its peers. It leaves less
+// again once messages prove on time.
 func TestNotificationDelayIsLearned(t *testing.T) {
 	a, b := newPair(t)
 	a.serve(0, 0, 9, 1)
-	gossipTo(a, b) // each knows what the other has consumed so far
+	gossipTo(a, b) // each now knows what the other has consumed
 	b.serve(0, 0, 9, 1)
 	gossipTo(b, a)
 	a.time, b.time = a.time+5*second, b.time+5*second
@@ -86,7 +87,7 @@
 	gossipTo(a, b)
 	gossipTo(a, b)
 	if b.learnedDelay == 0 {
-		t.Fatal("nothing is learned though both granted the same units")
+		t.Fatal("the learned delay is 0 though both gateways granted the same units")
 	}
 	before := b.learnedDelay
 	for range 5 {
@@ -96,12 +97,13 @@
 		gossipTo(a, b)
 	}
 	if b.learnedDelay >= before {
-		t.Errorf("learned delay %d, %d before messages were on time", b.learnedDelay, before)
+		t.Errorf("learned delay %d, want less than the %d before messages were on time",
+			b.learnedDelay, before)
 	}
 }
 
 // A home grants units of its part of the ceiling to a remote gateway whose own part is used up. It
-// takes them off first, and a repeated answer has no effect.
+// deducts them before it answers. A repeated answer has no effect.
 func TestHomeGrantsUnitsOfItsCeiling(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 12
@@ -125,20 +127,20 @@
 			Spread: spread,
 		})
 	}
-	// its own part is used up
+	// The remote gateway's own part is used up.
 	remote.findOrAddCustomer(customer, 2, 0, spread).ceilingBucket.level = 1
 	before := home.customers[customer].ceilingBucket.level
 	remote.recorded = nil
 	request(1)
 	if remote.actionRecorder.count("send") > 0 || remote.actionRecorder.count("reject") > 0 {
-		t.Fatalf("decided without the home: %v", remote.recorded)
+		t.Fatalf("the request was decided without the home: %v", remote.recorded)
 	}
 	deliverMessages(remote, home)
 	assertNear(t, "the home's part", home.customers[customer].ceilingBucket.level, before-4)
 	answers := append([]string(nil), home.recorded...)
 	deliverMessages(home, remote)
 	if remote.actionRecorder.count("send 1 ") != 1 {
-		t.Fatalf("not sent after the home's grant: %v", remote.recorded)
+		t.Fatalf("the request was not sent after the home's grant: %v", remote.recorded)
 	}
 	assertNear(t, "the remote gateway's own part",
 		remote.customers[customer].ceilingBucket.level, 1)
@@ -147,17 +149,18 @@
 	if n := remote.actionRecorder.count("send"); n != 1 {
 		t.Errorf("%d sends after a repeated answer", n)
 	}
-	// Without an answer the own part decides, which is used up.
+	// Without an answer the remote gateway's own part decides, which is used up.
 	request(2)
 	remote.time += second
 	remote.Timer(remote.time, decisionTimer)
 	if remote.actionRecorder.count("reject 2") != 1 {
-		t.Errorf("not rejected without an answer of the home: %v", remote.recorded)
+		t.Errorf("the request was not rejected without an answer from the home: %v",
+			remote.recorded)
 	}
 }
 
-// A gateway that was restored from a snapshot has an allowance less than there is. A peer that ran
-// all along tells it the level, and does not lower its own.
+// The levels of a gateway that was restored from a snapshot are too low by an allowance. It takes
+// over the level of a peer that kept running, and the peer does not lower its own.
 func TestPeerOverridesRestoredSnapshot(t *testing.T) {
 	a, b := newPair(t)
 	a.serve(0, 0, 9, 2)
@@ -166,35 +169,36 @@
 	gossipTo(b, a)
 	s := a.TakeSnapshot(a.time, false)
 	set := testSettings()
-	f := &actionRecorder{}
-	g, err := New(set, 99, f)
+	recorder := &actionRecorder{}
+	lb, err := New(set, 99, recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testBalancer{Balancer: g, actionRecorder: f, t: t, time: a.time + second/10}
-	if err := g.Restore(r.time, 10*second, &s); err != nil {
+	r := &testBalancer{Balancer: lb, actionRecorder: recorder, t: t, time: a.time + second/10}
+	if err := lb.Restore(r.time, 10*second, &s); err != nil {
 		t.Fatal(err)
 	}
-	g.UpdateEndpoints(r.time, CompleteCached, endpointList(4))
+	lb.UpdateEndpoints(r.time, CompleteCached, endpointList(4))
 	whole, _, _ := b.RemainingQuota(9)
-	if low, _, _ := g.RemainingQuota(9); low > whole-1 {
-		t.Fatalf("the restored gateway has %g, the peer %g: no allowance was taken off", low, whole)
+	if low, _, _ := lb.RemainingQuota(9); low > whole-1 {
+		t.Fatalf("the restored gateway has %g, the peer %g: no allowance was deducted", low, whole)
 	}
 	gossipTo(r, b)
 	b.refill(b.customers[9])
 	if after, _, _ := b.RemainingQuota(9); after < whole-1e-6 {
-		t.Errorf("the peer has %g, %g before the other restarted", after, whole)
+		t.Errorf("the peer has %g, want the %g that it had before the restart", after, whole)
 	}
 	b.serve(0, 0, 9, 1)
 	gossipTo(b, r)
-	now, _, _ := b.RemainingQuota(9)
-	if got, _, _ := g.RemainingQuota(9); math.Abs(got-now) > 0.3 {
-		t.Errorf("the restored gateway has %g once it has heard, the peer %g", got, now)
+	current, _, _ := b.RemainingQuota(9)
+	if got, _, _ := lb.RemainingQuota(9); math.Abs(got-current) > 0.3 {
+		t.Errorf("the restored gateway has %g after the peer's message, the peer %g", got, current)
 	}
 }
 
-// Gateways that hear nothing of one another go by shares. A share of a small burst is less than a
-// request: it saves up for the largest one, at its rate, so that the customer is served.
+// Gateways that do not inform each other use shares of a quota. A share of a small burst can be
+// less than a request. It then accumulates units for the largest request, at the share's rate, so
+// that the customer is served.
 func TestSmallShareSavesUpForARequest(t *testing.T) {
 	for _, metered := range []bool{false, true} {
 		set := testSettings()
@@ -220,7 +224,8 @@
 			}
 		}
 		if passed < 0.9*share*seconds || passed > share*seconds+units {
-			t.Errorf("metered %t: %g units sent, the share is %g", metered, passed, share*seconds)
+			t.Errorf("metered %t: %g units were sent, want about the share of %g",
+				metered, passed, share*seconds)
 		}
 	}
 }
--- a/internal/dataplane/policy/retry_test.go
+++ b/internal/dataplane/policy/retry_test.go
@@ -47,7 +47,7 @@
 			retryDecision{true, nil, true}},
 	} {
 		if got := c.class.mayRetry(c.made, c.hedging, start+c.after, 1000); got != c.want {
-			t.Errorf("%s: %+v, %+v wanted", c.name, got, c.want)
+			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		first := r.requests[id].attempts[0].backend
 		r.endAttempt(id, c.result, false)
 		if got := r.lastAction(); !strings.HasPrefix(got, fmt.Sprintf("%s %d", c.want, id)) {
-			t.Errorf("%s: %q", c.name, got)
+			t.Errorf("%s: last action %q, want %s", c.name, got, c.want)
 			continue
 		}
 		if c.want != "send" {
@@ -78,7 +78,7 @@
 		}
 		if second := r.requests[id].attempts[1].backend; second == first || c.class == 2 &&
 			second.Cell != first.Cell {
-			t.Errorf("%s: to backend %d of cell %d", c.name, second.Backend, second.Cell)
+			t.Errorf("%s: retried at backend %d of cell %d", c.name, second.Backend, second.Cell)
 		}
 		for r.requests[id] != nil {
 			r.time += second
@@ -86,7 +86,7 @@
 		}
 		finals := r.actionRecorder.count("fail") + r.actionRecorder.count("reject")
 		if finals != 1 {
-			t.Errorf("%s: %d final answers", c.name, finals)
+			t.Errorf("%s: %d final answers, want 1", c.name, finals)
 		}
 	}
 }
--- a/internal/dataplane/policy/saturation_test.go
+++ b/internal/dataplane/policy/saturation_test.go
@@ -17,15 +17,15 @@
 	}
 	r.time += 2 * second
 	for _, b := range r.backends {
-		b.unansweredSince = r.time // each has answered others
+		b.unansweredSince = r.time // each has answered other attempts
 	}
 	if _, sent := r.request(1, 1, 200, 1); !sent {
-		t.Error("attempts past their objective still use capacity")
+		t.Error("attempts past their latency objective still use capacity")
 	}
 }
 
-// Hung backends must not use up the capacity, and a back end that is late everywhere must get less
-// (issues i62622c, i191102).
+// Attempts at hung backends must not use up the capacity, and a back end whose answers are late
+// everywhere must get fewer requests (issues i62622c, i191102).
 func TestOverdueAttemptsCountAsAnswersAreLate(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	r.Timer(r.time, 0)
@@ -35,14 +35,15 @@
 	for _, b := range r.backends {
 		b.overdue = b.inFlight
 	}
-	assertNear(t, "in flight with others on time", r.effectiveInFlight(), 0)
+	assertNear(t, "in flight with other answers on time", r.effectiveInFlight(), 0)
 	for range 200 {
 		r.lateFraction.add(1, fastSampleWeight)
 	}
-	assertNear(t, "in flight with all others late", r.effectiveInFlight(), 4)
+	assertNear(t, "in flight with all other answers late", r.effectiveInFlight(), 4)
 }
 
-// An overloaded back end must drain (issue i678c40).
+// The minimum capacity must fall while answers are late, so that the queues of an overloaded back
+// end drain (issue i678c40).
 func TestMinimumCapacityFallsAsAnswersAreLate(t *testing.T) {
 	capacity := func(late float64) int {
 		r := newTestBalancer(t, testSettings())
@@ -64,8 +65,8 @@
 	}
 }
 
-// A gateway with a handful of attempts must not take chance for overload, and one that sees enough
-// itself must not rely on the peers' old figures.
+// A gateway with few attempts must not mistake random variation for overload, so it uses the peers'
+// figures. One that sees enough answers itself must not rely on those older figures.
 func TestPeerLoadCountsWhereOwnAnswersAreFew(t *testing.T) {
 	r := newTestBalancer(t, testSettings())
 	for range 100 {
--- a/internal/dataplane/policy/slowstart_fleet_test.go
+++ b/internal/dataplane/policy/slowstart_fleet_test.go
@@ -10,8 +10,8 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// The fleet: gateways and a few servers in virtual time, some of which restart. No gateway hears of
-// another.
+// The fleet: gateways and a few servers, some of which restart, in virtual time. The gateways do
+// not communicate.
 const (
 	fleetServers         = 10
 	serverRate           = 6.0 // requests a second, the capacity of a warm server
@@ -19,12 +19,13 @@
 	slowStartMinFraction = 0.15
 	slowStartDuration    = 16_000_000
 	overloadWindow       = 1_000_000
-	answerLatency        = 100_000 // beyond the service time
+	answerLatency        = 100_000 // in addition to the service time
 	rejectLatency        = 1_000
-	maxServerQueue       = 8 // requests; a server rejects what comes beyond
+	maxServerQueue       = 8 // requests; a server rejects further ones
 )
 
-// scheduledEvent happens at a time; those of one time happen in the order of their scheduling.
+// scheduledEvent runs at a time. Events of the same time run in the order in which they were
+// scheduled.
 type scheduledEvent struct {
 	at    policy.Time
 	order int
@@ -33,15 +34,15 @@
 
 type eventQueue []scheduledEvent
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -52,7 +53,7 @@
 	events     eventQueue
 	eventCount int
 	rand       *rand.Rand
-	load       float64 // requested, as a part of all servers' capacity
+	load       float64 // requested, as a fraction of all servers' capacity
 	gateways   []*simulatedGateway
 	servers    [fleetServers]simulatedServer
 	nextID     uint64
@@ -60,14 +61,14 @@
 
 // simulatedServer answers one request after another.
 type simulatedServer struct {
-	down      bool          // it refuses connections
+	down      bool          // the server refuses connections
 	startedAt policy.Time   // 0: long ago
 	idleAt    policy.Time   // when all queued requests are answered
 	queued    int           // requests
 	sends     []policy.Time // since its start
 }
 
-// capacity returns the part of its capacity that a server has.
+// capacity returns the fraction of its full capacity that a server has.
 func (s *simulatedServer) capacity(now policy.Time) float64 {
 	if s.startedAt == 0 {
 		return 1
@@ -88,9 +89,9 @@
 	random := rand.New(rand.NewPCG(seed, 0xf1ee))
 	f := &simulatedFleet{t: t, now: 100_000_000, load: load, rand: random}
 	for i := range gateways {
-		m := &simulatedGateway{fleet: f, attempts: map[uint64]int{}}
+		g := &simulatedGateway{fleet: f, attempts: map[uint64]int{}}
 		var err error
-		m.balancer, err = policy.New(policy.Settings{
+		g.balancer, err = policy.New(policy.Settings{
 			Self: i, Gateways: gateways, MaxAttempts: 3, Tick: 1000,
 			RetryAfter: true, MaxRetryAfter: 2_000_000,
 			SlowStartMinFraction:    slowStartMinFraction,
@@ -100,11 +101,11 @@
 				{LatencyObjective: 500_000, Idempotency: policy.Idempotent, PriorityWeight: 1},
 			},
 			Plans: []policy.Plan{{Rate: 1000, Burst: 1000, Price: 1, OverQuotaCost: 1}},
-		}, seed<<8|uint64(i), m)
+		}, seed<<8|uint64(i), g)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.gateways = append(f.gateways, m)
+		f.gateways = append(f.gateways, g)
 	}
 	f.updateEndpoints(policy.Complete)
 	f.scheduleRequest()
@@ -116,7 +117,7 @@
 	heap.Push(&f.events, scheduledEvent{f.now + wait, f.eventCount, do})
 }
 
-// run runs all events up to a time.
+// run runs all events that are due until a time.
 func (f *simulatedFleet) run(until policy.Time) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		next := heap.Pop(&f.events).(scheduledEvent)
@@ -126,26 +127,26 @@
 	f.now = until
 }
 
-// updateEndpoints tells all gateways of all servers as they are.
+// updateEndpoints sends the current list of all servers to all gateways.
 func (f *simulatedFleet) updateEndpoints(kind policy.ListKind) {
 	var list []policy.Endpoint
 	for n := range f.servers {
 		backend := uint32(n + 1)
 		list = append(list, policy.Endpoint{Backend: backend, StartedAt: f.servers[n].startedAt})
 	}
-	for _, m := range f.gateways {
-		m.balancer.UpdateEndpoints(f.now, kind, list)
+	for _, g := range f.gateways {
+		g.balancer.UpdateEndpoints(f.now, kind, list)
 	}
 }
 
-// scheduleRequest schedules a request at a gateway that is drawn, which schedules the next one.
+// scheduleRequest schedules a request at a random gateway, which then schedules the next one.
 func (f *simulatedFleet) scheduleRequest() {
 	f.schedule(policy.Time(f.rand.ExpFloat64()/(fleetServers*serverRate*f.load)*1e6), func() {
-		m := f.gateways[f.rand.IntN(len(f.gateways))]
+		g := f.gateways[f.rand.IntN(len(f.gateways))]
 		f.nextID++
-		m.balancer.Request(f.now, policy.Request{
+		g.balancer.Request(f.now, policy.Request{
 			ID: f.nextID, Customer: f.nextID % 97, Units: 1, Timeout: 2_000_000, Spread: 1,
-			First: m.number(),
+			First: g.number(),
 		})
 		f.scheduleRequest()
 	})
@@ -167,9 +168,9 @@
 	f.restart(servers)
 }
 
-func (m *simulatedGateway) number() int {
-	for i, other := range m.fleet.gateways {
-		if other == m {
+func (g *simulatedGateway) number() int {
+	for i, other := range g.fleet.gateways {
+		if other == g {
 			return i
 		}
 	}
@@ -177,13 +178,13 @@
 }
 
 // Send schedules the outcome of an attempt.
-func (m *simulatedGateway) Send(id uint64, backend uint32, _ policy.Time) {
-	f, server := m.fleet, &m.fleet.servers[backend-1]
+func (g *simulatedGateway) Send(id uint64, backend uint32, _ policy.Time) {
+	f, server := g.fleet, &g.fleet.servers[backend-1]
 	o := policy.Outcome{
-		ID: id, Attempt: m.attempts[id], Backend: backend, Result: policy.OK, RequestDone: true,
+		ID: id, Attempt: g.attempts[id], Backend: backend, Result: policy.OK, RequestDone: true,
 	}
-	m.attempts[id]++
-	startedAt := server.startedAt // tells a later incarnation apart
+	g.attempts[id]++
+	startedAt := server.startedAt // distinguishes later incarnations
 	switch {
 	case server.down:
 		o.Result, o.Duration, o.RequestDone = policy.ConnectFailed, rejectLatency, false
@@ -204,23 +205,23 @@
 	}
 	f.schedule(o.Duration, func() {
 		if o.RequestDone {
-			delete(m.attempts, id)
+			delete(g.attempts, id)
 		}
-		m.balancer.Outcome(f.now, o)
+		g.balancer.Outcome(f.now, o)
 	})
 }
 
-func (m *simulatedGateway) Reject(id uint64, _ policy.Time) { delete(m.attempts, id) }
-func (m *simulatedGateway) Fail(id uint64)                  { delete(m.attempts, id) }
-func (m *simulatedGateway) SetTimer(at policy.Time, token uint32) {
-	f := m.fleet
-	f.schedule(max(0, at-f.now), func() { m.balancer.Timer(f.now, token) })
+func (g *simulatedGateway) Reject(id uint64, _ policy.Time) { delete(g.attempts, id) }
+func (g *simulatedGateway) Fail(id uint64)                  { delete(g.attempts, id) }
+func (g *simulatedGateway) SetTimer(at policy.Time, token uint32) {
+	f := g.fleet
+	f.schedule(max(0, at-f.now), func() { g.balancer.Timer(f.now, token) })
 }
-func (m *simulatedGateway) Probe(uint32)                              {}
-func (m *simulatedGateway) SendToPeer(int, []byte)                    {}
-func (m *simulatedGateway) AddToCounter(uint64, float64, policy.Time) {}
-func (m *simulatedGateway) WatchEndpoints()                           {}
-func (m *simulatedGateway) Log(string)                                {}
+func (g *simulatedGateway) Probe(uint32)                              {}
+func (g *simulatedGateway) SendToPeer(int, []byte)                    {}
+func (g *simulatedGateway) AddToCounter(uint64, float64, policy.Time) {}
+func (g *simulatedGateway) WatchEndpoints()                           {}
+func (g *simulatedGateway) Log(string)                                {}
 
 // worstOverload compares the requests sent to the first servers in each window with what they
 // tolerate, and returns the figures of the worst window.
@@ -243,25 +244,26 @@
 	return sent, tolerated
 }
 
-// Servers in slow start are sent no more by all gateways together than they tolerate, N + 2 roots
-// of N + 2 requests in a window, though no gateway hears of another, once a list has told of their
-// start: at once, after a crash, or some time after it; one of ten, or most of them; at a load
-// below the servers' capacity, and at twice that.
+// All gateways together send no more requests to servers in slow start than these tolerate: at most
+// N + 2 sqrt(N) + 2 in a window, though the gateways do not communicate, once a list has reported
+// the servers' start. The list arrives at once after a restart or crash, or some time after a
+// crash; one of ten servers restarts, or most of them; the load is below or twice the servers'
+// capacity.
 func TestFleetSparesServersInSlowStart(t *testing.T) {
 	for name, begin := range map[string]func(f *simulatedFleet, servers int){
-		"restart, told at once": func(f *simulatedFleet, servers int) {
+		"restart, reported at once": func(f *simulatedFleet, servers int) {
 			f.restart(servers)
 			f.updateEndpoints(policy.Delta)
 		},
-		"crash, told at once": func(f *simulatedFleet, servers int) {
+		"crash, reported at once": func(f *simulatedFleet, servers int) {
 			f.crash(servers, 4_000_000)
 			f.updateEndpoints(policy.Delta)
 		},
-		"crash, told 1.8 s later": func(f *simulatedFleet, servers int) {
+		"crash, reported 1.8 s later": func(f *simulatedFleet, servers int) {
 			f.crash(servers, 4_000_000)
 			f.run(f.now + 1_800_000)
 			f.updateEndpoints(policy.Delta)
-			for n := range servers { // overload counts by what gateways sent that had been told
+			for n := range servers { // only requests sent after the report count
 				f.servers[n].sends = nil
 			}
 		},
@@ -292,9 +294,9 @@
 	f.run(f.now + slowStartDuration)
 	sent, tolerated := f.worstOverload(restarted)
 	if sent == 0 {
-		t.Errorf("seed %d: no server is sent anything", seed)
+		t.Errorf("seed %d: no request was sent to the servers in slow start", seed)
 	}
 	if float64(sent) > tolerated {
-		t.Errorf("seed %d: %d requests in a window, %.1f tolerated", seed, sent, tolerated)
+		t.Errorf("seed %d: %d requests in a window, want at most %.1f", seed, sent, tolerated)
 	}
 }
--- a/internal/dataplane/policy/snapshot_test.go
+++ b/internal/dataplane/policy/snapshot_test.go
@@ -18,24 +18,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Snapshot
-	if err := json.Unmarshal(text, &back); err != nil {
+	var decoded Snapshot
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	f := &actionRecorder{}
-	g, err := New(set, uint64(at), f)
+	recorder := &actionRecorder{}
+	lb, err := New(set, uint64(at), recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Restore(at, maxSnapshotAge, &back); err != nil {
+	if err := lb.Restore(at, maxSnapshotAge, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	return &testBalancer{Balancer: g, actionRecorder: f, t: t, time: at}
+	return &testBalancer{Balancer: lb, actionRecorder: recorder, t: t, time: at}
 }
 
-// Whatever happened before, and whenever the process ended, a restored Balancer has no more than
-// the earlier one would have. The host has stored a snapshot whenever one was due, and now and then
-// besides; those may be written long after they were taken, or never.
+// Whatever happened before and whenever the process ended, a restored Balancer holds no more units
+// than the earlier one would. The host stores a snapshot whenever one is due, and sometimes takes
+// further ones, which may be stored long after they were taken, or never.
 func TestRestoredBucketsNeverHoldMore(t *testing.T) {
 	for seed := range uint64(1000) {
 		h := newSnapshotHistory(t, seed)
@@ -85,7 +85,7 @@
 	h.gateway.SnapshotStored(h.stored.At)
 }
 
-// step lets some time pass and plays one event.
+// step advances the time and simulates one event.
 func (h *snapshotHistory) step() {
 	a := h.gateway
 	a.time += Time(h.rand.Float64() * float64(second) / 10)
@@ -136,18 +136,19 @@
 	a.advanceClock(now)
 	for customer := uint64(1); customer <= 4; customer++ {
 		plan := int(customer % 3)
-		x := a.findOrAddCustomer(customer, plan, 0, h.spread)
-		y := b.findOrAddCustomer(customer, plan, 0, h.spread)
-		if y.bucket.level > x.bucket.level+1e-6 ||
-			y.ceilingBucket.level > x.ceilingBucket.level+1e-6 {
+		original := a.findOrAddCustomer(customer, plan, 0, h.spread)
+		restored := b.findOrAddCustomer(customer, plan, 0, h.spread)
+		if restored.bucket.level > original.bucket.level+1e-6 ||
+			restored.ceilingBucket.level > original.ceilingBucket.level+1e-6 {
 			h.t.Fatalf("seed %d, customer %d: restored bucket %g and ceiling %g, "+
 				"without a restart %g and %g", h.seed, customer,
-				y.bucket.level, y.ceilingBucket.level, x.bucket.level, x.ceilingBucket.level)
+				restored.bucket.level, restored.ceilingBucket.level,
+				original.bucket.level, original.ceilingBucket.level)
 		}
 	}
 }
 
-// A graceful restart costs nobody anything: the last snapshot takes off no allowance.
+// A graceful restart loses no units and no state: the last snapshot deducts no allowance.
 func TestGracefulRestartKeepsState(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.Peers, set.Probes = 1, false, false
@@ -169,44 +170,45 @@
 	b := restoredBalancer(t, set, a.time+second/10, s)
 	b.UpdateEndpoints(b.time, Complete, endpointList(4))
 	a.advanceClock(b.time)
-	x, y := a.findOrAddCustomer(9, 2, 0, 1), b.findOrAddCustomer(9, 2, 0, 1)
-	assertNear(t, "bucket", y.bucket.level, x.bucket.level)
-	assertNear(t, "ceiling", y.ceilingBucket.level, x.ceilingBucket.level)
+	original, restored := a.findOrAddCustomer(9, 2, 0, 1), b.findOrAddCustomer(9, 2, 0, 1)
+	assertNear(t, "bucket", restored.bucket.level, original.bucket.level)
+	assertNear(t, "ceiling", restored.ceilingBucket.level, original.ceilingBucket.level)
 	assertNear(t, "latency ratio",
 		b.backendByID[2].currentLatencyRatio(b.time), slow.currentLatencyRatio(b.time))
 	if !b.backendByID[3].unhealthy || b.backendByID[3].nextProbe != broken.nextProbe {
-		t.Error("an ejected backend is not ejected any more")
+		t.Error("an ejected backend is no longer ejected, or is probed at another time")
 	}
 	assertNear(t, "mean latency", b.meanLatency.value, a.meanLatency.value)
-	x, y = a.findOrAddCustomer(10, 2, 0, 1), b.findOrAddCustomer(10, 2, 0, 1)
-	assertNear(t, "another customer's ceiling", y.ceilingBucket.level, x.ceilingBucket.level)
+	original, restored = a.findOrAddCustomer(10, 2, 0, 1), b.findOrAddCustomer(10, 2, 0, 1)
+	assertNear(t, "another customer's ceiling",
+		restored.ceilingBucket.level, original.ceilingBucket.level)
 	if b.uncleanRestore {
-		t.Error("a graceful restart counts as an unclean one")
+		t.Error("a graceful restart counts as unclean")
 	}
 }
 
-// A backend that has restarted since the snapshot is another process: nothing that was known of the
-// old one holds, and it is in slow start.
+// A backend that has restarted since the snapshot is another process: the state of the old process
+// is not restored, and the backend is in slow start.
 func TestRestartedBackendIsNotRestored(t *testing.T) {
 	set := testSettings()
 	a := newTestBalancer(t, set)
 	a.backendByID[1].addLatencyRatio(a.time, 20)
-	// found to have restarted by this gateway
+	// This gateway has found that backend 2 restarted.
 	a.backendByID[2].StartedAt, a.backendByID[2].slowStart = a.time, tokenBucket{at: a.time}
 	b := restoredBalancer(t, set, a.time+second/10, a.TakeSnapshot(a.time, true))
 	list := endpointList(4)
 	list[0].StartedAt = b.time - second/20
 	b.UpdateEndpoints(b.time, Complete, list)
 	if b.backendByID[1].currentLatencyRatio(b.time) != 1 || b.warmFraction(b.backendByID[1]) > 0.3 {
-		t.Errorf("backend 1: latency ratio %g, warm fraction %g",
+		t.Errorf("backend 1: latency ratio %g, want 1; warm fraction %g, want at most 0.3",
 			b.backendByID[1].currentLatencyRatio(b.time), b.warmFraction(b.backendByID[1]))
 	}
 	if b.warmFraction(b.backendByID[2]) > 0.3 {
-		t.Error("a backend that was found to have restarted is warm")
+		t.Error("backend 2, which was found to have restarted, is warm")
 	}
 }
 
-// A snapshot that cannot be used changes nothing, and the error tells why.
+// A snapshot that cannot be restored changes no state, and the error says why.
 func TestRestoreErrors(t *testing.T) {
 	set := testSettings()
 	a := newTestBalancer(t, set)
@@ -231,149 +233,154 @@
 	} {
 		s, other := a.TakeSnapshot(a.time, true), testSettings()
 		change(&s, &other)
-		g, err := New(other, 1, &actionRecorder{})
+		lb, err := New(other, 1, &actionRecorder{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = g.Restore(a.time+second, maxSnapshotAge, &s)
+		err = lb.Restore(a.time+second, maxSnapshotAge, &s)
 		var unusable *SnapshotError
 		if !errors.As(err, &unusable) || !strings.Contains(err.Error(), reason) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", reason, err)
 		}
-		if len(g.customers) > 0 || g.meanLatency.samples > 0 {
-			t.Errorf("%s: a part was restored", reason)
+		if len(lb.customers) > 0 || lb.meanLatency.samples > 0 {
+			t.Errorf("%s: a part of the snapshot was restored", reason)
 		}
 	}
 	s := a.TakeSnapshot(a.time, true)
 	if err := a.Restore(a.time, maxSnapshotAge, &s); err == nil {
-		t.Error("restored after the first event")
+		t.Error("a snapshot was restored after the first request")
 	}
 }
 
-// A fleet that restarts from snapshots grants no more than one that does not restart.
+// Gateways that restart from snapshots grant no more units than gateways that do not restart.
 func TestFleetRestartGrantsNoBursts(t *testing.T) {
 	sent := func(restarts bool) (units float64) {
 		set := testSettings()
 		set.Plans[0].Burst = 20
-		rigs := make([]*testBalancer, 2)
-		for i := range rigs {
+		gateways := make([]*testBalancer, 2)
+		for i := range gateways {
 			set.Self = i
-			rigs[i] = newTestBalancer(t, set)
+			gateways[i] = newTestBalancer(t, set)
 		}
 		for i := range 200 {
 			at := start + second + Time(i)*second/20
 			if restarts && i%40 == 39 {
-				for self := range rigs {
+				for self := range gateways {
 					set.Self = self
-					at := rigs[self].time
-					rigs[self] = restoredBalancer(t, set, at, rigs[self].TakeSnapshot(at, false))
-					rigs[self].UpdateEndpoints(at, Complete, endpointList(4))
+					at := gateways[self].time
+					gateways[self] = restoredBalancer(t, set, at,
+						gateways[self].TakeSnapshot(at, false))
+					gateways[self].UpdateEndpoints(at, Complete, endpointList(4))
 				}
 			}
-			for self, r := range rigs {
+			for self, r := range gateways {
 				r.time = max(r.time, at)
 				if r.serve(0, 0, 5, 1) {
 					units++
 				}
-				gossipTo(r, rigs[1-self])
+				gossipTo(r, gateways[1-self])
 			}
 		}
 		return units
 	}
 	without, with := sent(false), sent(true)
 	if with > without*1.05 || with < without/2 {
-		t.Errorf("%g units with restarts, %g without", with, without)
+		t.Errorf("%g units were sent with restarts, %g without", with, without)
 	}
 }
 
 // A backend that only a stale list names may be in slow start: it gets one request at a time from
-// each gateway, a large fleet spreads its first ones, and a watch event or a prompt answer ends
-// this.
+// each gateway, and a large fleet spreads its first requests over time. A watch event or a prompt
+// answer ends this.
 func TestStaleBootstrapListIsTriedWithCare(t *testing.T) {
 	set := testSettings()
 	set.Probes = false
-	newborn := func(gateways int, seed uint64) *testBalancer {
+	newGateway := func(gateways int, seed uint64) *testBalancer {
 		set := set
 		set.Gateways = gateways
-		f := &actionRecorder{}
-		g, err := New(set, seed, f)
+		recorder := &actionRecorder{}
+		lb, err := New(set, seed, recorder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateEndpoints(start, StaleBootstrap, endpointList(1))
-		return &testBalancer{Balancer: g, actionRecorder: f, t: t, time: start}
+		lb.UpdateEndpoints(start, StaleBootstrap, endpointList(1))
+		return &testBalancer{Balancer: lb, actionRecorder: recorder, t: t, time: start}
 	}
-	r := newborn(2, 1)
+	r := newGateway(2, 1)
 	first, sent := r.request(0, 1, 9, 1)
 	if _, again := r.request(0, 1, 9, 1); !sent || again {
-		t.Errorf("sent %t, and a second one at the same time %t", sent, again)
+		t.Errorf("first request sent %t, second one at the same time %t; want true, false",
+			sent, again)
 	}
 	r.endAttempt(first, OK, true)
 	for range 2 {
 		if _, sent := r.request(0, 1, 9, 1); !sent {
-			t.Error("still one at a time after a prompt answer")
+			t.Error("still one request at a time after a prompt answer")
 		}
 	}
-	r = newborn(2, 1)
+	r = newGateway(2, 1)
 	r.UpdateEndpoints(r.time, Delta, endpointList(1))
 	for range 2 {
 		if _, sent := r.request(0, 1, 9, 1); !sent {
-			t.Error("still one at a time after a watch event")
+			t.Error("still one request at a time after a watch event")
 		}
 	}
-	// Forty gateways: a few try it within any short time.
+	// Of forty gateways only some begin to try the backend within any short time.
 	at := map[Time]int{}
 	for seed := range uint64(40) {
-		r := newborn(40, seed*7919+1)
+		r := newGateway(40, seed*7919+1)
 		for _, sent := r.request(0, 1, 9, 0.1); !sent; _, sent = r.request(0, 1, 9, 0.1) {
 			if r.time += second / 20; r.time > start+5*second {
-				t.Fatal("never tried")
+				t.Fatal("the backend was not tried within 5 s")
 			}
 		}
 		at[(r.time-start)/(second/5)]++
 	}
 	for span, n := range at {
 		if n > 16 {
-			t.Errorf("%d of 40 gateways begin within %d ms", n, 200*(span+1))
+			t.Errorf("%d of 40 gateways begin within the 200 ms before %d ms, want at most 16",
+				n, 200*(span+1))
 		}
 	}
 }
 
-// Only the snapshot taken last can count as stored: an older one that is written late allows for
-// less.
+// Only the last snapshot taken counts as stored: an older one that is stored late allows for less
+// consumption.
 func TestSnapshotStoredIgnoresOlderSnapshots(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.Peers = 1, false
 	r := newTestBalancer(t, set)
-	take := func(units float64) {
+	consume := func(units float64) {
 		r.lastID++
 		r.Request(r.time, Request{
 			ID: r.lastID, Plan: 1, Customer: 5, Units: units, Timeout: 2 * second, Spread: 1,
 		})
 		r.endAttempt(r.lastID, OK, true)
 	}
-	take(1)
+	consume(1)
 	first := r.TakeSnapshot(r.time, false)
 	r.SnapshotStored(first.At)
-	take(1)
+	consume(1)
 	r.time += second / 1000
 	older := r.TakeSnapshot(r.time, false)
-	take(2)
+	consume(2)
 	r.time += second / 1000
 	newer := r.TakeSnapshot(r.time, false)
 	c := r.customers[5]
 	before := c.storedAllowance
 	if r.SnapshotStored(older.At); c.storedAllowance != before {
-		t.Errorf("allows for %g after an older one, %g before", c.storedAllowance, before)
+		t.Errorf("the allowance is up to %g after an older snapshot, %g before",
+			c.storedAllowance, before)
 	}
 	if r.SnapshotStored(newer.At); c.storedAllowance <= before {
-		t.Errorf("allows for %g after the newest, %g before", c.storedAllowance, before)
+		t.Errorf("the allowance is up to %g after the newest snapshot, %g before",
+			c.storedAllowance, before)
 	}
 }
 
-// A gateway that goes on after another process has consumed an unknown part of its buckets grants
-// nothing that they held, and what comes from then on.
+// A gateway that continues after another process has consumed an unknown part of its buckets grants
+// none of the units that they held, only those that arrive from then on.
 func TestForgottenUnitsAreNotGranted(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.Peers, set.Probes = 1, false, false
--- a/internal/dataplane/policy/testbalancer_test.go
+++ b/internal/dataplane/policy/testbalancer_test.go
@@ -14,33 +14,33 @@
 	attemptDeadlines []Time // when each attempt is given up
 }
 
-func (f *actionRecorder) record(format string, args ...any) {
-	f.recorded = append(f.recorded, fmt.Sprintf(format, args...))
+func (a *actionRecorder) record(format string, args ...any) {
+	a.recorded = append(a.recorded, fmt.Sprintf(format, args...))
 }
 
-func (f *actionRecorder) Send(id uint64, backend uint32, until Time) {
-	f.record("send %d to %d", id, backend)
-	f.attemptDeadlines = append(f.attemptDeadlines, until)
+func (a *actionRecorder) Send(id uint64, backend uint32, until Time) {
+	a.record("send %d to %d", id, backend)
+	a.attemptDeadlines = append(a.attemptDeadlines, until)
 }
 
-func (f *actionRecorder) Reject(id uint64, after Time) {
-	f.record("reject %d after %d", id, after)
+func (a *actionRecorder) Reject(id uint64, after Time) {
+	a.record("reject %d after %d", id, after)
 }
 
-func (f *actionRecorder) Fail(id uint64)                { f.record("fail %d", id) }
-func (f *actionRecorder) SetTimer(at Time, _ uint32)    { f.record("timer %d", at) }
-func (f *actionRecorder) Probe(backend uint32)          { f.record("probe %d", backend) }
-func (f *actionRecorder) SendToPeer(peer int, m []byte) { f.record("peer %d %x", peer, m) }
-func (f *actionRecorder) WatchEndpoints()               { f.record("watch") }
-func (f *actionRecorder) Log(line string)               { f.record("log %s", line) }
+func (a *actionRecorder) Fail(id uint64)                { a.record("fail %d", id) }
+func (a *actionRecorder) SetTimer(at Time, _ uint32)    { a.record("timer %d", at) }
+func (a *actionRecorder) Probe(backend uint32)          { a.record("probe %d", backend) }
+func (a *actionRecorder) SendToPeer(peer int, m []byte) { a.record("peer %d %x", peer, m) }
+func (a *actionRecorder) WatchEndpoints()               { a.record("watch") }
+func (a *actionRecorder) Log(line string)               { a.record("log %s", line) }
 
-func (f *actionRecorder) AddToCounter(name uint64, add float64, _ Time) {
-	f.record("counter %d %g", name, add)
+func (a *actionRecorder) AddToCounter(name uint64, add float64, _ Time) {
+	a.record("counter %d %g", name, add)
 }
 
-func (f *actionRecorder) count(prefix string) int {
+func (a *actionRecorder) count(prefix string) int {
 	n := 0
-	for _, line := range f.recorded {
+	for _, line := range a.recorded {
 		if strings.HasPrefix(line, prefix) {
 			n++
 		}
@@ -48,8 +48,8 @@
 	return n
 }
 
-func (f *actionRecorder) lastAction() string {
-	for _, line := range slices.Backward(f.recorded) {
+func (a *actionRecorder) lastAction() string {
+	for _, line := range slices.Backward(a.recorded) {
 		if !strings.HasPrefix(line, "log") {
 			return line
 		}
@@ -91,18 +91,18 @@
 	time   Time
 	lastID uint64
 
-	firstGateways map[uint64]int // of gateway sets with a home, by customer
+	firstGateways map[uint64]int // first gateways of sets with a home, by customer
 }
 
 func newTestBalancer(t *testing.T, set Settings) *testBalancer {
 	t.Helper()
-	f := &actionRecorder{}
-	g, err := New(set, 7, f)
+	recorder := &actionRecorder{}
+	lb, err := New(set, 7, recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testBalancer{Balancer: g, actionRecorder: f, t: t, time: start}
-	g.UpdateEndpoints(start, CompleteCached, endpointList(4))
+	r := &testBalancer{Balancer: lb, actionRecorder: recorder, t: t, time: start}
+	lb.UpdateEndpoints(start, CompleteCached, endpointList(4))
 	r.time += second
 	return r
 }
@@ -134,15 +134,15 @@
 }
 
 // endAttempt ends the last attempt of a request.
-func (r *testBalancer) endAttempt(id uint64, result Result, over bool) {
+func (r *testBalancer) endAttempt(id uint64, result Result, done bool) {
 	q := r.requests[id]
 	if q == nil {
-		r.t.Fatalf("request %d is not known", id)
+		r.t.Fatalf("request %d is unknown", id)
 	}
 	n := len(q.attempts) - 1
 	r.Outcome(r.time, Outcome{
 		ID: id, Attempt: n, Backend: q.attempts[n].backend.Backend, Result: result,
-		Duration: second / 10, RequestDone: over,
+		Duration: second / 10, RequestDone: done,
 	})
 }
 
