--- a/internal/dataplane/policy/balancer.go
+++ b/internal/dataplane/policy/balancer.go
@@ -6,8 +6,8 @@
 
 // The tokens of the timers that a Balancer sets.
 const (
-	gossipTimer   uint32 = iota // all that is due regularly
-	decisionTimer               // a request has waited long enough for its home's answer
+	gossipTimer   uint32 = iota // periodic work
+	decisionTimer               // a request's wait for units may be over
 )
 
 // sweepInterval is how often idle customers are dropped.
@@ -31,27 +31,28 @@
 	attemptTable
 
 	allocations Allocations // nil: quotas are shared by gossip or through the counter
-	sharesUsage bool        // gateways learn of each other's use
+	sharesUsage bool        // gateways inform each other of their use
 }
 
-// New returns a Balancer that knows nothing but its settings. The error is a *SettingsError.
-func New(set Settings, seed uint64, do Actions) (*Balancer, error) {
-	if err := set.validate(); err != nil {
+// New returns a Balancer without any state from earlier incarnations. The error is a
+// *SettingsError.
+func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	lb := &Balancer{
-		settings:        set,
-		configuredPlans: set.Plans,
-		actions:         do,
+		settings:        settings,
+		configuredPlans: settings.Plans,
+		actions:         actions,
 		rand:            rand.New(rand.NewPCG(seed, seed>>32)),
-		sharesUsage:     set.Gateways > 1 && (set.Peers || set.Counter),
-		snapshotState:   snapshotState{settingsSum: set.checksum()},
+		sharesUsage:     settings.Gateways > 1 && (settings.Peers || settings.Counter),
+		snapshotState:   snapshotState{settingsSum: settings.checksum()},
 		customerTable:   customerTable{customers: map[uint64]*customer{}},
-		spareCapacity:   newSpareCapacity(set.Plans),
-		gossipState:     newGossipState(&set, uint32(seed>>32)^uint32(seed)),
+		spareCapacity:   newSpareCapacity(settings.Plans),
+		gossipState:     newGossipState(&settings, uint32(seed>>32)^uint32(seed)),
 		endpointTable:   endpointTable{backendByID: map[uint32]*backend{}},
-		saturationState: newSaturationState(&set),
-		attemptTable:    newAttemptTable(&set),
+		saturationState: newSaturationState(&settings),
+		attemptTable:    newAttemptTable(&settings),
 	}
 	return lb, nil
 }
--- a/internal/dataplane/policy/gossipsend.go
+++ b/internal/dataplane/policy/gossipsend.go
@@ -7,23 +7,23 @@
 
 const (
 	minGossipInterval     = second / 30
-	gossipMessageFraction = 0.5 // of the messages a peer takes in, for regular gossip
-	maxDirectPeers        = 8   // gateways that announce all use to one another
-	announcementRepeats   = 2   // announcements of a change: one more than needed, against loss
-	calmPeriods           = 4   // gossip intervals between messages of a bucket far from empty
+	gossipMessageFraction = 0.5 // of the messages that a peer can take in, for regular gossip
+	maxDirectPeers        = 8   // gateways that announce all their use to each other
+	announcementRepeats   = 2   // announcements of a change: one more than needed, in case of loss
+	relaxedPeriods        = 4   // gossip intervals between messages of a bucket far from empty
 	startupPeriods        = 4   // gossip intervals until a new gateway knows all buckets
-	loadViewFanout        = 6   // peers, drawn each sweep, that are sent the load view
+	loadViewFanout        = 6   // random peers that are sent the load view in each sweep
 )
 
-// gossipState is what this gateway sends to its peers, and when it heard from each.
+// gossipState is what this gateway sends to its peers, and when it last received from each.
 type gossipState struct {
 	incarnation      uint32 // of this process
 	gossipInterval   Time
-	pendingGossip    []*customer // whose use has changed since it was last announced
+	pendingGossip    []*customer // whose use has changed since its last announcement
 	outgoing         [][]byte    // for each peer, the message under construction
 	pendingFaults    []pendingFault
 	peerIncarnations []uint32
-	peerHeardAt      []Time
+	lastReceivedAt   []Time
 	urgentState
 }
 
@@ -32,32 +32,32 @@
 	announcedConsumed    float64 // units, of those consumed here
 	announcedRequested   float64 // units, of those requested here
 	pendingAnnouncements int     // how often its use is still to be announced
-	nextAnnouncement     Time    // not before, if the peers can wait
-	urgentSince          Time    // since when an urgent message waits for a token; 0: none does
+	nextAnnouncement     Time    // not earlier, if the peers can wait
+	urgentSince          Time    // when an urgent message began to wait for a token; 0: none waits
 	peerTotals           []peerTotals
-	restored             bool // the bucket is a restored one, of which no peer has told since
+	restored             bool // the bucket was restored and no peer has reported it since
 }
 
-func newGossipState(set *Settings, incarnation uint32) gossipState {
+func newGossipState(settings *Settings, incarnation uint32) gossipState {
 	s := gossipState{
 		incarnation:      incarnation,
 		gossipInterval:   minGossipInterval,
-		outgoing:         make([][]byte, set.Gateways),
-		peerIncarnations: make([]uint32, set.Gateways),
-		peerHeardAt:      make([]Time, set.Gateways),
-		urgentState:      urgentState{urgentBuckets: make([]tokenBucket, set.Gateways)},
+		outgoing:         make([][]byte, settings.Gateways),
+		peerIncarnations: make([]uint32, settings.Gateways),
+		lastReceivedAt:   make([]Time, settings.Gateways),
+		urgentState:      urgentState{urgentBuckets: make([]tokenBucket, settings.Gateways)},
 	}
-	if set.MaxPeerMessagesPerSecond > 0 {
-		senders := min(set.Gateways-1, maxDirectPeers)
-		s.gossipInterval = max(s.gossipInterval, set.messageIntakeTime(senders))
+	if settings.MaxPeerMessagesPerSecond > 0 {
+		senders := min(settings.Gateways-1, maxDirectPeers)
+		s.gossipInterval = max(s.gossipInterval, settings.messageIntakeTime(senders))
 	}
 	return s
 }
 
-// messageIntakeTime returns the time in which a gateway can take in one message from each of so
-// many senders.
-func (set *Settings) messageIntakeTime(senders int) Time {
-	rate := gossipMessageFraction * max(set.MaxPeerMessagesPerSecond, 1)
+// messageIntakeTime returns the time in which a gateway can take in one message from each of a
+// number of senders.
+func (settings *Settings) messageIntakeTime(senders int) Time {
+	rate := gossipMessageFraction * max(settings.MaxPeerMessagesPerSecond, 1)
 	return Time(float64(senders) / rate * float64(second))
 }
 
@@ -65,23 +65,23 @@
 	return lb.settings.messageIntakeTime(senders)
 }
 
-// announce tells the neighbours that this gateway has just started and knows nothing.
-func (lb *Balancer) announce() {
+// announceStart informs the neighbours that this gateway has just started and has no state.
+func (lb *Balancer) announceStart() {
 	for peer := range lb.outgoing {
-		lb.peerHeardAt[peer] = lb.now
-		if lb.announcesTo(lb.settings.Self, peer) {
+		lb.lastReceivedAt[peer] = lb.now
+		if lb.announcesStartTo(lb.settings.Self, peer) {
 			lb.actions.SendToPeer(peer, lb.newPeerMessage())
 		}
 	}
 }
 
-// announcesTo reports whether a gateway tells another of its start.
-func (lb *Balancer) announcesTo(from, to int) bool {
+// announcesStartTo reports whether a gateway announces its start to another.
+func (lb *Balancer) announcesStartTo(from, to int) bool {
 	n := lb.settings.Gateways
 	return lb.settings.Peers && from != to && (to-from+n)%n <= maxDirectPeers
 }
 
-// markChanged has a customer's use announced with the next regular messages.
+// markChanged schedules the announcement of a customer's use with the next regular messages.
 func (lb *Balancer) markChanged(c *customer) {
 	if c.spread == 1 || !lb.sharesUsage || lb.isRemote(c) && lb.consultsHome(c) {
 		c.announcedConsumed = c.consumed
@@ -93,15 +93,15 @@
 	c.pendingAnnouncements = announcementRepeats
 }
 
-// gossip tells peers, or the counter, of every customer whose use has changed, those first that
-// consumed the largest part of their burst.
+// gossip announces the use of every customer for whom it has changed to the peers or to the
+// counter, in the order of compareUnannounced.
 func (lb *Balancer) gossip() {
 	slices.SortStableFunc(lb.pendingGossip, compareUnannounced)
 	kept := lb.pendingGossip[:0]
 	for _, c := range lb.pendingGossip {
 		lb.refill(c)
 		lb.updateGrant(c)
-		lb.announceUse(c)
+		lb.announceUsage(c)
 		if c.pendingAnnouncements > 0 {
 			kept = append(kept, c)
 		}
@@ -110,8 +110,8 @@
 	lb.flushMessages()
 }
 
-// compareUnannounced orders customers by what was consumed and not announced, as a part of the
-// burst, largest first. The quotients are compared as products.
+// compareUnannounced orders customers by the units consumed and not yet announced, as a fraction of
+// the burst, largest first. The quotients are compared as products.
 func compareUnannounced(a, b *customer) int {
 	return cmp.Compare(
 		(b.consumed-b.announcedConsumed)*a.bucket.capacity,
@@ -119,8 +119,8 @@
 	)
 }
 
-// announceUse announces a customer's use if that is due and the messages have room.
-func (lb *Balancer) announceUse(c *customer) {
+// announceUsage announces a customer's use if an announcement is due and the messages have room.
+func (lb *Balancer) announceUsage(c *customer) {
 	if lb.now < c.nextAnnouncement && lb.announcementCanWait(c) {
 		return
 	}
@@ -129,11 +129,11 @@
 		return
 	}
 	if lb.queueUsage(c) {
-		lb.useAnnounced(c)
+		lb.recordAnnouncement(c)
 	}
 }
 
-// announcementCanWait reports whether the peers decide as well without the next announcement.
+// announcementCanWait reports whether the peers decide equally well without the next announcement.
 func (lb *Balancer) announcementCanWait(c *customer) bool {
 	if lb.isRemote(c) && c.grantFraction < 1 {
 		return true
@@ -141,17 +141,17 @@
 	return lb.settings.Peers && !lb.hasHome(c) && !lb.nearlyEmpty(c)
 }
 
-// allAnnounced takes note that all use so far is announced.
-func (c *customer) allAnnounced() {
+// markAllAnnounced records that all use so far is announced.
+func (c *customer) markAllAnnounced() {
 	c.announcedConsumed = c.consumed
 	c.announcedRequested = c.requested
 }
 
-// useAnnounced takes note that a customer's use is in the messages under construction.
-func (lb *Balancer) useAnnounced(c *customer) {
-	c.allAnnounced()
+// recordAnnouncement records that a customer's use is in the messages under construction.
+func (lb *Balancer) recordAnnouncement(c *customer) {
+	c.markAllAnnounced()
 	c.pendingAnnouncements--
-	c.nextAnnouncement = lb.now + calmPeriods*lb.gossipInterval
+	c.nextAnnouncement = lb.now + relaxedPeriods*lb.gossipInterval
 	if lb.hasHome(c) {
 		c.pendingAnnouncements = 0
 		c.nextAnnouncement = lb.now + lb.messageIntakeTime(c.spread)
@@ -162,8 +162,8 @@
 	}
 }
 
-// queueUsage adds a customer to the messages for all gateways that receive its use. It reports
-// whether all of the messages had room; else it adds the customer to none.
+// queueUsage adds a customer to the messages for all gateways that receive its use, and returns
+// true. If one of the messages has no room it adds the customer to none, and returns false.
 func (lb *Balancer) queueUsage(c *customer) bool {
 	first, n := lb.gossipTargets(c)
 	for i := range n {
@@ -182,7 +182,7 @@
 	return true
 }
 
-// gossipTargets returns how many gateways, from which number on, receive a customer's use.
+// gossipTargets returns the gateways that receive a customer's use: n consecutive ones from first.
 func (lb *Balancer) gossipTargets(c *customer) (first, n int) {
 	if lb.hasHome(c) {
 		return lb.homeOf(c), 1
@@ -208,8 +208,8 @@
 	}
 }
 
-// shareLoadView has messages with this gateway's load view go to n peers, drawn each time, so that
-// they also learn the load of a gateway that serves no customer of theirs.
+// shareLoadView begins messages with this gateway's load view to n random peers, so that they also
+// learn the load of a gateway that serves none of their customers.
 func (lb *Balancer) shareLoadView(n int) {
 	for range n {
 		peer := lb.rand.IntN(lb.settings.Gateways)
@@ -227,7 +227,7 @@
 	return lb.outgoing[peer]
 }
 
-// newPeerMessage returns a message with the header and the fault reports that are still to be sent.
+// newPeerMessage returns a message with the header and the pending fault reports.
 func (lb *Balancer) newPeerMessage() []byte {
 	inFlight, onTime, gateways := lb.loadView()
 	message := messageHeader(lb.incarnation, inFlight/gateways, onTime/gateways)
@@ -243,8 +243,8 @@
 	}
 }
 
-// sendMessage sends the message under construction for a peer. It counts as an urgent one, so that
-// urgent ones only use what the regular ones leave.
+// sendMessage sends the message under construction for a peer. It takes a token for urgent
+// messages, so that those use only what the regular messages leave.
 func (lb *Balancer) sendMessage(peer int) {
 	lb.urgentBucket(peer).level--
 	lb.actions.SendToPeer(peer, lb.outgoing[peer])
