--- a/internal/controlplane/distribution/admission.go
+++ b/internal/controlplane/distribution/admission.go
@@ -39,7 +39,7 @@
 		a.admittedAt[id] = now
 		return 0, true
 	}
-	spacing := max(a.duration(bytes), time.Millisecond)
+	spacing := max(a.transferTime(bytes), time.Millisecond)
 	a.nextSlot = max(a.nextSlot, now) + spacing
 	a.nextSlot = min(a.nextSlot, now+a.settings.MaxRetryDelay)
 	after = a.nextSlot - now +
@@ -50,8 +50,8 @@
 // release ends a stream's resync. It does nothing for a stream that was not admitted.
 func (a *admission) release(id StreamID) { delete(a.admittedAt, id) }
 
-// duration is how long so many bytes take at the configured rate.
-func (a *admission) duration(bytes int) time.Duration {
+// transferTime is how long so many bytes take at the configured rate.
+func (a *admission) transferTime(bytes int) time.Duration {
 	return time.Duration(
 		float64(bytes) / float64(a.settings.BulkBytesPerSecond) * float64(time.Second),
 	)
@@ -76,7 +76,7 @@
 	if a.tokens > 0 {
 		return now
 	}
-	return now + a.duration(int(-a.tokens)+1) + time.Microsecond
+	return now + a.transferTime(int(-a.tokens)+1) + time.Microsecond
 }
 
 // spend takes the tokens of a message that is sent. The balance may fall below zero by one message.
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -23,8 +23,8 @@
 	bytes int
 }
 
-// noRecords is the bucket without records.
-var noRecords = &bucket{}
+// emptyBucket is the bucket without records.
+var emptyBucket = &bucket{}
 
 // newBucket returns a bucket with records that are sorted by key.
 func newBucket(records []Record) *bucket {
@@ -48,19 +48,19 @@
 
 // put applies a change to a bucket that is not yet part of a State.
 func (b *bucket) put(c *Change) {
-	at, there := b.find(&c.Record)
-	if there {
-		b.sum = b.sum.minus(recordHash(&b.records[at]))
-		b.bytes -= b.records[at].size()
+	index, found := b.find(&c.Record)
+	if found {
+		b.sum = b.sum.minus(recordHash(&b.records[index]))
+		b.bytes -= b.records[index].size()
 	}
 	switch {
-	case c.Deleted && there:
-		b.records = slices.Delete(b.records, at, at+1)
+	case c.Deleted && found:
+		b.records = slices.Delete(b.records, index, index+1)
 	case c.Deleted:
-	case there:
-		b.records[at] = c.Record
+	case found:
+		b.records[index] = c.Record
 	default:
-		b.records = slices.Insert(b.records, at, c.Record)
+		b.records = slices.Insert(b.records, index, c.Record)
 	}
 	if !c.Deleted {
 		b.sum = b.sum.plus(recordHash(&c.Record))
--- a/internal/controlplane/distribution/candidates.go
+++ b/internal/controlplane/distribution/candidates.go
@@ -47,16 +47,16 @@
 
 // best returns the preferred server among those that are not backing off. If there is none, ok is
 // false and at is when the first backoff ends.
-func (c *candidates) best(now time.Duration) (server Server, at time.Duration, ok bool) {
-	at = never
+func (c *candidates) best(now time.Duration) (server Server, retryAt time.Duration, ok bool) {
+	retryAt = never
 	for _, s := range c.ranked {
 		until := c.backoffs[s.ID].until
 		if until <= now {
 			return s, now, true
 		}
-		at = min(at, until)
+		retryAt = min(retryAt, until)
 	}
-	return Server{}, at, false
+	return Server{}, retryAt, false
 }
 
 // hasAlternative reports whether another server could be tried now.
@@ -71,7 +71,7 @@
 
 // recordFailure backs off from a server, twice as long after each failure in a row.
 func (c *candidates) recordFailure(now time.Duration, server string) {
-	c.avoid(now, server, backoffDelay(c.settings, c.backoffs[server].failures))
+	c.backOff(now, server, backoffDelay(c.settings, c.backoffs[server].failures))
 }
 
 // backoffDelay returns the backoff after so many failures, without jitter.
@@ -87,8 +87,8 @@
 	return delay/2 + time.Duration(random.Int64N(int64(delay/2)+1))
 }
 
-// avoid backs off from a server for between half of a delay and the delay.
-func (c *candidates) avoid(now time.Duration, server string, delay time.Duration) {
+// backOff backs off from a server for between half of a delay and the delay.
+func (c *candidates) backOff(now time.Duration, server string, delay time.Duration) {
 	b := c.backoffs[server]
 	b.failures = min(b.failures+1, maxFailures)
 	b.until = now + jittered(delay, c.random)
--- a/internal/controlplane/distribution/changelog.go
+++ b/internal/controlplane/distribution/changelog.go
@@ -114,13 +114,13 @@
 	if rest := l.entries[index:]; len(rest) == 1 {
 		d.Changes = rest[0].changes
 	} else {
-		d.Changes = merge(rest)
+		d.Changes = mergeEntries(rest)
 	}
 	return d, true
 }
 
-// merge returns the newest change of each key in the entries, in the order of a delta.
-func merge(entries []logEntry) []Change {
+// mergeEntries returns the newest change of each key in the entries, in the order of a delta.
+func mergeEntries(entries []logEntry) []Change {
 	type key struct {
 		kind Kind
 		id   string
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -20,8 +20,9 @@
 
 // Fence rejects commands of former leaders.
 type Fence interface {
-	// Fence returns an error unless who holds the role under the term, which is the fencing token.
-	Fence(role string, term uint64, who lease.Member) error
+	// Fence returns an error unless the member holds the role under the term, which is the fencing
+	// token.
+	Fence(role string, term uint64, member lease.Member) error
 }
 
 // Update describes what a command or a snapshot changed.
@@ -57,15 +58,15 @@
 
 // NewMachine returns a machine without records. The fence has to be the lease table of the same
 // replicated state.
-func NewMachine(f Fence) *Machine { return &Machine{fence: f, state: NewState()} }
+func NewMachine(fence Fence) *Machine { return &Machine{fence: fence, state: NewState()} }
 
 // State returns a copy of the machine's state.
 func (m *Machine) State() *State { return m.state.Clone() }
 
 // Apply applies an encoded Command. It returns nothing, or the text of the error for which the
 // command was rejected. A rejected command changes nothing.
-func (m *Machine) Apply(_ time.Duration, _ uint64, who lease.Member, body []byte) []byte {
-	delta, err := m.apply(who, body)
+func (m *Machine) Apply(_ time.Duration, _ uint64, member lease.Member, body []byte) []byte {
+	delta, err := m.apply(member, body)
 	if err != nil {
 		return []byte(err.Error())
 	}
@@ -74,12 +75,12 @@
 	return nil
 }
 
-func (m *Machine) apply(who lease.Member, body []byte) (*Delta, error) {
+func (m *Machine) apply(member lease.Member, body []byte) (*Delta, error) {
 	var command distributionpb.Command
 	if err := proto.Unmarshal(body, &command); err != nil {
 		return nil, &InvalidMessageError{"command", err.Error()}
 	}
-	if err := m.fence.Fence(Role, command.Term, who); err != nil {
+	if err := m.fence.Fence(Role, command.Term, member); err != nil {
 		return nil, err
 	}
 	if command.Term != m.term && !command.Complete {
@@ -97,12 +98,12 @@
 	if command.Complete {
 		changes = m.difference(changes)
 	}
-	m.term, m.owner = command.Term, who
+	m.term, m.owner = command.Term, member
 	return m.state.advance(command.Epoch, changes), nil
 }
 
-// firstOfTermReason is why a first command of a term without a base is rejected.
-const firstOfTermReason = "the first of a term has to be the complete state, " +
+// missingBaseReason is why a first command of a term without a base is rejected.
+const missingBaseReason = "the first of a term has to be the complete state, " +
 	"or to say what it is a difference to"
 
 // checkBase rejects the first command of a term if it is a difference from another position than
@@ -110,14 +111,14 @@
 // had read the state.
 func (m *Machine) checkBase(base *distributionpb.Position) error {
 	if base.GetEpoch() == 0 {
-		return &InvalidMessageError{"command", firstOfTermReason}
+		return &InvalidMessageError{"command", missingBaseReason}
 	}
-	at, err := PositionFromProto(base)
+	position, err := PositionFromProto(base)
 	if err != nil {
 		return err
 	}
-	if mine := m.state.Position(); at != mine {
-		return &WrongBaseError{Have: mine, Got: at}
+	if current := m.state.Position(); position != current {
+		return &WrongBaseError{Have: current, Got: position}
 	}
 	return nil
 }
@@ -129,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	newest := merge([]logEntry{{changes: changes}})
+	newest := mergeEntries([]logEntry{{changes: changes}})
 	if len(newest) != len(changes) {
 		return nil, &InvalidMessageError{"command", "it has two changes of one key"}
 	}
--- a/internal/controlplane/distribution/message.go
+++ b/internal/controlplane/distribution/message.go
@@ -23,9 +23,9 @@
 	})
 }
 
-func digestsMessage(at Position, first int, sums Sums) *Message {
+func digestsMessage(position Position, first int, sums Sums) *Message {
 	m := &distributionpb.BucketDigests{
-		Position: at.Proto(),
+		Position: position.Proto(),
 		First:    uint32(first),
 		Sums:     sums.Encode(),
 	}
@@ -34,8 +34,8 @@
 	})
 }
 
-func bucketsMessage(at Position, buckets []*distributionpb.Bucket, last bool) *Message {
-	m := &distributionpb.Buckets{Position: at.Proto(), Buckets: buckets, Last: last}
+func bucketsMessage(position Position, buckets []*distributionpb.Bucket, last bool) *Message {
+	m := &distributionpb.Buckets{Position: position.Proto(), Buckets: buckets, Last: last}
 	return newMessage(&distributionpb.WatchResponse{
 		Response: &distributionpb.WatchResponse_Buckets{Buckets: m},
 	})
@@ -54,8 +54,8 @@
 	})
 }
 
-func behindMessage(at Position) *Message {
-	m := &distributionpb.Behind{Position: at.Proto()}
+func behindMessage(position Position) *Message {
+	m := &distributionpb.Behind{Position: position.Proto()}
 	return newMessage(&distributionpb.WatchResponse{
 		Response: &distributionpb.WatchResponse_Behind{Behind: m},
 	})
@@ -65,13 +65,13 @@
 	return &distributionpb.WatchRequest{Request: &distributionpb.WatchRequest_Resume{Resume: m}}
 }
 
-func fetchRequest(at Position, buckets []uint32) *distributionpb.WatchRequest {
-	m := &distributionpb.FetchBuckets{Position: at.Proto(), Buckets: buckets}
+func fetchRequest(position Position, buckets []uint32) *distributionpb.WatchRequest {
+	m := &distributionpb.FetchBuckets{Position: position.Proto(), Buckets: buckets}
 	return &distributionpb.WatchRequest{Request: &distributionpb.WatchRequest_Fetch{Fetch: m}}
 }
 
-func acknowledgeRequest(at Position) *distributionpb.WatchRequest {
-	m := &distributionpb.Acknowledge{Epoch: at.Epoch, Revision: at.Revision}
+func acknowledgeRequest(position Position) *distributionpb.WatchRequest {
+	m := &distributionpb.Acknowledge{Epoch: position.Epoch, Revision: position.Revision}
 	return &distributionpb.WatchRequest{
 		Request: &distributionpb.WatchRequest_Acknowledge{Acknowledge: m},
 	}
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -47,8 +47,8 @@
 	sourceHeardAt time.Duration
 
 	streams map[StreamID]*stream
-	// order is the streams sorted by id.
-	order []*stream
+	// sortedStreams has the same streams, sorted by id.
+	sortedStreams []*stream
 	// deltas caches encoded deltas to the newest revision, by the revision they begin at.
 	deltas      map[uint64]*Message
 	heartbeatAt time.Duration
@@ -84,12 +84,12 @@
 func NewPublisher(settings PublisherSettings, state *State, random *rand.Rand) *Publisher {
 	p := &Publisher{settings: settings, random: random, streams: map[StreamID]*stream{}}
 	p.admission = admission{settings: &p.settings, admittedAt: map[StreamID]time.Duration{}}
-	p.replace(state)
+	p.replaceState(state)
 	return p
 }
 
-// replace sets a state whose difference from the last one is unknown.
-func (p *Publisher) replace(state *State) {
+// replaceState sets a state whose difference from the last one is unknown.
+func (p *Publisher) replaceState(state *State) {
 	p.state, p.position = state, state.Position()
 	p.log = NewChangeLog(p.position, p.settings.Log)
 	p.publishedRevision = p.position.Revision
@@ -106,7 +106,7 @@
 // revision if no stream is live.
 func (p *Publisher) Acknowledged() uint64 {
 	earliest := p.position.Revision
-	for _, s := range p.order {
+	for _, s := range p.sortedStreams {
 		if s.phase == phaseLive {
 			earliest = min(earliest, s.acknowledged)
 		}
@@ -122,14 +122,14 @@
 	}
 	switch {
 	case u.Restored:
-		p.replace(u.State)
+		p.replaceState(u.State)
 	case u.Delta != nil:
 		p.appendDelta(now, u)
 	default:
 		return
 	}
-	for _, s := range p.order {
-		p.reroute(now, s)
+	for _, s := range p.sortedStreams {
+		p.reassignPhase(now, s)
 	}
 }
 
@@ -151,8 +151,9 @@
 	p.merging, p.publishedRevision = false, p.position.Revision
 }
 
-// reroute checks after a change of the state whether a stream can go on from where it is.
-func (p *Publisher) reroute(now time.Duration, s *stream) {
+// reassignPhase checks after a change of the state whether a stream can continue from its position,
+// and assigns it a new phase if not.
+func (p *Publisher) reassignPhase(now time.Duration, s *stream) {
 	switch s.phase {
 	case phaseAhead, phaseLive:
 		if s.phase == phaseAhead && s.position.Compare(p.position) > 0 {
@@ -161,7 +162,7 @@
 		lineageChanged := s.position.Epoch != p.position.Epoch
 		aheadOfServer := s.position.Revision > p.position.Revision
 		if s.phase == phaseAhead || lineageChanged || aheadOfServer {
-			p.route(now, s, false)
+			p.assignPhase(now, s, false)
 		}
 	}
 }
@@ -175,8 +176,8 @@
 	}
 	s := &stream{id: id, writable: true}
 	p.streams[id] = s
-	at, _ := slices.BinarySearchFunc(p.order, s, compareStreams)
-	p.order = slices.Insert(p.order, at, s)
+	index, _ := slices.BinarySearchFunc(p.sortedStreams, s, compareStreams)
+	p.sortedStreams = slices.Insert(p.sortedStreams, index, s)
 	return nil
 }
 
@@ -187,8 +188,8 @@
 		return
 	}
 	delete(p.streams, id)
-	at, _ := slices.BinarySearchFunc(p.order, s, compareStreams)
-	p.order = slices.Delete(p.order, at, at+1)
+	index, _ := slices.BinarySearchFunc(p.sortedStreams, s, compareStreams)
+	p.sortedStreams = slices.Delete(p.sortedStreams, index, index+1)
 	p.admission.release(id)
 }
 
@@ -225,7 +226,7 @@
 	if m.Fleet != p.settings.Fleet {
 		return &WrongFleetError{Want: p.settings.Fleet, Got: m.Fleet}
 	}
-	at, err := PositionFromProto(m.Position)
+	position, err := PositionFromProto(m.Position)
 	if err != nil {
 		return err
 	}
@@ -235,15 +236,15 @@
 		return nil
 	}
 	p.admission.release(s.id)
-	s.replica, s.position, s.acknowledged = m.Replica, at, at.Revision
+	s.replica, s.position, s.acknowledged = m.Replica, position, position.Revision
 	s.controlQueue, s.heartbeatDue = nil, true
-	p.route(now, s, m.Repair)
+	p.assignPhase(now, s, m.Repair)
 	return nil
 }
 
-// route decides how a stream goes on from its position: with deltas, with a resync, or by waiting
-// until the server has caught up.
-func (p *Publisher) route(now time.Duration, s *stream, repair bool) {
+// assignPhase decides how a stream continues from its position: with deltas, with a resync, or by
+// waiting until the server has caught up with the replica.
+func (p *Publisher) assignPhase(now time.Duration, s *stream, repair bool) {
 	s.pinned, s.pendingBuckets, s.digestsSent = nil, nil, 0
 	if s.position.Compare(p.position) > 0 {
 		s.phase = phaseAhead
@@ -251,11 +252,11 @@
 		p.counts.BehindEvents++
 		return
 	}
-	known, inLog := p.log.At(s.position.Revision)
+	logged, inLog := p.log.At(s.position.Revision)
 	switch {
 	case repair || s.position.Epoch != p.position.Epoch || !inLog:
 		p.startResync(now, s)
-	case known.Digest != s.position.Digest:
+	case logged.Digest != s.position.Digest:
 		p.counts.Divergences++
 		p.startResync(now, s)
 	default:
@@ -291,11 +292,11 @@
 const typicalGap = 16
 
 func (p *Publisher) handleFetch(s *stream, m *distributionpb.FetchBuckets) error {
-	at, err := PositionFromProto(m.Position)
+	position, err := PositionFromProto(m.Position)
 	if err != nil {
 		return err
 	}
-	if s.phase != phaseFetching || at != s.pinned.position {
+	if s.phase != phaseFetching || position != s.pinned.position {
 		return nil // an answer to the digests of an earlier resync
 	}
 	for i, index := range m.Buckets {
@@ -336,7 +337,7 @@
 		return
 	}
 	p.heartbeatAt = now + p.settings.HeartbeatInterval
-	for _, s := range p.order {
+	for _, s := range p.sortedStreams {
 		s.heartbeatDue = s.phase != phaseOpened
 	}
 }
@@ -356,7 +357,9 @@
 
 // bulkPending reports whether a stream could be sent digests or buckets.
 func (p *Publisher) bulkPending() bool {
-	return slices.ContainsFunc(p.order, func(s *stream) bool { return s.writable && s.needsBulk() })
+	return slices.ContainsFunc(p.sortedStreams, func(s *stream) bool {
+		return s.writable && s.needsBulk()
+	})
 }
 
 // Streams returns the ids of all streams in ascending order.
--- a/internal/controlplane/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -11,15 +11,15 @@
 func (p *Publisher) Take(now time.Duration) []Send {
 	p.start(now)
 	var sends []Send
-	var beat *Message
-	for _, s := range p.order {
+	var heartbeat *Message
+	for _, s := range p.sortedStreams {
 		if !s.writable {
 			continue
 		}
-		if s.heartbeatDue && beat == nil {
-			beat = p.heartbeat(now)
+		if s.heartbeatDue && heartbeat == nil {
+			heartbeat = p.heartbeat(now)
 		}
-		sends = s.send(sends, p.nextMessage(now, s, beat))
+		sends = s.send(sends, p.nextMessage(now, s, heartbeat))
 	}
 	return p.takeBulk(now, sends)
 }
@@ -39,10 +39,10 @@
 }
 
 // nextMessage returns a stream's next control message or delta, nil if there is none.
-func (p *Publisher) nextMessage(now time.Duration, s *stream, beat *Message) *Message {
+func (p *Publisher) nextMessage(now time.Duration, s *stream, heartbeat *Message) *Message {
 	if s.heartbeatDue {
 		s.heartbeatDue = false
-		return beat
+		return heartbeat
 	}
 	if len(s.controlQueue) > 0 {
 		m := s.controlQueue[0]
@@ -50,8 +50,8 @@
 		return m
 	}
 	if s.phase == phaseLive && s.position.Epoch != p.position.Epoch {
-		p.route(now, s, false)
-		return p.nextMessage(now, s, beat)
+		p.assignPhase(now, s, false)
+		return p.nextMessage(now, s, heartbeat)
 	}
 	if s.phase != phaseLive || s.position.Revision >= p.publishedRevision {
 		return nil
@@ -59,7 +59,7 @@
 	delta := p.deltaSince(s.position.Revision)
 	if delta == nil {
 		p.startResync(now, s) // the log was compacted past the replica's position
-		return p.nextMessage(now, s, beat)
+		return p.nextMessage(now, s, heartbeat)
 	}
 	s.position = p.position
 	p.counts.Deltas++
@@ -85,7 +85,7 @@
 
 // takeBulk appends digests and buckets as far as the rate allows, one message a stream.
 func (p *Publisher) takeBulk(now time.Duration, sends []Send) []Send {
-	for _, s := range p.order {
+	for _, s := range p.sortedStreams {
 		if !s.writable || !s.needsBulk() {
 			continue
 		}
@@ -124,9 +124,10 @@
 func (p *Publisher) nextDigests(s *stream) *Message {
 	if s.pinned.digests == nil {
 		sums := s.pinned.state.Sums()
-		part := max(1, p.settings.BulkMessageBytes/DigestBytes)
-		for first := 0; first < len(sums); first += part {
-			m := digestsMessage(s.pinned.position, first, sums[first:min(first+part, len(sums))])
+		perMessage := max(1, p.settings.BulkMessageBytes/DigestBytes)
+		for first := 0; first < len(sums); first += perMessage {
+			m := digestsMessage(s.pinned.position, first,
+				sums[first:min(first+perMessage, len(sums))])
 			s.pinned.digests = append(s.pinned.digests, m)
 		}
 	}
--- a/internal/controlplane/distribution/rank.go
+++ b/internal/controlplane/distribution/rank.go
@@ -32,11 +32,11 @@
 // Rank returns the servers in the order in which a replica tries them: those of its zone, then of
 // its region, then the others, each group ordered by rendezvous hashing. So the servers of a zone
 // share its replicas evenly, and only the replicas of a server that is added or removed move.
-func Rank(replica string, at Place, servers []Server) []Server {
+func Rank(replica string, place Place, servers []Server) []Server {
 	ranked := slices.Clone(servers)
 	slices.SortFunc(ranked, func(a, b Server) int {
 		return cmp.Or(
-			cmp.Compare(at.distance(a.Place), at.distance(b.Place)),
+			cmp.Compare(place.distance(a.Place), place.distance(b.Place)),
 			cmp.Compare(rendezvous(replica, b.ID), rendezvous(replica, a.ID)),
 			cmp.Compare(a.ID, b.ID),
 		)
--- a/internal/controlplane/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -190,17 +190,22 @@
 }
 
 // disconnect ends the stream and backs off from its server, unless the server was not at fault.
-func (r *Replica) disconnect(now time.Duration, why DisconnectReason, cause error) {
+func (r *Replica) disconnect(now time.Duration, reason DisconnectReason, cause error) {
 	r.savePartialRepair()
-	switch why {
+	switch reason {
 	case ReasonPreferredServer, ReasonServerRemoved:
 	case ReasonSourceSilent:
-		r.candidates.avoid(now, r.server.ID, r.settings.MaxBackoff)
+		r.candidates.backOff(now, r.server.ID, r.settings.MaxBackoff)
 	default:
 		r.candidates.recordFailure(now, r.server.ID)
 	}
 	r.counts.Disconnects++
-	r.emit(Disconnect{r.server, &DisconnectError{r.server.ID, why, now - r.lastMessageAt, cause}})
+	r.emit(Disconnect{r.server, &DisconnectError{
+		Server:    r.server.ID,
+		Reason:    reason,
+		SilentFor: now - r.lastMessageAt,
+		Cause:     cause,
+	}})
 	r.phase = replicaIdle
 }
 
@@ -230,9 +235,9 @@
 	})})
 }
 
-// refuse reports a message that was rejected and starts a repair: at once, or when the server has
-// asked to be called again.
-func (r *Replica) refuse(now time.Duration, err error) {
+// rejectMessage reports the error of a rejected message and requests a repair. While the replica
+// waits out a RetryLater it requests nothing, because it resumes afterwards anyway.
+func (r *Replica) rejectMessage(now time.Duration, err error) {
 	r.counts.Refused++
 	r.emit(ReportError{err})
 	if r.phase != replicaRetrying {
--- a/internal/controlplane/distribution/replica_receive.go
+++ b/internal/controlplane/distribution/replica_receive.go
@@ -27,7 +27,7 @@
 	case *distributionpb.WatchResponse_Behind:
 		r.handleBehind(now, response.Behind.GetPosition())
 	default:
-		r.refuse(now, &InvalidMessageError{"response", "it is empty"})
+		r.rejectMessage(now, &InvalidMessageError{"response", "it is empty"})
 	}
 	r.persist(now)
 }
@@ -40,20 +40,20 @@
 		r.connect(now)
 		return
 	}
-	theirs, err := PositionFromProto(m.Position)
+	remote, err := PositionFromProto(m.Position)
 	if err != nil {
-		r.refuse(now, err)
+		r.rejectMessage(now, err)
 		return
 	}
 	r.sourceAge, r.sourceAgeAt, r.term = time.Duration(m.SourceAgeNs), now, m.Term
-	mine := r.state.Position()
-	switch order := theirs.Compare(mine); {
+	local := r.state.Position()
+	switch order := remote.Compare(local); {
 	case order < 0:
 		r.handleServerBehind(now)
 		return
-	case order == 0 && theirs.Digest != mine.Digest && r.phase == replicaLive:
+	case order == 0 && remote.Digest != local.Digest && r.phase == replicaLive:
 		r.counts.Divergences++
-		r.refuse(now, &DivergenceError{Mine: mine, Theirs: theirs})
+		r.rejectMessage(now, &DivergenceError{Mine: local, Theirs: remote})
 		return
 	}
 	r.behindSince = never
@@ -63,7 +63,7 @@
 		r.switchForSource(now)
 		return
 	}
-	r.checkCaughtUp(now, mine, theirs)
+	r.checkCaughtUp(now, local, remote)
 }
 
 // switchForSource leaves a server that has not heard from the source. The delay until the next
@@ -79,14 +79,14 @@
 
 // checkCaughtUp resumes the stream if the revision of the last heartbeat did not arrive before this
 // one.
-func (r *Replica) checkCaughtUp(now time.Duration, mine, theirs Position) {
-	if r.phase == replicaLive && mine.Compare(r.announced) < 0 {
+func (r *Replica) checkCaughtUp(now time.Duration, local, remote Position) {
+	if r.phase == replicaLive && local.Compare(r.announced) < 0 {
 		r.resume(now, false)
 		return
 	}
-	r.announced = theirs
+	r.announced = remote
 	awaitsDeltas := r.phase == replicaLive || r.phase == replicaResuming && len(r.sums) == 0
-	if theirs == mine && awaitsDeltas {
+	if remote == local && awaitsDeltas {
 		r.phase = replicaLive
 		r.recordProgress(now)
 		if r.sourceAge < r.settings.SourceTimeout {
@@ -113,12 +113,12 @@
 
 // handleBehind handles the server's message that the replica is ahead of it.
 func (r *Replica) handleBehind(now time.Duration, m *distributionpb.Position) {
-	theirs, err := PositionFromProto(m)
+	remote, err := PositionFromProto(m)
 	if err != nil {
-		r.refuse(now, err)
+		r.rejectMessage(now, err)
 		return
 	}
-	if theirs.Compare(r.state.Position()) < 0 {
+	if remote.Compare(r.state.Position()) < 0 {
 		r.handleServerBehind(now)
 	}
 }
@@ -139,28 +139,28 @@
 	case err == nil:
 		r.counts.Deltas++
 		r.phase = replicaLive
-		r.accepted(now, d.Changes)
+		r.deliverChanges(now, d.Changes)
 	case r.phase == replicaResuming:
 		// The delta was in flight when the Resume was sent. A digest mismatch needs a repair.
 		if !errors.As(err, &wrongRevision) && !errors.As(err, &wrongEpoch) {
-			r.refuse(now, err)
+			r.rejectMessage(now, err)
 		}
 	case errors.As(err, &wrongRevision), errors.As(err, &wrongEpoch):
 		r.counts.Refused++
 		r.emit(ReportError{err})
 		r.resume(now, false)
 	default:
-		r.refuse(now, err)
+		r.rejectMessage(now, err)
 	}
 }
 
-// accepted delivers and acknowledges changes that were applied to the state.
-func (r *Replica) accepted(now time.Duration, changes []Change) {
+// deliverChanges delivers and acknowledges changes that were applied to the state.
+func (r *Replica) deliverChanges(now time.Duration, changes []Change) {
 	r.recordProgress(now)
 	r.unpersisted, r.behindSince, r.partialRepair = true, never, nil
-	at := r.state.Position()
-	r.emit(Deliver{changes, at})
-	r.emit(SendRequest{acknowledgeRequest(at)})
+	position := r.state.Position()
+	r.emit(Deliver{changes, position})
+	r.emit(SendRequest{acknowledgeRequest(position)})
 }
 
 // handleDigests collects the sums of all buckets and then starts a repair. Their position may be of
@@ -175,11 +175,11 @@
 		sums, err = DecodeSums(m.Sums)
 	}
 	if err != nil {
-		r.refuse(now, err)
+		r.rejectMessage(now, err)
 		return
 	}
-	mine := r.state.Position()
-	if target.Compare(mine) < 0 {
+	local := r.state.Position()
+	if target.Compare(local) < 0 {
 		r.handleServerBehind(now)
 		return
 	}
@@ -187,14 +187,14 @@
 		r.target, r.sums = target, nil
 	}
 	if int(m.First) != len(r.sums) || len(r.sums)+len(sums) > BucketCount {
-		r.refuse(now, &InvalidMessageError{"digests", "they are out of order"})
+		r.rejectMessage(now, &InvalidMessageError{"digests", "they are out of order"})
 		return
 	}
 	r.phase, r.lastProgressAt, r.sums = replicaResuming, now, append(r.sums, sums...)
 	if len(r.sums) == BucketCount {
-		if target.Compare(mine) == 0 && target != mine {
+		if target.Compare(local) == 0 && target != local {
 			r.counts.Divergences++
-			r.emit(ReportError{&DivergenceError{Mine: mine, Theirs: target}})
+			r.emit(ReportError{&DivergenceError{Mine: local, Theirs: target}})
 		}
 		r.startRepair(now)
 	}
@@ -220,12 +220,12 @@
 	if r.phase != replicaRepairing {
 		return
 	}
-	if at, err := PositionFromProto(m.Position); err != nil || at != r.repair.Target() {
+	if position, err := PositionFromProto(m.Position); err != nil || position != r.repair.Target() {
 		return // an answer to an earlier request
 	}
 	for _, b := range m.Buckets {
 		if err := r.repair.Put(b); err != nil {
-			r.refuse(now, err)
+			r.rejectMessage(now, err)
 			return
 		}
 		r.recordProgress(now)
@@ -240,13 +240,13 @@
 func (r *Replica) finishRepair(now time.Duration) {
 	next, err := r.repair.Finish()
 	if err != nil {
-		r.refuse(now, err)
+		r.rejectMessage(now, err)
 		return
 	}
 	changes := r.state.Difference(next)
 	r.state, r.repair, r.phase = next, nil, replicaLive
 	r.counts.Repairs++
-	r.accepted(now, changes)
+	r.deliverChanges(now, changes)
 }
 
 // handleRetry waits as long as the server has asked for, plus jitter.
--- a/internal/controlplane/distribution/state.go
+++ b/internal/controlplane/distribution/state.go
@@ -18,7 +18,7 @@
 func NewState() *State {
 	s := &State{buckets: make([]*bucket, BucketCount)}
 	for i := range s.buckets {
-		s.buckets[i] = noRecords
+		s.buckets[i] = emptyBucket
 	}
 	return s
 }
@@ -48,19 +48,19 @@
 // Get returns the value of a key.
 func (s *State) Get(kind Kind, id string) (value []byte, ok bool) {
 	b := s.buckets[bucketIndex(kind, id)]
-	at, ok := b.find(&Record{Kind: kind, ID: id})
+	index, ok := b.find(&Record{Kind: kind, ID: id})
 	if !ok {
 		return nil, false
 	}
-	return b.records[at].Value, true
+	return b.records[index].Value, true
 }
 
-// Range calls each for every record of a kind until it returns false, in an order that depends on
+// Range calls yield for every record of a kind until it returns false, in an order that depends on
 // the content alone.
-func (s *State) Range(kind Kind, each func(Record) bool) {
+func (s *State) Range(kind Kind, yield func(Record) bool) {
 	for _, b := range s.buckets {
 		for _, r := range b.records {
-			if r.Kind == kind && !each(r) {
+			if r.Kind == kind && !yield(r) {
 				return
 			}
 		}
@@ -134,8 +134,8 @@
 func (s *State) advance(epoch uint64, changes []Change) *Delta {
 	effective := make([]Change, 0, len(changes))
 	for _, c := range changes {
-		value, there := s.Get(c.Kind, c.ID)
-		if c.Deleted && there || !c.Deleted && !(there && bytes.Equal(value, c.Value)) {
+		value, found := s.Get(c.Kind, c.ID)
+		if c.Deleted && found || !c.Deleted && !(found && bytes.Equal(value, c.Value)) {
 			effective = append(effective, c)
 		}
 	}
@@ -154,19 +154,21 @@
 // Difference returns the changes that lead from s to another state, one a key, deletions first.
 func (s *State) Difference(other *State) []Change {
 	var changes []Change
-	for i, mine := range s.buckets {
-		theirs := other.buckets[i]
-		if mine == theirs || mine.sum == theirs.sum && len(mine.records) == len(theirs.records) {
+	for i, before := range s.buckets {
+		after := other.buckets[i]
+		if before == after ||
+			before.sum == after.sum && len(before.records) == len(after.records) {
 			continue
 		}
-		for at := range mine.records {
-			if _, there := theirs.find(&mine.records[at]); !there {
-				r := mine.records[at]
+		for j := range before.records {
+			if _, found := after.find(&before.records[j]); !found {
+				r := before.records[j]
 				changes = append(changes, Change{Record{Kind: r.Kind, ID: r.ID}, true})
 			}
 		}
-		for _, r := range theirs.records {
-			if at, there := mine.find(&r); !there || !bytes.Equal(mine.records[at].Value, r.Value) {
+		for _, r := range after.records {
+			if j, found := before.find(&r); !found ||
+				!bytes.Equal(before.records[j].Value, r.Value) {
 				changes = append(changes, Change{r, false})
 			}
 		}
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -60,14 +60,14 @@
 }
 
 // stateFromProto builds a state from its records and verifies the position's digest.
-func stateFromProto(at *distributionpb.Position, records []*distributionpb.Record) (*State, error) {
-	position, err := PositionFromProto(at)
+func stateFromProto(m *distributionpb.Position, records []*distributionpb.Record) (*State, error) {
+	position, err := PositionFromProto(m)
 	if err != nil {
 		return nil, err
 	}
 	changes := make([]Change, len(records))
-	for i, m := range records {
-		changes[i] = Change{Record: Record{m.GetKind(), m.GetId(), m.GetValue()}}
+	for i, record := range records {
+		changes[i] = Change{Record: Record{record.GetKind(), record.GetId(), record.GetValue()}}
 		if err := changes[i].check(); err != nil {
 			return nil, err
 		}
