--- a/internal/controlplane/distribution/action.go
+++ b/internal/controlplane/distribution/action.go
@@ -7,11 +7,12 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Action is one step that a Replica wants its caller to carry out: one of the types below.
+// Action is one step that the caller of a Replica has to carry out: a Connect, SendRequest,
+// Disconnect, Deliver, Persist or ReportError.
 type Action interface{ action() }
 
-// Connect opens a stream to a server. Its events are passed to the Replica with the attempt's
-// number. No other stream is open at that time.
+// Connect opens a stream to a server. The caller passes the stream's events to the Replica with the
+// number of the attempt. No other stream is open at that time.
 type Connect struct {
 	Attempt uint64
 	Server  Server
@@ -20,14 +21,14 @@
 // SendRequest sends a request on the open stream.
 type SendRequest struct{ Request *distributionpb.WatchRequest }
 
-// Disconnect ends the stream of the last Connect, or the attempt to open it.
+// Disconnect closes the stream of the last Connect, or cancels the attempt to open it.
 type Disconnect struct {
 	Server Server
 	Reason error
 }
 
-// Deliver passes changes to the gateway: those that lead from the state delivered last to the one
-// at Position.
+// Deliver passes changes to the gateway. They lead from the state delivered last to the state at
+// Position.
 type Deliver struct {
 	Changes  []Change
 	Position Position
@@ -36,7 +37,7 @@
 // Persist writes the state to disk. State is never modified afterwards.
 type Persist struct{ State *State }
 
-// ReportError logs an error that did not end the stream: a message was rejected, and the replica
+// ReportError logs an error that did not end the stream. A message was rejected, and the replica
 // kept its state.
 type ReportError struct{ Err error }
 
@@ -47,29 +48,28 @@
 func (Persist) action()     {}
 func (ReportError) action() {}
 
-// DisconnectReason says why a replica left a server.
+// DisconnectReason is the reason why a replica left a server.
 type DisconnectReason string
 
-// The reasons for which a replica leaves a server. The cause may be a WrongFleetError, or the error
-// of a message that could not be repaired.
+// Reasons for leaving a server.
 const (
 	ReasonUnreachable     DisconnectReason = "it could not be reached in time"
 	ReasonStreamEnded     DisconnectReason = "the stream has ended"
 	ReasonUnresponsive    DisconnectReason = "it was silent"
 	ReasonBehind          DisconnectReason = "it is behind"
 	ReasonSourceSilent    DisconnectReason = "it has not heard of the source"
-	ReasonNoProgress      DisconnectReason = "resuming did not help"
-	ReasonPreferredServer DisconnectReason = "another one is to be preferred"
-	ReasonServerRemoved   DisconnectReason = "it serves no more"
+	ReasonNoProgress      DisconnectReason = "resuming made no progress"
+	ReasonPreferredServer DisconnectReason = "a preferred server is available"
+	ReasonServerRemoved   DisconnectReason = "it was removed from the list of servers"
 )
 
 // DisconnectError is the Reason of a Disconnect.
 type DisconnectError struct {
 	Server string
 	Reason DisconnectReason
-	// SilentFor is the time since the last message of the server.
+	// SilentFor is the time since the server's last message.
 	SilentFor time.Duration
-	// Cause may be nil.
+	// Cause is the error of the stream, a WrongFleetError, or nil.
 	Cause error
 }
 
--- a/internal/controlplane/distribution/admission.go
+++ b/internal/controlplane/distribution/admission.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// admission limits resyncs: a few streams may resync at a time, the others are given a time to come
-// back, and a token bucket limits the bytes that all of them send.
+// admission limits resyncs. It admits a few streams at a time and gives the others a delay after
+// which to retry. A token bucket limits the bytes sent by all resyncs together.
 type admission struct {
 	settings *PublisherSettings
-	// admittedAt has the time of admission of each stream that resyncs.
+	// admittedAt is the time of admission of each stream that is resyncing.
 	admittedAt map[StreamID]time.Duration
-	// nextSlot is the earliest time that was not promised to a stream yet.
+	// nextSlot is the latest retry slot assigned so far. The next one is later.
 	nextSlot time.Duration
 
-	// tokens is how many bytes may be sent now. It may be negative by one message.
+	// tokens is the number of bytes that may be sent now. It may be negative by up to one message.
 	tokens     float64
 	refilledAt time.Duration
 }
@@ -23,9 +23,10 @@
 	a.tokens, a.refilledAt = float64(a.settings.BulkBurstBytes), now
 }
 
-// admit admits a stream's resync of about so many bytes, or returns after which time it should ask
-// again. Each rejected stream is given a later slot than the one before. Slots are as far apart as
-// the rate needs for such a resync, with jitter of one slot.
+// admit admits a stream's resync of approximately the given size, or returns the delay after which
+// the replica should retry. Each rejected stream gets a later slot than the one before, up to
+// MaxRetryDelay. Slots are spaced by the time that such a resync takes at the configured rate, with
+// jitter of one slot.
 func (a *admission) admit(
 	now time.Duration, id StreamID, bytes int, random *rand.Rand,
 ) (after time.Duration, ok bool) {
@@ -47,10 +48,10 @@
 	return min(max(after, a.settings.MinRetryDelay), a.settings.MaxRetryDelay), false
 }
 
-// release ends a stream's resync. It does nothing for a stream that was not admitted.
+// release frees the slot of a stream's resync. It does nothing for a stream that was not admitted.
 func (a *admission) release(id StreamID) { delete(a.admittedAt, id) }
 
-// transferTime is how long so many bytes take at the configured rate.
+// transferTime returns the time that the bytes take at the configured rate.
 func (a *admission) transferTime(bytes int) time.Duration {
 	return time.Duration(
 		float64(bytes) / float64(a.settings.BulkBytesPerSecond) * float64(time.Second),
@@ -79,5 +80,5 @@
 	return now + a.transferTime(int(-a.tokens)+1) + time.Microsecond
 }
 
-// spend takes the tokens of a message that is sent. The balance may fall below zero by one message.
+// spend deducts the tokens of a message. The balance may fall below zero by up to one message.
 func (a *admission) spend(bytes int) { a.tokens -= float64(bytes) }
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -5,16 +5,16 @@
 // BucketCount is the number of buckets into which records are divided by the hash of their keys. A
 // replica that lacks d records fetches the digests of all buckets (16 bytes each) and about d
 // buckets. With 7,300 servers and 60,000 tenants a bucket holds 33 records on average (see
-// serverBuckets), and 2,048 is close to the least total for the usual gap of ten to a few hundred
-// records. The number is part of the protocol: all members of a fleet must use the same.
+// serverBuckets), and 2,048 buckets come close to the fewest bytes for the usual gap of ten to a
+// few hundred records. The count is part of the protocol: all members of a fleet must use the same.
 const BucketCount = 2048
 
-// serverBuckets is how many buckets hold only servers. Servers change far more often than tenants
-// and plans and are fewer. If buckets held both, each missing server would make a replica fetch
-// tenants too.
+// serverBuckets is the number of buckets that hold only servers. Servers change far more often than
+// tenants and plans and are fewer. If buckets held both, a replica would fetch tenants together
+// with each missing server.
 const serverBuckets = BucketCount / 2
 
-// bucket is the records of one bucket, sorted by key. A bucket that is part of a State is never
+// bucket holds the records of one bucket, sorted by key. A bucket that is part of a State is never
 // modified, so that states can share it.
 type bucket struct {
 	records []Record
@@ -26,7 +26,7 @@
 // emptyBucket is the bucket without records.
 var emptyBucket = &bucket{}
 
-// newBucket returns a bucket with records that are sorted by key.
+// newBucket returns a bucket with the records, which must be sorted by key.
 func newBucket(records []Record) *bucket {
 	b := &bucket{records: records}
 	for i := range records {
--- a/internal/controlplane/distribution/candidates.go
+++ b/internal/controlplane/distribution/candidates.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// candidates are the servers that a replica may watch, in its order of preference, and the backoff
-// of each.
+// candidates holds the servers that a replica may watch, in its order of preference, and the
+// backoff of each.
 type candidates struct {
 	settings *ReplicaSettings
 	random   *rand.Rand
 	ranked   []Server
-	backoffs map[string]backoff // by server
+	backoffs map[string]backoff // by server id
 }
 
-// backoff is how often a server failed in a row, and until when it is not tried again.
+// backoff counts a server's consecutive failures and holds the time before which it is not retried.
 type backoff struct {
 	failures int
 	until    time.Duration
 }
 
-// maxFailures bounds the exponent of the backoff. MaxBackoff is reached long before.
+// maxFailures bounds the exponent of the backoff. MaxBackoff is reached long before that.
 const maxFailures = 30
 
-// set replaces the list of servers. Servers that stay keep their backoff.
+// set replaces the list of servers. Servers that remain in the list keep their backoff.
 func (c *candidates) set(servers []Server) {
 	c.ranked = Rank(c.settings.ID, c.settings.Place, servers)
 	kept := map[string]backoff{}
@@ -45,8 +45,8 @@
 	return false
 }
 
-// best returns the preferred server among those that are not backing off. If there is none, ok is
-// false and at is when the first backoff ends.
+// best returns the most preferred server that is not backed off from. If there is none, ok is false
+// and retryAt is when the first backoff ends.
 func (c *candidates) best(now time.Duration) (server Server, retryAt time.Duration, ok bool) {
 	retryAt = never
 	for _, s := range c.ranked {
@@ -59,7 +59,7 @@
 	return Server{}, retryAt, false
 }
 
-// hasAlternative reports whether another server could be tried now.
+// hasAlternative reports whether a server other than the given one could be tried now.
 func (c *candidates) hasAlternative(now time.Duration, server string) bool {
 	for _, s := range c.ranked {
 		if s.ID != server && c.backoffs[s.ID].until <= now {
@@ -69,12 +69,12 @@
 	return false
 }
 
-// recordFailure backs off from a server, twice as long after each failure in a row.
+// recordFailure backs off from a server. The delay doubles with each consecutive failure.
 func (c *candidates) recordFailure(now time.Duration, server string) {
 	c.backOff(now, server, backoffDelay(c.settings, c.backoffs[server].failures))
 }
 
-// backoffDelay returns the backoff after so many failures, without jitter.
+// backoffDelay returns the backoff after the given number of failures, without jitter.
 func backoffDelay(settings *ReplicaSettings, failures int) time.Duration {
 	if failures >= maxFailures {
 		return settings.MaxBackoff
@@ -87,7 +87,7 @@
 	return delay/2 + time.Duration(random.Int64N(int64(delay/2)+1))
 }
 
-// backOff backs off from a server for between half of a delay and the delay.
+// backOff backs off from a server for a random time between half of a delay and the delay.
 func (c *candidates) backOff(now time.Duration, server string, delay time.Duration) {
 	b := c.backoffs[server]
 	b.failures = min(b.failures+1, maxFailures)
@@ -95,5 +95,5 @@
 	c.backoffs[server] = b
 }
 
-// recordSuccess forgets a server's failures.
+// recordSuccess resets a server's failures and backoff.
 func (c *candidates) recordSuccess(server string) { delete(c.backoffs, server) }
--- a/internal/controlplane/distribution/changelog.go
+++ b/internal/controlplane/distribution/changelog.go
@@ -1,18 +1,19 @@
 package distribution
 
-// LogBounds limit the size of a ChangeLog.
+// LogBounds limits the size of a ChangeLog.
 type LogBounds struct {
 	// Entries is the maximum number of deltas.
 	Entries int
-	// Bytes is the approximate maximum size of their changes.
+	// Bytes is the approximate maximum size of the deltas' changes.
 	Bytes int
 }
 
-// DefaultLogBounds return bounds that hold thirty releases of 1,100 servers with three changes
-// each.
+// DefaultLogBounds returns bounds that hold thirty releases of 1,100 servers with three changes a
+// server.
 func DefaultLogBounds() LogBounds { return LogBounds{Entries: 100_000, Bytes: 16 << 20} }
 
-// ChangeLog holds the newest deltas of one epoch. Each begins where the one before it ends.
+// ChangeLog holds the newest deltas of one epoch. Each delta begins at the revision at which the
+// one before it ends.
 type ChangeLog struct {
 	bounds LogBounds
 	// base is the position before the first entry.
@@ -27,15 +28,16 @@
 	bytes    int
 }
 
-// NewChangeLog returns an empty log that begins at a position.
+// NewChangeLog returns an empty log that begins at the base position.
 func NewChangeLog(base Position, bounds LogBounds) *ChangeLog {
 	return &ChangeLog{bounds: bounds, base: base}
 }
 
-// Base returns the earliest position that Since accepts.
+// Base returns the position before the first entry, whose revision is the earliest that Since
+// accepts.
 func (l *ChangeLog) Base() Position { return l.base }
 
-// Last is the position of the newest entry.
+// Last returns the position of the newest entry, or Base if the log is empty.
 func (l *ChangeLog) Last() Position {
 	if len(l.entries) == 0 {
 		return l.base
@@ -50,7 +52,7 @@
 func (l *ChangeLog) Bytes() int { return l.bytes }
 
 // Append adds a delta and drops the oldest entries that exceed the bounds. If the delta does not
-// begin at Last, the log is emptied and begins at the delta's position.
+// begin at Last, Append empties the log, which then begins at the delta's position.
 func (l *ChangeLog) Append(d *Delta) {
 	if last := l.Last(); d.Epoch != last.Epoch || d.From != last.Revision {
 		*l = ChangeLog{bounds: l.bounds, base: d.Position()}
@@ -77,7 +79,7 @@
 func (l *ChangeLog) dropFirst() {
 	l.base = l.entries[0].position
 	l.bytes -= l.entries[0].bytes
-	l.entries[0] = logEntry{} // lets the changes be collected before the slice is
+	l.entries[0] = logEntry{} // frees the changes before the slice is freed
 	l.entries = l.entries[1:]
 }
 
@@ -93,8 +95,8 @@
 	return l.entries[index-1].position, true
 }
 
-// index returns how many entries lie at or before a revision, or false if the log does not contain
-// it.
+// index returns the number of entries up to and including a revision, or false if the log does not
+// contain the revision.
 func (l *ChangeLog) index(revision uint64) (int, bool) {
 	if revision < l.base.Revision || revision > l.Last().Revision {
 		return 0, false
@@ -102,8 +104,8 @@
 	return int(revision - l.base.Revision), true
 }
 
-// Since returns one delta from a revision to Last, with only the newest change of each key. It
-// returns false if the log was compacted past the revision or does not reach it yet.
+// Since returns one delta that leads from a revision to Last, with only the newest change of each
+// key. It returns false if the log was compacted past the revision or does not reach it yet.
 func (l *ChangeLog) Since(revision uint64) (*Delta, bool) {
 	index, ok := l.index(revision)
 	if !ok {
@@ -119,7 +121,7 @@
 	return d, true
 }
 
-// mergeEntries returns the newest change of each key in the entries, in the order of a delta.
+// mergeEntries returns the newest change of each key in the entries, sorted by sortChanges.
 func mergeEntries(entries []logEntry) []Change {
 	type key struct {
 		kind Kind
--- a/internal/controlplane/distribution/delta.go
+++ b/internal/controlplane/distribution/delta.go
@@ -7,11 +7,12 @@
 	"mothcleat/internal/mustproto"
 )
 
-// Delta is the changes that lead from one revision to a later one of the same epoch.
+// Delta holds the changes that lead from one revision to a later one of the same epoch.
 type Delta struct {
 	Epoch    uint64
 	From, To uint64
-	// Changes has at most one change a key: deletions first, then draining servers.
+	// Changes has at most one change for each key, sorted: deletions, then draining servers, then
+	// the others.
 	Changes []Change
 	// Digest is the digest of the complete state at To.
 	Digest Digest
@@ -20,7 +21,7 @@
 // Position returns the position that the delta leads to.
 func (d *Delta) Position() Position { return Position{d.Epoch, d.To, d.Digest} }
 
-// Urgent reports whether one of the changes is urgent.
+// Urgent reports whether at least one of the changes is urgent.
 func (d *Delta) Urgent() bool {
 	for i := range d.Changes {
 		if d.Changes[i].Urgent() {
@@ -30,7 +31,7 @@
 	return false
 }
 
-// Proto returns the delta as a message, which shares the values' bytes.
+// Proto returns the delta as a message. The message shares the bytes of the values.
 func (d *Delta) Proto() *distributionpb.Delta {
 	return &distributionpb.Delta{
 		Epoch:   d.Epoch,
@@ -41,15 +42,17 @@
 	}
 }
 
-// DeltaFromProto reads a message and checks each change. The result shares the values' bytes. It
-// returns an InvalidMessageError or an InvalidRecordError.
+// DeltaFromProto reads a message and checks each change. The delta shares the bytes of the
+// message's values. It returns an InvalidMessageError or an InvalidRecordError.
 func DeltaFromProto(m *distributionpb.Delta) (*Delta, error) {
 	digest, err := DecodeDigest(m.GetDigest())
 	if err != nil {
 		return nil, err
 	}
 	if m.Epoch == 0 || m.From >= m.To {
-		return nil, &InvalidMessageError{"delta", "it leads nowhere"}
+		return nil, &InvalidMessageError{
+			"delta", "it has no epoch or does not lead to a later revision",
+		}
 	}
 	changes, err := ChangesFromProto(m.Changes)
 	if err != nil {
@@ -61,7 +64,7 @@
 // Encode returns the encoded delta.
 func (d *Delta) Encode() []byte { return mustproto.Marshal(d.Proto()) }
 
-// DecodeDelta reads what Encode returned.
+// DecodeDelta decodes the result of Encode. It returns the errors of DeltaFromProto.
 func DecodeDelta(raw []byte) (*Delta, error) {
 	var m distributionpb.Delta
 	if err := proto.Unmarshal(raw, &m); err != nil {
@@ -85,7 +88,8 @@
 	return messages
 }
 
-// ChangesFromProto reads messages. It returns an InvalidRecordError for the first invalid change.
+// ChangesFromProto reads messages and checks them. It returns an InvalidRecordError for the first
+// invalid change.
 func ChangesFromProto(messages []*distributionpb.Change) ([]Change, error) {
 	changes := make([]Change, len(messages))
 	for i, m := range messages {
--- a/internal/controlplane/distribution/digest.go
+++ b/internal/controlplane/distribution/digest.go
@@ -26,7 +26,8 @@
 	return binary.BigEndian.AppendUint64(to, d.Low)
 }
 
-// DecodeDigest reads what Encode returned. It returns an InvalidMessageError for any other length.
+// DecodeDigest decodes the result of Encode. It returns an InvalidMessageError for any other
+// length.
 func DecodeDigest(raw []byte) (Digest, error) {
 	if len(raw) != DigestBytes {
 		return Digest{}, &InvalidMessageError{
@@ -57,8 +58,8 @@
 	return append(to, id...)
 }
 
-// bucketIndex returns the bucket of a key: one of the first serverBuckets for a server, one of the
-// others for any other record.
+// bucketIndex returns the index of the bucket of a key. Servers are in the first serverBuckets
+// buckets, all other records in the rest.
 func bucketIndex(kind Kind, id string) uint32 {
 	var scratch [128]byte
 	hash := xxh3.Hash(appendKey(scratch[:0], kind, id))
@@ -68,7 +69,7 @@
 	return serverBuckets + uint32(hash%(BucketCount-serverBuckets))
 }
 
-// recordHash returns the hash of a record that is added to its bucket's sum.
+// recordHash returns the hash with which a record contributes to its bucket's sum.
 func recordHash(r *Record) Digest {
 	var scratch [512]byte
 	h := xxh3.Hash128(append(appendKey(scratch[:0], r.Kind, r.ID), r.Value...))
--- a/internal/controlplane/distribution/errors.go
+++ b/internal/controlplane/distribution/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// WrongEpochError is returned for a message of another epoch than the state's.
+// WrongEpochError is returned for a message of an epoch other than the state's.
 type WrongEpochError struct{ Have, Got uint64 }
 
 // Error returns both epochs.
@@ -19,12 +19,13 @@
 		e.From, e.To, e.Have)
 }
 
-// DigestMismatchError is returned if content does not have the digest that was announced for it.
+// DigestMismatchError is returned if content does not have the digest announced for it.
 type DigestMismatchError struct {
-	// Position is the position as announced.
+	// Position is the announced position.
 	Position Position
 	Got      Digest
-	// OfBuckets is set if a bucket's sum differs, and not the digest of the complete state.
+	// OfBuckets is set if the sum of one bucket differs, rather than the digest of the complete
+	// state.
 	OfBuckets bool
 	// Bucket is the index of that bucket if OfBuckets is set.
 	Bucket int32
@@ -33,16 +34,16 @@
 // Error returns the digest that was computed and the one announced.
 func (e *DigestMismatchError) Error() string {
 	if e.OfBuckets {
-		return fmt.Sprintf("distribution: bucket %d comes to %s, which is not its sum at %s",
+		return fmt.Sprintf("distribution: bucket %d has sum %s instead of the one announced at %s",
 			e.Bucket, e.Got, e.Position)
 	}
 	return fmt.Sprintf("distribution: the content comes to digest %s instead of %s",
 		e.Got, e.Position)
 }
 
-// WrongBaseError is returned for the first command of a term if it is a difference from another
-// position than the machine's. The source should propose the complete state, or the difference from
-// the machine's position.
+// WrongBaseError is returned for the first command of a term if its base is not the machine's
+// position. The source should propose the complete state, or a difference from the machine's
+// position.
 type WrongBaseError struct{ Have, Got Position }
 
 // Error returns both positions.
@@ -51,8 +52,9 @@
 		e.Got, e.Have)
 }
 
-// DivergenceError is reported if two states at one revision have different digests. The replica
-// repairs itself, but the cause is a fault in a program or in memory and should be investigated.
+// DivergenceError is reported if the states of a replica and its server have different digests at
+// the same revision. The replica repairs its state, but the cause is a fault in a program or in
+// memory and should be investigated.
 type DivergenceError struct{ Mine, Theirs Position }
 
 // Error returns both positions.
@@ -64,13 +66,12 @@
 // WrongFleetError is returned for a message of another fleet.
 type WrongFleetError struct{ Want, Got string }
 
-// Error returns both names.
+// Error returns the names of both fleets.
 func (e *WrongFleetError) Error() string {
 	return fmt.Sprintf("distribution: fleet %q instead of %q", e.Got, e.Want)
 }
 
-// TooManyStreamsError is returned by Publisher.Open if as many streams are open as the settings
-// allow.
+// TooManyStreamsError is returned by Publisher.Open if MaxStreams streams are open already.
 type TooManyStreamsError struct{ Open int }
 
 // Error returns the number of open streams.
@@ -78,7 +79,7 @@
 	return fmt.Sprintf("distribution: %d streams are open, no more are taken", e.Open)
 }
 
-// InvalidRecordError is returned for a record that can't be read or stored.
+// InvalidRecordError is returned for a record that can't be decoded or stored.
 type InvalidRecordError struct {
 	Kind   Kind
 	ID     string
@@ -90,8 +91,8 @@
 	return fmt.Sprintf("distribution: record %s %q: %s", e.Kind, e.ID, e.Reason)
 }
 
-// InvalidMessageError is returned for a message that can't be read, or that is not allowed in the
-// state of the receiver.
+// InvalidMessageError is returned for a message that can't be decoded, or that is not allowed in
+// the current state of the receiver.
 type InvalidMessageError struct {
 	// Message is the name of the message.
 	Message string
--- a/internal/controlplane/distribution/machine.go
+++ b/internal/controlplane/distribution/machine.go
@@ -30,41 +30,43 @@
 	// State is the state after the change. It is never modified afterwards and may be read by other
 	// goroutines.
 	State *State
-	// Delta is nil if nothing has changed, so that the command was only a heartbeat of the source,
-	// and if Restored is set.
+	// Delta is nil if the command changed nothing, as a heartbeat of the source does, and if
+	// Restored is set.
 	Delta *Delta
 	// Term is the term of the source.
 	Term uint64
 
-	// Restored is set if a snapshot has replaced the state, so that the changes since the last
-	// update are unknown.
+	// Restored is set if a snapshot replaced the state. The changes since the last update are then
+	// unknown.
 	Restored bool
 }
 
-// Machine is the replicated state machine of the control state: a consensus.Machine. It is not safe
-// for concurrent use.
+// Machine is the replicated state machine of the control state. It implements consensus.Machine and
+// is not safe for concurrent use.
 type Machine struct {
-	// Updated is called after each accepted command and after Restore, from within Apply and
-	// Restore. It may be nil.
+	// Updated is called by Apply after each accepted command, and by Restore after each restored
+	// snapshot. It may be nil.
 	Updated func(Update)
 
 	fence Fence
 	state *State
 	// term is the term of the last accepted command.
-	term    uint64
+	term uint64
+	// owner is the member that proposed that command.
 	owner   lease.Member
 	changes uint64
 }
 
-// NewMachine returns a machine without records. The fence has to be the lease table of the same
+// NewMachine returns a machine without records. The fence must be the lease table of the same
 // replicated state.
 func NewMachine(fence Fence) *Machine { return &Machine{fence: fence, state: NewState()} }
 
 // State returns a copy of the machine's state.
 func (m *Machine) State() *State { return m.state.Clone() }
 
-// Apply applies an encoded Command. It returns nothing, or the text of the error for which the
-// command was rejected. A rejected command changes nothing.
+// Apply applies an encoded Command. It returns nil if the command was accepted. Otherwise the
+// command changes nothing, and Apply returns the text of the error. The text becomes part of the
+// replicated state, so every version of the program must return the same.
 func (m *Machine) Apply(_ time.Duration, _ uint64, member lease.Member, body []byte) []byte {
 	delta, err := m.apply(member, body)
 	if err != nil {
@@ -102,13 +104,12 @@
 	return m.state.advance(command.Epoch, changes), nil
 }
 
-// missingBaseReason is why a first command of a term without a base is rejected.
+// missingBaseReason is the reason for rejecting a term's first command if it has no base.
 const missingBaseReason = "the first of a term has to be the complete state, " +
 	"or to say what it is a difference to"
 
-// checkBase rejects the first command of a term if it is a difference from another position than
-// the state's. The last command of an earlier leader may have been committed after the new leader
-// had read the state.
+// checkBase rejects the first command of a term if its base is not the state's position. The last
+// command of an earlier leader may have been committed after the new leader read the state.
 func (m *Machine) checkBase(base *distributionpb.Position) error {
 	if base.GetEpoch() == 0 {
 		return &InvalidMessageError{"command", missingBaseReason}
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// commandChanges reads and checks a command's changes: at most one a key, and no deletions in a
-// complete state.
+// commandChanges reads a command's changes and sorts them. It rejects invalid changes, two changes
+// of one key, and deletions in a complete state.
 func commandChanges(command *distributionpb.Command) ([]Change, error) {
 	changes, err := ChangesFromProto(command.Changes)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return newest, nil
 }
 
-// difference returns the changes that lead from the current state to a complete one.
+// difference returns the changes that lead from the current state to the given complete state.
 func (m *Machine) difference(complete []Change) []Change {
 	next := NewState()
 	next.commit(next.stage(complete), 0, 0)
@@ -160,11 +161,11 @@
 	}
 }
 
-// QuerySnapshot is the body of a Query that returns the complete state.
+// QuerySnapshot is the body of a Query for the complete state.
 const QuerySnapshot = "whole"
 
-// Query returns an encoded Heartbeat with position and term, or for the body QuerySnapshot an
-// encoded Snapshot.
+// Query returns an encoded Snapshot if the body is QuerySnapshot, and otherwise an encoded
+// Heartbeat with the position and the term.
 func (m *Machine) Query(_ time.Duration, body []byte) []byte {
 	if string(body) == QuerySnapshot {
 		return m.Snapshot()
@@ -178,7 +179,7 @@
 // Changes returns the number of accepted commands and restored snapshots.
 func (m *Machine) Changes() uint64 { return m.changes }
 
-// Snapshot returns the encoded machine. Equal states give equal bytes.
+// Snapshot returns the encoded machine. Equal machines return equal bytes.
 func (m *Machine) Snapshot() []byte {
 	return mustproto.Marshal(&distributionpb.Snapshot{
 		Position:         m.state.Position().Proto(),
@@ -189,8 +190,9 @@
 	})
 }
 
-// Restore reads what Snapshot returned. It returns an error and keeps the current state if the
-// snapshot can't be read or does not have its digest.
+// Restore replaces the machine's state by a snapshot. It returns an InvalidMessageError,
+// InvalidRecordError or DigestMismatchError and keeps the current state if the snapshot can't be
+// decoded or does not match its digest.
 func (m *Machine) Restore(raw []byte) error {
 	var snapshot distributionpb.Snapshot
 	if err := proto.Unmarshal(raw, &snapshot); err != nil {
--- a/internal/controlplane/distribution/message.go
+++ b/internal/controlplane/distribution/message.go
@@ -5,8 +5,8 @@
 	"mothcleat/internal/mustproto"
 )
 
-// Message is one response in the form in which it is sent. It is encoded once, shared by all
-// streams that it goes to, and never modified.
+// Message is a response together with its encoding. It is encoded once, shared by all streams that
+// it is sent on, and never modified.
 type Message struct {
 	Response *distributionpb.WatchResponse
 	// Bytes is the encoded Response.
--- a/internal/controlplane/distribution/position.go
+++ b/internal/controlplane/distribution/position.go
@@ -7,7 +7,7 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Position is a point in the history of a state. Without an epoch it is the position of an empty
+// Position is a point in the history of a state. An epoch of 0 denotes the position of an empty
 // state.
 type Position struct {
 	Epoch    uint64
@@ -16,13 +16,13 @@
 	Digest Digest
 }
 
-// String returns epoch, revision and digest.
+// String returns the epoch, the revision and the digest.
 func (p Position) String() string {
 	return fmt.Sprintf("%d/%d (%s)", p.Epoch, p.Revision, p.Digest)
 }
 
-// Compare orders positions by epoch, then by revision. The result is negative if p is the earlier
-// one. Digests are not compared.
+// Compare orders positions by epoch, then by revision. The result is negative if p is earlier than
+// other. Digests are not compared.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Epoch, other.Epoch), cmp.Compare(p.Revision, other.Revision))
 }
@@ -32,8 +32,9 @@
 	return &distributionpb.Position{Epoch: p.Epoch, Revision: p.Revision, Digest: p.Digest.Encode()}
 }
 
-// PositionFromProto reads a message. A missing one, or one without epoch, is the position of an
-// empty state. It returns an InvalidMessageError.
+// PositionFromProto reads a message. A nil message, or one without an epoch, is the position of an
+// empty state. It returns an InvalidMessageError if the digest has the wrong length, or if there is
+// a revision and no epoch.
 func PositionFromProto(m *distributionpb.Position) (Position, error) {
 	if m.GetEpoch() == 0 {
 		if m.GetRevision() != 0 {
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -10,11 +10,11 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// StreamID identifies one stream of a Publisher. The caller assigns it and never uses one twice.
+// StreamID identifies a stream of a Publisher. The caller assigns the ids and never reuses one.
 type StreamID uint64
 
-// Send is a message to be sent on a stream. The stream gets no further message until Sent was
-// called for it.
+// Send is a message to be sent on a stream. The stream gets no further message until the caller has
+// called Sent for it.
 type Send struct {
 	Stream  StreamID
 	Message *Message
@@ -23,10 +23,10 @@
 // Publisher is the server's side of all its streams. The caller calls a method for each event, then
 // sends what Take returns, and calls Tick at the time that Wake returns.
 //
-// A stream has no queue. It has the position up to which everything was sent, and one message in
-// flight. When it can take the next message it gets all changes since that position, merged. So a
-// slow reader costs no memory and never sees a gap. A reader that falls behind the bounds of the
-// log is resynced by buckets.
+// A stream has no queue of deltas. It has the position up to which everything was sent, and at most
+// one message in flight. When the stream is writable again, it is sent all changes since that
+// position as one merged delta. A slow reader therefore costs no memory and never sees a gap. A
+// reader that falls behind the bounds of the log is resynced by buckets.
 type Publisher struct {
 	settings PublisherSettings
 	random   *rand.Rand
@@ -35,21 +35,22 @@
 	state    *State
 	position Position
 	log      *ChangeLog
-	// publishedRevision is the revision up to which live streams are sent changes without delay.
+	// publishedRevision is the revision up to which changes are sent to live streams. Later changes
+	// wait for the end of the merge window.
 	publishedRevision uint64
-	// mergeAt is when the merge window ends, while merging is set.
+	// mergeAt is when the merge window ends if merging is set.
 	mergeAt time.Duration
 	merging bool
 
 	term        uint64
 	sourceHeard bool
-	// sourceHeardAt is when the last command of the source was applied.
+	// sourceHeardAt is when the source's last command was applied.
 	sourceHeardAt time.Duration
 
 	streams map[StreamID]*stream
-	// sortedStreams has the same streams, sorted by id.
+	// sortedStreams holds the same streams, sorted by id.
 	sortedStreams []*stream
-	// deltas caches encoded deltas to the newest revision, by the revision they begin at.
+	// deltas caches encoded deltas to the newest revision by the revision at which they begin.
 	deltas      map[uint64]*Message
 	heartbeatAt time.Duration
 	started     bool
@@ -58,29 +59,28 @@
 	counts      PublisherCounts
 }
 
-// PublisherCounts counts what a Publisher did.
+// PublisherCounts holds the counters of a Publisher.
 type PublisherCounts struct {
 	// Deltas counts deltas sent, over all streams.
 	Deltas     uint64 `json:"deltas"`
 	DeltaBytes uint64 `json:"delta_bytes"`
-	// Encoded counts deltas encoded.
+	// Encoded counts deltas encoded. Streams at the same position share one.
 	Encoded uint64 `json:"encoded"`
 	// Resyncs counts admitted resyncs.
 	Resyncs uint64 `json:"resyncs"`
-	// Retries counts resyncs that were rejected with a time to come back.
+	// Retries counts resyncs that were answered with a RetryLater.
 	Retries uint64 `json:"retries"`
 	// Buckets counts buckets sent.
 	Buckets uint64 `json:"buckets"`
 	// BulkBytes counts the bytes of digests and buckets.
 	BulkBytes uint64 `json:"bulk_bytes"`
-	// Divergences counts replicas that had another digest at a revision of the log.
+	// Divergences counts replicas whose digest differed from the log's at the same revision.
 	Divergences uint64 `json:"divergences"`
-	// BehindEvents counts replicas that were ahead of this server.
+	// BehindEvents counts replicas that were found to be ahead of this server.
 	BehindEvents uint64 `json:"behind_events"`
 }
 
-// NewPublisher returns a publisher of a state, without streams. The randomness is used for jitter
-// only.
+// NewPublisher returns a publisher of a state, without streams. It uses random for jitter only.
 func NewPublisher(settings PublisherSettings, state *State, random *rand.Rand) *Publisher {
 	p := &Publisher{settings: settings, random: random, streams: map[StreamID]*stream{}}
 	p.admission = admission{settings: &p.settings, admittedAt: map[StreamID]time.Duration{}}
@@ -88,7 +88,7 @@
 	return p
 }
 
-// replaceState sets a state whose difference from the last one is unknown.
+// replaceState sets a state whose difference from the previous one is unknown, and empties the log.
 func (p *Publisher) replaceState(state *State) {
 	p.state, p.position = state, state.Position()
 	p.log = NewChangeLog(p.position, p.settings.Log)
@@ -114,7 +114,7 @@
 	return earliest
 }
 
-// Update handles an update of the machine.
+// Update handles an update of the Machine.
 func (p *Publisher) Update(now time.Duration, u Update) {
 	p.start(now)
 	if !u.Restored {
@@ -133,8 +133,8 @@
 	}
 }
 
-// appendDelta adds a delta to the log. Urgent changes are published at once, others when the merge
-// window ends.
+// appendDelta adds a delta to the log. An urgent delta is published immediately, any other when the
+// merge window ends.
 func (p *Publisher) appendDelta(now time.Duration, u Update) {
 	p.state, p.position = u.State, u.Delta.Position()
 	p.log.Append(u.Delta)
@@ -146,7 +146,7 @@
 	}
 }
 
-// publish ends the merge window.
+// publish ends the merge window and releases all changes to the live streams.
 func (p *Publisher) publish() {
 	p.merging, p.publishedRevision = false, p.position.Revision
 }
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// Close removes a stream. It does nothing for one that is not open.
+// Close removes a stream. It does nothing if the stream is not open.
 func (p *Publisher) Close(id StreamID) {
 	s := p.streams[id]
 	if s == nil {
@@ -193,15 +193,15 @@
 	p.admission.release(id)
 }
 
-// Sent marks a stream as ready for its next message.
+// Sent marks a stream as writable again after its last message was sent.
 func (p *Publisher) Sent(id StreamID) {
 	if s := p.streams[id]; s != nil {
 		s.writable = true
 	}
 }
 
-// Received handles a replica's request. If it returns an error, the caller should end the stream
-// with it and call Close.
+// Received handles a replica's request. If it returns an error (InvalidMessageError or
+// WrongFleetError), the caller should end the stream with it and call Close.
 func (p *Publisher) Received(now time.Duration, id StreamID, m *distributionpb.WatchRequest) error {
 	p.start(now)
 	s := p.streams[id]
@@ -231,7 +231,7 @@
 		return err
 	}
 	if s.phase == phaseRetrying && now < s.retryAt {
-		// The stream keeps its slot and must not ask before it.
+		// The stream keeps its retry slot, and its replica must wait for it.
 		s.controlQueue = []*Message{retryMessage(uint64(s.retryAt - now))}
 		return nil
 	}
@@ -264,7 +264,7 @@
 	}
 }
 
-// startResync starts a resync, or tells the replica when to come back.
+// startResync starts a resync, or sends the replica a delay after which to retry.
 func (p *Publisher) startResync(now time.Duration, s *stream) {
 	if after, ok := p.admission.admit(now, s.id, p.estimateResyncBytes(s), p.random); !ok {
 		s.phase, s.retryAt = phaseRetrying, now+after
@@ -279,8 +279,8 @@
 	s.phase, s.pinned, s.digestsSent = phaseDigests, p.pinned, 0
 }
 
-// estimateResyncBytes estimates the size of a resync: everything for a replica without a state,
-// else all digests and a typical gap.
+// estimateResyncBytes estimates the size of a resync: the whole state for a replica without one,
+// otherwise all digests and the buckets of a typical gap.
 func (p *Publisher) estimateResyncBytes(s *stream) int {
 	if s.position.Epoch == 0 {
 		return p.state.Bytes()
@@ -288,7 +288,7 @@
 	return BucketCount*DigestBytes + p.state.Bytes()/typicalGap
 }
 
-// typicalGap is the assumed gap of a replica that has a state: one record in so many.
+// typicalGap is the assumed gap of a replica that has a state: it lacks one record in typicalGap.
 const typicalGap = 16
 
 func (p *Publisher) handleFetch(s *stream, m *distributionpb.FetchBuckets) error {
@@ -297,7 +297,7 @@
 		return err
 	}
 	if s.phase != phaseFetching || position != s.pinned.position {
-		return nil // an answer to the digests of an earlier resync
+		return nil // a request for the buckets of an earlier resync
 	}
 	for i, index := range m.Buckets {
 		if index >= BucketCount || i > 0 && index <= m.Buckets[i-1] {
@@ -313,7 +313,7 @@
 	return nil
 }
 
-// finishResync ends a resync: the stream has the pinned state.
+// finishResync ends a resync. The stream continues from the position of the pinned state.
 func (p *Publisher) finishResync(s *stream) {
 	s.position, s.pinned, s.pendingBuckets, s.phase = s.pinned.position, nil, nil, phaseLive
 	p.admission.release(s.id)
@@ -327,7 +327,7 @@
 	}
 }
 
-// Tick handles the passing of time.
+// Tick ends a merge window that is over, and schedules heartbeats that are due.
 func (p *Publisher) Tick(now time.Duration) {
 	p.start(now)
 	if p.merging && now >= p.mergeAt {
@@ -342,7 +342,7 @@
 	}
 }
 
-// Wake returns when Tick should be called next if no event comes before.
+// Wake returns when Tick should be called next if there is no event before.
 func (p *Publisher) Wake(now time.Duration) time.Duration {
 	p.start(now)
 	wake := p.heartbeatAt
@@ -355,7 +355,7 @@
 	return max(wake, now)
 }
 
-// bulkPending reports whether a stream could be sent digests or buckets.
+// bulkPending reports whether a writable stream is waiting for digests or buckets.
 func (p *Publisher) bulkPending() bool {
 	return slices.ContainsFunc(p.sortedStreams, func(s *stream) bool {
 		return s.writable && s.needsBulk()
--- a/internal/controlplane/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -6,8 +6,8 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Take returns what can be sent now. Deltas and control messages of all streams come before any
-// digests and buckets.
+// Take returns the messages that can be sent now, at most one for each stream. The deltas and
+// control messages of all streams come before any digests and buckets.
 func (p *Publisher) Take(now time.Duration) []Send {
 	p.start(now)
 	var sends []Send
@@ -33,12 +33,12 @@
 	if p.sourceHeard {
 		m.SourceAgeNs = uint64(now - p.sourceHeardAt)
 	} else {
-		m.SourceAgeNs = uint64(now) // never heard since the clock started
+		m.SourceAgeNs = uint64(now) // no command of the source since the clock's start
 	}
 	return heartbeatMessage(m)
 }
 
-// nextMessage returns a stream's next control message or delta, nil if there is none.
+// nextMessage returns a stream's next heartbeat, control message or delta, or nil if there is none.
 func (p *Publisher) nextMessage(now time.Duration, s *stream, heartbeat *Message) *Message {
 	if s.heartbeatDue {
 		s.heartbeatDue = false
@@ -67,8 +67,8 @@
 	return delta
 }
 
-// deltaSince returns the changes since a revision, encoded once for all streams. It returns nil if
-// the log was compacted past the revision.
+// deltaSince returns the changes since a revision as one delta, encoded once for all streams. It
+// returns nil if the log was compacted past the revision.
 func (p *Publisher) deltaSince(from uint64) *Message {
 	if m := p.deltas[from]; m != nil {
 		return m
@@ -83,7 +83,8 @@
 	return m
 }
 
-// takeBulk appends digests and buckets as far as the rate allows, one message a stream.
+// takeBulk appends digests and buckets as far as the rate limit allows, one message for each
+// stream.
 func (p *Publisher) takeBulk(now time.Duration, sends []Send) []Send {
 	for _, s := range p.sortedStreams {
 		if !s.writable || !s.needsBulk() {
@@ -120,7 +121,8 @@
 	return m
 }
 
-// nextDigests returns the next message of digests of a stream's resync.
+// nextDigests returns the next message of digests of a stream's resync. The messages are encoded
+// once for all streams that resync from the same pinned state.
 func (p *Publisher) nextDigests(s *stream) *Message {
 	if s.pinned.digests == nil {
 		sums := s.pinned.state.Sums()
--- a/internal/controlplane/distribution/publisher_settings.go
+++ b/internal/controlplane/distribution/publisher_settings.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// PublisherSettings configure a Publisher.
+// PublisherSettings configures a Publisher.
 type PublisherSettings struct {
 	Fleet string
 	Log   LogBounds
 
 	MaxStreams int
-	// MergeWindow is how long a change that is not urgent waits to be merged with others.
+	// MergeWindow is how long a change that is not urgent is held back to be merged with others.
 	MergeWindow       time.Duration
 	HeartbeatInterval time.Duration
 
-	// MaxResyncs is how many streams may resync at a time.
+	// MaxResyncs is the maximum number of concurrent resyncs.
 	MaxResyncs int
-	// ResyncSlotTimeout is how long a resync counts towards MaxResyncs, so that slow readers do not
-	// block others.
+	// ResyncSlotTimeout is how long a resync counts towards MaxResyncs. It keeps slow readers from
+	// blocking others.
 	ResyncSlotTimeout time.Duration
-	// MinRetryDelay and MaxRetryDelay bound the time after which a rejected resync may ask again.
+	// MinRetryDelay and MaxRetryDelay bound the delay after which a rejected resync is retried.
 	MinRetryDelay time.Duration
 	MaxRetryDelay time.Duration
 
-	// BulkBytesPerSecond limits the bytes of all resyncs together.
+	// BulkBytesPerSecond limits the rate of all resyncs together.
 	BulkBytesPerSecond int
-	// BulkBurstBytes is how many bytes resyncs may send at once.
+	// BulkBurstBytes is the number of bytes that resyncs may send in one burst.
 	BulkBurstBytes int
 	// BulkMessageBytes is the approximate size of one message of digests or buckets. A larger
-	// bucket is sent by itself. Messages are small, so that a slow reader receives one often enough
-	// to know that the server is alive.
+	// bucket is sent in a message of its own. Messages are small, so that a slow reader receives
+	// them often enough not to time out.
 	BulkMessageBytes int
 }
 
-// DefaultPublisherSettings return settings with which five servers, or any one of them, serve 620
-// replicas.
+// DefaultPublisherSettings returns settings with which five servers, or any one of them alone,
+// serve 620 replicas.
 func DefaultPublisherSettings(fleet string) PublisherSettings {
 	return PublisherSettings{
 		Fleet:              fleet,
--- a/internal/controlplane/distribution/rank.go
+++ b/internal/controlplane/distribution/rank.go
@@ -9,13 +9,13 @@
 
 // Server is a control-plane server that a replica may watch.
 type Server struct {
-	// ID is the same for all replicas.
+	// ID identifies the server. All replicas must use the same id.
 	ID      string
 	Address string
 	Place   Place
 }
 
-// Place is where a process runs. An empty name matches no other.
+// Place is the location of a process. An empty name matches no other, not even an empty one.
 type Place struct{ Zone, Region string }
 
 // distance returns 0 within a zone, 1 within a region and 2 otherwise.
@@ -29,9 +29,10 @@
 	return 2
 }
 
-// Rank returns the servers in the order in which a replica tries them: those of its zone, then of
-// its region, then the others, each group ordered by rendezvous hashing. So the servers of a zone
-// share its replicas evenly, and only the replicas of a server that is added or removed move.
+// Rank returns the servers in the order in which a replica tries them: the servers of its zone,
+// then those of its region, then the others. Each group is ordered by rendezvous hashing, so that
+// the servers of a zone share its replicas evenly, and adding or removing a server moves only the
+// replicas of that server.
 func Rank(replica string, place Place, servers []Server) []Server {
 	ranked := slices.Clone(servers)
 	slices.SortFunc(ranked, func(a, b Server) int {
@@ -44,5 +45,5 @@
 	return ranked
 }
 
-// rendezvous returns the weight that a replica gives a server.
+// rendezvous returns the weight of a server for a replica.
 func rendezvous(replica, server string) uint64 { return xxh3.HashString(replica + "\x00" + server) }
--- a/internal/controlplane/distribution/record.go
+++ b/internal/controlplane/distribution/record.go
@@ -13,15 +13,15 @@
 // Kind is the kind of a record.
 type Kind = distributionpb.Kind
 
-// The kinds of records. A kind that this version does not know is stored and passed on, but not
-// read.
+// The kinds of records. Records of a kind that this version does not know are stored and forwarded,
+// but not decoded.
 const (
 	KindServer = distributionpb.Kind_KIND_SERVER
 	KindPlan   = distributionpb.Kind_KIND_PLAN
 	KindTenant = distributionpb.Kind_KIND_TENANT
 )
 
-// Bounds of one record, so that every message fits into one frame of a stream.
+// Bounds of a record, so that every message fits into one frame of a stream.
 const (
 	MaxIDBytes    = 512
 	MaxValueBytes = 64 << 10
@@ -35,20 +35,21 @@
 	Value []byte
 }
 
-// size returns what the record counts towards bounds in bytes.
+// size returns the number of bytes by which the record counts towards bounds.
 func (r *Record) size() int { return len(r.ID) + len(r.Value) + recordOverheadBytes }
 
-// recordOverheadBytes is the approximate size of a record's message without id and value.
+// recordOverheadBytes is the approximate size of an encoded record without its id and value.
 const recordOverheadBytes = 8
 
 // Change sets a record, or deletes the record with its key.
 type Change struct {
 	Record
-	// Deleted is set for a deletion. Value is empty then.
+	// Deleted is set for a deletion, which has no Value.
 	Deleted bool
 }
 
-// Server decodes the value of a record of KindServer. It returns an InvalidRecordError.
+// Server decodes the value of a record of KindServer. It returns an InvalidRecordError if the value
+// can't be decoded.
 func (r *Record) Server() (*distributionpb.ServerRecord, error) {
 	var server distributionpb.ServerRecord
 	if err := proto.Unmarshal(r.Value, &server); err != nil {
@@ -57,8 +58,8 @@
 	return &server, nil
 }
 
-// Urgent reports whether a change must be sent before others: a deletion, or a server that is
-// draining.
+// Urgent reports whether a change must be sent before others. Deletions and draining servers are
+// urgent.
 func (c *Change) Urgent() bool {
 	if c.Deleted {
 		return true
@@ -70,8 +71,9 @@
 	return err == nil && server.Phase == distributionpb.Phase_PHASE_DRAINING
 }
 
-// check returns an InvalidRecordError for a change that can't be read or stored. The replicated
-// machine decides by it, so every version of the program must check the same.
+// check returns an InvalidRecordError for a change that can't be decoded or stored. The replicated
+// state machine rejects commands by this check, so every version of the program must apply the same
+// rules and return the same texts.
 func (c *Change) check() error {
 	invalid := func(reason string) error { return &InvalidRecordError{c.Kind, c.ID, reason} }
 	switch {
@@ -98,8 +100,8 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ID, b.ID))
 }
 
-// sortChanges puts deletions first, then draining servers, then the rest. Deletions come first
-// because an address may have passed from one id to another.
+// sortChanges sorts deletions first, then draining servers, then the rest. Deletions come first
+// because an address may have moved from one id to another.
 func sortChanges(changes []Change) {
 	type ranked struct {
 		rank   int
--- a/internal/controlplane/distribution/repair.go
+++ b/internal/controlplane/distribution/repair.go
@@ -6,7 +6,7 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Sums are the sums of all buckets, in the order of their indexes.
+// Sums holds the sums of all buckets, indexed by bucket.
 type Sums []Digest
 
 // Sums returns the sums of the state's buckets.
@@ -18,7 +18,7 @@
 	return sums
 }
 
-// Encode returns the sums, 16 bytes each.
+// Encode returns the encoded sums, DigestBytes each.
 func (s Sums) Encode() []byte {
 	raw := make([]byte, 0, len(s)*DigestBytes)
 	for _, sum := range s {
@@ -27,13 +27,14 @@
 	return raw
 }
 
-// DecodeSums reads what Encode returned. It returns an InvalidMessageError unless there are 1 to
-// BucketCount sums.
+// DecodeSums decodes the result of Encode, or a part of it. It returns an InvalidMessageError
+// unless there are 1 to BucketCount sums.
 func DecodeSums(raw []byte) (Sums, error) {
 	count := len(raw) / DigestBytes
 	if count == 0 || count > BucketCount || len(raw)%DigestBytes != 0 {
 		return nil, &InvalidMessageError{
-			"digests", fmt.Sprintf("%d bytes are not the sums of buckets", len(raw)),
+			"digests",
+			fmt.Sprintf("%d bytes are not 1 to %d bucket sums", len(raw), BucketCount),
 		}
 	}
 	sums := make(Sums, count)
@@ -43,8 +44,8 @@
 	return sums, nil
 }
 
-// BucketMessage returns a bucket as a message, which shares the values' bytes, and its approximate
-// size.
+// BucketMessage returns a bucket as a message and its approximate size. The message shares the
+// bytes of the values.
 func (s *State) BucketMessage(index uint32) (m *distributionpb.Bucket, bytes int) {
 	b := s.buckets[index]
 	return bucketToProto(index, b), b.bytes
@@ -58,7 +59,7 @@
 func (s *State) Bucket(index uint32) []Record { return s.buckets[index].records }
 
 // Repair builds the state at a position from another state by fetching only the buckets that
-// differ. The state it began with is not modified.
+// differ. It does not modify the other state.
 type Repair struct {
 	target  Position
 	sums    Sums
@@ -66,7 +67,8 @@
 	missing map[uint32]bool
 }
 
-// NewRepair compares a state with the sums of all buckets at a position.
+// NewRepair starts a repair by comparing a state with the sums of all buckets at the target
+// position.
 func NewRepair(base *State, target Position, sums Sums) *Repair {
 	r := &Repair{target, sums, append([]*bucket(nil), base.buckets...), map[uint32]bool{}}
 	for i, b := range r.buckets {
@@ -80,7 +82,7 @@
 // Target returns the position that the repair leads to.
 func (r *Repair) Target() Position { return r.target }
 
-// Missing returns the indexes of the buckets that differ and were not put yet, in ascending order.
+// Missing returns the indexes of the buckets that differ and were not put yet, ascending.
 func (r *Repair) Missing() []uint32 {
 	var missing []uint32
 	for i := range uint32(BucketCount) {
@@ -91,14 +93,14 @@
 	return missing
 }
 
-// Put replaces a bucket. Records that the replica had there and the new bucket does not are
-// deleted. It returns an error and changes nothing for a bucket that is not missing
-// (InvalidMessageError), a record that can't be read (InvalidRecordError), and records that do not
-// add up to the bucket's sum (DigestMismatchError).
+// Put replaces a bucket, including records that the new bucket does not have. It returns an error
+// and changes nothing if the bucket is not missing or has records out of order or of another bucket
+// (InvalidMessageError), if a record is invalid (InvalidRecordError), or if the hashes of the
+// records do not add up to the bucket's sum (DigestMismatchError).
 func (r *Repair) Put(m *distributionpb.Bucket) error {
 	index := m.GetIndex()
 	if !r.missing[index] {
-		return &InvalidMessageError{"bucket", fmt.Sprintf("bucket %d was not asked for", index)}
+		return &InvalidMessageError{"bucket", fmt.Sprintf("bucket %d was not requested", index)}
 	}
 	b, err := bucketFromProto(m)
 	if err != nil {
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// bucketFromProto reads a bucket. Its records must belong to it and be sorted by key.
+// bucketFromProto reads a bucket. Its records must belong to the bucket and be sorted by key.
 func bucketFromProto(m *distributionpb.Bucket) (*bucket, error) {
 	records := make([]Record, len(m.GetRecords()))
 	for i, message := range m.GetRecords() {
@@ -127,7 +129,8 @@
 		}
 		if bucketIndex(records[i].Kind, records[i].ID) != m.GetIndex() {
 			return nil, &InvalidMessageError{
-				"bucket", fmt.Sprintf("%q is not of bucket %d", records[i].ID, m.GetIndex()),
+				"bucket",
+				fmt.Sprintf("%q does not belong to bucket %d", records[i].ID, m.GetIndex()),
 			}
 		}
 		if i > 0 && compareKeys(&records[i-1], &records[i]) >= 0 {
@@ -140,12 +143,12 @@
 }
 
 // Finish returns the state at the target. It returns an InvalidMessageError if buckets are missing,
-// and a DigestMismatchError if all buckets match their sums but the sums do not match the
-// position's digest.
+// and a DigestMismatchError if all buckets match their sums but the sums do not match the target's
+// digest.
 func (r *Repair) Finish() (*State, error) {
 	if len(r.missing) > 0 {
 		return nil, &InvalidMessageError{
-			"buckets", fmt.Sprintf("%d of them are missing", len(r.missing)),
+			"buckets", fmt.Sprintf("%d of the requested buckets are missing", len(r.missing)),
 		}
 	}
 	s := r.partial()
@@ -156,8 +159,8 @@
 	return s, nil
 }
 
-// partial returns the state as repaired so far, without a position. The next repair starts from it
-// if this one is interrupted.
+// partial returns the state as repaired so far, without a position. If this repair is interrupted,
+// the next one starts from that state.
 func (r *Repair) partial() *State {
 	s := &State{buckets: r.buckets}
 	for _, b := range r.buckets {
--- a/internal/controlplane/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -8,15 +8,15 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// never is a time that is not reached.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
 // Replica is the client's side of the distribution in a gateway. The caller calls a method for each
 // event, then carries out the actions that Take returns, in order, and calls Tick at the time that
 // Wake returns.
 //
-// The state only ever moves to a later position, and only to content that has that position's
-// digest.
+// The state only moves to later positions, except that a repair of a divergence keeps the revision.
+// The content is always verified against the digest of the new position.
 type Replica struct {
 	settings   ReplicaSettings
 	random     *rand.Rand
@@ -25,49 +25,55 @@
 	actions    []Action
 
 	// server is the server of the stream, or of the attempt to open one.
-	server           Server
+	server Server
+	// attempt is the number of the last Connect.
 	attempt          uint64
 	phase            replicaPhase
 	connectStartedAt time.Duration
-	// lastMessageAt is when the last message came, or the attempt began.
+	// lastMessageAt is when the last message was received, the stream was opened or the attempt
+	// began.
 	lastMessageAt time.Duration
-	// resumesWithoutProgress counts the requests to resume on this stream since its last progress.
+	// resumesWithoutProgress counts the Resumes sent on this stream since its last progress.
 	resumesWithoutProgress int
 	// retryAt is when the next Resume is due in phase replicaRetrying.
 	retryAt time.Duration
-	// lastProgressAt is when a Resume or a repair last progressed.
+	// lastProgressAt is when a Resume or a repair last made progress.
 	lastProgressAt time.Duration
-	// returnAt is when a preferred server is tried again.
+	// returnAt is when the replica may return to a more preferred server.
 	returnAt time.Duration
 
-	// behindSince is since when the server has been behind the replica; never if it is not.
+	// behindSince is when the server was first seen behind the replica, or never if it is not
+	// behind.
 	behindSince time.Duration
-	// announced is the position in the last heartbeat if it was ahead of the state.
+	// announced is the server's position in the last heartbeat since the last Resume. Deltas up to
+	// it must have arrived by the next heartbeat.
 	announced Position
 	// target is the position of the digests being received.
 	target Position
 	// sums are the bucket sums received so far.
 	sums   Sums
 	repair *Repair
-	// partialRepair is the state that an interrupted repair reached; nil if there is none.
+	// partialRepair is the state that an interrupted repair reached, or nil.
 	partialRepair *State
 
-	// sourceAge is the age of the source's last command in the last heartbeat.
+	// sourceAge is the age of the source's last command according to the last heartbeat, which was
+	// received at sourceAgeAt.
 	sourceAge   time.Duration
 	sourceAgeAt time.Duration
-	// sourceSwitches counts the servers left in a row because they had not heard from the source.
+	// sourceSwitches counts consecutive servers that were left with ReasonSourceSilent.
 	sourceSwitches int
 	// nextSourceSwitchAt is the earliest time at which the next server may be left for that reason.
 	nextSourceSwitchAt time.Duration
 	term               uint64
 
+	// unpersisted is set if the state has changed since the last Persist.
 	unpersisted bool
 	persistAt   time.Duration
 	started     bool
 	counts      ReplicaCounts
 }
 
-// ReplicaCounts counts what a Replica received.
+// ReplicaCounts holds the counters of a Replica.
 type ReplicaCounts struct {
 	// Deltas counts deltas applied.
 	Deltas uint64 `json:"deltas"`
@@ -78,25 +84,27 @@
 	// Buckets counts buckets fetched.
 	Buckets uint64 `json:"buckets"`
 	// Refused counts messages rejected.
-	Refused     uint64 `json:"refused"`
+	Refused uint64 `json:"refused"`
+	// Divergences counts digests of a server that differed from the replica's at the same revision.
 	Divergences uint64 `json:"divergences"`
+	// Disconnects counts servers left, for any reason.
 	Disconnects uint64 `json:"leaves"`
 }
 
-// replicaPhase is what a replica is waiting for.
+// replicaPhase is the state of a replica's connection to its server.
 type replicaPhase int
 
 const (
 	replicaIdle       replicaPhase = iota // no server can be tried now
 	replicaConnecting                     // a stream is being opened
 	replicaResuming                       // a Resume was sent, or digests are arriving
-	replicaRetrying                       // the server has said when to resume
+	replicaRetrying                       // the server sent a RetryLater
 	replicaRepairing                      // buckets were requested
 	replicaLive                           // deltas are arriving
 )
 
-// NewReplica returns a replica that starts from a state: the one read from its state file, or
-// NewState(). The randomness is used for jitter only.
+// NewReplica returns a replica that starts from a state, which is read from its state file or is
+// NewState(). It uses random for jitter only.
 func NewReplica(settings ReplicaSettings, state *State, random *rand.Rand) *Replica {
 	r := &Replica{settings: settings, random: random, state: state.Clone(), behindSince: never}
 	r.candidates = candidates{settings: &r.settings, random: random, backoffs: map[string]backoff{}}
@@ -112,23 +120,22 @@
 // Counts returns the counters.
 func (r *Replica) Counts() ReplicaCounts { return r.counts }
 
-// Live reports whether the replica receives deltas and has everything that its server has
-// announced.
+// Live reports whether the replica has caught up with its server and receives deltas.
 func (r *Replica) Live() bool { return r.phase == replicaLive }
 
-// Server returns the server that is watched or being connected to; ok is false if there is none.
+// Server returns the server that is watched or being connected to. ok is false if there is none.
 func (r *Replica) Server() (server Server, ok bool) { return r.server, r.phase != replicaIdle }
 
-// SourceAge returns the time since the source's last command, according to the last heartbeat and
-// the time since. It returns false before the first heartbeat.
+// SourceAge returns the time since the source's last command: the age in the last heartbeat plus
+// the time since then. It returns false before the first heartbeat.
 func (r *Replica) SourceAge(now time.Duration) (age time.Duration, ok bool) {
 	return r.sourceAge + now - r.sourceAgeAt, r.term > 0
 }
 
-// Term returns the source's term in the last heartbeat.
+// Term returns the source's term according to the last heartbeat.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Take returns the actions that are due since the last call, in order.
+// Take returns the actions emitted since the last call, in order.
 func (r *Replica) Take() []Action {
 	actions := r.actions
 	r.actions = nil
@@ -137,7 +144,8 @@
 
 func (r *Replica) emit(a Action) { r.actions = append(r.actions, a) }
 
-// SetServers replaces the list of servers.
+// SetServers replaces the list of servers. The replica leaves its server if the list does not
+// contain it at the same address.
 func (r *Replica) SetServers(now time.Duration, servers []Server) {
 	r.start(now)
 	r.candidates.set(servers)
@@ -147,7 +155,7 @@
 	r.connect(now)
 }
 
-// Connected handles that an attempt's stream is open.
+// Connected handles the opening of an attempt's stream.
 func (r *Replica) Connected(now time.Duration, attempt uint64) {
 	if attempt != r.attempt || r.phase != replicaConnecting {
 		return
@@ -156,7 +164,7 @@
 	r.resume(now, false)
 }
 
-// Disconnected handles that an attempt's stream has ended or could not be opened.
+// Disconnected handles the end of an attempt's stream, or the failure to open it.
 func (r *Replica) Disconnected(now time.Duration, attempt uint64, cause error) {
 	if attempt != r.attempt || r.phase == replicaIdle {
 		return
@@ -172,7 +180,7 @@
 	}
 }
 
-// connect connects to the best server if there is no stream.
+// connect connects to the best server unless there is a stream or an attempt to open one.
 func (r *Replica) connect(now time.Duration) {
 	if r.phase != replicaIdle {
 		return
@@ -189,7 +197,8 @@
 	r.emit(Connect{r.attempt, server})
 }
 
-// disconnect ends the stream and backs off from its server, unless the server was not at fault.
+// disconnect ends the stream. It backs off from the server unless the replica returns to a
+// preferred server or the server was removed from the list.
 func (r *Replica) disconnect(now time.Duration, reason DisconnectReason, cause error) {
 	r.savePartialRepair()
 	switch reason {
@@ -209,15 +218,15 @@
 	r.phase = replicaIdle
 }
 
-// savePartialRepair lets the next repair start from what this one has fetched.
+// savePartialRepair ends the current repair and keeps the fetched buckets for the next one.
 func (r *Replica) savePartialRepair() {
 	if r.repair != nil {
 		r.partialRepair, r.repair = r.repair.partial(), nil
 	}
 }
 
-// resume requests everything after the replica's position, or a comparison of buckets if repair is
-// set.
+// resume requests all changes after the replica's position, or the digests of all buckets if repair
+// is set. It leaves the server after MaxResumes without progress.
 func (r *Replica) resume(now time.Duration, repair bool) {
 	if r.resumesWithoutProgress >= r.settings.MaxResumes {
 		r.disconnect(now, ReasonNoProgress, nil)
@@ -235,8 +244,8 @@
 	})})
 }
 
-// rejectMessage reports the error of a rejected message and requests a repair. While the replica
-// waits out a RetryLater it requests nothing, because it resumes afterwards anyway.
+// rejectMessage reports the error of a rejected message and requests a repair. In phase
+// replicaRetrying it requests nothing, because the replica resumes at retryAt.
 func (r *Replica) rejectMessage(now time.Duration, err error) {
 	r.counts.Refused++
 	r.emit(ReportError{err})
@@ -245,7 +254,8 @@
 	}
 }
 
-// Tick handles the passing of time.
+// Tick handles timeouts and retries that are due, connects if there is no stream, and emits a due
+// Persist.
 func (r *Replica) Tick(now time.Duration) {
 	r.start(now)
 	switch {
@@ -266,12 +276,12 @@
 	r.persist(now)
 }
 
-// awaitingAnswer reports whether a Resume or a repair has not been answered completely.
+// awaitingAnswer reports whether a Resume or FetchBuckets is not answered completely yet.
 func (r *Replica) awaitingAnswer() bool {
 	return r.phase == replicaResuming || r.phase == replicaRepairing
 }
 
-// silenceTimeout returns how long the server may currently be silent.
+// silenceTimeout returns how long the server may be silent in the current phase.
 func (r *Replica) silenceTimeout() time.Duration {
 	if r.phase == replicaRepairing || len(r.sums) > 0 {
 		return r.settings.RepairSilenceTimeout
@@ -279,14 +289,14 @@
 	return r.settings.SilenceTimeout
 }
 
-// shouldReturn reports whether the replica has watched another server than its preferred one for
-// long enough, and could go back.
+// shouldReturn reports whether a more preferred server can be tried and the replica has watched its
+// current server for long enough.
 func (r *Replica) shouldReturn(now time.Duration) bool {
 	best, _, ok := r.candidates.best(now)
 	return ok && r.phase == replicaLive && best.ID != r.server.ID && now >= r.returnAt
 }
 
-// persist requests a write of the state if one is due.
+// persist emits a Persist if one is due.
 func (r *Replica) persist(now time.Duration) {
 	if r.unpersisted && now >= r.persistAt {
 		r.unpersisted, r.persistAt = false, now+r.settings.PersistInterval
@@ -294,7 +304,7 @@
 	}
 }
 
-// Wake returns when Tick should be called next if no event comes before.
+// Wake returns when Tick should be called next if there is no event before.
 func (r *Replica) Wake() time.Duration {
 	wake := never
 	switch r.phase {
@@ -305,7 +315,7 @@
 	case replicaRetrying:
 		wake = min(r.retryAt, r.lastMessageAt+r.silenceTimeout())
 	case replicaLive:
-		// The return to a preferred server waits for the first Tick after returnAt.
+		// returnAt needs no wake-up: the first Tick after it returns to the preferred server.
 		wake = r.lastMessageAt + r.silenceTimeout()
 	default:
 		wake = min(r.lastMessageAt+r.silenceTimeout(), r.lastProgressAt+r.settings.ProgressTimeout)
--- a/internal/controlplane/distribution/replica_receive.go
+++ b/internal/controlplane/distribution/replica_receive.go
@@ -7,7 +7,7 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Received handles a message from the server of an attempt.
+// Received handles a message of an attempt's stream.
 func (r *Replica) Received(now time.Duration, attempt uint64, m *distributionpb.WatchResponse) {
 	if attempt != r.attempt || r.phase == replicaIdle || r.phase == replicaConnecting {
 		return // a message of an earlier stream
@@ -32,8 +32,9 @@
 	r.persist(now)
 }
 
-// handleHeartbeat compares positions: the server must not be behind the replica or stay ahead of
-// it, and must have the same digest at the same revision.
+// handleHeartbeat compares the server's position with the replica's. The server must not stay
+// behind the replica, a delta that it announced must arrive, and its digest at the same revision
+// must be the same.
 func (r *Replica) handleHeartbeat(now time.Duration, m *distributionpb.Heartbeat) {
 	if m.Fleet != r.settings.Fleet {
 		r.disconnect(now, ReasonStreamEnded, &WrongFleetError{Want: r.settings.Fleet, Got: m.Fleet})
@@ -66,9 +67,9 @@
 	r.checkCaughtUp(now, local, remote)
 }
 
-// switchForSource leaves a server that has not heard from the source. The delay until the next
-// switch of that kind doubles each time: if the source is silent for all servers, the fleet must
-// not keep switching.
+// switchForSource leaves a server that has not received the source's commands. The delay until the
+// next such switch doubles each time, because replicas must not keep switching servers if the
+// source is silent for all of them.
 func (r *Replica) switchForSource(now time.Duration) {
 	delay := backoffDelay(&r.settings, r.sourceSwitches)
 	r.sourceSwitches = min(r.sourceSwitches+1, maxFailures)
@@ -77,8 +78,8 @@
 	r.connect(now)
 }
 
-// checkCaughtUp resumes the stream if the revision of the last heartbeat did not arrive before this
-// one.
+// checkCaughtUp resumes the stream if the revision announced by the last heartbeat did not arrive
+// before this one. The replica becomes live once it has the server's position.
 func (r *Replica) checkCaughtUp(now time.Duration, local, remote Position) {
 	if r.phase == replicaLive && local.Compare(r.announced) < 0 {
 		r.resume(now, false)
@@ -95,12 +96,12 @@
 	}
 }
 
-// recordProgress resets the count of resumes without progress.
+// recordProgress resets the count of resumes without progress and the progress timeout.
 func (r *Replica) recordProgress(now time.Duration) {
 	r.resumesWithoutProgress, r.lastProgressAt = 0, now
 }
 
-// handleServerBehind leaves a server that has been behind the replica for too long.
+// handleServerBehind leaves a server that has been behind the replica for BehindTimeout.
 func (r *Replica) handleServerBehind(now time.Duration) {
 	if r.behindSince == never {
 		r.behindSince = now
@@ -111,7 +112,8 @@
 	}
 }
 
-// handleBehind handles the server's message that the replica is ahead of it.
+// handleBehind handles a Behind message, by which the server reports that the replica is ahead of
+// it.
 func (r *Replica) handleBehind(now time.Duration, m *distributionpb.Position) {
 	remote, err := PositionFromProto(m)
 	if err != nil {
@@ -123,8 +125,8 @@
 	}
 }
 
-// handleDelta applies a delta to its exact revision. A delta that arrives during a repair is not
-// needed: after it the server goes on from the position of the digests.
+// handleDelta applies a delta to its exact revision. A delta that arrives during a repair is
+// ignored, because after the repair the server continues from the position of the digests.
 func (r *Replica) handleDelta(now time.Duration, m *distributionpb.Delta) {
 	if r.phase != replicaLive && r.phase != replicaResuming {
 		return
@@ -141,7 +143,8 @@
 		r.phase = replicaLive
 		r.deliverChanges(now, d.Changes)
 	case r.phase == replicaResuming:
-		// The delta was in flight when the Resume was sent. A digest mismatch needs a repair.
+		// A delta of another revision or epoch was in flight when the Resume was sent and is
+		// ignored. Any other error needs a repair.
 		if !errors.As(err, &wrongRevision) && !errors.As(err, &wrongEpoch) {
 			r.rejectMessage(now, err)
 		}
@@ -154,7 +157,7 @@
 	}
 }
 
-// deliverChanges delivers and acknowledges changes that were applied to the state.
+// deliverChanges delivers changes that were applied to the state and acknowledges the new position.
 func (r *Replica) deliverChanges(now time.Duration, changes []Change) {
 	r.recordProgress(now)
 	r.unpersisted, r.behindSince, r.partialRepair = true, never, nil
@@ -163,8 +166,8 @@
 	r.emit(SendRequest{acknowledgeRequest(position)})
 }
 
-// handleDigests collects the sums of all buckets and then starts a repair. Their position may be of
-// a later epoch but must not be before the replica's.
+// handleDigests collects the sums of all buckets and then starts a repair. The position of the sums
+// may be of a later epoch but must not be before the replica's.
 func (r *Replica) handleDigests(now time.Duration, m *distributionpb.BucketDigests) {
 	if r.phase != replicaResuming && r.phase != replicaLive {
 		return
@@ -215,7 +218,7 @@
 	}
 }
 
-// handleBuckets applies buckets that were requested.
+// handleBuckets puts requested buckets into the repair, and finishes it after the last one.
 func (r *Replica) handleBuckets(now time.Duration, m *distributionpb.Buckets) {
 	if r.phase != replicaRepairing {
 		return
@@ -236,7 +239,7 @@
 	}
 }
 
-// finishRepair replaces the state by the repaired one.
+// finishRepair replaces the state by the repaired one and delivers the difference.
 func (r *Replica) finishRepair(now time.Duration) {
 	next, err := r.repair.Finish()
 	if err != nil {
@@ -249,7 +252,7 @@
 	r.deliverChanges(now, changes)
 }
 
-// handleRetry waits as long as the server has asked for, plus jitter.
+// handleRetry schedules the next Resume after the delay that the server requested, plus jitter.
 func (r *Replica) handleRetry(now time.Duration, m *distributionpb.RetryLater) {
 	if r.phase != replicaResuming && r.phase != replicaLive {
 		return
--- a/internal/controlplane/distribution/replica_settings.go
+++ b/internal/controlplane/distribution/replica_settings.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ReplicaSettings configure a Replica.
+// ReplicaSettings configures a Replica.
 type ReplicaSettings struct {
 	Fleet string
-	// ID identifies the replica and stays the same over restarts.
+	// ID identifies the replica and stays the same across restarts.
 	ID string
 	// Incarnation identifies the replica's process.
 	Incarnation uint64
@@ -13,39 +13,41 @@
 
 	// ConnectTimeout bounds the time to open a stream.
 	ConnectTimeout time.Duration
-	// SilenceTimeout is how long a server may be silent before it is left.
+	// SilenceTimeout is how long a server may be silent before the replica leaves it.
 	SilenceTimeout time.Duration
-	// RepairSilenceTimeout replaces SilenceTimeout during a repair, as one message may take long on
-	// a slow link.
+	// RepairSilenceTimeout replaces SilenceTimeout during a repair, because one message may take
+	// long on a slow link.
 	RepairSilenceTimeout time.Duration
 	// ProgressTimeout is how long a Resume or a repair may go without progress.
 	ProgressTimeout time.Duration
-	// BehindTimeout is how long a server may stay behind the replica.
+	// BehindTimeout is how long a server may stay behind the replica before the replica leaves it.
 	BehindTimeout time.Duration
-	// SourceTimeout is how long a server may go without hearing from the source before it is left
-	// for another.
+	// SourceTimeout is how long a server may go without a command of the source before the replica
+	// leaves it for another.
 	SourceTimeout time.Duration
 
-	// MinBackoff is the backoff from a server after its first failure. It doubles with each further
-	// failure up to MaxBackoff. The actual delay is between half of that and all of it.
+	// MinBackoff is the backoff from a server after its first failure. It doubles with each
+	// consecutive failure up to MaxBackoff. The actual delay is random, between half of the backoff
+	// and the backoff.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 
-	// MaxResumes is how many times a stream is resumed without progress before it is left.
+	// MaxResumes is how many Resumes a stream may have without progress before the replica leaves
+	// the server.
 	MaxResumes int
-	// MaxRetryDelay is the longest delay of a RetryLater that is honoured; the shortest is
-	// MinBackoff.
+	// MaxRetryDelay is the upper bound of the delay of a RetryLater. The lower bound is MinBackoff.
 	MaxRetryDelay time.Duration
-	// RetryJitter is the fraction by which a RetryLater's delay is extended at most.
+	// RetryJitter is the maximum fraction by which the delay of a RetryLater is extended.
 	RetryJitter float64
-	// ReturnInterval is the average time on another server than the preferred one before that is
-	// tried again.
+	// ReturnInterval is the average time on another server before the replica returns to its
+	// preferred one. The actual time is between half of it and one and a half of it.
 	ReturnInterval time.Duration
-	// PersistInterval is the time between two writes of the state file while there are changes.
+	// PersistInterval is the minimum time between two writes of the state file. The state is
+	// written only if it has changed.
 	PersistInterval time.Duration
 }
 
-// DefaultReplicaSettings return settings that match DefaultPublisherSettings.
+// DefaultReplicaSettings returns settings that match DefaultPublisherSettings.
 func DefaultReplicaSettings(fleet, id string) ReplicaSettings {
 	return ReplicaSettings{
 		Fleet:                fleet,
--- a/internal/controlplane/distribution/state.go
+++ b/internal/controlplane/distribution/state.go
@@ -4,7 +4,7 @@
 	"bytes"
 )
 
-// State is a keyed store of records at a position. Copies share unmodified buckets.
+// State is a set of records by key, at a position. Clones share unmodified buckets.
 type State struct {
 	epoch, revision uint64
 	// buckets has BucketCount elements.
@@ -14,7 +14,7 @@
 	records, bytes int
 }
 
-// NewState returns a state without records, at the position without epoch.
+// NewState returns a state without records and without an epoch.
 func NewState() *State {
 	s := &State{buckets: make([]*bucket, BucketCount)}
 	for i := range s.buckets {
@@ -23,26 +23,26 @@
 	return s
 }
 
-// Clone returns an independent copy of s. It copies one pointer a bucket.
+// Clone returns an independent copy of s. It copies one pointer for each bucket.
 func (s *State) Clone() *State {
 	c := *s
 	c.buckets = append([]*bucket(nil), s.buckets...)
 	return &c
 }
 
-// Position returns the state's position with its digest.
+// Position returns the state's position, including its digest.
 func (s *State) Position() Position { return Position{s.epoch, s.revision, s.Digest()} }
 
-// Digest returns the digest of epoch, revision and all records.
+// Digest returns the digest of the epoch, the revision and all records.
 func (s *State) Digest() Digest { return stateDigest(s.epoch, s.revision, s.total) }
 
-// Empty reports whether the state has no epoch, so that nothing was ever applied to it.
+// Empty reports whether the state has no epoch, which means that nothing was ever applied to it.
 func (s *State) Empty() bool { return s.epoch == 0 }
 
 // Len returns the number of records.
 func (s *State) Len() int { return s.records }
 
-// Bytes returns the approximate size of the records in messages.
+// Bytes returns the approximate size of the encoded records.
 func (s *State) Bytes() int { return s.bytes }
 
 // Get returns the value of a key.
@@ -68,8 +68,8 @@
 }
 
 // Apply applies a delta. It returns an error and leaves the state unchanged if the epoch differs
-// (WrongEpochError), the delta begins at another revision (WrongRevisionError), a change is invalid
-// (InvalidRecordError), or the result has another digest (DigestMismatchError).
+// (WrongEpochError), if the delta begins at another revision (WrongRevisionError), if a change is
+// invalid (InvalidRecordError), or if the result has another digest (DigestMismatchError).
 func (s *State) Apply(d *Delta) error {
 	if d.Epoch != s.epoch {
 		return &WrongEpochError{Have: s.epoch, Got: d.Epoch}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// staged is the result of changes that are not committed to a state yet.
+// staged holds the result of changes that are not committed to a state yet.
 type staged struct {
 	buckets        map[uint32]*bucket
 	total          Digest
@@ -119,7 +119,7 @@
 	return next
 }
 
-// commit installs what was staged.
+// commit sets the staged buckets and totals, the epoch and the revision.
 func (s *State) commit(next *staged, epoch, revision uint64) {
 	for index, b := range next.buckets {
 		s.buckets[index] = b
@@ -128,9 +128,9 @@
 	s.total, s.records, s.bytes = next.total, next.records, next.bytes
 }
 
-// advance makes the next revision of a state and returns the delta to it, or nil if the changes
-// have no effect. The epoch counts only if the state has none. The changes must have been checked
-// and name each key once.
+// advance applies changes as the next revision of the state and returns the delta to it, or nil if
+// the changes have no effect. The epoch is used only if the state has none; that first revision is
+// made even without changes. The changes must have been checked and name each key at most once.
 func (s *State) advance(epoch uint64, changes []Change) *Delta {
 	effective := make([]Change, 0, len(changes))
 	for _, c := range changes {
@@ -151,7 +151,8 @@
 	return d
 }
 
-// Difference returns the changes that lead from s to another state, one a key, deletions first.
+// Difference returns the changes that lead from s to another state, one for each key that differs,
+// sorted as in a Delta.
 func (s *State) Difference(other *State) []Change {
 	var changes []Change
 	for i, before := range s.buckets {
@@ -177,8 +178,8 @@
 	return changes
 }
 
-// With returns a copy of the state with changes applied, one a key, at the same epoch and revision.
-// It returns an InvalidRecordError for an invalid change.
+// With returns a copy of the state with changes applied, at the same epoch and revision. The
+// changes must name each key at most once. It returns an InvalidRecordError for an invalid change.
 func (s *State) With(changes []Change) (*State, error) {
 	for i := range changes {
 		if err := changes[i].check(); err != nil {
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -13,8 +13,8 @@
 // changes.
 const stateFileFormat = 1
 
-// EncodeStateFile returns the content of a state file. The digest of its position serves as the
-// checksum.
+// EncodeStateFile returns the content of a state file. The digest of the state's position serves as
+// its checksum.
 func EncodeStateFile(fleet string, s *State) []byte {
 	return mustproto.Marshal(&distributionpb.StateFile{
 		Format:   stateFileFormat,
@@ -24,9 +24,9 @@
 	})
 }
 
-// DecodeStateFile reads what EncodeStateFile returned. It returns a WrongFleetError for another
-// fleet's file, and an InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged
-// one.
+// DecodeStateFile decodes the result of EncodeStateFile. It returns a WrongFleetError for the file
+// of another fleet, an InvalidMessageError for a file of another format, and an
+// InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged file.
 func DecodeStateFile(fleet string, raw []byte) (*State, error) {
 	var file distributionpb.StateFile
 	if err := proto.Unmarshal(raw, &file); err != nil {
--- a/internal/controlplane/distribution/stream.go
+++ b/internal/controlplane/distribution/stream.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// streamPhase is what a stream is waiting for.
+// streamPhase is the state of a stream, named by what the stream is waiting for.
 type streamPhase int
 
 const (
-	phaseOpened   streamPhase = iota // for the replica's first Resume
-	phaseAhead                       // for this server to reach the replica's position
-	phaseRetrying                    // for the replica's Resume after a delay
-	phaseDigests                     // to be sent digests
-	phaseFetching                    // for the replica's FetchBuckets
-	phaseBuckets                     // to be sent buckets
-	phaseLive                        // for changes
+	phaseOpened   streamPhase = iota // the replica's first Resume
+	phaseAhead                       // this server to reach the replica's position
+	phaseRetrying                    // the replica's Resume after a delay
+	phaseDigests                     // the sending of digests
+	phaseFetching                    // the replica's FetchBuckets
+	phaseBuckets                     // the sending of buckets
+	phaseLive                        // new changes
 )
 
 // stream is the publisher's view of one stream.
@@ -27,18 +27,18 @@
 	// position is the position up to which everything was sent.
 	position     Position
 	acknowledged uint64
-	// controlQueue has the small messages that are due, at most one of each type.
+	// controlQueue holds the control messages that are due, at most one of each type.
 	controlQueue []*Message
 	heartbeatDue bool
 	retryAt      time.Duration
 	pinned       *pinnedState
-	// digestsSent counts the messages of digests that were sent.
+	// digestsSent is the number of digest messages sent.
 	digestsSent int
 	// pendingBuckets are the indexes of the buckets still to be sent.
 	pendingBuckets []uint32
 }
 
-// pinnedState is a state that resyncs are served from while newer states are published.
+// pinnedState is a state from which resyncs are served while newer states are published.
 type pinnedState struct {
 	state    *State
 	position Position
@@ -47,11 +47,11 @@
 
 func compareStreams(a, b *stream) int { return cmp.Compare(a.id, b.id) }
 
-// needsBulk reports whether digests or buckets should be sent.
+// needsBulk reports whether the stream is waiting for digests or buckets.
 func (s *stream) needsBulk() bool { return s.phase == phaseDigests || s.phase == phaseBuckets }
 
-// send appends a message, if there is one, and marks the stream as not writable until Sent is
-// called.
+// send appends a message to sends and marks the stream as not writable until Sent is called. It
+// does nothing if the message is nil.
 func (s *stream) send(sends []Send, m *Message) []Send {
 	if m == nil {
 		return sends
