--- a/internal/controlplane/distribution/bench_test.go
+++ b/internal/controlplane/distribution/bench_test.go
@@ -10,14 +10,15 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// The size of two years from now.
+// The numbers of records expected in two years.
 const (
-	sizeServers = 7_300
-	sizeTenants = 60_000
+	expectedServers = 7_300
+	expectedTenants = 60_000
 )
 
-// sizeServer is a server as a register of that size has it.
-func sizeServer(n int, phase distributionpb.Phase, started int64) Change {
+// expectedServer returns the change that sets the record of server n. Its start is given as an
+// offset in ms.
+func expectedServer(n int, phase distributionpb.Phase, started int64) Change {
 	raw, err := proto.Marshal(&distributionpb.ServerRecord{
 		Address:   fmt.Sprintf("10.%d.%d.%d:6379", n>>16, n>>8&255, n&255),
 		Zone:      fmt.Sprintf("south-%d", n%4),
@@ -34,11 +35,11 @@
 	return Change{Record: Record{KindServer, fmt.Sprintf("backend-%05d", n), raw}}
 }
 
-// sizeState is a state of so many servers and tenants.
-func sizeState(servers, tenants int) *State {
+// expectedState returns a state with the given numbers of servers and tenants.
+func expectedState(servers, tenants int) *State {
 	changes := make([]Change, 0, servers+tenants)
 	for n := range servers {
-		changes = append(changes, sizeServer(n, distributionpb.Phase_PHASE_READY, int64(n)))
+		changes = append(changes, expectedServer(n, distributionpb.Phase_PHASE_READY, int64(n)))
 	}
 	for n := range tenants {
 		value := fmt.Appendf(nil, "plan-%03d rate=%d burst=%d", n%40, 100+n%900, 200+n%900)
@@ -50,17 +51,17 @@
 	return s
 }
 
-// drainOne is the change of one server.
+// drainOne returns the change that drains server n.
 func drainOne(n int) []Change {
-	return []Change{sizeServer(n, distributionpb.Phase_PHASE_DRAINING, int64(n))}
+	return []Change{expectedServer(n, distributionpb.Phase_PHASE_DRAINING, int64(n))}
 }
 
-// BenchmarkOneChange is what one server's change costs: the machine's revision, the message, and
-// the replica's part.
+// BenchmarkOneChange measures a change of one server: making the revision in the machine, encoding
+// the message, and applying it in a replica.
 func BenchmarkOneChange(b *testing.B) {
-	for _, tenants := range []int{0, sizeTenants} {
-		name := fmt.Sprintf("servers=%d,tenants=%d", sizeServers, tenants)
-		state := sizeState(sizeServers, tenants)
+	for _, tenants := range []int{0, expectedTenants} {
+		name := fmt.Sprintf("servers=%d,tenants=%d", expectedServers, tenants)
+		state := expectedState(expectedServers, tenants)
 		b.Run("advance/"+name, func(b *testing.B) {
 			s := state.Clone()
 			n := 0
@@ -69,7 +70,7 @@
 				s.advance(
 					0,
 					[]Change{
-						sizeServer(n%sizeServers, distributionpb.Phase_PHASE_READY,
+						expectedServer(n%expectedServers, distributionpb.Phase_PHASE_READY,
 							int64(n+1_000_000)),
 					},
 				)
@@ -86,7 +87,7 @@
 		b.Run("decode-and-apply/"+name, func(b *testing.B) {
 			before := state.Clone()
 			for b.Loop() {
-				copied := *before // without its buckets: one is put back below
+				copied := *before // shares the buckets; the changed one is restored below
 				var m distributionpb.WatchResponse
 				if err := proto.Unmarshal(raw, &m); err != nil {
 					b.Fatal(err)
@@ -111,11 +112,12 @@
 	}
 }
 
-// BenchmarkSnapshot is what the machine's snapshot, and so a replica's file, takes.
+// BenchmarkSnapshot measures writing and reading a state file, whose records are those of the
+// machine's snapshot.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, tenants := range []int{0, sizeTenants} {
-		state := sizeState(sizeServers, tenants)
-		name := fmt.Sprintf("servers=%d,tenants=%d", sizeServers, tenants)
+	for _, tenants := range []int{0, expectedTenants} {
+		state := expectedState(expectedServers, tenants)
+		name := fmt.Sprintf("servers=%d,tenants=%d", expectedServers, tenants)
 		b.Run("write/"+name, func(b *testing.B) {
 			var raw []byte
 			for b.Loop() {
@@ -134,16 +136,16 @@
 	}
 }
 
-// BenchmarkRepair is what a replica fetches that lacks so many changes and can't resume: digests
-// and buckets.
+// BenchmarkRepair measures a repair of a replica that lacks the given number of changes and can't
+// resume. It reports the bytes of the digests and buckets.
 func BenchmarkRepair(b *testing.B) {
 	for _, lacks := range []int{1, 10, 100, 1_000} {
 		b.Run(fmt.Sprintf("lacks=%d", lacks), func(b *testing.B) {
-			behind := sizeState(sizeServers, sizeTenants)
+			behind := expectedState(expectedServers, expectedTenants)
 			newest := behind.Clone()
 			random := rand.New(rand.NewPCG(1, 1))
 			for range lacks {
-				newest.advance(0, drainOne(random.IntN(sizeServers)))
+				newest.advance(0, drainOne(random.IntN(expectedServers)))
 			}
 			bytes := 0
 			for b.Loop() {
@@ -165,12 +167,12 @@
 	}
 }
 
-// BenchmarkPublish is what a server does for one change with so many streams, each of which takes
-// it at once.
+// BenchmarkPublish measures publishing one change on the given number of streams, each of which is
+// writable immediately.
 func BenchmarkPublish(b *testing.B) {
 	for _, streams := range []int{124, 620} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
-			state := sizeState(sizeServers, 0)
+			state := expectedState(expectedServers, 0)
 			p := NewPublisher(DefaultPublisherSettings(testFleet), state.Clone(), testRandom())
 			for id := range StreamID(streams) {
 				if err := p.Open(0, id); err != nil {
@@ -200,7 +202,9 @@
 			for b.Loop() {
 				n++
 				phase := distributionpb.Phase(1 + n%2)
-				d := state.advance(0, []Change{sizeServer(n/2%sizeServers, phase, int64(n))})
+				d := state.advance(
+					0, []Change{expectedServer(n/2%expectedServers, phase, int64(n))},
+				)
 				p.Update(0, Update{State: state.Clone(), Delta: d, Term: 1})
 				p.publish()
 				sendAll()
--- a/internal/controlplane/distribution/changelog_test.go
+++ b/internal/controlplane/distribution/changelog_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSinceLeadsToTheNewest checks that from every revision in the log one merged delta leads to
-// the newest one, whatever was compacted.
+// TestSinceLeadsToTheNewest checks that from each revision in the log one merged delta leads to the
+// newest revision, also after a compaction.
 func TestSinceLeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -24,7 +24,7 @@
 				history = append(history, s.Clone())
 			}
 			if log.Len() > bounds.Entries || log.Bytes() > bounds.Bytes {
-				t.Fatalf("%d entries of %d bytes, at most %v", log.Len(), log.Bytes(), bounds)
+				t.Fatalf("%d entries of %d bytes, want at most %v", log.Len(), log.Bytes(), bounds)
 			}
 		}
 		if rapid.Bool().Draw(t, "compacted") {
@@ -33,51 +33,52 @@
 		for _, old := range history {
 			at := old.Position()
 			d, ok := log.Since(at.Revision)
-			if reached := at.Revision >= log.Base().Revision; ok != reached {
-				t.Fatalf("revision %d is answered for %t, the log begins at %d",
+			if inLog := at.Revision >= log.Base().Revision; ok != inLog {
+				t.Fatalf("Since(%d) returns %t, the log begins at %d",
 					at.Revision, ok, log.Base().Revision)
 			}
 			if !ok {
 				continue
 			}
 			if known, _ := log.At(at.Revision); known != at {
-				t.Fatalf("the log has %v where %v was", known, at)
+				t.Fatalf("the log has position %v, want %v", known, at)
 			}
 			if at == s.Position() {
 				continue // nothing to apply
 			}
 			if err := old.Apply(d); err != nil || old.Position() != s.Position() {
-				t.Fatalf("from %v: %v", at, err)
+				t.Fatalf("from %v to %v: %v", at, old.Position(), err)
 			}
 		}
 		if _, ok := log.Since(s.revision + 1); ok {
-			t.Fatal("a revision that is to come is answered for")
+			t.Fatal("Since accepts a revision after the newest")
 		}
 	})
 }
 
-// TestLogHasNoGap checks that a delta that does not begin at the log's end restarts the log.
-func TestLogHasNoGap(t *testing.T) {
+// TestLogRestartsAfterGap checks that a delta that does not begin at the log's end restarts the
+// log.
+func TestLogRestartsAfterGap(t *testing.T) {
 	s := NewState()
 	first := s.advance(testEpoch, []Change{ready("a", 1)})
 	log := NewChangeLog(s.Position(), DefaultLogBounds())
-	s.advance(0, []Change{ready("b", 1)}) // not told
+	s.advance(0, []Change{ready("b", 1)}) // missing from the log
 	log.Append(s.advance(0, []Change{ready("c", 1)}))
 	if _, ok := log.Since(first.To); ok {
-		t.Error("it answers over a gap")
+		t.Error("Since returns a delta across a gap")
 	}
 	if log.Last() != s.Position() || log.Base() != s.Position() {
-		t.Errorf("%v to %v", log.Base(), log.Last())
+		t.Errorf("the log is from %v to %v, want %v", log.Base(), log.Last(), s.Position())
 	}
 	log.Append(&Delta{Epoch: testEpoch + 1, From: s.revision, To: s.revision + 1})
 	if log.Base().Epoch != testEpoch+1 || log.Len() != 0 {
-		t.Error("it goes on over another epoch")
+		t.Error("the log was not restarted at another epoch")
 	}
 }
 
-// TestMergeTakesTheNewest checks that merging keeps the newest change of each key, deletions
-// included.
-func TestMergeTakesTheNewest(t *testing.T) {
+// TestMergeKeepsNewestChange checks that merging keeps the newest change of each key, including
+// deletions.
+func TestMergeKeepsNewestChange(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
 	log := NewChangeLog(s.Position(), DefaultLogBounds())
@@ -88,12 +89,12 @@
 	}
 	d, ok := log.Since(1)
 	if !ok || len(d.Changes) != 3 {
-		t.Fatalf("%v %v", ok, d)
+		t.Fatalf("Since returns %v, %t; want 3 changes", d, ok)
 	}
 	if c := d.Changes[0]; c.ID != "a" || !c.Deleted {
-		t.Errorf("first %v", c)
+		t.Errorf("the first change is %v", c)
 	}
 	if c := d.Changes[1]; c.ID != "b" || c.Deleted || c.Urgent() {
-		t.Errorf("then %v", c)
+		t.Errorf("the second change is %v", c)
 	}
 }
--- a/internal/controlplane/distribution/rank_test.go
+++ b/internal/controlplane/distribution/rank_test.go
@@ -16,7 +16,8 @@
 	return servers
 }
 
-// TestRankIsByDistance checks that servers of the zone come first, then those of the region.
+// TestRankIsByDistance checks that the servers of the replica's zone come first, then those of its
+// region.
 func TestRankIsByDistance(t *testing.T) {
 	for n := range 50 {
 		ranked := Rank(fmt.Sprintf("gateway-%d", n), Place{"s2", "south"}, fiveServers())
@@ -25,13 +26,13 @@
 			zones = append(zones, s.Place.Zone)
 		}
 		if zones[0] != "s2" || zones[1] != "s1" || zones[2] != "s1" {
-			t.Fatalf("%v", zones)
+			t.Fatalf("the zones are in the order %v", zones)
 		}
 	}
 }
 
-// TestRankSpreadsEvenly checks that servers at one distance get even shares, and that only the
-// replicas of a lost server move.
+// TestRankSpreadsEvenly checks that servers at the same distance get even shares of the replicas,
+// and that removing a server moves only its replicas.
 func TestRankSpreadsEvenly(t *testing.T) {
 	const replicas = 6200
 	servers := fiveServers()
@@ -41,28 +42,28 @@
 		ranked := Rank(id, Place{}, servers)
 		first := ranked[0]
 		shares[first.ID]++
-		lost := slices.DeleteFunc(slices.Clone(servers), func(s Server) bool {
+		remaining := slices.DeleteFunc(slices.Clone(servers), func(s Server) bool {
 			return s.ID == "control-2"
 		})
-		if now := Rank(id, Place{}, lost)[0]; first.ID != "control-2" && now != first {
+		if now := Rank(id, Place{}, remaining)[0]; first.ID != "control-2" && now != first {
 			t.Fatalf("%s moved from %s to %s", id, first.ID, now.ID)
 		} else if first.ID == "control-2" && now != ranked[1] {
-			t.Fatalf("%s went to %s, not its second", id, now.ID)
+			t.Fatalf("%s moved to %s instead of its second server", id, now.ID)
 		}
 	}
 	for id, share := range shares {
 		if share < replicas/5*9/10 || share > replicas/5*11/10 {
-			t.Errorf("%s has %d of %d", id, share, replicas)
+			t.Errorf("%s has %d of %d replicas", id, share, replicas)
 		}
 	}
 }
 
-// TestEmptyPlacesMatchNothing checks that an empty zone or region matches nothing.
-func TestEmptyPlacesMatchNothing(t *testing.T) {
+// TestEmptyPlaceNamesMatchNothing checks that empty names of zones and regions do not match.
+func TestEmptyPlaceNamesMatchNothing(t *testing.T) {
 	if d := (Place{}).distance(Place{}); d != 2 {
-		t.Errorf("%d", d)
+		t.Errorf("the distance of two empty places is %d", d)
 	}
 	if d := (Place{"a", "south"}).distance(Place{"a", "north"}); d != 2 {
-		t.Errorf("zones of one name in two regions: %d", d)
+		t.Errorf("the distance of zones of the same name in two regions is %d", d)
 	}
 }
--- a/internal/controlplane/distribution/repair_test.go
+++ b/internal/controlplane/distribution/repair_test.go
@@ -12,13 +12,13 @@
 	"mothcleat/internal/mustproto"
 )
 
-// bucketMessage is a bucket as a server sends it.
+// bucketMessage returns a bucket as a server sends it.
 func bucketMessage(s *State, index uint32) *distributionpb.Bucket {
 	return &distributionpb.Bucket{Index: index, Records: appendRecords(nil, s.Bucket(index))}
 }
 
-// TestRepairFetchesOnlyWhatDiffers checks that a repair leads from any state to any other by the
-// buckets that differ.
+// TestRepairFetchesOnlyWhatDiffers checks that a repair leads from any state to a later one or to
+// one of another lineage by fetching only the buckets that differ.
 func TestRepairFetchesOnlyWhatDiffers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewState()
@@ -35,11 +35,11 @@
 		if rapid.Bool().Draw(t, "other lineage") {
 			behind.epoch, behind.revision = testEpoch-1, 1000
 		}
-		before := content(behind)
+		before := recordsByKey(behind)
 		repair := NewRepair(behind, source.Position(), source.Sums())
 		for _, index := range repair.Missing() {
 			if !changed[index] {
-				t.Fatalf("bucket %d is missing and has not changed", index)
+				t.Fatalf("bucket %d is missing but has not changed", index)
 			}
 			if err := repair.Put(bucketMessage(source, index)); err != nil {
 				t.Fatal(err)
@@ -49,27 +49,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got.Position() != source.Position() || !maps.Equal(content(got), content(source)) ||
-			got.Bytes() != source.Bytes() {
-			t.Fatalf("%v instead of %v", got.Position(), source.Position())
+		if got.Position() != source.Position() ||
+			!maps.Equal(recordsByKey(got), recordsByKey(source)) || got.Bytes() != source.Bytes() {
+			t.Fatalf("the repaired state is at %v, want %v", got.Position(), source.Position())
 		}
-		if !maps.Equal(content(behind), before) {
-			t.Fatal("the repair changed what it began with")
+		if !maps.Equal(recordsByKey(behind), before) {
+			t.Fatal("the repair modified its base")
 		}
 	})
 }
 
-// TestRepairRejectsInvalidBuckets checks that invalid buckets are rejected with the right error.
+// TestRepairRejectsInvalidBuckets checks the error types for invalid buckets, and that Finish
+// rejects an incomplete repair and a wrong digest.
 func TestRepairRejectsInvalidBuckets(t *testing.T) {
 	source := NewState()
 	source.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
-	index, elsewhere := bucketIndex(KindServer, "a"), bucketIndex(KindServer, "b")
-	if index == elsewhere {
-		t.Fatal("the test needs two buckets")
+	index, otherIndex := bucketIndex(KindServer, "a"), bucketIndex(KindServer, "b")
+	if index == otherIndex {
+		t.Fatal("the keys must be of two buckets")
 	}
 	repair := NewRepair(NewState(), source.Position(), source.Sums())
 	if _, err := repair.Finish(); err == nil {
-		t.Error("a repair without its buckets is finished")
+		t.Error("Finish accepts a repair with missing buckets")
 	}
 	var wrongSum *DigestMismatchError
 	var record *InvalidRecordError
@@ -80,16 +81,19 @@
 		bucket *distributionpb.Bucket
 		want   any
 	}{
-		{"one that keeps a deleted record", &distributionpb.Bucket{Index: index}, &wrongSum},
+		{"a bucket without its record", &distributionpb.Bucket{Index: index}, &wrongSum},
 		{
-			"one that was not asked for",
+			"a bucket that was not requested",
 			&distributionpb.Bucket{Index: (index + 1) % BucketCount},
 			&message,
 		},
-		{"one of no index", &distributionpb.Bucket{Index: BucketCount}, &message},
+		{"an index out of range", &distributionpb.Bucket{Index: BucketCount}, &message},
 		{
-			"another's record",
-			&distributionpb.Bucket{Index: index, Records: bucketMessage(source, elsewhere).Records},
+			"a record of another bucket",
+			&distributionpb.Bucket{
+				Index:   index,
+				Records: bucketMessage(source, otherIndex).Records,
+			},
 			&message,
 		},
 		{
@@ -110,7 +114,7 @@
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	for _, b := range []uint32{index, elsewhere} {
+	for _, b := range []uint32{index, otherIndex} {
 		if err := repair.Put(bucketMessage(source, b)); err != nil {
 			t.Error(err)
 		}
@@ -121,11 +125,11 @@
 	target := source.Position()
 	target.Revision++
 	if _, err := NewRepair(source, target, source.Sums()).Finish(); !errors.As(err, &wrongSum) {
-		t.Errorf("buckets that fit and a digest that doesn't: %v", err)
+		t.Errorf("matching buckets and a wrong digest: %v", err)
 	}
 }
 
-// TestSumsRoundTrip checks that sums round trip and that other lengths are rejected.
+// TestSumsRoundTrip checks that encoded sums can be decoded and that invalid lengths are rejected.
 func TestSumsRoundTrip(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1)})
@@ -135,13 +139,13 @@
 	}
 	for _, length := range []int{0, 1, DigestBytes + 1, (BucketCount + 1) * DigestBytes} {
 		if _, err := DecodeSums(make([]byte, length)); err == nil {
-			t.Errorf("%d bytes are taken", length)
+			t.Errorf("%d bytes were accepted", length)
 		}
 	}
 }
 
-// TestStateFile checks that a state file round trips, and that another fleet's or a damaged file is
-// rejected.
+// TestStateFile checks that an encoded state file can be decoded, that the file of another fleet is
+// rejected, and that a damaged file is rejected or has the same state.
 func TestStateFile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -150,8 +154,9 @@
 		}
 		raw := EncodeStateFile("blue", s)
 		got, err := DecodeStateFile("blue", raw)
-		if err != nil || got.Position() != s.Position() || !maps.Equal(content(got), content(s)) {
-			t.Fatalf("%v: %v", got, err)
+		if err != nil || got.Position() != s.Position() ||
+			!maps.Equal(recordsByKey(got), recordsByKey(s)) {
+			t.Fatalf("decoded %v: %v", got, err)
 		}
 		var fleet *WrongFleetError
 		if _, err := DecodeStateFile("green", raw); !errors.As(err, &fleet) {
@@ -160,9 +165,10 @@
 		at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
 		raw[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		if got, err = DecodeStateFile("blue", raw); err != nil {
-			requireTyped(t, err)
-		} else if got.Position() != s.Position() || !maps.Equal(content(got), content(s)) {
-			t.Fatal("a damaged file gives another state")
+			requirePackageError(t, err)
+		} else if got.Position() != s.Position() ||
+			!maps.Equal(recordsByKey(got), recordsByKey(s)) {
+			t.Fatal("a damaged file was decoded to another state")
 		}
 	})
 }
@@ -171,12 +177,12 @@
 func TestStateFileOfAnotherFormat(t *testing.T) {
 	raw := mustproto.Marshal(&distributionpb.StateFile{Format: stateFileFormat + 1, Fleet: "blue"})
 	if _, err := DecodeStateFile("blue", raw); err == nil {
-		t.Error("it is taken")
+		t.Error("a file of another format was accepted")
 	}
 }
 
-// FuzzDecode checks that any bytes from a disk or a stream are rejected with a typed error or are
-// well formed.
+// FuzzDecode checks that any bytes from a disk or a stream are rejected with an error of this
+// package, or are decoded to a valid delta or state.
 func FuzzDecode(f *testing.F) {
 	s := NewState()
 	first := s.advance(testEpoch,
@@ -187,30 +193,30 @@
 	f.Add(mustproto.Marshal(bucketMessage(s, bucketIndex(KindServer, "a"))))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if d, err := DecodeDelta(raw); err != nil {
-			requireTyped(t, err)
+			requirePackageError(t, err)
 		} else if again, err := DecodeDelta(d.Encode()); err != nil ||
 			again.Position() != d.Position() {
-			t.Errorf("it does not round trip: %v", err)
+			t.Errorf("the delta does not round trip: %v", err)
 		}
 		if got, err := DecodeStateFile("blue", raw); err != nil {
-			requireTyped(t, err)
+			requirePackageError(t, err)
 		} else if again, err := DecodeStateFile("blue",
 			EncodeStateFile("blue", got)); err != nil || again.Position() != got.Position() {
-			t.Errorf("it does not round trip: %v", err)
+			t.Errorf("the state file does not round trip: %v", err)
 		}
 		var b distributionpb.Bucket
 		if proto.Unmarshal(raw, &b) == nil {
 			if _, err := bucketFromProto(&b); err != nil {
-				requireTyped(t, err)
+				requirePackageError(t, err)
 			}
 		}
 		if _, err := DecodeSums(raw); err != nil {
-			requireTyped(t, err)
+			requirePackageError(t, err)
 		}
 		m, _, _ := newTestMachine()
-		m.Apply(0, 0, watcher, raw)
+		m.Apply(0, 0, testLeader, raw)
 		if err := m.Restore(raw); err != nil {
-			requireTyped(t, err)
+			requirePackageError(t, err)
 		}
 	})
 }
--- a/internal/controlplane/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -14,51 +14,51 @@
 
 const testFleet = "blue"
 
-// client is a replica under test: what it wants done is kept by kind.
-type client struct {
+// replicaTest is a replica under test. It records the replica's actions by type.
+type replicaTest struct {
 	*testing.T
-	replica   *Replica
-	now       time.Duration
-	attempt   uint64
-	connects  []Server
-	resumes   []*distributionpb.Resume
-	fetches   []*distributionpb.FetchBuckets
-	acks      []*distributionpb.Acknowledge
-	delivered []Deliver
-	left      []*DisconnectError
-	reports   []error
-	persisted []*State
-}
-
-func newClient(t *testing.T, state *State) *client {
+	replica     *Replica
+	now         time.Duration
+	attempt     uint64
+	connects    []Server
+	resumes     []*distributionpb.Resume
+	fetches     []*distributionpb.FetchBuckets
+	acks        []*distributionpb.Acknowledge
+	delivered   []Deliver
+	disconnects []*DisconnectError
+	reports     []error
+	persisted   []*State
+}
+
+func newReplicaTest(t *testing.T, state *State) *replicaTest {
 	settings := DefaultReplicaSettings(testFleet, "gateway-1")
-	c := &client{T: t, replica: NewReplica(settings, state, testRandom())}
+	c := &replicaTest{T: t, replica: NewReplica(settings, state, testRandom())}
 	c.replica.SetServers(c.now, []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}})
-	c.take()
+	c.recordActions()
 	return c
 }
 
-// liveClient is one that has a state, and is on a server's stream.
-func liveClient(t *testing.T, state *State) *client {
-	c := newClient(t, state)
+// newLiveReplicaTest returns a test whose replica has the state and is live on a server's stream.
+func newLiveReplicaTest(t *testing.T, state *State) *replicaTest {
+	c := newReplicaTest(t, state)
 	c.connected()
 	c.heartbeat(state.Position())
 	if !c.replica.Live() {
-		t.Fatal("it is not live")
+		t.Fatal("the replica is not live")
 	}
 	return c
 }
 
-func (c *client) take() {
+func (c *replicaTest) recordActions() {
 	for _, action := range c.replica.Take() {
 		switch a := action.(type) {
 		case Connect:
 			c.attempt = a.Attempt
 			c.connects = append(c.connects, a.Server)
 		case SendRequest:
-			c.sent(a.Request)
+			c.recordRequest(a.Request)
 		case Disconnect:
-			c.left = append(c.left, a.Reason.(*DisconnectError))
+			c.disconnects = append(c.disconnects, a.Reason.(*DisconnectError))
 		case Deliver:
 			c.delivered = append(c.delivered, a)
 		case ReportError:
@@ -69,7 +69,7 @@
 	}
 }
 
-func (c *client) sent(m *distributionpb.WatchRequest) {
+func (c *replicaTest) recordRequest(m *distributionpb.WatchRequest) {
 	switch r := m.Request.(type) {
 	case *distributionpb.WatchRequest_Resume:
 		c.resumes = append(c.resumes, r.Resume)
@@ -80,22 +80,22 @@
 	}
 }
 
-func (c *client) connected() {
+func (c *replicaTest) connected() {
 	c.replica.Connected(c.now, c.attempt)
-	c.take()
+	c.recordActions()
 }
 
-func (c *client) disconnected() {
+func (c *replicaTest) disconnected() {
 	c.replica.Disconnected(c.now, c.attempt, errors.New("gone"))
-	c.take()
+	c.recordActions()
 }
 
-func (c *client) receive(m *Message) {
+func (c *replicaTest) receive(m *Message) {
 	c.replica.Received(c.now, c.attempt, m.Response)
-	c.take()
+	c.recordActions()
 }
 
-func (c *client) heartbeat(at Position) {
+func (c *replicaTest) heartbeat(at Position) {
 	c.receive(heartbeatMessage(&distributionpb.Heartbeat{
 		Fleet:    testFleet,
 		Position: at.Proto(),
@@ -103,18 +103,19 @@
 	}))
 }
 
-func (c *client) wait(span time.Duration) {
+func (c *replicaTest) wait(span time.Duration) {
 	c.now += span
 	c.replica.Tick(c.now)
-	c.take()
+	c.recordActions()
 }
 
-// repairFrom answers a Resume by digests, and a fetch by buckets.
-func (c *client) digestsOf(s *State) {
+// receiveDigests passes the sums of all buckets of a state to the replica.
+func (c *replicaTest) receiveDigests(s *State) {
 	c.receive(digestsMessage(s.Position(), 0, s.Sums()))
 }
 
-func (c *client) bucketsOf(s *State, indexes []uint32, last bool) {
+// receiveBuckets passes buckets of a state to the replica.
+func (c *replicaTest) receiveBuckets(s *State, indexes []uint32, last bool) {
 	var buckets []*distributionpb.Bucket
 	for _, index := range indexes {
 		buckets = append(buckets, bucketMessage(s, index))
@@ -122,28 +123,29 @@
 	c.receive(bucketsMessage(s.Position(), buckets, last))
 }
 
-func (c *client) lastFetch() *distributionpb.FetchBuckets {
+func (c *replicaTest) lastFetch() *distributionpb.FetchBuckets {
 	c.Helper()
 	if len(c.fetches) == 0 {
-		c.Fatal("nothing was fetched")
+		c.Fatal("the replica requested no buckets")
 	}
 	return c.fetches[len(c.fetches)-1]
 }
 
-func (c *client) requireLeft(why DisconnectReason) {
+func (c *replicaTest) requireDisconnected(reason DisconnectReason) {
 	c.Helper()
-	if len(c.left) == 0 || c.left[len(c.left)-1].Reason != why {
-		c.Fatalf("left %v, and not because %s", c.left, why)
+	if len(c.disconnects) == 0 || c.disconnects[len(c.disconnects)-1].Reason != reason {
+		c.Fatalf("the disconnects are %v, want the last for the reason %q", c.disconnects, reason)
 	}
 }
 
-func (c *client) requireAt(want Position) {
+func (c *replicaTest) requirePosition(want Position) {
 	c.Helper()
 	if got := c.replica.Position(); got != want {
-		c.Fatalf("it is at %v instead of %v", got, want)
+		c.Fatalf("the replica is at %v, want %v", got, want)
 	}
 }
 
+// stateOf returns a state with the changes applied as its first revision.
 func stateOf(changes ...Change) *State {
 	s := NewState()
 	s.advance(testEpoch, changes)
@@ -153,44 +155,45 @@
 // TestReplicaFollows checks that a replica resumes from its state and applies deltas.
 func TestReplicaFollows(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	if len(c.connects) != 1 || len(c.resumes) != 1 || c.resumes[0].Position.Revision != 1 ||
 		c.resumes[0].Repair {
-		t.Fatalf("%v %v", c.connects, c.resumes)
+		t.Fatalf("connects %v, Resumes %v", c.connects, c.resumes)
 	}
 	c.receive(deltaMessage(s.advance(0, []Change{draining("a")})))
-	c.requireAt(s.Position())
+	c.requirePosition(s.Position())
 	if len(c.delivered) != 1 || len(c.acks) != 1 || c.acks[0].Revision != 2 ||
 		c.delivered[0].Position != s.Position() {
-		t.Errorf("%v %v", c.delivered, c.acks)
+		t.Errorf("delivered %v, acknowledged %v", c.delivered, c.acks)
 	}
 	if age, ok := c.replica.SourceAge(c.now + time.Second); !ok || age != time.Second {
-		t.Errorf("the source was heard %v ago (%t)", age, ok)
+		t.Errorf("SourceAge returns %v, %t", age, ok)
 	}
 }
 
-// TestReplicaStartsWithoutState checks that a replica without a state gets everything by buckets.
+// TestReplicaStartsWithoutState checks that a replica without a state fetches all records by
+// buckets, once it has the digests of all buckets.
 func TestReplicaStartsWithoutState(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
 	c.heartbeat(s.Position())
 	sums := s.Sums()
 	c.receive(digestsMessage(s.Position(), 0, sums[:BucketCount/2]))
 	if len(c.fetches) > 0 {
-		t.Fatal("it fetches before it has all digests")
+		t.Fatal("the replica requested buckets before it had all digests")
 	}
 	c.receive(digestsMessage(s.Position(), BucketCount/2, sums[BucketCount/2:]))
-	c.bucketsOf(s, c.lastFetch().Buckets, true)
-	c.requireAt(s.Position())
+	c.receiveBuckets(s, c.lastFetch().Buckets, true)
+	c.requirePosition(s.Position())
 	if len(c.delivered) != 1 || len(c.delivered[0].Changes) != 2 || !c.replica.Live() {
-		t.Errorf("%v", c.delivered)
+		t.Errorf("live %t, delivered %v", c.replica.Live(), c.delivered)
 	}
 }
 
-// TestReplicaRejectsInvalidMessages checks that an invalid message is reported with its type and
-// leaves the state unchanged, and that it leads to a repair if the content is wrong, or to a resume
-// if a delta is missing.
+// TestReplicaRejectsInvalidMessages checks that an invalid delta is reported with the right error
+// type and leaves the state unchanged. A wrong content must lead to a repair, a missing delta or
+// another epoch to a resume.
 func TestReplicaRejectsInvalidMessages(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -219,50 +222,52 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := stateOf(ready("a", 1))
 			before := s.Position()
-			c := liveClient(t, s)
+			c := newLiveReplicaTest(t, s)
 			d := *s.advance(0, []Change{draining("a")})
 			test.edit(&d)
 			c.receive(deltaMessage(&d))
 			if len(c.reports) != 1 || !errors.As(c.reports[0], test.want) {
-				t.Fatalf("reported %v", c.reports)
+				t.Fatalf("the reported errors are %v", c.reports)
 			}
-			c.requireAt(before)
+			c.requirePosition(before)
 			if len(c.resumes) != 2 || c.resumes[1].Repair != test.repair || len(c.delivered) > 0 {
-				t.Errorf("%v", c.resumes)
+				t.Errorf("Resumes %v, delivered %v", c.resumes, c.delivered)
 			}
 		})
 	}
 }
 
-// TestReplicaLeavesServerWithoutProgress checks that resuming without progress ends, with a backoff
-// from the server.
+// TestReplicaLeavesServerWithoutProgress checks that a replica leaves its server for another after
+// MaxResumes without progress.
 func TestReplicaLeavesServerWithoutProgress(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	bad := *s.Clone().advance(0, []Change{draining("a")})
 	bad.Digest.Low++
 	for range c.replica.settings.MaxResumes + 1 {
-		c.heartbeatOf(s, 1) // the stream goes on
+		c.heartbeatAhead(s, 1) // heartbeats continue without progress
 		c.replica.phase = replicaLive
 		c.receive(deltaMessage(&bad))
 	}
-	c.requireLeft(ReasonNoProgress)
+	c.requireDisconnected(ReasonNoProgress)
 	if len(c.connects) != 2 || c.connects[0] == c.connects[1] {
-		t.Errorf("%v", c.connects)
+		t.Errorf("the connects are %v, want two different servers", c.connects)
 	}
 }
 
-// heartbeatOf tells of a position that is some revisions ahead of a state's.
-func (c *client) heartbeatOf(s *State, ahead uint64) {
+// heartbeatAhead passes a heartbeat whose position is the given number of revisions ahead of a
+// state.
+func (c *replicaTest) heartbeatAhead(s *State, ahead uint64) {
 	at := s.Position()
 	at.Revision += ahead
 	c.heartbeat(at)
 }
 
-// TestReplicaHonoursRetryLater checks that the time to come back is honoured, with jitter.
+// TestReplicaHonoursRetryLater checks that a replica resumes only after the delay of a RetryLater,
+// with jitter, also if it rejects a message before, and that the delay is bounded.
 func TestReplicaHonoursRetryLater(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
 	c.receive(retryMessage(uint64(time.Second)))
 	c.heartbeat(s.Position())
@@ -270,211 +275,214 @@
 		Fleet:    testFleet,
 		Position: &distributionpb.Position{Epoch: 1},
 	})
-	c.receive(bad) // what can't be read is no reason to come back earlier
+	c.receive(bad) // an invalid message must not cause an earlier Resume
 	for range 99 {
 		c.wait(10 * time.Millisecond)
 		c.heartbeat(s.Position())
 	}
 	if len(c.resumes) != 1 {
-		t.Fatalf("it came back too early: %v", c.resumes)
+		t.Fatalf("the replica resumed too early: %v", c.resumes)
 	}
 	c.wait(260 * time.Millisecond)
 	if len(c.resumes) != 2 {
-		t.Error("it did not come back")
+		t.Error("the replica did not resume after the delay")
 	}
 	c.receive(retryMessage(1 << 63))
 	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetryDelay ||
 		wake > c.replica.settings.MaxRetryDelay*5/4 {
-		t.Errorf("it waits %v", wake)
+		t.Errorf("the replica waits for %v", wake)
 	}
 }
 
-// TestReplicaLeavesUnresponsiveServer checks that a silent server is left, another one resumed
-// from, and messages of the old stream ignored.
+// TestReplicaLeavesUnresponsiveServer checks that a replica leaves a silent server for another one,
+// ignores messages of the old stream, and leaves the other one if connecting takes too long.
 func TestReplicaLeavesUnresponsiveServer(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	old := c.attempt
 	c.wait(c.replica.settings.SilenceTimeout)
-	c.requireLeft(ReasonUnresponsive)
+	c.requireDisconnected(ReasonUnresponsive)
 	if len(c.connects) != 2 || c.connects[1] == c.connects[0] {
-		t.Fatalf("%v", c.connects)
+		t.Fatalf("the connects are %v, want two different servers", c.connects)
 	}
 	before := s.Position()
 	c.replica.Received(c.now, old, deltaMessage(s.advance(0, []Change{draining("a")})).Response)
-	c.take()
-	c.requireAt(before)
+	c.recordActions()
+	c.requirePosition(before)
 	c.wait(c.replica.settings.ConnectTimeout)
-	c.requireLeft(ReasonUnreachable)
+	c.requireDisconnected(ReasonUnreachable)
 }
 
-// TestReplicaNeverGoesBack checks that a server that stays behind is left, and that the replica
-// does not go back.
+// TestReplicaNeverGoesBack checks that a replica does not return to the earlier position of its
+// server, and leaves the server if it stays behind for BehindTimeout.
 func TestReplicaNeverGoesBack(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	older := s.Clone()
 	s.advance(0, []Change{draining("a")})
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	c.replica.resume(c.now, true)
-	c.take()
-	c.digestsOf(older)
+	c.recordActions()
+	c.receiveDigests(older)
 	if len(c.fetches) > 0 {
-		t.Fatal("it fetches what is older")
+		t.Fatal("the replica requested buckets of an earlier position")
 	}
 	c.receive(behindMessage(older.Position()))
 	c.heartbeat(older.Position())
-	if len(c.left) > 0 {
-		t.Fatal("it was left at once")
+	if len(c.disconnects) > 0 {
+		t.Fatal("the replica left the server immediately")
 	}
 	c.wait(c.replica.settings.BehindTimeout)
 	c.heartbeat(older.Position())
-	c.requireLeft(ReasonBehind)
-	c.requireAt(s.Position())
+	c.requireDisconnected(ReasonBehind)
+	c.requirePosition(s.Position())
 }
 
-// TestReplicaWaitsForServerToCatchUp checks that a server that catches up in time is kept.
+// TestReplicaWaitsForServerToCatchUp checks that a replica stays with a server that catches up in
+// time.
 func TestReplicaWaitsForServerToCatchUp(t *testing.T) {
 	s := stateOf(ready("a", 1))
 	older := s.Clone()
 	s.advance(0, []Change{draining("a")})
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	c.heartbeat(older.Position())
 	c.wait(c.replica.settings.BehindTimeout / 2)
 	c.heartbeat(s.Position())
 	c.wait(c.replica.settings.BehindTimeout)
 	c.heartbeat(older.Position())
-	if len(c.left) > 0 {
-		t.Errorf("%v", c.left)
+	if len(c.disconnects) > 0 {
+		t.Errorf("the disconnects are %v, want none", c.disconnects)
 	}
 }
 
-// TestReplicaAndEpochs checks that a later epoch is accepted by the buckets that differ, and an
-// earlier one rejected.
-func TestReplicaAndEpochs(t *testing.T) {
+// TestReplicaAcceptsOnlyLaterEpochs checks that a replica moves to a later epoch by fetching the
+// buckets that differ, and does not return to an earlier epoch, even at a later revision.
+func TestReplicaAcceptsOnlyLaterEpochs(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
-	c := liveClient(t, s)
-	anew := NewState()
-	anew.advance(testEpoch+1, []Change{ready("a", 1), ready("c", 1)})
-	c.heartbeat(anew.Position())
-	c.heartbeat(anew.Position())
+	c := newLiveReplicaTest(t, s)
+	newFleet := NewState()
+	newFleet.advance(testEpoch+1, []Change{ready("a", 1), ready("c", 1)})
+	c.heartbeat(newFleet.Position())
+	c.heartbeat(newFleet.Position())
 	if len(c.resumes) != 2 {
-		t.Fatal("it does not ask")
+		t.Fatal("the replica did not resume")
 	}
-	c.digestsOf(anew)
+	c.receiveDigests(newFleet)
 	if n := len(c.lastFetch().Buckets); n != 2 {
-		t.Errorf("%d buckets are fetched, 2 differ", n)
+		t.Errorf("%d buckets were requested, 2 differ", n)
 	}
-	c.bucketsOf(anew, c.lastFetch().Buckets, true)
-	c.requireAt(anew.Position())
+	c.receiveBuckets(newFleet, c.lastFetch().Buckets, true)
+	c.requirePosition(newFleet.Position())
 	if changes := c.delivered[0].Changes; len(changes) != 2 || !changes[0].Deleted {
-		t.Errorf("%v", changes)
+		t.Errorf("the delivered changes are %v", changes)
 	}
 	for range 9 {
 		s.advance(0, []Change{ready("a", int64(s.revision))})
 	}
 	c.heartbeat(s.Position())
-	c.digestsOf(s)
-	c.requireAt(anew.Position())
+	c.receiveDigests(s)
+	c.requirePosition(newFleet.Position())
 }
 
-// TestReplicaRepairsADivergence checks that two digests at one revision are reported and repaired.
+// TestReplicaRepairsADivergence checks that different digests at the same revision are reported as
+// a DivergenceError and repaired from the server.
 func TestReplicaRepairsADivergence(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	diverged := stateOf(ready("a", 1), ready("b", 2))
-	c := liveClient(t, diverged)
+	c := newLiveReplicaTest(t, diverged)
 	c.heartbeat(s.Position())
 	var divergence *DivergenceError
 	if len(c.reports) != 1 || !errors.As(c.reports[0], &divergence) ||
 		divergence.Mine != diverged.Position() {
-		t.Fatalf("%v", c.reports)
+		t.Fatalf("the reported errors are %v", c.reports)
 	}
 	if !c.resumes[1].Repair {
-		t.Error("it does not ask for digests")
+		t.Error("the Resume does not request a repair")
 	}
-	c.digestsOf(s)
+	c.receiveDigests(s)
 	if n := len(c.lastFetch().Buckets); n != 1 {
-		t.Errorf("%d buckets are fetched", n)
+		t.Errorf("%d buckets were requested, 1 differs", n)
 	}
-	c.bucketsOf(s, c.lastFetch().Buckets, true)
-	c.requireAt(s.Position())
+	c.receiveBuckets(s, c.lastFetch().Buckets, true)
+	c.requirePosition(s.Position())
 }
 
-// TestReplicaResumesAfterLostDelta checks that a delta that a heartbeat announced and that does not
-// arrive is requested.
+// TestReplicaResumesAfterLostDelta checks that a replica resumes if a revision announced by a
+// heartbeat has not arrived by the next heartbeat.
 func TestReplicaResumesAfterLostDelta(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := liveClient(t, s)
-	c.heartbeatOf(s, 1)
+	c := newLiveReplicaTest(t, s)
+	c.heartbeatAhead(s, 1)
 	if len(c.resumes) != 1 {
-		t.Fatal("it asks before the delta had time")
+		t.Fatal("the replica resumed at the first heartbeat that announced the delta")
 	}
-	c.heartbeatOf(s, 2)
+	c.heartbeatAhead(s, 2)
 	if len(c.resumes) != 2 || c.resumes[1].Repair {
-		t.Errorf("%v", c.resumes)
+		t.Errorf("the Resumes are %v, want two without repair", c.resumes)
 	}
 }
 
-// TestReplicaKeepsPartialRepair checks that buckets fetched before a stream ended are not fetched
-// again.
+// TestReplicaKeepsPartialRepair checks that an interrupted repair does not change the state, and
+// that the next repair does not fetch its buckets again.
 func TestReplicaKeepsPartialRepair(t *testing.T) {
 	var all []Change
 	for n := range 40 {
 		all = append(all, ready(fmt.Sprintf("server-%d", n), 1))
 	}
 	s := stateOf(all...)
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
-	c.digestsOf(s)
-	wanted := c.lastFetch().Buckets
-	c.bucketsOf(s, wanted[:30], false)
+	c.receiveDigests(s)
+	requested := c.lastFetch().Buckets
+	c.receiveBuckets(s, requested[:30], false)
 	c.disconnected()
 	if c.replica.Position() != NewState().Position() || len(c.delivered) > 0 {
-		t.Fatal("half a repair is in force")
+		t.Fatal("a partial repair was applied")
 	}
 	s.advance(0, []Change{deleted("server-1")})
 	c.connected()
-	c.digestsOf(s)
-	if again := len(c.lastFetch().Buckets); again > len(wanted)-30+1 {
-		t.Errorf("%d buckets are fetched again", again)
+	c.receiveDigests(s)
+	if again := len(c.lastFetch().Buckets); again > len(requested)-30+1 {
+		t.Errorf("%d of %d buckets were requested after 30 had arrived", again, len(requested))
 	}
-	c.bucketsOf(s, c.lastFetch().Buckets, true)
-	c.requireAt(s.Position())
+	c.receiveBuckets(s, c.lastFetch().Buckets, true)
+	c.requirePosition(s.Position())
 }
 
-// TestReplicaRejectsInvalidBucket checks that an invalid bucket is rejected and fetched again.
+// TestReplicaRejectsInvalidBucket checks that an invalid bucket is reported and fetched again.
 func TestReplicaRejectsInvalidBucket(t *testing.T) {
 	s := stateOf(ready("a", 1), ready("b", 1))
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
-	c.digestsOf(s)
-	wanted := c.lastFetch().Buckets
-	c.receive(bucketsMessage(s.Position(), []*distributionpb.Bucket{{Index: wanted[0]}}, true))
+	c.receiveDigests(s)
+	requested := c.lastFetch().Buckets
+	c.receive(bucketsMessage(s.Position(), []*distributionpb.Bucket{{Index: requested[0]}}, true))
 	var mismatch *DigestMismatchError
 	if len(c.reports) != 1 || !errors.As(c.reports[0], &mismatch) || !mismatch.OfBuckets {
-		t.Fatalf("%v", c.reports)
+		t.Fatalf("the reported errors are %v", c.reports)
 	}
-	c.digestsOf(s)
-	c.bucketsOf(s, c.lastFetch().Buckets, true)
-	c.requireAt(s.Position())
+	c.receiveDigests(s)
+	c.receiveBuckets(s, c.lastFetch().Buckets, true)
+	c.requirePosition(s.Position())
 }
 
-// TestReplicaLeavesAnotherFleet checks that another fleet's server is left with a WrongFleetError.
+// TestReplicaLeavesAnotherFleet checks that a replica leaves a server of another fleet with a
+// WrongFleetError.
 func TestReplicaLeavesAnotherFleet(t *testing.T) {
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
 	c.receive(heartbeatMessage(&distributionpb.Heartbeat{
 		Fleet:    "green",
 		Position: NewState().Position().Proto(),
 	}))
 	var fleet *WrongFleetError
-	if len(c.left) != 1 || !errors.As(c.left[0], &fleet) || fleet.Got != "green" {
-		t.Fatalf("%v", c.left)
+	if len(c.disconnects) != 1 || !errors.As(c.disconnects[0], &fleet) || fleet.Got != "green" {
+		t.Fatalf("the disconnects are %v", c.disconnects)
 	}
 }
 
-// TestReplicaBacksOff checks that servers that all fail are tried at a falling, bounded rate.
+// TestReplicaBacksOff checks that the rate of attempts falls to a bound if all servers fail.
 func TestReplicaBacksOff(t *testing.T) {
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	tried := 0
 	for c.now < 10*time.Minute {
 		if _, busy := c.replica.Server(); busy {
@@ -483,35 +491,36 @@
 		}
 		wake := c.replica.Wake()
 		if wake < c.now || wake > c.now+c.replica.settings.MaxBackoff {
-			t.Fatalf("at %v it wants to be woken at %v", c.now, wake)
+			t.Fatalf("at %v Wake returns %v", c.now, wake)
 		}
 		c.wait(wake - c.now)
 	}
-	// Three servers, each after 5 to 10 s at the longest, and a few times more often at first.
+	// Each of the three servers is tried every 5 to 10 s, and a few times more often at first.
 	if most := 3 * (10*60/5 + 10); tried > most || tried < 3*10*60/10 {
-		t.Errorf("it tried %d times", tried)
+		t.Errorf("%d attempts, want between %d and %d", tried, 3*10*60/10, most)
 	}
 }
 
-// TestReplicaLeavesAServerWithoutSource checks that a server without news of the source is left
-// only while there is an alternative.
+// TestReplicaLeavesAServerWithoutSource checks that a replica leaves a server that does not receive
+// the source's commands only if another server can be tried, and at a bounded rate if no server
+// does.
 func TestReplicaLeavesAServerWithoutSource(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	silent := heartbeatMessage(&distributionpb.Heartbeat{
 		Fleet: testFleet, Position: s.Position().Proto(), Term: 1, SourceAgeNs: uint64(time.Minute),
 	})
 	for n := range 2 {
 		c.receive(silent)
-		if len(c.left) != n+1 || c.left[n].Reason != ReasonSourceSilent {
-			t.Fatalf("%v", c.left)
+		if len(c.disconnects) != n+1 || c.disconnects[n].Reason != ReasonSourceSilent {
+			t.Fatalf("the disconnects are %v", c.disconnects)
 		}
 		c.connected()
 		c.wait(200 * time.Millisecond)
 	}
 	c.receive(silent)
-	if len(c.left) != 2 {
-		t.Errorf("it left the last one too: %v", c.left)
+	if len(c.disconnects) != 2 {
+		t.Errorf("the replica left the last server too: %v", c.disconnects)
 	}
 	for c.now < 10*time.Minute {
 		c.wait(500 * time.Millisecond)
@@ -519,15 +528,15 @@
 		c.receive(silent)
 	}
 	if most := int(10*time.Minute/(c.replica.settings.MaxBackoff/2)) +
-		10; len(c.left) > most || len(c.left) < 10 {
-		t.Errorf("it left %d servers, at most %d wanted", len(c.left), most)
+		10; len(c.disconnects) > most || len(c.disconnects) < 10 {
+		t.Errorf("%d disconnects, want between 10 and %d", len(c.disconnects), most)
 	}
 }
 
-// TestReplicaPersists checks that the state is written at intervals, not at each change.
+// TestReplicaPersists checks that a changing state is persisted once in each PersistInterval.
 func TestReplicaPersists(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := liveClient(t, s)
+	c := newLiveReplicaTest(t, s)
 	span := c.replica.settings.PersistInterval
 	for n := range 60 {
 		c.now += span / 20
@@ -535,57 +544,58 @@
 		c.wait(0)
 	}
 	if len(c.persisted) != 3 {
-		t.Errorf("%d times", len(c.persisted))
+		t.Errorf("the state was persisted %d times, want 3", len(c.persisted))
 	}
 	if last := c.persisted[len(c.persisted)-1].Position(); last != s.Position() {
-		t.Errorf("%v was written last", last)
+		t.Errorf("the last persisted state is at %v, want %v", last, s.Position())
 	}
 }
 
-// TestReplicaReturnsToPreferredServer checks that a replica returns to its preferred server after a
-// while.
+// TestReplicaReturnsToPreferredServer checks that a replica returns to its preferred server after
+// at least half of ReturnInterval.
 func TestReplicaReturnsToPreferredServer(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := newClient(t, s)
+	c := newReplicaTest(t, s)
 	c.disconnected()
 	c.connected()
-	for c.now < 2*c.replica.settings.ReturnInterval && len(c.left) == 1 {
+	for c.now < 2*c.replica.settings.ReturnInterval && len(c.disconnects) == 1 {
 		c.heartbeat(s.Position())
 		c.wait(time.Second)
 	}
-	c.requireLeft(ReasonPreferredServer)
+	c.requireDisconnected(ReasonPreferredServer)
 	if c.now < c.replica.settings.ReturnInterval/2 || c.connects[2] != c.connects[0] {
-		t.Errorf("after %v to %v", c.now, c.connects)
+		t.Errorf("the replica returned after %v; connects %v", c.now, c.connects)
 	}
 }
 
-// TestReplicaLeavesARemovedServer checks that a server that was removed from the list is left.
+// TestReplicaLeavesARemovedServer checks that a replica leaves a server that is removed from the
+// list.
 func TestReplicaLeavesARemovedServer(t *testing.T) {
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
 	c.replica.SetServers(c.now, []Server{{ID: "other"}})
-	c.take()
-	c.requireLeft(ReasonServerRemoved)
+	c.recordActions()
+	c.requireDisconnected(ReasonServerRemoved)
 	if c.connects[1].ID != "other" {
-		t.Errorf("%v", c.connects)
+		t.Errorf("the connects are %v", c.connects)
 	}
 }
 
-// TestReplicaLeavesServerThatDoesNotAnswer checks that a server that sends heartbeats but never
-// answers a Resume is left.
+// TestReplicaLeavesServerThatDoesNotAnswer checks that a replica leaves a server that sends
+// heartbeats but does not answer a Resume within ProgressTimeout.
 func TestReplicaLeavesServerThatDoesNotAnswer(t *testing.T) {
 	s := stateOf(ready("a", 1))
-	c := newClient(t, NewState())
+	c := newReplicaTest(t, NewState())
 	c.connected()
 	for c.now < c.replica.settings.ProgressTimeout {
 		c.heartbeat(s.Position())
 		c.wait(time.Second)
 	}
-	c.requireLeft(ReasonNoProgress)
+	c.requireDisconnected(ReasonNoProgress)
 }
 
 // FuzzReceived checks that whatever a server sends, the replica's state matches its position and
-// never goes back.
+// never returns to an earlier one.
 func FuzzReceived(f *testing.F) {
 	s := stateOf(ready("a", 1), ready("b", 1))
 	next := s.Clone()
@@ -606,24 +616,25 @@
 		if proto.Unmarshal(raw, &m) != nil {
 			return
 		}
-		c := liveClient(t, s.Clone())
+		c := newLiveReplicaTest(t, s.Clone())
 		for range 3 {
 			before := c.replica.Position()
 			c.replica.Received(c.now, c.attempt, &m)
-			c.take()
+			c.recordActions()
 			at := c.replica.Position()
-			if at.Compare(before) < 0 || rebuilt(c.replica.State(), testRandom()).Position() != at {
-				t.Errorf("from %v to %v", before, at)
+			if at.Compare(before) < 0 ||
+				rebuildState(c.replica.State(), testRandom()).Position() != at {
+				t.Errorf("the replica went from %v to %v", before, at)
 			}
 			if c.replica.Wake() <= 0 {
-				t.Errorf("it wants to be woken at %v", c.replica.Wake())
+				t.Errorf("Wake returns %v", c.replica.Wake())
 			}
 			c.wait(time.Second)
 		}
 	})
 }
 
-// TestPositionOrder checks that positions are ordered by epoch first.
+// TestPositionOrder checks that positions are ordered by epoch, then by revision.
 func TestPositionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Position {
@@ -635,7 +646,7 @@
 		a, b := draw("a"), draw("b")
 		want := a.Epoch < b.Epoch || a.Epoch == b.Epoch && a.Revision < b.Revision
 		if got := a.Compare(b) < 0; got != want || a.Compare(b) != -b.Compare(a) {
-			t.Fatalf("%v and %v: %d", a, b, a.Compare(b))
+			t.Fatalf("comparing %v with %v returns %d", a, b, a.Compare(b))
 		}
 	})
 }
--- a/internal/controlplane/distribution/state_test.go
+++ b/internal/controlplane/distribution/state_test.go
@@ -18,7 +18,8 @@
 
 const testEpoch = 7
 
-// server is a server's record. A newer one has another start.
+// server returns the change that sets a server's record. Records differ by the time of the start,
+// in ms.
 func server(id string, phase distributionpb.Phase, started int64) Change {
 	raw, err := proto.Marshal(&distributionpb.ServerRecord{
 		Address:   "10.0.0.1:6379",
@@ -45,7 +46,8 @@
 	return Change{Record: Record{Kind: KindServer, ID: id}, Deleted: true}
 }
 
-// drawChanges draws changes, one a key, of few keys, so that they meet.
+// drawChanges draws changes, one for each key, of few keys, so that changes often have a common
+// key.
 func drawChanges(t *rapid.T) []Change {
 	ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 30), 1, 6, rapid.ID).Draw(t, "ids")
 	changes := make([]Change, len(ids))
@@ -66,8 +68,8 @@
 	return changes
 }
 
-// content is a state's records by key.
-func content(s *State) map[string]string {
+// recordsByKey returns the values of a state's records by kind and id.
+func recordsByKey(s *State) map[string]string {
 	all := map[string]string{}
 	for i := range uint32(BucketCount) {
 		for _, r := range s.Bucket(i) {
@@ -77,8 +79,8 @@
 	return all
 }
 
-// rebuilt is a state of the same records at the same position, put together in another order.
-func rebuilt(s *State, random *rand.Rand) *State {
+// rebuildState returns a state of the same records at the same position, built in random order.
+func rebuildState(s *State, random *rand.Rand) *State {
 	var changes []Change
 	for i := range uint32(BucketCount) {
 		for _, r := range s.Bucket(i) {
@@ -93,9 +95,9 @@
 
 func testRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// TestStateIsAMapWithADigest checks a state against a map, and that its digest and counts depend on
-// its content and position alone.
-func TestStateIsAMapWithADigest(t *testing.T) {
+// TestStateMatchesMapModel checks that a state has the same content as a map with the same changes,
+// and that its digest and counts depend only on its content and position.
+func TestStateMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, model := NewState(), map[string]string{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
@@ -109,23 +111,23 @@
 				}
 			}
 		}
-		if got := content(s); !maps.Equal(got, model) {
-			t.Fatalf("the state has %d records, the model %d", len(got), len(model))
+		if got := recordsByKey(s); !maps.Equal(got, model) {
+			t.Fatalf("the records differ: the state has %d, the model %d", len(got), len(model))
 		}
-		fresh := rebuilt(s, testRandom())
+		fresh := rebuildState(s, testRandom())
 		if s.Position() != fresh.Position() || s.Len() != fresh.Len() ||
 			s.Bytes() != fresh.Bytes() || s.Len() != len(model) {
-			t.Fatalf("%v with %d records, rebuilt %v with %d",
+			t.Fatalf("the state is at %v with %d records, the rebuilt one at %v with %d",
 				s.Position(), s.Len(), fresh.Position(), fresh.Len())
 		}
 		if !slices.Equal(s.Sums(), fresh.Sums()) {
-			t.Fatal("the buckets' sums depend on the order of changes")
+			t.Fatal("the sums of the buckets depend on the order of changes")
 		}
 	})
 }
 
-// TestDeltaIsAppliedAtomically checks that a delta leads a copy to the same position, and that
-// one damaged in any place is rejected and changes nothing.
+// TestDeltaIsAppliedAtomically checks that a delta leads a copy to the same position and content,
+// and that a delta with a damaged byte either does the same or is rejected and changes nothing.
 func TestDeltaIsAppliedAtomically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -133,45 +135,45 @@
 		copied := s.Clone()
 		d := s.advance(0, drawChanges(t))
 		if d == nil {
-			return // they changed nothing
+			return // the changes have no effect
 		}
 		raw := d.Encode()
 		if rapid.Bool().Draw(t, "damaged") {
 			damaged := bytes.Clone(raw)
 			at := rapid.IntRange(0, len(raw)-1).Draw(t, "at")
 			damaged[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-			before, had := copied.Position(), content(copied)
+			before, records := copied.Position(), recordsByKey(copied)
 			broken, err := DecodeDelta(damaged)
 			if err == nil {
 				err = copied.Apply(broken)
 			}
 			if err != nil {
-				requireTyped(t, err)
-				if copied.Position() != before || !maps.Equal(content(copied), had) {
-					t.Fatalf("a refused delta changed the state: %v", err)
+				requirePackageError(t, err)
+				if copied.Position() != before || !maps.Equal(recordsByKey(copied), records) {
+					t.Fatalf("a rejected delta changed the state: %v", err)
 				}
 				return
 			}
-			// The damage hit what means nothing: an order, or a field that nobody reads.
+			// The damage has no effect: it changed the order or a field that is not read.
 		} else if decoded, err := DecodeDelta(raw); err != nil {
 			t.Fatal(err)
 		} else if err := copied.Apply(decoded); err != nil {
 			t.Fatal(err)
 		}
-		if copied.Position() != s.Position() || !maps.Equal(content(copied), content(s)) {
-			t.Fatalf("%v instead of %v", copied.Position(), s.Position())
+		if copied.Position() != s.Position() || !maps.Equal(recordsByKey(copied), recordsByKey(s)) {
+			t.Fatalf("the copy is at %v, want %v", copied.Position(), s.Position())
 		}
 	})
 }
 
-// fataler is a testing.T or a rapid.T.
-type fataler interface {
+// fatalReporter is implemented by testing.T and rapid.T.
+type fatalReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// requireTyped fails for an error that is none of the package's.
-func requireTyped(t fataler, err error) {
+// requirePackageError fails the test if the error has none of the package's error types.
+func requirePackageError(t fatalReporter, err error) {
 	t.Helper()
 	var epoch *WrongEpochError
 	var revision *WrongRevisionError
@@ -184,10 +186,10 @@
 			return
 		}
 	}
-	t.Fatalf("an error without a type: %v", err)
+	t.Fatalf("%T is not an error type of the package: %v", err, err)
 }
 
-// TestRejectedDeltas checks the error for each reason to reject a delta.
+// TestRejectedDeltas checks the error for each reason for which a delta is rejected.
 func TestRejectedDeltas(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch, []Change{ready("a", 1), ready("b", 1)})
@@ -217,7 +219,7 @@
 			&WrongRevisionError{1, 2, 3},
 			"from revision 2 to 3",
 		},
-		{"a further target", func(d *Delta) { d.To = 3 }, &DigestMismatchError{}, "instead of 7/3"},
+		{"a later target", func(d *Delta) { d.To = 3 }, &DigestMismatchError{}, "instead of 7/3"},
 		{
 			"another record",
 			func(d *Delta) { d.Changes = []Change{draining("b")} },
@@ -271,24 +273,24 @@
 			before := s.Position()
 			err := s.Apply(&d)
 			if reflect.TypeOf(err) != reflect.TypeOf(test.want) {
-				t.Fatalf("%v, want a %T", err, test.want)
+				t.Fatalf("the error is %v, want a %T", err, test.want)
 			}
 			if !bytes.Contains([]byte(err.Error()), []byte(test.text)) {
-				t.Errorf("%q does not say %q", err, test.text)
+				t.Errorf("the error is %q, want it to contain %q", err, test.text)
 			}
 			if s.Position() != before {
-				t.Error("the state has changed")
+				t.Error("the rejected delta changed the state")
 			}
 		})
 	}
 	if err := s.Apply(good); err != nil || s.Position() != next.Position() {
-		t.Errorf("%v, %v", err, s.Position())
+		t.Errorf("error %v, the state is at %v", err, s.Position())
 	}
 }
 
-// TestDigestIsPinned checks that the digest, which is part of the protocol and of files, does not
-// change.
-func TestDigestIsPinned(t *testing.T) {
+// TestDigestIsStable guards against changes of the digest and of the bucket index, which are part
+// of the protocol and of state files.
+func TestDigestIsStable(t *testing.T) {
 	s := NewState()
 	s.advance(
 		testEpoch,
@@ -299,15 +301,16 @@
 	)
 	const want = "c07eab816a2f835e64659d02e281f0d7"
 	if got := s.Digest().String(); got != want {
-		t.Errorf("the digest is %s, and was %s", got, want)
+		t.Errorf("the digest is %s, want %s", got, want)
 	}
 	if got, want := bucketIndex(KindServer, "server-1"), uint32(722); got != want {
-		t.Errorf("the bucket is %d, and was %d", got, want)
+		t.Errorf("the bucket index is %d, want %d", got, want)
 	}
 }
 
-// TestHashesTellKeysFromValues checks that moving bytes between key and value changes the hash.
-func TestHashesTellKeysFromValues(t *testing.T) {
+// TestRecordHashSeparatesKeyAndValue checks that moving bytes between key and value changes the
+// hash of a record.
+func TestRecordHashSeparatesKeyAndValue(t *testing.T) {
 	seen := map[Digest]Record{}
 	for _, r := range []Record{
 		{KindPlan, "ab", []byte("c")},
@@ -317,14 +320,15 @@
 	} {
 		h := recordHash(&r)
 		if other, ok := seen[h]; ok {
-			t.Errorf("%v and %v have one hash", r, other)
+			t.Errorf("%v and %v have the same hash", r, other)
 		}
 		seen[h] = r
 	}
 }
 
-// TestDifferenceLeadsToTheOther checks that Difference leads from any state to any other.
-func TestDifferenceLeadsToTheOther(t *testing.T) {
+// TestDifferenceLeadsToOtherState checks that the changes of Difference lead from any state to any
+// other.
+func TestDifferenceLeadsToOtherState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
 		for range rapid.IntRange(0, 5).Draw(t, "a") {
@@ -334,8 +338,8 @@
 			b.advance(testEpoch, drawChanges(t))
 		}
 		a.advance(testEpoch, a.Difference(b))
-		if !maps.Equal(content(a), content(b)) {
-			t.Fatalf("%v instead of %v", content(a), content(b))
+		if !maps.Equal(recordsByKey(a), recordsByKey(b)) {
+			t.Fatalf("the records are %v, want %v", recordsByKey(a), recordsByKey(b))
 		}
 	})
 }
@@ -355,12 +359,12 @@
 		order = append(order, c.ID)
 	}
 	if want := []string{"z-gone", "c", "a", "b"}; !slices.Equal(order, want) {
-		t.Errorf("%v, want %v", order, want)
+		t.Errorf("the order is %v, want %v", order, want)
 	}
 	if !d.Urgent() {
-		t.Error("the delta is not urgent")
+		t.Error("a delta with a deletion is not urgent")
 	}
-	if quiet := s.advance(0, []Change{ready("a", 2)}); quiet.Urgent() {
+	if d := s.advance(0, []Change{ready("a", 2)}); d.Urgent() {
 		t.Error("a delta without deletions and draining servers is urgent")
 	}
 }
@@ -372,15 +376,15 @@
 	c := s.Clone()
 	at := c.Position()
 	s.advance(0, []Change{deleted("a"), ready("b", 1)})
-	if c.Position() != at || c.Digest() != rebuilt(c, testRandom()).Digest() {
-		t.Error("the clone has changed")
+	if c.Position() != at || c.Digest() != rebuildState(c, testRandom()).Digest() {
+		t.Error("a change of the original changed the clone")
 	}
-	if _, there := c.Get(KindServer, "a"); !there {
-		t.Error("the clone has lost a record")
+	if _, found := c.Get(KindServer, "a"); !found {
+		t.Error("the clone lost a record")
 	}
 }
 
-// TestRange checks that Range returns the records of one kind and stops when asked to.
+// TestRange checks that Range yields the records of one kind and stops when yield returns false.
 func TestRange(t *testing.T) {
 	s := NewState()
 	s.advance(testEpoch,
@@ -389,15 +393,15 @@
 	s.Range(KindServer, func(r Record) bool {
 		count++
 		if r.Kind != KindServer {
-			t.Errorf("%v", r)
+			t.Errorf("Range yields %v", r)
 		}
 		return true
 	})
 	if count != 2 {
-		t.Errorf("%d servers", count)
+		t.Errorf("Range yields %d servers, want 2", count)
 	}
 	s.Range(KindServer, func(Record) bool { count++; return false })
 	if count != 3 {
-		t.Errorf("it went on after false")
+		t.Errorf("Range continued after yield returned false")
 	}
 }
--- a/internal/controlplane/distribution/together_test.go
+++ b/internal/controlplane/distribution/together_test.go
@@ -11,9 +11,9 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// together is a publisher and a replica with a stream between them that carries messages when it is
-// told to.
-type together struct {
+// streamTest connects a publisher and a replica by a stream whose messages the test delivers one at
+// a time.
+type streamTest struct {
 	*rapid.T
 	state     *State
 	publisher *Publisher
@@ -21,40 +21,43 @@
 	now       time.Duration
 	stream    StreamID
 	attempt   uint64
-	down      []*distributionpb.WatchResponse
-	up        []*distributionpb.WatchRequest
-	delivered map[string]string
-	at        Position
+	// responses and requests are the messages in flight.
+	responses []*distributionpb.WatchResponse
+	requests  []*distributionpb.WatchRequest
+	// delivered has the records that the gateway was delivered, by kind and id.
+	delivered         map[string]string
+	deliveredPosition Position
 }
 
-func (w *together) act() {
+// runActions carries out the replica's actions and takes the publisher's messages.
+func (w *streamTest) runActions() {
 	for _, action := range w.replica.Take() {
 		switch a := action.(type) {
 		case Connect:
-			w.stream, w.attempt, w.down, w.up = w.stream+1, a.Attempt, nil, nil
+			w.stream, w.attempt, w.responses, w.requests = w.stream+1, a.Attempt, nil, nil
 			if err := w.publisher.Open(w.now, w.stream); err != nil {
 				w.Fatal(err)
 			}
 			w.replica.Connected(w.now, a.Attempt)
-			w.act()
+			w.runActions()
 		case Disconnect:
 			w.publisher.Close(w.stream)
 		case SendRequest:
-			w.up = append(w.up, a.Request)
+			w.requests = append(w.requests, a.Request)
 		case Deliver:
 			w.deliver(a)
 		}
 	}
 	for _, send := range w.publisher.Take(w.now) {
-		w.down = append(w.down, send.Message.Response)
+		w.responses = append(w.responses, send.Message.Response)
 	}
 }
 
-func (w *together) deliver(d Deliver) {
-	if d.Position.Compare(w.at) < 0 {
-		w.Fatalf("back from %v to %v", w.at, d.Position)
+func (w *streamTest) deliver(d Deliver) {
+	if d.Position.Compare(w.deliveredPosition) < 0 {
+		w.Fatalf("the delivered position went back from %v to %v", w.deliveredPosition, d.Position)
 	}
-	w.at = d.Position
+	w.deliveredPosition = d.Position
 	for _, c := range d.Changes {
 		if key := c.Kind.String() + c.ID; c.Deleted {
 			delete(w.delivered, key)
@@ -64,82 +67,83 @@
 	}
 }
 
-// carry brings one message each way.
-func (w *together) carry() {
-	if len(w.up) > 0 {
-		m := w.up[0]
-		w.up = w.up[1:]
+// carryMessages delivers one message in each direction.
+func (w *streamTest) carryMessages() {
+	if len(w.requests) > 0 {
+		m := w.requests[0]
+		w.requests = w.requests[1:]
 		if err := w.publisher.Received(w.now, w.stream, m); err != nil {
 			w.Fatal(err)
 		}
 	}
-	if len(w.down) > 0 {
-		m := w.down[0]
-		w.down = w.down[1:]
+	if len(w.responses) > 0 {
+		m := w.responses[0]
+		w.responses = w.responses[1:]
 		w.publisher.Sent(w.stream)
 		w.replica.Received(w.now, w.attempt, m)
 	}
-	w.act()
+	w.runActions()
 }
 
-// lose drops the next message down, or damages the delta in it.
-func (w *together) lose(damage bool) {
-	if len(w.down) == 0 {
+// loseMessage drops the next response. If damage is set and the response is a delta with changes,
+// it removes the first change instead.
+func (w *streamTest) loseMessage(damage bool) {
+	if len(w.responses) == 0 {
 		return
 	}
-	if d := w.down[0].GetDelta(); damage && d != nil && len(d.Changes) > 0 {
-		damaged := proto.Clone(w.down[0]).(*distributionpb.WatchResponse)
+	if d := w.responses[0].GetDelta(); damage && d != nil && len(d.Changes) > 0 {
+		damaged := proto.Clone(w.responses[0]).(*distributionpb.WatchResponse)
 		damaged.GetDelta().Changes = damaged.GetDelta().Changes[1:]
-		w.down[0] = damaged
+		w.responses[0] = damaged
 		return
 	}
-	w.down = w.down[1:]
+	w.responses = w.responses[1:]
 	w.publisher.Sent(w.stream)
 }
 
-func (w *together) change(changes []Change) {
+func (w *streamTest) change(changes []Change) {
 	if d := w.state.advance(0, changes); d != nil {
 		w.publisher.Update(w.now, Update{State: w.state.Clone(), Delta: d, Term: 1})
 	}
 }
 
-func (w *together) tick(span time.Duration) {
+func (w *streamTest) tick(span time.Duration) {
 	w.now += span
 	w.publisher.Tick(w.now)
 	w.replica.Tick(w.now)
-	w.act()
+	w.runActions()
 }
 
-// TestAnyInterleavingConverges checks that any interleaving of changes, messages, losses,
-// damage, resumes, compactions and restarts converges to the same digest, and that the gateway was
-// delivered the same content.
+// TestAnyInterleavingConverges checks that after any interleaving of changes, messages, losses,
+// damage, resumes, compactions and restarts the replica converges to the server's position and
+// digest, and that the gateway was delivered the same content.
 func TestAnyInterleavingConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultPublisherSettings(testFleet)
 		settings.Log.Entries = rapid.IntRange(1, 10).Draw(t, "log")
-		w := &together{T: t, state: NewState(), delivered: map[string]string{}}
+		w := &streamTest{T: t, state: NewState(), delivered: map[string]string{}}
 		w.state.advance(testEpoch, drawChanges(t))
 		w.publisher = NewPublisher(settings, w.state.Clone(), testRandom())
 		w.replica = NewReplica(DefaultReplicaSettings(testFleet, "g"), NewState(), testRandom())
 		w.replica.SetServers(w.now, []Server{{ID: "a"}})
-		w.act()
+		w.runActions()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2:
 				w.change(drawChanges(t))
 			case 3, 4, 5, 6:
-				w.carry()
+				w.carryMessages()
 			case 7:
 				w.tick(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
 			case 8:
-				w.lose(rapid.Bool().Draw(t, "damaged"))
+				w.loseMessage(rapid.Bool().Draw(t, "damaged"))
 			case 9:
 				w.restart(t, settings)
 			}
-			w.act()
+			w.runActions()
 		}
 		for range 800 {
-			w.carry()
+			w.carryMessages()
 			w.tick(20 * time.Millisecond)
 		}
 		if got := w.replica.Position(); got != w.state.Position() {
@@ -157,8 +161,9 @@
 	})
 }
 
-// restart begins the server or the replica anew, or compacts the server's log.
-func (w *together) restart(t *rapid.T, settings PublisherSettings) {
+// restart restarts the server, restarts the replica from its state file, or compacts the server's
+// log.
+func (w *streamTest) restart(t *rapid.T, settings PublisherSettings) {
 	switch rapid.IntRange(0, 2).Draw(t, "what") {
 	case 0:
 		w.publisher = NewPublisher(settings, w.state.Clone(), testRandom())
