--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -21,7 +21,7 @@
 }
 
 // Publisher is the server's side of all its streams. The caller calls a method for each event, then
-// sends what Take returns, and calls Tick at the time that Wake returns.
+// sends what Take returns, and calls Tick at the time that NextTick returns.
 //
 // A stream has no queue of deltas. It has the position up to which everything was sent, and at most
 // one message in flight. When the stream is writable again, it is sent all changes since that
@@ -342,17 +342,17 @@
 	}
 }
 
-// Wake returns when Tick should be called next if there is no event before.
-func (p *Publisher) Wake(now time.Duration) time.Duration {
+// NextTick returns the time at which Tick should be called unless an event is handled before.
+func (p *Publisher) NextTick(now time.Duration) time.Duration {
 	p.start(now)
-	wake := p.heartbeatAt
+	next := p.heartbeatAt
 	if p.merging {
-		wake = min(wake, p.mergeAt)
+		next = min(next, p.mergeAt)
 	}
 	if p.bulkPending() {
-		wake = min(wake, p.admission.availableAt(now))
+		next = min(next, p.admission.availableAt(now))
 	}
-	return max(wake, now)
+	return max(next, now)
 }
 
 // bulkPending reports whether a writable stream is waiting for digests or buckets.
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -133,8 +133,8 @@
 	if sends := s.drain(); len(sends) > 0 {
 		t.Fatalf("%v was sent before the merge window ended", sends)
 	}
-	if wake := s.publisher.Wake(s.now); wake != s.publisher.settings.MergeWindow {
-		t.Errorf("Wake returns %v, want the end of the merge window", wake)
+	if next := s.publisher.NextTick(s.now); next != s.publisher.settings.MergeWindow {
+		t.Errorf("NextTick returns %v, want the end of the merge window", next)
 	}
 	s.wait(s.publisher.settings.MergeWindow)
 	sends := s.drain()
@@ -338,9 +338,9 @@
 		for _, send := range sends {
 			s.publisher.Sent(send.Stream)
 		}
-		wake := s.publisher.Wake(s.now)
-		if wake < s.now || wake > s.now+s.publisher.settings.HeartbeatInterval {
-			t.Fatalf("at %v Wake returns %v", s.now, wake)
+		next := s.publisher.NextTick(s.now)
+		if next < s.now || next > s.now+s.publisher.settings.HeartbeatInterval {
+			t.Fatalf("at %v NextTick returns %v", s.now, next)
 		}
 		s.wait(50 * time.Millisecond)
 	}
--- a/internal/controlplane/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -13,7 +13,7 @@
 
 // Replica is the client's side of the distribution in a gateway. The caller calls a method for each
 // event, then carries out the actions that Take returns, in order, and calls Tick at the time that
-// Wake returns.
+// NextTick returns.
 //
 // The state only moves to later positions, except that a repair of a divergence keeps the revision.
 // The content is always verified against the digest of the new position.
@@ -304,24 +304,25 @@
 	}
 }
 
-// Wake returns when Tick should be called next if there is no event before.
-func (r *Replica) Wake() time.Duration {
-	wake := never
+// NextTick returns the time at which Tick should be called unless an event is handled before.
+func (r *Replica) NextTick() time.Duration {
+	next := never
 	switch r.phase {
 	case replicaIdle:
-		_, wake, _ = r.candidates.best(r.connectStartedAt)
+		_, next, _ = r.candidates.best(r.connectStartedAt)
 	case replicaConnecting:
-		wake = r.connectStartedAt + r.settings.ConnectTimeout
+		next = r.connectStartedAt + r.settings.ConnectTimeout
 	case replicaRetrying:
-		wake = min(r.retryAt, r.lastMessageAt+r.silenceTimeout())
+		next = min(r.retryAt, r.lastMessageAt+r.silenceTimeout())
 	case replicaLive:
-		// returnAt needs no wake-up: the first Tick after it returns to the preferred server.
-		wake = r.lastMessageAt + r.silenceTimeout()
+		// returnAt needs no Tick of its own: the first Tick after it returns to the preferred
+		// server.
+		next = r.lastMessageAt + r.silenceTimeout()
 	default:
-		wake = min(r.lastMessageAt+r.silenceTimeout(), r.lastProgressAt+r.settings.ProgressTimeout)
+		next = min(r.lastMessageAt+r.silenceTimeout(), r.lastProgressAt+r.settings.ProgressTimeout)
 	}
 	if r.unpersisted {
-		wake = min(wake, r.persistAt)
+		next = min(next, r.persistAt)
 	}
-	return wake
+	return next
 }
--- a/internal/controlplane/distribution/replica_test.go
+++ b/internal/controlplane/distribution/replica_test.go
@@ -288,9 +288,9 @@
 		t.Error("the replica did not resume after the delay")
 	}
 	c.receive(retryMessage(1 << 63))
-	if wake := c.replica.retryAt - c.now; wake < c.replica.settings.MaxRetryDelay ||
-		wake > c.replica.settings.MaxRetryDelay*5/4 {
-		t.Errorf("the replica waits for %v", wake)
+	if delay := c.replica.retryAt - c.now; delay < c.replica.settings.MaxRetryDelay ||
+		delay > c.replica.settings.MaxRetryDelay*5/4 {
+		t.Errorf("the replica waits for %v", delay)
 	}
 }
 
@@ -489,11 +489,11 @@
 			tried++
 			c.disconnected()
 		}
-		wake := c.replica.Wake()
-		if wake < c.now || wake > c.now+c.replica.settings.MaxBackoff {
-			t.Fatalf("at %v Wake returns %v", c.now, wake)
+		next := c.replica.NextTick()
+		if next < c.now || next > c.now+c.replica.settings.MaxBackoff {
+			t.Fatalf("at %v NextTick returns %v", c.now, next)
 		}
-		c.wait(wake - c.now)
+		c.wait(next - c.now)
 	}
 	// Each of the three servers is tried every 5 to 10 s, and a few times more often at first.
 	if most := 3 * (10*60/5 + 10); tried > most || tried < 3*10*60/10 {
@@ -626,8 +626,8 @@
 				rebuildState(c.replica.State(), testRandom()).Position() != at {
 				t.Errorf("the replica went from %v to %v", before, at)
 			}
-			if c.replica.Wake() <= 0 {
-				t.Errorf("Wake returns %v", c.replica.Wake())
+			if c.replica.NextTick() <= 0 {
+				t.Errorf("NextTick returns %v", c.replica.NextTick())
 			}
 			c.wait(time.Second)
 		}
--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -148,7 +148,7 @@
 
 // tickDelay returns the time until the replica's next tick, within bounds.
 func (c *Client) tickDelay() time.Duration {
-	return min(max(c.replica.Wake()-c.clock.now(), minTickDelay), maxTickDelay)
+	return min(max(c.replica.NextTick()-c.clock.now(), minTickDelay), maxTickDelay)
 }
 
 // setServers passes the current voters to the replica.
--- a/internal/controlplane/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -96,7 +96,7 @@
 	}
 	s.publisher.Tick(now)
 	s.dispatch(now)
-	s.wakeAt = s.publisher.Wake(now)
+	s.wakeAt = s.publisher.NextTick(now)
 	return s.wakeAt - now
 }
 
@@ -106,7 +106,7 @@
 	for _, send := range s.publisher.Take(now) {
 		s.streams[send.Stream].out <- send.Message
 	}
-	if s.publisher.Wake(now) < s.wakeAt {
+	if s.publisher.NextTick(now) < s.wakeAt {
 		select {
 		case s.rearm <- struct{}{}:
 		default:
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -107,7 +107,7 @@
 	}
 	r.woken++
 	woken, incarnation := r.woken, r.incarnation
-	if wake := r.client.Wake(); wake < time.Hour {
+	if wake := r.client.NextTick(); wake < time.Hour {
 		w.at(max(wake, w.now+time.Millisecond), func() {
 			if r.woken == woken {
 				w.onReplica(r, incarnation, func() { r.client.Tick(w.now) })
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -173,7 +173,7 @@
 	}
 	s.wakeNumber++
 	woken, incarnation := s.wakeNumber, s.incarnation
-	w.at(s.publisher.Wake(w.now), func() {
+	w.at(s.publisher.NextTick(w.now), func() {
 		if s.wakeNumber == woken {
 			w.onServer(s, incarnation, func() { s.publisher.Tick(w.now) })
 		}
