--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -42,10 +42,10 @@
 	mergeAt time.Duration
 	merging bool
 
-	term        uint64
-	sourceHeard bool
-	// sourceHeardAt is when the source's last command was applied.
-	sourceHeardAt time.Duration
+	term              uint64
+	sourceCommandSeen bool
+	// sourceCommandAt is when the source's last command was applied.
+	sourceCommandAt time.Duration
 
 	streams map[StreamID]*stream
 	// sortedStreams holds the same streams, sorted by id.
@@ -118,7 +118,7 @@
 func (p *Publisher) Update(now time.Duration, u Update) {
 	p.start(now)
 	if !u.Restored {
-		p.term, p.sourceHeard, p.sourceHeardAt = u.Term, true, now
+		p.term, p.sourceCommandSeen, p.sourceCommandAt = u.Term, true, now
 	}
 	switch {
 	case u.Restored:
--- a/internal/controlplane/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -30,8 +30,8 @@
 		Position: p.position.Proto(),
 		Term:     p.term,
 	}
-	if p.sourceHeard {
-		m.SourceAgeNs = uint64(now - p.sourceHeardAt)
+	if p.sourceCommandSeen {
+		m.SourceAgeNs = uint64(now - p.sourceCommandAt)
 	} else {
 		m.SourceAgeNs = uint64(now) // no command of the source since the clock's start
 	}
--- a/internal/controlplane/distribution/replica.go
+++ b/internal/controlplane/distribution/replica.go
@@ -267,7 +267,7 @@
 	case r.awaitingAnswer() && now-r.lastProgressAt >= r.settings.ProgressTimeout:
 		r.disconnect(now, ReasonNoProgress, nil)
 	case r.phase == replicaRetrying && now >= r.retryAt:
-		r.resumesWithoutProgress = 0 // the server has asked for this resume
+		r.resumesWithoutProgress = 0 // the server requested this Resume
 		r.resume(now, false)
 	case r.shouldReturn(now):
 		r.disconnect(now, ReasonPreferredServer, nil)
