--- a/internal/controlplane/distribution/publisher_send.go
+++ b/internal/controlplane/distribution/publisher_send.go
@@ -6,20 +6,20 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Take returns what can be sent now. Deltas and control messages of all streams come before any
-// digests and buckets.
+// Take returns the messages that can be sent now, at most one for each stream. The deltas and
+// control messages of all streams come before any digests and buckets.
 func (p *Publisher) Take(now time.Duration) []Send {
 	p.start(now)
 	var sends []Send
-	var beat *Message
-	for _, s := range p.order {
+	var heartbeat *Message
+	for _, s := range p.sortedStreams {
 		if !s.writable {
 			continue
 		}
-		if s.heartbeatDue && beat == nil {
-			beat = p.heartbeat(now)
+		if s.heartbeatDue && heartbeat == nil {
+			heartbeat = p.heartbeat(now)
 		}
-		sends = s.send(sends, p.nextMessage(now, s, beat))
+		sends = s.send(sends, p.nextMessage(now, s, heartbeat))
 	}
 	return p.takeBulk(now, sends)
 }
@@ -30,19 +30,19 @@
 		Position: p.position.Proto(),
 		Term:     p.term,
 	}
-	if p.sourceHeard {
-		m.SourceAgeNs = uint64(now - p.sourceHeardAt)
+	if p.sourceCommandSeen {
+		m.SourceAgeNs = uint64(now - p.sourceCommandAt)
 	} else {
-		m.SourceAgeNs = uint64(now) // never heard since the clock started
+		m.SourceAgeNs = uint64(now) // no command of the source since the clock's start
 	}
 	return heartbeatMessage(m)
 }
 
-// nextMessage returns a stream's next control message or delta, nil if there is none.
-func (p *Publisher) nextMessage(now time.Duration, s *stream, beat *Message) *Message {
+// nextMessage returns a stream's next heartbeat, control message or delta, or nil if there is none.
+func (p *Publisher) nextMessage(now time.Duration, s *stream, heartbeat *Message) *Message {
 	if s.heartbeatDue {
 		s.heartbeatDue = false
-		return beat
+		return heartbeat
 	}
 	if len(s.controlQueue) > 0 {
 		m := s.controlQueue[0]
@@ -50,8 +50,8 @@
 		return m
 	}
 	if s.phase == phaseLive && s.position.Epoch != p.position.Epoch {
-		p.route(now, s, false)
-		return p.nextMessage(now, s, beat)
+		p.assignPhase(now, s, false)
+		return p.nextMessage(now, s, heartbeat)
 	}
 	if s.phase != phaseLive || s.position.Revision >= p.publishedRevision {
 		return nil
@@ -59,7 +59,7 @@
 	delta := p.deltaSince(s.position.Revision)
 	if delta == nil {
 		p.startResync(now, s) // the log was compacted past the replica's position
-		return p.nextMessage(now, s, beat)
+		return p.nextMessage(now, s, heartbeat)
 	}
 	s.position = p.position
 	p.counts.Deltas++
@@ -67,8 +67,8 @@
 	return delta
 }
 
-// deltaSince returns the changes since a revision, encoded once for all streams. It returns nil if
-// the log was compacted past the revision.
+// deltaSince returns the changes since a revision as one delta, encoded once for all streams. It
+// returns nil if the log was compacted past the revision.
 func (p *Publisher) deltaSince(from uint64) *Message {
 	if m := p.deltas[from]; m != nil {
 		return m
@@ -83,9 +83,10 @@
 	return m
 }
 
-// takeBulk appends digests and buckets as far as the rate allows, one message a stream.
+// takeBulk appends digests and buckets as far as the rate limit allows, one message for each
+// stream.
 func (p *Publisher) takeBulk(now time.Duration, sends []Send) []Send {
-	for _, s := range p.order {
+	for _, s := range p.sortedStreams {
 		if !s.writable || !s.needsBulk() {
 			continue
 		}
@@ -120,13 +121,15 @@
 	return m
 }
 
-// nextDigests returns the next message of digests of a stream's resync.
+// nextDigests returns the next message of digests of a stream's resync. The messages are encoded
+// once for all streams that resync from the same pinned state.
 func (p *Publisher) nextDigests(s *stream) *Message {
 	if s.pinned.digests == nil {
 		sums := s.pinned.state.Sums()
-		part := max(1, p.settings.BulkMessageBytes/DigestBytes)
-		for first := 0; first < len(sums); first += part {
-			m := digestsMessage(s.pinned.position, first, sums[first:min(first+part, len(sums))])
+		perMessage := max(1, p.settings.BulkMessageBytes/DigestBytes)
+		for first := 0; first < len(sums); first += perMessage {
+			m := digestsMessage(s.pinned.position, first,
+				sums[first:min(first+perMessage, len(sums))])
 			s.pinned.digests = append(s.pinned.digests, m)
 		}
 	}
--- a/internal/controlplane/distribution/statefile.go
+++ b/internal/controlplane/distribution/statefile.go
@@ -13,8 +13,8 @@
 // changes.
 const stateFileFormat = 1
 
-// EncodeStateFile returns the content of a state file. The digest of its position serves as the
-// checksum.
+// EncodeStateFile returns the content of a state file. The digest of the state's position serves as
+// its checksum.
 func EncodeStateFile(fleet string, s *State) []byte {
 	return mustproto.Marshal(&distributionpb.StateFile{
 		Format:   stateFileFormat,
@@ -24,9 +24,9 @@
 	})
 }
 
-// DecodeStateFile reads what EncodeStateFile returned. It returns a WrongFleetError for another
-// fleet's file, and an InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged
-// one.
+// DecodeStateFile decodes the result of EncodeStateFile. It returns a WrongFleetError for the file
+// of another fleet, an InvalidMessageError for a file of another format, and an
+// InvalidMessageError, InvalidRecordError or DigestMismatchError for a damaged file.
 func DecodeStateFile(fleet string, raw []byte) (*State, error) {
 	var file distributionpb.StateFile
 	if err := proto.Unmarshal(raw, &file); err != nil {
@@ -60,14 +60,14 @@
 }
 
 // stateFromProto builds a state from its records and verifies the position's digest.
-func stateFromProto(at *distributionpb.Position, records []*distributionpb.Record) (*State, error) {
-	position, err := PositionFromProto(at)
+func stateFromProto(m *distributionpb.Position, records []*distributionpb.Record) (*State, error) {
+	position, err := PositionFromProto(m)
 	if err != nil {
 		return nil, err
 	}
 	changes := make([]Change, len(records))
-	for i, m := range records {
-		changes[i] = Change{Record: Record{m.GetKind(), m.GetId(), m.GetValue()}}
+	for i, record := range records {
+		changes[i] = Change{Record: Record{record.GetKind(), record.GetId(), record.GetValue()}}
 		if err := changes[i].check(); err != nil {
 			return nil, err
 		}
