--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -19,9 +19,9 @@
 	// Applied is called with changes that were applied, and the state after them, which is never
 	// modified.
 	Applied(changes []distribution.Change, state *distribution.State)
-	// SourceHeard is called with the time since the watched server heard from the source, and
+	// HeartbeatReceived is called with the time since the watched server heard from the source, and
 	// whether the replica has everything that this server had at the heartbeat before.
-	SourceHeard(sourceAge time.Duration, current bool)
+	HeartbeatReceived(sourceAge time.Duration, current bool)
 }
 
 // ClientOptions configure a Client.
@@ -238,7 +238,7 @@
 		return // the replica has reported it
 	}
 	if age, ok := c.replica.SourceAge(now); ok {
-		c.observer.SourceHeard(age, c.current(position))
+		c.observer.HeartbeatReceived(age, c.current(position))
 	}
 	c.attempt.announced = position
 }
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -155,7 +155,7 @@
 	r.changes += len(changes)
 }
 
-func (r *testReplica) SourceHeard(time.Duration, bool) {}
+func (r *testReplica) HeartbeatReceived(time.Duration, bool) {}
 
 func (r *testReplica) seen() (state *distribution.State, changes int) {
 	r.mu.Lock()
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -176,8 +176,8 @@
 	l.queue(func(l *listener) { l.applied(changes, state) })
 }
 
-// SourceHeard queues the age of the replica's state.
-func (l *listener) SourceHeard(sourceAge time.Duration, current bool) {
+// HeartbeatReceived queues the age of the replica's state.
+func (l *listener) HeartbeatReceived(sourceAge time.Duration, current bool) {
 	at := time.Now().Add(-sourceAge)
 	l.queue(func(l *listener) { l.sourceHeard(at, current) })
 }
--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -70,8 +70,8 @@
 	o.state = state
 }
 
-// SourceHeard does nothing: the rig waits for content.
-func (o *observer) SourceHeard(time.Duration, bool) {}
+// HeartbeatReceived does nothing: the rig waits for content.
+func (o *observer) HeartbeatReceived(time.Duration, bool) {}
 
 func (o *observer) newest() *distribution.State {
 	o.mu.Lock()
