--- a/internal/controlplane/distributor/attempt.go
+++ b/internal/controlplane/distributor/attempt.go
@@ -11,18 +11,17 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// maxQueuedRequests is how many requests may wait for a stream to send them. An attempt that
-// exceeds it is ended.
+// maxQueuedRequests is how many requests may wait to be sent on a stream. An attempt that exceeds
+// it is ended.
 const maxQueuedRequests = 16
 
-var errRequestsQueued = errors.New("the stream takes no requests")
+var errRequestsQueued = errors.New("too many requests wait to be sent on the stream")
 
-// attemptEvent is something that happened on an attempt's goroutines and that the client's
-// goroutine handles.
+// attemptEvent is an event from an attempt's goroutines. Client.Run's goroutine calls it.
 type attemptEvent func(*Client)
 
-// attempt is one stream to a voter, beginning with the attempt to open it. Its goroutines end with
-// its context.
+// attempt is one stream to a voter, from the start of opening it. Its goroutines end when its
+// context does.
 type attempt struct {
 	number   uint64
 	ctx      context.Context
@@ -30,18 +29,18 @@
 	requests chan *distributionpb.WatchRequest
 	events   chan<- attemptEvent
 
-	// announced is the position in the last heartbeat. Only the client's goroutine uses it.
+	// announced is the position in the last heartbeat. Only Client.Run's goroutine uses it.
 	announced distribution.Position
 }
 
-// connect starts to open a stream.
-func connect(ctx context.Context, c *Client, to distribution.Connect) *attempt {
+// connect starts to open a stream. It does not wait for the stream.
+func connect(ctx context.Context, c *Client, action distribution.Connect) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{
-		number: to.Attempt, ctx: ctx, cancel: cancel,
+		number: action.Attempt, ctx: ctx, cancel: cancel,
 		requests: make(chan *distributionpb.WatchRequest, maxQueuedRequests), events: c.events,
 	}
-	go a.run(c, to.Server.Address)
+	go a.run(c, action.Server.Address)
 	return a
 }
 
@@ -53,7 +52,8 @@
 	}
 }
 
-// send queues a request. The client's goroutine calls it, and it never blocks.
+// send queues a request and never blocks. If the queue is full, it reports the attempt as
+// disconnected.
 func (a *attempt) send(request *distributionpb.WatchRequest) {
 	select {
 	case a.requests <- request:
@@ -62,7 +62,7 @@
 	}
 }
 
-// run opens the stream and passes on what it receives until it ends.
+// run opens the stream and passes its responses to the client until the stream ends.
 func (a *attempt) run(c *Client, address string) {
 	defer a.cancel()
 	stream, err := a.open(c, address)
@@ -79,7 +79,7 @@
 			return
 		}
 		c.bytes.Add(uint64(proto.Size(response)))
-		a.emit(func(c *Client) { c.received(a.number, response) })
+		a.emit(func(c *Client) { c.handleResponse(a.number, response) })
 	}
 }
 
@@ -95,7 +95,8 @@
 	return distributionpb.NewDistributionClient(connection).Watch(a.ctx)
 }
 
-// sendQueued sends requests. The receiving side reports the end of the stream.
+// sendQueued sends the queued requests until sending fails or the attempt ends. It reports no
+// error, since run does when it receives the end of the stream.
 func (a *attempt) sendQueued(stream watchStream) {
 	for {
 		select {
--- a/internal/controlplane/distributor/client.go
+++ b/internal/controlplane/distributor/client.go
@@ -13,25 +13,26 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Observer is notified of what a Client applies, by one goroutine. The Client waits until a method
-// has returned.
+// Observer is notified of a Client's changes and heartbeats. Its methods are called by one
+// goroutine, and the Client waits until they return.
 type Observer interface {
-	// Applied is called with changes that were applied, and the state after them, which is never
-	// modified.
+	// Applied is called with the changes that were applied and the state after them. That state is
+	// never modified. The first call may have no changes: it delivers the state read from disk.
 	Applied(changes []distribution.Change, state *distribution.State)
-	// HeartbeatReceived is called with the time since the watched server heard from the source, and
-	// whether the replica has everything that this server had at the heartbeat before.
+	// HeartbeatReceived is called for each heartbeat of the watched server, once that server knows
+	// a source. sourceAge is the time since the server applied the source's last command. current
+	// is set if the replica has everything that the server had at the heartbeat before.
 	HeartbeatReceived(sourceAge time.Duration, current bool)
 }
 
 // ClientOptions configure a Client.
 type ClientOptions struct {
-	// Link knows the voters and has the connections to them.
+	// Link provides the list of voters and the connections to them.
 	Link     *controlrpc.Client
 	Settings distribution.ReplicaSettings
-	// Places are the places of the voters, by name. A voter without one is near to nobody.
+	// Places are the places of the voters, by name. A voter without one is near no replica.
 	Places map[string]distribution.Place
-	// File is the state file; empty to keep none.
+	// File is the path of the state file; empty to keep none.
 	File string
 	Log  *slog.Logger
 }
@@ -52,7 +53,7 @@
 	clock   clock
 	status  atomic.Pointer[ReplicaStatus]
 	state   atomic.Pointer[distribution.State]
-	// bytes counts the bytes received.
+	// bytes counts the bytes of the received responses.
 	bytes atomic.Uint64
 
 	// replica and the fields below belong to Run's goroutine.
@@ -62,7 +63,8 @@
 	// attempt is nil if no stream is open or being opened.
 	attempt *attempt
 	saver   saver
-	// persisted is set if a state of this process or an earlier one is on disk or about to be.
+	// persisted is set if a state of this process or an earlier one is on disk or is about to be
+	// written.
 	persisted bool
 }
 
@@ -124,7 +126,7 @@
 	}
 }
 
-// load returns the state that the last process has written, or an empty one.
+// load returns the state that an earlier process wrote to disk, or an empty one.
 func (c *Client) load() *distribution.State {
 	if c.file.path == "" {
 		return distribution.NewState()
@@ -146,12 +148,12 @@
 	c.saver.stop(c.replica.State())
 }
 
-// tickDelay returns the time until the replica's next tick, within bounds.
+// tickDelay returns the time until the replica's next tick, between minTickDelay and maxTickDelay.
 func (c *Client) tickDelay() time.Duration {
 	return min(max(c.replica.Wake()-c.clock.now(), minTickDelay), maxTickDelay)
 }
 
-// setServers passes the current voters to the replica.
+// setServers passes the voters that have an address to the replica.
 func (c *Client) setServers() {
 	var servers []distribution.Server
 	for _, voter := range c.options.Link.Voters() {
@@ -164,7 +166,7 @@
 	c.replica.SetServers(c.clock.now(), servers)
 }
 
-// executeActions carries out the replica's actions.
+// executeActions carries out the replica's pending actions and publishes its status.
 func (c *Client) executeActions(ctx context.Context) {
 	for actions := c.replica.Take(); len(actions) > 0; actions = c.replica.Take() {
 		for _, action := range actions {
@@ -193,12 +195,14 @@
 	case distribution.Persist:
 		c.saver.save(a.State)
 	case distribution.ReportError:
-		c.options.Log.Warn("fleet: distribution of the control state", "error", a.Err)
+		c.options.Log.Warn("fleet: error in the distribution of the control state",
+			"error", a.Err)
 	}
 }
 
-// saveFirstState writes the first state of a process that started without one immediately, so that
-// a process that is killed soon after leaves a state to the next.
+// saveFirstState writes the first state of a process that started without one. It does not wait
+// for the next Persist action, so that the next process finds a state even if this one is killed
+// soon.
 func (c *Client) saveFirstState(state *distribution.State) {
 	if !c.persisted {
 		c.persisted = true
@@ -206,8 +210,8 @@
 	}
 }
 
-// logDisconnect logs why a server is left. A return to the preferred server is only a debug
-// message.
+// logDisconnect logs why the replica leaves a server. The level is debug for a return to the
+// preferred server, info for any other reason.
 func (c *Client) logDisconnect(reason error) {
 	level := slog.LevelInfo
 	var disconnect *distribution.DisconnectError
@@ -225,8 +229,9 @@
 	}
 }
 
-// received handles a message from the server of an attempt.
-func (c *Client) received(attempt uint64, response *distributionpb.WatchResponse) {
+// handleResponse passes a response to the replica, and a heartbeat of the current attempt to the
+// observer.
+func (c *Client) handleResponse(attempt uint64, response *distributionpb.WatchResponse) {
 	now := c.clock.now()
 	c.replica.Received(now, attempt, response)
 	heartbeat := response.GetHeartbeat()
@@ -235,17 +240,18 @@
 	}
 	position, err := distribution.PositionFromProto(heartbeat.Position)
 	if err != nil {
-		return // the replica has reported it
+		return // the replica has reported the error
 	}
 	if age, ok := c.replica.SourceAge(now); ok {
-		c.observer.HeartbeatReceived(age, c.current(position))
+		c.observer.HeartbeatReceived(age, c.isCurrent(position))
 	}
 	c.attempt.announced = position
 }
 
-// current reports whether the replica has everything that its server had at the heartbeat before.
-// Between changes, a heartbeat may arrive before the delta that leads to its position.
-func (c *Client) current(position distribution.Position) bool {
+// isCurrent reports whether the replica has everything that its server had at the heartbeat before,
+// or is at the position of the new heartbeat. The position of the new heartbeat alone would be too
+// strict: a heartbeat may arrive before the delta that leads to its position.
+func (c *Client) isCurrent(position distribution.Position) bool {
 	mine, announced := c.replica.Position(), c.attempt.announced
 	if !c.replica.Live() || mine.Epoch == 0 {
 		return false
--- a/internal/controlplane/distributor/clock.go
+++ b/internal/controlplane/distributor/clock.go
@@ -6,7 +6,8 @@
 	"mothcleat/internal/monotonic"
 )
 
-// clock counts the time since it was created, including time while the process is suspended.
+// clock measures the time since its creation, including the time during which the process is
+// stopped or the machine is suspended.
 type clock struct{ start time.Duration }
 
 func newClock() clock { return clock{monotonic.Now()} }
--- a/internal/controlplane/distributor/direct.go
+++ b/internal/controlplane/distributor/direct.go
@@ -7,20 +7,20 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// directSources are the sources of this process that watch the registry directly. They move to a
-// new address together.
+// directSources are this process's sources that watch the registry directly. All of them use the
+// same address of the registry. Its methods are safe for concurrent use.
 type directSources struct {
-	make func() (registry.Source, error)
+	newSource func() (registry.Source, error)
 
 	mu      sync.Mutex
 	running []registry.Source
-	// movedTo is the last address given to move; empty if there was none.
+	// movedTo is the address of the last call of move; empty if there was none.
 	movedTo string
 }
 
-// open creates a source that moves with the others until closed is called.
-func (d *directSources) open() (source registry.Source, closed func(), err error) {
-	source, err = d.make()
+// open creates a source. Calls of move apply to it until release is called.
+func (d *directSources) open() (source registry.Source, release func(), err error) {
+	source, err = d.newSource()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -33,7 +33,7 @@
 	return source, func() { d.close(source) }, nil
 }
 
-// close removes a source from those that move.
+// close removes a source from those that move applies to.
 func (d *directSources) close(source registry.Source) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,8 +42,7 @@
 	})
 }
 
-// move moves all running sources, and all that are opened later, to another address of the
-// registry.
+// move sets the address of the registry for all running sources and for those opened later.
 func (d *directSources) move(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/distributor/disk.go
+++ b/internal/controlplane/distributor/disk.go
@@ -16,8 +16,8 @@
 	fleet string
 }
 
-// load reads the state. It returns nil if there is no file. An error names the file, and the caller
-// should start without a state.
+// load reads the state. It returns nil without an error if there is no file. An error names the
+// file, and the caller should then start without a state.
 func (f stateFile) load() (*distribution.State, error) {
 	raw, err := os.ReadFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -38,14 +38,15 @@
 	if err := os.MkdirAll(filepath.Dir(f.path), 0o700); err != nil {
 		return err
 	}
-	next := fmt.Sprintf("%s.%d.new", f.path, os.Getpid()) // beside a hand-over two processes write
+	// The name has the process id, since during a hot restart two processes write the state.
+	next := fmt.Sprintf("%s.%d.new", f.path, os.Getpid())
 	if err := writeSynced(next, distribution.EncodeStateFile(f.fleet, state)); err != nil {
 		return err
 	}
 	if err := os.Rename(next, f.path); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(f.path))
+	return syncDir(filepath.Dir(f.path))
 }
 
 func writeSynced(path string, raw []byte) error {
@@ -57,10 +58,10 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -18,44 +18,44 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-const fleet = "test"
+const testFleet = "test"
 
 var (
-	quiet  = slog.New(slog.NewTextHandler(io.Discard, nil))
-	source = lease.Member{ID: "source", Incarnation: 1}
+	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+	testSource = lease.Member{ID: "source", Incarnation: 1}
 )
 
-// openFence lets everybody through.
-type openFence struct{}
+// permissiveFence accepts every command.
+type permissiveFence struct{}
 
-func (openFence) Fence(string, uint64, lease.Member) error { return nil }
+func (permissiveFence) Fence(string, uint64, lease.Member) error { return nil }
 
-// testServer is a server with a machine that a test writes to.
+// testServer is a server with a state machine that a test applies commands to.
 type testServer struct {
 	*Server
 	t       *testing.T
 	machine *distribution.Machine
 	address string
 
-	mu      sync.Mutex // of the machine
-	begun   bool
-	silence bool // the source says nothing by itself
+	mu           sync.Mutex // guards machine and the fields below
+	hasList      bool       // a complete list was applied
+	sourceSilent bool       // startHeartbeats applies no heartbeats
 }
 
 func newTestServer(t *testing.T, change func(*distribution.PublisherSettings)) *testServer {
 	t.Helper()
-	settings := NewPublisherSettings(fleet, DefaultSourceTimeout, 0)
+	settings := NewPublisherSettings(testFleet, DefaultSourceTimeout, 0)
 	if change != nil {
 		change(&settings)
 	}
 	s := &testServer{
-		Server:  NewServer(settings, quiet),
+		Server:  NewServer(settings, discardLog),
 		t:       t,
-		machine: distribution.NewMachine(openFence{}),
+		machine: distribution.NewMachine(permissiveFence{}),
 	}
 	s.Attach(s.machine)
 	ctx, cancel := context.WithCancel(context.Background())
-	link := controlrpc.NewServer(ctx, fleet, nil, nil)
+	link := controlrpc.NewServer(ctx, testFleet, nil, nil)
 	link.Register(s.Server.Register)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,40 +73,42 @@
 	return s
 }
 
-// agree has the machine take a command.
-func (s *testServer) agree(changes ...*distributionpb.Change) {
+// apply applies a command of the source with the given changes; without changes it is a heartbeat.
+// The first command has the complete list.
+func (s *testServer) apply(changes ...*distributionpb.Change) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	command := &distributionpb.Command{Term: 1, Epoch: 1, Complete: !s.begun, Changes: changes}
-	s.begun = true
+	command := &distributionpb.Command{Term: 1, Epoch: 1, Complete: !s.hasList, Changes: changes}
+	s.hasList = true
 	raw, err := proto.Marshal(command)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if refusal := s.machine.Apply(0, 0, source, raw); len(refusal) > 0 {
-		s.t.Fatal(string(refusal))
+	if rejection := s.machine.Apply(0, 0, testSource, raw); len(rejection) > 0 {
+		s.t.Fatal(string(rejection))
 	}
 }
 
-// position is where the machine is.
+// position returns the state machine's position.
 func (s *testServer) position() distribution.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.machine.State().Position()
 }
 
-// beat has the source say that it lives until the test ends, but for times of silence.
-func (s *testServer) beat() {
+// startHeartbeats applies heartbeats of the source until the test ends, except while the source is
+// set to silent.
+func (s *testServer) startHeartbeats() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
 		for ctx.Err() == nil {
 			s.mu.Lock()
-			silence := s.silence
+			silent := s.sourceSilent
 			s.mu.Unlock()
-			if !silence {
-				s.agree()
+			if !silent {
+				s.apply()
 			}
 			select {
 			case <-ctx.Done():
@@ -120,13 +122,14 @@
 	})
 }
 
-func (s *testServer) beSilent(yes bool) {
+func (s *testServer) setSourceSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silence = yes
+	s.sourceSilent = silent
 }
 
-func set(id, address string) *distributionpb.Change {
+// setServer returns a change that sets a server's record.
+func setServer(id, address string) *distributionpb.Change {
 	value, err := proto.Marshal(&distributionpb.ServerRecord{
 		Address: address,
 		Phase:   distributionpb.Phase_PHASE_READY,
@@ -137,11 +140,11 @@
 	return &distributionpb.Change{Kind: distribution.KindServer, Id: id, Value: value}
 }
 
-// testReplica is a client with what it was told.
+// testReplica is a client that records what it applied.
 type testReplica struct {
 	*Client
 	t    *testing.T
-	stop func() // ends it, and returns when its state is written
+	stop func() // ends the client, and returns when its state is written
 
 	mu      sync.Mutex
 	state   *distribution.State
@@ -157,15 +160,17 @@
 
 func (r *testReplica) HeartbeatReceived(time.Duration, bool) {}
 
-func (r *testReplica) seen() (state *distribution.State, changes int) {
+// received returns the newest state and the number of changes applied so far.
+func (r *testReplica) received() (state *distribution.State, changes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state, r.changes
 }
 
-// clientOptions are of a replica of servers, named by their place in the list.
+// clientOptions returns the options of a client whose voters are the given servers, named a, b and
+// so on.
 func clientOptions(
-	id, file string, silent time.Duration, log *slog.Logger, servers ...*testServer,
+	id, file string, sourceTimeout time.Duration, log *slog.Logger, servers ...*testServer,
 ) ClientOptions {
 	var voters []*controlpb.Voter
 	for i, s := range servers {
@@ -173,14 +178,14 @@
 	}
 	me := lease.Member{ID: id, Incarnation: 1}
 	return ClientOptions{
-		Link:     controlrpc.NewClient(fleet, me, "", voters, nil, log),
-		Settings: NewReplicaSettings(fleet, id, me.Incarnation, distribution.Place{}, silent),
+		Link:     controlrpc.NewClient(testFleet, me, "", voters, nil, log),
+		Settings: NewReplicaSettings(testFleet, id, me.Incarnation, distribution.Place{}, sourceTimeout),
 		File:     file,
 		Log:      log,
 	}
 }
 
-// newReplica starts a replica of servers.
+// newReplica starts a client whose voters are the given servers.
 func newReplica(
 	t *testing.T, id, file string, log *slog.Logger, servers ...*testServer,
 ) *testReplica {
@@ -202,19 +207,20 @@
 	return r
 }
 
-// reaches waits until the replica has what a server has.
-func (r *testReplica) reaches(s *testServer) {
+// waitFor waits until the replica is at the position that the server has now.
+func (r *testReplica) waitFor(s *testServer) {
 	r.t.Helper()
 	want := s.position()
 	eventually(r.t, func() bool {
-		state, _ := r.seen()
+		state, _ := r.received()
 		return state != nil && state.Position() == want
 	})
 }
 
-func eventually(t *testing.T, is func() bool) {
+// eventually waits until a condition holds, and fails the test after 30 seconds.
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(30 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("not in time")
 		}
--- a/internal/controlplane/distributor/fault.go
+++ b/internal/controlplane/distributor/fault.go
@@ -11,17 +11,17 @@
 	"mothcleat/internal/failpoint"
 )
 
-// Names of the failpoints that tests use; see package failpoint.
+// Failpoints that tests use; see package failpoint.
 const (
 	// faultSendDelta is reached before a delta is sent on a stream.
 	faultSendDelta = "distribution-send-delta"
-	// faultDamageDelta is denied to have deltas sent with other content than their digest says.
+	// faultDamageDelta, while it is denied, makes streams send deltas whose content does not match
+	// their digest.
 	faultDamageDelta = "distribution-damage-delta"
 )
 
-// sentBytes returns the bytes to be sent for a message: its encoding, unless a failpoint damages
-// it.
-func sentBytes(message *distribution.Message) []byte {
+// bytesToSend returns the encoding of a message, which a failpoint may damage.
+func bytesToSend(message *distribution.Message) []byte {
 	delta := message.Response.GetDelta()
 	if !failpoint.Built || delta == nil {
 		return message.Bytes
@@ -34,7 +34,8 @@
 	return damagedBytes(message.Response)
 }
 
-// damagedBytes returns a delta that can be read but whose content does not match its digest.
+// damagedBytes returns an encoded delta that can be decoded but whose content does not match its
+// digest.
 func damagedBytes(response *distributionpb.WatchResponse) []byte {
 	copied := proto.CloneOf(response)
 	for _, change := range copied.GetDelta().Changes {
@@ -42,7 +43,7 @@
 	}
 	raw, err := proto.Marshal(copied)
 	if err != nil {
-		panic(err) // it was encoded before
+		panic(err) // the undamaged delta was encoded without an error
 	}
 	return raw
 }
--- a/internal/controlplane/distributor/publish_test.go
+++ b/internal/controlplane/distributor/publish_test.go
@@ -12,7 +12,7 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-func member(id, phase string) registry.Member {
+func newMember(id, phase string) registry.Member {
 	return registry.Member{
 		ID:       id,
 		HostPort: "127.0.0.1:1",
@@ -24,8 +24,9 @@
 	}
 }
 
-// show returns a command's changes in short.
-func show(t *testing.T, command *distributionpb.Command) string {
+// format returns a command's changes as short text: "whole" for a complete list, "id=phase" for a
+// record that is set, "-id" for one that is deleted.
+func format(t *testing.T, command *distributionpb.Command) string {
 	t.Helper()
 	var text []string
 	if command.Complete {
@@ -45,61 +46,61 @@
 	return strings.Join(text, " ")
 }
 
-// show returns what the fleet is to agree on, in short.
-func (p *pendingChanges) show(t *testing.T, replica *distribution.State) string {
+// formatNext returns the next command as short text.
+func (p *pendingChanges) formatNext(t *testing.T, replica *distribution.State) string {
 	t.Helper()
-	return show(t, p.command(5, replica))
+	return format(t, p.command(5, replica))
 }
 
-var errUnknown = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// A first command holds the whole list where there is nothing to tell a difference from, and later
-// ones only what is other than what was agreed.
+// Without a replica to compare with, the first command has the complete list. Later commands have
+// only what differs from the committed list.
 func TestCommandsHoldWhatChanged(t *testing.T) {
-	p := newPendingChanges(quiet)
+	p := newPendingChanges(discardLog)
 	expect := func(want string) {
 		t.Helper()
-		if got := p.show(t, nil); got != want {
+		if got := p.formatNext(t, nil); got != want {
 			t.Errorf("%q instead of %q", got, want)
 		}
 	}
-	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
+	a, b, c := newMember("a", registry.Ready), newMember("b", registry.Ready), newMember("c", registry.Ready)
 	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{b, a}})
 	expect("whole a=Ready b=Ready")
-	p.record(errUnknown)
+	p.recordOutcome(errNoAnswer)
 	p.update(registry.Update{Kind: registry.Delta, Members: []registry.Member{c}})
 	expect("whole a=Ready b=Ready c=Ready")
-	p.record(nil)
+	p.recordOutcome(nil)
 	expect("")
 	p.update(registry.Update{Kind: registry.Delta, Members: []registry.Member{a}})
-	expect("") // as it was
+	expect("") // a has the same record as before
 	p.update(registry.Update{
 		Kind:    registry.Delta,
-		Members: []registry.Member{member("b", registry.Terminating)},
+		Members: []registry.Member{newMember("b", registry.Terminating)},
 	})
 	expect("b=Terminating")
-	p.record(errUnknown)
+	p.recordOutcome(errNoAnswer)
 	p.update(registry.Update{
 		Kind:    registry.Delta,
-		Members: []registry.Member{member("c", registry.Gone), member("nobody", registry.Gone)},
+		Members: []registry.Member{newMember("c", registry.Gone), newMember("nobody", registry.Gone)},
 	})
-	expect("b=Terminating -c") // what is not known to be agreed is said again
-	p.record(nil)
+	expect("b=Terminating -c") // the change of b is repeated, since its outcome is unknown
+	p.recordOutcome(nil)
 	p.update(registry.Update{Kind: registry.Unavailable})
 	expect("")
 	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{a, c}})
-	expect("-b c=Ready") // a whole list is told as what is other
-	p.record(nil)
+	expect("-b c=Ready") // of a complete list only the differences are proposed
+	p.recordOutcome(nil)
 	expect("")
 	if command := p.command(5, nil); command.Term != 5 || command.Epoch == 0 {
-		t.Errorf("%v", command)
+		t.Errorf("want term 5 and an epoch: %v", command)
 	}
 }
 
-// replicaWith is a state with some servers.
-func replicaWith(t *testing.T, members ...registry.Member) *distribution.State {
+// stateWith returns a state with the given servers.
+func stateWith(t *testing.T, members ...registry.Member) *distribution.State {
 	t.Helper()
-	s := &testServer{t: t, machine: distribution.NewMachine(openFence{})}
+	s := &testServer{t: t, machine: distribution.NewMachine(permissiveFence{})}
 	var changes []*distributionpb.Change
 	for _, m := range members {
 		value, err := encodeServer(m)
@@ -109,44 +110,44 @@
 		changes = append(changes,
 			&distributionpb.Change{Kind: distribution.KindServer, Id: m.ID, Value: value})
 	}
-	s.agree(changes...)
+	s.apply(changes...)
 	return s.machine.State()
 }
 
 // The first command of a term holds what is other than the owner's replica. As long as it is not
-// known whether it was carried out, the next has all that it had; after some refusals it is the
+// known whether it was carried out, the next has all that it had; after some rejections it is the
 // whole list.
 func TestTermBeginsWithADifference(t *testing.T) {
-	a, b, c := member("a", registry.Ready), member("b", registry.Ready), member("c", registry.Ready)
-	replica := replicaWith(t, a, b, c)
-	p := newPendingChanges(quiet)
+	a, b, c := newMember("a", registry.Ready), newMember("b", registry.Ready), newMember("c", registry.Ready)
+	replica := stateWith(t, a, b, c)
+	p := newPendingChanges(discardLog)
 	p.update(registry.Update{
 		Kind: registry.CompleteList,
 		Members: []registry.Member{
-			a, member("b", registry.Terminating), member("d", registry.Ready),
+			a, newMember("b", registry.Terminating), newMember("d", registry.Ready),
 		},
 	})
 	const difference = "b=Terminating -c d=Ready"
-	if got := p.show(t, replica); got != difference {
+	if got := p.formatNext(t, replica); got != difference {
 		t.Errorf("%q", got)
 	}
 	if base := p.command(5, replica).Base; base.GetRevision() != replica.Position().Revision {
-		t.Errorf("%v", base)
+		t.Errorf("base %v, want the replica's position", base)
 	}
-	p.record(errUnknown)
-	// as the replica has it: the command may not
+	p.recordOutcome(errNoAnswer)
+	// b now has the same record as in the replica, but the command before may have been applied.
 	p.update(registry.Update{Kind: registry.Delta, Members: []registry.Member{b}})
-	if got := p.show(t, replica); got != "b=Ready -c d=Ready" {
+	if got := p.formatNext(t, replica); got != "b=Ready -c d=Ready" {
 		t.Errorf("%q", got)
 	}
-	for range maxBaseRefusals {
-		p.record(errRefused)
+	for range maxBaseRejections {
+		p.recordOutcome(errRejected)
 	}
-	if got := p.show(t, replica); got != "whole a=Ready b=Ready d=Ready" {
+	if got := p.formatNext(t, replica); got != "whole a=Ready b=Ready d=Ready" {
 		t.Errorf("%q", got)
 	}
-	p.record(nil)
-	if got := p.show(t, replica); got != "" {
+	p.recordOutcome(nil)
+	if got := p.formatNext(t, replica); got != "" {
 		t.Errorf("%q", got)
 	}
 }
@@ -154,61 +155,63 @@
 // A whole list whose outcome is not known is followed by a whole list, whatever the replica has by
 // then.
 func TestCompleteListStaysComplete(t *testing.T) {
-	a, b := member("a", registry.Ready), member("b", registry.Ready)
-	p := newPendingChanges(quiet)
+	a, b := newMember("a", registry.Ready), newMember("b", registry.Ready)
+	p := newPendingChanges(discardLog)
 	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{a}})
-	p.show(t, nil)
-	p.record(errUnknown)
-	if got := p.show(t, replicaWith(t, a, b)); got != "whole a=Ready" {
+	p.formatNext(t, nil)
+	p.recordOutcome(errNoAnswer)
+	if got := p.formatNext(t, stateWith(t, a, b)); got != "whole a=Ready" {
 		t.Errorf("%q", got)
 	}
 }
 
-// A server of which no record can be made holds up no other.
+// A server whose record can't be encoded is skipped and logged, and the others are published.
 func TestInvalidServersAreSkipped(t *testing.T) {
 	var log logBuffer
 	p := newPendingChanges(logTo(&log))
 	long := strings.Repeat("x", distribution.MaxIDBytes+1)
 	p.update(registry.Update{Kind: registry.CompleteList, Members: []registry.Member{
-		member("a", registry.Ready),
-		member("", registry.Ready),
-		member(long, registry.Ready),
-		member("\xff", registry.Ready),
+		newMember("a", registry.Ready),
+		newMember("", registry.Ready),
+		newMember(long, registry.Ready),
+		newMember("\xff", registry.Ready),
 		{ID: "bad-address", HostPort: "\xff", Phase: registry.Ready},
 	}})
-	if got := p.show(t, nil); got != "whole a=Ready" {
+	if got := p.formatNext(t, nil); got != "whole a=Ready" {
 		t.Errorf("%q", got)
 	}
 	if n := strings.Count(log.String(),
 		"is passed over"); n != 4 || !strings.Contains(log.String(), "bad-address") {
-		t.Errorf("%d lines: %s", n, log.String())
+		t.Errorf("%d servers are logged as skipped, want 4 with bad-address: %s", n, log.String())
 	}
 }
 
-// What is not agreed on is proposed again after longer and longer.
+// The delay after a command that was not committed doubles with each failure up to its maximum. It
+// ends when a command is committed, even if the state machine rejects it.
 func TestPublishDelay(t *testing.T) {
 	d := publishDelay{minDelay: time.Second}
 	now := time.Unix(0, 0)
 	for i, want := range []time.Duration{
 		time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second,
 	} {
-		d.record(now, errUnknown)
-		if d.until.Sub(now) != want || d.elapsed(now) || !d.elapsed(now.Add(want)) {
-			t.Errorf("failure %d: until %v", i, d.until.Sub(now))
+		d.recordOutcome(now, errNoAnswer)
+		if d.retryAt.Sub(now) != want || d.elapsed(now) || !d.elapsed(now.Add(want)) {
+			t.Errorf("failure %d: the delay is %v", i, d.retryAt.Sub(now))
 		}
 	}
-	for _, err := range []error{nil, errRefused} {
-		d.record(now, errUnknown)
-		if d.record(now, err); !d.elapsed(now) {
-			t.Errorf("after %v it waits until %v", err, d.until)
+	for _, err := range []error{nil, errRejected} {
+		d.recordOutcome(now, errNoAnswer)
+		if d.recordOutcome(now, err); !d.elapsed(now) {
+			t.Errorf("after the outcome %v there is a delay until %v", err, d.retryAt)
 		}
 	}
 }
 
-// A record holds all that a member has; a phase that is not known stays none to send to.
+// A record holds all fields of a member. An unknown phase becomes the empty phase, in which a server
+// is sent no requests.
 func TestRecordsHoldMembers(t *testing.T) {
 	for _, phase := range []string{registry.Ready, registry.Terminating, "Other"} {
-		want := member("a", phase)
+		want := newMember("a", phase)
 		value, err := encodeServer(want)
 		if err != nil {
 			t.Fatal(err)
@@ -222,9 +225,9 @@
 		}
 	}
 	if _, err := decodeServer("a", []byte{0xff}); err == nil {
-		t.Error("a value that can't be read was taken")
+		t.Error("a value that can't be decoded was accepted")
 	}
 	if _, err := encodeServer(registry.Member{ID: "a", HostPort: "\xff"}); err == nil {
-		t.Error("a member that can't be written was taken")
+		t.Error("a member that can't be encoded was accepted")
 	}
 }
--- a/internal/controlplane/distributor/records.go
+++ b/internal/controlplane/distributor/records.go
@@ -11,12 +11,14 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-var phaseOf = map[string]distributionpb.Phase{
+// phaseToProto has the encoded phase by the registry's name for it.
+var phaseToProto = map[string]distributionpb.Phase{
 	registry.Ready:       distributionpb.Phase_PHASE_READY,
 	registry.Terminating: distributionpb.Phase_PHASE_DRAINING,
 }
 
-var phaseName = map[distributionpb.Phase]string{
+// phaseFromProto is the inverse of phaseToProto.
+var phaseFromProto = map[distributionpb.Phase]string{
 	distributionpb.Phase_PHASE_READY:    registry.Ready,
 	distributionpb.Phase_PHASE_DRAINING: registry.Terminating,
 }
@@ -28,7 +30,7 @@
 		Address:   m.HostPort,
 		Zone:      m.Locality,
 		Cell:      int32(m.Cell),
-		Phase:     phaseOf[m.Phase],
+		Phase:     phaseToProto[m.Phase],
 		Size:      m.Size,
 		StartedMs: m.UpSince,
 	})
@@ -40,13 +42,13 @@
 		return nil, err
 	}
 	if !utf8.ValidString(m.ID) {
-		return nil, fmt.Errorf("distribution: record of server %q: its id is not UTF-8", m.ID)
+		return nil, fmt.Errorf("distribution: record of server %q: the id is not valid UTF-8", m.ID)
 	}
 	return value, nil
 }
 
-// decodeServer reads the value of a server's record. A phase that this program does not know
-// becomes an empty one, in which a server gets no requests.
+// decodeServer decodes the value of a server's record. A phase that this build does not know
+// becomes the empty phase, in which a server is sent no requests.
 func decodeServer(id string, value []byte) (registry.Member, error) {
 	var record distributionpb.ServerRecord
 	if err := proto.Unmarshal(value, &record); err != nil {
@@ -57,7 +59,7 @@
 		HostPort: record.Address,
 		Locality: record.Zone,
 		Cell:     int(record.Cell),
-		Phase:    phaseName[record.Phase],
+		Phase:    phaseFromProto[record.Phase],
 		Size:     record.Size,
 		UpSince:  record.StartedMs,
 	}, nil
--- a/internal/controlplane/distributor/saver.go
+++ b/internal/controlplane/distributor/saver.go
@@ -6,12 +6,12 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// saver writes states to disk on its own goroutine. It writes only the newest state that it was
-// given.
+// saver writes states to disk on its own goroutine. A state that is still waiting when save is
+// called again is replaced by the newer one and never written.
 type saver struct {
 	file stateFile
 	log  *slog.Logger
-	// states is nil if no file is configured.
+	// states holds the newest state that waits to be written. It is nil if no file is configured.
 	states chan *distribution.State
 	done   chan struct{}
 }
@@ -31,13 +31,13 @@
 		return
 	}
 	select {
-	case <-s.states: // an older one that was not begun yet
+	case <-s.states: // discard an older state that is still waiting
 	default:
 	}
 	s.states <- state
 }
 
-// stop writes the last state and returns when it is written.
+// stop writes the last state and returns after run has ended. save must not be called afterwards.
 func (s *saver) stop(last *distribution.State) {
 	if s.states == nil {
 		return
--- a/internal/controlplane/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -18,8 +18,9 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Server serves the Distribution service from the state machine of this process's voter, whether
-// that voter leads or not. Its methods are safe for concurrent use.
+// Server implements the Distribution service. It sends the state of the state machine of this
+// process's voter, whether or not that voter is the leader. Its methods are safe for concurrent
+// use.
 type Server struct {
 	distributionpb.UnimplementedDistributionServer
 	log     *slog.Logger
@@ -30,21 +31,21 @@
 	publisher *distribution.Publisher
 	streams   map[distribution.StreamID]*serverStream
 	lastID    distribution.StreamID
-	// attached is set once a voter's machine reports its updates.
+	// attached is set once Attach was called.
 	attached bool
-	// wakeAt is when Run ticks next by itself.
-	wakeAt time.Duration
-	// rearm signals that Run should tick earlier than wakeAt.
+	// nextTickAt is when Run's timer expires.
+	nextTickAt time.Duration
+	// rearm signals that Run has to tick before nextTickAt.
 	rearm chan struct{}
 }
 
-// serverStream is an open stream. Publisher has one message in flight on each, so that out never
-// blocks.
+// serverStream is an open stream. The Publisher has at most one message in flight on each stream,
+// so sending to out never blocks.
 type serverStream struct {
 	out chan *distribution.Message
 }
 
-// NewServer returns a server without a state. It serves once a machine is attached and Run is
+// NewServer returns a server without a state. It serves replicas once Attach was called and Run is
 // running.
 func NewServer(settings distribution.PublisherSettings, log *slog.Logger) *Server {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -60,8 +61,8 @@
 	distributionpb.RegisterDistributionServer(r, s)
 }
 
-// Attach makes the server publish a machine's updates. It has to be called before the machine is
-// used.
+// Attach makes the server publish a state machine's updates. It must be called before the state
+// machine is used.
 func (s *Server) Attach(machine *distribution.Machine) {
 	s.mu.Lock()
 	s.attached = true
@@ -69,7 +70,7 @@
 	machine.Updated = s.updates.put
 }
 
-// Run drives the server until the context ends.
+// Run publishes updates and handles timers until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -96,17 +97,17 @@
 	}
 	s.publisher.Tick(now)
 	s.dispatch(now)
-	s.wakeAt = s.publisher.Wake(now)
-	return s.wakeAt - now
+	s.nextTickAt = s.publisher.Wake(now)
+	return s.nextTickAt - now
 }
 
-// dispatch passes what can be sent to the streams. It is called with the lock held, after each
-// event.
+// dispatch passes the messages that can be sent now to their streams. It has to be called after
+// each event, with the lock held.
 func (s *Server) dispatch(now time.Duration) {
 	for _, send := range s.publisher.Take(now) {
 		s.streams[send.Stream].out <- send.Message
 	}
-	if s.publisher.Wake(now) < s.wakeAt {
+	if s.publisher.Wake(now) < s.nextTickAt {
 		select {
 		case s.rearm <- struct{}{}:
 		default:
@@ -114,7 +115,7 @@
 	}
 }
 
-// Watch serves one replica.
+// Watch serves one replica until the stream ends.
 func (s *Server) Watch(
 	stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse],
 ) error {
@@ -123,25 +124,25 @@
 		return err
 	}
 	defer s.close(id)
-	refused := make(chan error, 1)
-	go func() { refused <- s.receive(id, stream) }()
+	receiveEnded := make(chan error, 1)
+	go func() { receiveEnded <- s.receive(id, stream) }()
 	for {
 		select {
 		case <-stream.Context().Done():
 			return stream.Context().Err()
-		case err := <-refused:
+		case err := <-receiveEnded:
 			return err
 		case message := <-out:
 			if err := send(stream, message); err != nil {
 				return err
 			}
-			s.sent(id)
+			s.messageSent(id)
 		}
 	}
 }
 
-// open adds a stream. It returns a gRPC status if this process is no voter or too many streams are
-// open.
+// open adds a stream. It returns a gRPC status error if this process is not a voter or too many
+// streams are open.
 func (s *Server) open() (distribution.StreamID, <-chan *distribution.Message, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +166,7 @@
 	s.dispatch(s.clock.now())
 }
 
-// receive handles the replica's requests until the stream ends.
+// receive handles the replica's requests until the stream ends or a request is rejected.
 func (s *Server) receive(
 	id distribution.StreamID,
 	stream grpc.BidiStreamingServer[distributionpb.WatchRequest, distributionpb.WatchResponse],
@@ -173,19 +174,21 @@
 	for {
 		request, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return nil // the replica has no more to say: the stream ends
+			return nil // the replica has closed its side, which ends the stream
 		}
 		if err != nil {
 			return err
 		}
-		if err := s.received(id, request); err != nil {
-			s.log.Warn("fleet: a replica's request is refused", "error", err)
+		if err := s.handleRequest(id, request); err != nil {
+			s.log.Warn("fleet: rejected a replica's request", "error", err)
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
 }
 
-func (s *Server) received(id distribution.StreamID, request *distributionpb.WatchRequest) error {
+func (s *Server) handleRequest(
+	id distribution.StreamID, request *distributionpb.WatchRequest,
+) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
@@ -194,15 +197,15 @@
 	return err
 }
 
-// sent reports that a stream has sent its message.
-func (s *Server) sent(id distribution.StreamID) {
+// messageSent tells the publisher that a stream can take its next message.
+func (s *Server) messageSent(id distribution.StreamID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.publisher.Sent(id)
 	s.dispatch(s.clock.now())
 }
 
-// send sends a message. All streams that a message is for share its bytes.
+// send sends a message. Streams that send the same message share its bytes.
 func send(stream grpc.ServerStream, message *distribution.Message) error {
-	return stream.SendMsg(controlrpc.Encoded(sentBytes(message)))
+	return stream.SendMsg(controlrpc.Encoded(bytesToSend(message)))
 }
--- a/internal/controlplane/distributor/server_test.go
+++ b/internal/controlplane/distributor/server_test.go
@@ -17,22 +17,22 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// Each delta is encoded once, however many replicas get it.
+// Each delta is encoded once, however many replicas it is sent to.
 func TestADeltaIsEncodedOnce(t *testing.T) {
 	const replicas, deltas = 20, 10
 	s := newTestServer(t, nil)
-	s.agree(set("s0", "127.0.0.1:1"))
+	s.apply(setServer("s0", "127.0.0.1:1"))
 	var all []*testReplica
 	for i := range replicas {
-		r := newReplica(t, fmt.Sprintf("r%d", i), "", quiet, s)
-		r.reaches(s)
+		r := newReplica(t, fmt.Sprintf("r%d", i), "", discardLog, s)
+		r.waitFor(s)
 		all = append(all, r)
 	}
 	before := s.Status().Counts
 	for i := range deltas {
-		s.agree(set("s0", fmt.Sprintf("127.0.0.1:%d", 2+i)))
+		s.apply(setServer("s0", fmt.Sprintf("127.0.0.1:%d", 2+i)))
 		for _, r := range all {
-			r.reaches(s)
+			r.waitFor(s)
 		}
 	}
 	counts := s.Status().Counts
@@ -47,7 +47,7 @@
 	}
 }
 
-// recordingStream takes note of the bytes that it is given.
+// recordingStream records the messages that are sent on it.
 type recordingStream struct {
 	grpc.ServerStream
 	sent []controlrpc.Encoded
@@ -62,7 +62,7 @@
 func (s *recordingStream) SetHeader(metadata.MD) error  { return nil }
 func (s *recordingStream) SendHeader(metadata.MD) error { return nil }
 
-// A message's bytes go to all streams as they are, without a copy.
+// Streams that send the same message share its bytes.
 func TestBytesAreShared(t *testing.T) {
 	message := &distribution.Message{
 		Response: &distributionpb.WatchResponse{},
@@ -81,8 +81,8 @@
 	}
 }
 
-// watch opens a stream by hand.
-func watch(t *testing.T, address string) watchStream {
+// openStream opens a stream without a Client.
+func openStream(t *testing.T, address string) watchStream {
 	t.Helper()
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -97,17 +97,18 @@
 	return stream
 }
 
-func resume(fleet string) *distributionpb.WatchRequest {
+// resumeRequest returns the first request of a replica that has no state.
+func resumeRequest(fleet string) *distributionpb.WatchRequest {
 	return &distributionpb.WatchRequest{Request: &distributionpb.WatchRequest_Resume{
 		Resume: &distributionpb.Resume{Fleet: fleet, Replica: "by-hand"},
 	}}
 }
 
-// A replica of another fleet, and a request that is none, end the stream with a line that says why.
+// A request of another fleet's replica and an empty request end the stream with InvalidArgument.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	s := newTestServer(t, nil)
-	for _, request := range []*distributionpb.WatchRequest{resume("other"), {}} {
-		stream := watch(t, s.address)
+	for _, request := range []*distributionpb.WatchRequest{resumeRequest("other"), {}} {
+		stream := openStream(t, s.address)
 		if err := stream.Send(request); err != nil {
 			t.Fatal(err)
 		}
@@ -119,19 +120,19 @@
 	eventually(t, func() bool { return s.Status().Replicas == 0 })
 }
 
-// A process without a voter says so.
-func TestWithoutAVoter(t *testing.T) {
-	s := NewServer(NewPublisherSettings(fleet, DefaultSourceTimeout, 0), quiet)
+// A process without a voter rejects streams as Unavailable.
+func TestOpenWithoutVoterIsUnavailable(t *testing.T) {
+	s := NewServer(NewPublisherSettings(testFleet, DefaultSourceTimeout, 0), discardLog)
 	if _, _, err := s.open(); status.Code(err) != codes.Unavailable {
 		t.Errorf("%v", err)
 	}
 }
 
-// live has a stream go on to deltas, by a resync that fetches nothing. It gives the position from
-// which they come.
-func live(t *testing.T, stream watchStream) *distributionpb.Position {
+// startDeltas makes the server send deltas on a stream, by a resync that fetches no buckets. It
+// returns the position at which the deltas begin.
+func startDeltas(t *testing.T, stream watchStream) *distributionpb.Position {
 	t.Helper()
-	if err := stream.Send(resume(fleet)); err != nil {
+	if err := stream.Send(resumeRequest(testFleet)); err != nil {
 		t.Fatal(err)
 	}
 	for got := 0; ; {
@@ -154,27 +155,28 @@
 	}
 }
 
-// A stream that is not read for a while holds up nobody else. What it gets then follows without a
-// gap, up to where the server no longer has what lies between, and sends digests.
+// A stream that is not read for a while delays no other stream. When it is read again, its deltas
+// follow without a gap until the server's log no longer reaches back to the stream's position, and
+// the server starts a resync by sending digests.
 func TestPausedReaderGetsMergedChanges(t *testing.T) {
-	// More than a stream's window ever holds.
+	// The changes are more than the flow-control window of a stream holds.
 	const changes, addressBytes, logged = 600, 32 << 10, 8
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.Log.Entries, settings.MergeWindow = logged, 0
 	})
-	s.agree(set("s0", "127.0.0.1:1"))
-	stream := watch(t, s.address)
-	at := live(t, stream).Revision
+	s.apply(setServer("s0", "127.0.0.1:1"))
+	stream := openStream(t, s.address)
+	at := startDeltas(t, stream).Revision
 	before := s.Status().Counts.Resyncs
-	r := newReplica(t, "reads", "", quiet, s)
-	r.reaches(s)
+	r := newReplica(t, "reads", "", discardLog, s)
+	r.waitFor(s)
 	for i := range changes {
-		s.agree(set(fmt.Sprintf("s%d", i%7), fmt.Sprintf("%0*d", addressBytes, i)))
+		s.apply(setServer(fmt.Sprintf("s%d", i%7), fmt.Sprintf("%0*d", addressBytes, i)))
 		if i%logged == 0 {
-			r.reaches(s)
+			r.waitFor(s)
 		}
 	}
-	r.reaches(s)
+	r.waitFor(s)
 	for last := s.machine.State().Position().Revision; at < last; {
 		response, err := stream.Recv()
 		if err != nil {
@@ -182,7 +184,7 @@
 		}
 		if delta := response.GetDelta(); delta != nil {
 			if delta.From != at {
-				t.Fatalf("a delta begins at %d, not at %d", delta.From, at)
+				t.Fatalf("a delta begins at revision %d, not at %d", delta.From, at)
 			}
 			at = delta.To
 		}
@@ -191,24 +193,24 @@
 		}
 	}
 	if at == 1 || s.Status().Counts.Resyncs == before {
-		t.Errorf("at %d, %+v", at, s.Status().Counts)
+		t.Errorf("no delta or no resync: at revision %d, %+v", at, s.Status().Counts)
 	}
 }
 
-// More updates than the queue holds are told as one.
+// Updates beyond the capacity of the queue are merged into one that has the complete state.
 func TestUpdateQueueIsBounded(t *testing.T) {
 	q := updateQueue{ready: make(chan struct{}, 1)}
-	machine := distribution.NewMachine(openFence{})
+	machine := distribution.NewMachine(permissiveFence{})
 	machine.Updated = q.put
 	s := &testServer{t: t, machine: machine}
 	for i := range maxQueuedUpdates + 10 {
-		s.agree(set("s0", fmt.Sprintf("127.0.0.1:%d", 1+i)))
+		s.apply(setServer("s0", fmt.Sprintf("127.0.0.1:%d", 1+i)))
 	}
 	updates := q.take()
 	if len(updates) > maxQueuedUpdates || !updates[0].Restored {
-		t.Errorf("%d updates wait, the first %+v", len(updates), updates[0])
+		t.Errorf("%d updates are queued, the first one is %+v", len(updates), updates[0])
 	}
 	if last := updates[len(updates)-1]; last.State.Position() != machine.State().Position() {
-		t.Errorf("the last is at %s, not %s", last.State.Position(), machine.State().Position())
+		t.Errorf("the last update is at %s, not %s", last.State.Position(), machine.State().Position())
 	}
 }
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -18,19 +18,20 @@
 	// Direct creates a source that watches the registry directly. Several may run at once.
 	Direct func() (registry.Source, error)
 	Client ClientOptions
-	// SourceTimeout is the time without news of the fleet's list after which the process watches
-	// the registry itself.
+	// SourceTimeout is the time without a sign of the fleet's source after which this process
+	// watches the registry itself.
 	SourceTimeout time.Duration
 }
 
-// Source provides the fleet's list of servers: a registry.Source for the gateway's event loop, and
-// the work of the role that watches the registry for all. A process that has not heard of the
-// fleet's list for a while watches the registry itself until it hears again.
+// Source provides the fleet's list of servers. It is a registry.Source for the gateway's event
+// loop, and it does the work of the role that watches the registry on behalf of the fleet. A
+// process that has had no sign of the fleet's source for SourceTimeout watches the registry itself
+// until there is one.
 type Source struct {
 	options SourceOptions
 	direct  *directSources
 	client  *Client
-	// closing ends Run.
+	// closing is closed by Close, which ends Run.
 	closing chan struct{}
 	// running counts the calls of Run.
 	running sync.WaitGroup
@@ -40,8 +41,8 @@
 
 const (
 	closeTimeout = time.Second
-	// startupSourceTimeout is the source timeout at startup: a process that starts does not wait
-	// for longer.
+	// startupSourceTimeout replaces SourceTimeout until the first sign of the source, so that a
+	// process that starts does not wait for longer.
 	startupSourceTimeout   = 100 * time.Millisecond
 	minCheckInterval       = 20 * time.Millisecond
 	checksPerSourceTimeout = 10
@@ -51,38 +52,38 @@
 func NewSource(o SourceOptions) *Source {
 	return &Source{
 		options: o,
-		direct:  &directSources{make: o.Direct},
+		direct:  &directSources{newSource: o.Direct},
 		client:  NewClient(o.Client),
 		closing: make(chan struct{}),
 	}
 }
 
-// Close ends Run, and returns when the state is written or the disk has taken too long. It must be
-// called once.
+// Close ends Run and waits until it has written the state, at most for closeTimeout. It must be
+// called at most once.
 func (s *Source) Close() {
 	close(s.closing)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		s.running.Wait()
 	}()
 	select {
-	case <-ended:
+	case <-done:
 	case <-time.After(closeTimeout):
 		s.log().Warn("fleet: the control state could not be written to disk in time")
 	}
 }
 
-// Client returns the client of the replica that the list is read from.
+// Client returns the client that maintains the replica.
 func (s *Source) Client() *Client { return s.client }
 
-// Follow does nothing: the registry needs no request to start.
+// Follow does nothing, since Run follows the list from the start.
 func (s *Source) Follow() {}
 
-// Move changes the address of the registry for all of this process's direct watches.
+// Move sets the address of the registry for all of this process's direct watches.
 func (s *Source) Move(address string) { s.direct.move(address) }
 
-// Work watches the registry on behalf of the fleet.
+// Work watches the registry on behalf of the fleet until the context ends. It is an election.Work.
 func (s *Source) Work(ctx context.Context, tenure *election.Tenure) {
 	p := registryPublisher{
 		direct:            s.direct,
@@ -96,142 +97,153 @@
 
 func (s *Source) log() *slog.Logger { return s.options.Client.Log }
 
-// Run delivers the fleet's list, or this process's own if the fleet's is not heard of. It returns
-// after the context has ended and the state is written.
-func (s *Source) Run(ctx context.Context, tell func(registry.Update)) {
+// Run delivers the fleet's list, or the list of this process's own watch while there is no sign of
+// the fleet's source. It returns after the context or Close has ended it and the state is written.
+func (s *Source) Run(ctx context.Context, notify func(registry.Update)) {
 	s.running.Add(1)
 	defer s.running.Done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := listener{source: s, notify: tell, events: make(chan listEvent, maxQueuedEvents), ctx: ctx}
-	ended := make(chan struct{})
+	o := replicaObserver{
+		source: s, notify: notify, events: make(chan observerEvent, maxQueuedEvents), ctx: ctx,
+	}
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		s.client.Run(ctx, &l)
+		defer close(done)
+		s.client.Run(ctx, &o)
 	}()
 	defer func() {
 		cancel()
-		<-ended
+		<-done
 	}()
-	check := time.NewTicker(max(minCheckInterval, s.options.SourceTimeout/checksPerSourceTimeout))
-	defer check.Stop()
-	l.sourceHeardAt = time.Now().Add(startupSourceTimeout - s.options.SourceTimeout)
+	sourceCheck := time.NewTicker(
+		max(minCheckInterval, s.options.SourceTimeout/checksPerSourceTimeout))
+	defer sourceCheck.Stop()
+	o.sourceActiveAt = time.Now().Add(startupSourceTimeout - s.options.SourceTimeout)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.closing:
 			return
-		case event := <-l.events:
-			event(&l)
-		case n := <-l.directUpdates:
-			// The receiver now has another list: the fleet's is delivered completely next time.
-			l.fleetListDelivered = false
-			tell(n)
-		case <-check.C:
-			if time.Since(l.sourceHeardAt) > s.options.SourceTimeout {
-				l.startDirectWatch(ctx)
+		case event := <-o.events:
+			event(&o)
+		case update := <-o.directUpdates:
+			// The receiver no longer has the fleet's list, so that one has to be delivered
+			// completely next time.
+			o.fleetListDelivered = false
+			notify(update)
+		case <-sourceCheck.C:
+			if time.Since(o.sourceActiveAt) > s.options.SourceTimeout {
+				o.startDirectWatch(ctx)
 			}
 		}
 	}
 }
 
-// maxQueuedEvents is how many events may wait for a slow receiver. After that the replica waits
-// too.
+// maxQueuedEvents is how many events may wait for a slow receiver. When the queue is full, the
+// client waits as well.
 const maxQueuedEvents = 16
 
-// listEvent is an event of the client for Run's goroutine.
-type listEvent func(*listener)
+// observerEvent is an event of the client. Run's goroutine calls it.
+type observerEvent func(*replicaObserver)
 
-// listener turns changes of the replica into updates of the list of servers.
-type listener struct {
+// replicaObserver is the client's Observer. It turns changes of the replica into updates of the
+// list of servers.
+type replicaObserver struct {
 	source *Source
 	notify func(registry.Update)
-	events chan listEvent
+	events chan observerEvent
 	ctx    context.Context
 
 	// state is the newest state; nil before the first. It and the fields below belong to Run's
 	// goroutine.
 	state *distribution.State
-	// fleetListDelivered is set if the receiver has the fleet's list.
+	// fleetListDelivered is set while the receiver has the fleet's list.
 	fleetListDelivered bool
-	// sourceHeardAt is when the source was last heard of.
-	sourceHeardAt time.Time
-	// stopDirectWatch ends this process's own watch; nil if there is none.
-	stopDirectWatch context.CancelFunc
-	// directUpdates are the updates of that watch. Late updates of an earlier one are dropped with
-	// its channel.
+	// sourceActiveAt is the latest time at which the source is known to have been active.
+	sourceActiveAt time.Time
+	// cancelDirectWatch ends this process's own watch; nil if there is none.
+	cancelDirectWatch context.CancelFunc
+	// directUpdates has the updates of that watch. Each watch has its own channel, so that late
+	// updates of an earlier watch are discarded.
 	directUpdates <-chan registry.Update
 }
 
-func (l *listener) queue(event listEvent) {
+// queue passes an event to Run's goroutine. It blocks while the queue is full.
+func (o *replicaObserver) queue(event observerEvent) {
 	select {
-	case l.events <- event:
-	case <-l.ctx.Done():
+	case o.events <- event:
+	case <-o.ctx.Done():
 	}
 }
 
-// Applied queues changes of the replica.
-func (l *listener) Applied(changes []distribution.Change, state *distribution.State) {
-	l.queue(func(l *listener) { l.applied(changes, state) })
+// Applied queues changes of the replica for Run's goroutine.
+func (o *replicaObserver) Applied(changes []distribution.Change, state *distribution.State) {
+	o.queue(func(o *replicaObserver) { o.handleApplied(changes, state) })
 }
 
-// HeartbeatReceived queues the age of the replica's state.
-func (l *listener) HeartbeatReceived(sourceAge time.Duration, current bool) {
+// HeartbeatReceived queues the time at which the source was last active for Run's goroutine.
+func (o *replicaObserver) HeartbeatReceived(sourceAge time.Duration, current bool) {
 	at := time.Now().Add(-sourceAge)
-	l.queue(func(l *listener) { l.sourceHeard(at, current) })
+	o.queue(func(o *replicaObserver) { o.handleHeartbeat(at, current) })
 }
 
-func (l *listener) applied(changes []distribution.Change, state *distribution.State) {
-	l.state = state
-	if l.fleetListDelivered {
-		l.notifyChanges(changes)
+// handleApplied stores the new state. It delivers the changes if the receiver has the state before
+// them.
+func (o *replicaObserver) handleApplied(changes []distribution.Change, state *distribution.State) {
+	o.state = state
+	if o.fleetListDelivered {
+		o.notifyChanges(changes)
 	}
 }
 
-// sourceHeard handles when the source was last heard of. If that is recent, the fleet's list is
-// used.
-func (l *listener) sourceHeard(at time.Time, current bool) {
-	if !current || time.Since(at) > l.source.options.SourceTimeout {
+// handleHeartbeat switches to the fleet's list if the replica is current and the source was active
+// within SourceTimeout.
+func (o *replicaObserver) handleHeartbeat(at time.Time, current bool) {
+	if !current || time.Since(at) > o.source.options.SourceTimeout {
 		return
 	}
-	if at.After(l.sourceHeardAt) {
-		l.sourceHeardAt = at
+	if at.After(o.sourceActiveAt) {
+		o.sourceActiveAt = at
 	}
-	l.endDirectWatch()
-	if !l.fleetListDelivered {
-		l.fleetListDelivered = true
-		l.notifyComplete()
+	o.stopDirectWatch()
+	if !o.fleetListDelivered {
+		o.fleetListDelivered = true
+		o.notifyComplete()
 	}
 }
 
-// notifyComplete delivers the complete list.
-func (l *listener) notifyComplete() {
-	n := registry.Update{Kind: registry.CompleteList}
-	if l.state != nil {
-		l.state.Range(distribution.KindServer, func(r distribution.Record) bool {
-			n.Members = l.appendMember(n.Members, &distribution.Change{Record: r})
+// notifyComplete delivers the fleet's complete list, sorted by id.
+func (o *replicaObserver) notifyComplete() {
+	update := registry.Update{Kind: registry.CompleteList}
+	if o.state != nil {
+		o.state.Range(distribution.KindServer, func(r distribution.Record) bool {
+			update.Members = o.appendMember(update.Members, &distribution.Change{Record: r})
 			return true
 		})
 	}
-	slices.SortFunc(n.Members, func(a, b registry.Member) int { return cmp.Compare(a.ID, b.ID) })
-	l.notify(n)
+	slices.SortFunc(update.Members, func(a, b registry.Member) int {
+		return cmp.Compare(a.ID, b.ID)
+	})
+	o.notify(update)
 }
 
-// notifyChanges delivers changes. Deletions come first, because an address may have passed from one
-// id to another.
-func (l *listener) notifyChanges(changes []distribution.Change) {
-	n := registry.Update{Kind: registry.Delta}
+// notifyChanges delivers changes in their order. The replica puts deletions first, because an
+// address may have passed from one id to another.
+func (o *replicaObserver) notifyChanges(changes []distribution.Change) {
+	update := registry.Update{Kind: registry.Delta}
 	for i := range changes {
-		n.Members = l.appendMember(n.Members, &changes[i])
+		update.Members = o.appendMember(update.Members, &changes[i])
 	}
-	if len(n.Members) > 0 {
-		l.notify(n)
+	if len(update.Members) > 0 {
+		o.notify(update)
 	}
 }
 
-// appendMember appends the member that a change is of. Records of other kinds are skipped.
-func (l *listener) appendMember(
+// appendMember appends the member that a change is about. It skips records of other kinds, and
+// records that can't be decoded.
+func (o *replicaObserver) appendMember(
 	to []registry.Member, change *distribution.Change,
 ) []registry.Member {
 	switch {
@@ -242,43 +254,43 @@
 	}
 	member, err := decodeServer(change.ID, change.Value)
 	if err != nil {
-		l.source.log().Error("fleet: a server of the list is passed over", "error", err)
+		o.source.log().Error("fleet: a server of the list is passed over", "error", err)
 		return to
 	}
 	return append(to, member)
 }
 
-// startDirectWatch starts this process's own watch of the registry.
-func (l *listener) startDirectWatch(ctx context.Context) {
-	if l.stopDirectWatch != nil {
+// startDirectWatch starts this process's own watch of the registry, unless there is one already.
+func (o *replicaObserver) startDirectWatch(ctx context.Context) {
+	if o.cancelDirectWatch != nil {
 		return
 	}
-	source, closed, err := l.source.direct.open()
+	source, release, err := o.source.direct.open()
 	if err != nil {
 		return
 	}
-	l.source.log().Warn(
+	o.source.log().Warn(
 		"fleet: the list of servers is not heard: this gateway watches the register itself",
-		"silent_for", time.Since(l.sourceHeardAt).Round(time.Millisecond).String())
-	ctx, l.stopDirectWatch = context.WithCancel(ctx)
+		"silent_for", time.Since(o.sourceActiveAt).Round(time.Millisecond).String())
+	ctx, o.cancelDirectWatch = context.WithCancel(ctx)
 	updates := make(chan registry.Update)
-	l.directUpdates = updates
+	o.directUpdates = updates
 	go func() {
-		defer closed()
-		source.Run(ctx, func(n registry.Update) {
+		defer release()
+		source.Run(ctx, func(update registry.Update) {
 			select {
-			case updates <- n:
+			case updates <- update:
 			case <-ctx.Done():
 			}
 		})
 	}()
 }
 
-// endDirectWatch ends this process's own watch.
-func (l *listener) endDirectWatch() {
-	if l.stopDirectWatch != nil {
-		l.stopDirectWatch()
-		l.stopDirectWatch, l.directUpdates = nil, nil
-		l.source.log().Info("fleet: the list of servers is heard again")
+// stopDirectWatch ends this process's own watch, if there is one.
+func (o *replicaObserver) stopDirectWatch() {
+	if o.cancelDirectWatch != nil {
+		o.cancelDirectWatch()
+		o.cancelDirectWatch, o.directUpdates = nil, nil
+		o.source.log().Info("fleet: the list of servers is heard again")
 	}
 }
--- a/internal/controlplane/distributor/source_test.go
+++ b/internal/controlplane/distributor/source_test.go
@@ -14,45 +14,45 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// directRegister is a registry that is asked directly.
-type directRegister struct {
-	mu    sync.Mutex
-	runs  int
-	ended int
-	moves []string
-	mute  bool // it tells nothing
+// fakeRegistry is a registry.Source that watches no registry. It delivers one list.
+type fakeRegistry struct {
+	mu     sync.Mutex
+	runs   int
+	ended  int
+	moves  []string
+	silent bool // Run delivers nothing
 }
 
-func (d *directRegister) Follow() {}
+func (f *fakeRegistry) Follow() {}
 
-func (d *directRegister) Move(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.moves = append(d.moves, address)
+func (f *fakeRegistry) Move(address string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.moves = append(f.moves, address)
 }
 
-func (d *directRegister) Run(ctx context.Context, tell func(registry.Update)) {
-	d.count(&d.runs)
-	if !d.mute {
-		tell(registry.Update{
+func (f *fakeRegistry) Run(ctx context.Context, notify func(registry.Update)) {
+	f.count(&f.runs)
+	if !f.silent {
+		notify(registry.Update{
 			Kind:    registry.CompleteList,
-			Members: []registry.Member{member("own", registry.Ready)},
+			Members: []registry.Member{newMember("own", registry.Ready)},
 		})
 	}
 	<-ctx.Done()
-	d.count(&d.ended)
+	f.count(&f.ended)
 }
 
-func (d *directRegister) count(n *int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (f *fakeRegistry) count(n *int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	*n++
 }
 
-func (d *directRegister) running() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.runs - d.ended
+func (f *fakeRegistry) running() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.runs - f.ended
 }
 
 // updateRecorder records what a source has delivered.
@@ -61,71 +61,71 @@
 	updates []string
 }
 
-func (l *updateRecorder) tell(n registry.Update) {
+func (r *updateRecorder) record(update registry.Update) {
 	var text []string
-	if n.Kind == registry.CompleteList {
+	if update.Kind == registry.CompleteList {
 		text = append(text, "whole")
 	}
-	for _, m := range n.Members {
+	for _, m := range update.Members {
 		text = append(text, fmt.Sprintf("%s=%s", m.ID, m.Phase))
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.updates = append(l.updates, strings.Join(text, " "))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updates = append(r.updates, strings.Join(text, " "))
 }
 
-// expect waits until exactly some updates were delivered.
-func (l *updateRecorder) expect(t *testing.T, want ...string) {
+// expect waits until as many updates as wanted were delivered, and compares them.
+func (r *updateRecorder) expect(t *testing.T, want ...string) {
 	t.Helper()
 	eventually(t, func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return len(l.updates) >= len(want)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return len(r.updates) >= len(want)
 	})
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !slices.Equal(l.updates, want) {
-		t.Fatalf("%q was told instead of %q", l.updates, want)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !slices.Equal(r.updates, want) {
+		t.Fatalf("the updates are %q, want %q", r.updates, want)
 	}
 }
 
-// expectAfter waits until what was delivered after some updates begins with a whole list and comes to some
-// members.
-func (l *updateRecorder) expectAfter(t *testing.T, skip int, want string) {
+// expectAfter waits until the updates after the first skip ones consist of a complete list and the
+// changes after it, and together have the wanted members.
+func (r *updateRecorder) expectAfter(t *testing.T, skip int, want string) {
 	t.Helper()
 	eventually(t, func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if len(l.updates) <= skip {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if len(r.updates) <= skip {
 			return false
 		}
-		rest, whole := strings.CutPrefix(strings.Join(l.updates[skip:], " "), "whole ")
+		rest, whole := strings.CutPrefix(strings.Join(r.updates[skip:], " "), "whole ")
 		if !whole || strings.Contains(rest, "whole") {
-			t.Fatalf("%q was told", l.updates)
+			t.Fatalf("the updates are %q, want one complete list after the first %d", r.updates, skip)
 		}
 		return rest == want
 	})
 }
 
-func deleted(id string) *distributionpb.Change {
+// deleteServer returns a change that deletes a server's record.
+func deleteServer(id string) *distributionpb.Change {
 	return &distributionpb.Change{Kind: distributionpb.Kind_KIND_SERVER, Id: id, Deleted: true}
 }
 
-// newTestSource starts a source whose registry is asked directly where the fleet's list is not
-// heard.
+// newTestSource starts a source that uses direct for its own watch of the registry.
 func newTestSource(
-	t *testing.T, direct *directRegister, silent time.Duration, file string, s *testServer,
+	t *testing.T, direct *fakeRegistry, sourceTimeout time.Duration, file string, s *testServer,
 ) (*Source, *updateRecorder) {
 	t.Helper()
-	o := clientOptions("gateway", file, silent, quiet, s)
+	o := clientOptions("gateway", file, sourceTimeout, discardLog, s)
 	source := NewSource(SourceOptions{
 		Direct:        func() (registry.Source, error) { return direct, nil },
 		Client:        o,
-		SourceTimeout: silent,
+		SourceTimeout: sourceTimeout,
 	})
 	list := &updateRecorder{}
 	var running sync.WaitGroup
-	running.Go(func() { source.Run(context.Background(), list.tell) })
+	running.Go(func() { source.Run(context.Background(), list.record) })
 	t.Cleanup(func() {
 		source.Close()
 		running.Wait()
@@ -134,81 +134,82 @@
 	return source, list
 }
 
-// silentLong is longer than any wait in a test: nobody watches by itself because the machine is
-// busy.
-const silentLong = time.Minute
+// longSourceTimeout is longer than any wait in a test, so that no source starts its own watch because
+// the machine is busy.
+const longSourceTimeout = time.Minute
 
-// The list is delivered completely once, and then only what changed, deletions first.
+// The list is delivered completely once. After that, only changes are delivered, deletions first.
 func TestSourceNotifiesOfChanges(t *testing.T) {
 	s := newTestServer(t, nil)
-	s.agree(set("a", "127.0.0.1:1"), set("b", "127.0.0.1:2"))
-	direct := &directRegister{}
-	_, list := newTestSource(t, direct, silentLong, "", s)
+	s.apply(setServer("a", "127.0.0.1:1"), setServer("b", "127.0.0.1:2"))
+	direct := &fakeRegistry{}
+	_, list := newTestSource(t, direct, longSourceTimeout, "", s)
 	list.expect(t, "whole a=Ready b=Ready")
-	s.agree(set("b", "127.0.0.1:3"), set("c", "127.0.0.1:2"), deleted("a"))
+	s.apply(setServer("b", "127.0.0.1:3"), setServer("c", "127.0.0.1:2"), deleteServer("a"))
 	list.expect(t, "whole a=Ready b=Ready", "a=Gone b=Ready c=Ready")
 	if direct.running() > 0 {
-		t.Error("the register is watched though the fleet's list is heard")
+		t.Error("the registry is watched directly though the fleet's list is received")
 	}
 }
 
-// A process that hears nothing of the source watches the registry itself, and has the fleet's list
-// whole again once it hears; what moves, moves then and later.
+// A process without a sign of the source watches the registry itself. Once the source is active
+// again, the fleet's list is delivered completely. Move applies to the running direct watch and to
+// later ones.
 func TestSourceFallsBackToDirectWatch(t *testing.T) {
-	const silent = 400 * time.Millisecond
+	const sourceTimeout = 400 * time.Millisecond
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.HeartbeatInterval = 20 * time.Millisecond
 	})
-	direct := &directRegister{}
-	source, list := newTestSource(t, direct, silent, "", s)
+	direct := &fakeRegistry{}
+	source, list := newTestSource(t, direct, sourceTimeout, "", s)
 	list.expect(t, "whole own=Ready")
 	source.Move("elsewhere")
 	if direct.moves[0] != "elsewhere" {
 		t.Errorf("moved to %q", direct.moves)
 	}
-	s.agree(set("a", "127.0.0.1:1"))
-	s.beat()
+	s.apply(setServer("a", "127.0.0.1:1"))
+	s.startHeartbeats()
 	list.expect(t, "whole own=Ready", "whole a=Ready")
 	eventually(t, func() bool { return direct.running() == 0 })
-	s.beSilent(true)
+	s.setSourceSilent(true)
 	list.expect(t, "whole own=Ready", "whole a=Ready", "whole own=Ready")
 	if len(direct.moves) != 2 || direct.running() != 1 {
-		t.Errorf("moved to %q, %d run", direct.moves, direct.running())
+		t.Errorf("moved to %q; %d direct watches are running", direct.moves, direct.running())
 	}
-	s.agree(set("b", "127.0.0.1:1")) // tells that the source lives, too
-	s.beSilent(false)
-	list.expectAfter(t, 3, "a=Ready b=Ready") // in one piece, or the change a moment later
+	s.apply(setServer("b", "127.0.0.1:1")) // also shows that the source is active
+	s.setSourceSilent(false)
+	list.expectAfter(t, 3, "a=Ready b=Ready") // in one list, or with b in a later change
 	eventually(t, func() bool { return direct.running() == 0 })
 }
 
-// A watch of the registry that delivered nothing changes nothing: when the fleet's list is heard again,
-// only what has changed meanwhile is delivered.
+// After a direct watch that delivered nothing, the receiver still has the fleet's list. So only the
+// changes since are delivered when the source is active again.
 func TestSilentDirectWatchChangesNothing(t *testing.T) {
-	const silent = 400 * time.Millisecond
+	const sourceTimeout = 400 * time.Millisecond
 	s := newTestServer(t, func(settings *distribution.PublisherSettings) {
 		settings.HeartbeatInterval = 20 * time.Millisecond
 	})
-	direct := &directRegister{mute: true}
-	_, list := newTestSource(t, direct, silent, "", s)
-	s.agree(set("a", "127.0.0.1:1"))
-	s.beat()
+	direct := &fakeRegistry{silent: true}
+	_, list := newTestSource(t, direct, sourceTimeout, "", s)
+	s.apply(setServer("a", "127.0.0.1:1"))
+	s.startHeartbeats()
 	list.expect(t, "whole a=Ready")
-	s.beSilent(true)
+	s.setSourceSilent(true)
 	eventually(t, func() bool { return direct.running() == 1 })
-	s.agree(set("b", "127.0.0.1:2"))
-	s.beSilent(false)
+	s.apply(setServer("b", "127.0.0.1:2"))
+	s.setSourceSilent(false)
 	eventually(t, func() bool { return direct.running() == 0 })
 	list.expect(t, "whole a=Ready", "b=Ready")
 }
 
-// What lies on disk counts once a server has said that it is current.
+// The list on disk is delivered once a server has confirmed that it is current.
 func TestSourceStartsFromDisk(t *testing.T) {
 	s := newTestServer(t, nil)
-	s.agree(set("a", "127.0.0.1:1"))
+	s.apply(setServer("a", "127.0.0.1:1"))
 	path := t.TempDir() + "/state"
-	r := newReplica(t, "gateway", path, quiet, s)
-	r.reaches(s)
+	r := newReplica(t, "gateway", path, discardLog, s)
+	r.waitFor(s)
 	r.stop()
-	_, list := newTestSource(t, &directRegister{}, silentLong, path, s)
+	_, list := newTestSource(t, &fakeRegistry{}, longSourceTimeout, path, s)
 	list.expect(t, "whole a=Ready")
 }
--- a/internal/controlplane/distributor/status.go
+++ b/internal/controlplane/distributor/status.go
@@ -6,7 +6,7 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// Position is a distribution.Position as operators see it.
+// Position is a distribution.Position with the digest as text.
 type Position struct {
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
@@ -21,15 +21,18 @@
 type ReplicaStatus struct {
 	Position Position `json:"position"`
 	Records  int      `json:"records"`
-	// Server is the server that is watched or being connected to; empty if there is none.
+	// Server is the id of the server that is watched or being connected to; empty if there is none.
 	Server string `json:"server"`
 	// Live is set if the replica has everything that its server has announced.
-	Live          bool                       `json:"live"`
+	Live bool `json:"live"`
+	// SourceAge is the time since the server applied the source's last command. Before the first
+	// heartbeat it is the time since the client was created.
 	SourceAge     time.Duration              `json:"source_age"`
 	ReceivedBytes uint64                     `json:"received_bytes"`
 	Counts        distribution.ReplicaCounts `json:"counts"`
 }
 
+// publishStatus stores the status that Status returns.
 func (c *Client) publishStatus() {
 	state := c.replica.State()
 	status := &ReplicaStatus{
@@ -49,9 +52,10 @@
 type ServerStatus struct {
 	Position Position `json:"position"`
 	Replicas int      `json:"replicas"`
-	// Acknowledged is the earliest revision that a live replica has acknowledged.
+	// Acknowledged is the earliest revision that a live replica has acknowledged, or the server's
+	// revision if no replica is live.
 	Acknowledged uint64 `json:"acknowledged"`
-	// Lag is the number of revisions from there to the server's.
+	// Lag is the number of revisions from Acknowledged to Position.
 	Lag    uint64                       `json:"lag"`
 	Counts distribution.PublisherCounts `json:"counts"`
 }
--- a/internal/controlplane/distributor/stored_test.go
+++ b/internal/controlplane/distributor/stored_test.go
@@ -7,8 +7,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// The state that an earlier build's replica left on disk is read, with its digest, and is written
-// the same.
+// A state file of an earlier build is read and its digest verified, and it is written with the same
+// bytes.
 func TestStoredStateIsRead(t *testing.T) {
 	const path = "testdata/stored/state"
 	state, err := stateFile{path: path, fleet: "rig"}.load()
--- a/internal/controlplane/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// supportTimeout bounds the time for one voter to answer.
+	// supportTimeout bounds the probe of one voter.
 	supportTimeout       = 250 * time.Millisecond
 	supportRetryInterval = time.Second
 )
 
-// voterSupport finds out whether the voters support the distribution. A voter of an older program
-// stops when it meets an entry of the distribution in the log, and two of three such voters would
-// leave no majority.
+// voterSupport determines whether the voters support the distribution. A voter that runs an older
+// build stops when it reaches an entry of the distribution in the log, so two such voters of three
+// would leave no majority.
 type voterSupport struct {
 	link *controlrpc.Client
 	log  *slog.Logger
-	// supported is set once a majority supports the distribution and no voter that answered is
-	// older.
+	// supported is set once a probe found that a majority of the voters supports the distribution
+	// and that no voter that answered lacks it. It is never reset.
 	supported bool
 	// lastProbe is when the voters were last probed.
 	lastProbe time.Time
-	// warnedVoter is the voter that was last named in the log.
+	// warnedVoter is the voter that the last probe found without support; empty if there was none.
 	warnedVoter string
 }
 
-// ready reports whether entries may be proposed. It probes the voters at intervals until a majority
-// supports the distribution and none that answers is older. It does not wait for voters that do not
-// answer.
+// ready reports whether entries of the distribution may be proposed. Until they may, it probes the
+// voters, at most once per supportRetryInterval. A voter that does not answer does not prevent the
+// proposals.
 func (s *voterSupport) ready(ctx context.Context) bool {
 	if s.supported || time.Since(s.lastProbe) < supportRetryInterval {
 		return s.supported
@@ -58,7 +58,7 @@
 	return s.supported
 }
 
-// warn names an older voter in the log, once.
+// warn logs the name of an older voter, unless the probe before found the same one.
 func (s *voterSupport) warn(older string) {
 	if older != "" && older != s.warnedVoter {
 		s.log.Warn("fleet: the list of servers is not distributed: a voter runs an older program",
@@ -67,16 +67,16 @@
 	s.warnedVoter = older
 }
 
-// voterSupportStatus is the result of a probe.
+// voterSupportStatus is the result of probing one voter.
 type voterSupportStatus int
 
 const (
-	supportUnknown voterSupportStatus = iota
-	supportPresent                    // the voter serves the distribution
-	supportMissing                    // the voter answers and has no such service
+	supportUnknown voterSupportStatus = iota // the voter could not be reached in time
+	supportPresent                           // the voter serves the distribution
+	supportMissing                           // the voter answered that it has no such service
 )
 
-// probeVoter opens a stream of the distribution and ends it at once.
+// probeVoter opens a stream of the Distribution service and closes it immediately.
 func probeVoter(ctx context.Context, link *controlrpc.Client, address string) voterSupportStatus {
 	ctx, cancel := context.WithTimeout(ctx, supportTimeout)
 	defer cancel()
--- a/internal/controlplane/distributor/support_test.go
+++ b/internal/controlplane/distributor/support_test.go
@@ -12,11 +12,11 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Nothing is proposed while a voter answers that knows nothing of the distribution, or no majority
-// is known to know it. One that doesn't answer is not waited for.
+// Nothing is proposed while a voter answers that does not support the distribution, or as long as no
+// majority is known to support it. A voter that does not answer does not prevent proposals.
 func TestNothingIsProposedWithOlderVoters(t *testing.T) {
 	s, other := newTestServer(t, nil), newTestServer(t, nil)
-	older := controlrpc.NewServer(context.Background(), fleet, nil, nil)
+	older := controlrpc.NewServer(context.Background(), testFleet, nil, nil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,8 +28,8 @@
 		{Name: "older", Address: listener.Addr().String()},
 		{Name: "other", Address: other.address},
 	}
-	link := controlrpc.NewClient(fleet, lease.Member{ID: "owner", Incarnation: 1}, "",
-		voters, nil, quiet)
+	link := controlrpc.NewClient(testFleet, lease.Member{ID: "owner", Incarnation: 1}, "",
+		voters, nil, discardLog)
 	defer link.Close()
 	var log logBuffer
 	support := voterSupport{link: link, log: logTo(&log)}
@@ -40,7 +40,7 @@
 		support.lastProbe = support.lastProbe.Add(-supportRetryInterval)
 	}
 	if n := strings.Count(log.String(), "voter=older"); n != 1 {
-		t.Errorf("it is named %d times: %s", n, log.String())
+		t.Errorf("the log names the older voter %d times, want once: %s", n, log.String())
 	}
 	older.Stop()
 	running.Wait()
@@ -51,7 +51,7 @@
 
 	voters[2].Address = "127.0.0.1:1"
 	link.SetVoters(voters)
-	if minority := (&voterSupport{link: link, log: quiet}); minority.ready(t.Context()) {
-		t.Error("entries are proposed though only one of three voters is known to take them")
+	if minority := (&voterSupport{link: link, log: discardLog}); minority.ready(t.Context()) {
+		t.Error("entries are proposed though only one of three voters is known to support them")
 	}
 }
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -6,13 +6,14 @@
 	"mothcleat/internal/controlplane/distribution"
 )
 
-// maxQueuedUpdates is how many updates of a machine may wait for the server. Any more are merged
-// into one that replaces the state.
+// maxQueuedUpdates is how many updates of a state machine may wait for the server. When the queue
+// is full, the next update replaces all queued ones: it has the complete state instead of a delta.
 const maxQueuedUpdates = 1024
 
-// updateQueue passes updates from the voter's goroutine, which must not block, to the server's.
+// updateQueue passes updates from the voter's goroutine, which must not block, to Server.Run's
+// goroutine.
 type updateQueue struct {
-	// ready signals that there is something to take.
+	// ready signals that updates are queued.
 	ready chan struct{}
 
 	mu     sync.Mutex
