--- a/internal/controlplane/endpointwatch/leader.go
+++ b/internal/controlplane/endpointwatch/leader.go
@@ -12,15 +12,15 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Work watches the register and writes the list to the replicated state, as the leader of the role,
-// until its context ends.
+// Work watches the registry as the leader of the role and writes the list to the replicated state
+// until the context ends. It is an election.Work.
 func (s *Source) Work(ctx context.Context, tenure *election.Tenure) {
-	source, closed, err := s.openDirect()
+	source, release, err := s.openDirect()
 	if err != nil {
 		s.Log.Error("fleet: the register can't be watched", "error", err)
 		return
 	}
-	defer closed()
+	defer release()
 	updates := make(chan registry.Update)
 	go source.Run(ctx, func(update registry.Update) {
 		select {
@@ -43,20 +43,22 @@
 			}
 		case <-heartbeat.C:
 		}
-		// While the register is unavailable there is no heartbeat: the others look for themselves.
+		// While the registry is unavailable there are no heartbeats, so that the other gateways
+		// start to watch it themselves.
 		if !available || !tenure.Holds() {
 			continue
 		}
 		if s.write(ctx, list.op(tenure.Term)) == nil {
-			list.written()
+			list.markWritten()
 		}
 	}
 }
 
-// pendingList is the list as the register has it, with what is not written yet.
+// pendingList is the list of servers in the registry, and the set of its changes that are not
+// written yet.
 type pendingList struct {
 	servers  map[string]json.RawMessage // by id
-	changed  map[string]json.RawMessage // since the last write; null: removed
+	changed  map[string]json.RawMessage // by id, since the last write; null for a removed server
 	complete bool                       // the next write has to be the complete list
 }
 
@@ -68,6 +70,7 @@
 	}
 }
 
+// apply applies an update of the registry.
 func (l *pendingList) apply(update registry.Update) {
 	if update.Kind == registry.CompleteList {
 		clear(l.servers)
@@ -86,7 +89,7 @@
 	}
 }
 
-// op returns the command that writes what is pending.
+// op returns the command that writes the pending changes. Without changes it is a heartbeat.
 func (l *pendingList) op(term uint64) endpointlist.Op {
 	if l.complete {
 		return endpointlist.Op{Term: term, Complete: true, Changed: l.servers}
@@ -94,22 +97,22 @@
 	return endpointlist.Op{Term: term, Changed: l.changed}
 }
 
-// written takes note that the last command was applied.
-func (l *pendingList) written() {
+// markWritten records that the last command was applied.
+func (l *pendingList) markWritten() {
 	clear(l.changed)
 	l.complete = false
 }
 
-// write proposes a command and returns why it was not applied.
+// write proposes a command and waits until it is applied. The error says why it was not applied.
 func (s *Source) write(ctx context.Context, op endpointlist.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	why, err := s.Client.Propose(ctx, endpointlist.MachineName, mustjson.Marshal(op))
-	if err == nil && len(why) > 0 {
-		err = errors.New(string(why))
+	rejection, err := s.Client.Propose(ctx, endpointlist.MachineName, mustjson.Marshal(op))
+	if err == nil && len(rejection) > 0 {
+		err = errors.New(string(rejection))
 	}
 	if err != nil && ctx.Err() == nil {
-		s.Log.Warn("fleet: the list of servers was not taken", "term", op.Term, "error", err)
+		s.Log.Warn("fleet: could not write the list of servers", "term", op.Term, "error", err)
 	}
 	return err
 }
--- a/internal/controlplane/endpointwatch/receiver.go
+++ b/internal/controlplane/endpointwatch/receiver.go
@@ -13,27 +13,29 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// startTimeout is for how long a gateway that starts waits for the replicated list, which is
-// shorter than Source.SilenceTimeout.
+// startTimeout replaces Source.SilenceTimeout at startup: the time for which a gateway that starts
+// waits for the replicated list. It is shorter than Source.SilenceTimeout.
 const startTimeout = 100 * time.Millisecond
 
-// receiver is one gateway's side that receives the list. It belongs to the goroutine of Source.Run.
+// receiver receives the replicated list and delivers it to one gateway. Only the goroutine of
+// Source.Run uses it.
 type receiver struct {
 	source  *Source
 	deliver func(registry.Update)
 
-	// gate refuses heads of former leaders. It need not be stored: the list's effects end with the
-	// process.
+	// gate rejects heads of former leaders. It need not be stored, because the effects of the list
+	// end with the process.
 	gate         lease.Gate
-	last         endpointlist.Head
-	delivered    map[string]json.RawMessage // the list as it was delivered; nil: none yet
+	last         endpointlist.Head          // the last head that was accepted
+	delivered    map[string]json.RawMessage // the replicated list as delivered; nil if none was
 	lastReceived time.Time
 
-	ownUpdates chan registry.Update // of this gateway's own watch
-	cancelOwn  context.CancelFunc   // nil: it has none
+	ownUpdates chan registry.Update // updates of this gateway's own watch
+	cancelOwn  context.CancelFunc   // ends this gateway's own watch; nil if there is none
 }
 
-// watchHeads sends each head of the list to the channel; only the newest waits there.
+// watchHeads sends each head of the list to the channel, which has to have a buffer of one. A head
+// that still waits there is replaced by a newer one.
 func (s *Source) watchHeads(ctx context.Context, heads chan endpointlist.Head) {
 	s.Client.Watch(ctx, endpointlist.MachineName, func(state []byte) {
 		var head endpointlist.Head
@@ -48,19 +50,20 @@
 	})
 }
 
-// receiveHead takes in a head, and fetches the list if it has changed.
+// receiveHead handles a head, and fetches the list if it has changed or the gateway does not have
+// the replicated list.
 func (r *receiver) receiveHead(ctx context.Context, head endpointlist.Head) {
 	if _, err := r.gate.Admit(endpointlist.Role, head.Term, head.Leader); err != nil {
-		r.source.Log.Debug("fleet: list of servers", "error", err)
+		r.source.Log.Debug("fleet: ignored a former leader's list of servers", "error", err)
 		return
 	}
 	if head.Heartbeats <= r.last.Heartbeats {
-		return // from a replica that lags, or repeated
+		return // from a voter that lags, or a repetition
 	}
 	if head.Version != r.last.Version || r.delivered == nil || r.cancelOwn != nil {
 		list, ok := r.fetch(ctx)
 		if !ok {
-			return // it counts as not received
+			return // the head counts as not received
 		}
 		r.stopOwnWatch()
 		r.deliverChanges(list)
@@ -69,7 +72,7 @@
 	r.last, r.lastReceived = head, time.Now()
 }
 
-// fetch reads the list. It returns false if it can't be read, or is a former leader's.
+// fetch reads the list. It returns false if the list can't be read or is a former leader's.
 func (r *receiver) fetch(ctx context.Context) (*endpointlist.List, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -85,7 +88,8 @@
 	return &list, err == nil
 }
 
-// deliverChanges delivers what differs from what was delivered before.
+// deliverChanges delivers the differences from the replicated list that was delivered before, or
+// the complete list if there was none.
 func (r *receiver) deliverChanges(list *endpointlist.List) {
 	update := registry.Update{Kind: registry.Delta}
 	if r.delivered == nil {
@@ -118,8 +122,8 @@
 	}
 }
 
-// removedFirst orders removed members before others, since an address may have passed from one id
-// to another, and otherwise by id.
+// removedFirst orders removed members before others, because an address may have passed from one id
+// to another. Members of the same kind are ordered by id.
 func removedFirst(a, b registry.Member) int {
 	aRemoved, bRemoved := a.Phase == registry.Gone, b.Phase == registry.Gone
 	if aRemoved != bRemoved {
@@ -131,12 +135,12 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// startOwnWatch has this gateway watch the register itself, if it does not yet.
+// startOwnWatch starts this gateway's own watch of the registry, unless there is one already.
 func (r *receiver) startOwnWatch(ctx context.Context) {
 	if r.cancelOwn != nil {
 		return
 	}
-	source, closed, err := r.source.openDirect()
+	source, release, err := r.source.openDirect()
 	if err != nil {
 		return
 	}
@@ -145,10 +149,10 @@
 		"fleet: the list of servers is not heard: this gateway watches the register itself",
 		"silent_for", silentFor)
 	ctx, r.cancelOwn = context.WithCancel(ctx)
-	r.delivered = nil // the next replicated list has to be complete
+	r.delivered = nil // the next replicated list has to be delivered completely
 	updates := r.ownUpdates
 	go func() {
-		defer closed()
+		defer release()
 		source.Run(ctx, func(update registry.Update) {
 			select {
 			case updates <- update:
@@ -158,7 +162,7 @@
 	}()
 }
 
-// stopOwnWatch ends this gateway's own watch, if it has one.
+// stopOwnWatch ends this gateway's own watch, if there is one.
 func (r *receiver) stopOwnWatch() {
 	if r.cancelOwn == nil {
 		return
--- a/internal/controlplane/endpointwatch/source.go
+++ b/internal/controlplane/endpointwatch/source.go
@@ -1,7 +1,10 @@
-// Package endpointwatch has one gateway, the leader of a role, watch the register and write the
-// complete endpoint list to the replicated state, from which the others receive it. A gateway that
-// has received nothing for a while watches the register itself until it does. Package distributor
-// has taken its place; it stays as the baseline of the capacity measurements.
+// Package endpointwatch makes one gateway, the leader of a role, watch the registry and write the
+// complete endpoint list to the replicated state, from which the other gateways receive it. A
+// gateway that has not received the list for a while watches the registry itself until it receives
+// the list again.
+//
+// Package distributor has replaced this package, which remains as the baseline of the capacity
+// measurements.
 package endpointwatch
 
 import (
@@ -16,27 +19,27 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// callTimeout bounds one call to the control plane.
+// callTimeout bounds each call to the control plane.
 const callTimeout = 2 * time.Second
 
-// Source is a gateway's endpoint source (a registry.Source), and the work of the role's leader.
+// Source is a gateway's registry.Source, and its Work method is the work of the role's leader.
 type Source struct {
-	// NewDirect returns a source that asks the register itself. Several may run at once.
+	// NewDirect returns a source that watches the registry directly. Several may run at once.
 	NewDirect func() (registry.Source, error)
 	Client    *controlrpc.Client
-	// SilenceTimeout is for how long nothing may be received before the gateway watches the
-	// register itself.
+	// SilenceTimeout is the time without news of the replicated list after which the gateway
+	// watches the registry itself.
 	SilenceTimeout time.Duration
 	Log            *slog.Logger
 
-	mu      sync.Mutex        // guards what follows
-	direct  []registry.Source // those that run now; they move together
-	movedTo string            // the last address; "": none was set
+	mu      sync.Mutex        // guards the fields below
+	direct  []registry.Source // the running direct sources, to which Move applies
+	movedTo string            // the address of the last Move; empty if there was none
 }
 
-// openDirect returns a direct source that moves with the others, and a function that is to be
-// called when it has ended.
-func (s *Source) openDirect() (source registry.Source, closed func(), err error) {
+// openDirect returns a direct source. Move applies to it until release is called, which has to be
+// done when the source has ended.
+func (s *Source) openDirect() (source registry.Source, release func(), err error) {
 	source, err = s.NewDirect()
 	if err != nil {
 		return nil, nil, err
@@ -56,10 +59,10 @@
 	}, nil
 }
 
-// Follow does nothing: the register answers whoever asks.
+// Follow does nothing, since Run follows the list from the start.
 func (s *Source) Follow() {}
 
-// Move sets another address of the register, for all sources of this process that ask it.
+// Move sets the address of the registry for all direct sources of this process.
 func (s *Source) Move(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +72,8 @@
 	}
 }
 
-// Run delivers the list until the context ends: the replicated one, or this gateway's own while the
-// replicated one is not received.
+// Run delivers the replicated list until the context ends. While the replicated list is not
+// received, it delivers the list of this gateway's own watch instead.
 func (s *Source) Run(ctx context.Context, deliver func(registry.Update)) {
 	heads := make(chan endpointlist.Head, 1)
 	go s.watchHeads(ctx, heads)
