--- a/internal/controlplane/endpointlist/machine_test.go
+++ b/internal/controlplane/endpointlist/machine_test.go
@@ -8,6 +8,9 @@
 	"mothcleat/internal/mustjson"
 )
 
+// Commands are rejected from members that do not hold the role, under old terms, and if the first
+// one of a term is not the complete list. Others count a heartbeat, and a version if they have
+// changes. A snapshot restores the same state.
 func TestCommands(t *testing.T) {
 	table := lease.NewTable(lease.DefaultConfig())
 	a, b := lease.Member{ID: "a", Incarnation: 1}, lease.Member{ID: "b", Incarnation: 1}
@@ -22,15 +25,15 @@
 		}
 		return all
 	}
-	apply := func(who lease.Member, op Op, ok bool, version, heartbeats uint64, count int) {
+	apply := func(who lease.Member, op Op, accepted bool, version, heartbeats uint64, count int) {
 		t.Helper()
-		why := m.Apply(0, 1, who, mustjson.Marshal(op))
-		if (len(why) == 0) != ok || m.list.Version != version ||
+		rejection := m.Apply(0, 1, who, mustjson.Marshal(op))
+		if (len(rejection) == 0) != accepted || m.list.Version != version ||
 			m.list.Heartbeats != heartbeats || len(m.list.Servers) != count {
-			t.Errorf("%+v: %s; %+v", op, why, m.list)
+			t.Errorf("%+v: rejection %q, list %+v", op, rejection, m.list)
 		}
 	}
-	apply(a, Op{Term: 1, Changed: servers("x", `1`)}, false, 0, 0, 0) // not complete yet
+	apply(a, Op{Term: 1, Changed: servers("x", `1`)}, false, 0, 0, 0) // not the complete list
 	apply(b, Op{Term: 1, Complete: true}, false, 0, 0, 0)
 	apply(a, Op{Term: 1, Complete: true, Changed: servers("x", `1`, "y", `2`)}, true, 1, 1, 2)
 	apply(a, Op{Term: 1}, true, 1, 2, 2)
@@ -46,6 +49,6 @@
 	err := restored.Restore(m.Snapshot())
 	want, got := m.Query(0, []byte("list")), restored.Query(0, []byte("list"))
 	if err != nil || string(got) != string(want) {
-		t.Errorf("%v", err)
+		t.Errorf("the restored list is %s, want %s: %v", got, want, err)
 	}
 }
