--- a/internal/controlplane/usageexport/usageexport.go
+++ b/internal/controlplane/usageexport/usageexport.go
@@ -1,10 +1,11 @@
-// Package usageexport is the replicated state of usage export: which files count, and up to which
-// period the use of each gateway is exported. Gateways meter units by period and incarnation. The
-// leader of a shard collects closed periods and writes them to files. A file counts only once a
-// committed command names its digest. A command is rejected under an old term, and if it would
-// export a period twice or skip one.
+// Package usageexport is the replicated state machine of the usage export. Its state says which
+// exported files count, and up to which period the usage of each gateway has been exported.
 //
-// It is a deterministic state machine: nothing here does I/O or reads a clock.
+// Gateways meter units by period and incarnation. The leader of a shard collects closed periods and
+// writes them to files. A file counts only once a command with its digest is committed. A command
+// is rejected if its term is over, or if it would export a period twice or skip one.
+//
+// The state machine is deterministic. It does no I/O and reads no clock.
 package usageexport
 
 import (
@@ -22,16 +23,16 @@
 	"mothcleat/internal/mustjson"
 )
 
-// MachineName is the name of this state machine in the replicated state.
+// MachineName is the name of this state machine in the replicated log.
 const MachineName = "exports"
 
-// maxFiles is the number of files that are listed. The chain of digests covers older ones.
+// maxFiles is the number of files that View.Files lists. View.Chain covers older files, too.
 const maxFiles = 512
 
 // RoleOfShard returns the name of the role that exports a shard.
 func RoleOfShard(shard int) string { return "use/" + strconv.Itoa(shard) }
 
-// ShardOf returns the shard in which the use of a gateway is exported.
+// ShardOf returns the shard in which the usage of a gateway is exported.
 func ShardOf(id string, shards int) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
@@ -40,16 +41,17 @@
 
 // PeriodRange is a range of periods of one incarnation in a file, both ends included.
 type PeriodRange struct {
+	// ID is the id of the gateway.
 	ID string `json:"id"`
-	// Incarnation is in hexadecimal.
+	// Incarnation is the incarnation in hexadecimal.
 	Incarnation string `json:"boot"`
 	From        uint64 `json:"from"`
 	To          uint64 `json:"to"`
-	// Last is set if the incarnation counted nothing after the range.
+	// Last is set if the incarnation has no later periods.
 	Last bool `json:"last,omitempty"`
 }
 
-// Gap is use that is known to be lost: what an incarnation counted after a period.
+// Gap is usage that is known to be lost: what an incarnation counted after the period After.
 type Gap struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
@@ -57,7 +59,7 @@
 	Reason      string `json:"why"`
 }
 
-// File is an exported file that counts.
+// File is an exported file. It counts once a Command with it is committed and applied.
 type File struct {
 	Role string `json:"duty"`
 	Term uint64 `json:"term"`
@@ -68,11 +70,11 @@
 	Rows   int           `json:"rows"`
 	Units  float64       `json:"units"`
 	Ranges []PeriodRange `json:"spans"`
-	// Index is the index of the log entry that made the file count.
+	// Index is the index of the log entry whose command made the file count.
 	Index uint64 `json:"index"`
 }
 
-// Incarnation is one incarnation of a gateway.
+// Incarnation identifies one incarnation of a gateway.
 type Incarnation struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
@@ -83,8 +85,8 @@
 	Shards int   `json:"shards"`
 	File   *File `json:"file,omitempty"`
 	Gaps   []Gap `json:"gaps,omitempty"`
-	// Seen are incarnations that counted use, or may have. They are listed from then on, even if
-	// their directories are lost.
+	// Seen are incarnations that counted usage, or may have. They remain listed even if the
+	// directories with their counts are lost.
 	Seen []Incarnation `json:"seen,omitempty"`
 	// Role and Term are the role and the fencing token under which the command is sent.
 	Role string `json:"duty"`
@@ -93,7 +95,9 @@
 
 // Result is the answer to a Command.
 type Result struct {
-	OK     bool   `json:"ok"`
+	OK bool `json:"ok"`
+	// Reason is why the command was rejected. Answers are part of the replicated state, so the
+	// texts of this package's errors must not change.
 	Reason string `json:"why,omitempty"`
 }
 
@@ -101,8 +105,10 @@
 type Progress struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"boot"`
-	Period      uint64 `json:"period"`
-	Last        bool   `json:"last,omitempty"`
+	// Period is the last exported period; 0 if there is none.
+	Period uint64 `json:"period"`
+	// Last is set if the incarnation has no later periods.
+	Last bool `json:"last,omitempty"`
 	// Gap is why later periods are lost; empty if they are not.
 	Gap string `json:"gap,omitempty"`
 }
@@ -110,19 +116,20 @@
 // View is the answer to a query, and the format of a snapshot.
 type View struct {
 	Progress []Progress `json:"marks"`
-	// Files has the newest last.
+	// Files are the newest files, at most maxFiles, from the oldest to the newest.
 	Files []File `json:"files"`
-	// Count is the number of files that ever counted.
+	// Count is the number of all files that count, including those no longer in Files.
 	Count uint64 `json:"count"`
-	// Units is the sum of the units in them.
+	// Units is the sum of the units in all files that count.
 	Units float64 `json:"units"`
-	// Chain is a hash over the digests of all files, in their order.
+	// Chain is a hash in hexadecimal over the digests of all files that count, in their order.
 	Chain string `json:"chain"`
 }
 
 // Fence rejects commands of former leaders.
 type Fence interface {
-	// Fence returns an error unless who holds the role under the term, which is the fencing token.
+	// Fence returns an error unless who holds the role under the term. The term is the fencing
+	// token.
 	Fence(role string, term uint64, who lease.Member) error
 }
 
@@ -147,10 +154,10 @@
 
 // Apply applies a Command and returns a Result, both as JSON.
 func (m *Machine) Apply(_ time.Duration, index uint64, who lease.Member, body []byte) []byte {
-	var op Command
-	err := json.Unmarshal(body, &op)
+	var command Command
+	err := json.Unmarshal(body, &command)
 	if err == nil {
-		err = m.apply(index, who, &op)
+		err = m.apply(index, who, &command)
 	}
 	r := Result{OK: err == nil}
 	if err != nil {
@@ -159,7 +166,7 @@
 	return mustjson.Marshal(r)
 }
 
-// apply checks a command completely and then applies it.
+// apply checks the whole command before it applies any part of it.
 func (m *Machine) apply(index uint64, who lease.Member, command *Command) error {
 	if err := m.fence.Fence(command.Role, command.Term, who); err != nil {
 		return err
@@ -182,7 +189,7 @@
 	return nil
 }
 
-// check returns why a command can't be applied, nil if it can. It changes nothing.
+// check returns an error if a command can't be applied. It does not change the state.
 func (m *Machine) check(command *Command) error {
 	if command.File != nil {
 		if err := m.checkFile(command); err != nil {
@@ -202,7 +209,7 @@
 	return nil
 }
 
-// checkShard rejects gateways whose use is exported under another role.
+// checkShard rejects gateways whose usage is exported under another role.
 func (c *Command) checkShard(id string) error {
 	if role := RoleOfShard(ShardOf(id, c.Shards)); role != c.Role {
 		return fmt.Errorf("exports: the use of %s goes under %s, not %s", id, role, c.Role)
@@ -218,7 +225,7 @@
 	if !underCommand || f.Name == "" || len(f.SHA256) != 2*sha256.Size {
 		return fmt.Errorf("exports: file %q: incomplete", f.Name)
 	}
-	exported := map[incarnationKey]uint64{} // by incarnation, with the ranges checked so far
+	exported := map[incarnationKey]uint64{} // the last period of the ranges checked so far
 	for _, r := range f.Ranges {
 		if err := command.checkShard(r.ID); err != nil {
 			return err
@@ -237,14 +244,14 @@
 	return nil
 }
 
-// addFile makes a checked file count.
+// addFile makes a file that has passed checkFile count.
 func (m *Machine) addFile(index uint64, who lease.Member, file *File) {
 	for _, r := range file.Ranges {
 		progress := m.progressOf(r.ID, r.Incarnation)
 		progress.Period = r.To
 		progress.Last = r.Last
 		if r.Last {
-			progress.Gap = "" // the incarnation's counts were found again
+			progress.Gap = "" // the gateway has the incarnation's counts again
 		}
 	}
 	f := *file
@@ -258,7 +265,7 @@
 	m.view.Files = files[max(0, len(files)-maxFiles):]
 }
 
-// progressOf returns the progress of an incarnation, which is added if it is new.
+// progressOf returns the progress of an incarnation, and adds the incarnation if it is new.
 func (m *Machine) progressOf(id, incarnation string) *Progress {
 	key := incarnationKey{id, incarnation}
 	if m.progress[key] == nil {
@@ -283,7 +290,7 @@
 	return mustjson.Marshal(v)
 }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state by that of a snapshot. On an error it leaves the state unchanged.
 func (m *Machine) Restore(raw []byte) error {
 	var v View
 	if err := json.Unmarshal(raw, &v); err != nil {
--- a/internal/controlplane/usageexport/usageexport_test.go
+++ b/internal/controlplane/usageexport/usageexport_test.go
@@ -9,26 +9,26 @@
 )
 
 var (
-	owner = lease.Member{ID: "a", Incarnation: 1}
-	late  = lease.Member{ID: "b", Incarnation: 1}
+	leader       = lease.Member{ID: "a", Incarnation: 1}
+	formerLeader = lease.Member{ID: "b", Incarnation: 1}
 )
 
-// machine returns a machine whose role the owner holds under term 2.
-func machine(t *testing.T) *Machine {
+// newMachine returns a machine whose role the leader holds under term 2.
+func newMachine(t *testing.T) *Machine {
 	t.Helper()
-	tb := lease.NewTable(lease.DefaultConfig())
-	if _, err := tb.Acquire(0, RoleOfShard(0), late, 0); err != nil {
+	table := lease.NewTable(lease.DefaultConfig())
+	if _, err := table.Acquire(0, RoleOfShard(0), formerLeader, 0); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := tb.Acquire(1<<40, RoleOfShard(0), owner, 0); err != nil || h.Term != 2 {
-		t.Fatal(h, err)
+	if l, err := table.Acquire(1<<40, RoleOfShard(0), leader, 0); err != nil || l.Term != 2 {
+		t.Fatal(l, err)
 	}
-	return NewMachine(tb)
+	return NewMachine(table)
 }
 
-func do(t *testing.T, m *Machine, who lease.Member, op Command) Result {
+func apply(t *testing.T, m *Machine, who lease.Member, command Command) Result {
 	t.Helper()
-	raw, err := json.Marshal(op)
+	raw, err := json.Marshal(command)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,8 @@
 	return r
 }
 
-func file(term uint64, spans ...PeriodRange) Command {
+// fileCommand returns a command that makes a file with the given ranges count.
+func fileCommand(term uint64, ranges ...PeriodRange) Command {
 	return Command{
 		Shards: 1,
 		Role:   RoleOfShard(0),
@@ -50,46 +51,48 @@
 			Name:   "f",
 			SHA256: strings.Repeat("0", 64),
 			Units:  2,
-			Ranges: spans,
+			Ranges: ranges,
 		},
 	}
 }
 
-func TestWhatCounts(t *testing.T) {
-	m := machine(t)
+// A command counts only if the leader sends it under the current term, and if each range of its file
+// begins after the last exported period of the incarnation. A snapshot restores the same state.
+func TestCommandsAreChecked(t *testing.T) {
+	m := newMachine(t)
 	for i, c := range []struct {
-		who  lease.Member
-		op   Command
-		want string // in the refusal; "": it counts
+		who     lease.Member
+		command Command
+		want    string // part of the reason for the rejection; empty if the command is applied
 	}{
-		{late, file(1, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "term 1"},
-		{late, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "owned by"},
-		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 2, To: 3}), "periods 2 to 3"},
+		{formerLeader, fileCommand(1, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "term 1"},
+		{formerLeader, fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "owned by"},
+		{leader, fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 2, To: 3}), "periods 2 to 3"},
 		{
-			owner,
-			file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2},
+			leader,
+			fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2},
 				PeriodRange{ID: "h", Incarnation: "9", From: 1, To: 1}),
 			"",
 		},
-		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "those up to 2"},
-		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 2, To: 3}), "those up to 2"},
-		{owner, file(2, PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4 to 4"},
+		{leader, fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 2}), "those up to 2"},
+		{leader, fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 2, To: 3}), "those up to 2"},
+		{leader, fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4}), "periods 4 to 4"},
 		{
-			owner,
-			file(2, PeriodRange{ID: "h", Incarnation: "9", From: 2, To: 2},
+			leader,
+			fileCommand(2, PeriodRange{ID: "h", Incarnation: "9", From: 2, To: 2},
 				PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4}),
 			"periods 4",
 		},
 		{
-			owner,
-			file(2, PeriodRange{ID: "g", Incarnation: "1", From: 3, To: 3},
+			leader,
+			fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 3, To: 3},
 				PeriodRange{ID: "g", Incarnation: "1", From: 4, To: 4, Last: true}),
 			"",
 		},
-		// another incarnation counts anew
-		{owner, file(2, PeriodRange{ID: "g", Incarnation: "2", From: 1, To: 1}), ""},
+		// the periods of another incarnation begin at 1 again
+		{leader, fileCommand(2, PeriodRange{ID: "g", Incarnation: "2", From: 1, To: 1}), ""},
 		{
-			owner,
+			leader,
 			Command{
 				Shards: 1,
 				Role:   RoleOfShard(0),
@@ -99,7 +102,7 @@
 			"term 1",
 		},
 	} {
-		if r := do(t, m, c.who, c.op); r.OK != (c.want == "") ||
+		if r := apply(t, m, c.who, c.command); r.OK != (c.want == "") ||
 			!strings.Contains(r.Reason, c.want) {
 			t.Errorf("%d: %+v, want %q", i, r, c.want)
 		}
@@ -112,16 +115,17 @@
 		!v.Progress[0].Last || v.Files[0].Owner != "a" || v.Chain == "" {
 		t.Errorf("%+v", v)
 	}
-	copied := NewMachine(nil)
-	if err := copied.Restore(m.Snapshot()); err != nil ||
-		string(copied.Snapshot()) != string(m.Snapshot()) {
-		t.Errorf("%v: %s", err, copied.Snapshot())
+	restored := NewMachine(nil)
+	if err := restored.Restore(m.Snapshot()); err != nil ||
+		string(restored.Snapshot()) != string(m.Snapshot()) {
+		t.Errorf("the restored state is %s: %v", restored.Snapshot(), err)
 	}
 }
 
-// An incarnation that was seen and vanished is a gap, until its directory is back.
+// A gap that was reported for an incarnation is removed when its last period is exported after all. A
+// command with a gateway of another shard is rejected.
 func TestGaps(t *testing.T) {
-	m := machine(t)
+	m := newMachine(t)
 	seen := Command{Shards: 1, Role: RoleOfShard(0), Term: 2, Seen: []Incarnation{{"g", "1"}}}
 	gap := Command{
 		Shards: 1,
@@ -129,16 +133,16 @@
 		Term:   2,
 		Gaps:   []Gap{{ID: "g", Incarnation: "1", After: 0, Reason: "lost"}},
 	}
-	for _, op := range []Command{seen, gap} {
-		if r := do(t, m, owner, op); !r.OK {
+	for _, command := range []Command{seen, gap} {
+		if r := apply(t, m, leader, command); !r.OK {
 			t.Fatal(r)
 		}
 	}
 	if progress := m.progress[incarnationKey{"g", "1"}]; progress == nil || progress.Gap != "lost" {
 		t.Errorf("%+v", progress)
 	}
-	if r := do(t, m, owner,
-		file(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
+	if r := apply(t, m, leader,
+		fileCommand(2, PeriodRange{ID: "g", Incarnation: "1", From: 1, To: 1, Last: true})); !r.OK {
 		t.Fatal(r)
 	}
 	if progress := m.progress[incarnationKey{"g", "1"}]; progress.Gap != "" || !progress.Last {
@@ -149,13 +153,13 @@
 	for ShardOf(other, 4) == 0 {
 		other += "x"
 	}
-	if r := do(t, m, owner,
+	if r := apply(t, m, leader,
 		Command{
 			Shards: 4,
 			Role:   RoleOfShard(0),
 			Term:   2,
 			Seen:   []Incarnation{{other, "1"}},
 		}); r.OK {
-		t.Error("another shard's gateway is taken")
+		t.Error("a command with another shard's gateway is applied")
 	}
 }
