--- a/internal/controlplane/usageexporter/batch.go
+++ b/internal/controlplane/usageexporter/batch.go
@@ -11,21 +11,22 @@
 	"mothcleat/internal/controlplane/usageexport"
 )
 
-// csvHeader names the columns of an exported file. Consumers of the files rely on it.
+// csvHeader has the names of the columns of an exported file. Consumers of the files rely on them.
 var csvHeader = []string{"gateway", "boot", "period", "begun_us", "ended_us", "customer", "units"}
 
-// batch is what one round has collected.
+// batch is the usage that one round has collected.
 type batch struct {
-	progress map[string]map[string]usageexport.Progress // by id and incarnation
-	text     bytes.Buffer
-	csv      *csv.Writer
+	progress map[string]map[string]usageexport.Progress // by gateway id and incarnation
+	text     bytes.Buffer                               // the content of the file
+	csv      *csv.Writer                                // writes to text
 	rows     int
 	units    float64
-	ranges   []usageexport.PeriodRange
+	ranges   []usageexport.PeriodRange // the collected periods
 	gaps     []usageexport.Gap
-	seen     []usageexport.Incarnation
+	seen     []usageexport.Incarnation // incarnations that the committed state does not list yet
 }
 
+// newBatch returns an empty batch that starts from the progress in the committed state.
 func newBatch(view *usageexport.View) *batch {
 	b := &batch{progress: map[string]map[string]usageexport.Progress{}}
 	for _, p := range view.Progress {
@@ -35,7 +36,7 @@
 		b.progress[p.ID][p.Incarnation] = p
 	}
 	b.csv = csv.NewWriter(&b.text)
-	_ = b.csv.Write(csvHeader) // a buffer takes everything
+	_ = b.csv.Write(csvHeader) // writing to a buffer can't fail
 	return b
 }
 
@@ -44,7 +45,8 @@
 	return b.rows == 0 && len(b.ranges) == 0 && len(b.gaps) == 0 && len(b.seen) == 0
 }
 
-// recordIncarnations adds the incarnations of a gateway that are not known yet.
+// recordIncarnations adds to seen those of a gateway's incarnations that the committed state does
+// not list.
 func (b *batch) recordIncarnations(id string, incarnations []uint64) {
 	for _, incarnation := range incarnations {
 		text := usageexport.IncarnationText(incarnation)
@@ -70,8 +72,8 @@
 	return periods
 }
 
-// recordGaps adds a gap for each incarnation of a gateway that has not exported its last period and
-// is not among those received.
+// recordGaps adds a gap for each incarnation of a gateway whose last period is not exported and of
+// which nothing was received.
 func (b *batch) recordGaps(id string, received map[string]bool) {
 	for incarnation, progress := range b.progress[id] {
 		if progress.Last || progress.Gap != "" || received[incarnation] {
@@ -86,8 +88,8 @@
 	}
 }
 
-// add adds a period. It ignores one that was exported or added before, and returns an error if a
-// period is missing.
+// add adds a period. It ignores a period that was exported or added before, and returns an error if
+// an earlier period is missing.
 func (b *batch) add(p *controlpb.UsagePeriod) error {
 	incarnation := usageexport.IncarnationText(p.Incarnation)
 	last := b.progress[p.Id][incarnation].Period
@@ -101,7 +103,8 @@
 		return nil
 	}
 	if p.Period != last+1 {
-		return fmt.Errorf("%s/%s: period %d comes after %d", p.Id, incarnation, p.Period, last)
+		return fmt.Errorf("%s/%s: received period %d directly after %d",
+			p.Id, incarnation, p.Period, last)
 	}
 	if i < 0 {
 		added := usageexport.PeriodRange{ID: p.Id, Incarnation: incarnation, From: p.Period}
@@ -113,7 +116,7 @@
 	return b.addRows(incarnation, p)
 }
 
-// addRows adds one row a tenant.
+// addRows adds one row for each tenant.
 func (b *batch) addRows(incarnation string, p *controlpb.UsagePeriod) error {
 	for _, u := range p.Units {
 		b.rows++
--- a/internal/controlplane/usageexporter/exporter.go
+++ b/internal/controlplane/usageexporter/exporter.go
@@ -1,4 +1,4 @@
-// Package usageexporter is the work of the leader that exports usage: it collects the closed
+// Package usageexporter does the work of the leader that exports usage. It collects the closed
 // periods of the gateways, writes them to files, and commits to the replicated state (package
 // usageexport) that the files count.
 package usageexporter
@@ -23,12 +23,15 @@
 	"mothcleat/internal/failpoint"
 )
 
-// Exporter exports one shard. Its fields must not be changed after Work was called.
+// Exporter exports the usage of one shard. Its fields must not be changed after Work was called.
 type Exporter struct {
-	// Dir is the directory of the files. It must be the same for all processes that may lead.
-	Dir      string
-	Shard    int
-	Shards   int
+	// Dir is the directory of the files. All processes that may lead have to share it.
+	Dir string
+	// Shard is the index of the shard, from 0.
+	Shard int
+	// Shards is the number of shards.
+	Shards int
+	// Interval is the time between two exports.
 	Interval time.Duration
 	Client   *controlrpc.Client
 	Log      *slog.Logger
@@ -36,15 +39,16 @@
 
 const (
 	requestTimeout = 3 * time.Second
-	collectTimeout = 2 * time.Second // for one gateway
-	// maxRows is the number of rows after which a file gets no further gateway.
+	collectTimeout = 2 * time.Second // for each gateway
+	// maxRows is the number of rows after which no further gateway is added to a file.
 	maxRows = 200_000
 )
 
-// errRejected is returned for a command that was committed but rejected by the state machine.
+// errRejected is wrapped by the error for a command that was committed but rejected by the state
+// machine.
 var errRejected = errors.New("refused")
 
-// Work exports every e.Interval until its context ends. It is an election.Work.
+// Work exports once per e.Interval until the context ends. It is an election.Work.
 func (e *Exporter) Work(ctx context.Context, t *election.Tenure) {
 	tick := time.NewTicker(e.Interval)
 	defer tick.Stop()
@@ -56,7 +60,7 @@
 	for {
 		err := e.exportOnce(ctx, t, members, &cleanedUp)
 		if err != nil && (ctx.Err() == nil || errors.Is(err, errRejected)) {
-			e.Log.Warn("fleet: export", "duty", t.Role, "term", t.Term, "error", err)
+			e.Log.Warn("fleet: export failed", "duty", t.Role, "term", t.Term, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -66,8 +70,8 @@
 	}
 }
 
-// exportOnce collects, writes and commits once. It sets cleanedUp after it has removed the
-// abandoned files of former leaders, and does so only once.
+// exportOnce collects, writes and commits once. If cleanedUp is not set, it first removes the
+// abandoned files of former leaders and then sets it.
 func (e *Exporter) exportOnce(
 	ctx context.Context, t *election.Tenure, members *controlrpc.Members, cleanedUp *bool,
 ) error {
@@ -130,7 +134,8 @@
 	return members.List(ctx)
 }
 
-// collectAll collects the closed periods of the shard's gateways, up to about maxRows rows.
+// collectAll collects the closed periods of the shard's gateways. It skips the remaining gateways
+// once there are more than maxRows rows.
 func (e *Exporter) collectAll(
 	ctx context.Context, members []consensus.MemberInfo, view *usageexport.View,
 ) *batch {
@@ -142,48 +147,52 @@
 		}
 		b.recordIncarnations(m.ID, append(slices.Clone(m.Retired), m.Incarnation))
 		if err := e.collect(ctx, m, b); err != nil {
-			e.Log.Debug("fleet: export: not heard", "gateway", m.ID, "error", err)
+			e.Log.Debug("fleet: could not collect a gateway's usage",
+				"gateway", m.ID, "error", err)
 		}
 	}
 	return b
 }
 
 // collect requests the closed periods of one gateway. If all were received, it records a gap for
-// each ended incarnation of which the gateway has nothing: the directory with its counts was lost.
+// each ended incarnation of which the gateway has nothing, because the directory with the counts of
+// that incarnation was lost.
 func (e *Exporter) collect(ctx context.Context, m consensus.MemberInfo, b *batch) error {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	received := map[string]bool{} // by incarnation
 	add := func(p *controlpb.UsagePeriod) error {
 		if p.Id != m.ID {
-			return fmt.Errorf("%s answers for %s", p.Id, m.ID)
+			return fmt.Errorf("received a period of gateway %s from %s", p.Id, m.ID)
 		}
 		received[usageexport.IncarnationText(p.Incarnation)] = true
 		return b.add(p)
 	}
 	err := e.Client.Collect(ctx, m.ID, m.Address, b.exportedPeriods(m.ID), add)
 	if !errors.Is(err, io.EOF) {
-		return err // the periods received so far are complete
+		return err // the batch keeps the periods received so far, which have no gaps
 	}
-	received[usageexport.IncarnationText(m.Incarnation)] = true // it has not ended
+	received[usageexport.IncarnationText(m.Incarnation)] = true // this incarnation has not ended
 	b.recordGaps(m.ID, received)
 	return nil
 }
 
-// commit commits a command. It removes the command's file if that was rejected.
+// commit proposes a command and waits until it is committed. If the command is rejected, it removes
+// the command's file and returns an error that wraps errRejected.
 func (e *Exporter) commit(ctx context.Context, command *usageexport.Command) error {
 	failpoint.At("export-before-agree")
 	raw, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
-	// The call outlives the leadership: a former leader has to learn whether its file counts, too.
+	// The call continues when the leadership ends, because a former leader, too, has to learn
+	// whether its file counts.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
 	raw, err = e.Client.Propose(ctx, usageexport.MachineName, raw)
 	if err != nil {
-		// It is unknown whether the file counts. The next round reads that from the state, and a
-		// later leader removes the file if it does not.
+		// It is unknown whether the file counts. The next round reads this from the state, and a
+		// later leader removes the file if it does not count.
 		return err
 	}
 	failpoint.At("export-after-agree")
--- a/internal/controlplane/usageexporter/files.go
+++ b/internal/controlplane/usageexporter/files.go
@@ -15,11 +15,11 @@
 	"mothcleat/internal/failpoint"
 )
 
-// prefix returns the prefix of the names of the shard's files.
+// prefix returns the common prefix of the names of the shard's files.
 func (e *Exporter) prefix() string { return fmt.Sprintf("use-%03d-", e.Shard) }
 
-// writeFile writes the rows of a batch to a file that does not count yet. Its name has the term and
-// the digest, so that no two leaders write the same file.
+// writeFile writes the rows of a batch to a file, which does not count yet. The file name contains
+// the term and the digest, so that no two leaders write the same file.
 func (e *Exporter) writeFile(t *election.Tenure, b *batch) (*usageexport.File, error) {
 	b.csv.Flush()
 	sum := sha256.Sum256(b.text.Bytes())
@@ -50,8 +50,8 @@
 	return f, syncDir(e.Dir)
 }
 
-// removeAbandoned removes files of former leaders that never counted. No other process can make
-// them count under this term, and the view was read after the term began.
+// removeAbandoned removes files of former leaders that don't count. They can't count later, because
+// commands of earlier terms are rejected and the view was read after the term began.
 func (e *Exporter) removeAbandoned(t *election.Tenure, view *usageexport.View) error {
 	counts := map[string]bool{}
 	for _, f := range view.Files {
@@ -63,7 +63,7 @@
 	}
 	oldest := uint64(0)
 	if len(view.Files) > 0 && uint64(len(view.Files)) < view.Count {
-		oldest = view.Files[0].Term // older files are no longer listed
+		oldest = view.Files[0].Term // the view no longer lists all files of terms up to this one
 	}
 	for _, entry := range entries {
 		rest, ok := strings.CutPrefix(entry.Name(), e.prefix())
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// syncDir syncs a directory, so that a file renamed in it survives a power failure.
+// syncDir syncs a directory, so that a rename in it survives a power failure.
 func syncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
--- a/internal/controlplane/usageexporter/stored_test.go
+++ b/internal/controlplane/usageexporter/stored_test.go
@@ -8,7 +8,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// Files that an earlier build exported are verified against the state that its fleet committed.
+// Files exported by an earlier build are verified against the state that its fleet committed.
 func TestStoredExportsAreVerified(t *testing.T) {
 	var view usageexport.View
 	if err := json.Unmarshal(fixture.Read(t, "testdata/exports.state"), &view); err != nil {
--- a/internal/controlplane/usageexporter/verify.go
+++ b/internal/controlplane/usageexporter/verify.go
@@ -14,7 +14,7 @@
 	"mothcleat/internal/controlplane/usageexport"
 )
 
-// Columns of an exported file; see csvHeader.
+// Indexes of columns in csvHeader.
 const (
 	customerColumn = 5
 	unitsColumn    = 6
@@ -23,12 +23,14 @@
 // FileMismatchError is returned for an exported file whose digest is not the committed one.
 type FileMismatchError struct{ Name string }
 
-// Error returns the name of the file.
-func (e *FileMismatchError) Error() string { return e.Name + ": not as it was agreed" }
+// Error returns the name of the file and the reason.
+func (e *FileMismatchError) Error() string {
+	return e.Name + ": the digest differs from the committed one"
+}
 
-// Verify checks the files of a directory against the committed view: those that count must be there
-// with their digests. It returns the units by tenant in the files that count, and the names of
-// files that do not count. It returns a FileMismatchError for a file with another digest.
+// Verify checks the files of a directory against the committed view. It returns the units by tenant
+// in the files that count, and the names of files that do not count. It returns an error if a file
+// that counts is missing, and a FileMismatchError if its digest differs.
 func Verify(
 	dir string, view *usageexport.View,
 ) (units map[uint64]float64, loose []string, err error) {
