--- a/internal/controlplane/distributor/attempt.go
+++ b/internal/controlplane/distributor/attempt.go
@@ -11,8 +11,8 @@
 	"mothcleat/internal/controlplane/distributionpb"
 )
 
-// maxQueuedRequests is how many requests may wait to be sent on a stream. An attempt that exceeds
-// it is ended.
+// maxQueuedRequests is how many requests may wait to be sent on a stream. A further request ends
+// the attempt.
 const maxQueuedRequests = 16
 
 var errRequestsQueued = errors.New("too many requests wait to be sent on the stream")
--- a/internal/controlplane/distributor/server.go
+++ b/internal/controlplane/distributor/server.go
@@ -31,7 +31,7 @@
 	publisher *distribution.Publisher
 	streams   map[distribution.StreamID]*serverStream
 	lastID    distribution.StreamID
-	// attached is set once Attach was called.
+	// attached is set once Attach was called, and stays unset in a process without a voter.
 	attached bool
 	// nextTickAt is when Run's timer expires.
 	nextTickAt time.Duration
@@ -197,7 +197,7 @@
 	return err
 }
 
-// messageSent tells the publisher that a stream can take its next message.
+// messageSent notifies the publisher that a stream can take its next message.
 func (s *Server) messageSent(id distribution.StreamID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distributor/source.go
+++ b/internal/controlplane/distributor/source.go
@@ -270,7 +270,7 @@
 		return
 	}
 	o.source.log().Warn(
-		"fleet: the list of servers is not heard: this gateway watches the register itself",
+		"fleet: the list of servers is not received: this gateway watches the register itself",
 		"silent_for", time.Since(o.sourceActiveAt).Round(time.Millisecond).String())
 	ctx, o.cancelDirectWatch = context.WithCancel(ctx)
 	updates := make(chan registry.Update)
--- a/internal/controlplane/distributor/support.go
+++ b/internal/controlplane/distributor/support.go
@@ -71,7 +71,7 @@
 type voterSupportStatus int
 
 const (
-	supportUnknown voterSupportStatus = iota // the voter could not be reached in time
+	supportUnknown voterSupportStatus = iota // the probe failed otherwise or timed out
 	supportPresent                           // the voter serves the distribution
 	supportMissing                           // the voter answered that it has no such service
 )
--- a/internal/controlplane/endpointwatch/receiver.go
+++ b/internal/controlplane/endpointwatch/receiver.go
@@ -146,7 +146,7 @@
 	}
 	silentFor := time.Since(r.lastReceived).Round(time.Millisecond).String()
 	r.source.Log.Warn(
-		"fleet: the list of servers is not heard: this gateway watches the register itself",
+		"fleet: the list of servers is not received: this gateway watches the register itself",
 		"silent_for", silentFor)
 	ctx, r.cancelOwn = context.WithCancel(ctx)
 	r.delivered = nil // the next replicated list has to be delivered completely
