--- a/internal/dataplane/gateway/accept_test.go
+++ b/internal/dataplane/gateway/accept_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// Connections that the kernel has accepted when the listener is to be closed are served: closing
-// the listener over them would reset them and lose their requests. Later ones are refused.
+// Connections that wait in the listener's backlog are accepted before the listener closes. Closing
+// it earlier would reset them and lose their requests. Later connections are refused.
 func TestBacklogIsAcceptedBeforeListenerCloses(t *testing.T) {
-	g := unstarted(t, newFakeDiscovery(t))
+	g := newUnstartedGateway(t, newFakeDiscovery(t))
 	address := g.clients.listener.Addr().String()
 	const waiting = 3
-	var dialled []net.Conn
+	var conns []net.Conn
 	for range waiting {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		dialled = append(dialled, c)
+		conns = append(conns, c)
 	}
 	raw, err := g.clients.listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !g.clients.closeOnceDrained(g, raw) {
-		t.Fatal("it was not closed")
+		t.Fatal("the listener was not closed")
 	}
 	accepted := map[string]*net.TCPConn{}
 	for range waiting {
@@ -33,7 +33,7 @@
 		defer e.conn.Close()
 		accepted[e.conn.RemoteAddr().String()] = e.conn
 	}
-	for _, c := range dialled {
+	for _, c := range conns {
 		conn := accepted[c.LocalAddr().String()]
 		if conn == nil {
 			t.Fatalf("%s was not accepted", c.LocalAddr())
@@ -46,18 +46,18 @@
 		}
 	}
 	if len(g.clients.slots) != waiting {
-		t.Errorf("%d places are taken, %d wanted", len(g.clients.slots), waiting)
+		t.Errorf("%d slots are taken, want %d", len(g.clients.slots), waiting)
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Error("a connection after the close")
+		t.Error("a connection was accepted after the listener was closed")
 	}
 }
 
-// While there is no free slot for a waiting connection the listener stays open: closing it would
-// reset the connection.
+// The listener stays open while a waiting connection has no free slot: closing it would reset the
+// connection.
 func TestListenerStaysOpenWithoutFreeSlots(t *testing.T) {
-	g := unstarted(t, newFakeDiscovery(t))
+	g := newUnstartedGateway(t, newFakeDiscovery(t))
 	for len(g.clients.slots) < cap(g.clients.slots) {
 		g.clients.slots <- struct{}{}
 	}
@@ -66,16 +66,16 @@
 		t.Fatal(err)
 	}
 	if g.clients.closeOnceDrained(g, raw) {
-		t.Error("it was closed")
+		t.Error("the listener was closed without a free slot")
 	}
 	c, err := net.Dial("tcp", g.clients.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	<-g.clients.slots // for the connection that waits
-	<-g.clients.slots // to see that no other does
+	<-g.clients.slots // for the waiting connection
+	<-g.clients.slots // lets the listener check that no other connection waits
 	if !g.clients.closeOnceDrained(g, raw) {
-		t.Error("it was not closed though there was a place")
+		t.Error("the listener was not closed although there was a free slot")
 	}
 }
--- a/internal/dataplane/gateway/admin_test.go
+++ b/internal/dataplane/gateway/admin_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// operator calls a gateway's admin interface.
-func operator(t testing.TB, r *rig, line string) string {
+// callAdmin sends a command to a gateway's admin interface and returns the whole answer.
+func callAdmin(t testing.TB, r *testGateway, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", r.gateway.admin.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -28,40 +28,41 @@
 	return string(b)
 }
 
-// vars reads the metrics.
-func vars(t testing.TB, r *rig) map[string]int {
+// readMetrics returns the gateway's metrics by name, without the prefix "gateway.".
+func readMetrics(t testing.TB, r *testGateway) map[string]int {
 	t.Helper()
-	text, ok := strings.CutSuffix(operator(t, r, "vars"), "\neof\n")
+	text, ok := strings.CutSuffix(callAdmin(t, r, "vars"), "\neof\n")
 	if !ok {
-		t.Fatalf("figures without an end: %q", text)
+		t.Fatalf("metrics without the end marker: %q", text)
 	}
-	figures := map[string]int{}
+	metrics := map[string]int{}
 	for line := range strings.SplitSeq(text, "\n") {
 		name, value, _ := strings.Cut(line, "=")
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			t.Fatalf("figure %q", line)
+			t.Fatalf("metric %q: %v", line, err)
 		}
-		figures[strings.TrimPrefix(name, "gateway.")] = n
+		metrics[strings.TrimPrefix(name, "gateway.")] = n
 	}
-	return figures
+	return metrics
 }
 
-// managed starts a gateway with an admin interface.
-func managed(t testing.TB, d *fakeDiscovery) *rig {
-	return begin(t, configure(t, d, func(f map[string]any) { f["management"] = "127.0.0.1:0" }))
+// startGatewayWithAdmin starts a gateway that has an admin interface.
+func startGatewayWithAdmin(t testing.TB, d *fakeDiscovery) *testGateway {
+	return startGateway(t, testConfig(t, d, func(f map[string]any) { f["management"] = "127.0.0.1:0" }))
 }
 
-// The metrics count each request and each attempt once, as clients and backends have seen them.
+// The metrics count each request and each attempt once, with the outcome that clients and backends
+// have seen.
 func TestMetricsCountOutcomes(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"), b.entry("s-2", "Terminating"))
-	r := managed(t, d)
-	c := r.client(t)
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"), b.memberJSON("s-2", "Terminating"))
+	r := startGatewayWithAdmin(t, d)
+	c := r.dialClient(t)
 
-	c.lookup(1, "60000")
-	b.next(t).serve(t, "one")
-	c.value("one")
+	c.sendLookup(1, "60000")
+	b.nextCommand(t).replyValue(t, "one")
+	c.wantValue("one")
 	c.send(
 		"API.WRITE",
 		"0000000000000007",
@@ -69,23 +70,23 @@
 		"c=once,t=team,d=60000,units=1,spread=1,first=0",
 		"x",
 	)
-	b.next(t).answer(t, "-ERR failed\r\n") // it may have been executed
-	c.want("-ERR failed")
+	b.nextCommand(t).reply(t, "-ERR failed\r\n") // the request may have been executed
+	c.wantLine("-ERR failed")
 	tiny := "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0"
 	c.send("API.READ", "0000000000000009", "0000000000000003", tiny)
-	b.next(t).serve(t, "two")
-	c.value("two")
-	c.send("API.READ", "0000000000000009", "0000000000000005", tiny) // its bucket is empty
-	if line := c.line(); !strings.HasPrefix(line, "-BUSY") {
-		t.Fatalf("answer %q, want a refusal", line)
+	b.nextCommand(t).replyValue(t, "two")
+	c.wantValue("two")
+	c.send("API.READ", "0000000000000009", "0000000000000005", tiny) // the customer's bucket is empty
+	if line := c.readLine(); !strings.HasPrefix(line, "-BUSY") {
+		t.Fatalf("reply %q, want a rejection", line)
 	}
 	c.send("NONSENSE")
-	if line := c.line(); !strings.HasPrefix(line, "-ERR unknown command") {
-		t.Fatalf("answer %q", line)
+	if line := c.readLine(); !strings.HasPrefix(line, "-ERR unknown command") {
+		t.Fatalf("reply %q, want an unknown command", line)
 	}
-	c.lookup(4, "60000")
-	open := b.next(t)
-	got := vars(t, r)
+	c.sendLookup(4, "60000")
+	open := b.nextCommand(t)
+	got := readMetrics(t, r)
 	for name, want := range map[string]int{
 		"answered.lookup": 2, "deferred.lookup": 1, "errored.once": 1, "errored.lookup": 0, "answered.order": 0,
 		"sends": 4, "current": 1, "cluster_size": 2, "cluster_unhealthy": 1, "conf_loaded": 1,
@@ -94,56 +95,56 @@
 			t.Errorf("%s is %d, want %d", name, n, want)
 		}
 	}
-	open.serve(t, "four")
-	c.value("four")
-	if n := vars(t, r)["current"]; n != 0 {
-		t.Errorf("%d requests are open after all were answered", n)
+	open.replyValue(t, "four")
+	c.wantValue("four")
+	if n := readMetrics(t, r)["current"]; n != 0 {
+		t.Errorf("%d requests are open after all replies", n)
 	}
 }
 
-// A drained gateway fails health checks at once, answers the requests that it has and that still
-// come, closes its connections, keeps running, and can be returned to service.
+// A drained gateway fails health checks at once, answers its open requests and those that still
+// arrive, and closes its connections. It keeps running and can be returned to service.
 func TestDrainClosesConnectionsAndCanBeEnded(t *testing.T) {
-	b := newBackend(t)
-	r := managed(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
-	if got := operator(t, r, "check"); got != "ok\n" {
-		t.Fatalf("check of a gateway that serves: %q", got)
+	b := newFakeBackend(t)
+	r := startGatewayWithAdmin(t, newFakeDiscovery(t, b.memberJSON("s-1", "Ready")))
+	if got := callAdmin(t, r, "check"); got != "ok\n" {
+		t.Fatalf("check before the drain: %q", got)
 	}
-	idle, busy, asking := r.client(t), r.client(t), r.client(t)
+	idle, busy, pinging := r.dialClient(t), r.dialClient(t), r.dialClient(t)
 	idle.send("PING")
-	idle.want("+PONG")
-	busy.lookup(1, "60000")
-	held := b.next(t)
-	asking.send("PING")
-	asking.want("+PONG")
+	idle.wantLine("+PONG")
+	busy.sendLookup(1, "60000")
+	held := b.nextCommand(t)
+	pinging.send("PING")
+	pinging.wantLine("+PONG")
 
-	if got := operator(t, r, "drain-on"); got != "ok\n" {
+	if got := callAdmin(t, r, "drain-on"); got != "ok\n" {
 		t.Fatalf("drain-on: %q", got)
 	}
-	asking.send("PING")
-	asking.want("-ERR draining")
-	if got := operator(t, r, "check"); got != "fail draining\n" {
-		t.Errorf("check of a drained gateway: %q", got)
+	pinging.send("PING")
+	pinging.wantLine("-ERR draining")
+	if got := callAdmin(t, r, "check"); got != "fail draining\n" {
+		t.Errorf("check during the drain: %q", got)
 	}
-	late := r.client(t) // the front end does not know of the drain yet
-	late.lookup(2, "60000")
-	b.next(t).serve(t, "late")
-	late.value("late")
-	late.closed()
-	idle.closed()
-	held.serve(t, "held")
-	busy.value("held")
-	busy.closed()
+	late := r.dialClient(t) // the front end has not noticed the drain yet
+	late.sendLookup(2, "60000")
+	b.nextCommand(t).replyValue(t, "late")
+	late.wantValue("late")
+	late.wantClosed()
+	idle.wantClosed()
+	held.replyValue(t, "held")
+	busy.wantValue("held")
+	busy.wantClosed()
 
-	if got := operator(t, r, "drain-off"); got != "ok\n" {
+	if got := callAdmin(t, r, "drain-off"); got != "ok\n" {
 		t.Fatalf("drain-off: %q", got)
 	}
-	again := r.client(t)
-	for range 2 { // on one connection: it stays open
+	again := r.dialClient(t)
+	for range 2 { // the second one checks that the connection stays open
 		again.send("PING")
-		again.want("+PONG")
+		again.wantLine("+PONG")
 	}
-	if got := operator(t, r, "swerve"); !strings.HasPrefix(got, "fail unknown call") {
-		t.Errorf("an unknown call: %q", got)
+	if got := callAdmin(t, r, "swerve"); !strings.HasPrefix(got, "fail unknown call") {
+		t.Errorf("answer to an unknown call: %q", got)
 	}
 }
--- a/internal/dataplane/gateway/authorization_bench_test.go
+++ b/internal/dataplane/gateway/authorization_bench_test.go
@@ -11,9 +11,9 @@
 	"mothcleat/internal/dataplane/forwardauth"
 )
 
-// BenchmarkAuthorization times requests through a gateway whose backend and authenticator
-// answer at once: asking nobody, with the verdict in the cache, and with a call for
-// each request. The quantiles are in microseconds.
+// BenchmarkAuthorization measures requests through a gateway whose backend and authenticator reply
+// at once: without authorization, with a cached verdict, and with one authenticator call for each
+// request. The quantiles are in microseconds.
 func BenchmarkAuthorization(b *testing.B) {
 	for _, kind := range []string{"off", "warm", "cold"} {
 		b.Run(kind, func(b *testing.B) {
@@ -23,34 +23,34 @@
 				}
 			}))
 			defer s.Close()
-			back := newBackend(b)
-			d := newFakeDiscovery(b, back.entry("s-00000001", "Ready"))
-			cfg := configure(b, d, nil)
+			back := newFakeBackend(b)
+			d := newFakeDiscovery(b, back.memberJSON("s-00000001", "Ready"))
+			cfg := testConfig(b, d, nil)
 			if kind != "off" {
-				cfg = asking(b, d, s.URL)
+				cfg = authConfig(b, d, s.URL)
 			}
 			cfg.Settings.Plans[0].Rate, cfg.Settings.Plans[0].Burst = 1e9, 1e9
-			r := begin(b, cfg)
+			r := startGateway(b, cfg)
 			go func() {
-				for call := range back.got {
+				for call := range back.commands {
 					_, _ = call.conn.Write([]byte("*1\r\n$2\r\nok\r\n"))
 				}
 			}()
-			c := r.client(b)
+			c := r.dialClient(b)
 			_ = c.conn.SetDeadline(time.Time{})
-			var took []time.Duration
+			var durations []time.Duration
 			n := 0
 			for b.Loop() {
 				n++
-				began := time.Now()
-				c.lookup(n, "60000")
-				c.value("ok")
-				took = append(took, time.Since(began))
+				start := time.Now()
+				c.sendLookup(n, "60000")
+				c.wantValue("ok")
+				durations = append(durations, time.Since(start))
 			}
-			slices.Sort(took)
+			slices.Sort(durations)
 			for _, p := range []float64{0.5, 0.99, 0.999} {
 				b.ReportMetric(
-					float64(took[int(p*float64(len(took)-1))].Microseconds()),
+					float64(durations[int(p*float64(len(durations)-1))].Microseconds()),
 					fmt.Sprintf("p%g-us", p*100),
 				)
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkKey times what a question costs before it is looked up.
+// BenchmarkKey measures the computation of a question's cache key.
 func BenchmarkKey(b *testing.B) {
 	q := forwardauth.Question{
 		Credential: &forwardauth.Credential{Secret: "token"},
--- a/internal/dataplane/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -10,97 +10,103 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// A connection that sends nothing, or half a command, is closed; one with an open request is not.
-func TestSilentAndStalledClientsAreCutOff(t *testing.T) {
-	t.Parallel() // it waits for seconds
-	r, b, _ := oneBackend(t, nil)
-	good := r.client(t)
-	good.lookup(1, "60000")
-	call := b.next(t)
-	silent, half, slow := r.client(t), r.client(t), r.client(t)
-	half.raw("*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000")
+// A connection that sends nothing, or stops in the middle of a command, is closed. One with an open
+// request is not.
+func TestSilentAndStalledClientsAreDisconnected(t *testing.T) {
+	t.Parallel() // it takes seconds
+	r, b, _ := startWithOneBackend(t, nil)
+	good := r.dialClient(t)
+	good.sendLookup(1, "60000")
+	call := b.nextCommand(t)
+	silent, half, slow := r.dialClient(t), r.dialClient(t), r.dialClient(t)
+	half.writeRaw("*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000")
 	slow.send("PING")
-	slow.want("+PONG")
-	slow.raw("*1\r\n$4\r\nPI")
-	silent.closed()
+	slow.wantLine("+PONG")
+	slow.writeRaw("*1\r\n$4\r\nPI")
+	silent.wantClosed()
 	for _, c := range []*testClient{half, slow} {
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("reply %q, want an error", got)
 		}
-		c.ended()
+		c.wantDisconnected()
 	}
-	call.serve(t, "ok")
-	good.value("ok")
+	call.replyValue(t, "ok")
+	good.wantValue("ok")
 }
 
-// Values far beyond any limit are not read: the error comes before their data.
+// A value whose length is far beyond the limit is not read: the error is sent before its data
+// arrives.
 func TestOversizedCommandIsNotRead(t *testing.T) {
-	r, _, _ := oneBackend(t, nil)
-	c := r.client(t)
-	c.raw("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
-	if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("answer %q", got)
+	r, _, _ := startWithOneBackend(t, nil)
+	c := r.dialClient(t)
+	c.writeRaw("*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n")
+	if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
+		t.Errorf("reply %q, want an error", got)
 	}
-	c.ended()
+	c.wantDisconnected()
 }
 
-// A client that sends only invalid commands is cut off; one that errs now and then is not.
+// A client that sends too many invalid commands in a row is disconnected. One that sends valid
+// commands in between is not.
 func TestConsecutiveErrorsCloseConnection(t *testing.T) {
-	r, _, _ := oneBackend(t, nil)
-	c := r.client(t)
+	r, _, _ := startWithOneBackend(t, nil)
+	c := r.dialClient(t)
 	for range 2 * maxConsecutiveErrors {
 		c.send("NOTHING")
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("reply %q, want an error", got)
 		}
 		c.send("PING")
-		c.want("+PONG")
+		c.wantLine("+PONG")
 	}
 	var flood strings.Builder
 	for range 300 {
 		flood.WriteString("*1\r\n$7\r\nNOTHING\r\n")
 	}
-	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // may be cut off before its end
+	go func() { _, _ = io.WriteString(c.conn, flood.String()) }() // the gateway may close meanwhile
 	for range maxConsecutiveErrors {
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("reply %q, want an error", got)
 		}
 	}
-	c.ended()
+	c.wantDisconnected()
 }
 
-// A request with the id of another client's open request is rejected, and the open one is served.
+// A request that has the id of another client's open request is answered with an error, and the
+// open one is served. Once that has ended, the id can be used again.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
-	c, other := r.client(t), r.client(t)
-	c.lookup(1, "60000")
-	call := b.next(t)
-	other.lookup(1, "60000")
-	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("answer %q", got)
+	r, b, _ := startWithOneBackend(t, nil)
+	c, other := r.dialClient(t), r.dialClient(t)
+	c.sendLookup(1, "60000")
+	call := b.nextCommand(t)
+	other.sendLookup(1, "60000")
+	if got := other.readLine(); !strings.HasPrefix(got, "-ERR ") {
+		t.Errorf("reply %q, want an error", got)
 	}
-	call.serve(t, "ok")
-	c.value("ok")
-	c.lookup(1, "60000") // it has ended
-	b.next(t).serve(t, "again")
-	c.value("again")
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
+	c.sendLookup(1, "60000") // the first request with this id has ended
+	b.nextCommand(t).replyValue(t, "again")
+	c.wantValue("again")
 }
 
-// Connections without a command are evicted first, then those with one command.
+// Connections without a command are evicted first, then those with one command, then the others,
+// each time the one that has been idle longest. Neither a connection with an open request nor the
+// one that needs the slot is evicted.
 func TestEvictionOrder(t *testing.T) {
 	d := newFakeDiscovery(t)
-	g := unstarted(t, d)
+	g := newUnstartedGateway(t, d)
 	now := g.now()
-	add := func(asked int, idle policy.Time) *client {
-		near, err := net.DialTCP("tcp", nil, g.clients.listener.Addr().(*net.TCPAddr))
+	add := func(commands int, idle policy.Time) *client {
+		conn, err := net.DialTCP("tcp", nil, g.clients.listener.Addr().(*net.TCPAddr))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := &client{
-			conn:        near,
-			out:         newSender(near),
+			conn:        conn,
+			out:         newSender(conn),
 			done:        make(chan struct{}),
-			commands:    asked,
+			commands:    commands,
 			lastCommand: now - idle,
 		}
 		g.clients.conns[c] = true
@@ -113,30 +119,30 @@
 	busy.pipeline = []*request{{answered: true}}
 	old, older := add(0, 10e6), add(0, 20e6)
 	for i, c := range []struct {
-		asking *client
-		gone   *client
+		requesting *client // its command needs the slot; nil: a new connection needs it
+		evicted    *client // nil: none
 	}{{nil, older}, {nil, old}, {nil, onceOld}, {nil, gone}, {newcomer, once}, {newcomer, front}, {newcomer, nil}} {
-		if made := g.clients.evict(
+		if freed := g.clients.evict(
 			g,
-			c.asking,
-		); made != (c.gone != nil) ||
-			c.gone != nil && !c.gone.closed {
-			t.Fatalf("step %d: room made %t", i, made)
+			c.requesting,
+		); freed != (c.evicted != nil) ||
+			c.evicted != nil && !c.evicted.closed {
+			t.Fatalf("step %d: a slot was freed: %t", i, freed)
 		}
 	}
 	if busy.closed || newcomer.closed || len(g.clients.slots) != 2 {
-		t.Error("one with an open request, or just come, made room")
+		t.Error("a connection with an open request, or the newcomer itself, was evicted")
 	}
 }
 
-// Connections that sent one command and stay open take no slots from new ones.
+// Connections that sent one command and stay open do not keep slots from new ones.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	r, b := fourBackends(t, 40) // 6 clients, and 4 that may be rejected
+	r, b := startWithFourBackends(t, 40) // slots for 6 clients, and for 4 that may be rejected
 	for id := range 30 {
-		c := r.client(t)
-		c.lookup(id, "60000")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c := r.dialClient(t)
+		c.sendLookup(id, "60000")
+		b.nextCommand(t).replyValue(t, "ok")
+		c.wantValue("ok")
 	}
 }
 
@@ -145,17 +151,17 @@
 
 func (f inspect) handle(g *Gateway) { f(g) }
 
-// A request that has ended leaves no timer and no state behind.
+// A request that has ended leaves no timer and no other state in the gateway.
 func TestEndedRequestsCancelTimers(t *testing.T) {
-	r, b, _ := oneBackend(t, nil)
-	c := r.client(t)
+	r, b, _ := startWithOneBackend(t, nil)
+	c := r.dialClient(t)
 	const many = 50
 	for id := range many {
-		c.lookup(id, "80000000")
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		c.sendLookup(id, "80000000")
+		b.nextCommand(t).replyValue(t, "ok")
+		c.wantValue("ok")
 	}
-	left := make(chan string, 1)
+	remaining := make(chan string, 1)
 	r.gateway.post(inspect(func(g *Gateway) {
 		timers := 0
 		for _, timer := range g.timers {
@@ -164,53 +170,53 @@
 				timers++
 			}
 		}
-		left <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.byClientID), g.requests.heldBytes, g.requests.open)
+		remaining <- fmt.Sprint(timers, len(g.requests.byID), len(g.requests.byClientID), g.requests.heldBytes, g.requests.open)
 	}))
-	if got := wait(t, left, "the loop"); got != "0 0 0 0 0" {
+	if got := wait(t, remaining, "the event loop"); got != "0 0 0 0 0" {
 		t.Errorf("timers, requests, ids, bytes, open: %s", got)
 	}
 }
 
-// At the limit of connections, silent and stalled ones are evicted. One that is sending its
-// command, however slowly, is not: its request would be lost.
+// At the connection limit, silent and stalled connections are evicted. One that is sending its
+// command, however slowly, is not, because its request would be lost.
 func TestSlowSendersAreNotEvicted(t *testing.T) {
-	g := unstarted(t, newFakeDiscovery(t))
+	g := newUnstartedGateway(t, newFakeDiscovery(t))
 	now := g.now()
-	make := func(used, heard policy.Time, amid bool) *client {
-		here, _ := pipe(t)
+	add := func(lastCommand, lastByte policy.Time, midCommand bool) *client {
+		conn, _ := newConnPair(t)
 		c := &client{
-			conn:          here,
-			out:           newSender(here),
+			conn:          conn,
+			out:           newSender(conn),
 			pipelineSlots: make(chan struct{}, 1),
 			done:          make(chan struct{}),
-			lastCommand:   used,
+			lastCommand:   lastCommand,
 		}
-		c.lastByte.Store(heard)
-		c.midCommand.Store(amid)
+		c.lastByte.Store(lastByte)
+		c.midCommand.Store(midCommand)
 		g.clients.slots <- struct{}{}
 		g.clients.conns[c] = true
 		return c
 	}
-	slow := make(now-2_000_000, now, true)
-	halted := make(now-3_000_000, now-2_500_000, true)
-	silent := make(now-2_700_000, 0, false)
-	drips := make(now-1_000_000, now-200_000, false) // it pauses between two pieces
-	for i, want := range []*client{silent, halted, drips} {
+	slow := add(now-2_000_000, now, true)
+	halted := add(now-3_000_000, now-2_500_000, true)
+	silent := add(now-2_700_000, 0, false)
+	paused := add(now-1_000_000, now-200_000, false) // sent bytes lately, is in no command
+	for i, want := range []*client{silent, halted, paused} {
 		if !g.clients.evict(g, nil) {
-			t.Fatalf("nobody makes room, %d connections left", len(g.clients.conns))
+			t.Fatalf("no connection was evicted, %d are left", len(g.clients.conns))
 		}
 		if !want.closed {
 			t.Fatalf(
-				"eviction %d: slow %v, halted %v, silent %v, drips %v",
+				"eviction %d: closed: slow %v, halted %v, silent %v, paused %v",
 				i,
 				slow.closed,
 				halted.closed,
 				silent.closed,
-				drips.closed,
+				paused.closed,
 			)
 		}
 	}
 	if g.clients.evict(g, nil) || slow.closed {
-		t.Error("a request on its way was cut off for want of places")
+		t.Error("a connection was evicted while it sent a command")
 	}
 }
--- a/internal/dataplane/gateway/counter_test.go
+++ b/internal/dataplane/gateway/counter_test.go
@@ -12,8 +12,8 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// hijack closes a call's connection without an answer.
-func hijack(w http.ResponseWriter) {
+// closeWithoutAnswer closes the connection of a call without a response.
+func closeWithoutAnswer(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		panic(err)
@@ -21,7 +21,8 @@
 	_ = conn.Close()
 }
 
-// "Nothing was added" must be told apart from "it may have been added".
+// The result of a call distinguishes "nothing was added" (Rejected, ConnectFailed) from "it may
+// have been added" (Failed, Reset, TimedOut).
 func TestCounterCalls(t *testing.T) {
 	released := make(chan struct{})
 	for _, c := range []struct {
@@ -31,16 +32,16 @@
 		result policy.Result
 		total  float64
 	}{
-		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, patience, policy.OK, 41.5},
-		{"turned away", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, patience, policy.Rejected, 0},
-		{"no such call", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, patience, policy.Failed, 0},
-		{"no number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, patience, policy.Failed, 0},
-		{"not a number", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, patience, policy.Failed, 0},
-		{"no end", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, patience, policy.Failed, 0},
+		{"added", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "41.5") }, waitTimeout, policy.OK, 41.5},
+		{"unavailable", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, waitTimeout, policy.Rejected, 0},
+		{"not found", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, waitTimeout, policy.Failed, 0},
+		{"text", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "much") }, waitTimeout, policy.Failed, 0},
+		{"NaN", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "NaN") }, waitTimeout, policy.Failed, 0},
+		{"infinite", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "+Inf") }, waitTimeout, policy.Failed, 0},
 		{"redirect", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/v1/count/ff", http.StatusTemporaryRedirect)
-		}, patience, policy.Failed, 0},
-		{"broken after the call", func(w http.ResponseWriter, _ *http.Request) { hijack(w) }, patience, policy.Reset, 0},
+		}, waitTimeout, policy.Failed, 0},
+		{"connection closed after the call", func(w http.ResponseWriter, _ *http.Request) { closeWithoutAnswer(w) }, waitTimeout, policy.Reset, 0},
 		{"no answer", func(_ http.ResponseWriter, r *http.Request) { <-released }, 200 * time.Millisecond, policy.TimedOut, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,15 +60,15 @@
 			}
 			total, result := counter.call(context.Background(), call)
 			if total != c.total || result != c.result {
-				t.Errorf("total %g, result %d", total, result)
+				t.Errorf("total %g, result %d; want %g, %d", total, result, c.total, c.result)
 			}
-			if made := wait(
+			if received := wait(
 				t,
 				got,
 				"a call",
-			); made != "POST /v1/count/ab?add=-2.5&ttl_ms=4000" ||
+			); received != "POST /v1/count/ab?add=-2.5&ttl_ms=4000" ||
 				len(got) > 0 {
-				t.Errorf("call %s and %d more", made, len(got))
+				t.Errorf("received call %s and %d more", received, len(got))
 			}
 			if c.name == "no answer" {
 				close(released)
@@ -75,14 +76,14 @@
 			s.Close()
 		})
 	}
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	counter := newCounterClient(&Config{Counter: strings.TrimPrefix(gone.URL, "http://")})
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
+	counter := newCounterClient(&Config{Counter: strings.TrimPrefix(closed.URL, "http://")})
 	_, result := counter.call(
 		context.Background(),
-		counterCall{url: counter.url, deadline: time.Now().Add(patience)},
+		counterCall{url: counter.url, deadline: time.Now().Add(waitTimeout)},
 	)
 	if result != policy.ConnectFailed {
-		t.Errorf("no listener: result %d", result)
+		t.Errorf("no listener: result %d, want %d", result, policy.ConnectFailed)
 	}
 }
--- a/internal/dataplane/gateway/descriptor_limit_test.go
+++ b/internal/dataplane/gateway/descriptor_limit_test.go
@@ -21,31 +21,32 @@
 	"time"
 )
 
-// discoveryCalls are made at the same time while discovery is silent.
+// discoveryCalls is the number of concurrent calls to a discovery service that does not answer.
 const discoveryCalls = 8
 
-// Clients and backends leave enough of a gateway's descriptors for all else, at any limit.
+// The limits on client and backend connections leave enough descriptors for everything else that
+// the process opens, whatever the limit on descriptors is.
 func TestConnectionLimitsReserveDescriptors(t *testing.T) {
 	const (
 		counter = counterConns
 		sockets = 2 // the listener and the peers' socket
-		process = 5 // three standard files, and two of the language's own for waiting
+		process = 5 // three standard files, and two of the Go runtime's network poller
 	)
 	for limit := minSockets; limit <= 8192; limit++ {
 		share, accepted := connectionLimits(limit)
 		if sum := share + accepted + discoveryCalls + counter + sockets + process; share < 1 ||
 			sum > limit {
-			t.Fatalf("limit %d: %d descriptors at most", limit, sum)
+			t.Fatalf("limit %d: up to %d descriptors are used, %d for backends", limit, sum, share)
 		}
 	}
 }
 
-// limitedConfig names the variable with the configuration file of a process with a limit on
-// descriptors.
+// limitedConfig is the environment variable that holds the path of the configuration file of a
+// process under a limit on descriptors.
 const limitedConfig = "MOTHCLEAT_TEST_LIMITED_CONFIG"
 
-// TestLimitedProcess is no test but the process that TestIdleClientsLeaveDescriptorsForDiscovery
-// starts: a gateway under the system's limit on descriptors.
+// TestLimitedProcess is not a test of its own: TestIdleClientsLeaveDescriptorsForDiscovery runs it
+// in another process, as a gateway under a limit of the system on descriptors.
 func TestLimitedProcess(t *testing.T) {
 	path := os.Getenv(limitedConfig)
 	if path == "" {
@@ -59,10 +60,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := uint64(cfg.Sockets)
+	limit := uint64(cfg.Sockets)
 	if err := syscall.Setrlimit(
 		syscall.RLIMIT_NOFILE,
-		&syscall.Rlimit{Cur: most, Max: most},
+		&syscall.Rlimit{Cur: limit, Max: limit},
 	); err != nil {
 		t.Fatal(err)
 	}
@@ -80,15 +81,15 @@
 	}
 }
 
-// limited is a process that runs TestLimitedProcess.
-type limited struct {
-	address string
-	pid     int
-	short   atomic.Pointer[string] // the first line of its log that tells of no descriptor left
+// limitedProcess is a process that runs TestLimitedProcess.
+type limitedProcess struct {
+	address         string
+	pid             int
+	descriptorError atomic.Pointer[string] // the first log line on a lack of descriptors
 }
 
-// startLimited starts such a process and waits until it is ready.
-func startLimited(t *testing.T, discovery string, sockets int) *limited {
+// startLimited starts a limitedProcess and waits until it is ready.
+func startLimited(t *testing.T, discovery string, sockets int) *limitedProcess {
 	t.Helper()
 	raw, err := json.Marshal(map[string]any{
 		"name":      "n0",
@@ -121,14 +122,14 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p := &limited{pid: cmd.Process.Pid}
+	p := &limitedProcess{pid: cmd.Process.Pid}
 	ready, read := make(chan string, 1), make(chan struct{})
 	go func() {
 		defer close(read)
 		for lines := bufio.NewScanner(log); lines.Scan(); {
 			line := lines.Text()
 			if strings.Contains(line, "too many open files") {
-				p.short.CompareAndSwap(nil, &line)
+				p.descriptorError.CompareAndSwap(nil, &line)
 			}
 			if _, rest, ok := strings.Cut(line, "msg=ready listen="); ok {
 				address, _, _ := strings.Cut(rest, " ")
@@ -147,7 +148,7 @@
 }
 
 // sockets counts the sockets that the process has open.
-func (p *limited) sockets() int {
+func (p *limitedProcess) sockets() int {
 	dir := fmt.Sprintf("/proc/%d/fd", p.pid)
 	entries, _ := os.ReadDir(dir)
 	n := 0
@@ -159,18 +160,18 @@
 	return n
 }
 
-// crowd keeps a number of connections open that send nothing, or have sent one command; one that
-// the gateway closes is opened again.
-func crowd(t *testing.T, address string, size int) {
+// keepConnectionsOpen keeps a number of connections open until the test ends. A quarter of them
+// have sent commands, the others nothing. One that the gateway closes is opened again.
+func keepConnectionsOpen(t *testing.T, address string, size int) {
 	t.Helper()
-	over := make(chan struct{})
-	var all sync.WaitGroup
+	testEnded := make(chan struct{})
+	var connections sync.WaitGroup
 	t.Cleanup(func() {
-		close(over)
-		all.Wait()
+		close(testEnded)
+		connections.Wait()
 	})
 	for i := range size {
-		all.Go(func() {
+		connections.Go(func() {
 			for {
 				conn, err := net.Dial("tcp", address)
 				if err != nil {
@@ -187,7 +188,7 @@
 				select {
 				case <-ended:
 					conn.Close()
-				case <-over:
+				case <-testEnded:
 					conn.Close()
 					return
 				}
@@ -196,20 +197,20 @@
 	}
 }
 
-// asks sends a request until it is served: a connection may be closed unread while others take all
-// slots.
-func asks(t *testing.T, address string, b *fakeBackend, id int) {
+// requestUntilServed repeats a request, each time on a new connection, until it is served: while
+// other connections take all slots, the gateway may close a connection unread.
+func requestUntilServed(t *testing.T, address string, b *fakeBackend, id int) {
 	t.Helper()
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		for late := time.Now().Add(patience); time.Now().Before(late); id++ {
+		for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); id++ {
 			conn, err := net.Dial("tcp", address)
 			if err != nil {
 				return
 			}
-			_ = conn.SetDeadline(late)
-			_, _ = io.WriteString(conn, lookups(id, 1))
+			_ = conn.SetDeadline(deadline)
+			_, _ = io.WriteString(conn, lookupCommands(id, 1))
 			line, _ := bufio.NewReader(conn).ReadString('\n')
 			conn.Close()
 			if line == "$2\r\n" {
@@ -220,7 +221,7 @@
 	}()
 	for {
 		select {
-		case call := <-b.got:
+		case call := <-b.commands:
 			_, _ = io.WriteString(call.conn, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
 		case <-served:
 			return
@@ -228,73 +229,75 @@
 	}
 }
 
-// fallible is discovery that fails and comes back.
-type fallible struct {
+// interruptibleDiscovery is a discovery service that the test can make stop answering.
+type interruptibleDiscovery struct {
 	*fakeDiscovery
-	mu      sync.Mutex
-	down    chan struct{} // closed: it is up
-	silence chan struct{} // a call that came while it was down
+	mu         sync.Mutex
+	up         chan struct{} // closed while discovery answers
+	unanswered chan struct{} // a value for each call left unanswered
 }
 
-func (f *fallible) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *interruptibleDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
-	down := f.down
+	up := f.up
 	f.mu.Unlock()
 	select {
-	case <-down:
+	case <-up:
 		f.fakeDiscovery.ServeHTTP(w, r)
 	default:
-		f.silence <- struct{}{}
-		<-r.Context().Done() // a call made meanwhile is never answered
+		f.unanswered <- struct{}{}
+		<-r.Context().Done()
 	}
 }
 
-// fall has it down from now on, its watches silent.
-func (f *fallible) fall() {
+// interrupt makes discovery leave calls unanswered until restore.
+func (f *interruptibleDiscovery) interrupt() {
 	f.mu.Lock()
-	f.down = make(chan struct{})
+	f.up = make(chan struct{})
 	f.mu.Unlock()
 }
 
-func (f *fallible) comeBack() { close(f.down) }
+// restore makes discovery answer calls again. It must follow interrupt.
+func (f *interruptibleDiscovery) restore() { close(f.up) }
 
-// Silent clients take all slots for clients, under the system's limit on descriptors, while
-// discovery is down. When it is back the gateway watches it, accepts and dials; it never lacked a
-// descriptor.
+// Idle clients take all client slots of a process under the system's limit on descriptors while
+// discovery does not answer. Once it answers again, the gateway watches it, accepts clients and
+// dials backends. At no time does the process run out of descriptors.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
-	t.Parallel() // places are made in seconds
+	t.Parallel() // evictions take seconds
 	const sockets = minSockets
 	_, accepted := connectionLimits(sockets)
-	b := newBackend(t)
-	f := &fallible{
-		fakeDiscovery: newFakeDiscovery(t, b.entry("s-00000001", "Ready")),
-		silence:       make(chan struct{}, 1024),
+	b := newFakeBackend(t)
+	f := &interruptibleDiscovery{
+		fakeDiscovery: newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready")),
+		unanswered:    make(chan struct{}, 1024),
 	}
 	f.Close()
-	f.Server = httptest.NewServer(f) // the discovery that fails, in place of the one that does not
-	f.fall()
+	f.Server = httptest.NewServer(f) // in place of the one that always answers
+	f.interrupt()
 	p := startLimited(t, strings.TrimPrefix(f.URL, "http://"), sockets)
-	crowd(t, p.address, 2*accepted)
+	keepConnectionsOpen(t, p.address, 2*accepted)
 	for round := range 2 {
 		for range 3 {
-			wait(t, f.silence, "calls while discovery is down")
+			wait(t, f.unanswered, "calls while discovery does not answer")
 		}
-		for late := time.After(patience); p.sockets() < accepted+1+discoveryCalls; { // those, the listener, and the calls
+		// The clients' sockets, the listener, and the calls to discovery.
+		for timeout := time.After(waitTimeout); p.sockets() < accepted+1+discoveryCalls; {
 			select {
-			case <-late:
-				t.Fatalf("%d sockets, the clients have not taken all places", p.sockets())
+			case <-timeout:
+				t.Fatalf("%d sockets: the clients have not taken all slots", p.sockets())
 			default:
 				runtime.Gosched()
 			}
 		}
-		f.tell(b.entry("s-00000001", "Ready"))
-		f.comeBack()
-		f.settled(t)
-		asks(t, p.address, b, 1000*(round+1))
-		f.fall()
-		f.tell(b.entry("s-00000001", "Ready")) // ends the watch; the next call finds it down
+		f.publish(b.memberJSON("s-00000001", "Ready"))
+		f.restore()
+		f.awaitWatch(t)
+		requestUntilServed(t, p.address, b, 1000*(round+1))
+		f.interrupt()
+		f.publish(b.memberJSON("s-00000001", "Ready")) // ends the watch; the next call is not answered
 	}
-	if line := p.short.Load(); line != nil {
-		t.Errorf("it lacked a descriptor: %s", *line)
+	if line := p.descriptorError.Load(); line != nil {
+		t.Errorf("the process ran out of descriptors: %s", *line)
 	}
 }
--- a/internal/dataplane/gateway/disconnected_client_test.go
+++ b/internal/dataplane/gateway/disconnected_client_test.go
@@ -12,15 +12,15 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// departures are the ways in which a client disconnects.
-var departures = map[string]func(c *testClient){
+// disconnectKinds are the ways in which a client disconnects.
+var disconnectKinds = map[string]func(c *testClient){
 	"closed": func(c *testClient) { c.conn.Close() },
 	"reset":  func(c *testClient) { _ = c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
 	"ended":  func(c *testClient) { _ = c.conn.(*net.TCPConn).CloseWrite() },
 }
 
-// lookups returns a number of requests, with ids from a number on, to be written at once.
-func lookups(first, n int) string {
+// lookupCommands returns n requests of class lookup, with consecutive ids from first on.
+func lookupCommands(first, n int) string {
 	var b strings.Builder
 	for id := first; id < first+n; id++ {
 		fmt.Fprintf(
@@ -32,95 +32,96 @@
 	return b.String()
 }
 
-// onlyTheOther lets held dials finish, and checks that only the other client's request reaches the
-// backend.
-func onlyTheOther(
+// wantOnlyOtherSent sends a request of another client, lets the held dials finish, and checks that
+// only that request reaches the backend.
+func wantOnlyOtherSent(
 	t *testing.T,
-	r *rig,
+	r *testGateway,
 	b *fakeBackend,
 	dials *heldDials,
 	other *testClient,
 	id int,
 ) {
 	t.Helper()
-	other.lookup(id, "60000")
-	until(
+	other.sendLookup(id, "60000")
+	waitUntil(
 		t,
 		r.gateway,
-		"the other's request",
+		"the other client's request",
 		func(g *Gateway) bool { return g.requests.open == 1 },
 	)
-	close(dials.goOn)
-	call := b.next(t)
+	close(dials.release)
+	call := b.nextCommand(t)
 	if got := string(call.args[2]); got != fmt.Sprintf("%016x", id) {
-		t.Fatalf("request %s was sent on, its client has left", got)
+		t.Fatalf("request %s was sent although its client had disconnected", got)
 	}
-	call.serve(t, "ok")
-	other.value("ok")
-	if n := ask(
+	call.replyValue(t, "ok")
+	other.wantValue("ok")
+	if n := onEventLoop(
 		t,
 		r.gateway,
 		func(g *Gateway) int { return len(g.requests.byID) },
 	); n != 0 ||
-		len(b.got) > 0 {
-		t.Errorf("%d requests in the table, %d commands more at the backend", n, len(b.got))
+		len(b.commands) > 0 {
+		t.Errorf("%d requests in the table, %d more commands at the backend", n, len(b.commands))
 	}
 }
 
-// The disconnect of a client that has sent more commands than its pipeline holds is noticed
-// although its reader waits for a slot and the close lies behind unread commands: none of its
-// requests is sent after that.
+// A client sends more commands than its pipeline holds, and disconnects. Its reader waits for a
+// pipeline slot, and the close lies behind unread commands. The gateway must notice the disconnect
+// nevertheless, and send none of the client's requests after it.
 func TestDisconnectBehindFullPipelineSendsNothing(t *testing.T) {
-	for name, leave := range departures {
+	for name, disconnect := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t)
+			b := newFakeBackend(t)
 			var dials *heldDials
-			r := beginWith(
+			r := startGatewayWith(
 				t,
-				configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials),
+				testConfig(t, newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready")), withLongDialTimeout),
 				func(g *Gateway) { dials = holdDials(g) },
 			)
-			dials.begun = make(chan string, 1024)
-			gone, other := r.client(t), r.client(t)
-			gone.raw(lookups(1, maxPipelined+50))
-			until(t, r.gateway, "a full line", func(g *Gateway) bool {
+			dials.started = make(chan string, 1024)
+			gone, other := r.dialClient(t), r.dialClient(t)
+			gone.writeRaw(lookupCommands(1, maxPipelined+50))
+			waitUntil(t, r.gateway, "a full pipeline", func(g *Gateway) bool {
 				for c := range g.clients.conns {
 					if len(c.pipeline) == maxPipelined {
-						return g.requests.open > 0 // rejections wait for their turn as well
+						return g.requests.open > 0 // rejections are queued in the pipeline as well
 					}
 				}
 				return false
 			})
-			leave(gone)
-			until(
+			disconnect(gone)
+			waitUntil(
 				t,
 				r.gateway,
-				"the client's leaving",
+				"the client's disconnect",
 				func(g *Gateway) bool { return g.requests.open == 0 },
 			)
-			onlyTheOther(t, r, b, dials, other, maxPipelined+1000)
+			wantOnlyOtherSent(t, r, b, dials, other, maxPipelined+1000)
 		})
 	}
 }
 
-// A client whose framing is lost, or that errs again and again, is read no more. Its disconnect is
-// noticed all the same, and its requests before the invalid commands are not sent after that.
+// The gateway ignores further commands of a client whose framing is lost or that sends too many
+// invalid commands in a row. It must notice the client's disconnect nevertheless, and send none of
+// its earlier requests after it.
 func TestDisconnectAfterInvalidCommandsSendsNothing(t *testing.T) {
-	for what, bad := range map[string]string{
-		"lost framing": "*1\r\nnonsense\r\n", "errors in a row": strings.Repeat("*1\r\n$7\r\nNOTHING\r\n", 2*maxConsecutiveErrors),
+	for cause, invalid := range map[string]string{
+		"lost framing": "*1\r\nnonsense\r\n", "consecutive errors": strings.Repeat("*1\r\n$7\r\nNOTHING\r\n", 2*maxConsecutiveErrors),
 	} {
-		for name, leave := range departures {
-			t.Run(what+", "+name, func(t *testing.T) {
-				b := newBackend(t)
+		for name, disconnect := range disconnectKinds {
+			t.Run(cause+", "+name, func(t *testing.T) {
+				b := newFakeBackend(t)
 				var dials *heldDials
-				r := beginWith(
+				r := startGatewayWith(
 					t,
-					configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials),
+					testConfig(t, newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready")), withLongDialTimeout),
 					func(g *Gateway) { dials = holdDials(g) },
 				)
-				gone, other := r.client(t), r.client(t)
-				gone.raw(lookups(1, 3) + bad)
-				until(t, r.gateway, "the bad commands", func(g *Gateway) bool {
+				gone, other := r.dialClient(t), r.dialClient(t)
+				gone.writeRaw(lookupCommands(1, 3) + invalid)
+				waitUntil(t, r.gateway, "the invalid commands", func(g *Gateway) bool {
 					for c := range g.clients.conns {
 						if c.ignoreInput.Load() {
 							return true
@@ -128,104 +129,105 @@
 					}
 					return false
 				})
-				leave(gone)
-				until(
+				disconnect(gone)
+				waitUntil(
 					t,
 					r.gateway,
-					"the client's leaving",
+					"the client's disconnect",
 					func(g *Gateway) bool { return g.requests.open == 0 },
 				)
-				onlyTheOther(t, r, b, dials, other, 1000)
+				wantOnlyOtherSent(t, r, b, dials, other, 1000)
 			})
 		}
 	}
 }
 
-// occupied blocks the event loop until the test lets it go on.
-func occupied(t *testing.T, g *Gateway, meanwhile func(g *Gateway)) (goOn func()) {
+// blockEventLoop blocks the event loop until the test calls unblock; the loop then calls after.
+func blockEventLoop(t *testing.T, g *Gateway, after func(g *Gateway)) (unblock func()) {
 	t.Helper()
-	begun, over := make(chan struct{}), make(chan struct{})
+	blocked, unblocked := make(chan struct{}), make(chan struct{})
 	g.post(inspect(func(g *Gateway) {
-		close(begun)
-		<-over
-		meanwhile(g)
+		close(blocked)
+		<-unblocked
+		after(g)
 	}))
-	wait(t, begun, "the loop")
-	return func() { close(over) }
+	wait(t, blocked, "the event loop")
+	return func() { close(unblocked) }
 }
 
-// queuedEvents waits until a number of events is queued for a blocked event loop.
-func queuedEvents(t *testing.T, g *Gateway, n int) {
+// waitForQueuedEvents waits until n events are queued for a blocked event loop.
+func waitForQueuedEvents(t *testing.T, g *Gateway, n int) {
 	t.Helper()
-	for late := time.After(patience); len(g.events) < n; {
+	for timeout := time.After(waitTimeout); len(g.events) < n; {
 		select {
-		case <-late:
-			t.Fatalf("%d events wait, want %d", len(g.events), n)
+		case <-timeout:
+			t.Fatalf("%d events are queued, want %d", len(g.events), n)
 		default:
 			runtime.Gosched()
 		}
 	}
 }
 
-// An event loop that is behind has the end of a dial in its queue before a client's close: before
-// it sends the request it checks whether the client is still connected.
+// When the event loop lags, its queue may hold the end of a dial before the client's close. Before
+// it sends the request, the loop must check whether the client is still connected.
 func TestBusyLoopChecksHangUpBeforeSend(t *testing.T) {
-	for name, leave := range departures {
+	for name, disconnect := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t)
+			b := newFakeBackend(t)
 			var dials *heldDials
-			r := beginWith(
+			r := startGatewayWith(
 				t,
-				configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), slowDials),
+				testConfig(t, newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready")), withLongDialTimeout),
 				func(g *Gateway) { dials = holdDials(g) },
 			)
-			gone := r.client(t)
-			gone.lookup(1, "60000")
-			wait(t, dials.begun, "the dial")
-			var k *client
-			ask(t, r.gateway, func(g *Gateway) bool {
+			gone := r.dialClient(t)
+			gone.sendLookup(1, "60000")
+			wait(t, dials.started, "the dial")
+			var c *client
+			onEventLoop(t, r.gateway, func(g *Gateway) bool {
 				for _, request := range g.requests.byID {
-					k = request.client
+					c = request.client
 				}
 				return true
 			})
-			goOn := occupied(
+			unblock := blockEventLoop(
 				t,
 				r.gateway,
-				func(*Gateway) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) },
-			) // the loop has been busy for that long
-			dials.goOn <- true
-			queuedEvents(t, r.gateway, 1) // the dial's end
-			leave(gone)
-			queuedEvents(t, r.gateway, 2) // the close, behind it
-			goOn()
-			until(
+				func(*Gateway) { c.lastSeenOpen -= policy.Time(time.Second.Microseconds()) },
+			) // as if the loop had been busy for a second
+			dials.release <- true
+			waitForQueuedEvents(t, r.gateway, 1) // the end of the dial
+			disconnect(gone)
+			waitForQueuedEvents(t, r.gateway, 2) // and the close
+			unblock()
+			waitUntil(
 				t,
 				r.gateway,
-				"the client's leaving",
+				"the client's disconnect",
 				func(g *Gateway) bool { return g.requests.open == 0 && len(g.requests.byID) == 0 },
 			)
-			other := r.client(t)
-			other.lookup(2, "60000")
-			call := b.next(t)
+			other := r.dialClient(t)
+			other.sendLookup(2, "60000")
+			call := b.nextCommand(t)
 			if got := string(call.args[2]); got != fmt.Sprintf("%016x", 2) {
-				t.Fatalf("request %s was sent on, its client has left", got)
+				t.Fatalf("request %s was sent although its client had disconnected", got)
 			}
-			call.serve(t, "ok")
-			other.value("ok")
+			call.replyValue(t, "ok")
+			other.wantValue("ok")
 		})
 	}
 }
 
-// A retry that an outcome asks for while the client's close is queued behind it is not sent: a dial
-// for it is never begun after the close was handled, and nothing is written to one begun before.
+// The failure of an attempt, which calls for a retry, is queued before the client's close. The
+// retry must not be sent: no dial for it starts after the close was handled, and nothing is written
+// to a connection whose dial started before.
 func TestNoRetryAfterDisconnect(t *testing.T) {
-	first, second := newBackend(t), newBackend(t)
-	d := newFakeDiscovery(t, first.entry("s-00000001", "Ready"))
+	first, second := newFakeBackend(t), newFakeBackend(t)
+	d := newFakeDiscovery(t, first.memberJSON("s-00000001", "Ready"))
 	var dials *heldDials
-	r := beginWith(t, configure(t, d, func(f map[string]any) {
-		slowDials(f)
-		// Sent again at once: a twentieth of the aim is a moment.
+	r := startGatewayWith(t, testConfig(t, d, func(f map[string]any) {
+		withLongDialTimeout(f)
+		// The retry is sent at once: its delay is a twentieth of the latency objective.
 		f["settings"] = json.RawMessage(
 			strings.Replace(
 				string(f["settings"].(json.RawMessage)),
@@ -235,43 +237,43 @@
 			),
 		)
 	}), func(g *Gateway) { dials = holdDials(g) })
-	gone := r.client(t)
-	gone.lookup(1, "900")
-	wait(t, dials.begun, "the first dial")
-	dials.goOn <- true
-	call := first.next(t)
-	d.tell(first.entry("s-00000001", "Terminating"), second.entry("s-00000002", "Ready"))
-	d.settled(t)
-	var k *client
-	ask(t, r.gateway, func(g *Gateway) bool {
+	gone := r.dialClient(t)
+	gone.sendLookup(1, "900")
+	wait(t, dials.started, "the first dial")
+	dials.release <- true
+	call := first.nextCommand(t)
+	d.publish(first.memberJSON("s-00000001", "Terminating"), second.memberJSON("s-00000002", "Ready"))
+	d.awaitWatch(t)
+	var c *client
+	onEventLoop(t, r.gateway, func(g *Gateway) bool {
 		for _, request := range g.requests.byID {
-			k = request.client
+			c = request.client
 		}
 		return true
 	})
-	goOn := occupied(
+	unblock := blockEventLoop(
 		t,
 		r.gateway,
-		func(*Gateway) { k.lastSeenOpen -= policy.Time(time.Second.Microseconds()) },
+		func(*Gateway) { c.lastSeenOpen -= policy.Time(time.Second.Microseconds()) },
 	)
-	call.answer(t, "-ERR failed\r\n")
-	queuedEvents(t, r.gateway, 1)
+	call.reply(t, "-ERR failed\r\n")
+	waitForQueuedEvents(t, r.gateway, 1)
 	gone.conn.Close()
-	queuedEvents(t, r.gateway, 2)
-	goOn()
-	until(
+	waitForQueuedEvents(t, r.gateway, 2)
+	unblock()
+	waitUntil(
 		t,
 		r.gateway,
-		"the client's leaving",
+		"the client's disconnect",
 		func(g *Gateway) bool { return g.requests.open == 0 && len(g.requests.byID) == 0 },
 	)
-	close(dials.goOn)
-	other := r.client(t)
-	other.lookup(2, "60000")
-	next := second.next(t)
+	close(dials.release)
+	other := r.dialClient(t)
+	other.sendLookup(2, "60000")
+	next := second.nextCommand(t)
 	if got := string(next.args[2]); got != fmt.Sprintf("%016x", 2) {
-		t.Fatalf("request %s was sent on once more, its client has left", got)
+		t.Fatalf("request %s was retried although its client had disconnected", got)
 	}
-	next.serve(t, "ok")
-	other.value("ok")
+	next.replyValue(t, "ok")
+	other.wantValue("ok")
 }
--- a/internal/dataplane/gateway/endpoints_test.go
+++ b/internal/dataplane/gateway/endpoints_test.go
@@ -10,10 +10,10 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// many returns an event loop with a number of endpoints.
-func many(t testing.TB, n int) (*Gateway, []member) {
+// gatewayWithEndpoints returns an unstarted gateway with n endpoints, and their list.
+func gatewayWithEndpoints(t testing.TB, n int) (*Gateway, []member) {
 	t.Helper()
-	g := unstarted(t, newFakeDiscovery(t))
+	g := newUnstartedGateway(t, newFakeDiscovery(t))
 	list := make([]member, n)
 	for i := range list {
 		list[i] = member{
@@ -27,26 +27,27 @@
 	return g, list
 }
 
-// A list of 5,000 endpoints is applied, and one that is removed from it is gone.
+// A list of 5,000 endpoints is applied, and a delta then removes one of them.
 func TestManyEndpoints(t *testing.T) {
-	g, list := many(t, 5000)
+	g, list := gatewayWithEndpoints(t, 5000)
 	if n := len(g.backends.byID); n != 5000 {
-		t.Errorf("%d backends", n)
+		t.Errorf("%d backends, want 5000", n)
 	}
-	gone := list[1234]
-	gone.Phase = registry.Gone
-	g.handle(endpointEvent{Kind: registry.Delta, Members: []member{gone}})
-	if g.backends.byID[gone.ID] != nil || len(g.backends.byID) != 4999 {
-		t.Errorf("%d backends after one has gone", len(g.backends.byID))
+	removed := list[1234]
+	removed.Phase = registry.Gone
+	g.handle(endpointEvent{Kind: registry.Delta, Members: []member{removed}})
+	if g.backends.byID[removed.ID] != nil || len(g.backends.byID) != 4999 {
+		t.Errorf("%d backends after one was removed, want 4999", len(g.backends.byID))
 	}
 	if b := g.backends.byID[list[7].ID]; b == nil || b.state != policy.Ready {
-		t.Error("another one is not ready any more")
+		t.Error("another backend is not ready any more")
 	}
 }
 
-// BenchmarkOneChangeOfMany measures what one change among 5,000 endpoints costs the event loop.
+// BenchmarkOneChangeOfMany measures how long the event loop takes to apply a delta with one of
+// 5,000 endpoints.
 func BenchmarkOneChangeOfMany(b *testing.B) {
-	g, list := many(b, 5000)
+	g, list := gatewayWithEndpoints(b, 5000)
 	for i := 0; b.Loop(); i++ {
 		m := list[i%len(list)]
 		if i/len(list)%2 == 0 {
@@ -56,33 +57,34 @@
 	}
 }
 
-// moves is a source that records where it is moved.
-type moves struct {
+// recordingSource is an endpoint source that records the addresses that it is moved to.
+type recordingSource struct {
 	registry.Source
-	to []string
+	addresses []string
 }
 
-func (m *moves) Move(address string) { m.to = append(m.to, address) }
+func (m *recordingSource) Move(address string) { m.addresses = append(m.addresses, address) }
 
-// A reload moves whichever endpoint source there is, and changes nothing else of it.
+// A reload moves the endpoint source, of whatever kind, to the new addresses and changes nothing
+// else about it. A source that can't be created is an error.
 func TestReloadMovesEndpointSource(t *testing.T) {
 	d := newFakeDiscovery(t)
-	m := &moves{}
-	cfg := configure(t, d, nil)
+	m := &recordingSource{}
+	cfg := testConfig(t, d, nil)
 	cfg.NewEndpointSource = func(cfg *Config, _ *slog.Logger) (registry.Source, error) { return m, nil }
-	g, err := newGateway(cfg, quiet())
+	g, err := newGateway(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.clients.listener.Close()
-	next := configure(t, d, nil)
+	next := testConfig(t, d, nil)
 	next.EndpointAddresses = []string{"127.0.0.1:8501", "other=127.0.0.1:8502"}
 	configReloaded{next}.handle(g)
-	if len(m.to) != 2 || m.to[0] != "127.0.0.1:8501" || m.to[1] != "other=127.0.0.1:8502" {
-		t.Errorf("moved to %q", m.to)
+	if len(m.addresses) != 2 || m.addresses[0] != "127.0.0.1:8501" || m.addresses[1] != "other=127.0.0.1:8502" {
+		t.Errorf("moved to %q", m.addresses)
 	}
 	cfg.NewEndpointSource = func(*Config, *slog.Logger) (registry.Source, error) { return nil, errors.New("no such agent") }
-	if _, err := newGateway(cfg, quiet()); err == nil {
-		t.Error("a register that can't be made was passed over")
+	if _, err := newGateway(cfg, discardLogger()); err == nil {
+		t.Error("no error for an endpoint source that can't be created")
 	}
 }
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -14,13 +14,14 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// held is a clients' socket as a platform holds it for the processes of one gateway.
-type held struct {
-	file *os.File
-	meet string
+// sharedListener is a listening socket that the processes of one gateway share, as a platform
+// provides it.
+type sharedListener struct {
+	file           *os.File
+	rendezvousPath string
 }
 
-func hold(t testing.TB) *held {
+func newSharedListener(t testing.TB) *sharedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,47 +33,48 @@
 	}
 	l.Close()
 	t.Cleanup(func() { f.Close() })
-	return &held{f, filepath.Join(t.TempDir(), "meet")}
+	return &sharedListener{f, filepath.Join(t.TempDir(), "meet")}
 }
 
-// process starts a process of the gateway.
-func (h *held) process(t testing.TB, d *fakeDiscovery) *rig {
+// startProcess starts a gateway that stands for one process of the gateway. It takes over from the
+// process that serves, if there is one.
+func (h *sharedListener) startProcess(t testing.TB, d *fakeDiscovery) *testGateway {
 	t.Helper()
-	cfg := configure(t, d, func(f map[string]any) {
+	cfg := testConfig(t, d, func(f map[string]any) {
 		f["management"] = "127.0.0.1:0"
 		f["settings"] = json.RawMessage(
 			strings.Replace(settingsText, `"second-copies":true`, `"second-copies":false`, 1),
 		)
 	})
-	cfg.Restart.RendezvousPath = h.meet
+	cfg.Restart.RendezvousPath = h.rendezvousPath
 	cfg.Restart.Listen = func(string) (net.Listener, error) { return net.FileListener(h.file) }
-	r := begin(t, cfg)
-	h.ready(t, r)
+	r := startGateway(t, cfg)
+	h.waitUntilReady(t, r)
 	return r
 }
 
-// ready waits until a process says that it can serve.
-func (h *held) ready(t testing.TB, r *rig) {
+// waitUntilReady waits until a process passes its health check.
+func (h *sharedListener) waitUntilReady(t testing.TB, r *testGateway) {
 	t.Helper()
-	for end := time.Now().Add(patience); operator(t, r, "check") != "ok\n"; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the process does not get ready")
+	for deadline := time.Now().Add(waitTimeout); callAdmin(t, r, "check") != "ok\n"; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting for the process to be ready")
 		}
 	}
 }
 
-// nextOf waits for a command with an id: copies of others may come between.
-func (b *fakeBackend) nextOf(t testing.TB, id int) *backendCall {
+// commandWithID waits for the command with an id. It drops other commands, such as hedges.
+func (b *fakeBackend) commandWithID(t testing.TB, id int) *backendCall {
 	t.Helper()
 	for {
-		if call := b.next(t); string(call.args[2]) == fmt.Sprintf("%016x", id) {
+		if call := b.nextCommand(t); string(call.args[2]) == fmt.Sprintf("%016x", id) {
 			return call
 		}
 	}
 }
 
-// once sends a request that must not run twice: no copy of it follows.
-func (c *testClient) once(id int) {
+// sendOnce sends a non-idempotent request, which the gateway neither hedges nor retries.
+func (c *testClient) sendOnce(id int) {
 	c.t.Helper()
 	c.send(
 		"API.WRITE",
@@ -83,26 +85,27 @@
 	)
 }
 
+// tinyFields are the fields of a request under the plan tiny, whose bucket holds 1 unit.
 const tinyFields = "c=lookup,t=tiny,d=60000,units=1,spread=1,first=0"
 
-// A successor takes over from a process that serves: no connection ends, open requests are answered
-// by the predecessor, and the commands behind them and half a command by the successor, which knows
-// what was consumed.
+// A successor takes over from a process that serves. No client connection ends. The predecessor
+// answers the open requests. The successor answers the commands behind them and the command that
+// had arrived only in part, and it knows which units were consumed.
 func TestSuccessorTakesOver(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
-	h := hold(t)
-	old := h.process(t, d)
-	idle, busy, half, empty := old.client(t), old.client(t), old.client(t), old.client(t)
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
+	h := newSharedListener(t)
+	old := h.startProcess(t, d)
+	idle, busy, half, empty := old.dialClient(t), old.dialClient(t), old.dialClient(t), old.dialClient(t)
 	idle.send("PING")
-	idle.want("+PONG")
+	idle.wantLine("+PONG")
 	empty.send("API.READ", "0000000000000009", "0000000000000002", tinyFields)
-	b.next(t).serve(t, "tiny")
-	empty.value("tiny")
-	busy.once(1)
-	open := b.next(t)
-	busy.once(2) // behind the open one
-	behind := b.next(t)
+	b.nextCommand(t).replyValue(t, "tiny")
+	empty.wantValue("tiny")
+	busy.sendOnce(1)
+	open := b.nextCommand(t)
+	busy.sendOnce(2) // behind the first one
+	behind := b.nextCommand(t)
 	command := string(
 		resp.AppendBulk(resp.AppendBulk(resp.AppendBulk(
 			resp.AppendBulk(resp.AppendArray(nil, 4), []byte("API.READ")),
@@ -111,58 +114,58 @@
 			),
 		), []byte("0000000000000011")), []byte("c=lookup,t=team,d=60000,units=1,spread=1,first=0")),
 	)
-	half.raw(command[:40])
+	half.writeRaw(command[:40])
 
-	next := h.process(t, d)
-	if got := operator(t, old, "check"); got != "fail handed over\n" {
-		t.Errorf("check of the old process: %q", got)
+	next := h.startProcess(t, d)
+	if got := callAdmin(t, old, "check"); got != "fail handed over\n" {
+		t.Errorf("check of the predecessor: %q", got)
 	}
 	idle.send("PING")
-	idle.want("+PONG")
-	half.raw(command[40:])
-	b.nextOf(t, 0x11).serve(t, "half")
-	half.value("half")
+	idle.wantLine("+PONG")
+	half.writeRaw(command[40:])
+	b.commandWithID(t, 0x11).replyValue(t, "half")
+	half.wantValue("half")
 	empty.send("API.READ", "0000000000000009", "0000000000000012", tinyFields)
-	if line := empty.line(); !strings.HasPrefix(line, "-BUSY") {
-		t.Errorf("answer %q: the newer process does not know what was taken", line)
-	}
-	busy.lookup(6, "60000")
-	behind.serve(t, "behind")
-	open.serve(t, "open")
-	busy.value("open")
-	busy.value("behind")
-	b.nextOf(t, 6).serve(t, "six")
-	busy.value("six")
-	figures := vars(t, next)
-	if figures["answered.lookup"] != 2 || figures["deferred.lookup"] != 1 ||
-		figures["passed_in"] < 4 {
-		t.Errorf("figures of the newer process: %v", figures)
-	}
-	if figures := vars(t, old); figures["answered.once"] != 2 || figures["current"] != 0 {
-		t.Errorf("figures of the old process: %v", figures)
-	}
-	old.stop()
-	wait(t, old.ended, "the end of the old process")
+	if line := empty.readLine(); !strings.HasPrefix(line, "-BUSY") {
+		t.Errorf("reply %q, want -BUSY: the successor does not know the consumed units", line)
+	}
+	busy.sendLookup(6, "60000")
+	behind.replyValue(t, "behind")
+	open.replyValue(t, "open")
+	busy.wantValue("open")
+	busy.wantValue("behind")
+	b.commandWithID(t, 6).replyValue(t, "six")
+	busy.wantValue("six")
+	metrics := readMetrics(t, next)
+	if metrics["answered.lookup"] != 2 || metrics["deferred.lookup"] != 1 ||
+		metrics["passed_in"] < 4 {
+		t.Errorf("metrics of the successor: %v", metrics)
+	}
+	if metrics := readMetrics(t, old); metrics["answered.once"] != 2 || metrics["current"] != 0 {
+		t.Errorf("metrics of the predecessor: %v", metrics)
+	}
+	old.beginShutdown()
+	wait(t, old.exited, "the end of the predecessor")
 	idle.send("PING")
-	idle.want("+PONG")
+	idle.wantLine("+PONG")
 }
 
-// In a chain of processes, each taking over from the one before under load, every request of every
-// client gets exactly one answer.
+// In a chain of processes, each of which takes over from its predecessor under load, every request
+// of every client gets exactly one reply.
 func TestChainOfHandoversAnswersAll(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
-	h := hold(t)
-	now := h.process(t, d)
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
+	h := newSharedListener(t)
+	current := h.startProcess(t, d)
 	go func() {
-		for call := range b.got {
-			call.serve(t, string(call.args[2]))
+		for call := range b.commands {
+			call.replyValue(t, string(call.args[2]))
 		}
 	}()
 	stop := make(chan struct{})
 	done := make(chan error, 6)
 	for n := range cap(done) {
-		c := now.client(t)
+		c := current.dialClient(t)
 		go func() {
 			for i := 1; ; i++ {
 				select {
@@ -171,17 +174,17 @@
 					return
 				default:
 				}
-				for k := range 1 + n%3 { // some of them in pipelines
-					c.lookup(n<<20|i<<4|k, "60000")
+				for k := range 1 + n%3 { // some clients pipeline two or three requests
+					c.sendLookup(n<<20|i<<4|k, "60000")
 				}
 				for k := range 1 + n%3 {
 					id := fmt.Sprintf("%016x", n<<20|i<<4|k)
-					head, value := c.line(), ""
+					head, value := c.readLine(), ""
 					if strings.HasPrefix(head, "-BUSY") {
-						continue // a valid answer: all processes share one quota
+						continue // allowed, because all processes share one quota
 					}
-					if value = c.line(); head != "$16" || value != id {
-						done <- fmt.Errorf("client %d: answer %q %q to %s", n, head, value, id)
+					if value = c.readLine(); head != "$16" || value != id {
+						done <- fmt.Errorf("client %d: reply %q %q to %s", n, head, value, id)
 						return
 					}
 				}
@@ -189,10 +192,10 @@
 		}()
 	}
 	for range 4 {
-		next := h.process(t, d)
-		now.stop()
-		wait(t, now.ended, "the end of a process that was replaced")
-		now = next
+		next := h.startProcess(t, d)
+		current.beginShutdown()
+		wait(t, current.exited, "the end of a predecessor")
+		current = next
 	}
 	close(stop)
 	for range cap(done) {
@@ -202,214 +205,215 @@
 	}
 }
 
-// A third process that starts while the first still answers its requests takes over from the
-// second. The first ends by itself, and its requests are answered.
+// A third process that starts while the first one still answers its open requests takes over from
+// the second one. The first process answers its requests nevertheless.
 func TestThirdProcessWhileFirstShutsDown(t *testing.T) {
-	b := newBackend(t)
-	h := hold(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
-	first := h.process(t, d)
-	c, other := first.client(t), first.client(t)
+	b := newFakeBackend(t)
+	h := newSharedListener(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
+	first := h.startProcess(t, d)
+	c, other := first.dialClient(t), first.dialClient(t)
 	other.send("PING")
-	other.want("+PONG")
-	c.once(1)
-	open := b.next(t)
-	second := h.process(t, d)
-	third := h.process(t, d)
-	for _, r := range []*rig{first, second} {
-		if got := operator(t, r, "check"); got != "fail handed over\n" {
-			t.Errorf("check of a process that was replaced: %q", got)
+	other.wantLine("+PONG")
+	c.sendOnce(1)
+	open := b.nextCommand(t)
+	second := h.startProcess(t, d)
+	third := h.startProcess(t, d)
+	for _, r := range []*testGateway{first, second} {
+		if got := callAdmin(t, r, "check"); got != "fail handed over\n" {
+			t.Errorf("check of a predecessor: %q", got)
 		}
 	}
 	other.send("PING")
-	other.want("+PONG")
-	open.serve(t, "open")
-	c.value("open")
-	second.stop() // before the first, whose connection it still waits for
-	wait(t, second.ended, "the end of the second process")
-	first.stop()
-	wait(t, first.ended, "the end of the first process")
-	other.lookup(2, "60000")
-	b.nextOf(t, 2).serve(t, "third")
-	other.value("third")
-	if n := vars(t, third)["answered.lookup"]; n != 1 {
-		t.Errorf("the third process answered %d requests, want 1", n)
+	other.wantLine("+PONG")
+	open.replyValue(t, "open")
+	c.wantValue("open")
+	second.beginShutdown() // before the first one, whose connection the second still waits for
+	wait(t, second.exited, "the end of the second process")
+	first.beginShutdown()
+	wait(t, first.exited, "the end of the first process")
+	other.sendLookup(2, "60000")
+	b.commandWithID(t, 2).replyValue(t, "third")
+	other.wantValue("third")
+	if n := readMetrics(t, third)["answered.lookup"]; n != 1 {
+		t.Errorf("the third process answered %d requests of class lookup, want 1", n)
 	}
 }
 
-// If a successor dies before it has taken over, the predecessor goes on serving, also the commands
-// that came meanwhile.
-func TestSuccessorThatDiesChangesNothing(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
-	h := hold(t)
-	old := h.process(t, d)
-	c := old.client(t)
+// If a successor exits before it has taken over, the predecessor continues to serve, including the
+// commands that arrived meanwhile.
+func TestSuccessorExitBeforeTakeover(t *testing.T) {
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
+	h := newSharedListener(t)
+	old := h.startProcess(t, d)
+	c := old.dialClient(t)
 	c.send("PING")
-	c.want("+PONG")
+	c.wantLine("+PONG")
 	for round := range 3 {
-		before, err := hotrestart.FindPredecessor(h.meet)
+		predecessor, err := hotrestart.FindPredecessor(h.rendezvousPath)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := before.TakeState(); err != nil {
+		if _, err := predecessor.TakeState(); err != nil {
 			t.Fatal(err)
 		}
-		c.lookup(round+1, "60000") // while it is open which process answers it
-		before.Close()
-		b.next(t).serve(t, "kept")
-		c.value("kept")
+		c.sendLookup(round+1, "60000") // while it is undecided which process answers it
+		predecessor.Close()
+		b.nextCommand(t).replyValue(t, "kept")
+		c.wantValue("kept")
 	}
-	other := old.client(t)
+	other := old.dialClient(t)
 	other.send("PING")
-	other.want("+PONG")
-	next := h.process(t, d) // a successor that lives takes over
+	other.wantLine("+PONG")
+	next := h.startProcess(t, d) // a successor that keeps running takes over
 	other.send("PING")
-	other.want("+PONG")
-	c.lookup(9, "60000")
-	b.next(t).serve(t, "next")
-	c.value("next")
-	if n := vars(t, next)["answered.lookup"]; n != 1 {
-		t.Errorf("the newer process answered %d requests, want 1", n)
+	other.wantLine("+PONG")
+	c.sendLookup(9, "60000")
+	b.nextCommand(t).replyValue(t, "next")
+	c.wantValue("next")
+	if n := readMetrics(t, next)["answered.lookup"]; n != 1 {
+		t.Errorf("the successor answered %d requests, want 1", n)
 	}
 }
 
-// answered waits for the answer to a request: a value, or the advice to come again, as a process
-// that does not know what another has consumed lets its buckets fill first.
-func (c *testClient) answered(want string) {
+// wantValueOrBusy reads the reply to a request: a value or -BUSY. A process that does not know
+// which units another one has consumed rejects requests until its buckets have refilled.
+func (c *testClient) wantValueOrBusy(want string) {
 	c.t.Helper()
-	if line := c.line(); strings.HasPrefix(line, "$") {
-		if value := c.line(); value != want {
+	if line := c.readLine(); strings.HasPrefix(line, "$") {
+		if value := c.readLine(); value != want {
 			c.t.Fatalf("value %q, want %q", value, want)
 		}
 	} else if !strings.HasPrefix(line, "-BUSY") {
-		c.t.Fatalf("answer %q", line)
+		c.t.Fatalf("reply %q, want a value or -BUSY", line)
 	}
 }
 
-// If a successor dies right after it has taken over, before any connection was passed, the
-// predecessor takes its place again: no connection ends, and all commands are answered.
-func TestSuccessorThatDiesOnceItHasTakenOver(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
-	h := hold(t)
-	old := h.process(t, d)
-	c, busy, half := old.client(t), old.client(t), old.client(t)
+// If a successor exits right after it has taken over, before any connection was passed to it, the
+// predecessor resumes serving: no connection ends, and all commands are answered.
+func TestSuccessorExitRightAfterTakeover(t *testing.T) {
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
+	h := newSharedListener(t)
+	old := h.startProcess(t, d)
+	c, busy, half := old.dialClient(t), old.dialClient(t), old.dialClient(t)
 	c.send("PING")
-	c.want("+PONG")
-	half.raw("*1\r\n$4\r\nPI")
-	busy.once(1)
-	open := b.next(t)
+	c.wantLine("+PONG")
+	half.writeRaw("*1\r\n$4\r\nPI")
+	busy.sendOnce(1)
+	open := b.nextCommand(t)
 	go func() {
-		for call := range b.got {
-			call.serve(t, "kept")
+		for call := range b.commands {
+			call.replyValue(t, "kept")
 		}
 	}()
-	successor, err := hotrestart.FindPredecessor(h.meet)
+	successor, err := hotrestart.FindPredecessor(h.rendezvousPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := successor.TakeState(); err != nil {
 		t.Fatal(err)
 	}
-	c.lookup(2, "60000") // while it is open which process answers it
-	busy.lookup(3, "60000")
+	c.sendLookup(2, "60000") // while it is undecided which process answers it
+	busy.sendLookup(3, "60000")
 	if err := successor.Confirm(); err != nil {
 		t.Fatal(err)
 	}
 	successor.Close()
-	c.answered("kept")
-	open.serve(t, "open")
-	busy.value("open")
-	busy.answered("kept")
-	half.raw("NG\r\n")
-	half.want("+PONG")
-	h.ready(t, old)
-	other := old.client(t)
+	c.wantValueOrBusy("kept")
+	open.replyValue(t, "open")
+	busy.wantValue("open")
+	busy.wantValueOrBusy("kept")
+	half.writeRaw("NG\r\n")
+	half.wantLine("+PONG")
+	h.waitUntilReady(t, old)
+	other := old.dialClient(t)
 	for i, c := range []*testClient{c, busy, half, other} {
-		c.lookup(10+i, "60000")
-		c.answered("kept")
+		c.sendLookup(10+i, "60000")
+		c.wantValueOrBusy("kept")
 	}
-	next := h.process(t, d) // a successor that lives takes over
-	other.lookup(20, "60000")
-	other.answered("kept")
-	if n := vars(t, next)["passed_in"]; n != 4 {
-		t.Errorf("%d connections were passed to the newer process, want 4", n)
+	next := h.startProcess(t, d) // a successor that keeps running takes over
+	other.sendLookup(20, "60000")
+	other.wantValueOrBusy("kept")
+	if n := readMetrics(t, next)["passed_in"]; n != 4 {
+		t.Errorf("%d connections were passed to the successor, want 4", n)
 	}
 }
 
-// A successor dies with connections that it has not received yet: each is read here again, with the
-// command that had come on it.
-func TestConnectionsOnTheirWayToASuccessorThatDies(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
+// A successor exits before it has received the connections that were passed to it. The predecessor
+// reads each of them again, including the command that had already arrived on it.
+func TestSuccessorExitWithConnectionsInTransit(t *testing.T) {
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
 	go func() {
-		for call := range b.got {
-			call.serve(t, "kept")
+		for call := range b.commands {
+			call.replyValue(t, "kept")
 		}
 	}()
-	old, successor := handOverToNobody(t, d)
+	old, successor := startAndFindPredecessor(t, d)
 	var clients []*testClient
 	for range 20 {
-		c := old.client(t)
+		c := old.dialClient(t)
 		c.send("PING")
-		c.want("+PONG")
+		c.wantLine("+PONG")
 		clients = append(clients, c)
 	}
 	if _, err := successor.TakeState(); err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range clients {
-		c.lookup(2+i, "60000")
+		c.sendLookup(2+i, "60000")
 	}
 	if err := successor.Confirm(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); vars(t, old)["passed_on"] < len(clients); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the connections are not passed")
+	for deadline := time.Now().Add(waitTimeout); readMetrics(t, old)["passed_on"] < len(clients); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting for the connections to be passed")
 		}
 	}
 	successor.Close()
 	for _, c := range clients {
-		c.answered("kept")
+		c.wantValueOrBusy("kept")
 	}
 }
 
-// A successor that lives but takes no more connections keeps the gateway's place: the predecessor
-// answers what comes on the connections that it still has, with advice to come again.
-func TestSuccessorThatTakesNoMoreConnections(t *testing.T) {
-	b := newBackend(t)
-	old, successor := handOverToNobody(t, newFakeDiscovery(t, b.entry("s-1", "Ready")))
-	c := old.client(t)
+// A successor that accepts no more connections but keeps running remains the serving process: the
+// predecessor rejects the commands on its remaining connections with -BUSY.
+func TestSuccessorAcceptsNoMoreConnections(t *testing.T) {
+	b := newFakeBackend(t)
+	old, successor := startAndFindPredecessor(t, newFakeDiscovery(t, b.memberJSON("s-1", "Ready")))
+	c := old.dialClient(t)
 	c.send("PING")
-	c.want("+PONG")
-	c.once(1)
-	open := b.next(t)
+	c.wantLine("+PONG")
+	c.sendOnce(1)
+	open := b.nextCommand(t)
 	if _, err := successor.TakeState(); err != nil {
 		t.Fatal(err)
 	}
-	c.once(2)
+	c.sendOnce(2)
 	if err := successor.Confirm(); err != nil {
 		t.Fatal(err)
 	}
 	successor.Leave()
-	open.serve(t, "open")
-	c.value("open")
-	if line := c.line(); !strings.HasPrefix(line, "-BUSY") {
-		t.Errorf("answer %q", line)
+	open.replyValue(t, "open")
+	c.wantValue("open")
+	if line := c.readLine(); !strings.HasPrefix(line, "-BUSY") {
+		t.Errorf("reply %q, want -BUSY", line)
 	}
-	if got := operator(t, old, "check"); got != "fail handed over\n" {
-		t.Errorf("check: %q", got)
+	if got := callAdmin(t, old, "check"); got != "fail handed over\n" {
+		t.Errorf("check of the predecessor: %q", got)
 	}
 }
 
-// handOverToNobody starts a process, and finds it like a successor, whose part the test plays.
-func handOverToNobody(t *testing.T, d *fakeDiscovery) (*rig, *hotrestart.Predecessor) {
+// startAndFindPredecessor starts a process and connects to it as its successor. The test plays the
+// successor.
+func startAndFindPredecessor(t *testing.T, d *fakeDiscovery) (*testGateway, *hotrestart.Predecessor) {
 	t.Helper()
-	h := hold(t)
-	old := h.process(t, d)
-	predecessor, err := hotrestart.FindPredecessor(h.meet)
+	h := newSharedListener(t)
+	old := h.startProcess(t, d)
+	predecessor, err := hotrestart.FindPredecessor(h.rendezvousPath)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -18,14 +18,14 @@
 	"mothcleat/internal/dataplane/resp"
 )
 
-// patience bounds every wait for an event; it says nothing about its speed.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for an event. It is no requirement on how soon the event comes.
+const waitTimeout = 30 * time.Second
 
-// fakeBackend answers commands as the test says.
+// fakeBackend is a backend that passes the commands it receives to the test, which replies to them.
 type fakeBackend struct {
-	listener net.Listener
-	got      chan *backendCall
-	ended    chan error // how each connection ended
+	listener    net.Listener
+	commands    chan *backendCall
+	disconnects chan error // the read error that ended each connection
 }
 
 // backendCall is a command that a backend has received completely.
@@ -34,35 +34,36 @@
 	conn net.Conn
 }
 
-func (c *backendCall) answer(t testing.TB, text string) {
+func (c *backendCall) reply(t testing.TB, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		t.Error(err)
 	}
 }
 
-func (c *backendCall) serve(t testing.TB, value string) {
+// replyValue replies with a value, without a load report or a usage figure.
+func (c *backendCall) replyValue(t testing.TB, value string) {
 	t.Helper()
-	c.answer(t, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
+	c.reply(t, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
 }
 
-func newBackend(t testing.TB) *fakeBackend {
+func newFakeBackend(t testing.TB) *fakeBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &fakeBackend{
-		listener: l,
-		got:      make(chan *backendCall, 1024),
-		ended:    make(chan error, 1024),
+		listener:    l,
+		commands:    make(chan *backendCall, 1024),
+		disconnects: make(chan error, 1024),
 	}
 	t.Cleanup(func() { l.Close() })
 	b.serveOn(l)
 	return b
 }
 
-// serveOn reads commands from connections of a listener.
+// serveOn accepts connections of a listener and reads commands from them, in the background.
 func (b *fakeBackend) serveOn(l net.Listener) {
 	go func() {
 		for {
@@ -76,17 +77,18 @@
 					args, err := in.ReadCommand()
 					if err != nil {
 						conn.Close()
-						b.ended <- err
+						b.disconnects <- err
 						return
 					}
-					b.got <- &backendCall{args, conn}
+					b.commands <- &backendCall{args, conn}
 				}
 			}()
 		}
 	}()
 }
 
-func (b *fakeBackend) entry(id, phase string) string {
+// memberJSON returns the backend's entry in discovery's list of members.
+func (b *fakeBackend) memberJSON(id, phase string) string {
 	return fmt.Sprintf(
 		`{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
 		id,
@@ -95,42 +97,44 @@
 	)
 }
 
-// next waits for a command.
-func (b *fakeBackend) next(t testing.TB) *backendCall {
+// nextCommand waits for the next command that the backend receives.
+func (b *fakeBackend) nextCommand(t testing.TB) *backendCall {
 	t.Helper()
-	return wait(t, b.got, "a command at the backend")
+	return wait(t, b.commands, "a command at the backend")
 }
 
+// wait returns the next value of a channel; what names it in the failure message.
 func wait[T any](t testing.TB, from <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("timed out waiting for ", what)
 		panic("unreachable")
 	}
 }
 
-// fakeDiscovery serves a list of members and each change that the test makes.
+// fakeDiscovery is a discovery service: it serves a list of members and each list that the test
+// publishes.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu       sync.Mutex
 	revision int
-	list     string
-	changed  chan struct{}
-	calls    chan string
+	list     string        // the members, as JSON
+	changed  chan struct{} // closed by the next publish
+	calls    chan string   // the query string of each call
 }
 
 func newFakeDiscovery(t testing.TB, entries ...string) *fakeDiscovery {
 	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, 1024)}
-	d.tell(entries...)
+	d.publish(entries...)
 	d.Server = httptest.NewServer(d)
 	t.Cleanup(func() { d.CloseClientConnections(); d.Close() })
 	return d
 }
 
-func (d *fakeDiscovery) tell(entries ...string) {
+func (d *fakeDiscovery) publish(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -139,13 +143,13 @@
 	d.changed = make(chan struct{})
 }
 
-// settled waits until the gateway watches from the last change on: it has then read that change,
-// and applies it ahead of what it reads later. Which change is the last is looked up at each call,
-// as another may be made meanwhile. The bound is on all calls together, as a gateway that never
-// settles goes on calling.
-func (d *fakeDiscovery) settled(t testing.TB) {
+// awaitWatch waits until the gateway starts a watch from the newest revision. The gateway has then
+// read that revision, and applies it before anything that it reads later. The newest revision is
+// looked up at each call, because the test may publish another one meanwhile. The timeout covers
+// all calls together, because a gateway that never reaches that revision keeps calling.
+func (d *fakeDiscovery) awaitWatch(t testing.TB) {
 	t.Helper()
-	for late := time.After(patience); ; {
+	for timeout := time.After(waitTimeout); ; {
 		select {
 		case call := <-d.calls:
 			d.mu.Lock()
@@ -154,8 +158,8 @@
 			if strings.HasPrefix(call, want) {
 				return
 			}
-		case <-late:
-			t.Fatal("timed out waiting for a watch from the last change on")
+		case <-timeout:
+			t.Fatal("timed out waiting for a watch from the newest revision")
 		}
 	}
 }
@@ -166,7 +170,7 @@
 	default:
 	}
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	over := time.After(time.Duration(ms) * time.Millisecond)
+	expired := time.After(time.Duration(ms) * time.Millisecond)
 	for {
 		d.mu.Lock()
 		revision, list, changed := d.revision, d.list, d.changed
@@ -183,7 +187,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-expired:
 			fmt.Fprintf(w, `{"revision":%d,"complete":false,"members":[]}`, revision)
 			return
 		case <-r.Context().Done():
@@ -192,6 +196,7 @@
 	}
 }
 
+// settingsText are the balancer's settings in the tests' configuration.
 const settingsText = `{"self-index":0,"balancers":1,"az":0,"granularity-us":4000,"localities":["a"],
  "ceilings":{"peers":false,"probes":false,"second-copies":true,"retry-after":true,"max-attempts":3,
   "max-retry-after-us":2000000,"max-open":20000,"dial-timeout-us":250000,"idle-close-us":30000000},
@@ -205,37 +210,38 @@
  "tariffs":[{"name":"team","rate":1000,"burst":1000,"value-factor":1},
   {"name":"tiny","rate":0.1,"burst":1,"value-factor":1}]}`
 
-// quiet returns a log that discards everything.
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
-
-// rig is a gateway between fakes.
-type rig struct {
-	addr    string
-	gateway *Gateway
-	reload  chan struct{}
-	configs chan func() (Config, error) // what the next reload reads
-	once    sync.Once
-	stopped chan struct{}
-	ended   chan struct{}
+// discardLogger returns a logger that discards everything.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
+// testGateway is a running gateway with a fake discovery and fake backends.
+type testGateway struct {
+	addr          string
+	gateway       *Gateway
+	reload        chan struct{}
+	configs       chan func() (Config, error) // returns what the next reload reads
+	once          sync.Once
+	stopRequested chan struct{}
+	exited        chan struct{}
 }
 
-// halt ends the event loop at once. A planned shutdown takes half a second at least: only the tests
-// that are about it wait for one.
-type halt struct{}
+// stopEventLoop ends the event loop at once. A planned shutdown takes at least half a second, so
+// only the tests of the shutdown wait for one.
+type stopEventLoop struct{}
 
-func (halt) handle(g *Gateway) { g.done = true }
+func (stopEventLoop) handle(g *Gateway) { g.done = true }
 
-// stop begins a planned shutdown.
-func (r *rig) stop() { r.once.Do(func() { close(r.stopped) }) }
+// beginShutdown begins a planned shutdown.
+func (r *testGateway) beginShutdown() { r.once.Do(func() { close(r.stopRequested) }) }
 
-// reloads has the gateway read another configuration, or fail to read it.
-func (r *rig) reloads(cfg Config, err error) {
+// reloadWith makes the gateway reload; reading the configuration returns cfg and err.
+func (r *testGateway) reloadWith(cfg Config, err error) {
 	r.configs <- func() (Config, error) { return cfg, err }
 	r.reload <- struct{}{}
 }
 
-// configure returns the configuration of a gateway with a fake discovery.
-func configure(t testing.TB, d *fakeDiscovery, change func(map[string]any)) Config {
+// testConfig returns the configuration of a gateway that uses a fake discovery. change, if not nil,
+// edits it before it is parsed.
+func testConfig(t testing.TB, d *fakeDiscovery, change func(map[string]any)) Config {
 	t.Helper()
 	f := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": strings.TrimPrefix(d.URL, "http://"),
@@ -256,10 +262,10 @@
 	return cfg
 }
 
-// unstarted returns a gateway whose event loop the test runs by hand.
-func unstarted(t testing.TB, d *fakeDiscovery) *Gateway {
+// newUnstartedGateway returns a gateway whose event loop does not run: the test handles the events.
+func newUnstartedGateway(t testing.TB, d *fakeDiscovery) *Gateway {
 	t.Helper()
-	g, err := newGateway(configure(t, d, nil), quiet())
+	g, err := newGateway(testConfig(t, d, nil), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -267,69 +273,71 @@
 	return g
 }
 
-// begin starts a gateway and waits until it is ready.
-func begin(t testing.TB, cfg Config) *rig { return beginWith(t, cfg, func(*Gateway) {}) }
+// startGateway starts a gateway and waits until it is ready.
+func startGateway(t testing.TB, cfg Config) *testGateway {
+	return startGatewayWith(t, cfg, func(*Gateway) {})
+}
 
-// beginWith is begin, after a function has prepared the gateway.
-func beginWith(t testing.TB, cfg Config, prepare func(*Gateway)) *rig {
+// startGatewayWith is startGateway; prepare changes the gateway before its event loop starts.
+func startGatewayWith(t testing.TB, cfg Config, prepare func(*Gateway)) *testGateway {
 	t.Helper()
-	g, err := newGateway(cfg, quiet())
+	g, err := newGateway(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	prepare(g)
-	r := &rig{
-		addr:    g.clients.listener.Addr().String(),
-		gateway: g,
-		stopped: make(chan struct{}),
-		ended:   make(chan struct{}),
-		reload:  make(chan struct{}),
-		configs: make(chan func() (Config, error), 1),
+	r := &testGateway{
+		addr:          g.clients.listener.Addr().String(),
+		gateway:       g,
+		stopRequested: make(chan struct{}),
+		exited:        make(chan struct{}),
+		reload:        make(chan struct{}),
+		configs:       make(chan func() (Config, error), 1),
 	}
 	control := Control{
-		Stop:       r.stopped,
+		Stop:       r.stopRequested,
 		Reload:     r.reload,
 		ReadConfig: func() (Config, error) { return (<-r.configs)() },
 	}
-	go func() { g.serve(control); close(r.ended) }()
+	go func() { g.serve(control); close(r.exited) }()
 	t.Cleanup(func() {
 		select {
-		case g.urgent <- halt{}:
-		case <-r.ended:
-		case <-time.After(patience):
+		case g.urgent <- stopEventLoop{}:
+		case <-r.exited:
+		case <-time.After(waitTimeout):
 		}
 		select {
-		case <-r.ended:
-		case <-time.After(patience):
-			t.Error("the gateway did not end")
+		case <-r.exited:
+		case <-time.After(waitTimeout):
+			t.Error("the gateway's event loop did not end")
 		}
 	})
-	c := r.client(t)
+	c := r.dialClient(t)
 	c.send("PING")
-	c.want("+PONG")
+	c.wantLine("+PONG")
 	c.conn.Close()
 	return r
 }
 
-// testClient is a client's connection.
+// testClient is the client's side of a connection to a gateway.
 type testClient struct {
 	t    testing.TB
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func (r *rig) client(t testing.TB) *testClient {
+func (r *testGateway) dialClient(t testing.TB) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(2 * patience))
+	_ = conn.SetDeadline(time.Now().Add(2 * waitTimeout))
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func (c *testClient) raw(text string) {
+func (c *testClient) writeRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.t.Fatal(err)
@@ -342,56 +350,56 @@
 	for _, a := range args {
 		b = resp.AppendBulk(b, []byte(a))
 	}
-	c.raw(string(b))
+	c.writeRaw(string(b))
 }
 
-// lookup sends an idempotent request.
-func (c *testClient) lookup(id int, wait string) {
+// sendLookup sends an idempotent request of class lookup with a timeout in milliseconds.
+func (c *testClient) sendLookup(id int, timeoutMS string) {
 	c.t.Helper()
 	c.send(
 		"API.READ",
 		"0000000000000007",
 		fmt.Sprintf("%016x", id),
-		"c=lookup,t=team,d="+wait+",units=1,spread=1,first=0",
+		"c=lookup,t=team,d="+timeoutMS+",units=1,spread=1,first=0",
 	)
 }
 
-// line reads one line.
-func (c *testClient) line() string {
+// readLine reads one line of a reply, without its line break.
+func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatal("reading an answer: ", err)
+		c.t.Fatal("reading a reply: ", err)
 	}
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-func (c *testClient) want(line string) {
+func (c *testClient) wantLine(line string) {
 	c.t.Helper()
-	if got := c.line(); got != line {
-		c.t.Fatalf("answer %q, want %q", got, line)
+	if got := c.readLine(); got != line {
+		c.t.Fatalf("reply %q, want %q", got, line)
 	}
 }
 
-// value reads a bulk string.
-func (c *testClient) value(want string) {
+// wantValue reads a bulk string and compares it.
+func (c *testClient) wantValue(want string) {
 	c.t.Helper()
-	c.want(fmt.Sprintf("$%d", len(want)))
-	c.want(want)
+	c.wantLine(fmt.Sprintf("$%d", len(want)))
+	c.wantLine(want)
 }
 
-// closed waits until the gateway has ended the connection.
-func (c *testClient) closed() {
+// wantClosed waits until the gateway closes the connection, with an orderly end and no more data.
+func (c *testClient) wantClosed() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.in); err != nil || len(b) > 0 {
-		c.t.Fatalf("end of the connection: %q, %v", b, err)
+		c.t.Fatalf("before the end of the connection: %q, %v; want no data and no error", b, err)
 	}
 }
 
-// ended waits until the gateway has cut the connection off, in whatever way.
-func (c *testClient) ended() {
+// wantDisconnected waits until the connection ends, by a close or a reset, without more data.
+func (c *testClient) wantDisconnected() {
 	c.t.Helper()
 	if b, _ := io.ReadAll(c.in); len(b) > 0 {
-		c.t.Fatalf("end of the connection: %q", b)
+		c.t.Fatalf("before the end of the connection: %q, want no data", b)
 	}
 }
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -8,60 +8,59 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// The idle time of a connection that proved dead ends with the write of the request, not with the
-// start of its attempt: an attempt that waits while its connection rests starts before the
-// connection becomes idle, and the negative difference would make the gateway trust no idle
-// connection any more.
+// The idle time of a dead connection ends when the request is written, not when its attempt starts.
+// An attempt that waits for the connection's cooldown starts before the connection becomes idle:
+// the difference would be negative, and the gateway would reuse no idle connection any more.
 func TestIdleTimeEndsAtTheWrite(t *testing.T) {
-	const stood = 5 * time.Second
-	b := newBackend(t)
-	r := beginWith(
+	const idleTime = 5 * time.Second
+	b := newFakeBackend(t)
+	r := startGatewayWith(
 		t,
-		configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil),
+		testConfig(t, newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready")), nil),
 		func(g *Gateway) {
 			g.backends.cooldown = policy.Time(
 				time.Hour.Microseconds(),
-			) // until the test ends it
+			) // in effect until the test ends it
 		},
 	)
-	c, other := r.client(t), r.client(t)
-	c.lookup(1, "60000")
-	b.next(t).serve(t, "one")
-	c.value("one")
-	other.lookup(2, "60000")
-	until(
+	c, other := r.dialClient(t), r.dialClient(t)
+	c.sendLookup(1, "60000")
+	b.nextCommand(t).replyValue(t, "one")
+	c.wantValue("one")
+	other.sendLookup(2, "60000")
+	waitUntil(
 		t,
 		r.gateway,
-		"a request that waits for the connection to have rested",
+		"a request that waits for the connection's cooldown",
 		func(g *Gateway) bool {
 			return len(g.backends.byNumber[1].waiting) == 1
 		},
 	)
-	ask(t, r.gateway, func(g *Gateway) bool {
+	onEventLoop(t, r.gateway, func(g *Gateway) bool {
 		server := g.backends.byNumber[1]
 		conn, waiting := server.idle[0], server.waiting[0]
-		conn.idleSince -= stood.Microseconds()
-		waiting.startedAt = conn.idleSince - stood.Microseconds()
+		conn.idleSince -= idleTime.Microseconds()
+		waiting.startedAt = conn.idleSince - idleTime.Microseconds()
 		conn.cooldownUntil = g.now()
-		g.backends.idleLimiter.lastBroken = g.now() // a single one is taken for chance
+		g.backends.idleLimiter.lastBroken = g.now() // the first broken connection lowers no limit
 		cooldownEnded{conn}.due(g)
-		waiting.writtenAt += time.Hour.Microseconds() // it breaks at once, however late this machine sees it
+		waiting.writtenAt += time.Hour.Microseconds() // the break counts as immediate, however slow the machine is
 		return true
 	})
-	call := b.next(t)
+	call := b.nextCommand(t)
 	_ = call.conn.(*net.TCPConn).SetLinger(0)
 	call.conn.Close()
-	b.next(t).serve(t, "two") // by another
-	other.value("two")
-	if learnt := ask(
+	b.nextCommand(t).replyValue(t, "two") // on another connection
+	other.wantValue("two")
+	if limit := onEventLoop(
 		t,
 		r.gateway,
 		func(g *Gateway) policy.Time { return g.backends.idleLimiter.learnedLimit },
-	); learnt < stood.Microseconds()/2 {
+	); limit < idleTime.Microseconds()/2 {
 		t.Errorf(
-			"a connection is trusted for %d us, this one had stood idle for %d",
-			learnt,
-			stood.Microseconds(),
+			"the learned idle limit is %d us; the broken connection had been idle for %d us",
+			limit,
+			idleTime.Microseconds(),
 		)
 	}
 }
--- a/internal/dataplane/gateway/idle_trust_test.go
+++ b/internal/dataplane/gateway/idle_trust_test.go
@@ -8,23 +8,23 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// Idle connections that break when used are trusted for a shorter time, until that recovers.
-func TestIdleTrustLearnsAndRecovers(t *testing.T) {
-	k := idleLimiter{maxIdle: 15_000_000}
+// Idle connections that break on reuse lower the idle limit, which then recovers over time.
+func TestIdleLimitLearnsAndRecovers(t *testing.T) {
+	l := idleLimiter{maxIdle: 15_000_000}
 	now := policy.Time(1e9)
-	want := func(most policy.Time) {
+	want := func(limit policy.Time) {
 		t.Helper()
-		if got := k.limit(now); got != most {
-			t.Errorf("trusted for %d, want %d", got, most)
+		if got := l.limit(now); got != limit {
+			t.Errorf("idle limit %d us, want %d us", got, limit)
 		}
 	}
-	k.connBroken(now, 400_000)
-	want(15_000_000) // a single one is taken for chance
+	l.connBroken(now, 400_000)
+	want(15_000_000) // a single broken connection may be a coincidence
 	now += 100_000
-	k.connBroken(now, 400_000)
+	l.connBroken(now, 400_000)
 	want(200_000)
 	now += 1
-	k.connBroken(now, 1000)
+	l.connBroken(now, 1000)
 	want(minIdleLimit)
 	now += 2 * idleLimitRecovery
 	want(4 * minIdleLimit)
@@ -32,11 +32,11 @@
 	want(15_000_000)
 }
 
-// A dial that is reset is repeated once before the backend counts as unreachable: nothing was sent,
-// and something listens there.
+// A dial that is reset is repeated once before the backend counts as unreachable: no request was
+// sent, and a reset shows that some process listens there.
 func TestResetDialIsRepeatedOnce(t *testing.T) {
-	b := newBackend(t)
-	g := unstarted(t, newFakeDiscovery(t))
+	b := newFakeBackend(t)
+	g := newUnstartedGateway(t, newFakeDiscovery(t))
 	g.backends.updateEndpoints(
 		g,
 		policy.Complete,
--- a/internal/dataplane/gateway/peers_test.go
+++ b/internal/dataplane/gateway/peers_test.go
@@ -9,21 +9,22 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-func udp(t *testing.T) *net.UDPConn {
+// newUDPSocket returns a UDP socket on the loopback interface.
+func newUDPSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	return c
 }
 
-// A message over 256 bytes would void the run. Datagrams that are too long or come from no peer are
-// dropped.
+// No message over maxPeerMessageBytes is sent, because it would make a run of the platform invalid.
+// Received datagrams that are too long or do not come from a peer are dropped.
 func TestPeerMessages(t *testing.T) {
-	peer, stranger := udp(t), udp(t)
+	peer, stranger := newUDPSocket(t), newUDPSocket(t)
 	cfg := &Config{
 		PeerListen: "127.0.0.1:0",
 		Settings:   policy.Settings{Peers: true},
@@ -32,7 +33,7 @@
 			peer.LocalAddr().(*net.UDPAddr).AddrPort(),
 		},
 	}
-	p, err := newPeerLink(cfg, quiet())
+	p, err := newPeerLink(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,13 +53,13 @@
 
 	for _, send := range []struct {
 		conn *net.UDPConn
-		note []byte
+		body []byte
 	}{{stranger, []byte("from nobody")}, {peer, make([]byte, maxPeerMessageBytes+1)}, {peer, []byte("answer")}} {
-		if _, err := send.conn.WriteToUDPAddrPort(send.note, from); err != nil {
+		if _, err := send.conn.WriteToUDPAddrPort(send.body, from); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if h := wait(t, g.events, "a note").(peerMessage); h.from != 1 || string(h.body) != "answer" {
-		t.Errorf("note %q from %d", h.body, h.from)
+	if m := wait(t, g.events, "a message").(peerMessage); m.from != 1 || string(m.body) != "answer" {
+		t.Errorf("message %q from peer %d", m.body, m.from)
 	}
 }
--- a/internal/dataplane/gateway/readiness_test.go
+++ b/internal/dataplane/gateway/readiness_test.go
@@ -21,23 +21,23 @@
 	"mothcleat/internal/storage/store"
 )
 
-// readyWithin is the time in which nine in ten restarted processes must be ready. Here each has to
-// be.
-const readyWithin = 10 * time.Second
+// maxReadyTime is the time within which nine of ten restarted processes must be ready. These tests
+// require it of every one.
+const maxReadyTime = 10 * time.Second
 
-// readyInTime starts a gateway and waits for the answer to its first PING.
-func readyInTime(t *testing.T, cfg Config) *rig {
+// startWithinReadyTime starts a gateway and waits for the answer to its first PING.
+func startWithinReadyTime(t *testing.T, cfg Config) *testGateway {
 	t.Helper()
-	began := time.Now()
-	r := begin(t, cfg)
-	if took := time.Since(began); took > readyWithin {
-		t.Errorf("ready after %v, want %v at most", took, readyWithin)
+	start := time.Now()
+	r := startGateway(t, cfg)
+	if elapsed := time.Since(start); elapsed > maxReadyTime {
+		t.Errorf("ready after %v, want at most %v", elapsed, maxReadyTime)
 	}
 	return r
 }
 
-// bound is a socket with an address, at which nothing listens.
-func bound(t *testing.T) (fd int, address string) {
+// newBoundSocket returns a socket that is bound to an address but does not listen.
+func newBoundSocket(t *testing.T) (fd int, address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -54,44 +54,46 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// badDiscoveries are the ways in which discovery serves no list.
-var badDiscoveries = map[string]func(t *testing.T) (address string){
-	"refuses": func(t *testing.T) string {
-		_, address := bound(t)
+// failingDiscoveries are discovery services that serve no list. Each function starts one and
+// returns its address.
+var failingDiscoveries = map[string]func(t *testing.T) (address string){
+	"refuses connections": func(t *testing.T) string {
+		_, address := newBoundSocket(t)
 		return address
 	},
 	"can't be reached": func(t *testing.T) string {
-		fd, address := bound(t)
+		fd, address := newBoundSocket(t)
 		if err := syscall.Listen(fd, 0); err != nil {
 			t.Fatal(err)
 		}
 		filler, err := net.Dial(
 			"tcp",
 			address,
-		) // the one that the queue holds: the system drops what else comes
+		) // fills the listener's backlog: the system drops further connection requests
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { filler.Close() })
 		return address
 	},
-	"is silent": answering(
+	"does not answer": discoveryWithHandler(
 		func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 	),
-	"turns away": answering(
+	"is unavailable": discoveryWithHandler(
 		func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 	),
-	"tells no list": answering(
+	"serves no JSON": discoveryWithHandler(
 		func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "<html>") },
 	),
-	"hangs amid the list": answering(func(w http.ResponseWriter, r *http.Request) {
+	"hangs in the middle of the list": discoveryWithHandler(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, `{"revision":4,"complete":true,"members":[{"id"`)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}),
 }
 
-func answering(f http.HandlerFunc) func(t *testing.T) string {
+// discoveryWithHandler returns a function that starts an HTTP server and returns its address.
+func discoveryWithHandler(f http.HandlerFunc) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		s := httptest.NewServer(f)
 		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
@@ -99,18 +101,18 @@
 	}
 }
 
-// A gateway that starts while discovery serves no list becomes ready all the same, and serves by
-// the list of its configuration, whether lists are pushed or polled.
+// A gateway that starts while discovery serves no list becomes ready nevertheless and uses the list
+// in its configuration, whether lists are pushed or polled.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	for name, discovery := range badDiscoveries {
+	for name, discovery := range failingDiscoveries {
 		for _, mode := range []string{"pushed", "on_request"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
-				t.Parallel() // each waits for discovery first
-				b := newBackend(t)
-				cfg := configure(t, newFakeDiscovery(t), func(f map[string]any) {
+				t.Parallel() // each start waits for discovery first
+				b := newFakeBackend(t)
+				cfg := testConfig(t, newFakeDiscovery(t), func(f map[string]any) {
 					f["discovery"] = discovery(t)
 					f["known"] = json.RawMessage(
-						`{"revision":41,"complete":true,"members":[` + b.entry(
+						`{"revision":41,"complete":true,"members":[` + b.memberJSON(
 							"s-00000001",
 							"Ready",
 						) + `]}`,
@@ -124,38 +126,40 @@
 						),
 					)
 				})
-				r := readyInTime(t, cfg)
-				c := r.client(t)
-				c.lookup(1, "60000")
-				b.next(t).serve(t, "ok")
-				c.value("ok")
+				r := startWithinReadyTime(t, cfg)
+				c := r.dialClient(t)
+				c.sendLookup(1, "60000")
+				b.nextCommand(t).replyValue(t, "ok")
+				c.wantValue("ok")
 			})
 		}
 	}
 }
 
-// keptState returns a directory with the snapshot that a gateway has left.
-func keptState(t *testing.T) (path string, cfg Config) {
+// writeSnapshot runs a gateway until it has stored a snapshot, and returns the snapshot's path and
+// the gateway's configuration.
+func writeSnapshot(t *testing.T) (path string, cfg Config) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "state")
-	b := newBackend(t)
-	cfg = configure(t, newFakeDiscovery(t, b.entry("s-00000001", "Ready")), nil)
+	b := newFakeBackend(t)
+	cfg = testConfig(t, newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready")), nil)
 	cfg.Restart = Restart{
-		Store:            keeper(t, path),
+		Store:            openSnapshotFile(t, path),
 		SnapshotInterval: 50 * time.Millisecond,
 		MaxSnapshotAge:   time.Hour,
 	}
-	r := begin(t, cfg)
-	c := r.client(t)
-	c.lookup(1, "60000")
-	b.next(t).serve(t, "ok")
-	c.value("ok")
-	r.stop()
-	wait(t, r.ended, "the gateway's end")
+	r := startGateway(t, cfg)
+	c := r.dialClient(t)
+	c.sendLookup(1, "60000")
+	b.nextCommand(t).replyValue(t, "ok")
+	c.wantValue("ok")
+	r.beginShutdown()
+	wait(t, r.exited, "the gateway's end")
 	return path, cfg
 }
 
-func keeper(t *testing.T, path string) *snapshot.File {
+// openSnapshotFile opens the snapshot store at a path.
+func openSnapshotFile(t *testing.T, path string) *snapshot.File {
 	t.Helper()
 	f, err := snapshot.Open(path)
 	if err != nil {
@@ -164,8 +168,8 @@
 	return f
 }
 
-// eachFile calls a function for each file in a directory.
-func eachFile(t *testing.T, dir string, change func(path string) error) {
+// forEachFile calls a function for each file in a directory.
+func forEachFile(t *testing.T, dir string, change func(path string) error) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil || len(entries) == 0 {
@@ -178,18 +182,18 @@
 	}
 }
 
-// A gateway becomes ready whatever snapshot it finds: a good one, a damaged one, one that another
-// process has locked, or one in a directory that it can't write.
+// A gateway becomes ready whatever it finds in place of its snapshot: a valid one, a damaged one,
+// one that another process has locked, another file, nothing, or a path that it can't create.
 func TestReadyWithAnySnapshot(t *testing.T) {
-	for name, spoil := range map[string]func(t *testing.T, path string){
-		"good": func(*testing.T, string) {},
+	for name, prepare := range map[string]func(t *testing.T, path string){
+		"valid": func(*testing.T, string) {},
 		"none": func(t *testing.T, path string) {
 			if err := os.RemoveAll(path); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"cut": func(t *testing.T, path string) {
-			eachFile(t, path, func(path string) error {
+		"truncated": func(t *testing.T, path string) {
+			forEachFile(t, path, func(path string) error {
 				info, err := os.Stat(path)
 				if err != nil {
 					return err
@@ -198,72 +202,73 @@
 			})
 		},
 		"overwritten": func(t *testing.T, path string) {
-			eachFile(t, path, func(path string) error { return os.WriteFile(path, []byte(strings.Repeat("spoilt\x00", 500)), 0o600) })
+			forEachFile(t, path, func(path string) error { return os.WriteFile(path, []byte(strings.Repeat("spoilt\x00", 500)), 0o600) })
 		},
 		"a foreign file": func(t *testing.T, path string) {
 			if err := errors.Join(os.RemoveAll(path), os.WriteFile(path, []byte("something else"), 0o600)); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"held by another": func(t *testing.T, path string) {
+		"locked by another process": func(t *testing.T, path string) {
 			other, err := store.Open(path, store.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { other.Close() })
 		},
-		"no folder": func(t *testing.T, path string) {
+		"no directory": func(t *testing.T, path string) {
 			if err := os.RemoveAll(filepath.Dir(path)); err != nil {
 				t.Fatal(err)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // a stop takes half a second
-			path, cfg := keptState(t)
-			cfg.Restart.Store = keeper(t, path)
-			spoil(t, path)
-			r := readyInTime(t, cfg)
-			if n := ask(
+			t.Parallel() // a shutdown takes half a second
+			path, cfg := writeSnapshot(t)
+			cfg.Restart.Store = openSnapshotFile(t, path)
+			prepare(t, path)
+			r := startWithinReadyTime(t, cfg)
+			if n := onEventLoop(
 				t,
 				r.gateway,
 				func(g *Gateway) int { return g.balancer.TakeSnapshot(g.now(), false).Version },
 			); n != policy.SnapshotVersion {
-				t.Errorf("version %d", n)
+				t.Errorf("snapshot version %d, want %d", n, policy.SnapshotVersion)
 			}
 		})
 	}
 }
 
-// Guards against deadlines that begin too late: what came before the process accepted has waited in
-// the listener's backlog, and its backend is told no more time than may be left.
-func TestRequestThatWaitedForTheStartHasLessTime(t *testing.T) {
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-1", "Ready"))
+// A request that arrived before the process accepted connections has waited in the listener's
+// backlog. Its deadline counts from then, and the backend is sent no longer timeout than may be
+// left.
+func TestTimeInBacklogCountsAgainstDeadline(t *testing.T) {
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-1", "Ready"))
 	const waited = 400 * time.Millisecond
 	var early net.Conn
-	r := beginWith(t, configure(t, d, nil), func(g *Gateway) {
+	r := startGatewayWith(t, testConfig(t, d, nil), func(g *Gateway) {
 		var err error
 		if early, err = net.Dial("tcp", g.clients.listener.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
 		request := &testClient{t: t, conn: early}
-		request.lookup(1, "2000")
+		request.sendLookup(1, "2000")
 		g.backlogSince -= waited.Microseconds() // in place of a sleep
 	})
 	defer early.Close()
-	call := b.next(t)
-	var told int64
+	call := b.nextCommand(t)
+	var sentMS int64
 	for field := range strings.SplitSeq(string(call.args[3]), ",") {
 		if value, ok := strings.CutPrefix(field, "d="); ok {
-			told, _ = strconv.ParseInt(value, 10, 64)
+			sentMS, _ = strconv.ParseInt(value, 10, 64)
 		}
 	}
-	if left := 2000 - waited.Milliseconds(); told <= 0 || told > left {
-		t.Errorf("the backend is told %d ms, and at most %d may be left", told, left)
+	if leftMS := 2000 - waited.Milliseconds(); sentMS <= 0 || sentMS > leftMS {
+		t.Errorf("the backend was sent a timeout of %d ms, want at most %d ms", sentMS, leftMS)
 	}
-	call.serve(t, "early")
-	later := r.client(t)
+	call.replyValue(t, "early")
+	later := r.dialClient(t)
 	later.send("PING")
-	later.want("+PONG")
+	later.wantLine("+PONG")
 }
--- a/internal/dataplane/gateway/snapshot_test.go
+++ b/internal/dataplane/gateway/snapshot_test.go
@@ -16,38 +16,38 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// memory stores snapshots in memory.
-type memory struct {
-	mu     sync.Mutex
-	states []policy.Snapshot
-	err    error
-	stored chan policy.Snapshot
+// memoryStore stores snapshots in memory.
+type memoryStore struct {
+	mu        sync.Mutex
+	snapshots []policy.Snapshot
+	err       error                // if not nil, Store fails with it
+	stored    chan policy.Snapshot // each snapshot that was stored
 }
 
-func newMemory() *memory { return &memory{stored: make(chan policy.Snapshot, 1024)} }
+func newMemoryStore() *memoryStore { return &memoryStore{stored: make(chan policy.Snapshot, 1024)} }
 
-func (m *memory) Load() (policy.Snapshot, error) {
+func (m *memoryStore) Load() (policy.Snapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.states) == 0 {
+	if len(m.snapshots) == 0 {
 		return policy.Snapshot{}, fs.ErrNotExist
 	}
-	return m.states[len(m.states)-1], nil
+	return m.snapshots[len(m.snapshots)-1], nil
 }
 
-func (m *memory) Store(s policy.Snapshot, _ bool) error {
+func (m *memoryStore) Store(s policy.Snapshot, _ bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.err == nil {
-		m.states = append(m.states, s)
+		m.snapshots = append(m.snapshots, s)
 		m.stored <- s
 	}
 	return m.err
 }
 
-// surviving is a configuration with a snapshot store.
-func surviving(t testing.TB, d *fakeDiscovery, m *memory) Config {
-	cfg := configure(t, d, nil)
+// configWithStore returns a configuration with a snapshot store.
+func configWithStore(t testing.TB, d *fakeDiscovery, m *memoryStore) Config {
+	cfg := testConfig(t, d, nil)
 	cfg.Restart = Restart{
 		Store:            m,
 		SnapshotInterval: 50 * time.Millisecond,
@@ -56,15 +56,15 @@
 	return cfg
 }
 
-// What a customer consumed before a restart stays consumed, after an orderly shutdown and after a
-// crash.
+// Units that a customer consumed before a restart remain consumed, after an orderly shutdown as
+// well as after a crash.
 func TestRestartKeepsConsumedUnits(t *testing.T) {
 	for _, orderly := range []bool{true, false} {
-		m := newMemory()
-		b := newBackend(t)
-		d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-		r := begin(t, surviving(t, d, m))
-		c := r.client(t)
+		m := newMemoryStore()
+		b := newFakeBackend(t)
+		d := newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready"))
+		r := startGateway(t, configWithStore(t, d, m))
+		c := r.dialClient(t)
 		tiny := func(c *testClient, id string) {
 			c.send(
 				"API.READ",
@@ -74,33 +74,34 @@
 			)
 		}
 		tiny(c, "0000000000000001") // the whole bucket
-		b.next(t).serve(t, "ok")
-		c.value("ok")
+		b.nextCommand(t).replyValue(t, "ok")
+		c.wantValue("ok")
 		if orderly {
-			r.stop()
-			wait(t, r.ended, "the gateway's end")
+			r.beginShutdown()
+			wait(t, r.exited, "the gateway's end")
 			if s, err := m.Load(); err != nil || !s.Last {
-				t.Errorf("the last state: %+v, %v", s, err)
+				t.Errorf("the last snapshot: %+v, %v", s, err)
 			}
 		}
-		// The other process begins while the first one still runs, as it would after a crash.
-		next := begin(t, surviving(t, d, m)).client(t)
+		// Without the orderly shutdown, the first process still runs here: it has stored no last
+		// snapshot, as after a crash.
+		next := startGateway(t, configWithStore(t, d, m)).dialClient(t)
 		tiny(next, "0000000000000002")
-		if got := next.line(); !strings.HasPrefix(got, "-BUSY") {
-			t.Errorf("orderly %t: answer %q to a bank that is empty", orderly, got)
+		if got := next.readLine(); !strings.HasPrefix(got, "-BUSY") {
+			t.Errorf("orderly shutdown %t: reply %q though the bucket is empty", orderly, got)
 		}
 	}
 }
 
-// A request that nearly spends a customer's reserved units has a snapshot stored at once, not only
-// periodically.
+// When requests have consumed nearly all units that a customer has reserved, a snapshot is stored
+// at once, not only at the end of the interval.
 func TestDueSnapshotIsStoredFirst(t *testing.T) {
-	m := newMemory()
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	cfg := surviving(t, d, m)
+	m := newMemoryStore()
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready"))
+	cfg := configWithStore(t, d, m)
 	cfg.Restart.SnapshotInterval = time.Hour
-	g, err := newGateway(cfg, quiet())
+	g, err := newGateway(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,16 +112,16 @@
 		[]member{{ID: "s-00000001", HostPort: b.listener.Addr().String(), Phase: "Ready"}},
 	)
 	g.balancer.SnapshotStored(g.balancer.TakeSnapshot(g.now(), false).At)
-	g.handle(tooMuch{})
-	if len(m.states) != 1 {
-		t.Errorf("%d states kept", len(m.states))
+	g.handle(consumeReservedUnits{})
+	if len(m.snapshots) != 1 {
+		t.Errorf("%d snapshots were stored, want 1", len(m.snapshots))
 	}
 }
 
-// tooMuch consumes more than a customer's reserved units.
-type tooMuch struct{}
+// consumeReservedUnits is an event that consumes more units than a customer has reserved.
+type consumeReservedUnits struct{}
 
-func (tooMuch) handle(g *Gateway) {
+func (consumeReservedUnits) handle(g *Gateway) {
 	for id := range uint64(3) {
 		g.requests.byID[1000+id] = &request{
 			id:           1000 + id,
@@ -136,16 +137,16 @@
 	}
 }
 
-// A snapshot that can't be used is logged, and the gateway starts without state.
+// If there is no usable snapshot, the reason is logged and the gateway starts without state.
 func TestUnusableSnapshotIsLoggedAndStateIsLost(t *testing.T) {
-	for want, m := range map[string]*memory{
-		"no snapshot":    newMemory(),
-		"version 9":      {states: []policy.Snapshot{{Version: 9}}},
-		"other settings": {states: []policy.Snapshot{{Version: policy.SnapshotVersion, Settings: 1}}},
+	for want, m := range map[string]*memoryStore{
+		"no snapshot":    newMemoryStore(),
+		"version 9":      {snapshots: []policy.Snapshot{{Version: 9}}},
+		"other settings": {snapshots: []policy.Snapshot{{Version: policy.SnapshotVersion, Settings: 1}}},
 	} {
 		var lines bytes.Buffer
 		d := newFakeDiscovery(t)
-		g, err := newGateway(surviving(t, d, m), slog.New(slog.NewTextHandler(&lines, nil)))
+		g, err := newGateway(configWithStore(t, d, m), slog.New(slog.NewTextHandler(&lines, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,11 +158,11 @@
 	}
 }
 
-// A snapshot store that fails is logged once, and once more when it works again.
+// Repeated failures to store snapshots are logged once, and so is the first success after them.
 func TestFailingSnapshotStoreIsLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	d := newFakeDiscovery(t)
-	g, err := newGateway(configure(t, d, nil), slog.New(slog.NewTextHandler(&lines, nil)))
+	g, err := newGateway(testConfig(t, d, nil), slog.New(slog.NewTextHandler(&lines, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,104 +176,105 @@
 	}
 }
 
-// A process that has handed over admits nothing more, answers its open requests, and stores its
-// last snapshot at once, as the successor waits for it.
+// A process that is signalled to hand over admits no more requests and answers its open ones. It
+// stores its last snapshot at once, because the successor waits for it.
 func TestHandoverSignalAnswersOpenRequestsAndEnds(t *testing.T) {
-	m := newMemory()
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	r := begin(t, surviving(t, d, m))
-	c, idle := r.client(t), r.client(t)
-	c.lookup(1, "60000")
-	call := b.next(t)
+	m := newMemoryStore()
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready"))
+	r := startGateway(t, configWithStore(t, d, m))
+	c, idle := r.dialClient(t), r.dialClient(t)
+	c.sendLookup(1, "60000")
+	call := b.nextCommand(t)
 	idle.send("PING")
-	idle.want("+PONG")
+	idle.wantLine("+PONG")
 	r.gateway.urgent <- handoverSignalled{}
-	idle.closed()
+	idle.wantClosed()
 	idle.conn.Close()
-	for s := wait(t, m.stored, "a state"); !s.Last; s = wait(t, m.stored, "the last state") {
+	for s := wait(t, m.stored, "a snapshot"); !s.Last; s = wait(t, m.stored, "the last snapshot") {
 	}
-	c.lookup(2, "60000") // rejected, or unread as the connection closes
-	call.serve(t, "ok")
-	c.value("ok")
+	c.sendLookup(2, "60000") // rejected, or not read because the connection closes
+	call.replyValue(t, "ok")
+	c.wantValue("ok")
 	if rest, err := io.ReadAll(
 		c.in,
 	); err != nil ||
 		len(rest) > 0 && !strings.HasPrefix(string(rest), "-BUSY") {
-		t.Errorf("after the answer: %q, %v", rest, err)
+		t.Errorf("after the reply: %q, %v", rest, err)
 	}
 	c.conn.Close()
-	wait(t, r.ended, "the gateway's end")
-	if s, _ := m.Load(); !s.Last || len(b.got) > 0 {
-		t.Errorf("a state after the last one, or a request sent on: %d", len(b.got))
+	wait(t, r.exited, "the gateway's end")
+	if s, _ := m.Load(); !s.Last || len(b.commands) > 0 {
+		t.Errorf("newest snapshot is the last one: %t, want true; %d requests sent, want 0", s.Last, len(b.commands))
 	}
 }
 
 // A successor restores the predecessor's last snapshot, and no older one, before it accepts
 // clients.
 func TestSuccessorWaitsForLastSnapshot(t *testing.T) {
-	m := newMemory()
-	b := newBackend(t)
-	d := newFakeDiscovery(t, b.entry("s-00000001", "Ready"))
-	before := begin(t, surviving(t, d, m))
-	c := before.client(t)
+	m := newMemoryStore()
+	b := newFakeBackend(t)
+	d := newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready"))
+	predecessor := startGateway(t, configWithStore(t, d, m))
+	c := predecessor.dialClient(t)
 	c.send(
 		"API.READ",
 		"0000000000000009",
 		"0000000000000001",
 		"c=lookup,t=tiny,d=60000,units=1,spread=1,first=0",
 	)
-	b.next(t).serve(t, "ok")
-	c.value("ok")
-	cfg := surviving(t, d, m)
+	b.nextCommand(t).replyValue(t, "ok")
+	c.wantValue("ok")
+	cfg := configWithStore(t, d, m)
 	cfg.Restart.Successor = true
 	cfg.Restart.StopPredecessor = func() error {
-		before.gateway.urgent <- handoverSignalled{}
+		predecessor.gateway.urgent <- handoverSignalled{}
 		return nil
 	}
-	next := begin(t, cfg).client(t)
+	next := startGateway(t, cfg).dialClient(t)
 	next.send(
 		"API.READ",
 		"0000000000000009",
 		"0000000000000002",
 		"c=lookup,t=tiny,d=60000,units=1,spread=1,first=0",
 	)
-	if got := next.line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q: the state before was not taken in", got)
+	if got := next.readLine(); !strings.HasPrefix(got, "-BUSY") {
+		t.Errorf("reply %q, want -BUSY: the last snapshot was not restored", got)
 	}
 }
 
-// A connection that was accepted just before the shutdown is not reset with a request on it: the
-// request is answered and the connection closes after that; one without a request closes by itself.
+// A connection that was accepted just before the shutdown is not reset while a request is on its
+// way: the request is answered, and then the connection closes. A connection without a request
+// closes after a short time.
 func TestConnectionAcceptedAtCloseIsAnsweredAndClosed(t *testing.T) {
-	for _, speaks := range []bool{true, false} {
-		g := unstarted(t, newFakeDiscovery(t))
+	for _, sendsRequest := range []bool{true, false} {
+		g := newUnstartedGateway(t, newFakeDiscovery(t))
 		g.lifecycle.HandOver(false)
 		shutdownRequested{}.handle(g)
-		here, there := pipe(t)
+		here, there := newConnPair(t)
 		g.clients.slots <- struct{}{}
 		clientConnected{here}.handle(g)
 		g.shutdown.step(g)
 		c := &testClient{t: t, conn: there, in: bufio.NewReader(there)}
-		if speaks {
-			c.lookup(1, "60000")
+		if sendsRequest {
+			c.sendLookup(1, "60000")
 			wait(t, g.events, "the request").handle(g)
-			if got := c.line(); !strings.HasPrefix(got, "-BUSY") {
-				t.Fatalf("answer %q", got)
+			if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
+				t.Fatalf("reply %q, want -BUSY", got)
 			}
 		} else {
-			for k := range g.clients.conns {
-				k.lastCommand -= 100_000
+			for conn := range g.clients.conns {
+				conn.lastCommand -= 100_000
 			}
 			g.shutdown.step(g)
 		}
-		wait(t, g.events, "the end of the reading").handle(g)
-		c.closed()
+		wait(t, g.events, "the end of the reader").handle(g)
+		c.wantClosed()
 	}
 }
 
-// pipe returns both ends of one connection.
-func pipe(t testing.TB) (here *net.TCPConn, there net.Conn) {
+// newConnPair returns both ends of a TCP connection.
+func newConnPair(t testing.TB) (here *net.TCPConn, there net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -287,6 +289,6 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close(); there.Close() })
-	_ = there.SetDeadline(time.Now().Add(patience))
+	_ = there.SetDeadline(time.Now().Add(waitTimeout))
 	return conn.(*net.TCPConn), there
 }
