--- a/internal/dataplane/hotrestart/handover_test.go
+++ b/internal/dataplane/hotrestart/handover_test.go
@@ -14,28 +14,30 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for an event.
+const waitTimeout = 30 * time.Second
 
-// meet returns both sides of a handover whose successor has called TakeState.
-func meet(t *testing.T, give func(*Successor)) *Predecessor {
+// startHandover starts a handover on both sides and returns the successor's side. Once the test
+// calls TakeState on it, serve is called with the predecessor's side.
+func startHandover(t *testing.T, serve func(*Successor)) *Predecessor {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
-	line, err := Listen(path)
+	listener, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(line.Close)
-	go line.Serve(give)
-	b, err := FindPredecessor(path)
+	t.Cleanup(listener.Close)
+	go listener.Serve(serve)
+	predecessor, err := FindPredecessor(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Close)
-	return b
+	t.Cleanup(predecessor.Close)
+	return predecessor
 }
 
-// connections returns both ends of a connection.
-func connections(t *testing.T) (*net.TCPConn, net.Conn) {
+// newConnPair returns both ends of a TCP connection.
+func newConnPair(t *testing.T) (*net.TCPConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,103 +53,105 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { here.Close(); there.Close() })
-	_ = there.SetDeadline(time.Now().Add(patience))
+	_ = there.SetDeadline(time.Now().Add(waitTimeout))
 	return here.(*net.TCPConn), there
 }
 
+// A snapshot, the socket for peer messages and client connections with their unread data arrive at
+// the successor unchanged and in order, and the connections still work.
 func TestStateAndConnections(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		state := make([]byte, r.IntN(5*chunkBytes))
-		rests := make([][]byte, 20)
-		for i := range state {
-			state[i] = byte(r.Uint32())
+		snapshot := make([]byte, r.IntN(5*maxChunkBytes))
+		unread := make([][]byte, 20)
+		for i := range snapshot {
+			snapshot[i] = byte(r.Uint32())
 		}
-		notes, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		peerSocket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer notes.Close()
-		var theirs []net.Conn
-		var mine []*net.TCPConn
-		for i := range rests {
-			rests[i] = bytes.Repeat([]byte{byte(i + 1)}, r.IntN(3)*r.IntN(3*chunkBytes))
-			here, there := connections(t)
-			mine, theirs = append(mine, here), append(theirs, there)
+		defer peerSocket.Close()
+		var clientSides []net.Conn
+		var gatewaySides []*net.TCPConn
+		for i := range unread {
+			unread[i] = bytes.Repeat([]byte{byte(i + 1)}, r.IntN(3)*r.IntN(3*maxChunkBytes))
+			here, there := newConnPair(t)
+			gatewaySides, clientSides = append(gatewaySides, here), append(clientSides, there)
 		}
-		b := meet(t, func(a *Successor) {
-			if err := a.SendState(State{Snapshot: state, PeerSocket: notes}); err != nil {
+		predecessor := startHandover(t, func(successor *Successor) {
+			if err := successor.SendState(State{Snapshot: snapshot, PeerSocket: peerSocket}); err != nil {
 				t.Error(err)
 				return
 			}
-			for i, c := range mine {
-				if err := a.PassClient(
+			for i, c := range gatewaySides {
+				if err := successor.PassClient(
 					ClientConn{
 						Conn:   c,
 						State:  ConnState{Commands: i, User: "u", HasCredential: true},
-						Unread: rests[i],
+						Unread: unread[i],
 					},
 				); err != nil {
 					t.Error(err)
 				}
 				c.Close()
 			}
-			a.Close()
+			successor.Close()
 		})
-		e, err := b.TakeState()
-		if err != nil || !bytes.Equal(e.Snapshot, state) ||
-			e.PeerSocket.LocalAddr().String() != notes.LocalAddr().String() {
+		state, err := predecessor.TakeState()
+		if err != nil || !bytes.Equal(state.Snapshot, snapshot) ||
+			state.PeerSocket.LocalAddr().String() != peerSocket.LocalAddr().String() {
 			t.Fatalf(
-				"seed %d: state of %d bytes for %d, notes %v, %v",
+				"seed %d: received a snapshot of %d bytes, want %d; peer socket %v, error %v",
 				seed,
-				len(e.Snapshot),
-				len(state),
-				e.PeerSocket,
+				len(state.Snapshot),
+				len(snapshot),
+				state.PeerSocket,
 				err,
 			)
 		}
-		if err := b.Confirm(); err != nil {
+		if err := predecessor.Confirm(); err != nil {
 			t.Fatal(err)
 		}
 		n := 0
-		if err := b.ReceiveClients(func(c ClientConn) {
-			if c.State.Commands != n || !bytes.Equal(c.Unread, rests[n]) || c.State.User != "u" {
+		if err := predecessor.ReceiveClients(func(c ClientConn) {
+			if c.State.Commands != n || !bytes.Equal(c.Unread, unread[n]) || c.State.User != "u" {
 				t.Errorf(
-					"seed %d: connection %d: head %+v, %d bytes, %d wanted",
+					"seed %d: connection %d: state %+v, %d unread bytes, want %d",
 					seed,
 					n,
 					c.State,
 					len(c.Unread),
-					len(rests[n]),
+					len(unread[n]),
 				)
 			}
 			if _, err := c.Conn.Write([]byte{byte(n)}); err != nil {
 				t.Error(err)
 			}
 			c.Conn.Close()
-			got, err := io.ReadAll(theirs[n])
+			got, err := io.ReadAll(clientSides[n])
 			if err != nil || len(got) != 1 || got[0] != byte(n) {
-				t.Errorf("seed %d: connection %d carried %v, %v", seed, n, got, err)
+				t.Errorf("seed %d: the client of connection %d received %v, %v", seed, n, got, err)
 			}
 			n++
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if n != len(rests) {
-			t.Fatalf("seed %d: %d connections of %d", seed, n, len(rests))
+		if n != len(unread) {
+			t.Fatalf("seed %d: %d connections were received, want %d", seed, n, len(unread))
 		}
-		e.PeerSocket.Close()
+		state.PeerSocket.Close()
 	}
 }
 
-// TestLongestCredential passes on a connection whose credential is as long as any may be, of bytes
-// that JSON encodes with six each.
+// TestLongestCredential passes a connection with a credential of the maximum length, whose bytes
+// JSON escapes as six bytes each: its message must not exceed maxMessageBytes.
 func TestLongestCredential(t *testing.T) {
-	here, _ := connections(t)
+	here, _ := newConnPair(t)
 	secret := strings.Repeat("<", 8<<10)
-	b := meet(t, func(a *Successor) {
-		_ = a.write('E', nil, nil)
-		if err := a.PassClient(
+	predecessor := startHandover(t, func(successor *Successor) {
+		_ = successor.write('E', nil, nil)
+		if err := successor.PassClient(
 			ClientConn{
 				Conn:   here,
 				State:  ConnState{HasCredential: true, Secret: secret},
@@ -156,65 +160,70 @@
 		); err != nil {
 			t.Error(err)
 		}
-		a.Close()
+		successor.Close()
 	})
-	if _, err := b.TakeState(); err != nil {
+	if _, err := predecessor.TakeState(); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	err := b.ReceiveClients(func(c ClientConn) {
+	err := predecessor.ReceiveClients(func(c ClientConn) {
 		n++
 		if c.State.Secret != secret || string(c.Unread) != "rest" {
-			t.Errorf("a secret of %d bytes and %q", len(c.State.Secret), c.Unread)
+			t.Errorf("received a secret of %d bytes and unread data %q", len(c.State.Secret), c.Unread)
 		}
 		c.Conn.Close()
 	})
 	if err != nil || n != 1 {
-		t.Errorf("%d connections, %v", n, err)
+		t.Errorf("%d connections were received, want 1; error %v", n, err)
 	}
 }
 
-// TestNoHandoverWithoutConfirmation has the successor end before its confirmation, or send another
-// message: the predecessor must learn that it goes on serving.
+// TestNoHandoverWithoutConfirmation lets the successor exit, or send another message, in place of
+// the confirmation: the predecessor must get an error, so that it continues to serve.
 func TestNoHandoverWithoutConfirmation(t *testing.T) {
 	for name, end := range map[string]func(*Predecessor){
-		"dies":     func(p *Predecessor) { p.Close() },
-		"nonsense": func(p *Predecessor) { _ = p.write('Z', nil, nil) },
+		"exit":          func(p *Predecessor) { p.Close() },
+		"wrong message": func(p *Predecessor) { _ = p.write('Z', nil, nil) },
 	} {
-		given := make(chan error, 1)
-		b := meet(t, func(a *Successor) { given <- a.SendState(State{Snapshot: []byte("x")}) })
-		if _, err := b.TakeState(); err != nil {
+		sent := make(chan error, 1)
+		predecessor := startHandover(t, func(successor *Successor) {
+			sent <- successor.SendState(State{Snapshot: []byte("x")})
+		})
+		if _, err := predecessor.TakeState(); err != nil {
 			t.Fatal(name, err)
 		}
-		end(b)
+		end(predecessor)
 		select {
-		case err := <-given:
+		case err := <-sent:
 			if err == nil {
-				t.Errorf("%s: taken for a handover", name)
+				t.Errorf("%s: SendState returned no error", name)
 			}
-		case <-time.After(patience):
-			t.Fatal(name, ": the process before waits on")
+		case <-time.After(waitTimeout):
+			t.Fatal(name, ": timed out waiting for SendState to return")
 		}
 	}
 }
 
-// TestNoPredecessor looks for a predecessor where none is, where one was, and where two were.
+// TestNoPredecessor looks for a predecessor at a path where no process has listened, where the
+// newer of two listens, and where both have exited. It does so with a short and with a long path.
 func TestNoPredecessor(t *testing.T) {
-	nobodyBefore(t, filepath.Join(t.TempDir(), "s"))
+	wantNoPredecessor(t, filepath.Join(t.TempDir(), "s"))
 	deep := filepath.Join(
 		t.TempDir(),
 		strings.Repeat("deep/", 40),
-	) // longer than a socket's address
+	) // longer than a socket address
 	if err := os.MkdirAll(deep, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	nobodyBefore(t, SocketPath(deep, strings.Repeat("name", 100)))
+	wantNoPredecessor(t, SocketPath(deep, strings.Repeat("name", 100)))
 }
 
-func nobodyBefore(t *testing.T, path string) {
+// wantNoPredecessor checks the results of FindPredecessor at a path before, during and after the
+// lives of two processes.
+func wantNoPredecessor(t *testing.T, path string) {
 	t.Helper()
 	if _, err := FindPredecessor(path); !errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("before any process: error %v, want ErrNoPredecessor", err)
 	}
 	first, err := Listen(path)
 	if err != nil {
@@ -224,43 +233,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.Close() // the older process ends later: the newer one must still be found
-	b, err := FindPredecessor(path)
+	first.Close() // the end of the older process must not hide the newer one
+	predecessor, err := FindPredecessor(path)
 	if err != nil {
 		t.Fatal("the second process is not found: ", err)
 	}
-	b.Close()
+	predecessor.Close()
 	second.Close()
 	if _, err := FindPredecessor(path); !errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("a path left by a dead process: %v", err)
+		t.Errorf("after both processes: error %v, want ErrNoPredecessor", err)
 	}
 }
 
-// TestForeignMessages sends a successor what no predecessor sends.
+// TestForeignMessages sends a successor messages that violate the protocol: it must return an
+// error.
 func TestForeignMessages(t *testing.T) {
-	_, there := connections(t)
-	for name, talk := range map[string]func(*Successor){
-		"a kind amid the state": func(a *Successor) { _ = a.write('C', []byte("{}"), nil) },
-		"an end at once":        func(a *Successor) { a.Close() },
-		"another descriptor":    func(a *Successor) { _ = a.write('E', nil, there.(syscall.Conn)) },
+	_, there := newConnPair(t)
+	for name, send := range map[string]func(*Successor){
+		"a client connection before the end of the state": func(s *Successor) { _ = s.write('C', []byte("{}"), nil) },
+		"a close before the state":                        func(s *Successor) { s.Close() },
+		"a descriptor of another type":                    func(s *Successor) { _ = s.write('E', nil, there.(syscall.Conn)) },
 	} {
-		b := meet(t, talk)
-		if e, err := b.TakeState(); err == nil {
-			t.Errorf("%s: taken for an estate %+v", name, e)
+		predecessor := startHandover(t, send)
+		if state, err := predecessor.TakeState(); err == nil {
+			t.Errorf("%s: accepted as the state %+v", name, state)
 		}
 	}
-	for name, head := range map[string]string{"no JSON": "{", "too long": `{"length":99999999}`, "negative": `{"length":-1}`} {
-		here, _ := connections(t)
-		b := meet(t, func(a *Successor) {
-			_ = a.write('E', nil, nil)
-			_ = a.write('C', []byte(head), here)
-			a.Close()
+	for name, connState := range map[string]string{"no JSON": "{", "too long": `{"length":99999999}`, "negative": `{"length":-1}`} {
+		here, _ := newConnPair(t)
+		predecessor := startHandover(t, func(s *Successor) {
+			_ = s.write('E', nil, nil)
+			_ = s.write('C', []byte(connState), here)
+			s.Close()
 		})
-		if _, err := b.TakeState(); err != nil {
+		if _, err := predecessor.TakeState(); err != nil {
 			t.Fatal(name, err)
 		}
-		if err := b.ReceiveClients(
-			func(c ClientConn) { t.Errorf("%s: a connection %+v", name, c.State) },
+		if err := predecessor.ReceiveClients(
+			func(c ClientConn) { t.Errorf("%s: received a connection %+v", name, c.State) },
 		); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -13,66 +13,67 @@
 )
 
 const (
-	chunkBytes      = 32 << 10 // of a state or of unread data in one message
-	maxMessageBytes = 96 << 10 // a connection's state may hold a long credential, escaped
+	maxChunkBytes   = 32 << 10 // of a snapshot or of unread data in one message
+	maxMessageBytes = 96 << 10 // a connection's state may hold a long credential, escaped as JSON
 	maxStateBytes   = 64 << 20
 	maxUnreadBytes  = 24 << 20 // of one connection
 	stepTimeout     = 2 * time.Second
 
-	// maxPassedFDs bounds the descriptors of one message that are received; all but the first
-	// are closed.
+	// maxPassedFDs is how many descriptors of one message are received. All but the first are
+	// closed.
 	maxPassedFDs = 4
 	fdBytes      = 4
 )
 
 // The kinds of messages.
 const (
-	messageTake       = 'T' // the successor could serve
+	messageTake       = 'T' // the successor is able to serve and requests the state
 	messageStateChunk = 'S'
-	messageStateEnd   = 'E' // with the peers' socket, if there is one
-	messageConfirm    = 'K' // the state was restored
-	messageClient     = 'C' // a client's connection, with its ConnState as JSON
-	messageUnread     = 'M' // data that was read from that connection
-	messageReceived   = 'R' // the successor has the next connection, with its unread data
-	messageLeaving    = 'X' // the successor takes no more connections, and goes on
+	messageStateEnd   = 'E' // with the socket for peer messages, if there is one
+	messageConfirm    = 'K' // the successor has restored the state
+	messageClient     = 'C' // a client connection, with its ConnState as JSON
+	messageUnread     = 'M' // data that was read from this connection
+	messageReceived   = 'R' // the successor has received the next connection and its unread data
+	messageLeaving    = 'X' // the successor accepts no more connections, but keeps running
 )
 
-// withReceipts is the body of messageStateEnd of a predecessor that reads messageReceived and
-// messageLeaving, and of messageConfirm of a successor that then sends them. Earlier builds have no
-// such bodies, and pass over them.
-const withReceipts = "receipts"
+// receiptsSupported is the body of messageStateEnd if the predecessor reads messageReceived and
+// messageLeaving, and then the body of messageConfirm if the successor sends them. Earlier builds
+// send these messages without a body, and ignore a body.
+const receiptsSupported = "receipts"
 
 // Errors of both sides.
 var (
-	// ErrNoPredecessor says that no other process serves.
-	ErrNoPredecessor = errors.New("handover: no process before this one")
-	// ErrUnexpectedMessage says that the other side did not keep to the protocol.
+	// ErrNoPredecessor means that no other process serves.
+	ErrNoPredecessor = errors.New("handover: no other process serves")
+	// ErrUnexpectedMessage means that the other side violated the protocol.
 	ErrUnexpectedMessage = errors.New("unexpected message")
-	// ErrSuccessorDied says that the successor's process has ended.
-	ErrSuccessorDied = errors.New("the successor has died")
-	// ErrSuccessorLeft says that the successor takes no more connections, and goes on.
-	ErrSuccessorLeft = errors.New("the successor takes no more connections")
-	// ErrSocketKind says that a descriptor of another kind was passed.
-	ErrSocketKind = errors.New("a socket of another kind")
+	// ErrSuccessorDied means that the successor's process has exited.
+	ErrSuccessorDied = errors.New("the successor has exited")
+	// ErrSuccessorLeft means that the successor accepts no more connections, but keeps running.
+	ErrSuccessorLeft = errors.New("the successor accepts no more connections")
+	// ErrSocketKind means that the passed descriptor is not a socket of the expected type.
+	ErrSocketKind = errors.New("unexpected type of socket")
 )
 
-func unexpected(kind byte, where string) error {
-	return fmt.Errorf("%w %q %s", ErrUnexpectedMessage, kind, where)
+func unexpected(kind byte, context string) error {
+	return fmt.Errorf("%w %q %s", ErrUnexpectedMessage, kind, context)
 }
 
-// SocketPath returns where the processes of a gateway find each other in a directory.
+// SocketPath returns the path of the socket in dir by which the processes of the gateway with the
+// given name find each other.
 func SocketPath(dir, name string) string {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // a gateway's name may be longer than a file's may be
+	_, _ = h.Write([]byte(name)) // a gateway's name may be longer than a file name
 	return filepath.Join(dir, fmt.Sprintf("mothcleat-%016x.sock", h.Sum64()))
 }
 
-// maxAddressBytes is the limit of a socket address, which paths of temporary directories may
-// exceed.
+// maxAddressBytes is the longest path that is used as a socket address. Paths in temporary
+// directories may be longer.
 const maxAddressBytes = 100
 
-// socketAddress returns the address of a path. One that is too long is reached through the
-// directory's descriptor, which release closes.
+// socketAddress returns the socket address for a path. If the path is too long, the address refers
+// to the directory by an open descriptor, which release closes.
 func socketAddress(path string) (address *net.UnixAddr, release func(), err error) {
 	if len(path) <= maxAddressBytes {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
@@ -85,48 +86,48 @@
 	return &net.UnixAddr{Name: short, Net: "unixpacket"}, func() { _ = dir.Close() }, nil
 }
 
-// State is what a process hands over once for all its clients.
+// State is the part of a process's state that is handed over once, before the client connections.
 type State struct {
 	Snapshot   []byte       // of the balancer
-	PeerSocket *net.UDPConn // nil: there is none
+	PeerSocket *net.UDPConn // for peer messages; nil: there is none
 }
 
-// ClientConn is a client's connection between two requests.
+// ClientConn is a client connection between two requests.
 type ClientConn struct {
 	Conn   *net.TCPConn
 	State  ConnState
-	Unread []byte // what was read from it and belongs to no admitted request
+	Unread []byte // data read from Conn that belongs to no admitted request
 }
 
-// ConnState is what the successor needs to know of a connection.
+// ConnState is what the successor needs to know about a connection.
 type ConnState struct {
-	Commands     int   `json:"asked"`            // valid ones so far
+	Commands     int   `json:"asked"`            // valid commands so far
 	HeldCommands int   `json:"kept,omitempty"`   // complete commands in Unread
-	AgeUS        int64 `json:"age_us,omitempty"` // of the first of them, in microseconds
-	UnreadLength int   `json:"length,omitempty"` // in bytes
+	AgeUS        int64 `json:"age_us,omitempty"` // age of the first of them, in microseconds
+	UnreadLength int   `json:"length,omitempty"` // length of Unread in bytes
 
-	// The credential of the last AUTH. The order of the fields is that of earlier builds.
+	// The credential of the last AUTH command. Earlier builds have the fields in the same order.
 	User          string `json:"user,omitempty"`
 	Secret        string `json:"secret,omitempty"`
-	Named         bool   `json:"named,omitempty"` // it named a user
-	HasCredential bool   `json:"known,omitempty"` // there was an AUTH
+	Named         bool   `json:"named,omitempty"` // the AUTH command named a user
+	HasCredential bool   `json:"known,omitempty"` // there was an AUTH command
 }
 
-// messageLink is one side of the socket. It belongs to one goroutine at a time.
+// messageLink is one side of the socket. It must be used by only one goroutine at a time.
 type messageLink struct {
-	conn *net.UnixConn
-	buf  []byte // of the last message read
+	conn       *net.UnixConn
+	readBuffer []byte // holds the last message read
 }
 
-// write sends a message, with the descriptor of carry if that is not nil.
-func (l *messageLink) write(kind byte, body []byte, carry syscall.Conn) error {
+// write sends a message, and with it the descriptor of passed if that is not nil.
+func (l *messageLink) write(kind byte, body []byte, passed syscall.Conn) error {
 	_ = l.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
 	message := append([]byte{kind}, body...)
-	if carry == nil {
+	if passed == nil {
 		_, err := l.conn.Write(message)
 		return err
 	}
-	raw, err := carry.SyscallConn()
+	raw, err := passed.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -140,10 +141,10 @@
 	return sendErr
 }
 
-// writeChunks sends data in messages of a kind.
+// writeChunks sends data in messages of the given kind, of at most maxChunkBytes each.
 func (l *messageLink) writeChunks(kind byte, data []byte) error {
 	for len(data) > 0 {
-		n := min(len(data), chunkBytes)
+		n := min(len(data), maxChunkBytes)
 		if err := l.write(kind, data[:n], nil); err != nil {
 			return err
 		}
@@ -152,14 +153,14 @@
 	return nil
 }
 
-// read reads a message. The descriptor that came with it, if any, is the caller's; the body is
-// valid until the next read. The error is io.EOF at the end.
-func (l *messageLink) read() (kind byte, body []byte, carried *os.File, err error) {
-	if l.buf == nil {
-		l.buf = make([]byte, maxMessageBytes)
+// read reads a message. The caller must close the descriptor that was passed with it, if there is
+// one. The body is valid until the next read. The error is io.EOF once the other side has closed.
+func (l *messageLink) read() (kind byte, body []byte, passed *os.File, err error) {
+	if l.readBuffer == nil {
+		l.readBuffer = make([]byte, maxMessageBytes)
 	}
 	oob := make([]byte, syscall.CmsgSpace(maxPassedFDs*fdBytes))
-	n, oobn, _, _, err := l.conn.ReadMsgUnix(l.buf, oob)
+	n, oobn, _, _, err := l.conn.ReadMsgUnix(l.readBuffer, oob)
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -167,15 +168,15 @@
 		return 0, nil, nil, io.EOF
 	}
 	if oobn > 0 {
-		if carried, err = firstDescriptor(oob[:oobn]); err != nil {
+		if passed, err = firstDescriptor(oob[:oobn]); err != nil {
 			return 0, nil, nil, err
 		}
 	}
-	return l.buf[0], l.buf[1:n], carried, nil
+	return l.readBuffer[0], l.readBuffer[1:n], passed, nil
 }
 
-// firstDescriptor returns the first descriptor in a control message, and closes any other; nil:
-// there is none.
+// firstDescriptor returns the first descriptor in a control message and closes all others. It
+// returns nil if there is none.
 func firstDescriptor(oob []byte) (first *os.File, err error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
--- a/internal/dataplane/hotrestart/predecessor.go
+++ b/internal/dataplane/hotrestart/predecessor.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Predecessor is the process that serves before this one, as its successor sees it. It is not safe
-// for concurrent use.
+// Predecessor is a successor's connection to the process that it replaces. It is not safe for
+// concurrent use.
 type Predecessor struct {
 	messageLink
-	receipts bool // it reads messageReceived and messageLeaving
+	receipts bool // the predecessor reads messageReceived and messageLeaving
 }
 
-// FindPredecessor looks for a process that serves. Its error is ErrNoPredecessor if there is none,
-// or none that answers.
+// FindPredecessor connects to the process that serves and listens at path. It returns
+// ErrNoPredecessor if there is none, or if the connection fails for another reason.
 func FindPredecessor(path string) (*Predecessor, error) {
 	address, release, err := socketAddress(path)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return &Predecessor{messageLink: messageLink{conn: conn}}, nil
 }
 
-// TakeState tells the predecessor that this process could serve, and receives its state. Until
-// Confirm the predecessor goes on serving if this process ends.
+// TakeState tells the predecessor that this process is able to serve, and receives its state. If
+// this process ends before Confirm, the predecessor continues to serve.
 func (p *Predecessor) TakeState() (State, error) {
 	s, err := p.takeState()
 	if err != nil {
@@ -49,51 +49,52 @@
 	}
 	_ = p.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	for {
-		kind, body, carried, err := p.read()
+		kind, body, passed, err := p.read()
 		switch {
 		case err != nil:
 			return s, err
 		case kind == messageStateChunk && len(s.Snapshot)+len(body) <= maxStateBytes:
 			s.Snapshot = append(s.Snapshot, body...)
 		case kind == messageStateEnd:
-			p.receipts = string(body) == withReceipts
-			s.PeerSocket, err = peerSocket(carried)
+			p.receipts = string(body) == receiptsSupported
+			s.PeerSocket, err = peerSocket(passed)
 			return s, err
 		default:
-			return s, unexpected(kind, "amid the state")
+			return s, unexpected(kind, "in the middle of the state")
 		}
 	}
 }
 
-// peerSocket makes a socket of a descriptor, which it closes; nil: there is none.
-func peerSocket(carried *os.File) (*net.UDPConn, error) {
-	if carried == nil {
+// peerSocket returns the socket for a descriptor and closes the descriptor. It returns nil if there
+// is no descriptor.
+func peerSocket(passed *os.File) (*net.UDPConn, error) {
+	if passed == nil {
 		return nil, nil
 	}
-	defer carried.Close()
-	conn, err := net.FilePacketConn(carried)
+	defer passed.Close()
+	conn, err := net.FilePacketConn(passed)
 	if err != nil {
-		return nil, fmt.Errorf("the peers' socket: %w", err)
+		return nil, fmt.Errorf("socket for peer messages: %w", err)
 	}
 	socket, ok := conn.(*net.UDPConn)
 	if !ok {
 		_ = conn.Close()
-		return nil, fmt.Errorf("the peers' socket: %w", ErrSocketKind)
+		return nil, fmt.Errorf("socket for peer messages: %w", ErrSocketKind)
 	}
 	return socket, nil
 }
 
-// Confirm tells the predecessor that its state was restored.
+// Confirm tells the predecessor that this process has restored the state and takes over.
 func (p *Predecessor) Confirm() error {
 	var body []byte
 	if p.receipts {
-		body = []byte(withReceipts)
+		body = []byte(receiptsSupported)
 	}
 	return p.write(messageConfirm, body, nil)
 }
 
-// ReceiveClients calls receive for each connection that the predecessor passes on, until it has
-// passed all or has ended. Connections that can't be used are closed.
+// ReceiveClients calls receive for each connection that the predecessor passes, until it has passed
+// all of them or has exited. Connections that can't be used are closed.
 func (p *Predecessor) ReceiveClients(receive func(ClientConn)) error {
 	defer p.Leave()
 	_ = p.conn.SetReadDeadline(time.Time{})
@@ -105,8 +106,8 @@
 		if err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
-		// Before anything is done for the connection: one that the predecessor does not know as
-		// received was not used here.
+		// The receipt is sent before the connection is used: a connection without a receipt was
+		// not used here, and the predecessor can resume it.
 		p.report(messageReceived)
 		if c.Conn != nil {
 			receive(c)
@@ -114,40 +115,41 @@
 	}
 }
 
-// Leave tells the predecessor that this process lives but takes no more connections.
+// Leave tells the predecessor that this process accepts no more connections but keeps running, and
+// closes the link.
 func (p *Predecessor) Leave() {
 	p.report(messageLeaving)
 	_ = p.conn.Close()
 }
 
-// report sends a message of a kind that only predecessors with receipts read. One that has ended
-// needs none.
+// report sends a message of a kind that only a predecessor with receipts reads. An error is
+// ignored: a predecessor that has exited needs no message.
 func (p *Predecessor) report(kind byte) {
 	if p.receipts {
 		_ = p.write(kind, nil, nil)
 	}
 }
 
-// read reads a message. The kernel reports once that the predecessor has ended with receipts
-// unread, and then gives what it had passed on before.
-func (p *Predecessor) read() (kind byte, body []byte, carried *os.File, err error) {
-	kind, body, carried, err = p.messageLink.read()
+// read reads a message. If the predecessor exits with unread receipts, the kernel reports
+// ECONNRESET once, and then returns the messages that were sent before.
+func (p *Predecessor) read() (kind byte, body []byte, passed *os.File, err error) {
+	kind, body, passed, err = p.messageLink.read()
 	if errors.Is(err, syscall.ECONNRESET) {
 		return p.messageLink.read()
 	}
-	return kind, body, carried, err
+	return kind, body, passed, err
 }
 
-// receiveClient receives one connection. Conn is nil if it has broken on the way.
+// receiveClient receives one connection. Conn is nil if the connection broke while it was passed.
 func (p *Predecessor) receiveClient() (c ClientConn, err error) {
-	kind, body, carried, err := p.read()
+	kind, body, passed, err := p.read()
 	if err != nil {
 		return c, err
 	}
-	if kind != messageClient || carried == nil {
-		return c, unexpected(kind, "where a connection was due")
+	if kind != messageClient || passed == nil {
+		return c, unexpected(kind, "instead of a client connection")
 	}
-	defer carried.Close()
+	defer passed.Close()
 	if err := json.Unmarshal(body, &c.State); err != nil {
 		return c, err
 	}
@@ -161,22 +163,22 @@
 			return c, err
 		}
 		if kind != messageUnread || len(c.Unread)+len(chunk) > length {
-			return c, unexpected(kind, "amid unread data")
+			return c, unexpected(kind, "in the middle of unread data")
 		}
 		c.Unread = append(c.Unread, chunk...)
 	}
-	conn, err := net.FileConn(carried)
+	conn, err := net.FileConn(passed)
 	if err != nil {
-		return c, nil // it has broken on the way, which its client knows
+		return c, nil // the connection broke while it was passed; its client notices that
 	}
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		_ = conn.Close()
-		return c, fmt.Errorf("a client's connection: %w", ErrSocketKind)
+		return c, fmt.Errorf("client connection: %w", ErrSocketKind)
 	}
 	c.Conn = tcp
 	return c, nil
 }
 
-// Close gives up: the predecessor goes on serving if Confirm was not called.
+// Close closes the link. If Confirm was not called, the predecessor continues to serve.
 func (p *Predecessor) Close() { _ = p.conn.Close() }
--- a/internal/dataplane/hotrestart/stored_test.go
+++ b/internal/dataplane/hotrestart/stored_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A process of an earlier build passes its state and a client's connection on in these messages,
-// and waits for these.
+// A predecessor of an earlier build sends its state and a client connection in exactly these
+// messages, and expects exactly the messages T and K in reply.
 func TestMessagesOfEarlierBuilds(t *testing.T) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
 	if err != nil {
@@ -58,7 +58,7 @@
 	predecessor := &Predecessor{messageLink: messageLink{conn: newer}}
 	state, err := predecessor.TakeState()
 	if err != nil || string(state.Snapshot) != "a state in two pieces" || state.PeerSocket != nil {
-		t.Fatalf("%q %v %v", state.Snapshot, state.PeerSocket, err)
+		t.Fatalf("snapshot %q, peer socket %v, error %v", state.Snapshot, state.PeerSocket, err)
 	}
 	if err := predecessor.Confirm(); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		got := make([]byte, 16)
 		n, err := older.Read(got)
 		if err != nil || string(got[:n]) != want {
-			t.Fatalf("%q %v, %q wanted", got[:n], err, want)
+			t.Fatalf("message %q, error %v; want message %q", got[:n], err, want)
 		}
 	}
 	older.Close()
@@ -79,7 +79,7 @@
 		t.Fatal(len(passed), err)
 	}
 	defer passed[0].Conn.Close()
-	head := ConnState{
+	want := ConnState{
 		Commands:      3,
 		HeldCommands:  1,
 		AgeUS:         250,
@@ -89,12 +89,13 @@
 		Named:         true,
 		HasCredential: true,
 	}
-	if passed[0].State != head || !bytes.Equal(passed[0].Unread, []byte("PING\r\nabc")) {
-		t.Errorf("%+v %q", passed[0].State, passed[0].Unread)
+	if passed[0].State != want || !bytes.Equal(passed[0].Unread, []byte("PING\r\nabc")) {
+		t.Errorf("state %+v, unread data %q", passed[0].State, passed[0].Unread)
 	}
-	fixture.Equal(t, "testdata/head-keys.txt", fixture.JSONKeys(head))
+	fixture.Equal(t, "testdata/head-keys.txt", fixture.JSONKeys(want))
 }
 
+// unixConn returns the connection for a descriptor of a socket pair, and closes the descriptor.
 func unixConn(t *testing.T, fd int) *net.UnixConn {
 	t.Helper()
 	file := os.NewFile(uintptr(fd), "socketpair")
--- a/internal/dataplane/hotrestart/successor.go
+++ b/internal/dataplane/hotrestart/successor.go
@@ -12,11 +12,10 @@
 	"time"
 )
 
-// Listener is where successors of this process announce themselves.
+// Listener accepts connections of successors of this process.
 type Listener struct{ listener *net.UnixListener }
 
-// Listen lets successors find this process at a path from now on, instead of any that was found
-// there before.
+// Listen makes this process the one that successors find at path, in place of any earlier process.
 func Listen(path string) (*Listener, error) {
 	l, err := listen(path)
 	if err != nil {
@@ -37,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then a successor may be found there
+	l.SetUnlinkOnClose(false) // by then the path may be a successor's
 	if err := os.Rename(temporary, path); err != nil {
 		_ = l.Close()
 		_ = os.Remove(temporary)
@@ -46,10 +45,11 @@
 	return &Listener{l}, nil
 }
 
-// Close lets no successor find this process any more.
+// Close stops accepting successors. It does not remove the socket's path.
 func (l *Listener) Close() { _ = l.listener.Close() }
 
-// Serve calls take for each successor that could serve, on a goroutine of its own, until Close.
+// Serve calls take for each successor that is able to serve, on a goroutine of its own. It returns
+// after Close.
 func (l *Listener) Serve(take func(*Successor)) {
 	for {
 		conn, err := l.listener.AcceptUnix()
@@ -67,25 +67,26 @@
 	}
 }
 
-// Successor is the process that takes this one's place. Only Close, and AwaitReceipt beside
-// PassClient, are safe for concurrent use.
+// Successor is this process's connection to the process that replaces it. Close is safe for
+// concurrent use, and AwaitReceipt may run concurrently with PassClient.
 type Successor struct {
 	messageLink
 	once     sync.Once
-	receipts bool // it sends messageReceived and messageLeaving
+	receipts bool // the successor sends messageReceived and messageLeaving
 }
 
-// awaitTake waits until the successor could serve; false: it does not say so.
+// awaitTake waits until the successor says that it is able to serve. It returns false if the
+// successor sends anything else or closes.
 func (s *Successor) awaitTake() bool {
-	kind, _, carried, err := s.read()
-	if carried != nil {
-		_ = carried.Close()
+	kind, _, passed, err := s.read()
+	if passed != nil {
+		_ = passed.Close()
 	}
 	return err == nil && kind == messageTake
 }
 
-// SendState sends the state, and waits for the confirmation that it was restored. After an error
-// the successor has not taken over, and is disconnected.
+// SendState sends the state and waits for the confirmation that it was restored. After an error the
+// successor has not taken over, and its connection is closed.
 func (s *Successor) SendState(state State) error {
 	if err := s.sendState(state); err != nil {
 		s.Close()
@@ -98,11 +99,11 @@
 	if err := s.writeChunks(messageStateChunk, state.Snapshot); err != nil {
 		return err
 	}
-	var carry syscall.Conn
+	var passed syscall.Conn
 	if state.PeerSocket != nil {
-		carry = state.PeerSocket
+		passed = state.PeerSocket
 	}
-	if err := s.write(messageStateEnd, []byte(withReceipts), carry); err != nil {
+	if err := s.write(messageStateEnd, []byte(receiptsSupported), passed); err != nil {
 		return err
 	}
 	_ = s.conn.SetReadDeadline(time.Now().Add(stepTimeout))
@@ -111,23 +112,23 @@
 		return err
 	}
 	if kind != messageConfirm {
-		return unexpected(kind, "where the confirmation was due")
+		return unexpected(kind, "instead of the confirmation")
 	}
-	s.receipts = string(body) == withReceipts
+	s.receipts = string(body) == receiptsSupported
 	return s.conn.SetReadDeadline(time.Time{})
 }
 
-// SendsReceipts reports whether AwaitReceipt tells of each connection that is received, and of the
-// successor's death. A successor of an earlier build does not say.
+// SendsReceipts reports whether AwaitReceipt returns for each connection that is received, and
+// recognizes that the successor has exited. A successor of an earlier build sends no receipts.
 func (s *Successor) SendsReceipts() bool { return s.receipts }
 
 // AwaitReceipt waits until the successor has received the next connection. The error wraps
-// ErrSuccessorDied or ErrSuccessorLeft where that is known, and then the successor has received
-// none of the others.
+// ErrSuccessorDied or ErrSuccessorLeft if one of them is known to be the cause. The successor has
+// then received none of the remaining connections.
 func (s *Successor) AwaitReceipt() error {
-	kind, _, carried, err := s.read()
-	if carried != nil {
-		_ = carried.Close()
+	kind, _, passed, err := s.read()
+	if passed != nil {
+		_ = passed.Close()
 	}
 	switch {
 	case s.receipts && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)):
@@ -137,12 +138,13 @@
 	case kind == messageLeaving:
 		return fmt.Errorf("handover: %w", ErrSuccessorLeft)
 	case kind != messageReceived:
-		return fmt.Errorf("handover: %w", unexpected(kind, "where a receipt was due"))
+		return fmt.Errorf("handover: %w", unexpected(kind, "instead of a receipt"))
 	}
 	return nil
 }
 
-// PassClient passes a connection on. It stays open in this process until the caller closes it.
+// PassClient passes a connection to the successor. The connection stays open in this process until
+// the caller closes it.
 func (s *Successor) PassClient(c ClientConn) error {
 	if err := s.passClient(c); err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -162,5 +164,5 @@
 	return s.writeChunks(messageUnread, c.Unread)
 }
 
-// Close ends the handover: nothing more is passed on.
+// Close closes the link: no more connections are passed.
 func (s *Successor) Close() { s.once.Do(func() { _ = s.conn.Close() }) }
