--- a/internal/dataplane/gateway/connpasser.go
+++ b/internal/dataplane/gateway/connpasser.go
@@ -145,7 +145,7 @@
 	unreceived := p.unreceived
 	p.unreceived = nil
 	p.mu.Unlock()
-	successorExited := errors.Is(err, hotrestart.ErrSuccessorDied)
+	successorExited := errors.Is(err, hotrestart.ErrSuccessorExited)
 	p.gateway.postUrgent(passingEnded{p, successorExited, err})
 	for _, c := range unreceived {
 		if successorExited || errors.Is(err, hotrestart.ErrSuccessorLeft) {
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -48,8 +48,8 @@
 	ErrNoPredecessor = errors.New("handover: no other process serves")
 	// ErrUnexpectedMessage means that the other side violated the protocol.
 	ErrUnexpectedMessage = errors.New("unexpected message")
-	// ErrSuccessorDied means that the successor's process has exited.
-	ErrSuccessorDied = errors.New("the successor has exited")
+	// ErrSuccessorExited means that the successor's process has exited.
+	ErrSuccessorExited = errors.New("the successor has exited")
 	// ErrSuccessorLeft means that the successor accepts no more connections, but keeps running.
 	ErrSuccessorLeft = errors.New("the successor accepts no more connections")
 	// ErrSocketKind means that the passed descriptor is not a socket of the expected type.
--- a/internal/dataplane/hotrestart/successor.go
+++ b/internal/dataplane/hotrestart/successor.go
@@ -123,7 +123,7 @@
 func (s *Successor) SendsReceipts() bool { return s.receipts }
 
 // AwaitReceipt waits until the successor has received the next connection. The error wraps
-// ErrSuccessorDied or ErrSuccessorLeft if one of them is known to be the cause. The successor has
+// ErrSuccessorExited or ErrSuccessorLeft if one of them is known to be the cause. The successor has
 // then received none of the remaining connections.
 func (s *Successor) AwaitReceipt() error {
 	kind, _, passed, err := s.read()
@@ -132,7 +132,7 @@
 	}
 	switch {
 	case s.receipts && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)):
-		return fmt.Errorf("handover: %w", ErrSuccessorDied)
+		return fmt.Errorf("handover: %w", ErrSuccessorExited)
 	case err != nil:
 		return fmt.Errorf("handover: %w", err)
 	case kind == messageLeaving:
