--- a/internal/dataplane/lifecycle/lifecycle.go
+++ b/internal/dataplane/lifecycle/lifecycle.go
@@ -1,39 +1,44 @@
-// Package lifecycle decides what a gateway's process admits, closes and says of itself while it
-// starts, serves, is drained by operators, shuts down, and hands over to a successor. It does no
-// I/O and has no clock: the caller passes the time, which never goes back, and asks what follows.
+// Package lifecycle decides what a gateway process admits, what it closes and what it answers to
+// health checks while it starts, serves, is drained by operators, shuts down, and hands over to a
+// successor. It does no I/O and has no clock: the caller passes the time, which must never
+// decrease, and queries the decisions.
 package lifecycle
 
-// Time is a moment or a duration in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
 // Settings are the durations of the steps of a drain and of a shutdown. Zero values are used as
 // they are.
 type Settings struct {
-	// DrainNoticeTime is how long a drain goes on as before: clients' front ends have to hear
-	// of it, and would only open another connection if one ended earlier.
+	// DrainNoticeTime is how long, from the start of a drain, connections are still kept open
+	// after an answer. Front ends need this time to notice the drain: before that, they would
+	// only replace a closed connection by a new one.
 	DrainNoticeTime Time
-	// DrainIdleCloseAfter is when a drain closes idle connections, from its start. Until then
-	// each closes with its next answer, which no request can cross.
+	// DrainIdleCloseAfter is the time from the start of a drain until idle connections are
+	// closed. Before that, a connection closes only with its next answer, so that no request can
+	// cross the close.
 	DrainIdleCloseAfter Time
-	// DrainFirstCommandTime is how long a connection that came during a drain has for its first
-	// command.
+	// DrainFirstCommandTime is how long a connection that was accepted during a drain may take
+	// to send its first command.
 	DrainFirstCommandTime Time
 
-	// AcceptTime is how long a process that shuts down goes on as before.
+	// AcceptTime is how long a process accepts and serves as before from the start of its
+	// shutdown.
 	AcceptTime Time
-	// LateFirstCommandTime is how long a connection that was accepted late then has for its
-	// first command.
+	// LateFirstCommandTime is how long a connection that was accepted shortly before the end of
+	// AcceptTime may take to send its first command.
 	LateFirstCommandTime Time
-	// AnswerTime is when all open requests are failed, from the start of the shutdown.
+	// AnswerTime is the time from the start of the shutdown until all open requests are failed.
 	AnswerTime Time
-	// LingerTime is how long clients then have to close.
+	// LingerTime is how long clients have to close their connections once no work is pending, and
+	// after AnswerTime at the latest.
 	LingerTime Time
 }
 
-// The platform's times. New connections come for 0.3 s after the start of a drain and for 0.4 s
-// after SIGTERM; nothing may be open 4 s after the start of a drain, or be admitted in its last 2
-// s. SIGKILL comes after SIGTERM by the longest time that a client waits (maxClientWait at most)
-// and killGrace.
+// The platform's times. New connections arrive until 0.3 s after the start of a drain and until 0.4
+// s after SIGTERM. No connection may be open 4 s after the start of a drain, and no request may be
+// admitted in the last 2 s of these. The time from SIGTERM to SIGKILL is the longest time that a
+// client waits, but at most maxClientWait, plus killGrace.
 const (
 	maxClientWait    Time = 3_000_000
 	killGrace        Time = 700_000
@@ -41,8 +46,8 @@
 	exitBeforeKill   Time = 100_000
 )
 
-// SettingsFor returns the durations that the platform's times allow where clients wait for at most
-// so long; 0: that is not known.
+// SettingsFor returns the durations that fit the platform's times if clients wait for at most
+// longestWait. A longestWait of 0 means that the longest wait is not known.
 func SettingsFor(longestWait Time) Settings {
 	if longestWait <= 0 {
 		longestWait = maxClientWait
@@ -60,7 +65,8 @@
 	return s
 }
 
-// Process is the state of one process. Make it with New. It is not safe for concurrent use.
+// Process is the lifecycle state of one process. Use New to create one. It is not safe for
+// concurrent use.
 type Process struct {
 	settings Settings
 	ready    bool
@@ -71,21 +77,21 @@
 	stopping  bool
 	stopStart Time
 
-	paused      bool // a successor is being given the state
+	paused      bool // the state is being sent to a successor
 	handedOver  bool
-	passesConns bool // to the successor
+	passesConns bool // connections are passed to the successor
 
-	empty      bool // nothing was pending at a time after accepting ended
+	empty      bool // no work has been pending since emptySince; set only after accepting has ended
 	emptySince Time
 }
 
-// New makes the state of a process that starts.
+// New returns the state of a process that starts.
 func New(settings Settings) *Process { return &Process{settings: settings} }
 
-// Ready records that the process can serve.
+// Ready records that the process is able to serve.
 func (p *Process) Ready() { p.ready = true }
 
-// Drain starts a drain; the process keeps running. A drain that is on goes on.
+// Drain starts a drain. It has no effect during a drain. A drained process keeps running.
 func (p *Process) Drain(now Time) {
 	if !p.draining {
 		p.draining = true
@@ -93,10 +99,10 @@
 	}
 }
 
-// Resume ends a drain.
+// Resume ends the drain.
 func (p *Process) Resume() { p.draining = false }
 
-// Stop starts the shutdown. Only the first call counts.
+// Stop starts the shutdown. Only the first call has an effect.
 func (p *Process) Stop(now Time) {
 	if !p.stopping {
 		p.stopping = true
@@ -104,21 +110,22 @@
 	}
 }
 
-// Pause has no request admitted until HandOver or Unpause, while a successor is given the state.
+// Pause stops the admission of requests until HandOver or Unpause, while the state is sent to a
+// successor.
 func (p *Process) Pause() { p.paused = true }
 
 // Unpause records that the successor did not take over.
 func (p *Process) Unpause() { p.paused = false }
 
-// HandOver records that a successor takes all that is new from now on, and whether connections are
-// passed to it. Only TakeBack undoes it.
+// HandOver records that a successor serves new connections and requests from now on, and whether
+// existing connections are passed to it. Only TakeBack reverts it.
 func (p *Process) HandOver(passesConns bool) {
 	p.paused = false
 	p.handedOver = true
 	p.passesConns = passesConns
 }
 
-// TakeBack records that the successor has died, and this process serves again in its place.
+// TakeBack records that the successor has exited and that this process resumes serving.
 func (p *Process) TakeBack() {
 	p.handedOver = false
 	p.passesConns = false
@@ -127,14 +134,14 @@
 // HandedOver reports whether a successor has taken over.
 func (p *Process) HandedOver() bool { return p.handedOver }
 
-// Draining reports whether a drain is on.
+// Draining reports whether a drain is in progress.
 func (p *Process) Draining() bool { return p.draining }
 
-// Stopping reports whether the process shuts down.
+// Stopping reports whether the shutdown has started.
 func (p *Process) Stopping() bool { return p.stopping }
 
-// Serves reports whether requests should be sent here, and if not, why: the answer to health
-// checks.
+// Serves reports whether new requests should be sent to this process, and the reason if not. It is
+// the answer to health checks.
 func (p *Process) Serves() (serves bool, reason string) {
 	switch {
 	case p.handedOver:
@@ -147,24 +154,24 @@
 	return true, ""
 }
 
-// stoppedFor reports whether the shutdown started at least so long ago.
+// stoppedFor reports whether the shutdown started at least duration ago.
 func (p *Process) stoppedFor(now, duration Time) bool {
 	return p.stopping && now-p.stopStart >= duration
 }
 
-// AcceptingEnded reports whether no connection is accepted any more.
+// AcceptingEnded reports whether the process accepts no more connections.
 func (p *Process) AcceptingEnded(now Time) bool {
 	return p.handedOver || p.stoppedFor(now, p.settings.AcceptTime)
 }
 
-// AdmitsRequests reports whether requests are still admitted. Others are the successor's, or are to
-// be retried.
+// AdmitsRequests reports whether requests are admitted. If not, they are left to the successor or
+// rejected for a retry.
 func (p *Process) AdmitsRequests(now Time) bool {
 	return !p.paused && !p.handedOver && !p.FailsOpenRequests(now)
 }
 
-// closesConns reports whether connections close because the process shuts down. Those that are to
-// be passed to a successor have some time for it.
+// closesConns reports whether connections close because the process shuts down. If connections are
+// passed to a successor, they stay open until the end of AcceptTime.
 func (p *Process) closesConns(now Time) bool {
 	if !p.stopping {
 		return false
@@ -172,15 +179,14 @@
 	return p.stoppedFor(now, p.settings.AcceptTime) || p.handedOver && !p.passesConns
 }
 
-// ClosesAfterAnswer reports whether a connection closes with the answer after which it has no open
-// request.
+// ClosesAfterAnswer reports whether a connection closes after the answer to its last open request.
 func (p *Process) ClosesAfterAnswer(now Time) bool {
 	drained := p.draining && now-p.drainStart >= p.settings.DrainNoticeTime
 	return p.closesConns(now) || drained
 }
 
-// ClosesIdle reports whether a connection without open requests, last used or opened at a time,
-// closes now.
+// ClosesIdle reports whether a connection without open requests closes now. lastUsed is when it was
+// last used, or opened.
 func (p *Process) ClosesIdle(now, lastUsed Time) bool {
 	if p.closesConns(now) {
 		return true
@@ -189,8 +195,9 @@
 	return drained && now-lastUsed >= p.settings.DrainFirstCommandTime
 }
 
-// ClosesUnused reports the same of a connection without any command since it was opened: it may
-// have been on its way before the shutdown was announced.
+// ClosesUnused reports whether a connection that has sent no command since it was opened closes
+// now. During a shutdown it has LateFirstCommandTime, because its client may have opened it before
+// the shutdown was announced.
 func (p *Process) ClosesUnused(now, opened Time) bool {
 	if !p.ClosesIdle(now, opened) {
 		return false
@@ -198,21 +205,21 @@
 	return !p.closesConns(now) || now-opened >= p.settings.LateFirstCommandTime
 }
 
-// FailsOpenRequests reports whether all open requests must be failed now.
+// FailsOpenRequests reports whether the time has come to fail all open requests.
 func (p *Process) FailsOpenRequests(now Time) bool {
 	return p.stoppedFor(now, p.settings.AnswerTime)
 }
 
-// Done reports whether the process has ended, given its pending work (open requests, and all else
-// that a client waits for) and its connections. It must be called whenever one of the two becomes
-// 0.
+// Done reports whether the process may exit. pending counts the open requests and everything else
+// that a client waits for; connections counts the open connections. Done must be called whenever
+// one of the two becomes 0.
 func (p *Process) Done(now Time, pending, connections int) bool {
 	if !p.stopping || !p.AcceptingEnded(now) {
 		return false
 	}
 	timedOut := p.stoppedFor(now, p.settings.AnswerTime+p.settings.LingerTime)
 	if pending > 0 {
-		p.empty = false // a connection that came since has its own time to be read
+		p.empty = false // the new work's connection gets the whole LingerTime of its own
 		return timedOut
 	}
 	if !p.empty {
@@ -223,9 +230,9 @@
 	return connections == 0 || lingered || timedOut
 }
 
-// NextChange returns when one of the answers above next changes by the passing of time, after now;
-// false: none does. During a drain connections also close one by one, about which the caller asks
-// as often as it likes.
+// NextChange returns the next time after now at which one of the decisions above may change without
+// a call. It returns false if there is none. It does not cover the moments at which single idle
+// connections close during a drain: the caller queries ClosesIdle as often as it likes.
 func (p *Process) NextChange(now Time) (next Time, ok bool) {
 	consider := func(t Time) {
 		if t > now && (!ok || t < next) {
