--- a/internal/dataplane/gateway/admin_test.go
+++ b/internal/dataplane/gateway/admin_test.go
@@ -76,7 +76,7 @@
 	c.send("API.READ", "0000000000000009", "0000000000000003", tiny)
 	b.nextCommand(t).replyValue(t, "two")
 	c.wantValue("two")
-	c.send("API.READ", "0000000000000009", "0000000000000005", tiny) // the customer's bucket is empty
+	c.send("API.READ", "0000000000000009", "0000000000000005", tiny) // its bucket is empty
 	if line := c.readLine(); !strings.HasPrefix(line, "-BUSY") {
 		t.Fatalf("reply %q, want a rejection", line)
 	}
--- a/internal/dataplane/gateway/backend_dial.go
+++ b/internal/dataplane/gateway/backend_dial.go
@@ -18,8 +18,8 @@
 	coolingDown := b.coolingDown(g)
 	for b.dialing+coolingDown < len(b.waiting) {
 		if p.open >= p.maxConns && !p.evict() {
-			// The gateway is at its connection limit, which is not the backend's fault. Nothing was
-			// sent, and nothing is learnt about the backend.
+			// The gateway is at its connection limit, which says nothing about the backend. Nothing
+			// was sent.
 			last := len(b.waiting) - 1
 			a := b.waiting[last]
 			b.waiting = b.waiting[:last]
--- a/internal/dataplane/gateway/clients_test.go
+++ b/internal/dataplane/gateway/clients_test.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if busy.closed || newcomer.closed || len(g.clients.slots) != 2 {
-		t.Error("a connection with an open request, or the newcomer itself, was evicted")
+		t.Error("a connection with an open request, or the one that needs the slot, was evicted")
 	}
 }
 
--- a/internal/dataplane/gateway/connpasser.go
+++ b/internal/dataplane/gateway/connpasser.go
@@ -124,7 +124,7 @@
 }
 
 // writeFailed ends the passing after an error of PassClient. AwaitReceipt determines whether the
-// successor has exited; a successor that only does not read counts as running.
+// successor has exited; a successor that has merely stopped reading counts as running.
 func (p *connPasser) writeFailed(err error) {
 	select {
 	case <-p.receiptsEnd:
--- a/internal/dataplane/gateway/counter.go
+++ b/internal/dataplane/gateway/counter.go
@@ -71,7 +71,7 @@
 func counterURL(address string) string { return "http://" + address + "/v1/count/" }
 
 // setAddress changes the address for later calls. Queued and running calls still use the old
-// address, because each call has exactly one answer.
+// address, because each call must have exactly one result.
 func (c *counterClient) setAddress(address string) {
 	c.url = counterURL(address)
 	c.client.CloseIdleConnections()
--- a/internal/dataplane/gateway/descriptor_limit_test.go
+++ b/internal/dataplane/gateway/descriptor_limit_test.go
@@ -295,7 +295,7 @@
 		f.awaitWatch(t)
 		requestUntilServed(t, p.address, b, 1000*(round+1))
 		f.interrupt()
-		f.publish(b.memberJSON("s-00000001", "Ready")) // ends the watch; the next call is not answered
+		f.publish(b.memberJSON("s-00000001", "Ready")) // ends the watch; the next one gets no answer
 	}
 	if line := p.descriptorError.Load(); line != nil {
 		t.Errorf("the process ran out of descriptors: %s", *line)
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -60,8 +60,8 @@
 // backend connections.
 const reservedDescriptors = 48
 
-// Run serves until it is told to stop and every accepted request has been answered. It returns an
-// error if the configuration is not usable or a socket can't be opened.
+// Run serves until a shutdown is requested and every accepted request has been answered. It returns
+// an error if the configuration is not usable or a socket can't be opened.
 func Run(cfg Config, log *slog.Logger, control Control) error {
 	g, err := newGateway(cfg, log)
 	if err != nil {
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -78,7 +78,7 @@
 	c.wantValue("third")
 }
 
-// A request of class lookup is retried after every answer but a value.
+// A request of class lookup is retried after every outcome of an attempt but a value.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
--- a/internal/dataplane/gateway/handover.go
+++ b/internal/dataplane/gateway/handover.go
@@ -17,8 +17,8 @@
 	listener    *hotrestart.Listener    // accepts a successor; nil: successors are not accepted
 	successor   *hotrestart.Successor   // has taken over or is about to; nil: none
 	passer      *connPasser             // nil: connections are not being passed
-	// keepsDetached: the successor accepts no more connections, and detached connections are read
-	// here again.
+	// keepsDetached is set once the successor accepts no more connections: detached connections
+	// are then read here again.
 	keepsDetached bool
 }
 
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -206,7 +206,7 @@
 }
 
 // A third process that starts while the first one still answers its open requests takes over from
-// the second one. The first process answers its requests nevertheless.
+// the second one. The first process still answers its requests, and can then exit.
 func TestThirdProcessWhileFirstShutsDown(t *testing.T) {
 	b := newFakeBackend(t)
 	h := newSharedListener(t)
--- a/internal/dataplane/gateway/idle_time_test.go
+++ b/internal/dataplane/gateway/idle_time_test.go
@@ -44,7 +44,8 @@
 		conn.cooldownUntil = g.now()
 		g.backends.idleLimiter.lastBroken = g.now() // the first broken connection lowers no limit
 		cooldownEnded{conn}.due(g)
-		waiting.writtenAt += time.Hour.Microseconds() // the break counts as immediate, however slow the machine is
+		// The connection counts as broken right after the write, however slow the machine is.
+		waiting.writtenAt += time.Hour.Microseconds()
 		return true
 	})
 	call := b.nextCommand(t)
--- a/internal/dataplane/gateway/plan_terms.go
+++ b/internal/dataplane/gateway/plan_terms.go
@@ -50,7 +50,7 @@
 }
 
 // UseCatalogs puts the checked version target in force, together with other versions (others) whose
-// terms also apply; the tighter terms bind. A catalog without plans stands for the configured
+// terms also apply; the stricter terms win. A catalog without plans stands for the configured
 // plans. order must increase with each call. done is called on the event loop's goroutine once the
 // balancer uses the version.
 func (t *PlanTerms) UseCatalogs(
@@ -115,7 +115,7 @@
 }
 
 // assigned returns the plan that the versions assign to a customer, or a negative number if its
-// requests name the plan. If the versions differ, the plan with the smaller quota binds.
+// requests name the plan. If the versions differ, the plan with the smaller quota applies.
 func (e *plansChanged) assigned(customer uint64) int {
 	assigned := -1
 	for _, catalog := range e.catalogs {
--- a/internal/dataplane/gateway/shutdown.go
+++ b/internal/dataplane/gateway/shutdown.go
@@ -31,8 +31,8 @@
 // connections and fails the remaining requests.
 func (s *shutdown) step(g *Gateway) {
 	now := g.now()
-	// A process that has handed over keeps its listener without accepting until it is told to stop,
-	// so that it can accept again if its successor exits.
+	// A process that has handed over keeps its listener, without accepting, until its shutdown
+	// starts, so that it can accept again if its successor exits.
 	ends := g.lifecycle.Stopping() && g.lifecycle.AcceptingEnded(now)
 	if ends && !s.acceptingEnds {
 		s.acceptingEnds = true
