--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -18,7 +18,10 @@
 )
 
 // startWithOneBackend starts a gateway with one backend that is ready.
-func startWithOneBackend(t *testing.T, change func(map[string]any)) (*testGateway, *fakeBackend, *fakeDiscovery) {
+func startWithOneBackend(
+	t *testing.T,
+	change func(map[string]any),
+) (*testGateway, *fakeBackend, *fakeDiscovery) {
 	t.Helper()
 	b := newFakeBackend(t)
 	d := newFakeDiscovery(t, b.memberJSON("s-00000001", "Ready"))
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -21,6 +21,7 @@
 	rendezvousPath string
 }
 
+// newSharedListener opens a sharedListener on the loopback interface.
 func newSharedListener(t testing.TB) *sharedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -409,7 +410,10 @@
 
 // startAndFindPredecessor starts a process and connects to it as its successor. The test plays the
 // successor.
-func startAndFindPredecessor(t *testing.T, d *fakeDiscovery) (*testGateway, *hotrestart.Predecessor) {
+func startAndFindPredecessor(
+	t *testing.T,
+	d *fakeDiscovery,
+) (*testGateway, *hotrestart.Predecessor) {
 	t.Helper()
 	h := newSharedListener(t)
 	old := h.startProcess(t, d)
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -34,6 +34,7 @@
 	conn net.Conn
 }
 
+// reply sends text to the gateway as it is.
 func (c *backendCall) reply(t testing.TB, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -47,6 +48,7 @@
 	c.reply(t, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
 }
 
+// newFakeBackend starts a backend on the loopback interface.
 func newFakeBackend(t testing.TB) *fakeBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -126,6 +128,7 @@
 	calls    chan string   // the query string of each call
 }
 
+// newFakeDiscovery starts a discovery service with a first list of members.
 func newFakeDiscovery(t testing.TB, entries ...string) *fakeDiscovery {
 	d := &fakeDiscovery{changed: make(chan struct{}), calls: make(chan string, 1024)}
 	d.publish(entries...)
@@ -134,6 +137,7 @@
 	return d
 }
 
+// publish replaces the list of members and increases the revision.
 func (d *fakeDiscovery) publish(entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,13 +219,13 @@
 
 // testGateway is a running gateway with a fake discovery and fake backends.
 type testGateway struct {
-	addr          string
+	addr          string // of the client listener
 	gateway       *Gateway
-	reload        chan struct{}
+	reload        chan struct{}               // a value triggers a reload
 	configs       chan func() (Config, error) // returns what the next reload reads
-	once          sync.Once
-	stopRequested chan struct{}
-	exited        chan struct{}
+	once          sync.Once                   // closes stopRequested
+	stopRequested chan struct{}               // closed to begin a planned shutdown
+	exited        chan struct{}               // closed when the event loop has ended
 }
 
 // stopEventLoop ends the event loop at once. A planned shutdown takes at least half a second, so
@@ -273,7 +277,7 @@
 	return g
 }
 
-// startGateway starts a gateway and waits until it is ready.
+// startGateway starts a gateway and waits until it answers PING. The gateway ends with the test.
 func startGateway(t testing.TB, cfg Config) *testGateway {
 	return startGatewayWith(t, cfg, func(*Gateway) {})
 }
@@ -326,6 +330,7 @@
 	in   *bufio.Reader
 }
 
+// dialClient connects a new client to the gateway.
 func (r *testGateway) dialClient(t testing.TB) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
@@ -337,6 +342,7 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
+// writeRaw sends text as it is.
 func (c *testClient) writeRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -344,6 +350,7 @@
 	}
 }
 
+// send sends a command in its RESP2 encoding.
 func (c *testClient) send(args ...string) {
 	c.t.Helper()
 	b := resp.AppendArray(nil, len(args))
@@ -374,6 +381,7 @@
 	return strings.TrimSuffix(s, "\r\n")
 }
 
+// wantLine reads one line of a reply and compares it.
 func (c *testClient) wantLine(line string) {
 	c.t.Helper()
 	if got := c.readLine(); got != line {
