--- a/internal/controlplane/consensus/apply.go
+++ b/internal/controlplane/consensus/apply.go
@@ -24,8 +24,8 @@
 			return err
 		}
 	case raftpb.EntryConfChange:
-		return fmt.Errorf("consensus: entry %d: a change of voters in a form that this program "+
-			"does not write", n.appliedIndex)
+		return fmt.Errorf("consensus: entry %d: a voter change in the ConfChange format, "+
+			"which this program never writes", n.appliedIndex)
 	default:
 		if len(e.Data) == 0 {
 			break // a new leader's first entry
@@ -41,8 +41,8 @@
 	n.sessions.log.commit(n.appliedIndex)
 	if n.appliedTerm != e.GetTerm() {
 		n.appliedTerm = e.GetTerm()
-		// From here on a leader of this term gives timestamps. It counts from the newest one that
-		// it has applied.
+		// The leader of this term gives timestamps from here on, and counts from the newest
+		// timestamp that it has applied.
 		n.clock.resetTo(n.lastTimestamp, n.lastAppliedAt)
 	}
 	if n.appliedIndex-n.snapshotIndex >= 2*n.config.KeepEntries {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// applyCommand applies a command, once, and completes the requests that wait for it.
+// applyCommand applies a command if it was not applied before, and completes the requests that wait
+// for it.
 func (n *Node) applyCommand(now time.Duration, e *controlpb.Entry) error {
 	timestamp := max(time.Duration(e.At), n.lastTimestamp)
 	n.lastTimestamp = timestamp
@@ -67,11 +68,11 @@
 		s.acknowledge(e.AckedSeq)
 	}
 	if code == controlpb.Code_OK && !wasApplied {
-		if e.Machine != "" { // otherwise it only keeps the session alive
+		if e.Machine != "" { // a command for no machine only keeps the session alive
 			machine := n.config.StateMachines[e.Machine]
 			if machine == nil {
-				return fmt.Errorf("consensus: entry %d is for %q, which this program does not "+
-					"know: a newer version's", n.appliedIndex, e.Machine)
+				return fmt.Errorf("consensus: entry %d is for state machine %q, which this "+
+					"program does not know; a newer version wrote it", n.appliedIndex, e.Machine)
 			}
 			answer = machine.Apply(timestamp, n.appliedIndex, s.member, e.Body)
 		}
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// applyOpen opens a session for a member, and ends those that have expired.
+// applyOpen ends the sessions that have expired, and opens a session for a member.
 func (n *Node) applyOpen(timestamp time.Duration, of *controlpb.Member) {
 	n.sessions.expire(timestamp)
 	member := lease.Member{ID: of.GetId(), Incarnation: of.GetIncarnation()}
@@ -102,8 +103,8 @@
 	delete(n.pendingOpens, member)
 }
 
-// applyVoterChange applies a committed change of voters, or the end of a joint configuration, which
-// has no changes.
+// applyVoterChange applies a committed change of voters. A change without content ends a joint
+// configuration.
 func (n *Node) applyVoterChange(change *raftpb.ConfChangeV2) error {
 	if len(change.Changes) == 0 {
 		n.confState = n.rawNode.ApplyConfChange(change)
@@ -127,6 +128,7 @@
 	if removes {
 		return nil
 	}
-	// The new voter begins from a snapshot, and rejects one in which it is no voter.
+	// The new voter starts from a snapshot, and rejects a snapshot that does not list it as a
+	// voter.
 	return n.CreateSnapshot()
 }
--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -1,6 +1,6 @@
-// Package consensus is the fleet's replicated state: a log that the raft library replicates over
-// voters, state machines that its entries are applied to, and sessions by which each command is
-// applied once however often it is sent.
+// Package consensus holds the fleet's replicated state: a log that the raft library replicates
+// among voters, the state machines that apply its entries, and sessions, which make sure that each
+// command is applied once however often it is sent.
 //
 // A Node is one voter. It does no I/O: its driver stores what Ready returns, syncs, and only then
 // calls Advance and sends the messages that this returns. Time and randomness are arguments, so an
@@ -8,18 +8,18 @@
 //
 // # The fleet's time
 //
-// A leader gives each entry a timestamp: that of the last entry before its own, plus what its clock
-// has counted since it applied that one. A new leader proposes nothing before it has applied an
-// entry of its own term, and so all entries before it. Therefore the time between two timestamps
-// is never more than what a clock within the clock-drift bound has counted between the two
-// proposals: the fleet's time may stand still, but it never runs ahead.
+// A leader gives each entry a timestamp: the timestamp of the newest entry that it has applied,
+// plus the time that its clock has counted since it applied that entry. A new leader proposes
+// nothing before it has applied an entry of its own term, and with it all earlier entries.
+// Therefore the time between two timestamps is never more than what a clock within the clock-drift
+// bound has counted between the two proposals: the fleet's time may stop, but it never runs ahead.
 //
 // # Guarantees
 //
 //   - A command that was answered OK is in the log of a majority, on disk, and was applied once.
 //   - A command that got no answer was applied once or never. If it is sent again in its session,
-//     it is answered as it was the first time.
+//     it gets the answer of its first application.
 //   - A Read sees everything that was answered before it was sent.
-//   - A voter whose stored state is older than what it promised takes no part, as long as one of
-//     those that know its promises answers when it starts (see Verification).
+//   - A voter whose stored state is older than its promises takes no part, as long as one of the
+//     voters that know of these promises replies when it starts (see Verification).
 package consensus
--- a/internal/controlplane/consensus/leaders_test.go
+++ b/internal/controlplane/consensus/leaders_test.go
@@ -10,8 +10,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// A cache follows the members over changes of the leader and voters that restore snapshots, and a
-// revision that one leader answers names the same members at the next.
+// A cache stays up to date across changes of the leader and voters that restore snapshots, and a
+// revision in one leader's answer identifies the same members at the next leader.
 func TestRevisionsOverLeaders(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newThreeVoters(t, seed)
@@ -47,8 +47,8 @@
 	}
 }
 
-// compare compares what a cache holds with the leader's members, and with what had its revision
-// before.
+// compare compares a cache's content with the leader's members, and with the members that had the
+// same revision earlier.
 func (w *threeVoters) compare(cache *MemberCache, leader *Node, contents map[Revision]string) {
 	w.t.Helper()
 	var committed, cached []lease.Member
@@ -59,11 +59,11 @@
 		cached = append(cached, m.Member)
 	}
 	if !slices.Equal(committed, cached) {
-		w.t.Fatalf("%v are committed, %v cached", committed, cached)
+		w.t.Fatalf("committed members %v, cached members %v", committed, cached)
 	}
 	content := fmt.Sprint(cached)
 	if earlier, known := contents[cache.revision]; known && earlier != content {
-		w.t.Fatalf("revision %v of %s and of %s", cache.revision, content, earlier)
+		w.t.Fatalf("revision %v identifies both %s and %s", cache.revision, content, earlier)
 	}
 	contents[cache.revision] = content
 }
--- a/internal/controlplane/consensus/membercache.go
+++ b/internal/controlplane/consensus/membercache.go
@@ -8,29 +8,29 @@
 	"slices"
 )
 
-// ErrCacheMismatch is the error of an answer that does not lead on from what a MemberCache holds.
-// The cache is empty after it: its next query asks for everything.
+// ErrCacheMismatch is returned for an answer that does not follow from the content of a
+// MemberCache. The cache is empty afterwards, and its next query requests the complete list.
 var ErrCacheMismatch = errors.New(
-	"consensus: the answer does not lead on from the cached members")
+	"consensus: the answer does not follow from the cached members")
 
-// MemberCache is what a client knows of who belongs to the fleet. It asks only for what has
-// changed, and checks what it has by the answers' digests. It is not safe for concurrent use, and
-// only one of its queries may be in flight.
+// MemberCache is a client's copy of the fleet's membership. It queries only for changes, and checks
+// its content against the digests in the answers. It is not safe for concurrent use, and only one
+// of its queries may be in flight.
 type MemberCache struct {
 	query        MembershipQuery
-	revision     Revision // zero: nothing is cached, or what an older version's voter answered
+	revision     Revision // zero: nothing is cached, or a voter of an older version answered
 	voters       []VoterInfo
 	members      map[string]MemberInfo // by id
 	unresponsive UnresponsiveMembers
 }
 
-// NewMemberCache returns an empty cache for the part that a query asks for. The query has to be of
-// ScopeVoters or ScopeMembers.
+// NewMemberCache returns an empty cache for the part of the membership that a query requests. The
+// query's scope has to be ScopeVoters or ScopeMembers.
 func NewMemberCache(query MembershipQuery) *MemberCache {
 	return &MemberCache{query: query, members: map[string]MemberInfo{}}
 }
 
-// Query returns the body of the Read that asks for what the cache lacks.
+// Query returns the body of the Read that requests what the cache lacks.
 func (c *MemberCache) Query() []byte {
 	q := c.query
 	if c.hasRevision() {
@@ -61,7 +61,7 @@
 		return err
 	}
 	if answer.Delta && !c.hasRevision() {
-		return fmt.Errorf("%w: changes came, but nothing is cached", ErrCacheMismatch)
+		return fmt.Errorf("%w: it lists only changes, but nothing is cached", ErrCacheMismatch)
 	}
 	if !answer.Delta {
 		c.voters = answer.Voters
@@ -82,13 +82,13 @@
 	}
 	c.revision = answer.Revision
 	if c.hasRevision() && c.digest() != c.revision.Digest {
-		return fmt.Errorf("%w: digest %x, not %x as at entry %d",
+		return fmt.Errorf("%w: the digest is %x, but must be %x at entry %d",
 			ErrCacheMismatch, c.digest(), c.revision.Digest, c.revision.Index)
 	}
 	return nil
 }
 
-// digest returns the digest of what the cache holds.
+// digest returns the digest of the cached list.
 func (c *MemberCache) digest() uint64 {
 	if c.query.Scope == ScopeVoters {
 		return votersDigest(c.voters)
@@ -96,10 +96,10 @@
 	return membersDigest(slices.Collect(maps.Values(c.members)))
 }
 
-// Voters returns the voters, by name, if they were asked for.
+// Voters returns the voters, sorted by name, if the query requests them.
 func (c *MemberCache) Voters() []VoterInfo { return slices.Clone(c.voters) }
 
-// Members returns the members, by id, if they were asked for.
+// Members returns the members, sorted by id, if the query requests them.
 func (c *MemberCache) Members() []MemberInfo {
 	all := slices.Collect(maps.Values(c.members))
 	slices.SortFunc(all, compareMemberInfos)
@@ -110,7 +110,7 @@
 }
 
 // ParseMembershipAnswer reads the answer to a MembershipQuery. A voter of an older version answers
-// every query with a Membership: that becomes an answer without a revision, which names everything.
+// every query with a Membership, which becomes a complete answer without a revision.
 func ParseMembershipAnswer(body []byte) (*MembershipAnswer, error) {
 	var answer MembershipAnswer
 	err := json.Unmarshal(body, &answer)
@@ -119,12 +119,12 @@
 	}
 	var all Membership
 	if err := json.Unmarshal(body, &all); err != nil {
-		return nil, fmt.Errorf("consensus: the answer about members can't be read: %w", err)
+		return nil, fmt.Errorf("consensus: can't parse the answer about members: %w", err)
 	}
 	return all.answer(), nil
 }
 
-// answer returns the whole membership as the answer to a query.
+// answer returns the complete membership as the answer to a query.
 func (m *Membership) answer() *MembershipAnswer {
 	answer := &MembershipAnswer{Voters: m.Voters, Unresponsive: &UnresponsiveMembers{}}
 	for _, one := range m.Members {
--- a/internal/controlplane/consensus/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -9,39 +9,40 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Revision names one content of a list of members: the index of the log entry that led to it, and a
-// digest of the content. Voters apply the same entries, so an index names the same content at each
-// of them. The digest tells contents apart even where a fleet was bootstrapped again or restored
-// from older copies, and its indexes have begun anew. The zero Revision names none.
+// Revision identifies one version of a list of members: the index of the log entry that led to it,
+// and a digest of the list. Voters apply the same entries, so an index identifies the same list at
+// each of them. The digest distinguishes lists even after a fleet was bootstrapped again or
+// restored from older copies, where the same indexes occur again. The zero Revision identifies no
+// list.
 type Revision struct {
-	Index  uint64 `json:"index,omitempty"` // 0: of a part of the list, which only its digest names
+	Index  uint64 `json:"index,omitempty"` // 0: a part of the list, identified by its digest alone
 	Digest uint64 `json:"digest"`
 }
 
 // maxMembershipChanges bounds how many changed ids a voter keeps for clients that have an earlier
-// list. At 1,100 restarts an hour they reach back for almost an hour.
+// list. At 1,100 restarts an hour they cover almost an hour.
 const maxMembershipChanges = 1024
 
 // emptyDigest is the digest of an empty list, so that no list has the digest of the zero Revision.
 const emptyDigest = 0x9e3779b97f4a7c15
 
-// membershipChange is the ids that one log entry added, removed or replaced.
+// membershipChange lists the ids that one log entry added, removed or replaced.
 type membershipChange struct {
-	revision Revision // after it
+	revision Revision // after the change
 	ids      []string
 }
 
-// membershipLog is the latest changes of the members, as one voter has applied them. It is no part
-// of the replicated state: a voter that restores a snapshot begins a new one.
+// membershipLog holds the latest changes of the members, as one voter has applied them. It is not
+// part of the replicated state: a voter that restores a snapshot starts a new one.
 type membershipLog struct {
-	digest     uint64   // of the members now
+	digest     uint64   // of the current members
 	pending    []string // ids that changed since the last commit
-	base       Revision // the earliest revision that the changes lead on from
+	base       Revision // the revision before the first of the changes
 	changes    []membershipChange
 	changedIDs int // number of ids in changes
 }
 
-// reset starts the log anew, with the members as they are after an entry.
+// reset clears the log. The current members are those after the entry with the index.
 func (l *membershipLog) reset(index uint64) {
 	l.base = Revision{Index: index, Digest: l.digest}
 	l.pending = nil
@@ -55,7 +56,7 @@
 	l.pending = append(l.pending, member.ID)
 }
 
-// commit ends an entry: what has changed since the last commit makes one revision.
+// commit ends an entry: the changes since the last commit form one revision.
 func (l *membershipLog) commit(index uint64) {
 	if len(l.pending) == 0 {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// current returns the revision of the members now.
+// current returns the revision of the current members.
 func (l *membershipLog) current() Revision {
 	if n := len(l.changes); n > 0 {
 		return l.changes[n-1].revision
@@ -78,8 +79,8 @@
 	return l.base
 }
 
-// since returns the ids that changed after a revision, each once and sorted. The result ok is false
-// if the log does not reach back to it, or has never had it.
+// since returns the ids that changed after a revision, sorted and without duplicates. The result ok
+// is false if the log does not reach back to the revision, or never contained it.
 func (l *membershipLog) since(r Revision) (ids []string, ok bool) {
 	next := 0
 	if r != l.base {
@@ -99,8 +100,8 @@
 	return slices.Compact(ids), true
 }
 
-// memberDigest returns a member's part of a digest. That of a list is the exclusive or of all its
-// members' parts and emptyDigest.
+// memberDigest returns a member's part of a digest. The digest of a list is the exclusive or of
+// emptyDigest and the parts of all its members.
 func memberDigest(member lease.Member, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(member.ID)) // a hash returns no errors
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -29,7 +29,7 @@
 
 func describe(member lease.Member, address string) string { return member.String() + "@" + address }
 
-// The revision changes when a session begins or ends, and by nothing else.
+// The revision changes when a session begins or ends, and at no other time.
 func TestRevisionChangesOnlyWithTheMembers(t *testing.T) {
 	a := newSingleVoter(t, nil)
 	last := a.node.sessions.log.current()
@@ -46,9 +46,9 @@
 	a.keepAlive(one, 1)
 	expect(false, "a session was kept alive")
 	if again := a.open("a", 1); again != one {
-		t.Fatalf("session %d, not %d", again, one)
+		t.Fatalf("got session %d, want %d", again, one)
 	}
-	expect(false, "the same process asked for a session again")
+	expect(false, "the same process requested a session again")
 	two := a.open("a", 2)
 	expect(true, "another process took the id")
 	earlier := &controlpb.Member{Id: "a", Incarnation: 1}
@@ -60,7 +60,7 @@
 	a.advance(SessionTTL / 2)
 	a.keepAlive(two, 1)
 	expect(false, "time passed")
-	a.node.ChangeVoter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // it is one
+	a.node.ChangeVoter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // v is a voter already
 	a.advance(0)
 	expect(false, "no voter was added")
 	a.advance(2 * SessionTTL)
@@ -75,7 +75,7 @@
 }
 
 // A client that has the newest list gets an empty answer, also after the voter has restarted from a
-// snapshot; one that has an earlier list gets what changed.
+// snapshot. A client that has an earlier list gets the changes.
 func TestAnswersHoldOnlyWhatChanged(t *testing.T) {
 	a := newSingleVoter(t, nil)
 	for i := range 50 {
@@ -91,11 +91,11 @@
 		first := a.refresh(c)
 		second := a.refresh(c)
 		if first == 0 || second != 0 {
-			t.Errorf("%s: %d bytes at first, %d when nothing has changed", name, first, second)
+			t.Errorf("%s: the first answer has %d bytes, the one without a change %d", name, first, second)
 		}
 	}
 	if n := len(all.Members()); n != 50 {
-		t.Fatalf("%d members", n)
+		t.Fatalf("got %d members", n)
 	}
 	if v := voters.Voters(); len(v) != 1 || v[0].Name != "v" {
 		t.Fatal(v)
@@ -103,10 +103,10 @@
 	complete := len(a.read(NewMemberCache(MembershipQuery{Scope: ScopeMembers}).Query()).Body)
 	a.open("gateway-03", 2)
 	if delta := a.refresh(all); delta == 0 || delta > complete/10 {
-		t.Errorf("%d bytes for a change, %d for the complete list", delta, complete)
+		t.Errorf("a change has %d bytes, the complete list %d", delta, complete)
 	}
 	if a.refresh(some) == 0 || a.refresh(voters) != 0 {
-		t.Error("a change of a member is one of some members, and none of the voters")
+		t.Error("a changed member must change the answer for some members, but not that for voters")
 	}
 	want := []string{
 		describe(lease.Member{ID: "gateway-03", Incarnation: 2}, "at-gateway-03"),
@@ -127,12 +127,12 @@
 	}
 	a.refresh(all)
 	if size := a.refresh(all); size != 0 {
-		t.Errorf("%d bytes when nothing has changed since the restart", size)
+		t.Errorf("the answer has %d bytes although nothing has changed since the restart", size)
 	}
 }
 
-// A member that sends no command is reported as unresponsive, without a change of the revision, and
-// as responsive again later.
+// A member that sends no command is reported as unresponsive without a change of the revision. It
+// is reported as responsive again after its next command.
 func TestUnresponsiveMembersAreReported(t *testing.T) {
 	a := newSingleVoter(t, nil)
 	responsive, unresponsive := a.open("responsive", 1), a.open("unresponsive", 1)
@@ -165,13 +165,13 @@
 		keepAlive(responsive)
 		answer, err := ParseMembershipAnswer(a.read(c.Query()).Body)
 		if err != nil || answer.Members != nil || answer.Revision != c.revision {
-			t.Fatalf("%s: %+v, %v: more than who is unresponsive", name, answer, err)
+			t.Fatalf("%s: %+v, %v: the answer lists more than the unresponsive members", name, answer, err)
 		}
 		if a.refresh(c); !slices.Equal(reported(), []string{"unresponsive"}) {
 			t.Fatal(name, reported())
 		}
 		if size := a.refresh(c); size != 0 {
-			t.Fatalf("%s: %d bytes when nothing has changed", name, size)
+			t.Fatalf("%s: the answer has %d bytes although nothing has changed", name, size)
 		}
 		keepAlive(unresponsive)
 		if a.refresh(c); reported() != nil {
@@ -186,17 +186,17 @@
 	a := newSingleVoter(t, nil)
 	c := NewMemberCache(MembershipQuery{Scope: ScopeVoters})
 	a.refresh(c)
-	// A second voter that is not only in the list would have to confirm reads.
+	// The second voter is added only to the list: a real one would have to confirm reads.
 	a.node.voters[8] = &controlpb.Voter{Number: 8, Name: "w", Address: "there"}
 	if a.refresh(c) == 0 {
-		t.Fatal("no change")
+		t.Fatal("the answer reports no change")
 	}
 	if v := c.Voters(); len(v) != 2 || v[1] != (VoterInfo{"w", "0000000000000008", "there"}) {
 		t.Fatal(v)
 	}
 }
 
-// A sample has as many active members as asked for, beside those that vote.
+// A sample has as many active members as requested, in addition to those that vote.
 func TestSampleIsOfActiveMembersAndVoters(t *testing.T) {
 	a := newSingleVoter(t, nil)
 	a.open("unresponsive", 1)
@@ -227,8 +227,8 @@
 	}
 }
 
-// Queries that can't be answered are rejected with a reason; one without a body, of an older
-// version, gets the complete membership.
+// Queries that can't be answered are rejected with a reason. A query without a body, as older
+// versions send it, gets the complete membership.
 func TestQueriesOfOtherVersions(t *testing.T) {
 	a := newSingleVoter(t, nil)
 	a.open("a", 1)
@@ -254,7 +254,7 @@
 	if got := slices.Sorted(maps.Keys(keys)); !slices.Equal(got, want) {
 		t.Error(got)
 	}
-	// A voter of an older version answers every query so.
+	// A voter of an older version answers every query with a Membership.
 	for _, query := range []MembershipQuery{
 		{Scope: ScopeMembers, Retired: true},
 		{Scope: ScopeMembers, IDs: []string{"a"}},
@@ -273,13 +273,14 @@
 		if v := c.Voters(); len(v) != 1 || v[0].Name != "v" {
 			t.Errorf("%+v: %+v", query, v)
 		}
-		if size := a.refresh(c); size == 0 { // then a newer one leads
-			t.Error("it was answered that nothing has changed")
+		if size := a.refresh(c); size == 0 { // a voter of a newer version leads now
+			t.Error("the newer voter answers that nothing has changed")
 		}
 	}
 }
 
-// A cache rejects an answer that does not lead on from what it holds, and asks for everything then.
+// A cache rejects an answer that does not follow from its content, and then requests the complete
+// list.
 func TestCacheRejectsWhatDoesNotLeadOn(t *testing.T) {
 	c := NewMemberCache(MembershipQuery{Scope: ScopeMembers})
 	change := []byte(`{"revision":{"index":5,"digest":1},"delta":true}`)
@@ -299,7 +300,7 @@
 		t.Errorf("%s: %v", c.Query(), c.Members())
 	}
 	if err := c.Update(nil); err == nil {
-		t.Error("an empty answer is accepted where nothing was cached")
+		t.Error("an empty answer is accepted although nothing was cached")
 	}
 }
 
@@ -344,8 +345,8 @@
 	}
 }
 
-// Whichever voter answers, restored from a snapshot or not, a cache that applies changes holds the
-// complete list, and no revision names two contents.
+// A cache that applies changes holds the complete list, whichever voter answers and whether or not
+// that voter was restored from a snapshot. No revision identifies two different lists.
 func TestChangesLeadToTheCompleteList(t *testing.T) {
 	for seed := range uint64(8) {
 		w := &replicas{
@@ -378,18 +379,18 @@
 			answer := s.memberAnswer(&MembershipQuery{}, 0)
 			content := fmt.Sprint(describeMembers(answer.Members))
 			if earlier, known := contents[c.revision]; known && earlier != content {
-				t.Fatalf("seed %d: revision %v of %s and of %s", seed, c.revision, earlier, content)
+				t.Fatalf("seed %d: revision %v identifies both %s and %s", seed, c.revision, earlier, content)
 			}
 			contents[c.revision] = content
 		}
 		if deltas < 100 {
-			t.Errorf("seed %d: %d answers by changes", seed, deltas)
+			t.Errorf("seed %d: only %d answers list changes", seed, deltas)
 		}
 	}
 }
 
-// compare brings a cache up to date from a voter, and compares it with the voter's members. It
-// returns 1 for an answer that leads on from what was cached.
+// compare updates a cache from a voter, and compares it with the voter's members. It returns 1 if
+// the answer was empty or listed only changes.
 func (w *replicas) compare(c *MemberCache, s *sessions) (delta int) {
 	w.t.Helper()
 	q, err := parseMembershipQuery(c.Query())
@@ -418,11 +419,11 @@
 		wanted = append(wanted, description)
 	}
 	if got := describeMembers(c.Members()); !slices.Equal(got, wanted) {
-		w.t.Fatalf("entry %d: %v, not %v", w.index, got, wanted)
+		w.t.Fatalf("entry %d: got %v, want %v", w.index, got, wanted)
 	}
 	for _, m := range c.Members() {
 		if c.query.Retired && !slices.Equal(m.Retired, s.retired[m.ID]) {
-			w.t.Fatalf("entry %d: %s had %v before, not %v",
+			w.t.Fatalf("entry %d: %s has retired incarnations %v, want %v",
 				w.index, m.ID, m.Retired, s.retired[m.ID])
 		}
 	}
@@ -432,8 +433,8 @@
 	return 0
 }
 
-// A fleet that was bootstrapped again, or restored from older copies, has the same indexes for
-// other members: no cached list is continued from another history.
+// A fleet that was bootstrapped again or restored from older copies has the same indexes for other
+// members. Changes of one history must not be applied to a list cached from another.
 func TestSameIndexOfAnotherHistory(t *testing.T) {
 	first, second := newSessions(), newSessions()
 	for i, s := range []*sessions{first, second} {
@@ -457,12 +458,13 @@
 		w.compare(c, first)
 		w.compare(c, s)
 		if w.compare(c, s) != 1 {
-			t.Error("no delta where nothing has changed")
+			t.Error("the answer is no delta although nothing has changed")
 		}
 	}
 }
 
-// A voter keeps a bounded number of changes; a client further behind gets the complete list.
+// A voter keeps a bounded number of changes. A client whose revision is older gets the complete
+// list.
 func TestChangesKeptAreBounded(t *testing.T) {
 	s := newSessions()
 	s.log.reset(0)
@@ -477,9 +479,9 @@
 		}
 	}
 	if w.compare(c, s) != 0 {
-		t.Error("a delta over changes that are not kept")
+		t.Error("the answer is a delta although the changes are not kept")
 	}
 	if w.compare(c, s) != 1 {
-		t.Error("no delta")
+		t.Error("the answer is no delta although the changes are kept")
 	}
 }
--- a/internal/controlplane/consensus/membershipquery.go
+++ b/internal/controlplane/consensus/membershipquery.go
@@ -11,41 +11,41 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Scope is the part of the membership that a MembershipQuery asks for.
+// Scope is the part of the membership that a MembershipQuery requests.
 type Scope string
 
 const (
-	// ScopeVoters is the voters alone.
+	// ScopeVoters requests only the voters.
 	ScopeVoters Scope = "voters"
-	// ScopeMembers is the processes with a session, or some of them.
+	// ScopeMembers requests the processes with a session, or some of them.
 	ScopeMembers Scope = "members"
-	// ScopeSample is the voters, the members that vote, and some other active members that are
-	// drawn by a seed.
+	// ScopeSample requests the voters, the members that vote, and some other active members, which
+	// are drawn by a seed.
 	ScopeSample Scope = "sample"
 )
 
 const (
 	// unresponsiveAfter is the time without a command after which a member counts as unresponsive.
 	unresponsiveAfter = SessionTTL / 2
-	// maxSample is the largest sample, in members, that is answered.
+	// maxSample is the largest sample, in members, that a query may request.
 	maxSample = 64
 )
 
-// MembershipQuery is a Read of MembershipName for no more than a client needs. A Read without a
-// body is answered with a Membership.
+// MembershipQuery is the body of a Read of MembershipName that requests only the part of the
+// membership that a client needs. A Read without a body is answered with a Membership.
 //
-// A client that names the revision that it has gets an empty answer if nothing has changed since,
-// and of all members only what has changed.
+// A client that names the revision of its copy gets an empty answer if nothing has changed since
+// then. If it requests all members, it gets only those that have changed.
 type MembershipQuery struct {
 	Scope Scope `json:"scope"`
-	// IDs are the members that ScopeMembers asks for; empty: all.
+	// IDs are the members that ScopeMembers requests; empty: all.
 	IDs []string `json:"ids,omitempty"`
-	// Retired asks for the superseded incarnations of each member's id as well.
+	// Retired requests also the superseded incarnations of each member's id.
 	Retired bool `json:"retired,omitempty"`
-	// Sample is how many members ScopeSample asks for, and Seed which.
+	// Sample is how many members ScopeSample requests. Seed determines which ones are drawn.
 	Sample int    `json:"sample,omitempty"`
 	Seed   uint64 `json:"seed,omitempty"`
-	// Revision is what the client has; nil: nothing.
+	// Revision is the revision of the client's copy; nil: it has none.
 	Revision *Revision `json:"revision,omitempty"`
 	// UnresponsiveDigest is the digest of the unresponsive members that the client knows of.
 	UnresponsiveDigest uint64 `json:"silent,omitempty"`
@@ -54,16 +54,16 @@
 // MembershipAnswer is the answer to a MembershipQuery, unless nothing has changed.
 type MembershipAnswer struct {
 	Revision Revision `json:"revision"` // never zero
-	// Delta means that Members are only those that were added or replaced, and Removed those that
-	// have no session any more.
+	// Delta means that Members lists only those that were added or replaced since the client's
+	// revision, and Removed those that have no session any more.
 	Delta        bool                 `json:"delta,omitempty"`
 	Voters       []VoterInfo          `json:"voters,omitempty"`
 	Members      []MemberInfo         `json:"members,omitempty"`
 	Removed      []string             `json:"ended,omitempty"`
-	Unresponsive *UnresponsiveMembers `json:"silent,omitempty"` // nil: as the client knows them
+	Unresponsive *UnresponsiveMembers `json:"silent,omitempty"` // nil: unchanged
 }
 
-// UnresponsiveMembers are the members that sent no command for half of a session's TTL.
+// UnresponsiveMembers are the members that have sent no command for half of SessionTTL.
 type UnresponsiveMembers struct {
 	Digest uint64   `json:"digest"` // 0: there are none
 	IDs    []string `json:"ids,omitempty"`
@@ -72,8 +72,8 @@
 // MemberInfo describes a process that has a session.
 type MemberInfo struct {
 	lease.Member
-	Address      string   `json:"address,omitempty"` // "": it is reached nowhere
-	Retired      []uint64 `json:"retired,omitempty"` // superseded incarnations, if asked for
+	Address      string   `json:"address,omitempty"` // "": it has none
+	Retired      []uint64 `json:"retired,omitempty"` // superseded incarnations, if requested
 	Unresponsive bool     `json:"-"`                 // set by a MemberCache
 }
 
@@ -85,8 +85,8 @@
 // Encode returns the query as the body of a Read.
 func (q *MembershipQuery) Encode() []byte { return mustjson.Marshal(q) }
 
-// parseMembershipQuery reads the body of a Read of MembershipName. It returns nil if the body is
-// empty, so asks for a Membership.
+// parseMembershipQuery parses the body of a Read of MembershipName. It returns nil if the body is
+// empty, which requests a Membership.
 func parseMembershipQuery(body []byte) (*MembershipQuery, error) {
 	if len(body) == 0 {
 		return nil, nil
@@ -107,8 +107,8 @@
 	return q, nil
 }
 
-// membershipAnswer answers a query at a time of the fleet. It returns nil if the client has all
-// that it asks for.
+// membershipAnswer returns the encoded answer to a query; now is the fleet's time. It returns nil
+// if the client's copy is up to date.
 func (n *Node) membershipAnswer(q *MembershipQuery, now time.Duration) []byte {
 	var answer *MembershipAnswer
 	switch q.Scope {
@@ -125,7 +125,7 @@
 	return mustjson.Marshal(answer)
 }
 
-// voterAnswer returns the voters, or nil if the client has them.
+// voterAnswer returns the voters, or nil if the client's copy is up to date.
 func (n *Node) voterAnswer(q *MembershipQuery) *MembershipAnswer {
 	answer := &MembershipAnswer{Voters: n.voterInfos()}
 	answer.Revision.Digest = votersDigest(answer.Voters)
@@ -135,7 +135,8 @@
 	return answer
 }
 
-// memberAnswer returns the members that are asked for, as far as the client does not have them.
+// memberAnswer returns the requested members that the client's copy lacks, or nil if it is up to
+// date.
 func (s *sessions) memberAnswer(q *MembershipQuery, now time.Duration) *MembershipAnswer {
 	answer := &MembershipAnswer{}
 	if len(q.IDs) == 0 {
@@ -153,7 +154,8 @@
 	return answer
 }
 
-// answerAll adds all members to an answer, or what has changed of them.
+// answerAll adds all members to an answer, or only the changes since the client's revision if that
+// is still in the log and not longer than the complete list.
 func (s *sessions) answerAll(q *MembershipQuery, answer *MembershipAnswer) {
 	answer.Revision = s.log.current()
 	if q.Revision != nil {
@@ -165,13 +167,14 @@
 		}
 	}
 	for _, one := range s.byID {
-		retired := s.retiredIfWanted(q.Retired, one.member.ID)
+		retired := s.retiredIfRequested(q.Retired, one.member.ID)
 		answer.Members = append(answer.Members, one.memberInfo(retired))
 	}
 	slices.SortFunc(answer.Members, compareMemberInfos)
 }
 
-// answerSome adds the members with some ids to an answer, unless the client has them.
+// answerSome adds the members whose ids are requested to an answer, unless the client's copy is up
+// to date.
 func (s *sessions) answerSome(q *MembershipQuery, answer *MembershipAnswer) {
 	ids := slices.Clone(q.IDs)
 	slices.Sort(ids)
@@ -184,7 +187,8 @@
 	}
 }
 
-// addMembers adds the members with some ids to an answer, and the ids that have no member.
+// addMembers adds the members with the given ids to an answer. Ids without a session are added to
+// Removed.
 func (s *sessions) addMembers(ids []string, withRetired bool, answer *MembershipAnswer) {
 	for _, id := range ids {
 		one := s.byID[id]
@@ -192,19 +196,20 @@
 			answer.Removed = append(answer.Removed, id)
 			continue
 		}
-		retired := s.retiredIfWanted(withRetired, id)
+		retired := s.retiredIfRequested(withRetired, id)
 		answer.Members = append(answer.Members, one.memberInfo(retired))
 	}
 }
 
-func (s *sessions) retiredIfWanted(wanted bool, id string) []uint64 {
-	if !wanted {
+func (s *sessions) retiredIfRequested(requested bool, id string) []uint64 {
+	if !requested {
 		return nil
 	}
 	return s.retired[id]
 }
 
-// unresponsiveMembers returns which of the members with some ids are unresponsive; no ids: of all.
+// unresponsiveMembers returns the unresponsive members among those with the given ids, or among all
+// members if ids is empty.
 func (s *sessions) unresponsiveMembers(ids []string, now time.Duration) *UnresponsiveMembers {
 	unresponsive := &UnresponsiveMembers{}
 	check := func(one *session) {
@@ -225,7 +230,7 @@
 	return unresponsive
 }
 
-// unresponsive reports whether the session's process sent no command for a while.
+// unresponsive reports whether the session's process has sent no command for unresponsiveAfter.
 func (s *session) unresponsive(now time.Duration) bool {
 	return now-s.lastSeen >= unresponsiveAfter
 }
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -26,7 +26,7 @@
 	rawNode *raft.RawNode // nil before Start
 	storage *raft.MemoryStorage
 
-	// The replicated state, but for the state machines in config.
+	// The replicated state, except for the state machines in config.
 	fleet     string
 	voters    map[uint64]*controlpb.Voter // by number
 	confState *raftpb.ConfState
@@ -36,7 +36,7 @@
 	appliedIndex  uint64        // of the last entry applied
 	appliedTerm   uint64        // of the last entry applied
 	lastTimestamp time.Duration // of the last entry applied
-	lastAppliedAt time.Duration // when that was, by the voter's clock
+	lastAppliedAt time.Duration // the voter's clock when it applied that entry
 	snapshotIndex uint64        // of the newest snapshot
 
 	hardState       *raftpb.HardState // as stored
@@ -44,7 +44,7 @@
 	currentReady    *raft.Ready       // between Ready and Advance
 	ticksToCampaign int
 
-	// Requests that wait, by their tags.
+	// Tags of the requests that wait for their completion.
 	pendingCommands     map[uint64]map[uint64][]any // by session and sequence number
 	pendingOpens        map[lease.Member][]any
 	pendingVoterChanges []any
@@ -55,15 +55,16 @@
 	newPromises map[uint64]Promise // since the last Ready
 }
 
-// Position returns how far the stored state reaches.
+// Position returns the term and the last entry of the stored state.
 func (n *Node) Position() Position { return Position{n.hardState.GetTerm(), n.lastSavedIndex} }
 
-// Start has the voter take part, once its verification has passed. It does not vote in minTerm or
-// an earlier term.
+// Start makes the voter take part. It is called once the verification has passed. The voter does
+// not vote for another voter in minTerm or an earlier term.
 func (n *Node) Start(minTerm uint64) error {
 	hardState := proto.Clone(n.hardState).(*raftpb.HardState)
 	if minTerm > hardState.GetTerm() {
-		// A vote for itself in that term prevents any other one, and no candidate counts it.
+		// A stored vote for itself in minTerm prevents a vote for another voter in that term. No
+		// candidate counts it.
 		hardState.Term = new(minTerm)
 		hardState.Vote = new(n.config.Number)
 		if err := n.storage.SetHardState(hardState); err != nil {
@@ -92,8 +93,9 @@
 	return err
 }
 
-// resetElectionTimer has the voter campaign once to twice the election's ticks from now. The
-// library's own timer is not used: it draws from the system's randomness.
+// resetElectionTimer sets the next campaign to a random time between once and twice ElectionTicks
+// from now. The raft library's own timer is not used, because it draws from the system's
+// randomness.
 func (n *Node) resetElectionTimer() {
 	ticks := n.config.ElectionTicks
 	n.ticksToCampaign = ticks + n.config.Random.IntN(ticks)
@@ -112,18 +114,18 @@
 	}
 	n.resetElectionTimer()
 	if n.isVoter() {
-		// An error means that a change of voters is under way; the next timeout tries again.
+		// An error means that a change of voters is in progress; the next timeout retries.
 		_ = n.rawNode.Campaign()
 	}
 }
 
-// isVoter reports whether this node is a voter by its own log.
+// isVoter reports whether this node is a voter according to its own log.
 func (n *Node) isVoter() bool {
 	return slices.Contains(n.confState.GetVoters(), n.config.Number) ||
 		slices.Contains(n.confState.GetVotersOutgoing(), n.config.Number)
 }
 
-// Step processes a message of another voter.
+// Step processes a message from another voter.
 func (n *Node) Step(m *raftpb.Message) {
 	term := n.rawNode.BasicStatus().GetTerm()
 	switch m.GetType() {
@@ -137,7 +139,7 @@
 		}
 	}
 	n.recordPromise(m)
-	_ = n.rawNode.Step(m) // an error means an unknown sender or an old message: it is dropped
+	_ = n.rawNode.Step(m) // it drops messages of unknown senders and old ones with an error
 }
 
 // ReportUnreachable reports that messages to another voter were lost.
@@ -152,5 +154,5 @@
 	n.rawNode.ReportSnapshot(voter, status)
 }
 
-// TransferLeader transfers leadership to another voter, if that is up to date.
+// TransferLeader transfers leadership to another voter if that voter is up to date.
 func (n *Node) TransferLeader(to uint64) { n.rawNode.TransferLeader(to) }
--- a/internal/controlplane/consensus/open.go
+++ b/internal/controlplane/consensus/open.go
@@ -16,7 +16,7 @@
 
 var errDamagedLog = errors.New("consensus: the stored log is inconsistent")
 
-// StoredState is what a voter has on disk.
+// StoredState is the state that a voter has on disk.
 type StoredState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
@@ -24,7 +24,7 @@
 	Promises  map[uint64]Promise // by the voter that made them
 }
 
-// BootstrapState returns what a voter of a new fleet has on disk at first. All voters of a fleet
+// BootstrapState returns the initial stored state of a voter of a new fleet. All voters of a fleet
 // have to start from the same state.
 func BootstrapState(fleet string, voters []*controlpb.Voter) (StoredState, error) {
 	confState := &raftpb.ConfState{}
@@ -51,19 +51,20 @@
 	}, nil
 }
 
-// JoinState returns what a voter that is to be added to a fleet has on disk at first: an empty log.
+// JoinState returns the initial stored state of a voter that will be added to a fleet: an empty
+// log.
 func JoinState() StoredState {
 	return StoredState{HardState: &raftpb.HardState{}, Snapshot: raftpb.EnsureSnapshot(nil)}
 }
 
-// Open returns a voter with the state that is stored. The time now is by the voter's clock. The
-// voter takes no part before Start.
+// Open returns a voter with a stored state. The time now is that of the voter's clock. The voter
+// takes no part before Start.
 func Open(now time.Duration, config Config, stored StoredState) (*Node, error) {
 	if config.KeepEntries == 0 {
 		config.KeepEntries = defaultKeepEntries
 	}
 	if stored.Snapshot == nil || stored.HardState == nil {
-		return nil, fmt.Errorf("%w: no snapshot to begin from", errDamagedLog)
+		return nil, fmt.Errorf("%w: it has no snapshot or no hard state", errDamagedLog)
 	}
 	n := &Node{
 		config:          config,
@@ -80,7 +81,7 @@
 	return n, n.restoreSnapshot(now, stored.Snapshot)
 }
 
-// loadLog fills the log in memory with what is stored, and checks that it has no gaps.
+// loadLog loads the stored log into memory, and checks that it has no gaps.
 func (n *Node) loadLog(stored StoredState) error {
 	if err := n.storage.ApplySnapshot(stored.Snapshot); err != nil {
 		return fmt.Errorf("consensus: %w", err)
@@ -103,7 +104,7 @@
 	}
 	committed := stored.HardState.GetCommit()
 	if committed >= next {
-		return fmt.Errorf("%w: entry %d is committed, the last one here is %d",
+		return fmt.Errorf("%w: entry %d is committed, but the last stored entry is %d",
 			errDamagedLog, committed, next-1)
 	}
 	if committed < snapshotIndex {
--- a/internal/controlplane/consensus/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -14,28 +14,28 @@
 	tag     any
 	machine string
 	body    []byte
-	members *MembershipQuery // of a read of MembershipName; nil: all of it
+	members *MembershipQuery // for MembershipName; nil: requests a Membership
 }
 
-// readRound is the reads that one exchange of messages with a quorum confirms. An exchange costs
-// two messages with each voter, however many reads it confirms, so reads that arrive during one
-// wait for the next: a read must be confirmed after its arrival.
+// readRound is a batch of reads that one exchange of messages with a quorum confirms. An exchange
+// costs two messages with each voter, however many reads it confirms. Reads that arrive during an
+// exchange wait for the next one, because a read must be confirmed after its arrival.
 type readRound struct {
 	id    uint64
 	reads []*read
-	index uint64 // the reads are answered once it is applied
+	index uint64 // the reads are answered once the entry with this index is applied
 }
 
 // reads are the linearizable reads of a leader.
 type reads struct {
 	waiting   []*read      // for the next round
 	round     *readRound   // in flight; nil: none
-	confirmed []*readRound // in their order
-	lastRound uint64       // id
+	confirmed []*readRound // the oldest first
+	lastRound uint64       // id of the last round started
 }
 
-// Read reads a state machine after everything that was answered before: it is a linearizable read.
-// It ends with a Completion that has the tag.
+// Read starts a linearizable read of a state machine: it sees the effects of every command that was
+// answered before. Its result is a Completion with the tag.
 func (n *Node) Read(machine string, body []byte, tag any) {
 	if !n.acceptsRequests(tag) {
 		return
@@ -56,8 +56,8 @@
 	n.startReadRound()
 }
 
-// startReadRound has a quorum confirm the reads that wait, unless a round is in flight. A round
-// whose messages are lost is repeated with the leader's heartbeats.
+// startReadRound starts a round for the waiting reads unless one is in flight. If the messages of a
+// round are lost, the leader's heartbeats repeat it.
 func (n *Node) startReadRound() {
 	if n.reads.round != nil || len(n.reads.waiting) == 0 {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// answerReads answers the confirmed reads whose index is applied.
+// answerReads answers the confirmed reads whose round's index is applied.
 func (n *Node) answerReads(now time.Duration) {
 	for len(n.reads.confirmed) > 0 && n.reads.confirmed[0].index <= n.appliedIndex {
 		for _, r := range n.reads.confirmed[0].reads {
@@ -92,7 +92,7 @@
 	}
 }
 
-// readAnswer returns the answer to a read at a time of the fleet.
+// readAnswer returns the answer to a read; now is the fleet's time.
 func (n *Node) readAnswer(r *read, now time.Duration) []byte {
 	if r.machine != MembershipName {
 		return n.config.StateMachines[r.machine].Query(now, r.body)
--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// Many reads at once cost two exchanges with the other voters: that of the first read, and one for
-// all that arrived during it.
+// Many simultaneous reads cost two exchanges with the other voters: one for the first read, and one
+// for all reads that arrived during the first exchange.
 func TestReadsShareTheirRounds(t *testing.T) {
 	w := newThreeVoters(t, 5)
 	_, leader := w.leader()
@@ -31,20 +31,20 @@
 	}
 	answered = append(answered, completedTags(leader)...)
 	if others := len(w.nodes) - 1; sent != 2*others {
-		t.Errorf("%d messages for %d reads, %d wanted", sent, reads, 2*others)
+		t.Errorf("%d messages for %d reads, want %d", sent, reads, 2*others)
 	}
 	if len(answered) != reads {
 		t.Fatalf("%d of %d reads were answered", len(answered), reads)
 	}
 	for i, tag := range answered {
 		if tag != i {
-			t.Fatalf("read %v is answered as number %d", tag, i)
+			t.Fatalf("read %v was answered at position %d", tag, i)
 		}
 	}
 }
 
 // A read that arrives while a quorum confirms an earlier one is not confirmed with it: another
-// voter may have become the leader, and committed an entry, since the quorum was asked.
+// voter may have become the leader and committed an entry since the quorum was queried.
 func TestReadWaitsForARoundOfItsOwn(t *testing.T) {
 	w := newThreeVoters(t, 6)
 	_, leader := w.leader()
@@ -62,18 +62,18 @@
 	}
 	next := w.process(leader)
 	if got := fmt.Sprint(completedTags(leader)); got != "[first]" {
-		t.Errorf("the first round answers %s", got)
+		t.Errorf("the first round answered %s", got)
 	}
 	for len(next) > 0 {
 		next = w.deliver(next)
 	}
 	if got := fmt.Sprint(completedTags(leader)); got != "[second]" {
-		t.Errorf("the second round answers %s", got)
+		t.Errorf("the second round answered %s", got)
 	}
 }
 
-// A leader that is followed by another rejects all its reads, those that wait and those that are
-// being confirmed, and none twice.
+// A leader that is replaced by another rejects each of its reads exactly once, both those that wait
+// and those in a round.
 func TestReadsEndWithTheLeadership(t *testing.T) {
 	w := newThreeVoters(t, 7)
 	number, leader := w.leader()
@@ -81,10 +81,10 @@
 	for i := range 3 {
 		leader.Read(MembershipName, nil, i)
 	}
-	delete(w.nodes, number) // it is unreachable from now on
+	delete(w.nodes, number) // the voter is unreachable from now on
 	successor, next := w.leader()
 	if successor == number {
-		t.Fatal("it still leads")
+		t.Fatal("the unreachable voter is still the leader")
 	}
 	term := next.Leadership().Term
 	leader.Step(&raftpb.Message{
@@ -100,6 +100,6 @@
 		rejected = append(rejected, completion.Tag)
 	}
 	if got := fmt.Sprint(rejected); got != "[0 1 2]" {
-		t.Errorf("reads that ended: %s", got)
+		t.Errorf("rejected reads: %s", got)
 	}
 }
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -7,24 +7,24 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Ready is what has to be stored before Node.Advance is called. It is stored completely or not at
-// all.
+// Ready is the state that has to be stored, atomically, before Node.Advance is called.
 type Ready struct {
 	HardState *raftpb.HardState // nil: unchanged
-	// Entries replace stored ones of the same index; all stored ones behind the last are deleted.
+	// Entries replace stored entries with the same index. All stored entries after the last of them
+	// are deleted.
 	Entries  []*raftpb.Entry
 	Snapshot *raftpb.Snapshot // nil: unchanged
-	// ReplaceLog means that all entries stored before are deleted, whatever their index.
+	// ReplaceLog means that all entries stored earlier are deleted, whatever their index.
 	ReplaceLog bool
 	FirstIndex uint64 // entries below it are not needed any more
 	Promises   map[uint64]Promise
-	// MustSync means that it has to be on disk before Advance; otherwise it may become durable with
-	// the next one that has to.
+	// MustSync means that this Ready has to be durable on disk before Advance is called. Otherwise
+	// it may become durable together with the next Ready that has MustSync set.
 	MustSync bool
 }
 
-// Ready returns what has to be stored next. The result ok is false if there is nothing to store or
-// send. Once it is stored, Advance has to be called before any other method.
+// Ready returns the state to store next. The result ok is false if there is nothing to store or
+// send. Once the state is stored, Advance has to be called before any other method.
 func (n *Node) Ready(now time.Duration) (ready Ready, ok bool) {
 	if n.rawNode == nil || !n.rawNode.HasReady() {
 		return ready, false
@@ -57,9 +57,9 @@
 	return rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot)
 }
 
-// Advance tells the node that the last Ready is stored, applies what is committed, and returns the
-// messages that may be sent now. Completions returns the requests that it has completed. After an
-// error the node must not be used any more.
+// Advance is called when the last Ready is stored. It applies the committed entries and returns the
+// messages that may be sent now. Completions returns the requests that were completed by this.
+// After an error the node must not be used any more.
 func (n *Node) Advance(now time.Duration) ([]*raftpb.Message, error) {
 	rd := n.currentReady
 	n.currentReady = nil
@@ -82,7 +82,7 @@
 	return rd.Messages, nil
 }
 
-// updateStorage brings the log in memory up to what is stored.
+// updateStorage updates the log in memory with the state of a Ready that is stored.
 func (n *Node) updateStorage(now time.Duration, rd *raft.Ready) error {
 	if hasHardState(rd) {
 		n.hardState = rd.HardState
--- a/internal/controlplane/consensus/requests.go
+++ b/internal/controlplane/consensus/requests.go
@@ -14,13 +14,13 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// maxEarlyRejectionAge is how old a session's last entry may be for a command to be rejected
-// without an entry. Such a command leaves no trace in the session: a member whose commands are
-// always rejected would otherwise lose its session.
+// maxEarlyRejectionAge is the largest age of a session's last entry at which a command may be
+// rejected without an entry. An early rejection does not keep the session alive: without this
+// limit, a member whose commands are always rejected would lose its session.
 const maxEarlyRejectionAge = SessionTTL / 6
 
-// Completion is the answer to a command, a read or a change of voters. The tag is what its caller
-// gave to identify the request.
+// Completion is the answer to a command, a read or a change of voters. The tag identifies the
+// request; the caller chose it.
 type Completion struct {
 	Tag    any
 	Answer *controlpb.Answer
@@ -42,7 +42,7 @@
 	n.addCompletion(tag, &controlpb.Answer{Body: body})
 }
 
-// reject completes a request with an error, and names the leader if one is known.
+// reject completes a request with an error code and names the leader if one is known.
 func (n *Node) reject(tag any, code controlpb.Code, reason string) {
 	answer := &controlpb.Answer{Code: code, Reason: reason}
 	if n.rawNode != nil {
@@ -74,8 +74,8 @@
 	return false
 }
 
-// Propose proposes a command; session 0 opens a session for its member. It ends with a Completion
-// that has the tag.
+// Propose proposes a command. A command with session 0 opens a session for its member. The result
+// is a Completion with the tag.
 func (n *Node) Propose(now time.Duration, c *controlpb.Command, tag any) {
 	if !n.acceptsRequests(tag) {
 		return
@@ -96,7 +96,7 @@
 		return
 	}
 	if tags := n.pendingCommands[c.Session][c.Seq]; len(tags) > 0 {
-		// It was sent again before it was committed: one entry answers both.
+		// The command was sent again before its entry was committed: one entry answers both.
 		n.pendingCommands[c.Session][c.Seq] = append(tags, tag)
 		return
 	}
@@ -111,8 +111,9 @@
 	n.awaitEntry(member, c, tag)
 }
 
-// completeWithoutEntry completes a command of a session that needs no entry: one that was answered
-// before, that its state machine rejects, or that can't be accepted. It reports whether it did.
+// completeWithoutEntry completes a command of a session if it needs no entry: if it was answered
+// before, its state machine rejects it early, or it can't be accepted. It reports whether the
+// command was completed.
 func (n *Node) completeWithoutEntry(
 	timestamp time.Duration, member lease.Member, c *controlpb.Command, tag any,
 ) bool {
@@ -159,21 +160,21 @@
 	bySeq[c.Seq] = append(bySeq[c.Seq], tag)
 }
 
-// supersededReason is why a member is rejected whose id a newer process has taken.
+// supersededReason returns the reason for rejecting a member whose id a newer process has taken.
 func supersededReason(member lease.Member) string {
 	return fmt.Sprintf("another process has taken the id %s since; this one is %s",
 		member.ID, member)
 }
 
-// rejectPending rejects all requests that wait for this leader. Their entries may still be
-// committed: they have to be sent again to the next leader.
+// rejectPending rejects all pending requests of a voter that is no longer the leader. Their entries
+// may still be committed, so the callers have to send them again to the next leader.
 func (n *Node) rejectPending() {
 	reject := func(tags ...any) {
 		for _, tag := range tags {
 			n.reject(tag, controlpb.Code_NOT_LEADER, "this voter is not the leader any more")
 		}
 	}
-	// The order is fixed, so that a seed of the emulator always gives the same history.
+	// The order is fixed so that an emulator's run with the same seed gives the same history.
 	for _, session := range slices.Sorted(maps.Keys(n.pendingCommands)) {
 		bySeq := n.pendingCommands[session]
 		for _, seq := range slices.Sorted(maps.Keys(bySeq)) {
@@ -194,7 +195,7 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// FailPending completes all requests that wait, with a reason why this voter stops. Their entries
+// FailPending completes all pending requests with the reason why this voter stops. Their entries
 // may still be committed.
 func (n *Node) FailPending(reason string) {
 	n.rejectPending()
--- a/internal/controlplane/consensus/sample.go
+++ b/internal/controlplane/consensus/sample.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// sampleAnswer returns a sample of the active members, the members that vote, and the voters. It
-// looks at each session once: with each new version of the configuration all gateways ask at once.
+// sampleAnswer returns the voters, the members that vote, and a sample of the other active members.
+// It visits each session only once, because all gateways send this query at the same time after
+// each new version of the configuration.
 func (n *Node) sampleAnswer(q *MembershipQuery, now time.Duration) *MembershipAnswer {
 	answer := &MembershipAnswer{Voters: n.voterInfos()}
 	drawn := sample{size: q.Sample, seed: q.Seed}
@@ -29,21 +30,22 @@
 	return answer
 }
 
-// sample is a few of the sessions that it is offered: the first ones in an order that its seed
-// gives. The order in which sessions are offered does not matter.
+// sample selects a few of the sessions that are offered to it: the first ones in an order that is
+// determined by the seed. The order in which sessions are offered does not matter.
 type sample struct {
 	size   int
 	seed   uint64
 	ranked []rankedSession // in the seed's order
 }
 
-// rankedSession is a session with its place in the seed's order.
+// rankedSession is a session with its rank in the seed's order.
 type rankedSession struct {
 	rank    uint64
 	session *session
 }
 
-// offer adds a session to the sample if the sample is not full, or in place of its last one.
+// offer adds a session to the sample. If the sample is full, the session replaces the last one, or
+// is dropped if it ranks behind that.
 func (s *sample) offer(offered *session) {
 	one := rankedSession{mixBits(offered.digest ^ s.seed), offered}
 	if len(s.ranked) == s.size {
--- a/internal/controlplane/consensus/sample_test.go
+++ b/internal/controlplane/consensus/sample_test.go
@@ -20,8 +20,7 @@
 	return s
 }
 
-// A sample is the first sessions in the order that its seed gives, in whatever order they are
-// offered.
+// A sample holds the first sessions in the order of its seed, in whatever order they are offered.
 func TestSampleIsTheFirstInTheSeedsOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 3))
 	for range 100 {
@@ -46,7 +45,7 @@
 			got = append(got, one.session)
 		}
 		if want := all[:min(size, len(all))]; !slices.Equal(got, want) {
-			t.Fatalf("%d of %d sessions: other ones, or in another order", len(got), len(all))
+			t.Fatalf("a sample of %d of %d sessions has other sessions or another order", len(got), len(all))
 		}
 	}
 }
--- a/internal/controlplane/consensus/session_rejection_test.go
+++ b/internal/controlplane/consensus/session_rejection_test.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// A process that requests a lease which another holds is rejected each time, mostly without an
-// entry. Its session lasts all the same, so that the lease can be transferred to it.
+// A process that requests a lease held by another process is rejected each time, mostly without a
+// log entry. Its session must stay alive nevertheless, so that the lease can be transferred to it.
 func TestMemberThatIsAlwaysRejectedKeepsItsSession(t *testing.T) {
 	a := newSingleVoter(t, map[string]StateMachine{
 		lease.MachineName: lease.NewMachine(lease.DefaultConfig()),
@@ -46,10 +46,10 @@
 		}
 	}
 	if n := len(a.node.sessions.members()); n != 2 {
-		t.Fatalf("%d members", n)
+		t.Fatalf("got %d members", n)
 	}
 	entries := a.node.appliedIndex - indexBefore
 	if renewals := uint64(10 * SessionTTL / interval); entries > renewals+renewals/4 {
-		t.Errorf("%d entries for %d renewals: rejections are entries", entries, renewals)
+		t.Errorf("%d entries for %d renewals: rejections wrote entries", entries, renewals)
 	}
 }
--- a/internal/controlplane/consensus/sessions.go
+++ b/internal/controlplane/consensus/sessions.go
@@ -12,25 +12,27 @@
 const (
 	// SessionTTL is how long a session lasts without a command, in the fleet's time.
 	SessionTTL = time.Minute
-	// MaxOpenCommands is how many commands of a session may be without an acknowledged answer.
+	// MaxOpenCommands is how many commands of a session may have an answer that is not
+	// acknowledged.
 	MaxOpenCommands = 256
 
-	// maxRetiredPerID is how many superseded incarnations are kept of each id.
+	// maxRetiredPerID is how many superseded incarnations are kept per id.
 	maxRetiredPerID = 32
 )
 
-// session is how a process has each of its commands applied once.
+// session makes sure that each command of a process is applied once: it holds the answers that the
+// process has not acknowledged.
 type session struct {
 	number   uint64 // index of the entry that opened it
 	member   lease.Member
-	address  string        // where the process is reached; "": nowhere
-	digest   uint64        // memberDigest of the two
-	lastSeen time.Duration // the fleet's time of its last command
-	ackedSeq uint64        // the process has the answers of all commands up to it
-	answers  map[uint64][]byte
+	address  string            // of the process; "": it has none
+	digest   uint64            // memberDigest of member and address
+	lastSeen time.Duration     // the fleet's time of its last command
+	ackedSeq uint64            // the process has received the answers up to this sequence number
+	answers  map[uint64][]byte // by sequence number
 }
 
-// sessions are part of the replicated state: all voters have the same.
+// sessions are part of the replicated state: they are the same at all voters, except for log.
 type sessions struct {
 	byNumber map[uint64]*session
 	byID     map[string]*session
@@ -47,9 +49,9 @@
 	}
 }
 
-// open opens a session under a number and returns it. The newest process of an id takes precedence:
-// the session of an older one ends, and it can't open another. A process that has a session gets
-// that one.
+// open opens a session with the given number and returns the number. The newest process with an id
+// takes precedence: the session of an older process ends, and that process can't open another one.
+// A process that has a session already gets the number of that session.
 func (s *sessions) open(
 	number uint64, member lease.Member, address string, now time.Duration,
 ) (uint64, controlpb.Code) {
@@ -73,7 +75,7 @@
 	return number, controlpb.Code_OK
 }
 
-// isRetired reports whether another process has taken a member's id since.
+// isRetired reports whether another process has taken over a member's id.
 func (s *sessions) isRetired(member lease.Member) bool {
 	return slices.Contains(s.retired[member.ID], member.Incarnation)
 }
@@ -85,7 +87,7 @@
 	s.log.record(added.member, added.address)
 }
 
-// supersede ends a session whose id another process takes.
+// supersede ends a session because another process takes over its id.
 func (s *sessions) supersede(old *session) {
 	incarnations := append(s.retired[old.member.ID], old.member.Incarnation)
 	s.retired[old.member.ID] = incarnations[max(0, len(incarnations)-maxRetiredPerID):]
@@ -98,7 +100,7 @@
 	s.log.record(old.member, old.address)
 }
 
-// expire ends the sessions that had no command for SessionTTL.
+// expire ends the sessions that have had no command for longer than SessionTTL.
 func (s *sessions) expire(now time.Duration) {
 	for _, old := range s.byNumber {
 		if now-old.lastSeen > SessionTTL {
@@ -107,9 +109,9 @@
 	}
 }
 
-// lookup returns the session of a command, which is nil if there is none, and whether the command
-// can be applied: OK, or why not. If it was applied before, the code is OK as well, and the answer
-// is the one that it got then.
+// lookup returns the session of a command, or nil if there is none. The code is OK if the command
+// can be applied, or states why not. If the command was applied before, wasApplied is true, the
+// code is OK, and the answer is that of the first application.
 func (s *sessions) lookup(
 	number, seq uint64,
 ) (found *session, answer []byte, wasApplied bool, code controlpb.Code) {
@@ -130,7 +132,8 @@
 	return found, nil, false, controlpb.Code_OK
 }
 
-// acknowledge drops the answers of all commands up to one: the process has them.
+// acknowledge drops the answers of all commands up to ackedSeq, because the process has received
+// them.
 func (s *session) acknowledge(ackedSeq uint64) {
 	if ackedSeq <= s.ackedSeq {
 		return
@@ -150,7 +153,7 @@
 	LastSeen time.Duration `json:"seen"` // the fleet's time of its last command
 }
 
-// members returns the processes that have a session, by id.
+// members returns the processes that have a session, sorted by id.
 func (s *sessions) members() []SessionInfo {
 	all := make([]SessionInfo, 0, len(s.byID))
 	for _, one := range s.byID {
@@ -177,7 +180,7 @@
 	})
 }
 
-// encode returns the session as it stands in a snapshot.
+// encode returns the session in the form that a snapshot holds.
 func (s *session) encode() *controlpb.Session {
 	encoded := &controlpb.Session{
 		Number: s.number,
--- a/internal/controlplane/consensus/singlevoter_test.go
+++ b/internal/controlplane/consensus/singlevoter_test.go
@@ -56,12 +56,12 @@
 	for deadline := a.now + time.Minute; !n.Leadership().IsLeader; {
 		a.advance(40 * time.Millisecond)
 		if a.now > deadline {
-			a.t.Fatal("it does not lead")
+			a.t.Fatal("the voter does not become the leader")
 		}
 	}
 }
 
-// advance lets time pass, and stores and applies what is ready.
+// advance advances the clock, and stores and applies what is ready.
 func (a *singleVoter) advance(d time.Duration) {
 	a.now += d
 	a.node.Tick(a.now)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// refresh brings a cache up to date and returns the size of the answer in bytes.
+// refresh updates a cache and returns the size of the answer in bytes.
 func (a *singleVoter) refresh(c *MemberCache) int {
 	a.t.Helper()
 	answer := a.read(c.Query())
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -13,7 +13,7 @@
 )
 
 // CreateSnapshot makes a snapshot of the state and drops old entries from the log in memory.
-// SnapshotSince returns what to store of it.
+// SnapshotSince returns the snapshot for storing.
 func (n *Node) CreateSnapshot() error {
 	snapshot := &controlpb.Snapshot{
 		At:     uint64(n.lastTimestamp),
@@ -37,7 +37,7 @@
 	return n.compactLog()
 }
 
-// compactLog drops entries behind a snapshot, but for those that Config.KeepEntries keeps.
+// compactLog drops the entries before a snapshot, except for the last Config.KeepEntries of them.
 func (n *Node) compactLog() error {
 	if n.appliedIndex <= n.config.KeepEntries {
 		return nil
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// SnapshotSince returns the newest snapshot if it was made after an index, with the first entry
-// that is still needed. It may be stored at any later time. The result ok is false if there is no
-// such snapshot.
+// SnapshotSince returns the newest snapshot, with the index of the first entry that is still
+// needed, if the snapshot was made after the given index; otherwise ok is false. It may be stored
+// at any later time.
 func (n *Node) SnapshotSince(index uint64) (ready Ready, ok bool) {
 	if n.snapshotIndex <= index {
 		return ready, false
@@ -66,7 +66,8 @@
 	return Ready{Snapshot: snapshot, FirstIndex: n.FirstIndex(), HardState: n.hardState}, true
 }
 
-// restoreSnapshot replaces the state by that of a snapshot. The time now is by the voter's clock.
+// restoreSnapshot replaces the state with that of a snapshot. The time now is that of the voter's
+// clock.
 func (n *Node) restoreSnapshot(now time.Duration, from *raftpb.Snapshot) error {
 	var snapshot controlpb.Snapshot
 	if err := proto.Unmarshal(from.Data, &snapshot); err != nil {
@@ -82,8 +83,8 @@
 	for _, stored := range snapshot.Machines {
 		machine := n.config.StateMachines[stored.Name]
 		if machine == nil {
-			return fmt.Errorf("consensus: the snapshot has a part %q, which this program does not "+
-				"know: a newer version's", stored.Name)
+			return fmt.Errorf("consensus: the snapshot contains state machine %q, which this "+
+				"program does not know; a newer version wrote it", stored.Name)
 		}
 		if err := machine.Restore(stored.State); err != nil {
 			return err
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -13,14 +13,14 @@
 	"mothcleat/internal/mustjson"
 )
 
-// Leadership is who leads the voters, as one voter knows it.
+// Leadership names the leader of the voters, as far as one voter knows it.
 type Leadership struct {
 	Term     uint64
 	Leader   uint64 // 0: none is known
-	IsLeader bool   // this voter leads, and accepts commands
+	IsLeader bool   // this voter is the leader and accepts commands
 }
 
-// Leadership returns who leads now.
+// Leadership returns the current leadership, as far as this voter knows it.
 func (n *Node) Leadership() Leadership {
 	if n.rawNode == nil {
 		return Leadership{Term: n.hardState.GetTerm()}
@@ -29,14 +29,14 @@
 	return Leadership{status.GetTerm(), status.Lead, n.isLeader()}
 }
 
-// isLeader reports whether this voter leads and has applied an entry of its own term. Only then
-// does it know everything that was committed, and the fleet's time.
+// isLeader reports whether this voter is the leader and has applied an entry of its own term. Only
+// then does it know all committed entries and the fleet's time.
 func (n *Node) isLeader() bool {
 	status := n.rawNode.BasicStatus()
 	return status.RaftState == raft.StateLeader && n.appliedTerm == status.GetTerm()
 }
 
-// Voters returns the voters by name.
+// Voters returns the voters, sorted by name.
 func (n *Node) Voters() []*controlpb.Voter {
 	all := make([]*controlpb.Voter, 0, len(n.voters))
 	for _, v := range n.voters {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// Members returns the processes that have a session, by id.
+// Members returns the processes that have a session, sorted by id.
 func (n *Node) Members() []SessionInfo { return n.sessions.members() }
 
 // Fleet returns the name of the fleet.
@@ -61,12 +61,13 @@
 	return first
 }
 
-// MembershipName is the name of the part of the replicated state that every node has itself: the
-// voters, and the processes that have a session. A Read of it without a body is answered with a
-// Membership, one with a MembershipQuery with the part that the query asks for.
+// MembershipName is the name under which a Read gets the part of the replicated state that belongs
+// to no state machine: the voters, and the processes that have a session. A Read without a body is
+// answered with a Membership. A Read whose body is a MembershipQuery is answered with the part that
+// the query requests.
 const MembershipName = "fleet"
 
-// Membership is who belongs to the fleet.
+// Membership lists the voters and members of the fleet.
 type Membership struct {
 	Fleet        string        `json:"fleet"`
 	At           time.Duration `json:"at"` // the fleet's time
@@ -76,7 +77,7 @@
 	FirstIndex   uint64        `json:"first"` // of the first entry still in the log
 	Voters       []VoterInfo   `json:"voters"`
 	Members      []SessionInfo `json:"members"`
-	// Retired are the superseded incarnations of each id, as far as they are kept.
+	// Retired lists the superseded incarnations of each id, as far as they are kept.
 	Retired map[string][]uint64 `json:"retired"`
 }
 
@@ -87,7 +88,7 @@
 	Address string `json:"address"`
 }
 
-// voterInfos returns a description of the voters, by name.
+// voterInfos returns a description of the voters, sorted by name.
 func (n *Node) voterInfos() (all []VoterInfo) {
 	for _, v := range n.Voters() {
 		all = append(all, VoterInfo{v.Name, fmt.Sprintf("%016x", v.Number), v.Address})
@@ -95,7 +96,7 @@
 	return all
 }
 
-// encodedMembership returns a Membership as JSON, at a time of the fleet.
+// encodedMembership returns a Membership as JSON; now is the fleet's time.
 func (n *Node) encodedMembership(now time.Duration) []byte {
 	leadership := n.Leadership()
 	m := Membership{
--- a/internal/controlplane/consensus/threevoters_test.go
+++ b/internal/controlplane/consensus/threevoters_test.go
@@ -13,7 +13,7 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// threeVoters is a fleet of three voters in virtual time, whose messages arrive at once.
+// threeVoters is a fleet of three voters in virtual time. Their messages arrive without delay.
 type threeVoters struct {
 	t      *testing.T
 	random *rand.Rand
@@ -52,7 +52,7 @@
 	w.nodes[number] = n
 }
 
-// advance lets time pass at all voters, and delivers their messages.
+// advance advances the clock of all voters, and delivers their messages.
 func (w *threeVoters) advance(d time.Duration) {
 	w.t.Helper()
 	w.now += d
@@ -73,7 +73,7 @@
 				w.t.Fatal(err)
 			}
 			for _, m := range messages {
-				if to := w.nodes[m.GetTo()]; to != nil { // nil: it is unreachable
+				if to := w.nodes[m.GetTo()]; to != nil { // nil: the voter is unreachable
 					to.Step(m)
 				}
 				if m.GetType() == raftpb.MsgSnap {
@@ -84,7 +84,7 @@
 	}
 }
 
-// leader lets time pass until a voter leads.
+// leader advances the clock until a voter leads.
 func (w *threeVoters) leader() (number uint64, n *Node) {
 	w.t.Helper()
 	for until := w.now + time.Minute; w.now < until; w.advance(40 * time.Millisecond) {
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	w.t.Fatal("no voter leads")
+	w.t.Fatal("no voter becomes the leader")
 	return 0, nil
 }
 
@@ -112,14 +112,14 @@
 	return nil
 }
 
-// restart opens a voter that does not lead again, with a snapshot of its state.
+// restart closes a voter other than the leader and opens it again with a snapshot of its state.
 func (w *threeVoters) restart(leader uint64) {
 	w.t.Helper()
 	number := leader%3 + 1
 	n := w.nodes[number]
 	last, _ := n.storage.LastIndex()
 	if last != n.appliedIndex || n.appliedIndex == n.snapshotIndex {
-		return // its snapshot would not hold all its entries, or there is one already
+		return // a snapshot would not hold all entries of the log, or would not be new
 	}
 	if err := n.CreateSnapshot(); err != nil {
 		w.t.Fatal(err)
--- a/internal/controlplane/consensus/verification.go
+++ b/internal/controlplane/consensus/verification.go
@@ -6,34 +6,36 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Position is how far a voter's stored state reaches: its term and its last entry.
+// Position is the term and the last entry of a voter's stored state.
 type Position struct {
 	Term      uint64
 	LastIndex uint64
 }
 
-// Promise is what a voter has promised to another, as that other knows it: the newest term in which
-// it voted for the other or accepted entries of it, and the last entry accepted in that term.
+// Promise is what a voter has promised to another voter, as known to that other voter (the
+// recipient): the newest term in which the voter voted for the recipient or accepted entries from
+// it, and the last entry accepted in that term.
 type Promise struct {
 	Term  uint64
 	Index uint64
 }
 
-// VerificationReply is what another voter answers to one that starts.
+// VerificationReply is the reply of another voter to a voter that starts.
 type VerificationReply struct {
-	Term         uint64  // the term that the other is in
-	Leader       uint64  // whom it knows as the leader of that term; 0: nobody
-	Promised     Promise // what the one that starts has promised to it
-	UnknownVoter bool    // by its list of voters the one that starts is none
+	Term         uint64  // current term of the replying voter
+	Leader       uint64  // leader of that term; 0: the replying voter knows none
+	Promised     Promise // what the starting voter has promised to the replying one
+	UnknownVoter bool    // the starting voter is not on the replying one's list of voters
 }
 
-// Verification is what a voter does before it takes part: it asks the others what it has promised
-// to them. A voter whose stored state was restored from an older copy is detected by that: others
-// know of promises that it does not, and by voting it could vote twice in a term.
+// Verification is the check that a voter makes before it takes part: it queries the other voters
+// for the promises that it has made to them. This detects a stored state that was restored from an
+// older copy: the others know of promises that the stored state does not contain, and the voter
+// could vote twice in a term.
 //
-// It passes once a majority, with the voter itself, knows of nothing more than the voter does. If
-// they know a leader, that has to be among them: the leader knows what was promised in its own
-// term, and its log holds everything that was committed before.
+// The verification passes once a majority, including the voter itself, knows of no promise beyond
+// the stored state. If one of them knows a leader, the leader has to be among them: it knows what
+// was promised in its own term, and its log holds all entries that were committed before.
 type Verification struct {
 	own       Position
 	others    int
@@ -41,7 +43,8 @@
 	rejection string
 }
 
-// NewVerification begins the verification of a voter that has some number of other voters.
+// NewVerification returns the verification of a voter. The argument others is the number of other
+// voters.
 func NewVerification(own Position, others int) *Verification {
 	return &Verification{own: own, others: others, replies: map[uint64]VerificationReply{}}
 }
@@ -63,8 +66,8 @@
 	}
 }
 
-// isUnknownToMost reports whether more than half of the others don't know this voter. A few may not
-// yet know a new one, because they lag behind.
+// isUnknownToMost reports whether more than half of the other voters don't know this voter. A few
+// of them may lag behind and not know a new voter yet.
 func (v *Verification) isUnknownToMost() bool {
 	unknown := 0
 	for _, reply := range v.replies {
@@ -75,9 +78,9 @@
 	return 2*unknown > v.others
 }
 
-// Result reports whether the verification has passed. The voter must not vote in minTerm or before:
-// it may have voted there without knowing it. A rejection that is not empty is why the voter must
-// not take part, and is final.
+// Result reports whether the verification has passed. The voter must not vote in minTerm or an
+// earlier term: it may have voted there, although its stored state does not show it. A rejection
+// that is not empty is final and tells why the voter must not take part.
 func (v *Verification) Result() (passed bool, minTerm uint64, rejection string) {
 	if v.rejection != "" {
 		return false, 0, v.rejection
@@ -93,7 +96,8 @@
 	return len(v.replies)+1 >= majority, minTerm, ""
 }
 
-// hasReplyOfLeader reports whether the leader of a term has replied in that term, or none is known.
+// hasReplyOfLeader reports whether the leader of a term has replied in that term, or no reply names
+// a leader of the term.
 func (v *Verification) hasReplyOfLeader(term uint64) bool {
 	for _, reply := range v.replies {
 		if reply.Term != term || reply.Leader == 0 {
@@ -107,7 +111,7 @@
 	return true
 }
 
-// AnswerVerification returns this voter's reply to another that starts.
+// AnswerVerification returns this voter's reply to another voter that starts.
 func (n *Node) AnswerVerification(voter uint64) VerificationReply {
 	_, isVoter := n.voters[voter]
 	reply := VerificationReply{
@@ -123,9 +127,10 @@
 	return reply
 }
 
-// recordPromise records what a message shows that its sender has stored, so that the sender is
-// detected if it comes back with less: that it accepted entries of this voter or voted for it, or,
-// as a leader or candidate, that it voted for itself and has the entries that it sends.
+// recordPromise records what a message proves its sender to have stored, so that the sender is
+// detected if it restarts with an older state. A response proves that the sender accepted entries
+// of this voter or voted for it. A message from a leader or candidate proves that the sender voted
+// for itself and has the entries that it sends.
 func (n *Node) recordPromise(m *raftpb.Message) {
 	promise := Promise{Term: m.GetTerm()}
 	switch m.GetType() {
--- a/internal/controlplane/consensus/voterchange.go
+++ b/internal/controlplane/consensus/voterchange.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// ChangeVoter proposes to add or remove a voter, by joint consensus. It ends with a Completion that
-// has the tag.
+// ChangeVoter proposes to add or remove a voter by joint consensus. Its result is a Completion with
+// the tag.
 func (n *Node) ChangeVoter(add bool, v *controlpb.Voter, tag any) {
 	if !n.acceptsRequests(tag) {
 		return
