--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -18,8 +18,8 @@
 	"mothcleat/internal/storage/store"
 )
 
-// BenchmarkRecover measures how long a single voter takes to open its storage and apply all entries
-// again, by the number of entries behind its snapshot.
+// BenchmarkRecover measures how long a single voter takes to open its storage and apply the entries
+// after its snapshot again, by the number of entries.
 func BenchmarkRecover(b *testing.B) {
 	for _, entries := range []int{0, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// storeEntries makes the storage of a voter whose log has some commands of one session, and returns
-// the index of the last entry.
+// storeEntries creates the storage of a voter whose log has count commands of one session, and
+// returns the index of the last entry.
 func storeEntries(b *testing.B, dir string, count int) (last uint64) {
 	b.Helper()
 	if err := Bootstrap(dir, "f", "a", threeVoters[:1]); err != nil {
@@ -111,7 +111,7 @@
 	}
 	for node.AppliedIndex() < last {
 		if _, ok := node.Ready(monotonic.Now()); !ok {
-			b.Fatalf("it stays at %d of %d", node.AppliedIndex(), last)
+			b.Fatalf("nothing is ready although only %d of %d entries are applied", node.AppliedIndex(), last)
 		}
 		if _, err := node.Advance(monotonic.Now()); err != nil {
 			b.Fatal(err)
--- a/internal/controlplane/replica/bootstrap.go
+++ b/internal/controlplane/replica/bootstrap.go
@@ -17,16 +17,17 @@
 
 // Errors of a replica's storage, to be tested with errors.Is.
 var (
-	// ErrInitialized means that a directory holds a replica's storage already.
+	// ErrInitialized means that a directory already holds a replica's storage.
 	ErrInitialized = errors.New("the folder is a voter's already")
 	// ErrNotInitialized means that a directory holds no replica's storage.
 	ErrNotInitialized = errors.New("the folder is no voter's yet")
-	// ErrCopied means that a storage was copied from where it was made. The copy may be older than
-	// what was promised from the original, or be in use beside it.
+	// ErrCopied means that the directory is a copy of the one in which the storage was created. The
+	// copy may be older than the promises made from the original, or the original may be in use
+	// too.
 	ErrCopied = errors.New("the folder was copied from where it was made")
 )
 
-// Identity says whose storage it is. A voter is its storage: one that was lost comes back as
+// Identity identifies the voter that a storage belongs to. A voter whose storage is lost rejoins as
 // another voter, with another number.
 type Identity struct {
 	Fleet  string `json:"fleet"`
@@ -41,7 +42,8 @@
 	return h.Sum64() | 1
 }
 
-// Bootstrap makes the storage of a voter of a new fleet. It returns ErrInitialized if there is one.
+// Bootstrap creates the storage of a voter of a new fleet. It returns ErrInitialized if the
+// directory holds one.
 func Bootstrap(dir, fleet, name string, voters []*controlpb.Voter) error {
 	state, err := consensus.BootstrapState(fleet, voters)
 	if err != nil {
@@ -50,8 +52,8 @@
 	return initialize(dir, Identity{fleet, name, BootstrapNumber(fleet, name)}, state)
 }
 
-// Join makes the storage of a voter that is to be added to a fleet. It returns ErrInitialized if
-// there is one.
+// Join creates the storage of a voter that will be added to a fleet. It returns ErrInitialized if
+// the directory holds one.
 func Join(dir, fleet, name string) error {
 	const neverZero = 1
 	number := rand.Uint64() | neverZero
@@ -89,7 +91,8 @@
 	return s.Commit(&batch, store.Durable)
 }
 
-// placeOf tells a directory from every copy of it: its inode number, and when it was made.
+// placeOf returns what distinguishes a directory from its copies: its inode number and creation
+// time.
 func placeOf(dir string) ([]byte, error) {
 	var st unix.Statx_t
 	err := unix.Statx(unix.AT_FDCWD, dir, 0, unix.STATX_INO|unix.STATX_BTIME, &st)
@@ -99,9 +102,9 @@
 	return fmt.Appendf(nil, "%d %d.%09d", st.Ino, st.Btime.Sec, st.Btime.Nsec), nil
 }
 
-// checkPlace returns ErrCopied if the storage was not made in this directory.
+// checkPlace returns ErrCopied if the storage was not created in this directory.
 func (s *Storage) checkPlace(dir string) error {
-	made, err := s.store.Get(keyPlace)
+	stored, err := s.store.Get(keyPlace)
 	if errors.Is(err, store.ErrNotFound) {
 		return ErrCopied
 	}
@@ -112,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(made, place) {
+	if !bytes.Equal(stored, place) {
 		return ErrCopied
 	}
 	return nil
--- a/internal/controlplane/replica/calls.go
+++ b/internal/controlplane/replica/calls.go
@@ -10,10 +10,12 @@
 	"mothcleat/internal/monotonic"
 )
 
-// replyFunc takes the answer to a request. It is the tag of the node's completions.
+// replyFunc delivers the answer to a request. The replica passes it to the node as the request's
+// tag.
 type replyFunc = func(*controlpb.Answer)
 
-// post has the replica's goroutine call f. It returns false, without waiting, if the queue is full.
+// post queues f for the replica's goroutine. It never blocks: if the queue is full it returns
+// false.
 func (r *Replica) post(f func()) bool {
 	select {
 	case r.calls <- f:
@@ -23,8 +25,8 @@
 	}
 }
 
-// call has the replica's goroutine make a request, and waits for its answer. If the context ends
-// first, the answer says so.
+// call makes a request on the replica's goroutine and waits for its answer. If the context or the
+// replica ends first, or the queue is full, the answer is NOT_READY with the reason.
 func (r *Replica) call(ctx context.Context, request func(reply replyFunc)) *controlpb.Answer {
 	answers := make(chan *controlpb.Answer, 1)
 	reply := func(answer *controlpb.Answer) {
@@ -73,7 +75,7 @@
 	return r.call(ctx, func(reply replyFunc) { r.node.ChangeVoter(c.Add, c.Voter, reply) })
 }
 
-// CreateSnapshot has the replica store a snapshot and drop old entries.
+// CreateSnapshot makes the replica store a snapshot and drop old entries.
 func (r *Replica) CreateSnapshot(ctx context.Context) error {
 	answer := r.call(ctx, func(reply replyFunc) {
 		answer := &controlpb.Answer{}
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// Step processes messages of another voter. If the queue is full they are dropped: raft sends them
-// again.
+// Step processes messages from another voter. If the queue is full they are dropped, and raft
+// resends them.
 func (r *Replica) Step(from *controlpb.Voter, messages []*raftpb.Message) {
 	r.post(func() {
 		if r.node == nil || !r.started {
@@ -124,7 +126,8 @@
 	})
 }
 
-// TransferLeadership transfers leadership, if this replica leads, to another that is up to date.
+// TransferLeadership transfers leadership to a voter that is up to date, if this replica is the
+// leader and there is one.
 func (r *Replica) TransferLeadership() {
 	r.post(func() {
 		if r.node == nil || !r.started || !r.node.Leadership().IsLeader {
--- a/internal/controlplane/replica/export_test.go
+++ b/internal/controlplane/replica/export_test.go
@@ -2,9 +2,9 @@
 
 import "mothcleat/internal/storage/store"
 
-// Adopt marks a copied storage as made where it is, so that it can be opened.
+// Adopt marks a copied storage as created in its present directory, so that it can be opened.
 func Adopt(dir string) error {
-	made, err := placeOf(dir)
+	place, err := placeOf(dir)
 	if err != nil {
 		return err
 	}
@@ -13,7 +13,7 @@
 		return err
 	}
 	var batch store.Batch
-	batch.Put(keyPlace, made)
+	batch.Put(keyPlace, place)
 	if err := s.Commit(&batch, store.Buffered); err != nil {
 		return err
 	}
--- a/internal/controlplane/replica/raftlogger.go
+++ b/internal/controlplane/replica/raftlogger.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// raftLogger logs the raft library's warnings and errors, each one level lower, and drops what is
-// below: the library calls ordinary events of an election warnings.
+// raftLogger logs the raft library's warnings and errors, each one level lower, because the library
+// logs ordinary events of an election as warnings. Messages below warnings are dropped.
 type raftLogger struct{ log *slog.Logger }
 
 var _ raft.Logger = raftLogger{}
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -1,6 +1,7 @@
-// Package replica runs one voting replica of the replicated state: the decisions of package
-// consensus, the storage that they are saved in, and a transport to the other voters. One goroutine
-// does all of it and waits for the disk. Callers wait no longer than their contexts last.
+// Package replica runs one voting replica of the replicated state: it connects the decisions of
+// package consensus with the storage that holds them and a transport to the other voters. All of
+// this runs on one goroutine, which also waits for the disk. Callers wait no longer than their
+// contexts last.
 package replica
 
 import (
@@ -25,18 +26,18 @@
 type Transport interface {
 	// Send sends messages to a voter, or drops them and reports so to Replica.ReportUnreachable.
 	Send(from, to *controlpb.Voter, messages []*raftpb.Message)
-	// Verify asks another voter what it was promised. It calls answer from any goroutine, and not
-	// at all if there is no answer.
+	// Verify queries another voter for the promises that were made to it. It calls answer from any
+	// goroutine, or not at all if there is no answer.
 	Verify(
 		to *controlpb.Voter, position *controlpb.Position,
 		answer func(*controlpb.VerificationReply),
 	)
 }
 
-// Options configure a replica.
+// Options configures a replica.
 type Options struct {
-	Dir     string // of the storage
-	Address string // where other voters reach it
+	Dir     string // directory of the storage
+	Address string // where other voters reach this one
 	// NewStateMachines returns new state machines, by name, each time that the storage is opened.
 	NewStateMachines func() map[string]consensus.StateMachine
 	TickInterval     time.Duration // 0: 40 ms
@@ -44,16 +45,16 @@
 	KeepEntries      uint64        // see consensus.Config
 	Log              *slog.Logger
 	// OnChange is called with the name and the state of a state machine that has changed, and the
-	// index of the entry up to which the state is applied; nil: never. It must not block. It is
-	// called only for state machines that count their changes (see changeCounter).
+	// index of the last entry applied to the state. It must not block. It is called only for state
+	// machines that count their changes (see changeCounter). It may be nil.
 	OnChange func(machine string, index uint64, state []byte)
 }
 
-// changeCounter is a state machine whose changes are reported, with its whole state. A state
-// machine that holds something for each process must not be one: its state is too large.
+// changeCounter is a state machine whose changes are reported together with its complete state. A
+// state machine with data for each process must not implement it, because its state is too large.
 type changeCounter interface{ Changes() uint64 }
 
-// Replica is a voter that runs. Its methods are safe for concurrent use.
+// Replica is a running voter. Its methods are safe for concurrent use.
 type Replica struct {
 	options   Options
 	transport Transport
@@ -62,22 +63,22 @@
 	calls chan func()   // for the goroutine
 	done  chan struct{} // closed when the goroutine has ended
 
-	// The fields below are the goroutine's alone.
+	// The fields from here to mu are used only by the goroutine.
 	storage         *Storage
 	node            *consensus.Node // nil after a fault, until the storage is opened again
 	stateMachines   map[string]consensus.StateMachine
-	notifiedChanges map[string]uint64 // by state machine: its changes as last reported
+	notifiedChanges map[string]uint64 // by state machine: its count of changes when last reported
 
 	verification      *consensus.Verification
 	verifyRequestedAt time.Duration // 0: never
 	rejected          bool          // the storage must not be used to vote
-	started           bool          // the node takes part
+	started           bool          // the node was started and takes part
 
-	reopenAt            time.Duration // after a fault of the storage
+	reopenAt            time.Duration // earliest time to reopen the storage after a fault
 	storedSnapshotIndex uint64
 	loggedLeadership    consensus.Leadership
 	loggedVoters        string
-	knownSenders        map[uint64]*controlpb.Voter // as their messages describe them
+	knownSenders        map[uint64]*controlpb.Voter // by number, as their messages describe them
 
 	mu     sync.Mutex
 	status Status
@@ -94,9 +95,9 @@
 	heartbeatTicks       = 2
 )
 
-// Run opens a replica's storage and has the replica take part until the context ends; then Done is
-// closed. If the storage can't be opened at first, Run returns an error; later it is opened again
-// after each fault.
+// Run opens a replica's storage and runs the replica until the context ends; then the channel of
+// Done is closed. Run returns an error if the storage can't be opened. After a later fault, the
+// replica reopens its storage.
 func Run(ctx context.Context, options Options, transport Transport) (*Replica, error) {
 	if options.TickInterval == 0 {
 		options.TickInterval = defaultTickInterval
@@ -121,10 +122,10 @@
 // Done returns a channel that is closed when the replica has ended and its storage is closed.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Identity returns which voter the replica is.
+// Identity returns the voter's identity.
 func (r *Replica) Identity() Identity { return r.identity }
 
-// open opens the storage and begins the verification.
+// open opens the storage and starts the verification.
 func (r *Replica) open() error {
 	storage, err := OpenStorage(r.options.Dir, store.Options{})
 	if err != nil {
@@ -158,12 +159,12 @@
 	r.verifyRequestedAt = 0
 	r.verification = consensus.NewVerification(node.Position(), len(r.otherVoters()))
 	if node.Position() == (consensus.Position{}) {
-		return r.start(0) // an empty log has never promised anything to anybody
+		return r.start(0) // a voter with an empty log has made no promises
 	}
 	return nil
 }
 
-// otherVoters returns the voters but this one.
+// otherVoters returns all voters except this one.
 func (r *Replica) otherVoters() (others []*controlpb.Voter) {
 	for _, v := range r.node.Voters() {
 		if v.Number != r.identity.Number {
@@ -173,7 +174,8 @@
 	return others
 }
 
-// start has the node take part. It does not vote in minTerm or an earlier term.
+// start makes the node take part. The node does not vote for another voter in minTerm or an earlier
+// term.
 func (r *Replica) start(minTerm uint64) error {
 	if err := r.node.Start(minTerm); err != nil {
 		return err
@@ -205,8 +207,8 @@
 			continue
 		}
 		if err := r.processReady(); err != nil {
-			// What was not stored was not promised: the replica begins again from its storage.
-			r.options.Log.Error("fleet: this voter can't go on, and begins again from its folder",
+			// Nothing was promised that is not stored, so the replica can restart from its storage.
+			r.options.Log.Error("fleet: this voter has failed and restarts from its folder",
 				"voter", r.identity.Name, "error", err)
 			r.stop("its folder fails: " + err.Error())
 			r.reopenAt = monotonic.Now() + reopenDelay
@@ -215,7 +217,7 @@
 	}
 }
 
-// tick does what is due at each tick of the clock.
+// tick reopens the storage, ticks the node or continues the verification, as the state requires.
 func (r *Replica) tick() {
 	switch {
 	case r.node == nil:
@@ -227,7 +229,7 @@
 	}
 }
 
-// reopen opens the storage again after a fault, when that is due.
+// reopen opens the storage again after a fault, once reopenAt has passed.
 func (r *Replica) reopen() {
 	if monotonic.Now() < r.reopenAt {
 		return
@@ -238,7 +240,8 @@
 	}
 }
 
-// runQueuedCalls runs the calls that wait, up to a limit, so that one sync serves many of them.
+// runQueuedCalls runs up to maxCallsPerRound of the queued calls, so that one sync serves many of
+// them.
 func (r *Replica) runQueuedCalls() {
 	for range maxCallsPerRound {
 		select {
@@ -250,7 +253,7 @@
 	}
 }
 
-// stop drops the node and closes the storage. The requests that wait get the reason.
+// stop drops the node and closes the storage. Pending requests are answered with the reason.
 func (r *Replica) stop(reason string) {
 	if r.node == nil {
 		return
@@ -260,14 +263,15 @@
 	}
 	r.node.FailPending(reason)
 	r.deliverCompletions()
-	_ = r.storage.Close() // everything that was promised is synced
+	_ = r.storage.Close() // all promises are on disk already
 	r.node = nil
 	r.storage = nil
 	r.started = false
 	r.setFault(reason)
 }
 
-// processReady stores, sends and answers until nothing is left to do.
+// processReady stores what the node has ready and sends its messages until nothing is left, stores
+// a new snapshot if there is one, and answers the completed requests.
 func (r *Replica) processReady() error {
 	for {
 		ready, ok := r.node.Ready(monotonic.Now())
@@ -302,7 +306,7 @@
 	return nil
 }
 
-// send passes messages to the transport, all those for one voter at once.
+// send passes messages to the transport, grouped by voter.
 func (r *Replica) send(messages []*raftpb.Message) {
 	if len(messages) == 0 {
 		return
@@ -322,7 +326,8 @@
 			delete(byVoter, to.Number)
 		}
 	}
-	// A voter that joins has no list of voters yet: it answers the senders that it knows.
+	// A joining voter has no list of voters yet, so it replies to the senders of the messages that
+	// it received.
 	for number, toSend := range byVoter {
 		if to := r.knownSenders[number]; to != nil {
 			r.transport.Send(from, to, toSend)
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -13,18 +13,18 @@
 	Voters       []*controlpb.Voter // by name
 	AppliedIndex uint64
 	FirstIndex   uint64 // of the first entry still in the log
-	Fault        string // why it takes no part; "": it does
+	Fault        string // why the replica takes no part; "": it takes part
 }
 
-// Status returns what the replica is now.
+// Status returns the replica's status after the last round of its goroutine.
 func (r *Replica) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.status
 }
 
-// publish updates what Status returns, and logs what has changed. The goroutine calls it after each
-// round: it must not cost more in a fleet with many members.
+// publish updates the status and logs a new leader or a new list of voters. The goroutine calls it
+// after each round, so its cost must not grow with the number of members.
 func (r *Replica) publish() {
 	if r.node == nil {
 		return
@@ -62,7 +62,7 @@
 	return "it waits for other voters to say what it has promised them"
 }
 
-// logChanges logs a new leader and a new list of voters.
+// logChanges logs the leadership and the list of voters if they have changed.
 func (r *Replica) logChanges(
 	leadership consensus.Leadership, leader string, voters []*controlpb.Voter,
 ) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// setFault sets why the replica takes no part.
+// setFault sets the reason why the replica takes no part.
 func (r *Replica) setFault(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/replica/status_test.go
+++ b/internal/controlplane/replica/status_test.go
@@ -23,8 +23,8 @@
 ) {
 }
 
-// newLeader returns a single replica that leads. Its goroutine does not run: the test takes its
-// place.
+// newLeader returns a single replica that is the leader. The replica's goroutine does not run; the
+// test calls its steps instead.
 func newLeader(t *testing.T) *Replica {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "log")
@@ -45,7 +45,7 @@
 	t.Cleanup(func() { r.stop("the test has ended") })
 	for ticks := 0; !r.node.Leadership().IsLeader; ticks++ {
 		if ticks > 100*defaultElectionTicks {
-			t.Fatal("it does not lead")
+			t.Fatal("the replica does not become the leader")
 		}
 		r.tick()
 		if err := r.processReady(); err != nil {
@@ -55,8 +55,8 @@
 	return r
 }
 
-// What a replica does after each round of its goroutine, so after every message, costs the same
-// with hundreds of sessions as with none.
+// The replica publishes its status after each round of its goroutine, and so after every message.
+// This must cost the same with hundreds of sessions as with none.
 func TestPublishingDoesNotGrowWithTheFleet(t *testing.T) {
 	allocations := func(sessions int) float64 {
 		r := newLeader(t)
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		if n := len(r.node.Members()); n != sessions {
-			t.Fatalf("%d sessions, %d wanted", n, sessions)
+			t.Fatalf("got %d sessions, want %d", n, sessions)
 		}
 		return testing.AllocsPerRun(20, r.publish)
 	}
--- a/internal/controlplane/replica/storage.go
+++ b/internal/controlplane/replica/storage.go
@@ -13,8 +13,8 @@
 	"mothcleat/internal/storage/store"
 )
 
-// Keys in the store. Entries and promises have a number behind their letter, in big-endian order,
-// so that a range of keys is a range of numbers.
+// Keys in the store. The keys of entries and promises are a letter and a number in big-endian
+// order, so that a range of keys is a range of numbers.
 var (
 	keyIdentity  = []byte("identity")
 	keyHardState = []byte("hard")
@@ -31,7 +31,7 @@
 	return binary.BigEndian.AppendUint64([]byte{prefix}, number)
 }
 
-// numberOfKey returns the number of a key, and whether it has one.
+// numberOfKey returns the number in a key. ok is false if the key has none.
 func numberOfKey(key []byte) (number uint64, ok bool) {
 	if len(key) != 1+8 {
 		return 0, false
@@ -39,18 +39,19 @@
 	return binary.BigEndian.Uint64(key[1:]), true
 }
 
-// Storage is what a replica has on disk: its log, its votes, its snapshot, and what others have
-// promised to it. It is not safe for concurrent use.
+// Storage holds the state of a replica on disk: its log, its votes, its snapshot, and the promises
+// that other voters have made to it. It is not safe for concurrent use.
 type Storage struct {
 	store    *store.Store
 	identity Identity
-	// The stored entries; 0: there are none.
+	// Indexes of the first and the last stored entry; 0: there are none.
 	firstIndex uint64
 	lastIndex  uint64
 }
 
-// OpenStorage opens a replica's storage. Its errors wrap store.ErrLocked if another process has it
-// open, ErrNotInitialized if there is none, and ErrCopied if it is a copy.
+// OpenStorage opens a replica's storage. Its errors wrap store.ErrLocked if another process has the
+// storage open, ErrNotInitialized if the directory holds none, and ErrCopied if the directory is a
+// copy.
 func OpenStorage(dir string, options store.Options) (*Storage, error) {
 	opened, err := store.Open(dir, options)
 	if err != nil {
@@ -78,13 +79,13 @@
 	return json.Unmarshal(raw, &s.identity)
 }
 
-// Identity returns whose storage it is.
+// Identity returns the identity of the voter that the storage belongs to.
 func (s *Storage) Identity() Identity { return s.identity }
 
 // Close closes the storage.
 func (s *Storage) Close() error { return s.store.Close() }
 
-// Load reads what is stored.
+// Load reads the stored state.
 func (s *Storage) Load() (consensus.StoredState, error) {
 	stored := consensus.StoredState{
 		HardState: &raftpb.HardState{},
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// loadEntries reads all entries of the log, by index.
+// loadEntries reads all entries of the log, sorted by index.
 func loadEntries(view *store.Snapshot) (entries []*raftpb.Entry, err error) {
 	for item, err := range view.Range([]byte{entryPrefix, 0}, []byte{entryPrefix + 1}) {
 		if err != nil {
@@ -144,7 +145,7 @@
 	return entries, nil
 }
 
-// loadPromises reads the promises of other voters.
+// loadPromises reads the promises of other voters into a map by voter.
 func loadPromises(view *store.Snapshot, into map[uint64]consensus.Promise) error {
 	for item, err := range view.Range([]byte{promisePrefix, 0}, []byte{promisePrefix + 1}) {
 		if err != nil {
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// Save stores what a node has ready, completely or not at all. With MustSync it is on disk when
-// Save returns nil. After an error the storage can't be used any more: it has to be opened again.
+// Save stores a Ready atomically. If it has MustSync set, it is durable on disk when Save returns
+// nil. After an error the storage must not be used any more: it has to be opened again.
 func (s *Storage) Save(ready consensus.Ready) error {
 	var batch store.Batch
 	if err := putState(&batch, ready); err != nil {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// putState adds what a node has ready, but for its entries, to a batch.
+// putState adds a Ready, except for its entries, to a batch.
 func putState(batch *store.Batch, ready consensus.Ready) error {
 	if ready.HardState != nil {
 		if err := putMessage(batch, keyHardState, ready.HardState); err != nil {
@@ -223,8 +224,8 @@
 	last  uint64
 }
 
-// put adds entries to a batch. They replace stored ones of the same index, and those behind the
-// last of them are deleted: they are another leader's.
+// put adds entries to a batch. They replace stored entries with the same index. Stored entries
+// after the last new one come from another leader and are deleted.
 func (b *logBounds) put(batch *store.Batch, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
--- a/internal/controlplane/replica/storage_test.go
+++ b/internal/controlplane/replica/storage_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// After any sequence of writes the storage holds what a plain model does, also when it is opened
-// again.
+// After any sequence of writes the storage holds the same entries as a plain model, also after it
+// was reopened.
 func TestFolderAgainstAModel(t *testing.T) {
 	base := t.TempDir()
 	n := 0
@@ -84,7 +84,7 @@
 					entries[e.GetIndex()] = term
 					last = e.GetIndex()
 				}
-			case 3: // a snapshot of its own
+			case 3: // a snapshot of the voter's own state
 				if last > first {
 					first = uint64(rapid.IntRange(int(first), int(last)).Draw(t, "first"))
 					ready.FirstIndex = first
@@ -94,7 +94,7 @@
 						}
 					}
 				}
-			case 4: // another voter's, which replaces all
+			case 4: // another voter's snapshot, which replaces the log
 				last += uint64(rapid.IntRange(0, 9).Draw(t, "ahead"))
 				ready.ReplaceLog = true
 				ready.FirstIndex = last + 1
@@ -118,11 +118,11 @@
 				t.Fatal(err)
 			}
 			if len(stored.Entries) != len(entries) {
-				t.Fatalf("%d entries, %d wanted", len(stored.Entries), len(entries))
+				t.Fatalf("got %d entries, want %d", len(stored.Entries), len(entries))
 			}
 			for _, e := range stored.Entries {
 				if want := entries[e.GetIndex()]; want != e.GetTerm() {
-					t.Fatalf("entry %d of term %d, wanted %d", e.GetIndex(), e.GetTerm(), want)
+					t.Fatalf("entry %d has term %d, want %d", e.GetIndex(), e.GetTerm(), want)
 				}
 			}
 		}
--- a/internal/controlplane/replica/stored_test.go
+++ b/internal/controlplane/replica/stored_test.go
@@ -21,9 +21,9 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// The storage that an earlier build wrote, in a fleet with all state machines, holds the same
-// commands: applied by this build they lead to the same state of every state machine, byte by byte,
-// and a snapshot of it restores the same.
+// A storage that an earlier build wrote, in a fleet with all state machines, must be readable by
+// this build. Its commands, applied again, must lead to the same state of every state machine, byte
+// by byte, and a restored snapshot must give the same state again.
 func TestStoredFolderIsReplayed(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored/log")
 	if err := replica.Adopt(dir); err != nil {
@@ -94,7 +94,7 @@
 		}
 	}
 	if node.AppliedIndex() != saved.HardState.GetCommit() {
-		t.Fatalf("applied up to %d, %d are committed",
+		t.Fatalf("applied up to entry %d, but committed up to entry %d",
 			node.AppliedIndex(), saved.HardState.GetCommit())
 	}
 	if err := node.CreateSnapshot(); err != nil {
--- a/internal/controlplane/replica/verification.go
+++ b/internal/controlplane/replica/verification.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/monotonic"
 )
 
-// verify asks the other voters what this one has promised them, until enough have answered; then
-// the replica takes part, or is rejected.
+// verify queries the other voters for the promises that this one has made to them, until enough of
+// them have replied. Then it starts the node or rejects the storage.
 func (r *Replica) verify() {
 	passed, minTerm, rejection := r.verification.Result()
 	if rejection != "" {
@@ -18,7 +18,7 @@
 	}
 	if passed {
 		if err := r.start(minTerm); err != nil {
-			r.options.Log.Error("fleet: this voter can't begin", "error", err)
+			r.options.Log.Error("fleet: this voter failed to start", "error", err)
 			r.stop(err.Error())
 		}
 		return
@@ -31,7 +31,7 @@
 	r.requestVerification()
 }
 
-// reject records that the storage must not be used to vote, and logs once how to mend that.
+// reject records that the storage must not be used to vote, and logs once how to replace it.
 func (r *Replica) reject(reason string) {
 	if r.rejected {
 		return
@@ -44,7 +44,7 @@
 	r.setFault(reason)
 }
 
-// requestVerification asks each other voter once.
+// requestVerification sends one query to each other voter.
 func (r *Replica) requestVerification() {
 	node := r.node
 	position := &controlpb.Position{
@@ -84,8 +84,8 @@
 	}
 }
 
-// AnswerVerification returns what another voter has promised to this one. It answers even while
-// this replica takes no part itself. It returns nil if there is no answer before the context ends.
+// AnswerVerification returns what another voter has promised to this one, even while this replica
+// takes no part itself. It returns nil if there is no answer before the context ends.
 func (r *Replica) AnswerVerification(
 	ctx context.Context, position *controlpb.Position,
 ) *controlpb.VerificationReply {
