--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -111,7 +111,8 @@
 	}
 	for node.AppliedIndex() < last {
 		if _, ok := node.Ready(monotonic.Now()); !ok {
-			b.Fatalf("nothing is ready although only %d of %d entries are applied", node.AppliedIndex(), last)
+			b.Fatalf("nothing is ready although only %d of %d entries are applied",
+				node.AppliedIndex(), last)
 		}
 		if _, err := node.Advance(monotonic.Now()); err != nil {
 			b.Fatal(err)
