--- a/internal/controlplane/checkpoint/checkpoint.go
+++ b/internal/controlplane/checkpoint/checkpoint.go
@@ -1,10 +1,11 @@
-// Package checkpoint is the replicated state of progress markers: a few keys with versions, by
-// which the next leader of singleton work resumes where the last one stopped. A write can name a
-// role and a term as a fencing token, and is rejected under an old term. It can also name the
-// version that its writer has read (compare and set).
+// Package checkpoint holds the replicated state of progress markers: a few keys with versions, from
+// which the next leader of a role resumes the work where the previous leader stopped. A write can
+// carry a role and a term as a fencing token, and is rejected if the term is old. It can also name
+// the version that its writer has read (compare and set).
 //
-// It is a deterministic state machine: nothing here does I/O or reads a clock. The texts of its
-// errors are part of replicated answers: every version of the program must produce the same ones.
+// Machine is a deterministic state machine: it does no I/O and reads no clock. The texts of its
+// errors are part of replicated answers, so every version of the program must produce the same
+// texts.
 package checkpoint
 
 import (
@@ -28,13 +29,14 @@
 	maxKeyBytes = 256
 )
 
-// Command is the command: it sets a key, or deletes it if the value is empty.
+// Command sets a key, or deletes it if the value is empty.
 type Command struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
-	// ExpectedVersion is the version that the key must have; 0 means that it must be absent.
+	// ExpectedVersion is the version that the key must have. 0 means that the key must be absent,
+	// nil that any version is accepted.
 	ExpectedVersion *uint64 `json:"if,omitempty"`
-	// Role and Term are the fencing token; without a role there is none.
+	// Role and Term are the fencing token. An empty Role means that there is none.
 	Role string `json:"duty,omitempty"`
 	Term uint64 `json:"term,omitempty"`
 }
@@ -46,16 +48,16 @@
 	Version uint64 `json:"version"` // index of the log entry that wrote it; 0 if the key is absent
 }
 
-// Result is the answer to a Command, with the entry as it is after it.
+// Result is the answer to a Command, with the key's entry after the command.
 type Result struct {
 	OK     bool   `json:"ok"`
 	Reason string `json:"why,omitempty"` // why it is not OK
 	Entry
 }
 
-// Fence rejects commands of earlier leaders.
+// Fence rejects commands of members that do not lead a role.
 type Fence interface {
-	// Fence returns an error unless the member leads the role under the newest term, and names it.
+	// Fence returns an error unless the member leads the role, and the term is the newest one.
 	Fence(role string, term uint64, member lease.Member) error
 }
 
@@ -123,7 +125,7 @@
 // of their keys.
 func (m *Machine) Snapshot() []byte { return mustjson.Marshal(m.entries) }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(raw []byte) error {
 	entries := map[string]Entry{}
 	if err := json.Unmarshal(raw, &entries); err != nil {
--- a/internal/controlplane/configstate/fetch.go
+++ b/internal/controlplane/configstate/fetch.go
@@ -8,15 +8,15 @@
 const (
 	// bucketsPerRequest is how many buckets are requested at once.
 	bucketsPerRequest = 256
-	// maxMissingBuckets is how many buckets may differ. If more do, fetching the complete content
-	// is cheaper.
+	// maxMissingBuckets is how many buckets may differ. If more differ, fetching the complete
+	// content is cheaper.
 	maxMissingBuckets = distribution.BucketCount / 4
 )
 
-// ApplyDelta builds the content with a digest from a base, and returns its bytes. It returns a
-// WrongBaseError for a delta between other contents, an InvalidRecordError of package distribution
-// for an invalid record, a DigestMismatchError if the result is another content, and the codec's
-// error if it is no content at all.
+// ApplyDelta builds the content with the given digest from a base and a delta, and returns its
+// version and bytes. It returns a WrongBaseError for a delta between other contents, an
+// InvalidRecordError of package distribution for an invalid record, a DigestMismatchError if the
+// result is another content, and the codec's error if the result is not a valid content.
 func ApplyDelta(
 	codec Codec, base *Version, digest string, d *controlpb.ContentDelta,
 ) (*Version, []byte, error) {
@@ -37,15 +37,15 @@
 	return buildVerified(codec, state, digest)
 }
 
-// Repair builds a content from another one by the buckets that differ.
+// Repair builds a content from another one by replacing the buckets that differ.
 type Repair struct {
 	digest  string
 	buckets *distribution.Repair
 }
 
-// NewRepair compares a base with the sums of the content that has a digest. It returns a
+// NewRepair compares a base with the sums of the content that has the given digest. It returns a
 // WrongBaseError for sums of another content, and an InvalidMessageError of package distribution
-// for sums that can't be read.
+// for invalid sums.
 func NewRepair(base *Version, digest string, sums *controlpb.ContentSums) (*Repair, error) {
 	if sums.GetDigest() != digest {
 		return nil, &WrongBaseError{digest, sums.GetDigest()}
@@ -61,7 +61,7 @@
 	if len(all) != distribution.BucketCount {
 		return nil, &distribution.InvalidMessageError{
 			Message: "sums",
-			Reason:  "they are not those of all buckets",
+			Reason:  "they do not cover all buckets",
 		}
 	}
 	return &Repair{
@@ -69,15 +69,15 @@
 	}, nil
 }
 
-// Next returns the buckets to request next; none if all are there. ok is false if so many differ
-// that the complete content should be fetched.
+// Next returns the indexes of the buckets to request next, or none if no bucket is missing. ok is
+// false if so many differ that the complete content should be fetched.
 func (r *Repair) Next() (indexes []uint32, ok bool) {
 	missing := r.buckets.Missing()
 	return missing[:min(len(missing), bucketsPerRequest)], len(missing) <= maxMissingBuckets
 }
 
 // Put adds the buckets of a response. It returns an error for a bucket that was not requested or
-// does not match its sum, and for a response without any.
+// does not match its sum, and for a response without buckets.
 func (r *Repair) Put(answer *controlpb.ContentBucketsResponse) error {
 	if len(answer.GetBuckets()) == 0 {
 		return &distribution.InvalidMessageError{Message: "buckets", Reason: "there are none"}
@@ -91,8 +91,8 @@
 }
 
 // Finish returns the content and its bytes once no bucket is missing. It returns a
-// DigestMismatchError of this package or of package distribution if the buckets do not add up to
-// the requested content.
+// DigestMismatchError of this package or of package distribution if the buckets do not form the
+// requested content.
 func (r *Repair) Finish(codec Codec) (*Version, []byte, error) {
 	state, err := r.buckets.Finish()
 	if err != nil {
--- a/internal/controlplane/configstate/serve.go
+++ b/internal/controlplane/configstate/serve.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// maxDeltaShare is the largest size of a delta as a fraction of the content. A larger delta
-	// saves too little.
+	// maxDeltaShare is the largest size of a delta as a fraction of the content's size. A larger
+	// delta saves too little.
 	maxDeltaShare = 0.5
-	// maxBucketBytes is the approximate size of one response with buckets.
+	// maxBucketBytes is the approximate largest size of one response with buckets.
 	maxBucketBytes = 512 << 10
-	// maxBases is how many contents a request may name. The server searches for each of them.
+	// maxBases is how many bases of a request are considered, because the server searches for each
+	// of them.
 	maxBases = 8
 )
 
-// DeltaResponse returns the response of a server that has a content to a process that has some
-// bases: a delta from the first base that find returns, or the sums of all buckets, or neither if
-// the content has to be transferred completely. find returns nil for a content that the server does
-// not have.
+// DeltaResponse returns the response of a server that has the target content to a process that has
+// the base contents: a delta from the first base that find returns, or the sums of all buckets if
+// find returns none, or neither if the content has to be transferred completely. find returns nil
+// for a content that the server does not have.
 func DeltaResponse(
 	target *Version, bases []string, find func(digest string) *Version,
 ) *controlpb.ContentDeltaResponse {
