--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -18,12 +18,12 @@
 // Built reports whether this program was built with failpoints.
 const Built = true
 
-// fault is what happens at a failpoint.
+// fault is a signal or a delay that is injected at a failpoint.
 type fault struct {
 	name        string
-	triggerFile string // the file that asks for the fault; "": the first pass of the point does
+	triggerFile string // the fault requires this file; "": the first pass of the point triggers it
 	signal      syscall.Signal
-	delay       time.Duration // in place of a signal, where signal is 0
+	delay       time.Duration // used if signal is 0
 	done        bool
 }
 
@@ -42,7 +42,7 @@
 	mu     sync.Mutex // guards done of all faults
 	faults []*fault
 	clock  = clockFaults{rate: 1}
-	// deniedUntil has, by the name of an operation, the file that denies it while it exists.
+	// deniedUntil maps the name of an operation to the file that denies it while the file exists.
 	deniedUntil = map[string]string{}
 )
 
@@ -87,7 +87,7 @@
 		}
 		clock.enabled = true
 	default:
-		err = fmt.Errorf("no such fault")
+		err = fmt.Errorf("unknown kind of fault %q", key)
 	}
 	return err
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// Denied reports whether the named operation has to fail, which is so while its file exists.
+// Denied reports whether the named operation has to fail, which it does while its file exists.
 func Denied(name string) bool {
 	file, ok := deniedUntil[name]
 	if !ok {
@@ -116,9 +116,9 @@
 	return err == nil
 }
 
-// signalThisThread delivers a signal before this goroutine does anything else. A signal to the
-// process may go to any of its threads, which a busy machine may schedule after this one has gone
-// on; one to this thread is delivered when the system call returns.
+// signalThisThread delivers a signal before this goroutine does anything else. The kernel may
+// deliver a signal for the process to any thread, and on a busy machine that may happen after this
+// thread has continued. A signal for this thread is delivered when the system call returns.
 func signalThisThread(s syscall.Signal) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -127,8 +127,8 @@
 	}
 }
 
-// due reports whether the fault is to happen now. A file asks for a signal once, since it is
-// removed; it asks for a delay for as long as it exists.
+// due reports whether to inject the fault now. A trigger file triggers a signal once, because due
+// removes it then. It triggers a delay at each pass while it exists.
 func (f *fault) due() bool {
 	mu.Lock()
 	defer mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// Clock returns the time that a process with the set clock faults would read.
+// Clock returns the time that the process reads with its clock faults when the real time is now.
 func Clock(now time.Duration) time.Duration {
 	if !clock.enabled {
 		return now
--- a/internal/mustjson/mustjson.go
+++ b/internal/mustjson/mustjson.go
@@ -1,11 +1,11 @@
 // Package mustjson encodes values of the program's own types as JSON, for state machines and
-// digests whose callers have no use for an error.
+// digests that can't handle an encoding error.
 package mustjson
 
 import "encoding/json"
 
 // Marshal returns v as JSON, as encoding/json encodes it: equal values give equal bytes. It panics
-// on an error, which only a type or a float that JSON can't represent gives, so a fault of the
+// on an error: only a type or a float that JSON can't represent causes one, which is a bug in the
 // program.
 func Marshal(v any) []byte {
 	raw, err := json.Marshal(v)
--- a/internal/storage/mmapfile/mmapfile.go
+++ b/internal/storage/mmapfile/mmapfile.go
@@ -1,6 +1,6 @@
-// Package mmapfile maps files into memory, shared with the operating system. What a process writes
-// there outlives its death at any instruction, since the pages belong to the system. A power cut
-// may lose it.
+// Package mmapfile maps files into shared memory. Data that a process writes to the memory survives
+// the process being killed at any instruction, because the pages belong to the operating system. A
+// power failure may lose the data.
 package mmapfile
 
 import (
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Open maps a file of the given size in bytes and creates it if it does not exist. A file of
-// another size is replaced by one of zeros; fresh reports that the file was created or replaced.
-// Release the memory with Close.
+// Open maps a file of the given size in bytes, and creates the file if it does not exist. The
+// content of a file of another size is replaced with zeros. fresh reports whether the file was
+// created or replaced. Close releases the memory.
 func Open(path string, size int) (memory []byte, fresh bool, err error) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -23,14 +23,14 @@
 	if err != nil {
 		return nil, false, err
 	}
-	defer f.Close() // the mapping stays
+	defer f.Close() // the mapping stays valid
 	info, err := f.Stat()
 	if err != nil {
 		return nil, false, err
 	}
 	if fresh = info.Size() != int64(size); fresh {
-		// Every byte is written now, so that a full disk fails here and not at a later write to the
-		// memory, where it would be a signal.
+		// Every byte is written now, so that a full disk causes an error here and not a signal at a
+		// later write to the memory.
 		if err = f.Truncate(0); err == nil {
 			_, err = f.WriteAt(make([]byte, size), 0)
 		}
