--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -15,7 +15,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// describeMembers names members with their addresses; a question mark means unresponsive.
+// describeMembers returns members with their addresses. A question mark marks an unresponsive
+// member.
 func describeMembers(all []MemberInfo) (descriptions []string) {
 	for _, m := range all {
 		description := describe(m.Member, m.Address)
@@ -60,7 +61,8 @@
 	a.advance(SessionTTL / 2)
 	a.keepAlive(two, 1)
 	expect(false, "time passed")
-	a.node.ChangeVoter(true, &controlpb.Voter{Number: 7, Name: "v"}, new(int)) // v is a voter already
+	existing := &controlpb.Voter{Number: 7, Name: "v"}
+	a.node.ChangeVoter(true, existing, new(int))
 	a.advance(0)
 	expect(false, "no voter was added")
 	a.advance(2 * SessionTTL)
@@ -91,7 +93,8 @@
 		first := a.refresh(c)
 		second := a.refresh(c)
 		if first == 0 || second != 0 {
-			t.Errorf("%s: the first answer has %d bytes, the one without a change %d", name, first, second)
+			t.Errorf("%s: the first answer has %d bytes, the one without a change %d",
+				name, first, second)
 		}
 	}
 	if n := len(all.Members()); n != 50 {
@@ -165,7 +168,8 @@
 		keepAlive(responsive)
 		answer, err := ParseMembershipAnswer(a.read(c.Query()).Body)
 		if err != nil || answer.Members != nil || answer.Revision != c.revision {
-			t.Fatalf("%s: %+v, %v: the answer lists more than the unresponsive members", name, answer, err)
+			t.Fatalf("%s: %+v, %v: the answer lists more than the unresponsive members",
+				name, answer, err)
 		}
 		if a.refresh(c); !slices.Equal(reported(), []string{"unresponsive"}) {
 			t.Fatal(name, reported())
@@ -379,7 +383,8 @@
 			answer := s.memberAnswer(&MembershipQuery{}, 0)
 			content := fmt.Sprint(describeMembers(answer.Members))
 			if earlier, known := contents[c.revision]; known && earlier != content {
-				t.Fatalf("seed %d: revision %v identifies both %s and %s", seed, c.revision, earlier, content)
+				t.Fatalf("seed %d: revision %v identifies both %s and %s",
+					seed, c.revision, earlier, content)
 			}
 			contents[c.revision] = content
 		}
@@ -407,7 +412,7 @@
 	if err := c.Update(raw); err != nil {
 		w.t.Fatal(err)
 	}
-	var wanted []string
+	var want []string
 	for _, m := range s.members() {
 		if len(c.query.IDs) > 0 && !slices.Contains(c.query.IDs, m.ID) {
 			continue
@@ -416,10 +421,10 @@
 		if w.now-m.LastSeen >= SessionTTL/2 {
 			description += "?"
 		}
-		wanted = append(wanted, description)
+		want = append(want, description)
 	}
-	if got := describeMembers(c.Members()); !slices.Equal(got, wanted) {
-		w.t.Fatalf("entry %d: got %v, want %v", w.index, got, wanted)
+	if got := describeMembers(c.Members()); !slices.Equal(got, want) {
+		w.t.Fatalf("entry %d: got %v, want %v", w.index, got, want)
 	}
 	for _, m := range c.Members() {
 		if c.query.Retired && !slices.Equal(m.Retired, s.retired[m.ID]) {
--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -50,9 +50,9 @@
 	_, leader := w.leader()
 	leader.Completions()
 	leader.Read(MembershipName, nil, "first")
-	asked := w.process(leader)
+	queries := w.process(leader)
 	var confirmations []*raftpb.Message
-	for _, m := range asked {
+	for _, m := range queries {
 		w.nodes[m.GetTo()].Step(m)
 		confirmations = append(confirmations, w.process(w.nodes[m.GetTo()])...)
 	}
--- a/internal/controlplane/consensus/sample_test.go
+++ b/internal/controlplane/consensus/sample_test.go
@@ -10,8 +10,8 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// drawnSessions returns the sessions of random processes.
-func drawnSessions(r *rand.Rand, n int) *sessions {
+// randomSessions returns the sessions of up to n processes with random ids and incarnations.
+func randomSessions(r *rand.Rand, n int) *sessions {
 	s := newSessions()
 	for i := range n {
 		member := lease.Member{ID: fmt.Sprintf("g%d", r.IntN(10*n)), Incarnation: r.Uint64()}
@@ -24,7 +24,7 @@
 func TestSampleIsTheFirstInTheSeedsOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 3))
 	for range 100 {
-		sessions := drawnSessions(r, r.IntN(40))
+		sessions := randomSessions(r, r.IntN(40))
 		seed, size := r.Uint64(), r.IntN(12)
 		var all []*session
 		for _, one := range sessions.byID {
@@ -45,14 +45,15 @@
 			got = append(got, one.session)
 		}
 		if want := all[:min(size, len(all))]; !slices.Equal(got, want) {
-			t.Fatalf("a sample of %d of %d sessions has other sessions or another order", len(got), len(all))
+			t.Fatalf("a sample of %d of %d sessions has other sessions or another order",
+				len(got), len(all))
 		}
 	}
 }
 
 // BenchmarkSample draws one sample of 8 of 620 members.
 func BenchmarkSample(b *testing.B) {
-	sessions := drawnSessions(rand.New(rand.NewPCG(1, 1)), 620)
+	sessions := randomSessions(rand.New(rand.NewPCG(1, 1)), 620)
 	b.ReportAllocs()
 	for i := range b.N {
 		drawn := sample{size: 8, seed: uint64(i)}
