--- a/internal/controlplane/election/election.go
+++ b/internal/controlplane/election/election.go
@@ -1,5 +1,5 @@
-// Package election is leader election for singleton work: a process requests the lease of a role,
-// renews it, transfers it to another process, and ends the work before the lease expires.
+// Package election implements leader election for singleton work: a process requests the lease of a
+// role, renews it, transfers it to another process, and ends the work before the lease expires.
 package election
 
 import (
@@ -15,8 +15,8 @@
 	"mothcleat/internal/monotonic"
 )
 
-// Tenure is the time under one term in which this process leads a role. It is passed to the work of
-// the role. Its methods are safe for concurrent use.
+// Tenure is the period in which this process leads a role under one term. It is passed to the work
+// of the role. Its methods are safe for concurrent use.
 type Tenure struct {
 	Role    string
 	Term    uint64
@@ -24,8 +24,8 @@
 }
 
 // Holds reports whether the lease of the role is still valid by this process's clock. Work calls it
-// at the last moment before an effect. Even so the receiver of the effect decides, by the term as a
-// fencing token.
+// immediately before an external effect. This check alone is not sufficient: the receiver of the
+// effect has the final decision, with the term as a fencing token.
 func (t *Tenure) Holds() bool {
 	t.elector.mu.Lock()
 	defer t.elector.mu.Unlock()
@@ -33,7 +33,8 @@
 	return ok && term == t.Term
 }
 
-// Resign has the role transferred to another member, because its work can't go on under this term.
+// Resign requests that the role be transferred to another member, because its work can't continue
+// under this term.
 func (t *Tenure) Resign() {
 	t.elector.mu.Lock()
 	t.elector.resign = t.elector.workTerm == t.Term
@@ -41,7 +42,7 @@
 	t.elector.notify()
 }
 
-// Work is the singleton work of a role. It has to return soon after its context ends. If it returns
+// Work is the singleton work of a role. It must return soon after its context ends. If it returns
 // earlier, the process stays the leader without doing work.
 type Work func(ctx context.Context, t *Tenure)
 
@@ -49,8 +50,8 @@
 type Options struct {
 	LeaseConfig lease.Config
 	Client      *controlrpc.Client
-	// Candidates are the ids of the members that may lead; empty means all. It has to be the same
-	// in all processes.
+	// Candidates are the ids of the members that may lead; empty means all. The list must be the
+	// same in all processes.
 	Candidates []string
 	Log        *slog.Logger
 }
@@ -60,48 +61,49 @@
 	return len(o.Candidates) == 0 || slices.Contains(o.Candidates, id)
 }
 
-// Set is the roles that a process may lead. Its methods are safe for concurrent use, but for Add
-// and AddBalanced, which are called before Run.
+// Set holds the roles that a process may lead. Its methods are safe for concurrent use, except Add
+// and AddBalanced, which must be called before Run.
 type Set struct {
 	options    Options
 	electors   map[string]*elector // by role
 	membership *controlrpc.Members // of the candidates, or of all members
-	refreshNow chan struct{}       // signals a leader that is not among the known members
+	refreshNow chan struct{}       // signals that a leader's address is unknown
 
 	mu        sync.Mutex
-	members   []string                 // ids of the members that may lead, this one among them
-	firstSeen map[string]time.Duration // by id, when a refresh first listed the member
+	members   []string                 // ids of the members that may lead, including this one
+	firstSeen map[string]time.Duration // by id: when a refresh first listed the member
 	addresses map[string]string        // by id
 	leases    map[string]lease.Lease   // by role, under the newest known term
 }
 
 const (
-	// membersInterval is the time between two refreshes of the members.
+	// membersInterval is the interval between refreshes of the member list.
 	membersInterval = 3 * time.Second
 	// membersTimeout is the deadline of one refresh.
 	membersTimeout = 2 * time.Second
-	// maxNamedCandidates is how many candidates are queried by their ids. With more of them it
-	// costs less to query the changes of all members.
+	// maxNamedCandidates is the largest number of candidates that are queried by their ids. For a
+	// larger number, querying the changes of all members costs less.
 	maxNamedCandidates = 32
-	// rankDelay is how long a member waits for each member that comes before it in rank.
+	// rankDelay is the delay of a member's request for each member that precedes it in rank.
 	rankDelay = 60 * time.Millisecond
-	// activeRanks is how many members request a lease at once. Those behind them wait for
-	// lowRankDelay: they matter only when all of the first are gone.
+	// activeRanks is the number of members that retry a rejected request soon after the lease
+	// expires. Members of lower rank wait for at least lowRankDelay: they are needed only if all of
+	// the first are gone.
 	activeRanks     = 5
 	lowRankDelay    = 3 * time.Second
 	maxRequestDelay = 700 * time.Millisecond
 	// retryDelay is the pause after a request that got no answer.
 	retryDelay = 100 * time.Millisecond
-	// settledAge is how long a member has to be known before a role is moved to it.
+	// settledAge is how long a member must have been known before a role is moved to it.
 	settledAge = 4 * time.Second
 	// moveInterval is the pause before a role is offered again to a preferred leader that did not
-	// take it.
+	// accept it.
 	moveInterval = 30 * time.Second
 	// stopTimeout is how long the work may take to end before its role is transferred.
 	stopTimeout = 300 * time.Millisecond
 )
 
-// New returns a Set without roles. It requests nothing before Run.
+// New returns a Set without roles. It sends no requests before Run is called.
 func New(options Options) *Set {
 	query := consensus.MembershipQuery{Scope: consensus.ScopeMembers}
 	if len(options.Candidates) <= maxNamedCandidates {
@@ -118,9 +120,9 @@
 	}
 }
 
-// Leader returns the leader of a role and its address, as far as this process knows. Its leadership
-// may have ended since: the process at that address knows. The result ok is false if no leader is
-// known.
+// Leader returns the leader of a role and its address, as last known to this process. The
+// leadership may have ended since; only the process at that address can tell. The result ok is
+// false if no leader is known.
 func (s *Set) Leader(role string) (leader lease.Member, address string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +133,7 @@
 // self returns this process as a member.
 func (s *Set) self() lease.Member { return s.options.Client.Me() }
 
-// Add registers a role and its work. In a process that is no candidate it does nothing.
+// Add registers a role and its work. In a process that is not a candidate it does nothing.
 func (s *Set) Add(role string, work Work) {
 	if !s.options.isCandidate(s.self().ID) {
 		return
@@ -140,14 +142,14 @@
 		set:      s,
 		role:     role,
 		work:     work,
-		wake:     make(chan struct{}, 1),
+		stepNow:  make(chan struct{}, 1),
 		claimant: lease.NewClaimant(s.options.LeaseConfig, role, s.self()),
 	}
 }
 
-// AddBalanced registers a role as Add does, and has it move to the first member in its rank once
-// that has been known for settledAge. So several roles are spread evenly, whichever process started
-// first.
+// AddBalanced registers a role as Add does. In addition, the role moves to the member that ranks
+// first for it once that member has been known for settledAge. This spreads several roles evenly,
+// whichever process started first.
 func (s *Set) AddBalanced(role string, work Work) {
 	s.Add(role, work)
 	if e := s.electors[role]; e != nil {
@@ -155,9 +157,10 @@
 	}
 }
 
-// Run takes part in the elections until ctx ends, and then transfers the roles that it leads. It
-// returns when that is done, or after their leases have expired. Leader is kept up to date until
-// watchCtx ends: a process that has transferred all its roles still has to find the leaders.
+// Run takes part in the elections until ctx ends, and then transfers the roles that this process
+// leads. It returns when they are transferred, or after their leases have expired. Leader is kept
+// up to date until watchCtx ends: a process that has transferred all its roles still has to find
+// the leaders.
 func (s *Set) Run(ctx, watchCtx context.Context) {
 	go s.options.Client.Watch(watchCtx, lease.MachineName, s.updateLeases)
 	go s.refreshMembers(watchCtx)
--- a/internal/controlplane/election/elector.go
+++ b/internal/controlplane/election/elector.go
@@ -9,13 +9,13 @@
 	"mothcleat/internal/monotonic"
 )
 
-// elector takes part in the election of one role. One goroutine steps it; mu guards what that
-// shares with the work, its timer and the updates of the leases.
+// elector takes part in the election of one role. One goroutine calls step; mu guards the state
+// that it shares with the work, with the work's timer and with the updates of the leases.
 type elector struct {
-	set  *Set
-	role string
-	work Work
-	wake chan struct{} // has the goroutine step at once
+	set     *Set
+	role    string
+	work    Work
+	stepNow chan struct{} // makes the goroutine call step at once
 
 	mu         sync.Mutex
 	claimant   *lease.Claimant
@@ -23,25 +23,25 @@
 	resign     bool   // the role is to be transferred to the first in rank
 	balanced   bool   // see Set.AddBalanced
 	nextMoveAt time.Duration
-	offered    bool // the lease was granted to this process, which is yet to confirm it
+	offered    bool // the lease was granted to this process, which has not confirmed it yet
 	vacant     bool // the role has no leader
 
-	// The work under way. It runs until its context ends; workDone is closed when it has returned.
-	cancelWork context.CancelFunc // nil: there is none
+	// The running work. It runs until its context ends; workDone is closed when it has returned.
+	cancelWork context.CancelFunc // nil: no work is running
 	workTerm   uint64
 	workDone   chan struct{}
-	endTimer   *time.Timer // ends the work with the lease, whatever the goroutine waits for
+	endTimer   *time.Timer // ends the work when the lease expires, even if the goroutine is blocked
 }
 
-// notify has the elector step at once.
+// notify makes the elector's goroutine call step at once.
 func (e *elector) notify() {
 	select {
-	case e.wake <- struct{}{}:
-	default: // it was notified already
+	case e.stepNow <- struct{}{}:
+	default: // a notification is pending already
 	}
 }
 
-// run steps until the context ends, and then transfers the role.
+// run calls step repeatedly until the context ends, and then transfers the role.
 func (e *elector) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -50,19 +50,20 @@
 		case <-ctx.Done():
 			e.transfer("")
 			return
-		case <-e.wake:
+		case <-e.stepNow:
 		case <-timer.C:
 		}
 		timer.Reset(e.step())
 	}
 }
 
-// rank returns how many members come before this one for the role.
+// rank returns the number of members that precede this one in rank for the role.
 func (e *elector) rank() int {
 	return lease.Rank(e.role, e.set.self().ID, e.set.currentMembers())
 }
 
-// step does what is due, and returns the time until the next step.
+// step ends expired work, transfers the role or requests the lease, whichever is due, and returns
+// the time until the next step.
 func (e *elector) step() time.Duration {
 	e.mu.Lock()
 	now := monotonic.Now()
@@ -77,7 +78,8 @@
 	if !due {
 		defer e.mu.Unlock()
 		if held {
-			// Not later than the end of the lease, which is acted on at once.
+			// The next step is no later than the end of the lease, so that the loss is handled at
+			// once.
 			return min(at-now, e.claimant.Remaining(now))
 		}
 		return at - now
@@ -89,11 +91,11 @@
 	return 0
 }
 
-// prepareRequest sets when the lease may be requested, if that has changed, and returns this
-// member's rank, as far as it matters; 0 for a lease that it holds or was offered. The caller holds
-// e.mu.
+// prepareRequest reschedules the next request if the lease has become vacant or was offered to this
+// member. It returns the member's rank, limited to 2*activeRanks, or 0 if the member holds the
+// lease or was offered it. The caller holds e.mu.
 func (e *elector) prepareRequest(now time.Duration, held bool) (rank int) {
-	const noRequest = -1 // no request was sent at this time: one in flight stays so
+	const noRequest = -1 // not the time of any request: a request in flight stays in flight
 	if !held && !e.offered {
 		rank = min(e.rank(), 2*activeRanks)
 		if e.vacant {
@@ -110,7 +112,7 @@
 }
 
 // takeTransfer reports whether the role is to be transferred now, and to which member; "" means to
-// the first in rank. Requests to transfer it end with this call. The caller holds e.mu.
+// the first in rank. It clears the pending requests to transfer the role. The caller holds e.mu.
 func (e *elector) takeTransfer(now time.Duration, held bool) (to string, due bool) {
 	to = e.transferTo
 	resign := e.resign
@@ -137,7 +139,8 @@
 	return held
 }
 
-// endWorkAfter ends the work when the lease expires. The caller holds e.mu.
+// endWorkAfter sets the timer that ends the work when the lease expires, after the remaining time.
+// The caller holds e.mu.
 func (e *elector) endWorkAfter(remaining time.Duration) {
 	if e.endTimer != nil {
 		e.endTimer.Stop()
@@ -149,7 +152,7 @@
 	})
 }
 
-// stopWork ends the context of the work under way. The caller holds e.mu.
+// stopWork ends the context of the running work, if any. The caller holds e.mu.
 func (e *elector) stopWork() {
 	if e.cancelWork != nil {
 		e.cancelWork()
@@ -157,8 +160,8 @@
 	}
 }
 
-// startWork starts the work under a new term, once that of the term before has returned: the work
-// of one role never runs twice at once in this process. The caller holds e.mu.
+// startWork starts the work under a new term after the work of the previous term has returned: the
+// work of a role never runs twice concurrently in this process. The caller holds e.mu.
 func (e *elector) startWork(l lease.Lease) {
 	e.stopWork()
 	previousDone := e.workDone
--- a/internal/controlplane/election/members.go
+++ b/internal/controlplane/election/members.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/monotonic"
 )
 
-// refreshMembers keeps the members up to date until the context ends.
+// refreshMembers keeps the member list up to date until the context ends.
 func (s *Set) refreshMembers(ctx context.Context) {
 	for ctx.Err() == nil {
 		requestCtx, cancel := context.WithTimeout(ctx, membersTimeout)
@@ -37,8 +37,8 @@
 	}
 }
 
-// setMembers replaces the known members. Addresses of those that are gone are kept: a lease may
-// still name them.
+// setMembers replaces the known members. Addresses of former members are kept: a lease may still
+// name them.
 func (s *Set) setMembers(eligible []consensus.MemberInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 	s.firstSeen = firstSeen
 }
 
-// eligible returns the members that can lead: candidates that are active.
+// eligible returns the members that can lead: the active candidates.
 func (s *Set) eligible(ctx context.Context) (eligible []consensus.MemberInfo, err error) {
 	members, err := s.membership.List(ctx)
 	if err != nil {
@@ -99,7 +99,7 @@
 		if !known || id == s.self().ID || now-firstSeen < settledAge {
 			return ""
 		}
-		// The member may be known and yet unable to take the role.
+		// The member may be listed and still be unable to accept the role.
 		e.nextMoveAt = now + moveInterval
 		return id
 	}
--- a/internal/controlplane/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -11,7 +11,8 @@
 	"mothcleat/internal/monotonic"
 )
 
-// supersededDelay is the pause before the next request of a process whose id another has taken.
+// supersededDelay is the pause before the next request of a process whose id another process has
+// taken.
 const supersededDelay = time.Hour
 
 // propose proposes a command to the table of leases.
@@ -30,7 +31,7 @@
 }
 
 // request requests the lease or its renewal, and processes the answer. The arguments are the time
-// of sending, the newest term that this process knows it holds, and its rank.
+// of sending, the newest term that this process knows it holds, and this process's rank.
 func (e *elector) request(sentAt time.Duration, knownTerm uint64, rank int) {
 	ctx, cancel := e.requestContext()
 	defer cancel()
@@ -56,7 +57,7 @@
 	}
 }
 
-// granted processes the answer that the lease is granted or renewed. The caller holds e.mu.
+// granted processes an answer that grants or renews the lease. The caller holds e.mu.
 func (e *elector) granted(now, sentAt time.Duration, result *lease.Result) {
 	if !e.claimant.Granted(now, sentAt, result.Lease.Term, result.TTL) {
 		return
@@ -80,7 +81,7 @@
 	return delay + time.Duration(rank)*rankDelay
 }
 
-// release tells the table of leases that this process gave up a term.
+// release releases the lease in the table of leases under a term that this process gave up.
 func (e *elector) release(term uint64) {
 	ctx, cancel := e.requestContext()
 	defer cancel()
--- a/internal/controlplane/election/transfer.go
+++ b/internal/controlplane/election/transfer.go
@@ -8,8 +8,9 @@
 	"mothcleat/internal/monotonic"
 )
 
-// transfer ends the work and transfers the role to the member with an id, or with "" to the first
-// in rank. If no other member is active, the role is released.
+// transfer ends the work and transfers the role to the member with the given id, or for "" to the
+// first in rank. If no member is found for "", the role is released. A transfer to a member that is
+// not found is withdrawn, and the work continues.
 func (e *elector) transfer(id string) {
 	ctx, cancel := e.requestContext()
 	defer cancel()
@@ -44,16 +45,16 @@
 		"role", e.role, "term", term, "to", command.To.ID, "error", err)
 }
 
-// withdrawTransfer withdraws the request to transfer the role to a member that is not active: the
-// role stays here.
+// withdrawTransfer withdraws the request to transfer the role to a member that is not active. This
+// process keeps the role.
 func (e *elector) withdrawTransfer(ctx context.Context, id string) {
 	_, err := e.propose(ctx, lease.Command{Action: lease.ActionRequestTransfer, Role: e.role})
-	e.set.options.Log.Warn("fleet: role can't be transferred: no such gateway takes part",
+	e.set.options.Log.Warn("fleet: role can't be transferred: the target is not an active member",
 		"role", e.role, "to", id, "error", err)
 }
 
-// successor returns the member to transfer the role to: that with an id, or with "" the first in
-// rank. The result found is false if there is none.
+// successor returns the active member to transfer the role to: the one with the given id, or for ""
+// the first in rank. The result found is false if there is none.
 func (e *elector) successor(ctx context.Context, id string) (best lease.Member, found bool) {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
--- a/internal/controlplane/election/watch.go
+++ b/internal/controlplane/election/watch.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/monotonic"
 )
 
-// updateLeases processes an update of the table of leases, and notifies the electors that it
-// concerns.
+// updateLeases processes an update of the table of leases, and notifies the electors that have to
+// act on it.
 func (s *Set) updateLeases(state []byte) {
 	var view lease.View
 	if json.Unmarshal(state, &view) != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// recordLeases records the leases under newer terms, and has the members refreshed if it does not
-// know a holder.
+// recordLeases records the leases unless a newer term is known, and requests a refresh of the
+// members if the address of a holder is unknown.
 func (s *Set) recordLeases(leases []lease.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,8 @@
 	}
 }
 
-// observe processes an update of the elector's lease. It reports whether there is something to do.
+// observe processes an update of the elector's lease. It reports whether the elector has to act on
+// it.
 func (e *elector) observe(l *lease.Lease) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,7 +54,7 @@
 	term, held := e.claimant.Holds(monotonic.Now())
 	switch {
 	case held && l.Term > term && l.Holder != self:
-		reason := "another holds it under term " + strconv.FormatUint(l.Term, 10)
+		reason := "another member holds the lease under term " + strconv.FormatUint(l.Term, 10)
 		e.claimant.GiveUp(monotonic.Now(), maxRequestDelay, reason)
 		e.endIfExpired(monotonic.Now())
 	case held && l.Term == term && l.TransferTo != "":
