--- a/internal/controlplane/controlrpc/allocations.go
+++ b/internal/controlplane/controlrpc/allocations.go
@@ -6,16 +6,19 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// Budgets divides quotas, in the process that leads shards of them.
+// Budgets answers the calls for allocations in a process that leads shards of the quotas. Its
+// methods are called concurrently.
 type Budgets interface {
+	// Renew renews a process's allocations.
 	Renew(request *controlpb.RenewRequest) *controlpb.RenewResponse
+	// GrantOnDemand grants units on demand.
 	GrantOnDemand(request *controlpb.OnDemandRequest) *controlpb.OnDemandResponse
 }
 
-// notDividing is why a process answers no requests for allocations.
-const notDividing = "this process divides nothing"
+// noBudgets is the reason in answers to requests for allocations if this process divides no quotas.
+const noBudgets = "this process divides nothing"
 
-// RenewAllocations renews this process's allocations with the leader of a shard.
+// RenewAllocations requests the renewal of this process's allocations from the leader of a shard.
 func (c *Client) RenewAllocations(
 	ctx context.Context, id, address string, request *controlpb.RenewRequest,
 ) (*controlpb.RenewResponse, error) {
@@ -40,7 +43,7 @@
 	return leader.Borrow(ctx, request)
 }
 
-// Renew renews a process's allocations, if quotas are divided here.
+// Renew renews a process's allocations, if this process divides quotas.
 func (s *Server) Renew(
 	_ context.Context, request *controlpb.RenewRequest,
 ) (*controlpb.RenewResponse, error) {
@@ -49,13 +52,13 @@
 	}
 	if s.Budgets == nil {
 		return &controlpb.RenewResponse{
-			Code: controlpb.Code_NOT_LEADER, Reason: notDividing,
+			Code: controlpb.Code_NOT_LEADER, Reason: noBudgets,
 		}, nil
 	}
 	return s.Budgets.Renew(request), nil
 }
 
-// Borrow grants units on demand, if the quota is divided here.
+// Borrow grants units on demand, if this process divides quotas.
 func (s *Server) Borrow(
 	_ context.Context, request *controlpb.OnDemandRequest,
 ) (*controlpb.OnDemandResponse, error) {
@@ -64,7 +67,7 @@
 	}
 	if s.Budgets == nil {
 		return &controlpb.OnDemandResponse{
-			Code: controlpb.Code_NOT_LEADER, Reason: notDividing,
+			Code: controlpb.Code_NOT_LEADER, Reason: noBudgets,
 		}, nil
 	}
 	return s.Budgets.GrantOnDemand(request), nil
--- a/internal/controlplane/controlrpc/bench_test.go
+++ b/internal/controlplane/controlrpc/bench_test.go
@@ -12,8 +12,8 @@
 	"mothcleat/internal/storage/store"
 )
 
-// BenchmarkAgreed measures the committed entries a second, beside the durable commits of the store
-// alone on the same disk.
+// BenchmarkAgreed measures the committed entries per second, and for comparison the durable commits
+// per second of the store alone on the same disk.
 func BenchmarkAgreed(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		for _, clients := range []int{1, 64} {
@@ -35,7 +35,7 @@
 		}
 		clients = append(clients, c)
 	}
-	var durations sync.Map // by number of the command
+	var durations sync.Map // by command number
 	b.ResetTimer()
 	var wg sync.WaitGroup
 	for i, c := range clients {
@@ -62,7 +62,7 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	var durations sync.Map // by number of the commit
+	var durations sync.Map // by commit number
 	for i := range b.N {
 		var batch store.Batch
 		batch.Put([]byte("key"), make([]byte, 100))
@@ -75,7 +75,8 @@
 	reportDurations(b, &durations)
 }
 
-// reportDurations reports the rate, and the median and the 99th percentile in milliseconds.
+// reportDurations reports the rate per second, and the median and the 99th percentile of the
+// durations in milliseconds.
 func reportDurations(b *testing.B, durations *sync.Map) {
 	var sorted []time.Duration
 	durations.Range(func(_, d any) bool {
--- a/internal/controlplane/controlrpc/client.go
+++ b/internal/controlplane/controlrpc/client.go
@@ -16,29 +16,29 @@
 
 // Errors of a Client, to be tested with errors.Is.
 var (
-	// ErrOutcomeUnknown means that a command may have been applied or not, and that the session has
-	// expired in which this could be found out.
+	// ErrOutcomeUnknown means that a command may or may not have been applied, and that this can no
+	// longer be determined because its session has expired.
 	ErrOutcomeUnknown = errors.New("fleet: the session ran out before an answer came")
 	// ErrSuperseded means that another process has taken this one's id. All further commands of
 	// this process fail with it.
 	ErrSuperseded = errors.New("fleet: superseded")
-	// ErrRejected means that a request was rejected because of what it asks for.
+	// ErrRejected means that a request was rejected because of its content.
 	ErrRejected = errors.New("fleet: refused")
-	// ErrNoContent means that the process that was asked for a content does not have it.
+	// ErrNoContent means that the queried process does not have the requested content.
 	ErrNoContent = errors.New("fleet: the content is not there")
 )
 
 const (
 	// attemptTimeout is the deadline of one attempt at one voter. A command that is sent again is
-	// still applied once.
+	// still applied only once.
 	attemptTimeout = 250 * time.Millisecond
-	// attemptTimeoutPerByte is added for the size of a command: a large one would otherwise be sent
-	// again while it is still on its way.
+	// attemptTimeoutPerByte is added for each byte of a command: a large command would otherwise be
+	// sent again while the first transmission is still in progress.
 	attemptTimeoutPerByte = 2 * time.Microsecond
 	// retryDelay is the pause between two attempts.
 	retryDelay = 30 * time.Millisecond
-	// avoidDuration is for how long a voter that did not answer is not tried as the leader that
-	// others name.
+	// avoidDuration is how long a voter that did not answer is avoided, even if another voter names
+	// it as the leader.
 	avoidDuration = 750 * time.Millisecond
 )
 
@@ -47,8 +47,8 @@
 type Client struct {
 	fleet     string
 	self      lease.Member
-	address   string    // where this process is reached
-	overrides Addresses // where others are reached
+	address   string    // at which others reach this process; may be empty
+	overrides Addresses // of other processes
 	log       *slog.Logger
 	conns     connections
 
@@ -61,8 +61,8 @@
 	session    clientSession
 }
 
-// NewClient returns a client for a process, which is reached at an address, if any. The voters are
-// those that are known at first.
+// NewClient returns a client for a process. The address is where others reach the process; it may
+// be empty. The voters are those known initially.
 func NewClient(
 	fleet string, self lease.Member, address string,
 	voters []*controlpb.Voter, overrides Addresses, log *slog.Logger,
@@ -80,8 +80,7 @@
 	return c
 }
 
-// Observe has an observer notified of all calls; nil: none. It must be called before the first
-// call.
+// Observe sets the observer of all calls; nil: none. It must be called before the first call.
 func (c *Client) Observe(o *Observer) { c.conns.observer = o }
 
 // SetVoters replaces the known voters.
@@ -102,7 +101,7 @@
 // Me returns the process that the client belongs to.
 func (c *Client) Me() lease.Member { return c.self }
 
-// member returns the process as messages describe it.
+// member returns the process in the form that messages use.
 func (c *Client) member() *controlpb.Member {
 	return &controlpb.Member{
 		Id:          c.self.ID,
@@ -114,7 +113,7 @@
 // Fleet returns the name of the fleet.
 func (c *Client) Fleet() string { return c.fleet }
 
-// Endpoint is a voter and where it is reached from here.
+// Endpoint is a voter and the address at which this process reaches it.
 type Endpoint struct{ Name, Address string }
 
 // Voters returns the known voters, in the order of the last SetVoters.
@@ -139,7 +138,7 @@
 	return c.conns.fleetClient(c.overrides.resolve(id, address))
 }
 
-// Read reads a state machine, after everything that was answered before.
+// Read reads a state machine. The result reflects all commands that were answered before the call.
 func (c *Client) Read(ctx context.Context, machine string, body []byte) ([]byte, error) {
 	answer, err := c.callLeader(ctx, attemptTimeout,
 		func(ctx context.Context, voter controlpb.FleetClient) (*controlpb.Answer, error) {
@@ -178,7 +177,7 @@
 // callFunc is one attempt of a request at one voter.
 type callFunc func(ctx context.Context, voter controlpb.FleetClient) (*controlpb.Answer, error)
 
-// callLeader sends a request to one voter after another until one gives a final answer, or the
+// callLeader sends a request to one voter after another until one returns a final answer, or the
 // context ends. Each attempt has a timeout. The request must be idempotent.
 func (c *Client) callLeader(
 	ctx context.Context, timeout time.Duration, call callFunc,
@@ -203,8 +202,8 @@
 	}
 }
 
-// attempt makes one attempt at a voter, and chooses the voter of the next. It returns a final
-// answer, or why there is none.
+// attempt makes one attempt at a voter, and chooses the voter of the next attempt. It returns a
+// final answer, or the reason why there is none.
 func (c *Client) attempt(
 	ctx context.Context, timeout time.Duration,
 	name string, voter controlpb.FleetClient, call callFunc,
@@ -246,8 +245,8 @@
 	c.avoidUntil[name] = time.Now().Add(avoidDuration)
 }
 
-// tryNext chooses the voter to try after one that did not help: the leader that this one names, or
-// else the next one that is not avoided.
+// tryNext chooses the voter to try after the named voter gave no final answer: the leader that it
+// reported, unless that one is avoided, or else the next voter that is not avoided.
 func (c *Client) tryNext(name, leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/controlrpc/client_test.go
+++ b/internal/controlplane/controlrpc/client_test.go
@@ -10,8 +10,8 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// A command that is sent again in its session is applied once, whoever leads then. Commands of
-// another fleet are rejected.
+// A command that is sent again in its session is applied only once, even if another voter has
+// become the leader. Commands of another fleet are rejected.
 func TestCommandIsAppliedOnceAndForOneFleetOnly(t *testing.T) {
 	all, servers := startVoters(t, 3)
 	c := newTestClient(t, "a", all)
@@ -40,22 +40,22 @@
 		return answer
 	}
 	first := send()
-	for _, s := range servers { // whichever of them leads
+	for _, s := range servers { // the leader is among them
 		s.Replica().TransferLeadership()
 	}
 	if second := send(); string(second.Body) != string(first.Body) {
-		t.Errorf("%s, then %s", first.Body, second.Body)
+		t.Errorf("the first answer is %s, the second %s", first.Body, second.Body)
 	}
 	other := NewClient("other", c.self, "", all, nil, discardLog)
 	defer other.Close()
 	shortCtx, cancelShort := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancelShort()
 	if _, err := other.Propose(shortCtx, checkpoint.MachineName, []byte(`{}`)); err == nil {
-		t.Error("another fleet's command is accepted")
+		t.Error("a command of another fleet was accepted")
 	}
 }
 
-// A newer process of an id ends the older one's session for good.
+// A newer process with the same id permanently ends the session of the older process.
 func TestSuperseded(t *testing.T) {
 	all, _ := startVoters(t, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
@@ -63,12 +63,12 @@
 	older, newer := newTestClient(t, "a", all), newTestClient(t, "a", all)
 	for i, c := range []*Client{older, newer} {
 		if _, err := c.Propose(ctx, "", nil); err != nil {
-			t.Fatal(i, err)
+			t.Fatalf("client %d: %v", i, err)
 		}
 	}
 	for range 2 {
 		if _, err := older.Propose(ctx, "", nil); !errors.Is(err, ErrSuperseded) {
-			t.Errorf("%v", err)
+			t.Errorf("the older process gets %v, want ErrSuperseded", err)
 		}
 	}
 	if _, err := newer.Propose(ctx, "", nil); err != nil {
--- a/internal/controlplane/controlrpc/codec.go
+++ b/internal/controlplane/controlrpc/codec.go
@@ -7,11 +7,11 @@
 	"google.golang.org/grpc/mem"
 )
 
-// Encoded is a message of a server that is encoded already. Many streams may send the same one at
-// once: its bytes are neither copied nor changed.
+// Encoded is an already encoded message of a server. Many streams may send the same message
+// concurrently: its bytes are neither copied nor changed.
 type Encoded []byte
 
-// encodedCodec is the protobuf codec, which passes an Encoded on as it is.
+// encodedCodec is the protobuf codec, except that it returns the bytes of an Encoded unchanged.
 type encodedCodec struct{ encoding.CodecV2 }
 
 // Marshal returns a message's bytes.
--- a/internal/controlplane/controlrpc/connections.go
+++ b/internal/controlplane/controlrpc/connections.go
@@ -12,14 +12,15 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// maxMessageBytes is the largest message that is sent or received: a snapshot is one.
+// maxMessageBytes is the size of the largest message that can be sent or received. A snapshot is
+// sent as one message.
 const maxMessageBytes = 64 << 20
 
-// Addresses overrides where processes are reached from here, by their names. Those that are not in
-// it are reached at the address that they announce themselves.
+// Addresses overrides the addresses at which this process reaches others, by their names. A process
+// without an entry is reached at the address that it announces.
 type Addresses map[string]string
 
-// resolve returns where a process is reached that announces an address.
+// resolve returns the address at which to reach a process that announces an address.
 func (a Addresses) resolve(name, announced string) string {
 	if override, ok := a[name]; ok {
 		return override
@@ -27,8 +28,8 @@
 	return announced
 }
 
-// connections are the connections to other processes, by address. Each is opened when it is first
-// used. They are safe for concurrent use.
+// connections holds the connections to other processes, by address. Each connection is opened when
+// it is first used. The methods are safe for concurrent use.
 type connections struct {
 	observer *Observer // nil: none
 
@@ -67,7 +68,7 @@
 	return conn, nil
 }
 
-// close closes all connections. No other is opened after it.
+// close closes all connections, and prevents new ones.
 func (c *connections) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +78,8 @@
 	}
 }
 
-// dial returns a connection that is opened when it is first used, and again soon after it was lost.
+// dial returns a connection that is opened when it is first used. A lost connection is reopened
+// with a backoff of at most about half a second.
 func dial(address string, observer *Observer) (*grpc.ClientConn, error) {
 	options := append(observer.dialOptions(),
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
--- a/internal/controlplane/controlrpc/contents.go
+++ b/internal/controlplane/controlrpc/contents.go
@@ -12,14 +12,15 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// Contents has the contents of versions. Its methods return fs.ErrNotExist if a content is not
-// here, and are called concurrently.
+// Contents stores the contents of versions. Its methods return fs.ErrNotExist if a content is not
+// stored in this process. They are called concurrently.
 type Contents interface {
-	// Send sends a content from an offset in bytes on.
+	// Send sends a content, starting at an offset in bytes.
 	Send(digest string, from int64, send func([]byte) error) error
-	// Keep fetches a content from the process that asks for that, and stores it.
+	// Keep fetches a content from the process that sent the request, and stores it.
 	Keep(ctx context.Context, request *controlpb.KeepRequest) error
-	// Delta returns what leads to a content from one that the client has.
+	// Delta returns the difference between a content and one that the client has, or the content's
+	// sums if none of the client's contents is stored in this process.
 	Delta(request *controlpb.ContentDeltaRequest) (*controlpb.ContentDeltaResponse, error)
 	// Buckets returns some buckets of a content's records.
 	Buckets(
@@ -27,11 +28,11 @@
 	) (*controlpb.ContentBucketsResponse, error)
 }
 
-// noContents is why a process answers no requests for contents.
+// noContents is the reason in answers to requests for contents if this process stores none.
 const noContents = "this process keeps no contents"
 
-// Content requests a content from a process, from an offset in bytes on. The function that it
-// returns gives one piece after another, and io.EOF after the last.
+// Content requests a content from a process, starting at an offset in bytes. Each call of the
+// returned function returns the next piece; after the last one it returns io.EOF.
 func (c *Client) Content(
 	ctx context.Context, id, address, digest string, from int64,
 ) (func() ([]byte, error), error) {
@@ -50,8 +51,8 @@
 	}, nil
 }
 
-// ContentDelta requests from a process what leads to a content from one that is here. It returns
-// ErrNoContent if that process does not have the content.
+// ContentDelta requests from a process the difference between a content and one that this process
+// has; see Contents.Delta. It returns ErrNoContent if the other process does not have the content.
 func (c *Client) ContentDelta(
 	ctx context.Context, id, address string, request *controlpb.ContentDeltaRequest,
 ) (*controlpb.ContentDeltaResponse, error) {
@@ -79,7 +80,7 @@
 	return client.ContentBuckets(ctx, request)
 }
 
-// Keep asks a process to fetch and store a content that this one has.
+// Keep requests that another process fetch and store a content that this one has.
 func (c *Client) Keep(
 	ctx context.Context, id, address string, request *controlpb.KeepRequest,
 ) error {
@@ -87,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	// The request may be sent to several processes at once: it is not changed.
+	// The caller may pass the same request to several calls concurrently: it must not be changed.
 	answer, err := client.Keep(ctx, &controlpb.KeepRequest{
 		Fleet:  c.fleet,
 		Item:   request.Item,
@@ -101,7 +102,7 @@
 	return rejection(answer)
 }
 
-// Content sends a content, if it is here.
+// Content sends a content, if it is stored in this process.
 func (s *Server) Content(
 	request *controlpb.ContentRequest, stream grpc.ServerStreamingServer[controlpb.ContentChunk],
 ) error {
@@ -112,7 +113,8 @@
 	return contentError(s.Contents.Send(request.Digest, request.From, send))
 }
 
-// ContentDelta returns what leads to a content from one that the client has.
+// ContentDelta returns the difference between a content and one that the client has; see
+// Contents.Delta.
 func (s *Server) ContentDelta(
 	_ context.Context, request *controlpb.ContentDeltaRequest,
 ) (*controlpb.ContentDeltaResponse, error) {
@@ -134,7 +136,7 @@
 	return response, contentError(err)
 }
 
-// Keep fetches a content from the process that asks for that, and stores it.
+// Keep fetches a content from the process that sent the request, and stores it.
 func (s *Server) Keep(
 	ctx context.Context, request *controlpb.KeepRequest,
 ) (*controlpb.Answer, error) {
@@ -152,7 +154,8 @@
 	return &controlpb.Answer{}, nil
 }
 
-// checkContents rejects a request for contents of another fleet, or if none are stored here.
+// checkContents returns an error for a request of another fleet, or if this process stores no
+// contents.
 func (s *Server) checkContents(fleet string) error {
 	if fleet != s.fleet {
 		return errOtherFleet
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// contentError returns the gRPC status NotFound for a content that is not here.
+// contentError returns the gRPC status NotFound in place of fs.ErrNotExist.
 func contentError(err error) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		return status.Error(codes.NotFound, "it is not here")
--- a/internal/controlplane/controlrpc/doc.go
+++ b/internal/controlplane/controlrpc/doc.go
@@ -1,6 +1,7 @@
-// Package controlrpc carries the calls between the processes of a fleet's control plane: between
+// Package controlrpc implements the calls between the processes of a fleet's control plane: between
 // voters, between every process and the voters, and between processes for allocations, usage and
-// the contents of versions. It decides nothing.
+// the contents of versions. It only transports requests and answers; other packages make the
+// decisions.
 //
-// It is gRPC without encryption or authentication, for loopback and private networks only.
+// It uses gRPC without encryption or authentication, for loopback and private networks only.
 package controlrpc
--- a/internal/controlplane/controlrpc/observer.go
+++ b/internal/controlplane/controlrpc/observer.go
@@ -8,8 +8,8 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Observer is notified of what a process's calls carry, so that tests can count it. A nil Observer
-// counts nothing and costs nothing. Its fields are called concurrently.
+// Observer is notified of a process's calls and connections, so that tests can count messages and
+// bytes. A nil Observer has no effect and no cost. Stats and Wrap are called concurrently.
 type Observer struct {
 	Stats stats.Handler                // is notified of each call and message
 	Wrap  func(conn net.Conn) net.Conn // wraps each connection, dialled or accepted
@@ -51,7 +51,7 @@
 	observer *Observer
 }
 
-// Accept accepts a connection and has it observed.
+// Accept accepts a connection and wraps it with the observer's Wrap.
 func (l *observedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/controlplane/controlrpc/observer_test.go
+++ b/internal/controlplane/controlrpc/observer_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// An observer is notified of each connection and message of a client, and a client without one
-// works the same.
+// An observer is notified of the connections and messages of a client. A client without an observer
+// works as well.
 func TestObserver(t *testing.T) {
 	all, _ := startVoters(t, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
@@ -50,11 +50,12 @@
 	}
 	in, out := messages.in.Load(), messages.out.Load()
 	if connections.Load() == 0 || in == 0 || out < in {
-		t.Errorf("%d connections, %d messages in, %d out", connections.Load(), in, out)
+		t.Errorf("observed %d connections, %d messages in, %d out", connections.Load(), in, out)
 	}
 }
 
-// An observer is notified of accepted connections as well; no observer leaves a listener as it is.
+// An observer is notified of accepted connections as well. A nil observer leaves a listener
+// unchanged.
 func TestObserverOfAListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +64,7 @@
 	defer l.Close()
 	var none *Observer
 	if none.Listener(l) != l || none.ServerOptions() != nil || none.dialOptions() != nil {
-		t.Error("no observer changes something")
+		t.Error("a nil observer wraps the listener or adds options")
 	}
 	accepted := 0
 	o := &Observer{Wrap: func(conn net.Conn) net.Conn {
@@ -77,7 +78,7 @@
 	defer conn.Close()
 	other, err := o.Listener(l).Accept()
 	if err != nil || accepted != 1 {
-		t.Fatalf("%d accepted, %v", accepted, err)
+		t.Fatalf("%d connections observed, want 1; error %v", accepted, err)
 	}
 	_ = other.Close()
 }
--- a/internal/controlplane/controlrpc/server.go
+++ b/internal/controlplane/controlrpc/server.go
@@ -36,23 +36,23 @@
 	fleet     string
 	grpc      *grpc.Server
 	transport *transport
-	usage     UsageSource // nil: this process counts no usage
+	usage     UsageSource // nil: usage is not counted in this process
 
-	// Budgets answers the calls for allocations; nil: nobody does here. It must be set before
-	// Serve.
-	Budgets Budgets
-	// Contents answers the calls for contents of versions; nil: nobody does here. It must be set
+	// Budgets answers the calls for allocations; nil: this process answers none. It must be set
 	// before Serve.
+	Budgets Budgets
+	// Contents answers the calls for contents of versions; nil: this process answers none. It must
+	// be set before Serve.
 	Contents Contents
 
 	mu      sync.Mutex
-	replica *replica.Replica // nil: this process has none
-	updates map[string]*controlpb.StateUpdate
-	updated chan struct{} // closed with the next update
+	replica *replica.Replica                  // nil: this process has none
+	updates map[string]*controlpb.StateUpdate // newest state, by name of the state machine
+	updated chan struct{}                     // closed at the next update
 }
 
-// NewServer returns a server of a fleet, with further options for the library, such as those of an
-// Observer. The context ends what it sends to other voters.
+// NewServer returns a server of a fleet. Additional options are passed to gRPC, such as those of an
+// Observer. When the context ends, the server stops sending messages to other voters.
 func NewServer(
 	ctx context.Context, fleet string, overrides Addresses, usage UsageSource,
 	options ...grpc.ServerOption,
@@ -104,7 +104,8 @@
 	}
 }
 
-// StartReplica runs a replica, which answers here from now on. The replica ends with the context.
+// StartReplica starts a replica, which answers this server's calls from then on. The replica ends
+// with the context.
 func (s *Server) StartReplica(ctx context.Context, options replica.Options) error {
 	options.OnChange = s.publish
 	started, err := replica.Run(ctx, options, s.transport)
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// Replica returns the replica that answers here; nil: there is none.
+// Replica returns the replica that answers this server's calls; nil: there is none.
 func (s *Server) Replica() *replica.Replica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 // Register registers further services with the server. It must be called before Serve.
 func (s *Server) Register(register func(grpc.ServiceRegistrar)) { register(s.grpc) }
 
-// Serve answers at a listener until Stop.
+// Serve accepts connections from a listener and answers their calls until Stop is called.
 func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
 
 // Stop ends all calls and closes all connections.
@@ -136,7 +137,7 @@
 	s.transport.conns.close()
 }
 
-// withDefaultTimeout gives a call without a deadline one.
+// withDefaultTimeout adds the default deadline to a context that has none.
 func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
@@ -166,7 +167,8 @@
 	}
 }
 
-// decodePacket returns the messages of a packet, which all have to be of its sender.
+// decodePacket returns the messages of a packet. It returns an error if a message is malformed or
+// is not from the sender of the packet.
 func decodePacket(packet *controlpb.Packet) ([]*raftpb.Message, error) {
 	messages := make([]*raftpb.Message, 0, len(packet.Messages))
 	for _, raw := range packet.Messages {
@@ -180,7 +182,8 @@
 	return messages, nil
 }
 
-// Prove answers a voter that starts with what it has promised.
+// Prove answers the verification request of a voter that starts: it returns what that voter has
+// promised to this process's replica.
 func (s *Server) Prove(
 	ctx context.Context, position *controlpb.Position,
 ) (*controlpb.VerificationReply, error) {
@@ -226,7 +229,8 @@
 	})
 }
 
-// callReplica has the replica answer a request of a fleet, if there is one here.
+// callReplica passes a request to this process's replica, if there is one. It rejects requests of
+// other fleets.
 func (s *Server) callReplica(
 	ctx context.Context, fleet string,
 	call func(ctx context.Context, r *replica.Replica) *controlpb.Answer,
--- a/internal/controlplane/controlrpc/session.go
+++ b/internal/controlplane/controlrpc/session.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// keepAliveInterval is how long a session may be without a command before one is sent only to
-	// keep it alive.
+	// keepAliveInterval is the time without an answered command after which an empty command is
+	// sent to keep the session alive.
 	keepAliveInterval = 10 * time.Second
-	// keepAliveCheckInterval is how often that is checked.
+	// keepAliveCheckInterval is the interval between checks whether such a command is due.
 	keepAliveCheckInterval = keepAliveInterval / 20
 )
 
-// clientSession is a client's session, in which each of its commands is applied once. Client.mu
-// guards it.
+// clientSession is a client's session. Within a session, each command is applied at most once.
+// Client.mu guards it.
 type clientSession struct {
-	number        uint64          // 0: none is open
+	number        uint64          // 0: no session is open
 	lastSeq       uint64          // of the newest command
 	inFlight      map[uint64]bool // sequence numbers of commands without an answer
 	lastCommandAt time.Time
-	err           error // ErrSuperseded, from then on
+	err           error // wraps ErrSuperseded once another process has taken the id
 }
 
-// ackedSeq returns up to which command all answers have arrived.
+// ackedSeq returns the highest sequence number up to which no command is in flight.
 func (s *clientSession) ackedSeq() uint64 {
 	acked := s.lastSeq
 	for seq := range s.inFlight {
@@ -70,13 +70,14 @@
 	defer c.mu.Unlock()
 	if c.session.err == nil {
 		c.session.err = fmt.Errorf("%w: %s", ErrSuperseded, reason)
-		c.log.Error("fleet: this process is refused: " + reason)
+		c.log.Error("fleet: requests of this process are rejected: " + reason)
 	}
 	return c.session.err
 }
 
-// Propose has a command applied once, and returns its answer. After an error that is neither
-// ErrSuperseded nor ErrRejected the command may have been applied, or still be applied later.
+// Propose proposes a command, which is applied at most once, and returns its answer. After an error
+// that is neither ErrSuperseded nor ErrRejected, the command may have been applied or may still be
+// applied later.
 func (c *Client) Propose(ctx context.Context, machine string, body []byte) ([]byte, error) {
 	if err := c.openSession(ctx); err != nil {
 		return nil, err
@@ -112,7 +113,7 @@
 	return nil, rejection(answer)
 }
 
-// beginCommand returns the session of a new command and its sequence number there.
+// beginCommand returns the session of a new command and its sequence number in that session.
 func (c *Client) beginCommand() (session, seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,14 +135,14 @@
 	return c.session.ackedSeq()
 }
 
-// recordCommand records that a command was answered, so that the session is alive.
+// recordCommand records that a command was answered now, which shows that the session is alive.
 func (c *Client) recordCommand() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.session.lastCommandAt = time.Now()
 }
 
-// forgetSession has another session opened in place of one that has expired.
+// forgetSession discards an expired session. The next command opens another one.
 func (c *Client) forgetSession(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/controlrpc/testfleet_test.go
+++ b/internal/controlplane/controlrpc/testfleet_test.go
@@ -18,7 +18,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// startVoters runs some voters in this process, over real connections and storage.
+// startVoters starts voters in this process, with TCP connections and storage on disk.
 func startVoters(t testing.TB, count int) (voters []*controlpb.Voter, servers []*Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,7 +49,7 @@
 	return voters, servers
 }
 
-// startVoter runs one of the voters at a listener.
+// startVoter starts one of the voters, which serves at a listener.
 func startVoter(
 	t testing.TB, ctx context.Context, voters []*controlpb.Voter, i int, l net.Listener,
 ) *Server {
--- a/internal/controlplane/controlrpc/transport.go
+++ b/internal/controlplane/controlrpc/transport.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// maxQueuedMessages is how many messages wait for one voter; more are dropped: raft sends them
-	// again.
+	// maxQueuedMessages is the size of the queue of messages to one voter. Messages beyond it are
+	// dropped: raft sends them again.
 	maxQueuedMessages = 256
-	// packetBytes is the size from which on messages are sent without waiting for more.
+	// packetBytes is the size in bytes above which no more messages are added to a packet.
 	packetBytes        = 256 << 10
 	verifyTimeout      = 2 * time.Second
 	streamReopeningGap = 100 * time.Millisecond
 )
 
-// transport carries a voter's messages to the others. Each peer has a goroutine of its own, so that
-// one that stalls delays nobody else. It implements replica.Transport.
+// transport sends a voter's messages to the other voters. Each peer has its own goroutine, so that
+// a stalled peer does not delay the others. It implements replica.Transport.
 type transport struct {
 	ctx       context.Context // ends all goroutines
 	fleet     string
 	overrides Addresses
 	conns     connections
 
-	// They report to the replica what became of messages.
+	// These functions report to the replica whether messages were delivered.
 	reportUnreachable func(voter uint64)
 	reportSnapshot    func(voter uint64, ok bool)
 
@@ -37,7 +37,7 @@
 	peers map[peerKey]*peer
 }
 
-// peerKey identifies a peer: another voter at the same address is another peer.
+// peerKey identifies a peer. Two voters at the same address are different peers.
 type peerKey struct {
 	address string
 	number  uint64
@@ -64,7 +64,7 @@
 	}
 }
 
-// peer returns the peer of a voter, and starts its goroutine if it is a new one.
+// peer returns the peer for a voter. It creates the peer and starts its goroutine if necessary.
 func (t *transport) peer(from, to *controlpb.Voter) *peer {
 	key := peerKey{t.overrides.resolve(to.Name, to.Address), to.Number}
 	t.mu.Lock()
@@ -78,7 +78,7 @@
 	return p
 }
 
-// drop reports the snapshots among messages that are dropped.
+// drop reports each snapshot among dropped messages as not delivered.
 func (t *transport) drop(p *peer, messages []*raftpb.Message) {
 	for _, m := range messages {
 		if m.GetType() == raftpb.MsgSnap {
@@ -87,7 +87,8 @@
 	}
 }
 
-// run sends what is queued over one stream after another, until the transport's context ends.
+// run sends the queued messages until the transport's context ends. It opens a new stream whenever
+// one fails.
 func (t *transport) run(address string, p *peer) {
 	for t.ctx.Err() == nil {
 		err := t.stream(address, p)
@@ -100,7 +101,7 @@
 	}
 }
 
-// drain empties the queue: its messages are out of date once a stream was lost.
+// drain empties the queue and returns its messages: they are out of date once a stream has failed.
 func (p *peer) drain() (messages []*raftpb.Message) {
 	for {
 		select {
@@ -112,7 +113,7 @@
 	}
 }
 
-// stream sends what is queued over one stream, until that fails.
+// stream sends the queued messages over one stream until it fails.
 func (t *transport) stream(address string, p *peer) error {
 	client, err := t.conns.fleetClient(address)
 	if err != nil {
@@ -144,8 +145,8 @@
 	}
 }
 
-// packet returns a packet of a message and of those that are queued behind it, and whether it has a
-// snapshot.
+// packet returns a packet of a message and the messages queued after it, and whether the packet
+// contains a snapshot.
 func (t *transport) packet(
 	p *peer, first *raftpb.Message,
 ) (packet *controlpb.Packet, hasSnapshot bool, err error) {
@@ -168,7 +169,7 @@
 	return packet, hasSnapshot, nil
 }
 
-// next returns the next queued message; nil: there is none now.
+// next returns the next queued message, or nil if the queue is empty. It does not block.
 func (p *peer) next() *raftpb.Message {
 	select {
 	case m := <-p.queue:
@@ -178,7 +179,7 @@
 	}
 }
 
-// Verify asks another voter what it was promised.
+// Verify queries what this process's voter has promised another voter; see replica.Transport.
 func (t *transport) Verify(
 	to *controlpb.Voter, position *controlpb.Position,
 	answer func(*controlpb.VerificationReply),
--- a/internal/controlplane/controlrpc/usage.go
+++ b/internal/controlplane/controlrpc/usage.go
@@ -10,15 +10,15 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// UsageSource sends the closed periods of this process's usage that were not collected yet. The map
-// collected has the newest collected period of each incarnation.
+// UsageSource sends the closed periods of this process's usage that have not been collected yet.
+// The map collected contains the newest collected period of each incarnation.
 type UsageSource func(collected map[uint64]uint64, send func(*controlpb.UsagePeriod) error) error
 
-// Collect calls take with each closed period of a process's usage that was not collected yet. It
-// returns io.EOF when it has all, or the error that ended it.
+// Collect calls handle with each closed period of a process's usage that has not been collected
+// yet. It returns io.EOF after the last period, or the error that ended the call.
 func (c *Client) Collect(
 	ctx context.Context, id, address string, collected map[uint64]uint64,
-	take func(*controlpb.UsagePeriod) error,
+	handle func(*controlpb.UsagePeriod) error,
 ) error {
 	client, err := c.process(id, address)
 	if err != nil {
@@ -34,17 +34,17 @@
 		return err
 	}
 	for {
-		part, err := stream.Recv()
+		period, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if err := take(part); err != nil {
+		if err := handle(period); err != nil {
 			return err
 		}
 	}
 }
 
-// Collect sends this process's usage that was not collected yet.
+// Collect sends the closed periods of this process's usage that have not been collected yet.
 func (s *Server) Collect(
 	request *controlpb.CollectRequest, stream grpc.ServerStreamingServer[controlpb.UsagePeriod],
 ) error {
--- a/internal/controlplane/controlrpc/watch.go
+++ b/internal/controlplane/controlrpc/watch.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// watchHeartbeatInterval is after what time without a change a watcher gets the state again, so
-	// that it knows that the stream is alive.
+	// watchHeartbeatInterval is the interval at which a server sends a watcher the last sent state
+	// again, to show that the stream is alive.
 	watchHeartbeatInterval = 5 * time.Second
-	// watchTimeout is after what time without an update a watcher turns to another voter.
+	// watchTimeout is the time without an update after which a watcher switches to another voter.
 	watchTimeout = watchHeartbeatInterval + attemptTimeout
-	// watchRetryDelay is the pause before it does.
+	// watchRetryDelay is the pause before a watcher switches to another voter.
 	watchRetryDelay = 4 * retryDelay
 )
 
-// Watch calls do with a state machine's state, and again each time that it has changed, until the
-// context ends. Any voter may send it: the state may be older than what another answers.
-func (c *Client) Watch(ctx context.Context, machine string, do func(state []byte)) {
+// Watch calls handle with a state machine's state, and again after each change, until the context
+// ends. It may also call handle with an unchanged state. Any voter may send the state: it may be
+// older than the state of another voter.
+func (c *Client) Watch(ctx context.Context, machine string, handle func(state []byte)) {
 	// The watchers are spread over the voters.
 	const maxSpread = 1024
 	voter := int(c.self.Incarnation % maxSpread)
 	for ; ctx.Err() == nil; voter++ {
 		if address := c.addressOfVoter(voter); address != "" {
 			if client, err := c.conns.fleetClient(address); err == nil {
-				c.watchVoter(ctx, client, machine, do)
+				c.watchVoter(ctx, client, machine, handle)
 			}
 		}
 		sleep(ctx, watchRetryDelay)
 	}
 }
 
-// addressOfVoter returns the address of the voter at an index, modulo their number; "": there are
-// none.
+// addressOfVoter returns the address of the voter at an index modulo the number of voters; "": no
+// voter is known.
 func (c *Client) addressOfVoter(index int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,9 +49,9 @@
 	return c.addresses[c.voters[index%len(c.voters)]]
 }
 
-// watchVoter watches a state machine at one voter, as long as updates come.
+// watchVoter watches a state machine at one voter until updates stop arriving.
 func (c *Client) watchVoter(
-	ctx context.Context, voter controlpb.FleetClient, machine string, do func(state []byte),
+	ctx context.Context, voter controlpb.FleetClient, machine string, handle func(state []byte),
 ) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -66,7 +67,7 @@
 			return
 		}
 		timeout.Reset(watchTimeout)
-		do(update.Body)
+		handle(update.Body)
 	}
 }
 
@@ -79,16 +80,16 @@
 	s.updated = make(chan struct{})
 }
 
-// update returns the newest state of a state machine, and a channel that is closed with the next
-// update of any.
+// update returns the newest state of a state machine, and a channel that is closed at the next
+// update of any state machine.
 func (s *Server) update(machine string) (*controlpb.StateUpdate, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.updates[machine], s.updated
 }
 
-// Watch sends the state of a state machine as it is, and again when it has changed. A watcher that
-// is slow misses states that were followed by newer ones.
+// Watch sends the current state of a state machine, and again after changes. A slow watcher misses
+// states that have been replaced by newer ones.
 func (s *Server) Watch(
 	request *controlpb.WatchRequest, stream grpc.ServerStreamingServer[controlpb.StateUpdate],
 ) error {
