--- a/internal/controlplane/call.go
+++ b/internal/controlplane/call.go
@@ -19,14 +19,14 @@
 
 var errNoVoter = errors.New("this process is no voter")
 
-// operatorCall is a call of an operator, by the arguments that it takes.
+// operatorCall is an operator's call, with the limits of its number of arguments.
 type operatorCall struct {
 	minArguments int
 	maxArguments int
 	run          func(n *Node, ctx context.Context, arguments []string) (any, error)
 }
 
-// operatorCalls are the calls by name.
+// operatorCalls contains the calls, by name.
 var operatorCalls = map[string]operatorCall{
 	"here":         {0, 0, (*Node).callHere},
 	"status":       {0, 0, (*Node).callStatus},
@@ -35,7 +35,7 @@
 	"exports":      {0, 0, (*Node).callExports},
 	"rights":       {0, 0, (*Node).callRights},
 	"budgets":      {0, 1, (*Node).callBudgets},
-	"versions":     {0, anyNumber, (*Node).callVersions},
+	"versions":     {0, noLimit, (*Node).callVersions},
 	"distribution": {0, 0, (*Node).callDistribution},
 	"transfer":     {2, 2, (*Node).callTransfer},
 	"remove":       {1, 1, (*Node).callRemove},
@@ -43,14 +43,15 @@
 	"snapshot":     {0, 0, (*Node).callSnapshot},
 }
 
-// anyNumber is the greatest number of arguments of a call that is not limited.
-const anyNumber = 1 << 20
+// noLimit is the maxArguments of a call with any number of arguments.
+const noLimit = 1 << 20
 
-// errUnknownCall is the error of a call that this process does not know, or has no part for.
+// errUnknownCall is the error of a call that is unknown, or whose feature is not configured in this
+// process.
 var errUnknownCall = errors.New("unknown call")
 
-// Call answers an operator's call with one line: JSON, or "fail" with the reason. It waits for
-// voters, but not for the gateway's event loop.
+// Call answers an operator's call with one line: JSON, or "fail" with the reason. It waits for the
+// answers of voters, but not for the gateway's event loop.
 func (n *Node) Call(ctx context.Context, argument string) string {
 	result, err := n.dispatch(ctx, argument)
 	var encoded []byte
@@ -86,18 +87,18 @@
 		errUnknownCall, argument)
 }
 
-// read reads a state machine's JSON into a value.
-func (n *Node) read(ctx context.Context, machine string, body []byte, into any) error {
+// read reads a state machine, and decodes its JSON answer into result.
+func (n *Node) read(ctx context.Context, machine string, body []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := n.client.Read(ctx, machine, body)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(answer, into)
+	return json.Unmarshal(answer, result)
 }
 
-// LocalStatus is what this process knows of itself, also when no voter answers.
+// LocalStatus is what this process knows about itself. It is available even if no voter answers.
 type LocalStatus struct {
 	Member       lease.Member `json:"member"`
 	Voter        bool         `json:"voter"`
@@ -106,13 +107,13 @@
 	Leader       string       `json:"leader,omitempty"`
 	Leads        bool         `json:"leads,omitempty"`
 	AppliedIndex uint64       `json:"applied,omitempty"`
-	// Fault is why the process takes no part, or does not vote; "": it does.
+	// Fault is why the process does not take part or does not vote; "": there is no fault.
 	Fault string `json:"trouble,omitempty"`
-	// Roles are the terms of the roles that it leads, by role.
+	// Roles contains the terms of the roles that the process leads, by role.
 	Roles map[string]uint64 `json:"duties"`
 }
 
-// LocalStatus returns what this process knows of itself.
+// LocalStatus returns what this process knows about itself.
 func (n *Node) LocalStatus() LocalStatus {
 	status := LocalStatus{Member: n.self, Roles: n.roles.HeldTerms()}
 	if fault := n.fault.Load(); fault != nil {
@@ -131,7 +132,7 @@
 	return status
 }
 
-// Membership returns who belongs to the fleet, as the leader has it.
+// Membership reads the fleet's members and voters from the leader.
 func (n *Node) Membership(ctx context.Context) (m consensus.Membership, err error) {
 	return m, n.read(ctx, consensus.MembershipName, nil, &m)
 }
@@ -160,7 +161,7 @@
 	return view, err
 }
 
-// callRights returns what this process holds of the quotas, and what it divides.
+// callRights returns this process's allocations, and the statistics of the shards that it leads.
 func (n *Node) callRights(context.Context, []string) (any, error) {
 	if n.allocations == nil {
 		return nil, errUnknownCall
@@ -179,16 +180,16 @@
 	return n.DistributionStatus(), nil
 }
 
-// callTransfer asks the leader of a role to transfer it to another gateway.
+// callTransfer requests that the leader of a role transfer it to another gateway.
 func (n *Node) callTransfer(ctx context.Context, arguments []string) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	op := lease.Command{
+	command := lease.Command{
 		Action: lease.ActionRequestTransfer,
 		Role:   arguments[0],
 		To:     lease.Member{ID: arguments[1]},
 	}
-	answer, err := n.client.Propose(ctx, lease.MachineName, op.Encode())
+	answer, err := n.client.Propose(ctx, lease.MachineName, command.Encode())
 	if err != nil {
 		return nil, err
 	}
@@ -202,8 +203,8 @@
 	return "the owner is told", nil
 }
 
-// callSnapshot has this process's replica store a snapshot, and returns the index of its last
-// entry.
+// callSnapshot makes this process's replica store a snapshot, and returns the index of the last
+// applied entry.
 func (n *Node) callSnapshot(ctx context.Context, _ []string) (any, error) {
 	r := n.localReplica()
 	if r == nil {
--- a/internal/controlplane/call_allocations.go
+++ b/internal/controlplane/call_allocations.go
@@ -11,7 +11,7 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// AllocationStatus is what this process holds of the quotas, and what it divides.
+// AllocationStatus describes this process's allocations, and the shards of quotas that it leads.
 type AllocationStatus struct {
 	Member      lease.Member                      `json:"member"`
 	At          time.Duration                     `json:"at"` // see monotonic.Now
@@ -45,7 +45,7 @@
 	return views, nil
 }
 
-// readBudgets reads all budgets, or that of the customer that the arguments name.
+// readBudgets reads all budgets, or only that of the customer named by the arguments.
 func (n *Node) readBudgets(ctx context.Context, arguments []string) ([]allocation.View, error) {
 	customer := uint64(0)
 	if len(arguments) > 0 {
--- a/internal/controlplane/call_versions.go
+++ b/internal/controlplane/call_versions.go
@@ -11,13 +11,14 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// VersionsStatus is the versions of the configuration, and the members that lag behind.
+// VersionsStatus describes the versions of the configuration, and the members that lag behind.
 type VersionsStatus struct {
 	configversion.View
 	LaggingReplicas []configversion.LaggingReplica `json:"behind"`
 }
 
-// callVersions answers a call about versions. In a process without versions there is none.
+// callVersions answers a call about versions. It returns errUnknownCall in a process without
+// versions.
 func (n *Node) callVersions(ctx context.Context, words []string) (any, error) {
 	if n.agent == nil {
 		return nil, errUnknownCall
@@ -76,7 +77,7 @@
 	return VersionsStatus{view, configversion.LaggingReplicas(&view)}, nil
 }
 
-// recordEntries returns the audit record from a time on, in microseconds since 1970.
+// recordEntries returns the entries of the audit record since a time, in microseconds since 1970.
 func (n *Node) recordEntries(from string) (any, error) {
 	start, err := strconv.ParseInt(from, 10, 64)
 	r := n.recorder.Load()
@@ -87,7 +88,7 @@
 }
 
 // proposeVersion proposes a version. The arguments are an item, a stage, a lead time and the words
-// of a file's path.
+// of a file path.
 func (n *Node) proposeVersion(ctx context.Context, arguments []string) (any, error) {
 	item := arguments[0]
 	stage := configversion.Stage(arguments[1])
@@ -103,7 +104,7 @@
 }
 
 // changeRollout advances, pauses or withdraws a version. The arguments are an item, the number of
-// the version, and the stage to advance to or else the words of a reason.
+// the version, and either the stage to advance to or the words of a reason.
 func (n *Node) changeRollout(
 	ctx context.Context, kind configversion.CommandKind, arguments []string,
 ) (any, error) {
--- a/internal/controlplane/call_voters.go
+++ b/internal/controlplane/call_voters.go
@@ -8,7 +8,7 @@
 	"mothcleat/internal/controlplane/controlpb"
 )
 
-// voterChanged is the answer to a call that has added or removed a voter.
+// voterChanged is the answer to a call that added or removed a voter.
 const voterChanged = "agreed"
 
 // callAdd makes this process a voter.
--- a/internal/controlplane/config.go
+++ b/internal/controlplane/config.go
@@ -16,17 +16,17 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// Config is the settings of a Node.
+// Config contains the settings of a Node.
 type Config struct {
 	Fleet   string // name
 	ID      string // of this gateway
-	Listen  string // address
-	Address string // where others reach it; "": Listen
-	Dir     string // for everything that it stores
+	Listen  string // address to listen on
+	Address string // at which others reach this gateway; "": Listen
+	Dir     string // for everything that this gateway stores
 	Log     *slog.Logger
 
-	Voters    []*controlpb.Voter            // known at first
-	Addresses controlrpc.Addresses          // overrides where others are reached from here
+	Voters    []*controlpb.Voter            // known initially
+	Addresses controlrpc.Addresses          // overrides the addresses of others
 	Observer  *controlrpc.Observer          // of all calls; nil: none
 	Place     distribution.Place            // where this process runs
 	Places    map[string]distribution.Place // where the voters run, by name
@@ -36,39 +36,40 @@
 	TickInterval time.Duration // see replica.Options
 	KeepEntries  uint64        // see consensus.Config
 
-	ExportShards   int           // of the export of usage; 0: no usage is counted or exported
-	ExportDir      string        // of the exported files
-	MeteringPeriod time.Duration // of one record of usage
+	ExportShards   int           // of the usage export; 0: no usage is counted or exported
+	ExportDir      string        // for the exported files
+	MeteringPeriod time.Duration // covered by one usage record
 
-	// NewSource returns a source that watches the registry itself; nil: each gateway watches the
-	// registry on its own.
+	// NewSource returns a source that watches the registry directly. If it is set, one gateway
+	// watches the registry for all; nil: each gateway watches the registry on its own.
 	NewSource func() (registry.Source, error)
-	// SourceTimeout is after what time without an update a gateway watches the registry itself; 0:
-	// distributor.DefaultSourceTimeout.
+	// SourceTimeout is the time without an update after which a gateway watches the registry
+	// itself; 0: distributor.DefaultSourceTimeout.
 	SourceTimeout time.Duration
-	// ChangeLogEntries is how many changes a voter keeps for the replicas of the endpoint list; 0:
-	// the distribution's default.
+	// ChangeLogEntries is the number of changes that a voter keeps for the replicas of the endpoint
+	// list; 0: the distribution's default.
 	ChangeLogEntries int
 
-	// Allocation is how quotas are divided; nil: they are not.
+	// Allocation configures the division of quotas; nil: quotas are not divided.
 	Allocation       *allocation.Config
 	AllocationShards int
-	AllocationLog    io.Writer // gets a line for each renewal of allocations; nil: none
+	AllocationLog    io.Writer // receives a line per renewal of allocations; nil: none
 
-	// Versions is how versions of the configuration are rolled out, and Items what they consist of,
-	// by name; nil: each gateway acts on its own configuration.
+	// Versions configures the roll-out of versions of the configuration, and Items contains the
+	// versioned items, by name. If Versions is nil, each gateway uses its own
+	// configuration.
 	Versions *configversion.Config
 	Items    map[string]rollout.Item
 }
 
-// LogDir returns the directory of a voter's log, in that of its gateway.
+// LogDir returns the directory of a voter's log, within the directory of its gateway.
 func LogDir(dir string) string { return filepath.Join(dir, "log") }
 
-// UseDir returns the directory of a gateway's counted usage.
+// UseDir returns the directory of a gateway's counted usage, within the gateway's directory.
 func UseDir(dir string) string { return filepath.Join(dir, "use") }
 
-// RecordDir returns the directory of a gateway's audit record.
+// RecordDir returns the directory of a gateway's audit record, within the gateway's directory.
 func RecordDir(dir string) string { return filepath.Join(dir, "record") }
 
-// ContentsDir returns the directory of the contents of versions.
+// ContentsDir returns the directory of the contents of versions, within the gateway's directory.
 func ContentsDir(dir string) string { return filepath.Join(dir, "versions") }
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -5,8 +5,8 @@
 	"mothcleat/internal/controlplane/distributor"
 )
 
-// setUpDistribution sets up the distribution of the endpoint list: a voter's side, and, if one
-// gateway watches the registry for all, this process's replica of the list.
+// setUpDistribution sets up the distribution of the endpoint list: the server that a voter uses,
+// and, if one gateway watches the registry for all, this process's replica of the list.
 func (n *Node) setUpDistribution() {
 	config := &n.config
 	n.streams = distributor.NewServer(
@@ -31,23 +31,23 @@
 	n.roles.Add(distribution.Role, n.endpoints.Work)
 }
 
-// DistributionStatus is what this process knows of the distribution of the endpoint list.
+// DistributionStatus is what this process knows about the distribution of the endpoint list.
 type DistributionStatus struct {
 	Gateway string                     `json:"gateway"`
 	Server  *distributor.ServerStatus  `json:"server,omitempty"`  // of a voter
 	Replica *distributor.ReplicaStatus `json:"replica,omitempty"` // if the list is distributed
 }
 
-// DistributionStatus returns it.
+// DistributionStatus returns what this process knows about the distribution of the endpoint list.
 func (n *Node) DistributionStatus() DistributionStatus {
-	d := DistributionStatus{Gateway: n.self.ID}
+	result := DistributionStatus{Gateway: n.self.ID}
 	if n.localReplica() != nil {
 		status := n.streams.Status()
-		d.Server = &status
+		result.Server = &status
 	}
 	if n.endpoints != nil {
 		status := n.endpoints.Client().Status()
-		d.Replica = &status
+		result.Replica = &status
 	}
-	return d
+	return result
 }
--- a/internal/controlplane/jsonkeys_test.go
+++ b/internal/controlplane/jsonkeys_test.go
@@ -18,7 +18,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// Operators' tools and the logs of older builds know these keys.
+// Guards against changes of JSON keys that operators' tools and the logs of older builds use.
 func TestJSONKeys(t *testing.T) {
 	fixture.Equal(t, "testdata/operator-keys.txt", fixture.JSONKeys(
 		controlplane.LocalStatus{},
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -1,6 +1,6 @@
-// Package controlplane is a gateway's part in the control plane of its fleet: its voter, if it has
-// one, its session, the roles that it may lead, its allocations and versions, and its counted
-// usage. The gateway's event loop calls only methods that never wait.
+// Package controlplane implements a gateway's part in the control plane of its fleet: its voter, if
+// it has one, its session, the roles that it may lead, its allocations and versions, and its
+// counted usage. The gateway's event loop calls only methods that never block.
 package controlplane
 
 import (
@@ -28,11 +28,11 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// votersInterval is the time between two refreshes of the voters.
+// votersInterval is the interval between refreshes of the list of voters.
 const votersInterval = 3 * time.Second
 
-// Node is a process's part in the control plane. Its methods are safe for concurrent use, but for
-// Count, which is for one goroutine. Start makes one, Stop and Close end it.
+// Node is a process's part in the control plane. Its methods are safe for concurrent use, except
+// Count, which only one goroutine may call. Start creates a Node, Stop and Close end it.
 type Node struct {
 	config Config
 	self   lease.Member
@@ -49,23 +49,23 @@
 	contents     *rollout.Contents       // nil: there are no versions
 	proposals    proposals
 
-	// They are set once the directory and the address are free; see open.
+	// The following are nil until the directory and the address have been opened; see open.
 	server       atomic.Pointer[controlrpc.Server]
 	incarnations atomic.Pointer[allocator.IncarnationFile]
 	counter      atomic.Pointer[metering.Counter]       // nil also if no usage is counted
 	recorder     atomic.Pointer[auditrecorder.Recorder] // nil also if there are no versions
 
-	earlyUsage chan usage    // sent before the counter was open
-	uncounted  atomic.Uint64 // requests for which earlyUsage had no space
+	earlyUsage chan usage    // of requests sent before the counter was open
+	uncounted  atomic.Uint64 // number of requests for which earlyUsage had no space
 
-	stopLeading    context.CancelFunc     // has the roles transferred
-	stoppedLeading chan struct{}          // closed when that is done
-	opened         chan struct{}          // closed when open has ended
-	fault          atomic.Pointer[string] // why open has not succeeded; nil: it has
+	stopLeading    context.CancelFunc     // starts the transfer of the roles
+	stoppedLeading chan struct{}          // closed when the transfer has ended
+	opened         chan struct{}          // closed when open has returned
+	fault          atomic.Pointer[string] // error of the last attempt of open; nil: none
 }
 
-// Start begins to take part. It returns at once: while the process before it still uses the
-// directory or the address, the node waits for them.
+// Start creates a Node and starts it in the background. It returns at once: while the previous
+// process still uses the directory or the address, the node waits for them.
 func Start(config Config) *Node {
 	if config.Address == "" {
 		config.Address = config.Listen
@@ -102,7 +102,8 @@
 	return n
 }
 
-// newMember returns a new incarnation of a gateway. It is not 0, and fits into a signed integer.
+// newMember returns a new incarnation of a gateway. The incarnation is not 0, and fits into a
+// signed 64-bit integer.
 func newMember(id string) lease.Member {
 	return lease.Member{ID: id, Incarnation: rand.Uint64()>>1 | 1}
 }
@@ -155,14 +156,16 @@
 	n.roles.Add(configversion.Role, n.agent.RunController)
 }
 
-// RolloutAgent returns what decides on which versions this process may act; nil: it always may.
+// RolloutAgent returns the agent that decides under which versions this process may operate; nil:
+// the process always may operate.
 func (n *Node) RolloutAgent() *rollout.Agent { return n.agent }
 
-// AllocationClient returns this process's allocations of the quotas; nil: they are not divided.
+// AllocationClient returns the client that holds this process's allocations of the quotas; nil:
+// quotas are not divided.
 func (n *Node) AllocationClient() *allocator.Client { return n.allocations }
 
-// EndpointSource returns the source of the endpoint list, if one gateway watches the registry for
-// all; nil: each watches it on its own.
+// EndpointSource returns the source of the endpoint list if one gateway watches the registry for
+// all gateways; nil: each gateway watches the registry on its own.
 func (n *Node) EndpointSource() registry.Source {
 	if n.endpoints == nil {
 		return nil
@@ -170,7 +173,7 @@
 	return n.endpoints
 }
 
-// Me returns this process.
+// Me returns this process as a member.
 func (n *Node) Me() lease.Member { return n.self }
 
 // run opens the directory and the address, and then takes part in the elections until leadingCtx
@@ -193,7 +196,7 @@
 	n.roles.Run(leadingCtx, n.ctx)
 }
 
-// refreshVoters keeps the client's voters up to date.
+// refreshVoters keeps the client's list of voters up to date until Close.
 func (n *Node) refreshVoters() {
 	membership := n.client.Members(consensus.MembershipQuery{Scope: consensus.ScopeVoters})
 	for n.ctx.Err() == nil {
--- a/internal/controlplane/open.go
+++ b/internal/controlplane/open.go
@@ -18,13 +18,13 @@
 const (
 	// openRetryDelay is the pause between two attempts to open the directory and the address.
 	openRetryDelay = 100 * time.Millisecond
-	// openLogDelay is after what time without success that is logged: until then it may be the
-	// process before that still uses them.
+	// openLogDelay is how long attempts fail before an error is logged: until then, the previous
+	// process may still use the directory or the address.
 	openLogDelay = 2 * time.Second
 )
 
-// open opens the directory and the address, and tries again for as long as another process has
-// them. It returns false if the node ends first.
+// open opens the directory and the address, and retries until it succeeds: another process may
+// still use them. It returns false if the node ends first.
 func (n *Node) open() bool {
 	start := time.Now()
 	logged := false
@@ -32,7 +32,7 @@
 		err := n.tryOpen()
 		if err == nil {
 			if logged {
-				n.config.Log.Info("fleet: the folder and the address are free now")
+				n.config.Log.Info("fleet: the folder and the address are open now")
 			}
 			n.fault.Store(nil)
 			return true
@@ -53,12 +53,13 @@
 
 func (n *Node) logNotOpen(err error) {
 	n.config.Log.Error("fleet: this process does not take part: another one with its id or folder "+
-		"runs, or the folder can't be used; it is tried again",
+		"runs, or the folder can't be used; retrying",
 		"id", n.config.ID, "incarnation", fmt.Sprintf("%x", n.self.Incarnation),
 		"folder", n.config.Dir, "error", err)
 }
 
-// tryOpen opens everything in the directory and serves at the address, or nothing of it.
+// tryOpen opens everything in the directory and starts to serve at the address. After an error it
+// leaves nothing open.
 func (n *Node) tryOpen() (err error) {
 	if err := os.MkdirAll(n.config.Dir, 0o700); err != nil {
 		return err
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// closers are what an attempt has opened so far.
+// closers are the functions that close what an attempt has opened so far.
 type closers []func() error
 
-// closeAll closes them, the last one first.
+// closeAll calls the functions in reverse order.
 func (c closers) closeAll() (err error) {
 	for _, closer := range slices.Backward(c) {
 		err = errors.Join(err, closer())
@@ -105,7 +106,7 @@
 	return err
 }
 
-// openCounter opens the counter of usage; nil: no usage is counted.
+// openCounter opens the usage counter. It returns nil if no usage is counted.
 func (n *Node) openCounter(opened *closers) (*metering.Counter, error) {
 	if n.config.ExportShards == 0 {
 		return nil, nil
@@ -119,8 +120,8 @@
 	return counter, nil
 }
 
-// openIncarnations opens the file of incarnations, by whose lock this process knows that those
-// before it have ended, and notifies those that use allocations and versions of that.
+// openIncarnations opens the file of incarnations. Its lock proves that earlier incarnations of
+// this gateway have ended; they are reported to the users of allocations and versions.
 func (n *Node) openIncarnations(opened *closers) error {
 	if n.allocations == nil && n.agent == nil {
 		return nil
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// openRecorder opens the audit record; nil: there are no versions to record.
+// openRecorder opens the audit record. It returns nil if there are no versions to record.
 func (n *Node) openRecorder(opened *closers) (*auditrecorder.Recorder, error) {
 	if n.agent == nil {
 		return nil, nil
@@ -185,8 +186,8 @@
 	return nil
 }
 
-// startReplica starts this process's replica. It returns nil also if there is none, or if its
-// storage must not be used: everything else goes on without it.
+// startReplica starts this process's replica. It also returns nil if there is no replica, or if the
+// replica's storage must not be used: the rest of the node works without it.
 func (n *Node) startReplica(server *controlrpc.Server) error {
 	err := server.StartReplica(n.ctx, replica.Options{
 		Dir:              LogDir(n.config.Dir),
@@ -204,7 +205,7 @@
 		n.config.Log.Info("fleet: this process is no voter", "folder", n.config.Dir)
 		if n.isConfiguredVoter() {
 			n.logMustNotVote("the operators' file names this gateway as a voter, but its folder " +
-				"is no voter's: it was never founded, or was lost")
+				"is no voter's: it was never initialized, or was lost")
 		}
 		return nil
 	}
@@ -221,10 +222,10 @@
 	return false
 }
 
-// logMustNotVote logs why this gateway must not vote, and how to mend that.
+// logMustNotVote logs why this gateway must not vote, and how an operator can repair that.
 func (n *Node) logMustNotVote(reason string) {
 	n.config.Log.Error("fleet: this gateway must not vote: "+reason+
 		"; have another voter remove it (mothcleat fleet voters remove "+n.config.ID+
-		"), remove the folder's log, make it anew with mothcleat fleet join, and add it again",
+		"), remove the folder's log, create a new one with mothcleat fleet join, and add it again",
 		"folder", n.config.Dir)
 }
--- a/internal/controlplane/proposals_test.go
+++ b/internal/controlplane/proposals_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against a proposal that is refused because its operator's call ends first: it goes on, and
-// the same call made again gets its result, once.
+// Guards against a proposal that fails because its operator's call ends first: the proposal
+// continues, and a repeated call returns its result, once.
 func TestProposalOutlivesItsCall(t *testing.T) {
 	var p proposals
 	release := make(chan struct{})
@@ -29,17 +29,18 @@
 	}
 	for range 3 {
 		if _, err := propose(2 * proposalAnswerMargin); !errors.Is(err, ErrProposalInProgress) {
-			t.Fatalf("a call that ends first gets %v", err)
+			t.Fatalf("a call that ends before its proposal gets %v, want ErrProposalInProgress", err)
 		}
 	}
 	close(release)
 	if number, err := propose(time.Minute); number != 7 || err != nil {
-		t.Errorf("the same call made again gets %d, %v", number, err)
+		t.Errorf("the repeated call gets %d, %v; want 7 and no error", number, err)
 	}
 	if runs != 1 {
-		t.Errorf("%d proposals were made of four calls", runs)
+		t.Errorf("four equal calls started %d proposals, want 1", runs)
 	}
 	if _, err := propose(time.Minute); err != nil || runs != 2 {
-		t.Errorf("after its result was told, the same call makes no new proposal: %v", err)
+		t.Errorf("a call after the result was returned: %d proposals, want 2; error %v",
+			runs, err)
 	}
 }
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// stopTimeout is how long Stop waits until the roles are transferred.
+	// stopTimeout is how long Stop waits for the transfer of the roles.
 	stopTimeout = 2 * time.Second
-	// releaseTimeout is the deadline for giving back allocations and the version lease. What is not
-	// given back expires.
+	// releaseTimeout is the deadline for releasing allocations, and again for releasing the version
+	// lease. What is not released expires.
 	releaseTimeout = 500 * time.Millisecond
 )
 
-// Stop transfers the roles that this process leads, and the leadership of the voters, and returns
-// when that is done or has taken too long. Counting goes on until Close.
+// Stop transfers the roles that this process leads, and then the leadership of the voters. It waits
+// at most stopTimeout for the roles. Usage is counted until Close.
 func (n *Node) Stop() {
 	n.stopLeading()
 	select {
@@ -26,7 +26,7 @@
 	}
 }
 
-// Close ends everything. Nothing may be counted after it.
+// Close ends the node and releases its resources. Count must not be called after Close.
 func (n *Node) Close() {
 	n.stopLeading()
 	if n.allocations != nil {
@@ -39,7 +39,7 @@
 		n.endpoints.Close()
 	}
 	n.cancel()
-	<-n.opened // nothing is set any more
+	<-n.opened // no more fields are set
 	if f := n.incarnations.Load(); f != nil {
 		defer f.Close()
 	}
@@ -60,13 +60,13 @@
 	release(ctx)
 }
 
-// closeCounter stores what was counted last, and logs how many requests were not.
+// closeCounter stores the usage that was counted last, and logs how many requests were not counted.
 func (n *Node) closeCounter() {
 	uncounted := n.uncounted.Load()
 	if c := n.counter.Load(); c != nil {
 		n.countEarlyUsage(c)
 		if err := c.Close(); err != nil {
-			n.config.Log.Error("fleet: the last use could not be kept", "error", err)
+			n.config.Log.Error("fleet: the last usage could not be stored", "error", err)
 		}
 	} else {
 		uncounted += uint64(len(n.earlyUsage))
@@ -83,6 +83,6 @@
 		return
 	}
 	if err := r.Close(); err != nil {
-		n.config.Log.Error("fleet: the last of the record could not be kept", "error", err)
+		n.config.Log.Error("fleet: the end of the audit record could not be stored", "error", err)
 	}
 }
--- a/internal/controlplane/statemachines.go
+++ b/internal/controlplane/statemachines.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// newStateMachines returns the state machines of this process's replica. That of the distribution
-// is attached to the server of its streams.
+// newStateMachines returns the state machines of this process's replica, and attaches the state
+// machine of the distribution to the server of the streams.
 func (n *Node) newStateMachines() map[string]consensus.StateMachine {
 	versionConfig := configversion.DefaultConfig()
 	if n.config.Versions != nil {
--- a/internal/controlplane/statemachines_test.go
+++ b/internal/controlplane/statemachines_test.go
@@ -11,9 +11,9 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// State machines that count their changes are sent to watchers completely at each change. They are
-// those that somebody watches, or whose Query is a few bytes; none that holds something for each
-// process or tenant.
+// The complete state of a state machine with a method Changes is sent to watchers at each change.
+// Only state machines that are watched or whose Query result is a few bytes may have the method, and
+// none that holds data for each process or tenant.
 func TestOnlySmallStateMachinesAreSentAtEachChange(t *testing.T) {
 	var sent []string
 	machines := NewStateMachines(lease.DefaultConfig(), configversion.DefaultConfig())
@@ -27,6 +27,6 @@
 		lease.MachineName: true, endpointlist.MachineName: true, distribution.MachineName: true,
 	}))
 	if !slices.Equal(sent, want) {
-		t.Errorf("state machines that are sent at each change: %v, %v wanted", sent, want)
+		t.Errorf("state machines that are sent at each change: %v, want %v", sent, want)
 	}
 }
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -2,16 +2,17 @@
 
 import "mothcleat/internal/controlplane/metering"
 
-// maxEarlyUsage is how many requests are kept that were sent before the counter was open.
+// maxEarlyUsage is the largest number of requests that are kept until the counter is open.
 const maxEarlyUsage = 4096
 
-// usage is the units of one request.
+// usage contains the units of one request.
 type usage struct {
 	customer uint64
 	units    float64
 }
 
-// Count counts units that were sent on for a customer. It is for one goroutine, and never waits.
+// Count counts units that were forwarded for a customer. Only one goroutine may call it. It
+// never blocks.
 func (n *Node) Count(customer uint64, units float64) {
 	if c := n.counter.Load(); c != nil {
 		n.countEarlyUsage(c)
@@ -28,7 +29,7 @@
 	}
 }
 
-// countEarlyUsage counts what was sent before the counter was open.
+// countEarlyUsage counts the requests that were sent before the counter was open.
 func (n *Node) countEarlyUsage(c *metering.Counter) {
 	for len(n.earlyUsage) > 0 {
 		u := <-n.earlyUsage
