--- a/internal/controlplane/config.go
+++ b/internal/controlplane/config.go
@@ -56,8 +56,7 @@
 	AllocationLog    io.Writer // receives a line per renewal of allocations; nil: none
 
 	// Versions configures the roll-out of versions of the configuration, and Items contains the
-	// versioned items, by name. If Versions is nil, each gateway uses its own
-	// configuration.
+	// versioned items, by name. If Versions is nil, each gateway uses its own configuration.
 	Versions *configversion.Config
 	Items    map[string]rollout.Item
 }
--- a/internal/controlplane/election/request.go
+++ b/internal/controlplane/election/request.go
@@ -81,7 +81,7 @@
 	return delay + time.Duration(rank)*rankDelay
 }
 
-// release releases the lease in the table of leases under a term that this process gave up.
+// release proposes to the table of leases to release a term that this process gave up.
 func (e *elector) release(term uint64) {
 	ctx, cancel := e.requestContext()
 	defer cancel()
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -49,7 +49,8 @@
 	contents     *rollout.Contents       // nil: there are no versions
 	proposals    proposals
 
-	// The following are nil until the directory and the address have been opened; see open.
+	// The following are set while the directory and the address are opened, and are nil before;
+	// see open.
 	server       atomic.Pointer[controlrpc.Server]
 	incarnations atomic.Pointer[allocator.IncarnationFile]
 	counter      atomic.Pointer[metering.Counter]       // nil also if no usage is counted
