--- a/internal/dataplane/membership/membership.go
+++ b/internal/dataplane/membership/membership.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Time is a moment or a duration in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
-// Health is the worst of an instance's checks.
+// Health is the worst state among an instance's health checks.
 type Health uint8
 
-// The states of health, from the best. Maintenance is set by an operator and no fault.
+// The health states, from best to worst. Maintenance is set by an operator and is not a fault.
 const (
 	Passing Health = iota
 	Warning
@@ -20,93 +20,93 @@
 	Critical
 )
 
-// Phase is what a gateway is to do with a server.
+// Phase says how a gateway has to treat a server.
 type Phase uint8
 
-// The phases. A Draining server finishes its work and gets no new work.
+// The phases. A Draining server finishes its work and receives no new work.
 const (
 	Ready Phase = iota
 	Draining
 	Gone
 )
 
-// Instance is an entry of a registry's list.
+// Instance is an entry of a registry's list of instances.
 type Instance struct {
-	Node, ID          string // name it together
+	Node, ID          string // identify the instance together
 	Address           string // HOST:PORT
 	Health            Health
-	Draining          bool   // by tag or metadata
-	Started           Time   // as its metadata says; 0: it does not
+	Draining          bool   // set by a tag or by metadata
+	Started           Time   // start time from its metadata; 0: not stated
 	Created, Modified uint64 // the registry's indexes of its registration; 0: not known
 	Zone              string
 	Cell              int
 	Size              float64
 }
 
-// Name returns what tells instances apart: ids are unique on their node only.
+// Name returns a name that is unique among instances: an ID is unique only on its node.
 func (i *Instance) Name() string { return i.Node + "/" + i.ID }
 
-// View is the part of a registry that a list comes from.
+// View is the part of a registry from which a list was read.
 type View uint8
 
-// The views. The health view has instances with their checks; the catalog has no checks, and may
-// be ahead of the health view or behind it.
+// The views. The health view lists instances with their health checks. The catalog has no health
+// checks, and may be newer or older than the health view.
 const (
 	HealthView View = iota
 	CatalogView
 	views
 )
 
-// List is a registry's list of a service's instances, as of an index.
+// List is a registry's list of the instances of a service at an index.
 type List struct {
 	View      View
 	Index     uint64
 	Instances []Instance
 }
 
-// Server is what a gateway is told of an instance.
+// Server is the state of an instance as reported to a gateway.
 type Server struct {
 	Name, Address string
 	Phase         Phase
-	Started       Time // 0: long ago
+	Started       Time // 0: started long ago
 	Zone          string
 	Cell          int
 	Size          float64
 }
 
-// Settings are the rules by which lists are judged.
+// Settings are the rules for accepting and applying lists.
 type Settings struct {
-	WarningServes bool // an instance with a warning is sent work
-	EmptyListHold Time // how long the servers stay when a list is empty all at once
-	ResetAfter    int  // lists in a row with an older index that show a registry counting anew
-	MaxClockSkew  Time // by how much a server's clock may be behind this one's
+	WarningServes bool // an instance whose health is Warning receives work
+	EmptyListHold Time // how long servers are kept when a list is suddenly empty
+	ResetAfter    int  // number of older lists in a row that show that the index was restarted
+	MaxClockSkew  Time // maximum time by which a server's clock may be behind the local clock
 }
 
-// ErrSettings is returned for settings out of range.
-var ErrSettings = errors.New(
-	"membership: hold and skew of 0 and more, and a reset after 1 and more wanted")
+// ErrSettings is returned for settings that are out of range.
+var ErrSettings = errors.New("membership: EmptyListHold and MaxClockSkew must be at least 0, and " +
+	"ResetAfter must be at least 1")
 
-// record is what is known of one name.
+// record is the state of the server with one name.
 type record struct {
 	Server
 	created        uint64
-	announcedStart Time // its start as its metadata said
-	critical       bool // by its last list
+	announcedStart Time // start time from its metadata; 0: not stated
+	critical       bool // according to the last list that had it
 }
 
-// Table is what is known of a service. It is not safe for concurrent use.
+// Table is the state of all servers of a service. It is not safe for concurrent use.
 type Table struct {
 	settings    Settings
 	now         Time
 	records     map[string]*record
 	index       [views]uint64
-	olderInRow  [views]int      // lists in a row with an older index
-	missing     map[string]bool // names that the catalog, as of its index, does not have
+	olderInRow  [views]int      // number of lists in a row with an older index
+	missing     map[string]bool // names that the catalog does not have at its index
 	initialized bool            // a list of the health view was applied
-	emptySince  Time            // since when lists are empty; 0: they are not
+	emptySince  Time            // since when an empty list has been held back; 0: none is
 }
 
-// New makes a table that knows no servers. It returns ErrSettings for settings out of range.
+// New returns a table without servers. It returns ErrSettings for settings that are out of range.
 func New(settings Settings) (*Table, error) {
 	if settings.EmptyListHold < 0 || settings.ResetAfter < 1 || settings.MaxClockSkew < 0 {
 		return nil, ErrSettings
@@ -118,7 +118,7 @@
 	}, nil
 }
 
-// Servers returns all servers but those that are gone, by name.
+// Servers returns all servers that are not gone, sorted by name.
 func (t *Table) Servers() []Server {
 	var list []Server
 	for _, r := range t.records {
@@ -134,10 +134,12 @@
 	slices.SortFunc(list, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Holding reports whether the servers stay although the registry's list is empty, and since when.
+// Holding reports whether the servers are kept although the registry's list is empty, and since
+// when.
 func (t *Table) Holding() (since Time, holds bool) { return t.emptySince, t.emptySince != 0 }
 
-// Apply applies a list and returns the servers that changed, by name. The list is not retained.
+// Apply applies a list and returns the servers that changed, sorted by name. It does not retain the
+// list.
 func (t *Table) Apply(now Time, l List) []Server {
 	t.now = max(t.now, now)
 	if l.View >= views || !t.acceptIndex(l.View, l.Index) {
@@ -155,7 +157,8 @@
 	return t.changes(before)
 }
 
-// Tick records that time has passed without a list, and returns the servers that changed by it.
+// Tick advances the time without a new list, and returns the servers that changed because of that,
+// sorted by name.
 func (t *Table) Tick(now Time) []Server {
 	t.now = max(t.now, now)
 	if t.emptySince == 0 || t.now-t.emptySince < t.settings.EmptyListHold {
@@ -167,15 +170,15 @@
 	return t.changes(before)
 }
 
-// acceptIndex reports whether a list counts: it is not older than an accepted one, or the registry
-// has begun to count anew.
+// acceptIndex reports whether a list with this index is accepted: its index is not lower than that
+// of the last accepted list, or the registry has restarted its index.
 func (t *Table) acceptIndex(v View, index uint64) bool {
 	if index < t.index[v] {
 		t.olderInRow[v]++
 		if t.olderInRow[v] < t.settings.ResetAfter {
 			return false
 		}
-		t.index = [views]uint64{} // earlier indexes mean nothing now
+		t.index = [views]uint64{} // earlier indexes are no longer valid
 		clear(t.missing)
 	}
 	t.olderInRow[v] = 0
@@ -183,8 +186,8 @@
 	return true
 }
 
-// holdEmpty reports whether an empty list is not to be believed yet. If one server goes, that is
-// the server's end; if several go at once, the registry has failed.
+// holdEmpty reports whether an empty list must not be applied yet. If a single server disappears,
+// that server has ended; if several disappear at once, the registry is assumed to have failed.
 func (t *Table) holdEmpty() bool {
 	if t.emptySince == 0 {
 		present := 0
@@ -204,8 +207,8 @@
 // catalogDecides reports whether the catalog is at least as new as the health view.
 func (t *Table) catalogDecides() bool { return t.index[CatalogView] >= t.index[HealthView] }
 
-// applyCatalog records which names the catalog has. It can only remove servers: without a health
-// check none is sent work.
+// applyCatalog records which names are missing from the catalog. It can only remove servers: no
+// server receives work without a health check.
 func (t *Table) applyCatalog(list []Instance) {
 	listed := make(map[string]bool, len(list))
 	for i := range list {
@@ -213,7 +216,7 @@
 	}
 	clear(t.missing)
 	if len(list) == 0 {
-		return // the health view decides, with its hold
+		return // the health view decides, which holds back empty lists
 	}
 	for name, r := range t.records {
 		if !listed[name] && t.catalogDecides() {
@@ -223,11 +226,11 @@
 	}
 }
 
-// applyHealth applies a list of instances with their checks.
+// applyHealth applies a list of the health view.
 func (t *Table) applyHealth(list []Instance) {
 	byName := make(map[string]*Instance, len(list))
 	for i := range list {
-		// Of one name at two addresses the registration changed last counts.
+		// If a name is listed at two addresses, the registration that changed last counts.
 		in := &list[i]
 		other := byName[in.Name()]
 		if other == nil || moreRecent(in, other) {
@@ -251,7 +254,7 @@
 	t.initialized = true
 }
 
-// phaseOf returns the phase of a listed instance, given the newest one at its address.
+// phaseOf returns the phase of a listed instance, given the most recent instance at its address.
 func (t *Table) phaseOf(name string, in, newest *Instance) Phase {
 	if t.missing[name] && t.catalogDecides() {
 		return Gone
@@ -263,7 +266,8 @@
 	return Ready
 }
 
-// moreRecent reports which of two registrations counts.
+// moreRecent reports whether registration a takes precedence over b: the one that was modified
+// last, then the one that was created last. Names and addresses break ties.
 func moreRecent(a, b *Instance) bool {
 	return cmp.Or(
 		cmp.Compare(a.Modified, b.Modified),
@@ -273,7 +277,7 @@
 	) > 0
 }
 
-// updateRecord brings a record to what an instance says.
+// updateRecord updates the record of a name from a listed instance.
 func (t *Table) updateRecord(name string, in *Instance, phase Phase) {
 	r := t.records[name]
 	isNew := r == nil
@@ -281,8 +285,8 @@
 		r = &record{}
 		t.records[name] = r
 	}
-	// An instance of the first list without a start was there before this gateway listened, and
-	// counts as started long ago.
+	// An instance in the first list that states no start time existed before this gateway read the
+	// registry, and counts as started long ago.
 	startUnknown := isNew && !t.initialized && in.Started == 0
 	if !startUnknown && (isNew || r.Address != in.Address || t.restarted(r, in)) {
 		r.Started = t.startTime(in)
@@ -301,25 +305,26 @@
 	r.critical = in.Health == Critical
 }
 
-// restarted reports whether a known name stands for another process now.
+// restarted reports whether a known name now belongs to another process.
 func (t *Table) restarted(r *record, in *Instance) bool {
 	if in.Started != r.announcedStart {
 		return in.Started != 0
 	}
 	if in.Started != 0 {
-		return false // its metadata shows that it is the same
+		return false // its metadata shows that it is the same process
 	}
 	if in.Created != r.created {
 		return true
 	}
 	if r.Phase == Gone {
-		return in.Created == 0 // without an index it can't be told from another
+		return in.Created == 0 // without an index it can't be distinguished from a new process
 	}
-	return r.critical && in.Health != Critical // as after a crash
+	return r.critical && in.Health != Critical // it may have crashed and been restarted
 }
 
-// startTime returns when an instance was started. Its clock may be behind, and a start in the
-// future is not believed.
+// startTime returns when an instance was started, by the local clock. The stated start time is
+// increased by MaxClockSkew, because the instance's clock may be behind, but never beyond the
+// current time.
 func (t *Table) startTime(in *Instance) Time {
 	if in.Started == 0 {
 		return t.now
@@ -335,7 +340,7 @@
 	return m
 }
 
-// changes returns the servers that differ from those before.
+// changes returns the servers that differ from those in before, sorted by name.
 func (t *Table) changes(before map[string]Server) []Server {
 	var list []Server
 	for name, r := range t.records {
--- a/internal/dataplane/membership/membership_test.go
+++ b/internal/dataplane/membership/membership_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// An old list that comes after a drain undoes nothing; several in a row show a registry that counts
-// anew.
+// A list with an older index that arrives after a drain must not undo the drain. Only several older
+// lists in a row show that the registry has restarted its index.
 func TestOlderIndexUndoesNoDrain(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(1, list(10, in(1), in(2)))
@@ -93,11 +93,11 @@
 	want(t, "the same", tab.Apply(5, list(12, drained, in(2))), "")
 	want(t, "older", tab.Apply(6, list(3, in(1), in(2))), "")
 	want(t, "older", tab.Apply(7, list(3, in(1), in(2))), "")
-	want(t, "counts anew", tab.Apply(8, list(4, in(1), in(2))), "s1=0 ")
+	want(t, "index restarted", tab.Apply(8, list(4, in(1), in(2))), "s1=0 ")
 }
 
-// A server that disappears and reappears at the same address is a restarted process, unless the
-// registry shows that it is the same.
+// A server that disappears and reappears at the same address counts as a restarted process, unless
+// the registry shows that it is the same process.
 func TestReappearingServer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -107,7 +107,7 @@
 	}{
 		{"registered anew", func(*Instance) {}, func(i *Instance) { i.Created = 99 }, true},
 		{"the same registration", func(*Instance) {}, func(*Instance) {}, false},
-		{"indexes are not told", func(i *Instance) { i.Created = 0 }, func(i *Instance) { i.Created = 0 }, true},
+		{"indexes are not known", func(i *Instance) { i.Created = 0 }, func(i *Instance) { i.Created = 0 }, true},
 		{"the same start", func(i *Instance) { i.Started = second }, func(i *Instance) { i.Started, i.Created = second, 99 }, false},
 		{"another start", func(i *Instance) { i.Started = second }, func(i *Instance) { i.Started = 118 * second }, true},
 		{"another address", func(*Instance) {}, func(i *Instance) { i.Address = "10.0.0.9:1" }, true},
@@ -117,13 +117,13 @@
 		want(t, c.name, tab.Apply(110*second, list(2, in(2))), "s1=2 ")
 		got := tab.Apply(120*second, list(3, in(1, c.after), in(2)))
 		if len(got) != 1 || got[0].Phase != Ready || (got[0].Started == 120*second) != c.cold {
-			t.Errorf("%s: %+v, cold %t wanted", c.name, got, c.cold)
+			t.Errorf("%s: %+v, want cold %t", c.name, got, c.cold)
 		}
 	}
 }
 
-// A process that crashed while its registration stayed counts as restarted when it is back; one in
-// maintenance kept running.
+// A process that was critical may have crashed while its registration remained, so it counts as
+// restarted when it recovers. A process in maintenance kept running.
 func TestRecoveryFromCriticalCountsAsRestart(t *testing.T) {
 	for _, c := range []struct {
 		health Health
@@ -139,7 +139,8 @@
 	}
 }
 
-// An empty list after a full one is held back; if one server goes, that is believed.
+// An empty list that follows a list of several servers is held back. The removal of a single server
+// is applied at once.
 func TestEmptyList(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(second, list(1, in(1), in(2)))
@@ -153,13 +154,13 @@
 	tab.Apply(65*second, list(4))
 	want(t, "back in time", tab.Apply(66*second, list(5, in(1))), "s2=2 ")
 	if _, holds := tab.Holding(); holds {
-		t.Error("holds on")
+		t.Error("servers are still held after a list that is not empty")
 	}
 	want(t, "the only one", tab.Apply(67*second, list(6)), "s1=2 ")
 }
 
-// Of one name at two addresses the last change counts; of two names at one address the newer one
-// makes the older one drain.
+// If a name is listed at two addresses, the registration that changed last counts. If two names are
+// listed at one address, the older one drains.
 func TestContradictions(t *testing.T) {
 	tab := table(t, settings())
 	moved := in(1, func(i *Instance) { i.Address, i.Modified = "10.0.0.9:1", 50 })
@@ -175,31 +176,32 @@
 	}
 }
 
-// The catalog removes what it no longer has, if it is not behind, and adds nothing.
+// The catalog removes servers that it no longer lists, unless it is older than the health view. It
+// never adds servers.
 func TestCatalog(t *testing.T) {
 	tab := table(t, settings())
 	tab.Apply(1, list(10, in(1), in(2)))
 	cat := func(index uint64, is ...Instance) List { return List{View: CatalogView, Index: index, Instances: is} }
 	want(t, "behind", tab.Apply(2, cat(9, in(1))), "")
 	want(t, "ahead", tab.Apply(3, cat(11, in(1), in(3))), "s2=2 ")
-	want(t, "health that is behind it", tab.Apply(4, list(11, in(1), in(2))), "")
-	want(t, "health that is ahead again", tab.Apply(5, list(12, in(1), in(2))), "s2=0 ")
-	want(t, "nothing at all", tab.Apply(6, cat(13)), "")
+	want(t, "health view older than the catalog", tab.Apply(4, list(11, in(1), in(2))), "")
+	want(t, "health view newer again", tab.Apply(5, list(12, in(1), in(2))), "s2=0 ")
+	want(t, "empty catalog", tab.Apply(6, cat(13)), "")
 }
 
-// A start from another clock is corrected by the clock skew.
+// A start time from another clock is corrected by the maximum clock skew.
 func TestClockSkew(t *testing.T) {
-	for told, started := range map[Time]Time{130 * second: 120 * second, 118 * second: 120 * second, 50 * second: 55 * second} {
+	for stated, started := range map[Time]Time{130 * second: 120 * second, 118 * second: 120 * second, 50 * second: 55 * second} {
 		tab := table(t, settings())
 		tab.Apply(100*second, list(1, in(2)))
-		tab.Apply(120*second, list(2, in(1, func(i *Instance) { i.Started = told }), in(2)))
+		tab.Apply(120*second, list(2, in(1, func(i *Instance) { i.Started = stated }), in(2)))
 		if got := tab.Servers()[0].Started; got != started {
-			t.Errorf("told %d: %d, want %d", told, got, started)
+			t.Errorf("stated start %d: %d, want %d", stated, got, started)
 		}
 	}
 }
 
-// With random registries and answers out of order, the guarantees hold at each step.
+// The package's guarantees hold at each step for random registries whose lists arrive out of order.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -210,7 +212,7 @@
 		index := uint64(10)
 		var past []List
 		newest := List{}
-		told := map[string]Server{}
+		reported := map[string]Server{}
 		lastGone := map[string]Time{}
 		now, older := 100*second, 0
 		for range 120 {
@@ -254,7 +256,7 @@
 				older = 0
 			}
 			if older >= set.ResetAfter {
-				break // the registry would seem to count anew
+				break // the registry would seem to have restarted its index
 			}
 			if !counts && len(changes) > 0 {
 				t.Fatalf("seed %d: an older list changed %+v", seed, changes)
@@ -264,27 +266,27 @@
 				newest = l
 			}
 			for _, c := range changes {
-				was, there := told[c.Name]
+				was, there := reported[c.Name]
 				if c.Phase == Gone {
 					lastGone[c.Name] = now
 				} else if there && was.Phase == Gone && c.Started < lastGone[c.Name] {
 					for _, i := range l.Instances {
 						if i.Name() == c.Name && i.Created != tab.records[c.Name].created {
-							t.Fatalf("seed %d: %+v is back and not cold", seed, c)
+							t.Fatalf("seed %d: %+v is back but does not count as restarted", seed, c)
 						}
 					}
 				}
-				told[c.Name] = c
+				reported[c.Name] = c
 			}
-			// The announced servers are those of the table.
+			// The reported servers are those of the table.
 			now2 := tab.Servers()
 			for _, s := range now2 {
-				if told[s.Name] != s {
-					t.Fatalf("seed %d: told %+v, is %+v", seed, told[s.Name], s)
+				if reported[s.Name] != s {
+					t.Fatalf("seed %d: reported %+v, is %+v", seed, reported[s.Name], s)
 				}
 			}
 			if len(changes) == 0 && !reflect.DeepEqual(before, now2) {
-				t.Fatalf("seed %d: a change was not told", seed)
+				t.Fatalf("seed %d: a change was not reported", seed)
 			}
 			at := map[string]bool{}
 			for _, s := range now2 {
@@ -292,7 +294,7 @@
 					continue
 				}
 				if at[s.Address] {
-					t.Fatalf("seed %d: two are ready at %s", seed, s.Address)
+					t.Fatalf("seed %d: two servers are ready at %s", seed, s.Address)
 				}
 				at[s.Address] = true
 				good := holds
@@ -302,7 +304,7 @@
 							(i.Health == Passing || i.Health == Warning && set.WarningServes)
 				}
 				if !good {
-					t.Fatalf("seed %d: %+v is ready, and the newest list says otherwise", seed, s)
+					t.Fatalf("seed %d: %+v is ready, but not in the newest list", seed, s)
 				}
 			}
 		}
@@ -312,12 +314,12 @@
 func TestBadSettings(t *testing.T) {
 	for _, set := range []Settings{{EmptyListHold: -1, ResetAfter: 1}, {ResetAfter: 0}, {ResetAfter: 1, MaxClockSkew: -1}} {
 		if _, err := New(set); err == nil {
-			t.Errorf("%+v was taken", set)
+			t.Errorf("%+v was accepted", set)
 		}
 	}
 }
 
-// BenchmarkOneChange measures one change in a list of 5,000.
+// BenchmarkOneChange measures applying a list of 5,000 instances with one change.
 func BenchmarkOneChange(b *testing.B) {
 	tab := table(b, settings())
 	l := list(1)
--- a/internal/dataplane/membership/pacer_test.go
+++ b/internal/dataplane/membership/pacer_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestPacerRecovers plays a registry with capacity for so many calls a second and a fleet that
-// fails all at once: all gateways must be served soon, and retries must not keep the registry
-// overloaded.
+// TestPacerRecovers simulates a registry with capacity for perSecond calls a second, and a fleet
+// whose calls all fail at the same time. All gateways must be served soon, and their retries must
+// not keep the registry overloaded.
 func TestPacerRecovers(t *testing.T) {
 	const perSecond = 20 // a fleet that retried each 100 ms would make up to 480
 	for _, gateways := range []int{1, 3, 8, 24, 48} {
@@ -22,7 +22,7 @@
 			for ; served < gateways; now += 1000 {
 				if now > 30_000_000 {
 					t.Fatalf(
-						"%d gateways, seed %d: %d of them are served after 30 s",
+						"%d gateways, seed %d: only %d of them were served after 30 s",
 						gateways,
 						seed,
 						served,
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestPacerBounds checks the waits against the time that a drain allows.
+// TestPacerBounds checks that all waits are short enough to act on a drain in time.
 func TestPacerBounds(t *testing.T) {
 	for gateways := range 200 {
 		p := NewPacer(gateways, 7)
@@ -76,7 +76,7 @@
 			p.Succeeded()
 		}
 		if after := p.Succeeded(); after != 0 {
-			t.Fatalf("a register with room: the next watch after %d us", after)
+			t.Fatalf("registry with enough capacity: the next watch after %d us", after)
 		}
 		if after := p.Failed(false, 0); after > 100_000 {
 			t.Fatalf("the first failure after successes: again after %d us", after)
@@ -84,48 +84,48 @@
 	}
 }
 
-// Where changes bind at once, silence and failures end within a part of the time that is given to
-// act on a change.
+// Where lists are pushed, another call follows a silent or failed one within a fraction of the time
+// within which a change must be acted on.
 func TestPacerSilenceTimeoutFollowsGracePeriod(t *testing.T) {
 	for _, grace := range []Time{0, 100_000, 250_000, 600_000, 2_000_000, 60_000_000} {
 		p := NewPacer(300, 7).SetPushed(grace)
-		soon := p.SilenceTimeout()
-		if soon < 50_000 || soon > 500_000 || grace >= 200_000 && soon > grace/4 {
-			t.Errorf("grace %d: patience %d", grace, soon)
+		timeout := p.SilenceTimeout()
+		if timeout < 50_000 || timeout > 500_000 || grace >= 200_000 && timeout > grace/4 {
+			t.Errorf("grace %d: silence timeout %d", grace, timeout)
 		}
 		for range 20 {
-			if again := p.Failed(false, 0); again > soon {
-				t.Errorf("grace %d: %d after a failure, patience %d", grace, again, soon)
+			if again := p.Failed(false, 0); again > timeout {
+				t.Errorf("grace %d: retry after %d, silence timeout %d", grace, again, timeout)
 			}
 		}
 		p.Succeeded()
 		for range 20 {
-			if wait := p.WatchTimeout(); wait < 2_000_000 || wait+soon > 4_000_000 {
+			if wait := p.WatchTimeout(); wait < 2_000_000 || wait+timeout > 4_000_000 {
 				t.Errorf(
-					"grace %d: a watch waits %d, and is then silent for %d until another call is made",
+					"grace %d: a watch waits %d, and another call follows after a silence of %d",
 					grace,
 					wait,
-					soon,
+					timeout,
 				)
 			}
 		}
 		if again := p.Failed(true, 0); again < 300*60_000*3/4 && again < 3_000_000 {
-			t.Errorf("grace %d: turned away, and again after %d", grace, again)
+			t.Errorf("grace %d: retry %d after a rejected call", grace, again)
 		}
 	}
 	if p := NewPacer(300, 7); p.SilenceTimeout() != 0 {
-		t.Error("impatient without a reason")
+		t.Error("a silence timeout is set although lists are polled")
 	}
 }
 
-// Whatever a registry does with the calls of one gateway, the next call begins soon enough after
-// one that failed, was rejected or given up: a change binds 6 s after the registry had it and could
-// be reached, and the call itself takes time.
+// However a registry treats the calls of one gateway, the next call begins soon enough after one that
+// failed, was rejected or was abandoned: a change must be acted on within 6 s after the registry has
+// it and is reachable, and the call itself takes time.
 func TestPacerBoundsCallSpacing(t *testing.T) {
 	const (
-		whole  = 4_000_000 // from the beginning of a call to that of the next; 2 s are left for that one
-		slack  = 1_000_000 // that a watch is given beyond its wait
-		hung   = 2_000_000 // that a call for the whole list is given
+		whole  = 4_000_000 // from the start of a call to the start of the next, which has 2 s left
+		slack  = 1_000_000 // time for the answer to a watch after its wait
+		hung   = 2_000_000 // timeout of a call for the complete list
 		rounds = 200
 	)
 	for _, grace := range []Time{-1, 0, 250_000, 2_000_000} { // -1: lists are polled
@@ -134,11 +134,11 @@
 			if grace >= 0 {
 				p.SetPushed(grace)
 			}
-			chance := rand.New(rand.NewPCG(uint64(gateways), uint64(grace)))
+			random := rand.New(rand.NewPCG(uint64(gateways), uint64(grace)))
 			failed := false
 			for range rounds {
-				spent, turnedAway := Time(0), false
-				switch chance.IntN(5) {
+				spent, rejected := Time(0), false
+				switch random.IntN(5) {
 				case 0:
 					if gap := p.Succeeded(); gap > whole {
 						t.Fatalf(
@@ -151,23 +151,23 @@
 					failed = false
 					continue
 				case 1:
-					turnedAway = true
+					rejected = true
 				case 2:
 					spent = hung
 				case 3:
 					watch := p.WatchTimeout()
 					if !failed {
-						continue // such a watch has a wait of its own, in which it may hang
+						continue // a watch after a success may hang for longer: its wait is not the minimum
 					}
 					spent = watch + slack
 				}
-				if after := p.Failed(turnedAway, spent); spent+after > whole {
+				if after := p.Failed(rejected, spent); spent+after > whole {
 					t.Fatalf(
-						"%d gateways, grace %d: a call failed after %d us, turned away %t, and the next is made %d us later",
+						"%d gateways, grace %d: a call failed after %d us, rejected %t, and the next is made %d us later",
 						gateways,
 						grace,
 						spent,
-						turnedAway,
+						rejected,
 						after,
 					)
 				}
