--- a/internal/dataplane/registry/client.go
+++ b/internal/dataplane/registry/client.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	watchResponseSlack = time.Second           // for an answer after the watch's wait is over
-	listTimeout        = 2 * time.Second       // for the complete list, which comes at once
-	dialTimeout        = 2 * time.Second       // a dial outlives the call that it was made for
-	minWatchDuration   = 50 * time.Millisecond // for a watch without changes
+	watchResponseSlack = time.Second           // time for the answer after a watch's wait is over
+	listTimeout        = 2 * time.Second       // for the complete list, which is sent at once
+	dialTimeout        = 2 * time.Second       // a dial outlives the call that started it
+	minWatchDuration   = 50 * time.Millisecond // for a watch that returns no changes
 	maxListBytes       = 8 << 20
 	maxConcurrentCalls = 8
 	maxHeaderBytes     = 16 << 10
 
-	// What follows a list, such as a line break, is read up to this so that the connection can
-	// be used again.
+	// Data after a list, such as a line break, is read up to this limit, so that the connection
+	// can be reused.
 	maxTrailingBytes = 64
 )
 
-// Errors of calls.
+// Errors of calls to discovery.
 var (
-	// errRejected says that discovery has no capacity for a call. Earlier answers still hold.
+	// errRejected means that discovery has no capacity for a call. Earlier answers remain valid.
 	errRejected         = errors.New("turned away")
 	errConnectionBroken = errors.New("the connection broke")
 	errAbandoned        = errors.New("given up")
@@ -45,7 +45,7 @@
 func newClient() *client {
 	c := &client{dialer: net.Dialer{Timeout: dialTimeout}}
 	c.Client = &http.Client{
-		// Only the addresses of the configuration are called.
+		// Redirects are not followed: only configured addresses are called.
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
 		},
@@ -62,9 +62,9 @@
 	return c
 }
 
-// cancelOnResend cancels a call where the transport would send it once more, as it does with a GET
-// when a reused connection breaks. The answer might come from another process, to which the version
-// of the first one means nothing.
+// cancelOnResend returns a trace that cancels a call when the transport is about to send it again,
+// as it does for a GET when a reused connection breaks. The second answer might come from another
+// process, for which the version in the call is meaningless.
 func cancelOnResend(cancel func()) *httptrace.ClientTrace {
 	var sent atomic.Bool
 	return &httptrace.ClientTrace{
@@ -77,9 +77,9 @@
 	}
 }
 
-// request makes one call: a watch from a version on, which may wait, or one for the complete list.
-// It returns errRejected, errConnectionBroken, errAbandoned or context.DeadlineExceeded, wrapped,
-// for what these say.
+// request makes one call: a watch for changes since a version, which may last up to wait, or, if
+// version is empty, a call for the complete list. Its error wraps errRejected, errConnectionBroken,
+// errAbandoned, errStatus or context.DeadlineExceeded where these apply.
 func (c *client) request(
 	ctx context.Context, url, version string, wait time.Duration,
 ) (list List, err error) {
@@ -115,7 +115,7 @@
 	default:
 		return list, fmt.Errorf("discovery call: %w %s", errStatus, res.Status)
 	}
-	// A list that is cut off or has no end must not pass for a short one.
+	// A truncated or endless list must not be taken for a complete one.
 	err = json.NewDecoder(io.LimitReader(res.Body, maxListBytes)).Decode(&list)
 	if err != nil {
 		return list, fmt.Errorf("discovery list: %w", err)
--- a/internal/dataplane/registry/discovery_return_test.go
+++ b/internal/dataplane/registry/discovery_return_test.go
@@ -18,19 +18,19 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// term is the time within which a change binds, once discovery has it and can be reached, whatever
-// became of earlier calls.
-const term = 6 * time.Second
+// updateDeadline is the time within which a gateway must act on a change once discovery has it and is
+// reachable, whatever happened to earlier calls.
+const updateDeadline = 6 * time.Second
 
-// socket is a socket that the test has listen when it wants.
+// socket is a bound socket on which the test starts to listen at a time of its choice.
 type socket struct {
 	fd      int
 	file    *os.File // owns the descriptor
 	address string
 }
 
-// boundSocket returns a socket with an address at which nothing listens yet: connections are
-// refused there.
+// boundSocket returns a socket that is bound to an address but does not listen yet, so that
+// connections to the address are refused.
 func boundSocket(t *testing.T) *socket {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -50,17 +50,17 @@
 	return s
 }
 
-// serve answers calls for the list where a socket listens.
+// serve answers calls for the list on a listening socket.
 func (s *socket) serve(t *testing.T, list string) {
 	t.Helper()
-	l, err := net.FileListener(s.file) // it has a descriptor of its own
+	l, err := net.FileListener(s.file) // duplicates the descriptor
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
-			<-r.Context().Done() // a watch
+			<-r.Context().Done() // holds a watch
 			return
 		}
 		fmt.Fprint(w, list)
@@ -71,11 +71,11 @@
 
 const oneMember = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
 
-// failing are the ways in which one call fails, or is held until its caller gives it up.
-var failing = map[string]func(w http.ResponseWriter, r *http.Request){
-	"turned away": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-	"an error":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-	"a cut list":  func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, oneMember[:20]) },
+// failureModes are the ways in which one call fails, or is held until its caller abandons it.
+var failureModes = map[string]func(w http.ResponseWriter, r *http.Request){
+	"rejected":         func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+	"an error":         func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+	"a truncated list": func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, oneMember[:20]) },
 	"reset": func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
@@ -84,40 +84,40 @@
 		}
 	},
 	"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-	"silent amid the list": func(w http.ResponseWriter, r *http.Request) {
+	"silent within the list": func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, oneMember[:20])
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	},
 }
 
-// pacesOfTheWorst returns pacers of a large fleet whose calls have failed for long, some of them by
-// rejections.
-func pacesOfTheWorst(asks bool) []*membership.Pacer {
-	var paces []*membership.Pacer
+// pacersAfterFailures returns pacers of a large fleet whose calls have failed many times in a row,
+// some of them by rejections.
+func pacersAfterFailures(polled bool) []*membership.Pacer {
+	var pacers []*membership.Pacer
 	for seed := range uint64(12) {
 		p := membership.NewPacer(300, seed)
-		if !asks {
+		if !polled {
 			p.SetPushed(2_000_000)
 		}
 		for n := range 12 {
 			p.Failed(seed%2 == 0 && n < 6, 0)
 		}
-		paces = append(paces, p)
+		pacers = append(pacers, p)
 	}
-	return paces
+	return pacers
 }
 
-// Discovery that can be reached right after it has failed a call, or has let it hang, is called
-// again, and answers, within the term: also in a large fleet, after a long row of failed calls.
+// If discovery becomes reachable right after it has failed a call or left it hanging, it is called
+// again and its answer arrives within updateDeadline, even in a large fleet after many failed calls.
 func TestReturningDiscoveryIsReachedInTime(t *testing.T) {
 	t.Parallel() // the delays are seconds
 	var all sync.WaitGroup
 	defer all.Wait()
-	for name, fail := range failing {
-		for _, asks := range []bool{false, true} {
-			what := fmt.Sprintf("%s, asks %t", name, asks)
-			for _, pace := range pacesOfTheWorst(asks) {
+	for name, fail := range failureModes {
+		for _, polled := range []bool{false, true} {
+			what := fmt.Sprintf("%s, polled %t", name, polled)
+			for _, pacer := range pacersAfterFailures(polled) {
 				var reachable atomic.Pointer[time.Time]
 				s := httptest.NewServer(
 					http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -129,62 +129,63 @@
 					}),
 				)
 				t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-				told := follow(
+				updates := follow(
 					t,
 					NewPlatform(
 						strings.TrimPrefix(s.URL, "http://"),
-						asks,
-						pace,
+						polled,
+						pacer,
 						quiet(),
-					).following(),
+					).startFollowing(),
 				)
-				all.Go(func() { heardInTime(t, what, told, &reachable) })
+				all.Go(func() { expectUpdateInTime(t, what, updates, &reachable) })
 			}
 		}
 	}
 }
 
-// following has a source followed from the start.
-func (d *Platform) following() *Platform {
+// startFollowing calls Follow and returns the source.
+func (d *Platform) startFollowing() *Platform {
 	d.Follow()
 	return d
 }
 
-// heardInTime waits for the list, and checks how long it took against the term.
-func heardInTime(
+// expectUpdateInTime waits for the list, and checks that it arrived within updateDeadline after
+// discovery was reachable.
+func expectUpdateInTime(
 	t *testing.T,
 	what string,
-	told <-chan Update,
+	updates <-chan Update,
 	reachable *atomic.Pointer[time.Time],
 ) {
 	for late := time.After(patience); ; {
 		select {
-		case n := <-told:
-			if n.Kind == Unavailable {
+		case u := <-updates:
+			if u.Kind == Unavailable {
 				continue
 			}
-			if took := time.Since(*reachable.Load()); took > term {
+			if took := time.Since(*reachable.Load()); took > updateDeadline {
 				t.Errorf(
-					"%s: heard %v after discovery could be reached, want at most %v",
+					"%s: received %v after discovery was reachable, want at most %v",
 					what,
 					took,
-					term,
+					updateDeadline,
 				)
 			}
 		case <-late:
-			t.Error(what, ": nothing was heard")
+			t.Error(what, ": no update was received")
 		}
 		return
 	}
 }
 
-// failures is a log that reports each call that failed.
-type failures struct {
+// failureLog is a log handler that reports each failed call on a channel.
+type failureLog struct {
 	slog.Handler
 	seen chan struct{}
 }
 
-func (f failures) Handle(_ context.Context, r slog.Record) error {
+func (f failureLog) Handle(_ context.Context, r slog.Record) error {
 	if r.Message == "discovery" {
 		select {
 		case f.seen <- struct{}{}:
@@ -194,17 +195,18 @@
 	return nil
 }
 
-// The same holds where nothing listened, and the next moment something does.
+// If nothing listens at discovery's address, and then a server starts there, its answer also arrives
+// within updateDeadline.
 func TestDiscoveryAfterRefusalsIsReachedInTime(t *testing.T) {
 	t.Parallel()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for _, asks := range []bool{false, true} {
-		for _, pace := range pacesOfTheWorst(asks) {
+	for _, polled := range []bool{false, true} {
+		for _, pacer := range pacersAfterFailures(polled) {
 			socket := boundSocket(t)
 			seen := make(chan struct{}, 1)
-			log := slog.New(failures{quiet().Handler(), seen})
-			told := follow(t, NewPlatform(socket.address, asks, pace, log).following())
+			log := slog.New(failureLog{quiet().Handler(), seen})
+			updates := follow(t, NewPlatform(socket.address, polled, pacer, log).startFollowing())
 			all.Go(func() {
 				select {
 				case <-seen:
@@ -220,14 +222,15 @@
 					return
 				}
 				socket.serve(t, oneMember)
-				heardInTime(t, fmt.Sprintf("refused, asks %t", asks), told, &reachable)
+				expectUpdateInTime(t, fmt.Sprintf("refused, polled %t", polled), updates, &reachable)
 			})
 		}
 	}
 }
 
-// Dials that nobody answers would go on for minutes, and each holds one of the few connections:
-// when discovery's machine is back, a new connection must be possible at once.
+// Without a timeout, unanswered dials would hang for minutes, and each occupies one of the few
+// connections that are allowed. When discovery's machine is back, a new connection must be possible
+// at once.
 func TestHungDialsMakeRoomForOthers(t *testing.T) {
 	t.Parallel()
 	socket := boundSocket(t)
@@ -237,7 +240,7 @@
 	filler, err := net.Dial(
 		"tcp",
 		socket.address,
-	) // the one that the queue holds: the system drops what else comes
+	) // fills the accept queue, so that the system drops further connection attempts
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,13 +251,13 @@
 		begun <- struct{}{}
 		return nil
 	}
-	told := follow(t, p)
+	updates := follow(t, p)
 	for n := range 2*maxConcurrentCalls + 1 {
 		select {
 		case <-begun:
 		case <-time.After(patience):
 			t.Fatalf(
-				"%d dials were begun, and then no other: those that hang hold all the places",
+				"no further dial after %d: the hanging ones occupy all connections",
 				n,
 			)
 		}
@@ -263,5 +266,5 @@
 	var reachable atomic.Pointer[time.Time]
 	reachable.Store(&now)
 	socket.serve(t, oneMember)
-	heardInTime(t, "dials that hang", told, &reachable)
+	expectUpdateInTime(t, "hanging dials", updates, &reachable)
 }
--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// mergedSource follows two registries at once, for a migration from one to the other. What the
-// primary says of an address counts; the secondary adds servers at addresses that the primary does
-// not have.
+// mergedSource follows two registries at the same time, for a migration from one to the other. The
+// primary takes precedence; the secondary only adds servers at addresses that the primary does not
+// list.
 type mergedSource struct {
 	primary, secondary Source
 }
 
-// secondaryPrefix begins the address of a Move that is for the secondary source.
+// secondaryPrefix marks the address of a Move that is meant for the secondary source.
 const secondaryPrefix = "other="
 
-// Merge makes one source of two. A Move is for the primary, unless the address begins with
-// "other=", which is for the secondary.
+// Merge returns a source that merges two sources. A Move applies to the primary, unless its address
+// begins with "other=": then the rest of the address is for the secondary.
 func Merge(primary, secondary Source) Source {
 	return &mergedSource{primary: primary, secondary: secondary}
 }
 
-// Follow has both registries followed.
+// Follow makes both sources follow their lists.
 func (m *mergedSource) Follow() {
 	m.primary.Follow()
 	m.secondary.Follow()
 }
 
-// Move moves one of the two.
+// Move moves one of the two sources to another address; see Merge.
 func (m *mergedSource) Move(address string) {
 	if rest, ok := strings.CutPrefix(address, secondaryPrefix); ok {
 		m.secondary.Move(rest)
@@ -44,7 +44,7 @@
 	update Update
 }
 
-// Run announces the updates of both as those of one list.
+// Run passes the updates of both sources to notify as updates of one merged list.
 func (m *mergedSource) Run(ctx context.Context, notify func(Update)) {
 	updates := make(chan sourceUpdate)
 	ended := make(chan struct{}, 2)
@@ -76,14 +76,14 @@
 	}
 }
 
-// mergedLists are the lists of both sources, and what was announced of them.
+// mergedLists holds the lists of both sources and the merged list that was announced last.
 type mergedLists struct {
-	lists     [2]map[string]Member // by id; nil: none has come yet
+	lists     [2]map[string]Member // by ID; nil: no list has been received yet
 	announced map[string]Member
 }
 
 // apply applies an update of one source. It returns the update of the merged list, and whether
-// there is one. While one source is unavailable, its last list holds.
+// there is one. While a source is unavailable, its last list remains in use.
 func (m *mergedLists) apply(u sourceUpdate) (Update, bool) {
 	if u.update.Kind == Unavailable {
 		return Update{}, false
@@ -112,7 +112,8 @@
 	return Update{}, false
 }
 
-// union returns all of the primary's members, and the secondary's at other addresses.
+// union returns all members of the primary, and those members of the secondary that share neither
+// an ID nor an address with them.
 func union(primary, secondary map[string]Member) map[string]Member {
 	all := map[string]Member{}
 	taken := map[string]bool{} // by address
@@ -128,8 +129,8 @@
 	return all
 }
 
-// difference returns the changes that make one list of the other, by id. Members that are gone come
-// first, as an address may have passed from one id to another.
+// difference returns the changes that turn before into after, sorted by ID. Members that are gone
+// come first, because an address may have passed from one ID to another.
 func difference(before, after map[string]Member) []Member {
 	var list []Member
 	for id, member := range before {
@@ -149,7 +150,7 @@
 	return list
 }
 
-// goneFirst is the rank of a member in a list of changes.
+// goneFirst returns the rank of a member in a list of changes: members that are gone sort first.
 func goneFirst(m Member) int {
 	if m.Phase == Gone {
 		return 0
--- a/internal/dataplane/registry/platform.go
+++ b/internal/dataplane/registry/platform.go
@@ -10,22 +10,23 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// Platform follows the platform's discovery: HTTP watches at one address. Run and the methods that
-// it calls run on one goroutine; Follow and Move may be called from another.
+// Platform follows the platform's discovery by HTTP watches at one address. Follow and Move may be
+// called while Run is running, from one other goroutine.
 type Platform struct {
 	address string
-	moved   chan string // addresses of new configurations: the last one only
+	moved   chan string // holds the address of the newest Move until Run applies it
 	client  *client
 	pacer   *membership.Pacer
 	log     *slog.Logger
 
-	polled          bool          // discovery tells only callers
-	followed        chan struct{} // closed when the list is to be followed
+	polled          bool          // discovery notifies only gateways that call it
+	followed        chan struct{} // closed by Follow
 	followRequested bool
 }
 
-// NewPlatform makes a source at an address. polled: discovery tells only callers, so it is called
-// only after Follow. The pacer is the source's from now on.
+// NewPlatform returns a source that follows discovery at an address. If polled is true, discovery
+// notifies only gateways that call it, and it is called only after Follow. The source takes
+// ownership of the pacer.
 func NewPlatform(
 	address string, polled bool, pacer *membership.Pacer, log *slog.Logger,
 ) *Platform {
@@ -44,7 +45,7 @@
 	return d
 }
 
-// Follow has the list followed from now on.
+// Follow makes the source follow the list from now on.
 func (d *Platform) Follow() {
 	if !d.followRequested {
 		d.followRequested = true
@@ -52,17 +53,17 @@
 	}
 }
 
-// Move has the list followed at another address.
+// Move makes the source follow the list at another address.
 func (d *Platform) Move(address string) {
 	select {
-	case <-d.moved: // a newer configuration came before this one was applied
+	case <-d.moved: // drops an earlier address that has not been applied
 	default:
 	}
 	d.moved <- address
 }
 
-// Run follows the list, and moves to another address as soon as there is one: the watch at the old
-// one ends, and its updates come before any of the new one.
+// Run follows the list until the context ends. After a Move, the watch at the old address ends
+// before the one at the new address begins, so all updates of the old one come first.
 func (d *Platform) Run(ctx context.Context, notify func(Update)) {
 	select {
 	case <-d.followed:
@@ -88,7 +89,7 @@
 
 func duration(t membership.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -96,9 +97,10 @@
 	}
 }
 
-// watch announces changes until the context ends; at first and after a failure, the complete list.
+// watch announces the complete list at first and after each failure, and its changes otherwise,
+// until the context ends.
 func (d *Platform) watch(ctx context.Context, notify func(Update), url string) {
-	version := "" // of the list that was announced; "": none
+	version := "" // of the list that was announced; "": fetch the complete list
 	for ctx.Err() == nil {
 		called := time.Now()
 		list, err := d.fetch(ctx, url, version)
@@ -106,7 +108,7 @@
 			return
 		}
 		if err != nil {
-			// After a rejection the watch can go on from the same version, which costs
+			// After a rejection the watch can continue from the same version, which costs
 			// discovery less than a complete list.
 			rejected := errors.Is(err, errRejected)
 			if !rejected {
@@ -121,7 +123,7 @@
 			continue
 		}
 		if version != "" && len(list.Members) == 0 && time.Since(called) < minWatchDuration {
-			sleep(ctx, minWatchDuration) // a watch that does not wait must not become a busy loop
+			sleep(ctx, minWatchDuration) // prevents a busy loop if discovery does not wait
 		}
 		version = fmt.Sprint(list.Revision)
 		kind := Delta
@@ -135,13 +137,13 @@
 	}
 }
 
-// answer is how a call ended.
+// answer is the result of a call.
 type answer struct {
 	list List
 	err  error
 }
 
-// parallelCalls are the calls of one fetch. It belongs to one goroutine.
+// parallelCalls are the calls of one fetch. It is not safe for concurrent use.
 type parallelCalls struct {
 	client      *client
 	url         string
@@ -149,8 +151,8 @@
 	outstanding []context.CancelCauseFunc // oldest first
 }
 
-// start makes a call on a goroutine of its own. The oldest call is abandoned where there would be
-// more than maxConcurrentCalls.
+// start makes a call on its own goroutine. If there would be more than maxConcurrentCalls, it
+// abandons the oldest call.
 func (p *parallelCalls) start(ctx context.Context, version string, wait time.Duration) {
 	callCtx, abandon := context.WithCancelCause(ctx)
 	p.outstanding = append(p.outstanding, abandon)
@@ -168,9 +170,9 @@
 	}()
 }
 
-// fetch makes one call and, as long as it is silent, further ones for the complete list beside it:
-// discovery that was down, or lost a call, may answer only later calls, and these at once. The
-// first answer counts.
+// fetch makes one call and, as long as that remains unanswered, further calls for the complete list
+// in parallel: if discovery was down or has lost a call, it may answer only later calls, but those
+// at once. The first answer counts.
 func (d *Platform) fetch(ctx context.Context, url, version string) (List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -185,20 +187,20 @@
 	defer timer.Stop()
 	silent := timer.C
 	if silenceTimeout == 0 {
-		silent = nil // silence is waited out
+		silent = nil // no parallel calls are made
 	}
 	for repeated := 0; ; {
 		select {
 		case a := <-calls.answers:
-			givenUp := errors.Is(a.err, context.DeadlineExceeded) ||
+			unanswered := errors.Is(a.err, context.DeadlineExceeded) ||
 				errors.Is(a.err, errAbandoned)
-			if silenceTimeout == 0 || !givenUp {
+			if silenceTimeout == 0 || !unanswered {
 				return a.list, a.err
 			}
 		case <-silent:
 			repeated++
 			if repeated == 1 {
-				d.log.Warn("discovery is silent: calling again beside", "version", version)
+				d.log.Warn("discovery does not answer: making parallel calls", "version", version)
 			}
 			calls.start(ctx, "", 0)
 			timer.Reset(silenceTimeout)
--- a/internal/dataplane/registry/platform_test.go
+++ b/internal/dataplane/registry/platform_test.go
@@ -23,24 +23,24 @@
 func next(t *testing.T, from <-chan Update) Update {
 	t.Helper()
 	select {
-	case n := <-from:
-		return n
+	case u := <-from:
+		return u
 	case <-time.After(patience):
-		t.Fatal("timed out waiting for news")
+		t.Fatal("timed out waiting for an update")
 		panic("unreachable")
 	}
 }
 
-// follow runs a source for a test.
+// follow runs a source until the end of the test and returns its updates.
 func follow(t *testing.T, s Source) chan Update {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	told, ended := make(chan Update), make(chan struct{})
+	updates, ended := make(chan Update), make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.Run(ctx, func(n Update) {
+		s.Run(ctx, func(u Update) {
 			select {
-			case told <- n:
+			case updates <- u:
 			case <-ctx.Done():
 			}
 		})
@@ -53,10 +53,12 @@
 			t.Error("the source did not end")
 		}
 	})
-	return told
+	return updates
 }
 
-// script answers calls in turn, and all later ones with the last answer.
+// script starts a server that sends the answers in turn, and the last one to all later calls. An
+// answer of the form "!CODE" is sent as an HTTP status, and "hang" holds the call. script returns the
+// server's address and the query strings of the calls.
 func script(t *testing.T, answers ...string) (string, chan string) {
 	t.Helper()
 	calls := make(chan string, 1024)
@@ -79,8 +81,8 @@
 	return strings.TrimPrefix(s.URL, "http://"), calls
 }
 
-// At first and after any failure the complete list is fetched, and changes from its version on;
-// what is no list is no update.
+// At first and after each failure the complete list is fetched, and then the changes since its
+// version. An answer that is not a list leads to no update.
 func TestPlatformFetchesCompleteListAfterFailure(t *testing.T) {
 	address, calls := script(
 		t,
@@ -92,10 +94,10 @@
 		`{"revision":9,"complete":true,"members":[]}`,
 		`hang`,
 	)
-	told := follow(t, NewPlatform(address, false, membership.NewPacer(1, 7), quiet()))
+	updates := follow(t, NewPlatform(address, false, membership.NewPacer(1, 7), quiet()))
 	for _, want := range []Kind{CompleteList, Delta, CompleteList, CompleteList} {
-		if n := next(t, told); n.Kind != want {
-			t.Errorf("%+v, want kind %d", n, want)
+		if u := next(t, updates); u.Kind != want {
+			t.Errorf("%+v, want kind %d", u, want)
 		}
 	}
 	for i, want := range []string{"", "index=4&wait=2000", "index=5&wait=2000", "", "index=7&wait=2000", "", "index=9&wait=2000"} {
@@ -105,18 +107,18 @@
 	}
 }
 
-// Where discovery tells only callers, nothing is called before Follow, and a failure is announced.
+// If discovery has to be polled, it is not called before Follow, and a failure is announced.
 func TestPolledPlatform(t *testing.T) {
 	address, calls := script(t, `!503`)
 	p := NewPlatform(address, true, membership.NewPacer(1, 7), quiet())
-	told := follow(t, p)
+	updates := follow(t, p)
 	if len(calls) > 0 {
-		t.Error("called before it was to be followed")
+		t.Error("discovery was called before Follow")
 	}
 	p.Follow()
 	p.Follow()
-	if n := next(t, told); n.Kind != Unavailable {
-		t.Errorf("%+v", n)
+	if u := next(t, updates); u.Kind != Unavailable {
+		t.Errorf("%+v", u)
 	}
 }
 
@@ -125,31 +127,31 @@
 	old, calls := script(t, `{"revision":4,"complete":true,"members":[{"id":"old"}]}`, `hang`)
 	moved, _ := script(t, `{"revision":1,"complete":true,"members":[{"id":"new"}]}`, `hang`)
 	p := NewPlatform(old, false, membership.NewPacer(1, 7), quiet())
-	told := follow(t, p)
-	next(t, told)
+	updates := follow(t, p)
+	next(t, updates)
 	for range 2 {
 		<-calls // the watch is under way
 	}
 	p.Move("127.0.0.1:1")
 	p.Move(moved)
-	if n := next(t, told); n.Kind != CompleteList || n.Members[0].ID != "new" {
-		t.Errorf("%+v", n)
+	if u := next(t, updates); u.Kind != CompleteList || u.Members[0].ID != "new" {
+		t.Errorf("%+v", u)
 	}
 }
 
-// Discovery that was down does not answer calls made meanwhile, and its changes bind from its
-// return on: another call is made beside a silent one, be it a watch whose wait is over or a call
-// for the complete list. The first answer counts.
+// Discovery that was down does not answer the calls made during that time, but gateways must act on
+// its changes from its return on. So another call is made in parallel to an unanswered one, which may
+// be a watch whose wait is over or a call for the complete list. The first answer counts.
 func TestSilentDiscoveryIsCalledInParallel(t *testing.T) {
 	const list = `{"revision":4,"complete":true,"members":[{"id":"s"}]}`
 	for name, held := range map[string][]bool{ // call by call
 		"a list": {true, false}, "three lists": {true, true, true, false}, "a watch": {false, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // a watch's wait is seconds
+			t.Parallel() // a watch waits for seconds
 			var mu sync.Mutex
 			var open []context.Context // the calls that are held
-			calls, given := 0, 0
+			calls, abandoned := 0, 0
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
 				n := calls
@@ -160,7 +162,7 @@
 				} else if n == len(held)-1 {
 					for _, c := range open {
 						if c.Err() != nil {
-							given++
+							abandoned++
 						}
 					}
 				}
@@ -172,7 +174,7 @@
 				fmt.Fprint(w, list)
 			}))
 			t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-			told := follow(
+			updates := follow(
 				t,
 				NewPlatform(
 					strings.TrimPrefix(s.URL, "http://"),
@@ -185,14 +187,14 @@
 				if h {
 					continue
 				}
-				if n := next(t, told); n.Kind != CompleteList || len(n.Members) != 1 {
-					t.Errorf("%+v", n)
+				if u := next(t, updates); u.Kind != CompleteList || len(u.Members) != 1 {
+					t.Errorf("%+v", u)
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if given > 0 {
-				t.Errorf("%d calls were given up before another was made", given)
+			if abandoned > 0 {
+				t.Errorf("%d calls were abandoned before another was made", abandoned)
 			}
 		})
 	}
