--- a/internal/dataplane/registry/consul/answer.go
+++ b/internal/dataplane/registry/consul/answer.go
@@ -15,24 +15,26 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// maxAnswerBytes bounds a list: 5,000 instances take about 5 MB.
+// maxAnswerBytes limits the size of a list: 5,000 instances take about 5 MB.
 const maxAnswerBytes = 64 << 20
 
-// Errors of lists.
+// Errors in answers.
 var (
-	errIndex        = errors.New("index")
-	errEntry        = errors.New("no node or no service")
-	errTrailingData = errors.New("list: something stands behind it")
+	errIndex        = errors.New("invalid X-Consul-Index")
+	errEntry        = errors.New("node name or service ID is missing")
+	errTrailingData = errors.New("list: unexpected data after its end")
 )
 
-// answerHeader is what the header of an answer says.
+// answerHeader holds the values of an answer's header.
 type answerHeader struct {
-	index       uint64
-	leader      bool          // the agent knows a leader
-	lastContact time.Duration // of a follower with the leader: how old its answer may be
+	index  uint64
+	leader bool // the agent knows a leader
+	// lastContact is the time since a follower's last contact with the leader, and so the maximum
+	// age of its answer.
+	lastContact time.Duration
 }
 
-// maxLastContact bounds lastContact, which then can't overflow.
+// maxLastContact limits lastContact, so that its conversion can't overflow.
 const maxLastContact = time.Hour
 
 func parseHeader(h http.Header) (answerHeader, error) {
@@ -41,7 +43,7 @@
 	if err != nil {
 		return answerHeader{}, fmt.Errorf("%w %.32q", errIndex, text)
 	}
-	contact, _ := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64) // 0 if it is none
+	contact, _ := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64) // 0 if it is not a number
 	contact = max(0, min(contact, maxLastContact.Milliseconds()))
 	return answerHeader{
 		index:       index,
@@ -73,8 +75,8 @@
 	Node, Address, ServiceID string
 }
 
-// decodeHealth reads a list with checks. A list that is cut off is an error: it must not pass for a
-// short one.
+// decodeHealth reads a list of the health view. A truncated list is an error, so that it is not
+// taken for a complete one.
 func decodeHealth(in io.Reader) ([]membership.Instance, error) {
 	var entries []healthEntry
 	if err := decodeList(in, &entries); err != nil {
@@ -91,7 +93,7 @@
 	return list, nil
 }
 
-// decodeCatalog reads a list without checks; see decodeHealth.
+// decodeCatalog reads a list of the catalog, which has no health checks; see decodeHealth.
 func decodeCatalog(in io.Reader) ([]membership.Instance, error) {
 	var entries []catalogEntry
 	if err := decodeList(in, &entries); err != nil {
@@ -107,7 +109,7 @@
 	return list, nil
 }
 
-// decodeList reads one JSON list, which nothing may follow.
+// decodeList reads one JSON list. Data after the list is an error.
 func decodeList(in io.Reader, list any) error {
 	d := json.NewDecoder(io.LimitReader(in, maxAnswerBytes))
 	if err := d.Decode(list); err != nil {
@@ -119,8 +121,7 @@
 	return nil
 }
 
-// instance returns what an entry says of an instance. A service without an address is at its
-// node's.
+// instance converts an entry. A service without an address has the address of its node.
 func (e *healthEntry) instance() membership.Instance {
 	s := &e.Service
 	host := s.Address
@@ -148,7 +149,7 @@
 	return in
 }
 
-// checkHealth returns what one check says. An unknown status counts as critical.
+// checkHealth returns the health that one check reports. An unknown status counts as critical.
 func checkHealth(id, status string) membership.Health {
 	switch {
 	case status == "passing":
@@ -161,11 +162,11 @@
 	return membership.Critical
 }
 
-// year3000 is that year in Unix seconds: a start that would be later is in milliseconds.
+// year3000 is the start of the year 3000 in Unix seconds. A larger start time is in milliseconds.
 const year3000 = 32503680000
 
-// parseStart reads a start from metadata: Unix seconds or milliseconds, or RFC 3339. It returns 0
-// for what can't be read.
+// parseStart parses a start time from metadata, given in Unix seconds, in Unix milliseconds or in
+// RFC 3339. It returns 0 for other texts.
 func parseStart(text string) membership.Time {
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil && n > 0 {
 		switch {
--- a/internal/dataplane/registry/consul/consul.go
+++ b/internal/dataplane/registry/consul/consul.go
@@ -1,5 +1,5 @@
-// Package consul follows a service in Consul's catalog and health API, by blocking queries, as a
-// registry.Source.
+// Package consul implements a registry.Source that follows a service in Consul's health and catalog
+// APIs by blocking queries.
 package consul
 
 import (
@@ -16,19 +16,19 @@
 
 const tickInterval = time.Second
 
-// Source follows one service. It implements registry.Source.
+// Source follows one service in Consul. It implements registry.Source.
 type Source struct {
 	settings Settings
 	token    string // "": none
 	client   *http.Client
-	table    *membership.Table // belongs to the goroutine of Run
+	table    *membership.Table // used only by the goroutine of Run
 	log      *slog.Logger
-	moved    chan []string // the agents of the newest Move
+	moved    chan []string // holds the agents of the newest Move until Run applies them
 	now      func() membership.Time
 }
 
-// New makes a source. It reads the files that the settings name. Its error says which setting can't
-// be used, and never what a token is.
+// New returns a source. It reads the files named in the settings. Its error names the invalid
+// setting, and never contains a token.
 func New(settings Settings, log *slog.Logger) (*Source, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -53,8 +53,8 @@
 	return s, nil
 }
 
-// Check makes one call that does not wait, to each agent in turn until one answers, and returns how
-// many instances there are; else the last agent's error.
+// Check makes a call that does not wait to each agent in turn, until one answers, and returns the
+// number of instances. If no agent answers, it returns the error of the last one.
 func (s *Source) Check(ctx context.Context) (instances int, err error) {
 	for _, agent := range s.settings.Agents {
 		list, _, callErr := s.fetch(ctx, membership.HealthView, agent, 0)
@@ -69,7 +69,8 @@
 // Follow does nothing: Consul answers every caller.
 func (s *Source) Follow() {}
 
-// Move has the service followed at other agents: HOST:PORT, separated by commas.
+// Move makes the source follow the service at other agents, given as HOST:PORT and separated by
+// commas.
 func (s *Source) Move(agents string) {
 	select {
 	case <-s.moved:
@@ -85,7 +86,7 @@
 	defer watches.stop()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	announced := false // the complete list
+	announced := false // whether the complete list was announced
 	holding := false
 	for {
 		var changed []membership.Server
@@ -118,8 +119,8 @@
 	}
 }
 
-// logHolding logs whether an empty list is held back, if that has changed. It returns whether it
-// is.
+// logHolding logs when the source begins or stops to hold back an empty list. It returns whether
+// one is held back.
 func (s *Source) logHolding(before bool) bool {
 	_, holding := s.table.Holding()
 	if holding == before {
@@ -129,12 +130,12 @@
 		hold := time.Duration(s.settings.Membership.EmptyListHold) * time.Microsecond
 		s.log.Warn("register: the list is empty all at once; the servers stay", "for", hold)
 	} else {
-		s.log.Info("register: the list is believed again")
+		s.log.Info("register: an empty list is no longer held back")
 	}
 	return holding
 }
 
-// members returns servers in the form of the platform's discovery.
+// members converts servers to the form of the platform's discovery.
 func members(servers []membership.Server) []registry.Member {
 	phases := [...]string{
 		membership.Ready:    registry.Ready,
--- a/internal/dataplane/registry/consul/consul_test.go
+++ b/internal/dataplane/registry/consul/consul_test.go
@@ -21,13 +21,13 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// rig is a source that follows a fake Consul agent.
-type rig struct {
+// harness runs a source that follows a fake Consul agent.
+type harness struct {
 	*lab.Consul
-	t      *testing.T
-	source *Source
-	told   chan registry.Update
-	now    map[string]registry.Member // announced so far
+	t       *testing.T
+	source  *Source
+	updates chan registry.Update
+	members map[string]registry.Member // by service ID, as announced so far
 }
 
 func settings(agents ...string) Settings {
@@ -54,7 +54,7 @@
 	return c
 }
 
-func newRig(t *testing.T, change func(*Settings)) *rig {
+func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	c := newConsul(t)
 	for i := range 3 {
@@ -68,16 +68,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{
-		Consul: c,
-		t:      t,
-		source: s,
-		told:   make(chan registry.Update, 1024),
-		now:    map[string]registry.Member{},
+	h := &harness{
+		Consul:  c,
+		t:       t,
+		source:  s,
+		updates: make(chan registry.Update, 1024),
+		members: map[string]registry.Member{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); s.Run(ctx, func(n registry.Update) { r.told <- n }) }()
+	go func() { defer close(ended); s.Run(ctx, func(u registry.Update) { h.updates <- u }) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -86,7 +86,7 @@
 			t.Error("the source did not end")
 		}
 	})
-	return r
+	return h
 }
 
 func register(t *testing.T, c *lab.Consul, i int, meta map[string]string) {
@@ -105,167 +105,167 @@
 func id(i int) string { return fmt.Sprintf("q-%08x", i) }
 
 // until applies updates until a condition holds.
-func (r *rig) until(what string, so func() bool) {
-	r.t.Helper()
-	for late := time.After(patience); !so(); {
+func (h *harness) until(what string, condition func() bool) {
+	h.t.Helper()
+	for late := time.After(patience); !condition(); {
 		select {
-		case n := <-r.told:
-			if n.Kind == registry.CompleteList {
-				clear(r.now)
+		case u := <-h.updates:
+			if u.Kind == registry.CompleteList {
+				clear(h.members)
 			}
-			for _, m := range n.Members {
-				r.now[m.ID[strings.IndexByte(m.ID, '/')+1:]] = m
+			for _, m := range u.Members {
+				h.members[m.ID[strings.IndexByte(m.ID, '/')+1:]] = m
 			}
 		case <-late:
-			r.t.Fatalf("timed out waiting for %s; told %+v", what, r.now)
+			h.t.Fatalf("timed out waiting for %s; members %+v", what, h.members)
 		}
 	}
 }
 
-func (r *rig) phase(i int, phase string) func() bool {
-	return func() bool { return r.now[id(i)].Phase == phase }
+func (h *harness) phase(i int, phase string) func() bool {
+	return func() bool { return h.members[id(i)].Phase == phase }
 }
 
-func (r *rig) all(phase string) func() bool {
-	return func() bool { return r.phase(0, phase)() && r.phase(1, phase)() && r.phase(2, phase)() }
+func (h *harness) all(phase string) func() bool {
+	return func() bool { return h.phase(0, phase)() && h.phase(1, phase)() && h.phase(2, phase)() }
 }
 
-// Every way to drain is announced, and the way back.
+// Each way to drain or remove a server is announced, and so is its return.
 func TestDrains(t *testing.T) {
-	r := newRig(t, nil)
-	r.until("all servers", r.all(registry.Ready))
+	h := newHarness(t, nil)
+	h.until("all servers", h.all(registry.Ready))
 	for _, c := range []struct {
 		name     string
 		on, back func()
 		phase    string
 	}{
-		{"critical", func() { r.SetCheck(id(1), "service:"+id(1), "critical") }, func() { r.SetCheck(id(1), "service:"+id(1), "passing") }, registry.Terminating},
-		{"maintenance", func() { r.SetMaintenance(id(1), true) }, func() { r.SetMaintenance(id(1), false) }, registry.Terminating},
-		{"metadata", func() { register(t, r.Consul, 1, map[string]string{"draining": "true"}) }, func() { register(t, r.Consul, 1, nil) }, registry.Terminating},
-		{"warning", func() { r.SetCheck(id(1), "ttl", "warning") }, func() { r.SetCheck(id(1), "ttl", "passing") }, registry.Terminating},
-		{"deregistered", func() { r.Deregister(id(1)) }, func() { register(t, r.Consul, 1, nil) }, registry.Gone},
+		{"critical", func() { h.SetCheck(id(1), "service:"+id(1), "critical") }, func() { h.SetCheck(id(1), "service:"+id(1), "passing") }, registry.Terminating},
+		{"maintenance", func() { h.SetMaintenance(id(1), true) }, func() { h.SetMaintenance(id(1), false) }, registry.Terminating},
+		{"metadata", func() { register(t, h.Consul, 1, map[string]string{"draining": "true"}) }, func() { register(t, h.Consul, 1, nil) }, registry.Terminating},
+		{"warning", func() { h.SetCheck(id(1), "ttl", "warning") }, func() { h.SetCheck(id(1), "ttl", "passing") }, registry.Terminating},
+		{"deregistered", func() { h.Deregister(id(1)) }, func() { register(t, h.Consul, 1, nil) }, registry.Gone},
 	} {
 		c.on()
-		r.until(c.name, r.phase(1, c.phase))
+		h.until(c.name, h.phase(1, c.phase))
 		c.back()
-		r.until("back from "+c.name, r.phase(1, registry.Ready))
+		h.until("back from "+c.name, h.phase(1, registry.Ready))
 	}
-	if r.now[id(1)].UpSince == 0 || r.now[id(0)].UpSince != 0 {
-		t.Errorf("registered anew is to be cold, what stood is not: %+v", r.now)
+	if h.members[id(1)].UpSince == 0 || h.members[id(0)].UpSince != 0 {
+		t.Errorf("want a start time only for the server that registered anew: %+v", h.members)
 	}
 }
 
 // Weights and metadata become the properties of a server.
 func TestMetadata(t *testing.T) {
-	r := newRig(t, nil)
+	h := newHarness(t, nil)
 	register(
 		t,
-		r.Consul,
+		h.Consul,
 		4,
 		map[string]string{"locality": "sala-2", "cell": "3", "started": "1700000000"},
 	)
-	r.until("the new one", r.phase(4, registry.Ready))
-	if m := r.now[id(4)]; m.Locality != "sala-2" || m.Cell != 3 || m.UpSince != 1700000000000 ||
+	h.until("the new server", h.phase(4, registry.Ready))
+	if m := h.members[id(4)]; m.Locality != "sala-2" || m.Cell != 3 || m.UpSince != 1700000000000 ||
 		m.HostPort != "127.0.0.1:7004" ||
 		m.Size != 1 {
 		t.Errorf("%+v", m)
 	}
 }
 
-// An agent that fails in any way is followed by the next one, and nothing that was known is lost.
+// After a failed call of any kind the next agent is called, and no known server is lost.
 func TestAgentFailuresLoseNothing(t *testing.T) {
 	for name, f := range map[string]lab.ConsulFault{"errors": {Errs: true}, "half answers": {Half: true}, "dropped answers": {Drop: 0.9}, "silence": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(s *Settings) { s.Wait = 100 * time.Millisecond })
-			r.until("all servers", r.all(registry.Ready))
-			r.SetFault(f)
-			r.Deregister(id(2))
-			before := len(r.Calls())
-			for len(r.Calls()) < before+3 { // it goes on calling
+			h := newHarness(t, func(s *Settings) { s.Wait = 100 * time.Millisecond })
+			h.until("all servers", h.all(registry.Ready))
+			h.SetFault(f)
+			h.Deregister(id(2))
+			before := len(h.Calls())
+			for len(h.Calls()) < before+3 { // the source continues to call
 				time.Sleep(time.Millisecond)
 			}
-			if f.Drop == 0 && !r.all(registry.Ready)() {
-				t.Errorf("told %+v", r.now)
+			if f.Drop == 0 && !h.all(registry.Ready)() {
+				t.Errorf("members %+v", h.members)
 			}
-			r.SetFault(lab.ConsulFault{})
-			r.until("the change meanwhile", r.phase(2, registry.Gone))
+			h.SetFault(lab.ConsulFault{})
+			h.until("the change during the failure", h.phase(2, registry.Gone))
 		})
 	}
 }
 
-// An empty list does not remove all servers; a single server that goes is believed to have gone.
+// An empty list does not remove all servers. The removal of a single server is applied at once.
 func TestEmptyListHold(t *testing.T) {
-	r := newRig(t, nil)
-	r.until("all servers", r.all(registry.Ready))
-	for i := range 3 { // one change at a time: the last two go together as far as a lagging list shows
+	h := newHarness(t, nil)
+	h.until("all servers", h.all(registry.Ready))
+	for i := range 3 { // the agent is silent from the second removal on: the last two are seen as one
 		if i == 1 {
-			r.SetFault(lab.ConsulFault{Silent: true})
+			h.SetFault(lab.ConsulFault{Silent: true})
 		}
-		r.Deregister(id(i))
+		h.Deregister(id(i))
 	}
-	r.SetFault(lab.ConsulFault{})
-	before := len(r.Calls())
-	for len(r.Calls()) < before+4 {
+	h.SetFault(lab.ConsulFault{})
+	before := len(h.Calls())
+	for len(h.Calls()) < before+4 {
 		time.Sleep(time.Millisecond)
 	}
-	register(t, r.Consul, 1, nil)
-	r.until(
+	register(t, h.Consul, 1, nil)
+	h.until(
 		"the end of the outage",
-		func() bool { return r.phase(2, registry.Gone)() && r.phase(1, registry.Ready)() },
+		func() bool { return h.phase(2, registry.Gone)() && h.phase(1, registry.Ready)() },
 	)
 }
 
-// An index that begins anew is followed.
+// The source follows an index that was reset.
 func TestIndexReset(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Wait = 100 * time.Millisecond })
-	r.until("all servers", r.all(registry.Ready))
+	h := newHarness(t, func(s *Settings) { s.Wait = 100 * time.Millisecond })
+	h.until("all servers", h.all(registry.Ready))
 	for i := range 30 {
-		register(t, r.Consul, i%3, nil)
+		register(t, h.Consul, i%3, nil)
 	}
-	r.ResetIndex()
-	r.Deregister(id(0))
-	r.until("a change after the reset", r.phase(0, registry.Gone))
+	h.ResetIndex()
+	h.Deregister(id(0))
+	h.until("a change after the reset", h.phase(0, registry.Gone))
 }
 
-// An agent that answers at once all the time makes no busy loop: the calls since the beginning are
-// never more than two watches may make in that time. A busy machine makes calls later, which allows
-// no more of them.
+// An agent that always answers at once must not cause a busy loop: at no time may there have been
+// more calls than two watches may make in the time elapsed. A busy machine only delays calls and can't
+// add any.
 func TestImmediateAnswersMakeNoBusyLoop(t *testing.T) {
 	const (
 		watches  = 2
-		headroom = 3 // of each watch: the call under way, the first that is answered at once, one more in the first interval
+		headroom = 3 // per watch: the call under way, the first immediate answer, one more in the first interval
 		calls    = 30
 	)
-	r := newRig(t, nil)
-	r.until("all servers", r.all(registry.Ready))
-	before, began := len(r.Calls()), time.Now()
-	r.SetFault(lab.ConsulFault{AtOnce: true})
-	for len(r.Calls()) < before+calls {
+	h := newHarness(t, nil)
+	h.until("all servers", h.all(registry.Ready))
+	before, began := len(h.Calls()), time.Now()
+	h.SetFault(lab.ConsulFault{AtOnce: true})
+	for len(h.Calls()) < before+calls {
 		time.Sleep(time.Millisecond)
 	}
-	for i, at := range r.Calls()[before : before+calls] {
+	for i, at := range h.Calls()[before : before+calls] {
 		allowed := watches * (int(at.Sub(began)/minCallInterval) + headroom)
 		if i+1 > allowed {
-			t.Errorf("%d calls within %v, %d at most", i+1, at.Sub(began), allowed)
+			t.Errorf("%d calls within %v, want at most %d", i+1, at.Sub(began), allowed)
 		}
 	}
 }
 
 // After a move to other agents, the service is followed there.
 func TestMove(t *testing.T) {
-	r := newRig(t, nil)
-	r.until("all servers", r.all(registry.Ready))
+	h := newHarness(t, nil)
+	h.until("all servers", h.all(registry.Ready))
 	other := newConsul(t)
-	for i := range 40 { // the same cluster, whose index goes on
+	for i := range 40 { // raises the index above that of the first agent, as in one cluster
 		register(t, other, i%3, nil)
 	}
 	other.Deregister(id(2))
-	r.source.Move("127.0.0.1:1," + other.Address)
-	r.until("news of the other agent", r.phase(2, registry.Gone))
+	h.source.Move("127.0.0.1:1," + other.Address)
+	h.until("an update from the other agent", h.phase(2, registry.Gone))
 }
 
-// The token goes with each call, and into no error.
+// The token is sent with each call, and appears in no error.
 func TestToken(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	if err := os.WriteFile(file, []byte("t0ken\n"), 0o600); err != nil {
@@ -308,7 +308,7 @@
 	}
 }
 
-// Whatever an agent answers, there is a list or an error.
+// For any answer of an agent, the decoders return either a list or an error.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		`[]`, `null`, `[{}]`, `[{"Node":{"Node":"n"},"Service":{"ID":"a","Port":1},"Checks":[{"Status":"passing"}]}]`,
@@ -321,7 +321,7 @@
 		for _, read := range []func(io.Reader) ([]membership.Instance, error){decodeHealth, decodeCatalog} {
 			list, err := read(strings.NewReader(string(text)))
 			if err != nil && list != nil {
-				t.Errorf("%q: a list beside an error", text)
+				t.Errorf("%q: both a list and an error", text)
 			}
 			for _, in := range list {
 				if in.Node == "" || in.ID == "" || in.Started < 0 || in.Size < 0 {
--- a/internal/dataplane/registry/consul/settings.go
+++ b/internal/dataplane/registry/consul/settings.go
@@ -14,19 +14,19 @@
 	"mothcleat/internal/dataplane/membership"
 )
 
-// Settings say where the service is registered and how it is read.
+// Settings say where a service is registered and how its list is read.
 type Settings struct {
 	Agents       []string // HOST:PORT, tried in turn
 	TLS          bool
-	CAFile       string // PEM; "": the system's authorities
-	TokenFile    string // an ACL token on one line; "": none
+	CAFile       string // PEM file; "": use the system's certificate authorities
+	TokenFile    string // file with an ACL token on one line; "": no token
 	Service      string
 	Datacenter   string
 	Namespace    string
-	Filter       string // an expression as Consul's filter parameter takes it
-	Consistency  string // "": Consul's default, or "stale" or "consistent"
-	Wait         time.Duration
-	WatchCatalog bool // the catalog is watched as well
+	Filter       string        // expression for Consul's filter parameter
+	Consistency  string        // "" (Consul's default), "stale" or "consistent"
+	Wait         time.Duration // of a blocking query
+	WatchCatalog bool          // watch the catalog in addition to the health view
 	Membership   membership.Settings
 }
 
@@ -40,17 +40,17 @@
 	maxHeaderBytes      = 16 << 10
 )
 
-// check returns the first setting that can't be used; nil: there is none.
+// check returns an error for the first invalid setting, or nil.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Agents) == 0:
-		return errors.New("register.agents: none")
+		return errors.New("register.agents: must name at least one agent")
 	case s.Service == "":
 		return errors.New("register.service: missing")
 	case s.Consistency != "" && s.Consistency != "stale" && s.Consistency != "consistent":
-		return fmt.Errorf("register.mode: %q: default, stale or consistent wanted", s.Consistency)
+		return fmt.Errorf("register.mode: %q: must be default, stale or consistent", s.Consistency)
 	case s.Wait < minWait || s.Wait > maxWait:
-		return fmt.Errorf("register.wait: %v: from 100ms to 10m wanted", s.Wait)
+		return fmt.Errorf("register.wait: %v: must be between 100ms and 10m", s.Wait)
 	}
 	for _, a := range s.Agents {
 		if _, _, err := net.SplitHostPort(a); err != nil {
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// readToken reads the ACL token; "": none is configured. Its errors never hold a token.
+// readToken reads the ACL token, or returns "" if none is configured. Its errors never contain a
+// token.
 func (s *Settings) readToken() (string, error) {
 	if s.TokenFile == "" {
 		return "", nil
@@ -71,12 +72,12 @@
 	}
 	token := strings.TrimSpace(string(raw))
 	if token == "" || strings.ContainsAny(token, " \t\r\n") {
-		return "", errors.New("register.token_file: no token in one line")
+		return "", errors.New("register.token_file: must contain one token on one line")
 	}
 	return token, nil
 }
 
-// newClient makes the client for calls to agents.
+// newClient returns the HTTP client for calls to agents.
 func (s *Settings) newClient() (*http.Client, error) {
 	transport := &http.Transport{
 		Proxy:                  nil,
@@ -94,7 +95,7 @@
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return nil, errors.New("register.ca_file: no certificate in it")
+			return nil, errors.New("register.ca_file: contains no certificate")
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	}
--- a/internal/dataplane/registry/consul/watch.go
+++ b/internal/dataplane/registry/consul/watch.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	answerTimeoutSlack = time.Second            // for an answer after the wait is over
+	answerTimeoutSlack = time.Second            // time for the answer after the wait is over
 	minRetryDelay      = 100 * time.Millisecond // doubled with each failure in a row
 	maxRetryDelay      = 3 * time.Second
-	minCallInterval    = 100 * time.Millisecond // between two calls without changes
+	minCallInterval    = 100 * time.Millisecond // between the starts of two calls without changes
 	maxStaleness       = 10 * time.Second       // of a follower's answer
 	maxErrorBodyBytes  = 200
 )
 
-// Errors of answers.
+// Errors of calls.
 var (
 	errStatus   = errors.New("call: status")
 	errNoLeader = errors.New("call: the agent knows no leader")
-	errStale    = errors.New("call: a follower's answer is too old")
+	errStale    = errors.New("call: the follower's answer is too old")
 )
 
 // viewUpdate is a list that a watch has read.
 type viewUpdate struct {
 	list       membership.List
-	generation int // of the watches
+	generation int // of the watch group when the watch was started
 }
 
-// watchGroup runs the watches of all views. It belongs to one goroutine.
+// watchGroup runs the watches of all views. It is not safe for concurrent use.
 type watchGroup struct {
 	source     *Source
 	updates    chan viewUpdate
-	generation int // counts the starts
+	generation int // number of calls of start
 	cancel     context.CancelFunc
 	running    int
 	ended      chan struct{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// stop ends the watches and waits for their end.
+// stop cancels the watches and waits until they have ended.
 func (w *watchGroup) stop() {
 	w.cancel()
 	for range w.running {
@@ -74,7 +74,7 @@
 	w.source.client.CloseIdleConnections()
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -82,7 +82,7 @@
 	}
 }
 
-// watch reads one view over and over until the context ends. After a failure it goes on with the
+// watch reads one view repeatedly until the context ends. After a failure it continues with the
 // next agent.
 func (s *Source) watch(
 	ctx context.Context, view membership.View, agents []string, generation int,
@@ -99,8 +99,8 @@
 		}
 		if err != nil {
 			s.log.Warn("register", "agent", agents[current], "error", err)
-			// Another agent has the same indexes, but may be behind this one: without an
-			// index it answers at once with what it has.
+			// Another agent uses the same indexes, but may be behind this one. Without an
+			// index it answers at once with its current list.
 			index = 0
 			current = (current + 1) % len(agents)
 			sleep(ctx, retryDelay/2+rand.N(retryDelay/2+1))
@@ -123,8 +123,9 @@
 	}
 }
 
-// nextIndex returns the index for the next call: 0, for an immediate answer, where the index has
-// gone back; else the answer's, which must not be 0 in a blocking call.
+// nextIndex returns the index for the next call. If the index has decreased, it returns 0, which
+// requests an immediate answer. Otherwise it returns the index of the answer, but at least 1,
+// because a blocking call needs an index above 0.
 func nextIndex(index, answered uint64) uint64 {
 	if answered < index {
 		return 0
@@ -132,8 +133,8 @@
 	return max(1, answered)
 }
 
-// fetch makes one call: a blocking one from an index on, or, for index 0, one that is answered at
-// once.
+// fetch makes one call: a blocking call that waits for changes after an index, or, for index 0, a
+// call that is answered at once.
 func (s *Source) fetch(
 	ctx context.Context, view membership.View, agent string, index uint64,
 ) ([]membership.Instance, answerHeader, error) {
@@ -175,7 +176,7 @@
 	return list, header, err
 }
 
-// url returns the address of a call.
+// url returns the URL of a call.
 func (s *Source) url(view membership.View, agent string, index uint64) string {
 	query := url.Values{}
 	if index > 0 {
