--- a/internal/dataplane/snapshot/records.go
+++ b/internal/dataplane/snapshot/records.go
@@ -12,17 +12,18 @@
 	"mothcleat/internal/storage/store"
 )
 
-// The keys of the store: that of the head, and the first bytes of the others.
+// headKey is the key of the head.
 var headKey = []byte("head")
 
+// The first bytes of the keys of customers and backends, and the length of these keys.
 const (
 	customerKind = 'c'
 	backendKind  = 'b'
 	idKeyBytes   = 1 + 8
 )
 
-// ErrUnknownKey says that a store holds what no snapshot has.
-var ErrUnknownKey = errors.New("key is no part of a state")
+// ErrUnknownKey is returned if a store contains a key that does not belong to a snapshot.
+var ErrUnknownKey = errors.New("key does not belong to a state")
 
 // idKey returns the key of a customer or a backend.
 func idKey(kind byte, id uint64) []byte { return binary.BigEndian.AppendUint64([]byte{kind}, id) }
@@ -36,7 +37,8 @@
 	return nil
 }
 
-// putChanged puts the records that differ from those before, and deletes those that are gone.
+// putChanged adds to the batch the records in now that differ from those in before, and deletions
+// of the records that are only in before.
 func putChanged[K uint64 | uint32, V comparable](
 	b *store.Batch, kind byte, before, now map[K]V,
 ) error {
@@ -56,7 +58,7 @@
 	return nil
 }
 
-// loadFrom reads the snapshot in a store. Its error is fs.ErrNotExist if there is none.
+// loadFrom reads the snapshot in a store. It returns fs.ErrNotExist if there is none.
 func loadFrom(from *store.Store) (s policy.Snapshot, err error) {
 	view, err := from.Snapshot()
 	if err != nil {
@@ -84,7 +86,8 @@
 	return s, nil
 }
 
-// addRecord adds a customer or a backend to a snapshot.
+// addRecord adds the customer or the backend in a store's record to a snapshot. It ignores the
+// head, and returns ErrUnknownKey for other keys.
 func addRecord(s *policy.Snapshot, key, value []byte) (err error) {
 	switch {
 	case bytes.Equal(key, headKey):
--- a/internal/dataplane/snapshot/snapshot.go
+++ b/internal/dataplane/snapshot/snapshot.go
@@ -1,10 +1,11 @@
 // Package snapshot stores snapshots of a gateway's balancer in an embedded store, so that the next
 // process can continue from there.
 //
-// The store holds, as JSON, the snapshot without its customers and backends under the key "head",
-// and each of those under a key of its own: "c" or "b" and its id in big-endian. A snapshot is
-// stored as one batch of what has changed since the one before, so it is stored completely or not
-// at all. A store that is cut off, damaged or foreign is rejected as a whole.
+// All values in the store are JSON. The key "head" holds the snapshot without its customers and
+// backends. Each customer and each backend has its own key: "c" or "b", followed by its ID in
+// big-endian. A snapshot is stored as one batch of the changes since the previous snapshot, so it
+// is stored completely or not at all. A store that is truncated, damaged or not a snapshot is
+// rejected as a whole.
 package snapshot
 
 import (
@@ -18,25 +19,25 @@
 	"mothcleat/internal/storage/store"
 )
 
-// storeOptions are for a store that is small, read completely, and shares a gateway's memory.
+// storeOptions suit a store that is small, is read completely, and shares the memory of a gateway.
 var storeOptions = store.Options{SegmentBytes: 1 << 20, MaxOverlayKeys: 4 << 10, Verify: true}
 
-// File stores the newest snapshot given to it. It is safe for concurrent use. The store is open
-// from the first snapshot stored to the last one, so a successor can read it once this process has
-// stored its last.
+// File stores the newest snapshot given to it. The store is open from the first call of Store until
+// the last snapshot is stored, so a successor can read the store once this process has stored its
+// last snapshot. File is safe for concurrent use.
 type File struct {
 	path string
 
 	mu        sync.Mutex
-	store     *store.Store                    // nil: it is not open
-	customers map[uint64]policy.CustomerState // as the store has them
-	backends  map[uint32]policy.BackendState
-	storedAt  policy.Time // the time of the snapshot in the store
-	final     bool        // the last snapshot of an orderly shutdown is stored
+	store     *store.Store                    // nil: not open
+	customers map[uint64]policy.CustomerState // contents of the store
+	backends  map[uint32]policy.BackendState  // contents of the store
+	storedAt  policy.Time                     // the time of the snapshot in the store
+	final     bool                            // the last snapshot of an orderly shutdown is stored
 }
 
-// Open makes a File at a path. The directory above must exist and be writable, which is tried at
-// once: that nothing can be stored must not be found out in a crash.
+// Open returns a File for a path. The parent directory must exist and be writable. Open tests this
+// by creating a file, so that the error shows at the start and not when state is lost in a crash.
 func Open(path string) (*File, error) {
 	probe, err := os.CreateTemp(filepath.Dir(path), ".mothcleat-")
 	if err != nil {
@@ -49,10 +50,10 @@
 	return &File{path: path}, nil
 }
 
-// Store replaces the snapshot. One that is older than the one stored before is ignored, and so is
-// all that comes after one marked as the last. A durable snapshot survives a power failure; another
-// one survives the end of the process. After an error there is no snapshot: an old one would grant
-// again what has been taken since.
+// Store replaces the stored snapshot by s. It ignores a snapshot that is older than the stored one,
+// and any snapshot after one marked as the last. A durable snapshot survives a power failure; other
+// snapshots survive only the end of the process. After an error no snapshot is left: an old one
+// would grant again what has been used since.
 func (f *File) Store(s policy.Snapshot, durable bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// closeStore closes the store, which another process can open then.
+// closeStore closes the store, so that another process can open it.
 func (f *File) closeStore() error {
 	open := f.store
 	f.store = nil
@@ -89,7 +90,7 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// remove removes the snapshot, and nothing else that may be in its directory.
+// remove removes the snapshot, but no other files in its directory.
 func (f *File) remove() error {
 	if f.isLegacyFile() {
 		return os.Remove(f.path)
@@ -97,7 +98,7 @@
 	return store.Remove(f.path)
 }
 
-// write stores what has changed since the snapshot before.
+// write stores the changes since the previous snapshot.
 func (f *File) write(s policy.Snapshot, durable bool) error {
 	var batch store.Batch
 	if f.store == nil {
@@ -129,8 +130,8 @@
 	return f.store.Commit(&batch, store.Durability(durable))
 }
 
-// openStore opens the store for writing, and has a batch delete what is in it. A file of an earlier
-// version is removed.
+// openStore opens the store for writing, and adds deletions of its contents to the batch. It
+// removes a file of an earlier version and a damaged store.
 func (f *File) openStore(batch *store.Batch) error {
 	if f.isLegacyFile() {
 		if err := f.remove(); err != nil {
@@ -139,7 +140,7 @@
 	}
 	s, err := store.Open(f.path, storeOptions)
 	var damage *store.DamageError
-	if errors.As(err, &damage) { // it was rejected and logged when it was read
+	if errors.As(err, &damage) { // the store was rejected and the damage logged when it was read
 		if err := f.remove(); err != nil {
 			return err
 		}
@@ -163,8 +164,8 @@
 	return nil
 }
 
-// Load reads the snapshot. Its error is fs.ErrNotExist if there is none, and store.ErrLocked while
-// another process has the store open for writing.
+// Load reads the snapshot. Its error wraps fs.ErrNotExist if there is none, and store.ErrLocked
+// while another process has the store open for writing.
 func (f *File) Load() (policy.Snapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dataplane/snapshot/snapshot_test.go
+++ b/internal/dataplane/snapshot/snapshot_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Load(); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no state: %v", err)
+		t.Errorf("loading without a stored snapshot: %v", err)
 	}
 	for i, durable := range []bool{false, true} {
 		want := sample(policy.Time(100 + i))
@@ -48,7 +48,7 @@
 			t.Errorf("got %+v, %v", got, err)
 		}
 	}
-	// Written by two goroutines, the newer one counts; nothing follows the last.
+	// An older snapshot, as from a second goroutine, is ignored, and so is one after the last.
 	if err := f.Store(sample(50), false); err != nil {
 		t.Fatal(err)
 	}
@@ -58,11 +58,12 @@
 		t.Fatal(err)
 	}
 	if got, err := f.Load(); err != nil || got.At != 200 {
-		t.Errorf("holds the state of %d, %v", got.At, err)
+		t.Errorf("loaded the snapshot of time %d, %v", got.At, err)
 	}
 }
 
-// A file that ends at any byte, or has any byte changed, is rejected with a reason.
+// A text that is truncated at any byte, or in which any byte was changed, is rejected or decodes to
+// the same snapshot. Errors state the reason.
 func TestEveryTruncationAndBitFlipIsRejected(t *testing.T) {
 	raw, err := Encode(sample(7))
 	if err != nil {
@@ -73,7 +74,7 @@
 	}
 	for n := range raw {
 		if s, err := Decode(raw[:n]); err == nil {
-			t.Errorf("cut after %d bytes: %+v", n, s)
+			t.Errorf("truncated after %d bytes: %+v", n, s)
 		}
 		for _, mask := range []byte{1, 0x20, 0x80} {
 			bad := append([]byte(nil), raw...)
@@ -95,8 +96,7 @@
 	}
 }
 
-// A store that is truncated or changed anywhere is rejected with a reason, or holds a snapshot that
-// was stored.
+// A store that is truncated or changed at any byte is rejected, or yields the stored snapshot.
 func TestEveryTruncationAndBitFlipOfTheStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	write := func(path string) {
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, refused := sample(2), 0
+	want, rejected := sample(2), 0
 	want.Last = true
 	for _, name := range names {
 		raw, err := os.ReadFile(name)
@@ -134,7 +134,7 @@
 					t.Fatal(err)
 				}
 				if s, err := f.Load(); err != nil {
-					refused++
+					rejected++
 				} else if !reflect.DeepEqual(s, want) {
 					t.Fatalf("%s, byte %d: %+v", filepath.Base(name), n, s)
 				}
@@ -144,12 +144,12 @@
 			t.Fatal(err)
 		}
 	}
-	if refused == 0 {
-		t.Error("nothing was refused")
+	if rejected == 0 {
+		t.Error("no damaged store was rejected")
 	}
 }
 
-// A snapshot that can't be stored leaves none: an old one would grant twice.
+// If a snapshot can't be stored, no snapshot is left: an old one would grant the same quota twice.
 func TestFailedStoreLeavesNoState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	f, err := Open(path)
@@ -164,24 +164,24 @@
 		t.Fatal(err)
 	}
 	if _, err := g.Load(); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a state that another process still writes: %v", err)
+		t.Errorf("loading while another process has the store open: %v", err)
 	}
 	if err := g.Store(sample(2), false); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("stored beside another process: %v", err)
+		t.Errorf("storing while another process has the store open: %v", err)
 	}
 	if _, err := g.Load(); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an old state is left: %v", err)
+		t.Errorf("loading after a failed store: %v", err)
 	}
 	if err := g.Store(sample(3), false); err != nil {
 		t.Error(err)
 	}
 	if _, err := Open(filepath.Join(t.TempDir(), "no", "state")); err == nil {
-		t.Error("opened in a folder that is not there")
+		t.Error("opened in a directory that does not exist")
 	}
 }
 
-// The next process continues where the one before ended, orderly or not, and where an earlier
-// version did.
+// A process loads the snapshot of the process before it, whether that shut down in order or not, and
+// also the file of an earlier version.
 func TestNextProcessContinues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	raw, err := Encode(sample(1))
@@ -197,15 +197,15 @@
 			t.Fatal(err)
 		}
 		if s, err := f.Load(); err != nil || s.At != at || len(s.Customers) != 1 {
-			t.Fatalf("life %d: %+v, %v", at, s, err)
+			t.Fatalf("process %d: %+v, %v", at, s, err)
 		}
 		next := sample(at + 1)
 		next.Last = at%2 == 0
-		next.Customers[0].ID += uint64(at) // the customer before is gone
+		next.Customers[0].ID += uint64(at) // replaces the previous customer
 		if err := f.Store(next, next.Last); err != nil {
 			t.Fatal(err)
 		}
-		if !next.Last { // as the end of the process does
+		if !next.Last { // what the system does when a process ends
 			if err := f.closeStore(); err != nil {
 				t.Fatal(err)
 			}
@@ -234,8 +234,8 @@
 	}
 }
 
-// BenchmarkSecond measures what a second costs: 10,000 customers of which one in a hundred changed,
-// as one file written anew, and in the store.
+// BenchmarkSecond measures the cost of storing one snapshot, as happens each second, for 10,000
+// customers of which one in a hundred has changed: as a file that is rewritten, and in the store.
 func BenchmarkSecond(b *testing.B) {
 	state := sample(1)
 	state.Customers = make([]policy.CustomerState, 10_000)
@@ -290,8 +290,7 @@
 	})
 }
 
-// A path that names a directory with other files costs none of them, whatever becomes of the
-// snapshot.
+// If the path is a directory that contains other files, none of them is removed with the snapshot.
 func TestOtherFilesAreKept(t *testing.T) {
 	path := t.TempDir()
 	other := filepath.Join(path, "operators.toml")
@@ -315,13 +314,13 @@
 	); !errors.Is(
 		err,
 		store.ErrLocked,
-	) { // which removes the state
-		t.Errorf("stored beside another process: %v", err)
+	) { // this failure removes the snapshot
+		t.Errorf("storing while another process has the store open: %v", err)
 	}
 	if _, err := os.Stat(other); err != nil {
 		t.Error(err)
 	}
 	if names, err := filepath.Glob(filepath.Join(path, "*.log")); err != nil || len(names) > 0 {
-		t.Errorf("the state is left: %v, %v", names, err)
+		t.Errorf("files of the snapshot are left: %v, %v", names, err)
 	}
 }
--- a/internal/dataplane/snapshot/stored_test.go
+++ b/internal/dataplane/snapshot/stored_test.go
@@ -6,7 +6,7 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A snapshot that an earlier build stored, or passed on as text, is read to the same values.
+// A snapshot that an earlier build stored, or encoded as text, is read with the same values.
 func TestStoredStateIsRead(t *testing.T) {
 	const path = "testdata/stored/state.txt"
 	file, err := Open(fixture.Copy(t, "testdata/stored/state"))
--- a/internal/dataplane/snapshot/text.go
+++ b/internal/dataplane/snapshot/text.go
@@ -14,7 +14,7 @@
 const (
 	magic         = "mothcleat-state"
 	formatVersion = 1
-	maxStateBytes = 64 << 20 // of a snapshot that is read
+	maxStateBytes = 64 << 20 // limit for reading a snapshot
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -28,12 +28,12 @@
 	ErrChecksum = errors.New("checksum differs: damaged")
 )
 
-// Encode returns a snapshot as one text, for a successor: a line with the length of what follows in
-// bytes and its CRC-32C as eight hex digits,
+// Encode returns a snapshot as a text for a successor. The text is the line
 //
 //	mothcleat-state 1 LENGTH CHECKSUM
 //
-// and a policy.Snapshot as JSON.
+// followed by a policy.Snapshot as JSON. LENGTH is the length of the JSON in bytes, and CHECKSUM
+// its CRC-32C as eight hex digits.
 func Encode(s policy.Snapshot) ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -44,7 +44,8 @@
 	return append(head, text...), nil
 }
 
-// Decode reads what Encode returns. It returns one of the errors above for what can't be used.
+// Decode parses a text that Encode returned. For other texts it returns an error that wraps
+// ErrForeign, ErrFormat, ErrHead, ErrLength or ErrChecksum, or an error of the JSON decoder.
 func Decode(raw []byte) (s policy.Snapshot, err error) {
 	line, text, ok := bytes.Cut(raw[:min(len(raw), maxStateBytes)], []byte("\n"))
 	if !ok || !bytes.HasPrefix(line, []byte(magic+" ")) {
@@ -54,14 +55,14 @@
 	var sum uint32
 	n, err := fmt.Sscanf(string(line), magic+" %d %d %08x", &format, &length, &sum)
 	if n < 1 || format != formatVersion {
-		return s, fmt.Errorf("%w: format %d, %d wanted", ErrFormat, format, formatVersion)
+		return s, fmt.Errorf("%w: format %d, must be %d", ErrFormat, format, formatVersion)
 	}
 	if err != nil {
 		return s, ErrHead
 	}
 	switch {
 	case len(text) < length:
-		return s, fmt.Errorf("%w: cut after %d of %d bytes", ErrLength, len(text), length)
+		return s, fmt.Errorf("%w: truncated after %d of %d bytes", ErrLength, len(text), length)
 	case len(text) > length:
 		return s, fmt.Errorf("%w: %d bytes too many", ErrLength, len(text)-length)
 	case crc32.Checksum(text, castagnoli) != sum:
@@ -73,7 +74,7 @@
 	return s, nil
 }
 
-// loadLegacyFile reads the single file of versions before the store: what Encode returns.
+// loadLegacyFile reads the single file that versions before the store wrote, in Encode's format.
 func loadLegacyFile(path string) (policy.Snapshot, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
