--- a/internal/dataplane/resp/append.go
+++ b/internal/dataplane/resp/append.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// AppendArray appends the head of an array of n values.
+// AppendArray appends the header of an array of n values to b.
 func AppendArray(b []byte, n int) []byte { return appendHead(b, '*', n) }
 
-// AppendBulk appends a bulk string.
+// AppendBulk appends value to b as a bulk string.
 func AppendBulk(b, value []byte) []byte {
 	b = append(appendHead(b, '$', len(value)), value...)
 	return append(b, '\r', '\n')
--- a/internal/dataplane/resp/command.go
+++ b/internal/dataplane/resp/command.go
@@ -1,7 +1,7 @@
 package resp
 
-// ReadCommand reads an array of bulk strings, which belong to the caller. Empty arrays are skipped.
-// Its error wraps ErrTooLarge or ErrProtocol where these apply.
+// ReadCommand reads a command, which is an array of bulk strings. The caller owns the returned
+// strings. Empty arrays are skipped. The error wraps ErrTooLarge or ErrProtocol where these apply.
 func (r *Reader) ReadCommand() ([][]byte, error) {
 	for {
 		head, err := r.readLine()
@@ -21,8 +21,8 @@
 	}
 }
 
-// readValues reads the bulk strings of a command into one buffer. A command that is too large is
-// read to its end without being held.
+// readValues reads the n bulk strings of a command into one buffer. It reads a command that is too
+// large to its end, but does not store it.
 func (r *Reader) readValues(n int) ([][]byte, error) {
 	tooLarge := n > MaxArgs
 	var ends [MaxArgs]int
--- a/internal/dataplane/resp/reply.go
+++ b/internal/dataplane/resp/reply.go
@@ -9,23 +9,23 @@
 type Reply struct {
 	Kind  byte   // '+', '-', ':', '$' or '*'
 	Null  bool   // a null string or array
-	Text  []byte // of all but arrays
+	Text  []byte // set for all kinds but arrays
 	Items []Reply
 }
 
-// ReadReply reads one reply: at most an array of plain values. With an error it returns what was
-// read completely of an array before it.
+// ReadReply reads one reply, which may be an array but not a nested one. If an error occurs within
+// an array, ReadReply returns the values that were read completely together with the error.
 func (r *Reader) ReadReply() (Reply, error) { return r.readReply(true, nil) }
 
-// LongValue is a value of over MaxValue bytes that is the first of an array. It has not been read:
-// Copy reads it, and SkipTail what follows.
+// LongValue describes a value of more than MaxValue bytes that is the first one of an array. The
+// value has not been read: Copy reads it, and SkipTail reads the rest of the array.
 type LongValue struct {
-	Size         int // bytes; 0: there is no such value
-	valuesBehind int // values behind it
+	Size        int // bytes; 0: there is no such value
+	valuesAfter int // number of values after it in the array
 }
 
-// ReadReplyHead is ReadReply except for a long value: of that it reads up to the value's first
-// byte, which it waits for.
+// ReadReplyHead is like ReadReply, but leaves a long value unread. It then waits until the first
+// byte of the value has arrived.
 func (r *Reader) ReadReplyHead() (re Reply, long LongValue, err error) {
 	re, err = r.readReply(true, &long)
 	if err == nil && long.Size > 0 {
@@ -34,8 +34,8 @@
 	return re, long, err
 }
 
-// Copy streams a long value through a buffer, which bounds what is held of it. Before each read and
-// write it calls beforeStep, which may set deadlines.
+// Copy streams a long value to a writer through buf, which limits how much of it is in memory.
+// Before each read and the write that follows, it calls beforeStep, which may set deadlines.
 func (r *Reader) Copy(to io.Writer, long LongValue, buf []byte, beforeStep func()) error {
 	for left := long.Size; left > 0; {
 		beforeStep()
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// SkipTail reads past what follows a long value: the other values of its array.
+// SkipTail reads and drops the other values of the array after a long value.
 func (r *Reader) SkipTail(long LongValue) error {
 	if err := r.readCRLF(); err != nil {
 		return unexpectedEOF(err)
 	}
-	for range long.valuesBehind {
+	for range long.valuesAfter {
 		if _, err := r.readReply(false, nil); err != nil {
 			return unexpectedEOF(err)
 		}
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// readReply reads one reply, an array only where one is allowed. If long is not nil, the first
-// value of an array may be a long one, which is left unread and described there.
+// readReply reads one reply. An array is an error unless arrayAllowed is true. If long is not nil,
+// the first value of an array may be a long value: it is left unread and described in long.
 func (r *Reader) readReply(arrayAllowed bool, long *LongValue) (Reply, error) {
 	head, err := r.readLine()
 	if err != nil {
@@ -83,7 +83,7 @@
 		return reply, nil
 	case '$':
 		if arrayAllowed {
-			long = nil // it is no value of an array
+			long = nil // this value is not in an array
 		}
 		err := r.readBulk(&reply, head[1:], long)
 		return reply, err
@@ -99,8 +99,8 @@
 	return reply, malformed("unknown kind of reply")
 }
 
-// readBulk reads a bulk string whose length is given as text. If long is not nil, a long value is
-// left unread.
+// readBulk reads a bulk string, whose length is given as text, into reply. If long is not nil, a
+// long value is left unread and described in long.
 func (r *Reader) readBulk(reply *Reply, length []byte, long *LongValue) error {
 	limit := MaxValue
 	if long != nil {
@@ -124,7 +124,8 @@
 	return unexpectedEOF(err)
 }
 
-// readItems reads the values of an array, up to a long value that is its first.
+// readItems reads the n values of an array into reply. If long is not nil and the first value is a
+// long one, it leaves this value and those after it unread.
 func (r *Reader) readItems(reply *Reply, n int, long *LongValue) error {
 	for i := range n {
 		if i > 0 {
@@ -136,7 +137,7 @@
 		}
 		reply.Items = append(reply.Items, item)
 		if long != nil && long.Size > 0 {
-			long.valuesBehind = n - 1
+			long.valuesAfter = n - 1
 			break
 		}
 	}
--- a/internal/dataplane/resp/resp.go
+++ b/internal/dataplane/resp/resp.go
@@ -1,9 +1,9 @@
-// Package resp reads and writes RESP2 with bounded memory: no input makes it hold more than a few
-// values of MaxValue bytes.
+// Package resp reads and writes RESP2 with bounded memory: whatever the input, it holds no more
+// than a few values of MaxValue bytes.
 //
-// It replaces a library's parser because two of them lack what the gateway needs: redcon v1.6.4
-// panics on a bulk length of -2 and lets a command grow without bound, and redigo allocates
-// whatever length it is told.
+// It is used in place of a library because two libraries do not meet the gateway's needs: redcon
+// v1.6.4 panics on a bulk length of -2 and does not limit the size of a command, and redigo
+// allocates any length that a peer announces.
 package resp
 
 import (
@@ -16,24 +16,26 @@
 	"strconv"
 )
 
-// Limits of what is read, in bytes or values.
+// Limits for reading.
 const (
 	MaxValue         = 64 << 10        // bytes of a value
 	MaxCommand       = MaxValue + 4096 // bytes of all values of a command
 	MaxArgs          = 16              // values of a command or an array
 	MaxStreamedValue = 16 << 20        // bytes of a value that Copy streams
 
-	maxSkippedArgs  = 1024    // values of a command that is dropped for its size
+	maxSkippedArgs  = 1024    // values of a command that is dropped because of its size
 	maxSkippedValue = 1 << 20 // bytes of a value that is dropped
-	growBytes       = 4096    // by which a buffer grows at least ahead of what has come
-	readerBytes     = 2048    // of the connection's buffer
-	commandBytes    = 192     // first allocated for a command
+	growBytes       = 4096    // minimum bytes by which a buffer grows before they are received
+	readerBytes     = 2048    // size of a connection's read buffer
+	commandBytes    = 192     // initial size of a command's buffer
 )
 
-// ErrTooLarge says that a well-formed command was read past and dropped. The next one can be read.
+// ErrTooLarge means that a well-formed command exceeded a limit and was skipped. The next command
+// can be read.
 var ErrTooLarge = errors.New("command too large")
 
-// ErrProtocol says that the framing is lost: nothing more can be read.
+// ErrProtocol means that the input violates the protocol, so that the start of the next message is
+// unknown and nothing more can be read.
 var ErrProtocol = errors.New("protocol error")
 
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrProtocol, what) }
@@ -43,10 +45,10 @@
 	in *bufio.Reader
 }
 
-// NewReader makes a reader.
+// NewReader returns a reader of the messages in a stream.
 func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, readerBytes)} }
 
-// readLine reads a line and returns it without its end. It is valid until the next read.
+// readLine reads a line and returns it without its CRLF. The line is valid until the next read.
 func (r *Reader) readLine() ([]byte, error) {
 	b, err := r.in.ReadSlice('\n')
 	switch {
@@ -60,7 +62,7 @@
 	return b[:len(b)-2], nil
 }
 
-// parseLength parses the number after a kind byte.
+// parseLength parses the length after a kind byte, which must be between lowest and highest.
 func parseLength(b []byte, lowest, highest int) (int, error) {
 	n, err := strconv.Atoi(string(b))
 	if err != nil || n < lowest || n > highest {
@@ -69,8 +71,9 @@
 	return n, nil
 }
 
-// readBytes appends size bytes to buf. It allocates as the bytes come: clients that announce much
-// and send little must not cost what they announce.
+// readBytes reads size bytes and appends them to buf. It allocates memory step by step as the bytes
+// arrive, so that a client that announces a large value but sends little does not occupy the
+// announced size.
 func (r *Reader) readBytes(buf []byte, size int) ([]byte, error) {
 	for size > 0 {
 		n := min(size, max(growBytes, len(buf)))
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// unexpectedEOF replaces io.EOF, for an end within a message.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, for errors within a message.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -107,16 +110,16 @@
 	return err
 }
 
-// Await waits for the first byte of the next message.
+// Await waits until the first byte of the next message has arrived. It does not consume the byte.
 func (r *Reader) Await() error {
 	_, err := r.in.Peek(1)
 	return err
 }
 
-// Buffered returns how many bytes were read that belong to no message yet.
+// Buffered returns the number of bytes that were received but are not part of a returned message.
 func (r *Reader) Buffered() int { return r.in.Buffered() }
 
-// Unread returns a copy of the bytes that were read and belong to no message yet.
+// Unread returns a copy of the bytes that were received but are not part of a returned message.
 func (r *Reader) Unread() []byte {
 	b, _ := r.in.Peek(r.in.Buffered())
 	return bytes.Clone(b)
--- a/internal/dataplane/resp/resp_test.go
+++ b/internal/dataplane/resp/resp_test.go
@@ -22,16 +22,16 @@
 		{"empty array first", "*0\r\n*1\r\n$1\r\na\r\n", []string{"a"}, nil},
 		{"CRLF in a value", "*1\r\n$4\r\na\r\nb\r\n", []string{"a\r\nb"}, nil},
 		{"end", "", nil, io.EOF},
-		{"end within", "*2\r\n$1\r\na\r\n", nil, io.ErrUnexpectedEOF},
+		{"end within a command", "*2\r\n$1\r\na\r\n", nil, io.ErrUnexpectedEOF},
 		{"end within a value", "*1\r\n$5\r\na", nil, io.ErrUnexpectedEOF},
 		{"large value", head, nil, ErrTooLarge},
 		{"many values", "*17\r\n" + strings.Repeat("$0\r\n\r\n", 17), nil, ErrTooLarge},
-		{"no array", "PING\r\n", nil, ErrProtocol},
+		{"not an array", "PING\r\n", nil, ErrProtocol},
 		{"negative length", "*1\r\n$-2\r\nxx", nil, ErrProtocol},
-		{"no number", "*x\r\n", nil, ErrProtocol},
+		{"not a number", "*x\r\n", nil, ErrProtocol},
 		{"bare LF", "*1\n", nil, ErrProtocol},
 		{"no CRLF", "*1\r\n$1\r\nabc", nil, ErrProtocol},
-		{"no bulk", "*1\r\n+OK\r\n", nil, ErrProtocol},
+		{"not a bulk string", "*1\r\n+OK\r\n", nil, ErrProtocol},
 		{"endless line", "*" + large, nil, ErrProtocol},
 	} {
 		args, err := NewReader(iotest.OneByteReader(strings.NewReader(c.in))).ReadCommand()
@@ -48,7 +48,7 @@
 		t.Error(err)
 	}
 	if args, err := r.ReadCommand(); err != nil || string(args[0]) != "next" {
-		t.Errorf("after a large one: %q, %v", args, err)
+		t.Errorf("after a command that is too large: %q, %v", args, err)
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// What is only announced takes no memory: many incomplete commands fit in little of it.
+// A length that is only announced must not be allocated: an incomplete command takes little memory.
 func TestAnnouncedLengthsAllocateNothing(t *testing.T) {
 	const runs = 200
 	var before, after runtime.MemStats
@@ -94,7 +94,7 @@
 	}
 	runtime.ReadMemStats(&after)
 	if each := (after.TotalAlloc - before.TotalAlloc) / runs; each > 16<<10 {
-		t.Errorf("%d bytes for a command of which two came", each)
+		t.Errorf("%d bytes were allocated for a command of which two bytes arrived", each)
 	}
 	large := "$65536\r\n" + strings.Repeat("x", MaxValue) + "\r\n"
 	if _, err := NewReader(
@@ -103,11 +103,12 @@
 		err,
 		ErrTooLarge,
 	) {
-		t.Errorf("a command beyond the limit in all: %v", err)
+		t.Errorf("a command whose total size exceeds the limit: %v", err)
 	}
 }
 
-// Whatever comes, a reader neither panics nor holds more than it may.
+// For any input, a reader does not panic, and a command that it returns has at least one value and at
+// most MaxArgs.
 func FuzzReadCommand(f *testing.F) {
 	for _, seed := range []string{"*1\r\n$4\r\nPING\r\n", "*1\r\n$-2\r\nxx", "*3\r\n$1\r\na\r\n", "*\r\n", "*1\r\n$\r\n"} {
 		f.Add(seed)
