--- a/internal/dataplane/admin/admin.go
+++ b/internal/dataplane/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is a listener for operators: each connection carries one line and gets one answer.
-// It answers however busy the rest of the program is. The number of open connections, the length of
-// their lines and their time are bounded.
+// Package admin implements the admin interface for operators: each connection carries one line and
+// receives one answer. It answers however busy the rest of the program is. The number of open
+// connections, the length of their lines and their duration are limited.
 package admin
 
 import (
@@ -18,35 +18,35 @@
 
 const (
 	maxLineBytes = 512
-	// Beyond so many connections the one that has been silent longest is closed.
+	// If there are more connections than this, the oldest one without a complete line is closed.
 	maxOpenCalls     = 24
-	readTimeout      = 5 * time.Second // for the line
-	writeTimeout     = 2 * time.Second // for the answer
+	readTimeout      = 5 * time.Second // for reading the line
+	writeTimeout     = 2 * time.Second // for writing the answer
 	answerTimeout    = 900 * time.Millisecond
 	acceptRetryDelay = 20 * time.Millisecond // after an error, such as a lack of descriptors
 
-	closeTimeout      = 500 * time.Millisecond // for the caller to close after its answer
-	maxDiscardedBytes = 64 << 10               // behind the line
+	closeTimeout      = 500 * time.Millisecond // for the caller to close after the answer
+	maxDiscardedBytes = 64 << 10               // of data after the line
 )
 
-// Handler answers a call with the complete answer, its last line break included. The context ends
-// when an answer is of no use any more. It is called concurrently.
+// Handler returns the complete answer to a call, including the final line break. The context ends
+// when an answer is no longer of use. A handler is called concurrently.
 type Handler func(ctx context.Context, name, argument string) string
 
-// Server answers operators' calls. Make it with Listen. It is safe for concurrent use.
+// Server answers operators' calls. Use Listen to create one. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	handle   Handler
 	log      *slog.Logger
 
 	mu           sync.Mutex
-	awaitingLine []net.Conn // connections without a complete line, the oldest first
+	awaitingLine []net.Conn // connections without a complete line, oldest first
 	open         int
 	closed       bool
 	pending      sync.WaitGroup
 }
 
-// Listen listens at an address and answers calls from then on, until Close.
+// Listen listens at a TCP address and answers calls until Close.
 func Listen(address string, handle Handler, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,10 +57,11 @@
 	return s, nil
 }
 
-// Addr returns the address that it listens at.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close stops listening and waits until calls under way are answered.
+// Close stops listening, closes connections without a complete line, and waits until the calls
+// under way are answered.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -92,8 +93,8 @@
 	}
 }
 
-// admit counts a connection, and closes the one that has been silent longest where there are too
-// many. It returns false after Close.
+// admit registers a connection. If there are too many, it closes the oldest one without a complete
+// line. It returns false after Close.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	return true
 }
 
-// lineEnded records that a connection's line is read, or will not come.
+// lineEnded records that a connection's line was read or that reading it failed.
 func (s *Server) lineEnded(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +149,7 @@
 	s.left()
 }
 
-// answer has a line answered by the handler.
+// answer splits a line into a name and an argument, and returns the handler's answer.
 func (s *Server) answer(line string) string {
 	name, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
--- a/internal/dataplane/admin/admin_test.go
+++ b/internal/dataplane/admin/admin_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Far more connections send nothing, or half a line, than the server keeps open: each complete call
-// is answered all the same.
+// Even if far more connections than the server keeps open send nothing or half a line, each complete
+// call is answered.
 func TestSilentConnectionsBlockNothing(t *testing.T) {
 	d := open(t, echo)
 	for i := range 4 * maxOpenCalls {
@@ -76,23 +76,23 @@
 		}
 		if i%5 == 0 {
 			if got := call(t, d, "check\n"); got != "ok check()\n" {
-				t.Fatalf("call behind %d silent ones: %q", i+1, got)
+				t.Fatalf("call after %d silent connections: %q", i+1, got)
 			}
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.awaitingLine) > maxOpenCalls {
-		t.Errorf("%d silent callers are kept, %d at most wanted", len(d.awaitingLine), maxOpenCalls)
+		t.Errorf("%d silent connections are open, want at most %d", len(d.awaitingLine), maxOpenCalls)
 	}
 }
 
-// Close answers a call under way.
+// Close waits until a call under way is answered.
 func TestCloseAnswersCallsUnderWay(t *testing.T) {
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	begun, proceed := make(chan struct{}), make(chan struct{})
 	d := open(t, func(context.Context, string, string) string {
 		close(begun)
-		<-goOn
+		<-proceed
 		return "ok\n"
 	})
 	c := dial(t, d)
@@ -100,7 +100,7 @@
 	<-begun
 	closed := make(chan struct{})
 	go func() { d.Close(); close(closed) }()
-	close(goOn)
+	close(proceed)
 	if b, err := io.ReadAll(c); err != nil || string(b) != "ok\n" {
 		t.Errorf("answer %q, %v", b, err)
 	}
--- a/internal/dataplane/metrics/metrics.go
+++ b/internal/dataplane/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a gateway did since its process started, and writes it as text for
-// monitoring.
+// Package metrics counts a gateway's events since its process started, and formats the counts as
+// text for monitoring.
 package metrics
 
 import (
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome uint8
 
-// The outcomes. Their names in the text are older: answered, deferred and errored.
+// The outcomes. The text has their older names: answered, deferred and errored.
 const (
 	Answered Outcome = iota
 	Rejected
@@ -20,20 +20,20 @@
 
 var outcomeNames = [outcomeCount]string{"answered", "deferred", "errored"}
 
-// Counters are the counts. CountRequest and Append belong to one goroutine; the atomic fields may
-// be used from any.
+// Counters holds the counts. CountRequest and Append must be called from one goroutine; the atomic
+// fields may be used from any goroutine.
 type Counters struct {
 	classes []string
 	ended   [][outcomeCount]int64 // by class
 
-	Sends         atomic.Int64 // attempts written completely to backends
-	ConfigLoads   atomic.Int64 // configurations in force, the first among them
+	Sends         atomic.Int64 // attempts that were written completely to backends
+	ConfigLoads   atomic.Int64 // configurations that took effect, including the first
 	ConfigErrors  atomic.Int64 // configurations that could not be read
-	ConnsReceived atomic.Int64 // clients' connections from the predecessor
-	ConnsPassed   atomic.Int64 // clients' connections passed to the successor
+	ConnsReceived atomic.Int64 // client connections received from the predecessor
+	ConnsPassed   atomic.Int64 // client connections passed to the successor
 }
 
-// New makes counters for classes of these names.
+// New returns counters for the classes with these names.
 func New(classes []string) *Counters {
 	return &Counters{classes: classes, ended: make([][outcomeCount]int64, len(classes))}
 }
@@ -43,12 +43,12 @@
 
 // Gauges are current values.
 type Gauges struct {
-	OpenRequests      int // admitted and not answered
+	OpenRequests      int // admitted but not yet answered
 	Backends          int // in the endpoint list
-	UnhealthyBackends int // of those, the ejected and unhealthy ones
+	UnhealthyBackends int // the ejected and unhealthy ones among Backends
 }
 
-// Append appends all metrics to b, one a line: gateway.NAME=NUMBER.
+// Append appends all metrics to b, one per line, in the form gateway.NAME=NUMBER.
 func (c *Counters) Append(b []byte, gauges Gauges) []byte {
 	line := func(name, class string, n int64) {
 		b = append(append(b, "gateway."...), name...)
