--- a/internal/dataplane/authz/api.go
+++ b/internal/dataplane/authz/api.go
@@ -1,95 +1,97 @@
-// Package authz decides, for one gateway, whether a request may go on: when an authenticator is
-// asked, which requests wait for its verdict and for how long, how long a verdict is cached, and
-// when a failing authenticator is not called. It does no I/O: the caller owns the clock, the
-// sockets and the random numbers.
+// Package authz decides, for one gateway, whether a request may proceed. It determines when the
+// authenticator is called, which requests wait for its verdict and for how long, how long a verdict
+// is cached, and when a failing authenticator is not called. The package does no I/O: the caller
+// provides the clock, the sockets and the random seed.
 //
-// Guarantees, given that times never go back and that the caller calls HandleAnswer exactly once
-// for each Call:
+// Guarantees, provided that time never goes backwards and that the caller calls HandleAnswer
+// exactly once for each Call:
 //
-//   - A request gets one verdict: from Request itself, or later by Decide, unless Cancel was called
-//     first.
-//   - That verdict comes within the request's wait, if the caller calls Timer when asked to.
+//   - A request gets exactly one verdict, either from Request itself or later through Decide,
+//     unless Cancel is called first.
+//   - The verdict is given within the request's maximum wait, provided that the caller calls Timer
+//     at the times that SetTimer requests.
 //   - Equal questions share one call; no more than MaxCalls calls are outstanding.
-//   - An answer for which nobody waits any more only fills the cache.
+//   - An answer for which no request waits any more only fills the cache.
 package authz
 
 import "errors"
 
-// Time is a moment or a duration in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
-// Key stands for a question: a digest of all that the verdict may depend on. Equal keys are equal
-// questions.
+// Key identifies a question: it is a digest of everything that the verdict may depend on. Questions
+// with equal keys are equal.
 type Key [16]byte
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
-// The verdicts. Pending is none yet: Decide brings it. With RetryLater and Unknown nothing was
-// executed, so the request may be rejected.
+// The verdicts. Pending means that there is no verdict yet; Decide gives it later. A request with
+// the verdict RetryLater or Unknown was not executed, so it may be rejected.
 const (
 	Pending Verdict = iota
 	Allow
 	Deny
-	RetryLater // the authenticator said so
-	Unknown    // there is no verdict, and the class does not fail open
+	RetryLater // the authenticator told the client to retry
+	Unknown    // the authenticator gave no verdict, and the class does not fail open
 )
 
-// Answer is how a call ended. Verdict is Allow, Deny, RetryLater or Unknown.
+// Answer is the result of a call. Verdict is Allow, Deny, RetryLater or Unknown.
 type Answer struct {
 	Verdict    Verdict
-	MaxAge     Time // how long it may be cached; below 0: it does not say
-	RetryAfter Time // with RetryLater
+	MaxAge     Time // how long the answer may be cached; negative: not specified
+	RetryAfter Time // only with RetryLater
 }
 
-// Question is a request that waits to go on.
+// Question is a request that needs a verdict.
 type Question struct {
 	ID          uint64
 	Key         Key
 	Class, Plan int
-	Timeout     Time // how long the client waits from now
+	Timeout     Time // how much longer the client waits
 }
 
-// Actions is what a Gate has done. Calls take effect in order.
+// Actions carries out what a Gate decides. A Gate calls its methods in the order in which they are
+// to take effect.
 type Actions interface {
-	// Call asks the authenticator. Call numbers are never reused.
+	// Call sends a question to the authenticator. Call numbers are never reused.
 	Call(call uint64, key Key)
-	// Decide gives a waiting request its one verdict; retryAfter is for RetryLater.
+	// Decide gives a waiting request its only verdict; retryAfter applies to RetryLater only.
 	Decide(id uint64, v Verdict, retryAfter Time)
-	// SetTimer asks for a Timer call at a time; a later SetTimer replaces it.
+	// SetTimer requests a call of Timer at the given time and replaces an earlier SetTimer.
 	SetTimer(at Time)
 }
 
-// Settings say how a Gate decides. Times are in microseconds.
+// Settings configure how a Gate decides. Times are in microseconds.
 type Settings struct {
-	Classes  []bool // by class: whether the authenticator is asked
-	Plans    []bool // the same by plan; both must hold
-	FailOpen []bool // by class: whether requests go on without a verdict
+	Classes  []bool // by class: whether the authenticator is called
+	Plans    []bool // by plan; the authenticator is called only if class and plan are both true
+	FailOpen []bool // by class: whether requests proceed without a verdict
 
-	MaxWait     Time // of a request, and never more than a quarter of its timeout
-	AllowTTL    Time // how long an allowance without a max-age is cached
+	MaxWait     Time // of a request, which also never waits longer than a quarter of its timeout
+	AllowTTL    Time // how long an Allow without a max-age is cached
 	MaxAllowTTL Time
 	MaxDenyTTL  Time
-	StaleTTL    Time // how long an expired allowance may serve while it is revalidated
+	StaleTTL    Time // how long an expired Allow may be used while it is revalidated
 
-	MaxCalls   int // outstanding at once
-	MaxWaiting int // requests that wait at once
-	MaxCached  int // answers
+	MaxCalls   int // limit of concurrently outstanding calls
+	MaxWaiting int // limit of concurrently waiting requests
+	MaxCached  int // limit of cached answers
 
-	BreakerFailures int  // in a row, that open the circuit breaker
-	BreakerMinOpen  Time // how long it stays open at first
-	BreakerMaxOpen  Time // each failed probe doubles the time up to this
+	BreakerFailures int  // consecutive failures that open the circuit breaker
+	BreakerMinOpen  Time // how long it stays open the first time
+	BreakerMaxOpen  Time // each failed probe doubles that time up to this limit
 }
 
-// Errors of settings.
+// Errors for invalid settings.
 var (
-	ErrClasses = errors.New("authz: as many classes to ask about as to pass wanted")
-	ErrLimits  = errors.New("authz: budget and limits above 0 wanted")
-	ErrTimes   = errors.New("authz: times of 0 and more wanted")
-	ErrBreaker = errors.New("authz: an opening above 0 and no longer than the longest wanted")
+	ErrClasses = errors.New("authz: Classes and FailOpen must have the same length")
+	ErrLimits  = errors.New("authz: the maximum wait and the limits must be above 0")
+	ErrTimes   = errors.New("authz: TTLs must be at least 0")
+	ErrBreaker = errors.New("authz: minimum open time must be above 0 and at most the maximum")
 )
 
-// check returns why settings can't be used; nil if they can.
+// check returns an error for invalid settings.
 func (s *Settings) check() error {
 	limits := []int{s.MaxCalls, s.MaxWaiting, s.MaxCached, s.BreakerFailures}
 	ttls := []Time{s.AllowTTL, s.MaxAllowTTL, s.MaxDenyTTL, s.StaleTTL}
--- a/internal/dataplane/authz/authz.go
+++ b/internal/dataplane/authz/authz.go
@@ -5,28 +5,28 @@
 	"math/rand/v2"
 )
 
-// maxWaitDivisor: a request waits for at most this fraction of its client's timeout.
+// maxWaitDivisor limits a request's wait: its client's timeout divided by this number.
 const maxWaitDivisor = 4
 
-// call is an outstanding call.
+// call is an outstanding call to the authenticator.
 type call struct {
 	number   uint64
 	key      Key
-	probe    bool // it finds out whether the authenticator is back
-	outdated bool // it went to an earlier authenticator: its answer is not cached
+	probe    bool // it tests whether the authenticator has recovered
+	outdated bool // it was sent to a previous authenticator, so its answer is not cached
 	waiting  []*waiter
 }
 
-// waiter is a request that waits for a call.
+// waiter is a request that waits for a call's answer.
 type waiter struct {
 	id       uint64
 	class    int
 	deadline Time
 	call     *call
-	index    int // in the heap; -1: it waits no more
+	index    int // in the heap; -1: no longer waiting
 }
 
-// Gate decides for one gateway. It is not safe for concurrent use.
+// Gate decides on the requests of one gateway. It is not safe for concurrent use.
 type Gate struct {
 	settings Settings
 	actions  Actions
@@ -35,15 +35,15 @@
 	cache    *cache
 	breaker  breaker
 	calls    map[uint64]*call
-	byKey    map[Key]*call // those that are not outdated
+	byKey    map[Key]*call // only calls that are not outdated
 	lastCall uint64
 
-	waiters    map[uint64]*waiter // by request
+	waiters    map[uint64]*waiter // by request id
 	byDeadline deadlineHeap
-	timer      Time // 0: none is set
+	timer      Time // 0: not set
 }
 
-// New makes a gate with an empty cache. It returns an error for settings that can't be used.
+// New creates a gate with an empty cache. It returns an error for invalid settings.
 func New(settings Settings, seed uint64, actions Actions) (*Gate, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -59,9 +59,9 @@
 	}, nil
 }
 
-// Update applies new settings. moved: the authenticator is another one; answers of the old one
-// count only for requests that already wait for them. It returns an error, and changes nothing, for
-// settings that can't be used.
+// Update applies new settings. If moved is true, the authenticator was replaced by another one;
+// answers of the old one apply only to requests that already wait for them. Update returns an error
+// and changes nothing if the settings are invalid.
 func (g *Gate) Update(now Time, settings Settings, moved bool) error {
 	if err := settings.check(); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// applies reports whether the authenticator is asked about a request at all.
+// applies reports whether a request needs a verdict of the authenticator at all.
 func (g *Gate) applies(q *Question) bool {
 	s := &g.settings
 	if q.Class < 0 || q.Class >= len(s.Classes) || q.Plan < 0 || q.Plan >= len(s.Plans) {
@@ -89,8 +89,8 @@
 	return s.Classes[q.Class] && s.Plans[q.Plan]
 }
 
-// Request decides on a request: at once, or with Pending by Decide later. retryAfter is for
-// RetryLater.
+// Request decides on a request. It returns the verdict at once, or Pending if Decide will give the
+// verdict later. retryAfter applies to RetryLater only.
 func (g *Gate) Request(now Time, q Question) (v Verdict, retryAfter Time) {
 	g.now = max(g.now, now)
 	if !g.applies(&q) {
@@ -118,8 +118,8 @@
 	return Pending, 0
 }
 
-// cached returns the verdict that the cache has; ok is false if it has none. A stale allowance
-// serves while it is revalidated, whether or not a call can be made for that.
+// cached returns the verdict in the cache; ok is false if there is none. A stale Allow is used
+// while it is revalidated, even if no call can be made to revalidate it.
 func (g *Gate) cached(key Key) (v Verdict, retryAfter Time, ok bool) {
 	e := g.cache.get(key)
 	if e == nil {
@@ -140,7 +140,7 @@
 	return 0, 0, false
 }
 
-// undecided returns what a class gets without a verdict.
+// undecided returns the verdict for a request of a class if the authenticator gave none.
 func (g *Gate) undecided(class int) Verdict {
 	if g.settings.FailOpen[class] {
 		return Allow
@@ -148,7 +148,7 @@
 	return Unknown
 }
 
-// startCall starts a call; nil: the limit of calls or the breaker does not allow one.
+// startCall starts a call. It returns nil if the limit of calls or the breaker does not allow one.
 func (g *Gate) startCall(key Key) *call {
 	if len(g.calls) >= g.settings.MaxCalls {
 		return nil
@@ -165,8 +165,8 @@
 	return c
 }
 
-// HandleAnswer applies the answer to a call. A second answer, or one to an unknown call, is
-// ignored.
+// HandleAnswer applies the answer to a call. It ignores a second answer to a call and an answer to
+// an unknown call.
 func (g *Gate) HandleAnswer(now Time, number uint64, a Answer) {
 	g.now = max(g.now, now)
 	c := g.calls[number]
@@ -196,8 +196,8 @@
 // BreakerOpen reports whether the circuit breaker is open.
 func (g *Gate) BreakerOpen() bool { return g.breaker.open() }
 
-// store caches an answer for as long as it may be cached. Without a verdict, what was cached before
-// stays.
+// store caches an answer for as long as it may be cached. An answer without a verdict leaves the
+// cache unchanged.
 func (g *Gate) store(key Key, a Answer) {
 	if a.Verdict == Unknown || a.Verdict == Pending {
 		return
@@ -213,7 +213,7 @@
 	e.staleUntil = e.expires + staleTTL
 }
 
-// ttl returns how long an answer may be cached, and for how much longer it may serve stale.
+// ttl returns how long an answer may be cached, and for how much longer it may be used when stale.
 func (g *Gate) ttl(a Answer) (ttl, staleTTL Time) {
 	s := &g.settings
 	switch a.Verdict {
@@ -238,7 +238,7 @@
 	return ttl, staleTTL
 }
 
-// Cancel records that a request needs no verdict any more.
+// Cancel records that a request no longer needs a verdict.
 func (g *Gate) Cancel(now Time, id uint64) {
 	g.now = max(g.now, now)
 	if w := g.waiters[id]; w != nil {
@@ -252,8 +252,8 @@
 	heap.Remove(&g.byDeadline, w.index)
 }
 
-// Timer decides the requests that have waited for long enough. Their calls go on: an answer is of
-// use to later requests.
+// Timer decides on the requests whose wait has expired. Their calls continue, because an answer can
+// serve later requests.
 func (g *Gate) Timer(now Time) {
 	g.now = max(g.now, now)
 	g.timer = 0
@@ -265,7 +265,7 @@
 	g.arm()
 }
 
-// AllowAll allows all waiting requests: the authenticator is asked no more.
+// AllowAll allows all waiting requests. It is used when the authenticator is switched off.
 func (g *Gate) AllowAll(now Time) {
 	g.now = max(g.now, now)
 	for len(g.byDeadline) > 0 {
@@ -275,7 +275,7 @@
 	}
 }
 
-// arm sets the timer for the next deadline, unless it fires before that anyway.
+// arm sets the timer for the next deadline, unless the timer already fires no later than that.
 func (g *Gate) arm() {
 	if len(g.byDeadline) == 0 {
 		return
--- a/internal/dataplane/authz/authz_test.go
+++ b/internal/dataplane/authz/authz_test.go
@@ -31,42 +31,44 @@
 	}
 }
 
-// rig records what a gate has had done.
-type rig struct {
+// harness runs a gate and records its actions.
+type harness struct {
 	*Gate
-	t       testing.TB
-	at      Time
-	next    uint64
-	out     []call1            // calls without an answer
-	decided map[uint64]Verdict // by Decide
-	after   map[uint64]Time
-	when    map[uint64]Time
-	timerAt Time
+	t           testing.TB
+	at          Time
+	next        uint64
+	outstanding []startedCall      // unanswered calls
+	decided     map[uint64]Verdict // through Decide
+	retryAfter  map[uint64]Time
+	decidedAt   map[uint64]Time
+	timerAt     Time
 }
 
-type call1 struct {
+type startedCall struct {
 	number uint64
 	key    Key
 }
 
-func (r *rig) Call(number uint64, key Key) { r.out = append(r.out, call1{number, key}) }
+func (r *harness) Call(number uint64, key Key) {
+	r.outstanding = append(r.outstanding, startedCall{number, key})
+}
 
-func (r *rig) Decide(id uint64, v Verdict, after Time) {
+func (r *harness) Decide(id uint64, v Verdict, retryAfter Time) {
 	if _, twice := r.decided[id]; twice {
-		r.t.Fatalf("request %d has two verdicts", id)
+		r.t.Fatalf("request %d got a second verdict", id)
 	}
-	r.decided[id], r.after[id], r.when[id] = v, after, r.at
+	r.decided[id], r.retryAfter[id], r.decidedAt[id] = v, retryAfter, r.at
 }
 
-func (r *rig) SetTimer(at Time) { r.timerAt = at }
+func (r *harness) SetTimer(at Time) { r.timerAt = at }
 
-func newRig(t testing.TB, set Settings) *rig {
-	r := &rig{
-		t:       t,
-		at:      100 * second,
-		decided: map[uint64]Verdict{},
-		after:   map[uint64]Time{},
-		when:    map[uint64]Time{},
+func newHarness(t testing.TB, set Settings) *harness {
+	r := &harness{
+		t:          t,
+		at:         100 * second,
+		decided:    map[uint64]Verdict{},
+		retryAfter: map[uint64]Time{},
+		decidedAt:  map[uint64]Time{},
 	}
 	g, err := New(set, 7, r)
 	if err != nil {
@@ -78,181 +80,181 @@
 
 func key(n int) Key { return Key{byte(n), byte(n >> 8), byte(n >> 16)} }
 
-// ask asks for a key and returns the request's id and its verdict so far.
-func (r *rig) ask(k, class int) (uint64, Verdict) {
+// request makes a request with a key and returns its id and its verdict so far.
+func (r *harness) request(k, class int) (uint64, Verdict) {
 	r.next++
 	v, _ := r.Request(r.at, Question{ID: r.next, Key: key(k), Class: class, Timeout: 3 * second})
 	return r.next, v
 }
 
-// answer ends the oldest call.
-func (r *rig) answer(v Verdict, maxAge Time) {
+// answer answers the oldest outstanding call.
+func (r *harness) answer(v Verdict, maxAge Time) {
 	r.t.Helper()
-	if len(r.out) == 0 {
-		r.t.Fatal("no call is out")
+	if len(r.outstanding) == 0 {
+		r.t.Fatal("no call is outstanding")
 	}
-	c := r.out[0]
-	r.out = r.out[1:]
+	c := r.outstanding[0]
+	r.outstanding = r.outstanding[1:]
 	r.HandleAnswer(r.at, c.number, Answer{Verdict: v, MaxAge: maxAge, RetryAfter: second})
 }
 
-func (r *rig) want(what string, got, want Verdict) {
+func (r *harness) want(what string, got, want Verdict) {
 	r.t.Helper()
 	if got != want {
 		r.t.Errorf("%s: verdict %d, want %d", what, got, want)
 	}
 }
 
-// Equal questions share a call; its answer serves all of them, and then the cache.
+// Equal questions share one call. Its answer decides all of them and is then cached.
 func TestEqualQuestionsShareACall(t *testing.T) {
-	r := newRig(t, settings())
+	r := newHarness(t, settings())
 	var ids []uint64
 	for range 5 {
-		id, v := r.ask(1, 0)
+		id, v := r.request(1, 0)
 		r.want("asked", v, Pending)
 		ids = append(ids, id)
 	}
-	if len(r.out) != 1 {
-		t.Fatalf("%d calls", len(r.out))
+	if len(r.outstanding) != 1 {
+		t.Fatalf("%d calls, want 1", len(r.outstanding))
 	}
 	r.answer(Allow, -1)
 	for _, id := range ids {
 		r.want("answered", r.decided[id], Allow)
 	}
-	_, v := r.ask(1, 0)
+	_, v := r.request(1, 0)
 	r.want("cached", v, Allow)
-	_, v = r.ask(9, 2)
-	r.want("a class that is not asked about", v, Allow)
-	if len(r.out) != 0 {
-		t.Error("asked again")
+	_, v = r.request(9, 2)
+	r.want("a class without authorization", v, Allow)
+	if len(r.outstanding) != 0 {
+		t.Error("a cached or unchecked request caused another call")
 	}
 }
 
-// An expired allowance serves while it is revalidated, for a limited time.
+// An expired Allow is used for a limited time while it is revalidated.
 func TestStaleWhileRevalidate(t *testing.T) {
-	r := newRig(t, settings())
-	r.ask(1, 0)
+	r := newHarness(t, settings())
+	r.request(1, 0)
 	r.answer(Allow, 2*second)
 	r.at += 3 * second
-	_, v := r.ask(1, 0)
+	_, v := r.request(1, 0)
 	r.want("stale", v, Allow)
-	_, v = r.ask(1, 0)
-	if r.want("stale, asked already", v, Allow); len(r.out) != 1 {
-		t.Errorf("%d calls", len(r.out))
+	_, v = r.request(1, 0)
+	if r.want("stale, revalidation outstanding", v, Allow); len(r.outstanding) != 1 {
+		t.Errorf("%d calls, want 1", len(r.outstanding))
 	}
 	r.answer(Unknown, -1)
-	_, v = r.ask(1, 0)
-	r.want("the authenticator fails, the old word still holds", v, Allow)
+	_, v = r.request(1, 0)
+	r.want("stale, after a failed revalidation", v, Allow)
 	r.answer(Deny, -1)
-	_, v = r.ask(1, 0)
-	r.want("denied since", v, Deny)
+	_, v = r.request(1, 0)
+	r.want("after a revalidation that denied", v, Deny)
 	r.at += 3 * second
-	if _, v = r.ask(1, 0); v != Pending {
-		t.Errorf("a denial outlived its time: %d", v)
+	if _, v = r.request(1, 0); v != Pending {
+		t.Errorf("a Deny was used after its TTL: verdict %d", v)
 	}
 	r.answer(Allow, 0)
-	if _, v = r.ask(1, 0); v != Pending {
-		t.Errorf("an answer that must not be kept was: %d", v)
+	if _, v = r.request(1, 0); v != Pending {
+		t.Errorf("an answer that must not be cached was used: verdict %d", v)
 	}
 }
 
-// A hung authenticator delays a request for the longest wait and no longer, at most a quarter of
-// the client's timeout.
+// An authenticator that does not answer delays a request by no more than the maximum wait and a
+// quarter of the client's timeout.
 func TestMaxWait(t *testing.T) {
-	r := newRig(t, settings())
-	id, _ := r.ask(1, 0)
-	pass, _ := r.ask(1, 1)
+	r := newHarness(t, settings())
+	id, _ := r.request(1, 0)
+	failsOpen, _ := r.request(1, 1)
 	if r.timerAt != r.at+200*ms {
-		t.Errorf("timer in %d", r.timerAt-r.at)
+		t.Errorf("timer in %d µs", r.timerAt-r.at)
 	}
 	v, _ := r.Request(r.at, Question{ID: 99, Key: key(1), Timeout: 400 * ms})
-	if r.want("short", v, Pending); r.timerAt != r.at+100*ms {
-		t.Errorf("timer in %d for a client that waits 400 ms", r.timerAt-r.at)
+	if r.want("short timeout", v, Pending); r.timerAt != r.at+100*ms {
+		t.Errorf("timer in %d µs for a client with a timeout of 400 ms", r.timerAt-r.at)
 	}
 	r.at += 200 * ms
 	r.Timer(r.at)
-	r.want("given up", r.decided[id], Unknown)
-	r.want("its class passes", r.decided[pass], Allow)
-	r.want("short", r.decided[99], Unknown)
-	r.answer(Allow, -1) // too late for the request: for the cache only
-	_, v = r.ask(1, 0)
+	r.want("maximum wait expired", r.decided[id], Unknown)
+	r.want("maximum wait expired, class that fails open", r.decided[failsOpen], Allow)
+	r.want("short timeout", r.decided[99], Unknown)
+	r.answer(Allow, -1) // too late for the request; only fills the cache
+	_, v = r.request(1, 0)
 	r.want("after a late answer", v, Allow)
 	if v, _ := r.Request(r.at, Question{ID: 100, Key: key(2), Timeout: 0}); v != Unknown {
-		t.Errorf("no time at all: %d", v)
+		t.Errorf("timeout 0: verdict %d", v)
 	}
 }
 
-// After failures in a row there are no calls; then one probe at a time, and an answer closes the
-// breaker.
+// Consecutive failures open the breaker, which stops all calls. After the open time it allows one
+// probe at a time, and an answered probe closes it.
 func TestBreaker(t *testing.T) {
-	r := newRig(t, settings())
+	r := newHarness(t, settings())
 	for k := range 3 {
-		r.ask(k, 0)
+		r.request(k, 0)
 		r.answer(Unknown, -1)
 	}
-	_, v := r.ask(9, 0)
+	_, v := r.request(9, 0)
 	r.want("open", v, Unknown)
-	_, v = r.ask(9, 1)
-	r.want("open, a class that passes", v, Allow)
+	_, v = r.request(9, 1)
+	r.want("open, class that fails open", v, Allow)
 	for _, wait := range []Time{second, 2 * second, 4 * second, 8 * second, 8 * second} {
 		r.at += wait
-		trial, v := r.ask(10, 0)
-		r.want("trial", v, Pending)
-		_, v = r.ask(11, 0)
-		r.want("beside the trial", v, Unknown)
+		probe, v := r.request(10, 0)
+		r.want("probe", v, Pending)
+		_, v = r.request(11, 0)
+		r.want("during the probe", v, Unknown)
 		r.answer(Unknown, -1)
-		r.want("trial", r.decided[trial], Unknown)
+		r.want("probe", r.decided[probe], Unknown)
 	}
 	r.at += 8 * second
-	r.ask(10, 0)
+	r.request(10, 0)
 	r.answer(Deny, -1)
-	if _, v = r.ask(11, 0); v != Pending || r.BreakerOpen() {
-		t.Errorf("closed again: %d", v)
+	if _, v = r.request(11, 0); v != Pending || r.BreakerOpen() {
+		t.Errorf("after an answered probe: verdict %d, want Pending and a closed breaker", v)
 	}
 }
 
-// Calls and waiting requests are bounded: beyond the bounds a request is decided at once.
+// Calls and waiting requests are limited. Beyond the limits a request is decided at once.
 func TestBounds(t *testing.T) {
 	set := settings()
 	set.MaxWaiting = 6
-	r := newRig(t, set)
+	r := newHarness(t, set)
 	for k := range 4 {
-		_, v := r.ask(k, 0)
-		r.want("room", v, Pending)
+		_, v := r.request(k, 0)
+		r.want("within the limits", v, Pending)
 	}
-	_, v := r.ask(4, 0)
-	r.want("no call left", v, Unknown)
+	_, v := r.request(4, 0)
+	r.want("limit of calls reached", v, Unknown)
 	for range 2 {
-		_, v = r.ask(0, 0)
-		r.want("joins", v, Pending)
+		_, v = r.request(0, 0)
+		r.want("shares a call", v, Pending)
 	}
-	_, v = r.ask(0, 0)
-	r.want("too many wait", v, Unknown)
-	for k := range 1000 { // new tokens all the time
-		r.out = nil
+	_, v = r.request(0, 0)
+	r.want("limit of waiting requests reached", v, Unknown)
+	for k := range 1000 { // a new key each time
+		r.outstanding = nil
 		r.HandleAnswer(r.at, r.Gate.lastCall, Answer{Verdict: Allow, MaxAge: -1})
-		r.ask(100+k, 0)
+		r.request(100+k, 0)
 	}
 	if len(r.cache.entries) > set.MaxCached {
-		t.Errorf("%d answers kept", len(r.cache.entries))
+		t.Errorf("%d answers cached", len(r.cache.entries))
 	}
 }
 
-// Answers of an earlier authenticator are not cached; requests that wait for them are answered.
+// Answers of a previous authenticator are not cached, but decide the requests that wait for them.
 func TestMovedAuthenticator(t *testing.T) {
-	r := newRig(t, settings())
-	id, _ := r.ask(1, 0)
+	r := newHarness(t, settings())
+	id, _ := r.request(1, 0)
 	if err := r.Update(r.at, settings(), true); err != nil {
 		t.Fatal(err)
 	}
-	again, v := r.ask(1, 0)
-	if r.want("new", v, Pending); len(r.out) != 2 {
-		t.Fatalf("%d calls", len(r.out))
+	again, v := r.request(1, 0)
+	if r.want("after the move", v, Pending); len(r.outstanding) != 2 {
+		t.Fatalf("%d calls", len(r.outstanding))
 	}
 	r.answer(Allow, -1)
-	r.want("the old one's", r.decided[id], Allow)
+	r.want("waiting for the old authenticator", r.decided[id], Allow)
 	if _, there := r.decided[again]; there {
-		t.Error("the old one's answer served a question to the new one")
+		t.Error("the old authenticator's answer decided a question to the new one")
 	}
 	r.AllowAll(r.at)
 	r.want("switched off", r.decided[again], Allow)
@@ -268,23 +270,23 @@
 		set := settings()
 		change(&set)
 		if _, err := New(set, 1, nil); err == nil {
-			t.Errorf("settings %d were taken", i)
+			t.Errorf("settings %d were accepted", i)
 		}
-		r := newRig(t, settings())
+		r := newHarness(t, settings())
 		if err := r.Update(
 			r.at,
 			set,
 			false,
 		); err == nil ||
 			r.settings.MaxWait != settings().MaxWait {
-			t.Errorf("settings %d were taken at a reload", i)
+			t.Errorf("settings %d were accepted at a reload", i)
 		}
 	}
 }
 
-// The model knows, for each key, what the authenticator last said and when. Random events must
-// never make a gate allow more than that, delay a request beyond its longest wait, or leave one
-// without its one verdict.
+// The model records, for each key, the authenticator's last answer and its time. Under random events
+// a gate must never allow more than that answer permits, delay a request beyond its maximum wait, or
+// leave a request without exactly one verdict.
 func TestModel(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -296,30 +298,30 @@
 		), 1+rng.IntN(
 			4,
 		)
-		r := newRig(t, set)
-		type word struct {
-			verdict  Verdict
-			at, last Time
+		r := newHarness(t, set)
+		type lastAnswer struct {
+			verdict Verdict
+			at, ttl Time
 		}
-		said := map[Key]word{}
-		type asked struct {
+		answers := map[Key]lastAnswer{}
+		type request struct {
 			q  Question
 			at Time
 		}
-		var all []*asked
-		open := map[uint64]*asked{}
-		unknowns := 0 // failures in a row that the model has seen
-		check := func(a *asked, v Verdict, at Time) {
-			w, there := said[a.q.Key]
+		var all []*request
+		open := map[uint64]*request{}
+		unknowns := 0 // consecutive failures that the model has seen
+		check := func(a *request, v Verdict, at Time) {
+			w, there := answers[a.q.Key]
 			switch {
 			case v == Allow && (a.q.Class == 2 || set.FailOpen[a.q.Class]):
-			case v == Allow && there && w.verdict == Allow && at <= w.at+w.last+set.StaleTTL:
+			case v == Allow && there && w.verdict == Allow && at <= w.at+w.ttl+set.StaleTTL:
 			case v == Deny && there && w.verdict == Deny && at <= w.at+set.MaxDenyTTL:
 			case v == RetryLater && there && w.verdict == RetryLater && at <= w.at+second:
 			case v == Unknown && !set.FailOpen[a.q.Class]:
 			default:
 				t.Fatalf(
-					"seed %d: verdict %d for key %v at %d, said %+v",
+					"seed %d: verdict %d for key %v at %d, last answer %+v",
 					seed,
 					v,
 					a.q.Key[0],
@@ -332,12 +334,12 @@
 			for id, v := range r.decided {
 				a := open[id]
 				if a == nil {
-					t.Fatalf("seed %d: a verdict for request %d, which does not wait", seed, id)
+					t.Fatalf("seed %d: a verdict for request %d, which is not waiting", seed, id)
 				}
-				if limit := a.at + min(set.MaxWait, a.q.Timeout/4); r.when[id] > limit {
-					t.Fatalf("seed %d: request %d was decided %d late", seed, id, r.when[id]-limit)
+				if limit := a.at + min(set.MaxWait, a.q.Timeout/4); r.decidedAt[id] > limit {
+					t.Fatalf("seed %d: request %d was decided %d µs late", seed, id, r.decidedAt[id]-limit)
 				}
-				check(a, v, r.when[id])
+				check(a, v, r.decidedAt[id])
 				delete(open, id)
 				delete(r.decided, id)
 			}
@@ -347,7 +349,7 @@
 			if rng.IntN(40) == 0 {
 				step = Time(rng.Float64() * 8 * float64(second))
 			}
-			for end := r.at + step; ; { // due timers fire first, at their time
+			for end := r.at + step; ; { // timers that are due fire first, at their set time
 				if r.timerAt == 0 || r.timerAt > end {
 					r.at = end
 					break
@@ -359,38 +361,38 @@
 			}
 			switch x := rng.IntN(10); {
 			case x < 6:
-				a := &asked{
+				a := &request{
 					q: Question{ID: uint64(len(all) + 1), Key: key(rng.IntN(8)), Class: rng.IntN(3),
 						Timeout: Time(rng.Float64() * 3 * float64(second))},
 					at: r.at,
 				}
 				all = append(all, a)
-				before := len(r.out)
+				before := len(r.outstanding)
 				v, _ := r.Request(r.at, a.q)
 				if v == Pending {
 					open[a.q.ID] = a
 				} else {
 					check(a, v, r.at)
 				}
-				if len(r.out) > set.MaxCalls || len(r.out) > before+1 {
-					t.Fatalf("seed %d: %d calls out", seed, len(r.out))
+				if len(r.outstanding) > set.MaxCalls || len(r.outstanding) > before+1 {
+					t.Fatalf("seed %d: %d calls outstanding", seed, len(r.outstanding))
 				}
-				for i, c := range r.out {
-					for _, d := range r.out[:i] {
+				for i, c := range r.outstanding {
+					for _, d := range r.outstanding[:i] {
 						if c.key == d.key {
-							t.Fatalf("seed %d: one question out twice", seed)
+							t.Fatalf("seed %d: two calls outstanding for one question", seed)
 						}
 					}
 				}
-				if len(r.out) > before && unknowns >= set.BreakerFailures && len(r.out) > 1 &&
+				if len(r.outstanding) > before && unknowns >= set.BreakerFailures && len(r.outstanding) > 1 &&
 					r.breaker.probing &&
-					!r.calls[r.out[len(r.out)-1].number].probe {
-					t.Fatalf("seed %d: a call beside a trial", seed)
+					!r.calls[r.outstanding[len(r.outstanding)-1].number].probe {
+					t.Fatalf("seed %d: a call during a probe", seed)
 				}
-			case x < 9 && len(r.out) > 0:
-				i := rng.IntN(len(r.out))
-				c := r.out[i]
-				r.out = append(r.out[:i:i], r.out[i+1:]...)
+			case x < 9 && len(r.outstanding) > 0:
+				i := rng.IntN(len(r.outstanding))
+				c := r.outstanding[i]
+				r.outstanding = append(r.outstanding[:i:i], r.outstanding[i+1:]...)
 				a := Answer{
 					Verdict:    Allow + Verdict(rng.IntN(4)),
 					MaxAge:     Time(rng.IntN(4)-1) * second,
@@ -400,11 +402,11 @@
 					unknowns++
 				} else {
 					unknowns = 0
-					last := set.AllowTTL
+					ttl := set.AllowTTL
 					if a.MaxAge >= 0 {
-						last = a.MaxAge
+						ttl = a.MaxAge
 					}
-					said[c.key] = word{a.Verdict, r.at, last}
+					answers[c.key] = lastAnswer{a.Verdict, r.at, ttl}
 				}
 				r.HandleAnswer(r.at, c.number, a)
 				r.HandleAnswer(
@@ -431,7 +433,7 @@
 			settle()
 			if len(r.cache.entries) > set.MaxCached || len(r.waiters) != len(open) {
 				t.Fatalf(
-					"seed %d: %d kept, %d wait, %d should",
+					"seed %d: %d answers cached, %d requests waiting, want %d waiting",
 					seed,
 					len(r.cache.entries),
 					len(r.waiters),
@@ -441,19 +443,19 @@
 		}
 		r.at += 10 * second
 		r.timerAt = 0
-		for range open { // no request is left waiting
-			r.when = map[uint64]Time{}
+		for range open { // the Timer call below must leave no request waiting
+			r.decidedAt = map[uint64]Time{}
 		}
 		r.Timer(r.at)
 		if len(r.waiters) > 0 {
-			t.Fatalf("seed %d: %d wait for ever", seed, len(r.waiters))
+			t.Fatalf("seed %d: %d requests were never decided", seed, len(r.waiters))
 		}
 	}
 }
 
 func BenchmarkCached(b *testing.B) {
-	r := newRig(b, settings())
-	r.ask(1, 0)
+	r := newHarness(b, settings())
+	r.request(1, 0)
 	r.answer(Allow, -1)
 	q := Question{Key: key(1), Timeout: second}
 	b.ReportAllocs()
@@ -463,7 +465,7 @@
 }
 
 func BenchmarkUncached(b *testing.B) {
-	r := newRig(b, settings())
+	r := newHarness(b, settings())
 	r.settings.MaxCached = 1000
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -471,16 +473,16 @@
 		if v == Pending {
 			r.HandleAnswer(r.at, r.Gate.lastCall, Answer{Verdict: Allow, MaxAge: -1})
 			clear(r.decided)
-			r.out = r.out[:0]
+			r.outstanding = r.outstanding[:0]
 		}
 	}
 }
 
-// BenchmarkCachedAnswerMemory measures the memory of a cached answer.
+// BenchmarkCachedAnswerMemory measures the heap memory per cached answer.
 func BenchmarkCachedAnswerMemory(b *testing.B) {
 	const many = 100_000
 	for b.Loop() {
-		r := newRig(b, settings())
+		r := newHarness(b, settings())
 		r.settings.MaxCached = many
 		var before, after runtime.MemStats
 		runtime.GC()
--- a/internal/dataplane/authz/breaker.go
+++ b/internal/dataplane/authz/breaker.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// breaker is a circuit breaker: after several failures in a row it lets no call through for a time,
-// and then a single probe, whose failure doubles that time.
+// breaker is a circuit breaker. After several consecutive failures it allows no calls for a time,
+// and then a single probe; a failed probe doubles that time.
 type breaker struct {
 	rand     *rand.Rand
-	failures int  // in a row, while it is closed
-	openTime Time // of the last opening, before jitter; 0: it is closed
-	until    Time // no probe before
+	failures int  // consecutive, while it is closed
+	openTime Time // of the last opening, before jitter; 0: the breaker is closed
+	until    Time // no probe is allowed before this time
 	probing  bool // a probe is outstanding
 }
 
@@ -26,8 +26,8 @@
 	return true, true
 }
 
-// record learns from the result of a call. While the breaker is open only the probe counts: calls
-// made before it opened say nothing new.
+// record updates the breaker with the result of a call. While the breaker is open, only the probe
+// counts: calls made before it opened give no new information.
 func (b *breaker) record(now Time, s *Settings, probe, failed bool) {
 	switch {
 	case probe && failed:
@@ -46,8 +46,8 @@
 	}
 }
 
-// trip opens the breaker for a random time from half of openTime to all of it, so that gateways do
-// not all probe at the same moment.
+// trip opens the breaker for a random time between half of openTime and openTime, so that gateways
+// do not all probe at the same time.
 func (b *breaker) trip(now, openTime Time) {
 	b.openTime = openTime
 	b.until = now + openTime/2 + b.rand.Int64N(openTime/2+1)
--- a/internal/dataplane/authz/cache.go
+++ b/internal/dataplane/authz/cache.go
@@ -5,14 +5,14 @@
 	key        Key
 	verdict    Verdict
 	expires    Time
-	staleUntil Time // until then an allowance may serve while it is revalidated
+	staleUntil Time // until then an Allow may be used while it is revalidated
 	prev, next *entry
 }
 
 // cache holds a bounded number of answers; the least recently used one is evicted first.
 type cache struct {
 	entries map[Key]*entry
-	ring    entry // its next is the entry used last
+	ring    entry // the list head; its next is the most recently used entry
 }
 
 func newCache() *cache {
@@ -27,7 +27,8 @@
 	c.ring.next = &c.ring
 }
 
-// get returns a key's entry and makes it the one used last; nil: there is none.
+// get returns a key's entry and marks it as the most recently used. It returns nil if there is
+// none.
 func (c *cache) get(key Key) *entry {
 	e := c.entries[key]
 	if e != nil && c.ring.next != e {
@@ -37,8 +38,8 @@
 	return e
 }
 
-// put returns a key's entry to be filled, and adds it if there is none. An added one is the one
-// used last.
+// put returns a key's entry for the caller to fill in, and adds it if there is none. An added entry
+// becomes the most recently used.
 func (c *cache) put(key Key, limit int) *entry {
 	if e := c.entries[key]; e != nil {
 		return e
@@ -50,7 +51,7 @@
 	return e
 }
 
-// shrink evicts entries until no more than a number are left.
+// shrink evicts entries until at most limit are left.
 func (c *cache) shrink(limit int) {
 	for len(c.entries) > limit {
 		c.remove(c.ring.prev.key)
