--- a/internal/dataplane/authz/api.go
+++ b/internal/dataplane/authz/api.go
@@ -88,7 +88,7 @@
 	ErrClasses = errors.New("authz: Classes and FailOpen must have the same length")
 	ErrLimits  = errors.New("authz: the maximum wait and the limits must be above 0")
 	ErrTimes   = errors.New("authz: TTLs must be at least 0")
-	ErrBreaker = errors.New("authz: minimum open time must be above 0 and at most the maximum")
+	ErrBreaker = errors.New("authz: BreakerMinOpen must be above 0 and at most BreakerMaxOpen")
 )
 
 // check returns an error for invalid settings.
--- a/internal/dataplane/authz/authz_test.go
+++ b/internal/dataplane/authz/authz_test.go
@@ -312,12 +312,12 @@
 		open := map[uint64]*request{}
 		unknowns := 0 // consecutive failures that the model has seen
 		check := func(a *request, v Verdict, at Time) {
-			w, there := answers[a.q.Key]
+			last, there := answers[a.q.Key]
 			switch {
 			case v == Allow && (a.q.Class == 2 || set.FailOpen[a.q.Class]):
-			case v == Allow && there && w.verdict == Allow && at <= w.at+w.ttl+set.StaleTTL:
-			case v == Deny && there && w.verdict == Deny && at <= w.at+set.MaxDenyTTL:
-			case v == RetryLater && there && w.verdict == RetryLater && at <= w.at+second:
+			case v == Allow && there && last.verdict == Allow && at <= last.at+last.ttl+set.StaleTTL:
+			case v == Deny && there && last.verdict == Deny && at <= last.at+set.MaxDenyTTL:
+			case v == RetryLater && there && last.verdict == RetryLater && at <= last.at+second:
 			case v == Unknown && !set.FailOpen[a.q.Class]:
 			default:
 				t.Fatalf(
@@ -326,7 +326,7 @@
 					v,
 					a.q.Key[0],
 					at,
-					w,
+					last,
 				)
 			}
 		}
