--- a/internal/dataplane/forwardauth/client.go
+++ b/internal/dataplane/forwardauth/client.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	maxBodyBytes      = 4 << 10 // of an answer, which are read so that the connection can be reused
+	maxBodyBytes      = 4 << 10 // bodies up to this are read, so that the connection is reusable
 	maxCacheAge       = 24 * time.Hour
 	minRetryAfter     = time.Millisecond
 	maxRetryAfter     = time.Hour
-	defaultRetryAfter = time.Second // for a 429 that does not say when
+	defaultRetryAfter = time.Second // for a 429 without a valid Retry-After
 )
 
-// Client asks one authenticator. It is safe for concurrent use.
+// Client sends questions to one authenticator. It is safe for concurrent use.
 type Client struct {
 	url     string
-	header  http.Header // of each call
+	header  http.Header // sent with each call
 	http    *http.Client
 	timeout time.Duration
 	tokens  map[string]*Credential // by customer
 }
 
-// NewClient makes a client. It reads the files that the settings name. Its error says which setting
-// can't be used, and never what a secret is.
+// NewClient creates a client. It reads the files that the settings name. Its error names the
+// invalid setting and never contains a secret.
 func NewClient(s Settings) (*Client, error) {
 	u, err := s.parseURL()
 	if err != nil {
@@ -57,11 +57,11 @@
 	return c, nil
 }
 
-// Close closes idle connections. Calls under way go on.
+// Close closes idle connections. Calls in progress continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Authorize makes one call and returns how it ended. It returns no error text, which might hold a
-// token.
+// Authorize makes one call and returns its result. It returns no error, because an error's text
+// might contain a token.
 func (c *Client) Authorize(ctx context.Context, q *Question) authz.Answer {
 	unknown := authz.Answer{Verdict: authz.Unknown, MaxAge: -1}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -79,7 +79,7 @@
 		return unknown
 	}
 	defer res.Body.Close()
-	// The verdict is in the header: a body that is slow or has no end delays nothing.
+	// The status and the headers alone make the verdict, so a slow or endless body delays nothing.
 	answer := parseAnswer(res.StatusCode, res.Header, time.Now())
 	if res.ContentLength >= 0 && res.ContentLength <= maxBodyBytes {
 		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxBodyBytes))
@@ -87,7 +87,7 @@
 	return answer
 }
 
-// parseAnswer returns the verdict of an answer.
+// parseAnswer derives an answer from a response's status and headers.
 func parseAnswer(status int, h http.Header, now time.Time) authz.Answer {
 	switch {
 	case status >= 200 && status < 300:
@@ -101,7 +101,8 @@
 	return authz.Answer{Verdict: authz.Unknown, MaxAge: -1}
 }
 
-// maxAge returns for how long an answer may be cached; -1 if it does not say.
+// maxAge returns how long an answer may be cached, in microseconds, or -1 if the headers do
+// not specify it.
 func maxAge(h http.Header) authz.Time {
 	age := authz.Time(-1)
 	for _, line := range h.Values("Cache-Control") {
@@ -114,7 +115,7 @@
 			case "max-age":
 				seconds, err := strconv.ParseInt(strings.Trim(value, `"`), 10, 64)
 				if err != nil || seconds < 0 {
-					return 0 // an age that can't be read allows no caching
+					return 0 // a malformed max-age allows no caching
 				}
 				seconds = min(seconds, int64(maxCacheAge/time.Second))
 				if age < 0 || seconds*1e6 < age {
@@ -126,7 +127,7 @@
 	return age
 }
 
-// retryAfter returns after how long the client is to retry.
+// retryAfter returns the delay after which the client may retry.
 func retryAfter(h http.Header, now time.Time) time.Duration {
 	value := strings.TrimSpace(h.Get("Retry-After"))
 	after := defaultRetryAfter
--- a/internal/dataplane/forwardauth/client_test.go
+++ b/internal/dataplane/forwardauth/client_test.go
@@ -19,12 +19,12 @@
 	"mothcleat/internal/dataplane/authz"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func client(t testing.TB, s Settings) *Client {
 	t.Helper()
 	if s.Timeout == 0 {
-		s.Timeout = patience
+		s.Timeout = testTimeout
 	}
 	if s.MaxConns == 0 {
 		s.MaxConns = 4
@@ -49,8 +49,9 @@
 	}
 }
 
-// raw is an authenticator that answers with bytes, once on each connection.
-func raw(t testing.TB, answer func(net.Conn)) string {
+// rawAuthenticator starts an authenticator whose answers are written by a function as raw bytes,
+// one answer on each connection. It returns the authenticator's URL.
+func rawAuthenticator(t testing.TB, answer func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +75,7 @@
 	return "http://" + l.Addr().String() + "/verify"
 }
 
-// An answer in whatever form is a verdict or none, and is known in time.
+// Every form of answer, valid or not, gives a verdict or Unknown within the timeout.
 func TestAnswersOfEveryKind(t *testing.T) {
 	text := func(s string) func(net.Conn) { return func(c net.Conn) { _, _ = io.WriteString(c, s) } }
 	hold := func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
@@ -86,26 +87,26 @@
 	}{
 		{"allow", text("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), authz.Allow, -1},
 		{"allow without a body", text("HTTP/1.1 204 No Content\r\nCache-Control: private, max-age=7\r\n\r\n"), authz.Allow, 7e6},
-		{"allow, not to be kept", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=9, no-store\r\nContent-Length: 0\r\n\r\n"), authz.Allow, 0},
-		{"allow, an age that is none", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=soon\r\nContent-Length: 0\r\n\r\n"), authz.Allow, 0},
+		{"allow with no-store", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=9, no-store\r\nContent-Length: 0\r\n\r\n"), authz.Allow, 0},
+		{"allow with a malformed max-age", text("HTTP/1.1 200 OK\r\nCache-Control: max-age=soon\r\nContent-Length: 0\r\n\r\n"), authz.Allow, 0},
 		{"deny", text("HTTP/1.1 401 No\r\nContent-Length: 0\r\n\r\n"), authz.Deny, -1},
 		{"forbid", text("HTTP/1.1 403 No\r\nContent-Length: 0\r\n\r\n"), authz.Deny, -1},
-		{"later", text("HTTP/1.1 429 No\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"), authz.RetryLater, -1},
-		{"fault", text("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), authz.Unknown, -1},
+		{"retry later", text("HTTP/1.1 429 No\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"), authz.RetryLater, -1},
+		{"server error", text("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), authz.Unknown, -1},
 		{"redirect", text("HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n"), authz.Unknown, -1},
 		{"1xx ahead", text("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 403 No\r\nContent-Length: 0\r\n\r\n"), authz.Deny, -1},
-		{"1xx without end", func(c net.Conn) {
+		{"endless 1xx responses", func(c net.Conn) {
 			for range 1000 {
 				_, _ = io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			}
 		}, authz.Unknown, -1},
-		{"spoilt", text("HTTP/9 what\r\n\r\n"), authz.Unknown, -1},
+		{"malformed status line", text("HTTP/9 what\r\n\r\n"), authz.Unknown, -1},
 		{"not HTTP", text("-ERR what\r\n"), authz.Unknown, -1},
 		{"header too large", text("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n\r\n"), authz.Unknown, -1},
 		{"reset", func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }, authz.Unknown, -1},
 		{"closed", func(net.Conn) {}, authz.Unknown, -1},
-		{"hangs", hold, authz.Unknown, -1},
-		{"header drips", func(c net.Conn) {
+		{"no answer", hold, authz.Unknown, -1},
+		{"slow header", func(c net.Conn) {
 			for range 1000 {
 				if _, err := io.WriteString(c, "H"); err != nil {
 					return
@@ -113,7 +114,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 		}, authz.Unknown, -1},
-		{"body without end", func(c net.Conn) {
+		{"endless body", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for range 1 << 20 {
 				if _, err := io.WriteString(c, "4\r\nbody\r\n"); err != nil {
@@ -121,15 +122,15 @@
 				}
 			}
 		}, authz.Allow, -1},
-		{"half a body", func(c net.Conn) {
+		{"truncated body", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
 		}, authz.Allow, -1},
 	} {
-		wait := patience
-		if c.name == "hangs" || c.name == "header drips" {
-			wait = 100 * time.Millisecond // it is to time out
+		wait := testTimeout
+		if c.name == "no answer" || c.name == "slow header" {
+			wait = 100 * time.Millisecond // the call must time out
 		}
-		cl := client(t, Settings{URL: raw(t, c.answer), Timeout: wait})
+		cl := client(t, Settings{URL: rawAuthenticator(t, c.answer), Timeout: wait})
 		a := cl.Authorize(context.Background(), question())
 		if a.Verdict != c.want || a.MaxAge != c.maxAge ||
 			c.want == authz.RetryLater && a.RetryAfter != 3e6 {
@@ -138,8 +139,8 @@
 	}
 }
 
-// The authenticator gets the headers that proxies use, once each, with the secret of a file;
-// proxies of the environment are not used.
+// The authenticator receives the headers that reverse proxies send, once each, and the secret from
+// the file. The environment's proxy settings are not used.
 func TestRequestHeaders(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:1")
 	got := make(chan *http.Request, 1)
@@ -178,8 +179,8 @@
 	}
 }
 
-// A connection is reused; HTTP/2 is used over TLS where the server has it; a certificate of an
-// unknown authority gives no verdict.
+// Connections are reused, HTTP/2 is used over TLS if the server supports it, and a certificate of
+// an unknown authority gives no verdict.
 func TestConnections(t *testing.T) {
 	var conns atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -209,22 +210,22 @@
 			question(),
 		); a.Verdict != authz.RetryLater ||
 			a.RetryAfter != 2e6 {
-			t.Errorf("%+v: HTTP/2 was wanted", a)
+			t.Errorf("%+v, want RetryLater over HTTP/2", a)
 		}
 	}
 	if n := conns.Load(); n != 1 {
-		t.Errorf("%d connections for 5 calls", n)
+		t.Errorf("%d connections for 5 calls, want 1", n)
 	}
 	if a := client(
 		t,
 		Settings{URL: s.URL},
 	).Authorize(context.Background(), question()); a.Verdict != authz.Unknown {
-		t.Errorf("a certificate that nobody vouches for: %+v", a)
+		t.Errorf("certificate of an unknown authority: %+v", a)
 	}
 }
 
-// Customers whose connection gave no credential have that of the file; a bad line is named and not
-// shown.
+// The tokens file gives the credentials of customers whose connections sent none. The error for an
+// invalid line names the line but does not contain its text.
 func TestTokensFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tokens")
 	write := func(text string) {
@@ -235,7 +236,7 @@
 	write("# partners\n\n0000000000000007 seven\n0000000000000008\teight\n")
 	c := client(t, Settings{URL: "http://127.0.0.1:1/", TokensFile: path})
 	if len(c.tokens) != 2 || c.tokens["0000000000000008"].Secret != "eight" {
-		t.Errorf("%d tokens", len(c.tokens))
+		t.Errorf("%d tokens, want 2 with their secrets", len(c.tokens))
 	}
 	for _, bad := range []string{"7 hush", "0000000000000007 hush x", "0000000000000007 hush\n0000000000000007 hush", "0000000000000007 h\x01hush"} {
 		write("\n" + bad)
@@ -267,13 +268,13 @@
 	}
 }
 
-// Questions have equal keys if all is equal that a verdict may depend on, and only then.
+// Questions have equal keys if, and only if, everything that a verdict may depend on is equal.
 func TestKeys(t *testing.T) {
 	a := question()
 	b := question()
 	b.ClientAddress = "127.0.0.9:1"
 	if a.Key() != b.Key() {
-		t.Error("the address makes another question")
+		t.Error("the key depends on the address")
 	}
 	seen := map[authz.Key]int{a.Key(): -1}
 	for i, change := range []func(*Question){
@@ -286,13 +287,13 @@
 		q := question()
 		change(q)
 		if j, there := seen[q.Key()]; there {
-			t.Errorf("questions %d and %d are taken for equal", i, j)
+			t.Errorf("questions %d and %d have equal keys", i, j)
 		}
 		seen[q.Key()] = i
 	}
 }
 
-// Whatever an authenticator sends, there is one answer, within bounds.
+// Any bytes from an authenticator give an answer whose fields are within their limits.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 401\r\n\r\n", "HTTP/1.1 429 x\r\nRetry-After: 99999999999999\r\n\r\n",
@@ -302,7 +303,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, answer []byte) {
-		c := client(t, Settings{URL: raw(t, func(c net.Conn) { _, _ = c.Write(answer) })})
+		c := client(t, Settings{URL: rawAuthenticator(t, func(c net.Conn) { _, _ = c.Write(answer) })})
 		a := c.Authorize(context.Background(), question())
 		switch {
 		case a.Verdict < authz.Allow || a.Verdict > authz.Unknown,
--- a/internal/dataplane/forwardauth/doc.go
+++ b/internal/dataplane/forwardauth/doc.go
@@ -1,7 +1,8 @@
-// Package forwardauth asks an HTTP authenticator whether a request may go on, as reverse proxies
-// do: a GET with X-Forwarded headers, answered 2xx to allow, 401 or 403 to deny, or 429 with
-// Retry-After to have the client retry later. Anything else, and no answer, is no verdict.
+// Package forwardauth queries an HTTP authenticator whether a request may proceed, as reverse
+// proxies do. It sends a GET with X-Forwarded headers. A 2xx status allows the request, 401 or 403
+// denies it, and 429 with Retry-After makes the client retry later. Any other response, or none,
+// gives no verdict.
 //
-// Client makes the calls. Step joins it to the decisions of package authz on the goroutine of its
-// host.
+// Client makes the calls. Step connects it to the decisions of package authz on the goroutine of
+// its host.
 package forwardauth
--- a/internal/dataplane/forwardauth/header.go
+++ b/internal/dataplane/forwardauth/header.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// validHeaderValue reports whether a text can be a header's value.
+// validHeaderValue reports whether a string is valid as a header's value.
 func validHeaderValue(s string) bool {
 	for i := range len(s) {
 		control := s[i] < ' ' && s[i] != '\t'
@@ -16,7 +16,7 @@
 	return strings.TrimSpace(s) == s
 }
 
-// validHeaderName reports whether a text can be a header's name.
+// validHeaderName reports whether a string is valid as a header's name.
 func validHeaderName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
--- a/internal/dataplane/forwardauth/question.go
+++ b/internal/dataplane/forwardauth/question.go
@@ -13,21 +13,22 @@
 	"mothcleat/internal/dataplane/authz"
 )
 
-// Credential is what a client gave with AUTH: a token, or a user with a password.
+// Credential is what a client sent with AUTH: a token, or a user and a password.
 type Credential struct {
 	User, Secret string
-	Named        bool // there is a user
+	Named        bool // the client sent a user and a password
 }
 
 const maxCredentialBytes = 8 << 10
 
-// Errors of credentials.
+// Errors for invalid credentials.
 var (
 	ErrCredentialTooLong    = errors.New("credential: too long")
-	ErrCredentialCharacters = errors.New("credential: characters that no header may hold")
+	ErrCredentialCharacters = errors.New("credential: contains characters not allowed in a header")
 )
 
-// NewCredential makes a credential of what a client gave, which must fit a header.
+// NewCredential creates a credential from what a client sent. It returns an error if the credential
+// is too long or has characters that are not allowed in a header.
 func NewCredential(user, secret string, named bool) (*Credential, error) {
 	if len(user)+len(secret) > maxCredentialBytes {
 		return nil, ErrCredentialTooLong
@@ -47,20 +48,21 @@
 	return "Bearer " + c.Secret
 }
 
-// Question is all that the authenticator is told of a request.
+// Question holds everything that is sent to the authenticator about a request.
 type Question struct {
-	Credential            *Credential // nil: none was given
+	Credential            *Credential // nil: the client sent none
 	Customer, Plan, Class string
 	Units                 float64
 	Write                 bool
 	ClientAddress         string // HOST:PORT of the client's connection
 }
 
-// Key returns a digest of all that a verdict may depend on, which the address is not.
+// Key returns a digest of everything that a verdict may depend on. The client's address is not part
+// of it.
 func (q *Question) Key() (k authz.Key) {
 	var room [512]byte
 	b := room[:0]
-	add := func(text string) { // with its length, so that parts can't run into one another
+	add := func(text string) { // the length prefix keeps different parts from giving the same bytes
 		b = strconv.AppendInt(b, int64(len(text)), 10)
 		b = append(b, ':')
 		b = append(b, text...)
--- a/internal/dataplane/forwardauth/settings.go
+++ b/internal/dataplane/forwardauth/settings.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	maxHeaderBytes = 16 << 10 // of an answer
+	maxHeaderBytes = 16 << 10 // of a response
 	idleTimeout    = 30 * time.Second
 	customerDigits = 16
 )
 
-// Settings say which authenticator is asked, and how. The zero value asks none.
+// Settings configure which authenticator is called, and how. The zero value
+// disables authorization.
 type Settings struct {
 	URL        string            // "": off
 	Headers    map[string]string // sent with each call
 	SecretName string            // the header that carries the content of SecretFile
 	SecretFile string            // "": none
-	TokensFile string            // lines of a customer and its token; "": none
+	TokensFile string            // each line holds a customer and its token; "": none
 	CAFile     string            // PEM; "": the system's authorities
 	Timeout    time.Duration     // of a call
 	MaxConns   int
@@ -35,20 +36,21 @@
 func (s *Settings) parseURL() (*url.URL, error) {
 	u, err := url.Parse(s.URL)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		return nil, errors.New("auth.url: http://HOST:PORT/PATH or https://… wanted")
+		return nil, errors.New("auth.url: must be http://HOST:PORT/PATH or https://HOST:PORT/PATH")
 	}
 	if u.User != nil || u.Fragment != "" {
-		return nil, errors.New("auth.url: holds credentials or a fragment")
+		return nil, errors.New("auth.url: must not contain credentials or a fragment")
 	}
 	return u, nil
 }
 
-// header returns the headers that go with each call, the secret among them.
+// header returns the headers that are sent with each call, including the secret.
 func (s *Settings) header() (http.Header, error) {
 	header := http.Header{}
 	for name, value := range s.Headers {
 		if !validHeaderName(name) || !validHeaderValue(value) || reservedHeader(name) {
-			return nil, fmt.Errorf("auth.headers: %q can't be set", name)
+			return nil, fmt.Errorf(
+				"auth.headers: %q is reserved, or its name or value is invalid", name)
 		}
 		header.Set(name, value)
 	}
@@ -63,13 +65,14 @@
 	validSecret := secret != "" && validHeaderValue(secret)
 	if !validSecret || !validHeaderName(s.SecretName) || reservedHeader(s.SecretName) {
 		return nil, fmt.Errorf(
-			"auth.secret_file: no secret in one line, or no header %q to put it in", s.SecretName)
+			"auth.secret_file: must contain the secret in one line, and %q must be a valid header "+
+				"that is not reserved", s.SecretName)
 	}
 	header.Set(s.SecretName, secret)
 	return header, nil
 }
 
-// newTransport makes the transport for calls.
+// newTransport creates the HTTP transport for calls.
 func (s *Settings) newTransport(https bool) (*http.Transport, error) {
 	transport := &http.Transport{
 		Proxy:                  nil,
@@ -91,13 +94,14 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.New("auth.ca_file: no certificate in it")
+		return nil, errors.New("auth.ca_file: contains no certificate")
 	}
 	transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	return transport, nil
 }
 
-// readTokens reads the tokens of customers. Its errors name the line, never what it holds.
+// readTokens reads the file of customers' tokens. Its errors name a line's number, but never
+// contain its text.
 func readTokens(path string) (map[string]*Credential, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -110,8 +114,8 @@
 			continue
 		}
 		if len(fields) != 2 || len(fields[0]) != customerDigits || tokens[fields[0]] != nil {
-			return nil, fmt.Errorf("auth.tokens_file: %s:%d: a customer of 16 hex digits "+
-				"and its token wanted, each customer once", path, i+1)
+			return nil, fmt.Errorf("auth.tokens_file: %s:%d: must be a customer of 16 hex "+
+				"digits and its token, and each customer may occur once", path, i+1)
 		}
 		c, err := NewCredential("", fields[1], false)
 		if err != nil {
--- a/internal/dataplane/forwardauth/step.go
+++ b/internal/dataplane/forwardauth/step.go
@@ -7,34 +7,36 @@
 	"mothcleat/internal/dataplane/authz"
 )
 
-// Host is the goroutine on which a Step decides.
+// Host represents the goroutine on which a Step decides.
 type Host interface {
 	Now() authz.Time
-	// Post has f run on the host's goroutine. It may be called from any other.
+	// Post runs f on the host's goroutine. It may be called from any goroutine.
 	Post(f func())
-	// At has f run there at a time.
+	// At runs f on the host's goroutine at the given time.
 	At(when authz.Time, f func())
-	// Decided gives a waiting request its one verdict; retryAfter is for authz.RetryLater.
+	// Decided gives a waiting request its only verdict; retryAfter applies to authz.RetryLater
+	// only.
 	Decided(id uint64, v authz.Verdict, retryAfter authz.Time)
 }
 
-// Step is the authorization before a request is decided on. All its methods belong to the host's
-// goroutine.
+// Step authorizes requests before the gateway decides on them. All its methods must be called on
+// the host's goroutine.
 type Step struct {
 	host     Host
 	gate     *authz.Gate
 	client   *Client
 	settings Settings
-	ctx      context.Context // of the calls
-	current  *Question       // of the request that gate decides on; nil: none
+	ctx      context.Context // for the calls
+	current  *Question       // that the gate is deciding on; nil: none
 	enabled  bool
 }
 
-// NewStep makes a step that asks no authenticator until Update names one. Calls end with ctx.
+// NewStep creates a step that calls no authenticator until Update names one. Canceling ctx ends all
+// calls.
 func NewStep(ctx context.Context, host Host) *Step { return &Step{ctx: ctx, host: host} }
 
 // Update applies settings. Without an authenticator the step is disabled, and all waiting requests
-// are allowed. It returns an error, and changes nothing, for settings that can't be used.
+// are allowed. Update returns an error and changes nothing if the settings are invalid.
 func (s *Step) Update(settings Settings, rules authz.Settings, seed uint64) error {
 	if settings.URL == "" {
 		s.disable()
@@ -73,11 +75,11 @@
 	return s.gate.Update(s.host.Now(), rules, moved)
 }
 
-// Enabled reports whether requests are to be passed to Request.
+// Enabled reports whether requests must be passed to Request. A nil Step is not enabled.
 func (s *Step) Enabled() bool { return s != nil && s.enabled }
 
-// Request decides on a request: at once, or, with authz.Pending, by Host.Decided later. timeout is
-// how long its client waits.
+// Request decides on a request. It returns the verdict at once, or authz.Pending if Host.Decided
+// will be called with it later. timeout is how long the client waits.
 func (s *Step) Request(
 	id uint64, q *Question, class, plan int, timeout authz.Time,
 ) (v authz.Verdict, retryAfter authz.Time) {
@@ -90,15 +92,15 @@
 	return s.gate.Request(s.host.Now(), question)
 }
 
-// Cancel records that a request needs no verdict any more.
+// Cancel records that a request no longer needs a verdict.
 func (s *Step) Cancel(id uint64) {
 	if s.gate != nil {
 		s.gate.Cancel(s.host.Now(), id)
 	}
 }
 
-// Call starts a call for the current question: a gate calls only while it decides on a request. It
-// implements authz.Actions.
+// Call starts a call for the current question. A gate starts calls only while it decides on a
+// request, so the current question is the one with the given key. Call implements authz.Actions.
 func (s *Step) Call(number uint64, _ authz.Key) {
 	client := s.client
 	q := s.current
@@ -108,12 +110,12 @@
 	}()
 }
 
-// Decide passes a verdict to the host. It implements authz.Actions.
+// Decide passes a verdict to the host. Decide implements authz.Actions.
 func (s *Step) Decide(id uint64, v authz.Verdict, retryAfter authz.Time) {
 	s.host.Decided(id, v, retryAfter)
 }
 
-// SetTimer has the gate called at a time. It implements authz.Actions.
+// SetTimer schedules a call of the gate's Timer. SetTimer implements authz.Actions.
 func (s *Step) SetTimer(at authz.Time) {
 	s.host.At(at, func() { s.gate.Timer(s.host.Now()) })
 }
--- a/internal/dataplane/forwardauth/step_test.go
+++ b/internal/dataplane/forwardauth/step_test.go
@@ -11,7 +11,7 @@
 	"mothcleat/internal/dataplane/authz"
 )
 
-// fakeHost is the goroutine that decides: the test's own.
+// fakeHost is a Host whose goroutine is that of the test.
 type fakeHost struct {
 	t       *testing.T
 	events  chan func()
@@ -30,44 +30,44 @@
 
 func (h *fakeHost) Decided(id uint64, v authz.Verdict, _ authz.Time) {
 	if _, twice := h.decided[id]; twice {
-		h.t.Errorf("request %d has two verdicts", id)
+		h.t.Errorf("request %d got a second verdict", id)
 	}
 	h.decided[id] = v
 }
 
-// recheckInterval is how often a condition is checked while no event comes: some hold by the passing
-// of time alone, such as the end of a breaker's opening.
+// recheckInterval is how often a condition is checked while no event arrives. Some conditions
+// become true without an event, such as the end of a breaker's open time.
 const recheckInterval = time.Millisecond
 
 // until runs the host until a condition holds.
-func (h *fakeHost) until(what string, so func() bool) {
+func (h *fakeHost) until(what string, done func() bool) {
 	h.t.Helper()
 	recheck := time.NewTicker(recheckInterval)
 	defer recheck.Stop()
-	for late := time.After(patience); !so(); {
+	for timeout := time.After(testTimeout); !done(); {
 		select {
 		case f := <-h.events:
 			f()
 		case <-recheck.C:
-		case <-late:
+		case <-timeout:
 			h.t.Fatal("timed out waiting for ", what)
 		}
 	}
 }
 
-// An authenticator dies with two thousand requests waiting, and comes back: each request has one
-// verdict, the calls stay within their limit, and the first probe after its return lets questions
-// through again.
+// An authenticator fails while 2,000 requests wait for it, and recovers. Each request must get one
+// verdict, the calls must stay within their limit, and the first probe after the recovery must
+// allow calls again.
 func TestCrashWithManyWaiting(t *testing.T) {
 	const many, calls = 2000, 16
 	var down atomic.Bool
-	var out, most atomic.Int32
+	var outstanding, maxOutstanding atomic.Int32
 	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if n := out.Add(1); n > most.Load() {
-			most.Store(n)
+		if n := outstanding.Add(1); n > maxOutstanding.Load() {
+			maxOutstanding.Store(n)
 		}
-		defer out.Add(-1)
+		defer outstanding.Add(-1)
 		if down.Load() {
 			<-release
 			panic(http.ErrAbortHandler) // the connection is reset
@@ -92,7 +92,7 @@
 		BreakerMaxOpen:  2000,
 	}
 	if err := step.Update(
-		Settings{URL: s.URL, Timeout: patience, MaxConns: calls},
+		Settings{URL: s.URL, Timeout: testTimeout, MaxConns: calls},
 		rules,
 		1,
 	); err != nil {
@@ -113,7 +113,7 @@
 	down.Store(true)
 	for i := range many {
 		if v := ask(i % (calls + 4)); v == authz.Unknown {
-			atOnce++ // there was no call left for its question
+			atOnce++ // the limit of calls was reached
 		} else if v != authz.Pending {
 			t.Fatalf("verdict %d", v)
 		}
@@ -125,14 +125,14 @@
 	h.until("a verdict for each", func() bool { return len(h.decided) == many-atOnce })
 	for id, v := range h.decided {
 		if v != authz.Unknown {
-			t.Fatalf("request %d: verdict %d of an authenticator that died", id, v)
+			t.Fatalf("request %d: verdict %d, want Unknown from a failed authenticator", id, v)
 		}
 	}
 	if !step.gate.BreakerOpen() {
-		t.Error("the breaker is closed")
+		t.Error("the breaker is closed after the failures")
 	}
 	down.Store(false)
-	h.until("an allowance after its return", func() bool {
+	h.until("an Allow after the recovery", func() bool {
 		if v := ask(0); v == authz.Pending {
 			id := next
 			h.until("its verdict", func() bool { _, there := h.decided[id]; return there })
@@ -142,13 +142,13 @@
 		}
 		return false
 	})
-	if n := most.Load(); n > calls {
-		t.Errorf("%d calls out at once", n)
+	if n := maxOutstanding.Load(); n > calls {
+		t.Errorf("%d calls outstanding at once", n)
 	}
 }
 
-// The step is disabled, enabled, moved and disabled again; settings that can't be used change
-// nothing.
+// Updates disable and enable the step, and invalid settings change nothing. Disabling the step
+// allows the waiting requests.
 func TestUpdate(t *testing.T) {
 	h := &fakeHost{t: t, events: make(chan func(), 8), decided: map[uint64]authz.Verdict{}}
 	step := NewStep(context.Background(), h)
@@ -166,18 +166,18 @@
 	}
 	var none *Step
 	if none.Enabled() || step.Enabled() {
-		t.Error("on before anything was set")
+		t.Error("enabled before any settings were applied")
 	}
 	step.Cancel(1)
 	if err := step.Update(Settings{}, authz.Settings{}, 1); err != nil || step.Enabled() {
-		t.Errorf("off: %v", err)
+		t.Errorf("update without an authenticator: %v", err)
 	}
 	good := Settings{URL: "http://127.0.0.1:1/", Timeout: time.Second, MaxConns: 1}
 	if err := step.Update(good, authz.Settings{}, 1); err == nil || step.Enabled() {
-		t.Error("rules that can't be used were taken")
+		t.Error("invalid rules were accepted")
 	}
 	if err := step.Update(good, rules, 1); err != nil || !step.Enabled() {
-		t.Errorf("on: %v", err)
+		t.Errorf("update with an authenticator: %v", err)
 	}
 	if err := step.Update(
 		Settings{URL: "nowhere"},
@@ -185,7 +185,7 @@
 		1,
 	); err == nil || !step.Enabled() ||
 		step.settings.URL != good.URL {
-		t.Error("a bad address changed something")
+		t.Error("an invalid address changed the step")
 	}
 	if v, _ := step.Request(1, &Question{}, 0, 0, 4e9); v != authz.Pending {
 		t.Errorf("verdict %d", v)
@@ -196,6 +196,6 @@
 		1,
 	); err != nil || step.Enabled() ||
 		h.decided[1] != authz.Allow {
-		t.Errorf("switched off: %v, verdict %d", err, h.decided[1])
+		t.Errorf("disabled: %v, verdict %d", err, h.decided[1])
 	}
 }
