--- a/internal/dataplane/simprotocol/batch.go
+++ b/internal/dataplane/simprotocol/batch.go
@@ -11,18 +11,18 @@
 
 const (
 	batchHeaderSize = 20      // bytes
-	readChunkSize   = 1 << 20 // bytes, so that a stated size alone allocates little
+	readChunkSize   = 1 << 20 // bytes; limits the memory that a stated body size alone allocates
 )
 
-// ErrMalformed is wrapped by the errors about input that does not follow the protocol.
+// ErrMalformed is matched by the errors for input that violates the protocol.
 var ErrMalformed = errors.New("malformed input")
 
-// malformedf returns an error about a part of the input that does not follow the protocol.
+// malformedf returns an error that matches ErrMalformed.
 func malformedf(format string, args ...any) error {
 	return &malformedError{problem: fmt.Sprintf(format, args...)}
 }
 
-// malformedError matches ErrMalformed.
+// malformedError describes input that violates the protocol. It matches ErrMalformed.
 type malformedError struct{ problem string }
 
 func (e *malformedError) Error() string        { return e.problem }
@@ -30,22 +30,22 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Index uint32      // of the frame; the reply repeats it
+	Index uint32      // of the frame; the reply has the same index
 	Count uint32      // of the records in the body
-	Now   policy.Time // of all its events
+	Now   policy.Time // the time of all its events
 	Body  []byte
 }
 
-// ReadBatch reads the next frame, with its body in the memory of buffer as far as that suffices. It
-// returns io.EOF at a clean end of input, and an error that wraps io.EOF or io.ErrUnexpectedEOF if
-// the input ends within a frame.
+// ReadBatch reads the next frame. The body is stored in buffer if it fits, and in new memory
+// otherwise. ReadBatch returns io.EOF if the input ends between frames, and an error that wraps
+// io.EOF or io.ErrUnexpectedEOF if it ends within a frame.
 func ReadBatch(r io.Reader, buffer []byte) (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
 		}
-		return Batch{}, fmt.Errorf("batch header cut short: %w", err)
+		return Batch{}, fmt.Errorf("batch header is truncated: %w", err)
 	}
 	b := Batch{
 		Index: binary.LittleEndian.Uint32(header[0:]),
@@ -55,7 +55,7 @@
 	}
 	size := int(binary.LittleEndian.Uint32(header[8:]))
 	if err := b.readBody(r, size); err != nil {
-		return Batch{}, fmt.Errorf("batch %d cut short: %w", b.Index, err)
+		return Batch{}, fmt.Errorf("batch %d is truncated: %w", b.Index, err)
 	}
 	return b, nil
 }
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Decode calls handle with each event of a batch, in order. An event, and the memory it refers to,
-// is valid until handle returns. The error is one that matches ErrMalformed; the events before it
-// were handled.
+// Decode calls handle for each event of a batch, in order. An event and the memory that it refers
+// to are valid until handle returns. Errors of Decode match ErrMalformed; the events before the
+// malformed record have been handled.
 func (b *Batch) Decode(handle func(*Event)) error {
 	r := recordReader{record: b.Body}
 	for i := range b.Count {
@@ -89,7 +89,7 @@
 		handle(&e)
 	}
 	if r.at != len(b.Body) {
-		return malformedf("batch %d: %d bytes behind the last record", b.Index, len(b.Body)-r.at)
+		return malformedf("batch %d: %d bytes after the last record", b.Index, len(b.Body)-r.at)
 	}
 	return nil
 }
--- a/internal/dataplane/simprotocol/batch_test.go
+++ b/internal/dataplane/simprotocol/batch_test.go
@@ -113,7 +113,7 @@
 		"too many records":      {Count: 2, Body: unhex(t, "06 0100")},
 	} {
 		if err := b.Decode(func(*Event) {}); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v, ErrMalformed wanted", name, err)
+			t.Errorf("%s: %v, want ErrMalformed", name, err)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		handled := 0
 		err := b.Decode(func(*Event) { handled++ })
 		if err == nil && uint32(handled) != count {
-			t.Errorf("%d of %d records handled without an error", handled, count)
+			t.Errorf("no error, but %d of %d records handled", handled, count)
 		}
 	})
 }
--- a/internal/dataplane/simprotocol/codes.go
+++ b/internal/dataplane/simprotocol/codes.go
@@ -1,21 +1,21 @@
-// Package simprotocol speaks the simulator's protocol, in the dialect dune-e1ca: frames, records
-// and settings. It is the one place that maps the protocol's codes and key names to the terms of
+// Package simprotocol implements the simulator's protocol in its dialect dune-e1ca: frames, records
+// and settings. It is the only package that maps the protocol's codes and key names to the terms of
 // package policy.
 package simprotocol
 
 import "mothcleat/internal/dataplane/policy"
 
-// EventKind is the kind of an event, by the protocol's codes.
+// EventKind is the kind of an event. Its values are the protocol's codes.
 type EventKind uint8
 
-// The events.
+// The kinds of events.
 const (
 	PeerMessageReceived EventKind = 1
 	ProbeEnded          EventKind = 2
 	RequestReceived     EventKind = 3
 	TimerFired          EventKind = 4
 	InstanceStarted     EventKind = 5
-	InstanceStopped     EventKind = 6 // as by a crash: it gets no chance to act
+	InstanceStopped     EventKind = 6 // like a crash: the instance can take no further action
 	AttemptEnded        EventKind = 7
 	EndpointsChanged    EventKind = 8
 	ClientGone          EventKind = 9
@@ -62,7 +62,7 @@
 	}
 )
 
-// The words in the protocol's settings.
+// The words that the protocol's settings use as values.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"retryable": policy.Idempotent,
@@ -74,14 +74,15 @@
 		"zone": policy.ScopeZone,
 		"cell": policy.ScopeCell,
 	}
-	// metrics are the values of a load report that decisions use; others map to policy.Unused.
+	// metrics are the values of a load report that decisions use. Other values map to
+	// policy.Unused.
 	metrics = map[string]policy.Metric{
 		"busy_reqs": policy.BusyRequests,
 		"pending":   policy.QueuedRequests,
 	}
-	// membershipModes tell whether endpoints are polled.
+	// membershipModes maps to whether endpoints are polled.
 	membershipModes = map[string]bool{"pushed": false, "on_request": true}
-	// weightKinds tell whether weights are comparable.
+	// weightKinds maps to whether weights are comparable.
 	weightKinds = map[string]bool{
 		"silent":  false,
 		"nominal": true,
--- a/internal/dataplane/simprotocol/event.go
+++ b/internal/dataplane/simprotocol/event.go
@@ -19,13 +19,13 @@
 	Endpoints []policy.Endpoint
 
 	Request policy.Request // RequestReceived
-	Outcome policy.Outcome // AttemptEnded; of ResponseStarted and ClientGone the ID
+	Outcome policy.Outcome // AttemptEnded; in part ResponseStarted; ClientGone: only ID
 
 	TimerToken uint32 // TimerFired
 
 	// ProbeEnded
 	Backend uint32
-	Result  policy.Result // of CounterAnswered too
+	Result  policy.Result // also for CounterAnswered
 	Load    []float32
 
 	// PeerMessageReceived
@@ -37,14 +37,14 @@
 	CounterTotal float64
 }
 
-// event reads the fields of an event's kind.
+// event reads the fields that belong to the kind of an event.
 func (r *recordReader) event(e *Event) {
 	switch e.Kind {
 	case InstanceStarted:
 		e.Seed = r.u64()
 		e.Settings = r.bytes(int(r.u32()))
 	case InstanceStopped:
-		// It has no fields.
+		// The record has no fields.
 	case EndpointsChanged:
 		e.ListKind = lookup(r, listKinds, "list mode")
 		r.skip(8) // the list's version
@@ -62,7 +62,7 @@
 	case ProbeEnded:
 		e.Backend = r.u32()
 		e.Result = r.result()
-		r.skip(4) // how long it took
+		r.skip(4) // duration
 		e.Load = r.load()
 	case PeerMessageReceived:
 		e.From = int(r.u16())
@@ -71,7 +71,7 @@
 		e.CounterTotal = r.f32()
 		e.Result = r.result()
 		e.CounterName = r.u64()
-		r.skip(4) // how long it took
+		r.skip(4) // duration
 	default:
 		r.fail("unknown event code %d", e.Kind)
 	}
@@ -79,7 +79,7 @@
 
 func (r *recordReader) request(q *policy.Request) {
 	q.ID = r.u64()
-	r.skip(1) // whether it is a client's retry, or a write
+	r.skip(1) // whether it is a client's retry or a write
 	q.Units = r.f32()
 	q.Timeout = r.duration()
 	q.Plan = int(r.u16())
@@ -125,7 +125,7 @@
 	var m policy.Endpoint
 	m.Backend = r.u32()
 	m.Zone = int(r.u16())
-	r.skip(1) // the kind of machine
+	r.skip(1) // machine type
 	m.Cell = int(r.u16())
 	m.State = lookup(r, endpointStates, "readiness")
 	m.Weight = r.f32()
--- a/internal/dataplane/simprotocol/flatten.go
+++ b/internal/dataplane/simprotocol/flatten.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// flatten turns nested JSON settings into the simulator's paths and values, so that one table reads
-// both forms.
+// flatten converts nested JSON settings to the simulator's paths and values, so that both forms are
+// parsed with the same tables.
 func flatten(raw []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // keeps a number as it is written
+	decoder.UseNumber() // keeps a number's original text
 	var tree map[string]any
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -35,8 +35,8 @@
 	}
 }
 
-// flattenList writes a list of scalars as one value, other items under their numbers. A list that
-// is empty, or has other items than scalars, has a count.
+// flattenList stores a list of scalars as one comma-separated value, and objects and lists within a
+// list under their indexes. A list that is empty or has items other than scalars also gets a count.
 func flattenList(values map[string]string, path string, items []any) {
 	var scalars []string
 	for i, item := range items {
@@ -63,7 +63,7 @@
 	return path + "." + key
 }
 
-// scalar returns a scalar as the simulator writes it; null is empty.
+// scalar formats a scalar as the simulator does. Null becomes the empty string.
 func scalar(v any) string {
 	if v == nil {
 		return ""
--- a/internal/dataplane/simprotocol/recordreader.go
+++ b/internal/dataplane/simprotocol/recordreader.go
@@ -7,14 +7,14 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// recordReader takes fields off a body, in order. After the first error all fields are zero.
+// recordReader reads fields from a body, in order. After the first error, all reads return zero.
 type recordReader struct {
 	record []byte
 	at     int
 	err    error
 }
 
-// fail sets the error, unless there is an earlier one.
+// fail sets the error, unless an earlier error is already set.
 func (r *recordReader) fail(format string, args ...any) {
 	if r.err == nil {
 		r.err = malformedf(format, args...)
@@ -23,7 +23,7 @@
 
 func (r *recordReader) bytes(n int) []byte {
 	if n < 0 || n > len(r.record)-r.at {
-		r.fail("record cut short at byte %d", r.at)
+		r.fail("record is truncated at byte %d", r.at)
 	}
 	if r.err != nil {
 		return nil
@@ -65,7 +65,7 @@
 
 func (r *recordReader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
 
-// duration reads a time of up to 71 minutes, in microseconds.
+// duration reads a duration of up to 71 minutes, in microseconds.
 func (r *recordReader) duration() policy.Time { return policy.Time(r.u32()) }
 
 // load reads a load report: the number of values, then the values.
@@ -83,7 +83,7 @@
 
 func (r *recordReader) result() policy.Result { return lookup(r, results, "outcome code") }
 
-// lookup reads a code and returns what it stands for.
+// lookup reads a code and returns its value in a table.
 func lookup[V any](r *recordReader, table map[uint8]V, what string) V {
 	code := r.u8()
 	value, ok := table[code]
--- a/internal/dataplane/simprotocol/reply.go
+++ b/internal/dataplane/simprotocol/reply.go
@@ -19,14 +19,14 @@
 	instance uint16
 }
 
-// Begin empties the reply, for the batch of an index.
+// Begin resets the reply for the batch with the given index.
 func (r *Reply) Begin(index uint32) {
 	r.buf = r.buf[:0]
 	r.u32(index)
-	r.u32(0) // the size, once it is known
+	r.u32(0) // the size of the body, which Bytes sets
 }
 
-// SetInstance has the following actions come from an instance.
+// SetInstance sets the instance to which the following actions belong.
 func (r *Reply) SetInstance(instance uint16) { r.instance = instance }
 
 // Bytes completes the reply and returns its frame, which is valid until the next Begin.
@@ -76,7 +76,7 @@
 	r.text(string(message[:min(len(message), maxPeerMessageSize)]))
 }
 
-// AddToCounter appends a call of the shared counter.
+// AddToCounter appends a call to the shared counter.
 func (r *Reply) AddToCounter(name uint64, add float64, ttl policy.Time) {
 	r.header(addToCounterAction)
 	r.u64(name)
@@ -84,7 +84,7 @@
 	r.duration(ttl)
 }
 
-// WatchEndpoints appends a subscription to discovery.
+// WatchEndpoints appends a subscription to service discovery.
 func (r *Reply) WatchEndpoints() {
 	r.header(watchEndpointsAction)
 	r.buf = append(r.buf, 1)
@@ -96,7 +96,7 @@
 	r.text(line)
 }
 
-// InstanceFailed appends that the instance has failed, and why.
+// InstanceFailed appends a notice that the instance has failed, with the reason.
 func (r *Reply) InstanceFailed(reason string) {
 	r.header(instanceFailedAction)
 	r.text(reason)
@@ -111,10 +111,10 @@
 func (r *Reply) u32(v uint32) { r.buf = binary.LittleEndian.AppendUint32(r.buf, v) }
 func (r *Reply) u64(v uint64) { r.buf = binary.LittleEndian.AppendUint64(r.buf, v) }
 
-// duration appends a duration in microseconds, within the range of the field.
+// duration appends a duration in microseconds, clamped to the field's range.
 func (r *Reply) duration(d policy.Time) { r.u32(uint32(max(0, min(d, math.MaxUint32)))) }
 
-// text appends a length and a text, cut to the longest that fits.
+// text appends a string and its length. A string too long for the length field is truncated.
 func (r *Reply) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.u16(uint16(len(s)))
--- a/internal/dataplane/simprotocol/setter.go
+++ b/internal/dataplane/simprotocol/setter.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// errUnknownWord is the error about a setting whose value is none of its words.
+// errUnknownWord is the error for a setting whose value is not one of the allowed words.
 var errUnknownWord = errors.New("unknown word")
 
-// SettingError is the error about a setting that is missing or cannot be read.
+// SettingError is the error for a setting that is missing or invalid.
 type SettingError struct {
 	Key string
 	Err error
 }
 
-// Error names the setting and what is wrong with it.
+// Error returns the name of the setting and the cause.
 func (e *SettingError) Error() string { return fmt.Sprintf("setting %s: %v", e.Key, e.Err) }
 
-// Unwrap returns what is wrong with the value.
+// Unwrap returns the cause.
 func (e *SettingError) Unwrap() error { return e.Err }
 
 // setter sets a field from a setting's value.
@@ -65,7 +65,7 @@
 	}
 }
 
-// listSetting reads texts that are separated by commas.
+// listSetting reads comma-separated strings.
 func listSetting(field func(*draft) *[]string) setter {
 	return func(d *draft, value string) error {
 		*field(d) = strings.Split(value, ",")
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// applyList sets the fields of a list's items; add appends an empty item.
+// applyList sets the fields of all items of a list. For each item it first calls add, which appends
+// an empty one.
 func (d *draft) applyList(
 	values map[string]string, name string, table map[string]setter, add func(),
 ) error {
@@ -110,7 +111,7 @@
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil || n < 0 || n > len(values) {
-		return &SettingError{key, fmt.Errorf("value %q is no count of items", value)}
+		return &SettingError{key, fmt.Errorf("value %q is not a valid number of items", value)}
 	}
 	for i := range n {
 		add()
--- a/internal/dataplane/simprotocol/settings.go
+++ b/internal/dataplane/simprotocol/settings.go
@@ -6,24 +6,24 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// HostSettings are what the settings tell the host of a gateway on real sockets. In the simulator
-// they concern the simulator itself.
+// HostSettings are the settings for the host of a gateway on real sockets. In the simulator they
+// apply to the simulator itself.
 type HostSettings struct {
 	Classes            []string      // names, in the order of the policy's settings
 	Plans              []string      // names, in the order of the policy's settings
-	ClientTimeouts     []policy.Time // of each class, the longest that a client waits; 0: not told
-	MaxUnits           float64       // of a request; 0: not told
-	Zones              []string      // names, by number
+	ClientTimeouts     []policy.Time // by class, how long a client waits at most; 0: not specified
+	MaxUnits           float64       // of a request; 0: not specified
+	Zones              []string      // names, by index
 	Report             []string      // the names of the values in a load report
 	ReportVia          string        // "piggyback", "pull" or "silent"
 	MaxOpenRequests    int
 	DialTimeout        policy.Time
 	BackendIdleTimeout policy.Time // after which backends close an idle connection
 	CounterTimeout     policy.Time
-	DrainGracePeriod   policy.Time // after a drain was told, within which sends must stop
+	DrainGracePeriod   policy.Time // time from the notice of a drain until sends must have stopped
 }
 
-// draft holds settings that are being read.
+// draft holds settings while they are parsed.
 type draft struct {
 	policy.Settings
 	host HostSettings
@@ -49,8 +49,8 @@
 	return d.Settings, err
 }
 
-// ParseJSON reads settings as a gateway's configuration has them: the same names and units, as
-// nested JSON. The error is about the JSON, or a *SettingError.
+// ParseJSON reads settings in the form of a gateway's configuration: nested JSON with the same
+// names and units. The error is a *SettingError, or a JSON error if raw is not valid JSON.
 func ParseJSON(raw []byte) (policy.Settings, HostSettings, error) {
 	values, err := flatten(raw)
 	if err != nil {
@@ -87,7 +87,7 @@
 func (d *draft) class() *policy.Class { return last(d.Classes) }
 func (d *draft) plan() *policy.Plan   { return last(d.Plans) }
 
-// setReport takes over the names in a load report, and which of the values decisions use.
+// setReport sets the names of the values in a load report and the metrics that decisions use.
 func setReport(d *draft, value string) error {
 	d.LoadReportMetrics = nil
 	d.host.Report = strings.Split(value, ",")
@@ -145,7 +145,7 @@
 	"prices.cross-zone": floatSetting(func(d *draft) *float64 { return &d.CrossZonePrice }),
 }
 
-// classSettings are the settings of a class, the last one of the list so far.
+// classSettings are the settings of the class that was added last.
 var classSettings = map[string]setter{
 	"name":          textSetting(func(d *draft) *string { return last(d.host.Classes) }),
 	"promise-us":    intSetting(func(d *draft) *policy.Time { return &d.class().LatencyObjective }),
@@ -159,7 +159,7 @@
 		func(d *draft) *policy.DeduplicationScope { return &d.class().DeduplicationScope }),
 }
 
-// planSettings are the settings of a plan, the last one of the list so far.
+// planSettings are the settings of the plan that was added last.
 var planSettings = map[string]setter{
 	"name":            textSetting(func(d *draft) *string { return last(d.host.Plans) }),
 	"rate":            floatSetting(func(d *draft) *float64 { return &d.plan().Rate }),
