--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -7,7 +7,7 @@
 	"mothcleat/internal/dataplane/simprotocol"
 )
 
-// host holds the gateways' Balancers of one process, by their instance numbers.
+// host holds the Balancers of all gateways in this process, by instance number.
 type host struct {
 	balancers map[uint16]*policy.Balancer
 	reply     simprotocol.Reply
@@ -15,7 +15,7 @@
 
 func newHost() *host { return &host{balancers: map[uint16]*policy.Balancer{}} }
 
-// handleBatch passes a batch's events on and returns the reply's frame, which is valid until the
+// handleBatch handles the events of a batch and returns the reply's frame, which is valid until the
 // next call.
 func (h *host) handleBatch(batch *simprotocol.Batch) ([]byte, error) {
 	h.reply.Begin(batch.Index)
@@ -26,8 +26,8 @@
 	return h.reply.Bytes(), nil
 }
 
-// handle passes one event on to its instance. After a panic the instance is dropped, and the reply
-// tells that it has failed.
+// handle passes one event to its instance. If that panics, the instance is removed, and the reply
+// reports its failure.
 func (h *host) handle(now policy.Time, e *simprotocol.Event) {
 	h.reply.SetInstance(e.Instance)
 	defer func() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// dispatch calls the method of a Balancer that an event is for.
+// dispatch calls the method of a Balancer that handles an event.
 func dispatch(balancer *policy.Balancer, now policy.Time, e *simprotocol.Event) {
 	switch e.Kind {
 	case simprotocol.EndpointsChanged:
@@ -71,8 +71,8 @@
 	}
 }
 
-// start begins an instance, in place of one of the same number. Settings that cannot be served make
-// it fail.
+// start starts an instance and replaces an earlier one with the same number. If the settings are
+// invalid, the instance fails.
 func (h *host) start(e *simprotocol.Event) {
 	settings, err := simprotocol.ParseSettings(e.Settings)
 	if err != nil {
@@ -87,7 +87,7 @@
 	h.balancers[e.Instance] = balancer
 }
 
-// fail drops an instance and tells why.
+// fail removes an instance and reports the reason.
 func (h *host) fail(instance uint16, reason string) {
 	delete(h.balancers, instance)
 	h.reply.InstanceFailed(reason)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs gateways' decisions for the simulator: it reads batches of events from
-// standard input and writes the actions to standard output. It decides nothing itself.
+// Command simhost runs the decision logic of gateways for the simulator. It reads batches of events
+// from standard input and writes the resulting actions to standard output. All decisions are made
+// by package policy.
 package main
 
 import (
@@ -21,12 +22,12 @@
 	}
 }
 
-// run answers each batch with a reply until the input ends.
+// run reads batches and writes a reply to each until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
 	h := newHost()
-	var body []byte // reused
+	var body []byte // reused for each batch
 	for {
 		batch, err := simprotocol.ReadBatch(reader, body)
 		if errors.Is(err, io.EOF) {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -37,9 +37,9 @@
 		{"valid settings", batch(1, 1, startRecord(validSettings)), false, emptyReply},
 		{"malformed setting", batch(1, 1, startRecord(validSettings+"balancers=no\n")), false,
 			"setting balancers"},
-		{"settings that cannot be served", batch(1, 1, startRecord(validSettings+"balancers=0\n")), false,
+		{"invalid settings", batch(1, 1, startRecord(validSettings+"balancers=0\n")), false,
 			"gateways"},
-		{"event of no instance", batch(1, 1, "\x04\x09\x00\x00\x00\x00\x00"), false, emptyReply},
+		{"event for an unknown instance", batch(1, 1, "\x04\x09\x00\x00\x00\x00\x00"), false, emptyReply},
 		{"truncated frame", batch(1, 1, "\x06\x01\x00")[:21], true, ""},
 		{"unknown event", batch(1, 1, "\x63\x01\x00"), true, ""},
 	} {
