--- a/internal/dataplane/authz/authz_test.go
+++ b/internal/dataplane/authz/authz_test.go
@@ -111,7 +111,7 @@
 	var ids []uint64
 	for range 5 {
 		id, v := r.request(1, 0)
-		r.want("asked", v, Pending)
+		r.want("not cached", v, Pending)
 		ids = append(ids, id)
 	}
 	if len(r.outstanding) != 1 {
@@ -158,8 +158,8 @@
 	}
 }
 
-// An authenticator that does not answer delays a request by no more than the maximum wait and a
-// quarter of the client's timeout.
+// An authenticator that does not answer delays a request by no more than the smaller of the
+// maximum wait and a quarter of the client's timeout.
 func TestMaxWait(t *testing.T) {
 	r := newHarness(t, settings())
 	id, _ := r.request(1, 0)
@@ -249,7 +249,7 @@
 	}
 	again, v := r.request(1, 0)
 	if r.want("after the move", v, Pending); len(r.outstanding) != 2 {
-		t.Fatalf("%d calls", len(r.outstanding))
+		t.Fatalf("%d calls, want 2", len(r.outstanding))
 	}
 	r.answer(Allow, -1)
 	r.want("waiting for the old authenticator", r.decided[id], Allow)
@@ -284,9 +284,9 @@
 	}
 }
 
-// The model records, for each key, the authenticator's last answer and its time. Under random events
-// a gate must never allow more than that answer permits, delay a request beyond its maximum wait, or
-// leave a request without exactly one verdict.
+// The model records, for each key, the authenticator's last answer and its time. Under random
+// events a gate must never allow more than that answer permits, delay a request beyond its maximum
+// wait, or leave a request without exactly one verdict.
 func TestModel(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -414,10 +414,10 @@
 					c.number,
 					Answer{Verdict: Allow},
 				) // a second answer is ignored
-				for id, waits := range open {
-					if _, decided := r.decided[id]; waits.q.Key == c.key && !decided {
+				for id, waiting := range open {
+					if _, decided := r.decided[id]; waiting.q.Key == c.key && !decided {
 						t.Fatalf(
-							"seed %d: request %d still waits though its question was answered",
+							"seed %d: request %d still waits after its question was answered",
 							seed,
 							id,
 						)
