--- a/internal/dataplane/forwardauth/doc.go
+++ b/internal/dataplane/forwardauth/doc.go
@@ -1,4 +1,4 @@
-// Package forwardauth queries an HTTP authenticator whether a request may proceed, as reverse
+// Package forwardauth calls an HTTP authenticator to decide whether a request may proceed, as reverse
 // proxies do. It sends a GET with X-Forwarded headers. A 2xx status allows the request, 401 or 403
 // denies it, and 429 with Retry-After makes the client retry later. Any other response, or none,
 // gives no verdict.
