--- a/internal/dataplane/simprotocol/setter.go
+++ b/internal/dataplane/simprotocol/setter.go
@@ -111,7 +111,7 @@
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil || n < 0 || n > len(values) {
-		return &SettingError{key, fmt.Errorf("value %q is not a valid number of items", value)}
+		return &SettingError{key, fmt.Errorf("value %q is no count of items", value)}
 	}
 	for i := range n {
 		add()
