--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// problem is a setting that can't be used, and why.
+// problem is an invalid setting with the reason why it is invalid. The reason is empty if the
+// setting is valid.
 type problem struct{ key, reason string }
 
-// check returns the first setting that can't be used, nil if all can.
+// check returns the first invalid setting, or nil if all are valid.
 func (s *Settings) check() *problem {
 	for _, p := range slices.Concat(s.gatewayRanges(), s.fleetRanges()) {
 		if p.reason != "" {
@@ -20,7 +21,7 @@
 		}
 	}
 	if s.Fleet.Enabled && s.Fleet.SharedWatch && s.Registry.Source != "consul" {
-		return &problem{"fleet.watch", "set though register.source is not consul"}
+		return &problem{"fleet.watch", "must be false unless register.source is consul"}
 	}
 	checks := []func() *problem{
 		s.Fleet.check, s.checkBudgets, s.Registry.check, s.checkAuth, s.checkFiles,
@@ -33,8 +34,8 @@
 	return nil
 }
 
-// gatewayRanges returns the bounded settings of a gateway by itself, without a reason if they are
-// within their bounds.
+// gatewayRanges checks the settings of a single gateway that have a range. It returns one problem
+// for each; its reason is empty if the value is in range.
 func (s *Settings) gatewayRanges() []problem {
 	return []problem{
 		{"state.every", durationIn(s.State.SaveInterval, 50*time.Millisecond, time.Minute)},
@@ -65,8 +66,8 @@
 	}
 }
 
-// fleetRanges returns the bounded settings of the fleet, without a reason if they are within their
-// bounds.
+// fleetRanges checks the settings of the fleet that have a range. It returns one problem for each;
+// its reason is empty if the value is in range.
 func (s *Settings) fleetRanges() []problem {
 	return []problem{
 		{"fleet.span", durationIn(s.Fleet.LeaseTTL, 200*time.Millisecond, 10*time.Minute)},
@@ -99,31 +100,32 @@
 	}
 }
 
-// durationIn returns why a duration is out of range, nothing if it is not.
+// durationIn returns a reason if d is not between low and high, and an empty string otherwise.
 func durationIn(d Duration, low, high time.Duration) string {
 	if time.Duration(d) < low || time.Duration(d) > high {
-		return fmt.Sprintf("%v: from %v to %v wanted", time.Duration(d), low, high)
+		return fmt.Sprintf("%v: must be between %v and %v", time.Duration(d), low, high)
 	}
 	return ""
 }
 
-// countIn returns why a number is out of range, nothing if it is not.
+// countIn returns a reason if n is not between low and high, and an empty string otherwise.
 func countIn(n, low, high int) string {
 	if n < low || n > high {
-		return fmt.Sprintf("%d: from %d to %d wanted", n, low, high)
+		return fmt.Sprintf("%d: must be between %d and %d", n, low, high)
 	}
 	return ""
 }
 
-// fractionIn returns why a number is not from 0 to 1, nothing if it is.
+// fractionIn returns a reason if x is not between 0 and 1 or is NaN, and an empty string otherwise.
 func fractionIn(x float64) string {
 	if !(x >= 0 && x <= 1) {
-		return fmt.Sprintf("%v: from 0 to 1 wanted", x)
+		return fmt.Sprintf("%v: must be between 0 and 1", x)
 	}
 	return ""
 }
 
-// checkBudgets checks the budgets, and what depends on the fleet.
+// checkBudgets checks the fractions of the budgets, and that budgets and versions are enabled only
+// together with the fleet.
 func (s *Settings) checkBudgets() *problem {
 	b := &s.Budgets
 	if reason := fractionIn(b.ReservedMinimumFraction); reason != "" {
@@ -134,9 +136,9 @@
 	}
 	switch {
 	case b.Enabled && !s.Fleet.Enabled:
-		return &problem{"budgets.on", "set though fleet.on is false"}
+		return &problem{"budgets.on", "must be false unless fleet.on is true"}
 	case s.Versions.Enabled && !s.Fleet.Enabled:
-		return &problem{"versions.on", "set though fleet.on is false"}
+		return &problem{"versions.on", "must be false unless fleet.on is true"}
 	}
 	return nil
 }
@@ -145,15 +147,15 @@
 func (r *Registry) check() *problem {
 	switch {
 	case !slices.Contains(Sources, r.Source):
-		wanted := strings.Join(Sources, ", ")
-		return &problem{"register.source", fmt.Sprintf("%q: one of %s wanted", r.Source, wanted)}
+		sources := strings.Join(Sources, ", ")
+		return &problem{"register.source", fmt.Sprintf("%q: must be one of %s", r.Source, sources)}
 	case !slices.Contains([]string{"default", "stale", "consistent"}, r.Consistency):
-		reason := fmt.Sprintf("%q: default, stale or consistent wanted", r.Consistency)
+		reason := fmt.Sprintf("%q: must be one of default, stale, consistent", r.Consistency)
 		return &problem{"register.mode", reason}
 	case r.Source != "platform" && r.Service == "":
-		return &problem{"register.service", "missing, though register.source names Consul"}
+		return &problem{"register.service", "must be set if register.source includes consul"}
 	case r.Source != "platform" && len(r.Agents) == 0:
-		return &problem{"register.agents", "none, though register.source names Consul"}
+		return &problem{"register.agents", "must not be empty if register.source includes consul"}
 	}
 	return nil
 }
@@ -162,31 +164,33 @@
 func (s *Settings) checkAuth() *problem {
 	switch {
 	case s.Auth.URL != "" && len(s.Auth.Classes) == 0:
-		reason := "none, though auth.url is set: nothing would ever be asked"
+		reason := "must not be empty if auth.url is set: no request would be checked"
 		return &problem{"auth.classes", reason}
 	case (s.Auth.SecretFile == "") != (s.Auth.SecretHeader == ""):
-		return &problem{"auth.secret_file", "goes with auth.secret_header: both or neither"}
+		return &problem{"auth.secret_file", "must be set together with auth.secret_header"}
 	}
 	return nil
 }
 
-// checkFiles checks the files of state, record and hot restart against one another.
+// checkFiles checks that the files of the state, the record and the hot restart differ. It also
+// checks the other settings of state and hot restart that depend on one another.
 func (s *Settings) checkFiles() *problem {
 	stateName := filepath.Base(s.State.File)
 	record := s.Record.RejectionsFile
 	pidFile := s.HotRestart.PIDFile
 	switch {
 	case s.State.File != "" && stateName != strings.TrimSpace(stateName):
-		return &problem{"state.file", "a name that ends in a space"}
+		return &problem{"state.file", "the file name must not begin or end with white space"}
 	case record != "" && (record == s.State.File || record == pidFile):
-		return &problem{"record.refusals", "the same file as another setting's"}
+		reason := "must not be the same file as state.file or handover.pid_file"
+		return &problem{"record.refusals", reason}
 	case s.State.MaxAge < s.State.SaveInterval:
-		reason := "less than state.every: no state would ever be used"
+		reason := "must be at least state.every: otherwise no stored state is used"
 		return &problem{"state.oldest", reason}
 	case pidFile != "" && !s.HotRestart.Enabled:
-		return &problem{"handover.pid_file", "set though handover.on is false"}
+		return &problem{"handover.pid_file", "must be empty unless handover.on is true"}
 	case pidFile != "" && pidFile == s.State.File:
-		return &problem{"handover.pid_file", "the same file as state.file"}
+		return &problem{"handover.pid_file", "must not be the same file as state.file"}
 	}
 	return nil
 }
@@ -194,7 +198,8 @@
 // maxVoters is the largest number of voters.
 const maxVoters = 7
 
-// check checks the settings of a fleet. Most count only if it is enabled.
+// check checks the settings of the fleet. Except for the clock drift bound, they are checked only
+// if the fleet is enabled.
 func (f *Fleet) check() *problem {
 	if reason := fractionIn(f.ClockDriftBound); reason != "" {
 		return &problem{"fleet.margin", reason}
@@ -204,22 +209,22 @@
 	}
 	switch {
 	case f.Name == "":
-		return &problem{"fleet.name", "missing, though fleet.on is true"}
+		return &problem{"fleet.name", "must be set if fleet.on is true"}
 	case f.Dir == "":
-		return &problem{"fleet.folder", "missing, though fleet.on is true"}
+		return &problem{"fleet.folder", "must be set if fleet.on is true"}
 	case len(f.Voters) == 0:
-		return &problem{"fleet.voters", "none, though fleet.on is true"}
+		return &problem{"fleet.voters", "must not be empty if fleet.on is true"}
 	case len(f.Voters)%2 == 0 || len(f.Voters) > maxVoters:
-		reason := fmt.Sprintf("%d: 1, 3, 5 or 7 wanted", len(f.Voters))
+		reason := fmt.Sprintf("%d: must be 1, 3, 5 or 7 voters", len(f.Voters))
 		return &problem{"fleet.voters", reason}
 	}
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
-		return &problem{"fleet.listen", fmt.Sprintf("%q: HOST:PORT wanted", f.Listen)}
+		return &problem{"fleet.listen", fmt.Sprintf("%q: must be HOST:PORT", f.Listen)}
 	}
 	return f.checkVoters()
 }
 
-// checkVoters checks the name and address of each voter.
+// checkVoters checks the name and the address of each voter.
 func (f *Fleet) checkVoters() *problem {
 	seen := map[string]bool{}
 	for _, v := range f.Voters {
@@ -227,11 +232,11 @@
 		reason := ""
 		switch {
 		case v.Name == "" || strings.ContainsAny(v.Name, " \t\n"):
-			reason = fmt.Sprintf("name %q: a gateway's name wanted", v.Name)
+			reason = fmt.Sprintf("name %q: must not be empty or contain white space", v.Name)
 		case seen[v.Name]:
-			reason = fmt.Sprintf("%s twice", v.Name)
+			reason = fmt.Sprintf("%s: listed twice", v.Name)
 		case err != nil:
-			reason = fmt.Sprintf("%s: address %q: HOST:PORT wanted", v.Name, v.Address)
+			reason = fmt.Sprintf("%s: address %q: must be HOST:PORT", v.Name, v.Address)
 		}
 		if reason != "" {
 			return &problem{"fleet.voters", reason}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s, Defaults()) {
-		t.Errorf("shipped %+v, defaults %+v", s, Defaults())
+		t.Errorf("the shipped file sets %+v, want the defaults %+v", s, Defaults())
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 		t.Errorf("%+v", s)
 	}
 	if s, err := Parse(nil); err != nil || !reflect.DeepEqual(s, Defaults()) {
-		t.Errorf("an empty file: %+v, %v", s, err)
+		t.Errorf("empty file: got %+v, %v, want the defaults", s, err)
 	}
 }
 
@@ -65,25 +65,25 @@
 		{"[stat]\n", "1: stat: no such setting"},
 		{"state.every = 1\n", "1: state.every:"},
 		{"[state]\nevery = \"soon\"\n", "2: state.every:"},
-		{"[state]\nfile = \"x\"\nevery = \"1ms\"\n", "3: state.every: 1ms: from 50ms"},
-		{"[state]\nevery = \"30s\"\noldest = \"2s\"\n", "3: state.oldest: less than"},
+		{"[state]\nfile = \"x\"\nevery = \"1ms\"\n", "3: state.every: 1ms: must be between 50ms"},
+		{"[state]\nevery = \"30s\"\noldest = \"2s\"\n", "3: state.oldest: must be at least state.every"},
 		{"[handover]\non = \"yes\"\n", "2: handover.on:"},
-		{"[handover]\npid_file = \"p\"\n", "2: handover.pid_file: set though"},
+		{"[handover]\npid_file = \"p\"\n", "2: handover.pid_file: must be empty unless"},
 		{"[handover]\nready_within = \"0s\"\n", "2: handover.ready_within: 0s"},
-		{"[auth]\nurl = \"http://127.0.0.1:1/\"\n", "1: auth.classes: none"},
-		{"[auth]\nmost_calls = 0\n", "2: auth.most_calls: 0: from 1"},
-		{"[auth]\nsecret_file = \"x\"\n", "2: auth.secret_file: goes with"},
-		{"[register]\nsource = \"etcd\"\n", "2: register.source: \"etcd\": one of"},
-		{"[register]\nsource = \"consul\"\n", "1: register.service: missing"},
+		{"[auth]\nurl = \"http://127.0.0.1:1/\"\n", "1: auth.classes: must not be empty"},
+		{"[auth]\nmost_calls = 0\n", "2: auth.most_calls: 0: must be between 1"},
+		{"[auth]\nsecret_file = \"x\"\n", "2: auth.secret_file: must be set together with"},
+		{"[register]\nsource = \"etcd\"\n", "2: register.source: \"etcd\": must be one of"},
+		{"[register]\nsource = \"consul\"\n", "1: register.service: must be set"},
 		{"[register]\nmode = \"fast\"\n", "2: register.mode: \"fast\""},
 		{"[register]\nwait = \"1ms\"\n", "2: register.wait: 1ms"},
-		{"[fleet]\non = true\n", "1: fleet.name: missing"},
-		{fleetHead + "voters = []\n", "5: fleet.voters: none"},
+		{"[fleet]\non = true\n", "1: fleet.name: must be set"},
+		{fleetHead + "voters = []\n", "5: fleet.voters: must not be empty"},
 		{
 			fleetHead +
 				"voters = [{ name = \"a\", address = \"h:1\" }, " +
 				"{ name = \"b\", address = \"h:2\" }]\n",
-			"5: fleet.voters: 2: 1, 3, 5 or 7",
+			"5: fleet.voters: 2: must be 1, 3, 5 or 7",
 		},
 		{
 			fleetHead + "voters = [{ name = \"a\", address = \"h\" }]\n",
@@ -95,9 +95,9 @@
 		},
 		{
 			fleetHead + "voters = [{ name = \"a\", address = \"h:1\" }]\nwatch = true\n",
-			"6: fleet.watch: set though",
+			"6: fleet.watch: must be false unless",
 		},
-		{"[fleet]\nspan = \"1ms\"\n", "2: fleet.span: 1ms: from"},
+		{"[fleet]\nspan = \"1ms\"\n", "2: fleet.span: 1ms: must be between"},
 		{"[fleet]\nmargin = -0.1\n", "2: fleet.margin: -0.1"},
 		{"[fleet]\nmargin = nan\n", "2: fleet.margin: NaN"},
 		{"[state\n", "1:"},
@@ -111,7 +111,7 @@
 		}
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("no error for a file that is not there")
+		t.Error("no error for a missing file")
 	}
 }
 
@@ -121,7 +121,7 @@
 	if got := a.RestartRequired(&b); len(got) > 0 {
 		t.Errorf("%v", got)
 	}
-	b.Registry.Agents = []string{"127.0.0.1:1"} // can be moved to
+	b.Registry.Agents = []string{"127.0.0.1:1"} // applies without a restart
 	if got := a.RestartRequired(&b); len(got) > 0 {
 		t.Errorf("%v", got)
 	}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults returns the settings that apply without a file.
+// Defaults returns the settings that apply if there is no file.
 func Defaults() Settings {
 	return Settings{
 		State:      State{SaveInterval: Duration(time.Second), MaxAge: Duration(time.Minute)},
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,14 +10,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// SettingError is returned for a file that can't be used because of one setting.
+// SettingError reports the first error found in a file.
 type SettingError struct {
 	Line   int    // counts from 1; 0 if it is unknown
 	Key    string // with its table, such as state.every; empty if it is unknown
 	Reason string
 }
 
-// Error returns line, key and reason on one line.
+// Error returns the line number, the key and the reason on one line.
 func (e *SettingError) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%d: %s", e.Line, e.Reason)
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("%d: %s: %s", e.Line, e.Key, e.Reason)
 }
 
-// Load reads a file. An error is one line that names the file and wraps a SettingError unless the
-// file can't be read.
+// Load reads and checks the file at path. Its error is one line that names the file; it wraps a
+// SettingError unless the file can't be read.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return s, nil
 }
 
-// Parse reads the text of a file. Its error is a SettingError.
+// Parse reads and checks the text of a file. Its error is a SettingError.
 func Parse(raw []byte) (Settings, error) {
 	s := Defaults()
 	err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(&s)
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// decodeError converts an error of the TOML decoder.
+// decodeError converts an error of the TOML decoder to a SettingError.
 func decodeError(err error) *SettingError {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -72,10 +72,10 @@
 
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-// lineOfKey returns the line of a key, or 1 if it is not in the text.
+// lineOfKey returns the number of the line that sets a key, or 1 if no line does.
 func lineOfKey(raw []byte, key string) int {
 	table, name, _ := strings.Cut(key, ".")
-	current := "" // table
+	current := "" // the table of the line
 	for i, line := range strings.Split(string(raw), "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
