--- a/internal/plans/change.go
+++ b/internal/plans/change.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Changes are the differences between two catalogs without times. They name each plan and customer
-// at most once.
+// Changes are the differences between two catalogs without times. Each plan and customer occurs at
+// most once.
 type Changes struct {
 	// Plans are the plans to set. Their times are ignored.
 	Plans        []Version
@@ -27,10 +27,11 @@
 		len(changes.RemovedCustomers) == 0
 }
 
-// Change returns a catalog with changes applied. b is not modified. Both must have one entry
-// without a time for each plan and customer, as those that Parse returns. It copies the index of
-// customers and reads only what changes. It returns ErrTimedCatalog, or an error that names the
-// invalid entry: terms out of range, or a customer whose plan does not exist.
+// Change returns a copy of c with changes applied; c is not modified. c must have exactly one
+// entry, without a time, for each plan and customer, as a catalog that Parse returns has. Change
+// copies the index of customers and checks only the changed entries. It returns ErrTimedCatalog, or
+// an error that names the invalid entry: terms out of range, or a customer whose plan does not
+// exist.
 func (c *Catalog) Change(changes *Changes) (*Catalog, error) {
 	if len(c.from) != len(c.customers) {
 		return nil, ErrTimedCatalog
@@ -46,10 +47,11 @@
 	return next, nil
 }
 
-// removedPlan is the new number of a plan that was removed.
+// removedPlan is the new number of a removed plan.
 const removedPlan = -2
 
-// changePlans sets the plans, sorted by name, and returns the new number of each old plan.
+// changePlans sets the plans of c, sorted by name, and returns the new number of each plan of
+// before.
 func (c *Catalog) changePlans(before *Catalog, changes *Changes) (renumbered []int32, err error) {
 	terms := make(map[string]Version, len(before.names)+len(changes.Plans))
 	for i, name := range before.names {
@@ -79,8 +81,8 @@
 	return renumbered, nil
 }
 
-// planNumber returns the number of a plan by its name, removedPlan if there is none. The names must
-// be sorted.
+// planNumber returns the number of the plan with a name, or removedPlan if there is none. c.names
+// must be sorted.
 func (c *Catalog) planNumber(name string) int32 {
 	if i, found := slices.BinarySearchFunc(c.names, name, compareNames); found {
 		return int32(i)
@@ -88,7 +90,7 @@
 	return removedPlan
 }
 
-// changeCustomers sets the customers after the plans were set.
+// changeCustomers sets the customers of c. It must be called after changePlans.
 func (c *Catalog) changeCustomers(before *Catalog, changes *Changes, renumbered []int32) error {
 	assigned := slices.Clone(changes.Assignments)
 	slices.SortFunc(assigned, func(a, b Assignment) int {
@@ -106,7 +108,7 @@
 			assigned = assigned[1:]
 		}
 		if len(assigned) > 0 && assigned[0].Customer == customer {
-			continue // it comes next, with its new plan
+			continue // a later iteration or the loop below adds it with its new plan
 		}
 		if _, isRemoved := slices.BinarySearch(removed, customer); isRemoved {
 			continue
@@ -116,7 +118,7 @@
 			plan = renumbered[plan]
 		}
 		if plan == removedPlan {
-			return fmt.Errorf("customer %s: its plan is removed", CustomerID(customer))
+			return fmt.Errorf("customer %s: its plan has been removed", CustomerID(customer))
 		}
 		c.customers = append(c.customers, customer)
 		c.plan = append(c.plan, plan)
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// assign appends a customer, whose number must be greater than all before it.
+// assign appends a customer, whose number must be greater than those of all customers before it.
 func (c *Catalog) assign(a *Assignment) error {
 	plan := c.planNumber(a.Plan)
 	if plan == removedPlan {
@@ -141,8 +143,8 @@
 	return nil
 }
 
-// index gives each customer its one entry. The old index is reused if the number of customers is
-// the same.
+// index sets the index with one entry for each customer. It keeps the old index if the number of
+// customers is the same.
 func (c *Catalog) index() {
 	if len(c.assignments) == len(c.customers)+1 {
 		return
@@ -156,8 +158,8 @@
 
 func compareNames(a, b string) int { return cmp.Compare(a, b) }
 
-// Customers calls each with every customer and the plan of its first entry, sorted by id, until it
-// returns false.
+// Customers calls each for every customer that has a plan in its first entry, in the order of ids,
+// with that plan, until each returns false.
 func (c *Catalog) Customers(each func(customer uint64, plan string) bool) {
 	for i, customer := range c.customers {
 		if plan := c.plan[c.assignments[i]]; plan >= 0 && !each(customer, c.names[plan]) {
--- a/internal/plans/change_test.go
+++ b/internal/plans/change_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// drawnCatalog draws a catalog that a file could hold.
-func drawnCatalog(t *testing.T, r *rand.Rand) *Catalog {
+// randomCatalog returns a random catalog without times, which a file can represent.
+func randomCatalog(t *testing.T, r *rand.Rand) *Catalog {
 	t.Helper()
 	var versions []Version
 	for i := range 1 + r.IntN(5) {
 		versions = append(versions,
-			Version{Plan: fmt.Sprintf("plan %d\"\\\x01", i), Terms: drawnTerms(r)})
+			Version{Plan: fmt.Sprintf("plan %d\"\\\x01", i), Terms: randomTerms(r)})
 	}
 	var assignments []Assignment
 	for i := range r.IntN(40) {
@@ -31,7 +31,7 @@
 	return catalog
 }
 
-func drawnTerms(r *rand.Rand) Terms {
+func randomTerms(r *rand.Rand) Terms {
 	terms := Terms{Rate: r.Float64() * 1e9, Burst: 1 + float64(r.IntN(100))}
 	if r.IntN(2) == 0 {
 		terms.CeilingRate, terms.CeilingBurst = r.Float64(), math.Inf(1)
@@ -39,7 +39,7 @@
 	return terms
 }
 
-// difference computes the changes between two catalogs from their maps alone.
+// difference computes the changes between two catalogs from their exported methods alone.
 func difference(from, to *Catalog) *Changes {
 	c := &Changes{}
 	for _, name := range to.PlanNames() {
@@ -69,25 +69,26 @@
 	return c
 }
 
-// TestChangesLeadToTheOtherCatalog checks that changes lead from any catalog to any other, that the
-// first is not modified, and that a rendered catalog is parsed as the same catalog.
+// TestChangesLeadToTheOtherCatalog checks that applying the difference between two catalogs to the
+// first gives the second, that the first is not modified, and that parsing a rendered catalog gives
+// the same catalog.
 func TestChangesLeadToTheOtherCatalog(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	for range 300 {
-		from, to := drawnCatalog(t, r), drawnCatalog(t, r)
+		from, to := randomCatalog(t, r), randomCatalog(t, r)
 		before, want := Render(from), Render(to)
 		got, err := from.Change(difference(from, to))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(Render(got), want) || !bytes.Equal(Render(from), before) {
-			t.Fatalf("from\n%s\nto\n%s\nit came to\n%s", before, want, Render(got))
+			t.Fatalf("from\n%s\nto\n%s\ngot\n%s", before, want, Render(got))
 		}
 		to.Customers(func(id uint64, plan string) bool {
 			a, _ := to.At(id, 0)
 			b, ok := got.At(id, 0)
 			if !ok || b.Plan != plan || a.Terms != b.Terms {
-				t.Errorf("customer %x has %+v, %+v wanted", id, b, a)
+				t.Errorf("customer %x: got %+v, want %+v", id, b, a)
 			}
 			return true
 		})
@@ -96,24 +97,24 @@
 			t.Fatalf("%v\n%s", err, want)
 		}
 		if !bytes.Equal(Render(read), want) {
-			t.Fatalf("%s\nis read as\n%s", want, Render(read))
+			t.Fatalf("%s\nis parsed as\n%s", want, Render(read))
 		}
 	}
 }
 
-// TestInvalidChanges checks that the error for invalid changes names what is wrong.
+// TestInvalidChanges checks that the error for invalid changes names the fault.
 func TestInvalidChanges(t *testing.T) {
 	b, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for want, c := range map[string]*Changes{
-		"its plan is removed": {RemovedPlans: []string{"corporativo"}},
-		"no plan \"outro\"":   {Assignments: []Assignment{{Customer: 1, Plan: "outro"}}},
-		"below 0":             {Plans: []Version{{Plan: "basico", Terms: Terms{Rate: -1}}}},
+		"its plan has been removed": {RemovedPlans: []string{"corporativo"}},
+		"no plan \"outro\"":         {Assignments: []Assignment{{Customer: 1, Plan: "outro"}}},
+		"at least 0":                {Plans: []Version{{Plan: "basico", Terms: Terms{Rate: -1}}}},
 	} {
 		if _, err := b.Change(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, %q wanted", err, want)
+			t.Errorf("got error %v, want %q", err, want)
 		}
 	}
 }
--- a/internal/plans/file.go
+++ b/internal/plans/file.go
@@ -23,7 +23,7 @@
 	} `toml:"customer"`
 }
 
-// Parse reads the terms of all plans, and which customers have which plan, from TOML. It rejects
+// Parse reads the plans with their terms, and the plan of each customer, from TOML. It rejects
 // unknown keys. Its error names the line or the entry.
 func Parse(raw []byte) (*Catalog, error) {
 	var f file
@@ -42,7 +42,7 @@
 		return nil, fmt.Errorf("plans: %w", err)
 	}
 	if len(f.Plan) == 0 {
-		return nil, errors.New("plans: no plan")
+		return nil, errors.New("plans: the file has no plan")
 	}
 	var versions []Version
 	for _, p := range f.Plan {
@@ -77,7 +77,7 @@
 // PlanNames returns the names of all plans.
 func (c *Catalog) PlanNames() []string { return c.names }
 
-// Plan returns the version of a plan at a time.
+// Plan returns the version of a plan that applies at time t. ok is false if there is none.
 func (c *Catalog) Plan(name string, t Time) (v Version, ok bool) {
 	for i, n := range c.names {
 		if n != name {
--- a/internal/plans/file_test.go
+++ b/internal/plans/file_test.go
@@ -33,15 +33,15 @@
 		t.Errorf("%+v %v", v, ok)
 	}
 	if _, ok := b.Plan("outro", 0); ok {
-		t.Error("a plan that is not there")
+		t.Error("found a plan that does not exist")
 	}
 }
 
 func TestParseErrorsNameThePlace(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key": {good + "colour = \"red\"\n", "colour"},
-		"no TOML":     {"[[plan]\n", "line 1"},
-		"no plan":     {"", "no plan"},
+		"not TOML":    {"[[plan]\n", "line 1"},
+		"no plan":     {"", "the file has no plan"},
 		"twice":       {"[[plan]]\nname=\"a\"\n[[plan]]\nname=\"a\"\n", "twice"},
 		"short id":    {strings.Replace(good, "00000000736c7170", "736c7170", 1), "customer 1"},
 		"no such plan": {
@@ -49,13 +49,13 @@
 		},
 		"below 0":        {strings.Replace(good, "rate = 1.5", "rate = -1.5", 1), "basico"},
 		"half a ceiling": {strings.Replace(good, "ceiling_burst = 60", "", 1), "corporativo"},
-		"no number":      {strings.Replace(good, "rate = 1.5", "rate = nan", 1), "basico"},
-		"given two plans": {
-			good + "[[customer]]\nid = \"00000000736c7170\"\nplan = \"basico\"\n", "two plans",
+		"not a number":   {strings.Replace(good, "rate = 1.5", "rate = nan", 1), "basico"},
+		"assigned two plans": {
+			good + "[[customer]]\nid = \"00000000736c7170\"\nplan = \"basico\"\n", "assigned two plans",
 		},
 	} {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, %q wanted", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q", name, err, c.want)
 		}
 	}
 }
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -1,8 +1,9 @@
-// Package plans decides which terms apply to a customer at a time, and what happens to its token
-// buckets when the terms change. It does no I/O, and times are arguments.
+// Package plans determines which terms apply to a customer at a given time, and the levels of its
+// token buckets after the terms change. It does no I/O, and times are arguments.
 //
-// A Catalog holds versions of plans, and which customer has which plan, each from some time on. It
-// is immutable once built, so any number of goroutines may read it. A change makes a new Catalog.
+// A Catalog holds the versions of plans and the assignments of plans to customers, each effective
+// from a given time. It is immutable, so any number of goroutines may read it. A change creates a
+// new Catalog.
 package plans
 
 import (
@@ -13,11 +14,11 @@
 	"sort"
 )
 
-// Time is microseconds since 1970, as in package policy.
+// Time is a time in microseconds since 1970, as in package policy.
 type Time = int64
 
-// Terms are what a plan grants each of its customers, over all gateways together. Units are those
-// of requests.
+// Terms are the limits that a plan grants to each of its customers, over all gateways together.
+// They are in the units in which requests are charged.
 type Terms struct {
 	// Rate is in units a second; 0 for no quota.
 	Rate float64
@@ -29,17 +30,17 @@
 	CeilingBurst float64
 }
 
-// Version is the terms of a plan from a time on.
+// Version is the terms of a plan, effective from a given time.
 type Version struct {
 	Plan string
 	From Time
 	Terms
 }
 
-// Assignment gives a customer a plan from a time on.
+// Assignment gives a customer a plan, effective from a given time.
 type Assignment struct {
 	Customer uint64
-	// Plan is empty if the customer is not served any more.
+	// Plan is empty if the customer is no longer served.
 	Plan string
 	From Time
 }
@@ -47,16 +48,16 @@
 // ActivePlan is the version of a plan that applies to a customer.
 type ActivePlan struct {
 	Plan string
-	// Version counts the versions of the plan from 1.
+	// Version is the number of the plan's version, counted from 1.
 	Version int
-	// Since is when the version began to apply to this customer.
+	// Since is the time from which the version applies to this customer.
 	Since Time
-	// Until is when the next version or assignment begins; Forever if none is known.
+	// Until is the time at which the next version or assignment begins; Forever if there is none.
 	Until Time
 	Terms
 }
 
-// Forever is later than any time that a catalog may name.
+// Forever is later than any valid time in a catalog.
 const Forever Time = 1 << 62
 
 // Catalog holds versions and assignments, indexed by customer and time.
@@ -67,8 +68,8 @@
 // plan.
 type Catalog struct {
 	customers []uint64
-	// assignments are the indexes of each customer's first assignment, with the end as the last
-	// element.
+	// assignments are the indexes into from and plan of each customer's first assignment. The last
+	// element is the total number of assignments.
 	assignments []uint32
 	from        []Time
 	// plan is the number of each assignment's plan, or noPlan.
@@ -79,7 +80,7 @@
 }
 
 // NewCatalog checks and indexes versions and assignments, which may be in any order. Its error
-// names the entry that is invalid.
+// names the invalid entry.
 func NewCatalog(versions []Version, assignments []Assignment) (*Catalog, error) {
 	c := &Catalog{}
 	numbers, err := c.addVersions(versions)
@@ -92,7 +93,7 @@
 	return c, nil
 }
 
-// addVersions sets the plans and returns their numbers by name.
+// addVersions adds the plans with their versions, and returns the plans' numbers by name.
 func (c *Catalog) addVersions(versions []Version) (numbers map[string]int32, err error) {
 	numbers = map[string]int32{}
 	for _, v := range versions {
@@ -108,19 +109,19 @@
 		}
 		c.versions[number] = append(c.versions[number], v)
 	}
-	for _, ofPlan := range c.versions {
-		slices.SortFunc(ofPlan, func(a, b Version) int { return cmp.Compare(a.From, b.From) })
-		for i := range ofPlan[1:] {
-			if ofPlan[i].From == ofPlan[i+1].From {
-				return nil, fmt.Errorf("plan %q from %d: announced twice",
-					ofPlan[i].Plan, ofPlan[i].From)
+	for _, planVersions := range c.versions {
+		slices.SortFunc(planVersions, func(a, b Version) int { return cmp.Compare(a.From, b.From) })
+		for i := range planVersions[1:] {
+			if planVersions[i].From == planVersions[i+1].From {
+				return nil, fmt.Errorf("plan %q from %d: defined twice",
+					planVersions[i].Plan, planVersions[i].From)
 			}
 		}
 	}
 	return numbers, nil
 }
 
-// addAssignments sets the customers. numbers are those of the plans by name.
+// addAssignments adds the customers with their assignments. numbers are the plans' numbers by name.
 func (c *Catalog) addAssignments(assignments []Assignment, numbers map[string]int32) error {
 	all := slices.Clone(assignments)
 	slices.SortFunc(all, func(a, b Assignment) int {
@@ -138,9 +139,9 @@
 			return fmt.Errorf("customer %x from %d: there is no plan %q",
 				a.Customer, a.From, a.Plan)
 		case a.From < 0 || a.From >= Forever:
-			return fmt.Errorf("customer %x: no time: %d", a.Customer, a.From)
+			return fmt.Errorf("customer %x: time %d is out of range", a.Customer, a.From)
 		case !first && all[i-1].From == a.From:
-			return fmt.Errorf("customer %x from %d: given two plans", a.Customer, a.From)
+			return fmt.Errorf("customer %x from %d: assigned two plans", a.Customer, a.From)
 		}
 		if first {
 			c.customers = append(c.customers, a.Customer)
@@ -159,21 +160,21 @@
 func (v *Version) check() error {
 	switch {
 	case v.Plan == "":
-		return errors.New("it has no name")
+		return errors.New("the plan has no name")
 	case v.From < 0 || v.From >= Forever:
-		return errors.New("no time")
+		return errors.New("the time is out of range")
 	case !(v.Rate >= 0 && v.Burst >= 0 && v.CeilingRate >= 0 && v.CeilingBurst >= 0):
-		return errors.New("terms below 0, or no numbers")
+		return errors.New("rates and bursts must be numbers of at least 0")
 	case (v.CeilingRate == 0) != (v.CeilingBurst == 0):
-		return errors.New("a ceiling has a rate and a burst")
+		return errors.New("a ceiling must have both a rate and a burst")
 	case (v.Rate == 0) != (v.Burst == 0):
-		return errors.New("a quota has a rate and a burst")
+		return errors.New("a quota must have both a rate and a burst")
 	}
 	return nil
 }
 
-// At returns the plan that applies to a customer at a time. ok is false if it has no plan then, or
-// the plan has no version yet.
+// At returns the plan that applies to a customer at time t. ok is false if the customer has no plan
+// at that time, or if the plan has no version yet.
 func (c *Catalog) At(customer uint64, t Time) (active ActivePlan, ok bool) {
 	i, found := slices.BinarySearch(c.customers, customer)
 	if !found {
@@ -206,23 +207,24 @@
 	return active, true
 }
 
-// Carry returns the levels of a customer's two token buckets under new terms. What was spent stays
-// spent: a bucket that lacks some units of its old burst lacks as many of its new one. A downgrade
-// below what is used leaves the bucket negative, to fill at the new rate, and a later upgrade
-// restores the level. No sequence of changes grants a unit more than the terms in force did.
+// Carry returns the levels of a customer's two token buckets under new terms. Spent units stay
+// spent: a bucket that is some units below its old burst is as many units below its new one. A
+// downgrade to less than was spent leaves the bucket negative, and it then fills at the new rate; a
+// later upgrade restores the level. No sequence of changes grants more units than the terms in
+// force did.
 func Carry(from, to Terms, level, ceiling float64) (float64, float64) {
 	return carry(from.Burst, to.Burst, level), carry(from.CeilingBurst, to.CeilingBurst, ceiling)
 }
 
 func carry(from, to, level float64) float64 {
-	if from == 0 { // nothing was counted before
+	if from == 0 { // the old terms had no such bucket
 		return to
 	}
 	return to - (from - level)
 }
 
-// Tighter returns terms that satisfy both a and b. They apply while some gateways do not know the
-// newer terms yet.
+// Tighter returns terms that satisfy both a and b. They apply while some gateways have not received
+// the newer terms yet.
 func Tighter(a, b Terms) Terms {
 	return Terms{
 		Rate:         tighter(a.Rate, b.Rate),
--- a/internal/plans/render.go
+++ b/internal/plans/render.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// customerTextBytes is the approximate length of one customer's text.
+// customerTextBytes is the approximate length of a customer's entry in TOML.
 const customerTextBytes = 64
 
-// Render writes a catalog as TOML that Parse reads: plans by name, then customers by id, without
-// comments. Equal catalogs give equal bytes, and rendering the parsed result gives the same bytes
-// again. Of a plan or customer with several entries only the first is written, as a file has no
-// times.
+// Render returns a catalog as TOML that Parse reads: plans sorted by name, then customers sorted by
+// id, without comments. Equal catalogs give equal bytes, and rendering the parsed result gives the
+// same bytes again. If a plan or customer has several entries, only the first is written, because a
+// file has no times.
 func Render(c *Catalog) []byte {
 	text := make([]byte, 0, len(c.customers)*customerTextBytes+len(c.names)*2*customerTextBytes)
 	order := make([]int, len(c.names))
@@ -53,7 +53,7 @@
 	return append(text, '\n')
 }
 
-// CustomerID writes a customer's number as files have it: 16 hexadecimal digits.
+// CustomerID returns a customer's number in the form used in files: 16 hexadecimal digits.
 func CustomerID(customer uint64) string {
 	const digits = "0123456789abcdef"
 	var id [16]byte
@@ -63,11 +63,11 @@
 	return string(id[:])
 }
 
-// ParseCustomerID reads what CustomerID writes.
+// ParseCustomerID parses an id in the form that CustomerID returns.
 func ParseCustomerID(id string) (uint64, error) {
 	customer, err := strconv.ParseUint(id, 16, 64)
 	if err != nil || len(id) != 16 {
-		return 0, fmt.Errorf("id %.40q, 16 hexadecimal digits wanted", id)
+		return 0, fmt.Errorf("id %.40q must be 16 hexadecimal digits", id)
 	}
 	return customer, nil
 }
@@ -78,13 +78,13 @@
 	if math.IsInf(value, 1) {
 		text = append(text, "inf"...)
 	} else {
-		// + 0: a negative zero is written as zero
+		// + 0 turns a negative zero into zero
 		text = strconv.AppendFloat(text, value+0, 'g', -1, 64)
 	}
 	return append(text, '\n')
 }
 
-// appendString writes a TOML basic string.
+// appendString appends s as a TOML basic string.
 func appendString(text []byte, s string) []byte {
 	text = append(text, '"')
 	for _, r := range s {
