--- a/cmd/mothcleat/adminclient.go
+++ b/cmd/mothcleat/adminclient.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// adminTimeout bounds one call, from the dial to the last byte.
+// adminTimeout bounds dialing, and again the exchange of the request and the answer.
 const adminTimeout = 3 * time.Second
 
-// callAdmin makes one call to a gateway's admin interface and returns the answer. Without an
-// address it calls the gateway of this machine's configuration.
+// callAdmin sends one line to a gateway's admin interface and returns the answer. If address is
+// empty, it calls the gateway of this machine's configuration. An answer that begins with "fail "
+// is returned as an error.
 func callAdmin(address, line string) ([]byte, error) {
 	if address == "" {
 		cfg, err := configuration()
 		if err != nil {
-			return nil, fmt.Errorf("no --door, and %w", err)
+			return nil, fmt.Errorf("--door is not given, and %w", err)
 		}
 		if address = cfg.Management; address == "" {
-			return nil, errors.New("no --door, and the configuration has no management")
+			return nil, errors.New("--door is not given, and the configuration has no management")
 		}
 	}
 	conn, err := net.DialTimeout("tcp", address, adminTimeout)
@@ -40,8 +41,8 @@
 		return nil, err
 	}
 	text := strings.TrimSpace(string(raw))
-	if why, failed := strings.CutPrefix(text, "fail "); failed {
-		return nil, errors.New(why)
+	if reason, failed := strings.CutPrefix(text, "fail "); failed {
+		return nil, errors.New(reason)
 	}
 	return []byte(text), nil
 }
--- a/cmd/mothcleat/audit.go
+++ b/cmd/mothcleat/audit.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// gapThreshold is the length of silence in an audit log that counts as a gap.
+	// gapThreshold is the time without entries in an audit log that counts as a gap.
 	gapThreshold = 10 * time.Second
 	// clockTolerance is by how much the times of two gateways may differ: entries are written once
-	// a second, and clocks are not the same.
+	// a second, and clocks are not synchronized exactly.
 	clockTolerance = 2 * time.Second
 )
 
-// auditFilter says which part of the audit logs is reported. Empty names select all.
+// auditFilter selects the part of the audit logs that is reported. Empty names select all.
 type auditFilter struct {
 	item, gateway string
 	from, to      int64 // microseconds since 1970
 }
 
-// setTimes parses the bounds in RFC 3339; "" is no bound.
+// setTimes parses the bounds, which are RFC 3339 times. An empty string is no bound.
 func (f *auditFilter) setTimes(from, to string) (err error) {
 	if f.from, err = parseTime(from, 0); err != nil {
 		return err
@@ -48,8 +48,8 @@
 	return at.UnixMicro(), nil
 }
 
-// selects reports whether something that a gateway did from one time to another is to be reported.
-// A to of 0 means that it goes on.
+// selects reports whether a gateway's interval or gap is to be reported. from and to are its bounds
+// in microseconds since 1970; to is 0 if it has not ended.
 func (f *auditFilter) selects(gateway string, from, to int64) bool {
 	return (f.gateway == "" || f.gateway == gateway) && (to == 0 || to >= f.from) && from <= f.to
 }
@@ -63,19 +63,19 @@
 	Entries   int                  `json:"entries"`
 }
 
-// lateInterval is an interval of operations under a version that reaches beyond the end of that
+// lateInterval is an interval of operations under a version that extends beyond the end of that
 // version.
 type lateInterval struct {
 	auditlog.Interval
 	// EndedAt is when the version ended, by the clock of the process that proposed its end.
 	EndedAt int64 `json:"ended"`
-	// Bound is for how long after its end the version may still be acted on.
+	// Bound is how long after its end the version may still be applied.
 	Bound time.Duration `json:"bound"`
-	// After is for how long after its end it was acted on, by the gateway's clock.
+	// After is how long after its end it was applied, by the gateway's clock.
 	After time.Duration `json:"after"`
 }
 
-// newAuditReport verifies the entries against the committed chain heads and sums up what they tell.
+// newAuditReport verifies the entries against the committed chain heads and summarizes them.
 func newAuditReport(
 	committed configversion.View,
 	entries []auditlog.Entry,
@@ -94,21 +94,21 @@
 		}
 	}
 	for _, interval := range intervals {
-		isWantedItem := filter.item == "" || filter.item == interval.Item
-		if !isWantedItem || !filter.selects(interval.ID, interval.From, interval.To) {
+		itemSelected := filter.item == "" || filter.item == interval.Item
+		if !itemSelected || !filter.selects(interval.ID, interval.From, interval.To) {
 			continue
 		}
 		report.Intervals = append(report.Intervals, interval)
-		if late, isLate := lateOf(&interval, committed.Versions); isLate {
+		if late, isLate := findLate(&interval, committed.Versions); isLate {
 			report.Late = append(report.Late, late)
 		}
 	}
 	return report
 }
 
-// lateOf returns by how much an interval reaches beyond the end of its version, if it does and
-// anything was forwarded.
-func lateOf(
+// findLate returns an interval together with how far it extends beyond the end of its version.
+// isLate is false if it doesn't, or if nothing was forwarded in the interval.
+func findLate(
 	interval *auditlog.Interval,
 	versions []configversion.Version,
 ) (late lateInterval, isLate bool) {
@@ -131,7 +131,7 @@
 	}, true
 }
 
-// printTable prints the report for people.
+// printTable prints the report as a table, followed by the late intervals, gaps and violations.
 func (r *auditReport) printTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(
@@ -151,7 +151,7 @@
 		}
 		fmt.Fprintf(
 			w,
-			"\n%s acted on %s %d for up to %v after its end was said at %s; "+
+			"\n%s acted on %s %d for up to %v after its end was proposed at %s; "+
 				"the bound was %v: %s (entries %d to %d)",
 			l.ID,
 			l.Item,
--- a/cmd/mothcleat/auditcommand.go
+++ b/cmd/mothcleat/auditcommand.go
@@ -19,25 +19,26 @@
 
 // auditOptions are the flags and arguments of the audit command.
 type auditOptions struct {
-	dirs           []string // fleet folders of gateways that do not run
-	adminAddresses []string // of gateways that run
-	committedFile  string   // what versions --json wrote; "": the gateway at --door is asked
+	dirs           []string // fleet folders of gateways that are not running
+	adminAddresses []string // of running gateways
+	committedFile  string   // output of versions --json; empty: query the gateway at --door
 	filter         auditFilter
 	verifyOnly     bool
 }
 
-// auditCommand returns the command that tells from audit logs who acted on what.
+// auditCommand returns the command that reports from audit logs which gateway acted on which
+// version.
 func (cli *fleetCLI) auditCommand() *cobra.Command {
 	var options auditOptions
 	var from, to string
 	command := &cobra.Command{
 		Use: "audit [FOLDER...]",
-		Short: "who acted on which version from when to when, from records: " +
-			"of gateways that run, by their doors, or of folders",
-		Long: "audit joins the records of several gateways: those at the doors, which run, " +
-			"and those whose fleet folders are given, which don't.\n" +
-			"What is agreed (versions, and where each record stood) comes from the gateway " +
-			"at --door, or from a file that versions --json wrote.",
+		Short: "report which gateway acted on which version and when, " +
+			"from the records of running gateways or of folders",
+		Long: "audit joins the records of several gateways: of running gateways by --doors, " +
+			"and of stopped gateways by their fleet folders.\n" +
+			"The agreed state (versions, and the head of each record) comes from the gateway " +
+			"at --door, or from a file with the output of versions --json.",
 		RunE: func(_ *cobra.Command, dirs []string) error {
 			options.dirs = dirs
 			if err := options.filter.setTimes(from, to); err != nil {
@@ -47,18 +48,19 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringSliceVar(&options.adminAddresses, "doors", nil, "doors of gateways that run")
+	flags.StringSliceVar(&options.adminAddresses, "doors", nil,
+		"HOST:PORT of the doors of running gateways")
 	flags.StringVar(&options.committedFile, "agreed", "",
-		"a file that versions --json wrote, in place of a gateway's door")
-	flags.StringVar(&options.filter.item, "item", "", "only this item")
-	flags.StringVar(&options.filter.gateway, "gateway", "", "only this gateway")
-	flags.StringVar(&from, "from", "", "only what reaches beyond this time (RFC 3339)")
-	flags.StringVar(&to, "to", "", "only what began before this time")
-	flags.BoolVar(&options.verifyOnly, "verify", false, "only tell whether the records hold")
+		"file with the output of versions --json, instead of --door")
+	flags.StringVar(&options.filter.item, "item", "", "report only this item")
+	flags.StringVar(&options.filter.gateway, "gateway", "", "report only this gateway")
+	flags.StringVar(&from, "from", "", "report only what ends at or after this time (RFC 3339)")
+	flags.StringVar(&to, "to", "", "report only what begins at or before this time (RFC 3339)")
+	flags.BoolVar(&options.verifyOnly, "verify", false, "only verify the records")
 	return command
 }
 
-// audit joins the audit logs that the options name, and prints the report. It returns an error if a
+// audit joins the audit logs that the options name and prints the report. It returns an error if a
 // log fails verification.
 func (cli *fleetCLI) audit(options *auditOptions) error {
 	committed, err := cli.loadCommittedVersions(options.committedFile)
@@ -70,14 +72,14 @@
 		return err
 	}
 	if len(options.dirs)+len(options.adminAddresses) == 0 {
-		return usageError{errors.New("folders, or --doors, are wanted")}
+		return usageError{errors.New("at least one folder or --doors is required")}
 	}
 	report := newAuditReport(committed, entries, &options.filter)
 	if err := cli.printReport(report, options.verifyOnly); err != nil {
 		return err
 	}
 	if len(report.Damage) > 0 {
-		return fmt.Errorf("%d places do not hold", len(report.Damage))
+		return fmt.Errorf("the records failed verification in %d places", len(report.Damage))
 	}
 	return nil
 }
@@ -135,7 +137,7 @@
 	return report.printTable(cli.out)
 }
 
-// printVerification prints what does not hold, and how many entries do.
+// printVerification prints the violations and the number of valid entries.
 func (r *auditReport) printVerification(out io.Writer) error {
 	for _, violation := range r.Damage {
 		fmt.Fprintf(out, "does not hold: %s\n", violation)
--- a/cmd/mothcleat/auth.go
+++ b/cmd/mothcleat/auth.go
@@ -11,8 +11,8 @@
 	"mothcleat/internal/dataplane/gateway"
 )
 
-// authSettings turns the operators' settings into whom to ask and by which rules: names become
-// numbers of the configuration's classes and plans.
+// authSettings converts the operators' settings to those of the authorization client and its rules.
+// Names of classes and plans become lists of booleans, indexed as in the configuration.
 func authSettings(settings *config.Auth, cfg *gateway.Config) (gateway.Auth, error) {
 	if settings.URL == "" {
 		return gateway.Auth{}, nil
@@ -34,7 +34,7 @@
 		},
 		Rules: rules,
 	}
-	// Tried here, so that a bad file is found before anything is changed.
+	// The client is created once here, so that a bad file is found before anything is changed.
 	client, err := forwardauth.NewClient(auth.Settings)
 	if err != nil {
 		return gateway.Auth{}, fmt.Errorf("operators: %w", err)
@@ -79,9 +79,9 @@
 	return rules, err
 }
 
-// selectNames returns for each name of the configuration whether the setting selects it. An empty
-// setting selects all names if emptyMeansAll, else none. A name that the configuration lacks is an
-// error.
+// selectNames returns, for each name of the configuration, whether the setting selects it. An empty
+// setting selects all names if emptyMeansAll is true, and none otherwise. A name that the
+// configuration does not have is an error.
 func selectNames(key string, selected, all []string, emptyMeansAll bool) ([]bool, error) {
 	for _, name := range selected {
 		if !slices.Contains(all, name) {
--- a/cmd/mothcleat/check.go
+++ b/cmd/mothcleat/check.go
@@ -17,14 +17,15 @@
 	"mothcleat/internal/storage/store"
 )
 
-// registerTimeout is how long a register may take to answer the check.
+// registerTimeout is how long the check waits for the register's answer.
 const registerTimeout = 10 * time.Second
 
 var errNothingToCheck = errors.New(
 	"check: neither " + configFileVariable + " nor --operators names a file",
 )
 
-// check reads the files and tries what they name, without serving.
+// check reads both files and checks the stores and the register that they refer to, without
+// serving.
 func check(operatorsFile string, out io.Writer) error {
 	configFile := os.Getenv(configFileVariable)
 	if operatorsFile == "" && configFile == "" {
@@ -46,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if len(cfg.Host.Classes) > 0 { // names can be checked against a configuration only
+	if len(cfg.Host.Classes) > 0 { // names can be checked only against a configuration
 		if _, err := authSettings(&settings.Auth, &cfg); err != nil {
 			return err
 		}
@@ -61,7 +62,7 @@
 	return checkSnapshot(settings.State.File, out)
 }
 
-// checkRegister asks Consul once, if it is the register.
+// checkRegister queries Consul once, if it is a source of the list of servers.
 func checkRegister(registry *config.Registry, out io.Writer) error {
 	if registry.Source == sourcePlatform {
 		return nil
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// checkSnapshot reads the stored snapshot of the decisions. One that can't be used is no error: the
-// gateway would start without it.
+// checkSnapshot reads the stored snapshot of the gateway's decisions. An unusable snapshot is not
+// an error, because the gateway would start without it.
 func checkSnapshot(path string, out io.Writer) error {
 	if path == "" {
 		return nil
--- a/cmd/mothcleat/configuration.go
+++ b/cmd/mothcleat/configuration.go
@@ -28,7 +28,8 @@
 	return gateway.ParseConfig(raw)
 }
 
-// loadOperatorsFile reads the operators' file. Without one, all that it could switch on is off.
+// loadOperatorsFile reads the operators' file. If path is empty, it returns the defaults, with
+// which all optional parts are off.
 func loadOperatorsFile(path string) (config.Settings, error) {
 	if path == "" {
 		return config.Defaults(), nil
@@ -36,8 +37,8 @@
 	return config.Load(path)
 }
 
-// readConfiguration reads both files as they are now. Settings that need a new process keep their
-// values.
+// readConfiguration reads the current content of both files. Settings that need a new process keep
+// their values.
 func (p *program) readConfiguration() (gateway.Config, error) {
 	cfg, err := configuration()
 	if err != nil {
@@ -48,11 +49,11 @@
 		return cfg, err
 	}
 	if fixed := p.settings.RestartRequired(&now); len(fixed) > 0 {
-		p.log.Warn("reload: what needs a new process stays as it was", "settings", fixed)
+		p.log.Warn("reload: settings that need a new process keep their values", "settings", fixed)
 	}
 	cfg.Restart.SnapshotInterval = time.Duration(now.State.SaveInterval)
 	if now.Registry.Source != p.settings.Registry.Source {
-		now.Registry = p.settings.Registry // only a new process follows another kind of register
+		now.Registry = p.settings.Registry // a change of the source needs a new process
 	}
 	configureEndpointSource(&now.Registry, &cfg)
 	cfg.Auth, err = authSettings(&now.Auth, &cfg)
--- a/cmd/mothcleat/controlplane.go
+++ b/cmd/mothcleat/controlplane.go
@@ -26,15 +26,15 @@
 	"mothcleat/internal/storage/store"
 )
 
-// controlPlane is this process's part in the control plane.
+// controlPlane is this process's node of the control plane.
 type controlPlane interface {
 	gateway.Fleet
-	Stop()  // transfers leaderships and ends the holding of leases
-	Close() // ends the part; nothing may be counted after it
+	Stop()  // transfers leaderships and gives up leases
+	Close() // stops the node; no usage may be counted after it
 }
 
-// startControlPlane starts this process's part in the control plane and connects the gateway's
-// configuration to it. It returns nil if the settings leave it off.
+// startControlPlane starts this process's node of the control plane and connects the gateway's
+// configuration to it. It returns nil if the settings don't enable the fleet.
 func startControlPlane(
 	settings *config.Settings, cfg *gateway.Config, log *slog.Logger,
 ) (controlPlane, error) {
@@ -110,14 +110,15 @@
 		}
 	}
 	if newSource := cfg.NewEndpointSource; fleet.SharedWatch && newSource != nil {
-		// A copy of the configuration as it is now, since the gateway changes its own later.
+		// A copy, because the gateway changes its configuration later.
 		copied := *cfg
 		nodeConfig.NewSource = func() (registry.Source, error) { return newSource(&copied, log) }
 	}
 	return nodeConfig, nil
 }
 
-// configureAllocation has quotas allocated among the gateways, if the settings say so.
+// configureAllocation sets up the allocation of quotas among the gateways, if the settings enable
+// it.
 func configureAllocation(
 	budgets *config.Budgets,
 	nodeConfig *controlplane.Config,
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// configureVersions has configuration versions rolled out under version leases, if the settings say
-// so.
+// configureVersions sets up the rollout of configuration versions under version leases, if the
+// settings enable it.
 func configureVersions(
 	versions *config.Versions,
 	nodeConfig *controlplane.Config,
@@ -186,7 +187,7 @@
 	return all
 }
 
-// voterPlaces are where the voters run, by name.
+// voterPlaces returns the zones and regions of the voters, by name.
 func voterPlaces(f *config.Fleet) map[string]distribution.Place {
 	all := map[string]distribution.Place{}
 	for _, v := range f.Voters {
@@ -195,7 +196,7 @@
 	return all
 }
 
-// checkControlPlane tells what the fleet's folder is.
+// checkControlPlane prints the state of the fleet's folder.
 func checkControlPlane(f *config.Fleet, out io.Writer) error {
 	if !f.Enabled {
 		return nil
--- a/cmd/mothcleat/controlplane_off.go
+++ b/cmd/mothcleat/controlplane_off.go
@@ -13,14 +13,16 @@
 	"mothcleat/internal/dataplane/gateway"
 )
 
-// controlPlane is empty in a program that was built without the fleet's agreed state.
+// controlPlane has no implementation in a program that was built without the control plane.
 type controlPlane interface {
 	gateway.Fleet
 	Stop()
 	Close()
 }
 
-var errNoControlPlane = errors.New("fleet.on: this program was built without it (tag nofleet)")
+var errNoControlPlane = errors.New(
+	"fleet.on: this program was built without the control plane (tag nofleet)",
+)
 
 func startControlPlane(
 	s *config.Settings,
--- a/cmd/mothcleat/distributiontable.go
+++ b/cmd/mothcleat/distributiontable.go
@@ -11,8 +11,8 @@
 	"mothcleat/internal/controlplane/distributor"
 )
 
-// showDistribution shows how far the gateway's replica of the control state is, and how far those
-// are that it serves.
+// showDistribution prints the position of the gateway's replica of the control state, and the lag
+// of the replicas that it serves.
 func showDistribution(raw []byte, w io.Writer) error {
 	var d controlplane.DistributionStatus
 	if err := json.Unmarshal(raw, &d); err != nil {
--- a/cmd/mothcleat/endpointsource.go
+++ b/cmd/mothcleat/endpointsource.go
@@ -19,8 +19,8 @@
 	sourcePlatformThenConsul = "platform+consul"
 )
 
-// configureEndpointSource sets where the endpoint list comes from. With two registers the first one
-// counts where they differ, and the other is marked as such among the addresses.
+// configureEndpointSource sets the source of the endpoint list. If two registers differ, the first
+// one takes precedence; the address of the second one begins with "other=".
 func configureEndpointSource(settings *config.Registry, cfg *gateway.Config) {
 	if settings.Source == sourcePlatform {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// newConsulSource returns the source that the settings describe.
+// newConsulSource returns a Consul source with the operators' settings.
 func newConsulSource(settings *config.Registry, log *slog.Logger) (*consul.Source, error) {
 	mode := settings.Consistency
 	if mode == "default" {
--- a/cmd/mothcleat/fleetcommands.go
+++ b/cmd/mothcleat/fleetcommands.go
@@ -12,47 +12,47 @@
 	"github.com/spf13/cobra"
 )
 
-// fleetCLI is what the commands about the control plane share.
+// fleetCLI holds the options that the commands about the control plane share.
 type fleetCLI struct {
 	operatorsFile *string
 	out           io.Writer
-	adminAddress  string // "": that of this machine's configuration
-	json          bool   // print answers as they came
+	adminAddress  string // empty for that of this machine's configuration
+	json          bool   // print answers unchanged
 }
 
 // showFunc prints an answer as a table.
 type showFunc func(answer []byte, w io.Writer) error
 
-// fleetCommands returns the commands about the control plane. Most call the admin interface of a
-// gateway that runs; found and join work on the folder of one that does not.
+// fleetCommands returns the commands about the control plane. Most of them call the admin interface
+// of a running gateway; found and join create the folder of a gateway that is not running.
 func fleetCommands(operatorsFile *string, out io.Writer) *cobra.Command {
 	cli := &fleetCLI{operatorsFile: operatorsFile, out: out}
 	fleet := requireSubcommand(&cobra.Command{
 		Use:   "fleet",
-		Short: "what the gateways agree on, and who does work on behalf of them all",
+		Short: "inspect and administer the state that the gateways agree on",
 	})
 	flags := fleet.PersistentFlags()
 	flags.StringVar(&cli.adminAddress, "door", "",
-		"HOST:PORT of a gateway's door; where it is not given: management of RELAY_CONFIG")
-	flags.BoolVar(&cli.json, "json", false, "print the answer as it is")
+		"HOST:PORT of a gateway's admin interface (default: management in RELAY_CONFIG's file)")
+	flags.BoolVar(&cli.json, "json", false, "print the answer as JSON, unchanged")
 
 	fleet.AddCommand(cli.versionCommands()...)
 	fleet.AddCommand(
 		cli.budgetsCommand(),
 		cli.query("rights",
-			"what the gateway at the door may use of the quotas, and what it divides", 0, nil),
+			"show the allocations that the gateway at the door holds, and what it divides", 0, nil),
 		cli.query(
 			"distribution",
-			"how far the gateway at the door has the list of servers, and those that it serves",
+			"show how current the list of servers is at the door and at the replicas it serves",
 			0,
 			showDistribution,
 		),
-		cli.query("here", "what the gateway at the door knows of itself", 0, nil),
-		cli.query("status", "voters, and processes with a session", 0, showStatus),
-		cli.query("owners", "the duties and who holds them", 0, showRoles),
-		cli.query("history DUTY", "how a duty changed hands", 1, showHistory),
-		cli.query("transfer DUTY ID", "have a duty handed on to another gateway", 2, nil),
-		cli.query("snapshot", "have the voter at the door write its state down whole", 0, nil),
+		cli.query("here", "show the control state of the gateway at the door itself", 0, nil),
+		cli.query("status", "show the voters, and the processes with a session", 0, showStatus),
+		cli.query("owners", "show the duties and their owners", 0, showRoles),
+		cli.query("history DUTY", "show the previous and current owners of a duty", 1, showHistory),
+		cli.query("transfer DUTY ID", "transfer a duty to another gateway", 2, nil),
+		cli.query("snapshot", "make the voter at the door write a complete snapshot", 0, nil),
 		cli.exportsCommand(),
 		cli.votersCommand(),
 		cli.foundCommand(),
@@ -61,8 +61,8 @@
 	return fleet
 }
 
-// query returns a command that makes the call of the first word of use, with the command's
-// arguments, and prints the answer by show, or as it came if show is nil.
+// query returns a command that makes the admin call named by the first word of use, with the
+// command's arguments. It prints the answer with show, or unchanged if show is nil.
 func (cli *fleetCLI) query(use, short string, arguments int, show showFunc) *cobra.Command {
 	call, _, _ := strings.Cut(use, " ")
 	return &cobra.Command{
@@ -92,10 +92,10 @@
 
 func (cli *fleetCLI) budgetsCommand() *cobra.Command {
 	command := cli.query("budgets [CUSTOMER]",
-		"quotas as they are divided: all that are, or one customer's", 0, showBudgets)
+		"show the allocations of all quotas, or of one customer's quota", 0, showBudgets)
 	command.Args = func(_ *cobra.Command, args []string) error {
 		if len(args) > 1 {
-			return usageError{errors.New("one customer at most is wanted")}
+			return usageError{errors.New("at most one customer may be given")}
 		}
 		return nil
 	}
@@ -104,10 +104,11 @@
 
 func (cli *fleetCLI) exportsCommand() *cobra.Command {
 	command := cli.query("exports",
-		"the files of use that count, and how far each gateway's was collected", 0, showExports)
+		"show the exported usage files, and how far each gateway's usage was collected",
+		0, showExports)
 	var dir string
 	command.Flags().StringVar(&dir, "verify", "",
-		"hold the files of this folder against what was agreed")
+		"verify the files in this folder against the agreed state")
 	list := command.RunE
 	command.RunE = func(c *cobra.Command, args []string) error {
 		if dir == "" {
@@ -123,11 +124,11 @@
 }
 
 func (cli *fleetCLI) votersCommand() *cobra.Command {
-	command := requireSubcommand(&cobra.Command{Use: "voters", Short: "one voter more or less"})
+	command := requireSubcommand(&cobra.Command{Use: "voters", Short: "add or remove a voter"})
 	command.AddCommand(
 		cli.query("add",
-			"make the gateway at the door a voter; its folder was made with join", 0, nil),
-		cli.query("remove NAME", "have a voter vote no more", 1, nil),
+			"make the gateway at the door a voter; join must have created its folder", 0, nil),
+		cli.query("remove NAME", "remove a voter", 1, nil),
 	)
 	return command
 }
@@ -135,10 +136,10 @@
 func (cli *fleetCLI) foundCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "found NAME",
-		Short: "make the folder of a new fleet's voter, once for each",
+		Short: "create the folder of a voter of a new fleet, once for each voter",
 		Args:  exactArgs(1),
-		Long: "found makes this gateway's folder that of a voter of a fleet that begins. " +
-			"All voters that the\noperators' file names have to be given the same list. " +
+		Long: "found creates this gateway's folder as that of a voter of a new fleet. " +
+			"The operators' files of\nall voters must have the same list of voters. " +
 			"A voter whose folder was lost must not be founded again: see join.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return bootstrapReplica(*cli.operatorsFile, args[0], cli.out)
@@ -149,7 +150,7 @@
 func (cli *fleetCLI) joinCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "join NAME",
-		Short: "make the folder of a voter that is to be added to a fleet",
+		Short: "create the folder of a voter that is to be added to a fleet",
 		Args:  exactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return joinReplica(*cli.operatorsFile, args[0], cli.out)
--- a/cmd/mothcleat/fleetcommands_test.go
+++ b/cmd/mothcleat/fleetcommands_test.go
@@ -35,7 +35,7 @@
 			&errs,
 		); got != code ||
 			!strings.Contains(out.String()+errs.String(), want) {
-			t.Errorf("%v: exit %d, %q, %q", args, got, out.String(), errs.String())
+			t.Errorf("%v: exit code %d, stdout %q, stderr %q", args, got, out.String(), errs.String())
 		}
 	}
 	run(2, "usage", "fleet")
@@ -69,7 +69,7 @@
 	)
 	run(1, "RELAY_CONFIG is not set", "fleet", "status")
 	run(1, "connection refused", "fleet", "status", "--door", "127.0.0.1:1")
-	run(2, "one customer at most", "fleet", "budgets", "a", "b")
+	run(2, "at most one customer", "fleet", "budgets", "a", "b")
 	var shown strings.Builder
 	err = showBudgets(
 		[]byte(
--- a/cmd/mothcleat/fleettables.go
+++ b/cmd/mothcleat/fleettables.go
@@ -17,9 +17,9 @@
 )
 
 // The functions of this file and of distributiontable.go print the JSON answers of a gateway's
-// admin interface as tables for a tabwriter. Headings keep the operators' words.
+// admin interface as tables for a tabwriter. Headings use the terms of the operators' manual.
 
-// maxListedFiles is how many exported files are listed, the newest.
+// maxListedFiles is how many of the newest exported files are listed.
 const maxListedFiles = 20
 
 func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.1fs", d.Seconds()) }
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// formatShare is a part as rate and burst.
+// formatShare formats a share as its rate and burst.
 func formatShare(s allocation.Share) string { return fmt.Sprintf("%.2f/s, %.1f", s.Rate, s.Burst) }
 
 func showHistory(raw []byte, w io.Writer) error {
@@ -210,7 +210,7 @@
 	for _, b := range v.LaggingReplicas {
 		fmt.Fprintf(
 			w,
-			"\nbehind: %s has %s %d, %d is wanted for %s %s",
+			"\nbehind: %s has %s %d, its target has been %d for %s %s",
 			b.Member,
 			b.Item,
 			b.InForce,
--- a/cmd/mothcleat/hotrestart.go
+++ b/cmd/mothcleat/hotrestart.go
@@ -13,9 +13,9 @@
 	"mothcleat/internal/dataplane/snapshot"
 )
 
-// configureRestart sets what outlives this process: the stored snapshot of its decisions, and its
-// sockets in a hot restart. Where the platform holds the clients' socket it also replaces the
-// processes, and the operators' setting for that is ignored.
+// configureRestart sets up what is preserved across processes: the stored snapshot of the
+// decisions, and the sockets in a hot restart. If the platform holds the clients' socket, it also
+// replaces the processes itself, and handover.on is ignored.
 func (p *program) configureRestart(cfg *gateway.Config) error {
 	restart := &cfg.Restart
 	restart.SnapshotInterval = time.Duration(p.settings.State.SaveInterval)
@@ -36,7 +36,7 @@
 		restart.RendezvousPath = hotrestart.SocketPath(os.TempDir(), cfg.Name)
 		if p.settings.HotRestart.Enabled {
 			p.log.Warn(
-				"hand-over: the platform holds the clients' socket, " +
+				"handover: the platform holds the clients' socket " +
 					"and replaces processes itself; handover.on is passed over",
 			)
 		}
@@ -48,14 +48,15 @@
 	return p.configureUpgrader(&cfg.Restart)
 }
 
-// configureUpgrader has this program start its successors itself, which inherit its sockets.
+// configureUpgrader sets up hot restarts in which this process starts its successor, which inherits
+// the sockets.
 func (p *program) configureUpgrader(restart *gateway.Restart) (err error) {
 	p.upgrader, err = tableflip.New(tableflip.Options{
 		PIDFile:        p.settings.HotRestart.PIDFile,
 		UpgradeTimeout: time.Duration(p.settings.HotRestart.ReadyTimeout),
 	})
 	if err != nil {
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
 	restart.Listen = func(address string) (net.Listener, error) {
 		return p.upgrader.Listen("tcp", address)
@@ -69,24 +70,24 @@
 }
 
 // serveHotRestarts starts a successor at each signal until one is ready, and then closes
-// handedOver. While none is, this process serves on.
+// handedOver. Until then this process continues to serve.
 func (p *program) serveHotRestarts(signals <-chan os.Signal, handedOver chan<- struct{}) {
 	for range signals {
 		if p.upgrader == nil {
-			p.log.Warn("hand-over: it is off; handover.on in the operators' file switches it on")
+			p.log.Warn("handover: it is off; set handover.on in the operators' file to enable it")
 			continue
 		}
 		if _, err := p.readConfiguration(); err != nil {
 			p.log.Error(
-				"hand-over: the new process could not start; this one serves on",
+				"handover: the new process could not start; this process continues to serve",
 				"error",
 				err,
 			)
 			continue
 		}
-		p.log.Info("hand-over: starting a new process")
+		p.log.Info("handover: starting a new process")
 		if err := p.upgrader.Upgrade(); err != nil {
-			p.log.Error("hand-over: failed; this process serves on", "error", err)
+			p.log.Error("handover: failed; this process continues to serve", "error", err)
 			continue
 		}
 		close(handedOver)
--- a/cmd/mothcleat/inheritedlistener.go
+++ b/cmd/mothcleat/inheritedlistener.go
@@ -7,11 +7,13 @@
 	"strconv"
 )
 
-// inheritedFD names the descriptor of the clients' listening socket, where the platform
-// holds it: it goes on listening between processes.
+// inheritedFD is the environment variable with the file descriptor of the clients' listening
+// socket, if the platform holds it. That socket continues to listen while one process replaces
+// another.
 const inheritedFD = "RELAY_INHERITED_FD"
 
-// inheritedListener is the clients' listener that the platform gave this process; nil: none.
+// inheritedListener returns the clients' listener that the platform passed to this process, or nil
+// if there is none. env returns the value of an environment variable.
 func inheritedListener(env func(string) string) (net.Listener, error) {
 	text := env(inheritedFD)
 	if text == "" {
@@ -19,20 +21,21 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return nil, fmt.Errorf("%s: %q: a descriptor's number from 3 up wanted", inheritedFD, text)
+		return nil, fmt.Errorf("%s: %q: must be a file descriptor's number of at least 3",
+			inheritedFD, text)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	if f == nil {
-		return nil, fmt.Errorf("%s: %d is no descriptor", inheritedFD, fd)
+		return nil, fmt.Errorf("%s: %d is not a file descriptor", inheritedFD, fd)
 	}
-	defer f.Close() // the listener has one of its own
+	defer f.Close() // the listener has its own duplicate
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d: %w", inheritedFD, fd, err)
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		_ = l.Close()
-		return nil, fmt.Errorf("%s: descriptor %d is no TCP socket that listens", inheritedFD, fd)
+		return nil, fmt.Errorf("%s: descriptor %d is not a listening TCP socket", inheritedFD, fd)
 	}
 	return l, nil
 }
--- a/cmd/mothcleat/inheritedlistener_test.go
+++ b/cmd/mothcleat/inheritedlistener_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// A descriptor that is no listening socket is told by name; a good one is listened on, and
-// stays the platform's.
-func TestInheritedSocket(t *testing.T) {
+// TestInheritedListener checks that the error for a descriptor that is not a listening TCP socket
+// names it. A valid descriptor gives a listener at its address, and closing the listener leaves the
+// platform's socket open.
+func TestInheritedListener(t *testing.T) {
 	for text, want := range map[string]string{
-		"x": "a descriptor's number", "1": "a descriptor's number", "-4": "a descriptor's number", "9999": "descriptor 9999",
+		"x": "a file descriptor's number", "1": "a file descriptor's number", "-4": "a file descriptor's number", "9999": "descriptor 9999",
 	} {
 		if _, err := inheritedListener(
 			func(string) string { return text },
@@ -23,9 +24,9 @@
 		}
 	}
 	if l, err := inheritedListener(func(string) string { return "" }); l != nil || err != nil {
-		t.Errorf("nothing inherited: %v, %v", l, err)
+		t.Errorf("no inherited descriptor: got %v, %v, want nil, nil", l, err)
 	}
-	given := func(f *os.File) func(string) string {
+	envWithFD := func(f *os.File) func(string) string {
 		fd, err := syscall.Dup(int(f.Fd()))
 		if err != nil {
 			t.Fatal(err)
@@ -42,8 +43,8 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if _, err := inheritedListener(given(file)); err == nil {
-		t.Error("a UDP socket was taken for the clients'")
+	if _, err := inheritedListener(envWithFD(file)); err == nil {
+		t.Error("a UDP socket was accepted as the clients' listener")
 	}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -54,7 +55,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	got, err := inheritedListener(given(file))
+	got, err := inheritedListener(envWithFD(file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +64,7 @@
 	}
 	got.Close()
 	if c, err := net.Dial("tcp", l.Addr().String()); err != nil {
-		t.Error("the platform's socket ended with the process's: ", err)
+		t.Error("closing the listener closed the platform's socket too: ", err)
 	} else {
 		c.Close()
 	}
--- a/cmd/mothcleat/main.go
+++ b/cmd/mothcleat/main.go
@@ -1,5 +1,5 @@
-// Command mothcleat is a gateway that keeps each customer of a shared back end
-// to its plan. It reads its configuration from the file that RELAY_CONFIG names.
+// Command mothcleat is a gateway that enforces the plan of each customer of a shared backend. It
+// reads its configuration from the file that the environment variable RELAY_CONFIG names.
 package main
 
 import (
@@ -13,31 +13,32 @@
 )
 
 const longHelp = "usage: mothcleat [--operators FILE] runs a gateway; " +
-	"the commands below look after one.\n" + `
-The configuration is the JSON file that RELAY_CONFIG names. The operators' file
-holds what the platform does not offer; without one all of that is off.
-SIGTERM stops the gateway in order, SIGHUP has both files read anew, SIGUSR2 has a new
-process take over where the operators' file says so.
+	"the commands below inspect and administer one.\n" + `
+The configuration is the JSON file that RELAY_CONFIG names. The operators' file holds the
+settings of optional parts; without the file all of them are off.
+SIGTERM stops the gateway gracefully, and SIGHUP reloads both files. SIGUSR2 starts a new
+process that takes over, if the operators' file enables it.
 
-Exit code 1: it failed, with one line that says why. 2: misuse.`
+Exit code 1: the command failed; one line states the reason. 2: wrong usage.`
 
 func main() {
 	os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// usageError is an error of the command line itself.
+// usageError is an error in the command line. The exit code for it is 2.
 type usageError struct{ error }
 
-// execute runs the program and gives its exit code: 1 where it failed, 2 for misuse.
+// execute runs the program with the arguments args and returns its exit code: 1 if it failed, 2 if
+// the command line is wrong.
 func execute(args []string, out, errs io.Writer) int {
 	var operators string
 	var showVersion bool
-	ran := false // a command began: what goes wrong from then on is no misuse
+	ran := false // a command has started: only a usageError is wrong usage from then on
 	root := &cobra.Command{
 		Use: "mothcleat", Long: longHelp, SilenceUsage: true, SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return fmt.Errorf("%q is no command; --help tells more", args[0])
+				return fmt.Errorf("%q is no command; --help lists the commands", args[0])
 			}
 			return nil
 		},
@@ -49,12 +50,12 @@
 			return run(operators)
 		},
 	}
-	// cobra's own --version would link text/template, and with it 2 MB.
+	// cobra's own --version flag would link text/template, which adds 2 MB to the program.
 	root.Flags().BoolVar(&showVersion, "version", false, "print the version")
 	root.PersistentFlags().StringVar(&operators, "operators", "", "the operators' file")
 	root.AddCommand(&cobra.Command{
 		Use:   "check",
-		Short: "read the files and try what they name, without serving",
+		Short: "check both files and what they refer to, without serving",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return check(operators, out) },
 	}, storeCommands(out))
@@ -70,14 +71,15 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "mothcleat:", err)
-	var wrong usageError
-	if !ran || errors.As(err, &wrong) {
+	var usage usageError
+	if !ran || errors.As(err, &usage) {
 		return 2
 	}
 	return 1
 }
 
-// requireSubcommand makes a group of commands ask for one of them.
+// requireSubcommand makes a group of commands return a usage error if it is called without a valid
+// subcommand.
 func requireSubcommand(c *cobra.Command) *cobra.Command {
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if len(args) > 0 {
@@ -85,13 +87,13 @@
 				fmt.Errorf("%q is no command; usage: %s --help", args[0], c.CommandPath()),
 			}
 		}
-		return usageError{fmt.Errorf("a command is wanted; usage: %s --help", c.CommandPath())}
+		return usageError{fmt.Errorf("a command is missing; usage: %s --help", c.CommandPath())}
 	}
 	c.Args = cobra.ArbitraryArgs
 	return c
 }
 
-// exactArgs is cobra.ExactArgs with the command's usage.
+// exactArgs is cobra.ExactArgs with an error that states the command's usage.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
@@ -101,7 +103,7 @@
 	}
 }
 
-// version is what the build knows of itself.
+// version returns the module version, the revision and the Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/mothcleat/main_test.go
+++ b/cmd/mothcleat/main_test.go
@@ -12,8 +12,9 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// SIGHUP once ended the program, and with it all that it had taken.
-func TestHangUpAsksForReload(t *testing.T) {
+// TestSIGHUPRequestsReload guards against a SIGHUP that ends the program, and with it all accepted
+// requests, because nothing handles the signal.
+func TestSIGHUPRequestsReload(t *testing.T) {
 	control := notifySignals()
 	for range 2 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -30,7 +31,7 @@
 const head = `{"listen":"127.0.0.1:0","seed":"01","settings":{"self-index":0,"balancers":1,
 	"request-classes":[{"name":"c","promise-us":1}],"tariffs":[{"name":"t"}]},"discovery":`
 
-// write writes a file of the test's and returns its path.
+// write writes a temporary file and returns its path.
 func write(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -40,7 +41,8 @@
 	return path
 }
 
-// Each reading takes the file as it is then; one that is broken is an error.
+// TestConfigurationIsReadAnew checks that each call reads the current file, and that an invalid
+// file is an error.
 func TestConfigurationIsReadAnew(t *testing.T) {
 	path := write(t, "config.json", "")
 	t.Setenv("RELAY_CONFIG", path)
@@ -60,14 +62,15 @@
 	}
 }
 
-// A reload takes both files whole: one that can't be used leaves all as it was.
+// TestReloadReadsTheOperatorsFileToo checks that a reload applies the operators' file, and that an
+// invalid one is an error.
 func TestReloadReadsTheOperatorsFileToo(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", write(t, "config.json", head+`"127.0.0.1:1"}`))
 	path := write(t, "operators.toml", "[state]\nevery = \"2s\"\n")
 	p := &program{operatorsFile: path, log: quietLog()}
 	cfg, err := p.readConfiguration()
 	if err != nil || cfg.Restart.SnapshotInterval != 2*time.Second {
-		t.Errorf("every %v, %v", cfg.Restart.SnapshotInterval, err)
+		t.Errorf("snapshot interval %v, error %v", cfg.Restart.SnapshotInterval, err)
 	}
 	if err := os.WriteFile(path, []byte("[state]\nevry = \"2s\"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -78,7 +81,7 @@
 	}
 }
 
-// The command line: what each call prints, and its exit code.
+// TestCommandLine checks what each command prints, and its exit code.
 func TestCommandLine(t *testing.T) {
 	config := write(t, "config.json", head+`"127.0.0.1:1"}`)
 	good := write(t, "good.toml", "[state]\nfile = \""+filepath.Join(t.TempDir(), "state")+"\"\n")
@@ -129,28 +132,29 @@
 		code := execute(c.args, &out, &errs)
 		if code != c.code || !strings.Contains(out.String(), c.out) ||
 			!strings.Contains(errs.String(), c.errs) {
-			t.Errorf("%q: code %d, printed %q and %q", c.args, code, out.String(), errs.String())
+			t.Errorf("%q: exit code %d, stdout %q, stderr %q", c.args, code, out.String(), errs.String())
 		}
 		if c.code != 0 && strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("%q: %q is not one line", c.args, errs.String())
+			t.Errorf("%q: stderr %q is not one line", c.args, errs.String())
 		}
 	}
 }
 
-// Asked to hand over where that is off, or where the files are bad, the process serves on.
-func TestHandOverThatIsOffChangesNothing(t *testing.T) {
+// TestSignalWhileHotRestartIsOff checks that a signal for a hot restart only writes a log line if
+// hot restart is off.
+func TestSignalWhileHotRestartIsOff(t *testing.T) {
 	var lines bytes.Buffer
 	p := &program{log: logTo(&lines)}
-	asked, handed := make(chan os.Signal, 1), make(chan struct{})
-	asked <- syscall.SIGUSR2
-	close(asked)
-	p.serveHotRestarts(asked, handed)
+	signals, handedOver := make(chan os.Signal, 1), make(chan struct{})
+	signals <- syscall.SIGUSR2
+	close(signals)
+	p.serveHotRestarts(signals, handedOver)
 	select {
-	case <-handed:
-		t.Error("handed over")
+	case <-handedOver:
+		t.Error("the process handed over although hot restart is off")
 	default:
 	}
 	if !strings.Contains(lines.String(), "it is off") {
-		t.Errorf("log %q", lines.String())
+		t.Errorf("log %q, want a line with \"it is off\"", lines.String())
 	}
 }
--- a/cmd/mothcleat/replicadir.go
+++ b/cmd/mothcleat/replicadir.go
@@ -15,9 +15,9 @@
 	"mothcleat/internal/controlplane/replica"
 )
 
-var errNoOperatorsFile = usageError{errors.New("--operators FILE is wanted")}
+var errNoOperatorsFile = usageError{errors.New("--operators FILE must be given")}
 
-// bootstrapReplica creates the folder of a founding replica of a new fleet.
+// bootstrapReplica creates the folder of one of the first voters of a new fleet.
 func bootstrapReplica(operatorsFile, name string, out io.Writer) error {
 	fleet, dir, err := prepareReplicaDir(operatorsFile)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// joinReplica creates the folder of a replica that is to be added to a running fleet.
+// joinReplica creates the folder of a voter that is to be added to a running fleet.
 func joinReplica(operatorsFile, name string, out io.Writer) error {
 	fleet, dir, err := prepareReplicaDir(operatorsFile)
 	if err != nil {
--- a/cmd/mothcleat/restart_test.go
+++ b/cmd/mothcleat/restart_test.go
@@ -17,16 +17,20 @@
 )
 
 const (
-	patience    = 30 * time.Second // for any event
-	readyWithin = 10 * time.Second // the term: nine in ten restarted processes are ready by then. Here each has to be.
+	eventTimeout = 30 * time.Second // for any event
+
+	// readyTimeout is the stated target: nine in ten restarted processes are ready by then. The
+	// tests demand it of each process.
+	readyTimeout = 10 * time.Second
 )
 
-// restartedOperators names the operators' file of a process that the tests start.
-const restartedOperators = "MOTHCLEAT_TEST_OPERATORS"
+// operatorsVariable is the environment variable with the operators' file of a process that the
+// tests start.
+const operatorsVariable = "MOTHCLEAT_TEST_OPERATORS"
 
-// TestRestartedProcess is no test but the process that the next ones start.
+// TestRestartedProcess is not a test, but the process that the other tests of this file start.
 func TestRestartedProcess(t *testing.T) {
-	path := os.Getenv(restartedOperators)
+	path := os.Getenv(operatorsVariable)
 	if path == "" {
 		return
 	}
@@ -35,28 +39,28 @@
 	}
 }
 
-// site is where a process is started over and over.
-type site struct {
-	address  string
-	config   string
-	operator string
-	dir      string   // for what a process leaves
-	listener *os.File // the platform's; nil: the process listens by itself
+// testSite holds the files and the address with which a test starts processes one after another.
+type testSite struct {
+	address   string
+	config    string
+	operators string
+	dir       string   // for files that a process leaves
+	listener  *os.File // the platform's listener; nil: the process listens itself
 }
 
-// newSite makes one with a discovery that is silent and a state that is kept.
-func newSite(t *testing.T, platformListens bool) *site {
+// newSite returns a testSite whose discovery service never answers, with a stored state.
+func newSite(t *testing.T, platformListens bool) *testSite {
 	t.Helper()
-	silent := httptest.NewServer(
+	unresponsive := httptest.NewServer(
 		http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }),
 	)
-	t.Cleanup(func() { silent.CloseClientConnections(); silent.Close() })
-	dir, err := os.MkdirTemp("", "mc") // a short name: a Unix socket's path may lie in it
+	t.Cleanup(func() { unresponsive.CloseClientConnections(); unresponsive.Close() })
+	dir, err := os.MkdirTemp("", "mc") // short: the length of a Unix socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	s := &site{dir: dir}
+	s := &testSite{dir: dir}
 	if platformListens {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -69,7 +73,7 @@
 		t.Cleanup(func() { s.listener.Close() })
 		s.address = l.Addr().String()
 	} else {
-		s.address = heldPort(t)
+		s.address = reservedAddress(t)
 	}
 	text := strings.Replace(
 		head,
@@ -78,10 +82,10 @@
 		1,
 	) + fmt.Sprintf(
 		`%q,"name":"n0"}`,
-		strings.TrimPrefix(silent.URL, "http://"),
+		strings.TrimPrefix(unresponsive.URL, "http://"),
 	)
 	s.config = write(t, "config.json", text)
-	s.operator = write(
+	s.operators = write(
 		t,
 		"operators.toml",
 		fmt.Sprintf("[state]\nfile = %q\nevery = \"50ms\"\n", filepath.Join(dir, "state")),
@@ -89,8 +93,9 @@
 	return s
 }
 
-// heldPort is an address that a process may listen at, and nobody else is given meanwhile.
-func heldPort(t *testing.T) string {
+// reservedAddress returns an address on which a process can listen. A bound socket that does not
+// listen reserves the port until the test ends.
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -110,19 +115,20 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// process is one that a test has started.
+// process is a gateway process that a test has started.
 type process struct {
 	cmd *exec.Cmd
-	log chan struct{} // closed when all of its log is read
+	log chan struct{} // closed after all of its log has been read
 }
 
-// start starts a process and waits until it answers PING; it has to in time.
-func (s *site) start(t *testing.T) *process {
+// start starts a process and waits until it answers PING. The test fails if the process is not
+// ready within readyTimeout.
+func (s *testSite) start(t *testing.T) *process {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestRestartedProcess$")
 	cmd.Env = append(
 		os.Environ(),
-		restartedOperators+"="+s.operator,
+		operatorsVariable+"="+s.operators,
 		"RELAY_CONFIG="+s.config,
 		"TMPDIR="+s.dir,
 	)
@@ -134,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -154,35 +160,35 @@
 	select {
 	case <-ready:
 	case <-p.log:
-		t.Fatalf("it has ended:\n%s", lines.String())
-	case <-time.After(patience):
-		t.Fatal("it is not ready")
+		t.Fatalf("the process ended before it was ready:\n%s", lines.String())
+	case <-time.After(eventTimeout):
+		t.Fatal("the process is not ready in time")
 	}
 	s.ping(t)
-	if took := time.Since(began); took > readyWithin {
-		t.Errorf("ready after %v, want %v at most", took, readyWithin)
+	if took := time.Since(startedAt); took > readyTimeout {
+		t.Errorf("ready after %v, want at most %v", took, readyTimeout)
 	}
 	return p
 }
 
-// ping asks for +PONG.
-func (s *site) ping(t *testing.T) {
+// ping sends PING to the process and fails the test unless the answer is +PONG.
+func (s *testSite) ping(t *testing.T) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(eventTimeout))
 	if _, err := io.WriteString(conn, "*1\r\n$4\r\nPING\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "+PONG\r\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("PING was answered %q, %v", line, err)
 	}
 }
 
-// end ends a process by a signal and waits for its end.
+// end sends a signal to the process, unless it has ended already, and waits until it ends.
 func (p *process) end(by os.Signal) {
 	if p.cmd.ProcessState == nil {
 		_ = p.cmd.Process.Signal(by)
@@ -191,12 +197,13 @@
 	}
 }
 
-// A process that is killed, or told to end, is followed by one that is ready in time, while
-// discovery is silent: by itself, and on the platform's socket.
+// TestRestartedProcessesAreReady checks that after a process is killed or terminated the next one
+// is ready in time although discovery does not answer, with a listener of its own and with the
+// platform's.
 func TestRestartedProcessesAreReady(t *testing.T) {
 	for _, platformListens := range []bool{false, true} {
 		t.Run(fmt.Sprintf("platform listens %t", platformListens), func(t *testing.T) {
-			t.Parallel() // each start waits for discovery first
+			t.Parallel() // each start first waits for discovery
 			s := newSite(t, platformListens)
 			for _, by := range []os.Signal{syscall.SIGKILL, syscall.SIGTERM, syscall.SIGKILL} {
 				s.start(t).end(by)
@@ -206,9 +213,10 @@
 	}
 }
 
-// A process on the platform's socket asks the one before for its place; one that is stopped never
-// answers, and holds nobody up for longer than the term.
-func TestReadyBesideAProcessThatHangs(t *testing.T) {
+// TestReadyBesideAHungProcess guards against a start that waits too long for its predecessor. A
+// process on the platform's socket asks its predecessor to hand over. A stopped predecessor
+// (SIGSTOP) never answers, and must not delay the start beyond readyTimeout.
+func TestReadyBesideAHungProcess(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, true)
 	before := s.start(t)
@@ -223,7 +231,7 @@
 		nil,
 	); err != nil ||
 		!status.Stopped() {
-		t.Fatalf("%v, %v", status, err)
+		t.Fatalf("the process is not stopped: status %v, %v", status, err)
 	}
 	s.start(t)
 }
--- a/cmd/mothcleat/run.go
+++ b/cmd/mothcleat/run.go
@@ -15,8 +15,8 @@
 	"mothcleat/internal/dataplane/gateway"
 )
 
-// gcPercent lets the heap, which is small, grow more than by default between two collections, which
-// saves CPU.
+// gcPercent is above the default of 100 to save CPU: the heap is small, so it may grow more between
+// two collections.
 const gcPercent = 400
 
 // program is one process of the gateway.
@@ -24,12 +24,12 @@
 	operatorsFile string
 	settings      config.Settings
 	log           *slog.Logger
-	upgrader      *tableflip.Upgrader // nil: hot restart is off
+	upgrader      *tableflip.Upgrader // nil if hot restart is off
 }
 
-// run serves until the gateway is told to stop.
+// run serves until the gateway is stopped by a signal or has handed over to a successor.
 func run(operatorsFile string) error {
-	// Before all else: a signal that comes early must not end the program.
+	// The first step, so that an early signal doesn't end the program.
 	control := notifySignals()
 	hotRestart := make(chan os.Signal, 1)
 	signal.Notify(hotRestart, syscall.SIGUSR2)
@@ -77,7 +77,7 @@
 	if p.upgrader != nil {
 		go func() {
 			<-control.Stop
-			p.upgrader.Stop() // ends a successor that is not ready yet, too
+			p.upgrader.Stop() // also ends a successor that is not ready yet
 		}()
 	}
 	control.HandedOver = handedOver
@@ -85,8 +85,8 @@
 	return gateway.Run(cfg, p.log, control)
 }
 
-// limitResources keeps the process to one core, and its memory well below the limit at which the
-// platform kills it.
+// limitResources limits the process to one core, and its memory to two thirds of the limit at which
+// the platform kills it.
 func limitResources(cfg *gateway.Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
--- a/cmd/mothcleat/signals.go
+++ b/cmd/mothcleat/signals.go
@@ -8,7 +8,8 @@
 	"mothcleat/internal/dataplane/gateway"
 )
 
-// notifySignals has SIGTERM and SIGINT stop the gateway, and SIGHUP reload its configuration.
+// notifySignals returns a Control through which SIGTERM and SIGINT stop the gateway, and SIGHUP
+// reloads its configuration.
 func notifySignals() gateway.Control {
 	stopped := make(chan struct{})
 	stopSignals := make(chan os.Signal, 1)
--- a/cmd/mothcleat/store.go
+++ b/cmd/mothcleat/store.go
@@ -11,28 +11,29 @@
 	"mothcleat/internal/storage/store"
 )
 
-// storeCommands work on a store that no process has open.
+// storeCommands returns the commands that work on a store that no process has open.
 func storeCommands(out io.Writer) *cobra.Command {
 	c := requireSubcommand(
-		&cobra.Command{Use: "store", Short: "look after a store that no gateway has open"},
+		&cobra.Command{Use: "store", Short: "check, dump or repair a store that is not open"},
 	)
 	fromLogs := false
 	repair := &cobra.Command{
 		Use:   "repair DIR",
-		Short: "make a store anew from what can be read",
+		Short: "rebuild a store from what can be read",
 		Args:  exactArgs(1),
-		Long: "repair keeps the damaged folder beside the new one " +
-			"and prints a line for all that it gave up.\nExit code 1 where it gave something up.",
+		Long: "repair keeps the damaged folder next to the new one " +
+			"and prints a line for each loss.\n" +
+			"Exit code 1: the repair failed, or something was lost.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return repairStore(args[0], fromLogs, out)
 		},
 	}
 	repair.Flags().BoolVar(&fromLogs, "from-logs", false,
-		"go without the manifest: what was deleted may be there again")
+		"repair without the manifest; deleted keys may reappear")
 	c.AddCommand(
 		&cobra.Command{
 			Use:   "check DIR",
-			Short: "read every byte and say what is wrong",
+			Short: "read and verify the whole store",
 			Args:  exactArgs(1),
 			RunE:  func(_ *cobra.Command, args []string) error { return checkStore(args[0], out) },
 		},
@@ -67,7 +68,7 @@
 	if st.TruncatedBytes > 0 {
 		fmt.Fprintf(
 			out,
-			"a torn tail of %d bytes, which nobody was promised, will be cut when it is opened\n",
+			"a torn tail of %d bytes, never confirmed as stored, is cut at the next opening\n",
 			st.TruncatedBytes,
 		)
 	}
@@ -101,15 +102,15 @@
 	return nil
 }
 
-var errIncompleteRepair = errors.New("store: repaired, but not whole")
+var errIncompleteRepair = errors.New("store: repaired with losses")
 
 func repairStore(dir string, fromLogs bool, out io.Writer) error {
 	rep, err := store.Repair(dir, fromLogs)
 	if err != nil {
 		return err
 	}
-	for _, what := range rep.Lost {
-		fmt.Fprintln(out, "given up:", what)
+	for _, loss := range rep.Lost {
+		fmt.Fprintln(out, "given up:", loss)
 	}
 	fmt.Fprintf(out, "%d keys kept; the damaged folder is %s\n", rep.RecoveredKeys, rep.DamagedDir)
 	if len(rep.Lost) > 0 {
--- a/cmd/mothcleat/store_test.go
+++ b/cmd/mothcleat/store_test.go
@@ -29,7 +29,7 @@
 			&errs,
 		); got != code ||
 			!strings.Contains(out.String()+errs.String(), want) {
-			t.Errorf("%v: exit %d, %q, %q", args, got, out.String(), errs.String())
+			t.Errorf("%v: exit code %d, stdout %q, stderr %q", args, got, out.String(), errs.String())
 		}
 	}
 	run(1, "in use", "check", dir)
--- a/cmd/mothcleat/versioncommands.go
+++ b/cmd/mothcleat/versioncommands.go
@@ -14,38 +14,38 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// versionCommands returns the commands about configuration versions, their roll-out and their
-// audit.
+// versionCommands returns the commands about configuration versions, their rollout and their audit.
 func (cli *fleetCLI) versionCommands() []*cobra.Command {
 	return []*cobra.Command{
 		cli.query(
 			"versions",
-			"what the fleet acts on, stage by stage, and who is behind",
+			"show the versions with their stages, and the gateways that are behind",
 			0,
 			showVersions,
 		),
 		cli.proposeCommand(),
 		cli.versionCommand("go-on ITEM NUMBER STAGE",
-			"have a roll-out go on to a stage, also one that is held", exactArgs(3)),
+			"advance a rollout to a stage, even if it is held", exactArgs(3)),
 		cli.versionCommand("hold ITEM NUMBER WHY...",
-			"have a roll-out stay at its stage", cobra.MinimumNArgs(2)),
+			"hold a rollout at its stage", cobra.MinimumNArgs(2)),
 		cli.versionCommand(
 			"withdraw ITEM NUMBER WHY...",
-			"take a version back: what was there before comes back under a new number",
+			"withdraw a version: the previous content returns under a new number",
 			cobra.MinimumNArgs(2),
 		),
-		cli.versionCommand("shut ID WHY...", "shut a gateway out by hand", cobra.MinimumNArgs(1)),
+		cli.versionCommand("shut ID WHY...",
+			"fence a gateway until it is let in again", cobra.MinimumNArgs(1)),
 		cli.versionCommand(
 			"let ID",
-			"let a gateway in again that was shut out by hand",
+			"readmit a gateway that was fenced with shut",
 			exactArgs(1),
 		),
 		cli.auditCommand(),
 	}
 }
 
-// versionCommand returns a command that makes the versions call of the first word of use, with the
-// command's arguments.
+// versionCommand returns a command that makes the versions call named by the first word of use,
+// with the command's arguments.
 func (cli *fleetCLI) versionCommand(use, short string, args cobra.PositionalArgs) *cobra.Command {
 	call, _, _ := strings.Cut(use, " ")
 	return &cobra.Command{
@@ -61,7 +61,7 @@
 	var lead time.Duration
 	command := &cobra.Command{
 		Use:   "propose ITEM FILE",
-		Short: "have the fleet act on a file that the gateway at the door can read",
+		Short: "roll out a file that the gateway at the door can read",
 		Args:  exactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			path, err := filepath.Abs(args[1])
@@ -72,13 +72,14 @@
 		},
 	}
 	command.Flags().StringVar(&stage, "stage", string(configversion.StageOne),
-		"who is to act on it first: one, tenth or all")
-	command.Flags().DurationVar(&lead, "in", 0, "it holds so long after it is agreed")
+		"gateways that apply it first: one, tenth or all")
+	command.Flags().DurationVar(&lead, "in", 0,
+		"delay from the agreement on the version until it applies")
 	return command
 }
 
-// callUntilDone makes a call again as long as the answer is that its proposal is in progress. The
-// gateway ends the proposal in time.
+// callUntilDone repeats a call while the answer is that its proposal is in progress. The gateway
+// ends each proposal after a bounded time.
 func (cli *fleetCLI) callUntilDone(line string) ([]byte, error) {
 	for {
 		answer, err := callAdmin(cli.adminAddress, line)
