--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -112,8 +112,8 @@
 
 // TestCarryGrantsNoExtraUnits checks that no order of changes, spends and pauses grants a customer
 // more than its first burst, plus what the rates in force refilled, plus what upgrades added to its
-// burst, less what downgrades removed from it. It also checks that a change that is reverted at once
-// leaves the level unchanged.
+// burst, less what downgrades removed from it. It also checks that a change that is reverted at
+// once leaves the level unchanged.
 func TestCarryGrantsNoExtraUnits(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -159,7 +159,8 @@
 	}
 }
 
-// BenchmarkAt looks up plans of 100,000 customers with 20 assignments each, three plans with 20 versions.
+// BenchmarkAt looks up plans of 100,000 customers with 20 assignments each, three plans with 20
+// versions.
 func BenchmarkAt(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 3))
 	versions, assignments := randomEntries(r, 100_000, 20, 1000)
