--- a/cmd/mothcleat/hotrestart.go
+++ b/cmd/mothcleat/hotrestart.go
@@ -36,7 +36,7 @@
 		restart.RendezvousPath = hotrestart.SocketPath(os.TempDir(), cfg.Name)
 		if p.settings.HotRestart.Enabled {
 			p.log.Warn(
-				"handover: the platform holds the clients' socket " +
+				"hand-over: the platform holds the clients' socket " +
 					"and replaces processes itself; handover.on is passed over",
 			)
 		}
@@ -56,7 +56,7 @@
 		UpgradeTimeout: time.Duration(p.settings.HotRestart.ReadyTimeout),
 	})
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("hand-over: %w", err)
 	}
 	restart.Listen = func(address string) (net.Listener, error) {
 		return p.upgrader.Listen("tcp", address)
@@ -74,20 +74,20 @@
 func (p *program) serveHotRestarts(signals <-chan os.Signal, handedOver chan<- struct{}) {
 	for range signals {
 		if p.upgrader == nil {
-			p.log.Warn("handover: it is off; set handover.on in the operators' file to enable it")
+			p.log.Warn("hand-over: it is off; set handover.on in the operators' file to enable it")
 			continue
 		}
 		if _, err := p.readConfiguration(); err != nil {
 			p.log.Error(
-				"handover: the new process could not start; this process continues to serve",
+				"hand-over: the new process could not start; this one serves on",
 				"error",
 				err,
 			)
 			continue
 		}
-		p.log.Info("handover: starting a new process")
+		p.log.Info("hand-over: starting a new process")
 		if err := p.upgrader.Upgrade(); err != nil {
-			p.log.Error("handover: failed; this process continues to serve", "error", err)
+			p.log.Error("hand-over: failed; this process serves on", "error", err)
 			continue
 		}
 		close(handedOver)
