--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -18,10 +18,10 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-var hundred = bytes.Repeat([]byte("v"), 100)
+var value100 = bytes.Repeat([]byte("v"), 100)
 
-// keyOf returns 16 bytes that come in no order.
-func keyOf(i int) []byte {
+// benchKey returns 16 bytes that come in no order.
+func benchKey(i int) []byte {
 	return fmt.Appendf(nil, "%016x", hash(littleEndian.AppendUint64(nil, uint64(i))))
 }
 
@@ -29,7 +29,7 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("durable/store/%d", writers), func(b *testing.B) {
-			commits(b, writers, Durable)
+			benchCommits(b, writers, Durable)
 		})
 		b.Run(fmt.Sprintf("durable/file/%d", writers), func(b *testing.B) {
 			f, err := os.Create(filepath.Join(b.TempDir(), "log"))
@@ -38,28 +38,28 @@
 			}
 			defer f.Close()
 			var mu sync.Mutex
-			together(b, writers, func(i int) error {
+			runConcurrently(b, writers, func(i int) error {
 				mu.Lock()
 				defer mu.Unlock()
-				if _, err := f.Write(appendRecord(nil, opPut, keyOf(i), hundred)); err != nil {
+				if _, err := f.Write(appendRecord(nil, opPut, benchKey(i), value100)); err != nil {
 					return err
 				}
 				return f.Sync()
 			})
 		})
 	}
-	b.Run("buffered/store/1", func(b *testing.B) { commits(b, 1, Buffered) })
+	b.Run("buffered/store/1", func(b *testing.B) { benchCommits(b, 1, Buffered) })
 }
 
-func commits(b *testing.B, writers int, d Durability) {
+func benchCommits(b *testing.B, writers int, d Durability) {
 	s, err := Open(b.TempDir(), Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Close()
-	together(b, writers, func(i int) error {
+	runConcurrently(b, writers, func(i int) error {
 		var batch Batch
-		batch.Put(keyOf(i), hundred)
+		batch.Put(benchKey(i), value100)
 		return s.Commit(&batch, d)
 	})
 	st := s.Stats()
@@ -68,7 +68,7 @@
 		"written/byte")
 }
 
-func together(b *testing.B, writers int, do func(i int) error) {
+func runConcurrently(b *testing.B, writers int, do func(i int) error) {
 	var next atomic.Int64
 	var all sync.WaitGroup
 	for range writers {
@@ -91,8 +91,8 @@
 
 const million = 1_000_000
 
-// filled makes a store of a million keys of 16 bytes with 100 each.
-func filled(b *testing.B, o Options, compact bool) string {
+// fillStore makes a store of a million keys of 16 bytes with 100 each.
+func fillStore(b *testing.B, o Options, compact bool) string {
 	dir := b.TempDir()
 	s, err := Open(dir, o)
 	if err != nil {
@@ -101,7 +101,7 @@
 	for i := 0; i < million; {
 		var batch Batch
 		for range 1000 {
-			batch.Put(keyOf(i), hundred)
+			batch.Put(benchKey(i), value100)
 			i++
 		}
 		if err := s.Commit(&batch, Buffered); err != nil {
@@ -122,9 +122,9 @@
 // Opening a million keys: by the sealed index, by reading all entries into a hash as a store with
 // hint files does, and by reading the log.
 func BenchmarkOpenMillion(b *testing.B) {
-	sealed := filled(b, Options{}, true)
-	opens := func(b *testing.B, dir string, o Options, then func(s *Store) any) {
-		before := heap()
+	sealed := fillStore(b, Options{}, true)
+	benchOpen := func(b *testing.B, dir string, o Options, then func(s *Store) any) {
+		before := heapBytes()
 		var s *Store
 		var held any
 		for b.Loop() {
@@ -137,19 +137,19 @@
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(heap()-before)/million, "B/key")
+		b.ReportMetric(float64(heapBytes()-before)/million, "B/key")
 		runtime.KeepAlive(s)
 		runtime.KeepAlive(held)
 	}
 	b.Run("sealed", func(b *testing.B) {
-		opens(b, sealed, Options{}, func(*Store) any { return nil })
+		benchOpen(b, sealed, Options{}, func(*Store) any { return nil })
 	})
 	b.Run("verified", func(b *testing.B) {
-		opens(b, sealed, Options{Verify: true}, func(*Store) any { return nil })
+		benchOpen(b, sealed, Options{Verify: true}, func(*Store) any { return nil })
 	})
 	b.Run("hints", func(b *testing.B) {
-		opens(b, sealed, Options{}, func(s *Store) any {
-			h := newHashed(million)
+		benchOpen(b, sealed, Options{}, func(s *Store) any {
+			h := newHashIndex(million)
 			for _, r := range s.files.runs {
 				for w := r.from(nil); ; {
 					key, at, ok, err := w.next()
@@ -165,37 +165,37 @@
 			return h
 		})
 	})
-	log := filled(b, Options{SegmentBytes: 1 << 40, MaxOverlayKeys: 1 << 30}, false)
+	log := fillStore(b, Options{SegmentBytes: 1 << 40, MaxOverlayKeys: 1 << 30}, false)
 	b.Run("log", func(b *testing.B) {
-		opens(b, log, Options{SegmentBytes: 1 << 40, MaxOverlayKeys: 1 << 30}, func(*Store) any {
+		benchOpen(b, log, Options{SegmentBytes: 1 << 40, MaxOverlayKeys: 1 << 30}, func(*Store) any {
 			return nil
 		})
 	})
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// hashed is an open-addressed hash over packed entries: the index of a store that holds all keys in
-// memory. It knows no order.
-type hashed struct {
+// hashIndex is an open-addressed hash table over packed entries, like the index of a store that
+// holds all keys in memory. It is not ordered.
+type hashIndex struct {
 	slots  []uint32 // 1 + where an entry begins
 	packed []byte
 }
 
-func newHashed(n int) *hashed {
+func newHashIndex(n int) *hashIndex {
 	size := 16
 	for size*3 < n*4 {
 		size *= 2
 	}
-	return &hashed{slots: make([]uint32, size)}
+	return &hashIndex{slots: make([]uint32, size)}
 }
 
-func (h *hashed) find(key []byte) (slot int, entry []byte) {
+func (h *hashIndex) find(key []byte) (slot int, entry []byte) {
 	for slot = int(
 		hash(key) % uint64(len(h.slots)),
 	); h.slots[slot] != 0; slot = (slot + 1) % len(h.slots) {
@@ -208,7 +208,7 @@
 	return slot, nil
 }
 
-func (h *hashed) put(key []byte, at location) {
+func (h *hashIndex) put(key []byte, at location) {
 	slot, _ := h.find(key)
 	h.slots[slot] = uint32(len(h.packed)) + 1
 	h.packed = append(binary.AppendUvarint(h.packed, uint64(len(key))), key...)
@@ -227,15 +227,15 @@
 // hundred.
 func BenchmarkIndex(b *testing.B) {
 	at := func(i int) location { return location{uint64(i>>16) + 1, int64(i&0xffff) * 129, 129} }
-	look := func(
+	benchLookups := func(
 		b *testing.B, before int64, held any,
 		get func(key []byte) bool, hundredFrom func(key []byte) int,
 	) {
-		bytes := float64(heap()-before) / million
+		bytes := float64(heapBytes()-before) / million
 		r := rand.New(rand.NewPCG(1, 1))
 		b.Run("present", func(b *testing.B) {
 			for b.Loop() {
-				if !get(keyOf(r.IntN(million))) {
+				if !get(benchKey(r.IntN(million))) {
 					b.Fatal("a key is missing")
 				}
 			}
@@ -243,7 +243,7 @@
 		})
 		b.Run("absent", func(b *testing.B) {
 			for b.Loop() {
-				if get(keyOf(million + r.IntN(million))) {
+				if get(benchKey(million + r.IntN(million))) {
 					b.Fatal("an absent key is there")
 				}
 			}
@@ -251,7 +251,7 @@
 		if hundredFrom != nil {
 			b.Run("range100", func(b *testing.B) {
 				for b.Loop() {
-					if n := hundredFrom(keyOf(r.IntN(million))); n == 0 {
+					if n := hundredFrom(benchKey(r.IntN(million))); n == 0 {
 						b.Fatal("an empty range")
 					}
 				}
@@ -259,7 +259,7 @@
 		}
 		runtime.KeepAlive(held)
 	}
-	walked := func(w walker) (n int) {
+	countUpTo100 := func(w iterator) (n int) {
 		for ; n < 100; n++ {
 			if _, _, ok, err := w.next(); !ok || err != nil {
 				break
@@ -268,51 +268,54 @@
 		return n
 	}
 	b.Run("runs", func(b *testing.B) {
-		dir := filled(b, Options{}, true)
-		before := heap()
+		dir := fillStore(b, Options{}, true)
+		before := heapBytes()
 		s, err := Open(dir, Options{})
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer s.Close()
 		var buf []byte
-		look(b, before, s, func(key []byte) bool {
+		benchLookups(b, before, s, func(key []byte) bool {
 			_, ok, err := find(nil, s.files, key, &buf)
 			return ok && err == nil
 		}, func(key []byte) int {
-			var all []walker
+			var all []iterator
 			for _, r := range s.files.runs {
 				all = append(all, r.from(key))
 			}
-			return walked(merge(all...))
+			return countUpTo100(merge(all...))
 		})
 	})
 	b.Run("hash", func(b *testing.B) {
-		before := heap()
-		h := newHashed(million)
+		before := heapBytes()
+		h := newHashIndex(million)
 		for i := range million {
-			h.put(keyOf(i), at(i))
+			h.put(benchKey(i), at(i))
 		}
 		h.packed = bytes.Clone(h.packed)
-		look(b, before, h, func(key []byte) bool { _, e := h.find(key); return e != nil }, nil)
+		benchLookups(b, before, h, func(key []byte) bool {
+			_, e := h.find(key)
+			return e != nil
+		}, nil)
 	})
 	b.Run("treap", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		var top *node
 		for i := range million {
-			k := string(keyOf(i))
+			k := string(benchKey(i))
 			top, _, _ = top.with(k, at(i), priority(k), 1)
 		}
-		look(b, before, top, func(key []byte) bool { _, ok := top.get(string(key)); return ok },
-			func(key []byte) int { return walked(top.from(string(key))) })
+		benchLookups(b, before, top, func(key []byte) bool { _, ok := top.get(string(key)); return ok },
+			func(key []byte) int { return countUpTo100(top.from(string(key))) })
 	})
 	b.Run("btree", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		t := btree.NewG(32, func(a, b item) bool { return strings.Compare(a.key, b.key) < 0 })
 		for i := range million {
-			t.ReplaceOrInsert(item{string(keyOf(i)), at(i)})
+			t.ReplaceOrInsert(item{string(benchKey(i)), at(i)})
 		}
-		look(b, before, t, func(key []byte) bool {
+		benchLookups(b, before, t, func(key []byte) bool {
 			return t.Has(item{key: string(key)})
 		}, func(key []byte) (n int) {
 			t.AscendGreaterOrEqual(item{key: string(key)}, func(item) bool { n++; return n < 100 })
@@ -320,13 +323,13 @@
 		})
 	})
 	b.Run("radix", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		t := iradix.New[location]().Txn()
 		for i := range million {
-			t.Insert(keyOf(i), at(i))
+			t.Insert(benchKey(i), at(i))
 		}
 		tree := t.Commit()
-		look(b, before, tree, func(key []byte) bool {
+		benchLookups(b, before, tree, func(key []byte) bool {
 			_, ok := tree.Get(key)
 			return ok
 		}, func(key []byte) (n int) {
@@ -344,7 +347,7 @@
 
 // Scans of a hundred items with their values.
 func BenchmarkRange(b *testing.B) {
-	s, err := Open(filled(b, Options{}, true), Options{})
+	s, err := Open(fillStore(b, Options{}, true), Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -356,7 +359,7 @@
 			b.Fatal(err)
 		}
 		n := 0
-		for _, err := range view.Range(keyOf(r.IntN(million)), nil) {
+		for _, err := range view.Range(benchKey(r.IntN(million)), nil) {
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/storage/store/commit.go
+++ b/internal/storage/store/commit.go
@@ -244,9 +244,9 @@
 	overlay     *node
 	epoch       uint32
 	overlayKeys int
-	keys        int64
-	// live is the change of live bytes by segment.
-	live map[uint64]int64
+	keysDelta   int64
+	// liveDelta is the change of live bytes by segment.
+	liveDelta map[uint64]int64
 }
 
 func (s *Store) newChange() *change {
@@ -256,7 +256,7 @@
 		overlay:     s.overlay,
 		epoch:       s.epoch,
 		overlayKeys: s.overlayKeys,
-		live:        map[uint64]int64{},
+		liveDelta:   map[uint64]int64{},
 	}
 }
 
@@ -277,25 +277,25 @@
 	}
 	c.overlay = top
 	if !old.deleted() {
-		c.live[old.segment] -= int64(old.size)
-		c.keys--
+		c.liveDelta[old.segment] -= int64(old.size)
+		c.keysDelta--
 	}
 	if !to.deleted() {
-		c.live[to.segment] += int64(to.size)
-		c.keys++
+		c.liveDelta[to.segment] += int64(to.size)
+		c.keysDelta++
 	}
 	return nil
 }
 
 // apply makes the change visible to readers, as the state after a batch.
 func (c *change) apply(seq uint64) {
-	for id, n := range c.live {
+	for id, n := range c.liveDelta {
 		if g := c.store.files.segment(id); g != nil {
 			g.live += n
 		}
 	}
 	c.store.overlayKeys = c.overlayKeys
-	c.store.keys += uint64(c.keys)
+	c.store.keys += uint64(c.keysDelta)
 	c.store.mu.Lock()
 	c.store.seq, c.store.overlay = seq, c.overlay
 	c.store.mu.Unlock()
--- a/internal/storage/store/compact.go
+++ b/internal/storage/store/compact.go
@@ -9,9 +9,9 @@
 
 // mergeJob merges several runs of adjacent age into one.
 type mergeJob struct {
-	runs []*run
-	from *mergeWalker
-	to   *runWriter
+	runs   []*run
+	input  *mergeIterator
+	output *runWriter
 	// bottom is set if no run is older, so that deletions need no entries.
 	bottom bool
 }
@@ -150,8 +150,8 @@
 	return s.writeMark()
 }
 
-// writeRun writes all entries of a walker to a run.
-func (s *Store) writeRun(w *runWriter, from walker, bottom bool) (*run, error) {
+// writeRun writes all entries of an iterator to a run.
+func (s *Store) writeRun(w *runWriter, from iterator, bottom bool) (*run, error) {
 	for {
 		key, at, ok, err := from.next()
 		if err != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	j := &mergeJob{runs: runs[:n], bottom: n == len(runs)}
-	var from []walker
+	var from []iterator
 	maxKeys := 0
 	for _, r := range j.runs {
 		from = append(from, r.from(nil))
@@ -196,8 +196,8 @@
 		s.backgroundErr = fmt.Errorf("store: %w", err)
 		return
 	}
-	j.from = merge(from...)
-	j.to = w
+	j.input = merge(from...)
+	j.output = w
 	s.merging = j
 }
 
@@ -205,7 +205,7 @@
 func (s *Store) continueMerge(budget int) error {
 	j := s.merging
 	for ; budget > 0; budget -= entryCost {
-		key, at, ok, err := j.from.next()
+		key, at, ok, err := j.input.next()
 		if err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 			continue
 		}
 		s.stats.MergedEntries++
-		if err := j.to.add(key, at); err != nil {
+		if err := j.output.add(key, at); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
 	}
@@ -225,7 +225,7 @@
 
 // finishMerge replaces the merged runs by the new one.
 func (s *Store) finishMerge(j *mergeJob) error {
-	r, err := j.to.finish()
+	r, err := j.output.finish()
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -243,7 +243,7 @@
 	}
 	s.merging = nil
 	if r.entries == 0 {
-		if err := s.discard(j.to); err != nil {
+		if err := s.discard(j.output); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
 	}
@@ -268,7 +268,7 @@
 func (s *Store) abandonMerge() {
 	if j := s.merging; j != nil {
 		s.merging = nil
-		_ = s.discard(j.to) // else the next Open does
+		_ = s.discard(j.output) // else the next Open does
 	}
 }
 
@@ -311,8 +311,8 @@
 	return nil
 }
 
-// errBudgetSpent ends a compaction step between two records.
-var errBudgetSpent = errors.New("store: the step's budget is spent")
+// errBudgetExhausted ends a compaction step between two records.
+var errBudgetExhausted = errors.New("store: the step's budget is spent")
 
 // continueSegmentCopy continues to empty a segment within a budget.
 func (s *Store) continueSegmentCopy(budget int) error {
@@ -343,7 +343,7 @@
 func (s *Store) collectLive(j *copyJob, b *Batch, budget int) error {
 	collect := func(r record, key []byte, at int64) error {
 		if budget <= 0 {
-			return errBudgetSpent
+			return errBudgetExhausted
 		}
 		budget -= entryCost + int(r.keyBytes)
 		j.recordAt = at + r.size()
@@ -374,7 +374,7 @@
 			j.batchEnd = j.batchAt + n
 		}
 		err := j.source.records(j.recordAt, j.batchEnd, collect)
-		if errors.Is(err, errBudgetSpent) {
+		if errors.Is(err, errBudgetExhausted) {
 			return nil
 		}
 		if err != nil {
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -25,9 +25,9 @@
 	kindManifest = 'M'
 	kindMark     = 'S'
 
-	manifestName = "MANIFEST"
-	manifestNew  = "MANIFEST.new"
-	markName     = "MARK"
+	manifestName     = "MANIFEST"
+	manifestTempName = "MANIFEST.new"
+	markName         = "MARK"
 
 	opPut    = 1
 	opDelete = 2
@@ -103,7 +103,7 @@
 	var ext string
 	n, _ := fmt.Sscanf(name, "%016x.%s", &id, &ext)
 	return n == 2 && len(name) == 20 && (ext == "log" || ext == "idx") || name == manifestName ||
-		name == manifestNew || name == markName
+		name == manifestTempName || name == markName
 }
 
 // encodeHeader returns the header of a file.
@@ -234,18 +234,18 @@
 	b = littleEndian.AppendUint32(b, count)
 	b = littleEndian.AppendUint64(b, seq)
 	b = littleEndian.AppendUint32(b, checksum(body))
-	return littleEndian.AppendUint32(b, batchSum(segment, b))
+	return littleEndian.AppendUint32(b, batchHeaderChecksum(segment, b))
 }
 
-func batchSum(segment uint64, b []byte) uint32 {
+func batchHeaderChecksum(segment uint64, b []byte) uint32 {
 	return checksum(littleEndian.AppendUint64(nil, segment), b[:20])
 }
 
 // manifest names the files in use.
 type manifest struct {
 	store uint64
-	// next is the id of the next file.
-	next uint64
+	// nextFileID is the id of the next file that is created.
+	nextFileID uint64
 	// active is the segment that is appended to.
 	active uint64
 	// seq is the number of the active segment's first batch.
@@ -271,7 +271,7 @@
 func (m *manifest) encode() []byte {
 	var b []byte
 	for _, n := range []uint64{
-		m.next, m.active, m.seq, m.keys, uint64(len(m.segments)), uint64(len(m.runs)),
+		m.nextFileID, m.active, m.seq, m.keys, uint64(len(m.segments)), uint64(len(m.runs)),
 	} {
 		b = littleEndian.AppendUint64(b, n)
 	}
@@ -303,21 +303,28 @@
 	if size != fileHeaderBytes+blockHeaderBytes+int64(len(b)) || len(b) < 48 {
 		return nil, bad
 	}
-	n := func() uint64 {
+	readUint64 := func() uint64 {
 		v := littleEndian.Uint64(b)
 		b = b[8:]
 		return v
 	}
-	m := &manifest{store: store, next: n(), active: n(), seq: n(), keys: n()}
-	segments, runs := n(), n()
+	m := &manifest{
+		store:      store,
+		nextFileID: readUint64(),
+		active:     readUint64(),
+		seq:        readUint64(),
+		keys:       readUint64(),
+	}
+	segments, runs := readUint64(), readUint64()
 	if room := uint64(len(b)); segments > room || runs > room || 24*segments+16*runs != room {
 		return nil, bad
 	}
 	for range segments {
-		m.segments = append(m.segments, sealedSegment{n(), int64(n()), int64(n())})
+		m.segments = append(m.segments,
+			sealedSegment{readUint64(), int64(readUint64()), int64(readUint64())})
 	}
 	for range runs {
-		m.runs = append(m.runs, sealedRun{n(), int64(n())})
+		m.runs = append(m.runs, sealedRun{readUint64(), int64(readUint64())})
 	}
 	return m, nil
 }
--- a/internal/storage/store/manifest.go
+++ b/internal/storage/store/manifest.go
@@ -8,7 +8,7 @@
 // writeManifest replaces the manifest by one with another set of files. After an error it is
 // unknown which of the two would survive a crash.
 func (s *Store) writeManifest(set *fileSet, active, seq, keys uint64) error {
-	m := &manifest{store: s.id, next: s.nextFileID, active: active, seq: seq, keys: keys}
+	m := &manifest{store: s.id, nextFileID: s.nextFileID, active: active, seq: seq, keys: keys}
 	for _, g := range set.segments {
 		if g.id != active {
 			m.segments = append(m.segments, sealedSegment{g.id, g.length, g.liveAtSeal})
@@ -17,7 +17,7 @@
 	for _, r := range set.runs {
 		m.runs = append(m.runs, sealedRun{r.id, r.length})
 	}
-	f, err := s.fs.Create(manifestNew)
+	f, err := s.fs.Create(manifestTempName)
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	if err := errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err := s.fs.Rename(manifestNew, manifestName); err != nil {
+	if err := s.fs.Rename(manifestTempName, manifestName); err != nil {
 		return err
 	}
 	return s.fs.Sync()
--- a/internal/storage/store/overlay.go
+++ b/internal/storage/store/overlay.go
@@ -72,12 +72,12 @@
 	return n, old, had
 }
 
-// treapWalker iterates over a treap in order.
-type treapWalker struct{ path []*node }
+// treapIterator iterates over a treap in order.
+type treapIterator struct{ path []*node }
 
 // from starts at the first key that is not before key.
-func (n *node) from(key string) *treapWalker {
-	w := &treapWalker{}
+func (n *node) from(key string) *treapIterator {
+	w := &treapIterator{}
 	for n != nil {
 		if n.key >= key {
 			w.path = append(w.path, n)
@@ -89,7 +89,7 @@
 	return w
 }
 
-func (w *treapWalker) next() (key []byte, at location, ok bool, err error) {
+func (w *treapIterator) next() (key []byte, at location, ok bool, err error) {
 	if len(w.path) == 0 {
 		return nil, location{}, false, nil
 	}
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -17,7 +17,7 @@
 		if !isStoreFile(name) {
 			continue
 		}
-		if name != segmentName(1) && name != manifestNew {
+		if name != segmentName(1) && name != manifestTempName {
 			return &DamageError{manifestName, 0, "missing beside " + name}
 		}
 		if name == segmentName(1) {
@@ -81,7 +81,7 @@
 // recover opens the files that the manifest names and replays the active segment.
 func (s *Store) recover(m *manifest) error {
 	s.id = m.store
-	s.nextFileID = m.next
+	s.nextFileID = m.nextFileID
 	s.firstSeq = m.seq
 	s.keys = m.keys
 	s.baseKeys = m.keys
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -38,18 +38,18 @@
 	if err := os.RemoveAll(repaired); err != nil {
 		return rep, fmt.Errorf("store: %w", err)
 	}
-	to, err := Open(repaired, Options{})
+	target, err := Open(repaired, Options{})
 	if err != nil {
 		return rep, err
 	}
-	old := &salvage{fs: folder, to: to, report: &rep}
+	salvaging := &salvage{fs: folder, target: target, report: &rep}
 	if fromLogs {
-		err = old.recoverByLogs()
+		err = salvaging.recoverByLogs()
 	} else {
-		err = old.recoverByManifest()
+		err = salvaging.recoverByManifest()
 	}
-	rep.RecoveredKeys = int(to.Stats().Keys)
-	if err := errors.Join(err, to.Close()); err != nil {
+	rep.RecoveredKeys = int(target.Stats().Keys)
+	if err := errors.Join(err, target.Close()); err != nil {
 		return rep, errors.Join(err, os.RemoveAll(repaired))
 	}
 	rep.DamagedDir = unusedName(dir + ".damaged")
--- a/internal/storage/store/run.go
+++ b/internal/storage/store/run.go
@@ -108,14 +108,14 @@
 	w.buf = appendBlock(w.buf, w.directory)
 	filterAt := w.at + int64(len(w.buf))
 	w.buf = appendBlock(w.buf, w.filter)
-	foot := make([]byte, 0, footerBytes)
+	footer := make([]byte, 0, footerBytes)
 	for _, n := range []uint64{
 		uint64(end), uint64(filterAt), uint64(w.entries), uint64(w.tombstones), w.id,
 	} {
-		foot = littleEndian.AppendUint64(foot, n)
+		footer = littleEndian.AppendUint64(footer, n)
 	}
-	foot = append(foot, "run\n"...)
-	w.buf = littleEndian.AppendUint32(append(w.buf, foot...), checksum(foot))
+	footer = append(footer, "run\n"...)
+	w.buf = littleEndian.AppendUint32(append(w.buf, footer...), checksum(footer))
 	if err := w.flush(); err != nil {
 		return nil, err
 	}
@@ -143,16 +143,17 @@
 	if _, err := readHeader(f, name, kindRun, store, m.id); err != nil {
 		return nil, err
 	}
-	foot := make([]byte, footerBytes)
+	footer := make([]byte, footerBytes)
 	at := size - footerBytes
 	if at < fileHeaderBytes {
 		return nil, &DamageError{name, size, "too short for a footer"}
 	}
-	if _, err := f.ReadAt(foot, at); err != nil {
+	if _, err := f.ReadAt(footer, at); err != nil {
 		return nil, readError(err, name, at, "ends within its footer")
 	}
-	if string(foot[40:44]) != "run\n" || littleEndian.Uint32(foot[44:]) != checksum(foot[:44]) ||
-		littleEndian.Uint64(foot[32:]) != m.id {
+	if string(footer[40:44]) != "run\n" ||
+		littleEndian.Uint32(footer[44:]) != checksum(footer[:44]) ||
+		littleEndian.Uint64(footer[32:]) != m.id {
 		return nil, &DamageError{name, at, "footer's checksum differs"}
 	}
 	r := &run{file: file{
@@ -161,10 +162,10 @@
 	},
 		id:         m.id,
 		length:     size,
-		blocksEnd:  int64(littleEndian.Uint64(foot)),
-		entries:    int(littleEndian.Uint64(foot[16:])),
-		tombstones: int(littleEndian.Uint64(foot[24:]))}
-	filterAt := int64(littleEndian.Uint64(foot[8:]))
+		blocksEnd:  int64(littleEndian.Uint64(footer)),
+		entries:    int(littleEndian.Uint64(footer[16:])),
+		tombstones: int(littleEndian.Uint64(footer[24:]))}
+	filterAt := int64(littleEndian.Uint64(footer[8:]))
 	if r.directory, err = readBlock(f, name, r.blocksEnd, filterAt); err != nil {
 		return nil, err
 	}
@@ -293,8 +294,8 @@
 	return location{}, false, nil
 }
 
-// runWalker iterates over a run in order. Keys are valid until the next call.
-type runWalker struct {
+// runIterator iterates over a run in order. Keys are valid until the next call.
+type runIterator struct {
 	r     *run
 	block int
 	buf   []byte
@@ -303,11 +304,11 @@
 	first []byte
 }
 
-func (r *run) from(key []byte) *runWalker {
-	return &runWalker{r: r, block: max(r.blockFor(key), 0), first: key}
+func (r *run) from(key []byte) *runIterator {
+	return &runIterator{r: r, block: max(r.blockFor(key), 0), first: key}
 }
 
-func (w *runWalker) next() (key []byte, at location, ok bool, err error) {
+func (w *runIterator) next() (key []byte, at location, ok bool, err error) {
 	for {
 		if len(w.rest) == 0 {
 			if w.block >= len(w.r.fenceOffsets) {
@@ -328,19 +329,19 @@
 	}
 }
 
-// walker iterates over entries sorted by key.
-type walker interface {
+// iterator iterates over entries sorted by key.
+type iterator interface {
 	next() (key []byte, at location, ok bool, err error)
 }
 
-// mergeWalker merges several walkers. Of entries with the same key it returns the one of the first
-// walker.
-type mergeWalker struct {
-	from  []walker
+// mergeIterator merges several iterators, the newest first. Of entries with the same key it returns
+// the one of the first iterator.
+type mergeIterator struct {
+	from  []iterator
 	heads []mergeHead
 	// key is the last key returned.
 	key []byte
-	// source is the number of the walker that the last entry came from.
+	// source is the number of the iterator that the last entry came from.
 	source int
 }
 
@@ -352,16 +353,16 @@
 	read bool
 }
 
-func merge(from ...walker) *mergeWalker {
-	m := &mergeWalker{from: from, heads: make([]mergeHead, len(from))}
+func merge(from ...iterator) *mergeIterator {
+	m := &mergeIterator{from: from, heads: make([]mergeHead, len(from))}
 	for i := range m.heads {
 		m.heads[i].read = true
 	}
 	return m
 }
 
-func (m *mergeWalker) next() (key []byte, at location, ok bool, err error) {
-	first := -1 // the walker with the smallest key
+func (m *mergeIterator) next() (key []byte, at location, ok bool, err error) {
+	first := -1 // the iterator with the smallest key
 	for i := range m.heads {
 		h := &m.heads[i]
 		if h.read {
@@ -377,7 +378,7 @@
 	if first < 0 {
 		return nil, at, false, nil
 	}
-	// The key is in its walker's block, which that walker may overwrite with its next entry.
+	// The key is in its iterator's block, which that iterator may overwrite with its next entry.
 	m.key = append(m.key[:0], m.heads[first].key...)
 	m.source = first
 	at = m.heads[first].at
--- a/internal/storage/store/salvage.go
+++ b/internal/storage/store/salvage.go
@@ -11,7 +11,7 @@
 // salvage recovers what is readable of a damaged store.
 type salvage struct {
 	fs      FS
-	to      *Store
+	target  *Store
 	report  *Report
 	pending Batch
 }
@@ -33,7 +33,7 @@
 }
 
 func (v *salvage) flush() error {
-	err := v.to.Commit(&v.pending, Durable)
+	err := v.target.Commit(&v.pending, Durable)
 	v.pending.Reset()
 	return err
 }
@@ -55,8 +55,8 @@
 	s := &Store{fs: v.fs, id: m.store, files: &fileSet{}, firstSeq: m.seq}
 	defer s.closeSegments()
 	v.openSegments(s, m)
-	var runs []walker
-	gaps := [][]gap{nil} // by walker: the overlay has none
+	var runs []iterator
+	gaps := [][]gap{nil} // by iterator: the overlay has none
 	for _, of := range m.runs {
 		w, missing := v.recoverRun(m.store, of)
 		runs = append(runs, w)
@@ -68,7 +68,7 @@
 			return err
 		}
 	}
-	overlay := []walker{s.overlay.from("")}
+	overlay := []iterator{s.overlay.from("")}
 	return v.copyEntries(s.files, merge(append(overlay, runs...)...), gaps)
 }
 
@@ -119,8 +119,8 @@
 }
 
 // copyEntries copies the entries whose value is certainly the newest to the new store. gaps are the
-// unreadable parts of each of the walkers.
-func (v *salvage) copyEntries(files *fileSet, all *mergeWalker, gaps [][]gap) error {
+// unreadable parts of each of the iterators.
+func (v *salvage) copyEntries(files *fileSet, all *mergeIterator, gaps [][]gap) error {
 	for {
 		key, at, ok, err := all.next()
 		if err != nil {
@@ -129,7 +129,7 @@
 		if !ok {
 			return v.flush()
 		}
-		if at.deleted() || hidden(gaps[:all.source], key) {
+		if at.deleted() || mayBeShadowed(gaps[:all.source], key) {
 			continue
 		}
 		value, err := files.load(key, at)
@@ -143,8 +143,8 @@
 	}
 }
 
-// hidden reports whether an unreadable part of a newer run may have held another value of a key.
-func hidden(newer [][]gap, key []byte) bool {
+// mayBeShadowed reports whether an unreadable part of a newer run may hold a newer entry of a key.
+func mayBeShadowed(newer [][]gap, key []byte) bool {
 	for _, gaps := range newer {
 		for _, g := range gaps {
 			if bytes.Compare(key, g.from) >= 0 && (g.to == nil || bytes.Compare(key, g.to) < 0) {
@@ -155,10 +155,10 @@
 	return false
 }
 
-// entryList is a walker over entries that were read before.
-type entryList struct{ rest []entry }
+// sliceIterator is an iterator over entries that were read before.
+type sliceIterator struct{ rest []entry }
 
-func (l *entryList) next() (key []byte, at location, ok bool, err error) {
+func (l *sliceIterator) next() (key []byte, at location, ok bool, err error) {
 	if len(l.rest) == 0 {
 		return nil, at, false, nil
 	}
@@ -168,9 +168,9 @@
 }
 
 // recoverRun reads the readable blocks of a run, and returns the gaps between them.
-func (v *salvage) recoverRun(store uint64, of sealedRun) (walker, []gap) {
+func (v *salvage) recoverRun(store uint64, of sealedRun) (iterator, []gap) {
 	all := []gap{{}}
-	out := &entryList{}
+	out := &sliceIterator{}
 	f, err := v.fs.Open(runName(of.id), false)
 	if err != nil {
 		v.recordLoss("%s: %v: all keys that it may have changed", runName(of.id), err)
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -64,7 +64,7 @@
 	if _, err := s.f.ReadAt(b, at); err != nil {
 		return 0, 0, 0, readError(err, s.name, at, "ends within a batch's head")
 	}
-	if littleEndian.Uint32(b[20:]) != batchSum(s.id, b) {
+	if littleEndian.Uint32(b[20:]) != batchHeaderChecksum(s.id, b) {
 		return 0, 0, 0, &DamageError{s.name, at, "batch's head: checksum differs"}
 	}
 	body := int64(littleEndian.Uint32(b))
--- a/internal/storage/store/snapshot.go
+++ b/internal/storage/store/snapshot.go
@@ -102,11 +102,11 @@
 
 func (v *Snapshot) entries(from, to []byte) iter.Seq2[entry, error] {
 	return func(yield func(entry, error) bool) {
-		walkers := []walker{v.overlay.from(string(from))}
+		iterators := []iterator{v.overlay.from(string(from))}
 		for _, r := range v.files.runs {
-			walkers = append(walkers, r.from(from))
+			iterators = append(iterators, r.from(from))
 		}
-		for m := merge(walkers...); ; {
+		for m := merge(iterators...); ; {
 			key, at, ok, err := m.next()
 			if err != nil {
 				yield(entry{}, err)
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -37,7 +37,7 @@
 	return &b
 }
 
-func want(t testing.TB, s *store.Store, key, value string) {
+func checkValue(t testing.TB, s *store.Store, key, value string) {
 	t.Helper()
 	if got, err := s.Get([]byte(key)); err != nil || string(got) != value {
 		t.Errorf("%q holds %.40q, %v; %.40q wanted", key, got, err, value)
@@ -52,31 +52,31 @@
 			w.Keys = 150 // so many that runs are merged without the oldest
 		}
 		f.Record()
-		again := func() {
+		reopen := func() {
 			o := storetest.Small(f)
 			o.Verify = w.Rand.IntN(2) == 0
 			w.Store = open(t, "", o)
 		}
-		held := map[*store.Snapshot]storetest.Content{}
-		for again(); w.Last() < 200; {
+		snapshots := map[*store.Snapshot]storetest.Content{}
+		for reopen(); w.Last() < 200; {
 			switch k := w.Rand.IntN(40); {
 			case k == 0:
 				if err := w.Store.Close(); err != nil {
 					t.Fatal(err)
 				}
 				promised = w.Last()
-				again()
+				reopen()
 			case k == 1: // the power goes
 				f = f.After(len(f.Ops()), func(int) int { return w.Rand.IntN(2) - 1 })
 				f.Record()
-				again()
+				reopen()
 				got, err := storetest.Read(w.Store)
 				n := w.After(got)
 				if err != nil || n < promised {
 					t.Fatalf("seed %d: after a crash %v, as after batch %d of %d, %v",
 						seed, got, n, promised, err)
 				}
-				w.States, held = w.States[:n+1], map[*store.Snapshot]storetest.Content{}
+				w.States, snapshots = w.States[:n+1], map[*store.Snapshot]storetest.Content{}
 			case k == 2:
 				if err := w.Store.Compact(context.Background()); err != nil {
 					t.Fatal(err)
@@ -86,7 +86,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				held[view] = w.States[w.Last()]
+				snapshots[view] = w.States[w.Last()]
 			default:
 				d := store.Durability(w.Rand.IntN(2) == 0)
 				if err := w.Commit(d); err != nil {
@@ -105,7 +105,7 @@
 		if got, err := storetest.Read(w.Store); err != nil || w.After(got) != w.Last() {
 			t.Errorf("seed %d: holds %v, %v", seed, got, err)
 		}
-		for view, then := range held {
+		for view, then := range snapshots {
 			if got, err := storetest.ContentOf(view); err != nil || !maps.Equal(got, then) {
 				t.Errorf("seed %d: a snapshot changed: %v", seed, err)
 			}
@@ -150,11 +150,11 @@
 	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
 	f.Record()
-	held, entered := make(chan struct{}), make(chan struct{})
+	release, entered := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	f.Fail = func(op *faultfs.Op) (int, error) {
 		if op.Kind == faultfs.SyncFile {
-			once.Do(func() { close(entered); f.Fail = nil; <-held })
+			once.Do(func() { close(entered); f.Fail = nil; <-release })
 		}
 		return 0, nil
 	}
@@ -171,10 +171,10 @@
 	for _, key := range []string{"a", "b", "c"} {
 		commit(key)
 	}
-	for store.Waiting(s) < 3 {
+	for store.QueuedCommits(s) < 3 {
 		runtime.Gosched()
 	}
-	close(held)
+	close(release)
 	all.Wait()
 	ops := f.Ops()
 	group := -1
@@ -184,13 +184,13 @@
 		}
 	}
 	for cut := 1; cut < ops[group].Bytes(); cut++ {
-		left := f.After(group+1, func(i int) int {
+		crashed := f.After(group+1, func(i int) int {
 			if i == group {
 				return cut
 			}
 			return faultfs.Kept
 		})
-		s := open(t, "", store.Options{FS: left, Verify: true})
+		s := open(t, "", store.Options{FS: crashed, Verify: true})
 		got, err := storetest.Read(s)
 		if err != nil || got["first"] == "" || int(s.Stats().Seq) != len(got) {
 			t.Fatalf("torn at %d: %v, %v", cut, got, err)
@@ -223,16 +223,16 @@
 		t.Fatal(err)
 	}
 	s = open(t, dir, store.Options{Verify: true})
-	want(t, s, "", "under no key")
-	want(t, s, "long", long)
-	want(t, s, "empty", "")
-	want(t, s, "short", "39")
+	checkValue(t, s, "", "under no key")
+	checkValue(t, s, "long", long)
+	checkValue(t, s, "empty", "")
+	checkValue(t, s, "short", "39")
 	for _, bad := range []*store.Batch{put(strings.Repeat("k", store.MaxKey+1), "")} {
 		if err := s.Commit(bad, store.Durable); err == nil {
 			t.Error("a key that is too long was taken")
 		}
 	}
-	want(t, s, "short", "39")
+	checkValue(t, s, "short", "39")
 }
 
 func TestOneWriterAtATime(t *testing.T) {
@@ -248,7 +248,7 @@
 	}
 	for range 2 {
 		r := open(t, dir, store.Options{ReadOnly: true})
-		want(t, r, "k", "v")
+		checkValue(t, r, "k", "v")
 		if err := r.Commit(put("k", "w"), store.Durable); !errors.Is(err, store.ErrReadOnly) {
 			t.Errorf("a commit: %v", err)
 		}
@@ -263,10 +263,10 @@
 	if err := open(t, "", store.Options{FS: f}).Commit(put("k", "v"), store.Durable); err != nil {
 		t.Fatal(err)
 	}
-	whole := f.Copy()
+	original := f.Copy()
 	for reason, change := range map[string]func(c *faultfs.FS){
 		"format 2": func(c *faultfs.FS) {
-			c.Replace("MANIFEST", store.AsVersion(c.Read("MANIFEST"), 2))
+			c.Replace("MANIFEST", store.WithFormatVersion(c.Read("MANIFEST"), 2))
 		},
 		"kind": func(c *faultfs.FS) {
 			c.Replace("MANIFEST", []byte(strings.Repeat("another program's", 9)))
@@ -274,7 +274,7 @@
 		"missing":           func(c *faultfs.FS) { c.Remove("MANIFEST") },
 		"manifest names it": func(c *faultfs.FS) { c.Remove("0000000000000001.log") },
 	} {
-		c := whole.Copy()
+		c := original.Copy()
 		change(c)
 		before := c.Names()
 		if _, err := store.Open("",
@@ -305,7 +305,7 @@
 		if err := s.Commit(put("k", "lost"), store.Durable); !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("disk full: %v", err)
 		}
-		want(t, s, "k", "before")
+		checkValue(t, s, "k", "before")
 		f.Fail = nil
 		got, err := storetest.Read(open(t, "", storetest.Small(f.Copy())))
 		if err != nil || got["k"] != "before" {
@@ -346,7 +346,7 @@
 	if err := s.Commit(put("k", "after"), store.Buffered); !errors.Is(err, store.ErrReadOnly) {
 		t.Errorf("after a failed sync: %v", err)
 	}
-	want(t, s, "k", "before")
+	checkValue(t, s, "k", "before")
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
@@ -401,10 +401,10 @@
 		if st.BackgroundError != nil {
 			t.Fatal(st.BackgroundError)
 		}
-		if most := 2*(st.LiveBytes+24*int64(st.Keys)) + 3*o.SegmentBytes; st.LogBytes > most {
+		if limit := 2*(st.LiveBytes+24*int64(st.Keys)) + 3*o.SegmentBytes; st.LogBytes > limit {
 			t.Fatalf("after %d: log of %d bytes for %d live ones", i, st.LogBytes, st.LiveBytes)
 		}
-		if most := 4*int(st.Keys) + 2*o.MaxOverlayKeys; st.Entries > most || st.Runs > 8 {
+		if limit := 4*int(st.Keys) + 2*o.MaxOverlayKeys; st.Entries > limit || st.Runs > 8 {
 			t.Fatalf("after %d: %d entries in %d runs for %d keys", i, st.Entries, st.Runs, st.Keys)
 		}
 	}
@@ -423,13 +423,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	truth := storetest.Content{}
+	expected := storetest.Content{}
 	for i := range 600 {
 		key, value := fmt.Sprintf("key%03d", i*31%400), fmt.Sprint("value", i)
 		if err := s.Commit(put(key, value), store.Buffered); err != nil {
 			t.Fatal(err)
 		}
-		truth[key] = value
+		expected[key] = value
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -469,11 +469,11 @@
 			t.Errorf("%d keys of %d, %v", len(got), rep.RecoveredKeys, err)
 		}
 		for key, value := range got {
-			if truth[key] != value {
-				t.Errorf("%s: %q came back, %q was last", key, value, truth[key])
+			if expected[key] != value {
+				t.Errorf("%s: %q came back, %q was last", key, value, expected[key])
 			}
 		}
-		truth = got
+		expected = got
 		if err := s.Compact(t.Context()); err != nil { // so that there is an index again
 			t.Fatal(err)
 		}
@@ -485,13 +485,13 @@
 	if _, err := store.Repair(dir, false); err == nil {
 		t.Error("repaired without a manifest, unasked")
 	}
-	if rep, err := store.Repair(dir, true); err != nil || rep.RecoveredKeys != len(truth) {
-		t.Errorf("from the logs: %+v, %v; %d keys expected", rep, err, len(truth))
+	if rep, err := store.Repair(dir, true); err != nil || rep.RecoveredKeys != len(expected) {
+		t.Errorf("from the logs: %+v, %v; %d keys expected", rep, err, len(expected))
 	}
 }
 
 func TestFilterFalsePositiveRate(t *testing.T) {
-	if rate := store.FalseRate(20_000); rate > 0.02 {
+	if rate := store.FalsePositiveRate(20_000); rate > 0.02 {
 		t.Errorf("%.4f of the absent keys taken for present", rate)
 	}
 }
@@ -509,8 +509,8 @@
 	if err := open(t, "", store.Options{FS: f}).Sync(); err != nil {
 		t.Fatal(err)
 	}
-	left := f.After(len(f.Ops()), func(int) int { return faultfs.Lost })
-	want(t, open(t, "", store.Options{FS: left}), "k", "v")
+	crashed := f.After(len(f.Ops()), func(int) int { return faultfs.Lost })
+	checkValue(t, open(t, "", store.Options{FS: crashed}), "k", "v")
 }
 
 // TestSyncIsDurable checks that data promised by Sync is told from a torn tail like that of a
