--- a/internal/storage/store/batch.go
+++ b/internal/storage/store/batch.go
@@ -1,18 +1,18 @@
 package store
 
-// Batch is a set of changes that are committed atomically, in their order. The zero value is empty
-// and ready for use. The caller may reuse a batch once Commit has returned.
+// Batch is a sequence of changes that are committed atomically and applied in order. The zero value
+// is empty and ready for use. The caller may reuse a batch once Commit has returned.
 type Batch struct {
 	body  []byte
 	count uint32
 	err   error
 }
 
-// Put sets a key to a value. Both are copied. If one of them or the batch is too long, Commit
-// returns a TooLargeError.
+// Put sets a key to a value. Both are copied. If the key, the value or the batch becomes too large,
+// Commit returns a TooLargeError.
 func (b *Batch) Put(key, value []byte) { b.add(opPut, key, value) }
 
-// Delete removes a key. A key that does not exist is no error.
+// Delete removes a key. Removing a key that does not exist is not an error.
 func (b *Batch) Delete(key []byte) { b.add(opDelete, key, nil) }
 
 func (b *Batch) add(op byte, key, value []byte) {
@@ -34,10 +34,10 @@
 // Len returns the number of changes.
 func (b *Batch) Len() int { return int(b.count) }
 
-// Bytes returns the size of the changes in the log.
+// Bytes returns the number of bytes that the changes take in the log.
 func (b *Batch) Bytes() int { return len(b.body) }
 
-// Reset empties the batch and keeps its memory.
+// Reset empties the batch and keeps its memory for reuse.
 func (b *Batch) Reset() { b.body, b.count, b.err = b.body[:0], 0, nil }
 
 // each calls do for each change with its offset and size in the body.
--- a/internal/storage/store/commit.go
+++ b/internal/storage/store/commit.go
@@ -6,31 +6,31 @@
 	"runtime"
 )
 
-// Durability is what a commit waits for.
+// Durability states what a commit waits for before it returns.
 type Durability bool
 
 const (
-	// Buffered waits until the operating system has the data, which survives the end of the
+	// Buffered waits until the operating system has the data, which then survives a crash of the
 	// process.
 	Buffered Durability = false
-	// Durable waits until the disk has the data, which survives a power failure.
+	// Durable waits until the data is synced to disk, where it survives a power failure.
 	Durable Durability = true
 )
 
-// commit is a batch that is being committed, or a goroutine that waits to become the writer for
-// other work (batch nil).
+// commit is a batch that is being committed. If batch is nil, it stands for a goroutine that waits
+// to become the writer for other work.
 type commit struct {
 	batch   *Batch
 	durable bool
 	err     error
-	// done receives true when the batch is committed or failed, and false when its goroutine
+	// done receives true when the batch was committed or has failed, and false when its goroutine
 	// becomes the writer.
 	done chan bool
 }
 
 // Commit commits a batch. Concurrent commits share one write and one sync (group commit). After an
-// error the batch is not visible to this process. The error wraps ErrClosed or ErrReadOnly, or is a
-// TooLargeError.
+// error the batch is not visible to this process. The error wraps ErrClosed or ErrReadOnly, is a
+// TooLargeError, or reports a failed read or write.
 func (s *Store) Commit(b *Batch, d Durability) error {
 	if b.err != nil {
 		return b.err
@@ -60,10 +60,11 @@
 	return c.err
 }
 
-// Sync syncs everything committed so far.
+// Sync makes all batches committed so far durable.
 func (s *Store) Sync() error { return s.Commit(&Batch{}, Durable) }
 
-// enqueue waits until a commit is done (true), or until its goroutine becomes the writer (false).
+// enqueue waits until another goroutine has processed the commit and returns true, or until this
+// goroutine becomes the writer and returns false.
 func (s *Store) enqueue(c *commit) bool {
 	s.mu.Lock()
 	if !s.writing {
@@ -81,7 +82,7 @@
 	s.enqueue(&commit{done: make(chan bool, 1)})
 }
 
-// handOverWriter makes the next in the queue the writer.
+// handOverWriter makes the next goroutine in the queue the writer.
 func (s *Store) handOverWriter() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,9 +95,10 @@
 	next.done <- false
 }
 
-// waitForFollowers lets goroutines whose commits have just returned enqueue their next ones.
-// Otherwise they and those that waited meanwhile would alternate, with one sync for each half. It
-// yields as long as the queue grows, and not at all after a group of one.
+// waitForFollowers lets goroutines whose commits have just returned enqueue their next commits.
+// Otherwise these goroutines and the ones that were waiting would form two groups that alternate,
+// each with its own sync. It yields as long as the queue grows, and not at all after a group of
+// one.
 func (s *Store) waitForFollowers() {
 	for before := -1; s.lastGroupSize > 1; {
 		s.mu.Lock()
@@ -110,11 +112,11 @@
 	}
 }
 
-// maxGroupBytes is the maximum size of batches that share a write, not counting the first.
+// maxGroupBytes is the maximum total size of the batches in a group. The first batch may exceed it.
 const maxGroupBytes = 4 << 20
 
-// takeGroup returns the batches that are written together: the writer's, and those that follow in
-// the queue up to the first other work.
+// takeGroup returns the commits that share a write: the writer's own, and those at the front of the
+// queue up to maxGroupBytes or the first entry without a batch.
 func (s *Store) takeGroup(c *commit) []*commit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +146,7 @@
 	}
 }
 
-// writable returns why nothing can be committed, nil if commits are possible.
+// writable returns nil if commits are possible, and otherwise the reason why they are not.
 func (s *Store) writable() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +159,8 @@
 	return nil
 }
 
-// failPermanently makes the store read-only because of an error and returns it.
+// failPermanently makes the store read-only because of err. It returns err wrapped with
+// ErrReadOnly.
 func (s *Store) failPermanently(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +170,8 @@
 	return fmt.Errorf("%w: %w", ErrReadOnly, err)
 }
 
-// appendGroup writes a group to the log and applies it.
+// appendGroup writes a group of batches to the log, syncs it if a commit is durable, and applies
+// it.
 func (s *Store) appendGroup(group []*commit) error {
 	change := s.newChange()
 	buf := s.buf[:0]
@@ -194,7 +198,7 @@
 	}
 	if len(buf) > 0 {
 		if _, err := s.active.f.WriteAt(buf, s.end); err != nil {
-			// A part of the group may be in the file, where recovery must not find it.
+			// A part of the group may have been written. Recovery must not find it.
 			if undo := s.active.f.Truncate(s.end); undo != nil {
 				return s.failPermanently(errors.Join(err, undo))
 			}
@@ -212,12 +216,12 @@
 	s.stats.WrittenBytes += int64(len(buf))
 	change.apply(seq)
 	if synced {
-		s.markErr = s.writeMark() // no data is lost: the old mark stays valid
+		s.markErr = s.writeMark() // not fatal: the previous mark stays valid
 	}
 	return nil
 }
 
-// sync syncs the log and writes the sync mark.
+// sync syncs the log and writes the sync mark, unless the log is already synced.
 func (s *Store) sync() error {
 	if s.synced == s.end {
 		return nil
@@ -228,7 +232,7 @@
 	return s.writeMark()
 }
 
-// syncTo syncs the active segment up to an offset that was written.
+// syncTo syncs the active segment, which is written up to end.
 func (s *Store) syncTo(end int64) error {
 	if err := s.active.f.Sync(); err != nil {
 		return s.failPermanently(err)
@@ -238,14 +242,15 @@
 	return nil
 }
 
-// change is the effect of a group of batches on the memory state. Nothing is changed before apply.
+// change is the effect of a group of batches on the in-memory state. The store does not change
+// until apply is called.
 type change struct {
 	store       *Store
 	overlay     *node
 	epoch       uint32
 	overlayKeys int
 	keysDelta   int64
-	// liveDelta is the change of live bytes by segment.
+	// liveDelta is the change in live bytes per segment id.
 	liveDelta map[uint64]int64
 }
 
@@ -260,7 +265,7 @@
 	}
 }
 
-// add adds one operation whose record is at a location.
+// add adds the operation on a key whose record is at a location.
 func (c *change) add(op byte, key []byte, at location) error {
 	to := at
 	if op == opDelete {
@@ -287,7 +292,7 @@
 	return nil
 }
 
-// apply makes the change visible to readers, as the state after a batch.
+// apply makes the change visible to readers. seq is the sequence number of its last batch.
 func (c *change) apply(seq uint64) {
 	for id, n := range c.liveDelta {
 		if g := c.store.files.segment(id); g != nil {
--- a/internal/storage/store/compact.go
+++ b/internal/storage/store/compact.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// mergeJob merges several runs of adjacent age into one.
+// mergeJob merges several runs that are adjacent in age into one.
 type mergeJob struct {
 	runs   []*run
 	input  *mergeIterator
 	output *runWriter
-	// bottom is set if no run is older, so that deletions need no entries.
+	// bottom is set if no other run is older. Then deletions need no entries in the merged run.
 	bottom bool
 }
 
@@ -22,17 +22,17 @@
 	source *segment
 	// batchAt is the offset of the next batch.
 	batchAt int64
-	// recordAt is the offset of the next record within that batch; 0 before its header was read.
+	// recordAt is the file offset of the next record in that batch, 0 until its header is read.
 	recordAt int64
-	// batchEnd is where that batch ends.
+	// batchEnd is the offset of the end of that batch.
 	batchEnd int64
 }
 
-// entryCost is the cost of an entry in the byte budget of a compaction step.
+// entryCost is the number of bytes that an entry is charged to the budget of a compaction step.
 const entryCost = 32
 
-// compactInBackground runs one compaction step as part of a commit. Errors do not affect what was
-// committed. They are reported by Stats and Compact.
+// compactInBackground runs one compaction step as part of a commit. An error does not affect the
+// committed data. Stats reports it, and Compact if it recurs there.
 func (s *Store) compactInBackground(budget int) { s.backgroundErr = s.compactWithin(budget) }
 
 // compactWithin runs one step of sealing, merging and copying within a budget of bytes.
@@ -70,8 +70,9 @@
 	return nil
 }
 
-// Compact runs all compaction that is due, which otherwise happens in steps along with commits, and
-// reclaims the space of all dead records. Commits wait for one step at most.
+// Compact runs all compaction that is due, which commits otherwise do in steps. It also rewrites
+// the sealed segments with dead records, except those that consist of at least 90% live records.
+// Commits wait for at most one step.
 func (s *Store) Compact(ctx context.Context) error {
 	for before := uint64(0); ; {
 		s.becomeWriter()
@@ -86,8 +87,8 @@
 	}
 }
 
-// compactStep runs one step of Compact, which empties the segments that existed when it began:
-// those before the id in before.
+// compactStep runs one step of Compact and reports whether more steps are due. Compact empties only
+// the segments that existed when it began: those with ids below *before, which the first step sets.
 func (s *Store) compactStep(before *uint64) (more bool, err error) {
 	if err := s.writable(); err != nil {
 		return false, err
@@ -111,7 +112,7 @@
 	return s.merging != nil || s.copying != nil, nil
 }
 
-// seal ends the active segment: its keys are written to a run, and a new segment begins.
+// seal ends the active segment: it writes the overlay to a run and starts a new segment.
 func (s *Store) seal() error {
 	if err := s.sync(); err != nil {
 		return err
@@ -150,7 +151,7 @@
 	return s.writeMark()
 }
 
-// writeRun writes all entries of an iterator to a run.
+// writeRun writes all entries of an iterator to a run, without deletions if bottom is set.
 func (s *Store) writeRun(w *runWriter, from iterator, bottom bool) (*run, error) {
 	for {
 		key, at, ok, err := from.next()
@@ -169,12 +170,12 @@
 	}
 }
 
-// planMerge starts a merge if the newer runs have grown to half the size of an older one. So there
-// are few runs, and at most half of all entries are hidden by newer ones.
+// planMerge starts a merge if the newer runs together have reached half the size of an older one.
+// This keeps the number of runs small, and at most half of all entries are shadowed by newer ones.
 func (s *Store) planMerge() {
 	runs := s.files.runs
-	newer := 0 // entries of the runs before one
-	n := 0     // runs to merge
+	newer := 0 // number of entries in the runs before runs[i]
+	n := 0     // number of runs to merge
 	for i, r := range runs {
 		if i > 0 && 2*newer >= r.entries {
 			n = i + 1
@@ -201,7 +202,7 @@
 	s.merging = j
 }
 
-// continueMerge continues a merge within a budget.
+// continueMerge continues the merge within a budget of bytes.
 func (s *Store) continueMerge(budget int) error {
 	j := s.merging
 	for ; budget > 0; budget -= entryCost {
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// finishMerge replaces the merged runs by the new one.
+// finishMerge replaces the merged runs by the new run.
 func (s *Store) finishMerge(j *mergeJob) error {
 	r, err := j.output.finish()
 	if err != nil {
@@ -232,7 +233,7 @@
 	if err := s.fs.Sync(); err != nil {
 		return s.failPermanently(err)
 	}
-	at := slices.Index(s.files.runs, j.runs[0]) // sealing may have put newer ones before them
+	at := slices.Index(s.files.runs, j.runs[0]) // sealing may have added newer runs before these
 	runs := slices.Clone(s.files.runs[:at])
 	if r.entries > 0 {
 		runs = append(runs, r)
@@ -264,22 +265,23 @@
 	return nil
 }
 
-// abandonMerge gives up an unfinished merge.
+// abandonMerge cancels an unfinished merge.
 func (s *Store) abandonMerge() {
 	if j := s.merging; j != nil {
 		s.merging = nil
-		_ = s.discard(j.output) // else the next Open does
+		_ = s.discard(j.output) // if this fails, the next Open removes the file
 	}
 }
 
-// discard removes a run that is unfinished or not needed.
+// discard closes and removes a run that is unfinished or not needed.
 func (s *Store) discard(w *runWriter) error {
 	return errors.Join(w.f.Close(), s.fs.Remove(w.name))
 }
 
-// planSegmentCopy picks a segment to remove: one without live records at once; otherwise the one
-// with the smallest live fraction, once half of the log is dead, or if before is not 0, if it is
-// older than that segment and has dead records.
+// planSegmentCopy removes a sealed segment without live records, if there is one. Otherwise it may
+// start to copy the segment with the smallest live fraction. If before is 0, it does so once more
+// than half of the sealed log is dead. If not, it considers only segments with ids below before,
+// and copies the segment if less than 90% of it are live records.
 func (s *Store) planSegmentCopy(before uint64) error {
 	var worst *segment
 	var live, length int64
@@ -305,16 +307,17 @@
 	case before == 0 && 2*live >= length:
 		return nil
 	case before != 0 && worst.live*10 >= (worst.length-fileHeaderBytes)*9:
-		return nil // mostly headers of batches would be reclaimed
+		return nil // the copy would reclaim mostly batch headers
 	}
 	s.copying = &copyJob{source: worst, batchAt: fileHeaderBytes}
 	return nil
 }
 
-// errBudgetExhausted ends a compaction step between two records.
-var errBudgetExhausted = errors.New("store: the step's budget is spent")
+// errBudgetExhausted stops the iteration over records when the budget of a step is used up.
+var errBudgetExhausted = errors.New("store: compaction budget exhausted")
 
-// continueSegmentCopy continues to empty a segment within a budget.
+// continueSegmentCopy continues to copy the live records of a segment within a budget of bytes.
+// After the last record it removes the segment.
 func (s *Store) continueSegmentCopy(budget int) error {
 	j := s.copying
 	var b Batch
@@ -333,13 +336,13 @@
 	s.copying = nil
 	if j.source.live != 0 {
 		return &DamageError{
-			j.source.name, 0, fmt.Sprintf("%d bytes are live that no record holds", j.source.live),
+			j.source.name, 0, fmt.Sprintf("%d live bytes belong to no record", j.source.live),
 		}
 	}
 	return s.removeSegment(j.source)
 }
 
-// collectLive adds the live records of a segment to a batch until the budget is spent.
+// collectLive adds the live records of a segment to a batch until the budget is exhausted.
 func (s *Store) collectLive(j *copyJob, b *Batch, budget int) error {
 	collect := func(r record, key []byte, at int64) error {
 		if budget <= 0 {
@@ -388,7 +391,7 @@
 
 // removeSegment removes a segment without live records from the store.
 func (s *Store) removeSegment(g *segment) error {
-	if err := s.sync(); err != nil { // the newer records of its keys
+	if err := s.sync(); err != nil { // makes the newer records of its keys durable
 		return err
 	}
 	rest := slices.DeleteFunc(slices.Clone(s.files.segments), func(other *segment) bool {
--- a/internal/storage/store/fileset.go
+++ b/internal/storage/store/fileset.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// fileSet is the files that hold the store's content at one time. Only its reference count changes.
+// fileSet is the set of files that hold the store's content at one time. It is immutable except for
+// its reference count.
 type fileSet struct {
-	segments []*segment // by id, the active one last
+	segments []*segment // ascending by id, the active one last
 	runs     []*run     // newest first
 	refs     int        // guarded by Store.mu
 }
 
-// segment returns the segment with an id, or nil.
+// segment returns the segment with an id, or nil if the set does not contain it.
 func (set *fileSet) segment(id uint64) *segment {
 	byID := func(g *segment, id uint64) int { return int(g.id) - int(id) }
 	i, ok := slices.BinarySearchFunc(set.segments, id, byID)
@@ -22,12 +23,13 @@
 	return set.segments[i]
 }
 
-// load returns the value of the record at a location, which must belong to the key.
+// load returns the value of the record at a location. It returns a DamageError if the record does
+// not hold a value of the key.
 func (set *fileSet) load(key []byte, at location) ([]byte, error) {
 	g := set.segment(at.segment)
 	if g == nil {
 		return nil, &DamageError{
-			segmentName(at.segment), at.offset, "the index names a segment that is not there",
+			segmentName(at.segment), at.offset, "the index refers to a segment that does not exist",
 		}
 	}
 	b, r, err := g.read(at)
@@ -35,12 +37,12 @@
 		return nil, err
 	}
 	if r.op != opPut || !bytes.Equal(b[recordHeaderBytes:recordHeaderBytes+int(r.keyBytes)], key) {
-		return nil, &DamageError{g.name, at.offset, "another key's record"}
+		return nil, &DamageError{g.name, at.offset, "record holds no value of the key"}
 	}
 	return b[recordHeaderBytes+int(r.keyBytes):], nil
 }
 
-// releaseFiles drops one reference to a set and closes the files that no set refers to any more.
+// releaseFiles drops one reference to a set and closes the files that are no longer in any set.
 // The caller holds mu.
 func (s *Store) releaseFiles(set *fileSet) {
 	if set.refs--; set.refs > 0 {
@@ -54,10 +56,10 @@
 	}
 }
 
-// release drops one reference to the file and closes it with the last one.
+// release drops one reference to the file and closes the file if it was the last one.
 func (f *file) release() {
 	if f.refs--; f.refs == 0 {
-		_ = f.f.Close() // the file was only read since it was synced
+		_ = f.f.Close() // errors do not matter: the file was only read since its last sync
 	}
 }
 
--- a/internal/storage/store/filter.go
+++ b/internal/storage/store/filter.go
@@ -1,17 +1,17 @@
 package store
 
-// filter is a Bloom filter of the keys of a run, with 10 bits and 7 probes a key. Its rate of false
-// positives is about 0.8%.
+// filter is a Bloom filter of the keys of a run, with 10 bits and 7 probes per key. Its rate of
+// false positives is about 0.8%.
 type filter []byte
 
 const (
-	filterBits   = 10
+	filterBits   = 10 // per key
 	filterProbes = 7
 )
 
 func newFilter(keys int) filter { return make(filter, (keys*filterBits+7)/8+1) }
 
-// hash is FNV-1a with a finisher. It is part of the file format.
+// hash is 64-bit FNV-1a with a finalizer. It is part of the file format.
 func hash(key []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, c := range key {
@@ -21,7 +21,7 @@
 	return h ^ h>>29
 }
 
-// bit returns the index of a probe's bit.
+// bit returns the index of the bit for a probe of a key with hash h.
 func (f filter) bit(h uint64, probe int) uint64 {
 	return (h>>32 + uint64(probe)*(h&0xffffffff|1)) % (uint64(len(f)) * 8)
 }
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -9,13 +9,11 @@
 	"io"
 )
 
-// The format, byte by byte, is docs/store-format.md's. All numbers are little-endian.
-
 // Sizes are in bytes. docs/store-format.md describes the format. All numbers are little-endian.
 const (
 	formatVersion = 1
 
-	fileHeaderBytes   = 32 // of every file
+	fileHeaderBytes   = 32 // at the start of every file
 	batchHeaderBytes  = 24
 	recordHeaderBytes = 13
 	blockHeaderBytes  = 8 // length and checksum before a block
@@ -44,14 +42,14 @@
 )
 
 var (
-	// ErrLocked is returned if another process, or another Store of this one, has the directory
-	// open.
+	// ErrLocked is returned if another process, or another Store in this process, has the
+	// directory open.
 	ErrLocked = errors.New("store: in use")
 	// ErrClosed is returned after Close.
 	ErrClosed = errors.New("store: closed")
 	// ErrNotFound is returned for a key that does not exist.
 	ErrNotFound = errors.New("store: no such key")
-	// ErrReadOnly is returned if the store takes no commits. The cause is wrapped beside it.
+	// ErrReadOnly is returned if the store accepts no commits. The error also wraps the cause.
 	ErrReadOnly = errors.New("store: read-only")
 )
 
@@ -65,10 +63,11 @@
 
 // Error returns the size and the limit.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("store: a %s of %d bytes, %d at most", e.What, e.Size, e.Limit)
+	return fmt.Sprintf("store: %s of %d bytes exceeds the limit of %d", e.What, e.Size, e.Limit)
 }
 
-// DamageError reports data that can't be read as it was written.
+// DamageError reports data that is missing, can't be read or differs from what was written. Offset
+// is in bytes.
 type DamageError struct {
 	File   string
 	Offset int64
@@ -82,7 +81,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// updateChecksum adds data to a checksum.
+// updateChecksum returns a CRC-32C checksum extended by part.
 func updateChecksum(crc uint32, part []byte) uint32 { return crc32.Update(crc, castagnoli, part) }
 
 func checksum(parts ...[]byte) (crc uint32) {
@@ -97,7 +96,7 @@
 func segmentName(id uint64) string { return fmt.Sprintf("%016x.log", id) }
 func runName(id uint64) string     { return fmt.Sprintf("%016x.idx", id) }
 
-// isStoreFile reports whether a file of that name may have been created by a store.
+// isStoreFile reports whether name is one that a store gives to its files.
 func isStoreFile(name string) bool {
 	var id uint64
 	var ext string
@@ -116,17 +115,18 @@
 	return littleEndian.AppendUint32(b, checksum(b))
 }
 
-// readHeader reads the header of a file and returns the id of its store. Store 0 accepts any store.
+// readHeader reads and checks the header of a file and returns the id of its store. If store is 0,
+// any store id is accepted.
 func readHeader(f File, name string, kind byte, store, file uint64) (uint64, error) {
 	b := make([]byte, fileHeaderBytes)
 	if _, err := f.ReadAt(b, 0); err != nil {
-		return 0, readError(err, name, 0, "ends within its head")
+		return 0, readError(err, name, 0, "ends within the file header")
 	}
 	switch {
 	case string(b[:7]) != "mcstore" || b[7] != kind:
-		return 0, &DamageError{name, 0, "no file of this kind"}
+		return 0, &DamageError{name, 0, "not a file of the expected kind"}
 	case littleEndian.Uint32(b[28:]) != checksum(b[:28]):
-		return 0, &DamageError{name, 0, "head's checksum differs"}
+		return 0, &DamageError{name, 0, "file header checksum mismatch"}
 	case littleEndian.Uint32(b[8:]) != formatVersion:
 		return 0, &DamageError{
 			name,
@@ -135,14 +135,14 @@
 				littleEndian.Uint32(b[8:]), formatVersion),
 		}
 	case store != 0 && littleEndian.Uint64(b[12:]) != store:
-		return 0, &DamageError{name, 12, "a file of another store"}
+		return 0, &DamageError{name, 12, "the file belongs to another store"}
 	case littleEndian.Uint64(b[20:]) != file:
-		return 0, &DamageError{name, 20, fmt.Sprintf("holds file %x", littleEndian.Uint64(b[20:]))}
+		return 0, &DamageError{name, 20, fmt.Sprintf("has file id %x", littleEndian.Uint64(b[20:]))}
 	}
 	return littleEndian.Uint64(b[12:]), nil
 }
 
-// readError turns the end of a file into a DamageError, and wraps any other error.
+// readError converts an end-of-file error into a DamageError and wraps any other error.
 func readError(err error, name string, at int64, reason string) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return &DamageError{name, at, reason}
@@ -150,25 +150,25 @@
 	return fmt.Errorf("store: %s: offset %d: %w", name, at, err)
 }
 
-// appendBlock appends a block with its length and checksum.
+// appendBlock appends a block, preceded by its length and checksum.
 func appendBlock(dst, block []byte) []byte {
 	dst = littleEndian.AppendUint32(dst, uint32(len(block)))
 	dst = littleEndian.AppendUint32(dst, checksum(dst[len(dst)-4:], block))
 	return append(dst, block...)
 }
 
-// readBlock reads a block that must end by limit.
+// readBlock reads the block at an offset. The block must not extend beyond limit.
 func readBlock(f io.ReaderAt, name string, at, limit int64) ([]byte, error) {
 	var pre [blockHeaderBytes]byte
 	if at+blockHeaderBytes > limit {
-		return nil, &DamageError{name, at, "no room for a block"}
+		return nil, &DamageError{name, at, "no space for a block header"}
 	}
 	if _, err := f.ReadAt(pre[:], at); err != nil {
-		return nil, readError(err, name, at, "ends before a block")
+		return nil, readError(err, name, at, "ends within a block header")
 	}
 	n := int64(littleEndian.Uint32(pre[:]))
 	if at+blockHeaderBytes+n > limit {
-		return nil, &DamageError{name, at, "block's length is beyond its place"}
+		return nil, &DamageError{name, at, "block length exceeds the available space"}
 	}
 	b := make([]byte, blockHeaderBytes+n)
 	if _, err := f.ReadAt(b, at); err != nil {
@@ -177,21 +177,21 @@
 	return verifyBlock(name, at, b)
 }
 
-// verifyBlock checks a block that was read completely and returns its content.
+// verifyBlock checks the length and checksum of a complete block and returns its content.
 func verifyBlock(name string, at int64, b []byte) ([]byte, error) {
 	content := b[blockHeaderBytes:]
 	if littleEndian.Uint32(b) != uint32(len(content)) ||
 		checksum(b[:4], content) != littleEndian.Uint32(b[4:]) {
-		return nil, &DamageError{name, at, "block's checksum differs"}
+		return nil, &DamageError{name, at, "block checksum mismatch"}
 	}
 	return content, nil
 }
 
-// location is where the record of a key is.
+// location is the position of a key's record in the log.
 type location struct {
 	segment uint64
 	offset  int64
-	// size is 0 if the key is deleted.
+	// size is the record's length in bytes, 0 if the key is deleted.
 	size uint32
 }
 
@@ -212,7 +212,7 @@
 type record struct {
 	checksum uint32
 	op       byte
-	// keyBytes and valueBytes are lengths.
+	// keyBytes and valueBytes are the lengths of key and value.
 	keyBytes, valueBytes uint32
 }
 
@@ -226,8 +226,8 @@
 // size returns the length of the complete record.
 func (r record) size() int64 { return recordHeaderBytes + int64(r.keyBytes) + int64(r.valueBytes) }
 
-// batchHeader returns the header of a batch. Its checksum covers the segment, so that a batch of
-// another segment is not accepted.
+// batchHeader returns the header of a batch. Its checksum covers the segment's id, so that a batch
+// from another segment is rejected.
 func batchHeader(segment, seq uint64, count uint32, body []byte) []byte {
 	b := make([]byte, 0, batchHeaderBytes)
 	b = littleEndian.AppendUint32(b, uint32(len(body)))
@@ -241,25 +241,25 @@
 	return checksum(littleEndian.AppendUint64(nil, segment), b[:20])
 }
 
-// manifest names the files in use.
+// manifest lists the files in use.
 type manifest struct {
 	store uint64
-	// nextFileID is the id of the next file that is created.
+	// nextFileID is the id for the next file to be created.
 	nextFileID uint64
-	// active is the segment that is appended to.
+	// active is the id of the segment that batches are appended to.
 	active uint64
-	// seq is the number of the active segment's first batch.
+	// seq is the sequence number of the active segment's first batch.
 	seq uint64
 	// keys is the number of live keys before that batch.
 	keys     uint64
 	segments []sealedSegment
-	// runs has the newest first.
+	// runs is ordered from the newest to the oldest.
 	runs []sealedRun
 }
 
 type sealedSegment struct {
 	id uint64
-	// length and live are in bytes. live is as it was before the active segment's first batch.
+	// length and live are in bytes. live is the value before the active segment's first batch.
 	length, live int64
 }
 
@@ -299,7 +299,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bad := &DamageError{manifestName, fileHeaderBytes, "lists do not fill it"}
+	bad := &DamageError{manifestName, fileHeaderBytes, "file lists do not match the length"}
 	if size != fileHeaderBytes+blockHeaderBytes+int64(len(b)) || len(b) < 48 {
 		return nil, bad
 	}
@@ -329,15 +329,16 @@
 	return m, nil
 }
 
-// syncMark records how far the log was synced.
+// syncMark records up to where the log was synced.
 type syncMark struct {
 	segment uint64
 	end     int64
-	// seq is the number of the last batch before end.
+	// seq is the sequence number of the last batch before end.
 	seq uint64
 }
 
-// The mark's file holds two slots that are written alternately, each in a sector of its own.
+// The mark's file has two slots in separate sectors, which are written alternately. If a write is
+// torn, the other slot remains valid.
 const (
 	markSlotBytes = 512
 	markBytes     = 28
@@ -350,7 +351,7 @@
 	return littleEndian.AppendUint32(b, checksum(littleEndian.AppendUint64(nil, store), b))
 }
 
-// readMark returns the later readable slot. ok is false if there is none.
+// readMark returns the later of the valid slots. ok is false if neither slot is valid.
 func readMark(f File, store uint64) (m syncMark, ok bool) {
 	if _, err := readHeader(f, markName, kindMark, store, 0); err != nil {
 		return m, false
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/fs.go
@@ -9,26 +9,27 @@
 	"syscall"
 )
 
-// FS is the directory of a store, with the operations that the store needs. DirFS returns one of
-// the operating system.
+// FS gives access to the directory of a store. DirFS returns an FS for a directory of the operating
+// system.
 type FS interface {
-	// Create opens a file for reading and writing and truncates an old one.
+	// Create opens a file for reading and writing. It truncates an existing file.
 	Create(name string) (File, error)
-	// Open returns fs.ErrNotExist if there is no such file.
+	// Open opens an existing file. It returns fs.ErrNotExist if there is no such file.
 	Open(name string, write bool) (File, error)
-	// Rename replaces an existing file.
+	// Rename renames a file and replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove deletes a file. Open files stay readable.
 	Remove(name string) error
 	// List returns the names of all files.
 	List() ([]string, error)
-	// Sync syncs the directory: files created, renamed and removed.
+	// Sync makes the creation, renaming and removal of files durable.
 	Sync() error
-	// Lock returns ErrLocked if another process holds the lock.
+	// Lock locks the directory. It returns ErrLocked if the lock is held elsewhere, unless both
+	// locks are shared.
 	Lock(shared bool) (unlock func() error, err error)
 }
 
-// File is one open file.
+// File is an open file of an FS.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -40,8 +41,8 @@
 
 type dirFS struct{ dir string }
 
-// DirFS returns the directory at a path. If create is set, a missing directory is created and its
-// name synced. Its parent must exist.
+// DirFS returns an FS for the directory at a path. If create is set, a missing directory is created
+// and its parent, which must exist, is synced.
 func DirFS(dir string, create bool) (FS, error) {
 	if create {
 		if err := os.Mkdir(dir, 0o700); err == nil {
@@ -54,7 +55,7 @@
 	}
 	info, err := os.Stat(dir)
 	if err == nil && !info.IsDir() {
-		err = fmt.Errorf("%s is no folder", dir)
+		err = fmt.Errorf("%s is not a directory", dir)
 	}
 	return dirFS{dir}, err
 }
--- a/internal/storage/store/manifest.go
+++ b/internal/storage/store/manifest.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// writeManifest replaces the manifest by one with another set of files. After an error it is
-// unknown which of the two would survive a crash.
+// writeManifest atomically replaces the manifest by one for another set of files. After an error it
+// is unknown whether the old or the new manifest would survive a crash.
 func (s *Store) writeManifest(set *fileSet, active, seq, keys uint64) error {
 	m := &manifest{store: s.id, nextFileID: s.nextFileID, active: active, seq: seq, keys: keys}
 	for _, g := range set.segments {
@@ -33,7 +33,7 @@
 	return s.fs.Sync()
 }
 
-// createMarkFile creates the mark's file, as an existing one may be damaged.
+// createMarkFile creates the file of the sync mark anew, because an existing one may be damaged.
 func (s *Store) createMarkFile() error {
 	f, err := s.fs.Create(markName)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return s.writeMark()
 }
 
-// writeMark records how far the log is synced. The mark itself is not synced: after a power failure
-// an older one is valid too.
+// writeMark records up to where the log is synced. The mark itself is not synced: an older mark,
+// which may be all that is left after a power failure, is valid too.
 func (s *Store) writeMark() error {
 	s.markSlot = 3 - max(s.markSlot, 1)
 	m := syncMark{s.active.id, s.synced, s.seq}
--- a/internal/storage/store/overlay.go
+++ b/internal/storage/store/overlay.go
@@ -3,19 +3,19 @@
 import "hash/maphash"
 
 // node is a node of a persistent treap that holds the keys written since the last sealing. A change
-// copies the path to its key, so that a root never changes once it was published and readers need
-// no lock. Priorities are seeded hashes, so that no choice of keys unbalances the treap.
+// copies the path to its key. A published root therefore never changes, and readers need no lock.
+// Priorities are seeded hashes, so that no choice of keys can unbalance the treap.
 type node struct {
 	key      string
 	at       location
 	priority uint32
-	// epoch is the change that created the node.
+	// epoch identifies the change that created the node.
 	epoch       uint32
 	left, right *node
 }
 
-// nodeBytes is the approximate memory of an entry besides its key, with what recently copied paths
-// hold.
+// nodeBytes is the approximate memory of an entry without its key, including the memory of recently
+// copied paths.
 const nodeBytes = 128
 
 var seed = maphash.MakeSeed()
@@ -37,9 +37,9 @@
 	return location{}, false
 }
 
-// with returns a treap with a key at a location, and the key's old location. Nodes of the same
-// epoch were created by the same change and are not shared yet: they are modified in place, all
-// others are copied.
+// with returns the root of a treap in which the key has a location, the key's old location, and
+// whether the key was present. Nodes of the same epoch were created by the same change and are not
+// shared yet: they are modified in place. All others are copied.
 func (n *node) with(
 	key string, at location, priority, epoch uint32,
 ) (root *node, old location, had bool) {
@@ -72,10 +72,10 @@
 	return n, old, had
 }
 
-// treapIterator iterates over a treap in order.
+// treapIterator iterates over a treap in key order.
 type treapIterator struct{ path []*node }
 
-// from starts at the first key that is not before key.
+// from returns an iterator that starts at the first key that is at or after key.
 func (n *node) from(key string) *treapIterator {
 	w := &treapIterator{}
 	for n != nil {
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -7,8 +7,8 @@
 	"io/fs"
 )
 
-// create creates a store. A creation that was interrupted by a crash is started again, as nothing
-// was promised yet.
+// create creates a store. names are the files in the directory. A creation that was interrupted by
+// a crash is started anew, because no data was acknowledged yet.
 func (s *Store) create(names []string) error {
 	if s.options.ReadOnly {
 		return fmt.Errorf("store: %w: no manifest", fs.ErrNotExist)
@@ -18,7 +18,7 @@
 			continue
 		}
 		if name != segmentName(1) && name != manifestTempName {
-			return &DamageError{manifestName, 0, "missing beside " + name}
+			return &DamageError{manifestName, 0, "missing, but " + name + " exists"}
 		}
 		if name == segmentName(1) {
 			f, err := s.fs.Open(name, false)
@@ -30,7 +30,7 @@
 				return fmt.Errorf("store: %w", err)
 			}
 			if size > fileHeaderBytes {
-				return &DamageError{manifestName, 0, "missing beside a log that holds something"}
+				return &DamageError{manifestName, 0, "missing, but the log is not empty"}
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	return s.createMarkFile()
 }
 
-// startSegment creates the segment that batches are appended to from now on.
+// startSegment creates a new segment and makes it the active one.
 func (s *Store) startSegment() error {
 	id := s.allocateFileID()
 	f, err := s.fs.Create(segmentName(id))
@@ -72,13 +72,13 @@
 	return nil
 }
 
-// allocateFileID returns the id of a new file.
+// allocateFileID returns the id for a new file.
 func (s *Store) allocateFileID() uint64 {
 	s.nextFileID++
 	return s.nextFileID - 1
 }
 
-// recover opens the files that the manifest names and replays the active segment.
+// recover opens the files that the manifest lists and replays the active segment.
 func (s *Store) recover(m *manifest) error {
 	s.id = m.store
 	s.nextFileID = m.nextFileID
@@ -122,7 +122,7 @@
 	return s.replay()
 }
 
-// openNamed opens a file that the manifest names. A missing file is damage.
+// openNamed opens a file that the manifest lists. It returns a DamageError if the file is missing.
 func (s *Store) openNamed(name string, write bool) (File, error) {
 	f, err := s.fs.Open(name, write)
 	switch {
@@ -134,7 +134,7 @@
 	return f, nil
 }
 
-// replay applies the batches of the active segment, up to its torn tail if there is one.
+// replay applies the batches of the active segment up to its end or its torn tail.
 func (s *Store) replay() error {
 	size, err := s.active.f.Size()
 	if err != nil {
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// replayBatch applies the batch at the end of what was replayed. tail is not nil if the batch can't
-// be read, so that the log is torn or damaged from there on.
+// replayBatch applies the batch at s.end, the end of the batches replayed so far. tail is not nil
+// if the batch is invalid: the log is torn or damaged from that offset on.
 func (s *Store) replayBatch(size int64) (tail *DamageError, err error) {
 	n, count, seq, err := s.active.readBatch(s.end, size)
 	if errors.As(err, &tail) {
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	if seq != s.seq+1 {
-		what := fmt.Sprintf("batch %d where %d belongs", seq, s.seq+1)
+		what := fmt.Sprintf("batch %d found, batch %d expected", seq, s.seq+1)
 		return &DamageError{s.active.name, s.end, what}, nil
 	}
 	change := s.newChange()
@@ -179,15 +179,16 @@
 		return nil, err
 	}
 	if count != 0 {
-		return nil, &DamageError{s.active.name, s.end, "batch holds another number of records"}
+		return nil, &DamageError{s.active.name, s.end, "record count differs from the header"}
 	}
 	change.apply(seq)
 	s.end += n
 	return nil, nil
 }
 
-// checkMark compares the sync mark with what was replayed. tail is why the replay ended, nil if it
-// has read the whole segment. A mark that can't be read is ignored.
+// checkMark returns an error if the sync mark is beyond the end of the replayed log, since data
+// that was acknowledged is then missing or damaged. tail is the reason why the replay ended early,
+// nil if it has read the whole segment. A mark that can't be read is ignored.
 func (s *Store) checkMark(tail *DamageError) error {
 	f, err := s.fs.Open(markName, false)
 	if err != nil {
@@ -201,7 +202,7 @@
 		return nil
 	}
 	if m.segment > s.active.id {
-		what := fmt.Sprintf("is older than segment %x, of which something was promised", m.segment)
+		what := fmt.Sprintf("is older than segment %x, which the sync mark names", m.segment)
 		return &DamageError{manifestName, fileHeaderBytes, what}
 	}
 	if m.end <= s.end {
@@ -210,18 +211,19 @@
 	if tail == nil {
 		tail = &DamageError{s.active.name, s.end, "ends here"}
 	}
-	return fmt.Errorf("%w; bytes up to %d, batch %d, were promised", tail, m.end, m.seq)
+	return fmt.Errorf("%w; the log was synced up to offset %d, batch %d", tail, m.end, m.seq)
 }
 
-// prepareWriting makes a recovered store ready for commits: it truncates the torn tail and removes
-// unfinished files. names are all files of the directory.
+// prepareWriting prepares a recovered store for commits: it truncates a torn tail and removes
+// unfinished files. names are all files in the directory.
 func (s *Store) prepareWriting(names []string) error {
 	if s.stats.TruncatedBytes > 0 {
 		if err := s.active.f.Truncate(s.end); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
 	}
-	// What was read may not be on disk yet, and later commits must not survive it.
+	// The replayed batches may not be on disk yet. A power failure must not lose them and keep
+	// later commits.
 	if err := s.active.f.Sync(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
--- a/internal/storage/store/remove.go
+++ b/internal/storage/store/remove.go
@@ -8,8 +8,9 @@
 	"syscall"
 )
 
-// Remove deletes a store, damaged or not, and its directory if that contains nothing else. Files
-// that a store did not create stay. A process that has the store open keeps its open files.
+// Remove deletes a store, damaged or not, and its directory if that is empty afterwards. Files that
+// do not belong to a store stay. It is not an error if the directory does not exist. A process that
+// has the store open can still use its open files.
 func Remove(dir string) error {
 	folder, err := DirFS(dir, false)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -12,17 +12,18 @@
 type Report struct {
 	// RecoveredKeys is the number of keys in the new store.
 	RecoveredKeys int
-	// DamagedDir is where the damaged store's directory is now.
+	// DamagedDir is the path to which the damaged store's directory was renamed.
 	DamagedDir string
-	// Lost has one line for each part that was lost.
+	// Lost has one line for each loss.
 	Lost []string
 }
 
-// Repair replaces a damaged store by a new one with what can be read of it. The damaged directory
-// is kept beside it under another name. A key is recovered only if its value is certainly the
-// newest: whatever a damaged part of the index or the log may have changed is given up and
-// reported. That can't be determined if the manifest itself is damaged. Then Repair fails unless
-// fromLogs is set, which recovers every readable batch, so that deleted keys may reappear.
+// Repair replaces a damaged store by a new one with the data that can still be read. The damaged
+// directory is kept next to it under another name. A key is recovered only if its value is
+// certainly the newest: keys that a damaged part of the index or the log may have changed are
+// dropped and reported. Without a readable manifest this can't be determined, and Repair fails
+// unless fromLogs is set. With fromLogs, Repair ignores the manifest and recovers the batches of
+// each segment up to the first damaged one, so that deleted keys may reappear.
 func Repair(dir string, fromLogs bool) (rep Report, err error) {
 	dir = filepath.Clean(dir)
 	folder, err := DirFS(dir, false)
@@ -62,7 +63,7 @@
 	return rep, syncDir(filepath.Dir(dir))
 }
 
-// unusedName returns a path, or with a number appended if something exists there.
+// unusedName returns path, with a number appended if path already exists.
 func unusedName(path string) string {
 	name := path
 	for n := 2; ; n++ {
--- a/internal/storage/store/run.go
+++ b/internal/storage/store/run.go
@@ -7,19 +7,19 @@
 	"sort"
 )
 
-// run is one sealed index: entries sorted by key, in blocks of about 4 KiB. Memory holds the first
-// key of each block, and the filter.
+// run is an immutable index file: entries sorted by key, in blocks of about 4 KiB. The first key of
+// each block and the filter are held in memory.
 type run struct {
 	file
 	id         uint64
 	length     int64
 	entries    int
 	tombstones int
-	// blocksEnd is the offset where the blocks end.
+	// blocksEnd is the offset of the end of the blocks.
 	blocksEnd int64
-	// directory has the offset and the first key of each block, as in the file.
+	// directory has the offset and the first key of each block, encoded as in the file.
 	directory []byte
-	// fenceOffsets are the offsets of the entries in directory.
+	// fenceOffsets are the offsets of the entries within directory.
 	fenceOffsets []uint32
 	filter       filter
 }
@@ -29,12 +29,12 @@
 	footerBytes      = 48
 )
 
-// runWriter writes a run. Keys must be added in order.
+// runWriter writes a run. Keys must be added in ascending order.
 type runWriter struct {
 	f    File
 	name string
 	id   uint64
-	// at is the offset at which buf will be written.
+	// at is the file offset at which buf will be written.
 	at         int64
 	buf        []byte
 	block      []byte
@@ -99,7 +99,7 @@
 	return err
 }
 
-// finish writes the directory and the filter and syncs the run.
+// finish writes the directory, the filter and the footer, and syncs the run.
 func (w *runWriter) finish() (*run, error) {
 	if err := w.endBlock(); err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 	return r, r.indexFences()
 }
 
-// openRun reads a run's directory and filter.
+// openRun opens a run and reads its directory and its filter.
 func openRun(f File, store uint64, m sealedRun) (*run, error) {
 	name := runName(m.id)
 	size, err := f.Size()
@@ -149,12 +149,12 @@
 		return nil, &DamageError{name, size, "too short for a footer"}
 	}
 	if _, err := f.ReadAt(footer, at); err != nil {
-		return nil, readError(err, name, at, "ends within its footer")
+		return nil, readError(err, name, at, "ends within the footer")
 	}
 	if string(footer[40:44]) != "run\n" ||
 		littleEndian.Uint32(footer[44:]) != checksum(footer[:44]) ||
 		littleEndian.Uint64(footer[32:]) != m.id {
-		return nil, &DamageError{name, at, "footer's checksum differs"}
+		return nil, &DamageError{name, at, "invalid footer"}
 	}
 	r := &run{file: file{
 		f:    f,
@@ -177,21 +177,21 @@
 	return r, r.indexFences()
 }
 
-// indexFences finds the entries of the directory.
+// indexFences sets fenceOffsets by parsing the directory.
 func (r *run) indexFences() error {
 	for at := 0; at < len(r.directory); {
 		r.fenceOffsets = append(r.fenceOffsets, uint32(at))
 		_, key, n := r.fenceAt(at)
 		if n <= 0 || at+n > len(r.directory) || key == nil {
-			return &DamageError{r.name, r.blocksEnd, "directory can't be read"}
+			return &DamageError{r.name, r.blocksEnd, "invalid block directory"}
 		}
 		at += n
 	}
 	return nil
 }
 
-// fenceAt reads the entry of the directory at an offset: its block's offset, its key and its
-// length.
+// fenceAt parses the entry at an offset within the directory. It returns the block's file offset
+// and first key, and the length n of the entry, 0 if the entry is invalid.
 func (r *run) fenceAt(at int) (offset int64, key []byte, n int) {
 	b := r.directory[at:]
 	o, k := binary.Uvarint(b)
@@ -205,7 +205,7 @@
 	return int64(o), b[k+l : k+l+int(size)], k + l + int(size)
 }
 
-// blockFor returns the number of the block that would hold a key, -1 if the key is before all
+// blockFor returns the index of the block that would hold a key, -1 if the key is before all
 // blocks.
 func (r *run) blockFor(key []byte) int {
 	return sort.Search(len(r.fenceOffsets), func(i int) bool {
@@ -214,7 +214,8 @@
 	}) - 1
 }
 
-// block reads a block into buf in one read, as it ends where the next one begins.
+// block reads block i into buf and checks it. One read suffices, because a block ends where the
+// next one begins.
 func (r *run) block(i int, buf *[]byte) ([]byte, error) {
 	offset, _, _ := r.fenceAt(int(r.fenceOffsets[i]))
 	end := r.blocksEnd
@@ -223,7 +224,7 @@
 	}
 	n := end - offset
 	if offset < fileHeaderBytes || end > r.blocksEnd || n < blockHeaderBytes {
-		return nil, &DamageError{r.name, r.blocksEnd, "directory can't be read"}
+		return nil, &DamageError{r.name, r.blocksEnd, "invalid block directory"}
 	}
 	if int64(cap(*buf)) < n {
 		*buf = make([]byte, n)
@@ -235,7 +236,7 @@
 	return verifyBlock(r.name, offset, b)
 }
 
-// entry reads the first entry of the rest of a block.
+// entry parses the first entry of b, the unread part of a block, and returns the rest of b.
 func (r *run) entry(b []byte) (key []byte, at location, rest []byte, err error) {
 	keyBytes, n := binary.Uvarint(b)
 	if n <= 0 || keyBytes > uint64(len(b)-n) {
@@ -263,9 +264,10 @@
 	return key, location{segment, int64(offset), uint32(size)}, b[n:], nil
 }
 
-func (r *run) entryDamage() error { return &DamageError{r.name, 0, "an entry can't be read"} }
+func (r *run) entryDamage() error { return &DamageError{r.name, 0, "invalid index entry"} }
 
-// get returns the location of a key; h is the key's hash.
+// get returns the location of a key and whether the run has an entry for it. h is the key's hash,
+// and buf is reused between calls.
 func (r *run) get(key []byte, h uint64, buf *[]byte) (location, bool, error) {
 	if !r.filter.has(h) {
 		return location{}, false, nil
@@ -294,13 +296,13 @@
 	return location{}, false, nil
 }
 
-// runIterator iterates over a run in order. Keys are valid until the next call.
+// runIterator iterates over a run in key order. Keys are valid until the next call of next.
 type runIterator struct {
 	r     *run
 	block int
 	buf   []byte
 	rest  []byte
-	// first is the first key to return.
+	// first is the lower bound of the keys to return.
 	first []byte
 }
 
@@ -329,7 +331,7 @@
 	}
 }
 
-// iterator iterates over entries sorted by key.
+// iterator iterates over entries in key order. ok is false after the last entry.
 type iterator interface {
 	next() (key []byte, at location, ok bool, err error)
 }
@@ -339,9 +341,9 @@
 type mergeIterator struct {
 	from  []iterator
 	heads []mergeHead
-	// key is the last key returned.
+	// key is the key that was returned last.
 	key []byte
-	// source is the number of the iterator that the last entry came from.
+	// source is the index of the iterator that the last entry came from.
 	source int
 }
 
@@ -349,7 +351,7 @@
 	key []byte
 	at  location
 	ok  bool
-	// read is set if the next entry must be read.
+	// read is set if the iterator's next entry must be read.
 	read bool
 }
 
@@ -378,7 +380,7 @@
 	if first < 0 {
 		return nil, at, false, nil
 	}
-	// The key is in its iterator's block, which that iterator may overwrite with its next entry.
+	// The key is in a buffer that its iterator may overwrite when it reads the next entry.
 	m.key = append(m.key[:0], m.heads[first].key...)
 	m.source = first
 	at = m.heads[first].at
--- a/internal/storage/store/salvage.go
+++ b/internal/storage/store/salvage.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// salvage recovers what is readable of a damaged store.
+// salvage copies the readable data of a damaged store to a new store.
 type salvage struct {
 	fs      FS
 	target  *Store
@@ -20,10 +20,10 @@
 	v.report.Lost = append(v.report.Lost, fmt.Sprintf(format, args...))
 }
 
-// salvageBatchBytes is the size at which recovered keys are committed.
+// salvageBatchBytes is the batch size at which recovered keys are committed.
 const salvageBatchBytes = 1 << 20
 
-// put adds a key to the new store.
+// put adds a key to the pending batch, which is committed once it is large enough.
 func (v *salvage) put(key, value []byte) error {
 	v.pending.Put(key, value)
 	if v.pending.Bytes() < salvageBatchBytes {
@@ -38,25 +38,24 @@
 	return err
 }
 
-// gap is the range of keys in an unreadable part of a run: from included, to excluded; nil for no
-// bound.
+// gap is the range of keys [from, to) in an unreadable part of a run. nil means no bound.
 type gap struct{ from, to []byte }
 
 // recoverByManifest recovers the store that the manifest describes.
 func (v *salvage) recoverByManifest() error {
 	in, err := v.fs.Open(manifestName, false)
 	if err != nil {
-		return fmt.Errorf("store: %s: %w; only the logs are left to go by", manifestName, err)
+		return fmt.Errorf("store: %s: %w; only the logs are usable", manifestName, err)
 	}
 	m, err := readManifest(in)
 	if err := errors.Join(err, in.Close()); err != nil {
-		return fmt.Errorf("%w; only the logs are left to go by", err)
+		return fmt.Errorf("%w; only the logs are usable", err)
 	}
 	s := &Store{fs: v.fs, id: m.store, files: &fileSet{}, firstSeq: m.seq}
 	defer s.closeSegments()
 	v.openSegments(s, m)
 	var runs []iterator
-	gaps := [][]gap{nil} // by iterator: the overlay has none
+	gaps := [][]gap{nil} // by iterator; the first one, the overlay, has no gaps
 	for _, of := range m.runs {
 		w, missing := v.recoverRun(m.store, of)
 		runs = append(runs, w)
@@ -72,7 +71,7 @@
 	return v.copyEntries(s.files, merge(append(overlay, runs...)...), gaps)
 }
 
-// openSegments opens the segments that the manifest names, and reports those that are lost.
+// openSegments opens the segments that the manifest lists and reports those that can't be opened.
 func (v *salvage) openSegments(s *Store, m *manifest) {
 	for _, of := range append(slices.Clone(m.segments), sealedSegment{id: m.active}) {
 		name := segmentName(of.id)
@@ -86,14 +85,14 @@
 	}
 }
 
-// closeSegments closes segments that were only read, so that errors do not matter.
+// closeSegments closes all segments. Errors do not matter, because the segments were only read.
 func (s *Store) closeSegments() {
 	for _, g := range s.files.segments {
 		_ = g.f.Close()
 	}
 }
 
-// replayActive puts the active segment's readable batches into the overlay.
+// replayActive sets the overlay from the active segment's batches up to the first damaged one.
 func (v *salvage) replayActive(s *Store) error {
 	size, err := s.active.f.Size()
 	if err != nil {
@@ -109,7 +108,7 @@
 			err = s.active.records(at+batchHeaderBytes, at+n, add)
 		}
 		if err != nil {
-			v.recordLoss("%v: it and the %d bytes from there on", err, size-at)
+			v.recordLoss("%v: all %d bytes from the damaged batch on", err, size-at)
 			break
 		}
 		at += n
@@ -118,8 +117,8 @@
 	return nil
 }
 
-// copyEntries copies the entries whose value is certainly the newest to the new store. gaps are the
-// unreadable parts of each of the iterators.
+// copyEntries copies the keys whose readable value is certainly the newest to the new store.
+// gaps[i] are the unreadable parts of iterator i of all.
 func (v *salvage) copyEntries(files *fileSet, all *mergeIterator, gaps [][]gap) error {
 	for {
 		key, at, ok, err := all.next()
@@ -143,7 +142,7 @@
 	}
 }
 
-// mayBeShadowed reports whether an unreadable part of a newer run may hold a newer entry of a key.
+// mayBeShadowed reports whether a gap of a newer run may hold a newer entry of a key.
 func mayBeShadowed(newer [][]gap, key []byte) bool {
 	for _, gaps := range newer {
 		for _, g := range gaps {
@@ -155,7 +154,7 @@
 	return false
 }
 
-// sliceIterator is an iterator over entries that were read before.
+// sliceIterator iterates over entries in memory.
 type sliceIterator struct{ rest []entry }
 
 func (l *sliceIterator) next() (key []byte, at location, ok bool, err error) {
@@ -167,7 +166,8 @@
 	return e.key, e.at, true, nil
 }
 
-// recoverRun reads the readable blocks of a run, and returns the gaps between them.
+// recoverRun returns the entries of the readable blocks of a run and the gaps between them. It
+// reports the gaps as lost.
 func (v *salvage) recoverRun(store uint64, of sealedRun) (iterator, []gap) {
 	all := []gap{{}}
 	out := &sliceIterator{}
@@ -198,20 +198,20 @@
 				_, g.to, _ = r.fenceAt(int(r.fenceOffsets[i+1]))
 			}
 			gaps = append(gaps, g)
-			v.recordLoss("%v: keys from %q to before %q", err, g.from, g.to)
+			v.recordLoss("%v: keys from %q to %q (exclusive)", err, g.from, g.to)
 		}
 	}
 	return out, gaps
 }
 
-// recoverByLogs recovers from the logs alone, in the order of their batches.
+// recoverByLogs recovers from the segments alone, in the order of their batches.
 func (v *salvage) recoverByLogs() error {
 	names, err := v.fs.List()
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
-	v.recordLoss("what was deleted may be there again")
+	v.recordLoss("deleted keys may have reappeared")
 	for _, name := range names {
 		if !isStoreFile(name) || !strings.HasSuffix(name, ".log") {
 			continue
@@ -242,7 +242,7 @@
 	for at := int64(fileHeaderBytes); at < size; {
 		n, _, _, err := g.readBatch(at, size)
 		if err != nil {
-			v.recordLoss("%v: it and the %d bytes from there on", err, size-at)
+			v.recordLoss("%v: all %d bytes from the damaged batch on", err, size-at)
 			return nil
 		}
 		err = g.records(at+batchHeaderBytes, at+n, func(r record, key []byte, at int64) error {
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -6,22 +6,22 @@
 	"io"
 )
 
-// file is an open file of the store, shared by the sets of files that readers hold.
+// file is an open file of the store. All file sets that contain it share it.
 type file struct {
 	f    File
 	name string
 	refs int // guarded by Store.mu
 }
 
-// segment is a file of the log.
+// segment is one file of the log.
 type segment struct {
 	file
 	id uint64
-	// length is the length of a sealed segment.
+	// length is the length of a sealed segment in bytes.
 	length int64
-	// live is the number of bytes of records that are the newest of their keys.
+	// live is the total size in bytes of the records that are the newest of their keys.
 	live int64
-	// liveAtSeal is live when the active segment began, as in the manifest.
+	// liveAtSeal is the value of live when the active segment was started, as in the manifest.
 	liveAtSeal int64
 }
 
@@ -46,26 +46,27 @@
 	return s, err
 }
 
-// liveFraction returns which part of a sealed segment is live.
+// liveFraction returns the fraction of a sealed segment's bytes that are live.
 func (s *segment) liveFraction() float64 { return float64(s.live) / float64(s.length) }
 
 const (
-	checksumChunkBytes = 256 << 10 // read at once to check a batch
+	checksumChunkBytes = 256 << 10 // size of the reads that check a batch
 	readBufferBytes    = 64 << 10
 )
 
-// readBatch checks the batch at an offset and returns the fields of its header. It does not parse
-// the records.
+// readBatch checks the batch at an offset, which must not extend beyond end. It returns the batch's
+// size in bytes, with its header, and the record count and sequence number of the header. It does
+// not parse the records.
 func (s *segment) readBatch(at, end int64) (size int64, count uint32, seq uint64, err error) {
 	b := make([]byte, batchHeaderBytes)
 	if at+batchHeaderBytes > end {
-		return 0, 0, 0, &DamageError{s.name, at, "ends within a batch's head"}
+		return 0, 0, 0, &DamageError{s.name, at, "ends within a batch header"}
 	}
 	if _, err := s.f.ReadAt(b, at); err != nil {
-		return 0, 0, 0, readError(err, s.name, at, "ends within a batch's head")
+		return 0, 0, 0, readError(err, s.name, at, "ends within a batch header")
 	}
 	if littleEndian.Uint32(b[20:]) != batchHeaderChecksum(s.id, b) {
-		return 0, 0, 0, &DamageError{s.name, at, "batch's head: checksum differs"}
+		return 0, 0, 0, &DamageError{s.name, at, "batch header checksum mismatch"}
 	}
 	body := int64(littleEndian.Uint32(b))
 	if at+batchHeaderBytes+body > end {
@@ -82,12 +83,13 @@
 		from += int64(len(part))
 	}
 	if crc != littleEndian.Uint32(b[16:]) {
-		return 0, 0, 0, &DamageError{s.name, at, "batch's checksum differs"}
+		return 0, 0, 0, &DamageError{s.name, at, "batch checksum mismatch"}
 	}
 	return batchHeaderBytes + body, littleEndian.Uint32(b[4:]), littleEndian.Uint64(b[8:]), nil
 }
 
-// records calls do for each record between two offsets. The key is valid until do returns.
+// records calls do for each record between two offsets and stops at the first error. The key is
+// valid until do returns.
 func (s *segment) records(from, to int64, do func(r record, key []byte, at int64) error) error {
 	in := bufio.NewReaderSize(io.NewSectionReader(s.f, from, to-from), readBufferBytes)
 	header := make([]byte, recordHeaderBytes)
@@ -98,7 +100,7 @@
 		}
 		r, ok := parseRecord(header)
 		if !ok || at+r.size() > to {
-			return &DamageError{s.name, at, "a record can't be read"}
+			return &DamageError{s.name, at, "invalid record header"}
 		}
 		if cap(key) < int(r.keyBytes) {
 			key = make([]byte, r.keyBytes)
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// read returns a complete record after checking it.
+// read reads the record at a location, checks it, and returns its bytes and its header.
 func (s *segment) read(at location) (b []byte, r record, err error) {
 	b = make([]byte, at.size)
 	if _, err := s.f.ReadAt(b, at.offset); err != nil {
@@ -126,7 +128,7 @@
 	}
 	r, ok := parseRecord(b)
 	if !ok || r.size() != int64(len(b)) || checksum(b[4:]) != r.checksum {
-		return nil, r, &DamageError{s.name, at.offset, "record's checksum differs"}
+		return nil, r, &DamageError{s.name, at.offset, "invalid record header or checksum mismatch"}
 	}
 	return b, r, nil
 }
--- a/internal/storage/store/snapshot.go
+++ b/internal/storage/store/snapshot.go
@@ -16,8 +16,8 @@
 	return view.Get(key)
 }
 
-// Snapshot is the store at one point in time. It is safe for concurrent use, also with commits. Its
-// files stay on disk until it is closed.
+// Snapshot is a view of the store at one point in time. It is safe for concurrent use, also with
+// commits. Its files stay open until it is closed, so that their disk space is not freed before.
 type Snapshot struct {
 	store   *Store
 	seq     uint64
@@ -26,8 +26,8 @@
 	once    sync.Once
 }
 
-// Snapshot returns the current state, with all commits that have returned. The caller must close
-// it.
+// Snapshot returns a snapshot of the current state, which includes all commits that have returned.
+// The caller must close it.
 func (s *Store) Snapshot() (*Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,10 +38,10 @@
 	return &Snapshot{store: s, seq: s.seq, overlay: s.overlay, files: s.files}, nil
 }
 
-// Seq returns the number of the last batch in the snapshot. Batches count from 1.
+// Seq returns the sequence number of the last batch in the snapshot. The first batch has number 1.
 func (v *Snapshot) Seq() uint64 { return v.seq }
 
-// Close releases the snapshot's files. Further calls do nothing.
+// Close releases the snapshot's files. Further calls have no effect.
 func (v *Snapshot) Close() {
 	v.once.Do(func() {
 		v.store.mu.Lock()
@@ -63,11 +63,11 @@
 	return v.files.load(key, at)
 }
 
-// Item is a key with its value. The receiver owns both.
+// Item is a key with its value. The caller of Range owns both.
 type Item struct{ Key, Value []byte }
 
-// Range iterates over the keys in [from, to) in byte order. A nil to means no upper bound. It stops
-// after the first error.
+// Range iterates over the keys in [from, to) and their values, in byte order. A nil to means no
+// upper bound. The iteration stops after the first error.
 func (v *Snapshot) Range(from, to []byte) iter.Seq2[Item, error] {
 	return func(yield func(Item, error) bool) {
 		for e, err := range v.entries(from, to) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// find returns the newest location of a key and whether the key exists. buf is reused between
-// calls.
+// find returns the newest location of a key and whether the key exists. buf is a read buffer that
+// is reused between calls.
 func find(top *node, set *fileSet, key []byte, buf *[]byte) (location, bool, error) {
 	if at, ok := top.get(string(key)); ok {
 		return at, !at.deleted(), nil
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -19,18 +19,18 @@
 	// SegmentBytes is the size at which a segment of the log is sealed, 16 MiB if it is 0. One
 	// batch may exceed it.
 	SegmentBytes int64
-	// MaxOverlayKeys is how many keys written since the last sealing are held in memory, 16,384 if
-	// it is 0.
+	// MaxOverlayKeys is the number of keys in memory at which the active segment is sealed, 16,384
+	// if it is 0. Keys written since the last sealing are held in memory.
 	MaxOverlayKeys int
-	// CompactionStepBytes is the minimum number of bytes of compaction along with each commit, 64
-	// KiB if it is 0.
+	// CompactionStepBytes is the byte budget of the compaction step that each commit runs, 64 KiB
+	// if it is 0. Four times the commit's own bytes are added to it.
 	CompactionStepBytes int
 	// Verify makes Open read and check every byte.
 	Verify bool
-	// ReadOnly opens the store without changing anything. Several readers may do so at the same
-	// time. A torn tail is reported in Stats and not truncated.
+	// ReadOnly opens the store without changing its files. Several processes may have it open this
+	// way at the same time. A torn tail is reported in Stats and not truncated.
 	ReadOnly bool
-	// FS is the directory. If it is nil, the directory at the path given to Open is used.
+	// FS gives access to the directory. If it is nil, the path given to Open is used.
 	FS FS
 }
 
@@ -54,24 +54,24 @@
 	id      uint64
 	unlock  func() error
 
-	mu  sync.Mutex // guards what follows, and every file's refs
-	seq uint64     // of the last batch
-	// overlay holds what was written since the active segment began.
+	mu  sync.Mutex // guards the fields up to writing, and the refs of all files and file sets
+	seq uint64     // sequence number of the last batch
+	// overlay holds the locations of the keys in the active segment.
 	overlay *node
 	files   *fileSet
 	closed  bool
-	// failed is why the store has become read-only.
+	// failed is the reason why the store is read-only; nil if it is writable.
 	failed error
 
 	queue   []*commit
-	writing bool // one goroutine writes; what follows is its own
+	writing bool // true while a goroutine is the writer; only it uses the fields below
 
-	// nextFileID is the id of the next file.
+	// nextFileID is the id for the next file to be created.
 	nextFileID uint64
 	active     *segment
-	// end is the end of the active segment.
+	// end is the offset of the end of the active segment.
 	end int64
-	// synced is how far the active segment is known to be on disk.
+	// synced is the offset up to which the active segment is known to be on disk.
 	synced   int64
 	firstSeq uint64
 	// overlayKeys is the number of entries of the overlay.
@@ -83,14 +83,14 @@
 	buf, block  []byte
 	merging     *mergeJob
 	copying     *copyJob
-	// lastGroupSize is the number of commits in the last group.
+	// lastGroupSize is the number of commits in the last group commit.
 	lastGroupSize int
 	epoch         uint32
-	// retrySealAt is the end at which sealing is tried again after a failure.
+	// retrySealAt is the value of end at which sealing is retried after a failure.
 	retrySealAt int64
 	// backgroundErr is the error of the last compaction step.
 	backgroundErr error
-	// markErr is the error of the last sync mark.
+	// markErr is the error of the last write of the sync mark by a commit.
 	markErr error
 	stats   Stats
 }
@@ -99,42 +99,43 @@
 type Stats struct {
 	// Keys is the number of keys.
 	Keys uint64
-	// Seq is the number of batches ever committed.
+	// Seq is the number of batches that were ever committed.
 	Seq uint64
-	// LiveBytes is the size of the newest records of all keys.
+	// LiveBytes is the total size of the newest records of all keys.
 	LiveBytes  int64
 	LogBytes   int64
 	IndexBytes int64
 	Segments   int
 	Runs       int
-	// Entries is the number of entries of the runs, including deletions.
+	// Entries is the number of entries in the runs, including deletions.
 	Entries int
-	// OverlayKeys is the number of keys in memory.
+	// OverlayKeys is the number of keys in memory, including deleted ones.
 	OverlayKeys int
-	// MemoryBytes is the estimated memory of overlay, filters and directories.
+	// MemoryBytes is the estimated memory of the overlay, the filters and the directories.
 	MemoryBytes int64
-	// TruncatedBytes is the size of the torn tail that Open has truncated.
+	// TruncatedBytes is the size of the torn tail that Open has found. It truncates the tail unless
+	// the store is read-only.
 	TruncatedBytes int64
 	// RemovedFiles is the number of unfinished files that Open has removed.
 	RemovedFiles int
-	// WrittenBytes counts bytes of commits and copies since Open.
+	// WrittenBytes counts the bytes written to the log since Open, by commits and by compaction.
 	WrittenBytes int64
-	// CopiedBytes counts bytes copied by compaction.
+	// CopiedBytes counts the bytes of records copied by compaction since Open.
 	CopiedBytes int64
-	// MergedEntries counts entries written by compaction.
+	// MergedEntries counts the index entries written by merges since Open.
 	MergedEntries int64
-	// Syncs counts syncs of the log.
+	// Syncs counts the syncs of the log since Open.
 	Syncs int64
-	// BackgroundError is the error of the last compaction step or sync mark. Commits do not fail
-	// because of it.
+	// BackgroundError joins the errors of the last compaction step and of the last write of the
+	// sync mark. Commits do not fail because of it.
 	BackgroundError error
 }
 
 // errOpenedReadOnly is why a store that was opened with Options.ReadOnly takes no commits.
 var errOpenedReadOnly = errors.New("opened read-only")
 
-// Open opens the store in a directory, or creates one there. The error wraps ErrLocked if another
-// process has it open, and is a *DamageError if something can't be read as it was written.
+// Open opens the store in a directory, or creates one there. The error wraps ErrLocked if the store
+// is already open, and a *DamageError if the data is damaged.
 func Open(dir string, opt Options) (_ *Store, err error) {
 	opt = opt.withDefaults()
 	if opt.FS == nil {
@@ -184,7 +185,7 @@
 	return s, s.prepareWriting(names)
 }
 
-// Stats returns the current figures. It waits for a commit in progress.
+// Stats returns the current statistics. It waits for commits in progress.
 func (s *Store) Stats() Stats {
 	s.becomeWriter()
 	defer s.handOverWriter()
@@ -209,8 +210,8 @@
 	return st
 }
 
-// Close syncs what was committed and unlocks the directory. Commits in progress are finished. Open
-// snapshots stay readable.
+// Close waits for commits in progress, syncs all committed data and unlocks the directory. Open
+// snapshots stay readable. Further calls do nothing.
 func (s *Store) Close() error {
 	s.becomeWriter()
 	defer s.handOverWriter()
@@ -229,7 +230,7 @@
 	return errors.Join(err, s.release())
 }
 
-// release closes all files and unlocks the directory.
+// release closes all files that no snapshot uses and unlocks the directory.
 func (s *Store) release() error {
 	var err error
 	if s.markFile != nil {
--- a/internal/storage/store/verify.go
+++ b/internal/storage/store/verify.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Check opens a store without changing it and reads every byte. It returns a *DamageError for
-// damage.
+// Check opens a store read-only, reads and checks every byte, and returns its statistics. If the
+// store is damaged, the error wraps a *DamageError.
 func Check(dir string, opt Options) (Stats, error) {
 	opt.ReadOnly = true
 	opt.Verify = true
@@ -18,7 +18,8 @@
 	return st, s.Close()
 }
 
-// verify reads every byte: batches, blocks, and for each key the record that the index names.
+// verify reads every byte: the batches, the blocks, and for each key the record that the index
+// refers to.
 func (s *Store) verify() error {
 	if err := s.verifyBatches(); err != nil {
 		return err
@@ -31,7 +32,7 @@
 	return s.verifyRecords()
 }
 
-// verifyBatches checks the batches of all segments and that their numbers increase.
+// verifyBatches checks the batches of all segments and that their sequence numbers increase.
 func (s *Store) verifyBatches() error {
 	seq := uint64(0)
 	for _, g := range s.files.segments {
@@ -45,7 +46,7 @@
 				return err
 			}
 			if next <= seq {
-				return &DamageError{g.name, at, fmt.Sprintf("batch %d after %d", next, seq)}
+				return &DamageError{g.name, at, fmt.Sprintf("batch %d follows batch %d", next, seq)}
 			}
 			seq = next
 			at += n
@@ -54,10 +55,10 @@
 	return nil
 }
 
-// verifyRecords reads the record of every key, and compares the number of keys and of live bytes
-// with the manifest's.
+// verifyRecords reads the record of every key, and compares the number of keys and the live bytes
+// of each segment with the store's counts, which are based on the manifest.
 func (s *Store) verifyRecords() error {
-	live := map[uint64]int64{} // bytes by segment
+	live := map[uint64]int64{} // bytes by segment id
 	keys := uint64(0)
 	v := Snapshot{store: s, overlay: s.overlay, files: s.files}
 	for e, err := range v.entries(nil, nil) {
@@ -72,12 +73,12 @@
 	}
 	for _, g := range s.files.segments {
 		if g.live != live[g.id] {
-			reason := fmt.Sprintf("%s holds %d live bytes, not %d", g.name, live[g.id], g.live)
+			reason := fmt.Sprintf("%s has %d live bytes, expected %d", g.name, live[g.id], g.live)
 			return &DamageError{manifestName, fileHeaderBytes, reason}
 		}
 	}
 	if keys != s.keys {
-		reason := fmt.Sprintf("%d keys, not %d", keys, s.keys)
+		reason := fmt.Sprintf("%d keys, expected %d", keys, s.keys)
 		return &DamageError{manifestName, fileHeaderBytes, reason}
 	}
 	return nil
@@ -99,12 +100,13 @@
 			return &DamageError{r.name, fileHeaderBytes, "keys out of order"}
 		}
 		if !r.filter.has(hash(key)) {
-			return &DamageError{r.name, r.blocksEnd, "the filter lacks a key"}
+			return &DamageError{r.name, r.blocksEnd, "a key is missing from the filter"}
 		}
 		last = append(last[:0], key...)
 	}
 	if n != r.entries {
-		return &DamageError{r.name, r.blocksEnd, fmt.Sprintf("%d entries, not %d", n, r.entries)}
+		reason := fmt.Sprintf("%d entries, expected %d", n, r.entries)
+		return &DamageError{r.name, r.blocksEnd, reason}
 	}
 	return nil
 }
