--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -20,12 +20,13 @@
 
 var value100 = bytes.Repeat([]byte("v"), 100)
 
-// benchKey returns 16 bytes that come in no order.
+// benchKey returns the key number i of 16 bytes. The keys are not in the order of their numbers.
 func benchKey(i int) []byte {
 	return fmt.Appendf(nil, "%016x", hash(littleEndian.AppendUint64(nil, uint64(i))))
 }
 
-// Commits of one record of 100 bytes: here, and to a file with a write and a sync a commit.
+// BenchmarkCommit commits records with values of 100 bytes: to a store, and for comparison to a plain
+// file with one write and one sync per commit.
 func BenchmarkCommit(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("durable/store/%d", writers), func(b *testing.B) {
@@ -91,7 +92,8 @@
 
 const million = 1_000_000
 
-// fillStore makes a store of a million keys of 16 bytes with 100 each.
+// fillStore creates a store of a million keys of 16 bytes with values of 100 bytes and returns its
+// directory.
 func fillStore(b *testing.B, o Options, compact bool) string {
 	dir := b.TempDir()
 	s, err := Open(dir, o)
@@ -119,8 +121,9 @@
 	return dir
 }
 
-// Opening a million keys: by the sealed index, by reading all entries into a hash as a store with
-// hint files does, and by reading the log.
+// BenchmarkOpenMillion opens a store of a million keys: from the sealed index, with all bytes
+// verified, by reading all entries into a hash table as a store with hint files does, and by
+// replaying the log.
 func BenchmarkOpenMillion(b *testing.B) {
 	sealed := fillStore(b, Options{}, true)
 	benchOpen := func(b *testing.B, dir string, o Options, then func(s *Store) any) {
@@ -183,7 +186,7 @@
 // hashIndex is an open-addressed hash table over packed entries, like the index of a store that
 // holds all keys in memory. It is not ordered.
 type hashIndex struct {
-	slots  []uint32 // 1 + where an entry begins
+	slots  []uint32 // 1 + the offset of an entry in packed, 0 if the slot is empty
 	packed []byte
 }
 
@@ -223,8 +226,8 @@
 	at  location
 }
 
-// The index: memory a key, look-ups of keys that are there and that are not, and ranges of a
-// hundred.
+// BenchmarkIndex compares index structures: memory per key, look-ups of present and of absent keys,
+// and ranges of a hundred keys.
 func BenchmarkIndex(b *testing.B) {
 	at := func(i int) location { return location{uint64(i>>16) + 1, int64(i&0xffff) * 129, 129} }
 	benchLookups := func(
@@ -236,7 +239,7 @@
 		b.Run("present", func(b *testing.B) {
 			for b.Loop() {
 				if !get(benchKey(r.IntN(million))) {
-					b.Fatal("a key is missing")
+					b.Fatal("a present key was not found")
 				}
 			}
 			b.ReportMetric(bytes, "B/key")
@@ -244,7 +247,7 @@
 		b.Run("absent", func(b *testing.B) {
 			for b.Loop() {
 				if get(benchKey(million + r.IntN(million))) {
-					b.Fatal("an absent key is there")
+					b.Fatal("an absent key was found")
 				}
 			}
 		})
@@ -252,7 +255,7 @@
 			b.Run("range100", func(b *testing.B) {
 				for b.Loop() {
 					if n := hundredFrom(benchKey(r.IntN(million))); n == 0 {
-						b.Fatal("an empty range")
+						b.Fatal("the range is empty")
 					}
 				}
 			})
@@ -345,7 +348,7 @@
 	})
 }
 
-// Scans of a hundred items with their values.
+// BenchmarkRange scans a hundred items with their values from a random key on.
 func BenchmarkRange(b *testing.B) {
 	s, err := Open(fillStore(b, Options{}, true), Options{})
 	if err != nil {
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -40,16 +40,17 @@
 func checkValue(t testing.TB, s *store.Store, key, value string) {
 	t.Helper()
 	if got, err := s.Get([]byte(key)); err != nil || string(got) != value {
-		t.Errorf("%q holds %.40q, %v; %.40q wanted", key, got, err, value)
+		t.Errorf("Get(%q): got %.40q, error %v; want %.40q", key, got, err, value)
 	}
 }
 
-// TestAgainstAMap runs random batches, reopenings, crashes and compactions against a map.
+// TestAgainstAMap runs random batches, reopenings, power failures, compactions and snapshots, and
+// compares the content with a map.
 func TestAgainstAMap(t *testing.T) {
 	for seed := range uint64(16) {
-		w, f, promised := storetest.NewWorkload(seed), faultfs.New(), 0
+		w, f, durable := storetest.NewWorkload(seed), faultfs.New(), 0
 		if seed%2 == 0 {
-			w.Keys = 150 // so many that runs are merged without the oldest
+			w.Keys = 150 // enough for merges that do not include the oldest run
 		}
 		f.Record()
 		reopen := func() {
@@ -64,17 +65,17 @@
 				if err := w.Store.Close(); err != nil {
 					t.Fatal(err)
 				}
-				promised = w.Last()
+				durable = w.Last()
 				reopen()
-			case k == 1: // the power goes
+			case k == 1: // power failure
 				f = f.After(len(f.Ops()), func(int) int { return w.Rand.IntN(2) - 1 })
 				f.Record()
 				reopen()
 				got, err := storetest.Read(w.Store)
 				n := w.After(got)
-				if err != nil || n < promised {
-					t.Fatalf("seed %d: after a crash %v, as after batch %d of %d, %v",
-						seed, got, n, promised, err)
+				if err != nil || n < durable {
+					t.Fatalf("seed %d: after a crash: content %v, state of batch %d, want at least batch %d; error %v",
+						seed, got, n, durable, err)
 				}
 				w.States, snapshots = w.States[:n+1], map[*store.Snapshot]storetest.Content{}
 			case k == 2:
@@ -93,21 +94,21 @@
 					t.Fatal(err)
 				}
 				if d {
-					promised = w.Last()
+					durable = w.Last()
 				}
 			}
 			if st := w.Store.Stats(); st.BackgroundError != nil ||
 				st.Keys != uint64(len(w.States[w.Last()])) {
-				t.Fatalf("seed %d: %d keys, not %d; %v",
+				t.Fatalf("seed %d: got %d keys, want %d; background error %v",
 					seed, st.Keys, len(w.States[w.Last()]), st.BackgroundError)
 			}
 		}
 		if got, err := storetest.Read(w.Store); err != nil || w.After(got) != w.Last() {
-			t.Errorf("seed %d: holds %v, %v", seed, got, err)
+			t.Errorf("seed %d: wrong content %v, error %v", seed, got, err)
 		}
-		for view, then := range snapshots {
-			if got, err := storetest.ContentOf(view); err != nil || !maps.Equal(got, then) {
-				t.Errorf("seed %d: a snapshot changed: %v", seed, err)
+		for view, want := range snapshots {
+			if got, err := storetest.ContentOf(view); err != nil || !maps.Equal(got, want) {
+				t.Errorf("seed %d: the content of a snapshot changed; error %v", seed, err)
 			}
 			view.Close()
 		}
@@ -116,7 +117,7 @@
 
 func TestRangeIsOrderedAndBounded(t *testing.T) {
 	s := open(t, "", storetest.Small(faultfs.New()))
-	for i := range 40 { // through overlay and runs
+	for i := range 40 { // enough keys to be spread over the overlay and runs
 		if err := s.Commit(put(fmt.Sprintf("%02d", i*7%40), "v"), store.Buffered); err != nil {
 			t.Fatal(err)
 		}
@@ -134,18 +135,18 @@
 		got = append(got, string(key))
 	}
 	if want := []string{"05", "06", "07", "08", "09", "10", "11"}; !slices.Equal(got, want) {
-		t.Errorf("got %v", got)
+		t.Errorf("Keys(05, 12): got %v, want %v", got, want)
 	}
 	for range view.Range(nil, nil) {
-		break // ends early without harm
+		break // checks that the iteration may end early
 	}
 	if _, err := s.Get([]byte("nowhere")); !errors.Is(err, store.ErrNotFound) {
-		t.Errorf("an absent key: %v", err)
+		t.Errorf("Get of an absent key: error %v, want ErrNotFound", err)
 	}
 }
 
-// TestGroupCommitTornAnywhere tears two batches that share a write at every byte. The first may be
-// recovered without the second, never the second without the first, and never a part of one.
+// TestGroupCommitTornAnywhere tears a write that several batches share at every byte. Recovery must
+// find a prefix of these batches: none without the ones before it, and no part of one.
 func TestGroupCommitTornAnywhere(t *testing.T) {
 	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
@@ -167,7 +168,7 @@
 		})
 	}
 	commit("first")
-	<-entered // the first is being synced; what comes now waits together
+	<-entered // the first commit is being synced; the next ones queue up and form a group
 	for _, key := range []string{"a", "b", "c"} {
 		commit(key)
 	}
@@ -193,11 +194,11 @@
 		s := open(t, "", store.Options{FS: crashed, Verify: true})
 		got, err := storetest.Read(s)
 		if err != nil || got["first"] == "" || int(s.Stats().Seq) != len(got) {
-			t.Fatalf("torn at %d: %v, %v", cut, got, err)
+			t.Fatalf("torn at %d: content %v, error %v", cut, got, err)
 		}
 		for key, v := range got {
 			if v != strings.Repeat(key, 20) {
-				t.Fatalf("torn at %d: %v", cut, got)
+				t.Fatalf("torn at %d: wrong value in %v", cut, got)
 			}
 		}
 	}
@@ -227,9 +228,9 @@
 	checkValue(t, s, "long", long)
 	checkValue(t, s, "empty", "")
 	checkValue(t, s, "short", "39")
-	for _, bad := range []*store.Batch{put(strings.Repeat("k", store.MaxKey+1), "")} {
-		if err := s.Commit(bad, store.Durable); err == nil {
-			t.Error("a key that is too long was taken")
+	for _, tooLarge := range []*store.Batch{put(strings.Repeat("k", store.MaxKey+1), "")} {
+		if err := s.Commit(tooLarge, store.Durable); err == nil {
+			t.Error("a key that is too long was accepted")
 		}
 	}
 	checkValue(t, s, "short", "39")
@@ -240,7 +241,7 @@
 	s := open(t, dir, store.Options{})
 	for _, o := range []store.Options{{}, {ReadOnly: true}} {
 		if _, err := store.Open(dir, o); !errors.Is(err, store.ErrLocked) {
-			t.Errorf("%+v: %v", o, err)
+			t.Errorf("Open with %+v: error %v, want ErrLocked", o, err)
 		}
 	}
 	if err := errors.Join(s.Commit(put("k", "v"), store.Buffered), s.Close()); err != nil {
@@ -250,11 +251,11 @@
 		r := open(t, dir, store.Options{ReadOnly: true})
 		checkValue(t, r, "k", "v")
 		if err := r.Commit(put("k", "w"), store.Durable); !errors.Is(err, store.ErrReadOnly) {
-			t.Errorf("a commit: %v", err)
+			t.Errorf("Commit to a read-only store: error %v, want ErrReadOnly", err)
 		}
 	}
 	if err := s.Commit(put("k", "w"), store.Buffered); !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("Commit after Close: error %v, want ErrClosed", err)
 	}
 }
 
@@ -279,16 +280,16 @@
 		before := c.Names()
 		if _, err := store.Open("",
 			store.Options{FS: c}); err == nil || !strings.Contains(err.Error(), reason) {
-			t.Errorf("%s: %v", reason, err)
+			t.Errorf("Open: error %v, want one with %q", err, reason)
 		}
 		if !slices.Equal(before, c.Names()) {
-			t.Errorf("%s: the folder was changed: %v", reason, c.Names())
+			t.Errorf("%s: Open changed the directory: %v", reason, c.Names())
 		}
 	}
 }
 
-// TestDiskFullShortWritesAndFailedSyncs checks that a failed write changes nothing, and that a
-// failed sync makes the store read-only.
+// TestDiskFullShortWritesAndFailedSyncs checks that a failed write changes nothing, that a failed
+// compaction step does not fail commits, and that a failed sync makes the store read-only.
 func TestDiskFullShortWritesAndFailedSyncs(t *testing.T) {
 	f := faultfs.New()
 	s := open(t, "", storetest.Small(f))
@@ -303,16 +304,17 @@
 			return 0, nil
 		}
 		if err := s.Commit(put("k", "lost"), store.Durable); !errors.Is(err, syscall.ENOSPC) {
-			t.Errorf("disk full: %v", err)
+			t.Errorf("Commit with a full disk: error %v, want ENOSPC", err)
 		}
 		checkValue(t, s, "k", "before")
 		f.Fail = nil
 		got, err := storetest.Read(open(t, "", storetest.Small(f.Copy())))
 		if err != nil || got["k"] != "before" {
-			t.Errorf("after %d bytes: %v, %v", written, got, err)
+			t.Errorf("reopened after a short write of %d bytes: content %v, error %v", written, got, err)
 		}
 	}
-	// Room again: commits go on. Then work beside them fails: they go on too, and it is told.
+	// With free space commits succeed again. They also succeed while compaction fails, and Stats
+	// reports the error of the compaction.
 	f.Fail = func(op *faultfs.Op) (int, error) {
 		if op.Kind == faultfs.Create {
 			return 0, syscall.EMFILE
@@ -326,7 +328,7 @@
 		}
 	}
 	if st := s.Stats(); !errors.Is(st.BackgroundError, syscall.EMFILE) {
-		t.Errorf("not told: %v", st.BackgroundError)
+		t.Errorf("Stats: background error %v, want EMFILE", st.BackgroundError)
 	}
 	f.Fail = nil
 	if err := s.Compact(t.Context()); err != nil {
@@ -340,11 +342,11 @@
 	}
 	if err := s.Commit(put("k", "unsure"),
 		store.Durable); !errors.Is(err, store.ErrReadOnly) || !errors.Is(err, syscall.EIO) {
-		t.Errorf("failed sync: %v", err)
+		t.Errorf("Commit with a failing sync: error %v, want ErrReadOnly and EIO", err)
 	}
 	f.Fail = nil
 	if err := s.Commit(put("k", "after"), store.Buffered); !errors.Is(err, store.ErrReadOnly) {
-		t.Errorf("after a failed sync: %v", err)
+		t.Errorf("Commit after a failed sync: error %v, want ErrReadOnly", err)
 	}
 	checkValue(t, s, "k", "before")
 	if err := s.Close(); err != nil {
@@ -354,28 +356,28 @@
 
 func TestReadOnlyDirectory(t *testing.T) {
 	if os.Getuid() == 0 {
-		t.Log("as root nothing is read-only: only the missing folder is tried")
+		t.Log("permissions do not apply to root: only missing directories are tested")
 	} else {
 		dir := t.TempDir()
 		if err := os.Chmod(dir, 0o500); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := store.Open(dir, store.Options{}); !errors.Is(err, fs.ErrPermission) {
-			t.Errorf("read-only folder: %v", err)
+			t.Errorf("Open of a read-only directory: error %v, want ErrPermission", err)
 		}
 	}
 	if _, err := store.Open(filepath.Join(t.TempDir(), "no", "where"),
 		store.Options{}); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no folder above: %v", err)
+		t.Errorf("Open without a parent directory: error %v, want ErrNotExist", err)
 	}
 	if _, err := store.Open(t.TempDir(),
 		store.Options{ReadOnly: true}); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("nothing to read: %v", err)
+		t.Errorf("Open of an empty directory as read-only: error %v, want ErrNotExist", err)
 	}
 }
 
-// TestSpaceAndRunsStayBounded checks that overwriting the same keys for long leaves a log of the
-// size that the package comment states.
+// TestSpaceAndRunsStayBounded overwrites the same keys many times and checks that the log and the
+// index stay within the bounds of the package comment.
 func TestSpaceAndRunsStayBounded(t *testing.T) {
 	f := faultfs.New()
 	o := store.Options{
@@ -402,17 +404,17 @@
 			t.Fatal(st.BackgroundError)
 		}
 		if limit := 2*(st.LiveBytes+24*int64(st.Keys)) + 3*o.SegmentBytes; st.LogBytes > limit {
-			t.Fatalf("after %d: log of %d bytes for %d live ones", i, st.LogBytes, st.LiveBytes)
+			t.Fatalf("after batch %d: log of %d bytes for %d live bytes", i, st.LogBytes, st.LiveBytes)
 		}
 		if limit := 4*int(st.Keys) + 2*o.MaxOverlayKeys; st.Entries > limit || st.Runs > 8 {
-			t.Fatalf("after %d: %d entries in %d runs for %d keys", i, st.Entries, st.Runs, st.Keys)
+			t.Fatalf("after batch %d: %d entries in %d runs for %d keys", i, st.Entries, st.Runs, st.Keys)
 		}
 	}
 	if err := s.Compact(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if st := s.Stats(); st.LogBytes > st.LiveBytes*5/4+o.SegmentBytes {
-		t.Errorf("after Compact %d bytes for %d live ones", st.LogBytes, st.LiveBytes)
+		t.Errorf("after Compact: log of %d bytes for %d live bytes", st.LogBytes, st.LiveBytes)
 	}
 }
 
@@ -450,31 +452,31 @@
 		var damage *store.DamageError
 		if _, err := store.Check(dir, o); !errors.As(err, &damage) ||
 			damage.File != filepath.Base(names[0]) {
-			t.Errorf("check: %v, %s is damaged", err, names[0])
+			t.Errorf("Check: error %v, want a DamageError for %s", err, names[0])
 		}
 		rep, err := store.Repair(dir, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(rep.Lost) == 0 || rep.RecoveredKeys == 0 {
-			t.Errorf("%+v", rep)
+			t.Errorf("Repair: %+v, want recovered keys and reported losses", rep)
 		}
 		if kept, err := os.ReadFile(filepath.Join(rep.DamagedDir,
 			filepath.Base(names[0]))); err != nil || !bytes.Equal(kept, raw) {
-			t.Errorf("the original is not kept: %v", err)
+			t.Errorf("the damaged file was not kept unchanged: %v", err)
 		}
 		s := open(t, dir, store.Options{SegmentBytes: 8 << 10, MaxOverlayKeys: 64, Verify: true})
 		got, err := storetest.Read(s)
 		if err != nil || len(got) != rep.RecoveredKeys {
-			t.Errorf("%d keys of %d, %v", len(got), rep.RecoveredKeys, err)
+			t.Errorf("%d keys in the repaired store, %d reported; error %v", len(got), rep.RecoveredKeys, err)
 		}
 		for key, value := range got {
 			if expected[key] != value {
-				t.Errorf("%s: %q came back, %q was last", key, value, expected[key])
+				t.Errorf("%s: recovered %q, want the newest value %q", key, value, expected[key])
 			}
 		}
 		expected = got
-		if err := s.Compact(t.Context()); err != nil { // so that there is an index again
+		if err := s.Compact(t.Context()); err != nil { // writes an index run for the next round
 			t.Fatal(err)
 		}
 		s.Close()
@@ -483,21 +485,21 @@
 		t.Fatal(err)
 	}
 	if _, err := store.Repair(dir, false); err == nil {
-		t.Error("repaired without a manifest, unasked")
+		t.Error("Repair without fromLogs succeeded without a manifest")
 	}
 	if rep, err := store.Repair(dir, true); err != nil || rep.RecoveredKeys != len(expected) {
-		t.Errorf("from the logs: %+v, %v; %d keys expected", rep, err, len(expected))
+		t.Errorf("Repair from the logs: %+v, error %v; want %d keys", rep, err, len(expected))
 	}
 }
 
 func TestFilterFalsePositiveRate(t *testing.T) {
 	if rate := store.FalsePositiveRate(20_000); rate > 0.02 {
-		t.Errorf("%.4f of the absent keys taken for present", rate)
+		t.Errorf("false positive rate %.4f, want at most 0.02", rate)
 	}
 }
 
-// TestRecoveredDataIsSynced kills a process after a buffered commit. The next one commits durably,
-// and then the power fails.
+// TestRecoveredDataIsSynced checks that recovery syncs the replayed batches. A process is killed
+// after a buffered commit, the next one opens the store and syncs it, and then the power fails.
 func TestRecoveredDataIsSynced(t *testing.T) {
 	f := faultfs.New()
 	first := open(t, "", store.Options{FS: f})
@@ -513,8 +515,8 @@
 	checkValue(t, open(t, "", store.Options{FS: crashed}), "k", "v")
 }
 
-// TestSyncIsDurable checks that data promised by Sync is told from a torn tail like that of a
-// durable commit.
+// TestSyncIsDurable checks that Sync writes the sync mark as a durable commit does: a damaged batch
+// that Sync had made durable is reported, not mistaken for a torn tail.
 func TestSyncIsDurable(t *testing.T) {
 	f := faultfs.New()
 	s := open(t, "", store.Options{FS: f})
@@ -526,6 +528,6 @@
 	var damage *store.DamageError
 	if _, err := store.Open("",
 		store.Options{FS: c}); !errors.As(err, &damage) || damage.File != name {
-		t.Errorf("a cut batch that Sync had promised: %v", err)
+		t.Errorf("Open with a truncated batch that was synced: error %v, want a DamageError for the log", err)
 	}
 }
--- a/internal/storage/store/stored_test.go
+++ b/internal/storage/store/stored_test.go
@@ -8,7 +8,8 @@
 	"mothcleat/internal/testing/fixture"
 )
 
-// A store of several segments and runs that an earlier build wrote holds the same keys and values.
+// TestStoredFormatIsRead opens a store with several segments and a run that an earlier build wrote,
+// and checks that all keys and values are still read.
 func TestStoredFormatIsRead(t *testing.T) {
 	dir := fixture.Copy(t, "testdata/stored")
 	if _, err := Check(dir, Options{}); err != nil {
--- a/internal/storage/store/verify.go
+++ b/internal/storage/store/verify.go
@@ -105,8 +105,9 @@
 		last = append(last[:0], key...)
 	}
 	if n != r.entries {
-		reason := fmt.Sprintf("%d entries, expected %d", n, r.entries)
-		return &DamageError{r.name, r.blocksEnd, reason}
+		return &DamageError{
+			r.name, r.blocksEnd, fmt.Sprintf("%d entries, expected %d", n, r.entries),
+		}
 	}
 	return nil
 }
