--- a/internal/storage/store/batch.go
+++ b/internal/storage/store/batch.go
@@ -40,12 +40,12 @@
 // Reset empties the batch and keeps its memory for reuse.
 func (b *Batch) Reset() { b.body, b.count, b.err = b.body[:0], 0, nil }
 
-// each calls do for each change with its offset and size in the body.
-func (b *Batch) each(do func(op byte, key []byte, at, size int64) error) error {
+// each calls visit for each change with its offset and size in the body.
+func (b *Batch) each(visit func(op byte, key []byte, at, size int64) error) error {
 	for at := int64(0); at < int64(len(b.body)); {
 		r, _ := parseRecord(b.body[at:])
 		key := b.body[at+recordHeaderBytes : at+recordHeaderBytes+int64(r.keyBytes)]
-		if err := do(r.op, key, at, r.size()); err != nil {
+		if err := visit(r.op, key, at, r.size()); err != nil {
 			return err
 		}
 		at += r.size()
--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -129,20 +129,20 @@
 	benchOpen := func(b *testing.B, dir string, o Options, then func(s *Store) any) {
 		before := heapBytes()
 		var s *Store
-		var held any
+		var retained any
 		for b.Loop() {
 			var err error
 			if s, err = Open(dir, o); err != nil {
 				b.Fatal(err)
 			}
-			held = then(s)
+			retained = then(s)
 			if err := s.Close(); err != nil {
 				b.Fatal(err)
 			}
 		}
 		b.ReportMetric(float64(heapBytes()-before)/million, "B/key")
 		runtime.KeepAlive(s)
-		runtime.KeepAlive(held)
+		runtime.KeepAlive(retained)
 	}
 	b.Run("sealed", func(b *testing.B) {
 		benchOpen(b, sealed, Options{}, func(*Store) any { return nil })
@@ -231,7 +231,7 @@
 func BenchmarkIndex(b *testing.B) {
 	at := func(i int) location { return location{uint64(i>>16) + 1, int64(i&0xffff) * 129, 129} }
 	benchLookups := func(
-		b *testing.B, before int64, held any,
+		b *testing.B, before int64, retained any,
 		get func(key []byte) bool, hundredFrom func(key []byte) int,
 	) {
 		bytes := float64(heapBytes()-before) / million
@@ -260,7 +260,7 @@
 				}
 			})
 		}
-		runtime.KeepAlive(held)
+		runtime.KeepAlive(retained)
 	}
 	countUpTo100 := func(w iterator) (n int) {
 		for ; n < 100; n++ {
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -85,24 +85,24 @@
 	s.firstSeq = m.seq
 	s.keys = m.keys
 	s.baseKeys = m.keys
-	for _, of := range m.segments {
-		f, err := s.openNamed(segmentName(of.id), false)
+	for _, sealed := range m.segments {
+		f, err := s.openNamed(segmentName(sealed.id), false)
 		if err != nil {
 			return err
 		}
-		g, err := openSegment(f, s.id, of)
+		g, err := openSegment(f, s.id, sealed)
 		if err != nil {
 			return errors.Join(err, f.Close())
 		}
 		g.refs = 1
 		s.files.segments = append(s.files.segments, g)
 	}
-	for _, of := range m.runs {
-		f, err := s.openNamed(runName(of.id), false)
+	for _, sealed := range m.runs {
+		f, err := s.openNamed(runName(sealed.id), false)
 		if err != nil {
 			return err
 		}
-		r, err := openRun(f, s.id, of)
+		r, err := openRun(f, s.id, sealed)
 		if err != nil {
 			return errors.Join(err, f.Close())
 		}
--- a/internal/storage/store/salvage.go
+++ b/internal/storage/store/salvage.go
@@ -56,8 +56,8 @@
 	v.openSegments(s, m)
 	var runs []iterator
 	gaps := [][]gap{nil} // by iterator; the first one, the overlay, has no gaps
-	for _, of := range m.runs {
-		w, missing := v.recoverRun(m.store, of)
+	for _, sealed := range m.runs {
+		w, missing := v.recoverRun(m.store, sealed)
 		runs = append(runs, w)
 		gaps = append(gaps, missing)
 	}
@@ -73,14 +73,14 @@
 
 // openSegments opens the segments that the manifest lists and reports those that can't be opened.
 func (v *salvage) openSegments(s *Store, m *manifest) {
-	for _, of := range append(slices.Clone(m.segments), sealedSegment{id: m.active}) {
-		name := segmentName(of.id)
+	for _, sealed := range append(slices.Clone(m.segments), sealedSegment{id: m.active}) {
+		name := segmentName(sealed.id)
 		f, err := v.fs.Open(name, false)
 		if err != nil {
 			v.recordLoss("%s: %v", name, err)
 			continue
 		}
-		g := &segment{file: file{f: f, name: name}, id: of.id, length: of.length}
+		g := &segment{file: file{f: f, name: name}, id: sealed.id, length: sealed.length}
 		s.files.segments = append(s.files.segments, g)
 	}
 }
@@ -168,18 +168,18 @@
 
 // recoverRun returns the entries of the readable blocks of a run and the gaps between them. It
 // reports the gaps as lost.
-func (v *salvage) recoverRun(store uint64, of sealedRun) (iterator, []gap) {
+func (v *salvage) recoverRun(store uint64, sealed sealedRun) (iterator, []gap) {
 	all := []gap{{}}
 	out := &sliceIterator{}
-	f, err := v.fs.Open(runName(of.id), false)
+	f, err := v.fs.Open(runName(sealed.id), false)
 	if err != nil {
-		v.recordLoss("%s: %v: all keys that it may have changed", runName(of.id), err)
+		v.recordLoss("%s: %v: all keys that it may have changed", runName(sealed.id), err)
 		return out, all
 	}
 	defer f.Close()
-	r, err := openRun(f, store, of)
+	r, err := openRun(f, store, sealed)
 	if err != nil {
-		v.recordLoss("%v: all keys that %s may have changed", err, runName(of.id))
+		v.recordLoss("%v: all keys that %s may have changed", err, runName(sealed.id))
 		return out, all
 	}
 	var gaps []gap
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -88,9 +88,9 @@
 	return batchHeaderBytes + body, littleEndian.Uint32(b[4:]), littleEndian.Uint64(b[8:]), nil
 }
 
-// records calls do for each record between two offsets and stops at the first error. The key is
-// valid until do returns.
-func (s *segment) records(from, to int64, do func(r record, key []byte, at int64) error) error {
+// records calls visit for each record between two offsets and stops at the first error. The key is
+// valid until visit returns.
+func (s *segment) records(from, to int64, visit func(r record, key []byte, at int64) error) error {
 	in := bufio.NewReaderSize(io.NewSectionReader(s.f, from, to-from), readBufferBytes)
 	header := make([]byte, recordHeaderBytes)
 	var key []byte
@@ -112,7 +112,7 @@
 		if _, err := in.Discard(int(r.valueBytes)); err != nil {
 			return readError(err, s.name, at, "ends within a value")
 		}
-		if err := do(r, key, at); err != nil {
+		if err := visit(r, key, at); err != nil {
 			return err
 		}
 		at += r.size()
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -72,17 +72,19 @@
 	// end is the offset of the end of the active segment.
 	end int64
 	// synced is the offset up to which the active segment is known to be on disk.
-	synced   int64
+	synced int64
+	// firstSeq is the sequence number of the active segment's first batch.
 	firstSeq uint64
 	// overlayKeys is the number of entries of the overlay.
 	overlayKeys int
 	keys        uint64
-	baseKeys    uint64
-	markFile    File
-	markSlot    int64
-	buf, block  []byte
-	merging     *mergeJob
-	copying     *copyJob
+	// baseKeys is the number of keys before firstSeq.
+	baseKeys   uint64
+	markFile   File
+	markSlot   int64
+	buf, block []byte
+	merging    *mergeJob
+	copying    *copyJob
 	// lastGroupSize is the number of commits in the last group commit.
 	lastGroupSize int
 	epoch         uint32
@@ -102,7 +104,8 @@
 	// Seq is the number of batches that were ever committed.
 	Seq uint64
 	// LiveBytes is the total size of the newest records of all keys.
-	LiveBytes  int64
+	LiveBytes int64
+	// LogBytes is the size of all segments, and IndexBytes that of all runs.
 	LogBytes   int64
 	IndexBytes int64
 	Segments   int
@@ -131,7 +134,7 @@
 	BackgroundError error
 }
 
-// errOpenedReadOnly is why a store that was opened with Options.ReadOnly takes no commits.
+// errOpenedReadOnly is the reason why a store opened with Options.ReadOnly accepts no commits.
 var errOpenedReadOnly = errors.New("opened read-only")
 
 // Open opens the store in a directory, or creates one there. The error wraps ErrLocked if the store
