--- a/internal/storage/store/bench_test.go
+++ b/internal/storage/store/bench_test.go
@@ -20,7 +20,7 @@
 
 var value100 = bytes.Repeat([]byte("v"), 100)
 
-// benchKey returns the key number i of 16 bytes. The keys are not in the order of their numbers.
+// benchKey returns key number i, which has 16 bytes. Key order differs from the order of numbers.
 func benchKey(i int) []byte {
 	return fmt.Appendf(nil, "%016x", hash(littleEndian.AppendUint64(nil, uint64(i))))
 }
