--- a/internal/storage/store/run.go
+++ b/internal/storage/store/run.go
@@ -7,19 +7,19 @@
 	"sort"
 )
 
-// run is one sealed index: entries sorted by key, in blocks of about 4 KiB. Memory holds the first
-// key of each block, and the filter.
+// run is an immutable index file: entries sorted by key, in blocks of about 4 KiB. The first key of
+// each block and the filter are held in memory.
 type run struct {
 	file
 	id         uint64
 	length     int64
 	entries    int
 	tombstones int
-	// blocksEnd is the offset where the blocks end.
+	// blocksEnd is the offset of the end of the blocks.
 	blocksEnd int64
-	// directory has the offset and the first key of each block, as in the file.
+	// directory has the offset and the first key of each block, encoded as in the file.
 	directory []byte
-	// fenceOffsets are the offsets of the entries in directory.
+	// fenceOffsets are the offsets of the entries within directory.
 	fenceOffsets []uint32
 	filter       filter
 }
@@ -29,12 +29,12 @@
 	footerBytes      = 48
 )
 
-// runWriter writes a run. Keys must be added in order.
+// runWriter writes a run. Keys must be added in ascending order.
 type runWriter struct {
 	f    File
 	name string
 	id   uint64
-	// at is the offset at which buf will be written.
+	// at is the file offset at which buf will be written.
 	at         int64
 	buf        []byte
 	block      []byte
@@ -99,7 +99,7 @@
 	return err
 }
 
-// finish writes the directory and the filter and syncs the run.
+// finish writes the directory, the filter and the footer, and syncs the run.
 func (w *runWriter) finish() (*run, error) {
 	if err := w.endBlock(); err != nil {
 		return nil, err
@@ -108,14 +108,14 @@
 	w.buf = appendBlock(w.buf, w.directory)
 	filterAt := w.at + int64(len(w.buf))
 	w.buf = appendBlock(w.buf, w.filter)
-	foot := make([]byte, 0, footerBytes)
+	footer := make([]byte, 0, footerBytes)
 	for _, n := range []uint64{
 		uint64(end), uint64(filterAt), uint64(w.entries), uint64(w.tombstones), w.id,
 	} {
-		foot = littleEndian.AppendUint64(foot, n)
+		footer = littleEndian.AppendUint64(footer, n)
 	}
-	foot = append(foot, "run\n"...)
-	w.buf = littleEndian.AppendUint32(append(w.buf, foot...), checksum(foot))
+	footer = append(footer, "run\n"...)
+	w.buf = littleEndian.AppendUint32(append(w.buf, footer...), checksum(footer))
 	if err := w.flush(); err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	return r, r.indexFences()
 }
 
-// openRun reads a run's directory and filter.
+// openRun opens a run and reads its directory and its filter.
 func openRun(f File, store uint64, m sealedRun) (*run, error) {
 	name := runName(m.id)
 	size, err := f.Size()
@@ -143,17 +143,18 @@
 	if _, err := readHeader(f, name, kindRun, store, m.id); err != nil {
 		return nil, err
 	}
-	foot := make([]byte, footerBytes)
+	footer := make([]byte, footerBytes)
 	at := size - footerBytes
 	if at < fileHeaderBytes {
 		return nil, &DamageError{name, size, "too short for a footer"}
 	}
-	if _, err := f.ReadAt(foot, at); err != nil {
-		return nil, readError(err, name, at, "ends within its footer")
+	if _, err := f.ReadAt(footer, at); err != nil {
+		return nil, readError(err, name, at, "ends within the footer")
 	}
-	if string(foot[40:44]) != "run\n" || littleEndian.Uint32(foot[44:]) != checksum(foot[:44]) ||
-		littleEndian.Uint64(foot[32:]) != m.id {
-		return nil, &DamageError{name, at, "footer's checksum differs"}
+	if string(footer[40:44]) != "run\n" ||
+		littleEndian.Uint32(footer[44:]) != checksum(footer[:44]) ||
+		littleEndian.Uint64(footer[32:]) != m.id {
+		return nil, &DamageError{name, at, "invalid footer"}
 	}
 	r := &run{file: file{
 		f:    f,
@@ -161,10 +162,10 @@
 	},
 		id:         m.id,
 		length:     size,
-		blocksEnd:  int64(littleEndian.Uint64(foot)),
-		entries:    int(littleEndian.Uint64(foot[16:])),
-		tombstones: int(littleEndian.Uint64(foot[24:]))}
-	filterAt := int64(littleEndian.Uint64(foot[8:]))
+		blocksEnd:  int64(littleEndian.Uint64(footer)),
+		entries:    int(littleEndian.Uint64(footer[16:])),
+		tombstones: int(littleEndian.Uint64(footer[24:]))}
+	filterAt := int64(littleEndian.Uint64(footer[8:]))
 	if r.directory, err = readBlock(f, name, r.blocksEnd, filterAt); err != nil {
 		return nil, err
 	}
@@ -176,21 +177,21 @@
 	return r, r.indexFences()
 }
 
-// indexFences finds the entries of the directory.
+// indexFences sets fenceOffsets by parsing the directory.
 func (r *run) indexFences() error {
 	for at := 0; at < len(r.directory); {
 		r.fenceOffsets = append(r.fenceOffsets, uint32(at))
 		_, key, n := r.fenceAt(at)
 		if n <= 0 || at+n > len(r.directory) || key == nil {
-			return &DamageError{r.name, r.blocksEnd, "directory can't be read"}
+			return &DamageError{r.name, r.blocksEnd, "invalid block directory"}
 		}
 		at += n
 	}
 	return nil
 }
 
-// fenceAt reads the entry of the directory at an offset: its block's offset, its key and its
-// length.
+// fenceAt parses the entry at an offset within the directory. It returns the block's file offset
+// and first key, and the length n of the entry, 0 if the entry is invalid.
 func (r *run) fenceAt(at int) (offset int64, key []byte, n int) {
 	b := r.directory[at:]
 	o, k := binary.Uvarint(b)
@@ -204,7 +205,7 @@
 	return int64(o), b[k+l : k+l+int(size)], k + l + int(size)
 }
 
-// blockFor returns the number of the block that would hold a key, -1 if the key is before all
+// blockFor returns the index of the block that would hold a key, -1 if the key is before all
 // blocks.
 func (r *run) blockFor(key []byte) int {
 	return sort.Search(len(r.fenceOffsets), func(i int) bool {
@@ -213,7 +214,8 @@
 	}) - 1
 }
 
-// block reads a block into buf in one read, as it ends where the next one begins.
+// block reads block i into buf and checks it. One read suffices, because a block ends where the
+// next one begins.
 func (r *run) block(i int, buf *[]byte) ([]byte, error) {
 	offset, _, _ := r.fenceAt(int(r.fenceOffsets[i]))
 	end := r.blocksEnd
@@ -222,7 +224,7 @@
 	}
 	n := end - offset
 	if offset < fileHeaderBytes || end > r.blocksEnd || n < blockHeaderBytes {
-		return nil, &DamageError{r.name, r.blocksEnd, "directory can't be read"}
+		return nil, &DamageError{r.name, r.blocksEnd, "invalid block directory"}
 	}
 	if int64(cap(*buf)) < n {
 		*buf = make([]byte, n)
@@ -234,7 +236,7 @@
 	return verifyBlock(r.name, offset, b)
 }
 
-// entry reads the first entry of the rest of a block.
+// entry parses the first entry of b, the unread part of a block, and returns the rest of b.
 func (r *run) entry(b []byte) (key []byte, at location, rest []byte, err error) {
 	keyBytes, n := binary.Uvarint(b)
 	if n <= 0 || keyBytes > uint64(len(b)-n) {
@@ -262,9 +264,10 @@
 	return key, location{segment, int64(offset), uint32(size)}, b[n:], nil
 }
 
-func (r *run) entryDamage() error { return &DamageError{r.name, 0, "an entry can't be read"} }
+func (r *run) entryDamage() error { return &DamageError{r.name, 0, "invalid index entry"} }
 
-// get returns the location of a key; h is the key's hash.
+// get returns the location of a key and whether the run has an entry for it. h is the key's hash,
+// and buf is reused between calls.
 func (r *run) get(key []byte, h uint64, buf *[]byte) (location, bool, error) {
 	if !r.filter.has(h) {
 		return location{}, false, nil
@@ -293,21 +296,21 @@
 	return location{}, false, nil
 }
 
-// runWalker iterates over a run in order. Keys are valid until the next call.
-type runWalker struct {
+// runIterator iterates over a run in key order. Keys are valid until the next call of next.
+type runIterator struct {
 	r     *run
 	block int
 	buf   []byte
 	rest  []byte
-	// first is the first key to return.
+	// first is the lower bound of the keys to return.
 	first []byte
 }
 
-func (r *run) from(key []byte) *runWalker {
-	return &runWalker{r: r, block: max(r.blockFor(key), 0), first: key}
+func (r *run) from(key []byte) *runIterator {
+	return &runIterator{r: r, block: max(r.blockFor(key), 0), first: key}
 }
 
-func (w *runWalker) next() (key []byte, at location, ok bool, err error) {
+func (w *runIterator) next() (key []byte, at location, ok bool, err error) {
 	for {
 		if len(w.rest) == 0 {
 			if w.block >= len(w.r.fenceOffsets) {
@@ -328,19 +331,19 @@
 	}
 }
 
-// walker iterates over entries sorted by key.
-type walker interface {
+// iterator iterates over entries in key order. ok is false after the last entry.
+type iterator interface {
 	next() (key []byte, at location, ok bool, err error)
 }
 
-// mergeWalker merges several walkers. Of entries with the same key it returns the one of the first
-// walker.
-type mergeWalker struct {
-	from  []walker
+// mergeIterator merges several iterators, the newest first. Of entries with the same key it returns
+// the one of the first iterator.
+type mergeIterator struct {
+	from  []iterator
 	heads []mergeHead
-	// key is the last key returned.
+	// key is the key that was returned last.
 	key []byte
-	// source is the number of the walker that the last entry came from.
+	// source is the index of the iterator that the last entry came from.
 	source int
 }
 
@@ -348,20 +351,20 @@
 	key []byte
 	at  location
 	ok  bool
-	// read is set if the next entry must be read.
+	// read is set if the iterator's next entry must be read.
 	read bool
 }
 
-func merge(from ...walker) *mergeWalker {
-	m := &mergeWalker{from: from, heads: make([]mergeHead, len(from))}
+func merge(from ...iterator) *mergeIterator {
+	m := &mergeIterator{from: from, heads: make([]mergeHead, len(from))}
 	for i := range m.heads {
 		m.heads[i].read = true
 	}
 	return m
 }
 
-func (m *mergeWalker) next() (key []byte, at location, ok bool, err error) {
-	first := -1 // the walker with the smallest key
+func (m *mergeIterator) next() (key []byte, at location, ok bool, err error) {
+	first := -1 // the iterator with the smallest key
 	for i := range m.heads {
 		h := &m.heads[i]
 		if h.read {
@@ -377,7 +380,7 @@
 	if first < 0 {
 		return nil, at, false, nil
 	}
-	// The key is in its walker's block, which that walker may overwrite with its next entry.
+	// The key is in a buffer that its iterator may overwrite when it reads the next entry.
 	m.key = append(m.key[:0], m.heads[first].key...)
 	m.source = first
 	at = m.heads[first].at
--- a/internal/storage/store/salvage.go
+++ b/internal/storage/store/salvage.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// salvage recovers what is readable of a damaged store.
+// salvage copies the readable data of a damaged store to a new store.
 type salvage struct {
 	fs      FS
-	to      *Store
+	target  *Store
 	report  *Report
 	pending Batch
 }
@@ -20,10 +20,10 @@
 	v.report.Lost = append(v.report.Lost, fmt.Sprintf(format, args...))
 }
 
-// salvageBatchBytes is the size at which recovered keys are committed.
+// salvageBatchBytes is the batch size at which recovered keys are committed.
 const salvageBatchBytes = 1 << 20
 
-// put adds a key to the new store.
+// put adds a key to the pending batch, which is committed once it is large enough.
 func (v *salvage) put(key, value []byte) error {
 	v.pending.Put(key, value)
 	if v.pending.Bytes() < salvageBatchBytes {
@@ -33,32 +33,31 @@
 }
 
 func (v *salvage) flush() error {
-	err := v.to.Commit(&v.pending, Durable)
+	err := v.target.Commit(&v.pending, Durable)
 	v.pending.Reset()
 	return err
 }
 
-// gap is the range of keys in an unreadable part of a run: from included, to excluded; nil for no
-// bound.
+// gap is the range of keys [from, to) in an unreadable part of a run. nil means no bound.
 type gap struct{ from, to []byte }
 
 // recoverByManifest recovers the store that the manifest describes.
 func (v *salvage) recoverByManifest() error {
 	in, err := v.fs.Open(manifestName, false)
 	if err != nil {
-		return fmt.Errorf("store: %s: %w; only the logs are left to go by", manifestName, err)
+		return fmt.Errorf("store: %s: %w; only the logs are usable", manifestName, err)
 	}
 	m, err := readManifest(in)
 	if err := errors.Join(err, in.Close()); err != nil {
-		return fmt.Errorf("%w; only the logs are left to go by", err)
+		return fmt.Errorf("%w; only the logs are usable", err)
 	}
 	s := &Store{fs: v.fs, id: m.store, files: &fileSet{}, firstSeq: m.seq}
 	defer s.closeSegments()
 	v.openSegments(s, m)
-	var runs []walker
-	gaps := [][]gap{nil} // by walker: the overlay has none
-	for _, of := range m.runs {
-		w, missing := v.recoverRun(m.store, of)
+	var runs []iterator
+	gaps := [][]gap{nil} // by iterator; the first one, the overlay, has no gaps
+	for _, sealed := range m.runs {
+		w, missing := v.recoverRun(m.store, sealed)
 		runs = append(runs, w)
 		gaps = append(gaps, missing)
 	}
@@ -68,32 +67,32 @@
 			return err
 		}
 	}
-	overlay := []walker{s.overlay.from("")}
+	overlay := []iterator{s.overlay.from("")}
 	return v.copyEntries(s.files, merge(append(overlay, runs...)...), gaps)
 }
 
-// openSegments opens the segments that the manifest names, and reports those that are lost.
+// openSegments opens the segments that the manifest lists and reports those that can't be opened.
 func (v *salvage) openSegments(s *Store, m *manifest) {
-	for _, of := range append(slices.Clone(m.segments), sealedSegment{id: m.active}) {
-		name := segmentName(of.id)
+	for _, sealed := range append(slices.Clone(m.segments), sealedSegment{id: m.active}) {
+		name := segmentName(sealed.id)
 		f, err := v.fs.Open(name, false)
 		if err != nil {
 			v.recordLoss("%s: %v", name, err)
 			continue
 		}
-		g := &segment{file: file{f: f, name: name}, id: of.id, length: of.length}
+		g := &segment{file: file{f: f, name: name}, id: sealed.id, length: sealed.length}
 		s.files.segments = append(s.files.segments, g)
 	}
 }
 
-// closeSegments closes segments that were only read, so that errors do not matter.
+// closeSegments closes all segments. Errors do not matter, because the segments were only read.
 func (s *Store) closeSegments() {
 	for _, g := range s.files.segments {
 		_ = g.f.Close()
 	}
 }
 
-// replayActive puts the active segment's readable batches into the overlay.
+// replayActive sets the overlay from the active segment's batches up to the first damaged one.
 func (v *salvage) replayActive(s *Store) error {
 	size, err := s.active.f.Size()
 	if err != nil {
@@ -109,7 +108,7 @@
 			err = s.active.records(at+batchHeaderBytes, at+n, add)
 		}
 		if err != nil {
-			v.recordLoss("%v: it and the %d bytes from there on", err, size-at)
+			v.recordLoss("%v: all %d bytes from the damaged batch on", err, size-at)
 			break
 		}
 		at += n
@@ -118,9 +117,9 @@
 	return nil
 }
 
-// copyEntries copies the entries whose value is certainly the newest to the new store. gaps are the
-// unreadable parts of each of the walkers.
-func (v *salvage) copyEntries(files *fileSet, all *mergeWalker, gaps [][]gap) error {
+// copyEntries copies the keys whose readable value is certainly the newest to the new store.
+// gaps[i] are the unreadable parts of iterator i of all.
+func (v *salvage) copyEntries(files *fileSet, all *mergeIterator, gaps [][]gap) error {
 	for {
 		key, at, ok, err := all.next()
 		if err != nil {
@@ -129,7 +128,7 @@
 		if !ok {
 			return v.flush()
 		}
-		if at.deleted() || hidden(gaps[:all.source], key) {
+		if at.deleted() || mayBeShadowed(gaps[:all.source], key) {
 			continue
 		}
 		value, err := files.load(key, at)
@@ -143,8 +142,8 @@
 	}
 }
 
-// hidden reports whether an unreadable part of a newer run may have held another value of a key.
-func hidden(newer [][]gap, key []byte) bool {
+// mayBeShadowed reports whether a gap of a newer run may hold a newer entry of a key.
+func mayBeShadowed(newer [][]gap, key []byte) bool {
 	for _, gaps := range newer {
 		for _, g := range gaps {
 			if bytes.Compare(key, g.from) >= 0 && (g.to == nil || bytes.Compare(key, g.to) < 0) {
@@ -155,10 +154,10 @@
 	return false
 }
 
-// entryList is a walker over entries that were read before.
-type entryList struct{ rest []entry }
+// sliceIterator iterates over entries in memory.
+type sliceIterator struct{ rest []entry }
 
-func (l *entryList) next() (key []byte, at location, ok bool, err error) {
+func (l *sliceIterator) next() (key []byte, at location, ok bool, err error) {
 	if len(l.rest) == 0 {
 		return nil, at, false, nil
 	}
@@ -167,19 +166,20 @@
 	return e.key, e.at, true, nil
 }
 
-// recoverRun reads the readable blocks of a run, and returns the gaps between them.
-func (v *salvage) recoverRun(store uint64, of sealedRun) (walker, []gap) {
+// recoverRun returns the entries of the readable blocks of a run and the gaps between them. It
+// reports the gaps as lost.
+func (v *salvage) recoverRun(store uint64, sealed sealedRun) (iterator, []gap) {
 	all := []gap{{}}
-	out := &entryList{}
-	f, err := v.fs.Open(runName(of.id), false)
+	out := &sliceIterator{}
+	f, err := v.fs.Open(runName(sealed.id), false)
 	if err != nil {
-		v.recordLoss("%s: %v: all keys that it may have changed", runName(of.id), err)
+		v.recordLoss("%s: %v: all keys that it may have changed", runName(sealed.id), err)
 		return out, all
 	}
 	defer f.Close()
-	r, err := openRun(f, store, of)
+	r, err := openRun(f, store, sealed)
 	if err != nil {
-		v.recordLoss("%v: all keys that %s may have changed", err, runName(of.id))
+		v.recordLoss("%v: all keys that %s may have changed", err, runName(sealed.id))
 		return out, all
 	}
 	var gaps []gap
@@ -198,20 +198,20 @@
 				_, g.to, _ = r.fenceAt(int(r.fenceOffsets[i+1]))
 			}
 			gaps = append(gaps, g)
-			v.recordLoss("%v: keys from %q to before %q", err, g.from, g.to)
+			v.recordLoss("%v: keys from %q to %q (exclusive)", err, g.from, g.to)
 		}
 	}
 	return out, gaps
 }
 
-// recoverByLogs recovers from the logs alone, in the order of their batches.
+// recoverByLogs recovers from the segments alone, in the order of their batches.
 func (v *salvage) recoverByLogs() error {
 	names, err := v.fs.List()
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
-	v.recordLoss("what was deleted may be there again")
+	v.recordLoss("deleted keys may have reappeared")
 	for _, name := range names {
 		if !isStoreFile(name) || !strings.HasSuffix(name, ".log") {
 			continue
@@ -242,7 +242,7 @@
 	for at := int64(fileHeaderBytes); at < size; {
 		n, _, _, err := g.readBatch(at, size)
 		if err != nil {
-			v.recordLoss("%v: it and the %d bytes from there on", err, size-at)
+			v.recordLoss("%v: all %d bytes from the damaged batch on", err, size-at)
 			return nil
 		}
 		err = g.records(at+batchHeaderBytes, at+n, func(r record, key []byte, at int64) error {
