--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -109,7 +109,7 @@
 	w.Clients.Run(trafficContext)
 	var cpu float64
 	for _, g := range w.Gateways {
-		cpu += g.cpu()
+		cpu += g.cpuSeconds()
 	}
 	if withAuth {
 		if err := <-moods; err != nil {
--- a/internal/testing/lab/cling.go
+++ b/internal/testing/lab/cling.go
@@ -11,48 +11,48 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// clingingConn is one client's only connection: it is used for as long as it stays open, whatever
+// singleConn is one client's only connection: it is used for as long as it stays open, whatever
 // becomes of the gateway, and written to without a look whether it was ended.
-type clingingConn struct {
+type singleConn struct {
 	address string
-	conn    *frontConn // nil: none is open
+	conn    *clientConn // nil: none is open
 	ended   bool
 }
 
-// errClingingEnded is the error of a client whose connection was closed between two requests: it
+// errSingleConnClosed is the error of a client whose connection was closed between two requests: it
 // opens no other one.
-var errClingingEnded = errors.New("the connection was closed")
+var errSingleConnClosed = errors.New("the connection was closed")
 
-func (c *clingingConn) take(_ int, newConnection bool) (*frontConn, error) {
+func (c *singleConn) take(_ int, newConnection bool) (*clientConn, error) {
 	if c.conn != nil && !newConnection {
 		conn := c.conn
 		c.conn = nil
 		return conn, nil
 	}
 	if c.ended {
-		return nil, errClingingEnded
+		return nil, errSingleConnClosed
 	}
 	c.ended = newConnection
 	conn, err := net.DialTimeout("tcp", c.address, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &frontConn{Conn: conn, in: bufio.NewReaderSize(conn, 512)}, nil
+	return &clientConn{Conn: conn, in: bufio.NewReaderSize(conn, 512)}, nil
 }
 
-func (c *clingingConn) keep(_ int, conn *frontConn) {
+func (c *singleConn) keep(_ int, conn *clientConn) {
 	conn.used = true
 	c.conn = conn
 }
 
-// cling has a client send one request after another to a gateway on one connection, each as soon as
+// runOnSingleConn has a client send one request after another to a gateway on one connection, each as soon as
 // the one before is answered, until the connection ends or the context does.
-func (c *Clients) cling(ctx context.Context, gateway, number int) {
+func (c *Clients) runOnSingleConn(ctx context.Context, gateway, number int) {
 	customers := c.customersOf(gateway)
 	if len(customers) == 0 {
 		return
 	}
-	conns := &clingingConn{address: c.front.gateways[gateway].Address}
+	conns := &singleConn{address: c.balancer.gateways[gateway].Address}
 	defer func() {
 		if conns.conn != nil {
 			conns.conn.Close()
@@ -66,7 +66,7 @@
 		t.First = t.ID
 		t.Wait = c.site.ClientTimeout(t.Class, r)
 		t.Gateway = gateway
-		c.front.sendOn(ctx, conns, c.site, &c.site.Customers[k], &t, 0)
+		c.balancer.sendOn(ctx, conns, c.site, &c.site.Customers[k], &t, 0)
 		c.rec.AddTry(t)
 		if t.Kind != harness.Served && t.Kind != harness.Refused && t.Kind != harness.Failed {
 			return
--- a/internal/testing/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -363,7 +363,7 @@
 	rss := 0
 	for _, g := range c.w.Gateways {
 		g.mu.Lock()
-		ready, rss = append(ready, g.readyIn...), max(rss, g.rss)
+		ready, rss = append(ready, g.readyIn...), max(rss, g.maxRSSKB)
 		g.mu.Unlock()
 	}
 	slices.Sort(ready)
--- a/internal/testing/lab/fleet_test.go
+++ b/internal/testing/lab/fleet_test.go
@@ -101,13 +101,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.spoil(t)
-			before := strings.Count(g.tail(), c.log)
+			before := strings.Count(g.logTail(), c.log)
 			if err := g.Signal(syscall.SIGUSR2); err != nil {
 				t.Fatal(err)
 			}
-			for strings.Count(g.tail(), c.log) == before {
+			for strings.Count(g.logTail(), c.log) == before {
 				if ctx.Err() != nil {
-					t.Fatalf("nothing in the log:\n%s", g.tail())
+					t.Fatalf("nothing in the log:\n%s", g.logTail())
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -118,12 +118,12 @@
 	}
 	old := g.pid
 	if ok, err := g.HandOver(ctx); !ok || err != nil {
-		t.Fatalf("handed over %t, %v\n%s", ok, err, g.tail())
+		t.Fatalf("handed over %t, %v\n%s", ok, err, g.logTail())
 	}
 	// Until it is gone the old process may answer, or say that it has handed over.
-	for alive(old) {
+	for processRuns(old) {
 		if ctx.Err() != nil {
-			t.Fatalf("the old process does not end\n%s", g.tail())
+			t.Fatalf("the old process does not end\n%s", g.logTail())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-// Gateways replaced by processes beside them, some of which are killed amid it, and emptied by
+// Gateways replaced by processes beside them, some of which are killed amid it, and drained by
 // their admin interface, in small.
 func TestUpgradeKeepsTheRules(t *testing.T) {
 	if !HasGo() {
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -22,7 +22,7 @@
 // front deals requests out among the gateways. It keeps connections, opens more
 // when all are busy, takes a gateway in once it answers PING, and notices only
 // after some seconds that one has died.
-type front struct {
+type loadBalancer struct {
 	gateways []*Gateway
 	rec      *harness.Record
 	entries  []*entryPoint
@@ -32,14 +32,14 @@
 // entryPoint is one gateway as the front sees it.
 type entryPoint struct {
 	mu      sync.Mutex
-	idle    []*frontConn
+	idle    []*clientConn
 	down    bool
-	emptied bool      // operators empty it: it is dealt nothing, but on connections that stay open
+	drained bool      // operators empty it: it is dealt nothing, but on connections that stay open
 	failing time.Time // since when nothing answers there; zero: it does
 	notice  time.Duration
 }
 
-type frontConn struct {
+type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
 	used bool
@@ -48,7 +48,7 @@
 // open tells whether a kept connection was not ended by the other side, as a front
 // that watches its connections knows. To write to one that was would be the front's
 // own fault, and a process that has exited since answers with a reset.
-func (c *frontConn) open() bool {
+func (c *clientConn) open() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
@@ -62,8 +62,8 @@
 	return err == nil && open
 }
 
-func newFront(rec *harness.Record, gateways []*Gateway) *front {
-	f := &front{gateways: gateways, rec: rec}
+func newLoadBalancer(rec *harness.Record, gateways []*Gateway) *loadBalancer {
+	f := &loadBalancer{gateways: gateways, rec: rec}
 	for range gateways {
 		f.entries = append(f.entries, &entryPoint{})
 	}
@@ -71,23 +71,23 @@
 }
 
 // up tells whether the front deals out to a gateway.
-func (f *front) up(g int) bool {
+func (f *loadBalancer) up(g int) bool {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.down && !e.emptied
+	return !e.down && !e.drained
 }
 
-// empty takes note that a gateway is being emptied, or is back.
-func (f *front) empty(g int, on bool) {
+// empty takes note that a gateway is being drained, or is back.
+func (f *loadBalancer) setDrained(g int, on bool) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.emptied = on
+	e.drained = on
 }
 
 // open is how many kept connections to a gateway it has not ended.
-func (f *front) open(g int) (n int) {
+func (f *loadBalancer) open(g int) (n int) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +101,7 @@
 
 // refused takes note that nothing listens at a gateway: it is seen as down some
 // time later, and asked from then on whether it is back.
-func (f *front) refused(ctx context.Context, g int) {
+func (f *loadBalancer) refused(ctx context.Context, g int) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,7 +131,7 @@
 	}()
 }
 
-func (f *front) answered(g int) {
+func (f *loadBalancer) answered(g int) {
 	e := f.entries[g]
 	e.mu.Lock()
 	e.down, e.failing = false, time.Time{}
@@ -139,7 +139,7 @@
 }
 
 // take gives an idle connection to a gateway, or makes one.
-func (f *front) take(g int, newConnection bool) (*frontConn, error) {
+func (f *loadBalancer) take(g int, newConnection bool) (*clientConn, error) {
 	e := f.entries[g]
 	if !newConnection {
 		e.mu.Lock()
@@ -158,10 +158,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &frontConn{Conn: c, in: bufio.NewReaderSize(c, 512)}, nil
+	return &clientConn{Conn: c, in: bufio.NewReaderSize(c, 512)}, nil
 }
 
-func (f *front) keep(g int, c *frontConn) {
+func (f *loadBalancer) keep(g int, c *clientConn) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,7 +169,7 @@
 	e.idle = append(e.idle, c)
 }
 
-func (f *front) close() {
+func (f *loadBalancer) close() {
 	f.wg.Wait()
 	for _, e := range f.entries {
 		e.mu.Lock()
@@ -183,14 +183,14 @@
 
 // connections is where a client's connections come from, and where they are kept.
 type connections interface {
-	take(gateway int, newConnection bool) (*frontConn, error)
-	keep(gateway int, c *frontConn)
+	take(gateway int, newConnection bool) (*clientConn, error)
+	keep(gateway int, c *clientConn)
 }
 
 // send sends a try to its gateway and waits for the answer. A kept connection
 // that the gateway closed, unread, has it sent once more on a new one.
 // A client that loses patience closes the connection so long after the request; 0: it waits.
-func (f *front) send(
+func (f *loadBalancer) send(
 	ctx context.Context,
 	s *harness.Site,
 	c *harness.Customer,
@@ -201,7 +201,7 @@
 }
 
 // sendOn does the same on certain connections.
-func (f *front) sendOn(
+func (f *loadBalancer) sendOn(
 	ctx context.Context,
 	conns connections,
 	s *harness.Site,
@@ -320,20 +320,20 @@
 // Clients send what a site's customers ask for, whatever comes back, and try
 // again through another gateway as clients do.
 type Clients struct {
-	site  *harness.Site
-	rec   *harness.Record
-	front *front
-	wg    sync.WaitGroup
-	ids   atomic.Uint64
-	seed  uint64
-	runs  uint64 // added to the seed
+	site     *harness.Site
+	rec      *harness.Record
+	balancer *loadBalancer
+	wg       sync.WaitGroup
+	ids      atomic.Uint64
+	seed     uint64
+	runs     uint64 // added to the seed
 
 	sent, served, open atomic.Int64
 }
 
 // NewClients makes the clients of a site.
 func NewClients(s *harness.Site, rec *harness.Record, gateways []*Gateway, seed uint64) *Clients {
-	c := &Clients{site: s, rec: rec, front: newFront(rec, gateways), seed: seed}
+	c := &Clients{site: s, rec: rec, balancer: newLoadBalancer(rec, gateways), seed: seed}
 	c.ids.Store(seed << 32)
 	return c
 }
@@ -355,7 +355,7 @@
 	}
 	c.wg.Wait()
 	cancel()
-	c.front.close()
+	c.balancer.close()
 }
 
 // runCustomer sends one customer's requests.
@@ -394,9 +394,9 @@
 		} else {
 			t.RequestedAt = 0
 		}
-		t.Gateway = c.site.PickGateway(who, last, c.rec.Now(), c.front.up, r)
+		t.Gateway = c.site.PickGateway(who, last, c.rec.Now(), c.balancer.up, r)
 		last = t.Gateway
-		c.front.send(ctx, c.site, who, &t, abandonAfter)
+		c.balancer.send(ctx, c.site, who, &t, abandonAfter)
 		c.rec.AddTry(t)
 		if t.Kind == harness.Served {
 			c.served.Add(1)
--- a/internal/testing/lab/held_test.go
+++ b/internal/testing/lab/held_test.go
@@ -37,7 +37,7 @@
 	w, ctx := testWorld(t, Options{Seed: 1, Gateways: 1, Servers: 2, Load: 0.1, Held: true})
 	g := w.Gateways[0]
 	for range 3 {
-		if err := syscall.SetNonblock(int(g.held.Fd()), false); err != nil {
+		if err := syscall.SetNonblock(int(g.listenerFile.Fd()), false); err != nil {
 			t.Fatal(err)
 		}
 		if !g.ping() {
@@ -50,6 +50,6 @@
 	stop, over := context.WithTimeout(ctx, 20*time.Second)
 	defer over()
 	if err := g.WaitForExit(stop); err != nil {
-		t.Errorf("%v\n%s", err, g.tail())
+		t.Errorf("%v\n%s", err, g.logTail())
 	}
 }
--- a/internal/testing/lab/notes.go
+++ b/internal/testing/lab/notes.go
@@ -47,7 +47,7 @@
 	for i := range dest {
 		for j := range dest {
 			if i != j {
-				go n.carry(i, j)
+				go n.forward(i, j)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (n *PeerNetwork) carry(i, j int) {
+func (n *PeerNetwork) forward(i, j int) {
 	buf := make([]byte, 2048)
 	for {
 		size, _, err := n.links[i][j].ReadFromUDPAddrPort(buf)
--- a/internal/testing/lab/process.go
+++ b/internal/testing/lab/process.go
@@ -63,27 +63,27 @@
 // Gateway is one instance: the real program, started as a process, and started
 // again under its name and address as often as a scenario wants.
 type Gateway struct {
-	Number  int
-	Address string // for clients
-	Peer    string // for notes
-	dir     string
-	bin     string
-	args    []string
-	rec     *harness.Record
-	config  func(*Gateway) map[string]any
-	env     []string // beside the rig's own
-	held    *os.File // the clients' socket, where the rig holds it; nil: the process listens
+	Number       int
+	Address      string // for clients
+	Peer         string // for notes
+	dir          string
+	bin          string
+	args         []string
+	rec          *harness.Record
+	config       func(*Gateway) map[string]any
+	env          []string // beside the rig's own
+	listenerFile *os.File // the clients' socket, where the rig holds it; nil: the process listens
 
 	exitCodes sync.Map // int by process id
 
-	mu           sync.Mutex
-	pid          int    // 0: none runs
-	adminAddress string // where operators call the process that serves; "": nowhere
-	older        []int
-	rss          int           // the most seen, in kB
-	began        time.Duration // when the process now running was started
-	wanted       bool          // to run: an end is a crash
-	readyIn      []time.Duration
+	mu            sync.Mutex
+	pid           int    // 0: none runs
+	adminAddress  string // where operators call the process that serves; "": nowhere
+	predecessors  []int
+	maxRSSKB      int           // the most seen, in kB
+	startedAt     time.Duration // when the process now running was started
+	expectedToRun bool          // to run: an end is a crash
+	readyIn       []time.Duration
 }
 
 // freeAddress finds a host in 127.0.0.0/8, other than those that outgoing
@@ -110,7 +110,7 @@
 }
 
 // worlds counts those of this process: each has hosts of its own.
-var worlds atomic.Uint32
+var worldCount atomic.Uint32
 
 // hostOf is an address of a world's own. What restarts must not listen on a port
 // that is dealt out to others: while it is down, another rig's server might get it.
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	g.pid, g.wanted, g.began = pid, true, g.rec.Now()
+	g.pid, g.expectedToRun, g.startedAt = pid, true, g.rec.Now()
 	g.rec.AddProcessEvent(g.Number, harness.Started)
 	return nil
 }
@@ -190,13 +190,13 @@
 		"TMPDIR="+g.dir)
 	cmd.Env = append(cmd.Env, g.env...)
 	cmd.Stdout, cmd.Stderr = out, out
-	if g.held != nil {
-		cmd.ExtraFiles = []*os.File{g.held} // is descriptor 3
+	if g.listenerFile != nil {
+		cmd.ExtraFiles = []*os.File{g.listenerFile} // is descriptor 3
 		cmd.Env = append(cmd.Env, "RELAY_INHERITED_FD=3")
 	}
 	// Nothing may outlive the rig, whatever ends it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := startLocked(cmd); err != nil {
+	if err := startOnStarterThread(cmd); err != nil {
 		return 0, fmt.Errorf("gateway %d: %w", g.Number, err)
 	}
 	go func() {
@@ -204,7 +204,7 @@
 		if cmd.ProcessState != nil {
 			g.exitCodes.Store(cmd.Process.Pid, cmd.ProcessState.ExitCode())
 		}
-		g.ended(cmd.Process.Pid)
+		g.recordExit(cmd.Process.Pid)
 	}()
 	return cmd.Process.Pid, nil
 }
@@ -212,7 +212,7 @@
 // exitCode is the code with which a process ended, below 0 if a signal ended it. It is not known of
 // a process that another one has started.
 func (g *Gateway) exitCode(pid int) (code int, known bool) {
-	for range exitCodeTries { // it is noted right after the process has gone
+	for range exitCodePolls { // it is noted right after the process has gone
 		if value, known := g.exitCodes.Load(pid); known {
 			return value.(int), true
 		}
@@ -221,7 +221,7 @@
 	return 0, false
 }
 
-const exitCodeTries = 200
+const exitCodePolls = 200
 
 // Dir is the folder in which the gateway's processes run.
 func (g *Gateway) Dir() string { return g.dir }
@@ -248,23 +248,23 @@
 	return string(raw)
 }
 
-// hold has the rig hold the clients' socket, as a platform does, and gives the gateway an admin
+// holdListener has the rig hold the clients' socket, as a platform does, and gives the gateway an admin
 // address.
-func (g *Gateway) hold() error {
+func (g *Gateway) holdListener() error {
 	l, err := net.Listen("tcp", g.Address)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	if g.held, err = l.(*net.TCPListener).File(); err != nil {
+	if g.listenerFile, err = l.(*net.TCPListener).File(); err != nil {
 		return err
 	}
 	return g.newAdminAddress()
 }
 
-// startLocked starts a command from a thread that lives as long as the rig: the
+// startOnStarterThread starts a command from a thread that lives as long as the rig: the
 // parent-death signal belongs to the thread that forked.
-var startLocked = func() func(*exec.Cmd) error {
+var startOnStarterThread = func() func(*exec.Cmd) error {
 	type job struct {
 		cmd *exec.Cmd
 		err chan error
@@ -273,7 +273,7 @@
 	var once sync.Once
 	return func(cmd *exec.Cmd) error {
 		once.Do(func() {
-			go starter(func() (*exec.Cmd, chan error) { j := <-jobs; return j.cmd, j.err })
+			go runStarter(func() (*exec.Cmd, chan error) { j := <-jobs; return j.cmd, j.err })
 		})
 		j := job{cmd, make(chan error, 1)}
 		jobs <- j
@@ -283,17 +283,17 @@
 
 // ended takes note of a process's end. The one that has handed over is not the
 // one that serves.
-func (g *Gateway) ended(pid int) {
+func (g *Gateway) recordExit(pid int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if pid != g.pid {
 		return
 	}
 	g.pid = 0
-	if g.wanted {
+	if g.expectedToRun {
 		if next := g.successor(pid); next != 0 {
 			g.pid = next
-			go g.watch(next)
+			go g.watchExit(next)
 			return
 		}
 		g.rec.AddProcessEvent(g.Number, harness.Crashed)
@@ -305,28 +305,28 @@
 func (g *Gateway) pidFile() string { return filepath.Join(g.dir, "pid") }
 
 // successor is the process that a pid file names, if it is another and lives.
-func (g *Gateway) successor(than int) int {
+func (g *Gateway) successor(old int) int {
 	raw, err := os.ReadFile(g.pidFile())
 	if err != nil {
 		return 0
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
-	if err != nil || pid == than || !alive(pid) {
+	if err != nil || pid == old || !processRuns(pid) {
 		return 0
 	}
 	return pid
 }
 
 // watch waits for the end of a process that is no child: one that has taken over.
-func (g *Gateway) watch(pid int) {
-	for alive(pid) {
+func (g *Gateway) watchExit(pid int) {
+	for processRuns(pid) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	g.ended(pid)
+	g.recordExit(pid)
 }
 
 // alive tells whether a process runs.
-func alive(pid int) bool {
+func processRuns(pid int) bool {
 	state, exists := processState(pid)
 	if exists && state == zombie {
 		// The rig is where orphans go: it takes note of their end.
@@ -365,13 +365,13 @@
 	}
 	switch s {
 	case syscall.SIGKILL:
-		g.wanted = false
+		g.expectedToRun = false
 		g.rec.AddProcessEvent(g.Number, harness.Killed)
-		for _, pid := range g.older {
+		for _, pid := range g.predecessors {
 			_ = syscall.Kill(pid, s)
 		}
 	case syscall.SIGTERM:
-		g.wanted = false
+		g.expectedToRun = false
 		g.rec.AddProcessEvent(g.Number, harness.Stopping)
 	case syscall.SIGHUP:
 		g.rec.AddProcessEvent(g.Number, harness.Reloaded)
@@ -382,7 +382,7 @@
 	case syscall.SIGCONT:
 		g.rec.AddProcessEvent(g.Number, harness.Resumed)
 	}
-	g.sample()
+	g.sampleMemory()
 	return syscall.Kill(g.pid, s)
 }
 
@@ -393,7 +393,7 @@
 	if g.pid == 0 {
 		return
 	}
-	if g.wanted = s == 0; s == syscall.SIGKILL {
+	if g.expectedToRun = s == 0; s == syscall.SIGKILL {
 		g.rec.AddProcessEvent(g.Number, harness.Killed)
 	}
 }
@@ -411,9 +411,9 @@
 		if next := g.successor(old); next != 0 {
 			g.mu.Lock()
 			if g.pid == old {
-				g.pid, g.began = next, g.rec.Now()
-				g.older = append(g.older[:0], old)
-				go g.watch(next)
+				g.pid, g.startedAt = next, g.rec.Now()
+				g.predecessors = append(g.predecessors[:0], old)
+				go g.watchExit(next)
 			}
 			g.mu.Unlock()
 			return true, nil
@@ -438,8 +438,8 @@
 	for {
 		g.mu.Lock()
 		left := g.pid != 0
-		for _, pid := range g.older {
-			left = left || alive(pid)
+		for _, pid := range g.predecessors {
+			left = left || processRuns(pid)
 		}
 		g.mu.Unlock()
 		if !left {
@@ -459,14 +459,14 @@
 	for {
 		if g.ping() {
 			g.mu.Lock()
-			g.readyIn = append(g.readyIn, g.rec.Now()-g.began)
+			g.readyIn = append(g.readyIn, g.rec.Now()-g.startedAt)
 			g.mu.Unlock()
 			g.rec.AddProcessEvent(g.Number, harness.Ready)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d: not ready: %w\n%s", g.Number, ctx.Err(), g.tail())
+			return fmt.Errorf("gateway %d: not ready: %w\n%s", g.Number, ctx.Err(), g.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -486,7 +486,7 @@
 }
 
 // sample takes note of the memory in use.
-func (g *Gateway) sample() {
+func (g *Gateway) sampleMemory() {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.pid))
 	if err != nil {
 		return
@@ -494,7 +494,7 @@
 	for line := range strings.SplitSeq(string(raw), "\n") {
 		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			kb, _ := strconv.Atoi(strings.Fields(rest)[0])
-			g.rss = max(g.rss, kb)
+			g.maxRSSKB = max(g.maxRSSKB, kb)
 		}
 	}
 }
@@ -503,12 +503,12 @@
 func (g *Gateway) Memory() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sample()
-	return float64(g.rss) / 1024
+	g.sampleMemory()
+	return float64(g.maxRSSKB) / 1024
 }
 
 // tail is the end of the gateway's log.
-func (g *Gateway) tail() string {
+func (g *Gateway) logTail() string {
 	raw, err := os.ReadFile(filepath.Join(g.dir, "log"))
 	if errors.Is(err, fs.ErrNotExist) {
 		return "(no log)"
@@ -517,7 +517,7 @@
 }
 
 // cpu is the processor time that the serving process has used, in seconds.
-func (g *Gateway) cpu() float64 {
+func (g *Gateway) cpuSeconds() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.pid))
--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -49,7 +49,7 @@
 	fault        Fault
 	drain        bool
 	conns        map[net.Conn]bool
-	lists        []net.Listener
+	listeners    []net.Listener
 	addrs        []string          // by gateway; the same after a restart
 	recent       []harness.Attempt // within the span over which a fall is counted
 	waiting      int
@@ -97,16 +97,16 @@
 	if sv.up {
 		return errors.New("server: is up")
 	}
-	sv.lists = nil
+	sv.listeners = nil
 	for _, address := range sv.addrs {
 		l, err := listen(address)
 		if err != nil {
-			for _, l := range sv.lists {
+			for _, l := range sv.listeners {
 				l.Close()
 			}
 			return fmt.Errorf("server %s: %w", sv.ID, err)
 		}
-		sv.lists = append(sv.lists, l)
+		sv.listeners = append(sv.listeners, l)
 	}
 	sv.up, sv.drain, sv.fault, sv.recent, sv.waiting = true, false, Fault{}, nil, 0
 	sv.slots, sv.ended = make(chan struct{}, sv.cores*slotsPerCore), make(chan struct{})
@@ -118,7 +118,7 @@
 		At:        sv.rec.Now(),
 	}
 	sv.incarnation = sv.rec.AddServerStart(sv.currentStart)
-	for g, l := range sv.lists {
+	for g, l := range sv.listeners {
 		go sv.accept(l, g, sv.ended)
 	}
 	return nil
@@ -137,7 +137,7 @@
 	}
 	sv.up = false
 	close(sv.ended)
-	for _, l := range sv.lists {
+	for _, l := range sv.listeners {
 		l.Close()
 	}
 	for c := range sv.conns {
@@ -305,7 +305,7 @@
 		return nil, false
 	}
 	defer func() { <-admitted.slots }()
-	sv.rec.MarkRun(admitted.number, sv.effect(a))
+	sv.rec.MarkRun(admitted.number, sv.recordEffect(a))
 	if !sv.work(a, &admitted.start, admitted.fault, len(admitted.slots), ended) {
 		return nil, false
 	}
@@ -336,14 +336,14 @@
 func (sv *Server) admit(a *harness.Attempt) admission {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	a.Work = sv.draw(a.Class)
+	a.Work = sv.drawWork(a.Class)
 	result := admission{
 		number: sv.rec.AddAttempt(*a),
 		fault:  sv.fault,
 		start:  sv.currentStart,
 		slots:  sv.slots,
 	}
-	if sv.overrun(*a) {
+	if sv.overloaded(*a) {
 		sv.rec.MarkOverloaded(sv.incarnation)
 		sv.kill()
 		result.done = true
@@ -398,14 +398,14 @@
 }
 
 // draw is the work of one request, about its class's mean.
-func (sv *Server) draw(class int) time.Duration {
+func (sv *Server) drawWork(class int) time.Duration {
 	x := math.Exp(0.4*sv.rand.NormFloat64() - 0.08) // mean 1
 	return time.Duration(x * float64(sv.site.Classes[class].Work))
 }
 
 // effect takes note of a key and tells whether its effect happens now: a repeat
 // within the window is dropped, by whichever server it comes to.
-func (sv *Server) effect(a harness.Attempt) bool {
+func (sv *Server) recordEffect(a harness.Attempt) bool {
 	c := &sv.site.Classes[a.Class]
 	if !c.Keyed || a.Key == "" {
 		return true
@@ -414,7 +414,7 @@
 }
 
 // overrun tells whether a cold server has been sent more than it can bear.
-func (sv *Server) overrun(a harness.Attempt) bool {
+func (sv *Server) overloaded(a harness.Attempt) bool {
 	sv.recent = append(sv.recent, a)
 	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool {
 		return a.ReceivedAt-b.ReceivedAt > sv.site.OverloadWindow
--- a/internal/testing/lab/soak.go
+++ b/internal/testing/lab/soak.go
@@ -305,7 +305,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			s.w.Clients.cling(clinging, g.Number, n)
+			s.w.Clients.runOnSingleConn(clinging, g.Number, n)
 		}()
 	}
 	time.Sleep(50 * time.Millisecond) // they have begun
@@ -326,14 +326,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	if runs() {
-		s.failf(g, "it has not ended by itself when SIGKILL comes\n%s", g.tail())
+		s.failf(g, "it has not ended by itself when SIGKILL comes\n%s", g.logTail())
 		_ = syscall.Kill(pid, syscall.SIGKILL)
 	}
 	for runs() {
 		time.Sleep(time.Millisecond)
 	}
 	if code, known := g.exitCode(pid); known && code != 0 {
-		s.failf(g, "it ended with code %d\n%s", code, g.tail())
+		s.failf(g, "it ended with code %d\n%s", code, g.logTail())
 	}
 }
 
--- a/internal/testing/lab/starter.go
+++ b/internal/testing/lab/starter.go
@@ -10,7 +10,7 @@
 
 // starter starts commands one after another from one thread that never ends, and
 // has processes whose parent has ended become children of the rig.
-func starter(next func() (*exec.Cmd, chan error)) {
+func runStarter(next func() (*exec.Cmd, chan error)) {
 	runtime.LockOSThread()
 	_, _, _ = syscall.RawSyscall(syscall.SYS_PRCTL, prSetChildSubreaper, 1, 0)
 	for {
--- a/internal/testing/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -17,7 +17,7 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// UpgradeOptions say how gateways are replaced under load and emptied.
+// UpgradeOptions say how gateways are replaced under load and drained.
 type UpgradeOptions struct {
 	Seed      uint64
 	Instances int
@@ -132,7 +132,7 @@
 	}
 	for g.admin(next.admin, "check") != "ok" {
 		if u.w.Record.Now()-began > readyTimeout {
-			return old, fmt.Errorf("the new process is not ready\n%s", g.tail())
+			return old, fmt.Errorf("the new process is not ready\n%s", g.logTail())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -153,7 +153,7 @@
 	if err := syscall.Kill(old.pid, syscall.SIGTERM); err != nil {
 		return err
 	}
-	for end := time.Now().Add(readyTimeout); alive(old.pid); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); processRuns(old.pid); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			return errors.New("the old process does not end")
 		}
@@ -181,7 +181,7 @@
 	}
 	time.Sleep(after)
 	_ = syscall.Kill(next.pid, syscall.SIGKILL)
-	for alive(next.pid) {
+	for processRuns(next.pid) {
 		time.Sleep(time.Millisecond)
 	}
 	what := "killed before it took over"
@@ -211,16 +211,16 @@
 		return fmt.Errorf("drain-on: %q", got)
 	}
 	time.Sleep(300 * time.Millisecond)
-	u.w.Clients.front.empty(g.Number, true)
+	u.w.Clients.balancer.setDrained(g.Number, true)
 	time.Sleep(3700 * time.Millisecond)
-	held := u.w.Clients.front.open(g.Number)
+	held := u.w.Clients.balancer.open(g.Number)
 	u.mu.Lock()
 	u.heldOpen += held
 	u.mu.Unlock()
 	if got := g.admin(address, "drain-off"); got != "ok" {
 		return fmt.Errorf("drain-off: %q", got)
 	}
-	u.w.Clients.front.empty(g.Number, false)
+	u.w.Clients.balancer.setDrained(g.Number, false)
 	u.count("drained")
 	return nil
 }
@@ -294,10 +294,10 @@
 func (g *Gateway) succeed(next process) (old process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sample()
+	g.sampleMemory()
 	old = process{g.pid, g.adminAddress}
-	g.pid, g.adminAddress, g.began = next.pid, next.admin, g.rec.Now()
-	g.older = append(g.older[:0], old.pid)
+	g.pid, g.adminAddress, g.startedAt = next.pid, next.admin, g.rec.Now()
+	g.predecessors = append(g.predecessors[:0], old.pid)
 	g.rec.AddProcessEvent(g.Number, harness.Handed)
 	g.rec.AddProcessEvent(g.Number, harness.Ready)
 	return old
--- a/internal/testing/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -143,7 +143,7 @@
 	if w.Counter, err = NewCounter(o.Seed); err != nil {
 		return err
 	}
-	w.number = worlds.Add(1)
+	w.number = worldCount.Add(1)
 	if o.Consul {
 		w.Consul, err = NewConsulRegister(w.Record, o.Gateways, w.Site.RegisterLag, o.Seed)
 	}
@@ -210,7 +210,7 @@
 		}
 	}
 	if o.Held {
-		if err := g.hold(); err != nil {
+		if err := g.holdListener(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/testing/lab/world_test.go
+++ b/internal/testing/lab/world_test.go
@@ -51,7 +51,7 @@
 	for i := range s.Classes {
 		s.Classes[i].Work = ms
 	}
-	sv, err := NewServer(s, rec, worlds.Add(1), 0, 1)
+	sv, err := NewServer(s, rec, worldCount.Add(1), 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	f := newFront(harness.NewRecord(), []*Gateway{{Address: l.Addr().String()}})
+	f := newLoadBalancer(harness.NewRecord(), []*Gateway{{Address: l.Addr().String()}})
 	first, err := f.take(0, false)
 	if err != nil {
 		t.Fatal(err)
