--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -102,9 +102,9 @@
 	trafficContext, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	w.progress(trafficContext, progress, length)
-	moods := make(chan error, 1)
+	cycled := make(chan error, 1)
 	if withAuth {
-		go func() { moods <- a.moods(trafficContext, rand.New(rand.NewPCG(seed, 0x300d)), progress) }()
+		go func() { cycled <- a.cycleBehaviors(trafficContext, rand.New(rand.NewPCG(seed, 0x300d)), progress) }()
 	}
 	w.Clients.Run(trafficContext)
 	var cpu float64
@@ -112,7 +112,7 @@
 		cpu += g.cpuSeconds()
 	}
 	if withAuth {
-		if err := <-moods; err != nil {
+		if err := <-cycled; err != nil {
 			return nil, err
 		}
 	}
@@ -157,11 +157,11 @@
 
 // moods has the authenticator go through its moods until the run ends, each for a
 // while and each after a time in which it answers.
-func (a *Authenticator) moods(ctx context.Context, r *rand.Rand, progress io.Writer) error {
+func (a *Authenticator) cycleBehaviors(ctx context.Context, r *rand.Rand, progress io.Writer) error {
 	names := map[Mood]string{Stalls: "stalls", Flaps: "flaps", Errs: "errs", Down: "has crashed"}
 	for i := 0; ; i++ {
-		mood := []Mood{Stalls, Flaps, Down, Errs}[i%4]
-		for _, m := range []Mood{Answers, mood} {
+		behavior := []Mood{Stalls, Flaps, Down, Errs}[i%4]
+		for _, m := range []Mood{Answers, behavior} {
 			if err := a.SetMood(m); err != nil {
 				return err
 			}
@@ -197,12 +197,12 @@
 		}
 	}
 	f.Extra["went_on"], f.Extra["denied"], f.Extra["quota_difference"] = on, denied, difference
-	f.Extra["calls"], f.Extra["calls_without_token"] = a.calls, a.strange
+	f.Extra["calls"], f.Extra["calls_without_token"] = a.calls, a.badTokens
 	if difference > 0 {
 		f.AddFailure(fmt.Sprintf("%g units went on without an allowance", difference))
 	}
-	if a.strange > 0 {
-		f.AddFailure(fmt.Sprintf("%d calls without the customer's token", a.strange))
+	if a.badTokens > 0 {
+		f.AddFailure(fmt.Sprintf("%d calls without the customer's token", a.badTokens))
 	}
 	if on == 0 || denied == 0 {
 		f.AddFailure("nothing went on, or nothing was denied: the run shows nothing")
--- a/internal/testing/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -11,7 +11,7 @@
 const ms = time.Millisecond
 
 // What went on without an allowance that could hold is counted, in units.
-func TestWhatWentOnUnallowedIsCounted(t *testing.T) {
+func TestForwardedWithoutAllowanceIsCounted(t *testing.T) {
 	s := harness.NewSite(1, 2, 4, 0.5)
 	for _, c := range []struct {
 		allowed time.Duration // when the customer was allowed; the first try is sent at 1 s
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAuthenticatorMoods(t *testing.T) {
+func TestAuthenticatorBehaviors(t *testing.T) {
 	a, err := NewAuthenticator(harness.NewRecord(), map[string]bool{"no": true}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		res.Body.Close()
 		return res.StatusCode
 	}
-	mood := func(m Mood) {
+	behavior := func(m Mood) {
 		if err := a.SetMood(m); err != nil {
 			t.Error(err)
 		}
@@ -75,15 +75,15 @@
 	if yes, no := ask("yes"), ask("no"); yes != 200 || no != 403 {
 		t.Errorf("%d and %d", yes, no)
 	}
-	mood(Errs)
+	behavior(Errs)
 	if got := ask("yes"); got != 500 {
 		t.Errorf("errs: %d", got)
 	}
-	mood(Down)
+	behavior(Down)
 	if got := ask("yes"); got != 0 {
 		t.Errorf("down: %d", got)
 	}
-	mood(Stalls)
+	behavior(Stalls)
 	late := make(chan int, 1)
 	go func() { late <- ask("yes") }()
 	for called := false; !called; {
@@ -91,8 +91,8 @@
 		called = a.calls == 4
 		a.mu.Unlock()
 	}
-	mood(Answers)
-	if got := <-late; got != 200 || len(a.allows["yes"]) != 2 || a.strange != 0 {
-		t.Errorf("late: %d, %d allowances, %d strange", got, len(a.allows["yes"]), a.strange)
+	behavior(Answers)
+	if got := <-late; got != 200 || len(a.allows["yes"]) != 2 || a.badTokens != 0 {
+		t.Errorf("late: %d, %d allowances, %d strange", got, len(a.allows["yes"]), a.badTokens)
 	}
 }
--- a/internal/testing/lab/authenticator.go
+++ b/internal/testing/lab/authenticator.go
@@ -29,15 +29,15 @@
 	Address string
 	rec     *harness.Record
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	server  *http.Server
-	mood    Mood
-	changed chan struct{} // closed with a change of mood
-	denied  map[string]bool
-	allows  map[string][]time.Duration // when each customer was allowed
-	calls   int
-	strange int // calls without the token that belongs to the customer
+	mu        sync.Mutex
+	rand      *rand.Rand
+	server    *http.Server
+	behavior  Mood
+	changed   chan struct{} // closed with a change of mood
+	denied    map[string]bool
+	allows    map[string][]time.Duration // when each customer was allowed
+	calls     int
+	badTokens int // calls without the token that belongs to the customer
 }
 
 // NewAuthenticator starts one that denies the customers given.
@@ -67,8 +67,8 @@
 func (a *Authenticator) SetMood(m Mood) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before := a.mood
-	a.mood = m
+	before := a.behavior
+	a.behavior = m
 	close(a.changed)
 	a.changed = make(chan struct{})
 	switch {
@@ -95,12 +95,12 @@
 	a.calls++
 	if r.Header.Get("Authorization") != "Bearer "+tokenOf(customer) ||
 		strings.Contains(r.URL.String(), "token") {
-		a.strange++
+		a.badTokens++
 	}
-	mood, changed := a.mood, a.changed
-	deny := a.denied[customer] || mood == Flaps && a.rand.IntN(2) == 0
+	behavior, changed := a.behavior, a.changed
+	deny := a.denied[customer] || behavior == Flaps && a.rand.IntN(2) == 0
 	a.mu.Unlock()
-	if mood == Stalls {
+	if behavior == Stalls {
 		select {
 		case <-changed: // it comes to itself, and answers late
 		case <-r.Context().Done():
@@ -108,7 +108,7 @@
 		}
 	}
 	switch {
-	case mood == Errs:
+	case behavior == Errs:
 		w.WriteHeader(http.StatusInternalServerError)
 	case deny:
 		w.WriteHeader(http.StatusForbidden)
--- a/internal/testing/lab/cling.go
+++ b/internal/testing/lab/cling.go
@@ -23,7 +23,7 @@
 // opens no other one.
 var errSingleConnClosed = errors.New("the connection was closed")
 
-func (c *singleConn) take(_ int, newConnection bool) (*clientConn, error) {
+func (c *singleConn) acquire(_ int, newConnection bool) (*clientConn, error) {
 	if c.conn != nil && !newConnection {
 		conn := c.conn
 		c.conn = nil
--- a/internal/testing/lab/consul.go
+++ b/internal/testing/lab/consul.go
@@ -32,15 +32,15 @@
 	server  *http.Server
 	began   time.Time
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	index   uint64
-	past    []consulState // oldest first; the last one is now
-	fault   ConsulFault
-	changed chan struct{} // closed with a change of state or fault
-	calls   []time.Time
-	answers func(services map[string]consulService) // told of each health answer that is written; nil: nobody
-	token   string                                  // that queries must bring; "": none
+	mu             sync.Mutex
+	rand           *rand.Rand
+	index          uint64
+	history        []consulState // oldest first; the last one is now
+	fault          ConsulFault
+	changed        chan struct{} // closed with a change of state or fault
+	calls          []time.Time
+	onHealthAnswer func(services map[string]consulService) // told of each health answer that is written; nil: nobody
+	token          string                                  // that queries must bring; "": none
 }
 
 // consulState is a state of the service with the time from which it held.
@@ -77,7 +77,7 @@
 		changed: make(chan struct{}),
 		began:   time.Now(),
 	}
-	c.past = []consulState{{index: 10, at: c.began}}
+	c.history = []consulState{{index: 10, at: c.began}}
 	c.server = &http.Server{Handler: c, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = c.server.Serve(l) }()
 	return c, nil
@@ -91,7 +91,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
-	c.wake()
+	c.signalChange()
 }
 
 // ResetIndex has the index begin anew, as after a restore of the servers.
@@ -99,9 +99,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index = 1
-	now := c.past[len(c.past)-1]
-	c.past = []consulState{{index: 1, at: time.Now(), services: now.services}}
-	c.wake()
+	now := c.history[len(c.history)-1]
+	c.history = []consulState{{index: 1, at: time.Now(), services: now.services}}
+	c.signalChange()
 }
 
 // Calls are the times of all queries so far.
@@ -111,7 +111,7 @@
 	return slices.Clone(c.calls)
 }
 
-func (c *Consul) wake() {
+func (c *Consul) signalChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -121,18 +121,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := map[string]consulService{}
-	for id, s := range c.past[len(c.past)-1].services {
+	for id, s := range c.history[len(c.history)-1].services {
 		next[id] = s
 	}
 	if !f(next, c.index+1) {
 		return false
 	}
 	c.index++
-	c.past = append(c.past, consulState{c.index, time.Now(), next})
-	if len(c.past) > 1000 {
-		c.past = slices.Delete(c.past, 0, 500)
+	c.history = append(c.history, consulState{c.index, time.Now(), next})
+	if len(c.history) > 1000 {
+		c.history = slices.Delete(c.history, 0, 500)
 	}
-	c.wake()
+	c.signalChange()
 	return true
 }
 
@@ -215,12 +215,12 @@
 
 // state is what a query sees now.
 func (c *Consul) state() consulState {
-	s := c.past[len(c.past)-1]
-	for i := len(c.past) - 1; i > 0 && c.fault.Lag > 0 && time.Since(c.past[i].at) < c.fault.Lag; i-- {
-		s = c.past[i-1]
+	s := c.history[len(c.history)-1]
+	for i := len(c.history) - 1; i > 0 && c.fault.Lag > 0 && time.Since(c.history[i].at) < c.fault.Lag; i-- {
+		s = c.history[i-1]
 	}
 	if c.rand.Float64() < c.fault.Reorder {
-		s = c.past[max(0, len(c.past)-1-c.rand.IntN(4))]
+		s = c.history[max(0, len(c.history)-1-c.rand.IntN(4))]
 	}
 	return s
 }
@@ -358,8 +358,8 @@
 	if f.Half {
 		text = text[:len(text)/2]
 	}
-	if _, err := w.Write(text); err == nil && health && !f.Half && c.answers != nil {
-		c.answers(s.services)
+	if _, err := w.Write(text); err == nil && health && !f.Half && c.onHealthAnswer != nil {
+		c.onHealthAnswer(s.services)
 	}
 }
 
--- a/internal/testing/lab/consulregister.go
+++ b/internal/testing/lab/consulregister.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return r, err
 		}
-		a.answers = func(services map[string]consulService) { r.notify(g, services) }
+		a.onHealthAnswer = func(services map[string]consulService) { r.notify(g, services) }
 		r.agents = append(r.agents, a)
 		r.applied, r.stopped = append(r.applied,
 			map[string]int{}), append(r.stopped, map[string]bool{})
@@ -107,7 +107,7 @@
 }
 
 // stops tells whether an instance is to get no new work.
-func (s *consulService) stops() bool {
+func (s *consulService) stopping() bool {
 	for _, status := range s.checks {
 		if status != "passing" {
 			return true
@@ -133,7 +133,7 @@
 	}
 	for id, before := range r.stopped[g] {
 		s, there := services[id]
-		stop := !there || s.stops()
+		stop := !there || s.stopping()
 		if stop == before {
 			continue
 		}
--- a/internal/testing/lab/consulrun.go
+++ b/internal/testing/lab/consulrun.go
@@ -123,7 +123,7 @@
 	for _, err := range c.errs {
 		f.AddFailure(err.Error())
 	}
-	f.Extra["drain_to_last_send_ms_max"] = lastSend(w.Record).Milliseconds()
+	f.Extra["drain_to_last_send_ms_max"] = maxSendAfterStop(w.Record).Milliseconds()
 	if consul {
 		checkConsulCalls(f, w)
 	}
@@ -136,7 +136,7 @@
 	f.Extra["told_lag_ms_p99"] = harness.Quantile(w.Consul.lags, 0.99)
 	maxCalls := 0
 	for _, a := range w.Consul.agents {
-		maxCalls = max(maxCalls, busiest(a.Calls()))
+		maxCalls = max(maxCalls, maxCallsPerSecond(a.Calls()))
 	}
 	f.Extra["calls_per_second_max"] = maxCalls
 	if maxCalls > maxConsulCalls {
@@ -182,9 +182,9 @@
 	}
 }
 
-// lastSend is the longest time from when a gateway was told to stop sending to a
+// maxSendAfterStop is the longest time from when a gateway was told to stop sending to a
 // server until it sent to it all the same.
-func lastSend(rec *harness.Record) (latest time.Duration) {
+func maxSendAfterStop(rec *harness.Record) (latest time.Duration) {
 	for _, a := range rec.Attempts {
 		stop, since := false, time.Duration(0)
 		for _, t := range rec.EndpointUpdates {
@@ -203,8 +203,8 @@
 	return latest
 }
 
-// busiest is the most calls in any second.
-func busiest(calls []time.Time) (maxCalls int) {
+// maxCallsPerSecond is the most calls in any second.
+func maxCallsPerSecond(calls []time.Time) (maxCalls int) {
 	slices.SortFunc(calls, func(a, b time.Time) int { return a.Compare(b) })
 	for from, to := 0, 0; to < len(calls); to++ {
 		for calls[to].Sub(calls[from]) > time.Second {
--- a/internal/testing/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	defer w.Close()
-	w.Site.AbandonFraction = impatient
+	w.Site.AbandonFraction = fleetAbandonFraction
 	c := &chaos{w: w, o: o, busy: make([]sync.Mutex, o.Instances)}
 	trafficContext, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
@@ -146,9 +146,9 @@
 	return f, nil
 }
 
-// impatient is the part of a fleet's tries whose client leaves before an answer: what of them waits
+// fleetAbandonFraction is the part of a fleet's tries whose client leaves before an answer: what of them waits
 // must not be sent on.
-const impatient = 0.03
+const fleetAbandonFraction = 0.03
 
 // chaos restarts a world's gateways and servers.
 type chaos struct {
--- a/internal/testing/lab/fleet_test.go
+++ b/internal/testing/lab/fleet_test.go
@@ -167,7 +167,7 @@
 }
 
 // Fleets of several sizes get the same requests, keep the rules and tell why each loss came.
-func TestQuotaTellsOfLosses(t *testing.T) {
+func TestQuotaExplainsLosses(t *testing.T) {
 	if !HasGo() {
 		t.Skip("no Go to build the gateway with")
 	}
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -139,7 +139,7 @@
 }
 
 // take gives an idle connection to a gateway, or makes one.
-func (f *loadBalancer) take(g int, newConnection bool) (*clientConn, error) {
+func (f *loadBalancer) acquire(g int, newConnection bool) (*clientConn, error) {
 	e := f.entries[g]
 	if !newConnection {
 		e.mu.Lock()
@@ -183,7 +183,7 @@
 
 // connections is where a client's connections come from, and where they are kept.
 type connections interface {
-	take(gateway int, newConnection bool) (*clientConn, error)
+	acquire(gateway int, newConnection bool) (*clientConn, error)
 	keep(gateway int, c *clientConn)
 }
 
@@ -211,7 +211,7 @@
 ) {
 	deadline := time.Now().Add(t.Wait)
 	for retry := false; ; retry = true {
-		conn, err := conns.take(t.Gateway, retry)
+		conn, err := conns.acquire(t.Gateway, retry)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				t.PortClosedAt = f.rec.Now()
--- a/internal/testing/lab/held_test.go
+++ b/internal/testing/lab/held_test.go
@@ -33,7 +33,7 @@
 
 // Whoever shares the clients' socket may have it block: each start of another process beside a
 // gateway does. A gateway that is told to stop ends all the same, though nobody connects any more.
-func TestASocketThatBlocksHoldsNobodyUp(t *testing.T) {
+func TestBlockingListenerDoesNotDelayShutdown(t *testing.T) {
 	w, ctx := testWorld(t, Options{Seed: 1, Gateways: 1, Servers: 2, Load: 0.1, Held: true})
 	g := w.Gateways[0]
 	for range 3 {
--- a/internal/testing/lab/play.go
+++ b/internal/testing/lab/play.go
@@ -51,7 +51,7 @@
 			if !sleep(trafficContext, f.At) {
 				return
 			}
-			if err := w.befall(f); err != nil {
+			if err := w.injectFault(f); err != nil {
 				mu.Lock()
 				errs = errors.Join(errs, fmt.Errorf("%v: %w", f, err))
 				mu.Unlock()
@@ -70,8 +70,8 @@
 	return f, nil
 }
 
-// befall has a fault happen and waits until it is over, also past the end of the asking.
-func (w *World) befall(f harness.Fault) error {
+// injectFault has a fault happen and waits until it is over, also past the end of the asking.
+func (w *World) injectFault(f harness.Fault) error {
 	g, sv := w.Gateways[f.N%len(w.Gateways)], w.Servers[f.N%len(w.Servers)]
 	over := func() { time.Sleep(f.For) }
 	switch f.Kind {
--- a/internal/testing/lab/quota.go
+++ b/internal/testing/lab/quota.go
@@ -86,7 +86,7 @@
 	f.Extra["fleets"], f.Extra["given_of_bought_least"] = rows, minimum
 	f.Extra["service_gap"] = rows[0].Service - rows[last].Service
 	f.Extra["over_quota_units_most"], f.Extra["notes_per_second"] = beyond, rows[last].MessagesPerSecond
-	quotaTable(out, rows)
+	printQuotaTable(out, rows)
 	return f, nil
 }
 
@@ -139,8 +139,8 @@
 	}, f, nil
 }
 
-// quotaTable shows the fleets to a person.
-func quotaTable(out io.Writer, rows []quotaRow) {
+// printQuotaTable shows the fleets to a person.
+func printQuotaTable(out io.Writer, rows []quotaRow) {
 	fmt.Fprintf(out, "\n  %8s %8s %21s %12s %8s   worth lost inside the quotas, by cause\n",
 		"gateways", "service", "given: under near over", "units beyond", "notes/s")
 	for _, r := range rows {
--- a/internal/testing/lab/register.go
+++ b/internal/testing/lab/register.go
@@ -139,7 +139,7 @@
 			m.UpSince = a.rec.Began().Add(since).UnixMilli()
 		}
 		if now {
-			a.take(m)
+			a.apply(m)
 			continue
 		}
 		time.AfterFunc(late, func() {
@@ -149,13 +149,13 @@
 			if silent {
 				<-silenceOver // nothing reaches an agent meanwhile
 			}
-			a.take(m)
+			a.apply(m)
 		})
 	}
 }
 
 // take has the agent hear of a member.
-func (a *agent) take(m member) {
+func (a *agent) apply(m member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if old := a.members[m.ID]; old != nil && old.UpSince > m.UpSince {
--- a/internal/testing/lab/soak.go
+++ b/internal/testing/lab/soak.go
@@ -45,28 +45,28 @@
 )
 
 const (
-	soakServers      = 8
-	soakStream       = 0x50a4 // separates a soak's random numbers from others of the same seed
-	clingingClients  = 3      // at each restart
-	crowdSockets     = 256    // what a gateway that gets a crowd is told that it may hold
-	crowdConnections = 140    // more than that gateway accepts
-	knockInterval    = 20 * time.Millisecond
+	soakServers       = 8
+	soakStream        = 0x50a4 // separates a soak's random numbers from others of the same seed
+	singleConnClients = 3      // at each restart
+	crowdSockets      = 256    // what a gateway that gets a crowd is told that it may hold
+	crowdConnections  = 140    // more than that gateway accepts
+	probeInterval     = 20 * time.Millisecond
 )
 
 // soakDraw is what a seed draws for a whole run.
 type soakDraw struct {
-	gateways int
-	held     bool // the rig holds the clients' sockets and replaces processes
-	crowd    bool
-	load     float64
+	gateways   int
+	rigListens bool // the rig holds the clients' sockets and replaces processes
+	crowd      bool
+	load       float64
 }
 
 func drawSoak(r *rand.Rand) soakDraw {
 	return soakDraw{
-		gateways: 3 + r.IntN(2),
-		held:     r.IntN(2) == 0,
-		crowd:    r.IntN(4) == 0,
-		load:     harness.Between(r, 0.3, 0.6),
+		gateways:   3 + r.IntN(2),
+		rigListens: r.IntN(2) == 0,
+		crowd:      r.IntN(4) == 0,
+		load:       harness.Between(r, 0.3, 0.6),
 	}
 }
 
@@ -101,10 +101,10 @@
 		Load:      draw.load,
 		Bin:       o.Bin,
 		Operators: recordText,
-		Held:      draw.held,
+		Held:      draw.rigListens,
 		Log:       progress,
 	}
-	if !draw.held {
+	if !draw.rigListens {
 		options.Operators = operatorsText(false)
 	}
 	if draw.crowd {
@@ -138,16 +138,16 @@
 func (s *soak) begin(ctx context.Context, seed uint64) {
 	for _, g := range s.w.Gateways {
 		r := rand.New(rand.NewPCG(seed, soakStream+1+uint64(g.Number)))
-		s.goDo(func() { s.treat(ctx, g, r) })
+		s.spawn(func() { s.disturb(ctx, g, r) })
 	}
 	r := rand.New(rand.NewPCG(seed, soakStream-1))
-	s.goDo(func() { s.stallClients(ctx, r) })
+	s.spawn(func() { s.stallClients(ctx, r) })
 	if s.draw.crowd {
-		s.goDo(func() { s.crowd(ctx) })
+		s.spawn(func() { s.crowd(ctx) })
 	}
 }
 
-func (s *soak) goDo(do func()) {
+func (s *soak) spawn(do func()) {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -172,7 +172,7 @@
 func (s *soak) count(what string) { s.upgrades.count(what) }
 
 // note takes down an event for the trace.
-func (s *soak) note(format string, args ...any) {
+func (s *soak) recordEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	event := fmt.Sprintf(format, args...)
@@ -181,12 +181,12 @@
 
 // signal sends a signal to one of a gateway's processes.
 func (s *soak) signal(g *Gateway, pid int, one syscall.Signal) {
-	s.note("gateway %d, process %d: %v", g.Number, pid, one)
+	s.recordEvent("gateway %d, process %d: %v", g.Number, pid, one)
 	_ = syscall.Kill(pid, one)
 }
 
-// treat does one thing after another to a gateway.
-func (s *soak) treat(ctx context.Context, g *Gateway, r *rand.Rand) {
+// disturb does one thing after another to a gateway.
+func (s *soak) disturb(ctx context.Context, g *Gateway, r *rand.Rand) {
 	for sleep(ctx, time.Duration(harness.Between(r, 0.2, 2)*float64(time.Second))) {
 		var err error
 		switch n := r.IntN(12); {
@@ -194,9 +194,9 @@
 			s.reload(g, r)
 		case n < 4:
 			s.pause(g, r)
-		case s.draw.held && n < 6:
+		case s.draw.rigListens && n < 6:
 			err = s.upgrades.kill(g, time.Duration(r.Int64N(int64(20*time.Millisecond))))
-		case s.draw.held:
+		case s.draw.rigListens:
 			err = s.replace(g, r)
 		case n < 5:
 			err = s.killAndStart(g)
@@ -247,7 +247,7 @@
 	}
 	hung := s.w.Servers[r.IntN(len(s.w.Servers))]
 	hung.SetFault(Fault{Hang: true})
-	s.note("server %s hangs", hung.ID)
+	s.recordEvent("server %s hangs", hung.ID)
 	s.count("servers hung through a shutdown")
 	return func() { hung.SetFault(Fault{}) }
 }
@@ -284,8 +284,8 @@
 		s.failf(g, "it does not run")
 		return
 	}
-	if !s.draw.held {
-		defer s.clingTo(g)()
+	if !s.draw.rigListens {
+		defer s.useSingleConns(g)()
 	}
 	killAt := s.signalAll(g, pid, series)
 	s.awaitEnd(g, pid, killAt)
@@ -296,21 +296,21 @@
 	}
 }
 
-// clingTo has clients use connections to a gateway, each on one of its own, until the function that
+// useSingleConns has clients use connections to a gateway, each on one of its own, until the function that
 // is returned is called.
-func (s *soak) clingTo(g *Gateway) (end func()) {
-	clinging, stopClinging := context.WithCancel(context.Background())
+func (s *soak) useSingleConns(g *Gateway) (end func()) {
+	clientsContext, stopClients := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
-	for n := range clingingClients {
+	for n := range singleConnClients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			s.w.Clients.runOnSingleConn(clinging, g.Number, n)
+			s.w.Clients.runOnSingleConn(clientsContext, g.Number, n)
 		}()
 	}
 	time.Sleep(50 * time.Millisecond) // they have begun
 	return func() {
-		stopClinging()
+		stopClients()
 		clients.Wait()
 	}
 }
@@ -346,11 +346,11 @@
 		case syscall.SIGTERM:
 			if killAt.IsZero() {
 				killAt = time.Now().Add(s.killTime())
-				if !s.draw.held {
-					s.goDo(func() { s.knock(g, time.Now().Add(acceptTime)) })
+				if !s.draw.rigListens {
+					s.spawn(func() { s.probeAccepting(g, time.Now().Add(acceptTime)) })
 				}
 				if pid == g.PID() {
-					s.note("gateway %d, process %d: stopped", g.Number, pid)
+					s.recordEvent("gateway %d, process %d: stopped", g.Number, pid)
 					_ = g.Signal(one.signal)
 					continue
 				}
@@ -365,9 +365,9 @@
 	return killAt
 }
 
-// knock opens connections to a gateway that was just told to stop, for as long as new ones may come.
+// probeAccepting opens connections to a gateway that was just told to stop, for as long as new ones may come.
 // Each has to be accepted, and its health check answered.
-func (s *soak) knock(g *Gateway, until time.Time) {
+func (s *soak) probeAccepting(g *Gateway, until time.Time) {
 	for time.Now().Before(until) {
 		began := time.Now()
 		if !answersPing(g.Address) && began.Before(until) {
@@ -375,7 +375,7 @@
 				until.Sub(began).Round(time.Millisecond))
 			return
 		}
-		time.Sleep(knockInterval)
+		time.Sleep(probeInterval)
 	}
 }
 
@@ -438,7 +438,7 @@
 
 // replace has a new process take a gateway's place, and ends the old one by a series of signals.
 func (s *soak) replace(g *Gateway, r *rand.Rand) error {
-	defer s.clingTo(g)()
+	defer s.useSingleConns(g)()
 	end := s.hangServer(r)
 	defer end()
 	old, err := s.upgrades.takeOver(g)
@@ -477,7 +477,7 @@
 	for sleep(ctx, time.Duration(harness.Between(r, 0.2, 1)*float64(time.Second))) {
 		g := s.w.Gateways[r.IntN(len(s.w.Gateways))]
 		part := "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000"[:1+r.IntN(25)]
-		s.goDo(func() { s.stallClient(g, part) })
+		s.spawn(func() { s.stallClient(g, part) })
 	}
 }
 
@@ -501,7 +501,7 @@
 // crowd has idle clients fill the descriptors of all gateways while discovery is away.
 func (s *soak) crowd(ctx context.Context) {
 	for sleep(ctx, 2*time.Second) {
-		s.note("a crowd comes, and discovery is away")
+		s.recordEvent("a crowd comes, and discovery is away")
 		s.w.Register.Silence(true)
 		var conns []net.Conn
 		for _, g := range s.w.Gateways {
@@ -524,7 +524,7 @@
 func (s *soak) summarize(f *harness.Summary) {
 	f.Extra["done"] = s.did
 	f.Extra["gateways"] = s.draw.gateways
-	f.Extra["held"] = s.draw.held
+	f.Extra["held"] = s.draw.rigListens
 	f.Extra["crowd"] = s.draw.crowd
 	for _, g := range s.w.Gateways {
 		for _, took := range g.readyIn {
--- a/internal/testing/lab/still_test.go
+++ b/internal/testing/lab/still_test.go
@@ -11,7 +11,7 @@
 
 // stale are the attempts that reached a server when their client waited no more, as the servers and
 // clients saw it.
-func stale(rec *harness.Record) (n int) {
+func expiredAttempts(rec *harness.Record) (n int) {
 	until := map[string]time.Duration{}
 	for _, t := range rec.Tries {
 		until[t.ID] = t.SentAt + t.Wait
@@ -47,7 +47,7 @@
 	}
 	over()
 	<-done
-	if n := stale(w.Record); n > 0 {
+	if n := expiredAttempts(w.Record); n > 0 {
 		t.Errorf("%d attempts reached a server after their client's time", n)
 	}
 	paused := 0
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -61,9 +61,9 @@
 	w.progress(trafficContext, progress, length)
 	w.Clients.Run(trafficContext)
 	f := w.summarize("try")
-	table(f, out)
+	printSummary(f, out)
 	if serve {
-		w.sample(out)
+		w.printSampleCommand(out)
 		<-ctx.Done()
 	}
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
@@ -72,7 +72,7 @@
 }
 
 // table shows the figures to a person.
-func table(f *harness.Summary, out io.Writer) {
+func printSummary(f *harness.Summary, out io.Writer) {
 	fmt.Fprintf(
 		out,
 		"\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
@@ -108,7 +108,7 @@
 }
 
 // sample prints where a person can connect, and a command to send.
-func (w *World) sample(out io.Writer) {
+func (w *World) printSampleCommand(out io.Writer) {
 	fmt.Fprintln(out, "Serving until interrupted. Any RESP2 client can connect to")
 	for _, g := range w.Gateways {
 		fmt.Fprintln(out, "  "+g.Address)
--- a/internal/testing/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -64,7 +64,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			u.treat(trafficContext, g, rand.New(rand.NewPCG(o.Seed, uint64(0x0b9+g.Number))))
+			u.disturb(trafficContext, g, rand.New(rand.NewPCG(o.Seed, uint64(0x0b9+g.Number))))
 		}()
 	}
 	w.Clients.Run(trafficContext)
@@ -84,12 +84,12 @@
 	w *World
 	o UpgradeOptions
 
-	mu       sync.Mutex
-	did      map[string]int
-	errs     []error
-	passed   int             // clients' connections given to new processes, by their own figures
-	readyIn  []time.Duration // of new processes
-	heldOpen int             // connections 4 s after a drain began
+	mu             sync.Mutex
+	did            map[string]int
+	errs           []error
+	passed         int             // clients' connections given to new processes, by their own figures
+	readyIn        []time.Duration // of new processes
+	openAfterDrain int             // connections 4 s after a drain began
 }
 
 func (u *upgrades) fail(err error) {
@@ -104,8 +104,8 @@
 	u.did[what]++
 }
 
-// treat does one thing after another to a gateway.
-func (u *upgrades) treat(ctx context.Context, g *Gateway, r *rand.Rand) {
+// disturb does one thing after another to a gateway.
+func (u *upgrades) disturb(ctx context.Context, g *Gateway, r *rand.Rand) {
 	for sleep(ctx, time.Duration(harness.Between(r, 0.5, 4)*float64(time.Second))) {
 		var err error
 		switch n := r.IntN(10); {
@@ -139,7 +139,7 @@
 	u.mu.Lock()
 	u.readyIn = append(u.readyIn, u.w.Record.Now()-began)
 	u.mu.Unlock()
-	return g.succeed(next), nil
+	return g.setServing(next), nil
 }
 
 // replace has a new process take the place of the one that serves, and ends that.
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	next := g.now()
+	next := g.servingProcess()
 	// The old one has answered what it had when it says so, and goes when told.
 	if err := syscall.Kill(old.pid, syscall.SIGTERM); err != nil {
 		return err
@@ -158,7 +158,7 @@
 			return errors.New("the old process does not end")
 		}
 	}
-	if n, err := strconv.Atoi(g.figure(next.admin, "passed_in")); err == nil {
+	if n, err := strconv.Atoi(g.metric(next.admin, "passed_in")); err == nil {
 		u.mu.Lock()
 		u.passed += n
 		u.mu.Unlock()
@@ -167,14 +167,14 @@
 	return nil
 }
 
-// tookOver is what a new process logs once it has confirmed that it takes over, before it accepts
+// takeoverMessage is what a new process logs once it has confirmed that it takes over, before it accepts
 // clients.
-const tookOver = "handover: state restored"
+const takeoverMessage = "handover: state restored"
 
 // kill starts a new process and kills it some time later. Whether or not that had taken over, the
 // one that serves goes on.
 func (u *upgrades) kill(g *Gateway, after time.Duration) error {
-	before := strings.Count(g.Log(), tookOver)
+	before := strings.Count(g.Log(), takeoverMessage)
 	next, err := g.startBeside()
 	if err != nil {
 		return err
@@ -185,12 +185,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	what := "killed before it took over"
-	if strings.Count(g.Log(), tookOver) > before {
+	if strings.Count(g.Log(), takeoverMessage) > before {
 		// What the dead process had read is lost with it, as with any that is killed.
 		u.w.Record.AddProcessEvent(g.Number, harness.Killed)
 		what = "killed after it had taken over"
 	}
-	serving := g.now()
+	serving := g.servingProcess()
 	answer := ""
 	for end := time.Now().Add(readyTimeout); answer != "ok"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -206,7 +206,7 @@
 // drain empties a gateway by its admin interface. Who deals out requests asks each 0.1 s, and sends
 // for 0.2 s more; kept connections stay in use as long as they are open.
 func (u *upgrades) drain(ctx context.Context, g *Gateway) error {
-	address := g.now().admin
+	address := g.servingProcess().admin
 	if got := g.admin(address, "drain-on"); got != "ok" {
 		return fmt.Errorf("drain-on: %q", got)
 	}
@@ -215,7 +215,7 @@
 	time.Sleep(3700 * time.Millisecond)
 	held := u.w.Clients.balancer.open(g.Number)
 	u.mu.Lock()
-	u.heldOpen += held
+	u.openAfterDrain += held
 	u.mu.Unlock()
 	if got := g.admin(address, "drain-off"); got != "ok" {
 		return fmt.Errorf("drain-off: %q", got)
@@ -239,11 +239,11 @@
 	}
 	f.Extra["done"], f.Extra["connections_passed"] = u.did, u.passed
 	f.Extra["refused_connections"], f.Extra["crossed_a_close"], f.Extra["resets"] = refused, crossed, resets
-	f.Extra["held_after_drain"] = u.heldOpen
+	f.Extra["held_after_drain"] = u.openAfterDrain
 	f.Extra["ready_ms_p99"] = harness.Quantile(u.readyIn, 0.99)
 	f.Extra["sent_units"] = harness.SentUnits(u.w.Record)
-	if u.heldOpen > 0 {
-		f.AddFailure(fmt.Sprintf("%d connections were open 4 s after a drain began", u.heldOpen))
+	if u.openAfterDrain > 0 {
+		f.AddFailure(fmt.Sprintf("%d connections were open 4 s after a drain began", u.openAfterDrain))
 	}
 	if refused > 0 {
 		f.AddFailure(fmt.Sprintf("%d connections found a closed port, which the rig holds open",
@@ -264,7 +264,7 @@
 }
 
 // now is the process that serves.
-func (g *Gateway) now() process {
+func (g *Gateway) servingProcess() process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return process{g.pid, g.adminAddress}
@@ -291,7 +291,7 @@
 }
 
 // succeed takes note that another process serves now, and gives the one before.
-func (g *Gateway) succeed(next process) (old process) {
+func (g *Gateway) setServing(next process) (old process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sampleMemory()
@@ -328,7 +328,7 @@
 }
 
 // figure is one figure of a process.
-func (g *Gateway) figure(address, name string) string {
+func (g *Gateway) metric(address, name string) string {
 	all, _ := callAdmin(address, "vars")
 	for line := range strings.SplitSeq(all, "\n") {
 		if value, ok := strings.CutPrefix(line, "gateway."+name+"="); ok {
--- a/internal/testing/lab/world_test.go
+++ b/internal/testing/lab/world_test.go
@@ -112,7 +112,7 @@
 }
 
 // A cold server that is sent too much at once falls over and stays down.
-func TestColdServerFallsOver(t *testing.T) {
+func TestColdServerOverloads(t *testing.T) {
 	sv, rec := newTestServer(t)
 	for i := range sv.site.Classes {
 		sv.site.Classes[i].Work = 300 * ms
@@ -153,7 +153,7 @@
 	})
 }
 
-func TestRegisterTellsChangesAndFallsSilent(t *testing.T) {
+func TestRegisterReportsChangesAndFallsSilent(t *testing.T) {
 	sv, rec := newTestServer(t)
 	r, err := NewRegister(rec, 2, 0, 1)
 	if err != nil {
@@ -251,7 +251,7 @@
 }
 
 // A note arrives from the sender's address as the receiver knows it.
-func TestNotesComeFromTheSendersAddress(t *testing.T) {
+func TestPeerMessagesComeFromTheSendersAddress(t *testing.T) {
 	var socks []*net.UDPConn
 	var dest []netip.AddrPort
 	for range 3 {
@@ -294,14 +294,14 @@
 }
 
 // A front uses no kept connection that the gateway has ended.
-func TestFrontDropsConnectionsThatWereEnded(t *testing.T) {
+func TestLoadBalancerDropsClosedConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	f := newLoadBalancer(harness.NewRecord(), []*Gateway{{Address: l.Addr().String()}})
-	first, err := f.take(0, false)
+	first, err := f.acquire(0, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,7 +310,7 @@
 		t.Fatal(err)
 	}
 	f.keep(0, first)
-	if again, err := f.take(0, false); err != nil || again != first {
+	if again, err := f.acquire(0, false); err != nil || again != first {
 		t.Fatalf("an open one was not used again: %v", err)
 	}
 	there.Close()
@@ -318,7 +318,7 @@
 		time.Sleep(ms)
 	}
 	f.keep(0, first)
-	if again, err := f.take(0, false); err != nil || again == first {
+	if again, err := f.acquire(0, false); err != nil || again == first {
 		t.Errorf("an ended one was used: %v", err)
 	}
 }
