--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -158,18 +158,18 @@
 // moods has the authenticator go through its moods until the run ends, each for a
 // while and each after a time in which it answers.
 func (a *Authenticator) cycleBehaviors(ctx context.Context, r *rand.Rand, progress io.Writer) error {
-	names := map[Mood]string{Stalls: "stalls", Flaps: "flaps", Errs: "errs", Down: "has crashed"}
+	names := map[Behavior]string{Stalls: "stalls", Flaps: "flaps", Errs: "errs", Down: "has crashed"}
 	for i := 0; ; i++ {
-		behavior := []Mood{Stalls, Flaps, Down, Errs}[i%4]
-		for _, m := range []Mood{Answers, behavior} {
-			if err := a.SetMood(m); err != nil {
+		behavior := []Behavior{Stalls, Flaps, Down, Errs}[i%4]
+		for _, m := range []Behavior{Answers, behavior} {
+			if err := a.SetBehavior(m); err != nil {
 				return err
 			}
 			if m != Answers {
 				fmt.Fprintln(progress, "the authenticator", names[m])
 			}
 			if !sleep(ctx, time.Duration(harness.Between(r, 1.5, 3)*float64(time.Second))) {
-				return a.SetMood(Answers)
+				return a.SetBehavior(Answers)
 			}
 		}
 	}
--- a/internal/testing/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -67,8 +67,8 @@
 		res.Body.Close()
 		return res.StatusCode
 	}
-	behavior := func(m Mood) {
-		if err := a.SetMood(m); err != nil {
+	behavior := func(m Behavior) {
+		if err := a.SetBehavior(m); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/testing/lab/authenticator.go
+++ b/internal/testing/lab/authenticator.go
@@ -12,16 +12,16 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Mood is what an authenticator does.
-type Mood int
+// Behavior is what an authenticator does.
+type Behavior int
 
 // The moods.
 const (
-	Answers Mood = iota // allows and denies as it should
-	Stalls              // says nothing
-	Flaps               // allows and denies by chance
-	Errs                // answers 500
-	Down                // nothing listens
+	Answers Behavior = iota // allows and denies as it should
+	Stalls                  // says nothing
+	Flaps                   // allows and denies by chance
+	Errs                    // answers 500
+	Down                    // nothing listens
 )
 
 // Authenticator is the stand-in for an HTTP forward authenticator.
@@ -32,7 +32,7 @@
 	mu        sync.Mutex
 	rand      *rand.Rand
 	server    *http.Server
-	behavior  Mood
+	behavior  Behavior
 	changed   chan struct{} // closed with a change of mood
 	denied    map[string]bool
 	allows    map[string][]time.Duration // when each customer was allowed
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// SetMood changes what it does. A crash resets its connections; from one it comes
+// SetBehavior changes what it does. A crash resets its connections; from one it comes
 // back at the same address.
-func (a *Authenticator) SetMood(m Mood) error {
+func (a *Authenticator) SetBehavior(m Behavior) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.behavior
