--- a/internal/testing/lab/starter.go
+++ b/internal/testing/lab/starter.go
@@ -8,8 +8,8 @@
 
 const prSetChildSubreaper = 36
 
-// starter starts commands one after another from one thread that never ends, and
-// has processes whose parent has ended become children of the rig.
+// runStarter starts commands one after another from one thread that never exits. It also makes the
+// rig the reaper of processes whose parent has exited.
 func runStarter(next func() (*exec.Cmd, chan error)) {
 	runtime.LockOSThread()
 	_, _, _ = syscall.RawSyscall(syscall.SYS_PRCTL, prSetChildSubreaper, 1, 0)
--- a/internal/testing/lab/world.go
+++ b/internal/testing/lab/world.go
@@ -1,10 +1,9 @@
-// Package lab is the project's own rig in real time: stand-ins for everything round a
-// gateway (quote servers, the server register, the counter, the notes between
-// gateways, the front and its clients) and the real program as processes between
-// them. internal/testing/harness judges what clients and servers saw.
+// Package lab runs real gateway processes in real time among stand-ins for everything around them:
+// quote servers, the server register, the counter, the peer network between gateways, and a load
+// balancer with its clients. internal/testing/harness judges what clients and servers saw.
 //
-// Everything binds to loopback addresses. Nothing here knows how a gateway
-// decides: the package imports neither decide nor internal/dataplane/gateway.
+// Everything binds to loopback addresses. The package does not depend on how a gateway decides: it
+// imports neither decide nor internal/dataplane/gateway.
 package lab
 
 import (
@@ -23,31 +22,31 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Options say what a world is made of.
+// Options describes a world.
 type Options struct {
 	Seed     uint64
 	Gateways int
-	Servers  int // 0: as many as the load wants
-	// part of what the servers can do that is asked inside the quotas
+	Servers  int // 0: 10
+	// fraction of the servers' capacity that is requested within the quotas
 	Load float64
-	Bin  string // of the gateway; "": it is built
-	// writes further files into a gateway's folder; nil: none
+	Bin  string // path of the gateway's binary; "": NewWorld builds it
+	// writes more files into a gateway's folder; nil: none
 	Prepare func(w *World, g *Gateway) error
 	Admin   bool // gateways have an admin interface
-	// the rig holds the clients' sockets, and gateways have an admin interface
+	// the rig holds the sockets on which clients connect, and gateways have an admin interface
 	Held bool
 	// the register is Consul, with an agent for each gateway
 	Consul   bool
-	Names    string // what gateways' names begin with; "": n
-	MemoryMB int    // what each is told that it may hold; 0: 64
-	Sockets  int    // the same of descriptors; 0: 1024
-	// text of the operators' file, %DIR% being the gateway's folder; "": none
+	Names    string // prefix of the gateways' names; "": n
+	MemoryMB int    // memory limit in each gateway's configuration; 0: 64
+	Sockets  int    // limit of descriptors in each gateway's configuration; 0: 1024
+	// text of the operators' file, with %AGENT% for the address of a Consul agent; "": no file
 	Operators string
-	Change    func(s *harness.Site) // what is other than drawn; nil: nothing
+	Change    func(s *harness.Site) // changes the drawn site; nil: nothing
 	Log       io.Writer
 }
 
-// World is a site with everything running: servers, register, notes, gateways.
+// World is a site with its running servers, registers, peer network and gateways.
 type World struct {
 	Site        *harness.Site
 	Record      *harness.Record
@@ -66,7 +65,7 @@
 
 const readyTimeout = 30 * time.Second
 
-// NewWorld builds and starts everything but the clients' requests.
+// NewWorld builds and starts everything except the clients' requests.
 func NewWorld(ctx context.Context, o Options) (w *World, err error) {
 	o.setDefaults()
 	w = &World{
@@ -135,7 +134,8 @@
 	}
 }
 
-// newStandIns starts the stand-ins of the platform: register, counter and, if asked for, Consul.
+// newStandIns starts the stand-ins of the platform: register, counter and, with
+// Options.Consul, Consul.
 func (w *World) newStandIns(o *Options) (err error) {
 	if w.Register, err = NewRegister(w.Record, o.Gateways, w.Site.RegisterLag, o.Seed); err != nil {
 		return err
@@ -150,7 +150,7 @@
 	return err
 }
 
-// newServers starts the stand-in quote servers and has the registers list them.
+// newServers starts the stand-in quote servers and adds them to the register.
 func (w *World) newServers(o *Options) error {
 	for i := range o.Servers {
 		sv, err := NewServer(w.Site, w.Record, w.number, i, o.Seed)
@@ -233,10 +233,10 @@
 // Start starts a gateway and waits until it is ready.
 func (w *World) Start(ctx context.Context, g *Gateway) error { return w.start(ctx, g) }
 
-// Summary audits the run and sums it up.
+// Summary audits the run and returns its summary.
 func (w *World) Summary(command string) *harness.Summary { return w.summarize(command) }
 
-// Address is a free address of the world's own for something that restarts.
+// Address returns a free address on a host that only this world uses, for a process that restarts.
 func (w *World) Address(i int) (string, error) {
 	return freeAddress("tcp", hostOf(w.number, i), 7400)
 }
@@ -251,11 +251,11 @@
 	return g.Ready(ctx)
 }
 
-// configuration is what a gateway is told at its start.
+// configuration returns the configuration that a gateway reads at its start.
 func (w *World) configuration(g *Gateway) map[string]any {
 	known := w.Register.agents[g.Number].known()
 	if w.Consul != nil {
-		known = memberList{Members: []member{}} // it names servers otherwise
+		known = memberList{Members: []member{}} // Consul names the servers differently
 	}
 	return map[string]any{
 		"management": g.adminAddress,
@@ -277,16 +277,18 @@
 	}
 }
 
-// recordText has a gateway write down why it refuses, for figures to tell of losses.
+// recordText has a gateway write its reasons for refusals to a file, from which the summary
+// attributes losses.
 const recordText = "[record]\nrefusals = \"refusals\"\n"
 
-// summarize audits the run and sums it up, with the reasons that the gateways wrote down.
+// summarize audits the run and returns its summary, with the reasons for refusals that the gateways
+// recorded.
 func (w *World) summarize(command string) *harness.Summary {
 	why := map[string]string{}
 	for _, g := range w.Gateways {
 		raw, err := os.ReadFile(filepath.Join(g.dir, "refusals"))
 		if err != nil {
-			continue // it writes none down
+			continue // this gateway records no reasons
 		}
 		for line := range strings.SplitSeq(string(raw), "\n") {
 			if id, reason, ok := strings.Cut(line, " "); ok {
@@ -301,7 +303,7 @@
 	return harness.Summarize(command, w.options.Seed, w.Site, w.Record)
 }
 
-// Close ends everything that runs and removes the folder.
+// Close kills all processes, closes all stand-ins and removes the folder.
 func (w *World) Close() {
 	for _, g := range w.Gateways {
 		if g.Running() {
@@ -333,7 +335,7 @@
 	}
 }
 
-// Stop has all gateways stop in order and waits for their ends.
+// Stop sends SIGTERM to all gateways and waits until they have exited.
 func (w *World) Stop(ctx context.Context) error {
 	for _, g := range w.Gateways {
 		if g.Running() {
@@ -347,17 +349,17 @@
 	return err
 }
 
-// DrainServer tells the register that a server drains, and the server later.
+// DrainServer sets a server's phase to draining in the register.
 func (w *World) DrainServer(sv *Server) { w.notify(sv, phaseStop, w.upSince(sv), false) }
 
-// KillServer ends a server's process; the register hears of it.
+// KillServer stops a server abruptly and notifies the register.
 func (w *World) KillServer(sv *Server) {
 	since := w.upSince(sv)
 	sv.Kill()
 	w.notify(sv, phaseRemoved, since, false)
 }
 
-// StartServer brings a server back, cold; the register hears of it.
+// StartServer restarts a server, cold, and notifies the register.
 func (w *World) StartServer(sv *Server) error {
 	if err := sv.Start(); err != nil {
 		return err
@@ -366,7 +368,7 @@
 	return nil
 }
 
-// notify has the register hear of a server's state.
+// notify passes a server's state to the register: without a delay if now is true.
 func (w *World) notify(sv *Server, phase string, since time.Duration, now bool) {
 	if w.Consul != nil {
 		w.Consul.Set(sv, phase, now)
@@ -380,5 +382,5 @@
 	return since
 }
 
-// HasGo tells whether the gateway can be built here.
+// HasGo reports whether the go command, which builds the gateway, is installed.
 func HasGo() bool { _, err := exec.LookPath("go"); return err == nil }
