--- a/internal/testing/lab/process.go
+++ b/internal/testing/lab/process.go
@@ -25,7 +25,7 @@
 // Build compiles the gateway and returns the path of its binary.
 func Build(ctx context.Context, dir string) (string, error) { return BuildTagged(ctx, dir, "") }
 
-// BuildTagged is Build with a build tag.
+// BuildTagged does the same as Build, with a build tag.
 func BuildTagged(ctx context.Context, dir, tag string) (string, error) {
 	bin := filepath.Join(dir, "mothcleat")
 	cmd := exec.CommandContext(ctx, "go", "build", "-tags", tag, "-o", bin,
@@ -36,8 +36,8 @@
 	return bin, nil
 }
 
-// BuildInTempDir is Build into a folder of its own, for several worlds of one run;
-// remove takes it away.
+// BuildInTempDir builds the gateway in a new temporary folder, for several worlds of one run; remove
+// deletes the folder.
 func BuildInTempDir(ctx context.Context) (bin string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "mothcleat-bin-")
 	if err != nil {
@@ -51,7 +51,7 @@
 	return bin, remove, nil
 }
 
-// buildIfNone is BuildAside where no binary is named yet.
+// buildIfNone calls BuildInTempDir unless a binary is already named.
 func buildIfNone(ctx context.Context, bin *string) (remove func(), err error) {
 	if *bin != "" {
 		return func() {}, nil
@@ -60,35 +60,35 @@
 	return remove, err
 }
 
-// Gateway is one instance: the real program, started as a process, and started
-// again under its name and address as often as a scenario wants.
+// Gateway is one instance: the real program as a process, which a scenario can restart under the same
+// name and address.
 type Gateway struct {
 	Number       int
 	Address      string // for clients
-	Peer         string // for notes
+	Peer         string // for messages from other gateways
 	dir          string
 	bin          string
 	args         []string
 	rec          *harness.Record
 	config       func(*Gateway) map[string]any
-	env          []string // beside the rig's own
-	listenerFile *os.File // the clients' socket, where the rig holds it; nil: the process listens
+	env          []string // in addition to the rig's own
+	listenerFile *os.File // the socket for clients if the rig holds it; nil: the process listens itself
 
-	exitCodes sync.Map // int by process id
+	exitCodes sync.Map // exit codes (int) by process id
 
 	mu            sync.Mutex
-	pid           int    // 0: none runs
-	adminAddress  string // where operators call the process that serves; "": nowhere
+	pid           int    // 0: no process runs
+	adminAddress  string // admin interface of the serving process; "": it has none
 	predecessors  []int
-	maxRSSKB      int           // the most seen, in kB
-	startedAt     time.Duration // when the process now running was started
-	expectedToRun bool          // to run: an end is a crash
+	maxRSSKB      int           // the highest resident set size seen, in kB
+	startedAt     time.Duration // when the current process was started
+	expectedToRun bool          // if true, an exit counts as a crash
 	readyIn       []time.Duration
 }
 
-// freeAddress finds a host in 127.0.0.0/8, other than those that outgoing
-// connections use, with nothing on the port: an address that is free now and stays so
-// while the gateway behind it restarts.
+// freeAddress returns an address on a host, at the first free port from the one given. Because the
+// host is one that outgoing connections don't use, the address stays free while the gateway behind
+// it restarts.
 func freeAddress(network string, host netip.Addr, port int) (string, error) {
 	for range 64 {
 		address := netip.AddrPortFrom(host, uint16(port)).String()
@@ -109,11 +109,11 @@
 	return "", fmt.Errorf("no free port at %s", host)
 }
 
-// worlds counts those of this process: each has hosts of its own.
+// worldCount counts the worlds of this process. Each world has separate hosts.
 var worldCount atomic.Uint32
 
-// hostOf is an address of a world's own. What restarts must not listen on a port
-// that is dealt out to others: while it is down, another rig's server might get it.
+// hostOf returns host i of a world. A process that restarts must not listen on a port that the system
+// assigns to others: while the process is down, another rig's server might get that port.
 func hostOf(world uint32, i int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{
@@ -143,14 +143,13 @@
 	return g, err
 }
 
-// Configure writes the configuration anew: with the list as the gateway's agent
-// knows it now, or last did.
+// Configure rewrites the configuration file, with the list of servers that the gateway's agent has.
 func (g *Gateway) Configure() error {
 	raw, err := json.Marshal(g.config(g))
 	if err != nil {
 		return err
 	}
-	// Whole or not at all: a reload may read it at any time.
+	// Replaced atomically, because a reload may read the file at any time.
 	path := filepath.Join(g.dir, "config.json")
 	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		return err
@@ -158,7 +157,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// Start starts a process; the end of one that was not asked for is in the record.
+// Start starts a process. If that process exits unexpectedly, the record notes a crash.
 func (g *Gateway) Start() error {
 	if err := g.Configure(); err != nil {
 		return err
@@ -166,7 +165,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pid != 0 {
-		return errors.New("gateway: runs")
+		return errors.New("gateway: already runs")
 	}
 	pid, err := g.launch()
 	if err != nil {
@@ -177,7 +176,7 @@
 	return nil
 }
 
-// launch starts a process with the configuration as it is written.
+// launch starts a process with the current configuration file.
 func (g *Gateway) launch() (pid int, err error) {
 	out, err := os.OpenFile(filepath.Join(g.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -191,16 +190,16 @@
 	cmd.Env = append(cmd.Env, g.env...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if g.listenerFile != nil {
-		cmd.ExtraFiles = []*os.File{g.listenerFile} // is descriptor 3
+		cmd.ExtraFiles = []*os.File{g.listenerFile} // becomes descriptor 3
 		cmd.Env = append(cmd.Env, "RELAY_INHERITED_FD=3")
 	}
-	// Nothing may outlive the rig, whatever ends it.
+	// No process may outlive the rig, however the rig ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := startOnStarterThread(cmd); err != nil {
 		return 0, fmt.Errorf("gateway %d: %w", g.Number, err)
 	}
 	go func() {
-		_ = cmd.Wait() // how it ended is in its log
+		_ = cmd.Wait() // the log shows why it exited
 		if cmd.ProcessState != nil {
 			g.exitCodes.Store(cmd.Process.Pid, cmd.ProcessState.ExitCode())
 		}
@@ -209,10 +208,10 @@
 	return cmd.Process.Pid, nil
 }
 
-// exitCode is the code with which a process ended, below 0 if a signal ended it. It is not known of
-// a process that another one has started.
+// exitCode returns a process's exit code, which is below 0 if a signal ended the process. The code is
+// known only for processes that the rig itself started.
 func (g *Gateway) exitCode(pid int) (code int, known bool) {
-	for range exitCodePolls { // it is noted right after the process has gone
+	for range exitCodePolls { // the code is stored shortly after the exit
 		if value, known := g.exitCodes.Load(pid); known {
 			return value.(int), true
 		}
@@ -223,23 +222,23 @@
 
 const exitCodePolls = 200
 
-// Dir is the folder in which the gateway's processes run.
+// Dir returns the folder in which the gateway's processes run.
 func (g *Gateway) Dir() string { return g.dir }
 
-// SetEnv gives the processes started from now on further variables of their environment.
+// SetEnv sets additional environment variables for processes that are started from now on.
 func (g *Gateway) SetEnv(env ...string) { g.env = env }
 
-// PID is the process that serves; 0: none.
+// PID returns the id of the serving process; 0: none.
 func (g *Gateway) PID() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pid
 }
 
-// AdminAddress is where operators call the gateway.
+// AdminAddress returns the address of the gateway's admin interface.
 func (g *Gateway) AdminAddress() string { return g.adminAddress }
 
-// Log is all that the gateway's processes have logged.
+// Log returns everything that the gateway's processes have logged.
 func (g *Gateway) Log() string {
 	raw, err := os.ReadFile(filepath.Join(g.dir, "log"))
 	if err != nil {
@@ -248,8 +247,8 @@
 	return string(raw)
 }
 
-// holdListener has the rig hold the clients' socket, as a platform does, and gives the gateway an admin
-// address.
+// holdListener makes the rig hold the socket for clients, as a platform does, and gives the gateway
+// an admin address.
 func (g *Gateway) holdListener() error {
 	l, err := net.Listen("tcp", g.Address)
 	if err != nil {
@@ -262,8 +261,8 @@
 	return g.newAdminAddress()
 }
 
-// startOnStarterThread starts a command from a thread that lives as long as the rig: the
-// parent-death signal belongs to the thread that forked.
+// startOnStarterThread starts a command from a thread that exists as long as the rig, because the
+// kernel sends the parent-death signal when the thread that forked exits.
 var startOnStarterThread = func() func(*exec.Cmd) error {
 	type job struct {
 		cmd *exec.Cmd
@@ -281,8 +280,8 @@
 	}
 }()
 
-// ended takes note of a process's end. The one that has handed over is not the
-// one that serves.
+// recordExit records that a process has exited. It ignores a process that has handed over, because
+// that is no longer the serving one.
 func (g *Gateway) recordExit(pid int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -304,7 +303,7 @@
 
 func (g *Gateway) pidFile() string { return filepath.Join(g.dir, "pid") }
 
-// successor is the process that a pid file names, if it is another and lives.
+// successor returns the process in the pid file if it is not old and still runs; 0 otherwise.
 func (g *Gateway) successor(old int) int {
 	raw, err := os.ReadFile(g.pidFile())
 	if err != nil {
@@ -317,7 +316,7 @@
 	return pid
 }
 
-// watch waits for the end of a process that is no child: one that has taken over.
+// watchExit waits until a process exits that is not a child of the rig: one that has taken over.
 func (g *Gateway) watchExit(pid int) {
 	for processRuns(pid) {
 		time.Sleep(10 * time.Millisecond)
@@ -325,17 +324,17 @@
 	g.recordExit(pid)
 }
 
-// alive tells whether a process runs.
+// processRuns reports whether a process runs, and reaps it if it is a zombie.
 func processRuns(pid int) bool {
 	state, exists := processState(pid)
 	if exists && state == zombie {
-		// The rig is where orphans go: it takes note of their end.
+		// The rig is the reaper of orphans, so it has to wait for them.
 		_, _ = syscall.Wait4(pid, nil, syscall.WNOHANG, nil)
 	}
 	return exists && !hasEnded(state)
 }
 
-// The states of a process that has ended: nobody has waited for it, or somebody just does.
+// The states of a process that has exited: not yet waited for, or being removed right now.
 const (
 	zombie = 'Z'
 	dead   = 'X'
@@ -343,7 +342,7 @@
 
 func hasEnded(state byte) bool { return state == zombie || state == dead }
 
-// processState returns a process's state as /proc has it; exists is false if there is none.
+// processState returns a process's state from /proc; exists is false if there is no such process.
 func processState(pid int) (state byte, exists bool) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -356,7 +355,7 @@
 	return raw[i+2], true
 }
 
-// Signal sends a signal to the process that serves, and takes note of why.
+// Signal sends a signal to the serving process and records the event.
 func (g *Gateway) Signal(s syscall.Signal) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -386,7 +385,7 @@
 	return syscall.Kill(g.pid, s)
 }
 
-// Expect takes note that the process will end by a signal that it sends itself; 0: not any more.
+// Expect records that the process will end by a signal that it sends to itself; 0 revokes that.
 func (g *Gateway) Expect(s syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -398,8 +397,8 @@
 	}
 }
 
-// HandOver asks the process to hand over to a new one and waits until that one
-// serves; it returns false if the old one serves on.
+// HandOver makes the process hand over to a new one and waits until the new one serves. It returns
+// false if the context ends before that.
 func (g *Gateway) HandOver(ctx context.Context) (bool, error) {
 	g.mu.Lock()
 	old := g.pid
@@ -426,7 +425,7 @@
 	}
 }
 
-// Running tells whether a process serves.
+// Running reports whether a process serves.
 func (g *Gateway) Running() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -447,14 +446,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d: does not end", g.Number)
+			return fmt.Errorf("gateway %d: a process does not exit", g.Number)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// Ready waits until the gateway answers PING and takes note of how long its
-// process took for that.
+// Ready waits until the gateway answers PING and records how long its process took to become ready.
 func (g *Gateway) Ready(ctx context.Context) error {
 	for {
 		if g.ping() {
@@ -485,7 +483,7 @@
 	return string(buf[:n]) == "+PONG\r\n"
 }
 
-// sample takes note of the memory in use.
+// sampleMemory updates the highest memory use seen. The caller holds the lock.
 func (g *Gateway) sampleMemory() {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.pid))
 	if err != nil {
@@ -499,7 +497,7 @@
 	}
 }
 
-// Memory is the most memory that a process of this gateway was seen to hold, in MB.
+// Memory returns the highest memory use seen of a process of this gateway, in MB.
 func (g *Gateway) Memory() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -507,7 +505,7 @@
 	return float64(g.maxRSSKB) / 1024
 }
 
-// tail is the end of the gateway's log.
+// logTail returns the last 2,000 bytes of the gateway's log.
 func (g *Gateway) logTail() string {
 	raw, err := os.ReadFile(filepath.Join(g.dir, "log"))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -516,7 +514,7 @@
 	return string(raw[max(0, len(raw)-2000):])
 }
 
-// cpu is the processor time that the serving process has used, in seconds.
+// cpuSeconds returns the processor time that the serving process has used, in seconds.
 func (g *Gateway) cpuSeconds() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
