--- a/internal/testing/lab/cling.go
+++ b/internal/testing/lab/cling.go
@@ -11,16 +11,16 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// singleConn is one client's only connection: it is used for as long as it stays open, whatever
-// becomes of the gateway, and written to without a look whether it was ended.
+// singleConn is a client's only connection. The client uses it for as long as it stays open, even
+// while the gateway shuts down, and does not check before a write whether the gateway has closed it.
 type singleConn struct {
 	address string
 	conn    *clientConn // nil: none is open
 	ended   bool
 }
 
-// errSingleConnClosed is the error of a client whose connection was closed between two requests: it
-// opens no other one.
+// errSingleConnClosed is returned to a client whose connection was closed between two requests. The
+// client does not open another one.
 var errSingleConnClosed = errors.New("the connection was closed")
 
 func (c *singleConn) acquire(_ int, newConnection bool) (*clientConn, error) {
@@ -45,8 +45,8 @@
 	c.conn = conn
 }
 
-// runOnSingleConn has a client send one request after another to a gateway on one connection, each as soon as
-// the one before is answered, until the connection ends or the context does.
+// runOnSingleConn sends a client's requests to a gateway on one connection, each as soon as the
+// previous one is answered, until the connection or the context ends.
 func (c *Clients) runOnSingleConn(ctx context.Context, gateway, number int) {
 	customers := c.customersOf(gateway)
 	if len(customers) == 0 {
@@ -71,12 +71,12 @@
 		if t.Kind != harness.Served && t.Kind != harness.Refused && t.Kind != harness.Failed {
 			return
 		}
-		// A refusal is answered at once: without a pause it would be all that is asked for.
+		// Refusals are immediate: without a pause, refused requests would crowd out all others.
 		time.Sleep(time.Duration(harness.Between(r, 1, 10) * float64(time.Millisecond)))
 	}
 }
 
-// customersOf returns the customers whose requests come through a gateway.
+// customersOf returns the indexes of the customers whose requests come through a gateway.
 func (c *Clients) customersOf(gateway int) (all []int) {
 	for k, customer := range c.site.Customers {
 		var set []int
--- a/internal/testing/lab/counter.go
+++ b/internal/testing/lab/counter.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Counter is the stand-in central counter: numbers by name, each forgotten when
-// the life given by its first call is up.
+// Counter is the stand-in for the central counter: named totals, each of which expires when the TTL
+// that its first call set has passed.
 type Counter struct {
 	Address string
 	server  *http.Server
@@ -29,7 +29,7 @@
 	until time.Time
 }
 
-// NewCounter starts a counter.
+// NewCounter starts a counter on a free loopback port.
 func NewCounter(seed uint64) (*Counter, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,10 +49,10 @@
 	return c, nil
 }
 
-// Close ends it.
+// Close stops the counter's server.
 func (c *Counter) Close() { _ = c.server.Close() }
 
-// Forget has it lose a part of its counts.
+// Forget deletes a random part of the totals; part is the probability for each.
 func (c *Counter) Forget(part float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,14 +63,14 @@
 	}
 }
 
-// SetDown has it turn all calls away, or take them again.
+// SetDown makes the counter reject all calls with status 503, or accept them again.
 func (c *Counter) SetDown(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = on
 }
 
-// Calls is how many calls were added so far.
+// Calls returns the number of calls that were counted so far.
 func (c *Counter) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/lab/notes.go
+++ b/internal/testing/lab/notes.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// PeerNetwork carries datagrams between gateways: late, and some not at all. Each
-// gateway sees every other under an address of its own: what i sends to the
-// socket (i, j) comes to j from the socket (j, i).
+// PeerNetwork forwards datagrams between gateways with a delay, and drops some of them. Each gateway
+// sees every other under a separate address: what i sends to the socket (i, j) arrives at j from the
+// socket (j, i).
 type PeerNetwork struct {
 	links [][]*net.UDPConn
-	dest  []netip.AddrPort // where each gateway listens
+	dest  []netip.AddrPort // the address at which each gateway listens
 
 	mu   sync.Mutex
 	rand *rand.Rand
@@ -27,7 +27,8 @@
 
 const maxPeerMessageBytes = 256 // bytes; a longer datagram breaks the protocol
 
-// NewPeerNetwork makes the links between gateways that listen at the addresses given.
+// NewPeerNetwork starts the links between gateways that listen at the addresses in dest; loss is
+// the probability that a datagram is dropped.
 func NewPeerNetwork(dest []netip.AddrPort, loss float64, seed uint64) (*PeerNetwork, error) {
 	n := &PeerNetwork{dest: dest, loss: loss, rand: rand.New(rand.NewPCG(seed, 0x907e))}
 	for i := range dest {
@@ -39,7 +40,7 @@
 			)
 			if err != nil {
 				n.Close()
-				return nil, fmt.Errorf("notes: %w", err)
+				return nil, fmt.Errorf("peer network: %w", err)
 			}
 			n.links[i][j] = c
 		}
@@ -54,7 +55,7 @@
 	return n, nil
 }
 
-// peers are the addresses under which gateway i finds all others.
+// peers returns the addresses at which gateway i reaches all others.
 func (n *PeerNetwork) peers(i int) (addrs []string) {
 	for _, c := range n.links[i] {
 		addrs = append(addrs, c.LocalAddr().String())
@@ -62,7 +63,7 @@
 	return addrs
 }
 
-// Close ends all links.
+// Close closes all links.
 func (n *PeerNetwork) Close() {
 	for _, row := range n.links {
 		for _, c := range row {
