--- a/internal/testing/lab/server.go
+++ b/internal/testing/lab/server.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	serverPort   = 8000 // of the first gateway's address, and on
+	serverPort   = 8000 // port for the first gateway; each further gateway has a port 64 higher
 	queuePerCore = 8
 	slotsPerCore = 2
 )
 
-// Fault is something that a quote server does wrong until told otherwise.
+// Fault describes how a quote server misbehaves until its fault is changed.
 type Fault struct {
-	Errors float64 // the part of requests that fail quickly
-	Slow   float64 // how many times longer work takes; 0 and 1: none
-	Hang   bool    // takes requests and answers nothing
-	Reset  float64 // the part of requests whose connection is reset once they came
+	Errors float64 // fraction of requests that fail at once
+	Slow   float64 // factor on the time that work takes; 0 and 1: not slower
+	Hang   bool    // accepts requests and does not answer them
+	Reset  float64 // fraction of requests whose connection is reset after the work instead of a reply
 }
 
-// Server is a stand-in quote server. It listens at one address for each gateway,
-// so that it can tell who sends; its work is time on one of its cores.
+// Server is a stand-in quote server. It listens at a separate address for each gateway, by which it
+// identifies the sender. Its work consists of spending time on one of its cores.
 type Server struct {
 	ID    string
 	site  *harness.Site
@@ -44,20 +44,20 @@
 	mu           sync.Mutex
 	rand         *rand.Rand
 	up           bool
-	incarnation  int // in the record
+	incarnation  int // index of the current start in the record
 	currentStart harness.ServerStart
 	fault        Fault
 	drain        bool
 	conns        map[net.Conn]bool
 	listeners    []net.Listener
-	addrs        []string          // by gateway; the same after a restart
-	recent       []harness.Attempt // within the span over which a fall is counted
+	addrs        []string          // by gateway; unchanged by restarts
+	recent       []harness.Attempt // attempts within the site's overload window
 	waiting      int
 	slots        chan struct{}
-	ended        chan struct{} // closed with this life
+	ended        chan struct{} // closed when this incarnation is killed
 }
 
-// NewServer makes a server that is up and warm.
+// NewServer starts a server that is warm from the beginning.
 func NewServer(
 	s *harness.Site, rec *harness.Record, world uint32, i int, seed uint64,
 ) (*Server, error) {
@@ -78,8 +78,8 @@
 	return sv, sv.start(false)
 }
 
-// listen listens at an address of a server's own. Another rig may be at it for a
-// moment, looking for a free one: it is tried again for a while.
+// listen listens at a server's address. It retries for 2 s, because another rig that looks for a free
+// address may occupy this one for a moment.
 func listen(address string) (l net.Listener, err error) {
 	for range 200 {
 		if l, err = net.Listen("tcp", address); err == nil {
@@ -90,12 +90,12 @@
 	return nil, err
 }
 
-// start brings the process up at the addresses that it had before.
+// start starts the server at its addresses.
 func (sv *Server) start(slowStart bool) error {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.up {
-		return errors.New("server: is up")
+		return errors.New("server: already runs")
 	}
 	sv.listeners = nil
 	for _, address := range sv.addrs {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Kill ends the process: connections are reset, new ones refused.
+// Kill stops the server as a crash would: it resets open connections and refuses new ones.
 func (sv *Server) Kill() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -146,24 +146,24 @@
 	clear(sv.conns)
 }
 
-// Start brings a killed process up again, cold.
+// Start restarts a killed server, cold.
 func (sv *Server) Start() error { return sv.start(true) }
 
-// SetDrain has the server turn away what is new, or take it again.
+// SetDrain makes the server reject new requests, or accept them again.
 func (sv *Server) SetDrain(on bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.drain = on
 }
 
-// SetFault has the server do something wrong from now on.
+// SetFault replaces the server's fault.
 func (sv *Server) SetFault(f Fault) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.fault = f
 }
 
-// Up tells whether the process runs, and when it started if it started cold.
+// Up reports whether the server runs, and when it started if it started cold.
 func (sv *Server) Up() (up bool, slowStartSince time.Duration) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -198,8 +198,8 @@
 	}
 }
 
-// serve answers the commands of one connection, in their order. What is written
-// behind a request waits for it; a connection that ends gives up what it waits for.
+// serve answers the commands of one connection in order. A pipelined command waits until the previous
+// one is answered. If the gateway closes the connection, its queued work is dropped.
 func (sv *Server) serve(c net.Conn, gateway int, ended chan struct{}) {
 	defer func() {
 		sv.mu.Lock()
@@ -242,7 +242,7 @@
 		if _, err := c.Write(reply); err != nil {
 			return
 		}
-		// The idle time begins with the answer.
+		// The idle timeout starts when the reply is written.
 		_ = c.SetReadDeadline(time.Now().Add(harness.ServerIdle))
 	}
 }
@@ -255,11 +255,11 @@
 // received is a command that was read from a gateway's connection.
 type received struct {
 	args     [][]byte
-	first    time.Duration // when its first byte came
-	complete time.Duration // when its last byte came
+	first    time.Duration // when its first byte was received
+	complete time.Duration // when its last byte was received
 }
 
-// command executes one command and returns the reply. ok is false if the connection is to be broken
+// command executes one command and returns the reply. ok is false if the connection has to be reset
 // instead. clientGone is done once the gateway has closed the connection; ended is closed when the
 // server's process ends.
 func (sv *Server) command(
@@ -319,19 +319,19 @@
 	return append(b, "$-1\r\n$-1\r\n"...), true
 }
 
-// admission is what became of an attempt on arrival: a place in the queue, or its end.
+// admission is the result of an attempt's arrival: a place in the queue, or the final reply.
 type admission struct {
-	number int // of the attempt in the record
+	number int // index of the attempt in the record
 	fault  Fault
 	start  harness.ServerStart
 	slots  chan struct{}
 	late   float64 // the draw that decides whether the connection is reset after the work
 
 	done  bool
-	reply []byte // if done; nil: the connection is broken
+	reply []byte // if done; nil: the connection is reset
 }
 
-// admit records an attempt and takes it into the queue, unless the server is overloaded, full or
+// admit records an attempt and puts it into the queue, unless the server is overloaded, full or
 // failing.
 func (sv *Server) admit(a *harness.Attempt) admission {
 	sv.mu.Lock()
@@ -357,7 +357,7 @@
 		return result
 	}
 	if !result.fault.Hang && roll < result.fault.Errors {
-		// Before any work: it has no effect, and nobody can know.
+		// The request fails before any work, so it has no effect; the gateway cannot know that.
 		result.done, result.reply = true, serverFailed
 		return result
 	}
@@ -366,7 +366,7 @@
 }
 
 // waitForSlot waits in the queue for a slot, and returns false if the gateway or the server ends
-// first. Work that waits is dropped then.
+// first. The queued work is then dropped.
 func (sv *Server) waitForSlot(
 	clientGone context.Context,
 	ended chan struct{},
@@ -397,14 +397,14 @@
 	}
 }
 
-// draw is the work of one request, about its class's mean.
+// drawWork draws the work of one request; its mean is the mean of the request's class.
 func (sv *Server) drawWork(class int) time.Duration {
 	x := math.Exp(0.4*sv.rand.NormFloat64() - 0.08) // mean 1
 	return time.Duration(x * float64(sv.site.Classes[class].Work))
 }
 
-// effect takes note of a key and tells whether its effect happens now: a repeat
-// within the window is dropped, by whichever server it comes to.
+// recordEffect records an attempt's idempotency key and reports whether the attempt has an effect. A
+// repeat within the deduplication window has none, whichever server receives it.
 func (sv *Server) recordEffect(a harness.Attempt) bool {
 	c := &sv.site.Classes[a.Class]
 	if !c.Keyed || a.Key == "" {
@@ -413,7 +413,7 @@
 	return sv.site.Remember(a.Key, a.ReceivedAt, c.DeduplicationWindow)
 }
 
-// overrun tells whether a cold server has been sent more than it can bear.
+// overloaded reports whether a cold server has received more work than it can bear.
 func (sv *Server) overloaded(a harness.Attempt) bool {
 	sv.recent = append(sv.recent, a)
 	sv.recent = slices.DeleteFunc(sv.recent, func(b harness.Attempt) bool {
@@ -435,7 +435,7 @@
 	return sum > sv.site.OverloadMultiple*can+slack
 }
 
-// work spends a request's time: slots share the cores.
+// work waits for as long as a request's work takes; the occupied slots share the cores.
 func (sv *Server) work(
 	a harness.Attempt, start *harness.ServerStart, f Fault, busy int, ended chan struct{},
 ) bool {
