--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -19,23 +19,23 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// front deals requests out among the gateways. It keeps connections, opens more
-// when all are busy, takes a gateway in once it answers PING, and notices only
-// after some seconds that one has died.
+// loadBalancer distributes requests among the gateways. It reuses connections and opens more when all
+// are busy. It notices only after some seconds that a gateway is down, and uses the gateway again
+// once that answers PING.
 type loadBalancer struct {
 	gateways []*Gateway
 	rec      *harness.Record
 	entries  []*entryPoint
-	wg       sync.WaitGroup // polls for gateways that were down
+	wg       sync.WaitGroup // goroutines that poll gateways that are down
 }
 
-// entryPoint is one gateway as the front sees it.
+// entryPoint is the load balancer's view of one gateway.
 type entryPoint struct {
 	mu      sync.Mutex
 	idle    []*clientConn
 	down    bool
-	drained bool      // operators empty it: it is dealt nothing, but on connections that stay open
-	failing time.Time // since when nothing answers there; zero: it does
+	drained bool      // being drained: it gets no requests except on connections that stay open
+	failing time.Time // since when connections fail; zero: they do not
 	notice  time.Duration
 }
 
@@ -45,9 +45,9 @@
 	used bool
 }
 
-// open tells whether a kept connection was not ended by the other side, as a front
-// that watches its connections knows. To write to one that was would be the front's
-// own fault, and a process that has exited since answers with a reset.
+// open reports whether the gateway has not closed an idle connection, which a load balancer that
+// watches its connections knows. A write to a closed one would be the load balancer's fault, and
+// would be answered with a reset if the process has exited since.
 func (c *clientConn) open() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -70,7 +70,7 @@
 	return f
 }
 
-// up tells whether the front deals out to a gateway.
+// up reports whether the load balancer sends requests to a gateway.
 func (f *loadBalancer) up(g int) bool {
 	e := f.entries[g]
 	e.mu.Lock()
@@ -78,7 +78,7 @@
 	return !e.down && !e.drained
 }
 
-// empty takes note that a gateway is being drained, or is back.
+// setDrained records that a gateway is being drained, or no longer.
 func (f *loadBalancer) setDrained(g int, on bool) {
 	e := f.entries[g]
 	e.mu.Lock()
@@ -86,7 +86,7 @@
 	e.drained = on
 }
 
-// open is how many kept connections to a gateway it has not ended.
+// open returns the number of idle connections to a gateway that the gateway has not closed.
 func (f *loadBalancer) open(g int) (n int) {
 	e := f.entries[g]
 	e.mu.Lock()
@@ -99,8 +99,8 @@
 	return n
 }
 
-// refused takes note that nothing listens at a gateway: it is seen as down some
-// time later, and asked from then on whether it is back.
+// refused records that a connection to a gateway failed. The gateway counts as down after a delay, and
+// from then on the load balancer polls it until it answers.
 func (f *loadBalancer) refused(ctx context.Context, g int) {
 	e := f.entries[g]
 	e.mu.Lock()
@@ -138,7 +138,7 @@
 	e.mu.Unlock()
 }
 
-// take gives an idle connection to a gateway, or makes one.
+// acquire returns an idle connection to a gateway, or opens one.
 func (f *loadBalancer) acquire(g int, newConnection bool) (*clientConn, error) {
 	e := f.entries[g]
 	if !newConnection {
@@ -150,7 +150,7 @@
 				e.mu.Unlock()
 				return c, nil
 			}
-			c.Close() // its end was told before this request: none was taken there
+			c.Close() // closed before this request, so it has not carried the request
 		}
 		e.mu.Unlock()
 	}
@@ -181,15 +181,16 @@
 	}
 }
 
-// connections is where a client's connections come from, and where they are kept.
+// connections is a source of connections, to which they are returned after use.
 type connections interface {
 	acquire(gateway int, newConnection bool) (*clientConn, error)
 	keep(gateway int, c *clientConn)
 }
 
-// send sends a try to its gateway and waits for the answer. A kept connection
-// that the gateway closed, unread, has it sent once more on a new one.
-// A client that loses patience closes the connection so long after the request; 0: it waits.
+// send sends a try to its gateway and waits for the answer. If a reused connection
+// fails, or the gateway closes any connection before an answer, send repeats the try once on a new
+// connection. abandonAfter is how long after the
+// request an impatient client closes the connection; 0: the client waits.
 func (f *loadBalancer) send(
 	ctx context.Context,
 	s *harness.Site,
@@ -200,7 +201,7 @@
 	f.sendOn(ctx, f, s, c, t, abandonAfter)
 }
 
-// sendOn does the same on certain connections.
+// sendOn does the same as send, on connections from conns.
 func (f *loadBalancer) sendOn(
 	ctx context.Context,
 	conns connections,
@@ -217,7 +218,7 @@
 				t.PortClosedAt = f.rec.Now()
 			}
 			f.refused(ctx, t.Gateway)
-			return // what a former connection ended with stands
+			return // keeps the outcome of the previous connection
 		}
 		now := f.rec.Now()
 		if !retry {
@@ -311,14 +312,14 @@
 	}
 	t.Answers++
 	t.AnsweredAt = rec.Now()
-	if in.Buffered() > 0 { // nothing else was asked for
+	if in.Buffered() > 0 { // nothing else was requested
 		t.Answers++
 	}
 	return nil
 }
 
-// Clients send what a site's customers ask for, whatever comes back, and try
-// again through another gateway as clients do.
+// Clients sends the requests of a site's customers at their rate, whatever the answers are, and
+// retries failed requests through another gateway.
 type Clients struct {
 	site     *harness.Site
 	rec      *harness.Record
@@ -326,24 +327,24 @@
 	wg       sync.WaitGroup
 	ids      atomic.Uint64
 	seed     uint64
-	runs     uint64 // added to the seed
+	runs     uint64 // offset of the seed: 1<<32 times the number of runs
 
 	sent, served, open atomic.Int64
 }
 
-// NewClients makes the clients of a site.
+// NewClients returns the clients of a site, which send nothing before Run.
 func NewClients(s *harness.Site, rec *harness.Record, gateways []*Gateway, seed uint64) *Clients {
 	c := &Clients{site: s, rec: rec, balancer: newLoadBalancer(rec, gateways), seed: seed}
 	c.ids.Store(seed << 32)
 	return c
 }
 
-// Run asks until the context ends, then waits for all that is out.
+// Run sends requests until the context ends, then waits for all open requests.
 func (c *Clients) Run(ctx context.Context) {
-	// What is out when the asking ends still has its time.
+	// Requests that are open when the context ends still have all their time.
 	tries, cancel := context.WithCancel(context.Background())
-	// Clients that are run once more ask for other things: the same keys again, after their time,
-	// would be other effects.
+	// A repeated run has to use other keys: the same keys, after their deduplication window, would
+	// count as further effects.
 	seed := c.seed + c.runs
 	c.runs += 1 << 32
 	for i := range c.site.Customers {
