--- a/internal/testing/lab/register.go
+++ b/internal/testing/lab/register.go
@@ -14,7 +14,7 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// phases of a server, in the register's words.
+// The phases of a server as the register reports them.
 const (
 	phaseReady   = "Ready"
 	phaseStop    = "Terminating"
@@ -38,8 +38,8 @@
 	Members  []member `json:"members"`
 }
 
-// Register is the stand-in server register: an agent for each gateway, which
-// hears of a change some time after it happened and answers watches.
+// Register is the stand-in for the server register. It has an agent for each gateway, which receives
+// each change after a delay and answers watches.
 type Register struct {
 	agents []*agent
 	lag    time.Duration
@@ -50,7 +50,7 @@
 	silenceOver chan struct{} // closed when the silence ends
 }
 
-// agent is what one gateway can ask.
+// agent is the part of the register that one gateway queries.
 type agent struct {
 	reg     *Register
 	gateway int
@@ -64,19 +64,19 @@
 	changed  chan struct{}
 }
 
-// entry is a member with the version in which it last changed.
+// entry is a member with the revision in which it last changed.
 type entry struct {
 	member
 	revision int
-	stopAt   time.Duration // when the agent heard that it stops
-	notified bool          // and whether the gateway has been told
+	stopAt   time.Duration // when the agent learned that the server stops
+	notified bool          // whether the gateway has been notified
 }
 
-// maxNotificationDelay is how late a gateway counts as told of what its agent has.
+// maxNotificationDelay is how long after its agent a gateway counts as notified at the latest.
 const maxNotificationDelay = 6 * time.Second
 
-// NewRegister makes a register with its agents; lag is the longest time until one
-// hears of a change.
+// NewRegister starts a register with its agents; lag is the maximum time until an agent receives a
+// change.
 func NewRegister(
 	rec *harness.Record, gateways int, lag time.Duration, seed uint64,
 ) (*Register, error) {
@@ -101,14 +101,14 @@
 	return r, nil
 }
 
-// Close ends all agents.
+// Close stops all agents.
 func (r *Register) Close() {
 	for _, a := range r.agents {
 		_ = a.server.Close()
 	}
 }
 
-// Silence has the register answer nothing, or answer again.
+// Silence makes the register stop answering, or answer again.
 func (r *Register) Silence(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +120,7 @@
 	r.silent = on
 }
 
-// Set has every agent hear of a server's state, each after some time of its own.
+// Set passes a server's state to every agent, each after a random delay; without delay if now is true.
 func (r *Register) Set(sv *Server, phase string, since time.Duration, now bool) {
 	for _, a := range r.agents {
 		r.mu.Lock()
@@ -147,19 +147,19 @@
 			silent, silenceOver := r.silent, r.silenceOver
 			r.mu.Unlock()
 			if silent {
-				<-silenceOver // nothing reaches an agent meanwhile
+				<-silenceOver // agents receive nothing during the silence
 			}
 			a.apply(m)
 		})
 	}
 }
 
-// take has the agent hear of a member.
+// apply stores a member's new state in the agent and completes the watches.
 func (a *agent) apply(m member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if old := a.members[m.ID]; old != nil && old.UpSince > m.UpSince {
-		return // a later start was heard of before
+		return // the agent already has a later start
 	}
 	a.revision++
 	e := &entry{member: m, revision: a.revision}
@@ -178,7 +178,7 @@
 	}
 }
 
-// notify takes note that the gateway has been told of an entry.
+// notify records that the gateway has been notified of an entry. The caller holds the lock.
 func (a *agent) notify(e *entry) {
 	if e.notified {
 		return
@@ -192,7 +192,7 @@
 	})
 }
 
-// known is the list as the agent has it, for a gateway's configuration.
+// known returns the agent's current list, for a gateway's configuration.
 func (a *agent) known() memberList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -200,7 +200,7 @@
 	return list
 }
 
-// list is all that is newer than a revision; 0 gives the whole list.
+// list returns all entries newer than a revision; 0 returns the whole list.
 func (a *agent) list(after int) (memberList, []*entry) {
 	l := memberList{Revision: a.revision, Complete: after == 0, Members: []member{}}
 	var entries []*entry
