--- a/internal/testing/lab/play.go
+++ b/internal/testing/lab/play.go
@@ -12,19 +12,19 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// PlayOptions say what world is played and what goes wrong in it.
+// PlayOptions describes the world that Play runs and the faults in it.
 type PlayOptions struct {
 	Seed              uint64
 	Gateways, Servers int
 	Load              float64
 	For               time.Duration
-	MessageLoss       float64 // below 0: the site's
+	MessageLoss       float64 // probability of loss between gateways; below 0: the site's
 	Faults            []harness.Fault
-	Bin               string // of the gateway; "": it is built
+	Bin               string // path of the gateway's binary; "": it is built
 }
 
-// Play plays one world with a list of faults in real processes. Clocks that are off,
-// half-cut notes and restarts from a state are the emulator's alone.
+// Play runs one world of real processes with a list of faults. Only the emulator supports wrong
+// clocks, truncated messages between gateways and restarts from saved state.
 func Play(ctx context.Context, o PlayOptions) (*harness.Summary, error) {
 	w, err := NewWorld(
 		ctx,
@@ -70,7 +70,7 @@
 	return f, nil
 }
 
-// injectFault has a fault happen and waits until it is over, also past the end of the asking.
+// injectFault causes a fault and waits until it is over, even after the end of the traffic.
 func (w *World) injectFault(f harness.Fault) error {
 	g, sv := w.Gateways[f.N%len(w.Gateways)], w.Servers[f.N%len(w.Servers)]
 	over := func() { time.Sleep(f.For) }
@@ -106,7 +106,7 @@
 		over()
 		sv.SetFault(Fault{})
 	default:
-		return errors.New("this rig can't play it")
+		return errors.New("this rig does not support the fault")
 	}
 	return nil
 }
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -11,8 +11,9 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// RunTry is what a newcomer runs: three gateways before ten quote servers, with
-// traffic for a while, one server restarted cold and one drained meanwhile.
+// RunTry is a demonstration for new users: traffic through three gateways to ten quote servers, while
+// one server restarts cold, another one drains and a gateway restarts. With serve, the gateways run
+// on until the context ends.
 func RunTry(
 	ctx context.Context, seed uint64, length time.Duration, serve bool, out, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -31,7 +32,7 @@
 		}{
 			{
 				length / 4,
-				"quote server " + w.Servers[0].ID + " is killed, and comes back cold",
+				"quote server " + w.Servers[0].ID + " is killed and restarts cold",
 				func() { w.KillServer(w.Servers[0]) },
 			},
 			{length / 12, "", func() { _ = w.StartServer(w.Servers[0]) }},
@@ -42,7 +43,7 @@
 			},
 			{
 				length / 12,
-				"gateway 1 is told to stop, and starts again",
+				"gateway 1 is stopped and restarts",
 				func() { w.restart(trafficContext, w.Gateways[1]) },
 			},
 		}
@@ -71,7 +72,7 @@
 	return f, w.Stop(stop)
 }
 
-// table shows the figures to a person.
+// printSummary prints the summary's figures as text.
 func printSummary(f *harness.Summary, out io.Writer) {
 	fmt.Fprintf(
 		out,
@@ -107,7 +108,7 @@
 	fmt.Fprintln(out)
 }
 
-// sample prints where a person can connect, and a command to send.
+// printSampleCommand prints the gateways' addresses and a command to send to them.
 func (w *World) printSampleCommand(out io.Writer) {
 	fmt.Fprintln(out, "Serving until interrupted. Any RESP2 client can connect to")
 	for _, g := range w.Gateways {
@@ -124,7 +125,7 @@
 	)
 }
 
-// restart stops a gateway in order and starts it again under its name.
+// restart stops a gateway by SIGTERM and starts it again under the same name.
 func (w *World) restart(ctx context.Context, g *Gateway) {
 	if g.Signal(syscall.SIGTERM) != nil {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-// progress shows a line a second until the context ends.
+// progress prints one line per second until the context ends.
 func (w *World) progress(ctx context.Context, out io.Writer, length time.Duration) {
 	startedAt := time.Now()
 	go func() {
@@ -157,7 +158,7 @@
 			}
 			fmt.Fprintf(
 				out,
-				"%4.0f s, %4.0f s to go: %d asked, %d served, %d open, %d gateways run\n",
+				"%4.0f s, %4.0f s left: %d sent, %d served, %d open, %d gateways running\n",
 				past.Seconds(),
 				max(0, length-past).Seconds(),
 				w.Clients.sent.Load(),
