--- a/internal/testing/lab/fleet.go
+++ b/internal/testing/lab/fleet.go
@@ -13,20 +13,21 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// FleetOptions say how a fleet is treated.
+// FleetOptions describes a fleet and the disturbances of its run.
 type FleetOptions struct {
 	Seed       uint64
 	Instances  int
 	For        time.Duration
-	State      string // "on", "off" or "both": whether gateways keep their state
-	InPlace    bool   // only hand-overs and reloads: no port may ever be closed
-	RestartAll bool   // one restart of the whole fleet, against a fleet that has none
-	Quiet      bool   // nothing is killed or restarted
+	State      string // whether gateways save their state: "on", "off" or "both"
+	InPlace    bool   // only hand-overs and reloads, during which no port may close
+	RestartAll bool   // one restart of the whole fleet, compared with a fleet that has none
+	Quiet      bool   // no kills and no restarts
 	Load       float64
-	Bin        string // of the gateway; "": it is built
+	Bin        string // path of the gateway's binary; "": it is built
 }
 
-// operatorsText is the operators' file of an instance; paths are in its folder.
+// operatorsText returns the operators' file of an instance; its paths are relative to the
+// instance's folder.
 func operatorsText(state bool) string {
 	text := "[handover]\non = true\npid_file = \"pid\"\nready_within = \"10s\"\n" + recordText
 	if state {
@@ -35,9 +36,8 @@
 	return text
 }
 
-// RunFleet runs a fleet and restarts its instances in every way, at random. With
-// both, two worlds of the same seed run side by side; with Whole a third one, in
-// which nothing restarts.
+// RunFleet runs a fleet and restarts its instances at random, in all ways. If State is "both", two
+// worlds of the same seed run side by side; RestartAll adds a world in which nothing restarts.
 func RunFleet(ctx context.Context, o FleetOptions, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.55
@@ -98,9 +98,8 @@
 	return f, nil
 }
 
-// compare judges a whole-fleet restart against a fleet that had none: what is
-// handed out beyond the quotas, as a part of all that is handed out, is no more
-// but for one part in twenty.
+// compare compares a whole-fleet restart with a fleet that had none: the fraction of units sent beyond
+// the quotas may be higher by at most 0.05.
 func compare(f, undisturbed *harness.Summary) {
 	sent := func(f *harness.Summary) float64 { return f.Extra["sent_units"].(float64) }
 	mine, other := f.Over/sent(f), undisturbed.Over/sent(undisturbed)
@@ -146,8 +145,8 @@
 	return f, nil
 }
 
-// fleetAbandonFraction is the part of a fleet's tries whose client leaves before an answer: what of them waits
-// must not be sent on.
+// fleetAbandonFraction is the fraction of a fleet's tries whose client leaves before an answer. Such a
+// try must not be sent to a server if it still waits in the gateway.
 const fleetAbandonFraction = 0.03
 
 // chaos restarts a world's gateways and servers.
@@ -155,12 +154,12 @@
 	w    *World
 	o    FleetOptions
 	wg   sync.WaitGroup
-	busy []sync.Mutex // a gateway has one thing done to it at a time
+	busy []sync.Mutex // by gateway: held during an action, so that each gateway has one at a time
 
 	mu       sync.Mutex
 	errs     []error
 	restarts map[string]int
-	stayed   int // hand-overs that the old process refused, or that failed
+	stayed   int // hand-overs that the old process refused or that failed
 }
 
 func (c *chaos) fail(err error) {
@@ -202,7 +201,7 @@
 	}
 }
 
-// restartAll kills every instance within a moment, and starts them all again.
+// restartAll kills or stops all instances at the same moment and starts them again.
 func (c *chaos) restartAll(ctx context.Context, after time.Duration) {
 	if !sleep(ctx, after) {
 		return
@@ -219,12 +218,13 @@
 	c.did("whole")
 }
 
-// gateways does something to a gateway now and then, several at once at times; a
-// third of the way through it restarts the whole fleet, with the register silent.
+// gateways disturbs random gateways at random times, sometimes several at once. After a third of the
+// run it restarts the whole fleet while the register is silent.
 func (c *chaos) gateways(ctx context.Context, r *rand.Rand) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	// Each instance gets something about every 20 s, as far as one machine starts processes.
+	// Each instance is disturbed about every 20 s. The minimum of 200 ms bounds how fast one machine
+	// has to start processes.
 	mean := max(200*time.Millisecond, 20*time.Second/time.Duration(c.o.Instances))
 	startedAt, together := time.Now(), c.o.InPlace
 	for sleep(ctx, time.Duration(r.ExpFloat64()*float64(mean))) {
@@ -252,7 +252,7 @@
 			case what < 8 && !c.o.InPlace:
 				c.cycle(ctx, g, syscall.SIGTERM, more)
 			default:
-				for range 1 + 5*(more/3) { // a storm now and then
+				for range 1 + 5*(more/3) { // sometimes several reloads in a row
 					_ = g.Configure()
 					_ = g.Signal(syscall.SIGHUP)
 				}
@@ -263,7 +263,7 @@
 }
 
 func (c *chaos) handOver(g *Gateway) {
-	// Not bound to the run: what was begun is ended.
+	// Not bound to the run's context: a hand-over in progress completes after the run's end.
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
 	if !g.Running() {
@@ -273,7 +273,7 @@
 	switch ok, err := g.HandOver(ctx); {
 	case err != nil:
 		c.fail(err)
-	case !ok: // the process before may still have been draining
+	case !ok: // the previous process may still have been draining
 		c.mu.Lock()
 		c.stayed++
 		c.mu.Unlock()
@@ -286,14 +286,15 @@
 	}
 }
 
-// restart stops a gateway in one way and starts it again.
+// restart stops a gateway by a signal and starts it again.
 func (c *chaos) restart(ctx context.Context, g *Gateway, s syscall.Signal) {
 	c.busy[g.Number].Lock()
 	defer c.busy[g.Number].Unlock()
 	c.cycle(ctx, g, s, 0)
 }
 
-// cycle is the same for who holds the gateway. Further signals come amid the drain.
+// cycle does the same as restart, for a caller that has locked the gateway. It sends further signals,
+// as many as more says, during the drain after a SIGTERM.
 func (c *chaos) cycle(ctx context.Context, g *Gateway, s syscall.Signal, more int) {
 	if g.Signal(s) != nil {
 		return
@@ -325,8 +326,8 @@
 	c.did(map[syscall.Signal]string{syscall.SIGKILL: "killed", syscall.SIGTERM: "stopped"}[s])
 }
 
-// servers drains, kills and restarts one quote server after another: after each
-// start there is a cold one.
+// servers drains, kills and restarts one quote server after another. Each server is cold after its
+// start.
 func (c *chaos) servers(ctx context.Context, r *rand.Rand) {
 	for sleep(ctx, time.Duration(harness.Between(r, 1, 4)*float64(time.Second))) {
 		sv := c.w.Servers[r.IntN(len(c.w.Servers))]
@@ -356,7 +357,7 @@
 	}
 }
 
-// summarize adds what was done and how the gateways took it.
+// summarize adds the restarts and their effects to the summary.
 func (c *chaos) summarize(f *harness.Summary) {
 	rec, s := c.w.Record, c.w.Site
 	var ready []time.Duration
@@ -388,12 +389,12 @@
 		f.AddFailure(err.Error())
 	}
 	if n := c.w.PeerNetwork.Over.Load(); n > 0 {
-		f.AddFailure(fmt.Sprintf("%d notes over 256 bytes", n))
+		f.AddFailure(fmt.Sprintf("%d messages between gateways over 256 bytes", n))
 	}
 }
 
-// refusals counts the connections that found a closed port, and those of them at
-// gateways that nobody had stopped.
+// refusals counts the connections that found a closed port, and how many of them were to gateways that
+// had not been stopped.
 func refusals(rec *harness.Record) (all, inPlace int) {
 	for _, t := range rec.Tries {
 		if t.PortClosedAt == 0 {
@@ -413,14 +414,14 @@
 	return all, inPlace
 }
 
-// afterRestart is the service of requests that came first to a gateway within
-// some time of its start.
+// afterRestart returns the service of requests that were first sent to a gateway within a window after
+// its start.
 func afterRestart(s *harness.Site, rec *harness.Record, window time.Duration) float64 {
 	var since []harness.ProcessEvent
 	first := map[int]bool{}
 	for _, l := range rec.ProcessEvents {
 		if l.Event == harness.Started && !first[l.Gateway] {
-			first[l.Gateway] = true // the beginning of the run is none
+			first[l.Gateway] = true // the first start is not a restart
 		} else if l.Event == harness.Started || l.Event == harness.Handed {
 			since = append(since, l)
 		}
--- a/internal/testing/lab/fleetcall.go
+++ b/internal/testing/lab/fleetcall.go
@@ -15,9 +15,9 @@
 // adminDialTimeout is how long a connection to a gateway's admin interface may take.
 const adminDialTimeout = time.Second
 
-// CallFleet asks the gateway's admin interface a question about its fleet and decodes the JSON
-// answer into a value; nil ignores it. It returns the gateway's own words as an error where it
-// can't answer, and an error after the timeout. A proposal in progress is asked for again.
+// CallFleet sends a fleet command to the gateway's admin interface and decodes the JSON answer into a
+// value; nil ignores the answer. If the gateway reports a failure, CallFleet returns the gateway's text
+// as the error; it also returns an error after the timeout. It retries while a proposal is in progress.
 func (g *Gateway) CallFleet(line string, timeout time.Duration, into any) error {
 	for end := time.Now().Add(timeout); ; {
 		err := g.callFleetOnce(line, time.Until(end), into)
