--- a/internal/testing/lab/upgrade.go
+++ b/internal/testing/lab/upgrade.go
@@ -17,19 +17,19 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// UpgradeOptions say how gateways are replaced under load and drained.
+// UpgradeOptions describes a run in which gateways are replaced and drained under load.
 type UpgradeOptions struct {
 	Seed      uint64
 	Instances int
 	For       time.Duration
 	Load      float64
-	Kills     bool   // some of the new processes are killed amid the taking over
-	Bin       string // of the gateway; "": it is built
+	Kills     bool   // kill some of the new processes during their takeover
+	Bin       string // path of the gateway's binary; "": it is built
 }
 
-// RunUpgrade has the rig hold the clients' sockets, as a platform does, and replaces one gateway
-// after another by a process started beside it, empties some by their admin interface, and kills
-// some of the new processes at a random moment of their start.
+// RunUpgrade makes the rig hold the sockets for clients, as a platform does. It replaces each gateway
+// repeatedly by a process started beside it, drains some by their admin interface, and kills some of
+// the new processes at a random moment of their start.
 func RunUpgrade(
 	ctx context.Context, o UpgradeOptions, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -79,7 +79,7 @@
 	return f, nil
 }
 
-// upgrades is what was done to a world's gateways, and what was seen of it.
+// upgrades replaces and drains a world's gateways and collects the results.
 type upgrades struct {
 	w *World
 	o UpgradeOptions
@@ -87,9 +87,9 @@
 	mu             sync.Mutex
 	did            map[string]int
 	errs           []error
-	passed         int             // clients' connections given to new processes, by their own figures
-	readyIn        []time.Duration // of new processes
-	openAfterDrain int             // connections 4 s after a drain began
+	passed         int             // clients' connections passed to new processes, by those processes' metrics
+	readyIn        []time.Duration // time until each new process was ready
+	openAfterDrain int             // connections still open 4 s after a drain began
 }
 
 func (u *upgrades) fail(err error) {
@@ -104,7 +104,7 @@
 	u.did[what]++
 }
 
-// disturb does one thing after another to a gateway.
+// disturb replaces, drains or kills processes of a gateway, one after another.
 func (u *upgrades) disturb(ctx context.Context, g *Gateway, r *rand.Rand) {
 	for sleep(ctx, time.Duration(harness.Between(r, 0.5, 4)*float64(time.Second))) {
 		var err error
@@ -123,7 +123,7 @@
 	}
 }
 
-// takeOver has a new process take the place of the one that serves, and returns the old one.
+// takeOver starts a new process, waits until it serves, and returns the old one.
 func (u *upgrades) takeOver(g *Gateway) (old process, err error) {
 	began := u.w.Record.Now()
 	next, err := g.startBeside()
@@ -142,20 +142,20 @@
 	return g.setServing(next), nil
 }
 
-// replace has a new process take the place of the one that serves, and ends that.
+// replace makes a new process take over from the serving one, and stops the old one.
 func (u *upgrades) replace(g *Gateway) error {
 	old, err := u.takeOver(g)
 	if err != nil {
 		return err
 	}
 	next := g.servingProcess()
-	// The old one has answered what it had when it says so, and goes when told.
+	// The old process answers its open requests and exits on SIGTERM.
 	if err := syscall.Kill(old.pid, syscall.SIGTERM); err != nil {
 		return err
 	}
 	for end := time.Now().Add(readyTimeout); processRuns(old.pid); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			return errors.New("the old process does not end")
+			return errors.New("the old process does not exit")
 		}
 	}
 	if n, err := strconv.Atoi(g.metric(next.admin, "passed_in")); err == nil {
@@ -167,12 +167,12 @@
 	return nil
 }
 
-// takeoverMessage is what a new process logs once it has confirmed that it takes over, before it accepts
+// takeoverMessage is logged by a new process when it has confirmed its takeover, before it accepts
 // clients.
 const takeoverMessage = "handover: state restored"
 
-// kill starts a new process and kills it some time later. Whether or not that had taken over, the
-// one that serves goes on.
+// kill starts a new process and kills it after a delay. The serving process has to continue, whether
+// or not the new one had taken over.
 func (u *upgrades) kill(g *Gateway, after time.Duration) error {
 	before := strings.Count(g.Log(), takeoverMessage)
 	next, err := g.startBeside()
@@ -186,7 +186,7 @@
 	}
 	what := "killed before it took over"
 	if strings.Count(g.Log(), takeoverMessage) > before {
-		// What the dead process had read is lost with it, as with any that is killed.
+		// Requests that the killed process had read are lost, as after any kill.
 		u.w.Record.AddProcessEvent(g.Number, harness.Killed)
 		what = "killed after it had taken over"
 	}
@@ -194,7 +194,7 @@
 	answer := ""
 	for end := time.Now().Add(readyTimeout); answer != "ok"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("a new process was killed after %v, and the old one says %q", after,
+			return fmt.Errorf("a new process was killed after %v, and the old one answers %q", after,
 				answer)
 		}
 		answer = g.admin(serving.admin, "check")
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// drain empties a gateway by its admin interface. Who deals out requests asks each 0.1 s, and sends
-// for 0.2 s more; kept connections stay in use as long as they are open.
+// drain drains a gateway by its admin interface. A load balancer checks a gateway's state every 0.1 s
+// and sends to it for another 0.2 s; idle connections stay in use as long as they are open.
 func (u *upgrades) drain(ctx context.Context, g *Gateway) error {
 	address := g.servingProcess().admin
 	if got := g.admin(address, "drain-on"); got != "ok" {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// summarize adds what was done and how the gateways took it.
+// summarize adds the actions and their effects to the summary.
 func (u *upgrades) summarize(f *harness.Summary) {
 	refused, _ := refusals(u.w.Record)
 	crossed, resets := 0, 0
@@ -263,14 +263,14 @@
 	admin string
 }
 
-// now is the process that serves.
+// servingProcess returns the process that serves.
 func (g *Gateway) servingProcess() process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return process{g.pid, g.adminAddress}
 }
 
-// startBeside starts a process beside the one that serves: the same but for its admin address.
+// startBeside starts a second process beside the serving one. Only its admin address differs.
 func (g *Gateway) startBeside() (process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -290,7 +290,7 @@
 	return next, err
 }
 
-// succeed takes note that another process serves now, and gives the one before.
+// setServing records that another process serves now, and returns the previous one.
 func (g *Gateway) setServing(next process) (old process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -317,7 +317,8 @@
 	return l.Close()
 }
 
-// admin calls a process's admin interface: the first line of the answer, or why there is none.
+// admin calls a process's admin interface and returns the first line of the answer, or the text of
+// the error.
 func (g *Gateway) admin(address, call string) string {
 	all, err := callAdmin(address, call)
 	if err != nil {
@@ -327,7 +328,7 @@
 	return line
 }
 
-// figure is one figure of a process.
+// metric returns one of a process's metrics, or "".
 func (g *Gateway) metric(address, name string) string {
 	all, _ := callAdmin(address, "vars")
 	for line := range strings.SplitSeq(all, "\n") {
