--- a/internal/testing/lab/quota.go
+++ b/internal/testing/lab/quota.go
@@ -10,20 +10,20 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// QuotaOptions say which fleets are compared.
+// QuotaOptions describes the fleets that are compared.
 type QuotaOptions struct {
 	Seed   uint64
 	For    time.Duration
 	Load   float64
-	Sizes  []int // of the fleets; the first is what the others are held against
-	Spread int   // of every customer; 0: as the site draws it
+	Sizes  []int // gateways of each fleet; the first fleet is the reference
+	Spread int   // gateways that each customer uses; 0: as the site draws it
 	Bin    string
 }
 
-// QuotaSizes are the fleets that are compared where nothing else is asked for.
+// QuotaSizes are the default sizes of the fleets.
 var QuotaSizes = []int{1, 3, 8, 24}
 
-// quotaRow is what one fleet came to.
+// quotaRow is the result of one fleet.
 type quotaRow struct {
 	Gateways          int                       `json:"gateways"`
 	Service           float64                   `json:"service"`
@@ -35,8 +35,8 @@
 	OK                bool                      `json:"ok"`
 }
 
-// RunQuota plays the same requests to fleets of several sizes side by side, with nothing
-// disturbed, and tells how much of their quotas customers got from each.
+// RunQuota sends the same requests to undisturbed fleets of several sizes side by side, and reports how
+// much of their quotas customers got from each fleet.
 func RunQuota(
 	ctx context.Context, o QuotaOptions, out, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -78,7 +78,7 @@
 				f.Broken[rule] += n
 			}
 			if !summaries[i].OK {
-				f.AddFailure(fmt.Sprintf("%d gateways did not hold their promises: %v",
+				f.AddFailure(fmt.Sprintf("the fleet of %d gateways failed: %v",
 					r.Gateways, summaries[i].Why))
 			}
 		}
@@ -123,7 +123,7 @@
 	}
 	f := w.summarize("quota")
 	if n := w.PeerNetwork.Over.Load(); n > 0 {
-		f.AddFailure(fmt.Sprintf("%d notes over %d bytes", n, maxPeerMessageBytes))
+		f.AddFailure(fmt.Sprintf("%d messages between gateways over %d bytes", n, maxPeerMessageBytes))
 	}
 	return quotaRow{
 		Gateways: gateways,
@@ -139,7 +139,7 @@
 	}, f, nil
 }
 
-// printQuotaTable shows the fleets to a person.
+// printQuotaTable prints the results of the fleets as text.
 func printQuotaTable(out io.Writer, rows []quotaRow) {
 	fmt.Fprintf(out, "\n  %8s %8s %21s %12s %8s   worth lost inside the quotas, by cause\n",
 		"gateways", "service", "given: under near over", "units beyond", "notes/s")
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -76,7 +76,7 @@
 func printSummary(f *harness.Summary, out io.Writer) {
 	fmt.Fprintf(
 		out,
-		"\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
+		"\n  requests         %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
 		f.Requests,
 		f.InTime,
 		f.Late,
@@ -85,12 +85,12 @@
 	)
 	fmt.Fprintf(
 		out,
-		"  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth asked inside the quotas\n",
+		"  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth requested inside the quotas\n",
 		f.P50,
 		f.P99,
 		f.Service,
 	)
-	fmt.Fprintf(out, "  beyond quotas    %8.1f units sent on\n", f.Over)
+	fmt.Fprintf(out, "  beyond quotas    %8.1f units forwarded\n", f.Over)
 	for _, r := range harness.Rules {
 		fmt.Fprintf(
 			out,
