--- a/internal/testing/lab/auth.go
+++ b/internal/testing/lab/auth.go
@@ -13,8 +13,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// How the gateways ask in the lab: an allowance is kept for 2 s, as the stand-in says,
-// and serves for 1 s more while it is asked again.
+// Gateways cache an allowance for 2 s, as the stand-in's answer states, and use it for another 1 s
+// while they query the authenticator again.
 const (
 	authKept  = 2 * time.Second
 	authStale = time.Second
@@ -35,8 +35,8 @@
 `, address)
 }
 
-// RunAuth runs three gateways that ask an authenticator which stalls, flaps, errs
-// and crashes, beside three that ask nobody.
+// RunAuth runs three gateways with an authenticator that stalls, flaps, returns errors and crashes,
+// beside three gateways without an authenticator.
 func RunAuth(
 	ctx context.Context, seed uint64, length time.Duration, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -64,7 +64,7 @@
 	}
 	f.Extra["without"] = other.f
 	if !other.f.OK {
-		f.AddFailure("the fleet that asks nobody did not hold its promises")
+		f.AddFailure("the fleet without an authenticator failed")
 	}
 	return f, nil
 }
@@ -131,11 +131,11 @@
 	return f, nil
 }
 
-// addAuthenticator starts an authenticator that denies every tenth customer, and has the world's
-// gateways ask it.
+// addAuthenticator starts an authenticator that denies every tenth customer, and configures the
+// world's gateways to query it.
 func addAuthenticator(o *Options) (*Authenticator, error) {
 	denied := map[string]bool{}
-	// The site is drawn as the world draws it.
+	// The world draws the same site.
 	for i, c := range harness.NewSite(o.Seed, o.Gateways, o.Servers, o.Load).Customers {
 		denied[c.ID] = i%10 == 0
 	}
@@ -155,8 +155,8 @@
 	return a, nil
 }
 
-// moods has the authenticator go through its moods until the run ends, each for a
-// while and each after a time in which it answers.
+// cycleBehaviors goes through the authenticator's faulty behaviors until the run ends. Before each of
+// them, the authenticator answers correctly for a while.
 func (a *Authenticator) cycleBehaviors(ctx context.Context, r *rand.Rand, progress io.Writer) error {
 	names := map[Behavior]string{Stalls: "stalls", Flaps: "flaps", Errs: "errs", Down: "has crashed"}
 	for i := 0; ; i++ {
@@ -175,8 +175,8 @@
 	}
 }
 
-// checkAuthenticator judges what the authenticator saw against what went on. Units that went on for
-// a try whose customer had no allowance that could still hold are the difference.
+// checkAuthenticator compares the authenticator's answers with the forwarded tries. The difference is
+// the sum of units of forwarded tries whose customer had no allowance that could still be valid.
 func checkAuthenticator(f *harness.Summary, w *World, a *Authenticator) {
 	seen := map[string]time.Duration{}
 	for _, at := range w.Record.Attempts {
@@ -199,12 +199,12 @@
 	f.Extra["went_on"], f.Extra["denied"], f.Extra["quota_difference"] = on, denied, difference
 	f.Extra["calls"], f.Extra["calls_without_token"] = a.calls, a.badTokens
 	if difference > 0 {
-		f.AddFailure(fmt.Sprintf("%g units went on without an allowance", difference))
+		f.AddFailure(fmt.Sprintf("%g units were forwarded without an allowance", difference))
 	}
 	if a.badTokens > 0 {
 		f.AddFailure(fmt.Sprintf("%d calls without the customer's token", a.badTokens))
 	}
 	if on == 0 || denied == 0 {
-		f.AddFailure("nothing went on, or nothing was denied: the run shows nothing")
+		f.AddFailure("nothing was forwarded, or nothing was denied: the run proves nothing")
 	}
 }
--- a/internal/testing/lab/authenticator.go
+++ b/internal/testing/lab/authenticator.go
@@ -12,16 +12,16 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Behavior is what an authenticator does.
+// Behavior is how an authenticator treats calls.
 type Behavior int
 
-// The moods.
+// The behaviors of an authenticator.
 const (
 	Answers Behavior = iota // allows and denies as it should
-	Stalls                  // says nothing
-	Flaps                   // allows and denies by chance
+	Stalls                  // does not answer
+	Flaps                   // denies half of the allowed customers' calls at random
 	Errs                    // answers 500
-	Down                    // nothing listens
+	Down                    // does not listen
 )
 
 // Authenticator is the stand-in for an HTTP forward authenticator.
@@ -33,14 +33,14 @@
 	rand      *rand.Rand
 	server    *http.Server
 	behavior  Behavior
-	changed   chan struct{} // closed with a change of mood
+	changed   chan struct{} // closed when the behavior changes
 	denied    map[string]bool
 	allows    map[string][]time.Duration // when each customer was allowed
 	calls     int
 	badTokens int // calls without the token that belongs to the customer
 }
 
-// NewAuthenticator starts one that denies the customers given.
+// NewAuthenticator starts an authenticator that denies the customers in denied.
 func NewAuthenticator(
 	rec *harness.Record,
 	denied map[string]bool,
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// SetBehavior changes what it does. A crash resets its connections; from one it comes
-// back at the same address.
+// SetBehavior changes the authenticator's behavior. Down resets its connections; the next behavior
+// makes it listen at the same address again.
 func (a *Authenticator) SetBehavior(m Behavior) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Close ends it.
+// Close stops the authenticator.
 func (a *Authenticator) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,7 +102,7 @@
 	a.mu.Unlock()
 	if behavior == Stalls {
 		select {
-		case <-changed: // it comes to itself, and answers late
+		case <-changed: // answers late, after the stall
 		case <-r.Context().Done():
 			return
 		}
@@ -120,7 +120,7 @@
 	}
 }
 
-// allowed tells whether a customer was allowed at some time in a span.
+// allowed reports whether a customer was allowed at some time between from and to.
 func (a *Authenticator) allowed(customer string, from, to time.Duration) bool {
 	for _, at := range a.allows[customer] {
 		if at >= from && at <= to {
