--- a/internal/testing/lab/consul.go
+++ b/internal/testing/lab/consul.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// ConsulFault is what a stand-in Consul does wrong until told otherwise.
+// ConsulFault describes how a stand-in Consul misbehaves until its fault is changed.
 type ConsulFault struct {
-	Silent  bool          // answers nothing
-	Lag     time.Duration // answers with what was so long ago, as a follower does
-	Drop    float64       // the part of answers whose connection ends instead
-	Reorder float64       // the part of answers that are an older state, with its index
+	Silent  bool          // does not answer
+	Lag     time.Duration // answers with the state of this long ago, as a follower does
+	Drop    float64       // fraction of answers that are replaced by a closed connection
+	Reorder float64       // fraction of answers that contain an older state, with its index
 	Errs    bool          // answers 500
-	Half    bool          // ends each list in its middle
-	AtOnce  bool          // never waits for a change
+	Half    bool          // truncates each list in the middle
+	AtOnce  bool          // answers blocking queries without waiting for a change
 }
 
-// Consul is a stand-in for a Consul agent with its servers, written from the public
-// pages of the HTTP API: registration with TTL checks and maintenance, blocking
-// queries on health and catalogue, and faults.
+// Consul is a stand-in for a Consul agent with its servers, written from the public documentation of
+// the HTTP API. It supports registration with TTL checks and maintenance, blocking queries on health
+// and catalogue, and faults.
 type Consul struct {
 	Address string
 	server  *http.Server
@@ -35,15 +35,15 @@
 	mu             sync.Mutex
 	rand           *rand.Rand
 	index          uint64
-	history        []consulState // oldest first; the last one is now
+	history        []consulState // states, oldest first; the last one is current
 	fault          ConsulFault
 	changed        chan struct{} // closed with a change of state or fault
 	calls          []time.Time
-	onHealthAnswer func(services map[string]consulService) // told of each health answer that is written; nil: nobody
-	token          string                                  // that queries must bring; "": none
+	onHealthAnswer func(services map[string]consulService) // called after each complete health answer; nil: not called
+	token          string                                  // required in queries; "": none
 }
 
-// consulState is a state of the service with the time from which it held.
+// consulState is a state of all services with the time from which it was valid.
 type consulState struct {
 	index    uint64
 	at       time.Time
@@ -64,7 +64,7 @@
 
 const consulNode = "lab-node"
 
-// NewConsul starts one with nothing registered.
+// NewConsul starts a stand-in with nothing registered.
 func NewConsul(seed uint64) (*Consul, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,10 +83,10 @@
 	return c, nil
 }
 
-// Close ends it.
+// Close stops the stand-in's server.
 func (c *Consul) Close() { _ = c.server.Close() }
 
-// SetFault has it do something wrong from now on.
+// SetFault replaces the stand-in's fault.
 func (c *Consul) SetFault(f ConsulFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	c.signalChange()
 }
 
-// ResetIndex has the index begin anew, as after a restore of the servers.
+// ResetIndex restarts the index at 1, as after a restore of the servers.
 func (c *Consul) ResetIndex() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	c.signalChange()
 }
 
-// Calls are the times of all queries so far.
+// Calls returns the times of all queries so far.
 func (c *Consul) Calls() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +116,7 @@
 	c.changed = make(chan struct{})
 }
 
-// change makes a new state from the one that is.
+// change derives a new state from the current one. If f returns false, the state stays.
 func (c *Consul) change(f func(services map[string]consulService, index uint64) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +136,7 @@
 	return true
 }
 
-// Register puts a service's instance in place, passing, or changes what it is.
+// Register adds an instance of a service with a passing check, or updates an existing instance.
 func (c *Consul) Register(id, name, address string, tags []string, meta map[string]string) error {
 	host, text, err := net.SplitHostPort(address)
 	if err != nil {
@@ -173,7 +173,7 @@
 	})
 }
 
-// Deregister takes an instance away.
+// Deregister removes an instance and reports whether it existed.
 func (c *Consul) Deregister(id string) bool {
 	return c.change(func(all map[string]consulService, _ uint64) bool {
 		_, there := all[id]
@@ -182,7 +182,7 @@
 	})
 }
 
-// SetCheck sets the status of an instance's check: passing, warning or critical.
+// SetCheck sets the status of an instance's check: passing, warning or critical; "" removes the check.
 func (c *Consul) SetCheck(id, check, status string) bool {
 	return c.change(func(all map[string]consulService, _ uint64) bool {
 		s, there := all[id]
@@ -204,7 +204,7 @@
 	})
 }
 
-// SetMaintenance puts an instance into maintenance, or takes it out.
+// SetMaintenance switches an instance's maintenance mode on or off.
 func (c *Consul) SetMaintenance(id string, on bool) bool {
 	return c.SetCheck(
 		id,
@@ -213,7 +213,7 @@
 	)
 }
 
-// state is what a query sees now.
+// state returns the state that a query sees now, according to the fault.
 func (c *Consul) state() consulState {
 	s := c.history[len(c.history)-1]
 	for i := len(c.history) - 1; i > 0 && c.fault.Lag > 0 && time.Since(c.history[i].at) < c.fault.Lag; i-- {
@@ -240,7 +240,7 @@
 	}
 }
 
-// agent carries out what an agent is told of its own services.
+// agent handles the agent endpoints, by which services are registered and updated.
 func (c *Consul) agent(w http.ResponseWriter, r *http.Request, path string) {
 	parts := strings.Split(path, "/")
 	last := parts[len(parts)-1]
@@ -287,7 +287,7 @@
 	}
 }
 
-// query answers a query, blocking or not.
+// query answers a blocking or non-blocking query.
 func (c *Consul) query(w http.ResponseWriter, r *http.Request, name string, health bool) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
@@ -322,7 +322,7 @@
 			if f.Lag > 0 {
 				lag = time.After(
 					min(f.Lag, 50*time.Millisecond),
-				) // what was changed comes to be seen
+				) // a change becomes visible after the lag
 			}
 			select {
 			case <-changed:
@@ -346,7 +346,7 @@
 	}
 }
 
-// writeAnswer writes the list of a service's instances, or half of it.
+// writeAnswer writes the list of a service's instances, or half of it if the fault says so.
 func (c *Consul) writeAnswer(
 	w http.ResponseWriter, f ConsulFault, s *consulState, name string, health bool,
 ) {
@@ -363,7 +363,7 @@
 	}
 }
 
-// text is the list of a service's instances, as JSON.
+// text returns the list of a service's instances as JSON.
 func (s *consulState) text(name string, health bool) []byte {
 	list := []any{}
 	ids := make([]string, 0, len(s.services))
@@ -446,7 +446,7 @@
 	}
 	b, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // nothing in it can't be written
+		panic(err) // cannot happen: all values can be encoded
 	}
 	return b
 }
--- a/internal/testing/lab/consulregister.go
+++ b/internal/testing/lab/consulregister.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// ConsulRegister is Consul as a world's register: an agent for each gateway, which
-// hears of a change some time after it happened.
+// ConsulRegister is Consul as a world's register. It has an agent for each gateway, which receives each
+// change after a delay.
 type ConsulRegister struct {
 	agents []*Consul
 	rec    *harness.Record
@@ -18,15 +18,15 @@
 	mu      sync.Mutex
 	rand    *rand.Rand
 	changes int
-	applied []map[string]int           // by agent and server: the last change
-	changed map[string][]time.Duration // by server: when it was to stop
-	stopped []map[string]bool          // by agent and server: what its gateway was told last
-	lags    []time.Duration            // from a change to when each gateway was told
+	applied []map[string]int           // by agent and server: number of the last change
+	changed map[string][]time.Duration // by server: times at which it had to stop
+	stopped []map[string]bool          // by agent and server: whether the last answer had the server stop
+	lags    []time.Duration            // delays from a change to the notification of each gateway
 }
 
 const consulName = "quotes"
 
-// NewConsulRegister starts the agents.
+// NewConsulRegister starts the agents; lag is the maximum time until an agent receives a change.
 func NewConsulRegister(
 	rec *harness.Record, gateways int, lag time.Duration, seed uint64,
 ) (*ConsulRegister, error) {
@@ -49,18 +49,18 @@
 	return r, nil
 }
 
-// Agent is the one that a gateway asks.
+// Agent returns the agent that a gateway queries.
 func (r *ConsulRegister) Agent(gateway int) *Consul { return r.agents[gateway] }
 
-// Close ends all agents.
+// Close stops all agents.
 func (r *ConsulRegister) Close() {
 	for _, a := range r.agents {
 		a.Close()
 	}
 }
 
-// Set has every agent hear of a server's state, each after some time of its own. A
-// drain is told in one of the three ways that there are.
+// Set passes a server's state to every agent, each after a random delay; without delay if now is true.
+// A drain is expressed at random by maintenance, a critical check or the tag "draining".
 func (r *ConsulRegister) Set(sv *Server, phase string, now bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 			}
 			r.mu.Unlock()
 			if old {
-				return // a later change was heard of before
+				return // the agent already has a later change
 			}
 			switch {
 			case phase == phaseRemoved:
@@ -106,7 +106,7 @@
 	}
 }
 
-// stops tells whether an instance is to get no new work.
+// stopping reports whether an instance must not get new work.
 func (s *consulService) stopping() bool {
 	for _, status := range s.checks {
 		if status != "passing" {
@@ -121,14 +121,14 @@
 	return false
 }
 
-// notify takes note of what an answer told a gateway.
+// notify records the updates that an answer delivered to a gateway.
 func (r *ConsulRegister) notify(g int, services map[string]consulService) {
 	now := r.rec.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range services {
 		if _, there := r.stopped[g][id]; !there {
-			r.stopped[g][id] = true // not known so far
+			r.stopped[g][id] = true // unknown until now
 		}
 	}
 	for id, before := range r.stopped[g] {
--- a/internal/testing/lab/consulrun.go
+++ b/internal/testing/lab/consulrun.go
@@ -20,18 +20,18 @@
 hold = "2m"
 `
 
-// ConsulOptions say how gateways at Consul are treated.
+// ConsulOptions describes a run of gateways that use Consul.
 type ConsulOptions struct {
 	Seed   uint64
 	For    time.Duration
-	Silent bool   // all agents fall silent early on for the rest, and no server changes
-	Bin    string // of the gateway; "": it is built
+	Silent bool   // all agents are silent from early in the run to its end, and no server changes
+	Bin    string // path of the gateway's binary; "": it is built
 }
 
-// RunConsul runs gateways that follow Consul, each by an agent of its own that lags,
-// falls silent and contradicts itself, beside gateways that follow the platform's
-// register. Quote servers drain and restart in both. With Silent nothing changes but that
-// Consul says nothing any more, beside gateways whose Consul goes on.
+// RunConsul runs gateways that use Consul, each with a separate agent that lags, falls silent and
+// contradicts itself, beside gateways that use the platform's register. Quote servers drain and restart
+// in both worlds. With Silent, the only disturbance is that Consul stops answering, and the gateways
+// beside have a working Consul.
 func RunConsul(ctx context.Context, o ConsulOptions, progress io.Writer) (*harness.Summary, error) {
 	remove, err := buildIfNone(ctx, &o.Bin)
 	if err != nil {
@@ -58,7 +58,7 @@
 	otherName := map[bool]string{true: "heard", false: "platform"}[o.Silent]
 	f.Extra[otherName] = summaries[1]
 	if !summaries[1].OK {
-		f.AddFailure("the gateways beside did not hold their promises")
+		f.AddFailure("the gateways of the other world failed")
 	}
 	if lost := summaries[1].Service - f.Service; o.Silent && lost > 0.02 {
 		f.AddFailure(fmt.Sprintf("service %.3f with Consul silent, %.3f with it",
@@ -67,7 +67,7 @@
 	return f, nil
 }
 
-// runConsulWorld runs one of the two worlds: first is the one that things happen to.
+// runConsulWorld runs one of the two worlds; first marks the one whose Consul has the faults.
 func runConsulWorld(
 	ctx context.Context, o ConsulOptions, first bool, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -99,7 +99,7 @@
 		go func() { defer c.wg.Done(); c.servers(trafficContext, rand.New(rand.NewPCG(seed, 0x5e4))) }()
 	case first:
 		time.AfterFunc(2*time.Second, func() {
-			fmt.Fprintln(progress, "Consul answers nothing from now on")
+			fmt.Fprintln(progress, "Consul does not answer from now on")
 			for _, a := range w.Consul.agents {
 				a.SetFault(ConsulFault{Silent: true})
 			}
@@ -130,8 +130,8 @@
 	return f, nil
 }
 
-// checkConsulCalls adds to the summary how late Consul's agents were and how often gateways called
-// them, and fails it if that was too often.
+// checkConsulCalls adds the lag of Consul's agents and the rate of the gateways' calls to the summary,
+// and adds a failure if a gateway called too often.
 func checkConsulCalls(f *harness.Summary, w *World) {
 	f.Extra["told_lag_ms_p99"] = harness.Quantile(w.Consul.lags, 0.99)
 	maxCalls := 0
@@ -140,15 +140,15 @@
 	}
 	f.Extra["calls_per_second_max"] = maxCalls
 	if maxCalls > maxConsulCalls {
-		f.AddFailure(fmt.Sprintf("%d calls of one gateway in a second, %d at most wanted",
+		f.AddFailure(fmt.Sprintf("%d calls of one gateway in a second, must be at most %d",
 			maxCalls, maxConsulCalls))
 	}
 }
 
-// maxConsulCalls bounds what one gateway asks its agent in any second.
+// maxConsulCalls is the maximum number of calls from one gateway to its agent in any second.
 const maxConsulCalls = 30
 
-// faults has the agents do something wrong, one thing after another, all of them or one.
+// faults goes through all faults repeatedly, each at one agent or at all of them.
 func (r *ConsulRegister) faults(
 	ctx context.Context, rnd *rand.Rand, length time.Duration, progress io.Writer,
 ) {
@@ -182,8 +182,8 @@
 	}
 }
 
-// maxSendAfterStop is the longest time from when a gateway was told to stop sending to a
-// server until it sent to it all the same.
+// maxSendAfterStop returns the longest time from the notification of a gateway that a server stops to
+// an attempt that the gateway nevertheless sent to that server.
 func maxSendAfterStop(rec *harness.Record) (latest time.Duration) {
 	for _, a := range rec.Attempts {
 		stop, since := false, time.Duration(0)
@@ -203,7 +203,7 @@
 	return latest
 }
 
-// maxCallsPerSecond is the most calls in any second.
+// maxCallsPerSecond returns the maximum number of calls in any second.
 func maxCallsPerSecond(calls []time.Time) (maxCalls int) {
 	slices.SortFunc(calls, func(a, b time.Time) int { return a.Compare(b) })
 	for from, to := 0, 0; to < len(calls); to++ {
