--- a/internal/testing/lab/auth_test.go
+++ b/internal/testing/lab/auth_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// What went on without an allowance that could hold is counted, in units.
+// Tries that were forwarded without an allowance that could still be valid are counted, in units.
 func TestForwardedWithoutAllowanceIsCounted(t *testing.T) {
 	s := harness.NewSite(1, 2, 4, 0.5)
 	for _, c := range []struct {
@@ -93,6 +93,6 @@
 	}
 	behavior(Answers)
 	if got := <-late; got != 200 || len(a.allows["yes"]) != 2 || a.badTokens != 0 {
-		t.Errorf("late: %d, %d allowances, %d strange", got, len(a.allows["yes"]), a.badTokens)
+		t.Errorf("late: %d, %d allowances, %d calls with a wrong token", got, len(a.allows["yes"]), a.badTokens)
 	}
 }
--- a/internal/testing/lab/consul_test.go
+++ b/internal/testing/lab/consul_test.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/consul/api"
 )
 
-// The official client takes the stand-in for its own server: what it registers, it
-// reads back, with checks, maintenance, weights, and changes told by blocking queries.
+// The official Consul client works with the stand-in: it reads back what it registers, with checks,
+// maintenance and weights, and blocking queries return on changes.
 func TestOfficialClientReadsTheStandIn(t *testing.T) {
 	c, err := NewConsul(1)
 	if err != nil {
@@ -47,7 +47,7 @@
 	if !meta.KnownLeader || meta.LastIndex == 0 {
 		t.Errorf("meta %+v", meta)
 	}
-	// A blocking query ends with the change.
+	// A blocking query returns when the state changes.
 	woken := make(chan uint64, 1)
 	go func() {
 		_, m, err := client.Health().
@@ -68,7 +68,7 @@
 			t.Errorf("index %d after %d", index, meta.LastIndex)
 		}
 	case <-time.After(within):
-		t.Fatal("the blocking query did not end")
+		t.Fatal("the blocking query did not return")
 	}
 	status := func() string {
 		list, _, err := client.Health().Service("quotes", "", false, nil)
--- a/internal/testing/lab/world_test.go
+++ b/internal/testing/lab/world_test.go
@@ -16,7 +16,7 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// within bounds every wait; nothing is asserted of speeds.
+// within bounds every wait. The tests don't check speeds.
 const within = 30 * time.Second
 
 func ask(t *testing.T, address, command string) (string, error) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// A cold server that is sent too much at once falls over and stays down.
+// A cold server that receives too much work at once crashes and stays down.
 func TestColdServerOverloads(t *testing.T) {
 	sv, rec := newTestServer(t)
 	for i := range sv.site.Classes {
@@ -135,20 +135,20 @@
 	for range 40 {
 		conn, err := net.Dial("tcp", sv.addrs[0])
 		if err != nil {
-			break // it is down
+			break // the server is down
 		}
 		defer conn.Close()
 		_, _ = io.WriteString(conn, one)
 	}
 	for up := true; up; up, _ = sv.Up() {
 		if rec.Now() > within {
-			t.Fatal("it stands")
+			t.Fatal("the server is still up")
 		}
 		time.Sleep(ms)
 	}
 	rec.Read(func() {
 		if rec.ServerStarts[1].OverloadedAt == 0 {
-			t.Error("the fall is not in the record")
+			t.Error("the overload is not in the record")
 		}
 	})
 }
@@ -190,7 +190,7 @@
 	rec.Read(func() {
 		if n := len(rec.EndpointUpdates); n < 2 || !rec.EndpointUpdates[n-1].Stop ||
 			rec.EndpointUpdates[n-1].Gateway != 1 {
-			t.Errorf("told %+v", rec.EndpointUpdates)
+			t.Errorf("notified %+v", rec.EndpointUpdates)
 		}
 	})
 	r.Silence(true)
@@ -199,7 +199,7 @@
 	select {
 	case l := <-answered:
 		t.Errorf("a silent register answered %+v", l)
-	case <-time.After(50 * ms): // no more than a look: the answer below must come all the same
+	case <-time.After(50 * ms): // a short check; the answer has to arrive below in any case
 	}
 	r.Silence(false)
 	select {
@@ -242,7 +242,7 @@
 	}
 	c.Forget(1)
 	if _, body := post("/v1/count/a?add=1&ttl_ms=1000"); body != "1" {
-		t.Errorf("after it forgot: %q", body)
+		t.Errorf("after Forget: %q", body)
 	}
 	c.SetDown(true)
 	if code, _ := post("/v1/count/a?add=1&ttl_ms=1000"); code != 503 {
@@ -250,7 +250,7 @@
 	}
 }
 
-// A note arrives from the sender's address as the receiver knows it.
+// A message arrives from the address under which the receiver knows the sender.
 func TestPeerMessagesComeFromTheSendersAddress(t *testing.T) {
 	var socks []*net.UDPConn
 	var dest []netip.AddrPort
@@ -276,7 +276,7 @@
 		if loss == 1 {
 			for end := time.Now().Add(within); n.Dropped.Load() == 0; time.Sleep(ms) {
 				if time.Now().After(end) {
-					t.Fatal("not lost")
+					t.Fatal("the message was not dropped")
 				}
 			}
 		} else {
@@ -293,7 +293,7 @@
 	}
 }
 
-// A front uses no kept connection that the gateway has ended.
+// The load balancer does not reuse an idle connection that the gateway has closed.
 func TestLoadBalancerDropsClosedConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -305,20 +305,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	there, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.keep(0, first)
 	if again, err := f.acquire(0, false); err != nil || again != first {
-		t.Fatalf("an open one was not used again: %v", err)
+		t.Fatalf("an open connection was not reused: %v", err)
 	}
-	there.Close()
-	for first.open() { // until the end has arrived
+	accepted.Close()
+	for first.open() { // until the close has arrived
 		time.Sleep(ms)
 	}
 	f.keep(0, first)
 	if again, err := f.acquire(0, false); err != nil || again == first {
-		t.Errorf("an ended one was used: %v", err)
+		t.Errorf("a closed connection was reused: %v", err)
 	}
 }
