--- a/internal/testing/lab/fleet_test.go
+++ b/internal/testing/lab/fleet_test.go
@@ -12,14 +12,14 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// The whole rig in small: real processes are killed, stopped, replaced and reloaded
-// while they serve. Nothing is asserted of how well they serve, only of the rules.
+// A short run of the fleet scenario: real processes are killed, stopped, replaced and reloaded while
+// they serve. The test checks only the rules, not the quality of service.
 func TestFleetKeepsTheRules(t *testing.T) {
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
-	t.Cleanup(cancel) // after the parallel parts
+	t.Cleanup(cancel) // runs after the parallel subtests
 	bin, err := Build(ctx, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -45,11 +45,11 @@
 	}
 }
 
-// A hand-over whose new process can't start, dies at its start or never gets ready
-// leaves the old one serving; the next one, with all mended, succeeds.
+// If the new process of a hand-over can't start, exits at its start or never becomes ready, the old
+// process keeps serving. The next hand-over, with the cause removed, succeeds.
 func TestFailedHandOverLeavesTheOldProcess(t *testing.T) {
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A time that no process needs on a slow machine, but short beside the test.
+	// Longer than any process needs on a slow machine, but short compared with the test's timeout.
 	text := strings.Replace(operatorsText(true), `"10s"`, `"5s"`, 1)
 	w, err := NewWorld(ctx,
 		Options{Seed: 5, Gateways: 1, Servers: 2, Load: 0.1, Bin: bin, Operators: text})
@@ -83,7 +83,7 @@
 	}
 	for i, c := range []struct {
 		name, log string
-		spoil     func(*testing.T)
+		sabotage  func(*testing.T)
 	}{
 		{"bad configuration", "could not start", func(t *testing.T) {
 			g.config = func(*Gateway) map[string]any { return map[string]any{"name": "broken"} }
@@ -92,7 +92,7 @@
 			}
 			t.Cleanup(func() {
 				if g.config = good; g.Configure() != nil {
-					t.Error("not mended")
+					t.Error("the good configuration could not be restored")
 				}
 			})
 		}},
@@ -100,14 +100,14 @@
 		{"never ready", "timed out", replace("exec sleep 60")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.spoil(t)
+			c.sabotage(t)
 			before := strings.Count(g.logTail(), c.log)
 			if err := g.Signal(syscall.SIGUSR2); err != nil {
 				t.Fatal(err)
 			}
 			for strings.Count(g.logTail(), c.log) == before {
 				if ctx.Err() != nil {
-					t.Fatalf("nothing in the log:\n%s", g.logTail())
+					t.Fatalf("the failure is not in the log:\n%s", g.logTail())
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -120,10 +120,10 @@
 	if ok, err := g.HandOver(ctx); !ok || err != nil {
 		t.Fatalf("handed over %t, %v\n%s", ok, err, g.logTail())
 	}
-	// Until it is gone the old process may answer, or say that it has handed over.
+	// Until the old process has exited it may answer, or reply that it has handed over.
 	for processRuns(old) {
 		if ctx.Err() != nil {
-			t.Fatalf("the old process does not end\n%s", g.logTail())
+			t.Fatalf("the old process does not exit\n%s", g.logTail())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -132,10 +132,10 @@
 	}
 }
 
-// Gateways at Consul in small, with servers that drain and restart and agents that fail.
+// A short run of gateways that use Consul, with servers that drain and restart and agents that fail.
 func TestConsulKeepsTheRules(t *testing.T) {
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
@@ -149,10 +149,10 @@
 	}
 }
 
-// Gateways that ask an authenticator, in small.
+// A short run of gateways with an authenticator.
 func TestAuthKeepsTheRules(t *testing.T) {
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
@@ -166,10 +166,10 @@
 	}
 }
 
-// Fleets of several sizes get the same requests, keep the rules and tell why each loss came.
+// Fleets of several sizes get the same requests, keep the rules and record a reason for each loss.
 func TestQuotaExplainsLosses(t *testing.T) {
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -193,11 +193,11 @@
 	}
 }
 
-// Gateways replaced by processes beside them, some of which are killed amid it, and drained by
-// their admin interface, in small.
+// A short run in which gateways are replaced by processes beside them, some of which are killed during
+// the takeover, and drained by their admin interface.
 func TestUpgradeKeepsTheRules(t *testing.T) {
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
--- a/internal/testing/lab/held_test.go
+++ b/internal/testing/lab/held_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// testWorld is a world for a test, of a gateway that is built for it.
+// testWorld builds a gateway and starts a world for a test, which becomes parallel. The test is
+// skipped without the go command.
 func testWorld(t *testing.T, o Options) (*World, context.Context) {
 	t.Helper()
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -31,8 +32,9 @@
 	return w, ctx
 }
 
-// Whoever shares the clients' socket may have it block: each start of another process beside a
-// gateway does. A gateway that is told to stop ends all the same, though nobody connects any more.
+// A process that shares the socket for clients may switch it to blocking mode; each start of another
+// process beside a gateway does so. A gateway must still exit on SIGTERM, even if no client connects
+// any more.
 func TestBlockingListenerDoesNotDelayShutdown(t *testing.T) {
 	w, ctx := testWorld(t, Options{Seed: 1, Gateways: 1, Servers: 2, Load: 0.1, Held: true})
 	g := w.Gateways[0]
@@ -41,7 +43,7 @@
 			t.Fatal(err)
 		}
 		if !g.ping() {
-			t.Fatal("it does not answer")
+			t.Fatal("the gateway does not answer PING")
 		}
 	}
 	if err := g.Signal(syscall.SIGTERM); err != nil {
--- a/internal/testing/lab/soak_test.go
+++ b/internal/testing/lab/soak_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Two runs of the soak, in small: with the clients' sockets held by the rig and by the gateways. The
-// long run is started by hand: lab soak --seeds 50.
+// Two short runs of the soak: one with the sockets for clients held by the rig, one with them held by
+// the gateways. The long run is started by hand: lab soak --seeds 50.
 func TestSoakInSmall(t *testing.T) { soakInSmall(t, 2, 4) }
 
-// The same with crowds that fill the descriptors.
+// The same with crowds that use up the descriptors.
 func TestSoakInSmallWithCrowds(t *testing.T) { soakInSmall(t, 1, 6) }
 
 func soakInSmall(t *testing.T, seeds ...uint64) {
 	t.Helper()
 	if !HasGo() {
-		t.Skip("no Go to build the gateway with")
+		t.Skip("the go command is not installed")
 	}
 	bin, remove, err := BuildInTempDir(t.Context())
 	if err != nil {
--- a/internal/testing/lab/still_test.go
+++ b/internal/testing/lab/still_test.go
@@ -9,8 +9,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// stale are the attempts that reached a server when their client waited no more, as the servers and
-// clients saw it.
+// expiredAttempts returns the number of attempts that reached a server after their client's deadline,
+// by the records of servers and clients.
 func expiredAttempts(rec *harness.Record) (n int) {
 	until := map[string]time.Duration{}
 	for _, t := range rec.Tries {
@@ -24,15 +24,15 @@
 	return n
 }
 
-// Gateways that lie stopped and wake send nothing on whose client waits no more: neither what lay
-// in their sockets, nor what they had taken.
+// A gateway that was stopped by SIGSTOP and resumes must not send requests to servers whose client's
+// deadline has passed: neither unread ones from its sockets nor those that it had accepted.
 func TestAWokenGatewaySendsOnNothingStale(t *testing.T) {
 	w, ctx := testWorld(t, Options{Seed: 4, Gateways: 3, Servers: 6, Load: 0.55})
-	asking, over := context.WithCancel(ctx)
+	trafficContext, stopTraffic := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.Clients.Run(asking)
+		w.Clients.Run(trafficContext)
 	}()
 	sleep(ctx, 2*time.Second)
 	for _, g := range w.Gateways[:2] {
@@ -45,10 +45,10 @@
 		}
 		sleep(ctx, 2*time.Second)
 	}
-	over()
+	stopTraffic()
 	<-done
 	if n := expiredAttempts(w.Record); n > 0 {
-		t.Errorf("%d attempts reached a server after their client's time", n)
+		t.Errorf("%d attempts reached a server after their client's deadline", n)
 	}
 	paused := 0
 	for _, l := range w.Record.ProcessEvents {
@@ -57,6 +57,6 @@
 		}
 	}
 	if paused != 2 || len(w.Record.Attempts) == 0 {
-		t.Errorf("%d pauses, %d attempts: nothing was shown", paused, len(w.Record.Attempts))
+		t.Errorf("%d pauses, %d attempts: the run proves nothing", paused, len(w.Record.Attempts))
 	}
 }
