--- a/internal/testing/lab/authenticator.go
+++ b/internal/testing/lab/authenticator.go
@@ -12,16 +12,16 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Mood is what an authenticator does.
-type Mood int
+// Behavior is how an authenticator treats calls.
+type Behavior int
 
-// The moods.
+// The behaviors of an authenticator.
 const (
-	Answers Mood = iota // allows and denies as it should
-	Stalls              // says nothing
-	Flaps               // allows and denies by chance
-	Errs                // answers 500
-	Down                // nothing listens
+	Answers Behavior = iota // allows and denies as it should
+	Stalls                  // does not answer
+	Flaps                   // denies half of the allowed customers' calls at random
+	Errs                    // answers 500
+	Down                    // does not listen
 )
 
 // Authenticator is the stand-in for an HTTP forward authenticator.
@@ -29,18 +29,18 @@
 	Address string
 	rec     *harness.Record
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	server  *http.Server
-	mood    Mood
-	changed chan struct{} // closed with a change of mood
-	denied  map[string]bool
-	allows  map[string][]time.Duration // when each customer was allowed
-	calls   int
-	strange int // calls without the token that belongs to the customer
+	mu        sync.Mutex
+	rand      *rand.Rand
+	server    *http.Server
+	behavior  Behavior
+	changed   chan struct{} // closed when the behavior changes
+	denied    map[string]bool
+	allows    map[string][]time.Duration // when each customer was allowed
+	calls     int
+	badTokens int // calls without the token that belongs to the customer
 }
 
-// NewAuthenticator starts one that denies the customers given.
+// NewAuthenticator starts an authenticator that denies the customers in denied.
 func NewAuthenticator(
 	rec *harness.Record,
 	denied map[string]bool,
@@ -62,13 +62,13 @@
 	return nil
 }
 
-// SetMood changes what it does. A crash resets its connections; from one it comes
-// back at the same address.
-func (a *Authenticator) SetMood(m Mood) error {
+// SetBehavior changes the authenticator's behavior. Down resets its connections; the next behavior
+// makes it listen at the same address again.
+func (a *Authenticator) SetBehavior(m Behavior) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before := a.mood
-	a.mood = m
+	before := a.behavior
+	a.behavior = m
 	close(a.changed)
 	a.changed = make(chan struct{})
 	switch {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Close ends it.
+// Close stops the authenticator.
 func (a *Authenticator) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,20 +95,20 @@
 	a.calls++
 	if r.Header.Get("Authorization") != "Bearer "+tokenOf(customer) ||
 		strings.Contains(r.URL.String(), "token") {
-		a.strange++
+		a.badTokens++
 	}
-	mood, changed := a.mood, a.changed
-	deny := a.denied[customer] || mood == Flaps && a.rand.IntN(2) == 0
+	behavior, changed := a.behavior, a.changed
+	deny := a.denied[customer] || behavior == Flaps && a.rand.IntN(2) == 0
 	a.mu.Unlock()
-	if mood == Stalls {
+	if behavior == Stalls {
 		select {
-		case <-changed: // it comes to itself, and answers late
+		case <-changed: // answers late, after the stall
 		case <-r.Context().Done():
 			return
 		}
 	}
 	switch {
-	case mood == Errs:
+	case behavior == Errs:
 		w.WriteHeader(http.StatusInternalServerError)
 	case deny:
 		w.WriteHeader(http.StatusForbidden)
@@ -120,7 +120,7 @@
 	}
 }
 
-// allowed tells whether a customer was allowed at some time in a span.
+// allowed reports whether a customer was allowed at some time between from and to.
 func (a *Authenticator) allowed(customer string, from, to time.Duration) bool {
 	for _, at := range a.allows[customer] {
 		if at >= from && at <= to {
--- a/internal/testing/lab/cling.go
+++ b/internal/testing/lab/cling.go
@@ -11,48 +11,48 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// clingingConn is one client's only connection: it is used for as long as it stays open, whatever
-// becomes of the gateway, and written to without a look whether it was ended.
-type clingingConn struct {
+// singleConn is a client's only connection. The client uses it for as long as it stays open, even
+// while the gateway shuts down, and does not check before a write whether the gateway has closed it.
+type singleConn struct {
 	address string
-	conn    *frontConn // nil: none is open
+	conn    *clientConn // nil: none is open
 	ended   bool
 }
 
-// errClingingEnded is the error of a client whose connection was closed between two requests: it
-// opens no other one.
-var errClingingEnded = errors.New("the connection was closed")
+// errSingleConnClosed is returned to a client whose connection was closed between two requests. The
+// client does not open another one.
+var errSingleConnClosed = errors.New("the connection was closed")
 
-func (c *clingingConn) take(_ int, newConnection bool) (*frontConn, error) {
+func (c *singleConn) acquire(_ int, newConnection bool) (*clientConn, error) {
 	if c.conn != nil && !newConnection {
 		conn := c.conn
 		c.conn = nil
 		return conn, nil
 	}
 	if c.ended {
-		return nil, errClingingEnded
+		return nil, errSingleConnClosed
 	}
 	c.ended = newConnection
 	conn, err := net.DialTimeout("tcp", c.address, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &frontConn{Conn: conn, in: bufio.NewReaderSize(conn, 512)}, nil
+	return &clientConn{Conn: conn, in: bufio.NewReaderSize(conn, 512)}, nil
 }
 
-func (c *clingingConn) keep(_ int, conn *frontConn) {
+func (c *singleConn) keep(_ int, conn *clientConn) {
 	conn.used = true
 	c.conn = conn
 }
 
-// cling has a client send one request after another to a gateway on one connection, each as soon as
-// the one before is answered, until the connection ends or the context does.
-func (c *Clients) cling(ctx context.Context, gateway, number int) {
+// runOnSingleConn sends a client's requests to a gateway on one connection, each as soon as the
+// previous one is answered, until the connection or the context ends.
+func (c *Clients) runOnSingleConn(ctx context.Context, gateway, number int) {
 	customers := c.customersOf(gateway)
 	if len(customers) == 0 {
 		return
 	}
-	conns := &clingingConn{address: c.front.gateways[gateway].Address}
+	conns := &singleConn{address: c.balancer.gateways[gateway].Address}
 	defer func() {
 		if conns.conn != nil {
 			conns.conn.Close()
@@ -66,17 +66,17 @@
 		t.First = t.ID
 		t.Wait = c.site.ClientTimeout(t.Class, r)
 		t.Gateway = gateway
-		c.front.sendOn(ctx, conns, c.site, &c.site.Customers[k], &t, 0)
+		c.balancer.sendOn(ctx, conns, c.site, &c.site.Customers[k], &t, 0)
 		c.rec.AddTry(t)
 		if t.Kind != harness.Served && t.Kind != harness.Refused && t.Kind != harness.Failed {
 			return
 		}
-		// A refusal is answered at once: without a pause it would be all that is asked for.
+		// Refusals are immediate: without a pause, refused requests would crowd out all others.
 		time.Sleep(time.Duration(harness.Between(r, 1, 10) * float64(time.Millisecond)))
 	}
 }
 
-// customersOf returns the customers whose requests come through a gateway.
+// customersOf returns the indexes of the customers whose requests come through a gateway.
 func (c *Clients) customersOf(gateway int) (all []int) {
 	for k, customer := range c.site.Customers {
 		var set []int
--- a/internal/testing/lab/front.go
+++ b/internal/testing/lab/front.go
@@ -19,36 +19,36 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// front deals requests out among the gateways. It keeps connections, opens more
-// when all are busy, takes a gateway in once it answers PING, and notices only
-// after some seconds that one has died.
-type front struct {
+// loadBalancer distributes requests among the gateways. It reuses connections and opens more when all
+// are busy. It notices only after some seconds that a gateway is down, and uses the gateway again
+// once that answers PING.
+type loadBalancer struct {
 	gateways []*Gateway
 	rec      *harness.Record
 	entries  []*entryPoint
-	wg       sync.WaitGroup // polls for gateways that were down
+	wg       sync.WaitGroup // goroutines that poll gateways that are down
 }
 
-// entryPoint is one gateway as the front sees it.
+// entryPoint is the load balancer's view of one gateway.
 type entryPoint struct {
 	mu      sync.Mutex
-	idle    []*frontConn
+	idle    []*clientConn
 	down    bool
-	emptied bool      // operators empty it: it is dealt nothing, but on connections that stay open
-	failing time.Time // since when nothing answers there; zero: it does
+	drained bool      // being drained: it gets no requests except on connections that stay open
+	failing time.Time // since when connections fail; zero: they do not
 	notice  time.Duration
 }
 
-type frontConn struct {
+type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
 	used bool
 }
 
-// open tells whether a kept connection was not ended by the other side, as a front
-// that watches its connections knows. To write to one that was would be the front's
-// own fault, and a process that has exited since answers with a reset.
-func (c *frontConn) open() bool {
+// open reports whether the gateway has not closed an idle connection, which a load balancer that
+// watches its connections knows. A write to a closed one would be the load balancer's fault, and
+// would be answered with a reset if the process has exited since.
+func (c *clientConn) open() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
@@ -62,32 +62,32 @@
 	return err == nil && open
 }
 
-func newFront(rec *harness.Record, gateways []*Gateway) *front {
-	f := &front{gateways: gateways, rec: rec}
+func newLoadBalancer(rec *harness.Record, gateways []*Gateway) *loadBalancer {
+	f := &loadBalancer{gateways: gateways, rec: rec}
 	for range gateways {
 		f.entries = append(f.entries, &entryPoint{})
 	}
 	return f
 }
 
-// up tells whether the front deals out to a gateway.
-func (f *front) up(g int) bool {
+// up reports whether the load balancer sends requests to a gateway.
+func (f *loadBalancer) up(g int) bool {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.down && !e.emptied
+	return !e.down && !e.drained
 }
 
-// empty takes note that a gateway is being emptied, or is back.
-func (f *front) empty(g int, on bool) {
+// setDrained records that a gateway is being drained, or no longer.
+func (f *loadBalancer) setDrained(g int, on bool) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.emptied = on
+	e.drained = on
 }
 
-// open is how many kept connections to a gateway it has not ended.
-func (f *front) open(g int) (n int) {
+// open returns the number of idle connections to a gateway that the gateway has not closed.
+func (f *loadBalancer) open(g int) (n int) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,9 +99,9 @@
 	return n
 }
 
-// refused takes note that nothing listens at a gateway: it is seen as down some
-// time later, and asked from then on whether it is back.
-func (f *front) refused(ctx context.Context, g int) {
+// refused records that a connection to a gateway failed. The gateway counts as down after a delay, and
+// from then on the load balancer polls it until it answers.
+func (f *loadBalancer) refused(ctx context.Context, g int) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,15 +131,15 @@
 	}()
 }
 
-func (f *front) answered(g int) {
+func (f *loadBalancer) answered(g int) {
 	e := f.entries[g]
 	e.mu.Lock()
 	e.down, e.failing = false, time.Time{}
 	e.mu.Unlock()
 }
 
-// take gives an idle connection to a gateway, or makes one.
-func (f *front) take(g int, newConnection bool) (*frontConn, error) {
+// acquire returns an idle connection to a gateway, or opens one.
+func (f *loadBalancer) acquire(g int, newConnection bool) (*clientConn, error) {
 	e := f.entries[g]
 	if !newConnection {
 		e.mu.Lock()
@@ -150,7 +150,7 @@
 				e.mu.Unlock()
 				return c, nil
 			}
-			c.Close() // its end was told before this request: none was taken there
+			c.Close() // closed before this request, so it has not carried the request
 		}
 		e.mu.Unlock()
 	}
@@ -158,10 +158,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &frontConn{Conn: c, in: bufio.NewReaderSize(c, 512)}, nil
+	return &clientConn{Conn: c, in: bufio.NewReaderSize(c, 512)}, nil
 }
 
-func (f *front) keep(g int, c *frontConn) {
+func (f *loadBalancer) keep(g int, c *clientConn) {
 	e := f.entries[g]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,7 +169,7 @@
 	e.idle = append(e.idle, c)
 }
 
-func (f *front) close() {
+func (f *loadBalancer) close() {
 	f.wg.Wait()
 	for _, e := range f.entries {
 		e.mu.Lock()
@@ -181,16 +181,17 @@
 	}
 }
 
-// connections is where a client's connections come from, and where they are kept.
+// connections is a source of connections, to which they are returned after use.
 type connections interface {
-	take(gateway int, newConnection bool) (*frontConn, error)
-	keep(gateway int, c *frontConn)
+	acquire(gateway int, newConnection bool) (*clientConn, error)
+	keep(gateway int, c *clientConn)
 }
 
-// send sends a try to its gateway and waits for the answer. A kept connection
-// that the gateway closed, unread, has it sent once more on a new one.
-// A client that loses patience closes the connection so long after the request; 0: it waits.
-func (f *front) send(
+// send sends a try to its gateway and waits for the answer. If a reused connection
+// fails, or the gateway closes any connection before an answer, send repeats the try once on a new
+// connection. abandonAfter is how long after the
+// request an impatient client closes the connection; 0: the client waits.
+func (f *loadBalancer) send(
 	ctx context.Context,
 	s *harness.Site,
 	c *harness.Customer,
@@ -200,8 +201,8 @@
 	f.sendOn(ctx, f, s, c, t, abandonAfter)
 }
 
-// sendOn does the same on certain connections.
-func (f *front) sendOn(
+// sendOn does the same as send, on connections from conns.
+func (f *loadBalancer) sendOn(
 	ctx context.Context,
 	conns connections,
 	s *harness.Site,
@@ -211,13 +212,13 @@
 ) {
 	deadline := time.Now().Add(t.Wait)
 	for retry := false; ; retry = true {
-		conn, err := conns.take(t.Gateway, retry)
+		conn, err := conns.acquire(t.Gateway, retry)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				t.PortClosedAt = f.rec.Now()
 			}
 			f.refused(ctx, t.Gateway)
-			return // what a former connection ended with stands
+			return // keeps the outcome of the previous connection
 		}
 		now := f.rec.Now()
 		if !retry {
@@ -311,39 +312,39 @@
 	}
 	t.Answers++
 	t.AnsweredAt = rec.Now()
-	if in.Buffered() > 0 { // nothing else was asked for
+	if in.Buffered() > 0 { // nothing else was requested
 		t.Answers++
 	}
 	return nil
 }
 
-// Clients send what a site's customers ask for, whatever comes back, and try
-// again through another gateway as clients do.
+// Clients sends the requests of a site's customers at their rate, whatever the answers are, and
+// retries failed requests through another gateway.
 type Clients struct {
-	site  *harness.Site
-	rec   *harness.Record
-	front *front
-	wg    sync.WaitGroup
-	ids   atomic.Uint64
-	seed  uint64
-	runs  uint64 // added to the seed
+	site     *harness.Site
+	rec      *harness.Record
+	balancer *loadBalancer
+	wg       sync.WaitGroup
+	ids      atomic.Uint64
+	seed     uint64
+	runs     uint64 // offset of the seed: 1<<32 times the number of runs
 
 	sent, served, open atomic.Int64
 }
 
-// NewClients makes the clients of a site.
+// NewClients returns the clients of a site, which send nothing before Run.
 func NewClients(s *harness.Site, rec *harness.Record, gateways []*Gateway, seed uint64) *Clients {
-	c := &Clients{site: s, rec: rec, front: newFront(rec, gateways), seed: seed}
+	c := &Clients{site: s, rec: rec, balancer: newLoadBalancer(rec, gateways), seed: seed}
 	c.ids.Store(seed << 32)
 	return c
 }
 
-// Run asks until the context ends, then waits for all that is out.
+// Run sends requests until the context ends, then waits for all open requests.
 func (c *Clients) Run(ctx context.Context) {
-	// What is out when the asking ends still has its time.
+	// Requests that are open when the context ends still have all their time.
 	tries, cancel := context.WithCancel(context.Background())
-	// Clients that are run once more ask for other things: the same keys again, after their time,
-	// would be other effects.
+	// A repeated run has to use other keys: the same keys, after their deduplication window, would
+	// count as further effects.
 	seed := c.seed + c.runs
 	c.runs += 1 << 32
 	for i := range c.site.Customers {
@@ -355,7 +356,7 @@
 	}
 	c.wg.Wait()
 	cancel()
-	c.front.close()
+	c.balancer.close()
 }
 
 // runCustomer sends one customer's requests.
@@ -394,9 +395,9 @@
 		} else {
 			t.RequestedAt = 0
 		}
-		t.Gateway = c.site.PickGateway(who, last, c.rec.Now(), c.front.up, r)
+		t.Gateway = c.site.PickGateway(who, last, c.rec.Now(), c.balancer.up, r)
 		last = t.Gateway
-		c.front.send(ctx, c.site, who, &t, abandonAfter)
+		c.balancer.send(ctx, c.site, who, &t, abandonAfter)
 		c.rec.AddTry(t)
 		if t.Kind == harness.Served {
 			c.served.Add(1)
--- a/internal/testing/lab/process.go
+++ b/internal/testing/lab/process.go
@@ -25,7 +25,7 @@
 // Build compiles the gateway and returns the path of its binary.
 func Build(ctx context.Context, dir string) (string, error) { return BuildTagged(ctx, dir, "") }
 
-// BuildTagged is Build with a build tag.
+// BuildTagged does the same as Build, with a build tag.
 func BuildTagged(ctx context.Context, dir, tag string) (string, error) {
 	bin := filepath.Join(dir, "mothcleat")
 	cmd := exec.CommandContext(ctx, "go", "build", "-tags", tag, "-o", bin,
@@ -36,8 +36,8 @@
 	return bin, nil
 }
 
-// BuildInTempDir is Build into a folder of its own, for several worlds of one run;
-// remove takes it away.
+// BuildInTempDir builds the gateway in a new temporary folder, for several worlds of one run; remove
+// deletes the folder.
 func BuildInTempDir(ctx context.Context) (bin string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "mothcleat-bin-")
 	if err != nil {
@@ -51,7 +51,7 @@
 	return bin, remove, nil
 }
 
-// buildIfNone is BuildAside where no binary is named yet.
+// buildIfNone calls BuildInTempDir unless a binary is already named.
 func buildIfNone(ctx context.Context, bin *string) (remove func(), err error) {
 	if *bin != "" {
 		return func() {}, nil
@@ -60,35 +60,35 @@
 	return remove, err
 }
 
-// Gateway is one instance: the real program, started as a process, and started
-// again under its name and address as often as a scenario wants.
+// Gateway is one instance: the real program as a process, which a scenario can restart under the same
+// name and address.
 type Gateway struct {
-	Number  int
-	Address string // for clients
-	Peer    string // for notes
-	dir     string
-	bin     string
-	args    []string
-	rec     *harness.Record
-	config  func(*Gateway) map[string]any
-	env     []string // beside the rig's own
-	held    *os.File // the clients' socket, where the rig holds it; nil: the process listens
-
-	exitCodes sync.Map // int by process id
-
-	mu           sync.Mutex
-	pid          int    // 0: none runs
-	adminAddress string // where operators call the process that serves; "": nowhere
-	older        []int
-	rss          int           // the most seen, in kB
-	began        time.Duration // when the process now running was started
-	wanted       bool          // to run: an end is a crash
-	readyIn      []time.Duration
+	Number       int
+	Address      string // for clients
+	Peer         string // for messages from other gateways
+	dir          string
+	bin          string
+	args         []string
+	rec          *harness.Record
+	config       func(*Gateway) map[string]any
+	env          []string // in addition to the rig's own
+	listenerFile *os.File // the socket for clients if the rig holds it; nil: the process listens itself
+
+	exitCodes sync.Map // exit codes (int) by process id
+
+	mu            sync.Mutex
+	pid           int    // 0: no process runs
+	adminAddress  string // admin interface of the serving process; "": it has none
+	predecessors  []int
+	maxRSSKB      int           // the highest resident set size seen, in kB
+	startedAt     time.Duration // when the current process was started
+	expectedToRun bool          // if true, an exit counts as a crash
+	readyIn       []time.Duration
 }
 
-// freeAddress finds a host in 127.0.0.0/8, other than those that outgoing
-// connections use, with nothing on the port: an address that is free now and stays so
-// while the gateway behind it restarts.
+// freeAddress returns an address on a host, at the first free port from the one given. Because the
+// host is one that outgoing connections don't use, the address stays free while the gateway behind
+// it restarts.
 func freeAddress(network string, host netip.Addr, port int) (string, error) {
 	for range 64 {
 		address := netip.AddrPortFrom(host, uint16(port)).String()
@@ -109,11 +109,11 @@
 	return "", fmt.Errorf("no free port at %s", host)
 }
 
-// worlds counts those of this process: each has hosts of its own.
-var worlds atomic.Uint32
+// worldCount counts the worlds of this process. Each world has separate hosts.
+var worldCount atomic.Uint32
 
-// hostOf is an address of a world's own. What restarts must not listen on a port
-// that is dealt out to others: while it is down, another rig's server might get it.
+// hostOf returns host i of a world. A process that restarts must not listen on a port that the system
+// assigns to others: while the process is down, another rig's server might get that port.
 func hostOf(world uint32, i int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{
@@ -143,14 +143,13 @@
 	return g, err
 }
 
-// Configure writes the configuration anew: with the list as the gateway's agent
-// knows it now, or last did.
+// Configure rewrites the configuration file, with the list of servers that the gateway's agent has.
 func (g *Gateway) Configure() error {
 	raw, err := json.Marshal(g.config(g))
 	if err != nil {
 		return err
 	}
-	// Whole or not at all: a reload may read it at any time.
+	// Replaced atomically, because a reload may read the file at any time.
 	path := filepath.Join(g.dir, "config.json")
 	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		return err
@@ -158,7 +157,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// Start starts a process; the end of one that was not asked for is in the record.
+// Start starts a process. If that process exits unexpectedly, the record notes a crash.
 func (g *Gateway) Start() error {
 	if err := g.Configure(); err != nil {
 		return err
@@ -166,18 +165,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pid != 0 {
-		return errors.New("gateway: runs")
+		return errors.New("gateway: already runs")
 	}
 	pid, err := g.launch()
 	if err != nil {
 		return err
 	}
-	g.pid, g.wanted, g.began = pid, true, g.rec.Now()
+	g.pid, g.expectedToRun, g.startedAt = pid, true, g.rec.Now()
 	g.rec.AddProcessEvent(g.Number, harness.Started)
 	return nil
 }
 
-// launch starts a process with the configuration as it is written.
+// launch starts a process with the current configuration file.
 func (g *Gateway) launch() (pid int, err error) {
 	out, err := os.OpenFile(filepath.Join(g.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -190,29 +189,29 @@
 		"TMPDIR="+g.dir)
 	cmd.Env = append(cmd.Env, g.env...)
 	cmd.Stdout, cmd.Stderr = out, out
-	if g.held != nil {
-		cmd.ExtraFiles = []*os.File{g.held} // is descriptor 3
+	if g.listenerFile != nil {
+		cmd.ExtraFiles = []*os.File{g.listenerFile} // becomes descriptor 3
 		cmd.Env = append(cmd.Env, "RELAY_INHERITED_FD=3")
 	}
-	// Nothing may outlive the rig, whatever ends it.
+	// No process may outlive the rig, however the rig ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := startLocked(cmd); err != nil {
+	if err := startOnStarterThread(cmd); err != nil {
 		return 0, fmt.Errorf("gateway %d: %w", g.Number, err)
 	}
 	go func() {
-		_ = cmd.Wait() // how it ended is in its log
+		_ = cmd.Wait() // the log shows why it exited
 		if cmd.ProcessState != nil {
 			g.exitCodes.Store(cmd.Process.Pid, cmd.ProcessState.ExitCode())
 		}
-		g.ended(cmd.Process.Pid)
+		g.recordExit(cmd.Process.Pid)
 	}()
 	return cmd.Process.Pid, nil
 }
 
-// exitCode is the code with which a process ended, below 0 if a signal ended it. It is not known of
-// a process that another one has started.
+// exitCode returns a process's exit code, which is below 0 if a signal ended the process. The code is
+// known only for processes that the rig itself started.
 func (g *Gateway) exitCode(pid int) (code int, known bool) {
-	for range exitCodeTries { // it is noted right after the process has gone
+	for range exitCodePolls { // the code is stored shortly after the exit
 		if value, known := g.exitCodes.Load(pid); known {
 			return value.(int), true
 		}
@@ -221,25 +220,25 @@
 	return 0, false
 }
 
-const exitCodeTries = 200
+const exitCodePolls = 200
 
-// Dir is the folder in which the gateway's processes run.
+// Dir returns the folder in which the gateway's processes run.
 func (g *Gateway) Dir() string { return g.dir }
 
-// SetEnv gives the processes started from now on further variables of their environment.
+// SetEnv sets additional environment variables for processes that are started from now on.
 func (g *Gateway) SetEnv(env ...string) { g.env = env }
 
-// PID is the process that serves; 0: none.
+// PID returns the id of the serving process; 0: none.
 func (g *Gateway) PID() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pid
 }
 
-// AdminAddress is where operators call the gateway.
+// AdminAddress returns the address of the gateway's admin interface.
 func (g *Gateway) AdminAddress() string { return g.adminAddress }
 
-// Log is all that the gateway's processes have logged.
+// Log returns everything that the gateway's processes have logged.
 func (g *Gateway) Log() string {
 	raw, err := os.ReadFile(filepath.Join(g.dir, "log"))
 	if err != nil {
@@ -248,23 +247,23 @@
 	return string(raw)
 }
 
-// hold has the rig hold the clients' socket, as a platform does, and gives the gateway an admin
-// address.
-func (g *Gateway) hold() error {
+// holdListener makes the rig hold the socket for clients, as a platform does, and gives the gateway
+// an admin address.
+func (g *Gateway) holdListener() error {
 	l, err := net.Listen("tcp", g.Address)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	if g.held, err = l.(*net.TCPListener).File(); err != nil {
+	if g.listenerFile, err = l.(*net.TCPListener).File(); err != nil {
 		return err
 	}
 	return g.newAdminAddress()
 }
 
-// startLocked starts a command from a thread that lives as long as the rig: the
-// parent-death signal belongs to the thread that forked.
-var startLocked = func() func(*exec.Cmd) error {
+// startOnStarterThread starts a command from a thread that exists as long as the rig, because the
+// kernel sends the parent-death signal when the thread that forked exits.
+var startOnStarterThread = func() func(*exec.Cmd) error {
 	type job struct {
 		cmd *exec.Cmd
 		err chan error
@@ -273,7 +272,7 @@
 	var once sync.Once
 	return func(cmd *exec.Cmd) error {
 		once.Do(func() {
-			go starter(func() (*exec.Cmd, chan error) { j := <-jobs; return j.cmd, j.err })
+			go runStarter(func() (*exec.Cmd, chan error) { j := <-jobs; return j.cmd, j.err })
 		})
 		j := job{cmd, make(chan error, 1)}
 		jobs <- j
@@ -281,19 +280,19 @@
 	}
 }()
 
-// ended takes note of a process's end. The one that has handed over is not the
-// one that serves.
-func (g *Gateway) ended(pid int) {
+// recordExit records that a process has exited. It ignores a process that has handed over, because
+// that is no longer the serving one.
+func (g *Gateway) recordExit(pid int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if pid != g.pid {
 		return
 	}
 	g.pid = 0
-	if g.wanted {
+	if g.expectedToRun {
 		if next := g.successor(pid); next != 0 {
 			g.pid = next
-			go g.watch(next)
+			go g.watchExit(next)
 			return
 		}
 		g.rec.AddProcessEvent(g.Number, harness.Crashed)
@@ -304,38 +303,38 @@
 
 func (g *Gateway) pidFile() string { return filepath.Join(g.dir, "pid") }
 
-// successor is the process that a pid file names, if it is another and lives.
-func (g *Gateway) successor(than int) int {
+// successor returns the process in the pid file if it is not old and still runs; 0 otherwise.
+func (g *Gateway) successor(old int) int {
 	raw, err := os.ReadFile(g.pidFile())
 	if err != nil {
 		return 0
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
-	if err != nil || pid == than || !alive(pid) {
+	if err != nil || pid == old || !processRuns(pid) {
 		return 0
 	}
 	return pid
 }
 
-// watch waits for the end of a process that is no child: one that has taken over.
-func (g *Gateway) watch(pid int) {
-	for alive(pid) {
+// watchExit waits until a process exits that is not a child of the rig: one that has taken over.
+func (g *Gateway) watchExit(pid int) {
+	for processRuns(pid) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	g.ended(pid)
+	g.recordExit(pid)
 }
 
-// alive tells whether a process runs.
-func alive(pid int) bool {
+// processRuns reports whether a process runs, and reaps it if it is a zombie.
+func processRuns(pid int) bool {
 	state, exists := processState(pid)
 	if exists && state == zombie {
-		// The rig is where orphans go: it takes note of their end.
+		// The rig is the reaper of orphans, so it has to wait for them.
 		_, _ = syscall.Wait4(pid, nil, syscall.WNOHANG, nil)
 	}
 	return exists && !hasEnded(state)
 }
 
-// The states of a process that has ended: nobody has waited for it, or somebody just does.
+// The states of a process that has exited: not yet waited for, or being removed right now.
 const (
 	zombie = 'Z'
 	dead   = 'X'
@@ -343,7 +342,7 @@
 
 func hasEnded(state byte) bool { return state == zombie || state == dead }
 
-// processState returns a process's state as /proc has it; exists is false if there is none.
+// processState returns a process's state from /proc; exists is false if there is no such process.
 func processState(pid int) (state byte, exists bool) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -356,7 +355,7 @@
 	return raw[i+2], true
 }
 
-// Signal sends a signal to the process that serves, and takes note of why.
+// Signal sends a signal to the serving process and records the event.
 func (g *Gateway) Signal(s syscall.Signal) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -365,13 +364,13 @@
 	}
 	switch s {
 	case syscall.SIGKILL:
-		g.wanted = false
+		g.expectedToRun = false
 		g.rec.AddProcessEvent(g.Number, harness.Killed)
-		for _, pid := range g.older {
+		for _, pid := range g.predecessors {
 			_ = syscall.Kill(pid, s)
 		}
 	case syscall.SIGTERM:
-		g.wanted = false
+		g.expectedToRun = false
 		g.rec.AddProcessEvent(g.Number, harness.Stopping)
 	case syscall.SIGHUP:
 		g.rec.AddProcessEvent(g.Number, harness.Reloaded)
@@ -382,24 +381,24 @@
 	case syscall.SIGCONT:
 		g.rec.AddProcessEvent(g.Number, harness.Resumed)
 	}
-	g.sample()
+	g.sampleMemory()
 	return syscall.Kill(g.pid, s)
 }
 
-// Expect takes note that the process will end by a signal that it sends itself; 0: not any more.
+// Expect records that the process will end by a signal that it sends to itself; 0 revokes that.
 func (g *Gateway) Expect(s syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pid == 0 {
 		return
 	}
-	if g.wanted = s == 0; s == syscall.SIGKILL {
+	if g.expectedToRun = s == 0; s == syscall.SIGKILL {
 		g.rec.AddProcessEvent(g.Number, harness.Killed)
 	}
 }
 
-// HandOver asks the process to hand over to a new one and waits until that one
-// serves; it returns false if the old one serves on.
+// HandOver makes the process hand over to a new one and waits until the new one serves. It returns
+// false if the context ends before that.
 func (g *Gateway) HandOver(ctx context.Context) (bool, error) {
 	g.mu.Lock()
 	old := g.pid
@@ -411,9 +410,9 @@
 		if next := g.successor(old); next != 0 {
 			g.mu.Lock()
 			if g.pid == old {
-				g.pid, g.began = next, g.rec.Now()
-				g.older = append(g.older[:0], old)
-				go g.watch(next)
+				g.pid, g.startedAt = next, g.rec.Now()
+				g.predecessors = append(g.predecessors[:0], old)
+				go g.watchExit(next)
 			}
 			g.mu.Unlock()
 			return true, nil
@@ -426,7 +425,7 @@
 	}
 }
 
-// Running tells whether a process serves.
+// Running reports whether a process serves.
 func (g *Gateway) Running() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -438,8 +437,8 @@
 	for {
 		g.mu.Lock()
 		left := g.pid != 0
-		for _, pid := range g.older {
-			left = left || alive(pid)
+		for _, pid := range g.predecessors {
+			left = left || processRuns(pid)
 		}
 		g.mu.Unlock()
 		if !left {
@@ -447,26 +446,25 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d: does not end", g.Number)
+			return fmt.Errorf("gateway %d: a process does not exit", g.Number)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// Ready waits until the gateway answers PING and takes note of how long its
-// process took for that.
+// Ready waits until the gateway answers PING and records how long its process took to become ready.
 func (g *Gateway) Ready(ctx context.Context) error {
 	for {
 		if g.ping() {
 			g.mu.Lock()
-			g.readyIn = append(g.readyIn, g.rec.Now()-g.began)
+			g.readyIn = append(g.readyIn, g.rec.Now()-g.startedAt)
 			g.mu.Unlock()
 			g.rec.AddProcessEvent(g.Number, harness.Ready)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d: not ready: %w\n%s", g.Number, ctx.Err(), g.tail())
+			return fmt.Errorf("gateway %d: not ready: %w\n%s", g.Number, ctx.Err(), g.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -485,8 +483,8 @@
 	return string(buf[:n]) == "+PONG\r\n"
 }
 
-// sample takes note of the memory in use.
-func (g *Gateway) sample() {
+// sampleMemory updates the highest memory use seen. The caller holds the lock.
+func (g *Gateway) sampleMemory() {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.pid))
 	if err != nil {
 		return
@@ -494,21 +492,21 @@
 	for line := range strings.SplitSeq(string(raw), "\n") {
 		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			kb, _ := strconv.Atoi(strings.Fields(rest)[0])
-			g.rss = max(g.rss, kb)
+			g.maxRSSKB = max(g.maxRSSKB, kb)
 		}
 	}
 }
 
-// Memory is the most memory that a process of this gateway was seen to hold, in MB.
+// Memory returns the highest memory use seen of a process of this gateway, in MB.
 func (g *Gateway) Memory() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sample()
-	return float64(g.rss) / 1024
+	g.sampleMemory()
+	return float64(g.maxRSSKB) / 1024
 }
 
-// tail is the end of the gateway's log.
-func (g *Gateway) tail() string {
+// logTail returns the last 2,000 bytes of the gateway's log.
+func (g *Gateway) logTail() string {
 	raw, err := os.ReadFile(filepath.Join(g.dir, "log"))
 	if errors.Is(err, fs.ErrNotExist) {
 		return "(no log)"
@@ -516,8 +514,8 @@
 	return string(raw[max(0, len(raw)-2000):])
 }
 
-// cpu is the processor time that the serving process has used, in seconds.
-func (g *Gateway) cpu() float64 {
+// cpuSeconds returns the processor time that the serving process has used, in seconds.
+func (g *Gateway) cpuSeconds() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.pid))
--- a/internal/testing/lab/try.go
+++ b/internal/testing/lab/try.go
@@ -11,8 +11,9 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// RunTry is what a newcomer runs: three gateways before ten quote servers, with
-// traffic for a while, one server restarted cold and one drained meanwhile.
+// RunTry is a demonstration for new users: traffic through three gateways to ten quote servers, while
+// one server restarts cold, another one drains and a gateway restarts. With serve, the gateways run
+// on until the context ends.
 func RunTry(
 	ctx context.Context, seed uint64, length time.Duration, serve bool, out, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -31,7 +32,7 @@
 		}{
 			{
 				length / 4,
-				"quote server " + w.Servers[0].ID + " is killed, and comes back cold",
+				"quote server " + w.Servers[0].ID + " is killed and restarts cold",
 				func() { w.KillServer(w.Servers[0]) },
 			},
 			{length / 12, "", func() { _ = w.StartServer(w.Servers[0]) }},
@@ -42,7 +43,7 @@
 			},
 			{
 				length / 12,
-				"gateway 1 is told to stop, and starts again",
+				"gateway 1 is stopped and restarts",
 				func() { w.restart(trafficContext, w.Gateways[1]) },
 			},
 		}
@@ -61,9 +62,9 @@
 	w.progress(trafficContext, progress, length)
 	w.Clients.Run(trafficContext)
 	f := w.summarize("try")
-	table(f, out)
+	printSummary(f, out)
 	if serve {
-		w.sample(out)
+		w.printSampleCommand(out)
 		<-ctx.Done()
 	}
 	stop, cancel := context.WithTimeout(context.Background(), readyTimeout)
@@ -71,11 +72,11 @@
 	return f, w.Stop(stop)
 }
 
-// table shows the figures to a person.
-func table(f *harness.Summary, out io.Writer) {
+// printSummary prints the summary's figures as text.
+func printSummary(f *harness.Summary, out io.Writer) {
 	fmt.Fprintf(
 		out,
-		"\n  asked            %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
+		"\n  requests         %8d\n  served in time   %8d\n  served late      %8d\n  refused          %8d\n  failed           %8d\n",
 		f.Requests,
 		f.InTime,
 		f.Late,
@@ -84,12 +85,12 @@
 	)
 	fmt.Fprintf(
 		out,
-		"  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth asked inside the quotas\n",
+		"  p50 / p99        %8.0f / %.0f ms\n  service          %8.3f of the worth requested inside the quotas\n",
 		f.P50,
 		f.P99,
 		f.Service,
 	)
-	fmt.Fprintf(out, "  beyond quotas    %8.1f units sent on\n", f.Over)
+	fmt.Fprintf(out, "  beyond quotas    %8.1f units forwarded\n", f.Over)
 	for _, r := range harness.Rules {
 		fmt.Fprintf(
 			out,
@@ -107,8 +108,8 @@
 	fmt.Fprintln(out)
 }
 
-// sample prints where a person can connect, and a command to send.
-func (w *World) sample(out io.Writer) {
+// printSampleCommand prints the gateways' addresses and a command to send to them.
+func (w *World) printSampleCommand(out io.Writer) {
 	fmt.Fprintln(out, "Serving until interrupted. Any RESP2 client can connect to")
 	for _, g := range w.Gateways {
 		fmt.Fprintln(out, "  "+g.Address)
@@ -124,7 +125,7 @@
 	)
 }
 
-// restart stops a gateway in order and starts it again under its name.
+// restart stops a gateway by SIGTERM and starts it again under the same name.
 func (w *World) restart(ctx context.Context, g *Gateway) {
 	if g.Signal(syscall.SIGTERM) != nil {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-// progress shows a line a second until the context ends.
+// progress prints one line per second until the context ends.
 func (w *World) progress(ctx context.Context, out io.Writer, length time.Duration) {
 	startedAt := time.Now()
 	go func() {
@@ -157,7 +158,7 @@
 			}
 			fmt.Fprintf(
 				out,
-				"%4.0f s, %4.0f s to go: %d asked, %d served, %d open, %d gateways run\n",
+				"%4.0f s, %4.0f s left: %d sent, %d served, %d open, %d gateways running\n",
 				past.Seconds(),
 				max(0, length-past).Seconds(),
 				w.Clients.sent.Load(),
