--- a/sim/around.go
+++ b/sim/around.go
@@ -9,18 +9,20 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// peerNetwork carries peer messages between gateways: late, some twice, some not at all.
+// peerNetwork delivers peer messages between gateways. It delays all of them, and loses or
+// duplicates some.
 type peerNetwork struct {
 	w    *World
 	rand *rand.Rand
 	// receivedThisSecond counts the messages received by each gateway in its current second.
 	receivedThisSecond []int
-	second             []int64
-	// partitionedUntil is until when no message passes between the gateways below partitionAt and
-	// the others, in microseconds.
+	// second is that second, by gateway.
+	second []int64
+	// partitionedUntil is the end of a partition, in microseconds. Until then no message passes
+	// between the gateways below partitionAt and the others.
 	partitionedUntil int64
 	partitionAt      int
-	// delayedUntil is until when messages are delayed by extraDelay, in microseconds.
+	// delayedUntil is the time until which messages are delayed by extraDelay, in microseconds.
 	delayedUntil int64
 	extraDelay   int64
 }
@@ -29,10 +31,10 @@
 	w := n.w
 	w.PeerMessages.Sent++
 	w.PeerMessages.Bytes += len(message)
-	lost, late := n.rand.Float64() < w.Site.MessageLoss, 1300+n.rand.Int64N(9700)
-	twice := w.options.MessageDuplication > 0 && n.rand.Float64() < w.options.MessageDuplication
-	cut := w.now < n.partitionedUntil && (from < n.partitionAt) != (to < n.partitionAt)
-	if lost || cut || to < 0 || to >= len(w.gateways) {
+	lost, delay := n.rand.Float64() < w.Site.MessageLoss, 1300+n.rand.Int64N(9700)
+	duplicate := w.options.MessageDuplication > 0 && n.rand.Float64() < w.options.MessageDuplication
+	partitioned := w.now < n.partitionedUntil && (from < n.partitionAt) != (to < n.partitionAt)
+	if lost || partitioned || to < 0 || to >= len(w.gateways) {
 		w.PeerMessages.Lost++
 		return
 	}
@@ -43,20 +45,20 @@
 			n.second[to], n.receivedThisSecond[to] = s, 0
 		}
 		if n.receivedThisSecond[to]++; n.receivedThisSecond[to] > 60 {
-			w.PeerMessages.Lost++ // more than a gateway takes in
+			w.PeerMessages.Lost++ // above the rate that a gateway accepts
 			return
 		}
 		w.PeerMessages.MaxReceivedPerSecond = max(w.PeerMessages.MaxReceivedPerSecond,
 			n.receivedThisSecond[to])
 		g.deliver(g.incarnation, func() { g.module.ReceivePeerMessage(g.now(), from, copied) })
 	}
-	late += w.options.MessageDelay.Microseconds()
+	delay += w.options.MessageDelay.Microseconds()
 	if w.now < n.delayedUntil {
-		late += n.extraDelay
+		delay += n.extraDelay
 	}
-	w.after(late, arrive)
-	if twice {
-		w.after(late+n.rand.Int64N(1_000_000), arrive)
+	w.after(delay, arrive)
+	if duplicate {
+		w.after(delay+n.rand.Int64N(1_000_000), arrive)
 	}
 }
 
@@ -64,12 +66,12 @@
 type registry struct {
 	w    *World
 	rand *rand.Rand
-	// known is the list of servers by gateway.
+	// known is the list of servers that a gateway has received, by gateway.
 	known [][]policy.Endpoint
-	// lastDelivery is when a gateway receives the last update about a server, as updates keep their
-	// order.
+	// lastDelivery is when a gateway receives the last update about a server. Updates about one
+	// server keep their order.
 	lastDelivery map[[2]int]int64
-	// silentUntil is until when the registry sends nothing, in microseconds.
+	// silentUntil is the time until which the registry sends nothing, in microseconds.
 	silentUntil int64
 }
 
@@ -134,11 +136,12 @@
 		r.known[gateway][sv.number-1].StartedAt >= epoch+start.At.Microseconds()
 }
 
-// frontEntry is one gateway as the front sees it. The front detects a dead gateway only after some
-// time.
+// frontEntry is the front's state of one gateway. The front detects that a gateway is down only
+// after some time.
 type frontEntry struct {
 	down bool
-	// failingSince is since when nothing listens there, in microseconds; 0 if something does.
+	// failingSince is when a connection was first refused, in microseconds; 0 if none was refused
+	// since the last success.
 	failingSince   int64
 	detectionDelay int64
 }
@@ -244,7 +247,7 @@
 		g.deliver(incarnation, func() {
 			g.accept(&t, who, func(k harness.Kind, after int64) { q.end(&t, k, after) })
 		})
-		if w.now < g.frozenUntil { // a process that ends before it has read
+		if w.now < g.frozenUntil { // the process may end before it reads the request
 			w.after(g.frozenUntil-w.now, func() {
 				if incarnation != g.incarnation {
 					t.Reset = true
@@ -265,8 +268,8 @@
 		return
 	}
 	pause := harness.Backoff(q.tries-1, t.RetryAfter, q.rand)
-	// What may have run is not asked for again; what carries a key only while servers
-	// would know it again, whatever the answer said.
+	// A request of an unsafe class is not retried if it may have run. A request with a key is
+	// retried, whatever the answer was, only while servers drop duplicates of the key.
 	c := &w.Site.Classes[t.Class]
 	if c.Unsafe && k != harness.Refused && k != harness.Unsent ||
 		c.Keyed &&
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -5,8 +5,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// deadlineMargin is how long before its client stops waiting a request is ended, in microseconds,
-// as by a gateway on sockets.
+// deadlineMargin is how long before its client's timeout a request ends, in microseconds, as in a
+// gateway on sockets.
 const deadlineMargin = 25_000
 
 const (
@@ -18,8 +18,8 @@
 	resultReset    = policy.Reset
 )
 
-// gateway hosts one decision module and keeps a host's promises to it: one event at a time, times
-// that never go back, and one Outcome for each Send.
+// gateway hosts one decision module and fulfils the host's contract: it delivers one event at a
+// time, with times that never go back, and one Outcome for each Send.
 type gateway struct {
 	w      *World
 	number int
@@ -28,7 +28,7 @@
 	incarnation int
 	up          bool
 	open        map[uint64]*request
-	// order has the ids of requests in the order in which they came, in which a kill ends them.
+	// order has the ids of requests in the order of arrival. A kill ends them in this order.
 	order  []uint64
 	nextID uint64
 	// skew is the offset of its clock in microseconds.
@@ -46,7 +46,7 @@
 	incarnation int
 	id          uint64
 	try         *harness.Try
-	// deadline is the client's, less the margin.
+	// deadline is the client's deadline less the margin, in microseconds.
 	deadline int64
 	answered bool
 	attempts []*attempt
@@ -69,8 +69,8 @@
 
 func (g *gateway) now() policy.Time { return epoch + g.w.now + g.skew }
 
-// deliver delivers an event to a process, unless it has ended. While the process is suspended the
-// event waits. A due snapshot is stored before anything else happens.
+// deliver delivers an event to a process, unless the process has ended. The event waits while
+// the process is suspended. A snapshot that is due after the event is stored at once.
 func (g *gateway) deliver(incarnation int, do func()) {
 	switch {
 	case incarnation != g.incarnation || !g.up:
@@ -84,7 +84,7 @@
 	}
 }
 
-// saveSnapshot stores the state, which every later start can use.
+// saveSnapshot stores the state. Later starts can restore it.
 func (g *gateway) saveSnapshot() {
 	s := g.module.TakeSnapshot(g.now(), false)
 	g.snapshot = &s
@@ -183,7 +183,7 @@
 		}
 		g.order = kept
 	}
-	// All attempts end by the deadline: right after it the module has answered.
+	// All attempts end by the deadline, so the module must have answered right after it.
 	g.w.after(timeout+1, func() {
 		g.deliver(q.incarnation, func() {
 			if !q.answered {
@@ -206,7 +206,7 @@
 	g.forget(q)
 }
 
-// forget removes a request that nothing waits for any more.
+// forget removes a request that is answered and has no open attempt.
 func (g *gateway) forget(q *request) {
 	if !q.answered {
 		return
@@ -261,7 +261,7 @@
 	g.forget(a.q)
 }
 
-// actions carries out the decisions of a module, and never calls back into it.
+// actions executes the decisions of a module. It never calls back into the module.
 type actions struct {
 	g           *gateway
 	incarnation int
--- a/sim/options.go
+++ b/sim/options.go
@@ -9,11 +9,11 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Options says what is played.
+// Options are the settings of a run.
 type Options struct {
 	Seed     uint64 `json:"seed" toml:"-"`
 	Gateways int    `json:"gateways" toml:"gateways"`
-	// Servers is 10 if it is 0.
+	// Servers is the number of servers; 0 for 10.
 	Servers int     `json:"servers" toml:"servers"`
 	Load    float64 `json:"load" toml:"load"`
 	// PerSecond is the rate of requests inside quotas, to which the work of a request is scaled; 0
@@ -42,8 +42,8 @@
 	MessageLoss float64 `json:"note_loss" toml:"note_loss"`
 	// MessageDelay is the additional delay of peer messages.
 	MessageDelay time.Duration `json:"note_late,omitempty" toml:"-"`
-	// MessageDuplication is the fraction of peer messages that come twice, the second up to a
-	// second later.
+	// MessageDuplication is the fraction of peer messages that are delivered twice, the second
+	// time up to a second later.
 	MessageDuplication float64 `json:"note_twice,omitempty" toml:"note_twice"`
 
 	// Kills is the mean time between two kills of a gateway; 0 for none.
@@ -54,29 +54,29 @@
 	Faults []harness.Fault `json:"faults,omitempty" toml:"-"`
 }
 
-// Check returns why the options can't be played, nil if they can.
+// Check returns an error if the options can't be played.
 func (o *Options) Check() error {
 	switch {
 	case o.Gateways < 1 || o.Gateways > 5000:
-		return fmt.Errorf("%d gateways: 1 to 5000 wanted", o.Gateways)
+		return fmt.Errorf("%d gateways: must be between 1 and 5000", o.Gateways)
 	case o.Servers < 0 || o.Servers > 20000:
-		return fmt.Errorf("%d servers: 1 to 20000 wanted", o.Servers)
+		return fmt.Errorf("%d servers: must be between 0 and 20000", o.Servers)
 	case !(o.Load > 0 && o.Load <= 3):
-		return fmt.Errorf("load %g: above 0, 3 at most wanted", o.Load)
+		return fmt.Errorf("load %g: must be above 0 and at most 3", o.Load)
 	case o.PerSecond < 0 || o.PerSecond > 1e6 || o.Customers < 0 || o.Customers > 1e6:
-		return fmt.Errorf("%g requests a second of %d customers: a million at most of either",
+		return fmt.Errorf("%g requests a second of %d customers: must be at most 1000000 each",
 			o.PerSecond, o.Customers)
 	case o.Duration <= 0 || o.Duration > 24*time.Hour:
-		return fmt.Errorf("for %v: above 0, a day at most wanted", o.Duration)
+		return fmt.Errorf("for %v: must be above 0 and at most 24h", o.Duration)
 	case o.Spread < 0:
-		return fmt.Errorf("spread %d: 0 or more wanted", o.Spread)
+		return fmt.Errorf("spread %d: must be at least 0", o.Spread)
 	case o.MessageLoss > 1 || !(o.MessageDuplication >= 0 && o.MessageDuplication <= 1):
-		return fmt.Errorf("notes lost %g, twice %g: parts of one wanted",
+		return fmt.Errorf("notes lost %g, twice %g: must be at most 1, and between 0 and 1",
 			o.MessageLoss, o.MessageDuplication)
 	case !(o.Surge == 0 || o.Surge >= 1 && o.Surge <= 100):
-		return fmt.Errorf("surge %g: from 1 to 100 wanted", o.Surge)
+		return fmt.Errorf("surge %g: must be 0 or between 1 and 100", o.Surge)
 	case min(o.MessageDelay, o.Shift, o.Window, o.Kills, o.Restarts) < 0:
-		return errors.New("a length of time below 0")
+		return errors.New("a duration is negative")
 	}
 	for i, f := range o.Faults {
 		if f.N < 0 || f.At < 0 || f.For < 0 ||
--- a/sim/run.go
+++ b/sim/run.go
@@ -6,7 +6,7 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// RunSummary plays one world and returns its summary with the figures of the emulator itself.
+// RunSummary plays one world and returns its summary with figures of the simulation itself.
 func RunSummary(o Options) (*harness.Summary, error) {
 	began := time.Now()
 	w, err := New(o)
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -54,7 +54,7 @@
 			g.skew = int64(f.X * 1e6)
 		}
 		if err := g.start(kept); err != nil {
-			panic(err) // its settings were good before
+			panic(err) // these settings were valid at an earlier start
 		}
 	})
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// Schedule is a world with everything that goes wrong in it.
+// Schedule has the options of a world with all its faults.
 type Schedule struct {
 	Options
 }
@@ -118,7 +118,7 @@
 func (s Schedule) String() string {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // nothing in it can't be written
+		panic(err) // every schedule can be marshaled
 	}
 	return string(b)
 }
@@ -176,7 +176,7 @@
 		lasts(0.05, 1.5)
 		f.X = harness.Between(r, -2, 2)
 	case harness.Down:
-		lasts(1, 3) // long enough for who sends to it to notice
+		lasts(1, 3) // long enough for its senders to notice
 	case harness.Slow:
 		lasts(0.5, 4)
 		f.X = harness.Between(r, 2, 8)
@@ -192,7 +192,7 @@
 	return f
 }
 
-// Mutate returns a schedule that differs a little.
+// Mutate returns a copy of the schedule with one to three small changes.
 func (s Schedule) Mutate(r *rand.Rand) Schedule {
 	s.Faults = slices.Clone(s.Faults)
 	for range 1 + r.IntN(3) {
--- a/sim/search.go
+++ b/sim/search.go
@@ -22,7 +22,7 @@
 	Faults          int `json:"faults"`
 }
 
-// SearchResult is the result of a search.
+// SearchResult is the result of Search.
 type SearchResult struct {
 	Schedules int `json:"schedules"`
 	// States counts the different ways in which requests ended, with the faults at that time.
@@ -48,7 +48,8 @@
 	return "", "", w.states(), nil
 }
 
-// states guides the search: how tries ended, with the faults at that time.
+// states returns the sorted different ways in which tries ended, each alone and with the faults at
+// that time. They guide the search.
 func (w *World) states() []string {
 	attempts := map[string]int{}
 	for _, a := range w.Record.Attempts {
@@ -73,9 +74,9 @@
 	return all
 }
 
-// Search plays random schedules, and mutations of those that led to a new state, until the context
-// ends, so many were played, or one breaks a rule. That one is shrunk. The same seed and number of
-// schedules give the same findings on any number of cores.
+// Search plays random schedules, and mutations of those that led to a new state. It ends with the
+// context, after maxSchedules, or when a schedule breaks a rule; that schedule is shrunk. The same
+// seed and number of schedules give the same findings on any number of cores.
 func Search(ctx context.Context, seed uint64, maxSchedules int) (*SearchResult, error) {
 	search := &search{
 		random: rand.New(rand.NewPCG(seed, searchStream)),
@@ -99,7 +100,7 @@
 	// batchSize is how many schedules are drawn before any of them is played. It does not depend on
 	// the number of cores.
 	batchSize = 16
-	// searchStream separates the random numbers of a search from others of the same seed.
+	// searchStream separates the random numbers of a search from other uses of the same seed.
 	searchStream = 0x5ea
 )
 
--- a/sim/search_test.go
+++ b/sim/search_test.go
@@ -12,8 +12,8 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Schedules that once broke a rule, or came near, break none.
-func TestKeptSchedules(t *testing.T) {
+// The recorded schedules, which once broke a rule or nearly did, break none.
+func TestRecordedSchedules(t *testing.T) {
 	files, err := filepath.Glob("testdata/schedules/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no schedules: %v", err)
@@ -35,8 +35,8 @@
 	}
 }
 
-// The search finds nothing in the program as it is, and the same on one core and on all.
-func TestSearchFindsNothingAndTheSameOnAnyCores(t *testing.T) {
+// A search finds no broken rule, and has the same result on one core as on all.
+func TestSearchFindsNothingOnAnyNumberOfCores(t *testing.T) {
 	const schedules = 64
 	first, err := Search(context.Background(), 7, schedules)
 	if err != nil {
@@ -58,18 +58,17 @@
 	}
 }
 
-// broken is a world whose model breaks a rule whatever the gateways do: a server comes
-// back cold under their load, and the register is said to have told of it.
-func broken() Schedule {
+// smallSchedule returns a small world with a high load.
+func smallSchedule() Schedule {
 	s := RandomSchedule(rand.New(rand.NewPCG(1, 1)))
 	s.Gateways, s.Servers, s.Load, s.Duration, s.Spread = 3, 3, 0.9, 8*time.Second, 0
 	return s
 }
 
-// What is shrunk still plays, has no more than it had, and is the same each time; faults
-// that the breach does not need are left out, kills of gateways among them.
-func TestShrinkLeavesWhatIsNeeded(t *testing.T) {
-	s := broken()
+// A shrunk schedule still shows the breach, is not longer than the original, and is the same each
+// time. Shrinking removes the faults that the breach does not need, also kills of gateways.
+func TestShrinkKeepsOnlyNeededFaults(t *testing.T) {
+	s := smallSchedule()
 	s.Faults = []harness.Fault{{
 		At:   time.Second,
 		For:  300 * time.Millisecond,
@@ -78,7 +77,7 @@
 	},
 		{At: 2 * time.Second, For: time.Second, Kind: harness.Slow, N: 1, X: 3},
 		{At: 3 * time.Second, For: 400 * time.Millisecond, Kind: harness.Kill, N: 2}}
-	// The breach looked for: some request is lost with a killed gateway.
+	// lost is the breach: some request is lost with a killed gateway.
 	lost := func(s Schedule) bool {
 		w, err := New(s.Options)
 		if err != nil {
@@ -88,11 +87,11 @@
 		return harness.Audit(w.Site, w.Record).KilledUnanswered > 0
 	}
 	if !lost(s) {
-		t.Fatal("nothing was lost with the killed gateways: the test shows nothing")
+		t.Fatal("no request was lost with the killed gateways: the schedule does not show the breach")
 	}
 	short := s.shrink(lost)
 	if !lost(short) {
-		t.Error("what was shrunk breaks nothing any more")
+		t.Error("the shrunk schedule does not show the breach")
 	}
 	kills := 0
 	for _, f := range short.Faults {
@@ -104,11 +103,11 @@
 		t.Errorf("shrunk to %s", short)
 	}
 	if again := s.shrink(lost); again.String() != short.String() {
-		t.Errorf("shrunk otherwise the second time: %s", again)
+		t.Errorf("the second shrinking gave another schedule: %s", again)
 	}
 }
 
-// A schedule survives being written down.
+// A schedule is the same after String and ParseSchedule. Invalid schedules are rejected.
 func TestScheduleAsText(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for range 50 {
@@ -125,14 +124,14 @@
 		`{"gateways":2,"load":1,"for":1,"faults":[{"kind":"earthquake"}]}`,
 	} {
 		if _, err := ParseSchedule([]byte(text)); err == nil {
-			t.Errorf("%q is taken for a schedule", text)
+			t.Errorf("%q is accepted as a schedule", text)
 		}
 	}
 }
 
-// The clock of a process that starts is an hour behind, or two seconds ahead; notes are
-// cut between two halves for long and heal; a thousand gateways start at once before cold
-// servers. The rules hold.
+// The rules hold in four hard cases: restarted processes have clocks an hour behind and two seconds
+// ahead; a partition between gateways lasts for five minutes; a thousand gateways start at once;
+// and four servers are down at the same time.
 func TestHardCases(t *testing.T) {
 	hour := harness.Fault{
 		At:   2 * time.Second,
--- a/sim/server.go
+++ b/sim/server.go
@@ -17,7 +17,7 @@
 // failure when it is overloaded.
 type server struct {
 	w *World
-	// number is the gateways' name for it.
+	// number identifies the server in the gateways.
 	number uint32
 	id     string
 	cores  int
@@ -26,7 +26,7 @@
 
 	up       bool
 	draining bool
-	// incarnation counts its processes. What an earlier one had started is gone.
+	// incarnation counts the server's processes. The work of an earlier process is lost.
 	incarnation int
 	// startIndex is the index of its current start in the record.
 	startIndex    int
@@ -73,7 +73,7 @@
 	}
 }
 
-// capacityShare returns the fraction of its capacity that the server has.
+// capacityShare returns the fraction of its full capacity that the server has now.
 func (sv *server) capacityShare() float64 {
 	return sv.w.Site.CapacityShare(&sv.w.Record.ServerStarts[sv.startIndex], sv.w.at())
 }
@@ -120,8 +120,9 @@
 	sv.startQueued()
 }
 
-// overloaded reports whether the server was sent more than it can bear during its slow start, and
-// whether two thirds of that came from gateways that were notified of its start.
+// overloaded reports whether the server received more work than it can handle during its slow
+// start, and whether at least two thirds of that work came from gateways that were notified of the
+// start.
 func (sv *server) overloaded(a harness.Attempt) (over, notified bool) {
 	s := sv.w.Site
 	share := sv.capacityShare()
@@ -155,7 +156,7 @@
 		a := sv.queue[0]
 		sv.queue = sv.queue[1:]
 		if a.ended {
-			continue // its gateway has left: waiting work is dropped
+			continue // the gateway has ended the attempt: queued work is dropped
 		}
 		sv.busy++
 		class := &sv.w.Site.Classes[a.q.try.Class]
@@ -168,8 +169,8 @@
 	}
 }
 
-// spend spends a request's work, in steps within which the capacity of a slow start is taken as
-// constant.
+// spend spends a request's work in steps of at most 0.1 s. Within a step, the capacity of a slow
+// start counts as constant.
 func (sv *server) spend(a *attempt, incarnation int, need float64) {
 	now := min(need, 0.1)
 	sv.w.after(int64(now/sv.capacityShare()*1e6), func() {
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// play plays a world and fails where a rule is broken.
+// play plays a world and fails the test if a rule is broken.
 func play(t *testing.T, o Options) (*World, *harness.Summary) {
 	t.Helper()
 	w, err := New(o)
@@ -22,13 +22,13 @@
 		t.Errorf("%+v: %v", o, f.Why)
 	}
 	if f.Requests == 0 || f.Taken != f.Once+f.Killed {
-		t.Errorf("%+v: asked %d, taken %d, answered once %d, lost with a gateway %d",
+		t.Errorf("%+v: %d requests; accepted %d tries, answered %d once, lost %d with a gateway",
 			o, f.Requests, f.Taken, f.Once, f.Killed)
 	}
 	return w, f
 }
 
-// One seed gives one history, whatever else runs beside it; another gives another.
+// The same seed gives the same history, also in concurrent runs. Another seed gives another history.
 func TestOneSeedOneHistory(t *testing.T) {
 	o := Options{
 		Seed:               3,
@@ -68,38 +68,39 @@
 	}
 }
 
-// Events at one microsecond happen in the order in which they were planned.
+// Events at one microsecond happen in the order in which they were scheduled.
 func TestEventsAtOneMicrosecond(t *testing.T) {
 	var c clock
-	var did []int
+	var order []int
 	for i := range 100 {
 		c.after(5, func() {
-			did = append(did, i)
-			// the past is now, after all planned for now
-			c.after(-3, func() { did = append(did, 1000+i) })
+			order = append(order, i)
+			// a time in the past counts as now, after all events scheduled for now
+			c.after(-3, func() { order = append(order, 1000+i) })
 		})
 	}
 	for c.next(5) {
 	}
-	for i, x := range did {
+	for i, x := range order {
 		if want := i; i < 100 && x != want || i >= 100 && x != 900+i {
-			t.Fatalf("event %d was %d", i, x)
+			t.Fatalf("event %d of the run is number %d", i, x)
 		}
 	}
-	if len(did) != 200 || c.now != 5 {
-		t.Errorf("%d events by %d", len(did), c.now)
+	if len(order) != 200 || c.now != 5 {
+		t.Errorf("%d events until %d µs, must be 200 until 5", len(order), c.now)
 	}
 }
 
-// Whatever becomes of notes and gateways, all five rules hold, the ceiling of each
-// customer over all its gateways among them: what is given on the way is lost at worst.
-func TestRulesHoldWhateverBecomesOfNotes(t *testing.T) {
+// All five rules hold although peer messages are lost, duplicated and delayed and gateways are
+// killed. One of them is the ceiling of each customer over all its gateways: at worst, the
+// units that a message transfers are lost.
+func TestRulesHoldWithFaultyPeerMessages(t *testing.T) {
 	seeds := 6
 	if testing.Short() {
 		seeds = 2
 	}
 	for _, spread := range []int{0, 8, 40} {
-		for _, notes := range []Options{
+		for _, messages := range []Options{
 			{MessageLoss: -1},
 			{MessageLoss: 0.3, MessageDuplication: 0.3, MessageDelay: 50 * time.Millisecond},
 			{MessageLoss: 0.1, MessageDuplication: 0.5, MessageDelay: 800 * time.Millisecond},
@@ -107,12 +108,12 @@
 		} {
 			t.Run(fmt.Sprintf("spread %d, lost %g, twice %g, late %v",
 				spread,
-				notes.MessageLoss,
-				notes.MessageDuplication,
-				notes.MessageDelay), func(t *testing.T) {
+				messages.MessageLoss,
+				messages.MessageDuplication,
+				messages.MessageDelay), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds {
-					o := notes
+					o := messages
 					o.Seed, o.Gateways, o.Spread = uint64(seed+1), 40, spread
 					o.Load, o.Duration, o.Shift = 0.7, 15*time.Second, 2*time.Second
 					o.Kills, o.Restarts = 700*time.Millisecond, 3*time.Second
@@ -123,10 +124,10 @@
 	}
 }
 
-// What one gateway gives, a fleet gives: customers near and beyond their quota get
-// nearly as much of it through 24 gateways as through one, and little more.
-func TestAFleetGivesWhatOneGatewayGives(t *testing.T) {
-	var given [2][2]float64 // by fleet, near and over
+// Customers near and over their quota get nearly as much of it through 24 gateways as through one,
+// and little beyond it.
+func TestFleetAdmitsAsMuchAsOneGateway(t *testing.T) {
+	var given [2][2]float64 // by size of the fleet, then near and over the quota
 	var beyond, sent [2]float64
 	for seed := range uint64(6) {
 		for i, gateways := range []int{1, 24} {
@@ -156,13 +157,13 @@
 		}
 	}
 	if share := beyond[1] / sent[1]; share > 0.006 {
-		t.Errorf("%.4f of the units went beyond the quotas", share)
+		t.Errorf("%.4f of the units were used beyond the quotas, must be at most 0.006", share)
 	}
 }
 
-// A server that nobody overruns stays up; one that all send to at its start falls, and
-// the auditor says so: the model can break the rule that it is to test.
-func TestTheModelCanBreakARule(t *testing.T) {
+// A server that starts cold and at once receives all requests fails from overload, and the audit
+// reports this: the model is able to break the rule that it tests.
+func TestModelCanBreakARule(t *testing.T) {
 	w, err := New(Options{
 		Seed:        1,
 		Gateways:    3,
@@ -175,12 +176,12 @@
 	}
 	for i, sv := range w.servers {
 		if i > 0 {
-			w.after(2_000_000, func() { sv.kill() }) // and the register says nothing
+			w.after(2_000_000, func() { sv.kill() }) // and the registry does not announce it
 		}
 	}
 	w.after(3_000_000, func() {
 		w.servers[0].kill()
-		// cold; the register holds all to be told, and no gateway hears of it
+		// The server starts cold. For the registry all gateways were notified, but none was.
 		w.servers[0].start(true)
 		for g := range w.gateways {
 			w.registry.known[g][0].StartedAt = epoch + w.now
@@ -188,6 +189,6 @@
 	})
 	w.Run()
 	if f := w.Summary("test"); f.Broken[harness.SlowStartOverload] == 0 {
-		t.Errorf("nothing broke: %s", f.Line())
+		t.Errorf("no rule was broken: %s", f.Line())
 	}
 }
--- a/sim/throng_test.go
+++ b/sim/throng_test.go
@@ -7,11 +7,11 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// throng is a fleet of 32 gateways before 12 servers that ask for more than those can do, with
-// a burst in the middle third; four servers come back cold at 4 s, four others at 8 s.
-func throng(noteLoss float64) Options {
+// overloadedFleet returns 32 gateways with 12 servers under more load than these can serve, with a
+// surge in the middle third. Four servers restart cold from 4 s on, four others from 8 s on.
+func overloadedFleet(messageLoss float64) Options {
 	o := Options{Seed: 2, Gateways: 32, Servers: 12, Load: 1.1, Surge: 4, PerSecond: 500,
-		Duration: 14 * time.Second, MessageLoss: noteLoss}
+		Duration: 14 * time.Second, MessageLoss: messageLoss}
 	for n := range 4 {
 		o.Faults = append(o.Faults,
 			harness.Fault{
@@ -30,39 +30,40 @@
 	return o
 }
 
-// Many gateways that each see little don't overrun their servers together, whether or not
-// their notes arrive: few attempts find a full queue, cold servers stay up, also before any
-// list has told of their start, and most of what can be done is worth what was asked.
-func TestAThrongRecovers(t *testing.T) {
-	for name, c := range map[string]struct{ noteLoss, service float64 }{
-		"notes, some lost": {noteLoss: 0.15, service: 0.59},
-		"no notes":         {noteLoss: 1, service: 0.52},
+// Many gateways that each have little traffic don't overload their servers together, whether or not
+// their peer messages arrive: few attempts find a full queue, at most one cold server fails, even
+// though requests can arrive before a gateway is notified of its start, and more than half of the
+// value that was requested inside quotas is served in time.
+func TestOverloadedFleetRecovers(t *testing.T) {
+	for name, c := range map[string]struct{ messageLoss, service float64 }{
+		"notes, some lost": {messageLoss: 0.15, service: 0.59},
+		"no notes":         {messageLoss: 1, service: 0.52},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, f := play(t, throng(c.noteLoss))
-			attempts, turned, fell := len(w.Record.Attempts), 0, 0
+			w, f := play(t, overloadedFleet(c.messageLoss))
+			attempts, rejected, overloaded := len(w.Record.Attempts), 0, 0
 			for _, a := range w.Record.Attempts {
 				if a.Rejected {
-					turned++
+					rejected++
 				}
 			}
 			for _, b := range w.Record.ServerStarts {
 				if b.OverloadedAt > 0 {
-					fell++
+					overloaded++
 				}
 			}
-			t.Logf("service %.3f; %d of %d attempts turned away; %d servers fell",
-				f.Service, turned, attempts, fell)
+			t.Logf("service %.3f; %d of %d attempts rejected; %d servers failed from overload",
+				f.Service, rejected, attempts, overloaded)
 			if f.Service < c.service {
-				t.Errorf("service %.3f, at least %.2f wanted", f.Service, c.service)
+				t.Errorf("service is %.3f, must be at least %.2f", f.Service, c.service)
 			}
-			if turned*4 > attempts {
-				t.Errorf("%d of %d attempts were turned away, at most a quarter wanted",
-					turned, attempts)
+			if rejected*4 > attempts {
+				t.Errorf("%d of %d attempts were rejected, must be at most a quarter",
+					rejected, attempts)
 			}
-			if fell > 1 {
-				t.Errorf("%d servers fell, one at most wanted", fell)
+			if overloaded > 1 {
+				t.Errorf("%d servers failed from overload, must be at most 1", overloaded)
 			}
 		})
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -1,8 +1,8 @@
 // Package sim plays a fleet of gateways in virtual time. The gateways are the real decision module,
-// each under a host that keeps a host's promises. Servers, registry, peer messages, front and
+// each under a host that fulfils the host's contract. Servers, registry, peer messages, front and
 // clients are models. One seed gives one history, byte by byte: a run reads no wall clock, starts
-// no goroutine and depends on no map order. So many runs may go on at once, and a run may be
-// repeated. docs/sim.md says what the model leaves out.
+// no goroutine and depends on no map order. Therefore runs may be concurrent, and each can be
+// repeated exactly. docs/sim.md says what the model leaves out.
 package sim
 
 import (
@@ -39,9 +39,9 @@
 	peers    *peerNetwork
 	inFlight map[*server]map[uint64]*attempt
 	sends    uint64
-	// waiting counts tries in flight, and clients that wait before the next.
+	// waiting counts tries on their way to a gateway, and clients that pause before a retry.
 	waiting int
-	// breaches are the promises that modules broke towards their hosts.
+	// breaches describes the modules' violations of their contract with the hosts.
 	breaches []string
 	nextTry  uint64
 	endAt    int64
@@ -133,7 +133,7 @@
 	return w, nil
 }
 
-// Run plays the world until everything that was requested has ended.
+// Run plays the world until all requests have ended.
 func (w *World) Run() {
 	for i := range w.Site.Customers {
 		c := &client{w: w, number: i, traffic: w.Site.Traffic(w.options.Seed, i)}
@@ -147,7 +147,7 @@
 	for _, c := range w.Site.Classes {
 		longest = max(longest, c.GiveUp)
 	}
-	// What is out when the asking ends still has its time, with all its retries.
+	// Requests that are open when the clients stop still get their full time and all retries.
 	end := w.endAt + int64(w.Site.Retries+1)*(longest+2*time.Second).Microseconds()
 	for w.next(end) {
 		if w.now > w.endAt && w.openTries() == 0 {
@@ -162,7 +162,7 @@
 // Digest returns a hash of the history. The same seed gives the same one.
 func (w *World) Digest() string { return fmt.Sprintf("%016x", w.digest.Sum64()) }
 
-// recordBreach records a promise that a module broke towards its host.
+// recordBreach records that a module violated its contract with its host.
 func (w *World) recordBreach(format string, args ...any) {
 	w.breaches = append(w.breaches, fmt.Sprintf("at %v: ", w.at())+fmt.Sprintf(format, args...))
 }
@@ -224,7 +224,7 @@
 func customerNumber(id string) uint64 {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
-		panic(err) // the site names them so
+		panic(err) // ids of the site are hexadecimal
 	}
 	return n
 }
@@ -232,18 +232,18 @@
 // scheduleRandomFaults schedules the faults at random times.
 func (w *World) scheduleRandomFaults() {
 	r := rand.New(rand.NewPCG(w.options.Seed, 0xca05))
-	every := func(mean time.Duration, do func()) {
+	every := func(mean time.Duration, inject func()) {
 		if mean == 0 {
 			return
 		}
-		var again func()
-		again = func() {
+		var injectAndReschedule func()
+		injectAndReschedule = func() {
 			if w.now < w.endAt {
-				do()
-				w.after(int64(r.ExpFloat64()*float64(mean.Microseconds())), again)
+				inject()
+				w.after(int64(r.ExpFloat64()*float64(mean.Microseconds())), injectAndReschedule)
 			}
 		}
-		w.after(int64(r.ExpFloat64()*float64(mean.Microseconds())), again)
+		w.after(int64(r.ExpFloat64()*float64(mean.Microseconds())), injectAndReschedule)
 	}
 	every(w.options.Kills, func() {
 		g := w.gateways[r.IntN(len(w.gateways))]
