--- a/sim/parallel/plays.go
+++ b/sim/parallel/plays.go
@@ -1,4 +1,4 @@
-// Package parallel runs the plays of a search on all cores.
+// Package parallel runs the plays of a search concurrently on all cores.
 package parallel
 
 import (
@@ -7,14 +7,15 @@
 	"sync"
 )
 
-// Until plays number after number from 0 on, on all cores, until so many were played, one was
-// found, or the context ends. play tells what came of one; took is given it, one at a time, and
-// tells whether the search is over.
+// Until calls play with 0, 1, 2 and so on, concurrently on all cores. It starts no further play
+// once maxPlays were started, add has returned true, or the context has ended. It returns when all
+// started plays have ended. add is called with each play's result, by one goroutine at a time, and
+// reports whether the search is over.
 func Until[R any](
 	ctx context.Context,
-	most int,
+	maxPlays int,
 	play func(n int) R,
-	took func(n int, r R) (over bool),
+	add func(n int, result R) (over bool),
 ) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -27,14 +28,14 @@
 				mu.Lock()
 				n := next
 				next++
-				end := n >= most || over || ctx.Err() != nil
+				end := n >= maxPlays || over || ctx.Err() != nil
 				mu.Unlock()
 				if end {
 					return
 				}
-				r := play(n)
+				result := play(n)
 				mu.Lock()
-				over = took(n, r) || over
+				over = add(n, result) || over
 				mu.Unlock()
 			}
 		}()
