--- a/sim/election/checker.go
+++ b/sim/election/checker.go
@@ -6,22 +6,22 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// settlingTime is how long a play takes at first until the role has a leader.
+// settlingTime is the time after the start of a play in which the role may be without a leader.
 const settlingTime = 3 * time.Second
 
-// checker has what was observed in a play. It sees everything that happens, and no process's belief
-// about it.
+// checker records what happened in a play. It observes the events themselves, and does not depend on
+// the state that any process has of them.
 type checker struct {
-	appliedAt    map[uint64]string // by index, what the first voter applied there
+	appliedAt    map[uint64]string // by index, what a voter applied there
 	acknowledged map[string]bool   // words
 	logLeaders   map[uint64]bool   // terms of the log that had a leader
 
-	termLeaders  map[uint64]lease.Member // by term of the role, who had committed effects
+	termLeaders  map[uint64]lease.Member // by term of the role, the member with committed effects
 	firstEffects map[uint64]uint64       // by term of the role, the index of its first effect
 	lastHeldAt   time.Duration           // when the role last had a leader
 
 	gate                lease.Gate // of a receiver outside the log
-	highestAdmittedTerm uint64     // by that receiver
+	highestAdmittedTerm uint64     // the highest term that this receiver has admitted
 }
 
 func newChecker() checker {
@@ -34,8 +34,8 @@
 	}
 }
 
-// checkHolders checks that no two members lead the role at this moment, of those that would act on
-// it.
+// checkHolders checks that at most one member leads the role at this moment. Members that are down
+// or suspended do not count, as they can't act.
 func (w *World) checkHolders() {
 	holders := 0
 	for _, p := range w.members() {
@@ -57,7 +57,8 @@
 	}
 }
 
-// checkAcknowledged checks at the end that the newest voter has everything that was acknowledged.
+// checkAcknowledged checks at the end of a play that the voter with the highest applied index has
+// every acknowledged word.
 func (w *World) checkAcknowledged() {
 	var newest *voter
 	for _, p := range w.voters() {
@@ -73,7 +74,7 @@
 		return
 	}
 	if len(w.checker.acknowledged) > 0 && newest.node.AppliedIndex() < w.newestApplied() {
-		return // no voter that runs has all entries: a majority is down
+		return // no running voter has all entries: a majority is down
 	}
 	words := newest.stateMachines[wordListName].(*wordList)
 	for word := range w.checker.acknowledged {
@@ -120,7 +121,7 @@
 	}
 }
 
-// receive has the receiver outside the log get an effect of the role's leader.
+// receive delivers an effect of the role's leader to the receiver outside the log.
 func (w *World) receive(term uint64, leader lease.Member) {
 	c := &w.checker
 	if _, err := c.gate.Admit(roleName, term, leader); err != nil {
--- a/sim/election/disk.go
+++ b/sim/election/disk.go
@@ -10,13 +10,13 @@
 	"mothcleat/internal/controlplane/consensus"
 )
 
-// disk is what a voter has stored, and what of it a power cut would take.
+// disk is the stored state of a voter, and the writes that a power cut would lose.
 type disk struct {
 	synced   consensus.StoredState
-	unsynced []consensus.Ready // written, in their order
+	unsynced []consensus.Ready // in the order of the writes
 }
 
-// write writes what a node has ready, and syncs if it must be.
+// write writes what a node has ready, and syncs if the node requires it.
 func (d *disk) write(ready consensus.Ready) {
 	d.unsynced = append(d.unsynced, ready)
 	if ready.MustSync {
@@ -24,7 +24,7 @@
 	}
 }
 
-// sync makes durable what was written.
+// sync makes all writes durable.
 func (d *disk) sync() {
 	for _, ready := range d.unsynced {
 		d.apply(ready)
@@ -56,8 +56,8 @@
 	d.synced.Promises = promises
 }
 
-// appendEntry appends an entry in place of those from its index on. It does not change the array of
-// the entries, which older copies share.
+// appendEntry appends an entry and drops the entries from its index on. It does not change the
+// array of the entries, which older copies share.
 func appendEntry(entries []*raftpb.Entry, e *raftpb.Entry) []*raftpb.Entry {
 	for len(entries) > 0 && entries[len(entries)-1].GetIndex() >= e.GetIndex() {
 		entries = entries[:len(entries)-1]
--- a/sim/election/faults.go
+++ b/sim/election/faults.go
@@ -14,13 +14,14 @@
 	quietAfterwards = 4 * time.Second // of a restored copy
 )
 
-// Kinds are the faults that a search must have injected to have shown anything.
+// Kinds are the faults that a search must have injected to be meaningful.
 var Kinds = []string{faultSuspend, faultKill, faultCut, faultSlowDisk, faultOlderCopy}
 
-// scheduleFaults has faults injected, a little apart and for a while each, as the seed draws.
+// scheduleFaults schedules faults at random intervals, and draws the loss and delay of messages.
 func (w *World) scheduleFaults() {
-	// In a play in which an older copy of a disk is restored, no voter is killed: that those who
-	// know its promises forget them at the same time is more than is promised.
+	// In a play in which an older copy of a disk is restored, no voter is killed by another fault.
+	// The design does not cover the case that the voters that know the restored voter's promises lose
+	// them at the same time.
 	restoresCopies := w.random.IntN(2) == 0
 	var next func()
 	next = func() {
@@ -76,7 +77,7 @@
 	}
 }
 
-// leaseHolder returns the member that holds the role's lease, or else another process.
+// leaseHolder returns the member that holds the role's lease, or otherwise if there is none.
 func (w *World) leaseHolder(otherwise *process) *process {
 	holder := otherwise
 	for _, p := range w.members() {
@@ -87,7 +88,7 @@
 	return holder
 }
 
-// logLeader returns the voter that leads, or else another process.
+// logLeader returns the voter that leads the log, or otherwise if there is none.
 func (w *World) logLeader(otherwise *process) *process {
 	leader := otherwise
 	for _, p := range w.voters() {
@@ -138,7 +139,7 @@
 	})
 }
 
-// slowDisk has the syncs of a voter's disk take up to 3 s longer.
+// slowDisk delays the syncs of a voter's disk by up to 3 s.
 func (w *World) slowDisk(p *process, duration time.Duration) {
 	v := p.voter
 	if v == nil {
@@ -149,7 +150,7 @@
 	w.schedule(duration, func() { v.extraSyncTime = 0 })
 }
 
-// suspend suspends a process; its clock goes on.
+// suspend suspends a process for a while. Its clock keeps running.
 func (w *World) suspend(p *process, duration time.Duration) {
 	if !p.up || p.suspended {
 		return
@@ -166,8 +167,8 @@
 	})
 }
 
-// kill kills a process, which starts again later. With a power cut a voter's disk loses what it has
-// not synced. The function killed is called in between, unless it is nil.
+// kill kills a process, and restarts it after a duration. With a power cut, a voter's disk loses
+// what was not synced. kill calls killed, unless it is nil, while the process is down.
 func (w *World) kill(p *process, duration time.Duration, powerCut bool, killed func()) {
 	if !p.up {
 		return
@@ -194,14 +195,14 @@
 	})
 }
 
-// killAllVoters has a power cut at all voters at once.
+// killAllVoters kills all voters at once with a power cut.
 func (w *World) killAllVoters(duration time.Duration) {
 	for _, p := range w.voters() {
 		w.kill(p, duration, true, nil)
 	}
 }
 
-// scheduleRestore copies a voter's disk, unless there is a copy, and has it restored later.
+// scheduleRestore copies a voter's disk, unless a copy exists, and schedules the restore of the copy.
 func (w *World) scheduleRestore(p *process, duration time.Duration) {
 	if p.voter.olderCopy == nil {
 		state := cloneState(p.voter.disk.synced)
@@ -210,9 +211,9 @@
 	w.schedule(copyAge, func() { w.restoreOlderCopy(p, duration) })
 }
 
-// restoreOlderCopy kills a voter and restores an older copy of its disk, once a play: two of three
-// disks lost are more than is promised. What is promised is that this is detected while those that
-// know the voter's promises can be reached, so the others have to be.
+// restoreOlderCopy kills a voter and restores an older copy of its disk, at most once in a play: the
+// design does not cover the loss of two of three disks. It guarantees that a restored copy is
+// detected while the voters that know its promises can be reached, so all voters must work.
 func (w *World) restoreOlderCopy(p *process, duration time.Duration) {
 	if !p.up || p.suspended || !p.voter.started || w.result.Faults[faultOlderCopy] > 0 {
 		return
--- a/sim/election/member.go
+++ b/sim/election/member.go
@@ -17,8 +17,8 @@
 	// minRejectedDelay and maxRejectedDelay bound the pause after a request that was rejected.
 	minRejectedDelay = 10 * ms
 	maxRejectedDelay = 500 * ms
-	resignDelay      = 300 * ms // before a member that gave the lease up requests it again
-	openRetryDelay   = 150 * ms // of a session
+	resignDelay      = 300 * ms // after a member gave the lease up, until it requests the lease again
+	openRetryDelay   = 150 * ms // between two requests for a session
 
 	maxAttempts = 30 // of a command
 )
@@ -29,13 +29,13 @@
 	id          string
 	self        lease.Member
 	claimant    *lease.Claimant
-	targetVoter int // index of the voter that it sends to
+	targetVoter int // index of the voter that commands are sent to
 
 	session   uint64 // 0: none is open
 	opening   bool   // a request for one is in flight
 	lastSeq   uint64 // of the newest command
 	inFlight  map[uint64]bool
-	wordCount int // of the words that it has written
+	wordCount int // number of words that it has written
 }
 
 // start starts a new incarnation.
@@ -52,7 +52,7 @@
 	m.process.after(time.Duration(w.random.IntN(300))*ms, m.act)
 }
 
-// requestLease requests the lease of the role or its renewal, when that is due.
+// requestLease requests the lease of the role, or its renewal, when the request is due.
 func (m *member) requestLease() {
 	const checkInterval, maxCheckInterval = 20 * ms, 50 * ms
 	now := m.process.clock()
@@ -73,7 +73,7 @@
 	m.process.after(checkInterval, m.requestLease)
 }
 
-// leaseAnswered processes the answer to the request for the lease that was sent at a time.
+// leaseAnswered processes the answer to the request for the lease that was sent at sentAt.
 func (m *member) leaseAnswered(sentAt time.Duration, answer []byte, ok bool) {
 	now := m.process.clock()
 	var result lease.Result
@@ -97,8 +97,8 @@
 	m.propose(lease.MachineName, command.Encode(), func([]byte, bool) {})
 }
 
-// act does a little of each kind: it writes, reads, has effects as the leader of the role, and
-// sometimes gives the lease up.
+// act performs random operations at random intervals: it writes, reads, has effects as the leader of
+// the role, and sometimes gives the lease up.
 func (m *member) act() {
 	w := m.process.world
 	m.process.after(time.Duration(20+w.random.IntN(250))*ms, m.act)
@@ -119,7 +119,7 @@
 	m.haveEffects(term)
 }
 
-// writeWord writes a word of its own.
+// writeWord writes a new word that is unique in the play.
 func (m *member) writeWord() {
 	m.wordCount++
 	word := fmt.Sprintf("%s.%x.%d", m.id, m.self.Incarnation, m.wordCount)
@@ -165,8 +165,8 @@
 	m.changeLease(command)
 }
 
-// haveEffects has one effect that is itself a command, and one at a receiver outside the log, which
-// gets it late.
+// haveEffects has one effect that is a command, and one at a receiver outside the log, which
+// receives it after a delay of up to maxReceiverDelay.
 func (m *member) haveEffects(term uint64) {
 	const maxReceiverDelay = 800 * ms
 	w := m.process.world
@@ -183,7 +183,7 @@
 	w.schedule(delay, func() { w.receive(term, self) })
 }
 
-// pendingCommand is a command that is sent until there is an answer, or too many attempts were made.
+// pendingCommand is a command that is sent until it has a final answer or maxAttempts were made.
 type pendingCommand struct {
 	member   *member
 	message  *controlpb.Command
@@ -191,8 +191,8 @@
 	finished bool
 }
 
-// propose has a command applied. It calls done once; without an answer ok is false, and the command
-// may have been applied or not.
+// propose sends a command to be applied. It calls done once. If there is no answer, ok is false, and
+// the command may have been applied or not.
 func (m *member) propose(machine string, body []byte, done func(answer []byte, ok bool)) {
 	if m.session == 0 {
 		m.openSession()
@@ -258,7 +258,7 @@
 	c.done(answer, ok)
 }
 
-// ackedSeq returns up to which command all have ended.
+// ackedSeq returns the highest number up to which all commands have ended.
 func (m *member) ackedSeq() uint64 {
 	acked := m.lastSeq
 	for seq := range m.inFlight {
@@ -276,7 +276,7 @@
 	m.targetVoter = w.random.IntN(w.options.Voters)
 }
 
-// send sends a command to a voter. The answer may never come.
+// send sends a command to a voter. The command or its answer may be lost.
 func (m *member) send(message *controlpb.Command, answered func(*controlpb.Answer)) {
 	w := m.process.world
 	to := w.processes[m.targetVoter]
--- a/sim/election/options.go
+++ b/sim/election/options.go
@@ -5,7 +5,7 @@
 // defaultKeepEntries is the default of Options.KeepEntries: few, so that snapshots are common.
 const defaultKeepEntries = 24
 
-// Options say what is played.
+// Options are the settings of a play.
 type Options struct {
 	Seed        uint64        `json:"seed"`
 	Voters      int           `json:"voters"`
@@ -19,9 +19,9 @@
 const (
 	RuleOneLeader     = "two_owners"   // no two members lead the role under one term or at once
 	RuleNoLateEffects = "late_effects" // no effect of a leader follows one of a later leader
-	RuleNothingLost   = "lost_acked"   // what was acknowledged stays
+	RuleNothingLost   = "lost_acked"   // acknowledged commands are never lost
 	RuleAppliedOnce   = "doubled"      // a command is applied once
-	RuleNoStaleRead   = "stale_read"   // a read sees what was acknowledged before it
+	RuleNoStaleRead   = "stale_read"   // a read sees all that was acknowledged before it
 	RuleVotersAgree   = "diverged"     // all voters apply the same entries
 	RuleNoPanic       = "panic"
 )
@@ -33,7 +33,7 @@
 	At     string `json:"at"` // virtual time
 }
 
-// Result is what came of a play.
+// Result is the result of a play.
 type Result struct {
 	Breach         *Breach        `json:"breach,omitempty"`
 	Events         int            `json:"events"`
@@ -43,6 +43,6 @@
 	Leaders        int            `json:"leaders"`  // terms of the log that had a leader
 	Faults         map[string]int `json:"faults"`   // by kind
 	Messages       int            `json:"messages"` // between voters
-	Bytes          int            `json:"bytes"`    // of them, about
-	LongestVacancy time.Duration  `json:"free"`     // without a leader of the role
+	Bytes          int            `json:"bytes"`    // of these messages, approximately
+	LongestVacancy time.Duration  `json:"free"`     // longest time without a leader of the role
 }
--- a/sim/election/process.go
+++ b/sim/election/process.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// process is a voter or a member. After it was killed it starts again as another incarnation.
+// process is a voter or a member. After a kill it starts again as another incarnation.
 type process struct {
 	world       *World
 	index       int
@@ -11,8 +11,8 @@
 	incarnation int
 	clockPace   float64
 	clockOffset time.Duration
-	writing     bool     // it waits for its disk
-	inbox       []func() // what arrived while it was suspended, or waited for its disk
+	writing     bool     // a write to its disk is in progress
+	inbox       []func() // calls that arrived while it was suspended or writing
 
 	voter  *voter  // nil: it is a member
 	member *member // nil: it is a voter
@@ -37,15 +37,16 @@
 	}
 }
 
-// after has the process do something after a while by its clock, unless it is killed before. While
-// it is suspended that waits.
+// after calls a function after a delay by the process's clock, unless the process is killed before.
+// The call waits while the process is suspended or writing.
 func (p *process) after(d time.Duration, run func()) {
 	incarnation := p.incarnation
 	d = time.Duration(float64(d) / p.clockPace)
 	p.world.schedule(d, func() { p.run(incarnation, run) })
 }
 
-// run has an incarnation do something now, or when it is able to.
+// run calls a function for an incarnation, at once or when the process is no longer suspended or
+// writing. It drops the call if that incarnation has ended.
 func (p *process) run(incarnation int, run func()) {
 	if !p.up || p.incarnation != incarnation {
 		return
@@ -58,7 +59,7 @@
 	p.processReady()
 }
 
-// runInbox does what has waited, as far as the process is able to.
+// runInbox runs the waiting calls until the process is suspended, writing or down.
 func (p *process) runInbox() {
 	for len(p.inbox) > 0 && p.up && !p.suspended && !p.writing {
 		next := p.inbox[0]
@@ -67,7 +68,7 @@
 	}
 }
 
-// processReady does what follows from an event: a voter writes to its disk.
+// processReady runs after each event: a voter writes its node's ready state to its disk.
 func (p *process) processReady() {
 	if p.voter != nil {
 		p.voter.processReady()
--- a/sim/election/search.go
+++ b/sim/election/search.go
@@ -7,14 +7,14 @@
 	"mothcleat/sim/parallel"
 )
 
-// Finding is a play that breaks a rule. Its options play it again.
+// Finding is a play that breaks a rule. Play with its options repeats it.
 type Finding struct {
 	Options Options `json:"options"`
 	Breach  Breach  `json:"breach"`
 	After   int     `json:"after"` // number of plays until it was found
 }
 
-// Summary is what came of a search.
+// Summary is the result of a search.
 type Summary struct {
 	Plays        int
 	Events       int
@@ -37,8 +37,8 @@
 	}
 }
 
-// Search plays one schedule of faults after another, on all cores, until a number of them was
-// played, a rule was broken, or the context ends. Each play lasts for a virtual time.
+// Search plays schedules of faults concurrently on all cores until maxPlays were played, a rule was
+// broken, or the context ends. Each play lasts for duration in virtual time.
 func Search(ctx context.Context, seed uint64, maxPlays int, duration time.Duration) Summary {
 	summary := Summary{Faults: map[string]int{}}
 	start := time.Now()
@@ -54,7 +54,7 @@
 
 // optionsOf returns the options of the nth play of a search.
 func optionsOf(seed uint64, n int, duration time.Duration) Options {
-	const seedStride = 1_000_003 // prime: searches with near seeds play different schedules
+	const seedStride = 1_000_003 // prime; searches with close seeds play different schedules
 	return Options{
 		Seed:     seed*seedStride + uint64(n),
 		Voters:   3 + 2*(n%3),
--- a/sim/election/size_test.go
+++ b/sim/election/size_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Up to seven voters and 300 clients with faults, in virtual time. A search plays many smaller
+// Three and seven voters with 300 members break no rule under faults. A search plays many smaller
 // fleets.
 func TestThreeHundredClients(t *testing.T) {
 	for _, voters := range []int{3, 7} {
--- a/sim/election/statemachines.go
+++ b/sim/election/statemachines.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// wordList is a state machine that keeps words, each once, and shows the checker what is applied.
+// wordList is a state machine that keeps words, each once, and reports applied words to the checker.
 type wordList struct {
 	voter *voter
 	words []string
@@ -52,7 +52,7 @@
 // Snapshot returns the words as JSON.
 func (l *wordList) Snapshot() []byte { return mustjson.Marshal(l.words) }
 
-// Restore replaces the words by those of a snapshot.
+// Restore replaces the words with those of a snapshot.
 func (l *wordList) Restore(snapshot []byte) error {
 	l.words = nil
 	err := json.Unmarshal(snapshot, &l.words)
@@ -63,7 +63,7 @@
 	return err
 }
 
-// observedCheckpoint is the state machine of checkpoints, which shows the checker what is applied.
+// observedCheckpoint is the state machine of checkpoints. It reports applied commands to the checker.
 type observedCheckpoint struct {
 	*checkpoint.Machine
 	voter *voter
--- a/sim/election/voter.go
+++ b/sim/election/voter.go
@@ -17,24 +17,24 @@
 	syncTime  = 300 * time.Microsecond // of a voter's disk, with the write
 )
 
-// voter is one voter: the node and its driver, which package replica has for a real disk.
+// voter is one voter: the node and its driver. Package replica has the driver for a real disk.
 type voter struct {
 	process       *process
 	number        uint64
 	disk          disk
-	olderCopy     *consensus.StoredState // of the disk; nil: none was made
+	olderCopy     *consensus.StoredState // copy of the disk; nil: none was made
 	node          *consensus.Node
 	stateMachines map[string]consensus.StateMachine
 	verification  *consensus.Verification
 	started       bool
-	rejection     string // why it takes no part; "": it was not rejected
+	rejection     string // why it must not vote; "": it was not rejected
 
 	storedSnapshotIndex uint64
-	extraSyncTime       time.Duration // a fault of the disk
-	slowSync            bool          // it waits for a sync with that fault
+	extraSyncTime       time.Duration // added by a fault of the disk
+	slowSync            bool          // a sync with that fault is in progress
 }
 
-// start opens the node with what is stored, and begins the verification.
+// start opens the node with the stored state, and begins the verification.
 func (v *voter) start() {
 	w := v.process.world
 	v.stateMachines = newStateMachines(v)
@@ -61,7 +61,7 @@
 	v.verify()
 }
 
-// verify asks the other voters what was promised to them.
+// verify queries the promises that the other voters have from this one.
 func (v *voter) verify() {
 	w := v.process.world
 	for _, other := range w.voters() {
@@ -82,7 +82,8 @@
 	}
 }
 
-// tick does what is due at each tick of the voter's clock.
+// tick runs at each tick of the voter's clock. It ticks the node, or continues the verification until
+// the node may start.
 func (v *voter) tick() {
 	v.process.after(tickInterval, v.tick)
 	if v.started {
@@ -103,7 +104,7 @@
 	}
 }
 
-// processReady writes what the node has ready, and continues when the disk has it.
+// processReady writes the state that the node has ready, and continues when the write has ended.
 func (v *voter) processReady() {
 	p := v.process
 	if v.node == nil || !v.started || p.writing {
@@ -132,14 +133,14 @@
 		written := func() { v.written(ready) }
 		if p.suspended {
 			p.inbox = append([]func(){written}, p.inbox...)
-			p.writing = false // from now on it waits because it is suspended
+			p.writing = false // the process now waits because it is suspended
 			return
 		}
 		written()
 	})
 }
 
-// written continues after what the node had ready was written.
+// written continues after a write of the node's ready state.
 func (v *voter) written(ready consensus.Ready) {
 	p := v.process
 	p.writing = false
@@ -169,7 +170,7 @@
 		return
 	}
 	w.result.Messages++
-	w.result.Bytes += len(m.String()) / 2 // about as long as on the wire
+	w.result.Bytes += len(m.String()) / 2 // approximates the length on the wire
 	to := w.processes[index]
 	w.send(v.process, to, func() {
 		if to.voter.started {
--- a/sim/election/world.go
+++ b/sim/election/world.go
@@ -1,7 +1,7 @@
-// Package election plays voters and members of a fleet in virtual time: the real packages
-// consensus, lease and checkpoint, with links that lose, delay, duplicate and cut, processes that
-// are suspended, die and come back, disks that lose what was not synced, and clocks of different
-// pace. A seed always has the same history.
+// Package election plays voters and members of a fleet in virtual time. It runs the real packages
+// consensus, lease and checkpoint. Links lose, delay and duplicate messages and are cut; processes
+// are suspended, killed and restarted; disks lose data that was not synced; and clocks run at
+// different paces. The same seed always gives the same history.
 package election
 
 import (
@@ -23,7 +23,7 @@
 
 	// rigSeed is the second half of each play's seed.
 	rigSeed = 0x0114e5
-	// minDelay and maxDelay bound the delay of a message, but for World.extraDelay.
+	// minDelay and maxDelay bound the delay of a message, without World.extraDelay.
 	minDelay = 200 * time.Microsecond
 	maxDelay = minDelay + 2*ms
 )
@@ -40,17 +40,17 @@
 	// Faults of the links.
 	cutLinks   map[link]bool
 	lossRate   float64
-	extraDelay time.Duration // at most
-	// noFaultsBefore is until when none is injected.
+	extraDelay time.Duration // added to maxDelay
+	// noFaultsBefore is the time before which no fault is injected.
 	noFaultsBefore time.Duration
 
 	checker checker
 }
 
-// link is a direction between two processes, by their indexes.
+// link is one direction of the connection between two processes, by their indexes.
 type link struct{ from, to int }
 
-// Play plays a world. A panic of what it plays is a breach.
+// Play plays a world. A panic during the play is a breach of RuleNoPanic.
 func Play(options Options) (result Result) {
 	if options.KeepEntries == 0 {
 		options.KeepEntries = defaultKeepEntries
@@ -84,7 +84,7 @@
 	return w.result
 }
 
-// addProcesses makes the voters, whose storage is bootstrapped, and the members.
+// addProcesses adds the voters, with bootstrapped storage, and the members.
 func (w *World) addProcesses() {
 	var voters []*controlpb.Voter
 	for i := range w.options.Voters {
@@ -95,7 +95,7 @@
 		p := &process{
 			world: w,
 			index: i,
-			// Any two clocks go at paces that the clock-drift bound covers.
+			// The paces of any two clocks differ by no more than the clock-drift bound.
 			clockPace:   0.945 + 0.115*w.random.Float64(),
 			clockOffset: time.Duration(w.random.Int64N(int64(time.Hour))),
 		}
@@ -132,10 +132,11 @@
 	}
 }
 
-// schedule has something happen after a while.
+// schedule calls run after a delay in virtual time.
 func (w *World) schedule(after time.Duration, run func()) { w.events.push(w.now+after, run) }
 
-// send has something happen at another process, if the link lets it through.
+// send calls run at another process after a delay, unless the link loses the message. Some messages
+// arrive twice.
 func (w *World) send(from, to *process, run func()) {
 	path := link{from.index, to.index}
 	if w.cutLinks[path] || w.random.Float64() < w.lossRate {
@@ -149,7 +150,7 @@
 		incarnation := to.incarnation
 		delay := minDelay + time.Duration(w.random.Int64N(int64(maxDelay-minDelay+w.extraDelay)))
 		w.schedule(delay, func() {
-			// A link that was cut meanwhile loses what is in flight.
+			// A link that is cut when a message is due loses the message.
 			if !w.cutLinks[path] {
 				to.run(incarnation, run)
 			}
@@ -157,21 +158,21 @@
 	}
 }
 
-// breach records the first rule that is broken.
+// breach records a broken rule. Only the first one is kept.
 func (w *World) breach(rule, format string, arguments ...any) {
 	if w.result.Breach == nil {
 		w.result.Breach = &Breach{rule, fmt.Sprintf(format, arguments...), w.now.String()}
 	}
 }
 
-// event is something that happens at a time.
+// event is a call at a point in virtual time.
 type event struct {
 	at    time.Duration
-	order uint64 // of events at the same time
+	order uint64 // orders events at the same time
 	run   func()
 }
 
-// eventQueue is the events to come, in their order.
+// eventQueue has the scheduled events in order of time.
 type eventQueue struct {
 	heap      eventHeap
 	lastOrder uint64
