--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// saveSnapshot stores the state. Later starts can restore it.
+// saveSnapshot stores the state, which each later start can restore.
 func (g *gateway) saveSnapshot() {
 	s := g.module.TakeSnapshot(g.now(), false)
 	g.snapshot = &s
--- a/sim/options.go
+++ b/sim/options.go
@@ -71,7 +71,7 @@
 	case o.Spread < 0:
 		return fmt.Errorf("spread %d: must be at least 0", o.Spread)
 	case o.MessageLoss > 1 || !(o.MessageDuplication >= 0 && o.MessageDuplication <= 1):
-		return fmt.Errorf("notes lost %g, twice %g: must be at most 1, and between 0 and 1",
+		return fmt.Errorf("notes lost %g: must be at most 1; twice %g: must be between 0 and 1",
 			o.MessageLoss, o.MessageDuplication)
 	case !(o.Surge == 0 || o.Surge >= 1 && o.Surge <= 100):
 		return fmt.Errorf("surge %g: must be 0 or between 1 and 100", o.Surge)
--- a/sim/schedule.go
+++ b/sim/schedule.go
@@ -134,7 +134,7 @@
 		Shift:       time.Duration(1+r.IntN(8)) * time.Second,
 		Snapshots:   r.IntN(2) == 0,
 		Unsafe:      r.IntN(3) == 0}}
-	if r.IntN(4) == 0 { // a wide set, with a home
+	if r.IntN(4) == 0 { // sets of gateways large enough for a home gateway
 		s.Gateways = 9 + r.IntN(4)
 		s.Spread = s.Gateways
 	}
--- a/sim/search.go
+++ b/sim/search.go
@@ -48,8 +48,8 @@
 	return "", "", w.states(), nil
 }
 
-// states returns the sorted different ways in which tries ended, each alone and with the faults at
-// that time. They guide the search.
+// states returns the sorted different ways in which tries ended, each alone and with each fault
+// at that time. They guide the search.
 func (w *World) states() []string {
 	attempts := map[string]int{}
 	for _, a := range w.Record.Attempts {
