--- a/cmd/lab/budgetsearch.go
+++ b/cmd/lab/budgetsearch.go
@@ -14,37 +14,39 @@
 	"mothcleat/sim/allocation"
 )
 
-// The commands that play the division of budgets in virtual time.
+// The commands in this file run the division of budgets in virtual time.
 
-// budgetFinding is a play that broke a rule, as the summary of a run has it.
+// budgetFinding is a play that broke a rule, in the form that the summary of a run contains.
 type budgetFinding struct {
 	Rule string             `json:"rule"`
 	What string             `json:"what"`
 	Play allocation.Finding `json:"play"`
 }
 
-// addBudgetFinding adds a finding to a summary, and prints the command that plays it alone.
-func (b *bench) addBudgetFinding(summary *harness.Summary, f allocation.Finding) budgetFinding {
+// addBudgetFinding adds a finding to a summary, and prints the command that reproduces it.
+func (b *builder) addBudgetFinding(summary *harness.Summary, f allocation.Finding) budgetFinding {
 	summary.Broken[harness.Rule(f.Breach.What)]++
 	summary.AddFailure(f.Breach.What + ": " + f.Breach.How)
-	fmt.Fprintf(b.progress, "%s: %s at %s\nplay it again with: lab budgetplay --seed %d "+
+	fmt.Fprintf(b.progress, "%s: %s at %s\nreproduce with: lab budgetplay --seed %d "+
 		"--members %d --budgets %d\n", f.Breach.What, f.Breach.How, f.Breach.At, f.Seed, f.Members,
 		f.Budgets)
 	return budgetFinding{f.Breach.What, f.Breach.How + " at " + f.Breach.At, f}
 }
 
-// budgetsearch looks for faults by which the allocations of a budget exceed its limit.
-func (b *bench) budgetsearch() *cobra.Command {
-	return b.play(
+// budgetsearch returns the command that searches for faults by which the allocations of a budget
+// exceed its limit.
+func (b *builder) budgetsearch() *cobra.Command {
+	return b.newCommand(
 		"budgetsearch",
-		"looks in virtual time for faults by which parts of a budget pass the whole, and for wrong variants",
+		"searches in virtual time for faults by which allocations of a budget exceed its limit, "+
+			"and tests the search on mutants",
 		30*time.Second,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			f := c.Flags()
-			most := f.Int("schedules", 1_000_000, "so many plays at most")
+			most := f.Int("schedules", 1_000_000, "maximum number of plays")
 			wrong := f.Bool("mutants", true,
-				"search wrong variants as well; needs Go and the sources")
-			plays := f.Int("mutant-schedules", 8000, "so many plays at most for each of them")
+				"also search mutants; needs Go and the sources")
+			plays := f.Int("mutant-schedules", 8000, "maximum number of plays for each mutant")
 			check := func() error {
 				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
 					checkRange("mutant-schedules", *plays, 1, 10_000_000))
@@ -63,8 +65,9 @@
 	)
 }
 
-// searchBudgets plays one schedule after another and sums up what was found.
-func (b *bench) searchBudgets(ctx context.Context, seed uint64, maxPlays int) *harness.Summary {
+// searchBudgets runs up to maxPlays schedules, one after another, and returns a summary of the
+// findings.
+func (b *builder) searchBudgets(ctx context.Context, seed uint64, maxPlays int) *harness.Summary {
 	found := allocation.Search(ctx, seed, maxPlays)
 	summary := harness.NewSummary("budgetsearch", seed)
 	summary.Seconds = found.Took.Seconds()
@@ -80,22 +83,24 @@
 	summary.Extra["events_per_second"] = float64(found.Events) / found.Took.Seconds()
 	for _, kind := range allocation.Kinds {
 		if found.Faults[kind] == 0 {
-			summary.AddFailure("no fault " + kind + ": nothing was shown")
+			summary.AddFailure("no fault " + kind + " occurred: the run shows nothing about it")
 		}
 	}
 	return summary
 }
 
-// budgetplay plays one schedule of budgetsearch by its seed, and can write what happens in it.
-func (b *bench) budgetplay() *cobra.Command {
-	return b.play(
+// budgetplay returns the command that reruns one schedule of budgetsearch by its seed, and can
+// write its events.
+func (b *builder) budgetplay() *cobra.Command {
+	return b.newCommand(
 		"budgetplay",
-		"plays one schedule of budgetsearch, and writes its events to standard error",
+		"reruns one schedule of budgetsearch, and writes its events to standard error",
 		time.Minute, // not used: a play has a fixed length of virtual time
-		func(c *cobra.Command) (func() error, player) {
-			members := c.Flags().Int("members", 2, "that share the budgets, as the finding says")
-			budgets := c.Flags().Int("budgets", 1, "of the play, as the finding says")
-			trace := c.Flags().Bool("trace", true, "write the events")
+		func(c *cobra.Command) (func() error, runFunc) {
+			members := c.Flags().Int("members", 2,
+				"members that share the budgets, from the finding")
+			budgets := c.Flags().Int("budgets", 1, "number of budgets, from the finding")
+			trace := c.Flags().Bool("trace", true, "write the events to standard error")
 			check := func() error {
 				return errors.Join(checkRange("members", *members, 1, 100),
 					checkRange("budgets", *budgets, 1, 100))
--- a/cmd/lab/distributionsearch.go
+++ b/cmd/lab/distributionsearch.go
@@ -12,24 +12,26 @@
 	"mothcleat/sim/distribution"
 )
 
-// distributionsearch looks for faults by which a gateway is given a state that was not agreed, or
-// misses one.
-func (b *bench) distributionsearch() *cobra.Command {
-	return b.play(
+// distributionsearch returns the command that searches for faults by which a gateway receives a
+// state that was not agreed on, or misses one.
+func (b *builder) distributionsearch() *cobra.Command {
+	return b.newCommand(
 		"distributionsearch",
-		"looks in virtual time for faults by which a gateway has a wrong or an old list of servers, and for wrong variants",
+		"searches in virtual time for faults by which a gateway has a wrong or outdated list of "+
+			"servers, and tests the search on mutants",
 		30*time.Second,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			f := c.Flags()
-			most := f.Int("schedules", 1_000_000, "so many plays at most")
+			most := f.Int("schedules", 1_000_000, "maximum number of plays")
 			wrong := f.Bool("mutants", true,
-				"search wrong variants as well; needs Go and the sources")
-			plays := f.Int("mutant-schedules", 400, "so many plays at most for each of them")
+				"also search mutants; needs Go and the sources")
+			plays := f.Int("mutant-schedules", 400, "maximum number of plays for each mutant")
 			check := func() error {
 				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
 					checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+			return check, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := distribution.Search(limited, seed, *most)
@@ -46,7 +48,7 @@
 	)
 }
 
-// distributionFinding is a finding as the search for mutants reads it.
+// distributionFinding is a finding in the JSON form that the search on mutants reads.
 type distributionFinding struct {
 	Rule  string               `json:"rule"`
 	What  string               `json:"what"`
@@ -54,7 +56,7 @@
 	Play  distribution.Finding `json:"play"`
 }
 
-// distributionFigures tells what a search came to.
+// distributionFigures returns the summary of a search.
 func distributionFigures(seed uint64, found *distribution.SearchResult) *harness.Summary {
 	figures := harness.NewSummary("distributionsearch", seed)
 	figures.Seconds = found.Took.Seconds()
@@ -66,13 +68,15 @@
 		figures.Broken[harness.Rule(rule)]++
 		figures.AddFailure(rule + ": " + x.Breach.Detail)
 	}
-	figures.Extra["schedules"], figures.Extra["findings"], figures.Extra["faults"] = found.Plays, findings, found.Faults
+	figures.Extra["schedules"], figures.Extra["findings"] = found.Plays, findings
+	figures.Extra["faults"] = found.Faults
 	figures.Extra["revisions"], figures.Extra["deliveries"] = found.Revisions, found.Delivered
-	figures.Extra["resumes"], figures.Extra["repairs"], figures.Extra["refused"] = found.Resumes, found.Repairs, found.Refused
+	figures.Extra["resumes"], figures.Extra["repairs"] = found.Resumes, found.Repairs
+	figures.Extra["refused"] = found.Refused
 	figures.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 	for _, kind := range distribution.FaultKinds {
 		if found.Faults[kind] == 0 {
-			figures.AddFailure("no fault " + kind + ": nothing was shown")
+			figures.AddFailure("no fault " + kind + " occurred: the run shows nothing about it")
 		}
 	}
 	return figures
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,6 +1,6 @@
-// Command lab runs the project's rigs: the real gateway between stand-ins, on loopback
-// only, and the real decisions in virtual time; an auditor that never asks the gateway
-// judges both.
+// Command lab runs the project's test rigs. Some run the real gateway against stand-ins for
+// clients and servers, on loopback only; others run its decision code in virtual time. An auditor
+// that never queries the gateway judges both.
 package main
 
 import (
@@ -28,32 +28,33 @@
 	os.Exit(code)
 }
 
-// bench is what all commands share: where they write, and how they ended.
-type bench struct {
+// builder creates the commands. They share its output streams and its exit code.
+type builder struct {
 	out, progress io.Writer
 	code          int
 }
 
-// run runs one command and gives the exit code: 0 if every rule and promise was kept,
-// 1 if not, 2 for misuse.
+// run runs one command and returns the exit code: 0 if every rule and promise was kept,
+// 1 if not, 2 for a usage error.
 func run(ctx context.Context, args []string, out, progress io.Writer) (int, error) {
-	b := &bench{out: out, progress: progress}
+	b := &builder{out: out, progress: progress}
 	root := &cobra.Command{
 		Use:   "lab",
-		Short: "Plays gateways between stand-ins and judges the rules",
-		Long: `lab plays gateways against a world of stand-ins and judges the five rules.
+		Short: "Runs gateways against stand-ins and checks the rules",
+		Long: `lab runs gateways against stand-ins, and checks the five rules.
 
 Progress goes to standard error; the last line on standard output is one JSON
-object. Exit code 0: no rule broken and every promise kept; 1: not so; 2: misuse.`,
+object. Exit code 0: no rule broken and every promise kept; 1: a rule or promise
+was broken; 2: usage error.`,
 		SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2,
 		RunE: func(c *cobra.Command, args []string) error {
-			return errors.New("a command is wanted; --help lists them")
+			return errors.New("a command is required; --help lists them")
 		},
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return nil
 			}
-			text := fmt.Sprintf("%q is no command", args[0])
+			text := fmt.Sprintf("%q is not a command", args[0])
 			for i, s := range c.SuggestionsFor(args[0]) {
 				text += map[bool]string{true: "; did you mean ", false: ", "}[i == 0] + s
 			}
@@ -96,25 +97,26 @@
 	return b.code, nil
 }
 
-// play is a command that plays something and prints its figures. make adds the command's
-// own flags and returns what checks them and what plays.
-func (b *bench) play(
+// newCommand returns a command that runs a rig and prints its summary. configure adds the
+// command's own flags, and returns the function that checks them and the one that runs the rig.
+func (b *builder) newCommand(
 	name, short string,
-	usual time.Duration,
-	make func(c *cobra.Command) (check func() error, play func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error)),
+	defaultLength time.Duration,
+	configure func(c *cobra.Command) (check func() error, run runFunc),
 ) *cobra.Command {
-	c := &cobra.Command{Use: name, Short: short, Args: none}
-	seed := c.Flags().Uint64("seed", 1, "which world is drawn, and what happens in it")
-	length := c.Flags().Duration("for", usual, "how long clients ask, 1s to 24h")
-	check, play := make(c)
+	c := &cobra.Command{Use: name, Short: short, Args: noArgs}
+	seed := c.Flags().Uint64("seed", 1,
+		"seed of the random draws: the setup and the events of the run")
+	length := c.Flags().Duration("for", defaultLength, "how long clients send requests, 1s to 24h")
+	check, run := configure(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *length < time.Second || *length > 24*time.Hour {
-			return fmt.Errorf("--for %v: from 1s to 24h wanted", *length)
+			return fmt.Errorf("--for %v: must be between 1s and 24h", *length)
 		}
 		if err := check(); err != nil {
 			return err
 		}
-		f, err := play(c.Context(), *seed, *length)
+		f, err := run(c.Context(), *seed, *length)
 		if f == nil {
 			f = harness.FailedRun(name, *seed, err)
 		} else if err != nil {
@@ -129,19 +131,21 @@
 	return c
 }
 
-func none(_ *cobra.Command, args []string) error {
+// noArgs returns an error if a command was given positional arguments.
+func noArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return fmt.Errorf("%q is too much", args[0])
+		return fmt.Errorf("unexpected argument %q", args[0])
 	}
 	return nil
 }
 
-func anything() error { return nil }
+// noCheck is the check of commands without flags of their own.
+func noCheck() error { return nil }
 
-// checkRange checks a number given by a flag.
+// checkRange returns an error if x, the value of the flag, is outside minimum to maximum.
 func checkRange[T int | float64](flag string, x, minimum, maximum T) error {
 	if !(x >= minimum && x <= maximum) {
-		return fmt.Errorf("--%s %v: from %v to %v wanted", flag, x, minimum, maximum)
+		return fmt.Errorf("--%s %v: must be between %v and %v", flag, x, minimum, maximum)
 	}
 	return nil
 }
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// Misuse ends with code 2 and one line that says what was wrong.
+// A usage error ends with code 2 and one line that says what was wrong.
 func TestMisuse(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
-		{"", "a command is wanted"}, {"nothing", "no command"}, {"try --for 1ms", "--for 1ms"}, {"try --seed x", "seed"},
-		{"try more", "too much"}, {"fleet --instances 0", "--instances 0"}, {"fleet --state maybe", "--state maybe"},
+		{"", "a command is required"}, {"nothing", "not a command"}, {"try --for 1ms", "--for 1ms"}, {"try --seed x", "seed"},
+		{"try more", "unexpected argument"}, {"fleet --instances 0", "--instances 0"}, {"fleet --state maybe", "--state maybe"},
 		{"fleet --load 0", "--load 0"}, {"flet", "did you mean fleet"}, {"sim --gateways 0", "0 gateways"}, {"sim --loss 2", "lost 2"},
-		{"quota --sizes 0", "--sizes 0"}, {"search --schedules 0", "--schedules 0"}, {"experiment", "a file is wanted"}, {"plot nothing.toml", "nothing.toml"},
+		{"quota --sizes 0", "--sizes 0"}, {"search --schedules 0", "--schedules 0"}, {"experiment", "a file is required"}, {"plot nothing.toml", "nothing.toml"},
 		{"sim --gateway 3", "gateway"}, {"fleet --in-place --whole", "exclude"}, {"fleet --nothing", "nothing"},
 	} {
 		var out bytes.Buffer
@@ -37,7 +37,7 @@
 	}
 }
 
-// lab scale plays the path of the list of servers that the program has, unless another is asked for.
+// By default, lab scale distributes the list of servers by the same path as the program.
 func TestScalePlaysTheProgramsPath(t *testing.T) {
 	var out bytes.Buffer
 	code, err := run(t.Context(), []string{"scale", "--help"}, &out, io.Discard)
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -13,10 +13,10 @@
 	"mothcleat/internal/testing/scale"
 )
 
-const hollowCommand = "scale-hollow"
+const simulatedGatewaysCommand = "scale-hollow"
 
-// scale measures what a large fleet asks of its control plane.
-func (b *bench) scale() *cobra.Command {
+// scale returns the command that measures the load of a large fleet on its control plane.
+func (b *builder) scale() *cobra.Command {
 	var o scale.Options
 	var roles, path, into, faults string
 	var ladders []string
@@ -24,64 +24,65 @@
 	var benchmarks, pageAt string
 	c := &cobra.Command{
 		Use:   "scale",
-		Short: "hollow gateways before real control processes: what a large fleet asks of them, by role",
-		Args:  none,
+		Short: "load of a large fleet on real control processes, by role, with simulated gateways",
+		Args:  noArgs,
 	}
 	f := c.Flags()
-	f.Uint64Var(&o.Seed, "seed", 1, "which world is drawn, and what happens in it")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the random draws: the setup and the events of the run")
 	f.DurationVar(
 		&o.For,
 		"for",
 		20*time.Second,
 		"how long changes are made and measured, 1s to 10m",
 	)
-	f.IntVar(&o.Gateways, "gateways", 120, "hollow gateways")
-	f.IntVar(&o.Servers, "servers", 1000, "servers in the register")
-	f.IntVar(&o.Tenants, "tenants", 6000, "tenants with a plan each")
-	f.IntVar(&o.Control, "control", scale.DesignControl, "control processes: 1, 3, 5 or 7")
+	f.IntVar(&o.Gateways, "gateways", 120, "number of simulated gateways")
+	f.IntVar(&o.Servers, "servers", 1000, "number of servers in the register")
+	f.IntVar(&o.Tenants, "tenants", 6000, "number of tenants, each with its own plan")
+	f.IntVar(&o.Control, "control", scale.DesignControl,
+		"number of control processes: 1, 3, 5 or 7")
 	f.IntVar(&o.RealGateways, "real-gateways", 2,
-		"gateways that serve requests beside the hollow ones, 0 to 8")
+		"real gateways that serve requests beside the simulated ones, 0 to 8")
 	f.Float64Var(&o.ReplacementsPerSecond, "replacements", 0.3,
-		"servers drained, added anew and taken away, a second")
-	f.IntVar(&o.RackSize, "rack", 0, "servers that go at once in the middle of the run")
-	f.IntVar(&o.Versions, "versions", 1, "versions of the plans proposed in the run")
+		"servers per second that are drained, replaced and removed")
+	f.IntVar(&o.RackSize, "rack", 0, "servers that are removed at once in the middle of the run")
+	f.IntVar(&o.Versions, "versions", 1, "versions of the plans that are proposed in the run")
 	f.BoolVar(
 		&o.BaseVersion,
 		"base-version",
 		false,
-		"a version of the plans is in force everywhere before the run",
+		"bring a version of the plans into force everywhere before the run",
 	)
-	f.IntVar(&o.PerProcess, "per-process", 0, "hollow gateways in one process; 0: 62")
+	f.IntVar(&o.PerProcess, "per-process", 0, "simulated gateways in one process; 0: 62")
 	f.DurationVar(
 		&o.Tick,
 		"tick",
 		0,
-		"the pace of the control processes' log; 0: the program's, which a crowded machine can't keep",
+		"tick of the control processes' log; 0: the program's, too short for an overloaded machine",
 	)
-	f.DurationVar(&o.Span, "span", 0, "how long an owner's right lasts; 0: the program's")
+	f.DurationVar(&o.Span, "span", 0, "duration of an owner's lease; 0: the program's")
 	f.StringVar(
 		&faults,
 		"faults",
 		"",
-		"injected one after another, spread over the run: some of stop,kill,leader,gateways",
+		"faults injected one after another over the run: some of stop,kill,leader,gateways",
 	)
 	f.StringVar(&roles, "roles", "all",
-		"what is switched on: all, none, or some of list,configuration,allocation,metering")
+		"roles that are enabled: all, none, or some of list,configuration,allocation,metering")
 	f.StringVar(&path, "path", string(scale.PathDelta),
-		"how the list of servers travels: delta as in the program, wholelist for the baseline, or both")
+		"distribution of the list of servers: delta (the program's), wholelist (baseline) or both")
 	f.BoolVar(&slopes, "slopes", false,
-		"play the ladders of sizes in place of one run, and fit the slopes")
-	f.StringSliceVar(&ladders, "ladder", nil, "with --slopes: these ladders only")
+		"run the series of sizes instead of one run, and fit the slopes")
+	f.StringSliceVar(&ladders, "ladder", nil, "with --slopes: run only these series")
 	f.StringVar(&into, "into", "docs/capacity.json",
-		"the file of JSON that takes in the ladders, or with --keep the run")
-	f.BoolVar(&keep, "keep", false, "put the run's result into the file")
+		"JSON file that stores the series, or with --keep the run")
+	f.BoolVar(&keep, "keep", false, "store the run's result in the file of --into")
 	f.BoolVar(&page, "page", false,
-		"play nothing: work out the tables of the page from the file of --into, and put them in")
-	f.StringVar(&pageAt, "page-at", "docs/CAPACITY.md", "the page")
+		"run nothing: compute the tables from the file of --into, and write them to the page")
+	f.StringVar(&pageAt, "page-at", "docs/CAPACITY.md", "path of the page that --page updates")
 	f.StringVar(&benchmarks, "benchmarks", "",
-		"play nothing: a file that go test -bench has printed goes into the file of --into")
-	f.StringVar(&o.Bin, "bin", "", "the gateway's program; empty: it is built")
-	f.StringVar(&o.Logs, "logs", "", "a folder for the processes' logs")
+		"run nothing: read this output of go test -bench, and store it in the file of --into")
+	f.StringVar(&o.Bin, "bin", "", "the gateway's binary; empty: build it")
+	f.StringVar(&o.Logs, "logs", "", "folder for the processes' logs")
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
 		switch {
 		case page:
@@ -95,7 +96,7 @@
 		if o.Faults, err = scale.ParseFaults(faults); err != nil {
 			return err
 		}
-		if o.Self, err = scale.SelfCommand(hollowCommand); err != nil {
+		if o.Self, err = scale.SelfCommand(simulatedGatewaysCommand); err != nil {
 			return err
 		}
 		if slopes {
@@ -113,8 +114,9 @@
 	return c
 }
 
-// playScale plays one run for each path, and prints the result of each as a line.
-func (b *bench) playScale(
+// playScale makes one run for each path. It prints the result of a single path as one line, and
+// the results of several paths as one JSON object keyed by path.
+func (b *builder) playScale(
 	ctx context.Context,
 	o scale.Options,
 	paths []scale.Path,
@@ -151,8 +153,8 @@
 	return err
 }
 
-// playLadders plays ladders of sizes, and prints the slopes.
-func (b *bench) playLadders(
+// playLadders runs series of increasing sizes, and prints the slopes.
+func (b *builder) playLadders(
 	ctx context.Context,
 	o *scale.Options,
 	names []string,
@@ -188,7 +190,7 @@
 	return nil
 }
 
-// takeBenchmarks puts what benchmarks have printed into the file.
+// takeBenchmarks reads the benchmark output in the file printed, and stores it in the file into.
 func takeBenchmarks(printed, into string) error {
 	f, err := os.Open(printed)
 	if err != nil {
@@ -207,14 +209,14 @@
 	return c.Write(into)
 }
 
-// scaleHollow runs hollow gateways, for scale.
-func (b *bench) scaleHollow() *cobra.Command {
-	return &cobra.Command{Use: hollowCommand, Hidden: true, Args: none, RunE: func(c *cobra.Command,
-		_ []string) error {
-		err := scale.RunHollow(c.Context(), os.Stdin, b.out)
-		if errors.Is(err, context.Canceled) {
-			return nil
-		}
-		return err
-	}}
+// scaleHollow returns the hidden command that runs simulated gateways for the command scale.
+func (b *builder) scaleHollow() *cobra.Command {
+	return &cobra.Command{Use: simulatedGatewaysCommand, Hidden: true, Args: noArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			err := scale.RunHollow(c.Context(), os.Stdin, b.out)
+			if errors.Is(err, context.Canceled) {
+				return nil
+			}
+			return err
+		}}
 }
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -14,10 +14,10 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// coresPerSoakRun is how many cores one run of a soak keeps busy at times.
+// coresPerSoakRun is the number of cores that one soak run keeps busy at its peaks.
 const coresPerSoakRun = 2
 
-// soakFlags are the settings of the command soak.
+// soakFlags holds the flags of the command soak.
 type soakFlags struct {
 	seeds      int
 	from       uint64
@@ -27,22 +27,23 @@
 	bin        string
 }
 
-// soak plays run after run of restarts, hand-overs and signals in series, each by its seed.
-func (b *bench) soak() *cobra.Command {
+// soak returns the command that runs one soak for each seed: restarts, hand-overs and series of
+// signals.
+func (b *builder) soak() *cobra.Command {
 	var flags soakFlags
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "restarts, hand-overs, signals in series, crowds and pauses under load, seed after seed",
-		Args:  none,
+		Short: "restarts, hand-overs, series of signals, crowds and pauses under load, by seed",
+		Args:  noArgs,
 	}
 	f := c.Flags()
-	f.IntVar(&flags.seeds, "seeds", 50, "so many runs")
-	f.Uint64Var(&flags.from, "from", 1, "the first run's seed; the others follow")
-	f.DurationVar(&flags.length, "for", 18*time.Second, "how long clients ask in a run")
+	f.IntVar(&flags.seeds, "seeds", 50, "number of runs")
+	f.Uint64Var(&flags.from, "from", 1, "seed of the first run; each further run adds 1")
+	f.DurationVar(&flags.length, "for", 18*time.Second, "how long clients send requests in a run")
 	f.IntVar(&flags.sideBySide, "side-by-side", max(1, runtime.NumCPU()/coresPerSoakRun),
-		"runs at once")
-	f.StringVar(&flags.keep, "keep", "", "a folder for the traces of runs that fail")
-	f.StringVar(&flags.bin, "bin", "", "the gateway's program; empty: it is built")
+		"number of concurrent runs")
+	f.StringVar(&flags.keep, "keep", "", "folder for the traces of failed runs")
+	f.StringVar(&flags.bin, "bin", "", "the gateway's binary; empty: build it")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		for _, err := range []error{
 			checkRange("seeds", flags.seeds, 1, 100_000),
@@ -58,8 +59,8 @@
 	return c
 }
 
-// runSoak plays all seeds, some at once, and prints a line for each and a summary of all.
-func (b *bench) runSoak(ctx context.Context, flags soakFlags) error {
+// runSoak runs all seeds, several concurrently, and prints a line for each and a summary of all.
+func (b *builder) runSoak(ctx context.Context, flags soakFlags) error {
 	if flags.bin == "" {
 		bin, remove, err := lab.BuildInTempDir(ctx)
 		if err != nil {
@@ -71,7 +72,7 @@
 	total := harness.NewSummary("soak", flags.from)
 	total.Extra["seeds"] = flags.seeds
 	total.Extra["side_by_side"] = flags.sideBySide
-	did := map[string]int{}
+	actions := map[string]int{}
 	var failed []uint64
 	began := time.Now()
 	var mu sync.Mutex
@@ -93,7 +94,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			b.printSoakRun(one, flags)
-			addSoakRun(total, one, did)
+			addSoakRun(total, one, actions)
 			if !one.OK {
 				failed = append(failed, seed)
 			}
@@ -102,7 +103,7 @@
 	wg.Wait()
 	total.Seconds = time.Since(began).Seconds()
 	total.Extra["failed_seeds"] = failed
-	total.Extra["done"] = did
+	total.Extra["done"] = actions
 	fmt.Fprintln(b.out, total.Line())
 	if !total.OK {
 		b.code = 1
@@ -110,13 +111,14 @@
 	return nil
 }
 
-// printSoakRun prints the line of one run, and for one that fails the command that repeats it.
-func (b *bench) printSoakRun(one *harness.Summary, flags soakFlags) {
+// printSoakRun prints the line of one run and, for a failed run, the command that reproduces it.
+func (b *builder) printSoakRun(one *harness.Summary, flags soakFlags) {
 	verdict := "ok"
 	if !one.OK {
 		verdict = "FAILED"
 	}
-	fmt.Fprintf(b.progress, "seed %d: %s, %d asked, %d taken, %d answered once, %d killed, done %v\n",
+	fmt.Fprintf(b.progress,
+		"seed %d: %s, %d requests, %d accepted, %d answered once, %d killed, actions %v\n",
 		one.Seed, verdict, one.Requests, one.Taken, one.Once, one.Killed, one.Extra["done"])
 	if one.OK {
 		return
@@ -124,12 +126,12 @@
 	for _, why := range one.Why {
 		fmt.Fprintf(b.progress, "  %s\n", why)
 	}
-	fmt.Fprintf(b.progress, "  repeat it with: lab soak --seeds 1 --from %d --for %v --keep DIR\n",
+	fmt.Fprintf(b.progress, "  reproduce with: lab soak --seeds 1 --from %d --for %v --keep DIR\n",
 		one.Seed, flags.length)
 }
 
-// addSoakRun adds a run's figures to those of all.
-func addSoakRun(total, one *harness.Summary, did map[string]int) {
+// addSoakRun adds the figures of one run to the totals, and its actions to the counts in actions.
+func addSoakRun(total, one *harness.Summary, actions map[string]int) {
 	for rule, n := range one.Broken {
 		total.Broken[rule] += n
 	}
@@ -141,7 +143,7 @@
 	total.Crossed += one.Crossed
 	if done, ok := one.Extra["done"].(map[string]int); ok {
 		for what, n := range done {
-			did[what] += n
+			actions[what] += n
 		}
 	}
 	if !one.OK {
--- a/cmd/lab/store.go
+++ b/cmd/lab/store.go
@@ -12,26 +12,28 @@
 	"mothcleat/internal/testing/storetest"
 )
 
-// The commands that try the embedded store.
+// The commands in this file test the embedded store.
 
-func (b *bench) store() *cobra.Command {
-	return b.play(
+func (b *builder) store() *cobra.Command {
+	return b.newCommand(
 		"store",
-		"the embedded store: crashed after every operation, cut and changed at every byte, killed while it writes",
+		"the embedded store: crashed after every operation, truncated and corrupted at every "+
+			"byte, killed while it writes",
 		time.Minute,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			batches := c.Flags().Int("batches", 40,
-				"that are crashed and damaged, 24 to 400; the time grows with the square")
+				"batches to crash and damage, 24 to 400; the run time grows with the square")
 			check := func() error { return checkRange("batches", *batches, 24, 400) }
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+			return check, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				return b.runStore(ctx, seed, length, *batches)
 			}
 		},
 	)
 }
 
-// runStore plays whole rounds of crashes and damage for half of the time, and kills for the rest.
-func (b *bench) runStore(
+// runStore runs whole rounds of crashes and damage for half of the time, and kills for the rest.
+func (b *builder) runStore(
 	ctx context.Context, seed uint64, length time.Duration, batches int,
 ) (*harness.Summary, error) {
 	f, began := harness.NewSummary("store", seed), time.Now()
@@ -51,7 +53,7 @@
 				return nil, err
 			}
 			sum.Add(t)
-			fmt.Fprintf(b.progress, "seed %d: %d opened, %d refused, %d not as promised\n",
+			fmt.Fprintf(b.progress, "seed %d: %d opened, %d refused, %d broke a promise\n",
 				seed+uint64(rounds), t.Opened, t.Refused, t.Bad())
 		}
 	}
@@ -85,8 +87,8 @@
 	return f, nil
 }
 
-// storeWriter is the process that the store's trial kills.
-func (b *bench) storeWriter() *cobra.Command {
+// storeWriter returns the command of the process that the store rig kills.
+func (b *builder) storeWriter() *cobra.Command {
 	return &cobra.Command{Use: "store-writer DIR", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return storetest.Write(args[0], b.out)
--- a/cmd/lab/virtual.go
+++ b/cmd/lab/virtual.go
@@ -21,42 +21,44 @@
 	"mothcleat/sim/election"
 )
 
-// The commands that play the real decisions in virtual time.
+// The commands in this file run the real decision code in virtual time.
 
-func (b *bench) sim() *cobra.Command {
-	return b.play(
+func (b *builder) sim() *cobra.Command {
+	return b.newCommand(
 		"sim",
-		"a fleet in virtual time: the real decisions, all else modelled",
+		"a fleet in virtual time: the real decision code, everything else modelled",
 		time.Minute,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			o, f := sim.Options{}, c.Flags()
-			f.IntVar(&o.Gateways, "gateways", 40, "of the fleet")
-			f.IntVar(&o.Servers, "servers", 12, "quote servers")
+			f.IntVar(&o.Gateways, "gateways", 40, "number of gateways")
+			f.IntVar(&o.Servers, "servers", 12, "number of quote servers")
 			f.Float64Var(&o.Load, "load", 0.55,
-				"part of what the servers can do that is asked inside the quotas")
+				"load inside the quotas, as a fraction of the servers' capacity")
 			f.Float64Var(&o.PerSecond, "per-second", 0,
-				"requests a second inside the quotas: work is made lighter or heavier for it")
+				"requests per second inside the quotas; the work per request is scaled to fit")
 			f.IntVar(&o.Customers, "customers", 0,
-				"about so many: plans are made larger or smaller for it")
+				"approximate number of customers; the plans are scaled to fit")
 			f.IntVar(&o.Spread, "spread", 0,
-				"gateways that every customer comes through; 0: 2 to 4, as drawn")
+				"number of gateways that each customer uses; 0: drawn, 2 to 4")
 			f.Float64Var(&o.Surge, "surge", 0,
-				"one plan's customers ask for so many times more in the middle third")
+				"factor on the requests of one plan's customers in the middle third")
 			f.Float64Var(&o.MessageLoss, "loss", -1,
-				"part of the notes between gateways that is lost; -1: as drawn")
-			f.DurationVar(&o.MessageDelay, "late", 0, "how much later than usual notes come")
-			f.Float64Var(&o.MessageDuplication, "twice", 0, "part of the notes that come twice")
+				"fraction of the notes between gateways that is lost; -1: drawn")
+			f.DurationVar(&o.MessageDelay, "late", 0, "additional delay of the notes")
+			f.Float64Var(&o.MessageDuplication, "twice", 0,
+				"fraction of the notes that is delivered twice")
 			f.DurationVar(&o.Shift, "shift", 0,
-				"how often a customer's busiest gateway changes; 0: 15s")
-			f.DurationVar(&o.Kills, "kills", 0, "a gateway is killed each so often")
+				"interval at which a customer's busiest gateway changes; 0: 15s")
+			f.DurationVar(&o.Kills, "kills", 0, "interval at which a gateway is killed")
 			f.DurationVar(&o.Restarts, "restarts", 0,
-				"a server ends, and comes back cold, each so often")
+				"interval at which a server exits and restarts cold")
 			f.BoolVar(&o.Snapshots, "state", false,
-				"gateways keep their state, and killed ones come back with it")
+				"gateways persist their state, and restore it after a kill")
 			world := f.String(
 				"world",
 				"",
-				"a file with a schedule as the search prints it, - for standard input; all other flags are passed over",
+				"file with a schedule as the search prints it, - for standard input; "+
+					"all other flags are ignored",
 			)
 			check := func() error {
 				if *world != "" {
@@ -66,7 +68,8 @@
 				t.Seed, t.Duration = 1, time.Second
 				return t.Check()
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+			return check, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				o.Seed, o.Duration = seed, length
 				if *world != "" {
 					s, err := readSchedule(*world)
@@ -95,22 +98,23 @@
 	return sim.ParseSchedule(raw)
 }
 
-func (b *bench) search() *cobra.Command {
-	return b.play(
+func (b *builder) search() *cobra.Command {
+	return b.newCommand(
 		"search",
-		"looks for schedules of faults that break a rule, and shows on mutants that it can find them",
+		"searches for schedules of faults that break a rule, and tests the search on mutants",
 		30*time.Second,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			f := c.Flags()
-			most := f.Int("schedules", 1_000_000, "so many at most")
+			most := f.Int("schedules", 1_000_000, "maximum number of schedules")
 			wrong := f.Bool("mutants", true,
-				"search wrong variants of the decisions as well; needs Go and the sources")
-			each := f.Int("mutant-schedules", 1500, "so many at most for each of them")
+				"also search mutants of the decision code; needs Go and the sources")
+			each := f.Int("mutant-schedules", 1500, "maximum number of schedules for each mutant")
 			check := func() error {
 				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
 					checkRange("mutant-schedules", *each, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+			return check, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				began := time.Now()
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
@@ -129,7 +133,7 @@
 					fig.AddFailure(x.Rule + ": " + x.Detail)
 					fmt.Fprintf(
 						b.progress,
-						"%s: %s\nplay it again with: lab sim --world - <<< '%s'\n",
+						"%s: %s\nreproduce with: lab sim --world - <<< '%s'\n",
 						x.Rule,
 						x.Detail,
 						x.Schedule,
@@ -146,25 +150,28 @@
 	)
 }
 
-// ownersearch looks for what breaks the promises of what the fleet agrees on.
-func (b *bench) ownersearch() *cobra.Command {
-	return b.play(
+// ownersearch returns the command that searches for faults that break what the fleet's voters and
+// owners promise.
+func (b *builder) ownersearch() *cobra.Command {
+	return b.newCommand(
 		"ownersearch",
-		"looks in virtual time for faults that break what a fleet's voters and owners promise, and for wrong variants",
+		"searches in virtual time for faults that break what a fleet's voters and owners "+
+			"promise, and tests the search on mutants",
 		30*time.Second,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			f := c.Flags()
-			most := f.Int("schedules", 1_000_000, "so many plays at most")
-			each := f.Duration("each", 15*time.Second, "virtual time of a play, 1s to 10m")
+			most := f.Int("schedules", 1_000_000, "maximum number of plays")
+			each := f.Duration("each", 15*time.Second, "virtual time of one play, 1s to 10m")
 			wrong := f.Bool("mutants", true,
-				"search wrong variants as well; needs Go and the sources")
-			plays := f.Int("mutant-schedules", 3000, "so many plays at most for each of them")
+				"also search mutants; needs Go and the sources")
+			plays := f.Int("mutant-schedules", 3000, "maximum number of plays for each mutant")
 			check := func() error {
 				return errors.Join(checkRange("schedules", *most, 1,
 					100_000_000), checkRange("mutant-schedules", *plays, 1, 10_000_000),
 					checkRange("each", each.Seconds(), 1, 600))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+			return check, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := election.Search(limited, seed, *most, *each)
@@ -181,18 +188,20 @@
 					all = append(
 						all,
 						finding{
-							x.Breach.Rule, x.Breach.Detail + " at " + x.Breach.At, x.After, x.Options,
+							x.Breach.Rule, x.Breach.Detail + " at " + x.Breach.At, x.After,
+							x.Options,
 						},
 					)
 					fig.Broken[harness.Rule(x.Breach.Rule)]++
 					fig.AddFailure(x.Breach.Rule + ": " + x.Breach.Detail)
 				}
-				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"], fig.Extra["acknowledged"] = found.Plays, all, found.Faults, found.Acknowledged
+				fig.Extra["schedules"], fig.Extra["findings"] = found.Plays, all
+				fig.Extra["faults"], fig.Extra["acknowledged"] = found.Faults, found.Acknowledged
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Elapsed.Seconds()
 				fig.Extra["events_per_second"] = float64(found.Events) / found.Elapsed.Seconds()
 				for _, k := range election.Kinds {
 					if found.Faults[k] == 0 {
-						fig.AddFailure("no " + k + ": nothing was shown")
+						fig.AddFailure("no " + k + " occurred: the run shows nothing about it")
 					}
 				}
 				if *wrong {
@@ -206,23 +215,25 @@
 	)
 }
 
-// auditsearch looks for acts on versions that nobody is to act on.
-func (b *bench) auditsearch() *cobra.Command {
-	return b.play(
+// auditsearch returns the command that searches for gateways that act on a withdrawn version.
+func (b *builder) auditsearch() *cobra.Command {
+	return b.newCommand(
 		"auditsearch",
-		"looks in virtual time for faults by which a gateway acts on what was withdrawn, and for wrong variants",
+		"searches in virtual time for faults by which a gateway acts on a withdrawn version, "+
+			"and tests the search on mutants",
 		30*time.Second,
-		func(c *cobra.Command) (func() error, player) {
+		func(c *cobra.Command) (func() error, runFunc) {
 			f := c.Flags()
-			most := f.Int("schedules", 1_000_000, "so many plays at most")
+			most := f.Int("schedules", 1_000_000, "maximum number of plays")
 			wrong := f.Bool("mutants", true,
-				"search wrong variants as well; needs Go and the sources")
-			plays := f.Int("mutant-schedules", 2000, "so many plays at most for each of them")
+				"also search mutants; needs Go and the sources")
+			plays := f.Int("mutant-schedules", 2000, "maximum number of plays for each mutant")
 			check := func() error {
 				return errors.Join(checkRange("schedules", *most, 1, 100_000_000),
 					checkRange("mutant-schedules", *plays, 1, 10_000_000))
 			}
-			return check, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+			return check, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				limited, cancel := context.WithTimeout(ctx, length)
 				defer cancel()
 				found := configversion.Search(limited, seed, *most)
@@ -241,12 +252,15 @@
 					fig.Broken[harness.Rule(x.Breach.What)]++
 					fig.AddFailure(x.Breach.What + ": " + x.Breach.How)
 				}
-				fig.Extra["schedules"], fig.Extra["findings"], fig.Extra["faults"] = found.Plays, all, found.Faults
-				fig.Extra["acts"], fig.Extra["rollouts"], fig.Extra["withdrawn"], fig.Extra["shut_out"] = found.Operations, found.RollOuts, found.Withdrawn, found.Outs
+				fig.Extra["schedules"], fig.Extra["findings"] = found.Plays, all
+				fig.Extra["faults"] = found.Faults
+				fig.Extra["acts"], fig.Extra["rollouts"] = found.Operations, found.RollOuts
+				fig.Extra["withdrawn"], fig.Extra["shut_out"] = found.Withdrawn, found.Outs
 				fig.Extra["schedules_per_second"] = float64(found.Plays) / found.Took.Seconds()
 				for _, k := range configversion.Kinds {
 					if found.Faults[k] == 0 {
-						fig.AddFailure("no fault " + k + ": nothing was shown")
+						fig.AddFailure("no fault " + k +
+							" occurred: the run shows nothing about it")
 					}
 				}
 				if *wrong {
@@ -260,8 +274,9 @@
 	)
 }
 
-// mutants adds to the figures what the search makes of wrong variants.
-func (b *bench) mutants(
+// mutants runs the search on each mutant and adds the results to the summary. A mutant that is not
+// found is a failure.
+func (b *builder) mutants(
 	ctx context.Context,
 	f *harness.Summary,
 	list func() ([]mutants.Mutant, error),
@@ -291,11 +306,11 @@
 	return nil
 }
 
-func (b *bench) experiment() *cobra.Command {
+func (b *builder) experiment() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "experiment FILE.toml",
-		Short: "plays a sweep in the emulator, paired by seed; one that was interrupted goes on where it was",
-		Args:  one("a file"),
+		Short: "runs a sweep in the emulator, paired by seed; an interrupted sweep resumes",
+		Args:  oneArg("a file"),
 	}
 	out := c.Flags().String("out", "results", "folder for the results, NAME.jsonl")
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -317,11 +332,11 @@
 	return c
 }
 
-func (b *bench) plot() *cobra.Command {
+func (b *builder) plot() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "plot FILE.toml",
 		Short: "draws an experiment's results as PNG and SVG",
-		Args:  one("a file"),
+		Args:  oneArg("a file"),
 	}
 	from := c.Flags().String("results", "results", "folder with the results, NAME.jsonl")
 	to := c.Flags().String("out", "plots", "folder for the plots")
@@ -335,7 +350,7 @@
 			return err
 		}
 		if len(rows) == 0 {
-			return fmt.Errorf("no results in %s: play the experiment first", *from)
+			return fmt.Errorf("no results in %s: run the experiment first", *from)
 		}
 		if err := os.MkdirAll(*to, 0o755); err != nil {
 			return err
@@ -346,8 +361,8 @@
 	return c
 }
 
-// summary prints what an experiment came to, its last line as JSON.
-func (b *bench) summary(
+// summary prints the results of an experiment; the last line is JSON.
+func (b *builder) summary(
 	f *experiment.File, rows []experiment.Row, why error, files []string,
 ) error {
 	all := f.Summarise(rows)
@@ -380,23 +395,25 @@
 	return nil
 }
 
-func (b *bench) calibrate() *cobra.Command {
-	return b.play(
+func (b *builder) calibrate() *cobra.Command {
+	return b.newCommand(
 		"calibrate",
 		"the same sites, seeds and faults in real processes and in the emulator, side by side",
 		20*time.Second,
-		func(c *cobra.Command) (func() error, player) {
-			return anything, func(ctx context.Context, seed uint64, length time.Duration) (*harness.Summary, error) {
+		func(c *cobra.Command) (func() error, runFunc) {
+			return noCheck, func(ctx context.Context, seed uint64,
+				length time.Duration) (*harness.Summary, error) {
 				return calibrate.Run(ctx, seed, length, b.progress)
 			}
 		},
 	)
 }
 
-func one(what string) cobra.PositionalArgs {
+// oneArg returns a check that a command has exactly one positional argument.
+func oneArg(what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != 1 {
-			return fmt.Errorf("%s is wanted, %d given", what, len(args))
+			return fmt.Errorf("%s is required, %d arguments given", what, len(args))
 		}
 		return nil
 	}
