--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -19,7 +19,7 @@
 func (b *builder) scale() *cobra.Command {
 	var o scale.Options
 	var roles, path, into, faults string
-	var ladders []string
+	var seriesNames []string
 	var slopes, keep, page bool
 	var benchmarks, pageAt string
 	c := &cobra.Command{
@@ -72,7 +72,7 @@
 		"distribution of the list of servers: delta (the program's), wholelist (baseline) or both")
 	f.BoolVar(&slopes, "slopes", false,
 		"run the series of sizes instead of one run, and fit the slopes")
-	f.StringSliceVar(&ladders, "ladder", nil, "with --slopes: run only these series")
+	f.StringSliceVar(&seriesNames, "ladder", nil, "with --slopes: run only these series")
 	f.StringVar(&into, "into", "docs/capacity.json",
 		"JSON file that stores the series, or with --keep the run")
 	f.BoolVar(&keep, "keep", false, "store the run's result in the file of --into")
@@ -100,7 +100,7 @@
 			return err
 		}
 		if slopes {
-			return b.playLadders(c.Context(), &o, ladders, into)
+			return b.runSeries(c.Context(), &o, seriesNames, into)
 		}
 		paths := []scale.Path{scale.Path(path)}
 		if path == "both" {
@@ -109,14 +109,14 @@
 		if !keep {
 			into = ""
 		}
-		return b.playScale(c.Context(), o, paths, into)
+		return b.runScale(c.Context(), o, paths, into)
 	}
 	return c
 }
 
-// playScale makes one run for each path. It prints the result of a single path as one line, and
+// runScale makes one run for each path. It prints the result of a single path as one line, and
 // the results of several paths as one JSON object keyed by path.
-func (b *builder) playScale(
+func (b *builder) runScale(
 	ctx context.Context,
 	o scale.Options,
 	paths []scale.Path,
@@ -153,15 +153,15 @@
 	return err
 }
 
-// playLadders runs series of increasing sizes, and prints the slopes.
-func (b *builder) playLadders(
+// runSeries runs series of increasing sizes, and prints the slopes.
+func (b *builder) runSeries(
 	ctx context.Context,
 	o *scale.Options,
 	names []string,
 	into string,
 ) error {
 	if len(names) == 0 {
-		for _, l := range scale.Ladders() {
+		for _, l := range scale.AllSeries() {
 			names = append(names, l.Name)
 		}
 	}
@@ -170,7 +170,7 @@
 		return err
 	}
 	for _, name := range names {
-		steps, err := scale.RunLadder(ctx, name, o.Seed, o.Bin, o.Self, b.progress)
+		steps, err := scale.RunSeries(ctx, name, o.Seed, o.Bin, o.Self, b.progress)
 		if err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 func (b *builder) scaleHollow() *cobra.Command {
 	return &cobra.Command{Use: simulatedGatewaysCommand, Hidden: true, Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			err := scale.RunHollow(c.Context(), os.Stdin, b.out)
+			err := scale.RunSimulatedGateways(c.Context(), os.Stdin, b.out)
 			if errors.Is(err, context.Canceled) {
 				return nil
 			}
--- a/internal/testing/scale/capacity.go
+++ b/internal/testing/scale/capacity.go
@@ -50,7 +50,7 @@
 func (c *Capacity) Take(name string, steps []Step) {
 	c.Steps = slices.DeleteFunc(
 		c.Steps,
-		func(s Step) bool { return s.Ladder == name && s.Trial == "" },
+		func(s Step) bool { return s.Series == name && s.Trial == "" },
 	)
 	c.Steps = append(c.Steps, steps...)
 }
--- a/internal/testing/scale/children.go
+++ b/internal/testing/scale/children.go
@@ -31,7 +31,7 @@
 func startChild(line []string) (c *child, err error) {
 	c = &child{command: exec.Command(line[0], line[1:]...)}
 	c.command.Stderr = &c.errs
-	c.command.Env = append(os.Environ(), hollowEnvironment)
+	c.command.Env = append(os.Environ(), simulatedEnvironment)
 	c.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if c.in, err = c.command.StdinPipe(); err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 }
 
 // hollowEnvironment tells the program of a test that it is to run hollow gateways.
-const hollowEnvironment = "MOTHCLEAT_HOLLOW=1"
+const simulatedEnvironment = "MOTHCLEAT_HOLLOW=1"
 
 // send writes a line.
 func (c *child) send(line []byte) error {
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -30,11 +30,11 @@
 
 // control is the processes of the program that vote and hold all duties.
 type control struct {
-	world    *lab.World
-	options  *Options
-	register *Register
-	own      []string // where each listens for the fleet
-	exports  string
+	world     *lab.World
+	options   *Options
+	register  *Register
+	addresses []string // where each listens for the fleet
+	exports   string
 }
 
 func controlName(i int) string { return fmt.Sprintf("%s%d", controlNames, i) }
@@ -51,7 +51,7 @@
 
 // prepare writes a voter's operators' file and founds its folder.
 func (c *control) prepare(w *lab.World, g *lab.Gateway) error {
-	if c.own == nil {
+	if c.addresses == nil {
 		c.exports = filepath.Join(w.Dir, "exports")
 		if err := os.MkdirAll(c.exports, 0o700); err != nil {
 			return err
@@ -61,12 +61,12 @@
 			if err != nil {
 				return err
 			}
-			c.own = append(c.own, own)
+			c.addresses = append(c.addresses, own)
 		}
 	}
 	if err := os.WriteFile(
 		filepath.Join(g.Dir(), "operators.toml"),
-		[]byte(c.operators(c.own[g.Number],
+		[]byte(c.operators(c.addresses[g.Number],
 			true)),
 		0o600,
 	); err != nil {
@@ -96,7 +96,7 @@
 	fmt.Fprintf(&b, "[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\n", fleetName,
 		listen)
 	var voters, owners []string
-	for i, own := range c.own {
+	for i, own := range c.addresses {
 		voters = append(voters, fmt.Sprintf("{ name = %q, address = %q }", controlName(i), own))
 		owners = append(owners, fmt.Sprintf("%q", controlName(i)))
 	}
@@ -114,7 +114,7 @@
 		fmt.Fprintf(&b, "span = %q\n", c.options.Span)
 	}
 	if parts.Metering {
-		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
+		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, meteringPeriod)
 	}
 	if parts.List && control && c.options.Path == PathDelta {
 		fmt.Fprintf(&b, "watch = true\nsilent = %q\n", silenceTimeout)
@@ -130,7 +130,7 @@
 
 // voters are the founding voters.
 func (c *control) voters() (all []*controlpb.Voter) {
-	for i, own := range c.own {
+	for i, own := range c.addresses {
 		all = append(
 			all,
 			&controlpb.Voter{Number: replica.BootstrapNumber(fleetName, controlName(i)),
@@ -142,7 +142,7 @@
 
 // owners are the names of all who may hold duties.
 func (c *control) owners() (all []string) {
-	for i := range c.own {
+	for i := range c.addresses {
 		all = append(all, controlName(i))
 	}
 	return all
@@ -155,7 +155,7 @@
 
 // leader is which control process leads the log; -1: none says so.
 func (c *control) leader() int {
-	for i := range c.own {
+	for i := range c.addresses {
 		var here controlplane.LocalStatus
 		if c.call(i, "here", &here) == nil && here.Leads {
 			return i
@@ -175,7 +175,7 @@
 
 // terms is the sum of all duties' terms: it grows by one with each change of an owner.
 // ok is false where nobody tells.
-func (c *control) terms() (sum int, ok bool) {
+func (c *control) termSum() (sum int, ok bool) {
 	var v lease.View
 	if c.call(max(0, c.leader()), "owners", &v) != nil {
 		return 0, false
--- a/internal/testing/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -22,7 +22,7 @@
 }
 
 func tenantSpread(tenant uint64) int {
-	return minTenantSpread + int(mix(tenant)>>40%tenantSpreadVary)
+	return minTenantSpread + int(mix(tenant)>>40%tenantSpreadRange)
 }
 
 // mix spreads numbers evenly.
@@ -39,12 +39,12 @@
 }
 
 // demand asks for units as a gateway's requests do.
-func (g *hollowGateway) demand(ctx context.Context) {
+func (g *simulatedGateway) demand(ctx context.Context) {
 	if len(g.tenants) == 0 {
 		return
 	}
 	r := rand.New(rand.NewPCG(g.process.config.Seed, uint64(g.number)))
-	tick := time.NewTicker(demandEvery)
+	tick := time.NewTicker(demandInterval)
 	defer tick.Stop()
 	startDelay, request := r.Float64(), uint64(0)
 	for {
@@ -53,7 +53,7 @@
 			return
 		case <-tick.C:
 		}
-		startDelay += g.process.config.RequestsPerGateway * demandEvery.Seconds()
+		startDelay += g.process.config.RequestsPerGateway * demandInterval.Seconds()
 		for ; startDelay >= 1; startDelay-- {
 			request++
 			g.request(request, g.tenants[r.IntN(len(g.tenants))])
@@ -62,7 +62,7 @@
 }
 
 // request is one request of one unit.
-func (g *hollowGateway) request(id, tenant uint64) {
+func (g *simulatedGateway) request(id, tenant uint64) {
 	g.process.requests.Add(1)
 	allocations := g.node.AllocationClient()
 	if allocations == nil {
@@ -82,7 +82,7 @@
 }
 
 // onDemandGranted is the answer to an asking for units.
-func (g *hollowGateway) onDemandGranted(l gateway.OnDemandReply) {
+func (g *simulatedGateway) onDemandGranted(l gateway.OnDemandReply) {
 	if l.Units < 1 {
 		g.node.Rejected(false)
 		return
@@ -91,7 +91,7 @@
 }
 
 // serve counts a request that a real gateway would have sent on.
-func (g *hollowGateway) serve(tenant uint64) {
+func (g *simulatedGateway) serve(tenant uint64) {
 	g.process.granted.Add(1)
 	g.node.Count(tenant, 1)
 	g.node.Sent(true, 1)
--- a/internal/testing/scale/faults.go
+++ b/internal/testing/scale/faults.go
@@ -26,7 +26,7 @@
 	stopLength = 4 * time.Second
 	downLength = 2 * time.Second
 	// minStretch is how long each stretch of a run has to be: a fault, and what comes after it.
-	minStretch   = 6 * time.Second
+	minInterval  = 6 * time.Second
 	startTimeout = 20 * time.Second // for a process that was killed
 )
 
@@ -47,7 +47,7 @@
 }
 
 // Stretch is a part of a run: from a fault until the next, with the changes that were made in it.
-type Stretch struct {
+type Interval struct {
 	Fault        Fault  `json:"fault"`
 	Target       string `json:"target,omitempty"`    // the process that it befell
 	BeganMS      int64  `json:"began_ms"`            // since the run began
@@ -61,44 +61,44 @@
 
 // injectFaults injects the faults of a run, one in each stretch, and notes when each stretch began.
 // It returns when the context ends and each process that a fault befell runs again.
-func (p *play) injectFaults(ctx context.Context) {
+func (f *fleetRun) injectFaults(ctx context.Context) {
 	began := time.Now()
-	p.stretches = []Stretch{{Fault: Undisturbed, began: began}}
-	length := p.options.For / time.Duration(len(p.options.Faults)+1)
-	for i, fault := range p.options.Faults {
-		if !pass(ctx, time.Until(began.Add(length*time.Duration(i+1)))) {
+	f.intervals = []Interval{{Fault: Undisturbed, began: began}}
+	length := f.options.For / time.Duration(len(f.options.Faults)+1)
+	for i, fault := range f.options.Faults {
+		if !sleep(ctx, time.Until(began.Add(length*time.Duration(i+1)))) {
 			return
 		}
-		s := Stretch{Fault: fault, began: time.Now(), BeganMS: time.Since(began).Milliseconds()}
-		fmt.Fprintf(p.log, "fault %s after %v\n", fault, time.Since(began).Round(time.Millisecond))
-		target, err := p.inject(ctx, fault)
+		s := Interval{Fault: fault, began: time.Now(), BeganMS: time.Since(began).Milliseconds()}
+		fmt.Fprintf(f.log, "fault %s after %v\n", fault, time.Since(began).Round(time.Millisecond))
+		target, err := f.inject(ctx, fault)
 		s.Target, s.Recovered = target, err == nil
 		if err != nil {
 			s.Failed = err.Error()
-			fmt.Fprintln(p.log, "fault", fault, "failed:", err)
+			fmt.Fprintln(f.log, "fault", fault, "failed:", err)
 		}
-		p.stretches = append(p.stretches, s)
+		f.intervals = append(f.intervals, s)
 	}
 }
 
 // inject injects a fault, waits for its length and ends it. It returns the name of the process that
 // it befell.
-func (p *play) inject(ctx context.Context, fault Fault) (target string, err error) {
+func (f *fleetRun) inject(ctx context.Context, fault Fault) (target string, err error) {
 	if fault == FaultGateways {
-		return "the first process of hollow gateways", p.children[0].pause(ctx)
+		return "the first process of hollow gateways", f.children[0].pause(ctx)
 	}
-	leader := p.control.leader()
+	leader := f.control.leader()
 	if leader < 0 {
 		return "", errors.New("no control process says that it leads")
 	}
 	at := leader
 	if fault != FaultLeader {
-		at = (leader + 1) % p.options.Control
+		at = (leader + 1) % f.options.Control
 	}
 	if fault == FaultStop {
-		return controlName(at), p.control.pause(ctx, at)
+		return controlName(at), f.control.pause(ctx, at)
 	}
-	return controlName(at), p.control.restart(ctx, at)
+	return controlName(at), f.control.restart(ctx, at)
 }
 
 // pause stops a control process for stopLength.
@@ -107,7 +107,7 @@
 	if err := g.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	pass(ctx, stopLength)
+	sleep(ctx, stopLength)
 	return g.Signal(syscall.SIGCONT)
 }
 
@@ -123,7 +123,7 @@
 	if err := g.WaitForExit(starting); err != nil {
 		return err
 	}
-	pass(ctx, downLength)
+	sleep(ctx, downLength)
 	return c.world.Start(starting, g)
 }
 
@@ -132,15 +132,15 @@
 	if err := c.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	pass(ctx, stopLength)
+	sleep(ctx, stopLength)
 	return c.command.Process.Signal(syscall.SIGCONT)
 }
 
 // stretchOf is the stretch in which a change was made; nil where the run has none.
-func (p *play) stretchOf(at time.Time) *Stretch {
-	for i := range slices.Backward(p.stretches) {
-		if !at.Before(p.stretches[i].began) {
-			return &p.stretches[i]
+func (f *fleetRun) intervalOf(at time.Time) *Interval {
+	for i := range slices.Backward(f.intervals) {
+		if !at.Before(f.intervals[i].began) {
+			return &f.intervals[i]
 		}
 	}
 	return nil
--- a/internal/testing/scale/faults_test.go
+++ b/internal/testing/scale/faults_test.go
@@ -16,7 +16,7 @@
 	}
 	t.Parallel()
 	o := tiny()
-	o.Path, o.For, o.RackSize, o.Versions, o.BaseVersion = PathDelta, 3*minStretch, 0, 3, true
+	o.Path, o.For, o.RackSize, o.Versions, o.BaseVersion = PathDelta, 3*minInterval, 0, 3, true
 	o.Parts = Parts{List: true, Configuration: true}
 	o.ReplacementsPerSecond = 2
 	o.Faults = []Fault{FaultLeader, FaultGateways}
@@ -29,10 +29,10 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log.String())
 	}
-	if len(r.Stretches) != 3 || r.Stretches[0].Fault != Undisturbed {
-		t.Fatalf("%+v", r.Stretches)
+	if len(r.Intervals) != 3 || r.Intervals[0].Fault != Undisturbed {
+		t.Fatalf("%+v", r.Intervals)
 	}
-	for i, s := range r.Stretches {
+	for i, s := range r.Intervals {
 		if s.Failed != "" || i > 0 && (!s.Recovered || s.Target == "") || s.InForce.Count == 0 {
 			t.Errorf("%+v", s)
 		}
@@ -45,18 +45,18 @@
 // A change counts to the stretch in which it was made.
 func TestAChangeCountsToItsStretch(t *testing.T) {
 	began := time.Now()
-	p := &play{
-		stretches: []Stretch{
+	p := &fleetRun{
+		intervals: []Interval{
 			{Fault: Undisturbed, began: began},
 			{Fault: FaultKill, began: began.Add(time.Second)},
 		},
 	}
 	for after, want := range map[time.Duration]Fault{0: Undisturbed, time.Second - 1: Undisturbed, time.Second: FaultKill, time.Hour: FaultKill} {
-		if s := p.stretchOf(began.Add(after)); s == nil || s.Fault != want {
+		if s := p.intervalOf(began.Add(after)); s == nil || s.Fault != want {
 			t.Errorf("after %v: %+v, %s wanted", after, s, want)
 		}
 	}
-	if s := (&play{}).stretchOf(began); s != nil {
+	if s := (&fleetRun{}).intervalOf(began); s != nil {
 		t.Errorf("a run without faults: %+v", s)
 	}
 }
@@ -73,7 +73,7 @@
 		t.Error(err)
 	}
 	o := tiny()
-	o.Faults, o.For = []Fault{FaultStop}, minStretch
+	o.Faults, o.For = []Fault{FaultStop}, minInterval
 	if err := o.Check(); err == nil || !strings.Contains(err.Error(), "--faults") {
 		t.Error(err)
 	}
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -28,7 +28,7 @@
 )
 
 // HollowConfig is what a process of hollow gateways is told, as one line of JSON.
-type HollowConfig struct {
+type ProcessConfig struct {
 	Fleet              string             `json:"fleet"`
 	Voters             []*controlpb.Voter `json:"voters"`
 	Owners             []string           `json:"owners"`
@@ -65,10 +65,10 @@
 	Servers int    `json:"servers"`
 	Digest  uint64 `json:"digest"`
 	// when it first had a whole list, Unix time in nanoseconds; 0: not yet
-	Current int64  `json:"current"`
-	Version uint64 `json:"version"` // of the plans that is in force
-	Acts    bool   `json:"acts"`    // it may act on them
-	Stale   int    `json:"stale"`   // times that its state's digest was not the agreed one
+	CurrentAt  int64  `json:"current"`
+	Version    uint64 `json:"version"` // of the plans that is in force
+	MayOperate bool   `json:"acts"`    // it may act on them
+	Stale      int    `json:"stale"`   // times that its state's digest was not the agreed one
 }
 
 // Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those
@@ -89,10 +89,10 @@
 }
 
 // hollowProcess is the gateways of one process.
-type hollowProcess struct {
-	config    HollowConfig
+type simulatedProcess struct {
+	config    ProcessConfig
 	meter     *Meter
-	gateways  []*hollowGateway
+	gateways  []*simulatedGateway
 	requests  atomic.Int64
 	granted   atomic.Int64
 	fallbacks atomic.Int64
@@ -102,8 +102,8 @@
 }
 
 // hollowGateway is one gateway without its request path.
-type hollowGateway struct {
-	process *hollowProcess
+type simulatedGateway struct {
+	process *simulatedProcess
 	number  int
 	node    *controlplane.Node
 	tenants []uint64
@@ -119,13 +119,13 @@
 // RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The
 // first line of its input is a
 // HollowConfig, each further one a command.
-func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
+func RunSimulatedGateways(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
 		return fmt.Errorf("hollow gateways: no configuration: %w", err)
 	}
-	p := &hollowProcess{meter: NewMeter()}
+	p := &simulatedProcess{meter: NewMeter()}
 	if err := json.Unmarshal(first, &p.config); err != nil {
 		return fmt.Errorf("hollow gateways: %w", err)
 	}
@@ -152,7 +152,7 @@
 }
 
 // start has all gateways take part.
-func (p *hollowProcess) start(ctx context.Context) error {
+func (p *simulatedProcess) start(ctx context.Context) error {
 	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(file, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	for i := range p.config.Count {
-		g := &hollowGateway{process: p, number: p.config.First + i, servers: map[string]uint64{}}
+		g := &simulatedGateway{process: p, number: p.config.First + i, servers: map[string]uint64{}}
 		if err := g.start(ctx, log); err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func (p *hollowProcess) close() {
+func (p *simulatedProcess) close() {
 	var wg sync.WaitGroup
 	for _, g := range p.gateways {
 		wg.Add(1)
@@ -187,13 +187,13 @@
 }
 
 // arrived takes note of a change that has come to a gateway.
-func (p *hollowProcess) arrived(a Arrival) {
+func (p *simulatedProcess) recordArrival(a Arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.arrivals = append(p.arrivals, a)
 }
 
-func (p *hollowProcess) sample() (*Sample, error) {
+func (p *simulatedProcess) sample() (*Sample, error) {
 	usage, err := UsageOf(os.Getpid())
 	if err != nil {
 		return nil, err
@@ -214,28 +214,28 @@
 }
 
 // hollowName names a hollow gateway.
-func hollowName(number int) string { return fmt.Sprintf("h%d", number) }
+func simulatedName(number int) string { return fmt.Sprintf("h%d", number) }
 
 const (
 	leaseTTL       = time.Second
 	leaseOffer     = 500 * time.Millisecond
 	clockMargin    = 0.125
-	usePeriod      = 5 * time.Second
+	meteringPeriod = 5 * time.Second
 	silenceTimeout = time.Second
 )
 
 // start has the gateway take part in its fleet.
-func (g *hollowGateway) start(ctx context.Context, log *slog.Logger) error {
+func (g *simulatedGateway) start(ctx context.Context, log *slog.Logger) error {
 	c := &g.process.config
 	address, err := listenAddress(g.number)
 	if err != nil {
 		return err
 	}
-	settings := controlplane.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
-		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
+	settings := controlplane.Config{Fleet: c.Fleet, ID: simulatedName(g.number), Listen: address,
+		Dir: filepath.Join(c.Dir, simulatedName(g.number)), Voters: c.Voters,
 		Candidates: c.Owners, LeaseConfig: lease.Config{TTL: leaseTTL, ClockDriftBound: clockMargin,
-			OfferTTL: leaseOffer}, MeteringPeriod: usePeriod, SourceTimeout: silenceTimeout,
-		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
+			OfferTTL: leaseOffer}, MeteringPeriod: meteringPeriod, SourceTimeout: silenceTimeout,
+		Log: log.With("gateway", simulatedName(g.number)), Observer: g.process.meter.Observer()}
 	if c.Parts.Metering {
 		settings.ExportShards = 1
 	}
@@ -276,18 +276,18 @@
 // port while a gateway is not
 // there yet.
 const (
-	hollowPort       = 7400
-	hollowHostsFirst = 16 // second byte of their addresses, and how many values it takes
-	hollowHosts      = 32
-	hostsOfNetwork   = 250
+	simulatedPort       = 7400
+	simulatedHostsFirst = 16 // second byte of their addresses, and how many values it takes
+	simulatedHosts      = 32
+	hostsOfNetwork      = 250
 )
 
 // listenAddress is a free address for a gateway.
 func listenAddress(number int) (string, error) {
 	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", hollowHostsFirst+pid%hollowHosts,
-		pid/hollowHosts%hostsOfNetwork, 1+number%hostsOfNetwork)
-	for port := hollowPort; port < hollowPort+hostsOfNetwork; port++ {
+	host := fmt.Sprintf("127.%d.%d.%d", simulatedHostsFirst+pid%simulatedHosts,
+		pid/simulatedHosts%hostsOfNetwork, 1+number%hostsOfNetwork)
+	for port := simulatedPort; port < simulatedPort+hostsOfNetwork; port++ {
 		l, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
 		if err == nil {
 			return l.Addr().String(), l.Close()
@@ -306,7 +306,7 @@
 func (noRegister) Move(string)                                      {}
 
 // receive takes in news of the servers.
-func (g *hollowGateway) receive(n registry.Update) {
+func (g *simulatedGateway) receive(n registry.Update) {
 	now := time.Now().UnixNano()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -331,7 +331,7 @@
 }
 
 // put takes in a server's phase. The lock is held.
-func (g *hollowGateway) put(id, phase, address string, now int64) {
+func (g *simulatedGateway) put(id, phase, address string, now int64) {
 	was, there := g.servers[id]
 	hash := uint64(0)
 	if phase != registry.Gone {
@@ -345,16 +345,16 @@
 		g.servers[id] = hash
 	}
 	if g.current != 0 && (there || hash != 0) {
-		g.process.arrived(Arrival{Gateway: g.number, Server: id, Phase: phase, At: now})
+		g.process.recordArrival(Arrival{Gateway: g.number, Server: id, Phase: phase, At: now})
 	}
 }
 
 // CheckCatalog finds every version of the plans good; see planconfig.Terms.
-func (g *hollowGateway) CheckCatalog(*plans.Catalog) error { return nil }
+func (g *simulatedGateway) CheckCatalog(*plans.Catalog) error { return nil }
 
 // UseCatalogs puts a version in force at once, and keeps it like a real gateway; see
 // planconfig.Terms.
-func (g *hollowGateway) UseCatalogs(
+func (g *simulatedGateway) UseCatalogs(
 	book *plans.Catalog, _ []*plans.Catalog, order uint64, done func(),
 ) {
 	done()
@@ -364,11 +364,11 @@
 	g.book, g.version = book, number
 	g.mu.Unlock()
 	if new {
-		g.process.arrived(Arrival{Gateway: g.number, Version: number, At: time.Now().UnixNano()})
+		g.process.recordArrival(Arrival{Gateway: g.number, Version: number, At: time.Now().UnixNano()})
 	}
 }
 
-func (g *hollowGateway) state() GatewayState {
+func (g *simulatedGateway) state() GatewayState {
 	mayOperate := true
 	if a := g.node.RolloutAgent(); a != nil {
 		until, _ := a.Current()
@@ -380,14 +380,14 @@
 	if replica := g.node.DistributionStatus().Replica; replica != nil {
 		stale = int(replica.Counts.Divergences)
 	}
-	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current,
-		Version: g.version, Acts: mayOperate}
+	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, CurrentAt: g.current,
+		Version: g.version, MayOperate: mayOperate}
 }
 
 // A tenant comes through two to four gateways.
 const (
-	minTenantSpread  = 2
-	tenantSpreadVary = 3
+	minTenantSpread   = 2
+	tenantSpreadRange = 3
 )
 
-const demandEvery = 50 * time.Millisecond
+const demandInterval = 50 * time.Millisecond
--- a/internal/testing/scale/ladder.go
+++ b/internal/testing/scale/ladder.go
@@ -9,14 +9,14 @@
 
 // Ladder is a number of plays that differ in one size, with everything off but the role that is
 // measured.
-type Ladder struct {
+type Series struct {
 	Name  string
 	Steps []Options
 }
 
 // Step is a ladder's play that was made.
 type Step struct {
-	Ladder string  `json:"ladder"`
+	Series string  `json:"ladder"`
 	Result *Result `json:"result"`
 	Trial  string  `json:"trial,omitempty"` // why it is kept as a trial only, and in no slope; "": it is none
 }
@@ -28,7 +28,7 @@
 	switch {
 	case s.Trial != "":
 		return s.Trial
-	case r.HerdMilliseconds < 0:
+	case r.StartupMilliseconds < 0:
 		return "not all gateways were current in time"
 	case r.Diverged+r.LostChanges+r.LostVersions > 0:
 		return fmt.Sprintf(
@@ -37,37 +37,37 @@
 			r.LostChanges,
 			r.LostVersions,
 		)
-	case r.DutyChanges > r.Options.Control: // each may have been handed to where it belongs
-		return fmt.Sprintf("%d duties changed hands", r.DutyChanges)
+	case r.OwnerChanges > r.Options.Control: // each may have been handed to where it belongs
+		return fmt.Sprintf("%d duties changed hands", r.OwnerChanges)
 	}
 	return ""
 }
 
 // The ladders.
 const (
-	LadderBase          = "base"           // sessions, leases and the log alone, by gateways
-	LadderListServers   = "list-servers"   // the whole list, by servers
-	LadderListGateways  = "list-gateways"  // the whole list, by gateways
-	LadderDeltaServers  = "delta-servers"  // the list by what changed, by servers
-	LadderDeltaGateways = "delta-gateways" // the same, by gateways
-	LadderDeltaChanges  = "delta-changes"  // the same, by changes a second
-	LadderPlansTenants  = "plans-tenants"  // a version of the plans from nothing, by tenants
-	LadderPlansDelta    = "plans-delta"    // versions of the plans where each gateway has the one before, by tenants
-	LadderLeaseGateways = "permits"        // permits and records, by gateways, without a new version
-	LadderAllocation    = "allocation"     // quotas, by tenants and gateways together
-	LadderMetering      = "metering"       // counted use, by gateways
+	SeriesBase          = "base"           // sessions, leases and the log alone, by gateways
+	SeriesListServers   = "list-servers"   // the whole list, by servers
+	SeriesListGateways  = "list-gateways"  // the whole list, by gateways
+	SeriesDeltaServers  = "delta-servers"  // the list by what changed, by servers
+	SeriesDeltaGateways = "delta-gateways" // the same, by gateways
+	SeriesDeltaChanges  = "delta-changes"  // the same, by changes a second
+	SeriesPlansTenants  = "plans-tenants"  // a version of the plans from nothing, by tenants
+	SeriesPlansDelta    = "plans-delta"    // versions of the plans where each gateway has the one before, by tenants
+	SeriesLeaseGateways = "permits"        // permits and records, by gateways, without a new version
+	SeriesAllocation    = "allocation"     // quotas, by tenants and gateways together
+	SeriesMetering      = "metering"       // counted use, by gateways
 )
 
 const (
-	stepFor            = 10 * time.Second
-	seldomReplacements = 0.2
+	stepDuration       = 10 * time.Second
+	lowReplacements    = 0.2
 	stepReplacements   = 0.5
 	stepGateways       = 40
 	stepServers        = 730
 	stepVersions       = 2 // where each gateway has one before
 	tenantsPerGateway  = DesignTenants / DesignGateways
-	stepTenantsUsually = 600
-	stepServersUsually = 10
+	defaultStepTenants = 600
+	defaultStepServers = 10
 )
 
 // Sizes of the ladders.
@@ -89,25 +89,25 @@
 )
 
 // Ladders are all of them.
-func Ladders() []Ladder {
-	return []Ladder{
-		newLadder(LadderBase, gatewaySizes, gatewaysAre),
-		newLadder(LadderListServers, wholeListSizes, listOn, seldom, serversAre),
-		newLadder(LadderListGateways, gatewaySizes, listOn, seldom, gatewaysAre),
-		newLadder(LadderDeltaServers, serverSizes, listOn, deltaOn, serversAre),
-		newLadder(LadderDeltaGateways, gatewaySizes, listOn, deltaOn, gatewaysAre),
-		newLadder(LadderDeltaChanges, changeSizes, listOn, deltaOn, changesAre),
-		newLadder(LadderPlansTenants, tenantSizes, configurationOn, tenantsAre),
-		newLadder(LadderPlansDelta, tenantSizes, configurationOn, baseVersionOn, tenantsAre),
-		newLadder(
-			LadderLeaseGateways,
+func AllSeries() []Series {
+	return []Series{
+		newSeries(SeriesBase, gatewaySizes, setGateways),
+		newSeries(SeriesListServers, wholeListSizes, enableList, setLowChangeRate, setServers),
+		newSeries(SeriesListGateways, gatewaySizes, enableList, setLowChangeRate, setGateways),
+		newSeries(SeriesDeltaServers, serverSizes, enableList, useDelta, setServers),
+		newSeries(SeriesDeltaGateways, gatewaySizes, enableList, useDelta, setGateways),
+		newSeries(SeriesDeltaChanges, changeSizes, enableList, useDelta, setChangeRate),
+		newSeries(SeriesPlansTenants, tenantSizes, enableConfiguration, setTenants),
+		newSeries(SeriesPlansDelta, tenantSizes, enableConfiguration, enableBaseVersion, setTenants),
+		newSeries(
+			SeriesLeaseGateways,
 			gatewaySizes,
-			versionLeasesOn,
-			gatewaysAre,
-			tenantsByGateways,
+			enableVersionLeases,
+			setGateways,
+			setTenantsByGateways,
 		),
-		newLadder(LadderAllocation, allocationSizes, allocationOn, gatewaysAre, tenantsByGateways),
-		newLadder(LadderMetering, gatewaySizes, meteringOn, gatewaysAre, tenantsByGateways),
+		newSeries(SeriesAllocation, allocationSizes, enableAllocation, setGateways, setTenantsByGateways),
+		newSeries(SeriesMetering, gatewaySizes, enableMetering, setGateways, setTenantsByGateways),
 	}
 }
 
@@ -115,15 +115,15 @@
 type setting func(o *Options, size int)
 
 // newLadder makes a ladder with a step for each size.
-func newLadder(name string, sizes []int, settings ...setting) Ladder {
-	l := Ladder{Name: name}
+func newSeries(name string, sizes []int, settings ...setting) Series {
+	l := Series{Name: name}
 	for _, size := range sizes {
 		o := Options{
 			Gateways: stepGateways,
-			Servers:  stepServersUsually,
-			Tenants:  stepTenantsUsually,
+			Servers:  defaultStepServers,
+			Tenants:  defaultStepTenants,
 			Control:  DesignControl,
-			For:      stepFor,
+			For:      stepDuration,
 			Path:     PathCompleteList,
 		}
 		for _, set := range settings {
@@ -134,52 +134,52 @@
 	return l
 }
 
-func gatewaysAre(o *Options, size int) { o.Gateways = size }
-func serversAre(o *Options, size int)  { o.Servers = size }
-func tenantsAre(o *Options, size int)  { o.Tenants = size }
+func setGateways(o *Options, size int) { o.Gateways = size }
+func setServers(o *Options, size int)  { o.Servers = size }
+func setTenants(o *Options, size int)  { o.Tenants = size }
 
-func changesAre(o *Options, size int) {
+func setChangeRate(o *Options, size int) {
 	o.ReplacementsPerSecond = stepReplacements * float64(size)
 }
 
-func tenantsByGateways(o *Options, _ int) { o.Tenants = o.Gateways * tenantsPerGateway }
+func setTenantsByGateways(o *Options, _ int) { o.Tenants = o.Gateways * tenantsPerGateway }
 
-func listOn(o *Options, _ int) {
+func enableList(o *Options, _ int) {
 	o.Parts.List = true
 	o.Servers = stepServers
 	o.ReplacementsPerSecond = stepReplacements
 }
 
 // seldom has changes come one by one, so that each is fetched by itself.
-func seldom(o *Options, _ int) { o.ReplacementsPerSecond = seldomReplacements }
+func setLowChangeRate(o *Options, _ int) { o.ReplacementsPerSecond = lowReplacements }
 
-func deltaOn(o *Options, _ int) { o.Path = PathDelta }
+func useDelta(o *Options, _ int) { o.Path = PathDelta }
 
-func configurationOn(o *Options, _ int) {
+func enableConfiguration(o *Options, _ int) {
 	o.Parts.Configuration = true
 	o.Versions = 1
 }
 
 // baseVersionOn has all gateways have a version before.
-func baseVersionOn(o *Options, _ int) {
+func enableBaseVersion(o *Options, _ int) {
 	o.BaseVersion = true
 	o.Versions = stepVersions
 }
 
 // versionLeasesOn has requests recorded, and no new version.
-func versionLeasesOn(o *Options, _ int) {
+func enableVersionLeases(o *Options, _ int) {
 	o.Parts.Configuration = true
 	o.Parts.Metering = true
 }
 
-func allocationOn(o *Options, _ int) { o.Parts.Allocation = true }
+func enableAllocation(o *Options, _ int) { o.Parts.Allocation = true }
 
-func meteringOn(o *Options, _ int) { o.Parts.Metering = true }
+func enableMetering(o *Options, _ int) { o.Parts.Metering = true }
 
 // RunLadder plays a ladder's steps one after another.
-func RunLadder(ctx context.Context, name string, seed uint64, bin string, self []string,
+func RunSeries(ctx context.Context, name string, seed uint64, bin string, self []string,
 	log io.Writer) (steps []Step, err error) {
-	for _, l := range Ladders() {
+	for _, l := range AllSeries() {
 		if l.Name != name {
 			continue
 		}
@@ -191,7 +191,7 @@
 			if err != nil {
 				return steps, err
 			}
-			steps = append(steps, Step{Ladder: name, Result: r})
+			steps = append(steps, Step{Series: name, Result: r})
 		}
 		return steps, nil
 	}
--- a/internal/testing/scale/model.go
+++ b/internal/testing/scale/model.go
@@ -56,7 +56,7 @@
 
 // quantity is something that is read from the steps of a ladder, and what it depends on.
 type quantity struct {
-	name, unit, dependsOn, ladder string
+	name, unit, dependsOn, series string
 	x, y                          func(r *Result) float64
 }
 
@@ -102,29 +102,29 @@
 // baseQuantities are those that the others are counted beyond.
 func baseQuantities() []quantity {
 	return []quantity{
-		{SlopeBaseCores, unitCores, byGateways, LadderBase, xGateways,
+		{SlopeBaseCores, unitCores, byGateways, SeriesBase, xGateways,
 			func(r *Result) float64 { return r.Gateway.Cores }},
-		{SlopeBaseMemory, unitMB, byGateways, LadderBase, xGateways,
+		{SlopeBaseMemory, unitMB, byGateways, SeriesBase, xGateways,
 			func(r *Result) float64 { return r.Gateway.ResidentMB }},
-		{SlopeBaseControl, unitCores, byGateways, LadderBase, xGateways,
+		{SlopeBaseControl, unitCores, byGateways, SeriesBase, xGateways,
 			func(r *Result) float64 { return r.ControlCores }},
-		{SlopeControlMemory, unitMB, byGateways, LadderBase, xGateways, controlMemory},
-		{SlopeMembershipBytes, unitBytes, byGateways, LadderBase, xGateways,
+		{SlopeControlMemory, unitMB, byGateways, SeriesBase, xGateways, controlMemory},
+		{SlopeMembershipBytes, unitBytes, byGateways, SeriesBase, xGateways,
 			bytesOf(RoleMembership)},
-		{SlopeMembershipMessages, unitCount, byGateways, LadderBase, xGateways,
+		{SlopeMembershipMessages, unitCount, byGateways, SeriesBase, xGateways,
 			messagesOf(RoleMembership)},
-		{SlopeElectionBytes, unitBytes, byGateways, LadderBase, xGateways, bytesOf(RoleElection)},
+		{SlopeElectionBytes, unitBytes, byGateways, SeriesBase, xGateways, bytesOf(RoleElection)},
 		{
 			SlopeElectionMessages,
 			unitCount,
 			byGateways,
-			LadderBase,
+			SeriesBase,
 			xGateways,
 			messagesOf(RoleElection),
 		},
-		{SlopeLeaseBytes, unitBytes, byGateways, LadderLeaseGateways, xGateways,
+		{SlopeLeaseBytes, unitBytes, byGateways, SeriesLeaseGateways, xGateways,
 			bytesOf(RoleConfiguration)},
-		{SlopeLeaseMessages, unitCount, byGateways, LadderLeaseGateways, xGateways,
+		{SlopeLeaseMessages, unitCount, byGateways, SeriesLeaseGateways, xGateways,
 			messagesOf(RoleConfiguration)},
 	}
 }
@@ -138,22 +138,22 @@
 }
 
 // beyond gives functions for what a play took beyond sessions alone.
-type beyond struct{ base Slopes }
+type aboveBase struct{ base Slopes }
 
-func (b beyond) cores(r *Result) float64 {
+func (b aboveBase) cores(r *Result) float64 {
 	return max(0, r.Gateway.Cores-b.base.at(SlopeBaseCores, xGateways(r)))
 }
 
-func (b beyond) memory(r *Result) float64 {
+func (b aboveBase) memory(r *Result) float64 {
 	return max(0, r.Gateway.ResidentMB-b.base.at(SlopeBaseMemory, xGateways(r)))
 }
 
-func (b beyond) control(r *Result) float64 {
+func (b aboveBase) control(r *Result) float64 {
 	return max(0, r.ControlCores-b.base.at(SlopeBaseControl, xGateways(r)))
 }
 
 // configuration is the bytes of contents, without those of permits.
-func (b beyond) configuration(r *Result) float64 {
+func (b aboveBase) configuration(r *Result) float64 {
 	return max(0, bytesOf(RoleConfiguration)(r)-b.base.at(SlopeLeaseBytes, xGateways(r)))
 }
 
@@ -173,43 +173,43 @@
 
 // roleQuantities are what each role takes beyond sessions alone.
 func roleQuantities(base Slopes) []quantity {
-	b := beyond{base}
+	b := aboveBase{base}
 	return []quantity{
-		{SlopeCompleteListBytes, unitB, byServers, LadderListServers, xServers,
+		{SlopeCompleteListBytes, unitB, byServers, SeriesListServers, xServers,
 			func(r *Result) float64 { return r.BytesPerListChange }},
 		{
 			SlopeCompleteListCores,
 			unitSeconds,
 			byServers,
-			LadderListServers,
+			SeriesListServers,
 			xServers,
 			perChange(b.cores),
 		},
-		{SlopeCompleteListControl, unitSeconds, byServers, LadderListServers, xServers,
+		{SlopeCompleteListControl, unitSeconds, byServers, SeriesListServers, xServers,
 			perGateway(perChange(b.control))},
-		{SlopeCompleteListMemory, unitMB, byServers, LadderListServers, xServers, b.memory},
-		{SlopeDeltaBytes, unitBytes, byChanges, LadderDeltaChanges, xChanges, bytesOf(RoleList)},
+		{SlopeCompleteListMemory, unitMB, byServers, SeriesListServers, xServers, b.memory},
+		{SlopeDeltaBytes, unitBytes, byChanges, SeriesDeltaChanges, xChanges, bytesOf(RoleList)},
 		{
 			SlopeDeltaMessages,
 			unitCount,
 			byChanges,
-			LadderDeltaChanges,
+			SeriesDeltaChanges,
 			xChanges,
 			messagesOf(RoleList),
 		},
-		{SlopeDeltaCores, unitCores, byChanges, LadderDeltaChanges, xChanges, b.cores},
-		{SlopeDeltaChangeBytes, unitB, byServers, LadderDeltaServers, xServers,
+		{SlopeDeltaCores, unitCores, byChanges, SeriesDeltaChanges, xChanges, b.cores},
+		{SlopeDeltaChangeBytes, unitB, byServers, SeriesDeltaServers, xServers,
 			func(r *Result) float64 { return r.BytesPerListChange }},
-		{SlopeDeltaControl, unitSeconds, byGateways, LadderDeltaGateways, xGateways,
+		{SlopeDeltaControl, unitSeconds, byGateways, SeriesDeltaGateways, xGateways,
 			perChange(b.control)},
-		{SlopeDeltaRegister, unitSeconds, byServers, LadderDeltaServers, xServers,
+		{SlopeDeltaRegister, unitSeconds, byServers, SeriesDeltaServers, xServers,
 			perChange(b.control)},
-		{SlopeDeltaMemory, unitMB, byServers, LadderDeltaServers, xServers, b.memory},
+		{SlopeDeltaMemory, unitMB, byServers, SeriesDeltaServers, xServers, b.memory},
 		{
 			SlopeContentBytes,
 			unitB,
 			byTenants,
-			LadderPlansTenants,
+			SeriesPlansTenants,
 			xTenants,
 			perVersion(b.configuration),
 		},
@@ -217,7 +217,7 @@
 			SlopeContentCores,
 			unitSeconds,
 			byTenants,
-			LadderPlansTenants,
+			SeriesPlansTenants,
 			xTenants,
 			perVersion(b.cores),
 		},
@@ -225,7 +225,7 @@
 			SlopeContentControl,
 			unitSeconds,
 			byTenants,
-			LadderPlansTenants,
+			SeriesPlansTenants,
 			xTenants,
 			perVersion(b.control),
 		},
@@ -233,7 +233,7 @@
 			SlopeVersionBytes,
 			unitB,
 			byTenants,
-			LadderPlansDelta,
+			SeriesPlansDelta,
 			xTenants,
 			perVersion(b.configuration),
 		},
@@ -241,7 +241,7 @@
 			SlopeVersionCores,
 			unitSeconds,
 			byTenants,
-			LadderPlansDelta,
+			SeriesPlansDelta,
 			xTenants,
 			perVersion(b.cores),
 		},
@@ -249,40 +249,40 @@
 			SlopeVersionControl,
 			unitSeconds,
 			byTenants,
-			LadderPlansDelta,
+			SeriesPlansDelta,
 			xTenants,
 			perVersion(b.control),
 		},
-		{SlopeVersionMemory, unitMB, byTenants, LadderPlansDelta, xTenants, b.memory},
-		{SlopeLeaseControl, unitCores, byGateways, LadderLeaseGateways, xGateways, b.control},
+		{SlopeVersionMemory, unitMB, byTenants, SeriesPlansDelta, xTenants, b.memory},
+		{SlopeLeaseControl, unitCores, byGateways, SeriesLeaseGateways, xGateways, b.control},
 		{
 			SlopeAuditBytes,
 			unitBytes,
 			byGateways,
-			LadderLeaseGateways,
+			SeriesLeaseGateways,
 			xGateways,
 			bytesOf(RoleAudit),
 		},
-		{SlopeAuditMessages, unitCount, byGateways, LadderLeaseGateways, xGateways,
+		{SlopeAuditMessages, unitCount, byGateways, SeriesLeaseGateways, xGateways,
 			messagesOf(RoleAudit)},
-		{SlopeAllocationBytes, unitBytes, byQuotas, LadderAllocation, xGateways,
+		{SlopeAllocationBytes, unitBytes, byQuotas, SeriesAllocation, xGateways,
 			bytesOf(RoleAllocation)},
-		{SlopeAllocationMessage, unitCount, byQuotas, LadderAllocation, xGateways,
+		{SlopeAllocationMessage, unitCount, byQuotas, SeriesAllocation, xGateways,
 			messagesOf(RoleAllocation)},
-		{SlopeAllocationCores, unitCores, byQuotas, LadderAllocation, xGateways, b.cores},
-		{SlopeAllocationControl, unitCores, byQuotas, LadderAllocation, xGateways, b.control},
+		{SlopeAllocationCores, unitCores, byQuotas, SeriesAllocation, xGateways, b.cores},
+		{SlopeAllocationControl, unitCores, byQuotas, SeriesAllocation, xGateways, b.control},
 		{
 			SlopeMeteringBytes,
 			unitBytes,
 			byGateways,
-			LadderMetering,
+			SeriesMetering,
 			xGateways,
 			bytesOf(RoleMetering),
 		},
-		{SlopeMeteringMessages, unitCount, byGateways, LadderMetering, xGateways,
+		{SlopeMeteringMessages, unitCount, byGateways, SeriesMetering, xGateways,
 			messagesOf(RoleMetering)},
-		{SlopeMeteringCores, unitCores, byGateways, LadderMetering, xGateways, b.cores},
-		{SlopeMeteringControl, unitCores, byGateways, LadderMetering, xGateways, b.control},
+		{SlopeMeteringCores, unitCores, byGateways, SeriesMetering, xGateways, b.cores},
+		{SlopeMeteringControl, unitCores, byGateways, SeriesMetering, xGateways, b.control},
 	}
 }
 
@@ -299,7 +299,7 @@
 	for _, q := range quantities {
 		var points []Point
 		for _, s := range c.Steps {
-			if s.Ladder == q.ladder && s.failed() == "" {
+			if s.Series == q.series && s.failed() == "" {
 				points = append(points, Point{q.x(s.Result), q.y(s.Result)})
 			}
 		}
--- a/internal/testing/scale/page.go
+++ b/internal/testing/scale/page.go
@@ -101,21 +101,21 @@
 }
 
 // row writes a line of a table.
-func row(b *strings.Builder, cells ...string) {
+func tableRow(b *strings.Builder, cells ...string) {
 	b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
 // head writes a title and the first lines of a table.
-func head(b *strings.Builder, title string, cells ...string) {
+func tableHeader(b *strings.Builder, title string, cells ...string) {
 	b.WriteString("\n## " + title + "\n\n")
-	row(b, cells...)
-	row(b, slices.Repeat([]string{"---"}, len(cells))...)
+	tableRow(b, cells...)
+	tableRow(b, slices.Repeat([]string{"---"}, len(cells))...)
 }
 
 // about says of each role what it keeps and what carries it.
-type about struct{ state, mechanism string }
+type roleDescription struct{ state, mechanism string }
 
-var roleAbout = map[string]about{
+var roleDescriptions = map[string]roleDescription{
 	string(RoleList): {
 		"7,300 records at each gateway",
 		"`internal/controlplane/distribution`, `internal/controlplane/distributor`: deltas by revision from every control machine",
@@ -148,10 +148,10 @@
 
 func (c *Capacity) roleTable(b *strings.Builder, s Slopes) {
 	day := loads()[0]
-	head(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day", "role",
+	tableHeader(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day", "role",
 		"state", "messages/s", "bytes/s", "of a core", "memory, MB",
 		"control machines, cores together", "mechanism", "bytes, of a gateway's 10,000/s")
-	row(
+	tableRow(
 		b,
 		"request path",
 		"pools of 15 servers",
@@ -165,18 +165,18 @@
 	)
 	uses := s.uses(day, PathDelta)
 	for _, u := range uses {
-		a := roleAbout[u.Role]
-		row(b, u.Role, a.state, number(u.Messages), number(u.Bytes), number(u.Cores),
+		a := roleDescriptions[u.Role]
+		tableRow(b, u.Role, a.state, number(u.Messages), number(u.Bytes), number(u.Cores),
 			number(u.MemoryMB), number(u.Control), a.mechanism, fits(u.Bytes, limitBytes))
 	}
-	row(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)",
+	tableRow(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)",
 		"`internal/dataplane/admin`", "fits")
 	sum := total(uses)
-	row(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes),
+	tableRow(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes),
 		number(sum.Cores)+": "+fits(sum.Cores, limitCores),
 		number(sum.MemoryMB)+": "+fits(sum.MemoryMB, limitMemoryMB), "", "", fits(sum.Bytes,
 			limitBytes))
-	row(
+	tableRow(
 		b,
 		"**a control machine as a whole**",
 		"",
@@ -204,7 +204,7 @@
 }
 
 func (c *Capacity) completeListTable(b *strings.Builder, s Slopes) {
-	head(
+	tableHeader(
 		b,
 		"The list of servers by both paths",
 		"load",
@@ -222,7 +222,7 @@
 		for _, path := range []Path{PathCompleteList, PathDelta} {
 			uses := s.uses(l, path)
 			u, sum := uses[0], total(uses)
-			row(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes,
+			tableRow(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes,
 				limitBytes), number(u.Cores), number(u.Control),
 				number(sum.Bytes)+": "+fits(
 					sum.Bytes,
@@ -234,10 +234,10 @@
 
 func (c *Capacity) eventTable(b *strings.Builder, s Slopes) {
 	const g = DesignGateways
-	head(b, "Events", "event", "what happens", "bytes to one gateway", "over the fleet, MB",
+	tableHeader(b, "Events", "event", "what happens", "bytes to one gateway", "over the fleet, MB",
 		"assumed, or measured")
 	event := func(name, what string, bytes, gateways float64, how string) {
-		row(b, name, what, number(bytes), number(bytes*gateways/1e6), how)
+		tableRow(b, name, what, number(bytes), number(bytes*gateways/1e6), how)
 	}
 	deltaBytes := math.NaN()
 	if one := s[SlopeDeltaBytes]; one != nil {
@@ -306,7 +306,7 @@
 }
 
 func (c *Capacity) runTable(b *strings.Builder) {
-	head(
+	tableHeader(
 		b,
 		"Runs near the size",
 		"run",
@@ -339,13 +339,13 @@
 		}
 		where := fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
 			number(float64(o.Tenants)))
-		row(
+		tableRow(
 			b,
 			fmt.Sprintf("%d, seed %d, %s", i+1, o.Seed, r.Date),
 			where,
 			string(o.Path),
-			pace(o),
-			herd(r),
+			logTick(o),
+			startupSeconds(r),
 			r.InForce.text(
 				r.InForce.P50,
 			)+", "+r.InForce.text(
@@ -370,18 +370,18 @@
 
 // leaderChanges is how many duties changed hands.
 func leaderChanges(r *Result) string {
-	if r.DutyChanges < 0 {
+	if r.OwnerChanges < 0 {
 		return "not told"
 	}
-	return number(float64(r.DutyChanges))
+	return number(float64(r.OwnerChanges))
 }
 
 // herd is how long all gateways took to be current, in seconds.
-func herd(r *Result) string {
-	if r.HerdMilliseconds < 0 {
+func startupSeconds(r *Result) string {
+	if r.StartupMilliseconds < 0 {
 		return "not in time"
 	}
-	return number(r.HerdMilliseconds / millisecond)
+	return number(r.StartupMilliseconds / millisecond)
 }
 
 // text is a quantile in milliseconds; nothing may have arrived.
@@ -393,7 +393,7 @@
 }
 
 // pace is that of the log and its leases.
-func pace(o *Options) string {
+func logTick(o *Options) string {
 	if o.Tick == 0 && o.Span == 0 {
 		return "the program's"
 	}
@@ -401,7 +401,7 @@
 }
 
 func (c *Capacity) runRoleTable(b *strings.Builder) {
-	head(
+	tableHeader(
 		b,
 		"Bytes a second at one gateway in these runs, by role",
 		"run",
@@ -413,7 +413,7 @@
 	for i, r := range c.Runs {
 		for _, role := range slices.Sorted(maps.Keys(r.Roles)) {
 			one := r.Roles[role]
-			row(b, number(float64(i+1)), string(role), number(one.MessagesPerSecond),
+			tableRow(b, number(float64(i+1)), string(role), number(one.MessagesPerSecond),
 				number(one.BytesInPerSecond), number(one.BytesOutPerSecond))
 		}
 	}
@@ -421,7 +421,7 @@
 
 // faultTable tells what changes took in each stretch of the runs with faults.
 func (c *Capacity) faultTable(b *strings.Builder) {
-	head(
+	tableHeader(
 		b,
 		"Changes through faults in these runs",
 		"run",
@@ -433,13 +433,13 @@
 		"plans in force p99, ms",
 	)
 	for i, r := range c.Runs {
-		for j := range r.Stretches {
-			s := &r.Stretches[j]
+		for j := range r.Intervals {
+			s := &r.Intervals[j]
 			fault := string(s.Fault)
 			if s.Failed != "" {
 				fault += ", which failed: " + s.Failed
 			}
-			row(
+			tableRow(
 				b,
 				number(float64(i+1)),
 				fault,
@@ -454,11 +454,11 @@
 }
 
 func (c *Capacity) controlTable(b *strings.Builder) {
-	head(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores",
+	tableHeader(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores",
 		"memory, MB (most)", "read, kB/s", "written, kB/s")
 	for i, r := range c.Runs {
 		for _, p := range r.ControlProcesses {
-			row(b, number(float64(i+1)), p.Name, fmt.Sprint(p.Leads), number(float64(p.Duties)),
+			tableRow(b, number(float64(i+1)), p.Name, fmt.Sprint(p.Leads), number(float64(p.RolesHeld)),
 				number(p.Cores), fmt.Sprintf("%s (%s)", number(p.ResidentMB), number(p.PeakMB)),
 				number(p.ReadBytesPerSecond/kilobyte), number(p.WrittenBytesPerSecond/kilobyte))
 		}
@@ -466,7 +466,7 @@
 }
 
 func slopeTable(b *strings.Builder, s Slopes) {
-	head(b, "Slopes", "quantity", "depends on", "measured at", "at 0", "for one more", "unit",
+	tableHeader(b, "Slopes", "quantity", "depends on", "measured at", "at 0", "for one more", "unit",
 		"largest distance from the line, of the largest value")
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		one := s[name]
@@ -474,13 +474,13 @@
 		for _, p := range one.Points {
 			sizes = append(sizes, number(p.X))
 		}
-		row(b, name, one.DependsOn, strings.Join(sizes, "; "), number(one.At0), number(one.PerOne),
+		tableRow(b, name, one.DependsOn, strings.Join(sizes, "; "), number(one.At0), number(one.PerOne),
 			one.Unit, number(one.Residual))
 	}
 }
 
 func (c *Capacity) failedTable(b *strings.Builder) {
-	head(
+	tableHeader(
 		b,
 		"Steps that are in no slope: they failed, or are trials",
 		"ladder",
@@ -492,9 +492,9 @@
 		s := &c.Steps[i]
 		o := &s.Result.Options
 		if why := s.failed(); why != "" {
-			row(
+			tableRow(
 				b,
-				s.Ladder,
+				s.Series,
 				fmt.Sprintf("%s, %s, %s", number(float64(o.Gateways)), number(float64(o.Servers)),
 					number(float64(o.Tenants))),
 				why,
@@ -505,12 +505,12 @@
 }
 
 func (c *Capacity) benchmarkTable(b *strings.Builder) {
-	head(b, "Benchmarks", "benchmark", "figures")
+	tableHeader(b, "Benchmarks", "benchmark", "figures")
 	for _, one := range c.Benchmarks {
 		var figures []string
 		for _, metric := range slices.Sorted(maps.Keys(one.Metrics)) {
 			figures = append(figures, number(one.Metrics[metric])+" "+metric)
 		}
-		row(b, one.Name, strings.Join(figures, ", "))
+		tableRow(b, one.Name, strings.Join(figures, ", "))
 	}
 }
--- a/internal/testing/scale/page_test.go
+++ b/internal/testing/scale/page_test.go
@@ -70,8 +70,8 @@
 		r := newResult(Options{Gateways: n})
 		r.Roles[RoleMembership] = Row{BytesInPerSecond: 100 + 20*float64(n), MessagesPerSecond: 2}
 		r.Gateway.Cores = 0.01
-		c.Steps = append(c.Steps, Step{Ladder: LadderBase, Result: r},
-			Step{Ladder: LadderLeaseGateways, Result: r})
+		c.Steps = append(c.Steps, Step{Series: SeriesBase, Result: r},
+			Step{Series: SeriesLeaseGateways, Result: r})
 	}
 	return c
 }
--- a/internal/testing/scale/real.go
+++ b/internal/testing/scale/real.go
@@ -25,10 +25,10 @@
 
 // startReal starts them in the fleet that the control processes are.
 func startReal(ctx context.Context, o *Options, c *control, log io.Writer) (*realGateways, error) {
-	wanted := o.RequestsPerGateway * float64(o.RealGateways)
+	required := o.RequestsPerGateway * float64(o.RealGateways)
 	probe := harness.NewSite(o.Seed, o.RealGateways, realServers, realLoad)
-	servers := max(realServers, int(math.Ceil(realServers*wanted/probe.PerSecond)))
-	load := realLoad * wanted / harness.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
+	servers := max(realServers, int(math.Ceil(realServers*required/probe.PerSecond)))
+	load := realLoad * required / harness.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
 	prepare := func(w *lab.World, g *lab.Gateway) error {
 		own, err := w.Address(100 + g.Number)
 		if err != nil {
--- a/internal/testing/scale/result.go
+++ b/internal/testing/scale/result.go
@@ -17,7 +17,7 @@
 type Process struct {
 	Name                  string  `json:"name"`
 	Leads                 bool    `json:"leads"`
-	Duties                int     `json:"duties"`
+	RolesHeld             int     `json:"duties"`
 	Cores                 float64 `json:"cores"` // processor time a second
 	ResidentMB            float64 `json:"resident_mb"`
 	PeakMB                float64 `json:"peak_mb"`
@@ -44,7 +44,7 @@
 	Count int     `json:"count"` // gateways times changes
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
-	Most  float64 `json:"most_ms"`
+	Max   float64 `json:"most_ms"`
 }
 
 // leaderChangesUnknown: no control process told the duties' terms.
@@ -52,36 +52,36 @@
 
 // Result is what a play came to.
 type Result struct {
-	Command            string       `json:"command"`
-	Date               string       `json:"date"`
-	MachineCores       int          `json:"machine_cores"`
-	Options            Options      `json:"options"`
-	Seconds            float64      `json:"seconds"` // that were measured
-	Processes          int          `json:"hollow_processes"`
-	HerdMilliseconds   float64      `json:"herd_ms"` // from the start of all gateways at once until all were current; -1: they were not within the time
-	ServerChanges      int          `json:"server_changes"`
-	PlanVersions       int          `json:"plan_versions"`
-	InForce            Delays       `json:"in_force"` // of servers' changes
-	Draining           Delays       `json:"draining"` // of those, drains
-	Rack               Delays       `json:"rack"`
-	PlansInForce       Delays       `json:"plans_in_force"`
-	Diverged           int          `json:"diverged"`              // gateways whose list was not the register's in the end
-	LostChanges        int          `json:"lost_changes"`          // gateways times changes that never came, nor anything newer
-	LostVersions       int          `json:"lost_versions"`         // gateways times versions that were not in force in the end
-	ListChanges        int          `json:"list_changes"`          // a rack's servers that go at once are one
-	BytesPerListChange float64      `json:"bytes_per_list_change"` // of the list's role, to and from one gateway
-	StaleOperations    int          `json:"stale_operations"`      // updates under a state whose digest is not the agreed one; -1: the path compares none
-	GatewaysNotActing  int          `json:"gateways_not_acting"`   // had no permit at the end
-	ProposalsRefused   int          `json:"proposals_refused"`     // of versions
-	Roles              map[Role]Row `json:"roles"`                 // of one gateway
-	ConnectionOverhead float64      `json:"connection_overhead"`   // bytes of whole connections by those of messages
-	Gateway            Gateway      `json:"gateway"`
-	ControlProcesses   []Process    `json:"control_processes"`
-	ControlCores       float64      `json:"control_cores"` // of all control processes
-	DutyChanges        int          `json:"duty_changes"`  // terms that began while it was measured: owners that were lost, or handed on
-	Added              *Added       `json:"added_latency,omitempty"`
-	Stretches          []Stretch    `json:"stretches,omitempty"` // of a run with faults
-	Notes              []string     `json:"notes,omitempty"`
+	Command             string       `json:"command"`
+	Date                string       `json:"date"`
+	MachineCores        int          `json:"machine_cores"`
+	Options             Options      `json:"options"`
+	Seconds             float64      `json:"seconds"` // that were measured
+	Processes           int          `json:"hollow_processes"`
+	StartupMilliseconds float64      `json:"herd_ms"` // from the start of all gateways at once until all were current; -1: they were not within the time
+	ServerChanges       int          `json:"server_changes"`
+	PlanVersions        int          `json:"plan_versions"`
+	InForce             Delays       `json:"in_force"` // of servers' changes
+	Draining            Delays       `json:"draining"` // of those, drains
+	Rack                Delays       `json:"rack"`
+	PlansInForce        Delays       `json:"plans_in_force"`
+	Diverged            int          `json:"diverged"`              // gateways whose list was not the register's in the end
+	LostChanges         int          `json:"lost_changes"`          // gateways times changes that never came, nor anything newer
+	LostVersions        int          `json:"lost_versions"`         // gateways times versions that were not in force in the end
+	ListChanges         int          `json:"list_changes"`          // a rack's servers that go at once are one
+	BytesPerListChange  float64      `json:"bytes_per_list_change"` // of the list's role, to and from one gateway
+	StaleOperations     int          `json:"stale_operations"`      // updates under a state whose digest is not the agreed one; -1: the path compares none
+	GatewaysNotActing   int          `json:"gateways_not_acting"`   // had no permit at the end
+	ProposalsRefused    int          `json:"proposals_refused"`     // of versions
+	Roles               map[Role]Row `json:"roles"`                 // of one gateway
+	ConnectionOverhead  float64      `json:"connection_overhead"`   // bytes of whole connections by those of messages
+	Gateway             Gateway      `json:"gateway"`
+	ControlProcesses    []Process    `json:"control_processes"`
+	ControlCores        float64      `json:"control_cores"` // of all control processes
+	OwnerChanges        int          `json:"duty_changes"`  // terms that began while it was measured: owners that were lost, or handed on
+	Added               *Added       `json:"added_latency,omitempty"`
+	Intervals           []Interval   `json:"stretches,omitempty"` // of a run with faults
+	Notes               []string     `json:"notes,omitempty"`
 }
 
 // Line is the result as one line of JSON.
--- a/internal/testing/scale/run.go
+++ b/internal/testing/scale/run.go
@@ -16,7 +16,7 @@
 	currentTimeout = 60 * time.Second // for all gateways to be current after they were started
 	settleTimeout  = 30 * time.Second // for the last changes to come to all
 	settlePause    = 3 * time.Second  // sessions, permits and rights come to rest
-	lookEvery      = 100 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
 	replaceStep    = 500 * time.Millisecond // from a drain to the addition, and from there to the removal
 	rackAfter      = 0.7                    // of the run
 	firstVersionAt = 0.1
@@ -33,7 +33,7 @@
 }
 
 // play is one run.
-type play struct {
+type fleetRun struct {
 	options  Options
 	log      io.Writer
 	register *Register
@@ -49,7 +49,7 @@
 	next     int // number of the next new server
 	refused  int
 
-	stretches []Stretch // of a run with faults; read once its goroutine has ended
+	intervals []Interval // of a run with faults; read once its goroutine has ended
 }
 
 // Run plays a fleet and measures it.
@@ -65,65 +65,65 @@
 		defer remove()
 		o.Bin = bin
 	}
-	p := &play{options: o, log: log, result: newResult(o), next: o.Servers}
-	defer p.close()
-	if err := p.start(ctx); err != nil {
+	f := &fleetRun{options: o, log: log, result: newResult(o), next: o.Servers}
+	defer f.close()
+	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
-	if err := p.measure(ctx); err != nil {
+	if err := f.measure(ctx); err != nil {
 		return nil, err
 	}
-	return p.result, nil
+	return f.result, nil
 }
 
-func (p *play) close() {
-	p.children.stop()
-	if p.real != nil {
-		p.real.close(p.options.Logs)
+func (f *fleetRun) close() {
+	f.children.stop()
+	if f.real != nil {
+		f.real.close(f.options.Logs)
 	}
-	if p.watcher != nil {
-		p.watcher.close()
+	if f.watcher != nil {
+		f.watcher.close()
 	}
-	if p.control != nil {
-		p.control.close()
+	if f.control != nil {
+		f.control.close()
 	}
-	if p.register != nil {
-		p.register.Close()
+	if f.register != nil {
+		f.register.Close()
 	}
 }
 
 // start starts everything, the hollow gateways all at once, and waits until all are current.
-func (p *play) start(ctx context.Context) (err error) {
-	o := &p.options
-	if p.register, err = NewRegister(o.Servers); err != nil {
+func (f *fleetRun) start(ctx context.Context) (err error) {
+	o := &f.options
+	if f.register, err = NewRegister(o.Servers); err != nil {
 		return err
 	}
-	if p.control, err = startControl(ctx, o, p.register, p.log); err != nil {
+	if f.control, err = startControl(ctx, o, f.register, f.log); err != nil {
 		return err
 	}
 	if o.Parts.List && o.Path == PathCompleteList {
-		p.watcher = startWatcher(p.control.voters(), p.register.Address, o.Span)
+		f.watcher = startWatcher(f.control.voters(), f.register.Address, o.Span)
 	}
 	if o.RealGateways > 0 {
-		if p.real, err = startReal(ctx, o, p.control, p.log); err != nil {
+		if f.real, err = startReal(ctx, o, f.control, f.log); err != nil {
 			return err
 		}
 	}
-	if err := p.waitForLeaders(ctx); err != nil {
+	if err := f.waitForLeaders(ctx); err != nil {
 		return err
 	}
-	dir := filepath.Join(p.control.world.Dir, "hollow")
+	dir := filepath.Join(f.control.world.Dir, "hollow")
 	var configs [][]byte
 	for first := 0; first < o.Gateways; first += o.PerProcess {
 		c, err := startChild(o.Self)
 		if err != nil {
 			return err
 		}
-		p.children = append(p.children, c)
-		config, err := json.Marshal(HollowConfig{
+		f.children = append(f.children, c)
+		config, err := json.Marshal(ProcessConfig{
 			Fleet:  fleetName,
-			Voters: p.control.voters(),
-			Owners: p.control.owners(),
+			Voters: f.control.voters(),
+			Owners: f.control.owners(),
 			First:  first,
 			Count: min(o.PerProcess,
 				o.Gateways-first),
@@ -141,86 +141,86 @@
 		}
 		configs = append(configs, config)
 	}
-	p.result.Processes = len(p.children)
+	f.result.Processes = len(f.children)
 	began := time.Now()
-	for i, c := range p.children {
+	for i, c := range f.children {
 		if err := c.send(configs[i]); err != nil {
 			return c.failed(err)
 		}
 	}
-	if err := p.herd(ctx, began); err != nil {
+	if err := f.waitUntilCurrent(ctx, began); err != nil {
 		return err
 	}
-	return p.baseVersion(ctx)
+	return f.baseVersion(ctx)
 }
 
 // baseVersion has a version of the plans be in force everywhere, where one is wanted before the
 // run.
-func (p *play) baseVersion(ctx context.Context) error {
-	if !p.options.BaseVersion || !p.options.Parts.Configuration {
+func (f *fleetRun) baseVersion(ctx context.Context) error {
+	if !f.options.BaseVersion || !f.options.Parts.Configuration {
 		return nil
 	}
-	text := p.control.plansText(p.options.Tenants, 1, -1)
+	text := f.control.plansText(f.options.Tenants, 1, -1)
 	deadline := time.Now().Add(currentTimeout)
-	number, err := p.control.propose(text)
-	for err != nil && time.Now().Before(deadline) && pass(ctx, lookEvery) {
-		number, err = p.control.propose(text)
+	number, err := f.control.propose(text)
+	for err != nil && time.Now().Before(deadline) && sleep(ctx, pollInterval) {
+		number, err = f.control.propose(text)
 	}
 	if err != nil {
 		return fmt.Errorf("the version before the run: %w", err)
 	}
 	for time.Now().Before(deadline) {
-		samples, err := p.samples()
+		samples, err := f.samples()
 		if err != nil {
 			return err
 		}
-		if behind, _ := p.behind(samples, number); behind == 0 {
-			pass(ctx, settlePause)
+		if behind, _ := f.behind(samples, number); behind == 0 {
+			sleep(ctx, settlePause)
 			return ctx.Err()
 		}
-		if !pass(ctx, lookEvery) {
+		if !sleep(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
-	p.note("not all gateways had the version before the run within %v", currentTimeout)
+	f.note("not all gateways had the version before the run within %v", currentTimeout)
 	return nil
 }
 
 // waitForLeaders waits until all duties have owners.
-func (p *play) waitForLeaders(ctx context.Context) error {
-	wanted := 0
-	if p.options.Parts.List {
-		wanted++
+func (f *fleetRun) waitForLeaders(ctx context.Context) error {
+	required := 0
+	if f.options.Parts.List {
+		required++
 	}
-	if p.options.Parts.Configuration {
-		wanted++
+	if f.options.Parts.Configuration {
+		required++
 	}
-	if p.options.Parts.Metering {
-		wanted++
+	if f.options.Parts.Metering {
+		required++
 	}
-	if p.options.Parts.Allocation {
-		wanted += p.options.Control
+	if f.options.Parts.Allocation {
+		required += f.options.Control
 	}
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		held := 0
-		if p.watcher != nil && p.watcher.holds() {
+		if f.watcher != nil && f.watcher.holds() {
 			held++
 		}
-		for i := range p.options.Control {
-			held += p.control.rolesHeld(i)
+		for i := range f.options.Control {
+			held += f.control.rolesHeld(i)
 		}
-		if held >= wanted && p.control.leader() >= 0 {
+		if held >= required && f.control.leader() >= 0 {
 			return nil
 		}
-		if !pass(ctx, lookEvery) {
+		if !sleep(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("not all of %d duties are held", wanted)
+	return fmt.Errorf("not all of %d duties are held", required)
 }
 
 // pass waits for a while, and tells whether the context is still there.
-func pass(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -230,44 +230,44 @@
 }
 
 // herd waits until all gateways are current.
-func (p *play) herd(ctx context.Context, began time.Time) error {
-	p.result.HerdMilliseconds = -1
+func (f *fleetRun) waitUntilCurrent(ctx context.Context, began time.Time) error {
+	f.result.StartupMilliseconds = -1
 	for deadline := began.Add(currentTimeout); time.Now().Before(deadline); {
-		samples, err := p.samples()
+		samples, err := f.samples()
 		if err != nil {
 			return err
 		}
-		behind, last := p.behind(samples, 0)
+		behind, last := f.behind(samples, 0)
 		if behind == 0 {
-			if !p.options.Parts.List {
+			if !f.options.Parts.List {
 				last = time.Now()
 			}
-			p.result.HerdMilliseconds = milliseconds(last.Sub(began))
-			fmt.Fprintf(p.log, "%d hollow gateways in %d processes are current after %.0f ms\n",
-				p.options.Gateways, len(p.children), p.result.HerdMilliseconds)
-			pass(ctx, settlePause)
+			f.result.StartupMilliseconds = milliseconds(last.Sub(began))
+			fmt.Fprintf(f.log, "%d hollow gateways in %d processes are current after %.0f ms\n",
+				f.options.Gateways, len(f.children), f.result.StartupMilliseconds)
+			sleep(ctx, settlePause)
 			return ctx.Err()
 		}
-		if !pass(ctx, lookEvery) {
+		if !sleep(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
-	p.note("not all gateways were current within %v of their start", currentTimeout)
+	f.note("not all gateways were current within %v of their start", currentTimeout)
 	return nil
 }
 
 // behind is how many gateways are not current: their list is not the register's, or an older
 // version of the plans is in force. last is when the last of the others first had a list.
-func (p *play) behind(samples []Sample, version uint64) (behind int, last time.Time) {
-	digest, _ := p.register.Digest()
+func (f *fleetRun) behind(samples []Sample, version uint64) (behind int, last time.Time) {
+	digest, _ := f.register.Digest()
 	for _, s := range samples {
 		for _, g := range s.Gateways {
-			if at := time.Unix(0, g.Current); g.Current != 0 && at.After(last) {
+			if at := time.Unix(0, g.CurrentAt); g.CurrentAt != 0 && at.After(last) {
 				last = at
 			}
-			stale := p.options.Parts.List && (g.Current == 0 || g.Digest != digest)
-			if p.options.Parts.Configuration {
-				stale = stale || g.Version < version || version == 0 && !g.Acts
+			stale := f.options.Parts.List && (g.CurrentAt == 0 || g.Digest != digest)
+			if f.options.Parts.Configuration {
+				stale = stale || g.Version < version || version == 0 && !g.MayOperate
 			}
 			if stale {
 				behind++
@@ -278,72 +278,72 @@
 }
 
 // samples asks all processes, and keeps the arrivals.
-func (p *play) samples() ([]Sample, error) {
-	all, err := p.children.samples()
+func (f *fleetRun) samples() ([]Sample, error) {
+	all, err := f.children.samples()
 	for i := range all {
-		p.arrivals = append(p.arrivals, all[i].Arrivals...)
+		f.arrivals = append(f.arrivals, all[i].Arrivals...)
 	}
 	return all, err
 }
 
-func (p *play) note(format string, args ...any) {
+func (f *fleetRun) note(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	fmt.Fprintln(p.log, text)
-	p.result.Notes = append(p.result.Notes, text)
+	fmt.Fprintln(f.log, text)
+	f.result.Notes = append(f.result.Notes, text)
 }
 
 // measure makes changes for as long as is wanted, and sums up what they took.
-func (p *play) measure(ctx context.Context) error {
-	p.arrivals = nil
-	before, err := p.samples()
+func (f *fleetRun) measure(ctx context.Context) error {
+	f.arrivals = nil
+	before, err := f.samples()
 	if err != nil {
 		return err
 	}
-	control, err := p.control.usage()
+	control, err := f.control.usage()
 	if err != nil {
 		return err
 	}
-	terms, known := p.control.terms()
+	terms, known := f.control.termSum()
 	began := time.Now()
-	ended := p.drive(ctx)
+	ended := f.applyLoad(ctx)
 	took := time.Since(began)
-	after, err := p.samples()
+	after, err := f.samples()
 	if err != nil {
 		return err
 	}
-	controlAfter, err := p.control.usage()
+	controlAfter, err := f.control.usage()
 	if err != nil {
 		return err
 	}
 	ended()
-	p.result.DutyChanges = leaderChangesUnknown
-	if now, still := p.control.terms(); known && still {
-		p.result.DutyChanges = now - terms
+	f.result.OwnerChanges = leaderChangesUnknown
+	if now, still := f.control.termSum(); known && still {
+		f.result.OwnerChanges = now - terms
 	}
-	p.sumTraffic(before, after, took)
-	p.sumControl(control, controlAfter, took)
-	settled, err := p.settle(ctx)
+	f.sumTraffic(before, after, took)
+	f.sumControl(control, controlAfter, took)
+	settled, err := f.settle(ctx)
 	if err != nil {
 		return err
 	}
-	p.sumChanges(settled)
+	f.sumChanges(settled)
 	return ctx.Err()
 }
 
 // settle waits until the last changes have come to all.
-func (p *play) settle(ctx context.Context) (last []Sample, err error) {
+func (f *fleetRun) settle(ctx context.Context) (last []Sample, err error) {
 	version := uint64(0)
-	for _, c := range p.changes {
+	for _, c := range f.changes {
 		version = max(version, c.version)
 	}
 	for deadline := time.Now().Add(settleTimeout); ; {
-		if last, err = p.samples(); err != nil {
+		if last, err = f.samples(); err != nil {
 			return last, err
 		}
-		if behind, _ := p.behind(last, version); behind == 0 || time.Now().After(deadline) {
+		if behind, _ := f.behind(last, version); behind == 0 || time.Now().After(deadline) {
 			return last, nil
 		}
-		if !pass(ctx, lookEvery) {
+		if !sleep(ctx, pollInterval) {
 			return last, ctx.Err()
 		}
 	}
--- a/internal/testing/scale/scale.go
+++ b/internal/testing/scale/scale.go
@@ -115,26 +115,26 @@
 }
 
 const (
-	maxProcesses             = 100
-	maxGateways              = 2000
-	maxServers               = 50_000
-	maxTenants               = 500_000
-	minDuration, maxDuration = time.Second, 10 * time.Minute
-	perProcessUsual          = 62
-	controlMemoryUsual       = 300 << 20
-	hollowMemoryUsual        = 3 << 20 // of a hollow gateway with an empty state
-	hollowBytesServer        = 1600    // of a server in a hollow gateway, while a list is being replaced by the next
-	hollowBytesRecord        = 500     // of a server in one that gets the list by what changed
-	hollowBytesTenant        = 350
-	maxMemoryShare           = 0.5
-	machineMemoryLine        = "MemTotal:"
-	machineMemoryInfoAt      = "/proc/meminfo"
+	maxProcesses               = 100
+	maxGateways                = 2000
+	maxServers                 = 50_000
+	maxTenants                 = 500_000
+	minDuration, maxDuration   = time.Second, 10 * time.Minute
+	defaultPerProcess          = 62
+	controlProcessBytes        = 300 << 20
+	emptyGatewayBytes          = 3 << 20 // of a hollow gateway with an empty state
+	completeListBytesPerServer = 1600    // of a server in a hollow gateway, while a list is being replaced by the next
+	deltaBytesPerServer        = 500     // of a server in one that gets the list by what changed
+	bytesPerTenant             = 350
+	maxMemoryShare             = 0.5
+	machineMemoryLine          = "MemTotal:"
+	machineMemoryInfoAt        = "/proc/meminfo"
 )
 
 // Check fills in what is not given and tells what can't be played.
 func (o *Options) Check() error {
 	if o.PerProcess == 0 {
-		o.PerProcess = perProcessUsual
+		o.PerProcess = defaultPerProcess
 	}
 	if o.RequestsPerGateway == 0 {
 		o.RequestsPerGateway = requestsPerGateway
@@ -163,9 +163,9 @@
 		return fmt.Errorf("--rack %d: from 0 to half of the servers wanted", o.RackSize)
 	case o.Tick < 0 || o.Tick > time.Second || o.Span < 0 || o.Span > time.Minute:
 		return fmt.Errorf("--tick %v --span %v: up to 1s and 1m wanted", o.Tick, o.Span)
-	case len(o.Faults) > 0 && o.For < minStretch*time.Duration(len(o.Faults)+1):
+	case len(o.Faults) > 0 && o.For < minInterval*time.Duration(len(o.Faults)+1):
 		return fmt.Errorf("--faults: %d of them and the time before want a run of %v at least",
-			len(o.Faults), minStretch*time.Duration(len(o.Faults)+1))
+			len(o.Faults), minInterval*time.Duration(len(o.Faults)+1))
 	case o.Versions < 0 || o.Versions > 100:
 		return fmt.Errorf("--versions %d: from 0 to 100 wanted", o.Versions)
 	}
@@ -194,18 +194,18 @@
 
 // memory is how many bytes of memory a play is expected to take.
 func (o *Options) memory() int64 {
-	each := int64(hollowMemoryUsual)
+	each := int64(emptyGatewayBytes)
 	if o.Parts.List {
-		bytes := int64(hollowBytesServer)
+		bytes := int64(completeListBytesPerServer)
 		if o.Path == PathDelta {
-			bytes = hollowBytesRecord
+			bytes = deltaBytesPerServer
 		}
 		each += int64(o.Servers) * bytes
 	}
 	if o.Parts.Configuration {
-		each += int64(o.Tenants) * hollowBytesTenant
+		each += int64(o.Tenants) * bytesPerTenant
 	}
-	return int64(o.Gateways)*each + int64(o.Control)*controlMemoryUsual
+	return int64(o.Gateways)*each + int64(o.Control)*controlProcessBytes
 }
 
 // machineMemory is how many bytes of memory the machine has.
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -14,7 +14,7 @@
 // The program of the tests runs hollow gateways too, as the command does.
 func TestMain(m *testing.M) {
 	if os.Getenv("MOTHCLEAT_HOLLOW") != "" {
-		if err := RunHollow(context.Background(), os.Stdin, os.Stdout); err != nil {
+		if err := RunSimulatedGateways(context.Background(), os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -44,11 +44,11 @@
 // processes hold duties.
 func TestATinyFleet(t *testing.T) {
 	for _, path := range []Path{PathCompleteList, PathDelta} {
-		t.Run(string(path), func(t *testing.T) { t.Parallel(); playTiny(t, path) })
+		t.Run(string(path), func(t *testing.T) { t.Parallel(); runTiny(t, path) })
 	}
 }
 
-func playTiny(t *testing.T, path Path) {
+func runTiny(t *testing.T, path Path) {
 	if !lab.HasGo() {
 		t.Fatal("no go command to build the gateway with")
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log.String())
 	}
-	if r.Diverged != 0 || r.LostChanges != 0 || r.LostVersions != 0 || r.HerdMilliseconds < 0 ||
+	if r.Diverged != 0 || r.LostChanges != 0 || r.LostVersions != 0 || r.StartupMilliseconds < 0 ||
 		r.Processes != 2 {
 		t.Errorf("%s\n%s", r.Line(), log.String())
 	}
@@ -85,7 +85,7 @@
 	}
 	duties := 0
 	for _, p := range r.ControlProcesses {
-		duties += p.Duties
+		duties += p.RolesHeld
 	}
 	want := 2 + o.Control // the plans, the export, and a shard of the quotas for each control process
 	if path == PathDelta {
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -9,8 +9,8 @@
 )
 
 // sumTraffic sums up what the hollow gateways carried and used.
-func (p *play) sumTraffic(before, after []Sample, took time.Duration) {
-	r, n, seconds := p.result, float64(p.options.Gateways), took.Seconds()
+func (f *fleetRun) sumTraffic(before, after []Sample, took time.Duration) {
+	r, n, seconds := f.result, float64(f.options.Gateways), took.Seconds()
 	r.Seconds = seconds
 	roles := map[Role]Traffic{}
 	var messages Traffic
@@ -55,15 +55,15 @@
 }
 
 // sumControl sums up what the control processes used.
-func (p *play) sumControl(before, after []Usage, took time.Duration) {
-	leader := p.control.leader()
+func (f *fleetRun) sumControl(before, after []Usage, took time.Duration) {
+	leader := f.control.leader()
 	for i := range after {
 		u := after[i].Since(before[i])
 		one := Process{
-			Name:   controlName(i),
-			Leads:  i == leader,
-			Duties: p.control.rolesHeld(i),
-			Cores:  u.ProcessorSeconds / took.Seconds(),
+			Name:      controlName(i),
+			Leads:     i == leader,
+			RolesHeld: f.control.rolesHeld(i),
+			Cores:     u.ProcessorSeconds / took.Seconds(),
 			ResidentMB: float64(
 				u.ResidentBytes,
 			) / (1 << 20),
@@ -73,8 +73,8 @@
 			) / took.Seconds(),
 			WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds(),
 		}
-		p.result.ControlProcesses = append(p.result.ControlProcesses, one)
-		p.result.ControlCores += one.Cores
+		f.result.ControlProcesses = append(f.result.ControlProcesses, one)
+		f.result.ControlCores += one.Cores
 	}
 }
 
@@ -94,10 +94,10 @@
 }
 
 // sumChanges sums up when changes came to gateways, and which never did.
-func (p *play) sumChanges(settled []Sample) {
-	r := p.result
+func (f *fleetRun) sumChanges(settled []Sample) {
+	r := f.result
 	first := map[Arrival]int64{} // without its time
-	for _, a := range p.arrivals {
+	for _, a := range f.arrivals {
 		key := a
 		key.At = 0
 		if was, ok := first[key]; !ok || a.At < was {
@@ -106,7 +106,7 @@
 	}
 	newest := map[string]string{} // phase of each server in the end
 	var lastVersion uint64
-	for _, c := range p.changes {
+	for _, c := range f.changes {
 		if c.version > 0 {
 			r.PlanVersions++
 			lastVersion = max(lastVersion, c.version)
@@ -116,7 +116,7 @@
 		newest[c.server] = c.phase
 	}
 	moments := map[time.Time]bool{}
-	for _, c := range p.changes {
+	for _, c := range f.changes {
 		if c.version == 0 {
 			moments[c.at] = true
 		}
@@ -124,15 +124,15 @@
 	r.ListChanges = len(moments)
 	var run changeDelays
 	var rack []time.Duration
-	stretches := map[*Stretch]*changeDelays{}
-	for i := range p.changes {
-		c := &p.changes[i]
-		stretch := stretches[p.stretchOf(c.at)]
-		if stretch == nil {
-			stretch = &changeDelays{}
-			stretches[p.stretchOf(c.at)] = stretch
+	intervals := map[*Interval]*changeDelays{}
+	for i := range f.changes {
+		c := &f.changes[i]
+		interval := intervals[f.intervalOf(c.at)]
+		if interval == nil {
+			interval = &changeDelays{}
+			intervals[f.intervalOf(c.at)] = interval
 		}
-		for g := range p.options.Gateways {
+		for g := range f.options.Gateways {
 			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase, Version: c.version}]
 			delay := time.Unix(0, at).Sub(c.at)
 			switch {
@@ -143,7 +143,7 @@
 			case !ok: // something newer came in its place
 			default:
 				run.add(c, delay)
-				stretch.add(c, delay)
+				interval.add(c, delay)
 				if c.rack {
 					rack = append(rack, delay)
 				}
@@ -154,16 +154,16 @@
 	r.Draining = delaysOf(run.drains)
 	r.Rack = delaysOf(rack)
 	r.PlansInForce = delaysOf(run.plans)
-	for stretch, delays := range stretches {
-		if stretch != nil {
-			stretch.InForce = delaysOf(delays.all)
-			stretch.Draining = delaysOf(delays.drains)
-			stretch.PlansInForce = delaysOf(delays.plans)
+	for interval, delays := range intervals {
+		if interval != nil {
+			interval.InForce = delaysOf(delays.all)
+			interval.Draining = delaysOf(delays.drains)
+			interval.PlansInForce = delaysOf(delays.plans)
 		}
 	}
-	r.Stretches = p.stretches
-	r.ProposalsRefused = p.refused
-	p.sumStates(settled)
+	r.Intervals = f.intervals
+	r.ProposalsRefused = f.refused
+	f.sumStates(settled)
 	if n := r.ListChanges; n > 0 {
 		list := r.Roles[RoleList]
 		r.BytesPerListChange = (list.BytesInPerSecond + list.BytesOutPerSecond) * r.Seconds / float64(
@@ -173,18 +173,18 @@
 }
 
 // sumStates tells which gateways are not as they should be in the end.
-func (p *play) sumStates(settled []Sample) {
-	digest, _ := p.register.Digest()
+func (f *fleetRun) sumStates(settled []Sample) {
+	digest, _ := f.register.Digest()
 	for _, s := range settled {
 		for _, g := range s.Gateways {
-			if p.options.Parts.List && g.Digest != digest {
-				p.result.Diverged++
+			if f.options.Parts.List && g.Digest != digest {
+				f.result.Diverged++
 			}
-			if p.options.Path == PathDelta && p.options.Parts.List {
-				p.result.StaleOperations = max(0, p.result.StaleOperations) + g.Stale
+			if f.options.Path == PathDelta && f.options.Parts.List {
+				f.result.StaleOperations = max(0, f.result.StaleOperations) + g.Stale
 			}
-			if p.options.Parts.Configuration && !g.Acts {
-				p.result.GatewaysNotActing++
+			if f.options.Parts.Configuration && !g.MayOperate {
+				f.result.GatewaysNotActing++
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 		return milliseconds(all[min(len(all)-1,
 			int(p*float64(len(all))))])
 	}
-	return Delays{Count: len(all), P50: at(0.5), P99: at(0.99), Most: milliseconds(all[len(all)-1])}
+	return Delays{Count: len(all), P50: at(0.5), P99: at(0.99), Max: milliseconds(all[len(all)-1])}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -81,11 +81,11 @@
 
 // completeListSource is a hollow gateway's hearing of the whole list, as gateways had it before the
 // list travelled by what changed.
-func (g *hollowGateway) completeListSource(
+func (g *simulatedGateway) completeListSource(
 	voters []*controlpb.Voter,
 	log *slog.Logger,
 ) registry.Source {
-	me := lease.Member{ID: hollowName(g.number), Incarnation: rand.Uint64()>>1 | 1}
+	me := lease.Member{ID: simulatedName(g.number), Incarnation: rand.Uint64()>>1 | 1}
 	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
 		log) // it only asks: it needs no session
 	client.Observe(g.process.meter.Observer())
@@ -98,7 +98,7 @@
 }
 
 // noDirect stands in for the register itself, and counts that it would have been asked.
-func (g *hollowGateway) noDirect() (registry.Source, error) {
+func (g *simulatedGateway) noDirect() (registry.Source, error) {
 	g.process.fallbacks.Add(1)
 	return noRegister{}, nil
 }
