--- a/internal/testing/scale/benchmark.go
+++ b/internal/testing/scale/benchmark.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Benchmark is what a benchmark of the packages told, under its name with the size in it.
+// Benchmark is the result of one Go benchmark. Its name contains the size.
 type Benchmark struct {
 	Name    string             `json:"name"`
 	Metrics map[string]float64 `json:"metrics"` // by unit
@@ -18,7 +18,7 @@
 
 var benchmarkLine = regexp.MustCompile(`^Benchmark(\S+?)(?:-\d+)?\s+\d+\s+(.*)$`)
 
-// ReadBenchmarks reads what go test -bench has printed.
+// ReadBenchmarks parses the output of go test -bench.
 func ReadBenchmarks(in io.Reader) (all []Benchmark, err error) {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -41,7 +41,7 @@
 	return all, lines.Err()
 }
 
-// TakeBenchmarks puts benchmarks in the place of those of the same names.
+// TakeBenchmarks adds benchmarks, and replaces those with the same names.
 func (c *Capacity) TakeBenchmarks(all []Benchmark) {
 	for _, one := range all {
 		at := -1
--- a/internal/testing/scale/capacity.go
+++ b/internal/testing/scale/capacity.go
@@ -10,16 +10,18 @@
 	"slices"
 )
 
-// Capacity is what was measured: docs/capacity.json. The table of docs/CAPACITY.md is worked out
-// from it.
+// Capacity holds the measurements, as stored in docs/capacity.json. The tables of docs/CAPACITY.md
+// are computed from it.
 type Capacity struct {
-	About      []string    `json:"about"` // how it was measured, and what was scaled down and why
-	Steps      []Step      `json:"steps"`
-	Runs       []*Result   `json:"runs"` // as near to the size that is designed for as the machine holds
+	// How the measurements were made, and what was scaled down and why.
+	About []string `json:"about"`
+	Steps []Step   `json:"steps"`
+	// Runs as close to the design size as the machine allows.
+	Runs       []*Result   `json:"runs"`
 	Benchmarks []Benchmark `json:"benchmarks"`
 }
 
-// ReadCapacity reads the file. One that is not there is empty.
+// ReadCapacity reads the file at path. It returns an empty Capacity if the file does not exist.
 func ReadCapacity(path string) (*Capacity, error) {
 	c := &Capacity{}
 	raw, err := os.ReadFile(path)
@@ -37,7 +39,7 @@
 	return c, nil
 }
 
-// Write writes the file.
+// Write writes the measurements to the file at path.
 func (c *Capacity) Write(path string) error {
 	raw, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
@@ -46,7 +48,7 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// Take puts a ladder's steps in the place of those that were there; trials stay.
+// Take replaces the steps of the series called name; trials stay.
 func (c *Capacity) Take(name string, steps []Step) {
 	c.Steps = slices.DeleteFunc(
 		c.Steps,
@@ -55,7 +57,7 @@
 	c.Steps = append(c.Steps, steps...)
 }
 
-// Keep adds a run's result to the file.
+// Keep adds a run's result to the file at path.
 func Keep(path string, r *Result) error {
 	c, err := ReadCapacity(path)
 	if err != nil {
@@ -65,7 +67,7 @@
 	return c.Write(path)
 }
 
-// SlopesLine is the slopes as one line of JSON.
+// SlopesLine returns the slopes as one line of JSON.
 func (c *Capacity) SlopesLine() (string, error) {
 	slopes, err := c.FitAll()
 	if err != nil {
--- a/internal/testing/scale/demand.go
+++ b/internal/testing/scale/demand.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/dataplane/policy"
 )
 
-// tenantsOf are the tenants that come through a gateway.
+// tenantsOf returns the tenants that use the gateway with this number.
 func tenantsOf(number, gateways, tenants int) (own []uint64) {
 	for t := range tenants {
 		mixed := mix(uint64(t))
@@ -25,20 +25,22 @@
 	return minTenantSpread + int(mix(tenant)>>40%tenantSpreadRange)
 }
 
-// mix spreads numbers evenly.
+// mix hashes numbers to evenly spread values.
 func mix(x uint64) uint64 {
 	x *= 0x9E3779B97F4A7C15
 	return x ^ x>>29
 }
 
-// tenantBudget is a tenant's quota: from 1 to 11 units a second, and 8 to 38 units that lie stored.
+// tenantBudget returns a tenant's quota: a rate of 1 to 11 units per second, and a burst of 8 to 38
+// units.
 func tenantBudget(tenant uint64) policy.SharedQuota {
 	part := float64(mix(tenant)>>20%1000) / 1000
 	return policy.SharedQuota{ID: tenant + 1, Rate: 1 + 10*part, Burst: 8 + 30*part,
 		Spread: tenantSpread(tenant)}
 }
 
-// demand asks for units as a gateway's requests do.
+// demand sends simulated requests for units until the context ends, as a real gateway's requests
+// would.
 func (g *simulatedGateway) demand(ctx context.Context) {
 	if len(g.tenants) == 0 {
 		return
@@ -61,7 +63,7 @@
 	}
 }
 
-// request is one request of one unit.
+// request simulates one request that costs one unit.
 func (g *simulatedGateway) request(id, tenant uint64) {
 	g.process.requests.Add(1)
 	allocations := g.node.AllocationClient()
@@ -81,7 +83,7 @@
 	}
 }
 
-// onDemandGranted is the answer to an asking for units.
+// onDemandGranted handles the reply to an on-demand request for units.
 func (g *simulatedGateway) onDemandGranted(l gateway.OnDemandReply) {
 	if l.Units < 1 {
 		g.node.Rejected(false)
@@ -90,7 +92,7 @@
 	g.serve(l.Quota.ID - 1)
 }
 
-// serve counts a request that a real gateway would have sent on.
+// serve counts a request that a real gateway would have forwarded.
 func (g *simulatedGateway) serve(tenant uint64) {
 	g.process.granted.Add(1)
 	g.node.Count(tenant, 1)
--- a/internal/testing/scale/fit.go
+++ b/internal/testing/scale/fit.go
@@ -7,28 +7,30 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measured size and what was measured at it.
+// Point is a size X and the quantity Y that was measured at it.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is a straight line through measured points: what a quantity is at 0, and by how much it
-// grows with one more.
+// Slope is a straight line fitted to measured points: At0 is the quantity at size 0, and PerOne is
+// its growth for each additional unit of size.
 type Slope struct {
 	Name      string  `json:"name"`
 	Unit      string  `json:"unit"`
 	DependsOn string  `json:"depends_on"`
 	At0       float64 `json:"at_0"`
 	PerOne    float64 `json:"per_one"`
-	Residual  float64 `json:"residual"` // the largest distance of a point from the line, as a part of the largest value
-	Points    []Point `json:"points"`
+	// Largest distance of a point from the line, as a fraction of the largest value.
+	Residual float64 `json:"residual"`
+	Points   []Point `json:"points"`
 }
 
-// minPoints is from how many sizes a slope may be fitted.
+// minPoints is the minimum number of distinct sizes that a slope is fitted to.
 const minPoints = 3
 
-// Fit puts the line of least squares through the points.
+// Fit fits a line to the points by least squares. It returns an error if the points have fewer than
+// minPoints distinct sizes.
 func Fit(name, unit, dependsOn string, points []Point) (Slope, error) {
 	s := Slope{Name: name, Unit: unit, DependsOn: dependsOn, Points: points}
 	sizes := map[float64]bool{}
@@ -40,7 +42,7 @@
 		largest = max(largest, math.Abs(p.Y))
 	}
 	if len(sizes) < minPoints {
-		return s, fmt.Errorf("slope %s: %d sizes, at least %d wanted", name, len(sizes), minPoints)
+		return s, fmt.Errorf("slope %s: %d distinct sizes, must be at least %d", name, len(sizes), minPoints)
 	}
 	s.At0, s.PerOne = stat.LinearRegression(xs, ys, nil, false)
 	for _, p := range points {
@@ -51,12 +53,12 @@
 	return s, nil
 }
 
-// line is the line's value at a size.
+// line returns the value of the line at a size.
 func (s *Slope) line(x float64) float64 { return s.At0 + s.PerOne*x }
 
-// At is what is expected at a size. A line that falls is not drawn further than it was measured:
-// nothing here takes less for there
-// being more of it, so that the mean of what was measured stands for all that is larger.
+// At returns the expected value at a size, at least 0. A falling line is not extrapolated beyond
+// the largest measured size, because no cost in this system falls as the size grows: the mean of
+// the measured values is used instead.
 func (s *Slope) At(x float64) float64 {
 	largest, mean := 0.0, 0.0
 	for _, p := range s.Points {
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -27,14 +27,15 @@
 	"mothcleat/internal/plans"
 )
 
-// HollowConfig is what a process of hollow gateways is told, as one line of JSON.
+// ProcessConfig is the configuration of a process of simulated gateways. It is sent to the process
+// as one line of JSON.
 type ProcessConfig struct {
 	Fleet              string             `json:"fleet"`
 	Voters             []*controlpb.Voter `json:"voters"`
 	Owners             []string           `json:"owners"`
-	First              int                `json:"first"` // number of its first gateway
+	First              int                `json:"first"` // number of the first gateway
 	Count              int                `json:"count"`
-	Gateways           int                `json:"gateways"` // of the whole play
+	Gateways           int                `json:"gateways"` // of the whole run
 	Dir                string             `json:"dir"`
 	Seed               uint64             `json:"seed"`
 	Tenants            int                `json:"tenants"`
@@ -44,14 +45,14 @@
 	Path               Path               `json:"path"`
 }
 
-// Commands that a process of hollow gateways is given, each a line.
+// Commands to a process of simulated gateways, one per line.
 const (
 	commandSample = "sample"
 	commandStop   = "stop"
 )
 
-// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans
-// in force.
+// Arrival is a change that has reached a gateway: the phase of a server, or a version of the plans
+// that is in force.
 type Arrival struct {
 	Gateway int    `json:"g"`
 	Server  string `json:"s,omitempty"`
@@ -60,19 +61,19 @@
 	At      int64  `json:"at"` // Unix time in nanoseconds
 }
 
-// GatewayState is how a hollow gateway stands.
+// GatewayState is the state of a simulated gateway.
 type GatewayState struct {
 	Servers int    `json:"servers"`
 	Digest  uint64 `json:"digest"`
-	// when it first had a whole list, Unix time in nanoseconds; 0: not yet
+	// Unix time in nanoseconds when it first had a complete list; 0: not yet.
 	CurrentAt  int64  `json:"current"`
-	Version    uint64 `json:"version"` // of the plans that is in force
-	MayOperate bool   `json:"acts"`    // it may act on them
-	Stale      int    `json:"stale"`   // times that its state's digest was not the agreed one
+	Version    uint64 `json:"version"` // version of the plans in force
+	MayOperate bool   `json:"acts"`    // whether it may act on the plans
+	Stale      int    `json:"stale"`   // times its state's digest differed from the agreed one
 }
 
-// Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those
-// since the sample before.
+// Sample is the cumulative traffic and resource use of a process of simulated gateways, and their
+// states. Arrivals are those since the previous sample.
 type Sample struct {
 	At            int64            `json:"at"`
 	Usage         Usage            `json:"usage"`
@@ -84,11 +85,11 @@
 	Arrivals      []Arrival        `json:"arrivals"`
 	Requests      int64            `json:"requests"`
 	Granted       int64            `json:"granted"`
-	// times that a gateway heard no list and would have watched the register itself
+	// Times that a gateway received no list and would have watched the register itself.
 	Fallbacks int64 `json:"fallbacks"`
 }
 
-// hollowProcess is the gateways of one process.
+// simulatedProcess holds the gateways of one process.
 type simulatedProcess struct {
 	config    ProcessConfig
 	meter     *Meter
@@ -101,7 +102,7 @@
 	arrivals []Arrival
 }
 
-// hollowGateway is one gateway without its request path.
+// simulatedGateway is one gateway without its request path.
 type simulatedGateway struct {
 	process *simulatedProcess
 	number  int
@@ -116,18 +117,17 @@
 	book    *plans.Catalog
 }
 
-// RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The
-// first line of its input is a
-// HollowConfig, each further one a command.
+// RunSimulatedGateways runs simulated gateways until it reads the stop command, its input ends or
+// the context ends. The first line of its input is a ProcessConfig, each further line a command.
 func RunSimulatedGateways(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("hollow gateways: no configuration: %w", err)
+		return fmt.Errorf("simulated gateways: no configuration: %w", err)
 	}
 	p := &simulatedProcess{meter: NewMeter()}
 	if err := json.Unmarshal(first, &p.config); err != nil {
-		return fmt.Errorf("hollow gateways: %w", err)
+		return fmt.Errorf("simulated gateways: %w", err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -151,7 +151,7 @@
 	}
 }
 
-// start has all gateways take part.
+// start starts all gateways of the process.
 func (p *simulatedProcess) start(ctx context.Context) error {
 	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
 		return err
@@ -186,7 +186,7 @@
 	wg.Wait()
 }
 
-// arrived takes note of a change that has come to a gateway.
+// recordArrival records a change that has reached a gateway.
 func (p *simulatedProcess) recordArrival(a Arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +213,7 @@
 	return s, nil
 }
 
-// hollowName names a hollow gateway.
+// simulatedName returns the ID of a simulated gateway.
 func simulatedName(number int) string { return fmt.Sprintf("h%d", number) }
 
 const (
@@ -224,7 +224,7 @@
 	silenceTimeout = time.Second
 )
 
-// start has the gateway take part in its fleet.
+// start starts the gateway, which joins the fleet.
 func (g *simulatedGateway) start(ctx context.Context, log *slog.Logger) error {
 	c := &g.process.config
 	address, err := listenAddress(g.number)
@@ -272,17 +272,16 @@
 	return nil
 }
 
-// Hollow gateways listen at hosts of their own in 127.0.0.0/8, where no outgoing connection takes a
-// port while a gateway is not
-// there yet.
+// Simulated gateways listen on their own hosts in 127.0.0.0/8, where no outgoing connection can take
+// a gateway's port before the gateway starts.
 const (
 	simulatedPort       = 7400
-	simulatedHostsFirst = 16 // second byte of their addresses, and how many values it takes
+	simulatedHostsFirst = 16 // second byte of the addresses; it has simulatedHosts values
 	simulatedHosts      = 32
 	hostsOfNetwork      = 250
 )
 
-// listenAddress is a free address for a gateway.
+// listenAddress returns a free address for a gateway.
 func listenAddress(number int) (string, error) {
 	pid := os.Getpid()
 	host := fmt.Sprintf("127.%d.%d.%d", simulatedHostsFirst+pid%simulatedHosts,
@@ -293,19 +292,19 @@
 			return l.Addr().String(), l.Close()
 		}
 	}
-	return "", fmt.Errorf("hollow gateway %d: no free port at %s", number, host)
+	return "", fmt.Errorf("simulated gateway %d: no free port at %s", number, host)
 }
 
-// noRegister is a register that tells nothing. Hundreds of hollow gateways that ask the register
-// themselves would measure the rig's
-// stand-in: that they would have asked is counted instead.
+// noRegister is a register that sends no updates. If hundreds of simulated gateways queried the
+// register themselves, the rig would measure its own stand-in; instead it counts the queries that
+// they would have started.
 type noRegister struct{}
 
 func (noRegister) Run(ctx context.Context, _ func(registry.Update)) { <-ctx.Done() }
 func (noRegister) Follow()                                          {}
 func (noRegister) Move(string)                                      {}
 
-// receive takes in news of the servers.
+// receive applies an update of the list of servers.
 func (g *simulatedGateway) receive(n registry.Update) {
 	now := time.Now().UnixNano()
 	g.mu.Lock()
@@ -322,7 +321,7 @@
 		delete(removed, id)
 		g.put(id, m.Phase, m.HostPort, now)
 	}
-	for id := range removed { // what a whole list does not have
+	for id := range removed { // servers that are missing from a complete list
 		g.put(id, registry.Gone, "", now)
 	}
 	if g.current == 0 && n.Kind != registry.Unavailable {
@@ -330,7 +329,7 @@
 	}
 }
 
-// put takes in a server's phase. The lock is held.
+// put applies a server's phase. The caller holds the lock.
 func (g *simulatedGateway) put(id, phase, address string, now int64) {
 	was, there := g.servers[id]
 	hash := uint64(0)
@@ -349,10 +348,10 @@
 	}
 }
 
-// CheckCatalog finds every version of the plans good; see planconfig.Terms.
+// CheckCatalog accepts every version of the plans; see planconfig.Terms.
 func (g *simulatedGateway) CheckCatalog(*plans.Catalog) error { return nil }
 
-// UseCatalogs puts a version in force at once, and keeps it like a real gateway; see
+// UseCatalogs puts a version into force at once, and holds it in memory like a real gateway; see
 // planconfig.Terms.
 func (g *simulatedGateway) UseCatalogs(
 	book *plans.Catalog, _ []*plans.Catalog, order uint64, done func(),
@@ -384,7 +383,7 @@
 		Version: g.version, MayOperate: mayOperate}
 }
 
-// A tenant comes through two to four gateways.
+// Each tenant uses two to four gateways.
 const (
 	minTenantSpread   = 2
 	tenantSpreadRange = 3
--- a/internal/testing/scale/process.go
+++ b/internal/testing/scale/process.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Usage is what a process has used so far, as the system tells it.
+// Usage is the resource use of a process since its start, as /proc reports it.
 type Usage struct {
 	PID              int     `json:"pid"`
 	ProcessorSeconds float64 `json:"processor_seconds"`
 	ResidentBytes    int64   `json:"resident_bytes"`
 	PeakBytes        int64   `json:"peak_bytes"`
-	ReadBytes        int64   `json:"read_bytes"`    // by calls that read: from connections and files
-	WrittenBytes     int64   `json:"written_bytes"` // by calls that write
+	ReadBytes        int64   `json:"read_bytes"`    // by read calls: connections, files
+	WrittenBytes     int64   `json:"written_bytes"` // by write calls
 }
 
 const clockTicksPerSecond = 100
 
-// UsageOf reads what a process has used.
+// UsageOf reads the resource use of a process from /proc.
 func UsageOf(pid int) (u Usage, err error) {
 	u.PID = pid
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -30,7 +30,7 @@
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	const user, system = 11, 12
 	if len(fields) <= system {
-		return u, fmt.Errorf("process %d: its times can't be read", pid)
+		return u, fmt.Errorf("process %d: /proc/PID/stat has too few fields", pid)
 	}
 	for _, field := range []int{user, system} {
 		ticks, err := strconv.ParseFloat(fields[field], 64)
@@ -52,8 +52,8 @@
 	return u, nil
 }
 
-// Since is what was used since an earlier reading; memory is as it is now. Of a process that was
-// started since, it is all that it has used.
+// Since returns the use since an earlier reading; memory is the current value. If the process was
+// started anew since then, it returns the whole use of the new process.
 func (u Usage) Since(before Usage) Usage {
 	if u.PID != before.PID {
 		return u
@@ -64,7 +64,7 @@
 	return u
 }
 
-// numbersOf reads a file of lines of a name, a colon and a number.
+// numbersOf reads the numbers from a file with lines of the form "name: number".
 func numbersOf(path string) (map[string]int64, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testing/scale/result.go
+++ b/internal/testing/scale/result.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// Row is what one role carried to and from one gateway, per second.
+// Row is the traffic of one role to and from one gateway.
 type Row struct {
 	MessagesPerSecond float64 `json:"messages_per_second"`
 	BytesInPerSecond  float64 `json:"bytes_in_per_second"`
 	BytesOutPerSecond float64 `json:"bytes_out_per_second"`
 }
 
-// Process is what one control process used.
+// Process is the resource use of one control process.
 type Process struct {
 	Name                  string  `json:"name"`
 	Leads                 bool    `json:"leads"`
 	RolesHeld             int     `json:"duties"`
-	Cores                 float64 `json:"cores"` // processor time a second
+	Cores                 float64 `json:"cores"` // processor seconds per second
 	ResidentMB            float64 `json:"resident_mb"`
 	PeakMB                float64 `json:"peak_mb"`
 	ReadBytesPerSecond    float64 `json:"read_bytes_per_second"` // connections and files
 	WrittenBytesPerSecond float64 `json:"written_bytes_per_second"`
 }
 
-// Gateway is what one hollow gateway used at the mean: its process's, divided by how many are in
-// it.
+// Gateway is the mean resource use of one simulated gateway: that of the processes, divided by the
+// number of gateways in them.
 type Gateway struct {
-	Cores              float64 `json:"cores"`
-	ResidentMB         float64 `json:"resident_mb"`
-	HeapMB             float64 `json:"heap_mb"`
-	BytesInPerSecond   float64 `json:"bytes_in_per_second"` // whole connections
-	BytesOutPerSecond  float64 `json:"bytes_out_per_second"`
-	MessagesPerSecond  float64 `json:"messages_per_second"`
-	RequestsPerSecond  float64 `json:"requests_per_second"`
-	GrantedOfRequests  float64 `json:"granted_of_requests"`
-	FallbacksPerMinute float64 `json:"fallbacks_per_minute"` // it heard no list, and would have asked the register itself
+	Cores             float64 `json:"cores"`
+	ResidentMB        float64 `json:"resident_mb"`
+	HeapMB            float64 `json:"heap_mb"`
+	BytesInPerSecond  float64 `json:"bytes_in_per_second"` // whole connections
+	BytesOutPerSecond float64 `json:"bytes_out_per_second"`
+	MessagesPerSecond float64 `json:"messages_per_second"`
+	RequestsPerSecond float64 `json:"requests_per_second"`
+	GrantedOfRequests float64 `json:"granted_of_requests"`
+	// Times that it received no list and would have queried the register itself.
+	FallbacksPerMinute float64 `json:"fallbacks_per_minute"`
 }
 
-// Delays are times from a change until gateways had it.
+// Delays are quantiles of the time from a change until gateways received it.
 type Delays struct {
 	Count int     `json:"count"` // gateways times changes
 	P50   float64 `json:"p50_ms"`
@@ -47,10 +48,10 @@
 	Max   float64 `json:"most_ms"`
 }
 
-// leaderChangesUnknown: no control process told the duties' terms.
+// leaderChangesUnknown is the value of OwnerChanges if no control process reported the terms.
 const leaderChangesUnknown = -1
 
-// Result is what a play came to.
+// Result is the result of a run.
 type Result struct {
 	Command             string       `json:"command"`
 	Date                string       `json:"date"`
@@ -84,7 +85,7 @@
 	Notes               []string     `json:"notes,omitempty"`
 }
 
-// Line is the result as one line of JSON.
+// Line returns the result as one line of JSON.
 func (r *Result) Line() string {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return string(raw)
 }
 
-// newResult begins a result.
+// newResult returns an empty result for these options.
 func newResult(o Options) *Result {
 	return &Result{Command: "scale", Date: time.Now().UTC().Format(time.DateOnly),
 		MachineCores: runtime.NumCPU(), Options: o, Roles: map[Role]Row{},
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -8,7 +8,7 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// sumTraffic sums up what the hollow gateways carried and used.
+// sumTraffic sums up the traffic and the resource use of the simulated gateways.
 func (f *fleetRun) sumTraffic(before, after []Sample, took time.Duration) {
 	r, n, seconds := f.result, float64(f.options.Gateways), took.Seconds()
 	r.Seconds = seconds
@@ -42,19 +42,21 @@
 	if messages.Bytes() > 0 {
 		r.ConnectionOverhead = (in + out) / float64(messages.Bytes())
 	}
-	// What is no message (headers, flow control, pings) is shared out by messages.
+	// Bytes outside of messages (headers, flow control, pings) are divided evenly among messages.
 	perMessage := math.Max(0, in+out-float64(messages.Bytes())) / math.Max(1,
 		float64(messages.Messages()))
 	for role, t := range roles {
 		r.Roles[role] = Row{
 			MessagesPerSecond: float64(t.Messages()) / seconds / n,
-			BytesInPerSecond:  (float64(t.BytesIn) + perMessage*float64(t.MessagesIn)) / seconds / n,
-			BytesOutPerSecond: (float64(t.BytesOut) + perMessage*float64(t.MessagesOut)) / seconds / n,
+			BytesInPerSecond: (float64(t.BytesIn) +
+				perMessage*float64(t.MessagesIn)) / seconds / n,
+			BytesOutPerSecond: (float64(t.BytesOut) +
+				perMessage*float64(t.MessagesOut)) / seconds / n,
 		}
 	}
 }
 
-// sumControl sums up what the control processes used.
+// sumControl sums up the resource use of the control processes.
 func (f *fleetRun) sumControl(before, after []Usage, took time.Duration) {
 	leader := f.control.leader()
 	for i := range after {
@@ -78,10 +80,10 @@
 	}
 }
 
-// changeDelays is how long changes took to come to gateways, of a run or of one stretch of it.
+// changeDelays holds the delays until changes reached gateways, in a run or one interval of it.
 type changeDelays struct{ all, drains, plans []time.Duration }
 
-// add counts a change that came to one gateway.
+// add records the delay of a change that reached one gateway.
 func (d *changeDelays) add(c *change, delay time.Duration) {
 	if c.version > 0 {
 		d.plans = append(d.plans, delay)
@@ -93,10 +95,10 @@
 	}
 }
 
-// sumChanges sums up when changes came to gateways, and which never did.
+// sumChanges sums up the delays until changes reached gateways, and counts the lost ones.
 func (f *fleetRun) sumChanges(settled []Sample) {
 	r := f.result
-	first := map[Arrival]int64{} // without its time
+	first := map[Arrival]int64{} // key: an arrival with At = 0
 	for _, a := range f.arrivals {
 		key := a
 		key.At = 0
@@ -104,7 +106,7 @@
 			first[key] = a.At
 		}
 	}
-	newest := map[string]string{} // phase of each server in the end
+	newest := map[string]string{} // last phase of each server
 	var lastVersion uint64
 	for _, c := range f.changes {
 		if c.version > 0 {
@@ -133,14 +135,15 @@
 			intervals[f.intervalOf(c.at)] = interval
 		}
 		for g := range f.options.Gateways {
-			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase, Version: c.version}]
+			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase,
+				Version: c.version}]
 			delay := time.Unix(0, at).Sub(c.at)
 			switch {
 			case !ok && c.version == lastVersion && c.version > 0:
 				r.LostVersions++
 			case !ok && c.version == 0 && newest[c.server] == c.phase:
 				r.LostChanges++
-			case !ok: // something newer came in its place
+			case !ok: // superseded by a newer change
 			default:
 				run.add(c, delay)
 				interval.add(c, delay)
@@ -172,7 +175,7 @@
 	}
 }
 
-// sumStates tells which gateways are not as they should be in the end.
+// sumStates counts the gateways whose final state is not the expected one.
 func (f *fleetRun) sumStates(settled []Sample) {
 	digest, _ := f.register.Digest()
 	for _, s := range settled {
@@ -190,7 +193,7 @@
 	}
 }
 
-// delaysOf sums up times.
+// delaysOf returns the quantiles of the delays.
 func delaysOf(all []time.Duration) Delays {
 	if len(all) == 0 {
 		return Delays{}
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -20,9 +20,9 @@
 	"mothcleat/internal/dataplane/registry/consul"
 )
 
-// watcher is the process that watches the register for all where the whole list travels: the
-// program does that no more, so the rig does, to have the older path beside the newer one. What it
-// publishes is agreed and served by the real control processes.
+// watcher watches the register for the whole fleet when complete lists are distributed. The program
+// no longer does this; the rig does, to compare the older path with the newer one. The real control
+// processes agree on and serve what the watcher publishes.
 type watcher struct {
 	client *controlrpc.Client
 	set    *election.Set
@@ -32,7 +32,7 @@
 
 const (
 	watcherName    = "w0"
-	watcherAddress = "127.0.0.1:1" // nobody has to reach it
+	watcherAddress = "127.0.0.1:1" // never connected to
 	registerWait   = 5 * time.Second
 	registerHold   = 5 * time.Minute
 	registerReset  = 3
@@ -40,7 +40,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// startWatcher has it ask for the duty.
+// startWatcher starts a watcher, which campaigns for the role of publishing the list.
 func startWatcher(voters []*controlpb.Voter, register string, span time.Duration) *watcher {
 	me := lease.Member{ID: watcherName, Incarnation: rand.Uint64()>>1 | 1}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -69,25 +69,25 @@
 	return w
 }
 
-// holds tells whether it has the duty.
+// holds reports whether the watcher holds the role.
 func (w *watcher) holds() bool { return w.set.HeldTerms()[endpointlist.Role] > 0 }
 
-// close hands the duty on.
+// close stops the watcher, which releases the role.
 func (w *watcher) close() {
 	w.cancel()
 	<-w.ended
 	w.client.Close()
 }
 
-// completeListSource is a hollow gateway's hearing of the whole list, as gateways had it before the
-// list travelled by what changed.
+// completeListSource returns a source of complete lists for a simulated gateway, as gateways used
+// before incremental distribution.
 func (g *simulatedGateway) completeListSource(
 	voters []*controlpb.Voter,
 	log *slog.Logger,
 ) registry.Source {
 	me := lease.Member{ID: simulatedName(g.number), Incarnation: rand.Uint64()>>1 | 1}
 	client := controlrpc.NewClient(g.process.config.Fleet, me, "", slices.Clone(voters), nil,
-		log) // it only asks: it needs no session
+		log) // it only sends queries, which need no session
 	client.Observe(g.process.meter.Observer())
 	return &endpointwatch.Source{
 		Client:         client,
@@ -97,7 +97,7 @@
 	}
 }
 
-// noDirect stands in for the register itself, and counts that it would have been asked.
+// noDirect returns a stand-in for the register, and counts that the gateway would have queried it.
 func (g *simulatedGateway) noDirect() (registry.Source, error) {
 	g.process.fallbacks.Add(1)
 	return noRegister{}, nil
