--- a/internal/testing/scale/changes.go
+++ b/internal/testing/scale/changes.go
@@ -10,8 +10,9 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// drive has servers replaced, a rack go, versions proposed and real gateways asked, all at once,
-// for the length of the run. What it returns waits for the requests that are under way at its end.
+// applyLoad concurrently replaces servers, removes a rack, proposes versions, injects faults and
+// sends requests to the real gateways, for the length of the run. The function that it returns
+// waits for the work and the requests that are still in progress.
 func (f *fleetRun) applyLoad(ctx context.Context) (ended func()) {
 	running, cancel := context.WithTimeout(ctx, f.options.For)
 	var wg sync.WaitGroup
@@ -51,7 +52,7 @@
 	}
 }
 
-// replaceServers drains one server after another, adds one in its place and takes it away.
+// replaceServers replaces one server after another: it drains it, adds a new one and removes it.
 func (f *fleetRun) replaceServers(ctx context.Context) {
 	if f.options.ReplacementsPerSecond == 0 {
 		return
@@ -91,7 +92,7 @@
 	)
 }
 
-// loseRack has many servers go at once.
+// removeRack removes many servers at once.
 func (f *fleetRun) removeRack(ctx context.Context) {
 	if f.options.RackSize == 0 || !sleep(ctx, time.Duration(rackAfter*float64(f.options.For))) {
 		return
@@ -114,7 +115,8 @@
 		share := firstVersionAt + (lastVersionAt-firstVersionAt)*float64(i)/float64(n)
 		if i == 0 {
 			sleep(ctx, time.Duration(share*float64(f.options.For)))
-		} else if !sleep(ctx, time.Duration((lastVersionAt-firstVersionAt)/float64(n)*float64(f.options.For))) {
+		} else if !sleep(ctx,
+			time.Duration((lastVersionAt-firstVersionAt)/float64(n)*float64(f.options.For))) {
 			return
 		}
 		text := f.control.plansText(f.options.Tenants, 1+0.2*r.Float64(), r.IntN(f.options.Tenants))
@@ -124,7 +126,7 @@
 			f.mu.Lock()
 			f.refused++
 			f.mu.Unlock()
-			fmt.Fprintln(f.log, "a version was not taken:", err)
+			fmt.Fprintln(f.log, "a version was refused:", err)
 			continue
 		}
 		f.recordChange(change{version: number, at: at})
--- a/internal/testing/scale/children.go
+++ b/internal/testing/scale/children.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// child is a process of hollow gateways.
+// child is a process of simulated gateways.
 type child struct {
 	command *exec.Cmd
 	in      io.WriteCloser
@@ -25,9 +25,8 @@
 
 const childExitTimeout = 10 * time.Second
 
-// startChild starts a process that waits for its configuration. Nothing may outlive the rig: the
-// process is killed with the thread
-// that started it, so that thread is kept.
+// startChild starts a process that waits for its configuration. The process must not outlive the
+// rig: the kernel kills it when the thread that started it exits, so that thread is kept.
 func startChild(line []string) (c *child, err error) {
 	c = &child{command: exec.Command(line[0], line[1:]...)}
 	c.command.Stderr = &c.errs
@@ -45,21 +44,21 @@
 	go func() {
 		runtime.LockOSThread()
 		started <- c.command.Start()
-		select {} // the thread lives as long as the rig
+		select {} // keeps the thread for the lifetime of the rig
 	}()
 	return c, <-started
 }
 
-// hollowEnvironment tells the program of a test that it is to run hollow gateways.
+// simulatedEnvironment makes a test binary run simulated gateways; see TestMain.
 const simulatedEnvironment = "MOTHCLEAT_HOLLOW=1"
 
-// send writes a line.
+// send writes a line to the process.
 func (c *child) send(line []byte) error {
 	_, err := c.in.Write(append(line, '\n'))
 	return err
 }
 
-// sample asks for a sample.
+// sample requests a sample from the process.
 func (c *child) sample() (s Sample, err error) {
 	if err := c.send([]byte(commandSample)); err != nil {
 		return s, c.failed(err)
@@ -71,13 +70,13 @@
 	return s, json.Unmarshal(line, &s)
 }
 
-// failed tells why a process does not answer.
+// failed wraps an error of the process with its PID and the start of its standard error.
 func (c *child) failed(err error) error {
-	return fmt.Errorf("hollow gateways, process %d: %w: %.500s", c.command.Process.Pid, err,
+	return fmt.Errorf("simulated gateways, process %d: %w: %.500s", c.command.Process.Pid, err,
 		c.errs.String())
 }
 
-// stop ends the process, by force if it takes too long.
+// stop stops the process, and kills it after childExitTimeout.
 func (c *child) stop() {
 	_ = c.send([]byte(commandStop))
 	_ = c.in.Close()
@@ -94,10 +93,10 @@
 	}
 }
 
-// children are all processes of hollow gateways.
+// children are all processes of simulated gateways.
 type children []*child
 
-// samples asks all at once.
+// samples requests samples from all processes concurrently.
 func (all children) samples() ([]Sample, error) {
 	samples, errs := make([]Sample, len(all)), make([]error, len(all))
 	var wg sync.WaitGroup
@@ -112,7 +111,7 @@
 	return samples, errors.Join(errs...)
 }
 
-// stop ends all at once.
+// stop stops all processes concurrently.
 func (all children) stop() {
 	var wg sync.WaitGroup
 	for _, c := range all {
@@ -125,7 +124,7 @@
 	wg.Wait()
 }
 
-// SelfCommand is the command line that has this program run hollow gateways.
+// SelfCommand returns a command line that runs this executable with the arguments.
 func SelfCommand(arguments ...string) ([]string, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -24,22 +24,22 @@
 	fleetName       = "scale"
 	controlNames    = "c"
 	realNames       = "r"
-	controlMemoryMB = 4096 // a soft limit: collection of garbage is not to be what is measured
+	controlMemoryMB = 4096 // soft limit; keeps garbage collection out of the measurement
 	callTimeout     = 5 * time.Second
 )
 
-// control is the processes of the program that vote and hold all duties.
+// control holds the processes of the program that vote and hold all fleet-wide roles.
 type control struct {
 	world     *lab.World
 	options   *Options
 	register  *Register
-	addresses []string // where each listens for the fleet
+	addresses []string // listen addresses for the fleet, by process
 	exports   string
 }
 
 func controlName(i int) string { return fmt.Sprintf("%s%d", controlNames, i) }
 
-// startControl founds the fleet and starts its voters.
+// startControl bootstraps the fleet and starts its voters.
 func startControl(ctx context.Context, o *Options, register *Register, log io.Writer) (c *control,
 	err error) {
 	c = &control{options: o, register: register}
@@ -49,7 +49,7 @@
 	return c, err
 }
 
-// prepare writes a voter's operators' file and founds its folder.
+// prepare writes a voter's operators' file and bootstraps its folder.
 func (c *control) prepare(w *lab.World, g *lab.Gateway) error {
 	if c.addresses == nil {
 		c.exports = filepath.Join(w.Dir, "exports")
@@ -81,14 +81,15 @@
 	return nil
 }
 
-// operators is the operators' file of a process that listens at an address.
+// operators returns the operators' file of a process that listens on an address.
 func (c *control) operators(listen string, control bool) string {
 	var b strings.Builder
 	parts := c.options.Parts
 	if control {
 		fmt.Fprintf(
 			&b,
-			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n",
+			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\n"+
+				"wait = \"5s\"\ncatalogue = false\n",
 			serviceName,
 			c.register.Address,
 		)
@@ -128,7 +129,7 @@
 	return b.String()
 }
 
-// voters are the founding voters.
+// voters returns the initial voters.
 func (c *control) voters() (all []*controlpb.Voter) {
 	for i, own := range c.addresses {
 		all = append(
@@ -140,7 +141,7 @@
 	return all
 }
 
-// owners are the names of all who may hold duties.
+// owners returns the names of all processes that may hold roles.
 func (c *control) owners() (all []string) {
 	for i := range c.addresses {
 		all = append(all, controlName(i))
@@ -148,12 +149,13 @@
 	return all
 }
 
-// call has a control process's admin interface answer a call about the fleet.
+// call sends a fleet command to the admin interface of a control process.
 func (c *control) call(i int, line string, into any) error {
 	return c.world.Gateways[i].CallFleet(line, callTimeout, into)
 }
 
-// leader is which control process leads the log; -1: none says so.
+// leader returns the index of the control process that leads the log; -1: none reports that it
+// does.
 func (c *control) leader() int {
 	for i := range c.addresses {
 		var here controlplane.LocalStatus
@@ -164,7 +166,7 @@
 	return -1
 }
 
-// rolesHeld tells how many duties each control process holds.
+// rolesHeld returns the number of roles that a control process holds.
 func (c *control) rolesHeld(i int) (held int) {
 	var here controlplane.LocalStatus
 	if c.call(i, "here", &here) == nil {
@@ -173,8 +175,8 @@
 	return held
 }
 
-// terms is the sum of all duties' terms: it grows by one with each change of an owner.
-// ok is false where nobody tells.
+// termSum returns the sum of the terms of all roles, which grows by one with each change of an
+// owner. ok is false if the terms can't be read.
 func (c *control) termSum() (sum int, ok bool) {
 	var v lease.View
 	if c.call(max(0, c.leader()), "owners", &v) != nil {
@@ -186,7 +188,7 @@
 	return sum, true
 }
 
-// propose has a version of the plans go to all gateways, and gives its number.
+// propose proposes a version of the plans for all gateways, and returns its number.
 func (c *control) propose(text string) (number uint64, err error) {
 	at := max(0, c.leader())
 	file := filepath.Join(c.world.Gateways[at].Dir(), fmt.Sprintf("plans-%d.toml",
@@ -206,8 +208,8 @@
 	)
 }
 
-// plansText is a version of all plans, with the plan of each tenant. One tenant has another plan
-// than usual; below 0: none.
+// plansText returns a version of all plans, with the plan of each tenant. The tenant moved has
+// another plan than usual; below 0: none.
 func (c *control) plansText(tenants int, factor float64, moved int) string {
 	var b strings.Builder
 	site := c.world.Site
@@ -234,7 +236,7 @@
 	return b.String()
 }
 
-// usage is what each process has used so far.
+// usage returns the resource use of each process.
 func (c *control) usage() (all []Usage, err error) {
 	for _, g := range c.world.Gateways {
 		u, bad := UsageOf(g.PID())
@@ -244,7 +246,7 @@
 	return all, err
 }
 
-// close ends all processes, and keeps their logs where they are wanted.
+// close stops all processes, and saves their logs if Options.Logs is set.
 func (c *control) close() {
 	if c.world == nil {
 		return
--- a/internal/testing/scale/faults.go
+++ b/internal/testing/scale/faults.go
@@ -13,54 +13,59 @@
 // Fault is a failure that a run injects.
 type Fault string
 
-// The faults. Undisturbed names the stretch of a run before the first.
+// The faults. Undisturbed names the interval of a run before the first fault.
 const (
-	Undisturbed   Fault = "undisturbed"
-	FaultStop     Fault = "stop"     // a control process that does not lead the log is stopped for stopLength
-	FaultKill     Fault = "kill"     // one that does not lead is killed, and started again after downLength
-	FaultLeader   Fault = "leader"   // the one that leads is killed, and started again
-	FaultGateways Fault = "gateways" // one process of hollow gateways is stopped for stopLength
+	Undisturbed Fault = "undisturbed"
+	// FaultStop stops a control process that is not the leader of the log for stopLength.
+	FaultStop Fault = "stop"
+	// FaultKill kills a control process that is not the leader, and restarts it after downLength.
+	FaultKill Fault = "kill"
+	// FaultLeader kills the leader, and restarts it after downLength.
+	FaultLeader Fault = "leader"
+	// FaultGateways stops one process of simulated gateways for stopLength.
+	FaultGateways Fault = "gateways"
 )
 
 const (
 	stopLength = 4 * time.Second
 	downLength = 2 * time.Second
-	// minStretch is how long each stretch of a run has to be: a fault, and what comes after it.
+	// minInterval is the minimum length of each interval of a run: a fault and its aftermath.
 	minInterval  = 6 * time.Second
-	startTimeout = 20 * time.Second // for a process that was killed
+	startTimeout = 20 * time.Second // for a killed process to restart
 )
 
 var knownFaults = []Fault{FaultStop, FaultKill, FaultLeader, FaultGateways}
 
-// ParseFaults reads a list of faults, parted by commas; empty: none.
+// ParseFaults parses a comma-separated list of faults; empty: none.
 func ParseFaults(list string) (all []Fault, err error) {
 	if list == "" {
 		return nil, nil
 	}
 	for word := range strings.SplitSeq(list, ",") {
 		if !slices.Contains(knownFaults, Fault(word)) {
-			return nil, fmt.Errorf("--faults %q: some of stop, kill, leader, gateways wanted", word)
+			return nil, fmt.Errorf("--faults %q: must be one of stop, kill, leader, gateways", word)
 		}
 		all = append(all, Fault(word))
 	}
 	return all, nil
 }
 
-// Stretch is a part of a run: from a fault until the next, with the changes that were made in it.
+// Interval is the part of a run from one fault until the next, with the changes made in it.
 type Interval struct {
 	Fault        Fault  `json:"fault"`
-	Target       string `json:"target,omitempty"`    // the process that it befell
-	BeganMS      int64  `json:"began_ms"`            // since the run began
-	InForce      Delays `json:"in_force"`            // of servers' changes
-	Draining     Delays `json:"draining"`            // of those, drains
-	PlansInForce Delays `json:"plans_in_force"`      // of versions of the plans
+	Target       string `json:"target,omitempty"`    // the affected process
+	BeganMS      int64  `json:"began_ms"`            // since the start of the run
+	InForce      Delays `json:"in_force"`            // delays of changes of servers
+	Draining     Delays `json:"draining"`            // the drains among them
+	PlansInForce Delays `json:"plans_in_force"`      // delays of versions of the plans
 	Failed       string `json:"failed,omitempty"`    // why the fault was not injected
-	Recovered    bool   `json:"recovered,omitempty"` // the process serves again
+	Recovered    bool   `json:"recovered,omitempty"` // the process runs again
 	began        time.Time
 }
 
-// injectFaults injects the faults of a run, one in each stretch, and notes when each stretch began.
-// It returns when the context ends and each process that a fault befell runs again.
+// injectFaults injects the faults of a run, one in each interval, and records the start of each
+// interval. It returns after the last fault or when the context ends, once each affected process
+// runs again.
 func (f *fleetRun) injectFaults(ctx context.Context) {
 	began := time.Now()
 	f.intervals = []Interval{{Fault: Undisturbed, began: began}}
@@ -81,8 +86,8 @@
 	}
 }
 
-// inject injects a fault, waits for its length and ends it. It returns the name of the process that
-// it befell.
+// inject injects a fault, waits for its length and ends it. It returns the name of the affected
+// process.
 func (f *fleetRun) inject(ctx context.Context, fault Fault) (target string, err error) {
 	if fault == FaultGateways {
 		return "the first process of hollow gateways", f.children[0].pause(ctx)
@@ -111,8 +116,8 @@
 	return g.Signal(syscall.SIGCONT)
 }
 
-// restart kills a control process and starts it again after downLength, whatever becomes of the
-// context.
+// restart kills a control process and starts it again after downLength, or at once when the context
+// ends. The start does not depend on the context.
 func (c *control) restart(ctx context.Context, at int) error {
 	g := c.world.Gateways[at]
 	if err := g.Signal(syscall.SIGKILL); err != nil {
@@ -127,7 +132,7 @@
 	return c.world.Start(starting, g)
 }
 
-// pause stops a process of hollow gateways for stopLength.
+// pause stops a process of simulated gateways for stopLength.
 func (c *child) pause(ctx context.Context) error {
 	if err := c.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -136,7 +141,7 @@
 	return c.command.Process.Signal(syscall.SIGCONT)
 }
 
-// stretchOf is the stretch in which a change was made; nil where the run has none.
+// intervalOf returns the interval in which a change was made, or nil if the run has no intervals.
 func (f *fleetRun) intervalOf(at time.Time) *Interval {
 	for i := range slices.Backward(f.intervals) {
 		if !at.Before(f.intervals[i].began) {
--- a/internal/testing/scale/faults_test.go
+++ b/internal/testing/scale/faults_test.go
@@ -8,8 +8,8 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// A run with faults injects each of them, has the process serve again, and tells what changes took
-// in each stretch; what was changed meanwhile is at all gateways in the end.
+// A run with faults injects each fault, restores the affected process, and reports the delays of
+// changes in each interval. All changes made meanwhile reach all gateways by the end.
 func TestFaultsOfARun(t *testing.T) {
 	if !lab.HasGo() {
 		t.Fatal("no go command to build the gateway with")
@@ -42,7 +42,7 @@
 	}
 }
 
-// A change counts to the stretch in which it was made.
+// A change counts towards the interval in which it was made.
 func TestAChangeCountsToItsStretch(t *testing.T) {
 	began := time.Now()
 	p := &fleetRun{
@@ -53,7 +53,7 @@
 	}
 	for after, want := range map[time.Duration]Fault{0: Undisturbed, time.Second - 1: Undisturbed, time.Second: FaultKill, time.Hour: FaultKill} {
 		if s := p.intervalOf(began.Add(after)); s == nil || s.Fault != want {
-			t.Errorf("after %v: %+v, %s wanted", after, s, want)
+			t.Errorf("after %v: %+v, want %s", after, s, want)
 		}
 	}
 	if s := (&fleetRun{}).intervalOf(began); s != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// What can't be injected ends with one line that names it.
+// An unknown fault, or a run too short for its faults, gives an error that names it.
 func TestFaultsThatCantBePlayed(t *testing.T) {
 	if all, err := ParseFaults("stop,kill,leader,gateways"); err != nil || len(all) != 4 {
 		t.Errorf("%v, %v", all, err)
--- a/internal/testing/scale/fit.go
+++ b/internal/testing/scale/fit.go
@@ -42,7 +42,8 @@
 		largest = max(largest, math.Abs(p.Y))
 	}
 	if len(sizes) < minPoints {
-		return s, fmt.Errorf("slope %s: %d distinct sizes, must be at least %d", name, len(sizes), minPoints)
+		return s, fmt.Errorf("slope %s: %d distinct sizes, must be at least %d",
+			name, len(sizes), minPoints)
 	}
 	s.At0, s.PerOne = stat.LinearRegression(xs, ys, nil, false)
 	for _, p := range points {
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// Simulated gateways listen on their own hosts in 127.0.0.0/8, where no outgoing connection can take
-// a gateway's port before the gateway starts.
+// Simulated gateways listen on their own hosts in 127.0.0.0/8, where no outgoing connection can
+// take a gateway's port before the gateway starts.
 const (
 	simulatedPort       = 7400
 	simulatedHostsFirst = 16 // second byte of the addresses; it has simulatedHosts values
@@ -363,7 +363,8 @@
 	g.book, g.version = book, number
 	g.mu.Unlock()
 	if new {
-		g.process.recordArrival(Arrival{Gateway: g.number, Version: number, At: time.Now().UnixNano()})
+		g.process.recordArrival(Arrival{Gateway: g.number, Version: number,
+			At: time.Now().UnixNano()})
 	}
 }
 
@@ -379,8 +380,9 @@
 	if replica := g.node.DistributionStatus().Replica; replica != nil {
 		stale = int(replica.Counts.Divergences)
 	}
-	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, CurrentAt: g.current,
-		Version: g.version, MayOperate: mayOperate}
+	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest,
+		CurrentAt: g.current,
+		Version:   g.version, MayOperate: mayOperate}
 }
 
 // Each tenant uses two to four gateways.
--- a/internal/testing/scale/ladder.go
+++ b/internal/testing/scale/ladder.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Ladder is a number of plays that differ in one size, with everything off but the role that is
-// measured.
+// Series is a number of runs that differ in one size, with all roles disabled but the measured one.
 type Series struct {
 	Name  string
 	Steps []Options
 }
 
-// Step is a ladder's play that was made.
+// Step is a completed run of a series.
 type Step struct {
 	Series string  `json:"ladder"`
 	Result *Result `json:"result"`
-	Trial  string  `json:"trial,omitempty"` // why it is kept as a trial only, and in no slope; "": it is none
+	// Why the step is only a trial that is excluded from slopes; "": it is no trial.
+	Trial string `json:"trial,omitempty"`
 }
 
-// failed tells why a step is no measure of what its size takes; "": it is one. What did not arrive
-// costs nothing.
+// failed returns why a step is not a valid measurement of the cost of its size; "": it is valid.
+// Changes that did not arrive make a step invalid, because they cost nothing.
 func (s *Step) failed() string {
 	r := s.Result
 	switch {
@@ -32,30 +32,31 @@
 		return "not all gateways were current in time"
 	case r.Diverged+r.LostChanges+r.LostVersions > 0:
 		return fmt.Sprintf(
-			"%d lists were not the register's in the end, %d changes and %d versions did not arrive",
+			"%d lists were not the register's in the end, "+
+				"%d changes and %d versions did not arrive",
 			r.Diverged,
 			r.LostChanges,
 			r.LostVersions,
 		)
-	case r.OwnerChanges > r.Options.Control: // each may have been handed to where it belongs
+	case r.OwnerChanges > r.Options.Control: // each may have moved to its preferred owner
 		return fmt.Sprintf("%d duties changed hands", r.OwnerChanges)
 	}
 	return ""
 }
 
-// The ladders.
+// The names of the series.
 const (
 	SeriesBase          = "base"           // sessions, leases and the log alone, by gateways
-	SeriesListServers   = "list-servers"   // the whole list, by servers
-	SeriesListGateways  = "list-gateways"  // the whole list, by gateways
-	SeriesDeltaServers  = "delta-servers"  // the list by what changed, by servers
-	SeriesDeltaGateways = "delta-gateways" // the same, by gateways
-	SeriesDeltaChanges  = "delta-changes"  // the same, by changes a second
-	SeriesPlansTenants  = "plans-tenants"  // a version of the plans from nothing, by tenants
-	SeriesPlansDelta    = "plans-delta"    // versions of the plans where each gateway has the one before, by tenants
-	SeriesLeaseGateways = "permits"        // permits and records, by gateways, without a new version
+	SeriesListServers   = "list-servers"   // complete lists, by servers
+	SeriesListGateways  = "list-gateways"  // complete lists, by gateways
+	SeriesDeltaServers  = "delta-servers"  // incremental lists, by servers
+	SeriesDeltaGateways = "delta-gateways" // incremental lists, by gateways
+	SeriesDeltaChanges  = "delta-changes"  // incremental lists, by changes per second
+	SeriesPlansTenants  = "plans-tenants"  // a first version of the plans, by tenants
+	SeriesPlansDelta    = "plans-delta"    // further versions of the plans, by tenants
+	SeriesLeaseGateways = "permits"        // permits and records without a new version, by gateways
 	SeriesAllocation    = "allocation"     // quotas, by tenants and gateways together
-	SeriesMetering      = "metering"       // counted use, by gateways
+	SeriesMetering      = "metering"       // usage metering, by gateways
 )
 
 const (
@@ -64,31 +65,31 @@
 	stepReplacements   = 0.5
 	stepGateways       = 40
 	stepServers        = 730
-	stepVersions       = 2 // where each gateway has one before
+	stepVersions       = 2 // for the series in which each gateway already has a version
 	tenantsPerGateway  = DesignTenants / DesignGateways
 	defaultStepTenants = 600
 	defaultStepServers = 10
 )
 
-// Sizes of the ladders.
+// Sizes of the series.
 var (
 	gatewaySizes    = []int{40, 80, 160}
 	allocationSizes = []int{
 		20,
 		40,
 		80,
-	} // of gateways: more than these lose their owners on eight cores
+	} // of gateways; with more, roles lose their owners on eight cores
 	serverSizes    = []int{730, 2000, 7300}
 	wholeListSizes = []int{
 		365,
 		730,
 		1460,
-	} // of servers: with more the whole list does not come to all
+	} // of servers; with more, the complete list does not reach all gateways
 	tenantSizes = []int{6000, 20000, 60000}
 	changeSizes = []int{1, 2, 4} // times stepReplacements
 )
 
-// Ladders are all of them.
+// AllSeries returns all series.
 func AllSeries() []Series {
 	return []Series{
 		newSeries(SeriesBase, gatewaySizes, setGateways),
@@ -98,7 +99,8 @@
 		newSeries(SeriesDeltaGateways, gatewaySizes, enableList, useDelta, setGateways),
 		newSeries(SeriesDeltaChanges, changeSizes, enableList, useDelta, setChangeRate),
 		newSeries(SeriesPlansTenants, tenantSizes, enableConfiguration, setTenants),
-		newSeries(SeriesPlansDelta, tenantSizes, enableConfiguration, enableBaseVersion, setTenants),
+		newSeries(SeriesPlansDelta, tenantSizes, enableConfiguration, enableBaseVersion,
+			setTenants),
 		newSeries(
 			SeriesLeaseGateways,
 			gatewaySizes,
@@ -106,15 +108,16 @@
 			setGateways,
 			setTenantsByGateways,
 		),
-		newSeries(SeriesAllocation, allocationSizes, enableAllocation, setGateways, setTenantsByGateways),
+		newSeries(SeriesAllocation, allocationSizes, enableAllocation, setGateways,
+			setTenantsByGateways),
 		newSeries(SeriesMetering, gatewaySizes, enableMetering, setGateways, setTenantsByGateways),
 	}
 }
 
-// setting sets up a step of a size.
+// setting sets the options of a step of a size.
 type setting func(o *Options, size int)
 
-// newLadder makes a ladder with a step for each size.
+// newSeries returns a series with a step for each size.
 func newSeries(name string, sizes []int, settings ...setting) Series {
 	l := Series{Name: name}
 	for _, size := range sizes {
@@ -150,7 +153,7 @@
 	o.ReplacementsPerSecond = stepReplacements
 }
 
-// seldom has changes come one by one, so that each is fetched by itself.
+// setLowChangeRate makes changes rare enough that gateways fetch the list for each separately.
 func setLowChangeRate(o *Options, _ int) { o.ReplacementsPerSecond = lowReplacements }
 
 func useDelta(o *Options, _ int) { o.Path = PathDelta }
@@ -160,13 +163,13 @@
 	o.Versions = 1
 }
 
-// baseVersionOn has all gateways have a version before.
+// enableBaseVersion brings a version into force at all gateways before the run.
 func enableBaseVersion(o *Options, _ int) {
 	o.BaseVersion = true
 	o.Versions = stepVersions
 }
 
-// versionLeasesOn has requests recorded, and no new version.
+// enableVersionLeases enables permits and records of requests, without a new version.
 func enableVersionLeases(o *Options, _ int) {
 	o.Parts.Configuration = true
 	o.Parts.Metering = true
@@ -176,7 +179,7 @@
 
 func enableMetering(o *Options, _ int) { o.Parts.Metering = true }
 
-// RunLadder plays a ladder's steps one after another.
+// RunSeries runs the steps of a series one after another. It returns an error for an unknown name.
 func RunSeries(ctx context.Context, name string, seed uint64, bin string, self []string,
 	log io.Writer) (steps []Step, err error) {
 	for _, l := range AllSeries() {
@@ -185,7 +188,7 @@
 		}
 		for _, o := range l.Steps {
 			o.Seed, o.Bin, o.Self = seed, bin, self
-			fmt.Fprintf(log, "ladder %s: %d gateways, %d servers, %d tenants\n", name, o.Gateways,
+			fmt.Fprintf(log, "series %s: %d gateways, %d servers, %d tenants\n", name, o.Gateways,
 				o.Servers, o.Tenants)
 			r, err := Run(ctx, o, log)
 			if err != nil {
@@ -195,5 +198,5 @@
 		}
 		return steps, nil
 	}
-	return nil, fmt.Errorf("--ladder %q: no such ladder", name)
+	return nil, fmt.Errorf("--ladder %q: no such series", name)
 }
--- a/internal/testing/scale/meter.go
+++ b/internal/testing/scale/meter.go
@@ -20,7 +20,8 @@
 	"mothcleat/internal/controlplane/usageexport"
 )
 
-// Traffic is what passed between a gateway and others: In to the gateway, Out from it.
+// Traffic counts messages and bytes between a gateway and other processes: In to the gateway, Out
+// from it.
 type Traffic struct {
 	MessagesIn  int64 `json:"messages_in"`
 	MessagesOut int64 `json:"messages_out"`
@@ -28,7 +29,7 @@
 	BytesOut    int64 `json:"bytes_out"`
 }
 
-// Plus is the sum of two.
+// Plus returns the sum t + o.
 func (t Traffic) Plus(o Traffic) Traffic {
 	return Traffic{
 		t.MessagesIn + o.MessagesIn,
@@ -38,7 +39,7 @@
 	}
 }
 
-// Minus is the difference of two.
+// Minus returns the difference t - o.
 func (t Traffic) Minus(o Traffic) Traffic {
 	return Traffic{
 		t.MessagesIn - o.MessagesIn,
@@ -48,14 +49,14 @@
 	}
 }
 
-// Messages and Bytes are both directions together.
+// Messages returns the number of messages in both directions.
 func (t Traffic) Messages() int64 { return t.MessagesIn + t.MessagesOut }
 
-// Bytes are both directions together.
+// Bytes returns the number of bytes in both directions.
 func (t Traffic) Bytes() int64 { return t.BytesIn + t.BytesOut }
 
-// Meter counts messages and their bytes by role, and the bytes of whole connections. It may be used
-// concurrently.
+// Meter counts messages and their bytes by role, and the bytes of whole connections. It is safe for
+// concurrent use.
 type Meter struct {
 	mu    sync.Mutex
 	roles map[Role]Traffic
@@ -63,15 +64,15 @@
 	connectionIn, connectionOut atomic.Int64
 }
 
-// NewMeter makes a meter that has counted nothing.
+// NewMeter returns a meter with all counts at zero.
 func NewMeter() *Meter { return &Meter{roles: map[Role]Traffic{}} }
 
-// Observer is what a process of the fleet is given to be counted.
+// Observer returns the hooks by which a process of the fleet reports its traffic to the meter.
 func (m *Meter) Observer() *controlrpc.Observer {
 	return &controlrpc.Observer{Stats: m, Wrap: m.wrap}
 }
 
-// Roles is what was counted so far: messages by their own bytes.
+// Roles returns the traffic so far by role; bytes are those of the messages alone.
 func (m *Meter) Roles() map[Role]Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,11 +83,13 @@
 	return all
 }
 
-// Connections is how many bytes all connections carried, with headers and everything else that is
-// no message.
-func (m *Meter) Connections() (in, out int64) { return m.connectionIn.Load(), m.connectionOut.Load() }
+// Connections returns the bytes of all connections, including headers and everything else outside
+// of messages.
+func (m *Meter) Connections() (in, out int64) {
+	return m.connectionIn.Load(), m.connectionOut.Load()
+}
 
-// call is one call under way.
+// call is one RPC in progress.
 type call struct {
 	method string
 	role   atomic.Pointer[Role]
@@ -94,18 +97,18 @@
 
 type callKey struct{}
 
-// TagRPC has a call carry its method.
+// TagRPC attaches the method of the RPC to its context.
 func (m *Meter) TagRPC(ctx context.Context, info *stats.RPCTagInfo) context.Context {
 	return context.WithValue(ctx, callKey{}, &call{method: info.FullMethodName})
 }
 
-// TagConn and HandleConn do nothing: connections are counted by their bytes.
+// TagConn does nothing: the bytes of connections are counted by wrap.
 func (m *Meter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-// HandleConn does nothing.
+// HandleConn does nothing: the bytes of connections are counted by wrap.
 func (m *Meter) HandleConn(context.Context, stats.ConnStats) {}
 
-// HandleRPC counts a message.
+// HandleRPC counts a received or sent message.
 func (m *Meter) HandleRPC(ctx context.Context, event stats.RPCStats) {
 	c, ok := ctx.Value(callKey{}).(*call)
 	if !ok {
@@ -125,7 +128,7 @@
 	m.roles[role] = m.roles[role].Plus(t)
 }
 
-// roleOf is the role that a call belongs to, told by its method and what it asks for.
+// roleOf returns the role that a call belongs to, by its method and its first counted message.
 func (c *call) roleOf(message any) Role {
 	if known := c.role.Load(); known != nil {
 		return *known
@@ -148,7 +151,7 @@
 	serviceDistribution = "/mothcleat.distribution.Distribution/"
 )
 
-// roleOfMethod is the role of a method that serves one only.
+// roleOfMethod returns the role of a method that serves a single role.
 func roleOfMethod(method string) Role {
 	switch method {
 	case serviceFleet + "Renew", serviceFleet + "Borrow":
@@ -170,7 +173,7 @@
 
 var auditOperation = []byte(`"do":"head"`)
 
-// roleOfMachine is the role of a part of the agreed state.
+// roleOfMachine returns the role of a replicated state machine; body is a command to it, or nil.
 func roleOfMachine(machine string, body []byte) Role {
 	switch machine {
 	case endpointlist.MachineName:
@@ -187,13 +190,13 @@
 	case lease.MachineName:
 		return RoleElection
 	case consensus.MembershipName,
-		"": // who belongs to the fleet, and a session that says that it lives
+		"": // membership of the fleet, and keep-alives of sessions
 		return RoleMembership
 	}
 	return RoleOther
 }
 
-// wrap counts a connection's bytes.
+// wrap returns a connection that counts its bytes in the meter.
 func (m *Meter) wrap(conn net.Conn) net.Conn { return &countedConn{Conn: conn, meter: m} }
 
 type countedConn struct {
--- a/internal/testing/scale/model.go
+++ b/internal/testing/scale/model.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Names of the slopes. What a role takes is measured with the others off; what sessions, leases and
-// the log take by themselves is subtracted.
+// Names of the slopes. The cost of a role is measured with the other roles disabled; the cost of
+// sessions, leases and the log alone is subtracted.
 const (
 	SlopeBaseCores          = "gateway: sessions alone, processor"
 	SlopeBaseMemory         = "gateway: sessions alone, memory"
@@ -54,13 +54,13 @@
 	SlopeMeteringControl   = "metering: processor of control machines"
 )
 
-// quantity is something that is read from the steps of a ladder, and what it depends on.
+// quantity is a quantity y that is read from the steps of a series, and the size x it depends on.
 type quantity struct {
 	name, unit, dependsOn, series string
 	x, y                          func(r *Result) float64
 }
 
-// What quantities depend on.
+// The sizes that quantities depend on, and the units of quantities.
 const (
 	byGateways  = "gateways"
 	byServers   = "servers"
@@ -81,17 +81,19 @@
 func xChanges(r *Result) float64  { return float64(r.ListChanges) / r.Seconds }
 
 func bytesOf(role Role) func(r *Result) float64 {
-	return func(r *Result) float64 { return r.Roles[role].BytesInPerSecond + r.Roles[role].BytesOutPerSecond }
+	return func(r *Result) float64 {
+		return r.Roles[role].BytesInPerSecond + r.Roles[role].BytesOutPerSecond
+	}
 }
 
 func messagesOf(role Role) func(r *Result) float64 {
 	return func(r *Result) float64 { return r.Roles[role].MessagesPerSecond }
 }
 
-// Slopes are those that were fitted, by name.
+// Slopes are the fitted slopes, by name.
 type Slopes map[string]*Slope
 
-// at is a slope's value at a size; no number where it was not measured.
+// at returns the value of a slope at a size, or NaN if the slope was not measured.
 func (s Slopes) at(name string, x float64) float64 {
 	if one := s[name]; one != nil {
 		return one.At(x)
@@ -99,7 +101,7 @@
 	return math.NaN()
 }
 
-// baseQuantities are those that the others are counted beyond.
+// baseQuantities returns the quantities of the base load, which is subtracted from the others.
 func baseQuantities() []quantity {
 	return []quantity{
 		{SlopeBaseCores, unitCores, byGateways, SeriesBase, xGateways,
@@ -129,7 +131,7 @@
 	}
 }
 
-// controlMemory is the most that a control process held.
+// controlMemory returns the largest resident memory of a control process, in MB.
 func controlMemory(r *Result) (peak float64) {
 	for _, p := range r.ControlProcesses {
 		peak = max(peak, p.ResidentMB)
@@ -137,7 +139,7 @@
 	return peak
 }
 
-// beyond gives functions for what a play took beyond sessions alone.
+// aboveBase computes the cost of a run in excess of sessions alone.
 type aboveBase struct{ base Slopes }
 
 func (b aboveBase) cores(r *Result) float64 {
@@ -152,17 +154,17 @@
 	return max(0, r.ControlCores-b.base.at(SlopeBaseControl, xGateways(r)))
 }
 
-// configuration is the bytes of contents, without those of permits.
+// configuration returns the bytes per second of contents, without those of permits.
 func (b aboveBase) configuration(r *Result) float64 {
 	return max(0, bytesOf(RoleConfiguration)(r)-b.base.at(SlopeLeaseBytes, xGateways(r)))
 }
 
-// perChange is what a quantity a second comes to for one change of the list.
+// perChange converts a quantity per second to one per change of the list.
 func perChange(y func(r *Result) float64) func(r *Result) float64 {
 	return func(r *Result) float64 { return y(r) * r.Seconds / max(1, float64(r.ListChanges)) }
 }
 
-// perVersion is the same for a version of the plans.
+// perVersion converts a quantity per second to one per version of the plans.
 func perVersion(y func(r *Result) float64) func(r *Result) float64 {
 	return func(r *Result) float64 { return y(r) * r.Seconds / max(1, float64(r.PlanVersions)) }
 }
@@ -171,7 +173,7 @@
 	return func(r *Result) float64 { return y(r) / xGateways(r) }
 }
 
-// roleQuantities are what each role takes beyond sessions alone.
+// roleQuantities returns the costs of each role in excess of sessions alone.
 func roleQuantities(base Slopes) []quantity {
 	b := aboveBase{base}
 	return []quantity{
@@ -286,7 +288,7 @@
 	}
 }
 
-// FitAll fits the slopes of all ladders that were played.
+// FitAll fits the slopes of all series that were run.
 func (c *Capacity) FitAll() (Slopes, error) {
 	slopes := Slopes{}
 	if err := c.fit(slopes, baseQuantities()); err != nil {
@@ -304,7 +306,7 @@
 			}
 		}
 		if len(points) < minPoints {
-			continue // this ladder was not played, or too many of its steps failed
+			continue // the series was not run, or too many of its steps failed
 		}
 		slope, err := Fit(q.name, q.unit, q.dependsOn, points)
 		if err != nil {
@@ -315,7 +317,7 @@
 	return nil
 }
 
-// benchmark finds a benchmark's metric at a size; ok is false where it was not run.
+// benchmark returns the metric of a benchmark; ok is false if the benchmark was not run.
 func (c *Capacity) benchmark(name, metric string) (value float64, ok bool) {
 	i := slices.IndexFunc(c.Benchmarks, func(b Benchmark) bool { return b.Name == name })
 	if i < 0 {
@@ -325,21 +327,21 @@
 	return value, ok
 }
 
-// The limits of one gateway's part in control, and of what is set aside for it.
+// The limits on the cost of the control plane at one gateway, and the assumed events of a fleet.
 const (
 	limitCores            = 0.049
 	limitMemoryMB         = 64
 	limitBytes            = 10_000 // a second
 	limitAddedMS          = 5.2
 	limitInForceMS        = 13_000
-	controlCoresEach      = 1 // a process of the program uses one core
+	controlCoresEach      = 1 // each process of the program uses one core
 	secondsPerDay         = 86_400
 	secondsPerHour        = 3600
 	versionsPerDay        = 420
 	replacementsPerDay    = 1100
 	failuresPerDay        = 21
-	changesPerReplaced    = 3 // drained, the next one added, taken away
-	changesPerFailure     = 2 // gone, the next one added
+	changesPerReplaced    = 3 // a drain, an addition and a removal
+	changesPerFailure     = 2 // a removal and an addition
 	rackServers           = 300
 	zones                 = 8
 	versionLeaseSeconds   = 10
@@ -347,14 +349,14 @@
 	kilobyte, millisecond = 1000.0, 1000.0
 )
 
-// Load is a stretch of time by what changes in it.
+// Load is the rate of changes in a period of time.
 type Load struct {
 	Name              string
-	ChangesPerSecond  float64 // of the list of servers
-	VersionsPerSecond float64 // of the plans
+	ChangesPerSecond  float64 // changes of the list of servers
+	VersionsPerSecond float64 // versions of the plans
 }
 
-// loads are the mean day and a release.
+// loads returns the loads of a mean day and of a release, in this order.
 func loads() []Load {
 	day := Load{
 		"a mean day",
@@ -368,17 +370,17 @@
 	return []Load{day, release}
 }
 
-// Use is what one role takes at the size that is designed for.
+// Use is the cost of one role at the design size.
 type Use struct {
 	Role     string
-	Messages float64 // of one gateway, a second
-	Bytes    float64
+	Messages float64 // of one gateway, per second
+	Bytes    float64 // of one gateway, per second
 	Cores    float64 // of one gateway
 	MemoryMB float64
 	Control  float64 // cores of all control machines together
 }
 
-// uses are what the roles take under a load, by one path of the list.
+// uses returns the costs of the roles under a load, with one path of the list.
 func (s Slopes) uses(l Load, path Path) []Use {
 	const g, n, t = DesignGateways, DesignServers, DesignTenants
 	list := Use{Role: string(RoleList)}
@@ -387,7 +389,7 @@
 		list.Cores = l.ChangesPerSecond * s.at(SlopeCompleteListCores, n)
 		list.Control = l.ChangesPerSecond * s.at(SlopeCompleteListControl, n) * g
 		list.MemoryMB = s.at(SlopeCompleteListMemory, n)
-		list.Messages = 3 * l.ChangesPerSecond // the news, the question, the list
+		list.Messages = 3 * l.ChangesPerSecond // the notification, the query and the list
 	} else {
 		list.Bytes = s.at(SlopeDeltaBytes, l.ChangesPerSecond)
 		list.Messages = s.at(SlopeDeltaMessages, l.ChangesPerSecond)
@@ -421,7 +423,7 @@
 	}
 }
 
-// total sums uses up.
+// total returns the sum of the costs.
 func total(uses []Use) (sum Use) {
 	for _, u := range uses {
 		sum.Messages += u.Messages
@@ -435,7 +437,7 @@
 
 const notMeasured = "not measured"
 
-// fits tells whether a value keeps a limit, and by what factor it is over or under it.
+// fits describes whether a value is within a limit, with the ratio of the value to the limit.
 func fits(value, limit float64) string {
 	if math.IsNaN(value) {
 		return notMeasured
@@ -446,7 +448,7 @@
 	return fmt.Sprintf("**over, x%.1f**", value/limit)
 }
 
-// number writes a figure in three digits.
+// number formats a figure with three significant digits.
 func number(x float64) string {
 	switch {
 	case math.IsNaN(x):
--- a/internal/testing/scale/page.go
+++ b/internal/testing/scale/page.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// The markers between which the page's tables stand.
+// The markers around the page's tables.
 const (
 	pageBegin = "<!-- computed from capacity.json by lab scale --page: begin -->"
 	pageEnd   = "<!-- computed from capacity.json by lab scale --page: end -->"
 )
 
-// WritePage works out the tables anew and puts them into the page.
+// WritePage computes the tables from the JSON file and replaces those in the page.
 func WritePage(jsonPath, pagePath string) error {
 	c, err := ReadCapacity(jsonPath)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return os.WriteFile(pagePath, []byte(before+pageBegin+"\n"+tables+pageEnd+after), 0o644)
 }
 
-// CheckPage tells whether the page's tables are those that its JSON gives.
+// CheckPage returns an error if the page's tables differ from those computed from the JSON file.
 func CheckPage(jsonPath, pagePath string) error {
 	c, err := ReadCapacity(jsonPath)
 	if err != nil {
@@ -60,7 +60,7 @@
 	for i := range max(len(want), len(have)) {
 		if i >= len(want) || i >= len(have) || want[i] != have[i] {
 			return fmt.Errorf(
-				"%s: table line %d is not what %s gives: run lab scale --page",
+				"%s: table line %d differs from the one computed from %s: run lab scale --page",
 				pagePath,
 				i+1,
 				jsonPath,
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// splitPage finds what stands between the markers.
+// splitPage splits the page at the markers. It returns an error if one is missing.
 func splitPage(text string) (before, between, after string, err error) {
 	before, rest, ok := strings.Cut(text, pageBegin)
 	between, after, closed := strings.Cut(rest, pageEnd)
@@ -80,7 +80,7 @@
 	return before, between, after, nil
 }
 
-// Tables are all tables of the page.
+// Tables returns all tables of the page.
 func (c *Capacity) Tables() (string, error) {
 	slopes, err := c.FitAll()
 	if err != nil {
@@ -100,55 +100,66 @@
 	return b.String(), nil
 }
 
-// row writes a line of a table.
+// tableRow writes a row of a table.
 func tableRow(b *strings.Builder, cells ...string) {
 	b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// head writes a title and the first lines of a table.
+// tableHeader writes a title and the header of a table.
 func tableHeader(b *strings.Builder, title string, cells ...string) {
 	b.WriteString("\n## " + title + "\n\n")
 	tableRow(b, cells...)
 	tableRow(b, slices.Repeat([]string{"---"}, len(cells))...)
 }
 
-// about says of each role what it keeps and what carries it.
+// roleDescription describes the state that a role keeps and the mechanism that implements it.
 type roleDescription struct{ state, mechanism string }
 
 var roleDescriptions = map[string]roleDescription{
 	string(RoleList): {
 		"7,300 records at each gateway",
-		"`internal/controlplane/distribution`, `internal/controlplane/distributor`: deltas by revision from every control machine",
+		"`internal/controlplane/distribution`, `internal/controlplane/distributor`: deltas " +
+			"by revision from every control machine",
 	},
 	string(RoleConfiguration): {
 		"plans of 60,000 tenants at each gateway",
-		"`internal/controlplane/configversion`, `internal/controlplane/rollout`, `internal/controlplane/configstate`: permits by asking the leader twice a second; a version as the records that changed, verified by its digest",
+		"`internal/controlplane/configversion`, `internal/controlplane/rollout`, " +
+			"`internal/controlplane/configstate`: " +
+			"permits by asking the leader twice a second; " +
+			"a version as the records that changed, verified by its digest",
 	},
 	string(RoleAllocation): {
 		"a gateway: its part of some 290 tenants; owners: 60,000",
-		"`internal/controlplane/allocation`, `internal/controlplane/allocator`: renewal with five owners, five times a second",
+		"`internal/controlplane/allocation`, `internal/controlplane/allocator`: " +
+			"renewal with five owners, five times a second",
 	},
 	string(RoleElection): {
 		"five replicas of the log",
-		"`internal/controlplane/lease`, `internal/controlplane/consensus`, `internal/controlplane/controlrpc`: the duties, watched as a whole",
+		"`internal/controlplane/lease`, `internal/controlplane/consensus`, " +
+			"`internal/controlplane/controlrpc`: " +
+			"the duties, watched as a whole",
 	},
 	string(RoleAudit): {
 		"a gateway: its own record",
-		"`internal/controlplane/auditlog`, `internal/controlplane/auditrecorder`: the record's head, agreed every 3 s while it changes",
+		"`internal/controlplane/auditlog`, `internal/controlplane/auditrecorder`: " +
+			"the record's head, agreed every 3 s while it changes",
 	},
 	string(RoleMetering): {
 		"a gateway: use by tenant, until it is collected",
-		"`internal/controlplane/metering`, `internal/controlplane/usageexporter`: collected every 5 s by one owner",
+		"`internal/controlplane/metering`, `internal/controlplane/usageexporter`: " +
+			"collected every 5 s by one owner",
 	},
 	string(RoleMembership): {
 		"all 620 processes, at each",
-		"`internal/controlplane/consensus`: the list of processes, asked for by three parts of a gateway every 3 s, by part and revision",
+		"`internal/controlplane/consensus`: the list of processes, " +
+			"asked for by three parts of a gateway every 3 s, by part and revision",
 	},
 }
 
 func (c *Capacity) roleTable(b *strings.Builder, s Slopes) {
 	day := loads()[0]
-	tableHeader(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day", "role",
+	tableHeader(b, "Each role at 620 gateways, 7,300 servers and 60,000 tenants, on a mean day",
+		"role",
 		"state", "messages/s", "bytes/s", "of a core", "memory, MB",
 		"control machines, cores together", "mechanism", "bytes, of a gateway's 10,000/s")
 	tableRow(
@@ -169,7 +180,8 @@
 		tableRow(b, u.Role, a.state, number(u.Messages), number(u.Bytes), number(u.Cores),
 			number(u.MemoryMB), number(u.Control), a.mechanism, fits(u.Bytes, limitBytes))
 	}
-	tableRow(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-", "0 (assumed)",
+	tableRow(b, "admin", "none", "calls by people", "0 (assumed)", "0 (assumed)", "-",
+		"0 (assumed)",
 		"`internal/dataplane/admin`", "fits")
 	sum := total(uses)
 	tableRow(b, "**a gateway as a whole**", "", number(sum.Messages), number(sum.Bytes),
@@ -194,7 +206,7 @@
 	)
 }
 
-// requestCores is what choosing a server takes of a core at the peak.
+// requestCores returns the cores that choosing a server takes at the peak.
 func (c *Capacity) requestCores(servers int) string {
 	ns, ok := c.benchmark(fmt.Sprintf("Request/620x%d", servers), "ns/op")
 	if !ok {
@@ -222,8 +234,9 @@
 		for _, path := range []Path{PathCompleteList, PathDelta} {
 			uses := s.uses(l, path)
 			u, sum := uses[0], total(uses)
-			tableRow(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes), fits(u.Bytes,
-				limitBytes), number(u.Cores), number(u.Control),
+			tableRow(b, l.Name, number(l.ChangesPerSecond), string(path), number(u.Bytes),
+				fits(u.Bytes,
+					limitBytes), number(u.Cores), number(u.Control),
 				number(sum.Bytes)+": "+fits(
 					sum.Bytes,
 					limitBytes,
@@ -281,7 +294,8 @@
 	event(
 		"regions apart for an hour",
 		fmt.Sprintf(
-			"the side without the majority turns everybody away after %d s: %d of 3,600 s; its servers' changes come to it by its own register",
+			"the side without the majority turns everybody away after %d s: "+
+				"%d of 3,600 s; its servers' changes come to it by its own register",
 			versionLeaseSeconds,
 			secondsPerHour-versionLeaseSeconds,
 		),
@@ -368,7 +382,7 @@
 	}
 }
 
-// leaderChanges is how many duties changed hands.
+// leaderChanges formats the number of changes of owners.
 func leaderChanges(r *Result) string {
 	if r.OwnerChanges < 0 {
 		return "not told"
@@ -376,7 +390,7 @@
 	return number(float64(r.OwnerChanges))
 }
 
-// herd is how long all gateways took to be current, in seconds.
+// startupSeconds formats the time until all gateways were current, in seconds.
 func startupSeconds(r *Result) string {
 	if r.StartupMilliseconds < 0 {
 		return "not in time"
@@ -384,7 +398,7 @@
 	return number(r.StartupMilliseconds / millisecond)
 }
 
-// text is a quantile in milliseconds; nothing may have arrived.
+// text formats a quantile in milliseconds, or "none" if no change arrived.
 func (d *Delays) text(quantile float64) string {
 	if d.Count == 0 {
 		return "none"
@@ -392,7 +406,7 @@
 	return number(quantile)
 }
 
-// pace is that of the log and its leases.
+// logTick formats the tick of the log and the duration of its leases.
 func logTick(o *Options) string {
 	if o.Tick == 0 && o.Span == 0 {
 		return "the program's"
@@ -419,7 +433,7 @@
 	}
 }
 
-// faultTable tells what changes took in each stretch of the runs with faults.
+// faultTable writes the delays of changes in each interval of the runs with faults.
 func (c *Capacity) faultTable(b *strings.Builder) {
 	tableHeader(
 		b,
@@ -454,11 +468,13 @@
 }
 
 func (c *Capacity) controlTable(b *strings.Builder) {
-	tableHeader(b, "Control machines in these runs", "run", "process", "leads the log", "duties", "cores",
+	tableHeader(b, "Control machines in these runs", "run", "process", "leads the log", "duties",
+		"cores",
 		"memory, MB (most)", "read, kB/s", "written, kB/s")
 	for i, r := range c.Runs {
 		for _, p := range r.ControlProcesses {
-			tableRow(b, number(float64(i+1)), p.Name, fmt.Sprint(p.Leads), number(float64(p.RolesHeld)),
+			tableRow(b, number(float64(i+1)), p.Name, fmt.Sprint(p.Leads),
+				number(float64(p.RolesHeld)),
 				number(p.Cores), fmt.Sprintf("%s (%s)", number(p.ResidentMB), number(p.PeakMB)),
 				number(p.ReadBytesPerSecond/kilobyte), number(p.WrittenBytesPerSecond/kilobyte))
 		}
@@ -466,7 +482,8 @@
 }
 
 func slopeTable(b *strings.Builder, s Slopes) {
-	tableHeader(b, "Slopes", "quantity", "depends on", "measured at", "at 0", "for one more", "unit",
+	tableHeader(b, "Slopes", "quantity", "depends on", "measured at", "at 0", "for one more",
+		"unit",
 		"largest distance from the line, of the largest value")
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		one := s[name]
@@ -474,7 +491,8 @@
 		for _, p := range one.Points {
 			sizes = append(sizes, number(p.X))
 		}
-		tableRow(b, name, one.DependsOn, strings.Join(sizes, "; "), number(one.At0), number(one.PerOne),
+		tableRow(b, name, one.DependsOn, strings.Join(sizes, "; "), number(one.At0),
+			number(one.PerOne),
 			one.Unit, number(one.Residual))
 	}
 }
--- a/internal/testing/scale/page_test.go
+++ b/internal/testing/scale/page_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The tables of the capacity page are what its JSON gives.
+// The tables of the capacity page are those computed from its JSON file.
 func TestThePageIsWhatItsFiguresGive(t *testing.T) {
 	docs := filepath.Join("..", "..", "..", "docs")
 	if err := CheckPage(filepath.Join(docs, "capacity.json"), filepath.Join(docs,
@@ -16,7 +16,7 @@
 	}
 }
 
-// A figure that is changed in the page shows.
+// CheckPage reports a changed figure, an empty page and a page without markers.
 func TestAChangedFigureShows(t *testing.T) {
 	dir := t.TempDir()
 	jsonAt, pageAt := filepath.Join(dir, "capacity.json"), filepath.Join(dir, "page.md")
@@ -42,7 +42,7 @@
 	}
 	text := string(raw)
 	if !strings.HasPrefix(text, "before\n") || !strings.HasSuffix(text, "\nafter\n") {
-		t.Error("what stands round the tables was changed")
+		t.Error("the text around the tables was changed")
 	}
 	if !strings.Contains(text, "| 12,500 |") {
 		t.Fatalf("no figure to change in\n%s", text)
@@ -62,7 +62,8 @@
 	}
 }
 
-// sample is a capacity whose sessions take 100 B/s and 20 more for each gateway.
+// sample returns measurements in which membership traffic takes 100 B/s, plus 20 B/s for each
+// gateway.
 func sample(t *testing.T) *Capacity {
 	t.Helper()
 	c := &Capacity{}
@@ -76,7 +77,7 @@
 	return c
 }
 
-// What a role takes at the size is its line drawn to 620 gateways.
+// The cost of a role at the design size is its line extrapolated to 620 gateways.
 func TestTheModelDrawsLinesToTheSize(t *testing.T) {
 	slopes, err := sample(t).FitAll()
 	if err != nil {
@@ -85,7 +86,7 @@
 	day := loads()[0]
 	for _, u := range slopes.uses(day, PathDelta) {
 		if u.Role == string(RoleMembership) && (u.Bytes < 12_499 || u.Bytes > 12_501) {
-			t.Errorf("%+v, 12,500 bytes a second wanted", u)
+			t.Errorf("%+v, want 12,500 bytes per second", u)
 		}
 	}
 	if sum := total(
@@ -93,7 +94,7 @@
 	); number(sum.Bytes) != notMeasured ||
 		fits(sum.Cores,
 			limitCores) != notMeasured {
-		t.Errorf("a sum of what was not all measured: %+v", sum)
+		t.Errorf("a sum with unmeasured parts must not be a number: %+v", sum)
 	}
 	if day.ChangesPerSecond < 0.0386 || day.ChangesPerSecond > 0.0388 ||
 		loads()[1].ChangesPerSecond < 0.916 {
@@ -105,7 +106,7 @@
 	}
 }
 
-// A step whose changes did not all arrive is in no slope, and the page says so.
+// A step with lost changes is excluded from the slopes, and the page lists it.
 func TestFailedStepsAreInNoSlope(t *testing.T) {
 	c := sample(t)
 	c.Steps[0].Result.LostChanges = 3
@@ -119,7 +120,7 @@
 	}
 }
 
-// What benchmarks print is read, with all their units.
+// The output of benchmarks is parsed with all metrics; a repeated benchmark replaces the earlier one.
 func TestReadBenchmarks(t *testing.T) {
 	all, err := ReadBenchmarks(
 		strings.NewReader(
@@ -139,12 +140,12 @@
 	}
 }
 
-// Words for numbers are short and the same each time.
+// Numbers are formatted with three significant digits and thousands separators.
 func TestNumber(t *testing.T) {
 	for x, want := range map[float64]string{0: "0", 0.0123456: "0.0123", 12.3456: "12.3",
 		1234.5: "1,234", 1234567: "1,234,567"} {
 		if got := number(x); got != want {
-			t.Errorf("%v: %s, %s wanted", x, got, want)
+			t.Errorf("%v: %s, want %s", x, got, want)
 		}
 	}
 }
--- a/internal/testing/scale/real.go
+++ b/internal/testing/scale/real.go
@@ -12,23 +12,24 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// realGateways are a few gateways of the program that serve requests beside the hollow ones,
-// between stand-ins of their own.
+// realGateways are a few gateways of the program that serve requests beside the simulated ones,
+// with their own stand-ins for clients and servers.
 type realGateways struct {
 	world *lab.World
 }
 
 const (
-	realLoad    = 0.5 // of what the stand-in servers can do
-	realServers = 15  // of the probe that tells how many are needed
+	realLoad    = 0.5 // fraction of the capacity of the stand-in servers
+	realServers = 15  // servers of the sample site that determines how many are needed
 )
 
-// startReal starts them in the fleet that the control processes are.
+// startReal starts real gateways in the fleet of the control processes.
 func startReal(ctx context.Context, o *Options, c *control, log io.Writer) (*realGateways, error) {
 	required := o.RequestsPerGateway * float64(o.RealGateways)
 	probe := harness.NewSite(o.Seed, o.RealGateways, realServers, realLoad)
 	servers := max(realServers, int(math.Ceil(realServers*required/probe.PerSecond)))
-	load := realLoad * required / harness.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
+	load := realLoad * required /
+		harness.NewSite(o.Seed, o.RealGateways, servers, realLoad).PerSecond
 	prepare := func(w *lab.World, g *lab.Gateway) error {
 		own, err := w.Address(100 + g.Number)
 		if err != nil {
@@ -50,17 +51,17 @@
 	return &realGateways{world: w}, nil
 }
 
-// Added is what real gateways added to the time of a request: from its last byte at the client's
-// socket until its answer was read there, less the time from its first byte at the stand-in server
-// until the answer was written there. Requests that took more than one attempt are left out.
+// Added is the latency that real gateways add to a request: the time from its last byte at the
+// client's socket until its reply is read there, minus the time from its first byte at the stand-in
+// server until the reply is written there. Requests with more than one attempt are excluded.
 type Added struct {
 	Requests          int     `json:"requests"`
-	RequestsPerSecond float64 `json:"requests_per_second"` // of one gateway
+	RequestsPerSecond float64 `json:"requests_per_second"` // per gateway
 	P50Milliseconds   float64 `json:"p50_ms"`
 	P99Milliseconds   float64 `json:"p99_ms"`
 }
 
-// added works it out from the world's record, of what was sent within a stretch of time.
+// added computes the added latency of the requests sent between from and to.
 func (r *realGateways) added(from, to time.Duration) Added {
 	attempts := map[string][]harness.Attempt{}
 	for _, a := range r.world.Record.Attempts {
--- a/internal/testing/scale/register.go
+++ b/internal/testing/scale/register.go
@@ -16,8 +16,8 @@
 )
 
 // Register is a stand-in for a Consul agent with one service of many servers, written from the
-// public pages of its HTTP API: blocking queries on the health view. Its methods may be called
-// concurrently.
+// public documentation of Consul's HTTP API: blocking queries on the health view. Its methods are
+// safe for concurrent use.
 type Register struct {
 	Address string
 	server  *http.Server
@@ -26,10 +26,10 @@
 	index   uint64
 	order   []string // ids
 	entries map[string]registered
-	changed chan struct{} // closed with each change
+	changed chan struct{} // closed and replaced at each change
 }
 
-// registered is one server with the part of an answer that tells of it.
+// registered is one server with its part of a response.
 type registered struct {
 	address string
 	phase   string
@@ -43,7 +43,7 @@
 	maxWait      = 10 * time.Second
 )
 
-// NewRegister starts one with so many servers, all ready.
+// NewRegister starts a register with this number of servers, all ready.
 func NewRegister(servers int) (*Register, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,23 +59,23 @@
 	return r, nil
 }
 
-// Close ends it.
+// Close stops the register.
 func (r *Register) Close() { _ = r.server.Close() }
 
-// serverID names a server; serverAddress is an address that nothing listens at: hollow gateways
-// send nothing.
+// serverID returns the ID of a server.
 func serverID(i int) string { return fmt.Sprintf("q-%08x", i) }
 
+// serverAddress returns an address that nothing listens on: simulated gateways send no requests.
 func serverAddress(
 	i int,
 ) string {
 	return fmt.Sprintf("10.%d.%d.%d:8000", i>>16&255, i>>8&255, i&255)
 }
 
-// zoneOf spreads the servers over the zones.
+// zoneOf assigns the servers to the zones.
 func zoneOf(address string) string { return "zone-" + string('1'+address[len(address)-6]%4) }
 
-// put enters a server, or changes it. The lock is held, or nobody else is there yet.
+// put adds or changes a server. The caller holds the lock, or has not shared the register yet.
 func (r *Register) put(id, address, phase string) {
 	old, there := r.entries[id]
 	if !there {
@@ -103,7 +103,7 @@
 	r.entries[id] = registered{address: address, phase: phase, created: old.created, text: text}
 }
 
-// change makes one change and gives the moment at which it holds.
+// change makes one change and returns the time at which it took effect.
 func (r *Register) change(do func()) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,17 +114,17 @@
 	return time.Now()
 }
 
-// Drain has a server take nothing new.
+// Drain marks a server as draining.
 func (r *Register) Drain(id string) time.Time {
 	return r.change(func() { r.put(id, r.entries[id].address, registry.Terminating) })
 }
 
-// Add enters a server that is ready.
+// Add adds a server that is ready.
 func (r *Register) Add(i int) time.Time {
 	return r.change(func() { r.put(serverID(i), serverAddress(i), registry.Ready) })
 }
 
-// Remove takes servers away at once.
+// Remove removes the servers in a single change.
 func (r *Register) Remove(ids ...string) time.Time {
 	return r.change(func() {
 		removed := map[string]bool{}
@@ -142,7 +142,8 @@
 	})
 }
 
-// Digest is of the list as it is, whatever its order: what a gateway's list has to come to.
+// Digest returns a digest of the current list, independent of its order. A gateway that is current
+// has the same digest.
 func (r *Register) Digest() (digest uint64, servers int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,14 +153,14 @@
 	return digest, len(r.entries)
 }
 
-// serverHash is of what a list says of one server.
+// serverHash returns the hash of the entry of one server.
 func serverHash(id, phase, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id + "|" + phase + "|" + address))
 	return h.Sum64()
 }
 
-// shortID is a server's id without the register's node.
+// shortID returns a server's ID without the register's node.
 func shortID(id string) string { return id[strings.IndexByte(id, '/')+1:] }
 
 // ServeHTTP answers a blocking query on the health view.
@@ -201,7 +202,7 @@
 	}
 }
 
-// text is the whole answer. The lock is held.
+// text returns the whole response. The caller holds the lock.
 func (r *Register) text() []byte {
 	var b bytes.Buffer
 	b.WriteByte('[')
--- a/internal/testing/scale/result.go
+++ b/internal/testing/scale/result.go
@@ -53,36 +53,48 @@
 
 // Result is the result of a run.
 type Result struct {
-	Command             string       `json:"command"`
-	Date                string       `json:"date"`
-	MachineCores        int          `json:"machine_cores"`
-	Options             Options      `json:"options"`
-	Seconds             float64      `json:"seconds"` // that were measured
-	Processes           int          `json:"hollow_processes"`
-	StartupMilliseconds float64      `json:"herd_ms"` // from the start of all gateways at once until all were current; -1: they were not within the time
-	ServerChanges       int          `json:"server_changes"`
-	PlanVersions        int          `json:"plan_versions"`
-	InForce             Delays       `json:"in_force"` // of servers' changes
-	Draining            Delays       `json:"draining"` // of those, drains
-	Rack                Delays       `json:"rack"`
-	PlansInForce        Delays       `json:"plans_in_force"`
-	Diverged            int          `json:"diverged"`              // gateways whose list was not the register's in the end
-	LostChanges         int          `json:"lost_changes"`          // gateways times changes that never came, nor anything newer
-	LostVersions        int          `json:"lost_versions"`         // gateways times versions that were not in force in the end
-	ListChanges         int          `json:"list_changes"`          // a rack's servers that go at once are one
-	BytesPerListChange  float64      `json:"bytes_per_list_change"` // of the list's role, to and from one gateway
-	StaleOperations     int          `json:"stale_operations"`      // updates under a state whose digest is not the agreed one; -1: the path compares none
-	GatewaysNotActing   int          `json:"gateways_not_acting"`   // had no permit at the end
-	ProposalsRefused    int          `json:"proposals_refused"`     // of versions
-	Roles               map[Role]Row `json:"roles"`                 // of one gateway
-	ConnectionOverhead  float64      `json:"connection_overhead"`   // bytes of whole connections by those of messages
-	Gateway             Gateway      `json:"gateway"`
-	ControlProcesses    []Process    `json:"control_processes"`
-	ControlCores        float64      `json:"control_cores"` // of all control processes
-	OwnerChanges        int          `json:"duty_changes"`  // terms that began while it was measured: owners that were lost, or handed on
-	Added               *Added       `json:"added_latency,omitempty"`
-	Intervals           []Interval   `json:"stretches,omitempty"` // of a run with faults
-	Notes               []string     `json:"notes,omitempty"`
+	Command      string  `json:"command"`
+	Date         string  `json:"date"`
+	MachineCores int     `json:"machine_cores"`
+	Options      Options `json:"options"`
+	Seconds      float64 `json:"seconds"` // length of the measurement
+	// Processes of simulated gateways.
+	Processes int `json:"hollow_processes"`
+	// Time from the simultaneous start of all gateways until all were current; -1: timed out.
+	StartupMilliseconds float64 `json:"herd_ms"`
+	ServerChanges       int     `json:"server_changes"`
+	PlanVersions        int     `json:"plan_versions"`
+	InForce             Delays  `json:"in_force"` // delays of changes of servers
+	Draining            Delays  `json:"draining"` // the drains among them
+	Rack                Delays  `json:"rack"`
+	PlansInForce        Delays  `json:"plans_in_force"`
+	// Gateways whose final list differed from the register's.
+	Diverged int `json:"diverged"`
+	// Pairs of a gateway and a change that never reached it and was not superseded.
+	LostChanges int `json:"lost_changes"`
+	// Pairs of a gateway and a version that was not in force there at the end.
+	LostVersions int `json:"lost_versions"`
+	// Changes of the list; servers of a rack that are removed at once count as one change.
+	ListChanges int `json:"list_changes"`
+	// Bytes of the list's role to and from one gateway, per change of the list.
+	BytesPerListChange float64 `json:"bytes_per_list_change"`
+	// Updates of a state whose digest differs from the agreed one; -1: the path compares none.
+	StaleOperations int `json:"stale_operations"`
+	// Gateways that had no permit at the end.
+	GatewaysNotActing int `json:"gateways_not_acting"`
+	// Refused proposals of versions.
+	ProposalsRefused int          `json:"proposals_refused"`
+	Roles            map[Role]Row `json:"roles"` // traffic of one gateway
+	// Ratio of the bytes of whole connections to those of messages.
+	ConnectionOverhead float64   `json:"connection_overhead"`
+	Gateway            Gateway   `json:"gateway"`
+	ControlProcesses   []Process `json:"control_processes"`
+	ControlCores       float64   `json:"control_cores"` // sum over the control processes
+	// Terms that began during the measurement: owners that failed or handed over.
+	OwnerChanges int        `json:"duty_changes"`
+	Added        *Added     `json:"added_latency,omitempty"`
+	Intervals    []Interval `json:"stretches,omitempty"` // in a run with faults
+	Notes        []string   `json:"notes,omitempty"`
 }
 
 // Line returns the result as one line of JSON.
--- a/internal/testing/scale/run.go
+++ b/internal/testing/scale/run.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	currentTimeout = 60 * time.Second // for all gateways to be current after they were started
-	settleTimeout  = 30 * time.Second // for the last changes to come to all
-	settlePause    = 3 * time.Second  // sessions, permits and rights come to rest
+	currentTimeout = 60 * time.Second // for all gateways to become current after their start
+	settleTimeout  = 30 * time.Second // for the last changes to reach all gateways
+	settlePause    = 3 * time.Second  // for sessions, permits and leases to become steady
 	pollInterval   = 100 * time.Millisecond
-	replaceStep    = 500 * time.Millisecond // from a drain to the addition, and from there to the removal
-	rackAfter      = 0.7                    // of the run
+	replaceStep    = 500 * time.Millisecond // between drain, addition and removal
+	rackAfter      = 0.7                    // fraction of the run
 	firstVersionAt = 0.1
 	lastVersionAt  = 0.6
 )
 
-// change is one change that was made.
+// change is one change of a server or one version of the plans.
 type change struct {
 	server  string
 	phase   string
@@ -32,7 +32,7 @@
 	rack    bool
 }
 
-// play is one run.
+// fleetRun is one run.
 type fleetRun struct {
 	options  Options
 	log      io.Writer
@@ -49,10 +49,10 @@
 	next     int // number of the next new server
 	refused  int
 
-	intervals []Interval // of a run with faults; read once its goroutine has ended
+	intervals []Interval // in a run with faults; read after injectFaults returned
 }
 
-// Run plays a fleet and measures it.
+// Run runs a fleet and measures it. Progress goes to log.
 func Run(ctx context.Context, o Options, log io.Writer) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -92,7 +92,8 @@
 	}
 }
 
-// start starts everything, the hollow gateways all at once, and waits until all are current.
+// start starts all processes, the simulated gateways at the same time, and waits until all are
+// current.
 func (f *fleetRun) start(ctx context.Context) (err error) {
 	o := &f.options
 	if f.register, err = NewRegister(o.Servers); err != nil {
@@ -154,8 +155,8 @@
 	return f.baseVersion(ctx)
 }
 
-// baseVersion has a version of the plans be in force everywhere, where one is wanted before the
-// run.
+// baseVersion brings a version of the plans into force everywhere before the run, if the options
+// require one.
 func (f *fleetRun) baseVersion(ctx context.Context) error {
 	if !f.options.BaseVersion || !f.options.Parts.Configuration {
 		return nil
@@ -167,7 +168,7 @@
 		number, err = f.control.propose(text)
 	}
 	if err != nil {
-		return fmt.Errorf("the version before the run: %w", err)
+		return fmt.Errorf("proposing the version before the run: %w", err)
 	}
 	for time.Now().Before(deadline) {
 		samples, err := f.samples()
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// waitForLeaders waits until all duties have owners.
+// waitForLeaders waits until all roles have owners and the log has a leader.
 func (f *fleetRun) waitForLeaders(ctx context.Context) error {
 	required := 0
 	if f.options.Parts.List {
@@ -216,10 +217,10 @@
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("not all of %d duties are held", required)
+	return fmt.Errorf("not all of the %d roles have an owner, or the log has no leader", required)
 }
 
-// pass waits for a while, and tells whether the context is still there.
+// sleep waits for d, and returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -229,7 +230,7 @@
 	}
 }
 
-// herd waits until all gateways are current.
+// waitUntilCurrent waits until all gateways are current.
 func (f *fleetRun) waitUntilCurrent(ctx context.Context, began time.Time) error {
 	f.result.StartupMilliseconds = -1
 	for deadline := began.Add(currentTimeout); time.Now().Before(deadline); {
@@ -243,7 +244,7 @@
 				last = time.Now()
 			}
 			f.result.StartupMilliseconds = milliseconds(last.Sub(began))
-			fmt.Fprintf(f.log, "%d hollow gateways in %d processes are current after %.0f ms\n",
+			fmt.Fprintf(f.log, "%d simulated gateways in %d processes are current after %.0f ms\n",
 				f.options.Gateways, len(f.children), f.result.StartupMilliseconds)
 			sleep(ctx, settlePause)
 			return ctx.Err()
@@ -256,8 +257,9 @@
 	return nil
 }
 
-// behind is how many gateways are not current: their list is not the register's, or an older
-// version of the plans is in force. last is when the last of the others first had a list.
+// behind returns the number of gateways that are not current: their list differs from the
+// register's, or an older version of the plans is in force. last is the latest time at which a
+// gateway first had a list.
 func (f *fleetRun) behind(samples []Sample, version uint64) (behind int, last time.Time) {
 	digest, _ := f.register.Digest()
 	for _, s := range samples {
@@ -277,7 +279,7 @@
 	return behind, last
 }
 
-// samples asks all processes, and keeps the arrivals.
+// samples requests samples from all processes, and stores the arrivals.
 func (f *fleetRun) samples() ([]Sample, error) {
 	all, err := f.children.samples()
 	for i := range all {
@@ -292,7 +294,7 @@
 	f.result.Notes = append(f.result.Notes, text)
 }
 
-// measure makes changes for as long as is wanted, and sums up what they took.
+// measure applies the load for the length of the run, and sums up what it cost.
 func (f *fleetRun) measure(ctx context.Context) error {
 	f.arrivals = nil
 	before, err := f.samples()
@@ -330,7 +332,7 @@
 	return ctx.Err()
 }
 
-// settle waits until the last changes have come to all.
+// settle waits until the last changes have reached all gateways, or settleTimeout has passed.
 func (f *fleetRun) settle(ctx context.Context) (last []Sample, err error) {
 	version := uint64(0)
 	for _, c := range f.changes {
--- a/internal/testing/scale/scale.go
+++ b/internal/testing/scale/scale.go
@@ -181,7 +181,8 @@
 		return fmt.Errorf("--versions %d: must be between 0 and 100", o.Versions)
 	}
 	if n := o.processes() + o.Control + o.RealGateways; n > maxProcesses {
-		return fmt.Errorf("--gateways %d: %d processes, must be at most %d", o.Gateways, n, maxProcesses)
+		return fmt.Errorf("--gateways %d: %d processes, must be at most %d",
+			o.Gateways, n, maxProcesses)
 	}
 	total, err := machineMemory()
 	if err != nil {
@@ -189,8 +190,8 @@
 	}
 	if need := o.memory(); float64(need) > maxMemoryShare*float64(total) {
 		return fmt.Errorf(
-			"--gateways %d: some %d MB of memory needed for %d servers and %d tenants per gateway; "+
-				"at most half of this machine's %d MB may be used",
+			"--gateways %d: some %d MB of memory needed for %d servers and %d tenants "+
+				"per gateway; at most half of this machine's %d MB may be used",
 			o.Gateways,
 			need>>20,
 			o.Servers,
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -11,7 +11,7 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// The program of the tests runs hollow gateways too, as the command does.
+// The test binary also runs simulated gateways, as the command scale-hollow does.
 func TestMain(m *testing.M) {
 	if os.Getenv("MOTHCLEAT_HOLLOW") != "" {
 		if err := RunSimulatedGateways(context.Background(), os.Stdin, os.Stdout); err != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A tiny fleet: every change comes to every gateway, every role is counted, and only control
-// processes hold duties.
+// In a tiny fleet, every change reaches every gateway, the traffic of every role is counted, and
+// only control processes hold roles.
 func TestATinyFleet(t *testing.T) {
 	for _, path := range []Path{PathCompleteList, PathDelta} {
 		t.Run(string(path), func(t *testing.T) { t.Parallel(); runTiny(t, path) })
@@ -71,35 +71,35 @@
 	}
 	if r.ServerChanges <= o.RackSize || r.InForce.Count == 0 || r.Draining.Count == 0 ||
 		r.Rack.Count != o.RackSize*o.Gateways {
-		t.Errorf("changes were not played: %s", r.Line())
+		t.Errorf("changes were not made or not received: %s", r.Line())
 	}
 	if r.PlanVersions+r.ProposalsRefused != o.Versions {
-		t.Errorf("%d versions and %d refused, %d wanted", r.PlanVersions, r.ProposalsRefused,
+		t.Errorf("%d versions and %d refused, want %d", r.PlanVersions, r.ProposalsRefused,
 			o.Versions)
 	}
 	for _, role := range []Role{RoleList, RoleConfiguration, RoleAllocation, RoleMembership,
 		RoleElection} {
 		if row := r.Roles[role]; row.MessagesPerSecond <= 0 || row.BytesInPerSecond <= 0 {
-			t.Errorf("nothing was counted for %s: %s", role, r.Line())
+			t.Errorf("no traffic was counted for %s: %s", role, r.Line())
 		}
 	}
-	duties := 0
+	roles := 0
 	for _, p := range r.ControlProcesses {
-		duties += p.RolesHeld
+		roles += p.RolesHeld
 	}
 	want := 2 + o.Control // the plans, the export, and a shard of the quotas for each control process
 	if path == PathDelta {
 		want++ // the list
 	}
-	if duties != want {
-		t.Errorf("control processes hold %d duties, %d wanted", duties, want)
+	if roles != want {
+		t.Errorf("control processes hold %d roles, want %d", roles, want)
 	}
 	if r.Gateway.Cores <= 0 || r.Gateway.ResidentMB <= 0 || r.ControlCores <= 0 {
-		t.Errorf("use was not measured: %s", r.Line())
+		t.Errorf("resource use was not measured: %s", r.Line())
 	}
 }
 
-// What can't be played ends with one clear line that names the setting.
+// Invalid options give a one-line error that names the setting.
 func TestWhatCantBePlayed(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Options)
@@ -123,7 +123,7 @@
 		c.change(&o)
 		if err := o.Check(); err == nil || !strings.Contains(err.Error(),
 			c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, %q wanted", name, err, c.want)
+			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
 	o := tiny()
@@ -135,7 +135,7 @@
 	}
 }
 
-// A tenant comes through as many gateways as its spread says, whichever fleet it is.
+// Each tenant uses as many gateways as its spread.
 func TestTenantsComeThroughTheirGateways(t *testing.T) {
 	const gateways, tenants = 50, 2000
 	through := map[uint64]int{}
@@ -146,7 +146,7 @@
 	}
 	for tenant := range uint64(tenants) {
 		if through[tenant] != tenantSpread(tenant) {
-			t.Fatalf("tenant %d comes through %d gateways, %d wanted", tenant, through[tenant],
+			t.Fatalf("tenant %d uses %d gateways, want %d", tenant, through[tenant],
 				tenantSpread(tenant))
 		}
 	}
@@ -160,18 +160,18 @@
 	}
 	if s, err = Fit("b", "B", "gateways", []Point{{1, 0}, {2, 10}, {3,
 		0}}); err != nil || s.Residual < 0.5 {
-		t.Errorf("what is no line has to show in the residual: %+v, %v", s, err)
+		t.Errorf("points off a line must show in the residual: %+v, %v", s, err)
 	}
 	if s, err = Fit("d", "B", "gateways", []Point{{10, 30}, {20, 20}, {30,
 		10}}); err != nil || s.At(20) != 20 || s.At(600) != 20 {
-		t.Errorf("a line that falls is drawn further than it was measured: %v, %v", s.At(600), err)
+		t.Errorf("a falling line is extrapolated beyond the measured sizes: %v, %v", s.At(600), err)
 	}
 	if _, err = Fit("c", "B", "gateways", []Point{{1, 1}, {1, 2}, {2, 3}}); err == nil {
-		t.Error("a slope from two sizes")
+		t.Error("a slope was fitted to two sizes")
 	}
 }
 
-// The register tells of changes to who waits, and its digest is that of what it tells.
+// The register's digest changes with its list of servers, and is the same again for the same list.
 func TestTheRegisterCountsItsChanges(t *testing.T) {
 	r, err := NewRegister(3)
 	if err != nil {
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -169,7 +169,8 @@
 	f.sumStates(settled)
 	if n := r.ListChanges; n > 0 {
 		list := r.Roles[RoleList]
-		r.BytesPerListChange = (list.BytesInPerSecond + list.BytesOutPerSecond) * r.Seconds / float64(
+		r.BytesPerListChange = (list.BytesInPerSecond +
+			list.BytesOutPerSecond) * r.Seconds / float64(
 			n,
 		)
 	}
--- a/internal/testing/scale/watcher.go
+++ b/internal/testing/scale/watcher.go
@@ -53,7 +53,8 @@
 		ClockDriftBound: clockMargin,
 		OfferTTL:        leaseOffer}, Client: w.client,
 		Candidates: []string{watcherName}, Log: discardLog})
-	watch := &endpointwatch.Source{Client: w.client, SilenceTimeout: silenceTimeout, Log: discardLog,
+	watch := &endpointwatch.Source{Client: w.client, SilenceTimeout: silenceTimeout,
+		Log: discardLog,
 		NewDirect: func() (registry.Source, error) {
 			return consul.New(consul.Settings{Agents: []string{register}, Service: serviceName,
 				Wait: registerWait,
