--- a/internal/testing/scale/control.go
+++ b/internal/testing/scale/control.go
@@ -24,22 +24,22 @@
 	fleetName       = "scale"
 	controlNames    = "c"
 	realNames       = "r"
-	controlMemoryMB = 4096 // a soft limit: collection of garbage is not to be what is measured
+	controlMemoryMB = 4096 // soft limit; keeps garbage collection out of the measurement
 	callTimeout     = 5 * time.Second
 )
 
-// control is the processes of the program that vote and hold all duties.
+// control holds the processes of the program that vote and hold all fleet-wide roles.
 type control struct {
-	world    *lab.World
-	options  *Options
-	register *Register
-	own      []string // where each listens for the fleet
-	exports  string
+	world     *lab.World
+	options   *Options
+	register  *Register
+	addresses []string // listen addresses for the fleet, by process
+	exports   string
 }
 
 func controlName(i int) string { return fmt.Sprintf("%s%d", controlNames, i) }
 
-// startControl founds the fleet and starts its voters.
+// startControl bootstraps the fleet and starts its voters.
 func startControl(ctx context.Context, o *Options, register *Register, log io.Writer) (c *control,
 	err error) {
 	c = &control{options: o, register: register}
@@ -49,9 +49,9 @@
 	return c, err
 }
 
-// prepare writes a voter's operators' file and founds its folder.
+// prepare writes a voter's operators' file and bootstraps its folder.
 func (c *control) prepare(w *lab.World, g *lab.Gateway) error {
-	if c.own == nil {
+	if c.addresses == nil {
 		c.exports = filepath.Join(w.Dir, "exports")
 		if err := os.MkdirAll(c.exports, 0o700); err != nil {
 			return err
@@ -61,12 +61,12 @@
 			if err != nil {
 				return err
 			}
-			c.own = append(c.own, own)
+			c.addresses = append(c.addresses, own)
 		}
 	}
 	if err := os.WriteFile(
 		filepath.Join(g.Dir(), "operators.toml"),
-		[]byte(c.operators(c.own[g.Number],
+		[]byte(c.operators(c.addresses[g.Number],
 			true)),
 		0o600,
 	); err != nil {
@@ -81,14 +81,15 @@
 	return nil
 }
 
-// operators is the operators' file of a process that listens at an address.
+// operators returns the operators' file of a process that listens on an address.
 func (c *control) operators(listen string, control bool) string {
 	var b strings.Builder
 	parts := c.options.Parts
 	if control {
 		fmt.Fprintf(
 			&b,
-			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\nwait = \"5s\"\ncatalogue = false\n",
+			"[register]\nsource = \"consul\"\nservice = %q\nagents = [%q]\n"+
+				"wait = \"5s\"\ncatalogue = false\n",
 			serviceName,
 			c.register.Address,
 		)
@@ -96,7 +97,7 @@
 	fmt.Fprintf(&b, "[fleet]\non = true\nname = %q\nlisten = %q\nfolder = \"fleet\"\n", fleetName,
 		listen)
 	var voters, owners []string
-	for i, own := range c.own {
+	for i, own := range c.addresses {
 		voters = append(voters, fmt.Sprintf("{ name = %q, address = %q }", controlName(i), own))
 		owners = append(owners, fmt.Sprintf("%q", controlName(i)))
 	}
@@ -114,7 +115,7 @@
 		fmt.Fprintf(&b, "span = %q\n", c.options.Span)
 	}
 	if parts.Metering {
-		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, usePeriod)
+		fmt.Fprintf(&b, "exports = %q\nperiod = %q\n", c.exports, meteringPeriod)
 	}
 	if parts.List && control && c.options.Path == PathDelta {
 		fmt.Fprintf(&b, "watch = true\nsilent = %q\n", silenceTimeout)
@@ -128,9 +129,9 @@
 	return b.String()
 }
 
-// voters are the founding voters.
+// voters returns the initial voters.
 func (c *control) voters() (all []*controlpb.Voter) {
-	for i, own := range c.own {
+	for i, own := range c.addresses {
 		all = append(
 			all,
 			&controlpb.Voter{Number: replica.BootstrapNumber(fleetName, controlName(i)),
@@ -140,22 +141,23 @@
 	return all
 }
 
-// owners are the names of all who may hold duties.
+// owners returns the names of all processes that may hold roles.
 func (c *control) owners() (all []string) {
-	for i := range c.own {
+	for i := range c.addresses {
 		all = append(all, controlName(i))
 	}
 	return all
 }
 
-// call has a control process's admin interface answer a call about the fleet.
+// call sends a fleet command to the admin interface of a control process.
 func (c *control) call(i int, line string, into any) error {
 	return c.world.Gateways[i].CallFleet(line, callTimeout, into)
 }
 
-// leader is which control process leads the log; -1: none says so.
+// leader returns the index of the control process that leads the log; -1: none reports that it
+// does.
 func (c *control) leader() int {
-	for i := range c.own {
+	for i := range c.addresses {
 		var here controlplane.LocalStatus
 		if c.call(i, "here", &here) == nil && here.Leads {
 			return i
@@ -164,7 +166,7 @@
 	return -1
 }
 
-// rolesHeld tells how many duties each control process holds.
+// rolesHeld returns the number of roles that a control process holds.
 func (c *control) rolesHeld(i int) (held int) {
 	var here controlplane.LocalStatus
 	if c.call(i, "here", &here) == nil {
@@ -173,9 +175,9 @@
 	return held
 }
 
-// terms is the sum of all duties' terms: it grows by one with each change of an owner.
-// ok is false where nobody tells.
-func (c *control) terms() (sum int, ok bool) {
+// termSum returns the sum of the terms of all roles, which grows by one with each change of an
+// owner. ok is false if the terms can't be read.
+func (c *control) termSum() (sum int, ok bool) {
 	var v lease.View
 	if c.call(max(0, c.leader()), "owners", &v) != nil {
 		return 0, false
@@ -186,7 +188,7 @@
 	return sum, true
 }
 
-// propose has a version of the plans go to all gateways, and gives its number.
+// propose proposes a version of the plans for all gateways, and returns its number.
 func (c *control) propose(text string) (number uint64, err error) {
 	at := max(0, c.leader())
 	file := filepath.Join(c.world.Gateways[at].Dir(), fmt.Sprintf("plans-%d.toml",
@@ -206,8 +208,8 @@
 	)
 }
 
-// plansText is a version of all plans, with the plan of each tenant. One tenant has another plan
-// than usual; below 0: none.
+// plansText returns a version of all plans, with the plan of each tenant. The tenant moved has
+// another plan than usual; below 0: none.
 func (c *control) plansText(tenants int, factor float64, moved int) string {
 	var b strings.Builder
 	site := c.world.Site
@@ -234,7 +236,7 @@
 	return b.String()
 }
 
-// usage is what each process has used so far.
+// usage returns the resource use of each process.
 func (c *control) usage() (all []Usage, err error) {
 	for _, g := range c.world.Gateways {
 		u, bad := UsageOf(g.PID())
@@ -244,7 +246,7 @@
 	return all, err
 }
 
-// close ends all processes, and keeps their logs where they are wanted.
+// close stops all processes, and saves their logs if Options.Logs is set.
 func (c *control) close() {
 	if c.world == nil {
 		return
--- a/internal/testing/scale/faults.go
+++ b/internal/testing/scale/faults.go
@@ -13,92 +13,97 @@
 // Fault is a failure that a run injects.
 type Fault string
 
-// The faults. Undisturbed names the stretch of a run before the first.
+// The faults. Undisturbed names the interval of a run before the first fault.
 const (
-	Undisturbed   Fault = "undisturbed"
-	FaultStop     Fault = "stop"     // a control process that does not lead the log is stopped for stopLength
-	FaultKill     Fault = "kill"     // one that does not lead is killed, and started again after downLength
-	FaultLeader   Fault = "leader"   // the one that leads is killed, and started again
-	FaultGateways Fault = "gateways" // one process of hollow gateways is stopped for stopLength
+	Undisturbed Fault = "undisturbed"
+	// FaultStop stops a control process that is not the leader of the log for stopLength.
+	FaultStop Fault = "stop"
+	// FaultKill kills a control process that is not the leader, and restarts it after downLength.
+	FaultKill Fault = "kill"
+	// FaultLeader kills the leader, and restarts it after downLength.
+	FaultLeader Fault = "leader"
+	// FaultGateways stops one process of simulated gateways for stopLength.
+	FaultGateways Fault = "gateways"
 )
 
 const (
 	stopLength = 4 * time.Second
 	downLength = 2 * time.Second
-	// minStretch is how long each stretch of a run has to be: a fault, and what comes after it.
-	minStretch   = 6 * time.Second
-	startTimeout = 20 * time.Second // for a process that was killed
+	// minInterval is the minimum length of each interval of a run: a fault and its aftermath.
+	minInterval  = 6 * time.Second
+	startTimeout = 20 * time.Second // for a killed process to restart
 )
 
 var knownFaults = []Fault{FaultStop, FaultKill, FaultLeader, FaultGateways}
 
-// ParseFaults reads a list of faults, parted by commas; empty: none.
+// ParseFaults parses a comma-separated list of faults; empty: none.
 func ParseFaults(list string) (all []Fault, err error) {
 	if list == "" {
 		return nil, nil
 	}
 	for word := range strings.SplitSeq(list, ",") {
 		if !slices.Contains(knownFaults, Fault(word)) {
-			return nil, fmt.Errorf("--faults %q: some of stop, kill, leader, gateways wanted", word)
+			return nil, fmt.Errorf("--faults %q: must be one of stop, kill, leader, gateways", word)
 		}
 		all = append(all, Fault(word))
 	}
 	return all, nil
 }
 
-// Stretch is a part of a run: from a fault until the next, with the changes that were made in it.
-type Stretch struct {
+// Interval is the part of a run from one fault until the next, with the changes made in it.
+type Interval struct {
 	Fault        Fault  `json:"fault"`
-	Target       string `json:"target,omitempty"`    // the process that it befell
-	BeganMS      int64  `json:"began_ms"`            // since the run began
-	InForce      Delays `json:"in_force"`            // of servers' changes
-	Draining     Delays `json:"draining"`            // of those, drains
-	PlansInForce Delays `json:"plans_in_force"`      // of versions of the plans
+	Target       string `json:"target,omitempty"`    // the affected process
+	BeganMS      int64  `json:"began_ms"`            // since the start of the run
+	InForce      Delays `json:"in_force"`            // delays of changes of servers
+	Draining     Delays `json:"draining"`            // the drains among them
+	PlansInForce Delays `json:"plans_in_force"`      // delays of versions of the plans
 	Failed       string `json:"failed,omitempty"`    // why the fault was not injected
-	Recovered    bool   `json:"recovered,omitempty"` // the process serves again
+	Recovered    bool   `json:"recovered,omitempty"` // the process runs again
 	began        time.Time
 }
 
-// injectFaults injects the faults of a run, one in each stretch, and notes when each stretch began.
-// It returns when the context ends and each process that a fault befell runs again.
-func (p *play) injectFaults(ctx context.Context) {
+// injectFaults injects the faults of a run, one in each interval, and records the start of each
+// interval. It returns after the last fault or when the context ends, once each affected process
+// runs again.
+func (f *fleetRun) injectFaults(ctx context.Context) {
 	began := time.Now()
-	p.stretches = []Stretch{{Fault: Undisturbed, began: began}}
-	length := p.options.For / time.Duration(len(p.options.Faults)+1)
-	for i, fault := range p.options.Faults {
-		if !pass(ctx, time.Until(began.Add(length*time.Duration(i+1)))) {
+	f.intervals = []Interval{{Fault: Undisturbed, began: began}}
+	length := f.options.For / time.Duration(len(f.options.Faults)+1)
+	for i, fault := range f.options.Faults {
+		if !sleep(ctx, time.Until(began.Add(length*time.Duration(i+1)))) {
 			return
 		}
-		s := Stretch{Fault: fault, began: time.Now(), BeganMS: time.Since(began).Milliseconds()}
-		fmt.Fprintf(p.log, "fault %s after %v\n", fault, time.Since(began).Round(time.Millisecond))
-		target, err := p.inject(ctx, fault)
+		s := Interval{Fault: fault, began: time.Now(), BeganMS: time.Since(began).Milliseconds()}
+		fmt.Fprintf(f.log, "fault %s after %v\n", fault, time.Since(began).Round(time.Millisecond))
+		target, err := f.inject(ctx, fault)
 		s.Target, s.Recovered = target, err == nil
 		if err != nil {
 			s.Failed = err.Error()
-			fmt.Fprintln(p.log, "fault", fault, "failed:", err)
+			fmt.Fprintln(f.log, "fault", fault, "failed:", err)
 		}
-		p.stretches = append(p.stretches, s)
+		f.intervals = append(f.intervals, s)
 	}
 }
 
-// inject injects a fault, waits for its length and ends it. It returns the name of the process that
-// it befell.
-func (p *play) inject(ctx context.Context, fault Fault) (target string, err error) {
+// inject injects a fault, waits for its length and ends it. It returns the name of the affected
+// process.
+func (f *fleetRun) inject(ctx context.Context, fault Fault) (target string, err error) {
 	if fault == FaultGateways {
-		return "the first process of hollow gateways", p.children[0].pause(ctx)
+		return "the first process of hollow gateways", f.children[0].pause(ctx)
 	}
-	leader := p.control.leader()
+	leader := f.control.leader()
 	if leader < 0 {
 		return "", errors.New("no control process says that it leads")
 	}
 	at := leader
 	if fault != FaultLeader {
-		at = (leader + 1) % p.options.Control
+		at = (leader + 1) % f.options.Control
 	}
 	if fault == FaultStop {
-		return controlName(at), p.control.pause(ctx, at)
+		return controlName(at), f.control.pause(ctx, at)
 	}
-	return controlName(at), p.control.restart(ctx, at)
+	return controlName(at), f.control.restart(ctx, at)
 }
 
 // pause stops a control process for stopLength.
@@ -107,12 +112,12 @@
 	if err := g.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	pass(ctx, stopLength)
+	sleep(ctx, stopLength)
 	return g.Signal(syscall.SIGCONT)
 }
 
-// restart kills a control process and starts it again after downLength, whatever becomes of the
-// context.
+// restart kills a control process and starts it again after downLength, or at once when the context
+// ends. The start does not depend on the context.
 func (c *control) restart(ctx context.Context, at int) error {
 	g := c.world.Gateways[at]
 	if err := g.Signal(syscall.SIGKILL); err != nil {
@@ -123,24 +128,24 @@
 	if err := g.WaitForExit(starting); err != nil {
 		return err
 	}
-	pass(ctx, downLength)
+	sleep(ctx, downLength)
 	return c.world.Start(starting, g)
 }
 
-// pause stops a process of hollow gateways for stopLength.
+// pause stops a process of simulated gateways for stopLength.
 func (c *child) pause(ctx context.Context) error {
 	if err := c.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	pass(ctx, stopLength)
+	sleep(ctx, stopLength)
 	return c.command.Process.Signal(syscall.SIGCONT)
 }
 
-// stretchOf is the stretch in which a change was made; nil where the run has none.
-func (p *play) stretchOf(at time.Time) *Stretch {
-	for i := range slices.Backward(p.stretches) {
-		if !at.Before(p.stretches[i].began) {
-			return &p.stretches[i]
+// intervalOf returns the interval in which a change was made, or nil if the run has no intervals.
+func (f *fleetRun) intervalOf(at time.Time) *Interval {
+	for i := range slices.Backward(f.intervals) {
+		if !at.Before(f.intervals[i].began) {
+			return &f.intervals[i]
 		}
 	}
 	return nil
--- a/internal/testing/scale/hollow.go
+++ b/internal/testing/scale/hollow.go
@@ -27,14 +27,15 @@
 	"mothcleat/internal/plans"
 )
 
-// HollowConfig is what a process of hollow gateways is told, as one line of JSON.
-type HollowConfig struct {
+// ProcessConfig is the configuration of a process of simulated gateways. It is sent to the process
+// as one line of JSON.
+type ProcessConfig struct {
 	Fleet              string             `json:"fleet"`
 	Voters             []*controlpb.Voter `json:"voters"`
 	Owners             []string           `json:"owners"`
-	First              int                `json:"first"` // number of its first gateway
+	First              int                `json:"first"` // number of the first gateway
 	Count              int                `json:"count"`
-	Gateways           int                `json:"gateways"` // of the whole play
+	Gateways           int                `json:"gateways"` // of the whole run
 	Dir                string             `json:"dir"`
 	Seed               uint64             `json:"seed"`
 	Tenants            int                `json:"tenants"`
@@ -44,14 +45,14 @@
 	Path               Path               `json:"path"`
 }
 
-// Commands that a process of hollow gateways is given, each a line.
+// Commands to a process of simulated gateways, one per line.
 const (
 	commandSample = "sample"
 	commandStop   = "stop"
 )
 
-// Arrival is a change that has come to a gateway: the phase of a server, or a version of the plans
-// in force.
+// Arrival is a change that has reached a gateway: the phase of a server, or a version of the plans
+// that is in force.
 type Arrival struct {
 	Gateway int    `json:"g"`
 	Server  string `json:"s,omitempty"`
@@ -60,19 +61,19 @@
 	At      int64  `json:"at"` // Unix time in nanoseconds
 }
 
-// GatewayState is how a hollow gateway stands.
+// GatewayState is the state of a simulated gateway.
 type GatewayState struct {
 	Servers int    `json:"servers"`
 	Digest  uint64 `json:"digest"`
-	// when it first had a whole list, Unix time in nanoseconds; 0: not yet
-	Current int64  `json:"current"`
-	Version uint64 `json:"version"` // of the plans that is in force
-	Acts    bool   `json:"acts"`    // it may act on them
-	Stale   int    `json:"stale"`   // times that its state's digest was not the agreed one
+	// Unix time in nanoseconds when it first had a complete list; 0: not yet.
+	CurrentAt  int64  `json:"current"`
+	Version    uint64 `json:"version"` // version of the plans in force
+	MayOperate bool   `json:"acts"`    // whether it may act on the plans
+	Stale      int    `json:"stale"`   // times its state's digest differed from the agreed one
 }
 
-// Sample is what a process of hollow gateways has seen and used up to a moment. Arrivals are those
-// since the sample before.
+// Sample is the cumulative traffic and resource use of a process of simulated gateways, and their
+// states. Arrivals are those since the previous sample.
 type Sample struct {
 	At            int64            `json:"at"`
 	Usage         Usage            `json:"usage"`
@@ -84,15 +85,15 @@
 	Arrivals      []Arrival        `json:"arrivals"`
 	Requests      int64            `json:"requests"`
 	Granted       int64            `json:"granted"`
-	// times that a gateway heard no list and would have watched the register itself
+	// Times that a gateway received no list and would have watched the register itself.
 	Fallbacks int64 `json:"fallbacks"`
 }
 
-// hollowProcess is the gateways of one process.
-type hollowProcess struct {
-	config    HollowConfig
+// simulatedProcess holds the gateways of one process.
+type simulatedProcess struct {
+	config    ProcessConfig
 	meter     *Meter
-	gateways  []*hollowGateway
+	gateways  []*simulatedGateway
 	requests  atomic.Int64
 	granted   atomic.Int64
 	fallbacks atomic.Int64
@@ -101,9 +102,9 @@
 	arrivals []Arrival
 }
 
-// hollowGateway is one gateway without its request path.
-type hollowGateway struct {
-	process *hollowProcess
+// simulatedGateway is one gateway without its request path.
+type simulatedGateway struct {
+	process *simulatedProcess
 	number  int
 	node    *controlplane.Node
 	tenants []uint64
@@ -116,18 +117,17 @@
 	book    *plans.Catalog
 }
 
-// RunHollow runs hollow gateways until it is told to stop, its input ends or the context does. The
-// first line of its input is a
-// HollowConfig, each further one a command.
-func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
+// RunSimulatedGateways runs simulated gateways until it reads the stop command, its input ends or
+// the context ends. The first line of its input is a ProcessConfig, each further line a command.
+func RunSimulatedGateways(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("hollow gateways: no configuration: %w", err)
+		return fmt.Errorf("simulated gateways: no configuration: %w", err)
 	}
-	p := &hollowProcess{meter: NewMeter()}
+	p := &simulatedProcess{meter: NewMeter()}
 	if err := json.Unmarshal(first, &p.config); err != nil {
-		return fmt.Errorf("hollow gateways: %w", err)
+		return fmt.Errorf("simulated gateways: %w", err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -151,8 +151,8 @@
 	}
 }
 
-// start has all gateways take part.
-func (p *hollowProcess) start(ctx context.Context) error {
+// start starts all gateways of the process.
+func (p *simulatedProcess) start(ctx context.Context) error {
 	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(file, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	for i := range p.config.Count {
-		g := &hollowGateway{process: p, number: p.config.First + i, servers: map[string]uint64{}}
+		g := &simulatedGateway{process: p, number: p.config.First + i, servers: map[string]uint64{}}
 		if err := g.start(ctx, log); err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func (p *hollowProcess) close() {
+func (p *simulatedProcess) close() {
 	var wg sync.WaitGroup
 	for _, g := range p.gateways {
 		wg.Add(1)
@@ -186,14 +186,14 @@
 	wg.Wait()
 }
 
-// arrived takes note of a change that has come to a gateway.
-func (p *hollowProcess) arrived(a Arrival) {
+// recordArrival records a change that has reached a gateway.
+func (p *simulatedProcess) recordArrival(a Arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.arrivals = append(p.arrivals, a)
 }
 
-func (p *hollowProcess) sample() (*Sample, error) {
+func (p *simulatedProcess) sample() (*Sample, error) {
 	usage, err := UsageOf(os.Getpid())
 	if err != nil {
 		return nil, err
@@ -213,29 +213,29 @@
 	return s, nil
 }
 
-// hollowName names a hollow gateway.
-func hollowName(number int) string { return fmt.Sprintf("h%d", number) }
+// simulatedName returns the ID of a simulated gateway.
+func simulatedName(number int) string { return fmt.Sprintf("h%d", number) }
 
 const (
 	leaseTTL       = time.Second
 	leaseOffer     = 500 * time.Millisecond
 	clockMargin    = 0.125
-	usePeriod      = 5 * time.Second
+	meteringPeriod = 5 * time.Second
 	silenceTimeout = time.Second
 )
 
-// start has the gateway take part in its fleet.
-func (g *hollowGateway) start(ctx context.Context, log *slog.Logger) error {
+// start starts the gateway, which joins the fleet.
+func (g *simulatedGateway) start(ctx context.Context, log *slog.Logger) error {
 	c := &g.process.config
 	address, err := listenAddress(g.number)
 	if err != nil {
 		return err
 	}
-	settings := controlplane.Config{Fleet: c.Fleet, ID: hollowName(g.number), Listen: address,
-		Dir: filepath.Join(c.Dir, hollowName(g.number)), Voters: c.Voters,
+	settings := controlplane.Config{Fleet: c.Fleet, ID: simulatedName(g.number), Listen: address,
+		Dir: filepath.Join(c.Dir, simulatedName(g.number)), Voters: c.Voters,
 		Candidates: c.Owners, LeaseConfig: lease.Config{TTL: leaseTTL, ClockDriftBound: clockMargin,
-			OfferTTL: leaseOffer}, MeteringPeriod: usePeriod, SourceTimeout: silenceTimeout,
-		Log: log.With("gateway", hollowName(g.number)), Observer: g.process.meter.Observer()}
+			OfferTTL: leaseOffer}, MeteringPeriod: meteringPeriod, SourceTimeout: silenceTimeout,
+		Log: log.With("gateway", simulatedName(g.number)), Observer: g.process.meter.Observer()}
 	if c.Parts.Metering {
 		settings.ExportShards = 1
 	}
@@ -272,41 +272,40 @@
 	return nil
 }
 
-// Hollow gateways listen at hosts of their own in 127.0.0.0/8, where no outgoing connection takes a
-// port while a gateway is not
-// there yet.
+// Simulated gateways listen on their own hosts in 127.0.0.0/8, where no outgoing connection can
+// take a gateway's port before the gateway starts.
 const (
-	hollowPort       = 7400
-	hollowHostsFirst = 16 // second byte of their addresses, and how many values it takes
-	hollowHosts      = 32
-	hostsOfNetwork   = 250
+	simulatedPort       = 7400
+	simulatedHostsFirst = 16 // second byte of the addresses; it has simulatedHosts values
+	simulatedHosts      = 32
+	hostsOfNetwork      = 250
 )
 
-// listenAddress is a free address for a gateway.
+// listenAddress returns a free address for a gateway.
 func listenAddress(number int) (string, error) {
 	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", hollowHostsFirst+pid%hollowHosts,
-		pid/hollowHosts%hostsOfNetwork, 1+number%hostsOfNetwork)
-	for port := hollowPort; port < hollowPort+hostsOfNetwork; port++ {
+	host := fmt.Sprintf("127.%d.%d.%d", simulatedHostsFirst+pid%simulatedHosts,
+		pid/simulatedHosts%hostsOfNetwork, 1+number%hostsOfNetwork)
+	for port := simulatedPort; port < simulatedPort+hostsOfNetwork; port++ {
 		l, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
 		if err == nil {
 			return l.Addr().String(), l.Close()
 		}
 	}
-	return "", fmt.Errorf("hollow gateway %d: no free port at %s", number, host)
+	return "", fmt.Errorf("simulated gateway %d: no free port at %s", number, host)
 }
 
-// noRegister is a register that tells nothing. Hundreds of hollow gateways that ask the register
-// themselves would measure the rig's
-// stand-in: that they would have asked is counted instead.
+// noRegister is a register that sends no updates. If hundreds of simulated gateways queried the
+// register themselves, the rig would measure its own stand-in; instead it counts the queries that
+// they would have started.
 type noRegister struct{}
 
 func (noRegister) Run(ctx context.Context, _ func(registry.Update)) { <-ctx.Done() }
 func (noRegister) Follow()                                          {}
 func (noRegister) Move(string)                                      {}
 
-// receive takes in news of the servers.
-func (g *hollowGateway) receive(n registry.Update) {
+// receive applies an update of the list of servers.
+func (g *simulatedGateway) receive(n registry.Update) {
 	now := time.Now().UnixNano()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -322,7 +321,7 @@
 		delete(removed, id)
 		g.put(id, m.Phase, m.HostPort, now)
 	}
-	for id := range removed { // what a whole list does not have
+	for id := range removed { // servers that are missing from a complete list
 		g.put(id, registry.Gone, "", now)
 	}
 	if g.current == 0 && n.Kind != registry.Unavailable {
@@ -330,8 +329,8 @@
 	}
 }
 
-// put takes in a server's phase. The lock is held.
-func (g *hollowGateway) put(id, phase, address string, now int64) {
+// put applies a server's phase. The caller holds the lock.
+func (g *simulatedGateway) put(id, phase, address string, now int64) {
 	was, there := g.servers[id]
 	hash := uint64(0)
 	if phase != registry.Gone {
@@ -345,16 +344,16 @@
 		g.servers[id] = hash
 	}
 	if g.current != 0 && (there || hash != 0) {
-		g.process.arrived(Arrival{Gateway: g.number, Server: id, Phase: phase, At: now})
+		g.process.recordArrival(Arrival{Gateway: g.number, Server: id, Phase: phase, At: now})
 	}
 }
 
-// CheckCatalog finds every version of the plans good; see planconfig.Terms.
-func (g *hollowGateway) CheckCatalog(*plans.Catalog) error { return nil }
+// CheckCatalog accepts every version of the plans; see planconfig.Terms.
+func (g *simulatedGateway) CheckCatalog(*plans.Catalog) error { return nil }
 
-// UseCatalogs puts a version in force at once, and keeps it like a real gateway; see
+// UseCatalogs puts a version into force at once, and holds it in memory like a real gateway; see
 // planconfig.Terms.
-func (g *hollowGateway) UseCatalogs(
+func (g *simulatedGateway) UseCatalogs(
 	book *plans.Catalog, _ []*plans.Catalog, order uint64, done func(),
 ) {
 	done()
@@ -364,11 +363,12 @@
 	g.book, g.version = book, number
 	g.mu.Unlock()
 	if new {
-		g.process.arrived(Arrival{Gateway: g.number, Version: number, At: time.Now().UnixNano()})
+		g.process.recordArrival(Arrival{Gateway: g.number, Version: number,
+			At: time.Now().UnixNano()})
 	}
 }
 
-func (g *hollowGateway) state() GatewayState {
+func (g *simulatedGateway) state() GatewayState {
 	mayOperate := true
 	if a := g.node.RolloutAgent(); a != nil {
 		until, _ := a.Current()
@@ -380,14 +380,15 @@
 	if replica := g.node.DistributionStatus().Replica; replica != nil {
 		stale = int(replica.Counts.Divergences)
 	}
-	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest, Current: g.current,
-		Version: g.version, Acts: mayOperate}
+	return GatewayState{Stale: stale, Servers: len(g.servers), Digest: g.digest,
+		CurrentAt: g.current,
+		Version:   g.version, MayOperate: mayOperate}
 }
 
-// A tenant comes through two to four gateways.
+// Each tenant uses two to four gateways.
 const (
-	minTenantSpread  = 2
-	tenantSpreadVary = 3
+	minTenantSpread   = 2
+	tenantSpreadRange = 3
 )
 
-const demandEvery = 50 * time.Millisecond
+const demandInterval = 50 * time.Millisecond
--- a/internal/testing/scale/sums.go
+++ b/internal/testing/scale/sums.go
@@ -8,9 +8,9 @@
 	"mothcleat/internal/dataplane/registry"
 )
 
-// sumTraffic sums up what the hollow gateways carried and used.
-func (p *play) sumTraffic(before, after []Sample, took time.Duration) {
-	r, n, seconds := p.result, float64(p.options.Gateways), took.Seconds()
+// sumTraffic sums up the traffic and the resource use of the simulated gateways.
+func (f *fleetRun) sumTraffic(before, after []Sample, took time.Duration) {
+	r, n, seconds := f.result, float64(f.options.Gateways), took.Seconds()
 	r.Seconds = seconds
 	roles := map[Role]Traffic{}
 	var messages Traffic
@@ -42,28 +42,30 @@
 	if messages.Bytes() > 0 {
 		r.ConnectionOverhead = (in + out) / float64(messages.Bytes())
 	}
-	// What is no message (headers, flow control, pings) is shared out by messages.
+	// Bytes outside of messages (headers, flow control, pings) are divided evenly among messages.
 	perMessage := math.Max(0, in+out-float64(messages.Bytes())) / math.Max(1,
 		float64(messages.Messages()))
 	for role, t := range roles {
 		r.Roles[role] = Row{
 			MessagesPerSecond: float64(t.Messages()) / seconds / n,
-			BytesInPerSecond:  (float64(t.BytesIn) + perMessage*float64(t.MessagesIn)) / seconds / n,
-			BytesOutPerSecond: (float64(t.BytesOut) + perMessage*float64(t.MessagesOut)) / seconds / n,
+			BytesInPerSecond: (float64(t.BytesIn) +
+				perMessage*float64(t.MessagesIn)) / seconds / n,
+			BytesOutPerSecond: (float64(t.BytesOut) +
+				perMessage*float64(t.MessagesOut)) / seconds / n,
 		}
 	}
 }
 
-// sumControl sums up what the control processes used.
-func (p *play) sumControl(before, after []Usage, took time.Duration) {
-	leader := p.control.leader()
+// sumControl sums up the resource use of the control processes.
+func (f *fleetRun) sumControl(before, after []Usage, took time.Duration) {
+	leader := f.control.leader()
 	for i := range after {
 		u := after[i].Since(before[i])
 		one := Process{
-			Name:   controlName(i),
-			Leads:  i == leader,
-			Duties: p.control.rolesHeld(i),
-			Cores:  u.ProcessorSeconds / took.Seconds(),
+			Name:      controlName(i),
+			Leads:     i == leader,
+			RolesHeld: f.control.rolesHeld(i),
+			Cores:     u.ProcessorSeconds / took.Seconds(),
 			ResidentMB: float64(
 				u.ResidentBytes,
 			) / (1 << 20),
@@ -73,15 +75,15 @@
 			) / took.Seconds(),
 			WrittenBytesPerSecond: float64(u.WrittenBytes) / took.Seconds(),
 		}
-		p.result.ControlProcesses = append(p.result.ControlProcesses, one)
-		p.result.ControlCores += one.Cores
+		f.result.ControlProcesses = append(f.result.ControlProcesses, one)
+		f.result.ControlCores += one.Cores
 	}
 }
 
-// changeDelays is how long changes took to come to gateways, of a run or of one stretch of it.
+// changeDelays holds the delays until changes reached gateways, in a run or one interval of it.
 type changeDelays struct{ all, drains, plans []time.Duration }
 
-// add counts a change that came to one gateway.
+// add records the delay of a change that reached one gateway.
 func (d *changeDelays) add(c *change, delay time.Duration) {
 	if c.version > 0 {
 		d.plans = append(d.plans, delay)
@@ -93,20 +95,20 @@
 	}
 }
 
-// sumChanges sums up when changes came to gateways, and which never did.
-func (p *play) sumChanges(settled []Sample) {
-	r := p.result
-	first := map[Arrival]int64{} // without its time
-	for _, a := range p.arrivals {
+// sumChanges sums up the delays until changes reached gateways, and counts the lost ones.
+func (f *fleetRun) sumChanges(settled []Sample) {
+	r := f.result
+	first := map[Arrival]int64{} // key: an arrival with At = 0
+	for _, a := range f.arrivals {
 		key := a
 		key.At = 0
 		if was, ok := first[key]; !ok || a.At < was {
 			first[key] = a.At
 		}
 	}
-	newest := map[string]string{} // phase of each server in the end
+	newest := map[string]string{} // last phase of each server
 	var lastVersion uint64
-	for _, c := range p.changes {
+	for _, c := range f.changes {
 		if c.version > 0 {
 			r.PlanVersions++
 			lastVersion = max(lastVersion, c.version)
@@ -116,7 +118,7 @@
 		newest[c.server] = c.phase
 	}
 	moments := map[time.Time]bool{}
-	for _, c := range p.changes {
+	for _, c := range f.changes {
 		if c.version == 0 {
 			moments[c.at] = true
 		}
@@ -124,26 +126,27 @@
 	r.ListChanges = len(moments)
 	var run changeDelays
 	var rack []time.Duration
-	stretches := map[*Stretch]*changeDelays{}
-	for i := range p.changes {
-		c := &p.changes[i]
-		stretch := stretches[p.stretchOf(c.at)]
-		if stretch == nil {
-			stretch = &changeDelays{}
-			stretches[p.stretchOf(c.at)] = stretch
+	intervals := map[*Interval]*changeDelays{}
+	for i := range f.changes {
+		c := &f.changes[i]
+		interval := intervals[f.intervalOf(c.at)]
+		if interval == nil {
+			interval = &changeDelays{}
+			intervals[f.intervalOf(c.at)] = interval
 		}
-		for g := range p.options.Gateways {
-			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase, Version: c.version}]
+		for g := range f.options.Gateways {
+			at, ok := first[Arrival{Gateway: g, Server: c.server, Phase: c.phase,
+				Version: c.version}]
 			delay := time.Unix(0, at).Sub(c.at)
 			switch {
 			case !ok && c.version == lastVersion && c.version > 0:
 				r.LostVersions++
 			case !ok && c.version == 0 && newest[c.server] == c.phase:
 				r.LostChanges++
-			case !ok: // something newer came in its place
+			case !ok: // superseded by a newer change
 			default:
 				run.add(c, delay)
-				stretch.add(c, delay)
+				interval.add(c, delay)
 				if c.rack {
 					rack = append(rack, delay)
 				}
@@ -154,43 +157,44 @@
 	r.Draining = delaysOf(run.drains)
 	r.Rack = delaysOf(rack)
 	r.PlansInForce = delaysOf(run.plans)
-	for stretch, delays := range stretches {
-		if stretch != nil {
-			stretch.InForce = delaysOf(delays.all)
-			stretch.Draining = delaysOf(delays.drains)
-			stretch.PlansInForce = delaysOf(delays.plans)
+	for interval, delays := range intervals {
+		if interval != nil {
+			interval.InForce = delaysOf(delays.all)
+			interval.Draining = delaysOf(delays.drains)
+			interval.PlansInForce = delaysOf(delays.plans)
 		}
 	}
-	r.Stretches = p.stretches
-	r.ProposalsRefused = p.refused
-	p.sumStates(settled)
+	r.Intervals = f.intervals
+	r.ProposalsRefused = f.refused
+	f.sumStates(settled)
 	if n := r.ListChanges; n > 0 {
 		list := r.Roles[RoleList]
-		r.BytesPerListChange = (list.BytesInPerSecond + list.BytesOutPerSecond) * r.Seconds / float64(
+		r.BytesPerListChange = (list.BytesInPerSecond +
+			list.BytesOutPerSecond) * r.Seconds / float64(
 			n,
 		)
 	}
 }
 
-// sumStates tells which gateways are not as they should be in the end.
-func (p *play) sumStates(settled []Sample) {
-	digest, _ := p.register.Digest()
+// sumStates counts the gateways whose final state is not the expected one.
+func (f *fleetRun) sumStates(settled []Sample) {
+	digest, _ := f.register.Digest()
 	for _, s := range settled {
 		for _, g := range s.Gateways {
-			if p.options.Parts.List && g.Digest != digest {
-				p.result.Diverged++
+			if f.options.Parts.List && g.Digest != digest {
+				f.result.Diverged++
 			}
-			if p.options.Path == PathDelta && p.options.Parts.List {
-				p.result.StaleOperations = max(0, p.result.StaleOperations) + g.Stale
+			if f.options.Path == PathDelta && f.options.Parts.List {
+				f.result.StaleOperations = max(0, f.result.StaleOperations) + g.Stale
 			}
-			if p.options.Parts.Configuration && !g.Acts {
-				p.result.GatewaysNotActing++
+			if f.options.Parts.Configuration && !g.MayOperate {
+				f.result.GatewaysNotActing++
 			}
 		}
 	}
 }
 
-// delaysOf sums up times.
+// delaysOf returns the quantiles of the delays.
 func delaysOf(all []time.Duration) Delays {
 	if len(all) == 0 {
 		return Delays{}
@@ -200,7 +204,7 @@
 		return milliseconds(all[min(len(all)-1,
 			int(p*float64(len(all))))])
 	}
-	return Delays{Count: len(all), P50: at(0.5), P99: at(0.99), Most: milliseconds(all[len(all)-1])}
+	return Delays{Count: len(all), P50: at(0.5), P99: at(0.99), Max: milliseconds(all[len(all)-1])}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
