--- a/sim/allocation/checks.go
+++ b/sim/allocation/checks.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// check checks that what all may use now is no more than the limit.
+// check checks that the shares that members may use now and the leader's pool sum up to no more
+// than the limit.
 func (w *World) check() {
 	for id := uint64(1); id <= uint64(len(w.limits)); id++ {
 		limit := w.limits[id]
@@ -84,7 +85,7 @@
 	w.checkUse(w.res.Taken-before, settle)
 }
 
-// recoveryStep lets every member have more demand than the limit, and lasts 90 ms.
+// recoveryStep plays 90 ms in which every member has more demand than the limit.
 func (w *World) recoveryStep(o *tenure, renews bool) {
 	for i, p := range w.members {
 		if p.dead || p.shutDown {
@@ -116,8 +117,8 @@
 	w.traceState()
 }
 
-// checkUse holds the units that were used in calmLength against what the budgets allow. Clocks at
-// nine tenths of the true pace give nine tenths.
+// checkUse checks that at least 75% of the units that the limits allow in measuredTime were used.
+// Clocks that run at nine tenths of the true pace allow nine tenths of the use.
 func (w *World) checkUse(used float64, settle time.Duration) {
 	alive := 0
 	for _, p := range w.members {
--- a/sim/allocation/faults.go
+++ b/sim/allocation/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fault ends the faults that have lasted long enough, and now and then begins one.
+// fault ends faults that have lasted long enough, and occasionally begins one.
 func (w *World) fault() {
 	i := w.draw(len(w.members))
 	p, o := w.members[i], w.tenures[w.draw(len(w.tenures))]
@@ -37,10 +37,10 @@
 		w.res.Faults["owner stopped"]++
 	case 5:
 		current := w.currentTenure()
-		current.partitioned = true // from the voters, not from members
+		current.partitioned = true // from the voters, but not from members
 		w.res.Faults["owner cut"]++
 	case 6:
-		// A leadership transfer, or a quick successor: the former leader learns it late.
+		// A leadership transfer or a quick election: the former leader learns of it late.
 		w.electLeader(i)
 		w.res.Faults["owner changed"]++
 	case 7:
@@ -64,7 +64,7 @@
 		w.start(i, p)
 		w.res.Faults["started"]++
 		if w.oneIn(2) {
-			// By the lock on the folder it knows that its predecessor has ended.
+			// It holds the lock on the folder, and thus knows that its predecessor has ended.
 			now := p.at(w.now)
 			request := p.holder.RenewRequest(now, 0)
 			request.EndedIncarnations = []uint64{incarnation}
--- a/sim/allocation/price.go
+++ b/sim/allocation/price.go
@@ -10,43 +10,44 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// Scheme is a way to keep a quota over many gateways.
+// Scheme is a way to enforce a quota across many gateways.
 type Scheme string
 
-// The schemes whose price is told. None of them ever passes the whole.
+// The schemes that are compared. None of them ever exceeds the limit.
 const (
-	OneBank      Scheme = "one bank"        // all gateways see one bucket at once: the baseline
-	Even         Scheme = "even parts"      // static
-	Parts        Scheme = "parts"           // by demand, as Rules say, and nothing is lent
-	Lending      Scheme = "parts and loans" // the same, and what lacks is borrowed
-	OnDemandOnly Scheme = "loans"           // no parts but floors: all is borrowed
-	Direct       Scheme = "direct"          // even shares, and the rest from the gateway with most
-	Moved        Scheme = "moved"           // even shares, and the request goes to its units
+	OneBank      Scheme = "one bank"        // the baseline: one bucket without delay
+	Even         Scheme = "even parts"      // each gateway has a static, equal share
+	Parts        Scheme = "parts"           // shares by demand as in Rules, no units on demand
+	Lending      Scheme = "parts and loans" // the same, with missing units granted on demand
+	OnDemandOnly Scheme = "loans"           // minimum shares, all else is granted on demand
+	Direct       Scheme = "direct"          // even shares, missing units from the fullest
+	Moved        Scheme = "moved"           // even shares, requests move to the fullest
 )
 
-// Schemes are all of them.
-var Schemes = []Scheme{OneBank, Even, Parts, Lending, OnDemandOnly, Direct, Moved}
+// Schemes are all schemes.
+var Schemes = []Scheme{OneBank, Even, Parts, Lending, OnDemandOnly, Direct,
+	Moved}
 
-// Price says what is played: customers like the operators', whose requests come through two to four
-// gateways.
+// Price configures a comparison of schemes: customers like the operators', whose requests arrive at
+// two to four gateways each.
 type Price struct {
 	Seed  uint64
-	Trip  time.Duration // there and back
+	Trip  time.Duration // the round trip between a gateway and the leader
 	For   time.Duration
 	Rules allocation.Config
 	Each  int // customers of each plan
 }
 
-// buyer is a customer.
-type buyer struct {
+// customer is one customer with its limit.
+type customer struct {
 	limit  allocation.Share
 	spread int
-	use    float64 // of the rate
+	use    float64 // demand as a fraction of the rate
 }
 
-// draw draws customers as the lab's site does: rates, bursts, and what they ask of what they
-// bought.
-func (p *Price) draw() (all []buyer) {
+// draw draws customers as the lab's site does: their rates, their bursts and their demand as a
+// fraction of the rate.
+func (p *Price) draw() (all []customer) {
 	r := rand.New(rand.NewPCG(p.Seed, 0x9e1ce))
 	between := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
 	for range p.Each {
@@ -54,7 +55,7 @@
 			{0.96, 1.7, 3.2, 5.8}, {2.9, 4.9, 3.5, 6}, {11, 20, 1.3, 2.8},
 		} {
 			rate := between(plan[0], plan[1])
-			b := buyer{
+			b := customer{
 				limit: allocation.Share{
 					Rate:  rate,
 					Burst: math.Max(8, rate*between(plan[2], plan[3])),
@@ -73,13 +74,13 @@
 	return all
 }
 
-// Paid is what a scheme serves, in units, by how much the customer asks of what it bought.
+// Paid holds the units that a scheme serves, by the customers' demand.
 type Paid struct {
-	Served, Near, Beyond float64 // all; of those who use nearly all; of those who ask for more
-	Loans                int     // askings for units
+	Served, Near, Beyond float64 // all; demand of 0.8 to 1 of the rate; demand above the rate
+	Loans                int     // requests for units, or moved requests
 }
 
-// Play plays a scheme. The same seed gives the same requests to all.
+// Play plays a scheme. The same seed gives all schemes the same requests.
 func (p Price) Play(s Scheme) (paid Paid) {
 	for i, b := range p.draw() {
 		served, loans := p.one(s, b, rand.New(rand.NewPCG(p.Seed, uint64(i))))
@@ -95,15 +96,16 @@
 	return paid
 }
 
+// pending is a request that waits for units, or that moves to another gateway.
 type pending struct {
 	at     time.Duration
 	member int
 	units  float64 // of the request
-	lent   float64
+	lacks  float64 // the units that its gateway lacks
 }
 
-// one plays one customer alone: others do not touch its budget.
-func (p Price) one(s Scheme, b buyer, r *rand.Rand) (served float64, loans int) {
+// one plays a single customer: customers do not share budgets.
+func (p Price) one(s Scheme, b customer, r *rand.Rand) (served float64, loans int) {
 	const step = ms
 	rules := p.Rules
 	if s == Parts {
@@ -112,19 +114,19 @@
 	if s == OnDemandOnly {
 		rules.MinBurstRequests = math.Inf(1)
 	}
-	rights := s == Parts || s == Lending || s == OnDemandOnly
-	owner, err := allocation.NewLeader(0, rules, allocation.RoleOfShard(0), 1, &controlpb.Ledger{})
+	usesLeader := s == Parts || s == Lending || s == OnDemandOnly
+	leader, err := allocation.NewLeader(0, rules, allocation.RoleOfShard(0), 1, &controlpb.Ledger{})
 	if err != nil {
 		panic(err)
 	}
 	var holders []*allocation.Holder
-	banks := make([]meter, b.spread)
+	buckets := make([]meter, b.spread)
 	part := allocation.Share{
 		Rate:  b.limit.Rate / float64(b.spread),
 		Burst: b.limit.Burst / float64(b.spread),
 	}
 	if s == OneBank {
-		banks, part = banks[:1], b.limit
+		buckets, part = buckets[:1], b.limit
 	}
 	for i := range b.spread {
 		holders = append(
@@ -132,22 +134,22 @@
 			allocation.NewHolder(rules, lease.Member{ID: string(rune('a' + i)), Incarnation: 1}, 1),
 		)
 	}
-	for i := range banks {
-		banks[i].level = part.Burst
+	for i := range buckets {
+		buckets[i].level = part.Burst
 	}
 	level := func(now time.Duration, i int) *meter {
-		m := &banks[i]
+		m := &buckets[i]
 		m.level, m.at = math.Min(part.Burst, m.level+part.Rate*(now-m.at).Seconds()), now
 		return m
 	}
 	warmUp := time.Duration(0)
-	if rights {
-		warmUp = 15 * time.Second // until the reserve is full
+	if usesLeader {
+		warmUp = 15 * time.Second // until the pool is full
 	}
 	type sent struct {
 		at, sent time.Duration
 		member   int
-		ask      *controlpb.RenewRequest
+		request  *controlpb.RenewRequest
 	}
 	var renewals []sent
 	var waits []pending
@@ -155,7 +157,7 @@
 	next := warmUp
 	busiest := r.IntN(b.spread)
 	for now := time.Duration(0); now < warmUp+p.For; now += step {
-		if rights {
+		if usesLeader {
 			for i, h := range holders {
 				if (now+time.Duration(i)*37*ms)%rules.RenewInterval == 0 {
 					if now < warmUp {
@@ -177,16 +179,16 @@
 					now,
 					a.sent,
 					0,
-					a.ask,
-					owner.Renew(now, a.ask),
-				) // the way back is left out: it is hardly ever waited for
+					a.request,
+					leader.Renew(now, a.request),
+				) // without the response's delay: requests hardly ever wait for it
 			}
 			renewals = kept
 			if committed >= 0 && now >= committed {
-				owner.Committed(now)
+				leader.Committed(now)
 				committed = -1
 			}
-			if committed < 0 && owner.Plan(now) != nil {
+			if committed < 0 && leader.Plan(now) != nil {
 				committed = now + p.Trip
 			}
 		}
@@ -196,11 +198,11 @@
 				kept = append(kept, w)
 				continue
 			}
-			served += p.back(s, owner, holders, level, w, b, now)
+			served += p.respond(s, leader, holders, level, w, b, now)
 		}
 		waits = kept
 		for now >= next {
-			// A request: mostly through the busiest gateway, which changes.
+			// A request, which mostly arrives at the busiest gateway; that gateway changes.
 			const mean = 1.98 // units of a request
 			next += time.Duration(
 				r.ExpFloat64() * mean / (b.use * b.limit.Rate) * float64(time.Second),
@@ -217,7 +219,7 @@
 				busiest = r.IntN(b.spread)
 			}
 			switch {
-			case rights:
+			case usesLeader:
 				h := holders[m]
 				h.RecordDemand(now, 1, b.limit, b.spread, units)
 				if lacks := units - h.Available(now, 1); lacks <= 0 {
@@ -226,7 +228,8 @@
 				} else if s != Parts {
 					loans++
 					if lacks < units {
-						h.Consume(now, 1, units-lacks) // no other request counts on them meanwhile
+						// No other request may take these units meanwhile.
+						h.Consume(now, 1, units-lacks)
 					}
 					waits = append(waits, pending{now + p.Trip, m, units, math.Min(lacks, units)})
 				}
@@ -249,15 +252,15 @@
 	return served, loans
 }
 
-// back is when the answer to an asking for units, or the request moved, arrives. It gives the units
-// served.
-func (p Price) back(
+// respond plays the arrival of a response to a request for units, or of a moved request. It returns
+// the units served.
+func (p Price) respond(
 	s Scheme,
-	owner *allocation.Leader,
+	leader *allocation.Leader,
 	holders []*allocation.Holder,
 	level func(time.Duration, int) *meter,
 	w pending,
-	b buyer,
+	b customer,
 	now time.Duration,
 ) float64 {
 	switch s {
@@ -282,12 +285,12 @@
 		return 0
 	}
 	h := holders[w.member]
-	a := owner.GrantOnDemand(
+	a := leader.GrantOnDemand(
 		now,
 		&controlpb.OnDemandRequest{
 			Role:       allocation.RoleOfShard(0),
 			Budget:     1,
-			Units:      w.lent,
+			Units:      w.lacks,
 			MaxMembers: uint32(b.spread),
 			Limit:      &controlpb.Share{Rate: b.limit.Rate, Burst: b.limit.Burst},
 		},
@@ -296,6 +299,6 @@
 		return w.units
 	}
 	h.RecordRejected(now, 1, w.units)
-	h.Consume(now, 1, w.lent-w.units)
+	h.Consume(now, 1, w.lacks-w.units)
 	return 0
 }
--- a/sim/allocation/process.go
+++ b/sim/allocation/process.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// clock is a process's own.
+// clock is the clock of one process.
 type clock struct {
 	pace   float64
 	offset time.Duration
@@ -27,12 +27,13 @@
 	stopped          bool
 	partitioned      bool // no message from or to it arrives
 	partitionedUntil time.Duration
-	busy             bool // it gets many requests
+	busy             bool // it receives many requests
 	requestCount     int  // on-demand requests
 	answered         map[int]bool
 	dead             bool
 	shutDown         bool
-	// taken is what it has taken or was granted and has not used yet. It may be stopped in between.
+	// taken are units that it took or was granted and has not used yet. It may be stopped between
+	// the two.
 	taken []takenUnits
 }
 
--- a/sim/allocation/replay_test.go
+++ b/sim/allocation/replay_test.go
@@ -14,12 +14,13 @@
 	}
 }
 
-// Guards against units that overflowed a full bucket before a reduction, and came back with it.
+// Guards against returning units with a reduction that had overflowed a full bucket before it.
 func TestOverflowBeforeReductionIsNotReturnedWithIt(t *testing.T) {
 	checkReplay(t, 7015577, 2, 1)
 }
 
-// Guards against units of a grant that never arrived, and came with the next one after it expired.
+// Guards against units of a grant that never arrived and were added to the next grant after the
+// first had expired.
 func TestUnitsOfAnExpiredGrantDoNotArriveLater(t *testing.T) {
 	checkReplay(t, 4242013922, 2, 1)
 }
--- a/sim/allocation/search.go
+++ b/sim/allocation/search.go
@@ -7,7 +7,7 @@
 	"mothcleat/sim/parallel"
 )
 
-// Finding is a play that breaks a promise; its seed plays it again.
+// Finding is a play that breaks a guarantee; its seed reproduces it.
 type Finding struct {
 	Seed    uint64 `json:"seed"`
 	Members int    `json:"members"`
@@ -16,7 +16,7 @@
 	After   int    `json:"after"` // plays until it was found
 }
 
-// Found is what a search came to.
+// Found is the result of a search.
 type Found struct {
 	Plays    int
 	Events   int
@@ -33,8 +33,7 @@
 
 const stepsPerPlay = 600
 
-// Search plays one schedule after another, on all cores, until so many were played or one was
-// found.
+// Search plays schedules on all cores until maxPlays were played or one breaks a guarantee.
 func Search(ctx context.Context, seed uint64, maxPlays int) Found {
 	f := Found{Faults: map[string]int{}}
 	began := time.Now()
--- a/sim/allocation/search_test.go
+++ b/sim/allocation/search_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// The limit is never exceeded, whatever fails, and is in use again afterwards.
+// Whatever fails, the limit is never exceeded, and nearly all of it is used after the faults.
 func TestLimitIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed, members := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "members")
@@ -18,7 +18,8 @@
 	})
 }
 
-// The same by seeds: many more plays in the same time, with all kinds of faults among them.
+// Checks the same with plays drawn from seeds: many more plays in the same time, in which every kind
+// of fault occurs.
 func TestSearchFindsNothing(t *testing.T) {
 	f := Search(t.Context(), 1, 200)
 	if len(f.Findings) > 0 {
--- a/sim/allocation/tenure.go
+++ b/sim/allocation/tenure.go
@@ -11,7 +11,7 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// tenure is one process's lead of the shard, under one term.
+// tenure is the time in which one process leads the shard under one term.
 type tenure struct {
 	clock
 	me          lease.Member
@@ -19,7 +19,7 @@
 	leader      *allocation.Leader
 	leaseUntil  time.Duration // by its clock
 	stopped     bool
-	round       *controlpb.Round // proposed, without a known outcome
+	round       *controlpb.Round // proposed, with an outcome that it does not know yet
 	body        []byte
 	response    []byte // of the state machine; nil: not committed yet
 	partitioned bool   // it can neither renew its lease nor commit
@@ -75,8 +75,8 @@
 	w.tracef("the leader of term %d proposes %v", o.term, o.round)
 }
 
-// commitRound applies a leader's round to the state machine. That of a partitioned leader may be in
-// flight.
+// commitRound applies a leader's round to the state machine. The round of a partitioned leader may
+// still be committed, because it may have been in flight.
 func (w *World) commitRound(o *tenure) {
 	if o.round == nil || o.response != nil || o.partitioned && w.oneIn(2) {
 		return
--- a/sim/allocation/trace.go
+++ b/sim/allocation/trace.go
@@ -14,8 +14,8 @@
 	fmt.Fprintf(w.trace, "%v %s\n", w.now, fmt.Sprintf(format, args...))
 }
 
-// traceState writes who stores how many units of each budget, beside what the limit still allows.
-// Where the sum is larger, more units than the limit can be used from then on.
+// traceState writes how many units of each budget the pool and the members store, and how many the
+// limit still allows. If they store more, more units than the limit can be used from then on.
 func (w *World) traceState() {
 	if w.trace == nil {
 		return
--- a/sim/allocation/world.go
+++ b/sim/allocation/world.go
@@ -27,7 +27,7 @@
 	At   string `json:"at"`
 }
 
-// Result is what a play came to.
+// Result is the outcome of a play.
 type Result struct {
 	Breach *Breach
 	Events int
@@ -42,7 +42,7 @@
 	now          time.Duration // true time
 	config       allocation.Config
 	ticks        int
-	faultRarity  int // by what factor faults are rarer
+	faultRarity  int // the factor by which faults are rarer
 	machine      *allocation.Machine
 	term         uint64
 	leader       lease.Member // by the log
@@ -72,7 +72,7 @@
 	return r
 }
 
-// New begins a play of so many members and budgets.
+// New begins a play with the given numbers of members and budgets.
 func New(draw Draw, members, budgets int) *World {
 	w := &World{draw: draw, config: shortConfig(), meters: map[uint64]*meter{},
 		limits: map[uint64]allocation.Share{}}
@@ -82,7 +82,7 @@
 		limit := allocation.Share{Rate: float64(1 + draw(20))}
 		limit.Burst = limit.Rate + float64(4+draw(40))
 		w.limits[uint64(i+1)] = limit
-		w.meters[uint64(i+1)] = &meter{} // empty like the pool of a first leader
+		w.meters[uint64(i+1)] = &meter{} // empty, like the pool of the first leader
 	}
 	for i := range members {
 		p := &process{}
@@ -90,7 +90,7 @@
 		w.start(i, p)
 	}
 	w.electLeader(draw(members))
-	// Faults lose units, and what is lost hides what was duplicated: some plays have few or none.
+	// Units that faults lose hide units that were duplicated: some plays have few or no faults.
 	w.faultRarity = []int{1, 1, 6, 30, 1000}[draw(5)]
 	return w
 }
@@ -111,15 +111,15 @@
 // oneIn returns true one time in n.
 func (w *World) oneIn(n int) bool { return w.draw(n) == 0 }
 
-// Step plays one tick: what is due by the clock, in an order that is drawn, and now and then a
-// fault.
+// Step plays one tick: members act in an order that is drawn, leaders propose and commit rounds,
+// and a fault may begin or end.
 func (w *World) Step() {
 	w.res.Events++
 	w.advance(tick)
 	w.ticks++
 	current := w.currentTenure()
 	if !current.stopped && !current.partitioned {
-		// It renews its lease.
+		// The leader renews its lease.
 		current.leaseUntil = max(current.leaseUntil, current.at(w.now)+time.Second)
 	}
 	first := w.draw(len(w.members))
@@ -154,12 +154,12 @@
 	w.traceState()
 }
 
-// Play plays up to so many steps and ends at the first breach.
+// Play plays up to the given number of steps and ends at the first breach.
 func Play(draw Draw, members, budgets, steps int) Result {
 	return New(draw, members, budgets).play(steps)
 }
 
-// Replay plays one schedule of a search again, and writes its events.
+// Replay plays one schedule of a search again and writes its events to trace.
 func Replay(seed uint64, members, budgets int, trace io.Writer) Result {
 	w := New(Random(seed), members, budgets)
 	w.trace = trace
@@ -173,12 +173,12 @@
 		}
 	}
 	if w.oneIn(5) {
-		w.recover() // it takes far longer than the play before it
+		w.recover() // the recovery takes far longer than the play before it
 	}
 	return w.res
 }
 
-// Random returns choices by a seed.
+// Random returns a Draw that is seeded with seed.
 func Random(seed uint64) Draw {
 	r := rand.New(rand.NewPCG(seed, 0xb0d9e7))
 	return r.IntN
