--- a/sim/allocation/price.go
+++ b/sim/allocation/price.go
@@ -15,17 +15,17 @@
 
 // The schemes that are compared. None of them ever exceeds the limit.
 const (
-	OneBank      Scheme = "one bank"        // the baseline: one bucket without delay
-	Even         Scheme = "even parts"      // each gateway has a static, equal share
-	Parts        Scheme = "parts"           // shares by demand as in Rules, no units on demand
-	Lending      Scheme = "parts and loans" // the same, with missing units granted on demand
-	OnDemandOnly Scheme = "loans"           // minimum shares, all else is granted on demand
-	Direct       Scheme = "direct"          // even shares, missing units from the fullest
-	Moved        Scheme = "moved"           // even shares, requests move to the fullest
+	SharedBucket      Scheme = "one bank"        // the baseline: one bucket without delay
+	Even              Scheme = "even parts"      // each gateway has a static, equal share
+	SharesOnly        Scheme = "parts"           // shares by demand as in Rules, no units on demand
+	SharesAndOnDemand Scheme = "parts and loans" // the same, with missing units granted on demand
+	OnDemandOnly      Scheme = "loans"           // minimum shares, all else is granted on demand
+	Direct            Scheme = "direct"          // even shares, missing units from the fullest
+	Moved             Scheme = "moved"           // even shares, requests move to the fullest
 )
 
 // Schemes are all schemes.
-var Schemes = []Scheme{OneBank, Even, Parts, Lending, OnDemandOnly, Direct,
+var Schemes = []Scheme{SharedBucket, Even, SharesOnly, SharesAndOnDemand, OnDemandOnly, Direct,
 	Moved}
 
 // Price configures a comparison of schemes: customers like the operators', whose requests arrive at
@@ -108,13 +108,13 @@
 func (p Price) one(s Scheme, b customer, r *rand.Rand) (served float64, loans int) {
 	const step = ms
 	rules := p.Rules
-	if s == Parts {
+	if s == SharesOnly {
 		rules.PoolFraction = 0
 	}
 	if s == OnDemandOnly {
 		rules.MinBurstRequests = math.Inf(1)
 	}
-	usesLeader := s == Parts || s == Lending || s == OnDemandOnly
+	usesLeader := s == SharesOnly || s == SharesAndOnDemand || s == OnDemandOnly
 	leader, err := allocation.NewLeader(0, rules, allocation.RoleOfShard(0), 1, &controlpb.Ledger{})
 	if err != nil {
 		panic(err)
@@ -125,7 +125,7 @@
 		Rate:  b.limit.Rate / float64(b.spread),
 		Burst: b.limit.Burst / float64(b.spread),
 	}
-	if s == OneBank {
+	if s == SharedBucket {
 		buckets, part = buckets[:1], b.limit
 	}
 	for i := range b.spread {
@@ -225,7 +225,7 @@
 				if lacks := units - h.Available(now, 1); lacks <= 0 {
 					h.Consume(now, 1, units)
 					served += units
-				} else if s != Parts {
+				} else if s != SharesOnly {
 					loans++
 					if lacks < units {
 						// No other request may take these units meanwhile.
@@ -233,7 +233,7 @@
 					}
 					waits = append(waits, pending{now + p.Trip, m, units, math.Min(lacks, units)})
 				}
-			case s == OneBank:
+			case s == SharedBucket:
 				if l := level(now, 0); l.level >= units {
 					l.level -= units
 					served += units
