--- a/sim/configversion/checks.go
+++ b/sim/configversion/checks.go
@@ -6,14 +6,14 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// seen checks that each number keeps its digest, and now and then that a snapshot restores the same
-// state.
-func (w *World) seen() {
+// checkLog checks that each version number keeps its digest, and at every 50th entry that a
+// snapshot restores the same state.
+func (w *World) checkLog() {
 	v := w.log.View(w.fleet)
 	for i := range v.Versions {
 		one := &v.Versions[i]
-		if was, ok := w.digests[one.Item][one.Number]; ok && was != one.Digest {
-			w.breach("two_digests", "%s %d is %s and %s", one.Item, one.Number, was, one.Digest)
+		if known, ok := w.digests[one.Item][one.Number]; ok && known != one.Digest {
+			w.breach("two_digests", "%s %d is %s and %s", one.Item, one.Number, known, one.Digest)
 		}
 		w.digests[one.Item][one.Number] = one.Digest
 	}
@@ -29,14 +29,14 @@
 	}
 }
 
-// operate carries out what was decided, after the last look at whether that is still permitted.
+// operate carries out an operation that was decided earlier, if its lease still permits it.
 func (w *World) operate(m *member, now time.Duration, a operation) {
 	if now >= a.by || m.holder.LeasedUntil(now) == 0 {
 		return
 	}
 	for item, number := range m.holder.InForce() {
-		if was, ok := a.number[item]; ok && was != number {
-			return // decided by what is not in force any more
+		if decided, ok := a.number[item]; ok && decided != number {
+			return // decided under a version that is no longer in force
 		}
 	}
 	w.res.Operations++
@@ -45,7 +45,7 @@
 	w.checkTerms(m, a)
 }
 
-// checkNotEnded checks that a member acts on no version that has ended.
+// checkNotEnded checks that a member acts on no version that has expired.
 func (w *World) checkNotEnded(m *member, a operation) {
 	v := w.log.View(w.fleet)
 	for i := range v.Versions {
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkContent checks that a member has, and can read, what it acts on.
+// checkContent checks that a member has, and can read, the contents that it acts on.
 func (w *World) checkContent(m *member, a operation) {
 	for item, number := range a.number {
 		if digest := w.digests[item][number]; !m.content[digest] || !m.reads(digest) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// checkTerms checks that a member that acts on a newer version keeps to the terms of the older ones
-// that others act on.
+// checkTerms checks that a member that acts on a newer version grants no more than the older
+// versions that other members act on.
 func (w *World) checkTerms(m *member, a operation) {
 	for _, o := range w.members {
 		if o == m || o.dead || o.stopped || o.holder.LeasedUntil(w.clock(o)) == 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// end checks that every member that runs has come to what is for all.
-func (w *World) end() {
+// checkEnd checks that every member that runs has the versions whose rollout is complete.
+func (w *World) checkEnd() {
 	v := w.log.View(w.fleet)
 	for _, one := range v.Versions {
 		if one.State == configversion.StateComplete {
--- a/sim/configversion/member.go
+++ b/sim/configversion/member.go
@@ -10,33 +10,33 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// fetchInterval is between two attempts to fetch one content.
+// fetchInterval is the time between two attempts to fetch one content.
 const fetchInterval = 300 * time.Millisecond
 
-// member is a gateway.
+// member is one gateway of the fleet.
 type member struct {
-	id          string
-	incarnation uint64
-	pace        float64
-	offset      time.Duration
-	holder      *configversion.Holder
-	dead        bool
-	stopped     bool
-	wakes       time.Duration
-	cut         time.Duration // until then nothing passes
-	ended       []uint64
-	requestedAt time.Duration
-	content     map[string]bool // its folder
-	older       bool            // its program can't read every content
-	enrols      bool
-	reported    map[string]uint64 // what it reported, by item
-	refused     map[string]bool
-	terms       map[string]float64 // by which it decides
-	fetching    map[string]time.Duration
-	hands       []operation // decided, and not done yet
+	id           string
+	incarnation  uint64
+	pace         float64
+	offset       time.Duration
+	holder       *configversion.Holder
+	dead         bool
+	stopped      bool
+	stoppedUntil time.Duration
+	cutUntil     time.Duration // until when it is cut off from the network
+	ended        []uint64
+	requestedAt  time.Duration
+	content      map[string]bool // the digests of the contents in its folder
+	older        bool            // its build can't read every content
+	enrols       bool
+	reported     map[string]uint64 // the numbers that it has reported, by item
+	refused      map[string]bool
+	terms        map[string]float64 // the rates by which it decides, by item
+	fetching     map[string]time.Duration
+	pending      []operation // decided, but not carried out yet
 }
 
-// operation is a request that was decided, and not sent to a server yet.
+// operation is a client's request that was decided, but has not reached a server yet.
 type operation struct {
 	number map[string]uint64
 	by     time.Duration
@@ -50,13 +50,13 @@
 	return m.offset + time.Duration(float64(w.now)*m.pace)
 }
 
-// start starts a member's process anew.
+// start starts a new process of a member.
 func (w *World) start(m *member) {
 	w.incarnations++
 	if m.incarnation != 0 {
 		m.ended = append(m.ended, m.incarnation)
 	}
-	m.incarnation, m.dead, m.stopped, m.hands = w.incarnations, false, false, nil
+	m.incarnation, m.dead, m.stopped, m.pending = w.incarnations, false, false, nil
 	m.holder = configversion.NewHolder(w.rules)
 	m.enrols, m.requestedAt = true, -time.Hour
 	m.reported = map[string]uint64{}
@@ -65,18 +65,18 @@
 	m.fetching = map[string]time.Duration{}
 }
 
-// reads reports whether a member's program can act on a content.
+// reads reports whether a member's build can act on a content.
 func (m *member) reads(digest string) bool { return !m.older || !strings.HasPrefix(digest, "0") }
 
-// live plays one step of a member that runs.
-func (w *World) live(m *member) {
+// stepMember plays one step of a member that runs.
+func (w *World) stepMember(m *member) {
 	now := w.clock(m)
 	if now-m.requestedAt >= w.rules.RenewInterval {
 		m.requestedAt = now
 		w.requestLease(m, now)
 	}
 	for _, r := range m.holder.MissingContents() {
-		w.want(m, now, r)
+		w.fetch(m, now, r)
 	}
 	for _, item := range m.holder.Items() {
 		w.putInForce(m, now, item)
@@ -87,8 +87,8 @@
 	}
 }
 
-// want checks a content that is here, or fetches it from another member that has it.
-func (w *World) want(m *member, now time.Duration, r configversion.Ref) {
+// fetch checks a content if the member has it, and otherwise fetches it from another member.
+func (w *World) fetch(m *member, now time.Duration, r configversion.Ref) {
 	if m.content[r.Digest] {
 		why := ""
 		if !m.reads(r.Digest) {
@@ -102,10 +102,10 @@
 	}
 	m.fetching[r.Digest] = now + fetchInterval
 	from := w.members[w.r.IntN(len(w.members))]
-	if !from.content[r.Digest] { // one of those that keep what is proposed
-		from = w.members[w.r.IntN(keepers)]
+	if !from.content[r.Digest] { // try a voter: most voters store proposed contents
+		from = w.members[w.r.IntN(voters)]
 	}
-	if from == m || from.dead || from.stopped || from.cut > w.now || !from.content[r.Digest] {
+	if from == m || from.dead || from.stopped || from.cutUntil > w.now || !from.content[r.Digest] {
 		return
 	}
 	incarnation := m.incarnation
@@ -116,7 +116,8 @@
 	})
 }
 
-// putInForce puts an item's target in force if it can be, by the tightest terms of those that bind.
+// putInForce puts an item's target in force if it may be, with the lowest rate of the target and
+// the overlapping versions.
 func (w *World) putInForce(m *member, now time.Duration, item string) {
 	to, overlapping, forAll, ok := m.holder.NextToApply(now, item)
 	if !ok || !forAll {
@@ -130,19 +131,19 @@
 	m.holder.SetInForce(now, item, to.Number)
 }
 
-// decide now and then decides a request, and has one that was decided earlier reach a server.
+// decide occasionally decides a request, and lets one that was decided earlier reach a server.
 func (w *World) decide(m *member, now time.Duration) {
 	if by := m.holder.LeasedUntil(now); by != 0 && w.r.IntN(4) == 0 {
-		m.hands = append(m.hands, operation{m.holder.InForce(), by, maps.Clone(m.terms)})
+		m.pending = append(m.pending, operation{m.holder.InForce(), by, maps.Clone(m.terms)})
 	}
-	if len(m.hands) > 0 && w.r.IntN(3) == 0 {
-		a := m.hands[0]
-		m.hands = m.hands[1:]
+	if len(m.pending) > 0 && w.r.IntN(3) == 0 {
+		a := m.pending[0]
+		m.pending = m.pending[1:]
 		w.operate(m, now, a)
 	}
 }
 
-// report tells the fleet what is in force, until that was agreed.
+// report reports the version in force to the fleet, until that report is committed.
 func (m *member) report(w *World, item string) {
 	number := m.holder.InForce()[item]
 	if to, _, _, _ := m.holder.NextToApply(1<<60, item); to.Number != 0 && number < to.Number {
@@ -162,7 +163,7 @@
 	}
 }
 
-// requestLease asks what a member may act on, and enrols it if that is due.
+// requestLease requests a member's lease, and enrols the member if necessary.
 func (w *World) requestLease(m *member, sent time.Duration) {
 	incarnation := m.incarnation
 	if m.enrols {
--- a/sim/configversion/network.go
+++ b/sim/configversion/network.go
@@ -7,18 +7,18 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// message is a message on its way, as what is done when it arrives.
+// message is a message in flight. Its arrival calls do.
 type message struct {
 	at time.Duration
-	to *member // nil: the log
+	to *member // nil: the state machine
 	do func()
 }
 
-// send has something done at the log or a member after a short delay. Messages are lost, doubled
-// and late.
+// send calls do at the state machine or a member after a short delay. Messages may be lost,
+// duplicated or late.
 func (w *World) send(from, to *member, do func()) {
-	w.words++
-	if from.cut > w.now || w.chance("lost", 12) {
+	w.messages++
+	if from.cutUntil > w.now || w.chance("lost", 12) {
 		return
 	}
 	n := 1
@@ -34,7 +34,8 @@
 	}
 }
 
-// apply has a command agreed. A session applies it once, however often it comes.
+// apply sends a command to the state machine, which applies it once, however often it arrives. It
+// passes the result to then.
 func (w *World) apply(m *member, op configversion.Command, then func(configversion.Result)) {
 	who, done := m.me(), false
 	w.send(m, nil, func() {
@@ -58,14 +59,14 @@
 				w.term,
 			)
 		}
-		w.seen()
+		w.checkLog()
 		if then != nil {
 			w.send(m, m, func() { then(r) })
 		}
 	})
 }
 
-// deliverDue delivers the messages whose time has come, but for those to a stopped member.
+// deliverDue delivers the messages that are due, except those to a stopped member.
 func (w *World) deliverDue() {
 	due := w.net
 	w.net = nil
@@ -73,7 +74,7 @@
 		switch {
 		case m.at > w.now || m.to != nil && m.to.stopped:
 			w.net = append(w.net, m)
-		case m.to == nil || !m.to.dead && m.to.cut <= w.now:
+		case m.to == nil || !m.to.dead && m.to.cutUntil <= w.now:
 			m.do()
 		}
 	}
--- a/sim/configversion/rollouts.go
+++ b/sim/configversion/rollouts.go
@@ -7,11 +7,11 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// guide has the member that holds the duty look at the roll-outs. Its commands may arrive when
-// another holds it.
-func (w *World) guide() {
+// controlRollouts lets the rollout controller send its next commands. They may arrive when another
+// member has the role.
+func (w *World) controlRollouts() {
 	for _, m := range w.members {
-		if m.me() != w.owner || m.dead || m.stopped {
+		if m.me() != w.leader || m.dead || m.stopped {
 			continue
 		}
 		v := w.log.View(w.fleet)
@@ -22,7 +22,7 @@
 	}
 }
 
-// propose has an operator propose or withdraw something at some gateway.
+// propose lets an operator propose or withdraw a version at some gateway.
 func (w *World) propose() {
 	m := w.members[w.r.IntN(len(w.members))]
 	if m.dead || m.stopped {
@@ -66,8 +66,8 @@
 		op.Pilots = configversion.Pilots(item, op.Number+1, configversion.StageOne, w.ids())
 	}
 	m.content[op.Digest] = true
-	for k := range keepers { // most of those that vote keep it before it is proposed
-		if k != w.r.IntN(keepers) {
+	for k := range voters { // most voters store it before it is proposed
+		if k != w.r.IntN(voters) {
 			w.members[k].content[op.Digest] = true
 		}
 	}
@@ -79,7 +79,7 @@
 	})
 }
 
-// newest returns an item's newest version, nil if there is none.
+// newest returns an item's newest version, or nil if there is none.
 func (w *World) newest(item string) (last *configversion.Version) {
 	v := w.log.View(w.fleet)
 	for i := range v.Versions {
--- a/sim/configversion/search.go
+++ b/sim/configversion/search.go
@@ -7,7 +7,7 @@
 	"mothcleat/sim/parallel"
 )
 
-// Finding is a play that breaks a promise; its seed plays it again.
+// Finding is a play that breaks a guarantee; its seed reproduces it.
 type Finding struct {
 	Seed     uint64 `json:"seed"`
 	Gateways int    `json:"gateways"`
@@ -15,7 +15,7 @@
 	After    int    `json:"after"` // plays until it was found
 }
 
-// Found is what a search came to.
+// Found is the result of a search.
 type Found struct {
 	Plays, Operations, RollOuts, Withdrawn, Outs int
 	Faults                                       map[string]int
@@ -36,10 +36,9 @@
 	"another guide",
 }
 
-const length = 60 * time.Second // of a play, before it comes to rest
+const length = 60 * time.Second // of a play, before its period without faults
 
-// Search plays one schedule after another, on all cores, until so many were played or one was
-// found.
+// Search plays schedules on all cores until maxPlays were played or one breaks a guarantee.
 func Search(ctx context.Context, seed uint64, maxPlays int) Found {
 	f := Found{Faults: map[string]int{}}
 	began := time.Now()
--- a/sim/configversion/size.go
+++ b/sim/configversion/size.go
@@ -8,26 +8,26 @@
 	"mothcleat/internal/controlplane/configversion"
 )
 
-// Size is what a roll-out costs a fleet of a size.
+// Size holds the durations and the traffic of rollouts in a fleet of one size.
 type Size struct {
-	ToAll        []time.Duration // from the proposal until all have it in force
-	ToNineTenths []time.Duration // and until all but one in ten
-	Words        float64         // messages a second and gateway
-	Bytes        float64         // told a second and gateway
-	Agreed       float64         // entries a second
-	Roundoff     int             // versions that were not in force everywhere before the next
+	ToAll        []time.Duration // from the proposal until all gateways have it in force
+	ToNineTenths []time.Duration // from the proposal until 90% have it in force
+	Words        float64         // messages per second and gateway
+	Bytes        float64         // bytes of lease responses per second and gateway
+	Agreed       float64         // log entries per second
+	Roundoff     int             // versions that were not in force everywhere before the next one
 }
 
-// Measure plays a fleet in which nothing fails, with a version for all each ten seconds.
+// Measure plays a fleet without faults, in which a version for all is proposed every 10 seconds.
 func Measure(seed uint64, gateways, rollOuts int) (s Size) {
 	const each = 10 * time.Second
 	r := rand.New(rand.NewPCG(seed, 0x517e))
 	w := newWorld(r, configversion.DefaultConfig(), gateways)
 	w.noFaults, w.noOperations = true, true
-	for w.now < each { // all are enrolled
+	for w.now < each { // until all gateways are enrolled
 		w.step(0)
 	}
-	words, bytes, entries, began := w.words, w.bytes, w.index, w.now
+	messages, bytes, entries, began := w.messages, w.bytes, w.index, w.now
 	for k := range rollOuts {
 		m := w.members[r.IntN(gateways)]
 		op := configversion.Command{
@@ -38,7 +38,7 @@
 			Size:   1,
 			Stage:  configversion.StageAll,
 		}
-		for k := range keepers {
+		for k := range voters {
 			w.members[k].content[op.Digest] = true
 		}
 		m.content[op.Digest] = true
@@ -66,7 +66,7 @@
 		s.ToAll, s.ToNineTenths = append(s.ToAll, all), append(s.ToNineTenths, nineTenths)
 	}
 	per := (w.now - began).Seconds() * float64(gateways)
-	s.Words = float64(w.words-words) / per
+	s.Words = float64(w.messages-messages) / per
 	s.Bytes = float64(w.bytes-bytes) / per
 	s.Agreed = float64(w.index-entries) / (w.now - began).Seconds()
 	return s
--- a/sim/configversion/versions_test.go
+++ b/sim/configversion/versions_test.go
@@ -8,7 +8,7 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Many schedules break no promise, and provoke what they are to.
+// No schedule breaks a guarantee, and the schedules provoke every kind of fault.
 func TestSchedules(t *testing.T) {
 	found := Search(t.Context(), 1, 20)
 	for _, f := range found.Findings {
@@ -16,16 +16,18 @@
 	}
 	for _, k := range Kinds {
 		if found.Faults[k] == 0 {
-			t.Errorf("no fault %s", k)
+			t.Errorf("no fault %q was played", k)
 		}
 	}
 	if found.Operations == 0 || found.RollOuts == 0 || found.Withdrawn == 0 || found.Outs == 0 {
-		t.Errorf("%+v: nothing was shown", found)
+		t.Errorf("%+v: no operations, rollouts, withdrawals or fenced gateways", found)
 	}
-	t.Logf("%d plays in %v: %d acts, %d roll-outs, %d withdrawn, %d shut out", found.Plays, found.Took.Round(time.Millisecond), found.Operations, found.RollOuts, found.Withdrawn, found.Outs)
+	t.Logf("%d plays in %v: %d operations, %d rollouts, %d withdrawn, %d fenced", found.Plays,
+		found.Took.Round(time.Millisecond), found.Operations, found.RollOuts, found.Withdrawn,
+		found.Outs)
 }
 
-// A fleet of a size in which nothing fails has each version everywhere before the next.
+// In a fleet without faults, each version is in force everywhere before the next one is proposed.
 func TestASizeInQuiet(t *testing.T) {
 	s := Measure(1, 20, 3)
 	if len(s.ToAll) != 3 || s.Roundoff != 0 {
@@ -33,7 +35,7 @@
 	}
 }
 
-// BenchmarkAtSize tells what a roll-out costs fleets of several sizes.
+// BenchmarkAtSize measures rollouts in fleets of several sizes.
 func BenchmarkAtSize(b *testing.B) {
 	for _, gateways := range []int{150, 300, 620} {
 		b.Run(strconv.Itoa(gateways), func(b *testing.B) { benchmarkAt(b, gateways) })
--- a/sim/configversion/world.go
+++ b/sim/configversion/world.go
@@ -1,7 +1,8 @@
-// Package configversion plays roll-outs in virtual time: the real versions package, with gateways
-// that stop between any two steps, die and come back, are cut off for a while, or can't read a
-// version; answers that are late, lost and doubled; guides that wake late; and clocks of different
-// pace. A model that knows everything holds each act against what was agreed.
+// Package configversion simulates rollouts in virtual time: the real package configversion, with
+// gateways that stop between any two steps, exit and restart, are cut off for a while, or can't
+// read a version; messages that are late, lost and duplicated; rollout controllers that resume
+// late; and clocks of different pace. A model that knows everything compares each operation with
+// what was committed.
 package configversion
 
 import (
@@ -14,15 +15,15 @@
 )
 
 const (
-	step    = 20 * time.Millisecond
-	items   = 2
-	keepers = 3                // members that vote
-	quiet   = 70 * time.Second // at the end nothing goes wrong any more
+	step   = 20 * time.Millisecond
+	items  = 2
+	voters = 3                // the members that vote
+	quiet  = 70 * time.Second // without faults, at the end of a play
 )
 
 var names = [items]string{"plans", "keys"}
 
-// Breach is a promise that was not kept.
+// Breach is a guarantee that was broken.
 type Breach struct {
 	// What is acts_on_withdrawn, two_digests, two_guides, mixed, without_content,
 	// never_caught_up or unreadable.
@@ -31,7 +32,7 @@
 	At   string `json:"at"`
 }
 
-// Result is what a play came to.
+// Result is the outcome of a play.
 type Result struct {
 	Breach     *Breach
 	Operations int
@@ -39,8 +40,8 @@
 	RollOuts   int
 	ForAll     int
 	Withdrawn  int
-	Outs       int             // gateways shut out
-	ToAll      []time.Duration // from agreed for all to in force with all that hear
+	Outs       int             // how often gateways were fenced
+	ToAll      []time.Duration // from the commit for all until in force at all connected gateways
 }
 
 // World is one play.
@@ -48,33 +49,33 @@
 	r            *rand.Rand
 	rules        configversion.Config
 	now          time.Duration // true time
-	fleet        time.Duration // the fleet's
-	pace         float64       // at which that goes
+	fleet        time.Duration // the fleet's time
+	pace         float64       // of the fleet's time, relative to the true time
 	log          *configversion.Machine
 	index        uint64
 	term         uint64
-	owner        lease.Member
+	leader       lease.Member
 	members      []*member
 	incarnations uint64
 	net          []message
 	digests      map[string]map[uint64]string // by item and number
-	rates        map[string]float64           // what a content grants
+	rates        map[string]float64           // the rate that a content grants, by digest
 	noFaults     bool
-	noOperations bool // nobody acts: a size is measured
-	words        int  // messages
-	bytes        int  // of what is asked and told
+	noOperations bool // no operations, because only rollouts are measured
+	messages     int
+	bytes        int // of lease responses
 	res          Result
 }
 
-// Fence is the table of the one duty.
+// Fence accepts commands of the current rollout controller.
 func (w *World) Fence(_ string, term uint64, who lease.Member) error {
-	if term != w.term || who != w.owner {
+	if term != w.term || who != w.leader {
 		return lease.ErrStaleTerm
 	}
 	return nil
 }
 
-// chance begins a fault one time in n, and never in calm.
+// chance returns true one time in n, and never without faults. It counts the fault.
 func (w *World) chance(what string, n int) bool {
 	if w.noFaults || w.r.IntN(n) != 0 {
 		return false
@@ -103,7 +104,7 @@
 	for w.now < length+quiet && w.res.Breach == nil {
 		w.step(length)
 	}
-	w.end()
+	w.checkEnd()
 	return w.res
 }
 
@@ -134,7 +135,7 @@
 	return w
 }
 
-// step plays a short time. After length nothing goes wrong any more.
+// step plays one step. After length there are no more faults.
 func (w *World) step(length time.Duration) {
 	r, gateways := w.r, len(w.members)
 	w.now += step
@@ -144,17 +145,17 @@
 	}
 	if w.term == 0 || w.chance("another guide", 500) {
 		w.term++
-		w.owner = w.members[r.IntN(gateways)].me()
+		w.leader = w.members[r.IntN(gateways)].me()
 	}
 	w.deliverDue()
 	for _, m := range w.members {
-		w.befall(m)
+		w.injectFault(m)
 		if !m.dead && !m.stopped {
-			w.live(m)
+			w.stepMember(m)
 		}
 	}
 	if r.IntN(10) == 0 {
-		w.guide()
+		w.controlRollouts()
 	}
 	if !w.noFaults && r.IntN(150) == 0 {
 		w.propose()
