--- a/sim/configversion/size.go
+++ b/sim/configversion/size.go
@@ -12,10 +12,10 @@
 type Size struct {
 	ToAll        []time.Duration // from the proposal until all gateways have it in force
 	ToNineTenths []time.Duration // from the proposal until 90% have it in force
-	Words        float64         // messages per second and gateway
+	Messages     float64         // messages per second and gateway
 	Bytes        float64         // bytes of lease responses per second and gateway
-	Agreed       float64         // log entries per second
-	Roundoff     int             // versions that were not in force everywhere before the next one
+	Entries      float64         // log entries per second
+	Unfinished   int             // versions that were not in force everywhere before the next one
 }
 
 // Measure plays a fleet without faults, in which a version for all is proposed every 10 seconds.
@@ -60,14 +60,14 @@
 			}
 		}
 		if all == 0 {
-			s.Roundoff++
+			s.Unfinished++
 			continue
 		}
 		s.ToAll, s.ToNineTenths = append(s.ToAll, all), append(s.ToNineTenths, nineTenths)
 	}
 	per := (w.now - began).Seconds() * float64(gateways)
-	s.Words = float64(w.messages-messages) / per
+	s.Messages = float64(w.messages-messages) / per
 	s.Bytes = float64(w.bytes-bytes) / per
-	s.Agreed = float64(w.index-entries) / (w.now - began).Seconds()
+	s.Entries = float64(w.index-entries) / (w.now - began).Seconds()
 	return s
 }
--- a/sim/configversion/versions_test.go
+++ b/sim/configversion/versions_test.go
@@ -30,7 +30,7 @@
 // In a fleet without faults, each version is in force everywhere before the next one is proposed.
 func TestASizeInQuiet(t *testing.T) {
 	s := Measure(1, 20, 3)
-	if len(s.ToAll) != 3 || s.Roundoff != 0 {
+	if len(s.ToAll) != 3 || s.Unfinished != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -48,8 +48,8 @@
 		b.ReportMetric(harness.Quantile(s.ToAll, 0.5), "ms-to-all-p50")
 		b.ReportMetric(harness.Quantile(s.ToAll, 0.99), "ms-to-all-p99")
 		b.ReportMetric(harness.Quantile(s.ToNineTenths, 0.99), "ms-to-nine-in-ten-p99")
-		b.ReportMetric(s.Words, "words/s/gateway")
+		b.ReportMetric(s.Messages, "words/s/gateway")
 		b.ReportMetric(s.Bytes, "bytes/s/gateway")
-		b.ReportMetric(s.Agreed, "entries/s")
+		b.ReportMetric(s.Entries, "entries/s")
 	}
 }
