--- a/sim/distribution/faults.go
+++ b/sim/distribution/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// injectFault injects one fault, and schedules the next.
+// injectFault injects one fault, and schedules the next one.
 func (w *World) injectFault() {
 	if w.quiet {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// crash kills a server, which comes back with the log applied up to an entry.
+// crash kills a server, which restarts after duration with the log applied up to an entry.
 func (w *World) crash(s *server, applied int, duration time.Duration, name string) {
 	if !s.up {
 		return
@@ -103,7 +103,8 @@
 	})
 }
 
-// crashReplica kills a gateway, changes its file, and starts it again.
+// crashReplica kills a gateway, calls do, which may change its state file, and starts it again
+// after duration.
 func (w *World) crashReplica(r *replica, duration time.Duration, name string, do func()) {
 	if !r.up {
 		return
--- a/sim/distribution/history.go
+++ b/sim/distribution/history.go
@@ -35,7 +35,7 @@
 	command []byte
 }
 
-// newLineage starts a fleet at revision 0 of an epoch.
+// newLineage starts the lineage of an epoch at revision 0.
 func (w *World) newLineage(epoch uint64) {
 	w.lineage = &lineage{epoch: epoch, states: []records{{}}}
 	w.lineages[epoch] = w.lineage
@@ -60,8 +60,8 @@
 	}
 }
 
-// publishDifference appends the first command of a term as the difference from a position. It is
-// accepted if that is still the newest.
+// publishDifference appends the first command of a term as the difference from a position. The
+// command is accepted if that position is still the newest.
 func (l *lineage) publishDifference(base distribution.Position, changes records) (taken bool) {
 	l.command(l.owner,
 		&distributionpb.Command{Term: l.term, Epoch: l.epoch, Base: base.Proto()}, changes)
@@ -104,7 +104,7 @@
 	}
 }
 
-// registry is the real list of servers, and the leader that watches it.
+// registry is the true list of servers, and the leader that watches it.
 type registry struct {
 	servers records
 	phases  map[string]distributionpb.Phase
@@ -117,7 +117,7 @@
 	pending records
 }
 
-// Bounds of the size of the list, which exceed several messages of buckets.
+// The bounds of the list's size. The list exceeds several messages of buckets.
 const (
 	minServers = 30
 	maxServers = 80
@@ -162,7 +162,7 @@
 		StartedMs: now.Milliseconds(),
 	})
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // can't happen with plain data
 	}
 	r.servers[id], r.phases[id] = string(raw), phase
 }
@@ -189,8 +189,8 @@
 	w.after(0, w.heartbeat)
 }
 
-// newWatcher makes another gateway watch the registry. What the last one had not published is in
-// its complete list.
+// newWatcher makes another gateway watch the registry. Its complete list contains the changes that
+// the former watcher had not published.
 func (w *World) newWatcher() {
 	w.lineage.startTerm(lease.Member{ID: "watcher", Incarnation: w.random.Uint64()})
 	w.registry.watcher = w.lineage.owner
@@ -198,11 +198,11 @@
 	w.registry.completeDue = true
 }
 
-// changeRegistry changes the list, sometimes in bursts, and has the watcher publish that a little
-// later.
+// changeRegistry changes the list, sometimes in bursts, and has the watcher publish the changes up
+// to 20 ms later.
 func (w *World) changeRegistry() {
 	if w.quiet {
-		return // so that what a link has lost just before has to be missed without a further change
+		return // replicas must notice that the last delta was lost without a further change
 	}
 	burst := 1
 	if w.random.IntN(10) == 0 {
@@ -220,14 +220,14 @@
 	w.after(pause, w.changeRegistry)
 }
 
-// heartbeat has the watcher publish regularly.
+// heartbeat has the watcher publish every second.
 func (w *World) heartbeat() {
 	w.publishChanges()
 	w.after(time.Second, w.heartbeat)
 }
 
-// publishChanges has the watcher publish what has changed, and sometimes adds a late command under
-// a term that has ended, which must be rejected.
+// publishChanges has the watcher publish its pending changes. It sometimes adds a late command
+// before them, under a term that has ended. That command must be rejected.
 func (w *World) publishChanges() {
 	r := &w.registry
 	if w.chance("late command", 60) {
@@ -275,8 +275,8 @@
 	return taken
 }
 
-// recreateFleet wipes all servers and creates another fleet of the same name. One old server may go
-// on for a while.
+// recreateFleet wipes all servers and creates another fleet of the same name. One server of the
+// former fleet may continue to run for up to 10 seconds.
 func (w *World) recreateFleet() {
 	w.newLineage(w.lineage.epoch + 1 + uint64(w.random.IntN(5)))
 	w.newWatcher()
--- a/sim/distribution/link.go
+++ b/sim/distribution/link.go
@@ -27,7 +27,7 @@
 	replicaIncarnation uint64
 	attempt            uint64
 	open               bool
-	// cut is set if nothing passes any more, and neither side is notified.
+	// cut is set if messages no longer pass in either direction, and neither side is notified.
 	cut bool
 	// faults counts disturbances.
 	faults int
@@ -36,7 +36,7 @@
 	// lastDown is when the last message to the replica arrives.
 	lastDown time.Duration
 	lastUp   time.Duration
-	// retryAt is before when the replica must not come back.
+	// retryAt is the earliest time at which the replica may resume.
 	retryAt time.Duration
 }
 
@@ -54,7 +54,7 @@
 	w.after(w.between(time.Millisecond, 10*time.Millisecond), func() {
 		switch {
 		case w.now < s.cutUntil || w.now < s.stoppedUntil || w.chance("no connection", 40):
-			return // nobody answers
+			return // no response, as when packets are dropped
 		case !s.up:
 			w.onReplica(r, incarnation, func() {
 				r.client.Disconnected(w.now, c.Attempt, errBroken)
@@ -73,7 +73,7 @@
 		}
 		w.onServer(s, s.incarnation, func() {
 			if err := s.publisher.Open(w.now, l.id); err != nil {
-				panic(err) // the bound is far
+				panic(err) // the number of streams is far below the bound
 			}
 			s.links[l.id] = l
 		})
@@ -92,10 +92,11 @@
 	})
 }
 
-// blocked reports whether nothing passes.
+// blocked reports whether messages do not pass.
 func (w *World) blocked(l *link) bool { return l.cut || w.now < l.server.cutUntil }
 
-// breakLink ends a stream. Both sides are notified unless nothing passes.
+// breakLink ends a stream. Both sides are notified soon unless messages do not pass; in that case
+// only the server is notified, by the transport's keepalive.
 func (w *World) breakLink(l *link) {
 	if !l.open {
 		return
@@ -113,8 +114,8 @@
 	})
 }
 
-// closed notifies the server that a stream has ended: at once, or by the transport's keepalive if
-// nothing passes.
+// closed notifies the server that a stream has ended: within 10 ms, or by the transport's keepalive
+// if messages do not pass.
 func (w *World) closed(l *link) {
 	delay := w.between(0, 10*time.Millisecond)
 	if w.blocked(l) {
@@ -128,7 +129,7 @@
 	})
 }
 
-// sendDown carries a message to the replica, at the rate at which it reads.
+// sendDown sends a message to the replica, at the rate at which the replica reads.
 func (w *World) sendDown(l *link, m *distribution.Message) {
 	rate := fastBytesPerSecond
 	if l.replica.slow {
@@ -157,8 +158,8 @@
 	w.at(l.lastDown, arrives)
 }
 
-// lostOneIn returns how often a message is lost. Those with buckets are few, and so are lost more
-// often.
+// lostOneIn returns n if one in n such messages is lost. Messages with buckets are rare, and are
+// therefore lost more often.
 func lostOneIn(m *distribution.Message) int {
 	if m.Response.GetBuckets() != nil {
 		return 40
@@ -166,8 +167,8 @@
 	return 300
 }
 
-// arrived delivers a message to the replica. One that can't be read ends the stream, as in a real
-// one.
+// arrived delivers a message to the replica. A message that can't be decoded ends the stream, as it
+// does in a real stream.
 func (w *World) arrived(l *link, raw []byte, sent *distribution.Message) {
 	if !l.open || w.blocked(l) {
 		return
@@ -185,7 +186,7 @@
 	})
 }
 
-// sendUp carries a request to the server.
+// sendUp sends a request to the server.
 func (w *World) sendUp(l *link, m *distributionpb.WatchRequest) {
 	if m.GetResume() != nil {
 		if w.now < l.retryAt {
--- a/sim/distribution/replica.go
+++ b/sim/distribution/replica.go
@@ -16,14 +16,14 @@
 	up          bool
 	// slow is set if the gateway reads slowly.
 	slow bool
-	// stoppedUntil is until when the process is suspended.
+	// stoppedUntil is the time until which the process is suspended.
 	stoppedUntil time.Duration
 	file         []byte
 	link         *link
-	// woken numbers the scheduled ticks. Only the last one counts.
-	woken uint64
+	// tickNumber numbers the scheduled ticks. Only the last one counts.
+	tickNumber uint64
 
-	// delivered is what the gateway applies.
+	// delivered holds the records that the gateway has applied.
 	delivered records
 	position  distribution.Position
 }
@@ -105,11 +105,11 @@
 			w.refused(a.Err)
 		}
 	}
-	r.woken++
-	woken, incarnation := r.woken, r.incarnation
-	if wake := r.client.NextTick(); wake < time.Hour {
-		w.at(max(wake, w.now+time.Millisecond), func() {
-			if r.woken == woken {
+	r.tickNumber++
+	number, incarnation := r.tickNumber, r.incarnation
+	if next := r.client.NextTick(); next < time.Hour {
+		w.at(max(next, w.now+time.Millisecond), func() {
+			if r.tickNumber == number {
 				w.onReplica(r, incarnation, func() { r.client.Tick(w.now) })
 			}
 		})
@@ -153,7 +153,7 @@
 	}
 }
 
-// damageFile changes a state file's content in one place.
+// damageFile changes one byte of a state file.
 func (w *World) damageFile(r *replica) {
 	if len(r.file) == 0 {
 		return
--- a/sim/distribution/search.go
+++ b/sim/distribution/search.go
@@ -7,12 +7,12 @@
 	"mothcleat/sim/parallel"
 )
 
-// Finding is a play that breaks a promise. Its seed and size reproduce it.
+// Finding is a play that breaks a guarantee. Its seed and size reproduce it.
 type Finding struct {
 	Seed   uint64 `json:"seed"`
 	Size   Size   `json:"size"`
 	Breach Breach `json:"breach"`
-	// PlaysUntilFound counts the plays until it was found.
+	// PlaysUntilFound is the number of plays until the breach was found.
 	PlaysUntilFound int `json:"after"`
 }
 
@@ -52,10 +52,10 @@
 	"state file lost", "stream broken", "stream cut", "term from a difference",
 }
 
-// playLength is the length of a play before it comes to rest.
+// playLength is the length of a play before its quiet period.
 const playLength = 40 * time.Second
 
-// Search plays schedules on all cores until maxPlays were played or one breaks a promise.
+// Search plays schedules on all cores until maxPlays were played or one breaks a guarantee.
 func Search(ctx context.Context, seed uint64, maxPlays int) SearchResult {
 	f := SearchResult{Faults: map[string]int{}, Refused: map[string]int{}}
 	began := time.Now()
--- a/sim/distribution/server.go
+++ b/sim/distribution/server.go
@@ -21,12 +21,13 @@
 	publisher   *distribution.Publisher
 	incarnation uint64
 	up          bool
-	// stoppedUntil is until when it is suspended.
+	// stoppedUntil is the time until which the process is suspended.
 	stoppedUntil time.Duration
-	// cutUntil is until when nothing passes, and nobody is notified.
-	cutUntil   time.Duration
-	pulling    bool
-	wakeNumber uint64
+	// cutUntil is the time until which messages do not pass, and neither side is notified.
+	cutUntil time.Duration
+	pulling  bool
+	// tickNumber numbers the scheduled ticks. Only the last one counts.
+	tickNumber uint64
 	links      map[distribution.StreamID]*link
 	// slowLog is the additional delay of log entries.
 	slowLog time.Duration
@@ -56,7 +57,7 @@
 	}
 	restored := distribution.NewMachine(s)
 	if err := restored.Restore(s.machine.Snapshot()); err != nil {
-		panic(err) // what it wrote itself
+		panic(err) // the machine wrote this snapshot itself
 	}
 	s.machine = restored
 	s.publisher = distribution.NewPublisher(w.publisherSettings, s.machine.State(),
@@ -109,7 +110,7 @@
 	})
 }
 
-// pullSoon continues to apply the log. A server that is cut off tries again later.
+// pullSoon continues to apply the log, for a server that is cut off when it is connected again.
 func (w *World) pullSoon(s *server) {
 	if w.now < s.cutUntil {
 		w.at(s.cutUntil, func() { w.pull(s) })
@@ -129,8 +130,8 @@
 	s.machine.Apply(w.now, uint64(s.applied), next.who, next.command)
 }
 
-// updated passes a change to the publisher, and checks later whether an urgent one has arrived in
-// time.
+// updated passes a change to the publisher. If the change is urgent, it schedules the check that it
+// reaches the replicas within urgentTimeout.
 func (w *World) updated(s *server, u distribution.Update) {
 	s.publisher.Update(w.now, u)
 	if u.Delta == nil || !u.Delta.Urgent() {
@@ -154,7 +155,7 @@
 }
 
 // current reports whether a link's replica had everything before a delta, and the link was never
-// disturbed, as a lost request shows later.
+// disturbed: the effect of a lost request shows only later.
 func (w *World) current(l *link, d *distribution.Delta) bool {
 	r := l.replica
 	running := l.open && r.up && r.incarnation == l.replicaIncarnation && w.now >= r.stoppedUntil &&
@@ -164,17 +165,17 @@
 	return running && passing && r.client.Live() && at.Revision == d.From && at.Epoch == d.Epoch
 }
 
-// drive sends what a server's publisher wants to send, and schedules its next tick.
+// drive sends the messages that a server's publisher has queued, and schedules its next tick.
 func (w *World) drive(s *server) {
 	for _, send := range s.publisher.Take(w.now) {
 		if l := s.links[send.Stream]; l != nil {
 			w.sendDown(l, send.Message)
 		}
 	}
-	s.wakeNumber++
-	woken, incarnation := s.wakeNumber, s.incarnation
+	s.tickNumber++
+	number, incarnation := s.tickNumber, s.incarnation
 	w.at(s.publisher.NextTick(w.now), func() {
-		if s.wakeNumber == woken {
+		if s.tickNumber == number {
 			w.onServer(s, incarnation, func() { s.publisher.Tick(w.now) })
 		}
 	})
--- a/sim/distribution/world.go
+++ b/sim/distribution/world.go
@@ -3,7 +3,7 @@
 // duplicate, damage and delay messages, are slow or cut. Servers are suspended, killed and
 // restarted, also from an older state. Gateways restart with, without and with a damaged state
 // file. The source changes its term during bursts, and the fleet is created anew. A model that is a
-// plain map checks everything that a gateway is given against what was committed.
+// plain map checks everything that a gateway receives against what was committed.
 package distribution
 
 import (
@@ -23,7 +23,7 @@
 	urgentTimeout = 750 * time.Millisecond
 )
 
-// Rule is a promise that a play checks.
+// Rule is a guarantee that a play checks.
 type Rule string
 
 // The rules.
@@ -36,13 +36,14 @@
 	StaleOperations Rule = "stale_operations"
 	// LostChanges is broken if a gateway does not have the newest state after a quiet period.
 	LostChanges Rule = "lost_changes"
-	// LateUrgent is broken if a drain or deletion takes long on an undisturbed stream.
+	// LateUrgent is broken if a drain or deletion takes longer than urgentTimeout on an undisturbed
+	// stream.
 	LateUrgent Rule = "late_urgent"
-	// EarlyResume is broken if a replica comes back before the time that it was given.
+	// EarlyResume is broken if a replica resumes before the time that the server set for it.
 	EarlyResume Rule = "early_resume"
 )
 
-// Breach is a promise that was not kept.
+// Breach is a guarantee that was broken.
 type Breach struct {
 	Rule   Rule   `json:"what"`
 	Detail string `json:"how"`
@@ -77,8 +78,8 @@
 	sequence uint64
 	quiet    bool
 
-	lineage *lineage // the fleet's
-	// lineages are all lineages that there were, by epoch.
+	lineage *lineage // the fleet's current lineage
+	// lineages are the current and all former lineages, by epoch.
 	lineages          map[uint64]*lineage
 	registry          registry
 	servers           []*server
@@ -88,8 +89,8 @@
 	result            Result
 }
 
-// event is scheduled for a time. Of two events at one time the one that was scheduled first comes
-// first.
+// event is scheduled for a time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -104,10 +105,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
@@ -123,7 +124,7 @@
 
 func (w *World) after(delay time.Duration, do func()) { w.at(w.now+delay, do) }
 
-// between draws a duration.
+// between draws a duration from low to high, both included.
 func (w *World) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
@@ -143,7 +144,7 @@
 	}
 }
 
-// publisherSettings returns tight settings: the log is short, and resyncs wait for one another.
+// publisherSettings returns tight settings: the log is short, and resyncs wait for free slots.
 func publisherSettings() distribution.PublisherSettings {
 	s := distribution.DefaultPublisherSettings(fleetName)
 	s.Log = distribution.LogBounds{Entries: 24, Bytes: 64 << 10}
@@ -160,7 +161,7 @@
 	return s
 }
 
-// Play plays one schedule of faults of a length, and then a quiet period.
+// Play plays one schedule of faults that lasts length, and then a quiet period.
 func Play(seed uint64, size Size, length time.Duration) Result {
 	w := &World{random: rand.New(rand.NewPCG(seed, 46)), publisherSettings: publisherSettings()}
 	w.lineages = map[uint64]*lineage{}
@@ -202,7 +203,7 @@
 	}
 }
 
-// checkConverged checks whether every replica has the newest state.
+// checkConverged checks that every replica has the newest state.
 func (w *World) checkConverged() {
 	newest := w.lineage.newest()
 	for _, r := range w.replicas {
