--- a/internal/testing/mutants/mutants.go
+++ b/internal/testing/mutants/mutants.go
@@ -1,14 +1,14 @@
-// Package mutants builds wrong variants of the decisions and has the search look for
-// them: a search that can't find a known fault shows nothing by finding none.
+// Package mutants builds variants of the source code with one known fault each, and checks that the
+// searches find them: if a search can't find known faults, finding none proves nothing.
 //
-// A variant is one replaced text. It is compiled by way of the Go tool's overlay, so that
-// the tree stays as it is and nothing of it is kept in a second copy.
+// A mutant replaces one text of one file. It is compiled with the Go tool's overlay, which leaves
+// the source tree unchanged and needs no copy of it.
 package mutants
 
 import (
 	"bytes"
 	"context"
-	_ "embed" // the list
+	_ "embed" // for the lists of mutants
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -39,19 +39,19 @@
 //go:embed distribution.toml
 var distribution []byte
 
-// Mutant is one wrong variant.
+// Mutant is one variant of the source code with a known fault.
 type Mutant struct {
 	Name string `toml:"name"`
-	Rule string `toml:"rule"` // that it is expected to break
+	Rule string `toml:"rule"` // the rule that it should break
 	File string `toml:"file"`
-	Old  string `toml:"old"` // stands once in the file
+	Old  string `toml:"old"` // occurs exactly once in the file
 	New  string `toml:"new"`
-	// Test is a package whose tests find it, where no play can: the fault shows only beside one
-	// that the rest rules out.
+	// Test is the package whose tests find the mutant, if no play can: its fault shows only
+	// together with another fault that the rest of the code rules out.
 	Test string `toml:"test"`
 }
 
-// Result is what the search made of a mutant.
+// Result is the outcome of the search for a mutant.
 type Result struct {
 	Name   string `json:"name"`
 	Found  bool   `json:"found"`
@@ -61,19 +61,19 @@
 	What   string `json:"what,omitempty"`
 }
 
-// List is all mutants of the decisions about requests.
+// List returns all mutants of the decisions about requests.
 func List() ([]Mutant, error) { return read(list) }
 
-// Owners is all mutants of what the fleet agrees on.
+// Owners returns all mutants of the consensus, the leases and the usage export.
 func Owners() ([]Mutant, error) { return read(owners) }
 
-// Budgets is all mutants of how budgets are divided.
+// Budgets returns all mutants of the allocation of budgets.
 func Budgets() ([]Mutant, error) { return read(budgets) }
 
-// Versions is all mutants of what the fleet is to act on.
+// Versions returns all mutants of the rollout of configuration versions.
 func Versions() ([]Mutant, error) { return read(versions) }
 
-// Distribution is all mutants of how the control state reaches the gateways.
+// Distribution returns all mutants of the distribution of control state to the gateways.
 func Distribution() ([]Mutant, error) { return read(distribution) }
 
 func read(list []byte) ([]Mutant, error) {
@@ -88,28 +88,30 @@
 	return f.Mutant, nil
 }
 
-// Root is the folder of the module's sources; an error where there are none, or no Go.
+// Root returns the directory of the module's sources. It returns an error if the sources or the Go
+// tool are missing.
 func Root(ctx context.Context) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}", "mothcleat").Output()
 	if err != nil {
-		return "", fmt.Errorf("mutants: the sources can't be found: %w", err)
+		return "", fmt.Errorf("mutants: find the module's sources: %w", err)
 	}
 	return strings.TrimSpace(string(out)), nil
 }
 
-// patched is the file with the mutant's text in it.
+// patched returns the content of the mutant's file with the text replaced.
 func (m *Mutant) patched(root string) ([]byte, error) {
 	raw, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
 		return nil, fmt.Errorf("mutant %s: %w", m.Name, err)
 	}
 	if n := bytes.Count(raw, []byte(m.Old)); n != 1 {
-		return nil, fmt.Errorf("mutant %s: its text stands %d times in %s", m.Name, n, m.File)
+		return nil, fmt.Errorf("mutant %s: its old text occurs %d times in %s, must occur once",
+			m.Name, n, m.File)
 	}
 	return bytes.Replace(raw, []byte(m.Old), []byte(m.New), 1), nil
 }
 
-// build compiles the lab with the mutant in it, or finds that the tests of its package fail.
+// build compiles the lab with the mutant, and returns the path of the binary.
 func (m *Mutant) build(ctx context.Context, root, dir string) (bin string, err error) {
 	overlay, err := m.overlay(root, dir)
 	if err != nil {
@@ -124,7 +126,7 @@
 	return bin, nil
 }
 
-// tested has the mutant's tests look for it.
+// tested runs the tests of the mutant's package. The mutant is found if they fail.
 func (m *Mutant) tested(ctx context.Context, root, dir string) (Result, error) {
 	overlay, err := m.overlay(root, dir)
 	if err != nil {
@@ -140,7 +142,7 @@
 	return Result{Name: m.Name, Found: err != nil, After: 1, Rule: "test of " + m.Test}, nil
 }
 
-// overlay writes the mutant's file, and what tells the Go tool to take it.
+// overlay writes the mutant's file and the Go tool's overlay file, and returns the latter's path.
 func (m *Mutant) overlay(root, dir string) (path string, err error) {
 	text, err := m.patched(root)
 	if err != nil {
@@ -156,8 +158,8 @@
 	return overlay, errors.Join(os.WriteFile(file, text, 0o600), os.WriteFile(overlay, raw, 0o600))
 }
 
-// Run builds the mutants and searches each, over at most so many schedules, by a command of the
-// lab.
+// Run builds the mutants, and has the lab's command search play at most the given number of
+// schedules for each of them. It runs up to half as many mutants at a time as there are CPUs.
 func Run(
 	ctx context.Context,
 	search string,
@@ -172,13 +174,13 @@
 	}
 	results, errs := make([]Result, len(all)), make([]error, len(all))
 	var wg sync.WaitGroup
-	room := make(chan struct{}, max(1, runtime.NumCPU()/2))
+	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	for i := range all {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			results[i], errs[i] = all[i].run(ctx, root, search, seed, schedules)
 			if errs[i] == nil {
 				fmt.Fprintf(
@@ -231,7 +233,7 @@
 		} `json:"findings"`
 	}
 	if err := json.Unmarshal(lines[len(lines)-1], &f); err != nil {
-		if exit != nil { // it ended in a panic, which is a breach too
+		if exit != nil { // the lab panicked, which counts as found
 			return Result{Name: m.Name, Found: true, Rule: "panic", After: f.Schedules}, nil
 		}
 		return r, fmt.Errorf("mutant %s: %w", m.Name, err)
@@ -244,7 +246,7 @@
 	return r, nil
 }
 
-// Median is the median number of schedules until a mutant was found.
+// Median returns the median number of schedules until a mutant was found, or 0 if none was found.
 func Median(results []Result) int {
 	var after []int
 	for _, r := range results {
--- a/internal/testing/mutants/mutants_test.go
+++ b/internal/testing/mutants/mutants_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Each mutant's text stands once in the sources as they are, and changes them.
+// The old text of each mutant occurs once in the current sources, and the new text differs from it.
 func TestMutantsFitTheSources(t *testing.T) {
 	all, err := List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(all) < 12 {
-		t.Errorf("%d mutants, at least 12 wanted", len(all))
+		t.Errorf("there are %d mutants, must be at least 12", len(all))
 	}
 	names := map[string]bool{}
 	for _, m := range all {
 		if names[m.Name] {
-			t.Errorf("two mutants are called %q", m.Name)
+			t.Errorf("two mutants have the name %q", m.Name)
 		}
 		names[m.Name] = true
 		if _, err := m.patched("../../.."); err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// The other lists fit the sources as well.
+// Checks the same for the other lists.
 func TestAllListsFitTheSources(t *testing.T) {
 	for name, list := range map[string]func() ([]Mutant, error){
 		"owners": Owners, "budgets": Budgets, "versions": Versions, "distribution": Distribution,
@@ -49,10 +49,10 @@
 	}
 }
 
-// The search finds a mutant, built as it would be by hand.
+// Builds the lab with a mutant, and checks that its search finds the mutant.
 func TestTheSearchFindsAMutant(t *testing.T) {
 	if _, err := exec.LookPath("go"); err != nil {
-		t.Skip("no Go to build with")
+		t.Skip("the Go tool is missing")
 	}
 	all, err := List()
 	if err != nil {
