--- a/sim/allocation/checks.go
+++ b/sim/allocation/checks.go
@@ -37,7 +37,7 @@
 		limit := w.limits[id]
 		var sum allocation.Share
 		for _, p := range w.members {
-			if p.dead || p.shutDown {
+			if p.killed || p.shutDown {
 				continue
 			}
 			held := p.holder.Usable(p.at(w.now), id)
@@ -88,7 +88,7 @@
 // recoveryStep plays 90 ms in which every member has more demand than the limit.
 func (w *World) recoveryStep(o *tenure, renews bool) {
 	for i, p := range w.members {
-		if p.dead || p.shutDown {
+		if p.killed || p.shutDown {
 			continue
 		}
 		for range 6 {
@@ -106,7 +106,7 @@
 		w.deliverDue()
 	}
 	for i, p := range w.members {
-		for !p.dead && len(p.taken) > 0 {
+		for !p.killed && len(p.taken) > 0 {
 			w.useTaken(i)
 		}
 	}
@@ -122,7 +122,7 @@
 func (w *World) checkUse(used float64, settle time.Duration) {
 	alive := 0
 	for _, p := range w.members {
-		if !p.dead && !p.shutDown {
+		if !p.killed && !p.shutDown {
 			alive++
 		}
 	}
--- a/sim/allocation/faults.go
+++ b/sim/allocation/faults.go
@@ -49,7 +49,7 @@
 			8 * time.Second}[w.draw(4)])
 	case 8:
 		for i, p := range w.members {
-			if (p.dead || p.shutDown) && len(p.taken) == 0 {
+			if (p.killed || p.shutDown) && len(p.taken) == 0 {
 				w.end(i, p)
 			}
 		}
@@ -59,7 +59,7 @@
 // end ends a process in one of several ways, or starts another under its name.
 func (w *World) end(i int, p *process) {
 	switch {
-	case p.dead || p.shutDown && len(p.taken) == 0:
+	case p.killed || p.shutDown && len(p.taken) == 0:
 		incarnation := p.me.Incarnation
 		w.start(i, p)
 		w.res.Faults["started"]++
@@ -78,7 +78,7 @@
 		w.sendRenewal(i, now, request)
 		p.shutDown = true
 	default:
-		p.dead = true
+		p.killed = true
 		w.res.Faults["killed"]++
 	}
 }
--- a/sim/allocation/network.go
+++ b/sim/allocation/network.go
@@ -85,7 +85,7 @@
 		return
 	}
 	p := w.members[m.to]
-	if p.me.Incarnation != m.incarnation || p.stopped || p.dead || p.shutDown {
+	if p.me.Incarnation != m.incarnation || p.stopped || p.killed || p.shutDown {
 		return
 	}
 	if m.encodedResponse != nil {
--- a/sim/allocation/price.go
+++ b/sim/allocation/price.go
@@ -83,7 +83,7 @@
 // Play plays a scheme. The same seed gives all schemes the same requests.
 func (p Price) Play(s Scheme) (paid Paid) {
 	for i, b := range p.draw() {
-		served, loans := p.one(s, b, rand.New(rand.NewPCG(p.Seed, uint64(i))))
+		served, requests := p.playCustomer(s, b, rand.New(rand.NewPCG(p.Seed, uint64(i))))
 		paid.Served += served
 		switch {
 		case b.use > 1:
@@ -91,7 +91,7 @@
 		case b.use > 0.8:
 			paid.Near += served
 		}
-		paid.Loans += loans
+		paid.Loans += requests
 	}
 	return paid
 }
@@ -104,8 +104,8 @@
 	lacks  float64 // the units that its gateway lacks
 }
 
-// one plays a single customer: customers do not share budgets.
-func (p Price) one(s Scheme, b customer, r *rand.Rand) (served float64, loans int) {
+// playCustomer plays a single customer: customers do not share budgets.
+func (p Price) playCustomer(s Scheme, b customer, r *rand.Rand) (served float64, requests int) {
 	const step = ms
 	rules := p.Rules
 	if s == SharesOnly {
@@ -226,7 +226,7 @@
 					h.Consume(now, 1, units)
 					served += units
 				} else if s != SharesOnly {
-					loans++
+					requests++
 					if lacks < units {
 						// No other request may take these units meanwhile.
 						h.Consume(now, 1, units-lacks)
@@ -243,13 +243,13 @@
 					l.level -= units
 					served += units
 				} else if s != Even {
-					loans++
+					requests++
 					waits = append(waits, pending{now + p.Trip, m, units, units - l.level})
 				}
 			}
 		}
 	}
-	return served, loans
+	return served, requests
 }
 
 // respond plays the arrival of a response to a request for units, or of a moved request. It returns
--- a/sim/allocation/process.go
+++ b/sim/allocation/process.go
@@ -30,7 +30,7 @@
 	busy             bool // it receives many requests
 	requestCount     int  // on-demand requests
 	answered         map[int]bool
-	dead             bool
+	killed           bool
 	shutDown         bool
 	// taken are units that it took or was granted and has not used yet. It may be stopped between
 	// the two.
@@ -58,7 +58,7 @@
 // requests them on demand.
 func (w *World) request(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || p.shutDown {
+	if p.stopped || p.killed || p.shutDown {
 		return
 	}
 	id, units := uint64(1+w.draw(len(w.limits))), float64(1+w.draw(4))
@@ -93,7 +93,7 @@
 // useTaken lets a process use the oldest units that it has taken, after a last look at its clock.
 func (w *World) useTaken(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || len(p.taken) == 0 {
+	if p.stopped || p.killed || len(p.taken) == 0 {
 		return
 	}
 	h := p.taken[0]
@@ -106,7 +106,7 @@
 // renew lets a process renew its allocations.
 func (w *World) renew(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || p.shutDown {
+	if p.stopped || p.killed || p.shutDown {
 		return
 	}
 	now := p.at(w.now)
--- a/sim/allocation/trace.go
+++ b/sim/allocation/trace.go
@@ -28,7 +28,7 @@
 		for _, p := range w.members {
 			now := p.at(w.now)
 			level := 0.0
-			if !p.dead && !p.shutDown {
+			if !p.killed && !p.shutDown {
 				level = p.holder.Available(now, id)
 			}
 			stored += level
--- a/sim/allocation/world.go
+++ b/sim/allocation/world.go
@@ -135,7 +135,7 @@
 		if (w.ticks+i)%renewEach == 0 {
 			w.renew(i)
 		}
-		for len(p.taken) > 0 && !p.stopped && !p.dead && !w.oneIn(8) {
+		for len(p.taken) > 0 && !p.stopped && !p.killed && !w.oneIn(8) {
 			w.useTaken(i)
 		}
 	}
--- a/sim/configversion/checks.go
+++ b/sim/configversion/checks.go
@@ -77,7 +77,7 @@
 // versions that other members act on.
 func (w *World) checkTerms(m *member, a operation) {
 	for _, o := range w.members {
-		if o == m || o.dead || o.stopped || o.holder.LeasedUntil(w.clock(o)) == 0 {
+		if o == m || o.down || o.stopped || o.holder.LeasedUntil(w.clock(o)) == 0 {
 			continue
 		}
 		for item, theirs := range o.holder.InForce() {
@@ -109,7 +109,7 @@
 	}
 	for _, m := range w.members {
 		w.res.Outs += int(m.holder.FencedCount())
-		if w.res.Breach != nil || m.dead {
+		if w.res.Breach != nil || m.down {
 			continue
 		}
 		for _, one := range v.Versions {
--- a/sim/configversion/faults.go
+++ b/sim/configversion/faults.go
@@ -9,7 +9,7 @@
 // injectFault ends a fault of a member, or occasionally begins one.
 func (w *World) injectFault(m *member) {
 	switch {
-	case m.dead:
+	case m.down:
 		if w.noFaults || w.r.IntN(100) == 0 {
 			w.start(m)
 		}
@@ -20,10 +20,10 @@
 	case w.chance("stopped", 600):
 		m.stopped, m.stoppedUntil = true, w.now+time.Duration(w.r.Int64N(int64(3*w.rules.TTL)))
 	case w.chance("killed", 1500):
-		m.dead = true
+		m.down = true
 	case w.chance("left", 3000):
 		w.apply(m, configversion.Command{Kind: configversion.KindLeave}, nil)
-		m.dead = true
+		m.down = true
 	case m.cutUntil <= w.now && w.chance("cut", 800):
 		m.cutUntil = w.now + time.Duration(w.r.Int64N(int64(3*w.rules.TTL)))
 	}
--- a/sim/configversion/member.go
+++ b/sim/configversion/member.go
@@ -20,7 +20,7 @@
 	pace         float64
 	offset       time.Duration
 	holder       *configversion.Holder
-	dead         bool
+	down         bool
 	stopped      bool
 	stoppedUntil time.Duration
 	cutUntil     time.Duration // until when it is cut off from the network
@@ -56,7 +56,7 @@
 	if m.incarnation != 0 {
 		m.ended = append(m.ended, m.incarnation)
 	}
-	m.incarnation, m.dead, m.stopped, m.pending = w.incarnations, false, false, nil
+	m.incarnation, m.down, m.stopped, m.pending = w.incarnations, false, false, nil
 	m.holder = configversion.NewHolder(w.rules)
 	m.enrols, m.requestedAt = true, -time.Hour
 	m.reported = map[string]uint64{}
@@ -105,7 +105,7 @@
 	if !from.content[r.Digest] { // try a voter: most voters store proposed contents
 		from = w.members[w.r.IntN(voters)]
 	}
-	if from == m || from.dead || from.stopped || from.cutUntil > w.now || !from.content[r.Digest] {
+	if from == m || from.down || from.stopped || from.cutUntil > w.now || !from.content[r.Digest] {
 		return
 	}
 	incarnation := m.incarnation
--- a/sim/configversion/network.go
+++ b/sim/configversion/network.go
@@ -74,7 +74,7 @@
 		switch {
 		case m.at > w.now || m.to != nil && m.to.stopped:
 			w.net = append(w.net, m)
-		case m.to == nil || !m.to.dead && m.to.cutUntil <= w.now:
+		case m.to == nil || !m.to.down && m.to.cutUntil <= w.now:
 			m.do()
 		}
 	}
--- a/sim/configversion/rollouts.go
+++ b/sim/configversion/rollouts.go
@@ -11,7 +11,7 @@
 // member has the role.
 func (w *World) controlRollouts() {
 	for _, m := range w.members {
-		if m.me() != w.leader || m.dead || m.stopped {
+		if m.me() != w.leader || m.down || m.stopped {
 			continue
 		}
 		v := w.log.View(w.fleet)
@@ -25,7 +25,7 @@
 // propose lets an operator propose or withdraw a version at some gateway.
 func (w *World) propose() {
 	m := w.members[w.r.IntN(len(w.members))]
-	if m.dead || m.stopped {
+	if m.down || m.stopped {
 		return
 	}
 	item := names[w.r.IntN(items)]
--- a/sim/configversion/world.go
+++ b/sim/configversion/world.go
@@ -150,7 +150,7 @@
 	w.deliverDue()
 	for _, m := range w.members {
 		w.injectFault(m)
-		if !m.dead && !m.stopped {
+		if !m.down && !m.stopped {
 			w.stepMember(m)
 		}
 	}
