--- a/sim/allocation/checks.go
+++ b/sim/allocation/checks.go
@@ -58,7 +58,7 @@
 const measuredTime = 20 * time.Second
 
 // recover ends all faults. Once the allocations have settled it checks that members with unlimited
-// demand get nearly the limit.
+// demand get most of the limit.
 func (w *World) recover() {
 	for _, p := range w.members {
 		p.stopped, p.partitioned = false, false
--- a/sim/allocation/replay_test.go
+++ b/sim/allocation/replay_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// Guards against returning units with a reduction that had overflowed a full bucket before it.
+// Guards against units that had overflowed a full bucket before a reduction, and were nevertheless
+// returned with it.
 func TestOverflowBeforeReductionIsNotReturnedWithIt(t *testing.T) {
 	checkReplay(t, 7015577, 2, 1)
 }
--- a/sim/allocation/search_test.go
+++ b/sim/allocation/search_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever fails, the limit is never exceeded, and nearly all of it is used after the faults.
+// Whatever fails, the limit is never exceeded, and most of it is used again after the faults.
 func TestLimitIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed, members := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "members")
