--- a/sim/allocation/checks.go
+++ b/sim/allocation/checks.go
@@ -30,13 +30,14 @@
 	}
 }
 
-// check checks that what all may use now is no more than the limit.
+// check checks that the shares that members may use now and the leader's pool sum up to no more
+// than the limit.
 func (w *World) check() {
 	for id := uint64(1); id <= uint64(len(w.limits)); id++ {
 		limit := w.limits[id]
 		var sum allocation.Share
 		for _, p := range w.members {
-			if p.dead || p.shutDown {
+			if p.killed || p.shutDown {
 				continue
 			}
 			held := p.holder.Usable(p.at(w.now), id)
@@ -57,7 +58,7 @@
 const measuredTime = 20 * time.Second
 
 // recover ends all faults. Once the allocations have settled it checks that members with unlimited
-// demand get nearly the limit.
+// demand get most of the limit.
 func (w *World) recover() {
 	for _, p := range w.members {
 		p.stopped, p.partitioned = false, false
@@ -84,10 +85,10 @@
 	w.checkUse(w.res.Taken-before, settle)
 }
 
-// recoveryStep lets every member have more demand than the limit, and lasts 90 ms.
+// recoveryStep plays 90 ms in which every member has more demand than the limit.
 func (w *World) recoveryStep(o *tenure, renews bool) {
 	for i, p := range w.members {
-		if p.dead || p.shutDown {
+		if p.killed || p.shutDown {
 			continue
 		}
 		for range 6 {
@@ -105,7 +106,7 @@
 		w.deliverDue()
 	}
 	for i, p := range w.members {
-		for !p.dead && len(p.taken) > 0 {
+		for !p.killed && len(p.taken) > 0 {
 			w.useTaken(i)
 		}
 	}
@@ -116,12 +117,12 @@
 	w.traceState()
 }
 
-// checkUse holds the units that were used in calmLength against what the budgets allow. Clocks at
-// nine tenths of the true pace give nine tenths.
+// checkUse checks that at least 75% of the units that the limits allow in measuredTime were used.
+// Clocks that run at nine tenths of the true pace allow nine tenths of the use.
 func (w *World) checkUse(used float64, settle time.Duration) {
 	alive := 0
 	for _, p := range w.members {
-		if !p.dead && !p.shutDown {
+		if !p.killed && !p.shutDown {
 			alive++
 		}
 	}
--- a/sim/allocation/faults.go
+++ b/sim/allocation/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fault ends the faults that have lasted long enough, and now and then begins one.
+// fault ends faults that have lasted long enough, and occasionally begins one.
 func (w *World) fault() {
 	i := w.draw(len(w.members))
 	p, o := w.members[i], w.tenures[w.draw(len(w.tenures))]
@@ -37,10 +37,10 @@
 		w.res.Faults["owner stopped"]++
 	case 5:
 		current := w.currentTenure()
-		current.partitioned = true // from the voters, not from members
+		current.partitioned = true // from the voters, but not from members
 		w.res.Faults["owner cut"]++
 	case 6:
-		// A leadership transfer, or a quick successor: the former leader learns it late.
+		// A leadership transfer or a quick election: the former leader learns of it late.
 		w.electLeader(i)
 		w.res.Faults["owner changed"]++
 	case 7:
@@ -49,7 +49,7 @@
 			8 * time.Second}[w.draw(4)])
 	case 8:
 		for i, p := range w.members {
-			if (p.dead || p.shutDown) && len(p.taken) == 0 {
+			if (p.killed || p.shutDown) && len(p.taken) == 0 {
 				w.end(i, p)
 			}
 		}
@@ -59,12 +59,12 @@
 // end ends a process in one of several ways, or starts another under its name.
 func (w *World) end(i int, p *process) {
 	switch {
-	case p.dead || p.shutDown && len(p.taken) == 0:
+	case p.killed || p.shutDown && len(p.taken) == 0:
 		incarnation := p.me.Incarnation
 		w.start(i, p)
 		w.res.Faults["started"]++
 		if w.oneIn(2) {
-			// By the lock on the folder it knows that its predecessor has ended.
+			// It holds the lock on the folder, and thus knows that its predecessor has ended.
 			now := p.at(w.now)
 			request := p.holder.RenewRequest(now, 0)
 			request.EndedIncarnations = []uint64{incarnation}
@@ -78,7 +78,7 @@
 		w.sendRenewal(i, now, request)
 		p.shutDown = true
 	default:
-		p.dead = true
+		p.killed = true
 		w.res.Faults["killed"]++
 	}
 }
--- a/sim/allocation/process.go
+++ b/sim/allocation/process.go
@@ -9,7 +9,7 @@
 	"mothcleat/internal/controlplane/lease"
 )
 
-// clock is a process's own.
+// clock is the clock of one process.
 type clock struct {
 	pace   float64
 	offset time.Duration
@@ -27,12 +27,13 @@
 	stopped          bool
 	partitioned      bool // no message from or to it arrives
 	partitionedUntil time.Duration
-	busy             bool // it gets many requests
+	busy             bool // it receives many requests
 	requestCount     int  // on-demand requests
 	answered         map[int]bool
-	dead             bool
+	killed           bool
 	shutDown         bool
-	// taken is what it has taken or was granted and has not used yet. It may be stopped in between.
+	// taken are units that it took or was granted and has not used yet. It may be stopped between
+	// the two.
 	taken []takenUnits
 }
 
@@ -57,7 +58,7 @@
 // requests them on demand.
 func (w *World) request(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || p.shutDown {
+	if p.stopped || p.killed || p.shutDown {
 		return
 	}
 	id, units := uint64(1+w.draw(len(w.limits))), float64(1+w.draw(4))
@@ -92,7 +93,7 @@
 // useTaken lets a process use the oldest units that it has taken, after a last look at its clock.
 func (w *World) useTaken(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || len(p.taken) == 0 {
+	if p.stopped || p.killed || len(p.taken) == 0 {
 		return
 	}
 	h := p.taken[0]
@@ -105,7 +106,7 @@
 // renew lets a process renew its allocations.
 func (w *World) renew(i int) {
 	p := w.members[i]
-	if p.stopped || p.dead || p.shutDown {
+	if p.stopped || p.killed || p.shutDown {
 		return
 	}
 	now := p.at(w.now)
