--- a/internal/testing/harness/audit.go
+++ b/internal/testing/harness/audit.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Rule is one of the five rules.
+// Rule names one of the five rules by which a run is judged.
 type Rule string
 
 // The rules, by the names under which a verdict counts them.
 const (
-	// Lost is broken by a request that was taken and did not get exactly one answer in time.
+	// Lost is broken by a request that a gateway took and that did not get exactly one answer in
+	// time.
 	Lost Rule = "lost"
 	// Twice is broken by an effect that may have happened twice.
 	Twice Rule = "twice"
@@ -26,11 +27,11 @@
 // Rules are all five.
 var Rules = []Rule{Lost, Twice, Drain, SlowStartOverload, Ceiling}
 
-// OnSockets extends each time limit where sockets carry the events, because two processes see one
+// OnSockets is added to each time limit of events that sockets carry, because two processes see one
 // event at different times.
 const OnSockets = 50 * time.Millisecond
 
-// ceilingTolerance extends a ceiling's slack by what its rate gives in this time.
+// ceilingTolerance extends a ceiling's slack by the units that its rate yields in this time.
 const ceilingTolerance = 150 * time.Millisecond
 
 // Breach is one breach of a rule.
@@ -42,7 +43,7 @@
 
 // Verdict is the result of an audit.
 type Verdict struct {
-	// Broken has every rule.
+	// Broken counts the breaches by rule. It has an entry for every rule.
 	Broken map[Rule]int
 	// Breaches are sorted by rule, then by time.
 	Breaches []Breach
@@ -55,22 +56,25 @@
 	// PausedUnanswered counts those that were lost with a gateway that was suspended while their
 	// clients waited.
 	PausedUnanswered int
-	// PausedLateOperations counts what such a gateway forwarded or answered just after it was
-	// resumed, which is no breach.
+	// PausedLateOperations counts attempts and answers of a gateway that was suspended or had just
+	// been resumed, which would be breaches otherwise.
 	PausedLateOperations int
-	// AbandonedWaiting counts tries without a received attempt when their client left.
+	// AbandonedWaiting counts tries of which no server had received an attempt when their client
+	// left.
 	AbandonedWaiting int
-	// AbandonedForwarded counts those of them that were forwarded more than abandonTolerance later.
+	// AbandonedForwarded counts attempts that began after their client had left, and after
+	// abandonTolerance and OnSockets.
 	AbandonedForwarded int
 	// Crossed counts tries that were sent on a connection that was just being closed, and sent
 	// again.
-	Crossed   int
+	Crossed int
+	// OverQuota is the number of units that were forwarded beyond quotas.
 	OverQuota float64
 	// AttemptsOver counts tries with more attempts than a request may have.
 	AttemptsOver int
 }
 
-// OK reports whether no rule was broken.
+// OK reports whether the record breaks no rule.
 func (v *Verdict) OK() bool {
 	for _, n := range v.Broken {
 		if n > 0 {
--- a/internal/testing/harness/audit_answers.go
+++ b/internal/testing/harness/audit_answers.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// kinds are the names of the kinds of tries in breaches.
-var kinds = [...]string{"unsent", "served", "refused", "failed", "ended", "silent", "left"}
+// kindNames has the texts for the kinds of tries in breaches, by Kind.
+var kindNames = [...]string{"unsent", "served", "refused", "failed", "ended", "silent", "left"}
 
-// abandonTolerance is how long after its client has left an attempt of a request may still begin.
+// abandonTolerance is how long after a client has left an attempt of its request may still begin.
 const abandonTolerance = 100 * time.Millisecond
 
-// toldWaitTolerance is by how much an attempt may tell its server more time than is left.
+// toldWaitTolerance is by how much the wait that an attempt announces to its server may exceed the
+// time for which the client still waits.
 const toldWaitTolerance = 150 * time.Millisecond
 
-// checkToldWaits judges what the attempts of a try tell their servers of the time that is left.
+// checkToldWaits judges the waits that the attempts of a try announce to their servers. None may be
+// longer than the client still waits, apart from toldWaitTolerance and OnSockets.
 func (v *Verdict) checkToldWaits(t *Try, c *tryContext) {
 	for _, a := range c.seen {
 		excess := a.ToldWait - (c.end - a.FirstByteAt)
@@ -25,7 +27,7 @@
 	}
 }
 
-// checkAbandoned judges the attempts, first and further ones, that begin after their client has
+// checkAbandoned judges the attempts, the first and later ones, that begin after their client has
 // left.
 func (v *Verdict) checkAbandoned(t *Try, seen []Attempt) {
 	if len(seen) == 0 || seen[0].ReceivedAt > t.ClientLeftAt {
@@ -40,8 +42,8 @@
 	}
 }
 
-// checkAnswers judges the first rule: one answer, in time, that a server made for this request, and
-// no attempt after it.
+// checkAnswers judges the first rule: a request gets one answer, in time, that a server made for
+// it, and no attempt begins after the answer. No gateway's process may crash.
 func (v *Verdict) checkAnswers(s *Site, rec *Record, attempts map[string][]Attempt) {
 	for _, e := range rec.ProcessEvents {
 		if e.Event == Crashed {
@@ -56,11 +58,11 @@
 	}
 }
 
-// tryContext is what was going on while a client waited for a try.
+// tryContext has the attempts of a try, and the state of its gateway while the client waited.
 type tryContext struct {
 	seen []Attempt     // the try's attempts by the time of their last byte
 	end  time.Duration // when the client stops waiting
-	// lateAnswers is how long after that an answer still counts as one.
+	// lateAnswers is how long after end an answer still counts as in time.
 	lateAnswers time.Duration
 	killed      bool // the gateway was being killed
 	paused      bool // the gateway was suspended
@@ -106,8 +108,9 @@
 	}
 }
 
-// hasOneAnswer reports whether a try that was taken has exactly one answer, and counts those that
-// have not.
+// hasOneAnswer reports whether a try that a gateway took has exactly one answer. Any other number
+// of answers is a breach, except that a missing answer is only counted if the gateway was killed or
+// suspended.
 func (v *Verdict) hasOneAnswer(s *Site, rec *Record, t *Try, c *tryContext) bool {
 	switch {
 	case t.Answers == 1:
@@ -123,14 +126,14 @@
 		v.breach(Lost, t.SentAt, "try %s of class %s has no answer from gateway %d "+
 			"(%s, closed at %v, reset %t, no port at %v, attempts %v; %s)",
 			t.ID, s.Classes[t.Class].Name, t.Gateway,
-			kinds[t.Kind], t.ClosedAt, t.Reset, t.PortClosedAt, times(c.seen),
+			kindNames[t.Kind], t.ClosedAt, t.Reset, t.PortClosedAt, times(c.seen),
 			recentEvents(rec, t.Gateway, c.end))
 	}
 	return false
 }
 
-// checkAnswer judges the only answer of a try: in time, made by a server for this try, and without
-// an attempt after it.
+// checkAnswer judges the only answer of a try: it must be in time, a server must have made it for
+// this try, and no attempt may begin after it.
 func (v *Verdict) checkAnswer(t *Try, c *tryContext) {
 	late := t.AnsweredAt > c.end+c.lateAnswers
 	switch {
--- a/internal/testing/harness/audit_ceilings.go
+++ b/internal/testing/harness/audit_ceilings.go
@@ -1,7 +1,7 @@
 package harness
 
-// checkCeilings judges the fifth rule, and counts what was forwarded beyond the quotas. A try
-// consumes its units when its first attempt was received by a server.
+// checkCeilings judges the fifth rule, and counts the units that were forwarded beyond the quotas.
+// A try consumes its units when a server receives its first attempt.
 func (v *Verdict) checkCeilings(s *Site, rec *Record) {
 	quotas, ceilings, low := s.newTokenBuckets(), map[string]*tokenBucket{}, map[string]bool{}
 	for _, e := range forwardedTries(rec) {
--- a/internal/testing/harness/audit_drains.go
+++ b/internal/testing/harness/audit_drains.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkDrains judges the third rule. An update that a server is ready ends an earlier one that it
-// is draining.
+// checkDrains judges the third rule. An update that a server is ready overrides an earlier one that
+// it is draining.
 func (v *Verdict) checkDrains(s *Site, rec *Record) {
 	type pair struct {
 		gateway int
--- a/internal/testing/harness/audit_duplicates.go
+++ b/internal/testing/harness/audit_duplicates.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkDuplicates judges the second rule. A request that a server rejected never ran.
+// checkDuplicates judges the second rule. An attempt that a server rejected did not run.
 func (v *Verdict) checkDuplicates(s *Site, rec *Record, attempts map[string][]Attempt) {
 	for _, t := range rec.Tries {
 		c := &s.Classes[t.Class]
@@ -24,13 +24,14 @@
 				"try %s, keyed, was sent again after its window", t.ID)
 		}
 	}
-	// Whatever was allowed: an effect that the servers saw twice in one window is one.
-	done := map[string]time.Duration{}
+	// An effect that the servers saw twice in one window is a breach, even if the attempts were
+	// allowed.
+	effectAt := map[string]time.Duration{}
 	for _, a := range rec.Attempts {
 		if c := &s.Classes[a.Class]; a.Key == "" || !a.Effect || !c.Keyed {
 			continue
 		}
-		if at, ok := done[a.Key]; ok {
+		if at, ok := effectAt[a.Key]; ok {
 			if pausedDuring(rec, a.Gateway, a.FirstByteAt, a.FirstByteAt) {
 				v.PausedLateOperations++
 				continue
@@ -38,6 +39,6 @@
 			v.breach(Twice, a.ReceivedAt, "the effect of key %s happened at %v and at %v",
 				a.Key, at, a.ReceivedAt)
 		}
-		done[a.Key] = a.ReceivedAt
+		effectAt[a.Key] = a.ReceivedAt
 	}
 }
--- a/internal/testing/harness/audit_slowstart.go
+++ b/internal/testing/harness/audit_slowstart.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CapacityShare returns the fraction of its capacity that a server has.
+// CapacityShare returns the fraction of its full capacity that a server has at a time.
 func (s *Site) CapacityShare(b *ServerStart, now time.Duration) float64 {
 	if !b.SlowStart {
 		return 1
@@ -17,9 +17,9 @@
 	)
 }
 
-// checkSlowStart judges the fourth rule: in no window is a server that is warming up sent more than
-// the allowed multiple of what it can do in it, plus one mean request of the heaviest class for
-// chance.
+// checkSlowStart judges the fourth rule: in no window may a server that is warming up receive more
+// work than the allowed multiple of what it can do in the window. The mean work of the heaviest
+// class is added as slack for random variation.
 func (v *Verdict) checkSlowStart(s *Site, rec *Record) {
 	var slack time.Duration
 	for _, c := range s.Classes {
@@ -40,7 +40,8 @@
 	}
 }
 
-// attemptsDuring returns what a server received while it was warming up, in that order.
+// attemptsDuring returns the attempts that a server received while it was warming up, in the order
+// of their receipt.
 func attemptsDuring(s *Site, rec *Record, start *ServerStart) []Attempt {
 	var all []Attempt
 	end := start.At + s.SlowStartDuration
@@ -53,11 +54,11 @@
 	return all
 }
 
-// checkWindows judges each window that ends with one of the attempts, up to the first breach.
+// checkWindows judges each window that ends at one of the attempts, up to the first breach.
 func (v *Verdict) checkWindows(
 	s *Site, start *ServerStart, attempts []Attempt, slack time.Duration,
 ) {
-	first := 0 // of the window
+	first := 0 // index of the window's first attempt
 	work := time.Duration(0)
 	for _, last := range attempts {
 		work += last.Work
--- a/internal/testing/harness/audit_test.go
+++ b/internal/testing/harness/audit_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// good is a record in which every rule holds: for each of n tries a request of a
-// customer under a ceiling is sent to a warm server and answered.
+// good returns a record that breaks no rule. It has n tries of a customer under a ceiling, each
+// forwarded once to a warm server and answered.
 func good(s *Site, n int) *Record {
 	rec := &Record{began: time.Now()}
 	rec.ServerStarts = []ServerStart{
@@ -57,7 +57,7 @@
 	return rec
 }
 
-// again adds a further attempt of a try.
+// again adds a copy of a try's attempt, on a server and later by after.
 func again(rec *Record, try int, server string, after time.Duration) *Attempt {
 	a := rec.Attempts[try]
 	a.Server, a.FirstByteAt, a.ReceivedAt = server, a.FirstByteAt+after, a.ReceivedAt+after
@@ -65,55 +65,55 @@
 	return &rec.Attempts[len(rec.Attempts)-1]
 }
 
-func TestAuditorPassesWhatKeepsTheRules(t *testing.T) {
+func TestAuditorPassesAllowedRecords(t *testing.T) {
 	s := NewSite(1, 2, 4, 0.5)
 	for name, change := range map[string]func(*Record){
-		"nothing":     func(*Record) {},
-		"a safe copy": func(r *Record) { again(r, 0, "b", 50*ms) },
-		"a keyed repeat in its window": func(r *Record) {
+		"no change":                             func(*Record) {},
+		"an idempotent request forwarded twice": func(r *Record) { again(r, 0, "b", 50*ms) },
+		"a keyed request forwarded twice in its window": func(r *Record) {
 			again(r, 1, "b", 50*ms).Effect = false
 		},
-		"drained, sent within the grace": func(r *Record) {
+		"forwarded to a draining server within the drain timeout": func(r *Record) {
 			r.EndpointUpdates = []EndpointUpdate{
 				{0, "a", true, r.Attempts[9].FirstByteAt - 1900*ms},
 			}
 		},
-		"left while it was worked on": func(r *Record) {
+		"client left while a server ran the request": func(r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
 			x.ClientLeftAt = r.Attempts[3].ReceivedAt + ms
 		},
-		"left at the moment it was sent on": func(r *Record) {
+		"client left just before it was forwarded": func(r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
 			x.ClientLeftAt = r.Attempts[3].FirstByteAt - 149*ms
 		},
-		"drained and back": func(r *Record) {
+		"drained and ready again": func(r *Record) {
 			r.EndpointUpdates = []EndpointUpdate{
 				{0, "a", true, 100 * ms}, {0, "a", false, 200 * ms},
 			}
 		},
-		"another gateway was told": func(r *Record) {
+		"another gateway was notified": func(r *Record) {
 			r.EndpointUpdates = []EndpointUpdate{{1, "a", true, 0}}
 		},
-		"killed with a request": func(r *Record) {
+		"gateway killed during a request": func(r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt, x.Reset = Ended, 0, 0, true
 			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{0, Killed, x.SentAt + 100*ms})
 		},
-		"killed before, and ended after it was sent": func(r *Record) {
+		"gateway killed before, and exited after the try was sent": func(r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt, x.Reset = Ended, 0, 0, true
 			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{0, Killed, x.SentAt - 80*ms},
 				ProcessEvent{0, Exited, x.SentAt + ms})
 		},
-		"closed between requests": func(r *Record) {
+		"connection closed between requests": func(r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt, x.ClosedAt = Ended, 0, 0, x.SentAt+ms
 			r.Attempts = slices.Delete(r.Attempts, 3, 4)
 		},
-		"refused": func(r *Record) { r.Tries[3].Kind = Refused },
-		"a server told a little more time than is left": func(r *Record) {
+		"rejected": func(r *Record) { r.Tries[3].Kind = Refused },
+		"announced wait exceeds the time that is left by less than the tolerance": func(r *Record) {
 			x, a := &r.Tries[3], &r.Attempts[3]
 			a.ToldWait = x.SentAt + x.Wait - a.FirstByteAt + 199*ms
 		},
@@ -126,7 +126,7 @@
 	}
 }
 
-// Each rule is broken on purpose, and the auditor must find that one and no other.
+// Each case breaks one rule on purpose, and the auditor must report this rule and no other.
 func TestAuditorCatchesEachRule(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -143,7 +143,7 @@
 		},
 		{"two answers", Lost, func(_ *Site, r *Record) { r.Tries[3].Answers = 2 }},
 		{
-			"too late",
+			"answered too late",
 			Lost,
 			func(_ *Site, r *Record) { x := &r.Tries[3]; x.AnsweredAt = x.SentAt + x.Wait + 60*ms },
 		},
@@ -156,19 +156,19 @@
 			},
 		},
 		{
-			"closed though read",
+			"connection closed after the gateway read the request",
 			Lost,
 			func(_ *Site, r *Record) { x := &r.Tries[3]; x.ClosedAt = x.SentAt + 100*ms },
 		},
-		{"made by nobody", Lost, func(_ *Site, r *Record) { r.Tries[3].Value = "quote" }},
+		{"value made by no server", Lost, func(_ *Site, r *Record) { r.Tries[3].Value = "quote" }},
 		{
-			"made for another",
+			"value made for another try",
 			Lost,
 			func(_ *Site, r *Record) { r.Tries[3].Value = r.Tries[4].Value },
 		},
-		{"sent on after the answer", Lost, func(_ *Site, r *Record) { again(r, 2, "b", 400*ms) }},
+		{"forwarded after the answer", Lost, func(_ *Site, r *Record) { again(r, 2, "b", 400*ms) }},
 		{
-			"ended by itself",
+			"gateway crashed",
 			Lost,
 			func(_ *Site, r *Record) {
 				r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{1, Crashed, time.Second})
@@ -179,13 +179,13 @@
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
 			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{1, Killed, x.SentAt + 100*ms})
 		}},
-		{"the gateway that was killed had ended long before", Lost, func(_ *Site, r *Record) {
+		{"gateway killed, and exited long before the try", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
 			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{0, Killed, x.SentAt - 200*ms},
 				ProcessEvent{0, Exited, x.SentAt - 100*ms})
 		}},
-		{"it was killed after one that had ended had started anew", Lost, func(_ *Site, r *Record) {
+		{"gateway killed again, only after the try", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.Reset = Ended, 0, true
 			r.ProcessEvents = append(r.ProcessEvents, ProcessEvent{
@@ -194,12 +194,12 @@
 				ProcessEvent{0, Started, x.SentAt - 100*ms},
 				ProcessEvent{0, Killed, x.SentAt + x.Wait + 100*ms})
 		}},
-		{"sent on though its client had left", Lost, func(_ *Site, r *Record) {
+		{"forwarded after its client had left", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
 			x.ClientLeftAt = r.Attempts[3].FirstByteAt - 151*ms
 		}},
-		{"sent on once more though its client had left", Lost, func(_ *Site, r *Record) {
+		{"forwarded again after its client had left", Lost, func(_ *Site, r *Record) {
 			x := &r.Tries[3]
 			x.Kind, x.Answers, x.AnsweredAt = ClientLeft, 0, 0
 			x.ClientLeftAt = r.Attempts[3].ReceivedAt + ms
@@ -209,36 +209,36 @@
 			further.Rejected, further.Effect = true, false
 			r.Attempts = append(r.Attempts, further)
 		}},
-		{"a server told more time than is left", Lost, func(_ *Site, r *Record) {
+		{"announced wait exceeds the time that is left", Lost, func(_ *Site, r *Record) {
 			x, a := &r.Tries[3], &r.Attempts[3]
 			a.ToldWait = x.SentAt + x.Wait - a.FirstByteAt + 201*ms
 		}},
-		{"effect twice", Twice, func(_ *Site, r *Record) { again(r, 1, "b", 50*ms) }},
-		{"keyed after its window", Twice, func(s *Site, r *Record) {
+		{"effect happened twice", Twice, func(_ *Site, r *Record) { again(r, 1, "b", 50*ms) }},
+		{"keyed request forwarded again after its window", Twice, func(s *Site, r *Record) {
 			s.Classes[1].DeduplicationWindow = 100 * ms
 			again(r, 1, "b", 170*ms).Effect = false
 		}},
-		{"unsafe sent again", Twice, func(s *Site, r *Record) {
+		{"unsafe request forwarded twice", Twice, func(s *Site, r *Record) {
 			s.Classes[0].Unsafe = true
 			again(r, 0, "b", 50*ms)
 		}},
 		{
-			"unsafe refused after it ran",
+			"unsafe request rejected after it ran",
 			Twice,
 			func(s *Site, r *Record) { s.Classes[0].Unsafe, r.Tries[0].Kind = true, Refused },
 		},
-		{"sent to a drained server", Drain, func(_ *Site, r *Record) {
+		{"forwarded to a drained server", Drain, func(_ *Site, r *Record) {
 			r.EndpointUpdates = []EndpointUpdate{
 				{0, "a", true, r.Attempts[9].FirstByteAt - 2100*ms},
 			}
 		}},
-		{"told twice: the first counts", Drain, func(_ *Site, r *Record) {
+		{"notified twice of a drain: the first counts", Drain, func(_ *Site, r *Record) {
 			r.EndpointUpdates = []EndpointUpdate{
 				{0, "a", true, r.Attempts[9].FirstByteAt - 2100*ms},
 				{0, "a", true, r.Attempts[9].FirstByteAt - 500*ms},
 			}
 		}},
-		{"overrun", SlowStartOverload, func(_ *Site, r *Record) {
+		{"server sent too much work", SlowStartOverload, func(_ *Site, r *Record) {
 			r.ServerStarts[0].SlowStart = true
 			for i := range 30 {
 				again(r, 0, "a", time.Duration(i)*ms)
@@ -248,11 +248,11 @@
 			}
 		}},
 		{
-			"fell over",
+			"server overloaded",
 			SlowStartOverload,
 			func(_ *Site, r *Record) { r.ServerStarts[0].OverloadedAt = time.Second },
 		},
-		{"over the ceiling", Ceiling, func(_ *Site, r *Record) {
+		{"forwarded over the ceiling", Ceiling, func(_ *Site, r *Record) {
 			for i := range r.Tries {
 				r.Tries[i].Units = 1000
 			}
@@ -271,8 +271,8 @@
 	}
 }
 
-// What is sent on beyond a quota is counted in units.
-func TestAuditorCountsWhatIsBeyondQuotas(t *testing.T) {
+// Units that are forwarded beyond a quota are counted.
+func TestAuditorCountsUnitsBeyondQuotas(t *testing.T) {
 	s := NewSite(1, 2, 4, 0.5)
 	rec := good(s, 10)
 	s.Plans[2] = Plan{Rate: 1, Burst: 4}
@@ -280,13 +280,13 @@
 		rec.Attempts[i].ReceivedAt = time.Duration(i) * ms
 	}
 	if v := Audit(s, rec); v.OverQuota != 16 || !v.OK() {
-		t.Errorf("%g units beyond the quotas, want 16 of 20 at once; broken %v",
+		t.Errorf("%g units beyond the quotas, want 16 of the 20 sent at once; broken rules: %v",
 			v.OverQuota, v.Broken)
 	}
 }
 
-// The figures fold a client's retries into its first try.
-func TestFiguresFoldRetries(t *testing.T) {
+// A summary counts a client's retries as part of the first try.
+func TestSummaryFoldsRetries(t *testing.T) {
 	s := NewSite(1, 2, 4, 0.5)
 	rec := good(s, 2)
 	retry := rec.Tries[0]
@@ -298,15 +298,15 @@
 	rec.Tries, rec.Attempts = append(rec.Tries, retry), append(rec.Attempts, a)
 	f := Summarize("x", 1, s, rec)
 	if !f.OK || f.Requests != 2 || f.InTime != 2 || f.Service != 1 || f.P99 != 700 {
-		t.Errorf("figures %s", f.Line())
+		t.Errorf("unexpected summary: %s", f.Line())
 	}
 	if !strings.Contains(f.Line(), `"broken":{"ceiling":0,"cold":0,"drain":0,"lost":0,"twice":0}`) {
-		t.Errorf("line %s", f.Line())
+		t.Errorf("the summary does not list all five rules: %s", f.Line())
 	}
 }
 
-// What is given is held against the least of asked and bought, by groups of customers,
-// and what goes beyond a quota is not given.
+// The forwarded units are compared with the smaller of requested and bought units, by groups of
+// customers. Units forwarded beyond a quota do not count.
 func TestGivenOfBought(t *testing.T) {
 	s := &Site{Gateways: 3, Classes: NewSite(1, 1, 2, 0.5).Classes, Plans: []Plan{
 		{Rate: 1, Burst: 4},
@@ -317,21 +317,21 @@
 			{ID: "c", Use: 2, Spread: 3},
 		}}
 	rec := &Record{}
-	ask := func(customer string, at time.Duration, units float64, on bool) {
+	request := func(customer string, at time.Duration, units float64, forwarded bool) {
 		id := fmt.Sprint(len(rec.Tries))
 		rec.Tries = append(rec.Tries,
 			Try{ID: id, First: id, Customer: customer, Units: units, RequestedAt: at, SentAt: at})
-		if on {
+		if forwarded {
 			rec.Attempts = append(rec.Attempts, Attempt{ID: id, ReceivedAt: at})
 		}
 	}
-	ask("a", 0, 2, true)
-	ask("b", 0, 2, true)
-	ask("b", time.Second, 2, false)
+	request("a", 0, 2, true)
+	request("b", 0, 2, true)
+	request("b", time.Second, 2, false)
 	for range 4 {
-		ask("c", 0, 2, true) // two of them beyond the burst of 4
+		request("c", 0, 2, true) // two of them beyond the burst of 4
 	}
-	ask("a", 6*time.Second, 2, true) // ends the span: 10 units bought
+	request("a", 6*time.Second, 2, true) // ends the period: 10 units bought
 	got := GivenOfBought(s, rec)
 	for group, want := range map[string]Share{UnderQuota: {
 		Customers: 1,
@@ -347,12 +347,12 @@
 		}
 	}
 	if of := got[NearQuota].BySpread[3].Of; of != 0.5 {
-		t.Errorf("near, through three gateways: %g", of)
+		t.Errorf("group %s, customers of three gateways: share %g, want 0.5", NearQuota, of)
 	}
 }
 
-// A request inside its quota that was not served in time is lost to the reason of its
-// last refusal, unless the store truly lacked the units by then.
+// A request inside its quota that was not served in time counts as lost for the reason of its last
+// rejection, unless the customer's complete quota lacked the units by then.
 func TestLossesHaveACause(t *testing.T) {
 	classes := NewSite(1, 1, 2, 0.5).Classes
 	s := &Site{
@@ -364,10 +364,10 @@
 	for _, c := range []struct {
 		name string
 		want string
-		tell func(rec *Record, t *Try)
+		set  func(rec *Record, t *Try)
 	}{
 		{"slice", "slice", func(rec *Record, t *Try) { t.RejectReason = "slice" }},
-		{"untold", LossUnexplained, func(rec *Record, t *Try) {}},
+		{"no reason", LossUnexplained, func(rec *Record, t *Try) {}},
 		{"load", "load", func(rec *Record, t *Try) { t.RejectReason = "load" }},
 		{"spent", LossSpent, func(rec *Record, t *Try) {
 			t.RejectReason = "slice"
@@ -398,10 +398,10 @@
 				},
 			},
 		}
-		c.tell(rec, &rec.Tries[0])
+		c.set(rec, &rec.Tries[0])
 		got := Losses(s, rec)
 		if len(got) != 1 || got[c.want] != 1 {
-			t.Errorf("%s: %v, want all of it for %q", c.name, got, c.want)
+			t.Errorf("%s: %v, want the whole loss under %q", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/testing/harness/draw.go
+++ b/internal/testing/harness/draw.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Between draws a uniformly distributed number.
+// Between draws a uniformly distributed number in [a, b).
 func Between(r *rand.Rand, a, b float64) float64 { return a + (b-a)*r.Float64() }
 
-// Draw says which site is drawn.
+// Draw has the seed and the size of a site to be drawn.
 type Draw struct {
 	Seed              uint64
 	Gateways, Servers int
@@ -22,7 +22,7 @@
 	Customers int
 }
 
-// NewSite draws a site of the operators' own size.
+// NewSite draws a site without scaling its request rate or its plans.
 func NewSite(seed uint64, gateways, servers int, load float64) *Site {
 	return Draw{Seed: seed, Gateways: gateways, Servers: servers, Load: load}.Site()
 }
@@ -30,7 +30,8 @@
 // largestRequestUnits is the largest number of units of a request.
 const largestRequestUnits = 4
 
-// siteStream separates the random numbers of a site from others of the same seed.
+// siteStream separates the random numbers of a site from others of the same seed. It selects the
+// random stream: another value would change what every seed draws.
 const siteStream = 0x51
 
 // Site draws a site from the ranges that the operators have published. The order of the draws is
@@ -128,13 +129,13 @@
 	corporate.CeilingSlack = max(0.1*corporate.CeilingBurst, largestRequestUnits)
 }
 
-// drawCustomers draws customers until their use inside quotas makes the site's load. units is the
-// mean number of units of a request.
+// drawCustomers draws customers until their use inside quotas adds up to the site's load. units is
+// the mean number of units of a request.
 func (s *Site) drawCustomers(r *rand.Rand, units float64) {
 	for i, p := range s.Plans {
-		for want := p.Share * s.PerSecond * units; want > 0; {
+		for missing := p.Share * s.PerSecond * units; missing > 0; {
 			use := drawUse(r)
-			want -= min(use, 1) * p.Rate
+			missing -= min(use, 1) * p.Rate
 			s.Customers = append(s.Customers, Customer{
 				Plan:   i,
 				First:  r.IntN(s.Gateways),
@@ -159,8 +160,8 @@
 	return use
 }
 
-// scalePlans scales the plans so that about d.Customers customers make the load inside quotas, at
-// 0.47 of their rate each.
+// scalePlans scales the plans so that about d.Customers customers, each using 0.47 of its rate,
+// generate the load inside quotas.
 func (s *Site) scalePlans(d Draw) {
 	work, units, capacity := s.totals()
 	perSecond := d.Load * capacity / work
--- a/internal/testing/harness/fault.go
+++ b/internal/testing/harness/fault.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// FaultKind is something that goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds of faults. N is a gateway for kill, restart, freeze and clock, a server for down,
+// The kinds of faults. Fault.N is a gateway for kill, restart, freeze and clock, a server for down,
 // drain, slow, errors, hang and reset, and the first gateway of the second half for cut.
 const (
-	// Kill ends a gateway, which comes back without a state.
+	// Kill ends a gateway's process. The next one starts without stored state.
 	Kill FaultKind = "kill"
-	// Restart ends a gateway, which comes back from its stored state if states are stored.
+	// Restart ends a gateway's process. The next one restores the stored state if states are
+	// stored.
 	Restart FaultKind = "restart"
 	// Freeze suspends a gateway for a moment.
 	Freeze FaultKind = "freeze"
-	// ClockOff ends a gateway, whose next process has a clock that is off by X seconds.
+	// ClockOff ends a gateway's process. The clock of the next one is off by X seconds.
 	ClockOff FaultKind = "clock"
-	// Down ends a server, which comes back and warms up.
+	// Down ends a server, which starts again and warms up.
 	Down FaultKind = "down"
-	// Drained announces that a server is draining, and then that it is ready again.
+	// Drained announces that a server is draining, and later that it is ready again.
 	Drained FaultKind = "drain"
 	// Slow makes a server's work take X times as long.
 	Slow FaultKind = "slow"
--- a/internal/testing/harness/gateway_settings.go
+++ b/internal/testing/harness/gateway_settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Settings returns the settings object that a gateway gets at its start. Its keys are those of the
-// simulator's protocol.
+// Settings returns the settings object that a gateway receives when it starts. Its keys are those
+// of the simulator's protocol.
 func (s *Site) Settings(self int) map[string]any {
 	classes := []any{}
 	for i := range s.Classes {
--- a/internal/testing/harness/losses.go
+++ b/internal/testing/harness/losses.go
@@ -7,9 +7,9 @@
 )
 
 // Causes of loss in addition to the gateways' own reasons for a rejection. LossSpent is a rejection
-// while the customer's complete quota really lacked the units: other tries of it had used them, so
-// no unit was lost. A rejection by an empty bucket while the quota had the units keeps its reason.
-// It is what a customer loses by being spread over gateways.
+// while the customer's complete quota lacked the units: other tries of the customer had used them,
+// so no unit was lost. If a bucket was empty while the complete quota had the units, the rejection
+// keeps the gateway's reason: such losses come from spreading a customer over several gateways.
 const (
 	LossSpent       = "spent"
 	LossLate        = "late"
@@ -24,14 +24,15 @@
 // value requested inside quotas. If a request was tried several times, the last rejection or
 // failure counts.
 func Losses(s *Site, rec *Record) map[string]float64 {
-	// The tries that ended in vain, with the true store as it was when each was refused.
-	vain := map[string]unservedTry{}
+	// The last unserved try by first try, and for a refused one whether the complete quota lacked
+	// its units when it was refused.
+	unserved := map[string]unservedTry{}
 	var refused []*Try
 	for i := range rec.Tries {
 		if t := &rec.Tries[i]; t.Kind == Refused {
 			refused = append(refused, t)
 		} else if t.Kind != Served {
-			vain[t.First] = later(vain[t.First], unservedTry{try: t})
+			unserved[t.First] = later(unserved[t.First], unservedTry{try: t})
 		}
 	}
 	slices.SortStableFunc(refused, func(a, b *Try) int { return int(a.AnsweredAt - b.AnsweredAt) })
@@ -40,7 +41,7 @@
 		for ; len(all) > 0 && all[0].at <= t.AnsweredAt; all = all[1:] {
 			quotas.take(all[0].try, all[0].at)
 		}
-		vain[t.First] = later(vain[t.First],
+		unserved[t.First] = later(unserved[t.First],
 			unservedTry{t, quotas.at(t, t.AnsweredAt).level < t.Units})
 	}
 	losses, requested := map[string]float64{}, 0.0
@@ -54,7 +55,7 @@
 		if o.Kind == Served && o.Took <= c.LatencyTarget {
 			continue
 		}
-		l := vain[o.Try.First]
+		l := unserved[o.Try.First]
 		losses[lossOf(o, l.try, l.spent)] += value
 	}
 	for why := range losses {
@@ -63,7 +64,7 @@
 	return losses
 }
 
-// unservedTry is a try that was not served, and whether the complete quota lacked its units.
+// unservedTry is a try that was not served. spent is set if the complete quota lacked its units.
 type unservedTry struct {
 	try   *Try
 	spent bool
--- a/internal/testing/harness/process_events.go
+++ b/internal/testing/harness/process_events.go
@@ -6,8 +6,8 @@
 )
 
 // killedDuring reports whether a gateway was being killed within a period. A kill lasts from the
-// signal until the process has ended. On a busy machine that takes a while, during which the system
-// still accepts connections for the process.
+// signal until the process has exited. On a busy machine this takes a while, during which the
+// system still accepts connections for the process.
 func killedDuring(rec *Record, gateway int, from, to time.Duration) bool {
 	killed := time.Duration(-1)
 	for _, l := range rec.ProcessEvents {
@@ -28,7 +28,8 @@
 	return false
 }
 
-// resumeGracePeriod is how long after a suspension a gateway's operations may still be due to it.
+// resumeGracePeriod is how long after a suspension late operations of the gateway are still
+// attributed to it.
 const resumeGracePeriod = time.Second
 
 // pausedDuring reports whether a gateway was suspended within a period or shortly before it.
@@ -53,7 +54,7 @@
 	return paused >= 0 && paused <= to+OnSockets
 }
 
-// recentEvents describes what happened to a gateway in the last seconds.
+// recentEvents describes the events of a gateway's process in the 10 s up to before.
 func recentEvents(rec *Record, gateway int, before time.Duration) string {
 	names := [...]string{
 		"started",
--- a/internal/testing/harness/quota.go
+++ b/internal/testing/harness/quota.go
@@ -8,13 +8,13 @@
 // Share is how much of their quotas a group of customers got.
 type Share struct {
 	Customers int `json:"customers"`
-	// Bought is the smaller of what was requested and bought, summed over customers.
+	// Bought is the smaller of the requested and the bought units, summed over customers.
 	Bought float64 `json:"bought_units"`
-	// Given is what was forwarded and within what was bought.
+	// Given is the number of units that were forwarded within the quotas, at most Bought.
 	Given float64 `json:"given_units"`
 	Of    float64 `json:"given_of_bought"`
 
-	// BySpread has the shares by the number of gateways that customers come through.
+	// BySpread has the shares by the number of gateways that customers send through.
 	BySpread map[int]*Share `json:"by_spread,omitempty"`
 }
 
@@ -52,8 +52,9 @@
 }
 
 // GivenOfBought returns, for customers under, near and over their quota, how many units were
-// forwarded as a fraction of the smaller of what they requested and what they had bought: the
-// burst, and the rate over the run. What is forwarded beyond a quota does not count.
+// forwarded as a fraction of the smaller of what they requested and what they had bought. A
+// customer has bought its burst, and its rate over the run. Units that were forwarded beyond a
+// quota do not count.
 func GivenOfBought(s *Site, rec *Record) map[string]*Share {
 	groups := map[string]*Share{}
 	for _, name := range []string{UnderQuota, NearQuota, OverQuota} {
--- a/internal/testing/harness/record.go
+++ b/internal/testing/harness/record.go
@@ -1,9 +1,10 @@
-// Package harness is what all rigs share that play gateways against a world: the site that a seed
-// draws and its traffic, the record of everything that clients and servers saw, and the auditor
-// that judges the record by the five rules and summarizes it. The lab plays real processes in real
-// time, the emulator real decisions in virtual time. A verdict means the same in both.
+// Package harness is shared by all rigs that run gateways against simulated clients and servers. It
+// has the site that is drawn from a seed and its traffic, the record of everything that clients and
+// servers saw, and the auditor that judges the record by the five rules and summarizes it. The lab
+// runs real processes in real time, the emulator runs the real decisions in virtual time. A verdict
+// means the same in both.
 //
-// Nothing here knows how a gateway decides.
+// The package does not depend on how a gateway decides.
 package harness
 
 import (
@@ -16,7 +17,7 @@
 
 // How a try can end.
 const (
-	// Unsent is a try that no gateway took, as no connection could be made.
+	// Unsent is a try that no gateway took, because no connection could be made.
 	Unsent Kind = iota
 	Served
 	Refused
@@ -41,7 +42,7 @@
 	Units    float64
 	Key      string
 	Gateway  int
-	// RequestedAt is when the client wanted the request; only for first tries.
+	// RequestedAt is when the client was due to send the request; only for first tries.
 	RequestedAt time.Duration
 	// SentAt is when the last byte was written.
 	SentAt time.Duration
@@ -78,23 +79,23 @@
 	Class   int
 	// Work is the request's work on one core at speed 1.
 	Work time.Duration
-	// ToldWait is how long the gateway says that it will wait; 0: it is not known.
+	// ToldWait is how long the gateway announces that it will wait; 0 if it is not known.
 	ToldWait time.Duration
-	// FirstByteAt is when the first byte came.
+	// FirstByteAt is when the server received the first byte.
 	FirstByteAt time.Duration
-	// ReceivedAt is when the last byte came.
+	// ReceivedAt is when the server received the last byte.
 	ReceivedAt time.Duration
 	// Ran is set if the work was started.
 	Ran bool
-	// Effect is set if the work was started and not dropped as a duplicate.
+	// Effect is set if the work was started and the request was not a duplicate.
 	Effect bool
-	// Rejected is set if the server rejected the request unseen.
+	// Rejected is set if the server rejected the request without starting it.
 	Rejected bool
 	// RepliedAt is when the answer was about to be written; 0 if there was none.
 	RepliedAt time.Duration
 }
 
-// EndpointUpdate is an update of the registry about a server, as written to a gateway.
+// EndpointUpdate is an update of the registry about a server, as it was sent to a gateway.
 type EndpointUpdate struct {
 	Gateway int
 	Server  string
@@ -113,7 +114,7 @@
 // Event is the kind of a ProcessEvent.
 type Event uint8
 
-// The events. Crashed is an end that nobody asked for.
+// The events.
 const (
 	Started Event = iota
 	Ready
@@ -125,7 +126,7 @@
 	Handed
 	Killed
 	Exited
-	// Crashed is an end that nobody asked for.
+	// Crashed is an exit that the rig did not request.
 	Crashed
 	// Paused is a suspension by the rig.
 	Paused
@@ -138,7 +139,7 @@
 	Server string
 	Cores  float64
 	Speed  float64
-	// SlowStart is set if the server is warming up. Otherwise it has been up for long.
+	// SlowStart is set if the server is warming up. Otherwise it has been running for long.
 	SlowStart bool
 	At        time.Duration
 	// OverloadedAt is when the server was overloaded; 0 if it was not.
@@ -148,8 +149,9 @@
 	BeforeNotified bool
 }
 
-// Record is everything that was seen in one run. The Add and Mark methods are safe for concurrent
-// use. The slices may be read only once everything that adds has ended.
+// Record is everything that clients, servers and the rig saw in one run. The Add and Mark methods
+// are safe for concurrent use. The slices may be read only after all goroutines that add to them
+// have ended, or within Read.
 type Record struct {
 	mu              sync.Mutex
 	began           time.Time
@@ -184,12 +186,12 @@
 	r.add(func() { r.Attempts[n].Ran, r.Attempts[n].Effect = true, effect })
 }
 
-// MarkReplied records that an attempt's answer is written.
+// MarkReplied records that an attempt's answer is about to be written.
 func (r *Record) MarkReplied(n int) {
 	r.add(func() { r.Attempts[n].RepliedAt = r.Now() })
 }
 
-// MarkRejected records that an attempt was rejected unseen.
+// MarkRejected records that the server rejected an attempt without starting it.
 func (r *Record) MarkRejected(n int) { r.add(func() { r.Attempts[n].Rejected = true }) }
 
 // AddEndpointUpdate adds an update of the registry.
--- a/internal/testing/harness/site.go
+++ b/internal/testing/harness/site.go
@@ -17,8 +17,9 @@
 	Work time.Duration
 	// LatencyTarget is the latency up to which an answer has its full value.
 	LatencyTarget time.Duration
-	GiveUp        time.Duration
-	Value         float64
+	// GiveUp is the longest time for which a client waits.
+	GiveUp time.Duration
+	Value  float64
 	// Keyed is set if requests carry an idempotency key. Otherwise they are idempotent.
 	Keyed bool
 	// DeduplicationWindow is how long servers drop duplicates of a key.
@@ -27,7 +28,7 @@
 	Unsafe bool
 	// MinUnits and MaxUnits bound the units of a request.
 	MinUnits float64
-	MaxUnits float64 // and to
+	MaxUnits float64
 	Command  string
 }
 
@@ -45,7 +46,7 @@
 	CeilingSlack float64
 }
 
-// Customer is one customer.
+// Customer is a customer. Its requests come through Spread gateways, from number First on.
 type Customer struct {
 	ID            string
 	Plan          int
@@ -54,14 +55,15 @@
 	Use float64
 }
 
-// LateAnswerTime is how long after a client stopped waiting an answer still counts as one.
+// LateAnswerTime returns how long after a client stopped waiting an answer still counts as in
+// time.
 func (s *Site) LateAnswerTime() time.Duration { return max(OnSockets, s.LateAnswers) }
 
-// Site is a draw of everything that the operators' ranges leave open.
+// Site has a value for each parameter that the operators' published ranges leave open.
 type Site struct {
-	// LateAnswers is how long after its time an answer only earns nothing, as the operators'
-	// standing test has it; 0: what two processes see of one moment. Rigs that suspend gateways set
-	// it.
+	// LateAnswers is how long after the client's wait an answer earns nothing but breaks no rule,
+	// as in the operators' standing test. Below OnSockets, OnSockets applies. Rigs that suspend
+	// gateways set it.
 	LateAnswers time.Duration
 	Classes     []Class
 	Plans       []Plan
@@ -77,7 +79,7 @@
 	OverloadWindow       time.Duration
 	DrainTimeout         time.Duration
 	MessageLoss          float64
-	RegisterLag          time.Duration // the longest
+	RegisterLag          time.Duration // maximum
 	Retries              int
 	// Shift is how often the busiest gateway of a customer changes.
 	Shift       time.Duration
@@ -92,13 +94,14 @@
 	keys keyRegistry
 }
 
-// keyRegistry is the idempotency keys that all servers remember together.
+// keyRegistry has the idempotency keys that all servers share, and when each was last seen as new.
 type keyRegistry struct {
 	mu   sync.Mutex
 	seen map[string]time.Duration
 }
 
-// Remember reports whether a key is new within the window, and remembers it.
+// Remember reports whether a key is new within the window, and stores it if so. It is safe for
+// concurrent use.
 func (s *Site) Remember(key string, now, window time.Duration) bool {
 	k := &s.keys
 	k.mu.Lock()
@@ -113,7 +116,8 @@
 	return true
 }
 
-// SpreadAll makes every customer come through so many gateways; 0 for as drawn.
+// SpreadAll sets the number of gateways that every customer sends through. 0 keeps the drawn
+// numbers.
 func (s *Site) SpreadAll(gateways int) {
 	for i := range s.Customers {
 		if gateways > 0 {
@@ -136,7 +140,7 @@
 	return work, units, capacity
 }
 
-// Machine returns the cores of a server and their speed.
+// Machine returns the number of cores of server i and their speed.
 func (s *Site) Machine(i int) (cores, speed float64) {
 	if i%2 == 0 {
 		return 2, 1.3 + 0.4*float64(i%5)/4
--- a/internal/testing/harness/summary.go
+++ b/internal/testing/harness/summary.go
@@ -22,7 +22,7 @@
 	// Refused counts first tries that were rejected after all retries.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	// P50 is the median time to be served in milliseconds, from when the request was wanted.
+	// P50 is the median time to be served in milliseconds, from when the request was due.
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
 	// Service is the value served in time as a fraction of the value requested, inside quotas.
@@ -34,7 +34,7 @@
 	Over    float64 `json:"over_quota_units"`
 	// Losses are fractions of the value requested inside quotas, by cause.
 	Losses map[string]float64 `json:"losses"`
-	// Extra are a command's own figures, which are put beside the others.
+	// Extra has a command's own figures. They are written beside the fields above.
 	Extra map[string]any `json:"-"`
 }
 
@@ -92,7 +92,7 @@
 	return f
 }
 
-// Percentile returns a quantile of the time to be served, in milliseconds.
+// Percentile returns a quantile p, from 0 to 1, of the time to be served, in milliseconds.
 func Percentile(s *Site, rec *Record, p float64) float64 {
 	var times []time.Duration
 	for _, o := range Outcomes(s, rec) {
@@ -113,13 +113,13 @@
 	return float64(times[index].Microseconds()) / 1000
 }
 
-// AddFailure adds a failure that is no breach of a rule.
+// AddFailure adds a failure that is not a breach of a rule.
 func (f *Summary) AddFailure(why string) {
 	f.OK = false
 	f.Why = append(f.Why, why)
 }
 
-// MarshalJSON puts a command's own figures beside those that all have.
+// MarshalJSON writes the command's own figures beside those that all commands have.
 func (f *Summary) MarshalJSON() ([]byte, error) {
 	type plain Summary
 	b, err := json.Marshal((*plain)(f))
@@ -133,7 +133,7 @@
 	return append(append(b[:len(b)-1], ','), extra[1:]...), nil
 }
 
-// NewSummary returns the summary of a command that plays no single world, without breaches.
+// NewSummary returns a summary without breaches, for a command that does not run a single world.
 func NewSummary(command string, seed uint64) *Summary {
 	f := &Summary{
 		Command: command,
@@ -148,7 +148,7 @@
 	return f
 }
 
-// FailedRun returns the summary of a run that could not be played.
+// FailedRun returns the summary of a run that could not be carried out.
 func FailedRun(command string, seed uint64, why error) *Summary {
 	f := NewSummary(command, seed)
 	f.AddFailure(why.Error())
@@ -159,7 +159,7 @@
 func (f *Summary) Line() string {
 	b, err := json.Marshal(f)
 	if err != nil {
-		panic(err) // nothing in it can't be written
+		panic(err) // can't happen: all values can be marshalled
 	}
 	return string(b)
 }
@@ -169,11 +169,11 @@
 	Try  *Try
 	Kind Kind
 	Took time.Duration
-	// Inside is set if the customer's quota had the units when the try was wanted.
+	// Inside is set if the customer's quota had the units when the try was due.
 	Inside bool
 }
 
-// Outcomes returns the outcomes of first tries in the order in which they were wanted.
+// Outcomes returns the outcomes of first tries in the order in which they were due.
 func Outcomes(s *Site, rec *Record) []Outcome {
 	last := map[string]*Try{}
 	var firsts []*Try
--- a/internal/testing/harness/tokenbucket.go
+++ b/internal/testing/harness/tokenbucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tokenBucket has units: full at first, refilled at a rate.
+// tokenBucket is a token bucket that is full at first. rate is in units a second.
 type tokenBucket struct {
 	level, rate, burst float64
 	at                 time.Duration
@@ -14,34 +14,35 @@
 	}
 }
 
-// tokenBuckets are the complete quotas of a site's customers, as an observer of everything would
-// count them.
+// tokenBuckets has the complete quotas of a site's customers, counted over all gateways.
 type tokenBuckets struct {
-	site *Site
-	of   map[string]*tokenBucket
+	site       *Site
+	byCustomer map[string]*tokenBucket
 }
 
 func (s *Site) newTokenBuckets() *tokenBuckets {
 	return &tokenBuckets{s, map[string]*tokenBucket{}}
 }
 
+// at returns the bucket of a try's customer, refilled up to a time.
 func (q *tokenBuckets) at(t *Try, at time.Duration) *tokenBucket {
 	p := &q.site.Plans[t.Plan]
-	st := q.of[t.Customer]
-	if st == nil {
-		st = &tokenBucket{p.Burst, p.Rate, p.Burst, 0}
-		q.of[t.Customer] = st
+	bucket := q.byCustomer[t.Customer]
+	if bucket == nil {
+		bucket = &tokenBucket{p.Burst, p.Rate, p.Burst, 0}
+		q.byCustomer[t.Customer] = bucket
 	}
-	st.fill(at)
-	return st
+	bucket.fill(at)
+	return bucket
 }
 
-// take takes a try's units if the bucket has them, and otherwise nothing.
+// take takes a try's units from its customer's bucket and returns true. If the bucket lacks them,
+// it takes nothing and returns false.
 func (q *tokenBuckets) take(t *Try, at time.Duration) bool {
-	st := q.at(t, at)
-	if st.level < t.Units {
+	bucket := q.at(t, at)
+	if bucket.level < t.Units {
 		return false
 	}
-	st.level -= t.Units
+	bucket.level -= t.Units
 	return true
 }
--- a/internal/testing/harness/traffic.go
+++ b/internal/testing/harness/traffic.go
@@ -16,7 +16,7 @@
 	rate float64
 }
 
-// Traffic returns the traffic of the customer with a number.
+// Traffic returns the traffic of the customer with that index in Customers.
 func (s *Site) Traffic(seed uint64, number int) *Traffic {
 	who := &s.Customers[number]
 	units := 0.0
@@ -36,8 +36,8 @@
 	return time.Duration(t.rand.ExpFloat64() / t.rate * float64(time.Second))
 }
 
-// Request returns the next request, requested at a time, and the randomness for what its client
-// does.
+// Request returns the next request, with now as its RequestedAt, and the random source for the
+// decisions of its client.
 func (t *Traffic) Request(now time.Duration) (Try, *rand.Rand) {
 	number := t.site.drawClass(t.rand)
 	class := &t.site.Classes[number]
@@ -87,8 +87,8 @@
 }
 
 // PickGateway picks a gateway of the customer's set for a try. The distribution is uneven, and the
-// busiest gateway changes at intervals. A retry goes through another gateway, and gateways that are
-// not up are skipped while others are.
+// busiest gateway changes at intervals. A retry uses another gateway than last. Gateways that are
+// not up are skipped unless all are down.
 func (s *Site) PickGateway(
 	who *Customer, last int, now time.Duration, up func(gateway int) bool, r *rand.Rand,
 ) int {
@@ -98,13 +98,13 @@
 			set = append(set, g)
 		}
 	}
-	alive := slices.DeleteFunc(slices.Clone(set), func(g int) bool { return !up(g) })
-	if len(alive) == 0 {
-		alive = set
+	available := slices.DeleteFunc(slices.Clone(set), func(g int) bool { return !up(g) })
+	if len(available) == 0 {
+		available = set
 	}
 	favourite := int(now/s.Shift) + who.First
 	if r.Float64() < 0.5 {
-		return alive[favourite%len(alive)]
+		return available[favourite%len(available)]
 	}
-	return alive[r.IntN(len(alive))]
+	return available[r.IntN(len(available))]
 }
