--- a/internal/testing/testcluster/clustertest/rigtest.go
+++ b/internal/testing/testcluster/clustertest/rigtest.go
@@ -1,4 +1,4 @@
-// Package clustertest has what the tests of all trials need that start several processes.
+// Package clustertest has helpers for the tests of rigs that start several processes.
 package clustertest
 
 import (
@@ -8,8 +8,8 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// Fleet starts a fleet for a test, beside others, and ends it with the test. What the gateways
-// logged last is told if the test fails.
+// Fleet starts a fleet for a test, which runs in parallel with others, and closes it when the test
+// ends. If the test fails, it logs the end of each gateway's log.
 func Fleet(t *testing.T, o testcluster.Options) *testcluster.Fleet {
 	t.Helper()
 	t.Parallel() // the tests mostly wait
@@ -29,8 +29,8 @@
 	return f
 }
 
-// Eventually waits for something, with a generous deadline. What is told with a no is told if it
-// never comes.
+// Eventually polls a condition until it holds, for up to 40 s. On timeout it fails the test with
+// the last state that is returned.
 func Eventually(t *testing.T, what string, is func() (bool, string)) {
 	t.Helper()
 	last := ""
@@ -42,10 +42,10 @@
 		}
 		last = state
 	}
-	t.Fatalf("not in time: %s; last: %s", what, last)
+	t.Fatalf("not in time: %s; last state: %s", what, last)
 }
 
-// Check fails the test at the first error.
+// Check fails the test at the first error that is not nil.
 func Check(t *testing.T, errs ...error) {
 	t.Helper()
 	for _, err := range errs {
--- a/internal/testing/testcluster/harm.go
+++ b/internal/testing/testcluster/harm.go
@@ -14,65 +14,66 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Harm does things to a fleet's processes and links, by a seed, and counts what was done. The
-// voters keep their majority. Its methods may be called concurrently.
+// Harm injects faults into a fleet's processes and links, drawn from a seed, and counts them. It
+// keeps the majority of the voters unharmed. Its methods may be called concurrently.
 type Harm struct {
 	Fleet  *Fleet
 	Seed   uint64
-	Voters int // the first so many gateways
-	// Likely, if set, returns the gateway that every third fault strikes, such as a leader. Below 0
-	// means any.
+	Voters int // the number of voters, which are the first gateways
+	// Likely, if set, returns a gateway, such as a leader, that one fault in three affects on
+	// average. A negative number means any gateway.
 	Likely func(*rand.Rand) int
 	// Stops is the longest time for which a process is suspended.
 	Stops time.Duration
-	// Killed, if set, is called while a killed gateway is down, until restartAt.
+	// Killed, if set, is called by Kill and has to kill gateway i. It should return before
+	// restartAt, when the gateway is to be started again.
 	Killed   func(ctx context.Context, i int, restartAt time.Time)
 	Progress io.Writer
 
-	mu   sync.Mutex
-	did  map[string]int
-	busy map[int]bool
-	done []harmed
-	errs []error
+	mu     sync.Mutex
+	counts map[string]int
+	busy   map[int]bool // gateways with a fault in progress
+	done   []harmPeriod
+	errs   []error
 }
 
-// harmed is when something was done to a gateway.
-type harmed struct {
+// harmPeriod is the period of one fault of a gateway.
+type harmPeriod struct {
 	gateway  int
 	from, to time.Duration
 }
 
-// Befell tells whether something was done to a gateway in a time.
+// Befell reports whether a fault of a gateway overlapped a period.
 func (h *Harm) Befell(i int, from, to time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.ContainsFunc(
 		h.done,
-		func(d harmed) bool { return d.gateway == i && d.from < to && d.to > from },
+		func(d harmPeriod) bool { return d.gateway == i && d.from < to && d.to > from },
 	)
 }
 
-// Kind is one thing that is done to a gateway, from beginning to end.
+// Kind injects one kind of fault into gateway i. It returns when the fault has ended.
 type Kind func(ctx context.Context, r *rand.Rand, i int)
 
-// Count counts something that was done.
+// Count adds one to the count of a fault or an event.
 func (h *Harm) Count(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.did == nil {
-		h.did = map[string]int{}
+	if h.counts == nil {
+		h.counts = map[string]int{}
 	}
-	h.did[what]++
+	h.counts[what]++
 }
 
-// Did is how often something was done.
+// Did returns the count of a fault or an event.
 func (h *Harm) Did(what string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.did[what]
+	return h.counts[what]
 }
 
-// Fail takes note of an error, if it is one.
+// Fail records an error for Err. It ignores nil.
 func (h *Harm) Fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,14 +82,14 @@
 	}
 }
 
-// Err is all that went wrong.
+// Err returns all recorded errors, joined.
 func (h *Harm) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return errors.Join(h.errs...)
 }
 
-// Logf tells of something, with the time.
+// Logf writes a line to Progress, with the time since the start of the record.
 func (h *Harm) Logf(format string, args ...any) {
 	fmt.Fprintf(
 		h.Progress,
@@ -96,8 +97,8 @@
 		append([]any{h.Fleet.Record.Now().Seconds()}, args...)...)
 }
 
-// Run plays tracks beside one another until the context ends, and then has all be well again. Each
-// does its kinds in an order of chance, again and again, with one to three seconds between them.
+// Run runs the tracks concurrently until the context ends, and then heals all links and resumes or
+// restarts all gateways. Each track repeats its kinds in random order, with 1 to 3 s between them.
 func (h *Harm) Run(ctx context.Context, tracks ...[]Kind) {
 	h.busy = map[int]bool{}
 	defer func() {
@@ -139,7 +140,8 @@
 	return time.Duration(harness.Between(r, minimum, maximum) * float64(time.Second))
 }
 
-// pick draws a gateway that nothing is done to.
+// pick draws a gateway and marks it as busy. It returns -1 if the gateway is busy, or if it is a
+// voter while another voter is busy.
 func (h *Harm) pick(r *rand.Rand) int {
 	i := r.IntN(len(h.Fleet.Gateways))
 	if r.IntN(3) == 0 && h.Likely != nil {
@@ -161,11 +163,11 @@
 func (h *Harm) free(i int, began time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.done = append(h.done, harmed{i, began, h.Fleet.Record.Now()})
+	h.done = append(h.done, harmPeriod{i, began, h.Fleet.Record.Now()})
 	h.busy[i] = false
 }
 
-// Kill kills a gateway and starts it anew.
+// Kill kills a gateway and starts it again after 0.1 to 5 s.
 func (h *Harm) Kill(ctx context.Context, r *rand.Rand, i int) {
 	h.Logf("kill %s", Name(i))
 	h.Count("kills")
@@ -180,9 +182,9 @@
 	h.Count("joins")
 }
 
-// Terminate has a gateway leave in order, and starts it anew.
+// Terminate ends a gateway with SIGTERM and starts it again after 0.1 to 4 s.
 func (h *Harm) Terminate(ctx context.Context, r *rand.Rand, i int) {
-	h.Logf("%s leaves", Name(i))
+	h.Logf("terminate %s", Name(i))
 	h.Count("leaves")
 	h.Fail(h.Fleet.End(i, syscall.SIGTERM))
 	Pass(ctx, randomDuration(r, 0.1, 4))
@@ -190,10 +192,10 @@
 	h.Count("joins")
 }
 
-// Stop stops a gateway's process for a while.
+// Stop suspends a gateway's process for 0.5 s to Stops.
 func (h *Harm) Stop(ctx context.Context, r *rand.Rand, i int) {
 	d := randomDuration(r, 0.5, h.Stops.Seconds())
-	h.Logf("stop %s for %v", Name(i), d.Round(time.Millisecond))
+	h.Logf("suspend %s for %v", Name(i), d.Round(time.Millisecond))
 	if err := h.Fleet.Stop(i); err != nil {
 		h.Fail(err)
 		return
@@ -203,20 +205,20 @@
 	h.Fail(h.Fleet.Wake(i))
 }
 
-// Isolate cuts a gateway off from all others for a while.
+// Isolate cuts a gateway off from all others for 0.5 to 8 s.
 func (h *Harm) Isolate(ctx context.Context, r *rand.Rand, i int) {
 	d := randomDuration(r, 0.5, 8)
-	h.Logf("cut %s off for %v", Name(i), d.Round(time.Millisecond))
+	h.Logf("isolate %s for %v", Name(i), d.Round(time.Millisecond))
 	h.Count("cuts")
 	h.Fleet.Isolate(i, true, true, true)
 	Pass(ctx, d)
 	h.Fleet.Isolate(i, true, true, false)
 }
 
-// OneWay cuts what a gateway says, or what it hears, for a while.
+// OneWay cuts either what a gateway sends to the others or what it receives, for 0.5 to 5 s.
 func (h *Harm) OneWay(ctx context.Context, r *rand.Rand, i int) {
 	to := r.IntN(2) == 0
-	h.Logf("cut %s off one way", Name(i))
+	h.Logf("isolate %s in one direction", Name(i))
 	h.Count("cuts")
 	h.Fleet.Isolate(i, to, !to, true)
 	Pass(ctx, randomDuration(r, 0.5, 5))
--- a/internal/testing/testcluster/rig.go
+++ b/internal/testing/testcluster/rig.go
@@ -1,6 +1,6 @@
-// Package testcluster is a fleet of real gateways between stand-ins, with a link of its own between
-// every two of them, for scenarios that have links and processes fail. It knows nothing of what the
-// gateways decide.
+// Package testcluster runs a fleet of real gateways between simulated clients and servers. Each
+// pair of gateways has links of its own, so that scenarios can make links and processes fail. The
+// package does not depend on what the gateways decide.
 package testcluster
 
 import (
@@ -27,36 +27,36 @@
 	"mothcleat/internal/testing/lab"
 )
 
-// FleetName is what a rig's fleet is called.
+// FleetName is the name of a rig's fleet.
 const FleetName = "rig"
 
-// Options say what a fleet is made of.
+// Options configure a fleet.
 type Options struct {
 	Seed      uint64
 	Instances int
-	Voters    int // the first so many; 0: three, or five of seven and more
+	Voters    int // the first gateways are voters; 0: 3, or 5 if Instances is at least 7
 	Load      float64
-	Servers   int                // 0: ten
-	Bin       string             // built with the tag faults; "": it is built
-	Consul    bool               // the register is Consul, which one gateway watches for all
-	Fleet     string             // further lines of [fleet]
-	Operators string             // further tables
-	Env       func(i int) string // a variable more for each gateway; nil: none
+	Servers   int                // 0: 10
+	Bin       string             // gateway binary built with the tag faults; "": New builds it
+	Consul    bool               // the register is Consul, watched by one gateway for all
+	Fleet     string             // additional lines of the table [fleet]
+	Operators string             // additional tables of the operators' file
+	Env       func(i int) string // an additional environment variable for gateway i; nil: none
 	Log       io.Writer
 }
 
-// Fleet is a fleet that runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	*lab.World
-	Links   [][]*faultproxy.Link // from one gateway to another; nil at [i][i]
-	Own     []string             // where each gateway listens for the others
+	Links   [][]*faultproxy.Link // Links[i][j] leads from gateway i to j; nil if i is j
+	Own     []string             // address at which each gateway listens for the others
 	Exports string
 	Bin     string
 	opt     Options
 	remove  func()
 }
 
-// Build compiles the gateway with its faults.
+// Build compiles the gateway with the tag faults. remove deletes the binary.
 func Build(ctx context.Context) (bin string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "mothcleat-rig-")
 	if err != nil {
@@ -69,11 +69,12 @@
 	return bin, remove, err
 }
 
-// fleetsAtOnce is how many of a package's tests run beside one another, however few cores there
-// are: a fleet of a few gateways mostly waits.
+// fleetsAtOnce is how many of a package's tests run in parallel, even on fewer cores: a fleet of a
+// few gateways mostly waits.
 const fleetsAtOnce = "4"
 
-// Main builds the gateway for a package's tests, runs them, and gives the exit code.
+// Main builds the gateway for a package's tests, stores its path in bin, runs the tests and returns
+// the exit code.
 func Main(bin *string, run func() int) int {
 	flag.Parse()
 	if err := flag.Set("test.parallel", fleetsAtOnce); err != nil {
@@ -90,7 +91,7 @@
 	return run()
 }
 
-// New founds a fleet and starts it.
+// New founds a fleet and starts its gateways.
 func New(ctx context.Context, o Options) (f *Fleet, err error) {
 	if o.Voters == 0 {
 		if o.Voters = 3; o.Instances >= 7 {
@@ -131,7 +132,8 @@
 	return f, err
 }
 
-// prepare gives a gateway its links, its operators' file and its folder.
+// prepare creates the links of all gateways on its first call, writes the operators' file of a
+// gateway, and founds the fleet in the folder of a voter.
 func (f *Fleet) prepare(w *lab.World, g *lab.Gateway) error {
 	if f.Own == nil {
 		f.Exports = filepath.Join(w.Dir, "exports")
@@ -197,18 +199,18 @@
 	)
 }
 
-// Name is a gateway's name.
+// Name returns the name of gateway i.
 func Name(i int) string { return fmt.Sprintf("n%d", i) }
 
-// Operators is the operators' file of a gateway.
+// Operators returns the operators' file of gateway i.
 func (f *Fleet) Operators(i int) string {
-	var voters, ways []string
+	var voters, addresses []string
 	for j := range f.opt.Voters {
 		voters = append(voters, fmt.Sprintf("{ name = %q, address = %q }", Name(j), f.Own[j]))
 	}
 	for j, l := range f.Links[i] {
 		if l != nil {
-			ways = append(ways, fmt.Sprintf("%q = %q", Name(j), l.Address()))
+			addresses = append(addresses, fmt.Sprintf("%q = %q", Name(j), l.Address()))
 		}
 	}
 	more := f.opt.Fleet
@@ -221,14 +223,14 @@
 		FleetName,
 		f.Own[i],
 		strings.Join(voters, ", "),
-		strings.Join(ways, ", "),
+		strings.Join(addresses, ", "),
 		f.Exports,
 		more,
 		f.opt.Operators,
 	)
 }
 
-// Command runs the program in a gateway's folder and reads what it prints.
+// Command runs the gateway's program with args in a gateway's folder and copies its output to out.
 func (f *Fleet) Command(i int, out io.Writer, args ...string) error {
 	cmd := exec.Command(f.Bin, args...)
 	cmd.Dir = f.dir(i)
@@ -246,19 +248,19 @@
 }
 
 func (f *Fleet) dir(i int) string {
-	// while the world is being made its list of gateways is not whole yet
+	// f.Gateways is not complete while the world is being created.
 	return filepath.Join(filepath.Dir(f.Exports), Name(i))
 }
 
-// Call has a gateway's admin interface answer a call about the fleet.
+// Call sends a fleet call to a gateway's admin interface and decodes the answer into into.
 func (f *Fleet) Call(i int, line string, into any) error {
 	return f.Gateways[i].CallFleet(line, callTimeout, into)
 }
 
-// callTimeout is how long a gateway may take to answer a call.
+// callTimeout limits the time that a gateway may take to answer a call.
 const callTimeout = 3 * time.Second
 
-// Voters are the founding voters, at their own addresses: what a client of the rig's asks.
+// Voters returns the founding voters at their own addresses, to which the rig's clients connect.
 func (f *Fleet) Voters() (all []*controlpb.Voter) {
 	for i := range f.opt.Voters {
 		all = append(
@@ -273,8 +275,8 @@
 	return all
 }
 
-// Addresses are where the gateways are reached from one of them; from -1: by the rig, past all
-// links.
+// Addresses returns the addresses under which gateway from reaches the others. If from is -1, these
+// are the gateways' own addresses, which bypass all links.
 func (f *Fleet) Addresses(from int) controlrpc.Addresses {
 	a := controlrpc.Addresses{}
 	for j := range f.Own {
@@ -286,14 +288,14 @@
 	return a
 }
 
-// Isolate cuts a gateway off from all others, or ends that: to = only what it sends, from = only
-// what it hears.
+// Isolate cuts the links of gateway i to all others if yes is set, and restores them otherwise. to
+// selects what the gateway sends, from selects what it receives.
 func (f *Fleet) Isolate(i int, to, from, yes bool) {
 	for j := range f.Links {
 		if i == j {
 			continue
 		}
-		// What i says goes There on its own connections, and Back on those of others.
+		// What i sends goes upstream on its own connections and downstream on those of others.
 		if to {
 			f.Links[i][j].Set(faultproxy.Upstream, faultproxy.Conditions{Cut: yes})
 			f.Links[j][i].Set(faultproxy.Downstream, faultproxy.Conditions{Cut: yes})
@@ -305,13 +307,13 @@
 	}
 }
 
-// Between cuts the links between two gateways, or ends that.
+// Between cuts the links between two gateways if yes is set, and restores them otherwise.
 func (f *Fleet) Between(i, j int, yes bool) {
 	f.Links[i][j].Cut(yes)
 	f.Links[j][i].Cut(yes)
 }
 
-// Heal ends all that was done to links.
+// Heal ends all cuts of links.
 func (f *Fleet) Heal() {
 	for i := range f.Links {
 		for j := range f.Links[i] {
@@ -322,7 +324,7 @@
 	}
 }
 
-// passed is what all links have carried, and how many pieces had to wait at cut ones.
+// passed returns how many bytes all links have forwarded, and how many chunks cut links held back.
 func (f *Fleet) passed() (bytes int64, held int) {
 	for i := range f.Links {
 		for _, l := range f.Links[i] {
@@ -338,14 +340,14 @@
 	return bytes, held
 }
 
-// Held is how many pieces had to wait at cut links so far.
+// Held returns how many chunks cut links have held back so far.
 func (f *Fleet) Held() int { _, held := f.passed(); return held }
 
-// Passed is how many bytes all links have carried.
+// Passed returns how many bytes all links have forwarded.
 func (f *Fleet) Passed() int64 { bytes, _ := f.passed(); return bytes }
 
-// Memory is the most that a gateway's process was seen to hold, in MB: by those that run, and those
-// that were signalled.
+// Memory returns the largest memory use seen of any gateway's process, in MB. It covers running
+// processes and those that were signalled.
 func (f *Fleet) Memory() (most float64) {
 	for _, g := range f.Gateways {
 		most = max(most, g.Memory())
@@ -353,13 +355,13 @@
 	return most
 }
 
-// Stop stops a process as it is; Wake has it go on.
+// Stop suspends the process of gateway i with SIGSTOP.
 func (f *Fleet) Stop(i int) error { return f.Gateways[i].Signal(syscall.SIGSTOP) }
 
-// Wake has a stopped process go on.
+// Wake resumes the process of gateway i with SIGCONT.
 func (f *Fleet) Wake(i int) error { return f.Gateways[i].Signal(syscall.SIGCONT) }
 
-// Stopped tells whether a process lies stopped.
+// Stopped reports whether the process of gateway i is suspended.
 func (f *Fleet) Stopped(i int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.Gateways[i].PID()))
 	if err != nil {
@@ -369,9 +371,11 @@
 	return at >= 0 && at+2 < len(raw) && raw[at+2] == 'T'
 }
 
+// exitTimeout limits how long a process may take to exit, and a started one to become ready.
 const exitTimeout = 20 * time.Second
 
-// End ends a process with SIGKILL or SIGTERM and waits until it is gone.
+// End ends the process of gateway i with a signal, SIGKILL or SIGTERM, and waits until it has
+// exited.
 func (f *Fleet) End(i int, s syscall.Signal) error {
 	if err := f.Gateways[i].Signal(s); err != nil {
 		return err
@@ -381,27 +385,27 @@
 	return f.Gateways[i].WaitForExit(ctx)
 }
 
-// Begin starts a gateway's process anew and waits until it serves.
+// Begin starts a new process of gateway i and waits until it is ready.
 func (f *Fleet) Begin(i int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	return f.World.Start(ctx, f.Gateways[i])
 }
 
-// FleetDir is a gateway's folder of the fleet.
+// FleetDir returns the folder in which gateway i stores the state of the fleet.
 func (f *Fleet) FleetDir(i int) string { return filepath.Join(f.dir(i), "fleet") }
 
-// Save copies a gateway's folder as it is, while its process may run; Restore puts the copy in its
-// place.
+// Save copies the fleet folder of gateway i, whose process may be running. Restore writes the copy
+// back.
 //
-// It is a copy of one moment: a file that grew while others were copied would make it a damaged
-// folder, not an older one.
+// Save repeats the copy until no file has changed meanwhile: if a file had grown while others were
+// copied, the copy would be a damaged folder instead of an older one.
 func (f *Fleet) Save(i int) error {
 	to := filepath.Join(f.dir(i), "older")
 	for range maxSaves {
 		err := errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(f.FleetDir(i))))
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // a file went meanwhile
+			continue // a file was removed during the copy
 		}
 		if err != nil {
 			return err
@@ -410,12 +414,13 @@
 			return err
 		}
 	}
-	return fmt.Errorf("folder of %s: not still for the time of a copy", Name(i))
+	return fmt.Errorf("folder of %s kept changing during %d attempts to copy it", Name(i), maxSaves)
 }
 
+// maxSaves limits the attempts of Save to copy a folder.
 const maxSaves = 1000
 
-// sameFiles tells whether two folders hold the same.
+// sameFiles reports whether two folders have the same files with the same contents.
 func sameFiles(a, b string) (bool, error) {
 	one, err := contents(a)
 	if err != nil {
@@ -428,7 +433,7 @@
 	return maps.Equal(one, other), err
 }
 
-// contents are a folder's files by their paths in it.
+// contents returns the contents of a folder's files by their relative paths.
 func contents(dir string) (map[string]string, error) {
 	files := map[string]string{}
 	err := fs.WalkDir(os.DirFS(dir), ".", func(path string, d fs.DirEntry, err error) error {
@@ -442,8 +447,8 @@
 	return files, err
 }
 
-// Restore puts what Save copied in the place of what the folder holds. The folders stay the same
-// ones, as when a disk is put back whole: only what they hold is older.
+// Restore replaces the files of the folder by those that Save copied. The folders themselves are
+// kept, as when a whole disk is restored from a backup: only the files are older.
 func (f *Fleet) Restore(i int) error {
 	err := filepath.WalkDir(f.FleetDir(i), func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -454,7 +459,7 @@
 	return errors.Join(err, os.CopyFS(f.FleetDir(i), os.DirFS(filepath.Join(f.dir(i), "older"))))
 }
 
-// Copy puts a copy of a gateway's folder in the place of another's.
+// Copy replaces the fleet folder of gateway to by a copy of that of gateway from.
 func (f *Fleet) Copy(from, to int) error {
 	return errors.Join(
 		os.RemoveAll(f.FleetDir(to)),
@@ -462,10 +467,10 @@
 	)
 }
 
-// Empty removes a gateway's folder.
+// Empty removes the fleet folder of gateway i.
 func (f *Fleet) Empty(i int) error { return os.RemoveAll(f.FleetDir(i)) }
 
-// Close ends everything.
+// Close ends all processes and links, and removes the binary if New built it.
 func (f *Fleet) Close() {
 	if f.World != nil {
 		f.World.Close()
@@ -480,7 +485,7 @@
 	f.remove()
 }
 
-// Pass waits for a while, and tells whether the context is still there.
+// Pass waits for d and returns true. If the context ends first, it returns false.
 func Pass(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
