--- a/internal/testing/audittest/fleet.go
+++ b/internal/testing/audittest/fleet.go
@@ -1,6 +1,6 @@
-// Package audittest has a fleet of real gateways act on versions while links and processes fail,
-// and judges by what the stand-in servers took, and by what the gateways wrote down, whether
-// anybody acted on what was withdrawn.
+// Package audittest runs a fleet of real gateways that roll out configuration versions while links
+// and processes fail. It judges whether any gateway acted on a withdrawn version, by the requests
+// that the simulated servers received and by the gateways' audit records.
 package audittest
 
 import (
@@ -17,23 +17,24 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// LeaseTTL is that of the permits of a trial's fleets.
+// LeaseTTL is the TTL of the version leases in the fleets of this package.
 const LeaseTTL = 2 * time.Second
 
-// Bound is how long after its end was agreed a version may be acted on at most: the span and its
-// margin. Judged by one clock, a request needs a moment more from its last look to a server.
+// Bound is the maximum time for which a version may be acted on after its end was committed: the
+// TTL and its margin. Measured by one clock, a request takes slightly longer, from the gateway's
+// last check to the server.
 const Bound = LeaseTTL + LeaseTTL/8
 
-// alone is an operators' file's table for a fleet that acts on versions.
-var alone = fmt.Sprintf(
+// versionsTable is the table of the operators' file for a fleet that acts on versions.
+var versionsTable = fmt.Sprintf(
 	"[versions]\non = true\nspan = %q\nevery = \"200ms\"\nsettle = \"300ms\"\npatience = \"4s\"\n",
 	LeaseTTL,
 )
 
-// Text is the same for one that divides quotas as well, and was just founded.
-func Text() string { return alone + "[budgets]\non = true\nbegin_full = true\n" }
+// Text returns the tables of the operators' file for a new fleet that also divides quotas.
+func Text() string { return versionsTable + "[budgets]\non = true\nbegin_full = true\n" }
 
-// plansText writes a version of a site's plans, with each quota times a factor.
+// plansText returns a version of a site's plans with each quota multiplied by a factor.
 func plansText(s *harness.Site, factor float64) string {
 	var b strings.Builder
 	for _, p := range s.Plans {
@@ -58,7 +59,7 @@
 	return b.String()
 }
 
-// propose has a text proposed at a gateway.
+// propose proposes a text of the plans at a gateway and returns the number of the version.
 func propose(
 	f *testcluster.Fleet,
 	at int,
@@ -77,18 +78,18 @@
 	)
 }
 
-// agreed is what is agreed, asked at a gateway.
-func agreed(f *testcluster.Fleet, at int) (v controlplane.VersionsStatus, err error) {
+// versionsStatus returns the committed versions as a gateway reports them.
+func versionsStatus(f *testcluster.Fleet, at int) (v controlplane.VersionsStatus, err error) {
 	return v, f.Call(at, "versions", &v)
 }
 
-// here is what a gateway acts on.
-func here(f *testcluster.Fleet, at int) (h rollout.Status, err error) {
+// rolloutStatus returns the versions that a gateway acts on.
+func rolloutStatus(f *testcluster.Fleet, at int) (h rollout.Status, err error) {
 	return h, f.Call(at, "versions here", &h)
 }
 
-// version finds a version in what is agreed.
-func version(v *controlplane.VersionsStatus, number uint64) *configversion.Version {
+// findVersion returns the version of the plans with a number, or nil.
+func findVersion(v *controlplane.VersionsStatus, number uint64) *configversion.Version {
 	for i := range v.Versions {
 		if v.Versions[i].Item == "plans" && v.Versions[i].Number == number {
 			return &v.Versions[i]
--- a/internal/testing/audittest/judge.go
+++ b/internal/testing/audittest/judge.go
@@ -18,11 +18,11 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// slack is how long after its last look a request reaches a server, on a machine with other work.
+// slack is how long a request may take from the gateway's last check to a server on a busy machine.
 const slack = 250 * time.Millisecond
 
-// period is when a gateway's process acted on a version, by what it wrote down: after it had begun
-// to serve, on its configuration, which is number 1.
+// period is the time in which a gateway's process acted on a version, according to its log. When it
+// starts to serve it acts on its configuration, which is version 1.
 type period struct {
 	gateway  int
 	number   uint64
@@ -30,16 +30,17 @@
 }
 
 var (
-	begins = regexp.MustCompile(`(?m)^.*time=(\S+) .*msg=(?:ready|"fleet: version in force") .*$`)
-	number = regexp.MustCompile(`item=plans number=(\d+)`)
+	inForceLines = regexp.MustCompile(
+		`(?m)^.*time=(\S+) .*msg=(?:ready|"fleet: version in force") .*$`)
+	numberField = regexp.MustCompile(`item=plans number=(\d+)`)
 )
 
-// spans are all times in which a gateway acted on a version, from its log.
-func spans(f *testcluster.Fleet, i int) (all []period, err error) {
-	for _, line := range begins.FindAllStringSubmatch(f.Gateways[i].Log(), -1) {
+// versionPeriods returns all periods in which a gateway acted on a version, from its log.
+func versionPeriods(f *testcluster.Fleet, i int) (all []period, err error) {
+	for _, line := range inForceLines.FindAllStringSubmatch(f.Gateways[i].Log(), -1) {
 		at, bad := time.Parse(time.RFC3339Nano, line[1])
 		s := period{gateway: i, number: 1, from: at.Sub(f.Record.Began()), to: 1 << 62}
-		if m := number.FindStringSubmatch(line[0]); m != nil {
+		if m := numberField.FindStringSubmatch(line[0]); m != nil {
 			_, worse := fmt.Sscan(m[1], &s.number)
 			err = errors.Join(err, worse)
 		}
@@ -52,12 +53,12 @@
 	return all, err
 }
 
-// sentOn counts the requests that a gateway forwarded in a time, as the servers received them.
-func sentOn(f *testcluster.Fleet, i int, from, to time.Duration) int {
+// countForwarded counts the requests of a gateway that the servers received within a period.
+func countForwarded(f *testcluster.Fleet, i int, from, to time.Duration) int {
 	return len(attemptsOf(f, i, from, to))
 }
 
-// attemptsOf returns the attempts of a gateway that the servers received completely in a time.
+// attemptsOf returns the attempts of a gateway that servers received completely within a period.
 func attemptsOf(f *testcluster.Fleet, i int, from, to time.Duration) (all []harness.Attempt) {
 	f.Record.Read(func() {
 		for _, a := range f.Record.Attempts {
@@ -69,7 +70,7 @@
 	return all
 }
 
-// describeAttempts says of each attempt when it was received, beside what its client saw.
+// describeAttempts describes each attempt with the time of its receipt and the client's try.
 func describeAttempts(f *testcluster.Fleet, all []harness.Attempt) string {
 	var text strings.Builder
 	f.Record.Read(func() {
@@ -87,18 +88,18 @@
 	return text.String()
 }
 
-// lateOperations are the requests that a gateway sent on by versions after those had ended, as the
-// servers took them.
+// lateOperations counts the requests that gateways forwarded under versions that had ended, by when
+// the servers received them.
 func lateOperations(f *testcluster.Fleet, all []period, ended map[uint64]time.Duration) (n int) {
 	for _, s := range all {
 		if over, ok := ended[s.number]; ok {
-			n += sentOn(f, s.gateway, max(s.from, over+slack), s.to)
+			n += countForwarded(f, s.gateway, max(s.from, over+slack), s.to)
 		}
 	}
 	return n
 }
 
-// records are what all gateways wrote down, after they have ended.
+// records returns the audit records of all gateways. The gateways must have exited.
 func records(f *testcluster.Fleet) (all map[int][]auditlog.Entry, err error) {
 	all = map[int][]auditlog.Entry{}
 	for i := range f.Gateways {
@@ -108,14 +109,17 @@
 	return all, err
 }
 
-// account holds a gateway's record against what the servers took: how many requests no record
-// accounts for, beyond one for each kill, and how many the record has that no server took.
-func account(f *testcluster.Fleet, i int, entries []auditlog.Entry) (unexplained, untaken int) {
+// compareRecord compares a gateway's audit record with the requests that the servers received from
+// it. unexplained counts requests that are in no record, beyond one for each kill. untaken counts
+// recorded requests that no server received.
+func compareRecord(
+	f *testcluster.Fleet, i int, entries []auditlog.Entry,
+) (unexplained, untaken int) {
 	var recorded auditlog.Counts
 	for _, e := range entries {
 		recorded = recorded.Plus(e.Counts)
 	}
-	took, killed := sentOn(f, i, 0, 1<<62), 0
+	took, killed := countForwarded(f, i, 0, 1<<62), 0
 	for _, l := range f.Record.ProcessEvents {
 		if l.Gateway == i && l.Event == harness.Killed {
 			killed++
@@ -125,9 +129,9 @@
 	return max(0, took-n-killed), max(0, n-took)
 }
 
-// wrong are the rows of an audit that do not fit what the gateways logged when they changed: a
-// version that was not in force there then.
-func wrong(rows []auditlog.Interval, f *testcluster.Fleet, logs map[int][]period) (n int) {
+// mismatchedRows counts the rows of an audit whose version was not in force at that gateway at that
+// time, according to the gateways' logs.
+func mismatchedRows(rows []auditlog.Interval, f *testcluster.Fleet, logs map[int][]period) (n int) {
 	for _, row := range rows {
 		if row.Item != "plans" || row.Forwarded+row.Retries == 0 {
 			continue
@@ -137,7 +141,8 @@
 		fits := false
 		for i, all := range logs {
 			for _, s := range all {
-				// An entry is written once a second: it may begin and end so much earlier or later.
+				// An entry is written once a second, so it may begin or end that much earlier or
+				// later than the version was in force.
 				fits = fits ||
 					testcluster.Name(i) == row.ID && s.number == row.Number &&
 						s.from <= to+slack && s.to >= from-2*time.Second
@@ -150,16 +155,17 @@
 	return n
 }
 
-// change is when a version may be acted on: from when it was agreed to its end.
+// change is the period in which a version may be acted on, from its commit to its end.
 type change struct {
 	from, to time.Duration
-	factor   float64 // of the site's plans
+	factor   float64 // by which the site's plans are multiplied
 }
 
-// over is how many customers had more than the terms that were in force allow, over any window. At
-// each time the highest terms count of those versions that somebody may act on, and for as long
-// after as a part lasts that its holder can't be told of.
-func over(f *testcluster.Fleet, all []change, stops int) (bad []string) {
+// customersBeyondTerms describes the customers that had more than the terms in force allow, over
+// any window. At each time the highest terms of all versions count that a gateway may act on. A
+// version also counts for as long after its end as an allocation lasts whose holder can't be
+// notified.
+func customersBeyondTerms(f *testcluster.Fleet, all []change, stops int) (bad []string) {
 	uses, plans := allocationtest.Uses(f.Record, 0)
 	lasts := allocation.DefaultConfig().TTL + allocation.DefaultConfig().TTL/8 + slack
 	factor := func(at time.Duration) (highest float64) {
--- a/internal/testing/audittest/run.go
+++ b/internal/testing/audittest/run.go
@@ -22,23 +22,23 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
 	Seed      uint64
 	Instances int
 	For       time.Duration
 	Load      float64
-	Logs      string // a folder for the gateways' logs; "": they go with the fleet
-	Bin       string // built with the tag faults; "": it is built
+	Logs      string // folder for the gateways' logs; "": they are deleted with the fleet
+	Bin       string // gateway binary built with the tag faults; "": Run builds it
 }
 
 const (
-	voters = 3
-	seen   = 100 * time.Millisecond // how often what is agreed is looked at
+	voters       = 3
+	pollInterval = 100 * time.Millisecond // interval at which the committed versions are polled
 )
 
-// Run plays a fleet that is given versions of its plans amid faults, and beside it the same traffic
-// and versions without any.
+// Run runs a fleet that rolls out versions of its plans amid faults, and then another with the same
+// traffic without faults. It returns the summary of the first.
 func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
@@ -83,22 +83,22 @@
 	return fig, nil
 }
 
-// course is one world that runs.
-type course struct {
+// trial is one running fleet with its observations.
+type trial struct {
 	o    *Options
 	f    *testcluster.Fleet
 	harm *testcluster.Harm
 
-	mu      sync.Mutex
-	all     map[uint64]change
-	ended   map[uint64]time.Duration // when it was seen that nobody may act on a version any more
-	forAll  map[uint64]time.Duration // when a version was seen to be for all
-	calls   int
-	refused int // of proposals, while another roll-out is under way or nobody is to be asked
-	drawn   int // withdrawn
-	heads   []auditlog.Head
-	behind  map[string]bool // members that were seen behind
-	brought int
+	mu        sync.Mutex
+	changes   map[uint64]change
+	ended     map[uint64]time.Duration // when a version was first seen to have expired
+	forAll    map[uint64]time.Duration // when a version was first seen to be complete
+	calls     int
+	refused   int // proposals that failed, such as while another rollout is in progress
+	withdrawn int
+	heads     []auditlog.Head
+	behind    map[string]bool // members that were seen to be behind
+	broughtUp int             // how often a member that was behind has caught up
 }
 
 func (o *Options) play(
@@ -120,9 +120,9 @@
 		return nil, err
 	}
 	defer f.Close()
-	c := &course{o: o,
+	c := &trial{o: o,
 		f: f,
-		all: map[uint64]change{
+		changes: map[uint64]change{
 			1: {to: 1 << 62, factor: 1},
 		},
 		ended:  map[uint64]time.Duration{},
@@ -135,8 +135,8 @@
 			Stops:    3 * LeaseTTL,
 			Progress: progress,
 		}}
-	c.harm.Likely = func(*rand.Rand) int { return c.guide() }
-	if err := c.settled(ctx); err != nil {
+	c.harm.Likely = func(*rand.Rand) int { return c.rolloutLeader() }
+	if err := c.waitUntilSettled(ctx); err != nil {
 		return nil, err
 	}
 	before := f.Passed()
@@ -159,7 +159,7 @@
 	f.Clients.Run(trafficContext)
 	wg.Wait()
 	bytes := f.Passed() - before
-	if err := c.settled(ctx); err != nil {
+	if err := c.waitUntilSettled(ctx); err != nil {
 		return nil, err
 	}
 	fig, err := c.check()
@@ -173,15 +173,15 @@
 	return fig, err
 }
 
-// settled waits until all may act on the newest version that is for all.
-func (c *course) settled(ctx context.Context) error {
+// waitUntilSettled waits until all gateways may act on the newest complete version.
+func (c *trial) waitUntilSettled(ctx context.Context) error {
 	last := ""
 	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline) &&
 		ctx.Err() == nil; testcluster.Pass(ctx, 50*time.Millisecond) {
 		n := 0
 		for i := range c.f.Gateways {
-			v, err := agreed(c.f, i)
-			h, bad := here(c.f, i)
+			v, err := versionsStatus(c.f, i)
+			h, bad := rolloutStatus(c.f, i)
 			if err = errors.Join(err, bad); err != nil {
 				last = err.Error()
 				continue
@@ -192,21 +192,21 @@
 					newest = one.Number
 				}
 			}
-			if last = fmt.Sprintf("%s: %+v, %d is for all", testcluster.Name(i), h,
+			if last = fmt.Sprintf("%s: %+v, version %d is complete", testcluster.Name(i), h,
 				newest); h.Until > 0 && (newest <= 1 || h.InForce["plans"] >= newest) {
 				n++
 			}
 		}
 		if n == len(c.f.Gateways) {
-			c.look(0)
+			c.poll(0)
 			return nil
 		}
 	}
-	return fmt.Errorf("not all have caught up: %s", last)
+	return fmt.Errorf("not all gateways have caught up; last state: %s", last)
 }
 
-// guide is who guides roll-outs; -1: nobody says so.
-func (c *course) guide() int {
+// rolloutLeader returns the gateway that leads rollouts, or -1 if none reports that it does.
+func (c *trial) rolloutLeader() int {
 	for i, g := range c.f.Gateways {
 		var h controlplane.LocalStatus
 		if g.Running() && !c.f.Stopped(i) && c.f.Call(i, "here", &h) == nil &&
@@ -217,8 +217,8 @@
 	return -1
 }
 
-// someone is a gateway that can be called.
-func (c *course) someone(r *rand.Rand) int {
+// anyRunning returns a random gateway that is neither down nor suspended, or 0 if there is none.
+func (c *trial) anyRunning(r *rand.Rand) int {
 	for _, i := range r.Perm(len(c.f.Gateways)) {
 		if c.f.Gateways[i].Running() && !c.f.Stopped(i) {
 			return i
@@ -227,11 +227,11 @@
 	return 0
 }
 
-// propose has versions proposed every few seconds, and every third one withdrawn soon after.
-func (c *course) propose(ctx context.Context) {
+// propose proposes versions every few seconds, and withdraws one in three soon after.
+func (c *trial) propose(ctx context.Context) {
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xad))
 	for testcluster.Pass(ctx, time.Duration(harness.Between(r, 1.5, 3.5)*float64(time.Second))) {
-		at := c.someone(r)
+		at := c.anyRunning(r)
 		stage, factor := configversion.StageOne, harness.Between(r, 0.5, 1)
 		if r.IntN(3) == 0 {
 			stage = configversion.StageAll
@@ -248,9 +248,9 @@
 			c.mu.Unlock()
 			continue
 		}
-		c.all[number] = change{from: began, to: 1 << 62, factor: factor}
+		c.changes[number] = change{from: began, to: 1 << 62, factor: factor}
 		c.mu.Unlock()
-		c.harm.Logf("%s proposes %d for %s, in %v: the plans times %.2f",
+		c.harm.Logf("%s proposes version %d, stage %s, lead %v: the plans times %.2f",
 			testcluster.Name(at), number, stage, lead, factor)
 		if r.IntN(3) != 0 ||
 			!testcluster.Pass(ctx,
@@ -259,30 +259,33 @@
 		}
 		var next uint64
 		began = c.f.Record.Now()
-		if c.f.Call(c.someone(r), fmt.Sprintf("versions withdraw plans %d drawn", number),
+		if c.f.Call(c.anyRunning(r), fmt.Sprintf("versions withdraw plans %d drawn", number),
 			&next) == nil {
 			c.mu.Lock()
-			c.drawn++
-			v, err := agreed(c.f, c.someone(r))
-			if one := version(&v, next); err == nil && one != nil {
-				c.all[next] = change{from: began, to: 1 << 62, factor: c.all[one.Restores].factor}
+			c.withdrawn++
+			v, err := versionsStatus(c.f, c.anyRunning(r))
+			if one := findVersion(&v, next); err == nil && one != nil {
+				c.changes[next] = change{
+					from: began, to: 1 << 62, factor: c.changes[one.Restores].factor,
+				}
 			}
 			c.mu.Unlock()
-			c.harm.Logf("%d is withdrawn, %d takes its place", number, next)
+			c.harm.Logf("version %d is withdrawn and replaced by version %d", number, next)
 		}
 	}
 }
 
-// watch notes when versions end, and who is behind.
-func (c *course) watch(ctx context.Context) {
+// watch polls the committed versions until the context ends.
+func (c *trial) watch(ctx context.Context) {
 	r := rand.New(rand.NewPCG(c.o.Seed, 0xae))
-	for testcluster.Pass(ctx, seen) {
-		c.look(c.someone(r))
+	for testcluster.Pass(ctx, pollInterval) {
+		c.poll(c.anyRunning(r))
 	}
 }
 
-func (c *course) look(at int) {
-	v, err := agreed(c.f, at)
+// poll records which versions are complete or have ended, and which members are behind.
+func (c *trial) poll(at int) {
+	v, err := versionsStatus(c.f, at)
 	if err != nil {
 		return
 	}
@@ -292,18 +295,18 @@
 	c.heads = v.Heads
 	for _, one := range v.Versions {
 		if _, ok := c.forAll[one.Number]; !ok && one.State == configversion.StateComplete &&
-			now > seen {
-			c.forAll[one.Number] = now - seen // it was by then, or a little later
+			now > pollInterval {
+			c.forAll[one.Number] = now - pollInterval // lower bound: the previous poll
 		}
 		if _, ok := c.ended[one.Number]; !ok && one.ExpiresAt != 0 && v.At >= one.ExpiresAt {
 			c.ended[one.Number] = now
-			if k, ok := c.all[one.Number]; ok {
+			if k, ok := c.changes[one.Number]; ok {
 				k.to = now
-				c.all[one.Number] = k
+				c.changes[one.Number] = k
 			}
 		}
-		if _, ok := c.all[one.Number]; !ok { // of a proposal or withdrawal whose answer was lost
-			c.all[one.Number] = change{to: 1 << 62, factor: 1}
+		if _, ok := c.changes[one.Number]; !ok { // its proposal or withdrawal got no answer
+			c.changes[one.Number] = change{to: 1 << 62, factor: 1}
 		}
 	}
 	behind := map[string]bool{}
@@ -312,30 +315,30 @@
 	}
 	for who := range c.behind {
 		if !behind[who] {
-			c.brought++
+			c.broughtUp++
 		}
 	}
 	c.behind = behind
 }
 
-var outs = regexp.MustCompile(
+var fencingLines = regexp.MustCompile(
 	`(?m)^.*msg="fleet: (fenced: this gateway operates under no version|` +
 		`readmitted: this gateway operates again)".*$`,
 )
 
-// check ends the fleet and reads what all have left.
-func (c *course) check() (*harness.Summary, error) {
+// check ends the fleet and judges it by the logs and records of all gateways.
+func (c *trial) check() (*harness.Summary, error) {
 	fig := c.f.Summary("audit")
-	// heads of the last entries but few are told
+	// Wait until the heads of nearly all entries have been reported.
 	testcluster.Pass(context.Background(), 4*time.Second)
-	c.look(0)
+	c.poll(0)
 	for i := range c.f.Gateways {
 		if err := c.f.End(i, syscall.SIGTERM); err != nil {
 			return fig, err
 		}
 	}
 	logs := map[int][]period{}
-	shut, let := 0, 0
+	fenced, readmitted := 0, 0
 	perGateway, hearing := []time.Duration{}, []time.Duration{}
 	broken := func(rule string, n int, format string, args ...any) {
 		if fig.Broken[harness.Rule(rule)] += n; n > 0 {
@@ -345,29 +348,29 @@
 	stops := c.harm.Did("stops")
 	late := 0
 	for i, g := range c.f.Gateways {
-		all, err := spans(c.f, i)
+		all, err := versionPeriods(c.f, i)
 		if err != nil {
 			return fig, err
 		}
 		logs[i] = all
 		late += lateOperations(c.f, all, c.ended)
 		out := false
-		for _, m := range outs.FindAllStringSubmatch(g.Log(), -1) {
+		for _, m := range fencingLines.FindAllStringSubmatch(g.Log(), -1) {
 			if is := strings.HasPrefix(m[1], "fenced"); is &&
 				!strings.Contains(m[0], configversion.ReasonNoResponseYet) {
-				shut++
+				fenced++
 				out = true
 			} else if !is && out {
-				let++
+				readmitted++
 				out = false
 			}
 		}
 		for _, s := range all {
-			if k, ok := c.all[s.number]; ok && s.number > 1 && s.from > k.from && k.from > 0 {
+			if k, ok := c.changes[s.number]; ok && s.number > 1 && s.from > k.from && k.from > 0 {
 				perGateway = append(perGateway, s.from-k.from)
 			}
-			// Of those that hear: nothing was done to them since, nor so shortly before that they
-			// may have been shut out.
+			// Only gateways without a fault since then, nor so shortly before that they may have
+			// been fenced.
 			if at, ok := c.forAll[s.number]; ok && s.from > at &&
 				!c.harm.Befell(i, at-2*LeaseTTL, s.from) {
 				hearing = append(hearing, s.from-at)
@@ -378,7 +381,7 @@
 				[]byte(g.Log()), 0o600)
 		}
 	}
-	// A stop may lie between the last look and the write.
+	// A suspension may fall between the last check and the write of one request.
 	broken("acts_on_withdrawn", max(0, late-stops), "%d requests, %d stops", late, stops)
 	wrote, err := records(c.f)
 	if err != nil {
@@ -387,7 +390,7 @@
 	var all []auditlog.Entry
 	unexplained, untaken := 0, 0
 	for i := range c.f.Gateways {
-		u, n := account(c.f, i, wrote[i])
+		u, n := compareRecord(c.f, i, wrote[i])
 		unexplained, untaken = unexplained+u, untaken+n
 		all = append(all, wrote[i]...)
 	}
@@ -398,20 +401,21 @@
 	}
 	fig.Broken["record_broken"] += 0
 	rows, gaps := auditlog.Summarize(good, (10 * time.Second).Microseconds())
-	n := wrong(rows, c.f, logs)
+	n := mismatchedRows(rows, c.f, logs)
 	broken("wrong_version", n, "%d stretches of the audit do not fit what was logged", n)
-	unseen := c.forge(wrote)
+	unseen := c.undetectedForgeries(wrote)
 	broken("forged_unseen", len(unseen), "%v", unseen)
 	var changes []change
-	for _, k := range slices.Sorted(maps.Keys(c.all)) {
-		changes = append(changes, c.all[k])
+	for _, k := range slices.Sorted(maps.Keys(c.changes)) {
+		changes = append(changes, c.changes[k])
 	}
-	beyond := over(c.f, changes, stops)
+	beyond := customersBeyondTerms(c.f, changes, stops)
 	broken("mixed_sum_over_whole", len(beyond), "%v", beyond[:min(3, len(beyond))])
-	fig.Extra["rollouts"] = len(c.all) - 1
-	fig.Extra["withdrawn"] = c.drawn
+	fig.Extra["rollouts"] = len(c.changes) - 1
+	fig.Extra["withdrawn"] = c.withdrawn
 	fig.Extra["proposals_refused"] = c.refused
-	fig.Extra["brought_up"], fig.Extra["shut_out"], fig.Extra["let_back"] = c.brought, shut, let
+	fig.Extra["brought_up"], fig.Extra["shut_out"], fig.Extra["let_back"] =
+		c.broughtUp, fenced, readmitted
 	fig.Extra["in_force_ms_p50"] = harness.Quantile(perGateway, 0.5)
 	fig.Extra["in_force_ms_p99"] = harness.Quantile(perGateway, 0.99)
 	fig.Extra["in_force_hearing_ms_p50"] = harness.Quantile(hearing, 0.5)
@@ -431,8 +435,9 @@
 	return fig, nil
 }
 
-// forge damages each gateway's record in turn, in each way, and gives those that do not show.
-func (c *course) forge(wrote map[int][]auditlog.Entry) (unseen []string) {
+// undetectedForgeries damages each gateway's record in each way in turn, and returns the damages
+// that auditlog.Verify does not detect.
+func (c *trial) undetectedForgeries(wrote map[int][]auditlog.Entry) (unseen []string) {
 	for i := range c.f.Gateways {
 		for what, change := range map[string]func([]auditlog.Entry) []auditlog.Entry{
 			"cut":      func(e []auditlog.Entry) []auditlog.Entry { return e[:len(e)/4] },
