--- a/internal/testing/allocationtest/budget_test.go
+++ b/internal/testing/allocationtest/budget_test.go
@@ -20,9 +20,10 @@
 
 func TestMain(m *testing.M) { os.Exit(testcluster.Main(&bin, m.Run)) }
 
-// points are where processes stop or kill themselves, by a file in their folder.
+// points are the failpoints at which processes suspend or kill themselves if a file asks for it.
 var points = []string{
-	"round-before-commit", "round-after-commit", "allocation-taken", "allocation-renewed", "allocation-reduced",
+	"round-before-commit", "round-after-commit",
+	"allocation-taken", "allocation-renewed", "allocation-reduced",
 }
 
 func faults(more string) string {
@@ -33,8 +34,8 @@
 	return text
 }
 
-// fleet starts a fleet that divides, with all faults to be had, and waits until the shards are
-// owned.
+// fleet starts a fleet that divides quotas, with all faults available, and waits until each shard
+// has an owner.
 func fleet(t *testing.T, o testcluster.Options, clock func(i int) string) *trialRun {
 	t.Helper()
 	o.Bin, o.Load, o.Seed = bin, 0.3, o.Seed+1
@@ -48,13 +49,13 @@
 		return faults(clock(i))
 	}
 	f := clustertest.Fleet(t, o)
-	f.Site.Shift = time.Second // demand moves, and parts with it
+	f.Site.Shift = time.Second // demand moves between gateways, and allocations with it
 	run := newRun(f, &Options{Shards: 1}, writer{t})
-	clustertest.Check(t, run.settled(t.Context()))
+	clustertest.Check(t, run.waitUntilSettled(t.Context()))
 	return run
 }
 
-// writer has a run's notes be a test's.
+// writer writes a run's progress to a test's log.
 type writer struct{ t *testing.T }
 
 func (w writer) Write(b []byte) (int, error) {
@@ -62,8 +63,8 @@
 	return len(b), nil
 }
 
-// play has clients ask for as long as something is done, and a little longer.
-func play(t *testing.T, run *trialRun, do func()) {
+// withTraffic runs do while clients send requests, with a second of traffic before and after it.
+func withTraffic(t *testing.T, run *trialRun, do func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -79,20 +80,21 @@
 	<-done
 }
 
-// kept fails the test if the whole of any budget was passed, by what servers took or by what
+// checkLimits fails the test if any budget was exceeded, by what servers received or by what
 // processes held.
-func kept(t *testing.T, run *trialRun) *harness.Summary {
+func checkLimits(t *testing.T, run *trialRun) *harness.Summary {
 	t.Helper()
 	fig := run.f.Summary("budgets")
 	clustertest.Check(t, run.judge(fig))
 	if !fig.OK || len(Windows(run.f.Site, run.f.Record, Slack{})) == 0 {
-		t.Errorf("broken %v, why %v", fig.Broken, fig.Why)
+		t.Errorf("broken rules: %v; failures: %v", fig.Broken, fig.Why)
 	}
 	return fig
 }
 
-// stands waits until a process lies stopped, or has ended, at the point that was asked of it.
-func (t *trialRun) stands(tt *testing.T, i int, how, point string) {
+// injectAt requests that a process suspends (stop) or kills itself (kill) at a failpoint, and waits
+// until it has.
+func (t *trialRun) injectAt(tt *testing.T, i int, how, point string) {
 	tt.Helper()
 	if how == "kill" {
 		t.f.Gateways[i].Expect(syscall.SIGKILL)
@@ -111,7 +113,7 @@
 	}
 }
 
-// eventually waits for something that tells no more than whether it is so.
+// eventually is clustertest.Eventually for a condition without a description.
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	clustertest.Eventually(t, what, func() (bool, string) { return is(), "" })
@@ -127,28 +129,28 @@
 	return i
 }
 
-// rights are what a gateway holds.
-func rights(t *testing.T, f *testcluster.Fleet, i int) (r controlplane.AllocationStatus) {
+// allocationStatus returns the allocations that a gateway holds.
+func allocationStatus(t *testing.T, f *testcluster.Fleet, i int) (r controlplane.AllocationStatus) {
 	t.Helper()
 	clustertest.Check(t, f.Call(i, "rights", &r))
 	return r
 }
 
-// A customer's busiest gateway is cut off amid a surge: it goes on by its parts, then by its
-// floors; the others get the rest. Then both are sure of themselves, and one hears the other.
+// A gateway is cut off under load. It continues with its allocations, then with its reserved
+// minimums, while the others get the rest. After the isolation it gets allocations again.
 func TestCutOffGatewayStaysInsideItsRights(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4}, nil)
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		cut := 3
 		if ownerOf(t, run) == cut {
-			cut = 2 // the owner is another's case
+			cut = 2 // the isolation of an owner is another test's case
 		}
 		run.f.Isolate(cut, true, true, true)
-		eventually(t, "floors alone at the one that is cut off", func() bool {
-			held := rights(t, run.f, cut).Held
+		eventually(t, "only reserved minimums at the isolated gateway", func() bool {
+			held := allocationStatus(t, run.f, cut).Held
 			return len(held) > 0 && held[0].Until == 0 && held[0].ReservedUntil > 0
 		})
-		eventually(t, "its parts taken back", func() bool {
+		eventually(t, "its allocations to be reclaimed", func() bool {
 			var books []allocation.View
 			if run.f.Call(0, "budgets", &books) != nil {
 				return false
@@ -164,34 +166,33 @@
 			return len(books) > 0
 		})
 		run.f.Heal()
-		eventually(t, "renewed rights", func() bool {
-			held := rights(t, run.f, cut).Held
+		eventually(t, "renewed allocations", func() bool {
+			held := allocationStatus(t, run.f, cut).Held
 			return len(held) > 0 && held[0].Until > 0
 		})
 	})
-	kept(t, run)
+	checkLimits(t, run)
 	if run.f.Held() == 0 {
-		t.Error("the cut held nothing up")
+		t.Error("the cut links held nothing back")
 	}
 }
 
-// Processes stop and kill themselves at each point where it matters, in one fleet, one after
-// another.
+// Processes suspend or kill themselves at each critical point, one after another in one fleet.
 func TestEndsAmidWork(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 1}, nil)
-	play(t, run, func() {
-		// A holder stops between taking units and its last look at the clock, for twice its span,
-		// and is woken with requests queued.
+	withTraffic(t, run, func() {
+		// A holder is suspended between taking units and its last check of the clock, for twice its
+		// TTL, and resumed with requests queued.
 		i := (ownerOf(t, run) + 1) % 4
-		run.stands(t, i, "stop", "allocation-taken")
+		run.injectAt(t, i, "stop", "allocation-taken")
 		testcluster.Pass(t.Context(), 2*allocation.DefaultConfig().TTL)
 		clustertest.Check(t, run.f.Wake(i))
 		run.f.Record.AddProcessEvent(i, harness.Resumed)
-		// The owner stops between having a round agreed and telling it, and before: its words come
-		// after those of the next.
+		// The owner is suspended after the commit of a round and before it sends the result, and
+		// then before the commit: its messages come after those of the next owner.
 		for _, point := range []string{"round-after-commit", "round-before-commit"} {
 			i := ownerOf(t, run)
-			run.stands(t, i, "stop", point)
+			run.injectAt(t, i, "stop", point)
 			eventually(t, "another owner", func() bool {
 				own := run.leader(allocation.RoleOfShard(0))
 				return own >= 0 && own != i
@@ -200,63 +201,62 @@
 			clustertest.Check(t, run.f.Wake(i))
 			run.f.Record.AddProcessEvent(i, harness.Resumed)
 		}
-		// What a part is lessened to is heard by a process that is killed before it acts on it, and
-		// by one that is killed after.
+		// A process receives a reduced allocation and is killed before it applies the reduction,
+		// and another one after.
 		for _, point := range []string{"allocation-renewed", "allocation-reduced"} {
 			i := (ownerOf(t, run) + 1) % 4
-			run.stands(t, i, "kill", point)
+			run.injectAt(t, i, "kill", point)
 			clustertest.Check(t, run.f.Begin(i))
-			eventually(t, "rights of the one that was started anew", func() bool {
-				return len(rights(t, run.f, i).Held) > 0
+			eventually(t, "allocations of the restarted gateway", func() bool {
+				return len(allocationStatus(t, run.f, i).Held) > 0
 			})
 		}
 	})
-	kept(t, run)
+	checkLimits(t, run)
 }
 
-// All voters are gone at once: whoever is left runs down to its floors and serves by them; then all
-// is back.
+// All voters are killed at once. The remaining gateway is left with its reserved minimums and
+// serves by them. After the voters' restart it gets allocations again.
 func TestNoVoters(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Voters: 3, Seed: 4}, nil)
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		for i := range 3 {
 			clustertest.Check(t, run.f.End(i, syscall.SIGKILL))
 		}
-		eventually(t, "floors alone", func() bool { return floorsAlone(t, run.f, 3) })
+		eventually(t, "only reserved minimums", func() bool { return onlyReserved(t, run.f, 3) })
 		alone := run.f.Record.Now()
-		testcluster.Pass(t.Context(), without)
-		served(t, run, alone, 3)
+		testcluster.Pass(t.Context(), outage)
+		checkServed(t, run, alone, 3)
 		for i := range 3 {
 			clustertest.Check(t, run.f.Begin(i))
 		}
-		eventually(t, "renewed rights", func() bool { return renewed(t, run.f, 3) })
+		eventually(t, "renewed allocations", func() bool { return hasAllocations(t, run.f, 3) })
 	})
-	kept(t, run)
+	checkLimits(t, run)
 }
 
-// without is for how long nobody divides: less than floors last.
-const without = 30 * time.Second
+// outage is how long no owner divides quotas. It is shorter than reserved minimums last.
+const outage = 30 * time.Second
 
-// floorsAlone tells whether a gateway has floors of quotas and no parts; renewed, whether it has
-// parts again.
-func floorsAlone(t *testing.T, f *testcluster.Fleet, i int) (floors bool) {
-	for _, r := range rights(t, f, i).Held {
+// onlyReserved reports whether a gateway has reserved minimums and no allocations beyond them.
+func onlyReserved(t *testing.T, f *testcluster.Fleet, i int) (reserved bool) {
+	for _, r := range allocationStatus(t, f, i).Held {
 		if r.Until > 0 {
 			return false
 		}
-		floors = floors || r.ReservedUntil > 0 && r.Allocation.ReservedMin.Burst > 0
+		reserved = reserved || r.ReservedUntil > 0 && r.Allocation.ReservedMin.Burst > 0
 	}
-	return floors
+	return reserved
 }
 
-func renewed(t *testing.T, f *testcluster.Fleet, i int) bool {
-	return slices.ContainsFunc(rights(t, f, i).Held, func(r allocation.HolderStatus) bool {
-		return r.Until > 0
-	})
+// hasAllocations reports whether a gateway has a valid allocation.
+func hasAllocations(t *testing.T, f *testcluster.Fleet, i int) bool {
+	return slices.ContainsFunc(allocationStatus(t, f, i).Held,
+		func(r allocation.HolderStatus) bool { return r.Until > 0 })
 }
 
-// served fails the test if a gateway has sent nothing on since some time.
-func served(t *testing.T, run *trialRun, since time.Duration, i int) {
+// checkServed fails the test if a gateway has forwarded nothing since a time.
+func checkServed(t *testing.T, run *trialRun, since time.Duration, i int) {
 	t.Helper()
 	some := false
 	run.f.Record.Read(func() {
@@ -265,91 +265,91 @@
 		})
 	})
 	if !some {
-		t.Errorf("%s sent nothing on by its floors", testcluster.Name(i))
+		t.Errorf("%s forwarded nothing by its reserved minimums", testcluster.Name(i))
 	}
 }
 
-// The shard's owner holds its duty and divides nothing for 30 s: parts run out, floors serve, and
-// then all is back. Whoever takes the duty on has the same trouble.
+// The shard's owner keeps its role but divides nothing for 30 s. Allocations expire, gateways serve
+// by their reserved minimums, and then get allocations again. Any next owner has the same fault.
 func TestNoOwnerFor30Seconds(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 9}, func(int) string {
-		return "slow=shard-before-read:" + without.String() + "@slow"
+		return "slow=shard-before-read:" + outage.String() + "@slow"
 	})
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		for i := range run.f.Gateways {
 			clustertest.Check(t,
 				os.WriteFile(filepath.Join(run.f.Gateways[i].Dir(), "slow"), nil, 0o600))
 		}
 		from := ownerOf(t, run)
 		to := (from + 1) % 4
-		eventually(t, "the duty handed on", func() bool {
+		eventually(t, "the transfer of the role", func() bool {
 			_ = run.f.Call(from,
 				"transfer "+allocation.RoleOfShard(0)+" "+testcluster.Name(to), nil)
 			own := run.leader(allocation.RoleOfShard(0))
 			return own >= 0 && own != from
 		})
 		began := time.Now()
-		eventually(t, "floors alone everywhere", func() bool {
+		eventually(t, "only reserved minimums at all gateways", func() bool {
 			for i := range run.f.Gateways {
-				if !floorsAlone(t, run.f, i) {
+				if !onlyReserved(t, run.f, i) {
 					return false
 				}
 			}
 			return true
 		})
 		alone := run.f.Record.Now()
-		testcluster.Pass(t.Context(), without/2)
+		testcluster.Pass(t.Context(), outage/2)
 		for i := range run.f.Gateways {
-			served(t, run, alone, i)
+			checkServed(t, run, alone, i)
 			clustertest.Check(t, os.Remove(filepath.Join(run.f.Gateways[i].Dir(), "slow")))
 		}
-		eventually(t, "renewed rights", func() bool {
+		eventually(t, "renewed allocations", func() bool {
 			for i := range run.f.Gateways {
-				if !renewed(t, run.f, i) {
+				if !hasAllocations(t, run.f, i) {
 					return false
 				}
 			}
 			return true
 		})
-		if time.Since(began) < without/2 {
-			t.Error("an owner divided all the time: nothing was shown")
+		if time.Since(began) < outage/2 {
+			t.Error("an owner divided quotas during the fault")
 		}
 	})
-	kept(t, run)
+	checkLimits(t, run)
 }
 
-// A voter's folder, and a gateway's that does not vote, are put back as they were long before, with
-// the boots and terms of then: the voter does not vote, the gateway takes what it held for nothing,
-// and the sum holds.
+// The folders of a voter and of a gateway that does not vote are restored from older copies, with
+// old incarnations and terms. The voter must not vote, the gateway must discard the allocations in
+// its folder, and no budget may be exceeded.
 func TestFoldersOfLongBefore(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 10}, nil)
 	voter := 1
 	clustertest.Check(t, run.f.Save(voter), run.f.Save(3))
-	play(t, run, func() {
-		for _, i := range []int{3, voter, 3} { // boots that the copies know nothing of
+	withTraffic(t, run, func() {
+		for _, i := range []int{3, voter, 3} { // incarnations that the copies don't have
 			clustertest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Begin(i))
-			eventually(t, "rights", func() bool { return renewed(t, run.f, i) })
+			eventually(t, "allocations", func() bool { return hasAllocations(t, run.f, i) })
 		}
 		for _, i := range []int{voter, 3} {
 			clustertest.Check(t, run.f.End(i, syscall.SIGKILL), run.f.Restore(i), run.f.Begin(i))
-			eventually(t, "rights with the older folder", func() bool {
-				return renewed(t, run.f, i)
+			eventually(t, "allocations with the older folder", func() bool {
+				return hasAllocations(t, run.f, i)
 			})
 		}
-		eventually(t, "the voter with the older folder says that it must not vote", func() bool {
+		eventually(t, "the voter with the older folder to report a fault", func() bool {
 			var here controlplane.LocalStatus
 			return run.f.Call(voter, "here", &here) == nil && here.Fault != ""
 		})
 	})
-	kept(t, run)
+	checkLimits(t, run)
 }
 
-// The shard's owner leaves: it hands the shard on, and gives back its parts to the next owner, long
-// before they run out.
+// The shard's owner leaves. It transfers the shard and returns its allocations to the next owner,
+// long before they expire.
 func TestAnOwnerThatLeavesGivesBack(t *testing.T) {
 	run := fleet(t,
 		testcluster.Options{Instances: 4, Seed: 12, Operators: Text(1, "span = \"50s\"")}, nil)
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		i := ownerOf(t, run)
 		var here controlplane.LocalStatus
 		clustertest.Check(t, run.f.Call(i, "here", &here))
@@ -364,55 +364,55 @@
 				})
 			})
 		}
-		eventually(t, "parts of the owner's own", holds)
+		eventually(t, "allocations of the owner", holds)
 		clustertest.Check(t, run.f.End(i, syscall.SIGTERM))
-		eventually(t, "nothing held by the one that left", func() bool { return !holds() })
+		eventually(t, "no allocations of the gateway that left", func() bool { return !holds() })
 		clustertest.Check(t, run.f.Begin(i))
 	})
-	kept(t, run)
+	checkLimits(t, run)
 }
 
-// Many join within a second, and then all are replaced, some at a time and in any order. lab
-// budgets --surge plays it with forty.
+// Many gateways join within a second, and then all are replaced in random order, some at a time.
+// lab budgets --surge runs it with 40 gateways.
 func TestSurgeAndRollingReplacement(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 10, Voters: 3, Seed: 11}, nil)
-	play(t, run, func() { clustertest.Check(t, run.surge(t.Context(), 3, 2)) })
-	fig := kept(t, run)
+	withTraffic(t, run, func() { clustertest.Check(t, run.surge(t.Context(), 3, 2)) })
+	fig := checkLimits(t, run)
 	if fig.Broken[harness.Lost] > 0 {
 		t.Error("requests were lost")
 	}
 	if run.harm.Did("joins") < 17 {
-		t.Errorf("%d joins", run.harm.Did("joins"))
+		t.Errorf("%d joins, want at least 17", run.harm.Did("joins"))
 	}
 }
 
-// All are replaced one after another, in order or not, and the parts go to whoever is there.
+// All gateways are replaced one after another, gracefully or by a kill, and get allocations.
 func TestRollingReplacement(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 3, Seed: 5}, nil)
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		for i := range 3 {
 			how := syscall.SIGTERM
 			if i%2 == 1 {
 				how = syscall.SIGKILL
 			}
 			clustertest.Check(t, run.f.End(i, how), run.f.Begin(i))
-			eventually(t, "rights of a newcomer", func() bool {
-				return len(rights(t, run.f, i).Held) > 0
+			eventually(t, "allocations of the new process", func() bool {
+				return len(allocationStatus(t, run.f, i).Held) > 0
 			})
 		}
 	})
-	if fig := kept(t, run); fig.Broken[harness.Lost] > 0 {
+	if fig := checkLimits(t, run); fig.Broken[harness.Lost] > 0 {
 		t.Error("requests were lost")
 	}
 }
 
-// Clocks at nine tenths of the pace, ahead, and one that leaps by a minute at a gateway that
+// One clock runs at 0.9 of the pace, one is 30 s ahead, and one jumps by a minute at a gateway that
 // divides nothing.
 func TestClocksThatDiffer(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 6}, func(i int) string {
 		return []string{"pace=0.9", "ahead=30s", "", "jump=1m@12s"}[i]
 	})
-	play(t, run, func() { testcluster.Pass(t.Context(), 4*time.Second) })
+	withTraffic(t, run, func() { testcluster.Pass(t.Context(), 4*time.Second) })
 	all := Windows(
 		run.f.Site,
 		run.f.Record,
@@ -426,7 +426,7 @@
 	}
 }
 
-// Whoever was up first, the shards go to several gateways.
+// The shards are distributed over several gateways, whichever started first.
 func TestShardsAreSpread(t *testing.T) {
 	const shards = 6
 	run := fleet(t, testcluster.Options{Instances: 4, Seed: 7, Operators: Text(shards)}, nil)
@@ -437,18 +437,18 @@
 		}
 		return len(owners) >= 3 && !owners[-1]
 	}
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		eventually(t, "three owners", spread)
 	})
-	kept(t, run)
+	checkLimits(t, run)
 }
 
-// Quotas are lessened to a quarter while all of them are out, by a configuration that comes with
-// one new process after another.
+// All quotas are reduced to a quarter while they are allocated, by a configuration that each
+// gateway loads when it is restarted, one after another.
 func TestQuotaLessenedByANewConfiguration(t *testing.T) {
 	run := fleet(t, testcluster.Options{Instances: 3, Seed: 8}, nil)
 	var since time.Duration
-	play(t, run, func() {
+	withTraffic(t, run, func() {
 		for i := range run.f.Site.Plans {
 			p := &run.f.Site.Plans[i]
 			p.Rate, p.Burst = p.Rate/4, p.Burst/4
@@ -460,7 +460,7 @@
 		for _, p := range run.f.Site.Plans {
 			plans[p.Burst] = true
 		}
-		eventually(t, "the new wholes", func() bool {
+		eventually(t, "the new limits", func() bool {
 			var books []allocation.View
 			if run.f.Call(0, "budgets", &books) != nil {
 				return false
@@ -472,7 +472,7 @@
 					sum += h.Total.Burst
 				}
 				if len(b.Allocations) == 0 {
-					continue // nobody was asked for it since
+					continue // no client has used it since
 				}
 				if seen++; !plans[b.Limit.Burst] || sum > b.Limit.Burst+1e-6 {
 					return false
@@ -480,7 +480,8 @@
 			}
 			return seen > 0
 		})
-		since = run.f.Record.Now() + 2*time.Second // customers that ask now and then are heard of
+		// After 2 s customers with few requests have been seen, too.
+		since = run.f.Record.Now() + 2*time.Second
 		testcluster.Pass(t.Context(), 4*time.Second)
 	})
 	all := WindowsSince(run.f.Site, run.f.Record,
@@ -491,6 +492,6 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Error("nothing was taken under the new quotas")
+		t.Error("servers received nothing under the new quotas")
 	}
 }
--- a/internal/testing/allocationtest/judge.go
+++ b/internal/testing/allocationtest/judge.go
@@ -1,6 +1,6 @@
-// Package allocationtest has a fleet of real gateways divide quotas while links and processes fail,
-// and judges by what the stand-in servers took, and by what the gateways held, whether the whole
-// was ever passed.
+// Package allocationtest runs a fleet of real gateways that divide quotas while links and processes
+// fail. It judges whether a quota was ever exceeded, by the requests that the simulated servers
+// received and by the allocations that the gateways held.
 package allocationtest
 
 import (
@@ -13,32 +13,32 @@
 	"mothcleat/internal/testing/harness"
 )
 
-// Slack is what a window may pass the whole by: units are taken when a request is decided on, and
-// count here when they reach a server. Between the two a connection may have to be made, and
-// processes wait for a core.
+// Slack is by how much a window may exceed the quota. Units are taken when the gateway decides on a
+// request, and are counted here when they reach a server. Meanwhile a connection may have to be
+// made and processes may wait for a core.
 type Slack struct {
-	Late  time.Duration // so much of the rate
-	Units float64       // and so many units, such as one request for each stop
-	Pace  float64       // and the rate may be more by this part: clocks differ
+	Late  time.Duration // slack in time, multiplied by the rate
+	Units float64       // additional units, such as one request for each suspension
+	Pace  float64       // fraction by which the rate may be higher, because clocks differ
 }
 
-// Window is the worst of all windows of one customer.
+// Window is the window in which a customer exceeded its quota by most.
 type Window struct {
 	Customer string
 	Plan     int
-	Over     float64 // units beyond burst + rate x window + slack; at most 0: none
+	Over     float64 // units beyond burst + rate x window + slack; at most 0 if within the quota
 	At       time.Duration
-	Units    float64 // taken in all
+	Units    float64 // total received by servers
 }
 
-// Use is what reached a server of a customer's quota.
+// Use is a use of a customer's quota, when it first reached a server.
 type Use struct {
 	At    time.Duration
 	Units float64
 }
 
-// Uses are what servers took of each customer, and which plan that has. A try's units count once,
-// when it first reached a server.
+// Uses returns the uses of each customer's quota since a time, and each customer's plan. A try's
+// units count once, when it first reached a server.
 func Uses(rec *harness.Record, since time.Duration) (all map[string][]Use, plans map[string]int) {
 	first := map[string]time.Duration{}
 	for _, a := range rec.Attempts {
@@ -60,21 +60,21 @@
 	return all, plans
 }
 
-// Windows holds against the whole what servers took of each customer, over every window, the worst
-// first.
+// Windows compares the units that servers received with each customer's quota, over every window.
+// It returns the worst window of each customer, the worst first.
 func Windows(s *harness.Site, rec *harness.Record, slack Slack) []Window {
 	return WindowsSince(s, rec, slack, 0)
 }
 
-// WindowsSince is Windows of what reached servers from a time on.
+// WindowsSince is Windows for the units that reached servers since a time.
 func WindowsSince(
 	s *harness.Site, rec *harness.Record, slack Slack, since time.Duration,
 ) (all []Window) {
 	used, plans := Uses(rec, since)
 	for customer, list := range used {
 		p := &s.Plans[plans[customer]]
-		// A bank that is full at first and never refuses shows all windows at once: how far it is
-		// overdrawn is how far the worst one that ends there is over.
+		// A bucket that is full at first and never refuses shows all windows at once: its overdraft
+		// is the excess of the worst window that ends there.
 		rate := p.Rate * (1 + slack.Pace)
 		w := Window{Customer: customer, Plan: plans[customer], Over: math.Inf(-1)}
 		level, last := p.Burst, time.Duration(0)
@@ -99,14 +99,14 @@
 		w.Customer, w.Plan, w.Over, w.At.Round(time.Millisecond), w.Units)
 }
 
-// RefusedWithRoom is which part of the first tries inside their quotas was refused although one who
-// sees all that servers took would have found the units in the customer's store.
+// RefusedWithRoom returns the fraction of the first tries inside their quotas that was refused
+// although the customer's quota, as counted over all servers, had the units.
 func RefusedWithRoom(s *harness.Site, rec *harness.Record) float64 {
 	used, _ := Uses(rec, 0)
 	levels := map[string]float64{}
 	at, next := map[string]time.Duration{}, map[string]int{}
 	refused, inside := 0, 0
-	for _, o := range harness.Outcomes(s, rec) { // in the order of their asking
+	for _, o := range harness.Outcomes(s, rec) { // in the order of the requests
 		if !o.Inside {
 			continue
 		}
@@ -134,7 +134,7 @@
 	return float64(refused) / math.Max(1, float64(inside))
 }
 
-// refusedInside is which part of them was refused at all.
+// refusedInside returns the fraction of the first tries inside their quotas that was refused.
 func refusedInside(s *harness.Site, rec *harness.Record) float64 {
 	refused, inside := 0, 0
 	for _, o := range harness.Outcomes(s, rec) {
--- a/internal/testing/allocationtest/rights.go
+++ b/internal/testing/allocationtest/rights.go
@@ -23,25 +23,26 @@
 
 const recordName = "rights"
 
-// term is when one process could use one part of a budget, by what it wrote down itself.
-type term struct {
+// allocationPeriod is the period in which a process could use one share of a budget, according to
+// the process's own record.
+type allocationPeriod struct {
 	from, to time.Duration
 	who      lease.Member
 	share    allocation.Share
 }
 
-// Allocations are what all processes of a fleet wrote down, joined.
+// Allocations are the joined allocation records of all processes of a fleet.
 type Allocations struct {
-	Terms   map[uint64][]term // by budget
-	Changes int               // of parts
+	Terms   map[uint64][]allocationPeriod // periods by budget
+	Changes int                           // number of changed allocations
 	Began   map[lease.Member]time.Duration
-	First   map[lease.Member]time.Duration // when it first held something
+	First   map[lease.Member]time.Duration // when it first held an allocation
 }
 
 // ReadAllocations reads and joins the records of a fleet's gateways.
 func ReadAllocations(f *testcluster.Fleet) (*Allocations, error) {
 	r := &Allocations{
-		Terms: map[uint64][]term{},
+		Terms: map[uint64][]allocationPeriod{},
 		Began: map[lease.Member]time.Duration{},
 		First: map[lease.Member]time.Duration{},
 	}
@@ -74,7 +75,7 @@
 	return all, in.Err()
 }
 
-// join adds the lines of one gateway, of one process after another.
+// join adds the lines of one gateway, whose processes ran one after another.
 func (r *Allocations) join(lines []allocator.RecordLine) {
 	type key struct {
 		who   lease.Member
@@ -91,7 +92,7 @@
 			}
 			add := func(from, end time.Duration, s allocation.Share) {
 				if end = min(end, to); end > from && s.Burst > 0 {
-					r.Terms[n] = append(r.Terms[n], term{from, end, k.who, s})
+					r.Terms[n] = append(r.Terms[n], allocationPeriod{from, end, k.who, s})
 				}
 			}
 			add(l.At, l.Until, h.Total)
@@ -102,7 +103,7 @@
 		k := key{l.Member, l.Shard}
 		if _, ok := r.Began[l.Member]; !ok {
 			r.Began[l.Member] = l.At
-			// By the lock on the folder those before run no more.
+			// The lock on the folder ensures that the processes before it have exited.
 			for other := range last {
 				if other.who != l.Member {
 					close(other, l.At)
@@ -131,19 +132,20 @@
 	}
 }
 
-// Sum is the worst moment of a budget.
+// Sum is by how much the allocations of a budget exceeded it at the worst time.
 type Sum struct {
 	Budget uint64
-	Over   allocation.Share // beyond the whole; at most 0: never
+	Over   allocation.Share // beyond the budget; at most 0 if never
 	At     time.Duration
 }
 
-// Sums holds against each whole what all together could use at a time, the worst first.
+// Sums compares each budget with the shares that all processes together could use at one time. The
+// worst sum comes first.
 func (r *Allocations) Sums(s *harness.Site) (all []Sum) {
-	wholes := map[uint64]allocation.Share{}
+	limits := map[uint64]allocation.Share{}
 	for _, c := range s.Customers {
 		if id, err := strconv.ParseUint(c.ID, 16, 64); err == nil {
-			wholes[id] = allocation.Share{Rate: s.Plans[c.Plan].Rate, Burst: s.Plans[c.Plan].Burst}
+			limits[id] = allocation.Share{Rate: s.Plans[c.Plan].Rate, Burst: s.Plans[c.Plan].Burst}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.Terms)) {
@@ -173,7 +175,7 @@
 				}, e.at
 			}
 		}
-		limit := wholes[id]
+		limit := limits[id]
 		highest.Budget = id
 		highest.Over.Rate -= limit.Rate
 		highest.Over.Burst -= limit.Burst
--- a/internal/testing/allocationtest/run.go
+++ b/internal/testing/allocationtest/run.go
@@ -20,20 +20,22 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
 	Seed      uint64
 	Instances int
 	For       time.Duration
 	Load      float64
 	Shards    int
-	Compare   bool // notes as well, and even parts, undisturbed
-	// most leave, join within a second, and all are replaced, in place of faults at random
+	Compare   bool // also run fleets without budgets, with peer messages, with and without faults
+	// Surge replaces the random faults: most gateways leave, join within a second, and then all are
+	// replaced.
 	Surge bool
-	Bin   string // built with the tag faults; "": it is built
+	Bin   string // gateway binary built with the tag faults; "": Run builds it
 }
 
-// Text is an operators' file's tables for a fleet that divides, is recorded, and was just founded.
+// Text returns the tables of the operators' file for a new fleet that divides quotas and records
+// its allocations and refusals.
 func Text(shards int, more ...string) string {
 	return fmt.Sprintf("[budgets]\non = true\nshards = %d\nbegin_full = true\nrecord = %q\n%s\n%s",
 		shards, recordName, strings.Join(more, "\n"), refusals)
@@ -42,11 +44,11 @@
 const (
 	refusals = "[record]\nrefusals = \"refusals\"\n"
 	voters   = 3
-	shift    = 5 * time.Second // the busiest gateway of a customer changes so often
+	shift    = 5 * time.Second // interval at which the busiest gateway of a customer changes
 )
 
-// Run plays a fleet amid faults, and beside it the same traffic with a fleet that has none and
-// through one gateway.
+// Run runs a fleet amid faults, and then the same traffic with a fleet without faults and with one
+// gateway. It returns the summary of the first.
 func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
@@ -78,7 +80,7 @@
 		{"one_gateway", 1, Text(o.Shards), false},
 	}
 	if o.Compare {
-		// Their notes do not go by the links that are cut.
+		// Their peer messages do not use the links that are cut.
 		worlds = append(worlds, world{"notes", o.Instances, refusals, false},
 			world{"notes_disturbed", o.Instances, refusals, true})
 	}
@@ -96,11 +98,11 @@
 			}
 		}
 	}
-	wanted := []string{"redivisions", "joins", "leaves", "kills"}
+	required := []string{"redivisions", "joins", "leaves", "kills"}
 	if !o.Surge {
-		wanted = append(wanted, "stops", "cuts")
+		required = append(required, "stops", "cuts")
 	}
-	for _, k := range wanted {
+	for _, k := range required {
 		if n, ok := fig.Extra[k].(int); !ok || n == 0 {
 			fig.AddFailure("no " + k + ": nothing was shown")
 		}
@@ -108,16 +110,16 @@
 	return fig, nil
 }
 
-// played is one world's figures.
-type played struct {
+// worldResult is the result of one world.
+type worldResult struct {
 	fig      *harness.Summary
-	withRoom float64 // refused, of the requests inside quotas
+	withRoom float64 // the result of RefusedWithRoom
 }
 
-// play plays one world.
+// play runs one world.
 func (o *Options) play(
 	ctx context.Context, instances int, text string, disturb bool, progress io.Writer,
-) (p played, err error) {
+) (p worldResult, err error) {
 	f, err := testcluster.New(
 		ctx,
 		testcluster.Options{
@@ -136,7 +138,7 @@
 	defer f.Close()
 	f.Site.Shift = shift
 	t := newRun(f, o, progress)
-	if err := t.settled(ctx); err != nil {
+	if err := t.waitUntilSettled(ctx); err != nil {
 		return p, err
 	}
 	trafficContext, cancel := context.WithTimeout(ctx, o.For)
@@ -159,7 +161,7 @@
 	wg.Wait()
 	p.fig = f.Summary("budgets")
 	p.withRoom = RefusedWithRoom(f.Site, f.Record)
-	t.course()
+	t.printService()
 	fig := p.fig
 	if strings.Contains(text, "[budgets]") {
 		if err := t.judge(fig); err != nil {
@@ -177,8 +179,8 @@
 	}
 	fig.Extra["memory_mb"] = f.Memory()
 	fig.Extra["refused_inside_share"] = refusedInside(f.Site, f.Record)
-	if len(t.back) > 0 {
-		fig.Extra["dead_part_back_ms_p99"] = harness.Quantile(t.back, 0.99)
+	if len(t.reclaimTimes) > 0 {
+		fig.Extra["dead_part_back_ms_p99"] = harness.Quantile(t.reclaimTimes, 0.99)
 	}
 	if err := t.harm.Err(); err != nil {
 		fig.AddFailure(err.Error())
@@ -186,9 +188,9 @@
 	return p, nil
 }
 
-// judge holds against the wholes what servers took and what processes held.
+// judge compares the quotas with what servers received and with what processes held.
 func (t *trialRun) judge(fig *harness.Summary) error {
-	// One request a stop may slip through between the last look at the clock and the write.
+	// One request per suspension may fall between the last check of the clock and its write.
 	slack := Slack{
 		Late:  allocation.DefaultConfig().UseTimeout,
 		Units: 4 * float64(t.harm.Did("stops")),
@@ -231,8 +233,8 @@
 	return nil
 }
 
-// course tells how service went, second by second.
-func (t *trialRun) course() {
+// printService prints the service of each second.
+func (t *trialRun) printService() {
 	by := map[int][]harness.Outcome{}
 	last := 0
 	for _, o := range harness.Outcomes(t.f.Site, t.f.Record) {
@@ -248,14 +250,14 @@
 	}
 }
 
-// trialRun is one world that runs.
+// trialRun is one running world.
 type trialRun struct {
-	f        *testcluster.Fleet
-	o        *Options
-	progress io.Writer
-	harm     *testcluster.Harm
-	mu       sync.Mutex
-	back     []time.Duration // from a kill until the parts of the dead were taken back
+	f            *testcluster.Fleet
+	o            *Options
+	progress     io.Writer
+	harm         *testcluster.Harm
+	mu           sync.Mutex
+	reclaimTimes []time.Duration // from a kill until the process's allocations were reclaimed
 }
 
 func newRun(f *testcluster.Fleet, o *Options, progress io.Writer) *trialRun {
@@ -270,7 +272,7 @@
 	}
 }
 
-// view asks one gateway after another until one answers.
+// view sends a call to one gateway after another until one answers.
 func (t *trialRun) view(line string, into any) (err error) {
 	for i, g := range t.f.Gateways {
 		if !g.Running() || t.f.Stopped(i) {
@@ -280,26 +282,26 @@
 			return nil
 		}
 	}
-	return errors.Join(errors.New("nobody tells "+line), err)
+	return errors.Join(errors.New("no gateway answers: "+line), err)
 }
 
-// leader is who owns a duty; -1: nobody, or nobody tells.
-func (t *trialRun) leader(duty string) int {
+// leader returns the gateway that owns a role, or -1 if there is none or no gateway answers.
+func (t *trialRun) leader(role string) int {
 	var v lease.View
 	if t.view("owners", &v) != nil {
 		return -1
 	}
 	for _, h := range v.Leases {
 		if i, err := strconv.Atoi(strings.TrimPrefix(h.Holder.ID, "n")); err == nil &&
-			h.Role == duty && v.At <= h.ExpiresAt {
+			h.Role == role && v.At <= h.ExpiresAt {
 			return i
 		}
 	}
 	return -1
 }
 
-// settled waits until each shard has an owner.
-func (t *trialRun) settled(ctx context.Context) error {
+// waitUntilSettled waits until each shard has an owner.
+func (t *trialRun) waitUntilSettled(ctx context.Context) error {
 	if !strings.Contains(t.f.Operators(0), "[budgets]") {
 		return nil
 	}
@@ -312,48 +314,49 @@
 			}
 		}
 		if n == t.o.Shards {
-			testcluster.Pass(ctx, time.Second) // all have heard of it
+			testcluster.Pass(ctx, time.Second) // until all gateways have learned of it
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return errors.New("the budgets have no owners")
+	return errors.New("not all shards of the budgets have an owner")
 }
 
-// faults does one thing after another to processes, and beside that to links.
+// faults injects faults into processes, and concurrently into links, until the context ends.
 func (t *trialRun) faults(ctx context.Context) {
 	h := t.harm
 	h.Likely = func(r *rand.Rand) int {
-		own := t.leader(allocation.RoleOfShard(r.IntN(t.o.Shards)))
-		if own >= 0 {
-			h.Logf("%s owns a shard", testcluster.Name(own))
+		owner := t.leader(allocation.RoleOfShard(r.IntN(t.o.Shards)))
+		if owner >= 0 {
+			h.Logf("%s owns a shard", testcluster.Name(owner))
 		}
-		return own
+		return owner
 	}
 	h.Killed = func(ctx context.Context, i int, restartAt time.Time) {
-		var dead controlplane.LocalStatus
-		err := t.f.Call(i, "here", &dead)
+		var killed controlplane.LocalStatus
+		err := t.f.Call(i, "here", &killed)
 		h.Fail(t.f.End(i, syscall.SIGKILL))
 		if err == nil {
-			t.takenBack(ctx, dead.Member, restartAt)
+			t.waitReclaimed(ctx, killed.Member, restartAt)
 		}
 	}
 	h.Run(ctx, []testcluster.Kind{h.Kill, h.Terminate, h.Stop, h.Stop},
 		[]testcluster.Kind{h.Isolate, h.OneWay, h.Isolate})
 }
 
-// takenBack waits until nobody has a dead process down for more than its floors, or until a time.
-func (t *trialRun) takenBack(ctx context.Context, dead lease.Member, limit time.Time) {
+// waitReclaimed waits until the ledger has no more than its reserved minimums for a killed process,
+// and records the time that this took. It gives up at limit.
+func (t *trialRun) waitReclaimed(ctx context.Context, killed lease.Member, limit time.Time) {
 	for began := time.Now(); time.Now().Before(limit); {
 		var ledger []allocation.View
 		if t.view("budgets", &ledger) == nil && len(ledger) > 0 &&
 			!slices.ContainsFunc(ledger, func(b allocation.View) bool {
 				return slices.ContainsFunc(b.Allocations, func(h allocation.MemberAllocation) bool {
-					return h.Member == dead && h.Total.Burst > h.ReservedMin.Burst
+					return h.Member == killed && h.Total.Burst > h.ReservedMin.Burst
 				})
 			}) {
 			t.mu.Lock()
-			t.back = append(t.back, time.Since(began))
+			t.reclaimTimes = append(t.reclaimTimes, time.Since(began))
 			t.mu.Unlock()
 			return
 		}
--- a/internal/testing/allocationtest/surge.go
+++ b/internal/testing/allocationtest/surge.go
@@ -11,9 +11,8 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// surge has all but a few gateways leave, all of those join within a second, and then all replaced
-// in any order, so many at a time, of which every third is killed. Of the voters one is replaced at
-// a time.
+// surge ends all but few gateways, starts them again at once, and then replaces all gateways in
+// random order, each at a time. Every third one is killed. Voters are replaced one at a time.
 func (t *trialRun) surge(ctx context.Context, few, each int) error {
 	n := len(t.f.Gateways)
 	few = max(few, min(voters, n))
@@ -37,8 +36,8 @@
 	); err != nil {
 		return err
 	}
-	t.harm.Logf("%d are left", few)
-	testcluster.Pass(ctx, 2*time.Second) // the few have all of it
+	t.harm.Logf("%d gateways are left", few)
+	testcluster.Pass(ctx, 2*time.Second) // until these hold the whole quotas
 	began := time.Now()
 	if err := all(
 		few,
@@ -47,7 +46,7 @@
 	); err != nil {
 		return err
 	}
-	t.harm.Logf("%d joined within %v", n-few, time.Since(began).Round(time.Millisecond))
+	t.harm.Logf("%d gateways joined within %v", n-few, time.Since(began).Round(time.Millisecond))
 	testcluster.Pass(ctx, 3*time.Second)
 
 	r := rand.New(rand.NewPCG(t.o.Seed, 0x5a))
@@ -88,10 +87,10 @@
 		if err := replace(k, i); err != nil {
 			return err
 		}
-		if err := t.settled(ctx); err != nil {
+		if err := t.waitUntilSettled(ctx); err != nil {
 			return err
 		}
 	}
-	t.harm.Logf("all are replaced")
+	t.harm.Logf("all gateways are replaced")
 	return nil
 }
