--- a/internal/testing/distributiontest/cluster_test.go
+++ b/internal/testing/distributiontest/cluster_test.go
@@ -34,36 +34,35 @@
 const (
 	voters      = 3
 	serviceName = "quotes"
-	// Files by which a rig asks a process for a fault; see package failpoint.
+	// Files by which a rig activates a fault in a process; see package failpoint.
 	killAtDelta  = "kill-at-delta"
 	damageDeltas = "damage-deltas"
 )
 
-// cluster is a fleet, what its register has, and a replica of the rig's own.
+// cluster is a fleet with the expected content of its register and the rig's own replica.
 type cluster struct {
 	*testcluster.Fleet
-	t        *testing.T
-	truth    map[string]string // by server: its phase
-	observer *observer
-	drained  []drain
-	spare    int // servers that were not drained yet
+	t          *testing.T
+	expected   map[string]string // phases by server
+	observer   *observer
+	drained    []drain
+	nextServer int // index of the next server to drain
 }
 
-// drain is a server of which all gateways that were up had in force, from a time on, that it
-// drains.
+// drain is a draining server. From inForce on the gateways in known had its drain in force.
 type drain struct {
 	server  string
 	inForce time.Duration
 	known   map[int]bool // by gateway
 }
 
-// observer is a replica of the rig's own.
+// observer is the rig's own replica.
 type observer struct {
 	mu    sync.Mutex
 	state *distribution.State
 }
 
-// Applied takes in the state.
+// Applied stores the state.
 func (o *observer) Applied(_ []distribution.Change, state *distribution.State) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,16 +98,16 @@
 			)
 		},
 	})
-	c := &cluster{Fleet: f, t: t, truth: map[string]string{}, observer: &observer{}}
+	c := &cluster{Fleet: f, t: t, expected: map[string]string{}, observer: &observer{}}
 	for _, sv := range f.Servers {
-		c.truth[sv.ID] = ready
+		c.expected[sv.ID] = ready
 	}
 	c.observe()
-	c.settled()
+	c.waitUntilSettled()
 	return c
 }
 
-// observe keeps the rig's own replica for as long as the test lasts.
+// observe runs the rig's own replica until the test ends.
 func (c *cluster) observe() {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	me := lease.Member{ID: "observer", Incarnation: 1}
@@ -141,11 +140,11 @@
 	distributionpb.Phase_PHASE_DRAINING: draining,
 }
 
-// content is what a state has of each server.
-func content(state *distribution.State) map[string]string {
+// serverPhases returns the phase of each server in a state.
+func serverPhases(state *distribution.State) map[string]string {
 	servers := map[string]string{}
 	state.Range(distribution.KindServer, func(r distribution.Record) bool {
-		_, id, _ := strings.Cut(r.ID, "/") // behind the name of its node
+		_, id, _ := strings.Cut(r.ID, "/") // the ID follows the name of its node
 		servers[id] = "unreadable"
 		if server, err := r.Server(); err == nil {
 			servers[id] = phaseNames[server.Phase]
@@ -155,18 +154,18 @@
 	return servers
 }
 
-// settled waits until the rig's own replica has what the register has, and all gateways but some
-// say that they have the same in force.
-func (c *cluster) settled(but ...int) {
+// waitUntilSettled waits until the rig's own replica matches the register, and all gateways except
+// but report that they have the same state in force.
+func (c *cluster) waitUntilSettled(but ...int) {
 	c.t.Helper()
-	clustertest.Eventually(c.t, "all gateways have the register's list", func() (bool, string) {
+	clustertest.Eventually(c.t, "all gateways to have the register's list", func() (bool, string) {
 		state := c.observer.newest()
 		if state == nil {
-			return false, "nothing was observed"
+			return false, "the rig's replica has no state"
 		}
-		if !maps.Equal(content(state), c.truth) {
+		if !maps.Equal(serverPhases(state), c.expected) {
 			return false, fmt.Sprintf("observed %s: %s", state.Position(),
-				difference(content(state), c.truth))
+				describeDifference(serverPhases(state), c.expected))
 		}
 		for i := range c.Gateways {
 			if r, err := c.replica(i); !slices.Contains(but, i) &&
@@ -179,8 +178,8 @@
 	})
 }
 
-// difference tells in which servers two lists differ.
-func difference(got, want map[string]string) string {
+// describeDifference describes up to five servers in which two lists differ.
+func describeDifference(got, want map[string]string) string {
 	var text []string
 	for id, phase := range want {
 		if got[id] != phase {
@@ -189,13 +188,13 @@
 	}
 	for id, phase := range got {
 		if _, there := want[id]; !there {
-			text = append(text, fmt.Sprintf("%s is %q, and should not be there", id, phase))
+			text = append(text, fmt.Sprintf("%s is %q, but should not be listed", id, phase))
 		}
 	}
 	return strings.Join(text[:min(len(text), 5)], "; ")
 }
 
-// replica is what a gateway tells of its replica.
+// replica returns the status of a gateway's replica.
 func (c *cluster) replica(i int) (distributor.ReplicaStatus, error) {
 	d, err := c.distribution(i)
 	if err != nil || d.Replica == nil {
@@ -208,10 +207,10 @@
 	return d, c.Call(i, "distribution", &d)
 }
 
-// server is the voter from which a gateway gets its changes; it waits until there is one.
+// server waits until a gateway receives its changes from a voter, and returns the voter.
 func (c *cluster) server(i int) (number int) {
 	c.t.Helper()
-	clustertest.Eventually(c.t, testcluster.Name(i)+" watches a voter", func() (bool, string) {
+	clustertest.Eventually(c.t, testcluster.Name(i)+" to watch a voter", func() (bool, string) {
 		r, err := c.replica(i)
 		n, _ := fmt.Sscanf(r.Server, "n%d", &number)
 		return err == nil && r.Live && n == 1, fmt.Sprintf("%+v %v", r, err)
@@ -219,7 +218,7 @@
 	return number
 }
 
-// serving is a voter that serves another gateway.
+// serving returns a voter that serves another gateway, and that gateway.
 func (c *cluster) serving() (voter, gateway int) {
 	c.t.Helper()
 	for i := len(c.Gateways) - 1; i >= 0; i-- {
@@ -227,11 +226,11 @@
 			return v, i
 		}
 	}
-	c.t.Fatal("each gateway watches itself")
+	c.t.Fatal("no gateway watches another one")
 	return 0, 0
 }
 
-// preferred is the voter that a gateway tries first when it starts.
+// preferred returns the voter that a gateway tries first when it starts.
 func (c *cluster) preferred(i int) (number int) {
 	c.t.Helper()
 	var servers []distribution.Server
@@ -245,7 +244,7 @@
 	return number
 }
 
-// leader is the voter that leads, as a gateway has it.
+// leader returns the log's leader, as a gateway reports it.
 func (c *cluster) leader(at int) (number int) {
 	c.t.Helper()
 	clustertest.Eventually(c.t, "a leader", func() (bool, string) {
@@ -257,7 +256,7 @@
 	return number
 }
 
-// other is a gateway other than one.
+// other returns a gateway other than the given one.
 func other(than int) int {
 	if than == 0 {
 		return 1
@@ -265,7 +264,7 @@
 	return 0
 }
 
-// register changes what all agents have.
+// register applies a change to the agents of all gateways.
 func (c *cluster) register(change func(*lab.Consul) error) {
 	c.t.Helper()
 	for i := range c.Gateways {
@@ -273,23 +272,23 @@
 	}
 }
 
-// drainOne has a server drain that has got requests so far.
+// drainOne sets a server to draining after it has received a request.
 func (c *cluster) drainOne() (server string) {
 	c.t.Helper()
-	server = c.Servers[c.spare].ID
-	c.spare++
-	clustertest.Eventually(c.t, server+" gets a request", func() (bool, string) {
+	server = c.Servers[c.nextServer].ID
+	c.nextServer++
+	clustertest.Eventually(c.t, "a request at "+server, func() (bool, string) {
 		return c.requests(server) > 0, ""
 	})
 	c.register(func(agent *lab.Consul) error {
 		agent.SetMaintenance(server, true)
 		return nil
 	})
-	c.truth[server] = draining
+	c.expected[server] = draining
 	return server
 }
 
-// requests is how many requests a server has got.
+// requests returns how many requests a server has received.
 func (c *cluster) requests(server string) (n int) {
 	c.Record.Read(func() {
 		for _, a := range c.Record.Attempts {
@@ -301,8 +300,8 @@
 	return n
 }
 
-// inForce takes note that all gateways but some have a server's drain in force now.
-func (c *cluster) inForce(server string, but ...int) {
+// recordDrain records that all gateways except but have a server's drain in force now.
+func (c *cluster) recordDrain(server string, but ...int) {
 	known := map[int]bool{}
 	for i := range c.Gateways {
 		known[i] = !slices.Contains(but, i)
@@ -310,10 +309,10 @@
 	c.drained = append(c.drained, drain{server, c.Record.Now(), known})
 }
 
-// extra is the name of a server of which nothing but its record exists.
+// extra returns the name of a server that exists only in the register.
 func extra(i int) string { return fmt.Sprintf("x-%04d", i) }
 
-// addExtra registers servers that get no requests, or changes what they are.
+// addExtra registers draining servers that get no requests, or changes their locality.
 func (c *cluster) addExtra(from, to int, locality string) {
 	c.t.Helper()
 	for i := from; i < to; i++ {
@@ -322,11 +321,11 @@
 			return agent.Register(extra(i), serviceName, address, []string{"draining"},
 				map[string]string{"locality": locality})
 		})
-		c.truth[extra(i)] = draining
+		c.expected[extra(i)] = draining
 	}
 }
 
-// removeExtra takes servers away, all at once.
+// removeExtra deregisters servers.
 func (c *cluster) removeExtra(from, to int) {
 	c.t.Helper()
 	for i := from; i < to; i++ {
@@ -334,12 +333,12 @@
 			agent.Deregister(extra(i))
 			return nil
 		})
-		delete(c.truth, extra(i))
+		delete(c.expected, extra(i))
 	}
 }
 
-// ask asks a process for a fault, or ends that.
-func (c *cluster) ask(i int, fault string, yes bool) {
+// setFault activates a fault in a process, or deactivates it.
+func (c *cluster) setFault(i int, fault string, yes bool) {
 	c.t.Helper()
 	path := filepath.Join(c.Gateways[i].Dir(), fault)
 	if !yes {
@@ -349,26 +348,26 @@
 	clustertest.Check(c.t, os.WriteFile(path, nil, 0o600))
 }
 
-// logs waits until a process has logged something, more often than before.
-func (c *cluster) logs(i int, what string, before int) {
+// waitLogged waits until a process has logged a text more often than before.
+func (c *cluster) waitLogged(i int, what string, before int) {
 	c.t.Helper()
-	clustertest.Eventually(c.t, testcluster.Name(i)+" logs "+what, func() (bool, string) {
+	clustertest.Eventually(c.t, testcluster.Name(i)+" to log "+what, func() (bool, string) {
 		return c.logged(i, what) > before, ""
 	})
 }
 
 func (c *cluster) logged(i int, what string) int { return strings.Count(c.Gateways[i].Log(), what) }
 
-// restart ends a process in order and starts it again.
+// restart ends a process with SIGTERM and starts it again.
 func (c *cluster) restart(i int) {
 	c.t.Helper()
 	clustertest.Check(c.t, c.End(i, syscall.SIGTERM), c.Begin(i))
 }
 
-// stateFile is where a gateway's replica lies.
+// stateFile returns the path of a gateway's replica.
 func (c *cluster) stateFile(i int) string { return distributor.StatePath(c.FleetDir(i)) }
 
-// traffic has clients ask until stop is called.
+// traffic has clients send requests until stop is called.
 func (c *cluster) traffic() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -382,10 +381,11 @@
 	}
 }
 
-// judge ends all processes and holds what they leave against what the register has. A process that
-// ends hands the register on, and the next may add revisions with its own agent's addresses while
-// others have ended: so a file may be at a later position than another, but never at an earlier one
-// than all had in force, nor with another digest at the same.
+// judge ends all processes and compares the files that they leave with the register. A process that
+// exits transfers the watch of the register, and the next watcher may add revisions with its own
+// agent's addresses after others have exited. So a file may be at a later position than another
+// one, but never at an earlier position than all had in force, nor have another digest at the same
+// one.
 func (c *cluster) judge() {
 	c.t.Helper()
 	inForce := c.observer.newest().Position()
@@ -404,29 +404,29 @@
 			c.t.Errorf("%s has diverged", testcluster.Name(i))
 		}
 		if strings.Contains(log, "could not be written to disk in time") {
-			continue // it is an earlier state, and fits its digest
+			continue // the file has an earlier state, which matches its digest
 		}
 		if at.Epoch != inForce.Epoch || at.Revision < inForce.Revision {
-			c.t.Errorf("state file of %s: at %s, though %s was in force",
+			c.t.Errorf("state file of %s: at %s, but %s was in force",
 				testcluster.Name(i), at, inForce)
 		}
 		if known, there := digests[at.Revision]; there && known != at.Digest {
-			c.t.Errorf("state file of %s: at %s, another has digest %s there",
+			c.t.Errorf("state file of %s: at %s, but another file has digest %s there",
 				testcluster.Name(i), at, known)
 		}
 		digests[at.Revision] = at.Digest
-		if text := difference(content(state), c.truth); text != "" {
+		if text := describeDifference(serverPhases(state), c.expected); text != "" {
 			c.t.Errorf("state file of %s: %s", testcluster.Name(i), text)
 		}
 	}
 	c.judgeDrains()
 }
 
-// afterInForce is for a request that was sent when the drain came into force.
+// afterInForce allows for requests that were sent when the drain came into force.
 const afterInForce = time.Second
 
-// judgeDrains holds the servers' own record against what was in force: no gateway sends to a server
-// long after it had in force that this one drains, and each had got requests before.
+// judgeDrains compares the servers' record with the drains in force: no gateway may send requests
+// to a server more than afterInForce after it had the server's drain in force.
 func (c *cluster) judgeDrains() {
 	c.t.Helper()
 	c.Record.Read(func() {
@@ -434,7 +434,7 @@
 			for _, a := range c.Record.Attempts {
 				if a.Server == d.server && d.known[a.Gateway] &&
 					a.FirstByteAt > d.inForce+afterInForce {
-					c.t.Errorf("%s got a request of %s %v after it had the drain in force",
+					c.t.Errorf("%s received a request from %s %v after the drain was in force there",
 						d.server, testcluster.Name(a.Gateway), a.FirstByteAt-d.inForce)
 				}
 			}
--- a/internal/testing/distributiontest/content_test.go
+++ b/internal/testing/distributiontest/content_test.go
@@ -13,23 +13,23 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-// smallLog has voters keep a few changes for replicas, and few entries behind a snapshot.
+// smallLog makes voters keep few changes for replicas, and few log entries before a snapshot.
 const (
 	smallLog        = "change_log = 16\nkeep = 64"
 	smallLogChanges = 16
 )
 
-// Replicas that were away for longer than the voters keep changes, deltas and files that are
-// damaged, and a slow reader: each gets what differs, and nothing wrong comes into force. The cases
-// follow one another on one cluster under traffic.
+// Replicas that were down for longer than the voters keep changes, damaged deltas and files, and a
+// slow reader: each replica fetches what differs, and no wrong state comes into force. The cases
+// run one after another on one cluster under traffic.
 func TestReplicasThatHaveToBeRepaired(t *testing.T) {
 	c := start(t, 5, smallLog)
 	c.addExtra(0, 200, "sala-1")
-	c.settled()
+	c.waitUntilSettled()
 	stop := c.traffic()
 	for _, one := range []struct {
 		name string
-		play func(*cluster)
+		run  func(*cluster)
 	}{
 		{"log compacted past a stopped replica", compactedPastAReplica},
 		{"damaged deltas", damagedDeltas},
@@ -37,48 +37,49 @@
 		{"a reader at 1 KB/s", slowReader},
 	} {
 		began := time.Now()
-		one.play(c)
+		one.run(c)
 		t.Logf("%s: %v", one.name, time.Since(began).Round(time.Millisecond))
 	}
 	stop()
 	c.judge()
 }
 
-// counts are what a gateway's replica has taken in since its process began.
-func (c *cluster) counts(i int) distributor.ReplicaStatus {
+// replicaStatus returns the status of a gateway's replica, with its counts since the process
+// started.
+func (c *cluster) replicaStatus(i int) distributor.ReplicaStatus {
 	c.t.Helper()
 	r, err := c.replica(i)
 	clustertest.Check(c.t, err)
 	return r
 }
 
-// revision is the rig's own replica's.
+// revision returns the revision of the rig's own replica.
 func (c *cluster) revision() uint64 { return c.observer.newest().Position().Revision }
 
-// compactedPastAReplica has more changes than the voters keep while a replica is down: it fetches
-// exactly the buckets in which its file differs from what is in force.
+// compactedPastAReplica makes more changes than the voters keep while a replica is down. The
+// replica must fetch exactly the buckets in which its file differs from the state in force.
 func compactedPastAReplica(c *cluster) {
 	gateway := voters
 	clustertest.Check(c.t, c.End(gateway, syscall.SIGTERM))
 	before := c.revision()
 	for changed := 0; c.revision() < before+2*smallLogChanges; changed++ {
 		c.addExtra(changed, changed+1, "sala-2")
-		c.settled(gateway) // each change is a revision of its own
+		c.waitUntilSettled(gateway) // so that each change is a revision of its own
 	}
 	server := c.drainOne()
-	c.settled(gateway)
-	c.inForce(server, gateway)
-	differ := differingBuckets(c.onDisk(gateway), c.observer.newest())
+	c.waitUntilSettled(gateway)
+	c.recordDrain(server, gateway)
+	differ := differingBuckets(c.stateOnDisk(gateway), c.observer.newest())
 	clustertest.Check(c.t, c.Begin(gateway))
-	c.settled()
-	r := c.counts(gateway)
+	c.waitUntilSettled()
+	r := c.replicaStatus(gateway)
 	if r.Counts.Repairs != 1 || r.Counts.Buckets == 0 || r.Counts.Buckets != differ {
-		c.t.Errorf("the file differs in %d buckets: %+v", differ, r)
+		c.t.Errorf("the file differed in %d buckets, but the replica reports %+v", differ, r)
 	}
 }
 
-// onDisk is the state in a gateway's file.
-func (c *cluster) onDisk(i int) *distribution.State {
+// stateOnDisk returns the state in a gateway's file.
+func (c *cluster) stateOnDisk(i int) *distribution.State {
 	c.t.Helper()
 	raw, err := os.ReadFile(c.stateFile(i))
 	clustertest.Check(c.t, err)
@@ -98,24 +99,24 @@
 	return n
 }
 
-// damagedDeltas has the voters send deltas whose content is not what their digest says.
+// damagedDeltas makes the voters send deltas whose content does not match their digest.
 func damagedDeltas(c *cluster) {
 	damaged := make([]int, voters)
 	refused := make([]int, len(c.Gateways))
 	for i := range voters {
 		damaged[i] = c.logged(i, faultDamaged)
-		c.ask(i, damageDeltas, true)
+		c.setFault(i, damageDeltas, true)
 	}
 	for i := range c.Gateways {
 		refused[i] = c.logged(i, "the content comes to digest")
 	}
 	server := c.drainOne()
-	c.settled() // by the buckets that differ
-	c.inForce(server)
+	c.waitUntilSettled() // by fetching the buckets that differ
+	c.recordDrain(server)
 	sent := 0
 	for i := range voters {
 		sent += c.logged(i, faultDamaged) - damaged[i]
-		c.ask(i, damageDeltas, false)
+		c.setFault(i, damageDeltas, false)
 	}
 	got := 0
 	for i := range c.Gateways {
@@ -123,21 +124,21 @@
 	}
 	if sent < len(c.Gateways) || got < len(c.Gateways) {
 		c.t.Errorf(
-			"%d damaged deltas were sent, %d were refused, of %d gateways",
+			"%d damaged deltas were sent, %d were refused, want one for each of %d gateways",
 			sent,
 			got,
 			len(c.Gateways),
 		)
 	}
 	server = c.drainOne()
-	c.settled()
-	c.inForce(server)
+	c.waitUntilSettled()
+	c.recordDrain(server)
 }
 
-// faultDamaged is what a process logs for each delta that it damages.
+// faultDamaged is the log message for each delta that a process damages.
 const faultDamaged = "fault: damaged delta"
 
-// damagedFile changes a byte in the file that a replica starts from.
+// damagedFile changes a byte in the file from which a replica starts.
 func damagedFile(c *cluster) {
 	gateway := voters
 	clustertest.Check(c.t, c.End(gateway, syscall.SIGTERM))
@@ -147,23 +148,23 @@
 	clustertest.Check(c.t, os.WriteFile(c.stateFile(gateway), raw, 0o600))
 	server := c.drainOne()
 	clustertest.Check(c.t, c.Begin(gateway))
-	c.settled()
-	c.inForce(server)
-	c.logs(gateway, c.stateFileLine(), 0)
-	if r := c.counts(gateway); r.Counts.Repairs == 0 {
-		c.t.Errorf("the state was not taken anew: %+v", r)
+	c.waitUntilSettled()
+	c.recordDrain(server)
+	c.waitLogged(gateway, c.stateFileLine(), 0)
+	if r := c.replicaStatus(gateway); r.Counts.Repairs == 0 {
+		c.t.Errorf("the state was not fetched again: %+v", r)
 	}
 }
 
-// stateFileLine is what is logged of a file that is refused, up to its name.
+// stateFileLine returns the log line for a refused file, up to the file's name.
 func (c *cluster) stateFileLine() string {
 	return "the control state on disk is refused, and taken anew\" gateway=" + testcluster.Name(
 		voters,
 	) + " error=\"fleet/distribution/state: "
 }
 
-// slowReader has one gateway get 1 KB/s from each voter amid many changes. The others get all of
-// them before it does.
+// slowReader limits one gateway to 1 KB/s from each voter during many changes. The others must get
+// all changes before it does.
 func slowReader(c *cluster) {
 	gateway := voters
 	for v := range voters {
@@ -175,13 +176,13 @@
 	c.addExtra(0, 200, "sala-3")
 	c.addExtra(0, 100, "sala-4")
 	server := c.drainOne()
-	c.settled(gateway)
-	c.inForce(server, gateway)
-	if r := c.counts(gateway); r.Position.Digest == c.observer.newest().Digest().String() {
+	c.waitUntilSettled(gateway)
+	c.recordDrain(server, gateway)
+	if r := c.replicaStatus(gateway); r.Position.Digest == c.observer.newest().Digest().String() {
 		c.t.Errorf("%s was not slower than the others", testcluster.Name(gateway))
 	}
 	for v := range voters {
 		c.Links[gateway][v].Set(faultproxy.Downstream, faultproxy.Conditions{})
 	}
-	c.settled()
+	c.waitUntilSettled()
 }
--- a/internal/testing/distributiontest/doc.go
+++ b/internal/testing/distributiontest/doc.go
@@ -1,8 +1,8 @@
-// Package distributiontest plays the hard cases of the distribution of the control state with real
-// processes: several gateways before stand-ins, three of them voters, with processes that are
-// killed or stopped, links that are cut, and folders that are old or damaged. What is judged are
-// effects: what the stand-in servers received, the files that the processes leave, what each has
-// logged, and a replica of the rig's own. What a process tells of itself only says when to go on.
+// Package distributiontest tests the distribution of the control state with real processes: several
+// gateways, three of them voters, in front of simulated servers. Processes are killed or suspended,
+// links are cut, and folders are old or damaged. The tests judge effects: the requests that the
+// servers received, the files that the processes leave, their logs, and the rig's own replica. A
+// process's own status only determines when a test continues.
 //
-// It consists of tests alone.
+// The package has only tests.
 package distributiontest
--- a/internal/testing/distributiontest/herd_test.go
+++ b/internal/testing/distributiontest/herd_test.go
@@ -12,14 +12,14 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-// Much at once: a rack's servers gone, all gateways started, a part of the fleet that comes back.
-// The cases follow one another on one cluster under traffic.
+// Many changes at once: a rack's servers are removed, all gateways start, or a part of the fleet
+// reconnects. The cases run one after another on one cluster under traffic.
 func TestMuchAtOnce(t *testing.T) {
 	c := start(t, 6, "")
 	stop := c.traffic()
 	for _, one := range []struct {
 		name string
-		play func(*cluster)
+		run  func(*cluster)
 	}{
 		{"a rack gone", rackGone},
 		{"a part cut off through a change", partCutOff},
@@ -27,7 +27,7 @@
 		{"all from nothing", allFromNothing},
 	} {
 		began := time.Now()
-		one.play(c)
+		one.run(c)
 		t.Logf("%s: %v", one.name, time.Since(began).Round(time.Millisecond))
 	}
 	stop()
@@ -36,47 +36,47 @@
 
 const rackServers = 300
 
-// rackGone takes 300 servers away at once.
+// rackGone deregisters 300 servers at once.
 func rackGone(c *cluster) {
 	c.addExtra(0, rackServers, "sala-1")
-	c.settled()
+	c.waitUntilSettled()
 	before := c.revision()
 	c.removeExtra(0, rackServers)
 	server := c.drainOne()
-	c.settled()
-	c.inForce(server)
+	c.waitUntilSettled()
+	c.recordDrain(server)
 	if after := c.revision(); after-before > rackServers/2 {
-		c.t.Errorf("%d servers gone took %d revisions", rackServers, after-before)
+		c.t.Errorf("the removal of %d servers took %d revisions", rackServers, after-before)
 	}
 }
 
-// partCutOff cuts a voter and two other gateways off from the rest while something changes, and
-// heals that.
+// partCutOff cuts a voter and two other gateways off from the rest during changes, and then heals
+// the links.
 func partCutOff(c *cluster) {
 	apart := []int{c.preferred(voters), voters, voters + 1}
 	held := c.Held()
 	c.split(apart, true)
 	c.addExtra(0, 20, "sala-1")
 	server := c.drainOne()
-	c.settled(apart...)
-	c.inForce(server, apart...)
+	c.waitUntilSettled(apart...)
+	c.recordDrain(server, apart...)
 	for _, i := range apart {
-		c.logs(
+		c.waitLogged(
 			i,
 			"this gateway watches the register itself",
 			c.logged(i, "the list of servers is heard again"),
 		)
 	}
 	c.addExtra(0, 10, "sala-2")
-	c.settled(apart...)
+	c.waitUntilSettled(apart...)
 	if c.Held() == held {
-		c.t.Error("nothing was held at the links")
+		c.t.Error("the cut links held nothing back")
 	}
 	c.split(apart, false)
-	c.settled()
+	c.waitUntilSettled()
 }
 
-// split cuts the links between some gateways and all others, or ends that.
+// split cuts the links between some gateways and all others, or restores them.
 func (c *cluster) split(apart []int, yes bool) {
 	for i := range c.Gateways {
 		for _, j := range apart {
@@ -87,21 +87,22 @@
 	}
 }
 
-// allFromDisk ends all gateways, changes something, and starts them at once: none of them takes the
-// state anew.
+// allFromDisk ends all gateways, makes a change, and starts all at once. All must resume from their
+// files by deltas.
 func allFromDisk(c *cluster) {
 	c.endAll()
 	c.addExtra(0, 5, "sala-3")
 	server := c.startAll()
 	for i := range c.Gateways {
-		if r := c.counts(i); r.Counts.Repairs != 0 || r.Counts.Deltas == 0 {
+		if r := c.replicaStatus(i); r.Counts.Repairs != 0 || r.Counts.Deltas == 0 {
 			c.t.Errorf("%s did not resume by deltas: %+v", testcluster.Name(i), r)
 		}
 	}
-	c.inForce(server)
+	c.recordDrain(server)
 }
 
-// allFromNothing does the same, and takes what the replicas have on disk.
+// allFromNothing ends all gateways, removes the files of their replicas, and starts all at once.
+// All must fetch the state again.
 func allFromNothing(c *cluster) {
 	c.endAll()
 	for i := range c.Gateways {
@@ -109,11 +110,11 @@
 	}
 	server := c.startAll()
 	for i := range c.Gateways {
-		if r := c.counts(i); r.Counts.Repairs == 0 {
-			c.t.Errorf("%s has not taken the state anew: %+v", testcluster.Name(i), r)
+		if r := c.replicaStatus(i); r.Counts.Repairs == 0 {
+			c.t.Errorf("%s did not fetch the state again: %+v", testcluster.Name(i), r)
 		}
 	}
-	c.inForce(server)
+	c.recordDrain(server)
 }
 
 func (c *cluster) endAll() {
@@ -123,7 +124,7 @@
 	}
 }
 
-// startAll has a server drain and starts all gateways at once.
+// startAll sets a server to draining and starts all gateways at once.
 func (c *cluster) startAll() (server string) {
 	c.t.Helper()
 	server = c.drainOne()
@@ -142,6 +143,6 @@
 			c.t.Error(err)
 		}
 	}
-	c.settled()
+	c.waitUntilSettled()
 	return server
 }
