--- a/internal/testing/electiontest/checker.go
+++ b/internal/testing/electiontest/checker.go
@@ -23,7 +23,7 @@
 const (
 	// exportTimeout is how long a run waits at its end until all usage is exported.
 	exportTimeout = 15 * time.Second
-	// exportCheckInterval is the pause between two looks at that.
+	// exportCheckInterval is the time between two checks of the exports.
 	exportCheckInterval = 100 * time.Millisecond
 	// stopTimeout is how long the fleet may take to stop.
 	stopTimeout = 30 * time.Second
@@ -63,8 +63,8 @@
 	return summary, nil
 }
 
-// waitForExports returns the exports once all that was sent is in them, or as they are after a
-// while.
+// waitForExports returns the exports when they contain all units that were sent, or as they are
+// after exportTimeout.
 func (t *trialRun) waitForExports(
 	ctx context.Context, sent map[int]float64,
 ) (exports usageexport.View) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// roleLeaderChanges counts the changes of the leaders of all roles. It reads each role's history
-// too: an error of that is one of the run.
+// roleLeaderChanges counts the changes of the leaders of all roles. It also reads each role's
+// history. An error of these reads is an error of the run.
 func (t *trialRun) roleLeaderChanges() (changes int) {
 	var leases lease.View
 	t.fail(t.view("owners", &leases))
@@ -109,7 +109,7 @@
 	}
 }
 
-// checkWrites checks the answers that the writers got, and reports how long there were none.
+// checkWrites checks the histories of the writers, and reports how long they got no answers.
 func (t *trialRun) checkWrites(summary *harness.Summary, w *writers, duration time.Duration) {
 	j, err := w.judge(0, duration)
 	if err != nil {
@@ -123,7 +123,7 @@
 	summary.Extra["unavailable_longest_ms"] = j.longest.Milliseconds()
 	summary.Extra["unavailable_longest_at_s"] = (start + j.at).Seconds()
 	summary.Extra["operations"] = len(w.ops)
-	summary.Extra["operations_unanswered"] = w.unsure
+	summary.Extra["operations_unanswered"] = w.unanswered
 }
 
 // reportFaults reports the injected faults, and fails a run in which some kind was not injected.
@@ -185,7 +185,8 @@
 	return sent
 }
 
-// allExported reports whether all that was sent is exported, or as much as ever will be.
+// allExported reports whether all units that were sent are exported, apart from those that kills or
+// the removal of a folder may have lost.
 func (t *trialRun) allExported(v *usageexport.View, sent map[int]float64) bool {
 	got := t.exportedUnits(v)
 	for i, units := range sent {
@@ -202,7 +203,7 @@
 // slack returns the units of a gateway that kills may have lost: one request each.
 func (t *trialRun) slack(i int) float64 { return float64(maxRequestUnits * t.killed[i]) }
 
-// exportedUnits returns the units in the files that count, by gateway.
+// exportedUnits returns the units in the committed files, by gateway.
 func (t *trialRun) exportedUnits(v *usageexport.View) map[int]float64 {
 	got := map[int]float64{}
 	for _, f := range v.Files {
@@ -224,7 +225,7 @@
 	return got
 }
 
-// checkExports compares the files that count with what the servers received.
+// checkExports compares the committed files with the requests that the servers received.
 func (t *trialRun) checkExports(
 	f *harness.Summary, v *usageexport.View, sent map[int]float64,
 ) {
@@ -260,8 +261,9 @@
 	f.Extra["files_that_do_not_count"] = len(loose)
 }
 
-// countConflicts counts the effects of two leaders in the files that count, and late ones: a term
-// has one leader, terms come in their order, and a period of an incarnation is in one file.
+// countConflicts counts the effects of two leaders and the late effects in the committed files. A
+// term must have one leader, terms must not decrease, and a period of an incarnation must be in
+// only one file.
 func countConflicts(v *usageexport.View) (two, late int) {
 	leaders := map[string]string{}
 	newest := map[string]uint64{}
@@ -354,7 +356,7 @@
 	f.Extra["hand_on_ms_p99"] = harness.Quantile(transfers, 0.99)
 }
 
-// logLeaderChanges counts the terms of the log that had a leader, but for the first.
+// logLeaderChanges counts the terms of the log that had a leader, except the first.
 func (t *trialRun) logLeaderChanges() int {
 	terms := map[string]bool{}
 	for _, g := range t.f.Gateways {
--- a/internal/testing/electiontest/faults.go
+++ b/internal/testing/electiontest/faults.go
@@ -17,12 +17,14 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// faults does one thing to processes after another, and beside that one thing to links after
-// another, each kind in turn in an order that the seed draws.
+// faults injects one fault after another into processes, and concurrently into links, until the
+// context ends. Each track repeats its kinds in an order that is drawn from the seed.
 func (t *trialRun) faults(ctx context.Context) {
 	defer t.heal()
 	var wg sync.WaitGroup
-	track := func(seed uint64, minPause, maxPause float64, kinds ...func(context.Context, *rand.Rand)) {
+	track := func(
+		seed uint64, minPause, maxPause float64, kinds ...func(context.Context, *rand.Rand),
+	) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -38,13 +40,14 @@
 			}
 		}()
 	}
-	track(0x0117e5, 0.3, 1.2, t.suspendAmidExport, t.suspendAmidExport, t.suspendLogLeader, t.killRoleLeader,
-		t.killAtPoint, t.handOn, t.suspendRoleLeader, t.transfer, t.slowDisk, t.emptyFolder)
-	track(0x11111e, 0.5, 2, t.cutOneWay, t.isolate, t.weather)
+	track(0x0117e5, 0.3, 1.2, t.suspendAmidExport, t.suspendAmidExport, t.suspendLogLeader,
+		t.killRoleLeader, t.killAtPoint, t.stopRoleLeader, t.suspendRoleLeader, t.transfer,
+		t.slowDisk, t.emptyFolder)
+	track(0x11111e, 0.5, 2, t.cutOneWay, t.isolate, t.impairLinks)
 	wg.Wait()
 }
 
-// heal ends all faults, and has every process run.
+// heal ends all faults, and resumes or restarts every process that does not run.
 func (t *trialRun) heal() {
 	t.f.Heal()
 	for i, g := range t.f.Gateways {
@@ -89,14 +92,14 @@
 func (t *trialRun) suspendRoleLeader(ctx context.Context, r *rand.Rand) {
 	role := t.randomRole(r)
 	if i, h := t.roleLeader(role); i >= 0 {
-		t.logFault("stop %s, owner of %s under term %d", testcluster.Name(i), role, h.Term)
+		t.logFault("suspend %s, owner of %s under term %d", testcluster.Name(i), role, h.Term)
 		t.beginVacancy(role, h, false)
 		t.suspend(ctx, i, randomDuration(r, 2, 5))
 	}
 }
 
-// suspendAmidExport has the owner stop itself between its check and its write, and wakes it when
-// another has gone on.
+// suspendAmidExport makes the owner suspend itself between its check and its write, and resumes it
+// after 3 to 5 s, by when another gateway may own the role.
 func (t *trialRun) suspendAmidExport(ctx context.Context, r *rand.Rand) {
 	role := t.randomRole(r)
 	point := []string{
@@ -119,7 +122,7 @@
 	}
 	t.f.Record.AddProcessEvent(i, harness.Paused)
 	t.beginVacancy(role, h, false)
-	t.logFault("%s stopped itself at %s, owner of %s under term %d",
+	t.logFault("%s suspended itself at %s, owner of %s under term %d",
 		testcluster.Name(i), point, role, h.Term)
 	t.countFault("stops")
 	testcluster.Pass(ctx, randomDuration(r, 3, 5))
@@ -131,7 +134,7 @@
 
 func (t *trialRun) suspendLogLeader(ctx context.Context, r *rand.Rand) {
 	if i := t.logLeader(); i >= 0 {
-		t.logFault("stop %s, the leader", testcluster.Name(i))
+		t.logFault("suspend %s, the log's leader", testcluster.Name(i))
 		t.suspend(ctx, i, randomDuration(r, 1.5, 4))
 	}
 }
@@ -157,7 +160,7 @@
 	}
 }
 
-// killAtPoint has a process kill itself at a named point.
+// killAtPoint makes a process kill itself at a failpoint.
 func (t *trialRun) killAtPoint(ctx context.Context, r *rand.Rand) {
 	point := points[r.IntN(len(points))]
 	i := r.IntN(t.o.Instances)
@@ -196,34 +199,35 @@
 	t.fail(t.f.Begin(i))
 }
 
-// cutOneWay has a gateway be heard by nobody, or hear nobody.
+// cutOneWay cuts either what a gateway sends or what it receives.
 func (t *trialRun) cutOneWay(ctx context.Context, r *rand.Rand) {
 	i := t.logLeader()
 	if i < 0 || r.IntN(3) == 0 {
 		i = r.IntN(t.o.Instances)
 	}
-	says := r.IntN(2) == 0
+	cutSending := r.IntN(2) == 0
 	t.logFault("%s %s", testcluster.Name(i),
-		map[bool]string{true: "is heard by nobody", false: "hears nobody"}[says])
-	t.f.Isolate(i, says, !says, true)
+		map[bool]string{true: "can't send", false: "can't receive"}[cutSending])
+	t.f.Isolate(i, cutSending, !cutSending, true)
 	testcluster.Pass(ctx, randomDuration(r, 2, 4))
-	t.f.Isolate(i, says, !says, false)
+	t.f.Isolate(i, cutSending, !cutSending, false)
 	t.countFault("cuts")
 }
 
-// isolate cuts a gateway off, or a pair of them from one another.
+// isolate cuts a gateway off from all others, or two gateways from each other.
 func (t *trialRun) isolate(ctx context.Context, r *rand.Rand) {
 	i, j := r.IntN(t.o.Instances), r.IntN(t.o.Instances)
 	if owner, _ := t.roleLeader(t.randomRole(r)); owner >= 0 && r.IntN(2) == 0 {
 		i = owner
 	}
 	if i == j || r.IntN(2) == 0 {
-		t.logFault("%s is cut off", testcluster.Name(i))
+		t.logFault("%s is isolated", testcluster.Name(i))
 		t.f.Isolate(i, true, true, true)
 		testcluster.Pass(ctx, randomDuration(r, 2, 5))
 		t.f.Isolate(i, true, true, false)
 	} else {
-		t.logFault("%s and %s don't hear each other", testcluster.Name(i), testcluster.Name(j))
+		t.logFault("%s and %s are cut off from each other",
+			testcluster.Name(i), testcluster.Name(j))
 		t.f.Between(i, j, true)
 		testcluster.Pass(ctx, randomDuration(r, 2, 5))
 		t.f.Between(i, j, false)
@@ -231,12 +235,12 @@
 	t.countFault("cuts")
 }
 
-// weather slows links, resets them, or leaves them half open.
-func (t *trialRun) weather(ctx context.Context, r *rand.Rand) {
+// impairLinks delays a gateway's links, limits their rate, resets them or leaves them half open.
+func (t *trialRun) impairLinks(ctx context.Context, r *rand.Rand) {
 	i := r.IntN(t.o.Instances)
 	what := r.IntN(4)
 	t.logFault("links of %s: %s", testcluster.Name(i),
-		[]string{"late", "a trickle", "reset", "half open"}[what])
+		[]string{"delayed", "slow", "reset", "half open"}[what])
 	for j, l := range t.f.Links[i] {
 		if l == nil {
 			continue
@@ -260,14 +264,14 @@
 	t.f.Heal()
 }
 
-// handOn stops an owner in order.
-func (t *trialRun) handOn(ctx context.Context, r *rand.Rand) {
+// stopRoleLeader ends an owner with SIGTERM, and starts it again.
+func (t *trialRun) stopRoleLeader(ctx context.Context, r *rand.Rand) {
 	role := t.randomRole(r)
 	i, h := t.roleLeader(role)
 	if i < 0 {
 		return
 	}
-	t.logFault("%s, owner of %s under term %d, is told to stop", testcluster.Name(i), role, h.Term)
+	t.logFault("%s, owner of %s under term %d, is terminated", testcluster.Name(i), role, h.Term)
 	t.beginVacancy(role, h, true)
 	t.fail(t.f.End(i, syscall.SIGTERM))
 	t.countFault("stopped in order")
@@ -275,7 +279,7 @@
 	t.fail(t.f.Begin(i))
 }
 
-// transfer has a duty handed on by an operator's word.
+// transfer transfers a role by an operator's command.
 func (t *trialRun) transfer(ctx context.Context, r *rand.Rand) {
 	role := t.randomRole(r)
 	i, h := t.roleLeader(role)
@@ -292,14 +296,14 @@
 	}
 }
 
-// slowDisk has a voter's sync take three seconds.
+// slowDisk delays the syncs of the log's leader by 3 s each.
 func (t *trialRun) slowDisk(ctx context.Context, r *rand.Rand) {
 	i := t.logLeader()
 	if i < 0 {
 		return
 	}
 	flag := filepath.Join(t.f.Gateways[i].Dir(), "slow-sync")
-	t.logFault("the disk of %s, the leader, is slow", testcluster.Name(i))
+	t.logFault("the disk of %s, the log's leader, is slow", testcluster.Name(i))
 	if err := os.WriteFile(flag, nil, 0o600); err != nil {
 		t.fail(err)
 		return
@@ -309,13 +313,13 @@
 	t.countFault("slow disks")
 }
 
-// emptyFolder kills a gateway that is no voter, and takes its folder away, once a run.
+// emptyFolder kills a gateway that is not a voter and removes its folder, once a run.
 func (t *trialRun) emptyFolder(ctx context.Context, r *rand.Rand) {
 	i := t.o.Instances - 1
 	if len(t.emptied) > 0 || t.o.Instances < 4 {
 		return
 	}
-	t.logFault("kill %s and take its folder away", testcluster.Name(i))
+	t.logFault("kill %s and remove its folder", testcluster.Name(i))
 	t.emptied[i] = true
 	t.kill(ctx, r, i, func() { t.fail(t.f.Empty(i)) })
 }
--- a/internal/testing/electiontest/hard_test.go
+++ b/internal/testing/electiontest/hard_test.go
@@ -20,22 +20,27 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-func status(t *testing.T, f *testcluster.Fleet, at int) (l consensus.Membership) {
+// waitStatus waits until a gateway answers with its view of the membership.
+func waitStatus(t *testing.T, f *testcluster.Fleet, at int) (l consensus.Membership) {
 	t.Helper()
-	clustertest.Eventually(t, "the status", func() (bool, string) { err := f.Call(at, "status", &l); return err == nil, fmt.Sprint(err) })
+	clustertest.Eventually(t, "the status", func() (bool, string) {
+		err := f.Call(at, "status", &l)
+		return err == nil, fmt.Sprint(err)
+	})
 	return l
 }
 
-// A voter whose disk takes nothing any more promises nothing, and others go on; with room again it comes back.
+// A voter whose disk is full acknowledges nothing, and others continue. It takes part again when
+// there is space.
 func TestAVoterWithAFullDisk(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3})
-	duty := usageexport.RoleOfShard(0)
-	hasOwner(t, f, 0, duty, 0)
-	i, ok := gatewayIndex(status(t, f, 0).Leader)
+	role := usageexport.RoleOfShard(0)
+	waitForOwner(t, f, 0, role, 0)
+	i, ok := gatewayIndex(waitStatus(t, f, 0).Leader)
 	if !ok {
 		t.Fatal("no leader")
 	}
-	// No file of the process may grow: every write fails as on a full disk.
+	// No file of the process may grow, so every write fails as on a full disk.
 	if err := unix.Prlimit(f.Gateways[i].PID(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -45,38 +50,39 @@
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "", fmt.Sprintf("%+v %v", l, err)
 	})
-	clustertest.Eventually(t, "the full one says so", func() (bool, string) {
+	clustertest.Eventually(t, "the voter with the full disk to report it", func() (bool, string) {
 		var h struct{ Trouble string }
 		err := f.Call(i, "here", &h)
 		return err == nil && h.Trouble != "", fmt.Sprint(h, err)
 	})
-	hasOwner(t, f, at, duty, 0)
+	waitForOwner(t, f, at, role, 0)
 	if !f.Gateways[i].Running() {
-		t.Fatal("the gateway ended with its disk")
+		t.Fatal("the gateway exited because of its full disk")
 	}
 	if err := unix.Prlimit(f.Gateways[i].PID(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}, nil); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "it takes part again", func() (bool, string) {
+	clustertest.Eventually(t, "the voter to take part again", func() (bool, string) {
 		var h struct {
 			Trouble string
 			Leader  string
 			Applied uint64
 		}
 		err := f.Call(i, "here", &h)
-		return err == nil && h.Trouble == "" && h.Leader != "" && h.Applied+20 > status(t, f, at).AppliedIndex, fmt.Sprint(h, err)
+		return err == nil && h.Trouble == "" && h.Leader != "" && h.Applied+20 > waitStatus(t, f, at).AppliedIndex, fmt.Sprint(h, err)
 	})
 }
 
-// A duty is handed on to one that lies stopped: the offer runs out, and another takes it long before it wakes.
+// A role is transferred to a suspended gateway. The offer expires, and another gateway acquires the
+// role before the suspended one is resumed.
 func TestHandingOnToOneThatStalls(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	duty := usageexport.RoleOfShard(0)
-	i, h := hasOwner(t, f, 0, duty, 0)
+	role := usageexport.RoleOfShard(0)
+	i, h := waitForOwner(t, f, 0, role, 0)
 	to := another(f, i, 0)
 	at := another(f, i, to)
-	clustertest.Eventually(t, "it takes part", func() (bool, string) {
-		for _, m := range status(t, f, at).Members {
+	clustertest.Eventually(t, "the target to have a session", func() (bool, string) {
+		for _, m := range waitStatus(t, f, at).Members {
 			if m.ID == testcluster.Name(to) {
 				return true, ""
 			}
@@ -86,16 +92,16 @@
 	if err := f.Stop(to); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "the wish is heard", func() (bool, string) {
-		err := f.Call(at, fmt.Sprintf("transfer %s %s", duty, testcluster.Name(to)), nil)
+	clustertest.Eventually(t, "the transfer to be accepted", func() (bool, string) {
+		err := f.Call(at, fmt.Sprintf("transfer %s %s", role, testcluster.Name(to)), nil)
 		return err == nil, fmt.Sprint(err)
 	})
-	clustertest.Eventually(t, "one that is awake owns it", func() (bool, string) {
-		j, next := owner(f, at, duty)
+	clustertest.Eventually(t, "a running gateway to own the role", func() (bool, string) {
+		j, next := owner(f, at, role)
 		return j >= 0 && j != to && next.Term >= h.Term+2 && !next.Unconfirmed, fmt.Sprintf("%d %+v", j, next)
 	})
 	var all []lease.Lease
-	if err := f.Call(at, "history "+duty, &all); err != nil {
+	if err := f.Call(at, "history "+role, &all); err != nil {
 		t.Fatal(err)
 	}
 	offered := false
@@ -103,26 +109,27 @@
 		offered = offered || k.Holder.ID == testcluster.Name(to) && k.Cause == lease.Transferred
 	}
 	if !offered {
-		t.Errorf("it was never offered: nothing was shown: %+v", all)
+		t.Errorf("the role was never offered to the suspended gateway: %+v", all)
 	}
 	if err := f.Wake(to); err != nil {
 		t.Fatal(err)
 	}
-	traffic(t, f, 1e9)
-	exported(t, f, at, 0)
+	runTraffic(t, f, 1e9)
+	waitExported(t, f, at, 0)
 }
 
-// While a split lasts voters are changed by the side with the quorum alone, and the other side learns of it.
+// During a partition only the side with the quorum can change the voters. The other side learns of
+// it afterwards.
 func TestAChangeOfVotersDuringASplit(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	if err := f.End(3, syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := errors.Join(f.Command(3, nil, "fleet", "join", "n3", "--operators", "operators.toml"), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
-	cut, ok := gatewayIndex(status(t, f, 0).Leader)
+	cut, ok := gatewayIndex(waitStatus(t, f, 0).Leader)
 	if !ok {
 		t.Fatal("no leader")
 	}
@@ -131,13 +138,16 @@
 	if err := f.Call(cut, "remove "+testcluster.Name(at), nil); err == nil {
 		t.Error("the side without a quorum removed a voter")
 	}
-	clustertest.Eventually(t, "the new voter is added", func() (bool, string) { err := f.Call(3, "add", nil); return err == nil, fmt.Sprint(err) })
-	clustertest.Eventually(t, "the cut one is removed", func() (bool, string) {
+	clustertest.Eventually(t, "the addition of the new voter", func() (bool, string) {
+		err := f.Call(3, "add", nil)
+		return err == nil, fmt.Sprint(err)
+	})
+	clustertest.Eventually(t, "the removal of the isolated voter", func() (bool, string) {
 		err := f.Call(at, "remove "+testcluster.Name(cut), nil)
 		return err == nil || strings.Contains(err.Error(), "no voter"), fmt.Sprint(err)
 	})
 	f.Isolate(cut, true, true, false)
-	l := status(t, f, at)
+	l := waitStatus(t, f, at)
 	names := ""
 	for _, v := range l.Voters {
 		names += v.Name + " "
@@ -145,28 +155,29 @@
 	if strings.Contains(names, testcluster.Name(cut)) || !strings.Contains(names, "n3") || len(l.Voters) != 3 {
 		t.Errorf("voters %s", names)
 	}
-	// It goes on as a gateway with a session, and asks those that vote.
-	clustertest.Eventually(t, "the removed one hears the fleet", func() (bool, string) {
+	// It continues as a gateway with a session at the voters.
+	clustertest.Eventually(t, "the removed voter to reach the fleet", func() (bool, string) {
 		var l consensus.Membership
 		err := f.Call(cut, "status", &l)
 		return err == nil && len(l.Voters) == 3, fmt.Sprint(err)
 	})
-	hasOwner(t, f, cut, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, cut, usageexport.RoleOfShard(0), 0)
 }
 
-// A majority is lost for good: nothing new is agreed, gateways serve and count on, and the fleet that is founded
-// anew under another name exports what was counted meanwhile.
+// A majority is lost permanently. Nothing new is committed, the gateways continue to serve and
+// meter, and a fleet that is founded again under another name exports the usage that was metered
+// meanwhile.
 func TestAMajorityLostForGood(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3})
-	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	for i := range 2 {
 		if err := errors.Join(f.End(i, syscall.SIGKILL), f.Empty(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	traffic(t, f, 1500e6) // the one that is left serves
+	runTraffic(t, f, 1500e6) // the remaining gateway serves
 	if err := f.Call(2, "transfer "+usageexport.RoleOfShard(0)+" n2", nil); err == nil {
-		t.Error("something was agreed without a majority")
+		t.Error("a transfer was committed without a majority")
 	}
 	if err := f.End(2, syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -188,23 +199,24 @@
 			t.Fatal(err)
 		}
 	}
-	hasOwner(t, f, 2, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 2, usageexport.RoleOfShard(0), 0)
 	run := &trialRun{f: f}
 	want := run.sentUnits()[2]
 	if want == 0 {
-		t.Fatal("nothing was sent on: nothing is shown")
+		t.Fatal("no request was forwarded, so the test shows nothing")
 	}
-	clustertest.Eventually(t, fmt.Sprintf("the %g units of the one that was left", want), func() (bool, string) {
+	clustertest.Eventually(t, fmt.Sprintf("the export of the %g units of the remaining gateway", want), func() (bool, string) {
 		v := view(t, f, 2)
 		return run.exportedUnits(&v)[2] == want, fmt.Sprint(run.exportedUnits(&v))
 	})
 }
 
-// The log's leader lies stopped: another leads, and the old one follows when it wakes.
+// The log's leader is suspended. Another voter becomes leader, and the old one follows it when it
+// is resumed.
 func TestAStoppedLeader(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
-	was := status(t, f, 3)
+	waitForOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
+	was := waitStatus(t, f, 3)
 	i, ok := gatewayIndex(was.Leader)
 	if !ok {
 		t.Fatal("no leader")
@@ -218,11 +230,11 @@
 		err := f.Call(at, "status", &l)
 		return err == nil && l.Leader != was.Leader && l.Leader != "" && l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 	})
-	hasOwner(t, f, at, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, at, usageexport.RoleOfShard(0), 0)
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "the woken one follows", func() (bool, string) {
+	clustertest.Eventually(t, "the resumed voter to follow", func() (bool, string) {
 		var h struct {
 			Leader string
 			Leads  bool
@@ -232,11 +244,12 @@
 	})
 }
 
-// A second gateway is started under the name of one that runs, once with a folder of its own and once on the same.
-// Of two with one name the newer takes part and the older says why it does not; on one folder the second waits.
+// A second gateway is started under the name of a running one, once in its own folder and once in
+// the same one. With two folders the newer gateway takes part and the older one reports why it does
+// not. In one folder the second does not take part.
 func TestASecondGatewayOfOneName(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	second := func(folder string) (log func() string) {
 		t.Helper()
 		dir := t.TempDir()
@@ -270,12 +283,12 @@
 		return func() string { raw, _ := os.ReadFile(filepath.Join(dir, "log")); return string(raw) }
 	}
 	log := second(f.FleetDir(3))
-	clustertest.Eventually(t, "the second on one folder says so", func() (bool, string) {
+	clustertest.Eventually(t, "the second gateway in the same folder to report it", func() (bool, string) {
 		return strings.Contains(log(), "this process does not take part"), log()
 	})
 	if strings.Contains(f.Gateways[3].Log(), "another process has taken the id") {
-		t.Error("one that does not take part has taken the id")
+		t.Error("a gateway that does not take part has taken the id")
 	}
 	second(filepath.Join(t.TempDir(), "fleet"))
-	logged(t, f, 3, "another process has taken the id n3 since")
+	waitLogged(t, f, 3, "another process has taken the id n3 since")
 }
--- a/internal/testing/electiontest/history.go
+++ b/internal/testing/electiontest/history.go
@@ -20,35 +20,37 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// writers are clients of the rig's own: they write and read a few keys of the agreed state all the while, past all
-// links but to voters that stop and die, and keep a history of every operation.
+// writers are the rig's own clients of the control state. They continuously write and read a few
+// keys and record a history of every operation. Their connections bypass all links, but the voters
+// may be suspended or killed.
 type writers struct {
-	f      *testcluster.Fleet
-	seed   uint64
-	began  time.Time
-	mu     sync.Mutex
-	ops    []porcupine.Operation
-	oks    []time.Duration // when operations succeeded
-	unsure int
+	f          *testcluster.Fleet
+	seed       uint64
+	began      time.Time
+	mu         sync.Mutex
+	ops        []porcupine.Operation
+	oks        []time.Duration // return times of answered operations
+	unanswered int
 }
 
 type input struct {
-	key   string
-	what  byte // 'r' read, 'w' write, 'c' write if the version is as read
-	value string
-	if_   uint64
+	key      string
+	what     byte // 'r' read, 'w' write, 'c' write if the version is as read
+	value    string
+	expected uint64 // for 'c': the version as read
 }
 
 type output struct {
-	unknown bool // no answer: it may have happened, or happen yet
+	unknown bool // no answer: the operation may have taken effect, or may yet
 	ok      bool
 	value   string
 	version uint64
 }
 
+// keys is the number of keys.
 const keys = 3
 
-// run works until the context ends.
+// run runs n clients until the context ends.
 func (w *writers) run(ctx context.Context, n int) {
 	var wg sync.WaitGroup
 	for i := range n {
@@ -64,13 +66,18 @@
 func (w *writers) one(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(w.seed, uint64(0x3177e5+i)))
 	me := lease.Member{ID: fmt.Sprintf("rig-%d", i), Incarnation: w.seed<<8 | uint64(i) | 1}
-	c := controlrpc.NewClient(testcluster.FleetName, me, "", w.f.Voters(), w.f.Addresses(-1), slog.New(slog.DiscardHandler))
+	c := controlrpc.NewClient(testcluster.FleetName, me, "", w.f.Voters(), w.f.Addresses(-1),
+		slog.New(slog.DiscardHandler))
 	defer c.Close()
 	last := map[string]uint64{} // versions as read
 	for n := 0; ctx.Err() == nil; n++ {
-		in := input{key: fmt.Sprintf("rig/%d", r.IntN(keys)), what: "rwc"[r.IntN(3)], value: fmt.Sprintf("%d.%d", i, n)}
+		in := input{
+			key:   fmt.Sprintf("rig/%d", r.IntN(keys)),
+			what:  "rwc"[r.IntN(3)],
+			value: fmt.Sprintf("%d.%d", i, n),
+		}
 		if in.what == 'c' {
-			if in.if_ = last[in.key]; in.if_ == 0 {
+			if in.expected = last[in.key]; in.expected == 0 {
 				in.what = 'r'
 			}
 		}
@@ -78,16 +85,18 @@
 		out := w.do(ctx, c, in)
 		end := time.Since(w.began)
 		if in.what == 'r' && out.unknown {
-			continue // it told nothing and changed nothing
+			continue // the read returned nothing and changed nothing
+		}
+		op := porcupine.Operation{
+			ClientId: i, Input: in, Call: int64(call), Output: out, Return: int64(end),
 		}
-		op := porcupine.Operation{ClientId: i, Input: in, Call: int64(call), Output: out, Return: int64(end)}
 		if out.unknown {
 			op.Return = int64(1 << 62)
 		}
 		w.mu.Lock()
 		w.ops = append(w.ops, op)
 		if out.unknown {
-			w.unsure++
+			w.unanswered++
 		} else {
 			w.oks = append(w.oks, end)
 		}
@@ -102,8 +111,8 @@
 	}
 }
 
-// do carries an operation out, and asks again in the same session for as long as there is no answer: what a client
-// does whose answer got lost.
+// do performs an operation. Without an answer the client retries it in the same session for up to
+// 6 s, as clients do whose answer was lost.
 func (w *writers) do(ctx context.Context, c *controlrpc.Client, in input) output {
 	one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 6*time.Second)
 	defer cancel()
@@ -117,7 +126,7 @@
 	}
 	op := checkpoint.Command{Key: in.key, Value: in.value}
 	if in.what == 'c' {
-		op.ExpectedVersion = &in.if_
+		op.ExpectedVersion = &in.expected
 	}
 	body, _ := json.Marshal(op)
 	raw, err := c.Propose(one, checkpoint.MachineName, body)
@@ -128,14 +137,14 @@
 	return output{ok: res.OK, value: res.Value, version: res.Version}
 }
 
-// cell is a key as the model has it.
+// cell is the state of a key in the model.
 type cell struct {
 	value   string
-	version uint64 // 0: not known, as the write that made it had no answer
+	version uint64 // 0: not known, because the write that made it had no answer
 }
 
-// model says what a key's history must look like: each write takes hold at one moment between its call and its
-// answer, or, without an answer, at any later moment or never.
+// model defines the valid histories of a key: each write takes effect at one moment between its
+// call and its answer or, without an answer, at any later moment or never.
 var model = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -150,13 +159,15 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// step gives what a key may be after an operation; nothing: the operation can't have ended so.
+// step returns the possible states of a key after an operation. It returns none if the operation
+// can't have had that output.
 func step(s cell, i input, o output) []any {
-	hidden := s.value != "" && s.version == 0 // the write had no answer: its version shows later
+	// The write had no answer: a later read shows its version.
+	hidden := s.value != "" && s.version == 0
 	shows := s == cell{o.value, o.version} || hidden && s.value == o.value
 	switch {
 	case i.what == 'r' || i.what == 'c' && !o.unknown && !o.ok:
-		if shows && (i.what == 'r' || o.version != i.if_) {
+		if shows && (i.what == 'r' || o.version != i.expected) {
 			return []any{cell{o.value, o.version}}
 		}
 		return nil
@@ -164,11 +175,11 @@
 		return []any{cell{value: i.value}}
 	case o.unknown && hidden:
 		return []any{s, cell{value: i.value}}
-	case o.unknown && s.version == i.if_:
+	case o.unknown && s.version == i.expected:
 		return []any{cell{value: i.value}}
 	case o.unknown:
 		return []any{s}
-	case i.what == 'c' && s.version != i.if_ && !hidden:
+	case i.what == 'c' && s.version != i.expected && !hidden:
 		return nil
 	case !o.ok || o.value != i.value:
 		return nil
@@ -176,19 +187,19 @@
 	return []any{cell{i.value, o.version}}
 }
 
-// judgement is what the histories come to.
+// judgement is the result of judging the histories.
 type judgement struct {
-	unordered int // keys whose history fits no order
-	lost      int // acknowledged writes of which no version ever was there
-	doubled   int // versions that two writes were given, or writes that were given two
-	longest   time.Duration
-	at        time.Duration // when that began
-	total     time.Duration // without any operation that succeeded, beyond a second each time
+	unordered int           // keys whose history has no valid order
+	lost      int           // reads of a version with another value than its acknowledged write
+	doubled   int           // versions that two writes were assigned
+	longest   time.Duration // longest time without an answered operation
+	at        time.Duration // start of that time
+	total     time.Duration // sum of all such times of more than a second
 }
 
-var errSlow = errors.New("the histories could not be judged in time")
+var errSlow = errors.New("checking the histories timed out")
 
-// judge holds the histories against the model.
+// judge checks the histories against the model.
 func (w *writers) judge(began, ended time.Duration) (j judgement, err error) {
 	versions := map[string]string{}
 	for _, op := range w.ops {
@@ -202,13 +213,14 @@
 		}
 		versions[name] = in.value
 	}
-	// A version that a read shows has one value: that of the write which was given it.
+	// A read must return the value of the write that was assigned the version.
 	for _, op := range w.ops {
 		in, out := op.Input.(input), op.Output.(output)
 		if in.what != 'r' || out.version == 0 {
 			continue
 		}
-		if value, ok := versions[fmt.Sprintf("%s@%d", in.key, out.version)]; ok && value != out.value {
+		if value, ok := versions[fmt.Sprintf("%s@%d", in.key, out.version)]; ok &&
+			value != out.value {
 			j.lost++
 		}
 	}
--- a/internal/testing/electiontest/owner_test.go
+++ b/internal/testing/electiontest/owner_test.go
@@ -41,15 +41,16 @@
 	return clustertest.Fleet(t, o)
 }
 
-// owner is who holds a duty by the agreed table, asked at a gateway; -1: nobody.
-func owner(f *testcluster.Fleet, at int, duty string) (int, lease.Lease) {
+// owner returns the holder of a role by the committed leases, as a gateway reports them; -1 if
+// none.
+func owner(f *testcluster.Fleet, at int, role string) (int, lease.Lease) {
 	var v lease.View
 	if f.Call(at, "owners", &v) != nil {
 		return -1, lease.Lease{}
 	}
 	for _, h := range v.Leases {
 		var i int
-		if n, _ := fmt.Sscanf(h.Holder.ID, "n%d", &i); h.Role == duty && n == 1 &&
+		if n, _ := fmt.Sscanf(h.Holder.ID, "n%d", &i); h.Role == role && n == 1 &&
 			v.At <= h.ExpiresAt {
 			return i, h
 		}
@@ -57,24 +58,25 @@
 	return -1, lease.Lease{}
 }
 
-// hasOwner waits for an owner that knows itself to be one: the table alone still names a process
-// that has just ended while the fleet's time stands still.
-func hasOwner(
-	t *testing.T, f *testcluster.Fleet, at int, duty string, but uint64,
+// waitForOwner waits for an owner, under a term above after, that reports the role itself. The
+// leases alone still name a process that has just exited while the fleet's time does not advance.
+func waitForOwner(
+	t *testing.T, f *testcluster.Fleet, at int, role string, after uint64,
 ) (i int, h lease.Lease) {
 	t.Helper()
-	clustertest.Eventually(t, "an owner of "+duty, func() (bool, string) {
+	clustertest.Eventually(t, "an owner of "+role, func() (bool, string) {
 		var here controlplane.LocalStatus
-		if i, h = owner(f, at, duty); i < 0 || h.Term <= but {
+		if i, h = owner(f, at, role); i < 0 || h.Term <= after {
 			return false, fmt.Sprintf("%d %+v", i, h)
 		}
 		err := f.Call(i, "here", &here)
-		return err == nil && here.Roles[duty] == h.Term, fmt.Sprintf("%+v, here %+v %v",
+		return err == nil && here.Roles[role] == h.Term, fmt.Sprintf("%+v, here %+v %v",
 			h, here, err)
 	})
 	return i, h
 }
 
+// view waits until a gateway answers with the exports.
 func view(t *testing.T, f *testcluster.Fleet, at int) (v usageexport.View) {
 	t.Helper()
 	clustertest.Eventually(t, "the exports", func() (bool, string) {
@@ -84,11 +86,11 @@
 	return v
 }
 
-// another is a gateway other than some.
-func another(f *testcluster.Fleet, but ...int) int {
+// another returns a gateway other than the given ones.
+func another(f *testcluster.Fleet, except ...int) int {
 next:
 	for i := range f.Gateways {
-		for _, b := range but {
+		for _, b := range except {
 			if i == b {
 				continue next
 			}
@@ -98,45 +100,47 @@
 	return -1
 }
 
-// An owner that is killed is followed by another under a higher term.
+// A killed owner is succeeded by another gateway under a higher term.
 func TestAnotherFollowsAKilledOwner(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 3})
-	duty := usageexport.RoleOfShard(0)
-	i, h := hasOwner(t, f, 0, duty, 0)
+	role := usageexport.RoleOfShard(0)
+	i, h := waitForOwner(t, f, 0, role, 0)
 	if err := f.End(i, 9); err != nil {
 		t.Fatal(err)
 	}
-	j, next := hasOwner(t, f, another(f, i), duty, h.Term)
+	j, next := waitForOwner(t, f, another(f, i), role, h.Term)
 	if j == i || next.Cause != lease.Expired {
 		t.Errorf("after %+v: %+v", h, next)
 	}
 }
 
-// flag asks a gateway for a fault at a named point.
-func flag(t *testing.T, f *testcluster.Fleet, i int, name string) {
+// activateFault creates the file that activates a gateway's fault.
+func activateFault(t *testing.T, f *testcluster.Fleet, i int, name string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(f.Gateways[i].Dir(), name), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func logged(t *testing.T, f *testcluster.Fleet, i int, what string) {
+// waitLogged waits until a gateway has logged a text.
+func waitLogged(t *testing.T, f *testcluster.Fleet, i int, what string) {
 	t.Helper()
-	clustertest.Eventually(t, testcluster.Name(i)+" logs "+what, func() (bool, string) {
+	clustertest.Eventually(t, testcluster.Name(i)+" to log "+what, func() (bool, string) {
 		return strings.Contains(f.Gateways[i].Log(), what), ""
 	})
 }
 
-// traffic has clients ask for a while, and waits until all that was sent on is exported.
-func traffic(t *testing.T, f *testcluster.Fleet, d time.Duration) {
+// runTraffic has clients send requests for d.
+func runTraffic(t *testing.T, f *testcluster.Fleet, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	f.Clients.Run(ctx)
 }
 
-// exported waits until the files that count hold all that the servers took, but for some units.
-func exported(t *testing.T, f *testcluster.Fleet, at int, lacking float64) usageexport.View {
+// waitExported waits until the committed files have all units that the servers received, with a
+// tolerance of lacking units.
+func waitExported(t *testing.T, f *testcluster.Fleet, at int, lacking float64) usageexport.View {
 	t.Helper()
 	run := &trialRun{f: f}
 	want := 0.0
@@ -144,12 +148,12 @@
 		want += units
 	}
 	if want == 0 {
-		t.Fatal("nothing was sent on: nothing is shown")
+		t.Fatal("no request was forwarded, so the test shows nothing")
 	}
 	var v usageexport.View
 	clustertest.Eventually(t, fmt.Sprintf("%g units exported", want), func() (bool, string) {
 		if f.Call(at, "exports", &v) != nil {
-			return false, "nobody tells"
+			return false, "no answer"
 		}
 		return v.Units >= want-lacking && v.Units <= want+lacking, fmt.Sprintf("%g units", v.Units)
 	})
@@ -162,7 +166,7 @@
 		sum += n
 	}
 	if sum != v.Units {
-		t.Errorf("the files hold %g units, %g were agreed", sum, v.Units)
+		t.Errorf("the files have %g units, but %g were committed", sum, v.Units)
 	}
 	if two, late := countConflicts(&v); two+late > 0 {
 		t.Errorf("%d effects of two owners, %d late ones", two, late)
@@ -170,9 +174,9 @@
 	return v
 }
 
-// An owner that lies stopped (by SIGSTOP to itself, at a named point) between its check and its
-// write, and wakes when another has gone on: its word is refused, nothing is exported twice, and it
-// notices by itself.
+// An owner is suspended (by SIGSTOP to itself at a failpoint) between its check and its write, and
+// resumed when another owner has exported. Its command must be refused, nothing may be exported
+// twice, and it must notice by itself that it lost the role.
 func TestAnOwnerThatWakesLateDoesNoHarm(t *testing.T) {
 	f := fleet(
 		t,
@@ -181,39 +185,39 @@
 			Env:       func(int) string { return "MOTHCLEAT_FAULTS=stop=export-before-agree@stop" },
 		},
 	)
-	duty := usageexport.RoleOfShard(0)
-	i, h := hasOwner(t, f, 0, duty, 0)
-	flag(t, f, i, "stop")
-	asked := make(chan struct{})
+	role := usageexport.RoleOfShard(0)
+	i, h := waitForOwner(t, f, 0, role, 0)
+	activateFault(t, f, i, "stop")
+	trafficDone := make(chan struct{})
 	go func() {
-		defer close(asked)
-		traffic(t, f, 2*time.Second)
+		defer close(trafficDone)
+		runTraffic(t, f, 2*time.Second)
 	}()
-	clustertest.Eventually(t, "the owner stops itself", func() (bool, string) {
+	clustertest.Eventually(t, "the owner to suspend itself", func() (bool, string) {
 		return f.Stopped(i), ""
 	})
 	at := another(f, i)
-	_, next := hasOwner(t, f, at, duty, h.Term)
+	_, next := waitForOwner(t, f, at, role, h.Term)
 	before := view(t, f, at)
-	clustertest.Eventually(t, "the next owner exports", func() (bool, string) {
+	clustertest.Eventually(t, "an export by the next owner", func() (bool, string) {
 		v := view(t, f, at)
 		return v.Count > before.Count && v.Files[len(v.Files)-1].Term == next.Term, ""
 	})
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, f, i, "refused: lease: not the owner under this term")
-	logged(t, f, i, "role lost")
-	<-asked
-	exported(t, f, at, 0)
+	waitLogged(t, f, i, "refused: lease: not the owner under this term")
+	waitLogged(t, f, i, "role lost")
+	<-trafficDone
+	waitExported(t, f, at, 0)
 }
 
-// A link that is lost one way only, at the log's leader: heard by nobody, then hearing nobody.
-// Another leads each time, and what is agreed goes on.
+// The log's leader is cut off in one direction: first it can't send, then it can't receive. Each
+// time another voter must become leader, and commits must continue.
 func TestALeaderHalfCutOff(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
 	run := &trialRun{f: f, o: Options{Instances: 4, Shards: 1}}
-	for _, says := range []bool{true, false} {
+	for _, cutSending := range []bool{true, false} {
 		var i int
 		clustertest.Eventually(t, "a leader", func() (bool, string) {
 			i = run.logLeader()
@@ -224,7 +228,7 @@
 			t.Fatal(err)
 		}
 		held := f.Held()
-		f.Isolate(i, says, !says, true)
+		f.Isolate(i, cutSending, !cutSending, true)
 		at := another(f, i)
 		clustertest.Eventually(t, "another leader", func() (bool, string) {
 			var l consensus.Membership
@@ -232,12 +236,12 @@
 			return err == nil && l.Leader != testcluster.Name(i) && l.Leader != "" &&
 				l.Term > was.Term, fmt.Sprintf("%+v %v", l, err)
 		})
-		hasOwner(t, f, at, usageexport.RoleOfShard(0), 0)
+		waitForOwner(t, f, at, usageexport.RoleOfShard(0), 0)
 		if f.Held() == held {
-			t.Error("the cut met nothing: nothing was shown")
+			t.Error("the cut links held nothing back")
 		}
-		f.Isolate(i, says, !says, false)
-		clustertest.Eventually(t, "the cut one follows", func() (bool, string) {
+		f.Isolate(i, cutSending, !cutSending, false)
+		clustertest.Eventually(t, "the old leader to follow", func() (bool, string) {
 			var h struct{ Leader string }
 			err := f.Call(i, "here", &h)
 			return err == nil && h.Leader != "" &&
@@ -246,30 +250,30 @@
 	}
 }
 
-// A voter that comes back with an older folder, or without one, must not vote, and says how to mend
+// A voter that restarts with an older folder, or without one, must not vote, and logs how to repair
 // it.
 func TestAVoterWithAnOldOrEmptyFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 	if err := f.Save(2); err != nil {
 		t.Fatal(err)
 	}
-	traffic(t, f, time.Second) // more is agreed meanwhile
+	runTraffic(t, f, time.Second) // more is committed meanwhile
 	if err := errors.Join(f.End(2, syscall.SIGKILL), f.Restore(2), f.Begin(2)); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, f, 2, "the folder is an older copy")
+	waitLogged(t, f, 2, "the folder is an older copy")
 	if err := errors.Join(f.End(2, syscall.SIGKILL), f.Empty(2), f.Begin(2)); err != nil {
 		t.Fatal(err)
 	}
-	logged(
+	waitLogged(
 		t,
 		f,
 		2,
 		"must not vote: the operators' file names this gateway as a voter, but its folder is no voter's",
 	)
-	// The way out that the lines tell: removed, made anew, added.
-	clustertest.Eventually(t, "it is removed", func() (bool, string) {
+	// The repair that the log lines describe: remove the voter, create its folder, add it.
+	clustertest.Eventually(t, "the removal of the voter", func() (bool, string) {
 		err := f.Call(0, "remove n2", nil)
 		return err == nil || strings.Contains(err.Error(), "no voter"), fmt.Sprint(err)
 	})
@@ -281,102 +285,101 @@
 		f.Begin(2)); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "it is added", func() (bool, string) {
+	clustertest.Eventually(t, "the addition of the voter", func() (bool, string) {
 		err := f.Call(2, "add", nil)
 		return err == nil, fmt.Sprint(err)
 	})
-	clustertest.Eventually(t, "it votes and is up to date", func() (bool, string) {
+	clustertest.Eventually(t, "the voter to vote and be up to date", func() (bool, string) {
 		var l consensus.Membership
 		var h struct{ Applied uint64 }
 		err := errors.Join(f.Call(0, "status", &l), f.Call(2, "here", &h))
 		return err == nil && len(l.Voters) == 3 &&
 			h.Applied+20 > l.AppliedIndex, fmt.Sprintf("%+v %+v %v", l, h, err)
 	})
-	// With one of the others gone, its vote counts.
+	// With one of the other voters killed, its vote is needed.
 	if err := f.End(1, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	_, h := hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	_, h := waitForOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	if err := f.Call(0, "transfer "+h.Role+" n3", nil); err != nil && h.Holder.ID != "n3" {
-		clustertest.Eventually(t, "something is agreed", func() (bool, string) {
+		clustertest.Eventually(t, "a commit", func() (bool, string) {
 			err := f.Call(0, "transfer "+h.Role+" n3", nil)
 			return err == nil || strings.Contains(err.Error(), "already"), fmt.Sprint(err)
 		})
 	}
 }
 
-// A voter's folder copied to another gateway does not vote a second time.
+// A copy of a voter's folder at another gateway must not vote.
 func TestACopiedFolderDoesNotVote(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 	if err := errors.Join(f.End(3, syscall.SIGTERM), f.Copy(0, 3), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, f, 3, "the folder was copied")
+	waitLogged(t, f, 3, "the folder was copied")
 	var h struct{ Voter bool }
 	if err := f.Call(3, "here", &h); err != nil || h.Voter {
 		t.Errorf("%+v, %v", h, err)
 	}
-	hasOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 3, usageexport.RoleOfShard(0), 0)
 }
 
-// All voters killed at once and back: what was agreed is there, and duties go on under higher
-// terms. While a majority is lost nothing new is agreed, and gateways serve on.
+// All voters are killed at once and restarted. The committed state is still there, and roles
+// continue without a lower term. Without a majority no committed state is reported.
 func TestAllVotersKilledAtOnce(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	duty := usageexport.RoleOfShard(0)
-	_, h := hasOwner(t, f, 3, duty, 0)
-	traffic(t, f, 2*time.Second)
-	before := exported(t, f, 3, 0)
+	role := usageexport.RoleOfShard(0)
+	_, h := waitForOwner(t, f, 3, role, 0)
+	runTraffic(t, f, 2*time.Second)
+	before := waitExported(t, f, 3, 0)
 	for i := range 3 {
 		if err := f.End(i, syscall.SIGKILL); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if f.Call(3, "owners", nil) == nil {
-		t.Error("something is told as agreed without any voter")
+		t.Error("a gateway reports committed leases without any voter")
 	}
 	for i := range 2 {
 		if err := f.Begin(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, next := hasOwner(t, f, 3, duty, 0)
+	_, next := waitForOwner(t, f, 3, role, 0)
 	if next.Term < h.Term {
 		t.Errorf("term %d after %d", next.Term, h.Term)
 	}
 	if err := f.Begin(2); err != nil {
 		t.Fatal(err)
 	}
-	traffic(t, f, time.Second)
-	after := exported(t, f, 3, 0)
+	runTraffic(t, f, time.Second)
+	after := waitExported(t, f, 3, 0)
 	if after.Count < before.Count || after.Files[0].SHA256 != before.Files[0].SHA256 {
 		t.Errorf("%+v, then %+v", before, after)
 	}
 }
 
-// Clocks that are far off, slow, or leap under way: the duty is handed on, and effects have one
-// owner.
+// Clocks are 30 s ahead, slow, fast, or jump. Roles can be transferred, and effects have one owner.
 func TestClocksThatAreOff(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Env: func(i int) string {
 		return "MOTHCLEAT_FAULTS=" +
 			[]string{"ahead=30s", "pace=0.9", "jump=40s@3s", "pace=1.02"}[i]
 	}})
-	duty := usageexport.RoleOfShard(0)
+	role := usageexport.RoleOfShard(0)
 	for range 3 {
-		i, h := hasOwner(t, f, 0, duty, 0)
-		traffic(t, f, time.Second)
+		i, h := waitForOwner(t, f, 0, role, 0)
+		runTraffic(t, f, time.Second)
 		to := (i + 1) % 4
-		clustertest.Eventually(t, "the duty is handed on", func() (bool, string) {
-			_ = f.Call(0, fmt.Sprintf("transfer %s %s", duty, testcluster.Name(to)), nil)
-			j, next := owner(f, 0, duty)
+		clustertest.Eventually(t, "the transfer of the role", func() (bool, string) {
+			_ = f.Call(0, fmt.Sprintf("transfer %s %s", role, testcluster.Name(to)), nil)
+			j, next := owner(f, 0, role)
 			return j >= 0 && next.Term > h.Term, fmt.Sprintf("%d %+v", j, next)
 		})
 	}
-	exported(t, f, 0, 0)
+	waitExported(t, f, 0, 0)
 }
 
-// A disk that stalls, at the leader: another leads, and the slow one comes back.
+// The disk of the log's leader stalls. Another voter becomes leader, and the slow one follows it.
 func TestALeaderWithASlowDisk(t *testing.T) {
 	f := fleet(
 		t,
@@ -388,12 +391,12 @@
 		},
 	)
 	run := &trialRun{f: f, o: Options{Instances: 3, Shards: 1}}
-	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	waitForOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
 	i := run.logLeader()
 	if i < 0 {
 		t.Fatal("no leader")
 	}
-	flag(t, f, i, "slow")
+	activateFault(t, f, i, "slow")
 	at := another(f, i)
 	clustertest.Eventually(t, "another leader", func() (bool, string) {
 		var l consensus.Membership
@@ -404,20 +407,20 @@
 	if err := os.Remove(filepath.Join(f.Gateways[i].Dir(), "slow")); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "the slow one follows", func() (bool, string) {
+	clustertest.Eventually(t, "the voter with the slow disk to follow", func() (bool, string) {
 		var h struct{ Leader, Trouble string }
 		err := f.Call(i, "here", &h)
 		return err == nil && h.Leader != "" && h.Trouble == "", fmt.Sprint(h, err)
 	})
 }
 
-// Two processes with one id: the newer goes on, the older is refused with a line that says which.
-// On one folder the second takes no part.
+// Two processes have one id: the newer one continues, and the older one is refused and logs which
+// process has taken the id. A second process on the same folder does not take part.
 func TestTwoProcessesWithOneID(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	hasOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
-	// else it would be the newer one
-	clustertest.Eventually(t, "n3 has its id", func() (bool, string) {
+	waitForOwner(t, f, 0, usageexport.RoleOfShard(0), 0)
+	// Without a session, n3 would be the newer process.
+	clustertest.Eventually(t, "a session of n3", func() (bool, string) {
 		var l consensus.Membership
 		err := f.Call(0, "status", &l)
 		return err == nil &&
@@ -433,7 +436,7 @@
 		[]byte(`{"key":"k","value":"v"}`)); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, f, 3, "another process has taken the id n3 since")
+	waitLogged(t, f, 3, "another process has taken the id n3 since")
 
 	second, err := metering.Open(controlplane.UseDir(f.FleetDir(0)), "n0", 7, time.Second,
 		slog.New(slog.DiscardHandler))
@@ -442,37 +445,37 @@
 	}
 }
 
-// A gateway told to stop hands its duty on: the next has it without a span of silence. One whose
-// folder is lost leaves a gap that is told.
+// A gateway that is terminated transfers its role, so that the next owner need not wait for the
+// lease to expire. A gateway whose folder is lost leaves a gap that is reported.
 func TestHandingOnAndALostFolder(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4})
-	duty := usageexport.RoleOfShard(0)
-	i, h := hasOwner(t, f, 0, duty, 0)
-	traffic(t, f, 2*time.Second)
+	role := usageexport.RoleOfShard(0)
+	i, h := waitForOwner(t, f, 0, role, 0)
+	runTraffic(t, f, 2*time.Second)
 	if err := f.End(i, syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	at := another(f, i, 3)
-	_, next := hasOwner(t, f, at, duty, h.Term)
+	_, next := waitForOwner(t, f, at, role, h.Term)
 	if next.Cause != lease.Transferred || next.Term != h.Term+1 {
 		t.Errorf("after %+v: %+v", h, next)
 	}
 	if err := f.Begin(i); err != nil {
 		t.Fatal(err)
 	}
-	exported(t, f, at, 0)
-	boot := ""
+	waitExported(t, f, at, 0)
+	incarnation := ""
 	for _, m := range view(t, f, at).Progress {
 		if m.ID == "n3" && !m.Last {
-			boot = m.Incarnation
+			incarnation = m.Incarnation
 		}
 	}
 	if err := errors.Join(f.End(3, syscall.SIGKILL), f.Empty(3), f.Begin(3)); err != nil {
 		t.Fatal(err)
 	}
-	clustertest.Eventually(t, "the gap of boot "+boot, func() (bool, string) {
+	clustertest.Eventually(t, "the gap of incarnation "+incarnation, func() (bool, string) {
 		for _, m := range view(t, f, at).Progress {
-			if m.Incarnation == boot && m.Gap != "" {
+			if m.Incarnation == incarnation && m.Gap != "" {
 				return true, ""
 			}
 		}
@@ -480,9 +483,9 @@
 	})
 }
 
-// A short run of everything at once, as lab owner plays it.
+// A short run with all faults at once, as by lab owner.
 func TestEverythingAtOnce(t *testing.T) {
-	t.Parallel() // beside the other long one: both mostly wait
+	t.Parallel() // the tests mostly wait
 	if testing.Short() {
 		t.Skip("30 seconds")
 	}
--- a/internal/testing/electiontest/run.go
+++ b/internal/testing/electiontest/run.go
@@ -1,6 +1,6 @@
-// Package electiontest has a fleet of real gateways hold duties while links and processes fail, and
-// judges by effects whether there was one owner at a time: by what was agreed, by the files that
-// count, and by what the stand-in servers took.
+// Package electiontest runs a fleet of real gateways that lead roles while links and processes
+// fail. It judges by effects whether each role had one leader at a time: by the committed state, by
+// the committed export files, and by the requests that the simulated servers received.
 package electiontest
 
 import (
@@ -24,24 +24,26 @@
 	"mothcleat/internal/testing/testcluster"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
 	Seed      uint64
 	Instances int
 	For       time.Duration
 	Load      float64
 	Shards    int
-	Clients   int    // further processes with a session each, that watch the duties
-	Logs      string // a folder that the gateways' logs are copied to; "": none
-	Bin       string // built with the tag faults; "": it is built
+	Clients   int    // additional clients with a session each, which watch the leases
+	Logs      string // folder for copies of the gateways' logs; "": none
+	Bin       string // gateway binary built with the tag faults; "": Run builds it
 }
 
-// points are where processes stop or end themselves when the rig asks them to, by a file in their
-// folder.
-var points = []string{"export-collected", "export-amid-write", "export-before-agree", "export-after-agree", "voter-before-sync", "voter-after-sync",
-	"use-before-close", "use-after-close"}
+// points are the failpoints at which processes suspend or kill themselves if the rig asks for it by
+// a file in their folder.
+var points = []string{
+	"export-collected", "export-amid-write", "export-before-agree", "export-after-agree",
+	"voter-before-sync", "voter-after-sync", "use-before-close", "use-after-close",
+}
 
-// faultsText asks for the faults of all points.
+// faultsText returns the environment variable that enables the faults of all points.
 func faultsText() string {
 	var all []string
 	for _, p := range points {
@@ -53,20 +55,20 @@
 
 // trialRun is one run.
 type trialRun struct {
-	f         *testcluster.Fleet
-	o         Options
-	progress  io.Writer
-	asked     atomic.Int32 // the gateway that answered last
-	mu        sync.Mutex   // guards what follows
-	injected  map[string]int
-	schedule  []string
-	vacancies []vacancy // that faults have begun
-	killed    []int     // by gateway
-	emptied   map[int]bool
-	errs      []error
-}
-
-// vacancy is when a role lost its leader, and under which term it was led.
+	f            *testcluster.Fleet
+	o            Options
+	progress     io.Writer
+	lastAnswered atomic.Int32 // index of the gateway that answered last
+	mu           sync.Mutex   // guards the fields below
+	injected     map[string]int
+	schedule     []string
+	vacancies    []vacancy // begun by faults
+	killed       []int     // kills by gateway
+	emptied      map[int]bool
+	errs         []error
+}
+
+// vacancy is the loss of a role's leader at a time, with the term of that leader.
 type vacancy struct {
 	role        string
 	term        uint64
@@ -74,7 +76,7 @@
 	transferred bool // the leader transferred it
 }
 
-// Run plays a fleet and judges it.
+// Run runs a fleet amid faults and judges it.
 func Run(ctx context.Context, o Options, progress io.Writer) (*harness.Summary, error) {
 	if o.Load == 0 {
 		o.Load = 0.35
@@ -82,22 +84,24 @@
 	if o.Shards == 0 {
 		o.Shards = 2
 	}
-	f, err := testcluster.New(ctx, testcluster.Options{Seed: o.Seed, Instances: o.Instances, Load: o.Load, Bin: o.Bin, Log: progress,
-		Fleet: fmt.Sprintf("shards = %d\nkeep = 64", o.Shards)})
+	f, err := testcluster.New(ctx, testcluster.Options{
+		Seed: o.Seed, Instances: o.Instances, Load: o.Load, Bin: o.Bin, Log: progress,
+		Fleet: fmt.Sprintf("shards = %d\nkeep = 64", o.Shards),
+	})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	t := &trialRun{f: f, o: o, progress: progress, injected: map[string]int{},
 		killed: make([]int, o.Instances), emptied: map[int]bool{}}
-	// The points' faults need an environment of their own: each process starts anew with it.
+	// The failpoints are enabled by the environment, so each process is restarted with it.
 	for i, g := range f.Gateways {
 		g.SetEnv(faultsText())
 		if err := errors.Join(f.End(i, syscall.SIGTERM), f.Begin(i)); err != nil {
 			return nil, err
 		}
 	}
-	if err := t.settled(ctx); err != nil {
+	if err := t.waitUntilSettled(ctx); err != nil {
 		return nil, err
 	}
 	var rest float64
@@ -107,14 +111,14 @@
 	more, end := context.WithCancel(ctx)
 	defer end()
 	t.clients(more)
-	w := &writers{f: f, seed: o.Seed, began: time.Now()} // they work for as long as clients ask
-	asking, cancel := context.WithTimeout(ctx, o.For)
+	w := &writers{f: f, seed: o.Seed, began: time.Now()} // they run as long as the traffic
+	trafficContext, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); w.run(asking, 4) }()
-	go func() { defer wg.Done(); t.faults(asking) }()
-	f.Clients.Run(asking)
+	go func() { defer wg.Done(); w.run(trafficContext, 4) }()
+	go func() { defer wg.Done(); t.faults(trafficContext) }()
+	f.Clients.Run(trafficContext)
 	wg.Wait()
 	fig, err := t.check(ctx, w, o.For)
 	if fig != nil && rest > 0 {
@@ -123,10 +127,11 @@
 	return fig, err
 }
 
-// restLength is how long a run is before what a fleet says at rest is measured first.
+// restLength is the shortest run before which the fleet's traffic at rest is measured.
 const restLength = 30 * time.Second
 
-// atRest is what a gateway's links carry in a second while nothing happens, both ways.
+// atRest returns how many bytes a second a gateway's links forward, in both directions, while there
+// is no load.
 func (t *trialRun) atRest(ctx context.Context) float64 {
 	const length = 3 * time.Second
 	before := t.f.Passed()
@@ -136,7 +141,7 @@
 	return float64(t.f.Passed()-before) / length.Seconds() / float64(t.o.Instances)
 }
 
-// clients has further processes keep a session and watch.
+// clients starts the additional clients, which keep a session and watch the leases.
 func (t *trialRun) clients(ctx context.Context) {
 	for i := range t.o.Clients {
 		c := controlrpc.NewClient(testcluster.FleetName, lease.Member{
@@ -150,8 +155,8 @@
 	}
 }
 
-// settled waits until every duty has an owner.
-func (t *trialRun) settled(ctx context.Context) error {
+// waitUntilSettled waits until every role has an owner.
+func (t *trialRun) waitUntilSettled(ctx context.Context) error {
 	deadline := time.Now().Add(30 * time.Second)
 	for {
 		held := 0
@@ -164,29 +169,30 @@
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errors.New("the duties have no owners")
+			return errors.New("not all roles have an owner")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// view asks gateway after gateway for a part of the agreed state, until one answers.
+// view queries one gateway after another for a part of the committed state, until one answers.
 func (t *trialRun) view(line string, into any) error {
 	var err error
 	for k := range t.f.Gateways {
-		i := (k + int(t.asked.Load())) % len(t.f.Gateways)
+		i := (k + int(t.lastAnswered.Load())) % len(t.f.Gateways)
 		if t.f.Stopped(i) || !t.f.Gateways[i].Running() {
 			continue
 		}
 		if err = t.f.Call(i, line, into); err == nil {
-			t.asked.Store(int32(i))
+			t.lastAnswered.Store(int32(i))
 			return nil
 		}
 	}
-	return errors.Join(errors.New("nobody tells "+line), err)
+	return errors.Join(errors.New("no gateway answers: "+line), err)
 }
 
-// roleLeader returns the gateway that leads a role, and its lease; -1: there is none, or no answer.
+// roleLeader returns the gateway that leads a role, and its lease. It returns -1 if there is none
+// or no gateway answers.
 func (t *trialRun) roleLeader(role string) (int, lease.Lease) {
 	var v lease.View
 	if t.view("owners", &v) != nil {
@@ -206,7 +212,7 @@
 	return i, err == nil && strings.HasPrefix(name, "n")
 }
 
-// logLeader returns the voter that leads; -1: there is none, or no answer.
+// logLeader returns the log's leader, or -1 if there is none or no gateway answers.
 func (t *trialRun) logLeader() int {
 	var l consensus.Membership
 	if t.view("status", &l) != nil {
--- a/internal/testing/electiontest/watch_test.go
+++ b/internal/testing/electiontest/watch_test.go
@@ -13,7 +13,7 @@
 	"mothcleat/internal/testing/testcluster/clustertest"
 )
 
-// calls are how often each gateway's agent was asked from a moment on.
+// calls returns how often each gateway's agent was queried since a time.
 func calls(f *testcluster.Fleet, since time.Time) (n []int) {
 	for i := range f.Gateways {
 		count := 0
@@ -27,21 +27,21 @@
 	return n
 }
 
-// One gateway watches the register for all: a drain told to it alone ends all work there, with its
-// owner stopped or killed amid it as well; one that hears of nobody watches by itself.
+// One gateway watches the register for all. A drain that only it is notified of ends all work at
+// the server, also while the watcher is suspended. A gateway without a fleet watches by itself.
 func TestOneWatchOfTheRegister(t *testing.T) {
 	f := fleet(t, testcluster.Options{Instances: 4, Consul: true, Load: 0.2})
-	i, h := hasOwner(t, f, 0, endpointlist.Role, 0)
-	only := func() {
+	i, h := waitForOwner(t, f, 0, endpointlist.Role, 0)
+	waitOnlyOwner := func() {
 		t.Helper()
-		clustertest.Eventually(t, "the owner alone asks its agent", func() (bool, string) {
+		clustertest.Eventually(t, "only the owner to query its agent", func() (bool, string) {
 			was, h := owner(f, 3, endpointlist.Role)
 			since := time.Now()
 			time.Sleep(2500 * time.Millisecond) // longer than a query waits
 			n := calls(f, since)
 			is, now := owner(f, 3, endpointlist.Role)
 			if is != was || now.Term != h.Term || is < 0 {
-				return false, "it changes hands"
+				return false, "the owner changed"
 			}
 			for j, c := range n {
 				if (c > 0) != (j == is) {
@@ -51,11 +51,11 @@
 			return true, ""
 		})
 	}
-	only()
-	// drained tells the register of a drain amid traffic, and counts what comes to the server long
+	waitOnlyOwner()
+	// checkDrain drains a server under traffic, and counts the attempts that it receives long
 	// after.
 	next := 0
-	drained := func(after func()) {
+	checkDrain := func(after func()) {
 		t.Helper()
 		sv := f.Servers[next]
 		next++
@@ -63,7 +63,7 @@
 		defer cancel()
 		done := make(chan struct{})
 		go func() { defer close(done); f.Clients.Run(ctx) }()
-		time.Sleep(time.Second) // some traffic first: what is judged is the record
+		time.Sleep(time.Second) // the server needs attempts before its drain
 		at := f.Record.Now()
 		f.DrainServer(sv)
 		after()
@@ -84,27 +84,27 @@
 			t.Errorf("%d attempts at %s before its drain, %d long after", before, sv.ID, late)
 		}
 	}
-	drained(func() {})
-	// Its owner is stopped as the drain is told: another watches, or each by itself.
-	drained(func() {
+	checkDrain(func() {})
+	// The watcher is suspended at the drain: another one watches, or each gateway by itself.
+	checkDrain(func() {
 		if err := f.Stop(i); err != nil {
 			t.Error(err)
 		}
 	})
-	_, after := hasOwner(t, f, another(f, i), endpointlist.Role, h.Term)
+	_, after := waitForOwner(t, f, another(f, i), endpointlist.Role, h.Term)
 	if err := f.Wake(i); err != nil {
 		t.Fatal(err)
 	}
-	only()
-	// All voters are gone: the gateway that is left watches by itself, and says so.
+	waitOnlyOwner()
+	// All voters are killed: the remaining gateway watches by itself, and logs it.
 	for k := range 3 {
 		if err := f.End(k, syscall.SIGKILL); err != nil {
 			t.Fatal(err)
 		}
 	}
 	since := time.Now()
-	logged(t, f, 3, "this gateway watches the register itself")
-	clustertest.Eventually(t, "it asks its agent", func() (bool, string) {
+	waitLogged(t, f, 3, "this gateway watches the register itself")
+	clustertest.Eventually(t, "the gateway to query its agent", func() (bool, string) {
 		n := calls(f, since)
 		return n[3] > 0, fmt.Sprint(n)
 	})
@@ -113,8 +113,8 @@
 			t.Fatal(err)
 		}
 	}
-	hasOwner(t, f, 3, endpointlist.Role, after.Term-1)
-	only()
+	waitForOwner(t, f, 3, endpointlist.Role, after.Term-1)
+	waitOnlyOwner()
 	if err := errors.Join(f.World.Stop(t.Context())); err != nil {
 		t.Fatal(err)
 	}
