--- a/internal/testing/storetest/damage.go
+++ b/internal/testing/storetest/damage.go
@@ -12,15 +12,15 @@
 
 // Tally counts how recoveries ended.
 type Tally struct {
-	Opened  int // with all that was promised
-	Refused int // with file and place
-	// Invented: content that the store never had. LostPromised: an older one than was promised.
-	// Unclear: a refusal that names no place, or one after a crash alone.
+	Opened  int // opened with all promised batches
+	Refused int // refused because of damage, with the file and the place
+	// Invented counts contents that the store never had. LostPromised counts contents that are
+	// older than promised. Unclear counts refusals that name no file, and those after a mere crash.
 	Invented, LostPromised, Unclear int
-	Why                             []string // the first of these
+	Why                             []string // the first failed recoveries
 }
 
-// Bad is the number of recoveries that ended as none may.
+// Bad returns the number of failed recoveries.
 func (t *Tally) Bad() int { return t.Invented + t.LostPromised + t.Unclear }
 
 // Add adds another tally to this one.
@@ -33,6 +33,7 @@
 	t.Why = append(t.Why, o.Why...)
 }
 
+// bad counts a failed recovery in n, and keeps the reasons of the first five.
 func (t *Tally) bad(n *int, format string, args ...any) {
 	*n++
 	if len(t.Why) < 5 {
@@ -40,7 +41,8 @@
 	}
 }
 
-// judge opens what is left and counts how it ends. refusal: damage may be refused here.
+// judge opens the store that is left and counts the result. If refusal is set, the store may be
+// refused because of damage. what describes the case.
 func (t *Tally) judge(w *Workload, o store.Options, promised int, refusal bool, what string) {
 	var got Content
 	s, err := store.Open("", o)
@@ -59,16 +61,18 @@
 	}
 	switch n := w.After(got); {
 	case n < 0:
-		t.bad(&t.Invented, "%s: holds %v", what, got)
+		t.bad(&t.Invented, "%s: the store never had this content: %v", what, got)
 	case n < promised:
-		t.bad(&t.LostPromised, "%s: as after batch %d; %d were promised", what, n, promised)
+		t.bad(&t.LostPromised, "%s: content as after batch %d, but %d batches were promised",
+			what, n, promised)
 	default:
 		t.Opened++
 	}
 }
 
-// Crashes plays a workload of so many batches and crashes it after each of its operations, with any
-// of what was not synced there, lost or in part: so many random ways each beside the regular ones.
+// Crashes runs a workload of batches and crashes it after each of its operations. At each crash the
+// operations that were not synced are kept, lost or torn, in regular ways and in a number of random
+// ways.
 func Crashes(ctx context.Context, seed uint64, batches, random int) (*Tally, error) {
 	w, f, t := NewWorkload(seed), faultfs.New(), &Tally{}
 	f.Record()
@@ -92,7 +96,7 @@
 	}
 	if st := w.Store.Stats(); st.CopiedBytes == 0 || st.MergedEntries == 0 || st.Segments < 2 {
 		return nil, fmt.Errorf(
-			"%d batches are too few: the work that should be crashed did not happen: %+v",
+			"%d batches are too few for all kinds of work to occur: %+v",
 			batches,
 			st,
 		)
@@ -105,7 +109,7 @@
 		try := func(what string, fate func(i int) int) {
 			what = fmt.Sprintf("seed %d, after operation %d, %s", seed, n, what)
 			left := f.After(n, fate)
-			for range 2 { // what a recovery leaves is opened again
+			for range 2 { // the second round opens what the first recovery left
 				o := Small(left)
 				o.Verify = true
 				t.judge(w, o, promised, false, what)
@@ -141,22 +145,23 @@
 	return t, ctx.Err()
 }
 
-// Damage cuts every file of a store at every byte and changes every byte, each once, and opens what
-// is left, with all bytes read at once and as they are needed.
+// Damage truncates every file of a store at every byte and changes every byte, one at a time. It
+// opens each result twice: with all bytes verified at once, and with bytes read as they are needed.
 func Damage(ctx context.Context, seed uint64, batches int) (*Tally, error) {
 	w, f, t := NewWorkload(seed), faultfs.New(), &Tally{}
 	var err error
 	if w.Store, err = store.Open("", Small(f)); err != nil {
 		return nil, err
 	}
-	// The newest segment has to hold something that was promised.
+	// The newest segment must have a promised batch.
 	for w.Last() < batches || w.Store.Stats().OverlayKeys < 5 {
 		if err := w.Commit(store.Durable); err != nil {
 			return nil, err
 		}
 	}
 	if st := w.Store.Stats(); st.Runs == 0 || st.Segments < 2 {
-		return nil, fmt.Errorf("%d batches are too few: %+v", batches, st)
+		return nil, fmt.Errorf("%d batches are too few for a run and two segments: %+v",
+			batches, st)
 	}
 	whole := f.Copy()
 	judge := func(name string, data []byte, what string, at int) {
--- a/internal/testing/storetest/kill.go
+++ b/internal/testing/storetest/kill.go
@@ -16,13 +16,13 @@
 	"mothcleat/internal/storage/store"
 )
 
-// killable is how the process that is killed opens its store: small enough that all work goes on
-// all the time.
+// killable are the store's options in the process that is killed. The sizes are so small that all
+// kinds of work occur all the time.
 var killable = store.Options{SegmentBytes: 64 << 10, MaxOverlayKeys: 256, Verify: true}
 
 const writers = 4
 
-// value is what a writer puts with its nth batch, so that whoever reads can tell.
+// value returns what a writer puts with its nth batch, so that a reader can verify it.
 func value(writer, n int) []byte {
 	r := rand.New(rand.NewPCG(uint64(writer), uint64(n)))
 	b := binary.LittleEndian.AppendUint64(nil, uint64(n))
@@ -32,8 +32,8 @@
 	return b
 }
 
-// Each writer's nth batch puts its counter and one of its own 50 keys, and deletes another: what
-// the store holds of a writer follows from the counter alone.
+// batch returns a writer's nth batch. It puts the writer's counter and one of its own 50 keys, and
+// deletes another one, so that a writer's content follows from its counter alone.
 func batch(writer, n int) *store.Batch {
 	var b store.Batch
 	b.Put(fmt.Appendf(nil, "w%d", writer), binary.LittleEndian.AppendUint64(nil, uint64(n)))
@@ -42,8 +42,9 @@
 	return &b
 }
 
-// Write commits batches in a folder without end, several goroutines at a time, and writes a line
-// for each that is durable: the writer and its number. It is the process that is killed.
+// Write commits batches to a store in a folder from several goroutines until an error occurs. It
+// writes a line with the writer and the batch's number for each durable batch. It runs in the
+// process that is killed.
 func Write(dir string, out io.Writer) error {
 	s, err := store.Open(dir, killable)
 	if err != nil {
@@ -82,16 +83,16 @@
 	return int(binary.LittleEndian.Uint64(b)), nil
 }
 
-// KillTally counts what a loop of kills found.
+// KillTally counts the results of a loop of kills.
 type KillTally struct {
 	Tally
 	Kills        int
-	Acknowledged int // batches
+	Acknowledged int // acknowledged batches
 }
 
-// Kills starts a process that runs Write (command with the folder as its last argument), kills it
-// at random, again and again until the time is up, and holds the store against what the process had
-// acknowledged.
+// Kills repeatedly starts a process that runs Write (command with the folder as its last argument),
+// kills it after a random time, and compares the store with the batches that the process
+// acknowledged. It ends after length.
 func Kills(
 	ctx context.Context,
 	seed uint64,
@@ -100,17 +101,17 @@
 	command ...string,
 ) (*KillTally, error) {
 	r, t := rand.New(rand.NewPCG(seed, 2)), &KillTally{}
-	promised, barren := make([]int, writers), 0
+	promised, idleRuns := make([]int, writers), 0
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; t.Kills++ {
 		before := t.Acknowledged
 		if err := t.runOnce(r, dir, promised, command); err != nil {
 			return t, err
 		}
-		if barren++; t.Acknowledged > before {
-			barren = 0
+		if idleRuns++; t.Acknowledged > before {
+			idleRuns = 0
 		}
-		if barren == 20 { // one life may be too short for a first commit
-			return t, errors.New("the process that writes acknowledges nothing")
+		if idleRuns == 20 { // a single run may be too short for a first commit
+			return t, errors.New("the writing process acknowledged nothing in 20 runs")
 		}
 		t.check(dir, promised)
 		if t.Bad() > 0 {
@@ -120,7 +121,7 @@
 	return t, ctx.Err()
 }
 
-// runOnce lets the process write for a while and kills it.
+// runOnce lets the process write for 20 to 320 ms and kills it.
 func (t *KillTally) runOnce(r *rand.Rand, dir string, promised []int, command []string) error {
 	cmd := exec.Command(command[0], append(command[1:len(command):len(command)], dir)...)
 	cmd.Stderr = os.Stderr
@@ -138,7 +139,7 @@
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		var w, n int
 		if _, err := fmt.Sscan(lines.Text(), &w, &n); err != nil || w >= writers {
-			break // the line that the kill cut
+			break // the kill cut the line
 		}
 		promised[w] = max(promised[w], n)
 		t.Acknowledged++
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// check reads the store as the next process would.
+// check opens the store and compares its content with promised, which it updates.
 func (t *KillTally) check(dir string, promised []int) {
 	s, err := store.Open(dir, killable)
 	if err != nil {
@@ -170,7 +171,7 @@
 		if n < promised[w] {
 			t.bad(
 				&t.LostPromised,
-				"kill %d: writer %d stands at %d, %d was acknowledged",
+				"kill %d: writer %d is at batch %d, but batch %d was acknowledged",
 				t.Kills,
 				w,
 				n,
@@ -183,8 +184,7 @@
 			keys++
 		}
 		for slot := range 50 {
-			// The newest batch up to n that touched the slot put it, if it is not the one that
-			// deleted it since.
+			// put and del are the newest batches up to n that put and deleted the slot.
 			put, del := n-(n-slot+50)%50, n-(n+7-slot+50)%50
 			key := fmt.Sprintf("w%d/%02d", w, slot)
 			if put >= 1 && put >= del {
@@ -192,7 +192,7 @@
 				if got[key] != string(value(w, put)) {
 					t.bad(
 						&t.Invented,
-						"kill %d: %s is not what batch %d put there",
+						"kill %d: %s doesn't have the value that batch %d put",
 						t.Kills,
 						key,
 						put,
@@ -203,7 +203,7 @@
 		}
 	}
 	if keys != len(got) {
-		t.bad(&t.Invented, "kill %d: %d keys, %d expected", t.Kills, len(got), keys)
+		t.bad(&t.Invented, "kill %d: the store has %d keys, want %d", t.Kills, len(got), keys)
 		return
 	}
 	t.Opened++
--- a/internal/testing/storetest/workload.go
+++ b/internal/testing/storetest/workload.go
@@ -1,6 +1,6 @@
-// Package storetest tries the embedded store: random batches against a plain map, crashes after
-// every operation, files cut and changed at every byte, and a process that is killed while it
-// writes.
+// Package storetest tests the embedded store: random batches against a plain map, crashes after
+// every operation, files that are truncated or changed at every byte, and a process that is killed
+// while it writes.
 package storetest
 
 import (
@@ -12,30 +12,30 @@
 	"mothcleat/internal/storage/store"
 )
 
-// Small has every kind of file and of work happen within a few dozen batches.
+// Small returns options with which all kinds of files and of work occur within a few dozen batches.
 func Small(f store.FS) store.Options {
 	return store.Options{SegmentBytes: 700, MaxOverlayKeys: 8, CompactionStepBytes: 64, FS: f}
 }
 
-// Content is all that a store holds.
+// Content is the whole content of a store.
 type Content = map[string]string
 
-const counter = "#" // the key that holds the number of the last batch
+const counter = "#" // the key of the number of the last batch
 
-// Workload commits random batches and remembers what the store held after each.
+// Workload commits random batches and stores the content after each.
 type Workload struct {
 	Rand   *rand.Rand
 	Store  *store.Store
-	States []Content // after 0, 1, ... batches
-	Keys   int       // how many there are at most, beside the counter
+	States []Content // contents after 0, 1, ... batches
+	Keys   int       // maximum number of keys, without the counter
 }
 
-// NewWorkload begins with an empty store.
+// NewWorkload returns a workload for an empty store, which the caller sets.
 func NewWorkload(seed uint64) *Workload {
 	return &Workload{Rand: rand.New(rand.NewPCG(seed, 0)), States: []Content{{}}, Keys: 24}
 }
 
-// Last is the number of batches committed.
+// Last returns the number of committed batches.
 func (w *Workload) Last() int { return len(w.States) - 1 }
 
 // Commit commits one more batch.
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// After tells after how many batches the store held this; -1 if never.
+// After returns after how many batches the store had this content, or -1 if it never had.
 func (w *Workload) After(got Content) int {
 	n := 0
 	fmt.Sscan(got[counter], &n)
@@ -72,7 +72,8 @@
 	return -1
 }
 
-// ContentOf reads a view whole, each key in both ways.
+// ContentOf reads a whole snapshot. It reads each key both by a range and by a look-up, and returns
+// an error if they differ.
 func ContentOf(view *store.Snapshot) (Content, error) {
 	got := Content{}
 	for item, err := range view.Range(nil, nil) {
@@ -82,7 +83,7 @@
 		got[string(item.Key)] = string(item.Value)
 		if one, err := view.Get(item.Key); err != nil || !bytes.Equal(one, item.Value) {
 			return nil, fmt.Errorf(
-				"%q: a range gives %q, a look-up %q, %w",
+				"%q: a range returns %q, but a look-up returns %q: %w",
 				item.Key,
 				item.Value,
 				one,
@@ -93,7 +94,7 @@
 	return got, nil
 }
 
-// Read is the content of an open store now.
+// Read returns the current content of an open store.
 func Read(s *store.Store) (Content, error) {
 	view, err := s.Snapshot()
 	if err != nil {
