--- a/internal/testing/faultproxy/faultproxy.go
+++ b/internal/testing/faultproxy/faultproxy.go
@@ -23,7 +23,7 @@
 	Downstream                  // from the target to the process that connects
 )
 
-// Conditions are the faults of one direction of a link; the zero value has none.
+// Conditions are the faults of one direction of a link. The zero value has no faults.
 type Conditions struct {
 	Cut    bool
 	Delay  time.Duration
@@ -43,15 +43,17 @@
 	random         *rand.Rand
 	connections    map[*connectionPair]bool
 	closed         bool
-	forwardedBytes [2]int64 // bytes
-	delayedReads   [2]int   // chunks that had to wait for a cut to end
+	forwardedBytes [2]int64
+	delayedReads   [2]int // chunks and new connections that had to wait for a cut to end
 }
 
+// connectionPair is an accepted connection and the connection to the target.
 type connectionPair struct{ client, target net.Conn }
 
+// chunkBytes is the largest number of bytes of one read.
 const chunkBytes = 16 << 10
 
-// New returns a proxy that listens at one address and connects to the target. The seed is that of
+// New returns a proxy that listens at one address and connects to the target. The seed determines
 // the jitter.
 func New(listen, target string, seed uint64) (*Link, error) {
 	l, err := net.Listen("tcp", listen)
@@ -114,8 +116,8 @@
 	_ = c.Close()
 }
 
-// Forwarded returns how many bytes were forwarded, and how many reads had to wait for a cut to end:
-// a test sees by them whether its faults had any effect.
+// Forwarded returns how many bytes were forwarded, and how many chunks or new connections had to
+// wait for a cut to end. Tests use it to check that their faults had an effect.
 func (k *Link) Forwarded(d Direction) (bytes int64, held int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -141,15 +143,15 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // a shortage of descriptors passes
+			time.Sleep(10 * time.Millisecond) // a shortage of file descriptors is temporary
 			continue
 		}
 		go k.join(client)
 	}
 }
 
-// join connects an accepted connection to the target. While a direction is cut no connection can be
-// made, as no handshake would be answered.
+// join connects an accepted connection to the target. While a direction is cut no connection is
+// made, because no handshake would be answered.
 func (k *Link) join(client net.Conn) {
 	if !k.waitWhileCut(Upstream) || !k.waitWhileCut(Downstream) {
 		_ = client.Close()
--- a/internal/testing/faultproxy/faultproxy_test.go
+++ b/internal/testing/faultproxy/faultproxy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// echo answers everything with itself.
+// echo starts a server that returns what it receives, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,6 +27,7 @@
 	return l.Addr().String()
 }
 
+// link returns a proxy in front of an echo server, and a connection through it.
 func link(t *testing.T) (*Link, net.Conn) {
 	t.Helper()
 	k, err := New("127.0.0.1:0", echo(t), 1)
@@ -56,16 +57,16 @@
 	_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != text {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("received %q, %v, want %q", got, err, text)
 	}
 }
 
-// expectNothing tells that nothing comes for a while.
+// expectNothing fails the test if a byte or the end of the connection arrives within 100 ms.
 func expectNothing(t *testing.T, c net.Conn) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == io.EOF {
-		t.Fatalf("%d bytes, %v, over a cut link", n, err)
+		t.Fatalf("received %d bytes, %v, over a cut link", n, err)
 	}
 }
 
@@ -76,13 +77,13 @@
 		send(t, c, "word")
 		expectNothing(t, c)
 		if _, held := k.Forwarded(d); held == 0 {
-			t.Error("nothing was held up")
+			t.Error("the cut link held nothing back")
 		}
 		if _, held := k.Forwarded(1 - d); held != 0 {
 			t.Error("the other direction was cut, too")
 		}
 		k.Set(d, Conditions{})
-		receive(t, c, "word") // late, and whole
+		receive(t, c, "word") // the bytes arrive late but complete
 	}
 }
 
@@ -105,10 +106,10 @@
 	k.Reset()
 	_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("not reset")
+		t.Error("the connection was not reset")
 	}
 	k, c = link(t)
-	k.Set(Downstream, Conditions{Cut: true}) // who connected is not told
+	k.Set(Downstream, Conditions{Cut: true}) // so that the client is not notified
 	k.HalfOpen()
 	send(t, c, "lost")
 	expectNothing(t, c)
@@ -128,6 +129,6 @@
 	send(t, c, "0123456789012345678901234567890123456789")
 	receive(t, c, "0123456789012345678901234567890123456789")
 	if d := time.Since(began); d < 200*time.Millisecond {
-		t.Errorf("40 bytes at 200 a second, 50 ms late, took %v", d)
+		t.Errorf("40 bytes at 200 a second, delayed by 50 ms, took %v, want at least 200ms", d)
 	}
 }
