--- a/internal/testing/faultfs/crash.go
+++ b/internal/testing/faultfs/crash.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Fates of a pending operation. Lost leaves no trace, Kept is there completely. Any other number is
-// how many bytes of a write are there.
+// Fates of a pending operation. A lost operation leaves no trace, a kept one is complete. Any other
+// number is how many bytes of a write are kept.
 const (
 	Lost = 0
 	Kept = -1
@@ -46,8 +46,8 @@
 	return dir, files
 }
 
-// After returns the folder that a crash after the first n operations leaves. fate returns what
-// becomes of the pending operation with an index.
+// After returns the file system that a crash after the first n operations leaves. fate returns the
+// fate of the pending operation with index i.
 func (f *FS) After(n int, fate func(i int) int) *FS {
 	crashed := f.recordedFrom.copy()
 	for id, data := range f.recordedFrom.files {
--- a/internal/testing/faultfs/faultfs.go
+++ b/internal/testing/faultfs/faultfs.go
@@ -49,15 +49,15 @@
 
 // FS is the file system. Its methods may be called concurrently.
 type FS struct {
-	// Fail, if set, is called before each operation; an error that it returns is returned in place
-	// of the operation. For a write it also returns how many bytes are written nevertheless.
+	// Fail, if set, is called before each operation. If it returns an error, the operation fails
+	// with it. For a write Fail also returns how many bytes are written nevertheless.
 	Fail func(op *Op) (written int, err error)
 
 	mu           sync.Mutex
 	names        map[string]int
 	files        map[int][]byte
 	ops          []Op
-	recordedFrom *FS // where the recording began
+	recordedFrom *FS // content when the recording began
 	locked       bool
 	nextID       int
 }
@@ -164,7 +164,7 @@
 	return n, nil
 }
 
-// Create creates a file, or truncates an existing one, which stays the same file.
+// Create creates a file or truncates an existing one.
 func (f *FS) Create(name string) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -315,7 +315,7 @@
 
 func (f *file) Close() error { return nil }
 
-// Kill releases the lock, as the death of the process that holds it would.
+// Kill releases the lock, as the exit of the process that holds it would.
 func (f *FS) Kill() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
