--- a/internal/testing/calibrate/calibrate.go
+++ b/internal/testing/calibrate/calibrate.go
@@ -1,5 +1,5 @@
-// Package calibrate plays the same site, seed and faults in real processes and in the
-// emulator, and tells how far what the emulator says can be believed.
+// Package calibrate runs the same site, seed and faults with real processes and in the emulator,
+// and reports how closely the emulator's results match.
 package calibrate
 
 import (
@@ -16,16 +16,16 @@
 	"mothcleat/sim"
 )
 
-// Pairing is one world, as both rigs are to play it.
+// Pairing is one world that both rigs run.
 type Pairing struct {
 	Name     string
 	Gateways int
 	Load     float64
-	NoteLoss float64 // below 0: the site's
+	NoteLoss float64 // fraction of lost peer messages; below 0: the site's
 	Faults   func(length time.Duration) []harness.Fault
 }
 
-// Pairings are what is compared.
+// Pairings returns the worlds that are compared.
 func Pairings() []Pairing {
 	noFaults := func(time.Duration) []harness.Fault { return nil }
 	at := func(length time.Duration, part float64) time.Duration {
@@ -82,15 +82,16 @@
 	}
 }
 
-// Row is what a pairing came to.
+// Row is the result of a pairing.
 type Row struct {
 	Name    string     `json:"name"`
 	Service [2]float64 `json:"service"` // real, emulated
-	Refused [2]float64 `json:"refused"` // part of the first tries
+	Refused [2]float64 `json:"refused"` // fraction of the first tries
 	P50     [2]float64 `json:"p50_ms"`
 	Beyond  [2]float64 `json:"over_quota_share"`
 	Gap     float64    `json:"service_gap"`
-	// service within 0.02, refusals (or 0.01 of all) and p50 within 15%
+	// Within is set if the services differ by at most 0.02, the fractions of refused tries by at
+	// most 15% or 0.01, and the p50s by at most 15%.
 	Within   bool `json:"within"`
 	Breaches int  `json:"broken"`
 }
@@ -98,11 +99,12 @@
 const (
 	maxServiceDifference  = 0.02
 	maxRelativeDifference = 0.15
-	minRefusedShare       = 0.01 // of the first tries: a difference so small is none
-	atOnce                = 3    // real worlds on one machine
+	minRefusedShare       = 0.01 // fraction of the first tries; smaller differences are ignored
+	maxParallel           = 3    // real worlds that run at once on one machine
 )
 
-// Run plays all pairings. A rule that is broken in either rig is a miss; a difference is told.
+// Run runs all pairings. A broken rule in either rig is a failure. Differences between the rigs are
+// only reported.
 func Run(
 	ctx context.Context, seed uint64, length time.Duration, progress io.Writer,
 ) (*harness.Summary, error) {
@@ -117,13 +119,13 @@
 	began := time.Now()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	room := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallel)
 	for i, p := range pairings {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			real, model, err := play(ctx, p, seed, length, bin)
 			if errs[i] = err; err != nil {
 				return
