--- a/internal/testing/experiment/experiment.go
+++ b/internal/testing/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment plays sweeps in the emulator: one setting of a world over a list of
-// values, for two variants, always paired by seed, so that their difference is told with
-// its confidence and not by two single days.
+// Package experiment runs sweeps in the emulator: one setting of a world over a list of values, for
+// one or two variants. The runs of two variants are paired by seed, so that their difference is
+// reported with a confidence interval.
 package experiment
 
 import (
@@ -27,22 +27,22 @@
 	"mothcleat/sim"
 )
 
-// File is an experiment as it is written down.
+// File is the definition of an experiment.
 type File struct {
-	Name    string      `toml:"name"`    // of its results and plots
-	Title   string      `toml:"title"`   // over its plots
-	Seeds   int         `toml:"seeds"`   // of each point
+	Name    string      `toml:"name"`    // name of the results and plots
+	Title   string      `toml:"title"`   // title of the plots
+	Seeds   int         `toml:"seeds"`   // number of seeds of each point
 	First   uint64      `toml:"first"`   // the first seed
 	For     string      `toml:"for"`     // virtual time of each world
-	Sweep   string      `toml:"sweep"`   // the setting on the x axis, by its name in [world]
-	Values  []float64   `toml:"values"`  // of it
-	Figures []string    `toml:"figures"` // plotted, by their names in the results
+	Sweep   string      `toml:"sweep"`   // name of the setting on the x axis
+	Values  []float64   `toml:"values"`  // values of the setting
+	Figures []string    `toml:"figures"` // names of the plotted figures, as in the results
 	World   sim.Options `toml:"world"`
 	Lengths Lengths     `toml:"lengths"`
-	Variant []Variant   `toml:"variant"` // one or two; none: the world as it is
+	Variant []Variant   `toml:"variant"` // at most two; none: the unchanged world
 }
 
-// Lengths are the settings of a world that are lengths of time.
+// Lengths are the settings of a world that are durations.
 type Lengths struct {
 	Shift    string `toml:"shift"`
 	NoteLate string `toml:"note_late"`
@@ -53,24 +53,24 @@
 // Variant is one side of a comparison.
 type Variant struct {
 	Name string             `toml:"name"`
-	Lab  string             `toml:"lab"` // another build of the lab that plays it; "": this one
-	Set  map[string]float64 `toml:"set"` // settings of the world that differ, by name
+	Lab  string             `toml:"lab"` // path of another build of lab; "": this build
+	Set  map[string]float64 `toml:"set"` // changed settings of the world, by name
 }
 
-// Point is one world to be played, and Row what it came to.
+// Point is one world to be run.
 type Point struct {
 	Variant string  `json:"variant"`
 	X       float64 `json:"x"`
 	Seed    uint64  `json:"seed"`
 }
 
-// Row is one line of the results.
+// Row is the result of a point, one line of the results.
 type Row struct {
 	Point
 	Figures map[string]float64 `json:"figures"`
 }
 
-// settings are what can be swept or set by a variant.
+// settings has a setter for each setting that can be swept or set by a variant.
 var settings = map[string]func(o *sim.Options, x float64){
 	"gateways":   func(o *sim.Options, x float64) { o.Gateways = int(x) },
 	"servers":    func(o *sim.Options, x float64) { o.Servers = int(x) },
@@ -100,7 +100,7 @@
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// Load reads an experiment; an error names the file and the line or setting.
+// Load reads an experiment from a file. Its errors name the file and the line or setting.
 func Load(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return f, nil
 }
 
-// Parse reads the text of an experiment.
+// Parse parses the text of an experiment and fills in the defaults.
 func Parse(raw []byte) (*File, error) {
 	f := &File{Seeds: 10, First: 1, For: "30s", Figures: []string{"service", "over_quota_share"}}
 	f.World = sim.Options{Gateways: 8, Servers: 12, Load: 0.55, MessageLoss: -1}
@@ -144,7 +144,7 @@
 			continue
 		}
 		if *l.to, err = time.ParseDuration(l.text); err != nil {
-			return nil, fmt.Errorf("%s: %q is no length of time", l.key, l.text)
+			return nil, fmt.Errorf("%s: %q is not a duration", l.key, l.text)
 		}
 	}
 	if len(f.Variant) == 0 {
@@ -156,15 +156,15 @@
 func (f *File) check() error {
 	switch {
 	case f.Name == "" || f.Name != filepath.Base(f.Name):
-		return fmt.Errorf("name: %q: a plain name wanted", f.Name)
+		return fmt.Errorf("name: %q must be a file name without a folder", f.Name)
 	case f.Seeds < 2 || f.Seeds > 10000:
-		return fmt.Errorf("seeds: %d: from 2 to 10000 wanted", f.Seeds)
+		return fmt.Errorf("seeds: %d: must be between 2 and 10000", f.Seeds)
 	case settings[f.Sweep] == nil:
-		return fmt.Errorf("sweep: %q is no setting", f.Sweep)
+		return fmt.Errorf("sweep: %q is not a setting", f.Sweep)
 	case len(f.Values) == 0:
-		return errors.New("values: none")
+		return errors.New("values: must have at least one value")
 	case len(f.Variant) > 2:
-		return fmt.Errorf("variant: %d, two at most", len(f.Variant))
+		return fmt.Errorf("variant: %d variants: must be at most 2", len(f.Variant))
 	case len(f.Variant) == 2 && f.Variant[0].Name == f.Variant[1].Name:
 		return fmt.Errorf("variant: two are called %q", f.Variant[0].Name)
 	}
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// Points are all worlds of the experiment, seed after seed, so that an interrupted one
-// has whole pairs.
+// Points returns all worlds of the experiment, seed after seed, so that an interrupted experiment
+// has complete pairs.
 func (f *File) Points() (all []Point) {
 	for i := range f.Seeds {
 		for _, x := range f.Values {
@@ -191,20 +191,21 @@
 	return all
 }
 
-// options is the world of a point.
+// options returns the options and the variant of a point.
 func (f *File) options(p Point) (sim.Options, *Variant) {
 	o := f.World
 	i := slices.IndexFunc(f.Variant, func(v Variant) bool { return v.Name == p.Variant })
 	v := &f.Variant[i]
 	settings[f.Sweep](&o, p.X)
 	for name, x := range v.Set {
-		settings[name](&o, x) // each sets a field of its own
+		settings[name](&o, x) // the order doesn't matter: each sets another field
 	}
 	o.Seed = p.Seed
 	return o, v
 }
 
-// ReadRows reads results. A last line that was cut off by an interruption is passed over.
+// ReadRows reads results. It ignores a last line that was truncated by an interruption, and returns
+// no rows if the file doesn't exist.
 func ReadRows(path string) (rows []Row, err error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -228,8 +229,8 @@
 	return rows, lines.Err()
 }
 
-// Run plays what is not in the results yet and adds it to them, line by line, in the
-// order in which worlds end. When the context ends it stops, and may be run again.
+// Run runs the points that are not in the results yet, and appends their rows in the order in which
+// the worlds end. When the context ends, Run stops and may be called again.
 func (f *File) Run(ctx context.Context, results string, progress io.Writer) error {
 	old, err := ReadRows(results)
 	if err != nil {
@@ -243,7 +244,7 @@
 	if len(old) > 0 {
 		fmt.Fprintf(
 			progress,
-			"%s: %d worlds were played before, %d to go\n",
+			"%s: %d worlds were run before, %d remain\n",
 			f.Name,
 			len(old),
 			len(todo),
@@ -260,17 +261,17 @@
 		errs  error
 		done  int
 		began = time.Now()
-		room  = make(chan struct{}, runtime.GOMAXPROCS(0))
+		slots = make(chan struct{}, runtime.GOMAXPROCS(0))
 	)
 	for _, p := range todo {
 		if ctx.Err() != nil {
 			break
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			if ctx.Err() != nil {
 				return
 			}
@@ -287,7 +288,7 @@
 				)
 				fmt.Fprintf(
 					progress,
-					"%s: %d of %d worlds, %v to go\n",
+					"%s: %d of %d worlds, %v remain\n",
 					f.Name,
 					done,
 					len(todo),
@@ -300,8 +301,8 @@
 	return errors.Join(errs, ctx.Err())
 }
 
-// rewrite begins the results anew with the whole rows that there were: what an
-// interruption cut off must not stand in their midst.
+// rewrite replaces the results by their complete rows, so that a truncated line doesn't remain
+// before new rows. It returns the open file.
 func rewrite(path string, rows []Row) (*os.File, error) {
 	next := path + ".new"
 	out, err := os.Create(next)
@@ -328,7 +329,7 @@
 	return err
 }
 
-// play plays one world, here or in another build.
+// play runs one world, in this process or with another build.
 func (f *File) play(ctx context.Context, p Point) (map[string]float64, error) {
 	o, v := f.options(p)
 	var line []byte
@@ -352,7 +353,7 @@
 	return flatten(line)
 }
 
-// flatten are the numbers in a run's figures, by name; those of groups as group.name.
+// flatten returns the numbers in a run's figures by name. Names in groups have the form group.name.
 func flatten(line []byte) (map[string]float64, error) {
 	var f map[string]any
 	if err := json.Unmarshal(line, &f); err != nil {
@@ -386,13 +387,13 @@
 	if sent := flat["sent_units"]; sent > 0 {
 		flat["over_quota_share"] = flat["over_quota_units"] / sent
 	}
-	// What differs from run to run of one seed is no result.
+	// These depend on the machine and differ between runs of one seed.
 	delete(flat, "events_per_second")
 	delete(flat, "times_real")
 	return flat, nil
 }
 
-// Summary is a figure at one value of the sweep.
+// Summary is the summary of a figure at one value of the sweep.
 type Summary struct {
 	X        float64   `json:"x"`
 	Figure   string    `json:"figure"`
@@ -400,13 +401,13 @@
 	Means    []float64 `json:"means"`
 	Spreads  []float64 `json:"intervals"` // half widths of 95% confidence intervals
 	Seeds    int       `json:"seeds"`
-	// Of two variants: the second less the first, seed by seed.
+	// Difference is the mean, over the seeds, of the second variant's figure minus the first one's.
 	Difference float64 `json:"difference,omitempty"`
 	Interval   float64 `json:"difference_interval,omitempty"`
-	Tells      bool    `json:"tells"` // the interval does not hold nothing
+	Tells      bool    `json:"tells"` // the interval of the difference does not contain 0
 }
 
-// Summarise sums the results up.
+// Summarise summarises the results. With two variants it uses only seeds that have both.
 func (f *File) Summarise(rows []Row) (all []Summary) {
 	at := map[Point]map[string]float64{}
 	for _, r := range rows {
@@ -423,7 +424,7 @@
 						pair = append(pair, got[figure])
 					}
 				}
-				if len(pair) == len(f.Variant) { // whole pairs only
+				if len(pair) == len(f.Variant) { // complete pairs only
 					for k, y := range pair {
 						samples[k] = append(samples[k], y)
 					}
@@ -453,7 +454,7 @@
 	return all
 }
 
-// Table shows a summary to a person.
+// Table writes the summaries as a table for people.
 func (f *File) Table(out io.Writer, all []Summary) {
 	for _, s := range all {
 		fmt.Fprintf(out, "%-22s %s %-8s", s.Figure, f.Sweep, strconv.FormatFloat(s.X, 'g', -1, 64))
--- a/internal/testing/experiment/experiment_test.go
+++ b/internal/testing/experiment/experiment_test.go
@@ -46,8 +46,8 @@
 	return lines
 }
 
-// An experiment that was cut off amid a line goes on where it was, and ends with the
-// rows that it would have had.
+// An experiment that was interrupted within a line resumes there, and ends with the same rows as an
+// uninterrupted one.
 func TestInterruptedExperimentResumes(t *testing.T) {
 	f, dir := parse(t, small), t.TempDir()
 	whole, cut := filepath.Join(dir, "whole"), filepath.Join(dir, "cut")
@@ -56,7 +56,7 @@
 	}
 	want := sorted(t, whole)
 	if len(want) != len(f.Points()) {
-		t.Fatalf("%d rows of %d points", len(want), len(f.Points()))
+		t.Fatalf("%d rows for %d points", len(want), len(f.Points()))
 	}
 	raw, err := os.ReadFile(whole)
 	if err != nil {
@@ -69,16 +69,16 @@
 		ended, cancel := context.WithCancel(context.Background())
 		cancel()
 		if err := f.Run(ended, cut, io.Discard); err == nil && at < len(raw)-1 {
-			t.Errorf("cut at %d: an interrupted run says that it has ended", at)
+			t.Errorf("cut at %d: an interrupted run returned no error", at)
 		}
 		if err := f.Run(context.Background(), cut, io.Discard); err != nil {
 			t.Fatal(err)
 		}
 		if got := sorted(t, cut); !slices.Equal(got, want) {
-			t.Errorf("cut at %d: other rows than in one go", at)
+			t.Errorf("cut at %d: other rows than without an interruption", at)
 		}
 	}
-	// Damage that is no cut end is told, not passed over.
+	// Damage other than a truncated end is an error.
 	if err := os.WriteFile(cut, append([]byte("{nothing\n"), raw...), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -105,11 +105,11 @@
 	}
 }
 
-// Differences are taken seed by seed, of whole pairs alone.
+// Differences are computed seed by seed, from complete pairs only.
 func TestPairsAreComparedSeedBySeed(t *testing.T) {
 	f := parse(t, small)
 	var rows []Row
-	for i, y := range []float64{0.2, 0.5, 0.9} { // far apart, their differences close together
+	for i, y := range []float64{0.2, 0.5, 0.9} { // far apart, with differences close together
 		seed := f.First + uint64(i)
 		rows = append(
 			rows,
@@ -120,7 +120,8 @@
 			},
 		)
 	}
-	rows = append(rows, Row{Point{"half", 3, f.First}, map[string]float64{"service": 1}}) // no pair
+	// This row has no pair.
+	rows = append(rows, Row{Point{"half", 3, f.First}, map[string]float64{"service": 1}})
 	all := f.Summarise(rows)
 	i := slices.IndexFunc(all, func(s Summary) bool { return s.Figure == "service" && s.X == 1 })
 	if i < 0 || slices.ContainsFunc(all, func(s Summary) bool { return s.X == 3 }) {
@@ -144,12 +145,12 @@
 		{strings.Replace(small, "\"whole\"", "\"half\"", 1), "two are called"},
 	} {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, wanted something about %q", err, c.want)
+			t.Errorf("error %v, want one that contains %q", err, c.want)
 		}
 	}
 }
 
-// The experiments that are kept can be read.
+// The experiments in the repository can be read.
 func TestKeptExperimentsAreGood(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) < 6 {
--- a/internal/testing/experiment/plot.go
+++ b/internal/testing/experiment/plot.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws each figure against the sweep, with the confidence of its means, as PNG and
-// SVG, and returns the files.
+// Plot draws each figure against the sweep, with the confidence intervals of its means, as PNG and
+// SVG. It returns the paths of the files.
 func (f *File) Plot(all []Summary, dir string) (files []string, err error) {
 	for _, figure := range f.Figures {
 		p := plot.New()
@@ -65,7 +65,7 @@
 	return files, nil
 }
 
-// points are means with the errors of each.
+// points are means with their error bars.
 type points struct {
 	plotter.XYs
 	plotter.YErrors
--- a/internal/testing/experiment/stats.go
+++ b/internal/testing/experiment/stats.go
@@ -5,8 +5,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// interval is the mean of samples and half the width of its 95% confidence interval by
-// Student's t; 0 for a single sample, which tells nothing of its spread.
+// interval returns the mean of samples and half the width of its 95% confidence interval by
+// Student's t. The width is 0 for a single sample, which has no spread.
 func interval(samples []float64) (mean, half float64) {
 	mean, deviation := stat.MeanStdDev(samples, nil)
 	n := float64(len(samples))
